--- /dev/null
+++ b/internal/mesh/watch/golden_test.go
@@ -0,0 +1,17 @@
+package watch
+
+import (
+	"testing"
+
+	"caperarch/internal/mesh/goldentest"
+)
+
+// What other processes send and expect: testdata holds it as the release before wrote it.
+func TestMessagesOnTheWire(t *testing.T) {
+	goldentest.CheckJSON[LeaseAnswer](t, "lease_answer")
+	goldentest.CheckJSON[watchRequest](t, "watch_request")
+	goldentest.CheckJSON[frame](t, "frame")
+	goldentest.CheckJSON[gossip](t, "gossip")
+	goldentest.CheckJSON[gossipAnswer](t, "gossip_answer")
+	goldentest.CheckJSON[rollAnswer](t, "roll_answer")
+}
--- /dev/null
+++ b/meshclient/golden_test.go
@@ -0,0 +1,18 @@
+package meshclient
+
+import (
+	"testing"
+
+	"caperarch/internal/mesh/goldentest"
+)
+
+// What servers and scripts send and expect: testdata holds it as the release before wrote it.
+func TestMessagesOnTheWire(t *testing.T) {
+	goldentest.CheckJSON[View](t, "view")
+	goldentest.CheckJSON[Members](t, "members")
+	goldentest.CheckJSON[UpstreamList](t, "upstream_list")
+	goldentest.CheckJSON[Document](t, "document")
+	goldentest.CheckJSON[Change](t, "change")
+	goldentest.CheckJSON[taken](t, "change_answer")
+	goldentest.CheckJSON[beat](t, "heartbeat")
+}
