--- a/cmd/measure/control_links.go
+++ b/cmd/measure/control_links.go
@@ -22,15 +22,15 @@
 
 // stallingDisk is a store that stands still while it is told to.
 type stallingDisk struct {
-	replication.Disk
+	replication.Storage
 	stalled atomic.Pointer[chan struct{}] // nil: it works
 }
 
-func (d *stallingDisk) Save(p *replication.Persist) error {
+func (d *stallingDisk) Save(p *replication.WriteBatch) error {
 	if until := d.stalled.Load(); until != nil {
 		<-*until
 	}
-	return d.Disk.Save(p)
+	return d.Storage.Save(p)
 }
 
 // stall has the disk stand still until the function that it returns is called.
@@ -82,18 +82,18 @@
 	if err := os.Mkdir(dir, 0o700); err != nil {
 		return err
 	}
-	store, state, err := replication.Open(dir, r.id.Address())
+	store, state, err := replication.OpenStore(dir, r.id.Address())
 	if err != nil {
 		return err
 	}
 	state.ID = r.id
 	state.Cluster, state.Snapshot.Membership = replication.Bootstrap(seeds)
-	if err := store.Found(state); err != nil {
+	if err := store.Initialize(state); err != nil {
 		return err
 	}
-	r.disk = &stallingDisk{Disk: store}
-	node, err := replication.Start(replication.NodeConfig{
-		Disk: r.disk, State: state, Log: zap.NewNop(), Applied: r.applied.Load,
+	r.disk = &stallingDisk{Storage: store}
+	node, err := replication.StartNode(replication.NodeConfig{
+		Storage: r.disk, State: state, Logger: zap.NewNop(), AppliedIndex: r.applied.Load,
 		Send:     func(to replication.MemberID, msgs []replication.Message) { l.carry(r, to, msgs) },
 		Apply:    func(index uint64, _ []byte) { r.applied.Store(index) },
 		Restore:  func(index uint64, _ []byte) { r.applied.Store(index) },
@@ -135,7 +135,7 @@
 // leader is the replica that leads and is in touch; nil: none is.
 func (l *linkedCore) leader() *linkedReplica {
 	for _, r := range l.replicas {
-		if r.node.Status().Leads && r.node.InContact() {
+		if r.node.Status().IsLeader && r.node.InContact() {
 			return r
 		}
 	}
@@ -146,7 +146,7 @@
 func (l *linkedCore) whole() error {
 	return until("a whole core", func() bool {
 		for _, r := range l.replicas {
-			if !r.node.InContact() || r.node.Status().Sick {
+			if !r.node.InContact() || r.node.Status().StorageFailed {
 				return false
 			}
 		}
@@ -224,7 +224,7 @@
 // otherLeads says that a replica other than the lost one leads.
 func (l *linkedCore) otherLeads(lost *linkedReplica) bool {
 	for _, r := range l.replicas {
-		if r != lost && r.node.Status().Leads {
+		if r != lost && r.node.Status().IsLeader {
 			return true
 		}
 	}
--- a/internal/mesh/cluster/golden_test.go
+++ b/internal/mesh/cluster/golden_test.go
@@ -9,5 +9,5 @@
 // What other processes send and expect: testdata holds it as the release before wrote it.
 func TestMessagesOnTheWire(t *testing.T) {
 	goldentest.CheckJSON[Announcement](t, "announcement")
-	goldentest.CheckJSON[Peers](t, "peers")
+	goldentest.CheckJSON[AnnounceResponse](t, "peers")
 }
--- a/internal/mesh/cluster/policy.go
+++ b/internal/mesh/cluster/policy.go
@@ -8,11 +8,11 @@
 )
 
 const (
-	// DeadAfter is how long a voter is unheard before a learner may take its place. It is above any
+	// LastContactThreshold is how long a voter is unheard before a learner may take its place. It is above any
 	// election and any heartbeat that is merely late, and so far below catchUpS that a successor
 	// votes in time. A voter that was wrongly taken for lost costs nothing but a move: its
 	// successor holds all that it held.
-	DeadAfter = 2 * time.Second
+	LastContactThreshold = 2 * time.Second
 	// deadAfterElection is the same for a voter that a leader has never heard: it was silent before
 	// the election, too, and an election with its wait alone would take most of catchUpS.
 	deadAfterElection = time.Second
@@ -24,8 +24,8 @@
 	gatherTime = 500 * time.Millisecond
 )
 
-// Target is how many voters bear the loss of so many machines, zones or regions at once.
-func Target(machines, zones, regions int) int {
+// TargetVoters is how many voters bear the loss of so many machines, zones or regions at once.
+func TargetVoters(machines, zones, regions int) int {
 	return max(3, 2*max(machines, zones, regions)+1)
 }
 
@@ -35,8 +35,8 @@
 	Status *replication.Status
 	// Live are the machines that announced themselves lately, the leader's own word among them.
 	Live []Announcement
-	// Newest is when the newest of them was first heard.
-	Newest time.Duration
+	// NewestJoin is when the newest of them was first heard.
+	NewestJoin time.Duration
 }
 
 // Planner decides on changes of the voters, one at a time.
@@ -53,7 +53,7 @@
 func Learners(v View) []replication.MemberID {
 	var learners []replication.MemberID
 	for _, m := range v.Live {
-		if !v.Status.Membership.Has(m.ID) {
+		if !v.Status.Membership.IsVoter(m.ID) {
 			learners = append(learners, m.ID)
 		}
 	}
@@ -62,7 +62,7 @@
 
 // Plan returns the voters to change to; false: nothing is to be changed now.
 func (p *Planner) Plan(now time.Duration, v View) ([]replication.MemberID, bool) {
-	if !v.Status.Leads || !v.Status.Settled || p.began && now-p.last < changeEvery {
+	if !v.Status.IsLeader || !v.Status.MembershipStable || p.began && now-p.last < changeEvery {
 		return nil, false
 	}
 	spare := v.spare()
@@ -81,7 +81,7 @@
 	var spare []replication.MemberID
 	for _, m := range v.Live {
 		known, ok := v.progress(m.ID)
-		if ok && !known.Voter && known.CaughtUp && known.Silent <= replication.ContactOut && !m.Leaving {
+		if ok && !known.IsVoter && known.CaughtUp && known.SinceLastContact <= replication.ContactTimeout && !m.Leaving {
 			spare = append(spare, m.ID)
 		}
 	}
@@ -153,7 +153,7 @@
 
 func (v View) unheard(id replication.MemberID) bool {
 	known, ok := v.progress(id)
-	return ok && (known.Silent > DeadAfter || known.Match == 0 && known.Silent > deadAfterElection)
+	return ok && (known.SinceLastContact > LastContactThreshold || known.Match == 0 && known.SinceLastContact > deadAfterElection)
 }
 
 // grow promotes learners until the target is reached, to an odd number: an even one bears no more
@@ -165,7 +165,7 @@
 	if size%2 == 0 {
 		size--
 	}
-	if size <= len(voters) || now-v.Newest < gatherTime {
+	if size <= len(voters) || now-v.NewestJoin < gatherTime {
 		return nil, false
 	}
 	for len(voters) < size {
@@ -191,7 +191,7 @@
 	return best
 }
 
-// Replaceable says whether a leaving voter has somebody to wait for: a spare learner.
-func Replaceable(v View, id replication.MemberID) bool {
-	return v.Status.Membership.Has(id) && len(v.spare()) > 0
+// HasReplacement says whether a leaving voter has somebody to wait for: a spare learner.
+func HasReplacement(v View, id replication.MemberID) bool {
+	return v.Status.Membership.IsVoter(id) && len(v.spare()) > 0
 }
--- a/internal/mesh/cluster/policy_test.go
+++ b/internal/mesh/cluster/policy_test.go
@@ -15,13 +15,13 @@
 // second part of the address.
 func view(voters, learners []replication.MemberID) View {
 	v := View{Self: voters[0], Status: &replication.Status{
-		Leads: true, Settled: true, Leader: voters[0], Membership: replication.Membership{Voters: voters},
+		IsLeader: true, MembershipStable: true, Leader: voters[0], Membership: replication.Membership{Voters: voters},
 	}}
 	for _, id := range append(append([]replication.MemberID(nil), voters...), learners...) {
 		v.Live = append(v.Live, Announcement{ID: id, Zone: string(id[:4])})
 	}
 	for _, id := range voters[1:] {
-		v.Status.Progress = append(v.Status.Progress, replication.Progress{ID: id, Voter: true, Match: 9, CaughtUp: true})
+		v.Status.Progress = append(v.Status.Progress, replication.Progress{ID: id, IsVoter: true, Match: 9, CaughtUp: true})
 	}
 	for _, id := range learners {
 		v.Status.Progress = append(v.Status.Progress, replication.Progress{ID: id, Match: 9, CaughtUp: true})
@@ -55,25 +55,25 @@
 		So(voters, ShouldContain, replication.MemberID("10.4.0.1:1"))
 		_, ok = plan(5, view(three, []replication.MemberID{"10.4.0.1:1"}))
 		So(ok, ShouldBeFalse) // four bear no more than three
-		v.Newest = settledLong - gatherTime/2
+		v.NewestJoin = settledLong - gatherTime/2
 		_, ok = plan(5, v)
 		So(ok, ShouldBeFalse)
 	})
 	Convey("A voter that is unheard for long is replaced, by a learner that is in touch and up to date, and only one at a time", t, func() {
 		v := view(three, []replication.MemberID{"10.3.0.2:1"})
-		v.of(three[1]).Silent = DeadAfter
+		v.of(three[1]).SinceLastContact = LastContactThreshold
 		_, ok := plan(3, v)
 		So(ok, ShouldBeFalse)
-		v.of(three[1]).Silent, v.of(three[2]).Silent = 2*DeadAfter, 2*DeadAfter
+		v.of(three[1]).SinceLastContact, v.of(three[2]).SinceLastContact = 2*LastContactThreshold, 2*LastContactThreshold
 		voters, ok := plan(3, v)
 		So(ok, ShouldBeTrue)
 		So(voters, ShouldResemble, []replication.MemberID{three[0], three[2], "10.3.0.2:1"})
 		for _, spoil := range []func(){
 			func() { v.of("10.3.0.2:1").CaughtUp = false },
-			func() { v.of("10.3.0.2:1").CaughtUp, v.of("10.3.0.2:1").Silent = true, time.Second },
-			func() { v.of("10.3.0.2:1").Silent, v.Live[3].Leaving = 0, true },
-			func() { v.Live[3].Leaving, v.Status.Settled = false, false },
-			func() { v.Status.Settled, v.Status.Leads = true, false },
+			func() { v.of("10.3.0.2:1").CaughtUp, v.of("10.3.0.2:1").SinceLastContact = true, time.Second },
+			func() { v.of("10.3.0.2:1").SinceLastContact, v.Live[3].Leaving = 0, true },
+			func() { v.Live[3].Leaving, v.Status.MembershipStable = false, false },
+			func() { v.Status.MembershipStable, v.Status.IsLeader = true, false },
 		} {
 			spoil()
 			_, ok = plan(3, v)
@@ -82,13 +82,13 @@
 	})
 	Convey("A voter that the leader has never heard has less time", t, func() {
 		v := view(three, []replication.MemberID{"10.3.0.2:1"})
-		v.of(three[1]).Silent = deadAfterElection + 1
+		v.of(three[1]).SinceLastContact = deadAfterElection + 1
 		_, ok := plan(3, v)
 		So(ok, ShouldBeFalse)
 		v.of(three[1]).Match = 0
 		_, ok = plan(3, v)
 		So(ok, ShouldBeTrue)
-		v.of(three[1]).Silent = deadAfterElection
+		v.of(three[1]).SinceLastContact = deadAfterElection
 		_, ok = plan(3, v)
 		So(ok, ShouldBeFalse)
 	})
@@ -102,7 +102,7 @@
 	Convey("A new disk takes no other voter's place while its own old one still votes", t, func() {
 		v := view(three, []replication.MemberID{"10.2.0.1:1#new"})
 		v.of("10.2.0.1:1#new").CaughtUp = false
-		v.of(three[2]).Silent = 2 * DeadAfter
+		v.of(three[2]).SinceLastContact = 2 * LastContactThreshold
 		_, ok := plan(3, v)
 		So(ok, ShouldBeFalse)
 		v.of("10.2.0.1:1#new").CaughtUp = true
@@ -120,9 +120,9 @@
 		voters, ok := plan(3, v)
 		So(ok, ShouldBeTrue)
 		So(voters, ShouldResemble, []replication.MemberID{three[0], three[2], "10.4.0.1:1"})
-		So(Replaceable(v, three[1]), ShouldBeTrue)
+		So(HasReplacement(v, three[1]), ShouldBeTrue)
 		v.of("10.4.0.1:1").CaughtUp = false
-		So(Replaceable(v, three[1]), ShouldBeFalse)
+		So(HasReplacement(v, three[1]), ShouldBeFalse)
 	})
 	Convey("Two changes don't follow at once", t, func() {
 		v := view(three, []replication.MemberID{"10.4.0.1:1"})
@@ -140,28 +140,28 @@
 func TestRoster(t *testing.T) {
 	own := Announcement{ID: "10.1.0.1:1", Zone: "a"}
 	Convey("A roster knows who announced themselves lately, asks all that were ever named, and takes no nonsense", t, func() {
-		r := NewRoster(own, []string{"10.9.0.1:1"})
-		So(r.Hear(0, Announcement{ID: "10.2.0.1:1", Zone: "b"}), ShouldBeNil)
-		So(r.Hear(0, Announcement{ID: "nowhere"}), ShouldNotBeNil)
+		r := NewMemberList(own, []string{"10.9.0.1:1"})
+		So(r.Receive(0, Announcement{ID: "10.2.0.1:1", Zone: "b"}), ShouldBeNil)
+		So(r.Receive(0, Announcement{ID: "nowhere"}), ShouldNotBeNil)
 		So(r.Addresses(0), ShouldResemble, []string{"10.1.0.1:1", "10.2.0.1:1"})
-		So(r.Ask(0), ShouldResemble, []string{"10.2.0.1:1", "10.9.0.1:1"})
+		So(r.AnnounceTargets(0), ShouldResemble, []string{"10.2.0.1:1", "10.9.0.1:1"})
 		So(r.Addresses(liveFor+1), ShouldResemble, []string{"10.1.0.1:1"})
 		r.SetMembership(replication.Membership{Voters: []replication.MemberID{"10.3.0.1:1"}})
-		r.Learn(&Peers{Machines: []Announcement{{ID: "10.4.0.1:1#x"}, {ID: "nowhere"}}})
-		So(r.Ask(liveFor+1), ShouldResemble, []string{"10.3.0.1:1", "10.4.0.1:1", "10.9.0.1:1"})
+		r.Merge(&AnnounceResponse{Machines: []Announcement{{ID: "10.4.0.1:1#x"}, {ID: "nowhere"}}})
+		So(r.AnnounceTargets(liveFor+1), ShouldResemble, []string{"10.3.0.1:1", "10.4.0.1:1", "10.9.0.1:1"})
 	})
 	Convey("A new disk at a known address counts as newly come", t, func() {
-		r := NewRoster(own, nil)
-		So(r.Hear(0, Announcement{ID: "10.2.0.1:1"}), ShouldBeNil)
-		So(r.Hear(time.Second, Announcement{ID: "10.2.0.1:1#new"}), ShouldBeNil)
-		So(r.Newest(), ShouldEqual, time.Second)
-		So(r.Live(time.Second)[1].ID, ShouldEqual, replication.MemberID("10.2.0.1:1#new"))
+		r := NewMemberList(own, nil)
+		So(r.Receive(0, Announcement{ID: "10.2.0.1:1"}), ShouldBeNil)
+		So(r.Receive(time.Second, Announcement{ID: "10.2.0.1:1#new"}), ShouldBeNil)
+		So(r.NewestJoin(), ShouldEqual, time.Second)
+		So(r.LiveMembers(time.Second)[1].ID, ShouldEqual, replication.MemberID("10.2.0.1:1#new"))
 	})
 	Convey("Announcements that lie can't fill the memory", t, func() {
-		r := NewRoster(own, nil)
+		r := NewMemberList(own, nil)
 		var refused int
 		for i := range 2 * maxMachines {
-			if r.Hear(0, Announcement{ID: replication.NewMemberID("10.5.0.1:"+string(rune('0'+i%10))+string(rune('0'+i/10%10))+string(rune('0'+i/100)), "")}) != nil {
+			if r.Receive(0, Announcement{ID: replication.NewMemberID("10.5.0.1:"+string(rune('0'+i%10))+string(rune('0'+i/10%10))+string(rune('0'+i/100)), "")}) != nil {
 				refused++
 			}
 		}
--- a/internal/mesh/cluster/roster.go
+++ b/internal/mesh/cluster/roster.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	// AnnounceEvery is how often a core machine tells the others of itself.
-	AnnounceEvery = 500 * time.Millisecond
+	// AnnounceInterval is how often a core machine tells the others of itself.
+	AnnounceInterval = 500 * time.Millisecond
 	// liveFor is how long a machine counts as there after its last announcement: four of them may be
 	// lost.
 	liveFor = 2500 * time.Millisecond
@@ -47,8 +47,8 @@
 	return nil
 }
 
-// Peers is the answer to an announcement: who the core machines are.
-type Peers struct {
+// AnnounceResponse is the answer to an announcement: who the core machines are.
+type AnnounceResponse struct {
 	// Cluster is 0 while the machine that answers belongs to none itself.
 	Cluster    replication.ClusterID  `json:"cluster,omitempty"`
 	Membership replication.Membership `json:"membership"`
@@ -56,8 +56,8 @@
 	Machines []Announcement       `json:"machines,omitempty"`
 	Leader   replication.MemberID `json:"leader,omitempty"`
 	Term     replication.Term     `json:"term,omitempty"`
-	// Released says, to a machine that is leaving, that nothing waits for it any more.
-	Released bool `json:"released,omitempty"`
+	// SafeToLeave says, to a machine that is leaving, that nothing waits for it any more.
+	SafeToLeave bool `json:"released,omitempty"`
 }
 
 // heardMachine is an announcement and when it came.
@@ -66,9 +66,9 @@
 	first, last time.Duration
 }
 
-// Roster is which core machines there are, as far as announcements tell. It is soft state: it is
+// MemberList is which core machines there are, as far as announcements tell. It is soft state: it is
 // rebuilt from those that go on announcing themselves.
-type Roster struct {
+type MemberList struct {
 	mu       sync.Mutex
 	own      Announcement
 	machines map[string]*heardMachine // by address
@@ -77,34 +77,34 @@
 	hints      []string
 }
 
-// NewRoster knows only of the machine itself.
-func NewRoster(own Announcement, seeds []string) *Roster {
-	return &Roster{own: own, machines: map[string]*heardMachine{}, hints: slices.Clone(seeds)}
+// NewMemberList knows only of the machine itself.
+func NewMemberList(own Announcement, seeds []string) *MemberList {
+	return &MemberList{own: own, machines: map[string]*heardMachine{}, hints: slices.Clone(seeds)}
 }
 
-// SetOwn changes the machine's word on itself.
-func (r *Roster) SetOwn(own Announcement) {
+// SetLocal changes the machine's word on itself.
+func (r *MemberList) SetLocal(own Announcement) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.own = own
 }
 
-// Own is the machine's word on itself.
-func (r *Roster) Own() Announcement {
+// Local is the machine's word on itself.
+func (r *MemberList) Local() Announcement {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.own
 }
 
-// SetHints names addresses that are asked beside all that is known: the settings' seeds.
-func (r *Roster) SetHints(seeds []string) {
+// SetSeeds names addresses that are asked beside all that is known: the settings' seeds.
+func (r *MemberList) SetSeeds(seeds []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.hints = slices.Clone(seeds)
 }
 
 // SetMembership notes the newest membership that is known here.
-func (r *Roster) SetMembership(m replication.Membership) {
+func (r *MemberList) SetMembership(m replication.Membership) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if len(m.Voters) > 0 {
@@ -112,8 +112,8 @@
 	}
 }
 
-// Hear takes a machine's word on itself.
-func (r *Roster) Hear(now time.Duration, a Announcement) error {
+// Receive takes a machine's word on itself.
+func (r *MemberList) Receive(now time.Duration, a Announcement) error {
 	if err := a.Validate(); err != nil {
 		return err
 	}
@@ -140,7 +140,7 @@
 }
 
 // forget drops machines that have been silent for long.
-func (r *Roster) forget(now time.Duration) {
+func (r *MemberList) forget(now time.Duration) {
 	for address, m := range r.machines {
 		if now-m.last > liveFor {
 			delete(r.machines, address)
@@ -148,9 +148,9 @@
 	}
 }
 
-// Learn takes over what another machine has heard. A machine that is known only so is asked, but
+// Merge takes over what another machine has heard. A machine that is known only so is asked, but
 // counts as there only once it has announced itself.
-func (r *Roster) Learn(p *Peers) {
+func (r *MemberList) Merge(p *AnnounceResponse) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if len(r.membership.Voters) == 0 && len(p.Membership.Voters) > 0 {
@@ -164,8 +164,8 @@
 	}
 }
 
-// Live is the machines that announced themselves lately, and this one, by address.
-func (r *Roster) Live(now time.Duration) []Announcement {
+// LiveMembers is the machines that announced themselves lately, and this one, by address.
+func (r *MemberList) LiveMembers(now time.Duration) []Announcement {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	live := []Announcement{r.own}
@@ -178,8 +178,8 @@
 	return live
 }
 
-// Newest is when the machine that was heard of last announced itself for the first time.
-func (r *Roster) Newest() time.Duration {
+// NewestJoin is when the machine that was heard of last announced itself for the first time.
+func (r *MemberList) NewestJoin() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var newest time.Duration
@@ -190,8 +190,8 @@
 }
 
 // Addresses is where core machines take calls: the voters, and those that are there beside them.
-func (r *Roster) Addresses(now time.Duration) []string {
-	live := r.Live(now)
+func (r *MemberList) Addresses(now time.Duration) []string {
+	live := r.LiveMembers(now)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var all []string
@@ -204,8 +204,8 @@
 	return slices.Compact(slices.Sorted(slices.Values(all)))
 }
 
-// Ask is every address at which a core machine may be found, this one's own left out.
-func (r *Roster) Ask(now time.Duration) []string {
+// AnnounceTargets is every address at which a core machine may be found, this one's own left out.
+func (r *MemberList) AnnounceTargets(now time.Duration) []string {
 	all := r.Addresses(now)
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/mesh/controlplane/controlplane.go
+++ b/internal/mesh/controlplane/controlplane.go
@@ -36,7 +36,7 @@
 	log     *zap.Logger
 	client  *http.Client
 	start   time.Time
-	roster  *cluster.Roster
+	roster  *cluster.MemberList
 	node    atomic.Pointer[replication.Node] // nil: not yet
 	hub     *watch.Server
 	machine *stateMachine
@@ -48,7 +48,7 @@
 // Run is a core machine's life until ctx ends. Settings that are written anew come by reload.
 func Run(ctx context.Context, set *settings.Settings, reload <-chan *settings.Settings, log *zap.Logger) error {
 	own := cluster.Announcement{ID: replication.NewMemberID(set.Internal(), ""), Zone: set.Self.Zone}
-	s := &Server{set: set, log: log, client: rpc.NewClient(dialTimeout), start: time.Now(), roster: cluster.NewRoster(own, set.Seeds())}
+	s := &Server{set: set, log: log, client: rpc.NewClient(dialTimeout), start: time.Now(), roster: cluster.NewMemberList(own, set.Seeds())}
 	window := set.Guarantees.Bounds.QuotaWindow
 	if window <= 0 {
 		window = time.Second
@@ -106,7 +106,7 @@
 func (s *Server) serve() (failed <-chan error, closeAll func(), err error) {
 	inside, outside := http.NewServeMux(), http.NewServeMux()
 	s.serveAnnouncements(inside)
-	replication.Register(inside, s.node.Load)
+	replication.RegisterRoutes(inside, s.node.Load)
 	s.hub.Register(inside)
 	rpc.Handle(inside, sidecar.DealPath, dealLimit, s.deal)
 	s.serveOrders(inside)
@@ -137,17 +137,17 @@
 
 // hold has this machine hold the log, until what it returns is called.
 func (s *Server) hold(ctx context.Context, store *replication.Store, state replication.State) (*replication.Node, func(), error) {
-	own := s.roster.Own()
+	own := s.roster.Local()
 	own.ID, own.Cluster = state.ID, state.Cluster
-	s.roster.SetOwn(own)
+	s.roster.SetLocal(own)
 	transport := replication.NewTransport(state.ID, s.client, func(from replication.MemberID, msgs []replication.Message) {
 		if node := s.node.Load(); node != nil {
 			node.Deliver(from, msgs)
 		}
 	}, s.log)
-	node, err := replication.Start(replication.NodeConfig{
-		Disk: store, State: state, Send: transport.Send, Apply: s.machine.apply, Restore: s.machine.restore,
-		Snapshot: s.machine.snapshot, Applied: s.machine.appliedIndex, Log: s.log,
+	node, err := replication.StartNode(replication.NodeConfig{
+		Storage: store, State: state, Send: transport.Send, Apply: s.machine.apply, Restore: s.machine.restore,
+		Snapshot: s.machine.snapshot, AppliedIndex: s.machine.appliedIndex, Logger: s.log,
 	})
 	if err != nil {
 		transport.Close()
--- a/internal/mesh/controlplane/inspect.go
+++ b/internal/mesh/controlplane/inspect.go
@@ -36,9 +36,9 @@
 	v := &meshclient.View{AsOf: s.set.Self.NodeName, Term: term, Leader: leader, ConfigVersion: s.machine.Current(), InContact: s.inContact()}
 	if node := s.node.Load(); node != nil {
 		status := node.Status()
-		v.Applied, v.Sick = uint64(status.Applied), status.Sick
-		v.Member, v.Voter, v.Voters = string(node.ID()), status.Membership.Has(node.ID()), addresses(status.Membership.Voters)
-		v.Changing = !status.Settled
+		v.Applied, v.Sick = uint64(status.Applied), status.StorageFailed
+		v.Member, v.Voter, v.Voters = string(node.ID()), status.Membership.IsVoter(node.ID()), addresses(status.Membership.Voters)
+		v.Changing = !status.MembershipStable
 	}
 	return v
 }
--- a/internal/mesh/controlplane/membership.go
+++ b/internal/mesh/controlplane/membership.go
@@ -44,7 +44,7 @@
 // openStore opens the disk; one that refuses is tried again until ctx ends.
 func (s *Server) openStore(ctx context.Context) (*replication.Store, replication.State, error) {
 	for {
-		store, state, err := replication.OpenOrDiscard(s.set.Self.DataDirectory, s.set.Internal(), s.log)
+		store, state, err := replication.OpenOrReset(s.set.Self.DataDirectory, s.set.Internal(), s.log)
 		if err == nil {
 			return store, state, nil
 		}
@@ -75,7 +75,7 @@
 	}
 	state, err = s.newIdentity(ctx)
 	for err == nil {
-		if err = store.Found(state); err == nil {
+		if err = store.Initialize(state); err == nil {
 			return store, state, nil
 		}
 		s.log.Warn("the disk refuses", zap.Error(err))
@@ -99,9 +99,9 @@
 		return state, errs.Wrap(err, errs.Internal, "a random incarnation")
 	}
 	state.ID = replication.NewMemberID(s.set.Internal(), hex.EncodeToString(incarnation[:]))
-	own := s.roster.Own()
+	own := s.roster.Local()
 	own.ID = state.ID
-	s.roster.SetOwn(own)
+	s.roster.SetLocal(own)
 	for {
 		if state.Cluster = s.askCluster(ctx); state.Cluster != 0 {
 			return state, nil
@@ -114,7 +114,7 @@
 
 // askCluster asks all that may be core machines which cluster they belong to; 0: nobody said.
 func (s *Server) askCluster(ctx context.Context) replication.ClusterID {
-	for _, p := range s.announce(ctx, s.roster.Ask(s.now())) {
+	for _, p := range s.announce(ctx, s.roster.AnnounceTargets(s.now())) {
 		if p.Cluster != 0 {
 			return p.Cluster
 		}
@@ -123,15 +123,15 @@
 }
 
 // announce tells machines of this one, all at once, and returns what they say.
-func (s *Server) announce(ctx context.Context, addresses []string) []*cluster.Peers {
+func (s *Server) announce(ctx context.Context, addresses []string) []*cluster.AnnounceResponse {
 	ctx, cancel := context.WithTimeout(ctx, announceTime)
 	defer cancel()
-	own := s.roster.Own()
-	said := make([]*cluster.Peers, len(addresses))
+	own := s.roster.Local()
+	said := make([]*cluster.AnnounceResponse, len(addresses))
 	var asked sync.WaitGroup
 	for i, address := range addresses {
 		asked.Go(func() {
-			p, err := rpc.Call[cluster.Announcement, cluster.Peers](ctx, s.client, "http://"+address+announcePath, &own)
+			p, err := rpc.Call[cluster.Announcement, cluster.AnnounceResponse](ctx, s.client, "http://"+address+announcePath, &own)
 			if err != nil {
 				s.log.Debug("a core machine that doesn't answer", zap.String("address", address), zap.Error(err))
 				return
@@ -144,21 +144,21 @@
 		})
 	}
 	asked.Wait()
-	said = slices.DeleteFunc(said, func(p *cluster.Peers) bool { return p == nil })
+	said = slices.DeleteFunc(said, func(p *cluster.AnnounceResponse) bool { return p == nil })
 	for _, p := range said {
-		s.roster.Learn(p)
+		s.roster.Merge(p)
 	}
 	return said
 }
 
 // serveAnnouncements answers who the core machines are.
 func (s *Server) serveAnnouncements(mux *http.ServeMux) {
-	rpc.Handle(mux, announcePath, announceLimit, func(_ *http.Request, a *cluster.Announcement) (*cluster.Peers, error) {
-		own := s.roster.Own()
+	rpc.Handle(mux, announcePath, announceLimit, func(_ *http.Request, a *cluster.Announcement) (*cluster.AnnounceResponse, error) {
+		own := s.roster.Local()
 		if a.Cluster != 0 && own.Cluster != 0 && a.Cluster != own.Cluster {
 			return nil, errs.New(errs.Invalid, "cluster: this is %x, not %x", own.Cluster, a.Cluster)
 		}
-		if err := s.roster.Hear(s.now(), *a); err != nil {
+		if err := s.roster.Receive(s.now(), *a); err != nil {
 			return nil, err
 		}
 		return s.peers(a), nil
@@ -166,31 +166,31 @@
 }
 
 // peers is this machine's word on who the core machines are.
-func (s *Server) peers(a *cluster.Announcement) *cluster.Peers {
-	p := &cluster.Peers{Cluster: s.roster.Own().Cluster, Machines: s.roster.Live(s.now())}
+func (s *Server) peers(a *cluster.Announcement) *cluster.AnnounceResponse {
+	p := &cluster.AnnounceResponse{Cluster: s.roster.Local().Cluster, Machines: s.roster.LiveMembers(s.now())}
 	node := s.node.Load()
 	if node == nil {
 		return p
 	}
 	status := node.Status()
 	p.Membership, p.Leader, p.Term = status.Membership, status.Leader, status.Term
-	if a.Leaving && status.Leads && status.Settled {
-		p.Released = !cluster.Replaceable(s.clusterView(node), a.ID)
+	if a.Leaving && status.IsLeader && status.MembershipStable {
+		p.SafeToLeave = !cluster.HasReplacement(s.clusterView(node), a.ID)
 	}
 	return p
 }
 
 // clusterView is what a leader's decisions rest on.
 func (s *Server) clusterView(node *replication.Node) cluster.View {
-	return cluster.View{Self: node.ID(), Status: node.Status(), Live: s.roster.Live(s.now()), Newest: s.roster.Newest()}
+	return cluster.View{Self: node.ID(), Status: node.Status(), Live: s.roster.LiveMembers(s.now()), NewestJoin: s.roster.NewestJoin()}
 }
 
 // tellOthers has the others know of this machine, and this one of them, until ctx ends.
 func (s *Server) tellOthers(ctx context.Context, node *replication.Node) {
 	for {
 		s.roster.SetMembership(node.Status().Membership)
-		s.announce(ctx, s.roster.Ask(s.now()))
-		if !pause(ctx, cluster.AnnounceEvery) {
+		s.announce(ctx, s.roster.AnnounceTargets(s.now()))
+		if !pause(ctx, cluster.AnnounceInterval) {
 			return
 		}
 	}
@@ -199,10 +199,10 @@
 // manageMembers has a leader keep learners up to date and change the voters, until ctx ends.
 func (s *Server) manageMembers(ctx context.Context, node *replication.Node) {
 	f := s.set.Guarantees.FaultTolerance
-	planner := cluster.NewPlanner(cluster.Target(f.Machines, f.Zones, f.Regions))
+	planner := cluster.NewPlanner(cluster.TargetVoters(f.Machines, f.Zones, f.Regions))
 	for pause(ctx, planEvery) {
 		view := s.clusterView(node)
-		if !view.Status.Leads {
+		if !view.Status.IsLeader {
 			continue
 		}
 		if err := node.SetLearners(ctx, cluster.Learners(view)); err != nil {
@@ -226,11 +226,11 @@
 	bound := time.Duration(leavePart * float64(s.set.Guarantees.Bounds.GracePeriod))
 	ctx, cancel := context.WithTimeout(context.Background(), bound)
 	defer cancel()
-	own := s.roster.Own()
+	own := s.roster.Local()
 	own.Leaving = true
-	s.roster.SetOwn(own)
+	s.roster.SetLocal(own)
 	for released := 0; released < releasedTwice; {
-		if !node.Status().Leads {
+		if !node.Status().IsLeader {
 			if s.released(ctx, node) {
 				released++
 			} else {
@@ -249,7 +249,7 @@
 // to each other.
 func (s *Server) leaving() []replication.MemberID {
 	var leaving []replication.MemberID
-	for _, m := range s.roster.Live(s.now()) {
+	for _, m := range s.roster.LiveMembers(s.now()) {
 		if m.Leaving {
 			leaving = append(leaving, m.ID)
 		}
@@ -265,8 +265,8 @@
 		return false
 	}
 	said := s.announce(ctx, []string{leader.Address()})
-	return slices.ContainsFunc(said, func(p *cluster.Peers) bool {
-		return p.Released && p.Leader == leader
+	return slices.ContainsFunc(said, func(p *cluster.AnnounceResponse) bool {
+		return p.SafeToLeave && p.Leader == leader
 	})
 }
 
@@ -278,7 +278,7 @@
 			if !ok {
 				return
 			}
-			s.roster.SetHints(set.Seeds())
+			s.roster.SetSeeds(set.Seeds())
 		case <-ctx.Done():
 			return
 		}
--- a/internal/mesh/replication/bounds.go
+++ b/internal/mesh/replication/bounds.go
@@ -7,24 +7,24 @@
 
 // The times and bounds of the protocol.
 const (
-	// HeartbeatEvery is how often a leader is heard at least. Four heartbeats fit into the shortest
+	// HeartbeatInterval is how often a leader is heard at least. Four heartbeats fit into the shortest
 	// election time, so that lost ones cause no election.
-	HeartbeatEvery = 120 * time.Millisecond
-	// ElectionMin and ElectionMax bound the random silence after which a voter asks for votes: above
+	HeartbeatInterval = 120 * time.Millisecond
+	// MinElectionTimeout and MaxElectionTimeout bound the random silence after which a voter asks for votes: above
 	// four heartbeats, and low enough that a dead leader is replaced within about a second. The
 	// spread keeps voters from asking all at once.
-	ElectionMin = 500 * time.Millisecond
-	ElectionMax = 900 * time.Millisecond
+	MinElectionTimeout = 500 * time.Millisecond
+	MaxElectionTimeout = 900 * time.Millisecond
 	// retryMin and retryMax bound the random wait after an election that came to nothing. A pre-vote
 	// disturbs nobody, so it may come again soon; the spread is wider than a round trip, so that
 	// split votes don't repeat.
 	retryMin = 150 * time.Millisecond
 	retryMax = 450 * time.Millisecond
-	// ContactOut is how long a leader stays one without hearing from a majority. It ends its waiting
+	// ContactTimeout is how long a leader stays one without hearing from a majority. It ends its waiting
 	// callers' uncertainty soon after others may have chosen anew.
-	ContactOut = 700 * time.Millisecond
+	ContactTimeout = 700 * time.Millisecond
 	// handOverTime is how long a leader that has asked another to take over waits for it: two elections.
-	handOverTime = 2 * ElectionMax
+	handOverTime = 2 * MaxElectionTimeout
 	// resendAfter and resendPerMiB are how long entries or a piece of a snapshot may be on their way
 	// before they are sent again: a round trip and a sync on a slow machine, and more for large ones
 	// so that they aren't sent twice over a narrow link.
@@ -33,8 +33,8 @@
 	// retryDisk is how often a refused write is tried again.
 	retryDisk = 300 * time.Millisecond
 
-	// MaxCommand is the largest command, which bounds what one message can cost in memory.
-	MaxCommand = 8 << 20
+	// MaxCommandBytes is the largest command, which bounds what one message can cost in memory.
+	MaxCommandBytes = 8 << 20
 	// maxMessage bounds the entries of a message (one entry may be larger), so that a member far
 	// behind doesn't cost its leader the memory of the whole log.
 	maxMessage = 1 << 20
--- a/internal/mesh/replication/checker_test.go
+++ b/internal/mesh/replication/checker_test.go
@@ -123,7 +123,7 @@
 }
 
 func (w *world) noteMembership(n *machine, e *Entry) {
-	m, err := decodeMembership(e.Cmd)
+	m, err := decodeMembership(e.Command)
 	if err != nil {
 		w.fault("%s applies a membership that is none: %v", n.id, err)
 	}
@@ -154,7 +154,7 @@
 
 // settleCalls tells callers how their calls ended.
 func (w *world) settleCalls(n *machine, r *Ready) {
-	for _, s := range r.Proposals {
+	for _, s := range r.CompletedProposals {
 		op := n.proposed[s.Token]
 		delete(n.proposed, s.Token)
 		if s.Aborted || op == nil {
@@ -168,7 +168,7 @@
 		}
 		w.acknowledge(s.Index, op.id)
 	}
-	for _, s := range r.Reads {
+	for _, s := range r.CompletedReads {
 		op := n.reading[s.Token]
 		delete(n.reading, s.Token)
 		if s.Aborted || op == nil {
@@ -193,7 +193,7 @@
 			w.fault("term %d has two leaders: %s and %s", r.hard.Term, was, me)
 		}
 		w.leaders[r.hard.Term] = me
-		if !r.Votes() {
+		if !r.IsVoter() {
 			w.fault("%s leads a membership that it isn't in: %v", n.id, r.memberships.current().Membership)
 		}
 	}
@@ -205,7 +205,7 @@
 		n.contact.reset()
 		n.contactLeader, n.contactTerm = r.leader, r.hard.Term
 	}
-	if at, index, ok := r.Confirmed(); ok {
+	if at, index, ok := r.LastQuorumAck(); ok {
 		n.contact.confirm(min(at, now), uint64(index))
 	}
 	w.checkContact(n)
@@ -214,7 +214,7 @@
 // checkConfirmed checks that what a replica takes for confirmed is: all that was acknowledged before
 // that time is held once the index that goes with it is applied.
 func (w *world) checkConfirmed(n *machine) {
-	at, index, ok := n.replica.Confirmed()
+	at, index, ok := n.replica.LastQuorumAck()
 	if !ok {
 		return
 	}
@@ -258,7 +258,7 @@
 		return false
 	}
 	membership, committed := n.replica.Membership()
-	if !committed || membership.Joint() || len(membership.Voters) != w.target {
+	if !committed || membership.IsJoint() || len(membership.Voters) != w.target {
 		return false
 	}
 	for _, id := range membership.Voters {
@@ -309,7 +309,7 @@
 func (w *world) checkEnd() {
 	lead := w.leader()
 	for _, n := range w.present() {
-		if !lead.replica.memberships.current().Has(n.id) {
+		if !lead.replica.memberships.current().IsVoter(n.id) {
 			continue
 		}
 		if len(n.list) != len(w.order) {
--- a/internal/mesh/replication/election.go
+++ b/internal/mesh/replication/election.go
@@ -7,7 +7,7 @@
 	r.role, r.leader = preCandidate, ""
 	r.votes = map[MemberID]bool{}
 	r.deadline = now + r.between(retryMin, retryMax)
-	r.askVotes(r.hard.Term+1, VoteRequest{Pre: true})
+	r.askVotes(r.hard.Term+1, VoteRequest{PreVote: true})
 	r.countVotes(now)
 }
 
@@ -19,13 +19,13 @@
 	r.hardDirty = true
 	r.verified = 0
 	r.votes = map[MemberID]bool{}
-	r.deadline = now + r.between(ElectionMin, ElectionMax)
+	r.deadline = now + r.between(MinElectionTimeout, MaxElectionTimeout)
 	r.askVotes(r.hard.Term, VoteRequest{Transfer: transfer})
 }
 
 func (r *Replica) askVotes(term Term, request VoteRequest) {
 	request.LastIndex, request.LastTerm = r.log.last(), r.log.lastTerm()
-	for _, id := range r.memberships.current().All() {
+	for _, id := range r.memberships.current().AllVoters() {
 		if id != r.id {
 			r.send(id, Message{Term: term, VoteRequest: &request})
 		}
@@ -63,9 +63,9 @@
 	if r.sick {
 		return
 	}
-	if request.Pre {
+	if request.PreVote {
 		granted := term > r.hard.Term && !r.leased(now) && r.upToDate(request)
-		answer := Message{Term: term, VoteAnswer: &VoteAnswer{Pre: true, Refused: !granted}}
+		answer := Message{Term: term, VoteResponse: &VoteResponse{PreVote: true, Rejected: !granted}}
 		if !granted {
 			answer.Term = r.hard.Term
 		}
@@ -83,20 +83,20 @@
 		if r.hard.Vote == "" {
 			r.hard.Vote, r.hardDirty = from, true
 		}
-		r.deadline = now + r.between(ElectionMin, ElectionMax)
+		r.deadline = now + r.between(MinElectionTimeout, MaxElectionTimeout)
 	}
-	r.send(from, Message{VoteAnswer: &VoteAnswer{Refused: !granted}})
+	r.send(from, Message{VoteResponse: &VoteResponse{Rejected: !granted}})
 }
 
-func (r *Replica) stepVoteAnswer(now time.Duration, from MemberID, term Term, answer *VoteAnswer) {
-	if answer.Refused {
+func (r *Replica) stepVoteAnswer(now time.Duration, from MemberID, term Term, answer *VoteResponse) {
+	if answer.Rejected {
 		if term > r.hard.Term {
 			r.follow(term, "")
 		}
 		return
 	}
 	wantRole, wantTerm := candidate, r.hard.Term
-	if answer.Pre {
+	if answer.PreVote {
 		wantRole, wantTerm = preCandidate, r.hard.Term+1
 	}
 	if r.role == wantRole && term == wantTerm {
@@ -107,7 +107,7 @@
 
 // stepTimeoutNow has a voter stand at once, at its leader's wish.
 func (r *Replica) stepTimeoutNow(now time.Duration, from MemberID, term Term) {
-	if term != r.hard.Term || r.leader != from || r.role != follower || r.sick || !r.Votes() {
+	if term != r.hard.Term || r.leader != from || r.role != follower || r.sick || !r.IsVoter() {
 		return
 	}
 	r.stand(now, true)
--- a/internal/mesh/replication/faults_test.go
+++ b/internal/mesh/replication/faults_test.go
@@ -9,13 +9,13 @@
 func (w *world) spiteAfter(n *machine, msg *Message) {
 	odds := 0
 	switch {
-	case msg.VoteRequest != nil && !msg.VoteRequest.Pre:
+	case msg.VoteRequest != nil && !msg.VoteRequest.PreVote:
 		odds = 6
-	case msg.VoteAnswer != nil && !msg.VoteAnswer.Pre:
+	case msg.VoteResponse != nil && !msg.VoteResponse.PreVote:
 		odds = 5
-	case msg.AppendAnswer != nil:
+	case msg.AppendResponse != nil:
 		odds = 400
-	case msg.SnapshotAnswer != nil, msg.TimeoutNow != nil:
+	case msg.SnapshotResponse != nil, msg.TimeoutNow != nil:
 		odds = 6
 	}
 	if odds > 0 && w.rng.IntN(odds) == 0 {
@@ -98,7 +98,7 @@
 	for _, other := range w.machines {
 		for _, e := range other.disk.Entries {
 			if e.Kind == EntryMembership && e.Index > w.newest {
-				if m, err := decodeMembership(e.Cmd); err == nil {
+				if m, err := decodeMembership(e.Command); err == nil {
 					inForce = append(inForce, m)
 				}
 			}
@@ -206,7 +206,7 @@
 			return
 		}
 		// What was announced before may be acted on for a while: a learner that leaves isn't out before.
-		out := w.now >= since+announceOut && !slices.ContainsFunc(w.inForce(), func(m Membership) bool { return m.Has(n.id) })
+		out := w.now >= since+announceOut && !slices.ContainsFunc(w.inForce(), func(m Membership) bool { return m.IsVoter(n.id) })
 		if !out && (w.now < end || w.healed || !w.diskTolerable(n)) {
 			w.after(100*time.Millisecond, stop)
 			return
--- a/internal/mesh/replication/follower.go
+++ b/internal/mesh/replication/follower.go
@@ -6,7 +6,7 @@
 func (r *Replica) hearLeader(now time.Duration, from MemberID, term Term, h *Heartbeat) bool {
 	if term < r.hard.Term {
 		// The term is over: tell the old leader, so that it stops.
-		r.send(from, Message{AppendAnswer: &AppendAnswer{Refused: true}})
+		r.send(from, Message{AppendResponse: &AppendResponse{Rejected: true}})
 		return false
 	}
 	if term == r.hard.Term && (r.role == leader || r.leader != "" && r.leader != from) {
@@ -18,7 +18,7 @@
 	}
 	r.follow(term, from)
 	r.heard = now
-	r.deadline = now + r.between(ElectionMin, ElectionMax)
+	r.deadline = now + r.between(MinElectionTimeout, MaxElectionTimeout)
 	r.noteConfirmation(now, h)
 	return !r.sick
 }
@@ -27,31 +27,33 @@
 // its way can't be told from its arrival; that it was made after this replica's answer was sent, which
 // it echoes, can.
 func (r *Replica) noteConfirmation(now time.Duration, h *Heartbeat) {
-	if h.Age < 0 || h.Age >= time.Hour {
+	if h.QuorumAckAge < 0 || h.QuorumAckAge >= time.Hour {
 		return
 	}
 	r.leaderCommit = max(r.leaderCommit, h.Commit)
-	if h.Echo.Life == r.life && h.Echo.At <= now {
-		r.confirmed = max(r.confirmed, h.Echo.At-h.Age)
+	if h.EchoedClock.Incarnation == r.life && h.EchoedClock.At <= now {
+		r.confirmed = max(r.confirmed, h.EchoedClock.At-h.QuorumAckAge)
 	}
 }
 
 // clock is what answers carry for the leader to echo.
-func (r *Replica) clock(now time.Duration) Clock { return Clock{Life: r.life, At: now} }
+func (r *Replica) clock(now time.Duration) ClockReading {
+	return ClockReading{Incarnation: r.life, At: now}
+}
 
 // stepAppend takes in entries or a plain heartbeat.
 func (r *Replica) stepAppend(now time.Duration, from MemberID, term Term, msg *AppendEntries) {
 	if !r.hearLeader(now, from, term, &msg.Heartbeat) {
 		return
 	}
-	answer := AppendAnswer{Sent: msg.Sent, Round: msg.Round, Clock: r.clock(now)}
+	answer := AppendResponse{SentAt: msg.SentAt, ReadRound: msg.ReadRound, Clock: r.clock(now)}
 	if r.takeEntries(msg) {
 		answer.Match = r.verified
 	} else {
-		answer.Refused, answer.PrevIndex, answer.Match = true, msg.PrevIndex, r.agreeAt(msg)
+		answer.Rejected, answer.RejectedIndex, answer.Match = true, msg.PrevIndex, r.agreeAt(msg)
 	}
 	r.commit = max(r.commit, min(msg.Commit, r.verified))
-	r.send(from, Message{AppendAnswer: &answer})
+	r.send(from, Message{AppendResponse: &answer})
 }
 
 // agreeAt is the last place at which the log may still agree with a leader whose entry at
--- a/internal/mesh/replication/history_test.go
+++ b/internal/mesh/replication/history_test.go
@@ -137,7 +137,7 @@
 						So(fmt.Sprint(seed, a, b, w.faults), ShouldEqual, fmt.Sprint(seed, a, b, []string{}))
 						current, committed := w.leader().replica.Membership()
 						So(committed, ShouldBeTrue)
-						So(current.Has(lost[0]) || current.Has(lost[1]), ShouldBeFalse)
+						So(current.IsVoter(lost[0]) || current.IsVoter(lost[1]), ShouldBeFalse)
 					}
 				}
 			}
@@ -185,11 +185,11 @@
 			})
 			So(w.now-since, ShouldBeLessThan, 1300*time.Millisecond)
 			now := w.clock(lead) + time.Second
-			So(lead.replica.Leads(now), ShouldBeFalse)
+			So(lead.replica.IsLeader(now), ShouldBeFalse)
 			_, err = lead.replica.Read(now)
 			So(errs.Of(err), ShouldEqual, errs.NotLeader)
 			r, _ := lead.replica.Ready(now)
-			So(r.Proposals, ShouldResemble, []Settlement{{Token: token, Index: index, Aborted: true}})
+			So(r.CompletedProposals, ShouldResemble, []Completion{{Token: token, Index: index, Aborted: true}})
 			So(r.Messages, ShouldBeEmpty)
 		})
 	})
--- a/internal/mesh/replication/input_test.go
+++ b/internal/mesh/replication/input_test.go
@@ -17,13 +17,13 @@
 
 func TestImproperMessages(t *testing.T) {
 	three := Membership{Voters: allMembers[:3]}
-	piece := func(change func(*SnapshotPiece)) Message {
-		p := &SnapshotPiece{Header: SnapshotHeader{Index: 9, Term: 1, Membership: three, Size: 4}, Data: []byte("ab")}
+	piece := func(change func(*SnapshotChunk)) Message {
+		p := &SnapshotChunk{Header: SnapshotHeader{Index: 9, Term: 1, Membership: three, Size: 4}, Data: []byte("ab")}
 		change(p)
-		return Message{Term: 2, Snapshot: p}
+		return Message{Term: 2, SnapshotChunk: p}
 	}
 	membership := func(m Membership) Message {
-		return entriesFrom(2, 0, 0, 0, Entry{Index: 1, Term: 1, Kind: EntryMembership, Cmd: m.encode()})
+		return entriesFrom(2, 0, 0, 0, Entry{Index: 1, Term: 1, Kind: EntryMembership, Command: m.encode()})
 	}
 	cases := map[string]Message{
 		"of another cluster":            {Cluster: testCluster + 1, Term: 2, VoteRequest: &VoteRequest{LastIndex: 9, LastTerm: 9}},
@@ -31,42 +31,42 @@
 		"with two parts":                {Term: 2, VoteRequest: &VoteRequest{}, Append: &AppendEntries{}},
 		"entries with a gap":            entriesFrom(2, 0, 0, 0, Entry{Index: 2, Term: 1}),
 		"entries of a later term":       entriesFrom(2, 0, 0, 0, Entry{Index: 1, Term: 3}),
-		"a membership cut short":        entriesFrom(2, 0, 0, 0, Entry{Index: 1, Term: 1, Kind: EntryMembership, Cmd: three.encode()[:9]}),
+		"a membership cut short":        entriesFrom(2, 0, 0, 0, Entry{Index: 1, Term: 1, Kind: EntryMembership, Command: three.encode()[:9]}),
 		"a membership of nobody":        membership(Membership{}),
 		"one name twice":                membership(Membership{Voters: []MemberID{memberA, memberB, memberB}}),
 		"two disks at one address":      membership(Membership{Voters: []MemberID{memberA, memberB, memberB + "#2"}}),
 		"an address that is none":       membership(Membership{Voters: []MemberID{memberA, "10.0.0.2"}}),
 		"one name twice in the old set": membership(Membership{Voters: allMembers[:3], Outgoing: []MemberID{memberA, memberA}}),
 		"more voters than may be":       membership(Membership{Voters: make([]MemberID, maxVoters+1)}),
-		"a snapshot of nothing":         piece(func(p *SnapshotPiece) { p.Header.Index = 0 }),
-		"a snapshot that is too large":  piece(func(p *SnapshotPiece) { p.Header.Size = maxSnapshot + 1 }),
-		"a snapshot of less than none":  piece(func(p *SnapshotPiece) { p.Header.Size = -1 }),
-		"a piece before the beginning":  piece(func(p *SnapshotPiece) { p.Offset = -1 }),
-		"a piece beyond the end":        piece(func(p *SnapshotPiece) { p.Offset = 3 }),
-		"a snapshot without voters":     piece(func(p *SnapshotPiece) { p.Header.Membership = Membership{} }),
+		"a snapshot of nothing":         piece(func(p *SnapshotChunk) { p.Header.Index = 0 }),
+		"a snapshot that is too large":  piece(func(p *SnapshotChunk) { p.Header.Size = maxSnapshot + 1 }),
+		"a snapshot of less than none":  piece(func(p *SnapshotChunk) { p.Header.Size = -1 }),
+		"a piece before the beginning":  piece(func(p *SnapshotChunk) { p.Offset = -1 }),
+		"a piece beyond the end":        piece(func(p *SnapshotChunk) { p.Offset = 3 }),
+		"a snapshot without voters":     piece(func(p *SnapshotChunk) { p.Header.Membership = Membership{} }),
 	}
 	for name, msg := range cases {
 		Convey("A message "+name+" is counted and changes nothing", t, func() {
-			b := newBench(3, State{Hard: HardState{Term: 1}})
+			b := newBench(3, State{HardState: HardState{Term: 1}})
 			before := b.holds()
 			So(b.step(memberB, msg), ShouldBeEmpty)
-			So(b.r.Refused(), ShouldEqual, 1)
+			So(b.r.RejectedMessages(), ShouldEqual, 1)
 			So(b.holds(), ShouldEqual, before)
 		})
 	}
 	Convey("A message of the replica itself is counted and changes nothing", t, func() {
-		b := newBench(3, State{Hard: HardState{Term: 1}})
+		b := newBench(3, State{HardState: HardState{Term: 1}})
 		before := b.holds()
 		So(b.step(memberA, voteRequest(2)), ShouldBeEmpty)
-		So(b.r.Refused(), ShouldEqual, 1)
+		So(b.r.RejectedMessages(), ShouldEqual, 1)
 		So(b.holds(), ShouldEqual, before)
 	})
 }
 
 func TestImproperAnswers(t *testing.T) {
-	for name, answer := range map[string]AppendAnswer{
-		"from the future":             {Match: 1, Sent: time.Hour},
-		"to a round that never began": {Match: 1, Round: 9},
+	for name, answer := range map[string]AppendResponse{
+		"from the future":             {Match: 1, SentAt: time.Hour},
+		"to a round that never began": {Match: 1, ReadRound: 9},
 	} {
 		Convey("An answer "+name+" is counted and confirms nothing", t, func() {
 			b := newBench(3, State{})
@@ -75,8 +75,8 @@
 			So(err, ShouldBeNil)
 			b.drain()
 			heard := b.r.heardByMajority()
-			b.step(memberB, Message{Term: term, AppendAnswer: &answer})
-			So(b.r.Refused(), ShouldEqual, 1)
+			b.step(memberB, Message{Term: term, AppendResponse: &answer})
+			So(b.r.RejectedMessages(), ShouldEqual, 1)
 			So(b.r.commit, ShouldEqual, 0)
 			So(b.r.reads, ShouldHaveLength, 1)
 			So(b.r.heardByMajority(), ShouldEqual, heard)
@@ -88,12 +88,12 @@
 // goes back behind what it promised or committed.
 func FuzzStep(f *testing.F) {
 	seeds := []Message{
-		voteRequest(3), voteFor(2), entriesFrom(2, 0, 0, 1, Entry{Index: 1, Term: 1, Cmd: []byte("x")}),
-		{Term: 2, AppendAnswer: &AppendAnswer{Match: 1 << 60, Refused: true}},
-		{Term: 2, AppendAnswer: &AppendAnswer{Match: 1 << 60, Round: 1 << 60}},
-		{Term: 2, SnapshotAnswer: &SnapshotAnswer{Index: 1, Offset: -1}},
+		voteRequest(3), voteFor(2), entriesFrom(2, 0, 0, 1, Entry{Index: 1, Term: 1, Command: []byte("x")}),
+		{Term: 2, AppendResponse: &AppendResponse{Match: 1 << 60, Rejected: true}},
+		{Term: 2, AppendResponse: &AppendResponse{Match: 1 << 60, ReadRound: 1 << 60}},
+		{Term: 2, SnapshotResponse: &SnapshotResponse{Index: 1, Offset: -1}},
 		{Term: 2, TimeoutNow: &TimeoutNow{}},
-		{Term: 2, Snapshot: &SnapshotPiece{Header: SnapshotHeader{Index: 1 << 60, Term: 1, Membership: Membership{Voters: allMembers[:3]}}}},
+		{Term: 2, SnapshotChunk: &SnapshotChunk{Header: SnapshotHeader{Index: 1 << 60, Term: 1, Membership: Membership{Voters: allMembers[:3]}}}},
 	}
 	for _, msg := range seeds {
 		msg.Cluster = testCluster
@@ -111,11 +111,11 @@
 		}
 		msg.Cluster = testCluster
 		for _, votes := range []bool{true, false} {
-			state := State{ID: memberA, Cluster: testCluster, Hard: HardState{Term: 1}}
+			state := State{ID: memberA, Cluster: testCluster, HardState: HardState{Term: 1}}
 			if votes {
 				state.Snapshot.Membership = Membership{Voters: allMembers[:3]}
 			}
-			r, err := New(Config{State: state}, 0)
+			r, err := NewReplica(ReplicaConfig{State: state}, 0)
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/mesh/replication/leader.go
+++ b/internal/mesh/replication/leader.go
@@ -15,8 +15,8 @@
 	switch {
 	case len(cmd) == 0:
 		return 0, errs.New(errs.Invalid, "replication: a command is empty")
-	case len(cmd) > MaxCommand:
-		return 0, errs.New(errs.TooLarge, "replication: a command of %d bytes is over the limit of %d", len(cmd), MaxCommand)
+	case len(cmd) > MaxCommandBytes:
+		return 0, errs.New(errs.TooLarge, "replication: a command of %d bytes is over the limit of %d", len(cmd), MaxCommandBytes)
 	case r.sick:
 		return 0, errs.New(errs.DiskFailed, "replication: the disk of %s takes no writes", r.id)
 	case r.role != leader:
@@ -26,7 +26,7 @@
 	}
 	r.token++
 	index := r.log.last() + 1
-	r.log.append(Entry{Index: index, Term: r.hard.Term, Cmd: cmd})
+	r.log.append(Entry{Index: index, Term: r.hard.Term, Command: cmd})
 	r.proposals = append(r.proposals, proposal{token: r.token, index: index, bytes: len(cmd)})
 	r.pendingBytes += len(cmd)
 	return r.token, nil
@@ -63,7 +63,7 @@
 
 // track has a progress for every voter and learner but this replica, and none for others.
 func (r *Replica) track(now time.Duration) {
-	wanted := r.memberships.current().All()
+	wanted := r.memberships.current().AllVoters()
 	wanted = append(wanted, r.learners...)
 	r.order = r.order[:0]
 	for _, id := range slices.Compact(slices.Sorted(slices.Values(wanted))) {
@@ -72,7 +72,7 @@
 		}
 		r.order = append(r.order, id)
 		if r.peers[id] == nil {
-			r.peers[id] = &progress{next: r.log.last() + 1, heard: now, sent: now - HeartbeatEvery}
+			r.peers[id] = &progress{next: r.log.last() + 1, heard: now, sent: now - HeartbeatInterval}
 		}
 	}
 	for id := range r.peers {
@@ -92,7 +92,7 @@
 	for _, id := range r.order {
 		p := r.peers[id]
 		known = append(known, Progress{
-			ID: id, Voter: current.Has(id), Match: p.match, Silent: now - p.heard,
+			ID: id, IsVoter: current.IsVoter(id), Match: p.match, SinceLastContact: now - p.heard,
 			CaughtUp: p.match > 0 && p.match >= r.commit,
 		})
 	}
@@ -116,7 +116,7 @@
 		return errs.New(errs.NotLeader, "replication: %s isn't the leader", r.id)
 	case !r.openedTerm():
 		return errs.New(errs.Busy, "replication: the term has no committed entry yet")
-	case current.Joint() || current.index > r.commit:
+	case current.IsJoint() || current.index > r.commit:
 		return errs.New(errs.Busy, "replication: a change of membership is under way")
 	case !slices.Contains(next.Voters, r.id):
 		return errs.New(errs.Invalid, "replication: the leader can't leave; it hands over first")
@@ -130,7 +130,7 @@
 		return errs.New(errs.NoQuorum, "replication: too few of the old or the new voters hold all that is committed")
 	}
 	for _, id := range next.Voters {
-		if !current.Has(id) && !r.holdsAll(now, id) {
+		if !current.IsVoter(id) && !r.holdsAll(now, id) {
 			return errs.New(errs.Busy, "replication: %s has not caught up", id)
 		}
 	}
@@ -144,11 +144,11 @@
 		return r.stable >= r.commit
 	}
 	p := r.peers[id]
-	return p != nil && p.match > 0 && p.match >= r.commit && now-p.heard <= ContactOut
+	return p != nil && p.match > 0 && p.match >= r.commit && now-p.heard <= ContactTimeout
 }
 
 func (r *Replica) appendMembership(now time.Duration, m Membership) {
-	entry := Entry{Index: r.log.last() + 1, Term: r.hard.Term, Kind: EntryMembership, Cmd: m.encode()}
+	entry := Entry{Index: r.log.last() + 1, Term: r.hard.Term, Kind: EntryMembership, Command: m.encode()}
 	r.log.append(entry)
 	r.memberships = append(r.memberships, membershipAt{entry.Index, m})
 	r.track(now)
@@ -182,7 +182,7 @@
 }
 
 // feed queues what each member is due: entries or a snapshot it lacks, or a heartbeat when it was
-// told nothing for HeartbeatEvery, a read waits or more is committed.
+// told nothing for HeartbeatInterval, a read waits or more is committed.
 func (r *Replica) feed(now time.Duration) {
 	for _, id := range r.order {
 		p := r.peers[id]
@@ -190,12 +190,12 @@
 			p.resend = 0
 		}
 		// What isn't heard gets heartbeats only; more would cost the link for nothing.
-		if p.resend == 0 && now-p.heard <= ContactOut && (p.snapshot != nil || p.next <= r.log.last()) {
+		if p.resend == 0 && now-p.heard <= ContactTimeout && (p.snapshot != nil || p.next <= r.log.last()) {
 			r.sendLog(now, id, p)
 			continue
 		}
 		known := min(r.commit, p.match)
-		if now-p.sent >= HeartbeatEvery || p.roundSent < r.round || p.commitSent < known {
+		if now-p.sent >= HeartbeatInterval || p.roundSent < r.round || p.commitSent < known {
 			r.sendAppend(now, id, p, max(p.next-1, r.log.snapshot.Index), nil)
 		}
 	}
@@ -211,7 +211,7 @@
 	entries := r.log.from(p.next, maxMessage)
 	bytes := 0
 	for i := range entries {
-		bytes += len(entries[i].Cmd)
+		bytes += len(entries[i].Command)
 	}
 	r.sendAppend(now, id, p, p.next-1, entries)
 	p.resend = now + resendAfter + resendPerMiB*time.Duration(bytes>>10)/(1<<10)
@@ -230,19 +230,19 @@
 	if r.openedTerm() {
 		age = max(0, now-r.confirmedByMajority())
 	}
-	return Heartbeat{Commit: r.commit, Sent: now, Round: r.round, Age: age, Echo: p.clock}
+	return Heartbeat{Commit: r.commit, SentAt: now, ReadRound: r.round, QuorumAckAge: age, EchoedClock: p.clock}
 }
 
-func (r *Replica) stepAppendAnswer(now time.Duration, from MemberID, term Term, answer *AppendAnswer) {
-	p := r.answered(now, from, term, answer.Sent, answer.Round, answer.Clock)
+func (r *Replica) stepAppendAnswer(now time.Duration, from MemberID, term Term, answer *AppendResponse) {
+	p := r.answered(now, from, term, answer.SentAt, answer.ReadRound, answer.Clock)
 	if p == nil {
 		return
 	}
 	switch {
-	case answer.Refused && p.snapshot != nil:
+	case answer.Rejected && p.snapshot != nil:
 		// Heartbeats are refused until the snapshot is there; its pieces are on their way.
-	case answer.Refused:
-		if answer.PrevIndex == max(p.next-1, r.log.snapshot.Index) {
+	case answer.Rejected:
+		if answer.RejectedIndex == max(p.next-1, r.log.snapshot.Index) {
 			p.next = max(p.match, min(answer.Match, r.log.last())) + 1
 			p.resend = 0
 		}
@@ -261,7 +261,7 @@
 
 // answered notes that a member has answered this leader; nil where the answer isn't for it, or is to a
 // message that was never sent.
-func (r *Replica) answered(now time.Duration, from MemberID, term Term, sent time.Duration, round uint64, clock Clock) *progress {
+func (r *Replica) answered(now time.Duration, from MemberID, term Term, sent time.Duration, round uint64, clock ClockReading) *progress {
 	if term > r.hard.Term {
 		r.follow(term, "")
 		return nil
@@ -305,7 +305,7 @@
 // middle of a change ends it so, too; one that isn't among the new voters hands over instead.
 func (r *Replica) leaveJoint(now time.Duration) {
 	current := r.memberships.current()
-	if current.Joint() && current.index <= r.commit && slices.Contains(current.Voters, r.id) {
+	if current.IsJoint() && current.index <= r.commit && slices.Contains(current.Voters, r.id) {
 		r.appendMembership(now, Membership{Voters: current.Voters})
 	}
 }
@@ -314,10 +314,10 @@
 // the new voters to take over and end the change: no membership has a leader outside.
 func (r *Replica) handOver(now time.Duration) {
 	current := r.memberships.current()
-	if r.role != leader || !current.Joint() || current.index > r.commit || slices.Contains(current.Voters, r.id) || now < r.handOverAt {
+	if r.role != leader || !current.IsJoint() || current.index > r.commit || slices.Contains(current.Voters, r.id) || now < r.handOverAt {
 		return
 	}
-	r.handOverAt = now + HeartbeatEvery
+	r.handOverAt = now + HeartbeatInterval
 	r.TransferLeadership(now)
 }
 
@@ -364,7 +364,7 @@
 		newest = max(newest, p.heard)
 	}
 	for _, p := range r.peers {
-		if p.match < r.applied && newest-p.heard <= ContactOut {
+		if p.match < r.applied && newest-p.heard <= ContactTimeout {
 			return true
 		}
 	}
--- a/internal/mesh/replication/log.go
+++ b/internal/mesh/replication/log.go
@@ -38,8 +38,8 @@
 	}
 	rest := l.entries[index-l.snapshot.Index-1:]
 	n, size := 0, 0
-	for n < len(rest) && (n == 0 || size+len(rest[n].Cmd) <= limit) {
-		size += len(rest[n].Cmd)
+	for n < len(rest) && (n == 0 || size+len(rest[n].Command) <= limit) {
+		size += len(rest[n].Command)
 		n++
 	}
 	return rest[:n:n]
@@ -55,7 +55,7 @@
 
 func (l *entryLog) append(entries ...Entry) {
 	for i := range entries {
-		l.bytes += len(entries[i].Cmd)
+		l.bytes += len(entries[i].Command)
 	}
 	l.entries = append(l.entries, entries...)
 }
@@ -84,6 +84,6 @@
 func (l *entryLog) count() {
 	l.bytes = 0
 	for i := range l.entries {
-		l.bytes += len(l.entries[i].Cmd)
+		l.bytes += len(l.entries[i].Command)
 	}
 }
--- a/internal/mesh/replication/loop.go
+++ b/internal/mesh/replication/loop.go
@@ -97,16 +97,16 @@
 // do does what a Ready asks for, in its order.
 func (n *Node) do(r *Ready) {
 	if r.Persist != nil {
-		if err := n.cfg.Disk.Save(r.Persist); err != nil {
+		if err := n.cfg.Storage.Save(r.Persist); err != nil {
 			if !n.sick {
-				n.cfg.Log.Error("the log's disk refuses to write; this replica is silent until it does", zap.Error(err))
+				n.cfg.Logger.Error("the log's disk refuses to write; this replica is silent until it does", zap.Error(err))
 			}
 			n.sick = true
-			n.replica.Failed(n.now(), r)
+			n.replica.PersistFailed(n.now(), r)
 			return
 		}
 		if n.sick {
-			n.cfg.Log.Info("the log's disk writes again")
+			n.cfg.Logger.Info("the log's disk writes again")
 			n.sick = false
 		}
 	}
@@ -114,12 +114,12 @@
 	if r.Restore != nil {
 		n.cfg.Restore(uint64(r.Restore.Index), r.Restore.Data)
 	}
-	for i := range r.Committed {
-		n.apply(&r.Committed[i])
+	for i := range r.CommittedEntries {
+		n.apply(&r.CommittedEntries[i])
 	}
 	n.replica.Advance(n.now(), r)
-	n.tell(r.Proposals)
-	n.tell(r.Reads)
+	n.tell(r.CompletedProposals)
+	n.tell(r.CompletedReads)
 	if n.replica.WantsSnapshot() {
 		if data := n.cfg.Snapshot(); data != nil {
 			n.replica.Compact(data)
@@ -133,10 +133,10 @@
 		n.cfg.Apply(uint64(e.Index), nil)
 		return
 	}
-	n.cfg.Apply(uint64(e.Index), e.Cmd)
+	n.cfg.Apply(uint64(e.Index), e.Command)
 }
 
-func (n *Node) tell(settled []Settlement) {
+func (n *Node) tell(settled []Completion) {
 	for _, s := range settled {
 		c, ok := n.waiting[s.Token]
 		if !ok {
@@ -180,22 +180,22 @@
 
 func (n *Node) publish(now time.Duration) {
 	next := &Status{
-		Leads:    n.replica.Leads(now),
-		Sick:     n.replica.Sick(),
-		Applied:  n.replica.Applied(),
-		Progress: n.replica.Progress(now),
-		Refused:  n.replica.Refused(),
+		IsLeader:         n.replica.IsLeader(now),
+		StorageFailed:    n.replica.StorageFailed(),
+		Applied:          n.replica.Applied(),
+		Progress:         n.replica.Progress(now),
+		RejectedMessages: n.replica.RejectedMessages(),
 	}
 	next.Leader, next.Term = n.replica.Leader()
 	var committed bool
 	next.Membership, committed = n.replica.Membership()
-	next.Settled = committed && !next.Membership.Joint()
+	next.MembershipStable = committed && !next.Membership.IsJoint()
 	before := n.status.Swap(next)
 	if before != nil && (before.Leader != next.Leader || before.Term != next.Term) {
 		n.contact.reset()
-		n.cfg.Log.Info("term", zap.Uint64("number", uint64(next.Term)), zap.String("leader", string(next.Leader)))
+		n.cfg.Logger.Info("term", zap.Uint64("number", uint64(next.Term)), zap.String("leader", string(next.Leader)))
 	}
-	if at, index, ok := n.replica.Confirmed(); ok {
+	if at, index, ok := n.replica.LastQuorumAck(); ok {
 		n.contact.confirm(min(at, now), uint64(index))
 	}
 }
--- a/internal/mesh/replication/manager_test.go
+++ b/internal/mesh/replication/manager_test.go
@@ -44,12 +44,12 @@
 // address, leaves or is silent is swapped for one, one at a time.
 func (w *world) manageMembers(n *machine) {
 	r, now := n.replica, w.clock(n)
-	if !r.Leads(now) || w.manageOff {
+	if !r.IsLeader(now) || w.manageOff {
 		return
 	}
 	membership, committed := r.Membership()
 	r.SetLearners(now, w.learnersFor(n, membership))
-	if !committed || membership.Joint() {
+	if !committed || membership.IsJoint() {
 		return
 	}
 	ready := w.caughtUpLearners(n)
@@ -79,7 +79,7 @@
 func (w *world) learnersFor(n *machine, m Membership) []MemberID {
 	var learners []MemberID
 	for id, a := range n.announced {
-		if w.now-a.at > announceOut || a.leaving || m.Has(id) {
+		if w.now-a.at > announceOut || a.leaving || m.IsVoter(id) {
 			continue
 		}
 		learners = append(learners, id)
@@ -91,7 +91,7 @@
 func (w *world) caughtUpLearners(n *machine) []MemberID {
 	var ready []MemberID
 	for _, p := range n.replica.Progress(w.clock(n)) {
-		if !p.Voter && p.CaughtUp && p.Silent <= ContactOut {
+		if !p.IsVoter && p.CaughtUp && p.SinceLastContact <= ContactTimeout {
 			ready = append(ready, p.ID)
 		}
 	}
@@ -122,8 +122,8 @@
 func (w *world) voterToReplace(n *machine, m Membership) MemberID {
 	silent := map[MemberID]time.Duration{}
 	for _, p := range n.replica.Progress(w.clock(n)) {
-		silent[p.ID] = p.Silent
-		if p.Match == 0 && p.Silent > neverHeardOut { // by this leader, and not by the one before
+		silent[p.ID] = p.SinceLastContact
+		if p.Match == 0 && p.SinceLastContact > neverHeardOut { // by this leader, and not by the one before
 			silent[p.ID] = silentOut + 1
 		}
 	}
--- a/internal/mesh/replication/membership.go
+++ b/internal/mesh/replication/membership.go
@@ -21,22 +21,22 @@
 	Outgoing []MemberID `json:"o,omitempty"`
 }
 
-// Joint says that a change is under way.
-func (m Membership) Joint() bool { return len(m.Outgoing) > 0 }
+// IsJoint says that a change is under way.
+func (m Membership) IsJoint() bool { return len(m.Outgoing) > 0 }
 
-// Has says whether a member votes, in either set.
-func (m Membership) Has(id MemberID) bool {
+// IsVoter says whether a member votes, in either set.
+func (m Membership) IsVoter(id MemberID) bool {
 	return slices.Contains(m.Voters, id) || slices.Contains(m.Outgoing, id)
 }
 
-// All is every member of both sets, in order, each once.
-func (m Membership) All() []MemberID {
+// AllVoters is every member of both sets, in order, each once.
+func (m Membership) AllVoters() []MemberID {
 	return slices.Compact(slices.Sorted(slices.Values(slices.Concat(m.Voters, m.Outgoing))))
 }
 
 // quorum says whether those for whom has is true are a majority of each set.
 func (m Membership) quorum(has func(MemberID) bool) bool {
-	return majority(m.Voters, has) && (!m.Joint() || majority(m.Outgoing, has))
+	return majority(m.Voters, has) && (!m.IsJoint() || majority(m.Outgoing, has))
 }
 
 func majority(voters []MemberID, has func(MemberID) bool) bool {
@@ -52,7 +52,7 @@
 // reached is the largest value that a majority of each set has reached.
 func reached[T ~int64 | ~uint64](m Membership, of func(MemberID) T) T {
 	value := reachedBy(m.Voters, of)
-	if m.Joint() {
+	if m.IsJoint() {
 		value = min(value, reachedBy(m.Outgoing, of))
 	}
 	return value
@@ -145,7 +145,7 @@
 		if entries[i].Kind != EntryMembership {
 			continue
 		}
-		if m, err := decodeMembership(entries[i].Cmd); err == nil {
+		if m, err := decodeMembership(entries[i].Command); err == nil {
 			*h = append(*h, membershipAt{entries[i].Index, m})
 		}
 	}
--- a/internal/mesh/replication/message.go
+++ b/internal/mesh/replication/message.go
@@ -15,51 +15,51 @@
 	Cluster ClusterID `json:"u"`
 	Term    Term      `json:"t"`
 
-	VoteRequest    *VoteRequest    `json:"vr,omitempty"`
-	VoteAnswer     *VoteAnswer     `json:"va,omitempty"`
-	Append         *AppendEntries  `json:"ae,omitempty"`
-	AppendAnswer   *AppendAnswer   `json:"aa,omitempty"`
-	Snapshot       *SnapshotPiece  `json:"sp,omitempty"`
-	SnapshotAnswer *SnapshotAnswer `json:"sa,omitempty"`
-	TimeoutNow     *TimeoutNow     `json:"tn,omitempty"`
+	VoteRequest      *VoteRequest      `json:"vr,omitempty"`
+	VoteResponse     *VoteResponse     `json:"va,omitempty"`
+	Append           *AppendEntries    `json:"ae,omitempty"`
+	AppendResponse   *AppendResponse   `json:"aa,omitempty"`
+	SnapshotChunk    *SnapshotChunk    `json:"sp,omitempty"`
+	SnapshotResponse *SnapshotResponse `json:"sa,omitempty"`
+	TimeoutNow       *TimeoutNow       `json:"tn,omitempty"`
 }
 
 // VoteRequest asks for the vote in the message's term. A pre-vote asks whether it would be granted
 // and changes nothing.
 type VoteRequest struct {
-	Pre       bool  `json:"p,omitempty"`
+	PreVote   bool  `json:"p,omitempty"`
 	LastIndex Index `json:"i"`
 	LastTerm  Term  `json:"w"`
 	// Transfer says that the leader itself asked for this election, so its lease is no objection.
 	Transfer bool `json:"x,omitempty"`
 }
 
-// VoteAnswer answers a VoteRequest.
-type VoteAnswer struct {
-	Pre     bool `json:"p,omitempty"`
-	Refused bool `json:"x,omitempty"`
+// VoteResponse answers a VoteRequest.
+type VoteResponse struct {
+	PreVote  bool `json:"p,omitempty"`
+	Rejected bool `json:"x,omitempty"`
 }
 
 // Heartbeat is what every message of a leader carries beside its entries.
 type Heartbeat struct {
 	// Commit is the last entry that the leader knows to be committed.
 	Commit Index `json:"c,omitempty"`
-	// Sent is the leader's clock; answers repeat it, so that contact is counted from when the
+	// SentAt is the leader's clock; answers repeat it, so that contact is counted from when the
 	// question was put and not from when the answer was read.
-	Sent time.Duration `json:"s,omitempty"`
-	// Round numbers reads; answers repeat it.
-	Round uint64 `json:"r,omitempty"`
-	// Age is how long ago, when the message was made, a majority had last confirmed the leader.
-	Age time.Duration `json:"g,omitempty"`
-	// Echo is the receiver's clock in its newest answer: the message was made after that time,
+	SentAt time.Duration `json:"s,omitempty"`
+	// ReadRound numbers reads; answers repeat it.
+	ReadRound uint64 `json:"r,omitempty"`
+	// QuorumAckAge is how long ago, when the message was made, a majority had last confirmed the leader.
+	QuorumAckAge time.Duration `json:"g,omitempty"`
+	// EchoedClock is the receiver's clock in its newest answer: the message was made after that time,
 	// however long it has been on its way.
-	Echo Clock `json:"e,omitzero"`
+	EchoedClock ClockReading `json:"e,omitzero"`
 }
 
-// Clock is a replica's clock at one moment of one of its lives.
-type Clock struct {
-	Life uint64        `json:"l,omitempty"`
-	At   time.Duration `json:"a,omitempty"`
+// ClockReading is a replica's clock at one moment of one of its lives.
+type ClockReading struct {
+	Incarnation uint64        `json:"l,omitempty"`
+	At          time.Duration `json:"a,omitempty"`
 }
 
 // AppendEntries carries the entries after PrevIndex, or none: then it is a plain heartbeat.
@@ -70,16 +70,16 @@
 	Entries   []Entry `json:"l,omitempty"`
 }
 
-// AppendAnswer answers AppendEntries, and the last SnapshotPiece.
-type AppendAnswer struct {
+// AppendResponse answers AppendEntries, and the last SnapshotChunk.
+type AppendResponse struct {
 	// Match is how far the log is synced and equal to the leader's; in a refusal, how far it may be.
-	Match   Index `json:"i"`
-	Refused bool  `json:"x,omitempty"`
-	// PrevIndex repeats, in a refusal, the index that was refused.
-	PrevIndex Index         `json:"p,omitempty"`
-	Sent      time.Duration `json:"s,omitempty"`
-	Round     uint64        `json:"r,omitempty"`
-	Clock     Clock         `json:"k,omitzero"`
+	Match    Index `json:"i"`
+	Rejected bool  `json:"x,omitempty"`
+	// RejectedIndex repeats, in a refusal, the index that was refused.
+	RejectedIndex Index         `json:"p,omitempty"`
+	SentAt        time.Duration `json:"s,omitempty"`
+	ReadRound     uint64        `json:"r,omitempty"`
+	Clock         ClockReading  `json:"k,omitzero"`
 }
 
 // SnapshotHeader names a snapshot: pieces of two snapshots with the same header fit together,
@@ -89,25 +89,25 @@
 	Term       Term       `json:"w"`
 	Membership Membership `json:"m"`
 	Size       int        `json:"z"`
-	// Sum is the xxhash of the whole.
-	Sum uint64 `json:"h"`
+	// Checksum is the xxhash of the whole.
+	Checksum uint64 `json:"h"`
 }
 
-// SnapshotPiece carries a part of a snapshot.
-type SnapshotPiece struct {
+// SnapshotChunk carries a part of a snapshot.
+type SnapshotChunk struct {
 	Heartbeat
 	Header SnapshotHeader `json:"n"`
 	Offset int            `json:"o"`
 	Data   []byte         `json:"d,omitempty"`
 }
 
-// SnapshotAnswer says from where on a snapshot is wanted.
-type SnapshotAnswer struct {
-	Index  Index         `json:"i"`
-	Offset int           `json:"o"`
-	Sent   time.Duration `json:"s,omitempty"`
-	Round  uint64        `json:"r,omitempty"`
-	Clock  Clock         `json:"k,omitzero"`
+// SnapshotResponse says from where on a snapshot is wanted.
+type SnapshotResponse struct {
+	Index     Index         `json:"i"`
+	Offset    int           `json:"o"`
+	SentAt    time.Duration `json:"s,omitempty"`
+	ReadRound uint64        `json:"r,omitempty"`
+	Clock     ClockReading  `json:"k,omitzero"`
 }
 
 // TimeoutNow has a voter stand for election at once, as the leader wants to hand over.
@@ -116,12 +116,12 @@
 // size is about what the message costs in memory and on the link.
 func (msg *Message) size() int {
 	n := 0
-	if msg.Snapshot != nil {
-		n += len(msg.Snapshot.Data)
+	if msg.SnapshotChunk != nil {
+		n += len(msg.SnapshotChunk.Data)
 	}
 	if msg.Append != nil {
 		for i := range msg.Append.Entries {
-			n += len(msg.Append.Entries[i].Cmd)
+			n += len(msg.Append.Entries[i].Command)
 		}
 	}
 	return n
@@ -131,8 +131,8 @@
 func (msg *Message) kinds() int {
 	n := 0
 	for _, set := range []bool{
-		msg.VoteRequest != nil, msg.VoteAnswer != nil, msg.Append != nil, msg.AppendAnswer != nil,
-		msg.Snapshot != nil, msg.SnapshotAnswer != nil, msg.TimeoutNow != nil,
+		msg.VoteRequest != nil, msg.VoteResponse != nil, msg.Append != nil, msg.AppendResponse != nil,
+		msg.SnapshotChunk != nil, msg.SnapshotResponse != nil, msg.TimeoutNow != nil,
 	} {
 		if set {
 			n++
--- a/internal/mesh/replication/node.go
+++ b/internal/mesh/replication/node.go
@@ -19,7 +19,7 @@
 	contactWithin = time.Second
 	// staleAfter is the age at which a message that waited for the loop is dropped: others may have
 	// chosen a new leader since, so it is old news.
-	staleAfter = ElectionMin
+	staleAfter = MinElectionTimeout
 	// maxInbox bounds the messages that wait while the disk stalls; the oldest give way.
 	maxInbox = 256
 	// maxCalls bounds the proposals and reads that wait while the disk stalls.
@@ -31,8 +31,8 @@
 // NodeConfig is what a node is made of. Apply, Restore and Snapshot are called from the node's loop
 // only. Send must not block.
 type NodeConfig struct {
-	Disk  Disk
-	State State
+	Storage Storage
+	State   State
 	// Send carries messages to a member; it may lose them.
 	Send func(to MemberID, msgs []Message)
 	// Apply gets every committed entry in order, once per life, after what Restore brought; one that
@@ -43,8 +43,8 @@
 	// Snapshot returns the application's state; nil: not now, it is asked again.
 	Snapshot func() []byte
 	// Applied is the index up to which the application has applied all that it was handed.
-	Applied func() uint64
-	Log     *zap.Logger
+	AppliedIndex func() uint64
+	Logger       *zap.Logger
 }
 
 // call is a proposal, a read (without a command), or an operation on the replica itself.
@@ -70,21 +70,21 @@
 
 // Status is what a replica last was.
 type Status struct {
-	Leader     MemberID
-	Term       Term
-	Leads      bool
-	Sick       bool
-	Applied    Index
-	Membership Membership
-	// Settled says that the membership is committed and no change is under way.
-	Settled bool
+	Leader        MemberID
+	Term          Term
+	IsLeader      bool
+	StorageFailed bool
+	Applied       Index
+	Membership    Membership
+	// MembershipStable says that the membership is committed and no change is under way.
+	MembershipStable bool
 	// Progress is what a leader knows of the others.
 	Progress []Progress
-	// Refused counts messages that were dropped as no proper ones.
-	Refused uint64
+	// RejectedMessages counts messages that were dropped as no proper ones.
+	RejectedMessages uint64
 }
 
-// Node runs a Replica over its Disk in one loop.
+// Node runs a Replica over its Storage in one loop.
 type Node struct {
 	cfg     NodeConfig
 	replica *Replica
@@ -107,13 +107,13 @@
 	contact contact
 }
 
-// Start restores the application from the state and starts the loop.
-func Start(cfg NodeConfig) (*Node, error) {
+// StartNode restores the application from the state and starts the loop.
+func StartNode(cfg NodeConfig) (*Node, error) {
 	var seed [8]byte
 	if _, err := crand.Read(seed[:]); err != nil {
 		return nil, errs.Wrap(err, errs.Internal, "replication: a random seed")
 	}
-	replica, err := New(Config{State: cfg.State, Seed: binary.BigEndian.Uint64(seed[:])}, 0)
+	replica, err := NewReplica(ReplicaConfig{State: cfg.State, Seed: binary.BigEndian.Uint64(seed[:])}, 0)
 	if err != nil {
 		return nil, err
 	}
@@ -145,7 +145,7 @@
 	}
 	n.mu.Unlock()
 	<-n.ended
-	return n.cfg.Disk.Close()
+	return n.cfg.Storage.Close()
 }
 
 func (n *Node) now() time.Duration { return time.Since(n.start) }
@@ -189,21 +189,21 @@
 	}
 }
 
-// Do runs an operation on the replica in the node's loop and returns its error.
-func (n *Node) Do(ctx context.Context, operation func(now time.Duration, r *Replica) error) error {
+// runInLoop runs an operation on the replica in the node's loop and returns its error.
+func (n *Node) runInLoop(ctx context.Context, operation func(now time.Duration, r *Replica) error) error {
 	_, err := n.enter(call{ctx: ctx, operation: operation, done: make(chan result, 1)})
 	return err
 }
 
 // ChangeMembership begins a change of the voters; see Replica.ChangeMembership.
 func (n *Node) ChangeMembership(ctx context.Context, voters []MemberID) error {
-	return n.Do(ctx, func(now time.Duration, r *Replica) error { return r.ChangeMembership(now, voters) })
+	return n.runInLoop(ctx, func(now time.Duration, r *Replica) error { return r.ChangeMembership(now, voters) })
 }
 
 // SetLearners names the replicas that this node keeps up to date beside the voters while it leads.
 func (n *Node) SetLearners(ctx context.Context, learners []MemberID) error {
 	learners = slices.Sorted(slices.Values(learners))
-	return n.Do(ctx, func(now time.Duration, r *Replica) error {
+	return n.runInLoop(ctx, func(now time.Duration, r *Replica) error {
 		r.SetLearners(now, learners)
 		return nil
 	})
@@ -212,7 +212,7 @@
 // TransferLeadership asks another voter, none of those that are leaving, to take over; an error says
 // that nobody could.
 func (n *Node) TransferLeadership(ctx context.Context, leaving ...MemberID) error {
-	return n.Do(ctx, func(now time.Duration, r *Replica) error {
+	return n.runInLoop(ctx, func(now time.Duration, r *Replica) error {
 		if !r.TransferLeadership(now, leaving...) {
 			return errs.New(errs.NoQuorum, "replication: nobody can take over")
 		}
@@ -230,7 +230,7 @@
 // node follows. It is counted only once the application has applied all that was committed then, so
 // what it serves is at most that old. ok is false while there is no such confirmation.
 func (n *Node) Contact() (age time.Duration, ok bool) {
-	return n.contact.age(n.now(), n.cfg.Applied())
+	return n.contact.age(n.now(), n.cfg.AppliedIndex())
 }
 
 // InContact says whether what this node serves is lately confirmed by a majority.
--- a/internal/mesh/replication/node_test.go
+++ b/internal/mesh/replication/node_test.go
@@ -20,14 +20,14 @@
 	"caperarch/internal/mesh/rpc"
 )
 
-// memoryDisk is a Disk that can be full.
+// memoryDisk is a Storage that can be full.
 type memoryDisk struct {
 	mu    sync.Mutex
 	state State
 	full  bool
 }
 
-func (d *memoryDisk) Save(p *Persist) error {
+func (d *memoryDisk) Save(p *WriteBatch) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.full {
@@ -116,7 +116,7 @@
 			for i, id := range ids {
 				disks[i] = &memoryDisk{state: State{ID: id, Cluster: testCluster, Snapshot: Snapshot{Membership: Membership{Voters: ids}}}}
 				apps[i] = &application{}
-				n, err := Start(NodeConfig{Disk: disks[i], State: disks[i].state, Log: zap.NewNop(), Applied: apps[i].applied,
+				n, err := StartNode(NodeConfig{Storage: disks[i], State: disks[i].state, Logger: zap.NewNop(), AppliedIndex: apps[i].applied,
 					Apply: apps[i].apply, Restore: apps[i].restore, Snapshot: apps[i].snapshot,
 					Send: func(to MemberID, msgs []Message) {
 						mu.Lock()
@@ -139,7 +139,7 @@
 			disks[first].setFull(true)
 			_, err := nodes[first].Propose(ctx, []byte("refused"))
 			So(errs.Of(err), ShouldEqual, errs.NoQuorum)
-			So(nodes[first].Status().Sick, ShouldBeTrue)
+			So(nodes[first].Status().StorageFailed, ShouldBeTrue)
 			_, err = nodes[first].Propose(ctx, []byte("refused"))
 			So(errs.Of(err), ShouldEqual, errs.DiskFailed)
 			second := proposeAnywhere(nodes, "two")
@@ -147,7 +147,7 @@
 
 			disks[first].setFull(false)
 			<-time.After(2 * time.Second)
-			So(nodes[first].Status().Sick, ShouldBeFalse)
+			So(nodes[first].Status().StorageFailed, ShouldBeFalse)
 			So(nodes[first].InContact(), ShouldBeTrue)
 			So(apps[first].commands(), ShouldResemble, apps[second].commands())
 			So(apps[second].commands()[0], ShouldEqual, "one")
@@ -170,7 +170,7 @@
 // openSite opens the store in dir; one that is empty is founded as a first voter, or as a newcomer
 // with the incarnation.
 func openSite(dir, address, incarnation string, seeds []string, l net.Listener) (*site, error) {
-	store, state, err := OpenOrDiscard(dir, address, zap.NewNop())
+	store, state, err := OpenOrReset(dir, address, zap.NewNop())
 	if err != nil {
 		return nil, err
 	}
@@ -180,19 +180,19 @@
 		if incarnation == "" {
 			state.Snapshot.Membership = membership
 		}
-		if err := store.Found(state); err != nil {
+		if err := store.Initialize(state); err != nil {
 			return nil, err
 		}
 	}
 	s := &site{app: &application{}}
 	s.transport = NewTransport(state.ID, rpc.NewClient(time.Second), func(from MemberID, msgs []Message) { s.node.Deliver(from, msgs) }, zap.NewNop())
-	s.node, err = Start(NodeConfig{Disk: store, State: state, Log: zap.NewNop(), Applied: s.app.applied,
+	s.node, err = StartNode(NodeConfig{Storage: store, State: state, Logger: zap.NewNop(), AppliedIndex: s.app.applied,
 		Apply: s.app.apply, Restore: s.app.restore, Snapshot: s.app.snapshot, Send: s.transport.Send})
 	if err != nil {
 		return nil, err
 	}
 	mux := http.NewServeMux()
-	Register(mux, func() *Node { return s.node })
+	RegisterRoutes(mux, func() *Node { return s.node })
 	s.server = &http.Server{Handler: mux}
 	go s.server.Serve(l)
 	return s, nil
@@ -210,11 +210,11 @@
 	for ctx.Err() == nil {
 		for _, n := range nodes {
 			status := n.Status()
-			if !status.Leads {
+			if !status.IsLeader {
 				continue
 			}
-			if status.Settled && status.Membership.Has(newcomer) {
-				return !status.Membership.Has(replaced)
+			if status.MembershipStable && status.Membership.IsVoter(newcomer) {
+				return !status.Membership.IsVoter(replaced)
 			}
 			voters := slices.Clone(status.Membership.Voters)
 			if i := slices.Index(voters, replaced); i >= 0 {
--- a/internal/mesh/replication/ready.go
+++ b/internal/mesh/replication/ready.go
@@ -23,27 +23,27 @@
 		if ready.Restore != nil {
 			from = ready.Restore.Index
 		}
-		ready.Committed = r.log.between(from, r.lastCommitted)
+		ready.CommittedEntries = r.log.between(from, r.lastCommitted)
 	} else {
 		r.lastCommitted = r.applied
 	}
-	ready.Proposals, r.aborted = r.aborted, nil
-	ready.Reads, r.abortedReads = r.abortedReads, nil
+	ready.CompletedProposals, r.aborted = r.aborted, nil
+	ready.CompletedReads, r.abortedReads = r.abortedReads, nil
 	r.settle(&ready)
 	return ready, ready.any()
 }
 
 func (ready *Ready) any() bool {
-	return ready.Persist != nil || len(ready.Messages) > 0 || ready.Restore != nil || len(ready.Committed) > 0 ||
-		len(ready.Proposals) > 0 || len(ready.Reads) > 0
+	return ready.Persist != nil || len(ready.Messages) > 0 || ready.Restore != nil || len(ready.CommittedEntries) > 0 ||
+		len(ready.CompletedProposals) > 0 || len(ready.CompletedReads) > 0
 }
 
 // persist is all that isn't synced yet.
-func (r *Replica) persist() *Persist {
-	p := &Persist{TruncateFrom: r.truncateFrom, Entries: r.log.between(max(r.stable, r.log.snapshot.Index), r.log.last())}
+func (r *Replica) persist() *WriteBatch {
+	p := &WriteBatch{TruncateFrom: r.truncateFrom, Entries: r.log.between(max(r.stable, r.log.snapshot.Index), r.log.last())}
 	if r.hardDirty {
 		hard := r.hard
-		p.Hard = &hard
+		p.HardState = &hard
 	}
 	if r.snapshotDirty {
 		s := r.log.snapshot
@@ -56,12 +56,12 @@
 func (r *Replica) settle(ready *Ready) {
 	for len(r.proposals) > 0 && r.proposals[0].index <= r.lastCommitted {
 		p := r.proposals[0]
-		ready.Proposals = append(ready.Proposals, Settlement{Token: p.token, Index: p.index})
+		ready.CompletedProposals = append(ready.CompletedProposals, Completion{Token: p.token, Index: p.index})
 		r.proposals = r.proposals[1:]
 		r.pendingBytes -= p.bytes
 	}
 	for len(r.reads) > 0 && r.reads[0].index > 0 && r.reads[0].index <= r.lastCommitted {
-		ready.Reads = append(ready.Reads, Settlement{Token: r.reads[0].token, Index: r.reads[0].index})
+		ready.CompletedReads = append(ready.CompletedReads, Completion{Token: r.reads[0].token, Index: r.reads[0].index})
 		r.reads = r.reads[1:]
 	}
 }
@@ -86,19 +86,19 @@
 	r.advanceCommit(now)
 }
 
-// Failed says that the disk refused the last Ready's Persist. None of that Ready has been done: its
+// PersistFailed says that the disk refused the last Ready's Persist. None of that Ready has been done: its
 // messages are lost, which the protocol bears, and its callers are told that they don't know. The
 // replica is sick until a write is taken: it neither votes nor leads nor says anything.
-func (r *Replica) Failed(now time.Duration, ready *Ready) {
+func (r *Replica) PersistFailed(now time.Duration, ready *Ready) {
 	r.follow(r.hard.Term, "")
-	for _, s := range ready.Proposals {
-		r.aborted = append(r.aborted, Settlement{Token: s.Token, Index: s.Index, Aborted: true})
+	for _, s := range ready.CompletedProposals {
+		r.aborted = append(r.aborted, Completion{Token: s.Token, Index: s.Index, Aborted: true})
 	}
-	for _, s := range ready.Reads {
-		r.abortedReads = append(r.abortedReads, Settlement{Token: s.Token, Aborted: true})
+	for _, s := range ready.CompletedReads {
+		r.abortedReads = append(r.abortedReads, Completion{Token: s.Token, Aborted: true})
 	}
 	r.out = nil
 	r.sick, r.hardDirty = true, true
 	r.retryAt = now + retryDisk
-	r.deadline = now + r.between(ElectionMin, ElectionMax)
+	r.deadline = now + r.between(MinElectionTimeout, MaxElectionTimeout)
 }
--- a/internal/mesh/replication/replica.go
+++ b/internal/mesh/replication/replica.go
@@ -25,7 +25,7 @@
 	// heard is the time at which the newest answered message was sent.
 	heard time.Duration
 	// clock is the member's own, in its newest answer.
-	clock Clock
+	clock ClockReading
 	// sent is when anything was sent last.
 	sent             time.Duration
 	round, roundSent uint64
@@ -48,8 +48,8 @@
 	index Index
 }
 
-// Config is what a replica starts from.
-type Config struct {
+// ReplicaConfig is what a replica starts from.
+type ReplicaConfig struct {
 	// State is what its disk holds.
 	State State
 	// Seed makes the election times differ between replicas.
@@ -57,7 +57,7 @@
 }
 
 // Replica is one member of the cluster, as a state machine. It isn't safe for concurrent use.
-// Between Ready and the Advance or Failed that follows it, no other method may be called.
+// Between Ready and the Advance or PersistFailed that follows it, no other method may be called.
 type Replica struct {
 	id      MemberID
 	cluster ClusterID
@@ -109,8 +109,8 @@
 	round         uint64
 	roundOpen     bool
 	token         uint64
-	aborted       []Settlement
-	abortedReads  []Settlement
+	aborted       []Completion
+	abortedReads  []Completion
 	sick          bool
 	retryAt       time.Duration
 	lastCommitted Index
@@ -118,8 +118,8 @@
 	refused uint64
 }
 
-// New starts a replica at the time now.
-func New(cfg Config, now time.Duration) (*Replica, error) {
+// NewReplica starts a replica at the time now.
+func NewReplica(cfg ReplicaConfig, now time.Duration) (*Replica, error) {
 	state := cfg.State
 	if state.ID == "" {
 		return nil, errs.New(errs.Invalid, "replication: a replica without an id")
@@ -133,7 +133,7 @@
 		id:          state.ID,
 		cluster:     state.Cluster,
 		random:      rand.New(rand.NewPCG(cfg.Seed, uint64(len(state.ID)))),
-		hard:        state.Hard,
+		hard:        state.HardState,
 		memberships: memberships{{state.Snapshot.Index, state.Snapshot.Membership}},
 	}
 	r.log.reset(state.Snapshot)
@@ -164,8 +164,8 @@
 // Leader names the leader that this replica follows ("" when it knows none) and its term.
 func (r *Replica) Leader() (MemberID, Term) { return r.leader, r.hard.Term }
 
-// Leads says whether the replica leads its term at the time now.
-func (r *Replica) Leads(now time.Duration) bool {
+// IsLeader says whether the replica leads its term at the time now.
+func (r *Replica) IsLeader(now time.Duration) bool {
 	r.checkContact(now)
 	return r.role == leader
 }
@@ -176,23 +176,23 @@
 	return current.Membership, current.index <= r.commit
 }
 
-// Votes says whether the replica is a voter in the membership in force.
-func (r *Replica) Votes() bool { return r.memberships.current().Has(r.id) }
+// IsVoter says whether the replica is a voter in the membership in force.
+func (r *Replica) IsVoter() bool { return r.memberships.current().IsVoter(r.id) }
 
-// Sick says that the disk refused the last write; the replica is silent till it takes one.
-func (r *Replica) Sick() bool { return r.sick }
+// StorageFailed says that the disk refused the last write; the replica is silent till it takes one.
+func (r *Replica) StorageFailed() bool { return r.sick }
 
 // Applied is the last entry handed out as committed, and confirmed by Advance.
 func (r *Replica) Applied() Index { return r.applied }
 
-// Refused counts the messages that were dropped as no proper ones.
-func (r *Replica) Refused() uint64 { return r.refused }
+// RejectedMessages counts the messages that were dropped as no proper ones.
+func (r *Replica) RejectedMessages() uint64 { return r.refused }
 
-// Confirmed is the time at which, as far as is known here, a majority of the voters last confirmed
+// LastQuorumAck is the time at which, as far as is known here, a majority of the voters last confirmed
 // the leader. It proves that all that was committed before it is held by this replica once its
 // application has applied the index that comes with it. ok is false while there is no such index:
 // no leader is known, or it has committed nothing of its own term yet.
-func (r *Replica) Confirmed() (at time.Duration, index Index, ok bool) {
+func (r *Replica) LastQuorumAck() (at time.Duration, index Index, ok bool) {
 	if r.role == leader {
 		return r.confirmedByMajority(), r.commit, r.openedTerm()
 	}
@@ -226,16 +226,16 @@
 	return at
 }
 
-// checkContact makes a leader that a majority hasn't answered for ContactOut, or that asked in vain to
+// checkContact makes a leader that a majority hasn't answered for ContactTimeout, or that asked in vain to
 // be relieved, step down. It runs
 // before anything a leader does, so that one that was frozen acts on nothing it believed before.
 func (r *Replica) checkContact(now time.Duration) {
 	if r.role != leader {
 		return
 	}
-	if now-r.heardByMajority() > ContactOut || r.handingOver && now-r.handedOverAt > handOverTime {
+	if now-r.heardByMajority() > ContactTimeout || r.handingOver && now-r.handedOverAt > handOverTime {
 		r.follow(r.hard.Term, "")
-		r.deadline = now + r.between(ElectionMin, ElectionMax)
+		r.deadline = now + r.between(MinElectionTimeout, MaxElectionTimeout)
 	}
 }
 
@@ -255,10 +255,10 @@
 // abandon tells the callers of a leader that is none any more that they don't know.
 func (r *Replica) abandon() {
 	for _, p := range r.proposals {
-		r.aborted = append(r.aborted, Settlement{Token: p.token, Index: p.index, Aborted: true})
+		r.aborted = append(r.aborted, Completion{Token: p.token, Index: p.index, Aborted: true})
 	}
 	for _, q := range r.reads {
-		r.abortedReads = append(r.abortedReads, Settlement{Token: q.token, Aborted: true})
+		r.abortedReads = append(r.abortedReads, Completion{Token: q.token, Aborted: true})
 	}
 	r.proposals, r.reads, r.pendingBytes = nil, nil, 0
 	r.peers, r.order, r.learners = nil, nil, nil
@@ -268,7 +268,7 @@
 // one): then it refuses votes, so that a member that was cut off, frozen or retired disturbs
 // nothing when it returns.
 func (r *Replica) leased(now time.Duration) bool {
-	return r.role == leader || r.leader != "" && now-r.heard < ElectionMin
+	return r.role == leader || r.leader != "" && now-r.heard < MinElectionTimeout
 }
 
 // Step takes in a message. Messages of another cluster and ones that make no sense are counted and dropped.
@@ -281,16 +281,16 @@
 	switch {
 	case msg.Append != nil:
 		r.stepAppend(now, from, msg.Term, msg.Append)
-	case msg.Snapshot != nil:
-		r.stepSnapshot(now, from, msg.Term, msg.Snapshot)
-	case msg.AppendAnswer != nil:
-		r.stepAppendAnswer(now, from, msg.Term, msg.AppendAnswer)
-	case msg.SnapshotAnswer != nil:
-		r.stepSnapshotAnswer(now, from, msg.Term, msg.SnapshotAnswer)
+	case msg.SnapshotChunk != nil:
+		r.stepSnapshot(now, from, msg.Term, msg.SnapshotChunk)
+	case msg.AppendResponse != nil:
+		r.stepAppendAnswer(now, from, msg.Term, msg.AppendResponse)
+	case msg.SnapshotResponse != nil:
+		r.stepSnapshotAnswer(now, from, msg.Term, msg.SnapshotResponse)
 	case msg.VoteRequest != nil:
 		r.stepVoteRequest(now, from, msg.Term, msg.VoteRequest)
-	case msg.VoteAnswer != nil:
-		r.stepVoteAnswer(now, from, msg.Term, msg.VoteAnswer)
+	case msg.VoteResponse != nil:
+		r.stepVoteAnswer(now, from, msg.Term, msg.VoteResponse)
 	case msg.TimeoutNow != nil:
 		r.stepTimeoutNow(now, from, msg.Term)
 	}
@@ -308,19 +308,19 @@
 				return false
 			}
 			if e.Kind == EntryMembership {
-				if _, err := decodeMembership(e.Cmd); err != nil {
+				if _, err := decodeMembership(e.Command); err != nil {
 					return false
 				}
 			}
 		}
 	}
-	return msg.Snapshot == nil || msg.Snapshot.Header.proper(msg.Snapshot)
+	return msg.SnapshotChunk == nil || msg.SnapshotChunk.Header.proper(msg.SnapshotChunk)
 }
 
 // Tick does what is due at the time now.
 func (r *Replica) Tick(now time.Duration) {
 	r.checkContact(now)
-	if r.role != leader && !r.sick && r.Votes() && now >= r.deadline {
+	if r.role != leader && !r.sick && r.IsVoter() && now >= r.deadline {
 		r.startPreVote(now)
 	}
 	r.handOver(now)
@@ -335,13 +335,13 @@
 		wake := forever
 		for _, id := range r.order {
 			p := r.peers[id]
-			wake = min(wake, p.sent+HeartbeatEvery)
+			wake = min(wake, p.sent+HeartbeatInterval)
 			if p.resend > 0 {
 				wake = min(wake, p.resend)
 			}
 		}
 		return wake
-	case !r.Votes():
+	case !r.IsVoter():
 		return forever
 	}
 	return r.deadline
--- a/internal/mesh/replication/replica_test.go
+++ b/internal/mesh/replication/replica_test.go
@@ -38,7 +38,7 @@
 	if size > 0 && disk.Snapshot.Index == 0 {
 		disk.Snapshot.Membership = Membership{Voters: allMembers[:size]}
 	}
-	r, err := New(Config{State: disk}, 0)
+	r, err := NewReplica(ReplicaConfig{State: disk}, 0)
 	So(err, ShouldBeNil)
 	return &bench{r: r, disk: disk}
 }
@@ -57,7 +57,7 @@
 		for _, e := range ready.Messages {
 			sent[e.To] = append(sent[e.To], e.Message)
 		}
-		b.committed = append(b.committed, ready.Committed...)
+		b.committed = append(b.committed, ready.CommittedEntries...)
 		b.r.Advance(b.now, &ready)
 	}
 }
@@ -74,11 +74,11 @@
 	return Message{Term: term, VoteRequest: &VoteRequest{LastIndex: 100, LastTerm: term}}
 }
 
-func voteFor(term Term) Message { return Message{Term: term, VoteAnswer: &VoteAnswer{}} }
+func voteFor(term Term) Message { return Message{Term: term, VoteResponse: &VoteResponse{}} }
 
 // matches answers the newest message of the leader.
 func (b *bench) matches(term Term, index Index) Message {
-	return Message{Term: term, AppendAnswer: &AppendAnswer{Match: index, Sent: b.now, Round: b.r.round}}
+	return Message{Term: term, AppendResponse: &AppendResponse{Match: index, SentAt: b.now, ReadRound: b.r.round}}
 }
 
 func entriesFrom(term Term, prev Index, prevTerm Term, commit Index, entries ...Entry) Message {
@@ -94,7 +94,7 @@
 	b.drain()
 	term := b.r.hard.Term + 1
 	for _, id := range grants {
-		b.step(id, Message{Term: term, VoteAnswer: &VoteAnswer{Pre: true}})
+		b.step(id, Message{Term: term, VoteResponse: &VoteResponse{PreVote: true}})
 	}
 	So(b.r.role, ShouldEqual, candidate)
 	return term
@@ -120,11 +120,11 @@
 	Convey("A vote is kept over a loss of power, and a second one in its term refused", t, func() {
 		b := newBench(3, State{})
 		sent := b.step(memberB, voteRequest(4))
-		So(sent[memberB][0].VoteAnswer.Refused, ShouldBeFalse)
-		So(b.disk.Hard, ShouldResemble, HardState{Term: 4, Vote: memberB})
+		So(sent[memberB][0].VoteResponse.Rejected, ShouldBeFalse)
+		So(b.disk.HardState, ShouldResemble, HardState{Term: 4, Vote: memberB})
 		b = newBench(3, b.disk)
 		sent = b.step(memberC, voteRequest(4))
-		So(sent[memberC][0].VoteAnswer.Refused, ShouldBeTrue)
+		So(sent[memberC][0].VoteResponse.Rejected, ShouldBeTrue)
 	})
 	Convey("A vote goes out in no Ready but the one that syncs it or a later one, the own one included", t, func() {
 		b := newBench(1, State{})
@@ -132,7 +132,7 @@
 		b.r.Tick(b.now)
 		So(b.r.role, ShouldEqual, candidate)
 		ready, _ := b.r.Ready(b.now)
-		So(ready.Persist.Hard, ShouldResemble, &HardState{Term: 1, Vote: memberA})
+		So(ready.Persist.HardState, ShouldResemble, &HardState{Term: 1, Vote: memberA})
 		So(b.r.role, ShouldEqual, candidate)
 		b.r.Advance(b.now, &ready)
 		So(b.r.role, ShouldEqual, leader)
@@ -143,29 +143,29 @@
 		ready, _ = b.r.Ready(b.now)
 		So(ready.Messages, ShouldHaveLength, 1)
 		So(ready.Persist, ShouldNotBeNil)
-		So(ready.Persist.Hard, ShouldResemble, &HardState{Term: 4, Vote: memberB})
+		So(ready.Persist.HardState, ShouldResemble, &HardState{Term: 4, Vote: memberB})
 	})
 	Convey("So does a vote in a term that is synced already", t, func() {
 		b := newBench(3, State{Entries: []Entry{{Index: 1, Term: 1}}})
 		behind := Message{Term: 4, VoteRequest: &VoteRequest{}}
-		So(b.step(memberC, behind)[memberC][0].VoteAnswer.Refused, ShouldBeTrue)
+		So(b.step(memberC, behind)[memberC][0].VoteResponse.Rejected, ShouldBeTrue)
 		msg := voteRequest(4)
 		msg.Cluster = testCluster
 		b.r.Step(b.now, memberB, msg)
 		ready, _ := b.r.Ready(b.now)
-		So(ready.Messages[0].Message.VoteAnswer.Refused, ShouldBeFalse)
+		So(ready.Messages[0].Message.VoteResponse.Rejected, ShouldBeFalse)
 		So(ready.Persist, ShouldNotBeNil)
-		So(ready.Persist.Hard, ShouldResemble, &HardState{Term: 4, Vote: memberB})
+		So(ready.Persist.HardState, ShouldResemble, &HardState{Term: 4, Vote: memberB})
 	})
 	Convey("The own vote doesn't count before it is synced, whoever else votes", t, func() {
 		b := newBench(3, State{})
 		b.step(memberB, entriesFrom(1, 0, 0, 0))
 		b.r.Step(b.now, memberB, Message{Cluster: testCluster, Term: 1, TimeoutNow: &TimeoutNow{}})
-		b.r.Step(b.now, memberC, Message{Cluster: testCluster, Term: 2, VoteAnswer: &VoteAnswer{}})
+		b.r.Step(b.now, memberC, Message{Cluster: testCluster, Term: 2, VoteResponse: &VoteResponse{}})
 		So(b.r.role, ShouldEqual, candidate)
 		b.drain()
 		So(b.r.role, ShouldEqual, leader)
-		So(b.disk.Hard, ShouldResemble, HardState{Term: 2, Vote: memberA})
+		So(b.disk.HardState, ShouldResemble, HardState{Term: 2, Vote: memberA})
 	})
 	Convey("A candidate counts no vote of a learner or of another disk at a voter's address", t, func() {
 		b := newBench(3, State{})
@@ -179,7 +179,7 @@
 	Convey("In the joint phase votes of both sets are needed", t, func() {
 		joint := Membership{Voters: []MemberID{memberA, memberD, memberE}, Outgoing: []MemberID{memberA, memberB, memberC}}
 		for _, half := range []MemberID{memberB, memberD} {
-			b := newBench(3, State{Snapshot: Snapshot{Index: 1, Term: 1, Membership: joint}, Hard: HardState{Term: 1}})
+			b := newBench(3, State{Snapshot: Snapshot{Index: 1, Term: 1, Membership: joint}, HardState: HardState{Term: 1}})
 			term := b.ballot(memberB, memberD)
 			b.step(half, voteFor(term))
 			So(b.r.role, ShouldEqual, candidate)
@@ -191,12 +191,12 @@
 	Convey("While a leader is heard no vote is given, unless that leader asked for the election", t, func() {
 		b := newBench(3, State{})
 		b.step(memberB, entriesFrom(1, 0, 0, 0))
-		b.now += ElectionMin / 2
+		b.now += MinElectionTimeout / 2
 		So(b.step(memberC, voteRequest(5)), ShouldBeEmpty)
 		So(b.r.hard.Term, ShouldEqual, 1)
 		handed := voteRequest(5)
 		handed.VoteRequest.Transfer = true
-		So(b.step(memberC, handed)[memberC][0].VoteAnswer.Refused, ShouldBeFalse)
+		So(b.step(memberC, handed)[memberC][0].VoteResponse.Rejected, ShouldBeFalse)
 	})
 }
 
@@ -221,7 +221,7 @@
 
 func TestCommitment(t *testing.T) {
 	Convey("A leader counts no majority for an older term's entry", t, func() {
-		b := newBench(3, State{Hard: HardState{Term: 1}, Entries: []Entry{{Index: 1, Term: 1, Cmd: []byte("old")}}})
+		b := newBench(3, State{HardState: HardState{Term: 1}, Entries: []Entry{{Index: 1, Term: 1, Command: []byte("old")}}})
 		term := b.led(false, memberB)
 		b.step(memberC, b.matches(term, 1))
 		So(b.r.commit, ShouldEqual, 0)
@@ -243,11 +243,11 @@
 		So(b.r.commit, ShouldEqual, 1)
 	})
 	Convey("A follower applies nothing that its leader hasn't confirmed to be the same there", t, func() {
-		b := newBench(3, State{Hard: HardState{Term: 1}, Entries: []Entry{{Index: 1, Term: 1}, {Index: 2, Term: 1, Cmd: []byte("other")}}})
+		b := newBench(3, State{HardState: HardState{Term: 1}, Entries: []Entry{{Index: 1, Term: 1}, {Index: 2, Term: 1, Command: []byte("other")}}})
 		b.step(memberB, entriesFrom(2, 1, 1, 2))
 		So(b.r.commit, ShouldEqual, 1)
-		b.step(memberB, entriesFrom(2, 1, 1, 2, Entry{Index: 2, Term: 2, Cmd: []byte("x")}))
-		So(string(b.committed[1].Cmd), ShouldEqual, "x")
+		b.step(memberB, entriesFrom(2, 1, 1, 2, Entry{Index: 2, Term: 2, Command: []byte("x")}))
+		So(string(b.committed[1].Command), ShouldEqual, "x")
 	})
 	Convey("Its own disk counts once it is synced", t, func() {
 		b := newBench(3, State{})
@@ -256,7 +256,7 @@
 		So(err, ShouldBeNil)
 		ready, _ := b.r.Ready(b.now)
 		So(ready.Persist.Entries, ShouldHaveLength, 1)
-		b.r.stepAppendAnswer(b.now, memberB, term, b.matches(term, b.r.log.last()).AppendAnswer)
+		b.r.stepAppendAnswer(b.now, memberB, term, b.matches(term, b.r.log.last()).AppendResponse)
 		So(b.r.commit, ShouldEqual, b.r.log.last()-1)
 		b.r.Advance(b.now, &ready)
 		So(b.r.commit, ShouldEqual, b.r.log.last())
@@ -286,26 +286,26 @@
 		b.now = 10 * time.Second
 		heartbeat := func(echo, age time.Duration) Message {
 			msg := entriesFrom(1, 0, 0, 0)
-			msg.Append.Echo, msg.Append.Age = Clock{Life: b.r.life, At: echo}, age
+			msg.Append.EchoedClock, msg.Append.QuorumAckAge = ClockReading{Incarnation: b.r.life, At: echo}, age
 			return msg
 		}
 		b.step(memberB, heartbeat(9*time.Second, forever))
-		at, _, _ := b.r.Confirmed()
+		at, _, _ := b.r.LastQuorumAck()
 		So(at, ShouldBeLessThan, 0)
 		b.step(memberB, heartbeat(8*time.Second, time.Second))
-		at, _, ok := b.r.Confirmed()
+		at, _, ok := b.r.LastQuorumAck()
 		So(ok, ShouldBeTrue)
 		So(at, ShouldEqual, 7*time.Second)
 		other := heartbeat(9*time.Second, 0)
-		other.Append.Echo.Life++
+		other.Append.EchoedClock.Incarnation++
 		b.step(memberB, other)
-		at, _, _ = b.r.Confirmed()
+		at, _, _ = b.r.LastQuorumAck()
 		So(at, ShouldEqual, 7*time.Second)
 		lead := newBench(3, State{})
 		lead.led(false, memberB)
-		_, _, ok = lead.r.Confirmed()
+		_, _, ok = lead.r.LastQuorumAck()
 		So(ok, ShouldBeFalse)
-		So(lead.r.heartbeat(lead.now, lead.r.peers[memberB]).Age, ShouldEqual, forever)
+		So(lead.r.heartbeat(lead.now, lead.r.peers[memberB]).QuorumAckAge, ShouldEqual, forever)
 	})
 	Convey("A confirmation that the application hasn't reached doesn't count", t, func() {
 		var c contact
@@ -349,7 +349,7 @@
 			b.step(memberC, b.matches(term, 2)) // a majority of the old set alone
 			So(b.r.commit, ShouldEqual, 1)
 			current, committed := b.r.Membership()
-			So(current.Joint(), ShouldBeTrue)
+			So(current.IsJoint(), ShouldBeTrue)
 			So(committed, ShouldBeFalse)
 			b.step(memberD, b.matches(term, 2))
 			So(b.r.commit, ShouldEqual, 2)
@@ -369,11 +369,11 @@
 			b.step(memberD, b.matches(term, 2))
 			So(b.r.commit, ShouldEqual, 2)
 			current, _ := b.r.Membership()
-			So(current.Joint(), ShouldBeTrue)
+			So(current.IsJoint(), ShouldBeTrue)
 			b.step(memberB, b.matches(term, 3))
 			b.step(memberD, b.matches(term, 3))
 			current, _ = b.r.Membership()
-			So(current.Joint(), ShouldBeFalse)
+			So(current.IsJoint(), ShouldBeFalse)
 		})
 		Convey("the new set alone commits nothing, either", func() {
 			b.step(memberD, b.matches(term, 1))
@@ -386,14 +386,14 @@
 	Convey("A membership goes with its entry, and stays in a snapshot of its place", t, func() {
 		b := newBench(3, State{})
 		four := Membership{Voters: allMembers[:4]}
-		b.step(memberB, entriesFrom(1, 0, 0, 0, Entry{Index: 1, Term: 1, Cmd: []byte("x")},
-			Entry{Index: 2, Term: 1, Kind: EntryMembership, Cmd: four.encode()}))
+		b.step(memberB, entriesFrom(1, 0, 0, 0, Entry{Index: 1, Term: 1, Command: []byte("x")},
+			Entry{Index: 2, Term: 1, Kind: EntryMembership, Command: four.encode()}))
 		current, _ := b.r.Membership()
 		So(current, ShouldResemble, four)
-		b.step(memberC, entriesFrom(2, 1, 1, 0, Entry{Index: 2, Term: 2, Cmd: []byte("y")}))
+		b.step(memberC, entriesFrom(2, 1, 1, 0, Entry{Index: 2, Term: 2, Command: []byte("y")}))
 		current, _ = b.r.Membership()
 		So(current.Voters, ShouldResemble, allMembers[:3])
-		b.step(memberC, entriesFrom(2, 2, 2, 3, Entry{Index: 3, Term: 2, Kind: EntryMembership, Cmd: four.encode()}))
+		b.step(memberC, entriesFrom(2, 2, 2, 3, Entry{Index: 3, Term: 2, Kind: EntryMembership, Command: four.encode()}))
 		b.r.Compact([]byte("state"))
 		b.drain()
 		So(b.disk.Snapshot.Membership, ShouldResemble, four)
@@ -403,12 +403,12 @@
 	})
 	Convey("A leader that is only in the outgoing set hands over, and a new voter ends the change", t, func() {
 		joint := Membership{Voters: []MemberID{memberB, memberC, memberD}, Outgoing: allMembers[:3]}
-		b := newBench(3, State{Hard: HardState{Term: 1}, Snapshot: Snapshot{Index: 1, Term: 1, Membership: joint}})
+		b := newBench(3, State{HardState: HardState{Term: 1}, Snapshot: Snapshot{Index: 1, Term: 1, Membership: joint}})
 		term := b.led(true, memberB, memberC)
 		b.step(memberD, b.matches(term, 2))
 		current, committed := b.r.Membership()
-		So(committed && current.Joint(), ShouldBeTrue)
-		b.now += HeartbeatEvery
+		So(committed && current.IsJoint(), ShouldBeTrue)
+		b.now += HeartbeatInterval
 		b.r.Tick(b.now)
 		handed := false
 		for _, messages := range b.drain() {
@@ -431,7 +431,7 @@
 	})
 	Convey("Without a membership no snapshot is made: nobody could take it", t, func() {
 		learner := newBench(0, State{})
-		learner.step(memberB, entriesFrom(1, 0, 0, 1, Entry{Index: 1, Term: 1, Cmd: []byte("x")}))
+		learner.step(memberB, entriesFrom(1, 0, 0, 1, Entry{Index: 1, Term: 1, Command: []byte("x")}))
 		learner.r.Compact([]byte("state"))
 		So(learner.r.log.snapshot.Index, ShouldEqual, 0)
 	})
@@ -442,9 +442,9 @@
 		sent := b.drain()[memberB]
 		So(sent[len(sent)-1].TimeoutNow, ShouldNotBeNil)
 		// Only one that lacks it is in touch.
-		b.now += ContactOut
+		b.now += ContactTimeout
 		b.step(memberC, b.matches(term, 0))
-		b.now += ContactOut / 2
+		b.now += ContactTimeout / 2
 		So(b.r.TransferLeadership(b.now), ShouldBeFalse)
 		for _, messages := range b.drain() {
 			for _, msg := range messages {
@@ -461,48 +461,48 @@
 		So(b.r.TransferLeadership(b.now), ShouldBeTrue)
 		b.drain()
 		for b.now < asked+handOverTime {
-			b.now += HeartbeatEvery / 2
+			b.now += HeartbeatInterval / 2
 			b.step(memberB, b.matches(term, 1))
-			So(b.r.Leads(b.now) || b.now > asked+handOverTime, ShouldBeTrue)
-			at, _, _ := b.r.Confirmed()
+			So(b.r.IsLeader(b.now) || b.now > asked+handOverTime, ShouldBeTrue)
+			at, _, _ := b.r.LastQuorumAck()
 			So(at, ShouldBeLessThanOrEqualTo, asked)
 		}
 		b.now = asked + handOverTime + 1
-		So(b.r.Leads(b.now), ShouldBeFalse)
+		So(b.r.IsLeader(b.now), ShouldBeFalse)
 	})
 	Convey("A vote at a leader's wish is given to no log that lacks what is held", t, func() {
-		b := newBench(3, State{Hard: HardState{Term: 2}, Entries: []Entry{{Index: 1, Term: 2, Cmd: []byte("x")}}})
+		b := newBench(3, State{HardState: HardState{Term: 2}, Entries: []Entry{{Index: 1, Term: 2, Command: []byte("x")}}})
 		for _, request := range []VoteRequest{{LastIndex: 5, LastTerm: 1}, {LastIndex: 0, LastTerm: 2}} {
 			request.Transfer = true
 			sent := b.step(memberB, Message{Term: 3, VoteRequest: &request})
-			So(sent[memberB][0].VoteAnswer.Refused, ShouldBeTrue)
+			So(sent[memberB][0].VoteResponse.Rejected, ShouldBeTrue)
 		}
 	})
 }
 
 func TestSnapshotPieces(t *testing.T) {
 	piece := func(index Index, sum uint64, offset int, data string, size int) Message {
-		return Message{Term: 1, Snapshot: &SnapshotPiece{
-			Header: SnapshotHeader{Index: index, Term: 1, Membership: Membership{Voters: allMembers[:3]}, Size: size, Sum: sum},
+		return Message{Term: 1, SnapshotChunk: &SnapshotChunk{
+			Header: SnapshotHeader{Index: index, Term: 1, Membership: Membership{Voters: allMembers[:3]}, Size: size, Checksum: sum},
 			Offset: offset, Data: []byte(data),
 		}}
 	}
 	Convey("Pieces of two snapshots are never put together, even where their sum would be right", t, func() {
 		b := newBench(0, State{})
 		sent := b.step(memberB, piece(5, 1, 0, "aa", 4))
-		So(sent[memberB][0].SnapshotAnswer.Offset, ShouldEqual, 2)
+		So(sent[memberB][0].SnapshotResponse.Offset, ShouldEqual, 2)
 		sent = b.step(memberB, piece(6, xxhash.Sum64String("aabb"), 2, "bb", 4))
-		So(sent[memberB][0].SnapshotAnswer, ShouldNotBeNil)
-		So(sent[memberB][0].SnapshotAnswer.Offset, ShouldEqual, 0)
+		So(sent[memberB][0].SnapshotResponse, ShouldNotBeNil)
+		So(sent[memberB][0].SnapshotResponse.Offset, ShouldEqual, 0)
 		So(b.disk.Snapshot.Index, ShouldEqual, 0)
 	})
 	Convey("A snapshot whose sum is wrong isn't taken, and is asked for from its beginning", t, func() {
 		b := newBench(0, State{})
 		b.step(memberB, piece(5, xxhash.Sum64String("aabb"), 0, "aa", 4))
 		sent := b.step(memberB, piece(5, xxhash.Sum64String("aabb"), 2, "bc", 4))
-		So(sent[memberB][0].SnapshotAnswer, ShouldNotBeNil)
-		So(sent[memberB][0].SnapshotAnswer.Offset, ShouldEqual, 0)
-		So(b.r.Refused(), ShouldEqual, 1)
+		So(sent[memberB][0].SnapshotResponse, ShouldNotBeNil)
+		So(sent[memberB][0].SnapshotResponse.Offset, ShouldEqual, 0)
+		So(b.r.RejectedMessages(), ShouldEqual, 1)
 		So(b.disk.Snapshot.Index, ShouldEqual, 0)
 		b.step(memberB, piece(5, xxhash.Sum64String("aabb"), 0, "aa", 4))
 		b.step(memberB, piece(5, xxhash.Sum64String("aabb"), 2, "bb", 4))
--- a/internal/mesh/replication/snapshot.go
+++ b/internal/mesh/replication/snapshot.go
@@ -21,14 +21,14 @@
 }
 
 // proper says that a header, and a piece under it, can be those of a snapshot.
-func (h *SnapshotHeader) proper(piece *SnapshotPiece) bool {
+func (h *SnapshotHeader) proper(piece *SnapshotChunk) bool {
 	return h.Index > 0 && h.Size >= 0 && h.Size <= maxSnapshot && h.Membership.validate() == nil &&
 		piece.Offset >= 0 && piece.Offset <= h.Size && len(piece.Data) <= h.Size-piece.Offset
 }
 
 // same says that pieces under both headers fit together.
 func (h *SnapshotHeader) same(other *SnapshotHeader) bool {
-	return h.Index == other.Index && h.Term == other.Term && h.Size == other.Size && h.Sum == other.Sum
+	return h.Index == other.Index && h.Term == other.Term && h.Size == other.Size && h.Checksum == other.Checksum
 }
 
 // sendSnapshot sends the next piece of a snapshot. The one that was begun is gone on with, also
@@ -42,9 +42,9 @@
 	s := p.snapshot
 	end := min(p.offset+pieceBytes, len(s.Data))
 	piece := s.Data[p.offset:end]
-	r.send(id, Message{Snapshot: &SnapshotPiece{
+	r.send(id, Message{SnapshotChunk: &SnapshotChunk{
 		Heartbeat: r.heartbeat(now, p),
-		Header:    SnapshotHeader{Index: s.Index, Term: s.Term, Membership: s.Membership, Size: len(s.Data), Sum: p.sum},
+		Header:    SnapshotHeader{Index: s.Index, Term: s.Term, Membership: s.Membership, Size: len(s.Data), Checksum: p.sum},
 		Offset:    p.offset,
 		Data:      piece,
 	}})
@@ -52,9 +52,9 @@
 	p.resend = now + resendAfter + resendPerMiB*time.Duration(len(piece)>>10)/(1<<10)
 }
 
-// stepSnapshotAnswer goes on at the offset that the member names.
-func (r *Replica) stepSnapshotAnswer(now time.Duration, from MemberID, term Term, answer *SnapshotAnswer) {
-	p := r.answered(now, from, term, answer.Sent, answer.Round, answer.Clock)
+// stepSnapshotResponse goes on at the offset that the member names.
+func (r *Replica) stepSnapshotAnswer(now time.Duration, from MemberID, term Term, answer *SnapshotResponse) {
+	p := r.answered(now, from, term, answer.SentAt, answer.ReadRound, answer.Clock)
 	if p == nil {
 		return
 	}
@@ -65,7 +65,7 @@
 }
 
 // stepSnapshot takes in a piece. Once all are there the snapshot takes the log's place.
-func (r *Replica) stepSnapshot(now time.Duration, from MemberID, term Term, piece *SnapshotPiece) {
+func (r *Replica) stepSnapshot(now time.Duration, from MemberID, term Term, piece *SnapshotChunk) {
 	if !r.hearLeader(now, from, term, &piece.Heartbeat) {
 		return
 	}
@@ -85,21 +85,21 @@
 		in.data = append(in.data, piece.Data...)
 	}
 	if len(in.data) < h.Size {
-		r.send(from, Message{SnapshotAnswer: &SnapshotAnswer{Index: h.Index, Offset: len(in.data), Sent: piece.Sent, Round: piece.Round, Clock: r.clock(now)}})
+		r.send(from, Message{SnapshotResponse: &SnapshotResponse{Index: h.Index, Offset: len(in.data), SentAt: piece.SentAt, ReadRound: piece.ReadRound, Clock: r.clock(now)}})
 		return
 	}
 	r.incoming = nil
-	if xxhash.Sum64(in.data) != h.Sum {
+	if xxhash.Sum64(in.data) != h.Checksum {
 		r.refused++
-		r.send(from, Message{SnapshotAnswer: &SnapshotAnswer{Index: h.Index, Sent: piece.Sent, Round: piece.Round, Clock: r.clock(now)}})
+		r.send(from, Message{SnapshotResponse: &SnapshotResponse{Index: h.Index, SentAt: piece.SentAt, ReadRound: piece.ReadRound, Clock: r.clock(now)}})
 		return
 	}
 	r.install(Snapshot{Index: h.Index, Term: h.Term, Membership: h.Membership, Data: in.data})
 	r.answerSnapshotDone(now, from, piece)
 }
 
-func (r *Replica) answerSnapshotDone(now time.Duration, from MemberID, piece *SnapshotPiece) {
-	r.send(from, Message{AppendAnswer: &AppendAnswer{Match: r.verified, Sent: piece.Sent, Round: piece.Round, Clock: r.clock(now)}})
+func (r *Replica) answerSnapshotDone(now time.Duration, from MemberID, piece *SnapshotChunk) {
+	r.send(from, Message{AppendResponse: &AppendResponse{Match: r.verified, SentAt: piece.SentAt, ReadRound: piece.ReadRound, Clock: r.clock(now)}})
 }
 
 // install puts a snapshot in place of a log that ends before it or differs at it.
--- a/internal/mesh/replication/store.go
+++ b/internal/mesh/replication/store.go
@@ -48,15 +48,15 @@
 // errDamaged marks a store that was read and makes no sense.
 var errDamaged = eris.New("damaged")
 
-// Disk is where a node keeps its state. When Save returns nil, all of p is
+// Storage is where a node keeps its state. When Save returns nil, all of p is
 // synced; when it doesn't, all of it or nothing may be, and the same or a later
 // state is to be saved again.
-type Disk interface {
-	Save(p *Persist) error
+type Storage interface {
+	Save(p *WriteBatch) error
 	Close() error
 }
 
-// Store is a Disk on goleveldb: each Persist is one synced batch, so it is there whole or not at all.
+// Store is a Storage on goleveldb: each Persist is one synced batch, so it is there whole or not at all.
 type Store struct {
 	path string
 	db   *leveldb.DB
@@ -84,10 +84,10 @@
 	}
 }
 
-// Open opens the store in dir and reads its state; the state of an empty store has no id, and Found
-// gives it one. Every error is DiskFailed; if the store is damaged rather than out of reach, Damaged
+// OpenStore opens the store in dir and reads its state; the state of an empty store has no id, and Initialize
+// gives it one. Every error is DiskFailed; if the store is damaged rather than out of reach, IsCorrupt
 // says so. The address is the machine's own, which is the id of a disk that an earlier program founded.
-func Open(dir, address string) (*Store, State, error) {
+func OpenStore(dir, address string) (*Store, State, error) {
 	s := &Store{path: filepath.Join(dir, folder), first: 1}
 	if err := s.open(false); err != nil {
 		return nil, State{}, errs.Wrap(err, errs.DiskFailed, "replication: open %s", s.path)
@@ -100,21 +100,21 @@
 	return s, state, nil
 }
 
-// Damaged says whether an error of Open means that the store can't be read
+// IsCorrupt says whether an error of OpenStore means that the store can't be read
 // any more, in contrast to a disk that refuses for now.
-func Damaged(err error) bool {
+func IsCorrupt(err error) bool {
 	return eris.Is(err, errDamaged) || errors.IsCorrupted(eris.Cause(err))
 }
 
-// OpenOrDiscard is Open, and where the store is damaged it is removed and an empty one opened in its
+// OpenOrReset is OpenStore, and where the store is damaged it is removed and an empty one opened in its
 // place, as if the disk were new. A disk that merely refuses remains an error: the caller tries again later.
-func OpenOrDiscard(dir, address string, log *zap.Logger) (*Store, State, error) {
+func OpenOrReset(dir, address string, log *zap.Logger) (*Store, State, error) {
 	// A removal that was cut short is finished first.
 	if err := os.RemoveAll(filepath.Join(dir, damagedFolder)); err != nil {
 		return nil, State{}, errs.Wrap(err, errs.DiskFailed, "replication: remove what was damaged")
 	}
-	s, state, err := Open(dir, address)
-	if err == nil || !Damaged(err) {
+	s, state, err := OpenStore(dir, address)
+	if err == nil || !IsCorrupt(err) {
 		return s, state, err
 	}
 	log.Error("the log on disk is damaged; this machine joins as a new member", zap.Error(err))
@@ -128,7 +128,7 @@
 	if err := os.RemoveAll(filepath.Join(dir, damagedFolder)); err != nil {
 		log.Warn("a damaged log couldn't be removed", zap.Error(err))
 	}
-	return Open(dir, address)
+	return OpenStore(dir, address)
 }
 
 func syncDir(dir string) error {
@@ -154,14 +154,14 @@
 	return nil
 }
 
-// Found gives an empty store its identity, synced before it returns: the id, the cluster and the
+// Initialize gives an empty store its identity, synced before it returns: the id, the cluster and the
 // membership that the replica starts from.
-func (s *Store) Found(state State) error {
+func (s *Store) Initialize(state State) error {
 	batch := new(leveldb.Batch)
 	if err := putIdentity(batch, state); err != nil {
 		return err
 	}
-	if err := putJSON(batch, keyHard, state.Hard); err != nil {
+	if err := putJSON(batch, keyHard, state.HardState); err != nil {
 		return err
 	}
 	return s.write(batch)
@@ -196,7 +196,7 @@
 	if !found {
 		return state, s.checkEmpty()
 	}
-	if err := s.getJSON(keyHard, &state.Hard); err != nil {
+	if err := s.getJSON(keyHard, &state.HardState); err != nil {
 		return state, err
 	}
 	if err := s.loadSnapshot(&state); err != nil {
@@ -296,13 +296,13 @@
 	head := binary.BigEndian.Uint64(value)
 	e := Entry{Index: index, Term: Term(head &^ membershipBit)}
 	if len(value) > entryHeader {
-		e.Cmd = slices.Clone(value[entryHeader:])
+		e.Command = slices.Clone(value[entryHeader:])
 	}
 	if head&membershipBit == 0 {
 		return e, nil
 	}
 	e.Kind = EntryMembership
-	if _, err := decodeMembership(e.Cmd); err != nil {
+	if _, err := decodeMembership(e.Command); err != nil {
 		return e, eris.Wrapf(errDamaged, "the membership at %d", index)
 	}
 	return e, nil
@@ -313,9 +313,9 @@
 	if e.Kind == EntryMembership {
 		head |= membershipBit
 	}
-	value := make([]byte, entryHeader, entryHeader+len(e.Cmd))
+	value := make([]byte, entryHeader, entryHeader+len(e.Command))
 	binary.BigEndian.PutUint64(value, head)
-	return append(value, e.Cmd...)
+	return append(value, e.Command...)
 }
 
 // checkEmpty makes sure that a store without the founding mark holds nothing.
@@ -351,7 +351,7 @@
 }
 
 // Save writes and syncs p in one batch.
-func (s *Store) Save(p *Persist) error {
+func (s *Store) Save(p *WriteBatch) error {
 	batch, first, last, err := s.batch(p)
 	if err != nil {
 		return err
@@ -380,7 +380,7 @@
 }
 
 // batch puts p in one batch and returns the bounds of the entries after it.
-func (s *Store) batch(p *Persist) (batch *leveldb.Batch, first, last Index, err error) {
+func (s *Store) batch(p *WriteBatch) (batch *leveldb.Batch, first, last Index, err error) {
 	batch = new(leveldb.Batch)
 	first, last = s.first, s.last
 	if p.TruncateFrom > 0 {
@@ -411,8 +411,8 @@
 		batch.Put(entryKey(e.Index), encodeEntry(e))
 		last = e.Index
 	}
-	if p.Hard != nil {
-		if err := putJSON(batch, keyHard, p.Hard); err != nil {
+	if p.HardState != nil {
+		if err := putJSON(batch, keyHard, p.HardState); err != nil {
 			return nil, 0, 0, err
 		}
 	}
--- a/internal/mesh/replication/store_test.go
+++ b/internal/mesh/replication/store_test.go
@@ -18,29 +18,29 @@
 	Convey("Given a store that was founded and written to", t, func() {
 		dir := t.TempDir()
 		address := memberA.Address()
-		s, state, err := Open(dir, address)
+		s, state, err := OpenStore(dir, address)
 		So(err, ShouldBeNil)
 		So(state, ShouldResemble, State{})
 		three := Membership{Voters: allMembers[:3]}
-		So(s.Found(State{ID: memberA + "#7", Cluster: testCluster, Snapshot: Snapshot{Membership: three}}), ShouldBeNil)
+		So(s.Initialize(State{ID: memberA + "#7", Cluster: testCluster, Snapshot: Snapshot{Membership: three}}), ShouldBeNil)
 		hard := HardState{Term: 3, Vote: memberB}
 		four := Membership{Voters: allMembers[:4], Outgoing: allMembers[:3]}
 		entries := []Entry{
 			{Index: 1, Term: 1},
-			{Index: 2, Term: 1, Cmd: []byte("x")},
-			{Index: 3, Term: 2, Cmd: make([]byte, 2*writeBuffer)},
-			{Index: 4, Term: 2, Cmd: []byte("y")},
-			{Index: 5, Term: 2, Kind: EntryMembership, Cmd: four.encode()},
+			{Index: 2, Term: 1, Command: []byte("x")},
+			{Index: 3, Term: 2, Command: make([]byte, 2*writeBuffer)},
+			{Index: 4, Term: 2, Command: []byte("y")},
+			{Index: 5, Term: 2, Kind: EntryMembership, Command: four.encode()},
 		}
-		So(s.Save(&Persist{Hard: &hard, Entries: entries}), ShouldBeNil)
-		replaced := []Entry{{Index: 4, Term: 3, Cmd: []byte("z")}, {Index: 5, Term: 3, Kind: EntryMembership, Cmd: four.encode()}}
-		So(s.Save(&Persist{TruncateFrom: 4, Entries: replaced}), ShouldBeNil)
+		So(s.Save(&WriteBatch{HardState: &hard, Entries: entries}), ShouldBeNil)
+		replaced := []Entry{{Index: 4, Term: 3, Command: []byte("z")}, {Index: 5, Term: 3, Kind: EntryMembership, Command: four.encode()}}
+		So(s.Save(&WriteBatch{TruncateFrom: 4, Entries: replaced}), ShouldBeNil)
 		snapshot := Snapshot{Index: 2, Term: 1, Membership: three, Data: []byte("s")}
-		So(s.Save(&Persist{Snapshot: &snapshot}), ShouldBeNil)
-		want := State{ID: memberA + "#7", Cluster: testCluster, Hard: hard, Snapshot: snapshot, Entries: append(entries[2:3:3], replaced...)}
+		So(s.Save(&WriteBatch{Snapshot: &snapshot}), ShouldBeNil)
+		want := State{ID: memberA + "#7", Cluster: testCluster, HardState: hard, Snapshot: snapshot, Entries: append(entries[2:3:3], replaced...)}
 		reopened := func() State {
 			So(s.Close(), ShouldBeNil)
-			s, state, err = Open(dir, "10.9.9.9:1")
+			s, state, err = OpenStore(dir, "10.9.9.9:1")
 			So(err, ShouldBeNil)
 			So(s.Close(), ShouldBeNil)
 			return state
@@ -50,13 +50,13 @@
 			So(reopened(), ShouldResemble, want)
 		})
 		Convey("a write that was refused and got there all the same leaves nothing behind what takes its place", func() {
-			refused := &Persist{Entries: []Entry{{Index: 6, Term: 3, Cmd: []byte("6")}, {Index: 7, Term: 3, Cmd: []byte("7")}}}
+			refused := &WriteBatch{Entries: []Entry{{Index: 6, Term: 3, Command: []byte("6")}, {Index: 7, Term: 3, Command: []byte("7")}}}
 			batch, _, last, err := s.batch(refused)
 			So(err, ShouldBeNil)
 			So(s.db.Write(batch, &opt.WriteOptions{Sync: true}), ShouldBeNil)
 			s.tried = last // as Save notes it when the sync fails
-			newer := Entry{Index: 6, Term: 4, Cmd: []byte("newer")}
-			So(s.Save(&Persist{TruncateFrom: 6, Entries: []Entry{newer}}), ShouldBeNil)
+			newer := Entry{Index: 6, Term: 4, Command: []byte("newer")}
+			So(s.Save(&WriteBatch{TruncateFrom: 6, Entries: []Entry{newer}}), ShouldBeNil)
 			want.Entries = append(want.Entries, newer)
 			So(reopened(), ShouldResemble, want)
 		})
@@ -66,7 +66,7 @@
 			journal := journals[len(journals)-1]
 			before, err := os.Stat(journal)
 			So(err, ShouldBeNil)
-			So(s.Save(&Persist{Entries: []Entry{{Index: 6, Term: 3, Cmd: []byte("torn")}}}), ShouldBeNil)
+			So(s.Save(&WriteBatch{Entries: []Entry{{Index: 6, Term: 3, Command: []byte("torn")}}}), ShouldBeNil)
 			after, err := os.Stat(journal)
 			So(err, ShouldBeNil)
 			So(s.Close(), ShouldBeNil)
@@ -80,10 +80,10 @@
 			for _, m := range manifests {
 				So(os.WriteFile(m, []byte("no manifest"), 0o600), ShouldBeNil)
 			}
-			_, _, err = Open(dir, address)
+			_, _, err = OpenStore(dir, address)
 			So(errs.Of(err), ShouldEqual, errs.DiskFailed)
-			So(Damaged(err), ShouldBeTrue)
-			s, state, err = OpenOrDiscard(dir, address, zap.NewNop())
+			So(IsCorrupt(err), ShouldBeTrue)
+			s, state, err = OpenOrReset(dir, address, zap.NewNop())
 			So(err, ShouldBeNil)
 			So(state, ShouldResemble, State{})
 			So(s.Close(), ShouldBeNil)
@@ -100,7 +100,7 @@
 		So(err, ShouldBeNil)
 		So(db.Put([]byte(key), data, &opt.WriteOptions{Sync: true}), ShouldBeNil)
 	}
-	e := Entry{Index: 1, Term: 4, Cmd: []byte("kept")}
+	e := Entry{Index: 1, Term: 4, Command: []byte("kept")}
 	So(db.Put(entryKey(1), encodeEntry(&e), &opt.WriteOptions{Sync: true}), ShouldBeNil)
 	So(db.Close(), ShouldBeNil)
 }
@@ -114,13 +114,13 @@
 		dir := t.TempDir()
 		earlierStore(dir, map[string]any{"members": seeds, "hard": hard(true)})
 		for range 2 {
-			s, state, err := Open(dir, seeds[0])
+			s, state, err := OpenStore(dir, seeds[0])
 			So(err, ShouldBeNil)
 			So(s.Close(), ShouldBeNil)
 			cluster, membership := Bootstrap(seeds)
 			So(state, ShouldResemble, State{
-				ID: memberA, Cluster: cluster, Hard: HardState{Term: 4, Vote: memberB},
-				Snapshot: Snapshot{Membership: membership}, Entries: []Entry{{Index: 1, Term: 4, Cmd: []byte("kept")}},
+				ID: memberA, Cluster: cluster, HardState: HardState{Term: 4, Vote: memberB},
+				Snapshot: Snapshot{Membership: membership}, Entries: []Entry{{Index: 1, Term: 4, Command: []byte("kept")}},
 			})
 		}
 	})
@@ -132,10 +132,10 @@
 		} {
 			dir := t.TempDir()
 			earlierStore(dir, values)
-			_, _, err := Open(dir, seeds[0])
+			_, _, err := OpenStore(dir, seeds[0])
 			So(errs.Of(err), ShouldEqual, errs.DiskFailed)
-			So(Damaged(err), ShouldBeTrue)
-			s, state, err := OpenOrDiscard(dir, seeds[0], zap.NewNop())
+			So(IsCorrupt(err), ShouldBeTrue)
+			s, state, err := OpenOrReset(dir, seeds[0], zap.NewNop())
 			So(err, ShouldBeNil)
 			So(state, ShouldResemble, State{})
 			So(s.Close(), ShouldBeNil)
@@ -143,11 +143,11 @@
 	})
 	Convey("A disk of another cluster keeps its identity: its messages are refused by ours, and ours by it", t, func() {
 		dir := t.TempDir()
-		s, _, err := Open(dir, seeds[0])
+		s, _, err := OpenStore(dir, seeds[0])
 		So(err, ShouldBeNil)
-		So(s.Found(State{ID: memberA, Cluster: testCluster + 1}), ShouldBeNil)
+		So(s.Initialize(State{ID: memberA, Cluster: testCluster + 1}), ShouldBeNil)
 		So(s.Close(), ShouldBeNil)
-		s, state, err := Open(dir, seeds[0])
+		s, state, err := OpenStore(dir, seeds[0])
 		So(err, ShouldBeNil)
 		So(state.Cluster, ShouldEqual, testCluster+1)
 		So(s.Close(), ShouldBeNil)
@@ -157,19 +157,19 @@
 func TestFoundAgain(t *testing.T) {
 	Convey("A disk that refused to be founded, or a write, takes the next try", t, func() {
 		dir := t.TempDir()
-		s, _, err := Open(dir, memberA.Address())
+		s, _, err := OpenStore(dir, memberA.Address())
 		So(err, ShouldBeNil)
 		refuse := func() { So(s.db.Close(), ShouldBeNil) } // as a journal that failed once
 		state := State{ID: memberA, Cluster: testCluster, Snapshot: Snapshot{Membership: Membership{Voters: allMembers[:3]}}}
 		refuse()
-		So(errs.Of(s.Found(state)), ShouldEqual, errs.DiskFailed)
-		So(s.Found(state), ShouldBeNil)
-		entry := &Persist{Entries: []Entry{{Index: 1, Term: 1, Cmd: []byte("x")}}}
+		So(errs.Of(s.Initialize(state)), ShouldEqual, errs.DiskFailed)
+		So(s.Initialize(state), ShouldBeNil)
+		entry := &WriteBatch{Entries: []Entry{{Index: 1, Term: 1, Command: []byte("x")}}}
 		refuse()
 		So(errs.Of(s.Save(entry)), ShouldEqual, errs.DiskFailed)
 		So(s.Save(entry), ShouldBeNil)
 		So(s.Close(), ShouldBeNil)
-		s, read, err := Open(dir, memberA.Address())
+		s, read, err := OpenStore(dir, memberA.Address())
 		So(err, ShouldBeNil)
 		So(s.Close(), ShouldBeNil)
 		state.Entries = entry.Entries
--- a/internal/mesh/replication/transport.go
+++ b/internal/mesh/replication/transport.go
@@ -145,8 +145,8 @@
 	return nil
 }
 
-// Register serves the node's side of the post. While held gives none, nothing is taken.
-func Register(mux *http.ServeMux, held func() *Node) {
+// RegisterRoutes serves the node's side of the post. While held gives none, nothing is taken.
+func RegisterRoutes(mux *http.ServeMux, held func() *Node) {
 	rpc.Handle(mux, Path, maxBody, func(r *http.Request, q *letter) (*letter, error) {
 		node := held()
 		if node == nil {
--- a/internal/mesh/replication/types.go
+++ b/internal/mesh/replication/types.go
@@ -49,10 +49,10 @@
 
 // Entry is one numbered place of the log.
 type Entry struct {
-	Index Index     `json:"i"`
-	Term  Term      `json:"v"`
-	Kind  EntryKind `json:"k,omitempty"`
-	Cmd   []byte    `json:"c,omitempty"`
+	Index   Index     `json:"i"`
+	Term    Term      `json:"v"`
+	Kind    EntryKind `json:"k,omitempty"`
+	Command []byte    `json:"c,omitempty"`
 }
 
 // Snapshot is the application's state after every entry up to Index, and the membership there.
@@ -73,26 +73,26 @@
 
 // State is all that a replica keeps on disk.
 type State struct {
-	ID       MemberID
-	Cluster  ClusterID
-	Hard     HardState
-	Snapshot Snapshot
-	Entries  []Entry
+	ID        MemberID
+	Cluster   ClusterID
+	HardState HardState
+	Snapshot  Snapshot
+	Entries   []Entry
 }
 
-// Persist is what must be synced, in one piece, before the messages of the same Ready may go.
+// WriteBatch is what must be synced, in one piece, before the messages of the same Ready may go.
 // Everything from TruncateFrom on (when it isn't 0) is dropped first, everything up to
 // Snapshot.Index too, then Entries are written.
-type Persist struct {
-	Hard         *HardState
+type WriteBatch struct {
+	HardState    *HardState
 	Snapshot     *Snapshot
 	TruncateFrom Index
 	Entries      []Entry
 }
 
-// Settlement says how a proposal or a read ended. Aborted means unclear for a proposal (it may be
+// Completion says how a proposal or a read ended. Aborted means unclear for a proposal (it may be
 // committed later or never) and not done for a read.
-type Settlement struct {
+type Completion struct {
 	Token   uint64
 	Index   Index
 	Aborted bool
@@ -107,22 +107,22 @@
 // Ready is what a replica wants done, in this order: sync Persist, send Messages, restore Restore,
 // apply Committed, tell Proposals and Reads.
 type Ready struct {
-	Persist   *Persist
-	Messages  []Envelope
-	Restore   *Snapshot
-	Committed []Entry
-	Proposals []Settlement
-	Reads     []Settlement
+	Persist            *WriteBatch
+	Messages           []Envelope
+	Restore            *Snapshot
+	CommittedEntries   []Entry
+	CompletedProposals []Completion
+	CompletedReads     []Completion
 }
 
 // Progress is what a leader knows of another replica.
 type Progress struct {
-	ID    MemberID
-	Voter bool
+	ID      MemberID
+	IsVoter bool
 	// Match is the last entry known to be synced there.
 	Match Index
-	// Silent is how long ago the newest message that it answered was sent.
-	Silent time.Duration
+	// SinceLastContact is how long ago the newest message that it answered was sent.
+	SinceLastContact time.Duration
 	// CaughtUp says that it holds all that is committed.
 	CaughtUp bool
 }
--- a/internal/mesh/replication/world_test.go
+++ b/internal/mesh/replication/world_test.go
@@ -78,7 +78,7 @@
 	born    time.Duration
 	frozen  bool
 	busy    bool
-	saving  *Persist
+	saving  *WriteBatch
 	full    bool
 	slow    time.Duration
 	disk    State
@@ -235,7 +235,7 @@
 	n.contactLeader, n.contactTerm = "", 0
 	state := n.disk
 	state.Entries = slices.Clone(state.Entries)
-	replica, err := New(Config{State: state, Seed: w.rng.Uint64()}, 0)
+	replica, err := NewReplica(ReplicaConfig{State: state, Seed: w.rng.Uint64()}, 0)
 	if err != nil {
 		w.fault("%s doesn't start: %v", n.id, err)
 		return
@@ -257,9 +257,9 @@
 }
 
 // put is what a disk holds after p.
-func (s *State) put(p *Persist) {
-	if p.Hard != nil {
-		s.Hard = *p.Hard
+func (s *State) put(p *WriteBatch) {
+	if p.HardState != nil {
+		s.HardState = *p.HardState
 	}
 	if p.TruncateFrom > 0 {
 		s.Entries = slices.DeleteFunc(slices.Clone(s.Entries), func(e Entry) bool { return e.Index >= p.TruncateFrom })
@@ -340,7 +340,7 @@
 			// A refused write may have got there all the same.
 			n.disk.put(r.Persist)
 		}
-		n.replica.Failed(w.clock(n), &r)
+		n.replica.PersistFailed(w.clock(n), &r)
 	} else {
 		n.disk.put(r.Persist)
 		w.finish(n, &r)
@@ -358,7 +358,7 @@
 		w.restore(n, r.Restore)
 		w.count("snapshot installed")
 	}
-	for _, e := range r.Committed {
+	for _, e := range r.CommittedEntries {
 		w.apply(n, e)
 	}
 	n.replica.Advance(w.clock(n), r)
@@ -395,10 +395,10 @@
 		w.noteMembership(n, &e)
 		return
 	}
-	if len(e.Cmd) == 0 {
+	if len(e.Command) == 0 {
 		return
 	}
-	a := applied{index: e.Index, id: int(binary.BigEndian.Uint64(e.Cmd))}
+	a := applied{index: e.Index, id: int(binary.BigEndian.Uint64(e.Command))}
 	w.checkPlace(n, a)
 	n.list = append(n.list, a)
 	n.register = w.commands[a.id].apply(n.register)
