--- a/internal/mesh/balancer/attempt.go
+++ b/internal/mesh/balancer/attempt.go
@@ -19,7 +19,7 @@
 		return false
 	}
 	further := r.arrivals > r.paid // the budget is asked where it is spent: others may have spent it since
-	if further && !b.cfg.Budget.May(now, r.order.Service) {
+	if further && !b.cfg.RetryBudget.Allowed(now, r.order.Service) {
 		return false
 	}
 	u := b.pick(now, r)
@@ -40,7 +40,7 @@
 	}
 	if further {
 		r.paid = r.arrivals
-		b.cfg.Budget.Spent(now, r.order.Service)
+		b.cfg.RetryBudget.Charge(now, r.order.Service)
 	}
 	r.attempts = append(r.attempts, attempt{to: u, sent: now})
 	r.out = true
@@ -86,7 +86,7 @@
 		r.arrivals++
 		r.mayRun = true
 	}
-	if r.mayRun && !r.order.Safe || r.arrivals >= max(1, r.order.Attempts) || now >= r.deadline {
+	if r.mayRun && !r.order.Idempotent || r.arrivals >= max(1, r.order.MaxAttempts) || now >= r.deadline {
 		b.finish(r)
 		return
 	}
@@ -109,7 +109,7 @@
 
 // again says whether a request that came to an upstream may go to another.
 func (b *Balancer) again(now time.Duration, r *request, end policy.Ending) bool {
-	if !b.cfg.Budget.May(now, r.order.Service) {
+	if !b.cfg.RetryBudget.Allowed(now, r.order.Service) {
 		return false
 	}
 	if end == policy.Errored {
@@ -141,7 +141,7 @@
 
 // pause is when a client is to come back: after a part of its aim that leaves the new try within it.
 func (b *Balancer) pause(r *request) time.Duration {
-	return min(pauseMost, max(pauseLeast, r.order.Aim/8))
+	return min(pauseMost, max(pauseLeast, r.order.LatencyTarget/8))
 }
 
 // settle closes a request that has its answer. It is forgotten once nothing of it is out.
--- a/internal/mesh/balancer/balancer.go
+++ b/internal/mesh/balancer/balancer.go
@@ -50,29 +50,29 @@
 	forgetAfter = 30 * time.Second
 )
 
-// Order is what a request asks for: policy.Request.Terms.
-type Order struct {
-	Service  int // number of the service that is to run it, as policy.Server.Cell has it
-	Wall     Wall
-	Tenant   string        // "": none
-	Rank     int           // 0 goes first
-	Safe     bool          // it may run more than once
-	Attempts int           // upstreams that it may be sent to at most
-	Aim      time.Duration // an answer within this is worth all
+// RequestClass is what a request asks for: policy.Request.Terms.
+type RequestClass struct {
+	Service       int // number of the service that is to run it, as policy.Server.Cell has it
+	Compartment   CompartmentSpec
+	Tenant        string        // "": none
+	Priority      int           // 0 goes first
+	Idempotent    bool          // it may run more than once
+	MaxAttempts   int           // upstreams that it may be sent to at most
+	LatencyTarget time.Duration // an answer within this is worth all
 }
 
-// Budget bounds arrivals at a service after each request's first.
-type Budget interface {
-	Request(now time.Duration, service int)
-	May(now time.Duration, service int) bool
-	Spent(now time.Duration, service int)
+// RetryBudget bounds arrivals at a service after each request's first.
+type RetryBudget interface {
+	RecordRequest(now time.Duration, service int)
+	Allowed(now time.Duration, service int) bool
+	Charge(now time.Duration, service int)
 }
 
 // Config is what a Balancer is made of.
 type Config struct {
-	Zone    int        // policy.Server.Zone of those beside us
-	Members func() int // sidecars that share the upstreams, at least 1
-	Budget  Budget
+	Zone        int        // policy.Server.Zone of those beside us
+	Members     func() int // sidecars that share the upstreams, at least 1
+	RetryBudget RetryBudget
 }
 
 // Balancer is the module. One goroutine calls it.
@@ -94,7 +94,7 @@
 
 type request struct {
 	id       policy.RequestID
-	order    *Order
+	order    *RequestClass
 	home     *compartment
 	arrived  time.Duration
 	deadline time.Duration
@@ -124,19 +124,19 @@
 
 // Request takes a request on.
 func (b *Balancer) Request(now time.Duration, q policy.Request) {
-	o, ok := q.Terms.(*Order)
+	o, ok := q.Terms.(*RequestClass)
 	if !ok || q.Left <= endMargin || b.requests[q.ID] != nil {
 		b.count.Refused++
 		b.host.Refuse(q.ID, 0)
 		return
 	}
-	b.cfg.Budget.Request(now, o.Service)
+	b.cfg.RetryBudget.RecordRequest(now, o.Service)
 	b.errors[o.Service] = min(errorMost, b.errors[o.Service]+errorShare)
 	r := &request{
-		id: q.ID, order: o, home: b.compartment(now, o.Wall), arrived: now, deadline: now + q.Left - endMargin,
+		id: q.ID, order: o, home: b.compartment(now, o.Compartment), arrived: now, deadline: now + q.Left - endMargin,
 	}
-	r.until = min(r.deadline, now+time.Duration(waitShare*float64(o.Aim)))
-	if o.Rank == 0 { // an internal check has no other try, and takes the request that made it along
+	r.until = min(r.deadline, now+time.Duration(waitShare*float64(o.LatencyTarget)))
+	if o.Priority == 0 { // an internal check has no other try, and takes the request that made it along
 		r.until = min(r.deadline, max(r.until, now+time.Duration(urgentShare*float64(q.Left))))
 	}
 	b.requests[q.ID] = r
--- a/internal/mesh/balancer/balancer_test.go
+++ b/internal/mesh/balancer/balancer_test.go
@@ -49,14 +49,14 @@
 	s.said = append(s.said, fmt.Sprintf("cancel %d.%d", id, attempt))
 }
 
-func (s *scene) Wake(d time.Duration)            { s.wakes = append(s.wakes, s.now+d) }
-func (s *scene) Request(time.Duration, int)      {}
-func (s *scene) May(_ time.Duration, _ int) bool { return s.leave > s.spent }
-func (s *scene) Spent(time.Duration, int)        { s.spent++ }
+func (s *scene) Wake(d time.Duration)                { s.wakes = append(s.wakes, s.now+d) }
+func (s *scene) RecordRequest(time.Duration, int)    {}
+func (s *scene) Allowed(_ time.Duration, _ int) bool { return s.leave > s.spent }
+func (s *scene) Charge(time.Duration, int)           { s.spent++ }
 
 func newScene(servers ...policy.Server) *scene {
 	s := &scene{now: time.Second, send: func(policy.RequestID, policy.ServerID, time.Duration) {}, answer: func(policy.RequestID, bool) {}}
-	s.p = New(Config{Zone: 0, Members: func() int { return 1 }, Budget: s}, s)
+	s.p = New(Config{Zone: 0, Members: func() int { return 1 }, RetryBudget: s}, s)
 	s.p.Start(s.now)
 	s.p.List(s.now, policy.ListFull, servers)
 	return s
@@ -68,15 +68,15 @@
 }
 
 // order asks for service 0 with the whole of the slots, a second and an aim of half of it, and two arrivals.
-func order(change ...func(*Order)) *Order {
-	o := &Order{Wall: Wall{Name: "all", Share: 1}, Rank: 1, Safe: true, Attempts: 2, Aim: 500 * ms}
+func order(change ...func(*RequestClass)) *RequestClass {
+	o := &RequestClass{Compartment: CompartmentSpec{Name: "all", Share: 1}, Priority: 1, Idempotent: true, MaxAttempts: 2, LatencyTarget: 500 * ms}
 	for _, c := range change {
 		c(o)
 	}
 	return o
 }
 
-func (s *scene) ask(id policy.RequestID, o *Order) []string {
+func (s *scene) ask(id policy.RequestID, o *RequestClass) []string {
 	s.p.Request(s.now, policy.Request{ID: id, Left: time.Second, Terms: o})
 	return s.heard()
 }
@@ -127,8 +127,8 @@
 }
 
 func TestCompartments(t *testing.T) {
-	of := func(name string) *Order {
-		return order(func(o *Order) { o.Wall, o.Tenant = Wall{Name: name, Share: 0.25}, name })
+	of := func(name string) *RequestClass {
+		return order(func(o *RequestClass) { o.Compartment, o.Tenant = CompartmentSpec{Name: name, Share: 0.25}, name })
 	}
 	Convey("A flood of one tenant fills its own slots and places, the rest is refused at once and no slot of another is taken", t, func() {
 		s := newScene(ready(1, 0, 40), ready(2, 0, 40), ready(3, 0, 40))
@@ -154,7 +154,9 @@
 	})
 	Convey("Internal checks have their least slots, and wait for a good part of their time", t, func() {
 		s := newScene(ready(1, 0, 20))
-		check := order(func(o *Order) { o.Wall, o.Rank, o.Aim = Wall{Name: "checks", Share: 0.01, Least: 12}, 0, 100*ms })
+		check := order(func(o *RequestClass) {
+			o.Compartment, o.Priority, o.LatencyTarget = CompartmentSpec{Name: "checks", Share: 0.01, MinSlots: 12}, 0, 100*ms
+		})
 		for id := policy.RequestID(1); id <= 12; id++ {
 			So(s.ask(id, check), ShouldResemble, []string{fmt.Sprintf("send %d to 1", id)})
 		}
@@ -169,7 +171,7 @@
 			So(s.heard(), ShouldResemble, []string{fmt.Sprintf("refuse %d", left)})
 		}
 		s = newScene()
-		s.p.Request(s.now, policy.Request{ID: 1, Left: endMargin + ms, Terms: order(func(o *Order) { o.Rank = 0 })})
+		s.p.Request(s.now, policy.Request{ID: 1, Left: endMargin + ms, Terms: order(func(o *RequestClass) { o.Priority = 0 })})
 		s.now += ms
 		s.p.List(s.now, policy.ListFull, []policy.Server{ready(1, 0, 1)})
 		So(s.heard(), ShouldResemble, []string{"refuse 1"})
@@ -178,7 +180,7 @@
 		s := newScene(ready(1, 0, 1))
 		s.ask(1, order())
 		s.end(1, 0, policy.Served, 2)
-		So(s.ask(2, order(func(o *Order) { o.Aim = 10 * time.Second })), ShouldBeEmpty)
+		So(s.ask(2, order(func(o *RequestClass) { o.LatencyTarget = 10 * time.Second })), ShouldBeEmpty)
 		So(s.advance(toldFor+20*ms), ShouldResemble, []string{"send 2 to 1"})
 	})
 	Convey("Nobody overtakes who waits in the same compartment", t, func() {
@@ -246,7 +248,7 @@
 	Convey("What never came to an upstream goes elsewhere and costs nothing, also what is not safe", t, func() {
 		for _, ending := range []policy.Ending{policy.Gated, policy.NoConnection, policy.NotSent} {
 			s := newScene(three...)
-			s.ask(1, order(func(o *Order) { o.Safe, o.Attempts = false, 1 }))
+			s.ask(1, order(func(o *RequestClass) { o.Idempotent, o.MaxAttempts = false, 1 }))
 			So(s.end(1, 0, ending), ShouldResemble, []string{"send 1 to 2"})
 			So(s.end(1, 1, ending), ShouldResemble, []string{"send 1 to 3"})
 			So(s.spent, ShouldEqual, 0)
@@ -254,7 +256,7 @@
 	})
 	Convey("What came to one goes on with the budget's leave, is charged for as it is sent, and never where it may run twice", t, func() {
 		for _, ending := range []policy.Ending{policy.TurnedAway, policy.Broken, policy.TimedOut, policy.Cancelled, policy.Ending(99)} {
-			unsafe := order(func(o *Order) { o.Safe = false })
+			unsafe := order(func(o *RequestClass) { o.Idempotent = false })
 			free := ending == policy.TurnedAway // it has not run
 			s := newScene(three...)
 			s.ask(1, order())
@@ -327,7 +329,7 @@
 
 // play is a request of a random trace, as the test keeps account of it.
 type play struct {
-	order                    *Order
+	order                    *RequestClass
 	deadline, until          time.Duration
 	sends, arrivals, charged int
 	mayRun, out, over        bool
@@ -345,9 +347,9 @@
 		charged, ended := 0, policy.RequestID(0) // the one whose attempt ends now: where slots have become fewer meanwhile it goes on with its own
 		s.send = func(id policy.RequestID, to policy.ServerID, timeout time.Duration) {
 			r, u := all[id], servers[to]
-			w := s.p.compartments[r.order.Wall.Name]
+			w := s.p.compartments[r.order.Compartment.Name]
 			switch {
-			case r.over || r.out || r.mayRun && !r.order.Safe || r.arrivals >= max(1, r.order.Attempts):
+			case r.over || r.out || r.mayRun && !r.order.Idempotent || r.arrivals >= max(1, r.order.MaxAttempts):
 				t.Fatalf("request %d sent as %+v", id, r)
 			case u.State != policy.Ready || u.Cell != r.order.Service:
 				t.Fatalf("request %d for service %d sent to %+v", id, r.order.Service, u)
@@ -374,7 +376,7 @@
 		end := func(id policy.RequestID, ending policy.Ending, load policy.Load) {
 			r := all[id]
 			r.out, ended = false, id
-			out[r.order.Wall.Name]--
+			out[r.order.Compartment.Name]--
 			switch ending {
 			case policy.Gated, policy.NoConnection, policy.NotSent:
 			case policy.TurnedAway:
@@ -424,19 +426,19 @@
 			default:
 				for range rapid.IntRange(1, 5).Draw(t, "burst") {
 					id := policy.RequestID(len(all) + 1)
-					o := order(func(o *Order) {
-						o.Service, o.Safe, o.Attempts = rapid.IntRange(0, 1).Draw(t, "service"), rapid.Bool().Draw(t, "safe"), rapid.IntRange(0, 3).Draw(t, "attempts")
-						o.Rank, o.Aim = rapid.IntRange(0, 2).Draw(t, "rank"), time.Duration(rapid.IntRange(10, 2000).Draw(t, "aim"))*ms
-						o.Wall = Wall{Name: fmt.Sprint(rapid.IntRange(0, 2).Draw(t, "wall")), Share: 0.3}
+					o := order(func(o *RequestClass) {
+						o.Service, o.Idempotent, o.MaxAttempts = rapid.IntRange(0, 1).Draw(t, "service"), rapid.Bool().Draw(t, "safe"), rapid.IntRange(0, 3).Draw(t, "attempts")
+						o.Priority, o.LatencyTarget = rapid.IntRange(0, 2).Draw(t, "rank"), time.Duration(rapid.IntRange(10, 2000).Draw(t, "aim"))*ms
+						o.Compartment = CompartmentSpec{Name: fmt.Sprint(rapid.IntRange(0, 2).Draw(t, "wall")), Share: 0.3}
 					})
 					left := time.Duration(rapid.IntRange(10, 1500).Draw(t, "left")) * ms
-					r := &play{order: o, deadline: s.now + left, until: min(s.now+left-endMargin, s.now+o.Aim/5)}
-					if o.Rank == 0 {
+					r := &play{order: o, deadline: s.now + left, until: min(s.now+left-endMargin, s.now+o.LatencyTarget/5)}
+					if o.Priority == 0 {
 						r.until = max(r.until, s.now+time.Duration(urgentShare*float64(left)))
 					}
 					all[id] = r
 					s.p.Request(s.now, policy.Request{ID: id, Left: left, Terms: o})
-					if w := s.p.compartments[o.Wall.Name]; !r.over && !r.out && len(w.queue) > w.places {
+					if w := s.p.compartments[o.Compartment.Name]; !r.over && !r.out && len(w.queue) > w.places {
 						t.Fatalf("request %d waits as one of %d for %d places", id, len(w.queue), w.places)
 					}
 				}
--- a/internal/mesh/balancer/compartment.go
+++ b/internal/mesh/balancer/compartment.go
@@ -7,11 +7,11 @@
 	"caperarch/internal/sizing"
 )
 
-// Wall names a request's compartment and tells its part of all of them.
-type Wall struct {
-	Name  string
-	Share float64 // of the slots of all compartments, above 0 and below 1
-	Least int     // slots that it has at least: internal checks come many at once from few sidecars
+// CompartmentSpec names a request's compartment and tells its part of all of them.
+type CompartmentSpec struct {
+	Name     string
+	Share    float64 // of the slots of all compartments, above 0 and below 1
+	MinSlots int     // slots that it has at least: internal checks come many at once from few sidecars
 }
 
 type compartment struct {
@@ -31,7 +31,7 @@
 }
 
 // compartment is the one of a name, sized by its share now.
-func (b *Balancer) compartment(now time.Duration, w Wall) *compartment {
+func (b *Balancer) compartment(now time.Duration, w CompartmentSpec) *compartment {
 	c := b.compartments[w.Name]
 	if c == nil {
 		c = &compartment{name: w.Name}
@@ -42,8 +42,8 @@
 		b.members = n
 		b.resize()
 	}
-	if c.share != w.Share || c.least != w.Least {
-		c.share, c.least = w.Share, w.Least
+	if c.share != w.Share || c.least != w.MinSlots {
+		c.share, c.least = w.Share, w.MinSlots
 		b.size(c)
 	}
 	return c
--- a/internal/mesh/controlplane/controlplane.go
+++ b/internal/mesh/controlplane/controlplane.go
@@ -108,7 +108,7 @@
 	s.serveAnnouncements(inside)
 	replication.RegisterRoutes(inside, s.node.Load)
 	s.hub.Register(inside)
-	rpc.Handle(inside, sidecar.DealPath, dealLimit, s.deal)
+	rpc.Handle(inside, sidecar.AllocatePath, dealLimit, s.deal)
 	s.serveOrders(inside)
 	for _, mux := range []*http.ServeMux{inside, outside} { // sidecars pass operators' calls on inside
 		api.Upstreams(mux, s)
--- a/internal/mesh/controlplane/deal.go
+++ b/internal/mesh/controlplane/deal.go
@@ -21,7 +21,7 @@
 
 // deal answers a sidecar's request for tokens. Only the leader deals; any other member passes the
 // request on to the leader that it knows.
-func (s *Server) deal(r *http.Request, request *sidecar.DealAsk) (*sidecar.Dealt, error) {
+func (s *Server) deal(r *http.Request, request *sidecar.AllocateRequest) (*sidecar.AllocateResponse, error) {
 	leader, term := s.leader()
 	if leader != s.set.Internal() {
 		return s.passToDealer(r, leader, request)
@@ -30,28 +30,28 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.now()
-	if err := s.dealer.Configure(now, sidecar.Limits(s.machine.current()), max(1, live, largest)); err != nil {
+	if err := s.dealer.Configure(now, sidecar.TenantLimits(s.machine.current()), max(1, live, largest)); err != nil {
 		return nil, err
 	}
 	if err := s.mayDeal(term); err != nil {
 		return nil, err
 	}
-	grants, closed, err := s.dealer.Deal(now, term, request.Node, request.Asks)
+	grants, closed, err := s.dealer.Deal(now, term, request.Node, request.Demands)
 	if err != nil {
 		return nil, err
 	}
-	return &sidecar.Dealt{Epoch: term, Grants: grants, Closed: closed}, nil
+	return &sidecar.AllocateResponse{Epoch: term, Grants: grants, Throttled: closed}, nil
 }
 
 // passToDealer passes a request on to the leader, once: a member that is no leader refuses one that
 // was passed.
-func (s *Server) passToDealer(r *http.Request, leader string, request *sidecar.DealAsk) (*sidecar.Dealt, error) {
-	if leader == "" || request.Passed {
+func (s *Server) passToDealer(r *http.Request, leader string, request *sidecar.AllocateRequest) (*sidecar.AllocateResponse, error) {
+	if leader == "" || request.Forwarded {
 		return nil, errs.New(errs.NotLeader, "nobody deals here")
 	}
-	request.Passed = true
-	url := "http://" + leader + sidecar.DealPath
-	return rpc.Call[sidecar.DealAsk, sidecar.Dealt](r.Context(), s.client, url, request)
+	request.Forwarded = true
+	url := "http://" + leader + sidecar.AllocatePath
+	return rpc.Call[sidecar.AllocateRequest, sidecar.AllocateResponse](r.Context(), s.client, url, request)
 }
 
 // mayDeal says whether this member may deal in the term, at this moment. The contact is asked for
--- a/internal/mesh/controlplane/frames.go
+++ b/internal/mesh/controlplane/frames.go
@@ -26,7 +26,7 @@
 		if change.Base() != version {
 			continue
 		}
-		f := sidecar.Frame{Version: m.configuration.Version()}
+		f := sidecar.ConfigUpdate{Version: m.configuration.Version()}
 		for _, change := range m.kept[i:] {
 			f.Changes = append(f.Changes, change.Bytes())
 		}
@@ -46,14 +46,14 @@
 		m.log.Error("a configuration that can't be written", zap.Error(err))
 		return nil
 	}
-	frames, ok := m.frames(sidecar.Frame{Version: configuration.Version(), Whole: whole})
+	frames, ok := m.frames(sidecar.ConfigUpdate{Version: configuration.Version(), Full: whole})
 	if !ok {
 		return nil
 	}
 	return frames[0]
 }
 
-func (m *stateMachine) frames(f sidecar.Frame) ([]json.RawMessage, bool) {
+func (m *stateMachine) frames(f sidecar.ConfigUpdate) ([]json.RawMessage, bool) {
 	data, err := json.Marshal(f)
 	if err != nil {
 		m.log.Error("a frame that can't be written", zap.Error(err))
--- a/internal/mesh/controlplane/statemachine_test.go
+++ b/internal/mesh/controlplane/statemachine_test.go
@@ -187,7 +187,7 @@
 		settle(m)
 		held := m.current()
 		for _, frame := range []json.RawMessage{old, m.Whole()} {
-			next, err := sidecar.Take(held, frame)
+			next, err := sidecar.ApplyUpdate(held, frame)
 			So(err, ShouldBeNil)
 			So(next, ShouldPointTo, held)
 		}
@@ -199,7 +199,7 @@
 			`{"version":9}`,
 			`{"version":9,"changes":[` + string(put(7, 5, "c").Bytes()) + `]}`,
 		} {
-			next, err := sidecar.Take(held, json.RawMessage(frame))
+			next, err := sidecar.ApplyUpdate(held, json.RawMessage(frame))
 			if err == nil && next.Version() != 9 {
 				wrong = append(wrong, fmt.Sprintf("%s led from 5 to %d", frame, next.Version()))
 			}
@@ -258,7 +258,7 @@
 			}
 			for _, frame := range append(frames, frames...) { // twice does no harm
 				var err error
-				if held, err = sidecar.Take(held, frame); err != nil {
+				if held, err = sidecar.ApplyUpdate(held, frame); err != nil {
 					t.Fatalf("from %d on: %v", history[i].Version(), err)
 				}
 			}
--- a/internal/mesh/gate/fence.go
+++ b/internal/mesh/gate/attempt_log.go
@@ -31,15 +31,17 @@
 	return Key(sum[:len(Key{})])
 }
 
-// Send names one send of a request by its caller's sidecar. A later send of the same request has a
+// SendID names one send of a request by its caller's sidecar. A later send of the same request has a
 // higher number; a late copy of a send has the same one.
-type Send struct {
+type SendID struct {
 	Sender uint64 // drawn anew at each start of a sidecar
 	Number uint64
 }
 
 // after says whether a send is a later one of the same sidecar's.
-func (s Send) after(before Send) bool { return s.Sender == before.Sender && s.Number > before.Number }
+func (s SendID) after(before SendID) bool {
+	return s.Sender == before.Sender && s.Number > before.Number
+}
 
 // admission is what the fence says of a request that arrives.
 type admission int
@@ -63,7 +65,7 @@
 	turnedAway
 )
 
-// Fence remembers requests that must not run twice, so that none of them is sent to the upstream by
+// AttemptLog remembers requests that must not run twice, so that none of them is sent to the upstream by
 // two arrivals, and none that was promised never to run runs after all. It keeps these promises until
 // a request has expired:
 //
@@ -72,7 +74,7 @@
 //     later send of the same sidecar may be.
 //
 // Its methods may be called from any goroutine. The zero value is ready for use.
-type Fence struct {
+type AttemptLog struct {
 	mu      sync.Mutex
 	records map[Key]record
 	last    time.Duration // when time was looked at last
@@ -81,13 +83,13 @@
 }
 
 type record struct {
-	send  Send
+	send  SendID
 	until time.Duration // by age
 	phase phase
 }
 
 // admit takes a request that has arrived whole, with so much time left, and says whether it may go on.
-func (f *Fence) admit(now time.Duration, key Key, send Send, left time.Duration) admission {
+func (f *AttemptLog) admit(now time.Duration, key Key, send SendID, left time.Duration) admission {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.pass(now)
@@ -104,10 +106,10 @@
 	return mayHaveRun
 }
 
-// Promise takes that a send is to be turned away before it came to the gate, and says whether that
+// RecordRejection takes that a send is to be turned away before it came to the gate, and says whether that
 // may be said: not where the request is here by another arrival, nor where there is no room to
 // remember the promise.
-func (f *Fence) Promise(now time.Duration, key Key, send Send, left time.Duration) bool {
+func (f *AttemptLog) RecordRejection(now time.Duration, key Key, send SendID, left time.Duration) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.pass(now)
@@ -122,7 +124,7 @@
 }
 
 // move takes that a request that was admitted came to another phase.
-func (f *Fence) move(key Key, to phase) {
+func (f *AttemptLog) move(key Key, to phase) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if r, known := f.records[key]; known {
@@ -132,13 +134,13 @@
 }
 
 // Size is how many requests are remembered.
-func (f *Fence) Size() int {
+func (f *AttemptLog) Size() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.records)
 }
 
-func (f *Fence) put(key Key, r record) {
+func (f *AttemptLog) put(key Key, r record) {
 	if f.records == nil {
 		f.records = make(map[Key]record)
 	}
@@ -146,7 +148,7 @@
 }
 
 // pass takes that time has passed, and forgets what has expired.
-func (f *Fence) pass(now time.Duration) {
+func (f *AttemptLog) pass(now time.Duration) {
 	f.age += min(max(0, now-f.last), fenceGap)
 	f.last = now
 	if f.age >= f.sweepAt {
@@ -156,7 +158,7 @@
 }
 
 // room says whether one more can be remembered.
-func (f *Fence) room() bool {
+func (f *AttemptLog) room() bool {
 	if len(f.records) >= fenceMost {
 		f.forget()
 	}
@@ -165,7 +167,7 @@
 
 // forget forgets what has expired. A request that waits expires no earlier than it is turned back
 // or sent.
-func (f *Fence) forget() {
+func (f *AttemptLog) forget() {
 	for key, r := range f.records {
 		if f.age >= r.until {
 			delete(f.records, key)
--- a/internal/mesh/gate/fence_test.go
+++ b/internal/mesh/gate/attempt_log_test.go
@@ -14,8 +14,8 @@
 )
 
 // terms are those of a request that must not run twice.
-func terms(id string, sender, number uint64) *Attempt {
-	return &Attempt{Rank: 2, Key: KeyOf(id), Send: Send{Sender: sender, Number: number}}
+func terms(id string, sender, number uint64) *AttemptTerms {
+	return &AttemptTerms{Priority: 2, Key: KeyOf(id), SendID: SendID{Sender: sender, Number: number}}
 }
 
 func TestFence(t *testing.T) {
@@ -71,19 +71,19 @@
 	})
 	Convey("What may run twice is not remembered", t, func() {
 		s := newScene(4)
-		safe := &Attempt{Rank: 2, Safe: true}
+		safe := &AttemptTerms{Priority: 2, Idempotent: true}
 		So(s.arrive(1, safe, left), ShouldResemble, []string{"send 1 to 1 for 0s"})
 		So(s.arrive(2, safe, left), ShouldResemble, []string{"send 2 to 1 for 0s"})
-		So(s.g.Fence().Size(), ShouldEqual, 0)
+		So(s.g.AttemptLog().Size(), ShouldEqual, 0)
 	})
 	Convey("What the front turns away is remembered, and not promised where the request is here by another arrival", t, func() {
 		s := newScene(4)
-		f := s.g.Fence()
-		So(f.Promise(s.now, KeyOf("a"), Send{7, 1}, left), ShouldBeTrue)
+		f := s.g.AttemptLog()
+		So(f.RecordRejection(s.now, KeyOf("a"), SendID{7, 1}, left), ShouldBeTrue)
 		So(s.arrive(1, terms("a", 7, 1), left), ShouldResemble, []string{"refuse 1 10ms"})
 		So(s.arrive(2, terms("a", 7, 2), left), ShouldResemble, []string{"send 2 to 1 for 0s"})
-		So(f.Promise(s.now, KeyOf("a"), Send{7, 3}, left), ShouldBeFalse)
-		So(f.Promise(s.now, KeyOf("a"), Send{7, 1}, left), ShouldBeFalse)
+		So(f.RecordRejection(s.now, KeyOf("a"), SendID{7, 3}, left), ShouldBeFalse)
+		So(f.RecordRejection(s.now, KeyOf("a"), SendID{7, 1}, left), ShouldBeFalse)
 	})
 }
 
@@ -93,30 +93,30 @@
 		return k
 	}
 	Convey("A request is remembered for its own time and a margin while the process runs, however long it stands still", t, func() {
-		var f Fence
-		So(f.admit(0, key(1), Send{7, 1}, 10*time.Minute), ShouldEqual, admitted)
+		var f AttemptLog
+		So(f.admit(0, key(1), SendID{7, 1}, 10*time.Minute), ShouldEqual, admitted)
 		now := 24 * time.Hour // it stood still
-		So(f.admit(now, key(1), Send{7, 1}, time.Second), ShouldEqual, mayHaveRun)
+		So(f.admit(now, key(1), SendID{7, 1}, time.Second), ShouldEqual, mayHaveRun)
 		for range 658 {
 			now += time.Second
-			f.admit(now, key(2), Send{7, 2}, time.Second)
+			f.admit(now, key(2), SendID{7, 2}, time.Second)
 		}
-		So(f.admit(now, key(1), Send{7, 1}, time.Second), ShouldEqual, mayHaveRun)
+		So(f.admit(now, key(1), SendID{7, 1}, time.Second), ShouldEqual, mayHaveRun)
 		for n := range 100 {
 			now += time.Second
-			f.admit(now, key(3+n), Send{7, 2}, time.Second)
+			f.admit(now, key(3+n), SendID{7, 2}, time.Second)
 		}
 		So(f.Size(), ShouldBeLessThan, 70) // those of a margin, and what no look came to yet
-		So(f.admit(now, key(1), Send{7, 9}, time.Second), ShouldEqual, admitted)
+		So(f.admit(now, key(1), SendID{7, 9}, time.Second), ShouldEqual, admitted)
 	})
 	Convey("With no room left nothing is begun and nothing promised, and nothing is forgotten before its time", t, func() {
-		var f Fence
+		var f AttemptLog
 		for n := range fenceMost {
-			f.admit(0, key(n), Send{7, uint64(n)}, time.Second)
+			f.admit(0, key(n), SendID{7, uint64(n)}, time.Second)
 		}
-		So(f.admit(0, key(fenceMost), Send{8, 1}, time.Second), ShouldEqual, mayHaveRun)
-		So(f.Promise(0, key(fenceMost), Send{8, 1}, time.Second), ShouldBeFalse)
-		So(f.admit(0, key(0), Send{7, 0}, time.Second), ShouldEqual, mayHaveRun)
+		So(f.admit(0, key(fenceMost), SendID{8, 1}, time.Second), ShouldEqual, mayHaveRun)
+		So(f.RecordRejection(0, key(fenceMost), SendID{8, 1}, time.Second), ShouldBeFalse)
+		So(f.admit(0, key(0), SendID{7, 0}, time.Second), ShouldEqual, mayHaveRun)
 		So(f.Size(), ShouldEqual, fenceMost)
 	})
 }
--- a/internal/mesh/gate/gate.go
+++ b/internal/mesh/gate/gate.go
@@ -7,7 +7,7 @@
 // request that can't start in time is turned back while its caller can still go elsewhere.
 //
 // A Gate has no goroutines, no clock and no I/O. It is driven like policy.Balancer, by one
-// goroutine; only Load and Mean may be called from others.
+// goroutine; only Load and MeanServiceTime may be called from others.
 package gate
 
 import (
@@ -19,7 +19,7 @@
 )
 
 const (
-	// usualRank is the rank of a request that brings no Attempt.
+	// usualRank is the rank of a request that brings no AttemptTerms.
 	usualRank = 2
 	// lowestRank bounds the number of queues; what ranks lower queues with it.
 	lowestRank = 15
@@ -68,21 +68,21 @@
 	mostRetired = 64
 )
 
-// Attempt is what a request's Terms say of it. The gate goes by Rank and Aim, and by Key and Send
-// where it is not Safe; the rest is for those who answer the request's caller.
-type Attempt struct {
-	Rank     int           // 0 is the highest: internal checks
-	Safe     bool          // it may run twice
-	Attempts int           // of its caller
-	Aim      time.Duration // the time that its caller would like it answered in; 0: none
-	Key      Key
-	Send     Send
+// AttemptTerms is what a request's Terms say of it. The gate goes by Priority and LatencyTarget, and by Key and SendID
+// where it is not Idempotent; the rest is for those who answer the request's caller.
+type AttemptTerms struct {
+	Priority      int           // 0 is the highest: internal checks
+	Idempotent    bool          // it may run twice
+	MaxAttempts   int           // of its caller
+	LatencyTarget time.Duration // the time that its caller would like it answered in; 0: none
+	Key           Key
+	SendID        SendID
 }
 
 // Gate is the decision module.
 type Gate struct {
 	host     policy.Host
-	fence    Fence
+	fence    AttemptLog
 	requests map[policy.RequestID]*request // those that wait, and those whose attempt is out
 	queues   [lowestRank + 1][]*request    // by rank, in the order of arrival
 	waiting  int
@@ -116,11 +116,11 @@
 	sent     bool
 	sentAt   time.Duration
 	to       policy.ServerID
-	terms    *Attempt // nil: it brought none
+	terms    *AttemptTerms // nil: it brought none
 }
 
 // fenced says whether a request must not run twice.
-func (r *request) fenced() bool { return r.terms != nil && !r.terms.Safe }
+func (r *request) fenced() bool { return r.terms != nil && !r.terms.Idempotent }
 
 // New makes a gate that decides nothing until a list names its upstream: requests are turned back
 // until then.
@@ -134,12 +134,12 @@
 	return int(g.load.running.Load()), int(g.load.queued.Load()), int(g.load.slots.Load())
 }
 
-// Mean is the mean time of an attempt of late; 0: none has ended yet. It may be called from any
+// MeanServiceTime is the mean time of an attempt of late; 0: none has ended yet. It may be called from any
 // goroutine.
-func (g *Gate) Mean() time.Duration { return time.Duration(g.load.mean.Load()) }
+func (g *Gate) MeanServiceTime() time.Duration { return time.Duration(g.load.mean.Load()) }
 
-// Fence is what the gate remembers of requests that must not run twice.
-func (g *Gate) Fence() *Fence { return &g.fence }
+// AttemptLog is what the gate remembers of requests that must not run twice.
+func (g *Gate) AttemptLog() *AttemptLog { return &g.fence }
 
 // Start begins the gate's life.
 func (g *Gate) Start(time.Duration) {}
@@ -152,15 +152,15 @@
 	g.advance(now)
 	defer g.settle(now)
 	rank, aim := usualRank, time.Duration(0)
-	if v, ok := q.Terms.(*Attempt); ok && v != nil {
-		rank, aim = min(max(v.Rank, 0), lowestRank), v.Aim
+	if v, ok := q.Terms.(*AttemptTerms); ok && v != nil {
+		rank, aim = min(max(v.Priority, 0), lowestRank), v.LatencyTarget
 	}
 	left := min(q.Left, longestLeft)
 	if aim <= 0 || aim > left {
 		aim = left
 	}
 	r := &request{id: q.ID, rank: rank, came: now, startBy: now + aim/waitShare, deadline: now + left}
-	r.terms, _ = q.Terms.(*Attempt)
+	r.terms, _ = q.Terms.(*AttemptTerms)
 	if r.fenced() && !g.admit(now, r, left) {
 		return
 	}
@@ -295,7 +295,7 @@
 
 // admit asks the fence for a request that must not run twice, and answers one that may not go on.
 func (g *Gate) admit(now time.Duration, r *request, left time.Duration) bool {
-	switch g.fence.admit(now, r.terms.Key, r.terms.Send, max(0, left)) {
+	switch g.fence.admit(now, r.terms.Key, r.terms.SendID, max(0, left)) {
 	case neverRan:
 		g.refuse(now, r)
 		return false
--- a/internal/mesh/gate/gate_test.go
+++ b/internal/mesh/gate/gate_test.go
@@ -62,11 +62,11 @@
 
 func (s *scene) ask(id policy.RequestID, rank int, left, aim time.Duration) []string {
 	s.sends++
-	return s.arrive(id, &Attempt{Rank: rank, Aim: aim, Key: KeyOf(fmt.Sprint(id)), Send: Send{Number: s.sends}}, left)
+	return s.arrive(id, &AttemptTerms{Priority: rank, LatencyTarget: aim, Key: KeyOf(fmt.Sprint(id)), SendID: SendID{Number: s.sends}}, left)
 }
 
 // arrive has an arrival come with the terms given.
-func (s *scene) arrive(id policy.RequestID, terms *Attempt, left time.Duration) []string {
+func (s *scene) arrive(id policy.RequestID, terms *AttemptTerms, left time.Duration) []string {
 	s.g.Request(s.now, policy.Request{ID: id, Left: left, Terms: terms})
 	return s.heard()
 }
@@ -150,7 +150,7 @@
 		s := newScene(1)
 		s.ask(1, 2, time.Second, 0)
 		s.end(100*ms, 1, policy.Served)
-		So(s.g.Mean(), ShouldEqual, 100*ms)
+		So(s.g.MeanServiceTime(), ShouldEqual, 100*ms)
 		s.ask(2, 2, time.Second, 0)
 		So(s.ask(3, 2, time.Second, 400*ms), ShouldResemble, []string{"refuse 3 100ms"}) // a quarter of its aim is no more
 		So(s.ask(4, 2, 190*ms, 0), ShouldResemble, []string{"refuse 4 100ms"})
@@ -204,10 +204,10 @@
 		} {
 			id := policy.RequestID(ending) + 1
 			s.ask(id, 2, time.Second, 0)
-			mean := s.g.Mean()
+			mean := s.g.MeanServiceTime()
 			said := s.end(time.Duration(id)*100*ms, id, ending)
 			if want == "refuse" {
-				So(s.g.Mean(), ShouldEqual, mean)
+				So(s.g.MeanServiceTime(), ShouldEqual, mean)
 			}
 			So(said, ShouldHaveLength, 1)
 			So(said[0], ShouldStartWith, fmt.Sprintf("%s %d", want, id))
--- a/internal/mesh/sidecar/inbound.go
+++ b/internal/mesh/sidecar/inbound.go
@@ -46,7 +46,7 @@
 
 // attemptOf reads what a request says of itself; false: it comes from no sidecar, or says something
 // twice that two readers could heed differently.
-func attemptOf(h *h1.Head) (terms *gate.Attempt, left time.Duration, ok bool) {
+func attemptOf(h *h1.Head) (terms *gate.AttemptTerms, left time.Duration, ok bool) {
 	said, sound := headers.ReadAttempt(h)
 	send, sent := headers.ReadSend(h)
 	left, timed := headers.Milliseconds(h.Get(headers.Timeout))
@@ -54,9 +54,9 @@
 	if !sound || !sent || !timed || id == "" || headers.TwiceSteered(h) {
 		return nil, 0, false
 	}
-	terms = &gate.Attempt{Rank: said.Rank, Safe: said.Safe, Aim: said.Aim}
+	terms = &gate.AttemptTerms{Priority: said.Rank, Idempotent: said.Safe, LatencyTarget: said.Aim}
 	if !said.Safe {
-		terms.Key, terms.Send = gate.KeyOf(id), gate.Send(send)
+		terms.Key, terms.SendID = gate.KeyOf(id), gate.SendID(send)
 	}
 	return terms, left, true
 }
@@ -76,10 +76,10 @@
 		return false
 	}
 	terms, left, ok := attemptOf(h)
-	if !ok || terms.Safe || a != nil && !a.Unasked {
+	if !ok || terms.Idempotent || a != nil && !a.Unasked {
 		return true // one that can't be read is never run by anyone
 	}
-	return i.gate.Fence().Promise(i.clock.Now(), terms.Key, terms.Send, left)
+	return i.gate.AttemptLog().RecordRejection(i.clock.Now(), terms.Key, terms.SendID, left)
 }
 
 // judge says what an upstream's answer proves, and has it tell the gate's load to the caller's sidecar.
--- a/internal/mesh/sidecar/once_test.go
+++ b/internal/mesh/sidecar/once_test.go
@@ -136,7 +136,7 @@
 		m.t.Fatal(err)
 	}
 	e := m.engine(ctx, network{m.transport("caller", "gate", toGates())}, mostSends, func(host policy.Host) engine.Module {
-		return balancer.New(balancer.Config{Members: one, Budget: b.quota}, host)
+		return balancer.New(balancer.Config{Members: one, RetryBudget: b.quota}, host)
 	})
 	b.endpoints.take(true, []registry.Upstream{
 		{Instance: "i-1", Service: "s", Inbound: "gate1", Zone: "z", Slots: 4}, {Instance: "i-2", Service: "s", Inbound: "gate2", Zone: "z", Slots: 4},
@@ -472,7 +472,7 @@
 			t.Errorf("%+v: %v", all, err)
 		}
 		for i, in := range m.gates {
-			if n := in.gate.Fence().Size(); n != 1 {
+			if n := in.gate.AttemptLog().Size(); n != 1 {
 				t.Errorf("gate %d remembers %d requests", i, n)
 			}
 		}
--- a/internal/mesh/sidecar/outbound.go
+++ b/internal/mesh/sidecar/outbound.go
@@ -43,7 +43,7 @@
 }
 
 func (o *outbound) dialect() *http1.Dialect {
-	return &http1.Dialect{Read: o.read, Pass: o.pass, Ahead: func(q *policy.Request) bool { return q.Terms.(*balancer.Order).Safe }, Own: func(h *h1.Head, _ *call.Answer) http.Header {
+	return &http1.Dialect{Read: o.read, Pass: o.pass, Ahead: func(q *policy.Request) bool { return q.Terms.(*balancer.RequestClass).Idempotent }, Own: func(h *h1.Head, _ *call.Answer) http.Header {
 		if id := h.Get(headers.AttemptID); id != "" {
 			return http.Header{headers.AttemptID: {id}}
 		}
@@ -98,7 +98,7 @@
 		aim = standardAim
 	}
 	service := target(route)
-	wall := balancer.Wall{Name: "service " + service, Share: o.b.endpoints.share(service)}
+	wall := balancer.CompartmentSpec{Name: "service " + service, Share: o.b.endpoints.share(service)}
 	if c.HasTenants() && !route.Public {
 		tenant := c.Tenant(h.Get(headers.Key))
 		if tenant == nil {
@@ -108,7 +108,7 @@
 		if tenant.Priority >= 0 {
 			rank = tenant.Priority
 		}
-		wall = balancer.Wall{Name: "tenant " + tenant.Name, Share: o.share(c, tenant.Name)}
+		wall = balancer.CompartmentSpec{Name: "tenant " + tenant.Name, Share: o.share(c, tenant.Name)}
 		if pause, ok := o.b.quota.take(tenant.Name); !ok {
 			return policy.Request{}, 0, &http1.Rejection{Status: http.StatusTooManyRequests, Reason: "over the quota", Keep: true, Pause: pause}
 		}
@@ -116,10 +116,10 @@
 	rank++ // below internal checks, whatever the operator's ranks are
 	if name == "" && o.isCheck(c, route) {
 		rank = 0
-		wall.Name, wall.Least = "checks of "+service, callsOfRun*o.b.endpoints.slotsBeside()
+		wall.Name, wall.MinSlots = "checks of "+service, callsOfRun*o.b.endpoints.slotsBeside()
 	}
-	return policy.Request{Terms: &balancer.Order{
-		Service: o.b.endpoints.number(service), Wall: wall, Tenant: name, Rank: min(max(0, rank), lowestRank), Safe: route.Idempotent, Attempts: route.MaxAttempts, Aim: aim,
+	return policy.Request{Terms: &balancer.RequestClass{
+		Service: o.b.endpoints.number(service), Compartment: wall, Tenant: name, Priority: min(max(0, rank), lowestRank), Idempotent: route.Idempotent, MaxAttempts: route.MaxAttempts, LatencyTarget: aim,
 	}}, left, nil
 }
 
@@ -194,10 +194,10 @@
 // pass changes what goes on: what only the system may say is its own, the key stays here.
 func (o *outbound) pass(q *policy.Request, fields http.Header) {
 	headers.Strip(fields)
-	order := q.Terms.(*balancer.Order)
+	order := q.Terms.(*balancer.RequestClass)
 	fields[headers.Caller] = o.caller
 	if order.Tenant != "" {
 		fields[headers.Tenant] = []string{order.Tenant}
 	}
-	headers.Attempt{Rank: order.Rank, Aim: order.Aim, Safe: order.Safe}.Put(fields)
+	headers.Attempt{Rank: order.Priority, Aim: order.LatencyTarget, Safe: order.Idempotent}.Put(fields)
 }
--- a/internal/mesh/sidecar/quota.go
+++ b/internal/mesh/sidecar/quota.go
@@ -24,20 +24,20 @@
 	dealLeast = 20 * time.Millisecond
 )
 
-// DealPath is where core members take asks for tokens.
-const DealPath = "/mesh/deal"
+// AllocatePath is where core members take asks for tokens.
+const AllocatePath = "/mesh/deal"
 
-// DealAsk is a sidecar's ask for tokens, and Dealt the answer.
+// AllocateRequest is a sidecar's request for tokens, and AllocateResponse the answer.
 type (
-	DealAsk struct {
-		Node   string      `json:"node"`
-		Asks   []quota.Ask `json:"asks"`
-		Passed bool        `json:"passed,omitempty"` // by one member to another: it goes no further
+	AllocateRequest struct {
+		Node      string      `json:"node"`
+		Demands   []quota.Ask `json:"asks"`
+		Forwarded bool        `json:"passed,omitempty"` // by one member to another: it goes no further
 	}
-	Dealt struct {
-		Epoch  uint64         `json:"epoch"`
-		Grants []quota.Grant  `json:"grants"`
-		Closed []quota.Closed `json:"closed,omitempty"`
+	AllocateResponse struct {
+		Epoch     uint64         `json:"epoch"`
+		Grants    []quota.Grant  `json:"grants"`
+		Throttled []quota.Closed `json:"closed,omitempty"`
 	}
 )
 
@@ -78,7 +78,7 @@
 func (q *quotaClient) configure(c *config.Snapshot) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.limits, q.members = Limits(c), 0
+	q.limits, q.members = TenantLimits(c), 0
 	q.share(q.clock.Now())
 	if q.limited = len(q.limits) > 0; q.limited {
 		q.rouse()
@@ -108,8 +108,8 @@
 	}
 }
 
-// Limits are the limits of a configuration's tenants.
-func Limits(c *config.Snapshot) map[string]quota.Limit {
+// TenantLimits are the limits of a configuration's tenants.
+func TenantLimits(c *config.Snapshot) map[string]quota.Limit {
 	limits := make(map[string]quota.Limit)
 	for _, t := range c.Tenants() {
 		if t.RatePerS > 0 {
@@ -175,34 +175,34 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, dealTimeout)
 	defer cancel()
-	dealt, err := rpc.Call[DealAsk, Dealt](ctx, q.to, "http://"+peers[0]+DealPath, &DealAsk{Node: q.node, Asks: asks})
+	dealt, err := rpc.Call[AllocateRequest, AllocateResponse](ctx, q.to, "http://"+peers[0]+AllocatePath, &AllocateRequest{Node: q.node, Demands: asks})
 	if err != nil {
 		q.log.Debug("no tokens", zap.Error(err))
 		return false
 	}
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if err := q.purse.Granted(q.clock.Now(), dealt.Epoch, dealt.Grants, dealt.Closed); err != nil {
+	if err := q.purse.Granted(q.clock.Now(), dealt.Epoch, dealt.Grants, dealt.Throttled); err != nil {
 		q.log.Debug("tokens that can't be used", zap.Error(err))
 	}
 	return true
 }
 
-// Request, May and Spent are the budget of further tries, by a service's number.
-func (q *quotaClient) Request(now time.Duration, service int) {
+// RecordRequest, Allowed and Charge are the budget of further tries, by a service's number.
+func (q *quotaClient) RecordRequest(now time.Duration, service int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.share(now)
 	q.budget.Request(now, q.names(service))
 }
 
-func (q *quotaClient) May(now time.Duration, service int) bool {
+func (q *quotaClient) Allowed(now time.Duration, service int) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.budget.May(now, q.names(service))
 }
 
-func (q *quotaClient) Spent(now time.Duration, service int) {
+func (q *quotaClient) Charge(now time.Duration, service int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.budget.Spent(now, q.names(service))
--- a/internal/mesh/sidecar/sidecar.go
+++ b/internal/mesh/sidecar/sidecar.go
@@ -131,7 +131,7 @@
 	b.outer, err = engine.New(engine.Config{
 		Policy: policy.Config{MaxAttempts: mostSends}, Seed: seed.Sum64(), Clock: b.clock, Transport: network{links}, Log: logs, Silent: true, Sleeps: true,
 		Module: func(_ policy.Config, _ uint64, host policy.Host) (engine.Module, error) {
-			return balancer.New(balancer.Config{Zone: b.endpoints.zones[b.set.Self.Zone], Members: b.members, Budget: b.quota}, host), nil
+			return balancer.New(balancer.Config{Zone: b.endpoints.zones[b.set.Self.Zone], Members: b.members, RetryBudget: b.quota}, host), nil
 		},
 	})
 	if err != nil {
@@ -276,18 +276,18 @@
 	b.outer.List(b.endpoints.listing())
 }
 
-// Frame is a change of the configuration as it is pushed: the changes that lead on from a version, or a whole charter.
-type Frame struct {
+// ConfigUpdate is a change of the configuration as it is pushed: the changes that lead on from a version, or a whole charter.
+type ConfigUpdate struct {
 	Version int64             `json:"version"`
 	Changes []json.RawMessage `json:"changes,omitempty"`
-	Whole   json.RawMessage   `json:"whole,omitempty"`
+	Full    json.RawMessage   `json:"whole,omitempty"`
 }
 
 // take takes a configuration that is pushed; false: the whole is needed. Nothing older than what holds is ever taken.
 func (b *Sidecar) take(frame json.RawMessage) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	next, err := Take(b.charter.Load(), frame)
+	next, err := ApplyUpdate(b.charter.Load(), frame)
 	if err != nil {
 		b.log.Warn("a configuration that does not follow", zap.Error(err))
 		return false
@@ -398,9 +398,9 @@
 	b.news.Poke()
 }
 
-// Take is the charter after a frame, applied on the one that holds.
-func Take(held *config.Snapshot, frame json.RawMessage) (*config.Snapshot, error) {
-	var f Frame
+// ApplyUpdate is the charter after a frame, applied on the one that holds.
+func ApplyUpdate(held *config.Snapshot, frame json.RawMessage) (*config.Snapshot, error) {
+	var f ConfigUpdate
 	if err := json.Unmarshal(frame, &f); err != nil {
 		return nil, errs.Wrap(err, errs.Unreadable, "frame")
 	}
@@ -408,8 +408,8 @@
 		return held, nil
 	}
 	next, err := held, error(nil)
-	if f.Whole != nil {
-		if next, err = config.Decode(f.Whole); err != nil {
+	if f.Full != nil {
+		if next, err = config.Decode(f.Full); err != nil {
 			return nil, err
 		}
 	}
--- a/internal/mesh/sidecar/sidecar_test.go
+++ b/internal/mesh/sidecar/sidecar_test.go
@@ -83,10 +83,10 @@
 		q, left, bad := d.Read(h)
 		So(bad, ShouldBeNil)
 		So(left, ShouldEqual, 900*time.Millisecond)
-		o := *q.Terms.(*balancer.Order)
-		So(o.Wall.Share, ShouldBeBetween, 0, 0.5)
-		o.Wall.Share = 0
-		So(o, ShouldResemble, balancer.Order{Wall: balancer.Wall{Name: "tenant bozi300"}, Tenant: "bozi300", Rank: 1, Attempts: 2, Aim: 300 * time.Millisecond})
+		o := *q.Terms.(*balancer.RequestClass)
+		So(o.Compartment.Share, ShouldBeBetween, 0, 0.5)
+		o.Compartment.Share = 0
+		So(o, ShouldResemble, balancer.RequestClass{Compartment: balancer.CompartmentSpec{Name: "tenant bozi300"}, Tenant: "bozi300", Priority: 1, MaxAttempts: 2, LatencyTarget: 300 * time.Millisecond})
 		So(d.Ahead(&q), ShouldBeFalse)
 		fields := h.EndToEnd()
 		d.Pass(&q, fields)
@@ -209,12 +209,12 @@
 		o.b.endpoints.tell(registry.Upstream{Instance: "i-1", Service: "huvo11a", Slots: 9})
 		q, _, bad := d.Read(request("GET /check/ HTTP/1.1\r\nHost: hulo84.example", id))
 		So(bad, ShouldBeNil)
-		So(q.Terms.(*balancer.Order).Rank, ShouldEqual, 0)
-		So(q.Terms.(*balancer.Order).Wall.Name, ShouldEqual, "checks of kafi81c")
-		So(q.Terms.(*balancer.Order).Wall.Least, ShouldEqual, 27)
+		So(q.Terms.(*balancer.RequestClass).Priority, ShouldEqual, 0)
+		So(q.Terms.(*balancer.RequestClass).Compartment.Name, ShouldEqual, "checks of kafi81c")
+		So(q.Terms.(*balancer.RequestClass).Compartment.MinSlots, ShouldEqual, 27)
 		q, _, _ = d.Read(request("GET /open/ HTTP/1.1\r\nHost: hulo84.example", id))
-		So(q.Terms.(*balancer.Order).Wall.Name, ShouldEqual, "service kafi81c")
-		So(q.Terms.(*balancer.Order).Rank, ShouldBeGreaterThan, 0)
+		So(q.Terms.(*balancer.RequestClass).Compartment.Name, ShouldEqual, "service kafi81c")
+		So(q.Terms.(*balancer.RequestClass).Priority, ShouldBeGreaterThan, 0)
 	})
 }
 
@@ -256,7 +256,7 @@
 			return ending
 		}
 		So(verdict(nil), ShouldEqual, policy.Gated) // refused by the front, and remembered
-		So(i.gate.Fence().Size(), ShouldEqual, 1)
+		So(i.gate.AttemptLog().Size(), ShouldEqual, 1)
 		So(verdict(&call.Answer{Kind: call.Refused, Unasked: true}), ShouldEqual, policy.Gated)
 		said := &said{Host: nil}
 		i.gate = gate.New(said)
@@ -273,7 +273,7 @@
 		q, time800, bad := d.Read(h)
 		So(bad, ShouldBeNil)
 		So(time800, ShouldEqual, 800*time.Millisecond)
-		So(*q.Terms.(*gate.Attempt), ShouldResemble, gate.Attempt{Rank: 2, Safe: true, Aim: 250 * time.Millisecond})
+		So(*q.Terms.(*gate.AttemptTerms), ShouldResemble, gate.AttemptTerms{Priority: 2, Idempotent: true, LatencyTarget: 250 * time.Millisecond})
 		fields := h.EndToEnd()
 		d.Pass(&q, fields)
 		So(fields, ShouldResemble, http.Header{headers.AttemptID: {"9c41"}, headers.Timeout: {"800"}, headers.Target: {"i-1"}, headers.Tenant: {"bozi300"}})
--- a/internal/rig/hollow/hollow.go
+++ b/internal/rig/hollow/hollow.go
@@ -216,11 +216,11 @@
 // apply is the charter after a frame.
 func (f *Fleet) apply(held *config.Snapshot, frame json.RawMessage) (*config.Snapshot, error) {
 	if !f.cfg.Share {
-		return sidecar.Take(held, frame)
+		return sidecar.ApplyUpdate(held, frame)
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	next, err := sidecar.Take(f.shared, frame)
+	next, err := sidecar.ApplyUpdate(f.shared, frame)
 	if err == nil {
 		f.shared = next
 	}
@@ -298,6 +298,6 @@
 	if len(peers) == 0 {
 		return context.DeadlineExceeded
 	}
-	_, err := rpc.Call[sidecar.DealAsk, sidecar.Dealt](ctx, s.client, "http://"+peers[0]+sidecar.DealPath, &sidecar.DealAsk{Node: s.node, Asks: asks})
+	_, err := rpc.Call[sidecar.AllocateRequest, sidecar.AllocateResponse](ctx, s.client, "http://"+peers[0]+sidecar.AllocatePath, &sidecar.AllocateRequest{Node: s.node, Demands: asks})
 	return err
 }
