--- a/internal/mesh/api/api_test.go
+++ b/internal/mesh/api/api_test.go
@@ -154,8 +154,8 @@
 		last := httptest.NewServer(mux)
 		defer last.Close()
 		first := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-			if kind := errs.Named(said); kind != errs.Internal {
-				rpc.Answer(w, errs.New(kind, "no"))
+			if kind := errs.ParseKind(said); kind != errs.Internal {
+				rpc.WriteError(w, errs.New(kind, "no"))
 				return
 			}
 			w.WriteHeader(status)
@@ -179,7 +179,7 @@
 			next.err = nil
 			got, _ := call(front, "POST", "/api/configuration/replace", `{"configVersion":7}`)
 			So([]any{row, got}, ShouldResemble, []any{row, 200}) // by the next
-			next.err = errs.New(errs.Unreadable, "cut short on its way")
+			next.err = errs.New(errs.Malformed, "cut short on its way")
 			got, _ = call(front, "POST", "/api/configuration/replace", `{"configVersion":7}`)
 			So([]any{row, got}, ShouldResemble, []any{row, 502})
 		}
--- a/internal/mesh/api/forward.go
+++ b/internal/mesh/api/forward.go
@@ -106,7 +106,7 @@
 			askNext()
 		case <-end.C:
 			if !begun.Swap(false) {
-				return nil, errs.New(errs.Late, "no core member answers")
+				return nil, errs.New(errs.DeadlineExceeded, "no core member answers")
 			}
 			end.Reset(answerTime)
 		}
--- a/internal/mesh/api/operators.go
+++ b/internal/mesh/api/operators.go
@@ -37,7 +37,7 @@
 // Operators serves what operators call.
 func Operators(mux *http.ServeMux, to Operator) {
 	for path, whole := range map[string]bool{replacePath: true, updatePath: false} {
-		rpc.Raw(mux, "POST "+path, ChangeLimit, func(r *http.Request, body []byte) (*Taken, error) {
+		rpc.HandleRaw(mux, "POST "+path, ChangeLimit, func(r *http.Request, body []byte) (*Taken, error) {
 			return to.Change(r, whole, body)
 		})
 	}
@@ -54,7 +54,7 @@
 		return taken, nil
 	case err == nil:
 		return nil, errs.New(errs.Unreachable, "an answer of version %d to an order of version %d", taken.ConfigVersion, version)
-	case refusal(err) || errs.Of(err).Status() >= http.StatusInternalServerError:
+	case refusal(err) || errs.KindOf(err).Status() >= http.StatusInternalServerError:
 		return nil, err
 	}
 	return nil, errs.Wrap(err, errs.Unreachable, "the order was not judged")
@@ -63,7 +63,7 @@
 // refusal says whether an error is the verdict on an order: that it breaks a rule by itself, or that
 // the log has refused it.
 func refusal(err error) bool {
-	switch errs.Of(err) {
+	switch errs.KindOf(err) {
 	case errs.Invalid, errs.TooLarge, errs.Stale:
 		return true
 	}
--- a/internal/mesh/api/upstreams.go
+++ b/internal/mesh/api/upstreams.go
@@ -84,7 +84,7 @@
 		}
 		return &Acknowledged{}, to.Beat(u)
 	})
-	rpc.Raw(mux, "POST /api/instances/{id}/deregister", beatLimit, func(r *http.Request, _ []byte) (*Acknowledged, error) {
+	rpc.HandleRaw(mux, "POST /api/instances/{id}/deregister", beatLimit, func(r *http.Request, _ []byte) (*Acknowledged, error) {
 		return &Acknowledged{}, to.Deregister(r.PathValue("id"))
 	})
 }
--- a/internal/mesh/config/change.go
+++ b/internal/mesh/config/change.go
@@ -76,10 +76,10 @@
 }
 
 // ReadVersion reads only the version that an order's body names. A body that is no JSON value is
-// Unreadable and one without a version is Invalid; no other fault is looked for.
+// Malformed and one without a version is Invalid; no other fault is looked for.
 func ReadVersion(body []byte) (int64, error) {
 	if !utf8.Valid(body) {
-		return 0, errs.New(errs.Unreadable, "the body is no UTF-8")
+		return 0, errs.New(errs.Malformed, "the body is no UTF-8")
 	}
 	var v versions
 	if err := unmarshal(body, &v); err != nil {
@@ -112,7 +112,7 @@
 }
 
 // ReadReplace reads the body of a call that puts a whole configuration. What is cut short or is no
-// JSON is Unreadable; what the schemas don't allow is Invalid. The body isn't kept.
+// JSON is Malformed; what the schemas don't allow is Invalid. The body isn't kept.
 func ReadReplace(body []byte) (*Change, error) {
 	var w whole
 	c, err := readBody(formReplace, body, &w)
@@ -187,7 +187,7 @@
 	return c, nil
 }
 
-// unmarshal reads JSON: a value of the wrong type is Invalid, what is no JSON is Unreadable.
+// unmarshal reads JSON: a value of the wrong type is Invalid, what is no JSON is Malformed.
 func unmarshal(text []byte, into any) error {
 	err := json.Unmarshal(text, into)
 	var wrongType *json.UnmarshalTypeError
@@ -197,5 +197,5 @@
 	case errors.As(err, &wrongType):
 		return errs.Wrap(err, errs.Invalid, "%s: a value of the wrong type", wrongType.Field)
 	}
-	return errs.Wrap(err, errs.Unreadable, "no whole JSON value")
+	return errs.Wrap(err, errs.Malformed, "no whole JSON value")
 }
--- a/internal/mesh/config/digest.go
+++ b/internal/mesh/config/digest.go
@@ -166,7 +166,7 @@
 	}
 	var plain string
 	if err := json.Unmarshal(n.text[start:n.at], &plain); err != nil {
-		return nil, errs.Wrap(err, errs.Unreadable, "no JSON string")
+		return nil, errs.Wrap(err, errs.Malformed, "no JSON string")
 	}
 	return []byte(plain), nil
 }
@@ -201,12 +201,12 @@
 // puts into raw messages, so that its items read the same however often it is passed on.
 func canonical(body []byte) ([]byte, error) {
 	if !utf8.Valid(body) {
-		return nil, errs.New(errs.Unreadable, "the body is no UTF-8")
+		return nil, errs.New(errs.Malformed, "the body is no UTF-8")
 	}
 	var tight, escaped bytes.Buffer
 	tight.Grow(len(body))
 	if err := json.Compact(&tight, body); err != nil {
-		return nil, errs.Wrap(err, errs.Unreadable, "the body is no whole JSON value")
+		return nil, errs.Wrap(err, errs.Malformed, "the body is no whole JSON value")
 	}
 	escaped.Grow(tight.Len())
 	json.HTMLEscape(&escaped, tight.Bytes())
--- a/internal/mesh/config/fuzz_test.go
+++ b/internal/mesh/config/fuzz_test.go
@@ -10,7 +10,7 @@
 // fault, and a change that was read keeps its digest and meaning on its way and in a snapshot.
 func checkOrder(t *testing.T, change *Change, err error) {
 	if err != nil {
-		if kind := errs.Of(err); kind != errs.Invalid && kind != errs.Unreadable {
+		if kind := errs.KindOf(err); kind != errs.Invalid && kind != errs.Malformed {
 			t.Fatalf("an error of kind %v: %v", kind, err)
 		}
 		return
@@ -86,7 +86,7 @@
 	f.Fuzz(func(t *testing.T, text []byte) {
 		decoded, err := Decode(text)
 		if err != nil {
-			if kind := errs.Of(err); kind != errs.Invalid && kind != errs.Unreadable {
+			if kind := errs.KindOf(err); kind != errs.Invalid && kind != errs.Malformed {
 				t.Fatalf("an error of kind %v: %v", kind, err)
 			}
 			return
--- a/internal/mesh/config/orders_test.go
+++ b/internal/mesh/config/orders_test.go
@@ -54,13 +54,13 @@
 		_, err := ReadUpdate([]byte(nested(maxNesting)))
 		So(err, ShouldBeNil)
 		for body, kind := range map[string]errs.Kind{
-			nested(maxNesting + 1): errs.Invalid, nested(20000): errs.Unreadable, `{"configVersion":3,"n":{"a":1,"b":2,"\u0061":1}}`: errs.Invalid,
+			nested(maxNesting + 1): errs.Invalid, nested(20000): errs.Malformed, `{"configVersion":3,"n":{"a":1,"b":2,"\u0061":1}}`: errs.Invalid,
 			`{"configVersion":9007199254740992}`: errs.Invalid, `{"configVersion":9223372036854775808}`: errs.Invalid, `{"configVersion":-1}`: errs.Invalid,
-			`{"configVersion":1e3}`: errs.Invalid, `{"configVersion":3,"baseVersion":-1}`: errs.Invalid, `{"configVersion":3,"n":"` + "\xff" + `"}`: errs.Unreadable,
-			``: errs.Unreadable, `null`: errs.Invalid, `[]`: errs.Invalid, `3 4`: errs.Unreadable, `{"configVersion":3}{}`: errs.Unreadable,
+			`{"configVersion":1e3}`: errs.Invalid, `{"configVersion":3,"baseVersion":-1}`: errs.Invalid, `{"configVersion":3,"n":"` + "\xff" + `"}`: errs.Malformed,
+			``: errs.Malformed, `null`: errs.Invalid, `[]`: errs.Invalid, `3 4`: errs.Malformed, `{"configVersion":3}{}`: errs.Malformed,
 		} {
 			_, err := ReadUpdate([]byte(body))
-			SoMsg(body[:min(len(body), 60)], errs.Of(err), ShouldEqual, kind)
+			SoMsg(body[:min(len(body), 60)], errs.KindOf(err), ShouldEqual, kind)
 		}
 	})
 }
@@ -71,7 +71,7 @@
 	}
 	Convey("An order that was refused because its base had not come stays refused once it comes, also through a snapshot", t, func() {
 		c, outcome, err := put(Empty(), order(9, 7))
-		So([]any{outcome, errs.Of(err)}, ShouldResemble, []any{Refused, errs.Stale})
+		So([]any{outcome, errs.KindOf(err)}, ShouldResemble, []any{Refused, errs.Stale})
 		c, outcome, _ = put(c, order(7, 0))
 		So(outcome, ShouldEqual, Applied)
 		text, err := c.Encode()
@@ -80,7 +80,7 @@
 		So(err, ShouldBeNil)
 		for _, held := range []*Snapshot{c, decoded} {
 			_, outcome, err = put(held, order(9, 7))
-			So([]any{outcome, errs.Of(err)}, ShouldResemble, []any{Refused, errs.Stale})
+			So([]any{outcome, errs.KindOf(err)}, ShouldResemble, []any{Refused, errs.Stale})
 			next, outcome, _ := put(held, strings.Replace(order(9, 7), "}", `,"note":1}`, 1))
 			So(outcome, ShouldEqual, Applied) // another order under its number
 			So(next.orders.refusedAhead, ShouldBeEmpty)
@@ -92,9 +92,9 @@
 			c, _, _ = put(c, order(2*maxRefusedAhead, 1+i))
 		}
 		full, outcome, err := put(c, order(2*maxRefusedAhead, maxRefusedAhead+1))
-		So([]any{outcome, errs.Of(err), full}, ShouldResemble, []any{Unsettled, errs.Undecided, c})
+		So([]any{outcome, errs.KindOf(err), full}, ShouldResemble, []any{Unsettled, errs.Undetermined, c})
 		_, outcome, err = put(c, order(2*maxRefusedAhead, 5))
-		So([]any{outcome, errs.Of(err)}, ShouldResemble, []any{Refused, errs.Stale})
+		So([]any{outcome, errs.KindOf(err)}, ShouldResemble, []any{Refused, errs.Stale})
 	})
 }
 
@@ -114,10 +114,10 @@
 		} {
 			So(string(text), ShouldContainSubstring, damage[0])
 			_, err := Decode([]byte(strings.Replace(string(text), damage[0], damage[1], 1)))
-			SoMsg(damage[1], errs.Of(err), ShouldEqual, errs.Invalid)
+			SoMsg(damage[1], errs.KindOf(err), ShouldEqual, errs.Invalid)
 		}
 		_, err = Decode([]byte(strings.Replace(string(text), `"digests":"`, `"digests":"*`, 1)))
-		So(errs.Of(err), ShouldEqual, errs.Unreadable)
+		So(errs.KindOf(err), ShouldEqual, errs.Malformed)
 		plain, err := Decode([]byte(`{"document":` + string(c.Document()) + `}`))
 		So(err, ShouldBeNil)
 		_, outcome, _ := put(plain, `{"configVersion":3,"baseVersion":0}`)
--- a/internal/mesh/config/schema.go
+++ b/internal/mesh/config/schema.go
@@ -86,7 +86,7 @@
 		Specification json.RawMessage `json:"specification"`
 	}
 	if err := unmarshal(raw, &head); err != nil {
-		return nil, errs.Wrap(err, errs.Of(err), "resource %d (%s %q)", position, head.ResourceType, head.Metadata.Name)
+		return nil, errs.Wrap(err, errs.KindOf(err), "resource %d (%s %q)", position, head.ResourceType, head.Metadata.Name)
 	}
 	it := &item{kind: head.ResourceType, name: head.Metadata.Name, raw: raw}
 	spec := schema(it.kind)
@@ -101,7 +101,7 @@
 		return nil, errs.New(errs.Invalid, "%s %q: the specification is missing", it.kind, it.name)
 	}
 	if err := unmarshal(head.Specification, spec); err != nil {
-		return nil, errs.Wrap(err, errs.Of(err), "%s %q", it.kind, it.name)
+		return nil, errs.Wrap(err, errs.KindOf(err), "%s %q", it.kind, it.name)
 	}
 	if err := spec.Validate(); err != nil {
 		return nil, errs.New(errs.Invalid, "%s %q: %v", it.kind, it.name, err)
--- a/internal/mesh/config/snapshot.go
+++ b/internal/mesh/config/snapshot.go
@@ -48,14 +48,14 @@
 // Apply gives the snapshot after a change, in the order of the log. Whether the very same change was
 // applied before is looked at first, so that no other check refuses it. Then one that builds on
 // another version is Stale and one that is invalid on top of this one is Invalid. An error of kind
-// Undecided goes with Unsettled. With every outcome the caller goes on with the snapshot that is
+// Undetermined goes with Unsettled. With every outcome the caller goes on with the snapshot that is
 // returned: a refused change may stand in its record of orders.
 func (s *Snapshot) Apply(change *Change) (*Snapshot, Outcome, error) {
 	switch {
 	case s.orders.hasApplied(change):
 		return s, Repeated, nil
 	case s.orders.mayHaveApplied(change):
-		return s, Unsettled, errs.New(errs.Undecided, "orders up to version %d are no longer remembered", s.orders.forgotten)
+		return s, Unsettled, errs.New(errs.Undetermined, "orders up to version %d are no longer remembered", s.orders.forgotten)
 	case change.base > s.version:
 		return s.refuseAhead(change)
 	case change.base < s.version:
@@ -84,7 +84,7 @@
 func (s *Snapshot) refuseAhead(change *Change) (*Snapshot, Outcome, error) {
 	orders, ok := s.orders.withRefused(change)
 	if !ok {
-		return s, Unsettled, errs.New(errs.Undecided, "version %d builds on %d, which has not come", change.version, change.base)
+		return s, Unsettled, errs.New(errs.Undetermined, "version %d builds on %d, which has not come", change.version, change.base)
 	}
 	next := *s
 	next.orders = orders
--- a/internal/mesh/config/snapshot_test.go
+++ b/internal/mesh/config/snapshot_test.go
@@ -54,7 +54,7 @@
 	Convey("A body cut short anywhere can't be read, and nothing panics on a body with a byte spoilt", t, func() {
 		for end := range len(example) {
 			_, err := ReadReplace([]byte(example[:end]))
-			So(errs.Of(err), ShouldEqual, errs.Unreadable)
+			So(errs.KindOf(err), ShouldEqual, errs.Malformed)
 			spoilt := []byte(example)
 			spoilt[end] = `0"{]n`[end%5]
 			if change, err := ReadReplace(spoilt); err == nil {
@@ -105,7 +105,7 @@
 		for _, row := range table {
 			So(example, ShouldContainSubstring, row.from)
 			c, outcome, err := put(Empty(), strings.Replace(example, row.from, row.to, 1))
-			SoMsg(row.fault, errs.Of(err), ShouldEqual, errs.Invalid)
+			SoMsg(row.fault, errs.KindOf(err), ShouldEqual, errs.Invalid)
 			SoMsg(row.fault, err.Error(), ShouldContainSubstring, row.named)
 			SoMsg(row.fault, outcome, ShouldEqual, Refused)
 			So(c, ShouldEqual, Empty())
@@ -124,7 +124,7 @@
 			So(err, ShouldBeNil)
 			So(outcome, ShouldEqual, Applied)
 			same, outcome, err := put(won, order[1])
-			So(errs.Of(err), ShouldEqual, errs.Stale)
+			So(errs.KindOf(err), ShouldEqual, errs.Stale)
 			So(outcome, ShouldEqual, Refused)
 			So(same, ShouldEqual, won)
 			for _, resent := range []string{example, order[0], strings.ReplaceAll(order[0], ",", " ,\n")} {
@@ -134,14 +134,14 @@
 				So(same, ShouldEqual, won)
 			}
 			_, _, err = put(won, strings.Replace(order[0], "remove", "removed", 1))
-			So(errs.Of(err), ShouldEqual, errs.Stale)
+			So(errs.KindOf(err), ShouldEqual, errs.Stale)
 		}
 		_, _, err = put(base, `{"configVersion":7,"baseVersion":7}`)
-		So(errs.Of(err), ShouldEqual, errs.Invalid)
+		So(errs.KindOf(err), ShouldEqual, errs.Invalid)
 		_, _, err = put(base, `{"configVersion":8,"baseVersion":7,"remove":{"services":["kafi81c"]}}`)
-		So(errs.Of(err), ShouldEqual, errs.Invalid)
+		So(errs.KindOf(err), ShouldEqual, errs.Invalid)
 		_, _, err = put(base, `{"configVersion":8}`)
-		So(errs.Of(err), ShouldEqual, errs.Stale)
+		So(errs.KindOf(err), ShouldEqual, errs.Stale)
 	})
 	Convey("The newest changes are remembered, also through a snapshot, and no more than those", t, func() {
 		c := Empty()
@@ -159,14 +159,14 @@
 		for _, forgotten := range []string{body(1), `{"configVersion":1,"baseVersion":4097}`} { // no clear answer, and no 4xx
 			_, outcome, err = put(c, forgotten)
 			So(outcome, ShouldEqual, Unsettled)
-			So(errs.Of(err), ShouldEqual, errs.Undecided)
-			So(errs.Of(err).Status(), ShouldEqual, 503)
+			So(errs.KindOf(err), ShouldEqual, errs.Undetermined)
+			So(errs.KindOf(err).Status(), ShouldEqual, 503)
 		}
 		_, _, err = put(c, strings.Replace(body(2), "note", "memo", 1))
-		So(errs.Of(err), ShouldEqual, errs.Stale)
+		So(errs.KindOf(err), ShouldEqual, errs.Stale)
 		So(len(text), ShouldBeLessThan, 25*maxApplied)
 		_, err = Decode(text[:len(text)-1])
-		So(errs.Of(err), ShouldEqual, errs.Unreadable)
+		So(errs.KindOf(err), ShouldEqual, errs.Malformed)
 	})
 }
 
@@ -217,7 +217,7 @@
 				}
 				var pushedErr error
 				replica, _, pushedErr = replica.Apply(pushed)
-				if !reflect.DeepEqual(replica, next) || errs.Of(err) != errs.Of(pushedErr) {
+				if !reflect.DeepEqual(replica, next) || errs.KindOf(err) != errs.KindOf(pushedErr) {
 					t.Fatal("the replica differs")
 				}
 				if err != nil {
--- a/internal/mesh/controlplane/deal_test.go
+++ b/internal/mesh/controlplane/deal_test.go
@@ -16,9 +16,9 @@
 func TestWhoMayDeal(t *testing.T) {
 	Convey("Tokens are dealt by a leader in its own term, with young contact", t, func() {
 		So(checkDealer(maxDealContactAge, true, true), ShouldBeNil)
-		So(errs.Of(checkDealer(maxDealContactAge+1, true, true)), ShouldEqual, errs.NoQuorum)
-		So(errs.Of(checkDealer(0, false, true)), ShouldEqual, errs.NoQuorum)
-		So(errs.Of(checkDealer(0, true, false)), ShouldEqual, errs.NotLeader)
+		So(errs.KindOf(checkDealer(maxDealContactAge+1, true, true)), ShouldEqual, errs.NoQuorum)
+		So(errs.KindOf(checkDealer(0, false, true)), ShouldEqual, errs.NoQuorum)
+		So(errs.KindOf(checkDealer(0, true, false)), ShouldEqual, errs.NotLeader)
 	})
 	Convey("A leader that is cut off and the next one never deal tokens that can be spent at the same time", t, func() {
 		rules := quota.Rules{Window: 5 * time.Second, Overage: 0.1, Slack: 20}
--- a/internal/mesh/controlplane/orders.go
+++ b/internal/mesh/controlplane/orders.go
@@ -31,7 +31,7 @@
 // serveOrders serves what other core machines pass on to the leader.
 func (s *Server) serveOrders(mux *http.ServeMux) {
 	for _, whole := range []bool{true, false} {
-		rpc.Raw(mux, proposeAt(whole), api.ChangeLimit, func(r *http.Request, body []byte) (*api.Taken, error) {
+		rpc.HandleRaw(mux, proposeAt(whole), api.ChangeLimit, func(r *http.Request, body []byte) (*api.Taken, error) {
 			change, err := read(whole, body)
 			if err != nil {
 				return nil, err
--- a/internal/mesh/controlplane/orders_history_test.go
+++ b/internal/mesh/controlplane/orders_history_test.go
@@ -205,7 +205,7 @@
 
 func (w *world) heard(v verdict) answer {
 	switch {
-	case w.rng.IntN(6) == 0 || v.err != nil && errs.Of(v.err).Status() >= 500:
+	case w.rng.IntN(6) == 0 || v.err != nil && errs.KindOf(v.err).Status() >= 500:
 		return unclear
 	case v.err != nil:
 		return refused
--- a/internal/mesh/controlplane/statemachine.go
+++ b/internal/mesh/controlplane/statemachine.go
@@ -103,7 +103,7 @@
 	case v := <-told:
 		return v.version, v.err
 	case <-ctx.Done():
-		return 0, errs.New(errs.Late, "the change has no clear answer in time")
+		return 0, errs.New(errs.DeadlineExceeded, "the change has no clear answer in time")
 	}
 }
 
@@ -196,7 +196,7 @@
 		select {
 		case <-progress:
 		case <-ctx.Done():
-			return errs.New(errs.Late, "the configuration is still being read")
+			return errs.New(errs.DeadlineExceeded, "the configuration is still being read")
 		}
 	}
 }
@@ -274,7 +274,7 @@
 // that a snapshot stands for, which are never applied one by one. The caller holds the lock.
 func (m *stateMachine) release() {
 	for number, told := range m.proposals {
-		told <- verdict{err: errs.New(errs.Late, "a snapshot stands in place of the verdict")}
+		told <- verdict{err: errs.New(errs.DeadlineExceeded, "a snapshot stands in place of the verdict")}
 		delete(m.proposals, number)
 	}
 }
--- a/internal/mesh/controlplane/statemachine_test.go
+++ b/internal/mesh/controlplane/statemachine_test.go
@@ -59,7 +59,7 @@
 	select {
 	case v := <-of:
 		if v.err != nil {
-			return v.version, errs.Of(v.err), true
+			return v.version, errs.KindOf(v.err), true
 		}
 		return v.version, 0, true
 	default:
@@ -103,7 +103,7 @@
 		gone, cancel := context.WithCancel(ctx)
 		cancel()
 		_, err := await(gone, m.expect(9))
-		So(errs.Of(err), ShouldEqual, errs.Late)
+		So(errs.KindOf(err), ShouldEqual, errs.DeadlineExceeded)
 	})
 	Convey("A snapshot takes the place of all before, and a change from before it is known as repeated", t, func() {
 		m, other := newStateMachine(zap.NewNop(), func() {}), newStateMachine(zap.NewNop(), func() {})
@@ -117,7 +117,7 @@
 		settle(other)
 		So(other.appliedIndex(), ShouldEqual, 2)
 		_, kind, ok := told(repeated)
-		So([]any{kind, ok}, ShouldResemble, []any{errs.Late, true}) // the snapshot may stand for its command
+		So([]any{kind, ok}, ShouldResemble, []any{errs.DeadlineExceeded, true}) // the snapshot may stand for its command
 		repeated = other.expect(77)
 		other.apply(3, command(77, put(3, 0, "a")))
 		other.apply(4, nil)
@@ -140,11 +140,11 @@
 		settle(m)
 		whole, held := m.snapshot(), m.current()
 		m.restore(4, whole[:len(whole)-1])
-		So(errs.Of(m.idle(ctx)), ShouldEqual, errs.Internal)
+		So(errs.KindOf(m.idle(ctx)), ShouldEqual, errs.Internal)
 		repeated, refused := m.expect(2), m.expect(3)
 		m.apply(5, command(2, put(3, 0, "a")))
 		m.apply(6, command(3, put(4, 0, "b")))
-		So(errs.Of(m.idle(ctx)), ShouldEqual, errs.Internal)
+		So(errs.KindOf(m.idle(ctx)), ShouldEqual, errs.Internal)
 		for _, of := range []<-chan verdict{repeated, refused} {
 			_, kind, ok := told(of)
 			So([]any{kind, ok}, ShouldResemble, []any{errs.Internal, true})
@@ -167,7 +167,7 @@
 		<-started
 		gone, cancel := context.WithCancel(ctx)
 		cancel()
-		So(errs.Of(m.idle(gone)), ShouldEqual, errs.Late)
+		So(errs.KindOf(m.idle(gone)), ShouldEqual, errs.DeadlineExceeded)
 		So(m.snapshot(), ShouldBeNil)
 		So(m.appliedIndex(), ShouldEqual, 0)
 		goOn <- struct{}{}
--- a/internal/mesh/errs/errs.go
+++ b/internal/mesh/errs/errs.go
@@ -16,25 +16,25 @@
 const (
 	// Invalid means that the request was read and breaks a rule. Sending it again is of no use.
 	Invalid Kind = iota + 1
-	// Unreadable means that the request was cut short or is not of its format.
-	Unreadable
+	// Malformed means that the request was cut short or is not of its format.
+	Malformed
 	// TooLarge means that the request is over its limit of bytes.
 	TooLarge
 	// Stale means that another version is in place than the request is based on.
 	Stale
-	// Unknown means that there is nothing of that name.
-	Unknown
+	// NotFound means that there is nothing of that name.
+	NotFound
 	// Busy means that the request was shed before anything was done.
 	Busy
 	// NoQuorum means that no majority was in contact. Whether a change was made is unclear.
 	NoQuorum
 	// NotLeader means that this member does not lead. Nothing was done.
 	NotLeader
-	// Late means that the time ran out. Whether a change was made is unclear.
-	Late
-	// Undecided means that it can no longer be told whether the change was made: the record of applied
+	// DeadlineExceeded means that the time ran out. Whether a change was made is unclear.
+	DeadlineExceeded
+	// Undetermined means that it can no longer be told whether the change was made: the record of applied
 	// orders does not reach back that far.
-	Undecided
+	Undetermined
 	// DiskFailed means that the disk refused or lost a write.
 	DiskFailed
 	// Unreachable means that a peer gave no answer. Whether it did what was asked is unclear.
@@ -54,19 +54,19 @@
 
 // table is the one place where kinds are turned into names, statuses and waits.
 var table = [...]row{
-	Invalid:     {"Invalid", http.StatusBadRequest, ""},
-	Unreadable:  {"Unreadable", http.StatusBadRequest, ""},
-	TooLarge:    {"TooLarge", http.StatusRequestEntityTooLarge, ""},
-	Stale:       {"Stale", http.StatusPreconditionFailed, ""},
-	Unknown:     {"Unknown", http.StatusNotFound, ""},
-	Busy:        {"Busy", http.StatusServiceUnavailable, "0.2"},
-	NoQuorum:    {"NoQuorum", http.StatusServiceUnavailable, "0.3"},
-	NotLeader:   {"NotLeader", http.StatusServiceUnavailable, ""},
-	Late:        {"Late", http.StatusServiceUnavailable, ""},
-	Undecided:   {"Undecided", http.StatusServiceUnavailable, ""},
-	DiskFailed:  {"DiskFailed", http.StatusServiceUnavailable, ""},
-	Unreachable: {"Unreachable", http.StatusBadGateway, ""},
-	Internal:    {"Internal", http.StatusInternalServerError, ""},
+	Invalid:          {"Invalid", http.StatusBadRequest, ""},
+	Malformed:        {"Unreadable", http.StatusBadRequest, ""},
+	TooLarge:         {"TooLarge", http.StatusRequestEntityTooLarge, ""},
+	Stale:            {"Stale", http.StatusPreconditionFailed, ""},
+	NotFound:         {"Unknown", http.StatusNotFound, ""},
+	Busy:             {"Busy", http.StatusServiceUnavailable, "0.2"},
+	NoQuorum:         {"NoQuorum", http.StatusServiceUnavailable, "0.3"},
+	NotLeader:        {"NotLeader", http.StatusServiceUnavailable, ""},
+	DeadlineExceeded: {"Late", http.StatusServiceUnavailable, ""},
+	Undetermined:     {"Undecided", http.StatusServiceUnavailable, ""},
+	DiskFailed:       {"DiskFailed", http.StatusServiceUnavailable, ""},
+	Unreachable:      {"Unreachable", http.StatusBadGateway, ""},
+	Internal:         {"Internal", http.StatusInternalServerError, ""},
 }
 
 // row gives the kind's row of the table, and that of Internal for a value that is none of the list.
@@ -86,8 +86,8 @@
 // RetryAfter gives the value of the Retry-After header in seconds, empty where none is sent.
 func (k Kind) RetryAfter() string { return k.row().retryAfter }
 
-// Named gives the kind of that name, and Internal for a name that is not on the list.
-func Named(name string) Kind {
+// ParseKind gives the kind of that name, and Internal for a name that is not on the list.
+func ParseKind(name string) Kind {
 	for k := Invalid; k < Internal; k++ {
 		if table[k].name == name {
 			return k
@@ -119,8 +119,8 @@
 	return &fault{kind: k, err: eris.Wrapf(err, format, args...)}
 }
 
-// Of gives the kind that was said last of err, also below errors wrapped round it, and Internal where none was said.
-func Of(err error) Kind {
+// KindOf gives the kind that was said last of err, also below errors wrapped round it, and Internal where none was said.
+func KindOf(err error) Kind {
 	var f *fault
 	if errors.As(err, &f) {
 		return f.kind
--- a/internal/mesh/quota/quota_test.go
+++ b/internal/mesh/quota/quota_test.go
@@ -372,7 +372,7 @@
 		So(err, ShouldBeNil)
 		So(d.Configure(0, map[string]Limit{"a": {100, 0}}, 3), ShouldBeNil)
 		_, _, err = d.Deal(0, 4, "x", []Ask{{"a", 1, 0}})
-		So(errs.Of(err), ShouldEqual, errs.Busy)
+		So(errs.KindOf(err), ShouldEqual, errs.Busy)
 		got := map[string]float64{}
 		for now := TokenLife; now < 20*second; now += 100 * ms {
 			for node, want := range map[string]float64{"x": 1, "y": 50, "z": 500} {
@@ -387,18 +387,18 @@
 		So(got["y"], ShouldAlmostEqual, got["z"], got["z"]/20)
 		So(got["x"]+got["y"]+got["z"], ShouldBeBetween, 1750, 1950)
 		_, _, err = d.Deal(20*second, 3, "x", nil)
-		So(errs.Of(err), ShouldEqual, errs.Stale)
+		So(errs.KindOf(err), ShouldEqual, errs.Stale)
 		_, _, err = d.Deal(20*second, 4, "x", []Ask{{"a", math.NaN(), 0}})
-		So(errs.Of(err), ShouldEqual, errs.Invalid)
-		So(errs.Of(d.Configure(0, map[string]Limit{"a": {-1, 0}}, 3)), ShouldEqual, errs.Invalid)
+		So(errs.KindOf(err), ShouldEqual, errs.Invalid)
+		So(errs.KindOf(d.Configure(0, map[string]Limit{"a": {-1, 0}}, 3)), ShouldEqual, errs.Invalid)
 
 		p, _ := NewPurse(rules)
 		So(p.Configure(0, map[string]Limit{"a": {100, 0}}, 3), ShouldBeNil)
-		So(errs.Of(p.Granted(0, 5, nil, nil)), ShouldEqual, errs.Stale)
+		So(errs.KindOf(p.Granted(0, 5, nil, nil)), ShouldEqual, errs.Stale)
 		p.Asks(0)
 		So(p.Granted(0, 5, []Grant{{"a", 3}}, nil), ShouldBeNil)
 		p.Asks(0)
-		So(errs.Of(p.Granted(0, 4, []Grant{{"a", 3}}, nil)), ShouldEqual, errs.Stale)
+		So(errs.KindOf(p.Granted(0, 4, []Grant{{"a", 3}}, nil)), ShouldEqual, errs.Stale)
 		So(p.Take(0, "free"), ShouldBeTrue)
 	})
 }
@@ -441,7 +441,7 @@
 		}
 		So(count(further, 5*second), ShouldBeGreaterThan, 0.1*5000)
 		_, err := NewBudget(BudgetRules{})
-		So(errs.Of(err), ShouldEqual, errs.Invalid)
+		So(errs.KindOf(err), ShouldEqual, errs.Invalid)
 		So(budgets[0].May(-second, "t"), ShouldBeTrue)
 	})
 }
--- a/internal/mesh/registry/table_test.go
+++ b/internal/mesh/registry/table_test.go
@@ -225,14 +225,14 @@
 			{Node: "n", Life: 1, Sequence: 1, Upstream: &Upstream{Instance: "a", Service: "s", State: 7}},
 		} {
 			_, err := table.Renew(0, l)
-			So(errs.Of(err), ShouldEqual, errs.Invalid)
+			So(errs.KindOf(err), ShouldEqual, errs.Invalid)
 			So(table.Merge(0, []Remote{{Lease: l}}), ShouldBeEmpty)
 		}
 		for i := range MaxLeases {
 			_, _ = table.Renew(0, Lease{Node: fmt.Sprint(i), Life: 1, Sequence: 1})
 		}
 		_, err := table.Renew(0, Lease{Node: "one more", Life: 1, Sequence: 1})
-		So(errs.Of(err), ShouldEqual, errs.Busy)
+		So(errs.KindOf(err), ShouldEqual, errs.Busy)
 		_, err = table.Renew(0, Lease{Node: "7", Life: 1, Sequence: 2})
 		So(err, ShouldBeNil)
 	})
--- a/internal/mesh/replication/history_test.go
+++ b/internal/mesh/replication/history_test.go
@@ -187,7 +187,7 @@
 			now := w.clock(lead) + time.Second
 			So(lead.replica.IsLeader(now), ShouldBeFalse)
 			_, err = lead.replica.Read(now)
-			So(errs.Of(err), ShouldEqual, errs.NotLeader)
+			So(errs.KindOf(err), ShouldEqual, errs.NotLeader)
 			r, _ := lead.replica.Ready(now)
 			So(r.CompletedProposals, ShouldResemble, []Completion{{Token: token, Index: index, Aborted: true}})
 			So(r.Messages, ShouldBeEmpty)
--- a/internal/mesh/replication/loop.go
+++ b/internal/mesh/replication/loop.go
@@ -215,6 +215,6 @@
 		c.done <- result{err: errs.New(errs.Busy, "replication: the node is closed")}
 	}
 	for _, c := range n.waiting {
-		c.done <- result{err: errs.New(errs.Late, "replication: the node was closed before the end was known")}
+		c.done <- result{err: errs.New(errs.DeadlineExceeded, "replication: the node was closed before the end was known")}
 	}
 }
--- a/internal/mesh/replication/node.go
+++ b/internal/mesh/replication/node.go
@@ -185,7 +185,7 @@
 	case r := <-c.done:
 		return r.index, r.err
 	case <-c.ctx.Done():
-		return 0, errs.Wrap(c.ctx.Err(), errs.Late, "replication: the caller's time ran out")
+		return 0, errs.Wrap(c.ctx.Err(), errs.DeadlineExceeded, "replication: the caller's time ran out")
 	}
 }
 
--- a/internal/mesh/replication/node_test.go
+++ b/internal/mesh/replication/node_test.go
@@ -134,14 +134,14 @@
 			So(first, ShouldBeGreaterThanOrEqualTo, 0)
 			ctx := context.Background()
 			So(nodes[first].Read(ctx), ShouldBeNil)
-			So(errs.Of(nodes[(first+1)%3].Read(ctx)), ShouldEqual, errs.NotLeader)
+			So(errs.KindOf(nodes[(first+1)%3].Read(ctx)), ShouldEqual, errs.NotLeader)
 
 			disks[first].setFull(true)
 			_, err := nodes[first].Propose(ctx, []byte("refused"))
-			So(errs.Of(err), ShouldEqual, errs.NoQuorum)
+			So(errs.KindOf(err), ShouldEqual, errs.NoQuorum)
 			So(nodes[first].Status().StorageFailed, ShouldBeTrue)
 			_, err = nodes[first].Propose(ctx, []byte("refused"))
-			So(errs.Of(err), ShouldEqual, errs.DiskFailed)
+			So(errs.KindOf(err), ShouldEqual, errs.DiskFailed)
 			second := proposeAnywhere(nodes, "two")
 			So(second, ShouldNotEqual, first)
 
--- a/internal/mesh/replication/replica_test.go
+++ b/internal/mesh/replication/replica_test.go
@@ -326,25 +326,25 @@
 		b.r.SetLearners(b.now, []MemberID{memberD})
 		b.drain()
 		Convey("no change begins before an entry of its own term is committed", func() {
-			So(errs.Of(b.r.ChangeMembership(b.now, swapped)), ShouldEqual, errs.Busy)
+			So(errs.KindOf(b.r.ChangeMembership(b.now, swapped)), ShouldEqual, errs.Busy)
 		})
 		b.step(memberB, b.matches(term, 1))
 		b.step(memberC, b.matches(term, 1))
 		Convey("none with a learner that hasn't caught up, with one name twice, none, no address, or without the leader", func() {
-			So(errs.Of(b.r.ChangeMembership(b.now, swapped)), ShouldEqual, errs.Busy)
+			So(errs.KindOf(b.r.ChangeMembership(b.now, swapped)), ShouldEqual, errs.Busy)
 			b.step(memberD, b.matches(term, 1))
 			for _, voters := range [][]MemberID{
 				{memberA, memberB, memberB}, {}, {memberA, "nowhere"}, {memberB, memberC, memberD},
 				{memberA, memberB, memberB + "#1"}, {memberA, memberB, memberC},
 			} {
-				So(errs.Of(b.r.ChangeMembership(b.now, voters)), ShouldEqual, errs.Invalid)
+				So(errs.KindOf(b.r.ChangeMembership(b.now, voters)), ShouldEqual, errs.Invalid)
 			}
 			So(b.r.ChangeMembership(b.now, swapped), ShouldBeNil)
 		})
 		Convey("one is committed by both sets, and a second one waits for its end", func() {
 			b.step(memberD, b.matches(term, 1))
 			So(b.r.ChangeMembership(b.now, swapped), ShouldBeNil)
-			So(errs.Of(b.r.ChangeMembership(b.now, swapped)), ShouldEqual, errs.Busy)
+			So(errs.KindOf(b.r.ChangeMembership(b.now, swapped)), ShouldEqual, errs.Busy)
 			b.drain()
 			b.step(memberC, b.matches(term, 2)) // a majority of the old set alone
 			So(b.r.commit, ShouldEqual, 1)
@@ -353,7 +353,7 @@
 			So(committed, ShouldBeFalse)
 			b.step(memberD, b.matches(term, 2))
 			So(b.r.commit, ShouldEqual, 2)
-			So(errs.Of(b.r.ChangeMembership(b.now, allMembers[:3])), ShouldEqual, errs.Busy)
+			So(errs.KindOf(b.r.ChangeMembership(b.now, allMembers[:3])), ShouldEqual, errs.Busy)
 			b.step(memberD, b.matches(term, 3))
 			current, committed = b.r.Membership()
 			So(committed, ShouldBeTrue)
--- a/internal/mesh/replication/store_test.go
+++ b/internal/mesh/replication/store_test.go
@@ -81,7 +81,7 @@
 				So(os.WriteFile(m, []byte("no manifest"), 0o600), ShouldBeNil)
 			}
 			_, _, err = OpenStore(dir, address)
-			So(errs.Of(err), ShouldEqual, errs.DiskFailed)
+			So(errs.KindOf(err), ShouldEqual, errs.DiskFailed)
 			So(IsCorrupt(err), ShouldBeTrue)
 			s, state, err = OpenOrReset(dir, address, zap.NewNop())
 			So(err, ShouldBeNil)
@@ -133,7 +133,7 @@
 			dir := t.TempDir()
 			earlierStore(dir, values)
 			_, _, err := OpenStore(dir, seeds[0])
-			So(errs.Of(err), ShouldEqual, errs.DiskFailed)
+			So(errs.KindOf(err), ShouldEqual, errs.DiskFailed)
 			So(IsCorrupt(err), ShouldBeTrue)
 			s, state, err := OpenOrReset(dir, seeds[0], zap.NewNop())
 			So(err, ShouldBeNil)
@@ -162,11 +162,11 @@
 		refuse := func() { So(s.db.Close(), ShouldBeNil) } // as a journal that failed once
 		state := State{ID: memberA, Cluster: testCluster, Snapshot: Snapshot{Membership: Membership{Voters: allMembers[:3]}}}
 		refuse()
-		So(errs.Of(s.Initialize(state)), ShouldEqual, errs.DiskFailed)
+		So(errs.KindOf(s.Initialize(state)), ShouldEqual, errs.DiskFailed)
 		So(s.Initialize(state), ShouldBeNil)
 		entry := &WriteBatch{Entries: []Entry{{Index: 1, Term: 1, Command: []byte("x")}}}
 		refuse()
-		So(errs.Of(s.Save(entry)), ShouldEqual, errs.DiskFailed)
+		So(errs.KindOf(s.Save(entry)), ShouldEqual, errs.DiskFailed)
 		So(s.Save(entry), ShouldBeNil)
 		So(s.Close(), ShouldBeNil)
 		s, read, err := OpenStore(dir, memberA.Address())
--- a/internal/mesh/rpc/client.go
+++ b/internal/mesh/rpc/client.go
@@ -125,7 +125,7 @@
 // failureOf turns an answer that is not 2xx into an error of the kind its header says. The message is the peer's, where
 // one can be read.
 func failureOf(url string, answer *http.Response) error {
-	kind := errs.Named(answer.Header.Get(faultHeader))
+	kind := errs.ParseKind(answer.Header.Get(faultHeader))
 	body, _ := io.ReadAll(io.LimitReader(answer.Body, failureLimit))
 	var said failure
 	if json.Unmarshal(body, &said) != nil || said.ErrorMessage == "" {
--- a/internal/mesh/rpc/rpc.go
+++ b/internal/mesh/rpc/rpc.go
@@ -31,10 +31,10 @@
 }
 
 // Handle serves POST requests for the pattern: the JSON body of at most limit bytes is read whole into a Q, and what f
-// gives is answered as JSON. An error is answered as Answer does. With a Q of struct{} the body may be empty or
+// gives is answered as JSON. An error is answered as WriteError does. With a Q of struct{} the body may be empty or
 // anything else within the limit, and is passed over. The pattern may name another method.
 func Handle[Q, A any](mux *http.ServeMux, pattern string, limit int64, f func(r *http.Request, q *Q) (*A, error)) {
-	Raw(mux, pattern, limit, func(r *http.Request, body []byte) (*A, error) {
+	HandleRaw(mux, pattern, limit, func(r *http.Request, body []byte) (*A, error) {
 		q := new(Q)
 		if _, none := any(q).(*struct{}); !none {
 			if err := decode(body, q); err != nil {
@@ -45,7 +45,7 @@
 	})
 }
 
-// HandleGet serves GET requests for the pattern: what f gives is answered as JSON, an error as Answer does.
+// HandleGet serves GET requests for the pattern: what f gives is answered as JSON, an error as WriteError does.
 func HandleGet[A any](mux *http.ServeMux, pattern string, f func(r *http.Request) (*A, error)) {
 	mux.HandleFunc(withMethod(http.MethodGet, pattern), func(w http.ResponseWriter, r *http.Request) {
 		a, err := f(r)
@@ -53,12 +53,12 @@
 	})
 }
 
-// Raw is Handle for those who read the body themselves: f gets its bytes, whole and at most limit of them.
-func Raw[A any](mux *http.ServeMux, pattern string, limit int64, f func(r *http.Request, body []byte) (*A, error)) {
+// HandleRaw is Handle for those who read the body themselves: f gets its bytes, whole and at most limit of them.
+func HandleRaw[A any](mux *http.ServeMux, pattern string, limit int64, f func(r *http.Request, body []byte) (*A, error)) {
 	mux.HandleFunc(withMethod(http.MethodPost, pattern), func(w http.ResponseWriter, r *http.Request) {
-		body, err := Body(r, limit)
+		body, err := ReadBody(r, limit)
 		if err != nil {
-			Answer(w, err)
+			WriteError(w, err)
 			return
 		}
 		a, err := f(r, body)
@@ -66,9 +66,9 @@
 	})
 }
 
-// Body reads the whole body of the request. One of more than limit bytes is TooLarge, and is not read when its length
-// says so beforehand; one that is cut short is Unreadable.
-func Body(r *http.Request, limit int64) ([]byte, error) {
+// ReadBody reads the whole body of the request. One of more than limit bytes is TooLarge, and is not read when its length
+// says so beforehand; one that is cut short is Malformed.
+func ReadBody(r *http.Request, limit int64) ([]byte, error) {
 	if r.ContentLength > limit {
 		return nil, errs.New(errs.TooLarge, "body: %d bytes, at most %d are taken", r.ContentLength, limit)
 	}
@@ -77,15 +77,15 @@
 	case errors.Is(err, errOverLimit):
 		return nil, errs.New(errs.TooLarge, "body: at most %d bytes are taken", limit)
 	case err != nil:
-		return nil, errs.Wrap(err, errs.Unreadable, "body cut short after %d bytes", len(body))
+		return nil, errs.Wrap(err, errs.Malformed, "body cut short after %d bytes", len(body))
 	}
 	return body, nil
 }
 
-// Answer answers with the error's status, its kind in a header, and a JSON body of message and kind. The error must
+// WriteError answers with the error's status, its kind in a header, and a JSON body of message and kind. The error must
 // not be nil.
-func Answer(w http.ResponseWriter, err error) {
-	kind := errs.Of(err)
+func WriteError(w http.ResponseWriter, err error) {
+	kind := errs.KindOf(err)
 	if wait := kind.RetryAfter(); wait != "" {
 		w.Header().Set("Retry-After", wait)
 	}
@@ -97,12 +97,12 @@
 
 func reply[A any](w http.ResponseWriter, a *A, err error) {
 	if err != nil {
-		Answer(w, err)
+		WriteError(w, err)
 		return
 	}
 	body, err := json.Marshal(a)
 	if err != nil {
-		Answer(w, errs.Wrap(err, errs.Internal, "encode the answer"))
+		WriteError(w, errs.Wrap(err, errs.Internal, "encode the answer"))
 		return
 	}
 	send(w, http.StatusOK, body)
@@ -116,7 +116,7 @@
 	_, _ = w.Write(body)
 }
 
-// decode reads the whole of body as one JSON value: anything that is not, or that follows it, is Unreadable. A value of
+// decode reads the whole of body as one JSON value: anything that is not, or that follows it, is Malformed. A value of
 // the wrong type is Invalid, and so is what a type's own reader refuses without naming a kind.
 func decode(body []byte, into any) error {
 	err := json.Unmarshal(body, into)
@@ -124,9 +124,9 @@
 		return nil
 	}
 	if syntax := (*json.SyntaxError)(nil); errors.As(err, &syntax) {
-		return errs.Wrap(err, errs.Unreadable, "JSON at byte %d of %d", syntax.Offset, len(body))
+		return errs.Wrap(err, errs.Malformed, "JSON at byte %d of %d", syntax.Offset, len(body))
 	}
-	if kind := errs.Of(err); kind != errs.Internal {
+	if kind := errs.KindOf(err); kind != errs.Internal {
 		return errs.Wrap(err, kind, "JSON")
 	}
 	return errs.Wrap(err, errs.Invalid, "JSON")
--- a/internal/mesh/rpc/rpc_test.go
+++ b/internal/mesh/rpc/rpc_test.go
@@ -28,7 +28,7 @@
 	mux := http.NewServeMux()
 	Handle(mux, "/ask", limit, func(_ *http.Request, q *asked) (*told, error) {
 		if q.Kind != "" {
-			return nil, errs.Wrap(errs.New(errs.Busy, "below"), errs.Named(q.Kind), "above")
+			return nil, errs.Wrap(errs.New(errs.Busy, "below"), errs.ParseKind(q.Kind), "above")
 		}
 		return &told{q.Fill}, nil
 	})
@@ -63,7 +63,7 @@
 	Convey("Every kind comes back through Call as it was said last, with its message", t, func() {
 		for k := errs.Invalid; k <= errs.Internal; k++ {
 			_, err := Call[asked, told](context.Background(), client, server.URL+"/ask", &asked{Kind: k.String()})
-			So(errs.Of(err), ShouldEqual, k)
+			So(errs.KindOf(err), ShouldEqual, k)
 			So(err.Error(), ShouldContainSubstring, "answers "+strconv.Itoa(k.Status())+": above: below")
 		}
 	})
@@ -73,14 +73,14 @@
 		So(err, ShouldBeNil)
 		So(a.Fill == fill, ShouldBeTrue)
 		_, err = Call[asked, told](context.Background(), client, server.URL+"/ask", &asked{Fill: fill + fill})
-		So(errs.Of(err), ShouldEqual, errs.TooLarge)
+		So(errs.KindOf(err), ShouldEqual, errs.TooLarge)
 		chunked := httptest.NewRequest("POST", "/", io.MultiReader(strings.NewReader(fill)))
-		body, err := Body(chunked, int64(len(fill)))
+		body, err := ReadBody(chunked, int64(len(fill)))
 		So(err, ShouldBeNil)
 		So(string(body) == fill, ShouldBeTrue)
 		chunked = httptest.NewRequest("POST", "/", io.MultiReader(strings.NewReader(fill)))
-		_, err = Body(chunked, int64(len(fill))-1)
-		So(errs.Of(err), ShouldEqual, errs.TooLarge)
+		_, err = ReadBody(chunked, int64(len(fill))-1)
+		So(errs.KindOf(err), ShouldEqual, errs.TooLarge)
 	})
 	Convey("Bodies that are cut short, followed by more or of the wrong type are told apart", t, func() {
 		for _, c := range []struct{ body, more, kind string }{
@@ -107,13 +107,13 @@
 		gone := httptest.NewServer(mux)
 		gone.Close()
 		_, err := Call[asked, told](context.Background(), client, gone.URL+"/ask", &asked{})
-		So(errs.Of(err), ShouldEqual, errs.Unreachable)
+		So(errs.KindOf(err), ShouldEqual, errs.Unreachable)
 		over, cancel := context.WithCancel(context.Background())
 		cancel()
 		_, err = Call[asked, told](over, client, server.URL+"/ask", &asked{})
-		So(errs.Of(err), ShouldEqual, errs.Unreachable)
+		So(errs.KindOf(err), ShouldEqual, errs.Unreachable)
 		_, err = Call[asked, told](context.Background(), client, server.URL+"/nothing", &asked{})
-		So(errs.Of(err), ShouldEqual, errs.Internal)
+		So(errs.KindOf(err), ShouldEqual, errs.Internal)
 	})
 	Convey("A connection of the client gives up on a silent peer after the user timeout", t, func() {
 		c, err := client.Transport.(*http.Transport).DialContext(context.Background(), "tcp", address)
--- a/internal/mesh/settings/schema.go
+++ b/internal/mesh/settings/schema.go
@@ -343,11 +343,11 @@
 	var at yaml.Error
 	if !errors.As(err, &at) {
 		line, _, _ := strings.Cut(err.Error(), "\n")
-		return errs.New(errs.Unreadable, "settings: %s", line)
+		return errs.New(errs.Malformed, "settings: %s", line)
 	}
 	message, _, _ := strings.Cut(at.GetMessage(), "\n")
 	if token := at.GetToken(); token != nil && token.Position != nil {
-		return errs.New(errs.Unreadable, "settings: line %d: %s", token.Position.Line, message)
+		return errs.New(errs.Malformed, "settings: line %d: %s", token.Position.Line, message)
 	}
-	return errs.New(errs.Unreadable, "settings: %s", message)
+	return errs.New(errs.Malformed, "settings: %s", message)
 }
--- a/internal/mesh/settings/settings.go
+++ b/internal/mesh/settings/settings.go
@@ -141,7 +141,7 @@
 func Read(path string) (*Settings, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
-		return nil, errs.Wrap(err, errs.Unreadable, "settings")
+		return nil, errs.Wrap(err, errs.Malformed, "settings")
 	}
 	return Parse(data)
 }
--- a/internal/mesh/settings/settings_test.go
+++ b/internal/mesh/settings/settings_test.go
@@ -89,7 +89,7 @@
 			}
 			So(err, ShouldNotBeNil)
 			So(err.Error(), ShouldEqual, c.says)
-			So(errs.Of(err), ShouldEqual, errs.Invalid)
+			So(errs.KindOf(err), ShouldEqual, errs.Invalid)
 		}
 	})
 
@@ -108,6 +108,6 @@
 			So(text, ShouldContainSubstring, "\n  bounds:")
 		}
 		_, err = Read(filepath.Join("testdata", "none.yaml"))
-		So(errs.Of(err), ShouldEqual, errs.Unreadable)
+		So(errs.KindOf(err), ShouldEqual, errs.Malformed)
 	})
 }
--- a/internal/mesh/sidecar/sidecar.go
+++ b/internal/mesh/sidecar/sidecar.go
@@ -402,7 +402,7 @@
 func ApplyUpdate(held *config.Snapshot, frame json.RawMessage) (*config.Snapshot, error) {
 	var f ConfigUpdate
 	if err := json.Unmarshal(frame, &f); err != nil {
-		return nil, errs.Wrap(err, errs.Unreadable, "frame")
+		return nil, errs.Wrap(err, errs.Malformed, "frame")
 	}
 	if f.Version <= held.Version() {
 		return held, nil
--- a/internal/mesh/watch/contact_test.go
+++ b/internal/mesh/watch/contact_test.go
@@ -92,7 +92,7 @@
 		So(moved.count, ShouldEqual, 1)
 		So(moved.last, ShouldBeBetween, time.Duration(0), moveBound)
 		_, err := rpc.Call[watchRequest, struct{}](context.Background(), c[0].cfg.HTTP, "http://"+all[0]+watchPath, &watchRequest{Node: "x"})
-		So(errs.Of(err), ShouldEqual, errs.NoQuorum)
+		So(errs.KindOf(err), ShouldEqual, errs.NoQuorum)
 		answer, err := rpc.Call[registry.Lease, LeaseAnswer](context.Background(), c[0].cfg.HTTP, "http://"+all[0]+leasePath, &registry.Lease{Node: "x", Life: 1, Sequence: 1})
 		So(err, ShouldBeNil)
 		So(answer.Contact.OK || answer.Caught, ShouldBeFalse)
@@ -385,7 +385,7 @@
 		}
 		So(c[0].Leave(context.Background()), ShouldBeNil)
 		n.sever("c1", all[0])
-		So(errs.Of(c[0].Leave(context.Background())), ShouldEqual, errs.Unreachable)
+		So(errs.KindOf(c[0].Leave(context.Background())), ShouldEqual, errs.Unreachable)
 	})
 	mesh(t, "What one member said of its contact counts against no other", func(n *network, m []*member, c []*sidecar) {
 		stop := n.scripted("out:1", func(w http.ResponseWriter, _ *http.Request) {
--- a/internal/mesh/watch/server_watch.go
+++ b/internal/mesh/watch/server_watch.go
@@ -29,7 +29,7 @@
 func (s *Server) watch(w http.ResponseWriter, r *http.Request) {
 	held, q, err := s.open(r)
 	if err != nil {
-		rpc.Answer(w, err)
+		rpc.WriteError(w, err)
 		return
 	}
 	defer s.close(q.Node, held)
@@ -37,7 +37,7 @@
 	w.Header().Set("Content-Type", "application/x-ndjson")
 	// A watch outlives the server's time for reading a request.
 	if err := out.control.SetReadDeadline(time.Time{}); err != nil {
-		rpc.Answer(w, errs.Wrap(err, errs.Internal, "read deadline"))
+		rpc.WriteError(w, errs.Wrap(err, errs.Internal, "read deadline"))
 		return
 	}
 	beats := time.NewTicker(beatEvery)
@@ -64,13 +64,13 @@
 
 // open enters a watch. One that the node still holds ends.
 func (s *Server) open(r *http.Request) (*watch, *watchRequest, error) {
-	body, err := rpc.Body(r, maxWatchBody)
+	body, err := rpc.ReadBody(r, maxWatchBody)
 	if err != nil {
 		return nil, nil, err
 	}
 	q := new(watchRequest)
 	if err := json.Unmarshal(body, q); err != nil {
-		return nil, nil, errs.Wrap(err, errs.Unreadable, "watch request")
+		return nil, nil, errs.Wrap(err, errs.Malformed, "watch request")
 	}
 	if q.Node == "" {
 		return nil, nil, errs.New(errs.Invalid, "the watch names no node")
--- a/internal/mesh/watch/watch_test.go
+++ b/internal/mesh/watch/watch_test.go
@@ -376,7 +376,7 @@
 		c[1].change(func() { c[1].up.Sequence++ })
 		pass(5 * time.Second)
 		So(c[1].sees(), ShouldEqual, "i-c1 i-c3!")
-		So(errs.Of(m[0].Beat(registry.Upstream{})), ShouldEqual, errs.Invalid)
+		So(errs.KindOf(m[0].Beat(registry.Upstream{})), ShouldEqual, errs.Invalid)
 	})
 }
 
@@ -409,7 +409,7 @@
 		So(c[1].Peers()[0], ShouldNotEqual, was)
 		So(c[1].cfg.ConfigVersion(), ShouldEqual, 4)
 		_, err := rpc.Call[watchRequest, struct{}](context.Background(), c[1].cfg.HTTP, "http://"+was+watchPath, &watchRequest{Node: "x"})
-		So(errs.Of(err), ShouldEqual, errs.NoQuorum)
+		So(errs.KindOf(err), ShouldEqual, errs.NoQuorum)
 
 		// A member that starts anew learns all from the others, and says it is young until it has.
 		fresh := n.member("m1:1", 99)
@@ -532,7 +532,7 @@
 		ctx, cancel := context.WithTimeout(context.Background(), 50*ms)
 		defer cancel()
 		_, err = rpc.Call[watchRequest, struct{}](ctx, c[1].cfg.HTTP, "http://m1:1"+watchPath, &watchRequest{Node: "c1"})
-		So(errs.Of(err), ShouldEqual, errs.Unreachable)
+		So(errs.KindOf(err), ShouldEqual, errs.Unreachable)
 		synctest.Wait()
 		So(c[0].Peers()[0], ShouldNotEqual, "m1:1")
 		So(c[0].Connected(), ShouldBeTrue)
--- a/meshclient/errors.go
+++ b/meshclient/errors.go
@@ -90,14 +90,14 @@
 // kindOf turns an answer that is a refusal into its kind: by the mesh's own word where it said one, else by the status.
 func kindOf(status int, fault string) Kind {
 	if fault != "" {
-		switch errs.Named(fault) {
-		case errs.Invalid, errs.Unreadable:
+		switch errs.ParseKind(fault) {
+		case errs.Invalid, errs.Malformed:
 			return Invalid
 		case errs.TooLarge:
 			return TooLarge
 		case errs.Stale:
 			return Stale
-		case errs.Unknown:
+		case errs.NotFound:
 			return Unknown
 		}
 	}
