--- a/cmd/meshd/main.go
+++ b/cmd/meshd/main.go
@@ -68,7 +68,7 @@
 	}
 	debug.SetGCPercent(collectAt)
 	log, ring := logring.New(os.Stderr, logring.DefaultBytes)
-	ring.Said = said
+	ring.WriteLevel = said
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	signals := make(chan os.Signal, 4)
--- a/internal/mesh/api/api_test.go
+++ b/internal/mesh/api/api_test.go
@@ -22,7 +22,7 @@
 	err   error
 }
 
-func (r *register) Beat(u registry.Upstream) error {
+func (r *register) Heartbeat(u registry.Upstream) error {
 	r.beats = append(r.beats, u)
 	return r.err
 }
@@ -38,9 +38,9 @@
 	came []string
 }
 
-func (o *operator) Change(_ *http.Request, whole bool, body []byte) (*Taken, error) {
+func (o *operator) Change(_ *http.Request, whole bool, body []byte) (*ChangeResponse, error) {
 	o.came = append(o.came, map[bool]string{true: "whole ", false: "part "}[whole]+string(body))
-	return &Taken{ConfigVersion: 7}, o.err
+	return &ChangeResponse{ConfigVersion: 7}, o.err
 }
 
 func (o *operator) Describe(*http.Request) (*json.RawMessage, error) {
@@ -61,7 +61,7 @@
 func TestUpstreams(t *testing.T) {
 	Convey("A beat is told on as it says, and acknowledged only where it holds", t, func() {
 		to, mux := new(register), http.NewServeMux()
-		Upstreams(mux, to)
+		RegisterUpstreamRoutes(mux, to)
 		path := "/api/instances/i-7f3a91c2/heartbeat"
 		status, body := call(mux, "POST", path, beat)
 		So(status, ShouldEqual, 200)
@@ -103,7 +103,7 @@
 		var addresses []string
 		for range 3 {
 			o, mux := new(operator), http.NewServeMux()
-			Operators(mux, o)
+			RegisterOperatorRoutes(mux, o)
 			s := httptest.NewServer(mux)
 			defer s.Close()
 			servers, addresses = append(servers, o), append(addresses, strings.TrimPrefix(s.URL, "http://"))
@@ -113,7 +113,7 @@
 		client := rpc.NewClient(0)
 		defer client.CloseIdleConnections()
 		front := http.NewServeMux()
-		Operators(front, Forward{Client: client, To: func() []string {
+		RegisterOperatorRoutes(front, Forwarder{Client: client, To: func() []string {
 			return append([]string{strings.TrimPrefix(gone.URL, "http://")}, addresses...)
 		}})
 		servers[0].err = errs.New(errs.NotLeader, "another leads")
@@ -138,10 +138,10 @@
 		status, _ = call(front, "POST", "/api/configuration/replace", body)
 		So(status, ShouldEqual, 503)
 		So(servers[2].came, ShouldHaveLength, 1)
-		status, _ = call(front, "POST", "/api/configuration/replace", strings.Repeat(" ", ChangeLimit+1))
+		status, _ = call(front, "POST", "/api/configuration/replace", strings.Repeat(" ", MaxChangeBytes+1))
 		So(status, ShouldEqual, 413)
 		none := http.NewServeMux()
-		Operators(none, Forward{Client: client, To: func() []string { return nil }})
+		RegisterOperatorRoutes(none, Forwarder{Client: client, To: func() []string { return nil }})
 		status, _ = call(none, "GET", "/api/configuration/describe", "")
 		So(status, ShouldEqual, 503)
 	})
@@ -150,7 +150,7 @@
 		var said string
 		next := new(operator)
 		mux := http.NewServeMux()
-		Operators(mux, next)
+		RegisterOperatorRoutes(mux, next)
 		last := httptest.NewServer(mux)
 		defer last.Close()
 		first := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -165,7 +165,7 @@
 		client := rpc.NewClient(0)
 		defer client.CloseIdleConnections()
 		front := http.NewServeMux()
-		Operators(front, Forward{Client: client, To: func() []string {
+		RegisterOperatorRoutes(front, Forwarder{Client: client, To: func() []string {
 			return []string{strings.TrimPrefix(first.URL, "http://"), strings.TrimPrefix(last.URL, "http://")}
 		}})
 		for _, row := range []struct {
@@ -199,7 +199,7 @@
 	Convey("The body is read whole before it goes on", t, func() {
 		front := http.NewServeMux()
 		o := new(operator)
-		Operators(front, o)
+		RegisterOperatorRoutes(front, o)
 		w := httptest.NewRecorder()
 		r := httptest.NewRequest("POST", "/api/configuration/replace", io.MultiReader(strings.NewReader("{"), failing{}))
 		front.ServeHTTP(w, r)
--- a/internal/mesh/api/forward.go
+++ b/internal/mesh/api/forward.go
@@ -26,16 +26,16 @@
 	answerTime = 2 * time.Second
 )
 
-// Forward is an Operator that passes calls on to core members until one settles them. A member that fails or says
+// Forwarder is an OperatorHandler that passes calls on to core members until one settles them. A member that fails or says
 // nothing may have taken the call: it is sent on all the same, as a change that was taken before is acknowledged again,
 // and what is refused in the log's order is refused there wherever it is asked.
-type Forward struct {
+type Forwarder struct {
 	Client *http.Client
 	To     func() []string // internal addresses, in the order in which they are tried
 }
 
 // Change passes a change on. A body that can't be read is refused here.
-func (f Forward) Change(r *http.Request, whole bool, body []byte) (*Taken, error) {
+func (f Forwarder) Change(r *http.Request, whole bool, body []byte) (*ChangeResponse, error) {
 	version, err := config.ReadVersion(body)
 	if err != nil {
 		return nil, err
@@ -45,16 +45,16 @@
 		path = replacePath
 	}
 	longer := time.Duration(len(body)) * bodyTime
-	return forward(r.Context(), f.To(), longer, func(ctx context.Context, address string) (*Taken, error) {
-		taken, err := rpc.Post[Taken](ctx, f.Client, "http://"+address+path, body)
-		return Relayed(version, taken, err)
+	return forward(r.Context(), f.To(), longer, func(ctx context.Context, address string) (*ChangeResponse, error) {
+		taken, err := rpc.Post[ChangeResponse](ctx, f.Client, "http://"+address+path, body)
+		return CheckForwarded(version, taken, err)
 	})
 }
 
 // Describe passes a reading on.
-func (f Forward) Describe(r *http.Request) (*json.RawMessage, error) {
+func (f Forwarder) Describe(r *http.Request) (*json.RawMessage, error) {
 	return forward(r.Context(), f.To(), 0, func(ctx context.Context, address string) (*json.RawMessage, error) {
-		return Document(ctx, f.Client, "http://"+address+describePath)
+		return FetchDocument(ctx, f.Client, "http://"+address+describePath)
 	})
 }
 
--- a/internal/mesh/api/forward_test.go
+++ b/internal/mesh/api/forward_test.go
@@ -73,7 +73,7 @@
 				all[address], order = m, append(order, address)
 			}
 			mux := http.NewServeMux()
-			Operators(mux, Forward{Client: &http.Client{Transport: all}, To: func() []string { return order }})
+			RegisterOperatorRoutes(mux, Forwarder{Client: &http.Client{Transport: all}, To: func() []string { return order }})
 			var calls sync.WaitGroup
 			for range 8 { // under way at once
 				calls.Go(func() {
@@ -98,7 +98,7 @@
 			return nil, io.ErrUnexpectedEOF
 		}}
 		mux := http.NewServeMux()
-		Operators(mux, Forward{Client: &http.Client{Transport: all}, To: func() []string { return []string{"10.0.0.1:1", "10.0.0.2:1"} }})
+		RegisterOperatorRoutes(mux, Forwarder{Client: &http.Client{Transport: all}, To: func() []string { return []string{"10.0.0.1:1", "10.0.0.2:1"} }})
 		if status, _ := call(mux, "POST", "/api/configuration/replace", `{"configVersion":7`+strings.Repeat(" ", 3<<20)+"}"); status != 200 {
 			t.Errorf("%d", status)
 		}
@@ -121,7 +121,7 @@
 			return &http.Response{StatusCode: 200, Body: io.NopCloser(slow{strings.NewReader(`{"configVersion":7}`)}), ContentLength: -1}, nil
 		}}
 		mux := http.NewServeMux()
-		Operators(mux, Forward{Client: &http.Client{Transport: all}, To: func() []string { return []string{"10.0.0.1:1"} }})
+		RegisterOperatorRoutes(mux, Forwarder{Client: &http.Client{Transport: all}, To: func() []string { return []string{"10.0.0.1:1"} }})
 		if status, said := call(mux, "GET", "/api/configuration/describe", ""); status != 200 || said != `{"configVersion":7}` {
 			t.Errorf("%d %s", status, said)
 		}
--- a/internal/mesh/api/golden_test.go
+++ b/internal/mesh/api/golden_test.go
@@ -8,7 +8,7 @@
 
 // What other processes send and expect: testdata holds it as the release before wrote it.
 func TestMessagesOnTheWire(t *testing.T) {
-	goldentest.CheckJSON[Beat](t, "heartbeat")
-	goldentest.CheckJSON[Acknowledged](t, "heartbeat_answer")
-	goldentest.CheckJSON[Taken](t, "change_answer")
+	goldentest.CheckJSON[HeartbeatRequest](t, "heartbeat")
+	goldentest.CheckJSON[HeartbeatResponse](t, "heartbeat_answer")
+	goldentest.CheckJSON[ChangeResponse](t, "change_answer")
 }
--- a/internal/mesh/api/operators.go
+++ b/internal/mesh/api/operators.go
@@ -10,9 +10,9 @@
 	"caperarch/internal/mesh/rpc"
 )
 
-// ChangeLimit bounds a configuration's body: what the log takes as one command, with some room for
+// MaxChangeBytes bounds a configuration's body: what the log takes as one command, with some room for
 // what is written round it. 10,000 routes are some 3 MiB.
-const ChangeLimit = 7 << 20
+const MaxChangeBytes = 7 << 20
 
 const (
 	replacePath  = "/api/configuration/replace"
@@ -20,35 +20,35 @@
 	describePath = "/api/configuration/describe"
 )
 
-// Operator settles what operators ask.
-type Operator interface {
+// OperatorHandler settles what operators ask.
+type OperatorHandler interface {
 	// Change takes a whole configuration, or a change of named items, as it came; it returns the
 	// version that is in force with it.
-	Change(r *http.Request, whole bool, body []byte) (*Taken, error)
+	Change(r *http.Request, whole bool, body []byte) (*ChangeResponse, error)
 	// Describe is the configuration in force, no older than any that was acknowledged before.
 	Describe(r *http.Request) (*json.RawMessage, error)
 }
 
-// Taken is the answer to a change.
-type Taken struct {
+// ChangeResponse is the answer to a change.
+type ChangeResponse struct {
 	ConfigVersion int64 `json:"configVersion"`
 }
 
-// Operators serves what operators call.
-func Operators(mux *http.ServeMux, to Operator) {
+// RegisterOperatorRoutes serves what operators call.
+func RegisterOperatorRoutes(mux *http.ServeMux, to OperatorHandler) {
 	for path, whole := range map[string]bool{replacePath: true, updatePath: false} {
-		rpc.HandleRaw(mux, "POST "+path, ChangeLimit, func(r *http.Request, body []byte) (*Taken, error) {
+		rpc.HandleRaw(mux, "POST "+path, MaxChangeBytes, func(r *http.Request, body []byte) (*ChangeResponse, error) {
 			return to.Change(r, whole, body)
 		})
 	}
 	rpc.HandleGet(mux, describePath, to.Describe)
 }
 
-// Relayed gives what an operator is told of the answer that another machine gave to an order whose
+// CheckForwarded gives what an operator is told of the answer that another machine gave to an order whose
 // body was read whole here. Only an answer that names the order's version says that it was taken, and
 // only a verdict on the order refuses it: an address may have passed to a process that knows nothing
 // of orders, and a body may be cut short on its way. All else is no clear answer.
-func Relayed(version int64, taken *Taken, err error) (*Taken, error) {
+func CheckForwarded(version int64, taken *ChangeResponse, err error) (*ChangeResponse, error) {
 	switch {
 	case err == nil && version > 0 && taken.ConfigVersion == version:
 		return taken, nil
@@ -70,9 +70,9 @@
 	return false
 }
 
-// Document reads the configuration from another machine. An answer that is none, as of a process that
+// FetchDocument reads the configuration from another machine. An answer that is none, as of a process that
 // has the address now, is no answer.
-func Document(ctx context.Context, client *http.Client, url string) (*json.RawMessage, error) {
+func FetchDocument(ctx context.Context, client *http.Client, url string) (*json.RawMessage, error) {
 	document, err := rpc.Get[json.RawMessage](ctx, client, url)
 	if err != nil {
 		return nil, err
--- a/internal/mesh/api/upstreams.go
+++ b/internal/mesh/api/upstreams.go
@@ -1,6 +1,6 @@
 // Package api takes what upstreams tell of themselves and what operators ask: the calls of the control
-// plane's address, the same on every machine. Who settles a call is the caller's: a Register for
-// upstreams, an Operator for operators.
+// plane's address, the same on every machine. Who settles a call is the caller's: an UpstreamHandler for
+// upstreams, an OperatorHandler for operators.
 package api
 
 import (
@@ -14,8 +14,8 @@
 // beatLimit bounds a heartbeat's body.
 const beatLimit = 16 << 10
 
-// Beat is a heartbeat's body.
-type Beat struct {
+// HeartbeatRequest is a heartbeat's body.
+type HeartbeatRequest struct {
 	Address  string   `json:"address"`
 	NodeInfo NodeInfo `json:"nodeInfo"`
 	Status   Status   `json:"status"`
@@ -36,13 +36,13 @@
 	WarmupRemainingS float64 `json:"warmupRemainingS"`
 }
 
-// Acknowledged is the answer to a heartbeat. Beats go on to where they came.
-type Acknowledged struct {
+// HeartbeatResponse is the answer to a heartbeat. Beats go on to where they came.
+type HeartbeatResponse struct {
 	HeartbeatEndpoint string `json:"heartbeatEndpoint,omitempty"`
 }
 
 // Upstream is what a beat says of an instance.
-func (b *Beat) Upstream(instance string) (registry.Upstream, error) {
+func (b *HeartbeatRequest) Upstream(instance string) (registry.Upstream, error) {
 	u := registry.Upstream{
 		Instance:        instance,
 		Service:         b.NodeInfo.ServiceName,
@@ -67,24 +67,24 @@
 	return u, u.Check()
 }
 
-// Register takes what upstreams say.
-type Register interface {
-	// Beat takes a heartbeat. With no error it is acknowledged: what it says holds from now on.
-	Beat(u registry.Upstream) error
+// UpstreamHandler takes what upstreams say.
+type UpstreamHandler interface {
+	// Heartbeat takes a heartbeat. With no error it is acknowledged: what it says holds from now on.
+	Heartbeat(u registry.Upstream) error
 	// Deregister takes that an instance has ended.
 	Deregister(instance string) error
 }
 
-// Upstreams serves what upstreams call.
-func Upstreams(mux *http.ServeMux, to Register) {
-	rpc.Handle(mux, "POST /api/instances/{id}/heartbeat", beatLimit, func(r *http.Request, b *Beat) (*Acknowledged, error) {
+// RegisterUpstreamRoutes serves what upstreams call.
+func RegisterUpstreamRoutes(mux *http.ServeMux, to UpstreamHandler) {
+	rpc.Handle(mux, "POST /api/instances/{id}/heartbeat", beatLimit, func(r *http.Request, b *HeartbeatRequest) (*HeartbeatResponse, error) {
 		u, err := b.Upstream(r.PathValue("id"))
 		if err != nil {
 			return nil, err
 		}
-		return &Acknowledged{}, to.Beat(u)
+		return &HeartbeatResponse{}, to.Heartbeat(u)
 	})
-	rpc.HandleRaw(mux, "POST /api/instances/{id}/deregister", beatLimit, func(r *http.Request, _ []byte) (*Acknowledged, error) {
-		return &Acknowledged{}, to.Deregister(r.PathValue("id"))
+	rpc.HandleRaw(mux, "POST /api/instances/{id}/deregister", beatLimit, func(r *http.Request, _ []byte) (*HeartbeatResponse, error) {
+		return &HeartbeatResponse{}, to.Deregister(r.PathValue("id"))
 	})
 }
--- a/internal/mesh/cli/file.go
+++ b/internal/mesh/cli/file.go
@@ -30,12 +30,12 @@
 		defer func() { _ = f.Close() }()
 		from = f
 	}
-	text, err := io.ReadAll(io.LimitReader(from, api.ChangeLimit+1))
+	text, err := io.ReadAll(io.LimitReader(from, api.MaxChangeBytes+1))
 	switch {
 	case err != nil:
 		return nil, wrongly("%v", err)
-	case len(text) > api.ChangeLimit:
-		return nil, wrongly("%s: over %d bytes", name, api.ChangeLimit)
+	case len(text) > api.MaxChangeBytes:
+		return nil, wrongly("%s: over %d bytes", name, api.MaxChangeBytes)
 	}
 	return text, nil
 }
--- a/internal/mesh/controlplane/controlplane.go
+++ b/internal/mesh/controlplane/controlplane.go
@@ -111,8 +111,8 @@
 	rpc.Handle(inside, sidecar.AllocatePath, dealLimit, s.deal)
 	s.serveOrders(inside)
 	for _, mux := range []*http.ServeMux{inside, outside} { // sidecars pass operators' calls on inside
-		api.Upstreams(mux, s)
-		api.Operators(mux, s)
+		api.RegisterUpstreamRoutes(mux, s)
+		api.RegisterOperatorRoutes(mux, s)
 		s.inspect(mux)
 	}
 	var servers []*http.Server
@@ -175,8 +175,8 @@
 
 func (s *Server) now() time.Duration { return time.Since(s.start) }
 
-// Beat takes a heartbeat that reached a core machine, as the sidecar beside its upstream did not take it.
-func (s *Server) Beat(u registry.Upstream) error {
+// Heartbeat takes a heartbeat that reached a core machine, as the sidecar beside its upstream did not take it.
+func (s *Server) Heartbeat(u registry.Upstream) error {
 	if host, _, err := net.SplitHostPort(u.Address); err == nil {
 		for _, known := range s.hub.Upstreams() {
 			if h, _, err := net.SplitHostPort(known.Inbound); err == nil && h == host {
@@ -184,10 +184,10 @@
 			}
 		}
 	}
-	return s.hub.Beat(u)
+	return s.hub.Heartbeat(u)
 }
 
 // Deregister takes that an instance has ended.
 func (s *Server) Deregister(instance string) error {
-	return s.hub.Beat(registry.Upstream{Instance: instance, State: registry.Gone})
+	return s.hub.Heartbeat(registry.Upstream{Instance: instance, State: registry.Gone})
 }
--- a/internal/mesh/controlplane/frames.go
+++ b/internal/mesh/controlplane/frames.go
@@ -35,8 +35,8 @@
 	return nil, false
 }
 
-// Whole is the whole configuration; nil: there is none.
-func (m *stateMachine) Whole() json.RawMessage {
+// FullConfig is the whole configuration; nil: there is none.
+func (m *stateMachine) FullConfig() json.RawMessage {
 	configuration := m.current()
 	if configuration.Version() == 0 {
 		return nil
--- a/internal/mesh/controlplane/inspect.go
+++ b/internal/mesh/controlplane/inspect.go
@@ -54,7 +54,7 @@
 // membersKnown is the core machines, each with its own word where that is to be had, and the sidecars whose leases this machine holds.
 func (s *Server) membersKnown(ctx context.Context, members []string) (*meshclient.Members, error) {
 	own := s.viewed()
-	a := &meshclient.Members{AsOf: own.AsOf, Term: own.Term, Leader: own.Leader, Young: s.hub.Young(), Core: make([]meshclient.CoreMember, len(members)), Sidecars: []meshclient.Sidecar{}}
+	a := &meshclient.Members{AsOf: own.AsOf, Term: own.Term, Leader: own.Leader, Young: s.hub.Syncing(), Core: make([]meshclient.CoreMember, len(members)), Sidecars: []meshclient.Sidecar{}}
 	ctx, cancel := context.WithTimeout(ctx, askTime)
 	defer cancel()
 	var asked sync.WaitGroup
@@ -95,7 +95,7 @@
 
 // upstreamsKnown is the upstreams that are known here.
 func (s *Server) upstreamsKnown() *meshclient.UpstreamList {
-	a := &meshclient.UpstreamList{AsOf: s.set.Self.NodeName, Young: s.hub.Young(), Upstreams: []meshclient.Upstream{}}
+	a := &meshclient.UpstreamList{AsOf: s.set.Self.NodeName, Young: s.hub.Syncing(), Upstreams: []meshclient.Upstream{}}
 	for _, u := range s.hub.Upstreams() {
 		a.Upstreams = append(a.Upstreams, meshclient.Upstream{
 			Instance: u.Instance, Service: u.Service, Address: u.Address, Node: u.Node, Zone: u.Zone, State: u.State.String(), Slots: u.Slots, Stale: u.Stale,
--- a/internal/mesh/controlplane/membership_test.go
+++ b/internal/mesh/controlplane/membership_test.go
@@ -136,7 +136,7 @@
 	s.until(fmt.Sprintf("version %d", version), func() bool {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
-		taken, err := rpc.Post[api.Taken](ctx, s.client, s.url(n, "/api/configuration/replace"), body)
+		taken, err := rpc.Post[api.ChangeResponse](ctx, s.client, s.url(n, "/api/configuration/replace"), body)
 		return err == nil && taken.ConfigVersion == version
 	})
 }
--- a/internal/mesh/controlplane/orders.go
+++ b/internal/mesh/controlplane/orders.go
@@ -31,7 +31,7 @@
 // serveOrders serves what other core machines pass on to the leader.
 func (s *Server) serveOrders(mux *http.ServeMux) {
 	for _, whole := range []bool{true, false} {
-		rpc.HandleRaw(mux, proposeAt(whole), api.ChangeLimit, func(r *http.Request, body []byte) (*api.Taken, error) {
+		rpc.HandleRaw(mux, proposeAt(whole), api.MaxChangeBytes, func(r *http.Request, body []byte) (*api.ChangeResponse, error) {
 			change, err := read(whole, body)
 			if err != nil {
 				return nil, err
@@ -46,7 +46,7 @@
 
 // Change takes an operator's change. Only what the body alone shows to be wrong is refused here, which
 // no order was that has been taken. All else is judged by the state machine, in the log's order.
-func (s *Server) Change(r *http.Request, whole bool, body []byte) (*api.Taken, error) {
+func (s *Server) Change(r *http.Request, whole bool, body []byte) (*api.ChangeResponse, error) {
 	change, err := read(whole, body)
 	if err != nil {
 		return nil, err
@@ -60,8 +60,8 @@
 	case s.set.Internal():
 		return s.propose(ctx, change)
 	}
-	taken, err := rpc.Post[api.Taken](ctx, s.client, "http://"+leader+proposeAt(whole), body)
-	return api.Relayed(change.Version(), taken, err)
+	taken, err := rpc.Post[api.ChangeResponse](ctx, s.client, "http://"+leader+proposeAt(whole), body)
+	return api.CheckForwarded(change.Version(), taken, err)
 }
 
 // proposeAt is where the leader takes a change of such a kind.
@@ -82,7 +82,7 @@
 // propose puts a change into the log and waits until the state machine here has judged it, and, for a
 // while, until sidecars have it. It answers with a verdict only once the command is committed, so no
 // verdict, 200 and 412 alike, rests on an entry that may be lost.
-func (s *Server) propose(ctx context.Context, change *config.Change) (*api.Taken, error) {
+func (s *Server) propose(ctx context.Context, change *config.Change) (*api.ChangeResponse, error) {
 	node := s.node.Load()
 	if node == nil {
 		return nil, errs.New(errs.NotLeader, "no log is held here")
@@ -102,7 +102,7 @@
 	if behind := s.hub.WaitApplied(within, version); behind > 0 {
 		s.log.Info("acknowledged before all have it", zap.Int64("version", version), zap.Int("behind", behind))
 	}
-	return &api.Taken{ConfigVersion: version}, nil
+	return &api.ChangeResponse{ConfigVersion: version}, nil
 }
 
 // Describe is the configuration, as the leader has it once it knows that no other member leads.
@@ -116,7 +116,7 @@
 	case s.set.Internal():
 		return s.confirm(ctx)
 	}
-	return api.Document(ctx, s.client, "http://"+leader+describePath)
+	return api.FetchDocument(ctx, s.client, "http://"+leader+describePath)
 }
 
 // confirm gives the configuration once a majority has confirmed that this member leads, and once all
--- a/internal/mesh/controlplane/statemachine_test.go
+++ b/internal/mesh/controlplane/statemachine_test.go
@@ -72,7 +72,7 @@
 	Convey("Commands hold in the log's order, a refused one changes nothing, and each proposer hears of its own", t, func() {
 		changes := 0
 		m := newStateMachine(zap.NewNop(), func() { changes++ })
-		So(m.Whole(), ShouldBeNil)
+		So(m.FullConfig(), ShouldBeNil)
 		first, second, third, fourth := m.expect(1), m.expect(2), m.expect(3), m.expect(4)
 		forgotten, cut := m.expect(6), m.expect(7)
 		m.forget(6)
@@ -182,11 +182,11 @@
 		m := newStateMachine(zap.NewNop(), func() {})
 		m.apply(1, command(1, put(3, 0, "a")))
 		settle(m)
-		old, held3 := m.Whole(), m.current()
+		old, held3 := m.FullConfig(), m.current()
 		m.apply(2, command(2, put(5, 3, "b")))
 		settle(m)
 		held := m.current()
-		for _, frame := range []json.RawMessage{old, m.Whole()} {
+		for _, frame := range []json.RawMessage{old, m.FullConfig()} {
 			next, err := sidecar.ApplyUpdate(held, frame)
 			So(err, ShouldBeNil)
 			So(next, ShouldPointTo, held)
@@ -254,7 +254,7 @@
 				t.Fatalf("%d changes behind: %v", last-i, ok)
 			}
 			if !ok {
-				frames = []json.RawMessage{m.Whole()}
+				frames = []json.RawMessage{m.FullConfig()}
 			}
 			for _, frame := range append(frames, frames...) { // twice does no harm
 				var err error
--- a/internal/mesh/logring/logring.go
+++ b/internal/mesh/logring/logring.go
@@ -29,7 +29,7 @@
 	if bytes <= 0 {
 		bytes = DefaultBytes
 	}
-	ring := &Ring{Said: zapcore.WarnLevel, out: zapcore.Lock(zapcore.AddSync(out)), data: make([]byte, bytes)}
+	ring := &Ring{WriteLevel: zapcore.WarnLevel, out: zapcore.Lock(zapcore.AddSync(out)), data: make([]byte, bytes)}
 	encoder := zapcore.NewConsoleEncoder(zapcore.EncoderConfig{
 		TimeKey:          "time",
 		LevelKey:         "level",
@@ -87,7 +87,7 @@
 			return err
 		}
 	}
-	if e.Level >= c.ring.Said {
+	if e.Level >= c.ring.WriteLevel {
 		_, err = c.ring.out.Write(line.Bytes())
 	}
 	return err
@@ -99,9 +99,9 @@
 // Ring is the last entries, oldest first, as they were encoded. It holds as many as fit into its bytes, and at most
 // maxEntries.
 type Ring struct {
-	// Said is the level from which on entries are written out at once. It is set before the first entry.
-	Said zapcore.Level
-	out  zapcore.WriteSyncer
+	// WriteLevel is the level from which on entries are written out at once. It is set before the first entry.
+	WriteLevel zapcore.Level
+	out        zapcore.WriteSyncer
 
 	mu       sync.Mutex // Guards what follows; nothing is written out under it.
 	data     []byte     // The entries' bytes, from start on, round the end.
--- a/internal/mesh/logring/slog.go
+++ b/internal/mesh/logring/slog.go
@@ -8,8 +8,8 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// Slog is the logger for the parts that the mesh shares with the daemon, which know log/slog: what they say goes to the same ring.
-func Slog(to *zap.Logger) *slog.Logger { return slog.New(handler{core: to.Core()}) }
+// NewSlog is the logger for the parts that the mesh shares with the daemon, which know log/slog: what they say goes to the same ring.
+func NewSlog(to *zap.Logger) *slog.Logger { return slog.New(handler{core: to.Core()}) }
 
 type handler struct {
 	core zapcore.Core
--- a/internal/mesh/replication/node.go
+++ b/internal/mesh/replication/node.go
@@ -152,7 +152,7 @@
 
 // Propose returns the index of cmd once it is committed and applied here.
 // NotLeader, Invalid, TooLarge, Busy and DiskFailed mean that nothing was
-// done; NoQuorum and Late that it may be committed or not.
+// done; NoQuorum and DeadlineExceeded that it may be committed or not.
 func (n *Node) Propose(ctx context.Context, cmd []byte) (index uint64, err error) {
 	if len(cmd) == 0 {
 		return 0, errs.New(errs.Invalid, "replication: a command is empty")
--- a/internal/mesh/sidecar/beats_test.go
+++ b/internal/mesh/sidecar/beats_test.go
@@ -48,7 +48,7 @@
 			return b.in.gate, nil
 		}
 	}
-	cfg := engine.Config{Policy: policy.Config{MaxAttempts: 1}, Clock: b.clock, Transport: http1.New(http1.Config{Clock: b.clock}), Log: logring.Slog(b.log), Silent: true, Sleeps: true}
+	cfg := engine.Config{Policy: policy.Config{MaxAttempts: 1}, Clock: b.clock, Transport: http1.New(http1.Config{Clock: b.clock}), Log: logring.NewSlog(b.log), Silent: true, Sleeps: true}
 	cfg.Module = module(balancer.New(balancer.Config{Members: func() int { return 1 }}, nil))
 	if b.outer, err = engine.New(cfg); err == nil {
 		cfg.Module = module(nil)
--- a/internal/mesh/sidecar/sidecar.go
+++ b/internal/mesh/sidecar/sidecar.go
@@ -103,7 +103,7 @@
 	slices.Sort(zones)
 	b.endpoints = newEndpoints(zones, set.Network.ListenAddresses.Inbound)
 	b.news = watch.NewClient(watch.ClientConfig{
-		Node: set.Self.NodeName, Life: b.life, Zone: set.Self.Zone, Seeds: set.Seeds(), HTTP: b.client, State: b.lease, ConfigVersion: func() int64 { return b.charter.Load().Version() },
+		Node: set.Self.NodeName, Incarnation: b.life, Zone: set.Self.Zone, Seeds: set.Seeds(), HTTP: b.client, State: b.lease, ConfigVersion: func() int64 { return b.charter.Load().Version() },
 		OnConfig: b.take, OnRegistry: b.catalogue, Log: log,
 	})
 	var err error
@@ -114,7 +114,7 @@
 }
 
 func (b *Sidecar) run(ctx context.Context, reload <-chan *settings.Settings) error {
-	addresses, logs := b.set.Network.ListenAddresses, logring.Slog(b.log)
+	addresses, logs := b.set.Network.ListenAddresses, logring.NewSlog(b.log)
 	seed := fnv.New64a()
 	_, _ = seed.Write([]byte(b.set.Self.NodeName))
 	files := b.set.Self.Limits.MaxOpenFiles - reserved
@@ -191,7 +191,7 @@
 // drain ends without losing a request: others are told first, clients still come for a while, and what was taken is answered.
 func (b *Sidecar) drain(fronts ...*fronthttp1.Front) error {
 	b.stopping.Store(true)
-	b.news.Poke()
+	b.news.RenewNow()
 	var all sync.WaitGroup
 	for _, f := range fronts {
 		all.Add(1)
@@ -253,7 +253,7 @@
 
 // members is how many sidecars share quotas and budgets: the largest number lately, or, as long as the core has told none, more than are likely, as each would take the whole for its own.
 func (b *Sidecar) members() int {
-	if n := b.news.Largest(); n > 0 {
+	if n := b.news.PeakMembers(); n > 0 {
 		return n
 	}
 	return unknownMembers
@@ -295,7 +295,7 @@
 	b.charter.Store(next)
 	b.quota.configure(next)
 	b.log.Info("configuration", zap.Int64("version", next.Version()))
-	b.news.Poke()
+	b.news.RenewNow()
 	return true
 }
 
@@ -313,13 +313,13 @@
 // control is what the upstream beside us calls, and operators: their calls are passed on.
 func (b *Sidecar) control() http.Handler {
 	mux := http.NewServeMux()
-	api.Upstreams(mux, b)
-	api.Operators(mux, api.Forward{Client: b.client, To: b.news.Peers})
+	api.RegisterUpstreamRoutes(mux, b)
+	api.RegisterOperatorRoutes(mux, api.Forwarder{Client: b.client, To: b.news.Peers})
 	return mux
 }
 
-// Beat takes a heartbeat of the upstream beside us. It is settled here, also with the core gone: nothing comes to the upstream but through our gate.
-func (b *Sidecar) Beat(u registry.Upstream) error {
+// Heartbeat takes a heartbeat of the upstream beside us. It is settled here, also with the core gone: nothing comes to the upstream but through our gate.
+func (b *Sidecar) Heartbeat(u registry.Upstream) error {
 	if u.Address != b.set.Self.AppAddress {
 		b.log.Warn("a beat of another address", zap.String("instance", u.Instance), zap.String("address", u.Address))
 		return errs.New(errs.Invalid, "address %s is not beside this sidecar", u.Address)
@@ -395,7 +395,7 @@
 	b.inner.List(b.endpoints.besideListing(b.set.Self.AppAddress))
 	b.inner.Flush() // what it said holds before it is acknowledged
 	b.outer.List(b.endpoints.listing())
-	b.news.Poke()
+	b.news.RenewNow()
 }
 
 // ApplyUpdate is the charter after a frame, applied on the one that holds.
--- a/internal/mesh/sidecar/sidecar_test.go
+++ b/internal/mesh/sidecar/sidecar_test.go
@@ -346,7 +346,7 @@
 	Convey("A beat of an address that is not beside us is refused", t, func() {
 		b := &Sidecar{set: new(settings.Settings), log: zap.NewNop(), endpoints: newEndpoints(nil, inboundHere)}
 		b.set.Self.AppAddress = "10.1.0.40:8103"
-		So(errs.KindOf(b.Beat(registry.Upstream{Instance: "i-1", Address: "10.1.0.41:8103"})), ShouldEqual, errs.Invalid)
+		So(errs.KindOf(b.Heartbeat(registry.Upstream{Instance: "i-1", Address: "10.1.0.41:8103"})), ShouldEqual, errs.Invalid)
 		So(b.endpoints.beside(), ShouldBeNil)
 	})
 }
--- a/internal/mesh/watch/client.go
+++ b/internal/mesh/watch/client.go
@@ -35,10 +35,10 @@
 // one at a time, from Run.
 type ClientConfig struct {
 	Node string
-	// Life grows from process life to process life, for example its start in
+	// Incarnation grows from process life to process life, for example its start in
 	// nanoseconds.
-	Life uint64
-	Zone string
+	Incarnation uint64
+	Zone        string
 	// Seeds are internal addresses of core members to begin with.
 	Seeds []string
 	// Client must have no Timeout of its own, since watches last.
@@ -118,8 +118,8 @@
 	return c.members
 }
 
-// Largest is the largest number of sidecars lately, as heard last.
-func (c *Client) Largest() int {
+// PeakMembers is the largest number of sidecars lately, as heard last.
+func (c *Client) PeakMembers() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.largest
@@ -144,8 +144,8 @@
 	c.seeds = slices.Clone(seeds)
 }
 
-// Poke renews the lease at once, since what State gives has changed.
-func (c *Client) Poke() { signal(c.poke) }
+// RenewNow renews the lease at once, since what State gives has changed.
+func (c *Client) RenewNow() { signal(c.poke) }
 
 // Resubscribe opens the watch anew, since what Services gives has changed.
 func (c *Client) Resubscribe() { signal(c.again) }
--- a/internal/mesh/watch/client_contact.go
+++ b/internal/mesh/watch/client_contact.go
@@ -41,8 +41,8 @@
 
 // confirm takes what an answer proves of the configuration applied. The lock is
 // held.
-func (c *Client) confirm(asked time.Time, answer *LeaseAnswer) {
-	if !answer.Contact.OK || !answer.Caught || answer.Contact.Age < 0 {
+func (c *Client) confirm(asked time.Time, answer *LeaseResponse) {
+	if !answer.Contact.OK || !answer.CaughtUp || answer.Contact.Age < 0 {
 		return
 	}
 	if at := asked.Add(-answer.Contact.Age); at.After(c.confirmedAt) {
--- a/internal/mesh/watch/client_lease.go
+++ b/internal/mesh/watch/client_lease.go
@@ -94,16 +94,16 @@
 	}
 	c.left = leave
 	c.sequence++
-	l.Node, l.Life, l.Zone, l.Sequence, l.Left = c.cfg.Node, c.cfg.Life, c.cfg.Zone, c.sequence, leave
+	l.Node, l.Life, l.Zone, l.Sequence, l.Left = c.cfg.Node, c.cfg.Incarnation, c.cfg.Zone, c.sequence, leave
 	return &l
 }
 
 // renew sends a lease to a member, and takes what its answer proves.
-func (c *Client) renew(ctx context.Context, address string, l *registry.Lease) (*LeaseAnswer, error) {
+func (c *Client) renew(ctx context.Context, address string, l *registry.Lease) (*LeaseResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	asked := time.Now()
-	answer, err := rpc.Call[registry.Lease, LeaseAnswer](ctx, c.cfg.HTTP, "http://"+address+leasePath, l)
+	answer, err := rpc.Call[registry.Lease, LeaseResponse](ctx, c.cfg.HTTP, "http://"+address+leasePath, l)
 	if err != nil {
 		return nil, err
 	}
@@ -116,10 +116,10 @@
 // learn takes what an answer says of the members. It reports whether a member
 // of the own zone should be gone to: the answer is from another zone, and the
 // own zone's member was not known as such before.
-func (c *Client) learn(a *LeaseAnswer) (nearer bool) {
+func (c *Client) learn(a *LeaseResponse) (nearer bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.count(a.Members, a.Largest, a.Young || !a.Contact.OK)
+	c.count(a.Members, a.PeakMembers, a.Syncing || !a.Contact.OK)
 	if !a.Contact.OK {
 		c.learnMore(a.Peers)
 		return false
--- a/internal/mesh/watch/client_watch.go
+++ b/internal/mesh/watch/client_watch.go
@@ -64,7 +64,7 @@
 	}
 	return watchRequest{
 		Node:          c.cfg.Node,
-		Life:          c.cfg.Life,
+		Life:          c.cfg.Incarnation,
 		ConfigVersion: c.cfg.ConfigVersion(),
 		Whole:         c.whole,
 		Epoch:         c.epoch,
--- a/internal/mesh/watch/contact_test.go
+++ b/internal/mesh/watch/contact_test.go
@@ -65,8 +65,8 @@
 		q.change(func() { q.leader = 1 })
 		// Of the first member's own sidecar others hear no more; of the second's it does not hear itself.
 		c[1].change(func() { c[1].up.State, c[1].up.Sequence = registry.Draining, 2 })
-		c[1].Poke()
-		So(m[1].Beat(registry.Upstream{Instance: "i-c3", State: registry.Gone}), ShouldBeNil)
+		c[1].RenewNow()
+		So(m[1].Heartbeat(registry.Upstream{Instance: "i-c3", State: registry.Gone}), ShouldBeNil)
 		newcomer := n.sidecar("new", "zone-m1:1", all[0])
 		defer newcomer.stop()
 		newcomer.change(func() { newcomer.up.Instance = "" }) // it vouches for nothing here
@@ -93,9 +93,9 @@
 		So(moved.last, ShouldBeBetween, time.Duration(0), moveBound)
 		_, err := rpc.Call[watchRequest, struct{}](context.Background(), c[0].cfg.HTTP, "http://"+all[0]+watchPath, &watchRequest{Node: "x"})
 		So(errs.KindOf(err), ShouldEqual, errs.NoQuorum)
-		answer, err := rpc.Call[registry.Lease, LeaseAnswer](context.Background(), c[0].cfg.HTTP, "http://"+all[0]+leasePath, &registry.Lease{Node: "x", Life: 1, Sequence: 1})
+		answer, err := rpc.Call[registry.Lease, LeaseResponse](context.Background(), c[0].cfg.HTTP, "http://"+all[0]+leasePath, &registry.Lease{Node: "x", Life: 1, Sequence: 1})
 		So(err, ShouldBeNil)
-		So(answer.Contact.OK || answer.Caught, ShouldBeFalse)
+		So(answer.Contact.OK || answer.CaughtUp, ShouldBeFalse)
 
 		// Back in contact it tells of nothing that is gone, and of nobody as ready who drains.
 		q.heal()
@@ -250,10 +250,10 @@
 			pass(youngTime / 10)
 			still.contact()
 		}
-		So(still.Young(), ShouldBeFalse)
+		So(still.Syncing(), ShouldBeFalse)
 		pass(10 * time.Second) // and was renewed before it looked
 		So(still.contact().OK, ShouldBeTrue)
-		So(still.Young(), ShouldBeTrue)
+		So(still.Syncing(), ShouldBeTrue)
 		So(still.holdUntil, ShouldBeGreaterThan, still.now())
 	})
 }
@@ -324,7 +324,7 @@
 	mesh(t, "An answer that was long on its way proves no more than when it was asked for", func(n *network, m []*member, c []*sidecar) {
 		stop := n.scripted("slow:1", func(w http.ResponseWriter, _ *http.Request) {
 			time.Sleep(callTimeout - 100*ms)
-			_ = json.NewEncoder(w).Encode(LeaseAnswer{Contact: Contact{OK: true, Age: 50 * ms}, Caught: true})
+			_ = json.NewEncoder(w).Encode(LeaseResponse{Contact: Contact{OK: true, Age: 50 * ms}, CaughtUp: true})
 		}, func(w http.ResponseWriter, r *http.Request) {
 			for r.Context().Err() == nil {
 				fmt.Fprintln(w, `{"beat":{"contact":{"ok":true}}}`)
@@ -346,7 +346,7 @@
 		stop := n.scripted("woken:1", func(w http.ResponseWriter, _ *http.Request) {
 			mu.Lock()
 			defer mu.Unlock()
-			_ = json.NewEncoder(w).Encode(LeaseAnswer{Contact: contact})
+			_ = json.NewEncoder(w).Encode(LeaseResponse{Contact: contact})
 		}, func(w http.ResponseWriter, r *http.Request) {
 			for range 4 {
 				fmt.Fprintln(w, `{"beat":{"contact":{"ok":true}}}`)
@@ -391,7 +391,7 @@
 		stop := n.scripted("out:1", func(w http.ResponseWriter, _ *http.Request) {
 			time.Sleep(100 * ms)
 			peers := []Peer{{Address: all[0]}, {Address: all[1]}, {Address: all[2]}}
-			_ = json.NewEncoder(w).Encode(LeaseAnswer{Peers: peers})
+			_ = json.NewEncoder(w).Encode(LeaseResponse{Peers: peers})
 		}, func(w http.ResponseWriter, r *http.Request) {
 			for r.Context().Err() == nil {
 				fmt.Fprintln(w, `{"beat":{}}`)
@@ -431,18 +431,18 @@
 	Convey("An answer without contact proves nothing, lowers no count and takes no member away", t, func() {
 		c := NewClient(ClientConfig{Zone: "z"})
 		now := time.Now()
-		for _, answer := range []LeaseAnswer{
-			{Contact: Contact{OK: false}, Caught: true}, {Contact: Contact{OK: true}, Caught: false},
-			{Contact: Contact{OK: true, Age: -time.Hour}, Caught: true},
+		for _, answer := range []LeaseResponse{
+			{Contact: Contact{OK: false}, CaughtUp: true}, {Contact: Contact{OK: true}, CaughtUp: false},
+			{Contact: Contact{OK: true, Age: -time.Hour}, CaughtUp: true},
 		} {
 			c.confirm(now, &answer)
 			_, ok := c.ContactAge()
 			So(ok, ShouldBeFalse)
 		}
 		peers := []Peer{{Address: "a:1"}, {Address: "b:1"}}
-		c.learn(&LeaseAnswer{Contact: Contact{OK: true}, Members: 9, Largest: 9, Peers: peers})
-		c.learn(&LeaseAnswer{Members: 2, Largest: 3, Peers: []Peer{{Address: "a:1"}, {Address: "c:1"}}})
-		So([]int{c.Members(), c.Largest()}, ShouldResemble, []int{9, 9})
+		c.learn(&LeaseResponse{Contact: Contact{OK: true}, Members: 9, PeakMembers: 9, Peers: peers})
+		c.learn(&LeaseResponse{Members: 2, PeakMembers: 3, Peers: []Peer{{Address: "a:1"}, {Address: "c:1"}}})
+		So([]int{c.Members(), c.PeakMembers()}, ShouldResemble, []int{9, 9})
 		So(c.Peers(), ShouldHaveLength, 3)
 	})
 }
--- a/internal/mesh/watch/golden_test.go
+++ b/internal/mesh/watch/golden_test.go
@@ -8,7 +8,7 @@
 
 // What other processes send and expect: testdata holds it as the release before wrote it.
 func TestMessagesOnTheWire(t *testing.T) {
-	goldentest.CheckJSON[LeaseAnswer](t, "lease_answer")
+	goldentest.CheckJSON[LeaseResponse](t, "lease_answer")
 	goldentest.CheckJSON[watchRequest](t, "watch_request")
 	goldentest.CheckJSON[frame](t, "frame")
 	goldentest.CheckJSON[gossip](t, "gossip")
--- a/internal/mesh/watch/server.go
+++ b/internal/mesh/watch/server.go
@@ -39,8 +39,8 @@
 	Current() (version int64)
 	// Since gives the changes after a version, or false if it is too old.
 	Since(version int64) (frames []json.RawMessage, ok bool)
-	// Whole gives the whole configuration, nil while there is none.
-	Whole() json.RawMessage
+	// FullConfig gives the whole configuration, nil while there is none.
+	FullConfig() json.RawMessage
 }
 
 // ServerConfig is what a Server is made of. All fields but Leader and Zone are
--- a/internal/mesh/watch/server_lease.go
+++ b/internal/mesh/watch/server_lease.go
@@ -6,8 +6,8 @@
 	"caperarch/internal/mesh/registry"
 )
 
-// Young says whether this member may not have heard from everybody yet.
-func (s *Server) Young() bool {
+// Syncing says whether this member may not have heard from everybody yet.
+func (s *Server) Syncing() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.now() < s.youngUntil
@@ -27,9 +27,9 @@
 	return s.table.Members(), s.table.Largest(s.now())
 }
 
-// Beat takes a beat of an upstream that reached this member directly, and
+// Heartbeat takes a beat of an upstream that reached this member directly, and
 // tells the other members. A State of Gone is a deregistration.
-func (s *Server) Beat(up registry.Upstream) error {
+func (s *Server) Heartbeat(up registry.Upstream) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.now()
@@ -44,14 +44,14 @@
 	return nil
 }
 
-func (s *Server) lease(_ *http.Request, l *registry.Lease) (*LeaseAnswer, error) {
+func (s *Server) lease(_ *http.Request, l *registry.Lease) (*LeaseResponse, error) {
 	contact := s.contact()
 	version := s.cfg.ConfigSource.Current() // read after the contact, which vouches for it
-	a := &LeaseAnswer{
-		TTL:     registry.LeaseTime.Seconds(),
-		Zone:    s.cfg.Zone,
-		Contact: contact,
-		Caught:  contact.OK && l.Applied >= version,
+	a := &LeaseResponse{
+		TTL:      registry.LeaseTime.Seconds(),
+		Zone:     s.cfg.Zone,
+		Contact:  contact,
+		CaughtUp: contact.OK && l.Applied >= version,
 	}
 	if s.cfg.Leader != nil {
 		a.Leader = s.cfg.Leader()
@@ -67,7 +67,7 @@
 		n.mark(l.Node, changed)
 	}
 	s.spread()
-	a.Members, a.Largest, a.Young = s.table.Members(), s.table.Largest(now), now < s.youngUntil
+	a.Members, a.PeakMembers, a.Syncing = s.table.Members(), s.table.Largest(now), now < s.youngUntil
 	a.Peers = append(a.Peers, Peer{s.cfg.Self, s.cfg.Zone})
 	for _, n := range s.neighbours {
 		a.Peers = append(a.Peers, Peer{n.address, n.zone})
--- a/internal/mesh/watch/server_push.go
+++ b/internal/mesh/watch/server_push.go
@@ -19,7 +19,7 @@
 
 // WaitApplied returns 0 as soon as every live lease known here has applied the
 // version, or how many have not when ctx ends. A sidecar whose lease lapses is
-// no longer waited for. While Young, leases may not be known here yet.
+// no longer waited for. While Syncing, leases may not be known here yet.
 func (s *Server) WaitApplied(ctx context.Context, version int64) (behind int) {
 	w := &waiter{version, make(chan struct{})}
 	s.mu.Lock()
--- a/internal/mesh/watch/server_watch.go
+++ b/internal/mesh/watch/server_watch.go
@@ -148,7 +148,7 @@
 		frames, ok = s.cfg.ConfigSource.Since(held.version)
 	}
 	if !ok {
-		frames = []json.RawMessage{s.cfg.ConfigSource.Whole()}
+		frames = []json.RawMessage{s.cfg.ConfigSource.FullConfig()}
 	}
 	for _, config := range frames {
 		if len(config) == 0 {
--- a/internal/mesh/watch/watch_test.go
+++ b/internal/mesh/watch/watch_test.go
@@ -96,7 +96,7 @@
 	}
 	return frames, version > 0 && version <= c.Current()
 }
-func (c *configs) Whole() json.RawMessage {
+func (c *configs) FullConfig() json.RawMessage {
 	whole := fmt.Sprintf("[%d]", c.Current())
 	c.mu.Lock()
 	stall := c.stall
@@ -191,7 +191,7 @@
 	}}
 	client := n.client(name)
 	s.Client = NewClient(ClientConfig{
-		Node: name, Life: uint64(time.Now().UnixNano()), Zone: zone, Seeds: seeds, HTTP: client, Log: zap.NewNop(),
+		Node: name, Incarnation: uint64(time.Now().UnixNano()), Zone: zone, Seeds: seeds, HTTP: client, Log: zap.NewNop(),
 		State: func() registry.Lease {
 			s.mu.Lock()
 			defer s.mu.Unlock()
@@ -214,7 +214,7 @@
 			_, _ = fmt.Sscanf(strings.Trim(string(f), "[]"), "%d", &v)
 			s.back = s.back || v < s.version
 			s.version = max(s.version, v)
-			s.Poke()
+			s.RenewNow()
 			return true
 		},
 		OnRegistry: func(full bool, upserts []registry.Upstream, removals []string) {
@@ -338,7 +338,7 @@
 func TestNewsReachesAll(t *testing.T) {
 	mesh(t, "Upstreams and configs reach every sidecar at once, and each is counted", func(_ *network, m []*member, c []*sidecar) {
 		c[2].change(func() { c[2].up.State, c[2].up.Sequence = registry.Draining, 2 })
-		c[2].Poke()
+		c[2].RenewNow()
 		pass(15 * ms)
 		So(c[0].sees()+","+c[1].sees(), ShouldEqual, "i-c1 i-c2 i-c3!,i-c1 i-c2 i-c3!")
 
@@ -370,13 +370,13 @@
 		So(c[2].Peers()[0], ShouldEqual, "m3:1")
 
 		// A deregistration that reaches a member directly holds everywhere, against the sidecar that still renews.
-		So(m[0].Beat(registry.Upstream{Instance: "i-c2", State: registry.Gone}), ShouldBeNil)
+		So(m[0].Heartbeat(registry.Upstream{Instance: "i-c2", State: registry.Gone}), ShouldBeNil)
 		pass(30 * ms)
 		So(c[2].sees(), ShouldEqual, "i-c1 i-c3!")
 		c[1].change(func() { c[1].up.Sequence++ })
 		pass(5 * time.Second)
 		So(c[1].sees(), ShouldEqual, "i-c1 i-c3!")
-		So(errs.KindOf(m[0].Beat(registry.Upstream{})), ShouldEqual, errs.Invalid)
+		So(errs.KindOf(m[0].Heartbeat(registry.Upstream{})), ShouldEqual, errs.Invalid)
 	})
 }
 
@@ -415,7 +415,7 @@
 		fresh := n.member("m1:1", 99)
 		defer fresh.stop()
 		pass(50 * ms)
-		So(fresh.Young(), ShouldBeTrue)
+		So(fresh.Syncing(), ShouldBeTrue)
 		So(len(fresh.Upstreams()), ShouldEqual, 3)
 		for _, s := range c {
 			So(s.sees(), ShouldEqual, "i-c1 i-c2 i-c3")
@@ -468,7 +468,7 @@
 		So([]int{live, largest}, ShouldResemble, []int{1, 3})
 		So(c[2].Connected(), ShouldBeFalse)
 		// Its upstream finds a member by itself.
-		So(m[1].Beat(registry.Upstream{Instance: "i-c3", Service: "s-c3", Address: "c3:80", Sequence: 5}), ShouldBeNil)
+		So(m[1].Heartbeat(registry.Upstream{Instance: "i-c3", Service: "s-c3", Address: "c3:80", Sequence: 5}), ShouldBeNil)
 		pass(30 * ms)
 		So(c[0].sees(), ShouldEqual, "i-c1 i-c3")
 		So(c[0].inbound("i-c3"), ShouldEqual, "c3:90")
@@ -484,10 +484,10 @@
 		pass(10 * time.Second)
 		So(c[0].sees()+","+c[1].sees(), ShouldEqual, "i-c1 i-c2 i-c3,i-c1 i-c2 i-c3")
 		c[0].change(func() { c[0].up.State, c[0].up.Sequence = registry.Draining, 2 })
-		c[0].Poke()
+		c[0].RenewNow()
 		pass(30 * ms)
 		So(c[1].sees(), ShouldEqual, "i-c1! i-c2 i-c3")
-		So(m[0].Beat(registry.Upstream{Instance: "i-c3", State: registry.Gone}), ShouldBeNil)
+		So(m[0].Heartbeat(registry.Upstream{Instance: "i-c3", State: registry.Gone}), ShouldBeNil)
 		pass(time.Second)
 		So(c[1].sees(), ShouldEqual, "i-c1! i-c2")
 
@@ -510,7 +510,7 @@
 		So(c[0].sees(), ShouldEqual, "i-c2")
 		So(c[0].Peers()[0], ShouldEqual, "m1:1")
 		c[2].change(func() { c[2].up.State, c[2].up.Sequence = registry.Draining, 2 })
-		c[2].Poke()
+		c[2].RenewNow()
 		pass(15 * ms)
 		So(c[0].sees(), ShouldEqual, "i-c2")
 
@@ -522,7 +522,7 @@
 		pass(50 * ms)
 		So(m[0].watched(), ShouldEqual, 2)
 		c[1].change(func() { c[1].up.State, c[1].up.Sequence = registry.Draining, 2 })
-		c[1].Poke()
+		c[1].RenewNow()
 		pass(15 * ms)
 		So(c[0].sees(), ShouldEqual, "i-c2!")
 		pass(writeTimeout + 500*ms)
--- a/internal/mesh/watch/wire.go
+++ b/internal/mesh/watch/wire.go
@@ -45,15 +45,15 @@
 	Zone    string `json:"zone,omitempty"`
 }
 
-// LeaseAnswer answers a renewal.
-type LeaseAnswer struct {
+// LeaseResponse answers a renewal.
+type LeaseResponse struct {
 	// TTL is how long the lease lasts, in seconds.
 	TTL float64 `json:"ttl"`
-	// Members counts the live leases, Largest is the largest count lately.
-	// While Young both may be too small.
-	Members int  `json:"members"`
-	Largest int  `json:"largest"`
-	Young   bool `json:"young,omitempty"`
+	// Members counts the live leases, PeakMembers is the largest count lately.
+	// While Syncing both may be too small.
+	Members     int  `json:"members"`
+	PeakMembers int  `json:"largest"`
+	Syncing     bool `json:"young,omitempty"`
 	// Leader is a hint where the leader is.
 	Leader string `json:"sequencer,omitempty"`
 	// Zone is the answering member's, and Peers are all core members.
@@ -62,9 +62,9 @@
 	// Contact is the answering member's. Without it the sidecar should go
 	// elsewhere, and the counts and Peers may be old.
 	Contact Contact `json:"contact"`
-	// Caught says that this member is in contact with a quorum and the sidecar
+	// CaughtUp says that this member is in contact with a quorum and the sidecar
 	// has applied the newest configuration known here.
-	Caught bool `json:"caught"`
+	CaughtUp bool `json:"caught"`
 }
 
 // watchRequest opens a watch from what the sidecar holds.
@@ -89,7 +89,7 @@
 	Epoch  uint64 `json:"epoch"`
 	Number uint64 `json:"number"`
 	Full   bool   `json:"full,omitempty"`
-	// Young says that the member may not have heard from everybody yet, so that
+	// Syncing says that the member may not have heard from everybody yet, so that
 	// what it does not list may well be there.
 	Young    bool                `json:"young,omitempty"`
 	Upserts  []registry.Upstream `json:"upserts,omitempty"`
--- a/internal/rig/hollow/hollow.go
+++ b/internal/rig/hollow/hollow.go
@@ -119,7 +119,7 @@
 			called = func() []string { return names }
 		}
 		s.news = watch.NewClient(watch.ClientConfig{
-			Node: s.node, Life: life, Zone: zone, Seeds: cfg.Seeds, HTTP: s.client, State: s.state, ConfigVersion: func() int64 { return s.charter.Load().Version() },
+			Node: s.node, Incarnation: life, Zone: zone, Seeds: cfg.Seeds, HTTP: s.client, State: s.state, ConfigVersion: func() int64 { return s.charter.Load().Version() },
 			OnConfig: s.take, OnRegistry: s.catalogue, Services: called, Log: zap.NewNop(),
 		})
 		f.all = append(f.all, s)
@@ -208,7 +208,7 @@
 	s.charter.Store(next)
 	if next != held {
 		s.fleet.note(next.Version(), arrived)
-		s.news.Poke()
+		s.news.RenewNow()
 	}
 	return true
 }
