--- /dev/null
+++ b/internal/mesh/headers/golden_test.go
@@ -0,0 +1,90 @@
+package headers
+
+import (
+	"net/http"
+	"reflect"
+	"testing"
+	"time"
+)
+
+// Clients, upstreams and sidecars of the release before know the fields by these names.
+func TestFieldNames(t *testing.T) {
+	for want, got := range map[string]string{
+		"X-Caperarch-Attempt-Id":        AttemptID,
+		"X-Caperarch-Timeout-Remaining": Timeout,
+		"X-Caperarch-Server-Signature":  Signature,
+		"X-Caperarch-Tenant-Id":         Tenant,
+		"X-Caperarch-Target-Instance":   Target,
+		"X-Caperarch-Caller-Service":    Caller,
+		"X-Caperarch-Not-Executed":      NotExecuted,
+		"X-Caperarch-Instance-Load":     Load,
+		"X-Caperarch-Instance-Id":       Instance,
+		"X-Api-Key":                     Key,
+		"X-Mesh-Send":                   SendField,
+	} {
+		if got != want {
+			t.Errorf("the field is named %q, want %q", got, want)
+		}
+	}
+}
+
+func TestFieldsOfAGatesOwnAnswer(t *testing.T) {
+	for neverRan, want := range map[bool]http.Header{
+		true: {
+			"X-Caperarch-Attempt-Id": {"9c41"}, "X-Mesh-Verdict": {"turned"}, "X-Mesh-Load": {"5,2,9"},
+			"X-Caperarch-Not-Executed": {"1"},
+		},
+		false: {"X-Caperarch-Attempt-Id": {"9c41"}, "X-Mesh-Verdict": {"unknown"}, "X-Mesh-Load": {"5,2,9"}},
+	} {
+		if got := Own("9c41", neverRan, LoadText(5, 2, 9)); !reflect.DeepEqual(got, want) {
+			t.Errorf("never ran %v: %v, want %v", neverRan, got, want)
+		}
+	}
+	fields := http.Header{"X-Mesh-Verdict": {"turned"}}
+	Stamp(fields, LoadText(5, 2, 9))
+	if want := (http.Header{"X-Mesh-Load": {"5,2,9"}}); !reflect.DeepEqual(fields, want) {
+		t.Errorf("an upstream's answer has %v, want %v", fields, want)
+	}
+}
+
+func TestTermsOfAnAttemptOnTheWire(t *testing.T) {
+	for want, terms := range map[string]Attempt{
+		"2,1500,1": {Rank: 2, Aim: 1500 * time.Millisecond, Safe: true},
+		"0,0,0":    {},
+	} {
+		fields := http.Header{}
+		terms.Put(fields)
+		if wantFields := (http.Header{"X-Mesh-Visit": {want}}); !reflect.DeepEqual(fields, wantFields) {
+			t.Errorf("%+v is written as %v, want %v", terms, fields, wantFields)
+		}
+		if got, ok := ReadAttempt(head("X-Mesh-Visit", want)); !ok || got != terms {
+			t.Errorf("%q is read as %+v, %v, want %+v", want, got, ok, terms)
+		}
+	}
+}
+
+func TestSendOnTheWire(t *testing.T) {
+	send := Send{Sender: 0xabc123, Number: 12}
+	if got := send.String(); got != "abc123.12" {
+		t.Errorf("the send is written as %q, want abc123.12", got)
+	}
+	if got, ok := ReadSend(head("X-Mesh-Send", "abc123.12")); !ok || got != send {
+		t.Errorf("the send is read as %+v, %v, want %+v", got, ok, send)
+	}
+}
+
+// Neither clients nor upstreams may set or see what sidecars tell each other.
+func TestInternalFieldsAreTakenOff(t *testing.T) {
+	internal := []string{
+		"X-Mesh-Visit", "X-Mesh-Send", "X-Mesh-Load", "X-Mesh-Verdict",
+		"X-Caperarch-Target-Instance", "X-Caperarch-Tenant-Id", "X-Caperarch-Caller-Service", "X-Api-Key",
+	}
+	fields := http.Header{"Accept": {"*/*"}, "X-Caperarch-Attempt-Id": {"9c41"}}
+	want := fields.Clone()
+	for _, name := range internal {
+		fields[name] = []string{"1"}
+	}
+	if Strip(fields); !reflect.DeepEqual(fields, want) {
+		t.Errorf("left are %v, want %v", fields, want)
+	}
+}
--- a/internal/mesh/replication/golden_test.go
+++ b/internal/mesh/replication/golden_test.go
@@ -1,6 +1,8 @@
 package replication
 
 import (
+	"net/http"
+	"net/http/httptest"
 	"testing"
 
 	"caperarch/internal/mesh/goldentest"
@@ -15,3 +17,14 @@
 	goldentest.CheckJSON[Membership](t, "membership")
 	goldentest.CheckJSON[Entry](t, "entry")
 }
+
+func TestPathOfPosts(t *testing.T) {
+	mux := http.NewServeMux()
+	RegisterRoutes(mux, func() *Node { return nil })
+	if _, pattern := mux.Handler(httptest.NewRequest("POST", "/mesh/archive", nil)); pattern != "POST /mesh/archive" {
+		t.Errorf("members post to %q, want /mesh/archive", pattern)
+	}
+	if Path != "/mesh/archive" {
+		t.Errorf("members post to %q, want /mesh/archive", Path)
+	}
+}
--- a/internal/mesh/rpc/golden_test.go
+++ b/internal/mesh/rpc/golden_test.go
@@ -1,8 +1,10 @@
 package rpc
 
 import (
+	"net/http/httptest"
 	"testing"
 
+	"caperarch/internal/mesh/errs"
 	"caperarch/internal/mesh/goldentest"
 )
 
@@ -10,3 +12,44 @@
 func TestErrorBody(t *testing.T) {
 	goldentest.CheckJSON[failure](t, "error")
 }
+
+// Callers of the release before go by the status, the kind's name and Retry-After of an error.
+func TestErrorAnswerOfEachKind(t *testing.T) {
+	type answer struct {
+		status           int
+		kind, retryAfter string
+	}
+	want := []answer{
+		{400, "Invalid", ""},
+		{400, "Unreadable", ""},
+		{413, "TooLarge", ""},
+		{412, "Stale", ""},
+		{404, "Unknown", ""},
+		{503, "Busy", "0.2"},
+		{503, "NoQuorum", "0.3"},
+		{503, "NotLeader", ""},
+		{503, "Late", ""},
+		{503, "Undecided", ""},
+		{503, "DiskFailed", ""},
+		{502, "Unreachable", ""},
+		{500, "Internal", ""},
+	}
+	if last := int(errs.Internal); last != len(want) {
+		t.Errorf("there are %d kinds, want %d", last, len(want))
+	}
+	for i, want := range want {
+		w := httptest.NewRecorder()
+		WriteError(w, errs.New(errs.Kind(i+1), "what went wrong"))
+		got := answer{w.Code, w.Header().Get("X-Mesh-Fault"), w.Header().Get("Retry-After")}
+		if got != want {
+			t.Errorf("kind %d is answered as %+v, want %+v", i+1, got, want)
+		}
+		body := `{"errorMessage":"what went wrong","kind":"` + want.kind + `"}`
+		if got := w.Body.String(); got != body {
+			t.Errorf("%s: the body is %s, want %s", want.kind, got, body)
+		}
+		if got := w.Header().Get("Content-Type"); got != "application/json" {
+			t.Errorf("%s: the body is of the type %q", want.kind, got)
+		}
+	}
+}
--- a/internal/mesh/sidecar/golden_test.go
+++ b/internal/mesh/sidecar/golden_test.go
@@ -12,3 +12,9 @@
 	goldentest.CheckJSON[AllocateResponse](t, "quota_answer")
 	goldentest.CheckJSON[ConfigUpdate](t, "config_frame")
 }
+
+func TestQuotaPath(t *testing.T) {
+	if AllocatePath != "/mesh/deal" {
+		t.Errorf("sidecars ask for tokens at %q, want /mesh/deal", AllocatePath)
+	}
+}
--- a/internal/mesh/watch/golden_test.go
+++ b/internal/mesh/watch/golden_test.go
@@ -15,3 +15,16 @@
 	goldentest.CheckJSON[gossipAnswer](t, "gossip_answer")
 	goldentest.CheckJSON[rollAnswer](t, "roll_answer")
 }
+
+func TestPaths(t *testing.T) {
+	for want, got := range map[string]string{
+		"/mesh/lease":  leasePath,
+		"/mesh/watch":  watchPath,
+		"/mesh/gossip": gossipPath,
+		"/mesh/roll":   rollPath,
+	} {
+		if got != want {
+			t.Errorf("a path is %q, want %q", got, want)
+		}
+	}
+}
--- a/meshclient/golden_test.go
+++ b/meshclient/golden_test.go
@@ -16,3 +16,15 @@
 	goldentest.CheckJSON[taken](t, "change_answer")
 	goldentest.CheckJSON[beat](t, "heartbeat")
 }
+
+func TestPathsOfInspection(t *testing.T) {
+	for want, got := range map[string]string{
+		"/api/view":      ViewPath,
+		"/api/members":   MembersPath,
+		"/api/upstreams": UpstreamsPath,
+	} {
+		if got != want {
+			t.Errorf("a path is %q, want %q", got, want)
+		}
+	}
+}
