--- a/internal/mesh/api/forward.go
+++ b/internal/mesh/api/forward.go
@@ -36,7 +36,7 @@
 
 // Change passes a change on. A body that can't be read is refused here.
 func (f Forwarder) Change(r *http.Request, whole bool, body []byte) (*ChangeResponse, error) {
-	version, err := config.ReadVersion(body)
+	version, err := config.ParseVersion(body)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/mesh/api/operators.go
+++ b/internal/mesh/api/operators.go
@@ -77,7 +77,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if _, err := config.ReadVersion(*document); err != nil {
+	if _, err := config.ParseVersion(*document); err != nil {
 		return nil, errs.Wrap(err, errs.Unreachable, "%s gives no configuration", url)
 	}
 	return document, nil
--- a/internal/mesh/cli/cli_test.go
+++ b/internal/mesh/cli/cli_test.go
@@ -114,7 +114,7 @@
 		client := rpc.NewClient(time.Second)
 		defer client.CloseIdleConnections()
 		_, err = rpc.Call[registry.Lease, watch.LeaseResponse](ctx, client, "http://"+inside+"/mesh/lease", &registry.Lease{
-			Node: "side-1", Life: 1, Sequence: 1, Zone: "a", Applied: 5,
+			Node: "side-1", Incarnation: 1, Sequence: 1, Zone: "a", Applied: 5,
 			Upstream: &registry.Upstream{Instance: "i-1", Service: "tea", Address: "10.0.0.1:80", Inbound: "10.0.0.1:81", Zone: "a", Slots: 4, Sequence: 1},
 		})
 		So(err, ShouldBeNil)
--- a/internal/mesh/config/change.go
+++ b/internal/mesh/config/change.go
@@ -43,8 +43,8 @@
 	Body json.RawMessage `json:"body"`
 }
 
-// Bytes gives the change with its form as one JSON value, which ReadChange reads on another process.
-func (c *Change) Bytes() []byte {
+// Encode gives the change with its form as one JSON value, which ReadChange reads on another process.
+func (c *Change) Encode() []byte {
 	out := make([]byte, 0, len(c.body)+len(`{"form":"","body":}`)+len(c.form))
 	out = append(out, `{"form":"`...)
 	out = append(out, c.form...)
@@ -53,17 +53,17 @@
 	return append(out, '}')
 }
 
-// ReadChange reads what Bytes gave. The change has the digest it had where it was first read.
-func ReadChange(bytes []byte) (*Change, error) {
+// DecodeChange reads what Bytes gave. The change has the digest it had where it was first read.
+func DecodeChange(bytes []byte) (*Change, error) {
 	var e envelope
 	if err := unmarshal(bytes, &e); err != nil {
 		return nil, err
 	}
 	switch e.Form {
 	case formReplace:
-		return ReadReplace(e.Body)
+		return ParseReplace(e.Body)
 	case formUpdate:
-		return ReadUpdate(e.Body)
+		return ParseUpdate(e.Body)
 	}
 	return nil, errs.New(errs.Invalid, "a change of the form %q: neither %q nor %q",
 		e.Form, formReplace, formUpdate)
@@ -75,9 +75,9 @@
 	BaseVersion   int64  `json:"baseVersion"`
 }
 
-// ReadVersion reads only the version that an order's body names. A body that is no JSON value is
+// ParseVersion reads only the version that an order's body names. A body that is no JSON value is
 // Malformed and one without a version is Invalid; no other fault is looked for.
-func ReadVersion(body []byte) (int64, error) {
+func ParseVersion(body []byte) (int64, error) {
 	if !utf8.Valid(body) {
 		return 0, errs.New(errs.Malformed, "the body is no UTF-8")
 	}
@@ -111,9 +111,9 @@
 	} `json:"remove"`
 }
 
-// ReadReplace reads the body of a call that puts a whole configuration. What is cut short or is no
+// ParseReplace reads the body of a call that puts a whole configuration. What is cut short or is no
 // JSON is Malformed; what the schemas don't allow is Invalid. The body isn't kept.
-func ReadReplace(body []byte) (*Change, error) {
+func ParseReplace(body []byte) (*Change, error) {
 	var w whole
 	c, err := readBody(formReplace, body, &w)
 	if err != nil {
@@ -125,8 +125,8 @@
 	return c.fill(w.versions, *w.Resources)
 }
 
-// ReadUpdate reads the body of a call that changes named items, under the terms of ReadReplace.
-func ReadUpdate(body []byte) (*Change, error) {
+// ParseUpdate reads the body of a call that changes named items, under the terms of ReadReplace.
+func ParseUpdate(body []byte) (*Change, error) {
 	var p partial
 	c, err := readBody(formUpdate, body, &p)
 	if err != nil {
--- a/internal/mesh/config/fuzz_test.go
+++ b/internal/mesh/config/fuzz_test.go
@@ -15,9 +15,9 @@
 		}
 		return
 	}
-	passedOn, err := ReadChange(change.Bytes())
+	passedOn, err := DecodeChange(change.Encode())
 	if err != nil || passedOn.digest != change.digest || passedOn.Version() != change.Version() || passedOn.Base() != change.Base() {
-		t.Fatalf("%q is another change on its way: %v", change.Bytes(), err)
+		t.Fatalf("%q is another change on its way: %v", change.Encode(), err)
 	}
 	next, outcome, _ := (&Snapshot{version: change.base, table: Empty().table, orders: orderRecord{forgotten: change.base}}).Apply(change)
 	if outcome != Applied {
@@ -31,7 +31,7 @@
 	if err != nil {
 		t.Fatalf("a snapshot that can't be read back: %v", err)
 	}
-	if _, outcome, _ := decoded.Apply(passedOn); outcome != Repeated {
+	if _, outcome, _ := decoded.Apply(passedOn); outcome != Duplicate {
 		t.Fatalf("an applied change is not known again: %d", outcome)
 	}
 }
@@ -51,7 +51,7 @@
 func FuzzReadReplace(f *testing.F) {
 	seeds(f)
 	f.Fuzz(func(t *testing.T, body []byte) {
-		change, err := ReadReplace(body)
+		change, err := ParseReplace(body)
 		checkOrder(t, change, err)
 	})
 }
@@ -59,9 +59,9 @@
 func FuzzReadUpdate(f *testing.F) {
 	seeds(f)
 	f.Fuzz(func(t *testing.T, body []byte) {
-		change, err := ReadUpdate(body)
+		change, err := ParseUpdate(body)
 		checkOrder(t, change, err)
-		if version, versionErr := ReadVersion(body); err == nil && (versionErr != nil || version != change.Version()) {
+		if version, versionErr := ParseVersion(body); err == nil && (versionErr != nil || version != change.Version()) {
 			t.Fatalf("version %d, %v instead of %d", version, versionErr, change.Version())
 		}
 	})
@@ -70,7 +70,7 @@
 func FuzzReadChange(f *testing.F) {
 	seeds(f)
 	f.Fuzz(func(t *testing.T, text []byte) {
-		change, err := ReadChange(text)
+		change, err := DecodeChange(text)
 		checkOrder(t, change, err)
 	})
 }
--- a/internal/mesh/config/orders_test.go
+++ b/internal/mesh/config/orders_test.go
@@ -14,11 +14,11 @@
 	digestsOf := func(t *testing.T, bodies ...string) map[digest]bool {
 		found := make(map[digest]bool)
 		for _, body := range bodies {
-			change, err := ReadUpdate([]byte(body))
+			change, err := ParseUpdate([]byte(body))
 			if err != nil {
 				t.Fatal(body, err)
 			}
-			passedOn, err := ReadChange(change.Bytes())
+			passedOn, err := DecodeChange(change.Encode())
 			if err != nil || passedOn.digest != change.digest {
 				t.Fatal("the digest changes on its way:", body, err)
 			}
@@ -43,15 +43,15 @@
 			`{"configVersion":3,"ConfigVersion":4}`, `{"ConfigVersion":4,"configVersion":3}`,
 		}
 		So(digestsOf(t, bodies...), ShouldHaveLength, len(bodies))
-		whole, _ := ReadReplace([]byte(`{"configVersion":3,"resources":[]}`))
-		part, _ := ReadUpdate([]byte(`{"configVersion":3,"resources":[]}`))
+		whole, _ := ParseReplace([]byte(`{"configVersion":3,"resources":[]}`))
+		part, _ := ParseUpdate([]byte(`{"configVersion":3,"resources":[]}`))
 		So(whole.digest, ShouldNotEqual, part.digest)
 	})
 	Convey("Bad bodies are refused with their kind", t, func() {
 		nested := func(depth int) string {
 			return `{"configVersion":3,"n":` + strings.Repeat("[", depth) + strings.Repeat("]", depth) + `}`
 		}
-		_, err := ReadUpdate([]byte(nested(maxNesting)))
+		_, err := ParseUpdate([]byte(nested(maxNesting)))
 		So(err, ShouldBeNil)
 		for body, kind := range map[string]errs.Kind{
 			nested(maxNesting + 1): errs.Invalid, nested(20000): errs.Malformed, `{"configVersion":3,"n":{"a":1,"b":2,"\u0061":1}}`: errs.Invalid,
@@ -59,7 +59,7 @@
 			`{"configVersion":1e3}`: errs.Invalid, `{"configVersion":3,"baseVersion":-1}`: errs.Invalid, `{"configVersion":3,"n":"` + "\xff" + `"}`: errs.Malformed,
 			``: errs.Malformed, `null`: errs.Invalid, `[]`: errs.Invalid, `3 4`: errs.Malformed, `{"configVersion":3}{}`: errs.Malformed,
 		} {
-			_, err := ReadUpdate([]byte(body))
+			_, err := ParseUpdate([]byte(body))
 			SoMsg(body[:min(len(body), 60)], errs.KindOf(err), ShouldEqual, kind)
 		}
 	})
@@ -71,7 +71,7 @@
 	}
 	Convey("An order that was refused because its base had not come stays refused once it comes, also through a snapshot", t, func() {
 		c, outcome, err := put(Empty(), order(9, 7))
-		So([]any{outcome, errs.KindOf(err)}, ShouldResemble, []any{Refused, errs.Stale})
+		So([]any{outcome, errs.KindOf(err)}, ShouldResemble, []any{Rejected, errs.Stale})
 		c, outcome, _ = put(c, order(7, 0))
 		So(outcome, ShouldEqual, Applied)
 		text, err := c.Encode()
@@ -80,7 +80,7 @@
 		So(err, ShouldBeNil)
 		for _, held := range []*Snapshot{c, decoded} {
 			_, outcome, err = put(held, order(9, 7))
-			So([]any{outcome, errs.KindOf(err)}, ShouldResemble, []any{Refused, errs.Stale})
+			So([]any{outcome, errs.KindOf(err)}, ShouldResemble, []any{Rejected, errs.Stale})
 			next, outcome, _ := put(held, strings.Replace(order(9, 7), "}", `,"note":1}`, 1))
 			So(outcome, ShouldEqual, Applied) // another order under its number
 			So(next.orders.refusedAhead, ShouldBeEmpty)
@@ -92,9 +92,9 @@
 			c, _, _ = put(c, order(2*maxRefusedAhead, 1+i))
 		}
 		full, outcome, err := put(c, order(2*maxRefusedAhead, maxRefusedAhead+1))
-		So([]any{outcome, errs.KindOf(err), full}, ShouldResemble, []any{Unsettled, errs.Undetermined, c})
+		So([]any{outcome, errs.KindOf(err), full}, ShouldResemble, []any{Undetermined, errs.Undetermined, c})
 		_, outcome, err = put(c, order(2*maxRefusedAhead, 5))
-		So([]any{outcome, errs.KindOf(err)}, ShouldResemble, []any{Refused, errs.Stale})
+		So([]any{outcome, errs.KindOf(err)}, ShouldResemble, []any{Rejected, errs.Stale})
 	})
 }
 
@@ -121,7 +121,7 @@
 		plain, err := Decode([]byte(`{"document":` + string(c.Document()) + `}`))
 		So(err, ShouldBeNil)
 		_, outcome, _ := put(plain, `{"configVersion":3,"baseVersion":0}`)
-		So(outcome, ShouldEqual, Unsettled)
+		So(outcome, ShouldEqual, Undetermined)
 		_, outcome, _ = put(plain, `{"configVersion":6,"baseVersion":5}`)
 		So(outcome, ShouldEqual, Applied)
 	})
--- a/internal/mesh/config/schema.go
+++ b/internal/mesh/config/schema.go
@@ -192,7 +192,7 @@
 		Prefix:        s.PathPrefix,
 		Idempotent:    s.RouteType == idempotent,
 		Timeout:       seconds(*s.TimeoutS),
-		TargetLatency: seconds(s.TargetLatencyS),
+		LatencyTarget: seconds(s.TargetLatencyS),
 		Priority:      s.Priority,
 		MaxAttempts:   max(s.MaxAttempts, 1),
 		Public:        s.Public,
--- a/internal/mesh/config/snapshot.go
+++ b/internal/mesh/config/snapshot.go
@@ -33,16 +33,16 @@
 type Outcome uint8
 
 const (
-	// Refused changes have not been applied and never will be: an error says why.
-	Refused Outcome = iota
+	// Rejected changes have not been applied and never will be: an error says why.
+	Rejected Outcome = iota
 	// Applied changes led to the snapshot that was returned.
 	Applied
-	// Repeated changes had been applied before with the very same content: the configuration stays as
+	// Duplicate changes had been applied before with the very same content: the configuration stays as
 	// it is and the operator is to hear of success.
-	Repeated
-	// Unsettled changes are not applied now, and the record doesn't tell what became of them or
+	Duplicate
+	// Undetermined changes are not applied now, and the record doesn't tell what became of them or
 	// would become of them later: the operator must not hear of a refusal.
-	Unsettled
+	Undetermined
 )
 
 // Apply gives the snapshot after a change, in the order of the log. Whether the very same change was
@@ -53,22 +53,22 @@
 func (s *Snapshot) Apply(change *Change) (*Snapshot, Outcome, error) {
 	switch {
 	case s.orders.hasApplied(change):
-		return s, Repeated, nil
+		return s, Duplicate, nil
 	case s.orders.mayHaveApplied(change):
-		return s, Unsettled, errs.New(errs.Undetermined, "orders up to version %d are no longer remembered", s.orders.forgotten)
+		return s, Undetermined, errs.New(errs.Undetermined, "orders up to version %d are no longer remembered", s.orders.forgotten)
 	case change.base > s.version:
 		return s.refuseAhead(change)
 	case change.base < s.version:
-		return s, Refused, s.stale(change)
+		return s, Rejected, s.stale(change)
 	case s.orders.hasRefused(change):
-		return s, Refused, errs.New(errs.Stale, "version %d was refused before version %d came", change.version, change.base)
+		return s, Rejected, errs.New(errs.Stale, "version %d was refused before version %d came", change.version, change.base)
 	case change.version <= s.version:
-		return s, Refused, errs.New(errs.Invalid, "configVersion: %d is not above %d, which is in place", change.version, s.version)
+		return s, Rejected, errs.New(errs.Invalid, "configVersion: %d is not above %d, which is in place", change.version, s.version)
 	}
 	items := s.merge(change)
 	table, err := newTable(items)
 	if err != nil {
-		return s, Refused, err
+		return s, Rejected, err
 	}
 	return &Snapshot{
 		version: change.version,
@@ -84,11 +84,11 @@
 func (s *Snapshot) refuseAhead(change *Change) (*Snapshot, Outcome, error) {
 	orders, ok := s.orders.withRefused(change)
 	if !ok {
-		return s, Unsettled, errs.New(errs.Undetermined, "version %d builds on %d, which has not come", change.version, change.base)
+		return s, Undetermined, errs.New(errs.Undetermined, "version %d builds on %d, which has not come", change.version, change.base)
 	}
 	next := *s
 	next.orders = orders
-	return &next, Refused, s.stale(change)
+	return &next, Rejected, s.stale(change)
 }
 
 func (s *Snapshot) stale(change *Change) error {
@@ -175,7 +175,7 @@
 	if err := unmarshal(text, &e); err != nil {
 		return nil, err
 	}
-	document, err := ReadReplace(e.Document)
+	document, err := ParseReplace(e.Document)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/mesh/config/snapshot_test.go
+++ b/internal/mesh/config/snapshot_test.go
@@ -20,13 +20,13 @@
 
 // put applies a body: the updates of these tests bear no items, so what bears any is a replace.
 func put(c *Snapshot, body string) (*Snapshot, Outcome, error) {
-	read := ReadUpdate
+	read := ParseUpdate
 	if strings.Contains(body, `"resourceType"`) {
-		read = ReadReplace
+		read = ParseReplace
 	}
 	change, err := read([]byte(body))
 	if err != nil {
-		return c, Refused, err
+		return c, Rejected, err
 	}
 	return c.Apply(change)
 }
@@ -39,7 +39,7 @@
 		So(string(c.Document()), ShouldEqual, example)
 		r := c.Match("JEPU9.example:80", "/lepu270/2f?x=/")
 		So(*r, ShouldResemble, Route{Name: "r-6sz9frg", Host: "jepu9.example", Prefix: "/lepu270/", Idempotent: true,
-			Timeout: time.Second, TargetLatency: 250 * time.Millisecond, Priority: 2, MaxAttempts: 2,
+			Timeout: time.Second, LatencyTarget: 250 * time.Millisecond, Priority: 2, MaxAttempts: 2,
 			Targets: []Target{{"huvo11a", 90}, {"kafi81c", 10}}})
 		So(c.Match("hulo84.example", "/xapu221/ny95/2f").Idempotent, ShouldBeFalse)
 		So(c.Match("hulo84.example", "/xapu221/?/xapu221/ny95/"), ShouldBeNil)
@@ -53,11 +53,11 @@
 	})
 	Convey("A body cut short anywhere can't be read, and nothing panics on a body with a byte spoilt", t, func() {
 		for end := range len(example) {
-			_, err := ReadReplace([]byte(example[:end]))
+			_, err := ParseReplace([]byte(example[:end]))
 			So(errs.KindOf(err), ShouldEqual, errs.Malformed)
 			spoilt := []byte(example)
 			spoilt[end] = `0"{]n`[end%5]
-			if change, err := ReadReplace(spoilt); err == nil {
+			if change, err := ParseReplace(spoilt); err == nil {
 				Empty().Apply(change)
 			}
 		}
@@ -107,7 +107,7 @@
 			c, outcome, err := put(Empty(), strings.Replace(example, row.from, row.to, 1))
 			SoMsg(row.fault, errs.KindOf(err), ShouldEqual, errs.Invalid)
 			SoMsg(row.fault, err.Error(), ShouldContainSubstring, row.named)
-			SoMsg(row.fault, outcome, ShouldEqual, Refused)
+			SoMsg(row.fault, outcome, ShouldEqual, Rejected)
 			So(c, ShouldEqual, Empty())
 		}
 	})
@@ -125,12 +125,12 @@
 			So(outcome, ShouldEqual, Applied)
 			same, outcome, err := put(won, order[1])
 			So(errs.KindOf(err), ShouldEqual, errs.Stale)
-			So(outcome, ShouldEqual, Refused)
+			So(outcome, ShouldEqual, Rejected)
 			So(same, ShouldEqual, won)
 			for _, resent := range []string{example, order[0], strings.ReplaceAll(order[0], ",", " ,\n")} {
 				same, outcome, err = put(won, resent)
 				So(err, ShouldBeNil)
-				So(outcome, ShouldEqual, Repeated)
+				So(outcome, ShouldEqual, Duplicate)
 				So(same, ShouldEqual, won)
 			}
 			_, _, err = put(won, strings.Replace(order[0], "remove", "removed", 1))
@@ -155,10 +155,10 @@
 		c, err = Decode(text)
 		So(err, ShouldBeNil)
 		_, outcome, _ := put(c, body(2))
-		So(outcome, ShouldEqual, Repeated)
+		So(outcome, ShouldEqual, Duplicate)
 		for _, forgotten := range []string{body(1), `{"configVersion":1,"baseVersion":4097}`} { // no clear answer, and no 4xx
 			_, outcome, err = put(c, forgotten)
-			So(outcome, ShouldEqual, Unsettled)
+			So(outcome, ShouldEqual, Undetermined)
 			So(errs.KindOf(err), ShouldEqual, errs.Undetermined)
 			So(errs.KindOf(err).Status(), ShouldEqual, 503)
 		}
@@ -205,13 +205,13 @@
 				body, _ := json.Marshal(map[string]any{"configVersion": v, "baseVersion": c.Version(),
 					"upsert": map[string]any{"resources": upserts}, "remove": map[string]any{"routes": gone}})
 				body = []byte(strings.NewReplacer(`\u003c`, "<", `\u003e`, ">", `\u0026`, "&").Replace(string(body)))
-				change, err := ReadUpdate(body)
+				change, err := ParseUpdate(body)
 				if err != nil {
 					t.Fatal(err)
 				}
 				next, _, err := c.Apply(change)
-				frame, _ := json.Marshal(json.RawMessage(change.Bytes()))
-				pushed, readErr := ReadChange(frame)
+				frame, _ := json.Marshal(json.RawMessage(change.Encode()))
+				pushed, readErr := DecodeChange(frame)
 				if readErr != nil {
 					t.Fatal(readErr)
 				}
@@ -301,7 +301,7 @@
 
 // large gives a snapshot of 50 hosts with 200 prefixes each.
 func large(t testing.TB) *Snapshot {
-	change, err := ReadReplace(largeBody())
+	change, err := ParseReplace(largeBody())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -326,7 +326,7 @@
 	body := largeBody()
 	b.ReportAllocs()
 	for b.Loop() {
-		if _, err := ReadReplace(body); err != nil {
+		if _, err := ParseReplace(body); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/internal/mesh/config/table.go
+++ b/internal/mesh/config/table.go
@@ -25,8 +25,8 @@
 	Idempotent bool
 	// Timeout is the longest that the operator wants a request held, MaxTimeoutS at most.
 	Timeout time.Duration
-	// TargetLatency is the time within which an answer earns its full worth; 0 when none was given.
-	TargetLatency time.Duration
+	// LatencyTarget is the time within which an answer earns its full worth; 0 when none was given.
+	LatencyTarget time.Duration
 	// Priority is the route's rank; 0 is the highest.
 	Priority int
 	// Targets are the services that requests go to: one at least, each with a weight above 0.
--- a/internal/mesh/controlplane/controlplane.go
+++ b/internal/mesh/controlplane/controlplane.go
@@ -189,5 +189,5 @@
 
 // Deregister takes that an instance has ended.
 func (s *Server) Deregister(instance string) error {
-	return s.hub.Heartbeat(registry.Upstream{Instance: instance, State: registry.Gone})
+	return s.hub.Heartbeat(registry.Upstream{Instance: instance, State: registry.Deregistered})
 }
--- a/internal/mesh/controlplane/frames.go
+++ b/internal/mesh/controlplane/frames.go
@@ -28,7 +28,7 @@
 		}
 		f := sidecar.ConfigUpdate{Version: m.configuration.Version()}
 		for _, change := range m.kept[i:] {
-			f.Changes = append(f.Changes, change.Bytes())
+			f.Changes = append(f.Changes, change.Encode())
 		}
 		return m.frames(f)
 	}
--- a/internal/mesh/controlplane/inspect.go
+++ b/internal/mesh/controlplane/inspect.go
@@ -72,7 +72,7 @@
 		})
 	}
 	roll, err := rpc.Call[struct{}, struct {
-		Leases []registry.Remote `json:"leases"`
+		Leases []registry.RemoteLease `json:"leases"`
 	}](ctx, s.client, "http://"+s.set.Internal()+rollPath, &struct{}{})
 	asked.Wait()
 	if err != nil {
--- a/internal/mesh/controlplane/orders.go
+++ b/internal/mesh/controlplane/orders.go
@@ -74,9 +74,9 @@
 
 func read(whole bool, body []byte) (*config.Change, error) {
 	if whole {
-		return config.ReadReplace(body)
+		return config.ParseReplace(body)
 	}
-	return config.ReadUpdate(body)
+	return config.ParseUpdate(body)
 }
 
 // propose puts a change into the log and waits until the state machine here has judged it, and, for a
--- a/internal/mesh/controlplane/orders_history_test.go
+++ b/internal/mesh/controlplane/orders_history_test.go
@@ -38,7 +38,7 @@
 	const last = 4096 + 3
 	for version := range int64(last) {
 		o := order{version: version + 1, base: version, service: "a"}
-		change, err := config.ReadReplace([]byte(o.body(0)))
+		change, err := config.ParseReplace([]byte(o.body(0)))
 		if err != nil {
 			panic(err)
 		}
@@ -171,7 +171,7 @@
 
 func (w *world) propose(i int) uint64 {
 	w.number++
-	change, err := config.ReadReplace([]byte(w.orders[i].body(w.rng.IntN(3))))
+	change, err := config.ParseReplace([]byte(w.orders[i].body(w.rng.IntN(3))))
 	if err != nil {
 		w.t.Fatal(err)
 	}
--- a/internal/mesh/controlplane/statemachine.go
+++ b/internal/mesh/controlplane/statemachine.go
@@ -109,7 +109,7 @@
 
 // command is a change as it stands in the log.
 func command(number uint64, change *config.Change) []byte {
-	return append(binary.BigEndian.AppendUint64(nil, number), change.Bytes()...)
+	return append(binary.BigEndian.AppendUint64(nil, number), change.Encode()...)
 }
 
 // apply takes the command of an entry, to be applied behind those before. An entry that bears no
@@ -207,7 +207,7 @@
 		return
 	}
 	number := binary.BigEndian.Uint64(command)
-	change, err := config.ReadChange(command[proposalNumberSize:])
+	change, err := config.DecodeChange(command[proposalNumberSize:])
 	if err != nil {
 		// The operator's body was read before it was proposed, so this says nothing against it.
 		m.tell(number, verdict{err: errs.Wrap(err, errs.Internal, "a command of the log can't be read")})
@@ -231,14 +231,14 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.damaged {
-		return 0, config.Unsettled, errs.New(errs.Internal, "no configuration is held to judge the change by")
+		return 0, config.Undetermined, errs.New(errs.Internal, "no configuration is held to judge the change by")
 	}
 	next, outcome, err := m.configuration.Apply(change)
 	m.configuration = next
 	switch outcome {
 	case config.Applied:
 		m.keep(change)
-	case config.Repeated:
+	case config.Duplicate:
 		return change.Version(), outcome, nil
 	}
 	return next.Version(), outcome, err
--- a/internal/mesh/controlplane/statemachine_test.go
+++ b/internal/mesh/controlplane/statemachine_test.go
@@ -23,7 +23,7 @@
 	for i, name := range services {
 		items[i] = fmt.Sprintf(`{"resourceType":"services","metadata":{"name":"%s"},"specification":{"x":"<&>"}}`, name)
 	}
-	change, err := config.ReadReplace(fmt.Appendf(nil, `{"configVersion": %d, "baseVersion": %d, "resources": [%s]}`, version, base, strings.Join(items, ",")))
+	change, err := config.ParseReplace(fmt.Appendf(nil, `{"configVersion": %d, "baseVersion": %d, "resources": [%s]}`, version, base, strings.Join(items, ",")))
 	if err != nil {
 		panic(err)
 	}
@@ -32,7 +32,7 @@
 
 // drop is a change that takes a service out.
 func drop(version, base int64, service string) *config.Change {
-	change, err := config.ReadUpdate(fmt.Appendf(nil, `{"configVersion":%d,"baseVersion":%d,"remove":{"services":["%s"]}}`, version, base, service))
+	change, err := config.ParseUpdate(fmt.Appendf(nil, `{"configVersion":%d,"baseVersion":%d,"remove":{"services":["%s"]}}`, version, base, service))
 	if err != nil {
 		panic(err)
 	}
@@ -194,10 +194,10 @@
 		var wrong []string
 		for _, frame := range []string{
 			``, `[]`, `{"version":9`, `{"version":"9"}`, `{"version":9,"whole":null}`, `{"version":9,"whole":{}}`, `{"version":9,"changes":[{}]}`, `{"version":9,"changes":[7]}`,
-			`{"version":9,"changes":[` + string(put(9, 3, "c").Bytes()) + `]}`,
+			`{"version":9,"changes":[` + string(put(9, 3, "c").Encode()) + `]}`,
 			`{"version":9,"whole":` + encoded(held3) + `}`,
 			`{"version":9}`,
-			`{"version":9,"changes":[` + string(put(7, 5, "c").Bytes()) + `]}`,
+			`{"version":9,"changes":[` + string(put(7, 5, "c").Encode()) + `]}`,
 		} {
 			next, err := sidecar.ApplyUpdate(held, json.RawMessage(frame))
 			if err == nil && next.Version() != 9 {
--- a/internal/mesh/registry/changes.go
+++ b/internal/mesh/registry/changes.go
@@ -15,9 +15,9 @@
 	Instance, Service string
 }
 
-// News is what changed in a table since a number of its epoch. If Full, the
+// Changes is what changed in a table since a number of its epoch. If Full, the
 // Upserts are all there is and replace what was held.
-type News struct {
+type Changes struct {
 	Epoch    uint64
 	Number   uint64
 	Full     bool
@@ -42,8 +42,8 @@
 // Since gives what changed after a number of an epoch, and everything when the
 // epoch is another one or the number is too old. Keep says which services the
 // reader wants; nil keeps all.
-func (t *Table) Since(now time.Duration, epoch, number uint64, keep func(service string) bool) News {
-	news := News{Epoch: t.epoch, Number: t.number}
+func (t *Table) Since(now time.Duration, epoch, number uint64, keep func(service string) bool) Changes {
+	news := Changes{Epoch: t.epoch, Number: t.number}
 	if epoch != t.epoch || number > t.number || t.number-number > uint64(min(len(t.log), maxLog)) {
 		news.Full = true
 		for _, e := range t.entries {
--- a/internal/mesh/registry/count.go
+++ b/internal/mesh/registry/count.go
@@ -39,11 +39,11 @@
 // Members is the number of live leases.
 func (t *Table) Members() int { return t.live }
 
-// Largest is the largest number of live leases of the last LargestTime.
-func (t *Table) Largest(now time.Duration) int {
+// PeakMembers is the largest number of live leases of the last LargestTime.
+func (t *Table) PeakMembers(now time.Duration) int {
 	most, at := t.live, int64(now/time.Second)
 	for _, s := range t.recent {
-		if s.at > at-int64(LargestTime/time.Second) {
+		if s.at > at-int64(PeakWindow/time.Second) {
 			most = max(most, s.count)
 		}
 	}
--- a/internal/mesh/registry/golden_test.go
+++ b/internal/mesh/registry/golden_test.go
@@ -9,8 +9,8 @@
 // What other processes send and expect: testdata holds it as the release before wrote it.
 func TestMessagesOnTheWire(t *testing.T) {
 	goldentest.CheckJSON[Lease](t, "lease")
-	goldentest.CheckJSON[Remote](t, "remote")
+	goldentest.CheckJSON[RemoteLease](t, "remote")
 	goldentest.CheckJSON[Renewal](t, "renewal")
-	goldentest.CheckJSON[Vouched](t, "vouched")
+	goldentest.CheckJSON[UpstreamReport](t, "vouched")
 	goldentest.CheckJSON[Upstream](t, "upstream")
 }
--- a/internal/mesh/registry/instance.go
+++ b/internal/mesh/registry/instance.go
@@ -31,31 +31,31 @@
 	return sequence == g.sequence && (heartbeat || !g.lapsed)
 }
 
-// Beat takes an upstream's beat that reached a core member directly. It
+// Heartbeat takes an upstream's beat that reached a core member directly. It
 // reports whether the beat was taken; an older or a repeated one is not.
-func (t *Table) Beat(now time.Duration, up Upstream) (taken bool, err error) {
+func (t *Table) Heartbeat(now time.Duration, up Upstream) (taken bool, err error) {
 	if err := up.Check(); err != nil {
 		return false, err
 	}
-	return t.BeatFor(now, up, LeaseTime), nil
+	return t.RelayedHeartbeat(now, up, LeaseTTL), nil
 }
 
-// BeatFor is Beat for a beat that another member received, with the time it
+// RelayedHeartbeat is Beat for a beat that another member received, with the time it
 // still counts; below zero it says for how long nobody has vouched for the
 // upstream. A beat that Check refuses is not taken, nor one whose upstream would
 // have been dropped by now, and one whose time is over replaces no other
 // instance.
-func (t *Table) BeatFor(now time.Duration, up Upstream, lasts time.Duration) (taken bool) {
+func (t *Table) RelayedHeartbeat(now time.Duration, up Upstream, lasts time.Duration) (taken bool) {
 	if up.Check() != nil {
 		return false
 	}
-	if e := t.entries[up.Instance]; e != nil && up.State != Gone {
+	if e := t.entries[up.Instance]; e != nil && up.State != Deregistered {
 		if up.Sequence <= e.Sequence {
 			return false
 		}
 		up.Node, up.Inbound = orElse(up.Node, e.Node), orElse(up.Inbound, e.Inbound)
 		up.Zone, up.Region = orElse(up.Zone, e.Zone), orElse(up.Region, e.Region)
-	} else if e := t.entries[t.byAddress[up.Address]]; e != nil && up.Address != "" && up.State != Gone {
+	} else if e := t.entries[t.byAddress[up.Address]]; e != nil && up.Address != "" && up.State != Deregistered {
 		// A new instance at a known address stands beside the same sidecar. An
 		// instance that was replaced there comes back only if the place is not
 		// vouched for.
@@ -65,23 +65,23 @@
 		up.Node, up.Inbound = orElse(up.Node, e.Node), orElse(up.Inbound, e.Inbound)
 		up.Zone, up.Region = orElse(up.Zone, e.Zone), orElse(up.Region, e.Region)
 	}
-	if lasts <= 0 && up.State != Gone {
+	if lasts <= 0 && up.State != Deregistered {
 		for _, other := range [...]string{t.byNode[up.Node], t.byAddress[up.Address]} {
 			if other != "" && other != up.Instance {
 				return false
 			}
 		}
 	}
-	if lasts <= -StaleTime && up.State != Gone {
+	if lasts <= -StaleTTL && up.State != Deregistered {
 		return false
 	}
-	return t.put(now, up, now+min(lasts, LeaseTime), true)
+	return t.put(now, up, now+min(lasts, LeaseTTL), true)
 }
 
 // put lists an upstream that is vouched for until the given time, and numbers
 // the change if there is one to see.
 func (t *Table) put(now time.Duration, up Upstream, until time.Duration, direct bool) (taken bool) {
-	if up.State == Gone {
+	if up.State == Deregistered {
 		g, known := t.graves[up.Instance]
 		if known && g.final {
 			return false
@@ -148,7 +148,7 @@
 // bury removes an instance and remembers it as gone.
 func (t *Table) bury(now time.Duration, instance string, final bool) {
 	g, known := t.graves[instance]
-	g.final, g.lapsed, g.until = g.final || final, false, now+BuriedTime
+	g.final, g.lapsed, g.until = g.final || final, false, now+TombstoneTTL
 	if e := t.entries[instance]; e != nil {
 		g.sequence = e.Sequence
 		t.remove(e)
@@ -205,19 +205,19 @@
 
 // Unleased lists what Roll does not tell: the upstreams that no live lease
 // vouches for, and the instances that are gone for good.
-func (t *Table) Unleased(now time.Duration) []Vouched {
-	var all []Vouched
+func (t *Table) Unleased(now time.Duration) []UpstreamReport {
+	var all []UpstreamReport
 	for instance, e := range t.entries {
-		if e.until+StaleTime <= now {
+		if e.until+StaleTTL <= now {
 			continue
 		}
 		if l := t.leases[e.Node]; l == nil || !l.lives(now) || l.Upstream == nil || l.Upstream.Instance != instance {
-			all = append(all, Vouched{e.at(now), e.until - now})
+			all = append(all, UpstreamReport{e.at(now), e.until - now})
 		}
 	}
 	for instance, g := range t.graves {
 		if g.final {
-			all = append(all, Vouched{Upstream: Upstream{Instance: instance, State: Gone}})
+			all = append(all, UpstreamReport{Upstream: Upstream{Instance: instance, State: Deregistered}})
 		}
 	}
 	return all
--- a/internal/mesh/registry/lease.go
+++ b/internal/mesh/registry/lease.go
@@ -30,14 +30,14 @@
 	if t.leases[l.Node] == nil && len(t.leases) >= MaxLeases {
 		return false, errs.New(errs.Busy, "this member holds %d leases and takes no new node", MaxLeases)
 	}
-	return t.take(now, l, LeaseTime), nil
+	return t.take(now, l, LeaseTTL), nil
 }
 
 // Merge takes leases that other members hold, each with its remaining time
 // there. It gives the nodes whose lease was newer than the one held here.
 // Leases that Check refuses, that have lapsed on their way, or for which there
 // is no room are passed over.
-func (t *Table) Merge(now time.Duration, leases []Remote) (newer []string) {
+func (t *Table) Merge(now time.Duration, leases []RemoteLease) (newer []string) {
 	for _, r := range leases {
 		if r.Lease.Check() != nil || (t.leases[r.Lease.Node] == nil && len(t.leases) >= MaxLeases) {
 			continue
@@ -45,7 +45,7 @@
 		if !t.isNewer(r.Lease) || r.Remaining <= 0 && !r.Lease.Left {
 			continue
 		}
-		t.take(now, r.Lease, min(max(r.Remaining, 0), LeaseTime))
+		t.take(now, r.Lease, min(max(r.Remaining, 0), LeaseTTL))
 		newer = append(newer, r.Lease.Node)
 	}
 	return newer
@@ -59,9 +59,9 @@
 		held := t.leases[r.Node]
 		switch {
 		case r.Remaining <= 0: // it has lapsed on its way
-		case held == nil || held.Life < r.Life || (held.Life == r.Life && held.Sequence < r.Body):
+		case held == nil || held.Incarnation < r.Incarnation || (held.Incarnation == r.Incarnation && held.Sequence < r.Body):
 			unknown = append(unknown, r.Node)
-		case held.Life == r.Life && held.Sequence < r.Sequence && !held.Left:
+		case held.Incarnation == r.Incarnation && held.Sequence < r.Sequence && !held.Left:
 			l := held.Lease
 			l.Sequence = r.Sequence
 			if l.Upstream != nil {
@@ -69,7 +69,7 @@
 				up.WarmupRemaining = remaining(held.warmupEnd, now)
 				l.Upstream = &up
 			}
-			t.take(now, l, min(max(r.Remaining, 0), LeaseTime))
+			t.take(now, l, min(max(r.Remaining, 0), LeaseTTL))
 			newer = append(newer, r.Node)
 		}
 	}
@@ -78,8 +78,8 @@
 
 func (t *Table) isNewer(l Lease) bool {
 	held := t.leases[l.Node]
-	if held == nil || l.Life != held.Life {
-		return held == nil || l.Life > held.Life
+	if held == nil || l.Incarnation != held.Incarnation {
+		return held == nil || l.Incarnation > held.Incarnation
 	}
 	return l.Sequence > held.Sequence && !held.Left
 }
@@ -94,7 +94,7 @@
 		t.leases[l.Node] = held
 		changed = true
 	} else {
-		changed = !held.live || held.Life != l.Life || held.Zone != l.Zone || held.Applied != l.Applied ||
+		changed = !held.live || held.Incarnation != l.Incarnation || held.Zone != l.Zone || held.Applied != l.Applied ||
 			held.Leaving != l.Leaving || held.Left != l.Left
 		t.count(now, held, false)
 	}
@@ -117,7 +117,7 @@
 	}
 	held.Lease, held.warmupEnd, held.until = l, end, now+lasts
 	if l.Left {
-		held.until = now + BuriedTime
+		held.until = now + TombstoneTTL
 		if inst, ok := t.byNode[l.Node]; ok {
 			t.bury(now, inst, false)
 		}
@@ -130,14 +130,14 @@
 	return changed
 }
 
-// Remote gives a node's lease for another member, or false if none is held.
+// RemoteLease gives a node's lease for another member, or false if none is held.
 // A sidecar that left is among them, so that others hear of it.
-func (t *Table) Remote(now time.Duration, node string) (Remote, bool) {
+func (t *Table) RemoteLease(now time.Duration, node string) (RemoteLease, bool) {
 	l := t.leases[node]
 	if l == nil || !l.Left && !l.lives(now) {
-		return Remote{}, false
+		return RemoteLease{}, false
 	}
-	r := Remote{Lease: l.Lease, Remaining: max(l.until-now, 0)}
+	r := RemoteLease{Lease: l.Lease, Remaining: max(l.until-now, 0)}
 	if l.Upstream != nil {
 		up := *l.Upstream
 		up.WarmupRemaining = remaining(l.warmupEnd, now)
@@ -152,14 +152,14 @@
 	if l == nil || !l.lives(now) {
 		return Renewal{}, false
 	}
-	return Renewal{Node: node, Life: l.Life, Sequence: l.Sequence, Body: l.body, Remaining: max(l.until-now, 0)}, true
+	return Renewal{Node: node, Incarnation: l.Incarnation, Sequence: l.Sequence, Body: l.body, Remaining: max(l.until-now, 0)}, true
 }
 
-// Roll lists all leases for a member that starts.
-func (t *Table) Roll(now time.Duration) []Remote {
-	all := make([]Remote, 0, len(t.leases))
+// Leases lists all leases for a member that starts.
+func (t *Table) Leases(now time.Duration) []RemoteLease {
+	all := make([]RemoteLease, 0, len(t.leases))
 	for node := range t.leases {
-		if r, ok := t.Remote(now, node); ok {
+		if r, ok := t.RemoteLease(now, node); ok {
 			all = append(all, r)
 		}
 	}
--- a/internal/mesh/registry/table.go
+++ b/internal/mesh/registry/table.go
@@ -5,17 +5,17 @@
 )
 
 const (
-	// LeaseTime is how long a lease lasts from its receipt. It guards against
+	// LeaseTTL is how long a lease lasts from its receipt. It guards against
 	// counting a sidecar that is gone, and spans two lost renewals.
-	LeaseTime = 2400 * time.Millisecond
-	// StaleTime is how long an upstream that nobody vouches for is kept, so
+	LeaseTTL = 2400 * time.Millisecond
+	// StaleTTL is how long an upstream that nobody vouches for is kept, so
 	// that a sidecar cut off from the core is not taken for a dead upstream.
-	StaleTime = 20 * time.Second
-	// BuriedTime is how long the ids of gone instances and the order of lapsed
+	StaleTTL = 20 * time.Second
+	// TombstoneTTL is how long the ids of gone instances and the order of lapsed
 	// leases are remembered, against messages that come late.
-	BuriedTime = 60 * time.Second
-	// LargestTime is how far back Largest looks.
-	LargestTime = 30 * time.Second
+	TombstoneTTL = 60 * time.Second
+	// PeakWindow is how far back Largest looks.
+	PeakWindow = 30 * time.Second
 	// MaxLeases bounds the leases and the upstreams held, against memory taken
 	// by invented names. It is over three times the largest fleet foreseen.
 	MaxLeases = 8192
@@ -40,7 +40,7 @@
 	graves    map[string]grave
 	live      int
 	applied   map[int64]int // live leases by version applied
-	recent    [LargestTime/time.Second + 1]second
+	recent    [PeakWindow/time.Second + 1]second
 }
 
 // New makes an empty table. The epoch must differ from that of every other
@@ -64,12 +64,12 @@
 		if l.live && l.until <= now {
 			t.count(now, l, false)
 		}
-		if !l.live && l.until+BuriedTime <= now {
+		if !l.live && l.until+TombstoneTTL <= now {
 			delete(t.leases, node)
 		}
 	}
 	for _, e := range t.entries {
-		if e.until+StaleTime <= now {
+		if e.until+StaleTTL <= now {
 			t.lapse(now, e.Instance)
 		} else if !e.Stale && e.until <= now {
 			e.Stale = true
--- a/internal/mesh/registry/upstream.go
+++ b/internal/mesh/registry/upstream.go
@@ -12,15 +12,15 @@
 // State is an upstream's own word on whether it takes requests.
 type State uint8
 
-// The states of an upstream. Gone is final: an instance that said it is gone
+// The states of an upstream. Deregistered is final: an instance that said it is gone
 // is not taken back.
 const (
 	Ready State = iota
 	Draining
-	Gone
+	Deregistered
 )
 
-var stateNames = [...]string{Ready: "ready", Draining: "draining", Gone: "gone"}
+var stateNames = [...]string{Ready: "ready", Draining: "draining", Deregistered: "gone"}
 
 // String gives the state's name as it stands on the wire.
 func (s State) String() string {
@@ -79,10 +79,10 @@
 // by (Life, Sequence); older ones are passed over.
 type Lease struct {
 	Node string `json:"node"`
-	// Life is one per process life and grows from life to life.
-	Life     uint64 `json:"life"`
-	Sequence uint64 `json:"sequence"`
-	Zone     string `json:"zone,omitempty"`
+	// Incarnation is one per process life and grows from life to life.
+	Incarnation uint64 `json:"life"`
+	Sequence    uint64 `json:"sequence"`
+	Zone        string `json:"zone,omitempty"`
 	// Upstream is nil while the sidecar has not heard from one.
 	Upstream *Upstream `json:"upstream,omitempty"`
 	// Applied is the configuration version in force at the sidecar.
@@ -92,8 +92,8 @@
 	Left    bool `json:"left,omitempty"`
 }
 
-// Remote is a lease held by another member, with the time it still has there.
-type Remote struct {
+// RemoteLease is a lease held by another member, with the time it still has there.
+type RemoteLease struct {
 	Lease     Lease         `json:"lease"`
 	Remaining time.Duration `json:"remaining"`
 }
@@ -102,16 +102,16 @@
 // which the rest of the lease changed last, so that a reader knows whether
 // what it holds is still right.
 type Renewal struct {
-	Node      string        `json:"n"`
-	Life      uint64        `json:"l"`
-	Sequence  uint64        `json:"s"`
-	Body      uint64        `json:"b"`
-	Remaining time.Duration `json:"r"`
+	Node        string        `json:"n"`
+	Incarnation uint64        `json:"l"`
+	Sequence    uint64        `json:"s"`
+	Body        uint64        `json:"b"`
+	Remaining   time.Duration `json:"r"`
 }
 
-// Vouched is an upstream that no lease tells of, with the time for which it is
+// UpstreamReport is an upstream that no lease tells of, with the time for which it is
 // still vouched for; below zero it is the time since nobody does.
-type Vouched struct {
+type UpstreamReport struct {
 	Upstream  Upstream      `json:"upstream"`
 	Remaining time.Duration `json:"remaining"`
 }
@@ -130,10 +130,10 @@
 	if u.Instance == "" {
 		return errs.New(errs.Invalid, "the upstream names no instance")
 	}
-	if u.State > Gone {
+	if u.State > Deregistered {
 		return errs.New(errs.Invalid, "upstream %.64q has no known state", u.Instance)
 	}
-	if u.State != Gone && u.Service == "" {
+	if u.State != Deregistered && u.Service == "" {
 		return errs.New(errs.Invalid, "upstream %.64q names no service", u.Instance)
 	}
 	for _, s := range [...]string{u.Instance, u.Service, u.Address, u.Node, u.Inbound, u.Zone, u.Region, u.Version} {
@@ -155,7 +155,7 @@
 	if l.Node == "" || len(l.Node) > maxName || len(l.Zone) > maxName {
 		return errs.New(errs.Invalid, "a lease needs a node and a zone of at most %d bytes, and has node %.64q", maxName, l.Node)
 	}
-	if l.Life == 0 || l.Sequence == 0 {
+	if l.Incarnation == 0 || l.Sequence == 0 {
 		return errs.New(errs.Invalid, "the lease of %.64q has no life or no sequence", l.Node)
 	}
 	if l.Upstream != nil {
--- a/internal/mesh/sidecar/beats_test.go
+++ b/internal/mesh/sidecar/beats_test.go
@@ -100,7 +100,7 @@
 		}
 		w := httptest.NewRecorder()
 		b.control().ServeHTTP(w, httptest.NewRequest("POST", "/api/instances/i-1/deregister", http.NoBody))
-		if w.Code != 200 || b.endpoints.beside().State != registry.Gone {
+		if w.Code != 200 || b.endpoints.beside().State != registry.Deregistered {
 			t.Errorf("deregistered: %d, then %+v", w.Code, b.endpoints.beside())
 		}
 		if w := beat(b, "i-2", "ready", 1); w.Code != 200 || *b.in.instance.Load() != "i-2" {
--- a/internal/mesh/sidecar/endpoints.go
+++ b/internal/mesh/sidecar/endpoints.go
@@ -149,11 +149,11 @@
 	s.end(instance)
 	if s.own != nil && s.own.Instance == instance {
 		own := *s.own
-		own.State = registry.Gone
+		own.State = registry.Deregistered
 		s.own = &own
 	}
 	if u, known := s.all[instance]; known {
-		u.State = registry.Gone
+		u.State = registry.Deregistered
 		s.all[instance] = u
 	}
 	s.count()
@@ -200,7 +200,7 @@
 	defer s.mu.Unlock()
 	l := call.Listing{Whole: true, Address: make(map[policy.ServerID]string), Name: make(map[policy.ServerID]string)}
 	s.each(func(u registry.Upstream) {
-		if u.State == registry.Gone || u.Inbound == "" {
+		if u.State == registry.Deregistered || u.Inbound == "" {
 			return
 		}
 		id := call.ServerID(u.Instance)
--- a/internal/mesh/sidecar/once_test.go
+++ b/internal/mesh/sidecar/once_test.go
@@ -121,7 +121,7 @@
 
 func (m *mesh) caller(ctx context.Context) {
 	b := &Sidecar{clock: clock.New(), log: zap.NewNop(), endpoints: newEndpoints([]string{"z"}, "caller")}
-	change, err := config.ReadReplace([]byte(onceConfig))
+	change, err := config.ParseReplace([]byte(onceConfig))
 	if err != nil {
 		m.t.Fatal(err)
 	}
--- a/internal/mesh/sidecar/outbound.go
+++ b/internal/mesh/sidecar/outbound.go
@@ -93,7 +93,7 @@
 	if left <= 0 {
 		left = standardAim
 	}
-	aim, rank, name := route.TargetLatency, route.Priority, ""
+	aim, rank, name := route.LatencyTarget, route.Priority, ""
 	if aim <= 0 {
 		aim = standardAim
 	}
@@ -184,7 +184,7 @@
 			o.checks[r] = least > 0 && r.Timeout > 0 && r.Timeout <= least && r.Idempotent && (r.Public || !c.HasTenants())
 		}
 		for ; i < next; i++ {
-			if aim := routes[i].TargetLatency; aim > 0 && !o.checks[routes[i]] && (least == 0 || aim < least) {
+			if aim := routes[i].LatencyTarget; aim > 0 && !o.checks[routes[i]] && (least == 0 || aim < least) {
 				least = aim
 			}
 		}
--- a/internal/mesh/sidecar/sidecar.go
+++ b/internal/mesh/sidecar/sidecar.go
@@ -414,7 +414,7 @@
 		}
 	}
 	for _, raw := range f.Changes {
-		change, err := config.ReadChange(raw)
+		change, err := config.DecodeChange(raw)
 		if err != nil {
 			return nil, err
 		}
--- a/internal/mesh/sidecar/sidecar_test.go
+++ b/internal/mesh/sidecar/sidecar_test.go
@@ -45,7 +45,7 @@
 	b := &Sidecar{clock: clock.NewMovable(), log: zap.NewNop(), endpoints: newEndpoints([]string{"hall-a", "hall-b"}, inboundHere)}
 	c := config.Empty()
 	if snapshot != "" {
-		change, err := config.ReadReplace([]byte(snapshot))
+		change, err := config.ParseReplace([]byte(snapshot))
 		So(err, ShouldBeNil)
 		c, _, err = c.Apply(change)
 		So(err, ShouldBeNil)
@@ -158,7 +158,7 @@
 	Convey("The limits on clients are those of the configuration in force, and a gate takes what any sidecar has let in", t, func() {
 		o, _ := newOutbound("")
 		So(o.b.limits(), ShouldResemble, http1.Limits{HeadBytes: 16 << 10, BodyBytes: 64 << 20, HeadTime: 3 * time.Second, IdleTime: 15 * time.Second})
-		change, err := config.ReadReplace([]byte(`{"configVersion":9,"resources":[{"resourceType":"limits","metadata":{},"specification":{"maxHeaderBytes":32768,"maxBodyBytes":9,"headerTimeoutS":4.5,"idleTimeoutS":0.5}}]}`))
+		change, err := config.ParseReplace([]byte(`{"configVersion":9,"resources":[{"resourceType":"limits","metadata":{},"specification":{"maxHeaderBytes":32768,"maxBodyBytes":9,"headerTimeoutS":4.5,"idleTimeoutS":0.5}}]}`))
 		So(err, ShouldBeNil)
 		next, _, err := o.b.charter.Load().Apply(change)
 		So(err, ShouldBeNil)
--- a/internal/mesh/watch/client_lease.go
+++ b/internal/mesh/watch/client_lease.go
@@ -94,7 +94,7 @@
 	}
 	c.left = leave
 	c.sequence++
-	l.Node, l.Life, l.Zone, l.Sequence, l.Left = c.cfg.Node, c.cfg.Incarnation, c.cfg.Zone, c.sequence, leave
+	l.Node, l.Incarnation, l.Zone, l.Sequence, l.Left = c.cfg.Node, c.cfg.Incarnation, c.cfg.Zone, c.sequence, leave
 	return &l
 }
 
--- a/internal/mesh/watch/contact_test.go
+++ b/internal/mesh/watch/contact_test.go
@@ -66,7 +66,7 @@
 		// Of the first member's own sidecar others hear no more; of the second's it does not hear itself.
 		c[1].change(func() { c[1].up.State, c[1].up.Sequence = registry.Draining, 2 })
 		c[1].RenewNow()
-		So(m[1].Heartbeat(registry.Upstream{Instance: "i-c3", State: registry.Gone}), ShouldBeNil)
+		So(m[1].Heartbeat(registry.Upstream{Instance: "i-c3", State: registry.Deregistered}), ShouldBeNil)
 		newcomer := n.sidecar("new", "zone-m1:1", all[0])
 		defer newcomer.stop()
 		newcomer.change(func() { newcomer.up.Instance = "" }) // it vouches for nothing here
@@ -93,7 +93,7 @@
 		So(moved.last, ShouldBeBetween, time.Duration(0), moveBound)
 		_, err := rpc.Call[watchRequest, struct{}](context.Background(), c[0].cfg.HTTP, "http://"+all[0]+watchPath, &watchRequest{Node: "x"})
 		So(errs.KindOf(err), ShouldEqual, errs.NoQuorum)
-		answer, err := rpc.Call[registry.Lease, LeaseResponse](context.Background(), c[0].cfg.HTTP, "http://"+all[0]+leasePath, &registry.Lease{Node: "x", Life: 1, Sequence: 1})
+		answer, err := rpc.Call[registry.Lease, LeaseResponse](context.Background(), c[0].cfg.HTTP, "http://"+all[0]+leasePath, &registry.Lease{Node: "x", Incarnation: 1, Sequence: 1})
 		So(err, ShouldBeNil)
 		So(answer.Contact.OK || answer.CaughtUp, ShouldBeFalse)
 
@@ -452,12 +452,12 @@
 		now := m[0].now()
 		up := registry.Upstream{Instance: "late", Service: "s", Address: "late:80", Inbound: "late:90", Sequence: 1}
 		message := func(echo clockReading, node string) *gossip {
-			return &gossip{From: all[1], Echo: echo, Leases: []registry.Remote{{
-				Lease: registry.Lease{Node: node, Life: 1, Sequence: 1, Upstream: &up}, Remaining: registry.LeaseTime,
+			return &gossip{From: all[1], Echo: echo, Leases: []registry.RemoteLease{{
+				Lease: registry.Lease{Node: node, Incarnation: 1, Sequence: 1, Upstream: &up}, Remaining: registry.LeaseTTL,
 			}}}
 		}
 		late := message(m[0].clock(now), "late")
-		pass(registry.LeaseTime)
+		pass(registry.LeaseTTL)
 		for _, q := range []*gossip{late, message(clockReading{99, m[0].now()}, "foreign")} {
 			_, err := m[0].gossip(nil, q)
 			So(err, ShouldBeNil)
--- a/internal/mesh/watch/gossip.go
+++ b/internal/mesh/watch/gossip.go
@@ -77,7 +77,7 @@
 	if err != nil {
 		now := s.now()
 		for node, whole := range sent.dirty {
-			if _, held := s.table.Remote(now, node); held {
+			if _, held := s.table.RemoteLease(now, node); held {
 				n.dirty[node] = n.dirty[node] || whole
 			}
 		}
@@ -119,7 +119,7 @@
 	age := now - asked // the answer is no older than the question
 	s.table.Merge(now, aged(a.Leases, age))
 	for _, b := range a.Beats {
-		s.table.BeatFor(now, b.Upstream, b.Remaining-age)
+		s.table.RelayedHeartbeat(now, b.Upstream, b.Remaining-age)
 	}
 	s.table.Expire(now)
 	s.spread()
@@ -146,7 +146,7 @@
 		delete(n.dirty, node)
 		taken.dirty[node] = whole
 		if whole {
-			if r, ok := s.table.Remote(now, node); ok {
+			if r, ok := s.table.RemoteLease(now, node); ok {
 				q.Leases = append(q.Leases, r)
 			}
 		} else if r, ok := s.table.Renewal(now, node); ok {
@@ -154,7 +154,7 @@
 		}
 	}
 	for _, b := range n.beats {
-		q.Beats = append(q.Beats, registry.Vouched{Upstream: b.up, Remaining: max(b.at+registry.LeaseTime-now, 0)})
+		q.Beats = append(q.Beats, registry.UpstreamReport{Upstream: b.up, Remaining: max(b.at+registry.LeaseTTL-now, 0)})
 	}
 	n.beats = map[string]waitingBeat{}
 	for address, other := range s.neighbours {
@@ -179,7 +179,7 @@
 	}
 	renewed, unknown := s.table.Extend(now, q.Renewals)
 	for _, b := range q.Beats {
-		if s.table.BeatFor(now, b.Upstream, b.Remaining-age) {
+		if s.table.RelayedHeartbeat(now, b.Upstream, b.Remaining-age) {
 			for _, n := range s.cutOff(q) {
 				n.tell(b.Upstream, now)
 			}
@@ -204,13 +204,13 @@
 // this life's clock may be of any age, and vouches for nothing.
 func (s *Server) messageAge(now time.Duration, q *gossip) time.Duration {
 	if q.Echo.Epoch != s.cfg.Epoch {
-		return registry.LeaseTime
+		return registry.LeaseTTL
 	}
 	return max(now-q.Echo.At-max(q.Since, 0), 0)
 }
 
 // aged takes a message's age off the time that its leases have left.
-func aged(leases []registry.Remote, age time.Duration) []registry.Remote {
+func aged(leases []registry.RemoteLease, age time.Duration) []registry.RemoteLease {
 	for i := range leases {
 		leases[i].Remaining -= age
 	}
@@ -232,5 +232,5 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.now()
-	return &rollAnswer{Clock: s.clock(now), Zone: s.cfg.Zone, Leases: s.table.Roll(now), Beats: s.table.Unleased(now)}, nil
+	return &rollAnswer{Clock: s.clock(now), Zone: s.cfg.Zone, Leases: s.table.Leases(now), Beats: s.table.Unleased(now)}, nil
 }
--- a/internal/mesh/watch/neighbour.go
+++ b/internal/mesh/watch/neighbour.go
@@ -33,10 +33,10 @@
 // lasts is how long the beat is worth telling: a deregistration as long as it is
 // remembered, any other as long as it vouches.
 func (b waitingBeat) lasts() time.Duration {
-	if b.up.State == registry.Gone {
-		return registry.BuriedTime
+	if b.up.State == registry.Deregistered {
+		return registry.TombstoneTTL
 	}
-	return registry.LeaseTime
+	return registry.LeaseTTL
 }
 
 func newNeighbour(address string, cancel context.CancelFunc) *neighbour {
--- a/internal/mesh/watch/server_lease.go
+++ b/internal/mesh/watch/server_lease.go
@@ -24,7 +24,7 @@
 func (s *Server) Members() (live, largest int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.table.Members(), s.table.Largest(s.now())
+	return s.table.Members(), s.table.PeakMembers(s.now())
 }
 
 // Heartbeat takes a beat of an upstream that reached this member directly, and
@@ -33,7 +33,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.now()
-	taken, err := s.table.Beat(now, up)
+	taken, err := s.table.Heartbeat(now, up)
 	if err != nil || !taken {
 		return err
 	}
@@ -48,7 +48,7 @@
 	contact := s.contact()
 	version := s.cfg.ConfigSource.Current() // read after the contact, which vouches for it
 	a := &LeaseResponse{
-		TTL:      registry.LeaseTime.Seconds(),
+		TTL:      registry.LeaseTTL.Seconds(),
 		Zone:     s.cfg.Zone,
 		Contact:  contact,
 		CaughtUp: contact.OK && l.Applied >= version,
@@ -67,7 +67,7 @@
 		n.mark(l.Node, changed)
 	}
 	s.spread()
-	a.Members, a.PeakMembers, a.Syncing = s.table.Members(), s.table.Largest(now), now < s.youngUntil
+	a.Members, a.PeakMembers, a.Syncing = s.table.Members(), s.table.PeakMembers(now), now < s.youngUntil
 	a.Peers = append(a.Peers, Peer{s.cfg.Self, s.cfg.Zone})
 	for _, n := range s.neighbours {
 		a.Peers = append(a.Peers, Peer{n.address, n.zone})
--- a/internal/mesh/watch/server_watch.go
+++ b/internal/mesh/watch/server_watch.go
@@ -184,7 +184,7 @@
 	f := &frame{}
 	young := now < s.youngUntil
 	if beat {
-		f.Beat = &beatFrame{contact, version, s.table.Members(), s.table.Largest(now), young}
+		f.Beat = &beatFrame{contact, version, s.table.Members(), s.table.PeakMembers(now), young}
 	}
 	if s.holdsRegistry(now) {
 		return f
--- a/internal/mesh/watch/watch_test.go
+++ b/internal/mesh/watch/watch_test.go
@@ -370,7 +370,7 @@
 		So(c[2].Peers()[0], ShouldEqual, "m3:1")
 
 		// A deregistration that reaches a member directly holds everywhere, against the sidecar that still renews.
-		So(m[0].Heartbeat(registry.Upstream{Instance: "i-c2", State: registry.Gone}), ShouldBeNil)
+		So(m[0].Heartbeat(registry.Upstream{Instance: "i-c2", State: registry.Deregistered}), ShouldBeNil)
 		pass(30 * ms)
 		So(c[2].sees(), ShouldEqual, "i-c1 i-c3!")
 		c[1].change(func() { c[1].up.Sequence++ })
@@ -458,7 +458,7 @@
 			n.sever("c3", name)
 		}
 		// The last renewal may be renewEvery old.
-		pass(registry.LeaseTime - renewEvery - ms)
+		pass(registry.LeaseTTL - renewEvery - ms)
 		So(c[0].sees(), ShouldEqual, "i-c1 i-c3")
 		m[0].put(2)
 		So(m[0].WaitApplied(context.Background(), 2), ShouldEqual, 0)
@@ -472,7 +472,7 @@
 		pass(30 * ms)
 		So(c[0].sees(), ShouldEqual, "i-c1 i-c3")
 		So(c[0].inbound("i-c3"), ShouldEqual, "c3:90")
-		pass(registry.StaleTime + 3*time.Second)
+		pass(registry.StaleTTL + 3*time.Second)
 		So(c[0].sees(), ShouldEqual, "i-c1")
 	})
 }
@@ -487,14 +487,14 @@
 		c[0].RenewNow()
 		pass(30 * ms)
 		So(c[1].sees(), ShouldEqual, "i-c1! i-c2 i-c3")
-		So(m[0].Heartbeat(registry.Upstream{Instance: "i-c3", State: registry.Gone}), ShouldBeNil)
+		So(m[0].Heartbeat(registry.Upstream{Instance: "i-c3", State: registry.Deregistered}), ShouldBeNil)
 		pass(time.Second)
 		So(c[1].sees(), ShouldEqual, "i-c1! i-c2")
 
 		// Away from all for so long that its leases are forgotten, a member is told them whole again.
 		n.sever("m3:1", "m2:1")
 		n.sever("m2:1", "m3:1")
-		pass(registry.LeaseTime + registry.BuriedTime + registry.StaleTime)
+		pass(registry.LeaseTTL + registry.TombstoneTTL + registry.StaleTTL)
 		So(c[0].sees()+","+c[1].sees(), ShouldEqual, "i-c1! i-c3,i-c2")
 		n.heal()
 		pass(2 * time.Second)
--- a/internal/mesh/watch/wire.go
+++ b/internal/mesh/watch/wire.go
@@ -109,11 +109,11 @@
 // gossip is what one member tells another. Unreached are the members the
 // sender does not reach: the receiver passes the news on to them.
 type gossip struct {
-	From      string             `json:"from"`
-	Unreached []string           `json:"unreached,omitempty"`
-	Leases    []registry.Remote  `json:"leases,omitempty"`
-	Renewals  []registry.Renewal `json:"renewals,omitempty"`
-	Beats     []registry.Vouched `json:"beats,omitempty"`
+	From      string                    `json:"from"`
+	Unreached []string                  `json:"unreached,omitempty"`
+	Leases    []registry.RemoteLease    `json:"leases,omitempty"`
+	Renewals  []registry.Renewal        `json:"renewals,omitempty"`
+	Beats     []registry.UpstreamReport `json:"beats,omitempty"`
 	// Echo is the receiver's clock as it answered last, and Since the time from
 	// that answer's arrival to the making of this message. So the receiver
 	// knows how old the message may be.
@@ -137,8 +137,8 @@
 
 // rollAnswer is all that a member knows of the sidecars and upstreams.
 type rollAnswer struct {
-	Clock  clockReading       `json:"clock"`
-	Zone   string             `json:"zone,omitempty"`
-	Leases []registry.Remote  `json:"leases,omitempty"`
-	Beats  []registry.Vouched `json:"beats,omitempty"`
+	Clock  clockReading              `json:"clock"`
+	Zone   string                    `json:"zone,omitempty"`
+	Leases []registry.RemoteLease    `json:"leases,omitempty"`
+	Beats  []registry.UpstreamReport `json:"beats,omitempty"`
 }
