--- a/cmd/measure/control_behind.go
+++ b/cmd/measure/control_behind.go
@@ -105,7 +105,7 @@
 	}
 	err = until("what was committed", func() bool {
 		v := k.view(k.hosts[member])
-		return v != nil && v.Applied >= committed.Applied && v.ConfigVersion >= committed.ConfigVersion
+		return v != nil && v.AppliedIndex >= committed.AppliedIndex && v.ConfigVersion >= committed.ConfigVersion
 	})
 	took := time.Since(began)
 	stop()
--- a/cmd/measure/control_core.go
+++ b/cmd/measure/control_core.go
@@ -82,10 +82,10 @@
 }
 
 // view is a member's word on itself; nil: it says nothing.
-func (k *controlCore) view(host string) *meshclient.View {
+func (k *controlCore) view(host string) *meshclient.NodeStatus {
 	ctx, cancel := context.WithTimeout(context.Background(), viewTime)
 	defer cancel()
-	view, err := rpc.Get[meshclient.View](ctx, k.client, k.at(host, meshclient.ViewPath))
+	view, err := rpc.Get[meshclient.NodeStatus](ctx, k.client, k.at(host, meshclient.ViewPath))
 	if err != nil {
 		return nil
 	}
@@ -123,7 +123,7 @@
 // are, and no others, are the voters.
 func (k *controlCore) tolerant(host string) bool {
 	v := k.view(host)
-	if v == nil || !v.Voter || !v.InContact || v.Changing || len(v.Voters) != controlMembers {
+	if v == nil || !v.Voter || !v.InContact || v.MembershipChanging || len(v.Voters) != controlMembers {
 		return false
 	}
 	return !slices.ContainsFunc(k.hosts, func(host string) bool { return !slices.Contains(v.Voters, k.internalAt(host)) })
--- a/cmd/measure/mesh_core.go
+++ b/cmd/measure/mesh_core.go
@@ -171,7 +171,7 @@
 func (m *meshCore) sequencer() (int, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
-	view, err := rpc.Get[meshclient.View](ctx, m.client, m.url(0, meshclient.ViewPath))
+	view, err := rpc.Get[meshclient.NodeStatus](ctx, m.client, m.url(0, meshclient.ViewPath))
 	if err != nil {
 		return 0, err
 	}
--- a/internal/mesh/cli/cli.go
+++ b/internal/mesh/cli/cli.go
@@ -120,9 +120,9 @@
 	switch {
 	case err == nil:
 		return Done
-	case errors.As(err, &wrong), errors.Is(err, meshclient.Misused):
+	case errors.As(err, &wrong), errors.Is(err, meshclient.InvalidUsage):
 		return Misused
-	case errors.Is(err, meshclient.Unclear), errors.Is(err, meshclient.Unreached):
+	case errors.Is(err, meshclient.Undetermined), errors.Is(err, meshclient.Unreachable):
 		return Unclear
 	}
 	return Failed
--- a/internal/mesh/cli/look.go
+++ b/internal/mesh/cli/look.go
@@ -107,16 +107,16 @@
 		return err
 	}
 	return d.write(m, func(w io.Writer) error {
-		fmt.Fprintf(w, "as %s knows it, in term %d%s\n", m.AsOf, m.Term, young(m.Young))
+		fmt.Fprintf(w, "as %s knows it, in term %d%s\n", m.ReportedBy, m.Term, young(m.Syncing))
 		err := table(w, "CORE NODE VERSION STATE", func(row func(...any)) {
 			for _, c := range m.Core {
-				if c.Said == nil {
+				if c.Status == nil {
 					row(c.Address, "", "", words(map[string]bool{"leader": c.Leader, "no answer": true}, "leader", "no answer"))
 					continue
 				}
-				row(c.Address, c.Said.AsOf, c.Said.ConfigVersion, words(map[string]bool{
-					"leader": c.Leader, "voter": c.Said.Voter, "learner": !c.Said.Voter, "changing": c.Said.Changing,
-					"in contact": c.Said.InContact, "out of contact": !c.Said.InContact, "sick": c.Said.Sick,
+				row(c.Address, c.Status.ReportedBy, c.Status.ConfigVersion, words(map[string]bool{
+					"leader": c.Leader, "voter": c.Status.Voter, "learner": !c.Status.Voter, "changing": c.Status.MembershipChanging,
+					"in contact": c.Status.InContact, "out of contact": !c.Status.InContact, "sick": c.Status.StorageFailed,
 				}, "leader", "voter", "learner", "changing", "in contact", "out of contact", "sick"))
 			}
 		})
@@ -125,7 +125,7 @@
 		}
 		return table(w, "SIDECAR ZONE VERSION UPSTREAM STATE", func(row func(...any)) {
 			for _, s := range m.Sidecars {
-				row(s.Node, s.Zone, s.Applied, s.Instance, words(map[string]bool{"leaving": s.Leaving, "here": !s.Leaving}, "leaving", "here"))
+				row(s.Node, s.Zone, s.ConfigVersion, s.Instance, words(map[string]bool{"leaving": s.Leaving, "here": !s.Leaving}, "leaving", "here"))
 			}
 		})
 	})
@@ -137,7 +137,7 @@
 		return err
 	}
 	return d.write(list, func(w io.Writer) error {
-		fmt.Fprintf(w, "as %s knows it%s\n", list.AsOf, young(list.Young))
+		fmt.Fprintf(w, "as %s knows it%s\n", list.ReportedBy, young(list.Syncing))
 		return table(w, "UPSTREAM SERVICE ZONE NODE SLOTS STATE", func(row func(...any)) {
 			for _, u := range list.Upstreams {
 				row(u.Instance, u.Service, u.Zone, u.Node, u.Slots, state(u))
@@ -151,7 +151,7 @@
 }
 
 func view(ctx context.Context, d *errand) error {
-	v, err := d.client.View(ctx)
+	v, err := d.client.NodeStatus(ctx)
 	if err != nil {
 		return err
 	}
@@ -161,7 +161,7 @@
 			leader = "none is known"
 		}
 		_, err := fmt.Fprintf(w, "node %s\nmember %s\nterm %d\nleader %s\nvoter %t\nvoters %s\nchanging %t\nversion %d\napplied %d\nin contact %t\nsick %t\n",
-			v.AsOf, v.Member, v.Term, leader, v.Voter, strings.Join(v.Voters, ","), v.Changing, v.ConfigVersion, v.Applied, v.InContact, v.Sick)
+			v.ReportedBy, v.MemberID, v.Term, leader, v.Voter, strings.Join(v.Voters, ","), v.MembershipChanging, v.ConfigVersion, v.AppliedIndex, v.InContact, v.StorageFailed)
 		return err
 	})
 }
--- a/internal/mesh/cli/why.go
+++ b/internal/mesh/cli/why.go
@@ -132,7 +132,7 @@
 
 // choose gives the upstreams among which a sidecar chooses.
 func (f *fate) choose(route *config.Route, list *meshclient.UpstreamList) {
-	f.UpstreamsAs = list.AsOf
+	f.UpstreamsAs = list.ReportedBy
 	sum := 0.0
 	for _, t := range route.Targets {
 		sum += t.Weight
@@ -150,7 +150,7 @@
 			}
 		}
 		f.Services = append(f.Services, s)
-		f.say("Service %s gets %.3g%% of the route's requests; %s knows %d upstreams of it, %d of which are sent requests%s:", s.Service, 100*s.Share, list.AsOf, len(s.Upstreams), ready, young(list.Young))
+		f.say("Service %s gets %.3g%% of the route's requests; %s knows %d upstreams of it, %d of which are sent requests%s:", s.Service, 100*s.Share, list.ReportedBy, len(s.Upstreams), ready, young(list.Syncing))
 		for _, u := range s.Upstreams {
 			f.say("  %s in zone %s, %d slots: %s", u.Instance, u.Zone, u.Slots, standing(u))
 		}
--- a/internal/mesh/controlplane/inspect.go
+++ b/internal/mesh/controlplane/inspect.go
@@ -23,7 +23,7 @@
 
 // inspect serves what operators look at. Every answer is this machine's knowledge, and says so.
 func (s *Server) inspect(mux *http.ServeMux) {
-	rpc.HandleGet(mux, meshclient.ViewPath, func(*http.Request) (*meshclient.View, error) { return s.viewed(), nil })
+	rpc.HandleGet(mux, meshclient.ViewPath, func(*http.Request) (*meshclient.NodeStatus, error) { return s.viewed(), nil })
 	rpc.HandleGet(mux, meshclient.MembersPath, func(r *http.Request) (*meshclient.Members, error) {
 		return s.membersKnown(r.Context(), s.roster.Addresses(s.now()))
 	})
@@ -31,14 +31,14 @@
 }
 
 // viewed is this machine's word on itself.
-func (s *Server) viewed() *meshclient.View {
+func (s *Server) viewed() *meshclient.NodeStatus {
 	leader, term := s.leader()
-	v := &meshclient.View{AsOf: s.set.Self.NodeName, Term: term, Leader: leader, ConfigVersion: s.machine.Current(), InContact: s.inContact()}
+	v := &meshclient.NodeStatus{ReportedBy: s.set.Self.NodeName, Term: term, Leader: leader, ConfigVersion: s.machine.Current(), InContact: s.inContact()}
 	if node := s.node.Load(); node != nil {
 		status := node.Status()
-		v.Applied, v.Sick = uint64(status.Applied), status.StorageFailed
-		v.Member, v.Voter, v.Voters = string(node.ID()), status.Membership.IsVoter(node.ID()), addresses(status.Membership.Voters)
-		v.Changing = !status.MembershipStable
+		v.AppliedIndex, v.StorageFailed = uint64(status.Applied), status.StorageFailed
+		v.MemberID, v.Voter, v.Voters = string(node.ID()), status.Membership.IsVoter(node.ID()), addresses(status.Membership.Voters)
+		v.MembershipChanging = !status.MembershipStable
 	}
 	return v
 }
@@ -54,7 +54,7 @@
 // membersKnown is the core machines, each with its own word where that is to be had, and the sidecars whose leases this machine holds.
 func (s *Server) membersKnown(ctx context.Context, members []string) (*meshclient.Members, error) {
 	own := s.viewed()
-	a := &meshclient.Members{AsOf: own.AsOf, Term: own.Term, Leader: own.Leader, Young: s.hub.Syncing(), Core: make([]meshclient.CoreMember, len(members)), Sidecars: []meshclient.Sidecar{}}
+	a := &meshclient.Members{ReportedBy: own.ReportedBy, Term: own.Term, Leader: own.Leader, Syncing: s.hub.Syncing(), Core: make([]meshclient.CoreMember, len(members)), Sidecars: []meshclient.Sidecar{}}
 	ctx, cancel := context.WithTimeout(ctx, askTime)
 	defer cancel()
 	var asked sync.WaitGroup
@@ -62,12 +62,12 @@
 		m := &a.Core[i]
 		m.Address, m.Leader = address, address == own.Leader
 		if address == s.set.Internal() {
-			m.Said = own
+			m.Status = own
 			continue
 		}
 		asked.Go(func() {
-			if said, err := rpc.Get[meshclient.View](ctx, s.client, "http://"+address+meshclient.ViewPath); err == nil {
-				m.Said = said
+			if said, err := rpc.Get[meshclient.NodeStatus](ctx, s.client, "http://"+address+meshclient.ViewPath); err == nil {
+				m.Status = said
 			}
 		})
 	}
@@ -83,7 +83,7 @@
 		if l.Left {
 			continue
 		}
-		sidecar := meshclient.Sidecar{Node: l.Node, Zone: l.Zone, Applied: l.Applied, Leaving: l.Leaving, RemainingS: held.Remaining.Seconds()}
+		sidecar := meshclient.Sidecar{Node: l.Node, Zone: l.Zone, ConfigVersion: l.Applied, Leaving: l.Leaving, LeaseRemainingS: held.Remaining.Seconds()}
 		if l.Upstream != nil {
 			sidecar.Instance = l.Upstream.Instance
 		}
@@ -95,7 +95,7 @@
 
 // upstreamsKnown is the upstreams that are known here.
 func (s *Server) upstreamsKnown() *meshclient.UpstreamList {
-	a := &meshclient.UpstreamList{AsOf: s.set.Self.NodeName, Young: s.hub.Syncing(), Upstreams: []meshclient.Upstream{}}
+	a := &meshclient.UpstreamList{ReportedBy: s.set.Self.NodeName, Syncing: s.hub.Syncing(), Upstreams: []meshclient.Upstream{}}
 	for _, u := range s.hub.Upstreams() {
 		a.Upstreams = append(a.Upstreams, meshclient.Upstream{
 			Instance: u.Instance, Service: u.Service, Address: u.Address, Node: u.Node, Zone: u.Zone, State: u.State.String(), Slots: u.Slots, Stale: u.Stale,
--- a/internal/mesh/controlplane/membership_test.go
+++ b/internal/mesh/controlplane/membership_test.go
@@ -93,12 +93,12 @@
 	}
 }
 
-func (s *site) view(n int) *meshclient.View {
+func (s *site) view(n int) *meshclient.NodeStatus {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	v, err := rpc.Get[meshclient.View](ctx, s.client, s.url(n, meshclient.ViewPath))
+	v, err := rpc.Get[meshclient.NodeStatus](ctx, s.client, s.url(n, meshclient.ViewPath))
 	if err != nil {
-		return &meshclient.View{}
+		return &meshclient.NodeStatus{}
 	}
 	return v
 }
@@ -126,7 +126,7 @@
 			known = append(known, fmt.Sprintf("127.0.7.%d:%s", n, s.internal))
 		}
 		slices.Sort(v.Voters)
-		return v.InContact && !v.Changing && slices.Equal(v.Voters, known)
+		return v.InContact && !v.MembershipChanging && slices.Equal(v.Voters, known)
 	}
 }
 
@@ -185,15 +185,15 @@
 		So(os.RemoveAll(disk("3")), ShouldBeNil)
 		s.start(3, false, disk("3"), []int{1, 4}, atOnce)
 		s.until("the new disk to vote", func() bool {
-			return s.votes(4, 1, 3, 4)() && s.view(3).Voter && s.view(3).Member != fmt.Sprintf("127.0.7.3:%s", s.internal)
+			return s.votes(4, 1, 3, 4)() && s.view(3).Voter && s.view(3).MemberID != fmt.Sprintf("127.0.7.3:%s", s.internal)
 		})
 		s.change(3, 3, 2)
 
 		// One is gone for good, and the only seed that the successor is told of is gone, too, until its settings are written anew.
 		s.stop(1)
 		s.start(5, false, disk("5"), []int{2}, atOnce)
-		s.until("it to be up", func() bool { return s.view(5).AsOf != "" })
-		So(s.view(5).Member, ShouldBeEmpty)
+		s.until("it to be up", func() bool { return s.view(5).ReportedBy != "" })
+		So(s.view(5).MemberID, ShouldBeEmpty)
 		s.machines[5].reload <- s.settings(5, false, disk("5"), []int{2, 3}, atOnce)
 		s.until("the successor to vote", s.votes(5, 3, 4, 5))
 		s.change(5, 4, 3)
--- a/meshclient/client.go
+++ b/meshclient/client.go
@@ -90,7 +90,7 @@
 func call[A any](ctx context.Context, c *Client, method, path string, body []byte) (*A, error) {
 	c.once.Do(c.start)
 	if len(c.Addresses) == 0 {
-		return nil, &Error{Kind: Misused, Message: "the client has no addresses"}
+		return nil, &Error{Kind: InvalidUsage, Message: "the client has no addresses"}
 	}
 	var last *Error
 	sent, refusals := false, 0
@@ -120,8 +120,8 @@
 		}
 		c.moveOn(address)
 		if err := pause.wait(ctx, t.retryAfter); err != nil {
-			if last.Kind = Unreached; sent {
-				last.Kind = Unclear
+			if last.Kind = Unreachable; sent {
+				last.Kind = Undetermined
 			}
 			last.cause = err
 			return nil, last
@@ -199,7 +199,7 @@
 func (t *trouble) refused(answer *http.Response) {
 	status := answer.StatusCode
 	t.sent = true
-	t.err.Fault = answer.Header.Get(faultHeader)
+	t.err.ServerKind = answer.Header.Get(faultHeader)
 	t.err.Message = answer.Status
 	var said struct {
 		ErrorMessage string `json:"errorMessage"`
@@ -217,7 +217,7 @@
 		t.final = true
 	}
 	if status >= 400 && status < 500 {
-		t.err.Kind, t.refusal = kindOf(status, t.err.Fault), true
+		t.err.Kind, t.refusal = kindOf(status, t.err.ServerKind), true
 	}
 }
 
--- a/meshclient/configuration.go
+++ b/meshclient/configuration.go
@@ -44,7 +44,7 @@
 func NewResource(resourceType, name string, specification any) (Resource, error) {
 	text, err := json.Marshal(specification)
 	if err != nil {
-		return Resource{}, &Error{Kind: Misused, Message: "specification of " + resourceType + " " + name + ": " + err.Error(), cause: err}
+		return Resource{}, &Error{Kind: InvalidUsage, Message: "specification of " + resourceType + " " + name + ": " + err.Error(), cause: err}
 	}
 	return Resource{resourceType, Metadata{name}, text}, nil
 }
@@ -103,7 +103,7 @@
 func (c *Client) put(ctx context.Context, path string, body any) (int64, error) {
 	text, err := json.Marshal(body)
 	if err != nil {
-		return 0, &Error{Kind: Misused, Message: "the change can't be written: " + err.Error(), cause: err}
+		return 0, &Error{Kind: InvalidUsage, Message: "the change can't be written: " + err.Error(), cause: err}
 	}
 	a, err := call[taken](ctx, c, http.MethodPost, path, text)
 	if err != nil {
--- a/meshclient/errors.go
+++ b/meshclient/errors.go
@@ -14,33 +14,33 @@
 
 // The closed list of kinds.
 const (
-	// Misused means that nothing was sent: the client has no addresses, or what it is to send can't be written.
-	Misused Kind = iota + 1
+	// InvalidUsage means that nothing was sent: the client has no addresses, or what it is to send can't be written.
+	InvalidUsage Kind = iota + 1
 	// Invalid means that the call was read and breaks a rule, or could not be read. Nothing was changed.
 	Invalid
 	// TooLarge means that the call is over the limit of bytes. Nothing was changed.
 	TooLarge
 	// Stale means that another version is in place than the change builds on. Nothing was changed.
 	Stale
-	// Unknown means that there is nothing of that name at any address that was asked.
-	Unknown
-	// Refused means that the call was turned away for another reason. Nothing was changed.
-	Refused
-	// Unreached means that no address could be reached before the time ran out. Nothing was changed.
-	Unreached
-	// Unclear means that something was sent and no clear answer came before the time ran out: a change may be in force
+	// NotFound means that there is nothing of that name at any address that was asked.
+	NotFound
+	// Rejected means that the call was turned away for another reason. Nothing was changed.
+	Rejected
+	// Unreachable means that no address could be reached before the time ran out. Nothing was changed.
+	Unreachable
+	// Undetermined means that something was sent and no clear answer came before the time ran out: a change may be in force
 	// or not. It may be sent again unchanged.
-	Unclear
+	Undetermined
 )
 
 var kindNames = [...]string{
-	Misused: "misused", Invalid: "invalid", TooLarge: "too large", Stale: "stale", Unknown: "unknown", Refused: "refused",
-	Unreached: "unreached", Unclear: "unclear",
+	InvalidUsage: "misused", Invalid: "invalid", TooLarge: "too large", Stale: "stale", NotFound: "unknown", Rejected: "refused",
+	Unreachable: "unreached", Undetermined: "unclear",
 }
 
 // Error gives the kind's name.
 func (k Kind) Error() string {
-	if k < Misused || k > Unclear {
+	if k < InvalidUsage || k > Undetermined {
 		return "no kind of this list"
 	}
 	return kindNames[k]
@@ -51,8 +51,8 @@
 	Kind Kind
 	// Status is the HTTP status of the last answer, 0 where none came.
 	Status int
-	// Fault is the mesh's own word for what went wrong in that answer, empty where it said none.
-	Fault string
+	// ServerKind is the mesh's own word for what went wrong in that answer, empty where it said none.
+	ServerKind string
 	// Address is the control plane address asked last.
 	Address string
 	// Message says what went wrong, in the mesh's words where there was an answer.
@@ -98,18 +98,18 @@
 		case errs.Stale:
 			return Stale
 		case errs.NotFound:
-			return Unknown
+			return NotFound
 		}
 	}
 	switch status {
 	case http.StatusBadRequest, http.StatusConflict, http.StatusUnprocessableEntity:
 		return Invalid
 	case http.StatusNotFound:
-		return Unknown
+		return NotFound
 	case http.StatusPreconditionFailed:
 		return Stale
 	case http.StatusRequestEntityTooLarge:
 		return TooLarge
 	}
-	return Refused
+	return Rejected
 }
--- a/meshclient/example_test.go
+++ b/meshclient/example_test.go
@@ -76,7 +76,7 @@
 	_, err := client.Replace(ctx, meshclient.Document{ConfigVersion: 4, BaseVersion: 3})
 	var failed *meshclient.Error
 	switch {
-	case errors.Is(err, meshclient.Unclear):
+	case errors.Is(err, meshclient.Undetermined):
 		fmt.Println("it may be in force: send it again unchanged")
 	case errors.As(err, &failed):
 		fmt.Println(failed.Kind, failed.Status, failed.Message)
@@ -85,10 +85,10 @@
 }
 
 // An upstream beats while it runs, and takes leave before it ends.
-func ExampleBeats() {
+func ExampleHeartbeats() {
 	core := standIn()
 	defer core.Close()
-	beats := &meshclient.Beats{
+	heartbeats := &meshclient.Heartbeats{
 		Client:       &meshclient.Client{Addresses: []string{core.Listener.Addr().String()}},
 		Instance:     meshclient.Instance{ID: "i-7f3a", Service: "tea", Address: "10.0.0.9:8080", Zone: "hall-a", Slots: 8},
 		Interval:     time.Second,
@@ -97,9 +97,9 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
 	ended := make(chan error, 1)
-	go func() { ended <- beats.Run(ctx) }()
+	go func() { ended <- heartbeats.Run(ctx) }()
 
-	if err := beats.Drain(ctx); err != nil {
+	if err := heartbeats.Drain(ctx); err != nil {
 		fmt.Println(err)
 	}
 	fmt.Println(<-ended)
--- a/meshclient/golden_test.go
+++ b/meshclient/golden_test.go
@@ -8,7 +8,7 @@
 
 // What servers and scripts send and expect: testdata holds it as the release before wrote it.
 func TestMessagesOnTheWire(t *testing.T) {
-	goldentest.CheckJSON[View](t, "view")
+	goldentest.CheckJSON[NodeStatus](t, "view")
 	goldentest.CheckJSON[Members](t, "members")
 	goldentest.CheckJSON[UpstreamList](t, "upstream_list")
 	goldentest.CheckJSON[Document](t, "document")
--- a/meshclient/beats.go
+++ b/meshclient/heartbeats.go
@@ -32,12 +32,12 @@
 	// Version is that of its software.
 	Version string
 	Slots   int
-	// Warmup is how long after Beats.Run begins the upstream stays slow.
+	// Warmup is how long after Heartbeats.Run begins the upstream stays slow.
 	Warmup time.Duration
 }
 
-// Beats tells the mesh of an upstream: Run beats, Drain takes leave. Its fields are set before Run and not changed.
-type Beats struct {
+// Heartbeats tells the mesh of an upstream: Run beats, Drain takes leave. Its fields are set before Run and not changed.
+type Heartbeats struct {
 	// Client gives the addresses; a beat that is not acknowledged goes on to the next.
 	Client   *Client
 	Instance Instance
@@ -45,8 +45,8 @@
 	Interval time.Duration
 	// DrainTimeout is how long the upstream goes on serving once its leaving is acknowledged.
 	DrainTimeout time.Duration
-	// Failed, where not nil, hears of each beat that was not acknowledged. It is called from Run.
-	Failed func(error)
+	// OnError, where not nil, hears of each beat that was not acknowledged. It is called from Run.
+	OnError func(error)
 
 	once  sync.Once
 	begun time.Time
@@ -83,7 +83,7 @@
 	WarmupRemainingS float64 `json:"warmupRemainingS"`
 }
 
-func (b *Beats) start() {
+func (b *Heartbeats) start() {
 	b.begun = time.Now()
 	b.poke, b.acked, b.ended = make(chan struct{}, 1), make(chan struct{}), make(chan struct{})
 	b.Client.once.Do(b.Client.start)
@@ -91,9 +91,9 @@
 
 // Run beats until Drain has taken leave, and then gives nil, or until ctx ends, and then gives its error. A beat that
 // fails is followed by the next after a pause that grows to the Interval. It is called once.
-func (b *Beats) Run(ctx context.Context) error {
+func (b *Heartbeats) Run(ctx context.Context) error {
 	if in := b.Instance; in.ID == "" || in.Service == "" || in.Address == "" || b.Interval <= 0 || b.Client == nil || len(b.Client.Addresses) == 0 {
-		return &Error{Kind: Misused, Message: "beats need a client with addresses, an interval, and an instance with id, service and address"}
+		return &Error{Kind: InvalidUsage, Message: "beats need a client with addresses, an interval, and an instance with id, service and address"}
 	}
 	b.once.Do(b.start)
 	failing := newPause(b.Interval)
@@ -110,8 +110,8 @@
 		}
 		if t := b.beat(ctx); t != nil {
 			timer.Reset(failing.length(t.retryAfter))
-			if b.Failed != nil && ctx.Err() == nil {
-				b.Failed(&t.err)
+			if b.OnError != nil && ctx.Err() == nil {
+				b.OnError(&t.err)
 			}
 			continue
 		}
@@ -121,7 +121,7 @@
 }
 
 // beat says once how the upstream fares; nil: that was acknowledged.
-func (b *Beats) beat(ctx context.Context) *trouble {
+func (b *Heartbeats) beat(ctx context.Context) *trouble {
 	b.mu.Lock()
 	draining := b.draining
 	select {
@@ -149,8 +149,8 @@
 	answer, t := attempt(within, b.Client.http, address, http.MethodPost, b.path("heartbeat"), body, beatLimit)
 	if t != nil {
 		if t.err.Kind == 0 {
-			if t.err.Kind = Unreached; t.sent {
-				t.err.Kind = Unclear
+			if t.err.Kind = Unreachable; t.sent {
+				t.err.Kind = Undetermined
 			}
 		}
 		if b.endpoint != "" {
@@ -178,9 +178,9 @@
 // longer, during which the upstream goes on serving and Run goes on beating, ends Run and deregisters. It needs Run.
 // When ctx ends before the acknowledgement, or before the time to serve is over, the error says so and Run goes on
 // saying that the upstream is draining.
-func (b *Beats) Drain(ctx context.Context) error {
+func (b *Heartbeats) Drain(ctx context.Context) error {
 	if b.Client == nil || len(b.Client.Addresses) == 0 {
-		return &Error{Kind: Misused, Message: "the client has no addresses"}
+		return &Error{Kind: InvalidUsage, Message: "the client has no addresses"}
 	}
 	b.once.Do(b.start)
 	b.mu.Lock()
@@ -193,14 +193,14 @@
 	select {
 	case <-b.acked:
 	case <-ctx.Done():
-		return &Error{Kind: Unclear, Message: "the leaving was not acknowledged", cause: context.Cause(ctx)}
+		return &Error{Kind: Undetermined, Message: "the leaving was not acknowledged", cause: context.Cause(ctx)}
 	}
 	served := time.NewTimer(b.DrainTimeout + drainMargin)
 	defer served.Stop()
 	select {
 	case <-served.C:
 	case <-ctx.Done():
-		return &Error{Kind: Unclear, Message: "the time to go on serving was cut short", cause: context.Cause(ctx)}
+		return &Error{Kind: Undetermined, Message: "the time to go on serving was cut short", cause: context.Cause(ctx)}
 	}
 	b.mu.Lock()
 	if !b.finished {
@@ -212,6 +212,6 @@
 	return err
 }
 
-func (b *Beats) path(what string) string {
+func (b *Heartbeats) path(what string) string {
 	return "/api/instances/" + url.PathEscape(b.Instance.ID) + "/" + what
 }
--- a/meshclient/inspection.go
+++ b/meshclient/inspection.go
@@ -12,39 +12,39 @@
 	UpstreamsPath = "/api/upstreams"
 )
 
-// View is one core machine's word on itself and on whom it follows.
-type View struct {
-	// AsOf names the machine that says so.
-	AsOf string `json:"asOf"`
+// NodeStatus is one core machine's word on itself and on whom it follows.
+type NodeStatus struct {
+	// ReportedBy names the machine that says so.
+	ReportedBy string `json:"asOf"`
 	// Term numbers the reign of the leader, the machine that orders changes; Leader is its internal address, empty while
 	// none is known.
 	Term   uint64 `json:"term"`
 	Leader string `json:"leader"`
-	// ConfigVersion is the version in force on this machine, Applied the last place of the log that it has applied.
+	// ConfigVersion is the version in force on this machine, AppliedIndex the last index of the log that it has applied.
 	ConfigVersion int64  `json:"configVersion"`
-	Applied       uint64 `json:"applied"`
-	// InContact says that what the machine serves was lately confirmed by a majority of the voters; Sick says that its disk
+	AppliedIndex  uint64 `json:"applied"`
+	// InContact says that what the machine serves was lately confirmed by a majority of the voters; StorageFailed says that its disk
 	// takes no writes.
-	InContact bool `json:"inContact"`
-	Sick      bool `json:"sick"`
-	// Member is the id of the machine's disk, empty while it belongs to no cluster. Voter says that it votes in the log;
+	InContact     bool `json:"inContact"`
+	StorageFailed bool `json:"sick"`
+	// MemberID is the id of the machine's disk, empty while it belongs to no cluster. Voter says that it votes in the log;
 	// else it follows as a learner.
-	Member string `json:"member"`
-	Voter  bool   `json:"voter"`
-	// Voters are the internal addresses of all that vote; Changing says that a change of them is under way.
-	Voters   []string `json:"voters,omitempty"`
-	Changing bool     `json:"changing,omitempty"`
+	MemberID string `json:"member"`
+	Voter    bool   `json:"voter"`
+	// Voters are the internal addresses of all that vote; MembershipChanging says that a change of them is under way.
+	Voters             []string `json:"voters,omitempty"`
+	MembershipChanging bool     `json:"changing,omitempty"`
 }
 
 // Members is who takes part, as one core machine knows it.
 type Members struct {
-	// AsOf names the machine that says so.
-	AsOf string `json:"asOf"`
-	// Term and Leader are as in View, as this machine knows them.
+	// ReportedBy names the machine that says so.
+	ReportedBy string `json:"asOf"`
+	// Term and Leader are as in NodeStatus, as this machine knows them.
 	Term   uint64 `json:"term"`
 	Leader string `json:"leader"`
-	// Young says that the machine may not have heard from every sidecar yet.
-	Young bool `json:"young"`
+	// Syncing says that the machine may not have heard from every sidecar yet.
+	Syncing bool `json:"young"`
 	// Core is the core machines, Sidecars those whose lease has not run out.
 	Core     []CoreMember `json:"core"`
 	Sidecars []Sidecar    `json:"sidecars"`
@@ -56,30 +56,30 @@
 	Address string `json:"address"`
 	// Leader says that the answering machine takes it for the leader.
 	Leader bool `json:"leader"`
-	// Said is its own word on itself; nil: the answering machine got none just now.
-	Said *View `json:"said,omitempty"`
+	// Status is its own word on itself; nil: the answering machine got none just now.
+	Status *NodeStatus `json:"said,omitempty"`
 }
 
 // Sidecar is a sidecar that holds a lease.
 type Sidecar struct {
 	Node string `json:"node"`
 	Zone string `json:"zone"`
-	// Applied is the version of the configuration in force there.
-	Applied int64 `json:"applied"`
+	// ConfigVersion is the version of the configuration in force there.
+	ConfigVersion int64 `json:"applied"`
 	// Leaving says that it is on its way out.
 	Leaving bool `json:"leaving"`
 	// Instance is the upstream beside it, empty while it has heard from none.
 	Instance string `json:"instance,omitempty"`
-	// RemainingS is how many seconds its lease still has.
-	RemainingS float64 `json:"remainingS"`
+	// LeaseRemainingS is how many seconds its lease still has.
+	LeaseRemainingS float64 `json:"remainingS"`
 }
 
 // UpstreamList is the upstreams that one core machine knows.
 type UpstreamList struct {
-	// AsOf names the machine that says so.
-	AsOf string `json:"asOf"`
-	// Young says that the machine may not have heard from everybody yet.
-	Young     bool       `json:"young"`
+	// ReportedBy names the machine that says so.
+	ReportedBy string `json:"asOf"`
+	// Syncing says that the machine may not have heard from everybody yet.
+	Syncing   bool       `json:"young"`
 	Upstreams []Upstream `json:"upstreams"`
 }
 
@@ -98,9 +98,9 @@
 	Stale bool `json:"stale"`
 }
 
-// View asks one core machine for its word on itself.
-func (c *Client) View(ctx context.Context) (*View, error) {
-	return call[View](ctx, c, http.MethodGet, ViewPath, nil)
+// NodeStatus asks one core machine for its word on itself.
+func (c *Client) NodeStatus(ctx context.Context) (*NodeStatus, error) {
+	return call[NodeStatus](ctx, c, http.MethodGet, ViewPath, nil)
 }
 
 // Members asks one core machine who takes part.
--- a/meshclient/meshclient_test.go
+++ b/meshclient/meshclient_test.go
@@ -108,7 +108,7 @@
 			c.So(s.at[2]-s.at[1], ShouldBeBetween, silence+pauseLeast-time.Millisecond, silence+2*pauseLeast+time.Millisecond) // the body has its microseconds
 			c.So(s.at[3]-s.at[2], ShouldEqual, 1500*time.Millisecond)
 			c.So(s.at[8]-s.at[7], ShouldBeBetween, 8*pauseLeast, 32*pauseLeast)
-			_, err = client.View(ctx) // the last address that answered is asked first
+			_, err = client.NodeStatus(ctx) // the last address that answered is asked first
 			c.So(err, ShouldBeNil)
 			c.So(s.calls[10], ShouldEqual, "a:1 /api/view")
 		})
@@ -122,7 +122,7 @@
 			tries  int
 		}{
 			{400, "Invalid", Invalid, 1}, {400, "Unreadable", Invalid, 1}, {400, "", Invalid, 1}, {409, "", Invalid, 1}, {412, "Stale", Stale, 1},
-			{413, "", TooLarge, 1}, {422, "", Invalid, 1}, {404, "Unknown", Unknown, 3}, {403, "", Refused, 3},
+			{413, "", TooLarge, 1}, {422, "", Invalid, 1}, {404, "Unknown", NotFound, 3}, {403, "", Rejected, 3},
 		} {
 			answer := step{status: x.status, header: http.Header{"X-Mesh-Fault": {x.fault}}, body: `{"errorMessage":"as said"}`}
 			play(t, []step{answer, answer, answer, answer}, func(ctx context.Context, s *script, client *Client) {
@@ -130,13 +130,13 @@
 				var e *Error
 				c.So(errors.As(err, &e), ShouldBeTrue)
 				c.So(errors.Is(err, x.kind), ShouldBeTrue)
-				c.So([]any{e.Kind, KindOf(err), e.Status, e.Fault, e.Message, len(s.calls)}, ShouldResemble, []any{x.kind, x.kind, x.status, x.fault, "as said", x.tries})
+				c.So([]any{e.Kind, KindOf(err), e.Status, e.ServerKind, e.Message, len(s.calls)}, ShouldResemble, []any{x.kind, x.kind, x.status, x.fault, "as said", x.tries})
 			})
 		}
 	})
 
 	Convey("When the time runs out, it is said whether anything may have been taken", t, func(c C) {
-		for kind, steps := range map[Kind][]step{Unreached: {{status: -1}, {status: -1}, {status: -1}}, Unclear: {{status: -1}, {status: 503}, {status: -1}}} {
+		for kind, steps := range map[Kind][]step{Unreachable: {{status: -1}, {status: -1}, {status: -1}}, Undetermined: {{status: -1}, {status: 503}, {status: -1}}} {
 			play(t, steps, func(ctx context.Context, _ *script, client *Client) {
 				ctx, cancel := context.WithTimeout(ctx, 120*time.Millisecond)
 				defer cancel()
@@ -145,8 +145,8 @@
 				c.So(errors.Is(err, context.DeadlineExceeded), ShouldBeTrue)
 			})
 		}
-		_, err := new(Client).View(t.Context())
-		c.So(errors.Is(err, Misused), ShouldBeTrue)
+		_, err := new(Client).NodeStatus(t.Context())
+		c.So(errors.Is(err, InvalidUsage), ShouldBeTrue)
 	})
 
 	Convey("Change starts again from what is in place when another came in between", t, func(c C) {
@@ -175,9 +175,9 @@
 			{status: 500}, {status: 200, body: "{}"}, // the leaving: c fails, a acknowledges
 		}, func(ctx context.Context, s *script, client *Client) {
 			failed := 0
-			b := &Beats{
+			b := &Heartbeats{
 				Client: client, Instance: Instance{ID: "i/1", Service: "s", Address: "10.0.0.1:80", Slots: 3, Warmup: 3 * time.Second},
-				Interval: 2 * time.Second, DrainTimeout: 5 * time.Second, Failed: func(error) { failed++ },
+				Interval: 2 * time.Second, DrainTimeout: 5 * time.Second, OnError: func(error) { failed++ },
 			}
 			ended := make(chan error, 1)
 			go func() { ended <- b.Run(ctx) }()
@@ -220,14 +220,14 @@
 
 	Convey("Without an acknowledgement Drain says so when its time is over", t, func(c C) {
 		play(t, make([]step, 100), func(ctx context.Context, s *script, client *Client) {
-			b := &Beats{Client: client, Instance: Instance{ID: "i", Service: "s", Address: "x:1"}, Interval: time.Second}
+			b := &Heartbeats{Client: client, Instance: Instance{ID: "i", Service: "s", Address: "x:1"}, Interval: time.Second}
 			ctx, cancel := context.WithTimeout(ctx, 4*time.Second)
 			defer cancel()
 			ended := make(chan error, 1)
 			go func() { ended <- b.Run(ctx) }()
-			c.So(errors.Is(b.Drain(ctx), Unclear), ShouldBeTrue)
+			c.So(errors.Is(b.Drain(ctx), Undetermined), ShouldBeTrue)
 			c.So(errors.Is(<-ended, context.DeadlineExceeded), ShouldBeTrue)
-			c.So(errors.Is(new(Beats).Run(ctx), Misused), ShouldBeTrue)
+			c.So(errors.Is(new(Heartbeats).Run(ctx), InvalidUsage), ShouldBeTrue)
 		})
 	})
 }
