--- a/cmd/meshd/main.go
+++ b/cmd/meshd/main.go
@@ -45,8 +45,8 @@
 	said := zapcore.WarnLevel
 	flag.Var(&said, "say", "level from which on log entries of a role are written out at once: debug, info, warn, error")
 	flag.Parse()
-	if cli.Knows(flag.Arg(0)) {
-		os.Exit(cli.Main(context.Background(), flag.Args(), os.Stdin, os.Stdout, os.Stderr, os.Getenv))
+	if cli.IsVerb(flag.Arg(0)) {
+		os.Exit(cli.Run(context.Background(), flag.Args(), os.Stdin, os.Stdout, os.Stderr, os.Getenv))
 	}
 	if flag.NArg() != 1 {
 		flag.Usage()
--- a/internal/mesh/cli/cli.go
+++ b/internal/mesh/cli/cli.go
@@ -20,18 +20,18 @@
 
 // The exit codes.
 const (
-	// Done means that the verb did what it says.
-	Done = 0
-	// Failed means that the mesh refused: nothing was changed.
-	Failed = 1
-	// Misused means that the verb was used wrongly, or that its file can't be read or has faults.
-	Misused = 2
-	// Unclear means that no clear answer came in time: a change may be in force or not, and may be sent again unchanged.
-	Unclear = 3
+	// ExitOK means that the verb did what it says.
+	ExitOK = 0
+	// ExitRejected means that the mesh refused: nothing was changed.
+	ExitRejected = 1
+	// ExitUsage means that the verb was used wrongly, or that its file can't be read or has faults.
+	ExitUsage = 2
+	// ExitUndetermined means that no clear answer came in time: a change may be in force or not, and may be sent again unchanged.
+	ExitUndetermined = 3
 )
 
-// AtVariable is the environment variable that holds the control plane addresses where --at is not given.
-const AtVariable = "MESHD_AT"
+// AddressesVariable is the environment variable that holds the control plane addresses where --at is not given.
+const AddressesVariable = "MESHD_AT"
 
 // standardTimeout is how long a verb tries where --timeout is not given.
 const standardTimeout = 10 * time.Second
@@ -48,7 +48,7 @@
   check FILE                     the faults of a settings file or a configuration; asks nobody
 
 flags of verbs:
-  --at ADDRESS[,ADDRESS]   control plane addresses; else those of ` + AtVariable + `
+  --at ADDRESS[,ADDRESS]   control plane addresses; else those of ` + AddressesVariable + `
   --output text|json       how the answer is written, text unless said
   --timeout DURATION       how long to try, 10s unless said
 
@@ -87,24 +87,24 @@
 	"check":     {names: 1, alone: true, run: check},
 }
 
-// Knows says whether the word is one of the verbs.
-func Knows(word string) bool { return verbs[word].run != nil }
+// IsVerb says whether the word is one of the verbs.
+func IsVerb(word string) bool { return verbs[word].run != nil }
 
 // misuse is an error that is the user's or the file's: it ends with Misused.
 type misuse struct{ error }
 
-// Main runs the verb that stands first among the words and gives the exit code. The variable is looked up by getenv.
-func Main(ctx context.Context, words []string, in io.Reader, out, errs io.Writer, getenv func(string) string) int {
-	if len(words) == 0 || !Knows(words[0]) {
+// Run runs the verb that stands first among the words and gives the exit code. The variable is looked up by getenv.
+func Run(ctx context.Context, words []string, in io.Reader, out, errs io.Writer, getenv func(string) string) int {
+	if len(words) == 0 || !IsVerb(words[0]) {
 		fmt.Fprint(errs, Usage)
-		return Misused
+		return ExitUsage
 	}
 	d := &errand{in: in, out: out}
 	ctx, cancel, err := d.read(ctx, words, getenv)
 	switch {
 	case errors.Is(err, flag.ErrHelp):
 		fmt.Fprint(out, Usage)
-		return Done
+		return ExitOK
 	case err == nil:
 		defer cancel()
 		err = verbs[words[0]].run(ctx, d)
@@ -119,13 +119,13 @@
 	var wrong misuse
 	switch {
 	case err == nil:
-		return Done
+		return ExitOK
 	case errors.As(err, &wrong), errors.Is(err, meshclient.InvalidUsage):
-		return Misused
+		return ExitUsage
 	case errors.Is(err, meshclient.Undetermined), errors.Is(err, meshclient.Unreachable):
-		return Unclear
+		return ExitUndetermined
 	}
-	return Failed
+	return ExitRejected
 }
 
 // read reads the verb's flags and arguments, which may stand in any order; after "--" all are arguments.
@@ -133,7 +133,7 @@
 	v := verbs[words[0]]
 	flags := flag.NewFlagSet(words[0], flag.ContinueOnError)
 	flags.SetOutput(io.Discard)
-	at := flags.String("at", getenv(AtVariable), "")
+	at := flags.String("at", getenv(AddressesVariable), "")
 	output := flags.String("output", "text", "")
 	timeout := flags.Duration("timeout", standardTimeout, "")
 	d.base = -1
@@ -189,7 +189,7 @@
 
 func addresses(list string) ([]string, error) {
 	if list == "" {
-		return nil, wrongly("no address: give --at or set %s", AtVariable)
+		return nil, wrongly("no address: give --at or set %s", AddressesVariable)
 	}
 	all := strings.Split(list, ",")
 	for i, address := range all {
--- a/internal/mesh/cli/cli_test.go
+++ b/internal/mesh/cli/cli_test.go
@@ -67,8 +67,8 @@
 // said runs a verb, and gives the exit code and what it wrote.
 func said(at string, words ...string) (int, string) {
 	var out bytes.Buffer
-	code := Main(context.Background(), words, strings.NewReader(first), &out, &out, func(name string) string {
-		return map[string]string{AtVariable: at}[name]
+	code := Run(context.Background(), words, strings.NewReader(first), &out, &out, func(name string) string {
+		return map[string]string{AddressesVariable: at}[name]
 	})
 	return code, out.String()
 }
@@ -96,19 +96,19 @@
 		}
 
 		// The core is still choosing itself: the library asks until there is an answer.
-		has(Done, "why tea.example /cup/1", "No configuration is in force yet: the answer is 503.")
-		has(Done, "apply -", "version 3 is in force, built on version 0")
-		has(Done, "apply - --output json", `"configVersion": 3`, `"baseVersion": 0`)
+		has(ExitOK, "why tea.example /cup/1", "No configuration is in force yet: the answer is 503.")
+		has(ExitOK, "apply -", "version 3 is in force, built on version 0")
+		has(ExitOK, "apply - --output json", `"configVersion": 3`, `"baseVersion": 0`)
 		next := filepath.Join(t.TempDir(), "next.yaml")
 		text := strings.Replace(strings.Replace(strings.Replace(first, "3\nres", "5\nres", 1), "name: open", "name: wide", 1), "1.5", "2.5", 1)
 		So(os.WriteFile(next, []byte(text), 0o600), ShouldBeNil)
-		has(Done, "diff "+next, "from version 3, which is in force, to version 5 of the file: 3 differences\n~ routes cups\n- routes open\n+ routes wide\n")
-		has(Failed, "apply "+next+" --base 2", "stale: "+at, "builds on 2, but 3 is in place")
-		has(Done, "apply "+next+" --base 3", "version 5 is in force, built on version 3")
-		has(Done, "apply "+next+" --base 3", "version 5 is in force") // the very same again
-		has(Failed, "apply -", "invalid: ", "configVersion: 3 is not above 5")
-		has(Done, "describe", "version 5 is in force, built on version 3, with 5 items", "tea.example/cup/ idempotent to tea:3,milk:1", "2 keys, 50 a second")
-		has(Done, "describe --output json", `"apiKeys"`, `"k-1"`)
+		has(ExitOK, "diff "+next, "from version 3, which is in force, to version 5 of the file: 3 differences\n~ routes cups\n- routes open\n+ routes wide\n")
+		has(ExitRejected, "apply "+next+" --base 2", "stale: "+at, "builds on 2, but 3 is in place")
+		has(ExitOK, "apply "+next+" --base 3", "version 5 is in force, built on version 3")
+		has(ExitOK, "apply "+next+" --base 3", "version 5 is in force") // the very same again
+		has(ExitRejected, "apply -", "invalid: ", "configVersion: 3 is not above 5")
+		has(ExitOK, "describe", "version 5 is in force, built on version 3, with 5 items", "tea.example/cup/ idempotent to tea:3,milk:1", "2 keys, 50 a second")
+		has(ExitOK, "describe --output json", `"apiKeys"`, `"k-1"`)
 
 		// A sidecar with its upstream, and an upstream that reached the core alone.
 		client := rpc.NewClient(time.Second)
@@ -123,18 +123,18 @@
 		So(err, ShouldBeNil)
 		So(res.StatusCode, ShouldEqual, http.StatusOK)
 		So(res.Body.Close(), ShouldBeNil)
-		has(Done, "members", "as core-1 knows it", inside+"  core-1  5        leader,voter,in contact", "side-1   a     5        i-1       here")
-		has(Done, "members --output json", `"asOf": "core-1"`, `"node": "side-1"`, `"leader": true`)
-		has(Done, "upstreams", "i-1       tea      a     side-1  4      ready", "i-2       tea      b     -       7      ready")
-		has(Done, "view", "node core-1", "leader "+inside, "version 5", "in contact true", "voter true", "voters "+inside, "changing false", "sick false")
+		has(ExitOK, "members", "as core-1 knows it", inside+"  core-1  5        leader,voter,in contact", "side-1   a     5        i-1       here")
+		has(ExitOK, "members --output json", `"asOf": "core-1"`, `"node": "side-1"`, `"leader": true`)
+		has(ExitOK, "upstreams", "i-1       tea      a     side-1  4      ready", "i-2       tea      b     -       7      ready")
+		has(ExitOK, "view", "node core-1", "leader "+inside, "version 5", "in contact true", "voter true", "voters "+inside, "changing false", "sick false")
 
-		has(Done, "why TEA.example:80 /cup/1?x --key k-2", "Route cups takes it", "It may run more than once. One try is sent to 2 upstreams at most and held for 2.5s at most.",
+		has(ExitOK, "why TEA.example:80 /cup/1?x --key k-2", "Route cups takes it", "It may run more than once. One try is sent to 2 upstreams at most and held for 2.5s at most.",
 			"tenant house's, which may have 50 requests", "Its priority is 0, the tenant's", "Service tea gets 75% of the route's requests; core-1 knows 2 upstreams of it, 1 of which",
 			"i-1 in zone a, 4 slots: ready", "i-2 in zone b, 7 slots: no sidecar beside it is known", "Service milk gets 25%", "Nothing can run it there")
-		has(Done, "why tea.example /cup/1 --output json --key k", `"refusal": 401`, "No tenant has this key")
-		has(Done, "why tea.example /cup/1", "none is given (--key): the answer is 401")
-		has(Done, "why tea.example /open/1", "Route wide takes it", "at most once", "The route is public", "the compartment of the service")
-		has(Done, "why tea.example /cups/1", "the answer is 404")
+		has(ExitOK, "why tea.example /cup/1 --output json --key k", `"refusal": 401`, "No tenant has this key")
+		has(ExitOK, "why tea.example /cup/1", "none is given (--key): the answer is 401")
+		has(ExitOK, "why tea.example /open/1", "Route wide takes it", "at most once", "The route is public", "the compartment of the service")
+		has(ExitOK, "why tea.example /cups/1", "the answer is 404")
 	})
 }
 
@@ -153,28 +153,28 @@
 			words []string
 			parts []string
 		}{
-			{Misused, nil, []string{"verbs:", "exit codes"}},
-			{Misused, []string{"aply"}, []string{"verbs:"}},
-			{Done, []string{"apply", "-h"}, []string{"verbs:"}},
-			{Misused, []string{"view"}, []string{"give --at or set MESHD_AT"}},
-			{Misused, []string{"view", "--at", "core"}, []string{`"core" is not a host with a port`}},
-			{Misused, []string{"view", "--base", "3"}, []string{"not defined: -base"}},
-			{Misused, []string{"apply", "-", "--base", "x", "--at", "a:1"}, []string{"not a version"}},
-			{Misused, []string{"why", "--at", "a:1", "host"}, []string{"1 arguments are given, 2 are needed"}},
-			{Misused, []string{"why", "--at", "a:1", "--", "host", "-path"}, []string{"does not begin with a slash"}},
-			{Misused, []string{"apply", "--at", "a:1", file("")}, []string{"not a configuration"}},
-			{Misused, []string{"apply", "--at", "a:1", file("{\"configVersion\":1,\"resorces\":[]}")}, []string{"resorces"}},
-			{Misused, []string{"diff", "--at", "a:1", filepath.Join(t.TempDir(), "none")}, []string{"no such file"}},
-			{Unclear, []string{"view", "--at", deaf(t), "--timeout", "100ms"}, []string{"unreached: "}},
-			{Done, []string{"check", "-"}, []string{"configuration: no fault was found"}},
-			{Done, []string{"check", file(core)}, []string{"settings: no fault was found"}},
-			{Misused, []string{"check", file(strings.Replace(core, "ipAddress: 127.0.0.1", "ipAddress: here", 1))}, []string{"self.ipAddress: must be an IP address"}},
-			{Misused, []string{"check", file(faulty)}, []string{
+			{ExitUsage, nil, []string{"verbs:", "exit codes"}},
+			{ExitUsage, []string{"aply"}, []string{"verbs:"}},
+			{ExitOK, []string{"apply", "-h"}, []string{"verbs:"}},
+			{ExitUsage, []string{"view"}, []string{"give --at or set MESHD_AT"}},
+			{ExitUsage, []string{"view", "--at", "core"}, []string{`"core" is not a host with a port`}},
+			{ExitUsage, []string{"view", "--base", "3"}, []string{"not defined: -base"}},
+			{ExitUsage, []string{"apply", "-", "--base", "x", "--at", "a:1"}, []string{"not a version"}},
+			{ExitUsage, []string{"why", "--at", "a:1", "host"}, []string{"1 arguments are given, 2 are needed"}},
+			{ExitUsage, []string{"why", "--at", "a:1", "--", "host", "-path"}, []string{"does not begin with a slash"}},
+			{ExitUsage, []string{"apply", "--at", "a:1", file("")}, []string{"not a configuration"}},
+			{ExitUsage, []string{"apply", "--at", "a:1", file("{\"configVersion\":1,\"resorces\":[]}")}, []string{"resorces"}},
+			{ExitUsage, []string{"diff", "--at", "a:1", filepath.Join(t.TempDir(), "none")}, []string{"no such file"}},
+			{ExitUndetermined, []string{"view", "--at", deaf(t), "--timeout", "100ms"}, []string{"unreached: "}},
+			{ExitOK, []string{"check", "-"}, []string{"configuration: no fault was found"}},
+			{ExitOK, []string{"check", file(core)}, []string{"settings: no fault was found"}},
+			{ExitUsage, []string{"check", file(strings.Replace(core, "ipAddress: 127.0.0.1", "ipAddress: here", 1))}, []string{"self.ipAddress: must be an IP address"}},
+			{ExitUsage, []string{"check", file(faulty)}, []string{
 				"routes \"cups\": timeoutS: must be no greater than 600.\n", "routes \"open\": there is no service \"mlik\"\n", "tenants \"house\": ratePerS: ", "faults in the configuration: 3",
 			}},
-			{Misused, []string{"check", file(strings.Replace(first, "resourceType: tenants", "resourceType: guests", 1))}, []string{"guests \"house\": there is no resourceType \"guests\"\n"}},
-			{Misused, []string{"check", file(shared), "--output", "json"}, []string{`shares a key with`, `"kind": "configuration"`}},
-			{Misused, []string{"check", file("- a\n: b")}, []string{"neither"}},
+			{ExitUsage, []string{"check", file(strings.Replace(first, "resourceType: tenants", "resourceType: guests", 1))}, []string{"guests \"house\": there is no resourceType \"guests\"\n"}},
+			{ExitUsage, []string{"check", file(shared), "--output", "json"}, []string{`shares a key with`, `"kind": "configuration"`}},
+			{ExitUsage, []string{"check", file("- a\n: b")}, []string{"neither"}},
 		} {
 			code, text := said("", x.words...)
 			missing := slices.DeleteFunc(x.parts, func(part string) bool { return strings.Contains(strings.ToLower(text), strings.ToLower(part)) })
