--- a/internal/mesh/errs/errs.go
+++ b/internal/mesh/errs/errs.go
@@ -1,5 +1,6 @@
-// Package errs is the closed list of what can go wrong in the mesh. Every error that crosses a package or a
-// machine is of one kind of this list, and one table says which HTTP status a kind is answered with.
+// Package errs is the closed list of what can go wrong in the mesh. Every error that crosses the border of a
+// package or a process is of one Kind of this list, and one table says with which HTTP status and Retry-After a
+// kind is answered. Its functions may be called from any goroutine.
 package errs
 
 import (
@@ -9,7 +10,40 @@
 	"github.com/rotisserie/eris"
 )
 
-// Kind says what went wrong. The zero Kind is none of the list and counts as Internal.
+// kindError is an error with its kind.
+type kindError struct {
+	kind Kind
+	err  error
+}
+
+func (e *kindError) Error() string { return e.err.Error() }
+
+func (e *kindError) Unwrap() error { return e.err }
+
+// New makes an error of the kind, with a message formatted as by fmt.Sprintf.
+func New(k Kind, format string, args ...any) error {
+	return &kindError{kind: k, err: eris.Errorf(format, args...)}
+}
+
+// Wrap puts the message before that of err and makes it of kind k, whatever kind err was of. It returns nil for a
+// nil err.
+func Wrap(err error, k Kind, format string, args ...any) error {
+	if err == nil {
+		return nil
+	}
+	return &kindError{kind: k, err: eris.Wrapf(err, format, args...)}
+}
+
+// KindOf returns the kind that the outermost New or Wrap in the chain of err gave it, and Internal if none did.
+func KindOf(err error) Kind {
+	var e *kindError
+	if errors.As(err, &e) {
+		return e.kind
+	}
+	return Internal
+}
+
+// Kind says what went wrong. The zero Kind is not on the list and counts as Internal.
 type Kind uint8
 
 // The closed list of kinds.
@@ -18,42 +52,43 @@
 	Invalid Kind = iota + 1
 	// Malformed means that the request was cut short or is not of its format.
 	Malformed
-	// TooLarge means that the request is over its limit of bytes.
+	// TooLarge means that the request exceeds its limit of bytes.
 	TooLarge
-	// Stale means that another version is in place than the request is based on.
+	// Stale means that the version in force is not the one that the request is based on.
 	Stale
-	// NotFound means that there is nothing of that name.
+	// NotFound means that nothing of that name exists.
 	NotFound
 	// Busy means that the request was shed before anything was done.
 	Busy
-	// NoQuorum means that no majority was in contact. Whether a change was made is unclear.
+	// NoQuorum means that no majority was in contact. Whether a change was made is unknown.
 	NoQuorum
-	// NotLeader means that this member does not lead. Nothing was done.
+	// NotLeader means that this member is not the leader. Nothing was done.
 	NotLeader
-	// DeadlineExceeded means that the time ran out. Whether a change was made is unclear.
+	// DeadlineExceeded means that the time ran out. Whether a change was made is unknown.
 	DeadlineExceeded
-	// Undetermined means that it can no longer be told whether the change was made: the record of applied
-	// orders does not reach back that far.
+	// Undetermined means that whether the change was made can no longer be determined: the log of applied
+	// requests does not reach back that far.
 	Undetermined
-	// DiskFailed means that the disk refused or lost a write.
+	// DiskFailed means that the disk rejected or lost a write.
 	DiskFailed
-	// Unreachable means that a peer gave no answer. Whether it did what was asked is unclear.
+	// Unreachable means that a peer gave no answer. Whether it did what was asked is unknown.
 	Unreachable
-	// Internal means a fault of the program, and is the kind of every error that says none.
+	// Internal means a fault of the program, and is the kind of every error that states none.
 	Internal
 )
 
-// row is what the table says of one kind.
-type row struct {
-	name string
+// kindInfo is what the table says of one kind.
+type kindInfo struct {
+	// wireName is known to other processes and to clients, so it stays when the Go name changes.
+	wireName string
 	// status is 4xx where sending the same request again cannot help, and 5xx where it can.
 	status int
 	// retryAfter is the value of the Retry-After header in seconds, empty where none is sent.
 	retryAfter string
 }
 
-// table is the one place where kinds are turned into names, statuses and waits.
-var table = [...]row{
+// kinds is the one place where kinds are turned into wire names, statuses and Retry-After values.
+var kinds = [...]kindInfo{
 	Invalid:          {"Invalid", http.StatusBadRequest, ""},
 	Malformed:        {"Unreadable", http.StatusBadRequest, ""},
 	TooLarge:         {"TooLarge", http.StatusRequestEntityTooLarge, ""},
@@ -69,61 +104,29 @@
 	Internal:         {"Internal", http.StatusInternalServerError, ""},
 }
 
-// row gives the kind's row of the table, and that of Internal for a value that is none of the list.
-func (k Kind) row() row {
+// info returns the kind's entry in the table, and that of Internal for a value that is not on the list.
+func (k Kind) info() kindInfo {
 	if k < Invalid || k > Internal {
-		return table[Internal]
+		return kinds[Internal]
 	}
-	return table[k]
+	return kinds[k]
 }
 
-// String gives the kind's name, as it travels between machines.
-func (k Kind) String() string { return k.row().name }
+// String returns the kind's name on the wire.
+func (k Kind) String() string { return k.info().wireName }
 
-// Status gives the HTTP status the kind is answered with.
-func (k Kind) Status() int { return k.row().status }
+// Status returns the HTTP status that the kind is answered with.
+func (k Kind) Status() int { return k.info().status }
 
-// RetryAfter gives the value of the Retry-After header in seconds, empty where none is sent.
-func (k Kind) RetryAfter() string { return k.row().retryAfter }
+// RetryAfter returns the value of the Retry-After header in seconds, empty where none is sent.
+func (k Kind) RetryAfter() string { return k.info().retryAfter }
 
-// ParseKind gives the kind of that name, and Internal for a name that is not on the list.
-func ParseKind(name string) Kind {
+// ParseKind returns the kind of that wire name, and Internal for a name that is not on the list.
+func ParseKind(wireName string) Kind {
 	for k := Invalid; k < Internal; k++ {
-		if table[k].name == name {
+		if kinds[k].wireName == wireName {
 			return k
 		}
 	}
 	return Internal
 }
-
-// fault is an error with its kind.
-type fault struct {
-	kind Kind
-	err  error
-}
-
-func (f *fault) Error() string { return f.err.Error() }
-
-func (f *fault) Unwrap() error { return f.err }
-
-// New makes an error of the kind.
-func New(k Kind, format string, args ...any) error {
-	return &fault{kind: k, err: eris.Errorf(format, args...)}
-}
-
-// Wrap puts the message before err and makes it of the kind, whatever kind err was of. It gives nil for a nil err.
-func Wrap(err error, k Kind, format string, args ...any) error {
-	if err == nil {
-		return nil
-	}
-	return &fault{kind: k, err: eris.Wrapf(err, format, args...)}
-}
-
-// KindOf gives the kind that was said last of err, also below errors wrapped round it, and Internal where none was said.
-func KindOf(err error) Kind {
-	var f *fault
-	if errors.As(err, &f) {
-		return f.kind
-	}
-	return Internal
-}
--- a/internal/mesh/rpc/client.go
+++ b/internal/mesh/rpc/client.go
@@ -17,30 +17,33 @@
 
 const (
 	// userTimeout is how long sent bytes or probes may stay unacknowledged before the connection is given up. It guards
-	// against peers without power or behind a cut, which say nothing.
+	// against peers without power or behind a network partition, which close no connection.
 	userTimeout = 1500 * time.Millisecond
-	// keepAliveIdle is how long a held connection is quiet before the first probe.
+	// keepAliveIdle is how long a connection is idle before the first probe.
 	keepAliveIdle = time.Second
 	// keepAliveInterval is the time between probes. The kernel counts it in whole seconds, so Go makes this one second.
 	keepAliveInterval = 500 * time.Millisecond
 	// keepAliveCount is how many probes may go unanswered.
 	keepAliveCount = 3
-	// heldPerPeer bounds the idle connections kept to one peer, so that a burst of calls does not hold descriptors.
-	heldPerPeer = 4
-	// heldFor is how long an idle connection is kept. It guards against holding connections to machines that are gone.
-	heldFor = 30 * time.Second
-	// answerLimit bounds an answer. It guards the caller's memory against a peer gone wrong, and leaves room for the
-	// largest configuration (64 MiB) with what is put round it.
-	answerLimit = 72 << 20
-	// failureLimit bounds what is read of an answer that is an error.
-	failureLimit = 16 << 10
+	// idleConnsPerPeer bounds the idle connections kept to one peer, so that a burst of calls does not keep file
+	// descriptors open.
+	idleConnsPerPeer = 4
+	// idleConnTimeout is how long an idle connection is kept. It guards against keeping connections to machines that
+	// no longer exist.
+	idleConnTimeout = 30 * time.Second
+	// maxResponseBytes bounds a response. It guards the caller's memory against a faulty peer, and leaves room for the
+	// largest configuration (64 MiB) with its envelope.
+	maxResponseBytes = 72 << 20
+	// maxErrorBytes bounds what is read of a response that is an error.
+	maxErrorBytes = 16 << 10
 )
 
-// NewClient gives a client for Call: HTTP/1.1, with held connections on which a peer without power is noticed within
-// about two seconds. Opening a connection takes at most dial. It follows no redirects and uses no proxy.
-func NewClient(dial time.Duration) *http.Client {
+// NewClient returns a client for Call, Post and Get: HTTP/1.1, with kept connections on which a peer without power is
+// noticed within about two seconds. Opening a connection takes at most dialTimeout; zero is no limit. It follows no
+// redirects and uses no proxy. The caller closes its idle connections in the end.
+func NewClient(dialTimeout time.Duration) *http.Client {
 	dialer := &net.Dialer{
-		Timeout: dial,
+		Timeout: dialTimeout,
 		KeepAliveConfig: net.KeepAliveConfig{
 			Enable:   true,
 			Idle:     keepAliveIdle,
@@ -56,80 +59,86 @@
 			DialContext:         dialer.DialContext,
 			Protocols:           protocols,
 			DisableCompression:  true,
-			MaxIdleConnsPerHost: heldPerPeer,
-			IdleConnTimeout:     heldFor,
+			MaxIdleConnsPerHost: idleConnsPerPeer,
+			IdleConnTimeout:     idleConnTimeout,
 		},
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 	}
 }
 
+// setUserTimeout sets TCP_USER_TIMEOUT on a connection that is about to be opened.
 func setUserTimeout(_, _ string, c syscall.RawConn) error {
-	var failed error
+	var optionErr error
 	err := c.Control(func(fd uintptr) {
-		failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout.Milliseconds()))
+		optionErr = unix.SetsockoptInt(
+			int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout.Milliseconds()))
 	})
 	if err != nil {
 		return err
 	}
-	return failed
+	return optionErr
 }
 
-// Call posts q as JSON and gives the answer. An answer that is not 2xx comes back as an error of the kind the peer
-// said, and of Internal if it said none. No answer, or one that breaks off, or one that comes after ctx is done, is
-// Unreachable: whether the peer did what was asked is then unclear.
-func Call[Q, A any](ctx context.Context, c *http.Client, url string, q *Q) (*A, error) {
-	body, err := json.Marshal(q)
+// Call posts the request as JSON and returns the response. A response that is not 2xx is returned as an error of the
+// kind that the peer named, and of Internal if it named none. If there is no response, if it breaks off, or if ctx
+// ends first, the error is Unreachable: whether the peer did what was asked is then unknown.
+func Call[Req, Resp any](ctx context.Context, c *http.Client, url string, request *Req) (*Resp, error) {
+	body, err := json.Marshal(request)
 	if err != nil {
 		return nil, errs.Wrap(err, errs.Internal, "encode the request to %s", url)
 	}
-	return Post[A](ctx, c, url, body)
+	return Post[Resp](ctx, c, url, body)
 }
 
-// Post is Call with a body that is there already, and need not be JSON.
-func Post[A any](ctx context.Context, c *http.Client, url string, body []byte) (*A, error) {
-	return exchange[A](ctx, c, http.MethodPost, url, bytes.NewReader(body))
+// Post is Call with a body that is encoded already, and need not be JSON.
+func Post[Resp any](ctx context.Context, c *http.Client, url string, body []byte) (*Resp, error) {
+	return exchange[Resp](ctx, c, http.MethodPost, url, bytes.NewReader(body))
 }
 
 // Get is Call without a body, for what is served by HandleGet.
-func Get[A any](ctx context.Context, c *http.Client, url string) (*A, error) {
-	return exchange[A](ctx, c, http.MethodGet, url, nil)
+func Get[Resp any](ctx context.Context, c *http.Client, url string) (*Resp, error) {
+	return exchange[Resp](ctx, c, http.MethodGet, url, nil)
 }
 
-func exchange[A any](ctx context.Context, c *http.Client, method, url string, asked io.Reader) (*A, error) {
-	r, err := http.NewRequestWithContext(ctx, method, url, asked)
+// exchange sends a request, whose body is nil if it has none, and decodes the response.
+func exchange[Resp any](
+	ctx context.Context, c *http.Client, method, url string, requestBody io.Reader,
+) (*Resp, error) {
+	request, err := http.NewRequestWithContext(ctx, method, url, requestBody)
 	if err != nil {
 		return nil, errs.Wrap(err, errs.Internal, "request to %s", url)
 	}
-	if asked != nil {
-		r.Header.Set("Content-Type", contentJSON)
+	if requestBody != nil {
+		request.Header.Set("Content-Type", contentJSON)
 	}
-	answer, err := c.Do(r)
+	response, err := c.Do(request)
 	if err != nil {
 		return nil, errs.Wrap(err, errs.Unreachable, "no answer")
 	}
-	defer answer.Body.Close()
-	if answer.StatusCode < 200 || answer.StatusCode > 299 {
-		return nil, failureOf(url, answer)
+	defer response.Body.Close()
+	if response.StatusCode < 200 || response.StatusCode > 299 {
+		return nil, readError(url, response)
 	}
-	body, err := readWhole(answer.Body, answer.ContentLength, answerLimit)
+	body, err := readBody(response.Body, response.ContentLength, maxResponseBytes)
 	if err != nil {
 		return nil, errs.Wrap(err, errs.Unreachable, "answer of %s", url)
 	}
-	a := new(A)
-	if err := json.Unmarshal(body, a); err != nil {
+	decoded := new(Resp)
+	if err := json.Unmarshal(body, decoded); err != nil {
 		return nil, errs.Wrap(err, errs.Internal, "answer of %s", url)
 	}
-	return a, nil
+	return decoded, nil
 }
 
-// failureOf turns an answer that is not 2xx into an error of the kind its header says. The message is the peer's, where
-// one can be read.
-func failureOf(url string, answer *http.Response) error {
-	kind := errs.ParseKind(answer.Header.Get(faultHeader))
-	body, _ := io.ReadAll(io.LimitReader(answer.Body, failureLimit))
-	var said failure
-	if json.Unmarshal(body, &said) != nil || said.ErrorMessage == "" {
-		return errs.New(kind, "%s answers %s", url, answer.Status)
+// readError turns a response that is not 2xx into an error of the kind that its header names. The message is the
+// peer's if there is one.
+func readError(url string, response *http.Response) error {
+	kind := errs.ParseKind(response.Header.Get(kindHeader))
+	// A body that breaks off is used as far as it came; it only carries the message.
+	body, _ := io.ReadAll(io.LimitReader(response.Body, maxErrorBytes))
+	var peerError errorBody
+	if json.Unmarshal(body, &peerError) != nil || peerError.ErrorMessage == "" {
+		return errs.New(kind, "%s answers %s", url, response.Status)
 	}
-	return errs.New(kind, "%s answers %d: %s", url, answer.StatusCode, said.ErrorMessage)
+	return errs.New(kind, "%s answers %d: %s", url, response.StatusCode, peerError.ErrorMessage)
 }
--- a/internal/mesh/rpc/golden_test.go
+++ b/internal/mesh/rpc/golden_test.go
@@ -8,9 +8,9 @@
 	"caperarch/internal/mesh/goldentest"
 )
 
-// What other processes send and expect: testdata holds it as the release before wrote it.
+// The JSON form is what the last release wrote: testdata holds it.
 func TestErrorBody(t *testing.T) {
-	goldentest.CheckJSON[failure](t, "error")
+	goldentest.CheckJSON[errorBody](t, "error")
 }
 
 // Callers of the release before go by the status, the kind's name and Retry-After of an error.
--- a/internal/mesh/rpc/rpc.go
+++ b/internal/mesh/rpc/rpc.go
@@ -1,5 +1,8 @@
-// Package rpc is the counter at which the mesh's processes ask each other and are asked from outside: JSON over
-// HTTP/1.1, with errors that keep their kind of the faultlist on the way.
+// Package rpc carries requests as JSON over HTTP/1.1 between the mesh's processes and from its users. Handle,
+// HandleGet and HandleRaw serve them; Call, Post and Get send them. An error keeps its errs.Kind on the way: the
+// caller gets the kind and the message that the handler returned.
+//
+// The package owns no goroutines. Its functions may be called from any goroutine.
 package rpc
 
 import (
@@ -14,65 +17,66 @@
 )
 
 const (
-	// faultHeader carries the kind of an error, so that the caller gets the same kind back.
-	faultHeader = "X-Mesh-Fault"
+	// kindHeader carries the wire name of an error's kind, so that the caller gets the same kind back.
+	kindHeader  = "X-Mesh-Fault"
 	contentJSON = "application/json"
-	// firstBuffer bounds the memory taken on the word of a Content-Length alone. It guards against senders that
-	// announce a large body and never send it; once so much has arrived, the rest is taken at once.
-	firstBuffer = 256 << 10
-	// unknownStart is the first buffer for a body that comes without its length.
-	unknownStart = 4 << 10
 )
 
-// failure is the body of an answer that is an error.
-type failure struct {
+// errorBody is the body of a response that is an error.
+type errorBody struct {
 	ErrorMessage string `json:"errorMessage"`
 	Kind         string `json:"kind"`
 }
 
-// Handle serves POST requests for the pattern: the JSON body of at most limit bytes is read whole into a Q, and what f
-// gives is answered as JSON. An error is answered as WriteError does. With a Q of struct{} the body may be empty or
-// anything else within the limit, and is passed over. The pattern may name another method.
-func Handle[Q, A any](mux *http.ServeMux, pattern string, limit int64, f func(r *http.Request, q *Q) (*A, error)) {
-	HandleRaw(mux, pattern, limit, func(r *http.Request, body []byte) (*A, error) {
-		q := new(Q)
-		if _, none := any(q).(*struct{}); !none {
-			if err := decode(body, q); err != nil {
+// Handle serves POST requests for the pattern: the JSON body of at most limit bytes is read in full into a Req, and
+// the Resp that serve returns is the response, as JSON with status 200. An error is answered as by WriteError. If
+// Req is struct{}, the body may be empty or anything else within the limit, and is ignored. The pattern may name
+// another method.
+func Handle[Req, Resp any](
+	mux *http.ServeMux, pattern string, limit int64, serve func(r *http.Request, request *Req) (*Resp, error),
+) {
+	HandleRaw(mux, pattern, limit, func(r *http.Request, body []byte) (*Resp, error) {
+		request := new(Req)
+		if _, ignored := any(request).(*struct{}); !ignored {
+			if err := decode(body, request); err != nil {
 				return nil, err
 			}
 		}
-		return f(r, q)
+		return serve(r, request)
 	})
 }
 
-// HandleGet serves GET requests for the pattern: what f gives is answered as JSON, an error as WriteError does.
-func HandleGet[A any](mux *http.ServeMux, pattern string, f func(r *http.Request) (*A, error)) {
+// HandleGet serves GET requests for the pattern: the response is what serve returns, as JSON with status 200. An
+// error is answered as by WriteError.
+func HandleGet[Resp any](mux *http.ServeMux, pattern string, serve func(r *http.Request) (*Resp, error)) {
 	mux.HandleFunc(withMethod(http.MethodGet, pattern), func(w http.ResponseWriter, r *http.Request) {
-		a, err := f(r)
-		reply(w, a, err)
+		response, err := serve(r)
+		writeResponse(w, response, err)
 	})
 }
 
-// HandleRaw is Handle for those who read the body themselves: f gets its bytes, whole and at most limit of them.
-func HandleRaw[A any](mux *http.ServeMux, pattern string, limit int64, f func(r *http.Request, body []byte) (*A, error)) {
+// HandleRaw is Handle for handlers that parse the body themselves: serve gets all its bytes, at most limit of them.
+func HandleRaw[Resp any](
+	mux *http.ServeMux, pattern string, limit int64, serve func(r *http.Request, body []byte) (*Resp, error),
+) {
 	mux.HandleFunc(withMethod(http.MethodPost, pattern), func(w http.ResponseWriter, r *http.Request) {
 		body, err := ReadBody(r, limit)
 		if err != nil {
 			WriteError(w, err)
 			return
 		}
-		a, err := f(r, body)
-		reply(w, a, err)
+		response, err := serve(r, body)
+		writeResponse(w, response, err)
 	})
 }
 
-// ReadBody reads the whole body of the request. One of more than limit bytes is TooLarge, and is not read when its length
-// says so beforehand; one that is cut short is Malformed.
+// ReadBody reads the whole body of the request. A body of more than limit bytes is TooLarge, and is not read if its
+// Content-Length already says so; a body that is cut short is Malformed.
 func ReadBody(r *http.Request, limit int64) ([]byte, error) {
 	if r.ContentLength > limit {
 		return nil, errs.New(errs.TooLarge, "body: %d bytes, at most %d are taken", r.ContentLength, limit)
 	}
-	body, err := readWhole(r.Body, r.ContentLength, limit)
+	body, err := readBody(r.Body, r.ContentLength, limit)
 	switch {
 	case errors.Is(err, errOverLimit):
 		return nil, errs.New(errs.TooLarge, "body: at most %d bytes are taken", limit)
@@ -82,42 +86,43 @@
 	return body, nil
 }
 
-// WriteError answers with the error's status, its kind in a header, and a JSON body of message and kind. The error must
-// not be nil.
+// WriteError responds with the status and Retry-After of the error's kind, the kind in a header, and a JSON body of
+// message and kind. The error must not be nil.
 func WriteError(w http.ResponseWriter, err error) {
 	kind := errs.KindOf(err)
 	if wait := kind.RetryAfter(); wait != "" {
 		w.Header().Set("Retry-After", wait)
 	}
-	w.Header().Set(faultHeader, kind.String())
-	// Two strings always encode.
-	body, _ := json.Marshal(failure{ErrorMessage: err.Error(), Kind: kind.String()})
-	send(w, kind.Status(), body)
+	w.Header().Set(kindHeader, kind.String())
+	// A struct of two strings always encodes.
+	body, _ := json.Marshal(errorBody{ErrorMessage: err.Error(), Kind: kind.String()})
+	writeJSON(w, kind.Status(), body)
 }
 
-func reply[A any](w http.ResponseWriter, a *A, err error) {
+// writeResponse responds with the response as JSON, or with the error if it is not nil.
+func writeResponse[Resp any](w http.ResponseWriter, response *Resp, err error) {
 	if err != nil {
 		WriteError(w, err)
 		return
 	}
-	body, err := json.Marshal(a)
+	body, err := json.Marshal(response)
 	if err != nil {
 		WriteError(w, errs.Wrap(err, errs.Internal, "encode the answer"))
 		return
 	}
-	send(w, http.StatusOK, body)
+	writeJSON(w, http.StatusOK, body)
 }
 
-// send writes the answer with its length. A caller that is gone gets nothing, and there is nobody to tell.
-func send(w http.ResponseWriter, status int, body []byte) {
+// writeJSON writes a response with its length. If the caller is no longer there, nobody could use the error.
+func writeJSON(w http.ResponseWriter, status int, body []byte) {
 	w.Header().Set("Content-Type", contentJSON)
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	w.WriteHeader(status)
 	_, _ = w.Write(body)
 }
 
-// decode reads the whole of body as one JSON value: anything that is not, or that follows it, is Malformed. A value of
-// the wrong type is Invalid, and so is what a type's own reader refuses without naming a kind.
+// decode reads all of body as one JSON value: a body that is no JSON, or has more after the value, is Malformed. A
+// value of the wrong type is Invalid, and so is what a type's own UnmarshalJSON rejects without stating a kind.
 func decode(body []byte, into any) error {
 	err := json.Unmarshal(body, into)
 	if err == nil {
@@ -140,18 +145,28 @@
 	return method + " " + pattern
 }
 
+const (
+	// announcedBuffer bounds the memory taken because of a Content-Length alone. It guards against senders that
+	// announce a large body and never send it; once so much has arrived, the rest is allocated at once.
+	announcedBuffer = 256 << 10
+	// unannouncedBuffer is the first buffer for a body that comes without its length.
+	unannouncedBuffer = 4 << 10
+)
+
+// errOverLimit is why readBody gave up on a body.
 var errOverLimit = errors.New("over the limit")
 
-// readWhole reads to the end, at most limit bytes; length is the announced one, negative when there is none. It takes
-// no more memory than what has arrived deserves: see firstBuffer.
-func readWhole(r io.Reader, length, limit int64) ([]byte, error) {
-	// One byte of room beyond the length lets the end be seen without growing.
-	start, next := int64(unknownStart), int64(0)
+// readBody reads to the end of r, at most limit bytes; length is the announced one, negative if there is none. Its
+// memory grows with what has arrived: see announcedBuffer. With an error that is not errOverLimit it returns what
+// was read until then.
+func readBody(r io.Reader, length, limit int64) ([]byte, error) {
+	first, next := int64(unannouncedBuffer), int64(0)
 	if length >= 0 {
+		// One byte beyond the length lets the end be seen without growing the buffer.
 		next = min(length, limit) + 1
-		start = min(next, firstBuffer)
+		first = min(next, announcedBuffer)
 	}
-	data := make([]byte, 0, start)
+	data := make([]byte, 0, first)
 	for {
 		n, err := r.Read(data[len(data):cap(data)])
 		data = data[:len(data)+n]
--- a/internal/mesh/rpc/rpc_test.go
+++ b/internal/mesh/rpc/rpc_test.go
@@ -92,7 +92,7 @@
 		} {
 			answer, body := post("/ask", c.body, len(c.body)+len(c.more))
 			So(answer.StatusCode, ShouldEqual, 400)
-			So(answer.Header.Get(faultHeader), ShouldEqual, c.kind)
+			So(answer.Header.Get(kindHeader), ShouldEqual, c.kind)
 			So(body, ShouldContainSubstring, `"kind":"`+c.kind+`"`)
 		}
 		answer, body := post("/leave", "", 0)
