--- a/internal/mesh/registry/changes.go
+++ b/internal/mesh/registry/changes.go
@@ -25,12 +25,12 @@
 	Removals []Removal
 }
 
-func (t *Table) changed(instance, service string) {
+func (t *Table) recordChange(instance, service string) {
 	t.number++
-	if len(t.log) >= 2*maxLog {
-		t.log = slices.Delete(t.log, 0, maxLog)
+	if len(t.changeLog) >= 2*maxChangeLog {
+		t.changeLog = slices.Delete(t.changeLog, 0, maxChangeLog)
 	}
-	t.log = append(t.log, change{instance, service})
+	t.changeLog = append(t.changeLog, change{instance, service})
 }
 
 // Epoch names this table's numbering, and Number is that of its last change.
@@ -44,23 +44,23 @@
 // reader wants; nil keeps all.
 func (t *Table) Since(now time.Duration, epoch, number uint64, keep func(service string) bool) Changes {
 	news := Changes{Epoch: t.epoch, Number: t.number}
-	if epoch != t.epoch || number > t.number || t.number-number > uint64(min(len(t.log), maxLog)) {
+	if epoch != t.epoch || number > t.number || t.number-number > uint64(min(len(t.changeLog), maxChangeLog)) {
 		news.Full = true
-		for _, e := range t.entries {
+		for _, e := range t.upstreams {
 			if keep == nil || keep(e.Service) {
 				news.Upserts = append(news.Upserts, e.at(now))
 			}
 		}
 		return news
 	}
-	missed := t.log[len(t.log)-int(t.number-number):]
+	missed := t.changeLog[len(t.changeLog)-int(t.number-number):]
 	seen := make(map[change]bool, len(missed))
 	for _, c := range missed {
 		if seen[c] || (keep != nil && !keep(c.service)) {
 			continue
 		}
 		seen[c] = true
-		if e := t.entries[c.instance]; e != nil && e.Service == c.service {
+		if e := t.upstreams[c.instance]; e != nil && e.Service == c.service {
 			news.Upserts = append(news.Upserts, e.at(now))
 		} else if e == nil || (keep != nil && !keep(e.Service)) {
 			news.Removals = append(news.Removals, Removal{c.instance, c.service})
--- a/internal/mesh/registry/lease.go
+++ b/internal/mesh/registry/lease.go
@@ -10,15 +10,15 @@
 // only its order is remembered.
 type lease struct {
 	Lease
-	warmupEnd time.Duration
-	body      uint64
-	until     time.Duration
-	live      bool
+	warmupEnd       time.Duration
+	contentSequence uint64
+	until           time.Duration
+	live            bool
 }
 
 // lives says whether the lease is live at this moment, whenever Expire was
 // called last.
-func (l *lease) lives(now time.Duration) bool { return l.live && now < l.until }
+func (l *lease) isLive(now time.Duration) bool { return l.live && now < l.until }
 
 // Renew takes a lease received here from its sidecar. It reports whether more
 // than the time changed, that is, whether other members need to see it now.
@@ -30,7 +30,7 @@
 	if t.leases[l.Node] == nil && len(t.leases) >= MaxLeases {
 		return false, errs.New(errs.Busy, "this member holds %d leases and takes no new node", MaxLeases)
 	}
-	return t.take(now, l, LeaseTTL), nil
+	return t.applyLease(now, l, LeaseTTL), nil
 }
 
 // Merge takes leases that other members hold, each with its remaining time
@@ -45,7 +45,7 @@
 		if !t.isNewer(r.Lease) || r.Remaining <= 0 && !r.Lease.Left {
 			continue
 		}
-		t.take(now, r.Lease, min(max(r.Remaining, 0), LeaseTTL))
+		t.applyLease(now, r.Lease, min(max(r.Remaining, 0), LeaseTTL))
 		newer = append(newer, r.Lease.Node)
 	}
 	return newer
@@ -59,17 +59,17 @@
 		held := t.leases[r.Node]
 		switch {
 		case r.Remaining <= 0: // it has lapsed on its way
-		case held == nil || held.Incarnation < r.Incarnation || (held.Incarnation == r.Incarnation && held.Sequence < r.Body):
+		case held == nil || held.Incarnation < r.Incarnation || (held.Incarnation == r.Incarnation && held.Sequence < r.ContentSequence):
 			unknown = append(unknown, r.Node)
 		case held.Incarnation == r.Incarnation && held.Sequence < r.Sequence && !held.Left:
 			l := held.Lease
 			l.Sequence = r.Sequence
 			if l.Upstream != nil {
 				up := *l.Upstream
-				up.WarmupRemaining = remaining(held.warmupEnd, now)
+				up.WarmupRemaining = remainingSeconds(held.warmupEnd, now)
 				l.Upstream = &up
 			}
-			t.take(now, l, min(max(r.Remaining, 0), LeaseTTL))
+			t.applyLease(now, l, min(max(r.Remaining, 0), LeaseTTL))
 			newer = append(newer, r.Node)
 		}
 	}
@@ -84,7 +84,7 @@
 	return l.Sequence > held.Sequence && !held.Left
 }
 
-func (t *Table) take(now time.Duration, l Lease, lasts time.Duration) (changed bool) {
+func (t *Table) applyLease(now time.Duration, l Lease, validFor time.Duration) (changed bool) {
 	if !t.isNewer(l) {
 		return false
 	}
@@ -96,7 +96,7 @@
 	} else {
 		changed = !held.live || held.Incarnation != l.Incarnation || held.Zone != l.Zone || held.Applied != l.Applied ||
 			held.Leaving != l.Leaving || held.Left != l.Left
-		t.count(now, held, false)
+		t.setLive(now, held, false)
 	}
 	end := time.Duration(0)
 	if l.Upstream != nil {
@@ -104,28 +104,28 @@
 		up.Node = l.Node
 		up.Stale = false
 		l.Upstream = &up
-		end = now + seconds(up.WarmupRemaining)
+		end = now + duration(up.WarmupRemaining)
 		if held.Upstream != nil && held.Upstream.Instance == up.Instance && held.Upstream.Sequence == up.Sequence {
 			end = held.warmupEnd
 		}
-		changed = changed || held.Upstream == nil || !alike(held.Upstream, &up) || moved(now, held.warmupEnd, end)
+		changed = changed || held.Upstream == nil || !sameExceptWarmup(held.Upstream, &up) || warmupMoved(now, held.warmupEnd, end)
 	} else {
 		changed = changed || held.Upstream != nil
 	}
 	if changed {
-		held.body = l.Sequence
+		held.contentSequence = l.Sequence
 	}
-	held.Lease, held.warmupEnd, held.until = l, end, now+lasts
+	held.Lease, held.warmupEnd, held.until = l, end, now+validFor
 	if l.Left {
 		held.until = now + TombstoneTTL
-		if inst, ok := t.byNode[l.Node]; ok {
-			t.bury(now, inst, false)
+		if inst, ok := t.instanceByNode[l.Node]; ok {
+			t.remove(now, inst, false)
 		}
 		return changed
 	}
-	t.count(now, held, true)
+	t.setLive(now, held, true)
 	if l.Upstream != nil {
-		t.put(now, *l.Upstream, held.until, false)
+		t.upsert(now, *l.Upstream, held.until, false)
 	}
 	return changed
 }
@@ -134,13 +134,13 @@
 // A sidecar that left is among them, so that others hear of it.
 func (t *Table) RemoteLease(now time.Duration, node string) (RemoteLease, bool) {
 	l := t.leases[node]
-	if l == nil || !l.Left && !l.lives(now) {
+	if l == nil || !l.Left && !l.isLive(now) {
 		return RemoteLease{}, false
 	}
 	r := RemoteLease{Lease: l.Lease, Remaining: max(l.until-now, 0)}
 	if l.Upstream != nil {
 		up := *l.Upstream
-		up.WarmupRemaining = remaining(l.warmupEnd, now)
+		up.WarmupRemaining = remainingSeconds(l.warmupEnd, now)
 		r.Lease.Upstream = &up
 	}
 	return r, true
@@ -149,10 +149,10 @@
 // Renewal gives a node's lease as a renewal, or false if none is live.
 func (t *Table) Renewal(now time.Duration, node string) (Renewal, bool) {
 	l := t.leases[node]
-	if l == nil || !l.lives(now) {
+	if l == nil || !l.isLive(now) {
 		return Renewal{}, false
 	}
-	return Renewal{Node: node, Incarnation: l.Incarnation, Sequence: l.Sequence, Body: l.body, Remaining: max(l.until-now, 0)}, true
+	return Renewal{Node: node, Incarnation: l.Incarnation, Sequence: l.Sequence, ContentSequence: l.contentSequence, Remaining: max(l.until-now, 0)}, true
 }
 
 // Leases lists all leases for a member that starts.
--- a/internal/mesh/registry/table.go
+++ b/internal/mesh/registry/table.go
@@ -19,41 +19,41 @@
 	// MaxLeases bounds the leases and the upstreams held, against memory taken
 	// by invented names. It is over three times the largest fleet foreseen.
 	MaxLeases = 8192
-	// maxBuried bounds the ids of gone instances that are remembered.
-	maxBuried = 8192
-	// maxLog bounds the changes kept for Since; who is further behind gets all.
-	maxLog = 1024
-	// warmupShift is how far the end of a warm-up must move to be a change; a
+	// maxTombstones bounds the ids of gone instances that are remembered.
+	maxTombstones = 8192
+	// maxChangeLog bounds the changes kept for Since; who is further behind gets all.
+	maxChangeLog = 1024
+	// warmupTolerance is how far the end of a warm-up must move to be a change; a
 	// smaller move is the delay of messages.
-	warmupShift = time.Second
+	warmupTolerance = time.Second
 )
 
 // Table holds the leases and the upstreams. It is not safe for concurrent use.
 type Table struct {
-	epoch     uint64
-	number    uint64
-	log       []change // the last changes; the newest has the table's number
-	leases    map[string]*lease
-	entries   map[string]*entry
-	byNode    map[string]string
-	byAddress map[string]string
-	graves    map[string]grave
-	live      int
-	applied   map[int64]int // live leases by version applied
-	recent    [PeakWindow/time.Second + 1]second
+	epoch             uint64
+	number            uint64
+	changeLog         []change // the last changes; the newest has the table's number
+	leases            map[string]*lease
+	upstreams         map[string]*entry
+	instanceByNode    map[string]string
+	instanceByAddress map[string]string
+	tombstones        map[string]tombstone
+	liveLeases        int
+	liveByVersion     map[int64]int // live leases by version applied
+	recentPeaks       [PeakWindow/time.Second + 1]peakSample
 }
 
 // New makes an empty table. The epoch must differ from that of every other
 // table and be above zero: numbers of one epoch mean nothing in another.
 func New(epoch uint64) *Table {
 	return &Table{
-		epoch:     epoch,
-		leases:    map[string]*lease{},
-		entries:   map[string]*entry{},
-		byNode:    map[string]string{},
-		byAddress: map[string]string{},
-		graves:    map[string]grave{},
-		applied:   map[int64]int{},
+		epoch:             epoch,
+		leases:            map[string]*lease{},
+		upstreams:         map[string]*entry{},
+		instanceByNode:    map[string]string{},
+		instanceByAddress: map[string]string{},
+		tombstones:        map[string]tombstone{},
+		liveByVersion:     map[int64]int{},
 	}
 }
 
@@ -62,24 +62,24 @@
 func (t *Table) Expire(now time.Duration) {
 	for node, l := range t.leases {
 		if l.live && l.until <= now {
-			t.count(now, l, false)
+			t.setLive(now, l, false)
 		}
 		if !l.live && l.until+TombstoneTTL <= now {
 			delete(t.leases, node)
 		}
 	}
-	for _, e := range t.entries {
+	for _, e := range t.upstreams {
 		if e.until+StaleTTL <= now {
-			t.lapse(now, e.Instance)
+			t.expire(now, e.Instance)
 		} else if !e.Stale && e.until <= now {
 			e.Stale = true
-			t.changed(e.Instance, e.Service)
+			t.recordChange(e.Instance, e.Service)
 		}
 	}
-	for instance, g := range t.graves {
+	for instance, g := range t.tombstones {
 		if g.until <= now {
-			delete(t.graves, instance)
+			delete(t.tombstones, instance)
 		}
 	}
-	t.note(now)
+	t.recordPeak(now)
 }
--- a/internal/mesh/registry/table_test.go
+++ b/internal/mesh/registry/table_test.go
@@ -53,13 +53,13 @@
 		So(renew(table, at(200), Lease{Node: "n1", Incarnation: 4, Sequence: 9, Applied: 9}), ShouldBeFalse)
 		So(table.Merge(0, []RemoteLease{{Lease{Node: "n2", Incarnation: 1, Sequence: 1, Applied: 4}, time.Hour}}), ShouldResemble, []string{"n2"})
 		So(table.Merge(0, []RemoteLease{{Lease{Node: "n2", Incarnation: 1, Sequence: 1, Applied: 9}, time.Hour}}), ShouldBeEmpty)
-		So([]int{table.Behind(3), table.Behind(4), table.Behind(5)}, ShouldResemble, []int{0, 1, 2})
+		So([]int{table.MembersBehind(3), table.MembersBehind(4), table.MembersBehind(5)}, ShouldResemble, []int{0, 1, 2})
 		table.Expire(at(2399))
 		So(table.Members(), ShouldEqual, 2)
 		table.Expire(at(2400))
 		So(table.Members(), ShouldEqual, 1)
 		table.Expire(at(2500))
-		So([]int{table.Members(), table.PeakMembers(at(2500)), table.Behind(9)}, ShouldResemble, []int{0, 2, 0})
+		So([]int{table.Members(), table.PeakMembers(at(2500)), table.MembersBehind(9)}, ShouldResemble, []int{0, 2, 0})
 		table.Expire(at(33000))
 		So(table.PeakMembers(at(33000)), ShouldEqual, 0)
 		So(renew(table, at(33000), Lease{Node: "n1", Incarnation: 5, Sequence: 3}), ShouldBeFalse)
@@ -149,7 +149,7 @@
 		So([]int{len(newer), len(unknown)}, ShouldResemble, []int{1, 0})
 		there.Expire(at(3399))
 		So(show(there, 0), ShouldEqual, "a@10.0.0.1:90 ready")
-		r.Sequence, r.Body = 5, 4
+		r.Sequence, r.ContentSequence = 5, 4
 		newer, unknown = there.Extend(at(1000), []Renewal{r})
 		So([]int{len(newer), len(unknown)}, ShouldResemble, []int{0, 1})
 	})
@@ -203,7 +203,7 @@
 					}
 					want[u.Instance] = true
 					held := r.held[u.Instance]
-					if !alike(&held, &u) {
+					if !sameExceptWarmup(&held, &u) {
 						t.Fatalf("step %d, reader %d: holds %+v, not %+v", step, i, held, u)
 					}
 				}
--- a/internal/mesh/registry/upstream.go
+++ b/internal/mesh/registry/upstream.go
@@ -102,11 +102,11 @@
 // which the rest of the lease changed last, so that a reader knows whether
 // what it holds is still right.
 type Renewal struct {
-	Node        string        `json:"n"`
-	Incarnation uint64        `json:"l"`
-	Sequence    uint64        `json:"s"`
-	Body        uint64        `json:"b"`
-	Remaining   time.Duration `json:"r"`
+	Node            string        `json:"n"`
+	Incarnation     uint64        `json:"l"`
+	Sequence        uint64        `json:"s"`
+	ContentSequence uint64        `json:"b"`
+	Remaining       time.Duration `json:"r"`
 }
 
 // UpstreamReport is an upstream that no lease tells of, with the time for which it is
--- a/internal/mesh/watch/server_push.go
+++ b/internal/mesh/watch/server_push.go
@@ -14,7 +14,7 @@
 func (s *Server) Behind(version int64) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.table.Behind(version)
+	return s.table.MembersBehind(version)
 }
 
 // WaitApplied returns 0 as soon as every live lease known here has applied the
@@ -23,7 +23,7 @@
 func (s *Server) WaitApplied(ctx context.Context, version int64) (behind int) {
 	w := &waiter{version, make(chan struct{})}
 	s.mu.Lock()
-	if s.table.Behind(version) == 0 {
+	if s.table.MembersBehind(version) == 0 {
 		s.mu.Unlock()
 		return 0
 	}
@@ -37,7 +37,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.waiters, w)
-	return s.table.Behind(version)
+	return s.table.MembersBehind(version)
 }
 
 // Publish pushes the configuration to the sidecars. The caller calls it when
@@ -55,7 +55,7 @@
 		s.push()
 	}
 	for w := range s.waiters {
-		if s.table.Behind(w.version) == 0 {
+		if s.table.MembersBehind(w.version) == 0 {
 			delete(s.waiters, w)
 			close(w.done)
 		}
