--- a/internal/mesh/balancer/balancer.go
+++ b/internal/mesh/balancer/balancer.go
@@ -18,36 +18,36 @@
 const (
 	// waitShare of the aim is the longest that a request may wait here and be refused still in
 	// time to be served elsewhere or later.
-	waitShare = 0.2
+	maxWaitFraction = 0.2
 	// urgentShare of all its time is the same for a request of the highest rank.
-	urgentShare = 0.4
+	highestPriorityWaitFraction = 0.4
 	// errorShare of a service's requests may have another run after the upstream's own failure:
 	// one in so many is chance, more is a fault that further runs only feed (what a run calls is
 	// called again with it). errorMost may come at once.
-	errorShare = 0.02
-	errorMost  = 4
+	errorRetryFraction = 0.02
+	maxErrorRetries    = 4
 	// pauseLeast and pauseMost bound what a refused client is told to wait.
-	pauseLeast = 20 * time.Millisecond
-	pauseMost  = time.Second
+	minRetryAfter = 20 * time.Millisecond
+	maxRetryAfter = time.Second
 	// failPause is how long an upstream has no turns after a failure to reach it, doubled up to
 	// failDouble times.
-	failPause  = 40 * time.Millisecond
-	failDouble = 4
+	failureBackoff      = 40 * time.Millisecond
+	maxBackoffDoublings = 4
 	// gatedFor is how long an upstream has no turns whose gate turned a request back, unless an
 	// answer tells of room before.
-	gatedFor = 15 * time.Millisecond
+	gateRejectionBackoff = 15 * time.Millisecond
 	// toldFor is how long a gate's word on its load is believed.
-	toldFor = 400 * time.Millisecond
+	loadReportTTL = 400 * time.Millisecond
 	// nearFull is the share of an upstream's slots up to which one in the caller's own zone is
 	// preferred: crossing zones has a price, a queue a higher one.
-	nearFull = 0.75
+	localZoneLoadLimit = 0.75
 	// overFull is how far beyond its slots, as a share of them, an upstream is sent to where all
 	// are full: its gate's queue is short.
-	overFull = 0.5
+	overloadAllowance = 0.5
 	// endMargin before its deadline a request is given up: an answer later than that comes too late.
-	endMargin = 5 * time.Millisecond
+	deadlineMargin = 5 * time.Millisecond
 	// forgetAfter is how long an empty compartment that nobody asked for is kept.
-	forgetAfter = 30 * time.Second
+	idleCompartmentTTL = 30 * time.Second
 )
 
 // RequestClass is what a request asks for: policy.Request.Terms.
@@ -77,45 +77,45 @@
 
 // Balancer is the module. One goroutine calls it.
 type Balancer struct {
-	cfg          Config
-	host         policy.Host
-	requests     map[policy.RequestID]*request
-	servers      []*upstream // by id, so that turns are the same everywhere
-	compartments map[string]*compartment
-	waiting      int
-	total        float64 // slots of all that are ready
-	members      int
-	turn         map[int]float64 // time of round robin, by service
-	errors       map[int]float64 // runs after a failure that a service has left
-	wakeAt       time.Duration
-	sweepAt      time.Duration
-	count        policy.Counters
+	cfg              Config
+	host             policy.Host
+	requests         map[policy.RequestID]*request
+	servers          []*upstream // by id, so that turns are the same everywhere
+	compartments     map[string]*compartment
+	waiting          int
+	totalSlots       float64 // slots of all that are ready
+	members          int
+	virtualTime      map[int]float64 // time of round robin, by service
+	errorRetryCredit map[int]float64 // runs after a failure that a service has left
+	wakeAt           time.Duration
+	sweepAt          time.Duration
+	counters         policy.Counters
 }
 
 type request struct {
-	id       policy.RequestID
-	order    *RequestClass
-	home     *compartment
-	arrived  time.Duration
-	deadline time.Duration
-	until    time.Duration // it waits no longer than this before its first send
-	attempts []attempt
-	arrivals int // attempts that came to an upstream, or may have
-	paid     int // of the further ones, that the budget was charged with
-	out      bool
-	held     bool // it holds a slot of its compartment
-	over     bool
-	mayRun   bool // an attempt that failed may have run
+	id              policy.RequestID
+	class           *RequestClass
+	compartment     *compartment
+	arrived         time.Duration
+	deadline        time.Duration
+	waitDeadline    time.Duration // it waits no longer than this before its first send
+	attempts        []attempt
+	arrivals        int // attempts that came to an upstream, or may have
+	chargedArrivals int // of the further ones, that the budget was charged with
+	inFlight        bool
+	holdsSlot       bool // it holds a slot of its compartment
+	answered        bool
+	mayHaveRun      bool // an attempt that failed may have run
 }
 
 // New makes one.
 func New(cfg Config, host policy.Host) *Balancer {
 	return &Balancer{
 		cfg: cfg, host: host, members: 1,
-		requests:     make(map[policy.RequestID]*request),
-		compartments: make(map[string]*compartment),
-		turn:         make(map[int]float64),
-		errors:       make(map[int]float64),
+		requests:         make(map[policy.RequestID]*request),
+		compartments:     make(map[string]*compartment),
+		virtualTime:      make(map[int]float64),
+		errorRetryCredit: make(map[int]float64),
 	}
 }
 
@@ -125,33 +125,33 @@
 // Request takes a request on.
 func (b *Balancer) Request(now time.Duration, q policy.Request) {
 	o, ok := q.Terms.(*RequestClass)
-	if !ok || q.Left <= endMargin || b.requests[q.ID] != nil {
-		b.count.Refused++
+	if !ok || q.Left <= deadlineMargin || b.requests[q.ID] != nil {
+		b.counters.Refused++
 		b.host.Refuse(q.ID, 0)
 		return
 	}
 	b.cfg.RetryBudget.RecordRequest(now, o.Service)
-	b.errors[o.Service] = min(errorMost, b.errors[o.Service]+errorShare)
+	b.errorRetryCredit[o.Service] = min(maxErrorRetries, b.errorRetryCredit[o.Service]+errorRetryFraction)
 	r := &request{
-		id: q.ID, order: o, home: b.compartment(now, o.Compartment), arrived: now, deadline: now + q.Left - endMargin,
+		id: q.ID, class: o, compartment: b.compartmentFor(now, o.Compartment), arrived: now, deadline: now + q.Left - deadlineMargin,
 	}
-	r.until = min(r.deadline, now+time.Duration(waitShare*float64(o.LatencyTarget)))
+	r.waitDeadline = min(r.deadline, now+time.Duration(maxWaitFraction*float64(o.LatencyTarget)))
 	if o.Priority == 0 { // an internal check has no other try, and takes the request that made it along
-		r.until = min(r.deadline, max(r.until, now+time.Duration(urgentShare*float64(q.Left))))
+		r.waitDeadline = min(r.deadline, max(r.waitDeadline, now+time.Duration(highestPriorityWaitFraction*float64(q.Left))))
 	}
 	b.requests[q.ID] = r
-	b.feed(now) // who waits goes first
-	if !r.home.waits(o.Service) && b.dispatch(now, r) {
+	b.dispatchQueued(now) // who waits goes first
+	if !r.compartment.hasWaiting(o.Service) && b.dispatch(now, r) {
 		return
 	}
-	if len(r.home.queue) >= r.home.places {
-		b.refuse(r)
+	if len(r.compartment.queue) >= r.compartment.queueSlots {
+		b.reject(r)
 		return
 	}
-	b.wait(now, r, false)
+	b.enqueue(now, r, false)
 }
 
-func (b *Balancer) wake(now, d time.Duration) {
+func (b *Balancer) scheduleWake(now, d time.Duration) {
 	d = max(d, time.Millisecond)
 	if b.wakeAt == 0 || now+d < b.wakeAt {
 		b.wakeAt = now + d
@@ -164,12 +164,12 @@
 	if b.wakeAt > 0 && now >= b.wakeAt {
 		b.wakeAt = 0
 	}
-	b.feed(now)
-	b.sweep(now)
+	b.dispatchQueued(now)
+	b.removeIdleCompartments(now)
 }
 
 // feed gives free slots and turns to what waits, and refuses what waited too long.
-func (b *Balancer) feed(now time.Duration) {
+func (b *Balancer) dispatchQueued(now time.Duration) {
 	if b.waiting == 0 {
 		return
 	}
@@ -178,38 +178,38 @@
 		for i := 0; i < len(c.queue); {
 			r := c.queue[i]
 			switch {
-			case now >= r.until:
-				b.refuse(r) // which takes it out
+			case now >= r.waitDeadline:
+				b.reject(r) // which takes it out
 			case b.dispatch(now, r):
-				b.unwait(r)
+				b.dequeue(r)
 			default:
-				next = min(next, r.until, b.opens(now, r))
+				next = min(next, r.waitDeadline, b.nextAvailable(now, r))
 				i++
 			}
 		}
 	}
 	if b.waiting > 0 {
-		b.wake(now, next-now)
+		b.scheduleWake(now, next-now)
 	}
 }
 
 // ClientGone takes that a request's client has gone; its attempt is called off.
 func (b *Balancer) ClientGone(now time.Duration, id policy.RequestID) {
 	r := b.requests[id]
-	if r == nil || r.over {
+	if r == nil || r.answered {
 		return
 	}
-	if r.out {
+	if r.inFlight {
 		b.host.Cancel(id, len(r.attempts)-1)
 	}
-	b.settle(r)
-	b.feed(now)
+	b.complete(r)
+	b.dispatchQueued(now)
 }
 
 // StreamBegun takes that an answer is its client's while it still comes.
 func (b *Balancer) StreamBegun(id policy.RequestID) {
 	if r := b.requests[id]; r != nil {
-		b.settle(r)
+		b.complete(r)
 	}
 }
 
@@ -220,4 +220,4 @@
 func (b *Balancer) Reconfigure(time.Duration, policy.Limits) error { return nil }
 
 // Counters tell what it did so far.
-func (b *Balancer) Counters() policy.Counters { return b.count }
+func (b *Balancer) Counters() policy.Counters { return b.counters }
--- a/internal/mesh/balancer/balancer_test.go
+++ b/internal/mesh/balancer/balancer_test.go
@@ -140,8 +140,8 @@
 		}
 		a := s.p.compartments["a"]
 		So(a.slots, ShouldBeBetween, 0.25*0.58*120, 60) // its part of what one sidecar has out on average, and room for chance
-		So(a.places, ShouldBeBetween, 1, a.slots)
-		So(said, ShouldResemble, map[byte]int{'s': a.slots, 'r': 100 - a.slots - a.places})
+		So(a.queueSlots, ShouldBeBetween, 1, a.slots)
+		So(said, ShouldResemble, map[byte]int{'s': a.slots, 'r': 100 - a.slots - a.queueSlots})
 		for i := range a.slots {
 			So(s.ask(policy.RequestID(200+i), of("b")), ShouldHaveLength, 1)
 		}
@@ -149,7 +149,7 @@
 		So(s.end(1, 0, policy.Served), ShouldHaveLength, 1) // a slot free is the first one's who waits
 		So(a.queue[0].id, ShouldEqual, policy.RequestID(a.slots+2))
 		So(s.advance(99*ms), ShouldBeEmpty)
-		So(s.advance(ms), ShouldHaveLength, a.places-1) // a fifth of the aim is over
+		So(s.advance(ms), ShouldHaveLength, a.queueSlots-1) // a fifth of the aim is over
 		So(s.p.waiting, ShouldEqual, 0)
 	})
 	Convey("Internal checks have their least slots, and wait for a good part of their time", t, func() {
@@ -166,12 +166,12 @@
 	})
 	Convey("With no more time than the margin nothing is sent, also of the highest rank and after a wait", t, func() {
 		s := newScene(ready(1, 0, 1))
-		for left := ms; left <= endMargin; left += ms {
+		for left := ms; left <= deadlineMargin; left += ms {
 			s.p.Request(s.now, policy.Request{ID: policy.RequestID(left), Left: left, Terms: order()})
 			So(s.heard(), ShouldResemble, []string{fmt.Sprintf("refuse %d", left)})
 		}
 		s = newScene()
-		s.p.Request(s.now, policy.Request{ID: 1, Left: endMargin + ms, Terms: order(func(o *RequestClass) { o.Priority = 0 })})
+		s.p.Request(s.now, policy.Request{ID: 1, Left: deadlineMargin + ms, Terms: order(func(o *RequestClass) { o.Priority = 0 })})
 		s.now += ms
 		s.p.List(s.now, policy.ListFull, []policy.Server{ready(1, 0, 1)})
 		So(s.heard(), ShouldResemble, []string{"refuse 1"})
@@ -181,13 +181,13 @@
 		s.ask(1, order())
 		s.end(1, 0, policy.Served, 2)
 		So(s.ask(2, order(func(o *RequestClass) { o.LatencyTarget = 10 * time.Second })), ShouldBeEmpty)
-		So(s.advance(toldFor+20*ms), ShouldResemble, []string{"send 2 to 1"})
+		So(s.advance(loadReportTTL+20*ms), ShouldResemble, []string{"send 2 to 1"})
 	})
 	Convey("Nobody overtakes who waits in the same compartment", t, func() {
 		s := newScene(ready(1, 0, 4))
 		s.ask(1, order())
 		So(s.end(1, 0, policy.Gated), ShouldBeEmpty) // and it waits for the gate
-		s.now += gatedFor
+		s.now += gateRejectionBackoff
 		So(s.ask(2, order())[0], ShouldEqual, "send 1 to 1") // before the wake comes
 	})
 }
@@ -214,7 +214,7 @@
 		s.end(201, 0, policy.Served)
 		s.end(200, 1, policy.Served)
 		s.turns(300, 40) // all by the other
-		s.now += failPause
+		s.now += failureBackoff
 		to := s.turns(400, 20)
 		So(count(to, 1), ShouldBeBetweenOrEqual, 8, 12)
 	})
@@ -223,7 +223,7 @@
 		s.ask(1, order())
 		s.end(1, 0, policy.Served, 4)
 		So(count(s.turns(10, 10), 1), ShouldEqual, 0)
-		s.now += toldFor + ms
+		s.now += loadReportTTL + ms
 		So(count(s.turns(30, 20), 1), ShouldBeGreaterThan, 5)
 	})
 	Convey("The own zone comes first while it has room, then the others, and nothing goes to those that drain or left", t, func() {
@@ -432,14 +432,14 @@
 						o.Compartment = CompartmentSpec{Name: fmt.Sprint(rapid.IntRange(0, 2).Draw(t, "wall")), Share: 0.3}
 					})
 					left := time.Duration(rapid.IntRange(10, 1500).Draw(t, "left")) * ms
-					r := &play{order: o, deadline: s.now + left, until: min(s.now+left-endMargin, s.now+o.LatencyTarget/5)}
+					r := &play{order: o, deadline: s.now + left, until: min(s.now+left-deadlineMargin, s.now+o.LatencyTarget/5)}
 					if o.Priority == 0 {
-						r.until = max(r.until, s.now+time.Duration(urgentShare*float64(left)))
+						r.until = max(r.until, s.now+time.Duration(highestPriorityWaitFraction*float64(left)))
 					}
 					all[id] = r
 					s.p.Request(s.now, policy.Request{ID: id, Left: left, Terms: o})
-					if w := s.p.compartments[o.Compartment.Name]; !r.over && !r.out && len(w.queue) > w.places {
-						t.Fatalf("request %d waits as one of %d for %d places", id, len(w.queue), w.places)
+					if w := s.p.compartments[o.Compartment.Name]; !r.over && !r.out && len(w.queue) > w.queueSlots {
+						t.Fatalf("request %d waits as one of %d for %d places", id, len(w.queue), w.queueSlots)
 					}
 				}
 			}
--- a/internal/mesh/gate/attempt_log.go
+++ b/internal/mesh/gate/attempt_log.go
@@ -10,16 +10,16 @@
 	// fenceMost bounds the requests that are remembered, some 100 bytes each. It holds those of 64
 	// s at 1,000 a second. Beyond it no request that must not run twice is begun: it is answered
 	// as unknown, which promises nothing.
-	fenceMost = 1 << 16
+	maxRecords = 1 << 16
 	// fenceMargin is how much longer than its own time a request is remembered: longer than bytes
 	// stay under way between two machines that the system still counts as connected.
-	fenceMargin = time.Minute
+	retentionMargin = time.Minute
 	// fenceGap is the longest time between two events that counts as passed. A process that stood
 	// still finds bytes in its sockets that are as old as they were when it stopped, so its memory
 	// must not age meanwhile.
-	fenceGap = time.Second
+	maxClockStep = time.Second
 	// fenceSweep is the time between two looks for what has expired. It bounds what forgetting costs.
-	fenceSweep = 5 * time.Second
+	sweepInterval = 5 * time.Second
 )
 
 // Key stands for a request's attempt id: 16 bytes of its hash, so that no length of id costs memory.
@@ -49,10 +49,10 @@
 const (
 	admitted admission = iota
 	// neverRan: it was turned away here before and was promised never to run.
-	neverRan
+	notExecuted
 	// mayHaveRun: it is here already, or has been sent to the upstream; or there is no room to
 	// remember it.
-	mayHaveRun
+	mayHaveExecuted
 )
 
 // phase is how far a remembered request came.
@@ -60,9 +60,9 @@
 
 const (
 	// underWay: it waits for a slot, or was sent to the upstream, whatever became of it there.
-	underWay phase = iota
+	started phase = iota
 	// turnedAway: it never reached the upstream, or the upstream refused it; a later send may run.
-	turnedAway
+	rejected
 )
 
 // AttemptLog remembers requests that must not run twice, so that none of them is sent to the upstream by
@@ -77,100 +77,100 @@
 type AttemptLog struct {
 	mu      sync.Mutex
 	records map[Key]record
-	last    time.Duration // when time was looked at last
-	age     time.Duration // that passed while this process ran
+	lastNow time.Duration // when time was looked at last
+	elapsed time.Duration // that passed while this process ran
 	sweepAt time.Duration // by age
 }
 
 type record struct {
-	send  SendID
-	until time.Duration // by age
-	phase phase
+	sendID    SendID
+	expiresAt time.Duration // by age
+	phase     phase
 }
 
 // admit takes a request that has arrived whole, with so much time left, and says whether it may go on.
-func (f *AttemptLog) admit(now time.Duration, key Key, send SendID, left time.Duration) admission {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.pass(now)
-	before, known := f.records[key]
+func (l *AttemptLog) admit(now time.Duration, key Key, sendID SendID, remaining time.Duration) admission {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.tick(now)
+	before, known := l.records[key]
 	switch {
-	case !known && !f.room():
-		return mayHaveRun
-	case !known, before.phase == turnedAway && send.after(before.send):
-		f.put(key, record{send: send, until: f.age + left + fenceMargin, phase: underWay})
+	case !known && !l.hasCapacity():
+		return mayHaveExecuted
+	case !known, before.phase == rejected && sendID.after(before.sendID):
+		l.store(key, record{sendID: sendID, expiresAt: l.elapsed + remaining + retentionMargin, phase: started})
 		return admitted
-	case before.phase == turnedAway:
-		return neverRan
+	case before.phase == rejected:
+		return notExecuted
 	}
-	return mayHaveRun
+	return mayHaveExecuted
 }
 
 // RecordRejection takes that a send is to be turned away before it came to the gate, and says whether that
 // may be said: not where the request is here by another arrival, nor where there is no room to
 // remember the promise.
-func (f *AttemptLog) RecordRejection(now time.Duration, key Key, send SendID, left time.Duration) bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.pass(now)
-	before, known := f.records[key]
+func (l *AttemptLog) RecordRejection(now time.Duration, key Key, sendID SendID, remaining time.Duration) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.tick(now)
+	before, known := l.records[key]
 	switch {
-	case !known && !f.room(), known && before.phase == underWay:
+	case !known && !l.hasCapacity(), known && before.phase == started:
 		return false
-	case !known, before.phase == turnedAway && send.after(before.send):
-		f.put(key, record{send: send, until: f.age + left + fenceMargin, phase: turnedAway})
+	case !known, before.phase == rejected && sendID.after(before.sendID):
+		l.store(key, record{sendID: sendID, expiresAt: l.elapsed + remaining + retentionMargin, phase: rejected})
 	}
 	return true
 }
 
 // move takes that a request that was admitted came to another phase.
-func (f *AttemptLog) move(key Key, to phase) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if r, known := f.records[key]; known {
+func (l *AttemptLog) setPhase(key Key, to phase) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if r, known := l.records[key]; known {
 		r.phase = to
-		f.records[key] = r
+		l.records[key] = r
 	}
 }
 
 // Size is how many requests are remembered.
-func (f *AttemptLog) Size() int {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return len(f.records)
+func (l *AttemptLog) Size() int {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return len(l.records)
 }
 
-func (f *AttemptLog) put(key Key, r record) {
-	if f.records == nil {
-		f.records = make(map[Key]record)
+func (l *AttemptLog) store(key Key, r record) {
+	if l.records == nil {
+		l.records = make(map[Key]record)
 	}
-	f.records[key] = r
+	l.records[key] = r
 }
 
 // pass takes that time has passed, and forgets what has expired.
-func (f *AttemptLog) pass(now time.Duration) {
-	f.age += min(max(0, now-f.last), fenceGap)
-	f.last = now
-	if f.age >= f.sweepAt {
-		f.sweepAt = f.age + fenceSweep
-		f.forget()
+func (l *AttemptLog) tick(now time.Duration) {
+	l.elapsed += min(max(0, now-l.lastNow), maxClockStep)
+	l.lastNow = now
+	if l.elapsed >= l.sweepAt {
+		l.sweepAt = l.elapsed + sweepInterval
+		l.expire()
 	}
 }
 
 // room says whether one more can be remembered.
-func (f *AttemptLog) room() bool {
-	if len(f.records) >= fenceMost {
-		f.forget()
+func (l *AttemptLog) hasCapacity() bool {
+	if len(l.records) >= maxRecords {
+		l.expire()
 	}
-	return len(f.records) < fenceMost
+	return len(l.records) < maxRecords
 }
 
 // forget forgets what has expired. A request that waits expires no earlier than it is turned back
 // or sent.
-func (f *AttemptLog) forget() {
-	for key, r := range f.records {
-		if f.age >= r.until {
-			delete(f.records, key)
+func (l *AttemptLog) expire() {
+	for key, r := range l.records {
+		if l.elapsed >= r.expiresAt {
+			delete(l.records, key)
 		}
 	}
 }
--- a/internal/mesh/gate/attempt_log_test.go
+++ b/internal/mesh/gate/attempt_log_test.go
@@ -96,12 +96,12 @@
 		var f AttemptLog
 		So(f.admit(0, key(1), SendID{7, 1}, 10*time.Minute), ShouldEqual, admitted)
 		now := 24 * time.Hour // it stood still
-		So(f.admit(now, key(1), SendID{7, 1}, time.Second), ShouldEqual, mayHaveRun)
+		So(f.admit(now, key(1), SendID{7, 1}, time.Second), ShouldEqual, mayHaveExecuted)
 		for range 658 {
 			now += time.Second
 			f.admit(now, key(2), SendID{7, 2}, time.Second)
 		}
-		So(f.admit(now, key(1), SendID{7, 1}, time.Second), ShouldEqual, mayHaveRun)
+		So(f.admit(now, key(1), SendID{7, 1}, time.Second), ShouldEqual, mayHaveExecuted)
 		for n := range 100 {
 			now += time.Second
 			f.admit(now, key(3+n), SendID{7, 2}, time.Second)
@@ -111,13 +111,13 @@
 	})
 	Convey("With no room left nothing is begun and nothing promised, and nothing is forgotten before its time", t, func() {
 		var f AttemptLog
-		for n := range fenceMost {
+		for n := range maxRecords {
 			f.admit(0, key(n), SendID{7, uint64(n)}, time.Second)
 		}
-		So(f.admit(0, key(fenceMost), SendID{8, 1}, time.Second), ShouldEqual, mayHaveRun)
-		So(f.RecordRejection(0, key(fenceMost), SendID{8, 1}, time.Second), ShouldBeFalse)
-		So(f.admit(0, key(0), SendID{7, 0}, time.Second), ShouldEqual, mayHaveRun)
-		So(f.Size(), ShouldEqual, fenceMost)
+		So(f.admit(0, key(maxRecords), SendID{8, 1}, time.Second), ShouldEqual, mayHaveExecuted)
+		So(f.RecordRejection(0, key(maxRecords), SendID{8, 1}, time.Second), ShouldBeFalse)
+		So(f.admit(0, key(0), SendID{7, 0}, time.Second), ShouldEqual, mayHaveExecuted)
+		So(f.Size(), ShouldEqual, maxRecords)
 	})
 }
 
--- a/internal/mesh/gate/gate_test.go
+++ b/internal/mesh/gate/gate_test.go
@@ -117,15 +117,15 @@
 		}
 		s.now -= ms
 		s.ask(1000, 7, time.Minute, 0)
-		for id := policy.RequestID(4); len(order) < 3+2*turnEvery; id++ {
+		for id := policy.RequestID(4); len(order) < 3+2*lowPriorityInterval; id++ {
 			s.ask(id, 0, time.Minute, 0) // one of rank 0 waits whenever a slot is handed out
 			s.end(ms, order[len(order)-3], policy.Served)
 			if id == 4 {
 				s.ask(1001, 5, time.Minute, 0)
 			}
 		}
-		So(slices.Index(order, 1000), ShouldEqual, 3+turnEvery-1)
-		So(slices.Index(order, 1001), ShouldEqual, 3+2*turnEvery-1)
+		So(slices.Index(order, 1000), ShouldEqual, 3+lowPriorityInterval-1)
+		So(slices.Index(order, 1001), ShouldEqual, 3+2*lowPriorityInterval-1)
 	})
 	Convey("One that holds its slot for four times as long has its turn a quarter as often", t, func() {
 		s := newScene(1)
@@ -141,7 +141,7 @@
 			s.ask(id, 0, time.Minute, 0)
 			s.end(ms, order[len(order)-1], policy.Served)
 		}
-		So(slices.Index(order, 1000), ShouldEqual, 1+4*(turnEvery-1))
+		So(slices.Index(order, 1000), ShouldEqual, 1+4*(lowPriorityInterval-1))
 	})
 }
 
@@ -338,7 +338,7 @@
 					urgent++
 				}
 			}
-			if running != len(out) || queued != len(waits) || queued-urgent > max(2, slots) || urgent > urgentPlaces*6 { // 6: the most slots there are
+			if running != len(out) || queued != len(waits) || queued-urgent > max(2, slots) || urgent > highPriorityQueueSlots*6 { // 6: the most slots there are
 				t.Fatalf("load %d, %d; %d are out and %d wait for %d slots", running, queued, len(out), len(waits), slots)
 			}
 		}
--- a/internal/mesh/gate/upstream.go
+++ b/internal/mesh/gate/upstream.go
@@ -25,28 +25,28 @@
 			g.retire(e.State)
 		case slices.Contains(g.retired, e.ID):
 		case e.State != policy.Ready:
-			g.remember(e.ID)
+			g.rememberRetired(e.ID)
 		default:
-			g.take(e)
+			g.adopt(e)
 		}
 	}
 	g.advance(now)
-	g.settle(now)
+	g.updateTimers(now)
 }
 
 // take has the upstream be the one of the entry, with its slots. The one before is sent nothing more.
-func (g *Gate) take(e policy.Server) {
+func (g *Gate) adopt(e policy.Server) {
 	if g.state == policy.Ready && e.ID != g.upstream {
 		g.retire(policy.Gone)
 	}
 	if g.state != policy.Ready {
 		g.upstream, g.state = e.ID, policy.Ready
-		g.slots, g.mean, g.shed = 1, 0, nil
-		g.means = [lowestRank + 1]time.Duration{}
-		g.missed, g.deadFor, g.deadUntil = 0, 0, 0
+		g.slots, g.meanService, g.shedUntil = 1, 0, nil
+		g.meanByPriority = [lowestPriority + 1]time.Duration{}
+		g.connectFailures, g.unreachableFor, g.unreachableUntil = 0, 0, 0
 		g.running = 0 // what is out at the one before is no load of this one
 		for _, r := range g.requests {
-			if r.sent && r.to == e.ID {
+			if r.sent && r.upstream == e.ID {
 				g.running++
 			}
 		}
@@ -55,42 +55,42 @@
 		g.host.Log(fmt.Sprintf("the upstream has no usable number of slots (%v): it stays at %d", e.Weight, g.slots))
 		return
 	}
-	g.slots = int(min(e.Weight, mostSlots))
+	g.slots = int(min(e.Weight, maxSlots))
 }
 
 // retire has nothing sent to the upstream any more.
 func (g *Gate) retire(state policy.State) {
 	g.state = state
-	g.remember(g.upstream)
+	g.rememberRetired(g.upstream)
 }
 
 // remember has no later word revive an upstream.
-func (g *Gate) remember(id policy.ServerID) {
-	if g.retired = append(g.retired, id); len(g.retired) > mostRetired {
+func (g *Gate) rememberRetired(id policy.ServerID) {
+	if g.retired = append(g.retired, id); len(g.retired) > maxRetired {
 		g.retired = slices.Delete(g.retired, 0, 1)
 	}
 }
 
 // learn takes what the end of an attempt says of the upstream.
-func (g *Gate) learn(now time.Duration, r *request, o policy.Outcome) {
+func (g *Gate) recordOutcome(now time.Duration, r *request, o policy.Outcome) {
 	switch o.Ending {
 	case policy.Served, policy.Errored, policy.Rejected, policy.TurnedAway: // it answered, so it lives
-		g.missed, g.deadFor, g.deadUntil = 0, 0, 0
+		g.connectFailures, g.unreachableFor, g.unreachableUntil = 0, 0, 0
 	}
 	switch o.Ending {
 	case policy.NotSent, policy.Gated:
 	case policy.TurnedAway:
-		if g.shed = append(g.shed, now+shedTime); len(g.shed) > g.slots {
-			g.shed = slices.Delete(g.shed, 0, 1)
+		if g.shedUntil = append(g.shedUntil, now+shedDuration); len(g.shedUntil) > g.slots {
+			g.shedUntil = slices.Delete(g.shedUntil, 0, 1)
 		}
 	case policy.NoConnection:
-		g.miss(now, r)
+		g.recordConnectFailure(now, r)
 	default: // it held a slot that long
-		for _, mean := range []*time.Duration{&g.mean, &g.means[r.rank]} {
+		for _, mean := range []*time.Duration{&g.meanService, &g.meanByPriority[r.priority]} {
 			if took := now - r.sentAt; *mean == 0 {
 				*mean = took
 			} else {
-				*mean += (took - *mean) / meanShare
+				*mean += (took - *mean) / meanWeight
 			}
 		}
 	}
@@ -99,21 +99,23 @@
 // miss takes that a connection failed. After some in a row the upstream is taken for dead for a
 // while. Requests then pass again, and the first of them that fails alike has it taken for dead for
 // longer.
-func (g *Gate) miss(now time.Duration, r *request) {
-	if r.sentAt < g.deadUntil {
+func (g *Gate) recordConnectFailure(now time.Duration, r *request) {
+	if r.sentAt < g.unreachableUntil {
 		return // sent before it was taken for dead: nothing new
 	}
-	if g.missed++; g.missed >= missesToDead {
-		g.deadFor = min(max(2*g.deadFor, firstDead), longestDead)
-		g.deadUntil = now + g.deadFor
+	if g.connectFailures++; g.connectFailures >= maxConnectFailures {
+		g.unreachableFor = min(max(2*g.unreachableFor, minUnreachable), maxUnreachable)
+		g.unreachableUntil = now + g.unreachableFor
 	}
 }
 
 // open says whether the upstream may be sent anything.
-func (g *Gate) open(now time.Duration) bool { return g.state == policy.Ready && now >= g.deadUntil }
+func (g *Gate) accepting(now time.Duration) bool {
+	return g.state == policy.Ready && now >= g.unreachableUntil
+}
 
 // capacity is how many attempts may be out now. One at least, so that the upstream has its chance.
-func (g *Gate) capacity(now time.Duration) int {
-	g.shed = slices.DeleteFunc(g.shed, func(until time.Duration) bool { return now >= until })
-	return max(1, g.slots-len(g.shed))
+func (g *Gate) concurrencyLimit(now time.Duration) int {
+	g.shedUntil = slices.DeleteFunc(g.shedUntil, func(until time.Duration) bool { return now >= until })
+	return max(1, g.slots-len(g.shedUntil))
 }
--- a/internal/mesh/sidecar/inbound.go
+++ b/internal/mesh/sidecar/inbound.go
@@ -21,19 +21,19 @@
 	clock    clock.Clock
 }
 
-func (i *inbound) dialect() *http1.Dialect {
-	return &http1.Dialect{Read: i.read, Pass: i.pass, Own: i.own}
+func (i *inbound) frontDialect() *http1.Dialect {
+	return &http1.Dialect{Read: i.admit, Pass: i.stripHeaders, Own: i.ownResponseFields}
 }
 
-func (i *inbound) load() string {
+func (i *inbound) loadField() string {
 	running, waiting, slots := i.gate.Load()
 	return headers.LoadText(running, waiting, slots)
 }
 
 // read takes a request of a sidecar. One for another instance than the one here is turned back: it
 // has not run, and the instance that it was for is gone.
-func (i *inbound) read(h *h1.Head) (q policy.Request, left time.Duration, bad *http1.Rejection) {
-	terms, left, ok := attemptOf(h)
+func (i *inbound) admit(h *h1.Head) (q policy.Request, left time.Duration, bad *http1.Rejection) {
+	terms, left, ok := parseAttempt(h)
 	if !ok {
 		return q, 0, &http1.Rejection{Status: http.StatusBadRequest, Reason: "no request of a sidecar"}
 	}
@@ -46,7 +46,7 @@
 
 // attemptOf reads what a request says of itself; false: it comes from no sidecar, or says something
 // twice that two readers could heed differently.
-func attemptOf(h *h1.Head) (terms *gate.AttemptTerms, left time.Duration, ok bool) {
+func parseAttempt(h *h1.Head) (terms *gate.AttemptTerms, left time.Duration, ok bool) {
 	said, sound := headers.ReadAttempt(h)
 	send, sent := headers.ReadSend(h)
 	left, timed := headers.Milliseconds(h.Get(headers.Timeout))
@@ -61,21 +61,21 @@
 	return terms, left, true
 }
 
-func (i *inbound) pass(_ *policy.Request, fields http.Header) { headers.Stripped(fields) }
+func (i *inbound) stripHeaders(_ *policy.Request, fields http.Header) { headers.Stripped(fields) }
 
 // own are the fields of an answer of this gate's own.
-func (i *inbound) own(h *h1.Head, a *call.Answer) http.Header {
-	return headers.Own(h.Get(headers.AttemptID), i.neverRan(h, a), i.load())
+func (i *inbound) ownResponseFields(h *h1.Head, a *call.Answer) http.Header {
+	return headers.Own(h.Get(headers.AttemptID), i.provablyNotExecuted(h, a), i.loadField())
 }
 
 // neverRan says whether an answer of our own may say that its request never ran and never will.
 // What the engine refuses the gate has seen to. What the front refuses by itself has to be
 // remembered, so that no late copy of it runs.
-func (i *inbound) neverRan(h *h1.Head, a *call.Answer) bool {
+func (i *inbound) provablyNotExecuted(h *h1.Head, a *call.Answer) bool {
 	if a != nil && a.Kind != call.Refused {
 		return false
 	}
-	terms, left, ok := attemptOf(h)
+	terms, left, ok := parseAttempt(h)
 	if !ok || terms.Idempotent || a != nil && !a.Unasked {
 		return true // one that can't be read is never run by anyone
 	}
@@ -83,7 +83,7 @@
 }
 
 // judge says what an upstream's answer proves, and has it tell the gate's load to the caller's sidecar.
-func (i *inbound) judge(res *http.Response) (policy.Ending, policy.Load) {
+func (i *inbound) classifyUpstreamResponse(res *http.Response) (policy.Ending, policy.Load) {
 	running, waiting, slots := i.gate.Load()
 	headers.Stamp(res.Header, headers.LoadText(max(0, running-1), waiting, slots)) // this one is over
 	return headers.JudgeUpstream(res)
--- a/internal/mesh/sidecar/once_test.go
+++ b/internal/mesh/sidecar/once_test.go
@@ -129,28 +129,28 @@
 	if err != nil {
 		m.t.Fatal(err)
 	}
-	b.charter.Store(c)
+	b.config.Store(c)
 	one := func() int { return 1 }
 	bounds := settings.Bounds{QuotaWindow: 5 * time.Second, RetryWindow: 10 * time.Second, RetryBudgetRatio: 0.2, RetryBudgetSlack: 100}
-	if b.quota, err = newQuota(bounds, b.clock, "n", b.endpoints.name, one, nil, nil, b.log); err != nil {
+	if b.quota, err = newQuotaClient(bounds, b.clock, "n", b.endpoints.serviceName, one, nil, nil, b.log); err != nil {
 		m.t.Fatal(err)
 	}
-	e := m.engine(ctx, network{m.transport("caller", "gate", toGates())}, mostSends, func(host policy.Host) engine.Module {
+	e := m.engine(ctx, gateTransport{m.transport("caller", "gate", gateDialect())}, maxSends, func(host policy.Host) engine.Module {
 		return balancer.New(balancer.Config{Members: one, RetryBudget: b.quota}, host)
 	})
-	b.endpoints.take(true, []registry.Upstream{
+	b.endpoints.apply(true, []registry.Upstream{
 		{Instance: "i-1", Service: "s", Inbound: "gate1", Zone: "z", Slots: 4}, {Instance: "i-2", Service: "s", Inbound: "gate2", Zone: "z", Slots: 4},
 	}, nil)
-	e.List(b.endpoints.listing())
+	e.List(b.endpoints.balancerListing())
 	e.Flush()
-	m.serve("caller", e, (&outbound{b: b, caller: []string{"s"}}).dialect(), bodyRoom)
+	m.serve("caller", e, (&outbound{b: b, callerField: []string{"s"}}).frontDialect(), bodyRoom)
 }
 
 func (m *mesh) gate(ctx context.Context, address, upstream string, room int64) {
 	in := &inbound{clock: clock.New()}
 	instance := "i-" + address[len("gate"):]
 	in.instance.Store(&instance)
-	e := m.engine(ctx, m.transport(address, "upstream", in.toUpstream()), 1, func(host policy.Host) engine.Module {
+	e := m.engine(ctx, m.transport(address, "upstream", in.upstreamDialect()), 1, func(host policy.Host) engine.Module {
 		in.gate = gate.New(host)
 		return in.gate
 	})
@@ -158,7 +158,7 @@
 	e.List(call.Listing{Whole: true, Servers: []policy.Server{{ID: id, State: policy.Ready, Weight: 4}}, Address: map[policy.ServerID]string{id: upstream}})
 	e.Flush()
 	m.gates = append(m.gates, in)
-	m.serve(address, e, in.dialect(), room)
+	m.serve(address, e, in.frontDialect(), room)
 }
 
 // upstream serves at an address, one request at a time on a connection, and keeps the ledger.
--- a/internal/mesh/sidecar/outbound.go
+++ b/internal/mesh/sidecar/outbound.go
@@ -20,30 +20,30 @@
 
 const (
 	// noCharterPause is when a client comes back that was here before the configuration.
-	noCharterPause = 300 * time.Millisecond
+	noConfigRetryAfter = 300 * time.Millisecond
 	// standardAim is the aim of a route that names none.
-	standardAim = time.Second
+	defaultLatencyTarget = time.Second
 	// mostShare is the largest part of all slots that one tenant's compartment may have: well under the whole, whatever its rate.
-	mostShare = 0.35
+	maxTenantShare = 0.35
 	// callsOfRun is how many internal checks one run of the upstream beside us may have under way, for the size of their compartment.
-	callsOfRun = 3
+	nestedCallsPerRequest = 3
 	// lowestRank is that of what names none.
-	lowestRank = 9
+	lowestPriority = 9
 )
 
 // outbound reads the requests that begin on this machine, by the configuration in force.
 type outbound struct {
-	b      *Sidecar
-	caller []string // the service of this machine
+	b           *Sidecar
+	callerField []string // the service of this machine
 
-	mu     sync.Mutex
-	of     *config.Snapshot // that the next two were worked out for
-	shares map[string]float64
-	checks map[*config.Route]bool
+	mu          sync.Mutex
+	derivedFrom *config.Snapshot // that the next two were worked out for
+	shares      map[string]float64
+	checks      map[*config.Route]bool
 }
 
-func (o *outbound) dialect() *http1.Dialect {
-	return &http1.Dialect{Read: o.read, Pass: o.pass, Ahead: func(q *policy.Request) bool { return q.Terms.(*balancer.RequestClass).Idempotent }, Own: func(h *h1.Head, _ *call.Answer) http.Header {
+func (o *outbound) frontDialect() *http1.Dialect {
+	return &http1.Dialect{Read: o.admit, Pass: o.rewriteHeaders, Ahead: func(q *policy.Request) bool { return q.Terms.(*balancer.RequestClass).Idempotent }, Own: func(h *h1.Head, _ *call.Answer) http.Header {
 		if id := h.Get(headers.AttemptID); id != "" {
 			return http.Header{headers.AttemptID: {id}}
 		}
@@ -52,7 +52,7 @@
 }
 
 // read finds a request's route, its tenant and the service that is to run it.
-func (o *outbound) read(h *h1.Head) (q policy.Request, left time.Duration, bad *http1.Rejection) {
+func (o *outbound) admit(h *h1.Head) (q policy.Request, left time.Duration, bad *http1.Rejection) {
 	no := func(status int, reason string, keep bool) (policy.Request, time.Duration, *http1.Rejection) {
 		return policy.Request{}, 0, &http1.Rejection{Status: status, Reason: reason, Keep: keep}
 	}
@@ -65,9 +65,9 @@
 	if h.Get(headers.AttemptID) == "" {
 		return no(http.StatusBadRequest, headers.AttemptID+" is missing", false)
 	}
-	c := o.b.charter.Load()
+	c := o.b.config.Load()
 	if c.Version() == 0 {
-		return policy.Request{}, 0, &http1.Rejection{Status: http.StatusServiceUnavailable, Reason: "no configuration yet", Keep: true, Pause: noCharterPause}
+		return policy.Request{}, 0, &http1.Rejection{Status: http.StatusServiceUnavailable, Reason: "no configuration yet", Keep: true, Pause: noConfigRetryAfter}
 	}
 	path, _, _ := strings.Cut(h.Target, "?")
 	route := c.Match(h.Host, path)
@@ -91,14 +91,14 @@
 		}
 	}
 	if left <= 0 {
-		left = standardAim
+		left = defaultLatencyTarget
 	}
 	aim, rank, name := route.LatencyTarget, route.Priority, ""
 	if aim <= 0 {
-		aim = standardAim
+		aim = defaultLatencyTarget
 	}
-	service := target(route)
-	wall := balancer.CompartmentSpec{Name: "service " + service, Share: o.b.endpoints.share(service)}
+	service := pickService(route)
+	wall := balancer.CompartmentSpec{Name: "service " + service, Share: o.b.endpoints.slotShare(service)}
 	if c.HasTenants() && !route.Public {
 		tenant := c.Tenant(h.Get(headers.Key))
 		if tenant == nil {
@@ -108,23 +108,23 @@
 		if tenant.Priority >= 0 {
 			rank = tenant.Priority
 		}
-		wall = balancer.CompartmentSpec{Name: "tenant " + tenant.Name, Share: o.share(c, tenant.Name)}
-		if pause, ok := o.b.quota.take(tenant.Name); !ok {
+		wall = balancer.CompartmentSpec{Name: "tenant " + tenant.Name, Share: o.tenantShare(c, tenant.Name)}
+		if pause, ok := o.b.quota.allow(tenant.Name); !ok {
 			return policy.Request{}, 0, &http1.Rejection{Status: http.StatusTooManyRequests, Reason: "over the quota", Keep: true, Pause: pause}
 		}
 	}
 	rank++ // below internal checks, whatever the operator's ranks are
-	if name == "" && o.isCheck(c, route) {
+	if name == "" && o.isInternalCheck(c, route) {
 		rank = 0
-		wall.Name, wall.MinSlots = "checks of "+service, callsOfRun*o.b.endpoints.slotsBeside()
+		wall.Name, wall.MinSlots = "checks of "+service, nestedCallsPerRequest*o.b.endpoints.localSlots()
 	}
 	return policy.Request{Terms: &balancer.RequestClass{
-		Service: o.b.endpoints.number(service), Compartment: wall, Tenant: name, Priority: min(max(0, rank), lowestRank), Idempotent: route.Idempotent, MaxAttempts: route.MaxAttempts, LatencyTarget: aim,
+		Service: o.b.endpoints.serviceNumber(service), Compartment: wall, Tenant: name, Priority: min(max(0, rank), lowestPriority), Idempotent: route.Idempotent, MaxAttempts: route.MaxAttempts, LatencyTarget: aim,
 	}}, left, nil
 }
 
 // target draws the service by the route's weights.
-func target(r *config.Route) string {
+func pickService(r *config.Route) string {
 	if len(r.Targets) == 1 {
 		return r.Targets[0].Service
 	}
@@ -142,28 +142,28 @@
 }
 
 // share is a tenant's part of all slots: by its rate against all tenants' rates, evenly where none is limited, and never more than mostShare.
-func (o *outbound) share(c *config.Snapshot, tenant string) float64 {
+func (o *outbound) tenantShare(c *config.Snapshot, tenant string) float64 {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.work(c)
+	o.deriveRoutes(c)
 	return o.shares[tenant]
 }
 
 // isCheck says whether requests of a route are internal checks: calls that a run makes, which go before all else, as the request that waits for them holds a slot meanwhile. Nothing in a
 // request tells. A route is one if all the time that it may take fits into the aim of every route that may take longer and is none: else it could be no part of their requests.
-func (o *outbound) isCheck(c *config.Snapshot, r *config.Route) bool {
+func (o *outbound) isInternalCheck(c *config.Snapshot, r *config.Route) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.work(c)
+	o.deriveRoutes(c)
 	return o.checks[r]
 }
 
 // work works out what a configuration means for requests, once for each.
-func (o *outbound) work(c *config.Snapshot) {
-	if o.of == c {
+func (o *outbound) deriveRoutes(c *config.Snapshot) {
+	if o.derivedFrom == c {
 		return
 	}
-	o.of, o.shares, o.checks = c, make(map[string]float64), make(map[*config.Route]bool)
+	o.derivedFrom, o.shares, o.checks = c, make(map[string]float64), make(map[*config.Route]bool)
 	sum, all := 0.0, c.Tenants()
 	for _, t := range all {
 		sum += t.RatePerS
@@ -173,7 +173,7 @@
 		if sum > 0 && t.RatePerS > 0 {
 			share = t.RatePerS / sum
 		}
-		o.shares[t.Name] = min(mostShare, share)
+		o.shares[t.Name] = min(maxTenantShare, share)
 	}
 	routes := slices.SortedFunc(slices.Values(c.Routes()), func(a, b *config.Route) int { return cmp.Compare(b.Timeout, a.Timeout) })
 	least := time.Duration(0) // aim of those that may take longer and are no checks; 0: there is none
@@ -192,10 +192,10 @@
 }
 
 // pass changes what goes on: what only the system may say is its own, the key stays here.
-func (o *outbound) pass(q *policy.Request, fields http.Header) {
+func (o *outbound) rewriteHeaders(q *policy.Request, fields http.Header) {
 	headers.Strip(fields)
 	order := q.Terms.(*balancer.RequestClass)
-	fields[headers.Caller] = o.caller
+	fields[headers.Caller] = o.callerField
 	if order.Tenant != "" {
 		fields[headers.Tenant] = []string{order.Tenant}
 	}
--- a/internal/mesh/sidecar/quota.go
+++ b/internal/mesh/sidecar/quota.go
@@ -17,11 +17,11 @@
 
 const (
 	// dealTimeout bounds one call for tokens: they live hardly longer.
-	dealTimeout = 500 * time.Millisecond
+	allocateTimeout = 500 * time.Millisecond
 	// dealPause is how long after a failed call the next one is made.
-	dealPause = 100 * time.Millisecond
+	allocateBackoff = 100 * time.Millisecond
 	// dealLeast is the least time between two calls.
-	dealLeast = 20 * time.Millisecond
+	minAllocateInterval = 20 * time.Millisecond
 )
 
 // AllocatePath is where core members take asks for tokens.
@@ -43,34 +43,34 @@
 
 // quotaClient is what this sidecar may let in for each tenant, and may send again for each service.
 type quotaClient struct {
-	clock clock.Clock
-	node  string
-	peers func() []string
-	to    *http.Client
-	log   *zap.Logger
-	some  chan struct{} // has an item once there are tenants with a limit
-
-	mu      sync.Mutex
-	purse   *quota.Purse
-	budget  *quota.Budget
-	names   func(service int) string
-	count   func() int // sidecars that share the limits
-	limits  map[string]quota.Limit
-	limited bool
-	members int
+	clock      clock.Clock
+	node       string
+	peers      func() []string
+	httpClient *http.Client
+	log        *zap.Logger
+	wake       chan struct{} // has an item once there are tenants with a limit
+
+	mu           sync.Mutex
+	limiter      *quota.Purse
+	retryBudget  *quota.Budget
+	serviceName  func(service int) string
+	sidecarCount func() int // sidecars that share the limits
+	limits       map[string]quota.Limit
+	hasLimits    bool
+	sidecars     int
 }
 
-func newQuota(b settings.Bounds, c clock.Clock, node string, names func(int) string, count func() int, peers func() []string, to *http.Client, log *zap.Logger) (*quotaClient, error) {
-	q := &quotaClient{clock: c, node: node, peers: peers, to: to, log: log, names: names, count: count, some: make(chan struct{}, 1)}
+func newQuotaClient(bounds settings.Bounds, clk clock.Clock, node string, serviceName func(int) string, sidecarCount func() int, peers func() []string, httpClient *http.Client, log *zap.Logger) (*quotaClient, error) {
+	q := &quotaClient{clock: clk, node: node, peers: peers, httpClient: httpClient, log: log, serviceName: serviceName, sidecarCount: sidecarCount, wake: make(chan struct{}, 1)}
 	var err error
-	window := b.QuotaWindow
+	window := bounds.QuotaWindow
 	if window <= 0 { // no quotas here: nobody asks
 		window = time.Second
 	}
-	if q.purse, err = quota.NewPurse(quota.Rules{Window: window, Overage: b.QuotaOverage, Slack: b.QuotaSlack}); err != nil {
+	if q.limiter, err = quota.NewPurse(quota.Rules{Window: window, Overage: bounds.QuotaOverage, Slack: bounds.QuotaSlack}); err != nil {
 		return nil, err
 	}
-	q.budget, err = quota.NewBudget(quota.BudgetRules{Window: b.RetryWindow, Ratio: b.RetryBudgetRatio, Slack: b.RetryBudgetSlack})
+	q.retryBudget, err = quota.NewBudget(quota.BudgetRules{Window: bounds.RetryWindow, Ratio: bounds.RetryBudgetRatio, Slack: bounds.RetryBudgetSlack})
 	return q, err
 }
 
@@ -78,32 +78,32 @@
 func (q *quotaClient) configure(c *config.Snapshot) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.limits, q.members = TenantLimits(c), 0
-	q.share(q.clock.Now())
-	if q.limited = len(q.limits) > 0; q.limited {
-		q.rouse()
+	q.limits, q.sidecars = TenantLimits(c), 0
+	q.updateShares(q.clock.Now())
+	if q.hasLimits = len(q.limits) > 0; q.hasLimits {
+		q.wakeUp()
 	}
 }
 
 // share divides the limits by the sidecars that there are now. The caller holds the lock.
-func (q *quotaClient) share(now time.Duration) {
-	members := max(1, q.count())
-	if members == q.members {
+func (q *quotaClient) updateShares(now time.Duration) {
+	sidecars := max(1, q.sidecarCount())
+	if sidecars == q.sidecars {
 		return
 	}
-	q.members = members
-	if err := q.purse.Configure(now, q.limits, members); err != nil {
+	q.sidecars = sidecars
+	if err := q.limiter.Configure(now, q.limits, sidecars); err != nil {
 		q.log.Error("limits that can't be used, the last ones hold", zap.Error(err))
 	}
-	if err := q.budget.Configure(now, members); err != nil {
+	if err := q.retryBudget.Configure(now, sidecars); err != nil {
 		q.log.Error("members that can't be used", zap.Error(err))
 	}
 }
 
 // rouse has run look at what is wanted.
-func (q *quotaClient) rouse() {
+func (q *quotaClient) wakeUp() {
 	select {
-	case q.some <- struct{}{}:
+	case q.wake <- struct{}{}:
 	default:
 	}
 }
@@ -120,19 +120,19 @@
 }
 
 // take takes a token; without one it tells when the client is to come back.
-func (q *quotaClient) take(tenant string) (time.Duration, bool) {
+func (q *quotaClient) allow(tenant string) (time.Duration, bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	now := q.clock.Now()
-	q.share(now)
-	taken := q.purse.Take(now, tenant)
-	if q.purse.NextAsk(now) <= now {
-		q.rouse()
+	q.updateShares(now)
+	allowed := q.limiter.Take(now, tenant)
+	if q.limiter.NextAsk(now) <= now {
+		q.wakeUp()
 	}
-	if taken {
+	if allowed {
 		return 0, true
 	}
-	return q.purse.RetryAfter(now, tenant), false
+	return q.limiter.RetryAfter(now, tenant), false
 }
 
 // run asks for tokens as long as some are wanted.
@@ -144,45 +144,45 @@
 		case <-ctx.Done():
 			return
 		case <-timer.C:
-		case <-q.some:
+		case <-q.wake:
 		}
 		q.mu.Lock()
 		now := q.clock.Now()
-		limited, due := q.limited, q.purse.NextAsk(now)
-		var asks []quota.Ask
-		if limited && due <= now {
-			asks = q.purse.Asks(now)
+		hasLimits, due := q.hasLimits, q.limiter.NextAsk(now)
+		var demands []quota.Ask
+		if hasLimits && due <= now {
+			demands = q.limiter.Asks(now)
 		}
 		q.mu.Unlock()
 		switch {
-		case !limited:
+		case !hasLimits:
 			continue // until there are limits again
 		case due > now:
 			timer.Reset(due - now)
-		case q.ask(ctx, asks): // also where nothing is wanted: the dealer counts on who keeps asking
-			timer.Reset(dealLeast)
+		case q.requestTokens(ctx, demands): // also where nothing is wanted: the dealer counts on who keeps asking
+			timer.Reset(minAllocateInterval)
 		default:
-			timer.Reset(dealPause)
+			timer.Reset(allocateBackoff)
 		}
 	}
 }
 
 // ask asks the member that we keep to; false: no answer came.
-func (q *quotaClient) ask(ctx context.Context, asks []quota.Ask) bool {
+func (q *quotaClient) requestTokens(ctx context.Context, demands []quota.Ask) bool {
 	peers := q.peers()
 	if len(peers) == 0 {
 		return false
 	}
-	ctx, cancel := context.WithTimeout(ctx, dealTimeout)
+	ctx, cancel := context.WithTimeout(ctx, allocateTimeout)
 	defer cancel()
-	dealt, err := rpc.Call[AllocateRequest, AllocateResponse](ctx, q.to, "http://"+peers[0]+AllocatePath, &AllocateRequest{Node: q.node, Demands: asks})
+	response, err := rpc.Call[AllocateRequest, AllocateResponse](ctx, q.httpClient, "http://"+peers[0]+AllocatePath, &AllocateRequest{Node: q.node, Demands: demands})
 	if err != nil {
 		q.log.Debug("no tokens", zap.Error(err))
 		return false
 	}
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if err := q.purse.Granted(q.clock.Now(), dealt.Epoch, dealt.Grants, dealt.Throttled); err != nil {
+	if err := q.limiter.Granted(q.clock.Now(), response.Epoch, response.Grants, response.Throttled); err != nil {
 		q.log.Debug("tokens that can't be used", zap.Error(err))
 	}
 	return true
@@ -192,18 +192,18 @@
 func (q *quotaClient) RecordRequest(now time.Duration, service int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.share(now)
-	q.budget.Request(now, q.names(service))
+	q.updateShares(now)
+	q.retryBudget.Request(now, q.serviceName(service))
 }
 
 func (q *quotaClient) Allowed(now time.Duration, service int) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return q.budget.May(now, q.names(service))
+	return q.retryBudget.May(now, q.serviceName(service))
 }
 
 func (q *quotaClient) Charge(now time.Duration, service int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.budget.Spent(now, q.names(service))
+	q.retryBudget.Spent(now, q.serviceName(service))
 }
--- a/internal/mesh/sidecar/sidecar.go
+++ b/internal/mesh/sidecar/sidecar.go
@@ -40,131 +40,131 @@
 	// dialTimeout is how long a connection may take to come up, twice the way between zones and more. A machine that is gone says nothing.
 	dialTimeout = 300 * time.Millisecond
 	// silence is when a machine that acknowledges nothing is given up: what was sent to it may have run, and its client is told so at once.
-	silence = 1200 * time.Millisecond
+	idleTimeout = 1200 * time.Millisecond
 	// peerIdle and upstreamIdle are how long kept connections are used again; upstreams close theirs after 10 s as a rule.
-	peerIdle     = 60 * time.Second
-	upstreamIdle = 8 * time.Second
+	gateConnIdle     = 60 * time.Second
+	upstreamConnIdle = 8 * time.Second
 	// meetPause and meetMost bound the time between two looks for the upstream beside us.
-	meetPause = 20 * time.Millisecond
-	meetMost  = 2 * time.Second
+	minDiscoveryBackoff = 20 * time.Millisecond
+	maxDiscoveryBackoff = 2 * time.Second
 	// unknownMembers is how many sidecars there are taken to be until the core says.
-	unknownMembers = 64
+	assumedSidecars = 64
 	// mostSends bounds attempts of one request, turned back ones included.
-	mostSends = 12
+	maxSends = 12
 	// reserved descriptors are for what is neither a client's connection nor one to others.
-	reserved = 300
+	reservedFiles = 300
 	// mostHeld bounds requests held at once, on each of the two ways.
-	mostHeld = 400
+	maxInFlight = 400
 	// bodyBytes bounds the bodies held at once, on each of the two ways.
-	bodyBytes = 16 << 20
+	maxBufferedBodyBytes = 16 << 20
 	// gateHeadBytes bounds a head at the gate, well over what configurations allow clients: an endless one must not hold memory.
-	gateHeadBytes = 1 << 20
+	maxInboundHeadBytes = 1 << 20
 	// lingerShare and drainShare of the grace period: new clients still come for so long, and what is held has so long to end after that.
-	lingerShare = 0.37
-	drainShare  = 0.38
+	lingerFraction = 0.37
+	drainFraction  = 0.38
 	// endTime is what is left of it for what a front waits beyond that, and for the word that this sidecar has left.
-	endTime = time.Second
+	shutdownReserve = time.Second
 )
 
 // drainTimes are how long new clients still come after a SIGTERM, and how long what is held has to end after that: the process ends by itself within the grace period.
 func drainTimes(grace time.Duration) (linger, longest time.Duration) {
-	linger = time.Duration(lingerShare * float64(grace))
-	return linger, max(0, min(time.Duration(drainShare*float64(grace)), grace-linger-endTime))
+	linger = time.Duration(lingerFraction * float64(grace))
+	return linger, max(0, min(time.Duration(drainFraction*float64(grace)), grace-linger-shutdownReserve))
 }
 
 // Sidecar is a running sidecar.
 type Sidecar struct {
-	set       *settings.Settings
-	clock     clock.Clock
-	log       *zap.Logger
-	client    *http.Client
-	charter   atomic.Pointer[config.Snapshot]
-	endpoints *endpoints
-	quota     *quotaClient
-	news      *watch.Client
-	life      uint64
-
-	in       *inbound
-	inner    *engine.Engine // the gate's
-	outer    *engine.Engine // the balancer's
-	stopping atomic.Bool
-	mu       sync.Mutex // over taking configurations
-	telling  sync.Mutex // over own
+	settings    *settings.Settings
+	clock       clock.Clock
+	log         *zap.Logger
+	client      *http.Client
+	config      atomic.Pointer[config.Snapshot]
+	endpoints   *endpoints
+	quota       *quotaClient
+	watchClient *watch.Client
+	incarnation uint64
+
+	inbound        *inbound
+	gateEngine     *engine.Engine // the gate's
+	balancerEngine *engine.Engine // the balancer's
+	draining       atomic.Bool
+	configMu       sync.Mutex // over taking configurations
+	publishMu      sync.Mutex // over own
 }
 
 // Run is a sidecar's life: it serves until ctx ends, and then ends what it has taken.
 func Run(ctx context.Context, set *settings.Settings, reload <-chan *settings.Settings, log *zap.Logger) error {
-	b := &Sidecar{set: set, clock: clock.New(), log: log, client: rpc.NewClient(dialTimeout), life: uint64(time.Now().UnixNano())}
-	b.charter.Store(config.Empty())
+	b := &Sidecar{settings: set, clock: clock.New(), log: log, client: rpc.NewClient(dialTimeout), incarnation: uint64(time.Now().UnixNano())}
+	b.config.Store(config.Empty())
 	zones := make([]string, 0, len(set.Network.Zones))
 	for z := range set.Network.Zones {
 		zones = append(zones, z)
 	}
 	slices.Sort(zones)
 	b.endpoints = newEndpoints(zones, set.Network.ListenAddresses.Inbound)
-	b.news = watch.NewClient(watch.ClientConfig{
-		Node: set.Self.NodeName, Incarnation: b.life, Zone: set.Self.Zone, Seeds: set.Seeds(), HTTP: b.client, State: b.lease, ConfigVersion: func() int64 { return b.charter.Load().Version() },
-		OnConfig: b.take, OnRegistry: b.catalogue, Log: log,
+	b.watchClient = watch.NewClient(watch.ClientConfig{
+		Node: set.Self.NodeName, Incarnation: b.incarnation, Zone: set.Self.Zone, Seeds: set.Seeds(), HTTP: b.client, State: b.currentLease, ConfigVersion: func() int64 { return b.config.Load().Version() },
+		OnConfig: b.applyConfig, OnRegistry: b.applyRegistry, Log: log,
 	})
 	var err error
-	if b.quota, err = newQuota(set.Guarantees.Bounds, b.clock, set.Self.NodeName, b.endpoints.name, b.members, b.news.Peers, b.client, log); err != nil {
+	if b.quota, err = newQuotaClient(set.Guarantees.Bounds, b.clock, set.Self.NodeName, b.endpoints.serviceName, b.sidecarCount, b.watchClient.Peers, b.client, log); err != nil {
 		return err
 	}
 	return b.run(ctx, reload)
 }
 
-func (b *Sidecar) run(ctx context.Context, reload <-chan *settings.Settings) error {
-	addresses, logs := b.set.Network.ListenAddresses, logring.NewSlog(b.log)
+func (s *Sidecar) run(ctx context.Context, reload <-chan *settings.Settings) error {
+	addresses, logs := s.settings.Network.ListenAddresses, logring.NewSlog(s.log)
 	seed := fnv.New64a()
-	_, _ = seed.Write([]byte(b.set.Self.NodeName))
-	files := b.set.Self.Limits.MaxOpenFiles - reserved
+	_, _ = seed.Write([]byte(s.settings.Self.NodeName))
+	files := s.settings.Self.Limits.MaxOpenFiles - reservedFiles
 	links := http1.New(http1.Config{
-		Clock: b.clock, DialTimeout: dialTimeout, ConnIdle: peerIdle, MostConns: files / 4, Rest: -1, Silence: silence,
-		Dialect: toGates(),
+		Clock: s.clock, DialTimeout: dialTimeout, ConnIdle: gateConnIdle, MostConns: files / 4, Rest: -1, Silence: idleTimeout,
+		Dialect: gateDialect(),
 	})
-	b.in = &inbound{clock: b.clock}
+	s.inbound = &inbound{clock: s.clock}
 	beside := http1.New(http1.Config{
-		Clock: b.clock, DialTimeout: dialTimeout, ConnIdle: upstreamIdle, MostConns: files / 8,
-		Dialect: b.in.toUpstream(),
+		Clock: s.clock, DialTimeout: dialTimeout, ConnIdle: upstreamConnIdle, MostConns: files / 8,
+		Dialect: s.inbound.upstreamDialect(),
 	})
 	var err error
-	b.outer, err = engine.New(engine.Config{
-		Policy: policy.Config{MaxAttempts: mostSends}, Seed: seed.Sum64(), Clock: b.clock, Transport: network{links}, Log: logs, Silent: true, Sleeps: true,
+	s.balancerEngine, err = engine.New(engine.Config{
+		Policy: policy.Config{MaxAttempts: maxSends}, Seed: seed.Sum64(), Clock: s.clock, Transport: gateTransport{links}, Log: logs, Silent: true, Sleeps: true,
 		Module: func(_ policy.Config, _ uint64, host policy.Host) (engine.Module, error) {
-			return balancer.New(balancer.Config{Zone: b.endpoints.zones[b.set.Self.Zone], Members: b.members, RetryBudget: b.quota}, host), nil
+			return balancer.New(balancer.Config{Zone: s.endpoints.zones[s.settings.Self.Zone], Members: s.sidecarCount, RetryBudget: s.quota}, host), nil
 		},
 	})
 	if err != nil {
 		return err
 	}
-	b.inner, err = engine.New(engine.Config{
-		Policy: policy.Config{MaxAttempts: 1}, Seed: seed.Sum64(), Clock: b.clock, Transport: beside, Log: logs, Silent: true, Sleeps: true,
+	s.gateEngine, err = engine.New(engine.Config{
+		Policy: policy.Config{MaxAttempts: 1}, Seed: seed.Sum64(), Clock: s.clock, Transport: beside, Log: logs, Silent: true, Sleeps: true,
 		Module: func(_ policy.Config, _ uint64, host policy.Host) (engine.Module, error) {
-			b.in.gate = gate.New(host)
-			return b.in.gate, nil
+			s.inbound.gate = gate.New(host)
+			return s.inbound.gate, nil
 		},
 	})
 	if err != nil {
 		return err
 	}
-	linger, longest := drainTimes(b.set.Guarantees.Bounds.GracePeriod)
-	out := &outbound{b: b, caller: []string{b.set.Self.ServiceName}}
+	linger, longest := drainTimes(s.settings.Guarantees.Bounds.GracePeriod)
+	out := &outbound{b: s, callerField: []string{s.settings.Self.ServiceName}}
 	outFront := fronthttp1.New(fronthttp1.Config{
-		Route: fronthttp1.To(&fronthttp1.Target{Engine: b.outer, MostOpen: mostHeld, BodyBytes: bodyBytes}), Dialect: out.dialect(), Conns: fronthttp1.BoundsAtRest(files * 3 / 8), Limits: b.limits,
+		Route: fronthttp1.To(&fronthttp1.Target{Engine: s.balancerEngine, MostOpen: maxInFlight, BodyBytes: maxBufferedBodyBytes}), Dialect: out.frontDialect(), Conns: fronthttp1.BoundsAtRest(files * 3 / 8), Limits: s.clientLimits,
 		Longest: longest, Linger: linger, Log: logs,
-	}, b.clock)
+	}, s.clock)
 	inFront := fronthttp1.New(fronthttp1.Config{
-		Route: fronthttp1.To(&fronthttp1.Target{Engine: b.inner, MostOpen: mostHeld, BodyBytes: bodyBytes}), Dialect: b.in.dialect(), Conns: fronthttp1.BoundsOf(files/4, files/4), Limits: gateLimits,
+		Route: fronthttp1.To(&fronthttp1.Target{Engine: s.gateEngine, MostOpen: maxInFlight, BodyBytes: maxBufferedBodyBytes}), Dialect: s.inbound.frontDialect(), Conns: fronthttp1.BoundsOf(files/4, files/4), Limits: inboundLimits,
 		Longest: longest, Linger: linger, Log: logs,
-	}, b.clock)
+	}, s.clock)
 
 	life, stop := context.WithCancel(context.Background())
 	defer stop()
-	go b.outer.Run(life, call.Listing{})
-	go b.inner.Run(life, call.Listing{})
+	go s.balancerEngine.Run(life, call.Listing{})
+	go s.gateEngine.Run(life, call.Listing{})
 	failed := make(chan error, 5)
 	for address, serve := range map[string]func(net.Listener) error{
-		addresses.Inbound: inFront.Serve, addresses.Outbound: outFront.Serve, addresses.ControlPlane: httpServer(b.control()), addresses.Readiness: httpServer(b.readiness()),
+		addresses.Inbound: inFront.Serve, addresses.Outbound: outFront.Serve, addresses.ControlPlane: serveHTTP(s.controlHandler()), addresses.Readiness: serveHTTP(s.readinessHandler()),
 	} {
 		l, err := net.Listen("tcp", address)
 		if err != nil {
@@ -172,96 +172,96 @@
 		}
 		go func() { failed <- serve(l) }()
 	}
-	go b.news.Run(life)
-	go b.quota.run(life)
-	go b.meet(life)
-	b.log.Info("serving", zap.String("node", b.set.Self.NodeName), zap.Strings("seeds", b.set.Seeds()))
+	go s.watchClient.Run(life)
+	go s.quota.run(life)
+	go s.discoverUpstream(life)
+	s.log.Info("serving", zap.String("node", s.settings.Self.NodeName), zap.Strings("seeds", s.settings.Seeds()))
 	for {
 		select {
 		case err := <-failed:
 			return err
 		case set := <-reload:
-			b.news.SetSeeds(set.Seeds())
+			s.watchClient.SetSeeds(set.Seeds())
 		case <-ctx.Done():
-			return b.drain(outFront, inFront)
+			return s.drain(outFront, inFront)
 		}
 	}
 }
 
 // drain ends without losing a request: others are told first, clients still come for a while, and what was taken is answered.
-func (b *Sidecar) drain(fronts ...*fronthttp1.Front) error {
-	b.stopping.Store(true)
-	b.news.RenewNow()
+func (s *Sidecar) drain(fronts ...*fronthttp1.Front) error {
+	s.draining.Store(true)
+	s.watchClient.RenewNow()
 	var all sync.WaitGroup
 	for _, f := range fronts {
 		all.Add(1)
 		go func() {
 			defer all.Done()
 			if err := f.Drain(); err != nil {
-				b.log.Warn("requests were left", zap.Error(err))
+				s.log.Warn("requests were left", zap.Error(err))
 			}
 		}()
 	}
 	all.Wait()
 	ctx, cancel := context.WithTimeout(context.Background(), dialTimeout)
 	defer cancel()
-	b.news.Leave(ctx)
+	s.watchClient.Leave(ctx)
 	return nil
 }
 
-func httpServer(h http.Handler) func(net.Listener) error {
+func serveHTTP(h http.Handler) func(net.Listener) error {
 	s := &http.Server{Handler: h, ReadHeaderTimeout: 2 * time.Second, IdleTimeout: 30 * time.Second, MaxHeaderBytes: 16 << 10}
 	return s.Serve
 }
 
 // limits bound clients, by the configuration in force.
-func (b *Sidecar) limits() fronthttp1.Limits {
-	l := b.charter.Load().Limits()
+func (s *Sidecar) clientLimits() fronthttp1.Limits {
+	l := s.config.Load().Limits()
 	return fronthttp1.Limits{HeadBytes: l.HeaderBytes, BodyBytes: l.BodyBytes, HeadTime: l.HeaderTimeout, IdleTime: l.IdleTimeout}
 }
 
 // gateLimits bound other sidecars, which bound their clients: a head that one of them took, under a newer configuration than ours maybe, is longer by the fields that it has set.
-func gateLimits() fronthttp1.Limits { return fronthttp1.Limits{HeadBytes: gateHeadBytes} }
+func inboundLimits() fronthttp1.Limits { return fronthttp1.Limits{HeadBytes: maxInboundHeadBytes} }
 
 // network reaches gates: an address is that of a sidecar's inbound side, with the instance beside it that a request is for.
-type network struct{ *http1.Transport }
+type gateTransport struct{ *http1.Transport }
 
 // Server is the upstream at such an address.
-func (n network) Server(address string) call.Server {
+func (n gateTransport) Server(address string) call.Server {
 	at, instance, _ := strings.Cut(address, " ")
 	return n.ServerWith(at, h1.Field{Name: headers.Target, Value: instance})
 }
 
 // toGates is how attempts go to gates.
-func toGates() *http1.Dialect {
+func gateDialect() *http1.Dialect {
 	return &http1.Dialect{
-		Timeout: headers.Timeout, Mine: headers.Mine, Judge: judgeGate, SignField: headers.SendField, Sign: headers.NewSends().Next,
+		Timeout: headers.Timeout, Mine: headers.Mine, Judge: classifyGateResponse, SignField: headers.SendField, Sign: headers.NewSends().Next,
 	}
 }
 
 // toUpstream is how attempts go to the upstream beside the gate.
-func (i *inbound) toUpstream() *http1.Dialect {
-	return &http1.Dialect{Timeout: headers.Timeout, Mine: headers.Mine, Judge: i.judge}
+func (i *inbound) upstreamDialect() *http1.Dialect {
+	return &http1.Dialect{Timeout: headers.Timeout, Mine: headers.Mine, Judge: i.classifyUpstreamResponse}
 }
 
 // judgeGate says what a gate's answer proves.
-func judgeGate(res *http.Response) (policy.Ending, policy.Load) {
+func classifyGateResponse(res *http.Response) (policy.Ending, policy.Load) {
 	ending, load := headers.JudgeGate(res)
 	headers.Bare(res.Header)
 	return ending, load
 }
 
 // members is how many sidecars share quotas and budgets: the largest number lately, or, as long as the core has told none, more than are likely, as each would take the whole for its own.
-func (b *Sidecar) members() int {
-	if n := b.news.PeakMembers(); n > 0 {
+func (s *Sidecar) sidecarCount() int {
+	if n := s.watchClient.PeakMembers(); n > 0 {
 		return n
 	}
-	return unknownMembers
+	return assumedSidecars
 }
 
 // lease is what this sidecar tells the core.
-func (b *Sidecar) lease() registry.Lease {
-	l := registry.Lease{Zone: b.set.Self.Zone, Applied: b.charter.Load().Version(), Leaving: b.stopping.Load(), Upstream: b.endpoints.beside()}
+func (s *Sidecar) currentLease() registry.Lease {
+	l := registry.Lease{Zone: s.settings.Self.Zone, Applied: s.config.Load().Version(), Leaving: s.draining.Load(), Upstream: s.endpoints.localUpstream()}
 	if l.Upstream != nil && l.Leaving && l.Upstream.State == registry.Ready {
 		l.Upstream.State = registry.Draining // no gate will be here soon
 	}
@@ -269,11 +269,11 @@
 }
 
 // catalogue takes news of the upstreams.
-func (b *Sidecar) catalogue(full bool, upserts []registry.Upstream, removals []string) {
-	if b.endpoints.take(full, upserts, removals) {
-		b.own() // a core machine took its word, as we were not there
+func (s *Sidecar) applyRegistry(full bool, upserts []registry.Upstream, removals []string) {
+	if s.endpoints.apply(full, upserts, removals) {
+		s.publishUpstream() // a core machine took its word, as we were not there
 	}
-	b.outer.List(b.endpoints.listing())
+	s.balancerEngine.List(s.endpoints.balancerListing())
 }
 
 // ConfigUpdate is a change of the configuration as it is pushed: the changes that lead on from a version, or a whole charter.
@@ -284,26 +284,26 @@
 }
 
 // take takes a configuration that is pushed; false: the whole is needed. Nothing older than what holds is ever taken.
-func (b *Sidecar) take(frame json.RawMessage) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	next, err := ApplyUpdate(b.charter.Load(), frame)
+func (s *Sidecar) applyConfig(frame json.RawMessage) bool {
+	s.configMu.Lock()
+	defer s.configMu.Unlock()
+	next, err := ApplyUpdate(s.config.Load(), frame)
 	if err != nil {
-		b.log.Warn("a configuration that does not follow", zap.Error(err))
+		s.log.Warn("a configuration that does not follow", zap.Error(err))
 		return false
 	}
-	b.charter.Store(next)
-	b.quota.configure(next)
-	b.log.Info("configuration", zap.Int64("version", next.Version()))
-	b.news.RenewNow()
+	s.config.Store(next)
+	s.quota.configure(next)
+	s.log.Info("configuration", zap.Int64("version", next.Version()))
+	s.watchClient.RenewNow()
 	return true
 }
 
 // readiness tells whether clients are to come here: there is a configuration and an upstream, and no stop was asked for.
-func (b *Sidecar) readiness() http.Handler {
+func (s *Sidecar) readinessHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /api/readiness", func(w http.ResponseWriter, _ *http.Request) {
-		if b.stopping.Load() || b.charter.Load().Version() == 0 || !b.endpoints.known() {
+		if s.draining.Load() || s.config.Load().Version() == 0 || !s.endpoints.hasReady() {
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}
 	})
@@ -311,44 +311,44 @@
 }
 
 // control is what the upstream beside us calls, and operators: their calls are passed on.
-func (b *Sidecar) control() http.Handler {
+func (s *Sidecar) controlHandler() http.Handler {
 	mux := http.NewServeMux()
-	api.RegisterUpstreamRoutes(mux, b)
-	api.RegisterOperatorRoutes(mux, api.Forwarder{Client: b.client, To: b.news.Peers})
+	api.RegisterUpstreamRoutes(mux, s)
+	api.RegisterOperatorRoutes(mux, api.Forwarder{Client: s.client, To: s.watchClient.Peers})
 	return mux
 }
 
 // Heartbeat takes a heartbeat of the upstream beside us. It is settled here, also with the core gone: nothing comes to the upstream but through our gate.
-func (b *Sidecar) Heartbeat(u registry.Upstream) error {
-	if u.Address != b.set.Self.AppAddress {
-		b.log.Warn("a beat of another address", zap.String("instance", u.Instance), zap.String("address", u.Address))
+func (s *Sidecar) Heartbeat(u registry.Upstream) error {
+	if u.Address != s.settings.Self.AppAddress {
+		s.log.Warn("a beat of another address", zap.String("instance", u.Instance), zap.String("address", u.Address))
 		return errs.New(errs.Invalid, "address %s is not beside this sidecar", u.Address)
 	}
-	u.Node, u.Zone, u.Region = b.set.Self.NodeName, b.set.Self.Zone, b.set.Self.Region
-	before := b.endpoints.beside()
-	taken := b.endpoints.tell(u) // else it has said something later before
+	u.Node, u.Zone, u.Region = s.settings.Self.NodeName, s.settings.Self.Zone, s.settings.Self.Region
+	before := s.endpoints.localUpstream()
+	taken := s.endpoints.recordHeartbeat(u) // else it has said something later before
 	if taken && (before == nil || before.Instance != u.Instance || before.State != u.State || before.Slots != u.Slots) {
-		b.own()
+		s.publishUpstream()
 	}
 	if u.State != registry.Ready {
-		b.inner.Flush() // sent once more, it may come while the gate has yet to hear of the first
+		s.gateEngine.Flush() // sent once more, it may come while the gate has yet to hear of the first
 	}
 	return nil
 }
 
 // Deregister takes that an instance beside us has ended.
-func (b *Sidecar) Deregister(instance string) error {
-	b.endpoints.gone(instance)
-	b.own()
+func (s *Sidecar) Deregister(instance string) error {
+	s.endpoints.deregister(instance)
+	s.publishUpstream()
 	return nil
 }
 
 // meet asks the upstream beside us who it is, until it has told by itself: its next beat may be more than a second away, and requests for it would be turned back until then.
-func (b *Sidecar) meet(ctx context.Context) {
-	for pause := meetPause; b.endpoints.beside() == nil; pause = min(2*pause, meetMost) {
-		if b.charter.Load().Version() > 0 { // it tells the path
-			if u, ok := b.introduced(ctx); ok && b.endpoints.meet(u) {
-				b.own()
+func (s *Sidecar) discoverUpstream(ctx context.Context) {
+	for pause := minDiscoveryBackoff; s.endpoints.localUpstream() == nil; pause = min(2*pause, maxDiscoveryBackoff) {
+		if s.config.Load().Version() > 0 { // it tells the path
+			if u, ok := s.queryUpstream(ctx); ok && s.endpoints.adoptDiscovered(u) {
+				s.publishUpstream()
 				return
 			}
 		}
@@ -361,59 +361,59 @@
 }
 
 // introduced asks once.
-func (b *Sidecar) introduced(ctx context.Context) (registry.Upstream, bool) {
+func (s *Sidecar) queryUpstream(ctx context.Context) (registry.Upstream, bool) {
 	path := "/health"
-	if s := b.charter.Load().Service(b.set.Self.ServiceName); s != nil && s.HealthPath != "" {
+	if s := s.config.Load().Service(s.settings.Self.ServiceName); s != nil && s.HealthPath != "" {
 		path = s.HealthPath
 	}
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
-	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+b.set.Self.AppAddress+path, nil)
+	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+s.settings.Self.AppAddress+path, nil)
 	if err != nil {
 		return registry.Upstream{}, false
 	}
 	r.Close = true
-	answer, err := b.client.Do(r)
+	answer, err := s.client.Do(r)
 	if err != nil {
 		return registry.Upstream{}, false
 	}
 	answer.Body.Close()
 	u := registry.Upstream{
-		Instance: answer.Header.Get(headers.Instance), Service: b.set.Self.ServiceName, Address: b.set.Self.AppAddress, Node: b.set.Self.NodeName, Zone: b.set.Self.Zone, Region: b.set.Self.Region,
+		Instance: answer.Header.Get(headers.Instance), Service: s.settings.Self.ServiceName, Address: s.settings.Self.AppAddress, Node: s.settings.Self.NodeName, Zone: s.settings.Self.Zone, Region: s.settings.Self.Region,
 		Slots: headers.Slots(answer.Header.Get(headers.Load)),
 	}
 	return u, answer.StatusCode == http.StatusOK && u.Instance != "" && u.Slots > 0
 }
 
 // own has the gate, our own way out and the core know of the upstream beside us as it is now. One call after the other: what an earlier one read must not be told behind a later one's.
-func (b *Sidecar) own() {
-	b.telling.Lock()
-	defer b.telling.Unlock()
-	if u := b.endpoints.beside(); u != nil {
-		b.in.instance.Store(&u.Instance)
+func (s *Sidecar) publishUpstream() {
+	s.publishMu.Lock()
+	defer s.publishMu.Unlock()
+	if u := s.endpoints.localUpstream(); u != nil {
+		s.inbound.instance.Store(&u.Instance)
 	}
-	b.inner.List(b.endpoints.besideListing(b.set.Self.AppAddress))
-	b.inner.Flush() // what it said holds before it is acknowledged
-	b.outer.List(b.endpoints.listing())
-	b.news.RenewNow()
+	s.gateEngine.List(s.endpoints.gateListing(s.settings.Self.AppAddress))
+	s.gateEngine.Flush() // what it said holds before it is acknowledged
+	s.balancerEngine.List(s.endpoints.balancerListing())
+	s.watchClient.RenewNow()
 }
 
 // ApplyUpdate is the charter after a frame, applied on the one that holds.
-func ApplyUpdate(held *config.Snapshot, frame json.RawMessage) (*config.Snapshot, error) {
-	var f ConfigUpdate
-	if err := json.Unmarshal(frame, &f); err != nil {
+func ApplyUpdate(current *config.Snapshot, frame json.RawMessage) (*config.Snapshot, error) {
+	var update ConfigUpdate
+	if err := json.Unmarshal(frame, &update); err != nil {
 		return nil, errs.Wrap(err, errs.Malformed, "frame")
 	}
-	if f.Version <= held.Version() {
-		return held, nil
+	if update.Version <= current.Version() {
+		return current, nil
 	}
-	next, err := held, error(nil)
-	if f.Full != nil {
-		if next, err = config.Decode(f.Full); err != nil {
+	next, err := current, error(nil)
+	if update.Full != nil {
+		if next, err = config.Decode(update.Full); err != nil {
 			return nil, err
 		}
 	}
-	for _, raw := range f.Changes {
+	for _, raw := range update.Changes {
 		change, err := config.DecodeChange(raw)
 		if err != nil {
 			return nil, err
@@ -425,8 +425,8 @@
 			return nil, err
 		}
 	}
-	if next.Version() != f.Version {
-		return nil, errs.New(errs.Invalid, "a frame of version %d leads to %d", f.Version, next.Version())
+	if next.Version() != update.Version {
+		return nil, errs.New(errs.Invalid, "a frame of version %d leads to %d", update.Version, next.Version())
 	}
 	return next, nil
 }
--- a/internal/mesh/sidecar/sidecar_test.go
+++ b/internal/mesh/sidecar/sidecar_test.go
@@ -51,12 +51,12 @@
 		So(err, ShouldBeNil)
 	}
 	var err error
-	b.quota, err = newQuota(settings.Bounds{QuotaWindow: 5 * time.Second, QuotaOverage: 0.1, QuotaSlack: 20, RetryWindow: 10 * time.Second, RetryBudgetRatio: 0.2}, b.clock, "n", b.endpoints.name, func() int { return 1 }, nil, nil, b.log)
+	b.quota, err = newQuotaClient(settings.Bounds{QuotaWindow: 5 * time.Second, QuotaOverage: 0.1, QuotaSlack: 20, RetryWindow: 10 * time.Second, RetryBudgetRatio: 0.2}, b.clock, "n", b.endpoints.serviceName, func() int { return 1 }, nil, nil, b.log)
 	So(err, ShouldBeNil)
-	b.charter.Store(c)
+	b.config.Store(c)
 	b.quota.configure(c)
-	o := &outbound{b: b, caller: []string{"huvo11a"}}
-	return o, o.dialect()
+	o := &outbound{b: b, callerField: []string{"huvo11a"}}
+	return o, o.frontDialect()
 }
 
 // request reads a request's head; each line of fields ends in CR and LF.
@@ -157,21 +157,21 @@
 	})
 	Convey("The limits on clients are those of the configuration in force, and a gate takes what any sidecar has let in", t, func() {
 		o, _ := newOutbound("")
-		So(o.b.limits(), ShouldResemble, http1.Limits{HeadBytes: 16 << 10, BodyBytes: 64 << 20, HeadTime: 3 * time.Second, IdleTime: 15 * time.Second})
+		So(o.b.clientLimits(), ShouldResemble, http1.Limits{HeadBytes: 16 << 10, BodyBytes: 64 << 20, HeadTime: 3 * time.Second, IdleTime: 15 * time.Second})
 		change, err := config.ParseReplace([]byte(`{"configVersion":9,"resources":[{"resourceType":"limits","metadata":{},"specification":{"maxHeaderBytes":32768,"maxBodyBytes":9,"headerTimeoutS":4.5,"idleTimeoutS":0.5}}]}`))
 		So(err, ShouldBeNil)
-		next, _, err := o.b.charter.Load().Apply(change)
+		next, _, err := o.b.config.Load().Apply(change)
 		So(err, ShouldBeNil)
-		o.b.charter.Store(next)
-		So(o.b.limits(), ShouldResemble, http1.Limits{HeadBytes: 32 << 10, BodyBytes: 9, HeadTime: 4500 * time.Millisecond, IdleTime: 500 * time.Millisecond})
-		So(gateLimits(), ShouldResemble, http1.Limits{HeadBytes: gateHeadBytes})
-		So(gateLimits().HeadBytes, ShouldBeGreaterThan, o.b.limits().HeadBytes)
+		o.b.config.Store(next)
+		So(o.b.clientLimits(), ShouldResemble, http1.Limits{HeadBytes: 32 << 10, BodyBytes: 9, HeadTime: 4500 * time.Millisecond, IdleTime: 500 * time.Millisecond})
+		So(inboundLimits(), ShouldResemble, http1.Limits{HeadBytes: maxInboundHeadBytes})
+		So(inboundLimits().HeadBytes, ShouldBeGreaterThan, o.b.clientLimits().HeadBytes)
 	})
 	Convey("Services are drawn by weight", t, func() {
 		o, _ := newOutbound(keyed)
 		seldom := 0
 		for range 4000 {
-			if target(o.b.charter.Load().Match("jepu9.example", "/lepu270/")) == "kafi81c" {
+			if pickService(o.b.config.Load().Match("jepu9.example", "/lepu270/")) == "kafi81c" {
 				seldom++
 			}
 		}
@@ -182,9 +182,9 @@
 func TestChecks(t *testing.T) {
 	checks := func(snapshot string) (names []string) {
 		o, _ := newOutbound(snapshot)
-		c := o.b.charter.Load()
+		c := o.b.config.Load()
 		for _, r := range c.Routes() {
-			if o.isCheck(c, r) {
+			if o.isInternalCheck(c, r) {
 				names = append(names, r.Name)
 			}
 		}
@@ -206,7 +206,7 @@
 	})
 	Convey("They go before all else, with slots of their own", t, func() {
 		o, d := newOutbound(keyed)
-		o.b.endpoints.tell(registry.Upstream{Instance: "i-1", Service: "huvo11a", Slots: 9})
+		o.b.endpoints.recordHeartbeat(registry.Upstream{Instance: "i-1", Service: "huvo11a", Slots: 9})
 		q, _, bad := d.Read(request("GET /check/ HTTP/1.1\r\nHost: hulo84.example", id))
 		So(bad, ShouldBeNil)
 		So(q.Terms.(*balancer.RequestClass).Priority, ShouldEqual, 0)
@@ -229,7 +229,7 @@
 func TestInbound(t *testing.T) {
 	Convey("The gate takes what a sidecar has for the instance here, and turns all else back as never run", t, func() {
 		i := &inbound{gate: gate.New(nil), clock: clock.NewMovable()}
-		d := i.dialect()
+		d := i.frontDialect()
 		terms, left, target := "X-Mesh-Visit: 2,250,1\r\nX-Mesh-Send: a1.7\r\n", "X-Caperarch-Timeout-Remaining: 800\r\n", "X-Caperarch-Target-Instance: i-1\r\n"
 		refused := func(fields string, status int) {
 			h := request(lepu, fields)
@@ -292,7 +292,7 @@
 // listed are the states of the upstreams that requests are sent by.
 func listed(s *endpoints) map[string]policy.State {
 	all := make(map[string]policy.State)
-	l := s.listing()
+	l := s.balancerListing()
 	for _, u := range l.Servers {
 		all[l.Address[u.ID]] = u.State
 	}
@@ -304,50 +304,50 @@
 	here := func(instance string) string { return inboundHere + " " + instance }
 	Convey("Of the upstream beside us our own knowledge goes first, and of its beats the later one", t, func() {
 		s := newEndpoints([]string{"hall-a", "hall-b"}, inboundHere)
-		s.take(true, []registry.Upstream{upstream("i-0", inboundHere, registry.Ready, 8), upstream("j", "10.1.0.41:8109", registry.Ready, 1), upstream("k", "", registry.Ready, 1)}, nil)
+		s.apply(true, []registry.Upstream{upstream("i-0", inboundHere, registry.Ready, 8), upstream("j", "10.1.0.41:8109", registry.Ready, 1), upstream("k", "", registry.Ready, 1)}, nil)
 		So(listed(s), ShouldResemble, map[string]policy.State{here("i-0"): policy.Ready, "10.1.0.41:8109 j": policy.Ready})
-		So(s.tell(upstream("i-1", "", registry.Ready, 4)), ShouldBeTrue)
+		So(s.recordHeartbeat(upstream("i-1", "", registry.Ready, 4)), ShouldBeTrue)
 		So(listed(s), ShouldResemble, map[string]policy.State{here("i-1"): policy.Ready, "10.1.0.41:8109 j": policy.Ready})
-		So(s.meet(upstream("i-9", "", registry.Ready, 0)), ShouldBeFalse)
-		So(s.tell(upstream("i-1", "", registry.Ready, 3)), ShouldBeFalse)
-		So(s.tell(upstream("i-1", "", registry.Draining, 3)), ShouldBeFalse)
-		So(s.beside().Sequence, ShouldEqual, 4)
-		So(s.tell(upstream("i-1", "", registry.Draining, 5)), ShouldBeTrue)
-		So(s.tell(upstream("i-1", "", registry.Ready, 4)), ShouldBeFalse)
-		So(s.tell(upstream("i-1", "", registry.Ready, 5)), ShouldBeFalse)
-		s.take(false, []registry.Upstream{upstream("i-1", inboundHere, registry.Ready, 4)}, []string{"j"})
+		So(s.adoptDiscovered(upstream("i-9", "", registry.Ready, 0)), ShouldBeFalse)
+		So(s.recordHeartbeat(upstream("i-1", "", registry.Ready, 3)), ShouldBeFalse)
+		So(s.recordHeartbeat(upstream("i-1", "", registry.Draining, 3)), ShouldBeFalse)
+		So(s.localUpstream().Sequence, ShouldEqual, 4)
+		So(s.recordHeartbeat(upstream("i-1", "", registry.Draining, 5)), ShouldBeTrue)
+		So(s.recordHeartbeat(upstream("i-1", "", registry.Ready, 4)), ShouldBeFalse)
+		So(s.recordHeartbeat(upstream("i-1", "", registry.Ready, 5)), ShouldBeFalse)
+		s.apply(false, []registry.Upstream{upstream("i-1", inboundHere, registry.Ready, 4)}, []string{"j"})
 		So(listed(s), ShouldResemble, map[string]policy.State{here("i-1"): policy.Draining})
-		s.gone("i-1")
-		So(s.tell(upstream("i-1", "", registry.Ready, 6)), ShouldBeFalse)
+		s.deregister("i-1")
+		So(s.recordHeartbeat(upstream("i-1", "", registry.Ready, 6)), ShouldBeFalse)
 		So(listed(s), ShouldBeEmpty)
-		So(s.besideListing("a").Servers[0].State, ShouldEqual, policy.Gone)
-		So(s.tell(upstream("i-2", "", registry.Ready, 1)), ShouldBeTrue)
+		So(s.gateListing("a").Servers[0].State, ShouldEqual, policy.Gone)
+		So(s.recordHeartbeat(upstream("i-2", "", registry.Ready, 1)), ShouldBeTrue)
 		So(listed(s), ShouldResemble, map[string]policy.State{here("i-2"): policy.Ready})
 	})
 	Convey("That the one beside us drains, told to a core machine later than to us, holds here too, and that it is ready does not", t, func() {
 		s := newEndpoints(nil, inboundHere)
-		s.tell(upstream("i-1", "", registry.Ready, 4))
-		So(s.take(false, []registry.Upstream{upstream("i-1", inboundHere, registry.Draining, 3), upstream("i-2", inboundHere, registry.Draining, 9)}, nil), ShouldBeFalse)
-		So(s.beside().State, ShouldEqual, registry.Ready)
-		So(s.take(false, []registry.Upstream{upstream("i-1", inboundHere, registry.Draining, 5)}, nil), ShouldBeTrue)
+		s.recordHeartbeat(upstream("i-1", "", registry.Ready, 4))
+		So(s.apply(false, []registry.Upstream{upstream("i-1", inboundHere, registry.Draining, 3), upstream("i-2", inboundHere, registry.Draining, 9)}, nil), ShouldBeFalse)
+		So(s.localUpstream().State, ShouldEqual, registry.Ready)
+		So(s.apply(false, []registry.Upstream{upstream("i-1", inboundHere, registry.Draining, 5)}, nil), ShouldBeTrue)
 		So(listed(s), ShouldResemble, map[string]policy.State{here("i-1"): policy.Draining})
-		So(s.take(false, []registry.Upstream{upstream("i-1", inboundHere, registry.Ready, 6)}, nil), ShouldBeFalse)
-		So(s.tell(upstream("i-1", "", registry.Ready, 4)), ShouldBeFalse)
+		So(s.apply(false, []registry.Upstream{upstream("i-1", inboundHere, registry.Ready, 6)}, nil), ShouldBeFalse)
+		So(s.recordHeartbeat(upstream("i-1", "", registry.Ready, 4)), ShouldBeFalse)
 		So(listed(s), ShouldResemble, map[string]policy.State{here("i-1"): policy.Draining})
 	})
 	Convey("An instance that is gone does not take the place of the one after it, however late its last beat comes", t, func() {
 		s := newEndpoints(nil, inboundHere)
-		s.tell(upstream("i-1", "", registry.Ready, 4))
-		s.gone("i-1")
-		s.tell(upstream("i-2", "", registry.Ready, 1))
-		So(s.tell(upstream("i-1", "", registry.Draining, 5)), ShouldBeFalse)
-		So(s.beside().Instance, ShouldEqual, "i-2")
+		s.recordHeartbeat(upstream("i-1", "", registry.Ready, 4))
+		s.deregister("i-1")
+		s.recordHeartbeat(upstream("i-2", "", registry.Ready, 1))
+		So(s.recordHeartbeat(upstream("i-1", "", registry.Draining, 5)), ShouldBeFalse)
+		So(s.localUpstream().Instance, ShouldEqual, "i-2")
 	})
 	Convey("A beat of an address that is not beside us is refused", t, func() {
-		b := &Sidecar{set: new(settings.Settings), log: zap.NewNop(), endpoints: newEndpoints(nil, inboundHere)}
-		b.set.Self.AppAddress = "10.1.0.40:8103"
+		b := &Sidecar{settings: new(settings.Settings), log: zap.NewNop(), endpoints: newEndpoints(nil, inboundHere)}
+		b.settings.Self.AppAddress = "10.1.0.40:8103"
 		So(errs.KindOf(b.Heartbeat(registry.Upstream{Instance: "i-1", Address: "10.1.0.41:8103"})), ShouldEqual, errs.Invalid)
-		So(b.endpoints.beside(), ShouldBeNil)
+		So(b.endpoints.localUpstream(), ShouldBeNil)
 	})
 }
 
@@ -359,17 +359,17 @@
 			own, state := fmt.Sprintf("i-%d", rapid.IntRange(0, 2).Draw(t, "own")), registry.State(rapid.IntRange(0, 2).Draw(t, "state"))
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
 			case 0:
-				s.tell(upstream(own, "", state, int64(step)))
+				s.recordHeartbeat(upstream(own, "", state, int64(step)))
 			case 1:
-				s.gone(own)
+				s.deregister(own)
 			case 2:
-				s.take(rapid.Bool().Draw(t, "full"), []registry.Upstream{upstream(own, inboundHere, state, 1)}, nil)
+				s.apply(rapid.Bool().Draw(t, "full"), []registry.Upstream{upstream(own, inboundHere, state, 1)}, nil)
 			default:
-				s.take(rapid.Bool().Draw(t, "full"), []registry.Upstream{upstream("j", "10.1.0.41:8109", state, 1)}, []string{own})
+				s.apply(rapid.Bool().Draw(t, "full"), []registry.Upstream{upstream("j", "10.1.0.41:8109", state, 1)}, []string{own})
 			}
-			ready := slices.ContainsFunc(s.listing().Servers, func(u policy.Server) bool { return u.State == policy.Ready })
-			if s.known() != ready {
-				t.Fatalf("known says %v, the list is %+v", s.known(), s.listing().Servers)
+			ready := slices.ContainsFunc(s.balancerListing().Servers, func(u policy.Server) bool { return u.State == policy.Ready })
+			if s.hasReady() != ready {
+				t.Fatalf("known says %v, the list is %+v", s.hasReady(), s.balancerListing().Servers)
 			}
 		}
 	})
