--- a/cmd/measure/control_core.go
+++ b/cmd/measure/control_core.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"caperarch/internal/mesh/rpc"
-	"caperarch/meshclient"
+	"caperarch/meshapi"
 )
 
 const (
@@ -82,10 +82,10 @@
 }
 
 // view is a member's word on itself; nil: it says nothing.
-func (k *controlCore) view(host string) *meshclient.NodeStatus {
+func (k *controlCore) view(host string) *meshapi.NodeStatus {
 	ctx, cancel := context.WithTimeout(context.Background(), viewTime)
 	defer cancel()
-	view, err := rpc.Get[meshclient.NodeStatus](ctx, k.client, k.at(host, meshclient.ViewPath))
+	view, err := rpc.Get[meshapi.NodeStatus](ctx, k.client, k.at(host, meshapi.NodeStatusPath))
 	if err != nil {
 		return nil
 	}
--- a/cmd/measure/mesh_core.go
+++ b/cmd/measure/mesh_core.go
@@ -16,7 +16,7 @@
 
 	"caperarch/internal/mesh/rpc"
 	"caperarch/internal/mesh/settings"
-	"caperarch/meshclient"
+	"caperarch/meshapi"
 )
 
 // meshZones are the zones of the measured mesh; meshPrefix is the loopback network in which each of its machines has an address of its own, as ports are alike on all.
@@ -171,7 +171,7 @@
 func (m *meshCore) sequencer() (int, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
-	view, err := rpc.Get[meshclient.NodeStatus](ctx, m.client, m.url(0, meshclient.ViewPath))
+	view, err := rpc.Get[meshapi.NodeStatus](ctx, m.client, m.url(0, meshapi.NodeStatusPath))
 	if err != nil {
 		return 0, err
 	}
--- a/internal/mesh/cli/look.go
+++ b/internal/mesh/cli/look.go
@@ -8,6 +8,7 @@
 	"strings"
 	"text/tabwriter"
 
+	"caperarch/meshapi"
 	"caperarch/meshclient"
 )
 
@@ -146,7 +147,7 @@
 	})
 }
 
-func state(u meshclient.Upstream) string {
+func state(u meshapi.Upstream) string {
 	return words(map[string]bool{u.State: true, "stale": u.Stale}, u.State, "stale")
 }
 
--- a/internal/mesh/cli/why.go
+++ b/internal/mesh/cli/why.go
@@ -8,7 +8,7 @@
 	"strings"
 
 	"caperarch/internal/mesh/config"
-	"caperarch/meshclient"
+	"caperarch/meshapi"
 )
 
 // fate is what becomes of a request, by the configuration in force and the upstreams that a core machine knows.
@@ -27,9 +27,9 @@
 
 // candidate is a service that the request may go to, with its upstreams.
 type candidate struct {
-	Service   string                `json:"service"`
-	Share     float64               `json:"share"` // of the route's requests
-	Upstreams []meshclient.Upstream `json:"upstreams"`
+	Service   string             `json:"service"`
+	Share     float64            `json:"share"` // of the route's requests
+	Upstreams []meshapi.Upstream `json:"upstreams"`
 }
 
 // why tells what becomes of a request.
@@ -131,14 +131,14 @@
 }
 
 // choose gives the upstreams among which a sidecar chooses.
-func (f *fate) choose(route *config.Route, list *meshclient.UpstreamList) {
+func (f *fate) choose(route *config.Route, list *meshapi.UpstreamList) {
 	f.UpstreamsAs = list.ReportedBy
 	sum := 0.0
 	for _, t := range route.Targets {
 		sum += t.Weight
 	}
 	for _, t := range route.Targets {
-		s := candidate{Service: t.Service, Share: t.Weight / sum, Upstreams: []meshclient.Upstream{}}
+		s := candidate{Service: t.Service, Share: t.Weight / sum, Upstreams: []meshapi.Upstream{}}
 		ready := 0
 		for _, u := range list.Upstreams {
 			if u.Service != t.Service {
@@ -162,7 +162,7 @@
 }
 
 // takes says why an upstream is sent nothing; empty: it is.
-func takes(u meshclient.Upstream) string {
+func takes(u meshapi.Upstream) string {
 	switch {
 	case u.State != "ready":
 		return u.State + ", nothing new is sent to it"
@@ -172,7 +172,7 @@
 	return ""
 }
 
-func standing(u meshclient.Upstream) string {
+func standing(u meshapi.Upstream) string {
 	if no := takes(u); no != "" {
 		return no
 	}
--- a/internal/mesh/controlplane/inspect.go
+++ b/internal/mesh/controlplane/inspect.go
@@ -11,7 +11,7 @@
 	"caperarch/internal/mesh/registry"
 	"caperarch/internal/mesh/replication"
 	"caperarch/internal/mesh/rpc"
-	"caperarch/meshclient"
+	"caperarch/meshapi"
 )
 
 const (
@@ -23,17 +23,17 @@
 
 // inspect serves what operators look at. Every answer is this machine's knowledge, and says so.
 func (s *Server) inspect(mux *http.ServeMux) {
-	rpc.HandleGet(mux, meshclient.ViewPath, func(*http.Request) (*meshclient.NodeStatus, error) { return s.viewed(), nil })
-	rpc.HandleGet(mux, meshclient.MembersPath, func(r *http.Request) (*meshclient.Members, error) {
+	rpc.HandleGet(mux, meshapi.NodeStatusPath, func(*http.Request) (*meshapi.NodeStatus, error) { return s.viewed(), nil })
+	rpc.HandleGet(mux, meshapi.MembersPath, func(r *http.Request) (*meshapi.Members, error) {
 		return s.membersKnown(r.Context(), s.roster.Addresses(s.now()))
 	})
-	rpc.HandleGet(mux, meshclient.UpstreamsPath, func(*http.Request) (*meshclient.UpstreamList, error) { return s.upstreamsKnown(), nil })
+	rpc.HandleGet(mux, meshapi.UpstreamsPath, func(*http.Request) (*meshapi.UpstreamList, error) { return s.upstreamsKnown(), nil })
 }
 
 // viewed is this machine's word on itself.
-func (s *Server) viewed() *meshclient.NodeStatus {
+func (s *Server) viewed() *meshapi.NodeStatus {
 	leader, term := s.leader()
-	v := &meshclient.NodeStatus{ReportedBy: s.set.Self.NodeName, Term: term, Leader: leader, ConfigVersion: s.machine.Current(), InContact: s.inContact()}
+	v := &meshapi.NodeStatus{ReportedBy: s.set.Self.NodeName, Term: term, Leader: leader, ConfigVersion: s.machine.Current(), InContact: s.inContact()}
 	if node := s.node.Load(); node != nil {
 		status := node.Status()
 		v.AppliedIndex, v.StorageFailed = uint64(status.Applied), status.StorageFailed
@@ -52,9 +52,9 @@
 }
 
 // membersKnown is the core machines, each with its own word where that is to be had, and the sidecars whose leases this machine holds.
-func (s *Server) membersKnown(ctx context.Context, members []string) (*meshclient.Members, error) {
+func (s *Server) membersKnown(ctx context.Context, members []string) (*meshapi.Members, error) {
 	own := s.viewed()
-	a := &meshclient.Members{ReportedBy: own.ReportedBy, Term: own.Term, Leader: own.Leader, Syncing: s.hub.Syncing(), Core: make([]meshclient.CoreMember, len(members)), Sidecars: []meshclient.Sidecar{}}
+	a := &meshapi.Members{ReportedBy: own.ReportedBy, Term: own.Term, Leader: own.Leader, Syncing: s.hub.Syncing(), Core: make([]meshapi.CoreMember, len(members)), Sidecars: []meshapi.Sidecar{}}
 	ctx, cancel := context.WithTimeout(ctx, askTime)
 	defer cancel()
 	var asked sync.WaitGroup
@@ -66,7 +66,7 @@
 			continue
 		}
 		asked.Go(func() {
-			if said, err := rpc.Get[meshclient.NodeStatus](ctx, s.client, "http://"+address+meshclient.ViewPath); err == nil {
+			if said, err := rpc.Get[meshapi.NodeStatus](ctx, s.client, "http://"+address+meshapi.NodeStatusPath); err == nil {
 				m.Status = said
 			}
 		})
@@ -83,21 +83,21 @@
 		if l.Left {
 			continue
 		}
-		sidecar := meshclient.Sidecar{Node: l.Node, Zone: l.Zone, ConfigVersion: l.Applied, Leaving: l.Leaving, LeaseRemainingS: held.Remaining.Seconds()}
+		sidecar := meshapi.Sidecar{Node: l.Node, Zone: l.Zone, ConfigVersion: l.Applied, Leaving: l.Leaving, LeaseRemainingS: held.Remaining.Seconds()}
 		if l.Upstream != nil {
 			sidecar.Instance = l.Upstream.Instance
 		}
 		a.Sidecars = append(a.Sidecars, sidecar)
 	}
-	slices.SortFunc(a.Sidecars, func(x, y meshclient.Sidecar) int { return strings.Compare(x.Node, y.Node) })
+	slices.SortFunc(a.Sidecars, func(x, y meshapi.Sidecar) int { return strings.Compare(x.Node, y.Node) })
 	return a, nil
 }
 
 // upstreamsKnown is the upstreams that are known here.
-func (s *Server) upstreamsKnown() *meshclient.UpstreamList {
-	a := &meshclient.UpstreamList{ReportedBy: s.set.Self.NodeName, Syncing: s.hub.Syncing(), Upstreams: []meshclient.Upstream{}}
+func (s *Server) upstreamsKnown() *meshapi.UpstreamList {
+	a := &meshapi.UpstreamList{ReportedBy: s.set.Self.NodeName, Syncing: s.hub.Syncing(), Upstreams: []meshapi.Upstream{}}
 	for _, u := range s.hub.Upstreams() {
-		a.Upstreams = append(a.Upstreams, meshclient.Upstream{
+		a.Upstreams = append(a.Upstreams, meshapi.Upstream{
 			Instance: u.Instance, Service: u.Service, Address: u.Address, Node: u.Node, Zone: u.Zone, State: u.State.String(), Slots: u.Slots, Stale: u.Stale,
 		})
 	}
--- a/internal/mesh/controlplane/membership_test.go
+++ b/internal/mesh/controlplane/membership_test.go
@@ -17,7 +17,7 @@
 	"caperarch/internal/mesh/api"
 	"caperarch/internal/mesh/rpc"
 	"caperarch/internal/mesh/settings"
-	"caperarch/meshclient"
+	"caperarch/meshapi"
 )
 
 // site is core machines on loopback addresses of their own, with real sockets and disks.
@@ -93,12 +93,12 @@
 	}
 }
 
-func (s *site) view(n int) *meshclient.NodeStatus {
+func (s *site) view(n int) *meshapi.NodeStatus {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	v, err := rpc.Get[meshclient.NodeStatus](ctx, s.client, s.url(n, meshclient.ViewPath))
+	v, err := rpc.Get[meshapi.NodeStatus](ctx, s.client, s.url(n, meshapi.NodeStatusPath))
 	if err != nil {
-		return &meshclient.NodeStatus{}
+		return &meshapi.NodeStatus{}
 	}
 	return v
 }
