--- a/cmd/caperarch/command.go
+++ b/cmd/caperarch/command.go
@@ -13,8 +13,8 @@
 
 	"github.com/spf13/cobra"
 
-	"caperarch/internal/config"
 	"caperarch/internal/daemon"
+	"caperarch/internal/daemon/config"
 	"caperarch/policy"
 )
 
--- a/cmd/caperarch/even_test.go
+++ b/cmd/caperarch/even_test.go
@@ -5,9 +5,9 @@
 	"testing"
 	"time"
 
-	"caperarch/internal/even"
-	"caperarch/internal/rig"
-	"caperarch/internal/rig/fleet"
+	"caperarch/internal/lab/even"
+	"caperarch/internal/lab/rig"
+	"caperarch/internal/lab/rig/fleet"
 )
 
 // evenFleet is a few processes before a few light upstreams, which all have the same to do; each upstream is in half of the arcs.
--- a/cmd/caperarch/fleet_test.go
+++ b/cmd/caperarch/fleet_test.go
@@ -10,8 +10,8 @@
 	"testing"
 	"time"
 
-	"caperarch/internal/rig"
-	"caperarch/internal/rig/fleet"
+	"caperarch/internal/lab/rig"
+	"caperarch/internal/lab/rig/fleet"
 )
 
 func itself() *exec.Cmd {
@@ -168,7 +168,7 @@
 	}
 }
 
-// A server that nobody reaches any more: sidecars tell each other, and none stops sending to those that answer. Hints by liars are tested in internal/hints; here it is
+// A server that nobody reaches any more: sidecars tell each other, and none stops sending to those that answer. Hints by liars are tested in internal/fleet/hints; here it is
 // that they go all the way from one process to another.
 func TestHintsGoRound(t *testing.T) {
 	t.Parallel()
--- a/cmd/caperarch/fleetpolicy_test.go
+++ b/cmd/caperarch/fleetpolicy_test.go
@@ -7,8 +7,8 @@
 	"testing"
 	"time"
 
-	"caperarch/internal/rig"
-	"caperarch/internal/rig/fleet"
+	"caperarch/internal/lab/rig"
+	"caperarch/internal/lab/rig/fleet"
 )
 
 // policies is five processes under load whose policy is changed. Who let a request in by which policy shows at the upstreams: by the one nothing goes to the first, by the
--- a/cmd/caperarch/main.go
+++ b/cmd/caperarch/main.go
@@ -12,9 +12,9 @@
 	"runtime/debug"
 	"syscall"
 
-	"caperarch/internal/config"
 	"caperarch/internal/daemon"
-	"caperarch/internal/record"
+	"caperarch/internal/daemon/config"
+	"caperarch/internal/proxy/record"
 )
 
 func main() { os.Exit(command(os.Args[1:], os.Stdout, os.Stderr)) }
--- a/cmd/caperarch/policy.go
+++ b/cmd/caperarch/policy.go
@@ -12,7 +12,7 @@
 	"github.com/spf13/cobra"
 
 	"caperarch/internal/fleet"
-	"caperarch/internal/fleetpolicy"
+	"caperarch/internal/fleet/fleetpolicy"
 )
 
 // policyCommand is what an operator does with a fleet's policy.
--- a/cmd/caperarch/replace_test.go
+++ b/cmd/caperarch/replace_test.go
@@ -15,7 +15,7 @@
 	"testing"
 	"time"
 
-	"caperarch/internal/rig"
+	"caperarch/internal/lab/rig"
 )
 
 // log is a process' log; it is written and read by different goroutines.
--- a/cmd/caperarch/streams_test.go
+++ b/cmd/caperarch/streams_test.go
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"caperarch/internal/rig"
+	"caperarch/internal/lab/rig"
 )
 
 // slowly reads or writes 64 kB a second until it is told to stop.
--- a/cmd/caperarch/work.go
+++ b/cmd/caperarch/work.go
@@ -12,8 +12,8 @@
 
 	"github.com/spf13/cobra"
 
-	"caperarch/internal/fleetpolicy"
-	"caperarch/internal/outage"
+	"caperarch/internal/fleet/fleetpolicy"
+	"caperarch/internal/fleet/outage"
 )
 
 // workCommand is what an operator does with machines that are taken out for work.
--- a/cmd/caperarch/work_test.go
+++ b/cmd/caperarch/work_test.go
@@ -9,8 +9,8 @@
 	"testing"
 	"time"
 
-	"caperarch/internal/rig"
-	"caperarch/internal/rig/fleet"
+	"caperarch/internal/lab/rig"
+	"caperarch/internal/lab/rig/fleet"
 )
 
 const roundPlan = "all = true\nin_time = 0.5\nlongest = \"1m\"\n[out]\nfleet = \"2\"\ncell = \"1\"\n"
--- a/cmd/demo/table.go
+++ b/cmd/demo/table.go
@@ -5,7 +5,7 @@
 	"sync"
 	"time"
 
-	"caperarch/internal/rig"
+	"caperarch/internal/lab/rig"
 )
 
 // table prints a line a second and the summary.
--- a/cmd/fleetlog/main.go
+++ b/cmd/fleetlog/main.go
@@ -15,7 +15,7 @@
 	"os"
 	"path/filepath"
 
-	"caperarch/internal/fleetlog"
+	"caperarch/internal/fleet/fleetlog"
 )
 
 func main() {
--- a/cmd/measure/bench.go
+++ b/cmd/measure/bench.go
@@ -6,7 +6,7 @@
 	"strings"
 	"time"
 
-	"caperarch/internal/rig"
+	"caperarch/internal/lab/rig"
 )
 
 // bench is the stand-ins and subjects that both measurements need.
--- a/cmd/measure/child.go
+++ b/cmd/measure/child.go
@@ -17,7 +17,7 @@
 	"sync"
 	"time"
 
-	"caperarch/internal/rig"
+	"caperarch/internal/lab/rig"
 	"caperarch/plugin"
 )
 
--- a/cmd/measure/even.go
+++ b/cmd/measure/even.go
@@ -5,8 +5,8 @@
 	"math"
 	"time"
 
-	"caperarch/internal/emu"
-	"caperarch/internal/even"
+	"caperarch/internal/lab/emu"
+	"caperarch/internal/lab/even"
 )
 
 // What the operators' issue asks for, at three hundred sidecars.
--- a/cmd/measure/even_real.go
+++ b/cmd/measure/even_real.go
@@ -7,10 +7,10 @@
 	"sync"
 	"time"
 
-	"caperarch/internal/emu"
-	"caperarch/internal/even"
-	"caperarch/internal/rig"
-	"caperarch/internal/rig/fleet"
+	"caperarch/internal/lab/emu"
+	"caperarch/internal/lab/even"
+	"caperarch/internal/lab/rig"
+	"caperarch/internal/lab/rig/fleet"
 )
 
 // before is the daemon of an earlier release, to be measured beside the present one; "": none.
--- a/cmd/measure/mesh.go
+++ b/cmd/measure/mesh.go
@@ -8,8 +8,8 @@
 	"strings"
 	"time"
 
+	"caperarch/internal/lab/rig/hollow"
 	"caperarch/internal/mesh/rpc"
-	"caperarch/internal/rig/hollow"
 )
 
 // What the operators ask for, at the size that they expect (docs/CAPACITY.md).
--- a/cmd/measure/mesh_child.go
+++ b/cmd/measure/mesh_child.go
@@ -15,8 +15,8 @@
 	"sync"
 	"time"
 
+	"caperarch/internal/lab/rig/hollow"
 	"caperarch/internal/mesh/headers"
-	"caperarch/internal/rig/hollow"
 )
 
 // hollowSidecars is a process of sidecars without a data path. It prints the address at which it is asked how they fare (/report) and told to ask for tokens (/ask?every=).
--- a/cmd/measure/mutants.go
+++ b/cmd/measure/mutants.go
@@ -24,8 +24,8 @@
 
 // planted are all faults.
 var planted = []batch{
-	{"internal/accord", "", accordMutants}, {"internal/agree", "", agreeMutants}, {"internal/fleetpolicy", "internal/accord", policyMutants}, {"internal/outage", "", outageMutants},
-	{"internal/outage", "internal/accord", roundMutants}, {"internal/swim", "", swimMutants},
+	{"internal/fleet/accord", "", accordMutants}, {"internal/fleet/agree", "", agreeMutants}, {"internal/fleet/fleetpolicy", "internal/fleet/accord", policyMutants}, {"internal/fleet/outage", "", outageMutants},
+	{"internal/fleet/outage", "internal/fleet/accord", roundMutants}, {"internal/fleet/swim", "", swimMutants},
 	{"internal/mesh/replication", "", replicationMutants},
 }
 
--- a/cmd/measure/peers.go
+++ b/cmd/measure/peers.go
@@ -5,8 +5,8 @@
 	"os/exec"
 	"time"
 
-	"caperarch/internal/rig/fleet"
-	"caperarch/internal/swim"
+	"caperarch/internal/fleet/swim"
+	"caperarch/internal/lab/rig/fleet"
 )
 
 // What the operators' issue asks for.
--- a/cmd/measure/peers_virtual.go
+++ b/cmd/measure/peers_virtual.go
@@ -5,9 +5,9 @@
 	"slices"
 	"time"
 
-	"caperarch/internal/peer"
-	"caperarch/internal/swim"
-	"caperarch/internal/swim/swimnet"
+	"caperarch/internal/fleet/peer"
+	"caperarch/internal/fleet/swim"
+	"caperarch/internal/lab/swimnet"
 )
 
 // virtualFleet is a fleet in virtual time that has been in contact for a while.
--- a/cmd/measure/plans.go
+++ b/cmd/measure/plans.go
@@ -12,8 +12,8 @@
 	"syscall"
 	"time"
 
-	"caperarch/internal/rig/fleet"
-	"caperarch/internal/swim"
+	"caperarch/internal/fleet/swim"
+	"caperarch/internal/lab/rig/fleet"
 )
 
 // cleanups is a rig.TB for a program that gives back what one part of it took.
--- a/cmd/measure/policy.go
+++ b/cmd/measure/policy.go
@@ -6,10 +6,10 @@
 	"slices"
 	"time"
 
-	"caperarch/internal/accord/accordnet"
-	"caperarch/internal/fleetpolicy"
-	"caperarch/internal/rig/fleet"
-	"caperarch/internal/swim"
+	"caperarch/internal/fleet/fleetpolicy"
+	"caperarch/internal/fleet/swim"
+	"caperarch/internal/lab/accordnet"
+	"caperarch/internal/lab/rig/fleet"
 )
 
 // What the operators' issue asks for.
--- a/cmd/measure/pools.go
+++ b/cmd/measure/pools.go
@@ -7,7 +7,7 @@
 	"strings"
 	"time"
 
-	"caperarch/internal/rig"
+	"caperarch/internal/lab/rig"
 )
 
 // Bounds of the pools: what the quiet one keeps while the other is flooded.
--- a/cmd/measure/service.go
+++ b/cmd/measure/service.go
@@ -16,7 +16,7 @@
 	"syscall"
 	"time"
 
-	"caperarch/internal/rig"
+	"caperarch/internal/lab/rig"
 )
 
 const (
--- a/cmd/measure/strain.go
+++ b/cmd/measure/strain.go
@@ -6,9 +6,9 @@
 	"strings"
 	"time"
 
-	"caperarch/internal/admission"
-	"caperarch/internal/admission/weighed"
-	"caperarch/internal/emu"
+	"caperarch/internal/lab/emu"
+	"caperarch/internal/proxy/admission"
+	"caperarch/internal/proxy/admission/weighed"
 )
 
 // strainGates are the ways of admission that are compared; the first is the module's own, the second the one before it.
--- a/cmd/measure/walls.go
+++ b/cmd/measure/walls.go
@@ -7,7 +7,7 @@
 	"strings"
 	"sync"
 
-	"caperarch/internal/emu"
+	"caperarch/internal/lab/emu"
 )
 
 // wallBounds are what the share of the worth in time must reach in the median, by day: some two hundredths below what was measured when the
--- a/cmd/measure/work.go
+++ b/cmd/measure/work.go
@@ -10,12 +10,12 @@
 	"strings"
 	"time"
 
-	"caperarch/internal/accord/accordnet"
-	"caperarch/internal/fleetlog"
-	"caperarch/internal/outage"
-	"caperarch/internal/rig"
-	"caperarch/internal/rig/fleet"
-	"caperarch/internal/swim"
+	"caperarch/internal/fleet/fleetlog"
+	"caperarch/internal/fleet/outage"
+	"caperarch/internal/fleet/swim"
+	"caperarch/internal/lab/accordnet"
+	"caperarch/internal/lab/rig"
+	"caperarch/internal/lab/rig/fleet"
 )
 
 // What the operators' issue asks for.
--- a/cmd/replay/main.go
+++ b/cmd/replay/main.go
@@ -12,8 +12,8 @@
 	"io"
 	"os"
 
-	"caperarch/internal/record"
-	"caperarch/internal/replay"
+	"caperarch/internal/lab/replay"
+	"caperarch/internal/proxy/record"
 )
 
 func main() {
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -13,7 +13,7 @@
 	"runtime/debug"
 	"time"
 
-	"caperarch/internal/wire"
+	"caperarch/internal/proxy/wire"
 	"caperarch/policy"
 )
 
--- a/cmd/simhost/main_test.go
+++ b/cmd/simhost/main_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"caperarch/internal/wire"
+	"caperarch/internal/proxy/wire"
 	"caperarch/policy"
 )
 
--- a/conformance/cases.go
+++ b/conformance/cases.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"caperarch/internal/rig"
+	"caperarch/internal/lab/rig"
 )
 
 // classes by effect, as rig.Settings has them.
--- a/conformance/conformance.go
+++ b/conformance/conformance.go
@@ -14,7 +14,7 @@
 	"testing"
 	"time"
 
-	"caperarch/internal/rig"
+	"caperarch/internal/lab/rig"
 )
 
 // Kind is how a call ended for its caller.
--- a/conformance/subjects_test.go
+++ b/conformance/subjects_test.go
@@ -23,7 +23,7 @@
 	"google.golang.org/grpc/status"
 	"google.golang.org/protobuf/types/known/wrapperspb"
 
-	"caperarch/internal/rig"
+	"caperarch/internal/lab/rig"
 	"caperarch/plugin"
 	"caperarch/plugin/grpcplugin"
 )
--- a/internal/bans/bans.go
+++ b/internal/daemon/bans/bans.go
@@ -11,9 +11,9 @@
 	"time"
 	"unicode/utf8"
 
-	"caperarch/internal/call"
-	"caperarch/internal/clock"
-	"caperarch/internal/cordon"
+	"caperarch/internal/daemon/cordon"
+	"caperarch/internal/proxy/call"
+	"caperarch/internal/proxy/clock"
 	"caperarch/policy"
 )
 
--- a/internal/bans/bans_test.go
+++ b/internal/daemon/bans/bans_test.go
@@ -11,10 +11,10 @@
 	"testing/synctest"
 	"time"
 
-	"caperarch/internal/call"
-	"caperarch/internal/durable"
-	"caperarch/internal/rig"
-	"caperarch/internal/rig/damage"
+	"caperarch/internal/lab/rig"
+	"caperarch/internal/lab/rig/damage"
+	"caperarch/internal/proxy/call"
+	"caperarch/internal/proxy/durable"
 	"caperarch/policy"
 )
 
--- a/internal/bans/file.go
+++ b/internal/daemon/bans/file.go
@@ -10,7 +10,7 @@
 	"slices"
 	"syscall"
 
-	"caperarch/internal/durable"
+	"caperarch/internal/proxy/durable"
 
 	"github.com/cespare/xxhash/v2"
 )
--- a/internal/daemon/bodies_test.go
+++ b/internal/daemon/bodies_test.go
@@ -15,7 +15,7 @@
 	"testing"
 	"time"
 
-	"caperarch/internal/rig"
+	"caperarch/internal/lab/rig"
 )
 
 // pattern is the byte at a place of a long body, so that none is lost, doubled or moved unseen.
--- a/internal/config/config.go
+++ b/internal/daemon/config/config.go
@@ -14,9 +14,9 @@
 	"strings"
 	"time"
 
-	"caperarch/internal/call"
-	"caperarch/internal/membership"
-	"caperarch/internal/wire"
+	"caperarch/internal/proxy/call"
+	"caperarch/internal/proxy/membership"
+	"caperarch/internal/proxy/wire"
 	"caperarch/policy"
 )
 
--- a/internal/config/config_test.go
+++ b/internal/daemon/config/config_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"caperarch/internal/rig"
+	"caperarch/internal/lab/rig"
 	"caperarch/policy"
 )
 
--- a/internal/config/fleet.go
+++ b/internal/daemon/config/fleet.go
@@ -7,8 +7,8 @@
 	"path/filepath"
 	"time"
 
-	"caperarch/internal/fleetpolicy"
-	"caperarch/internal/strict"
+	"caperarch/internal/fleet/fleetpolicy"
+	"caperarch/internal/proxy/strict"
 )
 
 // Fleet is the operator's file on what the sidecars of a fleet have to do with one another, checked whole.
--- a/internal/config/pools.go
+++ b/internal/daemon/config/pools.go
@@ -10,8 +10,8 @@
 	"regexp"
 	"slices"
 
-	"caperarch/internal/route"
-	"caperarch/internal/strict"
+	"caperarch/internal/proxy/route"
+	"caperarch/internal/proxy/strict"
 	"caperarch/policy"
 )
 
--- a/internal/config/pools_test.go
+++ b/internal/daemon/config/pools_test.go
@@ -5,7 +5,7 @@
 	"strings"
 	"testing"
 
-	"caperarch/internal/rig"
+	"caperarch/internal/lab/rig"
 )
 
 const poolsText = `[pools.ledger]
--- a/internal/control/control_test.go
+++ b/internal/daemon/control/control_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"caperarch/internal/rig"
+	"caperarch/internal/lab/rig"
 )
 
 func TestParse(t *testing.T) {
--- a/internal/cordon/ever.go
+++ b/internal/daemon/cordon/ever.go
@@ -1,7 +1,7 @@
 package cordon
 
 import (
-	"caperarch/internal/call"
+	"caperarch/internal/proxy/call"
 	"caperarch/policy"
 )
 
--- a/internal/cordon/overlay.go
+++ b/internal/daemon/cordon/overlay.go
@@ -7,7 +7,7 @@
 	"maps"
 	"slices"
 
-	"caperarch/internal/call"
+	"caperarch/internal/proxy/call"
 	"caperarch/policy"
 )
 
--- a/internal/cordon/overlay_test.go
+++ b/internal/daemon/cordon/overlay_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"caperarch/internal/call"
+	"caperarch/internal/proxy/call"
 	"caperarch/policy"
 
 	"pgregory.net/rapid"
--- a/internal/daemon/fleet.go
+++ b/internal/daemon/fleet.go
@@ -5,13 +5,13 @@
 	"errors"
 	"io"
 
-	"caperarch/internal/clock"
-	"caperarch/internal/cold"
-	"caperarch/internal/config"
-	"caperarch/internal/control"
-	"caperarch/internal/figures"
+	"caperarch/internal/daemon/config"
+	"caperarch/internal/daemon/control"
 	"caperarch/internal/fleet"
-	"caperarch/internal/outage"
+	"caperarch/internal/fleet/outage"
+	"caperarch/internal/proxy/clock"
+	"caperarch/internal/proxy/cold"
+	"caperarch/internal/proxy/figures"
 	"caperarch/policy"
 )
 
--- a/internal/daemon/front_test.go
+++ b/internal/daemon/front_test.go
@@ -14,8 +14,8 @@
 	"testing"
 	"time"
 
-	"caperarch/internal/call"
-	"caperarch/internal/rig"
+	"caperarch/internal/lab/rig"
+	"caperarch/internal/proxy/call"
 )
 
 func TestServed(t *testing.T) {
--- a/internal/handover/handover_test.go
+++ b/internal/daemon/handover/handover_test.go
@@ -9,9 +9,9 @@
 	"testing"
 	"time"
 
-	"caperarch/internal/call"
-	"caperarch/internal/rig"
-	"caperarch/internal/rig/damage"
+	"caperarch/internal/lab/rig"
+	"caperarch/internal/lab/rig/damage"
+	"caperarch/internal/proxy/call"
 	"caperarch/policy"
 )
 
--- a/internal/handover/record.go
+++ b/internal/daemon/handover/record.go
@@ -6,7 +6,7 @@
 	"fmt"
 	"math"
 
-	"caperarch/internal/call"
+	"caperarch/internal/proxy/call"
 	"caperarch/policy"
 
 	"github.com/cespare/xxhash/v2"
--- a/internal/handover/seat.go
+++ b/internal/daemon/handover/seat.go
@@ -9,7 +9,7 @@
 	"syscall"
 	"time"
 
-	"caperarch/internal/durable"
+	"caperarch/internal/proxy/durable"
 )
 
 const (
--- a/internal/daemon/pools.go
+++ b/internal/daemon/pools.go
@@ -12,12 +12,12 @@
 	"sync/atomic"
 	"time"
 
-	"caperarch/internal/clock"
-	"caperarch/internal/config"
-	fronthttp1 "caperarch/internal/front/http1"
-	"caperarch/internal/h1"
-	"caperarch/internal/route"
-	"caperarch/internal/share"
+	"caperarch/internal/daemon/config"
+	"caperarch/internal/proxy/clock"
+	fronthttp1 "caperarch/internal/proxy/front/http1"
+	"caperarch/internal/proxy/h1"
+	"caperarch/internal/proxy/route"
+	"caperarch/internal/proxy/share"
 )
 
 // drainMargin is how long a pool that was taken away still takes requests that were routed to it before: those
--- a/internal/daemon/pools_test.go
+++ b/internal/daemon/pools_test.go
@@ -16,8 +16,8 @@
 	"testing"
 	"time"
 
-	"caperarch/internal/config"
-	"caperarch/internal/rig"
+	"caperarch/internal/daemon/config"
+	"caperarch/internal/lab/rig"
 )
 
 // world is a daemon with two pools: ledger, with two thirds, and meters.
--- a/internal/daemon/replace.go
+++ b/internal/daemon/replace.go
@@ -7,10 +7,10 @@
 	"runtime/debug"
 	"time"
 
-	"caperarch/internal/call"
-	"caperarch/internal/clock"
-	"caperarch/internal/config"
-	"caperarch/internal/handover"
+	"caperarch/internal/daemon/config"
+	"caperarch/internal/daemon/handover"
+	"caperarch/internal/proxy/call"
+	"caperarch/internal/proxy/clock"
 	"caperarch/policy"
 )
 
--- a/internal/daemon/service.go
+++ b/internal/daemon/service.go
@@ -12,13 +12,13 @@
 	"sync/atomic"
 	"time"
 
-	"caperarch/internal/bans"
-	"caperarch/internal/config"
-	"caperarch/internal/control"
-	"caperarch/internal/figures"
+	"caperarch/internal/daemon/bans"
+	"caperarch/internal/daemon/config"
+	"caperarch/internal/daemon/control"
+	"caperarch/internal/daemon/handover"
 	"caperarch/internal/fleet"
-	fronthttp1 "caperarch/internal/front/http1"
-	"caperarch/internal/handover"
+	"caperarch/internal/proxy/figures"
+	fronthttp1 "caperarch/internal/proxy/front/http1"
 )
 
 // figuresEvery is how often the figures go to the log.
--- a/internal/daemon/service_test.go
+++ b/internal/daemon/service_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"caperarch/internal/rig"
+	"caperarch/internal/lab/rig"
 )
 
 // operator has the control address of a sidecar.
--- a/internal/daemon/stub_test.go
+++ b/internal/daemon/stub_test.go
@@ -9,8 +9,8 @@
 	"strings"
 	"testing"
 
-	"caperarch/internal/config"
-	"caperarch/internal/rig"
+	"caperarch/internal/daemon/config"
+	"caperarch/internal/lab/rig"
 )
 
 // running is a whole sidecar over loopback.
--- a/internal/daemon/wayin_test.go
+++ b/internal/daemon/wayin_test.go
@@ -12,8 +12,8 @@
 	"testing"
 	"time"
 
-	"caperarch/internal/call"
-	"caperarch/internal/rig"
+	"caperarch/internal/lab/rig"
+	"caperarch/internal/proxy/call"
 )
 
 // dial opens a raw connection to the sidecar.
--- a/internal/accord/accord.go
+++ b/internal/fleet/accord/accord.go
@@ -1,4 +1,4 @@
-// Package accord is one sidecar's whole part in what a fleet settles: the agreed log (internal/agree), by what policy it goes (internal/fleetpolicy's Holder), the leader's part
+// Package accord is one sidecar's whole part in what a fleet settles: the agreed log (internal/fleet/agree), by what policy it goes (internal/fleet/fleetpolicy's Holder), the leader's part
 // while it leads, the reports and grants between the two, and the policies' texts. It is free of I/O, goroutines and clocks; a random source is passed in, so a seed
 // plays one history. All times are of one clock that counts while the process stands still.
 //
@@ -13,10 +13,10 @@
 	"slices"
 	"time"
 
-	"caperarch/internal/accord/accordpb"
-	"caperarch/internal/agree"
-	"caperarch/internal/fleetpolicy"
-	"caperarch/internal/outage"
+	"caperarch/internal/fleet/accord/accordpb"
+	"caperarch/internal/fleet/agree"
+	"caperarch/internal/fleet/fleetpolicy"
+	"caperarch/internal/fleet/outage"
 
 	"google.golang.org/protobuf/proto"
 )
--- a/internal/accord/accord_test.go
+++ b/internal/fleet/accord/accord_test.go
@@ -11,10 +11,10 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"caperarch/internal/accord"
-	"caperarch/internal/accord/accordnet"
-	"caperarch/internal/accord/accordpb"
-	"caperarch/internal/fleetpolicy"
+	"caperarch/internal/fleet/accord"
+	"caperarch/internal/fleet/accord/accordpb"
+	"caperarch/internal/fleet/fleetpolicy"
+	"caperarch/internal/lab/accordnet"
 )
 
 // founded is a fleet in which all go by a log that has just begun.
--- a/internal/accord/change.go
+++ b/internal/fleet/accord/change.go
@@ -6,9 +6,9 @@
 	"slices"
 	"time"
 
-	"caperarch/internal/accord/accordpb"
-	"caperarch/internal/agree"
-	"caperarch/internal/fleetpolicy"
+	"caperarch/internal/fleet/accord/accordpb"
+	"caperarch/internal/fleet/agree"
+	"caperarch/internal/fleet/fleetpolicy"
 )
 
 // What an operator's call is refused for.
--- a/internal/accord/history_test.go
+++ b/internal/fleet/accord/history_test.go
@@ -8,8 +8,8 @@
 	"testing"
 	"time"
 
-	"caperarch/internal/accord/accordnet"
-	"caperarch/internal/agree"
+	"caperarch/internal/fleet/agree"
+	"caperarch/internal/lab/accordnet"
 )
 
 var (
--- a/internal/accord/reports.go
+++ b/internal/fleet/accord/reports.go
@@ -7,8 +7,8 @@
 	"strings"
 	"time"
 
-	"caperarch/internal/accord/accordpb"
-	"caperarch/internal/fleetpolicy"
+	"caperarch/internal/fleet/accord/accordpb"
+	"caperarch/internal/fleet/fleetpolicy"
 
 	"google.golang.org/protobuf/proto"
 )
--- a/internal/accord/size_test.go
+++ b/internal/fleet/accord/size_test.go
@@ -4,9 +4,9 @@
 	"testing"
 	"time"
 
-	"caperarch/internal/accord/accordnet"
-	"caperarch/internal/agree"
-	"caperarch/internal/fleetpolicy"
+	"caperarch/internal/fleet/agree"
+	"caperarch/internal/fleet/fleetpolicy"
+	"caperarch/internal/lab/accordnet"
 )
 
 // Three hundred, each with the bytes that the link lets it send: what a change takes, calm, with loss, and with a tenth down; and what all cost at rest.
--- a/internal/accord/texts.go
+++ b/internal/fleet/accord/texts.go
@@ -8,8 +8,8 @@
 	"io"
 	"time"
 
-	"caperarch/internal/accord/accordpb"
-	"caperarch/internal/fleetpolicy"
+	"caperarch/internal/fleet/accord/accordpb"
+	"caperarch/internal/fleet/fleetpolicy"
 )
 
 const (
--- a/internal/accord/work.go
+++ b/internal/fleet/accord/work.go
@@ -10,10 +10,10 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"caperarch/internal/accord/accordpb"
-	"caperarch/internal/agree"
-	"caperarch/internal/fleetpolicy"
-	"caperarch/internal/outage"
+	"caperarch/internal/fleet/accord/accordpb"
+	"caperarch/internal/fleet/agree"
+	"caperarch/internal/fleet/fleetpolicy"
+	"caperarch/internal/fleet/outage"
 )
 
 // Work is what a Node asks its process on machines taken out for work. Its methods must not call back.
--- a/internal/accord/work_test.go
+++ b/internal/fleet/accord/work_test.go
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
-	"caperarch/internal/accord/accordnet"
-	"caperarch/internal/outage"
+	"caperarch/internal/fleet/outage"
+	"caperarch/internal/lab/accordnet"
 )
 
 // machinesOf are some in cells of two.
--- a/internal/agree/agree_test.go
+++ b/internal/fleet/agree/agree_test.go
@@ -10,8 +10,8 @@
 
 	"github.com/anishathalye/porcupine"
 
-	"caperarch/internal/agree"
-	"caperarch/internal/agree/agreenet"
+	"caperarch/internal/fleet/agree"
+	"caperarch/internal/lab/agreenet"
 )
 
 var (
--- a/internal/agree/wire.go
+++ b/internal/fleet/agree/wire.go
@@ -7,7 +7,7 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"caperarch/internal/agree/agreepb"
+	"caperarch/internal/fleet/agree/agreepb"
 )
 
 var errSpoilt = errors.New("agree: a message that can't be read")
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -15,13 +15,13 @@
 	"syscall"
 	"time"
 
-	"caperarch/internal/clock"
-	"caperarch/internal/config"
-	"caperarch/internal/figures"
-	"caperarch/internal/hints"
-	"caperarch/internal/peer"
-	"caperarch/internal/subset"
-	"caperarch/internal/swim"
+	"caperarch/internal/daemon/config"
+	"caperarch/internal/fleet/hints"
+	"caperarch/internal/fleet/peer"
+	"caperarch/internal/fleet/swim"
+	"caperarch/internal/proxy/clock"
+	"caperarch/internal/proxy/figures"
+	"caperarch/internal/proxy/subset"
 	"caperarch/policy"
 )
 
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -9,8 +9,8 @@
 
 	"go.uber.org/goleak"
 
-	"caperarch/internal/config"
-	"caperarch/internal/rig"
+	"caperarch/internal/daemon/config"
+	"caperarch/internal/lab/rig"
 	"caperarch/policy"
 )
 
--- a/internal/fleetpolicy/policy.go
+++ b/internal/fleet/fleetpolicy/policy.go
@@ -15,7 +15,7 @@
 	"slices"
 	"unicode/utf8"
 
-	"caperarch/internal/strict"
+	"caperarch/internal/proxy/strict"
 )
 
 const (
--- a/internal/fleetpolicy/state.go
+++ b/internal/fleet/fleetpolicy/state.go
@@ -8,7 +8,7 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"caperarch/internal/fleetpolicy/policypb"
+	"caperarch/internal/fleet/fleetpolicy/policypb"
 )
 
 // Kind is what an entry of the log says.
--- a/internal/fleet/operate.go
+++ b/internal/fleet/operate.go
@@ -10,8 +10,8 @@
 	"strings"
 	"time"
 
-	"caperarch/internal/accord"
-	"caperarch/internal/fleetpolicy"
+	"caperarch/internal/fleet/accord"
+	"caperarch/internal/fleet/fleetpolicy"
 )
 
 const (
--- a/internal/outage/plan.go
+++ b/internal/fleet/outage/plan.go
@@ -11,7 +11,7 @@
 	"strings"
 	"time"
 
-	"caperarch/internal/strict"
+	"caperarch/internal/proxy/strict"
 )
 
 const (
--- a/internal/outage/step.go
+++ b/internal/fleet/outage/step.go
@@ -7,7 +7,7 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"caperarch/internal/outage/outagepb"
+	"caperarch/internal/fleet/outage/outagepb"
 )
 
 // Kind is what an entry of the log says.
--- a/internal/peer/code.go
+++ b/internal/fleet/peer/code.go
@@ -7,8 +7,8 @@
 	"github.com/cespare/xxhash/v2"
 	"google.golang.org/protobuf/proto"
 
-	"caperarch/internal/peer/peerpb"
-	"caperarch/internal/swim"
+	"caperarch/internal/fleet/peer/peerpb"
+	"caperarch/internal/fleet/swim"
 )
 
 // Longest is the longest datagram, in bytes: a longer one is not allowed between sidecars.
--- a/internal/peer/link.go
+++ b/internal/fleet/peer/link.go
@@ -13,8 +13,8 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"caperarch/internal/peer/peerpb"
-	"caperarch/internal/swim"
+	"caperarch/internal/fleet/peer/peerpb"
+	"caperarch/internal/fleet/swim"
 )
 
 const (
--- a/internal/peer/link_test.go
+++ b/internal/fleet/peer/link_test.go
@@ -14,10 +14,10 @@
 	"google.golang.org/protobuf/proto"
 	"pgregory.net/rapid"
 
-	"caperarch/internal/clock"
-	"caperarch/internal/peer/peerpb"
-	"caperarch/internal/rig"
-	"caperarch/internal/swim"
+	"caperarch/internal/fleet/peer/peerpb"
+	"caperarch/internal/fleet/swim"
+	"caperarch/internal/lab/rig"
+	"caperarch/internal/proxy/clock"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
--- a/internal/fleet/policy_test.go
+++ b/internal/fleet/policy_test.go
@@ -8,10 +8,10 @@
 	"testing"
 	"time"
 
-	"caperarch/internal/config"
-	"caperarch/internal/fleetpolicy"
-	"caperarch/internal/peer"
-	"caperarch/internal/rig"
+	"caperarch/internal/daemon/config"
+	"caperarch/internal/fleet/fleetpolicy"
+	"caperarch/internal/fleet/peer"
+	"caperarch/internal/lab/rig"
 	"caperarch/policy"
 )
 
--- a/internal/state/contents.go
+++ b/internal/fleet/state/contents.go
@@ -8,8 +8,8 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"caperarch/internal/agree"
-	"caperarch/internal/durable"
+	"caperarch/internal/fleet/agree"
+	"caperarch/internal/proxy/durable"
 )
 
 const (
--- a/internal/state/damage_test.go
+++ b/internal/fleet/state/damage_test.go
@@ -16,8 +16,8 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"caperarch/internal/durable"
-	"caperarch/internal/rig/damage"
+	"caperarch/internal/lab/rig/damage"
+	"caperarch/internal/proxy/durable"
 )
 
 const (
--- a/internal/state/old.go
+++ b/internal/fleet/state/old.go
@@ -6,7 +6,7 @@
 	"errors"
 	"fmt"
 
-	"caperarch/internal/durable"
+	"caperarch/internal/proxy/durable"
 )
 
 const (
--- a/internal/state/state.go
+++ b/internal/fleet/state/state.go
@@ -21,8 +21,8 @@
 
 	"go.etcd.io/raft/v3/raftpb"
 
-	"caperarch/internal/agree"
-	"caperarch/internal/durable"
+	"caperarch/internal/fleet/agree"
+	"caperarch/internal/proxy/durable"
 )
 
 const (
--- a/internal/state/state_test.go
+++ b/internal/fleet/state/state_test.go
@@ -11,7 +11,7 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"caperarch/internal/durable"
+	"caperarch/internal/proxy/durable"
 )
 
 func entry(index, term uint64) *raftpb.Entry {
--- a/internal/swim/budget_test.go
+++ b/internal/fleet/swim/budget_test.go
@@ -4,9 +4,9 @@
 	"testing"
 	"time"
 
-	"caperarch/internal/peer"
-	"caperarch/internal/swim"
-	"caperarch/internal/swim/swimnet"
+	"caperarch/internal/fleet/peer"
+	"caperarch/internal/fleet/swim"
+	"caperarch/internal/lab/swimnet"
 )
 
 // A hundred that start together, each with two KiB a second, come into contact and stay there; where up to a fifth of the datagrams is lost nobody who lives is counted as gone,
--- a/internal/swim/history_test.go
+++ b/internal/fleet/swim/history_test.go
@@ -7,8 +7,8 @@
 	"testing"
 	"time"
 
-	"caperarch/internal/swim"
-	"caperarch/internal/swim/swimnet"
+	"caperarch/internal/fleet/swim"
+	"caperarch/internal/lab/swimnet"
 )
 
 var (
--- a/internal/swim/node_test.go
+++ b/internal/fleet/swim/node_test.go
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
-	"caperarch/internal/swim"
-	"caperarch/internal/swim/swimnet"
+	"caperarch/internal/fleet/swim"
+	"caperarch/internal/lab/swimnet"
 )
 
 const lease = 3 * time.Second
--- a/internal/swim/swim_test.go
+++ b/internal/fleet/swim/swim_test.go
@@ -5,8 +5,8 @@
 	"testing"
 	"time"
 
-	"caperarch/internal/swim"
-	"caperarch/internal/swim/swimnet"
+	"caperarch/internal/fleet/swim"
+	"caperarch/internal/lab/swimnet"
 )
 
 func settled(t *testing.T, n *swimnet.Net) {
--- a/internal/swim/views_test.go
+++ b/internal/fleet/swim/views_test.go
@@ -6,7 +6,7 @@
 
 	"pgregory.net/rapid"
 
-	"caperarch/internal/swim"
+	"caperarch/internal/fleet/swim"
 )
 
 // Whatever order rumours come in, and however often, the view behind them is the same: so views that have heard the same are equal.
--- a/internal/fleet/work.go
+++ b/internal/fleet/work.go
@@ -9,10 +9,10 @@
 	"strings"
 	"time"
 
-	"caperarch/internal/accord"
-	"caperarch/internal/figures"
-	"caperarch/internal/fleetpolicy"
-	"caperarch/internal/outage"
+	"caperarch/internal/fleet/accord"
+	"caperarch/internal/fleet/fleetpolicy"
+	"caperarch/internal/fleet/outage"
+	"caperarch/internal/proxy/figures"
 )
 
 // Site is what this process has to do with the machines that plans of work are about.
--- a/internal/accord/accordnet/net.go
+++ b/internal/lab/accordnet/net.go
@@ -8,12 +8,12 @@
 	"math/rand/v2"
 	"time"
 
-	"caperarch/internal/accord"
-	"caperarch/internal/agree"
-	"caperarch/internal/agree/agreenet"
-	"caperarch/internal/fleetpolicy"
-	"caperarch/internal/outage"
-	"caperarch/internal/virtual"
+	"caperarch/internal/fleet/accord"
+	"caperarch/internal/fleet/agree"
+	"caperarch/internal/fleet/fleetpolicy"
+	"caperarch/internal/fleet/outage"
+	"caperarch/internal/lab/agreenet"
+	"caperarch/internal/lab/virtual"
 )
 
 // Config is what a fleet is made of.
--- a/internal/accord/accordnet/work.go
+++ b/internal/lab/accordnet/work.go
@@ -5,9 +5,9 @@
 	"fmt"
 	"time"
 
-	"caperarch/internal/accord"
-	"caperarch/internal/fleetpolicy"
-	"caperarch/internal/outage"
+	"caperarch/internal/fleet/accord"
+	"caperarch/internal/fleet/fleetpolicy"
+	"caperarch/internal/fleet/outage"
 )
 
 // Site is the machines that the fleet's sidecars send to, seen from outside: what arrives there, and what the log says of them, each entry counted where it is applied first.
--- a/internal/agree/agreenet/disk.go
+++ b/internal/lab/agreenet/disk.go
@@ -6,7 +6,7 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"caperarch/internal/agree"
+	"caperarch/internal/fleet/agree"
 )
 
 // Disk is a machine's, which outlives its processes.
--- a/internal/agree/agreenet/net.go
+++ b/internal/lab/agreenet/net.go
@@ -8,11 +8,11 @@
 	"slices"
 	"time"
 
-	"caperarch/internal/agree"
-	"caperarch/internal/virtual"
+	"caperarch/internal/fleet/agree"
+	"caperarch/internal/lab/virtual"
 )
 
-// outAfter is when a process that has ended is known to be gone for good: what internal/swim tells takes about so long.
+// outAfter is when a process that has ended is known to be gone for good: what internal/fleet/swim tells takes about so long.
 const outAfter = 6 * time.Second
 
 // Net is a fleet.
--- a/internal/emu/cases.go
+++ b/internal/lab/emu/cases.go
@@ -4,7 +4,7 @@
 	"math/rand/v2"
 	"time"
 
-	"caperarch/internal/admission"
+	"caperarch/internal/proxy/admission"
 	"caperarch/policy"
 )
 
--- a/internal/emu/even.go
+++ b/internal/lab/emu/even.go
@@ -5,8 +5,8 @@
 	"math/rand/v2"
 	"time"
 
-	"caperarch/internal/even"
-	"caperarch/internal/subset"
+	"caperarch/internal/lab/even"
+	"caperarch/internal/proxy/subset"
 	"caperarch/policy"
 )
 
--- a/internal/emu/even_test.go
+++ b/internal/lab/emu/even_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"caperarch/internal/even"
+	"caperarch/internal/lab/even"
 )
 
 // Guards against arcs that lie over some servers more often than over others: worse than chance over ten seconds, with nothing wrong, though each sidecar's own turns are even.
--- a/internal/emu/events.go
+++ b/internal/lab/emu/events.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"caperarch/internal/even"
+	"caperarch/internal/lab/even"
 )
 
 // EvenEvent is something that all sidecars of a day notice at about the same moment, after which they may well think the same. What it does to servers it does to the first of the list.
--- a/internal/emu/server.go
+++ b/internal/lab/emu/server.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"caperarch/internal/virtual"
+	"caperarch/internal/lab/virtual"
 	"caperarch/policy"
 )
 
--- a/internal/emu/sidecar.go
+++ b/internal/lab/emu/sidecar.go
@@ -7,8 +7,8 @@
 	"slices"
 	"time"
 
-	"caperarch/internal/engine"
-	"caperarch/internal/virtual"
+	"caperarch/internal/lab/virtual"
+	"caperarch/internal/proxy/engine"
 	"caperarch/policy"
 )
 
--- a/internal/replay/estimate.go
+++ b/internal/lab/replay/estimate.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"caperarch/internal/record/recordpb"
-	"caperarch/internal/virtual"
+	"caperarch/internal/lab/virtual"
+	"caperarch/internal/proxy/record/recordpb"
 	"caperarch/policy"
 )
 
--- a/internal/replay/exact.go
+++ b/internal/lab/replay/exact.go
@@ -1,4 +1,4 @@
-// Package replay runs recorded events (internal/record) through the present decision module: to find where it departs
+// Package replay runs recorded events (internal/proxy/record) through the present decision module: to find where it departs
 // from what was done, or to estimate how it would have fared. It is free of I/O.
 package replay
 
@@ -11,8 +11,8 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"caperarch/internal/record"
-	"caperarch/internal/record/recordpb"
+	"caperarch/internal/proxy/record"
+	"caperarch/internal/proxy/record/recordpb"
 	"caperarch/policy"
 )
 
--- a/internal/replay/past.go
+++ b/internal/lab/replay/past.go
@@ -8,8 +8,8 @@
 	"slices"
 	"time"
 
-	"caperarch/internal/record"
-	"caperarch/internal/record/recordpb"
+	"caperarch/internal/proxy/record"
+	"caperarch/internal/proxy/record/recordpb"
 	"caperarch/policy"
 )
 
--- a/internal/rig/fleet/answers.go
+++ b/internal/lab/rig/fleet/answers.go
@@ -10,7 +10,7 @@
 	"sync"
 	"time"
 
-	"caperarch/internal/rig"
+	"caperarch/internal/lab/rig"
 )
 
 // answer is one request of a client and how it ended.
--- a/internal/rig/fleet/datagrams.go
+++ b/internal/lab/rig/fleet/datagrams.go
@@ -9,7 +9,7 @@
 	"sync/atomic"
 	"time"
 
-	"caperarch/internal/rig"
+	"caperarch/internal/lab/rig"
 )
 
 // datagrams is the way between sidecars. Sidecar i sends to j's relay; j gets it from i's: so each finds the others at
--- a/internal/rig/fleet/fleet.go
+++ b/internal/lab/rig/fleet/fleet.go
@@ -17,7 +17,7 @@
 	"syscall"
 	"time"
 
-	"caperarch/internal/rig"
+	"caperarch/internal/lab/rig"
 )
 
 // Config is what a fleet is made of.
--- a/internal/rig/fleet/plan.go
+++ b/internal/lab/rig/fleet/plan.go
@@ -10,7 +10,7 @@
 	"sync"
 	"time"
 
-	"caperarch/internal/rig"
+	"caperarch/internal/lab/rig"
 )
 
 // Plan is what goes wrong in a run of a fleet, drawn from a seed.
--- a/internal/rig/fleet/policy.go
+++ b/internal/lab/rig/fleet/policy.go
@@ -10,8 +10,8 @@
 	"time"
 
 	program "caperarch/internal/fleet"
-	"caperarch/internal/fleetpolicy"
-	"caperarch/internal/rig"
+	"caperarch/internal/fleet/fleetpolicy"
+	"caperarch/internal/lab/rig"
 )
 
 // Two policies that tell by where requests go who goes by which: by the first alone nothing goes to Marked[0], by the second alone nothing to Marked[1], by both or cut
--- a/internal/rig/fleet/spread.go
+++ b/internal/lab/rig/fleet/spread.go
@@ -10,7 +10,7 @@
 	"sync/atomic"
 	"time"
 
-	"caperarch/internal/even"
+	"caperarch/internal/lab/even"
 )
 
 // Streams has each sidecar that runs sent a stream of its own, at random moments, of rate requests a second as that is now, until stop is called. It returns once all have ended.
--- a/internal/rig/fleet/ways.go
+++ b/internal/lab/rig/fleet/ways.go
@@ -11,7 +11,7 @@
 	"sync"
 	"time"
 
-	"caperarch/internal/rig"
+	"caperarch/internal/lab/rig"
 )
 
 // ways are the connections between sidecars and what they connect to. One that is cut off says nothing: what stands stays
--- a/internal/rig/fleet/work.go
+++ b/internal/lab/rig/fleet/work.go
@@ -11,8 +11,8 @@
 	"sync"
 	"time"
 
-	"caperarch/internal/fleetpolicy"
-	"caperarch/internal/rig"
+	"caperarch/internal/fleet/fleetpolicy"
+	"caperarch/internal/lab/rig"
 )
 
 // Stay is one machine's time with an operator: from when somebody was told that it is free to work on, until that one says that the work is done.
--- a/internal/swim/swimnet/net.go
+++ b/internal/lab/swimnet/net.go
@@ -8,8 +8,8 @@
 	"math/rand/v2"
 	"time"
 
-	"caperarch/internal/swim"
-	"caperarch/internal/virtual"
+	"caperarch/internal/fleet/swim"
+	"caperarch/internal/lab/virtual"
 )
 
 // Config is what a fleet is made of.
--- a/internal/swim/swimnet/truth.go
+++ b/internal/lab/swimnet/truth.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"caperarch/internal/swim"
+	"caperarch/internal/fleet/swim"
 )
 
 // truth is what the world knows of a process: the checker goes by it, and by nothing that a node says of itself.
--- a/internal/mesh/balancer/balancer_test.go
+++ b/internal/mesh/balancer/balancer_test.go
@@ -9,7 +9,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 	"pgregory.net/rapid"
 
-	"caperarch/internal/engine"
+	"caperarch/internal/proxy/engine"
 	"caperarch/policy"
 )
 
--- a/internal/mesh/balancer/compartment.go
+++ b/internal/mesh/balancer/compartment.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"caperarch/internal/sizing"
+	"caperarch/internal/proxy/sizing"
 )
 
 // CompartmentSpec names a request's compartment and tells its part of all of them.
--- a/internal/mesh/headers/attempt.go
+++ b/internal/mesh/headers/attempt.go
@@ -8,7 +8,7 @@
 	"sync/atomic"
 	"time"
 
-	"caperarch/internal/h1"
+	"caperarch/internal/proxy/h1"
 )
 
 // Attempt is what a caller's sidecar tells the gate beside an upstream.
--- a/internal/mesh/headers/headers.go
+++ b/internal/mesh/headers/headers.go
@@ -11,7 +11,7 @@
 	"strconv"
 	"time"
 
-	"caperarch/internal/h1"
+	"caperarch/internal/proxy/h1"
 )
 
 // Fields of requests and answers, in canonical form.
--- a/internal/mesh/headers/headers_test.go
+++ b/internal/mesh/headers/headers_test.go
@@ -9,8 +9,8 @@
 	. "github.com/smartystreets/goconvey/convey"
 	"pgregory.net/rapid"
 
-	"caperarch/internal/call"
-	"caperarch/internal/h1"
+	"caperarch/internal/proxy/call"
+	"caperarch/internal/proxy/h1"
 	"caperarch/policy"
 )
 
--- a/internal/mesh/headers/verdict.go
+++ b/internal/mesh/headers/verdict.go
@@ -3,7 +3,7 @@
 import (
 	"net/http"
 
-	"caperarch/internal/call"
+	"caperarch/internal/proxy/call"
 	"caperarch/policy"
 )
 
--- a/internal/mesh/sidecar/beats_test.go
+++ b/internal/mesh/sidecar/beats_test.go
@@ -14,9 +14,7 @@
 
 	"go.uber.org/zap"
 
-	"caperarch/internal/call"
-	"caperarch/internal/clock"
-	"caperarch/internal/engine"
+	"caperarch/internal/lab/rig"
 	"caperarch/internal/mesh/balancer"
 	"caperarch/internal/mesh/config"
 	"caperarch/internal/mesh/gate"
@@ -24,8 +22,10 @@
 	"caperarch/internal/mesh/registry"
 	"caperarch/internal/mesh/settings"
 	"caperarch/internal/mesh/watch"
-	"caperarch/internal/rig"
-	"caperarch/internal/transport/http1"
+	"caperarch/internal/proxy/call"
+	"caperarch/internal/proxy/clock"
+	"caperarch/internal/proxy/engine"
+	"caperarch/internal/proxy/transport/http1"
 	"caperarch/policy"
 )
 
--- a/internal/mesh/sidecar/endpoints.go
+++ b/internal/mesh/sidecar/endpoints.go
@@ -5,8 +5,8 @@
 	"sync"
 	"time"
 
-	"caperarch/internal/call"
 	"caperarch/internal/mesh/registry"
+	"caperarch/internal/proxy/call"
 	"caperarch/policy"
 )
 
--- a/internal/mesh/sidecar/inbound.go
+++ b/internal/mesh/sidecar/inbound.go
@@ -5,12 +5,12 @@
 	"sync/atomic"
 	"time"
 
-	"caperarch/internal/call"
-	"caperarch/internal/clock"
-	"caperarch/internal/front/http1"
-	"caperarch/internal/h1"
 	"caperarch/internal/mesh/gate"
 	"caperarch/internal/mesh/headers"
+	"caperarch/internal/proxy/call"
+	"caperarch/internal/proxy/clock"
+	"caperarch/internal/proxy/front/http1"
+	"caperarch/internal/proxy/h1"
 	"caperarch/policy"
 )
 
--- a/internal/mesh/sidecar/once_test.go
+++ b/internal/mesh/sidecar/once_test.go
@@ -16,17 +16,17 @@
 
 	"go.uber.org/zap"
 
-	"caperarch/internal/call"
-	"caperarch/internal/clock"
-	"caperarch/internal/engine"
-	fronthttp1 "caperarch/internal/front/http1"
 	"caperarch/internal/mesh/balancer"
 	"caperarch/internal/mesh/config"
 	"caperarch/internal/mesh/gate"
 	"caperarch/internal/mesh/headers"
 	"caperarch/internal/mesh/registry"
 	"caperarch/internal/mesh/settings"
-	"caperarch/internal/transport/http1"
+	"caperarch/internal/proxy/call"
+	"caperarch/internal/proxy/clock"
+	"caperarch/internal/proxy/engine"
+	fronthttp1 "caperarch/internal/proxy/front/http1"
+	"caperarch/internal/proxy/transport/http1"
 	"caperarch/policy"
 )
 
--- a/internal/mesh/sidecar/outbound.go
+++ b/internal/mesh/sidecar/outbound.go
@@ -9,12 +9,12 @@
 	"sync"
 	"time"
 
-	"caperarch/internal/call"
-	"caperarch/internal/front/http1"
-	"caperarch/internal/h1"
 	"caperarch/internal/mesh/balancer"
 	"caperarch/internal/mesh/config"
 	"caperarch/internal/mesh/headers"
+	"caperarch/internal/proxy/call"
+	"caperarch/internal/proxy/front/http1"
+	"caperarch/internal/proxy/h1"
 	"caperarch/policy"
 )
 
--- a/internal/mesh/sidecar/quota.go
+++ b/internal/mesh/sidecar/quota.go
@@ -6,11 +6,11 @@
 	"sync"
 	"time"
 
-	"caperarch/internal/clock"
 	"caperarch/internal/mesh/config"
 	"caperarch/internal/mesh/quota"
 	"caperarch/internal/mesh/rpc"
 	"caperarch/internal/mesh/settings"
+	"caperarch/internal/proxy/clock"
 
 	"go.uber.org/zap"
 )
--- a/internal/mesh/sidecar/sidecar_test.go
+++ b/internal/mesh/sidecar/sidecar_test.go
@@ -11,10 +11,6 @@
 	"go.uber.org/zap"
 	"pgregory.net/rapid"
 
-	"caperarch/internal/call"
-	"caperarch/internal/clock"
-	"caperarch/internal/front/http1"
-	"caperarch/internal/h1"
 	"caperarch/internal/mesh/balancer"
 	"caperarch/internal/mesh/config"
 	"caperarch/internal/mesh/errs"
@@ -22,6 +18,10 @@
 	"caperarch/internal/mesh/headers"
 	"caperarch/internal/mesh/registry"
 	"caperarch/internal/mesh/settings"
+	"caperarch/internal/proxy/call"
+	"caperarch/internal/proxy/clock"
+	"caperarch/internal/proxy/front/http1"
+	"caperarch/internal/proxy/h1"
 	"caperarch/policy"
 )
 
--- a/internal/admission/weighed/weighed.go
+++ b/internal/proxy/admission/weighed/weighed.go
@@ -7,7 +7,7 @@
 	"math/rand/v2"
 	"time"
 
-	"caperarch/internal/admission"
+	"caperarch/internal/proxy/admission"
 )
 
 // SRE is client-side throttling as in Google's SRE book, chapter 21, "Handling Overload": it refuses with the chance
--- a/internal/engine/engine.go
+++ b/internal/proxy/engine/engine.go
@@ -12,8 +12,8 @@
 	"sync/atomic"
 	"time"
 
-	"caperarch/internal/call"
-	"caperarch/internal/clock"
+	"caperarch/internal/proxy/call"
+	"caperarch/internal/proxy/clock"
 	"caperarch/policy"
 )
 
--- a/internal/engine/engine_test.go
+++ b/internal/proxy/engine/engine_test.go
@@ -8,12 +8,12 @@
 	"testing"
 	"time"
 
-	"caperarch/internal/call"
-	"caperarch/internal/clock"
-	"caperarch/internal/config"
-	"caperarch/internal/membership"
-	"caperarch/internal/rig"
-	"caperarch/internal/transport/http1"
+	"caperarch/internal/daemon/config"
+	"caperarch/internal/lab/rig"
+	"caperarch/internal/proxy/call"
+	"caperarch/internal/proxy/clock"
+	"caperarch/internal/proxy/membership"
+	"caperarch/internal/proxy/transport/http1"
 	"caperarch/policy"
 )
 
--- a/internal/engine/host.go
+++ b/internal/proxy/engine/host.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"caperarch/internal/call"
+	"caperarch/internal/proxy/call"
 	"caperarch/policy"
 )
 
--- a/internal/engine/news.go
+++ b/internal/proxy/engine/news.go
@@ -1,7 +1,7 @@
 package engine
 
 import (
-	"caperarch/internal/call"
+	"caperarch/internal/proxy/call"
 	"caperarch/policy"
 )
 
--- a/internal/engine/pause_test.go
+++ b/internal/proxy/engine/pause_test.go
@@ -8,8 +8,8 @@
 	"testing/synctest"
 	"time"
 
-	"caperarch/internal/call"
-	"caperarch/internal/clock"
+	"caperarch/internal/proxy/call"
+	"caperarch/internal/proxy/clock"
 	"caperarch/policy"
 )
 
--- a/internal/engine/quiet_test.go
+++ b/internal/proxy/engine/quiet_test.go
@@ -9,8 +9,8 @@
 	"testing/synctest"
 	"time"
 
-	"caperarch/internal/call"
-	"caperarch/internal/rig"
+	"caperarch/internal/lab/rig"
+	"caperarch/internal/proxy/call"
 	"caperarch/policy"
 )
 
--- a/internal/front/http1/accept.go
+++ b/internal/proxy/front/http1/accept.go
@@ -7,7 +7,7 @@
 	"syscall"
 	"time"
 
-	"caperarch/internal/clock"
+	"caperarch/internal/proxy/clock"
 )
 
 const (
--- a/internal/front/http1/accept_test.go
+++ b/internal/proxy/front/http1/accept_test.go
@@ -4,7 +4,7 @@
 	"net"
 	"testing"
 
-	"caperarch/internal/clock"
+	"caperarch/internal/proxy/clock"
 )
 
 // At the bound one waits for room; a connection at rest makes it, one whose request has just been
--- a/internal/front/http1/ahead.go
+++ b/internal/proxy/front/http1/ahead.go
@@ -6,9 +6,9 @@
 	"syscall"
 	"time"
 
-	"caperarch/internal/call"
-	"caperarch/internal/figures"
-	"caperarch/internal/h1"
+	"caperarch/internal/proxy/call"
+	"caperarch/internal/proxy/figures"
+	"caperarch/internal/proxy/h1"
 	"caperarch/policy"
 )
 
--- a/internal/front/http1/ahead_test.go
+++ b/internal/proxy/front/http1/ahead_test.go
@@ -15,10 +15,10 @@
 	"testing"
 	"time"
 
-	"caperarch/internal/call"
-	"caperarch/internal/clock"
-	"caperarch/internal/h1"
-	"caperarch/internal/rig"
+	"caperarch/internal/lab/rig"
+	"caperarch/internal/proxy/call"
+	"caperarch/internal/proxy/clock"
+	"caperarch/internal/proxy/h1"
 	"caperarch/policy"
 )
 
--- a/internal/front/http1/body.go
+++ b/internal/proxy/front/http1/body.go
@@ -10,9 +10,9 @@
 	"sync/atomic"
 	"time"
 
-	"caperarch/internal/call"
-	"caperarch/internal/h1"
-	"caperarch/internal/stream"
+	"caperarch/internal/proxy/call"
+	"caperarch/internal/proxy/h1"
+	"caperarch/internal/proxy/stream"
 )
 
 const (
--- a/internal/front/http1/conn.go
+++ b/internal/proxy/front/http1/conn.go
@@ -15,10 +15,10 @@
 	"syscall"
 	"time"
 
-	"caperarch/internal/call"
-	"caperarch/internal/figures"
-	"caperarch/internal/h1"
-	"caperarch/internal/stream"
+	"caperarch/internal/proxy/call"
+	"caperarch/internal/proxy/figures"
+	"caperarch/internal/proxy/h1"
+	"caperarch/internal/proxy/stream"
 )
 
 // lingerMost bounds in bytes what is read over behind a rejected request: several whole ones.
--- a/internal/front/http1/front.go
+++ b/internal/proxy/front/http1/front.go
@@ -11,10 +11,10 @@
 	"sync/atomic"
 	"time"
 
-	"caperarch/internal/call"
-	"caperarch/internal/clock"
-	"caperarch/internal/figures"
-	"caperarch/internal/h1"
+	"caperarch/internal/proxy/call"
+	"caperarch/internal/proxy/clock"
+	"caperarch/internal/proxy/figures"
+	"caperarch/internal/proxy/h1"
 	"caperarch/policy"
 )
 
--- a/internal/front/http1/gate.go
+++ b/internal/proxy/front/http1/gate.go
@@ -4,8 +4,8 @@
 	"sync"
 	"time"
 
-	"caperarch/internal/clock"
-	"caperarch/internal/share"
+	"caperarch/internal/proxy/clock"
+	"caperarch/internal/proxy/share"
 )
 
 const (
--- a/internal/front/http1/gate_test.go
+++ b/internal/proxy/front/http1/gate_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"caperarch/internal/clock"
+	"caperarch/internal/proxy/clock"
 )
 
 // However many connections of a flooded pool want to be read, one of a quiet pool's is read next; all permits come back.
--- a/internal/front/http1/limits_test.go
+++ b/internal/proxy/front/http1/limits_test.go
@@ -13,8 +13,8 @@
 	"testing/synctest"
 	"time"
 
-	"caperarch/internal/clock"
-	"caperarch/internal/h1"
+	"caperarch/internal/proxy/clock"
+	"caperarch/internal/proxy/h1"
 	"caperarch/policy"
 )
 
--- a/internal/front/http1/request.go
+++ b/internal/proxy/front/http1/request.go
@@ -6,8 +6,8 @@
 	"strings"
 	"time"
 
-	"caperarch/internal/call"
-	"caperarch/internal/h1"
+	"caperarch/internal/proxy/call"
+	"caperarch/internal/proxy/h1"
 	"caperarch/policy"
 )
 
--- a/internal/front/http1/scratch.go
+++ b/internal/proxy/front/http1/scratch.go
@@ -3,7 +3,7 @@
 import (
 	"sync"
 
-	"caperarch/internal/h1"
+	"caperarch/internal/proxy/h1"
 )
 
 // scratchSize holds the head and body of nearly all requests. Longer heads get a buffer of their own.
--- a/internal/membership/membership.go
+++ b/internal/proxy/membership/membership.go
@@ -14,7 +14,7 @@
 	"sync"
 	"time"
 
-	"caperarch/internal/call"
+	"caperarch/internal/proxy/call"
 	"caperarch/policy"
 )
 
--- a/internal/membership/shared.go
+++ b/internal/proxy/membership/shared.go
@@ -9,7 +9,7 @@
 	"strings"
 	"sync"
 
-	"caperarch/internal/call"
+	"caperarch/internal/proxy/call"
 	"caperarch/policy"
 )
 
--- a/internal/membership/shared_test.go
+++ b/internal/proxy/membership/shared_test.go
@@ -4,8 +4,8 @@
 	"sync"
 	"testing"
 
-	"caperarch/internal/call"
-	"caperarch/internal/rig"
+	"caperarch/internal/lab/rig"
+	"caperarch/internal/proxy/call"
 	"caperarch/policy"
 )
 
--- a/internal/pool/pool.go
+++ b/internal/proxy/pool/pool.go
@@ -10,10 +10,10 @@
 	"sync/atomic"
 	"time"
 
-	"caperarch/internal/call"
-	"caperarch/internal/clock"
-	"caperarch/internal/engine"
-	"caperarch/internal/membership"
+	"caperarch/internal/proxy/call"
+	"caperarch/internal/proxy/clock"
+	"caperarch/internal/proxy/engine"
+	"caperarch/internal/proxy/membership"
 	"caperarch/policy"
 )
 
--- a/internal/record/reader.go
+++ b/internal/proxy/record/reader.go
@@ -8,7 +8,7 @@
 
 	"google.golang.org/protobuf/encoding/protodelim"
 
-	"caperarch/internal/record/recordpb"
+	"caperarch/internal/proxy/record/recordpb"
 )
 
 // recordMost bounds a record in bytes: a list of some 20,000 servers.
--- a/internal/record/record_test.go
+++ b/internal/proxy/record/record_test.go
@@ -9,11 +9,11 @@
 	"testing/synctest"
 	"time"
 
-	"caperarch/internal/emu"
-	"caperarch/internal/engine"
-	"caperarch/internal/record"
-	"caperarch/internal/record/recordpb"
-	"caperarch/internal/replay"
+	"caperarch/internal/lab/emu"
+	"caperarch/internal/lab/replay"
+	"caperarch/internal/proxy/engine"
+	"caperarch/internal/proxy/record"
+	"caperarch/internal/proxy/record/recordpb"
 	"caperarch/policy"
 )
 
--- a/internal/record/scribe.go
+++ b/internal/proxy/record/scribe.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"caperarch/internal/record/recordpb"
+	"caperarch/internal/proxy/record/recordpb"
 	"caperarch/policy"
 )
 
--- a/internal/record/tap.go
+++ b/internal/proxy/record/tap.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"time"
 
-	"caperarch/internal/record/recordpb"
+	"caperarch/internal/proxy/record/recordpb"
 	"caperarch/policy"
 )
 
--- a/internal/record/writer.go
+++ b/internal/proxy/record/writer.go
@@ -11,7 +11,7 @@
 	"google.golang.org/protobuf/encoding/protowire"
 	"google.golang.org/protobuf/proto"
 
-	"caperarch/internal/record/recordpb"
+	"caperarch/internal/proxy/record/recordpb"
 )
 
 // pendingMost bounds in bytes what is written and not yet taken by the file: a slow one ends the recording, not the requests.
--- a/internal/transport/grpc/attempt.go
+++ b/internal/proxy/transport/grpc/attempt.go
@@ -13,7 +13,7 @@
 	"google.golang.org/grpc/status"
 	"google.golang.org/protobuf/proto"
 
-	"caperarch/internal/call"
+	"caperarch/internal/proxy/call"
 	"caperarch/policy"
 )
 
--- a/internal/transport/grpc/orca.go
+++ b/internal/proxy/transport/grpc/orca.go
@@ -11,7 +11,7 @@
 	"google.golang.org/protobuf/proto"
 	"google.golang.org/protobuf/types/known/durationpb"
 
-	"caperarch/internal/wire"
+	"caperarch/internal/proxy/wire"
 	"caperarch/policy"
 )
 
--- a/internal/transport/grpc/stream.go
+++ b/internal/proxy/transport/grpc/stream.go
@@ -9,7 +9,7 @@
 	"google.golang.org/grpc"
 	"google.golang.org/grpc/metadata"
 
-	"caperarch/internal/call"
+	"caperarch/internal/proxy/call"
 	"caperarch/policy"
 )
 
--- a/internal/transport/grpc/transport.go
+++ b/internal/proxy/transport/grpc/transport.go
@@ -13,8 +13,8 @@
 	"google.golang.org/grpc/credentials"
 	"google.golang.org/grpc/credentials/insecure"
 
-	"caperarch/internal/call"
-	"caperarch/internal/clock"
+	"caperarch/internal/proxy/call"
+	"caperarch/internal/proxy/clock"
 	"caperarch/policy"
 )
 
--- a/internal/transport/grpc/transport_test.go
+++ b/internal/proxy/transport/grpc/transport_test.go
@@ -16,9 +16,9 @@
 	"google.golang.org/protobuf/proto"
 	"google.golang.org/protobuf/types/known/wrapperspb"
 
-	"caperarch/internal/call"
-	"caperarch/internal/clock"
-	"caperarch/internal/rig"
+	"caperarch/internal/lab/rig"
+	"caperarch/internal/proxy/call"
+	"caperarch/internal/proxy/clock"
 	"caperarch/policy"
 )
 
--- a/internal/transport/http1/patience_test.go
+++ b/internal/proxy/transport/http1/patience_test.go
@@ -7,8 +7,8 @@
 	"testing/synctest"
 	"time"
 
-	"caperarch/internal/clock"
-	"caperarch/internal/stream"
+	"caperarch/internal/proxy/clock"
+	"caperarch/internal/proxy/stream"
 	"caperarch/policy"
 )
 
--- a/internal/transport/http1/transport.go
+++ b/internal/proxy/transport/http1/transport.go
@@ -21,11 +21,11 @@
 	"syscall"
 	"time"
 
-	"caperarch/internal/call"
-	"caperarch/internal/clock"
-	"caperarch/internal/h1"
-	"caperarch/internal/stream"
-	"caperarch/internal/wire"
+	"caperarch/internal/proxy/call"
+	"caperarch/internal/proxy/clock"
+	"caperarch/internal/proxy/h1"
+	"caperarch/internal/proxy/stream"
+	"caperarch/internal/proxy/wire"
 	"caperarch/policy"
 
 	"golang.org/x/sys/unix"
--- a/internal/transport/http1/transport_test.go
+++ b/internal/proxy/transport/http1/transport_test.go
@@ -10,10 +10,10 @@
 	"testing"
 	"time"
 
-	"caperarch/internal/call"
-	"caperarch/internal/clock"
-	"caperarch/internal/rig"
-	"caperarch/internal/wire"
+	"caperarch/internal/lab/rig"
+	"caperarch/internal/proxy/call"
+	"caperarch/internal/proxy/clock"
+	"caperarch/internal/proxy/wire"
 	"caperarch/policy"
 )
 
--- a/internal/walls/walls.go
+++ b/internal/proxy/walls/walls.go
@@ -8,7 +8,7 @@
 	"math"
 	"time"
 
-	"caperarch/internal/traffic"
+	"caperarch/internal/proxy/traffic"
 )
 
 const (
--- a/plugin/client.go
+++ b/plugin/client.go
@@ -13,10 +13,10 @@
 	"sync/atomic"
 	"time"
 
-	"caperarch/internal/call"
-	"caperarch/internal/clock"
-	"caperarch/internal/pool"
-	"caperarch/internal/transport/http1"
+	"caperarch/internal/proxy/call"
+	"caperarch/internal/proxy/clock"
+	"caperarch/internal/proxy/pool"
+	"caperarch/internal/proxy/transport/http1"
 	"caperarch/policy"
 )
 
--- a/plugin/config.go
+++ b/plugin/config.go
@@ -11,10 +11,10 @@
 	"strings"
 	"time"
 
-	"caperarch/internal/call"
-	"caperarch/internal/config"
-	"caperarch/internal/pool"
-	"caperarch/internal/wire"
+	"caperarch/internal/daemon/config"
+	"caperarch/internal/proxy/call"
+	"caperarch/internal/proxy/pool"
+	"caperarch/internal/proxy/wire"
 	"caperarch/policy"
 )
 
--- a/plugin/grpcplugin/conn.go
+++ b/plugin/grpcplugin/conn.go
@@ -33,10 +33,10 @@
 	"google.golang.org/protobuf/proto"
 	"google.golang.org/protobuf/types/known/durationpb"
 
-	"caperarch/internal/call"
-	"caperarch/internal/clock"
-	"caperarch/internal/pool"
-	grpctransport "caperarch/internal/transport/grpc"
+	"caperarch/internal/proxy/call"
+	"caperarch/internal/proxy/clock"
+	"caperarch/internal/proxy/pool"
+	grpctransport "caperarch/internal/proxy/transport/grpc"
 	"caperarch/plugin"
 	"caperarch/policy"
 
--- a/plugin/grpcplugin/stream.go
+++ b/plugin/grpcplugin/stream.go
@@ -12,8 +12,8 @@
 	"google.golang.org/grpc/metadata"
 	"google.golang.org/grpc/status"
 
-	"caperarch/internal/call"
-	grpctransport "caperarch/internal/transport/grpc"
+	"caperarch/internal/proxy/call"
+	grpctransport "caperarch/internal/proxy/transport/grpc"
 	"caperarch/plugin"
 )
 
--- a/plugin/pools.go
+++ b/plugin/pools.go
@@ -7,10 +7,10 @@
 	"log/slog"
 	"sync"
 
-	"caperarch/internal/clock"
-	"caperarch/internal/config"
-	"caperarch/internal/route"
-	"caperarch/internal/share"
+	"caperarch/internal/daemon/config"
+	"caperarch/internal/proxy/clock"
+	"caperarch/internal/proxy/route"
+	"caperarch/internal/proxy/share"
 )
 
 // PoolsConfig is what a client with several pools has beside the operator's file. Bounds are over all pools, 0 stands
--- a/plugin/roundtrip.go
+++ b/plugin/roundtrip.go
@@ -8,7 +8,7 @@
 	"net/http"
 	"strconv"
 
-	"caperarch/internal/call"
+	"caperarch/internal/proxy/call"
 	"caperarch/policy"
 )
 
--- a/policy/api.go
+++ b/policy/api.go
@@ -21,8 +21,8 @@
 	"math/rand/v2"
 	"time"
 
-	"caperarch/internal/admission"
-	"caperarch/internal/terms"
+	"caperarch/internal/proxy/admission"
+	"caperarch/internal/proxy/terms"
 )
 
 // RequestID names a request; the host picks it and never uses one twice.
@@ -31,7 +31,7 @@
 // ServerID names a server; it stays the same when the server restarts.
 type ServerID uint64
 
-// What the settings say of classes of requests and of tenants: see internal/terms.
+// What the settings say of classes of requests and of tenants: see internal/proxy/terms.
 type (
 	Effect = terms.Effect
 	Scope  = terms.Scope
--- a/policy/config.go
+++ b/policy/config.go
@@ -6,13 +6,13 @@
 	"math/rand/v2"
 	"time"
 
-	"caperarch/internal/admission"
-	"caperarch/internal/asking"
-	"caperarch/internal/inquiry"
-	"caperarch/internal/inturn"
-	"caperarch/internal/subset"
-	"caperarch/internal/terms"
-	"caperarch/internal/walls"
+	"caperarch/internal/proxy/admission"
+	"caperarch/internal/proxy/asking"
+	"caperarch/internal/proxy/inquiry"
+	"caperarch/internal/proxy/inturn"
+	"caperarch/internal/proxy/subset"
+	"caperarch/internal/proxy/terms"
+	"caperarch/internal/proxy/walls"
 )
 
 // New makes a Balancer, or returns an error that names the unusable field.
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -10,8 +10,8 @@
 	"slices"
 	"time"
 
-	"caperarch/internal/admission"
-	"caperarch/internal/cold"
+	"caperarch/internal/proxy/admission"
+	"caperarch/internal/proxy/cold"
 )
 
 const (
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -7,8 +7,8 @@
 	"testing"
 	"time"
 
-	"caperarch/internal/admission"
-	"caperarch/internal/sizing"
+	"caperarch/internal/proxy/admission"
+	"caperarch/internal/proxy/sizing"
 )
 
 func TestSlotsAndQueue(t *testing.T) {
--- a/policy/sizing.go
+++ b/policy/sizing.go
@@ -6,10 +6,10 @@
 	"cmp"
 	"time"
 
-	"caperarch/internal/admission"
-	"caperarch/internal/cold"
-	"caperarch/internal/sizing"
-	"caperarch/internal/subset"
+	"caperarch/internal/proxy/admission"
+	"caperarch/internal/proxy/cold"
+	"caperarch/internal/proxy/sizing"
+	"caperarch/internal/proxy/subset"
 )
 
 // resize takes how many there are now.
--- a/policy/state.go
+++ b/policy/state.go
@@ -6,12 +6,12 @@
 	"slices"
 	"time"
 
-	"caperarch/internal/admission"
-	"caperarch/internal/asking"
-	"caperarch/internal/inquiry"
-	"caperarch/internal/inturn"
-	"caperarch/internal/traffic"
-	"caperarch/internal/walls"
+	"caperarch/internal/proxy/admission"
+	"caperarch/internal/proxy/asking"
+	"caperarch/internal/proxy/inquiry"
+	"caperarch/internal/proxy/inturn"
+	"caperarch/internal/proxy/traffic"
+	"caperarch/internal/proxy/walls"
 )
 
 type server struct {
