--- a/internal/mesh/controlplane/golden_test.go
+++ b/internal/mesh/controlplane/golden_test.go
@@ -1,6 +1,10 @@
 package controlplane
 
-import "testing"
+import (
+	"testing"
+
+	"caperarch/internal/mesh/config"
+)
 
 // Core machines of the release before ask each other at these paths.
 func TestPaths(t *testing.T) {
@@ -16,3 +20,15 @@
 		}
 	}
 }
+
+// The log holds a change behind the eight bytes of its proposal's number.
+func TestCommandInTheLog(t *testing.T) {
+	change, err := config.ParseUpdate([]byte(`{"configVersion": 9, "baseVersion": 7}`))
+	if err != nil {
+		t.Fatal(err)
+	}
+	want := "\x01\x02\x03\x04\x05\x06\x07\x08" + `{"form":"update","body":{"configVersion":9,"baseVersion":7}}`
+	if got := command(0x0102030405060708, change); string(got) != want {
+		t.Errorf("the command is %q, want %q", got, want)
+	}
+}
