--- a/internal/mesh/watch/client.go
+++ b/internal/mesh/watch/client.go
@@ -16,18 +16,18 @@
 const (
 	// firstPause and lastPause bound the pauses between members that fail one
 	// after the other, against a crowd that knocks without a break.
-	firstPause = 50 * time.Millisecond
-	lastPause  = 800 * time.Millisecond
+	minBackoff = 50 * time.Millisecond
+	maxBackoff = 800 * time.Millisecond
 	// steadyAfter is how long a member must have served for its failure to
 	// count as a first one, against a fast round between members that all fail.
-	steadyAfter = time.Second
+	stableAfter = time.Second
 	// maxKnown bounds the members remembered, against a member gone wrong.
-	maxKnown = 64
+	maxKnownMembers = 64
 	// largeFrame is the size from which a frame's buffer is let go, so that one
 	// large configuration does not hold its memory for good.
-	largeFrame = 256 << 10
+	maxRetainedFrame = 256 << 10
 	// maxRefusal bounds what is read of a refused watch.
-	maxRefusal = 4 << 10
+	maxErrorBody = 4 << 10
 )
 
 // ClientConfig is what a Client is made of. All fields but Zone, Seeds,
@@ -61,45 +61,45 @@
 // Client is the sidecar's side: it holds a lease and a watch at one core
 // member and goes to another when that one fails.
 type Client struct {
-	cfg   ClientConfig
-	poke  chan struct{}
-	again chan struct{}
-	lost  chan struct{} // the member kept to says that it has no contact
-
-	mu        sync.Mutex
-	sequence  uint64
-	left      bool
-	connected bool
-	members   int
-	largest   int
-	seeds     []string
-	learned   []Peer
-	current   string
-	chosen    string // the member found to go to, in place of one without contact
+	cfg         ClientConfig
+	renewNow    chan struct{}
+	resubscribe chan struct{}
+	contactLost chan struct{} // the member kept to says that it has no contact
+
+	mu            sync.Mutex
+	leaseSequence uint64
+	left          bool
+	connected     bool
+	members       int
+	peakMembers   int
+	seeds         []string
+	discovered    []Peer
+	current       string
+	moveTarget    string // the member found to go to, in place of one without contact
 	// confirmedAt is the latest time at which what is applied is known to have
 	// been the newest.
 	confirmedAt time.Time
 
 	// The rest belongs to Run.
-	tried    map[string]bool
-	epoch    uint64 // what is held is everything of this epoch and number,
-	number   uint64 // or nothing is if the epoch is 0
-	services []string
-	whole    bool
+	attempted       map[string]bool
+	registryEpoch   uint64 // what is held is everything of this epoch and number,
+	registryNumber  uint64 // or nothing is if the epoch is 0
+	services        []string
+	needsFullConfig bool
 }
 
 // The reasons for which a Client leaves a member that did not fail.
 var (
-	errAgain  = errs.New(errs.Internal, "the watch is opened anew")
-	errNearer = errs.New(errs.Internal, "a member of the own zone is there")
-	errSilent = errs.New(errs.Unreachable, "the member says nothing")
+	errResubscribe  = errs.New(errs.Internal, "the watch is opened anew")
+	errCloserMember = errs.New(errs.Internal, "a member of the own zone is there")
+	errIdleTimeout  = errs.New(errs.Unreachable, "the member says nothing")
 )
 
 // NewClient makes a Client; Run sets it going.
 func NewClient(cfg ClientConfig) *Client {
 	return &Client{
-		cfg: cfg, poke: make(chan struct{}, 1), again: make(chan struct{}, 1), lost: make(chan struct{}, 1),
-		seeds: slices.Clone(cfg.Seeds), tried: map[string]bool{},
+		cfg: cfg, renewNow: make(chan struct{}, 1), resubscribe: make(chan struct{}, 1), contactLost: make(chan struct{}, 1),
+		seeds: slices.Clone(cfg.Seeds), attempted: map[string]bool{},
 	}
 }
 
@@ -122,7 +122,7 @@
 func (c *Client) PeakMembers() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.largest
+	return c.peakMembers
 }
 
 // Peers gives the internal addresses of the core members known, the one kept to
@@ -130,7 +130,7 @@
 func (c *Client) Peers() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	order := c.order()
+	order := c.memberOrder()
 	if i := slices.Index(order, c.current); i > 0 {
 		order = slices.Insert(slices.Delete(order, i, i+1), 0, c.current)
 	}
@@ -145,10 +145,10 @@
 }
 
 // RenewNow renews the lease at once, since what State gives has changed.
-func (c *Client) RenewNow() { signal(c.poke) }
+func (c *Client) RenewNow() { signal(c.renewNow) }
 
 // Resubscribe opens the watch anew, since what Services gives has changed.
-func (c *Client) Resubscribe() { signal(c.again) }
+func (c *Client) Resubscribe() { signal(c.resubscribe) }
 
 func signal(channel chan struct{}) {
 	select {
--- a/internal/mesh/watch/client_contact.go
+++ b/internal/mesh/watch/client_contact.go
@@ -13,7 +13,7 @@
 	// lostRenewEvery is the time between renewals at a member that has lost its
 	// contact, and between two rounds of asking the others. It bounds what all
 	// sidecars together ask while there is no majority.
-	lostRenewEvery = 400 * time.Millisecond
+	lostContactRenewInterval = 400 * time.Millisecond
 	// probeTimeout bounds a question to another member meanwhile, against
 	// members that are gone; it spans the way between zones and back.
 	probeTimeout = 400 * time.Millisecond
@@ -41,7 +41,7 @@
 
 // confirm takes what an answer proves of the configuration applied. The lock is
 // held.
-func (c *Client) confirm(asked time.Time, answer *LeaseResponse) {
+func (c *Client) recordConfirmation(asked time.Time, answer *LeaseResponse) {
 	if !answer.Contact.OK || !answer.CaughtUp || answer.Contact.Age < 0 {
 		return
 	}
@@ -52,7 +52,7 @@
 
 // seek asks all other members known, the seeds among them, for one with fresh
 // contact, and notes it as the one to go to.
-func (c *Client) seek(ctx context.Context, current string, l *registry.Lease) (found bool) {
+func (c *Client) findMemberInContact(ctx context.Context, current string, l *registry.Lease) (found bool) {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	var others []string
@@ -64,7 +64,7 @@
 	good := make(chan string, len(others))
 	for _, address := range others {
 		go func() {
-			answer, err := c.renew(ctx, address, l)
+			answer, err := c.sendLease(ctx, address, l)
 			if err != nil || !answer.Contact.fresh() {
 				address = ""
 			}
@@ -83,7 +83,7 @@
 	}
 	for _, address := range others {
 		if answers[address] {
-			c.setNext(address)
+			c.setMoveTarget(address)
 			return true
 		}
 	}
@@ -93,36 +93,38 @@
 // seekAfter asks all others at once after a member has failed, so that members
 // that are gone or without contact cost no more than one question in time. If
 // none answers well, the members are tried one after the other.
-func (c *Client) seekAfter(ctx context.Context, failed string) {
-	l := c.lease(false)
-	if l == nil || !c.seek(ctx, failed, l) {
+func (c *Client) findMemberAfterFailure(ctx context.Context, failed string) {
+	l := c.nextLease(false)
+	if l == nil || !c.findMemberInContact(ctx, failed, l) {
 		return
 	}
-	c.keep(failed, false)
+	c.keepOrMove(failed, false)
 }
 
 // setNext notes the member to go to.
-func (c *Client) setNext(address string) {
+func (c *Client) setMoveTarget(address string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.chosen = address
+	c.moveTarget = address
 }
 
 // lostPause is the jittered pause at a member without contact.
-func lostPause() time.Duration { return lostRenewEvery/2 + rand.N(lostRenewEvery/2) }
+func lostContactBackoff() time.Duration {
+	return lostContactRenewInterval/2 + rand.N(lostContactRenewInterval/2)
+}
 
 // confirmFirst has a Client that holds no configuration yet ask again whether
 // the member is in contact, if its first one took long since the watch was
 // asked for: it may have been written by a member that was frozen meanwhile.
-func (c *Client) confirmFirst(ctx context.Context, address string, asked time.Time) error {
+func (c *Client) recheckContact(ctx context.Context, address string, asked time.Time) error {
 	if c.cfg.ConfigVersion() > 0 || time.Since(asked) <= maxContactAge {
 		return nil
 	}
-	l := c.lease(false)
+	l := c.nextLease(false)
 	if l == nil {
 		return nil
 	}
-	answer, err := c.renew(ctx, address, l)
+	answer, err := c.sendLease(ctx, address, l)
 	if err != nil {
 		return err
 	}
--- a/internal/mesh/watch/client_lease.go
+++ b/internal/mesh/watch/client_lease.go
@@ -15,11 +15,11 @@
 // is in contact, as one without may tell nobody; the answer of any other counts
 // if there is none.
 func (c *Client) Leave(ctx context.Context) error {
-	l := c.lease(true)
+	l := c.nextLease(true)
 	failure := errs.New(errs.Unreachable, "no core member is known")
 	told := false
 	for _, address := range c.Peers() {
-		answer, err := c.renew(ctx, address, l)
+		answer, err := c.sendLease(ctx, address, l)
 		if err != nil {
 			failure = err
 			continue
@@ -37,55 +37,55 @@
 
 // keepLease renews until ctx ends, and ends it when the member fails, when a
 // member of the own zone shows up, or when the watch is to be opened anew.
-func (c *Client) keepLease(ctx context.Context, cancel context.CancelCauseFunc, address string) {
+func (c *Client) runLease(ctx context.Context, cancel context.CancelCauseFunc, address string) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	every := renewEvery
+	every := renewInterval
 	for {
 		lost := false
 		select {
 		case <-ctx.Done():
 			return
-		case <-c.again:
-			cancel(errAgain)
+		case <-c.resubscribe:
+			cancel(errResubscribe)
 			return
-		case <-c.poke:
-		case <-c.lost:
+		case <-c.renewNow:
+		case <-c.contactLost:
 			lost = true
 		case <-timer.C:
 		}
-		l := c.lease(false)
+		l := c.nextLease(false)
 		if l == nil {
 			timer.Reset(every)
 			continue
 		}
-		if lost && c.seek(ctx, address, l) {
+		if lost && c.findMemberInContact(ctx, address, l) {
 			cancel(errMoved)
 			return
 		}
-		a, err := c.renew(ctx, address, l)
+		a, err := c.sendLease(ctx, address, l)
 		if err != nil {
 			cancel(err)
 			return
 		}
-		if c.learn(a) {
-			cancel(errNearer)
+		if c.recordMembers(a) {
+			cancel(errCloserMember)
 			return
 		}
 		if a.Contact.OK {
 			timer.Reset(every)
 			continue
 		}
-		if !lost && c.seek(ctx, address, l) {
+		if !lost && c.findMemberInContact(ctx, address, l) {
 			cancel(errMoved)
 			return
 		}
-		timer.Reset(lostPause())
+		timer.Reset(lostContactBackoff())
 	}
 }
 
 // lease makes the next lease to send. It is nil once the sidecar has left.
-func (c *Client) lease(leave bool) *registry.Lease {
+func (c *Client) nextLease(leave bool) *registry.Lease {
 	l := c.cfg.State()
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -93,13 +93,13 @@
 		return nil
 	}
 	c.left = leave
-	c.sequence++
-	l.Node, l.Incarnation, l.Zone, l.Sequence, l.Left = c.cfg.Node, c.cfg.Incarnation, c.cfg.Zone, c.sequence, leave
+	c.leaseSequence++
+	l.Node, l.Incarnation, l.Zone, l.Sequence, l.Left = c.cfg.Node, c.cfg.Incarnation, c.cfg.Zone, c.leaseSequence, leave
 	return &l
 }
 
 // renew sends a lease to a member, and takes what its answer proves.
-func (c *Client) renew(ctx context.Context, address string, l *registry.Lease) (*LeaseResponse, error) {
+func (c *Client) sendLease(ctx context.Context, address string, l *registry.Lease) (*LeaseResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	asked := time.Now()
@@ -109,55 +109,55 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.confirm(asked, answer)
+	c.recordConfirmation(asked, answer)
 	return answer, nil
 }
 
 // learn takes what an answer says of the members. It reports whether a member
 // of the own zone should be gone to: the answer is from another zone, and the
 // own zone's member was not known as such before.
-func (c *Client) learn(a *LeaseResponse) (nearer bool) {
+func (c *Client) recordMembers(a *LeaseResponse) (nearer bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.count(a.Members, a.PeakMembers, a.Syncing || !a.Contact.OK)
+	c.recordCounts(a.Members, a.PeakMembers, a.Syncing || !a.Contact.OK)
 	if !a.Contact.OK {
-		c.learnMore(a.Peers)
+		c.addMembers(a.Peers)
 		return false
 	}
 	if len(a.Peers) == 0 {
 		return false
 	}
 	near := func(p Peer) bool { return p.Zone != "" && p.Zone == c.cfg.Zone }
-	knew := slices.ContainsFunc(c.learned, near)
+	knew := slices.ContainsFunc(c.discovered, near)
 	zones := map[string]string{}
-	for _, p := range c.learned {
+	for _, p := range c.discovered {
 		zones[p.Address] = p.Zone
 	}
-	peers := slices.Clone(a.Peers[:min(len(a.Peers), maxKnown)])
+	peers := slices.Clone(a.Peers[:min(len(a.Peers), maxKnownMembers)])
 	for i, p := range peers {
 		if p.Zone == "" {
 			peers[i].Zone = zones[p.Address]
 		}
 	}
-	c.learned = peers
+	c.discovered = peers
 	return !knew && a.Zone != c.cfg.Zone && slices.ContainsFunc(peers, near)
 }
 
 // learnMore adds the members that one without contact knows of: its list may be
 // old, so it takes nobody away. The lock is held.
-func (c *Client) learnMore(peers []Peer) {
+func (c *Client) addMembers(peers []Peer) {
 	for _, p := range peers {
-		known := slices.ContainsFunc(c.learned, func(l Peer) bool { return l.Address == p.Address })
-		if !known && len(c.learned) < maxKnown {
-			c.learned = append(c.learned, p)
+		known := slices.ContainsFunc(c.discovered, func(l Peer) bool { return l.Address == p.Address })
+		if !known && len(c.discovered) < maxKnownMembers {
+			c.discovered = append(c.discovered, p)
 		}
 	}
 }
 
 // count takes a count of the sidecars. The lock is held.
-func (c *Client) count(members, largest int, young bool) {
+func (c *Client) recordCounts(members, largest int, young bool) {
 	if young {
-		members, largest = max(members, c.members), max(largest, c.largest)
+		members, largest = max(members, c.members), max(largest, c.peakMembers)
 	}
-	c.members, c.largest = members, largest
+	c.members, c.peakMembers = members, largest
 }
--- a/internal/mesh/watch/client_watch.go
+++ b/internal/mesh/watch/client_watch.go
@@ -13,8 +13,8 @@
 )
 
 // follow opens a watch and takes its frames until it fails.
-func (c *Client) follow(ctx context.Context, cancel context.CancelCauseFunc, address string) error {
-	watchdog := time.AfterFunc(silence, func() { cancel(errSilent) })
+func (c *Client) runWatch(ctx context.Context, cancel context.CancelCauseFunc, address string) error {
+	watchdog := time.AfterFunc(idleTimeout, func() { cancel(errIdleTimeout) })
 	defer watchdog.Stop()
 	request := c.watchRequest()
 	asked := time.Now()
@@ -23,7 +23,7 @@
 		return err
 	}
 	defer stream.Close()
-	in := &guarded{r: stream, watchdog: watchdog, left: maxFrame}
+	in := &guardedReader{stream: stream, watchdog: watchdog, remaining: maxFrame}
 	frames := json.NewDecoder(in)
 	for {
 		var f frame
@@ -35,21 +35,21 @@
 			return ctx.Err()
 		}
 		if len(f.Config) > 0 {
-			if err := c.confirmFirst(ctx, address, asked); err != nil {
+			if err := c.recheckContact(ctx, address, asked); err != nil {
 				return err
 			}
 		}
-		if err := c.take(&f, address, request.Whole); err != nil {
+		if err := c.applyFrame(&f, address, request.FullConfig); err != nil {
 			return err
 		}
 		if len(f.Config) > 0 {
-			request.Whole = false
+			request.FullConfig = false
 		}
-		if len(f.Config) > largeFrame {
+		if len(f.Config) > maxRetainedFrame {
 			frames = json.NewDecoder(io.MultiReader(frames.Buffered(), in))
 		}
-		in.left = maxFrame
-		watchdog.Reset(silence)
+		in.remaining = maxFrame
+		watchdog.Reset(idleTimeout)
 	}
 }
 
@@ -60,15 +60,15 @@
 		services = c.cfg.Services()
 	}
 	if !slices.Equal(services, c.services) {
-		c.services, c.epoch = slices.Clone(services), 0
+		c.services, c.registryEpoch = slices.Clone(services), 0
 	}
 	return watchRequest{
 		Node:          c.cfg.Node,
-		Life:          c.cfg.Incarnation,
+		Incarnation:   c.cfg.Incarnation,
 		ConfigVersion: c.cfg.ConfigVersion(),
-		Whole:         c.whole,
-		Epoch:         c.epoch,
-		Number:        c.number,
+		FullConfig:    c.needsFullConfig,
+		Epoch:         c.registryEpoch,
+		Number:        c.registryNumber,
 		Services:      services,
 	}
 }
@@ -89,7 +89,7 @@
 		return nil, errs.Wrap(err, errs.Unreachable, "no watch at %s", address)
 	}
 	if answer.StatusCode != http.StatusOK {
-		said, _ := io.ReadAll(io.LimitReader(answer.Body, maxRefusal))
+		said, _ := io.ReadAll(io.LimitReader(answer.Body, maxErrorBody))
 		answer.Body.Close()
 		return nil, errs.New(errs.Unreachable, "%s refuses the watch: %s %s", address, answer.Status, said)
 	}
@@ -98,27 +98,27 @@
 
 // take hands a frame on. A frame that was asked for whole and is refused still
 // counts as the member's failure.
-func (c *Client) take(f *frame, address string, whole bool) error {
+func (c *Client) applyFrame(f *frame, address string, whole bool) error {
 	if len(f.Config) > 0 {
-		c.whole = !c.cfg.OnConfig(f.Config)
-		if c.whole && whole {
+		c.needsFullConfig = !c.cfg.OnConfig(f.Config)
+		if c.needsFullConfig && whole {
 			return errs.New(errs.Internal, "the whole configuration of %s does not fit", address)
 		}
-		if c.whole {
-			return errAgain
+		if c.needsFullConfig {
+			return errResubscribe
 		}
 	}
 	if news := f.Registry; news != nil {
-		if err := c.takeRegistry(news, address); err != nil {
+		if err := c.applyRegistry(news, address); err != nil {
 			return err
 		}
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if b := f.Beat; b != nil && !b.Contact.OK {
-		signal(c.lost)
+	if b := f.Heartbeat; b != nil && !b.Contact.OK {
+		signal(c.contactLost)
 	} else if b != nil {
-		c.count(b.Members, b.Largest, b.Young)
+		c.recordCounts(b.Members, b.PeakMembers, b.Syncing)
 	}
 	c.current, c.connected = address, true
 	return nil
@@ -127,40 +127,40 @@
 // takeRegistry replaces what is held by a full frame, and amends it by a
 // change. A full frame of a young member only amends: what it does not list may
 // well be there. It will send another, so what it sent is not held as all.
-func (c *Client) takeRegistry(news *registryFrame, address string) error {
+func (c *Client) applyRegistry(news *registryFrame, address string) error {
 	switch {
-	case news.Full && news.Young:
-		c.epoch = 0
+	case news.Full && news.Syncing:
+		c.registryEpoch = 0
 	case news.Full:
-		c.epoch, c.number = news.Epoch, news.Number
-	case c.epoch != 0 && news.Epoch != c.epoch:
-		c.epoch = 0
+		c.registryEpoch, c.registryNumber = news.Epoch, news.Number
+	case c.registryEpoch != 0 && news.Epoch != c.registryEpoch:
+		c.registryEpoch = 0
 		return errs.New(errs.Internal, "%s amends a registry that is not held", address)
-	case c.epoch != 0 && news.Number <= c.number:
+	case c.registryEpoch != 0 && news.Number <= c.registryNumber:
 		return nil
-	case c.epoch != 0:
-		c.number = news.Number
+	case c.registryEpoch != 0:
+		c.registryNumber = news.Number
 	}
-	c.cfg.OnRegistry(news.Full && !news.Young, news.Upserts, news.Removals)
+	c.cfg.OnRegistry(news.Full && !news.Syncing, news.Upserts, news.Removals)
 	return nil
 }
 
 // guarded reads a watch: every byte keeps the watchdog quiet, and no frame
 // takes more memory than allowed.
-type guarded struct {
-	r        io.Reader
-	watchdog *time.Timer
-	left     int
+type guardedReader struct {
+	stream    io.Reader
+	watchdog  *time.Timer
+	remaining int
 }
 
-func (g *guarded) Read(p []byte) (int, error) {
-	if g.left <= 0 {
+func (g *guardedReader) Read(p []byte) (int, error) {
+	if g.remaining <= 0 {
 		return 0, errs.New(errs.TooLarge, "a frame is larger than %d bytes", maxFrame)
 	}
-	n, err := g.r.Read(p[:min(len(p), g.left)])
-	g.left -= n
+	n, err := g.stream.Read(p[:min(len(p), g.remaining)])
+	g.remaining -= n
 	if n > 0 {
-		g.watchdog.Reset(silence)
+		g.watchdog.Reset(idleTimeout)
 	}
 	return n, err
 }
--- a/internal/mesh/watch/contact.go
+++ b/internal/mesh/watch/contact.go
@@ -21,7 +21,7 @@
 	// be held back for the other members' answers. It guards against old
 	// instances told anew; it is bounded so that a member that answers nobody
 	// holds up no start.
-	registryHold = time.Second
+	maxRegistryDelay = time.Second
 )
 
 // Contact is what a core member knows of its contact with a majority: how long
@@ -59,30 +59,30 @@
 		return
 	}
 	s.inContact = true
-	s.youngUntil = now + youngTime
+	s.syncingUntil = now + syncingPeriod
 	if s.hadContact { // else nothing here is from before
-		s.holdUntil = now + registryHold
+		s.registryDelayedUntil = now + maxRegistryDelay
 	}
 	s.hadContact = true
 	s.table.Expire(now)
-	for _, n := range s.neighbours {
-		n.ask()
+	for _, n := range s.peers {
+		n.requestSync()
 	}
 }
 
 // holdsRegistry says whether registry news waits for what the other members
 // answer, since what is held here may be from before the contact was lost: until
 // each has answered or was not reached, and one has answered. The lock is held.
-func (s *Server) holdsRegistry(now time.Duration) bool {
-	if now >= s.holdUntil || len(s.neighbours) == 0 {
+func (s *Server) delaysRegistry(now time.Duration) bool {
+	if now >= s.registryDelayedUntil || len(s.peers) == 0 {
 		return false
 	}
 	answered := false
-	for _, n := range s.neighbours {
-		if n.pending {
+	for _, n := range s.peers {
+		if n.awaitingSync {
 			return true
 		}
-		answered = answered || !n.asking
+		answered = answered || !n.needsSync
 	}
 	return !answered
 }
--- a/internal/mesh/watch/contact_test.go
+++ b/internal/mesh/watch/contact_test.go
@@ -41,7 +41,7 @@
 
 // moveBound is how long after a member's last contact its sidecars are elsewhere: its contact runs out, it looks at it,
 // the sidecar asks the others, and opens a watch.
-const moveBound = maxContactAge + tickEvery + probeTimeout + 50*ms
+const moveBound = maxContactAge + tickInterval + probeTimeout + 50*ms
 
 // isolate cuts the first member from the two others, in the log and between the members.
 func isolate(n *network, q *majority) {
@@ -110,7 +110,7 @@
 		q.pass(5*time.Second, true, func(now time.Duration) {
 			for _, s := range []*sidecar{later, newcomer} {
 				sees := s.sees()
-				if s == newcomer && now < registryHold {
+				if s == newcomer && now < maxRegistryDelay {
 					continue // it came before the member knew that it was cut off
 				}
 				if strings.Contains(sees, "i-c3") || strings.Contains(sees+" ", "i-c2 ") {
@@ -132,7 +132,7 @@
 }
 
 func TestSidecarsLeaveInTime(t *testing.T) {
-	for offset := time.Duration(0); offset < renewEvery; offset += 100 * ms {
+	for offset := time.Duration(0); offset < renewInterval; offset += 100 * ms {
 		mesh(t, "Wherever in the time between two renewals a cut falls, the sidecar is elsewhere in time", func(n *network, m []*member, c []*sidecar) {
 			q := newMajority(m)
 			defer close(q.done)
@@ -159,7 +159,7 @@
 		q.cut(1, 0)
 		q.cut(2, 0)
 		where := []moves{{at: all[0]}, {at: all[1]}, {at: all[2]}}
-		q.pass(maxContactAge+tickEvery, false, func(now time.Duration) {
+		q.pass(maxContactAge+tickInterval, false, func(now time.Duration) {
 			for i, s := range c {
 				where[i].look(s, now)
 			}
@@ -245,16 +245,16 @@
 			Contact: func() (time.Duration, bool) { return 0, true },
 		})
 		So(still.contact().OK, ShouldBeTrue)
-		So(still.holdUntil, ShouldEqual, 0) // at the first contact nothing is from before
+		So(still.registryDelayedUntil, ShouldEqual, 0) // at the first contact nothing is from before
 		for range 20 {
-			pass(youngTime / 10)
+			pass(syncingPeriod / 10)
 			still.contact()
 		}
 		So(still.Syncing(), ShouldBeFalse)
 		pass(10 * time.Second) // and was renewed before it looked
 		So(still.contact().OK, ShouldBeTrue)
 		So(still.Syncing(), ShouldBeTrue)
-		So(still.holdUntil, ShouldBeGreaterThan, still.now())
+		So(still.registryDelayedUntil, ShouldBeGreaterThan, still.now())
 	})
 }
 
@@ -329,7 +329,7 @@
 			for r.Context().Err() == nil {
 				fmt.Fprintln(w, `{"beat":{"contact":{"ok":true}}}`)
 				_ = http.NewResponseController(w).Flush()
-				time.Sleep(beatEvery)
+				time.Sleep(heartbeatInterval)
 			}
 		})
 		defer stop()
@@ -351,7 +351,7 @@
 			for range 4 {
 				fmt.Fprintln(w, `{"beat":{"contact":{"ok":true}}}`)
 				_ = http.NewResponseController(w).Flush()
-				time.Sleep(beatEvery)
+				time.Sleep(heartbeatInterval)
 			}
 			fmt.Fprintln(w, `{"charter":[5]}`)
 			_ = http.NewResponseController(w).Flush()
@@ -413,17 +413,17 @@
 
 func TestRegistryHold(t *testing.T) {
 	Convey("Registry news waits until each member has answered or was not reached, and one has answered, or for its bound", t, func() {
-		one, two := newNeighbour("a:1", nil), newNeighbour("b:1", nil)
-		s := &Server{holdUntil: registryHold, neighbours: map[string]*neighbour{"a:1": one, "b:1": two}}
-		So(s.holdsRegistry(0), ShouldBeTrue)
-		one.pending, one.asking = false, false
-		So(s.holdsRegistry(0), ShouldBeTrue)
-		two.pending = false
-		So(s.holdsRegistry(0), ShouldBeFalse)
-		one.asking = true
-		So(s.holdsRegistry(0), ShouldBeTrue)
-		So(s.holdsRegistry(registryHold), ShouldBeFalse)
-		So((&Server{holdUntil: registryHold}).holdsRegistry(0), ShouldBeFalse)
+		one, two := newGossipPeer("a:1", nil), newGossipPeer("b:1", nil)
+		s := &Server{registryDelayedUntil: maxRegistryDelay, peers: map[string]*gossipPeer{"a:1": one, "b:1": two}}
+		So(s.delaysRegistry(0), ShouldBeTrue)
+		one.awaitingSync, one.needsSync = false, false
+		So(s.delaysRegistry(0), ShouldBeTrue)
+		two.awaitingSync = false
+		So(s.delaysRegistry(0), ShouldBeFalse)
+		one.needsSync = true
+		So(s.delaysRegistry(0), ShouldBeTrue)
+		So(s.delaysRegistry(maxRegistryDelay), ShouldBeFalse)
+		So((&Server{registryDelayedUntil: maxRegistryDelay}).delaysRegistry(0), ShouldBeFalse)
 	})
 }
 
@@ -435,13 +435,13 @@
 			{Contact: Contact{OK: false}, CaughtUp: true}, {Contact: Contact{OK: true}, CaughtUp: false},
 			{Contact: Contact{OK: true, Age: -time.Hour}, CaughtUp: true},
 		} {
-			c.confirm(now, &answer)
+			c.recordConfirmation(now, &answer)
 			_, ok := c.ContactAge()
 			So(ok, ShouldBeFalse)
 		}
 		peers := []Peer{{Address: "a:1"}, {Address: "b:1"}}
-		c.learn(&LeaseResponse{Contact: Contact{OK: true}, Members: 9, PeakMembers: 9, Peers: peers})
-		c.learn(&LeaseResponse{Members: 2, PeakMembers: 3, Peers: []Peer{{Address: "a:1"}, {Address: "c:1"}}})
+		c.recordMembers(&LeaseResponse{Contact: Contact{OK: true}, Members: 9, PeakMembers: 9, Peers: peers})
+		c.recordMembers(&LeaseResponse{Members: 2, PeakMembers: 3, Peers: []Peer{{Address: "a:1"}, {Address: "c:1"}}})
 		So([]int{c.Members(), c.PeakMembers()}, ShouldResemble, []int{9, 9})
 		So(c.Peers(), ShouldHaveLength, 3)
 	})
@@ -451,19 +451,19 @@
 	mesh(t, "A message between members that was held for long vouches for nobody", func(n *network, m []*member, c []*sidecar) {
 		now := m[0].now()
 		up := registry.Upstream{Instance: "late", Service: "s", Address: "late:80", Inbound: "late:90", Sequence: 1}
-		message := func(echo clockReading, node string) *gossip {
-			return &gossip{From: all[1], Echo: echo, Leases: []registry.RemoteLease{{
+		message := func(echo clockReading, node string) *gossipRequest {
+			return &gossipRequest{From: all[1], Echo: echo, Leases: []registry.RemoteLease{{
 				Lease: registry.Lease{Node: node, Incarnation: 1, Sequence: 1, Upstream: &up}, Remaining: registry.LeaseTTL,
 			}}}
 		}
 		late := message(m[0].clock(now), "late")
 		pass(registry.LeaseTTL)
-		for _, q := range []*gossip{late, message(clockReading{99, m[0].now()}, "foreign")} {
-			_, err := m[0].gossip(nil, q)
+		for _, q := range []*gossipRequest{late, message(clockReading{99, m[0].now()}, "foreign")} {
+			_, err := m[0].receiveGossip(nil, q)
 			So(err, ShouldBeNil)
 			So(len(m[0].Upstreams()), ShouldEqual, 3)
 		}
-		_, err := m[0].gossip(nil, message(m[0].clock(m[0].now()), "prompt"))
+		_, err := m[0].receiveGossip(nil, message(m[0].clock(m[0].now()), "prompt"))
 		So(err, ShouldBeNil)
 		So(len(m[0].Upstreams()), ShouldEqual, 4)
 	})
--- a/internal/mesh/watch/server_write.go
+++ b/internal/mesh/watch/frame_writer.go
@@ -9,15 +9,15 @@
 )
 
 // deadlined writes an answer with a deadline for each piece.
-type deadlined struct {
+type frameWriter struct {
 	w       http.ResponseWriter
 	control *http.ResponseController
 }
 
-func (d *deadlined) write(parts ...[]byte) error {
+func (d *frameWriter) write(parts ...[]byte) error {
 	for _, p := range parts {
 		for len(p) > 0 {
-			n := min(len(p), writePiece)
+			n := min(len(p), writeChunk)
 			if err := d.control.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
 				return err
 			}
@@ -30,7 +30,7 @@
 	return nil
 }
 
-func (d *deadlined) flush() error {
+func (d *frameWriter) flush() error {
 	if err := d.control.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
 		return err
 	}
@@ -38,7 +38,7 @@
 }
 
 // frame writes a frame and sends what was written so far.
-func (d *deadlined) frame(f *frame) error {
+func (d *frameWriter) frame(f *frame) error {
 	line, err := json.Marshal(f)
 	if err != nil {
 		return errs.Wrap(err, errs.Internal, "encode a frame")
--- a/internal/mesh/watch/golden_test.go
+++ b/internal/mesh/watch/golden_test.go
@@ -11,9 +11,9 @@
 	goldentest.CheckJSON[LeaseResponse](t, "lease_answer")
 	goldentest.CheckJSON[watchRequest](t, "watch_request")
 	goldentest.CheckJSON[frame](t, "frame")
-	goldentest.CheckJSON[gossip](t, "gossip")
-	goldentest.CheckJSON[gossipAnswer](t, "gossip_answer")
-	goldentest.CheckJSON[rollAnswer](t, "roll_answer")
+	goldentest.CheckJSON[gossipRequest](t, "gossip")
+	goldentest.CheckJSON[gossipResponse](t, "gossip_answer")
+	goldentest.CheckJSON[memberListResponse](t, "roll_answer")
 }
 
 func TestPaths(t *testing.T) {
@@ -21,7 +21,7 @@
 		"/mesh/lease":  leasePath,
 		"/mesh/watch":  watchPath,
 		"/mesh/gossip": gossipPath,
-		"/mesh/roll":   rollPath,
+		"/mesh/roll":   memberListPath,
 	} {
 		if got != want {
 			t.Errorf("a path is %q, want %q", got, want)
--- a/internal/mesh/watch/gossip.go
+++ b/internal/mesh/watch/gossip.go
@@ -15,23 +15,23 @@
 const (
 	// gossipEvery is the time between renewals told to another member. With
 	// renewEvery it stays well under a lease.
-	gossipEvery = 500 * time.Millisecond
+	gossipInterval = 500 * time.Millisecond
 	// gossipGap is the least time between two messages to one member, so that a
 	// burst of changes makes few.
-	gossipGap = 10 * time.Millisecond
+	minGossipInterval = 10 * time.Millisecond
 	// maxBatch bounds the leases of one message, against large bodies; the rest
 	// follows in the next.
-	maxBatch = 1024
+	maxLeasesPerMessage = 1024
 	// maxBeats bounds the direct beats that wait for a member, against memory
 	// taken while it is away. Beats come again.
-	maxBeats = 1024
+	maxQueuedReports = 1024
 	// rollTimeout bounds the call for all leases, which may be a large answer.
-	rollTimeout = 2 * time.Second
+	memberListTimeout = 2 * time.Second
 )
 
 // converse tells one member what it has not been told, until ctx ends.
-func (s *Server) converse(ctx context.Context, n *neighbour) {
-	pause := time.NewTimer(gossipEvery)
+func (s *Server) gossipWith(ctx context.Context, n *gossipPeer) {
+	pause := time.NewTimer(gossipInterval)
 	defer pause.Stop()
 	for {
 		select {
@@ -40,10 +40,10 @@
 		case <-n.wake:
 		case <-pause.C:
 		}
-		gap := gossipGap
-		if err := s.exchange(ctx, n); err != nil {
+		gap := minGossipInterval
+		if err := s.sendGossip(ctx, n); err != nil {
 			s.cfg.Log.Debug("A member is not reached.", zap.String("member", n.address), zap.Error(err))
-			gap = gossipEvery
+			gap = gossipInterval
 		}
 		pause.Reset(gap)
 		select {
@@ -51,26 +51,26 @@
 			return
 		case <-pause.C:
 		}
-		pause.Reset(gossipEvery)
+		pause.Reset(gossipInterval)
 	}
 }
 
-func (s *Server) exchange(ctx context.Context, n *neighbour) error {
+func (s *Server) sendGossip(ctx context.Context, n *gossipPeer) error {
 	s.mu.Lock()
-	asking := n.asking
+	asking := n.needsSync
 	s.mu.Unlock()
 	if asking {
-		if err := s.askAll(ctx, n); err != nil {
+		if err := s.fetchMemberList(ctx, n); err != nil {
 			return err
 		}
 	}
-	q, sent := s.batch(n)
-	if len(q.Leases)+len(q.Renewals)+len(q.Beats) == 0 {
+	q, sent := s.nextMessage(n)
+	if len(q.Leases)+len(q.Renewals)+len(q.Reports) == 0 {
 		return nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	a, err := rpc.Call[gossip, gossipAnswer](ctx, s.cfg.HTTP, "http://"+n.address+gossipPath, q)
+	a, err := rpc.Call[gossipRequest, gossipResponse](ctx, s.cfg.HTTP, "http://"+n.address+gossipPath, q)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n.failing = err != nil
@@ -81,66 +81,66 @@
 				n.dirty[node] = n.dirty[node] || whole
 			}
 		}
-		for instance, b := range sent.beats {
-			if _, later := n.beats[instance]; !later && len(n.beats) < maxBeats && now-b.at < b.lasts() {
-				n.beats[instance] = b
+		for instance, b := range sent.reports {
+			if _, later := n.reports[instance]; !later && len(n.reports) < maxQueuedReports && now-b.at < b.lasts() {
+				n.reports[instance] = b
 			}
 		}
 		return err
 	}
-	n.heard(a.Zone, a.Clock, s.now())
-	for _, node := range a.Unknown {
+	n.recordResponse(a.Zone, a.Clock, s.now())
+	for _, node := range a.UnknownNodes {
 		if _, held := s.table.Renewal(s.now(), node); held {
-			n.mark(node, true)
+			n.queueLease(node, true)
 		}
 	}
 	return nil
 }
 
 // askAll asks a member for all it holds.
-func (s *Server) askAll(ctx context.Context, n *neighbour) error {
-	ctx, cancel := context.WithTimeout(ctx, rollTimeout)
+func (s *Server) fetchMemberList(ctx context.Context, n *gossipPeer) error {
+	ctx, cancel := context.WithTimeout(ctx, memberListTimeout)
 	defer cancel()
 	asked := s.now()
-	a, err := rpc.Call[struct{}, rollAnswer](ctx, s.cfg.HTTP, "http://"+n.address+rollPath, &struct{}{})
+	a, err := rpc.Call[struct{}, memberListResponse](ctx, s.cfg.HTTP, "http://"+n.address+memberListPath, &struct{}{})
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	held := s.holdsRegistry(s.now())
-	n.failing, n.pending = err != nil, false
-	if held && !s.holdsRegistry(s.now()) {
+	held := s.delaysRegistry(s.now())
+	n.failing, n.awaitingSync = err != nil, false
+	if held && !s.delaysRegistry(s.now()) {
 		defer s.push()
 	}
 	if err != nil {
 		return err
 	}
-	n.asking = false
+	n.needsSync = false
 	now := s.now()
-	n.heard(a.Zone, a.Clock, now)
+	n.recordResponse(a.Zone, a.Clock, now)
 	age := now - asked // the answer is no older than the question
 	s.table.Merge(now, aged(a.Leases, age))
-	for _, b := range a.Beats {
+	for _, b := range a.Reports {
 		s.table.RelayedHeartbeat(now, b.Upstream, b.Remaining-age)
 	}
 	s.table.Expire(now)
-	s.spread()
+	s.notifyChanged()
 	return nil
 }
 
 // sent is what one message took from a neighbour's queue.
 type sent struct {
-	dirty map[string]bool
-	beats map[string]waitingBeat
+	dirty   map[string]bool
+	reports map[string]queuedReport
 }
 
-func (s *Server) batch(n *neighbour) (*gossip, sent) {
+func (s *Server) nextMessage(n *gossipPeer) (*gossipRequest, sent) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.now()
-	q := &gossip{From: s.cfg.Self, Echo: n.clock, Since: now - n.heardAt}
-	taken := sent{map[string]bool{}, n.beats}
+	q := &gossipRequest{From: s.cfg.Self, Echo: n.clock, SinceEcho: now - n.answeredAt}
+	taken := sent{map[string]bool{}, n.reports}
 	for node, whole := range n.dirty {
-		if len(taken.dirty) == maxBatch {
-			n.rouse()
+		if len(taken.dirty) == maxLeasesPerMessage {
+			n.wakeSender()
 			break
 		}
 		delete(n.dirty, node)
@@ -153,13 +153,13 @@
 			q.Renewals = append(q.Renewals, r)
 		}
 	}
-	for _, b := range n.beats {
-		q.Beats = append(q.Beats, registry.UpstreamReport{Upstream: b.up, Remaining: max(b.at+registry.LeaseTTL-now, 0)})
+	for _, b := range n.reports {
+		q.Reports = append(q.Reports, registry.UpstreamReport{Upstream: b.up, Remaining: max(b.at+registry.LeaseTTL-now, 0)})
 	}
-	n.beats = map[string]waitingBeat{}
-	for address, other := range s.neighbours {
+	n.reports = map[string]queuedReport{}
+	for address, other := range s.peers {
 		if other.failing && address != n.address {
-			q.Unreached = append(q.Unreached, address)
+			q.UnreachedPeers = append(q.UnreachedPeers, address)
 		}
 	}
 	return q, taken
@@ -168,7 +168,7 @@
 // gossip takes another member's news. It passes on what is new here to the
 // members that the sender does not reach, so that a cut between two members
 // hides nothing as long as a third reaches both.
-func (s *Server) gossip(_ *http.Request, q *gossip) (*gossipAnswer, error) {
+func (s *Server) receiveGossip(_ *http.Request, q *gossipRequest) (*gossipResponse, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.now()
@@ -178,23 +178,23 @@
 		q.Renewals[i].Remaining -= age
 	}
 	renewed, unknown := s.table.Extend(now, q.Renewals)
-	for _, b := range q.Beats {
+	for _, b := range q.Reports {
 		if s.table.RelayedHeartbeat(now, b.Upstream, b.Remaining-age) {
-			for _, n := range s.cutOff(q) {
-				n.tell(b.Upstream, now)
+			for _, n := range s.unreachedBy(q) {
+				n.queueReport(b.Upstream, now)
 			}
 		}
 	}
-	for _, n := range s.cutOff(q) {
+	for _, n := range s.unreachedBy(q) {
 		for _, node := range whole {
-			n.mark(node, true)
+			n.queueLease(node, true)
 		}
 		for _, node := range renewed {
-			n.mark(node, false)
+			n.queueLease(node, false)
 		}
 	}
-	s.spread()
-	return &gossipAnswer{Clock: s.clock(now), Zone: s.cfg.Zone, Unknown: unknown}, nil
+	s.notifyChanged()
+	return &gossipResponse{Clock: s.clock(now), Zone: s.cfg.Zone, UnknownNodes: unknown}, nil
 }
 
 // clock is this member's steady clock for the others to echo.
@@ -202,11 +202,11 @@
 
 // messageAge is how old the message may be. One whose sender has no reading of
 // this life's clock may be of any age, and vouches for nothing.
-func (s *Server) messageAge(now time.Duration, q *gossip) time.Duration {
+func (s *Server) messageAge(now time.Duration, q *gossipRequest) time.Duration {
 	if q.Echo.Epoch != s.cfg.Epoch {
 		return registry.LeaseTTL
 	}
-	return max(now-q.Echo.At-max(q.Since, 0), 0)
+	return max(now-q.Echo.At-max(q.SinceEcho, 0), 0)
 }
 
 // aged takes a message's age off the time that its leases have left.
@@ -218,19 +218,19 @@
 }
 
 // cutOff gives the neighbours that the sender of q does not reach.
-func (s *Server) cutOff(q *gossip) []*neighbour {
-	var cut []*neighbour
-	for address, n := range s.neighbours {
-		if address != q.From && slices.Contains(q.Unreached, address) {
+func (s *Server) unreachedBy(q *gossipRequest) []*gossipPeer {
+	var cut []*gossipPeer
+	for address, n := range s.peers {
+		if address != q.From && slices.Contains(q.UnreachedPeers, address) {
 			cut = append(cut, n)
 		}
 	}
 	return cut
 }
 
-func (s *Server) roll(*http.Request, *struct{}) (*rollAnswer, error) {
+func (s *Server) memberList(*http.Request, *struct{}) (*memberListResponse, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.now()
-	return &rollAnswer{Clock: s.clock(now), Zone: s.cfg.Zone, Leases: s.table.Leases(now), Beats: s.table.Unleased(now)}, nil
+	return &memberListResponse{Clock: s.clock(now), Zone: s.cfg.Zone, Leases: s.table.Leases(now), Reports: s.table.Unleased(now)}, nil
 }
--- a/internal/mesh/watch/server.go
+++ b/internal/mesh/watch/server.go
@@ -15,18 +15,18 @@
 
 const (
 	// tickEvery is the time between looks at lapsed leases and the peers' list.
-	tickEvery = 200 * time.Millisecond
+	tickInterval = 200 * time.Millisecond
 	// pushGap is the least time between two pushes, so that a burst of changes
 	// makes few frames. The first change after a pause is pushed at once.
-	pushGap = 5 * time.Millisecond
+	minPushInterval = 5 * time.Millisecond
 	// writeTimeout bounds a write to a sidecar, so that a slow one holds nothing.
 	writeTimeout = 1500 * time.Millisecond
 	// writePiece is how much of a frame gets a write deadline of its own, so
 	// that a large frame may take longer as long as it moves.
-	writePiece = 256 << 10
+	writeChunk = 256 << 10
 	// youngTime is how long after its start, or after it regained contact, a
 	// member says that it may not have heard from everybody.
-	youngTime = 3 * time.Second
+	syncingPeriod = 3 * time.Second
 	// maxWatches bounds the watches held, against running out of descriptors.
 	maxWatches = 3000
 )
@@ -73,42 +73,42 @@
 	start time.Time
 	done  chan struct{} // closed when Run ends
 
-	mu         sync.Mutex
-	table      *registry.Table
-	watches    map[string]*watch
-	neighbours map[string]*neighbour
-	waiters    map[*waiter]struct{}
-	inContact  bool
-	hadContact bool
-	observedAt time.Duration // when the contact was looked at last
-	holdUntil  time.Duration // registry news may wait until then
-	youngUntil time.Duration
-	told       uint64 // the table's number at the last push
-	pushing    bool
-	pushedAt   time.Duration
+	mu                   sync.Mutex
+	table                *registry.Table
+	sessions             map[string]*session
+	peers                map[string]*gossipPeer
+	waiters              map[*waiter]struct{}
+	inContact            bool
+	hadContact           bool
+	observedAt           time.Duration // when the contact was looked at last
+	registryDelayedUntil time.Duration // registry news may wait until then
+	syncingUntil         time.Duration
+	lastPushed           uint64 // the table's number at the last push
+	pushScheduled        bool
+	pushedAt             time.Duration
 }
 
 // NewServer makes a Server. It answers once registered and gossips while it runs.
 func NewServer(cfg ServerConfig) *Server {
 	return &Server{
-		cfg:        cfg,
-		start:      time.Now(),
-		done:       make(chan struct{}),
-		table:      registry.New(cfg.Epoch),
-		watches:    map[string]*watch{},
-		neighbours: map[string]*neighbour{},
-		waiters:    map[*waiter]struct{}{},
-		youngUntil: youngTime,
-		pushedAt:   -pushGap,
+		cfg:          cfg,
+		start:        time.Now(),
+		done:         make(chan struct{}),
+		table:        registry.New(cfg.Epoch),
+		sessions:     map[string]*session{},
+		peers:        map[string]*gossipPeer{},
+		waiters:      map[*waiter]struct{}{},
+		syncingUntil: syncingPeriod,
+		pushedAt:     -minPushInterval,
 	}
 }
 
 // Register puts the Server's pages on the mux.
 func (s *Server) Register(mux *http.ServeMux) {
-	rpc.Handle(mux, leasePath, maxLeaseBody, s.lease)
-	rpc.Handle(mux, gossipPath, maxGossipBody, s.gossip)
-	rpc.Handle(mux, rollPath, maxLeaseBody, s.roll)
-	mux.HandleFunc("POST "+watchPath, s.watch)
+	rpc.Handle(mux, leasePath, maxLeaseBody, s.renewLease)
+	rpc.Handle(mux, gossipPath, maxGossipBody, s.receiveGossip)
+	rpc.Handle(mux, memberListPath, maxLeaseBody, s.memberList)
+	mux.HandleFunc("POST "+watchPath, s.serveWatch)
 }
 
 // Run lets leases lapse and talks with the other members until ctx ends; then
@@ -117,7 +117,7 @@
 	var running sync.WaitGroup
 	defer running.Wait()
 	defer close(s.done)
-	tick := time.NewTicker(tickEvery)
+	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
 	for {
 		s.tick(ctx, &running)
@@ -135,7 +135,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.table.Expire(s.now())
-	s.spread()
+	s.notifyChanged()
 
 	listed := make(map[string]bool, len(peers))
 	for _, address := range peers {
@@ -143,17 +143,17 @@
 			continue
 		}
 		listed[address] = true
-		if s.neighbours[address] == nil {
+		if s.peers[address] == nil {
 			peerCtx, cancel := context.WithCancel(ctx)
-			n := newNeighbour(address, cancel)
-			s.neighbours[address] = n
-			running.Go(func() { s.converse(peerCtx, n) })
+			n := newGossipPeer(address, cancel)
+			s.peers[address] = n
+			running.Go(func() { s.gossipWith(peerCtx, n) })
 		}
 	}
-	for address, n := range s.neighbours {
+	for address, n := range s.peers {
 		if !listed[address] {
 			n.cancel()
-			delete(s.neighbours, address)
+			delete(s.peers, address)
 		}
 	}
 }
--- a/internal/mesh/watch/server_lease.go
+++ b/internal/mesh/watch/server_lease.go
@@ -10,7 +10,7 @@
 func (s *Server) Syncing() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.now() < s.youngUntil
+	return s.now() < s.syncingUntil
 }
 
 // Upstreams lists all upstreams known here.
@@ -37,14 +37,14 @@
 	if err != nil || !taken {
 		return err
 	}
-	for _, n := range s.neighbours {
-		n.tell(up, now)
+	for _, n := range s.peers {
+		n.queueReport(up, now)
 	}
-	s.spread()
+	s.notifyChanged()
 	return nil
 }
 
-func (s *Server) lease(_ *http.Request, l *registry.Lease) (*LeaseResponse, error) {
+func (s *Server) renewLease(_ *http.Request, l *registry.Lease) (*LeaseResponse, error) {
 	contact := s.contact()
 	version := s.cfg.ConfigSource.Current() // read after the contact, which vouches for it
 	a := &LeaseResponse{
@@ -63,13 +63,13 @@
 	if err != nil {
 		return nil, err
 	}
-	for _, n := range s.neighbours {
-		n.mark(l.Node, changed)
+	for _, n := range s.peers {
+		n.queueLease(l.Node, changed)
 	}
-	s.spread()
-	a.Members, a.PeakMembers, a.Syncing = s.table.Members(), s.table.PeakMembers(now), now < s.youngUntil
+	s.notifyChanged()
+	a.Members, a.PeakMembers, a.Syncing = s.table.Members(), s.table.PeakMembers(now), now < s.syncingUntil
 	a.Peers = append(a.Peers, Peer{s.cfg.Self, s.cfg.Zone})
-	for _, n := range s.neighbours {
+	for _, n := range s.peers {
 		a.Peers = append(a.Peers, Peer{n.address, n.zone})
 	}
 	return a, nil
--- a/internal/mesh/watch/server_push.go
+++ b/internal/mesh/watch/server_push.go
@@ -50,8 +50,8 @@
 
 // spread wakes whom a change of the table concerns. It is called under the
 // lock after each change.
-func (s *Server) spread() {
-	if s.table.Number() != s.told {
+func (s *Server) notifyChanged() {
+	if s.table.Number() != s.lastPushed {
 		s.push()
 	}
 	for w := range s.waiters {
@@ -64,16 +64,16 @@
 
 // push wakes the watches now, or when pushGap is over. The lock is held.
 func (s *Server) push() {
-	s.told = s.table.Number()
-	if s.pushing {
+	s.lastPushed = s.table.Number()
+	if s.pushScheduled {
 		return
 	}
-	if wait := s.pushedAt + pushGap - s.now(); wait > 0 {
-		s.pushing = true
+	if wait := s.pushedAt + minPushInterval - s.now(); wait > 0 {
+		s.pushScheduled = true
 		time.AfterFunc(wait, func() {
 			s.mu.Lock()
 			defer s.mu.Unlock()
-			s.pushing = false
+			s.pushScheduled = false
 			s.wakeAll()
 		})
 		return
@@ -83,7 +83,7 @@
 
 func (s *Server) wakeAll() {
 	s.pushedAt = s.now()
-	for _, w := range s.watches {
+	for _, w := range s.sessions {
 		select {
 		case w.wake <- struct{}{}:
 		default:
--- a/internal/mesh/watch/server_watch.go
+++ b/internal/mesh/watch/server_watch.go
@@ -12,38 +12,38 @@
 )
 
 // watch is a sidecar's open watch: what it has had, and how to wake it.
-type watch struct {
+type session struct {
 	wake chan struct{}
 	quit chan struct{} // closed when a newer watch of the node takes over
 
 	// The rest belongs to the goroutine that serves the watch.
-	keep    func(service string) bool
-	version int64
-	whole   bool
-	epoch   uint64
-	number  uint64
-	young   bool // what was sent as everything was sent while young
-	lost    bool // it has been told that there is no contact
+	keep             func(service string) bool
+	version          int64
+	needsFullConfig  bool
+	epoch            uint64
+	number           uint64
+	sentWhileSyncing bool // what was sent as everything was sent while young
+	contactLossSent  bool // it has been told that there is no contact
 }
 
-func (s *Server) watch(w http.ResponseWriter, r *http.Request) {
-	held, q, err := s.open(r)
+func (s *Server) serveWatch(w http.ResponseWriter, r *http.Request) {
+	held, q, err := s.openSession(r)
 	if err != nil {
 		rpc.WriteError(w, err)
 		return
 	}
-	defer s.close(q.Node, held)
-	out := &deadlined{w, http.NewResponseController(w)}
+	defer s.closeSession(q.Node, held)
+	out := &frameWriter{w, http.NewResponseController(w)}
 	w.Header().Set("Content-Type", "application/x-ndjson")
 	// A watch outlives the server's time for reading a request.
 	if err := out.control.SetReadDeadline(time.Time{}); err != nil {
 		rpc.WriteError(w, errs.Wrap(err, errs.Internal, "read deadline"))
 		return
 	}
-	beats := time.NewTicker(beatEvery)
+	beats := time.NewTicker(heartbeatInterval)
 	defer beats.Stop()
 	for beat := true; ; {
-		if err := s.send(out, held, beat); err != nil {
+		if err := s.sendUpdates(out, held, beat); err != nil {
 			s.cfg.Log.Debug("A watch ends.", zap.String("node", q.Node), zap.Error(err))
 			return
 		}
@@ -63,7 +63,7 @@
 }
 
 // open enters a watch. One that the node still holds ends.
-func (s *Server) open(r *http.Request) (*watch, *watchRequest, error) {
+func (s *Server) openSession(r *http.Request) (*session, *watchRequest, error) {
 	body, err := rpc.ReadBody(r, maxWatchBody)
 	if err != nil {
 		return nil, nil, err
@@ -78,9 +78,9 @@
 	if !s.contact().OK {
 		return nil, nil, errs.New(errs.NoQuorum, "this member is not in contact with a quorum")
 	}
-	held := &watch{
+	held := &session{
 		wake: make(chan struct{}, 1), quit: make(chan struct{}),
-		version: q.ConfigVersion, whole: q.Whole, epoch: q.Epoch, number: q.Number,
+		version: q.ConfigVersion, needsFullConfig: q.FullConfig, epoch: q.Epoch, number: q.Number,
 	}
 	if len(q.Services) > 0 {
 		wanted := make(map[string]bool, len(q.Services))
@@ -91,60 +91,60 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if old := s.watches[q.Node]; old != nil {
+	if old := s.sessions[q.Node]; old != nil {
 		close(old.quit)
-	} else if len(s.watches) >= maxWatches {
+	} else if len(s.sessions) >= maxWatches {
 		return nil, nil, errs.New(errs.Busy, "this member serves %d watches and takes no more", maxWatches)
 	}
-	s.watches[q.Node] = held
+	s.sessions[q.Node] = held
 	return held, q, nil
 }
 
-func (s *Server) close(node string, held *watch) {
+func (s *Server) closeSession(node string, held *session) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.watches[node] == held {
-		delete(s.watches, node)
+	if s.sessions[node] == held {
+		delete(s.sessions, node)
 	}
 }
 
 // send writes what the watch has not had yet. A member without contact hands
 // out nothing and says so, so that its sidecars go elsewhere.
-func (s *Server) send(out *deadlined, held *watch, beat bool) error {
+func (s *Server) sendUpdates(out *frameWriter, held *session, beat bool) error {
 	contact := s.contact()
 	if !contact.OK {
-		return s.sendLost(out, held, contact, beat)
+		return s.sendContactLost(out, held, contact, beat)
 	}
-	held.lost = false
+	held.contactLossSent = false
 	version, err := s.sendConfig(out, held)
 	if err != nil {
 		return err
 	}
-	f := s.news(held, contact, version, beat)
-	if f.Registry == nil && f.Beat == nil {
+	f := s.nextFrame(held, contact, version, beat)
+	if f.Registry == nil && f.Heartbeat == nil {
 		return out.flush()
 	}
 	return out.frame(f)
 }
 
 // sendLost says once, and then with each beat, that there is no contact.
-func (s *Server) sendLost(out *deadlined, held *watch, contact Contact, beat bool) error {
-	if held.lost && !beat {
+func (s *Server) sendContactLost(out *frameWriter, held *session, contact Contact, beat bool) error {
+	if held.contactLossSent && !beat {
 		return nil
 	}
-	held.lost = true
-	return out.frame(&frame{Beat: &beatFrame{Contact: contact}})
+	held.contactLossSent = true
+	return out.frame(&frame{Heartbeat: &heartbeatFrame{Contact: contact}})
 }
 
 // sendConfig writes the configuration that the watch has not had yet, and gives
 // the newest version. The contact was looked at right before.
-func (s *Server) sendConfig(out *deadlined, held *watch) (version int64, err error) {
+func (s *Server) sendConfig(out *frameWriter, held *session) (version int64, err error) {
 	version = s.cfg.ConfigSource.Current()
-	if !held.whole && version <= held.version {
+	if !held.needsFullConfig && version <= held.version {
 		return version, nil
 	}
 	frames, ok := []json.RawMessage(nil), false
-	if !held.whole {
+	if !held.needsFullConfig {
 		frames, ok = s.cfg.ConfigSource.Since(held.version)
 	}
 	if !ok {
@@ -158,14 +158,14 @@
 			return version, err
 		}
 	}
-	held.version, held.whole = max(version, held.version), false
+	held.version, held.needsFullConfig = max(version, held.version), false
 	return version, nil
 }
 
 // sendOneConfig writes one frame of configuration. Reading it and writing it may
 // have taken long, so its end, without which nobody can read it, is only written
 // if there is still contact.
-func (s *Server) sendOneConfig(out *deadlined, config json.RawMessage) error {
+func (s *Server) sendOneConfig(out *frameWriter, config json.RawMessage) error {
 	if err := out.write([]byte(`{"charter":`), config); err != nil {
 		return err
 	}
@@ -177,25 +177,25 @@
 
 // news gives what changed in the registry for the watch, and the beat if one is
 // due.
-func (s *Server) news(held *watch, contact Contact, version int64, beat bool) *frame {
+func (s *Server) nextFrame(held *session, contact Contact, version int64, beat bool) *frame {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.now()
 	f := &frame{}
-	young := now < s.youngUntil
+	syncing := now < s.syncingUntil
 	if beat {
-		f.Beat = &beatFrame{contact, version, s.table.Members(), s.table.PeakMembers(now), young}
+		f.Heartbeat = &heartbeatFrame{contact, version, s.table.Members(), s.table.PeakMembers(now), syncing}
 	}
-	if s.holdsRegistry(now) {
+	if s.delaysRegistry(now) {
 		return f
 	}
-	if held.young && !young {
+	if held.sentWhileSyncing && !syncing {
 		held.epoch = 0
 	}
 	changes := s.table.Since(now, held.epoch, held.number, held.keep)
 	if changes.Full || len(changes.Upserts)+len(changes.Removals) > 0 {
 		f.Registry = &registryFrame{
-			Epoch: changes.Epoch, Number: changes.Number, Full: changes.Full, Young: young && changes.Full,
+			Epoch: changes.Epoch, Number: changes.Number, Full: changes.Full, Syncing: syncing && changes.Full,
 			Upserts: changes.Upserts,
 		}
 		for _, removal := range changes.Removals {
@@ -203,7 +203,7 @@
 		}
 	}
 	if changes.Full {
-		held.young = young
+		held.sentWhileSyncing = syncing
 	}
 	held.epoch, held.number = changes.Epoch, changes.Number
 	return f
--- a/internal/mesh/watch/watch_test.go
+++ b/internal/mesh/watch/watch_test.go
@@ -280,13 +280,13 @@
 func (s *sidecar) leases() uint64 {
 	s.Client.mu.Lock()
 	defer s.Client.mu.Unlock()
-	return s.sequence
+	return s.leaseSequence
 }
 
 func (m *member) watched() int {
 	m.Server.mu.Lock()
 	defer m.Server.mu.Unlock()
-	return len(m.watches)
+	return len(m.sessions)
 }
 
 func (s *sidecar) change(f func()) {
@@ -435,11 +435,11 @@
 		began := time.Now()
 		fresh := n.member("m2:1", 99)
 		defer fresh.stop()
-		pass(lastPause + 4*firstPause)
+		pass(maxBackoff + 4*minBackoff)
 		So(c[0].Connected() && c[1].Connected(), ShouldBeTrue)
 		So(c[0].sees(), ShouldEqual, "i-c1 i-c2 i-c3")
 		So(c[0].Members(), ShouldEqual, 3)
-		pass(youngTime + beatEvery - time.Since(began))
+		pass(syncingPeriod + heartbeatInterval - time.Since(began))
 		So(c[0].sees(), ShouldEqual, "i-c1 i-c2")
 		So(c[0].Members(), ShouldEqual, 2)
 	})
@@ -458,7 +458,7 @@
 			n.sever("c3", name)
 		}
 		// The last renewal may be renewEvery old.
-		pass(registry.LeaseTTL - renewEvery - ms)
+		pass(registry.LeaseTTL - renewInterval - ms)
 		So(c[0].sees(), ShouldEqual, "i-c1 i-c3")
 		m[0].put(2)
 		So(m[0].WaitApplied(context.Background(), 2), ShouldEqual, 0)
--- a/internal/mesh/watch/wire.go
+++ b/internal/mesh/watch/wire.go
@@ -12,13 +12,13 @@
 
 const (
 	// beatEvery is the time between beats on a watch.
-	beatEvery = 400 * time.Millisecond
+	heartbeatInterval = 400 * time.Millisecond
 	// silence is how long a watch may be without a byte before the sidecar goes
 	// to another member. It spans two beats and guards against held
 	// connections to members that are gone.
-	silence = 1100 * time.Millisecond
+	idleTimeout = 1100 * time.Millisecond
 	// renewEvery is the time between lease renewals: three to a lease.
-	renewEvery = 800 * time.Millisecond
+	renewInterval = 800 * time.Millisecond
 	// callTimeout bounds one call, against peers that take it and say nothing.
 	callTimeout = time.Second
 	// maxFrame bounds a frame of a watch, against a member gone wrong. It
@@ -32,10 +32,10 @@
 )
 
 const (
-	leasePath  = "/mesh/lease"
-	watchPath  = "/mesh/watch"
-	gossipPath = "/mesh/gossip"
-	rollPath   = "/mesh/roll"
+	leasePath      = "/mesh/lease"
+	watchPath      = "/mesh/watch"
+	gossipPath     = "/mesh/gossip"
+	memberListPath = "/mesh/roll"
 )
 
 // Peer is a core member as sidecars are told of it. The zone is empty while
@@ -70,19 +70,19 @@
 // watchRequest opens a watch from what the sidecar holds.
 type watchRequest struct {
 	Node          string `json:"node"`
-	Life          uint64 `json:"life"`
+	Incarnation   uint64 `json:"life"`
 	ConfigVersion int64  `json:"charter"`
 	// Whole asks for the whole configuration whatever is held.
-	Whole    bool     `json:"whole,omitempty"`
-	Epoch    uint64   `json:"epoch"`
-	Number   uint64   `json:"number"`
-	Services []string `json:"services,omitempty"`
+	FullConfig bool     `json:"whole,omitempty"`
+	Epoch      uint64   `json:"epoch"`
+	Number     uint64   `json:"number"`
+	Services   []string `json:"services,omitempty"`
 }
 
 type frame struct {
-	Config   json.RawMessage `json:"charter,omitempty"`
-	Registry *registryFrame  `json:"catalogue,omitempty"`
-	Beat     *beatFrame      `json:"beat,omitempty"`
+	Config    json.RawMessage `json:"charter,omitempty"`
+	Registry  *registryFrame  `json:"catalogue,omitempty"`
+	Heartbeat *heartbeatFrame `json:"beat,omitempty"`
 }
 
 type registryFrame struct {
@@ -91,34 +91,34 @@
 	Full   bool   `json:"full,omitempty"`
 	// Syncing says that the member may not have heard from everybody yet, so that
 	// what it does not list may well be there.
-	Young    bool                `json:"young,omitempty"`
+	Syncing  bool                `json:"young,omitempty"`
 	Upserts  []registry.Upstream `json:"upserts,omitempty"`
 	Removals []string            `json:"removals,omitempty"`
 }
 
 // beatFrame is the member's sign of life. Without contact it carries nothing
 // else, and tells the sidecar to go elsewhere.
-type beatFrame struct {
-	Contact Contact `json:"contact"`
-	Version int64   `json:"version"`
-	Members int     `json:"members"`
-	Largest int     `json:"largest"`
-	Young   bool    `json:"young,omitempty"`
+type heartbeatFrame struct {
+	Contact     Contact `json:"contact"`
+	Version     int64   `json:"version"`
+	Members     int     `json:"members"`
+	PeakMembers int     `json:"largest"`
+	Syncing     bool    `json:"young,omitempty"`
 }
 
 // gossip is what one member tells another. Unreached are the members the
 // sender does not reach: the receiver passes the news on to them.
-type gossip struct {
-	From      string                    `json:"from"`
-	Unreached []string                  `json:"unreached,omitempty"`
-	Leases    []registry.RemoteLease    `json:"leases,omitempty"`
-	Renewals  []registry.Renewal        `json:"renewals,omitempty"`
-	Beats     []registry.UpstreamReport `json:"beats,omitempty"`
+type gossipRequest struct {
+	From           string                    `json:"from"`
+	UnreachedPeers []string                  `json:"unreached,omitempty"`
+	Leases         []registry.RemoteLease    `json:"leases,omitempty"`
+	Renewals       []registry.Renewal        `json:"renewals,omitempty"`
+	Reports        []registry.UpstreamReport `json:"beats,omitempty"`
 	// Echo is the receiver's clock as it answered last, and Since the time from
 	// that answer's arrival to the making of this message. So the receiver
 	// knows how old the message may be.
-	Echo  clockReading  `json:"echo"`
-	Since time.Duration `json:"since"`
+	Echo      clockReading  `json:"echo"`
+	SinceEcho time.Duration `json:"since"`
 }
 
 // clockReading is a member's steady clock, which means something only to that
@@ -129,16 +129,16 @@
 }
 
 // gossipAnswer names the nodes whose lease has to be sent whole.
-type gossipAnswer struct {
-	Clock   clockReading `json:"clock"`
-	Zone    string       `json:"zone,omitempty"`
-	Unknown []string     `json:"unknown,omitempty"`
+type gossipResponse struct {
+	Clock        clockReading `json:"clock"`
+	Zone         string       `json:"zone,omitempty"`
+	UnknownNodes []string     `json:"unknown,omitempty"`
 }
 
 // rollAnswer is all that a member knows of the sidecars and upstreams.
-type rollAnswer struct {
-	Clock  clockReading              `json:"clock"`
-	Zone   string                    `json:"zone,omitempty"`
-	Leases []registry.RemoteLease    `json:"leases,omitempty"`
-	Beats  []registry.UpstreamReport `json:"beats,omitempty"`
+type memberListResponse struct {
+	Clock   clockReading              `json:"clock"`
+	Zone    string                    `json:"zone,omitempty"`
+	Leases  []registry.RemoteLease    `json:"leases,omitempty"`
+	Reports []registry.UpstreamReport `json:"beats,omitempty"`
 }
