--- a/internal/mesh/cluster/policy.go
+++ b/internal/mesh/cluster/policy.go
@@ -13,15 +13,15 @@
 	// votes in time. A voter that was wrongly taken for lost costs nothing but a move: its
 	// successor holds all that it held.
 	LastContactThreshold = 2 * time.Second
-	// deadAfterElection is the same for a voter that a leader has never heard: it was silent before
+	// neverContactedThreshold is the same for a voter that a leader has never heard: it was silent before
 	// the election, too, and an election with its wait alone would take most of catchUpS.
-	deadAfterElection = time.Second
-	// changeEvery is the least time between two changes, so that flickering machines can't keep the
+	neverContactedThreshold = time.Second
+	// minChangeInterval is the least time between two changes, so that flickering machines can't keep the
 	// log busy with memberships.
-	changeEvery = 300 * time.Millisecond
-	// gatherTime is how long nobody new is heard of before the set grows, so that the voters are
+	minChangeInterval = 300 * time.Millisecond
+	// joinSettleTime is how long nobody new is heard of before the set grows, so that the voters are
 	// spread over the zones of all that are there and not of the first to come.
-	gatherTime = 500 * time.Millisecond
+	joinSettleTime = 500 * time.Millisecond
 )
 
 // TargetVoters is how many voters bear the loss of so many machines, zones or regions at once.
@@ -41,9 +41,9 @@
 
 // Planner decides on changes of the voters, one at a time.
 type Planner struct {
-	target int
-	last   time.Duration
-	began  bool
+	target     int
+	lastChange time.Duration
+	hasChanged bool
 }
 
 // NewPlanner plans for so many voters.
@@ -62,30 +62,30 @@
 
 // Plan returns the voters to change to; false: nothing is to be changed now.
 func (p *Planner) Plan(now time.Duration, v View) ([]replication.MemberID, bool) {
-	if !v.Status.IsLeader || !v.Status.MembershipStable || p.began && now-p.last < changeEvery {
+	if !v.Status.IsLeader || !v.Status.MembershipStable || p.hasChanged && now-p.lastChange < minChangeInterval {
 		return nil, false
 	}
-	spare := v.spare()
-	next, ok := p.replace(v, spare)
+	candidates := v.candidates()
+	next, ok := p.replace(v, candidates)
 	if !ok {
-		next, ok = p.grow(now, v, spare)
+		next, ok = p.grow(now, v, candidates)
 	}
 	if ok {
-		p.last, p.began = now, true
+		p.lastChange, p.hasChanged = now, true
 	}
 	return next, ok
 }
 
-// spare is the learners that could vote: in touch, up to date and here to stay.
-func (v View) spare() []replication.MemberID {
-	var spare []replication.MemberID
+// candidates is the learners that could vote: in touch, up to date and here to stay.
+func (v View) candidates() []replication.MemberID {
+	var candidates []replication.MemberID
 	for _, m := range v.Live {
 		known, ok := v.progress(m.ID)
 		if ok && !known.IsVoter && known.CaughtUp && known.SinceLastContact <= replication.ContactTimeout && !m.Leaving {
-			spare = append(spare, m.ID)
+			candidates = append(candidates, m.ID)
 		}
 	}
-	return spare
+	return candidates
 }
 
 func (v View) progress(id replication.MemberID) (replication.Progress, bool) {
@@ -108,33 +108,33 @@
 
 // replace puts a spare learner in the place of a voter that is lost: first one whose disk is gone for
 // certain, then one that is leaving, then one that is unheard.
-func (p *Planner) replace(v View, spare []replication.MemberID) ([]replication.MemberID, bool) {
-	lost, ok := v.lostVoter()
+func (p *Planner) replace(v View, candidates []replication.MemberID) ([]replication.MemberID, bool) {
+	replaced, ok := v.voterToReplace()
 	if !ok {
 		return nil, false
 	}
-	staying := slices.DeleteFunc(slices.Clone(v.Status.Membership.Voters), func(id replication.MemberID) bool { return id == lost })
-	spare = slices.DeleteFunc(slices.Clone(spare), func(id replication.MemberID) bool { return at(staying, id.Address()) })
-	if len(spare) == 0 {
+	remaining := slices.DeleteFunc(slices.Clone(v.Status.Membership.Voters), func(id replication.MemberID) bool { return id == replaced })
+	candidates = slices.DeleteFunc(slices.Clone(candidates), func(id replication.MemberID) bool { return containsAddress(remaining, id.Address()) })
+	if len(candidates) == 0 {
 		return nil, false
 	}
-	successor := v.bestSpare(staying, spare)
+	successor := v.bestCandidate(remaining, candidates)
 	// The new disk at the lost one's address is in its zone and can take no other's place.
-	if i := slices.IndexFunc(spare, func(id replication.MemberID) bool { return id.Address() == lost.Address() }); i >= 0 {
-		successor = spare[i]
+	if i := slices.IndexFunc(candidates, func(id replication.MemberID) bool { return id.Address() == replaced.Address() }); i >= 0 {
+		successor = candidates[i]
 	}
-	return append(staying, successor), true
+	return append(remaining, successor), true
 }
 
-// at says whether one of the members is at an address.
-func at(members []replication.MemberID, address string) bool {
+// containsAddress says whether one of the members is at an address.
+func containsAddress(members []replication.MemberID, address string) bool {
 	return slices.ContainsFunc(members, func(id replication.MemberID) bool { return id.Address() == address })
 }
 
-// lostVoter is the voter to be replaced next.
-func (v View) lostVoter() (replication.MemberID, bool) {
+// voterToReplace is the voter to be replaced next.
+func (v View) voterToReplace() (replication.MemberID, bool) {
 	voters := v.Status.Membership.Voters
-	for _, lost := range []func(replication.MemberID) bool{v.superseded, v.leaving, v.unheard} {
+	for _, lost := range []func(replication.MemberID) bool{v.hasNewDisk, v.isLeaving, v.isOutOfContact} {
 		if i := slices.IndexFunc(voters, lost); i >= 0 {
 			return voters[i], true
 		}
@@ -142,48 +142,48 @@
 	return "", false
 }
 
-// superseded says that another disk announces itself from the voter's address: its own is gone.
-func (v View) superseded(id replication.MemberID) bool {
+// hasNewDisk says that another disk announces itself from the voter's address: its own is gone.
+func (v View) hasNewDisk(id replication.MemberID) bool {
 	return slices.ContainsFunc(v.Live, func(m Announcement) bool { return m.ID.Address() == id.Address() && m.ID != id })
 }
 
-func (v View) leaving(id replication.MemberID) bool {
+func (v View) isLeaving(id replication.MemberID) bool {
 	return id != v.Self && slices.ContainsFunc(v.Live, func(m Announcement) bool { return m.ID == id && m.Leaving })
 }
 
-func (v View) unheard(id replication.MemberID) bool {
+func (v View) isOutOfContact(id replication.MemberID) bool {
 	known, ok := v.progress(id)
-	return ok && (known.SinceLastContact > LastContactThreshold || known.Match == 0 && known.SinceLastContact > deadAfterElection)
+	return ok && (known.SinceLastContact > LastContactThreshold || known.Match == 0 && known.SinceLastContact > neverContactedThreshold)
 }
 
 // grow promotes learners until the target is reached, to an odd number: an even one bears no more
 // than the odd one below it.
-func (p *Planner) grow(now time.Duration, v View, spare []replication.MemberID) ([]replication.MemberID, bool) {
+func (p *Planner) grow(now time.Duration, v View, candidates []replication.MemberID) ([]replication.MemberID, bool) {
 	voters := slices.Clone(v.Status.Membership.Voters)
-	spare = slices.DeleteFunc(slices.Clone(spare), func(id replication.MemberID) bool { return at(voters, id.Address()) })
-	size := min(p.target, len(voters)+len(spare))
+	candidates = slices.DeleteFunc(slices.Clone(candidates), func(id replication.MemberID) bool { return containsAddress(voters, id.Address()) })
+	size := min(p.target, len(voters)+len(candidates))
 	if size%2 == 0 {
 		size--
 	}
-	if size <= len(voters) || now-v.NewestJoin < gatherTime {
+	if size <= len(voters) || now-v.NewestJoin < joinSettleTime {
 		return nil, false
 	}
 	for len(voters) < size {
-		best := v.bestSpare(voters, spare)
+		best := v.bestCandidate(voters, candidates)
 		voters = append(voters, best)
-		spare = slices.DeleteFunc(slices.Clone(spare), func(id replication.MemberID) bool { return id == best })
+		candidates = slices.DeleteFunc(slices.Clone(candidates), func(id replication.MemberID) bool { return id == best })
 	}
 	return voters, true
 }
 
-// bestSpare is the spare learner whose zone has the fewest of the voters.
-func (v View) bestSpare(voters, spare []replication.MemberID) replication.MemberID {
+// bestCandidate is the spare learner whose zone has the fewest of the voters.
+func (v View) bestCandidate(voters, candidates []replication.MemberID) replication.MemberID {
 	inZone := map[string]int{}
 	for _, id := range voters {
 		inZone[v.zone(id)]++
 	}
-	best := spare[0]
-	for _, id := range spare[1:] {
+	best := candidates[0]
+	for _, id := range candidates[1:] {
 		if inZone[v.zone(id)] < inZone[v.zone(best)] {
 			best = id
 		}
@@ -193,5 +193,5 @@
 
 // HasReplacement says whether a leaving voter has somebody to wait for: a spare learner.
 func HasReplacement(v View, id replication.MemberID) bool {
-	return v.Status.Membership.IsVoter(id) && len(v.spare()) > 0
+	return v.Status.Membership.IsVoter(id) && len(v.candidates()) > 0
 }
--- a/internal/mesh/cluster/policy_test.go
+++ b/internal/mesh/cluster/policy_test.go
@@ -55,7 +55,7 @@
 		So(voters, ShouldContain, replication.MemberID("10.4.0.1:1"))
 		_, ok = plan(5, view(three, []replication.MemberID{"10.4.0.1:1"}))
 		So(ok, ShouldBeFalse) // four bear no more than three
-		v.NewestJoin = settledLong - gatherTime/2
+		v.NewestJoin = settledLong - joinSettleTime/2
 		_, ok = plan(5, v)
 		So(ok, ShouldBeFalse)
 	})
@@ -82,13 +82,13 @@
 	})
 	Convey("A voter that the leader has never heard has less time", t, func() {
 		v := view(three, []replication.MemberID{"10.3.0.2:1"})
-		v.of(three[1]).SinceLastContact = deadAfterElection + 1
+		v.of(three[1]).SinceLastContact = neverContactedThreshold + 1
 		_, ok := plan(3, v)
 		So(ok, ShouldBeFalse)
 		v.of(three[1]).Match = 0
 		_, ok = plan(3, v)
 		So(ok, ShouldBeTrue)
-		v.of(three[1]).SinceLastContact = deadAfterElection
+		v.of(three[1]).SinceLastContact = neverContactedThreshold
 		_, ok = plan(3, v)
 		So(ok, ShouldBeFalse)
 	})
@@ -130,9 +130,9 @@
 		p := NewPlanner(3)
 		_, ok := p.Plan(settledLong, v)
 		So(ok, ShouldBeTrue)
-		_, ok = p.Plan(settledLong+changeEvery/2, v)
+		_, ok = p.Plan(settledLong+minChangeInterval/2, v)
 		So(ok, ShouldBeFalse)
-		_, ok = p.Plan(settledLong+changeEvery, v)
+		_, ok = p.Plan(settledLong+minChangeInterval, v)
 		So(ok, ShouldBeTrue)
 	})
 }
@@ -145,10 +145,10 @@
 		So(r.Receive(0, Announcement{ID: "nowhere"}), ShouldNotBeNil)
 		So(r.Addresses(0), ShouldResemble, []string{"10.1.0.1:1", "10.2.0.1:1"})
 		So(r.AnnounceTargets(0), ShouldResemble, []string{"10.2.0.1:1", "10.9.0.1:1"})
-		So(r.Addresses(liveFor+1), ShouldResemble, []string{"10.1.0.1:1"})
+		So(r.Addresses(announcementTTL+1), ShouldResemble, []string{"10.1.0.1:1"})
 		r.SetMembership(replication.Membership{Voters: []replication.MemberID{"10.3.0.1:1"}})
 		r.Merge(&AnnounceResponse{Machines: []Announcement{{ID: "10.4.0.1:1#x"}, {ID: "nowhere"}}})
-		So(r.AnnounceTargets(liveFor+1), ShouldResemble, []string{"10.3.0.1:1", "10.4.0.1:1", "10.9.0.1:1"})
+		So(r.AnnounceTargets(announcementTTL+1), ShouldResemble, []string{"10.3.0.1:1", "10.4.0.1:1", "10.9.0.1:1"})
 	})
 	Convey("A new disk at a known address counts as newly come", t, func() {
 		r := NewMemberList(own, nil)
--- a/internal/mesh/cluster/roster.go
+++ b/internal/mesh/cluster/roster.go
@@ -17,13 +17,13 @@
 const (
 	// AnnounceInterval is how often a core machine tells the others of itself.
 	AnnounceInterval = 500 * time.Millisecond
-	// liveFor is how long a machine counts as there after its last announcement: four of them may be
+	// announcementTTL is how long a machine counts as there after its last announcement: four of them may be
 	// lost.
-	liveFor = 2500 * time.Millisecond
+	announcementTTL = 2500 * time.Millisecond
 	// maxMachines bounds the machines that are remembered, against announcements that lie.
 	maxMachines = 256
-	// maxName bounds the names in an announcement.
-	maxName = 512
+	// maxNameBytes bounds the names in an announcement.
+	maxNameBytes = 512
 )
 
 // Announcement is a core machine's word on itself.
@@ -41,8 +41,8 @@
 	if _, _, err := net.SplitHostPort(a.ID.Address()); err != nil {
 		return errs.New(errs.Invalid, "cluster: the member %.64q has no address", a.ID)
 	}
-	if len(a.ID) > maxName || len(a.Zone) > maxName {
-		return errs.New(errs.Invalid, "cluster: a name of over %d bytes", maxName)
+	if len(a.ID) > maxNameBytes || len(a.Zone) > maxNameBytes {
+		return errs.New(errs.Invalid, "cluster: a name of over %d bytes", maxNameBytes)
 	}
 	return nil
 }
@@ -60,47 +60,47 @@
 	SafeToLeave bool `json:"released,omitempty"`
 }
 
-// heardMachine is an announcement and when it came.
-type heardMachine struct {
+// knownMachine is an announcement and when it came.
+type knownMachine struct {
 	Announcement
-	first, last time.Duration
+	firstSeen, lastSeen time.Duration
 }
 
 // MemberList is which core machines there are, as far as announcements tell. It is soft state: it is
 // rebuilt from those that go on announcing themselves.
 type MemberList struct {
 	mu       sync.Mutex
-	own      Announcement
-	machines map[string]*heardMachine // by address
+	local    Announcement
+	machines map[string]*knownMachine // by address
 	// membership is the newest one known, and hints are addresses to ask beside all that is known.
 	membership replication.Membership
-	hints      []string
+	seeds      []string
 }
 
 // NewMemberList knows only of the machine itself.
 func NewMemberList(own Announcement, seeds []string) *MemberList {
-	return &MemberList{own: own, machines: map[string]*heardMachine{}, hints: slices.Clone(seeds)}
+	return &MemberList{local: own, machines: map[string]*knownMachine{}, seeds: slices.Clone(seeds)}
 }
 
 // SetLocal changes the machine's word on itself.
 func (r *MemberList) SetLocal(own Announcement) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.own = own
+	r.local = own
 }
 
 // Local is the machine's word on itself.
 func (r *MemberList) Local() Announcement {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.own
+	return r.local
 }
 
 // SetSeeds names addresses that are asked beside all that is known: the settings' seeds.
 func (r *MemberList) SetSeeds(seeds []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.hints = slices.Clone(seeds)
+	r.seeds = slices.Clone(seeds)
 }
 
 // SetMembership notes the newest membership that is known here.
@@ -120,29 +120,29 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	address := a.ID.Address()
-	if address == r.own.ID.Address() {
+	if address == r.local.ID.Address() {
 		return nil
 	}
 	known := r.machines[address]
 	if known == nil {
-		r.forget(now)
+		r.removeExpired(now)
 		if len(r.machines) >= maxMachines {
 			return errs.New(errs.Busy, "cluster: %d machines are known", len(r.machines))
 		}
-		known = &heardMachine{first: now}
+		known = &knownMachine{firstSeen: now}
 		r.machines[address] = known
 	}
-	if known.ID != a.ID || now-known.last > liveFor {
-		known.first = now
+	if known.ID != a.ID || now-known.lastSeen > announcementTTL {
+		known.firstSeen = now
 	}
-	known.Announcement, known.last = a, now
+	known.Announcement, known.lastSeen = a, now
 	return nil
 }
 
-// forget drops machines that have been silent for long.
-func (r *MemberList) forget(now time.Duration) {
+// removeExpired drops machines that have been silent for long.
+func (r *MemberList) removeExpired(now time.Duration) {
 	for address, m := range r.machines {
-		if now-m.last > liveFor {
+		if now-m.lastSeen > announcementTTL {
 			delete(r.machines, address)
 		}
 	}
@@ -158,8 +158,8 @@
 	}
 	for _, m := range p.Machines {
 		address := m.ID.Address()
-		if m.Validate() == nil && !slices.Contains(r.hints, address) && len(r.hints) < maxMachines {
-			r.hints = append(r.hints, address)
+		if m.Validate() == nil && !slices.Contains(r.seeds, address) && len(r.seeds) < maxMachines {
+			r.seeds = append(r.seeds, address)
 		}
 	}
 }
@@ -168,9 +168,9 @@
 func (r *MemberList) LiveMembers(now time.Duration) []Announcement {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	live := []Announcement{r.own}
+	live := []Announcement{r.local}
 	for _, m := range r.machines {
-		if now-m.last <= liveFor {
+		if now-m.lastSeen <= announcementTTL {
 			live = append(live, m.Announcement)
 		}
 	}
@@ -184,7 +184,7 @@
 	defer r.mu.Unlock()
 	var newest time.Duration
 	for _, m := range r.machines {
-		newest = max(newest, m.first)
+		newest = max(newest, m.firstSeen)
 	}
 	return newest
 }
@@ -209,7 +209,7 @@
 	all := r.Addresses(now)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	all = append(all, r.hints...)
+	all = append(all, r.seeds...)
 	all = slices.Compact(slices.Sorted(slices.Values(all)))
-	return slices.DeleteFunc(all, func(address string) bool { return address == r.own.ID.Address() })
+	return slices.DeleteFunc(all, func(address string) bool { return address == r.local.ID.Address() })
 }
--- a/internal/mesh/replication/checker_test.go
+++ b/internal/mesh/replication/checker_test.go
@@ -189,10 +189,10 @@
 	now := w.clock(n)
 	if r.role == leader {
 		me := fmt.Sprintf("%s life %d", n.id, n.life)
-		if was, ok := w.leaders[r.hard.Term]; ok && was != me {
-			w.fault("term %d has two leaders: %s and %s", r.hard.Term, was, me)
+		if was, ok := w.leaders[r.hardState.Term]; ok && was != me {
+			w.fault("term %d has two leaders: %s and %s", r.hardState.Term, was, me)
 		}
-		w.leaders[r.hard.Term] = me
+		w.leaders[r.hardState.Term] = me
 		if !r.IsVoter() {
 			w.fault("%s leads a membership that it isn't in: %v", n.id, r.memberships.current().Membership)
 		}
@@ -201,12 +201,12 @@
 		w.fault("%s is back without its disk", r.id)
 	}
 	w.checkConfirmed(n)
-	if r.leader != n.contactLeader || r.hard.Term != n.contactTerm {
+	if r.leader != n.contactLeader || r.hardState.Term != n.contactTerm {
 		n.contact.reset()
-		n.contactLeader, n.contactTerm = r.leader, r.hard.Term
+		n.contactLeader, n.contactTerm = r.leader, r.hardState.Term
 	}
 	if at, index, ok := r.LastQuorumAck(); ok {
-		n.contact.confirm(min(at, now), uint64(index))
+		n.contact.record(min(at, now), uint64(index))
 	}
 	w.checkContact(n)
 }
@@ -230,7 +230,7 @@
 	if !ok {
 		return
 	}
-	if age < contactWithin {
+	if age < maxContactAge {
 		w.confirmed++
 	}
 	if needs := w.acknowledgedBefore(w.now - age); needs > n.done {
--- a/internal/mesh/replication/data_directory_test.go
+++ b/internal/mesh/replication/data_directory_test.go
@@ -80,7 +80,7 @@
 // pairs returns every key of a database with its value.
 func pairs(t *testing.T, path string) map[string]string {
 	t.Helper()
-	db, err := leveldb.OpenFile(path, options(true))
+	db, err := leveldb.OpenFile(path, leveldbOptions(true))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/mesh/replication/election.go
+++ b/internal/mesh/replication/election.go
@@ -6,25 +6,25 @@
 func (r *Replica) startPreVote(now time.Duration) {
 	r.role, r.leader = preCandidate, ""
 	r.votes = map[MemberID]bool{}
-	r.deadline = now + r.between(retryMin, retryMax)
-	r.askVotes(r.hard.Term+1, VoteRequest{PreVote: true})
+	r.electionDeadline = now + r.randomDuration(minElectionRetry, maxElectionRetry)
+	r.requestVotes(r.hardState.Term+1, VoteRequest{PreVote: true})
 	r.countVotes(now)
 }
 
-// stand raises the term and asks for votes in it.
-func (r *Replica) stand(now time.Duration, transfer bool) {
+// startElection raises the term and asks for votes in it.
+func (r *Replica) startElection(now time.Duration, transfer bool) {
 	r.role, r.leader = candidate, ""
-	r.hard.Term++
-	r.hard.Vote = r.id
-	r.hardDirty = true
-	r.verified = 0
+	r.hardState.Term++
+	r.hardState.Vote = r.id
+	r.hardStateDirty = true
+	r.matchedIndex = 0
 	r.votes = map[MemberID]bool{}
-	r.deadline = now + r.between(MinElectionTimeout, MaxElectionTimeout)
-	r.askVotes(r.hard.Term, VoteRequest{Transfer: transfer})
+	r.electionDeadline = now + r.randomDuration(MinElectionTimeout, MaxElectionTimeout)
+	r.requestVotes(r.hardState.Term, VoteRequest{Transfer: transfer})
 }
 
-func (r *Replica) askVotes(term Term, request VoteRequest) {
-	request.LastIndex, request.LastTerm = r.log.last(), r.log.lastTerm()
+func (r *Replica) requestVotes(term Term, request VoteRequest) {
+	request.LastIndex, request.LastTerm = r.log.lastIndex(), r.log.lastTerm()
 	for _, id := range r.memberships.current().AllVoters() {
 		if id != r.id {
 			r.send(id, Message{Term: term, VoteRequest: &request})
@@ -38,66 +38,66 @@
 	if r.role != preCandidate && r.role != candidate {
 		return
 	}
-	own := r.role == preCandidate || !r.hardDirty
+	ownVote := r.role == preCandidate || !r.hardStateDirty
 	current := r.memberships.current()
-	if !current.quorum(func(id MemberID) bool { return r.votes[id] || own && id == r.id }) {
+	if !current.hasQuorum(func(id MemberID) bool { return r.votes[id] || ownVote && id == r.id }) {
 		return
 	}
 	if r.role == candidate {
-		r.lead(now)
+		r.becomeLeader(now)
 		return
 	}
-	r.stand(now, false)
+	r.startElection(now, false)
 }
 
-// upToDate says that a candidate's log lacks nothing that this replica could have acknowledged: it
+// isLogUpToDate says that a candidate's log lacks nothing that this replica could have acknowledged: it
 // ends in a higher term, or in the same one and no earlier.
-func (r *Replica) upToDate(request *VoteRequest) bool {
+func (r *Replica) isLogUpToDate(request *VoteRequest) bool {
 	last := r.log.lastTerm()
-	return request.LastTerm > last || request.LastTerm == last && request.LastIndex >= r.log.last()
+	return request.LastTerm > last || request.LastTerm == last && request.LastIndex >= r.log.lastIndex()
 }
 
 // stepVoteRequest answers a request for a vote. A learner answers too: the candidate may know of a
 // membership in which it votes, and counts it only then.
 func (r *Replica) stepVoteRequest(now time.Duration, from MemberID, term Term, request *VoteRequest) {
-	if r.sick {
+	if r.storageFailed {
 		return
 	}
 	if request.PreVote {
-		granted := term > r.hard.Term && !r.leased(now) && r.upToDate(request)
+		granted := term > r.hardState.Term && !r.hasLeaderLease(now) && r.isLogUpToDate(request)
 		answer := Message{Term: term, VoteResponse: &VoteResponse{PreVote: true, Rejected: !granted}}
 		if !granted {
-			answer.Term = r.hard.Term
+			answer.Term = r.hardState.Term
 		}
 		r.send(from, answer)
 		return
 	}
-	if term > r.hard.Term {
-		if r.leased(now) && !request.Transfer {
+	if term > r.hardState.Term {
+		if r.hasLeaderLease(now) && !request.Transfer {
 			return
 		}
-		r.follow(term, "")
+		r.becomeFollower(term, "")
 	}
-	granted := term == r.hard.Term && r.role != leader && r.upToDate(request) && (r.hard.Vote == "" || r.hard.Vote == from)
+	granted := term == r.hardState.Term && r.role != leader && r.isLogUpToDate(request) && (r.hardState.Vote == "" || r.hardState.Vote == from)
 	if granted {
-		if r.hard.Vote == "" {
-			r.hard.Vote, r.hardDirty = from, true
+		if r.hardState.Vote == "" {
+			r.hardState.Vote, r.hardStateDirty = from, true
 		}
-		r.deadline = now + r.between(MinElectionTimeout, MaxElectionTimeout)
+		r.electionDeadline = now + r.randomDuration(MinElectionTimeout, MaxElectionTimeout)
 	}
 	r.send(from, Message{VoteResponse: &VoteResponse{Rejected: !granted}})
 }
 
-func (r *Replica) stepVoteAnswer(now time.Duration, from MemberID, term Term, answer *VoteResponse) {
+func (r *Replica) stepVoteResponse(now time.Duration, from MemberID, term Term, answer *VoteResponse) {
 	if answer.Rejected {
-		if term > r.hard.Term {
-			r.follow(term, "")
+		if term > r.hardState.Term {
+			r.becomeFollower(term, "")
 		}
 		return
 	}
-	wantRole, wantTerm := candidate, r.hard.Term
+	wantRole, wantTerm := candidate, r.hardState.Term
 	if answer.PreVote {
-		wantRole, wantTerm = preCandidate, r.hard.Term+1
+		wantRole, wantTerm = preCandidate, r.hardState.Term+1
 	}
 	if r.role == wantRole && term == wantTerm {
 		r.votes[from] = true
@@ -107,20 +107,20 @@
 
 // stepTimeoutNow has a voter stand at once, at its leader's wish.
 func (r *Replica) stepTimeoutNow(now time.Duration, from MemberID, term Term) {
-	if term != r.hard.Term || r.leader != from || r.role != follower || r.sick || !r.IsVoter() {
+	if term != r.hardState.Term || r.leader != from || r.role != follower || r.storageFailed || !r.IsVoter() {
 		return
 	}
-	r.stand(now, true)
+	r.startElection(now, true)
 }
 
-// lead makes the replica the leader of its term. Its first entry restates the membership in force:
+// becomeLeader makes the replica the leader of its term. Its first entry restates the membership in force:
 // once that one is committed, so is everything of earlier terms before it, and a learner that has
 // the log from its beginning knows who votes.
-func (r *Replica) lead(now time.Duration) {
+func (r *Replica) becomeLeader(now time.Duration) {
 	r.role, r.leader, r.votes = leader, r.id, nil
-	r.handingOver = false
+	r.transferring = false
 	r.peers = map[MemberID]*progress{}
-	r.track(now)
+	r.updatePeers(now)
 	r.appendMembership(now, r.memberships.current().Membership)
 	r.advanceCommit(now)
 }
--- a/internal/mesh/replication/follower.go
+++ b/internal/mesh/replication/follower.go
@@ -2,64 +2,64 @@
 
 import "time"
 
-// hearLeader takes a leader's message as such; false where it is none of this replica's leader.
-func (r *Replica) hearLeader(now time.Duration, from MemberID, term Term, h *Heartbeat) bool {
-	if term < r.hard.Term {
+// acceptLeader takes a leader's message as such; false where it is none of this replica's leader.
+func (r *Replica) acceptLeader(now time.Duration, from MemberID, term Term, h *Heartbeat) bool {
+	if term < r.hardState.Term {
 		// The term is over: tell the old leader, so that it stops.
 		r.send(from, Message{AppendResponse: &AppendResponse{Rejected: true}})
 		return false
 	}
-	if term == r.hard.Term && (r.role == leader || r.leader != "" && r.leader != from) {
-		r.refused++
+	if term == r.hardState.Term && (r.role == leader || r.leader != "" && r.leader != from) {
+		r.rejectedMessages++
 		return false
 	}
-	if r.leader != from || term > r.hard.Term {
-		r.confirmed = now - time.Hour
+	if r.leader != from || term > r.hardState.Term {
+		r.lastQuorumAck = now - time.Hour
 	}
-	r.follow(term, from)
-	r.heard = now
-	r.deadline = now + r.between(MinElectionTimeout, MaxElectionTimeout)
-	r.noteConfirmation(now, h)
-	return !r.sick
+	r.becomeFollower(term, from)
+	r.lastContact = now
+	r.electionDeadline = now + r.randomDuration(MinElectionTimeout, MaxElectionTimeout)
+	r.recordQuorumAck(now, h)
+	return !r.storageFailed
 }
 
-// noteConfirmation takes over when a majority last confirmed the leader. How long a message was on
+// recordQuorumAck takes over when a majority last confirmed the leader. How long a message was on
 // its way can't be told from its arrival; that it was made after this replica's answer was sent, which
 // it echoes, can.
-func (r *Replica) noteConfirmation(now time.Duration, h *Heartbeat) {
+func (r *Replica) recordQuorumAck(now time.Duration, h *Heartbeat) {
 	if h.QuorumAckAge < 0 || h.QuorumAckAge >= time.Hour {
 		return
 	}
 	r.leaderCommit = max(r.leaderCommit, h.Commit)
-	if h.EchoedClock.Incarnation == r.life && h.EchoedClock.At <= now {
-		r.confirmed = max(r.confirmed, h.EchoedClock.At-h.QuorumAckAge)
+	if h.EchoedClock.Incarnation == r.incarnation && h.EchoedClock.At <= now {
+		r.lastQuorumAck = max(r.lastQuorumAck, h.EchoedClock.At-h.QuorumAckAge)
 	}
 }
 
-// clock is what answers carry for the leader to echo.
-func (r *Replica) clock(now time.Duration) ClockReading {
-	return ClockReading{Incarnation: r.life, At: now}
+// clockReading is what answers carry for the leader to echo.
+func (r *Replica) clockReading(now time.Duration) ClockReading {
+	return ClockReading{Incarnation: r.incarnation, At: now}
 }
 
 // stepAppend takes in entries or a plain heartbeat.
 func (r *Replica) stepAppend(now time.Duration, from MemberID, term Term, msg *AppendEntries) {
-	if !r.hearLeader(now, from, term, &msg.Heartbeat) {
+	if !r.acceptLeader(now, from, term, &msg.Heartbeat) {
 		return
 	}
-	answer := AppendResponse{SentAt: msg.SentAt, ReadRound: msg.ReadRound, Clock: r.clock(now)}
-	if r.takeEntries(msg) {
-		answer.Match = r.verified
+	answer := AppendResponse{SentAt: msg.SentAt, ReadRound: msg.ReadRound, Clock: r.clockReading(now)}
+	if r.appendFromLeader(msg) {
+		answer.Match = r.matchedIndex
 	} else {
-		answer.Rejected, answer.RejectedIndex, answer.Match = true, msg.PrevIndex, r.agreeAt(msg)
+		answer.Rejected, answer.RejectedIndex, answer.Match = true, msg.PrevIndex, r.lastPossibleMatch(msg)
 	}
-	r.commit = max(r.commit, min(msg.Commit, r.verified))
+	r.commit = max(r.commit, min(msg.Commit, r.matchedIndex))
 	r.send(from, Message{AppendResponse: &answer})
 }
 
-// agreeAt is the last place at which the log may still agree with a leader whose entry at
+// lastPossibleMatch is the last place at which the log may still agree with a leader whose entry at
 // PrevIndex differs.
-func (r *Replica) agreeAt(msg *AppendEntries) Index {
-	at := min(msg.PrevIndex, r.log.last())
+func (r *Replica) lastPossibleMatch(msg *AppendEntries) Index {
+	at := min(msg.PrevIndex, r.log.lastIndex())
 	for at > r.commit {
 		if term, _ := r.log.term(at); at < msg.PrevIndex && term <= msg.PrevTerm {
 			break
@@ -69,9 +69,9 @@
 	return at
 }
 
-// takeEntries appends entries behind one that both logs hold. Whatever this log held in their place
+// appendFromLeader appends entries behind one that both logs hold. Whatever this log held in their place
 // was never acknowledged by a quorum and is dropped.
-func (r *Replica) takeEntries(msg *AppendEntries) bool {
+func (r *Replica) appendFromLeader(msg *AppendEntries) bool {
 	entries, prev, prevTerm := msg.Entries, msg.PrevIndex, msg.PrevTerm
 	// What is committed is the same everywhere, also where it is trimmed away here.
 	for len(entries) > 0 && prev < r.commit {
@@ -79,29 +79,29 @@
 		entries = entries[1:]
 	}
 	if prev < r.commit {
-		r.verified = max(r.verified, r.commit)
+		r.matchedIndex = max(r.matchedIndex, r.commit)
 		return true
 	}
-	if !r.log.holds(prev, prevTerm) {
+	if !r.log.matches(prev, prevTerm) {
 		return false
 	}
-	for len(entries) > 0 && r.log.holds(entries[0].Index, entries[0].Term) {
+	for len(entries) > 0 && r.log.matches(entries[0].Index, entries[0].Term) {
 		prev = entries[0].Index
 		entries = entries[1:]
 	}
 	if len(entries) > 0 {
-		r.cut(entries[0].Index)
+		r.truncateLog(entries[0].Index)
 		r.log.append(entries...)
-		r.memberships.take(entries)
-		prev = r.log.last()
+		r.memberships.appendFrom(entries)
+		prev = r.log.lastIndex()
 	}
-	r.verified = max(r.verified, prev)
+	r.matchedIndex = max(r.matchedIndex, prev)
 	return true
 }
 
-// cut drops the log from index on, and the memberships that it brought.
-func (r *Replica) cut(index Index) {
-	if index > r.log.last() {
+// truncateLog drops the log from index on, and the memberships that it brought.
+func (r *Replica) truncateLog(index Index) {
+	if index > r.log.lastIndex() {
 		return
 	}
 	r.log.truncate(index)
--- a/internal/mesh/replication/history_test.go
+++ b/internal/mesh/replication/history_test.go
@@ -34,7 +34,7 @@
 		w.spite = false
 	}
 	if seed%5 == 0 {
-		w.padding = 3*pieceBytes + int(seed%7)*pieceBytes
+		w.padding = 3*snapshotChunkBytes + int(seed%7)*snapshotChunkBytes
 	}
 	if seed%8 == 7 {
 		w.commandPadding = 16 << 10
@@ -176,7 +176,7 @@
 		Convey("a leader that thaws steps down before it does anything, and the new one came within about a second", func() {
 			token, err := w.proposeTo(lead)
 			So(err, ShouldBeNil)
-			index := lead.replica.log.last()
+			index := lead.replica.log.lastIndex()
 			lead.frozen = true
 			since := w.now
 			w.run(since+3*time.Second, func() bool {
--- a/internal/mesh/replication/input_test.go
+++ b/internal/mesh/replication/input_test.go
@@ -12,7 +12,7 @@
 // holds is all that a message could change.
 func (b *bench) holds() string {
 	r := b.r
-	return fmt.Sprint(r.role, r.leader, r.hard, r.log, r.memberships, r.commit, r.verified, r.incoming, r.heard, r.deadline, b.disk)
+	return fmt.Sprint(r.role, r.leader, r.hardState, r.log, r.memberships, r.commit, r.matchedIndex, r.incoming, r.lastContact, r.electionDeadline, b.disk)
 }
 
 func TestImproperMessages(t *testing.T) {
@@ -39,7 +39,7 @@
 		"one name twice in the old set": membership(Membership{Voters: allMembers[:3], Outgoing: []MemberID{memberA, memberA}}),
 		"more voters than may be":       membership(Membership{Voters: make([]MemberID, maxVoters+1)}),
 		"a snapshot of nothing":         piece(func(p *SnapshotChunk) { p.Header.Index = 0 }),
-		"a snapshot that is too large":  piece(func(p *SnapshotChunk) { p.Header.Size = maxSnapshot + 1 }),
+		"a snapshot that is too large":  piece(func(p *SnapshotChunk) { p.Header.Size = maxSnapshotBytes + 1 }),
 		"a snapshot of less than none":  piece(func(p *SnapshotChunk) { p.Header.Size = -1 }),
 		"a piece before the beginning":  piece(func(p *SnapshotChunk) { p.Offset = -1 }),
 		"a piece beyond the end":        piece(func(p *SnapshotChunk) { p.Offset = 3 }),
@@ -74,12 +74,12 @@
 			_, err := b.r.Read(b.now)
 			So(err, ShouldBeNil)
 			b.drain()
-			heard := b.r.heardByMajority()
+			heard := b.r.lastQuorumContact()
 			b.step(memberB, Message{Term: term, AppendResponse: &answer})
 			So(b.r.RejectedMessages(), ShouldEqual, 1)
 			So(b.r.commit, ShouldEqual, 0)
-			So(b.r.reads, ShouldHaveLength, 1)
-			So(b.r.heardByMajority(), ShouldEqual, heard)
+			So(b.r.pendingReads, ShouldHaveLength, 1)
+			So(b.r.lastQuorumContact(), ShouldEqual, heard)
 		})
 	}
 }
@@ -121,17 +121,17 @@
 			}
 			b := &bench{r: r, disk: state}
 			for i := range 3 {
-				term, commit := r.hard.Term, r.commit
+				term, commit := r.hardState.Term, r.commit
 				r.Step(b.now, memberB, msg)
 				b.drain()
-				if r.hard.Term < term || r.commit < commit {
-					t.Fatalf("term %d after %d, commit %d after %d", r.hard.Term, term, r.commit, commit)
+				if r.hardState.Term < term || r.commit < commit {
+					t.Fatalf("term %d after %d, commit %d after %d", r.hardState.Term, term, r.commit, commit)
 				}
 				if i == 1 && votes && r.role != leader {
 					b.now += time.Second
-					r.stand(b.now, false)
+					r.startElection(b.now, false)
 					b.drain()
-					r.lead(b.now)
+					r.becomeLeader(b.now)
 				}
 			}
 		}
--- a/internal/mesh/replication/leader.go
+++ b/internal/mesh/replication/leader.go
@@ -11,45 +11,45 @@
 // Propose numbers a command and returns a token that a later Ready settles. An error means that
 // nothing was done.
 func (r *Replica) Propose(now time.Duration, cmd []byte) (token uint64, err error) {
-	r.checkContact(now)
+	r.checkQuorum(now)
 	switch {
 	case len(cmd) == 0:
 		return 0, errs.New(errs.Invalid, "replication: a command is empty")
 	case len(cmd) > MaxCommandBytes:
 		return 0, errs.New(errs.TooLarge, "replication: a command of %d bytes is over the limit of %d", len(cmd), MaxCommandBytes)
-	case r.sick:
+	case r.storageFailed:
 		return 0, errs.New(errs.DiskFailed, "replication: the disk of %s takes no writes", r.id)
 	case r.role != leader:
 		return 0, errs.New(errs.NotLeader, "replication: %s isn't the leader", r.id)
-	case len(r.proposals) >= maxPending || r.pendingBytes+len(cmd) > maxPendingBytes:
-		return 0, errs.New(errs.Busy, "replication: %d proposals wait for a quorum", len(r.proposals))
+	case len(r.pendingProposals) >= maxPendingProposals || r.pendingBytes+len(cmd) > maxPendingBytes:
+		return 0, errs.New(errs.Busy, "replication: %d proposals wait for a quorum", len(r.pendingProposals))
 	}
-	r.token++
-	index := r.log.last() + 1
-	r.log.append(Entry{Index: index, Term: r.hard.Term, Command: cmd})
-	r.proposals = append(r.proposals, proposal{token: r.token, index: index, bytes: len(cmd)})
+	r.lastToken++
+	index := r.log.lastIndex() + 1
+	r.log.append(Entry{Index: index, Term: r.hardState.Term, Command: cmd})
+	r.pendingProposals = append(r.pendingProposals, pendingProposal{token: r.lastToken, index: index, bytes: len(cmd)})
 	r.pendingBytes += len(cmd)
-	return r.token, nil
+	return r.lastToken, nil
 }
 
 // Read begins a linearizable read and returns a token. It is settled once a majority has confirmed
 // the term in a round begun after this call and everything committed by then is applied here.
 func (r *Replica) Read(now time.Duration) (token uint64, err error) {
-	r.checkContact(now)
+	r.checkQuorum(now)
 	if r.role != leader {
 		return 0, errs.New(errs.NotLeader, "replication: %s isn't the leader", r.id)
 	}
-	if len(r.reads) >= maxReads {
-		return 0, errs.New(errs.Busy, "replication: %d reads wait for their round", len(r.reads))
+	if len(r.pendingReads) >= maxPendingReads {
+		return 0, errs.New(errs.Busy, "replication: %d reads wait for their round", len(r.pendingReads))
 	}
-	r.token++
-	if r.roundOpen {
-		r.round++
-		r.roundOpen = false
+	r.lastToken++
+	if r.readRoundSent {
+		r.readRound++
+		r.readRoundSent = false
 	}
-	r.reads = append(r.reads, read{token: r.token, round: r.round})
+	r.pendingReads = append(r.pendingReads, pendingRead{token: r.lastToken, readRound: r.readRound})
 	r.confirmReads()
-	return r.token, nil
+	return r.lastToken, nil
 }
 
 // SetLearners names the replicas that a leader keeps up to date beside the voters.
@@ -58,25 +58,25 @@
 		return
 	}
 	r.learners = slices.Clone(learners)
-	r.track(now)
+	r.updatePeers(now)
 }
 
-// track has a progress for every voter and learner but this replica, and none for others.
-func (r *Replica) track(now time.Duration) {
+// updatePeers has a progress for every voter and learner but this replica, and none for others.
+func (r *Replica) updatePeers(now time.Duration) {
 	wanted := r.memberships.current().AllVoters()
 	wanted = append(wanted, r.learners...)
-	r.order = r.order[:0]
+	r.peerIDs = r.peerIDs[:0]
 	for _, id := range slices.Compact(slices.Sorted(slices.Values(wanted))) {
 		if id == r.id {
 			continue
 		}
-		r.order = append(r.order, id)
+		r.peerIDs = append(r.peerIDs, id)
 		if r.peers[id] == nil {
-			r.peers[id] = &progress{next: r.log.last() + 1, heard: now, sent: now - HeartbeatInterval}
+			r.peers[id] = &progress{next: r.log.lastIndex() + 1, lastContact: now, sentAt: now - HeartbeatInterval}
 		}
 	}
 	for id := range r.peers {
-		if !slices.Contains(r.order, id) {
+		if !slices.Contains(r.peerIDs, id) {
 			delete(r.peers, id)
 		}
 	}
@@ -88,11 +88,11 @@
 		return nil
 	}
 	current := r.memberships.current()
-	known := make([]Progress, 0, len(r.order))
-	for _, id := range r.order {
+	known := make([]Progress, 0, len(r.peerIDs))
+	for _, id := range r.peerIDs {
 		p := r.peers[id]
 		known = append(known, Progress{
-			ID: id, IsVoter: current.IsVoter(id), Match: p.match, SinceLastContact: now - p.heard,
+			ID: id, IsVoter: current.IsVoter(id), Match: p.match, SinceLastContact: now - p.lastContact,
 			CaughtUp: p.match > 0 && p.match >= r.commit,
 		})
 	}
@@ -108,13 +108,13 @@
 //   - a majority of the old and of the new voters are in touch and hold all that is committed: so the
 //     change can be committed, and the new set could go on from its own disks alone.
 func (r *Replica) ChangeMembership(now time.Duration, voters []MemberID) error {
-	r.checkContact(now)
+	r.checkQuorum(now)
 	current := r.memberships.current()
 	next := Membership{Voters: slices.Sorted(slices.Values(voters)), Outgoing: current.Voters}
 	switch {
-	case r.role != leader || r.sick:
+	case r.role != leader || r.storageFailed:
 		return errs.New(errs.NotLeader, "replication: %s isn't the leader", r.id)
-	case !r.openedTerm():
+	case !r.hasCommittedInTerm():
 		return errs.New(errs.Busy, "replication: the term has no committed entry yet")
 	case current.IsJoint() || current.index > r.commit:
 		return errs.New(errs.Busy, "replication: a change of membership is under way")
@@ -126,11 +126,11 @@
 	if err := next.validate(); err != nil {
 		return err
 	}
-	if !next.quorum(func(id MemberID) bool { return r.holdsAll(now, id) }) {
+	if !next.hasQuorum(func(id MemberID) bool { return r.isCaughtUp(now, id) }) {
 		return errs.New(errs.NoQuorum, "replication: too few of the old or the new voters hold all that is committed")
 	}
 	for _, id := range next.Voters {
-		if !current.IsVoter(id) && !r.holdsAll(now, id) {
+		if !current.IsVoter(id) && !r.isCaughtUp(now, id) {
 			return errs.New(errs.Busy, "replication: %s has not caught up", id)
 		}
 	}
@@ -138,33 +138,33 @@
 	return nil
 }
 
-// holdsAll says that a member was heard lately and has synced all that is committed.
-func (r *Replica) holdsAll(now time.Duration, id MemberID) bool {
+// isCaughtUp says that a member was heard lately and has synced all that is committed.
+func (r *Replica) isCaughtUp(now time.Duration, id MemberID) bool {
 	if id == r.id {
 		return r.stable >= r.commit
 	}
 	p := r.peers[id]
-	return p != nil && p.match > 0 && p.match >= r.commit && now-p.heard <= ContactTimeout
+	return p != nil && p.match > 0 && p.match >= r.commit && now-p.lastContact <= ContactTimeout
 }
 
 func (r *Replica) appendMembership(now time.Duration, m Membership) {
-	entry := Entry{Index: r.log.last() + 1, Term: r.hard.Term, Kind: EntryMembership, Command: m.encode()}
+	entry := Entry{Index: r.log.lastIndex() + 1, Term: r.hardState.Term, Kind: EntryMembership, Command: m.encode()}
 	r.log.append(entry)
-	r.memberships = append(r.memberships, membershipAt{entry.Index, m})
-	r.track(now)
+	r.memberships = append(r.memberships, indexedMembership{entry.Index, m})
+	r.updatePeers(now)
 }
 
 // TransferLeadership asks the voter that holds most to stand for election at once, leaving out those
 // that are going themselves; false where nobody could.
 func (r *Replica) TransferLeadership(now time.Duration, leaving ...MemberID) bool {
-	r.checkContact(now)
+	r.checkQuorum(now)
 	if r.role != leader {
 		return false
 	}
 	current := r.memberships.current()
 	var best MemberID
-	for _, id := range r.order {
-		if !slices.Contains(current.Voters, id) || slices.Contains(leaving, id) || !r.holdsAll(now, id) {
+	for _, id := range r.peerIDs {
+		if !slices.Contains(current.Voters, id) || slices.Contains(leaving, id) || !r.isCaughtUp(now, id) {
 			continue
 		}
 		if best == "" || r.peers[id].match > r.peers[best].match {
@@ -175,66 +175,66 @@
 		return false
 	}
 	r.send(best, Message{TimeoutNow: &TimeoutNow{}})
-	if !r.handingOver {
-		r.handingOver, r.handedOverAt = true, now
+	if !r.transferring {
+		r.transferring, r.transferStartedAt = true, now
 	}
 	return true
 }
 
-// feed queues what each member is due: entries or a snapshot it lacks, or a heartbeat when it was
+// sendToPeers queues what each member is due: entries or a snapshot it lacks, or a heartbeat when it was
 // told nothing for HeartbeatInterval, a read waits or more is committed.
-func (r *Replica) feed(now time.Duration) {
-	for _, id := range r.order {
+func (r *Replica) sendToPeers(now time.Duration) {
+	for _, id := range r.peerIDs {
 		p := r.peers[id]
-		if p.resend > 0 && now >= p.resend {
-			p.resend = 0
+		if p.resendAt > 0 && now >= p.resendAt {
+			p.resendAt = 0
 		}
 		// What isn't heard gets heartbeats only; more would cost the link for nothing.
-		if p.resend == 0 && now-p.heard <= ContactTimeout && (p.snapshot != nil || p.next <= r.log.last()) {
-			r.sendLog(now, id, p)
+		if p.resendAt == 0 && now-p.lastContact <= ContactTimeout && (p.snapshot != nil || p.next <= r.log.lastIndex()) {
+			r.replicateTo(now, id, p)
 			continue
 		}
 		known := min(r.commit, p.match)
-		if now-p.sent >= HeartbeatInterval || p.roundSent < r.round || p.commitSent < known {
+		if now-p.sentAt >= HeartbeatInterval || p.readRoundSent < r.readRound || p.commitSent < known {
 			r.sendAppend(now, id, p, max(p.next-1, r.log.snapshot.Index), nil)
 		}
 	}
-	r.roundOpen = true
+	r.readRoundSent = true
 }
 
-// sendLog sends what a member lacks. One such message at a time is on its way to each.
-func (r *Replica) sendLog(now time.Duration, id MemberID, p *progress) {
+// replicateTo sends what a member lacks. One such message at a time is on its way to each.
+func (r *Replica) replicateTo(now time.Duration, id MemberID, p *progress) {
 	if p.snapshot != nil || p.next <= r.log.snapshot.Index {
 		r.sendSnapshot(now, id, p)
 		return
 	}
-	entries := r.log.from(p.next, maxMessage)
+	entries := r.log.entriesFrom(p.next, maxAppendBytes)
 	bytes := 0
 	for i := range entries {
 		bytes += len(entries[i].Command)
 	}
 	r.sendAppend(now, id, p, p.next-1, entries)
-	p.resend = now + resendAfter + resendPerMiB*time.Duration(bytes>>10)/(1<<10)
+	p.resendAt = now + resendTimeout + resendTimeoutPerMiB*time.Duration(bytes>>10)/(1<<10)
 }
 
 func (r *Replica) sendAppend(now time.Duration, id MemberID, p *progress, prev Index, entries []Entry) {
 	term, _ := r.log.term(prev)
 	r.send(id, Message{Append: &AppendEntries{Heartbeat: r.heartbeat(now, p), PrevIndex: prev, PrevTerm: term, Entries: entries}})
-	p.sent, p.roundSent, p.commitSent = now, r.round, min(r.commit, p.match)
+	p.sentAt, p.readRoundSent, p.commitSent = now, r.readRound, min(r.commit, p.match)
 }
 
 // heartbeat is what the leader says of itself. Until an entry of its own term is committed it names
 // no confirmation, as it can't say how far what was committed reaches.
 func (r *Replica) heartbeat(now time.Duration, p *progress) Heartbeat {
 	age := forever
-	if r.openedTerm() {
-		age = max(0, now-r.confirmedByMajority())
+	if r.hasCommittedInTerm() {
+		age = max(0, now-r.leaderQuorumAck())
 	}
-	return Heartbeat{Commit: r.commit, SentAt: now, ReadRound: r.round, QuorumAckAge: age, EchoedClock: p.clock}
+	return Heartbeat{Commit: r.commit, SentAt: now, ReadRound: r.readRound, QuorumAckAge: age, EchoedClock: p.clock}
 }
 
-func (r *Replica) stepAppendAnswer(now time.Duration, from MemberID, term Term, answer *AppendResponse) {
-	p := r.answered(now, from, term, answer.SentAt, answer.ReadRound, answer.Clock)
+func (r *Replica) stepAppendResponse(now time.Duration, from MemberID, term Term, answer *AppendResponse) {
+	p := r.recordResponse(now, from, term, answer.SentAt, answer.ReadRound, answer.Clock)
 	if p == nil {
 		return
 	}
@@ -243,13 +243,13 @@
 		// Heartbeats are refused until the snapshot is there; its pieces are on their way.
 	case answer.Rejected:
 		if answer.RejectedIndex == max(p.next-1, r.log.snapshot.Index) {
-			p.next = max(p.match, min(answer.Match, r.log.last())) + 1
-			p.resend = 0
+			p.next = max(p.match, min(answer.Match, r.log.lastIndex())) + 1
+			p.resendAt = 0
 		}
-	case answer.Match > p.match && answer.Match <= r.log.last():
+	case answer.Match > p.match && answer.Match <= r.log.lastIndex():
 		p.match = answer.Match
 		p.next = max(p.next, p.match+1)
-		p.resend = 0
+		p.resendAt = 0
 		if p.snapshot != nil && p.match >= p.snapshot.Index {
 			p.snapshot = nil
 			p.next = p.match + 1
@@ -259,23 +259,23 @@
 	r.confirmReads()
 }
 
-// answered notes that a member has answered this leader; nil where the answer isn't for it, or is to a
+// recordResponse notes that a member has answered this leader; nil where the answer isn't for it, or is to a
 // message that was never sent.
-func (r *Replica) answered(now time.Duration, from MemberID, term Term, sent time.Duration, round uint64, clock ClockReading) *progress {
-	if term > r.hard.Term {
-		r.follow(term, "")
+func (r *Replica) recordResponse(now time.Duration, from MemberID, term Term, sent time.Duration, round uint64, clock ClockReading) *progress {
+	if term > r.hardState.Term {
+		r.becomeFollower(term, "")
 		return nil
 	}
 	p := r.peers[from]
-	if r.role != leader || term < r.hard.Term || p == nil {
+	if r.role != leader || term < r.hardState.Term || p == nil {
 		return nil
 	}
-	if sent > now || round > r.round {
-		r.refused++
+	if sent > now || round > r.readRound {
+		r.rejectedMessages++
 		return nil
 	}
-	p.heard = max(p.heard, sent)
-	p.round = max(p.round, round)
+	p.lastContact = max(p.lastContact, sent)
+	p.readRound = max(p.readRound, round)
 	p.clock = clock
 	return p
 }
@@ -287,13 +287,13 @@
 	if r.role != leader {
 		return
 	}
-	index := reached(r.memberships.current().Membership, func(id MemberID) Index {
+	index := quorumValue(r.memberships.current().Membership, func(id MemberID) Index {
 		if id == r.id {
 			return r.stable
 		}
 		return r.peers[id].match
 	})
-	if index <= r.commit || !r.log.holds(index, r.hard.Term) {
+	if index <= r.commit || !r.log.matches(index, r.hardState.Term) {
 		return
 	}
 	r.commit = index
@@ -310,61 +310,61 @@
 	}
 }
 
-// handOver has a leader that a change leaves out, and that was chosen in the middle of it, ask one of
+// transferIfOutgoing has a leader that a change leaves out, and that was chosen in the middle of it, ask one of
 // the new voters to take over and end the change: no membership has a leader outside.
-func (r *Replica) handOver(now time.Duration) {
+func (r *Replica) transferIfOutgoing(now time.Duration) {
 	current := r.memberships.current()
-	if r.role != leader || !current.IsJoint() || current.index > r.commit || slices.Contains(current.Voters, r.id) || now < r.handOverAt {
+	if r.role != leader || !current.IsJoint() || current.index > r.commit || slices.Contains(current.Voters, r.id) || now < r.nextTransferAt {
 		return
 	}
-	r.handOverAt = now + HeartbeatInterval
+	r.nextTransferAt = now + HeartbeatInterval
 	r.TransferLeadership(now)
 }
 
 // confirmReads gives its index to each read whose round a majority has answered, once the leader
 // knows all that earlier terms committed.
 func (r *Replica) confirmReads() {
-	if r.role != leader || !r.openedTerm() {
+	if r.role != leader || !r.hasCommittedInTerm() {
 		return
 	}
-	confirmed := reached(r.memberships.current().Membership, func(id MemberID) uint64 {
+	confirmed := quorumValue(r.memberships.current().Membership, func(id MemberID) uint64 {
 		if id == r.id {
-			return r.round
+			return r.readRound
 		}
-		return r.peers[id].round
+		return r.peers[id].readRound
 	})
-	for i := range r.reads {
-		if q := &r.reads[i]; q.index == 0 && q.round <= confirmed {
+	for i := range r.pendingReads {
+		if q := &r.pendingReads[i]; q.index == 0 && q.readRound <= confirmed {
 			q.index = r.commit
 		}
 	}
 }
 
-// WantsSnapshot says that the log is long enough for a snapshot to take its place. A leader keeps
+// ShouldCompact says that the log is long enough for a snapshot to take its place. A leader keeps
 // more of it for members that are behind, since what is trimmed would have to go to them whole.
-func (r *Replica) WantsSnapshot() bool {
+func (r *Replica) ShouldCompact() bool {
 	n := int(r.applied - r.log.snapshot.Index)
-	if r.sick || n == 0 || r.restore != nil {
+	if r.storageFailed || n == 0 || r.pendingRestore != nil {
 		return false
 	}
-	limit := trimBytes + len(r.log.snapshot.Data)
-	if n <= trimEntries && r.log.bytes <= limit {
+	limit := compactAfterBytes + len(r.log.snapshot.Data)
+	if n <= compactAfterEntries && r.log.bytes <= limit {
 		return false
 	}
-	return n >= behindEntries || r.log.bytes >= behindBytes+2*limit || !r.someBehind()
+	return n >= maxRetainedEntries || r.log.bytes >= maxRetainedBytes+2*limit || !r.hasLaggingPeer()
 }
 
-// someBehind says that a member which is in touch lacks what is applied.
-func (r *Replica) someBehind() bool {
+// hasLaggingPeer says that a member which is in touch lacks what is applied.
+func (r *Replica) hasLaggingPeer() bool {
 	if r.role != leader {
 		return false
 	}
 	newest := time.Duration(math.MinInt64)
 	for _, p := range r.peers {
-		newest = max(newest, p.heard)
+		newest = max(newest, p.lastContact)
 	}
 	for _, p := range r.peers {
-		if p.match < r.applied && newest-p.heard <= ContactTimeout {
+		if p.match < r.applied && newest-p.lastContact <= ContactTimeout {
 			return true
 		}
 	}
@@ -379,7 +379,7 @@
 	if !ok || r.applied == r.log.snapshot.Index || len(membership.Voters) == 0 {
 		return
 	}
-	r.log.trim(Snapshot{Index: r.applied, Term: term, Membership: membership, Data: data})
-	r.memberships.trim(r.applied)
+	r.log.compact(Snapshot{Index: r.applied, Term: term, Membership: membership, Data: data})
+	r.memberships.compact(r.applied)
 	r.snapshotDirty = true
 }
--- a/internal/mesh/replication/log.go
+++ b/internal/mesh/replication/log.go
@@ -7,33 +7,33 @@
 	bytes    int
 }
 
-func (l *entryLog) last() Index { return l.snapshot.Index + Index(len(l.entries)) }
+func (l *entryLog) lastIndex() Index { return l.snapshot.Index + Index(len(l.entries)) }
 
 // term returns the term of the entry at index; ok is false when the log doesn't hold it.
 func (l *entryLog) term(index Index) (term Term, ok bool) {
 	switch {
 	case index == l.snapshot.Index:
 		return l.snapshot.Term, true
-	case index < l.snapshot.Index || index > l.last():
+	case index < l.snapshot.Index || index > l.lastIndex():
 		return 0, false
 	}
 	return l.entries[index-l.snapshot.Index-1].Term, true
 }
 
 func (l *entryLog) lastTerm() Term {
-	term, _ := l.term(l.last())
+	term, _ := l.term(l.lastIndex())
 	return term
 }
 
-// holds says whether the entry at index is the one numbered in term.
-func (l *entryLog) holds(index Index, term Term) bool {
+// matches says whether the entry at index is the one numbered in term.
+func (l *entryLog) matches(index Index, term Term) bool {
 	found, ok := l.term(index)
 	return ok && found == term
 }
 
-// from returns the entries from index on, as many as fit into limit bytes and at least one if there is one.
-func (l *entryLog) from(index Index, limit int) []Entry {
-	if index <= l.snapshot.Index || index > l.last() {
+// entriesFrom returns the entries from index on, as many as fit into limit bytes and at least one if there is one.
+func (l *entryLog) entriesFrom(index Index, limit int) []Entry {
+	if index <= l.snapshot.Index || index > l.lastIndex() {
 		return nil
 	}
 	rest := l.entries[index-l.snapshot.Index-1:]
@@ -45,8 +45,8 @@
 	return rest[:n:n]
 }
 
-// between returns the entries after index up to end.
-func (l *entryLog) between(after, end Index) []Entry {
+// entriesBetween returns the entries after index up to end.
+func (l *entryLog) entriesBetween(after, end Index) []Entry {
 	if end <= after || after < l.snapshot.Index {
 		return nil
 	}
@@ -65,23 +65,23 @@
 func (l *entryLog) truncate(index Index) {
 	keep := l.entries[:index-l.snapshot.Index-1]
 	l.entries = append(make([]Entry, 0, len(keep)), keep...)
-	l.count()
+	l.countBytes()
 }
 
-// reset puts a snapshot in place of everything.
-func (l *entryLog) reset(s Snapshot) {
+// installSnapshot puts a snapshot in place of everything.
+func (l *entryLog) installSnapshot(s Snapshot) {
 	*l = entryLog{snapshot: s}
 }
 
-// trim puts a snapshot in place of the entries up to its index.
-func (l *entryLog) trim(s Snapshot) {
+// compact puts a snapshot in place of the entries up to its index.
+func (l *entryLog) compact(s Snapshot) {
 	rest := l.entries[s.Index-l.snapshot.Index:]
 	l.entries = append(make([]Entry, 0, len(rest)), rest...)
 	l.snapshot = s
-	l.count()
+	l.countBytes()
 }
 
-func (l *entryLog) count() {
+func (l *entryLog) countBytes() {
 	l.bytes = 0
 	for i := range l.entries {
 		l.bytes += len(l.entries[i].Command)
--- a/internal/mesh/replication/loop.go
+++ b/internal/mesh/replication/loop.go
@@ -9,24 +9,24 @@
 )
 
 func (n *Node) run() {
-	defer close(n.ended)
+	defer close(n.done)
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
 		select {
 		case <-n.stop:
-			n.abandon()
+			n.abortAll()
 			return
 		case <-n.wake:
 		case <-timer.C:
 		}
-		n.round()
-		timer.Reset(min(longestWait, max(0, n.replica.NextWake()-n.now())))
+		n.runOnce()
+		timer.Reset(min(maxLoopWait, max(0, n.replica.NextWake()-n.now())))
 	}
 }
 
-// round takes in all that waits and does all that is due.
-func (n *Node) round() {
+// runOnce takes in all that waits and does all that is due.
+func (n *Node) runOnce() {
 	n.mu.Lock()
 	inbox, calls := n.inbox, n.calls
 	n.inbox, n.calls = nil, nil
@@ -36,92 +36,92 @@
 	now := n.now()
 	n.replica.Tick(now)
 	for _, d := range inbox {
-		if d.answer != nil {
-			n.supersede(d.from, d.answer)
+		if d.response != nil {
+			n.replaceExchange(d.from, d.response)
 		}
-		if now-d.at > staleAfter {
+		if now-d.arrivedAt > maxMessageAge {
 			continue
 		}
-		for i := range d.msgs {
-			n.replica.Step(now, d.from, d.msgs[i])
+		for i := range d.messages {
+			n.replica.Step(now, d.from, d.messages[i])
 		}
 	}
 	for _, c := range calls {
-		n.begin(now, c)
+		n.startCall(now, c)
 	}
 	for {
 		r, some := n.replica.Ready(n.now())
 		if !some {
 			break
 		}
-		n.do(&r)
+		n.process(&r)
 	}
-	for from, answer := range n.answers {
+	for from, answer := range n.openExchanges {
 		close(answer)
-		delete(n.answers, from)
+		delete(n.openExchanges, from)
 	}
-	n.publish(n.now())
+	n.publishStatus(n.now())
 }
 
-// supersede keeps the newest exchange of a sender; an older one gets no answer.
-func (n *Node) supersede(from MemberID, answer chan []Message) {
-	if old := n.answers[from]; old != nil {
+// replaceExchange keeps the newest exchange of a sender; an older one gets no answer.
+func (n *Node) replaceExchange(from MemberID, answer chan []Message) {
+	if old := n.openExchanges[from]; old != nil {
 		close(old)
 	}
-	n.answers[from] = answer
+	n.openExchanges[from] = answer
 }
 
-func (n *Node) begin(now time.Duration, c call) {
+func (n *Node) startCall(now time.Duration, c call) {
 	if c.ctx.Err() != nil {
 		// The caller has gone while the loop was held up.
 		return
 	}
 	if c.operation != nil {
-		c.done <- result{err: c.operation(now, n.replica)}
+		c.done <- callResult{err: c.operation(now, n.replica)}
 		return
 	}
 	var token uint64
 	var err error
-	if c.cmd != nil {
-		token, err = n.replica.Propose(now, c.cmd)
+	if c.command != nil {
+		token, err = n.replica.Propose(now, c.command)
 	} else {
 		token, err = n.replica.Read(now)
 	}
 	if err != nil {
-		c.done <- result{err: err}
+		c.done <- callResult{err: err}
 		return
 	}
-	n.waiting[token] = c
+	n.pendingCalls[token] = c
 }
 
-// do does what a Ready asks for, in its order.
-func (n *Node) do(r *Ready) {
+// process does what a Ready asks for, in its order.
+func (n *Node) process(r *Ready) {
 	if r.Persist != nil {
-		if err := n.cfg.Storage.Save(r.Persist); err != nil {
-			if !n.sick {
-				n.cfg.Logger.Error("the log's disk refuses to write; this replica is silent until it does", zap.Error(err))
+		if err := n.config.Storage.Save(r.Persist); err != nil {
+			if !n.storageFailed {
+				n.config.Logger.Error("the log's disk refuses to write; this replica is silent until it does", zap.Error(err))
 			}
-			n.sick = true
+			n.storageFailed = true
 			n.replica.PersistFailed(n.now(), r)
 			return
 		}
-		if n.sick {
-			n.cfg.Logger.Info("the log's disk writes again")
-			n.sick = false
+		if n.storageFailed {
+			n.config.Logger.Info("the log's disk writes again")
+			n.storageFailed = false
 		}
 	}
-	n.sendAll(r.Messages)
+	n.sendMessages(r.Messages)
 	if r.Restore != nil {
-		n.cfg.Restore(uint64(r.Restore.Index), r.Restore.Data)
+		n.config.Restore(uint64(r.Restore.Index), r.Restore.Data)
 	}
 	for i := range r.CommittedEntries {
 		n.apply(&r.CommittedEntries[i])
 	}
 	n.replica.Advance(n.now(), r)
-	n.tell(r.CompletedProposals)
-	n.tell(r.CompletedReads)
-	if n.replica.WantsSnapshot() {
-		if data := n.cfg.Snapshot(); data != nil {
+	n.completeCalls(r.CompletedProposals)
+	n.completeCalls(r.CompletedReads)
+	if n.replica.ShouldCompact() {
+		if data := n.config.Snapshot(); data != nil {
 			n.replica.Compact(data)
 		}
 	}
@@ -130,33 +130,33 @@
 // apply hands an entry to the application; a membership is none of its business but its index.
 func (n *Node) apply(e *Entry) {
 	if e.Kind == EntryMembership {
-		n.cfg.Apply(uint64(e.Index), nil)
+		n.config.Apply(uint64(e.Index), nil)
 		return
 	}
-	n.cfg.Apply(uint64(e.Index), e.Command)
+	n.config.Apply(uint64(e.Index), e.Command)
 }
 
-func (n *Node) tell(settled []Completion) {
+func (n *Node) completeCalls(settled []Completion) {
 	for _, s := range settled {
-		c, ok := n.waiting[s.Token]
+		c, ok := n.pendingCalls[s.Token]
 		if !ok {
 			continue
 		}
-		delete(n.waiting, s.Token)
+		delete(n.pendingCalls, s.Token)
 		switch {
 		case !s.Aborted:
-			c.done <- result{index: uint64(s.Index)}
-		case c.cmd != nil:
-			c.done <- result{err: errs.New(errs.NoQuorum, "replication: the term ended before the command was committed; it may be or not")}
+			c.done <- callResult{index: uint64(s.Index)}
+		case c.command != nil:
+			c.done <- callResult{err: errs.New(errs.NoQuorum, "replication: the term ended before the command was committed; it may be or not")}
 		default:
-			c.done <- result{err: errs.New(errs.NotLeader, "replication: the term ended before the read was confirmed")}
+			c.done <- callResult{err: errs.New(errs.NotLeader, "replication: the term ended before the read was confirmed")}
 		}
 	}
 }
 
-// sendAll hands over messages by receiver, in their order; what is for a
+// sendMessages hands over messages by receiver, in their order; what is for a
 // replica whose exchange waits goes back on it.
-func (n *Node) sendAll(out []Envelope) {
+func (n *Node) sendMessages(out []Envelope) {
 	for i := 0; i < len(out); i++ {
 		to := out[i].To
 		if to == "" {
@@ -169,16 +169,16 @@
 				out[j].To = ""
 			}
 		}
-		if answer := n.answers[to]; answer != nil {
+		if answer := n.openExchanges[to]; answer != nil {
 			answer <- msgs
-			delete(n.answers, to)
+			delete(n.openExchanges, to)
 			continue
 		}
-		n.cfg.Send(to, msgs)
+		n.config.Send(to, msgs)
 	}
 }
 
-func (n *Node) publish(now time.Duration) {
+func (n *Node) publishStatus(now time.Duration) {
 	next := &Status{
 		IsLeader:         n.replica.IsLeader(now),
 		StorageFailed:    n.replica.StorageFailed(),
@@ -193,28 +193,28 @@
 	before := n.status.Swap(next)
 	if before != nil && (before.Leader != next.Leader || before.Term != next.Term) {
 		n.contact.reset()
-		n.cfg.Logger.Info("term", zap.Uint64("number", uint64(next.Term)), zap.String("leader", string(next.Leader)))
+		n.config.Logger.Info("term", zap.Uint64("number", uint64(next.Term)), zap.String("leader", string(next.Leader)))
 	}
 	if at, index, ok := n.replica.LastQuorumAck(); ok {
-		n.contact.confirm(min(at, now), uint64(index))
+		n.contact.record(min(at, now), uint64(index))
 	}
 }
 
-// abandon ends the exchanges and callers that still wait.
-func (n *Node) abandon() {
+// abortAll ends the exchanges and callers that still wait.
+func (n *Node) abortAll() {
 	n.mu.Lock()
 	inbox, calls := n.inbox, n.calls
 	n.inbox, n.calls = nil, nil
 	n.mu.Unlock()
 	for _, d := range inbox {
-		if d.answer != nil {
-			close(d.answer)
+		if d.response != nil {
+			close(d.response)
 		}
 	}
 	for _, c := range calls {
-		c.done <- result{err: errs.New(errs.Busy, "replication: the node is closed")}
+		c.done <- callResult{err: errs.New(errs.Busy, "replication: the node is closed")}
 	}
-	for _, c := range n.waiting {
-		c.done <- result{err: errs.New(errs.DeadlineExceeded, "replication: the node was closed before the end was known")}
+	for _, c := range n.pendingCalls {
+		c.done <- callResult{err: errs.New(errs.DeadlineExceeded, "replication: the node was closed before the end was known")}
 	}
 }
--- a/internal/mesh/replication/membership.go
+++ b/internal/mesh/replication/membership.go
@@ -34,31 +34,31 @@
 	return slices.Compact(slices.Sorted(slices.Values(slices.Concat(m.Voters, m.Outgoing))))
 }
 
-// quorum says whether those for whom has is true are a majority of each set.
-func (m Membership) quorum(has func(MemberID) bool) bool {
-	return majority(m.Voters, has) && (!m.IsJoint() || majority(m.Outgoing, has))
+// hasQuorum says whether those for whom has is true are a majority of each set.
+func (m Membership) hasQuorum(agrees func(MemberID) bool) bool {
+	return hasMajority(m.Voters, agrees) && (!m.IsJoint() || hasMajority(m.Outgoing, agrees))
 }
 
-func majority(voters []MemberID, has func(MemberID) bool) bool {
+func hasMajority(voters []MemberID, agrees func(MemberID) bool) bool {
 	n := 0
 	for _, id := range voters {
-		if has(id) {
+		if agrees(id) {
 			n++
 		}
 	}
 	return n > len(voters)/2
 }
 
-// reached is the largest value that a majority of each set has reached.
-func reached[T ~int64 | ~uint64](m Membership, of func(MemberID) T) T {
-	value := reachedBy(m.Voters, of)
+// quorumValue is the largest value that a majority of each set has reached.
+func quorumValue[T ~int64 | ~uint64](m Membership, of func(MemberID) T) T {
+	value := majorityValue(m.Voters, of)
 	if m.IsJoint() {
-		value = min(value, reachedBy(m.Outgoing, of))
+		value = min(value, majorityValue(m.Outgoing, of))
 	}
 	return value
 }
 
-func reachedBy[T ~int64 | ~uint64](voters []MemberID, of func(MemberID) T) T {
+func majorityValue[T ~int64 | ~uint64](voters []MemberID, of func(MemberID) T) T {
 	if len(voters) == 0 {
 		return 0
 	}
@@ -127,39 +127,39 @@
 	return ClusterID(xxhash.Sum64String(strings.Join(seeds, "\n"))), m
 }
 
-// membershipAt is a membership and the entry that brought it.
-type membershipAt struct {
+// indexedMembership is a membership and the entry that brought it.
+type indexedMembership struct {
 	index Index
 	Membership
 }
 
-// memberships is every membership that the log holds, the oldest first: the snapshot's, then one
+// membershipHistory is every membership that the log holds, the oldest first: the snapshot's, then one
 // for each entry. The newest is in force, committed or not.
-type memberships []membershipAt
+type membershipHistory []indexedMembership
 
-func (h memberships) current() membershipAt { return h[len(h)-1] }
+func (h membershipHistory) current() indexedMembership { return h[len(h)-1] }
 
-// take notes the memberships among entries that were appended.
-func (h *memberships) take(entries []Entry) {
+// appendFrom notes the memberships among entries that were appended.
+func (h *membershipHistory) appendFrom(entries []Entry) {
 	for i := range entries {
 		if entries[i].Kind != EntryMembership {
 			continue
 		}
 		if m, err := decodeMembership(entries[i].Command); err == nil {
-			*h = append(*h, membershipAt{entries[i].Index, m})
+			*h = append(*h, indexedMembership{entries[i].Index, m})
 		}
 	}
 }
 
 // truncate drops what entries from index on brought.
-func (h *memberships) truncate(index Index) {
+func (h *membershipHistory) truncate(index Index) {
 	for len(*h) > 1 && h.current().index >= index {
 		*h = (*h)[:len(*h)-1]
 	}
 }
 
 // at is the membership in force at index.
-func (h memberships) at(index Index) Membership {
+func (h membershipHistory) at(index Index) Membership {
 	found := h[0].Membership
 	for _, m := range h {
 		if m.index <= index {
@@ -169,8 +169,8 @@
 	return found
 }
 
-// trim drops what was in force before the one at index.
-func (h *memberships) trim(index Index) {
+// compact drops what was in force before the one at index.
+func (h *membershipHistory) compact(index Index) {
 	for len(*h) > 1 && (*h)[1].index <= index {
 		*h = (*h)[1:]
 	}
--- a/internal/mesh/replication/message.go
+++ b/internal/mesh/replication/message.go
@@ -113,8 +113,8 @@
 // TimeoutNow has a voter stand for election at once, as the leader wants to hand over.
 type TimeoutNow struct{}
 
-// size is about what the message costs in memory and on the link.
-func (msg *Message) size() int {
+// payloadBytes is about what the message costs in memory and on the link.
+func (msg *Message) payloadBytes() int {
 	n := 0
 	if msg.SnapshotChunk != nil {
 		n += len(msg.SnapshotChunk.Data)
@@ -127,8 +127,8 @@
 	return n
 }
 
-// kinds counts which parts a message has; a proper one has one.
-func (msg *Message) kinds() int {
+// payloadCount counts which parts a message has; a proper one has one.
+func (msg *Message) payloadCount() int {
 	n := 0
 	for _, set := range []bool{
 		msg.VoteRequest != nil, msg.VoteResponse != nil, msg.Append != nil, msg.AppendResponse != nil,
--- a/internal/mesh/replication/network_test.go
+++ b/internal/mesh/replication/network_test.go
@@ -63,7 +63,7 @@
 }
 
 // onLink is about how many bytes a message takes on a link: a third more than in memory, and headers.
-func onLink(msg *Message) int { return msg.size()*4/3 + 300 }
+func onLink(msg *Message) int { return msg.payloadBytes()*4/3 + 300 }
 
 // arrive has a message through a link as it is now.
 func (w *world) arrive(way link, deliver func()) {
@@ -83,8 +83,8 @@
 	if n == nil || n.replica == nil {
 		return
 	}
-	n.inbox = append(n.inbox, delivery{from: from, msgs: []Message{msg}, at: w.clock(n)})
-	if len(n.inbox) > maxInbox {
+	n.inbox = append(n.inbox, delivery{from: from, messages: []Message{msg}, arrivedAt: w.clock(n)})
+	if len(n.inbox) > maxQueuedDeliveries {
 		n.inbox = n.inbox[1:]
 	}
 	w.pump(n)
--- a/internal/mesh/replication/node.go
+++ b/internal/mesh/replication/node.go
@@ -15,17 +15,17 @@
 )
 
 const (
-	// contactWithin is how old a majority's confirmation may be for a replica to be in contact.
-	contactWithin = time.Second
-	// staleAfter is the age at which a message that waited for the loop is dropped: others may have
+	// maxContactAge is how old a majority's confirmation may be for a replica to be in contact.
+	maxContactAge = time.Second
+	// maxMessageAge is the age at which a message that waited for the loop is dropped: others may have
 	// chosen a new leader since, so it is old news.
-	staleAfter = MinElectionTimeout
-	// maxInbox bounds the messages that wait while the disk stalls; the oldest give way.
-	maxInbox = 256
-	// maxCalls bounds the proposals and reads that wait while the disk stalls.
-	maxCalls = 1024
-	// longestWait is how long the loop sleeps when nothing at all is due.
-	longestWait = time.Minute
+	maxMessageAge = MinElectionTimeout
+	// maxQueuedDeliveries bounds the messages that wait while the disk stalls; the oldest give way.
+	maxQueuedDeliveries = 256
+	// maxQueuedCalls bounds the proposals and reads that wait while the disk stalls.
+	maxQueuedCalls = 1024
+	// maxLoopWait is how long the loop sleeps when nothing at all is due.
+	maxLoopWait = time.Minute
 )
 
 // NodeConfig is what a node is made of. Apply, Restore and Snapshot are called from the node's loop
@@ -50,22 +50,22 @@
 // call is a proposal, a read (without a command), or an operation on the replica itself.
 type call struct {
 	ctx       context.Context
-	cmd       []byte
+	command   []byte
 	operation func(now time.Duration, r *Replica) error
-	done      chan result
+	done      chan callResult
 }
 
-type result struct {
+type callResult struct {
 	index uint64
 	err   error
 }
 
 type delivery struct {
-	from MemberID
-	msgs []Message
-	at   time.Duration
-	// answer, when not nil, takes what is to be said to the sender.
-	answer chan []Message
+	from      MemberID
+	messages  []Message
+	arrivedAt time.Duration
+	// response, when not nil, takes what is to be said to the sender.
+	response chan []Message
 }
 
 // Status is what a replica last was.
@@ -86,12 +86,12 @@
 
 // Node runs a Replica over its Storage in one loop.
 type Node struct {
-	cfg     NodeConfig
-	replica *Replica
-	start   time.Time
-	wake    chan struct{}
-	stop    chan struct{}
-	ended   chan struct{}
+	config    NodeConfig
+	replica   *Replica
+	startedAt time.Time
+	wake      chan struct{}
+	stop      chan struct{}
+	done      chan struct{}
 
 	mu     sync.Mutex
 	closed bool
@@ -99,12 +99,12 @@
 	calls  []call
 
 	// Of the loop alone.
-	waiting map[uint64]call
-	answers map[MemberID]chan []Message
-	sick    bool
+	pendingCalls  map[uint64]call
+	openExchanges map[MemberID]chan []Message
+	storageFailed bool
 
 	status  atomic.Pointer[Status]
-	contact contact
+	contact contactTracker
 }
 
 // StartNode restores the application from the state and starts the loop.
@@ -122,16 +122,16 @@
 	}
 	cfg.State = State{}
 	n := &Node{
-		cfg:     cfg,
-		replica: replica,
-		start:   time.Now(),
-		wake:    make(chan struct{}, 1),
-		stop:    make(chan struct{}),
-		ended:   make(chan struct{}),
-		waiting: map[uint64]call{},
-		answers: map[MemberID]chan []Message{},
+		config:        cfg,
+		replica:       replica,
+		startedAt:     time.Now(),
+		wake:          make(chan struct{}, 1),
+		stop:          make(chan struct{}),
+		done:          make(chan struct{}),
+		pendingCalls:  map[uint64]call{},
+		openExchanges: map[MemberID]chan []Message{},
 	}
-	n.publish(0)
+	n.publishStatus(0)
 	go n.run()
 	return n, nil
 }
@@ -144,11 +144,11 @@
 		close(n.stop)
 	}
 	n.mu.Unlock()
-	<-n.ended
-	return n.cfg.Storage.Close()
+	<-n.done
+	return n.config.Storage.Close()
 }
 
-func (n *Node) now() time.Duration { return time.Since(n.start) }
+func (n *Node) now() time.Duration { return time.Since(n.startedAt) }
 
 // Propose returns the index of cmd once it is committed and applied here.
 // NotLeader, Invalid, TooLarge, Busy and DiskFailed mean that nothing was
@@ -168,19 +168,19 @@
 }
 
 func (n *Node) call(ctx context.Context, cmd []byte) (uint64, error) {
-	return n.enter(call{ctx: ctx, cmd: cmd, done: make(chan result, 1)})
+	return n.submit(call{ctx: ctx, command: cmd, done: make(chan callResult, 1)})
 }
 
-// enter hands a call to the loop and waits for its end.
-func (n *Node) enter(c call) (uint64, error) {
+// submit hands a call to the loop and waits for its end.
+func (n *Node) submit(c call) (uint64, error) {
 	n.mu.Lock()
-	if n.closed || len(n.calls) >= maxCalls {
+	if n.closed || len(n.calls) >= maxQueuedCalls {
 		n.mu.Unlock()
 		return 0, errs.New(errs.Busy, "replication: the node is closed or has too many callers")
 	}
 	n.calls = append(n.calls, c)
 	n.mu.Unlock()
-	n.rouse()
+	n.wakeLoop()
 	select {
 	case r := <-c.done:
 		return r.index, r.err
@@ -191,7 +191,7 @@
 
 // runInLoop runs an operation on the replica in the node's loop and returns its error.
 func (n *Node) runInLoop(ctx context.Context, operation func(now time.Duration, r *Replica) error) error {
-	_, err := n.enter(call{ctx: ctx, operation: operation, done: make(chan result, 1)})
+	_, err := n.submit(call{ctx: ctx, operation: operation, done: make(chan callResult, 1)})
 	return err
 }
 
@@ -230,49 +230,49 @@
 // node follows. It is counted only once the application has applied all that was committed then, so
 // what it serves is at most that old. ok is false while there is no such confirmation.
 func (n *Node) Contact() (age time.Duration, ok bool) {
-	return n.contact.age(n.now(), n.cfg.AppliedIndex())
+	return n.contact.age(n.now(), n.config.AppliedIndex())
 }
 
 // InContact says whether what this node serves is lately confirmed by a majority.
 func (n *Node) InContact() bool {
 	age, ok := n.Contact()
-	return ok && age <= contactWithin
+	return ok && age <= maxContactAge
 }
 
 // Deliver takes in messages of a member. It never blocks; when too many wait, the oldest are dropped.
 func (n *Node) Deliver(from MemberID, msgs []Message) {
-	n.deliver(delivery{from: from, msgs: msgs})
+	n.enqueue(delivery{from: from, messages: msgs})
 }
 
 // Exchange is Deliver, and returns what the member has to say to the sender
 // right away, so that an answer needs no connection of its own.
 func (n *Node) Exchange(ctx context.Context, from MemberID, msgs []Message) []Message {
-	d := delivery{from: from, msgs: msgs, answer: make(chan []Message, 1)}
-	n.deliver(d)
+	d := delivery{from: from, messages: msgs, response: make(chan []Message, 1)}
+	n.enqueue(d)
 	select {
-	case answer := <-d.answer:
+	case answer := <-d.response:
 		return answer
 	case <-ctx.Done():
-	case <-n.ended:
+	case <-n.done:
 	}
 	return nil
 }
 
-func (n *Node) deliver(d delivery) {
-	d.at = n.now()
+func (n *Node) enqueue(d delivery) {
+	d.arrivedAt = n.now()
 	n.mu.Lock()
-	if len(n.inbox) >= maxInbox {
-		if old := n.inbox[0].answer; old != nil {
+	if len(n.inbox) >= maxQueuedDeliveries {
+		if old := n.inbox[0].response; old != nil {
 			close(old)
 		}
 		n.inbox = n.inbox[1:]
 	}
 	n.inbox = append(n.inbox, d)
 	n.mu.Unlock()
-	n.rouse()
+	n.wakeLoop()
 }
 
-func (n *Node) rouse() {
+func (n *Node) wakeLoop() {
 	select {
 	case n.wake <- struct{}{}:
 	default:
--- a/internal/mesh/replication/ready.go
+++ b/internal/mesh/replication/ready.go
@@ -5,44 +5,44 @@
 // Ready returns what is to be done at the time now, or false when there is nothing. It must be
 // followed by Advance, or by Failed if Persist couldn't be synced.
 func (r *Replica) Ready(now time.Duration) (Ready, bool) {
-	r.checkContact(now)
+	r.checkQuorum(now)
 	if r.role == leader {
-		r.feed(now)
+		r.sendToPeers(now)
 	}
 	var ready Ready
 	durable := r.stable
-	if r.dirty() && (!r.sick || now >= r.retryAt) {
-		ready.Persist = r.persist()
-		durable = r.log.last()
+	if r.hasUnsavedState() && (!r.storageFailed || now >= r.storageRetryAt) {
+		ready.Persist = r.unsavedState()
+		durable = r.log.lastIndex()
 	}
-	ready.Messages, r.out = r.out, nil
+	ready.Messages, r.outbox = r.outbox, nil
 	if !r.snapshotDirty || ready.Persist != nil {
-		ready.Restore = r.restore
-		r.lastCommitted = max(r.applied, min(r.commit, durable))
+		ready.Restore = r.pendingRestore
+		r.applying = max(r.applied, min(r.commit, durable))
 		from := r.applied
 		if ready.Restore != nil {
 			from = ready.Restore.Index
 		}
-		ready.CommittedEntries = r.log.between(from, r.lastCommitted)
+		ready.CommittedEntries = r.log.entriesBetween(from, r.applying)
 	} else {
-		r.lastCommitted = r.applied
+		r.applying = r.applied
 	}
-	ready.CompletedProposals, r.aborted = r.aborted, nil
+	ready.CompletedProposals, r.abortedProposals = r.abortedProposals, nil
 	ready.CompletedReads, r.abortedReads = r.abortedReads, nil
-	r.settle(&ready)
-	return ready, ready.any()
+	r.completeRequests(&ready)
+	return ready, ready.hasWork()
 }
 
-func (ready *Ready) any() bool {
+func (ready *Ready) hasWork() bool {
 	return ready.Persist != nil || len(ready.Messages) > 0 || ready.Restore != nil || len(ready.CommittedEntries) > 0 ||
 		len(ready.CompletedProposals) > 0 || len(ready.CompletedReads) > 0
 }
 
-// persist is all that isn't synced yet.
-func (r *Replica) persist() *WriteBatch {
-	p := &WriteBatch{TruncateFrom: r.truncateFrom, Entries: r.log.between(max(r.stable, r.log.snapshot.Index), r.log.last())}
-	if r.hardDirty {
-		hard := r.hard
+// unsavedState is all that isn't synced yet.
+func (r *Replica) unsavedState() *WriteBatch {
+	p := &WriteBatch{TruncateFrom: r.truncateFrom, Entries: r.log.entriesBetween(max(r.stable, r.log.snapshot.Index), r.log.lastIndex())}
+	if r.hardStateDirty {
+		hard := r.hardState
 		p.HardState = &hard
 	}
 	if r.snapshotDirty {
@@ -52,36 +52,36 @@
 	return p
 }
 
-// settle adds the proposals and reads that are done once this Ready is.
-func (r *Replica) settle(ready *Ready) {
-	for len(r.proposals) > 0 && r.proposals[0].index <= r.lastCommitted {
-		p := r.proposals[0]
+// completeRequests adds the proposals and reads that are done once this Ready is.
+func (r *Replica) completeRequests(ready *Ready) {
+	for len(r.pendingProposals) > 0 && r.pendingProposals[0].index <= r.applying {
+		p := r.pendingProposals[0]
 		ready.CompletedProposals = append(ready.CompletedProposals, Completion{Token: p.token, Index: p.index})
-		r.proposals = r.proposals[1:]
+		r.pendingProposals = r.pendingProposals[1:]
 		r.pendingBytes -= p.bytes
 	}
-	for len(r.reads) > 0 && r.reads[0].index > 0 && r.reads[0].index <= r.lastCommitted {
-		ready.CompletedReads = append(ready.CompletedReads, Completion{Token: r.reads[0].token, Index: r.reads[0].index})
-		r.reads = r.reads[1:]
+	for len(r.pendingReads) > 0 && r.pendingReads[0].index > 0 && r.pendingReads[0].index <= r.applying {
+		ready.CompletedReads = append(ready.CompletedReads, Completion{Token: r.pendingReads[0].token, Index: r.pendingReads[0].index})
+		r.pendingReads = r.pendingReads[1:]
 	}
 }
 
-func (r *Replica) dirty() bool {
-	return r.hardDirty || r.snapshotDirty || r.truncateFrom > 0 || r.stable < r.log.last()
+func (r *Replica) hasUnsavedState() bool {
+	return r.hardStateDirty || r.snapshotDirty || r.truncateFrom > 0 || r.stable < r.log.lastIndex()
 }
 
 // Advance confirms that all of the last Ready has been done.
 func (r *Replica) Advance(now time.Duration, ready *Ready) {
 	if ready.Persist != nil {
-		r.hardDirty, r.snapshotDirty, r.truncateFrom = false, false, 0
-		r.stable = r.log.last()
-		r.sick = false
+		r.hardStateDirty, r.snapshotDirty, r.truncateFrom = false, false, 0
+		r.stable = r.log.lastIndex()
+		r.storageFailed = false
 	}
 	if ready.Restore != nil {
-		r.restore = nil
+		r.pendingRestore = nil
 	}
-	r.applied = r.lastCommitted
-	r.checkContact(now)
+	r.applied = r.applying
+	r.checkQuorum(now)
 	r.countVotes(now)
 	r.advanceCommit(now)
 }
@@ -90,15 +90,15 @@
 // messages are lost, which the protocol bears, and its callers are told that they don't know. The
 // replica is sick until a write is taken: it neither votes nor leads nor says anything.
 func (r *Replica) PersistFailed(now time.Duration, ready *Ready) {
-	r.follow(r.hard.Term, "")
+	r.becomeFollower(r.hardState.Term, "")
 	for _, s := range ready.CompletedProposals {
-		r.aborted = append(r.aborted, Completion{Token: s.Token, Index: s.Index, Aborted: true})
+		r.abortedProposals = append(r.abortedProposals, Completion{Token: s.Token, Index: s.Index, Aborted: true})
 	}
 	for _, s := range ready.CompletedReads {
 		r.abortedReads = append(r.abortedReads, Completion{Token: s.Token, Aborted: true})
 	}
-	r.out = nil
-	r.sick, r.hardDirty = true, true
-	r.retryAt = now + retryDisk
-	r.deadline = now + r.between(MinElectionTimeout, MaxElectionTimeout)
+	r.outbox = nil
+	r.storageFailed, r.hardStateDirty = true, true
+	r.storageRetryAt = now + storageRetryInterval
+	r.electionDeadline = now + r.randomDuration(MinElectionTimeout, MaxElectionTimeout)
 }
--- a/internal/mesh/replication/replica.go
+++ b/internal/mesh/replication/replica.go
@@ -20,30 +20,30 @@
 type progress struct {
 	// match is the last entry known to be synced there; next is the first to send.
 	match, next Index
-	// resend is when what is on its way is sent again; 0 when nothing is.
-	resend time.Duration
-	// heard is the time at which the newest answered message was sent.
-	heard time.Duration
+	// resendAt is when what is on its way is sent again; 0 when nothing is.
+	resendAt time.Duration
+	// lastContact is the time at which the newest answered message was sent.
+	lastContact time.Duration
 	// clock is the member's own, in its newest answer.
 	clock ClockReading
-	// sent is when anything was sent last.
-	sent             time.Duration
-	round, roundSent uint64
-	commitSent       Index
+	// sentAt is when anything was sent last.
+	sentAt                   time.Duration
+	readRound, readRoundSent uint64
+	commitSent               Index
 	// snapshot is what is being sent in pieces, and offset where the next one begins.
-	snapshot *Snapshot
-	sum      uint64
-	offset   int
+	snapshot       *Snapshot
+	checksum       uint64
+	snapshotOffset int
 }
 
-type proposal struct {
+type pendingProposal struct {
 	token uint64
 	index Index
 	bytes int
 }
 
-type read struct {
-	token, round uint64
+type pendingRead struct {
+	token, readRound uint64
 	// index is what must be applied first; 0 until the round is confirmed.
 	index Index
 }
@@ -65,57 +65,57 @@
 	role    role
 	// leader is whom the replica follows, "" when it knows none.
 	leader MemberID
-	// heard is when the leader's last message came, and confirmed the time at which a majority had
+	// lastContact is when the leader's last message came, and lastQuorumAck the time at which a majority had
 	// confirmed that leader, by its own word.
-	heard, confirmed time.Duration
-	// life tells this replica's life from earlier ones of the same id, whose clocks were others.
-	life uint64
-	// handingOver says that this leader has asked another replica to take over in its stead, first at
+	lastContact, lastQuorumAck time.Duration
+	// incarnation tells this replica's life from earlier ones of the same id, whose clocks were others.
+	incarnation uint64
+	// transferring says that this leader has asked another replica to take over in its stead, first at
 	// handedOverAt. It holds to the end of the term, as the request may still be on its way.
-	handingOver  bool
-	handedOverAt time.Duration
-	// handOverAt is when a leader that a change leaves out asks again to be relieved.
-	handOverAt time.Duration
-	// deadline is when the next pre-vote begins, unless a leader is heard.
-	deadline time.Duration
-	votes    map[MemberID]bool
-	peers    map[MemberID]*progress
-	learners []MemberID
-	// order is every replica that a leader sends to, in a fixed order.
-	order []MemberID
-
-	hard        HardState
+	transferring      bool
+	transferStartedAt time.Duration
+	// nextTransferAt is when a leader that a change leaves out asks again to be relieved.
+	nextTransferAt time.Duration
+	// electionDeadline is when the next pre-vote begins, unless a leader is heard.
+	electionDeadline time.Duration
+	votes            map[MemberID]bool
+	peers            map[MemberID]*progress
+	learners         []MemberID
+	// peerIDs is every replica that a leader sends to, in a fixed order.
+	peerIDs []MemberID
+
+	hardState   HardState
 	log         entryLog
-	memberships memberships
+	memberships membershipHistory
 	// stable is the last entry that is synced here.
 	stable          Index
 	commit, applied Index
 	// leaderCommit is what the leader last said is committed.
 	leaderCommit Index
-	// verified is how far the log is known to equal that of the leader of this term.
-	verified Index
-
-	hardDirty, snapshotDirty bool
-	truncateFrom             Index
-	restore                  *Snapshot
-	incoming                 *incomingSnapshot
-
-	out          []Envelope
-	proposals    []proposal
-	pendingBytes int
-	reads        []read
-	// round numbers the newest read round; roundOpen says that it has gone out, so that the next
+	// matchedIndex is how far the log is known to equal that of the leader of this term.
+	matchedIndex Index
+
+	hardStateDirty, snapshotDirty bool
+	truncateFrom                  Index
+	pendingRestore                *Snapshot
+	incoming                      *incomingSnapshot
+
+	outbox           []Envelope
+	pendingProposals []pendingProposal
+	pendingBytes     int
+	pendingReads     []pendingRead
+	// readRound numbers the newest read round; roundOpen says that it has gone out, so that the next
 	// read needs a new one.
-	round         uint64
-	roundOpen     bool
-	token         uint64
-	aborted       []Completion
-	abortedReads  []Completion
-	sick          bool
-	retryAt       time.Duration
-	lastCommitted Index
-	// refused counts messages that were no proper ones.
-	refused uint64
+	readRound        uint64
+	readRoundSent    bool
+	lastToken        uint64
+	abortedProposals []Completion
+	abortedReads     []Completion
+	storageFailed    bool
+	storageRetryAt   time.Duration
+	applying         Index
+	// rejectedMessages counts messages that were no proper ones.
+	rejectedMessages uint64
 }
 
 // NewReplica starts a replica at the time now.
@@ -133,28 +133,28 @@
 		id:          state.ID,
 		cluster:     state.Cluster,
 		random:      rand.New(rand.NewPCG(cfg.Seed, uint64(len(state.ID)))),
-		hard:        state.HardState,
-		memberships: memberships{{state.Snapshot.Index, state.Snapshot.Membership}},
+		hardState:   state.HardState,
+		memberships: membershipHistory{{state.Snapshot.Index, state.Snapshot.Membership}},
 	}
-	r.log.reset(state.Snapshot)
+	r.log.installSnapshot(state.Snapshot)
 	for i, e := range state.Entries {
 		if e.Index != state.Snapshot.Index+Index(i)+1 {
 			return nil, errs.New(errs.DiskFailed, "replication: entry %d stands where %d belongs", e.Index, state.Snapshot.Index+Index(i)+1)
 		}
 	}
 	r.log.append(state.Entries...)
-	r.memberships.take(state.Entries)
-	r.stable = r.log.last()
+	r.memberships.appendFrom(state.Entries)
+	r.stable = r.log.lastIndex()
 	r.commit = r.log.snapshot.Index
 	r.applied = r.commit
-	r.deadline = now + r.between(retryMin, retryMax)
-	r.heard, r.confirmed = now-time.Hour, now-time.Hour
-	r.roundOpen = true
-	r.life = r.random.Uint64()
+	r.electionDeadline = now + r.randomDuration(minElectionRetry, maxElectionRetry)
+	r.lastContact, r.lastQuorumAck = now-time.Hour, now-time.Hour
+	r.readRoundSent = true
+	r.incarnation = r.random.Uint64()
 	return r, nil
 }
 
-func (r *Replica) between(low, high time.Duration) time.Duration {
+func (r *Replica) randomDuration(low, high time.Duration) time.Duration {
 	return low + time.Duration(r.random.Int64N(int64(high-low)))
 }
 
@@ -162,11 +162,11 @@
 func (r *Replica) ID() MemberID { return r.id }
 
 // Leader names the leader that this replica follows ("" when it knows none) and its term.
-func (r *Replica) Leader() (MemberID, Term) { return r.leader, r.hard.Term }
+func (r *Replica) Leader() (MemberID, Term) { return r.leader, r.hardState.Term }
 
 // IsLeader says whether the replica leads its term at the time now.
 func (r *Replica) IsLeader(now time.Duration) bool {
-	r.checkContact(now)
+	r.checkQuorum(now)
 	return r.role == leader
 }
 
@@ -180,13 +180,13 @@
 func (r *Replica) IsVoter() bool { return r.memberships.current().IsVoter(r.id) }
 
 // StorageFailed says that the disk refused the last write; the replica is silent till it takes one.
-func (r *Replica) StorageFailed() bool { return r.sick }
+func (r *Replica) StorageFailed() bool { return r.storageFailed }
 
 // Applied is the last entry handed out as committed, and confirmed by Advance.
 func (r *Replica) Applied() Index { return r.applied }
 
 // RejectedMessages counts the messages that were dropped as no proper ones.
-func (r *Replica) RejectedMessages() uint64 { return r.refused }
+func (r *Replica) RejectedMessages() uint64 { return r.rejectedMessages }
 
 // LastQuorumAck is the time at which, as far as is known here, a majority of the voters last confirmed
 // the leader. It proves that all that was committed before it is held by this replica once its
@@ -194,111 +194,111 @@
 // no leader is known, or it has committed nothing of its own term yet.
 func (r *Replica) LastQuorumAck() (at time.Duration, index Index, ok bool) {
 	if r.role == leader {
-		return r.confirmedByMajority(), r.commit, r.openedTerm()
+		return r.leaderQuorumAck(), r.commit, r.hasCommittedInTerm()
 	}
-	return r.confirmed, r.leaderCommit, r.leader != ""
+	return r.lastQuorumAck, r.leaderCommit, r.leader != ""
 }
 
-// openedTerm says that an entry of this leader's own term is committed: then so is all that earlier
+// hasCommittedInTerm says that an entry of this leader's own term is committed: then so is all that earlier
 // leaders committed, and only then does it know how far that reaches.
-func (r *Replica) openedTerm() bool {
+func (r *Replica) hasCommittedInTerm() bool {
 	term, ok := r.log.term(r.commit)
-	return ok && term == r.hard.Term
+	return ok && term == r.hardState.Term
 }
 
-// heardByMajority is the time up to which a majority has answered this leader.
-func (r *Replica) heardByMajority() time.Duration {
-	return reached(r.memberships.current().Membership, func(id MemberID) time.Duration {
+// lastQuorumContact is the time up to which a majority has answered this leader.
+func (r *Replica) lastQuorumContact() time.Duration {
+	return quorumValue(r.memberships.current().Membership, func(id MemberID) time.Duration {
 		if id == r.id {
 			return forever
 		}
-		return r.peers[id].heard
+		return r.peers[id].lastContact
 	})
 }
 
-// confirmedByMajority is up to when a majority has confirmed that nobody else leads. Once this leader
+// leaderQuorumAck is up to when a majority has confirmed that nobody else leads. Once this leader
 // has asked another to take over, its voters' word is none against that one: no later confirmation counts.
-func (r *Replica) confirmedByMajority() time.Duration {
-	at := r.heardByMajority()
-	if r.handingOver {
-		return min(at, r.handedOverAt)
+func (r *Replica) leaderQuorumAck() time.Duration {
+	at := r.lastQuorumContact()
+	if r.transferring {
+		return min(at, r.transferStartedAt)
 	}
 	return at
 }
 
-// checkContact makes a leader that a majority hasn't answered for ContactTimeout, or that asked in vain to
+// checkQuorum makes a leader that a majority hasn't answered for ContactTimeout, or that asked in vain to
 // be relieved, step down. It runs
 // before anything a leader does, so that one that was frozen acts on nothing it believed before.
-func (r *Replica) checkContact(now time.Duration) {
+func (r *Replica) checkQuorum(now time.Duration) {
 	if r.role != leader {
 		return
 	}
-	if now-r.heardByMajority() > ContactTimeout || r.handingOver && now-r.handedOverAt > handOverTime {
-		r.follow(r.hard.Term, "")
-		r.deadline = now + r.between(MinElectionTimeout, MaxElectionTimeout)
+	if now-r.lastQuorumContact() > ContactTimeout || r.transferring && now-r.transferStartedAt > leadershipTransferTimeout {
+		r.becomeFollower(r.hardState.Term, "")
+		r.electionDeadline = now + r.randomDuration(MinElectionTimeout, MaxElectionTimeout)
 	}
 }
 
-// follow ends whatever the replica was and makes it a follower in term.
-func (r *Replica) follow(term Term, leads MemberID) {
-	if term > r.hard.Term {
-		r.hard.Term, r.hard.Vote = term, ""
-		r.hardDirty = true
-		r.verified = 0
+// becomeFollower ends whatever the replica was and makes it a follower in term.
+func (r *Replica) becomeFollower(term Term, leads MemberID) {
+	if term > r.hardState.Term {
+		r.hardState.Term, r.hardState.Vote = term, ""
+		r.hardStateDirty = true
+		r.matchedIndex = 0
 	}
 	if r.role == leader {
-		r.abandon()
+		r.abortPending()
 	}
 	r.role, r.leader, r.votes = follower, leads, nil
 }
 
-// abandon tells the callers of a leader that is none any more that they don't know.
-func (r *Replica) abandon() {
-	for _, p := range r.proposals {
-		r.aborted = append(r.aborted, Completion{Token: p.token, Index: p.index, Aborted: true})
+// abortPending tells the callers of a leader that is none any more that they don't know.
+func (r *Replica) abortPending() {
+	for _, p := range r.pendingProposals {
+		r.abortedProposals = append(r.abortedProposals, Completion{Token: p.token, Index: p.index, Aborted: true})
 	}
-	for _, q := range r.reads {
+	for _, q := range r.pendingReads {
 		r.abortedReads = append(r.abortedReads, Completion{Token: q.token, Aborted: true})
 	}
-	r.proposals, r.reads, r.pendingBytes = nil, nil, 0
-	r.peers, r.order, r.learners = nil, nil, nil
+	r.pendingProposals, r.pendingReads, r.pendingBytes = nil, nil, 0
+	r.peers, r.peerIDs, r.learners = nil, nil, nil
 }
 
-// leased says that the replica has heard a live leader within the shortest election time (or is
+// hasLeaderLease says that the replica has heard a live leader within the shortest election time (or is
 // one): then it refuses votes, so that a member that was cut off, frozen or retired disturbs
 // nothing when it returns.
-func (r *Replica) leased(now time.Duration) bool {
-	return r.role == leader || r.leader != "" && now-r.heard < MinElectionTimeout
+func (r *Replica) hasLeaderLease(now time.Duration) bool {
+	return r.role == leader || r.leader != "" && now-r.lastContact < MinElectionTimeout
 }
 
 // Step takes in a message. Messages of another cluster and ones that make no sense are counted and dropped.
 func (r *Replica) Step(now time.Duration, from MemberID, msg Message) {
-	if from == r.id || !r.proper(&msg) {
-		r.refused++
+	if from == r.id || !r.isWellFormed(&msg) {
+		r.rejectedMessages++
 		return
 	}
-	r.checkContact(now)
+	r.checkQuorum(now)
 	switch {
 	case msg.Append != nil:
 		r.stepAppend(now, from, msg.Term, msg.Append)
 	case msg.SnapshotChunk != nil:
 		r.stepSnapshot(now, from, msg.Term, msg.SnapshotChunk)
 	case msg.AppendResponse != nil:
-		r.stepAppendAnswer(now, from, msg.Term, msg.AppendResponse)
+		r.stepAppendResponse(now, from, msg.Term, msg.AppendResponse)
 	case msg.SnapshotResponse != nil:
-		r.stepSnapshotAnswer(now, from, msg.Term, msg.SnapshotResponse)
+		r.stepSnapshotResponse(now, from, msg.Term, msg.SnapshotResponse)
 	case msg.VoteRequest != nil:
 		r.stepVoteRequest(now, from, msg.Term, msg.VoteRequest)
 	case msg.VoteResponse != nil:
-		r.stepVoteAnswer(now, from, msg.Term, msg.VoteResponse)
+		r.stepVoteResponse(now, from, msg.Term, msg.VoteResponse)
 	case msg.TimeoutNow != nil:
 		r.stepTimeoutNow(now, from, msg.Term)
 	}
 }
 
-// proper says whether a message can be taken in at all.
-func (r *Replica) proper(msg *Message) bool {
-	if msg.Cluster != r.cluster || msg.kinds() != 1 {
+// isWellFormed says whether a message can be taken in at all.
+func (r *Replica) isWellFormed(msg *Message) bool {
+	if msg.Cluster != r.cluster || msg.payloadCount() != 1 {
 		return false
 	}
 	if msg.Append != nil {
@@ -314,47 +314,47 @@
 			}
 		}
 	}
-	return msg.SnapshotChunk == nil || msg.SnapshotChunk.Header.proper(msg.SnapshotChunk)
+	return msg.SnapshotChunk == nil || msg.SnapshotChunk.Header.isValidFor(msg.SnapshotChunk)
 }
 
 // Tick does what is due at the time now.
 func (r *Replica) Tick(now time.Duration) {
-	r.checkContact(now)
-	if r.role != leader && !r.sick && r.IsVoter() && now >= r.deadline {
+	r.checkQuorum(now)
+	if r.role != leader && !r.storageFailed && r.IsVoter() && now >= r.electionDeadline {
 		r.startPreVote(now)
 	}
-	r.handOver(now)
+	r.transferIfOutgoing(now)
 }
 
 // NextWake is when Tick is due next.
 func (r *Replica) NextWake() time.Duration {
 	switch {
-	case r.sick:
-		return r.retryAt
+	case r.storageFailed:
+		return r.storageRetryAt
 	case r.role == leader:
 		wake := forever
-		for _, id := range r.order {
+		for _, id := range r.peerIDs {
 			p := r.peers[id]
-			wake = min(wake, p.sent+HeartbeatInterval)
-			if p.resend > 0 {
-				wake = min(wake, p.resend)
+			wake = min(wake, p.sentAt+HeartbeatInterval)
+			if p.resendAt > 0 {
+				wake = min(wake, p.resendAt)
 			}
 		}
 		return wake
 	case !r.IsVoter():
 		return forever
 	}
-	return r.deadline
+	return r.electionDeadline
 }
 
 // send queues a message; it goes with the next Ready. A sick replica says nothing.
 func (r *Replica) send(to MemberID, msg Message) {
-	if r.sick {
+	if r.storageFailed {
 		return
 	}
 	msg.Cluster = r.cluster
 	if msg.Term == 0 {
-		msg.Term = r.hard.Term
+		msg.Term = r.hardState.Term
 	}
-	r.out = append(r.out, Envelope{To: to, Message: msg})
+	r.outbox = append(r.outbox, Envelope{To: to, Message: msg})
 }
--- a/internal/mesh/replication/replica_test.go
+++ b/internal/mesh/replication/replica_test.go
@@ -78,7 +78,7 @@
 
 // matches answers the newest message of the leader.
 func (b *bench) matches(term Term, index Index) Message {
-	return Message{Term: term, AppendResponse: &AppendResponse{Match: index, SentAt: b.now, ReadRound: b.r.round}}
+	return Message{Term: term, AppendResponse: &AppendResponse{Match: index, SentAt: b.now, ReadRound: b.r.readRound}}
 }
 
 func entriesFrom(term Term, prev Index, prevTerm Term, commit Index, entries ...Entry) Message {
@@ -92,7 +92,7 @@
 	b.now += time.Second
 	b.r.Tick(b.now)
 	b.drain()
-	term := b.r.hard.Term + 1
+	term := b.r.hardState.Term + 1
 	for _, id := range grants {
 		b.step(id, Message{Term: term, VoteResponse: &VoteResponse{PreVote: true}})
 	}
@@ -109,9 +109,9 @@
 	So(b.r.role, ShouldEqual, leader)
 	if commit {
 		for _, id := range voters {
-			b.step(id, b.matches(term, b.r.log.last()))
+			b.step(id, b.matches(term, b.r.log.lastIndex()))
 		}
-		So(b.r.openedTerm(), ShouldBeTrue)
+		So(b.r.hasCommittedInTerm(), ShouldBeTrue)
 	}
 	return term
 }
@@ -193,7 +193,7 @@
 		b.step(memberB, entriesFrom(1, 0, 0, 0))
 		b.now += MinElectionTimeout / 2
 		So(b.step(memberC, voteRequest(5)), ShouldBeEmpty)
-		So(b.r.hard.Term, ShouldEqual, 1)
+		So(b.r.hardState.Term, ShouldEqual, 1)
 		handed := voteRequest(5)
 		handed.VoteRequest.Transfer = true
 		So(b.step(memberC, handed)[memberC][0].VoteResponse.Rejected, ShouldBeFalse)
@@ -212,8 +212,8 @@
 					}
 					return 3
 				}
-				So(m.quorum(holds), ShouldEqual, size > 0 && have >= need)
-				So(size > 0 && reached(m, match) == 7, ShouldEqual, size > 0 && have >= need)
+				So(m.hasQuorum(holds), ShouldEqual, size > 0 && have >= need)
+				So(size > 0 && quorumValue(m, match) == 7, ShouldEqual, size > 0 && have >= need)
 			}
 		}
 	})
@@ -256,10 +256,10 @@
 		So(err, ShouldBeNil)
 		ready, _ := b.r.Ready(b.now)
 		So(ready.Persist.Entries, ShouldHaveLength, 1)
-		b.r.stepAppendAnswer(b.now, memberB, term, b.matches(term, b.r.log.last()).AppendResponse)
-		So(b.r.commit, ShouldEqual, b.r.log.last()-1)
+		b.r.stepAppendResponse(b.now, memberB, term, b.matches(term, b.r.log.lastIndex()).AppendResponse)
+		So(b.r.commit, ShouldEqual, b.r.log.lastIndex()-1)
 		b.r.Advance(b.now, &ready)
-		So(b.r.commit, ShouldEqual, b.r.log.last())
+		So(b.r.commit, ShouldEqual, b.r.log.lastIndex())
 	})
 	Convey("A read needs a round of its own and an entry of the term", t, func() {
 		b := newBench(3, State{})
@@ -268,25 +268,25 @@
 		So(err, ShouldBeNil)
 		b.drain()
 		b.step(memberC, b.matches(term, 0))
-		So(b.r.reads, ShouldHaveLength, 1)
-		So(b.r.reads[0].index, ShouldEqual, 0)
+		So(b.r.pendingReads, ShouldHaveLength, 1)
+		So(b.r.pendingReads[0].index, ShouldEqual, 0)
 		b.step(memberB, b.matches(term, 1))
-		So(b.r.reads, ShouldBeEmpty)
+		So(b.r.pendingReads, ShouldBeEmpty)
 		early := b.matches(term, 1)
 		_, err = b.r.Read(b.now)
 		So(err, ShouldBeNil)
 		b.drain()
 		b.step(memberB, early)
-		So(b.r.reads, ShouldHaveLength, 1)
+		So(b.r.pendingReads, ShouldHaveLength, 1)
 		b.step(memberB, b.matches(term, 1))
-		So(b.r.reads, ShouldBeEmpty)
+		So(b.r.pendingReads, ShouldBeEmpty)
 	})
 	Convey("A confirmation is as old as the echo that came with it, and counts under a leader with an entry of its term alone", t, func() {
 		b := newBench(3, State{})
 		b.now = 10 * time.Second
 		heartbeat := func(echo, age time.Duration) Message {
 			msg := entriesFrom(1, 0, 0, 0)
-			msg.Append.EchoedClock, msg.Append.QuorumAckAge = ClockReading{Incarnation: b.r.life, At: echo}, age
+			msg.Append.EchoedClock, msg.Append.QuorumAckAge = ClockReading{Incarnation: b.r.incarnation, At: echo}, age
 			return msg
 		}
 		b.step(memberB, heartbeat(9*time.Second, forever))
@@ -308,8 +308,8 @@
 		So(lead.r.heartbeat(lead.now, lead.r.peers[memberB]).QuorumAckAge, ShouldEqual, forever)
 	})
 	Convey("A confirmation that the application hasn't reached doesn't count", t, func() {
-		var c contact
-		c.confirm(time.Second, 5)
+		var c contactTracker
+		c.record(time.Second, 5)
 		_, ok := c.age(2*time.Second, 4)
 		So(ok, ShouldBeFalse)
 		age, ok := c.age(2*time.Second, 5)
@@ -422,7 +422,7 @@
 		b := newBench(3, State{})
 		b.led(true, memberB)
 		learner := newBench(0, State{})
-		learner.step(memberB, entriesFrom(b.r.hard.Term, 0, 0, 1, b.r.log.entries...))
+		learner.step(memberB, entriesFrom(b.r.hardState.Term, 0, 0, 1, b.r.log.entries...))
 		current, committed := learner.r.Membership()
 		So(committed, ShouldBeTrue)
 		So(current.Voters, ShouldResemble, allMembers[:3])
@@ -460,14 +460,14 @@
 		asked := b.now
 		So(b.r.TransferLeadership(b.now), ShouldBeTrue)
 		b.drain()
-		for b.now < asked+handOverTime {
+		for b.now < asked+leadershipTransferTimeout {
 			b.now += HeartbeatInterval / 2
 			b.step(memberB, b.matches(term, 1))
-			So(b.r.IsLeader(b.now) || b.now > asked+handOverTime, ShouldBeTrue)
+			So(b.r.IsLeader(b.now) || b.now > asked+leadershipTransferTimeout, ShouldBeTrue)
 			at, _, _ := b.r.LastQuorumAck()
 			So(at, ShouldBeLessThanOrEqualTo, asked)
 		}
-		b.now = asked + handOverTime + 1
+		b.now = asked + leadershipTransferTimeout + 1
 		So(b.r.IsLeader(b.now), ShouldBeFalse)
 	})
 	Convey("A vote at a leader's wish is given to no log that lacks what is held", t, func() {
--- a/internal/mesh/replication/store.go
+++ b/internal/mesh/replication/store.go
@@ -18,17 +18,17 @@
 )
 
 const (
-	// writeBuffer bounds the memory of the table in the making; larger batches go straight to a table.
-	writeBuffer = 256 << 10
-	// openTables bounds the descriptors held for tables.
-	openTables = 16
-	// folder holds the database inside the data directory, and damagedFolder
+	// writeBufferBytes bounds the memory of the table in the making; larger batches go straight to a table.
+	writeBufferBytes = 256 << 10
+	// maxOpenTables bounds the descriptors held for tables.
+	maxOpenTables = 16
+	// databaseDirectory holds the database inside the data directory, and corruptDirectory
 	// a damaged one while it is removed. Disks that exist have these names.
-	folder        = "archive"
-	damagedFolder = "archive.damaged"
-	// entryHeader and snapshotHeader are the bytes before an entry's command and a snapshot's data.
-	entryHeader    = 8
-	snapshotHeader = 16
+	databaseDirectory = "archive"
+	corruptDirectory  = "archive.damaged"
+	// entryHeaderBytes and snapshotHeaderBytes are the bytes before an entry's command and a snapshot's data.
+	entryHeaderBytes    = 8
+	snapshotHeaderBytes = 16
 	// membershipBit marks, in the stored term, an entry that holds a membership.
 	membershipBit = 1 << 63
 )
@@ -39,14 +39,14 @@
 	keyMembers    = []byte("members")
 	keyIdentity   = []byte("identity")
 	keyMembership = []byte("membership")
-	keyHard       = []byte("hard")
+	keyHardState  = []byte("hard")
 	keySnapshot   = []byte("snapshot")
 	// entryPrefix is followed by the index, big-endian, so that entries lie in order.
 	entryPrefix = byte('e')
 )
 
-// errDamaged marks a store that was read and makes no sense.
-var errDamaged = eris.New("damaged")
+// errCorrupt marks a store that was read and makes no sense.
+var errCorrupt = eris.New("damaged")
 
 // Storage is where a node keeps its state. When Save returns nil, all of p is
 // synced; when it doesn't, all of it or nothing may be, and the same or a later
@@ -62,8 +62,8 @@
 	db   *leveldb.DB
 	// first and last bound the entries that may be stored; none are when last < first.
 	first, last Index
-	// tried is the last entry that a write held which was refused: it may be stored all the same.
-	tried Index
+	// lastAttempted is the last entry that a write held which was refused: it may be stored all the same.
+	lastAttempted Index
 }
 
 // identity is who a disk is, for ever.
@@ -72,11 +72,11 @@
 	Cluster ClusterID `json:"cluster"`
 }
 
-func options(mustExist bool) *opt.Options {
+func leveldbOptions(mustExist bool) *opt.Options {
 	return &opt.Options{
-		WriteBuffer:            writeBuffer,
+		WriteBuffer:            writeBufferBytes,
 		DisableBlockCache:      true,
-		OpenFilesCacheCapacity: openTables,
+		OpenFilesCacheCapacity: maxOpenTables,
 		Compression:            opt.NoCompression,
 		// The pool has a goroutine that wakes every two seconds for nothing.
 		DisableBufferPool: true,
@@ -88,7 +88,7 @@
 // gives it one. Every error is DiskFailed; if the store is damaged rather than out of reach, IsCorrupt
 // says so. The address is the machine's own, which is the id of a disk that an earlier program founded.
 func OpenStore(dir, address string) (*Store, State, error) {
-	s := &Store{path: filepath.Join(dir, folder), first: 1}
+	s := &Store{path: filepath.Join(dir, databaseDirectory), first: 1}
 	if err := s.open(false); err != nil {
 		return nil, State{}, errs.Wrap(err, errs.DiskFailed, "replication: open %s", s.path)
 	}
@@ -103,14 +103,14 @@
 // IsCorrupt says whether an error of OpenStore means that the store can't be read
 // any more, in contrast to a disk that refuses for now.
 func IsCorrupt(err error) bool {
-	return eris.Is(err, errDamaged) || errors.IsCorrupted(eris.Cause(err))
+	return eris.Is(err, errCorrupt) || errors.IsCorrupted(eris.Cause(err))
 }
 
 // OpenOrReset is OpenStore, and where the store is damaged it is removed and an empty one opened in its
 // place, as if the disk were new. A disk that merely refuses remains an error: the caller tries again later.
 func OpenOrReset(dir, address string, log *zap.Logger) (*Store, State, error) {
 	// A removal that was cut short is finished first.
-	if err := os.RemoveAll(filepath.Join(dir, damagedFolder)); err != nil {
+	if err := os.RemoveAll(filepath.Join(dir, corruptDirectory)); err != nil {
 		return nil, State{}, errs.Wrap(err, errs.DiskFailed, "replication: remove what was damaged")
 	}
 	s, state, err := OpenStore(dir, address)
@@ -119,13 +119,13 @@
 	}
 	log.Error("the log on disk is damaged; this machine joins as a new member", zap.Error(err))
 	// The folder is renamed before it is removed, because half of it might read as a whole store.
-	if err := os.Rename(filepath.Join(dir, folder), filepath.Join(dir, damagedFolder)); err != nil {
+	if err := os.Rename(filepath.Join(dir, databaseDirectory), filepath.Join(dir, corruptDirectory)); err != nil {
 		return nil, State{}, errs.Wrap(err, errs.DiskFailed, "replication: move the damaged store aside")
 	}
 	if err := syncDir(dir); err != nil {
 		return nil, State{}, errs.Wrap(err, errs.DiskFailed, "replication: sync %s", dir)
 	}
-	if err := os.RemoveAll(filepath.Join(dir, damagedFolder)); err != nil {
+	if err := os.RemoveAll(filepath.Join(dir, corruptDirectory)); err != nil {
 		log.Warn("a damaged log couldn't be removed", zap.Error(err))
 	}
 	return OpenStore(dir, address)
@@ -141,7 +141,7 @@
 }
 
 func (s *Store) open(mustExist bool) error {
-	db, err := leveldb.OpenFile(s.path, options(mustExist))
+	db, err := leveldb.OpenFile(s.path, leveldbOptions(mustExist))
 	if err != nil {
 		return err
 	}
@@ -161,7 +161,7 @@
 	if err := putIdentity(batch, state); err != nil {
 		return err
 	}
-	if err := putJSON(batch, keyHard, state.HardState); err != nil {
+	if err := putJSON(batch, keyHardState, state.HardState); err != nil {
 		return err
 	}
 	return s.write(batch)
@@ -188,7 +188,7 @@
 	var state State
 	found, err := s.loadIdentity(&state)
 	if err == nil && !found {
-		found, err = s.loadEarlier(&state, address)
+		found, err = s.migrateFixedMembers(&state, address)
 	}
 	if err != nil {
 		return state, err
@@ -196,7 +196,7 @@
 	if !found {
 		return state, s.checkEmpty()
 	}
-	if err := s.getJSON(keyHard, &state.HardState); err != nil {
+	if err := s.getJSON(keyHardState, &state.HardState); err != nil {
 		return state, err
 	}
 	if err := s.loadSnapshot(&state); err != nil {
@@ -216,16 +216,16 @@
 	}
 	var who identity
 	if err := json.Unmarshal(data, &who); err != nil || who.ID == "" {
-		return false, eris.Wrapf(errDamaged, "the identity %q", data)
+		return false, eris.Wrapf(errCorrupt, "the identity %q", data)
 	}
 	state.ID, state.Cluster = who.ID, who.Cluster
 	return true, s.getJSON(keyMembership, &state.Snapshot.Membership)
 }
 
-// loadEarlier takes over a disk of the program that had a fixed set of members: they are the voters,
+// migrateFixedMembers takes over a disk of the program that had a fixed set of members: they are the voters,
 // and the disk has the id of the first start. One that had forgotten stays damaged: it voted and
 // acknowledged things that it no longer knows of, so it begins anew under another id.
-func (s *Store) loadEarlier(state *State, address string) (bool, error) {
+func (s *Store) migrateFixedMembers(state *State, address string) (bool, error) {
 	data, err := s.db.Get(keyMembers, nil)
 	if err == leveldb.ErrNotFound {
 		return false, nil
@@ -235,17 +235,17 @@
 	}
 	var members []string
 	if err := json.Unmarshal(data, &members); err != nil || len(members) == 0 {
-		return false, eris.Wrapf(errDamaged, "the members %q", data)
+		return false, eris.Wrapf(errCorrupt, "the members %q", data)
 	}
 	var earlier struct {
 		Remembers bool                       `json:"remembers"`
 		Known     map[string]json.RawMessage `json:"known"`
 	}
-	if err := s.getJSON(keyHard, &earlier); err != nil {
+	if err := s.getJSON(keyHardState, &earlier); err != nil {
 		return false, err
 	}
 	if !earlier.Remembers {
-		return false, eris.Wrap(errDamaged, "a member that had forgotten")
+		return false, eris.Wrap(errCorrupt, "a member that had forgotten")
 	}
 	state.ID = NewMemberID(address, "")
 	state.Cluster, state.Snapshot.Membership = Bootstrap(members)
@@ -263,12 +263,12 @@
 		return nil
 	case err != nil:
 		return err
-	case len(snapshot) < snapshotHeader:
-		return eris.Wrapf(errDamaged, "a snapshot of %d bytes", len(snapshot))
+	case len(snapshot) < snapshotHeaderBytes:
+		return eris.Wrapf(errCorrupt, "a snapshot of %d bytes", len(snapshot))
 	}
 	state.Snapshot.Index = Index(binary.BigEndian.Uint64(snapshot))
 	state.Snapshot.Term = Term(binary.BigEndian.Uint64(snapshot[8:]))
-	state.Snapshot.Data = snapshot[snapshotHeader:]
+	state.Snapshot.Data = snapshot[snapshotHeaderBytes:]
 	return nil
 }
 
@@ -279,8 +279,8 @@
 	defer entries.Release()
 	for entries.Next() {
 		key, value := entries.Key(), entries.Value()
-		if len(key) != 9 || len(value) < entryHeader || Index(binary.BigEndian.Uint64(key[1:])) != s.last+1 {
-			return eris.Wrapf(errDamaged, "the entry %x after %d", key, s.last)
+		if len(key) != 9 || len(value) < entryHeaderBytes || Index(binary.BigEndian.Uint64(key[1:])) != s.last+1 {
+			return eris.Wrapf(errCorrupt, "the entry %x after %d", key, s.last)
 		}
 		s.last++
 		e, err := decodeEntry(s.last, value)
@@ -295,15 +295,15 @@
 func decodeEntry(index Index, value []byte) (Entry, error) {
 	head := binary.BigEndian.Uint64(value)
 	e := Entry{Index: index, Term: Term(head &^ membershipBit)}
-	if len(value) > entryHeader {
-		e.Command = slices.Clone(value[entryHeader:])
+	if len(value) > entryHeaderBytes {
+		e.Command = slices.Clone(value[entryHeaderBytes:])
 	}
 	if head&membershipBit == 0 {
 		return e, nil
 	}
 	e.Kind = EntryMembership
 	if _, err := decodeMembership(e.Command); err != nil {
-		return e, eris.Wrapf(errDamaged, "the membership at %d", index)
+		return e, eris.Wrapf(errCorrupt, "the membership at %d", index)
 	}
 	return e, nil
 }
@@ -313,7 +313,7 @@
 	if e.Kind == EntryMembership {
 		head |= membershipBit
 	}
-	value := make([]byte, entryHeader, entryHeader+len(e.Command))
+	value := make([]byte, entryHeaderBytes, entryHeaderBytes+len(e.Command))
 	binary.BigEndian.PutUint64(value, head)
 	return append(value, e.Command...)
 }
@@ -323,7 +323,7 @@
 	all := s.db.NewIterator(nil, nil)
 	defer all.Release()
 	if all.Next() {
-		return eris.Wrap(errDamaged, "the founding mark is missing")
+		return eris.Wrap(errCorrupt, "the founding mark is missing")
 	}
 	return all.Error()
 }
@@ -332,13 +332,13 @@
 func (s *Store) getJSON(key []byte, into any) error {
 	data, err := s.db.Get(key, nil)
 	if err == leveldb.ErrNotFound {
-		return eris.Wrapf(errDamaged, "%s is missing", key)
+		return eris.Wrapf(errCorrupt, "%s is missing", key)
 	}
 	if err != nil {
 		return err
 	}
 	if err := json.Unmarshal(data, into); err != nil {
-		return eris.Wrapf(errDamaged, "%s is %.64q", key, data)
+		return eris.Wrapf(errCorrupt, "%s is %.64q", key, data)
 	}
 	return nil
 }
@@ -352,15 +352,15 @@
 
 // Save writes and syncs p in one batch.
 func (s *Store) Save(p *WriteBatch) error {
-	batch, first, last, err := s.batch(p)
+	batch, first, last, err := s.encodeBatch(p)
 	if err != nil {
 		return err
 	}
 	if err := s.write(batch); err != nil {
-		s.tried = max(s.tried, last)
+		s.lastAttempted = max(s.lastAttempted, last)
 		return err
 	}
-	s.first, s.last, s.tried = first, last, 0
+	s.first, s.last, s.lastAttempted = first, last, 0
 	return nil
 }
 
@@ -379,12 +379,12 @@
 	return nil
 }
 
-// batch puts p in one batch and returns the bounds of the entries after it.
-func (s *Store) batch(p *WriteBatch) (batch *leveldb.Batch, first, last Index, err error) {
+// encodeBatch puts p in one batch and returns the bounds of the entries after it.
+func (s *Store) encodeBatch(p *WriteBatch) (batch *leveldb.Batch, first, last Index, err error) {
 	batch = new(leveldb.Batch)
 	first, last = s.first, s.last
 	if p.TruncateFrom > 0 {
-		for i := max(p.TruncateFrom, first); i <= max(last, s.tried); i++ {
+		for i := max(p.TruncateFrom, first); i <= max(last, s.lastAttempted); i++ {
 			batch.Delete(entryKey(i))
 		}
 		last = min(last, p.TruncateFrom-1)
@@ -395,7 +395,7 @@
 		}
 		first = p.Snapshot.Index + 1
 		last = max(last, p.Snapshot.Index)
-		value := make([]byte, snapshotHeader, snapshotHeader+len(p.Snapshot.Data))
+		value := make([]byte, snapshotHeaderBytes, snapshotHeaderBytes+len(p.Snapshot.Data))
 		binary.BigEndian.PutUint64(value, uint64(p.Snapshot.Index))
 		binary.BigEndian.PutUint64(value[8:], uint64(p.Snapshot.Term))
 		batch.Put(keySnapshot, append(value, p.Snapshot.Data...))
@@ -412,7 +412,7 @@
 		last = e.Index
 	}
 	if p.HardState != nil {
-		if err := putJSON(batch, keyHard, p.HardState); err != nil {
+		if err := putJSON(batch, keyHardState, p.HardState); err != nil {
 			return nil, 0, 0, err
 		}
 	}
--- a/internal/mesh/replication/store_test.go
+++ b/internal/mesh/replication/store_test.go
@@ -28,7 +28,7 @@
 		entries := []Entry{
 			{Index: 1, Term: 1},
 			{Index: 2, Term: 1, Command: []byte("x")},
-			{Index: 3, Term: 2, Command: make([]byte, 2*writeBuffer)},
+			{Index: 3, Term: 2, Command: make([]byte, 2*writeBufferBytes)},
 			{Index: 4, Term: 2, Command: []byte("y")},
 			{Index: 5, Term: 2, Kind: EntryMembership, Command: four.encode()},
 		}
@@ -51,17 +51,17 @@
 		})
 		Convey("a write that was refused and got there all the same leaves nothing behind what takes its place", func() {
 			refused := &WriteBatch{Entries: []Entry{{Index: 6, Term: 3, Command: []byte("6")}, {Index: 7, Term: 3, Command: []byte("7")}}}
-			batch, _, last, err := s.batch(refused)
+			batch, _, last, err := s.encodeBatch(refused)
 			So(err, ShouldBeNil)
 			So(s.db.Write(batch, &opt.WriteOptions{Sync: true}), ShouldBeNil)
-			s.tried = last // as Save notes it when the sync fails
+			s.lastAttempted = last // as Save notes it when the sync fails
 			newer := Entry{Index: 6, Term: 4, Command: []byte("newer")}
 			So(s.Save(&WriteBatch{TruncateFrom: 6, Entries: []Entry{newer}}), ShouldBeNil)
 			want.Entries = append(want.Entries, newer)
 			So(reopened(), ShouldResemble, want)
 		})
 		Convey("a torn end costs no more than the write that was never synced", func() {
-			journals, err := filepath.Glob(filepath.Join(dir, folder, "*.log"))
+			journals, err := filepath.Glob(filepath.Join(dir, databaseDirectory, "*.log"))
 			So(err, ShouldBeNil)
 			journal := journals[len(journals)-1]
 			before, err := os.Stat(journal)
@@ -75,7 +75,7 @@
 		})
 		Convey("one that is damaged is set aside, and the machine starts without an identity", func() {
 			So(s.Close(), ShouldBeNil)
-			manifests, err := filepath.Glob(filepath.Join(dir, folder, "MANIFEST-*"))
+			manifests, err := filepath.Glob(filepath.Join(dir, databaseDirectory, "MANIFEST-*"))
 			So(err, ShouldBeNil)
 			for _, m := range manifests {
 				So(os.WriteFile(m, []byte("no manifest"), 0o600), ShouldBeNil)
@@ -93,7 +93,7 @@
 
 // earlierStore writes a data directory as the program with a fixed set of members left it.
 func earlierStore(dir string, values map[string]any) {
-	db, err := leveldb.OpenFile(filepath.Join(dir, folder), options(false))
+	db, err := leveldb.OpenFile(filepath.Join(dir, databaseDirectory), leveldbOptions(false))
 	So(err, ShouldBeNil)
 	for key, value := range values {
 		data, err := json.Marshal(value)
--- a/internal/mesh/replication/transport.go
+++ b/internal/mesh/replication/transport.go
@@ -17,20 +17,20 @@
 	Path = "/mesh/archive"
 	// postTimeout is how long a post may take: beyond it, the next beats are of more use than this one.
 	postTimeout = 600 * time.Millisecond
-	// postPerMiB is added for large ones, so that they get through a narrow link at all.
-	postPerMiB = time.Second
-	// maxQueue bounds the messages that wait for a peer that doesn't answer; the oldest give way.
-	maxQueue = 64
-	// large is the size from which a message goes on the peer's second lane,
+	// postTimeoutPerMiB is added for large ones, so that they get through a narrow link at all.
+	postTimeoutPerMiB = time.Second
+	// maxQueuedMessages bounds the messages that wait for a peer that doesn't answer; the oldest give way.
+	maxQueuedMessages = 64
+	// largeMessageBytes is the size from which a message goes on the peer's second lane,
 	// so that beats don't wait behind it.
-	large = 64 << 10
-	// maxBody bounds what a post may hold, as bytes on the link (a third more
+	largeMessageBytes = 64 << 10
+	// maxBodyBytes bounds what a post may hold, as bytes on the link (a third more
 	// than as bytes in memory): one large entry or snapshot and what rides along.
-	maxBody = 64 << 20
+	maxBodyBytes = 64 << 20
 )
 
-// letter is what one post carries, both ways.
-type letter struct {
+// messageBatch is what one post carries, both ways.
+type messageBatch struct {
 	From     MemberID  `json:"f"`
 	Messages []Message `json:"m"`
 }
@@ -46,9 +46,9 @@
 	ctx     context.Context
 	cancel  context.CancelFunc
 
-	mu    sync.Mutex
-	lanes map[laneKey]*lane
-	busy  sync.WaitGroup
+	mu      sync.Mutex
+	lanes   map[laneKey]*lane
+	running sync.WaitGroup
 }
 
 type laneKey struct {
@@ -73,7 +73,7 @@
 	t.mu.Lock()
 	t.cancel()
 	t.mu.Unlock()
-	t.busy.Wait()
+	t.running.Wait()
 }
 
 // Send queues messages for a peer and returns at once.
@@ -84,7 +84,7 @@
 		return
 	}
 	for i := range msgs {
-		key := laneKey{peer: to, large: msgs[i].size() >= large}
+		key := laneKey{peer: to, large: msgs[i].payloadBytes() >= largeMessageBytes}
 		l := t.lanes[key]
 		if l == nil {
 			l = &lane{}
@@ -93,21 +93,21 @@
 		if key.large {
 			// One large message is on its way at a time; a newer one replaces one that waits.
 			l.queue = l.queue[:0]
-		} else if len(l.queue) >= maxQueue {
+		} else if len(l.queue) >= maxQueuedMessages {
 			l.queue = l.queue[1:]
 		}
 		l.queue = append(l.queue, msgs[i])
 		if !l.running {
 			l.running = true
-			t.busy.Add(1)
-			go t.run(key, l)
+			t.running.Add(1)
+			go t.runLane(key, l)
 		}
 	}
 }
 
-// run posts what waits on a lane until nothing does.
-func (t *Transport) run(key laneKey, l *lane) {
-	defer t.busy.Done()
+// runLane posts what waits on a lane until nothing does.
+func (t *Transport) runLane(key laneKey, l *lane) {
+	defer t.running.Done()
 	for {
 		t.mu.Lock()
 		batch := l.queue
@@ -129,12 +129,12 @@
 func (t *Transport) post(peer MemberID, batch []Message) error {
 	size := 0
 	for i := range batch {
-		size += batch[i].size()
+		size += batch[i].payloadBytes()
 	}
-	timeout := postTimeout + postPerMiB*time.Duration(size>>10)/(1<<10)
+	timeout := postTimeout + postTimeoutPerMiB*time.Duration(size>>10)/(1<<10)
 	ctx, cancel := context.WithTimeout(t.ctx, timeout)
 	defer cancel()
-	answer, err := rpc.Call[letter, letter](ctx, t.client, "http://"+peer.Address()+Path, &letter{From: t.self, Messages: batch})
+	answer, err := rpc.Call[messageBatch, messageBatch](ctx, t.client, "http://"+peer.Address()+Path, &messageBatch{From: t.self, Messages: batch})
 	if err != nil {
 		return err
 	}
@@ -146,15 +146,15 @@
 }
 
 // RegisterRoutes serves the node's side of the post. While held gives none, nothing is taken.
-func RegisterRoutes(mux *http.ServeMux, held func() *Node) {
-	rpc.Handle(mux, Path, maxBody, func(r *http.Request, q *letter) (*letter, error) {
-		node := held()
+func RegisterRoutes(mux *http.ServeMux, currentNode func() *Node) {
+	rpc.Handle(mux, Path, maxBodyBytes, func(r *http.Request, request *messageBatch) (*messageBatch, error) {
+		node := currentNode()
 		if node == nil {
 			return nil, errs.New(errs.Busy, "replication: no log is held here yet")
 		}
-		if q.From == "" {
+		if request.From == "" {
 			return nil, errs.New(errs.Invalid, "replication: a letter without a sender")
 		}
-		return &letter{From: node.ID(), Messages: node.Exchange(r.Context(), q.From, q.Messages)}, nil
+		return &messageBatch{From: node.ID(), Messages: node.Exchange(r.Context(), request.From, request.Messages)}, nil
 	})
 }
--- a/internal/mesh/replication/types.go
+++ b/internal/mesh/replication/types.go
@@ -20,20 +20,20 @@
 // back under a new MemberID: what the old one voted for and acknowledged stays the old one's.
 type MemberID string
 
-// incarnationMark stands between the address and the incarnation in a MemberID.
-const incarnationMark = "#"
+// incarnationSeparator stands between the address and the incarnation in a MemberID.
+const incarnationSeparator = "#"
 
 // NewMemberID is the id of a disk at an address; the incarnation is empty at the first start.
 func NewMemberID(address, incarnation string) MemberID {
 	if incarnation == "" {
 		return MemberID(address)
 	}
-	return MemberID(address + incarnationMark + incarnation)
+	return MemberID(address + incarnationSeparator + incarnation)
 }
 
 // Address is where the member takes messages.
 func (id MemberID) Address() string {
-	address, _, _ := strings.Cut(string(id), incarnationMark)
+	address, _, _ := strings.Cut(string(id), incarnationSeparator)
 	return address
 }
 
--- a/internal/mesh/replication/world_test.go
+++ b/internal/mesh/replication/world_test.go
@@ -91,7 +91,7 @@
 	manage    bool
 	announced map[MemberID]announcement
 	appState
-	contact       contact
+	contact       contactTracker
 	contactLeader MemberID
 	contactTerm   Term
 	proposed      map[uint64]*operation
@@ -200,7 +200,7 @@
 func (w *world) leader() *machine {
 	var found *machine
 	for _, n := range w.machines {
-		if n.replica != nil && n.replica.role == leader && (found == nil || n.replica.hard.Term > found.replica.hard.Term) {
+		if n.replica != nil && n.replica.role == leader && (found == nil || n.replica.hardState.Term > found.replica.hardState.Term) {
 			found = n
 		}
 	}
@@ -231,7 +231,7 @@
 	n.appState = appState{lag: n.lag}
 	n.proposed, n.reading = map[uint64]*operation{}, map[uint64]*operation{}
 	n.announced = map[MemberID]announcement{}
-	n.contact = contact{}
+	n.contact = contactTracker{}
 	n.contactLeader, n.contactTerm = "", 0
 	state := n.disk
 	state.Entries = slices.Clone(state.Entries)
@@ -285,8 +285,8 @@
 	inbox := n.inbox
 	n.inbox = nil
 	for _, d := range inbox {
-		if now-d.at <= staleAfter {
-			n.replica.Step(now, d.from, d.msgs[0])
+		if now-d.arrivedAt <= maxMessageAge {
+			n.replica.Step(now, d.from, d.messages[0])
 		}
 	}
 	if n.manage {
@@ -364,7 +364,7 @@
 	n.replica.Advance(w.clock(n), r)
 	w.follow(n)
 	w.settleCalls(n, r)
-	if n.replica.WantsSnapshot() {
+	if n.replica.ShouldCompact() {
 		n.replica.Compact(w.snapshot(n))
 		w.count("snapshot taken")
 	}
