--- a/cmd/meshd/main.go
+++ b/cmd/meshd/main.go
@@ -61,7 +61,7 @@
 		flag.Usage()
 		return 2
 	}
-	set, err := settings.Boot()
+	set, err := settings.Load()
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "meshd:", err)
 		return 2
@@ -75,12 +75,12 @@
 	signal.Notify(signals, syscall.SIGHUP, syscall.SIGUSR1)
 	reload := make(chan *settings.Settings)
 	go func() {
-		for s := range settings.Changes(ctx, signals) {
+		for s := range settings.ReloadSignals(ctx, signals) {
 			if s == syscall.SIGUSR1 {
 				ring.Dump("asked for")
 				continue
 			}
-			again, err := settings.Boot()
+			again, err := settings.Load()
 			if err != nil {
 				log.Warn("settings that can't be used, the last ones hold: " + err.Error())
 				continue
--- a/internal/daemon/bans/bans_test.go
+++ b/internal/daemon/bans/bans_test.go
@@ -169,7 +169,7 @@
 	if err := os.WriteFile(f.path(), make([]byte, fileMost+1), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := f.read(); !errors.Is(err, durable.ErrDamaged) {
+	if _, err := f.read(); !errors.Is(err, durable.ErrCorrupt) {
 		t.Errorf("too long: %v", err)
 	}
 }
--- a/internal/daemon/bans/file.go
+++ b/internal/daemon/bans/file.go
@@ -53,8 +53,8 @@
 // read returns the bans; none where there is no file. One that is damaged is put aside, so that it can be looked at and is not read again.
 func (f file) read() ([]string, error) {
 	bans, err := f.parse()
-	if errors.Is(err, durable.ErrDamaged) {
-		return nil, errors.Join(err, durable.PutAside(f.path()))
+	if errors.Is(err, durable.ErrCorrupt) {
+		return nil, errors.Join(err, durable.Quarantine(f.path()))
 	}
 	return bans, err
 }
@@ -64,21 +64,21 @@
 	switch {
 	case errors.Is(err, fs.ErrNotExist):
 		return nil, nil
-	case errors.Is(err, durable.ErrTooLong):
-		return nil, fmt.Errorf("%w: %w", durable.ErrDamaged, err)
+	case errors.Is(err, durable.ErrTooLarge):
+		return nil, fmt.Errorf("%w: %w", durable.ErrCorrupt, err)
 	case err != nil:
 		return nil, err
 	}
 	var k kept
 	if err := json.Unmarshal(raw, &k); err != nil {
-		return nil, fmt.Errorf("%w: %w", durable.ErrDamaged, err)
+		return nil, fmt.Errorf("%w: %w", durable.ErrCorrupt, err)
 	}
 	if k.Form != form || k.Sum != xxhash.Sum64(k.Bans) {
-		return nil, fmt.Errorf("%w: form %d or its sum is not right", durable.ErrDamaged, k.Form)
+		return nil, fmt.Errorf("%w: form %d or its sum is not right", durable.ErrCorrupt, k.Form)
 	}
 	var bans []string
 	if err := json.Unmarshal(k.Bans, &bans); err != nil {
-		return nil, fmt.Errorf("%w: %w", durable.ErrDamaged, err)
+		return nil, fmt.Errorf("%w: %w", durable.ErrCorrupt, err)
 	}
 	return bans, nil
 }
--- a/internal/daemon/handover/seat.go
+++ b/internal/daemon/handover/seat.go
@@ -137,7 +137,7 @@
 func (s *Seat) record() (*Record, error) {
 	raw, err := durable.ReadBounded(filepath.Join(s.dir, recordName), recordMost)
 	switch {
-	case errors.Is(err, durable.ErrTooLong):
+	case errors.Is(err, durable.ErrTooLarge):
 		return nil, fmt.Errorf("%w: %w", errDamaged, err)
 	case err != nil:
 		return nil, fmt.Errorf("%w: %w", ErrNoRecord, err)
--- a/internal/fleet/policy.go
+++ b/internal/fleet/policy.go
@@ -78,7 +78,7 @@
 		Rand: rand.New(rand.NewPCG(f.cfg.Seed, 3)), Host: policyHost{p}, Check: p.check,
 	}
 	if dir := f.file.Policy.State; dir != "" {
-		if err := state.Usable(dir); err != nil {
+		if err := state.CheckWritable(dir); err != nil {
 			return nil, fmt.Errorf("state: %w", err)
 		}
 	}
@@ -166,7 +166,7 @@
 		if p.store, err = openState(dir, p.f.file.Name, cfg.Self); err != nil {
 			return err
 		}
-		if damage := p.store.Damage(); damage != nil {
+		if damage := p.store.Corruption(); damage != nil {
 			p.f.log.Error("policy: the state was damaged and is put aside, this sidecar votes with a new seat", "error", damage)
 		}
 		if saved, texts, err = p.store.Saved(); err != nil {
--- a/internal/fleet/state/contents.go
+++ b/internal/fleet/state/contents.go
@@ -42,12 +42,12 @@
 	}
 	sealed := durable.Seal(kind, raw)
 	if len(sealed) > fileMost {
-		return nil, fmt.Errorf("%w: %d bytes", durable.ErrTooLong, len(sealed))
+		return nil, fmt.Errorf("%w: %d bytes", durable.ErrTooLarge, len(sealed))
 	}
 	return sealed, nil
 }
 
-// decode reads a file of this program's format. What does not fit together is durable.ErrDamaged.
+// decode reads a file of this program's format. What does not fit together is durable.ErrCorrupt.
 func decode(raw []byte) (*contents, error) {
 	content, err := durable.Unseal(kind, raw)
 	if err != nil {
@@ -55,7 +55,7 @@
 	}
 	c := new(contents)
 	if err := json.Unmarshal(content, c); err != nil {
-		return nil, fmt.Errorf("%w: %w", durable.ErrDamaged, err)
+		return nil, fmt.Errorf("%w: %w", durable.ErrCorrupt, err)
 	}
 	if c.Format != formatVersion {
 		return nil, fmt.Errorf("it has format %d, this program knows format %d", c.Format, formatVersion)
@@ -77,27 +77,27 @@
 // saved is the part of the log, or why it is none.
 func (c *contents) saved() (*agree.Saved, error) {
 	if c.Seat == 0 {
-		return nil, fmt.Errorf("%w: it has no seat", durable.ErrDamaged)
+		return nil, fmt.Errorf("%w: it has no seat", durable.ErrCorrupt)
 	}
 	saved := &agree.Saved{Epoch: c.Epoch}
 	if c.Vote != nil {
 		saved.Vote = new(raftpb.HardState)
 		if err := proto.Unmarshal(c.Vote, saved.Vote); err != nil {
-			return nil, fmt.Errorf("%w: its vote: %w", durable.ErrDamaged, err)
+			return nil, fmt.Errorf("%w: its vote: %w", durable.ErrCorrupt, err)
 		}
 	}
 	for i, raw := range c.Entries {
 		e := new(raftpb.Entry)
 		if err := proto.Unmarshal(raw, e); err != nil || e.GetIndex() != uint64(i)+1 {
-			return nil, fmt.Errorf("%w: entry %d", durable.ErrDamaged, i+1)
+			return nil, fmt.Errorf("%w: entry %d", durable.ErrCorrupt, i+1)
 		}
 		saved.Entries = append(saved.Entries, e)
 	}
 	switch {
 	case saved.Vote == nil && len(saved.Entries) > 0:
-		return nil, fmt.Errorf("%w: it has entries and no vote", durable.ErrDamaged)
+		return nil, fmt.Errorf("%w: it has entries and no vote", durable.ErrCorrupt)
 	case saved.Vote.GetCommit() > uint64(len(saved.Entries)):
-		return nil, fmt.Errorf("%w: %d entries are committed, it has %d", durable.ErrDamaged, saved.Vote.GetCommit(), len(saved.Entries))
+		return nil, fmt.Errorf("%w: %d entries are committed, it has %d", durable.ErrCorrupt, saved.Vote.GetCommit(), len(saved.Entries))
 	}
 	return saved, nil
 }
--- a/internal/fleet/state/damage_test.go
+++ b/internal/fleet/state/damage_test.go
@@ -63,8 +63,8 @@
 	if err != nil || s.Seat() != 1 || saved.Epoch != 0 || saved.Vote != nil || len(saved.Entries)+len(texts) != 0 {
 		t.Errorf("%s: taken: seat %d, %+v, %d texts, %v", how, s.Seat(), saved, len(texts), err)
 	}
-	if s.Damage() == nil || !strings.Contains(s.Damage().Error(), path) {
-		t.Errorf("%s: %v does not name the file", how, s.Damage())
+	if s.Corruption() == nil || !strings.Contains(s.Corruption().Error(), path) {
+		t.Errorf("%s: %v does not name the file", how, s.Corruption())
 	}
 	if aside, err := os.ReadFile(path + ".damaged"); err != nil || !bytes.Equal(aside, raw) {
 		t.Errorf("%s: put aside: %d bytes, %v", how, len(aside), err)
@@ -96,7 +96,7 @@
 func TestDamageIsSeen(t *testing.T) {
 	whole := full(t)
 	refused := func(raw []byte, how string) {
-		if _, err := decode(raw); !errors.Is(err, durable.ErrDamaged) {
+		if _, err := decode(raw); !errors.Is(err, durable.ErrCorrupt) {
 			t.Errorf("%s: %v", how, err)
 		}
 	}
@@ -171,8 +171,8 @@
 					t.Fatalf("%d entries, texts of %d: %v", entries, text, err)
 				}
 				saved, texts, err := s.Saved()
-				if err != nil || s.Damage() != nil || s.Seat() != 99 || saved.Epoch != 5 || uint64(len(saved.Entries)) != entries || saved.Vote.GetCommit() != entries {
-					t.Errorf("%d entries: seat %d, %v, %v, %d, %v", entries, s.Seat(), s.Damage(), saved.Vote, len(saved.Entries), err)
+				if err != nil || s.Corruption() != nil || s.Seat() != 99 || saved.Epoch != 5 || uint64(len(saved.Entries)) != entries || saved.Vote.GetCommit() != entries {
+					t.Errorf("%d entries: seat %d, %v, %v, %d, %v", entries, s.Seat(), s.Corruption(), saved.Vote, len(saved.Entries), err)
 				}
 				if len(texts) != 3 || len(texts[0]) != text || text > 0 && texts[2][text-1] != 'c' {
 					t.Errorf("texts of %d: %d", text, len(texts))
@@ -245,7 +245,7 @@
 			}
 			continue
 		}
-		if err != nil || s.Seat() != 1 || s.Damage() != nil {
+		if err != nil || s.Seat() != 1 || s.Corruption() != nil {
 			t.Fatalf("empty: %v", err)
 		}
 		s.Close()
--- a/internal/fleet/state/old.go
+++ b/internal/fleet/state/old.go
@@ -33,7 +33,7 @@
 func decodeOld(raw []byte) (*contents, error) {
 	buckets, err := readBolt(raw)
 	if err != nil {
-		return nil, fmt.Errorf("%w: %w", durable.ErrDamaged, err)
+		return nil, fmt.Errorf("%w: %w", durable.ErrCorrupt, err)
 	}
 	if len(buckets) == 0 {
 		return nil, nil
@@ -44,7 +44,7 @@
 	}
 	var owner oldOwner
 	if err := json.Unmarshal(about.value("owner"), &owner); err != nil {
-		return nil, fmt.Errorf("%w: whose it is: %w", durable.ErrDamaged, err)
+		return nil, fmt.Errorf("%w: whose it is: %w", durable.ErrCorrupt, err)
 	}
 	if owner.Form != oldFormatVersion {
 		return nil, fmt.Errorf("it has form %d, the first format has %d", owner.Form, oldFormatVersion)
@@ -55,11 +55,11 @@
 	entries, hasEntries := buckets["entries"]
 	texts, hasTexts := buckets["texts"]
 	if !hasEntries || !hasTexts {
-		return nil, fmt.Errorf("%w: a bucket is missing", durable.ErrDamaged)
+		return nil, fmt.Errorf("%w: a bucket is missing", durable.ErrCorrupt)
 	}
 	for i, pair := range entries {
 		if len(pair.key) != 8 || binary.BigEndian.Uint64(pair.key) != uint64(i)+1 {
-			return nil, fmt.Errorf("%w: the key of entry %d", durable.ErrDamaged, i+1)
+			return nil, fmt.Errorf("%w: the key of entry %d", durable.ErrCorrupt, i+1)
 		}
 		c.Entries = append(c.Entries, pair.value)
 	}
--- a/internal/fleet/state/state.go
+++ b/internal/fleet/state/state.go
@@ -39,8 +39,8 @@
 	damage   error
 }
 
-// Usable says whether a folder can be used, before anything is opened in it.
-func Usable(dir string) error {
+// CheckWritable says whether a folder can be used, before anything is opened in it.
+func CheckWritable(dir string) error {
 	f, err := os.CreateTemp(dir, "caperarch-*.tmp")
 	if err != nil {
 		return err
@@ -136,11 +136,11 @@
 		return nil
 	}
 	err = fmt.Errorf("%s: %w", path, err)
-	if !errors.Is(err, durable.ErrDamaged) && !errors.Is(err, durable.ErrTooLong) {
+	if !errors.Is(err, durable.ErrCorrupt) && !errors.Is(err, durable.ErrTooLarge) {
 		return err
 	}
 	s.damage = err
-	return durable.PutAside(path)
+	return durable.Quarantine(path)
 }
 
 // write replaces the file. What is kept is changed only if that succeeds.
@@ -159,8 +159,8 @@
 // Close lets another process open the state.
 func (s *Store) Close() error { return s.lock.Close() }
 
-// Damage is why an earlier file was put aside as Open was called; nil: none was.
-func (s *Store) Damage() error { return s.damage }
+// Corruption is why an earlier file was put aside as Open was called; nil: none was.
+func (s *Store) Corruption() error { return s.damage }
 
 // Seat is the life by which this sidecar votes.
 func (s *Store) Seat() uint64 { return s.contents.Seat }
--- a/internal/fleet/state/state_test.go
+++ b/internal/fleet/state/state_test.go
@@ -108,10 +108,10 @@
 	if saved, _, err := s.Saved(); err != nil || saved.Epoch != 0 || saved.Vote.GetTerm() != 1 || len(saved.Entries) != 1 || saved.Entries[0].GetTerm() != 1 {
 		t.Errorf("%+v, %v", saved, err)
 	}
-	if Usable(dir) == nil {
+	if CheckWritable(dir) == nil {
 		t.Error("a folder that is not there can be used")
 	}
-	if err := Usable(t.TempDir()); err != nil {
+	if err := CheckWritable(t.TempDir()); err != nil {
 		t.Error(err)
 	}
 }
--- a/internal/lab/rig/hollow/hollow.go
+++ b/internal/lab/rig/hollow/hollow.go
@@ -256,9 +256,9 @@
 
 // ask asks for tokens until ctx ends, from a moment of its own on.
 func (s *hollowSidecar) ask(ctx context.Context, every time.Duration) {
-	asks := make([]quota.Ask, 0, len(s.fleet.cfg.Tenants))
+	asks := make([]quota.Demand, 0, len(s.fleet.cfg.Tenants))
 	for _, tenant := range s.fleet.cfg.Tenants {
-		asks = append(asks, quota.Ask{Tenant: tenant, Want: 1.5})
+		asks = append(asks, quota.Demand{Tenant: tenant, Want: 1.5})
 	}
 	timer := time.NewTimer(rand.N(every))
 	defer timer.Stop()
@@ -291,7 +291,7 @@
 	}
 }
 
-func (s *hollowSidecar) askOnce(ctx context.Context, asks []quota.Ask) error {
+func (s *hollowSidecar) askOnce(ctx context.Context, asks []quota.Demand) error {
 	ctx, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
 	peers := s.news.Peers()
--- a/internal/mesh/controlplane/controlplane.go
+++ b/internal/mesh/controlplane/controlplane.go
@@ -42,19 +42,19 @@
 	machine *stateMachine
 
 	mu     sync.Mutex
-	dealer *quota.Dealer
+	dealer *quota.Allocator
 }
 
 // Run is a core machine's life until ctx ends. Settings that are written anew come by reload.
 func Run(ctx context.Context, set *settings.Settings, reload <-chan *settings.Settings, log *zap.Logger) error {
-	own := cluster.Announcement{ID: replication.NewMemberID(set.Internal(), ""), Zone: set.Self.Zone}
-	s := &Server{set: set, log: log, client: rpc.NewClient(dialTimeout), start: time.Now(), roster: cluster.NewMemberList(own, set.Seeds())}
+	own := cluster.Announcement{ID: replication.NewMemberID(set.OwnInternalAddress(), ""), Zone: set.Self.Zone}
+	s := &Server{set: set, log: log, client: rpc.NewClient(dialTimeout), start: time.Now(), roster: cluster.NewMemberList(own, set.SeedAddresses())}
 	window := set.Guarantees.Bounds.QuotaWindow
 	if window <= 0 {
 		window = time.Second
 	}
 	var err error
-	if s.dealer, err = quota.NewDealer(quota.Rules{Window: window, Overage: set.Guarantees.Bounds.QuotaOverage, Slack: set.Guarantees.Bounds.QuotaSlack}); err != nil {
+	if s.dealer, err = quota.NewAllocator(quota.Rules{Window: window, Overage: set.Guarantees.Bounds.QuotaOverage, Slack: set.Guarantees.Bounds.QuotaSlack}); err != nil {
 		return err
 	}
 	s.machine = newStateMachine(log, func() {
@@ -71,7 +71,7 @@
 	defer stop()
 	go s.follow(life, reload)
 	s.hub = watch.NewServer(watch.ServerConfig{
-		Self: s.set.Internal(), Zone: s.set.Self.Zone, Epoch: uint64(s.start.UnixNano()),
+		Self: s.set.OwnInternalAddress(), Zone: s.set.Self.Zone, Epoch: uint64(s.start.UnixNano()),
 		Peers:   func() []string { return s.roster.Addresses(s.now()) },
 		Contact: s.contact,
 		Leader:  func() string { address, _ := s.leader(); return address },
@@ -122,7 +122,7 @@
 		}
 	}
 	ended := make(chan error, 2)
-	for address, mux := range map[string]*http.ServeMux{s.set.Internal(): inside, s.set.Network.ListenAddresses.ControlPlane: outside} {
+	for address, mux := range map[string]*http.ServeMux{s.set.OwnInternalAddress(): inside, s.set.Network.ListenAddresses.ControlPlane: outside} {
 		l, err := net.Listen("tcp", address)
 		if err != nil {
 			closeAll()
--- a/internal/mesh/controlplane/deal.go
+++ b/internal/mesh/controlplane/deal.go
@@ -23,7 +23,7 @@
 // request on to the leader that it knows.
 func (s *Server) deal(r *http.Request, request *sidecar.AllocateRequest) (*sidecar.AllocateResponse, error) {
 	leader, term := s.leader()
-	if leader != s.set.Internal() {
+	if leader != s.set.OwnInternalAddress() {
 		return s.passToDealer(r, leader, request)
 	}
 	live, largest := s.hub.Members()
@@ -36,7 +36,7 @@
 	if err := s.mayDeal(term); err != nil {
 		return nil, err
 	}
-	grants, closed, err := s.dealer.Deal(now, term, request.Node, request.Demands)
+	grants, closed, err := s.dealer.Allocate(now, term, request.Node, request.Demands)
 	if err != nil {
 		return nil, err
 	}
@@ -59,7 +59,7 @@
 func (s *Server) mayDeal(term uint64) error {
 	age, ok := s.contact()
 	leader, now := s.leader()
-	return checkDealer(age, ok, leader == s.set.Internal() && now == term)
+	return checkDealer(age, ok, leader == s.set.OwnInternalAddress() && now == term)
 }
 
 // checkDealer refuses to deal without a contact young enough, or when the term is over.
--- a/internal/mesh/controlplane/deal_test.go
+++ b/internal/mesh/controlplane/deal_test.go
@@ -23,31 +23,31 @@
 	Convey("A leader that is cut off and the next one never deal tokens that can be spent at the same time", t, func() {
 		rules := quota.Rules{Window: 5 * time.Second, Overage: 0.1, Slack: 20}
 		limits := map[string]quota.Limit{"a": {Rate: 172, Burst: 172}}
-		ask := []quota.Ask{{Tenant: "a", Want: 1}}
-		var dealers []*quota.Dealer
+		ask := []quota.Demand{{Tenant: "a", Want: 1}}
+		var dealers []*quota.Allocator
 		for range 2 {
-			d, err := quota.NewDealer(rules)
+			d, err := quota.NewAllocator(rules)
 			So(err, ShouldBeNil)
 			So(d.Configure(0, limits, 3), ShouldBeNil)
 			dealers = append(dealers, d)
 		}
-		_, _, _ = dealers[0].Deal(0, 1, "n1", ask)
+		_, _, _ = dealers[0].Allocate(0, 1, "n1", ask)
 		confirmed := 2 * time.Second // the old leader's last round
 		var last, first time.Duration
 		for now := confirmed; now < confirmed+3*time.Second; now += 5 * time.Millisecond {
 			if checkDealer(now-confirmed, true, true) == nil {
-				if grants, _, err := dealers[0].Deal(now, 1, "n1", ask); err == nil && len(grants) > 0 {
+				if grants, _, err := dealers[0].Allocate(now, 1, "n1", ask); err == nil && len(grants) > 0 {
 					last = now
 				}
 			}
 			if now < confirmed+leastElectionTimeout {
 				continue
 			}
-			if grants, _, err := dealers[1].Deal(now, 2, "n2", ask); err == nil && len(grants) > 0 && first == 0 {
+			if grants, _, err := dealers[1].Allocate(now, 2, "n2", ask); err == nil && len(grants) > 0 && first == 0 {
 				first = now
 			}
 		}
 		So(last, ShouldBeGreaterThan, confirmed)
-		So(first, ShouldBeGreaterThanOrEqualTo, last+quota.TokenLife)
+		So(first, ShouldBeGreaterThanOrEqualTo, last+quota.TokenTTL)
 	})
 }
--- a/internal/mesh/controlplane/inspect.go
+++ b/internal/mesh/controlplane/inspect.go
@@ -61,7 +61,7 @@
 	for i, address := range members {
 		m := &a.Core[i]
 		m.Address, m.Leader = address, address == own.Leader
-		if address == s.set.Internal() {
+		if address == s.set.OwnInternalAddress() {
 			m.Status = own
 			continue
 		}
@@ -73,7 +73,7 @@
 	}
 	roll, err := rpc.Call[struct{}, struct {
 		Leases []registry.RemoteLease `json:"leases"`
-	}](ctx, s.client, "http://"+s.set.Internal()+rollPath, &struct{}{})
+	}](ctx, s.client, "http://"+s.set.OwnInternalAddress()+rollPath, &struct{}{})
 	asked.Wait()
 	if err != nil {
 		return nil, err
--- a/internal/mesh/controlplane/membership.go
+++ b/internal/mesh/controlplane/membership.go
@@ -44,7 +44,7 @@
 // openStore opens the disk; one that refuses is tried again until ctx ends.
 func (s *Server) openStore(ctx context.Context) (*replication.Store, replication.State, error) {
 	for {
-		store, state, err := replication.OpenOrReset(s.set.Self.DataDirectory, s.set.Internal(), s.log)
+		store, state, err := replication.OpenOrReset(s.set.Self.DataDirectory, s.set.OwnInternalAddress(), s.log)
 		if err == nil {
 			return store, state, nil
 		}
@@ -89,16 +89,16 @@
 
 func (s *Server) newIdentity(ctx context.Context) (replication.State, error) {
 	var state replication.State
-	if s.set.Self.FirstStart && slices.Contains(s.set.Seeds(), s.set.Internal()) {
-		state.ID = replication.NewMemberID(s.set.Internal(), "")
-		state.Cluster, state.Snapshot.Membership = replication.Bootstrap(s.set.Seeds())
+	if s.set.Self.FirstStart && slices.Contains(s.set.SeedAddresses(), s.set.OwnInternalAddress()) {
+		state.ID = replication.NewMemberID(s.set.OwnInternalAddress(), "")
+		state.Cluster, state.Snapshot.Membership = replication.Bootstrap(s.set.SeedAddresses())
 		return state, nil
 	}
 	var incarnation [incarnationBytes]byte
 	if _, err := crand.Read(incarnation[:]); err != nil {
 		return state, errs.Wrap(err, errs.Internal, "a random incarnation")
 	}
-	state.ID = replication.NewMemberID(s.set.Internal(), hex.EncodeToString(incarnation[:]))
+	state.ID = replication.NewMemberID(s.set.OwnInternalAddress(), hex.EncodeToString(incarnation[:]))
 	own := s.roster.Local()
 	own.ID = state.ID
 	s.roster.SetLocal(own)
@@ -278,7 +278,7 @@
 			if !ok {
 				return
 			}
-			s.roster.SetSeeds(set.Seeds())
+			s.roster.SetSeeds(set.SeedAddresses())
 		case <-ctx.Done():
 			return
 		}
--- a/internal/mesh/controlplane/orders.go
+++ b/internal/mesh/controlplane/orders.go
@@ -57,7 +57,7 @@
 	switch leader {
 	case "":
 		return nil, errs.New(errs.NoQuorum, "no leader is known")
-	case s.set.Internal():
+	case s.set.OwnInternalAddress():
 		return s.propose(ctx, change)
 	}
 	taken, err := rpc.Post[api.ChangeResponse](ctx, s.client, "http://"+leader+proposeAt(whole), body)
@@ -113,7 +113,7 @@
 	switch leader {
 	case "":
 		return nil, errs.New(errs.NoQuorum, "no leader is known")
-	case s.set.Internal():
+	case s.set.OwnInternalAddress():
 		return s.confirm(ctx)
 	}
 	return api.FetchDocument(ctx, s.client, "http://"+leader+describePath)
--- a/internal/mesh/headers/golden_test.go
+++ b/internal/mesh/headers/golden_test.go
@@ -20,7 +20,7 @@
 		"X-Caperarch-Instance-Load":     Load,
 		"X-Caperarch-Instance-Id":       Instance,
 		"X-Api-Key":                     Key,
-		"X-Mesh-Send":                   SendField,
+		"X-Mesh-Send":                   SendIDField,
 	} {
 		if got != want {
 			t.Errorf("the field is named %q, want %q", got, want)
@@ -36,39 +36,39 @@
 		},
 		false: {"X-Caperarch-Attempt-Id": {"9c41"}, "X-Mesh-Verdict": {"unknown"}, "X-Mesh-Load": {"5,2,9"}},
 	} {
-		if got := Own("9c41", neverRan, LoadText(5, 2, 9)); !reflect.DeepEqual(got, want) {
+		if got := GateResponseFields("9c41", neverRan, FormatLoad(5, 2, 9)); !reflect.DeepEqual(got, want) {
 			t.Errorf("never ran %v: %v, want %v", neverRan, got, want)
 		}
 	}
 	fields := http.Header{"X-Mesh-Verdict": {"turned"}}
-	Stamp(fields, LoadText(5, 2, 9))
+	SetGateLoad(fields, FormatLoad(5, 2, 9))
 	if want := (http.Header{"X-Mesh-Load": {"5,2,9"}}); !reflect.DeepEqual(fields, want) {
 		t.Errorf("an upstream's answer has %v, want %v", fields, want)
 	}
 }
 
 func TestTermsOfAnAttemptOnTheWire(t *testing.T) {
-	for want, terms := range map[string]Attempt{
-		"2,1500,1": {Rank: 2, Aim: 1500 * time.Millisecond, Safe: true},
+	for want, terms := range map[string]AttemptTerms{
+		"2,1500,1": {Priority: 2, LatencyTarget: 1500 * time.Millisecond, Idempotent: true},
 		"0,0,0":    {},
 	} {
 		fields := http.Header{}
-		terms.Put(fields)
+		terms.Set(fields)
 		if wantFields := (http.Header{"X-Mesh-Visit": {want}}); !reflect.DeepEqual(fields, wantFields) {
 			t.Errorf("%+v is written as %v, want %v", terms, fields, wantFields)
 		}
-		if got, ok := ReadAttempt(head("X-Mesh-Visit", want)); !ok || got != terms {
+		if got, ok := ParseAttemptTerms(head("X-Mesh-Visit", want)); !ok || got != terms {
 			t.Errorf("%q is read as %+v, %v, want %+v", want, got, ok, terms)
 		}
 	}
 }
 
 func TestSendOnTheWire(t *testing.T) {
-	send := Send{Sender: 0xabc123, Number: 12}
+	send := SendID{Sender: 0xabc123, Number: 12}
 	if got := send.String(); got != "abc123.12" {
 		t.Errorf("the send is written as %q, want abc123.12", got)
 	}
-	if got, ok := ReadSend(head("X-Mesh-Send", "abc123.12")); !ok || got != send {
+	if got, ok := ParseSendID(head("X-Mesh-Send", "abc123.12")); !ok || got != send {
 		t.Errorf("the send is read as %+v, %v, want %+v", got, ok, send)
 	}
 }
@@ -84,7 +84,7 @@
 	for _, name := range internal {
 		fields[name] = []string{"1"}
 	}
-	if Strip(fields); !reflect.DeepEqual(fields, want) {
+	if StripInternal(fields); !reflect.DeepEqual(fields, want) {
 		t.Errorf("left are %v, want %v", fields, want)
 	}
 }
--- a/internal/mesh/headers/headers.go
+++ b/internal/mesh/headers/headers.go
@@ -46,8 +46,8 @@
 // longest is what longer time-outs count as.
 const longest = 10 * time.Minute
 
-// Milliseconds reads a time-out; what can't be read is none.
-func Milliseconds(text string) (time.Duration, bool) {
+// ParseTimeout reads a time-out; what can't be read is none.
+func ParseTimeout(text string) (time.Duration, bool) {
 	ms, err := strconv.ParseFloat(text, 64)
 	if err != nil || !(ms > 0) {
 		return 0, false
@@ -56,15 +56,15 @@
 	return left, left > 0
 }
 
-// NoneLeft says whether a time-out is sound and over: its request's client waits no more.
-func NoneLeft(text string) bool {
+// IsExpired says whether a time-out is sound and over: its request's client waits no more.
+func IsExpired(text string) bool {
 	ms, err := strconv.ParseFloat(text, 64)
 	return err == nil && ms == 0
 }
 
-// Twice is the name of a field that steers a request and is given twice, or "": two readers may
+// DuplicateField is the name of a field that steers a request and is given twice, or "": two readers may
 // heed different ones.
-func Twice(h *h1.Head, names ...string) string {
+func DuplicateField(h *h1.Head, names ...string) string {
 	for _, name := range names {
 		seen := false
 		for i := range h.Fields {
@@ -79,13 +79,13 @@
 	return ""
 }
 
-// TwiceSteered says whether a request between sidecars gives a field twice that steers it.
-func TwiceSteered(h *h1.Head) bool {
-	return Twice(h, AttemptID, Timeout, Target, attemptTerms, sendName) != ""
+// HasDuplicateControlField says whether a request between sidecars gives a field twice that steers it.
+func HasDuplicateControlField(h *h1.Head) bool {
+	return DuplicateField(h, AttemptID, Timeout, Target, attemptTerms, sendName) != ""
 }
 
-// Strip takes off what only sidecars may say.
-func Strip(fields http.Header) {
+// StripInternal takes off what only sidecars may say.
+func StripInternal(fields http.Header) {
 	for _, name := range []string{attemptTerms, sendName, gateLoad, verdict, Target, Tenant, Caller, Key} {
 		delete(fields, name)
 	}
--- a/internal/mesh/headers/headers_test.go
+++ b/internal/mesh/headers/headers_test.go
@@ -57,47 +57,47 @@
 	}
 	Convey("An upstream's answer proves that it ran, that it did not, or neither", t, func() {
 		for _, c := range table {
-			ending, load := JudgeUpstream(c.res)
+			ending, load := ClassifyUpstreamResponse(c.res)
 			So([]any{c.res.StatusCode, c.res.Header, ending}, ShouldResemble, []any{c.res.StatusCode, c.res.Header, c.want})
 			So(load, ShouldResemble, policy.Load{Has: policy.HasInFlight | policy.HasQueued, InFlight: 4, Queued: 1})
 		}
 	})
 	Convey("A gate's own answer proves by its verdict, one that it passes on as the upstream's would, and either tells the gate's load", t, func() {
 		for _, c := range table {
-			Stamp(c.res.Header, LoadText(5, 2, 9))
-			ending, load := JudgeGate(c.res)
+			SetGateLoad(c.res.Header, FormatLoad(5, 2, 9))
+			ending, load := ClassifyGateResponse(c.res)
 			So([]any{c.res.StatusCode, c.res.Header, ending}, ShouldResemble, []any{c.res.StatusCode, c.res.Header, c.want})
 			So(load.InFlight, ShouldEqual, 7)
-			Bare(c.res.Header)
+			StripGateLoad(c.res.Header)
 			So(c.res.Header[gateLoad], ShouldBeNil)
 		}
 		for neverRan, want := range map[bool]policy.Ending{true: policy.Gated, false: policy.Broken} {
 			for _, status := range []int{200, 400, 421, 503, 504} {
-				res := &http.Response{StatusCode: status, Header: Own("9c41", neverRan, LoadText(1, 0, 1))}
-				ending, load := JudgeGate(res)
+				res := &http.Response{StatusCode: status, Header: GateResponseFields("9c41", neverRan, FormatLoad(1, 0, 1))}
+				ending, load := ClassifyGateResponse(res)
 				So(ending, ShouldEqual, want)
 				So(load.InFlight, ShouldEqual, 1)
 				So(res.Header[NotExecuted] != nil, ShouldEqual, want == policy.Gated)
-				So(Mine(&call.Message{Header: http.Header{AttemptID: {"9c41"}}}, res), ShouldBeTrue)
+				So(MatchesAttempt(&call.Message{Header: http.Header{AttemptID: {"9c41"}}}, res), ShouldBeTrue)
 			}
 		}
 		forged := answer(200, verdict, turned) // by an upstream: only a gate may say
-		Stamp(forged.Header, LoadText(0, 0, 1))
-		ending, _ := JudgeGate(forged)
+		SetGateLoad(forged.Header, FormatLoad(0, 0, 1))
+		ending, _ := ClassifyGateResponse(forged)
 		So(ending, ShouldEqual, policy.Served)
 		for _, other := range []string{"served", "TURNED", "turned,turned"} {
-			ending, _ := JudgeGate(answer(200, verdict, other))
+			ending, _ := ClassifyGateResponse(answer(200, verdict, other))
 			So(ending, ShouldEqual, policy.Broken)
 		}
 	})
 	Convey("An answer is a request's only with its very id, once", t, func() {
 		m := &call.Message{Header: http.Header{AttemptID: {"9c41"}}}
 		for _, ids := range [][]string{nil, {}, {""}, {"9c42"}, {"9C41"}, {"9c41", "9c41"}, {"9c42", "9c41"}} {
-			So(Mine(m, &http.Response{Header: http.Header{AttemptID: ids}}), ShouldBeFalse)
-			So(Mine(&call.Message{Header: http.Header{AttemptID: ids}}, &http.Response{Header: m.Header}), ShouldBeFalse)
+			So(MatchesAttempt(m, &http.Response{Header: http.Header{AttemptID: ids}}), ShouldBeFalse)
+			So(MatchesAttempt(&call.Message{Header: http.Header{AttemptID: ids}}, &http.Response{Header: m.Header}), ShouldBeFalse)
 		}
-		So(Mine(&call.Message{Header: http.Header{}}, &http.Response{Header: http.Header{}}), ShouldBeFalse)
-		So(Mine(m, &http.Response{Header: http.Header{AttemptID: {"9c41"}}}), ShouldBeTrue)
+		So(MatchesAttempt(&call.Message{Header: http.Header{}}, &http.Response{Header: http.Header{}}), ShouldBeFalse)
+		So(MatchesAttempt(m, &http.Response{Header: http.Header{AttemptID: {"9c41"}}}), ShouldBeTrue)
 	})
 }
 
@@ -111,61 +111,61 @@
 		n, err := new(h1.Parser).Parse([]byte(text+"\r\n"), &h)
 		So(err, ShouldBeNil)
 		So(n, ShouldEqual, len(text)+2)
-		So(Twice(&h, AttemptID, Key), ShouldEqual, Key)
-		So(Twice(&h, AttemptID, "X-Other"), ShouldEqual, "")
+		So(DuplicateField(&h, AttemptID, Key), ShouldEqual, Key)
+		So(DuplicateField(&h, AttemptID, "X-Other"), ShouldEqual, "")
 		fields := h.EndToEnd()
-		Strip(fields)
+		StripInternal(fields)
 		So(fields, ShouldResemble, http.Header{"X-Other": {"1"}})
 	})
 	Convey("Whatever stands in the terms of an attempt, a load or a time-out, what is read of it is in bounds", t, func() {
 		for _, text := range []string{"", "1", "1,2", "a,2,1", "1,a,1", "-1,2,1", "1,-2,1", "1.5,2,1", "1,99999999999999999999,1", "99999999999999999999,1,1"} {
-			_, ok := ReadAttempt(head(attemptTerms, text))
+			_, ok := ParseAttemptTerms(head(attemptTerms, text))
 			So(ok, ShouldBeFalse)
-			So(ReadLoad(strings.Replace(text, "1.5", "1,x", 1)).InFlight, ShouldBeGreaterThanOrEqualTo, 0)
+			So(ParseLoad(strings.Replace(text, "1.5", "1,x", 1)).InFlight, ShouldBeGreaterThanOrEqualTo, 0)
 		}
-		_, ok := ReadAttempt(head())
+		_, ok := ParseAttemptTerms(head())
 		So(ok, ShouldBeFalse)
 		for text, want := range map[string]time.Duration{"1000": time.Second, "2.5": 2500 * time.Microsecond, "1e9": longest, "600000": longest} {
-			got, ok := Milliseconds(text)
+			got, ok := ParseTimeout(text)
 			So(ok, ShouldBeTrue)
 			So(got, ShouldEqual, want)
 		}
 		for _, text := range []string{"", "0", "-1", "NaN", "x", "1 s", "1,5", "1e999"} {
-			_, ok := Milliseconds(text)
+			_, ok := ParseTimeout(text)
 			So(ok, ShouldBeFalse)
 		}
-		So([]int{Slots("3,0,8"), Slots("3,0"), Slots("3,0,x"), Slots("3,0,-8"), Slots("")}, ShouldResemble, []int{8, 0, 0, 0, 0})
-		So([]policy.Load{ReadLoad("3,x,8"), ReadLoad("3,-1,8"), ReadLoad("3,1")}, ShouldResemble, make([]policy.Load, 3))
+		So([]int{ParseSlots("3,0,8"), ParseSlots("3,0"), ParseSlots("3,0,x"), ParseSlots("3,0,-8"), ParseSlots("")}, ShouldResemble, []int{8, 0, 0, 0, 0})
+		So([]policy.Load{ParseLoad("3,x,8"), ParseLoad("3,-1,8"), ParseLoad("3,1")}, ShouldResemble, make([]policy.Load, 3))
 	})
 	Convey("No aim is negative or beyond the longest, however long its number", t, func() {
 		for _, aim := range []string{"600001", "9223372036854", "9223372036855", "10000000000000", "9223372036854775807"} {
-			v, _ := ReadAttempt(head(attemptTerms, "1,"+aim+",1"))
-			So(v.Aim, ShouldBeBetweenOrEqual, 0, longest)
+			v, _ := ParseAttemptTerms(head(attemptTerms, "1,"+aim+",1"))
+			So(v.LatencyTarget, ShouldBeBetweenOrEqual, 0, longest)
 		}
 	})
 	Convey("No load is negative, however long its numbers", t, func() {
-		So(ReadLoad("9223372036854775807,9223372036854775807,1").InFlight, ShouldBeGreaterThanOrEqualTo, 0)
+		So(ParseLoad("9223372036854775807,9223372036854775807,1").InFlight, ShouldBeGreaterThanOrEqualTo, 0)
 	})
 	Convey("A time-out of less than any time is none, and doesn't count as if nothing had been told", t, func() {
-		got, ok := Milliseconds("1e-9")
+		got, ok := ParseTimeout("1e-9")
 		So(ok && got <= 0, ShouldBeFalse)
 	})
 }
 
 // TestSends: sends of a process are told apart, later ones have higher numbers, and those of two processes are not alike.
 func TestSends(t *testing.T) {
-	s, other := NewSends(), NewSends()
-	last, _ := ReadSend(head(SendField, other.Next()))
-	before := Send{}
+	s, other := NewSendIDSource(), NewSendIDSource()
+	last, _ := ParseSendID(head(SendIDField, other.Next()))
+	before := SendID{}
 	for range 100 {
-		got, ok := ReadSend(head(SendField, s.Next()))
+		got, ok := ParseSendID(head(SendIDField, s.Next()))
 		if !ok || got.Number <= before.Number || before.Number > 0 && got.Sender != before.Sender || got.Sender == last.Sender {
 			t.Fatalf("%+v behind %+v, of another %+v", got, before, last)
 		}
 		before = got
 	}
 	for _, text := range []string{"", ".", "1", "1.", ".1", "x.1", "1.x", "1.-1", "1.2.3", "10000000000000000.1", "1.18446744073709551616"} {
-		if got, ok := ReadSend(head(SendField, text)); ok {
+		if got, ok := ParseSendID(head(SendIDField, text)); ok {
 			t.Errorf("%q was taken for %+v", text, got)
 		}
 	}
@@ -174,13 +174,13 @@
 // TestAttempt: the terms of an attempt are read as they were put, to the millisecond, whatever stood there.
 func TestAttempt(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		v := Attempt{Rank: rapid.IntRange(0, 9).Draw(t, "rank"), Aim: time.Duration(rapid.IntRange(0, 600_000).Draw(t, "aim")) * time.Millisecond, Safe: rapid.Bool().Draw(t, "safe")}
+		v := AttemptTerms{Priority: rapid.IntRange(0, 9).Draw(t, "rank"), LatencyTarget: time.Duration(rapid.IntRange(0, 600_000).Draw(t, "aim")) * time.Millisecond, Idempotent: rapid.Bool().Draw(t, "safe")}
 		fields := http.Header{attemptTerms: {"9,9,1", "9,9,1"}}
-		v.Put(fields)
-		if got, ok := ReadAttempt(head(attemptTerms, fields[attemptTerms][0])); len(fields[attemptTerms]) != 1 || !ok || got != v {
+		v.Set(fields)
+		if got, ok := ParseAttemptTerms(head(attemptTerms, fields[attemptTerms][0])); len(fields[attemptTerms]) != 1 || !ok || got != v {
 			t.Fatalf("%+v was put as %q and read as %+v", v, fields[attemptTerms], got)
 		}
-		if Stripped(fields); len(fields) > 0 {
+		if StripSidecarFields(fields); len(fields) > 0 {
 			t.Fatalf("left: %v", fields)
 		}
 	})
--- a/internal/mesh/headers/load.go
+++ b/internal/mesh/headers/load.go
@@ -7,8 +7,8 @@
 	"caperarch/policy"
 )
 
-// LoadText is a gate's load as it travels.
-func LoadText(running, waiting, slots int) string {
+// FormatLoad is a gate's load as it travels.
+func FormatLoad(running, waiting, slots int) string {
 	b := strconv.AppendInt(nil, int64(running), 10)
 	b = append(b, ',')
 	b = strconv.AppendInt(b, int64(waiting), 10)
@@ -16,8 +16,8 @@
 	return string(strconv.AppendInt(b, int64(slots), 10))
 }
 
-// ReadLoad reads such a load: running and waiting together are in flight.
-func ReadLoad(text string) policy.Load {
+// ParseLoad reads such a load: running and waiting together are in flight.
+func ParseLoad(text string) policy.Load {
 	parts := strings.SplitN(text, ",", 3)
 	if len(parts) != 3 {
 		return policy.Load{}
@@ -32,8 +32,8 @@
 	}
 }
 
-// Slots reads how many requests an upstream works on at once from its load; 0: it does not say.
-func Slots(text string) int {
+// ParseSlots reads how many requests an upstream works on at once from its load; 0: it does not say.
+func ParseSlots(text string) int {
 	_, slots, _ := strings.Cut(text, ",")
 	if _, last, ok := strings.Cut(slots, ","); ok {
 		n, _ := strconv.Atoi(strings.TrimSpace(last))
--- a/internal/mesh/headers/verdict.go
+++ b/internal/mesh/headers/outcome.go
@@ -7,9 +7,9 @@
 	"caperarch/policy"
 )
 
-// Own are the fields of a gate's own answer: whether it says that the request never ran and never
+// GateResponseFields are the fields of a gate's own answer: whether it says that the request never ran and never
 // will, or that nobody can say.
-func Own(id string, neverRan bool, load string) http.Header {
+func GateResponseFields(id string, neverRan bool, load string) http.Header {
 	said := unknown
 	if neverRan {
 		said = turned
@@ -21,16 +21,16 @@
 	return fields
 }
 
-// Mine says whether an answer belongs to a request: upstreams and gates bring its id back.
-func Mine(m *call.Message, res *http.Response) bool {
+// MatchesAttempt says whether an answer belongs to a request: upstreams and gates bring its id back.
+func MatchesAttempt(m *call.Message, res *http.Response) bool {
 	ids := res.Header[AttemptID]
 	return len(ids) == 1 && len(m.Header[AttemptID]) == 1 && ids[0] == m.Header[AttemptID][0]
 }
 
-// JudgeUpstream says what the head of an upstream's answer proves. A success without a stamp, or in
+// ClassifyUpstreamResponse says what the head of an upstream's answer proves. A success without a stamp, or in
 // an encoding that nobody asked for, is none.
-func JudgeUpstream(res *http.Response) (policy.Ending, policy.Load) {
-	load := ReadLoad(res.Header.Get(Load))
+func ClassifyUpstreamResponse(res *http.Response) (policy.Ending, policy.Load) {
+	load := ParseLoad(res.Header.Get(Load))
 	switch {
 	case res.Header[NotExecuted] != nil, res.StatusCode == http.StatusMisdirectedRequest:
 		return policy.TurnedAway, load
@@ -44,9 +44,9 @@
 	return policy.Served, load
 }
 
-// JudgeGate says what the head of an answer from a gate proves, and takes off what is between sidecars.
-func JudgeGate(res *http.Response) (policy.Ending, policy.Load) {
-	load := ReadLoad(res.Header.Get(gateLoad))
+// ClassifyGateResponse says what the head of an answer from a gate proves, and takes off what is between sidecars.
+func ClassifyGateResponse(res *http.Response) (policy.Ending, policy.Load) {
+	load := ParseLoad(res.Header.Get(gateLoad))
 	said := res.Header.Get(verdict)
 	switch said {
 	case turned:
@@ -55,15 +55,15 @@
 	default:
 		return policy.Broken, load
 	}
-	ending, _ := JudgeUpstream(res)
+	ending, _ := ClassifyUpstreamResponse(res)
 	return ending, load
 }
 
-// Bare takes off an answer's fields what is between sidecars.
-func Bare(fields http.Header) { delete(fields, gateLoad) }
+// StripGateLoad takes off an answer's fields what is between sidecars.
+func StripGateLoad(fields http.Header) { delete(fields, gateLoad) }
 
-// Stamp has an upstream's answer tell the gate's load to the caller's sidecar.
-func Stamp(fields http.Header, load string) {
+// SetGateLoad has an upstream's answer tell the gate's load to the caller's sidecar.
+func SetGateLoad(fields http.Header, load string) {
 	delete(fields, verdict) // only a gate may say
 	fields[gateLoad] = []string{load}
 }
--- a/internal/mesh/quota/dealer.go
+++ b/internal/mesh/quota/allocator.go
@@ -31,10 +31,10 @@
 	maxNodeName = 256
 )
 
-// Dealer deals the tokens of all pre-paid tenants, and closes post-paid ones that are near their limit,
+// Allocator deals the tokens of all pre-paid tenants, and closes post-paid ones that are near their limit,
 // for the sidecars that ask. It belongs to the core's sequencer; the epoch is the
 // number of the view in which it has that duty.
-type Dealer struct {
+type Allocator struct {
 	rules   Rules
 	limits  map[string]Limit
 	tenants map[string]*account
@@ -65,19 +65,19 @@
 	at             time.Duration
 }
 
-// NewDealer returns a dealer that knows no tenant yet.
-func NewDealer(rules Rules) (*Dealer, error) {
+// NewAllocator returns a dealer that knows no tenant yet.
+func NewAllocator(rules Rules) (*Allocator, error) {
 	if err := rules.check(); err != nil {
 		return nil, err
 	}
-	d := &Dealer{rules: rules, heard: map[string]time.Duration{}, tenants: map[string]*account{}}
+	d := &Allocator{rules: rules, heard: map[string]time.Duration{}, tenants: map[string]*account{}}
 	d.members.set(0, 1)
 	return d, nil
 }
 
 // Configure sets the limits of all tenants and the number of sidecars. A lower limit holds at once; a tenant that is
 // new starts with an empty bucket. Limits that can't be used change nothing.
-func (d *Dealer) Configure(now time.Duration, limits map[string]Limit, members int) error {
+func (d *Allocator) Configure(now time.Duration, limits map[string]Limit, members int) error {
 	if err := checkLimits(limits, members); err != nil {
 		return err
 	}
@@ -89,7 +89,7 @@
 }
 
 // replan brings the plans in line with limits and members. Buckets are filled first under the plans that held so far.
-func (d *Dealer) replan(now time.Duration) {
+func (d *Allocator) replan(now time.Duration) {
 	d.planned = d.members.at(now)
 	for name, a := range d.tenants {
 		if _, ok := d.limits[name]; !ok {
@@ -111,7 +111,7 @@
 }
 
 // settle counts the flow up to now. A node counts as holding its floor back only if it still does so at the end.
-func (d *Dealer) settle(now time.Duration) {
+func (d *Allocator) settle(now time.Duration) {
 	if now <= d.at {
 		return
 	}
@@ -140,7 +140,7 @@
 }
 
 // flow is what fills the account's bucket.
-func (d *Dealer) flow(a *account) float64 {
+func (d *Allocator) flow(a *account) float64 {
 	if a.postPaid {
 		return d.calmFlown
 	}
@@ -148,8 +148,8 @@
 }
 
 // begin starts a new duty: buckets are empty, and nothing is dealt until the tokens of the last duty have expired.
-func (d *Dealer) begin(now time.Duration, epoch uint64) {
-	d.epoch, d.begun, d.dealsFrom = epoch, true, now+TokenLife
+func (d *Allocator) begin(now time.Duration, epoch uint64) {
+	d.epoch, d.begun, d.dealsFrom = epoch, true, now+TokenTTL
 	d.calmFrom = now + calmHold
 	clear(d.heard)
 	for _, a := range d.tenants {
@@ -158,12 +158,12 @@
 	}
 }
 
-// Deal answers the asks of a node in the duty of the given epoch; the answer goes to the node with that epoch. The first
-// call of a later epoch starts the duty anew. An epoch before the newest is Stale; within TokenLife of the duty's start
+// Allocate answers the asks of a node in the duty of the given epoch; the answer goes to the node with that epoch. The first
+// call of a later epoch starts the duty anew. An epoch before the newest is Stale; within TokenTTL of the duty's start
 // all is Busy, and the node mustn't be told that it was granted anything. Tenants without a limit are passed over. The
 // answer also counts as the node's promise to hold its floor back, so a node also asks when it wants nothing. The closed
 // tenants are all of them, whatever was asked; every other post-paid tenant is open.
-func (d *Dealer) Deal(now time.Duration, epoch uint64, node string, asks []Ask) ([]Grant, []Closed, error) {
+func (d *Allocator) Allocate(now time.Duration, epoch uint64, node string, asks []Demand) ([]Grant, []Throttled, error) {
 	if node == "" || len(node) > maxNodeName {
 		return nil, nil, errs.New(errs.Invalid, "a node's name has 1 to %d bytes, this one %d", maxNodeName, len(node))
 	}
@@ -208,12 +208,12 @@
 			}
 		}
 	}
-	var closed []Closed
+	var closed []Throttled
 	for name, a := range d.tenants {
 		if a.postPaid {
 			a.fill(d.flow(a))
 			if share := a.share(now); share < 1 || a.free < warmLevel*a.depth {
-				closed = append(closed, Closed{name, share})
+				closed = append(closed, Throttled{name, share})
 			}
 		}
 	}
--- a/internal/mesh/quota/purse.go
+++ b/internal/mesh/quota/limiter.go
@@ -48,9 +48,9 @@
 	leastRetry, mostRetry = 100 * time.Millisecond, 2 * time.Second
 )
 
-// Purse is what one sidecar may spend for each tenant: tokens that the dealer gave and a floor of its own, or, of post-paid
+// LocalLimiter is what one sidecar may spend for each tenant: tokens that the dealer gave and a floor of its own, or, of post-paid
 // tenants, what it lets in and reports. Which requests of a closed tenant run is left to chance.
-type Purse struct {
+type LocalLimiter struct {
 	rules   Rules
 	limits  map[string]Limit
 	tenants map[string]*pocket
@@ -92,7 +92,7 @@
 	cut        bool          // contact ended since the last answer
 	phase      float64       // of a token, that is left when contact ends for a closed tenant
 	came, used float64       // since the last answered ask
-	sent       Ask           // in the last ask
+	sent       Demand        // in the last ask
 }
 
 type lot struct {
@@ -116,20 +116,20 @@
 
 func (a *average) count(now, over time.Duration) { a.rate = a.value(now, over) + 1/over.Seconds() }
 
-// NewPurse returns a purse that knows no tenant yet.
-func NewPurse(rules Rules) (*Purse, error) {
+// NewLocalLimiter returns a purse that knows no tenant yet.
+func NewLocalLimiter(rules Rules) (*LocalLimiter, error) {
 	if err := rules.check(); err != nil {
 		return nil, err
 	}
-	p := &Purse{rules: rules, tenants: map[string]*pocket{}, chance: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))}
+	p := &LocalLimiter{rules: rules, tenants: map[string]*pocket{}, chance: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))}
 	p.members.set(0, 1)
 	return p, nil
 }
 
 // Configure sets the limits of all tenants and the number of sidecars. A lower limit holds at once for the floor, and
-// within TokenLife for what was dealt before. A tenant that is new starts with a full floor. Limits that can't be used
+// within TokenTTL for what was dealt before. A tenant that is new starts with a full floor. Limits that can't be used
 // change nothing.
-func (p *Purse) Configure(now time.Duration, limits map[string]Limit, members int) error {
+func (p *LocalLimiter) Configure(now time.Duration, limits map[string]Limit, members int) error {
 	if err := checkLimits(limits, members); err != nil {
 		return err
 	}
@@ -141,7 +141,7 @@
 }
 
 // replan brings the plans in line with limits and members. Floors are filled first under the plans that held so far.
-func (p *Purse) replan(now time.Duration) {
+func (p *LocalLimiter) replan(now time.Duration) {
 	p.planned = p.members.at(now)
 	for name, t := range p.tenants {
 		if _, ok := p.limits[name]; !ok {
@@ -167,7 +167,7 @@
 }
 
 // settle counts the time in which floors fill, up to now.
-func (p *Purse) settle(now time.Duration) {
+func (p *LocalLimiter) settle(now time.Duration) {
 	if from := max(p.at, p.heldUntil); now > from {
 		p.free += (now - from).Seconds()
 	}
@@ -221,9 +221,9 @@
 	return max(expected+headroom*math.Sqrt(expected), t.floorDepth)
 }
 
-// Take says whether a request of the tenant may run now, and spends a token on it if so. It belongs right before the
+// Allow says whether a request of the tenant may run now, and spends a token on it if so. It belongs right before the
 // send, as the quota counts runs. A tenant that the limits don't name, or whose rate is 0, has no limit.
-func (p *Purse) Take(now time.Duration, tenant string) bool {
+func (p *LocalLimiter) Allow(now time.Duration, tenant string) bool {
 	p.settle(now)
 	t := p.tenants[tenant]
 	if t == nil {
@@ -254,7 +254,7 @@
 
 // let is Take for a post-paid tenant. In contact, the dealer's share of the requests runs, up to the local bucket; out of
 // contact the floor alone decides, and what it lets in isn't reported, as the dealer leaves this member its part.
-func (p *Purse) let(now time.Duration, t *pocket) bool {
+func (p *LocalLimiter) let(now time.Duration, t *pocket) bool {
 	t.fill(now, p.contact(), p.calmUntil)
 	contact := now <= p.calmUntil
 	taken := t.local >= whole && (!contact || t.share >= 1 || p.chance.Float64() < t.share)
@@ -278,7 +278,7 @@
 }
 
 // contact is until when the local buckets of open tenants fill.
-func (p *Purse) contact() time.Duration {
+func (p *LocalLimiter) contact() time.Duration {
 	if p.awaiting {
 		return min(p.calmUntil, p.missing+answerMissed)
 	}
@@ -305,19 +305,19 @@
 	}
 }
 
-// Asks returns what to ask the dealer for now; it is empty when nothing is wanted. The call is made all the same, as
+// Demands returns what to ask the dealer for now; it is empty when nothing is wanted. The call is made all the same, as
 // its answer renews the lease. One call is under way at a time; the tokens that it brings live from here.
-func (p *Purse) Asks(now time.Duration) []Ask {
+func (p *LocalLimiter) Demands(now time.Duration) []Demand {
 	p.settle(now)
 	if !p.awaiting {
 		p.missing = now
 	}
 	p.asked, p.everAsked, p.awaiting = now, true, true
 	p.urgent, p.pressed, p.hot = false, false, false
-	var asks []Ask
+	var asks []Demand
 	for name, t := range p.tenants {
 		if t.postPaid {
-			t.sent, t.wanted = Ask{name, t.came, t.used}, 0
+			t.sent, t.wanted = Demand{name, t.came, t.used}, 0
 			if t.came > 0 {
 				asks = append(asks, t.sent)
 			}
@@ -326,7 +326,7 @@
 		t.settle(now, p.free)
 		t.wanted = t.target(now) - t.held()
 		if t.wanted >= leastWant {
-			asks = append(asks, Ask{Tenant: name, Want: t.wanted})
+			asks = append(asks, Demand{Tenant: name, Want: t.wanted})
 		} else {
 			t.wanted = 0
 		}
@@ -334,9 +334,9 @@
 	return asks
 }
 
-// NextAsk returns when the dealer is to be asked again: soon if something runs short, in time for the lease otherwise.
+// NextRequest returns when the dealer is to be asked again: soon if something runs short, in time for the lease otherwise.
 // It is to be looked at again after a Take.
-func (p *Purse) NextAsk(now time.Duration) time.Duration {
+func (p *LocalLimiter) NextRequest(now time.Duration) time.Duration {
 	switch {
 	case !p.everAsked:
 		return now
@@ -350,9 +350,9 @@
 	return p.asked + askCalm
 }
 
-// Granted takes the answer to the last Asks in; a post-paid tenant that isn't among the closed ones is open. The floors are held back until purseHold after that ask. An answer of an
+// ApplyGrants takes the answer to the last Asks in; a post-paid tenant that isn't among the closed ones is open. The floors are held back until purseHold after that ask. An answer of an
 // older epoch than one seen before is Stale and changes nothing, as is one that wasn't asked for.
-func (p *Purse) Granted(now time.Duration, epoch uint64, grants []Grant, closed []Closed) error {
+func (p *LocalLimiter) ApplyGrants(now time.Duration, epoch uint64, grants []Grant, closed []Throttled) error {
 	if !p.awaiting {
 		return errs.New(errs.Stale, "grants of epoch %d that nobody awaits", epoch)
 	}
@@ -395,7 +395,7 @@
 		if t := p.tenants[g.Tenant]; t != nil {
 			t.scarce = g.Tokens < t.wanted*whole
 			t.settle(now, p.free)
-			t.lots = append(t.lots, lot{g.Tokens, p.asked + TokenLife})
+			t.lots = append(t.lots, lot{g.Tokens, p.asked + TokenTTL})
 		}
 	}
 	return nil
@@ -406,12 +406,12 @@
 	t.fill(now, contact, counted)
 	t.local = max(t.openDepth, min(answerGrowth*t.sent.Want, growthBound*t.rate))
 	t.came, t.used = t.came-t.sent.Want, t.used-t.sent.Used
-	t.sent, t.cut = Ask{}, false
+	t.sent, t.cut = Demand{}, false
 }
 
 // RetryAfter returns when a refused client of the tenant should try again: the longer, the further the demand here is
 // above what was served here lately.
-func (p *Purse) RetryAfter(now time.Duration, tenant string) time.Duration {
+func (p *LocalLimiter) RetryAfter(now time.Duration, tenant string) time.Duration {
 	t := p.tenants[tenant]
 	if t == nil {
 		return leastRetry
--- a/internal/mesh/quota/quota.go
+++ b/internal/mesh/quota/quota.go
@@ -1,5 +1,5 @@
 // Package quota holds the quotas of tenants and the budgets of further tries, over all sidecars together. Its three
-// state machines, Dealer, Purse and Budget, have no clock, no I/O and no lock: the caller passes the monotonic time and
+// state machines, Allocator, LocalLimiter and RetryBudget, have no clock, no I/O and no lock: the caller passes the monotonic time and
 // calls each of them from one goroutine at a time or under its own lock.
 //
 // A tenant is pre-paid where up to mostPrePaid members share it and a token for each fits under the rule, else post-paid.
@@ -9,20 +9,20 @@
 // Let R be a tenant's rate, B its burst, W the window, m the members. The rule allows (R*W + B)*(1+overage) + slack in
 // any window. A request runs on a token, and tokens come from two sources:
 //
-//   - the Dealer's bucket, of depth b. Its tokens live TokenLife from the ask at the purse, so what is spent within a
-//     window was dealt within W+TokenLife;
-//   - the floor of each Purse, of depth F/m, which needs no contact. It fills at floorShare*T*R/m, but only while the
+//   - the Allocator's bucket, of depth b. Its tokens live TokenTTL from the ask at the purse, so what is spent within a
+//     window was dealt within W+TokenTTL;
+//   - the floor of each LocalLimiter, of depth F/m, which needs no contact. It fills at floorShare*T*R/m, but only while the
 //     purse has had no answer of a dealer for purseHold; before that the answer stands as a lease under which the purse
 //     leaves its share to the dealer. Dealt tokens that expire fall into the floor up to its depth.
 //
-// The Dealer's bucket fills at T*R less floorShare*T*R/m for every member that it hasn't heard within dealerHold, which
+// The Allocator's bucket fills at T*R less floorShare*T*R/m for every member that it hasn't heard within dealerHold, which
 // is shorter than purseHold. So the two sources together flow at T*R at most, wherever the demand is and whoever is out
 // of contact, and a window sees at most
 //
-//	T*R*(W+TokenLife) + b + F.
+//	T*R*(W+TokenTTL) + b + F.
 //
 // T is 1 where the burst leaves room for b and F, and down to about 0.9 where it doesn't; b+F is what is left under the rule
-// after a reserve. With W 5 s, overage 0.1, slack 20, R = B = 172 and m = 12: the rule allows 1155, T*R*(W+TokenLife) is
+// after a reserve. With W 5 s, overage 0.1, slack 20, R = B = 172 and m = 12: the rule allows 1155, T*R*(W+TokenTTL) is
 // 912, the reserve 36, F 84 (7 at each purse), b 123. With R = B = 8: 73, 38, 4, F 24 (2 at each), b 7.
 //
 // A new dealer starts empty and waits, so that nothing of the old one's is dealt twice. Two dealers at once, each heard by a
@@ -33,8 +33,8 @@
 // # How a post-paid tenant's quota is kept
 //
 // With many members a dealt token lies at one that has no request for it. So members let in and report what came and
-// ran, and the Dealer takes that from the bucket, below zero if need be. It fills at postPaidRate*R, less the part of
-// members unheard for calmHold, which fill floors with it. The Dealer names as closed the tenants of which only a share
+// ran, and the Allocator takes that from the bucket, below zero if need be. It fills at postPaidRate*R, less the part of
+// members unheard for calmHold, which fill floors with it. The Allocator names as closed the tenants of which only a share
 // may run: (postPaidRate*R + level/recovery, or deficit/repayment) of the demand reported lately; each member then lets requests in by chance
 // at that share. A window so sees at most
 //
@@ -65,16 +65,16 @@
 	"caperarch/internal/mesh/errs"
 )
 
-// TokenLife is how long a dealt token can be spent, from the ask that brought it. It bounds what a dealer that is gone
+// TokenTTL is how long a dealt token can be spent, from the ask that brought it. It bounds what a dealer that is gone
 // has left behind.
-const TokenLife = 300 * time.Millisecond
+const TokenTTL = 300 * time.Millisecond
 
 const (
 	// dealerHold is how long the dealer counts a member as holding its floor back. It is shorter than purseHold by the
 	// longest way of an ask that is still allowed for, so that no share is given out twice.
 	dealerHold = 450 * time.Millisecond
 	// purseHold is how long a purse holds its floor back after an ask that was answered. It guards against a share that
-	// the dealer gives to others while its owner spends it; it isn't shorter than TokenLife.
+	// the dealer gives to others while its owner spends it; it isn't shorter than TokenTTL.
 	purseHold = 600 * time.Millisecond
 	// floorShare is the part of the rate that all floors together may flow at. It is well above the usual demand of
 	// 1/1.6 of the rate, so an even load runs with no dealer at all; what it leaves guards against miscounted members.
@@ -143,15 +143,15 @@
 	Rate, Burst float64
 }
 
-// Ask is what a sidecar wants for a tenant and, of a post-paid one, what came and ran since the last answer.
-type Ask struct {
+// Demand is what a sidecar wants for a tenant and, of a post-paid one, what came and ran since the last answer.
+type Demand struct {
 	Tenant string  `json:"tenant"`
 	Want   float64 `json:"want"`           // tokens; of a post-paid tenant the requests that came
 	Used   float64 `json:"used,omitempty"` // what ran without a dealt token
 }
 
-// Closed says that a post-paid tenant is near its limit: only this share of its requests may run.
-type Closed struct {
+// Throttled says that a post-paid tenant is near its limit: only this share of its requests may run.
+type Throttled struct {
 	Tenant string  `json:"tenant"`
 	Share  float64 `json:"share"`
 }
@@ -220,7 +220,7 @@
 
 func (r Rules) plan(l Limit, members int) plan {
 	window, m := r.Window.Seconds(), float64(members)
-	flowing := l.Rate * (window + TokenLife.Seconds())
+	flowing := l.Rate * (window + TokenTTL.Seconds())
 	allowed := (l.Rate*window + l.Burst) * (1 + r.Overage)
 	room := allowed + r.Slack - flowing - reserveRate*l.Rate - reserveSlack*r.Slack
 	share := 1.0
--- a/internal/mesh/quota/quota_test.go
+++ b/internal/mesh/quota/quota_test.go
@@ -33,8 +33,8 @@
 // site is a fleet played millisecond by millisecond; the hooks say what happens to it.
 type site struct {
 	rng      *rand.Rand
-	dealers  map[uint64]*Dealer // by epoch
-	purses   []*Purse
+	dealers  map[uint64]*Allocator // by epoch
+	purses   []*LocalLimiter
 	flying   []time.Duration // until when a call of each sidecar is under way
 	mail     map[time.Duration][]func(now time.Duration)
 	joined   func(now time.Duration, sidecar int) uint64 // the epoch whose dealer it reaches, 0 for none
@@ -50,7 +50,7 @@
 
 func newSite(seed uint64, sidecars int) *site {
 	s := &site{
-		rng: rand.New(rand.NewPCG(seed, 1)), dealers: map[uint64]*Dealer{}, limits: tenants,
+		rng: rand.New(rand.NewPCG(seed, 1)), dealers: map[uint64]*Allocator{}, limits: tenants,
 		mail: map[time.Duration][]func(time.Duration){}, ran: map[string][]time.Duration{}, asked: map[string]int{}, turned: map[string]int{},
 		joined: func(time.Duration, int) uint64 { return 1 },
 		hot:    func(time.Duration, string) float64 { return 1 },
@@ -93,7 +93,7 @@
 }
 
 func (s *site) restart(now time.Duration, sidecar int) {
-	p, err := NewPurse(rules)
+	p, err := NewLocalLimiter(rules)
 	So(err, ShouldBeNil)
 	p.chance = s.rng
 	So(p.Configure(now, s.limits, len(s.purses)), ShouldBeNil)
@@ -106,7 +106,7 @@
 
 func (s *site) call(now time.Duration, i int) {
 	p, node, epoch := s.purses[i], fmt.Sprint("sidecar-", i), s.joined(now, i)
-	asks := p.Asks(now)
+	asks := p.Demands(now)
 	s.flying[i] = now + 400*ms
 	if epoch == 0 {
 		return
@@ -118,11 +118,11 @@
 		}
 		d := s.dealers[epoch]
 		if d == nil {
-			d, _ = NewDealer(rules)
+			d, _ = NewAllocator(rules)
 			So(d.Configure(now, s.limits, len(s.purses)), ShouldBeNil)
 			s.dealers[epoch] = d
 		}
-		grants, closed, err := d.Deal(now, epoch, node, asks)
+		grants, closed, err := d.Allocate(now, epoch, node, asks)
 		back := now + s.latency()
 		s.mail[back] = append(s.mail[back], func(now time.Duration) {
 			if i >= len(s.purses) || s.purses[i] != p || s.flying[i] <= now || s.joined(now, i) != epoch {
@@ -130,7 +130,7 @@
 			}
 			s.flying[i] = 0
 			if err == nil {
-				_ = p.Granted(now, epoch, grants, closed)
+				_ = p.ApplyGrants(now, epoch, grants, closed)
 			}
 		})
 	})
@@ -157,7 +157,7 @@
 				if name == "lone" {
 					i = 0
 				}
-				taken := s.purses[i].Take(now, name)
+				taken := s.purses[i].Allow(now, name)
 				if taken {
 					s.ran[name] = append(s.ran[name], now)
 				}
@@ -170,7 +170,7 @@
 			}
 		}
 		for i, p := range s.purses {
-			if s.flying[i] <= now && p.NextAsk(now) <= now {
+			if s.flying[i] <= now && p.NextRequest(now) <= now {
 				s.call(now, i)
 			}
 		}
@@ -368,15 +368,15 @@
 
 func TestDealer(t *testing.T) {
 	Convey("Scarce tokens are shared max-min fairly, and nothing is dealt at first, twice or for an old epoch", t, func() {
-		d, err := NewDealer(rules)
+		d, err := NewAllocator(rules)
 		So(err, ShouldBeNil)
 		So(d.Configure(0, map[string]Limit{"a": {100, 0}}, 3), ShouldBeNil)
-		_, _, err = d.Deal(0, 4, "x", []Ask{{"a", 1, 0}})
+		_, _, err = d.Allocate(0, 4, "x", []Demand{{"a", 1, 0}})
 		So(errs.KindOf(err), ShouldEqual, errs.Busy)
 		got := map[string]float64{}
-		for now := TokenLife; now < 20*second; now += 100 * ms {
+		for now := TokenTTL; now < 20*second; now += 100 * ms {
 			for node, want := range map[string]float64{"x": 1, "y": 50, "z": 500} {
-				grants, _, err := d.Deal(now, 4, node, []Ask{{"a", want, 0}, {"none", 1, 0}})
+				grants, _, err := d.Allocate(now, 4, node, []Demand{{"a", want, 0}, {"none", 1, 0}})
 				So(err, ShouldBeNil)
 				for _, g := range grants {
 					got[node] += g.Tokens
@@ -386,20 +386,20 @@
 		So(got["x"], ShouldBeGreaterThan, 190)
 		So(got["y"], ShouldAlmostEqual, got["z"], got["z"]/20)
 		So(got["x"]+got["y"]+got["z"], ShouldBeBetween, 1750, 1950)
-		_, _, err = d.Deal(20*second, 3, "x", nil)
+		_, _, err = d.Allocate(20*second, 3, "x", nil)
 		So(errs.KindOf(err), ShouldEqual, errs.Stale)
-		_, _, err = d.Deal(20*second, 4, "x", []Ask{{"a", math.NaN(), 0}})
+		_, _, err = d.Allocate(20*second, 4, "x", []Demand{{"a", math.NaN(), 0}})
 		So(errs.KindOf(err), ShouldEqual, errs.Invalid)
 		So(errs.KindOf(d.Configure(0, map[string]Limit{"a": {-1, 0}}, 3)), ShouldEqual, errs.Invalid)
 
-		p, _ := NewPurse(rules)
+		p, _ := NewLocalLimiter(rules)
 		So(p.Configure(0, map[string]Limit{"a": {100, 0}}, 3), ShouldBeNil)
-		So(errs.KindOf(p.Granted(0, 5, nil, nil)), ShouldEqual, errs.Stale)
-		p.Asks(0)
-		So(p.Granted(0, 5, []Grant{{"a", 3}}, nil), ShouldBeNil)
-		p.Asks(0)
-		So(errs.KindOf(p.Granted(0, 4, []Grant{{"a", 3}}, nil)), ShouldEqual, errs.Stale)
-		So(p.Take(0, "free"), ShouldBeTrue)
+		So(errs.KindOf(p.ApplyGrants(0, 5, nil, nil)), ShouldEqual, errs.Stale)
+		p.Demands(0)
+		So(p.ApplyGrants(0, 5, []Grant{{"a", 3}}, nil), ShouldBeNil)
+		p.Demands(0)
+		So(errs.KindOf(p.ApplyGrants(0, 4, []Grant{{"a", 3}}, nil)), ShouldEqual, errs.Stale)
+		So(p.Allow(0, "free"), ShouldBeTrue)
 	})
 }
 
@@ -407,23 +407,23 @@
 	Convey("Arrivals after the first stay in every sliding window's budget, and repeats are worked off", t, func() {
 		rng := rand.New(rand.NewPCG(7, 7))
 		var requests, further []time.Duration
-		budgets := make([]*Budget, 12)
+		budgets := make([]*RetryBudget, 12)
 		for i := range budgets {
-			budgets[i], _ = NewBudget(BudgetRules{Window: 10 * second, Ratio: 0.2, Slack: 60})
+			budgets[i], _ = NewRetryBudget(RetryBudgetRules{Window: 10 * second, Ratio: 0.2, Slack: 60})
 			So(budgets[i].Configure(0, 12), ShouldBeNil)
 		}
 		for now := time.Duration(0); now < 60*second; now += 2 * ms {
 			b := budgets[rng.IntN(12)]
 			if now < 20*second || now > 40*second {
-				b.Request(now, "s")
+				b.RecordRequest(now, "s")
 				requests = append(requests, now)
 			}
 			if rng.IntN(100) == 0 {
 				b.Repeat(now, "s")
 				further = append(further, now)
 			}
-			if b.May(now, "s") {
-				b.Spent(now, "s")
+			if b.Allowed(now, "s") {
+				b.Charge(now, "s")
 				further = append(further, now)
 			}
 		}
@@ -440,8 +440,8 @@
 			So(count(further, from), ShouldBeLessThanOrEqualTo, 0.2*most+60)
 		}
 		So(count(further, 5*second), ShouldBeGreaterThan, 0.1*5000)
-		_, err := NewBudget(BudgetRules{})
+		_, err := NewRetryBudget(RetryBudgetRules{})
 		So(errs.KindOf(err), ShouldEqual, errs.Invalid)
-		So(budgets[0].May(-second, "t"), ShouldBeTrue)
+		So(budgets[0].Allowed(-second, "t"), ShouldBeTrue)
 	})
 }
--- a/internal/mesh/quota/budget.go
+++ b/internal/mesh/quota/retry_budget.go
@@ -19,17 +19,17 @@
 	maxServices = 4096
 )
 
-// BudgetRules are the settings of the budget of further tries.
-type BudgetRules struct {
+// RetryBudgetRules are the settings of the budget of further tries.
+type RetryBudgetRules struct {
 	Window       time.Duration
 	Ratio, Slack float64
 }
 
-// Budget is one sidecar's part of the budget of further tries, for each service. Arrivals after the first of each
+// RetryBudget is one sidecar's part of the budget of further tries, for each service. Arrivals after the first of each
 // request, in any window, are at most ratioPart*Ratio times its own requests in the window that ends with the last of
 // these arrivals, + slackPart*Slack/members, apart from repeats that nobody could ask about (Repeat).
-type Budget struct {
-	rules    BudgetRules
+type RetryBudget struct {
+	rules    RetryBudgetRules
 	members  tally
 	services map[string]*counts
 }
@@ -40,18 +40,18 @@
 	requests, spent [budgetSlots + 1]int64 // by slot modulo their number
 }
 
-// NewBudget returns a budget that has counted nothing, of one member.
-func NewBudget(rules BudgetRules) (*Budget, error) {
+// NewRetryBudget returns a budget that has counted nothing, of one member.
+func NewRetryBudget(rules RetryBudgetRules) (*RetryBudget, error) {
 	if rules.Window < budgetSlots || !amount(rules.Ratio) || !amount(rules.Slack) {
 		return nil, errs.New(errs.Invalid, "budget rules: window %v, ratio %v, slack %v", rules.Window, rules.Ratio, rules.Slack)
 	}
-	b := &Budget{rules: rules, services: map[string]*counts{}}
+	b := &RetryBudget{rules: rules, services: map[string]*counts{}}
 	b.members.set(0, 1)
 	return b, nil
 }
 
 // Configure sets the number of sidecars; the larger one of those seen lately holds.
-func (b *Budget) Configure(now time.Duration, members int) error {
+func (b *RetryBudget) Configure(now time.Duration, members int) error {
 	if members < 1 {
 		return errs.New(errs.Invalid, "%d members: at least one is there", members)
 	}
@@ -60,7 +60,7 @@
 }
 
 // of returns the counts of a service with old slots cleared, or nil if there are too many services.
-func (b *Budget) of(now time.Duration, service string) *counts {
+func (b *RetryBudget) of(now time.Duration, service string) *counts {
 	slot := int64(max(0, now) / (b.rules.Window / budgetSlots))
 	c := b.services[service]
 	if c == nil {
@@ -85,16 +85,16 @@
 	return c
 }
 
-// Request counts a request for the service that a client sent here.
-func (b *Budget) Request(now time.Duration, service string) {
+// RecordRequest counts a request for the service that a client sent here.
+func (b *RetryBudget) RecordRequest(now time.Duration, service string) {
 	if c := b.of(now, service); c != nil {
 		c.requests[c.slot%(budgetSlots+1)]++
 	}
 }
 
-// May says whether one more arrival after a request's first fits in. Requests are counted over the window at most, and
+// Allowed says whether one more arrival after a request's first fits in. Requests are counted over the window at most, and
 // arrivals over the window at least. A service beyond maxServices has no further tries.
-func (b *Budget) May(now time.Duration, service string) bool {
+func (b *RetryBudget) Allowed(now time.Duration, service string) bool {
 	c := b.of(now, service)
 	if c == nil {
 		return false
@@ -109,8 +109,8 @@
 	return float64(spent+1) <= allowed
 }
 
-// Spent counts an arrival after a request's first that May allowed.
-func (b *Budget) Spent(now time.Duration, service string) {
+// Charge counts an arrival after a request's first that May allowed.
+func (b *RetryBudget) Charge(now time.Duration, service string) {
 	if c := b.of(now, service); c != nil {
 		c.spent[c.slot%(budgetSlots+1)]++
 	}
@@ -118,4 +118,4 @@
 
 // Repeat counts an arrival that is a repeat without having been asked for, such as a call made by a run that was itself
 // a repeat. What is over the allowance is worked off before May allows another.
-func (b *Budget) Repeat(now time.Duration, service string) { b.Spent(now, service) }
+func (b *RetryBudget) Repeat(now time.Duration, service string) { b.Charge(now, service) }
--- a/internal/mesh/settings/golden_test.go
+++ b/internal/mesh/settings/golden_test.go
@@ -57,7 +57,7 @@
 
 	for class, want := range map[string]*Settings{"core": core, "sidecar": sidecar} {
 		t.Setenv("CAPERARCH_BOOT", filepath.Join("testdata", class+"_every_key.yaml"))
-		got, err := Boot()
+		got, err := Load()
 		if err != nil {
 			t.Fatalf("%s: %v", class, err)
 		}
--- a/internal/mesh/settings/changes.go
+++ b/internal/mesh/settings/reload.go
@@ -10,8 +10,8 @@
 // lookEvery is the time between two looks at the file: it may change with no signal.
 const lookEvery = time.Second
 
-// Changes passes signals on, and one more SIGHUP for each change of the settings file that came without one. It ends with ctx.
-func Changes(ctx context.Context, signals <-chan os.Signal) <-chan os.Signal {
+// ReloadSignals passes signals on, and one more SIGHUP for each change of the settings file that came without one. It ends with ctx.
+func ReloadSignals(ctx context.Context, signals <-chan os.Signal) <-chan os.Signal {
 	out := make(chan os.Signal)
 	go func() {
 		defer close(out)
--- a/internal/mesh/settings/changes_test.go
+++ b/internal/mesh/settings/reload_test.go
@@ -22,7 +22,7 @@
 		Convey("A file that changes with no signal is told once, as one that changes with one; other signals go through", t, func() {
 			ctx, cancel := context.WithCancel(context.Background())
 			signals := make(chan os.Signal, 1)
-			out := Changes(ctx, signals)
+			out := ReloadSignals(ctx, signals)
 			synctest.Wait()
 			So(os.Chtimes(path, time.Time{}, time.Unix(1, 0)), ShouldBeNil)
 			So(<-out, ShouldEqual, syscall.SIGHUP)
--- a/internal/mesh/settings/settings.go
+++ b/internal/mesh/settings/settings.go
@@ -128,17 +128,17 @@
 	Recovery         time.Duration
 }
 
-// Boot reads the file that CAPERARCH_BOOT names.
-func Boot() (*Settings, error) {
+// Load reads the file that CAPERARCH_BOOT names.
+func Load() (*Settings, error) {
 	path := os.Getenv(BootVariable)
 	if path == "" {
 		return nil, errs.New(errs.Invalid, "%s is not set", BootVariable)
 	}
-	return Read(path)
+	return ReadFile(path)
 }
 
-// Read reads the file at path.
-func Read(path string) (*Settings, error) {
+// ReadFile reads the file at path.
+func ReadFile(path string) (*Settings, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
 		return nil, errs.Wrap(err, errs.Malformed, "settings")
@@ -155,8 +155,8 @@
 	return net.JoinHostPort(host, strconv.Itoa(s.Network.InternalPortRange.First))
 }
 
-// Seeds gives the internal addresses of the core machines that the settings name.
-func (s *Settings) Seeds() []string {
+// SeedAddresses gives the internal addresses of the core machines that the settings name.
+func (s *Settings) SeedAddresses() []string {
 	var all []string
 	for _, address := range s.Network.SeedNodes {
 		all = append(all, s.InternalAddress(address))
@@ -164,5 +164,5 @@
 	return all
 }
 
-// Internal gives the process's own address for the mesh's own protocol.
-func (s *Settings) Internal() string { return s.InternalAddress(s.Self.IPAddress) }
+// OwnInternalAddress gives the process's own address for the mesh's own protocol.
+func (s *Settings) OwnInternalAddress() string { return s.InternalAddress(s.Self.IPAddress) }
--- a/internal/mesh/settings/settings_test.go
+++ b/internal/mesh/settings/settings_test.go
@@ -14,7 +14,7 @@
 
 func TestSettings(t *testing.T) {
 	Convey("The printed examples are read to the last field", t, func() {
-		s, err := Read(filepath.Join("testdata", "sidecar.yaml"))
+		s, err := ReadFile(filepath.Join("testdata", "sidecar.yaml"))
 		So(err, ShouldBeNil)
 		So(*s, ShouldResemble, Settings{
 			Self: Self{
@@ -47,11 +47,11 @@
 		})
 		So(s.Guarantees.Contracts.Has("drain"), ShouldBeTrue)
 		So(s.Guarantees.Contracts.Has("drai"), ShouldBeFalse)
-		So(s.Internal(), ShouldEqual, "10.1.0.40:7640")
+		So(s.OwnInternalAddress(), ShouldEqual, "10.1.0.40:7640")
 		So(s.InternalAddress(s.Network.SeedNodes[1]), ShouldEqual, "10.2.0.35:7640")
 
 		t.Setenv(BootVariable, filepath.Join("testdata", "core.yaml"))
-		s, err = Boot()
+		s, err = Load()
 		So(err, ShouldBeNil)
 		So(s.Self.DataDirectory, ShouldEqual, "/data/my-core")
 		So(s.Self.CountedInQuorum, ShouldBeTrue)
@@ -107,7 +107,7 @@
 			}
 			So(text, ShouldContainSubstring, "\n  bounds:")
 		}
-		_, err = Read(filepath.Join("testdata", "none.yaml"))
+		_, err = ReadFile(filepath.Join("testdata", "none.yaml"))
 		So(errs.KindOf(err), ShouldEqual, errs.Malformed)
 	})
 }
--- a/internal/mesh/sidecar/inbound.go
+++ b/internal/mesh/sidecar/inbound.go
@@ -27,7 +27,7 @@
 
 func (i *inbound) loadField() string {
 	running, waiting, slots := i.gate.Load()
-	return headers.LoadText(running, waiting, slots)
+	return headers.FormatLoad(running, waiting, slots)
 }
 
 // read takes a request of a sidecar. One for another instance than the one here is turned back: it
@@ -47,25 +47,27 @@
 // attemptOf reads what a request says of itself; false: it comes from no sidecar, or says something
 // twice that two readers could heed differently.
 func parseAttempt(h *h1.Head) (terms *gate.AttemptTerms, left time.Duration, ok bool) {
-	said, sound := headers.ReadAttempt(h)
-	send, sent := headers.ReadSend(h)
-	left, timed := headers.Milliseconds(h.Get(headers.Timeout))
+	said, sound := headers.ParseAttemptTerms(h)
+	send, sent := headers.ParseSendID(h)
+	left, timed := headers.ParseTimeout(h.Get(headers.Timeout))
 	id := h.Get(headers.AttemptID)
-	if !sound || !sent || !timed || id == "" || headers.TwiceSteered(h) {
+	if !sound || !sent || !timed || id == "" || headers.HasDuplicateControlField(h) {
 		return nil, 0, false
 	}
-	terms = &gate.AttemptTerms{Priority: said.Rank, Idempotent: said.Safe, LatencyTarget: said.Aim}
-	if !said.Safe {
+	terms = &gate.AttemptTerms{Priority: said.Priority, Idempotent: said.Idempotent, LatencyTarget: said.LatencyTarget}
+	if !said.Idempotent {
 		terms.Key, terms.SendID = gate.KeyOf(id), gate.SendID(send)
 	}
 	return terms, left, true
 }
 
-func (i *inbound) stripHeaders(_ *policy.Request, fields http.Header) { headers.Stripped(fields) }
+func (i *inbound) stripHeaders(_ *policy.Request, fields http.Header) {
+	headers.StripSidecarFields(fields)
+}
 
 // own are the fields of an answer of this gate's own.
 func (i *inbound) ownResponseFields(h *h1.Head, a *call.Answer) http.Header {
-	return headers.Own(h.Get(headers.AttemptID), i.provablyNotExecuted(h, a), i.loadField())
+	return headers.GateResponseFields(h.Get(headers.AttemptID), i.provablyNotExecuted(h, a), i.loadField())
 }
 
 // neverRan says whether an answer of our own may say that its request never ran and never will.
@@ -85,6 +87,6 @@
 // judge says what an upstream's answer proves, and has it tell the gate's load to the caller's sidecar.
 func (i *inbound) classifyUpstreamResponse(res *http.Response) (policy.Ending, policy.Load) {
 	running, waiting, slots := i.gate.Load()
-	headers.Stamp(res.Header, headers.LoadText(max(0, running-1), waiting, slots)) // this one is over
-	return headers.JudgeUpstream(res)
+	headers.SetGateLoad(res.Header, headers.FormatLoad(max(0, running-1), waiting, slots)) // this one is over
+	return headers.ClassifyUpstreamResponse(res)
 }
--- a/internal/mesh/sidecar/outbound.go
+++ b/internal/mesh/sidecar/outbound.go
@@ -59,7 +59,7 @@
 	if h.Old {
 		return no(http.StatusHTTPVersionNotSupported, "HTTP/1.1 is needed", false)
 	}
-	if name := headers.Twice(h, headers.AttemptID, headers.Timeout, headers.Key); name != "" {
+	if name := headers.DuplicateField(h, headers.AttemptID, headers.Timeout, headers.Key); name != "" {
 		return no(http.StatusBadRequest, name+" is given twice", false)
 	}
 	if h.Get(headers.AttemptID) == "" {
@@ -79,8 +79,8 @@
 	}
 	left = route.Timeout
 	if text := h.Get(headers.Timeout); text != "" {
-		told, ok := headers.Milliseconds(text)
-		if headers.NoneLeft(text) { // a call that an upstream makes at its request's deadline: nothing is wrong with it
+		told, ok := headers.ParseTimeout(text)
+		if headers.IsExpired(text) { // a call that an upstream makes at its request's deadline: nothing is wrong with it
 			return no(http.StatusServiceUnavailable, "no time is left", true)
 		}
 		if !ok {
@@ -193,11 +193,11 @@
 
 // pass changes what goes on: what only the system may say is its own, the key stays here.
 func (o *outbound) rewriteHeaders(q *policy.Request, fields http.Header) {
-	headers.Strip(fields)
+	headers.StripInternal(fields)
 	order := q.Terms.(*balancer.RequestClass)
 	fields[headers.Caller] = o.callerField
 	if order.Tenant != "" {
 		fields[headers.Tenant] = []string{order.Tenant}
 	}
-	headers.Attempt{Rank: order.Priority, Aim: order.LatencyTarget, Safe: order.Idempotent}.Put(fields)
+	headers.AttemptTerms{Priority: order.Priority, LatencyTarget: order.LatencyTarget, Idempotent: order.Idempotent}.Set(fields)
 }
--- a/internal/mesh/sidecar/quota.go
+++ b/internal/mesh/sidecar/quota.go
@@ -30,14 +30,14 @@
 // AllocateRequest is a sidecar's request for tokens, and AllocateResponse the answer.
 type (
 	AllocateRequest struct {
-		Node      string      `json:"node"`
-		Demands   []quota.Ask `json:"asks"`
-		Forwarded bool        `json:"passed,omitempty"` // by one member to another: it goes no further
+		Node      string         `json:"node"`
+		Demands   []quota.Demand `json:"asks"`
+		Forwarded bool           `json:"passed,omitempty"` // by one member to another: it goes no further
 	}
 	AllocateResponse struct {
-		Epoch     uint64         `json:"epoch"`
-		Grants    []quota.Grant  `json:"grants"`
-		Throttled []quota.Closed `json:"closed,omitempty"`
+		Epoch     uint64            `json:"epoch"`
+		Grants    []quota.Grant     `json:"grants"`
+		Throttled []quota.Throttled `json:"closed,omitempty"`
 	}
 )
 
@@ -51,8 +51,8 @@
 	wake       chan struct{} // has an item once there are tenants with a limit
 
 	mu           sync.Mutex
-	limiter      *quota.Purse
-	retryBudget  *quota.Budget
+	limiter      *quota.LocalLimiter
+	retryBudget  *quota.RetryBudget
 	serviceName  func(service int) string
 	sidecarCount func() int // sidecars that share the limits
 	limits       map[string]quota.Limit
@@ -67,10 +67,10 @@
 	if window <= 0 { // no quotas here: nobody asks
 		window = time.Second
 	}
-	if q.limiter, err = quota.NewPurse(quota.Rules{Window: window, Overage: bounds.QuotaOverage, Slack: bounds.QuotaSlack}); err != nil {
+	if q.limiter, err = quota.NewLocalLimiter(quota.Rules{Window: window, Overage: bounds.QuotaOverage, Slack: bounds.QuotaSlack}); err != nil {
 		return nil, err
 	}
-	q.retryBudget, err = quota.NewBudget(quota.BudgetRules{Window: bounds.RetryWindow, Ratio: bounds.RetryBudgetRatio, Slack: bounds.RetryBudgetSlack})
+	q.retryBudget, err = quota.NewRetryBudget(quota.RetryBudgetRules{Window: bounds.RetryWindow, Ratio: bounds.RetryBudgetRatio, Slack: bounds.RetryBudgetSlack})
 	return q, err
 }
 
@@ -125,8 +125,8 @@
 	defer q.mu.Unlock()
 	now := q.clock.Now()
 	q.updateShares(now)
-	allowed := q.limiter.Take(now, tenant)
-	if q.limiter.NextAsk(now) <= now {
+	allowed := q.limiter.Allow(now, tenant)
+	if q.limiter.NextRequest(now) <= now {
 		q.wakeUp()
 	}
 	if allowed {
@@ -148,10 +148,10 @@
 		}
 		q.mu.Lock()
 		now := q.clock.Now()
-		hasLimits, due := q.hasLimits, q.limiter.NextAsk(now)
-		var demands []quota.Ask
+		hasLimits, due := q.hasLimits, q.limiter.NextRequest(now)
+		var demands []quota.Demand
 		if hasLimits && due <= now {
-			demands = q.limiter.Asks(now)
+			demands = q.limiter.Demands(now)
 		}
 		q.mu.Unlock()
 		switch {
@@ -168,7 +168,7 @@
 }
 
 // ask asks the member that we keep to; false: no answer came.
-func (q *quotaClient) requestTokens(ctx context.Context, demands []quota.Ask) bool {
+func (q *quotaClient) requestTokens(ctx context.Context, demands []quota.Demand) bool {
 	peers := q.peers()
 	if len(peers) == 0 {
 		return false
@@ -182,7 +182,7 @@
 	}
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if err := q.limiter.Granted(q.clock.Now(), response.Epoch, response.Grants, response.Throttled); err != nil {
+	if err := q.limiter.ApplyGrants(q.clock.Now(), response.Epoch, response.Grants, response.Throttled); err != nil {
 		q.log.Debug("tokens that can't be used", zap.Error(err))
 	}
 	return true
@@ -193,17 +193,17 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.updateShares(now)
-	q.retryBudget.Request(now, q.serviceName(service))
+	q.retryBudget.RecordRequest(now, q.serviceName(service))
 }
 
 func (q *quotaClient) Allowed(now time.Duration, service int) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return q.retryBudget.May(now, q.serviceName(service))
+	return q.retryBudget.Allowed(now, q.serviceName(service))
 }
 
 func (q *quotaClient) Charge(now time.Duration, service int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.retryBudget.Spent(now, q.serviceName(service))
+	q.retryBudget.Charge(now, q.serviceName(service))
 }
--- a/internal/mesh/sidecar/sidecar.go
+++ b/internal/mesh/sidecar/sidecar.go
@@ -103,7 +103,7 @@
 	slices.Sort(zones)
 	b.endpoints = newEndpoints(zones, set.Network.ListenAddresses.Inbound)
 	b.watchClient = watch.NewClient(watch.ClientConfig{
-		Node: set.Self.NodeName, Incarnation: b.incarnation, Zone: set.Self.Zone, Seeds: set.Seeds(), HTTP: b.client, State: b.currentLease, ConfigVersion: func() int64 { return b.config.Load().Version() },
+		Node: set.Self.NodeName, Incarnation: b.incarnation, Zone: set.Self.Zone, Seeds: set.SeedAddresses(), HTTP: b.client, State: b.currentLease, ConfigVersion: func() int64 { return b.config.Load().Version() },
 		OnConfig: b.applyConfig, OnRegistry: b.applyRegistry, Log: log,
 	})
 	var err error
@@ -175,13 +175,13 @@
 	go s.watchClient.Run(life)
 	go s.quota.run(life)
 	go s.discoverUpstream(life)
-	s.log.Info("serving", zap.String("node", s.settings.Self.NodeName), zap.Strings("seeds", s.settings.Seeds()))
+	s.log.Info("serving", zap.String("node", s.settings.Self.NodeName), zap.Strings("seeds", s.settings.SeedAddresses()))
 	for {
 		select {
 		case err := <-failed:
 			return err
 		case set := <-reload:
-			s.watchClient.SetSeeds(set.Seeds())
+			s.watchClient.SetSeeds(set.SeedAddresses())
 		case <-ctx.Done():
 			return s.drain(outFront, inFront)
 		}
@@ -235,19 +235,19 @@
 // toGates is how attempts go to gates.
 func gateDialect() *http1.Dialect {
 	return &http1.Dialect{
-		Timeout: headers.Timeout, Mine: headers.Mine, Judge: classifyGateResponse, SignField: headers.SendField, Sign: headers.NewSends().Next,
+		Timeout: headers.Timeout, Mine: headers.MatchesAttempt, Judge: classifyGateResponse, SignField: headers.SendIDField, Sign: headers.NewSendIDSource().Next,
 	}
 }
 
 // toUpstream is how attempts go to the upstream beside the gate.
 func (i *inbound) upstreamDialect() *http1.Dialect {
-	return &http1.Dialect{Timeout: headers.Timeout, Mine: headers.Mine, Judge: i.classifyUpstreamResponse}
+	return &http1.Dialect{Timeout: headers.Timeout, Mine: headers.MatchesAttempt, Judge: i.classifyUpstreamResponse}
 }
 
 // judgeGate says what a gate's answer proves.
 func classifyGateResponse(res *http.Response) (policy.Ending, policy.Load) {
-	ending, load := headers.JudgeGate(res)
-	headers.Bare(res.Header)
+	ending, load := headers.ClassifyGateResponse(res)
+	headers.StripGateLoad(res.Header)
 	return ending, load
 }
 
@@ -380,7 +380,7 @@
 	answer.Body.Close()
 	u := registry.Upstream{
 		Instance: answer.Header.Get(headers.Instance), Service: s.settings.Self.ServiceName, Address: s.settings.Self.AppAddress, Node: s.settings.Self.NodeName, Zone: s.settings.Self.Zone, Region: s.settings.Self.Region,
-		Slots: headers.Slots(answer.Header.Get(headers.Load)),
+		Slots: headers.ParseSlots(answer.Header.Get(headers.Load)),
 	}
 	return u, answer.StatusCode == http.StatusOK && u.Instance != "" && u.Slots > 0
 }
--- a/internal/mesh/sidecar/sidecar_test.go
+++ b/internal/mesh/sidecar/sidecar_test.go
@@ -236,7 +236,7 @@
 			_, _, bad := d.Read(h)
 			So(bad, ShouldNotBeNil)
 			So(bad.Status, ShouldEqual, status)
-			ending, _ := headers.JudgeGate(&http.Response{StatusCode: status, Header: d.Own(h, nil)})
+			ending, _ := headers.ClassifyGateResponse(&http.Response{StatusCode: status, Header: d.Own(h, nil)})
 			So(ending, ShouldEqual, policy.Gated)
 		}
 		refused(id+terms+left+target, 503) // nobody has told yet
@@ -252,7 +252,7 @@
 		refused(id+terms+left+"X-Caperarch-Target-Instance: i-2\r\n", 503)
 		once := request(lepu, id+"X-Mesh-Visit: 2,250,0\r\nX-Mesh-Send: a1.7\r\n"+left+target)
 		verdict := func(a *call.Answer) policy.Ending {
-			ending, _ := headers.JudgeGate(&http.Response{StatusCode: 503, Header: d.Own(once, a)})
+			ending, _ := headers.ClassifyGateResponse(&http.Response{StatusCode: 503, Header: d.Own(once, a)})
 			return ending
 		}
 		So(verdict(nil), ShouldEqual, policy.Gated) // refused by the front, and remembered
@@ -278,7 +278,7 @@
 		d.Pass(&q, fields)
 		So(fields, ShouldResemble, http.Header{headers.AttemptID: {"9c41"}, headers.Timeout: {"800"}, headers.Target: {"i-1"}, headers.Tenant: {"bozi300"}})
 		for answer, want := range map[*call.Answer]policy.Ending{{Kind: call.Refused}: policy.Gated, {Kind: call.Failed}: policy.Broken} {
-			ending, _ := headers.JudgeGate(&http.Response{StatusCode: 503, Header: d.Own(h, answer)})
+			ending, _ := headers.ClassifyGateResponse(&http.Response{StatusCode: 503, Header: d.Own(h, answer)})
 			So(ending, ShouldEqual, want)
 		}
 	})
--- a/internal/proxy/durable/durable_test.go
+++ b/internal/proxy/durable/durable_test.go
@@ -18,13 +18,13 @@
 			t.Errorf("%q, %v", raw, err)
 		}
 	}
-	if err := PutAside(path); err != nil {
+	if err := Quarantine(path); err != nil {
 		t.Fatal(err)
 	}
 	if raw, err := os.ReadFile(path + ".damaged"); err != nil || string(raw) != "another" {
 		t.Errorf("put aside: %q, %v", raw, err)
 	}
-	for _, err := range []error{PutAside(path), Remove(path), Replace(filepath.Join(path, "none"), nil, true)} {
+	for _, err := range []error{Quarantine(path), Remove(path), Replace(filepath.Join(path, "none"), nil, true)} {
 		if !errors.Is(err, os.ErrNotExist) {
 			t.Errorf("a file that is not there: %v", err)
 		}
@@ -50,7 +50,7 @@
 
 // A file without end is read no further than its bound.
 func TestReadBounded(t *testing.T) {
-	if raw, err := ReadBounded("/dev/zero", 1<<16); raw != nil || !errors.Is(err, ErrTooLong) {
+	if raw, err := ReadBounded("/dev/zero", 1<<16); raw != nil || !errors.Is(err, ErrTooLarge) {
 		t.Errorf("%d bytes, %v", len(raw), err)
 	}
 	if _, err := ReadBounded(t.TempDir(), 1); err == nil {
@@ -66,7 +66,7 @@
 		}
 	}
 	for _, raw := range []string{"", "kind", string(Seal("other", nil)), string(Seal("kind", nil)) + "x", string(make([]byte, headerMost+1)) + "\n"} {
-		if _, err := Unseal("kind", []byte(raw)); !errors.Is(err, ErrDamaged) {
+		if _, err := Unseal("kind", []byte(raw)); !errors.Is(err, ErrCorrupt) {
 			t.Errorf("%q: %v", raw, err)
 		}
 	}
--- a/internal/proxy/durable/file.go
+++ b/internal/proxy/durable/file.go
@@ -15,8 +15,8 @@
 	damagedSuffix   = ".damaged"
 )
 
-// ErrTooLong is that a file holds more than its reader allows.
-var ErrTooLong = errors.New("the file is too long")
+// ErrTooLarge is that a file holds more than its reader allows.
+var ErrTooLarge = errors.New("the file is too long")
 
 // Replace puts a file in another's place. With sync, file and name are on the disk when it returns; until
 // then either the old content or the new one is found there.
@@ -62,14 +62,14 @@
 		return nil, err
 	}
 	if int64(len(raw)) > most {
-		return nil, fmt.Errorf("%s: %w: more than %d bytes", path, ErrTooLong, most)
+		return nil, fmt.Errorf("%s: %w: more than %d bytes", path, ErrTooLarge, most)
 	}
 	return raw, nil
 }
 
-// PutAside renames a damaged file, so that it can be looked at and is not read again. One that was put aside
+// Quarantine renames a damaged file, so that it can be looked at and is not read again. One that was put aside
 // earlier is replaced.
-func PutAside(path string) error {
+func Quarantine(path string) error {
 	if err := os.Rename(path, path+damagedSuffix); err != nil {
 		return err
 	}
