--- a/internal/mesh/cli/cli_test.go
+++ b/internal/mesh/cli/cli_test.go
@@ -44,23 +44,33 @@
   - {resourceType: tenants, metadata: {name: house}, specification: {apiKeys: [k-1, k-2], priority: 0, ratePerS: 50}}
 `
 
-// free gives a loopback address that nobody listens at.
-func free() string {
+// freeAddress gives a loopback address at which nothing listens.
+func freeAddress(t *testing.T) string {
+	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
-	So(err, ShouldBeNil)
-	defer l.Close()
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer func() { _ = l.Close() }()
 	return l.Addr().String()
 }
 
-// deaf gives an address that is taken and takes no connections, until the test ends. One that is merely free may be met by a
-// connection to itself: the system may give the caller the very port that it calls.
-func deaf(t *testing.T) string {
+// refusingAddress gives an address that is bound but takes no connections until the test ends. One that is merely free
+// may be met by a connection to itself: the kernel may give the caller the very port that it calls.
+func refusingAddress(t *testing.T) string {
+	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
-	So(err, ShouldBeNil)
-	t.Cleanup(func() { syscall.Close(fd) })
-	So(syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}), ShouldBeNil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = syscall.Close(fd) })
+	if err := syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}); err != nil {
+		t.Fatal(err)
+	}
 	name, err := syscall.Getsockname(fd)
-	So(err, ShouldBeNil)
+	if err != nil {
+		t.Fatal(err)
+	}
 	return fmt.Sprintf("127.0.0.1:%d", name.(*syscall.SockaddrInet4).Port)
 }
 
@@ -75,7 +85,7 @@
 
 func TestVerbs(t *testing.T) {
 	Convey("Every verb against a core machine", t, func() {
-		at, inside := free(), free()
+		at, inside := freeAddress(t), freeAddress(t)
 		_, port, _ := net.SplitHostPort(inside)
 		set, err := settings.Parse(fmt.Appendf(nil, coreSettings, at, port, t.TempDir()))
 		So(err, ShouldBeNil)
@@ -165,7 +175,7 @@
 			{ExitUsage, []string{"apply", "--at", "a:1", file("")}, []string{"not a configuration"}},
 			{ExitUsage, []string{"apply", "--at", "a:1", file("{\"configVersion\":1,\"resorces\":[]}")}, []string{"resorces"}},
 			{ExitUsage, []string{"diff", "--at", "a:1", filepath.Join(t.TempDir(), "none")}, []string{"no such file"}},
-			{ExitUndetermined, []string{"view", "--at", deaf(t), "--timeout", "100ms"}, []string{"unreached: "}},
+			{ExitUndetermined, []string{"view", "--at", refusingAddress(t), "--timeout", "100ms"}, []string{"unreached: "}},
 			{ExitOK, []string{"check", "-"}, []string{"configuration: no fault was found"}},
 			{ExitOK, []string{"check", file(core)}, []string{"settings: no fault was found"}},
 			{ExitUsage, []string{"check", file(strings.Replace(core, "ipAddress: 127.0.0.1", "ipAddress: here", 1))}, []string{"self.ipAddress: must be an IP address"}},
