--- a/internal/mesh/registry/changes.go
+++ b/internal/mesh/registry/changes.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// change is one numbered change: what it was is read from the entries.
+// change is one numbered change; the entries tell what it led to.
 type change struct {
 	instance, service string
 }
@@ -15,8 +15,8 @@
 	Instance, Service string
 }
 
-// Changes is what changed in a table since a number of its epoch. If Full, the
-// Upserts are all there is and replace what was held.
+// Changes is what changed in a table since a number of its epoch. If Full, the Upserts are the full
+// state and replace what the reader held.
 type Changes struct {
 	Epoch    uint64
 	Number   uint64
@@ -25,6 +25,7 @@
 	Removals []Removal
 }
 
+// recordChange gives the next number to a change of an instance that readers of the service see.
 func (t *Table) recordChange(instance, service string) {
 	t.number++
 	if len(t.changeLog) >= 2*maxChangeLog {
@@ -33,25 +34,24 @@
 	t.changeLog = append(t.changeLog, change{instance, service})
 }
 
-// Epoch names this table's numbering, and Number is that of its last change.
+// Epoch identifies this table's numbering.
 func (t *Table) Epoch() uint64 { return t.epoch }
 
-// Number is the number of the last change of this epoch.
+// Number is the number of the last change of this epoch, 0 before the first.
 func (t *Table) Number() uint64 { return t.number }
 
-// Since gives what changed after a number of an epoch, and everything when the
-// epoch is another one or the number is too old. Keep says which services the
-// reader wants; nil keeps all.
+// Since gives what changed after a number of an epoch, and the full state when the epoch is another
+// one or the number is too old. Keep says which services the reader wants; nil keeps all.
 func (t *Table) Since(now time.Duration, epoch, number uint64, keep func(service string) bool) Changes {
-	news := Changes{Epoch: t.epoch, Number: t.number}
-	if epoch != t.epoch || number > t.number || t.number-number > uint64(min(len(t.changeLog), maxChangeLog)) {
-		news.Full = true
+	changes := Changes{Epoch: t.epoch, Number: t.number}
+	if !t.logReachesBackTo(epoch, number) {
+		changes.Full = true
 		for _, e := range t.upstreams {
 			if keep == nil || keep(e.Service) {
-				news.Upserts = append(news.Upserts, e.at(now))
+				changes.Upserts = append(changes.Upserts, e.at(now))
 			}
 		}
-		return news
+		return changes
 	}
 	missed := t.changeLog[len(t.changeLog)-int(t.number-number):]
 	seen := make(map[change]bool, len(missed))
@@ -61,10 +61,16 @@
 		}
 		seen[c] = true
 		if e := t.upstreams[c.instance]; e != nil && e.Service == c.service {
-			news.Upserts = append(news.Upserts, e.at(now))
+			changes.Upserts = append(changes.Upserts, e.at(now))
 		} else if e == nil || (keep != nil && !keep(e.Service)) {
-			news.Removals = append(news.Removals, Removal{c.instance, c.service})
+			changes.Removals = append(changes.Removals, Removal{c.instance, c.service})
 		}
 	}
-	return news
+	return changes
+}
+
+// logReachesBackTo says whether the log holds every change after a number of an epoch.
+func (t *Table) logReachesBackTo(epoch, number uint64) bool {
+	return epoch == t.epoch && number <= t.number &&
+		t.number-number <= uint64(min(len(t.changeLog), maxChangeLog))
 }
--- a/internal/mesh/registry/lease.go
+++ b/internal/mesh/registry/lease.go
@@ -6,162 +6,116 @@
 	"caperarch/internal/mesh/errs"
 )
 
-// lease is a lease as held: live until it lapses or the sidecar leaves, then
-// only its order is remembered.
-type lease struct {
-	Lease
-	warmupEnd       time.Duration
-	contentSequence uint64
-	until           time.Duration
-	live            bool
+// Lease is a sidecar's claim that it is alive. Leases of one node are ordered by (Incarnation,
+// Sequence); a table ignores one that isn't newer than the one it holds.
+type Lease struct {
+	Node string `json:"node"`
+	// Incarnation identifies one run of the sidecar's process and grows from run to run.
+	Incarnation uint64 `json:"life"`
+	Sequence    uint64 `json:"sequence"`
+	Zone        string `json:"zone,omitempty"`
+	// Upstream is nil while the sidecar has received no heartbeat.
+	Upstream *Upstream `json:"upstream,omitempty"`
+	// Applied is the configuration version in force at the sidecar.
+	Applied int64 `json:"applied"`
+	// Leaving says that the sidecar is draining; Left that it has ended in order.
+	Leaving bool `json:"leaving,omitempty"`
+	Left    bool `json:"left,omitempty"`
+}
+
+// RemoteLease is a lease held by another member, with the time for which it is still valid there.
+type RemoteLease struct {
+	Lease     Lease         `json:"lease"`
+	Remaining time.Duration `json:"remaining"`
 }
 
-// lives says whether the lease is live at this moment, whenever Expire was
-// called last.
-func (l *lease) isLive(now time.Duration) bool { return l.live && now < l.until }
+// Renewal extends a lease whose content has not changed. ContentSequence is the Sequence at which the
+// content changed last, so that a reader knows whether the content it holds is still right.
+type Renewal struct {
+	Node            string        `json:"n"`
+	Incarnation     uint64        `json:"l"`
+	Sequence        uint64        `json:"s"`
+	ContentSequence uint64        `json:"b"`
+	Remaining       time.Duration `json:"r"`
+}
 
-// Renew takes a lease received here from its sidecar. It reports whether more
-// than the time changed, that is, whether other members need to see it now.
-// A lease that is not newer than the one held is passed over.
-func (t *Table) Renew(now time.Duration, l Lease) (changed bool, err error) {
-	if err := l.Check(); err != nil {
-		return false, err
+// Check returns an error of kind Invalid for a lease that no table should take.
+func (l *Lease) Check() error {
+	if l.Node == "" || len(l.Node) > maxName || len(l.Zone) > maxName {
+		return errs.New(errs.Invalid,
+			"a lease needs a node and a zone of at most %d bytes, and has node %.64q", maxName, l.Node)
 	}
-	if t.leases[l.Node] == nil && len(t.leases) >= MaxLeases {
-		return false, errs.New(errs.Busy, "this member holds %d leases and takes no new node", MaxLeases)
+	if l.Incarnation == 0 || l.Sequence == 0 {
+		return errs.New(errs.Invalid, "the lease of %.64q has no life or no sequence", l.Node)
 	}
-	return t.applyLease(now, l, LeaseTTL), nil
+	if l.Upstream != nil {
+		return l.Upstream.Check()
+	}
+	return nil
 }
 
-// Merge takes leases that other members hold, each with its remaining time
-// there. It gives the nodes whose lease was newer than the one held here.
-// Leases that Check refuses, that have lapsed on their way, or for which there
-// is no room are passed over.
-func (t *Table) Merge(now time.Duration, leases []RemoteLease) (newer []string) {
-	for _, r := range leases {
-		if r.Lease.Check() != nil || (t.leases[r.Lease.Node] == nil && len(t.leases) >= MaxLeases) {
-			continue
-		}
-		if !t.isNewer(r.Lease) || r.Remaining <= 0 && !r.Lease.Left {
-			continue
-		}
-		t.applyLease(now, r.Lease, min(max(r.Remaining, 0), LeaseTTL))
-		newer = append(newer, r.Lease.Node)
-	}
-	return newer
+// lease is a lease as a table holds it. It is live until it expires or the sidecar leaves; then only
+// its incarnation and sequence are of use, against messages that arrive late.
+type lease struct {
+	Lease
+	warmupEnd       time.Duration
+	contentSequence uint64
+	expiresAt       time.Duration
+	live            bool
 }
 
-// Extend takes renewals of leases that another member holds. It gives the
-// nodes that were newer than held here, and those whose lease must be sent
-// whole, since what is held here is older than what was renewed.
-func (t *Table) Extend(now time.Duration, renewals []Renewal) (newer, unknown []string) {
-	for _, r := range renewals {
-		held := t.leases[r.Node]
-		switch {
-		case r.Remaining <= 0: // it has lapsed on its way
-		case held == nil || held.Incarnation < r.Incarnation || (held.Incarnation == r.Incarnation && held.Sequence < r.ContentSequence):
-			unknown = append(unknown, r.Node)
-		case held.Incarnation == r.Incarnation && held.Sequence < r.Sequence && !held.Left:
-			l := held.Lease
-			l.Sequence = r.Sequence
-			if l.Upstream != nil {
-				up := *l.Upstream
-				up.WarmupRemaining = remainingSeconds(held.warmupEnd, now)
-				l.Upstream = &up
-			}
-			t.applyLease(now, l, min(max(r.Remaining, 0), LeaseTTL))
-			newer = append(newer, r.Node)
-		}
+// isLive says whether the lease is live at this moment, whenever Expire was called last.
+func (l *lease) isLive(now time.Duration) bool { return l.live && now < l.expiresAt }
+
+// at gives the lease with its upstream's warm-up counted from now.
+func (l *lease) at(now time.Duration) Lease {
+	current := l.Lease
+	if current.Upstream != nil {
+		up := *current.Upstream
+		up.WarmupRemaining = remainingSeconds(l.warmupEnd, now)
+		current.Upstream = &up
 	}
-	return newer, unknown
+	return current
 }
 
-func (t *Table) isNewer(l Lease) bool {
-	held := t.leases[l.Node]
-	if held == nil || l.Incarnation != held.Incarnation {
-		return held == nil || l.Incarnation > held.Incarnation
+// isOlderThan says whether next replaces this lease. Nothing of an incarnation that has left does.
+func (l *lease) isOlderThan(next *Lease) bool {
+	if next.Incarnation != l.Incarnation {
+		return next.Incarnation > l.Incarnation
 	}
-	return l.Sequence > held.Sequence && !held.Left
+	return next.Sequence > l.Sequence && !l.Left
 }
 
-func (t *Table) applyLease(now time.Duration, l Lease, validFor time.Duration) (changed bool) {
-	if !t.isNewer(l) {
-		return false
-	}
-	held := t.leases[l.Node]
-	if held == nil {
-		held = &lease{}
-		t.leases[l.Node] = held
-		changed = true
-	} else {
-		changed = !held.live || held.Incarnation != l.Incarnation || held.Zone != l.Zone || held.Applied != l.Applied ||
-			held.Leaving != l.Leaving || held.Left != l.Left
-		t.setLive(now, held, false)
-	}
-	end := time.Duration(0)
-	if l.Upstream != nil {
-		up := *l.Upstream
-		up.Node = l.Node
-		up.Stale = false
-		l.Upstream = &up
-		end = now + duration(up.WarmupRemaining)
-		if held.Upstream != nil && held.Upstream.Instance == up.Instance && held.Upstream.Sequence == up.Sequence {
-			end = held.warmupEnd
-		}
-		changed = changed || held.Upstream == nil || !sameExceptWarmup(held.Upstream, &up) || warmupMoved(now, held.warmupEnd, end)
-	} else {
-		changed = changed || held.Upstream != nil
-	}
-	if changed {
-		held.contentSequence = l.Sequence
-	}
-	held.Lease, held.warmupEnd, held.until = l, end, now+validFor
-	if l.Left {
-		held.until = now + TombstoneTTL
-		if inst, ok := t.instanceByNode[l.Node]; ok {
-			t.remove(now, inst, false)
-		}
-		return changed
+// lacksContentOf says whether the content that a renewal extends is newer than the one held.
+func (l *lease) lacksContentOf(r Renewal) bool {
+	if l.Incarnation != r.Incarnation {
+		return l.Incarnation < r.Incarnation
 	}
-	t.setLive(now, held, true)
-	if l.Upstream != nil {
-		t.upsert(now, *l.Upstream, held.until, false)
-	}
-	return changed
+	return l.Sequence < r.ContentSequence
 }
 
-// RemoteLease gives a node's lease for another member, or false if none is held.
-// A sidecar that left is among them, so that others hear of it.
-func (t *Table) RemoteLease(now time.Duration, node string) (RemoteLease, bool) {
-	l := t.leases[node]
-	if l == nil || !l.Left && !l.isLive(now) {
-		return RemoteLease{}, false
-	}
-	r := RemoteLease{Lease: l.Lease, Remaining: max(l.until-now, 0)}
-	if l.Upstream != nil {
-		up := *l.Upstream
-		up.WarmupRemaining = remainingSeconds(l.warmupEnd, now)
-		r.Lease.Upstream = &up
-	}
-	return r, true
+// isExtendedBy says whether a renewal, whose content is held, is newer than the lease.
+func (l *lease) isExtendedBy(r Renewal) bool {
+	return l.Incarnation == r.Incarnation && l.Sequence < r.Sequence && !l.Left
 }
 
-// Renewal gives a node's lease as a renewal, or false if none is live.
-func (t *Table) Renewal(now time.Duration, node string) (Renewal, bool) {
-	l := t.leases[node]
-	if l == nil || !l.isLive(now) {
-		return Renewal{}, false
+// warmupEndWith gives the end of a reported upstream's warm-up. A report that was seen before doesn't
+// move it.
+func (l *lease) warmupEndWith(now time.Duration, up *Upstream) time.Duration {
+	if l.Upstream != nil && l.Upstream.Instance == up.Instance && l.Upstream.Sequence == up.Sequence {
+		return l.warmupEnd
 	}
-	return Renewal{Node: node, Incarnation: l.Incarnation, Sequence: l.Sequence, ContentSequence: l.contentSequence, Remaining: max(l.until-now, 0)}, true
+	return now + seconds(up.WarmupRemaining)
 }
 
-// Leases lists all leases for a member that starts.
-func (t *Table) Leases(now time.Duration) []RemoteLease {
-	all := make([]RemoteLease, 0, len(t.leases))
-	for node := range t.leases {
-		if r, ok := t.RemoteLease(now, node); ok {
-			all = append(all, r)
-		}
+// contentChanges says whether next says more than that the sidecar is still alive.
+func (l *lease) contentChanges(now time.Duration, next *Lease, warmupEnd time.Duration) bool {
+	if !l.live || l.Incarnation != next.Incarnation || l.Zone != next.Zone ||
+		l.Applied != next.Applied || l.Leaving != next.Leaving || l.Left != next.Left {
+		return true
+	}
+	if l.Upstream == nil || next.Upstream == nil {
+		return l.Upstream != next.Upstream
 	}
-	return all
+	return !sameExceptWarmup(l.Upstream, next.Upstream) || warmupMoved(now, l.warmupEnd, warmupEnd)
 }
--- /dev/null
+++ b/internal/mesh/registry/lease_table.go
@@ -0,0 +1,137 @@
+package registry
+
+import (
+	"time"
+
+	"caperarch/internal/mesh/errs"
+)
+
+// Renew takes a lease that this member received from its sidecar. It reports whether the content
+// changed, that is, whether other members need to see it now. A lease that isn't newer than the one
+// held is ignored. An invalid lease is an error of kind Invalid, and one of a new node is Busy when
+// the table is full.
+func (t *Table) Renew(now time.Duration, l Lease) (changed bool, err error) {
+	if err := l.Check(); err != nil {
+		return false, err
+	}
+	if t.leases[l.Node] == nil && len(t.leases) >= MaxLeases {
+		return false, errs.New(errs.Busy, "this member holds %d leases and takes no new node", MaxLeases)
+	}
+	return t.applyLease(now, l, LeaseTTL), nil
+}
+
+// Merge takes leases that other members hold. It returns the nodes whose lease was newer than the one
+// held here. Leases that Check rejects, that expired on their way, or for which the table has no room
+// are ignored.
+func (t *Table) Merge(now time.Duration, leases []RemoteLease) (newer []string) {
+	for _, r := range leases {
+		if r.Lease.Check() != nil || (t.leases[r.Lease.Node] == nil && len(t.leases) >= MaxLeases) {
+			continue
+		}
+		if !t.isNewer(&r.Lease) || r.Remaining <= 0 && !r.Lease.Left {
+			continue
+		}
+		t.applyLease(now, r.Lease, min(max(r.Remaining, 0), LeaseTTL))
+		newer = append(newer, r.Lease.Node)
+	}
+	return newer
+}
+
+// Extend takes renewals of leases that another member holds. It returns the nodes whose renewal was
+// newer than the lease held here, and those whose lease must be sent in full because the content held
+// here is older than what was renewed.
+func (t *Table) Extend(now time.Duration, renewals []Renewal) (newer, unknown []string) {
+	for _, r := range renewals {
+		held := t.leases[r.Node]
+		switch {
+		case r.Remaining <= 0: // it has expired on its way
+		case held == nil || held.lacksContentOf(r):
+			unknown = append(unknown, r.Node)
+		case held.isExtendedBy(r):
+			l := held.at(now)
+			l.Sequence = r.Sequence
+			t.applyLease(now, l, min(r.Remaining, LeaseTTL))
+			newer = append(newer, r.Node)
+		}
+	}
+	return newer, unknown
+}
+
+func (t *Table) isNewer(l *Lease) bool {
+	held := t.leases[l.Node]
+	return held == nil || held.isOlderThan(l)
+}
+
+// applyLease puts a lease in place of an older one, with what it says of its upstream. It reports
+// whether the content changed.
+func (t *Table) applyLease(now time.Duration, l Lease, validFor time.Duration) (changed bool) {
+	if !t.isNewer(&l) {
+		return false
+	}
+	held := t.leases[l.Node]
+	if held == nil {
+		held = &lease{}
+		t.leases[l.Node] = held
+	}
+	warmupEnd := time.Duration(0)
+	if l.Upstream != nil {
+		up := *l.Upstream
+		up.Node = l.Node
+		up.Stale = false
+		l.Upstream = &up
+		warmupEnd = held.warmupEndWith(now, &up)
+	}
+	if changed = held.contentChanges(now, &l, warmupEnd); changed {
+		held.contentSequence = l.Sequence
+	}
+	t.markEnded(held)
+	held.Lease, held.warmupEnd, held.expiresAt = l, warmupEnd, now+validFor
+	if l.Left {
+		held.expiresAt = now + TombstoneTTL
+		if instance, ok := t.instanceByNode[l.Node]; ok {
+			t.remove(now, instance, replaced)
+		}
+		return changed
+	}
+	t.markLive(now, held)
+	if l.Upstream != nil {
+		t.upsert(now, *l.Upstream, held.expiresAt, fromLease)
+	}
+	return changed
+}
+
+// RemoteLease gives a node's lease for another member, or false if none is held. A sidecar that left
+// is included, so that other members learn of it.
+func (t *Table) RemoteLease(now time.Duration, node string) (RemoteLease, bool) {
+	l := t.leases[node]
+	if l == nil || !l.Left && !l.isLive(now) {
+		return RemoteLease{}, false
+	}
+	return RemoteLease{Lease: l.at(now), Remaining: max(l.expiresAt-now, 0)}, true
+}
+
+// Renewal gives a node's lease as a renewal, or false if none is live.
+func (t *Table) Renewal(now time.Duration, node string) (Renewal, bool) {
+	l := t.leases[node]
+	if l == nil || !l.isLive(now) {
+		return Renewal{}, false
+	}
+	return Renewal{
+		Node:            node,
+		Incarnation:     l.Incarnation,
+		Sequence:        l.Sequence,
+		ContentSequence: l.contentSequence,
+		Remaining:       max(l.expiresAt-now, 0),
+	}, true
+}
+
+// Leases lists all leases for a member that starts, in no particular order.
+func (t *Table) Leases(now time.Duration) []RemoteLease {
+	all := make([]RemoteLease, 0, len(t.leases))
+	for node := range t.leases {
+		if r, ok := t.RemoteLease(now, node); ok {
+			all = append(all, r)
+		}
+	}
+	return all
+}
--- /dev/null
+++ b/internal/mesh/registry/upstream_table.go
@@ -0,0 +1,227 @@
+package registry
+
+import (
+	"cmp"
+	"slices"
+	"strings"
+	"time"
+)
+
+// entry is an upstream as a table holds it.
+type entry struct {
+	Upstream
+	warmupEnd time.Duration
+	// freshUntil is when the upstream goes stale unless it is refreshed.
+	freshUntil time.Duration
+}
+
+// source says how a report of an upstream reached the table.
+type source uint8
+
+const (
+	// fromLease is a sidecar's lease, which may repeat an upstream's last heartbeat.
+	fromLease source = iota
+	// fromHeartbeat is an upstream's own heartbeat, which counts once.
+	fromHeartbeat
+)
+
+// Heartbeat takes an upstream's heartbeat that reached a core member directly. It reports whether the
+// heartbeat was taken; one that isn't newer than the last is not. An invalid one is an error of kind
+// Invalid.
+func (t *Table) Heartbeat(now time.Duration, up Upstream) (taken bool, err error) {
+	if err := up.Check(); err != nil {
+		return false, err
+	}
+	return t.RelayedHeartbeat(now, up, LeaseTTL), nil
+}
+
+// RelayedHeartbeat is Heartbeat for one that another member received. Remaining is the time for which
+// it still refreshes the upstream; below zero it is the time since it no longer does. A heartbeat that
+// Check rejects is not taken, nor one whose upstream would have been dropped by now. One whose time is
+// over replaces no other instance.
+func (t *Table) RelayedHeartbeat(now time.Duration, up Upstream, remaining time.Duration) (taken bool) {
+	if up.Check() != nil {
+		return false
+	}
+	if up.State == Deregistered {
+		return t.deregister(now, up.Instance)
+	}
+	if held := t.upstreams[up.Instance]; held != nil {
+		if up.Sequence <= held.Sequence {
+			return false
+		}
+		up = up.withPlacementOf(&held.Upstream)
+	} else if atAddress := t.upstreams[t.instanceByAddress[up.Address]]; atAddress != nil && up.Address != "" {
+		// A new instance at a known address runs beside the same sidecar. An instance that was
+		// replaced there comes back only if its successor is stale.
+		if _, removed := t.tombstones[up.Instance]; removed && !atAddress.Stale {
+			return false
+		}
+		up = up.withPlacementOf(&atAddress.Upstream)
+	}
+	if remaining <= -StaleTTL {
+		return false
+	}
+	if remaining <= 0 && t.displacesAny(&up) {
+		return false
+	}
+	return t.upsert(now, up, now+min(remaining, LeaseTTL), fromHeartbeat)
+}
+
+// withPlacementOf fills in where the upstream runs from what is known of another.
+func (u Upstream) withPlacementOf(known *Upstream) Upstream {
+	u.Node, u.Inbound = cmp.Or(u.Node, known.Node), cmp.Or(u.Inbound, known.Inbound)
+	u.Zone, u.Region = cmp.Or(u.Zone, known.Zone), cmp.Or(u.Region, known.Region)
+	return u
+}
+
+// upsert takes a report of an upstream that is fresh until the given time, and records a change if
+// there is one to see. It reports whether the report was newer than what is held.
+func (t *Table) upsert(now time.Duration, up Upstream, freshUntil time.Duration, from source) (taken bool) {
+	if up.State == Deregistered {
+		return t.deregister(now, up.Instance)
+	}
+	if removed, ok := t.tombstones[up.Instance]; ok && removed.rejects(up.Sequence, from) {
+		return false
+	}
+	held := t.upstreams[up.Instance]
+	if held == nil && len(t.upstreams) >= MaxLeases {
+		return false
+	}
+	warmupEnd := now + seconds(up.WarmupRemaining)
+	if held != nil {
+		if !held.isReplacedBy(&up) {
+			if up.Node == held.Node && from == fromLease {
+				t.refresh(held, freshUntil)
+			}
+			return false
+		}
+		if up.Sequence == held.Sequence {
+			warmupEnd = held.warmupEnd
+		}
+		freshUntil = max(freshUntil, held.freshUntil)
+	}
+	for _, other := range t.colocated(&up) {
+		if other != "" && other != up.Instance {
+			t.remove(now, other, replaced)
+		}
+	}
+	delete(t.tombstones, up.Instance)
+	up.Stale = freshUntil <= now
+	t.store(now, &entry{Upstream: up, warmupEnd: warmupEnd, freshUntil: freshUntil}, held)
+	return true
+}
+
+// isReplacedBy says whether a report of the same instance is newer. One of the same sequence is, if
+// it comes from another sidecar and the upstream has gone stale at the one before.
+func (e *entry) isReplacedBy(up *Upstream) bool {
+	if up.Sequence == e.Sequence {
+		return up.Node == e.Node || e.Stale
+	}
+	return up.Sequence > e.Sequence
+}
+
+// colocated gives the instances known at the upstream's node and address; "" stands for none.
+func (t *Table) colocated(up *Upstream) [2]string {
+	return [...]string{t.instanceByNode[up.Node], t.instanceByAddress[up.Address]}
+}
+
+// displacesAny says whether another instance is known at the upstream's node or address.
+func (t *Table) displacesAny(up *Upstream) bool {
+	for _, other := range t.colocated(up) {
+		if other != "" && other != up.Instance {
+			return true
+		}
+	}
+	return false
+}
+
+// store puts an entry in place of the one before of the same instance, nil if there is none, and
+// records what others see of that.
+func (t *Table) store(now time.Duration, fresh, before *entry) {
+	if before != nil {
+		t.unindex(before)
+	}
+	t.upstreams[fresh.Instance] = fresh
+	if fresh.Node != "" {
+		t.instanceByNode[fresh.Node] = fresh.Instance
+	}
+	if fresh.Address != "" {
+		t.instanceByAddress[fresh.Address] = fresh.Instance
+	}
+	if before != nil && before.Service != fresh.Service {
+		t.recordChange(fresh.Instance, before.Service)
+	}
+	if before == nil || !sameExceptWarmup(&before.Upstream, &fresh.Upstream) ||
+		warmupMoved(now, before.warmupEnd, fresh.warmupEnd) {
+		t.recordChange(fresh.Instance, fresh.Service)
+	}
+}
+
+// refresh keeps an entry from going stale, or brings it back from there.
+func (t *Table) refresh(e *entry, freshUntil time.Duration) {
+	e.freshUntil = max(e.freshUntil, freshUntil)
+	if e.Stale {
+		e.Stale = false
+		t.recordChange(e.Instance, e.Service)
+	}
+}
+
+func (t *Table) deleteEntry(e *entry) {
+	t.unindex(e)
+	delete(t.upstreams, e.Instance)
+	t.recordChange(e.Instance, e.Service)
+}
+
+func (t *Table) unindex(e *entry) {
+	if t.instanceByNode[e.Node] == e.Instance {
+		delete(t.instanceByNode, e.Node)
+	}
+	if t.instanceByAddress[e.Address] == e.Instance {
+		delete(t.instanceByAddress, e.Address)
+	}
+}
+
+// Upstreams lists all upstreams as of now, ordered by instance.
+func (t *Table) Upstreams(now time.Duration) []Upstream {
+	ups := make([]Upstream, 0, len(t.upstreams))
+	for _, e := range t.upstreams {
+		ups = append(ups, e.at(now))
+	}
+	slices.SortFunc(ups, func(a, b Upstream) int { return strings.Compare(a.Instance, b.Instance) })
+	return ups
+}
+
+// Unleased lists what Leases leaves out, in no particular order: the upstreams that no live lease
+// refreshes, and the instances that were deregistered.
+func (t *Table) Unleased(now time.Duration) []UpstreamReport {
+	var all []UpstreamReport
+	for _, e := range t.upstreams {
+		if e.freshUntil+StaleTTL <= now {
+			continue
+		}
+		if !t.isLeased(now, e) {
+			all = append(all, UpstreamReport{e.at(now), e.freshUntil - now})
+		}
+	}
+	for instance, removed := range t.tombstones {
+		if removed.deregistered {
+			deregistered := Upstream{Instance: instance, State: Deregistered}
+			all = append(all, UpstreamReport{Upstream: deregistered})
+		}
+	}
+	return all
+}
+
+// isLeased says whether the live lease of an upstream's sidecar includes it.
+func (t *Table) isLeased(now time.Duration, e *entry) bool {
+	l := t.leases[e.Node]
+	return l != nil && l.isLive(now) && l.Upstream != nil && l.Upstream.Instance == e.Instance
+}
+
+// at gives the upstream with its warm-up counted from now.
+func (e *entry) at(now time.Duration) Upstream {
+	up := e.Upstream
+	up.WarmupRemaining = remainingSeconds(e.warmupEnd, now)
+	return up
+}
