--- a/internal/mesh/api/api_test.go
+++ b/internal/mesh/api/api_test.go
@@ -13,6 +13,7 @@
 	"caperarch/internal/mesh/errs"
 	"caperarch/internal/mesh/registry"
 	"caperarch/internal/mesh/rpc"
+	"caperarch/meshapi"
 )
 
 // register keeps what it was told, and answers with its error.
@@ -38,9 +39,9 @@
 	came []string
 }
 
-func (o *operator) Change(_ *http.Request, whole bool, body []byte) (*ChangeResponse, error) {
+func (o *operator) Change(_ *http.Request, whole bool, body []byte) (*meshapi.ChangeResponse, error) {
 	o.came = append(o.came, map[bool]string{true: "whole ", false: "part "}[whole]+string(body))
-	return &ChangeResponse{ConfigVersion: 7}, o.err
+	return &meshapi.ChangeResponse{ConfigVersion: 7}, o.err
 }
 
 func (o *operator) Describe(*http.Request) (*json.RawMessage, error) {
--- a/internal/mesh/api/forward.go
+++ b/internal/mesh/api/forward.go
@@ -11,6 +11,7 @@
 	"caperarch/internal/mesh/config"
 	"caperarch/internal/mesh/errs"
 	"caperarch/internal/mesh/rpc"
+	"caperarch/meshapi"
 )
 
 const (
@@ -35,18 +36,18 @@
 }
 
 // Change passes a change on. A body that can't be read is refused here.
-func (f Forwarder) Change(r *http.Request, whole bool, body []byte) (*ChangeResponse, error) {
+func (f Forwarder) Change(r *http.Request, whole bool, body []byte) (*meshapi.ChangeResponse, error) {
 	version, err := config.ParseVersion(body)
 	if err != nil {
 		return nil, err
 	}
-	path := updatePath
+	path := meshapi.UpdatePath
 	if whole {
-		path = replacePath
+		path = meshapi.ReplacePath
 	}
 	longer := time.Duration(len(body)) * bodyTime
-	return forward(r.Context(), f.To(), longer, func(ctx context.Context, address string) (*ChangeResponse, error) {
-		taken, err := rpc.Post[ChangeResponse](ctx, f.Client, "http://"+address+path, body)
+	return forward(r.Context(), f.To(), longer, func(ctx context.Context, address string) (*meshapi.ChangeResponse, error) {
+		taken, err := rpc.Post[meshapi.ChangeResponse](ctx, f.Client, "http://"+address+path, body)
 		return CheckForwarded(version, taken, err)
 	})
 }
@@ -54,7 +55,7 @@
 // Describe passes a reading on.
 func (f Forwarder) Describe(r *http.Request) (*json.RawMessage, error) {
 	return forward(r.Context(), f.To(), 0, func(ctx context.Context, address string) (*json.RawMessage, error) {
-		return FetchDocument(ctx, f.Client, "http://"+address+describePath)
+		return FetchDocument(ctx, f.Client, "http://"+address+meshapi.DescribePath)
 	})
 }
 
--- a/internal/mesh/api/operators.go
+++ b/internal/mesh/api/operators.go
@@ -8,47 +8,37 @@
 	"caperarch/internal/mesh/config"
 	"caperarch/internal/mesh/errs"
 	"caperarch/internal/mesh/rpc"
+	"caperarch/meshapi"
 )
 
 // MaxChangeBytes bounds a configuration's body: what the log takes as one command, with some room for
 // what is written round it. 10,000 routes are some 3 MiB.
 const MaxChangeBytes = 7 << 20
 
-const (
-	replacePath  = "/api/configuration/replace"
-	updatePath   = "/api/configuration/update"
-	describePath = "/api/configuration/describe"
-)
-
 // OperatorHandler settles what operators ask.
 type OperatorHandler interface {
 	// Change takes a whole configuration, or a change of named items, as it came; it returns the
 	// version that is in force with it.
-	Change(r *http.Request, whole bool, body []byte) (*ChangeResponse, error)
+	Change(r *http.Request, whole bool, body []byte) (*meshapi.ChangeResponse, error)
 	// Describe is the configuration in force, no older than any that was acknowledged before.
 	Describe(r *http.Request) (*json.RawMessage, error)
 }
 
-// ChangeResponse is the answer to a change.
-type ChangeResponse struct {
-	ConfigVersion int64 `json:"configVersion"`
-}
-
 // RegisterOperatorRoutes serves what operators call.
 func RegisterOperatorRoutes(mux *http.ServeMux, to OperatorHandler) {
-	for path, whole := range map[string]bool{replacePath: true, updatePath: false} {
-		rpc.HandleRaw(mux, "POST "+path, MaxChangeBytes, func(r *http.Request, body []byte) (*ChangeResponse, error) {
+	for path, whole := range map[string]bool{meshapi.ReplacePath: true, meshapi.UpdatePath: false} {
+		rpc.HandleRaw(mux, "POST "+path, MaxChangeBytes, func(r *http.Request, body []byte) (*meshapi.ChangeResponse, error) {
 			return to.Change(r, whole, body)
 		})
 	}
-	rpc.HandleGet(mux, describePath, to.Describe)
+	rpc.HandleGet(mux, meshapi.DescribePath, to.Describe)
 }
 
 // CheckForwarded gives what an operator is told of the answer that another machine gave to an order whose
 // body was read whole here. Only an answer that names the order's version says that it was taken, and
 // only a verdict on the order refuses it: an address may have passed to a process that knows nothing
 // of orders, and a body may be cut short on its way. All else is no clear answer.
-func CheckForwarded(version int64, taken *ChangeResponse, err error) (*ChangeResponse, error) {
+func CheckForwarded(version int64, taken *meshapi.ChangeResponse, err error) (*meshapi.ChangeResponse, error) {
 	switch {
 	case err == nil && version > 0 && taken.ConfigVersion == version:
 		return taken, nil
--- a/internal/mesh/api/upstreams.go
+++ b/internal/mesh/api/upstreams.go
@@ -9,40 +9,14 @@
 	"caperarch/internal/mesh/errs"
 	"caperarch/internal/mesh/registry"
 	"caperarch/internal/mesh/rpc"
+	"caperarch/meshapi"
 )
 
 // beatLimit bounds a heartbeat's body.
 const beatLimit = 16 << 10
 
-// HeartbeatRequest is a heartbeat's body.
-type HeartbeatRequest struct {
-	Address  string   `json:"address"`
-	NodeInfo NodeInfo `json:"nodeInfo"`
-	Status   Status   `json:"status"`
-}
-
-// NodeInfo is what stays the same for an instance's life.
-type NodeInfo struct {
-	ServiceName   string `json:"serviceName"`
-	ConfigVersion string `json:"configVersion"` // of its software
-	Zone          string `json:"zone"`
-	CapacitySlots int    `json:"capacitySlots"`
-}
-
-// Status is how it fares.
-type Status struct {
-	State            string  `json:"state"` // ready or draining
-	CallSequence     int64   `json:"callSequence"`
-	WarmupRemainingS float64 `json:"warmupRemainingS"`
-}
-
-// HeartbeatResponse is the answer to a heartbeat. Beats go on to where they came.
-type HeartbeatResponse struct {
-	HeartbeatEndpoint string `json:"heartbeatEndpoint,omitempty"`
-}
-
-// Upstream is what a beat says of an instance.
-func (b *HeartbeatRequest) Upstream(instance string) (registry.Upstream, error) {
+// upstreamOf is what a heartbeat says of an instance.
+func upstreamOf(instance string, b *meshapi.HeartbeatRequest) (registry.Upstream, error) {
 	u := registry.Upstream{
 		Instance:        instance,
 		Service:         b.NodeInfo.ServiceName,
@@ -54,9 +28,9 @@
 		Sequence:        b.Status.CallSequence,
 	}
 	switch b.Status.State {
-	case "ready":
+	case meshapi.StateReady:
 		u.State = registry.Ready
-	case "draining":
+	case meshapi.StateDraining:
 		u.State = registry.Draining
 	default:
 		return u, errs.New(errs.Invalid, "status.state: %.32q is neither ready nor draining", b.Status.State)
@@ -77,14 +51,16 @@
 
 // RegisterUpstreamRoutes serves what upstreams call.
 func RegisterUpstreamRoutes(mux *http.ServeMux, to UpstreamHandler) {
-	rpc.Handle(mux, "POST /api/instances/{id}/heartbeat", beatLimit, func(r *http.Request, b *HeartbeatRequest) (*HeartbeatResponse, error) {
-		u, err := b.Upstream(r.PathValue("id"))
+	heartbeat := func(r *http.Request, b *meshapi.HeartbeatRequest) (*meshapi.HeartbeatResponse, error) {
+		u, err := upstreamOf(r.PathValue("id"), b)
 		if err != nil {
 			return nil, err
 		}
-		return &HeartbeatResponse{}, to.Heartbeat(u)
-	})
-	rpc.HandleRaw(mux, "POST /api/instances/{id}/deregister", beatLimit, func(r *http.Request, _ []byte) (*HeartbeatResponse, error) {
-		return &HeartbeatResponse{}, to.Deregister(r.PathValue("id"))
-	})
+		return &meshapi.HeartbeatResponse{}, to.Heartbeat(u)
+	}
+	deregister := func(r *http.Request, _ []byte) (*meshapi.HeartbeatResponse, error) {
+		return &meshapi.HeartbeatResponse{}, to.Deregister(r.PathValue("id"))
+	}
+	rpc.Handle(mux, "POST "+meshapi.HeartbeatPattern, beatLimit, heartbeat)
+	rpc.HandleRaw(mux, "POST "+meshapi.DeregisterPattern, beatLimit, deregister)
 }
--- a/internal/mesh/controlplane/membership_test.go
+++ b/internal/mesh/controlplane/membership_test.go
@@ -14,7 +14,6 @@
 	. "github.com/smartystreets/goconvey/convey"
 	"go.uber.org/zap"
 
-	"caperarch/internal/mesh/api"
 	"caperarch/internal/mesh/rpc"
 	"caperarch/internal/mesh/settings"
 	"caperarch/meshapi"
@@ -136,7 +135,7 @@
 	s.until(fmt.Sprintf("version %d", version), func() bool {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
-		taken, err := rpc.Post[api.ChangeResponse](ctx, s.client, s.url(n, "/api/configuration/replace"), body)
+		taken, err := rpc.Post[meshapi.ChangeResponse](ctx, s.client, s.url(n, "/api/configuration/replace"), body)
 		return err == nil && taken.ConfigVersion == version
 	})
 }
--- a/internal/mesh/controlplane/orders.go
+++ b/internal/mesh/controlplane/orders.go
@@ -11,6 +11,7 @@
 	"caperarch/internal/mesh/config"
 	"caperarch/internal/mesh/errs"
 	"caperarch/internal/mesh/rpc"
+	"caperarch/meshapi"
 
 	"go.uber.org/zap"
 )
@@ -31,7 +32,7 @@
 // serveOrders serves what other core machines pass on to the leader.
 func (s *Server) serveOrders(mux *http.ServeMux) {
 	for _, whole := range []bool{true, false} {
-		rpc.HandleRaw(mux, proposeAt(whole), api.MaxChangeBytes, func(r *http.Request, body []byte) (*api.ChangeResponse, error) {
+		rpc.HandleRaw(mux, proposeAt(whole), api.MaxChangeBytes, func(r *http.Request, body []byte) (*meshapi.ChangeResponse, error) {
 			change, err := read(whole, body)
 			if err != nil {
 				return nil, err
@@ -46,7 +47,7 @@
 
 // Change takes an operator's change. Only what the body alone shows to be wrong is refused here, which
 // no order was that has been taken. All else is judged by the state machine, in the log's order.
-func (s *Server) Change(r *http.Request, whole bool, body []byte) (*api.ChangeResponse, error) {
+func (s *Server) Change(r *http.Request, whole bool, body []byte) (*meshapi.ChangeResponse, error) {
 	change, err := read(whole, body)
 	if err != nil {
 		return nil, err
@@ -60,7 +61,7 @@
 	case s.set.OwnInternalAddress():
 		return s.propose(ctx, change)
 	}
-	taken, err := rpc.Post[api.ChangeResponse](ctx, s.client, "http://"+leader+proposeAt(whole), body)
+	taken, err := rpc.Post[meshapi.ChangeResponse](ctx, s.client, "http://"+leader+proposeAt(whole), body)
 	return api.CheckForwarded(change.Version(), taken, err)
 }
 
@@ -82,7 +83,7 @@
 // propose puts a change into the log and waits until the state machine here has judged it, and, for a
 // while, until sidecars have it. It answers with a verdict only once the command is committed, so no
 // verdict, 200 and 412 alike, rests on an entry that may be lost.
-func (s *Server) propose(ctx context.Context, change *config.Change) (*api.ChangeResponse, error) {
+func (s *Server) propose(ctx context.Context, change *config.Change) (*meshapi.ChangeResponse, error) {
 	node := s.node.Load()
 	if node == nil {
 		return nil, errs.New(errs.NotLeader, "no log is held here")
@@ -102,7 +103,7 @@
 	if behind := s.hub.WaitApplied(within, version); behind > 0 {
 		s.log.Info("acknowledged before all have it", zap.Int64("version", version), zap.Int("behind", behind))
 	}
-	return &api.ChangeResponse{ConfigVersion: version}, nil
+	return &meshapi.ChangeResponse{ConfigVersion: version}, nil
 }
 
 // Describe is the configuration, as the leader has it once it knows that no other member leads.
--- a/meshclient/configuration.go
+++ b/meshclient/configuration.go
@@ -5,6 +5,8 @@
 	"encoding/json"
 	"errors"
 	"net/http"
+
+	"caperarch/meshapi"
 )
 
 // The types of resources.
@@ -80,16 +82,12 @@
 	Limits   []string `json:"limits,omitempty"`
 }
 
-type taken struct {
-	ConfigVersion int64 `json:"configVersion"`
-}
-
 // Replace puts a whole configuration in force and gives its version. It is Stale unless its BaseVersion is in place.
 func (c *Client) Replace(ctx context.Context, d Document) (version int64, err error) {
 	if d.Resources == nil {
 		d.Resources = []Resource{} // the list must be there
 	}
-	return c.put(ctx, "/api/configuration/replace", d)
+	return c.put(ctx, meshapi.ReplacePath, d)
 }
 
 // Update puts a change in force and gives its version. It is Stale unless its BaseVersion is in place.
@@ -97,7 +95,7 @@
 	if change.Upsert.Resources == nil {
 		change.Upsert.Resources = []Resource{}
 	}
-	return c.put(ctx, "/api/configuration/update", change)
+	return c.put(ctx, meshapi.UpdatePath, change)
 }
 
 func (c *Client) put(ctx context.Context, path string, body any) (int64, error) {
@@ -105,7 +103,7 @@
 	if err != nil {
 		return 0, &Error{Kind: InvalidUsage, Message: "the change can't be written: " + err.Error(), cause: err}
 	}
-	a, err := call[taken](ctx, c, http.MethodPost, path, text)
+	a, err := call[meshapi.ChangeResponse](ctx, c, http.MethodPost, path, text)
 	if err != nil {
 		return 0, err
 	}
@@ -139,5 +137,5 @@
 // Describe gives the configuration in force, no older than any change that was acknowledged before the call. Before the
 // first one its version is 0.
 func (c *Client) Describe(ctx context.Context) (*Document, error) {
-	return call[Document](ctx, c, http.MethodGet, "/api/configuration/describe", nil)
+	return call[Document](ctx, c, http.MethodGet, meshapi.DescribePath, nil)
 }
--- a/meshclient/golden_test.go
+++ b/meshclient/golden_test.go
@@ -10,6 +10,4 @@
 func TestMessagesOnTheWire(t *testing.T) {
 	goldentest.CheckJSON[Document](t, "document")
 	goldentest.CheckJSON[Change](t, "change")
-	goldentest.CheckJSON[taken](t, "change_answer")
-	goldentest.CheckJSON[beat](t, "heartbeat")
 }
--- a/meshclient/heartbeats.go
+++ b/meshclient/heartbeats.go
@@ -4,11 +4,12 @@
 	"context"
 	"encoding/json"
 	"net/http"
-	"net/url"
 	"sync"
 	"time"
 
 	"github.com/rotisserie/eris"
+
+	"caperarch/meshapi"
 )
 
 const (
@@ -64,25 +65,6 @@
 	told     bool   // the leaving is acknowledged
 }
 
-type beat struct {
-	Address  string   `json:"address"`
-	NodeInfo nodeInfo `json:"nodeInfo"`
-	Status   status   `json:"status"`
-}
-
-type nodeInfo struct {
-	ServiceName   string `json:"serviceName"`
-	ConfigVersion string `json:"configVersion"`
-	Zone          string `json:"zone"`
-	CapacitySlots int    `json:"capacitySlots"`
-}
-
-type status struct {
-	State            string  `json:"state"`
-	CallSequence     int64   `json:"callSequence"`
-	WarmupRemainingS float64 `json:"warmupRemainingS"`
-}
-
 func (b *Heartbeats) start() {
 	b.begun = time.Now()
 	b.poke, b.acked, b.ended = make(chan struct{}, 1), make(chan struct{}), make(chan struct{})
@@ -129,16 +111,26 @@
 	default:
 	}
 	b.mu.Unlock()
-	state := "ready"
+	state := meshapi.StateReady
 	if draining {
-		state = "draining"
+		state = meshapi.StateDraining
 	}
 	b.sequence++
 	in := b.Instance
 	// A struct of texts and finite numbers always encodes.
-	body, _ := json.Marshal(beat{
-		Address: in.Address, NodeInfo: nodeInfo{in.Service, in.Version, in.Zone, in.Slots},
-		Status: status{state, b.sequence, max(0, in.Warmup-time.Since(b.begun)).Seconds()},
+	body, _ := json.Marshal(meshapi.HeartbeatRequest{
+		Address: in.Address,
+		NodeInfo: meshapi.InstanceInfo{
+			ServiceName:   in.Service,
+			ConfigVersion: in.Version,
+			Zone:          in.Zone,
+			CapacitySlots: in.Slots,
+		},
+		Status: meshapi.InstanceStatus{
+			State:            state,
+			CallSequence:     b.sequence,
+			WarmupRemainingS: max(0, in.Warmup-time.Since(b.begun)).Seconds(),
+		},
 	})
 	address := b.endpoint
 	if address == "" {
@@ -146,7 +138,7 @@
 	}
 	within, cancel := context.WithTimeout(ctx, beatTime)
 	defer cancel()
-	answer, t := attempt(within, b.Client.http, address, http.MethodPost, b.path("heartbeat"), body, beatLimit)
+	answer, t := attempt(within, b.Client.http, address, http.MethodPost, meshapi.InstancePath(meshapi.HeartbeatPattern, in.ID), body, beatLimit)
 	if t != nil {
 		if t.err.Kind == 0 {
 			if t.err.Kind = Unreachable; t.sent {
@@ -160,9 +152,7 @@
 		}
 		return t
 	}
-	var said struct {
-		HeartbeatEndpoint string `json:"heartbeatEndpoint"`
-	}
+	var said meshapi.HeartbeatResponse
 	// A 2xx acknowledges whatever its body is.
 	if json.Unmarshal(answer, &said) == nil && said.HeartbeatEndpoint != "" {
 		b.endpoint = said.HeartbeatEndpoint
@@ -208,10 +198,6 @@
 		close(b.ended)
 	}
 	b.mu.Unlock()
-	_, err := call[json.RawMessage](ctx, b.Client, http.MethodPost, b.path("deregister"), []byte("{}"))
+	_, err := call[json.RawMessage](ctx, b.Client, http.MethodPost, meshapi.InstancePath(meshapi.DeregisterPattern, b.Instance.ID), []byte("{}"))
 	return err
 }
-
-func (b *Heartbeats) path(what string) string {
-	return "/api/instances/" + url.PathEscape(b.Instance.ID) + "/" + what
-}
--- a/meshclient/meshclient_test.go
+++ b/meshclient/meshclient_test.go
@@ -15,6 +15,8 @@
 	"time"
 
 	. "github.com/smartystreets/goconvey/convey"
+
+	"caperarch/meshapi"
 )
 
 // step is what a machine answers to one call; status 0: nothing, ever, and -1: no connection comes up.
@@ -196,7 +198,7 @@
 				host, path, _ := strings.Cut(call, ":1 ")
 				hosts += host
 				c.So(path, ShouldEqual, "/api/instances/i/1/heartbeat")
-				var said beat
+				var said meshapi.HeartbeatRequest
 				c.So(json.Unmarshal([]byte(s.sent[i]), &said), ShouldBeNil)
 				c.So(said.Status.CallSequence, ShouldEqual, i+1)
 				state, warmup := "ready", max(0, 3-s.at[i].Seconds())
