--- a/internal/mesh/config/change.go
+++ b/internal/mesh/config/change.go
@@ -21,13 +21,13 @@
 // Change is one operator's order, read and checked as far as it can be without knowing the snapshot
 // that it builds on. It is immutable.
 type Change struct {
-	form    string
-	body    []byte
-	digest  digest
-	version int64
-	base    int64
-	items   []*item
-	removed []id
+	form      string
+	body      []byte
+	digest    digest
+	version   int64
+	base      int64
+	resources []*resource
+	removed   []resourceID
 }
 
 // Version is the configVersion that the change puts in place.
@@ -92,13 +92,13 @@
 }
 
 // whole is the body of a replace, and the layout of the document.
-type whole struct {
+type replaceBody struct {
 	versions
 	Resources *[]json.RawMessage `json:"resources"`
 }
 
 // partial is the body of an update.
-type partial struct {
+type updateBody struct {
 	versions
 	Upsert struct {
 		Resources []json.RawMessage `json:"resources"`
@@ -114,8 +114,8 @@
 // ParseReplace reads the body of a call that puts a whole configuration. What is cut short or is no
 // JSON is Malformed; what the schemas don't allow is Invalid. The body isn't kept.
 func ParseReplace(body []byte) (*Change, error) {
-	var w whole
-	c, err := readBody(formReplace, body, &w)
+	var w replaceBody
+	c, err := parseBody(formReplace, body, &w)
 	if err != nil {
 		return nil, err
 	}
@@ -127,26 +127,26 @@
 
 // ParseUpdate reads the body of a call that changes named items, under the terms of ReadReplace.
 func ParseUpdate(body []byte) (*Change, error) {
-	var p partial
-	c, err := readBody(formUpdate, body, &p)
+	var p updateBody
+	c, err := parseBody(formUpdate, body, &p)
 	if err != nil {
 		return nil, err
 	}
-	c.remove(routes, p.Remove.Routes)
-	c.remove(services, p.Remove.Services)
-	c.remove(tenants, p.Remove.Tenants)
-	c.remove(limits, p.Remove.Limits)
+	c.remove(kindRoutes, p.Remove.Routes)
+	c.remove(kindServices, p.Remove.Services)
+	c.remove(kindTenants, p.Remove.Tenants)
+	c.remove(kindLimits, p.Remove.Limits)
 	return c.fill(p.versions, p.Upsert.Resources)
 }
 
 func (c *Change) remove(k kind, names []string) {
 	for _, name := range names {
-		c.removed = append(c.removed, id{k, name})
+		c.removed = append(c.removed, resourceID{k, name})
 	}
 }
 
-// readBody reads a body into a value and begins its change with the canonical body and its digest.
-func readBody(form string, body []byte, into any) (*Change, error) {
+// parseBody reads a body into a value and begins its change with the canonical body and its digest.
+func parseBody(form string, body []byte, into any) (*Change, error) {
 	canonical, err := canonical(body)
 	if err != nil {
 		return nil, err
@@ -171,10 +171,10 @@
 			*v.ConfigVersion, v.BaseVersion, int64(maxVersion))
 	}
 	c.version, c.base = *v.ConfigVersion, v.BaseVersion
-	c.items = make([]*item, 0, len(raws))
-	seen := make(map[id]bool, len(raws))
+	c.resources = make([]*resource, 0, len(raws))
+	seen := make(map[resourceID]bool, len(raws))
 	for i, raw := range raws {
-		it, err := readItem(i, raw)
+		it, err := parseResource(i, raw)
 		if err != nil {
 			return nil, err
 		}
@@ -182,7 +182,7 @@
 			return nil, errs.New(errs.Invalid, "%s %q stands twice in the list", it.kind, it.name)
 		}
 		seen[it.id()] = true
-		c.items = append(c.items, it)
+		c.resources = append(c.resources, it)
 	}
 	return c, nil
 }
--- a/internal/mesh/config/fuzz_test.go
+++ b/internal/mesh/config/fuzz_test.go
@@ -19,7 +19,7 @@
 	if err != nil || passedOn.digest != change.digest || passedOn.Version() != change.Version() || passedOn.Base() != change.Base() {
 		t.Fatalf("%q is another change on its way: %v", change.Encode(), err)
 	}
-	next, outcome, _ := (&Snapshot{version: change.base, table: Empty().table, orders: orderRecord{forgotten: change.base}}).Apply(change)
+	next, outcome, _ := (&Snapshot{version: change.base, table: Empty().table, requests: requestLog{forgottenUpTo: change.base}}).Apply(change)
 	if outcome != Applied {
 		return
 	}
--- a/internal/mesh/config/orders_test.go
+++ b/internal/mesh/config/requests_test.go
@@ -83,17 +83,17 @@
 			So([]any{outcome, errs.KindOf(err)}, ShouldResemble, []any{Rejected, errs.Stale})
 			next, outcome, _ := put(held, strings.Replace(order(9, 7), "}", `,"note":1}`, 1))
 			So(outcome, ShouldEqual, Applied) // another order under its number
-			So(next.orders.refusedAhead, ShouldBeEmpty)
+			So(next.requests.rejectedAhead, ShouldBeEmpty)
 		}
 	})
 	Convey("Where no more can be remembered there is no clear refusal, and what is remembered stays so", t, func() {
 		c := Empty()
-		for i := range int64(maxRefusedAhead) {
-			c, _, _ = put(c, order(2*maxRefusedAhead, 1+i))
+		for i := range int64(maxRejectedAhead) {
+			c, _, _ = put(c, order(2*maxRejectedAhead, 1+i))
 		}
-		full, outcome, err := put(c, order(2*maxRefusedAhead, maxRefusedAhead+1))
+		full, outcome, err := put(c, order(2*maxRejectedAhead, maxRejectedAhead+1))
 		So([]any{outcome, errs.KindOf(err), full}, ShouldResemble, []any{Undetermined, errs.Undetermined, c})
-		_, outcome, err = put(c, order(2*maxRefusedAhead, 5))
+		_, outcome, err = put(c, order(2*maxRejectedAhead, 5))
 		So([]any{outcome, errs.KindOf(err)}, ShouldResemble, []any{Rejected, errs.Stale})
 	})
 }
--- a/internal/mesh/config/schema.go
+++ b/internal/mesh/config/schema.go
@@ -26,58 +26,58 @@
 type kind string
 
 const (
-	routes   kind = "routes"
-	services kind = "services"
-	tenants  kind = "tenants"
-	limits   kind = "limits"
+	kindRoutes   kind = "routes"
+	kindServices kind = "services"
+	kindTenants  kind = "tenants"
+	kindLimits   kind = "limits"
 )
 
 // id names an item: no snapshot holds two items with one id.
-type id struct {
+type resourceID struct {
 	kind kind
 	name string
 }
 
 // item is one entry of the resources, as it was sent and as it is meant. It is immutable.
-type item struct {
-	kind    kind
-	name    string
-	raw     json.RawMessage
-	meaning any // *Route, *Service, *Tenant or *Limits, by the kind
+type resource struct {
+	kind   kind
+	name   string
+	raw    json.RawMessage
+	parsed any // *Route, *Service, *Tenant or *Limits, by the kind
 }
 
 // id gives the item's id. A snapshot has one set of limits, whatever name it bears.
-func (it *item) id() id {
-	if it.kind == limits {
-		return id{kind: limits}
+func (it *resource) id() resourceID {
+	if it.kind == kindLimits {
+		return resourceID{kind: kindLimits}
 	}
-	return id{it.kind, it.name}
+	return resourceID{it.kind, it.name}
 }
 
 // specification is an item's specification as it is sent, with its schema.
 type specification interface {
 	validation.Validatable
 	// meaning turns a valid specification into what the item means.
-	meaning(name string) any
+	parsed(name string) any
 }
 
 // schema gives an empty specification of a kind, or nil for a kind there isn't.
 func schema(k kind) specification {
 	switch k {
-	case routes:
+	case kindRoutes:
 		return new(routeSpecification)
-	case services:
+	case kindServices:
 		return new(serviceSpecification)
-	case tenants:
+	case kindTenants:
 		return new(tenantSpecification)
-	case limits:
+	case kindLimits:
 		return new(limitsSpecification)
 	}
 	return nil
 }
 
-// readItem reads an entry of the resources and checks it against the schema of its kind.
-func readItem(position int, raw json.RawMessage) (*item, error) {
+// parseResource reads an entry of the resources and checks it against the schema of its kind.
+func parseResource(position int, raw json.RawMessage) (*resource, error) {
 	var head struct {
 		ResourceType kind `json:"resourceType"`
 		Metadata     struct {
@@ -88,12 +88,12 @@
 	if err := unmarshal(raw, &head); err != nil {
 		return nil, errs.Wrap(err, errs.KindOf(err), "resource %d (%s %q)", position, head.ResourceType, head.Metadata.Name)
 	}
-	it := &item{kind: head.ResourceType, name: head.Metadata.Name, raw: raw}
+	it := &resource{kind: head.ResourceType, name: head.Metadata.Name, raw: raw}
 	spec := schema(it.kind)
 	switch {
 	case spec == nil:
 		return nil, errs.New(errs.Invalid, "resource %d (%q): there is no resourceType %q", position, it.name, it.kind)
-	case it.name == "" && it.kind != limits:
+	case it.name == "" && it.kind != kindLimits:
 		return nil, errs.New(errs.Invalid, "resource %d (%s): the name is missing", position, it.kind)
 	case strings.ContainsFunc(it.name, unicode.IsControl):
 		return nil, errs.New(errs.Invalid, "%s %q: the name holds a control character", it.kind, it.name)
@@ -106,7 +106,7 @@
 	if err := spec.Validate(); err != nil {
 		return nil, errs.New(errs.Invalid, "%s %q: %v", it.kind, it.name, err)
 	}
-	it.meaning = spec.meaning(it.name)
+	it.parsed = spec.parsed(it.name)
 	return it, nil
 }
 
@@ -144,8 +144,8 @@
 // Validate says what is wrong with a route, other services and routes apart.
 func (s *routeSpecification) Validate() error {
 	if err := validation.ValidateStruct(s,
-		validation.Field(&s.Hostname, validation.Required, validation.By(namesHost)),
-		validation.Field(&s.PathPrefix, validation.Required, validation.By(beginsWithSlash)),
+		validation.Field(&s.Hostname, validation.Required, validation.By(hasHostName)),
+		validation.Field(&s.PathPrefix, validation.Required, validation.By(startsWithSlash)),
 		validation.Field(&s.RouteType, validation.Required, validation.In(idempotent, nonIdempotent)),
 		validation.Field(&s.TimeoutS, validation.NotNil, validation.Min(0.0), validation.Max(MaxTimeoutS)),
 		validation.Field(&s.TargetLatencyS, validation.Min(0.0)),
@@ -171,24 +171,24 @@
 	return nil
 }
 
-func namesHost(value any) error {
-	if len(appendHost(nil, value.(string))) == 0 {
+func hasHostName(value any) error {
+	if len(appendNormalizedHost(nil, value.(string))) == 0 {
 		return errors.New("names no host")
 	}
 	return nil
 }
 
-func beginsWithSlash(value any) error {
+func startsWithSlash(value any) error {
 	if !strings.HasPrefix(value.(string), "/") {
 		return errors.New("must begin with a slash")
 	}
 	return nil
 }
 
-func (s *routeSpecification) meaning(name string) any {
+func (s *routeSpecification) parsed(name string) any {
 	r := &Route{
 		Name:          name,
-		Host:          string(appendHost(nil, s.Hostname)),
+		Host:          string(appendNormalizedHost(nil, s.Hostname)),
 		Prefix:        s.PathPrefix,
 		Idempotent:    s.RouteType == idempotent,
 		Timeout:       seconds(*s.TimeoutS),
@@ -222,12 +222,12 @@
 // Validate says what is wrong with a service.
 func (s *serviceSpecification) Validate() error {
 	return validation.ValidateStruct(s,
-		validation.Field(&s.HealthCheckPath, validation.When(s.HealthCheckPath != "", validation.By(beginsWithSlash))),
+		validation.Field(&s.HealthCheckPath, validation.When(s.HealthCheckPath != "", validation.By(startsWithSlash))),
 		validation.Field(&s.MaxConnections, validation.Min(0)),
 	)
 }
 
-func (s *serviceSpecification) meaning(name string) any {
+func (s *serviceSpecification) parsed(name string) any {
 	return &Service{Name: name, HealthPath: s.HealthCheckPath, MaxConnections: s.MaxConnections}
 }
 
@@ -249,7 +249,7 @@
 	)
 }
 
-func (s *tenantSpecification) meaning(name string) any {
+func (s *tenantSpecification) parsed(name string) any {
 	t := &Tenant{Name: name, Priority: NoPriority, RatePerS: s.RatePerS, Burst: s.BurstLimit, keys: s.APIKeys}
 	if s.Priority != nil {
 		t.Priority = *s.Priority
@@ -275,7 +275,7 @@
 }
 
 // meaning puts the default in place of every limit that is 0 or left out.
-func (s *limitsSpecification) meaning(string) any {
+func (s *limitsSpecification) parsed(string) any {
 	l := defaultLimits
 	if s.MaxHeaderBytes > 0 {
 		l.HeaderBytes = s.MaxHeaderBytes
--- a/internal/mesh/config/snapshot.go
+++ b/internal/mesh/config/snapshot.go
@@ -14,14 +14,14 @@
 
 // Snapshot is one version of the configuration. It is immutable and safe for concurrent use.
 type Snapshot struct {
-	version int64
-	base    int64
-	items   []*item // in the document's order; their ids differ
-	orders  orderRecord
-	table   *table
+	version   int64
+	base      int64
+	resources []*resource // in the document's order; their ids differ
+	requests  requestLog
+	table     *routingTable
 }
 
-var empty = &Snapshot{table: &table{limits: defaultLimits}}
+var empty = &Snapshot{table: &routingTable{limits: defaultLimits}}
 
 // Empty gives the snapshot of version 0, which holds nothing.
 func Empty() *Snapshot { return empty }
@@ -52,42 +52,42 @@
 // returned: a refused change may stand in its record of orders.
 func (s *Snapshot) Apply(change *Change) (*Snapshot, Outcome, error) {
 	switch {
-	case s.orders.hasApplied(change):
+	case s.requests.hasApplied(change):
 		return s, Duplicate, nil
-	case s.orders.mayHaveApplied(change):
-		return s, Undetermined, errs.New(errs.Undetermined, "orders up to version %d are no longer remembered", s.orders.forgotten)
+	case s.requests.mayHaveApplied(change):
+		return s, Undetermined, errs.New(errs.Undetermined, "orders up to version %d are no longer remembered", s.requests.forgottenUpTo)
 	case change.base > s.version:
-		return s.refuseAhead(change)
+		return s.rejectAhead(change)
 	case change.base < s.version:
 		return s, Rejected, s.stale(change)
-	case s.orders.hasRefused(change):
+	case s.requests.hasRejected(change):
 		return s, Rejected, errs.New(errs.Stale, "version %d was refused before version %d came", change.version, change.base)
 	case change.version <= s.version:
 		return s, Rejected, errs.New(errs.Invalid, "configVersion: %d is not above %d, which is in place", change.version, s.version)
 	}
 	items := s.merge(change)
-	table, err := newTable(items)
+	table, err := newRoutingTable(items)
 	if err != nil {
 		return s, Rejected, err
 	}
 	return &Snapshot{
-		version: change.version,
-		base:    change.base,
-		items:   items,
-		orders:  s.orders.withApplied(change),
-		table:   table,
+		version:   change.version,
+		base:      change.base,
+		resources: items,
+		requests:  s.requests.withApplied(change),
+		table:     table,
 	}, Applied, nil
 }
 
-// refuseAhead refuses a change whose base may still come, and remembers it, so that a copy of the
+// rejectAhead refuses a change whose base may still come, and remembers it, so that a copy of the
 // order that arrives after its base is refused too. Where it can't be remembered it is Unsettled.
-func (s *Snapshot) refuseAhead(change *Change) (*Snapshot, Outcome, error) {
-	orders, ok := s.orders.withRefused(change)
+func (s *Snapshot) rejectAhead(change *Change) (*Snapshot, Outcome, error) {
+	orders, ok := s.requests.withRejected(change)
 	if !ok {
 		return s, Undetermined, errs.New(errs.Undetermined, "version %d builds on %d, which has not come", change.version, change.base)
 	}
 	next := *s
-	next.orders = orders
+	next.requests = orders
 	return &next, Rejected, s.stale(change)
 }
 
@@ -98,37 +98,37 @@
 // merge gives the items after a change. Items that are sent as they stand stay the same ones. An
 // update's upserts take the place of the items they replace or go to the end; its removals come
 // after its upserts, and removing what isn't there changes nothing.
-func (s *Snapshot) merge(change *Change) []*item {
-	at := make(map[id]int, len(s.items))
-	for i, it := range s.items {
+func (s *Snapshot) merge(change *Change) []*resource {
+	at := make(map[resourceID]int, len(s.resources))
+	for i, it := range s.resources {
 		at[it.id()] = i
 	}
-	keep := func(sent *item) *item {
-		if i, ok := at[sent.id()]; ok && bytes.Equal(s.items[i].raw, sent.raw) {
-			return s.items[i]
+	keep := func(sent *resource) *resource {
+		if i, ok := at[sent.id()]; ok && bytes.Equal(s.resources[i].raw, sent.raw) {
+			return s.resources[i]
 		}
 		return sent
 	}
-	var items []*item
+	var items []*resource
 	if change.form == formReplace {
-		for _, sent := range change.items {
+		for _, sent := range change.resources {
 			items = append(items, keep(sent))
 		}
 		return items
 	}
-	items = slices.Clone(s.items)
-	for _, sent := range change.items {
+	items = slices.Clone(s.resources)
+	for _, sent := range change.resources {
 		if i, ok := at[sent.id()]; ok {
 			items[i] = keep(sent)
 		} else {
 			items = append(items, sent)
 		}
 	}
-	removed := make(map[id]bool, len(change.removed))
+	removed := make(map[resourceID]bool, len(change.removed))
 	for _, gone := range change.removed {
 		removed[gone] = true
 	}
-	return slices.DeleteFunc(items, func(it *item) bool { return removed[id{it.kind, it.name}] })
+	return slices.DeleteFunc(items, func(it *resource) bool { return removed[resourceID{it.kind, it.name}] })
 }
 
 // Document gives the whole configuration, laid out as a replace puts it: every item as it was sent,
@@ -136,7 +136,7 @@
 // new ones stand at the end.
 func (s *Snapshot) Document() json.RawMessage {
 	size := len(`{"configVersion":,"baseVersion":,"resources":[]}`) + 2*len("9223372036854775807")
-	for _, it := range s.items {
+	for _, it := range s.resources {
 		size += len(it.raw) + 1
 	}
 	out := append(make([]byte, 0, size), `{"configVersion":`...)
@@ -144,7 +144,7 @@
 	out = append(out, `,"baseVersion":`...)
 	out = strconv.AppendInt(out, s.base, 10)
 	out = append(out, `,"resources":[`...)
-	for i, it := range s.items {
+	for i, it := range s.resources {
 		if i > 0 {
 			out = append(out, ',')
 		}
@@ -155,13 +155,13 @@
 
 // encodedSnapshot is a snapshot as JSON.
 type encodedSnapshot struct {
-	Document json.RawMessage `json:"document"`
-	Orders   *encodedOrders  `json:"orders,omitempty"`
+	Document json.RawMessage    `json:"document"`
+	Orders   *encodedRequestLog `json:"orders,omitempty"`
 }
 
 // Encode gives the snapshot with the orders it remembers as one JSON value, which Decode reads.
 func (s *Snapshot) Encode() ([]byte, error) {
-	out, err := json.Marshal(encodedSnapshot{s.Document(), s.orders.encode()})
+	out, err := json.Marshal(encodedSnapshot{s.Document(), s.requests.encode()})
 	if err != nil {
 		return nil, errs.Wrap(err, errs.Internal, "encode snapshot %d", s.version)
 	}
@@ -179,19 +179,19 @@
 	if err != nil {
 		return nil, err
 	}
-	table, err := newTable(document.items)
+	table, err := newRoutingTable(document.resources)
 	if err != nil {
 		return nil, err
 	}
-	orders, err := decodeOrders(e.Orders, document.version)
+	orders, err := decodeRequestLog(e.Orders, document.version)
 	if err != nil {
 		return nil, err
 	}
 	return &Snapshot{
-		version: document.version,
-		base:    document.base,
-		items:   document.items,
-		orders:  orders,
-		table:   table,
+		version:   document.version,
+		base:      document.base,
+		resources: document.resources,
+		requests:  orders,
+		table:     table,
 	}, nil
 }
--- a/internal/mesh/config/snapshot_test.go
+++ b/internal/mesh/config/snapshot_test.go
@@ -149,7 +149,7 @@
 		for v := 1; v <= maxApplied+1; v++ {
 			c, _, _ = put(c, body(v))
 		}
-		So(c.orders.applied, ShouldHaveLength, maxApplied)
+		So(c.requests.applied, ShouldHaveLength, maxApplied)
 		text, err := c.Encode()
 		So(err, ShouldBeNil)
 		c, err = Decode(text)
@@ -245,9 +245,9 @@
 				if len(document)+len(got.Resources) > 0 && string(want) != string(have) {
 					t.Fatalf("want %s\nhave %s", want, have)
 				}
-				for _, old := range c.items {
-					at := slices.IndexFunc(next.items, func(it *item) bool { return it.id() == old.id() })
-					if at >= 0 && string(next.items[at].raw) == string(old.raw) && next.items[at] != old {
+				for _, old := range c.resources {
+					at := slices.IndexFunc(next.resources, func(it *resource) bool { return it.id() == old.id() })
+					if at >= 0 && string(next.resources[at].raw) == string(old.raw) && next.resources[at] != old {
 						t.Fatal("an unchanged item lost its pointer")
 					}
 				}
@@ -259,7 +259,7 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				if string(decoded.Document()) != string(next.Document()) || !reflect.DeepEqual(decoded.orders, next.orders) || !reflect.DeepEqual(decoded.table, next.table) {
+				if string(decoded.Document()) != string(next.Document()) || !reflect.DeepEqual(decoded.requests, next.requests) || !reflect.DeepEqual(decoded.table, next.table) {
 					t.Fatal("a snapshot differs")
 				}
 				c = next
@@ -273,11 +273,11 @@
 		path := rapid.StringMatching(`/([ab]{0,2}/){0,5}[ab]?`)
 		rapid.Check(t, func(t *rapid.T) {
 			prefixes := rapid.SliceOfNDistinct(path, 0, 20, rapid.ID).Draw(t, "prefixes")
-			var items []*item
+			var items []*resource
 			for _, p := range prefixes {
-				items = append(items, &item{kind: routes, name: p, meaning: &Route{Name: p, Host: "h", Prefix: p}})
+				items = append(items, &resource{kind: kindRoutes, name: p, parsed: &Route{Name: p, Host: "h", Prefix: p}})
 			}
-			table, err := newTable(items)
+			table, err := newRoutingTable(items)
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/mesh/config/table.go
+++ b/internal/mesh/config/table.go
@@ -84,47 +84,47 @@
 
 // entry is a route in the order of a host's prefixes. Enclosing is the position of the longest other
 // prefix of the host that begins this one, or -1.
-type entry struct {
+type hostRoute struct {
 	route     *Route
 	enclosing int32
 }
 
 // table is what the items of a snapshot mean, laid out for look-ups. It is immutable.
-type table struct {
-	hosts    map[string][]entry
-	services map[string]*Service
-	byName   []*Service
-	keys     map[string]*Tenant
-	tenants  []*Tenant
-	limits   Limits
+type routingTable struct {
+	hosts          map[string][]hostRoute
+	services       map[string]*Service
+	servicesByName []*Service
+	tenantByKey    map[string]*Tenant
+	tenants        []*Tenant
+	limits         Limits
 }
 
-// newTable lays out items whose ids differ. What the items mean together must be valid: every
+// newRoutingTable lays out items whose ids differ. What the items mean together must be valid: every
 // service that a route names is there, no two routes have one host and prefix, and no two tenants
 // share a key. The first fault in the order of the items, or of hosts and prefixes, is answered, so
 // that every replica answers the same.
-func newTable(items []*item) (*table, error) {
-	t := &table{
-		hosts:    make(map[string][]entry),
-		services: make(map[string]*Service),
-		keys:     make(map[string]*Tenant),
-		limits:   defaultLimits,
+func newRoutingTable(items []*resource) (*routingTable, error) {
+	t := &routingTable{
+		hosts:       make(map[string][]hostRoute),
+		services:    make(map[string]*Service),
+		tenantByKey: make(map[string]*Tenant),
+		limits:      defaultLimits,
 	}
 	var all []*Route
 	for _, it := range items {
-		switch m := it.meaning.(type) {
+		switch m := it.parsed.(type) {
 		case *Route:
 			all = append(all, m)
 		case *Service:
 			t.services[m.Name] = m
-			t.byName = append(t.byName, m)
+			t.servicesByName = append(t.servicesByName, m)
 		case *Tenant:
 			t.tenants = append(t.tenants, m)
 			for _, key := range m.keys {
-				if holder := t.keys[key]; holder != nil && holder != m {
+				if holder := t.tenantByKey[key]; holder != nil && holder != m {
 					return nil, errs.New(errs.Invalid, "tenants %q: shares a key with %q", m.Name, holder.Name)
 				}
-				t.keys[key] = m
+				t.tenantByKey[key] = m
 			}
 		case *Limits:
 			t.limits = *m
@@ -135,12 +135,12 @@
 			return nil, err
 		}
 	}
-	slices.SortFunc(t.byName, func(a, b *Service) int { return strings.Compare(a.Name, b.Name) })
+	slices.SortFunc(t.servicesByName, func(a, b *Service) int { return strings.Compare(a.Name, b.Name) })
 	slices.SortFunc(t.tenants, func(a, b *Tenant) int { return strings.Compare(a.Name, b.Name) })
-	return t, t.layOut(all)
+	return t, t.indexRoutes(all)
 }
 
-func (t *table) checkServices(r *Route) error {
+func (t *routingTable) checkServices(r *Route) error {
 	for _, target := range r.Targets {
 		if t.services[target.Service] == nil {
 			return errs.New(errs.Invalid, "routes %q: there is no service %q", r.Name, target.Service)
@@ -154,12 +154,12 @@
 	return nil
 }
 
-// layOut sorts the routes by host and prefix and gives each host its part.
-func (t *table) layOut(all []*Route) error {
+// indexRoutes sorts the routes by host and prefix and gives each host its part.
+func (t *routingTable) indexRoutes(all []*Route) error {
 	slices.SortFunc(all, func(a, b *Route) int {
 		return cmp.Or(strings.Compare(a.Host, b.Host), strings.Compare(a.Prefix, b.Prefix), strings.Compare(a.Name, b.Name))
 	})
-	entries := make([]entry, len(all))
+	entries := make([]hostRoute, len(all))
 	first := 0
 	for i, r := range all {
 		if i > 0 && all[i-1].Host != r.Host {
@@ -173,26 +173,26 @@
 		if enclosing >= 0 && part[enclosing].route.Prefix == r.Prefix {
 			return errs.New(errs.Invalid, "routes %q: has the host and prefix of %q", r.Name, part[enclosing].route.Name)
 		}
-		part[i-first] = entry{route: r, enclosing: enclosing}
+		part[i-first] = hostRoute{route: r, enclosing: enclosing}
 		t.hosts[r.Host] = part
 	}
 	return nil
 }
 
-// maxPlainHost is the longest host name that is looked up without allocating: none in the DNS is
+// maxHostLength is the longest host name that is looked up without allocating: none in the DNS is
 // longer.
-const maxPlainHost = 255
+const maxHostLength = 255
 
 // Match gives the route for a Host header and a path, or nil if there is none: among the routes of
 // the host, the one with the longest prefix that begins the path. A port, the case of the host's
 // letters and a query make no difference. It doesn't allocate.
 func (s *Snapshot) Match(host, path string) *Route {
-	var room [maxPlainHost]byte
-	part := s.table.hosts[string(appendHost(room[:0], host))]
+	var room [maxHostLength]byte
+	part := s.table.hosts[string(appendNormalizedHost(room[:0], host))]
 	if end := strings.IndexByte(path, '?'); end >= 0 {
 		path = path[:end]
 	}
-	at, found := slices.BinarySearchFunc(part, path, func(e entry, path string) int {
+	at, found := slices.BinarySearchFunc(part, path, func(e hostRoute, path string) int {
 		return strings.Compare(e.route.Prefix, path)
 	})
 	// Every prefix that sorts between the longest one that begins the path and the path itself
@@ -209,8 +209,8 @@
 	return nil
 }
 
-// appendHost appends a host in small letters and without its port.
-func appendHost(to []byte, host string) []byte {
+// appendNormalizedHost appends a host in small letters and without its port.
+func appendNormalizedHost(to []byte, host string) []byte {
 	if colon := strings.LastIndexByte(host, ':'); colon > strings.LastIndexByte(host, ']') {
 		host = host[:colon]
 	}
@@ -224,7 +224,7 @@
 }
 
 // Tenant gives the tenant that holds a key, or nil.
-func (s *Snapshot) Tenant(key string) *Tenant { return s.table.keys[key] }
+func (s *Snapshot) Tenant(key string) *Tenant { return s.table.tenantByKey[key] }
 
 // Routes are all routes, in no particular order.
 func (s *Snapshot) Routes() []*Route {
@@ -247,7 +247,7 @@
 func (s *Snapshot) Service(name string) *Service { return s.table.services[name] }
 
 // Services gives the services ordered by name. The slice is shared and must not be changed.
-func (s *Snapshot) Services() []*Service { return s.table.byName }
+func (s *Snapshot) Services() []*Service { return s.table.servicesByName }
 
 // Limits gives the limits in force.
 func (s *Snapshot) Limits() Limits { return s.table.limits }
