--- a/internal/mesh/quota/allocator.go
+++ b/internal/mesh/quota/allocator.go
@@ -7,24 +7,24 @@
 )
 
 const (
-	// claimLife is how long a node's last ask counts when tokens are divided. It guards against a node that asks often
+	// claimTTL is how long a node's last ask counts when tokens are divided. It guards against a node that asks often
 	// taking what another that asked just before it needs.
-	claimLife = 350 * time.Millisecond
-	// calmHold is how long a member counts as in contact for post-paid tenants after an answered ask: the time between
+	claimTTL = 350 * time.Millisecond
+	// contactTTL is how long a member counts as in contact for post-paid tenants after an answered ask: the time between
 	// two calm asks, and 0.6 s in which the answer is missed. Both sides count with it.
-	calmHold = askCalm + 600*time.Millisecond
-	// demandSpan is the time constant of the demand that shares are worked out from. It guards against a share that
+	contactTTL = idleInterval + 600*time.Millisecond
+	// demandAverage is the time constant of the demand that shares are worked out from. It guards against a share that
 	// follows single reports.
-	demandSpan = time.Second
+	demandAverage = time.Second
 	// recovery is the time in which a post-paid bucket's level is spent, and repayment that in which its deficit is made
 	// good. They guard against a window that is over the quota after a tenant got hot, while its demand is still thought
 	// too small.
-	recovery, repayment = time.Second, 200 * time.Millisecond
-	// warmLevel is the part of the depth below which a tenant is named though all of it may run. It guards against
+	surplusTime, deficitTime = time.Second, 200 * time.Millisecond
+	// warnLevel is the part of the depth below which a tenant is named though all of it may run. It guards against
 	// learning of a hot tenant by calm asks only.
-	warmLevel = 0.5
-	// maxAsks is the most asks that one call may bring. It guards against a call that holds the dealer up.
-	maxAsks = 4096
+	warnLevel = 0.5
+	// maxDemands is the most asks that one call may bring. It guards against a call that holds the dealer up.
+	maxDemands = 4096
 	// maxNodes is the most nodes that are told apart. It guards against names that use up the memory.
 	maxNodes = 4096
 	// maxNodeName is the longest name of a node. It guards the same.
@@ -35,28 +35,28 @@
 // for the sidecars that ask. It belongs to the core's sequencer; the epoch is the
 // number of the view in which it has that duty.
 type Allocator struct {
-	rules   Rules
-	limits  map[string]Limit
-	tenants map[string]*account
-	members tally
-	planned int // members that the plans are made for
+	rules          Rules
+	limits         map[string]Limit
+	tenants        map[string]*tenantAccount
+	members        memberCount
+	plannedMembers int // members that the plans are made for
 
-	epoch     uint64
-	begun     bool
-	dealsFrom time.Duration
-	at        time.Duration            // of the last settling
-	flown     float64                  // seconds of full flow since the start, less the floors' part
-	calmFlown float64                  // flown, for post-paid tenants
-	calmFrom  time.Duration            // until then all members count as in contact for them
-	heard     map[string]time.Duration // when each node last asked
+	epoch              uint64
+	hasEpoch           bool
+	allocatesFrom      time.Duration
+	updatedAt          time.Duration            // of the last settling
+	prepaidFlow        float64                  // seconds of full flow since the start, less the floors' part
+	deferredFlow       float64                  // flown, for post-paid tenants
+	assumeContactUntil time.Duration            // until then all members count as in contact for them
+	lastContact        map[string]time.Duration // when each node last asked
 }
 
 // account is one tenant's bucket. What nodes have been reserved is part of it.
-type account struct {
+type tenantAccount struct {
 	plan
-	free, flown float64
-	claims      map[string]*claim
-	demand      average // of a post-paid tenant, as reported
+	balance, flowSeen float64
+	claims            map[string]*claim
+	demand            movingAverage // of a post-paid tenant, as reported
 }
 
 // claim is what a node asked for last, and what is kept for its next ask.
@@ -67,10 +67,10 @@
 
 // NewAllocator returns a dealer that knows no tenant yet.
 func NewAllocator(rules Rules) (*Allocator, error) {
-	if err := rules.check(); err != nil {
+	if err := rules.validate(); err != nil {
 		return nil, err
 	}
-	d := &Allocator{rules: rules, heard: map[string]time.Duration{}, tenants: map[string]*account{}}
+	d := &Allocator{rules: rules, lastContact: map[string]time.Duration{}, tenants: map[string]*tenantAccount{}}
 	d.members.set(0, 1)
 	return d, nil
 }
@@ -78,19 +78,19 @@
 // Configure sets the limits of all tenants and the number of sidecars. A lower limit holds at once; a tenant that is
 // new starts with an empty bucket. Limits that can't be used change nothing.
 func (d *Allocator) Configure(now time.Duration, limits map[string]Limit, members int) error {
-	if err := checkLimits(limits, members); err != nil {
+	if err := validateLimits(limits, members); err != nil {
 		return err
 	}
-	d.settle(now)
+	d.advance(now)
 	d.members.set(now, members)
-	d.limits = limited(limits)
+	d.limits = enforcedLimits(limits)
 	d.replan(now)
 	return nil
 }
 
 // replan brings the plans in line with limits and members. Buckets are filled first under the plans that held so far.
 func (d *Allocator) replan(now time.Duration) {
-	d.planned = d.members.at(now)
+	d.plannedMembers = d.members.at(now)
 	for name, a := range d.tenants {
 		if _, ok := d.limits[name]; !ok {
 			delete(d.tenants, name)
@@ -101,59 +101,59 @@
 	for name, l := range d.limits {
 		a := d.tenants[name]
 		if a == nil {
-			a = &account{claims: map[string]*claim{}}
+			a = &tenantAccount{claims: map[string]*claim{}}
 			d.tenants[name] = a
 		}
-		a.plan = d.rules.plan(l, d.planned)
-		a.flown = d.flow(a)
+		a.plan = d.rules.plan(l, d.plannedMembers)
+		a.flowSeen = d.flow(a)
 		a.clamp()
 	}
 }
 
 // settle counts the flow up to now. A node counts as holding its floor back only if it still does so at the end.
-func (d *Allocator) settle(now time.Duration) {
-	if now <= d.at {
+func (d *Allocator) advance(now time.Duration) {
+	if now <= d.updatedAt {
 		return
 	}
-	lately := 0
-	for node, at := range d.heard {
-		if now-at > calmHold {
-			delete(d.heard, node)
-		} else if now-at <= dealerHold {
-			lately++
+	recent := 0
+	for node, at := range d.lastContact {
+		if now-at > contactTTL {
+			delete(d.lastContact, node)
+		} else if now-at <= allocatorFloorLease {
+			recent++
 		}
 	}
 	members := d.members.at(now)
-	flow := func(heard int) float64 {
-		return (now - d.at).Seconds() * (1 - floorShare*float64(max(0, members-heard))/float64(members))
+	flow := func(inContact int) float64 {
+		return (now - d.updatedAt).Seconds() * (1 - floorRateFraction*float64(max(0, members-inContact))/float64(members))
 	}
-	d.flown += flow(lately)
-	if now < d.calmFrom {
-		d.calmFlown += flow(members)
+	d.prepaidFlow += flow(recent)
+	if now < d.assumeContactUntil {
+		d.deferredFlow += flow(members)
 	} else {
-		d.calmFlown += flow(len(d.heard))
+		d.deferredFlow += flow(len(d.lastContact))
 	}
-	d.at = now
-	if members != d.planned {
+	d.updatedAt = now
+	if members != d.plannedMembers {
 		d.replan(now)
 	}
 }
 
 // flow is what fills the account's bucket.
-func (d *Allocator) flow(a *account) float64 {
-	if a.postPaid {
-		return d.calmFlown
+func (d *Allocator) flow(a *tenantAccount) float64 {
+	if a.deferred {
+		return d.deferredFlow
 	}
-	return d.flown
+	return d.prepaidFlow
 }
 
 // begin starts a new duty: buckets are empty, and nothing is dealt until the tokens of the last duty have expired.
-func (d *Allocator) begin(now time.Duration, epoch uint64) {
-	d.epoch, d.begun, d.dealsFrom = epoch, true, now+TokenTTL
-	d.calmFrom = now + calmHold
-	clear(d.heard)
+func (d *Allocator) beginEpoch(now time.Duration, epoch uint64) {
+	d.epoch, d.hasEpoch, d.allocatesFrom = epoch, true, now+TokenTTL
+	d.assumeContactUntil = now + contactTTL
+	clear(d.lastContact)
 	for _, a := range d.tenants {
-		a.free, a.flown, a.demand = 0, d.flow(a), average{}
+		a.balance, a.flowSeen, a.demand = 0, d.flow(a), movingAverage{}
 		clear(a.claims)
 	}
 }
@@ -163,170 +163,170 @@
 // all is Busy, and the node mustn't be told that it was granted anything. Tenants without a limit are passed over. The
 // answer also counts as the node's promise to hold its floor back, so a node also asks when it wants nothing. The closed
 // tenants are all of them, whatever was asked; every other post-paid tenant is open.
-func (d *Allocator) Allocate(now time.Duration, epoch uint64, node string, asks []Demand) ([]Grant, []Throttled, error) {
+func (d *Allocator) Allocate(now time.Duration, epoch uint64, node string, demands []Demand) ([]Grant, []Throttled, error) {
 	if node == "" || len(node) > maxNodeName {
 		return nil, nil, errs.New(errs.Invalid, "a node's name has 1 to %d bytes, this one %d", maxNodeName, len(node))
 	}
-	if len(asks) > maxAsks {
-		return nil, nil, errs.New(errs.TooLarge, "%d asks, at most %d are taken", len(asks), maxAsks)
+	if len(demands) > maxDemands {
+		return nil, nil, errs.New(errs.TooLarge, "%d asks, at most %d are taken", len(demands), maxDemands)
 	}
-	for _, ask := range asks {
-		if !amount(ask.Want) || !amount(ask.Used) {
-			return nil, nil, errs.New(errs.Invalid, "tenant %q: %v tokens can't be wanted and %v used", ask.Tenant, ask.Want, ask.Used)
+	for _, demand := range demands {
+		if !validAmount(demand.Want) || !validAmount(demand.Used) {
+			return nil, nil, errs.New(errs.Invalid, "tenant %q: %v tokens can't be wanted and %v used", demand.Tenant, demand.Want, demand.Used)
 		}
 	}
-	if d.begun && epoch < d.epoch {
+	if d.hasEpoch && epoch < d.epoch {
 		return nil, nil, errs.New(errs.Stale, "epoch %d is over, this is %d", epoch, d.epoch)
 	}
-	d.settle(now)
-	if !d.begun || epoch > d.epoch {
-		d.begin(now, epoch)
+	d.advance(now)
+	if !d.hasEpoch || epoch > d.epoch {
+		d.beginEpoch(now, epoch)
 	}
-	if now < d.dealsFrom {
-		return nil, nil, errs.New(errs.Busy, "epoch %d deals in %v", epoch, d.dealsFrom-now)
+	if now < d.allocatesFrom {
+		return nil, nil, errs.New(errs.Busy, "epoch %d deals in %v", epoch, d.allocatesFrom-now)
 	}
-	_, known := d.heard[node]
-	if !known && len(d.heard) >= maxNodes {
+	_, known := d.lastContact[node]
+	if !known && len(d.lastContact) >= maxNodes {
 		return nil, nil, errs.New(errs.Busy, "%d nodes are asking, no more are taken", maxNodes)
 	}
-	d.heard[node] = now
+	d.lastContact[node] = now
 	// Of a node's first report in the duty, the part that ran before the duty was the last dealer's.
 	part := 1.0
-	if !known && now < d.calmFrom {
-		part = 1 - (d.calmFrom-now).Seconds()/calmHold.Seconds()
+	if !known && now < d.assumeContactUntil {
+		part = 1 - (d.assumeContactUntil-now).Seconds()/contactTTL.Seconds()
 	}
-	grants := make([]Grant, 0, len(asks))
-	for _, ask := range asks {
-		if a := d.tenants[ask.Tenant]; a != nil {
+	grants := make([]Grant, 0, len(demands))
+	for _, demand := range demands {
+		if a := d.tenants[demand.Tenant]; a != nil {
 			a.fill(d.flow(a))
-			a.free -= part * ask.Used
-			if a.postPaid {
-				a.demand.value(now, demandSpan)
-				a.demand.rate += ask.Want / demandSpan.Seconds()
-			} else if tokens := a.deal(now, node, ask.Want); tokens > 0 {
-				grants = append(grants, Grant{ask.Tenant, tokens})
+			a.balance -= part * demand.Used
+			if a.deferred {
+				a.demand.value(now, demandAverage)
+				a.demand.rate += demand.Want / demandAverage.Seconds()
+			} else if tokens := a.grant(now, node, demand.Want); tokens > 0 {
+				grants = append(grants, Grant{demand.Tenant, tokens})
 			}
 		}
 	}
-	var closed []Throttled
+	var throttled []Throttled
 	for name, a := range d.tenants {
-		if a.postPaid {
+		if a.deferred {
 			a.fill(d.flow(a))
-			if share := a.share(now); share < 1 || a.free < warmLevel*a.depth {
-				closed = append(closed, Throttled{name, share})
+			if fraction := a.admittedFraction(now); fraction < 1 || a.balance < warnLevel*a.depth {
+				throttled = append(throttled, Throttled{name, fraction})
 			}
 		}
 	}
-	return grants, closed, nil
+	return grants, throttled, nil
 }
 
 // share is the part of a post-paid tenant's demand that may run: what flows, with the bucket's level spent or its deficit
 // made good within recovery.
-func (a *account) share(now time.Duration) float64 {
-	over := recovery
-	if a.free < 0 {
-		over = repayment
+func (a *tenantAccount) admittedFraction(now time.Duration) float64 {
+	over := surplusTime
+	if a.balance < 0 {
+		over = deficitTime
 	}
-	demand, may := a.demand.value(now, demandSpan), a.rate+a.free/over.Seconds()
+	demand, admissible := a.demand.value(now, demandAverage), a.rate+a.balance/over.Seconds()
 	switch {
-	case may >= demand:
+	case admissible >= demand:
 		return 1
-	case may <= 0:
+	case admissible <= 0:
 		return 0
 	}
-	return may / demand
+	return admissible / demand
 }
 
 // fill adds what has flown since the last time, up to the depth.
-func (a *account) fill(flown float64) {
-	a.free += a.rate * (flown - a.flown)
-	a.flown = flown
+func (a *tenantAccount) fill(flow float64) {
+	a.balance += a.rate * (flow - a.flowSeen)
+	a.flowSeen = flow
 	a.clamp()
 }
 
 // clamp keeps the bucket, with what is reserved in it, within its depth.
-func (a *account) clamp() {
-	held := a.free
+func (a *tenantAccount) clamp() {
+	total := a.balance
 	for _, c := range a.claims {
-		held += c.reserved
+		total += c.reserved
 	}
-	if held <= a.depth {
+	if total <= a.depth {
 		return
 	}
-	a.free -= held - a.depth
-	if a.free < 0 {
+	a.balance -= total - a.depth
+	if a.balance < 0 {
 		// What was reserved under a higher limit is void.
 		for _, c := range a.claims {
 			c.reserved = 0
 		}
-		a.free = a.depth
+		a.balance = a.depth
 	}
 }
 
 // deal gives the node what it wants if that leaves enough for the others that asked lately. Otherwise what is free is
 // reserved for all of them max-min fairly, and the node gets what has been reserved for it.
-func (a *account) deal(now time.Duration, node string, want float64) float64 {
-	mine := a.claims[node]
-	if mine == nil {
-		mine = &claim{}
-		a.claims[node] = mine
+func (a *tenantAccount) grant(now time.Duration, node string, want float64) float64 {
+	own := a.claims[node]
+	if own == nil {
+		own = &claim{}
+		a.claims[node] = own
 	}
-	mine.want, mine.at = want, now
+	own.want, own.at = want, now
 	missing := 0.0
 	for name, c := range a.claims {
-		if now-c.at > claimLife {
-			a.free += c.reserved
+		if now-c.at > claimTTL {
+			a.balance += c.reserved
 			delete(a.claims, name)
 			continue
 		}
 		if over := c.reserved - c.want; over > 0 {
-			a.free += over
+			a.balance += over
 			c.reserved = c.want
 		}
 		missing += c.want - c.reserved
 	}
-	if missing <= a.free {
-		a.free -= want - mine.reserved
+	if missing <= a.balance {
+		a.balance -= want - own.reserved
 	} else {
-		a.reserve()
-		want = mine.reserved
+		a.reserveFairly()
+		want = own.reserved
 	}
-	mine.reserved = 0
+	own.reserved = 0
 	return want
 }
 
 // reserve divides what is free among the claims: each gets an equal part, or all that it lacks where that is less.
-func (a *account) reserve() {
-	for a.free > 0 {
-		open, least := 0, 0.0
+func (a *tenantAccount) reserveFairly() {
+	for a.balance > 0 {
+		unmet, minLack := 0, 0.0
 		for _, c := range a.claims {
 			if lack := c.want - c.reserved; lack > 0 {
-				if open == 0 || lack < least {
-					least = lack
+				if unmet == 0 || lack < minLack {
+					minLack = lack
 				}
-				open++
+				unmet++
 			}
 		}
-		if open == 0 {
+		if unmet == 0 {
 			return
 		}
-		part := a.free / float64(open)
-		last := part <= least
+		part := a.balance / float64(unmet)
+		last := part <= minLack
 		for _, c := range a.claims {
 			switch lack := c.want - c.reserved; {
 			case lack <= 0:
 			case last:
 				c.reserved += part
-			case lack <= least:
+			case lack <= minLack:
 				c.reserved = c.want
 			default:
-				c.reserved += least
+				c.reserved += minLack
 			}
 		}
 		if last {
-			a.free = 0
+			a.balance = 0
 			return
 		}
-		a.free -= least * float64(open)
+		a.balance -= minLack * float64(unmet)
 	}
 }
--- a/internal/mesh/quota/quota_test.go
+++ b/internal/mesh/quota/quota_test.go
@@ -95,7 +95,7 @@
 func (s *site) restart(now time.Duration, sidecar int) {
 	p, err := NewLocalLimiter(rules)
 	So(err, ShouldBeNil)
-	p.chance = s.rng
+	p.random = s.rng
 	So(p.Configure(now, s.limits, len(s.purses)), ShouldBeNil)
 	s.purses[sidecar] = p
 }
--- a/internal/mesh/quota/retry_budget.go
+++ b/internal/mesh/quota/retry_budget.go
@@ -8,13 +8,13 @@
 
 const (
 	// budgetSlots is the number of slots in which a window is counted.
-	budgetSlots = 20
-	// ratioPart is the part of the rule's ratio that is spent. It guards against windows at different sidecars that
+	windowSlots = 20
+	// ratioFraction is the part of the rule's ratio that is spent. It guards against windows at different sidecars that
 	// aren't the same span, and against runs that turn out to be repeats.
-	ratioPart = 0.7
-	// slackPart is the part of the rule's slack that all sidecars together spend. It guards against members miscounted
+	ratioFraction = 0.7
+	// slackFraction is the part of the rule's slack that all sidecars together spend. It guards against members miscounted
 	// by up to their number again.
-	slackPart = 0.5
+	slackFraction = 0.5
 	// maxServices is the most services that are counted. It guards against names that use up the memory.
 	maxServices = 4096
 )
@@ -26,26 +26,26 @@
 }
 
 // RetryBudget is one sidecar's part of the budget of further tries, for each service. Arrivals after the first of each
-// request, in any window, are at most ratioPart*Ratio times its own requests in the window that ends with the last of
-// these arrivals, + slackPart*Slack/members, apart from repeats that nobody could ask about (Repeat).
+// request, in any window, are at most ratioFraction*Ratio times its own requests in the window that ends with the last of
+// these arrivals, + slackFraction*Slack/members, apart from repeats that nobody could ask about (Repeat).
 type RetryBudget struct {
 	rules    RetryBudgetRules
-	members  tally
-	services map[string]*counts
+	members  memberCount
+	services map[string]*serviceCounts
 }
 
 // counts are the requests and the spent arrivals of one service, by slot of time.
-type counts struct {
-	slot            int64                  // the newest
-	requests, spent [budgetSlots + 1]int64 // by slot modulo their number
+type serviceCounts struct {
+	slot              int64                  // the newest
+	requests, charged [windowSlots + 1]int64 // by slot modulo their number
 }
 
 // NewRetryBudget returns a budget that has counted nothing, of one member.
 func NewRetryBudget(rules RetryBudgetRules) (*RetryBudget, error) {
-	if rules.Window < budgetSlots || !amount(rules.Ratio) || !amount(rules.Slack) {
+	if rules.Window < windowSlots || !validAmount(rules.Ratio) || !validAmount(rules.Slack) {
 		return nil, errs.New(errs.Invalid, "budget rules: window %v, ratio %v, slack %v", rules.Window, rules.Ratio, rules.Slack)
 	}
-	b := &RetryBudget{rules: rules, services: map[string]*counts{}}
+	b := &RetryBudget{rules: rules, services: map[string]*serviceCounts{}}
 	b.members.set(0, 1)
 	return b, nil
 }
@@ -60,13 +60,13 @@
 }
 
 // of returns the counts of a service with old slots cleared, or nil if there are too many services.
-func (b *RetryBudget) of(now time.Duration, service string) *counts {
-	slot := int64(max(0, now) / (b.rules.Window / budgetSlots))
+func (b *RetryBudget) countsOf(now time.Duration, service string) *serviceCounts {
+	slot := int64(max(0, now) / (b.rules.Window / windowSlots))
 	c := b.services[service]
 	if c == nil {
 		if len(b.services) >= maxServices {
 			for name, old := range b.services {
-				if slot-old.slot > budgetSlots {
+				if slot-old.slot > windowSlots {
 					delete(b.services, name)
 				}
 			}
@@ -74,45 +74,45 @@
 		if len(b.services) >= maxServices {
 			return nil
 		}
-		c = &counts{slot: slot}
+		c = &serviceCounts{slot: slot}
 		b.services[service] = c
 	}
 	for c.slot < slot {
-		c.slot = max(c.slot+1, slot-budgetSlots)
-		i := c.slot % (budgetSlots + 1)
-		c.requests[i], c.spent[i] = 0, 0
+		c.slot = max(c.slot+1, slot-windowSlots)
+		i := c.slot % (windowSlots + 1)
+		c.requests[i], c.charged[i] = 0, 0
 	}
 	return c
 }
 
 // RecordRequest counts a request for the service that a client sent here.
 func (b *RetryBudget) RecordRequest(now time.Duration, service string) {
-	if c := b.of(now, service); c != nil {
-		c.requests[c.slot%(budgetSlots+1)]++
+	if c := b.countsOf(now, service); c != nil {
+		c.requests[c.slot%(windowSlots+1)]++
 	}
 }
 
 // Allowed says whether one more arrival after a request's first fits in. Requests are counted over the window at most, and
 // arrivals over the window at least. A service beyond maxServices has no further tries.
 func (b *RetryBudget) Allowed(now time.Duration, service string) bool {
-	c := b.of(now, service)
+	c := b.countsOf(now, service)
 	if c == nil {
 		return false
 	}
-	oldest := (c.slot + 1) % (budgetSlots + 1)
-	requests, spent := -c.requests[oldest], int64(0)
+	oldest := (c.slot + 1) % (windowSlots + 1)
+	requests, charged := -c.requests[oldest], int64(0)
 	for i := range c.requests {
 		requests += c.requests[i]
-		spent += c.spent[i]
+		charged += c.charged[i]
 	}
-	allowed := ratioPart*b.rules.Ratio*float64(requests) + slackPart*b.rules.Slack/float64(b.members.at(now))
-	return float64(spent+1) <= allowed
+	allowed := ratioFraction*b.rules.Ratio*float64(requests) + slackFraction*b.rules.Slack/float64(b.members.at(now))
+	return float64(charged+1) <= allowed
 }
 
 // Charge counts an arrival after a request's first that May allowed.
 func (b *RetryBudget) Charge(now time.Duration, service string) {
-	if c := b.of(now, service); c != nil {
-		c.spent[c.slot%(budgetSlots+1)]++
+	if c := b.countsOf(now, service); c != nil {
+		c.charged[c.slot%(windowSlots+1)]++
 	}
 }
 
