--- a/internal/mesh/quota/allocator.go
+++ b/internal/mesh/quota/allocator.go
@@ -7,326 +7,219 @@
 )
 
 const (
-	// claimTTL is how long a node's last ask counts when tokens are divided. It guards against a node that asks often
-	// taking what another that asked just before it needs.
-	claimTTL = 350 * time.Millisecond
-	// contactTTL is how long a member counts as in contact for post-paid tenants after an answered ask: the time between
-	// two calm asks, and 0.6 s in which the answer is missed. Both sides count with it.
-	contactTTL = idleInterval + 600*time.Millisecond
-	// demandAverage is the time constant of the demand that shares are worked out from. It guards against a share that
-	// follows single reports.
-	demandAverage = time.Second
-	// recovery is the time in which a post-paid bucket's level is spent, and repayment that in which its deficit is made
-	// good. They guard against a window that is over the quota after a tenant got hot, while its demand is still thought
-	// too small.
-	surplusTime, deficitTime = time.Second, 200 * time.Millisecond
-	// warnLevel is the part of the depth below which a tenant is named though all of it may run. It guards against
-	// learning of a hot tenant by calm asks only.
+	// warnLevel is the fraction of the depth below which a tenant is named as throttled though all of
+	// its requests may run. It guards against learning of a rising demand by idle requests only.
 	warnLevel = 0.5
-	// maxDemands is the most asks that one call may bring. It guards against a call that holds the dealer up.
+	// maxDemands is the largest number of demands of one call. It guards against a call that holds the
+	// Allocator up.
 	maxDemands = 4096
-	// maxNodes is the most nodes that are told apart. It guards against names that use up the memory.
+	// maxNodes is the largest number of nodes that are told apart. It guards against names that use up
+	// the memory.
 	maxNodes = 4096
-	// maxNodeName is the longest name of a node. It guards the same.
+	// maxNodeName is the longest name of a node, in bytes. It guards the same.
 	maxNodeName = 256
 )
 
-// Allocator deals the tokens of all pre-paid tenants, and closes post-paid ones that are near their limit,
-// for the sidecars that ask. It belongs to the core's sequencer; the epoch is the
-// number of the view in which it has that duty.
+// Allocator grants the tokens of all prepaid tenants, and throttles deferred ones that are near their
+// limit, for the sidecars that ask. It belongs to the leader; the epoch is the term in which it leads.
 type Allocator struct {
-	rules          Rules
-	limits         map[string]Limit
-	tenants        map[string]*tenantAccount
-	members        memberCount
-	plannedMembers int // members that the plans are made for
+	planner planner
+	tenants map[string]*tenantAccount
 
 	epoch              uint64
 	hasEpoch           bool
-	allocatesFrom      time.Duration
-	updatedAt          time.Duration            // of the last settling
-	prepaidFlow        float64                  // seconds of full flow since the start, less the floors' part
-	deferredFlow       float64                  // flown, for post-paid tenants
-	assumeContactUntil time.Duration            // until then all members count as in contact for them
-	lastContact        map[string]time.Duration // when each node last asked
-}
-
-// account is one tenant's bucket. What nodes have been reserved is part of it.
-type tenantAccount struct {
-	plan
-	balance, flowSeen float64
-	claims            map[string]*claim
-	demand            movingAverage // of a post-paid tenant, as reported
-}
+	allocatesFrom      time.Duration            // nothing is granted before
+	assumeContactUntil time.Duration            // for deferred tenants all members are in contact until then
+	lastContact        map[string]time.Duration // by node, its last request
 
-// claim is what a node asked for last, and what is kept for its next ask.
-type claim struct {
-	want, reserved float64
-	at             time.Duration
+	updatedAt    time.Duration // up to when the flows are counted
+	prepaidFlow  float64       // seconds of full flow since the start, less the floors' share
+	deferredFlow float64       // the same for deferred tenants
 }
 
-// NewAllocator returns a dealer that knows no tenant yet.
+// NewAllocator returns an Allocator that knows no tenant yet. Rules that can't be used are errs.Invalid.
 func NewAllocator(rules Rules) (*Allocator, error) {
-	if err := rules.validate(); err != nil {
+	planner, err := newPlanner(rules)
+	if err != nil {
 		return nil, err
 	}
-	d := &Allocator{rules: rules, lastContact: map[string]time.Duration{}, tenants: map[string]*tenantAccount{}}
-	d.members.set(0, 1)
-	return d, nil
+	return &Allocator{
+		planner: planner, tenants: map[string]*tenantAccount{}, lastContact: map[string]time.Duration{},
+	}, nil
 }
 
-// Configure sets the limits of all tenants and the number of sidecars. A lower limit holds at once; a tenant that is
-// new starts with an empty bucket. Limits that can't be used change nothing.
-func (d *Allocator) Configure(now time.Duration, limits map[string]Limit, members int) error {
+// Configure sets the limits of all tenants and the number of sidecars. A lower limit holds at once; a
+// tenant that is new starts with an empty bucket. Limits that can't be used are errs.Invalid and change
+// nothing.
+func (a *Allocator) Configure(now time.Duration, limits map[string]Limit, members int) error {
 	if err := validateLimits(limits, members); err != nil {
 		return err
 	}
-	d.advance(now)
-	d.members.set(now, members)
-	d.limits = enforcedLimits(limits)
-	d.replan(now)
+	a.advance(now)
+	a.planner.configure(now, limits, members)
+	a.replan(now)
 	return nil
 }
 
-// replan brings the plans in line with limits and members. Buckets are filled first under the plans that held so far.
-func (d *Allocator) replan(now time.Duration) {
-	d.plannedMembers = d.members.at(now)
-	for name, a := range d.tenants {
-		if _, ok := d.limits[name]; !ok {
-			delete(d.tenants, name)
-			continue
-		}
-		a.fill(d.flow(a))
-	}
-	for name, l := range d.limits {
-		a := d.tenants[name]
-		if a == nil {
-			a = &tenantAccount{claims: map[string]*claim{}}
-			d.tenants[name] = a
-		}
-		a.plan = d.rules.plan(l, d.plannedMembers)
-		a.flowSeen = d.flow(a)
-		a.clamp()
-	}
-}
-
-// settle counts the flow up to now. A node counts as holding its floor back only if it still does so at the end.
-func (d *Allocator) advance(now time.Duration) {
-	if now <= d.updatedAt {
-		return
-	}
-	recent := 0
-	for node, at := range d.lastContact {
-		if now-at > contactTTL {
-			delete(d.lastContact, node)
-		} else if now-at <= allocatorFloorLease {
-			recent++
-		}
-	}
-	members := d.members.at(now)
-	flow := func(inContact int) float64 {
-		return (now - d.updatedAt).Seconds() * (1 - floorRateFraction*float64(max(0, members-inContact))/float64(members))
-	}
-	d.prepaidFlow += flow(recent)
-	if now < d.assumeContactUntil {
-		d.deferredFlow += flow(members)
-	} else {
-		d.deferredFlow += flow(len(d.lastContact))
-	}
-	d.updatedAt = now
-	if members != d.plannedMembers {
-		d.replan(now)
-	}
-}
-
-// flow is what fills the account's bucket.
-func (d *Allocator) flow(a *tenantAccount) float64 {
-	if a.deferred {
-		return d.deferredFlow
+// Allocate responds to the demands of a node in the given epoch; the response goes to the node with that
+// epoch. The first call of a later epoch starts anew with empty buckets. Tenants without a limit are
+// skipped. The response also counts as the node's promise to hold its floor back, so a node also asks
+// when it wants nothing. The throttled tenants are all of them, whatever was asked; every other deferred
+// tenant isn't throttled.
+//
+// An epoch before the newest is errs.Stale. Within TokenTTL of the epoch's start everything is
+// errs.Busy, and the node mustn't be told that it was granted anything; so is a node beyond maxNodes. A
+// request that can't be used is errs.Invalid or errs.TooLarge.
+func (a *Allocator) Allocate(
+	now time.Duration, epoch uint64, node string, demands []Demand,
+) ([]Grant, []Throttled, error) {
+	if err := validateRequest(node, demands); err != nil {
+		return nil, nil, err
+	}
+	if a.hasEpoch && epoch < a.epoch {
+		return nil, nil, errs.New(errs.Stale, "epoch %d is over, this is %d", epoch, a.epoch)
+	}
+	a.advance(now)
+	if !a.hasEpoch || epoch > a.epoch {
+		a.beginEpoch(now, epoch)
+	}
+	if now < a.allocatesFrom {
+		return nil, nil, errs.New(errs.Busy, "epoch %d deals in %v", epoch, a.allocatesFrom-now)
+	}
+	_, known := a.lastContact[node]
+	if !known && len(a.lastContact) >= maxNodes {
+		return nil, nil, errs.New(errs.Busy, "%d nodes are asking, no more are taken", maxNodes)
 	}
-	return d.prepaidFlow
-}
-
-// begin starts a new duty: buckets are empty, and nothing is dealt until the tokens of the last duty have expired.
-func (d *Allocator) beginEpoch(now time.Duration, epoch uint64) {
-	d.epoch, d.hasEpoch, d.allocatesFrom = epoch, true, now+TokenTTL
-	d.assumeContactUntil = now + contactTTL
-	clear(d.lastContact)
-	for _, a := range d.tenants {
-		a.balance, a.flowSeen, a.demand = 0, d.flow(a), movingAverage{}
-		clear(a.claims)
+	a.lastContact[node] = now
+	// Of a node's first report in the epoch, the share that ran before the epoch belonged to the
+	// Allocator before this one.
+	reportedShare := 1.0
+	if !known && now < a.assumeContactUntil {
+		reportedShare = 1 - (a.assumeContactUntil-now).Seconds()/contactTTL.Seconds()
 	}
+	grants := a.grant(now, node, demands, reportedShare)
+	return grants, a.throttled(now), nil
 }
 
-// Allocate answers the asks of a node in the duty of the given epoch; the answer goes to the node with that epoch. The first
-// call of a later epoch starts the duty anew. An epoch before the newest is Stale; within TokenTTL of the duty's start
-// all is Busy, and the node mustn't be told that it was granted anything. Tenants without a limit are passed over. The
-// answer also counts as the node's promise to hold its floor back, so a node also asks when it wants nothing. The closed
-// tenants are all of them, whatever was asked; every other post-paid tenant is open.
-func (d *Allocator) Allocate(now time.Duration, epoch uint64, node string, demands []Demand) ([]Grant, []Throttled, error) {
+func validateRequest(node string, demands []Demand) error {
 	if node == "" || len(node) > maxNodeName {
-		return nil, nil, errs.New(errs.Invalid, "a node's name has 1 to %d bytes, this one %d", maxNodeName, len(node))
+		return errs.New(errs.Invalid, "a node's name has 1 to %d bytes, this one %d", maxNodeName, len(node))
 	}
 	if len(demands) > maxDemands {
-		return nil, nil, errs.New(errs.TooLarge, "%d asks, at most %d are taken", len(demands), maxDemands)
+		return errs.New(errs.TooLarge, "%d asks, at most %d are taken", len(demands), maxDemands)
 	}
 	for _, demand := range demands {
 		if !validAmount(demand.Want) || !validAmount(demand.Used) {
-			return nil, nil, errs.New(errs.Invalid, "tenant %q: %v tokens can't be wanted and %v used", demand.Tenant, demand.Want, demand.Used)
+			return errs.New(errs.Invalid, "tenant %q: %v tokens can't be wanted and %v used",
+				demand.Tenant, demand.Want, demand.Used)
 		}
 	}
-	if d.hasEpoch && epoch < d.epoch {
-		return nil, nil, errs.New(errs.Stale, "epoch %d is over, this is %d", epoch, d.epoch)
-	}
-	d.advance(now)
-	if !d.hasEpoch || epoch > d.epoch {
-		d.beginEpoch(now, epoch)
-	}
-	if now < d.allocatesFrom {
-		return nil, nil, errs.New(errs.Busy, "epoch %d deals in %v", epoch, d.allocatesFrom-now)
-	}
-	_, known := d.lastContact[node]
-	if !known && len(d.lastContact) >= maxNodes {
-		return nil, nil, errs.New(errs.Busy, "%d nodes are asking, no more are taken", maxNodes)
-	}
-	d.lastContact[node] = now
-	// Of a node's first report in the duty, the part that ran before the duty was the last dealer's.
-	part := 1.0
-	if !known && now < d.assumeContactUntil {
-		part = 1 - (d.assumeContactUntil-now).Seconds()/contactTTL.Seconds()
-	}
+	return nil
+}
+
+// grant takes what a node reports and gives it what it wants of prepaid tenants. Of the reports only
+// reportedShare counts.
+func (a *Allocator) grant(now time.Duration, node string, demands []Demand, reportedShare float64) []Grant {
 	grants := make([]Grant, 0, len(demands))
 	for _, demand := range demands {
-		if a := d.tenants[demand.Tenant]; a != nil {
-			a.fill(d.flow(a))
-			a.balance -= part * demand.Used
-			if a.deferred {
-				a.demand.value(now, demandAverage)
-				a.demand.rate += demand.Want / demandAverage.Seconds()
-			} else if tokens := a.grant(now, node, demand.Want); tokens > 0 {
-				grants = append(grants, Grant{demand.Tenant, tokens})
-			}
+		t := a.tenants[demand.Tenant]
+		if t == nil {
+			continue
 		}
-	}
-	var throttled []Throttled
-	for name, a := range d.tenants {
-		if a.deferred {
-			a.fill(d.flow(a))
-			if fraction := a.admittedFraction(now); fraction < 1 || a.balance < warnLevel*a.depth {
-				throttled = append(throttled, Throttled{name, fraction})
-			}
+		t.fill(a.flow(t))
+		t.balance -= reportedShare * demand.Used
+		if t.deferred {
+			t.demand.add(now, demandAverage, demand.Want)
+		} else if tokens := t.grant(now, node, demand.Want); tokens > 0 {
+			grants = append(grants, Grant{demand.Tenant, tokens})
 		}
 	}
-	return grants, throttled, nil
+	return grants
 }
 
-// share is the part of a post-paid tenant's demand that may run: what flows, with the bucket's level spent or its deficit
-// made good within recovery.
-func (a *tenantAccount) admittedFraction(now time.Duration) float64 {
-	over := surplusTime
-	if a.balance < 0 {
-		over = deficitTime
-	}
-	demand, admissible := a.demand.value(now, demandAverage), a.rate+a.balance/over.Seconds()
-	switch {
-	case admissible >= demand:
-		return 1
-	case admissible <= 0:
-		return 0
+// throttled are the deferred tenants near their limit.
+func (a *Allocator) throttled(now time.Duration) []Throttled {
+	var throttled []Throttled
+	for name, t := range a.tenants {
+		if !t.deferred {
+			continue
+		}
+		t.fill(a.flow(t))
+		if fraction := t.admittedFraction(now); fraction < 1 || t.balance < warnLevel*t.depth {
+			throttled = append(throttled, Throttled{name, fraction})
+		}
 	}
-	return admissible / demand
+	return throttled
 }
 
-// fill adds what has flown since the last time, up to the depth.
-func (a *tenantAccount) fill(flow float64) {
-	a.balance += a.rate * (flow - a.flowSeen)
-	a.flowSeen = flow
-	a.clamp()
+// beginEpoch starts a new epoch: buckets are empty, and nothing is granted until the tokens of the last
+// epoch have expired.
+func (a *Allocator) beginEpoch(now time.Duration, epoch uint64) {
+	a.epoch, a.hasEpoch, a.allocatesFrom = epoch, true, now+TokenTTL
+	a.assumeContactUntil = now + contactTTL
+	clear(a.lastContact)
+	for _, t := range a.tenants {
+		t.reset(a.flow(t))
+	}
 }
 
-// clamp keeps the bucket, with what is reserved in it, within its depth.
-func (a *tenantAccount) clamp() {
-	total := a.balance
-	for _, c := range a.claims {
-		total += c.reserved
-	}
-	if total <= a.depth {
+// advance counts the flows up to now. A node counts as holding its floor back only if it still does so
+// at the end.
+func (a *Allocator) advance(now time.Duration) {
+	if now <= a.updatedAt {
 		return
 	}
-	a.balance -= total - a.depth
-	if a.balance < 0 {
-		// What was reserved under a higher limit is void.
-		for _, c := range a.claims {
-			c.reserved = 0
+	holdingBack := 0
+	for node, at := range a.lastContact {
+		if now-at > contactTTL {
+			delete(a.lastContact, node)
+		} else if now-at <= allocatorFloorLease {
+			holdingBack++
 		}
-		a.balance = a.depth
 	}
-}
-
-// deal gives the node what it wants if that leaves enough for the others that asked lately. Otherwise what is free is
-// reserved for all of them max-min fairly, and the node gets what has been reserved for it.
-func (a *tenantAccount) grant(now time.Duration, node string, want float64) float64 {
-	own := a.claims[node]
-	if own == nil {
-		own = &claim{}
-		a.claims[node] = own
+	elapsed, members := now-a.updatedAt, a.planner.members.at(now)
+	a.prepaidFlow += flowSeconds(elapsed, members, holdingBack)
+	inContact := len(a.lastContact)
+	if now < a.assumeContactUntil {
+		inContact = members
 	}
-	own.want, own.at = want, now
-	missing := 0.0
-	for name, c := range a.claims {
-		if now-c.at > claimTTL {
-			a.balance += c.reserved
-			delete(a.claims, name)
-			continue
-		}
-		if over := c.reserved - c.want; over > 0 {
-			a.balance += over
-			c.reserved = c.want
-		}
-		missing += c.want - c.reserved
+	a.deferredFlow += flowSeconds(elapsed, members, inContact)
+	a.updatedAt = now
+	if members != a.planner.plannedMembers {
+		a.replan(now)
 	}
-	if missing <= a.balance {
-		a.balance -= want - own.reserved
-	} else {
-		a.reserveFairly()
-		want = own.reserved
+}
+
+// flowSeconds is the time in which a bucket fills, less the share of the members that aren't in contact
+// and fill their floors.
+func flowSeconds(elapsed time.Duration, members, inContact int) float64 {
+	return elapsed.Seconds() * (1 - floorRateFraction*float64(max(0, members-inContact))/float64(members))
+}
+
+// flow is what fills the tenant's bucket.
+func (a *Allocator) flow(t *tenantAccount) float64 {
+	if t.deferred {
+		return a.deferredFlow
 	}
-	own.reserved = 0
-	return want
+	return a.prepaidFlow
 }
 
-// reserve divides what is free among the claims: each gets an equal part, or all that it lacks where that is less.
-func (a *tenantAccount) reserveFairly() {
-	for a.balance > 0 {
-		unmet, minLack := 0, 0.0
-		for _, c := range a.claims {
-			if lack := c.want - c.reserved; lack > 0 {
-				if unmet == 0 || lack < minLack {
-					minLack = lack
-				}
-				unmet++
-			}
-		}
-		if unmet == 0 {
-			return
-		}
-		part := a.balance / float64(unmet)
-		last := part <= minLack
-		for _, c := range a.claims {
-			switch lack := c.want - c.reserved; {
-			case lack <= 0:
-			case last:
-				c.reserved += part
-			case lack <= minLack:
-				c.reserved = c.want
-			default:
-				c.reserved += minLack
-			}
-		}
-		if last {
-			a.balance = 0
-			return
+// replan brings the tenants in line with limits and members. Buckets are filled first under the plans
+// that held so far.
+func (a *Allocator) replan(now time.Duration) {
+	plans := a.planner.plans(now)
+	removeUnplanned(a.tenants, plans)
+	for _, t := range a.tenants {
+		t.fill(a.flow(t))
+	}
+	for name, plan := range plans {
+		t := a.tenants[name]
+		if t == nil {
+			t = &tenantAccount{claims: map[string]*claim{}}
+			a.tenants[name] = t
 		}
-		a.balance -= minLack * float64(unmet)
+		t.plan = plan
+		t.filledTo = a.flow(t)
+		t.clamp()
 	}
 }
--- /dev/null
+++ b/internal/mesh/quota/planner.go
@@ -0,0 +1,78 @@
+package quota
+
+import (
+	"maps"
+	"time"
+
+	"caperarch/internal/mesh/errs"
+)
+
+// planner holds the limits of all tenants and the number of members that share them, and derives the
+// plans from both. Allocator and LocalLimiter have one each, and so follow the same plans.
+type planner struct {
+	rules          Rules
+	limits         map[string]Limit // by tenant, only those with a rate
+	members        memberCount
+	plannedMembers int // the number of members that the current plans are made for
+}
+
+// newPlanner returns a planner without limits, for one member.
+func newPlanner(rules Rules) (planner, error) {
+	if err := rules.validate(); err != nil {
+		return planner{}, err
+	}
+	return planner{rules: rules, members: newMemberCount()}, nil
+}
+
+// configure sets limits that were validated. The current plans stay until the next call of plans.
+func (p *planner) configure(now time.Duration, limits map[string]Limit, members int) {
+	p.members.set(now, members)
+	p.limits = enforcedLimits(limits)
+}
+
+// outdated says whether the current plans are made for another number of members than there are now.
+func (p *planner) outdated(now time.Duration) bool {
+	return p.members.at(now) != p.plannedMembers
+}
+
+// plans makes the plans for the members that there are now, by tenant.
+func (p *planner) plans(now time.Duration) map[string]plan {
+	p.plannedMembers = p.members.at(now)
+	plans := make(map[string]plan, len(p.limits))
+	for name, limit := range p.limits {
+		plans[name] = p.rules.plan(limit, p.plannedMembers)
+	}
+	return plans
+}
+
+// removeUnplanned removes the tenants that no longer have a plan.
+func removeUnplanned[T any](tenants map[string]T, plans map[string]plan) {
+	maps.DeleteFunc(tenants, func(name string, _ T) bool {
+		_, planned := plans[name]
+		return !planned
+	})
+}
+
+// enforcedLimits are the limits of the tenants that have one: a rate of 0 is none.
+func enforcedLimits(limits map[string]Limit) map[string]Limit {
+	enforced := make(map[string]Limit, len(limits))
+	for name, limit := range limits {
+		if limit.Rate > 0 {
+			enforced[name] = limit
+		}
+	}
+	return enforced
+}
+
+func validateLimits(limits map[string]Limit, members int) error {
+	if err := validateMembers(members); err != nil {
+		return err
+	}
+	for name, limit := range limits {
+		if !validAmount(limit.Rate) || !validAmount(limit.Burst) {
+			return errs.New(errs.Invalid, "tenant %q: rate %v and burst %v must lie between 0 and 1e12",
+				name, limit.Rate, limit.Burst)
+		}
+	}
+	return nil
+}
--- a/internal/mesh/quota/quota_test.go
+++ b/internal/mesh/quota/quota_test.go
@@ -419,7 +419,7 @@
 				requests = append(requests, now)
 			}
 			if rng.IntN(100) == 0 {
-				b.Repeat(now, "s")
+				b.Charge(now, "s")
 				further = append(further, now)
 			}
 			if b.Allowed(now, "s") {
--- /dev/null
+++ b/internal/mesh/quota/tenant_bucket.go
@@ -0,0 +1,127 @@
+package quota
+
+import (
+	"math"
+	"time"
+)
+
+const (
+	// demandHorizon is the time ahead for which tokens are held.
+	demandHorizon = 250 * time.Millisecond
+	// headroomDeviations is how many standard deviations above the predicted demand are held. It guards
+	// against rejections by chance.
+	headroomDeviations = 2
+	// lowWaterFraction is the fraction of what should be held below which the Allocator is asked soon.
+	// It guards against a bucket that is empty before the next regular request.
+	lowWaterFraction = 0.7
+	// shortAverage is the time constant of the averages that follow a change of the demand.
+	shortAverage = 300 * time.Millisecond
+	// longAverage is the time constant of the average that spans the time between two requests of a
+	// small demand. It guards against a bucket that lets its tokens go whenever nothing came for a
+	// moment.
+	longAverage = 3 * time.Second
+)
+
+// tenantBucket is one tenant's part of a LocalLimiter.
+type tenantBucket struct {
+	plan
+	demand, served movingAverage // over shortAverage
+
+	// Of a prepaid tenant:
+	longDemand      movingAverage   // over longAverage
+	grants          []grantedTokens // by expiry, the next to expire first
+	floor           float64         // tokens
+	floorSeconds    float64         // the limiter's floorSeconds up to which floor is filled
+	requestedTokens float64         // in the last request
+	underGranted    bool            // the last demand wasn't granted in full
+
+	local localBucket // of a deferred tenant
+}
+
+type grantedTokens struct {
+	tokens  float64
+	expires time.Duration
+}
+
+// newTenantBucket returns a bucket without a plan, whose first plan fills it. The phase is drawn from 0
+// to 1, see localBucket.
+func newTenantBucket(now time.Duration, floorSeconds, phase float64) *tenantBucket {
+	return &tenantBucket{
+		floor: math.Inf(1), floorSeconds: floorSeconds,
+		local: localBucket{tokens: math.Inf(1), updatedAt: now, admittedFraction: 1, phase: phase},
+	}
+}
+
+// setPlan replaces the plan. What is held above the floor's new depth is lost.
+func (t *tenantBucket) setPlan(plan plan) {
+	t.plan = plan
+	t.floor = min(t.floor, t.floorDepth)
+	if t.local.tokens > maxAmount {
+		t.local.tokens = t.floorDepth
+	}
+}
+
+// advance fills the floor and drops into it what has expired, up to its depth.
+func (t *tenantBucket) advance(now time.Duration, floorSeconds float64) {
+	t.floor += t.floorRate * (floorSeconds - t.floorSeconds)
+	t.floorSeconds = floorSeconds
+	expired := 0
+	for expired < len(t.grants) && t.grants[expired].expires <= now {
+		t.floor += t.grants[expired].tokens
+		expired++
+	}
+	t.removeFirstGrants(expired)
+	t.floor = min(t.floor, t.floorDepth)
+}
+
+// tokens is what can be spent now.
+func (t *tenantBucket) tokens() float64 {
+	sum := t.floor
+	for _, grant := range t.grants {
+		sum += grant.tokens
+	}
+	return sum
+}
+
+// spend takes one token, first of those that expire first and last of the floor.
+func (t *tenantBucket) spend() {
+	remaining, spent := 1.0, 0
+	for spent < len(t.grants) && t.grants[spent].tokens <= remaining {
+		remaining -= t.grants[spent].tokens
+		spent++
+	}
+	t.removeFirstGrants(spent)
+	if len(t.grants) > 0 {
+		t.grants[0].tokens -= remaining
+		return
+	}
+	t.floor = max(0, t.floor-remaining)
+}
+
+// removeFirstGrants keeps the array, as this runs for each request.
+func (t *tenantBucket) removeFirstGrants(count int) {
+	t.grants = append(t.grants[:0], t.grants[count:]...)
+}
+
+// target is what the bucket should hold: the demand of the horizon with headroom, and no less than a
+// full floor. A single request is no sign of more, so the short average counts less one.
+func (t *tenantBucket) target(now time.Duration) float64 {
+	recent := t.demand.value(now, shortAverage) - 1/shortAverage.Seconds()
+	expected := max(recent, t.longDemand.value(now, longAverage)) * demandHorizon.Seconds()
+	return max(expected+headroomDeviations*math.Sqrt(expected), t.floorDepth)
+}
+
+// nextDemand is what to ask for the tenant now; false: nothing. It remembers what is asked for.
+func (t *tenantBucket) nextDemand(now time.Duration, tenant string, floorSeconds float64) (Demand, bool) {
+	if t.deferred {
+		t.requestedTokens = 0
+		return t.local.nextDemand(tenant), t.local.arrived > 0
+	}
+	t.advance(now, floorSeconds)
+	t.requestedTokens = t.target(now) - t.tokens()
+	if t.requestedTokens < minRequestTokens {
+		t.requestedTokens = 0
+		return Demand{}, false
+	}
+	return Demand{Tenant: tenant, Want: t.requestedTokens}, true
+}
