--- /dev/null
+++ b/internal/mesh/sidecar/discovery.go
@@ -0,0 +1,77 @@
+package sidecar
+
+import (
+	"context"
+	"net/http"
+	"time"
+
+	"caperarch/internal/mesh/headers"
+	"caperarch/internal/mesh/registry"
+)
+
+const (
+	// minDiscoveryBackoff and maxDiscoveryBackoff bound the time between two health requests to the
+	// upstream. It doubles from one to the other.
+	minDiscoveryBackoff = 20 * time.Millisecond
+	maxDiscoveryBackoff = 2 * time.Second
+	// defaultHealthPath is used for a service whose configuration names none.
+	defaultHealthPath = "/health"
+)
+
+// discoverUpstream asks the upstream beside the sidecar who it is, until it is known or ctx ends.
+// After a restart of the sidecar its next heartbeat may be more than a second away, and requests for
+// it would be rejected until then.
+func (s *Sidecar) discoverUpstream(ctx context.Context) {
+	backoff := minDiscoveryBackoff
+	for s.endpoints.localUpstream() == nil {
+		if s.config.Load().Version() > 0 { // which names the path
+			if u, ok := s.queryUpstream(ctx); ok && s.endpoints.adoptDiscovered(u) {
+				s.publishUpstream()
+				return
+			}
+		}
+		select {
+		case <-time.After(backoff):
+		case <-ctx.Done():
+			return
+		}
+		backoff = min(2*backoff, maxDiscoveryBackoff)
+	}
+}
+
+// queryUpstream makes one health request; false: there is no answer that tells who it is.
+func (s *Sidecar) queryUpstream(ctx context.Context) (registry.Upstream, bool) {
+	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
+	defer cancel()
+	self := s.settings.Self
+	url := "http://" + self.AppAddress + s.healthPath()
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
+	if err != nil {
+		return registry.Upstream{}, false
+	}
+	req.Close = true
+	res, err := s.client.Do(req)
+	if err != nil {
+		return registry.Upstream{}, false
+	}
+	res.Body.Close()
+	u := registry.Upstream{
+		Instance: res.Header.Get(headers.Instance),
+		Service:  self.ServiceName,
+		Address:  self.AppAddress,
+		Node:     self.NodeName,
+		Zone:     self.Zone,
+		Region:   self.Region,
+		Slots:    headers.ParseSlots(res.Header.Get(headers.Load)),
+	}
+	return u, res.StatusCode == http.StatusOK && u.Instance != "" && u.Slots > 0
+}
+
+// healthPath is the path of the local service's health requests.
+func (s *Sidecar) healthPath() string {
+	service := s.config.Load().Service(s.settings.Self.ServiceName)
+	if service == nil || service.HealthPath == "" {
+		return defaultHealthPath
+	}
+	return service.HealthPath
+}
--- a/internal/mesh/sidecar/endpoints.go
+++ b/internal/mesh/sidecar/endpoints.go
@@ -6,62 +6,55 @@
 	"time"
 
 	"caperarch/internal/mesh/registry"
-	"caperarch/internal/proxy/call"
-	"caperarch/policy"
 )
 
-// endpoints are the upstreams as this sidecar knows them: the catalogue, as it was pushed here, and the one beside it, of which it knows at first hand. They number services, as
-// the modules know them by number.
+// maxDeregistered bounds the ended local instances that are remembered.
+const maxDeregistered = 64
+
+// endpoints are the upstreams as this sidecar knows them: the registry, as core machines push it,
+// and the local upstream, of which it learns at first hand. Where the two differ about the local
+// upstream, what the sidecar knows goes first.
 type endpoints struct {
-	mu              sync.Mutex
-	upstreams       map[string]registry.Upstream // by instance
-	local           *registry.Upstream           // beside us; nil: it has not told yet
-	deregistered    []string                     // instances that were beside us, the last mostEnded
-	serviceNumbers  map[string]int
-	serviceNames    []string       // of services, by number
-	readySlots      map[string]int // of the ready upstreams of a service
+	inboundAddress string         // of this sidecar
+	zones          map[string]int // numbers of the zones
+
+	mu              sync.Mutex                   // guards all below
+	upstreams       map[string]registry.Upstream // as pushed, by instance
+	local           *registry.Upstream           // nil: it is not known yet; never changed in place
+	warmAt          time.Time                    // when the local upstream has warmed up
+	deregistered    []string                     // local instances that have ended, newest last
+	services        serviceNumbers
+	readySlots      map[string]int // of the ready upstreams, by service
 	totalReadySlots int
-	zones           map[string]int
-	inboundAddress  string    // of this sidecar
-	warmAt          time.Time // when the one beside us is warm
 }
 
-// mostEnded bounds the instances that are remembered to have ended.
-const maxDeregistered = 64
-
-func newEndpoints(zones []string, inbound string) *endpoints {
-	s := &endpoints{upstreams: make(map[string]registry.Upstream), serviceNumbers: make(map[string]int), readySlots: make(map[string]int), zones: make(map[string]int), inboundAddress: inbound}
-	for i, z := range zones {
-		s.zones[z] = i
+func newEndpoints(zones []string, inboundAddress string) *endpoints {
+	e := &endpoints{
+		inboundAddress: inboundAddress, zones: make(map[string]int),
+		upstreams: make(map[string]registry.Upstream), services: newServiceNumbers(),
+		readySlots: make(map[string]int),
+	}
+	for number, name := range zones {
+		e.zones[name] = number
 	}
-	return s
+	return e
 }
 
-// number is a service's number, the same for this process's life.
+// serviceNumber is a service's number, the same for the life of the process.
 func (e *endpoints) serviceNumber(service string) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.serviceNumberLocked(service)
-}
-
-func (e *endpoints) serviceNumberLocked(service string) int {
-	n, known := e.serviceNumbers[service]
-	if !known {
-		n = len(e.serviceNumbers)
-		e.serviceNumbers[service] = n
-		e.serviceNames = append(e.serviceNames, service)
-	}
-	return n
+	return e.services.number(service)
 }
 
-// name is the service of a number.
+// serviceName is the service of a number that serviceNumber gave.
 func (e *endpoints) serviceName(number int) string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.serviceNames[number]
+	return e.services.names[number]
 }
 
-// share is a service's part of all slots.
+// slotShare is a service's share of all ready slots.
 func (e *endpoints) slotShare(service string) float64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -71,8 +64,39 @@
 	return max(1, float64(e.readySlots[service])) / float64(e.totalReadySlots)
 }
 
-// take takes what was pushed. It says whether that tells more of the one beside us than we know: that it drains, told to a core machine while we were not there.
-func (e *endpoints) apply(full bool, upserts []registry.Upstream, removals []string) (more bool) {
+// hasReady says whether there is an upstream that a request can go to.
+func (e *endpoints) hasReady() bool {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return e.totalReadySlots > 0
+}
+
+// localSlots is how many requests the local upstream runs at once; 1 where that is not known.
+func (e *endpoints) localSlots() int {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if e.local == nil {
+		return 1
+	}
+	return max(1, e.local.Slots)
+}
+
+// localUpstream is a copy of the local upstream as a lease reports it; nil: it is not known yet.
+func (e *endpoints) localUpstream() *registry.Upstream {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if e.local == nil {
+		return nil
+	}
+	u := *e.local
+	u.WarmupRemaining = max(0, time.Until(e.warmAt).Seconds())
+	return &u
+}
+
+// apply takes upstreams that the core pushed. It says whether that tells more of the local upstream
+// than was known: that it drains or has ended, which it told a core machine while this sidecar did
+// not run.
+func (e *endpoints) apply(full bool, upserts []registry.Upstream, removals []string) (localChanged bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if full {
@@ -80,20 +104,22 @@
 	}
 	for _, u := range upserts {
 		e.upstreams[u.Instance] = u
-		if e.local != nil && e.local.Instance == u.Instance && u.Sequence > e.local.Sequence && u.State > e.local.State {
+		if e.local != nil && e.local.Instance == u.Instance &&
+			u.Sequence > e.local.Sequence && u.State > e.local.State {
 			local := *e.local
-			local.State, local.Sequence, more = u.State, u.Sequence, true
-			e.local = &local
+			local.State, local.Sequence = u.State, u.Sequence
+			e.local, localChanged = &local, true
 		}
 	}
 	for _, instance := range removals {
 		delete(e.upstreams, instance)
 	}
 	e.countSlots()
-	return more
+	return localChanged
 }
 
-// meet takes who is beside us by its own answer to a question; false: it has told by itself meanwhile.
+// adoptDiscovered takes the local upstream from its answer to a health request; false: a heartbeat
+// has told of it meanwhile.
 func (e *endpoints) adoptDiscovered(u registry.Upstream) bool {
 	e.mu.Lock()
 	known := e.local != nil
@@ -101,16 +127,22 @@
 	return !known && e.recordHeartbeat(u)
 }
 
-// tell takes what the upstream beside us says; false: it has said something later before.
+// recordHeartbeat takes what the local upstream says of itself; false: it is out of date, as a later
+// heartbeat of it or of the instance in its place was recorded before.
 func (e *endpoints) recordHeartbeat(u registry.Upstream) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if slices.Contains(e.deregistered, u.Instance) || e.local != nil && e.local.Instance == u.Instance && (u.Sequence < e.local.Sequence || e.local.State > u.State) {
+	if slices.Contains(e.deregistered, u.Instance) {
 		return false
 	}
+	if e.local != nil && e.local.Instance == u.Instance {
+		if u.Sequence < e.local.Sequence || e.local.State > u.State {
+			return false
+		}
+	}
 	if e.local != nil && e.local.Instance != u.Instance {
 		if e.local.State == registry.Ready && u.State != registry.Ready {
-			e.rememberDeregistered(u.Instance) // the last word of a life before this one, of which nothing else was heard
+			e.rememberDeregistered(u.Instance) // the last heartbeat of the instance before, come late
 			return false
 		}
 		e.rememberDeregistered(e.local.Instance)
@@ -122,27 +154,7 @@
 	return true
 }
 
-// slotsBeside is how many requests the upstream beside us works on at once.
-func (e *endpoints) localSlots() int {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	if e.local == nil {
-		return 1
-	}
-	return max(1, e.local.Slots)
-}
-
-// end remembers that an instance beside us has ended: a late word of it brings it back to nobody. The caller holds the lock.
-func (e *endpoints) rememberDeregistered(instance string) {
-	if slices.Contains(e.deregistered, instance) {
-		return
-	}
-	if e.deregistered = append(e.deregistered, instance); len(e.deregistered) > maxDeregistered {
-		e.deregistered = slices.Delete(e.deregistered, 0, 1)
-	}
-}
-
-// gone takes that an instance has ended.
+// deregister records that an instance has ended.
 func (e *endpoints) deregister(instance string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -159,18 +171,19 @@
 	e.countSlots()
 }
 
-// beside is the upstream beside us as a lease tells of it.
-func (e *endpoints) localUpstream() *registry.Upstream {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	if e.local == nil {
-		return nil
+// rememberDeregistered keeps late heartbeats of an ended local instance from reviving it. The caller
+// holds mu.
+func (e *endpoints) rememberDeregistered(instance string) {
+	if slices.Contains(e.deregistered, instance) {
+		return
+	}
+	e.deregistered = append(e.deregistered, instance)
+	if len(e.deregistered) > maxDeregistered {
+		e.deregistered = slices.Delete(e.deregistered, 0, 1)
 	}
-	u := *e.local
-	u.WarmupRemaining = max(0, time.Until(e.warmAt).Seconds())
-	return &u
 }
 
+// countSlots adds up the ready slots. The caller holds mu.
 func (e *endpoints) countSlots() {
 	clear(e.readySlots)
 	e.totalReadySlots = 0
@@ -182,7 +195,8 @@
 	})
 }
 
-// each has told called with every upstream; of those beside us only with the one that told us itself, if one has. The caller holds the lock.
+// forEach visits every upstream; of those beside this sidecar only the local one, if it is known.
+// The caller holds mu.
 func (e *endpoints) forEach(visit func(registry.Upstream)) {
 	for _, u := range e.upstreams {
 		if e.local == nil || u.Inbound != e.inboundAddress {
@@ -193,55 +207,3 @@
 		visit(*e.local)
 	}
 }
-
-// listing is the list that requests are sent by. Of the one beside us our own knowledge goes first.
-func (e *endpoints) balancerListing() call.Listing {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	listing := call.Listing{Whole: true, Address: make(map[policy.ServerID]string), Name: make(map[policy.ServerID]string)}
-	e.forEach(func(u registry.Upstream) {
-		if u.State == registry.Deregistered || u.Inbound == "" {
-			return
-		}
-		id := call.ServerID(u.Instance)
-		listing.Servers = append(listing.Servers, policy.Server{ID: id, Zone: e.zones[u.Zone], Cell: e.serviceNumberLocked(u.Service), State: policyState(u.State), Weight: float64(u.Slots)})
-		listing.Address[id], listing.Name[id] = u.Inbound+" "+u.Instance, u.Instance
-	})
-	slices.SortFunc(listing.Servers, func(a, b policy.Server) int {
-		if a.ID < b.ID {
-			return -1
-		}
-		return 1
-	})
-	return listing
-}
-
-// besideListing is the list that the gate goes by: the one upstream.
-func (e *endpoints) gateListing(address string) call.Listing {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	listing := call.Listing{Whole: true, Address: make(map[policy.ServerID]string)}
-	if e.local != nil {
-		id := call.ServerID(e.local.Instance)
-		listing.Servers = []policy.Server{{ID: id, State: policyState(e.local.State), Weight: float64(max(1, e.local.Slots))}}
-		listing.Address[id] = address
-	}
-	return listing
-}
-
-// known says whether there is an upstream that a request can go to.
-func (e *endpoints) hasReady() bool {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	return e.totalReadySlots > 0
-}
-
-func policyState(s registry.State) policy.State {
-	switch s {
-	case registry.Ready:
-		return policy.Ready
-	case registry.Draining:
-		return policy.Draining
-	}
-	return policy.Gone
-}
--- /dev/null
+++ b/internal/mesh/sidecar/engines.go
@@ -0,0 +1,118 @@
+package sidecar
+
+import (
+	"hash/fnv"
+	"net/http"
+	"strings"
+	"time"
+
+	"caperarch/internal/mesh/balancer"
+	"caperarch/internal/mesh/gate"
+	"caperarch/internal/mesh/headers"
+	"caperarch/internal/mesh/logring"
+	"caperarch/internal/proxy/call"
+	"caperarch/internal/proxy/engine"
+	"caperarch/internal/proxy/h1"
+	"caperarch/internal/proxy/transport/http1"
+	"caperarch/policy"
+)
+
+const (
+	// dialTimeout bounds the set-up of a connection: more than two ways between zones. A machine
+	// that is down gives no answer at all.
+	dialTimeout = 300 * time.Millisecond
+	// idleTimeout is how long a gate's machine may acknowledge nothing. What was sent to it may have
+	// run, and its client is told so at once.
+	idleTimeout = 1200 * time.Millisecond
+	// gateConnIdle and upstreamConnIdle are how long an idle connection is used again. Upstreams
+	// close theirs after 10 s as a rule.
+	gateConnIdle     = 60 * time.Second
+	upstreamConnIdle = 8 * time.Second
+	// maxSends bounds the sends of one request, those that gates rejected included.
+	maxSends = 12
+	// reservedFiles are file descriptors for anything but connections of clients and to others.
+	reservedFiles = 300
+)
+
+// connectionFiles is how many file descriptors there are for connections of all kinds.
+func (s *Sidecar) connectionFiles() int { return s.settings.Self.Limits.MaxOpenFiles - reservedFiles }
+
+// newEngines makes both engines with their transports and decision modules.
+func (s *Sidecar) newEngines() (err error) {
+	s.inbound = &inbound{clock: s.clock}
+	if s.balancerEngine, err = s.newBalancerEngine(); err != nil {
+		return err
+	}
+	s.gateEngine, err = s.newGateEngine()
+	return err
+}
+
+// newBalancerEngine makes the engine that sends this machine's requests to gates.
+func (s *Sidecar) newBalancerEngine() (*engine.Engine, error) {
+	transport := http1.New(http1.Config{
+		Clock: s.clock, DialTimeout: dialTimeout, ConnIdle: gateConnIdle,
+		MostConns: s.connectionFiles() / 4, Rest: -1, Silence: idleTimeout, Dialect: gateDialect(),
+	})
+	cfg := balancer.Config{
+		Zone: s.endpoints.zones[s.settings.Self.Zone], Members: s.sidecarCount, RetryBudget: s.quota,
+	}
+	return engine.New(engine.Config{
+		Policy: policy.Config{MaxAttempts: maxSends}, Seed: s.engineSeed(), Clock: s.clock,
+		Transport: gateTransport{transport}, Log: logring.NewSlog(s.log), Silent: true, Sleeps: true,
+		Module: func(_ policy.Config, _ uint64, host policy.Host) (engine.Module, error) {
+			return balancer.New(cfg, host), nil
+		},
+	})
+}
+
+// newGateEngine makes the engine that sends admitted requests to the upstream beside the sidecar.
+func (s *Sidecar) newGateEngine() (*engine.Engine, error) {
+	transport := http1.New(http1.Config{
+		Clock: s.clock, DialTimeout: dialTimeout, ConnIdle: upstreamConnIdle,
+		MostConns: s.connectionFiles() / 8, Dialect: s.inbound.upstreamDialect(),
+	})
+	return engine.New(engine.Config{
+		Policy: policy.Config{MaxAttempts: 1}, Seed: s.engineSeed(), Clock: s.clock,
+		Transport: transport, Log: logring.NewSlog(s.log), Silent: true, Sleeps: true,
+		Module: func(_ policy.Config, _ uint64, host policy.Host) (engine.Module, error) {
+			s.inbound.gate = gate.New(host)
+			return s.inbound.gate, nil
+		},
+	})
+}
+
+// engineSeed is a hash of the node's name: sidecars differ, and restarts don't.
+func (s *Sidecar) engineSeed() uint64 {
+	hash := fnv.New64a()
+	_, _ = hash.Write([]byte(s.settings.Self.NodeName))
+	return hash.Sum64()
+}
+
+// gateTransport sends to gates. An address is that of a sidecar's inbound listener, a space and the
+// instance that the request is for, see endpoints.balancerListing.
+type gateTransport struct{ *http1.Transport }
+
+// Server gives the gate at such an address.
+func (t gateTransport) Server(address string) call.Server {
+	listener, instance, _ := strings.Cut(address, " ")
+	return t.ServerWith(listener, h1.Field{Name: headers.Target, Value: instance})
+}
+
+// gateDialect is how requests are sent to gates, and how gates' responses are read.
+func gateDialect() *http1.Dialect {
+	return &http1.Dialect{
+		Timeout:   headers.Timeout,
+		Mine:      headers.MatchesAttempt,
+		Judge:     classifyGateResponse,
+		SignField: headers.SendIDField,
+		Sign:      headers.NewSendIDSource().Next,
+	}
+}
+
+// classifyGateResponse tells how an attempt ended, and takes out the fields that are for this
+// sidecar alone.
+func classifyGateResponse(res *http.Response) (policy.Ending, policy.Load) {
+	ending, load := headers.ClassifyGateResponse(res)
+	headers.StripGateLoad(res.Header)
+	return ending, load
+}
--- a/internal/mesh/sidecar/inbound.go
+++ b/internal/mesh/sidecar/inbound.go
@@ -9,84 +9,103 @@
 	"caperarch/internal/mesh/headers"
 	"caperarch/internal/proxy/call"
 	"caperarch/internal/proxy/clock"
-	"caperarch/internal/proxy/front/http1"
+	fronthttp1 "caperarch/internal/proxy/front/http1"
 	"caperarch/internal/proxy/h1"
+	"caperarch/internal/proxy/transport/http1"
 	"caperarch/policy"
 )
 
-// inbound reads the requests that other sidecars, and this one, have for the upstream beside it.
+// inbound admits the requests that sidecars, this one included, send to the local upstream.
 type inbound struct {
-	instance atomic.Pointer[string] // of the upstream as it told last; nil: none has
+	instance atomic.Pointer[string] // of the local upstream; nil: it is not known yet
 	gate     *gate.Gate
 	clock    clock.Clock
 }
 
-func (i *inbound) frontDialect() *http1.Dialect {
-	return &http1.Dialect{Read: i.admit, Pass: i.stripHeaders, Own: i.ownResponseFields}
+// frontDialect is how the front for sidecars treats their requests.
+func (i *inbound) frontDialect() *fronthttp1.Dialect {
+	return &fronthttp1.Dialect{Read: i.admit, Pass: i.stripHeaders, Own: i.ownResponseFields}
 }
 
-func (i *inbound) loadField() string {
-	running, waiting, slots := i.gate.Load()
-	return headers.FormatLoad(running, waiting, slots)
+// upstreamDialect is how requests are sent to the local upstream, and how its responses are read.
+func (i *inbound) upstreamDialect() *http1.Dialect {
+	return &http1.Dialect{
+		Timeout: headers.Timeout, Mine: headers.MatchesAttempt, Judge: i.classifyUpstreamResponse,
+	}
 }
 
-// read takes a request of a sidecar. One for another instance than the one here is turned back: it
-// has not run, and the instance that it was for is gone.
-func (i *inbound) admit(h *h1.Head) (q policy.Request, left time.Duration, bad *http1.Rejection) {
-	terms, left, ok := parseAttempt(h)
+// admit takes a request of a sidecar. One for another instance than the local one is rejected: it
+// has not run, and the instance that it was for has ended.
+func (i *inbound) admit(h *h1.Head) (policy.Request, time.Duration, *fronthttp1.Rejection) {
+	terms, remaining, ok := parseAttempt(h)
 	if !ok {
-		return q, 0, &http1.Rejection{Status: http.StatusBadRequest, Reason: "no request of a sidecar"}
+		return policy.Request{}, 0, &fronthttp1.Rejection{
+			Status: http.StatusBadRequest, Reason: "no request of a sidecar",
+		}
 	}
 	instance := i.instance.Load()
 	if instance == nil || *instance != h.Get(headers.Target) {
-		return q, 0, &http1.Rejection{Status: http.StatusServiceUnavailable, Reason: "another instance is here", Keep: true}
+		return policy.Request{}, 0, &fronthttp1.Rejection{
+			Status: http.StatusServiceUnavailable, Reason: "another instance is here", Keep: true,
+		}
 	}
-	return policy.Request{Terms: terms}, left, nil
+	return policy.Request{Terms: terms}, remaining, nil
 }
 
-// attemptOf reads what a request says of itself; false: it comes from no sidecar, or says something
-// twice that two readers could heed differently.
-func parseAttempt(h *h1.Head) (terms *gate.AttemptTerms, left time.Duration, ok bool) {
-	said, sound := headers.ParseAttemptTerms(h)
-	send, sent := headers.ParseSendID(h)
-	left, timed := headers.ParseTimeout(h.Get(headers.Timeout))
+// parseAttempt reads the fields that a sidecar sets; false: the request comes from none, or gives a
+// field twice that two readers could take differently.
+func parseAttempt(h *h1.Head) (terms *gate.AttemptTerms, remaining time.Duration, ok bool) {
+	stated, hasTerms := headers.ParseAttemptTerms(h)
+	sendID, hasSendID := headers.ParseSendID(h)
+	remaining, hasTimeout := headers.ParseTimeout(h.Get(headers.Timeout))
 	id := h.Get(headers.AttemptID)
-	if !sound || !sent || !timed || id == "" || headers.HasDuplicateControlField(h) {
+	if !hasTerms || !hasSendID || !hasTimeout || id == "" || headers.HasDuplicateControlField(h) {
 		return nil, 0, false
 	}
-	terms = &gate.AttemptTerms{Priority: said.Priority, Idempotent: said.Idempotent, LatencyTarget: said.LatencyTarget}
-	if !said.Idempotent {
-		terms.Key, terms.SendID = gate.KeyOf(id), gate.SendID(send)
+	terms = &gate.AttemptTerms{
+		Priority: stated.Priority, Idempotent: stated.Idempotent, LatencyTarget: stated.LatencyTarget,
+	}
+	if !terms.Idempotent {
+		terms.Key, terms.SendID = gate.KeyOf(id), gate.SendID(sendID)
 	}
-	return terms, left, true
+	return terms, remaining, true
 }
 
+// stripHeaders takes out the fields that are between sidecars.
 func (i *inbound) stripHeaders(_ *policy.Request, fields http.Header) {
 	headers.StripSidecarFields(fields)
 }
 
-// own are the fields of an answer of this gate's own.
+// ownResponseFields are the fields of a response that the front or the gate itself makes.
 func (i *inbound) ownResponseFields(h *h1.Head, a *call.Answer) http.Header {
 	return headers.GateResponseFields(h.Get(headers.AttemptID), i.provablyNotExecuted(h, a), i.loadField())
 }
 
-// neverRan says whether an answer of our own may say that its request never ran and never will.
-// What the engine refuses the gate has seen to. What the front refuses by itself has to be
-// remembered, so that no late copy of it runs.
+// provablyNotExecuted says whether a response of our own may say that its request never ran and
+// never will. What the engine rejects is in the gate's attempt log. What the front rejects by itself
+// (a is nil or unasked) has to be recorded there now, so that no late copy of it runs.
 func (i *inbound) provablyNotExecuted(h *h1.Head, a *call.Answer) bool {
 	if a != nil && a.Kind != call.Refused {
 		return false
 	}
-	terms, left, ok := parseAttempt(h)
+	terms, remaining, ok := parseAttempt(h)
 	if !ok || terms.Idempotent || a != nil && !a.Unasked {
-		return true // one that can't be read is never run by anyone
+		return true // no sidecar runs a request that can't be parsed
 	}
-	return i.gate.AttemptLog().RecordRejection(i.clock.Now(), terms.Key, terms.SendID, left)
+	return i.gate.AttemptLog().RecordRejection(i.clock.Now(), terms.Key, terms.SendID, remaining)
 }
 
-// judge says what an upstream's answer proves, and has it tell the gate's load to the caller's sidecar.
+// classifyUpstreamResponse tells how an attempt ended, and adds the gate's load for the caller's
+// sidecar.
 func (i *inbound) classifyUpstreamResponse(res *http.Response) (policy.Ending, policy.Load) {
-	running, waiting, slots := i.gate.Load()
-	headers.SetGateLoad(res.Header, headers.FormatLoad(max(0, running-1), waiting, slots)) // this one is over
+	running, queued, slots := i.gate.Load()
+	running = max(0, running-1) // without this attempt, which has ended
+	headers.SetGateLoad(res.Header, headers.FormatLoad(running, queued, slots))
 	return headers.ClassifyUpstreamResponse(res)
 }
+
+// loadField is the gate's load as its header field has it.
+func (i *inbound) loadField() string {
+	running, queued, slots := i.gate.Load()
+	return headers.FormatLoad(running, queued, slots)
+}
--- /dev/null
+++ b/internal/mesh/sidecar/lease.go
@@ -0,0 +1,27 @@
+package sidecar
+
+import "caperarch/internal/mesh/registry"
+
+// assumedSidecars is the number of sidecars taken to share quotas until the core tells one.
+const assumedSidecars = 64
+
+// currentLease is what this sidecar reports of itself and its upstream when it renews its lease.
+func (s *Sidecar) currentLease() registry.Lease {
+	lease := registry.Lease{
+		Zone: s.settings.Self.Zone, Applied: s.config.Load().Version(), Leaving: s.draining.Load(),
+		Upstream: s.endpoints.localUpstream(),
+	}
+	if lease.Upstream != nil && lease.Leaving && lease.Upstream.State == registry.Ready {
+		lease.Upstream.State = registry.Draining // without its gate nothing reaches it
+	}
+	return lease
+}
+
+// sidecarCount is how many sidecars share quotas and retry budgets: the largest number of late. As
+// long as the core has told none it is more than are likely, as each would take all for itself.
+func (s *Sidecar) sidecarCount() int {
+	if n := s.watchClient.PeakMembers(); n > 0 {
+		return n
+	}
+	return assumedSidecars
+}
--- /dev/null
+++ b/internal/mesh/sidecar/listings.go
@@ -0,0 +1,61 @@
+package sidecar
+
+import (
+	"cmp"
+	"slices"
+
+	"caperarch/internal/mesh/registry"
+	"caperarch/internal/proxy/call"
+	"caperarch/policy"
+)
+
+// balancerListing is the list that the balancer goes by: all upstreams behind a gate, in the order
+// of their ids. The address of each is that of its gate and its instance, see gateTransport.
+func (e *endpoints) balancerListing() call.Listing {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	listing := call.Listing{
+		Whole:   true,
+		Address: make(map[policy.ServerID]string), Name: make(map[policy.ServerID]string),
+	}
+	e.forEach(func(u registry.Upstream) {
+		if u.State == registry.Deregistered || u.Inbound == "" {
+			return
+		}
+		id := call.ServerID(u.Instance)
+		listing.Servers = append(listing.Servers, policy.Server{
+			ID: id, Zone: e.zones[u.Zone], Cell: e.services.number(u.Service),
+			State: policyState(u.State), Weight: float64(u.Slots),
+		})
+		listing.Address[id] = u.Inbound + " " + u.Instance
+		listing.Name[id] = u.Instance
+	})
+	slices.SortFunc(listing.Servers, func(a, b policy.Server) int { return cmp.Compare(a.ID, b.ID) })
+	return listing
+}
+
+// gateListing is the list that the gate goes by: the local upstream at its address, if it is known.
+func (e *endpoints) gateListing(address string) call.Listing {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	listing := call.Listing{Whole: true, Address: make(map[policy.ServerID]string)}
+	if e.local != nil {
+		id := call.ServerID(e.local.Instance)
+		listing.Servers = []policy.Server{{
+			ID: id, State: policyState(e.local.State), Weight: float64(max(1, e.local.Slots)),
+		}}
+		listing.Address[id] = address
+	}
+	return listing
+}
+
+// policyState is an upstream's state in the terms of decision modules.
+func policyState(s registry.State) policy.State {
+	switch s {
+	case registry.Ready:
+		return policy.Ready
+	case registry.Draining:
+		return policy.Draining
+	}
+	return policy.Gone
+}
--- a/internal/mesh/sidecar/once_test.go
+++ b/internal/mesh/sidecar/once_test.go
@@ -120,7 +120,8 @@
 }
 
 func (m *mesh) caller(ctx context.Context) {
-	b := &Sidecar{clock: clock.New(), log: zap.NewNop(), endpoints: newEndpoints([]string{"z"}, "caller")}
+	b := &Sidecar{settings: new(settings.Settings), clock: clock.New(), log: zap.NewNop(), endpoints: newEndpoints([]string{"z"}, "caller")}
+	b.settings.Self.ServiceName = "s"
 	change, err := config.ParseReplace([]byte(onceConfig))
 	if err != nil {
 		m.t.Fatal(err)
@@ -132,7 +133,7 @@
 	b.config.Store(c)
 	one := func() int { return 1 }
 	bounds := settings.Bounds{QuotaWindow: 5 * time.Second, RetryWindow: 10 * time.Second, RetryBudgetRatio: 0.2, RetryBudgetSlack: 100}
-	if b.quota, err = newQuotaClient(bounds, b.clock, "n", b.endpoints.serviceName, one, nil, nil, b.log); err != nil {
+	if b.quota, err = newQuotaClient(bounds, quotaConfig{clock: b.clock, log: b.log, node: "n", serviceName: b.endpoints.serviceName, sidecarCount: one}); err != nil {
 		m.t.Fatal(err)
 	}
 	e := m.engine(ctx, gateTransport{m.transport("caller", "gate", gateDialect())}, maxSends, func(host policy.Host) engine.Module {
@@ -143,7 +144,7 @@
 	}, nil)
 	e.List(b.endpoints.balancerListing())
 	e.Flush()
-	m.serve("caller", e, (&outbound{b: b, callerField: []string{"s"}}).frontDialect(), bodyRoom)
+	m.serve("caller", e, b.newOutbound().frontDialect(), bodyRoom)
 }
 
 func (m *mesh) gate(ctx context.Context, address, upstream string, room int64) {
--- a/internal/mesh/sidecar/outbound.go
+++ b/internal/mesh/sidecar/outbound.go
@@ -1,12 +1,10 @@
 package sidecar
 
 import (
-	"cmp"
 	"math/rand/v2"
 	"net/http"
-	"slices"
 	"strings"
-	"sync"
+	"sync/atomic"
 	"time"
 
 	"caperarch/internal/mesh/balancer"
@@ -19,185 +17,237 @@
 )
 
 const (
-	// noCharterPause is when a client comes back that was here before the configuration.
+	// noConfigRetryAfter is what a client is told that comes before the first configuration.
 	noConfigRetryAfter = 300 * time.Millisecond
-	// standardAim is the aim of a route that names none.
+	// defaultLatencyTarget is that of a route that names none.
 	defaultLatencyTarget = time.Second
-	// mostShare is the largest part of all slots that one tenant's compartment may have: well under the whole, whatever its rate.
-	maxTenantShare = 0.35
-	// callsOfRun is how many internal checks one run of the upstream beside us may have under way, for the size of their compartment.
+	// nestedCallsPerRequest is how many internal checks one request of the local upstream may have
+	// in flight; it sizes their compartment.
 	nestedCallsPerRequest = 3
-	// lowestRank is that of what names none.
+	// lowestPriority is the largest number of a priority.
 	lowestPriority = 9
 )
 
-// outbound reads the requests that begin on this machine, by the configuration in force.
+// outbound admits the requests that begin on this machine, by the configuration in force.
 type outbound struct {
-	b           *Sidecar
-	callerField []string // the service of this machine
+	config      *atomic.Pointer[config.Snapshot]
+	endpoints   *endpoints
+	quota       *quotaClient
+	routes      routeCache
+	callerField []string // the local service, as the header field has it
+}
 
-	mu          sync.Mutex
-	derivedFrom *config.Snapshot // that the next two were worked out for
-	shares      map[string]float64
-	checks      map[*config.Route]bool
+func (s *Sidecar) newOutbound() *outbound {
+	return &outbound{
+		config: &s.config, endpoints: s.endpoints, quota: s.quota,
+		callerField: []string{s.settings.Self.ServiceName},
+	}
 }
 
+// frontDialect is how the front for clients treats their requests.
 func (o *outbound) frontDialect() *http1.Dialect {
-	return &http1.Dialect{Read: o.admit, Pass: o.rewriteHeaders, Ahead: func(q *policy.Request) bool { return q.Terms.(*balancer.RequestClass).Idempotent }, Own: func(h *h1.Head, _ *call.Answer) http.Header {
-		if id := h.Get(headers.AttemptID); id != "" {
-			return http.Header{headers.AttemptID: {id}}
-		}
-		return nil
-	}}
+	return &http1.Dialect{
+		Read:  o.admit,
+		Pass:  o.rewriteHeaders,
+		Ahead: mayReadAhead,
+		Own:   ownResponseFields,
+	}
 }
 
-// read finds a request's route, its tenant and the service that is to run it.
-func (o *outbound) admit(h *h1.Head) (q policy.Request, left time.Duration, bad *http1.Rejection) {
-	no := func(status int, reason string, keep bool) (policy.Request, time.Duration, *http1.Rejection) {
-		return policy.Request{}, 0, &http1.Rejection{Status: status, Reason: reason, Keep: keep}
+// mayReadAhead says whether requests behind this one may start before it is answered.
+func mayReadAhead(q *policy.Request) bool { return q.Terms.(*balancer.RequestClass).Idempotent }
+
+// ownResponseFields are the fields of a response that the front itself makes.
+func ownResponseFields(h *h1.Head, _ *call.Answer) http.Header {
+	if id := h.Get(headers.AttemptID); id != "" {
+		return http.Header{headers.AttemptID: {id}}
 	}
+	return nil
+}
+
+// clientLimits bound what clients send, by the configuration in force.
+func (o *outbound) clientLimits() http1.Limits {
+	limits := o.config.Load().Limits()
+	return http1.Limits{
+		HeadBytes: limits.HeaderBytes, BodyBytes: limits.BodyBytes,
+		HeadTime: limits.HeaderTimeout, IdleTime: limits.IdleTimeout,
+	}
+}
+
+// admit finds a request's route, tenant and service, and how much time it has. It charges the
+// tenant's quota.
+func (o *outbound) admit(h *h1.Head) (policy.Request, time.Duration, *http1.Rejection) {
+	if rejection := checkHead(h); rejection != nil {
+		return policy.Request{}, 0, rejection
+	}
+	snapshot := o.config.Load()
+	route, rejection := findRoute(snapshot, h)
+	if rejection != nil {
+		return policy.Request{}, 0, rejection
+	}
+	remaining, rejection := remainingTime(h, route)
+	if rejection != nil {
+		return policy.Request{}, 0, rejection
+	}
+	tenant, rejection := o.admitTenant(snapshot, route, h)
+	if rejection != nil {
+		return policy.Request{}, 0, rejection
+	}
+	return policy.Request{Terms: o.classify(snapshot, route, tenant)}, remaining, nil
+}
+
+// rejectAndClose rejects a request whose head or body can't be trusted to end where it says.
+func rejectAndClose(status int, reason string) *http1.Rejection {
+	return &http1.Rejection{Status: status, Reason: reason}
+}
+
+// rejectAndKeep rejects a request whose connection can be used for the next one.
+func rejectAndKeep(status int, reason string) *http1.Rejection {
+	return &http1.Rejection{Status: status, Reason: reason, Keep: true}
+}
+
+// rejectUntil is rejectAndKeep with a Retry-After.
+func rejectUntil(status int, reason string, retryAfter time.Duration) *http1.Rejection {
+	return &http1.Rejection{Status: status, Reason: reason, Keep: true, Pause: retryAfter}
+}
+
+// checkHead rejects what no configuration admits.
+func checkHead(h *h1.Head) *http1.Rejection {
 	if h.Old {
-		return no(http.StatusHTTPVersionNotSupported, "HTTP/1.1 is needed", false)
+		return rejectAndClose(http.StatusHTTPVersionNotSupported, "HTTP/1.1 is needed")
 	}
 	if name := headers.DuplicateField(h, headers.AttemptID, headers.Timeout, headers.Key); name != "" {
-		return no(http.StatusBadRequest, name+" is given twice", false)
+		return rejectAndClose(http.StatusBadRequest, name+" is given twice")
 	}
 	if h.Get(headers.AttemptID) == "" {
-		return no(http.StatusBadRequest, headers.AttemptID+" is missing", false)
+		return rejectAndClose(http.StatusBadRequest, headers.AttemptID+" is missing")
 	}
-	c := o.b.config.Load()
-	if c.Version() == 0 {
-		return policy.Request{}, 0, &http1.Rejection{Status: http.StatusServiceUnavailable, Reason: "no configuration yet", Keep: true, Pause: noConfigRetryAfter}
+	return nil
+}
+
+// findRoute matches a request's host and path, and bounds its body.
+func findRoute(snapshot *config.Snapshot, h *h1.Head) (*config.Route, *http1.Rejection) {
+	if snapshot.Version() == 0 {
+		return nil, rejectUntil(
+			http.StatusServiceUnavailable, "no configuration yet", noConfigRetryAfter)
 	}
 	path, _, _ := strings.Cut(h.Target, "?")
-	route := c.Match(h.Host, path)
+	route := snapshot.Match(h.Host, path)
 	if route == nil {
-		return no(http.StatusNotFound, "no route", true)
+		return nil, rejectAndKeep(http.StatusNotFound, "no route")
 	}
-	if h.Length > c.Limits().BodyBytes {
-		return no(http.StatusRequestEntityTooLarge, "the body is too long", false)
+	if h.Length > snapshot.Limits().BodyBytes {
+		return nil, rejectAndClose(http.StatusRequestEntityTooLarge, "the body is too long")
 	}
-	left = route.Timeout
+	return route, nil
+}
+
+// remainingTime is how long a request may take: the least of what its client says and its route's
+// timeout, or the default latency target where neither says anything.
+func remainingTime(h *h1.Head, route *config.Route) (time.Duration, *http1.Rejection) {
+	remaining := route.Timeout
 	if text := h.Get(headers.Timeout); text != "" {
-		told, ok := headers.ParseTimeout(text)
-		if headers.IsExpired(text) { // a call that an upstream makes at its request's deadline: nothing is wrong with it
-			return no(http.StatusServiceUnavailable, "no time is left", true)
+		stated, ok := headers.ParseTimeout(text)
+		if headers.IsExpired(text) { // a call made at its request's deadline: it is no client's fault
+			return 0, rejectAndKeep(http.StatusServiceUnavailable, "no time is left")
 		}
 		if !ok {
-			return no(http.StatusBadRequest, headers.Timeout+" is malformed", true)
+			return 0, rejectAndKeep(http.StatusBadRequest, headers.Timeout+" is malformed")
 		}
-		if left = min(told, route.Timeout); route.Timeout == 0 {
-			left = told
+		if remaining = stated; route.Timeout != 0 {
+			remaining = min(stated, route.Timeout)
 		}
 	}
-	if left <= 0 {
-		left = defaultLatencyTarget
+	if remaining <= 0 {
+		return defaultLatencyTarget, nil
 	}
-	aim, rank, name := route.LatencyTarget, route.Priority, ""
-	if aim <= 0 {
-		aim = defaultLatencyTarget
+	return remaining, nil
+}
+
+// admitTenant finds the tenant of a request's key and charges its quota; nil: the route needs none.
+func (o *outbound) admitTenant(
+	snapshot *config.Snapshot, route *config.Route, h *h1.Head,
+) (*config.Tenant, *http1.Rejection) {
+	if !snapshot.HasTenants() || route.Public {
+		return nil, nil
 	}
-	service := pickService(route)
-	wall := balancer.CompartmentSpec{Name: "service " + service, Share: o.b.endpoints.slotShare(service)}
-	if c.HasTenants() && !route.Public {
-		tenant := c.Tenant(h.Get(headers.Key))
-		if tenant == nil {
-			return no(http.StatusUnauthorized, "no such key", true)
-		}
-		name = tenant.Name
-		if tenant.Priority >= 0 {
-			rank = tenant.Priority
-		}
-		wall = balancer.CompartmentSpec{Name: "tenant " + tenant.Name, Share: o.tenantShare(c, tenant.Name)}
-		if pause, ok := o.b.quota.allow(tenant.Name); !ok {
-			return policy.Request{}, 0, &http1.Rejection{Status: http.StatusTooManyRequests, Reason: "over the quota", Keep: true, Pause: pause}
-		}
+	tenant := snapshot.Tenant(h.Get(headers.Key))
+	if tenant == nil {
+		return nil, rejectAndKeep(http.StatusUnauthorized, "no such key")
 	}
-	rank++ // below internal checks, whatever the operator's ranks are
-	if name == "" && o.isInternalCheck(c, route) {
-		rank = 0
-		wall.Name, wall.MinSlots = "checks of "+service, nestedCallsPerRequest*o.b.endpoints.localSlots()
+	if retryAfter, allowed := o.quota.allow(tenant.Name); !allowed {
+		return nil, rejectUntil(http.StatusTooManyRequests, "over the quota", retryAfter)
 	}
-	return policy.Request{Terms: &balancer.RequestClass{
-		Service: o.b.endpoints.serviceNumber(service), Compartment: wall, Tenant: name, Priority: min(max(0, rank), lowestPriority), Idempotent: route.Idempotent, MaxAttempts: route.MaxAttempts, LatencyTarget: aim,
-	}}, left, nil
+	return tenant, nil
 }
 
-// target draws the service by the route's weights.
-func pickService(r *config.Route) string {
-	if len(r.Targets) == 1 {
-		return r.Targets[0].Service
+// classify says what the balancer goes by. Priority 0 is for internal checks alone, so that those of
+// operators are one lower than they say.
+func (o *outbound) classify(
+	snapshot *config.Snapshot, route *config.Route, tenant *config.Tenant,
+) *balancer.RequestClass {
+	service := pickService(route)
+	class := &balancer.RequestClass{
+		Service:       o.endpoints.serviceNumber(service),
+		Idempotent:    route.Idempotent,
+		MaxAttempts:   route.MaxAttempts,
+		LatencyTarget: route.LatencyTarget,
+	}
+	if class.LatencyTarget <= 0 {
+		class.LatencyTarget = defaultLatencyTarget
+	}
+	priority := route.Priority
+	if tenant != nil && tenant.Priority >= 0 {
+		priority = tenant.Priority
+	}
+	class.Priority = min(max(0, priority+1), lowestPriority)
+	routes := o.routes.of(snapshot)
+	switch {
+	case tenant != nil:
+		class.Tenant = tenant.Name
+		class.Compartment.Name = "tenant " + tenant.Name
+		class.Compartment.Share = routes.tenantShares[tenant.Name]
+	case routes.internalChecks[route]:
+		class.Priority = 0
+		class.Compartment.Name = "checks of " + service
+		class.Compartment.Share = o.endpoints.slotShare(service)
+		class.Compartment.MinSlots = nestedCallsPerRequest * o.endpoints.localSlots()
+	default:
+		class.Compartment.Name = "service " + service
+		class.Compartment.Share = o.endpoints.slotShare(service)
+	}
+	return class
+}
+
+// pickService draws one of a route's services by their weights.
+func pickService(route *config.Route) string {
+	if len(route.Targets) == 1 {
+		return route.Targets[0].Service
 	}
 	sum := 0.0
-	for _, t := range r.Targets {
+	for _, t := range route.Targets {
 		sum += t.Weight
 	}
 	at := rand.Float64() * sum
-	for _, t := range r.Targets {
+	for _, t := range route.Targets {
 		if at -= t.Weight; at < 0 {
 			return t.Service
 		}
 	}
-	return r.Targets[len(r.Targets)-1].Service
-}
-
-// share is a tenant's part of all slots: by its rate against all tenants' rates, evenly where none is limited, and never more than mostShare.
-func (o *outbound) tenantShare(c *config.Snapshot, tenant string) float64 {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	o.deriveRoutes(c)
-	return o.shares[tenant]
-}
-
-// isCheck says whether requests of a route are internal checks: calls that a run makes, which go before all else, as the request that waits for them holds a slot meanwhile. Nothing in a
-// request tells. A route is one if all the time that it may take fits into the aim of every route that may take longer and is none: else it could be no part of their requests.
-func (o *outbound) isInternalCheck(c *config.Snapshot, r *config.Route) bool {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	o.deriveRoutes(c)
-	return o.checks[r]
-}
-
-// work works out what a configuration means for requests, once for each.
-func (o *outbound) deriveRoutes(c *config.Snapshot) {
-	if o.derivedFrom == c {
-		return
-	}
-	o.derivedFrom, o.shares, o.checks = c, make(map[string]float64), make(map[*config.Route]bool)
-	sum, all := 0.0, c.Tenants()
-	for _, t := range all {
-		sum += t.RatePerS
-	}
-	for _, t := range all {
-		share := 1 / float64(len(all))
-		if sum > 0 && t.RatePerS > 0 {
-			share = t.RatePerS / sum
-		}
-		o.shares[t.Name] = min(maxTenantShare, share)
-	}
-	routes := slices.SortedFunc(slices.Values(c.Routes()), func(a, b *config.Route) int { return cmp.Compare(b.Timeout, a.Timeout) })
-	least := time.Duration(0) // aim of those that may take longer and are no checks; 0: there is none
-	for i := 0; i < len(routes); {
-		next := i
-		for ; next < len(routes) && routes[next].Timeout == routes[i].Timeout; next++ {
-			r := routes[next]
-			o.checks[r] = least > 0 && r.Timeout > 0 && r.Timeout <= least && r.Idempotent && (r.Public || !c.HasTenants())
-		}
-		for ; i < next; i++ {
-			if aim := routes[i].LatencyTarget; aim > 0 && !o.checks[routes[i]] && (least == 0 || aim < least) {
-				least = aim
-			}
-		}
-	}
+	return route.Targets[len(route.Targets)-1].Service
 }
 
-// pass changes what goes on: what only the system may say is its own, the key stays here.
+// rewriteHeaders prepares the fields that go to a gate: those that only sidecars may set are this
+// one's own, and the tenant's key goes no further.
 func (o *outbound) rewriteHeaders(q *policy.Request, fields http.Header) {
 	headers.StripInternal(fields)
-	order := q.Terms.(*balancer.RequestClass)
+	class := q.Terms.(*balancer.RequestClass)
 	fields[headers.Caller] = o.callerField
-	if order.Tenant != "" {
-		fields[headers.Tenant] = []string{order.Tenant}
+	if class.Tenant != "" {
+		fields[headers.Tenant] = []string{class.Tenant}
+	}
+	terms := headers.AttemptTerms{
+		Priority: class.Priority, LatencyTarget: class.LatencyTarget, Idempotent: class.Idempotent,
 	}
-	headers.AttemptTerms{Priority: order.Priority, LatencyTarget: order.LatencyTarget, Idempotent: order.Idempotent}.Set(fields)
+	terms.Set(fields)
 }
--- /dev/null
+++ b/internal/mesh/sidecar/quota_client.go
@@ -0,0 +1,240 @@
+package sidecar
+
+import (
+	"context"
+	"net/http"
+	"sync"
+	"time"
+
+	"caperarch/internal/mesh/config"
+	"caperarch/internal/mesh/quota"
+	"caperarch/internal/mesh/rpc"
+	"caperarch/internal/mesh/settings"
+	"caperarch/internal/proxy/clock"
+
+	"go.uber.org/zap"
+)
+
+const (
+	// allocateTimeout bounds one request for tokens: they are valid for hardly longer.
+	allocateTimeout = 500 * time.Millisecond
+	// allocateBackoff is the time between a failed request and the next one.
+	allocateBackoff = 100 * time.Millisecond
+	// minAllocateInterval is the least time between two requests.
+	minAllocateInterval = 20 * time.Millisecond
+	// unusedQuotaWindow stands in for the window of settings without quotas: nothing asks for tokens.
+	unusedQuotaWindow = time.Second
+)
+
+// AllocatePath is where core members take requests for tokens.
+const AllocatePath = "/mesh/deal"
+
+// AllocateRequest asks for tokens for a sidecar's tenants.
+type AllocateRequest struct {
+	Node      string         `json:"node"`
+	Demands   []quota.Demand `json:"asks"`
+	Forwarded bool           `json:"passed,omitempty"` // by one member to another: it goes no further
+}
+
+// AllocateResponse is what the leader allocates in the epoch, its term.
+type AllocateResponse struct {
+	Epoch     uint64            `json:"epoch"`
+	Grants    []quota.Grant     `json:"grants"`
+	Throttled []quota.Throttled `json:"closed,omitempty"`
+}
+
+// TenantLimits are the limits of a configuration's tenants that have a rate.
+func TenantLimits(c *config.Snapshot) map[string]quota.Limit {
+	limits := make(map[string]quota.Limit)
+	for _, t := range c.Tenants() {
+		if t.RatePerS > 0 {
+			limits[t.Name] = quota.Limit{Rate: t.RatePerS, Burst: t.Burst}
+		}
+	}
+	return limits
+}
+
+// quotaConfig is what a quotaClient is made of.
+type quotaConfig struct {
+	clock        clock.Clock
+	log          *zap.Logger
+	httpClient   *http.Client
+	node         string
+	peers        func() []string          // addresses of core machines, the one in use first
+	serviceName  func(service int) string // by the service's number
+	sidecarCount func() int               // how many share the limits
+}
+
+// quotaClient decides what this sidecar may admit for each tenant and may retry for each service. It
+// has core machines allocate tokens as they are needed.
+type quotaClient struct {
+	quotaConfig
+	wake chan struct{} // holds a signal for run to look again
+
+	mu          sync.Mutex // guards all below
+	limiter     *quota.LocalLimiter
+	retryBudget *quota.RetryBudget
+	limits      map[string]quota.Limit
+	sidecars    int // that limits and budget were divided by; 0: they have to be divided anew
+}
+
+func newQuotaClient(bounds settings.Bounds, cfg quotaConfig) (*quotaClient, error) {
+	q := &quotaClient{quotaConfig: cfg, wake: make(chan struct{}, 1)}
+	window := bounds.QuotaWindow
+	if window <= 0 {
+		window = unusedQuotaWindow
+	}
+	var err error
+	q.limiter, err = quota.NewLocalLimiter(quota.Rules{
+		Window: window, Overage: bounds.QuotaOverage, Slack: bounds.QuotaSlack,
+	})
+	if err != nil {
+		return nil, err
+	}
+	q.retryBudget, err = quota.NewRetryBudget(quota.RetryBudgetRules{
+		Window: bounds.RetryWindow, Ratio: bounds.RetryBudgetRatio, Slack: bounds.RetryBudgetSlack,
+	})
+	return q, err
+}
+
+// configure takes the limits of a configuration.
+func (q *quotaClient) configure(c *config.Snapshot) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	q.limits, q.sidecars = TenantLimits(c), 0
+	q.updateShares(q.clock.Now())
+	if len(q.limits) > 0 {
+		q.wakeUp()
+	}
+}
+
+// updateShares divides the limits and the retry budget by the sidecars that there are now. The
+// caller holds mu.
+func (q *quotaClient) updateShares(now time.Duration) {
+	sidecars := max(1, q.sidecarCount())
+	if sidecars == q.sidecars {
+		return
+	}
+	q.sidecars = sidecars
+	if err := q.limiter.Configure(now, q.limits, sidecars); err != nil {
+		q.log.Error("tenant limits rejected, the previous ones stay in force", zap.Error(err))
+	}
+	if err := q.retryBudget.Configure(now, sidecars); err != nil {
+		q.log.Error("number of sidecars rejected, the retry budget stays as it is", zap.Error(err))
+	}
+}
+
+// wakeUp has run look at what is needed.
+func (q *quotaClient) wakeUp() {
+	select {
+	case q.wake <- struct{}{}:
+	default:
+	}
+}
+
+// allow charges a tenant for one request; false: it is over its quota, and its client is told when to
+// come back.
+func (q *quotaClient) allow(tenant string) (retryAfter time.Duration, allowed bool) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	now := q.clock.Now()
+	q.updateShares(now)
+	allowed = q.limiter.Allow(now, tenant)
+	if q.limiter.NextRequest(now) <= now {
+		q.wakeUp()
+	}
+	if allowed {
+		return 0, true
+	}
+	return q.limiter.RetryAfter(now, tenant), false
+}
+
+// run requests tokens while there are tenants with limits, until ctx ends.
+func (q *quotaClient) run(ctx context.Context) {
+	timer := time.NewTimer(0)
+	defer timer.Stop()
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-timer.C:
+		case <-q.wake:
+		}
+		due := q.collectDemands()
+		switch {
+		case !due.hasLimits:
+			continue // until there are limits again
+		case due.wait > 0:
+			timer.Reset(due.wait)
+		case q.requestTokens(ctx, due.demands):
+			timer.Reset(minAllocateInterval)
+		default:
+			timer.Reset(allocateBackoff)
+		}
+	}
+}
+
+// dueDemands is what run has to do next.
+type dueDemands struct {
+	hasLimits bool
+	wait      time.Duration  // until the next request; 0: it is due
+	demands   []quota.Demand // may be empty: the leader counts on regular requests
+}
+
+// collectDemands looks at what is needed now.
+func (q *quotaClient) collectDemands() dueDemands {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	now := q.clock.Now()
+	due := dueDemands{hasLimits: len(q.limits) > 0, wait: max(0, q.limiter.NextRequest(now)-now)}
+	if due.hasLimits && due.wait == 0 {
+		due.demands = q.limiter.Demands(now)
+	}
+	return due
+}
+
+// requestTokens asks the core machine in use; false: no answer came.
+func (q *quotaClient) requestTokens(ctx context.Context, demands []quota.Demand) bool {
+	peers := q.peers()
+	if len(peers) == 0 {
+		return false
+	}
+	ctx, cancel := context.WithTimeout(ctx, allocateTimeout)
+	defer cancel()
+	url := "http://" + peers[0] + AllocatePath
+	request := &AllocateRequest{Node: q.node, Demands: demands}
+	response, err := rpc.Call[AllocateRequest, AllocateResponse](ctx, q.httpClient, url, request)
+	if err != nil {
+		q.log.Debug("quota request failed", zap.Error(err))
+		return false
+	}
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	err = q.limiter.ApplyGrants(q.clock.Now(), response.Epoch, response.Grants, response.Throttled)
+	if err != nil {
+		q.log.Debug("quota grant rejected", zap.Error(err))
+	}
+	return true
+}
+
+// RecordRequest counts a request of a service, by its number, towards its retry budget.
+func (q *quotaClient) RecordRequest(now time.Duration, service int) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	q.updateShares(now)
+	q.retryBudget.RecordRequest(now, q.serviceName(service))
+}
+
+// Allowed says whether a service's retry budget has room for one more.
+func (q *quotaClient) Allowed(now time.Duration, service int) bool {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	return q.retryBudget.Allowed(now, q.serviceName(service))
+}
+
+// Charge takes one retry from a service's budget.
+func (q *quotaClient) Charge(now time.Duration, service int) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	q.retryBudget.Charge(now, q.serviceName(service))
+}
--- a/internal/mesh/sidecar/sidecar_test.go
+++ b/internal/mesh/sidecar/sidecar_test.go
@@ -42,7 +42,8 @@
 
 // newOutbound is the way out of a sidecar beside service huvo11a that holds a configuration; "" is none.
 func newOutbound(snapshot string) (*outbound, *http1.Dialect) {
-	b := &Sidecar{clock: clock.NewMovable(), log: zap.NewNop(), endpoints: newEndpoints([]string{"hall-a", "hall-b"}, inboundHere)}
+	b := &Sidecar{settings: new(settings.Settings), clock: clock.NewMovable(), log: zap.NewNop(), endpoints: newEndpoints([]string{"hall-a", "hall-b"}, inboundHere)}
+	b.settings.Self.ServiceName = "huvo11a"
 	c := config.Empty()
 	if snapshot != "" {
 		change, err := config.ParseReplace([]byte(snapshot))
@@ -51,11 +52,11 @@
 		So(err, ShouldBeNil)
 	}
 	var err error
-	b.quota, err = newQuotaClient(settings.Bounds{QuotaWindow: 5 * time.Second, QuotaOverage: 0.1, QuotaSlack: 20, RetryWindow: 10 * time.Second, RetryBudgetRatio: 0.2}, b.clock, "n", b.endpoints.serviceName, func() int { return 1 }, nil, nil, b.log)
+	b.quota, err = newQuotaClient(settings.Bounds{QuotaWindow: 5 * time.Second, QuotaOverage: 0.1, QuotaSlack: 20, RetryWindow: 10 * time.Second, RetryBudgetRatio: 0.2}, quotaConfig{clock: b.clock, log: b.log, node: "n", serviceName: b.endpoints.serviceName, sidecarCount: func() int { return 1 }})
 	So(err, ShouldBeNil)
 	b.config.Store(c)
 	b.quota.configure(c)
-	o := &outbound{b: b, callerField: []string{"huvo11a"}}
+	o := b.newOutbound()
 	return o, o.frontDialect()
 }
 
@@ -152,26 +153,26 @@
 		So(bad.Pause, ShouldBeBetween, 0, 10*time.Second)
 		So(read(lepu, key), ShouldBeNil)
 		So(read("GET /open/ HTTP/1.1\r\nHost: hulo84.example", "X-Api-Key: kcuyj8pj\r\n"), ShouldBeNil)
-		o.b.clock.Jump(time.Hour)
+		o.quota.clock.Jump(time.Hour)
 		So(read(lepu, "X-Api-Key: kcuyj8pj\r\n"), ShouldBeNil)
 	})
 	Convey("The limits on clients are those of the configuration in force, and a gate takes what any sidecar has let in", t, func() {
 		o, _ := newOutbound("")
-		So(o.b.clientLimits(), ShouldResemble, http1.Limits{HeadBytes: 16 << 10, BodyBytes: 64 << 20, HeadTime: 3 * time.Second, IdleTime: 15 * time.Second})
+		So(o.clientLimits(), ShouldResemble, http1.Limits{HeadBytes: 16 << 10, BodyBytes: 64 << 20, HeadTime: 3 * time.Second, IdleTime: 15 * time.Second})
 		change, err := config.ParseReplace([]byte(`{"configVersion":9,"resources":[{"resourceType":"limits","metadata":{},"specification":{"maxHeaderBytes":32768,"maxBodyBytes":9,"headerTimeoutS":4.5,"idleTimeoutS":0.5}}]}`))
 		So(err, ShouldBeNil)
-		next, _, err := o.b.config.Load().Apply(change)
+		next, _, err := o.config.Load().Apply(change)
 		So(err, ShouldBeNil)
-		o.b.config.Store(next)
-		So(o.b.clientLimits(), ShouldResemble, http1.Limits{HeadBytes: 32 << 10, BodyBytes: 9, HeadTime: 4500 * time.Millisecond, IdleTime: 500 * time.Millisecond})
+		o.config.Store(next)
+		So(o.clientLimits(), ShouldResemble, http1.Limits{HeadBytes: 32 << 10, BodyBytes: 9, HeadTime: 4500 * time.Millisecond, IdleTime: 500 * time.Millisecond})
 		So(inboundLimits(), ShouldResemble, http1.Limits{HeadBytes: maxInboundHeadBytes})
-		So(inboundLimits().HeadBytes, ShouldBeGreaterThan, o.b.clientLimits().HeadBytes)
+		So(inboundLimits().HeadBytes, ShouldBeGreaterThan, o.clientLimits().HeadBytes)
 	})
 	Convey("Services are drawn by weight", t, func() {
 		o, _ := newOutbound(keyed)
 		seldom := 0
 		for range 4000 {
-			if pickService(o.b.config.Load().Match("jepu9.example", "/lepu270/")) == "kafi81c" {
+			if pickService(o.config.Load().Match("jepu9.example", "/lepu270/")) == "kafi81c" {
 				seldom++
 			}
 		}
@@ -182,9 +183,9 @@
 func TestChecks(t *testing.T) {
 	checks := func(snapshot string) (names []string) {
 		o, _ := newOutbound(snapshot)
-		c := o.b.config.Load()
+		c := o.config.Load()
 		for _, r := range c.Routes() {
-			if o.isInternalCheck(c, r) {
+			if internalChecks(c)[r] {
 				names = append(names, r.Name)
 			}
 		}
@@ -206,7 +207,7 @@
 	})
 	Convey("They go before all else, with slots of their own", t, func() {
 		o, d := newOutbound(keyed)
-		o.b.endpoints.recordHeartbeat(registry.Upstream{Instance: "i-1", Service: "huvo11a", Slots: 9})
+		o.endpoints.recordHeartbeat(registry.Upstream{Instance: "i-1", Service: "huvo11a", Slots: 9})
 		q, _, bad := d.Read(request("GET /check/ HTTP/1.1\r\nHost: hulo84.example", id))
 		So(bad, ShouldBeNil)
 		So(q.Terms.(*balancer.RequestClass).Priority, ShouldEqual, 0)
