--- a/internal/mesh/watch/client_contact.go
+++ b/internal/mesh/watch/client_contact.go
@@ -10,26 +10,22 @@
 )
 
 const (
-	// lostRenewEvery is the time between renewals at a member that has lost its
-	// contact, and between two rounds of asking the others. It bounds what all
-	// sidecars together ask while there is no majority.
+	// lostContactRenewInterval is the longest time between renewals at a member
+	// that has lost its contact, and so between two rounds of asking the others.
+	// It bounds the requests of all sidecars together while there is no majority.
 	lostContactRenewInterval = 400 * time.Millisecond
-	// probeTimeout bounds a question to another member meanwhile, against
-	// members that are gone; it spans the way between zones and back.
+	// probeTimeout bounds a request to another member meanwhile, against members
+	// that no longer run; it spans a round trip between zones.
 	probeTimeout = 400 * time.Millisecond
 	// probeGrace is how long better members, by zone, are waited for once one
-	// has answered well, against members that are gone holding up a move.
+	// has fresh contact, so that members that no longer run delay no move.
 	probeGrace = 50 * time.Millisecond
 )
 
-// errMoved is why a Client leaves a member that has lost its contact for one
-// that has it.
-var errMoved = errs.New(errs.NoQuorum, "another member is in contact with a majority")
-
-// ContactAge says how old what this Client has applied may be: it had applied,
-// that long ago, all that a majority had committed by then. The answers' ages
-// are counted from when they were asked for, so that no delay on the way makes
-// them too small. Ok is false until a member in contact has once confirmed it.
+// ContactAge says how old what this Client has applied may be: that long ago, it
+// had applied all that a majority had committed by then. The ages in responses
+// are counted from when the request was sent, so that no delay on the way makes
+// them too small. ok is false until a member in contact has confirmed it once.
 func (c *Client) ContactAge() (age time.Duration, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -39,20 +35,21 @@
 	return time.Since(c.confirmedAt), true
 }
 
-// confirm takes what an answer proves of the configuration applied. The lock is
-// held.
-func (c *Client) recordConfirmation(asked time.Time, answer *LeaseResponse) {
-	if !answer.Contact.OK || !answer.CaughtUp || answer.Contact.Age < 0 {
+// recordConfirmation records what a response proves of the configuration
+// applied. c.mu is held.
+func (c *Client) recordConfirmation(askedAt time.Time, response *LeaseResponse) {
+	contact := response.Contact
+	if !contact.OK || !response.CaughtUp || contact.Age < 0 {
 		return
 	}
-	if at := asked.Add(-answer.Contact.Age); at.After(c.confirmedAt) {
+	if at := askedAt.Add(-contact.Age); at.After(c.confirmedAt) {
 		c.confirmedAt = at
 	}
 }
 
-// seek asks all other members known, the seeds among them, for one with fresh
-// contact, and notes it as the one to go to.
-func (c *Client) findMemberInContact(ctx context.Context, current string, l *registry.Lease) (found bool) {
+// findMemberInContact asks all other members known, the seeds among them, for
+// one with fresh contact, and makes the first of them in order the move target.
+func (c *Client) findMemberInContact(ctx context.Context, current string, lease *registry.Lease) (found bool) {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	var others []string
@@ -61,74 +58,86 @@
 			others = append(others, address)
 		}
 	}
-	good := make(chan string, len(others))
+	inContact := c.probe(ctx, cancel, others, lease)
 	for _, address := range others {
+		if inContact[address] {
+			c.setMoveTarget(address)
+			return true
+		}
+	}
+	return false
+}
+
+// probe sends the lease to all members at once, and returns those with fresh
+// contact. It returns once all have answered or failed; with the first that has
+// fresh contact, the others have probeGrace before cancel ends their calls.
+func (c *Client) probe(
+	ctx context.Context, cancel context.CancelFunc, addresses []string, lease *registry.Lease,
+) map[string]bool {
+	type result struct {
+		address string
+		fresh   bool
+	}
+	results := make(chan result, len(addresses))
+	for _, address := range addresses {
 		go func() {
-			answer, err := c.sendLease(ctx, address, l)
-			if err != nil || !answer.Contact.fresh() {
-				address = ""
-			}
-			good <- address
+			response, err := c.sendLease(ctx, address, lease)
+			results <- result{address: address, fresh: err == nil && response.Contact.fresh()}
 		}()
 	}
-	answers := map[string]bool{}
-	for range others {
-		address := <-good
-		if address != "" && len(answers) == 0 {
-			time.AfterFunc(probeGrace, cancel)
-		}
-		if address != "" {
-			answers[address] = true
+	inContact := map[string]bool{}
+	for range addresses {
+		r := <-results
+		if !r.fresh {
+			continue
 		}
-	}
-	for _, address := range others {
-		if answers[address] {
-			c.setMoveTarget(address)
-			return true
+		if len(inContact) == 0 {
+			time.AfterFunc(probeGrace, cancel)
 		}
+		inContact[r.address] = true
 	}
-	return false
+	return inContact
 }
 
-// seekAfter asks all others at once after a member has failed, so that members
-// that are gone or without contact cost no more than one question in time. If
-// none answers well, the members are tried one after the other.
+// findMemberAfterFailure asks all others at once after a member has failed, so
+// that members that no longer run or have no contact cost one timeout together.
+// If none has fresh contact, the members are tried one after the other.
 func (c *Client) findMemberAfterFailure(ctx context.Context, failed string) {
-	l := c.nextLease(false)
-	if l == nil || !c.findMemberInContact(ctx, failed, l) {
+	lease := c.nextLease()
+	if lease == nil || !c.findMemberInContact(ctx, failed, lease) {
 		return
 	}
-	c.keepOrMove(failed, false)
+	c.move()
 }
 
-// setNext notes the member to go to.
 func (c *Client) setMoveTarget(address string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.moveTarget = address
 }
 
-// lostPause is the jittered pause at a member without contact.
+// lostContactBackoff is the jittered time between renewals at a member without
+// contact.
 func lostContactBackoff() time.Duration {
 	return lostContactRenewInterval/2 + rand.N(lostContactRenewInterval/2)
 }
 
-// confirmFirst has a Client that holds no configuration yet ask again whether
+// recheckContact has a Client that has no configuration yet ask again whether
 // the member is in contact, if its first one took long since the watch was
-// asked for: it may have been written by a member that was frozen meanwhile.
-func (c *Client) recheckContact(ctx context.Context, address string, asked time.Time) error {
-	if c.cfg.ConfigVersion() > 0 || time.Since(asked) <= maxContactAge {
+// requested: a member that was frozen meanwhile may have written it.
+func (c *Client) recheckContact(ctx context.Context, address string, askedAt time.Time) error {
+	if c.cfg.ConfigVersion() > 0 || time.Since(askedAt) <= maxContactAge {
 		return nil
 	}
-	l := c.nextLease(false)
-	if l == nil {
+	lease := c.nextLease()
+	if lease == nil {
 		return nil
 	}
-	answer, err := c.sendLease(ctx, address, l)
+	response, err := c.sendLease(ctx, address, lease)
 	if err != nil {
 		return err
 	}
-	if !answer.Contact.OK {
+	if !response.Contact.OK {
 		return errs.New(errs.NoQuorum, "%s sent a configuration and has no contact", address)
 	}
 	return nil
--- a/internal/mesh/watch/client_lease.go
+++ b/internal/mesh/watch/client_lease.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"slices"
 	"time"
 
 	"caperarch/internal/mesh/errs"
@@ -10,39 +9,39 @@
 	"caperarch/internal/mesh/rpc"
 )
 
-// Leave says that this sidecar has left, so that its upstream is gone from the
-// table, and renews no more. It tells each member known until one answers that
-// is in contact, as one without may tell nobody; the answer of any other counts
-// if there is none.
+// Leave ends the lease, so that this sidecar's upstream is removed from the
+// registry, and renews no more. It notifies each member known until one answers
+// that is in contact, as one without may be unable to tell the others; if there
+// is none, the answer of any other counts. The error is that of the last member,
+// Unreachable if none is known.
 func (c *Client) Leave(ctx context.Context) error {
-	l := c.nextLease(true)
+	lease := c.finalLease()
 	failure := errs.New(errs.Unreachable, "no core member is known")
-	told := false
+	acknowledged := false
 	for _, address := range c.Peers() {
-		answer, err := c.sendLease(ctx, address, l)
+		response, err := c.sendLease(ctx, address, lease)
 		if err != nil {
 			failure = err
 			continue
 		}
-		if answer.Contact.OK {
+		if response.Contact.OK {
 			return nil
 		}
-		told = true
+		acknowledged = true
 	}
-	if told {
+	if acknowledged {
 		return nil
 	}
 	return failure
 }
 
-// keepLease renews until ctx ends, and ends it when the member fails, when a
-// member of the own zone shows up, or when the watch is to be opened anew.
+// runLease renews until ctx ends, and cancels it with the reason when the member
+// fails, when another one is better, or when the watch is to be opened anew.
 func (c *Client) runLease(ctx context.Context, cancel context.CancelCauseFunc, address string) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	every := renewInterval
 	for {
-		lost := false
+		contactLost := false
 		select {
 		case <-ctx.Done():
 			return
@@ -51,113 +50,92 @@
 			return
 		case <-c.renewNow:
 		case <-c.contactLost:
-			lost = true
+			contactLost = true
 		case <-timer.C:
 		}
-		l := c.nextLease(false)
-		if l == nil {
-			timer.Reset(every)
-			continue
-		}
-		if lost && c.findMemberInContact(ctx, address, l) {
-			cancel(errMoved)
-			return
-		}
-		a, err := c.sendLease(ctx, address, l)
+		next, err := c.renewOrMove(ctx, address, contactLost)
 		if err != nil {
 			cancel(err)
 			return
 		}
-		if c.recordMembers(a) {
-			cancel(errCloserMember)
-			return
-		}
-		if a.Contact.OK {
-			timer.Reset(every)
-			continue
-		}
-		if !lost && c.findMemberInContact(ctx, address, l) {
-			cancel(errMoved)
-			return
-		}
-		timer.Reset(lostContactBackoff())
+		timer.Reset(next)
 	}
 }
 
-// lease makes the next lease to send. It is nil once the sidecar has left.
-func (c *Client) nextLease(leave bool) *registry.Lease {
-	l := c.cfg.State()
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.left && !leave {
-		return nil
+// renewOrMove renews the lease at the member, and returns the time until the
+// next renewal; an error says why to leave the member. At a member without
+// contact it looks for another one: before the renewal if the watch has reported
+// the loss, else after it.
+func (c *Client) renewOrMove(
+	ctx context.Context, address string, contactLost bool,
+) (next time.Duration, err error) {
+	lease := c.nextLease()
+	if lease == nil {
+		return renewInterval, nil
 	}
-	c.left = leave
-	c.leaseSequence++
-	l.Node, l.Incarnation, l.Zone, l.Sequence, l.Left = c.cfg.Node, c.cfg.Incarnation, c.cfg.Zone, c.leaseSequence, leave
-	return &l
-}
-
-// renew sends a lease to a member, and takes what its answer proves.
-func (c *Client) sendLease(ctx context.Context, address string, l *registry.Lease) (*LeaseResponse, error) {
-	ctx, cancel := context.WithTimeout(ctx, callTimeout)
-	defer cancel()
-	asked := time.Now()
-	answer, err := rpc.Call[registry.Lease, LeaseResponse](ctx, c.cfg.HTTP, "http://"+address+leasePath, l)
+	if contactLost && c.findMemberInContact(ctx, address, lease) {
+		return 0, errMoved
+	}
+	response, err := c.sendLease(ctx, address, lease)
 	if err != nil {
-		return nil, err
+		return 0, err
+	}
+	if c.recordMembers(response) {
+		return 0, errCloserMember
 	}
+	if response.Contact.OK {
+		return renewInterval, nil
+	}
+	if !contactLost && c.findMemberInContact(ctx, address, lease) {
+		return 0, errMoved
+	}
+	return lostContactBackoff(), nil
+}
+
+// nextLease makes the next lease to send. It is nil once the sidecar has left.
+func (c *Client) nextLease() *registry.Lease {
+	state := c.cfg.State()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.recordConfirmation(asked, answer)
-	return answer, nil
+	if c.left {
+		return nil
+	}
+	return c.numberLease(state)
 }
 
-// learn takes what an answer says of the members. It reports whether a member
-// of the own zone should be gone to: the answer is from another zone, and the
-// own zone's member was not known as such before.
-func (c *Client) recordMembers(a *LeaseResponse) (nearer bool) {
+// finalLease makes the lease that says that the sidecar has left.
+func (c *Client) finalLease() *registry.Lease {
+	state := c.cfg.State()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.recordCounts(a.Members, a.PeakMembers, a.Syncing || !a.Contact.OK)
-	if !a.Contact.OK {
-		c.addMembers(a.Peers)
-		return false
-	}
-	if len(a.Peers) == 0 {
-		return false
-	}
-	near := func(p Peer) bool { return p.Zone != "" && p.Zone == c.cfg.Zone }
-	knew := slices.ContainsFunc(c.discovered, near)
-	zones := map[string]string{}
-	for _, p := range c.discovered {
-		zones[p.Address] = p.Zone
-	}
-	peers := slices.Clone(a.Peers[:min(len(a.Peers), maxKnownMembers)])
-	for i, p := range peers {
-		if p.Zone == "" {
-			peers[i].Zone = zones[p.Address]
-		}
-	}
-	c.discovered = peers
-	return !knew && a.Zone != c.cfg.Zone && slices.ContainsFunc(peers, near)
+	c.left = true
+	return c.numberLease(state)
 }
 
-// learnMore adds the members that one without contact knows of: its list may be
-// old, so it takes nobody away. The lock is held.
-func (c *Client) addMembers(peers []Peer) {
-	for _, p := range peers {
-		known := slices.ContainsFunc(c.discovered, func(l Peer) bool { return l.Address == p.Address })
-		if !known && len(c.discovered) < maxKnownMembers {
-			c.discovered = append(c.discovered, p)
-		}
-	}
+// numberLease completes a lease, with a sequence number of its own. c.mu is held.
+func (c *Client) numberLease(state registry.Lease) *registry.Lease {
+	c.leaseSequence++
+	lease := &state
+	lease.Node = c.cfg.Node
+	lease.Incarnation = c.cfg.Incarnation
+	lease.Zone = c.cfg.Zone
+	lease.Sequence = c.leaseSequence
+	lease.Left = c.left
+	return lease
 }
 
-// count takes a count of the sidecars. The lock is held.
-func (c *Client) recordCounts(members, largest int, young bool) {
-	if young {
-		members, largest = max(members, c.members), max(largest, c.peakMembers)
+// sendLease sends a lease to a member, and records what its response proves.
+func (c *Client) sendLease(ctx context.Context, address string, lease *registry.Lease) (*LeaseResponse, error) {
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
+	defer cancel()
+	askedAt := time.Now()
+	url := "http://" + address + leasePath
+	response, err := rpc.Call[registry.Lease, LeaseResponse](ctx, c.cfg.HTTP, url, lease)
+	if err != nil {
+		return nil, err
 	}
-	c.members, c.peakMembers = members, largest
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.recordConfirmation(askedAt, response)
+	return response, nil
 }
--- a/internal/mesh/watch/client_select.go
+++ b/internal/mesh/watch/client_select.go
@@ -1,93 +1,44 @@
 package watch
 
 import (
-	"context"
-	"errors"
 	"hash/fnv"
 	"io"
 	"math/rand/v2"
 	"slices"
-	"sync"
 	"time"
-
-	"go.uber.org/zap"
-
-	"caperarch/internal/mesh/errs"
 )
 
-// Run keeps to a core member until ctx ends. It is called once.
-func (c *Client) Run(ctx context.Context) {
-	for failures := 0; ctx.Err() == nil; {
-		address := c.nextMember()
-		began := time.Now()
-		err := errs.New(errs.Unreachable, "no core member is known")
-		if address != "" {
-			err = c.runSession(ctx, address)
-		}
-		if errors.Is(err, errResubscribe) || errors.Is(err, errCloserMember) || errors.Is(err, errMoved) {
-			c.keepOrMove(address, errors.Is(err, errResubscribe))
-			continue
-		}
-		c.disconnect()
-		if time.Since(began) >= stableAfter+idleTimeout {
-			failures = 0
-			c.attempted = map[string]bool{address: true}
-		}
-		failures++
-		c.cfg.Log.Debug("A core member is left.", zap.String("member", address), zap.Error(err))
-		sleep(ctx, c.backoff(failures))
-		c.findMemberAfterFailure(ctx, address)
-	}
-	c.disconnect()
-}
+const (
+	// minBackoff and maxBackoff bound the backoff between members that fail one
+	// after the other, against many sidecars that all retry without a break.
+	minBackoff = 50 * time.Millisecond
+	maxBackoff = 800 * time.Millisecond
+	// maxBackoffDoublings keeps the shift of minBackoff from overflowing.
+	maxBackoffDoublings = 10
+	// stableAfter is how long a member must have served for its failure to
+	// count as a first one, against rapid changes between members that all fail.
+	stableAfter = time.Second
+)
 
-// backOff is the jittered pause before the next member is tried: none after the
-// first failure, short ones within a round of the members, and one between
-// rounds that grows, so that a single member that is there is found soon.
+// backoff is the jittered time before the next member is tried: none after the
+// first failure, short within a round of the members, and growing between
+// rounds, so that a single member that runs is found soon.
 func (c *Client) backoff(failures int) time.Duration {
-	c.mu.Lock()
-	members := max(len(c.memberOrder()), 1)
-	c.mu.Unlock()
-	pause := minBackoff
-	switch {
-	case failures == 1:
+	if failures == 1 {
 		return 0
-	case failures%members == 0:
-		pause = min(minBackoff<<min(failures/members, 10), maxBackoff)
-	}
-	return pause/2 + rand.N(pause/2+1)
-}
-
-func sleep(ctx context.Context, d time.Duration) {
-	t := time.NewTimer(d)
-	defer t.Stop()
-	select {
-	case <-ctx.Done():
-	case <-t.C:
 	}
-}
-
-// keep notes whether the next watch goes to the same member. Until it is known
-// to fail, the sidecar counts as connected.
-func (c *Client) keepOrMove(address string, same bool) {
 	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.current = c.moveTarget
-	if same {
-		c.current = address
+	members := max(len(c.memberOrder()), 1)
+	c.mu.Unlock()
+	wait := minBackoff
+	if failures%members == 0 {
+		wait = min(minBackoff<<min(failures/members, maxBackoffDoublings), maxBackoff)
 	}
-	c.moveTarget = ""
+	return wait/2 + rand.N(wait/2+1)
 }
 
-// leave notes that the member failed.
-func (c *Client) disconnect() {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.current, c.moveTarget, c.connected = "", "", false
-}
-
-// next is the member to try: the one kept to, or else the first in order that
-// was not tried in this round.
+// nextMember is the member to try: the current one, or else the first in order
+// that was not tried in this round. It is empty if no member is known.
 func (c *Client) nextMember() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -108,8 +59,23 @@
 	return order[0]
 }
 
-// order lists the members known: the own zone's first, and within a zone by a
-// hash with the node's name, which spreads the sidecars. The lock is held.
+// candidate is a member and what its position in the order depends on.
+type candidate struct {
+	address  string
+	sameZone bool
+	hash     uint64
+}
+
+// before says whether the candidate is tried before another.
+func (a candidate) before(b candidate) bool {
+	if a.sameZone != b.sameZone {
+		return a.sameZone
+	}
+	return a.hash < b.hash
+}
+
+// memberOrder lists the members known: those of the own zone first, and within a
+// zone by a hash with the node's name, which spreads the sidecars. c.mu is held.
 func (c *Client) memberOrder() []string {
 	zones := map[string]string{}
 	for _, address := range c.seeds {
@@ -118,48 +84,24 @@
 	for _, p := range c.discovered {
 		zones[p.Address] = p.Zone
 	}
-	type rank struct {
-		near bool
-		hash uint64
-	}
-	ranks := make(map[string]rank, len(zones))
-	order := make([]string, 0, len(zones))
+	candidates := make([]candidate, 0, len(zones))
 	for address, zone := range zones {
 		sum := fnv.New64a()
 		_, _ = io.WriteString(sum, address+"|"+c.cfg.Node)
-		ranks[address] = rank{zone != "" && zone == c.cfg.Zone, sum.Sum64()}
-		order = append(order, address)
+		candidates = append(candidates, candidate{address, c.sameZone(zone), sum.Sum64()})
 	}
-	slices.SortFunc(order, func(a, b string) int {
-		x, y := ranks[a], ranks[b]
-		if x.near != y.near {
-			if x.near {
-				return -1
-			}
-			return 1
-		}
-		if x.hash < y.hash {
+	slices.SortFunc(candidates, func(a, b candidate) int {
+		if a.before(b) {
 			return -1
 		}
 		return 1
 	})
+	order := make([]string, len(candidates))
+	for i := range candidates {
+		order[i] = candidates[i].address
+	}
 	return order
 }
 
-// attend keeps the lease and the watch at one member until either fails.
-func (c *Client) runSession(ctx context.Context, address string) error {
-	select {
-	case <-c.contactLost: // it was another member's word
-	default:
-	}
-	ctx, cancel := context.WithCancelCause(ctx)
-	var renewing sync.WaitGroup
-	renewing.Go(func() { c.runLease(ctx, cancel, address) })
-	err := c.runWatch(ctx, cancel, address)
-	if cause := context.Cause(ctx); cause != nil {
-		err = cause
-	}
-	cancel(nil)
-	renewing.Wait()
-	return err
-}
+// sameZone says whether a member of that zone is in the sidecar's own.
+func (c *Client) sameZone(zone string) bool { return zone != "" && zone == c.cfg.Zone }
--- a/internal/mesh/watch/client_watch.go
+++ b/internal/mesh/watch/client_watch.go
@@ -12,30 +12,41 @@
 	"caperarch/internal/mesh/errs"
 )
 
-// follow opens a watch and takes its frames until it fails.
+const (
+	// maxRetainedFrame is the size in bytes above which a frame's buffer is
+	// released, so that one large configuration does not keep its memory.
+	maxRetainedFrame = 256 << 10
+	// maxErrorBody bounds what is read of the response to a rejected watch.
+	maxErrorBody = 4 << 10
+)
+
+// errIdleTimeout is why a watch on which nothing arrives is given up.
+var errIdleTimeout = errs.New(errs.Unreachable, "no data from the member within the idle time-out")
+
+// runWatch opens a watch and applies its frames until it fails.
 func (c *Client) runWatch(ctx context.Context, cancel context.CancelCauseFunc, address string) error {
 	watchdog := time.AfterFunc(idleTimeout, func() { cancel(errIdleTimeout) })
 	defer watchdog.Stop()
-	request := c.watchRequest()
-	asked := time.Now()
+	request := c.newWatchRequest()
+	askedAt := time.Now()
 	stream, err := c.openWatch(ctx, address, &request)
 	if err != nil {
 		return err
 	}
 	defer stream.Close()
-	in := &guardedReader{stream: stream, watchdog: watchdog, remaining: maxFrame}
-	frames := json.NewDecoder(in)
+	input := &guardedReader{stream: stream, watchdog: watchdog, remaining: maxFrame}
+	frames := json.NewDecoder(input)
 	for {
 		var f frame
 		if err := frames.Decode(&f); err != nil {
 			return errs.Wrap(err, errs.Unreachable, "the watch at %s broke off", address)
 		}
-		watchdog.Stop()
+		watchdog.Stop() // while the frame is applied
 		if ctx.Err() != nil {
 			return ctx.Err()
 		}
 		if len(f.Config) > 0 {
-			if err := c.recheckContact(ctx, address, asked); err != nil {
+			if err := c.recheckContact(ctx, address, askedAt); err != nil {
 				return err
 			}
 		}
@@ -46,15 +57,15 @@
 			request.FullConfig = false
 		}
 		if len(f.Config) > maxRetainedFrame {
-			frames = json.NewDecoder(io.MultiReader(frames.Buffered(), in))
+			frames = json.NewDecoder(io.MultiReader(frames.Buffered(), input))
 		}
-		in.remaining = maxFrame
+		input.remaining = maxFrame
 		watchdog.Reset(idleTimeout)
 	}
 }
 
-// watchRequest says what is held here and what is wanted.
-func (c *Client) watchRequest() watchRequest {
+// newWatchRequest says what is complete here and what is wanted.
+func (c *Client) newWatchRequest() watchRequest {
 	var services []string
 	if c.cfg.Services != nil {
 		services = c.cfg.Services()
@@ -73,86 +84,103 @@
 	}
 }
 
-// openWatch asks a member for a watch and gives its stream of frames.
+// openWatch asks a member for a watch and returns its stream of frames, which
+// the caller closes.
 func (c *Client) openWatch(ctx context.Context, address string, request *watchRequest) (io.ReadCloser, error) {
 	body, err := json.Marshal(request)
 	if err != nil {
 		return nil, errs.Wrap(err, errs.Internal, "encode the watch request")
 	}
-	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+watchPath, bytes.NewReader(body))
+	url := "http://" + address + watchPath
+	r, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(body))
 	if err != nil {
 		return nil, errs.Wrap(err, errs.Internal, "watch request to %s", address)
 	}
 	r.Header.Set("Content-Type", "application/json")
-	answer, err := c.cfg.HTTP.Do(r)
+	response, err := c.cfg.HTTP.Do(r)
 	if err != nil {
 		return nil, errs.Wrap(err, errs.Unreachable, "no watch at %s", address)
 	}
-	if answer.StatusCode != http.StatusOK {
-		said, _ := io.ReadAll(io.LimitReader(answer.Body, maxErrorBody))
-		answer.Body.Close()
-		return nil, errs.New(errs.Unreachable, "%s refuses the watch: %s %s", address, answer.Status, said)
+	if response.StatusCode != http.StatusOK {
+		// A body that breaks off is used as far as it came; it only explains.
+		message, _ := io.ReadAll(io.LimitReader(response.Body, maxErrorBody))
+		response.Body.Close()
+		return nil, errs.New(errs.Unreachable, "%s rejects the watch: %s %s", address, response.Status, message)
 	}
-	return answer.Body, nil
+	return response.Body, nil
 }
 
-// take hands a frame on. A frame that was asked for whole and is refused still
-// counts as the member's failure.
-func (c *Client) applyFrame(f *frame, address string, whole bool) error {
+// applyFrame applies a frame. A full configuration that was requested and is
+// rejected here counts as the member's failure.
+func (c *Client) applyFrame(f *frame, address string, requestedFull bool) error {
 	if len(f.Config) > 0 {
 		c.needsFullConfig = !c.cfg.OnConfig(f.Config)
-		if c.needsFullConfig && whole {
-			return errs.New(errs.Internal, "the whole configuration of %s does not fit", address)
+		if c.needsFullConfig && requestedFull {
+			return errs.New(errs.Internal, "the full configuration of %s does not apply", address)
 		}
 		if c.needsFullConfig {
 			return errResubscribe
 		}
 	}
-	if news := f.Registry; news != nil {
-		if err := c.applyRegistry(news, address); err != nil {
+	if f.Registry != nil {
+		if err := c.applyRegistry(f.Registry, address); err != nil {
 			return err
 		}
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if b := f.Heartbeat; b != nil && !b.Contact.OK {
-		signal(c.contactLost)
-	} else if b != nil {
-		c.recordCounts(b.Members, b.PeakMembers, b.Syncing)
+	if f.Heartbeat != nil {
+		c.applyHeartbeat(f.Heartbeat)
 	}
 	c.current, c.connected = address, true
 	return nil
 }
 
-// takeRegistry replaces what is held by a full frame, and amends it by a
-// change. A full frame of a young member only amends: what it does not list may
-// well be there. It will send another, so what it sent is not held as all.
-func (c *Client) applyRegistry(news *registryFrame, address string) error {
+// applyRegistry replaces the registry state by a full frame, and amends it by a
+// change. A full frame of a syncing member only amends: what it does not list
+// may well exist. It will send another, so this one does not count as complete.
+func (c *Client) applyRegistry(update *registryFrame, address string) error {
+	complete := c.registryEpoch != 0
 	switch {
-	case news.Full && news.Syncing:
+	case update.Full && update.Syncing:
 		c.registryEpoch = 0
-	case news.Full:
-		c.registryEpoch, c.registryNumber = news.Epoch, news.Number
-	case c.registryEpoch != 0 && news.Epoch != c.registryEpoch:
+	case update.Full:
+		c.registryEpoch, c.registryNumber = update.Epoch, update.Number
+	case complete && update.Epoch != c.registryEpoch:
 		c.registryEpoch = 0
-		return errs.New(errs.Internal, "%s amends a registry that is not held", address)
-	case c.registryEpoch != 0 && news.Number <= c.registryNumber:
+		return errs.New(errs.Internal, "%s sends a change to a registry that is not complete here", address)
+	case complete && update.Number <= c.registryNumber:
 		return nil
-	case c.registryEpoch != 0:
-		c.registryNumber = news.Number
+	case complete:
+		c.registryNumber = update.Number
 	}
-	c.cfg.OnRegistry(news.Full && !news.Syncing, news.Upserts, news.Removals)
+	c.cfg.OnRegistry(update.Full && !update.Syncing, update.Upserts, update.Removals)
 	return nil
 }
 
-// guarded reads a watch: every byte keeps the watchdog quiet, and no frame
-// takes more memory than allowed.
+// applyHeartbeat takes the counts of a heartbeat, or has the lease's goroutine
+// look for another member if there is no contact. c.mu is held.
+func (c *Client) applyHeartbeat(heartbeat *heartbeatFrame) {
+	switch {
+	case !heartbeat.Contact.OK:
+		signal(c.contactLost)
+	case heartbeat.Syncing:
+		c.raiseCounts(heartbeat.Members, heartbeat.PeakMembers)
+	default:
+		c.setCounts(heartbeat.Members, heartbeat.PeakMembers)
+	}
+}
+
+// guardedReader reads a watch: every byte resets the watchdog, and no frame
+// takes more memory than maxFrame.
 type guardedReader struct {
 	stream    io.Reader
 	watchdog  *time.Timer
-	remaining int
+	remaining int // bytes that the current frame may still take
 }
 
+// Read reads from the stream, and returns TooLarge once the frame is over its
+// limit.
 func (g *guardedReader) Read(p []byte) (int, error) {
 	if g.remaining <= 0 {
 		return 0, errs.New(errs.TooLarge, "a frame is larger than %d bytes", maxFrame)
--- a/internal/mesh/watch/contact_test.go
+++ b/internal/mesh/watch/contact_test.go
@@ -244,15 +244,15 @@
 			Self: "x", Epoch: 1, ConfigSource: &configs{}, Log: zap.NewNop(), Peers: func() []string { return nil },
 			Contact: func() (time.Duration, bool) { return 0, true },
 		})
-		So(still.contact().OK, ShouldBeTrue)
+		So(still.checkContact().OK, ShouldBeTrue)
 		So(still.registryDelayedUntil, ShouldEqual, 0) // at the first contact nothing is from before
 		for range 20 {
 			pass(syncingPeriod / 10)
-			still.contact()
+			still.checkContact()
 		}
 		So(still.Syncing(), ShouldBeFalse)
 		pass(10 * time.Second) // and was renewed before it looked
-		So(still.contact().OK, ShouldBeTrue)
+		So(still.checkContact().OK, ShouldBeTrue)
 		So(still.Syncing(), ShouldBeTrue)
 		So(still.registryDelayedUntil, ShouldBeGreaterThan, still.now())
 	})
@@ -316,7 +316,7 @@
 			if held, _ := last.holds(); held > before+1 {
 				t.Fatalf("%v after the last round a reader told of version %d", now, held)
 			}
-			if now > maxContactAge && reader.Server.contact().OK {
+			if now > maxContactAge && reader.Server.checkContact().OK {
 				t.Fatalf("%v after the last round the reader takes itself for in contact", now)
 			}
 		})
@@ -416,11 +416,11 @@
 		one, two := newGossipPeer("a:1", nil), newGossipPeer("b:1", nil)
 		s := &Server{registryDelayedUntil: maxRegistryDelay, peers: map[string]*gossipPeer{"a:1": one, "b:1": two}}
 		So(s.delaysRegistry(0), ShouldBeTrue)
-		one.awaitingSync, one.needsSync = false, false
+		one.sync = syncDone
 		So(s.delaysRegistry(0), ShouldBeTrue)
-		two.awaitingSync = false
+		two.sync = syncFailed
 		So(s.delaysRegistry(0), ShouldBeFalse)
-		one.needsSync = true
+		one.sync = syncFailed
 		So(s.delaysRegistry(0), ShouldBeTrue)
 		So(s.delaysRegistry(maxRegistryDelay), ShouldBeFalse)
 		So((&Server{registryDelayedUntil: maxRegistryDelay}).delaysRegistry(0), ShouldBeFalse)
--- a/internal/mesh/watch/frame_writer.go
+++ b/internal/mesh/watch/frame_writer.go
@@ -8,43 +8,58 @@
 	"caperarch/internal/mesh/errs"
 )
 
-// deadlined writes an answer with a deadline for each piece.
+const (
+	// writeTimeout bounds a write to a sidecar, so that a slow one blocks nothing.
+	writeTimeout = 1500 * time.Millisecond
+	// writeChunk is how many bytes of a frame get a write deadline of their own,
+	// so that a large frame may take longer as long as it progresses.
+	writeChunk = 256 << 10
+)
+
+// frameWriter writes a watch's stream, with a deadline for each chunk.
 type frameWriter struct {
 	w       http.ResponseWriter
 	control *http.ResponseController
 }
 
-func (d *frameWriter) write(parts ...[]byte) error {
-	for _, p := range parts {
-		for len(p) > 0 {
-			n := min(len(p), writeChunk)
-			if err := d.control.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
+// write writes the parts one after the other. They may stay buffered until
+// flush.
+func (fw *frameWriter) write(parts ...[]byte) error {
+	for _, part := range parts {
+		for len(part) > 0 {
+			n := min(len(part), writeChunk)
+			if err := fw.setDeadline(); err != nil {
 				return err
 			}
-			if _, err := d.w.Write(p[:n]); err != nil {
+			if _, err := fw.w.Write(part[:n]); err != nil {
 				return err
 			}
-			p = p[n:]
+			part = part[n:]
 		}
 	}
 	return nil
 }
 
-func (d *frameWriter) flush() error {
-	if err := d.control.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
+// flush sends what was written so far.
+func (fw *frameWriter) flush() error {
+	if err := fw.setDeadline(); err != nil {
 		return err
 	}
-	return d.control.Flush()
+	return fw.control.Flush()
 }
 
-// frame writes a frame and sends what was written so far.
-func (d *frameWriter) frame(f *frame) error {
+// writeFrame writes a frame and sends what was written so far.
+func (fw *frameWriter) writeFrame(f *frame) error {
 	line, err := json.Marshal(f)
 	if err != nil {
 		return errs.Wrap(err, errs.Internal, "encode a frame")
 	}
-	if err := d.write(line, []byte("\n")); err != nil {
+	if err := fw.write(line, []byte("\n")); err != nil {
 		return err
 	}
-	return d.flush()
+	return fw.flush()
+}
+
+func (fw *frameWriter) setDeadline() error {
+	return fw.control.SetWriteDeadline(time.Now().Add(writeTimeout))
 }
--- a/internal/mesh/watch/server_lease.go
+++ b/internal/mesh/watch/server_lease.go
@@ -6,29 +6,9 @@
 	"caperarch/internal/mesh/registry"
 )
 
-// Syncing says whether this member may not have heard from everybody yet.
-func (s *Server) Syncing() bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.now() < s.syncingUntil
-}
-
-// Upstreams lists all upstreams known here.
-func (s *Server) Upstreams() []registry.Upstream {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.table.Upstreams(s.now())
-}
-
-// Members counts the live leases, and gives the largest count lately.
-func (s *Server) Members() (live, largest int) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.table.Members(), s.table.PeakMembers(s.now())
-}
-
-// Heartbeat takes a beat of an upstream that reached this member directly, and
-// tells the other members. A State of Gone is a deregistration.
+// Heartbeat takes a heartbeat of an upstream that reached this member directly,
+// and sends it on to the other members. A State of Deregistered is a
+// deregistration. The error is the registry's, of kind Invalid.
 func (s *Server) Heartbeat(up registry.Upstream) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -37,40 +17,53 @@
 	if err != nil || !taken {
 		return err
 	}
-	for _, n := range s.peers {
-		n.queueReport(up, now)
+	for _, p := range s.peers {
+		p.queueReport(up, now)
 	}
 	s.notifyChanged()
 	return nil
 }
 
-func (s *Server) renewLease(_ *http.Request, l *registry.Lease) (*LeaseResponse, error) {
-	contact := s.contact()
-	version := s.cfg.ConfigSource.Current() // read after the contact, which vouches for it
-	a := &LeaseResponse{
+// renewLease takes a sidecar's renewal, and answers with what is known here.
+func (s *Server) renewLease(_ *http.Request, lease *registry.Lease) (*LeaseResponse, error) {
+	contact := s.checkContact()
+	// Read after the contact, which proves that it is the newest.
+	version := s.cfg.ConfigSource.Current()
+	response := &LeaseResponse{
 		TTL:      registry.LeaseTTL.Seconds(),
 		Zone:     s.cfg.Zone,
 		Contact:  contact,
-		CaughtUp: contact.OK && l.Applied >= version,
+		CaughtUp: contact.OK && lease.Applied >= version,
 	}
 	if s.cfg.Leader != nil {
-		a.Leader = s.cfg.Leader()
+		response.Leader = s.cfg.Leader()
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.now()
-	changed, err := s.table.Renew(now, *l)
+	changed, err := s.table.Renew(now, *lease)
 	if err != nil {
 		return nil, err
 	}
-	for _, n := range s.peers {
-		n.queueLease(l.Node, changed)
+	update := renewalOnly
+	if changed {
+		update = fullLease
+	}
+	for _, p := range s.peers {
+		p.queueLease(lease.Node, update)
 	}
 	s.notifyChanged()
-	a.Members, a.PeakMembers, a.Syncing = s.table.Members(), s.table.PeakMembers(now), now < s.syncingUntil
-	a.Peers = append(a.Peers, Peer{s.cfg.Self, s.cfg.Zone})
-	for _, n := range s.peers {
-		a.Peers = append(a.Peers, Peer{n.address, n.zone})
+	response.Members, response.PeakMembers = s.table.Members(), s.table.PeakMembers(now)
+	response.Syncing = now < s.syncingUntil
+	response.Peers = s.listPeers()
+	return response, nil
+}
+
+// listPeers lists all core members, this one first. s.mu is held.
+func (s *Server) listPeers() []Peer {
+	peers := []Peer{{Address: s.cfg.Self, Zone: s.cfg.Zone}}
+	for _, p := range s.peers {
+		peers = append(peers, Peer{Address: p.address, Zone: p.zone})
 	}
-	return a, nil
+	return peers
 }
--- a/internal/mesh/watch/server_push.go
+++ b/internal/mesh/watch/server_push.go
@@ -1,44 +1,11 @@
 package watch
 
-import (
-	"context"
-	"time"
-)
+import "time"
 
-type waiter struct {
-	version int64
-	done    chan struct{}
-}
-
-// Behind counts the live leases whose sidecar has not applied the version.
-func (s *Server) Behind(version int64) int {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.table.MembersBehind(version)
-}
-
-// WaitApplied returns 0 as soon as every live lease known here has applied the
-// version, or how many have not when ctx ends. A sidecar whose lease lapses is
-// no longer waited for. While Syncing, leases may not be known here yet.
-func (s *Server) WaitApplied(ctx context.Context, version int64) (behind int) {
-	w := &waiter{version, make(chan struct{})}
-	s.mu.Lock()
-	if s.table.MembersBehind(version) == 0 {
-		s.mu.Unlock()
-		return 0
-	}
-	s.waiters[w] = struct{}{}
-	s.mu.Unlock()
-	select {
-	case <-w.done:
-		return 0
-	case <-ctx.Done():
-	}
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	delete(s.waiters, w)
-	return s.table.MembersBehind(version)
-}
+// minPushInterval is the least time between two pushes, so that a burst of
+// changes makes few frames. A change that comes later than that after the last
+// push is pushed at once.
+const minPushInterval = 5 * time.Millisecond
 
 // Publish pushes the configuration to the sidecars. The caller calls it when
 // ConfigSource has something new.
@@ -48,45 +15,40 @@
 	s.push()
 }
 
-// spread wakes whom a change of the table concerns. It is called under the
-// lock after each change.
+// notifyChanged wakes whom a change of the table concerns. It is called after
+// each change, with s.mu held.
 func (s *Server) notifyChanged() {
 	if s.table.Number() != s.lastPushed {
 		s.push()
 	}
-	for w := range s.waiters {
-		if s.table.MembersBehind(w.version) == 0 {
-			delete(s.waiters, w)
-			close(w.done)
-		}
-	}
+	s.wakeWaiters()
 }
 
-// push wakes the watches now, or when pushGap is over. The lock is held.
+// push wakes the watches now, or when minPushInterval is over. s.mu is held.
 func (s *Server) push() {
 	s.lastPushed = s.table.Number()
 	if s.pushScheduled {
 		return
 	}
-	if wait := s.pushedAt + minPushInterval - s.now(); wait > 0 {
-		s.pushScheduled = true
-		time.AfterFunc(wait, func() {
-			s.mu.Lock()
-			defer s.mu.Unlock()
-			s.pushScheduled = false
-			s.wakeAll()
-		})
+	wait := s.lastPushedAt + minPushInterval - s.now()
+	if wait <= 0 {
+		s.wakeAll()
 		return
 	}
-	s.wakeAll()
+	s.pushScheduled = true
+	time.AfterFunc(wait, func() {
+		s.mu.Lock()
+		defer s.mu.Unlock()
+		s.pushScheduled = false
+		s.wakeAll()
+	})
 }
 
+// wakeAll wakes all watches, each of which then sends what it has not sent yet.
+// s.mu is held.
 func (s *Server) wakeAll() {
-	s.pushedAt = s.now()
-	for _, w := range s.sessions {
-		select {
-		case w.wake <- struct{}{}:
-		default:
-		}
+	s.lastPushedAt = s.now()
+	for _, open := range s.sessions {
+		signal(open.wake)
 	}
 }
