--- a/meshclient/configuration.go
+++ b/meshclient/configuration.go
@@ -11,47 +11,57 @@
 
 // The types of resources.
 const (
-	Routes   = "routes"
+	// Routes take requests by host and path to services.
+	Routes = "routes"
+	// Services are groups of upstreams.
 	Services = "services"
-	Tenants  = "tenants"
-	Limits   = "limits"
+	// Tenants are clients with API keys and quotas.
+	Tenants = "tenants"
+	// Limits bound what clients may send. A configuration has one set of them at most.
+	Limits = "limits"
 )
 
-// mostRounds bounds how often Client.Change starts again when others change the configuration at the same time. It
-// guards against a configuration that never comes to rest.
-const mostRounds = 32
+// maxChangeAttempts bounds how often Client.Change starts again while others change the configuration all the time.
+const maxChangeAttempts = 32
 
-// Document is a whole configuration.
+// Document is a full configuration.
 type Document struct {
+	// ConfigVersion is the configuration's own version, above that of the one before; 0: there is none yet.
 	ConfigVersion int64 `json:"configVersion"`
 	// BaseVersion is the version that it builds on, 0 for the first.
-	BaseVersion int64      `json:"baseVersion"`
-	Resources   []Resource `json:"resources"`
+	BaseVersion int64 `json:"baseVersion"`
+	// Resources are in the order in which they were sent.
+	Resources []Resource `json:"resources"`
 }
 
 // Resource is one item of a configuration.
 type Resource struct {
-	ResourceType string   `json:"resourceType"`
-	Metadata     Metadata `json:"metadata"`
-	// Specification is everything else, as it was sent: fields that this library doesn't know stay.
+	// ResourceType is Routes, Services, Tenants or Limits.
+	ResourceType string `json:"resourceType"`
+	// Metadata names the resource among those of its type.
+	Metadata Metadata `json:"metadata"`
+	// Specification is everything else, as it was sent: fields that this library does not know are kept.
 	Specification json.RawMessage `json:"specification"`
 }
 
-// Metadata names a resource. The limits need no name.
+// Metadata names a resource.
 type Metadata struct {
+	// Name is unique among the resources of a type. The limits need none.
 	Name string `json:"name,omitempty"`
 }
 
-// NewResource makes a resource of anything that encoding/json writes as its specification.
+// NewResource returns a resource with the JSON of specification. When specification can't be encoded it returns an
+// *Error of kind InvalidUsage.
 func NewResource(resourceType, name string, specification any) (Resource, error) {
 	text, err := json.Marshal(specification)
 	if err != nil {
-		return Resource{}, &Error{Kind: InvalidUsage, Message: "specification of " + resourceType + " " + name + ": " + err.Error(), cause: err}
+		message := "specification of " + resourceType + " " + name + ": " + err.Error()
+		return Resource{}, &Error{Kind: InvalidUsage, Message: message, cause: err}
 	}
 	return Resource{resourceType, Metadata{name}, text}, nil
 }
 
-// Find gives the resource of a type and a name. Of the limits there is one set, whatever name it bears.
+// Find returns the resource with a type and a name. For Limits the name is ignored, as there is one set of them.
 func (d *Document) Find(resourceType, name string) (Resource, bool) {
 	for _, r := range d.Resources {
 		if r.ResourceType == resourceType && (r.Metadata.Name == name || resourceType == Limits) {
@@ -61,20 +71,24 @@
 	return Resource{}, false
 }
 
-// Change changes a configuration by the names of its items.
+// Change changes named resources of a configuration.
 type Change struct {
-	ConfigVersion int64   `json:"configVersion"`
-	BaseVersion   int64   `json:"baseVersion"`
-	Upsert        Upsert  `json:"upsert"`
-	Remove        Removal `json:"remove"`
+	// ConfigVersion is the version that the change makes, above BaseVersion.
+	ConfigVersion int64 `json:"configVersion"`
+	// BaseVersion is the version that it builds on.
+	BaseVersion int64 `json:"baseVersion"`
+	// Upsert has the resources to add or replace.
+	Upsert Upsert `json:"upsert"`
+	// Remove has the names of those to remove.
+	Remove Removal `json:"remove"`
 }
 
-// Upsert is the resources to be added, or put in place of those of their names.
+// Upsert is the resources to add, or to put in place of those with their type and name.
 type Upsert struct {
 	Resources []Resource `json:"resources"`
 }
 
-// Removal is the names of the items to be removed.
+// Removal is the names of the resources to remove, by type.
 type Removal struct {
 	Routes   []string `json:"routes,omitempty"`
 	Services []string `json:"services,omitempty"`
@@ -82,15 +96,16 @@
 	Limits   []string `json:"limits,omitempty"`
 }
 
-// Replace puts a whole configuration in force and gives its version. It is Stale unless its BaseVersion is in place.
+// Replace puts a full configuration in force and returns its version. Unless its BaseVersion is in force the error is
+// Stale.
 func (c *Client) Replace(ctx context.Context, d Document) (version int64, err error) {
 	if d.Resources == nil {
-		d.Resources = []Resource{} // the list must be there
+		d.Resources = []Resource{} // the server requires the list
 	}
 	return c.put(ctx, meshapi.ReplacePath, d)
 }
 
-// Update puts a change in force and gives its version. It is Stale unless its BaseVersion is in place.
+// Update puts a change in force and returns its version. Unless its BaseVersion is in force the error is Stale.
 func (c *Client) Update(ctx context.Context, change Change) (version int64, err error) {
 	if change.Upsert.Resources == nil {
 		change.Upsert.Resources = []Resource{}
@@ -98,23 +113,24 @@
 	return c.put(ctx, meshapi.UpdatePath, change)
 }
 
+// put sends a change and returns the version that is in force with it.
 func (c *Client) put(ctx context.Context, path string, body any) (int64, error) {
 	text, err := json.Marshal(body)
 	if err != nil {
 		return 0, &Error{Kind: InvalidUsage, Message: "the change can't be written: " + err.Error(), cause: err}
 	}
-	a, err := call[meshapi.ChangeResponse](ctx, c, http.MethodPost, path, text)
+	response, err := call[meshapi.ChangeResponse](ctx, c, http.MethodPost, path, text)
 	if err != nil {
 		return 0, err
 	}
-	return a.ConfigVersion, nil
+	return response.ConfigVersion, nil
 }
 
-// Change reads the configuration, has revise say what is to change in it, and puts that in force; when another change
-// came in between, it starts again from what is in place then. The base is filled in, and so is the version where
-// revise leaves it 0: the next one. An error of revise ends it and comes back as it is.
+// Change reads the configuration, has revise return what is to change in it, and puts that in force; when another
+// change came in between, it starts again from what is in force then, 32 times in all. It fills in the base version,
+// and also the version where revise leaves that 0: the next one. An error of revise is returned as it is.
 func (c *Client) Change(ctx context.Context, revise func(doc Document) (Change, error)) (version int64, err error) {
-	for round := 1; ; round++ {
+	for attempt := 1; ; attempt++ {
 		doc, err := c.Describe(ctx)
 		if err != nil {
 			return 0, err
@@ -128,14 +144,14 @@
 			change.ConfigVersion = doc.ConfigVersion + 1
 		}
 		version, err := c.Update(ctx, change)
-		if err == nil || !errors.Is(err, Stale) || round == mostRounds {
+		if err == nil || !errors.Is(err, Stale) || attempt == maxChangeAttempts {
 			return version, err
 		}
 	}
 }
 
-// Describe gives the configuration in force, no older than any change that was acknowledged before the call. Before the
-// first one its version is 0.
+// Describe returns the configuration in force, no older than any change that was acknowledged before the call. Before
+// the first one its version is 0.
 func (c *Client) Describe(ctx context.Context) (*Document, error) {
 	return call[Document](ctx, c, http.MethodGet, meshapi.DescribePath, nil)
 }
--- a/meshclient/doc.go
+++ b/meshclient/doc.go
@@ -1,7 +1,10 @@
-// Package meshclient is the client library of the mesh: operators read and change the configuration with a Client and
-// look at what is there; an upstream tells the mesh of itself with Heartbeats.
+// Package meshclient is the client library of the mesh. With a Client operators read and change the configuration and
+// inspect the mesh; with Heartbeats an upstream announces itself and takes leave. The messages are those of package
+// meshapi.
 //
-// A Client calls one control plane address after the other until one gives a clear answer or the context ends, so a
-// context should have a deadline. A call that may have been taken is sent again unchanged, and the mesh answers a
-// change that it has taken before with success.
+// A Client tries one control plane address after another until one gives a conclusive answer or the context ends, so a
+// context should have a deadline. A call that may have been received is sent again unchanged: the mesh acknowledges a
+// change that it has made before. Every error of a call is an *Error; errors.Is tells its Kind.
+//
+// A Client may be used from several goroutines at once. The package starts no goroutine that outlives a call.
 package meshclient
--- a/meshclient/heartbeats.go
+++ b/meshclient/heartbeats.go
@@ -13,191 +13,185 @@
 )
 
 const (
-	// beatTime is how long an acknowledgement may take. A later one counts as none.
-	beatTime = time.Second
-	// beatLimit bounds an acknowledgement. A longer one counts as none.
-	beatLimit = 4 << 10
-	// drainMargin is added to the time for which a draining upstream goes on serving, against acknowledgements that were
-	// sent before the news had reached every sidecar.
-	drainMargin = 300 * time.Millisecond
+	// acknowledgementTimeout is how long an acknowledgement may take. A later one counts as none.
+	acknowledgementTimeout = time.Second
+	// maxAcknowledgementBytes bounds an acknowledgement. A longer one counts as none.
+	maxAcknowledgementBytes = 4 << 10
 )
 
-// Instance is one life of an upstream.
+// Instance is one run of an upstream.
 type Instance struct {
-	// ID is new in each life.
-	ID      string
+	// ID is new with each start of the upstream. It is required.
+	ID string
+	// Service is the name of its service. It is required.
 	Service string
-	// Address is where the upstream listens.
+	// Address is where the upstream listens, host:port. It is required.
 	Address string
-	Zone    string
-	// Version is that of its software.
+	// Zone is where the upstream runs.
+	Zone string
+	// Version is that of the upstream's software.
 	Version string
-	Slots   int
-	// Warmup is how long after Heartbeats.Run begins the upstream stays slow.
+	// Slots is how many requests the upstream can run at once.
+	Slots int
+	// Warmup is for how long after the start of Heartbeats.Run the upstream is slow.
 	Warmup time.Duration
 }
 
-// Heartbeats tells the mesh of an upstream: Run beats, Drain takes leave. Its fields are set before Run and not changed.
+// Heartbeats announces an upstream to the mesh: Run sends heartbeats, Drain takes leave. The exported fields are set
+// before Run and not changed afterwards. Run is called once; Drain may be called from other goroutines.
 type Heartbeats struct {
-	// Client gives the addresses; a beat that is not acknowledged goes on to the next.
-	Client   *Client
+	// Client has the addresses to send to; a heartbeat that is not acknowledged is followed by one to the next address.
+	Client *Client
+	// Instance is the upstream.
 	Instance Instance
-	// Interval is the time between beats.
+	// Interval is the time between two heartbeats.
 	Interval time.Duration
-	// DrainTimeout is how long the upstream goes on serving once its leaving is acknowledged.
+	// DrainTimeout is how long the upstream goes on serving once it is known to be draining.
 	DrainTimeout time.Duration
-	// OnError, where not nil, hears of each beat that was not acknowledged. It is called from Run.
+	// OnError, where not nil, is called by Run with an *Error for each heartbeat that was not acknowledged.
 	OnError func(error)
 
-	once  sync.Once
-	begun time.Time
-	poke  chan struct{} // there is something to say now
-	acked chan struct{} // closed when the leaving is acknowledged
-	ended chan struct{} // closed when no beat is to follow
+	once              sync.Once
+	startedAt         time.Time
+	wake              chan struct{} // holds one element when a heartbeat is to be sent at once
+	drainAcknowledged chan struct{} // closed when a heartbeat that says draining was acknowledged
+	stopped           chan struct{} // closed when no further heartbeat is to be sent
 
+	// mu guards draining and stopping, and what wake holds while draining changes.
 	mu       sync.Mutex
 	draining bool
-	finished bool
+	stopping bool
 
-	// The rest belongs to Run.
-	sequence int64
-	endpoint string // where beats go, empty: to the Client's addresses
-	told     bool   // the leaving is acknowledged
+	// The remaining fields belong to the goroutine of Run.
+	sequence        int64
+	endpoint        string // where heartbeats go, host:port; empty: to the Client's addresses
+	drainIsNotified bool   // drainAcknowledged is closed
 }
 
-func (b *Heartbeats) start() {
-	b.begun = time.Now()
-	b.poke, b.acked, b.ended = make(chan struct{}, 1), make(chan struct{}), make(chan struct{})
-	b.Client.once.Do(b.Client.start)
+func (h *Heartbeats) start() {
+	h.startedAt = time.Now()
+	h.wake = make(chan struct{}, 1)
+	h.drainAcknowledged = make(chan struct{})
+	h.stopped = make(chan struct{})
+	h.Client.once.Do(h.Client.start)
 }
 
-// Run beats until Drain has taken leave, and then gives nil, or until ctx ends, and then gives its error. A beat that
-// fails is followed by the next after a pause that grows to the Interval. It is called once.
-func (b *Heartbeats) Run(ctx context.Context) error {
-	if in := b.Instance; in.ID == "" || in.Service == "" || in.Address == "" || b.Interval <= 0 || b.Client == nil || len(b.Client.Addresses) == 0 {
-		return &Error{Kind: InvalidUsage, Message: "beats need a client with addresses, an interval, and an instance with id, service and address"}
+// Run sends heartbeats until Drain has finished, and then returns nil, or until ctx ends, and then returns its cause.
+// After one that fails the next follows with a backoff of at most Interval. Without the required fields it returns an
+// *Error of kind InvalidUsage.
+func (h *Heartbeats) Run(ctx context.Context) error {
+	if !h.configured() {
+		const message = "heartbeats need a client with addresses, an interval, and an instance with id, service and address"
+		return &Error{Kind: InvalidUsage, Message: message}
 	}
-	b.once.Do(b.start)
-	failing := newPause(b.Interval)
+	h.once.Do(h.start)
+	retry := newBackoff(h.Interval)
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
 		select {
-		case <-b.ended:
+		case <-h.stopped:
 			return nil
 		case <-ctx.Done():
-			return eris.Wrap(context.Cause(ctx), "the beats end")
-		case <-b.poke:
+			return eris.Wrap(context.Cause(ctx), "heartbeats ended")
+		case <-h.wake:
 		case <-timer.C:
 		}
-		if t := b.beat(ctx); t != nil {
-			timer.Reset(failing.length(t.retryAfter))
-			if b.OnError != nil && ctx.Err() == nil {
-				b.OnError(&t.err)
+		if failure := h.send(ctx); failure != nil {
+			timer.Reset(retry.delay(failure.retryAfter))
+			if h.OnError != nil && ctx.Err() == nil {
+				h.OnError(&failure.err)
 			}
 			continue
 		}
-		failing = newPause(b.Interval)
-		timer.Reset(b.Interval)
+		retry = newBackoff(h.Interval)
+		timer.Reset(h.Interval)
 	}
 }
 
-// beat says once how the upstream fares; nil: that was acknowledged.
-func (b *Heartbeats) beat(ctx context.Context) *trouble {
-	b.mu.Lock()
-	draining := b.draining
-	select {
-	case <-b.poke: // this beat says what there was to say
-	default:
-	}
-	b.mu.Unlock()
-	state := meshapi.StateReady
-	if draining {
-		state = meshapi.StateDraining
-	}
-	b.sequence++
-	in := b.Instance
-	// A struct of texts and finite numbers always encodes.
-	body, _ := json.Marshal(meshapi.HeartbeatRequest{
-		Address: in.Address,
-		NodeInfo: meshapi.InstanceInfo{
-			ServiceName:   in.Service,
-			ConfigVersion: in.Version,
-			Zone:          in.Zone,
-			CapacitySlots: in.Slots,
-		},
-		Status: meshapi.InstanceStatus{
-			State:            state,
-			CallSequence:     b.sequence,
-			WarmupRemainingS: max(0, in.Warmup-time.Since(b.begun)).Seconds(),
-		},
-	})
-	address := b.endpoint
+// configured says whether the required fields are set.
+func (h *Heartbeats) configured() bool {
+	instance := &h.Instance
+	return instance.ID != "" && instance.Service != "" && instance.Address != "" &&
+		h.Interval > 0 && h.Client != nil && len(h.Client.Addresses) > 0
+}
+
+// send sends one heartbeat; nil means that it was acknowledged.
+func (h *Heartbeats) send(ctx context.Context) *attemptFailure {
+	state := h.stateToSend()
+	address := h.endpoint
 	if address == "" {
-		address = b.Client.address()
+		address = h.Client.address()
+	}
+	request := &callRequest{
+		method:           http.MethodPost,
+		path:             meshapi.InstancePath(meshapi.HeartbeatPattern, h.Instance.ID),
+		body:             h.nextMessage(state),
+		maxResponseBytes: maxAcknowledgementBytes,
 	}
-	within, cancel := context.WithTimeout(ctx, beatTime)
+	ctx, cancel := context.WithTimeout(ctx, acknowledgementTimeout)
 	defer cancel()
-	answer, t := attempt(within, b.Client.http, address, http.MethodPost, meshapi.InstancePath(meshapi.HeartbeatPattern, in.ID), body, beatLimit)
-	if t != nil {
-		if t.err.Kind == 0 {
-			if t.err.Kind = Unreachable; t.sent {
-				t.err.Kind = Undetermined
-			}
-		}
-		if b.endpoint != "" {
-			b.endpoint = ""
-		} else {
-			b.Client.moveOn(address)
+	body, failure := request.attempt(ctx, h.Client.httpClient, address)
+	if failure != nil {
+		if failure.err.Kind == 0 {
+			failure.err.Kind = kindWithoutAnswer(failure.sent)
 		}
-		return t
+		h.leaveAddress(address)
+		return failure
 	}
-	var said meshapi.HeartbeatResponse
-	// A 2xx acknowledges whatever its body is.
-	if json.Unmarshal(answer, &said) == nil && said.HeartbeatEndpoint != "" {
-		b.endpoint = said.HeartbeatEndpoint
+	// A 2xx acknowledges, whatever its body is.
+	var acknowledgement meshapi.HeartbeatResponse
+	if json.Unmarshal(body, &acknowledgement) == nil && acknowledgement.HeartbeatEndpoint != "" {
+		h.endpoint = acknowledgement.HeartbeatEndpoint
 	}
-	if draining && !b.told {
-		b.told = true
-		close(b.acked)
+	if state == meshapi.StateDraining && !h.drainIsNotified {
+		h.drainIsNotified = true
+		close(h.drainAcknowledged)
 	}
 	return nil
 }
 
-// Drain takes leave: it says that the upstream is draining until that is acknowledged, waits DrainTimeout and a little
-// longer, during which the upstream goes on serving and Run goes on beating, ends Run and deregisters. It needs Run.
-// When ctx ends before the acknowledgement, or before the time to serve is over, the error says so and Run goes on
-// saying that the upstream is draining.
-func (b *Heartbeats) Drain(ctx context.Context) error {
-	if b.Client == nil || len(b.Client.Addresses) == 0 {
-		return &Error{Kind: InvalidUsage, Message: "the client has no addresses"}
-	}
-	b.once.Do(b.start)
-	b.mu.Lock()
-	b.draining = true
+// stateToSend returns the upstream's state, and takes back a pending wake: this heartbeat says what it was for.
+func (h *Heartbeats) stateToSend() string {
+	h.mu.Lock()
+	defer h.mu.Unlock()
 	select {
-	case b.poke <- struct{}{}:
+	case <-h.wake:
 	default:
 	}
-	b.mu.Unlock()
-	select {
-	case <-b.acked:
-	case <-ctx.Done():
-		return &Error{Kind: Undetermined, Message: "the leaving was not acknowledged", cause: context.Cause(ctx)}
-	}
-	served := time.NewTimer(b.DrainTimeout + drainMargin)
-	defer served.Stop()
-	select {
-	case <-served.C:
-	case <-ctx.Done():
-		return &Error{Kind: Undetermined, Message: "the time to go on serving was cut short", cause: context.Cause(ctx)}
+	if h.draining {
+		return meshapi.StateDraining
 	}
-	b.mu.Lock()
-	if !b.finished {
-		b.finished = true
-		close(b.ended)
+	return meshapi.StateReady
+}
+
+// nextMessage encodes the next heartbeat.
+func (h *Heartbeats) nextMessage(state string) []byte {
+	h.sequence++
+	instance := &h.Instance
+	// A struct of strings and finite numbers always encodes.
+	body, _ := json.Marshal(meshapi.HeartbeatRequest{
+		Address: instance.Address,
+		NodeInfo: meshapi.InstanceInfo{
+			ServiceName:   instance.Service,
+			ConfigVersion: instance.Version,
+			Zone:          instance.Zone,
+			CapacitySlots: instance.Slots,
+		},
+		Status: meshapi.InstanceStatus{
+			State:            state,
+			CallSequence:     h.sequence,
+			WarmupRemainingS: max(0, instance.Warmup-time.Since(h.startedAt)).Seconds(),
+		},
+	})
+	return body
+}
+
+// leaveAddress goes back from the endpoint that the mesh named to the Client's addresses, or on to the next of those.
+func (h *Heartbeats) leaveAddress(address string) {
+	if h.endpoint != "" {
+		h.endpoint = ""
+		return
 	}
-	b.mu.Unlock()
-	_, err := call[json.RawMessage](ctx, b.Client, http.MethodPost, meshapi.InstancePath(meshapi.DeregisterPattern, b.Instance.ID), []byte("{}"))
-	return err
+	h.Client.moveOn(address)
 }
--- a/meshclient/meshclient_test.go
+++ b/meshclient/meshclient_test.go
@@ -19,51 +19,48 @@
 	"caperarch/meshapi"
 )
 
-// step is what a machine answers to one call; status 0: nothing, ever, and -1: no connection comes up.
-type step struct {
-	status int
-	header http.Header
-	body   string
-	slow   time.Duration // between the body's bytes
+// response is what the stand-in answers to one request; status 0: nothing until the request is cancelled, -1: no
+// connection comes up.
+type response struct {
+	status       int
+	header       http.Header
+	body         string
+	byteInterval time.Duration // between the bytes of the body
 }
 
-// drip is a body whose bytes come slowly, until the call is given up.
-type drip struct {
+// slowBody is a body whose bytes come one by one, until the request is cancelled.
+type slowBody struct {
 	io.Reader
-	slow time.Duration
-	ctx  context.Context
+	byteInterval time.Duration
+	ctx          context.Context
 }
 
-func (d *drip) Read(p []byte) (int, error) {
-	time.Sleep(d.slow) // of the bubble's time
-	if d.ctx.Err() != nil {
-		return 0, d.ctx.Err()
+func (b *slowBody) Read(p []byte) (int, error) {
+	time.Sleep(b.byteInterval) // of the bubble's time
+	if b.ctx.Err() != nil {
+		return 0, b.ctx.Err()
 	}
-	return d.Reader.Read(p[:1])
+	return b.Reader.Read(p[:1])
 }
 
-// script stands in for the machines. It answers each call with the next step, and notes what was called.
-type script struct {
-	mu    sync.Mutex
-	steps []step
-	calls []string // address, method and path
-	sent  []string // the bodies
-	at    []time.Duration
-	begun time.Time
+// scriptedTransport stands in for the machines. It answers each request with the next of its responses, and records
+// the requests.
+type scriptedTransport struct {
+	startedAt time.Time
+
+	mu        sync.Mutex
+	responses []response
+	calls     []string // address, method and path
+	bodies    []string
+	times     []time.Duration // since startedAt
 }
 
-func (s *script) RoundTrip(r *http.Request) (*http.Response, error) {
+func (s *scriptedTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		return nil, err
 	}
-	s.mu.Lock()
-	next := step{status: 200, body: `{"configVersion":7}`}
-	if len(s.steps) > 0 {
-		next, s.steps = s.steps[0], s.steps[1:]
-	}
-	s.calls, s.sent, s.at = append(s.calls, r.URL.Host+" "+r.URL.Path), append(s.sent, string(body)), append(s.at, time.Since(s.begun))
-	s.mu.Unlock()
+	next := s.record(r, body)
 	switch next.status {
 	case -1:
 		return nil, &net.OpError{Op: "dial", Err: errors.New("refused")}
@@ -74,42 +71,64 @@
 	if next.header == nil {
 		next.header = http.Header{}
 	}
-	return &http.Response{StatusCode: next.status, Status: fmt.Sprint(next.status), Header: next.header, Body: io.NopCloser(&drip{strings.NewReader(next.body), next.slow, r.Context()}), Request: r}, nil
+	return &http.Response{
+		StatusCode: next.status,
+		Status:     fmt.Sprint(next.status),
+		Header:     next.header,
+		Body:       io.NopCloser(&slowBody{strings.NewReader(next.body), next.byteInterval, r.Context()}),
+		Request:    r,
+	}, nil
+}
+
+// record records a request and takes the next response; after the last one the answer is 200.
+func (s *scriptedTransport) record(r *http.Request, body []byte) response {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.calls = append(s.calls, r.URL.Host+" "+r.URL.Path)
+	s.bodies = append(s.bodies, string(body))
+	s.times = append(s.times, time.Since(s.startedAt))
+	if len(s.responses) == 0 {
+		return response{status: 200, body: `{"configVersion":7}`}
+	}
+	next := s.responses[0]
+	s.responses = s.responses[1:]
+	return next
 }
 
-// play plays steps against a client of three machines that begins at the first.
-func play(t *testing.T, steps []step, run func(ctx context.Context, s *script, c *Client)) {
+// runScript runs a test in virtual time with a client of three machines that starts at the first.
+func runScript(t *testing.T, responses []response, run func(ctx context.Context, s *scriptedTransport, c *Client)) {
+	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		s := &script{steps: steps, begun: time.Now()}
+		s := &scriptedTransport{responses: responses, startedAt: time.Now()}
 		c := &Client{Addresses: []string{"a:1", "b:1", "c:1"}, HTTP: &http.Client{Transport: s}}
 		c.once.Do(c.start)
-		c.at = 0
+		c.current = 0
 		run(t.Context(), s, c)
 	})
 }
 
-func to(location string) http.Header { return http.Header{"Location": {location}} }
+func redirectTo(location string) http.Header { return http.Header{"Location": {location}} }
 
 func TestClient(t *testing.T) {
 	change := Document{ConfigVersion: 7, BaseVersion: 5}
 	Convey("A call goes on unchanged after a failure, silence, a promise and redirects, with pauses that grow, until one settles it", t, func(c C) {
-		play(t, []step{
+		runScript(t, []response{
 			{status: 503}, {}, {status: 429, header: http.Header{"Retry-After": {"1.5"}}},
-			{status: 307, header: to("http://d:1/x")}, {status: 307, header: to("/y")}, {status: 307, header: to("/z")},
-			{status: 200, body: `{"configVersion":8}`, slow: silence + time.Millisecond}, {status: -1}, {status: 307, header: to("http://d:1/x")},
-			{status: 200, body: `{"configVersion":7}`, slow: silence - time.Millisecond}, // it moves
-		}, func(ctx context.Context, s *script, client *Client) {
+			{status: 307, header: redirectTo("http://d:1/x")}, {status: 307, header: redirectTo("/y")}, {status: 307, header: redirectTo("/z")},
+			{status: 200, body: `{"configVersion":8}`, byteInterval: idleTimeout + time.Millisecond}, {status: -1}, {status: 307, header: redirectTo("http://d:1/x")},
+			{status: 200, body: `{"configVersion":7}`, byteInterval: idleTimeout - time.Millisecond}, // it moves
+		}, func(ctx context.Context, s *scriptedTransport, client *Client) {
 			version, err := client.Replace(ctx, change)
 			c.So(err, ShouldBeNil)
 			c.So(version, ShouldEqual, 7)
 			path := " /api/configuration/replace"
 			c.So(s.calls, ShouldResemble, []string{"a:1" + path, "b:1" + path, "c:1" + path, "a:1" + path, "d:1 /x", "d:1 /y", "b:1" + path, "c:1" + path, "a:1" + path, "d:1 /x"})
-			for _, sent := range s.sent {
+			for _, sent := range s.bodies {
 				c.So(sent, ShouldEqual, `{"configVersion":7,"baseVersion":5,"resources":[]}`)
 			}
-			c.So(s.at[2]-s.at[1], ShouldBeBetween, silence+pauseLeast-time.Millisecond, silence+2*pauseLeast+time.Millisecond) // the body has its microseconds
-			c.So(s.at[3]-s.at[2], ShouldEqual, 1500*time.Millisecond)
-			c.So(s.at[8]-s.at[7], ShouldBeBetween, 8*pauseLeast, 32*pauseLeast)
+			c.So(s.times[2]-s.times[1], ShouldBeBetween, idleTimeout+minBackoff-time.Millisecond, idleTimeout+2*minBackoff+time.Millisecond) // the body has its microseconds
+			c.So(s.times[3]-s.times[2], ShouldEqual, 1500*time.Millisecond)
+			c.So(s.times[8]-s.times[7], ShouldBeBetween, 8*minBackoff, 32*minBackoff)
 			_, err = client.NodeStatus(ctx) // the last address that answered is asked first
 			c.So(err, ShouldBeNil)
 			c.So(s.calls[10], ShouldEqual, "a:1 /api/view")
@@ -126,8 +145,8 @@
 			{400, "Invalid", Invalid, 1}, {400, "Unreadable", Invalid, 1}, {400, "", Invalid, 1}, {409, "", Invalid, 1}, {412, "Stale", Stale, 1},
 			{413, "", TooLarge, 1}, {422, "", Invalid, 1}, {404, "Unknown", NotFound, 3}, {403, "", Rejected, 3},
 		} {
-			answer := step{status: x.status, header: http.Header{"X-Mesh-Fault": {x.fault}}, body: `{"errorMessage":"as said"}`}
-			play(t, []step{answer, answer, answer, answer}, func(ctx context.Context, s *script, client *Client) {
+			answer := response{status: x.status, header: http.Header{"X-Mesh-Fault": {x.fault}}, body: `{"errorMessage":"as said"}`}
+			runScript(t, []response{answer, answer, answer, answer}, func(ctx context.Context, s *scriptedTransport, client *Client) {
 				_, err := client.Update(ctx, Change{ConfigVersion: 7})
 				var e *Error
 				c.So(errors.As(err, &e), ShouldBeTrue)
@@ -138,8 +157,8 @@
 	})
 
 	Convey("When the time runs out, it is said whether anything may have been taken", t, func(c C) {
-		for kind, steps := range map[Kind][]step{Unreachable: {{status: -1}, {status: -1}, {status: -1}}, Undetermined: {{status: -1}, {status: 503}, {status: -1}}} {
-			play(t, steps, func(ctx context.Context, _ *script, client *Client) {
+		for kind, steps := range map[Kind][]response{Unreachable: {{status: -1}, {status: -1}, {status: -1}}, Undetermined: {{status: -1}, {status: 503}, {status: -1}}} {
+			runScript(t, steps, func(ctx context.Context, _ *scriptedTransport, client *Client) {
 				ctx, cancel := context.WithTimeout(ctx, 120*time.Millisecond)
 				defer cancel()
 				_, err := client.Replace(ctx, change)
@@ -152,10 +171,10 @@
 	})
 
 	Convey("Change starts again from what is in place when another came in between", t, func(c C) {
-		play(t, []step{
+		runScript(t, []response{
 			{status: 200, body: `{"configVersion":5,"resources":[]}`}, {status: 412},
 			{status: 200, body: `{"configVersion":6,"resources":[{"resourceType":"limits","metadata":{}}]}`}, {status: 200, body: `{"configVersion":7}`},
-		}, func(ctx context.Context, s *script, client *Client) {
+		}, func(ctx context.Context, s *scriptedTransport, client *Client) {
 			var seen []int
 			version, err := client.Change(ctx, func(doc Document) (Change, error) {
 				seen = append(seen, len(doc.Resources))
@@ -164,18 +183,18 @@
 			c.So(err, ShouldBeNil)
 			c.So(version, ShouldEqual, 7)
 			c.So(seen, ShouldResemble, []int{0, 1})
-			c.So(s.sent[3], ShouldEqual, `{"configVersion":7,"baseVersion":6,"upsert":{"resources":[]},"remove":{"routes":["r"]}}`)
+			c.So(s.bodies[3], ShouldEqual, `{"configVersion":7,"baseVersion":6,"upsert":{"resources":[]},"remove":{"routes":["r"]}}`)
 		})
 	})
 }
 
-func TestBeats(t *testing.T) {
-	Convey("Beats go on to the next machine when none acknowledges, keep to the endpoint they are given until it fails, and take leave in order", t, func(c C) {
-		play(t, []step{
+func TestHeartbeats(t *testing.T) {
+	Convey("Heartbeats go on to the next machine when none acknowledges, keep to the endpoint they are given until it fails, and take leave in order", t, func(c C) {
+		runScript(t, []response{
 			{status: 200, body: `{"heartbeatEndpoint":"e:1"}`}, {status: 200}, {}, // a, e, e is silent
-			{status: 200, body: strings.Repeat(" ", beatLimit+1)}, {status: 500}, {status: 200}, // a's is too long, b fails, c acknowledges
+			{status: 200, body: strings.Repeat(" ", maxAcknowledgementBytes+1)}, {status: 500}, {status: 200}, // a's is too long, b fails, c acknowledges
 			{status: 500}, {status: 200, body: "{}"}, // the leaving: c fails, a acknowledges
-		}, func(ctx context.Context, s *script, client *Client) {
+		}, func(ctx context.Context, s *scriptedTransport, client *Client) {
 			failed := 0
 			b := &Heartbeats{
 				Client: client, Instance: Instance{ID: "i/1", Service: "s", Address: "10.0.0.1:80", Slots: 3, Warmup: 3 * time.Second},
@@ -186,7 +205,7 @@
 			time.Sleep(6 * time.Second) // of the bubble's time
 			synctest.Wait()
 			before := len(s.calls)
-			asked := time.Since(s.begun)
+			asked := time.Since(s.startedAt)
 			c.So(b.Drain(ctx), ShouldBeNil)
 			c.So(<-ended, ShouldBeNil)
 
@@ -199,29 +218,29 @@
 				hosts += host
 				c.So(path, ShouldEqual, "/api/instances/i/1/heartbeat")
 				var said meshapi.HeartbeatRequest
-				c.So(json.Unmarshal([]byte(s.sent[i]), &said), ShouldBeNil)
+				c.So(json.Unmarshal([]byte(s.bodies[i]), &said), ShouldBeNil)
 				c.So(said.Status.CallSequence, ShouldEqual, i+1)
-				state, warmup := "ready", max(0, 3-s.at[i].Seconds())
+				state, warmup := "ready", max(0, 3-s.times[i].Seconds())
 				if i >= before {
 					state = "draining"
 				}
 				c.So(said.Status.State, ShouldEqual, state)
 				c.So(said.Status.WarmupRemainingS, ShouldAlmostEqual, warmup)
 				if i == before+1 {
-					drainedAt = s.at[i]
+					drainedAt = s.times[i]
 				}
 			}
 			c.So(hosts, ShouldStartWith, "aeeabcca")
-			c.So(len(hosts), ShouldBeGreaterThan, 9) // it beats while it serves on
-			c.So(s.at[before], ShouldEqual, asked)   // the leaving is said at once
+			c.So(len(hosts), ShouldBeGreaterThan, 9)  // it beats while it serves on
+			c.So(s.times[before], ShouldEqual, asked) // the leaving is said at once
 			last := len(s.calls) - 1
 			c.So(s.calls[last], ShouldEndWith, "/api/instances/i/1/deregister")
-			c.So(s.at[last]-drainedAt, ShouldEqual, b.DrainTimeout+drainMargin)
+			c.So(s.times[last]-drainedAt, ShouldEqual, b.DrainTimeout+drainMargin)
 		})
 	})
 
 	Convey("Without an acknowledgement Drain says so when its time is over", t, func(c C) {
-		play(t, make([]step, 100), func(ctx context.Context, s *script, client *Client) {
+		runScript(t, make([]response, 100), func(ctx context.Context, s *scriptedTransport, client *Client) {
 			b := &Heartbeats{Client: client, Instance: Instance{ID: "i", Service: "s", Address: "x:1"}, Interval: time.Second}
 			ctx, cancel := context.WithTimeout(ctx, 4*time.Second)
 			defer cancel()
--- a/meshclient/names_test.go
+++ b/meshclient/names_test.go
@@ -24,8 +24,8 @@
 	if !errors.Is(err, meshclient.Stale) || meshclient.KindOf(err) != meshclient.Stale {
 		t.Error("the kinds differ")
 	}
-	var client *meshclient.Client = &meshclient.Client{Addresses: []string{"10.1.0.40:8105"}}
-	var doc meshclient.Document = meshclient.Document{BaseVersion: 3}
+	client := &meshclient.Client{Addresses: []string{"10.1.0.40:8105"}}
+	doc := meshclient.Document{BaseVersion: 3}
 	if len(client.Addresses) != 1 || doc.BaseVersion != 3 {
 		t.Error("the types differ")
 	}
