--- a/internal/proxy/engine/engine_test.go
+++ b/internal/proxy/engine/engine_test.go
@@ -37,19 +37,19 @@
 }
 
 // next runs the next event and what it owes.
-func (l *Engine) next(t *testing.T) {
+func (e *Engine) next(t *testing.T) {
 	t.Helper()
-	event := rig.Wait(t, "an event", l.events)
-	l.now = l.Clock.Now()
-	event(l.now)
-	l.settle()
+	event := rig.Wait(t, "an event", e.events)
+	e.now = e.Clock.Now()
+	event(e.now)
+	e.settle()
 }
 
 // hold enters a request that the module does not know, so that the test can decide for it.
-func (l *Engine) hold(id policy.RequestID) (*request, chan call.Answer) {
+func (e *Engine) hold(id policy.RequestID) (*request, chan call.Answer) {
 	reply := make(chan call.Answer, 1)
-	r := &request{message: testMessage("1"), reply: reply, deadline: l.now + rig.Generous}
-	l.requests[id] = r
+	r := &request{message: testMessage("1"), reply: reply, deadline: e.now + rig.Generous}
+	e.requests[id] = r
 	return r, reply
 }
 
--- a/plugin/grpcplugin/conn_test.go
+++ b/plugin/grpcplugin/conn_test.go
@@ -110,7 +110,7 @@
 	ctx, cancel := context.WithTimeout(metadata.AppendToOutgoingContext(context.Background(), "x-trace", "1", "x-trace", "2"), 5*time.Second)
 	defer cancel()
 	var header, trailer metadata.MD
-	var finished error = errors.New("not called")
+	finished := errors.New("not called")
 	res, err := stub.UnaryCall(ctx, &testgrpc.SimpleRequest{Payload: &testgrpc.Payload{Body: []byte("41.5 kg")}},
 		grpc.Header(&header), grpc.Trailer(&trailer), grpc.OnFinish(func(err error) { finished = err }), grpc.WaitForReady(true))
 	if err != nil {
