--- a/internal/mesh/replication/checker_test.go
+++ b/internal/mesh/replication/checker_test.go
@@ -206,7 +206,7 @@
 		n.contactLeader, n.contactTerm = r.leader, r.hardState.Term
 	}
 	if at, index, ok := r.LastQuorumAck(); ok {
-		n.contact.record(min(at, now), uint64(index))
+		n.contact.record(min(at, now), index)
 	}
 	w.checkContact(n)
 }
@@ -226,7 +226,7 @@
 
 // checkContact checks the same of the node's contact and of what is applied.
 func (w *world) checkContact(n *machine) {
-	age, ok := n.contact.age(w.clock(n), uint64(n.done))
+	age, ok := n.contact.age(w.clock(n), n.done)
 	if !ok {
 		return
 	}
--- a/internal/mesh/replication/election.go
+++ b/internal/mesh/replication/election.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// startPreVote asks whether a vote would be granted, without raising the term.
+// startPreVote asks the voters whether they would grant a vote, without raising the term.
 func (r *Replica) startPreVote(now time.Duration) {
 	r.role, r.leader = preCandidate, ""
 	r.votes = map[MemberID]bool{}
@@ -12,7 +12,7 @@
 }
 
 // startElection raises the term and asks for votes in it.
-func (r *Replica) startElection(now time.Duration, transfer bool) {
+func (r *Replica) startElection(now time.Duration, request VoteRequest) {
 	r.role, r.leader = candidate, ""
 	r.hardState.Term++
 	r.hardState.Vote = r.id
@@ -20,7 +20,7 @@
 	r.matchedIndex = 0
 	r.votes = map[MemberID]bool{}
 	r.electionDeadline = now + r.randomDuration(MinElectionTimeout, MaxElectionTimeout)
-	r.requestVotes(r.hardState.Term, VoteRequest{Transfer: transfer})
+	r.requestVotes(r.hardState.Term, request)
 }
 
 func (r *Replica) requestVotes(term Term, request VoteRequest) {
@@ -32,8 +32,8 @@
 	}
 }
 
-// countVotes moves a candidate on once a majority is for it. Only voters of the membership in force
-// count. The replica's own vote counts once it is synced.
+// countVotes ends a pre-vote or an election that a majority has granted. Only voters of the
+// membership in force count. The replica's own vote counts once it is synced.
 func (r *Replica) countVotes(now time.Duration) {
 	if r.role != preCandidate && r.role != candidate {
 		return
@@ -47,38 +47,45 @@
 		r.becomeLeader(now)
 		return
 	}
-	r.startElection(now, false)
+	r.startElection(now, VoteRequest{})
 }
 
-// isLogUpToDate says that a candidate's log lacks nothing that this replica could have acknowledged: it
-// ends in a higher term, or in the same one and no earlier.
+// isLogUpToDate says that a candidate's log lacks nothing that this replica may have acknowledged:
+// it ends in a higher term, or in the same one and no earlier.
 func (r *Replica) isLogUpToDate(request *VoteRequest) bool {
 	last := r.log.lastTerm()
 	return request.LastTerm > last || request.LastTerm == last && request.LastIndex >= r.log.lastIndex()
 }
 
-// stepVoteRequest answers a request for a vote. A learner answers too: the candidate may know of a
-// membership in which it votes, and counts it only then.
+// stepVoteRequest answers a request for a vote or a pre-vote. A learner answers, too: the candidate
+// may know of a membership in which it is a voter, and counts its vote only then.
 func (r *Replica) stepVoteRequest(now time.Duration, from MemberID, term Term, request *VoteRequest) {
-	if r.storageFailed {
-		return
+	switch {
+	case r.storageFailed:
+	case request.PreVote:
+		r.answerPreVote(now, from, term, request)
+	default:
+		r.answerVote(now, from, term, request)
 	}
-	if request.PreVote {
-		granted := term > r.hardState.Term && !r.hasLeaderLease(now) && r.isLogUpToDate(request)
-		answer := Message{Term: term, VoteResponse: &VoteResponse{PreVote: true, Rejected: !granted}}
-		if !granted {
-			answer.Term = r.hardState.Term
-		}
-		r.send(from, answer)
+}
+
+func (r *Replica) answerPreVote(now time.Duration, from MemberID, term Term, request *VoteRequest) {
+	if term > r.hardState.Term && !r.hasLeaderLease(now) && r.isLogUpToDate(request) {
+		r.send(from, Message{Term: term, VoteResponse: &VoteResponse{PreVote: true}})
 		return
 	}
+	r.send(from, Message{VoteResponse: &VoteResponse{PreVote: true, Rejected: true}})
+}
+
+func (r *Replica) answerVote(now time.Duration, from MemberID, term Term, request *VoteRequest) {
 	if term > r.hardState.Term {
 		if r.hasLeaderLease(now) && !request.Transfer {
 			return
 		}
 		r.becomeFollower(term, "")
 	}
-	granted := term == r.hardState.Term && r.role != leader && r.isLogUpToDate(request) && (r.hardState.Vote == "" || r.hardState.Vote == from)
+	granted := term == r.hardState.Term && r.role != leader && r.isLogUpToDate(request) &&
+		(r.hardState.Vote == "" || r.hardState.Vote == from)
 	if granted {
 		if r.hardState.Vote == "" {
 			r.hardState.Vote, r.hardStateDirty = from, true
@@ -88,15 +95,15 @@
 	r.send(from, Message{VoteResponse: &VoteResponse{Rejected: !granted}})
 }
 
-func (r *Replica) stepVoteResponse(now time.Duration, from MemberID, term Term, answer *VoteResponse) {
-	if answer.Rejected {
+func (r *Replica) stepVoteResponse(now time.Duration, from MemberID, term Term, response *VoteResponse) {
+	if response.Rejected {
 		if term > r.hardState.Term {
 			r.becomeFollower(term, "")
 		}
 		return
 	}
 	wantRole, wantTerm := candidate, r.hardState.Term
-	if answer.PreVote {
+	if response.PreVote {
 		wantRole, wantTerm = preCandidate, r.hardState.Term+1
 	}
 	if r.role == wantRole && term == wantTerm {
@@ -105,22 +112,10 @@
 	}
 }
 
-// stepTimeoutNow has a voter stand at once, at its leader's wish.
+// stepTimeoutNow starts an election at once, because the leader transfers leadership.
 func (r *Replica) stepTimeoutNow(now time.Duration, from MemberID, term Term) {
 	if term != r.hardState.Term || r.leader != from || r.role != follower || r.storageFailed || !r.IsVoter() {
 		return
 	}
-	r.startElection(now, true)
-}
-
-// becomeLeader makes the replica the leader of its term. Its first entry restates the membership in force:
-// once that one is committed, so is everything of earlier terms before it, and a learner that has
-// the log from its beginning knows who votes.
-func (r *Replica) becomeLeader(now time.Duration) {
-	r.role, r.leader, r.votes = leader, r.id, nil
-	r.transferring = false
-	r.peers = map[MemberID]*progress{}
-	r.updatePeers(now)
-	r.appendMembership(now, r.memberships.current().Membership)
-	r.advanceCommit(now)
+	r.startElection(now, VoteRequest{Transfer: true})
 }
--- a/internal/mesh/replication/follower.go
+++ b/internal/mesh/replication/follower.go
@@ -2,10 +2,11 @@
 
 import "time"
 
-// acceptLeader takes a leader's message as such; false where it is none of this replica's leader.
+// acceptLeader processes what every message of a leader carries. It returns false where the message
+// isn't from the leader of this replica's term, or can't be stored.
 func (r *Replica) acceptLeader(now time.Duration, from MemberID, term Term, h *Heartbeat) bool {
 	if term < r.hardState.Term {
-		// The term is over: tell the old leader, so that it stops.
+		// The term is over: tell the old leader, so that it steps down.
 		r.send(from, Message{AppendResponse: &AppendResponse{Rejected: true}})
 		return false
 	}
@@ -14,7 +15,7 @@
 		return false
 	}
 	if r.leader != from || term > r.hardState.Term {
-		r.lastQuorumAck = now - time.Hour
+		r.lastQuorumAck = now - longAgo
 	}
 	r.becomeFollower(term, from)
 	r.lastContact = now
@@ -23,11 +24,11 @@
 	return !r.storageFailed
 }
 
-// recordQuorumAck takes over when a majority last confirmed the leader. How long a message was on
-// its way can't be told from its arrival; that it was made after this replica's answer was sent, which
-// it echoes, can.
+// recordQuorumAck adopts the time at which a majority last confirmed the leader. How long a message
+// was in flight can't be told from its arrival; that it was made after this replica sent the
+// response whose clock it echoes, can.
 func (r *Replica) recordQuorumAck(now time.Duration, h *Heartbeat) {
-	if h.QuorumAckAge < 0 || h.QuorumAckAge >= time.Hour {
+	if h.QuorumAckAge < 0 || h.QuorumAckAge >= longAgo {
 		return
 	}
 	r.leaderCommit = max(r.leaderCommit, h.Commit)
@@ -36,44 +37,46 @@
 	}
 }
 
-// clockReading is what answers carry for the leader to echo.
+// clockReading is what responses carry for the leader to echo.
 func (r *Replica) clockReading(now time.Duration) ClockReading {
 	return ClockReading{Incarnation: r.incarnation, At: now}
 }
 
-// stepAppend takes in entries or a plain heartbeat.
+// stepAppend processes entries or a plain heartbeat.
 func (r *Replica) stepAppend(now time.Duration, from MemberID, term Term, msg *AppendEntries) {
 	if !r.acceptLeader(now, from, term, &msg.Heartbeat) {
 		return
 	}
-	answer := AppendResponse{SentAt: msg.SentAt, ReadRound: msg.ReadRound, Clock: r.clockReading(now)}
+	response := AppendResponse{SentAt: msg.SentAt, ReadRound: msg.ReadRound, Clock: r.clockReading(now)}
 	if r.appendFromLeader(msg) {
-		answer.Match = r.matchedIndex
+		response.Match = r.matchedIndex
 	} else {
-		answer.Rejected, answer.RejectedIndex, answer.Match = true, msg.PrevIndex, r.lastPossibleMatch(msg)
+		response.Rejected = true
+		response.RejectedIndex = msg.PrevIndex
+		response.Match = r.lastPossibleMatch(msg)
 	}
 	r.commit = max(r.commit, min(msg.Commit, r.matchedIndex))
-	r.send(from, Message{AppendResponse: &answer})
+	r.send(from, Message{AppendResponse: &response})
 }
 
-// lastPossibleMatch is the last place at which the log may still agree with a leader whose entry at
-// PrevIndex differs.
+// lastPossibleMatch is the last index at which the log may still agree with that of a leader whose
+// entry at PrevIndex differs.
 func (r *Replica) lastPossibleMatch(msg *AppendEntries) Index {
-	at := min(msg.PrevIndex, r.log.lastIndex())
-	for at > r.commit {
-		if term, _ := r.log.term(at); at < msg.PrevIndex && term <= msg.PrevTerm {
+	index := min(msg.PrevIndex, r.log.lastIndex())
+	for index > r.commit {
+		if term, _ := r.log.term(index); index < msg.PrevIndex && term <= msg.PrevTerm {
 			break
 		}
-		at--
+		index--
 	}
-	return at
+	return index
 }
 
-// appendFromLeader appends entries behind one that both logs hold. Whatever this log held in their place
-// was never acknowledged by a quorum and is dropped.
+// appendFromLeader appends the entries that the log lacks, if the one before them is the same in
+// both logs. Other entries at their indexes were never acknowledged by a quorum and are dropped.
 func (r *Replica) appendFromLeader(msg *AppendEntries) bool {
 	entries, prev, prevTerm := msg.Entries, msg.PrevIndex, msg.PrevTerm
-	// What is committed is the same everywhere, also where it is trimmed away here.
+	// What is committed is the same in every log, also where it is compacted here.
 	for len(entries) > 0 && prev < r.commit {
 		prev, prevTerm = entries[0].Index, entries[0].Term
 		entries = entries[1:]
@@ -99,7 +102,7 @@
 	return true
 }
 
-// truncateLog drops the log from index on, and the memberships that it brought.
+// truncateLog drops the log from index on, with the memberships in it.
 func (r *Replica) truncateLog(index Index) {
 	if index > r.log.lastIndex() {
 		return
--- a/internal/mesh/replication/input_test.go
+++ b/internal/mesh/replication/input_test.go
@@ -129,7 +129,7 @@
 				}
 				if i == 1 && votes && r.role != leader {
 					b.now += time.Second
-					r.startElection(b.now, false)
+					r.startElection(b.now, VoteRequest{})
 					b.drain()
 					r.becomeLeader(b.now)
 				}
--- a/internal/mesh/replication/log.go
+++ b/internal/mesh/replication/log.go
@@ -4,7 +4,17 @@
 type entryLog struct {
 	snapshot Snapshot
 	entries  []Entry
-	bytes    int
+	// bytes is the total size of the entries' commands.
+	bytes int
+}
+
+// commandBytes is the total size of the entries' commands.
+func commandBytes(entries []Entry) int {
+	n := 0
+	for i := range entries {
+		n += len(entries[i].Command)
+	}
+	return n
 }
 
 func (l *entryLog) lastIndex() Index { return l.snapshot.Index + Index(len(l.entries)) }
@@ -25,13 +35,14 @@
 	return term
 }
 
-// matches says whether the entry at index is the one numbered in term.
+// matches says whether the log holds an entry at index that was numbered in term.
 func (l *entryLog) matches(index Index, term Term) bool {
 	found, ok := l.term(index)
 	return ok && found == term
 }
 
-// entriesFrom returns the entries from index on, as many as fit into limit bytes and at least one if there is one.
+// entriesFrom returns the entries from index on, as many as fit into limit bytes, and at least one
+// if there is one.
 func (l *entryLog) entriesFrom(index Index, limit int) []Entry {
 	if index <= l.snapshot.Index || index > l.lastIndex() {
 		return nil
@@ -45,7 +56,7 @@
 	return rest[:n:n]
 }
 
-// entriesBetween returns the entries after index up to end.
+// entriesBetween returns the entries after index after, up to and including end.
 func (l *entryLog) entriesBetween(after, end Index) []Entry {
 	if end <= after || after < l.snapshot.Index {
 		return nil
@@ -54,36 +65,29 @@
 }
 
 func (l *entryLog) append(entries ...Entry) {
-	for i := range entries {
-		l.bytes += len(entries[i].Command)
-	}
+	l.bytes += commandBytes(entries)
 	l.entries = append(l.entries, entries...)
 }
 
-// truncate drops the entries from index on. The rest is copied, since entries
-// handed out before may still be on their way.
+// truncate drops the entries from index on. The rest is copied, because entries that were returned
+// before may still be in flight.
 func (l *entryLog) truncate(index Index) {
-	keep := l.entries[:index-l.snapshot.Index-1]
-	l.entries = append(make([]Entry, 0, len(keep)), keep...)
-	l.countBytes()
+	l.replaceEntries(l.entries[:index-l.snapshot.Index-1])
 }
 
-// installSnapshot puts a snapshot in place of everything.
+// installSnapshot replaces everything by a snapshot.
 func (l *entryLog) installSnapshot(s Snapshot) {
 	*l = entryLog{snapshot: s}
 }
 
-// compact puts a snapshot in place of the entries up to its index.
+// compact replaces the entries up to the snapshot's index by the snapshot.
 func (l *entryLog) compact(s Snapshot) {
-	rest := l.entries[s.Index-l.snapshot.Index:]
-	l.entries = append(make([]Entry, 0, len(rest)), rest...)
+	l.replaceEntries(l.entries[s.Index-l.snapshot.Index:])
 	l.snapshot = s
-	l.countBytes()
 }
 
-func (l *entryLog) countBytes() {
-	l.bytes = 0
-	for i := range l.entries {
-		l.bytes += len(l.entries[i].Command)
-	}
+// replaceEntries makes a copy of entries the log's.
+func (l *entryLog) replaceEntries(entries []Entry) {
+	l.entries = append(make([]Entry, 0, len(entries)), entries...)
+	l.bytes = commandBytes(l.entries)
 }
--- a/internal/mesh/replication/membership.go
+++ b/internal/mesh/replication/membership.go
@@ -11,17 +11,17 @@
 	"caperarch/internal/mesh/errs"
 )
 
-// maxVoters bounds a membership, so that a message that lies can't make a replica keep thousands.
+// maxVoters bounds a membership, so that a malformed message can't make a replica keep thousands.
 const maxVoters = 15
 
-// Membership is who votes. While it is joint, Outgoing are the voters before the change, and every
-// decision takes a majority of both sets.
+// Membership is the set of voters. While it is joint, Outgoing are the voters before the change,
+// and every decision takes a majority of both sets.
 type Membership struct {
 	Voters   []MemberID `json:"v"`
 	Outgoing []MemberID `json:"o,omitempty"`
 }
 
-// IsJoint says that a change is under way.
+// IsJoint says whether a change is under way.
 func (m Membership) IsJoint() bool { return len(m.Outgoing) > 0 }
 
 // IsVoter says whether a member votes, in either set.
@@ -29,12 +29,12 @@
 	return slices.Contains(m.Voters, id) || slices.Contains(m.Outgoing, id)
 }
 
-// AllVoters is every member of both sets, in order, each once.
+// AllVoters returns the members of both sets, sorted, each once.
 func (m Membership) AllVoters() []MemberID {
 	return slices.Compact(slices.Sorted(slices.Values(slices.Concat(m.Voters, m.Outgoing))))
 }
 
-// hasQuorum says whether those for whom has is true are a majority of each set.
+// hasQuorum says whether the members that agree are a majority of each set.
 func (m Membership) hasQuorum(agrees func(MemberID) bool) bool {
 	return hasMajority(m.Voters, agrees) && (!m.IsJoint() || hasMajority(m.Outgoing, agrees))
 }
@@ -50,27 +50,28 @@
 }
 
 // quorumValue is the largest value that a majority of each set has reached.
-func quorumValue[T ~int64 | ~uint64](m Membership, of func(MemberID) T) T {
-	value := majorityValue(m.Voters, of)
+func quorumValue[T ~int64 | ~uint64](m Membership, valueOf func(MemberID) T) T {
+	value := majorityValue(m.Voters, valueOf)
 	if m.IsJoint() {
-		value = min(value, majorityValue(m.Outgoing, of))
+		value = min(value, majorityValue(m.Outgoing, valueOf))
 	}
 	return value
 }
 
-func majorityValue[T ~int64 | ~uint64](voters []MemberID, of func(MemberID) T) T {
+func majorityValue[T ~int64 | ~uint64](voters []MemberID, valueOf func(MemberID) T) T {
 	if len(voters) == 0 {
 		return 0
 	}
 	values := make([]T, 0, len(voters))
 	for _, id := range voters {
-		values = append(values, of(id))
+		values = append(values, valueOf(id))
 	}
 	slices.Sort(values)
 	return values[(len(voters)-1)/2]
 }
 
-// validate refuses a membership that names nobody, somebody twice, or no address.
+// validate returns an error of kind Invalid for a membership without voters, or in which a voter
+// has no address or the address of another one.
 func (m Membership) validate() error {
 	if len(m.Voters) == 0 {
 		return errs.New(errs.Invalid, "replication: a membership without voters")
@@ -83,12 +84,12 @@
 	return nil
 }
 
-func validateVoters(set []MemberID) error {
-	if len(set) > maxVoters {
-		return errs.New(errs.Invalid, "replication: %d voters, at most %d may be", len(set), maxVoters)
+func validateVoters(voters []MemberID) error {
+	if len(voters) > maxVoters {
+		return errs.New(errs.Invalid, "replication: %d voters, at most %d may be", len(voters), maxVoters)
 	}
-	seen := make(map[string]bool, len(set))
-	for _, id := range set {
+	seen := make(map[string]bool, len(voters))
+	for _, id := range voters {
 		if _, _, err := net.SplitHostPort(id.Address()); err != nil {
 			return errs.New(errs.Invalid, "replication: the voter %.64q has no address", id)
 		}
@@ -102,7 +103,7 @@
 
 func (m Membership) encode() []byte {
 	data, err := json.Marshal(m)
-	if err != nil { // strings in slices can always be written
+	if err != nil { // slices of strings can always be encoded
 		panic(err)
 	}
 	return data
@@ -116,8 +117,8 @@
 	return m, m.validate()
 }
 
-// Bootstrap is the membership of the very first start and the cluster's id: both follow from the
-// seeds alone, so that all first voters start with the same without a word between them.
+// Bootstrap returns the cluster's id and the membership of the very first start. Both depend on the
+// seeds' addresses alone, so that all first voters start alike without exchanging messages.
 func Bootstrap(seeds []string) (ClusterID, Membership) {
 	seeds = slices.Compact(slices.Sorted(slices.Values(seeds)))
 	var m Membership
@@ -126,52 +127,3 @@
 	}
 	return ClusterID(xxhash.Sum64String(strings.Join(seeds, "\n"))), m
 }
-
-// indexedMembership is a membership and the entry that brought it.
-type indexedMembership struct {
-	index Index
-	Membership
-}
-
-// membershipHistory is every membership that the log holds, the oldest first: the snapshot's, then one
-// for each entry. The newest is in force, committed or not.
-type membershipHistory []indexedMembership
-
-func (h membershipHistory) current() indexedMembership { return h[len(h)-1] }
-
-// appendFrom notes the memberships among entries that were appended.
-func (h *membershipHistory) appendFrom(entries []Entry) {
-	for i := range entries {
-		if entries[i].Kind != EntryMembership {
-			continue
-		}
-		if m, err := decodeMembership(entries[i].Command); err == nil {
-			*h = append(*h, indexedMembership{entries[i].Index, m})
-		}
-	}
-}
-
-// truncate drops what entries from index on brought.
-func (h *membershipHistory) truncate(index Index) {
-	for len(*h) > 1 && h.current().index >= index {
-		*h = (*h)[:len(*h)-1]
-	}
-}
-
-// at is the membership in force at index.
-func (h membershipHistory) at(index Index) Membership {
-	found := h[0].Membership
-	for _, m := range h {
-		if m.index <= index {
-			found = m.Membership
-		}
-	}
-	return found
-}
-
-// compact drops what was in force before the one at index.
-func (h *membershipHistory) compact(index Index) {
-	for len(*h) > 1 && (*h)[1].index <= index {
-		*h = (*h)[1:]
-	}
-}
--- a/internal/mesh/replication/message.go
+++ b/internal/mesh/replication/message.go
@@ -1,16 +1,8 @@
-// Package replication is the replicated log of the core machines: opaque commands in one order, on
-// the disks of a set of voters that the log itself changes.
-//
-// Replica is the state machine (no I/O, no goroutine, no clock), Store its disk, Node the loop that
-// runs the one over the other, and Transport carries messages by HTTP.
-//
-// The protocol is Raft with pre-votes, leases against disruptive votes, read rounds, learners, and
-// changes of membership by joint consensus. docs/design/control.md has the arguments.
 package replication
 
 import "time"
 
-// Message is what replicas say to each other: exactly one of its pointers is set.
+// Message is what replicas send to each other: exactly one of its pointers is set.
 type Message struct {
 	Cluster ClusterID `json:"u"`
 	Term    Term      `json:"t"`
@@ -24,13 +16,14 @@
 	TimeoutNow       *TimeoutNow       `json:"tn,omitempty"`
 }
 
-// VoteRequest asks for the vote in the message's term. A pre-vote asks whether it would be granted
-// and changes nothing.
+// VoteRequest asks for a vote in the message's term. A pre-vote asks whether the vote would be
+// granted, and changes nothing.
 type VoteRequest struct {
 	PreVote   bool  `json:"p,omitempty"`
 	LastIndex Index `json:"i"`
 	LastTerm  Term  `json:"w"`
-	// Transfer says that the leader itself asked for this election, so its lease is no objection.
+	// Transfer says that the leader itself asked for this election, so its lease doesn't forbid
+	// the vote.
 	Transfer bool `json:"x,omitempty"`
 }
 
@@ -40,25 +33,25 @@
 	Rejected bool `json:"x,omitempty"`
 }
 
-// Heartbeat is what every message of a leader carries beside its entries.
+// Heartbeat is what every message of a leader to a peer carries.
 type Heartbeat struct {
 	// Commit is the last entry that the leader knows to be committed.
 	Commit Index `json:"c,omitempty"`
-	// SentAt is the leader's clock; answers repeat it, so that contact is counted from when the
-	// question was put and not from when the answer was read.
+	// SentAt is the leader's clock; responses repeat it, so that contact is counted from when the
+	// request was sent and not from when the response was read.
 	SentAt time.Duration `json:"s,omitempty"`
-	// ReadRound numbers reads; answers repeat it.
-	ReadRound uint64 `json:"r,omitempty"`
-	// QuorumAckAge is how long ago, when the message was made, a majority had last confirmed the leader.
+	// ReadRound is the leader's newest read round; responses repeat it.
+	ReadRound ReadRound `json:"r,omitempty"`
+	// QuorumAckAge is how long before the message was made a majority last confirmed the leader.
 	QuorumAckAge time.Duration `json:"g,omitempty"`
-	// EchoedClock is the receiver's clock in its newest answer: the message was made after that time,
-	// however long it has been on its way.
+	// EchoedClock is the receiver's clock from its newest response: the message was made after
+	// that time, however long it has been in flight.
 	EchoedClock ClockReading `json:"e,omitzero"`
 }
 
-// ClockReading is a replica's clock at one moment of one of its lives.
+// ClockReading is the clock of a replica at a moment of one of its incarnations.
 type ClockReading struct {
-	Incarnation uint64        `json:"l,omitempty"`
+	Incarnation Incarnation   `json:"l,omitempty"`
 	At          time.Duration `json:"a,omitempty"`
 }
 
@@ -70,64 +63,65 @@
 	Entries   []Entry `json:"l,omitempty"`
 }
 
-// AppendResponse answers AppendEntries, and the last SnapshotChunk.
+// AppendResponse answers AppendEntries and the last SnapshotChunk.
 type AppendResponse struct {
-	// Match is how far the log is synced and equal to the leader's; in a refusal, how far it may be.
+	// Match is the last entry up to which the log is synced and equals the leader's; in a
+	// rejection, the last one up to which it may.
 	Match    Index `json:"i"`
 	Rejected bool  `json:"x,omitempty"`
-	// RejectedIndex repeats, in a refusal, the index that was refused.
+	// RejectedIndex is, in a rejection, the PrevIndex of the rejected message.
 	RejectedIndex Index         `json:"p,omitempty"`
 	SentAt        time.Duration `json:"s,omitempty"`
-	ReadRound     uint64        `json:"r,omitempty"`
+	ReadRound     ReadRound     `json:"r,omitempty"`
 	Clock         ClockReading  `json:"k,omitzero"`
 }
 
-// SnapshotHeader names a snapshot: pieces of two snapshots with the same header fit together,
-// whoever sends them.
+// SnapshotHeader identifies a snapshot: chunks under the same header belong together, whichever
+// leader sends them.
 type SnapshotHeader struct {
 	Index      Index      `json:"i"`
 	Term       Term       `json:"w"`
 	Membership Membership `json:"m"`
-	Size       int        `json:"z"`
-	// Checksum is the xxhash of the whole.
+	// Size is the length of the snapshot's data in bytes.
+	Size int `json:"z"`
+	// Checksum is the xxhash of the snapshot's data.
 	Checksum uint64 `json:"h"`
 }
 
-// SnapshotChunk carries a part of a snapshot.
+// SnapshotChunk carries a part of a snapshot's data.
 type SnapshotChunk struct {
 	Heartbeat
 	Header SnapshotHeader `json:"n"`
-	Offset int            `json:"o"`
-	Data   []byte         `json:"d,omitempty"`
+	// Offset is the position of Data in the snapshot's data, in bytes.
+	Offset int    `json:"o"`
+	Data   []byte `json:"d,omitempty"`
 }
 
-// SnapshotResponse says from where on a snapshot is wanted.
+// SnapshotResponse names the offset of the next chunk that the receiver lacks.
 type SnapshotResponse struct {
 	Index     Index         `json:"i"`
 	Offset    int           `json:"o"`
 	SentAt    time.Duration `json:"s,omitempty"`
-	ReadRound uint64        `json:"r,omitempty"`
+	ReadRound ReadRound     `json:"r,omitempty"`
 	Clock     ClockReading  `json:"k,omitzero"`
 }
 
-// TimeoutNow has a voter stand for election at once, as the leader wants to hand over.
+// TimeoutNow asks a voter to start an election at once, because the leader transfers leadership.
 type TimeoutNow struct{}
 
-// payloadBytes is about what the message costs in memory and on the link.
+// payloadBytes is the approximate size of the message in memory and on the link.
 func (msg *Message) payloadBytes() int {
 	n := 0
 	if msg.SnapshotChunk != nil {
 		n += len(msg.SnapshotChunk.Data)
 	}
 	if msg.Append != nil {
-		for i := range msg.Append.Entries {
-			n += len(msg.Append.Entries[i].Command)
-		}
+		n += commandBytes(msg.Append.Entries)
 	}
 	return n
 }
 
-// payloadCount counts which parts a message has; a proper one has one.
+// payloadCount counts the payloads of a message; a well-formed one has one.
 func (msg *Message) payloadCount() int {
 	n := 0
 	for _, set := range []bool{
@@ -140,3 +134,39 @@
 	}
 	return n
 }
+
+// isWellFormed says whether the replica may process a message at all.
+func (r *Replica) isWellFormed(msg *Message) bool {
+	if msg.Cluster != r.cluster || msg.payloadCount() != 1 {
+		return false
+	}
+	if msg.Append != nil && !msg.Append.isWellFormed(msg.Term) {
+		return false
+	}
+	return msg.SnapshotChunk == nil || msg.SnapshotChunk.isWellFormed()
+}
+
+// isWellFormed says whether the entries follow PrevIndex without gaps, belong to no term after the
+// message's, and hold memberships that can be decoded.
+func (msg *AppendEntries) isWellFormed(term Term) bool {
+	for i := range msg.Entries {
+		e := &msg.Entries[i]
+		if e.Index != msg.PrevIndex+Index(i)+1 || e.Term > term {
+			return false
+		}
+		if e.Kind != EntryMembership {
+			continue
+		}
+		if _, err := decodeMembership(e.Command); err != nil {
+			return false
+		}
+	}
+	return true
+}
+
+// isWellFormed says whether the header can be that of a snapshot and the chunk lies within it.
+func (chunk *SnapshotChunk) isWellFormed() bool {
+	h := &chunk.Header
+	return h.Index > 0 && h.Size >= 0 && h.Size <= maxSnapshotBytes && h.Membership.validate() == nil &&
+		chunk.Offset >= 0 && chunk.Offset <= h.Size && len(chunk.Data) <= h.Size-chunk.Offset
+}
--- a/internal/mesh/replication/ready.go
+++ b/internal/mesh/replication/ready.go
@@ -2,31 +2,45 @@
 
 import "time"
 
-// Ready returns what is to be done at the time now, or false when there is nothing. It must be
-// followed by Advance, or by Failed if Persist couldn't be synced.
-func (r *Replica) Ready(now time.Duration) (Ready, bool) {
+// Envelope is a message and its receiver.
+type Envelope struct {
+	To      MemberID
+	Message Message
+}
+
+// Completion says how a proposal or a read ended. Aborted means that a proposal may be committed
+// later or never, and that a read was not done.
+type Completion struct {
+	Token   Token
+	Index   Index
+	Aborted bool
+}
+
+// Ready is what a replica wants done, in this order: sync Persist, send Messages, restore the
+// application from Restore, apply CommittedEntries, complete proposals and reads.
+type Ready struct {
+	Persist            *WriteBatch
+	Messages           []Envelope
+	Restore            *Snapshot
+	CommittedEntries   []Entry
+	CompletedProposals []Completion
+	CompletedReads     []Completion
+}
+
+// Ready returns what is to be done at the time now; ok is false when there is nothing. It must be
+// followed by Advance, or by PersistFailed if Persist couldn't be synced.
+func (r *Replica) Ready(now time.Duration) (ready Ready, ok bool) {
 	r.checkQuorum(now)
 	if r.role == leader {
 		r.sendToPeers(now)
 	}
-	var ready Ready
-	durable := r.stable
+	stable := r.stable
 	if r.hasUnsavedState() && (!r.storageFailed || now >= r.storageRetryAt) {
 		ready.Persist = r.unsavedState()
-		durable = r.log.lastIndex()
+		stable = r.log.lastIndex()
 	}
 	ready.Messages, r.outbox = r.outbox, nil
-	if !r.snapshotDirty || ready.Persist != nil {
-		ready.Restore = r.pendingRestore
-		r.applying = max(r.applied, min(r.commit, durable))
-		from := r.applied
-		if ready.Restore != nil {
-			from = ready.Restore.Index
-		}
-		ready.CommittedEntries = r.log.entriesBetween(from, r.applying)
-	} else {
-		r.applying = r.applied
-	}
+	r.addCommitted(&ready, stable)
 	ready.CompletedProposals, r.abortedProposals = r.abortedProposals, nil
 	ready.CompletedReads, r.abortedReads = r.abortedReads, nil
 	r.completeRequests(&ready)
@@ -34,25 +48,44 @@
 }
 
 func (ready *Ready) hasWork() bool {
-	return ready.Persist != nil || len(ready.Messages) > 0 || ready.Restore != nil || len(ready.CommittedEntries) > 0 ||
-		len(ready.CompletedProposals) > 0 || len(ready.CompletedReads) > 0
+	return ready.Persist != nil || len(ready.Messages) > 0 || ready.Restore != nil ||
+		len(ready.CommittedEntries) > 0 || len(ready.CompletedProposals) > 0 || len(ready.CompletedReads) > 0
 }
 
-// unsavedState is all that isn't synced yet.
+// addCommitted adds the snapshot and the committed entries for the application, as far as they are
+// on disk once the Ready is done: up to stable.
+func (r *Replica) addCommitted(ready *Ready, stable Index) {
+	if r.snapshotDirty && ready.Persist == nil {
+		r.applying = r.applied
+		return
+	}
+	ready.Restore = r.pendingRestore
+	r.applying = max(r.applied, min(r.commit, stable))
+	from := r.applied
+	if ready.Restore != nil {
+		from = ready.Restore.Index
+	}
+	ready.CommittedEntries = r.log.entriesBetween(from, r.applying)
+}
+
+// unsavedState is everything that isn't synced yet.
 func (r *Replica) unsavedState() *WriteBatch {
-	p := &WriteBatch{TruncateFrom: r.truncateFrom, Entries: r.log.entriesBetween(max(r.stable, r.log.snapshot.Index), r.log.lastIndex())}
+	batch := &WriteBatch{
+		TruncateFrom: r.truncateFrom,
+		Entries:      r.log.entriesBetween(max(r.stable, r.log.snapshot.Index), r.log.lastIndex()),
+	}
 	if r.hardStateDirty {
-		hard := r.hardState
-		p.HardState = &hard
+		hardState := r.hardState
+		batch.HardState = &hardState
 	}
 	if r.snapshotDirty {
 		s := r.log.snapshot
-		p.Snapshot = &s
+		batch.Snapshot = &s
 	}
-	return p
+	return batch
 }
 
-// completeRequests adds the proposals and reads that are done once this Ready is.
+// completeRequests adds the proposals and reads that are completed once this Ready is done.
 func (r *Replica) completeRequests(ready *Ready) {
 	for len(r.pendingProposals) > 0 && r.pendingProposals[0].index <= r.applying {
 		p := r.pendingProposals[0]
@@ -61,7 +94,8 @@
 		r.pendingBytes -= p.bytes
 	}
 	for len(r.pendingReads) > 0 && r.pendingReads[0].index > 0 && r.pendingReads[0].index <= r.applying {
-		ready.CompletedReads = append(ready.CompletedReads, Completion{Token: r.pendingReads[0].token, Index: r.pendingReads[0].index})
+		q := r.pendingReads[0]
+		ready.CompletedReads = append(ready.CompletedReads, Completion{Token: q.token, Index: q.index})
 		r.pendingReads = r.pendingReads[1:]
 	}
 }
@@ -70,7 +104,7 @@
 	return r.hardStateDirty || r.snapshotDirty || r.truncateFrom > 0 || r.stable < r.log.lastIndex()
 }
 
-// Advance confirms that all of the last Ready has been done.
+// Advance confirms that everything in the last Ready has been done.
 func (r *Replica) Advance(now time.Duration, ready *Ready) {
 	if ready.Persist != nil {
 		r.hardStateDirty, r.snapshotDirty, r.truncateFrom = false, false, 0
@@ -86,16 +120,16 @@
 	r.advanceCommit(now)
 }
 
-// PersistFailed says that the disk refused the last Ready's Persist. None of that Ready has been done: its
-// messages are lost, which the protocol bears, and its callers are told that they don't know. The
-// replica is sick until a write is taken: it neither votes nor leads nor says anything.
+// PersistFailed says that the last Ready's Persist couldn't be synced. Nothing of that Ready has
+// been done: its messages are lost, which the protocol tolerates, and its proposals and reads are
+// aborted. Until a write succeeds the replica neither votes nor leads nor sends anything.
 func (r *Replica) PersistFailed(now time.Duration, ready *Ready) {
 	r.becomeFollower(r.hardState.Term, "")
-	for _, s := range ready.CompletedProposals {
-		r.abortedProposals = append(r.abortedProposals, Completion{Token: s.Token, Index: s.Index, Aborted: true})
+	for _, p := range ready.CompletedProposals {
+		r.abortedProposals = append(r.abortedProposals, Completion{Token: p.Token, Index: p.Index, Aborted: true})
 	}
-	for _, s := range ready.CompletedReads {
-		r.abortedReads = append(r.abortedReads, Completion{Token: s.Token, Aborted: true})
+	for _, q := range ready.CompletedReads {
+		r.abortedReads = append(r.abortedReads, Completion{Token: q.Token, Aborted: true})
 	}
 	r.outbox = nil
 	r.storageFailed, r.hardStateDirty = true, true
--- a/internal/mesh/replication/replica.go
+++ b/internal/mesh/replication/replica.go
@@ -16,144 +16,154 @@
 	leader
 )
 
-// progress is what a leader knows of another replica.
-type progress struct {
-	// match is the last entry known to be synced there; next is the first to send.
-	match, next Index
-	// resendAt is when what is on its way is sent again; 0 when nothing is.
-	resendAt time.Duration
-	// lastContact is the time at which the newest answered message was sent.
-	lastContact time.Duration
-	// clock is the member's own, in its newest answer.
-	clock ClockReading
-	// sentAt is when anything was sent last.
-	sentAt                   time.Duration
-	readRound, readRoundSent uint64
-	commitSent               Index
-	// snapshot is what is being sent in pieces, and offset where the next one begins.
-	snapshot       *Snapshot
-	checksum       uint64
-	snapshotOffset int
-}
-
-type pendingProposal struct {
-	token uint64
-	index Index
-	bytes int
-}
-
-type pendingRead struct {
-	token, readRound uint64
-	// index is what must be applied first; 0 until the round is confirmed.
-	index Index
-}
+// longAgo is how old contact is taken to be when there has been none.
+const longAgo = time.Hour
 
 // ReplicaConfig is what a replica starts from.
 type ReplicaConfig struct {
-	// State is what its disk holds.
+	// State is what the replica's disk holds.
 	State State
-	// Seed makes the election times differ between replicas.
+	// Seed makes election time-outs differ between replicas.
 	Seed uint64
 }
 
 // Replica is one member of the cluster, as a state machine. It isn't safe for concurrent use.
 // Between Ready and the Advance or PersistFailed that follows it, no other method may be called.
+// Times are durations since the start of the replica's process.
 type Replica struct {
 	id      MemberID
 	cluster ClusterID
-	random  *rand.Rand
-	role    role
-	// leader is whom the replica follows, "" when it knows none.
+	// incarnation tells this run of the replica from earlier ones of the same id, whose clocks
+	// started at other times.
+	incarnation Incarnation
+	random      *rand.Rand
+
+	role role
+	// leader is the member that the replica follows, "" when it knows of none.
 	leader MemberID
-	// lastContact is when the leader's last message came, and lastQuorumAck the time at which a majority had
-	// confirmed that leader, by its own word.
-	lastContact, lastQuorumAck time.Duration
-	// incarnation tells this replica's life from earlier ones of the same id, whose clocks were others.
-	incarnation uint64
-	// transferring says that this leader has asked another replica to take over in its stead, first at
-	// handedOverAt. It holds to the end of the term, as the request may still be on its way.
-	transferring      bool
-	transferStartedAt time.Duration
-	// nextTransferAt is when a leader that a change leaves out asks again to be relieved.
-	nextTransferAt time.Duration
-	// electionDeadline is when the next pre-vote begins, unless a leader is heard.
+	// electionDeadline is when the next pre-vote begins, unless a leader sends a message before.
 	electionDeadline time.Duration
-	votes            map[MemberID]bool
-	peers            map[MemberID]*progress
-	learners         []MemberID
-	// peerIDs is every replica that a leader sends to, in a fixed order.
-	peerIDs []MemberID
+	// votes are the members that have granted this candidate their vote.
+	votes map[MemberID]bool
 
 	hardState   HardState
 	log         entryLog
 	memberships membershipHistory
-	// stable is the last entry that is synced here.
-	stable          Index
-	commit, applied Index
-	// leaderCommit is what the leader last said is committed.
+	// stable is the last entry that is synced on this replica's disk.
+	stable Index
+	// commit is the last entry known to be committed, applied the last one handed to the
+	// application, and applying the last one that the newest Ready hands to it.
+	commit, applied, applying Index
+	// lastToken is the token of the newest proposal or read.
+	lastToken Token
+	// rejectedMessages counts messages that were dropped as malformed or impossible.
+	rejectedMessages uint64
+
+	followerState
+	leaderState
+	unsavedChanges
+	readyOutput
+}
+
+// followerState is what a replica knows of the leader that it follows.
+type followerState struct {
+	// lastContact is when the leader's last message arrived.
+	lastContact time.Duration
+	// lastQuorumAck is the time at which, by the leader's messages, a majority had confirmed it.
+	lastQuorumAck time.Duration
+	// leaderCommit is the last entry that the leader has said to be committed.
 	leaderCommit Index
-	// matchedIndex is how far the log is known to equal that of the leader of this term.
+	// matchedIndex is the last entry up to which the log is known to equal the leader's.
 	matchedIndex Index
+	// incoming is the snapshot that the leader is sending, nil for none.
+	incoming *incomingSnapshot
+}
 
+// leaderState is what a leader keeps of its peers and callers.
+type leaderState struct {
+	peers map[MemberID]*progress
+	// peerIDs are the keys of peers, sorted.
+	peerIDs          []MemberID
+	learners         []MemberID
+	pendingProposals []pendingProposal
+	// pendingBytes is the total size of the pending proposals.
+	pendingBytes int
+	pendingReads []pendingRead
+	// readRound is the newest read round; readRoundSent says that its heartbeats have gone out, so
+	// that the next read needs another round.
+	readRound     ReadRound
+	readRoundSent bool
+	// transferring says that this leader has asked a peer to take over, first at transferStartedAt.
+	// It remains set to the end of the term, because the request may still be in flight.
+	transferring      bool
+	transferStartedAt time.Duration
+	// nextTransferAt is when a leader that isn't among the new voters asks a peer again.
+	nextTransferAt time.Duration
+}
+
+// unsavedChanges is what the next WriteBatch must hold besides the entries after stable.
+type unsavedChanges struct {
 	hardStateDirty, snapshotDirty bool
-	truncateFrom                  Index
-	pendingRestore                *Snapshot
-	incoming                      *incomingSnapshot
+	// truncateFrom is the first entry to drop from the disk, 0 for none.
+	truncateFrom Index
+	// storageFailed says that the last write failed; the next attempt is due at storageRetryAt.
+	storageFailed  bool
+	storageRetryAt time.Duration
+}
 
+// readyOutput is what the next Ready hands out.
+type readyOutput struct {
 	outbox           []Envelope
-	pendingProposals []pendingProposal
-	pendingBytes     int
-	pendingReads     []pendingRead
-	// readRound numbers the newest read round; roundOpen says that it has gone out, so that the next
-	// read needs a new one.
-	readRound        uint64
-	readRoundSent    bool
-	lastToken        uint64
+	pendingRestore   *Snapshot
 	abortedProposals []Completion
 	abortedReads     []Completion
-	storageFailed    bool
-	storageRetryAt   time.Duration
-	applying         Index
-	// rejectedMessages counts messages that were no proper ones.
-	rejectedMessages uint64
 }
 
-// NewReplica starts a replica at the time now.
-func NewReplica(cfg ReplicaConfig, now time.Duration) (*Replica, error) {
-	state := cfg.State
-	if state.ID == "" {
-		return nil, errs.New(errs.Invalid, "replication: a replica without an id")
-	}
-	if len(state.Snapshot.Membership.Voters) > 0 {
-		if err := state.Snapshot.Membership.validate(); err != nil {
-			return nil, err
-		}
+// NewReplica starts a replica at the time now. An error is of kind Invalid or DiskFailed and means
+// that the state isn't one that a replica saved.
+func NewReplica(config ReplicaConfig, now time.Duration) (*Replica, error) {
+	state := config.State
+	if err := state.validate(); err != nil {
+		return nil, err
 	}
 	r := &Replica{
 		id:          state.ID,
 		cluster:     state.Cluster,
-		random:      rand.New(rand.NewPCG(cfg.Seed, uint64(len(state.ID)))),
+		random:      rand.New(rand.NewPCG(config.Seed, uint64(len(state.ID)))),
 		hardState:   state.HardState,
 		memberships: membershipHistory{{state.Snapshot.Index, state.Snapshot.Membership}},
 	}
 	r.log.installSnapshot(state.Snapshot)
-	for i, e := range state.Entries {
-		if e.Index != state.Snapshot.Index+Index(i)+1 {
-			return nil, errs.New(errs.DiskFailed, "replication: entry %d stands where %d belongs", e.Index, state.Snapshot.Index+Index(i)+1)
-		}
-	}
 	r.log.append(state.Entries...)
 	r.memberships.appendFrom(state.Entries)
 	r.stable = r.log.lastIndex()
 	r.commit = r.log.snapshot.Index
 	r.applied = r.commit
 	r.electionDeadline = now + r.randomDuration(minElectionRetry, maxElectionRetry)
-	r.lastContact, r.lastQuorumAck = now-time.Hour, now-time.Hour
+	r.lastContact, r.lastQuorumAck = now-longAgo, now-longAgo
 	r.readRoundSent = true
-	r.incarnation = r.random.Uint64()
+	r.incarnation = Incarnation(r.random.Uint64())
 	return r, nil
 }
 
+// validate says whether a replica can start from the state.
+func (s *State) validate() error {
+	if s.ID == "" {
+		return errs.New(errs.Invalid, "replication: a replica without an id")
+	}
+	if len(s.Snapshot.Membership.Voters) > 0 {
+		if err := s.Snapshot.Membership.validate(); err != nil {
+			return err
+		}
+	}
+	for i, e := range s.Entries {
+		if want := s.Snapshot.Index + Index(i) + 1; e.Index != want {
+			return errs.New(errs.DiskFailed, "replication: entry %d stands where %d belongs", e.Index, want)
+		}
+	}
+	return nil
+}
+
 func (r *Replica) randomDuration(low, high time.Duration) time.Duration {
 	return low + time.Duration(r.random.Int64N(int64(high-low)))
 }
@@ -161,7 +171,7 @@
 // ID is the replica's own id.
 func (r *Replica) ID() MemberID { return r.id }
 
-// Leader names the leader that this replica follows ("" when it knows none) and its term.
+// Leader returns the leader that this replica follows ("" when it knows of none) and its term.
 func (r *Replica) Leader() (MemberID, Term) { return r.leader, r.hardState.Term }
 
 // IsLeader says whether the replica leads its term at the time now.
@@ -170,8 +180,8 @@
 	return r.role == leader
 }
 
-// Membership is the membership in force, and whether it is committed.
-func (r *Replica) Membership() (Membership, bool) {
+// Membership returns the membership in force, and whether it is committed.
+func (r *Replica) Membership() (m Membership, committed bool) {
 	current := r.memberships.current()
 	return current.Membership, current.index <= r.commit
 }
@@ -179,99 +189,17 @@
 // IsVoter says whether the replica is a voter in the membership in force.
 func (r *Replica) IsVoter() bool { return r.memberships.current().IsVoter(r.id) }
 
-// StorageFailed says that the disk refused the last write; the replica is silent till it takes one.
+// StorageFailed says that the last write failed; the replica sends nothing until one succeeds.
 func (r *Replica) StorageFailed() bool { return r.storageFailed }
 
-// Applied is the last entry handed out as committed, and confirmed by Advance.
+// Applied is the last entry that was handed out as committed and confirmed by Advance.
 func (r *Replica) Applied() Index { return r.applied }
 
-// RejectedMessages counts the messages that were dropped as no proper ones.
+// RejectedMessages counts the messages that were dropped as malformed or impossible.
 func (r *Replica) RejectedMessages() uint64 { return r.rejectedMessages }
 
-// LastQuorumAck is the time at which, as far as is known here, a majority of the voters last confirmed
-// the leader. It proves that all that was committed before it is held by this replica once its
-// application has applied the index that comes with it. ok is false while there is no such index:
-// no leader is known, or it has committed nothing of its own term yet.
-func (r *Replica) LastQuorumAck() (at time.Duration, index Index, ok bool) {
-	if r.role == leader {
-		return r.leaderQuorumAck(), r.commit, r.hasCommittedInTerm()
-	}
-	return r.lastQuorumAck, r.leaderCommit, r.leader != ""
-}
-
-// hasCommittedInTerm says that an entry of this leader's own term is committed: then so is all that earlier
-// leaders committed, and only then does it know how far that reaches.
-func (r *Replica) hasCommittedInTerm() bool {
-	term, ok := r.log.term(r.commit)
-	return ok && term == r.hardState.Term
-}
-
-// lastQuorumContact is the time up to which a majority has answered this leader.
-func (r *Replica) lastQuorumContact() time.Duration {
-	return quorumValue(r.memberships.current().Membership, func(id MemberID) time.Duration {
-		if id == r.id {
-			return forever
-		}
-		return r.peers[id].lastContact
-	})
-}
-
-// leaderQuorumAck is up to when a majority has confirmed that nobody else leads. Once this leader
-// has asked another to take over, its voters' word is none against that one: no later confirmation counts.
-func (r *Replica) leaderQuorumAck() time.Duration {
-	at := r.lastQuorumContact()
-	if r.transferring {
-		return min(at, r.transferStartedAt)
-	}
-	return at
-}
-
-// checkQuorum makes a leader that a majority hasn't answered for ContactTimeout, or that asked in vain to
-// be relieved, step down. It runs
-// before anything a leader does, so that one that was frozen acts on nothing it believed before.
-func (r *Replica) checkQuorum(now time.Duration) {
-	if r.role != leader {
-		return
-	}
-	if now-r.lastQuorumContact() > ContactTimeout || r.transferring && now-r.transferStartedAt > leadershipTransferTimeout {
-		r.becomeFollower(r.hardState.Term, "")
-		r.electionDeadline = now + r.randomDuration(MinElectionTimeout, MaxElectionTimeout)
-	}
-}
-
-// becomeFollower ends whatever the replica was and makes it a follower in term.
-func (r *Replica) becomeFollower(term Term, leads MemberID) {
-	if term > r.hardState.Term {
-		r.hardState.Term, r.hardState.Vote = term, ""
-		r.hardStateDirty = true
-		r.matchedIndex = 0
-	}
-	if r.role == leader {
-		r.abortPending()
-	}
-	r.role, r.leader, r.votes = follower, leads, nil
-}
-
-// abortPending tells the callers of a leader that is none any more that they don't know.
-func (r *Replica) abortPending() {
-	for _, p := range r.pendingProposals {
-		r.abortedProposals = append(r.abortedProposals, Completion{Token: p.token, Index: p.index, Aborted: true})
-	}
-	for _, q := range r.pendingReads {
-		r.abortedReads = append(r.abortedReads, Completion{Token: q.token, Aborted: true})
-	}
-	r.pendingProposals, r.pendingReads, r.pendingBytes = nil, nil, 0
-	r.peers, r.peerIDs, r.learners = nil, nil, nil
-}
-
-// hasLeaderLease says that the replica has heard a live leader within the shortest election time (or is
-// one): then it refuses votes, so that a member that was cut off, frozen or retired disturbs
-// nothing when it returns.
-func (r *Replica) hasLeaderLease(now time.Duration) bool {
-	return r.role == leader || r.leader != "" && now-r.lastContact < MinElectionTimeout
-}
-
-// Step takes in a message. Messages of another cluster and ones that make no sense are counted and dropped.
+// Step processes a message from a member. Messages of another cluster and malformed ones are
+// counted and dropped.
 func (r *Replica) Step(now time.Duration, from MemberID, msg Message) {
 	if from == r.id || !r.isWellFormed(&msg) {
 		r.rejectedMessages++
@@ -296,27 +224,6 @@
 	}
 }
 
-// isWellFormed says whether a message can be taken in at all.
-func (r *Replica) isWellFormed(msg *Message) bool {
-	if msg.Cluster != r.cluster || msg.payloadCount() != 1 {
-		return false
-	}
-	if msg.Append != nil {
-		for i := range msg.Append.Entries {
-			e := &msg.Append.Entries[i]
-			if e.Index != msg.Append.PrevIndex+Index(i)+1 || e.Term > msg.Term {
-				return false
-			}
-			if e.Kind == EntryMembership {
-				if _, err := decodeMembership(e.Command); err != nil {
-					return false
-				}
-			}
-		}
-	}
-	return msg.SnapshotChunk == nil || msg.SnapshotChunk.Header.isValidFor(msg.SnapshotChunk)
-}
-
 // Tick does what is due at the time now.
 func (r *Replica) Tick(now time.Duration) {
 	r.checkQuorum(now)
@@ -332,22 +239,14 @@
 	case r.storageFailed:
 		return r.storageRetryAt
 	case r.role == leader:
-		wake := forever
-		for _, id := range r.peerIDs {
-			p := r.peers[id]
-			wake = min(wake, p.sentAt+HeartbeatInterval)
-			if p.resendAt > 0 {
-				wake = min(wake, p.resendAt)
-			}
-		}
-		return wake
+		return r.nextSend()
 	case !r.IsVoter():
 		return forever
 	}
 	return r.electionDeadline
 }
 
-// send queues a message; it goes with the next Ready. A sick replica says nothing.
+// send queues a message; it goes out with the next Ready. While the storage fails nothing is sent.
 func (r *Replica) send(to MemberID, msg Message) {
 	if r.storageFailed {
 		return
--- a/internal/mesh/replication/transport.go
+++ b/internal/mesh/replication/transport.go
@@ -13,41 +13,45 @@
 )
 
 const (
-	// Path is where members take messages.
+	// Path is where members receive messages.
 	Path = "/mesh/archive"
-	// postTimeout is how long a post may take: beyond it, the next beats are of more use than this one.
+	// postTimeout is how long a post may take: after it, the next heartbeats are of more use.
 	postTimeout = 600 * time.Millisecond
-	// postTimeoutPerMiB is added for large ones, so that they get through a narrow link at all.
+	// postTimeoutPerMiB is added for large posts, so that they get through a narrow link at all.
 	postTimeoutPerMiB = time.Second
-	// maxQueuedMessages bounds the messages that wait for a peer that doesn't answer; the oldest give way.
+	// maxQueuedMessages bounds the messages that wait for a peer that doesn't answer; the oldest
+	// are dropped.
 	maxQueuedMessages = 64
-	// largeMessageBytes is the size from which a message goes on the peer's second lane,
-	// so that beats don't wait behind it.
+	// largeMessageBytes is the size from which a message goes on the peer's second lane, so that
+	// heartbeats don't wait behind it.
 	largeMessageBytes = 64 << 10
-	// maxBodyBytes bounds what a post may hold, as bytes on the link (a third more
-	// than as bytes in memory): one large entry or snapshot and what rides along.
+	// maxBodyBytes bounds the body of a post on the link, where it is a third larger than in
+	// memory: one large entry or snapshot chunk, and the messages beside it.
 	maxBodyBytes = 64 << 20
 )
 
-// messageBatch is what one post carries, both ways.
+// messageBatch is the body of a post and of its response.
 type messageBatch struct {
 	From     MemberID  `json:"f"`
 	Messages []Message `json:"m"`
 }
 
-// Transport carries messages to the other members by HTTP. Each peer has two
-// lanes, for small messages and large ones, each with a goroutine of its own
-// that lives while there is something to send.
+// Transport carries messages to the other members by HTTP. Each peer has two lanes, for small and
+// for large messages; each lane has a goroutine while there is something to send, which ends with
+// the queue or with Close. The methods may be called from any goroutine.
 type Transport struct {
 	self    MemberID
 	client  *http.Client
-	deliver func(from MemberID, msgs []Message)
+	deliver func(from MemberID, messages []Message)
 	log     *zap.Logger
-	ctx     context.Context
-	cancel  context.CancelFunc
+	// ctx ends with Close.
+	ctx    context.Context
+	cancel context.CancelFunc
 
-	mu      sync.Mutex
-	lanes   map[laneKey]*lane
+	// mu guards lanes, and queue and running of each.
+	mu    sync.Mutex
+	lanes map[laneKey]*lane
+	// running counts the lanes' goroutines.
 	running sync.WaitGroup
 }
 
@@ -56,19 +60,27 @@
 	large bool
 }
 
+// lane is a queue of messages to a peer.
 type lane struct {
 	queue   []Message
 	running bool
-	failed  bool
+	// failed says that the last post failed; the lane's goroutine alone uses it.
+	failed bool
 }
 
-// NewTransport returns a Transport for the member self. What peers answer goes to deliver.
-func NewTransport(self MemberID, client *http.Client, deliver func(from MemberID, msgs []Message), log *zap.Logger) *Transport {
+// NewTransport returns a Transport for the member self. Messages in the peers' responses go to
+// deliver.
+func NewTransport(
+	self MemberID, client *http.Client, deliver func(from MemberID, messages []Message), log *zap.Logger,
+) *Transport {
 	ctx, cancel := context.WithCancel(context.Background())
-	return &Transport{self: self, client: client, deliver: deliver, log: log, ctx: ctx, cancel: cancel, lanes: map[laneKey]*lane{}}
+	return &Transport{
+		self: self, client: client, deliver: deliver, log: log,
+		ctx: ctx, cancel: cancel, lanes: map[laneKey]*lane{},
+	}
 }
 
-// Close drops what waits and returns once nothing is on its way.
+// Close drops the queues, cancels posts in flight and waits for the lanes' goroutines.
 func (t *Transport) Close() {
 	t.mu.Lock()
 	t.cancel()
@@ -77,31 +89,36 @@
 }
 
 // Send queues messages for a peer and returns at once.
-func (t *Transport) Send(to MemberID, msgs []Message) {
+func (t *Transport) Send(to MemberID, messages []Message) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.ctx.Err() != nil {
 		return
 	}
-	for i := range msgs {
-		key := laneKey{peer: to, large: msgs[i].payloadBytes() >= largeMessageBytes}
-		l := t.lanes[key]
-		if l == nil {
-			l = &lane{}
-			t.lanes[key] = l
-		}
-		if key.large {
-			// One large message is on its way at a time; a newer one replaces one that waits.
-			l.queue = l.queue[:0]
-		} else if len(l.queue) >= maxQueuedMessages {
-			l.queue = l.queue[1:]
-		}
-		l.queue = append(l.queue, msgs[i])
-		if !l.running {
-			l.running = true
-			t.running.Add(1)
-			go t.runLane(key, l)
-		}
+	for i := range messages {
+		t.enqueue(laneKey{peer: to, large: messages[i].payloadBytes() >= largeMessageBytes}, messages[i])
+	}
+}
+
+// enqueue adds a message to a lane, and starts the lane's goroutine where none runs. The caller
+// holds mu.
+func (t *Transport) enqueue(key laneKey, msg Message) {
+	l := t.lanes[key]
+	if l == nil {
+		l = &lane{}
+		t.lanes[key] = l
+	}
+	if key.large {
+		// One large message is in flight at a time; a newer one replaces one that waits.
+		l.queue = l.queue[:0]
+	} else if len(l.queue) >= maxQueuedMessages {
+		l.queue = l.queue[1:]
+	}
+	l.queue = append(l.queue, msg)
+	if !l.running {
+		l.running = true
+		t.running.Add(1)
+		go t.runLane(key, l)
 	}
 }
 
@@ -109,43 +126,64 @@
 func (t *Transport) runLane(key laneKey, l *lane) {
 	defer t.running.Done()
 	for {
-		t.mu.Lock()
-		batch := l.queue
-		l.queue = nil
-		if len(batch) == 0 || t.ctx.Err() != nil {
-			l.running = false
-			t.mu.Unlock()
+		batch := t.nextBatch(l)
+		if batch == nil {
 			return
 		}
-		t.mu.Unlock()
 		err := t.post(key.peer, batch)
 		if (err != nil) != l.failed {
 			l.failed = err != nil
-			t.log.Info("messages to a member", zap.String("peer", string(key.peer)), zap.Bool("arrives", err == nil), zap.Error(err))
+			t.logReachability(key.peer, err)
 		}
 	}
 }
 
-func (t *Transport) post(peer MemberID, batch []Message) error {
+// nextBatch takes what waits on a lane. It returns nil, and the lane's goroutine must end, when
+// nothing does or the transport is closed.
+func (t *Transport) nextBatch(l *lane) []Message {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	batch := l.queue
+	l.queue = nil
+	if len(batch) == 0 || t.ctx.Err() != nil {
+		l.running = false
+		return nil
+	}
+	return batch
+}
+
+func (t *Transport) logReachability(peer MemberID, err error) {
+	if err != nil {
+		t.log.Info("peer unreachable", zap.String("peer", string(peer)), zap.Error(err))
+		return
+	}
+	t.log.Info("peer reachable again", zap.String("peer", string(peer)))
+}
+
+// post sends messages to a peer and delivers those in its response.
+func (t *Transport) post(peer MemberID, messages []Message) error {
 	size := 0
-	for i := range batch {
-		size += batch[i].payloadBytes()
+	for i := range messages {
+		size += messages[i].payloadBytes()
 	}
 	timeout := postTimeout + postTimeoutPerMiB*time.Duration(size>>10)/(1<<10)
 	ctx, cancel := context.WithTimeout(t.ctx, timeout)
 	defer cancel()
-	answer, err := rpc.Call[messageBatch, messageBatch](ctx, t.client, "http://"+peer.Address()+Path, &messageBatch{From: t.self, Messages: batch})
+	url := "http://" + peer.Address() + Path
+	request := messageBatch{From: t.self, Messages: messages}
+	response, err := rpc.Call[messageBatch, messageBatch](ctx, t.client, url, &request)
 	if err != nil {
 		return err
 	}
-	// Another replica than was meant may be there now, and answers in its own name.
-	if answer.From != "" && len(answer.Messages) > 0 {
-		t.deliver(answer.From, answer.Messages)
+	// Another replica may be at the address by now, and answers in its own name.
+	if response.From != "" && len(response.Messages) > 0 {
+		t.deliver(response.From, response.Messages)
 	}
 	return nil
 }
 
-// RegisterRoutes serves the node's side of the post. While held gives none, nothing is taken.
+// RegisterRoutes serves messages from the other members. While currentNode returns nil, they get an
+// error of kind Busy.
 func RegisterRoutes(mux *http.ServeMux, currentNode func() *Node) {
 	rpc.Handle(mux, Path, maxBodyBytes, func(r *http.Request, request *messageBatch) (*messageBatch, error) {
 		node := currentNode()
@@ -155,6 +193,7 @@
 		if request.From == "" {
 			return nil, errs.New(errs.Invalid, "replication: a letter without a sender")
 		}
-		return &messageBatch{From: node.ID(), Messages: node.Exchange(r.Context(), request.From, request.Messages)}, nil
+		messages := node.Exchange(r.Context(), request.From, request.Messages)
+		return &messageBatch{From: node.ID(), Messages: messages}, nil
 	})
 }
--- a/internal/mesh/replication/world_test.go
+++ b/internal/mesh/replication/world_test.go
@@ -94,8 +94,8 @@
 	contact       contactTracker
 	contactLeader MemberID
 	contactTerm   Term
-	proposed      map[uint64]*operation
-	reading       map[uint64]*operation
+	proposed      map[Token]*operation
+	reading       map[Token]*operation
 }
 
 // applied is a command and its place.
@@ -229,7 +229,7 @@
 	n.born = w.now
 	n.life++
 	n.appState = appState{lag: n.lag}
-	n.proposed, n.reading = map[uint64]*operation{}, map[uint64]*operation{}
+	n.proposed, n.reading = map[Token]*operation{}, map[Token]*operation{}
 	n.announced = map[MemberID]announcement{}
 	n.contact = contactTracker{}
 	n.contactLeader, n.contactTerm = "", 0
@@ -461,7 +461,7 @@
 	}
 }
 
-func (w *world) proposeTo(n *machine) (token uint64, err error) {
+func (w *world) proposeTo(n *machine) (token Token, err error) {
 	c := command{expect: n.register, set: len(w.commands) + 1}
 	if w.rng.IntN(4) == 0 {
 		c.expect = max(0, c.expect-w.rng.IntN(5))
