--- a/internal/mesh/gate/attempt_log.go
+++ b/internal/mesh/gate/attempt_log.go
@@ -7,18 +7,18 @@
 )
 
 const (
-	// fenceMost bounds the requests that are remembered, some 100 bytes each. It holds those of 64
-	// s at 1,000 a second. Beyond it no request that must not run twice is begun: it is answered
-	// as unknown, which promises nothing.
+	// maxRecords bounds the requests that are remembered, some 100 bytes each: those of 64 s at 1,000
+	// a second. With that many remembered no other request that must not run twice is begun: it is
+	// answered as unknown, which promises nothing.
 	maxRecords = 1 << 16
-	// fenceMargin is how much longer than its own time a request is remembered: longer than bytes
-	// stay under way between two machines that the system still counts as connected.
+	// retentionMargin is how much longer than its own time a request is remembered: longer than bytes
+	// stay in flight between two machines that the system still counts as connected.
 	retentionMargin = time.Minute
-	// fenceGap is the longest time between two events that counts as passed. A process that stood
-	// still finds bytes in its sockets that are as old as they were when it stopped, so its memory
+	// maxClockStep is the longest time between two events that counts as elapsed. A process that was
+	// suspended finds bytes in its sockets that are as old as they were when it stopped, so records
 	// must not age meanwhile.
 	maxClockStep = time.Second
-	// fenceSweep is the time between two looks for what has expired. It bounds what forgetting costs.
+	// sweepInterval is the time between two sweeps for expired records. It bounds their cost.
 	sweepInterval = 5 * time.Second
 )
 
@@ -38,58 +38,63 @@
 	Number uint64
 }
 
-// after says whether a send is a later one of the same sidecar's.
+// after says whether a send is a later one of the same sidecar.
 func (s SendID) after(before SendID) bool {
 	return s.Sender == before.Sender && s.Number > before.Number
 }
 
-// admission is what the fence says of a request that arrives.
+// admission is what the log says of a request that arrives.
 type admission int
 
 const (
+	// admitted: it may go on.
 	admitted admission = iota
-	// neverRan: it was turned away here before and was promised never to run.
+	// notExecuted: it was rejected before, with the promise that it never runs.
 	notExecuted
-	// mayHaveRun: it is here already, or has been sent to the upstream; or there is no room to
+	// mayHaveExecuted: it is here already or was sent to the upstream, or there is no room to
 	// remember it.
 	mayHaveExecuted
 )
 
-// phase is how far a remembered request came.
+// phase is how far a remembered request has come.
 type phase int8
 
 const (
-	// underWay: it waits for a slot, or was sent to the upstream, whatever became of it there.
+	// started: it is queued, or was sent to the upstream, whatever became of it there.
 	started phase = iota
-	// turnedAway: it never reached the upstream, or the upstream refused it; a later send may run.
+	// rejected: it never reached the upstream, or the upstream rejected it; a later send may run.
 	rejected
 )
 
-// AttemptLog remembers requests that must not run twice, so that none of them is sent to the upstream by
-// two arrivals, and none that was promised never to run runs after all. It keeps these promises until
-// a request has expired:
+// AttemptLog remembers requests that must not run twice, so that no two arrivals of one are sent to
+// the upstream, and none runs that was promised never to. Until a request has expired it keeps these
+// promises:
 //
-//   - a request that is under way is begun by no other arrival, which is told that it may have run;
-//   - a send that was turned away is not begun by a late copy of it, which is turned away too. Only a
+//   - a request that has started is not started by another arrival, which is told that it may have
+//     run;
+//   - a send that was rejected is not started by a late copy of it, which is rejected too. Only a
 //     later send of the same sidecar may be.
 //
 // Its methods may be called from any goroutine. The zero value is ready for use.
 type AttemptLog struct {
-	mu      sync.Mutex
+	mu      sync.Mutex // guards all below
 	records map[Key]record
-	lastNow time.Duration // when time was looked at last
-	elapsed time.Duration // that passed while this process ran
-	sweepAt time.Duration // by age
+	lastNow time.Duration // of the last event
+	elapsed time.Duration // while this process ran
+	sweepAt time.Duration // of elapsed
 }
 
 type record struct {
 	sendID    SendID
-	expiresAt time.Duration // by age
+	expiresAt time.Duration // of elapsed
 	phase     phase
 }
 
-// admit takes a request that has arrived whole, with so much time left, and says whether it may go on.
-func (l *AttemptLog) admit(now time.Duration, key Key, sendID SendID, remaining time.Duration) admission {
+// admit takes a request that has arrived completely, with the time that it has, and says whether it
+// may go on.
+func (l *AttemptLog) admit(
+	now time.Duration, key Key, sendID SendID, remaining time.Duration,
+) admission {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.tick(now)
@@ -98,7 +103,7 @@
 	case !known && !l.hasCapacity():
 		return mayHaveExecuted
 	case !known, before.phase == rejected && sendID.after(before.sendID):
-		l.store(key, record{sendID: sendID, expiresAt: l.elapsed + remaining + retentionMargin, phase: started})
+		l.store(key, sendID, remaining, started)
 		return admitted
 	case before.phase == rejected:
 		return notExecuted
@@ -106,10 +111,12 @@
 	return mayHaveExecuted
 }
 
-// RecordRejection takes that a send is to be turned away before it came to the gate, and says whether that
-// may be said: not where the request is here by another arrival, nor where there is no room to
-// remember the promise.
-func (l *AttemptLog) RecordRejection(now time.Duration, key Key, sendID SendID, remaining time.Duration) bool {
+// RecordRejection records that a send is about to be rejected before it came to the gate, and says
+// whether that may be promised: not where another arrival of the request has started, nor where there
+// is no room to remember the promise.
+func (l *AttemptLog) RecordRejection(
+	now time.Duration, key Key, sendID SendID, remaining time.Duration,
+) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.tick(now)
@@ -118,12 +125,12 @@
 	case !known && !l.hasCapacity(), known && before.phase == started:
 		return false
 	case !known, before.phase == rejected && sendID.after(before.sendID):
-		l.store(key, record{sendID: sendID, expiresAt: l.elapsed + remaining + retentionMargin, phase: rejected})
+		l.store(key, sendID, remaining, rejected)
 	}
 	return true
 }
 
-// move takes that a request that was admitted came to another phase.
+// setPhase records how far an admitted request has come.
 func (l *AttemptLog) setPhase(key Key, to phase) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -140,14 +147,16 @@
 	return len(l.records)
 }
 
-func (l *AttemptLog) store(key Key, r record) {
+func (l *AttemptLog) store(key Key, sendID SendID, remaining time.Duration, phase phase) {
 	if l.records == nil {
 		l.records = make(map[Key]record)
 	}
-	l.records[key] = r
+	l.records[key] = record{
+		sendID: sendID, expiresAt: l.elapsed + remaining + retentionMargin, phase: phase,
+	}
 }
 
-// pass takes that time has passed, and forgets what has expired.
+// tick lets time pass, and sweeps at intervals.
 func (l *AttemptLog) tick(now time.Duration) {
 	l.elapsed += min(max(0, now-l.lastNow), maxClockStep)
 	l.lastNow = now
@@ -157,7 +166,7 @@
 	}
 }
 
-// room says whether one more can be remembered.
+// hasCapacity says whether one more can be remembered.
 func (l *AttemptLog) hasCapacity() bool {
 	if len(l.records) >= maxRecords {
 		l.expire()
@@ -165,8 +174,8 @@
 	return len(l.records) < maxRecords
 }
 
-// forget forgets what has expired. A request that waits expires no earlier than it is turned back
-// or sent.
+// expire drops expired records. That of a queued request does not expire before it is rejected or
+// sent.
 func (l *AttemptLog) expire() {
 	for key, r := range l.records {
 		if l.elapsed >= r.expiresAt {
--- a/internal/mesh/gate/queue.go
+++ b/internal/mesh/gate/queue.go
@@ -1,127 +1,60 @@
 package gate
 
-import (
-	"cmp"
-	"slices"
-	"time"
-)
+import "slices"
 
-// room is how many requests may wait below the highest rank.
-func (g *Gate) queueCapacity() int { return max(minQueueCapacity, g.slots) }
-
-// full says whether no more of a rank may wait. Those of the highest have places of their own: they
-// are short, and bounded by their time, and none below would ever wait beside them.
-func (g *Gate) queueFull(priority int) bool {
-	if priority == 0 {
-		return len(g.queues[0]) >= highPriorityQueueSlots*g.queueCapacity()
-	}
-	return g.waiting-len(g.queues[0]) >= g.queueCapacity()
+// queue holds requests that wait for a slot, by priority and then in the order of arrival.
+type queue struct {
+	byPriority [lowestPriority + 1][]*request
+	length     int
 }
 
-// wait is how long one more request of a rank is expected to wait for a slot.
-func (g *Gate) expectedWait(now time.Duration, priority int) time.Duration {
-	position := 1
-	for _, line := range g.queues[:priority+1] {
-		position += len(line)
-	}
-	return time.Duration(float64(g.meanService) * float64(position) / float64(g.concurrencyLimit(now)))
+func (q *queue) add(r *request) {
+	q.byPriority[r.priority] = append(q.byPriority[r.priority], r)
+	q.length++
 }
 
-// latest is when a request has to have started: within its share of the aim, and early enough to
-// end in time.
-func (g *Gate) latestStart(r *request) time.Duration {
-	return min(r.startBy, r.deadline-g.expectedService(r.priority))
+func (q *queue) remove(r *request) {
+	same := q.byPriority[r.priority]
+	i := slices.Index(same, r)
+	q.byPriority[r.priority] = slices.Delete(same, i, i+1)
+	q.length--
 }
 
-// advance turns back what has no chance any more, hands out what slots are free, and keeps the
-// queue to its length.
-func (g *Gate) advance(now time.Duration) {
-	open := g.accepting(now)
-	for priority := range g.queues {
-		for i := 0; i < len(g.queues[priority]); {
-			if r := g.queues[priority][i]; open && now < g.latestStart(r) {
-				i++
-			} else {
-				g.rejectQueued(now, r)
-			}
-		}
-	}
-	for g.waiting > 0 && g.running < g.concurrencyLimit(now) {
-		r := g.nextToRun()
-		g.dequeue(r)
-		g.send(now, r)
-	}
-	for g.waiting-len(g.queues[0]) > g.queueCapacity() {
-		g.rejectQueued(now, g.lastOfLowest())
+// lengthOfHighest is how many requests of the highest priority wait.
+func (q *queue) lengthOfHighest() int { return len(q.byPriority[0]) }
+
+// lengthBelowHighest is how many others wait.
+func (q *queue) lengthBelowHighest() int { return q.length - len(q.byPriority[0]) }
+
+// lengthDownTo is how many requests of a priority and higher ones wait.
+func (q *queue) lengthDownTo(priority int) (n int) {
+	for _, same := range q.byPriority[:priority+1] {
+		n += len(same)
 	}
+	return n
 }
 
-// next is the request whose turn it is: the first of the highest rank or, once in turnEvery, the
-// one of a lower rank that has waited longest. Something waits.
-func (g *Gate) nextToRun() *request {
-	var first, lower *request
-	for _, line := range g.queues {
+// first is the first request of the highest priority that waits, and longest the one among the
+// first ones of lower priorities that arrived first. Either is nil where there is none.
+func (q *queue) first() (first, longest *request) {
+	for _, same := range q.byPriority {
 		switch {
-		case len(line) == 0:
+		case len(same) == 0:
 		case first == nil:
-			first = line[0]
-		case lower == nil || line[0].arrivedAt < lower.arrivedAt:
-			lower = line[0]
+			first = same[0]
+		case longest == nil || same[0].arrivedAt < longest.arrivedAt:
+			longest = same[0]
 		}
 	}
-	switch {
-	case lower == nil:
-		g.lowPriorityCredit = 0
-	case g.lowPriorityCredit >= (lowPriorityInterval-1)*g.expectedService(lower.priority):
-		g.lowPriorityCredit -= (lowPriorityInterval - 1) * g.expectedService(lower.priority)
-		return lower
-	default:
-		g.lowPriorityCredit += g.expectedService(first.priority)
-	}
-	return first
-}
-
-// expected is how long a request of a rank holds a slot. Where nothing is known all are alike.
-func (g *Gate) expectedService(priority int) time.Duration {
-	return cmp.Or(g.meanByPriority[priority], g.meanService, time.Millisecond)
+	return first, longest
 }
 
-// last is the one that came last of the lowest rank that waits. Something waits.
-func (g *Gate) lastOfLowest() *request {
-	for priority := lowestPriority; ; priority-- {
-		if line := g.queues[priority]; len(line) > 0 {
-			return line[len(line)-1]
+// last is the newest request of the lowest priority that waits; nil: the queue is empty.
+func (q *queue) last() *request {
+	for priority := lowestPriority; priority >= 0; priority-- {
+		if same := q.byPriority[priority]; len(same) > 0 {
+			return same[len(same)-1]
 		}
 	}
-}
-
-// displace makes room for a rank: the last one of the lowest rank is turned back, if that is a
-// lower one.
-func (g *Gate) displace(now time.Duration, priority int) bool {
-	r := g.lastOfLowest()
-	if r.priority <= priority {
-		return false
-	}
-	g.rejectQueued(now, r)
-	return true
-}
-
-// turnBack ends a request that waits.
-func (g *Gate) rejectQueued(now time.Duration, r *request) {
-	g.removeQueued(r)
-	g.reject(now, r)
-}
-
-// leave takes a request that waits out of the gate.
-func (g *Gate) removeQueued(r *request) {
-	g.dequeue(r)
-	delete(g.requests, r.id)
-}
-
-// unqueue takes a request out of the queue.
-func (g *Gate) dequeue(r *request) {
-	line := g.queues[r.priority]
-	i := slices.Index(line, r)
-	g.queues[r.priority] = slices.Delete(line, i, i+1)
-	g.waiting--
+	return nil
 }
--- /dev/null
+++ b/internal/mesh/gate/request.go
@@ -0,0 +1,66 @@
+package gate
+
+import (
+	"time"
+
+	"caperarch/policy"
+)
+
+const (
+	// defaultPriority is that of a request without AttemptTerms.
+	defaultPriority = 2
+	// lowestPriority bounds the number of queues; what has a lower one joins it.
+	lowestPriority = 15
+	// waitDivisor is the part of its latency target that a request may wait for, one in so many: the
+	// rest is for its work.
+	waitDivisor = 4
+	// highPriorityWaitDivisor is the same of all its time for the highest priority.
+	highPriorityWaitDivisor = 2
+	// maxRemaining guards against sums that overflow.
+	maxRemaining = time.Hour
+)
+
+// AttemptTerms is what a caller's sidecar says of a request, as policy.Request.Terms.
+type AttemptTerms struct {
+	Priority      int           // 0 is the highest: internal checks
+	Idempotent    bool          // it may run twice
+	LatencyTarget time.Duration // the time that its caller would like it answered in; 0: none
+	Key           Key           // of its attempt id, unless it is idempotent
+	SendID        SendID        // unless it is idempotent
+}
+
+// request is one that is queued or whose attempt is in flight.
+type request struct {
+	id        policy.RequestID
+	priority  int
+	arrivedAt time.Duration
+	startBy   time.Duration // rejected if it is still queued then
+	deadline  time.Duration
+	terms     *AttemptTerms // nil: it brought none
+
+	sent     bool // the next two hold
+	sentAt   time.Duration
+	upstream policy.ServerID
+}
+
+// newRequest is a request that arrives now.
+func newRequest(now time.Duration, q policy.Request) *request {
+	remaining := min(q.Left, maxRemaining)
+	r := &request{id: q.ID, priority: defaultPriority, arrivedAt: now, deadline: now + remaining}
+	latencyTarget := remaining
+	r.terms, _ = q.Terms.(*AttemptTerms)
+	if r.terms != nil {
+		r.priority = min(max(r.terms.Priority, 0), lowestPriority)
+		if r.terms.LatencyTarget > 0 {
+			latencyTarget = min(r.terms.LatencyTarget, remaining)
+		}
+	}
+	r.startBy = now + latencyTarget/waitDivisor
+	if r.priority == 0 { // it has no other attempt, and the request that made it fails with it
+		r.startBy = now + remaining/highPriorityWaitDivisor
+	}
+	return r
+}
+
+// runsOnce says whether a request must not run twice.
+func (r *request) runsOnce() bool { return r.terms != nil && !r.terms.Idempotent }
