--- /dev/null
+++ b/internal/mesh/quota/fleet_test.go
@@ -0,0 +1,180 @@
+package quota
+
+import (
+	"fmt"
+	"math"
+	"testing"
+	"time"
+
+	. "github.com/smartystreets/goconvey/convey"
+)
+
+// smallFleetLimits are of a large tenant, a middling one, one without a burst, a small one, and one whose
+// requests all arrive at a single sidecar.
+var smallFleetLimits = map[string]Limit{
+	"large": {172, 172}, "middling": {40, 20}, "plain": {100, 0}, "small": {8, 8}, loneTenant: {60, 60},
+}
+
+// smallFleetScenarios are simulated with twelve sidecars for 30 s. A tenant that stays below its limit
+// has less than 0.5 % of its requests rejected, unless maxRejected says otherwise: of a small tenant, or
+// of one with little burst, a floor holds two to five tokens, which chance empties where there is no
+// allocator, and the lone tenant's one sidecar then has a twelfth of its rate.
+var smallFleetScenarios = []struct {
+	name        string
+	prepare     func(s *simulation)
+	maxRejected map[string]float64 // fraction of the requests, by tenant
+}{
+	{"usual demand", func(*simulation) {}, nil},
+	{"a tenant's surge costs the others nothing", func(s *simulation) {
+		s.demandFactor = surgeFrom(5*second, "large")
+	}, map[string]float64{"large": 1}},
+	{
+		"the allocator is gone for two seconds, and another begins", replaceAllocator,
+		map[string]float64{loneTenant: 1, "middling": 0.01, "plain": 0.02, "small": 0.03},
+	},
+	{
+		"a third of the sidecars is out of contact for twelve seconds",
+		disconnect(8*second, 20*second, func(sidecar int) bool { return sidecar < 4 }),
+		map[string]float64{loneTenant: 1, "middling": 0.01, "plain": 0.02, "small": 0.06},
+	},
+	{
+		"all tenants surge while sidecars join, leave, restart and lose contact, and the leader changes", disturb,
+		map[string]float64{"large": 1, "middling": 1, "plain": 1, "small": 1, loneTenant: 1},
+	},
+}
+
+// disturb has a new epoch begin every 4 s; for a second each sidecar then finds the new allocator, the
+// old one or none.
+func disturb(s *simulation) {
+	s.demandFactor = surgeFrom(4*second, "")
+	s.extraLatency = time.Duration(s.rng.IntN(60)) * ms
+	epochOf := make([]uint64, 20)
+	s.reachableEpoch = func(_ time.Duration, sidecar int) uint64 { return epochOf[sidecar] }
+	s.eachMillisecond = func(now time.Duration) {
+		if now%(50*ms) == 0 {
+			epoch := 1 + uint64(now/(4*second))
+			sidecar := s.rng.IntN(20)
+			switch epochOf[sidecar] = epoch; {
+			case s.rng.IntN(4) == 0:
+				epochOf[sidecar] = 0
+			case now%(4*second) < second && s.rng.IntN(2) == 0:
+				epochOf[sidecar] = epoch - 1
+			}
+		}
+		if now%(1500*ms) == 0 {
+			s.restart(now, s.rng.IntN(len(s.limiters)))
+		}
+		if now%(3*second) == 0 {
+			s.resize(now, 9+s.rng.IntN(6))
+		}
+	}
+}
+
+func TestSmallFleetKeepsLimits(t *testing.T) {
+	for _, scenario := range smallFleetScenarios {
+		Convey("No window is over the limit and few requests are rejected below it: "+scenario.name, t, func() {
+			arrivals, rejections := map[string]int{}, map[string]int{}
+			for seed := uint64(1); seed <= 6; seed++ {
+				s := newSimulation(seed, 12)
+				s.arrivals, s.rejections = arrivals, rejections
+				scenario.prepare(s)
+				s.run(0, 30*second)
+				for name, limit := range smallFleetLimits {
+					SoMsg(name+" over the limit", s.excess(name, limit), ShouldBeLessThanOrEqualTo, 0)
+				}
+			}
+			for name := range smallFleetLimits {
+				maxRejected, ok := scenario.maxRejected[name]
+				if !ok {
+					maxRejected = 0.005
+				}
+				rejected := float64(rejections[name]) / float64(arrivals[name])
+				SoMsg(name+" rejected", rejected, ShouldBeLessThanOrEqualTo, maxRejected)
+			}
+		})
+	}
+	Convey("A tenant in a surge gets its rate, and a lower limit holds within a window", t, func() {
+		s := newSimulation(9, 12)
+		s.demandFactor = surgeFrom(0, "large")
+		s.run(0, 20*second)
+		So(len(s.admitted["large"]), ShouldBeBetween, 172*20*95/100, 172*21*110/100)
+		lower := Limit{60, 30}
+		s.limits = map[string]Limit{"large": lower}
+		s.configure(20 * second)
+		s.admitted = map[string][]time.Duration{}
+		s.run(20*second, 30*second)
+		So(s.excess("large", lower), ShouldBeLessThanOrEqualTo, 0)
+		So(len(s.admitted["large"]), ShouldBeGreaterThan, 60*9)
+	})
+}
+
+// largeFleetScenarios are of the large fleet, 30 s each. Out of contact, a floor of one or two tokens is
+// emptied by chance.
+var largeFleetScenarios = []struct {
+	name         string
+	surging      []int // ranks of the tenants that surge, one in each run; below 0 for none
+	prepare      func(s *simulation)
+	maxRejected  float64 // fraction of all requests of tenants that don't surge
+	minOfOwnRate float64 // admitted of the surging one, as a fraction of its rate
+}{
+	{"usual demand", []int{-1, -2, -3}, func(*simulation) {}, 0.003, 0},
+	{"one tenant surges", []int{0, 1, 3, 8, 20, 40, 60, 86}, func(*simulation) {}, 0.005, 0.9},
+	{"another allocator begins", []int{-1, 0, 20, 86}, replaceAllocator, 0.015, 0.9},
+	{
+		"a third of the sidecars is out of contact for twelve seconds", []int{-1, 0, 20, 86},
+		disconnect(8*second, 20*second, func(sidecar int) bool { return sidecar%3 == 0 }), 0.055, 0.85,
+	},
+	{
+		"all are out of contact for long", []int{-1},
+		disconnect(8*second, 30*second, func(int) bool { return true }), 0.5, 0,
+	},
+}
+
+// newLargeFleet has 82 sidecars with 87 tenants, whose rates are a Zipf from 100 down to 3 a second.
+func newLargeFleet(seed uint64) *simulation {
+	s := newSimulation(seed, 82)
+	s.limits = map[string]Limit{}
+	for rank := range 87 {
+		rate := math.Round(100 / math.Pow(float64(rank+1), 0.785))
+		s.limits[tenantOfRank(rank)] = Limit{rate, rate}
+	}
+	s.configure(0)
+	return s
+}
+
+func tenantOfRank(rank int) string { return fmt.Sprintf("%02d", rank) }
+
+func TestLargeFleetKeepsLimits(t *testing.T) {
+	for _, scenario := range largeFleetScenarios {
+		Convey("82 sidecars keep the limits of 87 tenants: "+scenario.name, t, func() {
+			for _, rank := range scenario.surging {
+				s, surging := newLargeFleet(uint64(rank+9)), tenantOfRank(rank)
+				scenario.prepare(s)
+				s.demandFactor = surgeFrom(5*second, surging)
+				s.run(0, 30*second)
+				arrivals, rejections := 0, 0
+				for name, limit := range s.limits {
+					message := fmt.Sprint(name, " of ", limit.Rate, " over the limit")
+					SoMsg(message, s.excess(name, limit), ShouldBeLessThanOrEqualTo, 0)
+					if name != surging {
+						arrivals, rejections = arrivals+s.arrivals[name], rejections+s.rejections[name]
+					}
+				}
+				inSurge := 0
+				for _, at := range s.admitted[surging] {
+					if at >= 5*second {
+						inSurge++
+					}
+				}
+				rejected, rate := float64(rejections)/float64(arrivals), float64(inSurge)/25
+				t.Logf("%s, %s surges: %.1f of %.0f/s admitted, %.2f%% of others rejected, %d calls/s",
+					scenario.name, surging, rate, s.limits[surging].Rate, 100*rejected, s.allocatorCalls/27)
+				So(rejected, ShouldBeLessThanOrEqualTo, scenario.maxRejected)
+				So(rate, ShouldBeGreaterThanOrEqualTo, scenario.minOfOwnRate*s.limits[surging].Rate)
+				if rank < 0 {
+					So(s.allocatorCalls, ShouldBeLessThan, 27*82*3/2)
+				}
+			}
+		})
+	}
+}
