--- a/internal/mesh/config/change.go
+++ b/internal/mesh/config/change.go
@@ -8,29 +8,29 @@
 	"caperarch/internal/mesh/errs"
 )
 
-// The two forms of a change, as they stand in what Change.Bytes gives.
+// The two forms of a change, as Change.Encode names them.
 const (
 	formReplace = "replace"
 	formUpdate  = "update"
 )
 
-// maxVersion is the largest version, the largest whole number that every reader of JSON holds
-// exactly. It guards against a mistyped version after which no higher one could be written.
+// maxVersion is the largest version: the largest integer that every reader of JSON holds exactly.
+// It guards against a mistyped version after which no higher one could be written.
 const maxVersion = 1<<53 - 1
 
-// Change is one operator's order, read and checked as far as it can be without knowing the snapshot
-// that it builds on. It is immutable.
+// Change is an operator's change request, parsed and checked as far as it can be without the
+// snapshot that it builds on. It is immutable.
 type Change struct {
 	form      string
-	body      []byte
+	body      []byte // canonical
 	digest    digest
 	version   int64
 	base      int64
-	resources []*resource
+	resources []*resource // to put in place of all, or to upsert
 	removed   []resourceID
 }
 
-// Version is the configVersion that the change puts in place.
+// Version is the configVersion that the change puts in force.
 func (c *Change) Version() int64 { return c.version }
 
 // Base is the version that the change builds on.
@@ -43,7 +43,7 @@
 	Body json.RawMessage `json:"body"`
 }
 
-// Encode gives the change with its form as one JSON value, which ReadChange reads on another process.
+// Encode gives the change with its form as one JSON value, for DecodeChange.
 func (c *Change) Encode() []byte {
 	out := make([]byte, 0, len(c.body)+len(`{"form":"","body":}`)+len(c.form))
 	out = append(out, `{"form":"`...)
@@ -53,10 +53,11 @@
 	return append(out, '}')
 }
 
-// DecodeChange reads what Bytes gave. The change has the digest it had where it was first read.
-func DecodeChange(bytes []byte) (*Change, error) {
+// DecodeChange reads what Encode gave, on any process. The change has the digest it had where it
+// was parsed. Errors are those of ParseReplace; a form that is neither of the two is Invalid.
+func DecodeChange(text []byte) (*Change, error) {
 	var e envelope
-	if err := unmarshal(bytes, &e); err != nil {
+	if err := unmarshal(text, &e); err != nil {
 		return nil, err
 	}
 	switch e.Form {
@@ -75,7 +76,7 @@
 	BaseVersion   int64  `json:"baseVersion"`
 }
 
-// ParseVersion reads only the version that an order's body names. A body that is no JSON value is
+// ParseVersion reads only the version that a request's body names. A body that is no JSON value is
 // Malformed and one without a version is Invalid; no other fault is looked for.
 func ParseVersion(body []byte) (int64, error) {
 	if !utf8.Valid(body) {
@@ -91,14 +92,15 @@
 	return *v.ConfigVersion, nil
 }
 
-// whole is the body of a replace, and the layout of the document.
-type replaceBody struct {
+// whole is the body of a replace, and the layout of the document. Its name is part of the error
+// texts of encoding/json, which operators get.
+type whole struct {
 	versions
 	Resources *[]json.RawMessage `json:"resources"`
 }
 
-// partial is the body of an update.
-type updateBody struct {
+// partial is the body of an update. Its name is part of error texts, too.
+type partial struct {
 	versions
 	Upsert struct {
 		Resources []json.RawMessage `json:"resources"`
@@ -111,32 +113,33 @@
 	} `json:"remove"`
 }
 
-// ParseReplace reads the body of a call that puts a whole configuration. What is cut short or is no
-// JSON is Malformed; what the schemas don't allow is Invalid. The body isn't kept.
+// ParseReplace reads the body of a request that replaces the configuration. What is truncated or is
+// no JSON is Malformed; what the schemas don't allow is Invalid. The body isn't retained.
 func ParseReplace(body []byte) (*Change, error) {
-	var w replaceBody
-	c, err := parseBody(formReplace, body, &w)
+	var parsed whole
+	c, err := parseBody(formReplace, body, &parsed)
 	if err != nil {
 		return nil, err
 	}
-	if w.Resources == nil {
+	if parsed.Resources == nil {
 		return nil, errs.New(errs.Invalid, "resources: the list is missing")
 	}
-	return c.fill(w.versions, *w.Resources)
+	return c.withContent(parsed.versions, *parsed.Resources)
 }
 
-// ParseUpdate reads the body of a call that changes named items, under the terms of ReadReplace.
+// ParseUpdate reads the body of a request that changes single resources, with the errors of
+// ParseReplace.
 func ParseUpdate(body []byte) (*Change, error) {
-	var p updateBody
-	c, err := parseBody(formUpdate, body, &p)
+	var parsed partial
+	c, err := parseBody(formUpdate, body, &parsed)
 	if err != nil {
 		return nil, err
 	}
-	c.remove(kindRoutes, p.Remove.Routes)
-	c.remove(kindServices, p.Remove.Services)
-	c.remove(kindTenants, p.Remove.Tenants)
-	c.remove(kindLimits, p.Remove.Limits)
-	return c.fill(p.versions, p.Upsert.Resources)
+	c.remove(kindRoutes, parsed.Remove.Routes)
+	c.remove(kindServices, parsed.Remove.Services)
+	c.remove(kindTenants, parsed.Remove.Tenants)
+	c.remove(kindLimits, parsed.Remove.Limits)
+	return c.withContent(parsed.versions, parsed.Upsert.Resources)
 }
 
 func (c *Change) remove(k kind, names []string) {
@@ -161,8 +164,9 @@
 	return &Change{form: form, body: canonical, digest: digest}, nil
 }
 
-// fill takes over the numbers and reads the items. Two items of one kind with one name are Invalid.
-func (c *Change) fill(v versions, raws []json.RawMessage) (*Change, error) {
+// withContent completes a change with its versions and its resources. Two resources of one kind and
+// name are Invalid.
+func (c *Change) withContent(v versions, raws []json.RawMessage) (*Change, error) {
 	if v.ConfigVersion == nil {
 		return nil, errs.New(errs.Invalid, "configVersion: the number is missing")
 	}
@@ -174,15 +178,15 @@
 	c.resources = make([]*resource, 0, len(raws))
 	seen := make(map[resourceID]bool, len(raws))
 	for i, raw := range raws {
-		it, err := parseResource(i, raw)
+		r, err := parseResource(i, raw)
 		if err != nil {
 			return nil, err
 		}
-		if seen[it.id()] {
-			return nil, errs.New(errs.Invalid, "%s %q stands twice in the list", it.kind, it.name)
+		if seen[r.id()] {
+			return nil, errs.New(errs.Invalid, "%s %q stands twice in the list", r.kind, r.name)
 		}
-		seen[it.id()] = true
-		c.resources = append(c.resources, it)
+		seen[r.id()] = true
+		c.resources = append(c.resources, r)
 	}
 	return c, nil
 }
--- a/internal/mesh/config/digest.go
+++ b/internal/mesh/config/digest.go
@@ -15,21 +15,22 @@
 )
 
 const (
-	// digestSize is the number of bytes of SHA-256 that are kept of an order. Two different orders
-	// under one version share a digest with a probability of 2^-96, and the record stays small.
+	// digestSize is the number of bytes of SHA-256 that are kept of a change request. Two different
+	// requests under one version share a digest with a probability of 2^-96, and the request log
+	// stays small.
 	digestSize = 12
 	// maxNesting bounds how deep objects and lists of a body may lie in one another. It guards the
 	// recursion that reads them; the schemas need 6.
 	maxNesting = 64
 )
 
-// digest identifies the content of an order, its form and its two versions included. Bodies that
-// differ only in space, in escapes of characters or in the order of the keys of an object have the
-// same digest. Numbers count as they are written: 1 and 1.0 are different content.
+// digest identifies the content of a change request, its form and its two versions included. Bodies
+// that differ only in space, in escapes of characters or in the order of the keys of an object have
+// the same digest. Numbers count as they are written: 1 and 1.0 are different content.
 type digest [digestSize]byte
 
-// digestOf gives the digest of an order from its canonical body. A key that stands twice in one object
-// is Invalid, because readers of JSON disagree on which of the two holds.
+// digestOf gives the digest of a change request from its canonical body. A key that stands twice in
+// one object is Invalid, because readers of JSON disagree on which of the two holds.
 func digestOf(form string, body []byte) (digest, error) {
 	n := normalizer{text: body, out: make([]byte, 0, len(body)+len(body)/2)}
 	n.frame('f', []byte(form))
@@ -43,9 +44,9 @@
 // normalizer writes a valid JSON text without spaces in a form of its own in which equal content is
 // equal bytes. Each value is framed by its kind and length, so that unequal content is not.
 type normalizer struct {
-	text []byte
-	at   int
-	out  []byte
+	text     []byte
+	position int
+	out      []byte
 	// scratch holds the members of an object while they are put in order.
 	scratch []byte
 }
@@ -55,7 +56,7 @@
 	if depth > maxNesting {
 		return errs.New(errs.Invalid, "the body nests more than %d levels deep", maxNesting)
 	}
-	switch n.text[n.at] {
+	switch n.text[n.position] {
 	case '{':
 		return n.object(depth)
 	case '[':
@@ -74,17 +75,17 @@
 
 // next steps over a bracket, brace, comma or colon and says whether the value ends with it.
 func (n *normalizer) next() (ended bool) {
-	n.at++
-	return n.text[n.at-1] == '}' || n.text[n.at-1] == ']'
+	n.position++
+	return n.text[n.position-1] == '}' || n.text[n.position-1] == ']'
 }
 
 // begin steps into a list or an object and says whether it is empty.
 func (n *normalizer) begin() (empty bool) {
-	n.at++
-	if n.text[n.at] != '}' && n.text[n.at] != ']' {
+	n.position++
+	if n.text[n.position] != '}' && n.text[n.position] != ']' {
 		return false
 	}
-	n.at++
+	n.position++
 	return true
 }
 
@@ -100,7 +101,8 @@
 	return nil
 }
 
-// member is a key of an object with the place of its key and value in what was written.
+// member is a key of an object with the position of its key and value in what was written. Folded
+// is the key as encoding/json compares it.
 type member struct {
 	key, folded string
 	start, end  int
@@ -117,23 +119,24 @@
 		}
 		m := member{key: string(key), folded: fold(string(key)), start: len(n.out)}
 		n.frame('k', key)
-		n.at++ // the colon
+		n.position++ // the colon
 		if err := n.value(depth + 1); err != nil {
 			return err
 		}
 		m.end = len(n.out)
 		members = append(members, m)
 	}
-	if err := n.order(members); err != nil {
+	if err := n.sortMembers(members); err != nil {
 		return err
 	}
 	n.out = append(n.out, '}')
 	return nil
 }
 
-// order sorts the members that were written last. Keys that differ by case alone stay in the order in
-// which they came, since encoding/json takes both for the same field and the later one holds.
-func (n *normalizer) order(members []member) error {
+// sortMembers sorts the members that were written last by their keys. Keys that differ by case
+// alone stay in the order in which they came, since encoding/json takes both for the same field and
+// the later one holds.
+func (n *normalizer) sortMembers(members []member) error {
 	slices.SortFunc(members, func(a, b member) int { return strings.Compare(a.key, b.key) })
 	for i := 1; i < len(members); i++ {
 		if members[i].key == members[i-1].key {
@@ -153,31 +156,31 @@
 
 // string steps over a string and gives its characters without escapes.
 func (n *normalizer) string() ([]byte, error) {
-	start, escaped := n.at, false
-	for n.at++; n.text[n.at] != '"'; n.at++ {
-		if n.text[n.at] == '\\' {
+	start, escaped := n.position, false
+	for n.position++; n.text[n.position] != '"'; n.position++ {
+		if n.text[n.position] == '\\' {
 			escaped = true
-			n.at++
+			n.position++
 		}
 	}
-	n.at++
+	n.position++
 	if !escaped {
-		return n.text[start+1 : n.at-1], nil
+		return n.text[start+1 : n.position-1], nil
 	}
 	var plain string
-	if err := json.Unmarshal(n.text[start:n.at], &plain); err != nil {
+	if err := json.Unmarshal(n.text[start:n.position], &plain); err != nil {
 		return nil, errs.Wrap(err, errs.Malformed, "no JSON string")
 	}
 	return []byte(plain), nil
 }
 
-// literal steps over a number, true, false or null.
+// literal steps over a number, true, false or null and gives its text.
 func (n *normalizer) literal() []byte {
-	start := n.at
-	for n.at < len(n.text) && !strings.ContainsRune(",]}", rune(n.text[n.at])) {
-		n.at++
+	start := n.position
+	for n.position < len(n.text) && !strings.ContainsRune(",]}", rune(n.text[n.position])) {
+		n.position++
 	}
-	return n.text[start:n.at]
+	return n.text[start:n.position]
 }
 
 // frame writes a text behind its kind and length.
--- /dev/null
+++ b/internal/mesh/config/encoding.go
@@ -0,0 +1,74 @@
+package config
+
+import (
+	"encoding/json"
+	"strconv"
+
+	"caperarch/internal/mesh/errs"
+)
+
+// Document gives the full configuration in the layout of a replace: every resource as it was sent,
+// fields that are unknown here included. A resource keeps its position when an update replaces it;
+// new ones are at the end.
+func (s *Snapshot) Document() json.RawMessage {
+	size := len(`{"configVersion":,"baseVersion":,"resources":[]}`) + 2*len("9223372036854775807")
+	for _, r := range s.resources {
+		size += len(r.raw) + 1
+	}
+	out := append(make([]byte, 0, size), `{"configVersion":`...)
+	out = strconv.AppendInt(out, s.version, 10)
+	out = append(out, `,"baseVersion":`...)
+	out = strconv.AppendInt(out, s.base, 10)
+	out = append(out, `,"resources":[`...)
+	for i, r := range s.resources {
+		if i > 0 {
+			out = append(out, ',')
+		}
+		out = append(out, r.raw...)
+	}
+	return append(out, `]}`...)
+}
+
+// encodedSnapshot is a snapshot as JSON.
+type encodedSnapshot struct {
+	Document json.RawMessage    `json:"document"`
+	Requests *encodedRequestLog `json:"orders,omitempty"`
+}
+
+// Encode gives the snapshot with its request log as one JSON value, for Decode. An error is of kind
+// Internal.
+func (s *Snapshot) Encode() ([]byte, error) {
+	out, err := json.Marshal(encodedSnapshot{s.Document(), s.requests.encode()})
+	if err != nil {
+		return nil, errs.Wrap(err, errs.Internal, "encode snapshot %d", s.version)
+	}
+	return out, nil
+}
+
+// Decode reads what Encode gave. Text that is no complete and valid snapshot is Malformed or
+// Invalid. A document without a request log is read as one whose requests are all forgotten.
+func Decode(text []byte) (*Snapshot, error) {
+	var e encodedSnapshot
+	if err := unmarshal(text, &e); err != nil {
+		return nil, err
+	}
+	document, err := ParseReplace(e.Document)
+	if err != nil {
+		return nil, err
+	}
+	table, err := newRoutingTable(document.resources)
+	if err != nil {
+		return nil, err
+	}
+	requests, err := decodeRequestLog(e.Requests, document.version)
+	if err != nil {
+		return nil, err
+	}
+	return &Snapshot{
+		version:   document.version,
+		base:      document.base,
+		resources: document.resources,
+		requests:  requests,
+		table:     table,
+	}, nil
+}
--- a/internal/mesh/config/requests.go
+++ b/internal/mesh/config/requests.go
@@ -9,16 +9,16 @@
 )
 
 const (
-	// maxApplied is the number of applied orders whose digests are remembered, the newest ones: more
-	// than a day of 3,500 changes. It bounds the record in memory and in each snapshot, where an
-	// order takes some 24 bytes, 100 KB in all.
+	// maxApplied is the number of applied requests whose digests are remembered, the newest ones:
+	// more than a day of 3,500 changes. It bounds the log in memory and in each snapshot, where a
+	// request takes some 24 bytes, 100 KB in all.
 	maxApplied = 4096
-	// maxRejectedAhead is the number of refused orders that are remembered because the version they
-	// build on may still come. It guards the record against operators that name versions at random.
+	// maxRejectedAhead is the number of rejected requests that are remembered because the version
+	// they build on may still come. It guards the log against clients that name versions at random.
 	maxRejectedAhead = 512
 )
 
-// requestID identifies an order: the version it was told apart by, and the digest of its content.
+// requestID identifies a change request: by a version that it names, and the digest of its content.
 type requestID struct {
 	version int64
 	digest  digest
@@ -28,71 +28,74 @@
 	return cmp.Or(cmp.Compare(a.version, b.version), bytes.Compare(a.digest[:], b.digest[:]))
 }
 
-// requestLog is what a snapshot remembers of the orders that the log has settled, so that an order
-// that is sent again gets the verdict it had. It is immutable.
+// requestLog makes change requests idempotent: it is what a snapshot remembers of those that were
+// decided, so that one that is sent again gets the same answer. It is immutable.
 type requestLog struct {
-	// applied are the newest orders that were applied, by their configVersion, which ascends.
+	// applied are the newest requests that were applied, by their configVersion, which ascends.
 	applied []requestID
-	// forgotten is the newest version that was applied and is in the record no more, 0 for none.
+	// forgottenUpTo is the newest version that was applied and is no longer in the log, 0 for none.
 	forgottenUpTo int64
-	// rejectedAhead are orders that were refused because they built on a version that had not come
-	// yet, by their baseVersion. Should it come, they stay refused.
+	// rejectedAhead are requests that were rejected because the version they build on was not there
+	// yet, by their baseVersion. Should it come, they stay rejected.
 	rejectedAhead []requestID
 }
 
-// hasApplied says whether this very order was applied, as far as the record reaches.
-func (r *requestLog) hasApplied(change *Change) bool {
-	_, found := slices.BinarySearchFunc(r.applied, requestID{change.version, change.digest}, compareRequests)
+// hasApplied says whether this very request was applied, as far back as the log reaches.
+func (l *requestLog) hasApplied(change *Change) bool {
+	id := requestID{change.version, change.digest}
+	_, found := slices.BinarySearchFunc(l.applied, id, compareRequests)
 	return found
 }
 
-// mayHaveApplied says whether the record no longer tells if this order was applied.
-func (r *requestLog) mayHaveApplied(change *Change) bool {
-	return change.version > 0 && change.version <= r.forgottenUpTo
+// mayHaveApplied says whether the log no longer tells if this request was applied.
+func (l *requestLog) mayHaveApplied(change *Change) bool {
+	return change.version > 0 && change.version <= l.forgottenUpTo
 }
 
-// hasRejected says whether this very order was refused ahead of its base.
-func (r *requestLog) hasRejected(change *Change) bool {
-	_, found := slices.BinarySearchFunc(r.rejectedAhead, requestID{change.base, change.digest}, compareRequests)
+// hasRejected says whether this very request was rejected ahead of its base.
+func (l *requestLog) hasRejected(change *Change) bool {
+	id := requestID{change.base, change.digest}
+	_, found := slices.BinarySearchFunc(l.rejectedAhead, id, compareRequests)
 	return found
 }
 
-// withApplied gives the record after an order was applied. Refused orders that build on an older
-// version are dropped: they are refused for their base from now on.
-func (r *requestLog) withApplied(change *Change) requestLog {
-	next := requestLog{forgottenUpTo: r.forgottenUpTo}
-	drop := max(0, len(r.applied)+1-maxApplied)
+// withApplied gives the log after a request was applied. Rejected requests that build on an older
+// version are dropped: they are rejected for their base from now on.
+func (l *requestLog) withApplied(change *Change) requestLog {
+	next := requestLog{forgottenUpTo: l.forgottenUpTo}
+	drop := max(0, len(l.applied)+1-maxApplied)
 	if drop > 0 {
-		next.forgottenUpTo = r.applied[drop-1].version
+		next.forgottenUpTo = l.applied[drop-1].version
 	}
-	next.applied = make([]requestID, 0, len(r.applied)+1-drop)
-	next.applied = append(next.applied, r.applied[drop:]...)
+	next.applied = make([]requestID, 0, len(l.applied)+1-drop)
+	next.applied = append(next.applied, l.applied[drop:]...)
 	next.applied = append(next.applied, requestID{change.version, change.digest})
-	for _, refused := range r.rejectedAhead {
-		if refused.version >= change.version {
-			next.rejectedAhead = append(next.rejectedAhead, refused)
+	for _, rejected := range l.rejectedAhead {
+		if rejected.version >= change.version {
+			next.rejectedAhead = append(next.rejectedAhead, rejected)
 		}
 	}
 	return next
 }
 
-// withRejected gives the record after an order was refused ahead of its base, or false where the
-// record is full.
-func (r *requestLog) withRejected(change *Change) (requestLog, bool) {
+// withRejected gives the log after a request was rejected ahead of its base, or false where the log
+// is full.
+func (l *requestLog) withRejected(change *Change) (requestLog, bool) {
 	id := requestID{change.base, change.digest}
-	at, found := slices.BinarySearchFunc(r.rejectedAhead, id, compareRequests)
+	position, found := slices.BinarySearchFunc(l.rejectedAhead, id, compareRequests)
 	if found {
-		return *r, true
+		return *l, true
 	}
-	if len(r.rejectedAhead) >= maxRejectedAhead {
-		return *r, false
+	if len(l.rejectedAhead) >= maxRejectedAhead {
+		return *l, false
 	}
-	next := *r
-	next.rejectedAhead = slices.Insert(slices.Clone(r.rejectedAhead), at, id)
+	next := *l
+	next.rejectedAhead = slices.Insert(slices.Clone(l.rejectedAhead), position, id)
 	return next, true
 }
 
-// encodedRequestLog is a record as JSON. Digests are laid end to end, in the order of the versions.
+// encodedRequestLog is a request log as JSON. Digests are concatenated, in the order of the
+// versions.
 type encodedRequestLog struct {
 	Forgotten     int64   `json:"forgotten"`
 	Applied       []int64 `json:"applied"`
@@ -101,61 +104,64 @@
 	Rejected      []byte  `json:"refused,omitempty"`
 }
 
-func (r *requestLog) encode() *encodedRequestLog {
-	e := &encodedRequestLog{Forgotten: r.forgottenUpTo}
-	e.Applied, e.Digests = splitRequests(r.applied)
-	e.RejectedBases, e.Rejected = splitRequests(r.rejectedAhead)
+func (l *requestLog) encode() *encodedRequestLog {
+	e := &encodedRequestLog{Forgotten: l.forgottenUpTo}
+	e.Applied, e.Digests = splitRequests(l.applied)
+	e.RejectedBases, e.Rejected = splitRequests(l.rejectedAhead)
 	return e
 }
 
-func splitRequests(orders []requestID) (versions []int64, digests []byte) {
-	for _, order := range orders {
-		versions = append(versions, order.version)
-		digests = append(digests, order.digest[:]...)
+func splitRequests(ids []requestID) (versions []int64, digests []byte) {
+	for _, id := range ids {
+		versions = append(versions, id.version)
+		digests = append(digests, id.digest[:]...)
 	}
 	return versions, digests
 }
 
-// decodeRequestLog reads the record of a snapshot of some version. Without one it is not known which
-// orders led there, so all up to that version count as forgotten.
+// decodeRequestLog reads the log of a snapshot of some version. Without one it is not known which
+// requests led there, so all up to that version count as forgotten.
 func decodeRequestLog(e *encodedRequestLog, version int64) (requestLog, error) {
 	if e == nil {
 		return requestLog{forgottenUpTo: version}, nil
 	}
-	r := requestLog{forgottenUpTo: e.Forgotten}
+	l := requestLog{forgottenUpTo: e.Forgotten}
 	var err error
-	if r.applied, err = joinRequests(e.Applied, e.Digests, maxApplied); err != nil {
+	if l.applied, err = joinRequests(e.Applied, e.Digests, maxApplied); err != nil {
 		return requestLog{}, err
 	}
-	if r.rejectedAhead, err = joinRequests(e.RejectedBases, e.Rejected, maxRejectedAhead); err != nil {
+	if l.rejectedAhead, err = joinRequests(e.RejectedBases, e.Rejected, maxRejectedAhead); err != nil {
 		return requestLog{}, err
 	}
-	newest := r.forgottenUpTo
-	for _, order := range r.applied {
-		if order.version <= newest {
-			return requestLog{}, errs.New(errs.Invalid, "applied orders: %d stands behind %d", order.version, newest)
+	newest := l.forgottenUpTo
+	for _, id := range l.applied {
+		if id.version <= newest {
+			return requestLog{}, errs.New(errs.Invalid,
+				"applied orders: %d stands behind %d", id.version, newest)
 		}
-		newest = order.version
+		newest = id.version
 	}
-	if newest != version || r.forgottenUpTo < 0 {
-		return requestLog{}, errs.New(errs.Invalid, "applied orders: they lead to %d, not to %d", newest, version)
+	if newest != version || l.forgottenUpTo < 0 {
+		return requestLog{}, errs.New(errs.Invalid,
+			"applied orders: they lead to %d, not to %d", newest, version)
 	}
-	return r, nil
+	return l, nil
 }
 
-// joinRequests undoes splitRequests. Orders must ascend.
-func joinRequests(versions []int64, digests []byte, most int) ([]requestID, error) {
-	if len(versions) > most || len(digests) != len(versions)*digestSize {
-		return nil, errs.New(errs.Invalid, "record of orders: %d versions with %d bytes of digests, %d orders at most",
-			len(versions), len(digests), most)
+// joinRequests undoes splitRequests. Requests must ascend.
+func joinRequests(versions []int64, digests []byte, limit int) ([]requestID, error) {
+	if len(versions) > limit || len(digests) != len(versions)*digestSize {
+		return nil, errs.New(errs.Invalid,
+			"record of orders: %d versions with %d bytes of digests, %d orders at most",
+			len(versions), len(digests), limit)
 	}
-	var orders []requestID
+	var ids []requestID
 	for i, version := range versions {
-		order := requestID{version, digest(digests[i*digestSize:])}
-		if i > 0 && compareRequests(orders[i-1], order) >= 0 {
+		id := requestID{version, digest(digests[i*digestSize:])}
+		if i > 0 && compareRequests(ids[i-1], id) >= 0 {
 			return nil, errs.New(errs.Invalid, "record of orders: %d is out of order", version)
 		}
-		orders = append(orders, order)
+		ids = append(ids, id)
 	}
-	return orders, nil
+	return ids, nil
 }
--- a/internal/mesh/config/schema.go
+++ b/internal/mesh/config/schema.go
@@ -1,115 +1,29 @@
 package config
 
 import (
-	"encoding/json"
 	"errors"
 	"math"
 	"strings"
 	"time"
-	"unicode"
 
 	validation "github.com/go-ozzo/ozzo-validation/v4"
-
-	"caperarch/internal/mesh/errs"
 )
 
 const (
-	// MaxTimeoutS is the longest timeoutS a route may have: a request held longer would outlive
-	// every client.
+	// MaxTimeoutS is the longest timeoutS, in seconds, that a route may have: a request that took
+	// longer would outlive every client.
 	MaxTimeoutS = 600.0
 	// maxDuration caps the times that have no bound of their own: it guards the conversion from
 	// seconds against overflow.
 	maxDuration = 24 * time.Hour
 )
 
-// kind is a resourceType.
-type kind string
-
+// The values of a route's routeType.
 const (
-	kindRoutes   kind = "routes"
-	kindServices kind = "services"
-	kindTenants  kind = "tenants"
-	kindLimits   kind = "limits"
+	routeIdempotent    = "idempotent"
+	routeNonIdempotent = "non_idempotent"
 )
 
-// id names an item: no snapshot holds two items with one id.
-type resourceID struct {
-	kind kind
-	name string
-}
-
-// item is one entry of the resources, as it was sent and as it is meant. It is immutable.
-type resource struct {
-	kind   kind
-	name   string
-	raw    json.RawMessage
-	parsed any // *Route, *Service, *Tenant or *Limits, by the kind
-}
-
-// id gives the item's id. A snapshot has one set of limits, whatever name it bears.
-func (it *resource) id() resourceID {
-	if it.kind == kindLimits {
-		return resourceID{kind: kindLimits}
-	}
-	return resourceID{it.kind, it.name}
-}
-
-// specification is an item's specification as it is sent, with its schema.
-type specification interface {
-	validation.Validatable
-	// meaning turns a valid specification into what the item means.
-	parsed(name string) any
-}
-
-// schema gives an empty specification of a kind, or nil for a kind there isn't.
-func schema(k kind) specification {
-	switch k {
-	case kindRoutes:
-		return new(routeSpecification)
-	case kindServices:
-		return new(serviceSpecification)
-	case kindTenants:
-		return new(tenantSpecification)
-	case kindLimits:
-		return new(limitsSpecification)
-	}
-	return nil
-}
-
-// parseResource reads an entry of the resources and checks it against the schema of its kind.
-func parseResource(position int, raw json.RawMessage) (*resource, error) {
-	var head struct {
-		ResourceType kind `json:"resourceType"`
-		Metadata     struct {
-			Name string `json:"name"`
-		} `json:"metadata"`
-		Specification json.RawMessage `json:"specification"`
-	}
-	if err := unmarshal(raw, &head); err != nil {
-		return nil, errs.Wrap(err, errs.KindOf(err), "resource %d (%s %q)", position, head.ResourceType, head.Metadata.Name)
-	}
-	it := &resource{kind: head.ResourceType, name: head.Metadata.Name, raw: raw}
-	spec := schema(it.kind)
-	switch {
-	case spec == nil:
-		return nil, errs.New(errs.Invalid, "resource %d (%q): there is no resourceType %q", position, it.name, it.kind)
-	case it.name == "" && it.kind != kindLimits:
-		return nil, errs.New(errs.Invalid, "resource %d (%s): the name is missing", position, it.kind)
-	case strings.ContainsFunc(it.name, unicode.IsControl):
-		return nil, errs.New(errs.Invalid, "%s %q: the name holds a control character", it.kind, it.name)
-	case len(head.Specification) == 0 || string(head.Specification) == "null":
-		return nil, errs.New(errs.Invalid, "%s %q: the specification is missing", it.kind, it.name)
-	}
-	if err := unmarshal(head.Specification, spec); err != nil {
-		return nil, errs.Wrap(err, errs.KindOf(err), "%s %q", it.kind, it.name)
-	}
-	if err := spec.Validate(); err != nil {
-		return nil, errs.New(errs.Invalid, "%s %q: %v", it.kind, it.name, err)
-	}
-	it.parsed = spec.parsed(it.name)
-	return it, nil
-}
-
 type targetSpecification struct {
 	ServiceName string   `json:"serviceName"`
 	Weight      *float64 `json:"weight"`
@@ -136,17 +50,12 @@
 	Public          bool                  `json:"public"`
 }
 
-const (
-	idempotent    = "idempotent"
-	nonIdempotent = "non_idempotent"
-)
-
 // Validate says what is wrong with a route, other services and routes apart.
 func (s *routeSpecification) Validate() error {
 	if err := validation.ValidateStruct(s,
 		validation.Field(&s.Hostname, validation.Required, validation.By(hasHostName)),
 		validation.Field(&s.PathPrefix, validation.Required, validation.By(startsWithSlash)),
-		validation.Field(&s.RouteType, validation.Required, validation.In(idempotent, nonIdempotent)),
+		validation.Field(&s.RouteType, validation.Required, validation.In(routeIdempotent, routeNonIdempotent)),
 		validation.Field(&s.TimeoutS, validation.NotNil, validation.Min(0.0), validation.Max(MaxTimeoutS)),
 		validation.Field(&s.TargetLatencyS, validation.Min(0.0)),
 		validation.Field(&s.Priority, validation.Min(0)),
@@ -190,7 +99,7 @@
 		Name:          name,
 		Host:          string(appendNormalizedHost(nil, s.Hostname)),
 		Prefix:        s.PathPrefix,
-		Idempotent:    s.RouteType == idempotent,
+		Idempotent:    s.RouteType == routeIdempotent,
 		Timeout:       seconds(*s.TimeoutS),
 		LatencyTarget: seconds(s.TargetLatencyS),
 		Priority:      s.Priority,
@@ -222,7 +131,8 @@
 // Validate says what is wrong with a service.
 func (s *serviceSpecification) Validate() error {
 	return validation.ValidateStruct(s,
-		validation.Field(&s.HealthCheckPath, validation.When(s.HealthCheckPath != "", validation.By(startsWithSlash))),
+		validation.Field(&s.HealthCheckPath,
+			validation.When(s.HealthCheckPath != "", validation.By(startsWithSlash))),
 		validation.Field(&s.MaxConnections, validation.Min(0)),
 	)
 }
@@ -250,7 +160,13 @@
 }
 
 func (s *tenantSpecification) parsed(name string) any {
-	t := &Tenant{Name: name, Priority: NoPriority, RatePerS: s.RatePerS, Burst: s.BurstLimit, keys: s.APIKeys}
+	t := &Tenant{
+		Name:     name,
+		Priority: NoPriority,
+		RatePerS: s.RatePerS,
+		Burst:    s.BurstLimit,
+		keys:     s.APIKeys,
+	}
 	if s.Priority != nil {
 		t.Priority = *s.Priority
 	}
@@ -274,7 +190,7 @@
 	)
 }
 
-// meaning puts the default in place of every limit that is 0 or left out.
+// parsed puts the default in place of every limit that is 0 or left out.
 func (s *limitsSpecification) parsed(string) any {
 	l := defaultLimits
 	if s.MaxHeaderBytes > 0 {
