--- a/internal/mesh/headers/attempt.go
+++ b/internal/mesh/headers/attempt.go
@@ -27,12 +27,12 @@
 	b := strconv.AppendInt(nil, int64(v.Priority), 10)
 	b = append(b, ',')
 	b = strconv.AppendInt(b, v.LatencyTarget.Milliseconds(), 10)
-	fields[attemptTerms] = []string{string(append(b, ',', safe))}
+	fields[attemptTermsField] = []string{string(append(b, ',', safe))}
 }
 
 // ParseAttemptTerms reads it; false: it is missing or malformed, and its sender no sidecar.
 func ParseAttemptTerms(h *h1.Head) (AttemptTerms, bool) {
-	parts := strings.SplitN(h.Get(attemptTerms), ",", 3)
+	parts := strings.SplitN(h.Get(attemptTermsField), ",", 3)
 	if len(parts) != 3 {
 		return AttemptTerms{}, false
 	}
@@ -41,19 +41,16 @@
 	if bad != nil || bad2 != nil || aim < 0 || rank < 0 {
 		return AttemptTerms{}, false
 	}
-	aim = min(aim, longest.Milliseconds())
+	aim = min(aim, maxTimeout.Milliseconds())
 	return AttemptTerms{Priority: rank, LatencyTarget: time.Duration(aim) * time.Millisecond, Idempotent: parts[2] == "1"}, true
 }
 
 // StripSidecarFields takes off what is the gate's alone, before a request goes to the upstream.
 func StripSidecarFields(fields http.Header) {
-	delete(fields, attemptTerms)
-	delete(fields, sendName)
+	delete(fields, attemptTermsField)
+	delete(fields, SendIDField)
 }
 
-// SendIDField is the field that names a send.
-const SendIDField = sendName
-
 // SendID names one send of a request: no two of them are alike, and later ones of a sender have
 // higher numbers.
 type SendID struct {
@@ -70,7 +67,7 @@
 
 // ParseSendID reads it; false: it is missing or malformed, and its sender no sidecar.
 func ParseSendID(h *h1.Head) (SendID, bool) {
-	sender, number, _ := strings.Cut(h.Get(sendName), ".")
+	sender, number, _ := strings.Cut(h.Get(SendIDField), ".")
 	from, bad := strconv.ParseUint(sender, 16, 64)
 	n, bad2 := strconv.ParseUint(number, 10, 64)
 	return SendID{Sender: from, Number: n}, bad == nil && bad2 == nil
--- a/internal/mesh/headers/headers.go
+++ b/internal/mesh/headers/headers.go
@@ -28,23 +28,23 @@
 	Key         = "X-Api-Key"
 
 	// Between sidecars only: neither clients nor upstreams see them.
-	attemptTerms = "X-Mesh-Visit"   // rank, milliseconds of the aim, whether it may run more than once
-	sendName     = "X-Mesh-Send"    // which send of its caller's sidecar this is
-	gateLoad     = "X-Mesh-Load"    // running, waiting, slots at the gate
-	verdict      = "X-Mesh-Verdict" // of an answer that is no upstream's
+	attemptTermsField = "X-Mesh-Visit"   // rank, milliseconds of the aim, whether it may run more than once
+	SendIDField       = "X-Mesh-Send"    // which send of its caller's sidecar this is
+	gateLoadField     = "X-Mesh-Load"    // running, waiting, slots at the gate
+	outcomeField      = "X-Mesh-Verdict" // of an answer that is no upstream's
 )
 
 // The verdicts.
 const (
-	turned  = "turned"  // it has not run, and never will
-	unknown = "unknown" // nobody can say
+	outcomeNotExecuted = "turned"  // it has not run, and never will
+	outcomeUnknown     = "unknown" // nobody can say
 )
 
 // mostLoad guards against sums that overflow: no upstream holds so many.
-const mostLoad = 1 << 20
+const maxLoad = 1 << 20
 
 // longest is what longer time-outs count as.
-const longest = 10 * time.Minute
+const maxTimeout = 10 * time.Minute
 
 // ParseTimeout reads a time-out; what can't be read is none.
 func ParseTimeout(text string) (time.Duration, bool) {
@@ -52,7 +52,7 @@
 	if err != nil || !(ms > 0) {
 		return 0, false
 	}
-	left := time.Duration(min(ms, float64(longest/time.Millisecond)) * float64(time.Millisecond))
+	left := time.Duration(min(ms, float64(maxTimeout/time.Millisecond)) * float64(time.Millisecond))
 	return left, left > 0
 }
 
@@ -81,12 +81,12 @@
 
 // HasDuplicateControlField says whether a request between sidecars gives a field twice that steers it.
 func HasDuplicateControlField(h *h1.Head) bool {
-	return DuplicateField(h, AttemptID, Timeout, Target, attemptTerms, sendName) != ""
+	return DuplicateField(h, AttemptID, Timeout, Target, attemptTermsField, SendIDField) != ""
 }
 
 // StripInternal takes off what only sidecars may say.
 func StripInternal(fields http.Header) {
-	for _, name := range []string{attemptTerms, sendName, gateLoad, verdict, Target, Tenant, Caller, Key} {
+	for _, name := range []string{attemptTermsField, SendIDField, gateLoadField, outcomeField, Target, Tenant, Caller, Key} {
 		delete(fields, name)
 	}
 }
--- a/internal/mesh/headers/headers_test.go
+++ b/internal/mesh/headers/headers_test.go
@@ -69,7 +69,7 @@
 			So([]any{c.res.StatusCode, c.res.Header, ending}, ShouldResemble, []any{c.res.StatusCode, c.res.Header, c.want})
 			So(load.InFlight, ShouldEqual, 7)
 			StripGateLoad(c.res.Header)
-			So(c.res.Header[gateLoad], ShouldBeNil)
+			So(c.res.Header[gateLoadField], ShouldBeNil)
 		}
 		for neverRan, want := range map[bool]policy.Ending{true: policy.Gated, false: policy.Broken} {
 			for _, status := range []int{200, 400, 421, 503, 504} {
@@ -81,12 +81,12 @@
 				So(MatchesAttempt(&call.Message{Header: http.Header{AttemptID: {"9c41"}}}, res), ShouldBeTrue)
 			}
 		}
-		forged := answer(200, verdict, turned) // by an upstream: only a gate may say
+		forged := answer(200, outcomeField, outcomeNotExecuted) // by an upstream: only a gate may say
 		SetGateLoad(forged.Header, FormatLoad(0, 0, 1))
 		ending, _ := ClassifyGateResponse(forged)
 		So(ending, ShouldEqual, policy.Served)
 		for _, other := range []string{"served", "TURNED", "turned,turned"} {
-			ending, _ := ClassifyGateResponse(answer(200, verdict, other))
+			ending, _ := ClassifyGateResponse(answer(200, outcomeField, other))
 			So(ending, ShouldEqual, policy.Broken)
 		}
 	})
@@ -104,7 +104,7 @@
 func TestFields(t *testing.T) {
 	Convey("What only sidecars may say is taken off however a client spells it, and the rest stays", t, func() {
 		text := "POST /x HTTP/1.1\r\nHost: a\r\nX-Other: 1\r\n"
-		for _, name := range []string{attemptTerms, sendName, gateLoad, verdict, Target, Tenant, Caller, Key} {
+		for _, name := range []string{attemptTermsField, SendIDField, gateLoadField, outcomeField, Target, Tenant, Caller, Key} {
 			text += strings.ToLower(name) + ": a\r\n" + strings.ToUpper(name) + ": b\r\n" + name + ":\r\n"
 		}
 		var h h1.Head
@@ -119,13 +119,13 @@
 	})
 	Convey("Whatever stands in the terms of an attempt, a load or a time-out, what is read of it is in bounds", t, func() {
 		for _, text := range []string{"", "1", "1,2", "a,2,1", "1,a,1", "-1,2,1", "1,-2,1", "1.5,2,1", "1,99999999999999999999,1", "99999999999999999999,1,1"} {
-			_, ok := ParseAttemptTerms(head(attemptTerms, text))
+			_, ok := ParseAttemptTerms(head(attemptTermsField, text))
 			So(ok, ShouldBeFalse)
 			So(ParseLoad(strings.Replace(text, "1.5", "1,x", 1)).InFlight, ShouldBeGreaterThanOrEqualTo, 0)
 		}
 		_, ok := ParseAttemptTerms(head())
 		So(ok, ShouldBeFalse)
-		for text, want := range map[string]time.Duration{"1000": time.Second, "2.5": 2500 * time.Microsecond, "1e9": longest, "600000": longest} {
+		for text, want := range map[string]time.Duration{"1000": time.Second, "2.5": 2500 * time.Microsecond, "1e9": maxTimeout, "600000": maxTimeout} {
 			got, ok := ParseTimeout(text)
 			So(ok, ShouldBeTrue)
 			So(got, ShouldEqual, want)
@@ -139,8 +139,8 @@
 	})
 	Convey("No aim is negative or beyond the longest, however long its number", t, func() {
 		for _, aim := range []string{"600001", "9223372036854", "9223372036855", "10000000000000", "9223372036854775807"} {
-			v, _ := ParseAttemptTerms(head(attemptTerms, "1,"+aim+",1"))
-			So(v.LatencyTarget, ShouldBeBetweenOrEqual, 0, longest)
+			v, _ := ParseAttemptTerms(head(attemptTermsField, "1,"+aim+",1"))
+			So(v.LatencyTarget, ShouldBeBetweenOrEqual, 0, maxTimeout)
 		}
 	})
 	Convey("No load is negative, however long its numbers", t, func() {
@@ -175,10 +175,10 @@
 func TestAttempt(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		v := AttemptTerms{Priority: rapid.IntRange(0, 9).Draw(t, "rank"), LatencyTarget: time.Duration(rapid.IntRange(0, 600_000).Draw(t, "aim")) * time.Millisecond, Idempotent: rapid.Bool().Draw(t, "safe")}
-		fields := http.Header{attemptTerms: {"9,9,1", "9,9,1"}}
+		fields := http.Header{attemptTermsField: {"9,9,1", "9,9,1"}}
 		v.Set(fields)
-		if got, ok := ParseAttemptTerms(head(attemptTerms, fields[attemptTerms][0])); len(fields[attemptTerms]) != 1 || !ok || got != v {
-			t.Fatalf("%+v was put as %q and read as %+v", v, fields[attemptTerms], got)
+		if got, ok := ParseAttemptTerms(head(attemptTermsField, fields[attemptTermsField][0])); len(fields[attemptTermsField]) != 1 || !ok || got != v {
+			t.Fatalf("%+v was put as %q and read as %+v", v, fields[attemptTermsField], got)
 		}
 		if StripSidecarFields(fields); len(fields) > 0 {
 			t.Fatalf("left: %v", fields)
--- a/internal/mesh/headers/load.go
+++ b/internal/mesh/headers/load.go
@@ -24,7 +24,7 @@
 	}
 	running, bad := strconv.Atoi(strings.TrimSpace(parts[0]))
 	waiting, bad2 := strconv.Atoi(strings.TrimSpace(parts[1]))
-	if bad != nil || bad2 != nil || running < 0 || waiting < 0 || max(running, waiting) > mostLoad {
+	if bad != nil || bad2 != nil || running < 0 || waiting < 0 || max(running, waiting) > maxLoad {
 		return policy.Load{}
 	}
 	return policy.Load{
--- a/internal/mesh/headers/outcome.go
+++ b/internal/mesh/headers/outcome.go
@@ -10,11 +10,11 @@
 // GateResponseFields are the fields of a gate's own answer: whether it says that the request never ran and never
 // will, or that nobody can say.
 func GateResponseFields(id string, neverRan bool, load string) http.Header {
-	said := unknown
+	outcome := outcomeUnknown
 	if neverRan {
-		said = turned
+		outcome = outcomeNotExecuted
 	}
-	fields := http.Header{AttemptID: {id}, verdict: {said}, gateLoad: {load}}
+	fields := http.Header{AttemptID: {id}, outcomeField: {outcome}, gateLoadField: {load}}
 	if neverRan {
 		fields[NotExecuted] = []string{"1"}
 	}
@@ -36,7 +36,7 @@
 		return policy.TurnedAway, load
 	case res.StatusCode/100 == 2 && (res.Header[Signature] == nil || res.Header["Content-Encoding"] != nil):
 		return policy.Broken, load
-	case promises(res.StatusCode):
+	case impliesNotExecuted(res.StatusCode):
 		return policy.Broken, load // our client would take it for a promise that nobody gave
 	case res.StatusCode/100 == 5:
 		return policy.Errored, load
@@ -46,10 +46,10 @@
 
 // ClassifyGateResponse says what the head of an answer from a gate proves, and takes off what is between sidecars.
 func ClassifyGateResponse(res *http.Response) (policy.Ending, policy.Load) {
-	load := ParseLoad(res.Header.Get(gateLoad))
-	said := res.Header.Get(verdict)
-	switch said {
-	case turned:
+	load := ParseLoad(res.Header.Get(gateLoadField))
+	outcome := res.Header.Get(outcomeField)
+	switch outcome {
+	case outcomeNotExecuted:
 		return policy.Gated, load
 	case "":
 	default:
@@ -60,16 +60,16 @@
 }
 
 // StripGateLoad takes off an answer's fields what is between sidecars.
-func StripGateLoad(fields http.Header) { delete(fields, gateLoad) }
+func StripGateLoad(fields http.Header) { delete(fields, gateLoadField) }
 
 // SetGateLoad has an upstream's answer tell the gate's load to the caller's sidecar.
 func SetGateLoad(fields http.Header, load string) {
-	delete(fields, verdict) // only a gate may say
-	fields[gateLoad] = []string{load}
+	delete(fields, outcomeField) // only a gate may say
+	fields[gateLoadField] = []string{load}
 }
 
 // promises says whether our clients take a status for the word that their request never ran and never will.
-func promises(status int) bool {
+func impliesNotExecuted(status int) bool {
 	switch status {
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusRequestTimeout:
 		return true
