--- a/internal/mesh/headers/headers.go
+++ b/internal/mesh/headers/headers.go
@@ -1,9 +1,14 @@
-// Package headers is what a request carries on its way through the mesh: the fields that clients,
-// sidecars and upstreams read and write, and what an answer's head proves. It decides nothing.
+// Package headers owns the header fields that a request and its response carry through the mesh: their
+// names, their format, and what the head of a response proves about the request's execution. It decides
+// nothing else, and keeps no state: its functions may be called from any goroutine, SendIDSource
+// included. A function that changes fields is called by their owner.
 //
-// Between two sidecars there are three kinds of answer: it ran, with the upstream's own bytes; it
-// did not run and never will (Verdict: turned); and unknown, which is everything else. Only the
-// second lets a request that must not run twice be sent again.
+// Between two sidecars there are three kinds of responses: the request was executed, with the
+// upstream's own bytes; it was not executed and never will be; and unknown, which is everything else.
+// Only the second allows a request that isn't idempotent to be sent again.
+//
+// Names and values of the fields are a protocol with earlier releases. Some of them keep older words
+// than the code: docs/glossary.md lists them.
 package headers
 
 import (
@@ -14,7 +19,7 @@
 	"caperarch/internal/proxy/h1"
 )
 
-// Fields of requests and answers, in canonical form.
+// Fields of requests and responses, in canonical form.
 const (
 	AttemptID   = "X-Caperarch-Attempt-Id"
 	Timeout     = "X-Caperarch-Timeout-Remaining" // milliseconds
@@ -28,42 +33,41 @@
 	Key         = "X-Api-Key"
 
 	// Between sidecars only: neither clients nor upstreams see them.
-	attemptTermsField = "X-Mesh-Visit"   // rank, milliseconds of the aim, whether it may run more than once
-	SendIDField       = "X-Mesh-Send"    // which send of its caller's sidecar this is
+	attemptTermsField = "X-Mesh-Visit"   // priority, milliseconds of the latency target, 1 if idempotent
+	SendIDField       = "X-Mesh-Send"    // a SendID
 	gateLoadField     = "X-Mesh-Load"    // running, waiting, slots at the gate
-	outcomeField      = "X-Mesh-Verdict" // of an answer that is no upstream's
+	outcomeField      = "X-Mesh-Verdict" // only in a gate's own responses
 )
 
-// The verdicts.
+// Values of outcomeField.
 const (
 	outcomeNotExecuted = "turned"  // it has not run, and never will
-	outcomeUnknown     = "unknown" // nobody can say
+	outcomeUnknown     = "unknown" // it may have run
 )
 
-// mostLoad guards against sums that overflow: no upstream holds so many.
-const maxLoad = 1 << 20
-
-// longest is what longer time-outs count as.
+// maxTimeout is what longer time-outs count as.
 const maxTimeout = 10 * time.Minute
 
-// ParseTimeout reads a time-out; what can't be read is none.
+// ParseTimeout reads a time-out in milliseconds. It returns false for what can't be read, and for what
+// isn't positive.
 func ParseTimeout(text string) (time.Duration, bool) {
 	ms, err := strconv.ParseFloat(text, 64)
 	if err != nil || !(ms > 0) {
 		return 0, false
 	}
-	left := time.Duration(min(ms, float64(maxTimeout/time.Millisecond)) * float64(time.Millisecond))
-	return left, left > 0
+	ms = min(ms, float64(maxTimeout/time.Millisecond))
+	timeout := time.Duration(ms * float64(time.Millisecond))
+	return timeout, timeout > 0
 }
 
-// IsExpired says whether a time-out is sound and over: its request's client waits no more.
+// IsExpired says whether a time-out is well formed and zero: the client no longer waits.
 func IsExpired(text string) bool {
 	ms, err := strconv.ParseFloat(text, 64)
 	return err == nil && ms == 0
 }
 
-// DuplicateField is the name of a field that steers a request and is given twice, or "": two readers may
-// heed different ones.
+// DuplicateField returns the first of the names whose field is given more than once, or "". Two readers
+// of such a request may go by different ones.
 func DuplicateField(h *h1.Head, names ...string) string {
 	for _, name := range names {
 		seen := false
@@ -79,14 +83,23 @@
 	return ""
 }
 
-// HasDuplicateControlField says whether a request between sidecars gives a field twice that steers it.
+// HasDuplicateControlField says whether a request between sidecars gives a field more than once that
+// controls how it is handled.
 func HasDuplicateControlField(h *h1.Head) bool {
 	return DuplicateField(h, AttemptID, Timeout, Target, attemptTermsField, SendIDField) != ""
 }
 
-// StripInternal takes off what only sidecars may say.
+// StripInternal removes from a client's request the fields that only sidecars may set.
 func StripInternal(fields http.Header) {
-	for _, name := range []string{attemptTermsField, SendIDField, gateLoadField, outcomeField, Target, Tenant, Caller, Key} {
+	for _, name := range []string{
+		attemptTermsField, SendIDField, gateLoadField, outcomeField, Target, Tenant, Caller, Key,
+	} {
 		delete(fields, name)
 	}
 }
+
+// StripSidecarFields removes what is meant for the gate alone, before a request goes to the upstream.
+func StripSidecarFields(fields http.Header) {
+	delete(fields, attemptTermsField)
+	delete(fields, SendIDField)
+}
--- a/internal/mesh/headers/load.go
+++ b/internal/mesh/headers/load.go
@@ -1,13 +1,18 @@
 package headers
 
 import (
+	"net/http"
 	"strconv"
 	"strings"
 
 	"caperarch/policy"
 )
 
-// FormatLoad is a gate's load as it travels.
+// maxLoad is the largest number of requests in a load that is read. It guards against sums that
+// overflow.
+const maxLoad = 1 << 20
+
+// FormatLoad returns a gate's load as it travels: numbers of requests and slots.
 func FormatLoad(running, waiting, slots int) string {
 	b := strconv.AppendInt(nil, int64(running), 10)
 	b = append(b, ',')
@@ -16,15 +21,16 @@
 	return string(strconv.AppendInt(b, int64(slots), 10))
 }
 
-// ParseLoad reads such a load: running and waiting together are in flight.
+// ParseLoad reads a load as FormatLoad or an upstream writes it: running and waiting together are in
+// flight. A load that is malformed or out of bounds is the zero Load, which has neither.
 func ParseLoad(text string) policy.Load {
 	parts := strings.SplitN(text, ",", 3)
 	if len(parts) != 3 {
 		return policy.Load{}
 	}
-	running, bad := strconv.Atoi(strings.TrimSpace(parts[0]))
-	waiting, bad2 := strconv.Atoi(strings.TrimSpace(parts[1]))
-	if bad != nil || bad2 != nil || running < 0 || waiting < 0 || max(running, waiting) > maxLoad {
+	running, errRunning := strconv.Atoi(strings.TrimSpace(parts[0]))
+	waiting, errWaiting := strconv.Atoi(strings.TrimSpace(parts[1]))
+	if errRunning != nil || errWaiting != nil || running < 0 || waiting < 0 || max(running, waiting) > maxLoad {
 		return policy.Load{}
 	}
 	return policy.Load{
@@ -32,7 +38,8 @@
 	}
 }
 
-// ParseSlots reads how many requests an upstream works on at once from its load; 0: it does not say.
+// ParseSlots reads from a load how many requests an upstream works on at once. It returns 0 if the load
+// doesn't say.
 func ParseSlots(text string) int {
 	_, slots, _ := strings.Cut(text, ",")
 	if _, last, ok := strings.Cut(slots, ","); ok {
@@ -41,3 +48,12 @@
 	}
 	return 0
 }
+
+// SetGateLoad sets the gate's load in an upstream's response, for the caller's sidecar.
+func SetGateLoad(fields http.Header, load string) {
+	delete(fields, outcomeField) // only a gate may say
+	fields[gateLoadField] = []string{load}
+}
+
+// StripGateLoad removes the gate's load before a response leaves the caller's sidecar.
+func StripGateLoad(fields http.Header) { delete(fields, gateLoadField) }
