--- a/internal/mesh/cli/cli.go
+++ b/internal/mesh/cli/cli.go
@@ -1,19 +1,16 @@
-// Package cli is the operators' words of the program: each verb asks the mesh through the client library, or reads a file, and says in words or in JSON what came of it.
+// Package cli is the operators' verbs of the program meshd: each calls the mesh through package meshclient, or reads a
+// file, and writes the result as text or JSON.
+//
+// Verbs, flags, exit codes and what is written on standard output are known to operators' scripts and do not change.
+// The package keeps no state; Run may be called from any goroutine.
 package cli
 
 import (
 	"context"
-	"encoding/json"
 	"errors"
 	"flag"
 	"fmt"
 	"io"
-	"net"
-	"strconv"
-	"strings"
-	"time"
-
-	"github.com/rotisserie/eris"
 
 	"caperarch/meshclient"
 )
@@ -22,23 +19,19 @@
 const (
 	// ExitOK means that the verb did what it says.
 	ExitOK = 0
-	// ExitRejected means that the mesh refused: nothing was changed.
+	// ExitRejected means that the mesh rejected the call: nothing was changed.
 	ExitRejected = 1
 	// ExitUsage means that the verb was used wrongly, or that its file can't be read or has faults.
 	ExitUsage = 2
-	// ExitUndetermined means that no clear answer came in time: a change may be in force or not, and may be sent again unchanged.
+	// ExitUndetermined means that no conclusive answer came in time: a change may be in force or not, and may be sent
+	// again unchanged.
 	ExitUndetermined = 3
 )
 
-// AddressesVariable is the environment variable that holds the control plane addresses where --at is not given.
-const AddressesVariable = "MESHD_AT"
-
-// standardTimeout is how long a verb tries where --timeout is not given.
-const standardTimeout = 10 * time.Second
-
 // Usage lists the verbs.
 const Usage = `verbs:
-  apply FILE [--base VERSION]    put the configuration of the file in force, on the version in place or on the one that --base names
+  apply FILE [--base VERSION]    put the configuration of the file in force, on the version in place or ` +
+	`on the one that --base names
   diff FILE                      what the file would add, remove and change in the configuration in force
   describe                       the configuration in force; --output json gives it whole, keys of tenants included
   members                        the core machines and the sidecars
@@ -56,161 +49,73 @@
 Exit codes: 0 done, 1 refused, 2 used wrongly or a file with faults, 3 no clear answer in time.
 `
 
-// errand is what a verb is given.
-type errand struct {
-	client *meshclient.Client
-	in     io.Reader
-	out    io.Writer
-	json   bool
-	base   int64 // below 0: not given
-	key    string
-	keyed  bool
-	args   []string
-}
-
-// verb is one of the operators' words.
+// verb is one of the operators' commands.
 type verb struct {
-	names int // arguments that it takes
-	flags string
-	alone bool // it asks nobody
-	run   func(ctx context.Context, d *errand) error
+	// argumentCount is how many arguments it takes besides flags.
+	argumentCount int
+	// defineFlag adds the flag that this verb alone has; nil: it has none.
+	defineFlag func(flags *flag.FlagSet, inv *invocation)
+	// offline says that it makes no call, and needs no address.
+	offline bool
+	// run does what the verb says; ctx ends when the time to try is over.
+	run func(ctx context.Context, inv *invocation) error
 }
 
 var verbs = map[string]verb{
-	"apply":     {names: 1, flags: "base", run: apply},
-	"diff":      {names: 1, run: diff},
+	"apply":     {argumentCount: 1, defineFlag: defineBase, run: apply},
+	"diff":      {argumentCount: 1, run: diff},
 	"describe":  {run: describe},
 	"members":   {run: members},
 	"upstreams": {run: upstreams},
 	"view":      {run: view},
-	"why":       {names: 2, flags: "key", run: why},
-	"check":     {names: 1, alone: true, run: check},
+	"why":       {argumentCount: 2, defineFlag: defineKey, run: why},
+	"check":     {argumentCount: 1, offline: true, run: check},
 }
 
-// IsVerb says whether the word is one of the verbs.
-func IsVerb(word string) bool { return verbs[word].run != nil }
-
-// misuse is an error that is the user's or the file's: it ends with Misused.
-type misuse struct{ error }
+// IsVerb says whether name is one of the verbs.
+func IsVerb(name string) bool { return verbs[name].run != nil }
 
-// Run runs the verb that stands first among the words and gives the exit code. The variable is looked up by getenv.
-func Run(ctx context.Context, words []string, in io.Reader, out, errs io.Writer, getenv func(string) string) int {
-	if len(words) == 0 || !IsVerb(words[0]) {
-		fmt.Fprint(errs, Usage)
+// Run runs the verb that is the first of args and returns the exit code. It looks AddressesVariable up with getenv.
+func Run(
+	ctx context.Context, args []string, stdin io.Reader, stdout, stderr io.Writer, getenv func(string) string,
+) int {
+	if len(args) == 0 || !IsVerb(args[0]) {
+		fmt.Fprint(stderr, Usage)
 		return ExitUsage
 	}
-	d := &errand{in: in, out: out}
-	ctx, cancel, err := d.read(ctx, words, getenv)
-	switch {
-	case errors.Is(err, flag.ErrHelp):
-		fmt.Fprint(out, Usage)
+	name := args[0]
+	inv, err := parseArguments(verbs[name], args, getenv)
+	if errors.Is(err, flag.ErrHelp) {
+		fmt.Fprint(stdout, Usage)
 		return ExitOK
-	case err == nil:
-		defer cancel()
-		err = verbs[words[0]].run(ctx, d)
+	}
+	if err == nil {
+		inv.stdin, inv.stdout = stdin, stdout
+		err = inv.run(ctx, verbs[name])
 	}
 	if err != nil {
-		fmt.Fprintf(errs, "meshd %s: %v\n", words[0], err)
+		fmt.Fprintf(stderr, "meshd %s: %v\n", name, err)
 	}
-	return code(err)
+	return exitCode(err)
+}
+
+// run runs the verb within the time of --timeout.
+func (inv *invocation) run(ctx context.Context, v verb) error {
+	ctx, cancel := context.WithTimeout(ctx, inv.timeout)
+	defer cancel()
+	return v.run(ctx, inv)
 }
 
-func code(err error) int {
-	var wrong misuse
+// exitCode is the exit code of a verb that ended with err.
+func exitCode(err error) int {
+	var usage *usageError
 	switch {
 	case err == nil:
 		return ExitOK
-	case errors.As(err, &wrong), errors.Is(err, meshclient.InvalidUsage):
+	case errors.As(err, &usage), errors.Is(err, meshclient.InvalidUsage):
 		return ExitUsage
 	case errors.Is(err, meshclient.Undetermined), errors.Is(err, meshclient.Unreachable):
 		return ExitUndetermined
 	}
 	return ExitRejected
 }
-
-// read reads the verb's flags and arguments, which may stand in any order; after "--" all are arguments.
-func (d *errand) read(ctx context.Context, words []string, getenv func(string) string) (context.Context, context.CancelFunc, error) {
-	v := verbs[words[0]]
-	flags := flag.NewFlagSet(words[0], flag.ContinueOnError)
-	flags.SetOutput(io.Discard)
-	at := flags.String("at", getenv(AddressesVariable), "")
-	output := flags.String("output", "text", "")
-	timeout := flags.Duration("timeout", standardTimeout, "")
-	d.base = -1
-	switch v.flags {
-	case "base":
-		flags.Func("base", "", func(s string) error {
-			base, err := strconv.ParseInt(s, 10, 64)
-			if err != nil || base < 0 {
-				return eris.New("not a version")
-			}
-			d.base = base
-			return nil
-		})
-	case "key":
-		flags.Func("key", "", func(s string) error { d.key, d.keyed = s, true; return nil })
-	}
-	for rest := words[1:]; ; {
-		if err := flags.Parse(rest); err != nil {
-			if errors.Is(err, flag.ErrHelp) {
-				return nil, nil, err
-			}
-			return nil, nil, wrongly("%v", err)
-		}
-		parsed := rest[:len(rest)-flags.NArg()]
-		if rest = flags.Args(); len(rest) == 0 {
-			break
-		}
-		if len(parsed) > 0 && parsed[len(parsed)-1] == "--" {
-			d.args = append(d.args, rest...)
-			break
-		}
-		d.args, rest = append(d.args, rest[0]), rest[1:]
-	}
-	switch {
-	case len(d.args) != v.names:
-		return nil, nil, wrongly("%d arguments are given, %d are needed", len(d.args), v.names)
-	case *output != "text" && *output != "json":
-		return nil, nil, wrongly("--output is text or json, not %.40q", *output)
-	case *timeout <= 0:
-		return nil, nil, wrongly("--timeout must be above 0")
-	}
-	d.json = *output == "json"
-	if !v.alone {
-		addresses, err := addresses(*at)
-		if err != nil {
-			return nil, nil, err
-		}
-		d.client = &meshclient.Client{Addresses: addresses}
-	}
-	ctx, cancel := context.WithTimeout(ctx, *timeout)
-	return ctx, cancel, nil
-}
-
-func addresses(list string) ([]string, error) {
-	if list == "" {
-		return nil, wrongly("no address: give --at or set %s", AddressesVariable)
-	}
-	all := strings.Split(list, ",")
-	for i, address := range all {
-		all[i] = strings.TrimSpace(address)
-		if host, port, err := net.SplitHostPort(all[i]); err != nil || host == "" || port == "" {
-			return nil, wrongly("%.80q is not a host with a port", all[i])
-		}
-	}
-	return all, nil
-}
-
-// wrongly makes an error that is the user's or the file's.
-func wrongly(format string, args ...any) error { return misuse{eris.Errorf(format, args...)} }
-
-// write writes a value as JSON where that was asked for, and else has it told in words.
-func (d *errand) write(value any, tell func(w io.Writer) error) error {
-	if !d.json {
-		return tell(d.out)
-	}
-	e := json.NewEncoder(d.out)
-	e.SetEscapeHTML(false)
-	e.SetIndent("", "  ")
-	return e.Encode(value)
-}
--- a/internal/mesh/cli/cli_test.go
+++ b/internal/mesh/cli/cli_test.go
@@ -33,7 +33,8 @@
 guarantees: {contracts: [base], faultTolerance: {machines: 0, zones: 0, regions: 0}, bounds: {}}
 `
 
-const first = `
+// firstConfiguration is what the verbs put in force.
+const firstConfiguration = `
 configVersion: 3
 resources:
   - {resourceType: services, metadata: {name: tea}, specification: {healthCheckPath: /health}}
@@ -74,16 +75,15 @@
 	return fmt.Sprintf("127.0.0.1:%d", name.(*syscall.SockaddrInet4).Port)
 }
 
-// said runs a verb, and gives the exit code and what it wrote.
-func said(at string, words ...string) (int, string) {
+// runWithOutput runs a verb and returns the exit code and what it wrote on both outputs.
+func runWithOutput(at string, args ...string) (int, string) {
 	var out bytes.Buffer
-	code := Run(context.Background(), words, strings.NewReader(first), &out, &out, func(name string) string {
-		return map[string]string{AddressesVariable: at}[name]
-	})
+	getenv := func(name string) string { return map[string]string{AddressesVariable: at}[name] }
+	code := Run(context.Background(), args, strings.NewReader(firstConfiguration), &out, &out, getenv)
 	return code, out.String()
 }
 
-func TestVerbs(t *testing.T) {
+func TestVerbsAgainstACoreMachine(t *testing.T) {
 	Convey("Every verb against a core machine", t, func() {
 		at, inside := freeAddress(t), freeAddress(t)
 		_, port, _ := net.SplitHostPort(inside)
@@ -96,9 +96,9 @@
 			cancel()
 			So(<-ended, ShouldBeNil)
 		})
-		// has runs a verb and looks for what it is to write.
-		has := func(code int, words string, parts ...string) {
-			got, text := said(at, strings.Fields(words)...)
+		// expect runs a verb and looks for its exit code and for parts of what it writes.
+		expect := func(code int, args string, parts ...string) {
+			got, text := runWithOutput(at, strings.Fields(args)...)
 			So(got, ShouldEqual, code)
 			for _, part := range parts {
 				So(text, ShouldContainSubstring, part)
@@ -106,19 +106,19 @@
 		}
 
 		// The core is still choosing itself: the library asks until there is an answer.
-		has(ExitOK, "why tea.example /cup/1", "No configuration is in force yet: the answer is 503.")
-		has(ExitOK, "apply -", "version 3 is in force, built on version 0")
-		has(ExitOK, "apply - --output json", `"configVersion": 3`, `"baseVersion": 0`)
+		expect(ExitOK, "why tea.example /cup/1", "No configuration is in force yet: the answer is 503.")
+		expect(ExitOK, "apply -", "version 3 is in force, built on version 0")
+		expect(ExitOK, "apply - --output json", `"configVersion": 3`, `"baseVersion": 0`)
 		next := filepath.Join(t.TempDir(), "next.yaml")
-		text := strings.Replace(strings.Replace(strings.Replace(first, "3\nres", "5\nres", 1), "name: open", "name: wide", 1), "1.5", "2.5", 1)
+		text := strings.Replace(strings.Replace(strings.Replace(firstConfiguration, "3\nres", "5\nres", 1), "name: open", "name: wide", 1), "1.5", "2.5", 1)
 		So(os.WriteFile(next, []byte(text), 0o600), ShouldBeNil)
-		has(ExitOK, "diff "+next, "from version 3, which is in force, to version 5 of the file: 3 differences\n~ routes cups\n- routes open\n+ routes wide\n")
-		has(ExitRejected, "apply "+next+" --base 2", "stale: "+at, "builds on 2, but 3 is in place")
-		has(ExitOK, "apply "+next+" --base 3", "version 5 is in force, built on version 3")
-		has(ExitOK, "apply "+next+" --base 3", "version 5 is in force") // the very same again
-		has(ExitRejected, "apply -", "invalid: ", "configVersion: 3 is not above 5")
-		has(ExitOK, "describe", "version 5 is in force, built on version 3, with 5 items", "tea.example/cup/ idempotent to tea:3,milk:1", "2 keys, 50 a second")
-		has(ExitOK, "describe --output json", `"apiKeys"`, `"k-1"`)
+		expect(ExitOK, "diff "+next, "from version 3, which is in force, to version 5 of the file: 3 differences\n~ routes cups\n- routes open\n+ routes wide\n")
+		expect(ExitRejected, "apply "+next+" --base 2", "stale: "+at, "builds on 2, but 3 is in place")
+		expect(ExitOK, "apply "+next+" --base 3", "version 5 is in force, built on version 3")
+		expect(ExitOK, "apply "+next+" --base 3", "version 5 is in force") // the very same again
+		expect(ExitRejected, "apply -", "invalid: ", "configVersion: 3 is not above 5")
+		expect(ExitOK, "describe", "version 5 is in force, built on version 3, with 5 items", "tea.example/cup/ idempotent to tea:3,milk:1", "2 keys, 50 a second")
+		expect(ExitOK, "describe --output json", `"apiKeys"`, `"k-1"`)
 
 		// A sidecar with its upstream, and an upstream that reached the core alone.
 		client := rpc.NewClient(time.Second)
@@ -133,22 +133,22 @@
 		So(err, ShouldBeNil)
 		So(res.StatusCode, ShouldEqual, http.StatusOK)
 		So(res.Body.Close(), ShouldBeNil)
-		has(ExitOK, "members", "as core-1 knows it", inside+"  core-1  5        leader,voter,in contact", "side-1   a     5        i-1       here")
-		has(ExitOK, "members --output json", `"asOf": "core-1"`, `"node": "side-1"`, `"leader": true`)
-		has(ExitOK, "upstreams", "i-1       tea      a     side-1  4      ready", "i-2       tea      b     -       7      ready")
-		has(ExitOK, "view", "node core-1", "leader "+inside, "version 5", "in contact true", "voter true", "voters "+inside, "changing false", "sick false")
+		expect(ExitOK, "members", "as core-1 knows it", inside+"  core-1  5        leader,voter,in contact", "side-1   a     5        i-1       here")
+		expect(ExitOK, "members --output json", `"asOf": "core-1"`, `"node": "side-1"`, `"leader": true`)
+		expect(ExitOK, "upstreams", "i-1       tea      a     side-1  4      ready", "i-2       tea      b     -       7      ready")
+		expect(ExitOK, "view", "node core-1", "leader "+inside, "version 5", "in contact true", "voter true", "voters "+inside, "changing false", "sick false")
 
-		has(ExitOK, "why TEA.example:80 /cup/1?x --key k-2", "Route cups takes it", "It may run more than once. One try is sent to 2 upstreams at most and held for 2.5s at most.",
+		expect(ExitOK, "why TEA.example:80 /cup/1?x --key k-2", "Route cups takes it", "It may run more than once. One try is sent to 2 upstreams at most and held for 2.5s at most.",
 			"tenant house's, which may have 50 requests", "Its priority is 0, the tenant's", "Service tea gets 75% of the route's requests; core-1 knows 2 upstreams of it, 1 of which",
 			"i-1 in zone a, 4 slots: ready", "i-2 in zone b, 7 slots: no sidecar beside it is known", "Service milk gets 25%", "Nothing can run it there")
-		has(ExitOK, "why tea.example /cup/1 --output json --key k", `"refusal": 401`, "No tenant has this key")
-		has(ExitOK, "why tea.example /cup/1", "none is given (--key): the answer is 401")
-		has(ExitOK, "why tea.example /open/1", "Route wide takes it", "at most once", "The route is public", "the compartment of the service")
-		has(ExitOK, "why tea.example /cups/1", "the answer is 404")
+		expect(ExitOK, "why tea.example /cup/1 --output json --key k", `"refusal": 401`, "No tenant has this key")
+		expect(ExitOK, "why tea.example /cup/1", "none is given (--key): the answer is 401")
+		expect(ExitOK, "why tea.example /open/1", "Route wide takes it", "at most once", "The route is public", "the compartment of the service")
+		expect(ExitOK, "why tea.example /cups/1", "the answer is 404")
 	})
 }
 
-func TestMisuse(t *testing.T) {
+func TestUsageErrorsAreNamed(t *testing.T) {
 	Convey("What is used wrongly, faulty files and silence have their codes and are named", t, func() {
 		file := func(text string) string {
 			path := filepath.Join(t.TempDir(), "file")
@@ -156,11 +156,11 @@
 			return path
 		}
 		core := fmt.Sprintf(coreSettings, "127.0.0.1:1", "2", "/data")
-		faulty := strings.NewReplacer("timeoutS: 1.5", "timeoutS: 700", "serviceName: milk, public", "serviceName: mlik, public", "ratePerS: 50", "ratePerS: -1").Replace(first)
-		shared := first + "  - {resourceType: tenants, metadata: {name: guest}, specification: {apiKeys: [k-2]}}\n"
+		faulty := strings.NewReplacer("timeoutS: 1.5", "timeoutS: 700", "serviceName: milk, public", "serviceName: mlik, public", "ratePerS: 50", "ratePerS: -1").Replace(firstConfiguration)
+		shared := firstConfiguration + "  - {resourceType: tenants, metadata: {name: guest}, specification: {apiKeys: [k-2]}}\n"
 		for _, x := range []struct {
 			code  int
-			words []string
+			args  []string
 			parts []string
 		}{
 			{ExitUsage, nil, []string{"verbs:", "exit codes"}},
@@ -182,13 +182,13 @@
 			{ExitUsage, []string{"check", file(faulty)}, []string{
 				"routes \"cups\": timeoutS: must be no greater than 600.\n", "routes \"open\": there is no service \"mlik\"\n", "tenants \"house\": ratePerS: ", "faults in the configuration: 3",
 			}},
-			{ExitUsage, []string{"check", file(strings.Replace(first, "resourceType: tenants", "resourceType: guests", 1))}, []string{"guests \"house\": there is no resourceType \"guests\"\n"}},
+			{ExitUsage, []string{"check", file(strings.Replace(firstConfiguration, "resourceType: tenants", "resourceType: guests", 1))}, []string{"guests \"house\": there is no resourceType \"guests\"\n"}},
 			{ExitUsage, []string{"check", file(shared), "--output", "json"}, []string{`shares a key with`, `"kind": "configuration"`}},
 			{ExitUsage, []string{"check", file("- a\n: b")}, []string{"neither"}},
 		} {
-			code, text := said("", x.words...)
+			code, text := runWithOutput("", x.args...)
 			missing := slices.DeleteFunc(x.parts, func(part string) bool { return strings.Contains(strings.ToLower(text), strings.ToLower(part)) })
-			So(fmt.Sprintln(x.words, code, missing), ShouldEqual, fmt.Sprintln(x.words, x.code, []string{}))
+			So(fmt.Sprintln(x.args, code, missing), ShouldEqual, fmt.Sprintln(x.args, x.code, []string{}))
 		}
 	})
 }
--- /dev/null
+++ b/internal/mesh/cli/members.go
@@ -0,0 +1,54 @@
+package cli
+
+import (
+	"context"
+	"fmt"
+	"io"
+
+	"caperarch/meshapi"
+)
+
+// members writes the core machines and sidecars that one core machine knows.
+func members(ctx context.Context, inv *invocation) error {
+	known, err := inv.client.Members(ctx)
+	if err != nil {
+		return err
+	}
+	return inv.write(known, func(w io.Writer) error { return writeMembers(w, known) })
+}
+
+func writeMembers(w io.Writer, known *meshapi.Members) error {
+	fmt.Fprintf(w, "as %s knows it, in term %d%s\n", known.ReportedBy, known.Term, syncingNote(known.Syncing))
+	core := table{header: []string{"CORE", "NODE", "VERSION", "STATE"}}
+	for _, c := range known.Core {
+		node, version := any(""), any("")
+		if c.Status != nil {
+			node, version = c.Status.ReportedBy, c.Status.ConfigVersion
+		}
+		core.add(c.Address, node, version, coreState(c).String())
+	}
+	if err := core.write(w); err != nil {
+		return err
+	}
+	sidecars := table{header: []string{"SIDECAR", "ZONE", "VERSION", "UPSTREAM", "STATE"}}
+	for _, s := range known.Sidecars {
+		var state labels
+		state.addEither(s.Leaving, "leaving", "here")
+		sidecars.add(s.Node, s.Zone, s.ConfigVersion, s.Instance, state.String())
+	}
+	return sidecars.write(w)
+}
+
+// coreState is a core machine's state as the answering machine knows it.
+func coreState(c meshapi.CoreMember) labels {
+	var state labels
+	state.addIf(c.Leader, "leader")
+	if c.Status == nil {
+		return append(state, "no answer")
+	}
+	state.addEither(c.Status.Voter, "voter", "learner")
+	state.addIf(c.Status.MembershipChanging, "changing")
+	state.addEither(c.Status.InContact, "in contact", "out of contact")
+	state.addIf(c.Status.StorageFailed, "sick")
+	return state
+}
--- a/internal/mesh/cli/verbs_golden_test.go
+++ b/internal/mesh/cli/verbs_golden_test.go
@@ -89,7 +89,8 @@
 		t.Fatal(err)
 	}
 	inForce := coreStub{described: string(described), changeStatus: http.StatusOK, changeBody: `{"configVersion":5}`}
-	empty := coreStub{described: `{"configVersion":0,"baseVersion":0,"resources":[]}`, changeStatus: http.StatusOK, changeBody: `{"configVersion":5}`}
+	empty := inForce
+	empty.described = `{"configVersion":0,"baseVersion":0,"resources":[]}`
 	rejects := func(status int, kind string) coreStub {
 		return coreStub{string(described), status, kind, `{"errorMessage":"the core's <own> words","kind":"` + kind + `"}`}
 	}
--- a/internal/mesh/cli/why.go
+++ b/internal/mesh/cli/why.go
@@ -11,160 +11,197 @@
 	"caperarch/meshapi"
 )
 
-// fate is what becomes of a request, by the configuration in force and the upstreams that a core machine knows.
-type fate struct {
+// explanation is what becomes of a request, by the configuration in force and the upstreams that a core machine knows.
+type explanation struct {
 	ConfigVersion int64 `json:"configVersion"`
-	// Refusal is the status that the request is answered with on its way out; 0: it goes on.
-	Refusal     int         `json:"refusal,omitempty"`
-	Route       string      `json:"route,omitempty"`
-	Tenant      string      `json:"tenant,omitempty"`
-	Compartment string      `json:"compartment,omitempty"`
-	Priority    int         `json:"priority"`
-	UpstreamsAs string      `json:"upstreamsAsOf,omitempty"`
-	Services    []candidate `json:"services,omitempty"`
-	Words       []string    `json:"words"`
+	// RejectionStatus is the status with which a sidecar rejects the request; 0: it forwards it.
+	RejectionStatus int    `json:"refusal,omitempty"`
+	Route           string `json:"route,omitempty"`
+	Tenant          string `json:"tenant,omitempty"`
+	Compartment     string `json:"compartment,omitempty"`
+	// Priority is 0 for the highest.
+	Priority int `json:"priority"`
+	// ReportedBy is the node name of the core machine that knows the upstreams.
+	ReportedBy string             `json:"upstreamsAsOf,omitempty"`
+	Services   []candidateService `json:"services,omitempty"`
+	Sentences  []string           `json:"words"`
 }
 
-// candidate is a service that the request may go to, with its upstreams.
-type candidate struct {
-	Service   string             `json:"service"`
-	Share     float64            `json:"share"` // of the route's requests
+// candidateService is a service that the request may go to, with its upstreams.
+type candidateService struct {
+	Service string `json:"service"`
+	// Share is the fraction of the route's requests that go to the service.
+	Share     float64            `json:"share"`
 	Upstreams []meshapi.Upstream `json:"upstreams"`
 }
 
-// why tells what becomes of a request.
-func why(ctx context.Context, d *errand) error {
-	host, path := d.args[0], d.args[1]
+// why writes what becomes of a request.
+func why(ctx context.Context, inv *invocation) error {
+	host, path := inv.args[0], inv.args[1]
 	if !strings.HasPrefix(path, "/") {
-		return wrongly("the path %.80q does not begin with a slash", path)
+		return usageErrorf("the path %.80q does not begin with a slash", path)
 	}
-	doc, err := d.client.Describe(ctx)
+	e, err := explain(ctx, inv, host, path)
 	if err != nil {
 		return err
 	}
-	f := &fate{ConfigVersion: doc.ConfigVersion}
+	return inv.write(e, e.writeText)
+}
+
+func (e *explanation) writeText(w io.Writer) error {
+	_, err := fmt.Fprintln(w, strings.Join(e.Sentences, "\n"))
+	return err
+}
+
+// explain follows a request as a sidecar does: to its route, its compartment, and the upstreams it may go to.
+func explain(ctx context.Context, inv *invocation, host, path string) (*explanation, error) {
+	doc, err := inv.client.Describe(ctx)
+	if err != nil {
+		return nil, err
+	}
+	e := &explanation{ConfigVersion: doc.ConfigVersion}
 	if doc.ConfigVersion == 0 {
-		f.Refusal = http.StatusServiceUnavailable
-		f.say("No configuration is in force yet: the answer is 503.")
-		return f.write(d)
+		e.reject(http.StatusServiceUnavailable, "No configuration is in force yet: the answer is 503.")
+		return e, nil
 	}
-	c, err := charterOf(doc)
+	snapshot, err := snapshotOf(doc)
 	if err != nil {
-		return fmt.Errorf("the configuration in force can't be read here: %w", err)
+		return nil, fmt.Errorf("the configuration in force can't be read here: %w", err)
+	}
+	e.addf("Version %d of the configuration is in force.", e.ConfigVersion)
+	route := e.matchRoute(snapshot, host, path)
+	if route == nil {
+		return e, nil
 	}
-	route := f.follow(c, host, path, d)
-	if f.Refusal != 0 {
-		return f.write(d)
+	e.assignCompartment(snapshot, route, inv)
+	if e.RejectionStatus != 0 {
+		return e, nil
 	}
-	list, err := d.client.Upstreams(ctx)
+	list, err := inv.client.Upstreams(ctx)
 	if err != nil {
-		return err
+		return nil, err
 	}
-	f.choose(route, list)
-	return f.write(d)
+	e.listUpstreams(route, list)
+	return e, nil
 }
 
-func (f *fate) say(format string, args ...any) {
-	f.Words = append(f.Words, fmt.Sprintf(format, args...))
+// addf adds a sentence.
+func (e *explanation) addf(format string, args ...any) {
+	e.Sentences = append(e.Sentences, fmt.Sprintf(format, args...))
 }
 
-func (f *fate) write(d *errand) error {
-	return d.write(f, func(w io.Writer) error {
-		_, err := fmt.Fprintln(w, strings.Join(f.Words, "\n"))
-		return err
-	})
+// reject adds that the request is rejected with a status.
+func (e *explanation) reject(status int, format string, args ...any) {
+	e.RejectionStatus = status
+	e.addf(format, args...)
 }
 
-// follow goes the way of the request up to its compartment, as a sidecar does.
-func (f *fate) follow(c *config.Snapshot, host, path string, d *errand) *config.Route {
-	f.say("Version %d of the configuration is in force.", f.ConfigVersion)
-	route := c.Match(host, path)
+// matchRoute finds the route of the request; nil: it is rejected.
+func (e *explanation) matchRoute(snapshot *config.Snapshot, host, path string) *config.Route {
+	route := snapshot.Match(host, path)
 	if route == nil {
-		f.Refusal = http.StatusNotFound
-		f.say("No route of host %q has a prefix that begins %q: the answer is 404.", host, path)
+		e.reject(http.StatusNotFound, "No route of host %q has a prefix that begins %q: the answer is 404.", host, path)
 		return nil
 	}
-	f.Route, f.Priority = route.Name, route.Priority
-	f.say("Route %s takes it: of host %s, prefix %s, the longest that begins the path.", route.Name, route.Host, route.Prefix)
+	e.Route, e.Priority = route.Name, route.Priority
+	e.addf("Route %s takes it: of host %s, prefix %s, the longest that begins the path.",
+		route.Name, route.Host, route.Prefix)
 	runs := "at most once, so that it is sent to a second upstream only when the first has proved not to have run it"
 	if route.Idempotent {
 		runs = "more than once"
 	}
-	f.say("It may run %s. One try is sent to %d upstreams at most and held for %v at most.", runs, route.MaxAttempts, route.Timeout)
+	e.addf("It may run %s. One try is sent to %d upstreams at most and held for %v at most.",
+		runs, route.MaxAttempts, route.Timeout)
+	return route
+}
+
+// assignCompartment finds the compartment and the priority of the request: the tenant's where the route asks for a
+// key. Without a valid key it is rejected.
+func (e *explanation) assignCompartment(snapshot *config.Snapshot, route *config.Route, inv *invocation) {
 	switch {
-	case !c.HasTenants():
-		f.say("The configuration has no tenants: no key is asked for.")
+	case !snapshot.HasTenants():
+		e.addf("The configuration has no tenants: no key is asked for.")
 	case route.Public:
-		f.say("The route is public: no key is asked for.")
+		e.addf("The route is public: no key is asked for.")
 	default:
-		tenant := c.Tenant(d.key)
-		if tenant == nil {
-			f.Refusal = http.StatusUnauthorized
-			if !d.keyed {
-				f.say("The route needs the key of a tenant, and none is given (--key): the answer is 401.")
-			} else {
-				f.say("No tenant has this key: the answer is 401.")
-			}
-			return route
-		}
-		f.Tenant, f.Compartment = tenant.Name, "tenant "+tenant.Name
-		f.quota(tenant)
-		if tenant.Priority >= 0 {
-			f.Priority = tenant.Priority
-			f.say("Its priority is %d, the tenant's, in the compartment of the tenant.", f.Priority)
-		} else {
-			f.say("Its priority is %d, the route's, in the compartment of the tenant.", f.Priority)
+		e.assignTenant(snapshot.Tenant(inv.key), inv.keyGiven)
+		return
+	}
+	e.Compartment = "service"
+	e.addf("Its priority is %d, the route's, in the compartment of the service that it goes to.", e.Priority)
+}
+
+// assignTenant puts the request into the compartment of the tenant with its key; nil: there is none.
+func (e *explanation) assignTenant(tenant *config.Tenant, keyGiven bool) {
+	if tenant == nil {
+		message := "No tenant has this key: the answer is 401."
+		if !keyGiven {
+			message = "The route needs the key of a tenant, and none is given (--key): the answer is 401."
 		}
-		return route
+		e.reject(http.StatusUnauthorized, "%s", message)
+		return
 	}
-	f.Compartment = "service"
-	f.say("Its priority is %d, the route's, in the compartment of the service that it goes to.", f.Priority)
-	return route
+	e.Tenant, e.Compartment = tenant.Name, "tenant "+tenant.Name
+	e.addQuota(tenant)
+	owner := "route"
+	if tenant.Priority >= 0 {
+		e.Priority, owner = tenant.Priority, "tenant"
+	}
+	e.addf("Its priority is %d, the %s's, in the compartment of the tenant.", e.Priority, owner)
 }
 
-func (f *fate) quota(t *config.Tenant) {
+// addQuota says what the tenant may send.
+func (e *explanation) addQuota(t *config.Tenant) {
 	if t.RatePerS == 0 {
-		f.say("The key is tenant %s's, which has no quota.", t.Name)
+		e.addf("The key is tenant %s's, which has no quota.", t.Name)
 		return
 	}
-	f.say("The key is tenant %s's, which may have %g requests a second and %g on top; more are answered 429.", t.Name, t.RatePerS, t.Burst)
+	e.addf("The key is tenant %s's, which may have %g requests a second and %g on top; more are answered 429.",
+		t.Name, t.RatePerS, t.Burst)
 }
 
-// choose gives the upstreams among which a sidecar chooses.
-func (f *fate) choose(route *config.Route, list *meshapi.UpstreamList) {
-	f.UpstreamsAs = list.ReportedBy
-	sum := 0.0
+// listUpstreams lists the upstreams among which a sidecar chooses, by the services of the route.
+func (e *explanation) listUpstreams(route *config.Route, list *meshapi.UpstreamList) {
+	e.ReportedBy = list.ReportedBy
+	totalWeight := 0.0
 	for _, t := range route.Targets {
-		sum += t.Weight
+		totalWeight += t.Weight
 	}
 	for _, t := range route.Targets {
-		s := candidate{Service: t.Service, Share: t.Weight / sum, Upstreams: []meshapi.Upstream{}}
-		ready := 0
-		for _, u := range list.Upstreams {
-			if u.Service != t.Service {
-				continue
-			}
-			s.Upstreams = append(s.Upstreams, u)
-			if takes(u) == "" {
-				ready++
-			}
-		}
-		f.Services = append(f.Services, s)
-		f.say("Service %s gets %.3g%% of the route's requests; %s knows %d upstreams of it, %d of which are sent requests%s:", s.Service, 100*s.Share, list.ReportedBy, len(s.Upstreams), ready, young(list.Syncing))
-		for _, u := range s.Upstreams {
-			f.say("  %s in zone %s, %d slots: %s", u.Instance, u.Zone, u.Slots, standing(u))
+		e.addService(t.Service, t.Weight/totalWeight, list)
+	}
+	e.addf("Among those, the sidecar where the request begins prefers its own zone while there is room; " +
+		"it leaves out for a moment those that failed or turned it away.")
+}
+
+// addService adds a service with its share of the route's requests and its upstreams.
+func (e *explanation) addService(service string, share float64, list *meshapi.UpstreamList) {
+	candidate := candidateService{Service: service, Share: share, Upstreams: []meshapi.Upstream{}}
+	ready := 0
+	for _, u := range list.Upstreams {
+		if u.Service != service {
+			continue
 		}
-		if ready == 0 {
-			f.say("  Nothing can run it there: it waits for an upstream while it has time, and is then turned away.")
+		candidate.Upstreams = append(candidate.Upstreams, u)
+		if reasonNotSent(u) == "" {
+			ready++
 		}
 	}
-	f.say("Among those, the sidecar where the request begins prefers its own zone while there is room; it leaves out for a moment those that failed or turned it away.")
+	e.Services = append(e.Services, candidate)
+	e.addf("Service %s gets %.3g%% of the route's requests; %s knows %d upstreams of it, %d of which are sent requests%s:",
+		service, 100*share, list.ReportedBy, len(candidate.Upstreams), ready, syncingNote(list.Syncing))
+	for _, u := range candidate.Upstreams {
+		e.addf("  %s in zone %s, %d slots: %s", u.Instance, u.Zone, u.Slots, condition(u))
+	}
+	if ready == 0 {
+		e.addf("  Nothing can run it there: it waits for an upstream while it has time, and is then turned away.")
+	}
 }
 
-// takes says why an upstream is sent nothing; empty: it is.
-func takes(u meshapi.Upstream) string {
+// reasonNotSent says why an upstream is sent nothing; empty: it is sent requests.
+func reasonNotSent(u meshapi.Upstream) string {
 	switch {
-	case u.State != "ready":
+	case u.State != meshapi.StateReady:
 		return u.State + ", nothing new is sent to it"
 	case u.Node == "":
 		return "no sidecar beside it is known, nothing is sent to it"
@@ -172,9 +209,10 @@
 	return ""
 }
 
-func standing(u meshapi.Upstream) string {
-	if no := takes(u); no != "" {
-		return no
+// condition says whether an upstream is sent requests, and why not.
+func condition(u meshapi.Upstream) string {
+	if reason := reasonNotSent(u); reason != "" {
+		return reason
 	}
 	if u.Stale {
 		return "ready, but nobody has vouched for it of late; it is still sent requests"
