--- a/internal/mesh/balancer/balancer.go
+++ b/internal/mesh/balancer/balancer.go
@@ -1,12 +1,17 @@
 // Package balancer decides, at the sidecar beside a caller, when and where each request goes: it is
-// an engine's decision module, free of I/O, with time passed in.
+// a decision module, with neither I/O nor a clock of its own.
 //
-// The design is the bulkhead's: each tenant, and each service for requests without one, has a
-// compartment of its own, a semaphore of slots with a short queue; who finds both full is refused
-// at once. A slot is held for an attempt's life. The upstream is the one whose turn it is by smooth
-// weighted round robin over those that are ready, weighted by the slots that they report. What this
-// sidecar knows of them beyond the catalogue is what their gates told with the last answers: one
-// that is full loses its turn.
+// Its design is the bulkhead: each tenant, and each service for requests without a tenant, has a
+// compartment, that is a number of slots and a short queue. A request that finds both full is
+// rejected at once. A slot is held for an attempt's life. The upstream is picked by smooth weighted
+// round robin over those that are ready, weighted by the slots that they report. What this sidecar
+// knows of their load is what their gates report with each response: a full one loses its turn.
+//
+// Promises: each request gets one answer; one that may have run is sent again only if it is
+// idempotent; a request is rejected only where it has not run; further attempts that reach an upstream
+// are charged to the retry budget.
+//
+// A Balancer has no goroutines. One goroutine drives it, as policy.Balancer says.
 package balancer
 
 import (
@@ -15,100 +20,48 @@
 	"caperarch/policy"
 )
 
-const (
-	// waitShare of the aim is the longest that a request may wait here and be refused still in
-	// time to be served elsewhere or later.
-	maxWaitFraction = 0.2
-	// urgentShare of all its time is the same for a request of the highest rank.
-	highestPriorityWaitFraction = 0.4
-	// errorShare of a service's requests may have another run after the upstream's own failure:
-	// one in so many is chance, more is a fault that further runs only feed (what a run calls is
-	// called again with it). errorMost may come at once.
-	errorRetryFraction = 0.02
-	maxErrorRetries    = 4
-	// pauseLeast and pauseMost bound what a refused client is told to wait.
-	minRetryAfter = 20 * time.Millisecond
-	maxRetryAfter = time.Second
-	// failPause is how long an upstream has no turns after a failure to reach it, doubled up to
-	// failDouble times.
-	failureBackoff      = 40 * time.Millisecond
-	maxBackoffDoublings = 4
-	// gatedFor is how long an upstream has no turns whose gate turned a request back, unless an
-	// answer tells of room before.
-	gateRejectionBackoff = 15 * time.Millisecond
-	// toldFor is how long a gate's word on its load is believed.
-	loadReportTTL = 400 * time.Millisecond
-	// nearFull is the share of an upstream's slots up to which one in the caller's own zone is
-	// preferred: crossing zones has a price, a queue a higher one.
-	localZoneLoadLimit = 0.75
-	// overFull is how far beyond its slots, as a share of them, an upstream is sent to where all
-	// are full: its gate's queue is short.
-	overloadAllowance = 0.5
-	// endMargin before its deadline a request is given up: an answer later than that comes too late.
-	deadlineMargin = 5 * time.Millisecond
-	// forgetAfter is how long an empty compartment that nobody asked for is kept.
-	idleCompartmentTTL = 30 * time.Second
-)
-
-// RequestClass is what a request asks for: policy.Request.Terms.
-type RequestClass struct {
-	Service       int // number of the service that is to run it, as policy.Server.Cell has it
-	Compartment   CompartmentSpec
-	Tenant        string        // "": none
-	Priority      int           // 0 goes first
-	Idempotent    bool          // it may run more than once
-	MaxAttempts   int           // upstreams that it may be sent to at most
-	LatencyTarget time.Duration // an answer within this is worth all
-}
+// deadlineMargin before its deadline a request is given up: a later answer would come too late.
+const deadlineMargin = 5 * time.Millisecond
 
-// RetryBudget bounds arrivals at a service after each request's first.
+// RetryBudget bounds the attempts of a service's requests that reach an upstream after the first one
+// that did. The service is given by its number.
 type RetryBudget interface {
+	// RecordRequest counts a request.
 	RecordRequest(now time.Duration, service int)
+	// Allowed says whether one more retry may be sent.
 	Allowed(now time.Duration, service int) bool
+	// Charge takes a retry that is sent from the budget.
 	Charge(now time.Duration, service int)
 }
 
 // Config is what a Balancer is made of.
 type Config struct {
-	Zone        int        // policy.Server.Zone of those beside us
+	Zone        int        // policy.Server.Zone of the upstreams in this sidecar's zone
 	Members     func() int // sidecars that share the upstreams, at least 1
 	RetryBudget RetryBudget
 }
 
-// Balancer is the module. One goroutine calls it.
+// Balancer is the decision module.
 type Balancer struct {
-	cfg              Config
-	host             policy.Host
-	requests         map[policy.RequestID]*request
-	servers          []*upstream // by id, so that turns are the same everywhere
-	compartments     map[string]*compartment
-	waiting          int
-	totalSlots       float64 // slots of all that are ready
-	members          int
-	virtualTime      map[int]float64 // time of round robin, by service
-	errorRetryCredit map[int]float64 // runs after a failure that a service has left
-	wakeAt           time.Duration
-	sweepAt          time.Duration
-	counters         policy.Counters
+	cfg      Config
+	host     policy.Host
+	requests map[policy.RequestID]*request
+
+	upstreams        []*upstream     // in the order of their ids, so that all sidecars pick alike
+	totalSlots       float64         // of the ready upstreams
+	virtualTime      map[int]float64 // of the round robin, by service
+	errorRetryCredit map[int]float64 // retries after a response of failure, by service
+
+	compartments map[string]*compartment
+	queued       int // in all compartments
+	members      int // that compartments are sized for
+
+	wakeAt   time.Duration // when Wake is due next; 0: nothing was asked for
+	sweepAt  time.Duration // when idle compartments are looked for next
+	counters policy.Counters
 }
 
-type request struct {
-	id              policy.RequestID
-	class           *RequestClass
-	compartment     *compartment
-	arrived         time.Duration
-	deadline        time.Duration
-	waitDeadline    time.Duration // it waits no longer than this before its first send
-	attempts        []attempt
-	arrivals        int // attempts that came to an upstream, or may have
-	chargedArrivals int // of the further ones, that the budget was charged with
-	inFlight        bool
-	holdsSlot       bool // it holds a slot of its compartment
-	answered        bool
-	mayHaveRun      bool // an attempt that failed may have run
-}
-
-// New makes one.
+// New makes a balancer without upstreams.
 func New(cfg Config, host policy.Host) *Balancer {
 	return &Balancer{
 		cfg: cfg, host: host, members: 1,
@@ -119,47 +72,56 @@
 	}
 }
 
-// Start begins its life.
+// Start does nothing: a balancer has nothing to do before its first list.
 func (b *Balancer) Start(time.Duration) {}
 
-// Request takes a request on.
+// Request takes a request: it is sent, queued or rejected at once. Its Terms are a *RequestClass.
 func (b *Balancer) Request(now time.Duration, q policy.Request) {
-	o, ok := q.Terms.(*RequestClass)
+	class, ok := q.Terms.(*RequestClass)
 	if !ok || q.Left <= deadlineMargin || b.requests[q.ID] != nil {
 		b.counters.Refused++
 		b.host.Refuse(q.ID, 0)
 		return
 	}
-	b.cfg.RetryBudget.RecordRequest(now, o.Service)
-	b.errorRetryCredit[o.Service] = min(maxErrorRetries, b.errorRetryCredit[o.Service]+errorRetryFraction)
-	r := &request{
-		id: q.ID, class: o, compartment: b.compartmentFor(now, o.Compartment), arrived: now, deadline: now + q.Left - deadlineMargin,
-	}
-	r.waitDeadline = min(r.deadline, now+time.Duration(maxWaitFraction*float64(o.LatencyTarget)))
-	if o.Priority == 0 { // an internal check has no other try, and takes the request that made it along
-		r.waitDeadline = min(r.deadline, max(r.waitDeadline, now+time.Duration(highestPriorityWaitFraction*float64(q.Left))))
-	}
+	b.cfg.RetryBudget.RecordRequest(now, class.Service)
+	b.earnErrorRetry(class.Service)
+	r := newRequest(now, q, class, b.compartmentFor(now, class.Compartment))
 	b.requests[q.ID] = r
-	b.dispatchQueued(now) // who waits goes first
-	if !r.compartment.hasWaiting(o.Service) && b.dispatch(now, r) {
+	b.dispatchQueued(now) // those that wait go first
+	if !r.compartment.hasWaiting(class.Service) && b.dispatch(now, r) {
 		return
 	}
 	if len(r.compartment.queue) >= r.compartment.queueSlots {
 		b.reject(r)
 		return
 	}
-	b.enqueue(now, r, false)
+	b.enqueue(now, r)
 }
 
-func (b *Balancer) scheduleWake(now, d time.Duration) {
-	d = max(d, time.Millisecond)
-	if b.wakeAt == 0 || now+d < b.wakeAt {
-		b.wakeAt = now + d
-		b.host.Wake(d)
+// Outcome takes the end of an attempt.
+func (b *Balancer) Outcome(now time.Duration, o policy.Outcome) {
+	r := b.requests[o.ID]
+	if r == nil || o.Attempt < 0 || o.Attempt >= len(r.attempts) || r.attempts[o.Attempt].done {
+		return
 	}
+	a := &r.attempts[o.Attempt]
+	a.done, r.inFlight = true, false
+	u := a.upstream
+	u.inFlight--
+	u.reportedLoad = max(0, u.reportedLoad-1)
+	if o.Load.Has&policy.HasInFlight != 0 && o.Ending != policy.NotSent {
+		u.reportedLoad, u.reportedAt = o.Load.InFlight, now
+	}
+	b.recordOutcome(now, a, o.Ending)
+	if r.answered || o.Settled || o.Ending == policy.Served {
+		b.complete(r)
+	} else {
+		b.retry(now, r, o.Ending)
+	}
+	b.dispatchQueued(now)
 }
 
-// Wake takes that a time asked for has come.
+// Wake sends what may be sent by now, rejects what has waited too long and drops idle compartments.
 func (b *Balancer) Wake(now time.Duration) {
 	if b.wakeAt > 0 && now >= b.wakeAt {
 		b.wakeAt = 0
@@ -168,32 +130,7 @@
 	b.removeIdleCompartments(now)
 }
 
-// feed gives free slots and turns to what waits, and refuses what waited too long.
-func (b *Balancer) dispatchQueued(now time.Duration) {
-	if b.waiting == 0 {
-		return
-	}
-	next := now + time.Hour
-	for _, c := range b.compartments {
-		for i := 0; i < len(c.queue); {
-			r := c.queue[i]
-			switch {
-			case now >= r.waitDeadline:
-				b.reject(r) // which takes it out
-			case b.dispatch(now, r):
-				b.dequeue(r)
-			default:
-				next = min(next, r.waitDeadline, b.nextAvailable(now, r))
-				i++
-			}
-		}
-	}
-	if b.waiting > 0 {
-		b.scheduleWake(now, next-now)
-	}
-}
-
-// ClientGone takes that a request's client has gone; its attempt is called off.
+// ClientGone ends a request whose client has left; its attempt is cancelled.
 func (b *Balancer) ClientGone(now time.Duration, id policy.RequestID) {
 	r := b.requests[id]
 	if r == nil || r.answered {
@@ -206,18 +143,39 @@
 	b.dispatchQueued(now)
 }
 
-// StreamBegun takes that an answer is its client's while it still comes.
+// StreamBegun records that a client has its answer while that still arrives.
 func (b *Balancer) StreamBegun(id policy.RequestID) {
 	if r := b.requests[id]; r != nil {
 		b.complete(r)
 	}
 }
 
-// Probed has nothing to tell: gates tell with every answer.
+// Probed does nothing: gates report with every response, and no health checks are made.
 func (b *Balancer) Probed(time.Duration, policy.ServerID, bool, policy.Load) {}
 
-// Reconfigure changes nothing: compartments are sized by the shares that requests bring.
+// Reconfigure does nothing: compartments are sized by the shares that requests bring.
 func (b *Balancer) Reconfigure(time.Duration, policy.Limits) error { return nil }
 
-// Counters tell what it did so far.
+// Counters tell what the balancer did since it was made.
 func (b *Balancer) Counters() policy.Counters { return b.counters }
+
+// complete closes a request that has its answer. It is dropped once none of its attempts is in
+// flight.
+func (b *Balancer) complete(r *request) {
+	r.answered = true
+	b.dequeue(r)
+	if r.inFlight {
+		return
+	}
+	b.releaseSlot(r)
+	delete(b.requests, r.id)
+}
+
+// scheduleWake asks for a Wake after d, unless an earlier one is due.
+func (b *Balancer) scheduleWake(now, d time.Duration) {
+	d = max(d, time.Millisecond)
+	if b.wakeAt == 0 || now+d < b.wakeAt {
+		b.wakeAt = now + d
+		b.host.Wake(d)
+	}
+}
--- a/internal/mesh/balancer/balancer_test.go
+++ b/internal/mesh/balancer/balancer_test.go
@@ -150,7 +150,7 @@
 		So(a.queue[0].id, ShouldEqual, policy.RequestID(a.slots+2))
 		So(s.advance(99*ms), ShouldBeEmpty)
 		So(s.advance(ms), ShouldHaveLength, a.queueSlots-1) // a fifth of the aim is over
-		So(s.p.waiting, ShouldEqual, 0)
+		So(s.p.queued, ShouldEqual, 0)
 	})
 	Convey("Internal checks have their least slots, and wait for a good part of their time", t, func() {
 		s := newScene(ready(1, 0, 20))
@@ -466,8 +466,8 @@
 				t.Fatalf("request %d has no answer", id)
 			}
 		}
-		if len(s.p.requests) > 0 || s.p.waiting > 0 {
-			t.Fatalf("%d requests are kept, %d wait", len(s.p.requests), s.p.waiting)
+		if len(s.p.requests) > 0 || s.p.queued > 0 {
+			t.Fatalf("%d requests are kept, %d wait", len(s.p.requests), s.p.queued)
 		}
 	})
 }
--- a/internal/mesh/balancer/compartment.go
+++ b/internal/mesh/balancer/compartment.go
@@ -7,49 +7,53 @@
 	"caperarch/internal/proxy/sizing"
 )
 
-// CompartmentSpec names a request's compartment and tells its part of all of them.
+// idleCompartmentTTL is how long an empty compartment is kept that no request asked for.
+const idleCompartmentTTL = 30 * time.Second
+
+// CompartmentSpec names a request's compartment and says how large it is.
 type CompartmentSpec struct {
 	Name     string
-	Share    float64 // of the slots of all compartments, above 0 and below 1
-	MinSlots int     // slots that it has at least: internal checks come many at once from few sidecars
+	Share    float64 // of the slots of all compartments, above 0 and at most 1
+	MinSlots int     // for internal checks, which arrive many at once from few sidecars
 }
 
+// compartment is the slots and the queue of a tenant or a service.
 type compartment struct {
 	name       string
 	share      float64
 	minSlots   int
-	slots      int
-	queueSlots int
-	used       int
+	slots      int // attempts that may be in flight
+	used       int // slots that requests hold
+	queueSlots int // requests that may be queued
 	queue      []*request
-	usedAt     time.Duration
+	usedAt     time.Duration // when a request asked for it last
 }
 
-// waits says whether a request for a service waits in a compartment.
+// hasWaiting says whether a request for a service is queued.
 func (c *compartment) hasWaiting(service int) bool {
 	return slices.ContainsFunc(c.queue, func(r *request) bool { return r.class.Service == service })
 }
 
-// compartment is the one of a name, sized by its share now.
-func (b *Balancer) compartmentFor(now time.Duration, w CompartmentSpec) *compartment {
-	c := b.compartments[w.Name]
+// compartmentFor is the compartment of a spec, sized by its share now.
+func (b *Balancer) compartmentFor(now time.Duration, spec CompartmentSpec) *compartment {
+	c := b.compartments[spec.Name]
 	if c == nil {
-		c = &compartment{name: w.Name}
-		b.compartments[w.Name] = c
+		c = &compartment{name: spec.Name}
+		b.compartments[spec.Name] = c
 	}
 	c.usedAt = now
 	if n := max(1, b.cfg.Members()); n != b.members {
 		b.members = n
 		b.resizeAll()
 	}
-	if c.share != w.Share || c.minSlots != w.MinSlots {
-		c.share, c.minSlots = w.Share, w.MinSlots
+	if c.share != spec.Share || c.minSlots != spec.MinSlots {
+		c.share, c.minSlots = spec.Share, spec.MinSlots
 		b.resize(c)
 	}
 	return c
 }
 
-// size derives a compartment's slots: by its share of what the slots of all ready upstreams come to
+// resize derives a compartment's slots: its share of what the slots of all ready upstreams come to
 // at one of so many sidecars, see sizing.Compartments.
 func (b *Balancer) resize(c *compartment) {
 	all, _ := sizing.Compartments(b.totalSlots*c.share, b.members, 0, -1, 1, []float64{1})
@@ -63,28 +67,8 @@
 	}
 }
 
-// wait puts a request into its compartment's queue.
-func (b *Balancer) enqueue(now time.Duration, r *request, first bool) {
-	b.counters.Queued++
-	b.waiting++
-	if first {
-		r.compartment.queue = slices.Insert(r.compartment.queue, 0, r)
-	} else {
-		r.compartment.queue = append(r.compartment.queue, r)
-	}
-	b.scheduleWake(now, min(r.waitDeadline, b.nextAvailable(now, r))-now)
-}
-
-// unwait takes a request out of its queue.
-func (b *Balancer) dequeue(r *request) {
-	if i := slices.Index(r.compartment.queue, r); i >= 0 {
-		r.compartment.queue = slices.Delete(r.compartment.queue, i, i+1)
-		b.waiting--
-	}
-}
-
-// sweep forgets compartments that are empty and were not asked for lately: tenants come and go with
-// configurations.
+// removeIdleCompartments drops the empty compartments that were not asked for lately, from time to
+// time: tenants come and go with configurations.
 func (b *Balancer) removeIdleCompartments(now time.Duration) {
 	if now < b.sweepAt {
 		return
@@ -97,8 +81,8 @@
 	}
 }
 
-// release gives a compartment's slot back.
-func (b *Balancer) release(r *request) {
+// releaseSlot gives the slot of its compartment back that a request holds, if any.
+func (b *Balancer) releaseSlot(r *request) {
 	if r.holdsSlot {
 		r.holdsSlot = false
 		r.compartment.used--
