--- a/internal/mesh/watch/contact_test.go
+++ b/internal/mesh/watch/contact_test.go
@@ -20,10 +20,10 @@
 	"caperarch/internal/mesh/rpc"
 )
 
-func (s *sidecar) holds() (version int64, back bool) {
+func (s *sidecar) applied() (version int64, back bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.version, s.back
+	return s.version, s.wentBack
 }
 
 // moves counts how often a sidecar goes to another member, and notes when it last did.
@@ -33,33 +33,33 @@
 	last  time.Duration
 }
 
-func (m *moves) look(s *sidecar, now time.Duration) {
+func (m *moves) observe(s *sidecar, now time.Duration) {
 	if at := s.Peers()[0]; at != m.at {
 		m.at, m.count, m.last = at, m.count+1, now
 	}
 }
 
-// moveBound is how long after a member's last contact its sidecars are elsewhere: its contact runs out, it looks at it,
+// maxMoveTime is how long after a member's last contact its sidecars are elsewhere: its contact runs out, it looks at it,
 // the sidecar asks the others, and opens a watch.
-const moveBound = maxContactAge + tickInterval + probeTimeout + 50*ms
+const maxMoveTime = maxContactAge + tickInterval + probeTimeout + 50*ms
 
 // isolate cuts the first member from the two others, in the log and between the members.
 func isolate(n *network, q *majority) {
 	for _, i := range []int{1, 2} {
-		q.cut(0, i)
-		q.cut(i, 0)
-		n.sever(all[0], all[i])
-		n.sever(all[i], all[0])
+		q.sever(0, i)
+		q.sever(i, 0)
+		n.sever(memberAddresses[0], memberAddresses[i])
+		n.sever(memberAddresses[i], memberAddresses[0])
 	}
 }
 
-func TestMemberCutFromTheMajority(t *testing.T) {
-	mesh(t, "A member that is cut off for 20 s hands out nothing old, and its sidecars are elsewhere in time", func(n *network, m []*member, c []*sidecar) {
+func TestPartitionedMember(t *testing.T) {
+	runMesh(t, "A member that is cut off for 20 s hands out nothing old, and its sidecars are elsewhere in time", func(n *network, m []*member, c []*sidecar) {
 		q := newMajority(m)
 		defer close(q.done)
-		pass(time.Second)
+		advance(time.Second)
 		isolate(n, q)
-		for _, to := range all[1:] {
+		for _, to := range memberAddresses[1:] {
 			n.sever("new", to)
 		}
 		q.change(func() { q.leader = 1 })
@@ -67,49 +67,49 @@
 		c[1].change(func() { c[1].up.State, c[1].up.Sequence = registry.Draining, 2 })
 		c[1].RenewNow()
 		So(m[1].Heartbeat(registry.Upstream{Instance: "i-c3", State: registry.Deregistered}), ShouldBeNil)
-		newcomer := n.sidecar("new", "zone-m1:1", all[0])
+		newcomer := n.sidecar("new", "zone-m1:1", memberAddresses[0])
 		defer newcomer.stop()
 		newcomer.change(func() { newcomer.up.Instance = "" }) // it vouches for nothing here
-		moved := moves{at: all[0]}
+		moved := moves{at: memberAddresses[0]}
 		raw := rpc.NewClient(time.Second)
 		defer raw.CloseIdleConnections()
-		old, _ := c[0].holds()
-		q.pass(20*time.Second, true, func(now time.Duration) {
-			moved.look(c[0], now)
-			if now > moveBound {
-				held, _ := c[0].holds()
-				if held < q.committed {
-					t.Fatalf("after %v the sidecar holds version %d, not %d", now, held, q.committed)
+		old, _ := c[0].applied()
+		q.run(20*time.Second, true, func(now time.Duration) {
+			moved.observe(c[0], now)
+			if now > maxMoveTime {
+				version, _ := c[0].applied()
+				if version < q.committed {
+					t.Fatalf("after %v the sidecar holds version %d, not %d", now, version, q.committed)
 				}
 			}
 			if now < maxContactAge {
 				return // it may not know yet
 			}
-			if held, _ := newcomer.holds(); held > old {
-				t.Fatalf("after %v the newcomer got version %d of a member that is cut off", now, held)
+			if version, _ := newcomer.applied(); version > old {
+				t.Fatalf("after %v the newcomer got version %d of a member that is cut off", now, version)
 			}
 		})
 		So(moved.count, ShouldEqual, 1)
-		So(moved.last, ShouldBeBetween, time.Duration(0), moveBound)
-		_, err := rpc.Call[watchRequest, struct{}](context.Background(), c[0].cfg.HTTP, "http://"+all[0]+watchPath, &watchRequest{Node: "x"})
+		So(moved.last, ShouldBeBetween, time.Duration(0), maxMoveTime)
+		_, err := rpc.Call[watchRequest, struct{}](context.Background(), c[0].cfg.HTTP, "http://"+memberAddresses[0]+watchPath, &watchRequest{Node: "x"})
 		So(errs.KindOf(err), ShouldEqual, errs.NoQuorum)
-		answer, err := rpc.Call[registry.Lease, LeaseResponse](context.Background(), c[0].cfg.HTTP, "http://"+all[0]+leasePath, &registry.Lease{Node: "x", Incarnation: 1, Sequence: 1})
+		answer, err := rpc.Call[registry.Lease, LeaseResponse](context.Background(), c[0].cfg.HTTP, "http://"+memberAddresses[0]+leasePath, &registry.Lease{Node: "x", Incarnation: 1, Sequence: 1})
 		So(err, ShouldBeNil)
 		So(answer.Contact.OK || answer.CaughtUp, ShouldBeFalse)
 
 		// Back in contact it tells of nothing that is gone, and of nobody as ready who drains.
 		q.heal()
-		pass(2 * heartbeatEvery)
+		advance(2 * leaderInterval)
 		n.heal()
-		for _, to := range all[1:] {
+		for _, to := range memberAddresses[1:] {
 			n.sever("new", to)
 			n.sever("later", to)
 		}
-		later := n.sidecar("later", "zone-m1:1", all[0])
+		later := n.sidecar("later", "zone-m1:1", memberAddresses[0])
 		defer later.stop()
-		q.pass(5*time.Second, true, func(now time.Duration) {
+		q.run(5*time.Second, true, func(now time.Duration) {
 			for _, s := range []*sidecar{later, newcomer} {
-				sees := s.sees()
+				sees := s.upstreams()
 				if s == newcomer && now < maxRegistryDelay {
 					continue // it came before the member knew that it was cut off
 				}
@@ -117,128 +117,128 @@
 					t.Fatalf("%v after its return the member tells of %s", now, sees)
 				}
 			}
-			moved.look(c[0], now)
+			moved.observe(c[0], now)
 		})
-		So(newcomer.sees(), ShouldContainSubstring, "i-c2!")
-		So(later.sees(), ShouldContainSubstring, "i-c2!")
-		held, _ := newcomer.holds()
-		So(held, ShouldEqual, q.committed)
+		So(newcomer.upstreams(), ShouldContainSubstring, "i-c2!")
+		So(later.upstreams(), ShouldContainSubstring, "i-c2!")
+		version, _ := newcomer.applied()
+		So(version, ShouldEqual, q.committed)
 		So(moved.count, ShouldEqual, 1)
 		for _, s := range append(c, newcomer) {
-			_, back := s.holds()
+			_, back := s.applied()
 			So(back, ShouldBeFalse)
 		}
 	})
 }
 
-func TestSidecarsLeaveInTime(t *testing.T) {
+func TestSidecarsLeavePartitionedMemberInTime(t *testing.T) {
 	for offset := time.Duration(0); offset < renewInterval; offset += 100 * ms {
-		mesh(t, "Wherever in the time between two renewals a cut falls, the sidecar is elsewhere in time", func(n *network, m []*member, c []*sidecar) {
+		runMesh(t, "Wherever in the time between two renewals a cut falls, the sidecar is elsewhere in time", func(n *network, m []*member, c []*sidecar) {
 			q := newMajority(m)
 			defer close(q.done)
-			pass(time.Second + offset)
+			advance(time.Second + offset)
 			isolate(n, q)
 			q.change(func() { q.leader = 1 })
-			q.pass(moveBound, true, nil)
-			So(c[0].Peers()[0], ShouldNotEqual, all[0])
+			q.run(maxMoveTime, true, nil)
+			So(c[0].Peers()[0], ShouldNotEqual, memberAddresses[0])
 			So(c[0].Connected(), ShouldBeTrue)
-			held, _ := c[0].holds()
-			So(held, ShouldEqual, q.committed)
+			version, _ := c[0].applied()
+			So(version, ShouldEqual, q.committed)
 		})
 	}
 }
 
-func TestOneWayCuts(t *testing.T) {
-	mesh(t, "A leader that is not heard back ages everywhere at once, and no sidecar runs to and fro", func(n *network, m []*member, c []*sidecar) {
+func TestOneWayPartitions(t *testing.T) {
+	runMesh(t, "A leader that is not heard back ages everywhere at once, and no sidecar runs to and fro", func(n *network, m []*member, c []*sidecar) {
 		q := newMajority(m)
 		defer close(q.done)
-		pass(time.Second)
+		advance(time.Second)
 		q.change(func() { q.lag = []time.Duration{0, 200 * ms, 400 * ms} })
-		pass(time.Second)
+		advance(time.Second)
 		// The leader is heard, and hears nobody. Whatever it commits then nobody may be told.
-		q.cut(1, 0)
-		q.cut(2, 0)
-		where := []moves{{at: all[0]}, {at: all[1]}, {at: all[2]}}
-		q.pass(maxContactAge+tickInterval, false, func(now time.Duration) {
+		q.sever(1, 0)
+		q.sever(2, 0)
+		where := []moves{{at: memberAddresses[0]}, {at: memberAddresses[1]}, {at: memberAddresses[2]}}
+		q.run(maxContactAge+tickInterval, false, func(now time.Duration) {
 			for i, s := range c {
-				where[i].look(s, now)
+				where[i].observe(s, now)
 			}
 		})
 		for _, one := range m {
-			one.put(99)
+			one.publish(99)
 		}
-		q.pass(10*time.Second, false, func(now time.Duration) {
+		q.run(10*time.Second, false, func(now time.Duration) {
 			for i, s := range c {
-				where[i].look(s, now)
+				where[i].observe(s, now)
 				if !s.Connected() {
 					t.Fatalf("after %v a sidecar has left, and had nowhere to go", now)
 				}
-				if held, _ := s.holds(); held == 99 {
+				if version, _ := s.applied(); version == 99 {
 					t.Fatalf("after %v a version was told without contact", now)
 				}
 			}
 		})
 		q.heal()
-		q.pass(time.Second, false, nil)
+		q.run(time.Second, false, nil)
 		for i, s := range c {
 			So(where[i].count, ShouldEqual, 0)
 			So(s.Connected(), ShouldBeTrue)
-			held, _ := s.holds()
-			So(held, ShouldEqual, 99)
+			version, _ := s.applied()
+			So(version, ShouldEqual, 99)
 		}
 		// A member that the leader does not hear is in contact: others confirm the leader, and it hears of that.
 		q.change(func() { q.committed = 100 })
-		q.cut(2, 0)
-		q.pass(5*time.Second, true, nil)
-		held, _ := c[2].holds()
-		So(held, ShouldEqual, q.committed)
-		So(c[2].Peers()[0], ShouldEqual, all[2])
+		q.sever(2, 0)
+		q.run(5*time.Second, true, nil)
+		version, _ := c[2].applied()
+		So(version, ShouldEqual, q.committed)
+		So(c[2].Peers()[0], ShouldEqual, memberAddresses[2])
 	})
 }
 
 func TestMemberThatHasNotApplied(t *testing.T) {
-	mesh(t, "A member that hears the leader and has not applied what it says serves nobody", func(n *network, m []*member, c []*sidecar) {
+	runMesh(t, "A member that hears the leader and has not applied what it says serves nobody", func(n *network, m []*member, c []*sidecar) {
 		q := newMajority(m)
 		defer close(q.done)
-		q.change(func() { q.behind[2] = true })
-		q.pass(5*time.Second, true, nil)
-		So(c[2].Peers()[0], ShouldNotEqual, all[2])
-		held, back := c[2].holds()
-		So(held, ShouldEqual, q.committed)
+		q.change(func() { q.notApplied[2] = true })
+		q.run(5*time.Second, true, nil)
+		So(c[2].Peers()[0], ShouldNotEqual, memberAddresses[2])
+		version, back := c[2].applied()
+		So(version, ShouldEqual, q.committed)
 		So(back, ShouldBeFalse)
-		n.sever("new", all[0])
-		n.sever("new", all[1])
-		newcomer := n.sidecar("new", "zone-m3:1", all[2])
+		n.sever("new", memberAddresses[0])
+		n.sever("new", memberAddresses[1])
+		newcomer := n.sidecar("new", "zone-m3:1", memberAddresses[2])
 		defer newcomer.stop()
-		q.pass(5*time.Second, true, nil)
-		So(newcomer.heard(), ShouldBeEmpty)
-		q.change(func() { q.behind[2] = false })
-		q.pass(2*time.Second, true, nil)
-		held, _ = newcomer.holds()
-		So(held, ShouldEqual, q.committed)
+		q.run(5*time.Second, true, nil)
+		So(newcomer.configFrames(), ShouldBeEmpty)
+		q.change(func() { q.notApplied[2] = false })
+		q.run(2*time.Second, true, nil)
+		version, _ = newcomer.applied()
+		So(version, ShouldEqual, q.committed)
 	})
 }
 
 func TestFrozenMember(t *testing.T) {
-	mesh(t, "A member that is frozen within a frame never ends it, and one that wakes has to hear from the others first", func(n *network, m []*member, c []*sidecar) {
+	runMesh(t, "A member that is frozen within a frame never ends it, and one that wakes has to hear from the others first", func(n *network, m []*member, c []*sidecar) {
 		q := newMajority(m)
 		defer close(q.done)
-		pass(time.Second)
+		advance(time.Second)
 		// It has looked at its contact, reads the configuration, and stands still until after the next two changes.
 		m[0].configs.mu.Lock()
 		m[0].configs.stall = time.Second
 		m[0].configs.mu.Unlock()
-		for _, to := range all[1:] {
+		for _, to := range memberAddresses[1:] {
 			n.sever("new", to)
 		}
-		newcomer := n.sidecar("new", "zone-m1:1", all[0])
+		newcomer := n.sidecar("new", "zone-m1:1", memberAddresses[0])
 		defer newcomer.stop()
 		synctest.Wait()
 		q.change(func() { q.known[0] = q.known[0].Add(-maxContactAge) })
-		q.cut(1, 0)
+		q.sever(1, 0)
 		q.change(func() { q.leader = 1 })
-		q.pass(3*time.Second, true, nil)
-		So(newcomer.heard(), ShouldBeEmpty)
+		q.run(3*time.Second, true, nil)
+		So(newcomer.configFrames(), ShouldBeEmpty)
 
 		still := NewServer(ServerConfig{
 			Self: "x", Epoch: 1, ConfigSource: &configs{}, Log: zap.NewNop(), Peers: func() []string { return nil },
@@ -247,11 +247,11 @@
 		So(still.checkContact().OK, ShouldBeTrue)
 		So(still.registryDelayedUntil, ShouldEqual, 0) // at the first contact nothing is from before
 		for range 20 {
-			pass(syncingPeriod / 10)
+			advance(syncingPeriod / 10)
 			still.checkContact()
 		}
 		So(still.Syncing(), ShouldBeFalse)
-		pass(10 * time.Second) // and was renewed before it looked
+		advance(10 * time.Second) // and was renewed before it looked
 		So(still.checkContact().OK, ShouldBeTrue)
 		So(still.Syncing(), ShouldBeTrue)
 		So(still.registryDelayedUntil, ShouldBeGreaterThan, still.now())
@@ -275,53 +275,53 @@
 	}
 }
 
-func TestAgesAddUp(t *testing.T) {
-	mesh(t, "Who follows a follower never takes its knowledge for younger than it is", func(n *network, m []*member, c []*sidecar) {
+func TestContactAgesAddUp(t *testing.T) {
+	runMesh(t, "Who follows a follower never takes its knowledge for younger than it is", func(n *network, m []*member, c []*sidecar) {
 		q := newMajority(m)
 		defer close(q.done)
 		reader := n.member("r:1", 7)
 		defer reader.stop()
-		follower := n.sidecar("reader", "zone-m1:1", all[0])
+		follower := n.sidecar("reader", "zone-m1:1", memberAddresses[0])
 		defer follower.stop()
 		reader.mu.Lock()
 		reader.contactOf = follower.ContactAge
 		reader.mu.Unlock()
 		last := n.sidecar("last", "zone-r:1", "r:1")
 		defer last.stop()
-		for _, to := range all {
+		for _, to := range memberAddresses {
 			n.sever("last", to) // it has the reader alone
 		}
-		q.pass(3*time.Second, true, func(time.Duration) {
-			if held, _ := follower.holds(); held > reader.configs.Current() {
-				reader.put(held)
+		q.run(3*time.Second, true, func(time.Duration) {
+			if version, _ := follower.applied(); version > reader.configs.Current() {
+				reader.publish(version)
 			}
 		})
-		held, _ := last.holds()
-		So(held, ShouldEqual, q.committed)
+		version, _ := last.applied()
+		So(version, ShouldEqual, q.committed)
 
 		for _, i := range []int{1, 2} {
-			q.cut(i, 0) // the leader is heard and hears nobody
+			q.sever(i, 0) // the leader is heard and hears nobody
 		}
 		q.change(func() { q.committed++ })
 		end := time.Now()
-		before, _ := last.holds()
-		q.pass(10*time.Second, false, func(now time.Duration) {
+		before, _ := last.applied()
+		q.run(10*time.Second, false, func(now time.Duration) {
 			age, ok := follower.ContactAge()
 			if !ok || age < time.Since(end) {
 				t.Fatalf("%v after the last round the reader says %v", now, age)
 			}
 			if now > maxContactAge {
-				reader.put(1000)
+				reader.publish(1000)
 			}
-			if held, _ := last.holds(); held > before+1 {
-				t.Fatalf("%v after the last round a reader told of version %d", now, held)
+			if version, _ := last.applied(); version > before+1 {
+				t.Fatalf("%v after the last round a reader told of version %d", now, version)
 			}
 			if now > maxContactAge && reader.Server.checkContact().OK {
 				t.Fatalf("%v after the last round the reader takes itself for in contact", now)
 			}
 		})
 	})
-	mesh(t, "An answer that was long on its way proves no more than when it was asked for", func(n *network, m []*member, c []*sidecar) {
+	runMesh(t, "An answer that was long on its way proves no more than when it was asked for", func(n *network, m []*member, c []*sidecar) {
 		stop := n.scripted("slow:1", func(w http.ResponseWriter, _ *http.Request) {
 			time.Sleep(callTimeout - 100*ms)
 			_ = json.NewEncoder(w).Encode(LeaseResponse{Contact: Contact{OK: true, Age: 50 * ms}, CaughtUp: true})
@@ -335,12 +335,12 @@
 		defer stop()
 		s := n.sidecar("new", "", "slow:1")
 		defer s.stop()
-		pass(callTimeout - 90*ms)
+		advance(callTimeout - 90*ms)
 		age, ok := s.ContactAge()
 		So(ok, ShouldBeTrue)
 		So(age, ShouldBeBetween, callTimeout-51*ms, callTimeout)
 	})
-	mesh(t, "A first configuration that was long on its way is asked about before it is taken", func(n *network, m []*member, c []*sidecar) {
+	runMesh(t, "A first configuration that was long on its way is asked about before it is taken", func(n *network, m []*member, c []*sidecar) {
 		var mu sync.Mutex
 		contact := Contact{OK: false}
 		stop := n.scripted("woken:1", func(w http.ResponseWriter, _ *http.Request) {
@@ -360,37 +360,37 @@
 		defer stop()
 		s := n.sidecar("new", "", "woken:1")
 		defer s.stop()
-		pass(5 * time.Second)
-		So(s.heard(), ShouldBeEmpty)
+		advance(5 * time.Second)
+		So(s.configFrames(), ShouldBeEmpty)
 		mu.Lock()
 		contact.OK = true
 		mu.Unlock()
-		pass(5 * time.Second)
-		So(s.heard(), ShouldContain, "[5]")
+		advance(5 * time.Second)
+		So(s.configFrames(), ShouldContain, "[5]")
 	})
 }
 
 func TestLeavingWithoutContact(t *testing.T) {
-	mesh(t, "A sidecar that leaves tells one that can tell others", func(n *network, m []*member, c []*sidecar) {
-		m[0].contact(false)
+	runMesh(t, "A sidecar that leaves tells one that can tell others", func(n *network, m []*member, c []*sidecar) {
+		m[0].setContact(false)
 		for _, i := range []int{1, 2} {
-			n.sever(all[0], all[i])
-			n.sever(all[i], all[0])
+			n.sever(memberAddresses[0], memberAddresses[i])
+			n.sever(memberAddresses[i], memberAddresses[0])
 		}
 		So(c[0].Leave(context.Background()), ShouldBeNil)
-		pass(30 * ms)
-		So(c[1].sees(), ShouldEqual, "i-c2 i-c3")
-		for _, to := range all[1:] {
+		advance(30 * ms)
+		So(c[1].upstreams(), ShouldEqual, "i-c2 i-c3")
+		for _, to := range memberAddresses[1:] {
 			n.sever("c1", to)
 		}
 		So(c[0].Leave(context.Background()), ShouldBeNil)
-		n.sever("c1", all[0])
+		n.sever("c1", memberAddresses[0])
 		So(errs.KindOf(c[0].Leave(context.Background())), ShouldEqual, errs.Unreachable)
 	})
-	mesh(t, "What one member said of its contact counts against no other", func(n *network, m []*member, c []*sidecar) {
+	runMesh(t, "What one member said of its contact counts against no other", func(n *network, m []*member, c []*sidecar) {
 		stop := n.scripted("out:1", func(w http.ResponseWriter, _ *http.Request) {
 			time.Sleep(100 * ms)
-			peers := []Peer{{Address: all[0]}, {Address: all[1]}, {Address: all[2]}}
+			peers := []Peer{{Address: memberAddresses[0]}, {Address: memberAddresses[1]}, {Address: memberAddresses[2]}}
 			_ = json.NewEncoder(w).Encode(LeaseResponse{Peers: peers})
 		}, func(w http.ResponseWriter, r *http.Request) {
 			for r.Context().Err() == nil {
@@ -404,14 +404,14 @@
 		defer s.stop()
 		moved := moves{at: "out:1"}
 		for now := time.Duration(0); now < 3*time.Second; now += 5 * ms {
-			pass(5 * ms)
-			moved.look(s, now)
+			advance(5 * ms)
+			moved.observe(s, now)
 		}
 		So(moved.count, ShouldEqual, 1)
 	})
 }
 
-func TestRegistryHold(t *testing.T) {
+func TestRegistryDelay(t *testing.T) {
 	Convey("Registry news waits until each member has answered or was not reached, and one has answered, or for its bound", t, func() {
 		one, two := newGossipPeer("a:1", nil), newGossipPeer("b:1", nil)
 		s := &Server{registryDelayedUntil: maxRegistryDelay, peers: map[string]*gossipPeer{"a:1": one, "b:1": two}}
@@ -427,7 +427,7 @@
 	})
 }
 
-func TestWhatAnswersProve(t *testing.T) {
+func TestWhatResponsesProve(t *testing.T) {
 	Convey("An answer without contact proves nothing, lowers no count and takes no member away", t, func() {
 		c := NewClient(ClientConfig{Zone: "z"})
 		now := time.Now()
@@ -447,17 +447,17 @@
 	})
 }
 
-func TestGossipThatComesLate(t *testing.T) {
-	mesh(t, "A message between members that was held for long vouches for nobody", func(n *network, m []*member, c []*sidecar) {
+func TestLateGossipExtendsNothing(t *testing.T) {
+	runMesh(t, "A message between members that was held for long vouches for nobody", func(n *network, m []*member, c []*sidecar) {
 		now := m[0].now()
 		up := registry.Upstream{Instance: "late", Service: "s", Address: "late:80", Inbound: "late:90", Sequence: 1}
 		message := func(echo clockReading, node string) *gossipRequest {
-			return &gossipRequest{From: all[1], Echo: echo, Leases: []registry.RemoteLease{{
+			return &gossipRequest{From: memberAddresses[1], Echo: echo, Leases: []registry.RemoteLease{{
 				Lease: registry.Lease{Node: node, Incarnation: 1, Sequence: 1, Upstream: &up}, Remaining: registry.LeaseTTL,
 			}}}
 		}
 		late := message(m[0].clock(now), "late")
-		pass(registry.LeaseTTL)
+		advance(registry.LeaseTTL)
 		for _, q := range []*gossipRequest{late, message(clockReading{99, m[0].now()}, "foreign")} {
 			_, err := m[0].receiveGossip(nil, q)
 			So(err, ShouldBeNil)
--- a/internal/mesh/watch/watch_test.go
+++ b/internal/mesh/watch/watch_test.go
@@ -24,10 +24,10 @@
 
 // network joins hosts by pipes within a bubble of synctest, so that time is virtual. A cut link refuses and breaks off.
 type network struct {
-	mu    sync.Mutex
-	ports map[string]*port
-	cut   map[string]bool
-	links map[string][]net.Conn
+	mu      sync.Mutex
+	ports   map[string]*port
+	severed map[string]bool
+	links   map[string][]net.Conn
 }
 
 type port struct {
@@ -52,7 +52,7 @@
 		n.mu.Lock()
 		defer n.mu.Unlock()
 		p := n.ports[to]
-		if p == nil || n.cut[from+to] {
+		if p == nil || n.severed[from+to] {
 			return nil, io.ErrClosedPipe
 		}
 		here, there := net.Pipe()
@@ -65,7 +65,7 @@
 func (n *network) sever(from, to string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.cut[from+to] = true
+	n.severed[from+to] = true
 	for _, c := range n.links[from+to] {
 		_ = c.Close()
 	}
@@ -74,7 +74,7 @@
 func (n *network) heal() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	clear(n.cut)
+	clear(n.severed)
 }
 
 // configs is a log of numbered changes: version v has the frame `v`, and the whole is `[v]`.
@@ -110,12 +110,12 @@
 	*Server
 	configs   *configs
 	mu        sync.Mutex
-	outside   bool
-	contactOf func() (time.Duration, bool) // nil: by outside
+	noContact bool
+	contactOf func() (time.Duration, bool) // nil: by noContact
 	stop      func()
 }
 
-func (m *member) put(version int64) {
+func (m *member) publish(version int64) {
 	m.configs.mu.Lock()
 	m.configs.version = version
 	m.configs.mu.Unlock()
@@ -124,27 +124,27 @@
 
 func (m *member) contactAge() (time.Duration, bool) {
 	m.mu.Lock()
-	contactOf, outside := m.contactOf, m.outside
+	contactOf, noContact := m.contactOf, m.noContact
 	m.mu.Unlock()
 	if contactOf != nil {
 		return contactOf()
 	}
-	return 0, !outside
+	return 0, !noContact
 }
 
-func (m *member) contact(in bool) {
+func (m *member) setContact(in bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.outside = !in
+	m.noContact = !in
 }
 
-var all = []string{"m1:1", "m2:1", "m3:1"}
+var memberAddresses = []string{"m1:1", "m2:1", "m3:1"}
 
 func (n *network) member(name string, epoch uint64) *member {
 	m := &member{configs: &configs{}}
 	client := n.client(name)
 	m.Server = NewServer(ServerConfig{
-		Self: name, Zone: "zone-" + name, Epoch: epoch, Peers: func() []string { return all }, ConfigSource: m.configs,
+		Self: name, Zone: "zone-" + name, Epoch: epoch, Peers: func() []string { return memberAddresses }, ConfigSource: m.configs,
 		Contact: m.contactAge,
 		HTTP:    client, Log: zap.NewNop(),
 	})
@@ -173,20 +173,20 @@
 
 type sidecar struct {
 	*Client
-	mu       sync.Mutex
-	up       registry.Upstream
-	services []string
-	refuse   bool
-	version  int64
-	back     bool // a version older than the one held came
-	frames   []string
-	held     map[string]registry.Upstream
-	fulls    int
-	stop     func()
+	mu         sync.Mutex
+	up         registry.Upstream
+	services   []string
+	rejectNext bool
+	version    int64
+	wentBack   bool // a version older than the one held came
+	frames     []string
+	known      map[string]registry.Upstream
+	fulls      int
+	stop       func()
 }
 
 func (n *network) sidecar(name, zone string, seeds ...string) *sidecar {
-	s := &sidecar{held: map[string]registry.Upstream{}, up: registry.Upstream{
+	s := &sidecar{known: map[string]registry.Upstream{}, up: registry.Upstream{
 		Instance: "i-" + name, Service: "s-" + name, Address: name + ":80", Inbound: name + ":90", Sequence: 1,
 	}}
 	client := n.client(name)
@@ -206,13 +206,13 @@
 			s.mu.Lock()
 			defer s.mu.Unlock()
 			s.frames = append(s.frames, string(f))
-			if s.refuse {
-				s.refuse = false
+			if s.rejectNext {
+				s.rejectNext = false
 				return false
 			}
 			var v int64
 			_, _ = fmt.Sscanf(strings.Trim(string(f), "[]"), "%d", &v)
-			s.back = s.back || v < s.version
+			s.wentBack = s.wentBack || v < s.version
 			s.version = max(s.version, v)
 			s.RenewNow()
 			return true
@@ -222,13 +222,13 @@
 			defer s.mu.Unlock()
 			if full {
 				s.fulls++
-				clear(s.held)
+				clear(s.known)
 			}
 			for _, u := range upserts {
-				s.held[u.Instance] = u
+				s.known[u.Instance] = u
 			}
 			for _, instance := range removals {
-				delete(s.held, instance)
+				delete(s.known, instance)
 			}
 		},
 		Services: func() []string { s.mu.Lock(); defer s.mu.Unlock(); return s.services },
@@ -241,11 +241,11 @@
 }
 
 // sees gives the instances held, the stale with a question mark and the draining with an exclamation mark.
-func (s *sidecar) sees() string {
+func (s *sidecar) upstreams() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var list []string
-	for _, u := range s.held {
+	for _, u := range s.known {
 		mark := ""
 		if u.Stale {
 			mark = "?"
@@ -262,28 +262,28 @@
 func (s *sidecar) inbound(instance string) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.held[instance].Inbound
+	return s.known[instance].Inbound
 }
 
-func (s *sidecar) heard() []string {
+func (s *sidecar) configFrames() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.frames)
 }
 
-func (s *sidecar) replaced() int {
+func (s *sidecar) fullUpdates() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.fulls
 }
 
-func (s *sidecar) leases() uint64 {
+func (s *sidecar) leasesSent() uint64 {
 	s.Client.mu.Lock()
 	defer s.Client.mu.Unlock()
 	return s.leaseSequence
 }
 
-func (m *member) watched() int {
+func (m *member) openWatches() int {
 	m.Server.mu.Lock()
 	defer m.Server.mu.Unlock()
 	return len(m.sessions)
@@ -296,7 +296,7 @@
 }
 
 // pass lets virtual time go by and everything settle.
-func pass(d time.Duration) {
+func advance(d time.Duration) {
 	time.Sleep(d)
 	synctest.Wait()
 }
@@ -305,107 +305,107 @@
 
 // mesh plays a trace in a bubble with three members and the sidecars c1 to c3, each in the zone of a member, after all
 // have settled.
-func mesh(t *testing.T, what string, trace func(n *network, m []*member, c []*sidecar)) {
+func runMesh(t *testing.T, what string, scenario func(n *network, m []*member, c []*sidecar)) {
 	synctest.Test(t, func(t *testing.T) {
-		n := &network{ports: map[string]*port{}, cut: map[string]bool{}, links: map[string][]net.Conn{}}
+		n := &network{ports: map[string]*port{}, severed: map[string]bool{}, links: map[string][]net.Conn{}}
 		var m []*member
 		var c []*sidecar
-		for i, name := range all {
+		for i, name := range memberAddresses {
 			m = append(m, n.member(name, uint64(i+1)))
 		}
-		for i, name := range all {
-			c = append(c, n.sidecar(fmt.Sprint("c", i+1), "zone-"+name, all[0]))
+		for i, name := range memberAddresses {
+			c = append(c, n.sidecar(fmt.Sprint("c", i+1), "zone-"+name, memberAddresses[0]))
 		}
 		defer func() {
-			for i := range all {
+			for i := range memberAddresses {
 				c[i].stop()
 				m[i].stop()
 			}
 		}()
-		pass(5 * time.Second)
+		advance(5 * time.Second)
 		Convey(what, t, func() {
 			for i, s := range c {
 				So(s.Connected(), ShouldBeTrue)
-				So(s.Peers()[0], ShouldEqual, all[i])
-				So(s.sees(), ShouldEqual, "i-c1 i-c2 i-c3")
+				So(s.Peers()[0], ShouldEqual, memberAddresses[i])
+				So(s.upstreams(), ShouldEqual, "i-c1 i-c2 i-c3")
 				So(s.Members(), ShouldEqual, 3)
 			}
-			trace(n, m, c)
+			scenario(n, m, c)
 		})
 	})
 }
 
-func TestNewsReachesAll(t *testing.T) {
-	mesh(t, "Upstreams and configs reach every sidecar at once, and each is counted", func(_ *network, m []*member, c []*sidecar) {
+func TestUpdatesReachAllSidecars(t *testing.T) {
+	runMesh(t, "Upstreams and configs reach every sidecar at once, and each is counted", func(_ *network, m []*member, c []*sidecar) {
 		c[2].change(func() { c[2].up.State, c[2].up.Sequence = registry.Draining, 2 })
 		c[2].RenewNow()
-		pass(15 * ms)
-		So(c[0].sees()+","+c[1].sees(), ShouldEqual, "i-c1 i-c2 i-c3!,i-c1 i-c2 i-c3!")
+		advance(15 * ms)
+		So(c[0].upstreams()+","+c[1].upstreams(), ShouldEqual, "i-c1 i-c2 i-c3!,i-c1 i-c2 i-c3!")
 
 		So(m[0].Behind(7), ShouldEqual, 3)
 		for _, one := range m {
-			one.put(7)
+			one.publish(7)
 		}
 		began := time.Now()
 		So(m[0].WaitApplied(context.Background(), 7), ShouldEqual, 0)
 		So(time.Since(began), ShouldBeLessThanOrEqualTo, 15*ms)
-		So(c[0].heard(), ShouldResemble, []string{"[7]"})
-		m[0].put(9)
-		m[1].put(9)
+		So(c[0].configFrames(), ShouldResemble, []string{"[7]"})
+		m[0].publish(9)
+		m[1].publish(9)
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
 		So(m[0].WaitApplied(ctx, 9), ShouldEqual, 1)
-		So(c[0].heard(), ShouldResemble, []string{"[7]", "8", "9"})
+		So(c[0].configFrames(), ShouldResemble, []string{"[7]", "8", "9"})
 
 		// A frame that does not fit is followed by the whole.
-		c[2].change(func() { c[2].refuse = true })
-		m[2].put(9)
-		pass(30 * ms)
-		So(c[2].heard(), ShouldResemble, []string{"[7]", "8", "[9]"})
+		c[2].change(func() { c[2].rejectNext = true })
+		m[2].publish(9)
+		advance(30 * ms)
+		So(c[2].configFrames(), ShouldResemble, []string{"[7]", "8", "[9]"})
 		So(m[1].Behind(9), ShouldEqual, 0)
-		c[2].change(func() { c[2].refuse = true })
-		m[2].put(10)
-		pass(30 * ms)
-		So(c[2].heard(), ShouldResemble, []string{"[7]", "8", "[9]", "10", "[10]"})
+		c[2].change(func() { c[2].rejectNext = true })
+		m[2].publish(10)
+		advance(30 * ms)
+		So(c[2].configFrames(), ShouldResemble, []string{"[7]", "8", "[9]", "10", "[10]"})
 		So(c[2].Peers()[0], ShouldEqual, "m3:1")
 
 		// A deregistration that reaches a member directly holds everywhere, against the sidecar that still renews.
 		So(m[0].Heartbeat(registry.Upstream{Instance: "i-c2", State: registry.Deregistered}), ShouldBeNil)
-		pass(30 * ms)
-		So(c[2].sees(), ShouldEqual, "i-c1 i-c3!")
+		advance(30 * ms)
+		So(c[2].upstreams(), ShouldEqual, "i-c1 i-c3!")
 		c[1].change(func() { c[1].up.Sequence++ })
-		pass(5 * time.Second)
-		So(c[1].sees(), ShouldEqual, "i-c1 i-c3!")
+		advance(5 * time.Second)
+		So(c[1].upstreams(), ShouldEqual, "i-c1 i-c3!")
 		So(errs.KindOf(m[0].Heartbeat(registry.Upstream{})), ShouldEqual, errs.Invalid)
 	})
 }
 
-func TestMembersFail(t *testing.T) {
-	mesh(t, "A sidecar goes on to another member at once, takes nothing older there, and loses nothing", func(n *network, m []*member, c []*sidecar) {
-		m[0].put(5)
-		pass(15 * ms)
-		fulls := c[0].replaced()
+func TestSidecarChangesMemberOnFailure(t *testing.T) {
+	runMesh(t, "A sidecar goes on to another member at once, takes nothing older there, and loses nothing", func(n *network, m []*member, c []*sidecar) {
+		m[0].publish(5)
+		advance(15 * ms)
+		fulls := c[0].fullUpdates()
 		m[0].stop()
-		pass(20 * ms)
+		advance(20 * ms)
 		So(c[0].Connected(), ShouldBeTrue)
 		So(c[0].Peers()[0], ShouldNotEqual, "m1:1")
-		m[1].put(4)
-		m[2].put(4)
-		pass(3 * time.Second)
+		m[1].publish(4)
+		m[2].publish(4)
+		advance(3 * time.Second)
 		So(c[0].cfg.ConfigVersion(), ShouldEqual, 5)
-		So(c[0].heard(), ShouldResemble, []string{"[5]"})
-		So(c[0].replaced(), ShouldEqual, fulls+1)
+		So(c[0].configFrames(), ShouldResemble, []string{"[5]"})
+		So(c[0].fullUpdates(), ShouldEqual, fulls+1)
 		So(m[1].Behind(5)*10+m[2].Behind(4), ShouldEqual, 20)
 
 		// Cut off from the others, a member holds no sidecar and tells no configuration.
 		was := c[1].Peers()[0]
 		for i, one := range m {
-			one.contact(all[i] != was)
-			if all[i] == was {
-				one.put(6)
+			one.setContact(memberAddresses[i] != was)
+			if memberAddresses[i] == was {
+				one.publish(6)
 			}
 		}
-		pass(1200 * ms)
+		advance(1200 * ms)
 		So(c[1].Peers()[0], ShouldNotEqual, was)
 		So(c[1].cfg.ConfigVersion(), ShouldEqual, 4)
 		_, err := rpc.Call[watchRequest, struct{}](context.Background(), c[1].cfg.HTTP, "http://"+was+watchPath, &watchRequest{Node: "x"})
@@ -414,119 +414,119 @@
 		// A member that starts anew learns all from the others, and says it is young until it has.
 		fresh := n.member("m1:1", 99)
 		defer fresh.stop()
-		pass(50 * ms)
+		advance(50 * ms)
 		So(fresh.Syncing(), ShouldBeTrue)
 		So(len(fresh.Upstreams()), ShouldEqual, 3)
 		for _, s := range c {
-			So(s.sees(), ShouldEqual, "i-c1 i-c2 i-c3")
+			So(s.upstreams(), ShouldEqual, "i-c1 i-c2 i-c3")
 		}
 	})
 }
 
-func TestSilentMembers(t *testing.T) {
-	mesh(t, "All members gone and back: what is held stays until the new tables have heard from all", func(n *network, m []*member, c []*sidecar) {
+func TestRegistryKeptWithoutMembers(t *testing.T) {
+	runMesh(t, "All members gone and back: what is held stays until the new tables have heard from all", func(n *network, m []*member, c []*sidecar) {
 		for _, one := range m {
 			one.stop()
 		}
 		c[2].stop()
-		pass(10 * time.Second)
+		advance(10 * time.Second)
 		So(c[0].Connected(), ShouldBeFalse)
-		So(c[0].sees(), ShouldEqual, "i-c1 i-c2 i-c3")
+		So(c[0].upstreams(), ShouldEqual, "i-c1 i-c2 i-c3")
 		began := time.Now()
 		fresh := n.member("m2:1", 99)
 		defer fresh.stop()
-		pass(maxBackoff + 4*minBackoff)
+		advance(maxBackoff + 4*minBackoff)
 		So(c[0].Connected() && c[1].Connected(), ShouldBeTrue)
-		So(c[0].sees(), ShouldEqual, "i-c1 i-c2 i-c3")
+		So(c[0].upstreams(), ShouldEqual, "i-c1 i-c2 i-c3")
 		So(c[0].Members(), ShouldEqual, 3)
-		pass(syncingPeriod + heartbeatInterval - time.Since(began))
-		So(c[0].sees(), ShouldEqual, "i-c1 i-c2")
+		advance(syncingPeriod + heartbeatInterval - time.Since(began))
+		So(c[0].upstreams(), ShouldEqual, "i-c1 i-c2")
 		So(c[0].Members(), ShouldEqual, 2)
 	})
 }
 
-func TestSidecarsFail(t *testing.T) {
-	mesh(t, "A sidecar that is cut off goes stale and is dropped late; one that leaves is gone at once", func(n *network, m []*member, c []*sidecar) {
+func TestSidecarsLeaveOrExpire(t *testing.T) {
+	runMesh(t, "A sidecar that is cut off goes stale and is dropped late; one that leaves is gone at once", func(n *network, m []*member, c []*sidecar) {
 		So(c[1].Leave(context.Background()), ShouldBeNil)
-		pass(30 * ms)
-		So(c[0].sees(), ShouldEqual, "i-c1 i-c3")
-		sent := c[1].leases()
-		pass(2 * time.Second)
-		So(c[1].leases(), ShouldEqual, sent)
+		advance(30 * ms)
+		So(c[0].upstreams(), ShouldEqual, "i-c1 i-c3")
+		sent := c[1].leasesSent()
+		advance(2 * time.Second)
+		So(c[1].leasesSent(), ShouldEqual, sent)
 		c[1].stop()
-		for _, name := range all {
+		for _, name := range memberAddresses {
 			n.sever("c3", name)
 		}
 		// The last renewal may be renewEvery old.
-		pass(registry.LeaseTTL - renewInterval - ms)
-		So(c[0].sees(), ShouldEqual, "i-c1 i-c3")
-		m[0].put(2)
+		advance(registry.LeaseTTL - renewInterval - ms)
+		So(c[0].upstreams(), ShouldEqual, "i-c1 i-c3")
+		m[0].publish(2)
 		So(m[0].WaitApplied(context.Background(), 2), ShouldEqual, 0)
-		pass(time.Second)
-		So(c[0].sees(), ShouldEqual, "i-c1 i-c3?")
+		advance(time.Second)
+		So(c[0].upstreams(), ShouldEqual, "i-c1 i-c3?")
 		live, largest := m[1].Members()
 		So([]int{live, largest}, ShouldResemble, []int{1, 3})
 		So(c[2].Connected(), ShouldBeFalse)
 		// Its upstream finds a member by itself.
 		So(m[1].Heartbeat(registry.Upstream{Instance: "i-c3", Service: "s-c3", Address: "c3:80", Sequence: 5}), ShouldBeNil)
-		pass(30 * ms)
-		So(c[0].sees(), ShouldEqual, "i-c1 i-c3")
+		advance(30 * ms)
+		So(c[0].upstreams(), ShouldEqual, "i-c1 i-c3")
 		So(c[0].inbound("i-c3"), ShouldEqual, "c3:90")
-		pass(registry.StaleTTL + 3*time.Second)
-		So(c[0].sees(), ShouldEqual, "i-c1")
+		advance(registry.StaleTTL + 3*time.Second)
+		So(c[0].upstreams(), ShouldEqual, "i-c1")
 	})
 }
 
-func TestCutBetweenMembers(t *testing.T) {
-	mesh(t, "A cut between two members hides nothing while a third reaches both", func(n *network, m []*member, c []*sidecar) {
+func TestGossipAroundSeveredLink(t *testing.T) {
+	runMesh(t, "A cut between two members hides nothing while a third reaches both", func(n *network, m []*member, c []*sidecar) {
 		n.sever("m1:1", "m2:1")
 		n.sever("m2:1", "m1:1")
-		pass(10 * time.Second)
-		So(c[0].sees()+","+c[1].sees(), ShouldEqual, "i-c1 i-c2 i-c3,i-c1 i-c2 i-c3")
+		advance(10 * time.Second)
+		So(c[0].upstreams()+","+c[1].upstreams(), ShouldEqual, "i-c1 i-c2 i-c3,i-c1 i-c2 i-c3")
 		c[0].change(func() { c[0].up.State, c[0].up.Sequence = registry.Draining, 2 })
 		c[0].RenewNow()
-		pass(30 * ms)
-		So(c[1].sees(), ShouldEqual, "i-c1! i-c2 i-c3")
+		advance(30 * ms)
+		So(c[1].upstreams(), ShouldEqual, "i-c1! i-c2 i-c3")
 		So(m[0].Heartbeat(registry.Upstream{Instance: "i-c3", State: registry.Deregistered}), ShouldBeNil)
-		pass(time.Second)
-		So(c[1].sees(), ShouldEqual, "i-c1! i-c2")
+		advance(time.Second)
+		So(c[1].upstreams(), ShouldEqual, "i-c1! i-c2")
 
 		// Away from all for so long that its leases are forgotten, a member is told them whole again.
 		n.sever("m3:1", "m2:1")
 		n.sever("m2:1", "m3:1")
-		pass(registry.LeaseTTL + registry.TombstoneTTL + registry.StaleTTL)
-		So(c[0].sees()+","+c[1].sees(), ShouldEqual, "i-c1! i-c3,i-c2")
+		advance(registry.LeaseTTL + registry.TombstoneTTL + registry.StaleTTL)
+		So(c[0].upstreams()+","+c[1].upstreams(), ShouldEqual, "i-c1! i-c3,i-c2")
 		n.heal()
-		pass(2 * time.Second)
-		So(c[0].sees()+","+c[1].sees(), ShouldEqual, "i-c1! i-c2 i-c3,i-c1! i-c2 i-c3")
+		advance(2 * time.Second)
+		So(c[0].upstreams()+","+c[1].upstreams(), ShouldEqual, "i-c1! i-c2 i-c3,i-c1! i-c2 i-c3")
 	})
 }
 
-func TestServicesAndSlowSidecars(t *testing.T) {
-	mesh(t, "A sidecar hears of the services it calls, and one that does not read holds nobody up", func(n *network, m []*member, c []*sidecar) {
+func TestServiceFilterAndSlowSidecar(t *testing.T) {
+	runMesh(t, "A sidecar hears of the services it calls, and one that does not read holds nobody up", func(n *network, m []*member, c []*sidecar) {
 		c[0].change(func() { c[0].services = []string{"s-c2"} })
 		c[0].Resubscribe()
-		pass(15 * ms)
-		So(c[0].sees(), ShouldEqual, "i-c2")
+		advance(15 * ms)
+		So(c[0].upstreams(), ShouldEqual, "i-c2")
 		So(c[0].Peers()[0], ShouldEqual, "m1:1")
 		c[2].change(func() { c[2].up.State, c[2].up.Sequence = registry.Draining, 2 })
 		c[2].RenewNow()
-		pass(15 * ms)
-		So(c[0].sees(), ShouldEqual, "i-c2")
+		advance(15 * ms)
+		So(c[0].upstreams(), ShouldEqual, "i-c2")
 
 		conn, err := n.client("slow").Transport.(*http.Transport).DialContext(context.Background(), "tcp", "m1:1")
 		So(err, ShouldBeNil)
 		defer conn.Close()
 		_, err = io.WriteString(conn, "POST "+watchPath+" HTTP/1.1\r\nHost: m1\r\nContent-Length: 15\r\n\r\n{\"node\":\"slow\"}")
 		So(err, ShouldBeNil)
-		pass(50 * ms)
-		So(m[0].watched(), ShouldEqual, 2)
+		advance(50 * ms)
+		So(m[0].openWatches(), ShouldEqual, 2)
 		c[1].change(func() { c[1].up.State, c[1].up.Sequence = registry.Draining, 2 })
 		c[1].RenewNow()
-		pass(15 * ms)
-		So(c[0].sees(), ShouldEqual, "i-c2!")
-		pass(writeTimeout + 500*ms)
-		So(m[0].watched(), ShouldEqual, 1)
+		advance(15 * ms)
+		So(c[0].upstreams(), ShouldEqual, "i-c2!")
+		advance(writeTimeout + 500*ms)
+		So(m[0].openWatches(), ShouldEqual, 1)
 
 		// A node's newer watch ends the older one.
 		ctx, cancel := context.WithTimeout(context.Background(), 50*ms)
