--- a/internal/mesh/watch/contact_test.go
+++ b/internal/mesh/watch/contact_test.go
@@ -26,7 +26,7 @@
 	return s.version, s.wentBack
 }
 
-// moves counts how often a sidecar goes to another member, and notes when it last did.
+// moves counts how often a sidecar goes to another member, and records when it last did.
 type moves struct {
 	at    string
 	count int
@@ -39,11 +39,11 @@
 	}
 }
 
-// maxMoveTime is how long after a member's last contact its sidecars are elsewhere: its contact runs out, it looks at it,
-// the sidecar asks the others, and opens a watch.
+// maxMoveTime is how long after a member's last contact its sidecars have moved: the contact expires, the member checks
+// it, the sidecar asks the others, and opens a watch.
 const maxMoveTime = maxContactAge + tickInterval + probeTimeout + 50*ms
 
-// isolate cuts the first member from the two others, in the log and between the members.
+// isolate partitions the first member from the two others, in the log and between the members.
 func isolate(n *network, q *majority) {
 	for _, i := range []int{1, 2} {
 		q.sever(0, i)
@@ -54,7 +54,7 @@
 }
 
 func TestPartitionedMember(t *testing.T) {
-	runMesh(t, "A member that is cut off for 20 s hands out nothing old, and its sidecars are elsewhere in time", func(n *network, m []*member, c []*sidecar) {
+	runMesh(t, "A member that is partitioned for 20 s sends nothing old, and its sidecars move in time", func(n *network, m []*member, c []*sidecar) {
 		q := newMajority(m)
 		defer close(q.done)
 		advance(time.Second)
@@ -63,13 +63,13 @@
 			n.sever("new", to)
 		}
 		q.change(func() { q.leader = 1 })
-		// Of the first member's own sidecar others hear no more; of the second's it does not hear itself.
+		// The others do not learn what its own sidecar reports, and it does not learn what theirs do.
 		c[1].change(func() { c[1].up.State, c[1].up.Sequence = registry.Draining, 2 })
 		c[1].RenewNow()
 		So(m[1].Heartbeat(registry.Upstream{Instance: "i-c3", State: registry.Deregistered}), ShouldBeNil)
 		newcomer := n.sidecar("new", "zone-m1:1", memberAddresses[0])
 		defer newcomer.stop()
-		newcomer.change(func() { newcomer.up.Instance = "" }) // it vouches for nothing here
+		newcomer.change(func() { newcomer.up.Instance = "" }) // it has no upstream here
 		moved := moves{at: memberAddresses[0]}
 		raw := rpc.NewClient(time.Second)
 		defer raw.CloseIdleConnections()
@@ -79,14 +79,14 @@
 			if now > maxMoveTime {
 				version, _ := c[0].applied()
 				if version < q.committed {
-					t.Fatalf("after %v the sidecar holds version %d, not %d", now, version, q.committed)
+					t.Fatalf("after %v the sidecar has version %d, not %d", now, version, q.committed)
 				}
 			}
 			if now < maxContactAge {
-				return // it may not know yet
+				return // its contact has not expired yet
 			}
 			if version, _ := newcomer.applied(); version > old {
-				t.Fatalf("after %v the newcomer got version %d of a member that is cut off", now, version)
+				t.Fatalf("after %v the newcomer got version %d of a partitioned member", now, version)
 			}
 		})
 		So(moved.count, ShouldEqual, 1)
@@ -97,7 +97,7 @@
 		So(err, ShouldBeNil)
 		So(answer.Contact.OK || answer.CaughtUp, ShouldBeFalse)
 
-		// Back in contact it tells of nothing that is gone, and of nobody as ready who drains.
+		// Back in contact it lists no deregistered upstream, and none as ready that is draining.
 		q.heal()
 		advance(2 * leaderInterval)
 		n.heal()
@@ -111,10 +111,10 @@
 			for _, s := range []*sidecar{later, newcomer} {
 				sees := s.upstreams()
 				if s == newcomer && now < maxRegistryDelay {
-					continue // it came before the member knew that it was cut off
+					continue // it connected before the contact expired
 				}
 				if strings.Contains(sees, "i-c3") || strings.Contains(sees+" ", "i-c2 ") {
-					t.Fatalf("%v after its return the member tells of %s", now, sees)
+					t.Fatalf("%v after its return the member lists %s", now, sees)
 				}
 			}
 			moved.observe(c[0], now)
@@ -133,7 +133,7 @@
 
 func TestSidecarsLeavePartitionedMemberInTime(t *testing.T) {
 	for offset := time.Duration(0); offset < renewInterval; offset += 100 * ms {
-		runMesh(t, "Wherever in the time between two renewals a cut falls, the sidecar is elsewhere in time", func(n *network, m []*member, c []*sidecar) {
+		runMesh(t, "A sidecar moves in time, whenever between two renewals the partition begins", func(n *network, m []*member, c []*sidecar) {
 			q := newMajority(m)
 			defer close(q.done)
 			advance(time.Second + offset)
@@ -149,13 +149,13 @@
 }
 
 func TestOneWayPartitions(t *testing.T) {
-	runMesh(t, "A leader that is not heard back ages everywhere at once, and no sidecar runs to and fro", func(n *network, m []*member, c []*sidecar) {
+	runMesh(t, "A leader that receives no responses ages everywhere alike, and no sidecar moves", func(n *network, m []*member, c []*sidecar) {
 		q := newMajority(m)
 		defer close(q.done)
 		advance(time.Second)
 		q.change(func() { q.lag = []time.Duration{0, 200 * ms, 400 * ms} })
 		advance(time.Second)
-		// The leader is heard, and hears nobody. Whatever it commits then nobody may be told.
+		// The leader sends and receives nothing. What it commits then may reach no sidecar.
 		q.sever(1, 0)
 		q.sever(2, 0)
 		where := []moves{{at: memberAddresses[0]}, {at: memberAddresses[1]}, {at: memberAddresses[2]}}
@@ -171,10 +171,10 @@
 			for i, s := range c {
 				where[i].observe(s, now)
 				if !s.Connected() {
-					t.Fatalf("after %v a sidecar has left, and had nowhere to go", now)
+					t.Fatalf("after %v a sidecar has left its member, with no other one to go to", now)
 				}
 				if version, _ := s.applied(); version == 99 {
-					t.Fatalf("after %v a version was told without contact", now)
+					t.Fatalf("after %v a version was sent without contact", now)
 				}
 			}
 		})
@@ -186,7 +186,7 @@
 			version, _ := s.applied()
 			So(version, ShouldEqual, 99)
 		}
-		// A member that the leader does not hear is in contact: others confirm the leader, and it hears of that.
+		// A member whose responses are lost is in contact: others confirm the leader, and it receives that.
 		q.change(func() { q.committed = 100 })
 		q.sever(2, 0)
 		q.run(5*time.Second, true, nil)
@@ -197,7 +197,7 @@
 }
 
 func TestMemberThatHasNotApplied(t *testing.T) {
-	runMesh(t, "A member that hears the leader and has not applied what it says serves nobody", func(n *network, m []*member, c []*sidecar) {
+	runMesh(t, "A member that has not applied what the leader says is committed serves nobody", func(n *network, m []*member, c []*sidecar) {
 		q := newMajority(m)
 		defer close(q.done)
 		q.change(func() { q.notApplied[2] = true })
@@ -220,11 +220,11 @@
 }
 
 func TestFrozenMember(t *testing.T) {
-	runMesh(t, "A member that is frozen within a frame never ends it, and one that wakes has to hear from the others first", func(n *network, m []*member, c []*sidecar) {
+	runMesh(t, "A member that is frozen within a frame never completes it, and syncs when it wakes", func(n *network, m []*member, c []*sidecar) {
 		q := newMajority(m)
 		defer close(q.done)
 		advance(time.Second)
-		// It has looked at its contact, reads the configuration, and stands still until after the next two changes.
+		// It has checked its contact, reads the configuration, and is frozen until after the next two changes.
 		m[0].configs.mu.Lock()
 		m[0].configs.stall = time.Second
 		m[0].configs.mu.Unlock()
@@ -245,20 +245,20 @@
 			Contact: func() (time.Duration, bool) { return 0, true },
 		})
 		So(still.checkContact().OK, ShouldBeTrue)
-		So(still.registryDelayedUntil, ShouldEqual, 0) // at the first contact nothing is from before
+		So(still.registryDelayedUntil, ShouldEqual, 0) // nothing is from before the first contact
 		for range 20 {
 			advance(syncingPeriod / 10)
 			still.checkContact()
 		}
 		So(still.Syncing(), ShouldBeFalse)
-		advance(10 * time.Second) // and was renewed before it looked
+		advance(10 * time.Second) // frozen, and its contact renewed before it checked
 		So(still.checkContact().OK, ShouldBeTrue)
 		So(still.Syncing(), ShouldBeTrue)
 		So(still.registryDelayedUntil, ShouldBeGreaterThan, still.now())
 	})
 }
 
-// scripted is a member that a test plays by hand.
+// scripted starts a member whose responses a test gives. stop ends it.
 func (n *network) scripted(address string, lease, watch http.HandlerFunc) (stop func()) {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+leasePath, lease)
@@ -271,12 +271,12 @@
 	go func() { _ = server.Serve(p) }()
 	return func() {
 		_ = server.Close()
-		time.Sleep(2 * callTimeout) // its handlers end
+		time.Sleep(2 * callTimeout) // until its handlers end
 	}
 }
 
 func TestContactAgesAddUp(t *testing.T) {
-	runMesh(t, "Who follows a follower never takes its knowledge for younger than it is", func(n *network, m []*member, c []*sidecar) {
+	runMesh(t, "A member that follows a follower never takes its contact for newer than it is", func(n *network, m []*member, c []*sidecar) {
 		q := newMajority(m)
 		defer close(q.done)
 		reader := n.member("r:1", 7)
@@ -289,7 +289,7 @@
 		last := n.sidecar("last", "zone-r:1", "r:1")
 		defer last.stop()
 		for _, to := range memberAddresses {
-			n.sever("last", to) // it has the reader alone
+			n.sever("last", to) // the reader is its only member
 		}
 		q.run(3*time.Second, true, func(time.Duration) {
 			if version, _ := follower.applied(); version > reader.configs.Current() {
@@ -300,7 +300,7 @@
 		So(version, ShouldEqual, q.committed)
 
 		for _, i := range []int{1, 2} {
-			q.sever(i, 0) // the leader is heard and hears nobody
+			q.sever(i, 0) // the leader sends and receives nothing
 		}
 		q.change(func() { q.committed++ })
 		end := time.Now()
@@ -314,14 +314,14 @@
 				reader.publish(1000)
 			}
 			if version, _ := last.applied(); version > before+1 {
-				t.Fatalf("%v after the last round a reader told of version %d", now, version)
+				t.Fatalf("%v after the last round a reader sent version %d", now, version)
 			}
 			if now > maxContactAge && reader.Server.checkContact().OK {
-				t.Fatalf("%v after the last round the reader takes itself for in contact", now)
+				t.Fatalf("%v after the last round the reader counts as in contact", now)
 			}
 		})
 	})
-	runMesh(t, "An answer that was long on its way proves no more than when it was asked for", func(n *network, m []*member, c []*sidecar) {
+	runMesh(t, "A delayed response proves no more than the time of its request", func(n *network, m []*member, c []*sidecar) {
 		stop := n.scripted("slow:1", func(w http.ResponseWriter, _ *http.Request) {
 			time.Sleep(callTimeout - 100*ms)
 			_ = json.NewEncoder(w).Encode(LeaseResponse{Contact: Contact{OK: true, Age: 50 * ms}, CaughtUp: true})
@@ -340,7 +340,7 @@
 		So(ok, ShouldBeTrue)
 		So(age, ShouldBeBetween, callTimeout-51*ms, callTimeout)
 	})
-	runMesh(t, "A first configuration that was long on its way is asked about before it is taken", func(n *network, m []*member, c []*sidecar) {
+	runMesh(t, "A delayed first configuration is only applied after a check of the contact", func(n *network, m []*member, c []*sidecar) {
 		var mu sync.Mutex
 		contact := Contact{OK: false}
 		stop := n.scripted("woken:1", func(w http.ResponseWriter, _ *http.Request) {
@@ -371,7 +371,7 @@
 }
 
 func TestLeavingWithoutContact(t *testing.T) {
-	runMesh(t, "A sidecar that leaves tells one that can tell others", func(n *network, m []*member, c []*sidecar) {
+	runMesh(t, "A sidecar that leaves notifies a member that can notify the others", func(n *network, m []*member, c []*sidecar) {
 		m[0].setContact(false)
 		for _, i := range []int{1, 2} {
 			n.sever(memberAddresses[0], memberAddresses[i])
@@ -387,7 +387,7 @@
 		n.sever("c1", memberAddresses[0])
 		So(errs.KindOf(c[0].Leave(context.Background())), ShouldEqual, errs.Unreachable)
 	})
-	runMesh(t, "What one member said of its contact counts against no other", func(n *network, m []*member, c []*sidecar) {
+	runMesh(t, "What one member says of its contact does not count against another", func(n *network, m []*member, c []*sidecar) {
 		stop := n.scripted("out:1", func(w http.ResponseWriter, _ *http.Request) {
 			time.Sleep(100 * ms)
 			peers := []Peer{{Address: memberAddresses[0]}, {Address: memberAddresses[1]}, {Address: memberAddresses[2]}}
@@ -412,7 +412,7 @@
 }
 
 func TestRegistryDelay(t *testing.T) {
-	Convey("Registry news waits until each member has answered or was not reached, and one has answered, or for its bound", t, func() {
+	Convey("Registry changes wait until each peer has answered or failed and one has answered, or for the bound", t, func() {
 		one, two := newGossipPeer("a:1", nil), newGossipPeer("b:1", nil)
 		s := &Server{registryDelayedUntil: maxRegistryDelay, peers: map[string]*gossipPeer{"a:1": one, "b:1": two}}
 		So(s.delaysRegistry(0), ShouldBeTrue)
@@ -428,7 +428,7 @@
 }
 
 func TestWhatResponsesProve(t *testing.T) {
-	Convey("An answer without contact proves nothing, lowers no count and takes no member away", t, func() {
+	Convey("A response without contact proves nothing, lowers no count and removes no member", t, func() {
 		c := NewClient(ClientConfig{Zone: "z"})
 		now := time.Now()
 		for _, answer := range []LeaseResponse{
@@ -448,7 +448,7 @@
 }
 
 func TestLateGossipExtendsNothing(t *testing.T) {
-	runMesh(t, "A message between members that was held for long vouches for nobody", func(n *network, m []*member, c []*sidecar) {
+	runMesh(t, "A message between members that was delayed for long refreshes nothing", func(n *network, m []*member, c []*sidecar) {
 		now := m[0].now()
 		up := registry.Upstream{Instance: "late", Service: "s", Address: "late:80", Inbound: "late:90", Sequence: 1}
 		message := func(echo clockReading, node string) *gossipRequest {
--- a/internal/mesh/watch/majority_test.go
+++ b/internal/mesh/watch/majority_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// majority plays the log beside the members of a mesh: a leader that asks all for their confirmation, states how old it
-// is with each heartbeat, and commits versions. Its links are cut one way each.
+// majority simulates the log beside the members of a mesh: a leader that sends heartbeats, states with each how old its
+// confirmation is, and commits versions. Its links are severed one way each.
 type majority struct {
 	mu         sync.Mutex
 	members    []*member
@@ -15,8 +15,8 @@
 	confirmed  []time.Time // of a leader, by member
 	known      []time.Time // what each member knows to have been confirmed
 	severed    map[[2]int]bool
-	notApplied map[int]bool    // it has heard, and not applied
-	lag        []time.Duration // how much older than the leader's a member's knowledge is
+	notApplied map[int]bool    // members that receive heartbeats and do not apply
+	lag        []time.Duration // how much older a member's confirmation is than the leader's
 	done       chan struct{}
 }
 
@@ -54,16 +54,16 @@
 	return time.Since(q.known[i]), !q.known[i].IsZero() && !q.notApplied[i]
 }
 
-// round is a leader's heartbeat to all and their answers.
+// heartbeat is one round of the leader's heartbeats and their responses.
 func (q *majority) heartbeat() {
 	q.mu.Lock()
-	heard := 0
+	confirmations := 0
 	for i := range q.members {
 		if i == q.leader || !q.severed[[2]int{q.leader, i}] && !q.severed[[2]int{i, q.leader}] {
-			heard++
+			confirmations++
 		}
 	}
-	if heard > len(q.members)/2 {
+	if confirmations > len(q.members)/2 {
 		q.confirmed[q.leader] = time.Now()
 	}
 	var applied []*member
@@ -91,21 +91,21 @@
 	q.mu.Unlock()
 }
 
-// cut ends what goes from one member to another in the log.
+// sever drops what one member sends to another in the log.
 func (q *majority) sever(from, to int) { q.change(func() { q.severed[[2]int{from, to}] = true }) }
 
 func (q *majority) heal() { q.change(func() { clear(q.severed) }) }
 
-// pass lets time go by in steps, with a look after each; commits has the leader commit a version every half second.
-func (q *majority) run(d time.Duration, commits bool, look func(at time.Duration)) {
+// run advances time in steps, and calls observe after each; with commits the leader commits a version every half second.
+func (q *majority) run(d time.Duration, commits bool, observe func(at time.Duration)) {
 	for at := time.Duration(0); at < d; at += 10 * ms {
 		if commits && at%(500*ms) == 0 {
 			q.change(func() { q.committed++ })
 			q.heartbeat()
 		}
 		advance(10 * ms)
-		if look != nil {
-			look(at + 10*ms)
+		if observe != nil {
+			observe(at + 10*ms)
 		}
 	}
 }
--- a/internal/mesh/watch/watch_test.go
+++ b/internal/mesh/watch/watch_test.go
@@ -22,7 +22,8 @@
 	"caperarch/internal/mesh/rpc"
 )
 
-// network joins hosts by pipes within a bubble of synctest, so that time is virtual. A cut link refuses and breaks off.
+// network connects hosts by pipes within a synctest bubble, so that time is virtual. A severed link breaks its
+// connections and accepts none.
 type network struct {
 	mu      sync.Mutex
 	ports   map[string]*port
@@ -77,11 +78,11 @@
 	clear(n.severed)
 }
 
-// configs is a log of numbered changes: version v has the frame `v`, and the whole is `[v]`.
+// configs is a log of numbered changes: version v has the frame `v`, and the full configuration is `[v]`.
 type configs struct {
 	mu      sync.Mutex
 	version int64
-	stall   time.Duration // how long the next reading takes
+	stall   time.Duration // how long the next FullConfig takes
 }
 
 func (c *configs) Current() int64 {
@@ -178,7 +179,7 @@
 	services   []string
 	rejectNext bool
 	version    int64
-	wentBack   bool // a version older than the one held came
+	wentBack   bool // a version older than the applied one arrived
 	frames     []string
 	known      map[string]registry.Upstream
 	fulls      int
@@ -240,7 +241,7 @@
 	return s
 }
 
-// sees gives the instances held, the stale with a question mark and the draining with an exclamation mark.
+// upstreams lists the instances known, the stale with a question mark and the draining with an exclamation mark.
 func (s *sidecar) upstreams() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -295,7 +296,7 @@
 	s.mu.Unlock()
 }
 
-// pass lets virtual time go by and everything settle.
+// advance lets virtual time pass, and all goroutines block.
 func advance(d time.Duration) {
 	time.Sleep(d)
 	synctest.Wait()
@@ -303,8 +304,8 @@
 
 const ms = time.Millisecond
 
-// mesh plays a trace in a bubble with three members and the sidecars c1 to c3, each in the zone of a member, after all
-// have settled.
+// runMesh runs a scenario in a bubble with three members and the sidecars c1 to c3, each in the zone of a member, after
+// all are connected and synced.
 func runMesh(t *testing.T, what string, scenario func(n *network, m []*member, c []*sidecar)) {
 	synctest.Test(t, func(t *testing.T) {
 		n := &network{ports: map[string]*port{}, severed: map[string]bool{}, links: map[string][]net.Conn{}}
@@ -357,7 +358,7 @@
 		So(m[0].WaitApplied(ctx, 9), ShouldEqual, 1)
 		So(c[0].configFrames(), ShouldResemble, []string{"[7]", "8", "9"})
 
-		// A frame that does not fit is followed by the whole.
+		// A frame that does not apply is followed by the full configuration.
 		c[2].change(func() { c[2].rejectNext = true })
 		m[2].publish(9)
 		advance(30 * ms)
@@ -369,7 +370,7 @@
 		So(c[2].configFrames(), ShouldResemble, []string{"[7]", "8", "[9]", "10", "[10]"})
 		So(c[2].Peers()[0], ShouldEqual, "m3:1")
 
-		// A deregistration that reaches a member directly holds everywhere, against the sidecar that still renews.
+		// A deregistration that reaches a member directly counts everywhere, although the sidecar still renews.
 		So(m[0].Heartbeat(registry.Upstream{Instance: "i-c2", State: registry.Deregistered}), ShouldBeNil)
 		advance(30 * ms)
 		So(c[2].upstreams(), ShouldEqual, "i-c1 i-c3!")
@@ -381,7 +382,7 @@
 }
 
 func TestSidecarChangesMemberOnFailure(t *testing.T) {
-	runMesh(t, "A sidecar goes on to another member at once, takes nothing older there, and loses nothing", func(n *network, m []*member, c []*sidecar) {
+	runMesh(t, "A sidecar moves to another member at once, applies nothing older, and loses nothing", func(n *network, m []*member, c []*sidecar) {
 		m[0].publish(5)
 		advance(15 * ms)
 		fulls := c[0].fullUpdates()
@@ -397,7 +398,7 @@
 		So(c[0].fullUpdates(), ShouldEqual, fulls+1)
 		So(m[1].Behind(5)*10+m[2].Behind(4), ShouldEqual, 20)
 
-		// Cut off from the others, a member holds no sidecar and tells no configuration.
+		// Partitioned from the others, a member keeps no sidecar and sends no configuration.
 		was := c[1].Peers()[0]
 		for i, one := range m {
 			one.setContact(memberAddresses[i] != was)
@@ -411,7 +412,7 @@
 		_, err := rpc.Call[watchRequest, struct{}](context.Background(), c[1].cfg.HTTP, "http://"+was+watchPath, &watchRequest{Node: "x"})
 		So(errs.KindOf(err), ShouldEqual, errs.NoQuorum)
 
-		// A member that starts anew learns all from the others, and says it is young until it has.
+		// A member that restarts syncs with the others, and says so meanwhile.
 		fresh := n.member("m1:1", 99)
 		defer fresh.stop()
 		advance(50 * ms)
@@ -424,7 +425,7 @@
 }
 
 func TestRegistryKeptWithoutMembers(t *testing.T) {
-	runMesh(t, "All members gone and back: what is held stays until the new tables have heard from all", func(n *network, m []*member, c []*sidecar) {
+	runMesh(t, "With all members restarted, sidecars keep their registry until the members have synced", func(n *network, m []*member, c []*sidecar) {
 		for _, one := range m {
 			one.stop()
 		}
@@ -446,7 +447,7 @@
 }
 
 func TestSidecarsLeaveOrExpire(t *testing.T) {
-	runMesh(t, "A sidecar that is cut off goes stale and is dropped late; one that leaves is gone at once", func(n *network, m []*member, c []*sidecar) {
+	runMesh(t, "A partitioned sidecar goes stale and expires; one that leaves is removed at once", func(n *network, m []*member, c []*sidecar) {
 		So(c[1].Leave(context.Background()), ShouldBeNil)
 		advance(30 * ms)
 		So(c[0].upstreams(), ShouldEqual, "i-c1 i-c3")
@@ -457,7 +458,7 @@
 		for _, name := range memberAddresses {
 			n.sever("c3", name)
 		}
-		// The last renewal may be renewEvery old.
+		// The last renewal may be renewInterval old.
 		advance(registry.LeaseTTL - renewInterval - ms)
 		So(c[0].upstreams(), ShouldEqual, "i-c1 i-c3")
 		m[0].publish(2)
@@ -467,7 +468,7 @@
 		live, largest := m[1].Members()
 		So([]int{live, largest}, ShouldResemble, []int{1, 3})
 		So(c[2].Connected(), ShouldBeFalse)
-		// Its upstream finds a member by itself.
+		// Its upstream reaches a member directly.
 		So(m[1].Heartbeat(registry.Upstream{Instance: "i-c3", Service: "s-c3", Address: "c3:80", Sequence: 5}), ShouldBeNil)
 		advance(30 * ms)
 		So(c[0].upstreams(), ShouldEqual, "i-c1 i-c3")
@@ -478,7 +479,7 @@
 }
 
 func TestGossipAroundSeveredLink(t *testing.T) {
-	runMesh(t, "A cut between two members hides nothing while a third reaches both", func(n *network, m []*member, c []*sidecar) {
+	runMesh(t, "A severed link between two members hides nothing while a third reaches both", func(n *network, m []*member, c []*sidecar) {
 		n.sever("m1:1", "m2:1")
 		n.sever("m2:1", "m1:1")
 		advance(10 * time.Second)
@@ -491,7 +492,7 @@
 		advance(time.Second)
 		So(c[1].upstreams(), ShouldEqual, "i-c1! i-c2")
 
-		// Away from all for so long that its leases are forgotten, a member is told them whole again.
+		// After a partition so long that its leases expired, a member receives them in full again.
 		n.sever("m3:1", "m2:1")
 		n.sever("m2:1", "m3:1")
 		advance(registry.LeaseTTL + registry.TombstoneTTL + registry.StaleTTL)
@@ -503,7 +504,7 @@
 }
 
 func TestServiceFilterAndSlowSidecar(t *testing.T) {
-	runMesh(t, "A sidecar hears of the services it calls, and one that does not read holds nobody up", func(n *network, m []*member, c []*sidecar) {
+	runMesh(t, "A sidecar receives the services it calls, and one that does not read blocks nobody", func(n *network, m []*member, c []*sidecar) {
 		c[0].change(func() { c[0].services = []string{"s-c2"} })
 		c[0].Resubscribe()
 		advance(15 * ms)
