--- a/internal/mesh/watch/contact_test.go
+++ b/internal/mesh/watch/contact_test.go
@@ -2,12 +2,7 @@
 
 import (
 	"context"
-	"encoding/json"
-	"fmt"
-	"net"
-	"net/http"
 	"strings"
-	"sync"
 	"testing"
 	"testing/synctest"
 	"time"
@@ -20,12 +15,6 @@
 	"caperarch/internal/mesh/rpc"
 )
 
-func (s *sidecar) applied() (version int64, back bool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.version, s.wentBack
-}
-
 // moves counts how often a sidecar goes to another member, and records when it last did.
 type moves struct {
 	at    string
@@ -39,8 +28,8 @@
 	}
 }
 
-// maxMoveTime is how long after a member's last contact its sidecars have moved: the contact expires, the member checks
-// it, the sidecar asks the others, and opens a watch.
+// maxMoveTime is how long after a member's last contact its sidecars have moved: the contact expires, the
+// member checks it, the sidecar asks the others, and opens a watch.
 const maxMoveTime = maxContactAge + tickInterval + probeTimeout + 50*ms
 
 // isolate partitions the first member from the two others, in the log and between the members.
@@ -54,7 +43,8 @@
 }
 
 func TestPartitionedMember(t *testing.T) {
-	runMesh(t, "A member that is partitioned for 20 s sends nothing old, and its sidecars move in time", func(n *network, m []*member, c []*sidecar) {
+	title := "A member that is partitioned for 20 s sends nothing old, and its sidecars move in time"
+	runMesh(t, title, func(n *network, m []*member, c []*sidecar) {
 		q := newMajority(m)
 		defer close(q.done)
 		advance(time.Second)
@@ -91,9 +81,11 @@
 		})
 		So(moved.count, ShouldEqual, 1)
 		So(moved.last, ShouldBeBetween, time.Duration(0), maxMoveTime)
-		_, err := rpc.Call[watchRequest, struct{}](context.Background(), c[0].cfg.HTTP, "http://"+memberAddresses[0]+watchPath, &watchRequest{Node: "x"})
+		err := c[0].requestWatch(context.Background(), memberAddresses[0], "x")
 		So(errs.KindOf(err), ShouldEqual, errs.NoQuorum)
-		answer, err := rpc.Call[registry.Lease, LeaseResponse](context.Background(), c[0].cfg.HTTP, "http://"+memberAddresses[0]+leasePath, &registry.Lease{Node: "x", Incarnation: 1, Sequence: 1})
+		lease := &registry.Lease{Node: "x", Incarnation: 1, Sequence: 1}
+		url := "http://" + memberAddresses[0] + leasePath
+		answer, err := rpc.Call[registry.Lease, LeaseResponse](context.Background(), c[0].cfg.HTTP, url, lease)
 		So(err, ShouldBeNil)
 		So(answer.Contact.OK || answer.CaughtUp, ShouldBeFalse)
 
@@ -133,7 +125,8 @@
 
 func TestSidecarsLeavePartitionedMemberInTime(t *testing.T) {
 	for offset := time.Duration(0); offset < renewInterval; offset += 100 * ms {
-		runMesh(t, "A sidecar moves in time, whenever between two renewals the partition begins", func(n *network, m []*member, c []*sidecar) {
+		title := "A sidecar moves in time, whenever between two renewals the partition begins"
+		runMesh(t, title, func(n *network, m []*member, c []*sidecar) {
 			q := newMajority(m)
 			defer close(q.done)
 			advance(time.Second + offset)
@@ -149,7 +142,8 @@
 }
 
 func TestOneWayPartitions(t *testing.T) {
-	runMesh(t, "A leader that receives no responses ages everywhere alike, and no sidecar moves", func(n *network, m []*member, c []*sidecar) {
+	title := "A leader that receives no responses ages everywhere alike, and no sidecar moves"
+	runMesh(t, title, func(n *network, m []*member, c []*sidecar) {
 		q := newMajority(m)
 		defer close(q.done)
 		advance(time.Second)
@@ -197,7 +191,8 @@
 }
 
 func TestMemberThatHasNotApplied(t *testing.T) {
-	runMesh(t, "A member that has not applied what the leader says is committed serves nobody", func(n *network, m []*member, c []*sidecar) {
+	title := "A member that has not applied what the leader says is committed serves nobody"
+	runMesh(t, title, func(n *network, m []*member, c []*sidecar) {
 		q := newMajority(m)
 		defer close(q.done)
 		q.change(func() { q.notApplied[2] = true })
@@ -220,7 +215,8 @@
 }
 
 func TestFrozenMember(t *testing.T) {
-	runMesh(t, "A member that is frozen within a frame never completes it, and syncs when it wakes", func(n *network, m []*member, c []*sidecar) {
+	title := "A member that is frozen within a frame never completes it, and syncs when it wakes"
+	runMesh(t, title, func(n *network, m []*member, c []*sidecar) {
 		q := newMajority(m)
 		defer close(q.done)
 		advance(time.Second)
@@ -257,214 +253,3 @@
 		So(still.registryDelayedUntil, ShouldBeGreaterThan, still.now())
 	})
 }
-
-// scripted starts a member whose responses a test gives. stop ends it.
-func (n *network) scripted(address string, lease, watch http.HandlerFunc) (stop func()) {
-	mux := http.NewServeMux()
-	mux.HandleFunc("POST "+leasePath, lease)
-	mux.HandleFunc("POST "+watchPath, watch)
-	server := &http.Server{Handler: mux}
-	p := &port{address, make(chan net.Conn, 64), make(chan struct{})}
-	n.mu.Lock()
-	n.ports[address] = p
-	n.mu.Unlock()
-	go func() { _ = server.Serve(p) }()
-	return func() {
-		_ = server.Close()
-		time.Sleep(2 * callTimeout) // until its handlers end
-	}
-}
-
-func TestContactAgesAddUp(t *testing.T) {
-	runMesh(t, "A member that follows a follower never takes its contact for newer than it is", func(n *network, m []*member, c []*sidecar) {
-		q := newMajority(m)
-		defer close(q.done)
-		reader := n.member("r:1", 7)
-		defer reader.stop()
-		follower := n.sidecar("reader", "zone-m1:1", memberAddresses[0])
-		defer follower.stop()
-		reader.mu.Lock()
-		reader.contactOf = follower.ContactAge
-		reader.mu.Unlock()
-		last := n.sidecar("last", "zone-r:1", "r:1")
-		defer last.stop()
-		for _, to := range memberAddresses {
-			n.sever("last", to) // the reader is its only member
-		}
-		q.run(3*time.Second, true, func(time.Duration) {
-			if version, _ := follower.applied(); version > reader.configs.Current() {
-				reader.publish(version)
-			}
-		})
-		version, _ := last.applied()
-		So(version, ShouldEqual, q.committed)
-
-		for _, i := range []int{1, 2} {
-			q.sever(i, 0) // the leader sends and receives nothing
-		}
-		q.change(func() { q.committed++ })
-		end := time.Now()
-		before, _ := last.applied()
-		q.run(10*time.Second, false, func(now time.Duration) {
-			age, ok := follower.ContactAge()
-			if !ok || age < time.Since(end) {
-				t.Fatalf("%v after the last round the reader says %v", now, age)
-			}
-			if now > maxContactAge {
-				reader.publish(1000)
-			}
-			if version, _ := last.applied(); version > before+1 {
-				t.Fatalf("%v after the last round a reader sent version %d", now, version)
-			}
-			if now > maxContactAge && reader.Server.checkContact().OK {
-				t.Fatalf("%v after the last round the reader counts as in contact", now)
-			}
-		})
-	})
-	runMesh(t, "A delayed response proves no more than the time of its request", func(n *network, m []*member, c []*sidecar) {
-		stop := n.scripted("slow:1", func(w http.ResponseWriter, _ *http.Request) {
-			time.Sleep(callTimeout - 100*ms)
-			_ = json.NewEncoder(w).Encode(LeaseResponse{Contact: Contact{OK: true, Age: 50 * ms}, CaughtUp: true})
-		}, func(w http.ResponseWriter, r *http.Request) {
-			for r.Context().Err() == nil {
-				fmt.Fprintln(w, `{"beat":{"contact":{"ok":true}}}`)
-				_ = http.NewResponseController(w).Flush()
-				time.Sleep(heartbeatInterval)
-			}
-		})
-		defer stop()
-		s := n.sidecar("new", "", "slow:1")
-		defer s.stop()
-		advance(callTimeout - 90*ms)
-		age, ok := s.ContactAge()
-		So(ok, ShouldBeTrue)
-		So(age, ShouldBeBetween, callTimeout-51*ms, callTimeout)
-	})
-	runMesh(t, "A delayed first configuration is only applied after a check of the contact", func(n *network, m []*member, c []*sidecar) {
-		var mu sync.Mutex
-		contact := Contact{OK: false}
-		stop := n.scripted("woken:1", func(w http.ResponseWriter, _ *http.Request) {
-			mu.Lock()
-			defer mu.Unlock()
-			_ = json.NewEncoder(w).Encode(LeaseResponse{Contact: contact})
-		}, func(w http.ResponseWriter, r *http.Request) {
-			for range 4 {
-				fmt.Fprintln(w, `{"beat":{"contact":{"ok":true}}}`)
-				_ = http.NewResponseController(w).Flush()
-				time.Sleep(heartbeatInterval)
-			}
-			fmt.Fprintln(w, `{"charter":[5]}`)
-			_ = http.NewResponseController(w).Flush()
-			<-r.Context().Done()
-		})
-		defer stop()
-		s := n.sidecar("new", "", "woken:1")
-		defer s.stop()
-		advance(5 * time.Second)
-		So(s.configFrames(), ShouldBeEmpty)
-		mu.Lock()
-		contact.OK = true
-		mu.Unlock()
-		advance(5 * time.Second)
-		So(s.configFrames(), ShouldContain, "[5]")
-	})
-}
-
-func TestLeavingWithoutContact(t *testing.T) {
-	runMesh(t, "A sidecar that leaves notifies a member that can notify the others", func(n *network, m []*member, c []*sidecar) {
-		m[0].setContact(false)
-		for _, i := range []int{1, 2} {
-			n.sever(memberAddresses[0], memberAddresses[i])
-			n.sever(memberAddresses[i], memberAddresses[0])
-		}
-		So(c[0].Leave(context.Background()), ShouldBeNil)
-		advance(30 * ms)
-		So(c[1].upstreams(), ShouldEqual, "i-c2 i-c3")
-		for _, to := range memberAddresses[1:] {
-			n.sever("c1", to)
-		}
-		So(c[0].Leave(context.Background()), ShouldBeNil)
-		n.sever("c1", memberAddresses[0])
-		So(errs.KindOf(c[0].Leave(context.Background())), ShouldEqual, errs.Unreachable)
-	})
-	runMesh(t, "What one member says of its contact does not count against another", func(n *network, m []*member, c []*sidecar) {
-		stop := n.scripted("out:1", func(w http.ResponseWriter, _ *http.Request) {
-			time.Sleep(100 * ms)
-			peers := []Peer{{Address: memberAddresses[0]}, {Address: memberAddresses[1]}, {Address: memberAddresses[2]}}
-			_ = json.NewEncoder(w).Encode(LeaseResponse{Peers: peers})
-		}, func(w http.ResponseWriter, r *http.Request) {
-			for r.Context().Err() == nil {
-				fmt.Fprintln(w, `{"beat":{}}`)
-				_ = http.NewResponseController(w).Flush()
-				time.Sleep(time.Millisecond)
-			}
-		})
-		defer stop()
-		s := n.sidecar("new", "", "out:1")
-		defer s.stop()
-		moved := moves{at: "out:1"}
-		for now := time.Duration(0); now < 3*time.Second; now += 5 * ms {
-			advance(5 * ms)
-			moved.observe(s, now)
-		}
-		So(moved.count, ShouldEqual, 1)
-	})
-}
-
-func TestRegistryDelay(t *testing.T) {
-	Convey("Registry changes wait until each peer has answered or failed and one has answered, or for the bound", t, func() {
-		one, two := newGossipPeer("a:1", nil), newGossipPeer("b:1", nil)
-		s := &Server{registryDelayedUntil: maxRegistryDelay, peers: map[string]*gossipPeer{"a:1": one, "b:1": two}}
-		So(s.delaysRegistry(0), ShouldBeTrue)
-		one.sync = syncDone
-		So(s.delaysRegistry(0), ShouldBeTrue)
-		two.sync = syncFailed
-		So(s.delaysRegistry(0), ShouldBeFalse)
-		one.sync = syncFailed
-		So(s.delaysRegistry(0), ShouldBeTrue)
-		So(s.delaysRegistry(maxRegistryDelay), ShouldBeFalse)
-		So((&Server{registryDelayedUntil: maxRegistryDelay}).delaysRegistry(0), ShouldBeFalse)
-	})
-}
-
-func TestWhatResponsesProve(t *testing.T) {
-	Convey("A response without contact proves nothing, lowers no count and removes no member", t, func() {
-		c := NewClient(ClientConfig{Zone: "z"})
-		now := time.Now()
-		for _, answer := range []LeaseResponse{
-			{Contact: Contact{OK: false}, CaughtUp: true}, {Contact: Contact{OK: true}, CaughtUp: false},
-			{Contact: Contact{OK: true, Age: -time.Hour}, CaughtUp: true},
-		} {
-			c.recordConfirmation(now, &answer)
-			_, ok := c.ContactAge()
-			So(ok, ShouldBeFalse)
-		}
-		peers := []Peer{{Address: "a:1"}, {Address: "b:1"}}
-		c.recordMembers(&LeaseResponse{Contact: Contact{OK: true}, Members: 9, PeakMembers: 9, Peers: peers})
-		c.recordMembers(&LeaseResponse{Members: 2, PeakMembers: 3, Peers: []Peer{{Address: "a:1"}, {Address: "c:1"}}})
-		So([]int{c.Members(), c.PeakMembers()}, ShouldResemble, []int{9, 9})
-		So(c.Peers(), ShouldHaveLength, 3)
-	})
-}
-
-func TestLateGossipExtendsNothing(t *testing.T) {
-	runMesh(t, "A message between members that was delayed for long refreshes nothing", func(n *network, m []*member, c []*sidecar) {
-		now := m[0].now()
-		up := registry.Upstream{Instance: "late", Service: "s", Address: "late:80", Inbound: "late:90", Sequence: 1}
-		message := func(echo clockReading, node string) *gossipRequest {
-			return &gossipRequest{From: memberAddresses[1], Echo: echo, Leases: []registry.RemoteLease{{
-				Lease: registry.Lease{Node: node, Incarnation: 1, Sequence: 1, Upstream: &up}, Remaining: registry.LeaseTTL,
-			}}}
-		}
-		late := message(m[0].clock(now), "late")
-		advance(registry.LeaseTTL)
-		for _, q := range []*gossipRequest{late, message(clockReading{99, m[0].now()}, "foreign")} {
-			_, err := m[0].receiveGossip(nil, q)
-			So(err, ShouldBeNil)
-			So(len(m[0].Upstreams()), ShouldEqual, 3)
-		}
-		_, err := m[0].receiveGossip(nil, message(m[0].clock(m[0].now()), "prompt"))
-		So(err, ShouldBeNil)
-		So(len(m[0].Upstreams()), ShouldEqual, 4)
-	})
-}
--- a/internal/mesh/watch/majority_test.go
+++ b/internal/mesh/watch/majority_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// majority simulates the log beside the members of a mesh: a leader that sends heartbeats, states with each how old its
-// confirmation is, and commits versions. Its links are severed one way each.
+// majority simulates the log beside the members of a mesh: a leader that sends heartbeats, states with
+// each how old its confirmation is, and commits versions. Its links are severed one way each.
 type majority struct {
 	mu         sync.Mutex
 	members    []*member
@@ -24,8 +24,14 @@
 
 func newMajority(m []*member) *majority {
 	q := &majority{
-		members: m, committed: 1, confirmed: make([]time.Time, len(m)), known: make([]time.Time, len(m)),
-		lag: make([]time.Duration, len(m)), severed: map[[2]int]bool{}, notApplied: map[int]bool{}, done: make(chan struct{}),
+		members:    m,
+		committed:  1,
+		confirmed:  make([]time.Time, len(m)),
+		known:      make([]time.Time, len(m)),
+		lag:        make([]time.Duration, len(m)),
+		severed:    map[[2]int]bool{},
+		notApplied: map[int]bool{},
+		done:       make(chan struct{}),
 	}
 	q.heartbeat()
 	for i, one := range m {
@@ -96,7 +102,8 @@
 
 func (q *majority) heal() { q.change(func() { clear(q.severed) }) }
 
-// run advances time in steps, and calls observe after each; with commits the leader commits a version every half second.
+// run advances time in steps, and calls observe after each; with commits the leader commits a version
+// every half second.
 func (q *majority) run(d time.Duration, commits bool, observe func(at time.Duration)) {
 	for at := time.Duration(0); at < d; at += 10 * ms {
 		if commits && at%(500*ms) == 0 {
