--- a/internal/mesh/headers/golden_test.go
+++ b/internal/mesh/headers/golden_test.go
@@ -28,22 +28,22 @@
 	}
 }
 
-func TestFieldsOfAGatesOwnAnswer(t *testing.T) {
-	for neverRan, want := range map[bool]http.Header{
+func TestFieldsOfAGatesOwnResponse(t *testing.T) {
+	for notExecuted, want := range map[bool]http.Header{
 		true: {
 			"X-Caperarch-Attempt-Id": {"9c41"}, "X-Mesh-Verdict": {"turned"}, "X-Mesh-Load": {"5,2,9"},
 			"X-Caperarch-Not-Executed": {"1"},
 		},
 		false: {"X-Caperarch-Attempt-Id": {"9c41"}, "X-Mesh-Verdict": {"unknown"}, "X-Mesh-Load": {"5,2,9"}},
 	} {
-		if got := GateResponseFields("9c41", neverRan, FormatLoad(5, 2, 9)); !reflect.DeepEqual(got, want) {
-			t.Errorf("never ran %v: %v, want %v", neverRan, got, want)
+		if got := GateResponseFields("9c41", notExecuted, FormatLoad(5, 2, 9)); !reflect.DeepEqual(got, want) {
+			t.Errorf("not executed %v: %v, want %v", notExecuted, got, want)
 		}
 	}
 	fields := http.Header{"X-Mesh-Verdict": {"turned"}}
 	SetGateLoad(fields, FormatLoad(5, 2, 9))
 	if want := (http.Header{"X-Mesh-Load": {"5,2,9"}}); !reflect.DeepEqual(fields, want) {
-		t.Errorf("an upstream's answer has %v, want %v", fields, want)
+		t.Errorf("an upstream's response has %v, want %v", fields, want)
 	}
 }
 
@@ -63,18 +63,18 @@
 	}
 }
 
-func TestSendOnTheWire(t *testing.T) {
-	send := SendID{Sender: 0xabc123, Number: 12}
-	if got := send.String(); got != "abc123.12" {
-		t.Errorf("the send is written as %q, want abc123.12", got)
+func TestSendIDOnTheWire(t *testing.T) {
+	id := SendID{Sender: 0xabc123, Number: 12}
+	if got := id.String(); got != "abc123.12" {
+		t.Errorf("the id is written as %q, want abc123.12", got)
 	}
-	if got, ok := ParseSendID(head("X-Mesh-Send", "abc123.12")); !ok || got != send {
-		t.Errorf("the send is read as %+v, %v, want %+v", got, ok, send)
+	if got, ok := ParseSendID(head("X-Mesh-Send", "abc123.12")); !ok || got != id {
+		t.Errorf("the id is read as %+v, %v, want %+v", got, ok, id)
 	}
 }
 
 // Neither clients nor upstreams may set or see what sidecars tell each other.
-func TestInternalFieldsAreTakenOff(t *testing.T) {
+func TestInternalFieldsAreRemoved(t *testing.T) {
 	internal := []string{
 		"X-Mesh-Visit", "X-Mesh-Send", "X-Mesh-Load", "X-Mesh-Verdict",
 		"X-Caperarch-Target-Instance", "X-Caperarch-Tenant-Id", "X-Caperarch-Caller-Service", "X-Api-Key",
--- a/internal/mesh/headers/headers_test.go
+++ b/internal/mesh/headers/headers_test.go
@@ -14,17 +14,21 @@
 	"caperarch/policy"
 )
 
-// answer is an answer with a stamp of an upstream and the fields given, as names and values in turn.
-func answer(status int, fields ...string) *http.Response {
+// signed is an upstream's response with a signature, a load and the fields given, as names and values in
+// turn; the value "-" removes the field.
+func signed(status int, fields ...string) *http.Response {
 	h := http.Header{Signature: {"3e1b.07"}, Load: {"3,1,8"}}
 	for i := 0; i < len(fields); i += 2 {
-		if h.Set(fields[i], fields[i+1]); fields[i+1] == "-" {
+		if fields[i+1] == "-" {
 			h.Del(fields[i])
+			continue
 		}
+		h.Set(fields[i], fields[i+1])
 	}
 	return &http.Response{StatusCode: status, Header: h}
 }
 
+// head is a request's head with the fields given, as names and values in turn.
 func head(fields ...string) *h1.Head {
 	h := new(h1.Head)
 	for i := 0; i < len(fields); i += 2 {
@@ -33,37 +37,37 @@
 	return h
 }
 
-func TestJudging(t *testing.T) {
-	table := []struct {
+func TestClassifyResponses(t *testing.T) {
+	cases := []struct {
 		res  *http.Response
 		want policy.Ending
 	}{
-		{answer(200), policy.Served},
-		{answer(204), policy.Served},
-		{answer(304, Signature, "-"), policy.Served},
-		{answer(400, Signature, "-"), policy.Served},
-		{answer(404), policy.Served},
-		{answer(200, Signature, "-"), policy.Broken},
-		{answer(206, Signature, "-"), policy.Broken},
-		{answer(200, "Content-Encoding", "gzip"), policy.Broken},
-		{answer(408), policy.Broken},
-		{answer(429), policy.Broken},
-		{answer(503), policy.Broken},
-		{answer(503, NotExecuted, "1"), policy.TurnedAway},
-		{answer(421, Instance, "i-02d9e6b4"), policy.TurnedAway},
-		{answer(500), policy.Errored},
-		{answer(502), policy.Errored},
-		{answer(504, Signature, "-"), policy.Errored},
+		{signed(200), policy.Served},
+		{signed(204), policy.Served},
+		{signed(304, Signature, "-"), policy.Served},
+		{signed(400, Signature, "-"), policy.Served},
+		{signed(404), policy.Served},
+		{signed(200, Signature, "-"), policy.Broken},
+		{signed(206, Signature, "-"), policy.Broken},
+		{signed(200, "Content-Encoding", "gzip"), policy.Broken},
+		{signed(408), policy.Broken},
+		{signed(429), policy.Broken},
+		{signed(503), policy.Broken},
+		{signed(503, NotExecuted, "1"), policy.TurnedAway},
+		{signed(421, Instance, "i-02d9e6b4"), policy.TurnedAway},
+		{signed(500), policy.Errored},
+		{signed(502), policy.Errored},
+		{signed(504, Signature, "-"), policy.Errored},
 	}
-	Convey("An upstream's answer proves that it ran, that it did not, or neither", t, func() {
-		for _, c := range table {
+	Convey("An upstream's response proves that the request was executed, that it wasn't, or neither", t, func() {
+		for _, c := range cases {
 			ending, load := ClassifyUpstreamResponse(c.res)
 			So([]any{c.res.StatusCode, c.res.Header, ending}, ShouldResemble, []any{c.res.StatusCode, c.res.Header, c.want})
 			So(load, ShouldResemble, policy.Load{Has: policy.HasInFlight | policy.HasQueued, InFlight: 4, Queued: 1})
 		}
 	})
-	Convey("A gate's own answer proves by its verdict, one that it passes on as the upstream's would, and either tells the gate's load", t, func() {
-		for _, c := range table {
+	Convey("A gate's own response proves by its outcome, a forwarded one as the upstream's; both have the load", t, func() {
+		for _, c := range cases {
 			SetGateLoad(c.res.Header, FormatLoad(5, 2, 9))
 			ending, load := ClassifyGateResponse(c.res)
 			So([]any{c.res.StatusCode, c.res.Header, ending}, ShouldResemble, []any{c.res.StatusCode, c.res.Header, c.want})
@@ -71,9 +75,9 @@
 			StripGateLoad(c.res.Header)
 			So(c.res.Header[gateLoadField], ShouldBeNil)
 		}
-		for neverRan, want := range map[bool]policy.Ending{true: policy.Gated, false: policy.Broken} {
+		for notExecuted, want := range map[bool]policy.Ending{true: policy.Gated, false: policy.Broken} {
 			for _, status := range []int{200, 400, 421, 503, 504} {
-				res := &http.Response{StatusCode: status, Header: GateResponseFields("9c41", neverRan, FormatLoad(1, 0, 1))}
+				res := &http.Response{StatusCode: status, Header: GateResponseFields("9c41", notExecuted, FormatLoad(1, 0, 1))}
 				ending, load := ClassifyGateResponse(res)
 				So(ending, ShouldEqual, want)
 				So(load.InFlight, ShouldEqual, 1)
@@ -81,16 +85,16 @@
 				So(MatchesAttempt(&call.Message{Header: http.Header{AttemptID: {"9c41"}}}, res), ShouldBeTrue)
 			}
 		}
-		forged := answer(200, outcomeField, outcomeNotExecuted) // by an upstream: only a gate may say
+		forged := signed(200, outcomeField, outcomeNotExecuted) // by an upstream: only a gate may say
 		SetGateLoad(forged.Header, FormatLoad(0, 0, 1))
 		ending, _ := ClassifyGateResponse(forged)
 		So(ending, ShouldEqual, policy.Served)
 		for _, other := range []string{"served", "TURNED", "turned,turned"} {
-			ending, _ := ClassifyGateResponse(answer(200, outcomeField, other))
+			ending, _ := ClassifyGateResponse(signed(200, outcomeField, other))
 			So(ending, ShouldEqual, policy.Broken)
 		}
 	})
-	Convey("An answer is a request's only with its very id, once", t, func() {
+	Convey("A response belongs to a request only with exactly its id, once", t, func() {
 		m := &call.Message{Header: http.Header{AttemptID: {"9c41"}}}
 		for _, ids := range [][]string{nil, {}, {""}, {"9c42"}, {"9C41"}, {"9c41", "9c41"}, {"9c42", "9c41"}} {
 			So(MatchesAttempt(m, &http.Response{Header: http.Header{AttemptID: ids}}), ShouldBeFalse)
@@ -101,8 +105,8 @@
 	})
 }
 
-func TestFields(t *testing.T) {
-	Convey("What only sidecars may say is taken off however a client spells it, and the rest stays", t, func() {
+func TestFieldsAreParsedInBounds(t *testing.T) {
+	Convey("What only sidecars may set is removed however a client spells it, and the rest stays", t, func() {
 		text := "POST /x HTTP/1.1\r\nHost: a\r\nX-Other: 1\r\n"
 		for _, name := range []string{attemptTermsField, SendIDField, gateLoadField, outcomeField, Target, Tenant, Caller, Key} {
 			text += strings.ToLower(name) + ": a\r\n" + strings.ToUpper(name) + ": b\r\n" + name + ":\r\n"
@@ -117,15 +121,19 @@
 		StripInternal(fields)
 		So(fields, ShouldResemble, http.Header{"X-Other": {"1"}})
 	})
-	Convey("Whatever stands in the terms of an attempt, a load or a time-out, what is read of it is in bounds", t, func() {
-		for _, text := range []string{"", "1", "1,2", "a,2,1", "1,a,1", "-1,2,1", "1,-2,1", "1.5,2,1", "1,99999999999999999999,1", "99999999999999999999,1,1"} {
+	Convey("Whatever attempt terms, a load or a time-out contain, what is parsed is in bounds", t, func() {
+		for _, text := range []string{
+			"", "1", "1,2", "a,2,1", "1,a,1", "-1,2,1", "1,-2,1", "1.5,2,1", "1,99999999999999999999,1", "99999999999999999999,1,1",
+		} {
 			_, ok := ParseAttemptTerms(head(attemptTermsField, text))
 			So(ok, ShouldBeFalse)
 			So(ParseLoad(strings.Replace(text, "1.5", "1,x", 1)).InFlight, ShouldBeGreaterThanOrEqualTo, 0)
 		}
 		_, ok := ParseAttemptTerms(head())
 		So(ok, ShouldBeFalse)
-		for text, want := range map[string]time.Duration{"1000": time.Second, "2.5": 2500 * time.Microsecond, "1e9": maxTimeout, "600000": maxTimeout} {
+		for text, want := range map[string]time.Duration{
+			"1000": time.Second, "2.5": 2500 * time.Microsecond, "1e9": maxTimeout, "600000": maxTimeout,
+		} {
 			got, ok := ParseTimeout(text)
 			So(ok, ShouldBeTrue)
 			So(got, ShouldEqual, want)
@@ -134,51 +142,62 @@
 			_, ok := ParseTimeout(text)
 			So(ok, ShouldBeFalse)
 		}
-		So([]int{ParseSlots("3,0,8"), ParseSlots("3,0"), ParseSlots("3,0,x"), ParseSlots("3,0,-8"), ParseSlots("")}, ShouldResemble, []int{8, 0, 0, 0, 0})
+		for text, want := range map[string]int{"3,0,8": 8, "3,0": 0, "3,0,x": 0, "3,0,-8": 0, "": 0} {
+			So(ParseSlots(text), ShouldEqual, want)
+		}
 		So([]policy.Load{ParseLoad("3,x,8"), ParseLoad("3,-1,8"), ParseLoad("3,1")}, ShouldResemble, make([]policy.Load, 3))
 	})
-	Convey("No aim is negative or beyond the longest, however long its number", t, func() {
-		for _, aim := range []string{"600001", "9223372036854", "9223372036855", "10000000000000", "9223372036854775807"} {
-			v, _ := ParseAttemptTerms(head(attemptTermsField, "1,"+aim+",1"))
+	Convey("No latency target is negative or beyond the maximum, however long its number", t, func() {
+		for _, target := range []string{"600001", "9223372036854", "9223372036855", "10000000000000", "9223372036854775807"} {
+			v, _ := ParseAttemptTerms(head(attemptTermsField, "1,"+target+",1"))
 			So(v.LatencyTarget, ShouldBeBetweenOrEqual, 0, maxTimeout)
 		}
 	})
 	Convey("No load is negative, however long its numbers", t, func() {
 		So(ParseLoad("9223372036854775807,9223372036854775807,1").InFlight, ShouldBeGreaterThanOrEqualTo, 0)
 	})
-	Convey("A time-out of less than any time is none, and doesn't count as if nothing had been told", t, func() {
+	Convey("A time-out that rounds to zero is none, and isn't taken for an unlimited one", t, func() {
 		got, ok := ParseTimeout("1e-9")
 		So(ok && got <= 0, ShouldBeFalse)
 	})
 }
 
-// TestSends: sends of a process are told apart, later ones have higher numbers, and those of two processes are not alike.
-func TestSends(t *testing.T) {
-	s, other := NewSendIDSource(), NewSendIDSource()
-	last, _ := ParseSendID(head(SendIDField, other.Next()))
-	before := SendID{}
+// Ids of one process have increasing numbers under one sender, and two processes have different senders.
+func TestSendIDsAreUnique(t *testing.T) {
+	source, otherSource := NewSendIDSource(), NewSendIDSource()
+	other, _ := ParseSendID(head(SendIDField, otherSource.Next()))
+	previous := SendID{}
 	for range 100 {
-		got, ok := ParseSendID(head(SendIDField, s.Next()))
-		if !ok || got.Number <= before.Number || before.Number > 0 && got.Sender != before.Sender || got.Sender == last.Sender {
-			t.Fatalf("%+v behind %+v, of another %+v", got, before, last)
+		got, ok := ParseSendID(head(SendIDField, source.Next()))
+		sameSender := previous.Number == 0 || got.Sender == previous.Sender
+		if !ok || got.Number <= previous.Number || !sameSender || got.Sender == other.Sender {
+			t.Fatalf("%+v follows %+v, the other process has %+v", got, previous, other)
 		}
-		before = got
+		previous = got
 	}
-	for _, text := range []string{"", ".", "1", "1.", ".1", "x.1", "1.x", "1.-1", "1.2.3", "10000000000000000.1", "1.18446744073709551616"} {
+	for _, text := range []string{
+		"", ".", "1", "1.", ".1", "x.1", "1.x", "1.-1", "1.2.3", "10000000000000000.1", "1.18446744073709551616",
+	} {
 		if got, ok := ParseSendID(head(SendIDField, text)); ok {
-			t.Errorf("%q was taken for %+v", text, got)
+			t.Errorf("%q is parsed as %+v", text, got)
 		}
 	}
 }
 
-// TestAttempt: the terms of an attempt are read as they were put, to the millisecond, whatever stood there.
-func TestAttempt(t *testing.T) {
+// Attempt terms are parsed as they were set, to the millisecond, whatever the field held before.
+func TestAttemptTermsRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		v := AttemptTerms{Priority: rapid.IntRange(0, 9).Draw(t, "rank"), LatencyTarget: time.Duration(rapid.IntRange(0, 600_000).Draw(t, "aim")) * time.Millisecond, Idempotent: rapid.Bool().Draw(t, "safe")}
+		targetMs := rapid.IntRange(0, 600_000).Draw(t, "latency target in ms")
+		v := AttemptTerms{
+			Priority:      rapid.IntRange(0, 9).Draw(t, "priority"),
+			LatencyTarget: time.Duration(targetMs) * time.Millisecond,
+			Idempotent:    rapid.Bool().Draw(t, "idempotent"),
+		}
 		fields := http.Header{attemptTermsField: {"9,9,1", "9,9,1"}}
 		v.Set(fields)
-		if got, ok := ParseAttemptTerms(head(attemptTermsField, fields[attemptTermsField][0])); len(fields[attemptTermsField]) != 1 || !ok || got != v {
-			t.Fatalf("%+v was put as %q and read as %+v", v, fields[attemptTermsField], got)
+		values := fields[attemptTermsField]
+		if got, ok := ParseAttemptTerms(head(attemptTermsField, values[0])); len(values) != 1 || !ok || got != v {
+			t.Fatalf("%+v is written as %q and parsed as %+v", v, values, got)
 		}
 		if StripSidecarFields(fields); len(fields) > 0 {
 			t.Fatalf("left: %v", fields)
