--- a/internal/mesh/settings/reload_test.go
+++ b/internal/mesh/settings/reload_test.go
@@ -12,14 +12,14 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-func TestChanges(t *testing.T) {
+func TestReloadSignals(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "settings.yaml")
 	if err := os.WriteFile(path, []byte("a"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	t.Setenv(BootVariable, path)
 	synctest.Test(t, func(t *testing.T) {
-		Convey("A file that changes with no signal is told once, as one that changes with one; other signals go through", t, func() {
+		Convey("A change of the file is announced once, with or without a signal; other signals are forwarded", t, func() {
 			ctx, cancel := context.WithCancel(context.Background())
 			signals := make(chan os.Signal, 1)
 			out := ReloadSignals(ctx, signals)
@@ -31,10 +31,10 @@
 			So(os.Chtimes(path, time.Time{}, time.Unix(2, 0)), ShouldBeNil)
 			signals <- syscall.SIGHUP
 			So(<-out, ShouldEqual, syscall.SIGHUP)
-			time.Sleep(3 * lookEvery) // virtual
+			time.Sleep(3 * pollInterval) // virtual
 			select {
 			case s := <-out:
-				So(s, ShouldBeNil) // told twice
+				So(s, ShouldBeNil) // announced twice
 			default:
 			}
 			cancel()
--- a/internal/mesh/settings/settings.go
+++ b/internal/mesh/settings/settings.go
@@ -1,4 +1,6 @@
-// Package settings reads what a process is told at its start: the YAML file named by CAPERARCH_BOOT.
+// Package settings owns the settings file of a process: the YAML file that CAPERARCH_BOOT names. A value
+// of Settings is complete and well formed, or there is none; nothing changes it after it was read, so any
+// goroutine may use it. The keys of the file are a contract with its writers.
 package settings
 
 import (
@@ -14,13 +16,14 @@
 // BootVariable is the environment variable that holds the path of the settings file.
 const BootVariable = "CAPERARCH_BOOT"
 
-// The classes of machines. They decide which fields a settings file has.
+// The machine classes. They decide which fields a settings file has.
 const (
 	Core    = "core"
 	Sidecar = "sidecar"
 )
 
-// Settings is what the process is told, checked whole: every field its machine class needs is there and well formed.
+// Settings is a settings file that was checked: every field that its machine class needs is there and
+// well formed.
 type Settings struct {
 	Self       Self
 	Network    Network
@@ -28,24 +31,24 @@
 	Guarantees Guarantees
 }
 
-// Self is the process's own place.
+// Self describes the process and its machine.
 type Self struct {
 	NodeName        string
 	Role            string
-	MachineClass    string // Core or Sidecar.
+	MachineClass    string // Core or Sidecar
 	ServedRoles     []string
 	IPAddress       string
 	Zone            string
 	Region          string
 	CountedInQuorum bool
-	FirstStart      bool   // True only at the first start of the whole system, with empty disks.
-	DataDirectory   string // Empty on machines without a disk.
+	FirstStart      bool   // only at the first start of the whole system, with empty disks
+	DataDirectory   string // empty on machines without a disk
 	Limits          Limits
-	AppAddress      string // Empty on core machines.
-	ServiceName     string // Empty on core machines.
+	AppAddress      string // empty on core machines
+	ServiceName     string // empty on core machines
 }
 
-// Limits is what the process may use.
+// Limits are the resources that the process may use.
 type Limits struct {
 	CPUShare      float64
 	CPUCores      float64
@@ -55,15 +58,15 @@
 	DiskMB        int
 }
 
-// Network is the addresses of the process and of those it can ask.
+// Network holds the addresses of the process and of the core machines.
 type Network struct {
 	ListenAddresses   ListenAddresses
 	InternalPortRange PortRange
-	SeedNodes         []string          // Control plane addresses.
-	Zones             map[string]string // The region of each zone.
+	SeedNodes         []string          // control plane addresses
+	Zones             map[string]string // the region of each zone
 }
 
-// ListenAddresses is what the process serves at. All but ControlPlane are empty on core machines.
+// ListenAddresses are those that the process serves at. All but ControlPlane are empty on core machines.
 type ListenAddresses struct {
 	Inbound      string
 	Outbound     string
@@ -71,40 +74,40 @@
 	ControlPlane string
 }
 
-// PortRange is the ports that are free for the mesh's own protocols, both ends included.
+// PortRange is the range of ports for the mesh's own protocols, both ends included.
 type PortRange struct {
 	First int
 	Last  int
 }
 
-// Provider says how instances make themselves known.
+// Provider says how upstream instances register.
 type Provider struct {
 	DiscoverySource   string
 	EntryType         string
 	HeartbeatInterval time.Duration
 }
 
-// Guarantees is the rules in force and their figures.
+// Guarantees holds the rules in force and their parameters.
 type Guarantees struct {
 	Contracts      Contracts
 	FaultTolerance FaultTolerance
 	Bounds         Bounds
 }
 
-// Contracts names the parts of the rules in force.
+// Contracts names the groups of rules in force.
 type Contracts []string
 
-// Has says whether the contract is in force.
+// Has says whether the group is in force.
 func (c Contracts) Has(contract string) bool { return slices.Contains(c, contract) }
 
-// FaultTolerance is what may be lost at the same time while every rule is kept.
+// FaultTolerance says how many of each may fail at the same time while every rule is kept.
 type FaultTolerance struct {
 	Machines int
 	Zones    int
 	Regions  int
 }
 
-// Bounds is the figures of the rules. Those the file doesn't name are zero.
+// Bounds holds the parameters of the rules. Those that the file doesn't name are zero.
 type Bounds struct {
 	SeedLag          time.Duration
 	AddressReuse     time.Duration
@@ -128,7 +131,8 @@
 	Recovery         time.Duration
 }
 
-// Load reads the file that CAPERARCH_BOOT names.
+// Load reads the file that CAPERARCH_BOOT names. It is errs.Invalid if that is not set, and otherwise fails
+// as ReadFile does.
 func Load() (*Settings, error) {
 	path := os.Getenv(BootVariable)
 	if path == "" {
@@ -137,7 +141,8 @@
 	return ReadFile(path)
 }
 
-// ReadFile reads the file at path.
+// ReadFile reads the file at path. It is errs.Malformed if the file cannot be read, and otherwise fails as
+// Parse does.
 func ReadFile(path string) (*Settings, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -146,23 +151,23 @@
 	return Parse(data)
 }
 
-// InternalAddress gives the address at which the mesh's own protocol is spoken on the host's machine: the ports are
-// alike on all machines. The host may come with a port, as seed nodes do, which is then replaced.
+// InternalAddress returns the address for the mesh's own protocol on the host's machine: the ports are the
+// same on all machines. If the host has a port, as seed nodes have, it is replaced.
 func (s *Settings) InternalAddress(host string) string {
-	if bare, _, err := net.SplitHostPort(host); err == nil {
-		host = bare
+	if name, _, err := net.SplitHostPort(host); err == nil {
+		host = name
 	}
 	return net.JoinHostPort(host, strconv.Itoa(s.Network.InternalPortRange.First))
 }
 
-// SeedAddresses gives the internal addresses of the core machines that the settings name.
+// SeedAddresses returns the internal addresses of the core machines that the settings name.
 func (s *Settings) SeedAddresses() []string {
-	var all []string
-	for _, address := range s.Network.SeedNodes {
-		all = append(all, s.InternalAddress(address))
+	var addresses []string
+	for _, node := range s.Network.SeedNodes {
+		addresses = append(addresses, s.InternalAddress(node))
 	}
-	return all
+	return addresses
 }
 
-// OwnInternalAddress gives the process's own address for the mesh's own protocol.
+// OwnInternalAddress returns the process's own address for the mesh's own protocol.
 func (s *Settings) OwnInternalAddress() string { return s.InternalAddress(s.Self.IPAddress) }
--- a/internal/mesh/settings/settings_test.go
+++ b/internal/mesh/settings/settings_test.go
@@ -12,8 +12,8 @@
 	"caperarch/internal/mesh/errs"
 )
 
-func TestSettings(t *testing.T) {
-	Convey("The printed examples are read to the last field", t, func() {
+func TestReadAndParse(t *testing.T) {
+	Convey("The examples are read completely", t, func() {
 		s, err := ReadFile(filepath.Join("testdata", "sidecar.yaml"))
 		So(err, ShouldBeNil)
 		So(*s, ShouldResemble, Settings{
@@ -59,41 +59,74 @@
 		So(s.Network.ListenAddresses, ShouldResemble, ListenAddresses{ControlPlane: "10.1.0.45:8105"})
 	})
 
-	Convey("What may be absent may, and what is wrong is named by its path on one line", t, func() {
-		for _, c := range []struct{ class, old, new, says string }{
+	Convey("Optional fields may be absent, and a wrong one is named by its path on one line", t, func() {
+		for _, c := range []struct{ class, old, new, message string }{
 			{"core", "cpuShare: 0.24", "cpuShare: 0.24\n    newLimit: {a: [1]}", ""},
 			{"core", "    quotaSlack: 20\n", "", ""},
 			{"sidecar", "    quotaSlack: 20", "    quotaSlack: null", ""},
 			{"sidecar", "  dataDirectory: null\n", "", ""},
 			{"core", "    cpuShare: 0.24\n", "", "self.limits.cpuShare: required key is missing"},
-			{"core", "cpuShare: 0.24", "cpuShare: \"0.24\"", `self.limits.cpuShare: must be a number over 0, is "0.24"`},
-			{"core", "memoryMb: 280", "memoryMb: 280.5", `self.limits.memoryMb: must be a whole number from 0 on, is "280.5"`},
-			{"core", "dataDirectory: \"/data/my-core\"", "dataDirectory: null", "self.dataDirectory: must be a text, is null"},
-			{"core", "machineClass: \"core\"", "machineClass: \"hall\"", `self.machineClass: must be core or sidecar, is "hall"`},
-			{"core", "machineClass: \"core\"", "machineClass: \"sidecar\"", "network.listenAddresses.inbound: required key is missing"},
+			{
+				"core", "cpuShare: 0.24", "cpuShare: \"0.24\"",
+				`self.limits.cpuShare: must be a number over 0, is "0.24"`,
+			},
+			{
+				"core", "memoryMb: 280", "memoryMb: 280.5",
+				`self.limits.memoryMb: must be a whole number from 0 on, is "280.5"`,
+			},
+			{
+				"core", "dataDirectory: \"/data/my-core\"", "dataDirectory: null",
+				"self.dataDirectory: must be a text, is null",
+			},
+			{
+				"core", "machineClass: \"core\"", "machineClass: \"hall\"",
+				`self.machineClass: must be core or sidecar, is "hall"`,
+			},
+			{
+				"core", "machineClass: \"core\"", "machineClass: \"sidecar\"",
+				"network.listenAddresses.inbound: required key is missing",
+			},
 			{"sidecar", "  serviceName: \"huvo11a\"\n", "", "self.serviceName: required key is missing"},
-			{"sidecar", "10.1.0.40:8109", "hall-a:8109", `network.listenAddresses.inbound: must be an IP address with a port, is "hall-a:8109"`},
-			{"sidecar", "10.2.0.35:8105", "10.2.0.35", `network.seedNodes: must be a list of IP addresses with ports, is "[10.1.0.45:8105 10.2.0.35 10.3.0.41:8105]"`},
-			{"sidecar", "- 7655", "- 7600", `network.internalPortRange: must be two ports in order, is "[7640 7600]"`},
-			{"sidecar", "heartbeatIntervalS: 1.5", "heartbeatIntervalS: 0", `provider.heartbeatIntervalS: must be seconds over 0, is "0"`},
-			{"sidecar", "ackTimeoutS: 5", "ackTimeoutS: .inf", `guarantees.bounds.ackTimeoutS: must be seconds from 0 on, is "+Inf"`},
-			{"sidecar", "revocationStrict: false", "revocationStrict: 0", `guarantees.bounds.revocationStrict: must be true or false, is "0"`},
+			{
+				"sidecar", "10.1.0.40:8109", "hall-a:8109",
+				`network.listenAddresses.inbound: must be an IP address with a port, is "hall-a:8109"`,
+			},
+			{
+				"sidecar", "10.2.0.35:8105", "10.2.0.35",
+				`network.seedNodes: must be a list of IP addresses with ports, is "[10.1.0.45:8105 10.2.0.35 10.3.0.41:8105]"`,
+			},
+			{
+				"sidecar", "- 7655", "- 7600",
+				`network.internalPortRange: must be two ports in order, is "[7640 7600]"`,
+			},
+			{
+				"sidecar", "heartbeatIntervalS: 1.5", "heartbeatIntervalS: 0",
+				`provider.heartbeatIntervalS: must be seconds over 0, is "0"`,
+			},
+			{
+				"sidecar", "ackTimeoutS: 5", "ackTimeoutS: .inf",
+				`guarantees.bounds.ackTimeoutS: must be seconds from 0 on, is "+Inf"`,
+			},
+			{
+				"sidecar", "revocationStrict: false", "revocationStrict: 0",
+				`guarantees.bounds.revocationStrict: must be true or false, is "0"`,
+			},
 		} {
 			data, err := os.ReadFile(filepath.Join("testdata", c.class+".yaml"))
 			So(err, ShouldBeNil)
 			So(string(data), ShouldContainSubstring, c.old)
 			_, err = Parse([]byte(strings.Replace(string(data), c.old, c.new, 1)))
-			if c.says == "" {
+			if c.message == "" {
 				So(err, ShouldBeNil)
 				continue
 			}
 			So(err, ShouldNotBeNil)
-			So(err.Error(), ShouldEqual, c.says)
+			So(err.Error(), ShouldEqual, c.message)
 			So(errs.KindOf(err), ShouldEqual, errs.Invalid)
 		}
 	})
 
-	Convey("A file that is none, or cut short at any byte, gets an error of one line or is whole", t, func() {
+	Convey("A file that is no YAML, or truncated at any byte, is a one-line error or complete", t, func() {
 		data, err := os.ReadFile(filepath.Join("testdata", "core.yaml"))
 		So(err, ShouldBeNil)
 		texts := []string{"", "[1]", "self: [", "\x00\xff", "self:\n\t- a", "a: 1\na: 2"}
