--- a/cmd/meshd/main_test.go
+++ b/cmd/meshd/main_test.go
@@ -4,9 +4,11 @@
 	"bytes"
 	"errors"
 	"fmt"
+	"net"
 	"os"
 	"os/exec"
 	"path/filepath"
+	"strings"
 	"testing"
 )
 
@@ -66,3 +68,36 @@
 		})
 	}
 }
+
+// coreSettings are of a core machine that is alone: its address, data directory and internal port are filled in.
+const coreSettings = `
+self: {nodeName: core-1, role: controlplane, machineClass: core, servedRoles: [control_plane], ipAddress: 127.0.0.1, zone: a, region: r,
+  countedInQuorum: true, firstStart: true, dataDirectory: %[2]q,
+  limits: {cpuShare: 1, cpuCores: 1, memoryMb: 256, maxOpenFiles: 1024, bandwidthMbps: 100, diskMb: 64}}
+network: {listenAddresses: {controlPlane: %[1]q}, internalPortRange: [%[3]d, %[3]d], seedNodes: [%[1]q], zones: {a: r}}
+provider: {discoverySource: static, entryType: static, heartbeatIntervalS: 1}
+guarantees: {contracts: [base], faultTolerance: {machines: 0, zones: 0, regions: 0}, bounds: {}}
+`
+
+// A role that can't listen ends with code 1 and says why.
+func TestRoleThatFails(t *testing.T) {
+	taken, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer func() { _ = taken.Close() }()
+	path := filepath.Join(t.TempDir(), "settings.yaml")
+	text := fmt.Sprintf(coreSettings, taken.Addr(), t.TempDir(), taken.Addr().(*net.TCPAddr).Port)
+	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	got := runProgram(t, []string{"controlplane"}, []string{"CAPERARCH_BOOT=" + path})
+	if !strings.HasPrefix(got, "exit code 1\n") {
+		t.Errorf("got %s", got)
+	}
+	for _, part := range []string{"ERROR process failed", "address already in use"} {
+		if !strings.Contains(got, part) {
+			t.Errorf("no %q in %s", part, got)
+		}
+	}
+}
