--- a/internal/mesh/api/api_test.go
+++ b/internal/mesh/api/api_test.go
@@ -85,7 +85,7 @@
 			status, _ := call(mux, "POST", path, spoilt)
 			So([]any{spoilt, status}, ShouldResemble, []any{spoilt, 400})
 		}
-		status, _ = call(mux, "POST", path, beat+strings.Repeat(" ", beatLimit))
+		status, _ = call(mux, "POST", path, beat+strings.Repeat(" ", maxHeartbeatBytes))
 		So(status, ShouldEqual, 413)
 		status, _ = call(mux, "GET", path, "")
 		So(status, ShouldEqual, 405)
@@ -114,7 +114,7 @@
 		client := rpc.NewClient(0)
 		defer client.CloseIdleConnections()
 		front := http.NewServeMux()
-		RegisterOperatorRoutes(front, Forwarder{Client: client, To: func() []string {
+		RegisterOperatorRoutes(front, Forwarder{Client: client, Addresses: func() []string {
 			return append([]string{strings.TrimPrefix(gone.URL, "http://")}, addresses...)
 		}})
 		servers[0].err = errs.New(errs.NotLeader, "another leads")
@@ -142,7 +142,7 @@
 		status, _ = call(front, "POST", "/api/configuration/replace", strings.Repeat(" ", MaxChangeBytes+1))
 		So(status, ShouldEqual, 413)
 		none := http.NewServeMux()
-		RegisterOperatorRoutes(none, Forwarder{Client: client, To: func() []string { return nil }})
+		RegisterOperatorRoutes(none, Forwarder{Client: client, Addresses: func() []string { return nil }})
 		status, _ = call(none, "GET", "/api/configuration/describe", "")
 		So(status, ShouldEqual, 503)
 	})
@@ -166,7 +166,7 @@
 		client := rpc.NewClient(0)
 		defer client.CloseIdleConnections()
 		front := http.NewServeMux()
-		RegisterOperatorRoutes(front, Forwarder{Client: client, To: func() []string {
+		RegisterOperatorRoutes(front, Forwarder{Client: client, Addresses: func() []string {
 			return []string{strings.TrimPrefix(first.URL, "http://"), strings.TrimPrefix(last.URL, "http://")}
 		}})
 		for _, row := range []struct {
--- a/internal/mesh/api/forward_test.go
+++ b/internal/mesh/api/forward_test.go
@@ -56,13 +56,13 @@
 		status  int
 		within  time.Duration
 	}{
-		"the first is frozen":          {members: []func(*http.Request) (*http.Response, error){silent, says(200, quick)}, status: 200, within: silentAfter + quick},
-		"all are frozen":               {[]func(*http.Request) (*http.Response, error){silent, silent, silent}, 503, forwardTime},
+		"the first is frozen":          {members: []func(*http.Request) (*http.Response, error){silent, says(200, quick)}, status: 200, within: hedgeDelay + quick},
+		"all are frozen":               {[]func(*http.Request) (*http.Response, error){silent, silent, silent}, 503, forwardTimeout},
 		"the first dies with the call": {[]func(*http.Request) (*http.Response, error){dies, says(200, quick)}, 200, 2 * quick},
 		"all die with the call":        {[]func(*http.Request) (*http.Response, error){dies, dies, dies}, 502, 3 * quick},
-		"cut off from all":             {[]func(*http.Request) (*http.Response, error){unreachable, unreachable, unreachable, unreachable, unreachable, unreachable}, 503, forwardTime},
-		"refused behind a silence":     {[]func(*http.Request) (*http.Response, error){silent, says(412, quick)}, 412, silentAfter + quick},
-		"the first one settles it":     {[]func(*http.Request) (*http.Response, error){says(200, silentAfter+quick), says(503, quick)}, 200, silentAfter + quick},
+		"cut off from all":             {[]func(*http.Request) (*http.Response, error){unreachable, unreachable, unreachable, unreachable, unreachable, unreachable}, 503, forwardTimeout},
+		"refused behind a silence":     {[]func(*http.Request) (*http.Response, error){silent, says(412, quick)}, 412, hedgeDelay + quick},
+		"the first one settles it":     {[]func(*http.Request) (*http.Response, error){says(200, hedgeDelay+quick), says(503, quick)}, 200, hedgeDelay + quick},
 		"no majority":                  {[]func(*http.Request) (*http.Response, error){says(503, quick), says(503, quick)}, 503, 2 * quick},
 		"invalid":                      {[]func(*http.Request) (*http.Response, error){says(400, quick), dies}, 400, quick},
 	} {
@@ -73,7 +73,7 @@
 				all[address], order = m, append(order, address)
 			}
 			mux := http.NewServeMux()
-			RegisterOperatorRoutes(mux, Forwarder{Client: &http.Client{Transport: all}, To: func() []string { return order }})
+			RegisterOperatorRoutes(mux, Forwarder{Client: &http.Client{Transport: all}, Addresses: func() []string { return order }})
 			var calls sync.WaitGroup
 			for range 8 { // under way at once
 				calls.Go(func() {
@@ -98,7 +98,7 @@
 			return nil, io.ErrUnexpectedEOF
 		}}
 		mux := http.NewServeMux()
-		RegisterOperatorRoutes(mux, Forwarder{Client: &http.Client{Transport: all}, To: func() []string { return []string{"10.0.0.1:1", "10.0.0.2:1"} }})
+		RegisterOperatorRoutes(mux, Forwarder{Client: &http.Client{Transport: all}, Addresses: func() []string { return []string{"10.0.0.1:1", "10.0.0.2:1"} }})
 		if status, _ := call(mux, "POST", "/api/configuration/replace", `{"configVersion":7`+strings.Repeat(" ", 3<<20)+"}"); status != 200 {
 			t.Errorf("%d", status)
 		}
@@ -121,7 +121,7 @@
 			return &http.Response{StatusCode: 200, Body: io.NopCloser(slow{strings.NewReader(`{"configVersion":7}`)}), ContentLength: -1}, nil
 		}}
 		mux := http.NewServeMux()
-		RegisterOperatorRoutes(mux, Forwarder{Client: &http.Client{Transport: all}, To: func() []string { return []string{"10.0.0.1:1"} }})
+		RegisterOperatorRoutes(mux, Forwarder{Client: &http.Client{Transport: all}, Addresses: func() []string { return []string{"10.0.0.1:1"} }})
 		if status, said := call(mux, "GET", "/api/configuration/describe", ""); status != 200 || said != `{"configVersion":7}` {
 			t.Errorf("%d %s", status, said)
 		}
--- a/internal/mesh/api/operators.go
+++ b/internal/mesh/api/operators.go
@@ -19,16 +19,16 @@
 type OperatorHandler interface {
 	// Change takes a whole configuration, or a change of named items, as it came; it returns the
 	// version that is in force with it.
-	Change(r *http.Request, whole bool, body []byte) (*meshapi.ChangeResponse, error)
+	Change(r *http.Request, replace bool, body []byte) (*meshapi.ChangeResponse, error)
 	// Describe is the configuration in force, no older than any that was acknowledged before.
 	Describe(r *http.Request) (*json.RawMessage, error)
 }
 
 // RegisterOperatorRoutes serves what operators call.
 func RegisterOperatorRoutes(mux *http.ServeMux, to OperatorHandler) {
-	for path, whole := range map[string]bool{meshapi.ReplacePath: true, meshapi.UpdatePath: false} {
+	for path, replace := range map[string]bool{meshapi.ReplacePath: true, meshapi.UpdatePath: false} {
 		rpc.HandleRaw(mux, "POST "+path, MaxChangeBytes, func(r *http.Request, body []byte) (*meshapi.ChangeResponse, error) {
-			return to.Change(r, whole, body)
+			return to.Change(r, replace, body)
 		})
 	}
 	rpc.HandleGet(mux, meshapi.DescribePath, to.Describe)
@@ -38,21 +38,21 @@
 // body was read whole here. Only an answer that names the order's version says that it was taken, and
 // only a verdict on the order refuses it: an address may have passed to a process that knows nothing
 // of orders, and a body may be cut short on its way. All else is no clear answer.
-func CheckForwarded(version int64, taken *meshapi.ChangeResponse, err error) (*meshapi.ChangeResponse, error) {
+func CheckForwarded(version int64, response *meshapi.ChangeResponse, err error) (*meshapi.ChangeResponse, error) {
 	switch {
-	case err == nil && version > 0 && taken.ConfigVersion == version:
-		return taken, nil
+	case err == nil && version > 0 && response.ConfigVersion == version:
+		return response, nil
 	case err == nil:
-		return nil, errs.New(errs.Unreachable, "an answer of version %d to an order of version %d", taken.ConfigVersion, version)
-	case refusal(err) || errs.KindOf(err).Status() >= http.StatusInternalServerError:
+		return nil, errs.New(errs.Unreachable, "an answer of version %d to an order of version %d", response.ConfigVersion, version)
+	case isRejection(err) || errs.KindOf(err).Status() >= http.StatusInternalServerError:
 		return nil, err
 	}
 	return nil, errs.Wrap(err, errs.Unreachable, "the order was not judged")
 }
 
-// refusal says whether an error is the verdict on an order: that it breaks a rule by itself, or that
+// isRejection says whether an error is the verdict on an order: that it breaks a rule by itself, or that
 // the log has refused it.
-func refusal(err error) bool {
+func isRejection(err error) bool {
 	switch errs.KindOf(err) {
 	case errs.Invalid, errs.TooLarge, errs.Stale:
 		return true
--- a/internal/mesh/api/upstreams.go
+++ b/internal/mesh/api/upstreams.go
@@ -12,8 +12,8 @@
 	"caperarch/meshapi"
 )
 
-// beatLimit bounds a heartbeat's body.
-const beatLimit = 16 << 10
+// maxHeartbeatBytes bounds a heartbeat's body.
+const maxHeartbeatBytes = 16 << 10
 
 // upstreamOf is what a heartbeat says of an instance.
 func upstreamOf(instance string, b *meshapi.HeartbeatRequest) (registry.Upstream, error) {
@@ -61,6 +61,6 @@
 	deregister := func(r *http.Request, _ []byte) (*meshapi.HeartbeatResponse, error) {
 		return &meshapi.HeartbeatResponse{}, to.Deregister(r.PathValue("id"))
 	}
-	rpc.Handle(mux, "POST "+meshapi.HeartbeatPattern, beatLimit, heartbeat)
-	rpc.HandleRaw(mux, "POST "+meshapi.DeregisterPattern, beatLimit, deregister)
+	rpc.Handle(mux, "POST "+meshapi.HeartbeatPattern, maxHeartbeatBytes, heartbeat)
+	rpc.HandleRaw(mux, "POST "+meshapi.DeregisterPattern, maxHeartbeatBytes, deregister)
 }
--- a/internal/mesh/sidecar/control.go
+++ b/internal/mesh/sidecar/control.go
@@ -11,7 +11,7 @@
 func (s *Sidecar) controlHandler() http.Handler {
 	mux := http.NewServeMux()
 	api.RegisterUpstreamRoutes(mux, s)
-	api.RegisterOperatorRoutes(mux, api.Forwarder{Client: s.client, To: s.watchClient.Peers})
+	api.RegisterOperatorRoutes(mux, api.Forwarder{Client: s.client, Addresses: s.watchClient.Peers})
 	return mux
 }
 
