--- a/internal/mesh/config/fuzz_test.go
+++ b/internal/mesh/config/fuzz_test.go
@@ -6,20 +6,27 @@
 	"caperarch/internal/mesh/errs"
 )
 
-// checkOrder checks what holds for any bytes: an error is of a kind that says that the body is at
-// fault, and a change that was read keeps its digest and meaning on its way and in a snapshot.
-func checkOrder(t *testing.T, change *Change, err error) {
+// checkChange checks what holds for any bytes: an error is of a kind that says that the body is at
+// fault, and a change that was parsed keeps its digest and content on its way and in a snapshot.
+func checkChange(t *testing.T, change *Change, err error) {
+	t.Helper()
 	if err != nil {
 		if kind := errs.KindOf(err); kind != errs.Invalid && kind != errs.Malformed {
 			t.Fatalf("an error of kind %v: %v", kind, err)
 		}
 		return
 	}
-	passedOn, err := DecodeChange(change.Encode())
-	if err != nil || passedOn.digest != change.digest || passedOn.Version() != change.Version() || passedOn.Base() != change.Base() {
+	received, err := DecodeChange(change.Encode())
+	if err != nil || received.digest != change.digest ||
+		received.Version() != change.Version() || received.Base() != change.Base() {
 		t.Fatalf("%q is another change on its way: %v", change.Encode(), err)
 	}
-	next, outcome, _ := (&Snapshot{version: change.base, table: Empty().table, requests: requestLog{forgottenUpTo: change.base}}).Apply(change)
+	base := &Snapshot{
+		version:  change.base,
+		table:    Empty().table,
+		requests: requestLog{forgottenUpTo: change.base},
+	}
+	next, outcome, _ := base.Apply(change)
 	if outcome != Applied {
 		return
 	}
@@ -31,58 +38,64 @@
 	if err != nil {
 		t.Fatalf("a snapshot that can't be read back: %v", err)
 	}
-	if _, outcome, _ := decoded.Apply(passedOn); outcome != Duplicate {
-		t.Fatalf("an applied change is not known again: %d", outcome)
+	if _, outcome, _ := decoded.Apply(received); outcome != Duplicate {
+		t.Fatalf("an applied change is not recognised again: %d", outcome)
 	}
 }
 
-func seeds(f *testing.F) {
+func addSeeds(f *testing.F) {
 	for _, body := range []string{
-		example, `{}`, `null`, `[]`, `"`, `{"configVersion":1}`, `{"configVersion":1,"configVersion":1}`, `{"configVersion":1,"CONFIGVERSION":2,"resources":[]}`,
+		example, `{}`, `null`, `[]`, `"`, `{"configVersion":1}`, `{"configVersion":1,"configVersion":1}`,
+		`{"configVersion":1,"CONFIGVERSION":2,"resources":[]}`,
 		`{"configVersion":9,"baseVersion":7,"upsert":{"resources":[]},"remove":{"routes":["r-old"],"limits":["x"]}}`,
-		`{"configVersion":1,"resources":[{"resourceType":"limits","metadata":{"name":"\ud800\u0000"},"specification":{"maxHeaderBytes":1e3}}]}`,
-		`{"form":"replace","body":{"configVersion":1,"resources":[]}}`, `{"form":"update","body":{"configVersion":1}}`, `{"form":"other","body":{}}`, `{"form":"update"}`,
+		`{"configVersion":1,"resources":[{"resourceType":"limits","metadata":{"name":"\ud800\u0000"},` +
+			`"specification":{"maxHeaderBytes":1e3}}]}`,
+		`{"form":"replace","body":{"configVersion":1,"resources":[]}}`,
+		`{"form":"update","body":{"configVersion":1}}`,
+		`{"form":"other","body":{}}`,
+		`{"form":"update"}`,
 	} {
 		f.Add([]byte(body))
 		f.Add([]byte(body)[:len(body)/2])
 	}
 }
 
-func FuzzReadReplace(f *testing.F) {
-	seeds(f)
+func FuzzParseReplace(f *testing.F) {
+	addSeeds(f)
 	f.Fuzz(func(t *testing.T, body []byte) {
 		change, err := ParseReplace(body)
-		checkOrder(t, change, err)
+		checkChange(t, change, err)
 	})
 }
 
-func FuzzReadUpdate(f *testing.F) {
-	seeds(f)
+func FuzzParseUpdate(f *testing.F) {
+	addSeeds(f)
 	f.Fuzz(func(t *testing.T, body []byte) {
 		change, err := ParseUpdate(body)
-		checkOrder(t, change, err)
+		checkChange(t, change, err)
 		if version, versionErr := ParseVersion(body); err == nil && (versionErr != nil || version != change.Version()) {
 			t.Fatalf("version %d, %v instead of %d", version, versionErr, change.Version())
 		}
 	})
 }
 
-func FuzzReadChange(f *testing.F) {
-	seeds(f)
+func FuzzDecodeChange(f *testing.F) {
+	addSeeds(f)
 	f.Fuzz(func(t *testing.T, text []byte) {
 		change, err := DecodeChange(text)
-		checkOrder(t, change, err)
+		checkChange(t, change, err)
 	})
 }
 
-func FuzzDecode(f *testing.F) {
-	snapshot, _, _ := put(Empty(), example)
+func FuzzDecodeSnapshot(f *testing.F) {
+	snapshot, _, _ := applyBody(Empty(), example)
 	text, err := snapshot.Encode()
 	if err != nil {
 		f.Fatal(err)
 	}
 	f.Add(text)
-	f.Add([]byte(`{"document":{"configVersion":3,"resources":[]},"orders":{"applied":[3],"digests":"AAAAAAAAAAAAAAAA","refusedBases":[3],"refused":"AAAAAAAAAAAAAAAA"}}`))
+	f.Add([]byte(`{"document":{"configVersion":3,"resources":[]},` +
+		`"orders":{"applied":[3],"digests":"AAAAAAAAAAAAAAAA","refusedBases":[3],"refused":"AAAAAAAAAAAAAAAA"}}`))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		decoded, err := Decode(text)
 		if err != nil {
--- /dev/null
+++ b/internal/mesh/config/routing_test.go
@@ -0,0 +1,88 @@
+package config
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+
+	. "github.com/smartystreets/goconvey/convey"
+	"pgregory.net/rapid"
+)
+
+func TestMatchFindsTheLongestPrefix(t *testing.T) {
+	Convey("Match finds what a scan over all routes finds", t, func() {
+		path := rapid.StringMatching(`/([ab]{0,2}/){0,5}[ab]?`)
+		rapid.Check(t, func(t *rapid.T) {
+			prefixes := rapid.SliceOfNDistinct(path, 0, 20, rapid.ID).Draw(t, "prefixes")
+			var items []*resource
+			for _, p := range prefixes {
+				items = append(items, &resource{kind: kindRoutes, name: p, parsed: &Route{Name: p, Host: "h", Prefix: p}})
+			}
+			table, err := newRoutingTable(items)
+			if err != nil {
+				t.Fatal(err)
+			}
+			asked, want := path.Draw(t, "asked"), ""
+			for _, p := range prefixes {
+				if strings.HasPrefix(asked, p) && len(p) > len(want) {
+					want = p
+				}
+			}
+			got := (&Snapshot{table: table}).Match("H:1", asked)
+			if (got == nil) != (want == "") || got != nil && got.Prefix != want {
+				t.Fatalf("%q: want %q, got %+v", asked, want, got)
+			}
+		})
+	})
+	Convey("Among 10,000 routes Match allocates nothing", t, func() {
+		c := largeSnapshot(t)
+		So(c.Match("H7.example:80", "/p/199/x").Name, ShouldEqual, "r-7-199")
+		So(testing.AllocsPerRun(100, func() { c.Match("H7.example:80", "/p/199/x") }), ShouldEqual, 0)
+	})
+}
+
+// largeSnapshot gives a snapshot of 50 hosts with 200 prefixes each.
+func largeSnapshot(t testing.TB) *Snapshot {
+	t.Helper()
+	change, err := ParseReplace(largeBody())
+	if err != nil {
+		t.Fatal(err)
+	}
+	c, _, err := Empty().Apply(change)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return c
+}
+
+func largeBody() []byte {
+	body := []byte(`{"configVersion":1,"resources":[` +
+		`{"resourceType":"services","metadata":{"name":"s"},"specification":{}}`)
+	for host := range 50 {
+		for prefix := range 200 {
+			body = fmt.Appendf(body, `,{"resourceType":"routes","metadata":{"name":"r-%d-%d"},`+
+				`"specification":{"hostname":"h%d.example","pathPrefix":"/p/%d/",`+
+				`"routeType":"idempotent","timeoutS":1.2,"targetLatencyS":0.3,"priority":1,`+
+				`"weightedTargets":[{"serviceName":"s","weight":90}],"maxAttempts":2,"public":false}}`,
+				host, prefix, host, prefix)
+		}
+	}
+	return append(body, "]}"...)
+}
+
+func BenchmarkParse(b *testing.B) {
+	body := largeBody()
+	b.ReportAllocs()
+	for b.Loop() {
+		if _, err := ParseReplace(body); err != nil {
+			b.Fatal(err)
+		}
+	}
+}
+
+func BenchmarkMatch(b *testing.B) {
+	c := largeSnapshot(b)
+	for b.Loop() {
+		c.Match("h7.example", "/p/199/x")
+	}
+}
--- a/internal/mesh/config/stored_test.go
+++ b/internal/mesh/config/stored_test.go
@@ -89,7 +89,7 @@
 	}
 }
 
-func TestStoredSnapshotIsReadWhole(t *testing.T) {
+func TestStoredSnapshotIsReadInFull(t *testing.T) {
 	snapshot, err := Decode(golden(t, storedSnapshot))
 	if err != nil {
 		t.Fatal(err)
