--- a/internal/fleet/state/bolt.go
+++ b/internal/fleet/state/bolt.go
@@ -14,24 +14,24 @@
 	boltMagic   = 0xED0CDAED
 	boltVersion = 2
 
-	boltBranchPage = 0x01
-	boltLeafPage   = 0x02
-	boltMetaPage   = 0x04
-	boltFreePage   = 0x10
+	boltBranchPage   = 0x01
+	boltLeafPage     = 0x02
+	boltMetaPage     = 0x04
+	boltFreeListPage = 0x10
 
 	boltBucketElement = 0x01
 
-	boltPageHeader   = 16     // id, flags, count, overflow
-	boltElement      = 16     // of a branch page or of a leaf page
-	boltBucketHeader = 16     // root, sequence
-	boltMetaSize     = 64     // the last 8 bytes are the sum of those before
-	boltManyFree     = 0xFFFF // as a count: the count is in front of the list
-	boltPageLeast    = 1 << 9 // bytes of a page; no system has smaller ones
-	boltMetaPages    = 2
-	boltFirstTxID    = 1 // of a database in which nothing was kept yet
+	boltPageHeader    = 16     // id, flags, count, overflow
+	boltElement       = 16     // of a branch page or of a leaf page
+	boltBucketHeader  = 16     // root, sequence
+	boltMetaSize      = 64     // the last 8 bytes are the sum of those before
+	boltLargeFreeList = 0xFFFF // as a count: the count is in front of the list
+	boltMinPageSize   = 1 << 9 // bytes of a page; no system has smaller ones
+	boltMetaPages     = 2
+	boltFirstTxID     = 1 // of a database in which nothing was kept yet
 )
 
-var errBolt = errors.New("no whole bbolt database")
+var errInvalidBolt = errors.New("no whole bbolt database")
 
 // boltPair is a key of a bucket and its value.
 type boltPair struct{ key, value []byte }
@@ -49,8 +49,8 @@
 }
 
 type boltMeta struct {
-	pageSize                uint64
-	root, free, pages, txID uint64
+	pageSize                    uint64
+	root, freeList, pages, txID uint64
 }
 
 // boltFile is a database as plain bytes: nothing of it is mapped, and no number in it is trusted.
@@ -73,7 +73,7 @@
 	if err := f.readMetas(); err != nil {
 		return nil, err
 	}
-	if err := f.readFree(); err != nil {
+	if err := f.readFreeList(); err != nil {
 		return nil, err
 	}
 	root, err := f.collect(f.meta.root, boltBucketElement)
@@ -81,7 +81,7 @@
 		return nil, err
 	}
 	if len(root) == 0 && f.meta.txID > boltFirstTxID {
-		return nil, fmt.Errorf("%w: its buckets are gone", errBolt)
+		return nil, fmt.Errorf("%w: its buckets are gone", errInvalidBolt)
 	}
 	buckets := make(map[string]boltBucket, len(root))
 	for _, pair := range root {
@@ -91,7 +91,7 @@
 	}
 	for id, used := range f.used {
 		if !used {
-			return nil, fmt.Errorf("%w: page %d is neither in use nor free", errBolt, id)
+			return nil, fmt.Errorf("%w: page %d is neither in use nor free", errInvalidBolt, id)
 		}
 	}
 	return buckets, nil
@@ -115,9 +115,9 @@
 	low, high := min(first.txID, second.txID), max(first.txID, second.txID)
 	switch {
 	case first.pageSize != second.pageSize || high != low+1:
-		return fmt.Errorf("%w: its meta pages don't fit", errBolt)
+		return fmt.Errorf("%w: its meta pages don't fit", errInvalidBolt)
 	case f.meta.pages > uint64(len(f.raw))/f.meta.pageSize:
-		return fmt.Errorf("%w: it has %d bytes and should have %d pages", errBolt, len(f.raw), f.meta.pages)
+		return fmt.Errorf("%w: it has %d bytes and should have %d pages", errInvalidBolt, len(f.raw), f.meta.pages)
 	}
 	f.used = make([]bool, f.meta.pages)
 	for id := range min(boltMetaPages, len(f.used)) {
@@ -128,22 +128,22 @@
 
 func (f *boltFile) readMeta(offset, id uint64) (m boltMeta, err error) {
 	if uint64(len(f.raw)) < offset+boltPageHeader+boltMetaSize {
-		return m, fmt.Errorf("%w: %d bytes", errBolt, len(f.raw))
+		return m, fmt.Errorf("%w: %d bytes", errInvalidBolt, len(f.raw))
 	}
 	raw := f.raw[offset:]
 	meta := raw[boltPageHeader : boltPageHeader+boltMetaSize]
 	sum := fnv.New64a()
 	sum.Write(meta[:boltMetaSize-8])
 	m = boltMeta{
-		pageSize: uint64(binary.LittleEndian.Uint32(meta[8:])), root: binary.LittleEndian.Uint64(meta[16:]), free: binary.LittleEndian.Uint64(meta[32:]),
+		pageSize: uint64(binary.LittleEndian.Uint32(meta[8:])), root: binary.LittleEndian.Uint64(meta[16:]), freeList: binary.LittleEndian.Uint64(meta[32:]),
 		pages: binary.LittleEndian.Uint64(meta[40:]), txID: binary.LittleEndian.Uint64(meta[48:]),
 	}
 	switch {
 	case binary.LittleEndian.Uint64(raw) != id || binary.LittleEndian.Uint16(raw[8:]) != boltMetaPage,
 		binary.LittleEndian.Uint32(meta) != boltMagic || binary.LittleEndian.Uint32(meta[4:]) != boltVersion,
 		binary.LittleEndian.Uint64(meta[boltMetaSize-8:]) != sum.Sum64(),
-		m.pageSize < boltPageLeast:
-		return m, fmt.Errorf("%w: meta page %d", errBolt, id)
+		m.pageSize < boltMinPageSize:
+		return m, fmt.Errorf("%w: meta page %d", errInvalidBolt, id)
 	}
 	return m, nil
 }
@@ -151,15 +151,15 @@
 // page is a page with those that it runs over into. Each is met once.
 func (f *boltFile) page(id uint64) (boltElements, error) {
 	if id >= f.meta.pages {
-		return boltElements{}, fmt.Errorf("%w: page %d of %d", errBolt, id, f.meta.pages)
+		return boltElements{}, fmt.Errorf("%w: page %d of %d", errInvalidBolt, id, f.meta.pages)
 	}
 	raw := f.raw[id*f.meta.pageSize:]
 	end := id + uint64(binary.LittleEndian.Uint32(raw[12:])) + 1
 	if binary.LittleEndian.Uint64(raw) != id {
-		return boltElements{}, fmt.Errorf("%w: the header of page %d", errBolt, id)
+		return boltElements{}, fmt.Errorf("%w: the header of page %d", errInvalidBolt, id)
 	}
 	for k := id; k < end; k++ {
-		if err := f.use(k); err != nil {
+		if err := f.markUsed(k); err != nil {
 			return boltElements{}, err
 		}
 	}
@@ -170,28 +170,28 @@
 	return boltElements{raw, binary.LittleEndian.Uint16(raw[8:]), int(binary.LittleEndian.Uint16(raw[10:]))}
 }
 
-func (f *boltFile) use(id uint64) error {
+func (f *boltFile) markUsed(id uint64) error {
 	if id >= uint64(len(f.used)) || f.used[id] {
-		return fmt.Errorf("%w: page %d is used twice, or is none", errBolt, id)
+		return fmt.Errorf("%w: page %d is used twice, or is none", errInvalidBolt, id)
 	}
 	f.used[id] = true
 	return nil
 }
 
-func (f *boltFile) readFree() error {
-	page, err := f.page(f.meta.free)
+func (f *boltFile) readFreeList() error {
+	page, err := f.page(f.meta.freeList)
 	if err != nil {
 		return err
 	}
 	list, count := page.raw[boltPageHeader:], uint64(page.count)
-	if count == boltManyFree {
+	if count == boltLargeFreeList {
 		count, list = binary.LittleEndian.Uint64(list), list[8:]
 	}
-	if page.flags != boltFreePage || count > uint64(len(list))/8 {
-		return fmt.Errorf("%w: its list of free pages", errBolt)
+	if page.flags != boltFreeListPage || count > uint64(len(list))/8 {
+		return fmt.Errorf("%w: its list of free pages", errInvalidBolt)
 	}
 	for i := range count {
-		if err := f.use(binary.LittleEndian.Uint64(list[8*i:])); err != nil {
+		if err := f.markUsed(binary.LittleEndian.Uint64(list[8*i:])); err != nil {
 			return err
 		}
 	}
@@ -201,18 +201,18 @@
 // bucket reads a bucket, whose page is in the value itself if it is small.
 func (f *boltFile) bucket(value []byte) (boltBucket, error) {
 	if len(value) < boltBucketHeader {
-		return nil, fmt.Errorf("%w: a bucket of %d bytes", errBolt, len(value))
+		return nil, fmt.Errorf("%w: a bucket of %d bytes", errInvalidBolt, len(value))
 	}
 	if root := binary.LittleEndian.Uint64(value); root != 0 {
 		return f.collect(root, 0)
 	}
 	inline := value[boltBucketHeader:]
 	if len(inline) < boltPageHeader {
-		return nil, fmt.Errorf("%w: a bucket of %d bytes", errBolt, len(value))
+		return nil, fmt.Errorf("%w: a bucket of %d bytes", errInvalidBolt, len(value))
 	}
 	page := elementsOf(inline)
 	if page.flags != boltLeafPage {
-		return nil, fmt.Errorf("%w: a bucket without a page", errBolt)
+		return nil, fmt.Errorf("%w: a bucket without a page", errInvalidBolt)
 	}
 	var bucket boltBucket
 	err := page.eachLeaf(bucket.adder(0))
@@ -230,10 +230,10 @@
 func (b *boltBucket) adder(want uint32) func(flags uint32, pair boltPair) error {
 	return func(flags uint32, pair boltPair) error {
 		if flags != want {
-			return fmt.Errorf("%w: an element of kind %x", errBolt, flags)
+			return fmt.Errorf("%w: an element of kind %x", errInvalidBolt, flags)
 		}
 		if n := len(*b); n > 0 && bytes.Compare((*b)[n-1].key, pair.key) >= 0 {
-			return fmt.Errorf("%w: keys out of order", errBolt)
+			return fmt.Errorf("%w: keys out of order", errInvalidBolt)
 		}
 		*b = append(*b, pair)
 		return nil
@@ -252,7 +252,7 @@
 	case boltBranchPage:
 		return page.eachChild(func(child uint64) error { return f.walk(child, visit) })
 	}
-	return fmt.Errorf("%w: page %d is of kind %x", errBolt, id, page.flags)
+	return fmt.Errorf("%w: page %d is of kind %x", errInvalidBolt, id, page.flags)
 }
 
 func (p boltElements) eachLeaf(visit func(flags uint32, pair boltPair) error) error {
@@ -288,7 +288,7 @@
 func (p boltElements) element(i int) ([]byte, error) {
 	from := boltPageHeader + i*boltElement
 	if from+boltElement > len(p.raw) {
-		return nil, fmt.Errorf("%w: element %d of a page", errBolt, i)
+		return nil, fmt.Errorf("%w: element %d of a page", errInvalidBolt, i)
 	}
 	return p.raw[from : from+boltElement], nil
 }
@@ -299,7 +299,7 @@
 	middle := from + uint64(binary.LittleEndian.Uint32(element[8:]))
 	end := middle + uint64(binary.LittleEndian.Uint32(element[12:]))
 	if end > uint64(len(p.raw)) {
-		return nil, nil, fmt.Errorf("%w: element %d of a page leads out of it", errBolt, i)
+		return nil, nil, fmt.Errorf("%w: element %d of a page leads out of it", errInvalidBolt, i)
 	}
 	return bytes.Clone(p.raw[from:middle]), bytes.Clone(p.raw[middle:end]), nil
 }
--- a/internal/fleet/state/contents.go
+++ b/internal/fleet/state/contents.go
@@ -15,24 +15,24 @@
 const (
 	formatVersion = 2
 	// kind begins the file, before the length and the sum of what is behind them.
-	kind = "caperarch-fleet-state"
+	fileKind = "caperarch-fleet-state"
 	// textsMost bounds the texts kept; a sidecar works with fewer.
-	textsMost = 32
+	maxTexts = 32
 	// fileMost bounds what is read into memory: a log of agree.LogMost entries and textsMost texts of 64 KiB,
 	// all in base64, come to 6 MB.
-	fileMost = 8 << 20
+	maxFileSize = 8 << 20
 )
 
 // contents is what the file holds.
 type contents struct {
-	Format  int      `json:"format"`
-	Fleet   string   `json:"fleet"`
-	Number  int      `json:"number"` // of the sidecar
-	Seat    uint64   `json:"seat"`
-	Epoch   uint64   `json:"epoch"`             // of the log; 0: there was none
-	Vote    []byte   `json:"vote,omitempty"`    // raftpb.HardState
-	Entries [][]byte `json:"entries,omitempty"` // raftpb.Entry, the first has index 1
-	Texts   [][]byte `json:"texts,omitempty"`   // the oldest first
+	Format    int      `json:"format"`
+	Fleet     string   `json:"fleet"`
+	Number    int      `json:"number"` // of the sidecar
+	Seat      uint64   `json:"seat"`
+	Epoch     uint64   `json:"epoch"`             // of the log; 0: there was none
+	HardState []byte   `json:"vote,omitempty"`    // raftpb.HardState
+	Entries   [][]byte `json:"entries,omitempty"` // raftpb.Entry, the first has index 1
+	Texts     [][]byte `json:"texts,omitempty"`   // the oldest first
 }
 
 func (c *contents) encode() ([]byte, error) {
@@ -40,8 +40,8 @@
 	if err != nil {
 		return nil, err
 	}
-	sealed := durable.Seal(kind, raw)
-	if len(sealed) > fileMost {
+	sealed := durable.Seal(fileKind, raw)
+	if len(sealed) > maxFileSize {
 		return nil, fmt.Errorf("%w: %d bytes", durable.ErrTooLarge, len(sealed))
 	}
 	return sealed, nil
@@ -49,7 +49,7 @@
 
 // decode reads a file of this program's format. What does not fit together is durable.ErrCorrupt.
 func decode(raw []byte) (*contents, error) {
-	content, err := durable.Unseal(kind, raw)
+	content, err := durable.Unseal(fileKind, raw)
 	if err != nil {
 		return nil, err
 	}
@@ -60,7 +60,7 @@
 	if c.Format != formatVersion {
 		return nil, fmt.Errorf("it has format %d, this program knows format %d", c.Format, formatVersion)
 	}
-	if _, err := c.saved(); err != nil {
+	if _, err := c.log(); err != nil {
 		return nil, err
 	}
 	return c, nil
@@ -75,14 +75,14 @@
 }
 
 // saved is the part of the log, or why it is none.
-func (c *contents) saved() (*agree.Saved, error) {
+func (c *contents) log() (*agree.Saved, error) {
 	if c.Seat == 0 {
 		return nil, fmt.Errorf("%w: it has no seat", durable.ErrCorrupt)
 	}
 	saved := &agree.Saved{Epoch: c.Epoch}
-	if c.Vote != nil {
+	if c.HardState != nil {
 		saved.Vote = new(raftpb.HardState)
-		if err := proto.Unmarshal(c.Vote, saved.Vote); err != nil {
+		if err := proto.Unmarshal(c.HardState, saved.Vote); err != nil {
 			return nil, fmt.Errorf("%w: its vote: %w", durable.ErrCorrupt, err)
 		}
 	}
@@ -103,16 +103,16 @@
 }
 
 // withVote is the contents after a change of the vote; nil is no change.
-func (c contents) withVote(vote *raftpb.HardState) (contents, error) {
-	if vote == nil {
+func (c contents) withHardState(hardState *raftpb.HardState) (contents, error) {
+	if hardState == nil {
 		return c, nil
 	}
 	var err error
-	c.Vote, err = proto.Marshal(vote)
+	c.HardState, err = proto.Marshal(hardState)
 	return c, err
 }
 
-var errGap = errors.New("entries that don't follow on those kept")
+var errEntryGap = errors.New("entries that don't follow on those kept")
 
 // withEntries is the contents after entries were added; those kept from the first one's index on go.
 func (c contents) withEntries(added []*raftpb.Entry) (contents, error) {
@@ -121,10 +121,10 @@
 	}
 	first := added[0].GetIndex()
 	if first == 0 || first > uint64(len(c.Entries))+1 {
-		return c, fmt.Errorf("%w: %d behind %d", errGap, first, len(c.Entries))
+		return c, fmt.Errorf("%w: %d behind %d", errEntryGap, first, len(c.Entries))
 	}
-	kept := c.Entries[:first-1]
-	c.Entries = append(make([][]byte, 0, len(kept)+len(added)), kept...)
+	stored := c.Entries[:first-1]
+	c.Entries = append(make([][]byte, 0, len(stored)+len(added)), stored...)
 	for _, e := range added {
 		raw, err := proto.Marshal(e)
 		if err != nil {
@@ -137,7 +137,7 @@
 
 // withText is the contents with one text more; of too many the oldest goes.
 func (c contents) withText(text []byte) contents {
-	kept := c.Texts[max(0, len(c.Texts)-textsMost+1):]
-	c.Texts = append(append(make([][]byte, 0, len(kept)+1), kept...), append([]byte{}, text...))
+	stored := c.Texts[max(0, len(c.Texts)-maxTexts+1):]
+	c.Texts = append(append(make([][]byte, 0, len(stored)+1), stored...), append([]byte{}, text...))
 	return c
 }
--- a/internal/fleet/state/damage_test.go
+++ b/internal/fleet/state/damage_test.go
@@ -21,14 +21,14 @@
 )
 
 const (
-	pageBytes    = 4096
-	sealedPage   = 512 // the file has no pages of its own: its parts that are zeroed or swapped
-	usualOpens   = 100 // each syncs some files
-	usualDecodes = 500 // in memory
+	boltPageSize    = 4096
+	corruptionBlock = 512 // the file has no pages of its own: its parts that are zeroed or swapped
+	openRounds      = 100 // each syncs some files
+	decodeRounds    = 500 // in memory
 )
 
 // full is the file of a sidecar that has kept something of everything.
-func full(t *testing.T) []byte {
+func sampleFile(t *testing.T) []byte {
 	t.Helper()
 	dir := t.TempDir()
 	s := open(t, dir)
@@ -48,7 +48,7 @@
 }
 
 // putAside opens a folder with a damaged file: it is moved, byte for byte, and the sidecar begins anew.
-func putAside(t *testing.T, name string, raw []byte, how string) {
+func checkQuarantined(t *testing.T, name string, raw []byte, how string) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), name)
 	if err := os.WriteFile(path, raw, 0o600); err != nil {
@@ -72,43 +72,43 @@
 }
 
 func TestDamagedIsPutAside(t *testing.T) {
-	whole := full(t)
+	intact := sampleFile(t)
 	for how, raw := range map[string][]byte{
-		"noise": []byte(strings.Repeat("noise", 4000)), "empty": {}, "half": whole[:len(whole)/2], "one page": whole[:sealedPage],
-		"zeroes in it":         append(append(bytes.Clone(whole[:sealedPage]), make([]byte, sealedPage)...), whole[2*sealedPage:]...),
-		"too long":             append(bytes.Clone(whole), make([]byte, fileMost)...),
-		"no seat":              durable.Seal(kind, []byte(`{"format":2,"fleet":"hives","number":3}`)),
-		"entries, no vote":     durable.Seal(kind, []byte(`{"format":2,"fleet":"hives","number":3,"seat":7,"entries":["IAE="]}`)),
-		"no protobuf":          durable.Seal(kind, []byte(`{"format":2,"fleet":"hives","number":3,"seat":7,"vote":"/w=="}`)),
-		"no JSON":              durable.Seal(kind, []byte(`{`)),
+		"noise": []byte(strings.Repeat("noise", 4000)), "empty": {}, "half": intact[:len(intact)/2], "one page": intact[:corruptionBlock],
+		"zeroes in it":         append(append(bytes.Clone(intact[:corruptionBlock]), make([]byte, corruptionBlock)...), intact[2*corruptionBlock:]...),
+		"too long":             append(bytes.Clone(intact), make([]byte, maxFileSize)...),
+		"no seat":              durable.Seal(fileKind, []byte(`{"format":2,"fleet":"hives","number":3}`)),
+		"entries, no vote":     durable.Seal(fileKind, []byte(`{"format":2,"fleet":"hives","number":3,"seat":7,"entries":["IAE="]}`)),
+		"no protobuf":          durable.Seal(fileKind, []byte(`{"format":2,"fleet":"hives","number":3,"seat":7,"vote":"/w=="}`)),
+		"no JSON":              durable.Seal(fileKind, []byte(`{`)),
 		"another kind of file": durable.Seal("caperarch-other", []byte(`{}`)),
 	} {
-		putAside(t, fileName, raw, how)
+		checkQuarantined(t, fileName, raw, how)
 	}
-	source := damage.NewSource(t, sealedPage)
-	for range damage.Rounds(usualOpens) {
-		raw, how := source.Of(whole)
-		putAside(t, fileName, raw, how)
+	source := damage.NewSource(t, corruptionBlock)
+	for range damage.Rounds(openRounds) {
+		raw, how := source.Of(intact)
+		checkQuarantined(t, fileName, raw, how)
 	}
 }
 
 // No damage at all passes for a whole file: drawn ones, every single bit, every cut.
 func TestDamageIsSeen(t *testing.T) {
-	whole := full(t)
+	intact := sampleFile(t)
 	refused := func(raw []byte, how string) {
 		if _, err := decode(raw); !errors.Is(err, durable.ErrCorrupt) {
 			t.Errorf("%s: %v", how, err)
 		}
 	}
-	if _, err := decode(whole); err != nil {
+	if _, err := decode(intact); err != nil {
 		t.Fatal(err)
 	}
-	source := damage.NewSource(t, sealedPage)
-	for range damage.Rounds(usualDecodes) {
-		raw, how := source.Of(whole)
+	source := damage.NewSource(t, corruptionBlock)
+	for range damage.Rounds(decodeRounds) {
+		raw, how := source.Of(intact)
 		refused(raw, how)
 	}
-	small := durable.Seal(kind, []byte(`{"format":2,"fleet":"hives","number":3,"seat":7}`))
+	small := durable.Seal(fileKind, []byte(`{"format":2,"fleet":"hives","number":3,"seat":7}`))
 	for i := range small {
 		refused(small[:i], fmt.Sprintf("cut at %d", i))
 		for bit := range 8 {
@@ -120,7 +120,7 @@
 }
 
 // writeOld makes a file as the first format's program did, with versions of it that were overwritten.
-func writeOld(t *testing.T, path string, entries uint64, text int) {
+func writeLegacy(t *testing.T, path string, entries uint64, text int) {
 	t.Helper()
 	db, err := bbolt.Open(path, 0o600, nil)
 	if err != nil {
@@ -161,10 +161,10 @@
 // An old file is taken up whole, whether its buckets lie in pages of their own or not, and is read once.
 func TestOldFileIsTakenUp(t *testing.T) {
 	for _, entries := range []uint64{0, 1, 40, 600} {
-		for _, text := range []int{0, 9, 3 * pageBytes} {
+		for _, text := range []int{0, 9, 3 * boltPageSize} {
 			dir := t.TempDir()
-			old := filepath.Join(dir, oldFileName)
-			writeOld(t, old, entries, text)
+			old := filepath.Join(dir, legacyFileName)
+			writeLegacy(t, old, entries, text)
 			for range 2 {
 				s, err := Open(dir, "hives", 3, 1)
 				if err != nil {
@@ -190,8 +190,8 @@
 // anything in it is no state; one whose conversion was cut short is not read again.
 func TestOldFileStays(t *testing.T) {
 	dir := t.TempDir()
-	path := filepath.Join(dir, oldFileName)
-	writeOld(t, path, 3, 9)
+	path := filepath.Join(dir, legacyFileName)
+	writeLegacy(t, path, 3, 9)
 	db, err := bbolt.Open(path, 0o600, nil)
 	if err != nil {
 		t.Fatal(err)
@@ -203,12 +203,12 @@
 	if _, err := Open(dir, "bees", 3, 1); err == nil || !strings.Contains(err.Error(), path) {
 		t.Errorf("another fleet's: %v", err)
 	}
-	kept, err := os.ReadFile(path)
+	stored, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
 	open(t, dir).Close()
-	if err := os.WriteFile(path, kept, 0o600); err != nil {
+	if err := os.WriteFile(path, stored, 0o600); err != nil {
 		t.Fatal(err)
 	}
 	s := open(t, dir)
@@ -216,7 +216,7 @@
 		t.Fatal(err)
 	}
 	s.Close()
-	if err := os.WriteFile(path, kept, 0o600); err != nil {
+	if err := os.WriteFile(path, stored, 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if saved, _, err := open(t, dir).Saved(); err != nil || saved.Vote.GetTerm() != 7 {
@@ -230,7 +230,7 @@
 func TestOldFileWithoutState(t *testing.T) {
 	for _, foreign := range []bool{false, true} {
 		dir := t.TempDir()
-		path := filepath.Join(dir, oldFileName)
+		path := filepath.Join(dir, legacyFileName)
 		db, err := bbolt.Open(path, 0o600, nil)
 		if err == nil && foreign {
 			err = db.Update(func(tx *bbolt.Tx) error { _, err := tx.CreateBucket([]byte("other")); return err })
@@ -258,27 +258,27 @@
 // Numbers in an old file's pages, those under a right sum included, lead nowhere outside: each byte of each header
 // and of the first elements is set, and what is taken is a file in which nothing but values changed.
 func TestOldFilesNumbers(t *testing.T) {
-	path := filepath.Join(t.TempDir(), oldFileName)
-	writeOld(t, path, 10, 9)
-	whole, err := os.ReadFile(path)
+	path := filepath.Join(t.TempDir(), legacyFileName)
+	writeLegacy(t, path, 10, 9)
+	intact, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	want, err := decodeOld(whole)
+	want, err := decodeLegacy(intact)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for at := range len(whole) {
-		if at%pageBytes >= numbersIn {
+	for at := range len(intact) {
+		if at%boltPageSize >= numbersIn {
 			continue
 		}
-		for _, to := range []byte{0, 0xFF, whole[at] + 1, whole[at] ^ 0x80} {
-			raw := bytes.Clone(whole)
+		for _, to := range []byte{0, 0xFF, intact[at] + 1, intact[at] ^ 0x80} {
+			raw := bytes.Clone(intact)
 			raw[at] = to
 			for page := range boltMetaPages {
-				resum(raw[page*pageBytes:])
+				updateChecksum(raw[page*boltPageSize:])
 			}
-			if got, err := decodeOld(raw); err == nil && (got == nil || got.Seat != want.Seat || len(got.Entries) != len(want.Entries)) {
+			if got, err := decodeLegacy(raw); err == nil && (got == nil || got.Seat != want.Seat || len(got.Entries) != len(want.Entries)) {
 				t.Errorf("byte %d set to %d: taken: %+v", at, to, got)
 			}
 		}
@@ -286,7 +286,7 @@
 }
 
 // resum makes a meta page's sum right.
-func resum(page []byte) {
+func updateChecksum(page []byte) {
 	sum := fnv.New64a()
 	sum.Write(page[boltPageHeader : boltPageHeader+boltMetaSize-8])
 	binary.LittleEndian.PutUint64(page[boltPageHeader+boltMetaSize-8:], sum.Sum64())
@@ -295,61 +295,61 @@
 // What no single byte brings about: a page under itself, lists that are longer than their page, keys out of order, a
 // transaction that is missing, a meta page of which a bit changed.
 func TestOldFileMadeUp(t *testing.T) {
-	path := filepath.Join(t.TempDir(), oldFileName)
-	writeOld(t, path, 600, 9)
-	whole, err := os.ReadFile(path)
+	path := filepath.Join(t.TempDir(), legacyFileName)
+	writeLegacy(t, path, 600, 9)
+	intact, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := &boltFile{raw: whole}
+	f := &boltFile{raw: intact}
 	if err := f.readMetas(); err != nil {
 		t.Fatal(err)
 	}
 	for how, change := range map[string]func(raw []byte){
 		"a branch under itself": func(raw []byte) {
-			for number := range len(raw) / pageBytes { // which one is in use is not known
-				branch := damage.Page(raw, pageBytes, number)
+			for number := range len(raw) / boltPageSize { // which one is in use is not known
+				branch := damage.Page(raw, boltPageSize, number)
 				if binary.LittleEndian.Uint16(branch[8:]) == boltBranchPage {
 					copy(branch[boltPageHeader+8:], branch[:8])
 				}
 			}
 		},
 		"a free list without end": func(raw []byte) {
-			list := damage.Page(raw, pageBytes, int(f.meta.free))
-			binary.LittleEndian.PutUint16(list[10:], boltManyFree)
+			list := damage.Page(raw, boltPageSize, int(f.meta.freeList))
+			binary.LittleEndian.PutUint16(list[10:], boltLargeFreeList)
 			binary.LittleEndian.PutUint64(list[boltPageHeader:], 1<<61)
 		},
 		"a page that is nowhere": func(raw []byte) {
-			list := damage.Page(raw, pageBytes, int(f.meta.free))
+			list := damage.Page(raw, boltPageSize, int(f.meta.freeList))
 			binary.LittleEndian.PutUint16(list[10:], binary.LittleEndian.Uint16(list[10:])-1)
 		},
 		"more pages than bytes": func(raw []byte) {
 			for number := range boltMetaPages {
-				meta := damage.Page(raw, pageBytes, number)
+				meta := damage.Page(raw, boltPageSize, number)
 				binary.LittleEndian.PutUint64(meta[boltPageHeader+40:], 1<<60)
-				resum(meta)
+				updateChecksum(meta)
 			}
 		},
 		"two transactions apart": func(raw []byte) {
-			meta := damage.Page(raw, pageBytes, int(f.meta.txID%2))
+			meta := damage.Page(raw, boltPageSize, int(f.meta.txID%2))
 			binary.LittleEndian.PutUint64(meta[boltPageHeader+48:], f.meta.txID+2)
-			resum(meta)
+			updateChecksum(meta)
 		},
 		"a leaf with too many": func(raw []byte) {
-			binary.LittleEndian.PutUint16(damage.Page(raw, pageBytes, int(f.meta.root))[10:], 0xFFFF)
+			binary.LittleEndian.PutUint16(damage.Page(raw, boltPageSize, int(f.meta.root))[10:], 0xFFFF)
 		},
 	} {
-		raw := bytes.Clone(whole)
+		raw := bytes.Clone(intact)
 		change(raw)
-		if got, err := decodeOld(raw); err == nil {
+		if got, err := decodeLegacy(raw); err == nil {
 			t.Errorf("%s: taken: %d entries", how, len(got.Entries))
 		}
 	}
 	for number := range boltMetaPages {
 		for bit := range 8 * boltMetaSize {
-			raw := bytes.Clone(whole)
-			raw[number*pageBytes+boltPageHeader+bit/8] ^= 1 << (bit % 8)
-			if _, err := decodeOld(raw); err == nil {
+			raw := bytes.Clone(intact)
+			raw[number*boltPageSize+boltPageHeader+bit/8] ^= 1 << (bit % 8)
+			if _, err := decodeLegacy(raw); err == nil {
 				t.Errorf("meta page %d without its bit %d: taken", number, bit)
 			}
 		}
@@ -380,15 +380,15 @@
 // A list of free pages that all are free so far, and runs on behind its page.
 func TestOldFilesFreeListEnds(t *testing.T) {
 	const pages, free = 2_000, boltMetaPages
-	f := &boltFile{raw: make([]byte, pages*pageBytes), meta: boltMeta{pageSize: pageBytes, free: free, pages: pages}, used: make([]bool, pages)}
-	list := damage.Page(f.raw, pageBytes, free)
+	f := &boltFile{raw: make([]byte, pages*boltPageSize), meta: boltMeta{pageSize: boltPageSize, freeList: free, pages: pages}, used: make([]bool, pages)}
+	list := damage.Page(f.raw, boltPageSize, free)
 	binary.LittleEndian.PutUint64(list, free)
-	binary.LittleEndian.PutUint16(list[8:], boltFreePage)
+	binary.LittleEndian.PutUint16(list[8:], boltFreeListPage)
 	binary.LittleEndian.PutUint16(list[10:], pages/2)
-	for i := range (pageBytes - boltPageHeader) / 8 {
+	for i := range (boltPageSize - boltPageHeader) / 8 {
 		binary.LittleEndian.PutUint64(list[boltPageHeader+8*i:], uint64(free+1+i))
 	}
-	if err := f.readFree(); err == nil {
+	if err := f.readFreeList(); err == nil {
 		t.Error("taken")
 	}
 }
@@ -397,46 +397,46 @@
 // two that are swapped and each cut, none passes for another state. A byte inside a value may; how many do is
 // logged.
 func TestDamagedOldFile(t *testing.T) {
-	path := filepath.Join(t.TempDir(), oldFileName)
-	writeOld(t, path, 100, 9)
-	whole, err := os.ReadFile(path)
+	path := filepath.Join(t.TempDir(), legacyFileName)
+	writeLegacy(t, path, 100, 9)
+	intact, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	want, err := decodeOld(whole)
+	want, err := decodeLegacy(intact)
 	if err != nil {
 		t.Fatal(err)
 	}
 	unlike := func(raw []byte) bool {
-		got, err := decodeOld(raw)
+		got, err := decodeLegacy(raw)
 		return err == nil && !reflect.DeepEqual(got, want)
 	}
-	pages := len(whole) / pageBytes
+	pages := len(intact) / boltPageSize
 	for one := range pages {
-		raw := bytes.Clone(whole)
-		clear(damage.Page(raw, pageBytes, one))
+		raw := bytes.Clone(intact)
+		clear(damage.Page(raw, boltPageSize, one))
 		if unlike(raw) {
 			t.Errorf("page %d zeroed: taken", one)
 		}
-		if unlike(whole[:one*pageBytes]) {
+		if unlike(intact[:one*boltPageSize]) {
 			t.Errorf("cut at page %d: taken", one)
 		}
 		for other := range one {
-			raw := bytes.Clone(whole)
-			damage.SwapPages(raw, pageBytes, one, other)
+			raw := bytes.Clone(intact)
+			damage.SwapPages(raw, boltPageSize, one, other)
 			if unlike(raw) {
 				t.Errorf("pages %d and %d swapped: taken", one, other)
 			}
 		}
 	}
-	source, taken := damage.NewSource(t, pageBytes), 0
-	rounds := damage.Rounds(usualDecodes)
+	source, taken := damage.NewSource(t, boltPageSize), 0
+	rounds := damage.Rounds(decodeRounds)
 	for range rounds {
-		if raw, _ := source.Of(whole); unlike(raw) {
+		if raw, _ := source.Of(intact); unlike(raw) {
 			taken++
 		}
 	}
 	t.Logf("%d of %d damages changed a value unseen", taken, rounds)
-	putAside(t, oldFileName, whole[:3*pageBytes], "three pages of an old file")
-	putAside(t, oldFileName, []byte("noise"), "noise for an old file")
+	checkQuarantined(t, legacyFileName, intact[:3*boltPageSize], "three pages of an old file")
+	checkQuarantined(t, legacyFileName, []byte("noise"), "noise for an old file")
 }
--- a/internal/fleet/state/old.go
+++ b/internal/fleet/state/legacy.go
@@ -10,14 +10,14 @@
 )
 
 const (
-	oldFormatVersion = 1
+	legacyFormatVersion = 1
 	// oldFileMost bounds what is read into memory of a file of the first format: it kept up to 4 MB, and grew
 	// to a few times that.
-	oldFileMost = 64 << 20
+	maxLegacyFileSize = 64 << 20
 )
 
 // oldOwner was kept under "owner" in the bucket "about" of the first format.
-type oldOwner struct {
+type legacyOwner struct {
 	Form   int    `json:"form"`
 	Fleet  string `json:"fleet"`
 	Number int    `json:"number"`
@@ -30,7 +30,7 @@
 // Such a file has no sum over what it keeps. Whatever its pages show to be wrong is refused: a page that is not
 // the one that is named, lies outside, is used twice or never, keys out of order, a last transaction that can't
 // be told. A byte that changed inside a value may pass.
-func decodeOld(raw []byte) (*contents, error) {
+func decodeLegacy(raw []byte) (*contents, error) {
 	buckets, err := readBolt(raw)
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", durable.ErrCorrupt, err)
@@ -42,15 +42,15 @@
 	if !found {
 		return nil, errors.New("it is none of this program's")
 	}
-	var owner oldOwner
+	var owner legacyOwner
 	if err := json.Unmarshal(about.value("owner"), &owner); err != nil {
 		return nil, fmt.Errorf("%w: whose it is: %w", durable.ErrCorrupt, err)
 	}
-	if owner.Form != oldFormatVersion {
-		return nil, fmt.Errorf("it has form %d, the first format has %d", owner.Form, oldFormatVersion)
+	if owner.Form != legacyFormatVersion {
+		return nil, fmt.Errorf("it has form %d, the first format has %d", owner.Form, legacyFormatVersion)
 	}
 	c := &contents{
-		Format: formatVersion, Fleet: owner.Fleet, Number: owner.Number, Seat: owner.Seat, Epoch: owner.Epoch, Vote: about.value("vote"),
+		Format: formatVersion, Fleet: owner.Fleet, Number: owner.Number, Seat: owner.Seat, Epoch: owner.Epoch, HardState: about.value("vote"),
 	}
 	entries, hasEntries := buckets["entries"]
 	texts, hasTexts := buckets["texts"]
@@ -66,7 +66,7 @@
 	for _, pair := range texts {
 		c.Texts = append(c.Texts, pair.value)
 	}
-	if _, err := c.saved(); err != nil {
+	if _, err := c.log(); err != nil {
 		return nil, err
 	}
 	return c, nil
--- a/internal/fleet/state/lock.go
+++ b/internal/fleet/state/lock.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	lockWithin = 200 * time.Millisecond // another process that has it ends soon, or does not
-	lockEvery  = 10 * time.Millisecond
+	lockTimeout       = 200 * time.Millisecond // another process that has it ends soon, or does not
+	lockRetryInterval = 10 * time.Millisecond
 )
 
 // ErrInUse is that another process has the state open.
@@ -28,7 +28,7 @@
 }
 
 func lock(f *os.File) error {
-	for end := time.Now().Add(lockWithin); ; time.Sleep(lockEvery) {
+	for end := time.Now().Add(lockTimeout); ; time.Sleep(lockRetryInterval) {
 		err := syscall.Flock(int(f.Fd()), syscall.LOCK_EX|syscall.LOCK_NB)
 		switch {
 		case err == nil:
--- a/internal/fleet/state/state.go
+++ b/internal/fleet/state/state.go
@@ -26,17 +26,17 @@
 )
 
 const (
-	fileName    = "caperarch-fleet.state"
-	lockName    = "caperarch-fleet.lock"
-	oldFileName = "caperarch-fleet.db" // of the first format
+	fileName       = "caperarch-fleet.state"
+	lockName       = "caperarch-fleet.lock"
+	legacyFileName = "caperarch-fleet.db" // of the first format
 )
 
 // Store is one sidecar's state. It is used from one goroutine at a time.
 type Store struct {
-	path     string
-	lock     *os.File
-	contents contents
-	damage   error
+	path       string
+	lock       *os.File
+	contents   contents
+	corruption error
 }
 
 // CheckWritable says whether a folder can be used, before anything is opened in it.
@@ -50,61 +50,61 @@
 
 // Open opens the state of a fleet's sidecar in a folder, or begins one, whose seat is then life. One that is
 // damaged is put aside, see Damage; one of another sidecar or of an unknown format is an error, and stays.
-func Open(dir, fleet string, number int, life uint64) (*Store, error) {
+func Open(dir, fleet string, number int, incarnation uint64) (*Store, error) {
 	lock, err := lockFile(filepath.Join(dir, lockName), os.O_CREATE)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", filepath.Join(dir, lockName), err)
 	}
 	s := &Store{path: filepath.Join(dir, fileName), lock: lock}
-	if err := s.load(fleet, number, life); err != nil {
+	if err := s.load(fleet, number, incarnation); err != nil {
 		return nil, errors.Join(err, lock.Close())
 	}
 	return s, nil
 }
 
 // load takes up what the folder holds, or begins anew.
-func (s *Store) load(fleet string, number int, life uint64) error {
+func (s *Store) load(fleet string, number int, incarnation uint64) error {
 	if err := durable.RemoveTemporary(s.path); err != nil {
 		return err
 	}
-	kept, err := s.read()
-	if err == nil && kept == nil {
-		kept, err = s.convert(fleet, number)
+	stored, err := s.readCurrent()
+	if err == nil && stored == nil {
+		stored, err = s.convertLegacy(fleet, number)
 	}
 	if err != nil {
 		return err
 	}
-	if kept == nil {
-		return s.write(contents{Format: formatVersion, Fleet: fleet, Number: number, Seat: life})
+	if stored == nil {
+		return s.write(contents{Format: formatVersion, Fleet: fleet, Number: number, Seat: incarnation})
 	}
-	if err := kept.belongsTo(fleet, number); err != nil {
+	if err := stored.belongsTo(fleet, number); err != nil {
 		return fmt.Errorf("%s: %w", s.path, err)
 	}
-	s.contents = *kept
+	s.contents = *stored
 	return nil
 }
 
 // read reads the file; nil is that there is none, or none any more.
-func (s *Store) read() (*contents, error) {
-	raw, err := durable.ReadBounded(s.path, fileMost)
+func (s *Store) readCurrent() (*contents, error) {
+	raw, err := durable.ReadBounded(s.path, maxFileSize)
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil, nil
 	}
 	// A conversion that was ended before its last step left the old file, which is never to be read again.
-	old := filepath.Join(filepath.Dir(s.path), oldFileName)
+	old := filepath.Join(filepath.Dir(s.path), legacyFileName)
 	if err := durable.Remove(old); err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return nil, err
 	}
-	var kept *contents
+	var stored *contents
 	if err == nil {
-		kept, err = decode(raw)
+		stored, err = decode(raw)
 	}
-	return kept, s.judge(s.path, err)
+	return stored, s.quarantineIfCorrupt(s.path, err)
 }
 
 // convert takes up a file of the first format and replaces it; nil is that there is none, or none any more.
-func (s *Store) convert(fleet string, number int) (*contents, error) {
-	path := filepath.Join(filepath.Dir(s.path), oldFileName)
+func (s *Store) convertLegacy(fleet string, number int) (*contents, error) {
+	path := filepath.Join(filepath.Dir(s.path), legacyFileName)
 	lock, err := lockFile(path, 0) // a process of the earlier program may have it open
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil, nil
@@ -113,25 +113,25 @@
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	defer lock.Close()
-	raw, err := durable.ReadBounded(path, oldFileMost)
-	var kept *contents
+	raw, err := durable.ReadBounded(path, maxLegacyFileSize)
+	var stored *contents
 	if err == nil {
-		kept, err = decodeOld(raw)
+		stored, err = decodeLegacy(raw)
 	}
-	if err != nil || kept == nil {
-		return nil, s.judge(path, err)
+	if err != nil || stored == nil {
+		return nil, s.quarantineIfCorrupt(path, err)
 	}
-	if err := kept.belongsTo(fleet, number); err != nil {
+	if err := stored.belongsTo(fleet, number); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	if err := s.write(*kept); err != nil {
+	if err := s.write(*stored); err != nil {
 		return nil, err
 	}
-	return kept, durable.Remove(path)
+	return stored, durable.Remove(path)
 }
 
 // judge puts a damaged file aside; any other error is handed on with the file's name.
-func (s *Store) judge(path string, err error) error {
+func (s *Store) quarantineIfCorrupt(path string, err error) error {
 	if err == nil {
 		return nil
 	}
@@ -139,7 +139,7 @@
 	if !errors.Is(err, durable.ErrCorrupt) && !errors.Is(err, durable.ErrTooLarge) {
 		return err
 	}
-	s.damage = err
+	s.corruption = err
 	return durable.Quarantine(path)
 }
 
@@ -160,27 +160,27 @@
 func (s *Store) Close() error { return s.lock.Close() }
 
 // Corruption is why an earlier file was put aside as Open was called; nil: none was.
-func (s *Store) Corruption() error { return s.damage }
+func (s *Store) Corruption() error { return s.corruption }
 
 // Seat is the life by which this sidecar votes.
 func (s *Store) Seat() uint64 { return s.contents.Seat }
 
 // Saved is what is kept: the part of the log, and texts.
 func (s *Store) Saved() (*agree.Saved, [][]byte, error) {
-	saved, err := s.contents.saved()
+	saved, err := s.contents.log()
 	return saved, s.contents.Texts, err
 }
 
 // Begin forgets all of an earlier log.
 func (s *Store) Begin(epoch uint64) error {
 	c := s.contents
-	c.Epoch, c.Vote, c.Entries, c.Texts = epoch, nil, nil, nil
+	c.Epoch, c.HardState, c.Entries, c.Texts = epoch, nil, nil, nil
 	return s.write(c)
 }
 
 // Save keeps a vote and entries; what stood at their indices and behind them goes.
-func (s *Store) Save(vote *raftpb.HardState, entries []*raftpb.Entry) error {
-	c, err := s.contents.withVote(vote)
+func (s *Store) Save(hardState *raftpb.HardState, entries []*raftpb.Entry) error {
+	c, err := s.contents.withHardState(hardState)
 	if err == nil {
 		c, err = c.withEntries(entries)
 	}
--- a/internal/fleet/state/state_test.go
+++ b/internal/fleet/state/state_test.go
@@ -52,12 +52,12 @@
 	if err != nil || saved.Epoch != 5 || len(saved.Entries) != 2 || saved.Entries[1].GetTerm() != 2 || saved.Vote.GetCommit() != 2 || len(texts) != 1 || string(texts[0]) != "open = 3" {
 		t.Errorf("%+v, %q, %v", saved, texts, err)
 	}
-	for i := range textsMost + 5 {
+	for i := range maxTexts + 5 {
 		if err := s.Text([32]byte{byte(i)}, []byte{byte(i)}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if _, texts, _ := s.Saved(); len(texts) != textsMost {
+	if _, texts, _ := s.Saved(); len(texts) != maxTexts {
 		t.Errorf("%d texts", len(texts))
 	}
 	if err := s.Begin(6); err != nil {
@@ -96,7 +96,7 @@
 	if err := s.Save(vote(1, 1), []*raftpb.Entry{entry(1, 1)}); err != nil {
 		t.Fatal(err)
 	}
-	if err := s.Save(nil, []*raftpb.Entry{entry(3, 1)}); !errors.Is(err, errGap) {
+	if err := s.Save(nil, []*raftpb.Entry{entry(3, 1)}); !errors.Is(err, errEntryGap) {
 		t.Errorf("a gap: %v", err)
 	}
 	if err := os.RemoveAll(dir); err != nil {
@@ -118,7 +118,7 @@
 
 // A file of another format or of nobody's is refused with its name, and stays as it is.
 func TestOthersFileStays(t *testing.T) {
-	sealed := func(text string) []byte { return durable.Seal(kind, []byte(text)) }
+	sealed := func(text string) []byte { return durable.Seal(fileKind, []byte(text)) }
 	for name, file := range map[string]struct {
 		path string
 		raw  []byte
--- a/internal/proxy/durable/durable_test.go
+++ b/internal/proxy/durable/durable_test.go
@@ -65,7 +65,7 @@
 			t.Errorf("%q: %q, %v", content, got, err)
 		}
 	}
-	for _, raw := range []string{"", "kind", string(Seal("other", nil)), string(Seal("kind", nil)) + "x", string(make([]byte, headerMost+1)) + "\n"} {
+	for _, raw := range []string{"", "kind", string(Seal("other", nil)), string(Seal("kind", nil)) + "x", string(make([]byte, maxHeaderSize+1)) + "\n"} {
 		if _, err := Unseal("kind", []byte(raw)); !errors.Is(err, ErrCorrupt) {
 			t.Errorf("%q: %v", raw, err)
 		}
--- a/internal/proxy/durable/file.go
+++ b/internal/proxy/durable/file.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	temporarySuffix = ".tmp"
-	damagedSuffix   = ".damaged"
+	temporarySuffix  = ".tmp"
+	quarantineSuffix = ".damaged"
 )
 
 // ErrTooLarge is that a file holds more than its reader allows.
@@ -21,21 +21,21 @@
 // Replace puts a file in another's place. With sync, file and name are on the disk when it returns; until
 // then either the old content or the new one is found there.
 func Replace(path string, raw []byte, sync bool) error {
-	t, err := os.CreateTemp(filepath.Dir(path), temporaryPattern(path))
+	temporary, err := os.CreateTemp(filepath.Dir(path), temporaryPattern(path))
 	if err != nil {
 		return err
 	}
-	defer os.Remove(t.Name()) // after the rename there is none
-	if _, err = t.Write(raw); err == nil && sync {
-		err = t.Sync()
+	defer os.Remove(temporary.Name()) // after the rename there is none
+	if _, err = temporary.Write(raw); err == nil && sync {
+		err = temporary.Sync()
 	}
-	if err = errors.Join(err, t.Close()); err != nil {
+	if err = errors.Join(err, temporary.Close()); err != nil {
 		return err
 	}
-	if err := os.Rename(t.Name(), path); err != nil || !sync {
+	if err := os.Rename(temporary.Name(), path); err != nil || !sync {
 		return err
 	}
-	return syncFolder(path)
+	return syncDirectory(path)
 }
 
 // RemoveTemporary removes what calls of Replace for this path have left behind whose process was ended. No
@@ -51,18 +51,18 @@
 func temporaryPattern(path string) string { return filepath.Base(path) + ".*" + temporarySuffix }
 
 // ReadBounded reads a file of at most so many bytes; of a longer one it holds no more than that in memory.
-func ReadBounded(path string, most int64) ([]byte, error) {
+func ReadBounded(path string, maxBytes int64) ([]byte, error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return nil, err
 	}
 	defer f.Close()
-	raw, err := io.ReadAll(io.LimitReader(f, most+1))
+	raw, err := io.ReadAll(io.LimitReader(f, maxBytes+1))
 	if err != nil {
 		return nil, err
 	}
-	if int64(len(raw)) > most {
-		return nil, fmt.Errorf("%s: %w: more than %d bytes", path, ErrTooLarge, most)
+	if int64(len(raw)) > maxBytes {
+		return nil, fmt.Errorf("%s: %w: more than %d bytes", path, ErrTooLarge, maxBytes)
 	}
 	return raw, nil
 }
@@ -70,10 +70,10 @@
 // Quarantine renames a damaged file, so that it can be looked at and is not read again. One that was put aside
 // earlier is replaced.
 func Quarantine(path string) error {
-	if err := os.Rename(path, path+damagedSuffix); err != nil {
+	if err := os.Rename(path, path+quarantineSuffix); err != nil {
 		return err
 	}
-	return syncFolder(path)
+	return syncDirectory(path)
 }
 
 // Remove removes a file for good: its name is gone from the disk when it returns.
@@ -81,14 +81,14 @@
 	if err := os.Remove(path); err != nil {
 		return err
 	}
-	return syncFolder(path)
+	return syncDirectory(path)
 }
 
 // syncFolder makes the names in a file's folder last.
-func syncFolder(path string) error {
-	folder, err := os.Open(filepath.Dir(path))
+func syncDirectory(path string) error {
+	directory, err := os.Open(filepath.Dir(path))
 	if err != nil {
 		return err
 	}
-	return errors.Join(folder.Sync(), folder.Close())
+	return errors.Join(directory.Sync(), directory.Close())
 }
--- a/internal/proxy/durable/seal.go
+++ b/internal/proxy/durable/seal.go
@@ -8,7 +8,7 @@
 )
 
 // headerMost bounds the bytes of a header, its newline included: a kind, a length and a sum.
-const headerMost = 160
+const maxHeaderSize = 160
 
 // ErrCorrupt is that a file's bytes are not those that were written.
 var ErrCorrupt = errors.New("damaged")
@@ -21,7 +21,7 @@
 // Unseal returns the content of a file that Seal made. Every change to its bytes, header included, is
 // ErrCorrupt.
 func Unseal(kind string, raw []byte) ([]byte, error) {
-	end := bytes.IndexByte(raw[:min(len(raw), headerMost)], '\n')
+	end := bytes.IndexByte(raw[:min(len(raw), maxHeaderSize)], '\n')
 	if end < 0 {
 		return nil, fmt.Errorf("%w: %d bytes without a header", ErrCorrupt, len(raw))
 	}
