--- a/internal/mesh/api/forward.go
+++ b/internal/mesh/api/forward.go
@@ -2,115 +2,113 @@
 
 import (
 	"context"
-	"encoding/json"
-	"net/http"
 	"net/http/httptrace"
 	"sync/atomic"
 	"time"
 
-	"caperarch/internal/mesh/config"
 	"caperarch/internal/mesh/errs"
-	"caperarch/internal/mesh/rpc"
-	"caperarch/meshapi"
 )
 
 const (
-	// forwardTimeout bounds a call that is passed on: its caller goes on to another machine after a second of silence,
-	// and is told before that to do so.
+	// forwardTimeout bounds a request until a response begins: its caller gives up on this machine after a second
+	// without one, and is answered before that.
 	forwardTimeout = 900 * time.Millisecond
-	// timePerByte is added for each byte that goes on, as callers wait longer behind large bodies.
+	// timePerByte is added for each byte of the body, as callers wait longer behind large bodies.
 	timePerByte = time.Microsecond
-	// hedgeDelay is how long one core member may say nothing before the next one is asked beside it: a machine that is
-	// frozen or lost takes the whole call otherwise. It is more than a change takes that all sidecars apply at once.
+	// hedgeDelay is how long a core member may take before the next one is asked besides: one that is frozen or
+	// unreachable would use up all the time otherwise. It is longer than a change takes that all sidecars apply at once.
 	hedgeDelay = 450 * time.Millisecond
-	// responseTimeout is what an answer has to come whole once it has begun: a large configuration takes several round trips.
+	// responseTimeout bounds a response once it has begun: a large configuration takes several round trips.
 	responseTimeout = 2 * time.Second
 )
 
-// Forwarder is an OperatorHandler that passes calls on to core members until one settles them. A member that fails or says
-// nothing may have taken the call: it is sent on all the same, as a change that was taken before is acknowledged again,
-// and what is refused in the log's order is refused there wherever it is asked.
-type Forwarder struct {
-	Client    *http.Client
-	Addresses func() []string // internal addresses, in the order in which they are tried
-}
-
-// Change passes a change on. A body that can't be read is refused here.
-func (f Forwarder) Change(r *http.Request, replace bool, body []byte) (*meshapi.ChangeResponse, error) {
-	version, err := config.ParseVersion(body)
-	if err != nil {
-		return nil, err
-	}
-	path := meshapi.UpdatePath
-	if replace {
-		path = meshapi.ReplacePath
-	}
-	extraTime := time.Duration(len(body)) * timePerByte
-	return forward(r.Context(), f.Addresses(), extraTime, func(ctx context.Context, address string) (*meshapi.ChangeResponse, error) {
-		response, err := rpc.Post[meshapi.ChangeResponse](ctx, f.Client, "http://"+address+path, body)
-		return CheckForwarded(version, response, err)
-	})
-}
-
-// Describe passes a reading on.
-func (f Forwarder) Describe(r *http.Request) (*json.RawMessage, error) {
-	return forward(r.Context(), f.Addresses(), 0, func(ctx context.Context, address string) (*json.RawMessage, error) {
-		return FetchDocument(ctx, f.Client, "http://"+address+meshapi.DescribePath)
-	})
-}
+// sendFunc sends a request to one core member.
+type sendFunc[Resp any] func(ctx context.Context, address string) (*Resp, error)
 
 // result is what one member answered.
-type result[A any] struct {
-	response *A
+type result[Resp any] struct {
+	response *Resp
 	err      error
 }
 
-// decides says whether no other member is to be asked: the call is done, or refused for good.
-func (a result[A]) decides() bool {
-	return a.err == nil || isRejection(a.err)
+// decides says whether no other member is to be asked: the request is answered, or rejected for good.
+func (r result[Resp]) decides() bool {
+	return r.err == nil || isRejection(r.err)
 }
 
-// forward asks members in order: the next one as soon as one can't settle the call, or says nothing for a while. The
-// first answer that settles it is given; with none in time it is unclear what became of it. longer is what the times are
-// stretched by.
-func forward[A any](ctx context.Context, addresses []string, extraTime time.Duration, ask func(ctx context.Context, address string) (*A, error)) (*A, error) {
-	var responseBegun atomic.Bool // an answer has
-	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotFirstResponseByte: func() { responseBegun.Store(true) }})
-	ctx, cancel := context.WithCancel(ctx)
+// forward sends a request to the members in order: to the next one as soon as one fails, or has not answered within
+// hedgeDelay. It returns the first result that decides, or else the last error, NoQuorum if there are no members, and
+// DeadlineExceeded if none answers in time. extraTime is added to the timeouts. Sends that are still under way when it
+// returns are cancelled.
+func forward[Resp any](
+	ctx context.Context, addresses []string, extraTime time.Duration, send sendFunc[Resp],
+) (*Resp, error) {
+	var responseBegun atomic.Bool
+	trace := &httptrace.ClientTrace{GotFirstResponseByte: func() { responseBegun.Store(true) }}
+	ctx, cancel := context.WithCancel(httptrace.WithClientTrace(ctx, trace))
 	defer cancel()
-	results, asked, open := make(chan result[A], len(addresses)), 0, 0
-	end, silent := time.NewTimer(forwardTimeout+extraTime), time.NewTimer(0)
-	defer end.Stop()
-	defer silent.Stop()
-	askNext := func() {
-		if asked == len(addresses) {
-			return
-		}
-		address := addresses[asked]
-		asked, open = asked+1, open+1
-		silent.Reset(hedgeDelay + extraTime)
-		go func() {
-			response, err := ask(ctx, address)
-			results <- result[A]{response, err}
-		}()
-	}
+	deadline := time.NewTimer(forwardTimeout + extraTime)
+	defer deadline.Stop()
+	sends := newHedgedSends(addresses, hedgeDelay+extraTime, send)
+	defer sends.stop()
+
+	sends.startNext(ctx)
 	err := errs.New(errs.NoQuorum, "no core member is known")
-	for askNext(); open > 0; {
+	for sends.pending > 0 {
 		select {
-		case a := <-results:
-			if open--; a.decides() {
-				return a.response, a.err
+		case r := <-sends.results:
+			sends.pending--
+			if r.decides() {
+				return r.response, r.err
 			}
-			err = a.err
-			askNext()
-		case <-silent.C:
-			askNext()
-		case <-end.C:
+			err = r.err
+			sends.startNext(ctx)
+		case <-sends.hedge.C:
+			sends.startNext(ctx)
+		case <-deadline.C:
 			if !responseBegun.Swap(false) {
 				return nil, errs.New(errs.DeadlineExceeded, "no core member answers")
 			}
-			end.Reset(responseTimeout)
+			deadline.Reset(responseTimeout)
 		}
 	}
 	return nil, err
 }
+
+// hedgedSends are the sends of one request to several members. It belongs to the goroutine of forward.
+type hedgedSends[Resp any] struct {
+	send      sendFunc[Resp]
+	remaining []string // members not asked yet
+	pending   int      // sends without a result
+	results   chan result[Resp]
+	delay     time.Duration
+	hedge     *time.Timer // fires when the newest send has had no result for delay
+}
+
+func newHedgedSends[Resp any](addresses []string, delay time.Duration, send sendFunc[Resp]) *hedgedSends[Resp] {
+	return &hedgedSends[Resp]{
+		send:      send,
+		remaining: addresses,
+		results:   make(chan result[Resp], len(addresses)), // so that no send blocks after forward has returned
+		delay:     delay,
+		hedge:     time.NewTimer(delay),
+	}
+}
+
+// startNext sends the request to the next member, if one remains.
+func (s *hedgedSends[Resp]) startNext(ctx context.Context) {
+	if len(s.remaining) == 0 {
+		return
+	}
+	address := s.remaining[0]
+	s.remaining = s.remaining[1:]
+	s.pending++
+	s.hedge.Reset(s.delay)
+	go func() {
+		response, err := s.send(ctx, address)
+		s.results <- result[Resp]{response, err}
+	}()
+}
+
+// stop ends the timer. The sends end with their context.
+func (s *hedgedSends[Resp]) stop() { s.hedge.Stop() }
--- /dev/null
+++ b/internal/mesh/api/forwarder.go
@@ -0,0 +1,46 @@
+package api
+
+import (
+	"context"
+	"encoding/json"
+	"net/http"
+	"time"
+
+	"caperarch/internal/mesh/config"
+	"caperarch/internal/mesh/rpc"
+	"caperarch/meshapi"
+)
+
+// Forwarder is an OperatorHandler that forwards requests to core members until one of them decides. A member that
+// fails or does not answer may have applied the change; forwarding it again is safe, since a change that is applied
+// already is acknowledged again, and one that the log has rejected is rejected by every member.
+type Forwarder struct {
+	Client *http.Client
+	// Addresses returns the internal addresses of the core members, in the order in which they are tried.
+	Addresses func() []string
+}
+
+// Change forwards a change request. A body that can't be parsed is rejected here, as Malformed or Invalid.
+func (f Forwarder) Change(r *http.Request, replace bool, body []byte) (*meshapi.ChangeResponse, error) {
+	version, err := config.ParseVersion(body)
+	if err != nil {
+		return nil, err
+	}
+	path := meshapi.UpdatePath
+	if replace {
+		path = meshapi.ReplacePath
+	}
+	send := func(ctx context.Context, address string) (*meshapi.ChangeResponse, error) {
+		response, err := rpc.Post[meshapi.ChangeResponse](ctx, f.Client, "http://"+address+path, body)
+		return CheckForwarded(version, response, err)
+	}
+	return forward(r.Context(), f.Addresses(), time.Duration(len(body))*timePerByte, send)
+}
+
+// Describe forwards a request for the configuration.
+func (f Forwarder) Describe(r *http.Request) (*json.RawMessage, error) {
+	send := func(ctx context.Context, address string) (*json.RawMessage, error) {
+		return FetchDocument(ctx, f.Client, "http://"+address+meshapi.DescribePath)
+	}
+	return forward(r.Context(), f.Addresses(), 0, send)
+}
--- a/internal/mesh/api/operators.go
+++ b/internal/mesh/api/operators.go
@@ -11,47 +11,52 @@
 	"caperarch/meshapi"
 )
 
-// MaxChangeBytes bounds a configuration's body: what the log takes as one command, with some room for
-// what is written round it. 10,000 routes are some 3 MiB.
+// MaxChangeBytes bounds the body of a change request: what the log takes as one command, less its envelope.
+// 10,000 routes are some 3 MiB.
 const MaxChangeBytes = 7 << 20
 
-// OperatorHandler settles what operators ask.
+// OperatorHandler handles the requests of operators. Its methods are called from many goroutines, and their errors
+// are of the kinds of package errs.
 type OperatorHandler interface {
-	// Change takes a whole configuration, or a change of named items, as it came; it returns the
-	// version that is in force with it.
+	// Change applies a change request, whose body is unparsed: it replaces the whole configuration, or updates named
+	// items of it. The response names the version in force with it.
 	Change(r *http.Request, replace bool, body []byte) (*meshapi.ChangeResponse, error)
-	// Describe is the configuration in force, no older than any that was acknowledged before.
+	// Describe returns the configuration in force, no older than any that was acknowledged before.
 	Describe(r *http.Request) (*json.RawMessage, error)
 }
 
-// RegisterOperatorRoutes serves what operators call.
-func RegisterOperatorRoutes(mux *http.ServeMux, to OperatorHandler) {
+// RegisterOperatorRoutes has the requests of operators handled by the handler.
+func RegisterOperatorRoutes(mux *http.ServeMux, handler OperatorHandler) {
 	for path, replace := range map[string]bool{meshapi.ReplacePath: true, meshapi.UpdatePath: false} {
-		rpc.HandleRaw(mux, "POST "+path, MaxChangeBytes, func(r *http.Request, body []byte) (*meshapi.ChangeResponse, error) {
-			return to.Change(r, replace, body)
-		})
+		change := func(r *http.Request, body []byte) (*meshapi.ChangeResponse, error) {
+			return handler.Change(r, replace, body)
+		}
+		rpc.HandleRaw(mux, "POST "+path, MaxChangeBytes, change)
 	}
-	rpc.HandleGet(mux, meshapi.DescribePath, to.Describe)
+	rpc.HandleGet(mux, meshapi.DescribePath, handler.Describe)
 }
 
-// CheckForwarded gives what an operator is told of the answer that another machine gave to an order whose
-// body was read whole here. Only an answer that names the order's version says that it was taken, and
-// only a verdict on the order refuses it: an address may have passed to a process that knows nothing
-// of orders, and a body may be cut short on its way. All else is no clear answer.
-func CheckForwarded(version int64, response *meshapi.ChangeResponse, err error) (*meshapi.ChangeResponse, error) {
+// CheckForwarded returns what an operator is answered when another machine answered a change request of that version,
+// whose body was read in full here. Only a response that names the version acknowledges it, and only a verdict on the
+// request itself rejects it: another process may have got the address, and a body may be cut short on its way. All
+// else is Unreachable, which leaves open whether the change was made.
+func CheckForwarded(
+	version int64, response *meshapi.ChangeResponse, err error,
+) (*meshapi.ChangeResponse, error) {
 	switch {
 	case err == nil && version > 0 && response.ConfigVersion == version:
 		return response, nil
 	case err == nil:
-		return nil, errs.New(errs.Unreachable, "an answer of version %d to an order of version %d", response.ConfigVersion, version)
+		return nil, errs.New(errs.Unreachable,
+			"an answer of version %d to an order of version %d", response.ConfigVersion, version)
 	case isRejection(err) || errs.KindOf(err).Status() >= http.StatusInternalServerError:
 		return nil, err
 	}
 	return nil, errs.Wrap(err, errs.Unreachable, "the order was not judged")
 }
 
-// isRejection says whether an error is the verdict on an order: that it breaks a rule by itself, or that
-// the log has refused it.
+// isRejection says whether an error is the verdict on a change request: that it breaks a rule by itself, or that the
+// log has rejected it.
 func isRejection(err error) bool {
 	switch errs.KindOf(err) {
 	case errs.Invalid, errs.TooLarge, errs.Stale:
@@ -60,8 +65,8 @@
 	return false
 }
 
-// FetchDocument reads the configuration from another machine. An answer that is none, as of a process that
-// has the address now, is no answer.
+// FetchDocument reads the configuration from another machine. If the response is none, as from another process that
+// has got the address, the error is Unreachable.
 func FetchDocument(ctx context.Context, client *http.Client, url string) (*json.RawMessage, error) {
 	document, err := rpc.Get[json.RawMessage](ctx, client, url)
 	if err != nil {
--- a/internal/mesh/api/upstreams.go
+++ b/internal/mesh/api/upstreams.go
@@ -1,6 +1,3 @@
-// Package api takes what upstreams tell of themselves and what operators ask: the calls of the control
-// plane's address, the same on every machine. Who settles a call is the caller's: an UpstreamHandler for
-// upstreams, an OperatorHandler for operators.
 package api
 
 import (
@@ -12,55 +9,56 @@
 	"caperarch/meshapi"
 )
 
-// maxHeartbeatBytes bounds a heartbeat's body.
+// maxHeartbeatBytes bounds the body of a heartbeat.
 const maxHeartbeatBytes = 16 << 10
 
-// upstreamOf is what a heartbeat says of an instance.
-func upstreamOf(instance string, b *meshapi.HeartbeatRequest) (registry.Upstream, error) {
-	u := registry.Upstream{
-		Instance:        instance,
-		Service:         b.NodeInfo.ServiceName,
-		Address:         b.Address,
-		Zone:            b.NodeInfo.Zone,
-		Version:         b.NodeInfo.ConfigVersion,
-		Slots:           b.NodeInfo.CapacitySlots,
-		WarmupRemaining: b.Status.WarmupRemainingS,
-		Sequence:        b.Status.CallSequence,
-	}
-	switch b.Status.State {
-	case meshapi.StateReady:
-		u.State = registry.Ready
-	case meshapi.StateDraining:
-		u.State = registry.Draining
-	default:
-		return u, errs.New(errs.Invalid, "status.state: %.32q is neither ready nor draining", b.Status.State)
-	}
-	if b.Address == "" {
-		return u, errs.New(errs.Invalid, "address: missing")
-	}
-	return u, u.Check()
-}
-
-// UpstreamHandler takes what upstreams say.
+// UpstreamHandler handles the requests of upstreams. Its methods are called from many goroutines, and their errors are
+// of the kinds of package errs.
 type UpstreamHandler interface {
-	// Heartbeat takes a heartbeat. With no error it is acknowledged: what it says holds from now on.
+	// Heartbeat takes a heartbeat. Without an error it is acknowledged, and in force from now on.
 	Heartbeat(u registry.Upstream) error
-	// Deregister takes that an instance has ended.
+	// Deregister removes an instance that has ended.
 	Deregister(instance string) error
 }
 
-// RegisterUpstreamRoutes serves what upstreams call.
-func RegisterUpstreamRoutes(mux *http.ServeMux, to UpstreamHandler) {
-	heartbeat := func(r *http.Request, b *meshapi.HeartbeatRequest) (*meshapi.HeartbeatResponse, error) {
-		u, err := upstreamOf(r.PathValue("id"), b)
+// RegisterUpstreamRoutes has the requests of upstreams handled by the handler.
+func RegisterUpstreamRoutes(mux *http.ServeMux, handler UpstreamHandler) {
+	heartbeat := func(r *http.Request, request *meshapi.HeartbeatRequest) (*meshapi.HeartbeatResponse, error) {
+		up, err := upstreamOf(r.PathValue("id"), request)
 		if err != nil {
 			return nil, err
 		}
-		return &meshapi.HeartbeatResponse{}, to.Heartbeat(u)
+		return &meshapi.HeartbeatResponse{}, handler.Heartbeat(up)
 	}
 	deregister := func(r *http.Request, _ []byte) (*meshapi.HeartbeatResponse, error) {
-		return &meshapi.HeartbeatResponse{}, to.Deregister(r.PathValue("id"))
+		return &meshapi.HeartbeatResponse{}, handler.Deregister(r.PathValue("id"))
 	}
 	rpc.Handle(mux, "POST "+meshapi.HeartbeatPattern, maxHeartbeatBytes, heartbeat)
 	rpc.HandleRaw(mux, "POST "+meshapi.DeregisterPattern, maxHeartbeatBytes, deregister)
 }
+
+// upstreamOf returns what a heartbeat says of its instance. The error is Invalid.
+func upstreamOf(instance string, heartbeat *meshapi.HeartbeatRequest) (registry.Upstream, error) {
+	up := registry.Upstream{
+		Instance:        instance,
+		Service:         heartbeat.NodeInfo.ServiceName,
+		Address:         heartbeat.Address,
+		Zone:            heartbeat.NodeInfo.Zone,
+		Version:         heartbeat.NodeInfo.ConfigVersion,
+		Slots:           heartbeat.NodeInfo.CapacitySlots,
+		WarmupRemaining: heartbeat.Status.WarmupRemainingS,
+		Sequence:        heartbeat.Status.CallSequence,
+	}
+	switch heartbeat.Status.State {
+	case meshapi.StateReady:
+		up.State = registry.Ready
+	case meshapi.StateDraining:
+		up.State = registry.Draining
+	default:
+		return up, errs.New(errs.Invalid, "status.state: %.32q is neither ready nor draining", heartbeat.Status.State)
+	}
+	if heartbeat.Address == "" {
+		return up, errs.New(errs.Invalid, "address: missing")
+	}
+	return up, up.Check()
+}
