--- a/internal/daemon/bans/file.go
+++ b/internal/daemon/bans/file.go
@@ -93,7 +93,7 @@
 	if err != nil {
 		return err
 	}
-	return durable.Replace(f.path(), raw, true)
+	return durable.Replace(f.path(), raw)
 }
 
 // change reads, edits and writes the bans while no other process does. The result is what they are now, also where they could not be
--- a/internal/daemon/handover/seat.go
+++ b/internal/daemon/handover/seat.go
@@ -54,7 +54,7 @@
 		return nil, err
 	}
 	s.mark = rand.Text()
-	if err := durable.Replace(filepath.Join(dir, arrivalName), []byte(s.mark), false); err != nil {
+	if err := durable.ReplaceUnsynced(filepath.Join(dir, arrivalName), []byte(s.mark)); err != nil {
 		return nil, fmt.Errorf("arrival: %w", err)
 	}
 	return s, nil
@@ -113,7 +113,7 @@
 	if err != nil {
 		return err
 	}
-	return durable.Replace(filepath.Join(s.dir, recordName), raw, false)
+	return durable.ReplaceUnsynced(filepath.Join(s.dir, recordName), raw)
 }
 
 // ErrNoRecord is why a newcomer starts without a record.
--- a/internal/fleet/state/state.go
+++ b/internal/fleet/state/state.go
@@ -149,7 +149,7 @@
 	if err != nil {
 		return err
 	}
-	if err := durable.Replace(s.path, raw, true); err != nil {
+	if err := durable.Replace(s.path, raw); err != nil {
 		return err
 	}
 	s.contents = c
