--- a/cmd/fleetlog/main.go
+++ b/cmd/fleetlog/main.go
@@ -1,9 +1,9 @@
-// Command fleetlog counts over the logs of a whole fleet, second by second.
+// Command fleetlog counts over the logs of a whole fleet, second by second, and writes a report on standard output.
 //
 //	fleetlog [-work FILE.svg] FILE-OR-FOLDER ...
 //
-// -work draws the turns of machines that were taken out for work.
-// A folder stands for all its files whose names end in .log.
+// A folder stands for all its files whose names end in .log. With -work the turns of machines that were taken out for
+// work are drawn too. The exit code is 1 when a file can't be read or written, and when fleetlog is used wrongly.
 package main
 
 import (
@@ -25,6 +25,7 @@
 	}
 }
 
+// run does what the arguments say.
 func run(args []string, out io.Writer) error {
 	flags := flag.NewFlagSet("fleetlog", flag.ContinueOnError)
 	work := flags.String("work", "", "draw the turns of machines that were taken out for work, as SVG to `FILE`")
@@ -36,25 +37,26 @@
 	}
 	fleet := fleetlog.New()
 	for _, arg := range args {
-		names, err := logs(arg)
+		names, err := logFiles(arg)
 		if err != nil {
 			return err
 		}
 		for _, name := range names {
-			if err := read(fleet, name); err != nil {
+			if err := readLog(fleet, name); err != nil {
 				return err
 			}
 		}
 	}
 	if *work != "" {
-		if err := draw(fleet, *work); err != nil {
+		if err := drawWork(fleet, *work); err != nil {
 			return err
 		}
 	}
 	return fleet.Report(out)
 }
 
-func draw(fleet *fleetlog.Fleet, name string) error {
+// drawWork writes the drawing of the turns to a file.
+func drawWork(fleet *fleetlog.Fleet, name string) error {
 	var svg bytes.Buffer
 	if err := fleet.DrawWork(&svg); err != nil {
 		return err
@@ -62,8 +64,8 @@
 	return os.WriteFile(name, svg.Bytes(), 0o644)
 }
 
-// logs are the files that an argument stands for.
-func logs(arg string) ([]string, error) {
+// logFiles returns the files that an argument stands for.
+func logFiles(arg string) ([]string, error) {
 	info, err := os.Stat(arg)
 	if err != nil {
 		return nil, err
@@ -78,11 +80,12 @@
 	return names, err
 }
 
-func read(fleet *fleetlog.Fleet, name string) error {
+// readLog adds a file to the fleet.
+func readLog(fleet *fleetlog.Fleet, name string) error {
 	f, err := os.Open(name)
 	if err != nil {
 		return err
 	}
-	defer f.Close()
+	defer func() { _ = f.Close() }()
 	return fleet.Read(name, f)
 }
--- a/internal/fleet/fleetlog/causes_test.go
+++ b/internal/fleet/fleetlog/counters_test.go
@@ -8,7 +8,7 @@
 
 // Counters count from each process's start: a restart takes nothing away and counts nothing twice, and a log that is cut off in the middle
 // of a line, or holds figures beyond any counter, still says what it can.
-func TestCausesAreSummedOverRestarts(t *testing.T) {
+func TestCountersAreSummedOverRestarts(t *testing.T) {
 	f := New()
 	for name, text := range map[string]string{
 		"n0": `2026/12/01 14:03:49 INFO serving name=n0
@@ -25,12 +25,12 @@
 			t.Fatal(err)
 		}
 	}
-	want := Causes{Sent: 100 + 115 + 14, Walled: 2, Held: 29, Refused: 4, Dialled: 14}
-	if got := f.Causes(); got != want {
+	want := Counters{Sent: 100 + 115 + 14, Walled: 2, Held: 29, Refused: 4, Dialled: 14}
+	if got := f.Counters(); got != want {
 		t.Errorf("%+v, want %+v", got, want)
 	}
 	if most := f.MostHeld(3); len(most) != 1 || most[0] != "n0" {
-		t.Errorf("held back most: %v", most)
+		t.Errorf("most held: %v", most)
 	}
 	var out bytes.Buffer
 	if err := f.Report(&out); err != nil || !strings.Contains(out.String(), "n0: held back 29 times") {
--- a/internal/fleet/fleetlog/fleetlog.go
+++ b/internal/fleet/fleetlog/fleetlog.go
@@ -1,5 +1,3 @@
-// Package fleetlog counts what the logs of many sidecars say, second by second: a habit that is harmless in one log shows only in the
-// sum of all.
 package fleetlog
 
 import (
@@ -15,97 +13,91 @@
 	"time"
 )
 
-// longest bounds a line; a log that holds a longer one is no log of the daemon's.
-const longest = 1 << 20
+const (
+	// maxLineBytes bounds a line; a file with a longer one is not a log of the daemon.
+	maxLineBytes = 1 << 20
+	// reportedServers is how many servers a report names, of those that most sidecars found strained.
+	reportedServers = 10
+)
 
-// Second is what all sidecars logged in one second.
+// Second is the number of events that all sidecars logged in one second.
 type Second struct {
-	Starts, Whole, Changes, Failed, Doubts, Stopped int
+	// Starts is the number of processes that began to serve.
+	Starts int
+	// FullLists and ListChanges are the lists of servers that arrived, in full or as changes.
+	FullLists   int
+	ListChanges int
+	// DiscoveryErrors is the number of calls for the list that failed.
+	DiscoveryErrors int
+	// Strained is how often a server was found strained.
+	Strained int
+	// Pauses is how often a process noticed that it had been stopped for a while.
+	Pauses int
 }
 
-// Fleet is the sum of the logs read.
+// Fleet is the sum of the logs that were read. New makes one.
 type Fleet struct {
-	Logs    int
-	Passed  int // lines that no pattern of the daemon's fits
-	seconds map[int64]*Second
-	doubted map[string]map[string]bool // by server: which logs
-	tallies map[string]*tally          // by log
-	told    map[int64]*Causes          // by second
-	goes    []goes                     // by what policy sidecars went, as logged
-	turns   map[uint64]*turn           // of machines that were taken out for work, by number
-	steps   map[string]map[int64]int   // what was heard of changes of policy, by second
+	// Logs is the number of logs that were read to their end.
+	Logs int
+	// SkippedLines is the number of lines that are not the daemon's.
+	SkippedLines int
+
+	seconds      map[int64]*Second          // by Unix second
+	strainedBy   map[string]map[string]bool // by server: the names of the logs that found it strained
+	counters     map[string]*counterSum     // by log
+	counterSteps map[int64]*Counters        // by Unix second: what the counters logged then rose by
+	modeChanges  []modeChange               // in the order in which they were read
+	policyEvents map[string]map[int64]int   // by step and version, as in "taken 3": the number by Unix second
+	workTurns    map[uint64]*workTurn       // by number
 }
 
-// New makes an empty one.
+// New makes a Fleet without logs.
 func New() *Fleet {
-	return &Fleet{seconds: make(map[int64]*Second), doubted: make(map[string]map[string]bool), tallies: make(map[string]*tally), told: make(map[int64]*Causes), steps: make(map[string]map[int64]int), turns: make(map[uint64]*turn)}
+	return &Fleet{
+		seconds:      make(map[int64]*Second),
+		strainedBy:   make(map[string]map[string]bool),
+		counters:     make(map[string]*counterSum),
+		counterSteps: make(map[int64]*Counters),
+		policyEvents: make(map[string]map[int64]int),
+		workTurns:    make(map[uint64]*workTurn),
+	}
 }
 
+// The two forms of a line, and the message of a server under strain.
 var (
-	stamp    = regexp.MustCompile(`(\d{4}/\d\d/\d\d \d\d:\d\d:\d\d) (?:INFO|WARN|ERROR) (.*)$`)
-	iso      = regexp.MustCompile(`time=(\S+) level=\S+ msg=(.*)$`)
-	strained = regexp.MustCompile(`server ([0-9a-f]+) strained`)
+	plainLine    = regexp.MustCompile(`(\d{4}/\d\d/\d\d \d\d:\d\d:\d\d) (?:INFO|WARN|ERROR) (.*)$`)
+	keyValueLine = regexp.MustCompile(`time=(\S+) level=\S+ msg=(.*)$`)
+	strainedLine = regexp.MustCompile(`server ([0-9a-f]+) strained`)
 )
 
-// when reads the moment and the message of a line in one of slog's two forms.
-func when(line string) (time.Time, string, bool) {
-	if m := stamp.FindStringSubmatch(line); m != nil {
-		at, err := time.Parse("2006/01/02 15:04:05", m[1])
+// plainTime is the form of the time in a plainLine.
+const plainTime = "2006/01/02 15:04:05"
+
+// parseLine returns the time and the message of a line; false: it is not the daemon's.
+func parseLine(line string) (time.Time, string, bool) {
+	if m := plainLine.FindStringSubmatch(line); m != nil {
+		at, err := time.Parse(plainTime, m[1])
 		return at, m[2], err == nil
 	}
-	if m := iso.FindStringSubmatch(line); m != nil {
+	if m := keyValueLine.FindStringSubmatch(line); m != nil {
 		at, err := time.Parse(time.RFC3339Nano, m[1])
 		return at, strings.Trim(m[2], `"`), err == nil
 	}
 	return time.Time{}, "", false
 }
 
-// Read adds one sidecar's log. A line that is none of the daemon's is counted and passed over.
+// Read adds the log of one sidecar. It fails where r does, or a line is too long; what was read before counts.
 func (f *Fleet) Read(name string, r io.Reader) error {
 	lines := bufio.NewScanner(r)
-	lines.Buffer(nil, longest)
-	counts := new(tally)
-	counts.begin()
-	f.tallies[name] = counts
+	lines.Buffer(nil, maxLineBytes)
+	f.counters[name] = newCounterSum()
 	for lines.Scan() {
-		at, message, ok := when(lines.Text())
+		at, message, ok := parseLine(lines.Text())
 		if !ok {
-			f.Passed++
+			f.SkippedLines++
 			continue
 		}
-		s := f.seconds[at.Unix()]
-		if s == nil {
-			s = new(Second)
-			f.seconds[at.Unix()] = s
-		}
-		switch {
-		case strings.HasPrefix(message, "serving"):
-			s.Starts++
-			counts.begin()
-		case strings.HasPrefix(message, "list "):
-			if strings.Contains(message, "whole=true") {
-				s.Whole++
-			} else {
-				s.Changes++
-			}
-		case strings.HasPrefix(message, "discovery"):
-			s.Failed++
-		case strings.HasPrefix(message, "counters"):
-			told := counts.take(message)
-			if f.told[at.Unix()] == nil {
-				f.told[at.Unix()] = new(Causes)
-			}
-			f.told[at.Unix()].add(&told)
-		case strings.HasPrefix(message, "stopped for a while"):
-			s.Stopped++
-		case f.work(at.Unix(), message):
-		case f.policy(at.Unix(), name, message):
-		default:
-			if m := strained.FindStringSubmatch(message); m != nil {
-				s.Doubts++
-				f.doubt(m[1], name)
-			}
-		}
+		f.add(name, at.Unix(), message)
 	}
 	if err := lines.Err(); err != nil {
 		return fmt.Errorf("%s: %w", name, err)
@@ -114,68 +106,115 @@
 	return nil
 }
 
-// doubt takes that a server is doubted in a log.
-func (f *Fleet) doubt(server, log string) {
-	if f.doubted[server] == nil {
-		f.doubted[server] = make(map[string]bool)
+// add counts a message of a log.
+func (f *Fleet) add(log string, second int64, message string) {
+	s := f.seconds[second]
+	if s == nil {
+		s = new(Second)
+		f.seconds[second] = s
+	}
+	switch {
+	case strings.HasPrefix(message, "serving"):
+		s.Starts++
+		f.counters[log].processStarted()
+	case strings.HasPrefix(message, "list "):
+		if strings.Contains(message, "whole=true") {
+			s.FullLists++
+		} else {
+			s.ListChanges++
+		}
+	case strings.HasPrefix(message, "discovery"):
+		s.DiscoveryErrors++
+	case strings.HasPrefix(message, "counters"):
+		f.addCounters(log, second, message)
+	case strings.HasPrefix(message, "stopped for a while"):
+		s.Pauses++
+	case f.addWork(second, message):
+	case f.addPolicy(second, log, message):
+	default:
+		if m := strainedLine.FindStringSubmatch(message); m != nil {
+			s.Strained++
+			f.addStrained(m[1], log)
+		}
+	}
+}
+
+// addStrained notes that a server was found strained in a log.
+func (f *Fleet) addStrained(server, log string) {
+	if f.strainedBy[server] == nil {
+		f.strainedBy[server] = make(map[string]bool)
 	}
-	f.doubted[server][log] = true
+	f.strainedBy[server][log] = true
 }
 
-// At returns what was logged in a second.
-func (f *Fleet) At(unix int64) Second {
-	if s := f.seconds[unix]; s != nil {
+// At returns what was logged in a Unix second.
+func (f *Fleet) At(second int64) Second {
+	if s := f.seconds[second]; s != nil {
 		return *s
 	}
 	return Second{}
 }
 
-// Doubted is a server and how many sidecars doubted it.
-type Doubted struct {
+// StrainedServer is a server and the number of sidecars that found it strained.
+type StrainedServer struct {
 	Server   string
 	Sidecars int
 }
 
-// Doubted returns the servers that most sidecars doubted, n at most.
-func (f *Fleet) Doubted(n int) []Doubted {
-	var all []Doubted
-	for id, logs := range f.doubted {
-		all = append(all, Doubted{id, len(logs)})
+// MostStrained returns the servers that most sidecars found strained, n at most.
+func (f *Fleet) MostStrained(n int) []StrainedServer {
+	var servers []StrainedServer
+	for id, logs := range f.strainedBy {
+		servers = append(servers, StrainedServer{id, len(logs)})
 	}
-	slices.SortFunc(all, func(a, b Doubted) int {
+	slices.SortFunc(servers, func(a, b StrainedServer) int {
 		return cmp.Or(cmp.Compare(b.Sidecars, a.Sidecars), cmp.Compare(a.Server, b.Server))
 	})
-	return all[:min(n, len(all))]
+	return servers[:min(n, len(servers))]
 }
 
-// Report writes the table, from the first second that has anything.
+// Report writes tables of events, counters, policies and work, by seconds since the first that has an event.
 func (f *Fleet) Report(w io.Writer) error {
-	order := slices.Sorted(maps.Keys(f.seconds))
-	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintln(t, "second\tstarts\twhole lists\tchanges\tcalls failed\tin doubt\tstopped\t")
-	for _, at := range order {
-		s := f.seconds[at]
-		fmt.Fprintf(t, "%d\t%d\t%d\t%d\t%d\t%d\t%d\t\n", at-order[0], s.Starts, s.Whole, s.Changes, s.Failed, s.Doubts, s.Stopped)
-	}
-	if err := t.Flush(); err != nil {
+	if err := f.reportEvents(w); err != nil {
 		return err
 	}
-	if err := f.reportCauses(w); err != nil {
+	if err := f.reportCounters(w); err != nil {
 		return err
 	}
-	if len(order) > 0 {
-		if err := f.reportPolicy(w, order[0]); err != nil {
+	if first, ok := f.firstSecond(); ok {
+		if err := f.reportPolicy(w, first); err != nil {
 			return err
 		}
-		if err := f.reportWork(w, order[0]); err != nil {
+		if err := f.reportWork(w, first); err != nil {
 			return err
 		}
 	}
-	for _, d := range f.Doubted(10) {
-		if _, err := fmt.Fprintf(w, "server %s: doubted by %d sidecars\n", d.Server, d.Sidecars); err != nil {
+	for _, s := range f.MostStrained(reportedServers) {
+		if _, err := fmt.Fprintf(w, "server %s: doubted by %d sidecars\n", s.Server, s.Sidecars); err != nil {
 			return err
 		}
 	}
-	_, err := fmt.Fprintf(w, "%d logs, %d lines passed over\n", f.Logs, f.Passed)
+	_, err := fmt.Fprintf(w, "%d logs, %d lines passed over\n", f.Logs, f.SkippedLines)
 	return err
 }
+
+// firstSecond returns the first second that has an event; false: there is none.
+func (f *Fleet) firstSecond() (int64, bool) {
+	if len(f.seconds) == 0 {
+		return 0, false
+	}
+	return slices.Min(slices.Collect(maps.Keys(f.seconds))), true
+}
+
+// reportEvents writes the events by second.
+func (f *Fleet) reportEvents(w io.Writer) error {
+	seconds := slices.Sorted(maps.Keys(f.seconds))
+	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
+	fmt.Fprintln(t, "second\tstarts\twhole lists\tchanges\tcalls failed\tin doubt\tstopped\t")
+	for _, second := range seconds {
+		s := f.seconds[second]
+		fmt.Fprintf(t, "%d\t%d\t%d\t%d\t%d\t%d\t%d\t\n", second-seconds[0],
+			s.Starts, s.FullLists, s.ListChanges, s.DiscoveryErrors, s.Strained, s.Pauses)
+	}
+	return t.Flush()
+}
--- a/internal/fleet/fleetlog/fleetlog_test.go
+++ b/internal/fleet/fleetlog/fleetlog_test.go
@@ -27,19 +27,21 @@
 		}
 	}
 	from := time.Date(2026, 12, 1, 14, 3, 49, 0, time.UTC).Unix()
-	for i, want := range []Second{{Starts: 2, Failed: 1}, {Whole: 1, Changes: 1, Doubts: 1}, {Doubts: 2}} {
+	for i, want := range []Second{
+		{Starts: 2, DiscoveryErrors: 1}, {FullLists: 1, ListChanges: 1, Strained: 1}, {Strained: 2},
+	} {
 		if got := f.At(from + int64(i)); got != want {
 			t.Errorf("second %d: %+v, want %+v", i, got, want)
 		}
 	}
-	if d := f.Doubted(1); len(d) != 1 || d[0] != (Doubted{"22f3", 2}) {
-		t.Errorf("doubted %v", d)
+	if d := f.MostStrained(1); len(d) != 1 || d[0] != (StrainedServer{"22f3", 2}) {
+		t.Errorf("strained %v", d)
 	}
 	var out bytes.Buffer
 	if err := f.Report(&out); err != nil || !strings.Contains(out.String(), "2 logs, 1 lines passed over") {
 		t.Errorf("report %q, %v", out.String(), err)
 	}
-	if err := f.Read("n2", strings.NewReader(strings.Repeat("x", longest+1))); err == nil {
+	if err := f.Read("n2", strings.NewReader(strings.Repeat("x", maxLineBytes+1))); err == nil {
 		t.Error("a line without an end was taken")
 	}
 }
--- a/internal/fleet/fleetlog/policy.go
+++ b/internal/fleet/fleetlog/policy.go
@@ -10,74 +10,100 @@
 	"text/tabwriter"
 )
 
-// goes is by what a sidecar says that it goes from a moment on.
-type goes struct {
+// The modes of a sidecar in its log: it follows one version of the policy, two during a change, or none.
+const (
+	modeOne    = "one"
+	modeBoth   = "both"
+	modeCutOff = "cut off"
+)
+
+// modeChange is the policy that a sidecar follows from a second on.
+type modeChange struct {
 	second int64
 	log    string
-	by     string // "cut off", "3", "2 and 3"
+	policy string // as a report has it: a version, "2 and 3", or modeCutOff
 }
 
 var (
-	goesBy = regexp.MustCompile(`^policy: goes by"? mode="?(one|both|cut off)"? version=(\d+) old=(\d+)`)
-	step   = regexp.MustCompile(`^policy: (proposed|offered|taken|called off|settled|begun|refused)"? version=(\d+)`)
+	modeLine = regexp.MustCompile(`^policy: goes by"? mode="?(one|both|cut off)"? version=(\d+) old=(\d+)`)
+	stepLine = regexp.MustCompile(
+		`^policy: (proposed|offered|taken|called off|settled|begun|refused)"? version=(\d+)`)
 )
 
-// policy takes a line on the fleet's policy; false: it is none.
-func (f *Fleet) policy(second int64, log, message string) bool {
-	if m := goesBy.FindStringSubmatch(message); m != nil {
-		by := m[1]
-		switch by {
-		case "one":
-			by = m[2]
-		case "both":
-			by = m[3] + " and " + m[2]
-		}
-		f.goes = append(f.goes, goes{second, log, by})
+// addPolicy counts a message on the fleet's policy; false: it is not one.
+func (f *Fleet) addPolicy(second int64, log, message string) bool {
+	if m := modeLine.FindStringSubmatch(message); m != nil {
+		f.modeChanges = append(f.modeChanges, modeChange{second, log, policyOf(m[1], m[2], m[3])})
 		return true
 	}
-	if m := step.FindStringSubmatch(message); m != nil {
-		text := m[1] + " " + m[2]
-		if f.steps[text] == nil {
-			f.steps[text] = make(map[int64]int)
+	if m := stepLine.FindStringSubmatch(message); m != nil {
+		event := m[1] + " " + m[2]
+		if f.policyEvents[event] == nil {
+			f.policyEvents[event] = make(map[int64]int)
 		}
-		f.steps[text][second]++
+		f.policyEvents[event][second]++
 		return true
 	}
 	return strings.HasPrefix(message, "policy: ")
 }
 
-// reportPolicy writes by what sidecars went, for each second in which that changed, and what was heard of the log then: "taken 3 x20" is twenty sidecars that heard in that second
-// that version 3 was taken. A process that has just begun is cut off.
+// policyOf is the policy of a mode as a report has it.
+func policyOf(mode, version, oldVersion string) string {
+	switch mode {
+	case modeOne:
+		return version
+	case modeBoth:
+		return oldVersion + " and " + version
+	}
+	return mode
+}
+
+// reportPolicy writes how many sidecars followed which policy, for each second in which that changed, and the events
+// of that second: "taken 3 x20" is twenty sidecars that logged that version 3 was taken. A process that has just
+// started is cut off.
 func (f *Fleet) reportPolicy(w io.Writer, first int64) error {
-	if len(f.goes) == 0 {
+	if len(f.modeChanges) == 0 {
 		return nil
 	}
-	slices.SortStableFunc(f.goes, func(a, b goes) int { return int(a.second - b.second) })
-	now := make(map[string]string)
-	for _, g := range f.goes {
-		now[g.log] = "cut off"
+	changes := f.modeChanges
+	slices.SortStableFunc(changes, func(a, b modeChange) int { return int(a.second - b.second) })
+	current := make(map[string]string) // the policy by log
+	for _, c := range changes {
+		current[c.log] = modeCutOff
 	}
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "second\tsidecars by what they go by\theard")
-	for i := 0; i < len(f.goes); {
-		second := f.goes[i].second
-		for ; i < len(f.goes) && f.goes[i].second == second; i++ {
-			now[f.goes[i].log] = f.goes[i].by
-		}
-		count := make(map[string]int)
-		for _, by := range now {
-			count[by]++
-		}
-		var by, heard []string
-		for _, name := range slices.Sorted(maps.Keys(count)) {
-			by = append(by, fmt.Sprintf("%s: %d", name, count[name]))
-		}
-		for _, text := range slices.Sorted(maps.Keys(f.steps)) {
-			if n := f.steps[text][second]; n > 0 {
-				heard = append(heard, fmt.Sprintf("%s x%d", text, n))
-			}
+	for len(changes) > 0 {
+		second := changes[0].second
+		for len(changes) > 0 && changes[0].second == second {
+			current[changes[0].log] = changes[0].policy
+			changes = changes[1:]
 		}
-		fmt.Fprintf(t, "%d\t%s\t%s\n", second-first, strings.Join(by, ", "), strings.Join(heard, ", "))
+		fmt.Fprintf(t, "%d\t%s\t%s\n", second-first, countPolicies(current), f.policyEventsAt(second))
 	}
 	return t.Flush()
 }
+
+// countPolicies writes the number of sidecars by policy, as in "2: 1, 2 and 3: 4".
+func countPolicies(byLog map[string]string) string {
+	counts := make(map[string]int)
+	for _, policy := range byLog {
+		counts[policy]++
+	}
+	var parts []string
+	for _, policy := range slices.Sorted(maps.Keys(counts)) {
+		parts = append(parts, fmt.Sprintf("%s: %d", policy, counts[policy]))
+	}
+	return strings.Join(parts, ", ")
+}
+
+// policyEventsAt writes the events of a second, as in "proposed 3 x1, taken 3 x20".
+func (f *Fleet) policyEventsAt(second int64) string {
+	var parts []string
+	for _, event := range slices.Sorted(maps.Keys(f.policyEvents)) {
+		if n := f.policyEvents[event][second]; n > 0 {
+			parts = append(parts, fmt.Sprintf("%s x%d", event, n))
+		}
+	}
+	return strings.Join(parts, ", ")
+}
