--- a/internal/mesh/controlplane/controlplane.go
+++ b/internal/mesh/controlplane/controlplane.go
@@ -26,40 +26,40 @@
 const (
 	// dialTimeout is how long a connection to another machine may take to come up.
 	dialTimeout = 300 * time.Millisecond
-	// openPause is between tries to open a disk that refuses.
-	openPause = 300 * time.Millisecond
+	// openRetryInterval is between tries to open a disk that refuses.
+	openRetryInterval = 300 * time.Millisecond
 )
 
 // Server is a running core machine.
 type Server struct {
-	set     *settings.Settings
-	log     *zap.Logger
-	client  *http.Client
-	start   time.Time
-	roster  *cluster.MemberList
-	node    atomic.Pointer[replication.Node] // nil: not yet
-	hub     *watch.Server
-	machine *stateMachine
+	settings     *settings.Settings
+	log          *zap.Logger
+	client       *http.Client
+	startedAt    time.Time
+	memberList   *cluster.MemberList
+	node         atomic.Pointer[replication.Node] // nil: not yet
+	watchServer  *watch.Server
+	stateMachine *stateMachine
 
-	mu     sync.Mutex
-	dealer *quota.Allocator
+	mu        sync.Mutex
+	allocator *quota.Allocator
 }
 
 // Run is a core machine's life until ctx ends. Settings that are written anew come by reload.
 func Run(ctx context.Context, set *settings.Settings, reload <-chan *settings.Settings, log *zap.Logger) error {
 	own := cluster.Announcement{ID: replication.NewMemberID(set.OwnInternalAddress(), ""), Zone: set.Self.Zone}
-	s := &Server{set: set, log: log, client: rpc.NewClient(dialTimeout), start: time.Now(), roster: cluster.NewMemberList(own, set.SeedAddresses())}
+	s := &Server{settings: set, log: log, client: rpc.NewClient(dialTimeout), startedAt: time.Now(), memberList: cluster.NewMemberList(own, set.SeedAddresses())}
 	window := set.Guarantees.Bounds.QuotaWindow
 	if window <= 0 {
 		window = time.Second
 	}
 	var err error
-	if s.dealer, err = quota.NewAllocator(quota.Rules{Window: window, Overage: set.Guarantees.Bounds.QuotaOverage, Slack: set.Guarantees.Bounds.QuotaSlack}); err != nil {
+	if s.allocator, err = quota.NewAllocator(quota.Rules{Window: window, Overage: set.Guarantees.Bounds.QuotaOverage, Slack: set.Guarantees.Bounds.QuotaSlack}); err != nil {
 		return err
 	}
-	s.machine = newStateMachine(log, func() {
-		if s.hub != nil { // else the log is being read back
-			s.hub.Publish()
+	s.stateMachine = newStateMachine(log, func() {
+		if s.watchServer != nil { // else the log is being read back
+			s.watchServer.Publish()
 		}
 	})
 	return s.run(ctx, reload)
@@ -69,13 +69,13 @@
 	// The machine goes on serving while it hands over, so its life outlasts ctx.
 	life, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
-	go s.follow(life, reload)
-	s.hub = watch.NewServer(watch.ServerConfig{
-		Self: s.set.OwnInternalAddress(), Zone: s.set.Self.Zone, Epoch: uint64(s.start.UnixNano()),
-		Peers:   func() []string { return s.roster.Addresses(s.now()) },
+	go s.watchSettings(life, reload)
+	s.watchServer = watch.NewServer(watch.ServerConfig{
+		Self: s.settings.OwnInternalAddress(), Zone: s.settings.Self.Zone, Epoch: uint64(s.startedAt.UnixNano()),
+		Peers:   func() []string { return s.memberList.Addresses(s.now()) },
 		Contact: s.contact,
 		Leader:  func() string { address, _ := s.leader(); return address },
-		HTTP:    s.client, ConfigSource: s.machine, Log: s.log,
+		HTTP:    s.client, ConfigSource: s.stateMachine, Log: s.log,
 	})
 	failed, closeListeners, err := s.serve()
 	if err != nil {
@@ -86,12 +86,12 @@
 	if err != nil {
 		return err
 	}
-	node, end, err := s.hold(life, store, state)
+	node, end, err := s.startReplica(life, store, state)
 	if err != nil {
 		return err
 	}
 	defer end()
-	go s.hub.Run(life)
+	go s.watchServer.Run(life)
 	s.log.Info("serving", zap.String("member", string(state.ID)), zap.Any("voters", node.Status().Membership.Voters))
 	select {
 	case err := <-failed:
@@ -107,9 +107,9 @@
 	inside, outside := http.NewServeMux(), http.NewServeMux()
 	s.serveAnnouncements(inside)
 	replication.RegisterRoutes(inside, s.node.Load)
-	s.hub.Register(inside)
-	rpc.Handle(inside, sidecar.AllocatePath, dealLimit, s.deal)
-	s.serveOrders(inside)
+	s.watchServer.Register(inside)
+	rpc.Handle(inside, sidecar.AllocatePath, maxAllocateBytes, s.allocate)
+	s.serveForwardedRequests(inside)
 	for _, mux := range []*http.ServeMux{inside, outside} { // sidecars pass operators' calls on inside
 		api.RegisterUpstreamRoutes(mux, s)
 		api.RegisterOperatorRoutes(mux, s)
@@ -122,7 +122,7 @@
 		}
 	}
 	ended := make(chan error, 2)
-	for address, mux := range map[string]*http.ServeMux{s.set.OwnInternalAddress(): inside, s.set.Network.ListenAddresses.ControlPlane: outside} {
+	for address, mux := range map[string]*http.ServeMux{s.settings.OwnInternalAddress(): inside, s.settings.Network.ListenAddresses.ControlPlane: outside} {
 		l, err := net.Listen("tcp", address)
 		if err != nil {
 			closeAll()
@@ -136,27 +136,27 @@
 }
 
 // hold has this machine hold the log, until what it returns is called.
-func (s *Server) hold(ctx context.Context, store *replication.Store, state replication.State) (*replication.Node, func(), error) {
-	own := s.roster.Local()
+func (s *Server) startReplica(ctx context.Context, store *replication.Store, state replication.State) (*replication.Node, func(), error) {
+	own := s.memberList.Local()
 	own.ID, own.Cluster = state.ID, state.Cluster
-	s.roster.SetLocal(own)
+	s.memberList.SetLocal(own)
 	transport := replication.NewTransport(state.ID, s.client, func(from replication.MemberID, msgs []replication.Message) {
 		if node := s.node.Load(); node != nil {
 			node.Deliver(from, msgs)
 		}
 	}, s.log)
 	node, err := replication.StartNode(replication.NodeConfig{
-		Storage: store, State: state, Send: transport.Send, Apply: s.machine.apply, Restore: s.machine.restore,
-		Snapshot: s.machine.snapshot, AppliedIndex: s.machine.appliedIndex, Logger: s.log,
+		Storage: store, State: state, Send: transport.Send, Apply: s.stateMachine.apply, Restore: s.stateMachine.restore,
+		Snapshot: s.stateMachine.snapshot, AppliedIndex: s.stateMachine.appliedIndex, Logger: s.log,
 	})
 	if err != nil {
 		transport.Close()
 		return nil, nil, err
 	}
 	s.node.Store(node)
-	s.roster.SetMembership(node.Status().Membership)
-	go s.tellOthers(ctx, node)
-	go s.manageMembers(ctx, node)
+	s.memberList.SetMembership(node.Status().Membership)
+	go s.announcePeriodically(ctx, node)
+	go s.manageVoters(ctx, node)
 	return node, func() {
 		_ = node.Close()
 		transport.Close()
@@ -173,21 +173,21 @@
 	return status.Leader.Address(), uint64(status.Term)
 }
 
-func (s *Server) now() time.Duration { return time.Since(s.start) }
+func (s *Server) now() time.Duration { return time.Since(s.startedAt) }
 
 // Heartbeat takes a heartbeat that reached a core machine, as the sidecar beside its upstream did not take it.
 func (s *Server) Heartbeat(u registry.Upstream) error {
 	if host, _, err := net.SplitHostPort(u.Address); err == nil {
-		for _, known := range s.hub.Upstreams() {
+		for _, known := range s.watchServer.Upstreams() {
 			if h, _, err := net.SplitHostPort(known.Inbound); err == nil && h == host {
 				u.Node, u.Inbound = known.Node, known.Inbound
 			}
 		}
 	}
-	return s.hub.Heartbeat(u)
+	return s.watchServer.Heartbeat(u)
 }
 
 // Deregister takes that an instance has ended.
 func (s *Server) Deregister(instance string) error {
-	return s.hub.Heartbeat(registry.Upstream{Instance: instance, State: registry.Deregistered})
+	return s.watchServer.Heartbeat(registry.Upstream{Instance: instance, State: registry.Deregistered})
 }
--- a/internal/mesh/controlplane/golden_test.go
+++ b/internal/mesh/controlplane/golden_test.go
@@ -11,7 +11,7 @@
 	for want, got := range map[string]string{
 		"/mesh/members":       announcePath,
 		"/mesh/describe":      describePath,
-		"/mesh/roll":          rollPath,
+		"/mesh/roll":          memberListPath,
 		"/mesh/propose/whole": proposeAt(true),
 		"/mesh/propose/part":  proposeAt(false),
 	} {
--- a/internal/mesh/controlplane/inspect.go
+++ b/internal/mesh/controlplane/inspect.go
@@ -15,25 +15,25 @@
 )
 
 const (
-	// askTime bounds the question to each core machine for its word on itself, so that one that is gone holds up no answer.
-	askTime = 400 * time.Millisecond
-	// rollPath is the hub's page of all leases.
-	rollPath = "/mesh/roll"
+	// inspectTimeout bounds the question to each core machine for its word on itself, so that one that is gone holds up no answer.
+	inspectTimeout = 400 * time.Millisecond
+	// memberListPath is the hub's page of all leases.
+	memberListPath = "/mesh/roll"
 )
 
 // inspect serves what operators look at. Every answer is this machine's knowledge, and says so.
 func (s *Server) inspect(mux *http.ServeMux) {
-	rpc.HandleGet(mux, meshapi.NodeStatusPath, func(*http.Request) (*meshapi.NodeStatus, error) { return s.viewed(), nil })
+	rpc.HandleGet(mux, meshapi.NodeStatusPath, func(*http.Request) (*meshapi.NodeStatus, error) { return s.view(), nil })
 	rpc.HandleGet(mux, meshapi.MembersPath, func(r *http.Request) (*meshapi.Members, error) {
-		return s.membersKnown(r.Context(), s.roster.Addresses(s.now()))
+		return s.members(r.Context(), s.memberList.Addresses(s.now()))
 	})
-	rpc.HandleGet(mux, meshapi.UpstreamsPath, func(*http.Request) (*meshapi.UpstreamList, error) { return s.upstreamsKnown(), nil })
+	rpc.HandleGet(mux, meshapi.UpstreamsPath, func(*http.Request) (*meshapi.UpstreamList, error) { return s.upstreams(), nil })
 }
 
-// viewed is this machine's word on itself.
-func (s *Server) viewed() *meshapi.NodeStatus {
+// view is this machine's word on itself.
+func (s *Server) view() *meshapi.NodeStatus {
 	leader, term := s.leader()
-	v := &meshapi.NodeStatus{ReportedBy: s.set.Self.NodeName, Term: term, Leader: leader, ConfigVersion: s.machine.Current(), InContact: s.inContact()}
+	v := &meshapi.NodeStatus{ReportedBy: s.settings.Self.NodeName, Term: term, Leader: leader, ConfigVersion: s.stateMachine.Current(), InContact: s.inContact()}
 	if node := s.node.Load(); node != nil {
 		status := node.Status()
 		v.AppliedIndex, v.StorageFailed = uint64(status.Applied), status.StorageFailed
@@ -51,17 +51,17 @@
 	return all
 }
 
-// membersKnown is the core machines, each with its own word where that is to be had, and the sidecars whose leases this machine holds.
-func (s *Server) membersKnown(ctx context.Context, members []string) (*meshapi.Members, error) {
-	own := s.viewed()
-	a := &meshapi.Members{ReportedBy: own.ReportedBy, Term: own.Term, Leader: own.Leader, Syncing: s.hub.Syncing(), Core: make([]meshapi.CoreMember, len(members)), Sidecars: []meshapi.Sidecar{}}
-	ctx, cancel := context.WithTimeout(ctx, askTime)
+// members is the core machines, each with its own word where that is to be had, and the sidecars whose leases this machine holds.
+func (s *Server) members(ctx context.Context, members []string) (*meshapi.Members, error) {
+	own := s.view()
+	a := &meshapi.Members{ReportedBy: own.ReportedBy, Term: own.Term, Leader: own.Leader, Syncing: s.watchServer.Syncing(), Core: make([]meshapi.CoreMember, len(members)), Sidecars: []meshapi.Sidecar{}}
+	ctx, cancel := context.WithTimeout(ctx, inspectTimeout)
 	defer cancel()
 	var asked sync.WaitGroup
 	for i, address := range members {
 		m := &a.Core[i]
 		m.Address, m.Leader = address, address == own.Leader
-		if address == s.set.OwnInternalAddress() {
+		if address == s.settings.OwnInternalAddress() {
 			m.Status = own
 			continue
 		}
@@ -73,7 +73,7 @@
 	}
 	roll, err := rpc.Call[struct{}, struct {
 		Leases []registry.RemoteLease `json:"leases"`
-	}](ctx, s.client, "http://"+s.set.OwnInternalAddress()+rollPath, &struct{}{})
+	}](ctx, s.client, "http://"+s.settings.OwnInternalAddress()+memberListPath, &struct{}{})
 	asked.Wait()
 	if err != nil {
 		return nil, err
@@ -93,10 +93,10 @@
 	return a, nil
 }
 
-// upstreamsKnown is the upstreams that are known here.
-func (s *Server) upstreamsKnown() *meshapi.UpstreamList {
-	a := &meshapi.UpstreamList{ReportedBy: s.set.Self.NodeName, Syncing: s.hub.Syncing(), Upstreams: []meshapi.Upstream{}}
-	for _, u := range s.hub.Upstreams() {
+// upstreams is the upstreams that are known here.
+func (s *Server) upstreams() *meshapi.UpstreamList {
+	a := &meshapi.UpstreamList{ReportedBy: s.settings.Self.NodeName, Syncing: s.watchServer.Syncing(), Upstreams: []meshapi.Upstream{}}
+	for _, u := range s.watchServer.Upstreams() {
 		a.Upstreams = append(a.Upstreams, meshapi.Upstream{
 			Instance: u.Instance, Service: u.Service, Address: u.Address, Node: u.Node, Zone: u.Zone, State: u.State.String(), Slots: u.Slots, Stale: u.Stale,
 		})
--- a/internal/mesh/controlplane/membership.go
+++ b/internal/mesh/controlplane/membership.go
@@ -21,22 +21,22 @@
 const (
 	// announcePath is where a core machine tells another of itself and hears who the others are.
 	announcePath = "/mesh/members"
-	// announceLimit bounds an announcement.
-	announceLimit = 64 << 10
-	// announceTime bounds the wait for an answer to one.
-	announceTime = 300 * time.Millisecond
-	// joinPause is between two tries of a machine that belongs to no cluster yet.
-	joinPause = 100 * time.Millisecond
-	// planEvery is how often a leader looks whether the voters are to be changed.
-	planEvery = 50 * time.Millisecond
-	// leavePart is the part of the grace period for which a leaving machine waits to be replaced.
-	leavePart = 0.5
-	// leavePause is between two looks of a leaving machine: longer than a leader takes from its view of
+	// maxAnnounceBytes bounds an announcement.
+	maxAnnounceBytes = 64 << 10
+	// announceTimeout bounds the wait for an answer to one.
+	announceTimeout = 300 * time.Millisecond
+	// joinRetryInterval is between two tries of a machine that belongs to no cluster yet.
+	joinRetryInterval = 100 * time.Millisecond
+	// planInterval is how often a leader looks whether the voters are to be changed.
+	planInterval = 50 * time.Millisecond
+	// leaveGraceFraction is the part of the grace period for which a leaving machine waits to be replaced.
+	leaveGraceFraction = 0.5
+	// leaveCheckInterval is between two looks of a leaving machine: longer than a leader takes from its view of
 	// the machines to the change that it decides on.
-	leavePause = 60 * time.Millisecond
-	// releasedTwice is how often in a row the leader has to release a leaving machine: between the two
+	leaveCheckInterval = 60 * time.Millisecond
+	// requiredSafeAnswers is how often in a row the leader has to release a leaving machine: between the two
 	// it has carried out what it had decided before it knew of the leaving.
-	releasedTwice = 2
+	requiredSafeAnswers = 2
 	// incarnationBytes is how many random bytes tell a new disk from all others.
 	incarnationBytes = 8
 )
@@ -44,19 +44,19 @@
 // openStore opens the disk; one that refuses is tried again until ctx ends.
 func (s *Server) openStore(ctx context.Context) (*replication.Store, replication.State, error) {
 	for {
-		store, state, err := replication.OpenOrReset(s.set.Self.DataDirectory, s.set.OwnInternalAddress(), s.log)
+		store, state, err := replication.OpenOrReset(s.settings.Self.DataDirectory, s.settings.OwnInternalAddress(), s.log)
 		if err == nil {
 			return store, state, nil
 		}
 		s.log.Warn("the disk refuses", zap.Error(err))
-		if !pause(ctx, openPause) {
+		if !sleep(ctx, openRetryInterval) {
 			return nil, replication.State{}, err
 		}
 	}
 }
 
-// pause waits; false: ctx ended first.
-func pause(ctx context.Context, d time.Duration) bool {
+// sleep waits; false: ctx ended first.
+func sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-time.After(d):
 		return true
@@ -79,7 +79,7 @@
 			return store, state, nil
 		}
 		s.log.Warn("the disk refuses", zap.Error(err))
-		if pause(ctx, openPause) {
+		if sleep(ctx, openRetryInterval) {
 			err = nil
 		}
 	}
@@ -89,32 +89,32 @@
 
 func (s *Server) newIdentity(ctx context.Context) (replication.State, error) {
 	var state replication.State
-	if s.set.Self.FirstStart && slices.Contains(s.set.SeedAddresses(), s.set.OwnInternalAddress()) {
-		state.ID = replication.NewMemberID(s.set.OwnInternalAddress(), "")
-		state.Cluster, state.Snapshot.Membership = replication.Bootstrap(s.set.SeedAddresses())
+	if s.settings.Self.FirstStart && slices.Contains(s.settings.SeedAddresses(), s.settings.OwnInternalAddress()) {
+		state.ID = replication.NewMemberID(s.settings.OwnInternalAddress(), "")
+		state.Cluster, state.Snapshot.Membership = replication.Bootstrap(s.settings.SeedAddresses())
 		return state, nil
 	}
 	var incarnation [incarnationBytes]byte
 	if _, err := crand.Read(incarnation[:]); err != nil {
 		return state, errs.Wrap(err, errs.Internal, "a random incarnation")
 	}
-	state.ID = replication.NewMemberID(s.set.OwnInternalAddress(), hex.EncodeToString(incarnation[:]))
-	own := s.roster.Local()
+	state.ID = replication.NewMemberID(s.settings.OwnInternalAddress(), hex.EncodeToString(incarnation[:]))
+	own := s.memberList.Local()
 	own.ID = state.ID
-	s.roster.SetLocal(own)
+	s.memberList.SetLocal(own)
 	for {
-		if state.Cluster = s.askCluster(ctx); state.Cluster != 0 {
+		if state.Cluster = s.discoverCluster(ctx); state.Cluster != 0 {
 			return state, nil
 		}
-		if !pause(ctx, joinPause) {
+		if !sleep(ctx, joinRetryInterval) {
 			return state, errs.New(errs.NoQuorum, "no core machine said which cluster this is")
 		}
 	}
 }
 
-// askCluster asks all that may be core machines which cluster they belong to; 0: nobody said.
-func (s *Server) askCluster(ctx context.Context) replication.ClusterID {
-	for _, p := range s.announce(ctx, s.roster.AnnounceTargets(s.now())) {
+// discoverCluster asks all that may be core machines which cluster they belong to; 0: nobody said.
+func (s *Server) discoverCluster(ctx context.Context) replication.ClusterID {
+	for _, p := range s.announce(ctx, s.memberList.AnnounceTargets(s.now())) {
 		if p.Cluster != 0 {
 			return p.Cluster
 		}
@@ -124,9 +124,9 @@
 
 // announce tells machines of this one, all at once, and returns what they say.
 func (s *Server) announce(ctx context.Context, addresses []string) []*cluster.AnnounceResponse {
-	ctx, cancel := context.WithTimeout(ctx, announceTime)
+	ctx, cancel := context.WithTimeout(ctx, announceTimeout)
 	defer cancel()
-	own := s.roster.Local()
+	own := s.memberList.Local()
 	said := make([]*cluster.AnnounceResponse, len(addresses))
 	var asked sync.WaitGroup
 	for i, address := range addresses {
@@ -146,28 +146,28 @@
 	asked.Wait()
 	said = slices.DeleteFunc(said, func(p *cluster.AnnounceResponse) bool { return p == nil })
 	for _, p := range said {
-		s.roster.Merge(p)
+		s.memberList.Merge(p)
 	}
 	return said
 }
 
 // serveAnnouncements answers who the core machines are.
 func (s *Server) serveAnnouncements(mux *http.ServeMux) {
-	rpc.Handle(mux, announcePath, announceLimit, func(_ *http.Request, a *cluster.Announcement) (*cluster.AnnounceResponse, error) {
-		own := s.roster.Local()
+	rpc.Handle(mux, announcePath, maxAnnounceBytes, func(_ *http.Request, a *cluster.Announcement) (*cluster.AnnounceResponse, error) {
+		own := s.memberList.Local()
 		if a.Cluster != 0 && own.Cluster != 0 && a.Cluster != own.Cluster {
 			return nil, errs.New(errs.Invalid, "cluster: this is %x, not %x", own.Cluster, a.Cluster)
 		}
-		if err := s.roster.Receive(s.now(), *a); err != nil {
+		if err := s.memberList.Receive(s.now(), *a); err != nil {
 			return nil, err
 		}
-		return s.peers(a), nil
+		return s.announceResponse(a), nil
 	})
 }
 
 // peers is this machine's word on who the core machines are.
-func (s *Server) peers(a *cluster.Announcement) *cluster.AnnounceResponse {
-	p := &cluster.AnnounceResponse{Cluster: s.roster.Local().Cluster, Machines: s.roster.LiveMembers(s.now())}
+func (s *Server) announceResponse(a *cluster.Announcement) *cluster.AnnounceResponse {
+	p := &cluster.AnnounceResponse{Cluster: s.memberList.Local().Cluster, Machines: s.memberList.LiveMembers(s.now())}
 	node := s.node.Load()
 	if node == nil {
 		return p
@@ -182,25 +182,25 @@
 
 // clusterView is what a leader's decisions rest on.
 func (s *Server) clusterView(node *replication.Node) cluster.View {
-	return cluster.View{Self: node.ID(), Status: node.Status(), Live: s.roster.LiveMembers(s.now()), NewestJoin: s.roster.NewestJoin()}
+	return cluster.View{Self: node.ID(), Status: node.Status(), Live: s.memberList.LiveMembers(s.now()), NewestJoin: s.memberList.NewestJoin()}
 }
 
-// tellOthers has the others know of this machine, and this one of them, until ctx ends.
-func (s *Server) tellOthers(ctx context.Context, node *replication.Node) {
+// announcePeriodically has the others know of this machine, and this one of them, until ctx ends.
+func (s *Server) announcePeriodically(ctx context.Context, node *replication.Node) {
 	for {
-		s.roster.SetMembership(node.Status().Membership)
-		s.announce(ctx, s.roster.AnnounceTargets(s.now()))
-		if !pause(ctx, cluster.AnnounceInterval) {
+		s.memberList.SetMembership(node.Status().Membership)
+		s.announce(ctx, s.memberList.AnnounceTargets(s.now()))
+		if !sleep(ctx, cluster.AnnounceInterval) {
 			return
 		}
 	}
 }
 
-// manageMembers has a leader keep learners up to date and change the voters, until ctx ends.
-func (s *Server) manageMembers(ctx context.Context, node *replication.Node) {
-	f := s.set.Guarantees.FaultTolerance
+// manageVoters has a leader keep learners up to date and change the voters, until ctx ends.
+func (s *Server) manageVoters(ctx context.Context, node *replication.Node) {
+	f := s.settings.Guarantees.FaultTolerance
 	planner := cluster.NewPlanner(cluster.TargetVoters(f.Machines, f.Zones, f.Regions))
-	for pause(ctx, planEvery) {
+	for sleep(ctx, planInterval) {
 		view := s.clusterView(node)
 		if !view.Status.IsLeader {
 			continue
@@ -223,23 +223,23 @@
 // leave hands over what others need of this machine before it ends: the lead, and its vote to a
 // successor if there is one. It is bounded by a part of the grace period.
 func (s *Server) leave(node *replication.Node) {
-	bound := time.Duration(leavePart * float64(s.set.Guarantees.Bounds.GracePeriod))
+	bound := time.Duration(leaveGraceFraction * float64(s.settings.Guarantees.Bounds.GracePeriod))
 	ctx, cancel := context.WithTimeout(context.Background(), bound)
 	defer cancel()
-	own := s.roster.Local()
+	own := s.memberList.Local()
 	own.Leaving = true
-	s.roster.SetLocal(own)
-	for released := 0; released < releasedTwice; {
+	s.memberList.SetLocal(own)
+	for released := 0; released < requiredSafeAnswers; {
 		if !node.Status().IsLeader {
-			if s.released(ctx, node) {
+			if s.safeToLeave(ctx, node) {
 				released++
 			} else {
 				released = 0
 			}
-		} else if err := node.TransferLeadership(ctx, s.leaving()...); err != nil && len(node.Status().Progress) == 0 {
+		} else if err := node.TransferLeadership(ctx, s.leavingMembers()...); err != nil && len(node.Status().Progress) == 0 {
 			return // it is alone
 		}
-		if !pause(ctx, leavePause) {
+		if !sleep(ctx, leaveCheckInterval) {
 			return
 		}
 	}
@@ -247,9 +247,9 @@
 
 // leaving is the machines that are about to end: the lead goes to none of them, else two would hand it
 // to each other.
-func (s *Server) leaving() []replication.MemberID {
+func (s *Server) leavingMembers() []replication.MemberID {
 	var leaving []replication.MemberID
-	for _, m := range s.roster.LiveMembers(s.now()) {
+	for _, m := range s.memberList.LiveMembers(s.now()) {
 		if m.Leaving {
 			leaving = append(leaving, m.ID)
 		}
@@ -259,7 +259,7 @@
 
 // released says that nothing waits for this machine any more, by the leader's word: a membership that
 // doesn't name it here may be older than one that does.
-func (s *Server) released(ctx context.Context, node *replication.Node) bool {
+func (s *Server) safeToLeave(ctx context.Context, node *replication.Node) bool {
 	leader := node.Status().Leader
 	if leader == "" {
 		return false
@@ -271,14 +271,14 @@
 }
 
 // follow takes over settings that were written anew: the seeds are where others may be found.
-func (s *Server) follow(ctx context.Context, reload <-chan *settings.Settings) {
+func (s *Server) watchSettings(ctx context.Context, reload <-chan *settings.Settings) {
 	for {
 		select {
 		case set, ok := <-reload:
 			if !ok {
 				return
 			}
-			s.roster.SetSeeds(set.SeedAddresses())
+			s.memberList.SetSeeds(set.SeedAddresses())
 		case <-ctx.Done():
 			return
 		}
--- a/internal/mesh/controlplane/frames.go
+++ b/internal/mesh/controlplane/push.go
@@ -10,9 +10,9 @@
 )
 
 // keep keeps a change for those who hold an older version. The caller holds the lock.
-func (m *stateMachine) keep(change *config.Change) {
-	kept := append(m.kept, change)
-	m.kept = append([]*config.Change(nil), kept[max(0, len(kept)-mostKept):]...)
+func (m *stateMachine) retainChange(change *config.Change) {
+	kept := append(m.retained, change)
+	m.retained = append([]*config.Change(nil), kept[max(0, len(kept)-maxRetainedChanges):]...)
 }
 
 // Since is the changes that lead on from a version, or false where it is none of those that are kept.
@@ -22,22 +22,22 @@
 	if version == m.configuration.Version() {
 		return nil, true
 	}
-	for i, change := range m.kept {
+	for i, change := range m.retained {
 		if change.Base() != version {
 			continue
 		}
 		f := sidecar.ConfigUpdate{Version: m.configuration.Version()}
-		for _, change := range m.kept[i:] {
+		for _, change := range m.retained[i:] {
 			f.Changes = append(f.Changes, change.Encode())
 		}
-		return m.frames(f)
+		return m.encodeUpdate(f)
 	}
 	return nil, false
 }
 
 // FullConfig is the whole configuration; nil: there is none.
 func (m *stateMachine) FullConfig() json.RawMessage {
-	configuration := m.current()
+	configuration := m.currentConfig()
 	if configuration.Version() == 0 {
 		return nil
 	}
@@ -46,14 +46,14 @@
 		m.log.Error("a configuration that can't be written", zap.Error(err))
 		return nil
 	}
-	frames, ok := m.frames(sidecar.ConfigUpdate{Version: configuration.Version(), Full: whole})
+	frames, ok := m.encodeUpdate(sidecar.ConfigUpdate{Version: configuration.Version(), Full: whole})
 	if !ok {
 		return nil
 	}
 	return frames[0]
 }
 
-func (m *stateMachine) frames(f sidecar.ConfigUpdate) ([]json.RawMessage, bool) {
+func (m *stateMachine) encodeUpdate(f sidecar.ConfigUpdate) ([]json.RawMessage, bool) {
 	data, err := json.Marshal(f)
 	if err != nil {
 		m.log.Error("a frame that can't be written", zap.Error(err))
--- a/internal/mesh/controlplane/deal_test.go
+++ b/internal/mesh/controlplane/quota_test.go
@@ -15,10 +15,10 @@
 
 func TestWhoMayDeal(t *testing.T) {
 	Convey("Tokens are dealt by a leader in its own term, with young contact", t, func() {
-		So(checkDealer(maxDealContactAge, true, true), ShouldBeNil)
-		So(errs.KindOf(checkDealer(maxDealContactAge+1, true, true)), ShouldEqual, errs.NoQuorum)
-		So(errs.KindOf(checkDealer(0, false, true)), ShouldEqual, errs.NoQuorum)
-		So(errs.KindOf(checkDealer(0, true, false)), ShouldEqual, errs.NotLeader)
+		So(checkAllocator(maxAllocatorContactAge, true, true), ShouldBeNil)
+		So(errs.KindOf(checkAllocator(maxAllocatorContactAge+1, true, true)), ShouldEqual, errs.NoQuorum)
+		So(errs.KindOf(checkAllocator(0, false, true)), ShouldEqual, errs.NoQuorum)
+		So(errs.KindOf(checkAllocator(0, true, false)), ShouldEqual, errs.NotLeader)
 	})
 	Convey("A leader that is cut off and the next one never deal tokens that can be spent at the same time", t, func() {
 		rules := quota.Rules{Window: 5 * time.Second, Overage: 0.1, Slack: 20}
@@ -35,7 +35,7 @@
 		confirmed := 2 * time.Second // the old leader's last round
 		var last, first time.Duration
 		for now := confirmed; now < confirmed+3*time.Second; now += 5 * time.Millisecond {
-			if checkDealer(now-confirmed, true, true) == nil {
+			if checkAllocator(now-confirmed, true, true) == nil {
 				if grants, _, err := dealers[0].Allocate(now, 1, "n1", ask); err == nil && len(grants) > 0 {
 					last = now
 				}
--- a/internal/mesh/controlplane/orders_history_test.go
+++ b/internal/mesh/controlplane/request_history_test.go
@@ -63,7 +63,7 @@
 type sending struct {
 	order  int
 	called int64
-	told   <-chan verdict
+	told   <-chan proposalResult
 	number uint64
 }
 
@@ -165,7 +165,7 @@
 		return
 	}
 	s.number = w.propose(i)
-	s.told = w.replicas[w.leader].machine.expect(s.number)
+	s.told = w.replicas[w.leader].machine.expectResult(s.number)
 	w.waiting = append(w.waiting, s)
 }
 
@@ -203,7 +203,7 @@
 	w.waiting = still
 }
 
-func (w *world) heard(v verdict) answer {
+func (w *world) heard(v proposalResult) answer {
 	switch {
 	case w.rng.IntN(6) == 0 || v.err != nil && errs.KindOf(v.err).Status() >= 500:
 		return unclear
@@ -216,7 +216,7 @@
 // abandon leaves all who wait without a clear answer.
 func (w *world) abandon(r *replica) {
 	for _, s := range w.waiting {
-		r.machine.forget(s.number)
+		r.machine.forgetResult(s.number)
 		w.answered(s, unclear)
 	}
 	w.waiting = nil
@@ -236,7 +236,7 @@
 	w.collect()
 	document := ""
 	if r.machine.Current() > 0 {
-		document = strings.ReplaceAll(string(r.machine.current().Document()), `\u0065`, "e")
+		document = strings.ReplaceAll(string(r.machine.currentConfig().Document()), `\u0065`, "e")
 	}
 	w.done = append(w.done, porcupine.Operation{ClientId: len(w.done), Input: call{reading}, Call: called, Output: reply{document: document}, Return: w.now()})
 }
@@ -275,7 +275,7 @@
 			w.catchUp(r, 0)
 			w.collect()
 			if r == w.replicas[w.leader] && len(w.waiting) > 0 {
-				w.t.Fatal("a verdict is awaited that a snapshot stands for")
+				w.t.Fatal("a proposalResult is awaited that a snapshot stands for")
 			}
 		}
 	case 18:
@@ -299,10 +299,10 @@
 	if len(w.waiting) > 0 {
 		w.t.Fatalf("%d verdicts were never told", len(w.waiting))
 	}
-	want := encoded(w.replicas[w.leader].machine.current())
+	want := encoded(w.replicas[w.leader].machine.currentConfig())
 	for _, r := range w.replicas {
 		w.catchUp(r, len(w.committed))
-		if got := encoded(r.machine.current()); got != want {
+		if got := encoded(r.machine.currentConfig()); got != want {
 			w.t.Fatalf("the replicas differ:\n%s\n%s", got, want)
 		}
 	}
--- a/internal/mesh/controlplane/orders.go
+++ b/internal/mesh/controlplane/requests.go
@@ -17,20 +17,20 @@
 )
 
 const (
-	// changeTime bounds a change: operators go on to another machine after a second of silence,
+	// changeTimeout bounds a change: operators go on to another machine after a second of silence,
 	// longer for large bodies.
-	changeTime = 900 * time.Millisecond
-	// appliedTime is how long an operator's answer waits for sidecars that have not applied the
+	changeTimeout = 900 * time.Millisecond
+	// appliedTimeout is how long an operator's answer waits for sidecars that have not applied the
 	// change: it is settled without them, and they are told to within the bound.
-	appliedTime = 350 * time.Millisecond
+	appliedTimeout = 350 * time.Millisecond
 	// proposePath is where the leader takes changes that reached another core machine, and
 	// describePath where it confirms that what it holds is the newest.
 	proposePath  = "/mesh/propose"
 	describePath = "/mesh/describe"
 )
 
-// serveOrders serves what other core machines pass on to the leader.
-func (s *Server) serveOrders(mux *http.ServeMux) {
+// serveForwardedRequests serves what other core machines pass on to the leader.
+func (s *Server) serveForwardedRequests(mux *http.ServeMux) {
 	for _, whole := range []bool{true, false} {
 		rpc.HandleRaw(mux, proposeAt(whole), api.MaxChangeBytes, func(r *http.Request, body []byte) (*meshapi.ChangeResponse, error) {
 			change, err := read(whole, body)
@@ -52,13 +52,13 @@
 	if err != nil {
 		return nil, err
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), changeTime+time.Duration(len(body))*time.Microsecond)
+	ctx, cancel := context.WithTimeout(r.Context(), changeTimeout+time.Duration(len(body))*time.Microsecond)
 	defer cancel()
 	leader, _ := s.leader()
 	switch leader {
 	case "":
 		return nil, errs.New(errs.NoQuorum, "no leader is known")
-	case s.set.OwnInternalAddress():
+	case s.settings.OwnInternalAddress():
 		return s.propose(ctx, change)
 	}
 	taken, err := rpc.Post[meshapi.ChangeResponse](ctx, s.client, "http://"+leader+proposeAt(whole), body)
@@ -81,26 +81,26 @@
 }
 
 // propose puts a change into the log and waits until the state machine here has judged it, and, for a
-// while, until sidecars have it. It answers with a verdict only once the command is committed, so no
-// verdict, 200 and 412 alike, rests on an entry that may be lost.
+// while, until sidecars have it. It answers with a proposalResult only once the command is committed, so no
+// proposalResult, 200 and 412 alike, rests on an entry that may be lost.
 func (s *Server) propose(ctx context.Context, change *config.Change) (*meshapi.ChangeResponse, error) {
 	node := s.node.Load()
 	if node == nil {
 		return nil, errs.New(errs.NotLeader, "no log is held here")
 	}
 	number := rand.Uint64()
-	told := s.machine.expect(number)
-	defer s.machine.forget(number)
+	told := s.stateMachine.expectResult(number)
+	defer s.stateMachine.forgetResult(number)
 	if _, err := node.Propose(ctx, command(number, change)); err != nil {
 		return nil, err
 	}
-	version, err := await(ctx, told)
+	version, err := awaitResult(ctx, told)
 	if err != nil {
 		return nil, err
 	}
-	within, cancel := context.WithTimeout(ctx, appliedTime)
+	within, cancel := context.WithTimeout(ctx, appliedTimeout)
 	defer cancel()
-	if behind := s.hub.WaitApplied(within, version); behind > 0 {
+	if behind := s.watchServer.WaitApplied(within, version); behind > 0 {
 		s.log.Info("acknowledged before all have it", zap.Int64("version", version), zap.Int("behind", behind))
 	}
 	return &meshapi.ChangeResponse{ConfigVersion: version}, nil
@@ -108,13 +108,13 @@
 
 // Describe is the configuration, as the leader has it once it knows that no other member leads.
 func (s *Server) Describe(r *http.Request) (*json.RawMessage, error) {
-	ctx, cancel := context.WithTimeout(r.Context(), changeTime)
+	ctx, cancel := context.WithTimeout(r.Context(), changeTimeout)
 	defer cancel()
 	leader, _ := s.leader()
 	switch leader {
 	case "":
 		return nil, errs.New(errs.NoQuorum, "no leader is known")
-	case s.set.OwnInternalAddress():
+	case s.settings.OwnInternalAddress():
 		return s.confirm(ctx)
 	}
 	return api.FetchDocument(ctx, s.client, "http://"+leader+describePath)
@@ -130,9 +130,9 @@
 	if err := node.Read(ctx); err != nil {
 		return nil, err
 	}
-	if err := s.machine.idle(ctx); err != nil {
+	if err := s.stateMachine.waitProcessed(ctx); err != nil {
 		return nil, err
 	}
-	document := s.machine.current().Document()
+	document := s.stateMachine.currentConfig().Document()
 	return &document, nil
 }
--- a/internal/mesh/controlplane/statemachine.go
+++ b/internal/mesh/controlplane/statemachine.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	// mostKept is how many changes are kept for those who hold an older version: who is further
+	// maxRetainedChanges is how many changes are kept for those who hold an older version: who is further
 	// behind gets the whole configuration.
-	mostKept = 64
+	maxRetainedChanges = 64
 	// proposalNumberSize is the size of the proposal's number, with which each command begins.
 	proposalNumberSize = 8
 )
@@ -29,17 +29,17 @@
 
 	mu            sync.Mutex
 	configuration *config.Snapshot
-	kept          []*config.Change // that led to it, the newest last
-	proposals     map[uint64]chan verdict
+	retained      []*config.Change // that led to it, the newest last
+	proposals     map[uint64]chan proposalResult
 	queue         []logItem
-	working       bool
-	handedIn      uint64        // items that came so far
-	finished      uint64        // of these, items that are done with
+	running       bool
+	enqueued      uint64        // items that came so far
+	processed     uint64        // of these, items that are done with
 	progress      chan struct{} // closed, and made anew, whenever finished grows
 	applied       uint64        // log index
 	// damaged is set from a snapshot that can't be read to the next one that can: what lies between
 	// would be applied to the wrong state.
-	damaged bool
+	corrupted bool
 }
 
 // logItem is an entry of the log, or a snapshot in place of all entries up to its index.
@@ -49,8 +49,8 @@
 	snapshot bool
 }
 
-// verdict is what became of a proposal.
-type verdict struct {
+// proposalResult is what became of a proposal.
+type proposalResult struct {
 	version int64
 	err     error
 }
@@ -60,19 +60,19 @@
 		log:           log,
 		changed:       changed,
 		configuration: config.Empty(),
-		proposals:     make(map[uint64]chan verdict),
+		proposals:     make(map[uint64]chan proposalResult),
 		progress:      make(chan struct{}),
 	}
 }
 
-func (m *stateMachine) current() *config.Snapshot {
+func (m *stateMachine) currentConfig() *config.Snapshot {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.configuration
 }
 
 // Current is the version in force.
-func (m *stateMachine) Current() int64 { return m.current().Version() }
+func (m *stateMachine) Current() int64 { return m.currentConfig().Version() }
 
 // appliedIndex is the index up to which everything that the log handed in has been applied. After a
 // snapshot that could not be read it stands still until one comes that can.
@@ -82,23 +82,23 @@
 	return m.applied
 }
 
-// expect has the verdict on a proposal told once its command has been applied here; forget ends that.
-func (m *stateMachine) expect(number uint64) <-chan verdict {
+// expect has the proposalResult on a proposal told once its command has been applied here; forget ends that.
+func (m *stateMachine) expectResult(number uint64) <-chan proposalResult {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	told := make(chan verdict, 1)
+	told := make(chan proposalResult, 1)
 	m.proposals[number] = told
 	return told
 }
 
-func (m *stateMachine) forget(number uint64) {
+func (m *stateMachine) forgetResult(number uint64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	delete(m.proposals, number)
 }
 
-// await waits for the verdict on a proposal that the log has committed.
-func await(ctx context.Context, told <-chan verdict) (int64, error) {
+// await waits for the proposalResult on a proposal that the log has committed.
+func awaitResult(ctx context.Context, told <-chan proposalResult) (int64, error) {
 	select {
 	case v := <-told:
 		return v.version, v.err
@@ -115,49 +115,49 @@
 // apply takes the command of an entry, to be applied behind those before. An entry that bears no
 // change, as a new leader's first one, only advances the applied index.
 func (m *stateMachine) apply(index uint64, command []byte) {
-	m.enter(logItem{index: index, data: command})
+	m.enqueue(logItem{index: index, data: command})
 }
 
 // restore takes a snapshot in place of all entries up to its index.
 func (m *stateMachine) restore(index uint64, data []byte) {
-	m.enter(logItem{index: index, data: data, snapshot: true})
+	m.enqueue(logItem{index: index, data: data, snapshot: true})
 }
 
 // enter puts an item into the queue.
-func (m *stateMachine) enter(item logItem) {
+func (m *stateMachine) enqueue(item logItem) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.queue = append(m.queue, item)
-	m.handedIn++
-	if !m.working {
-		m.working = true
-		go m.work()
+	m.enqueued++
+	if !m.running {
+		m.running = true
+		go m.processQueue()
 	}
 }
 
 // work applies what is in the queue, in order, and ends with it.
-func (m *stateMachine) work() {
+func (m *stateMachine) processQueue() {
 	for {
-		item, some := m.first()
+		item, some := m.dequeue()
 		if !some {
 			return
 		}
 		whole := true
 		if item.snapshot {
-			whole = m.replace(item.data)
+			whole = m.restoreSnapshot(item.data)
 		} else {
-			m.settle(item.index, item.data)
+			m.complete(item.index, item.data)
 		}
-		m.finish(item, whole)
+		m.markProcessed(item, whole)
 	}
 }
 
 // first takes the first item off the queue.
-func (m *stateMachine) first() (item logItem, some bool) {
+func (m *stateMachine) dequeue() (item logItem, some bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if len(m.queue) == 0 {
-		m.queue, m.working = nil, false
+		m.queue, m.running = nil, false
 		return logItem{}, false
 	}
 	item = m.queue[0]
@@ -166,12 +166,12 @@
 }
 
 // finish notes that an item is done with, and has those look again who wait for that.
-func (m *stateMachine) finish(item logItem, whole bool) {
+func (m *stateMachine) markProcessed(item logItem, whole bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.finished++
-	m.damaged = item.snapshot && !whole || m.damaged && !item.snapshot
-	if !m.damaged {
+	m.processed++
+	m.corrupted = item.snapshot && !whole || m.corrupted && !item.snapshot
+	if !m.corrupted {
 		m.applied = max(m.applied, item.index)
 	}
 	close(m.progress)
@@ -179,13 +179,13 @@
 }
 
 // idle waits until all is applied that the log has handed in so far.
-func (m *stateMachine) idle(ctx context.Context) error {
+func (m *stateMachine) waitProcessed(ctx context.Context) error {
 	m.mu.Lock()
-	due := m.handedIn
+	due := m.enqueued
 	m.mu.Unlock()
 	for {
 		m.mu.Lock()
-		done, damaged, progress := m.finished >= due, m.damaged, m.progress
+		done, damaged, progress := m.processed >= due, m.corrupted, m.progress
 		m.mu.Unlock()
 		switch {
 		case done && damaged:
@@ -201,8 +201,8 @@
 	}
 }
 
-// settle applies a command of the log and tells its verdict to whoever proposed it here.
-func (m *stateMachine) settle(index uint64, command []byte) {
+// settle applies a command of the log and tells its proposalResult to whoever proposed it here.
+func (m *stateMachine) complete(index uint64, command []byte) {
 	if len(command) <= proposalNumberSize {
 		return
 	}
@@ -210,12 +210,12 @@
 	change, err := config.DecodeChange(command[proposalNumberSize:])
 	if err != nil {
 		// The operator's body was read before it was proposed, so this says nothing against it.
-		m.tell(number, verdict{err: errs.Wrap(err, errs.Internal, "a command of the log can't be read")})
+		m.completeProposal(number, proposalResult{err: errs.Wrap(err, errs.Internal, "a command of the log can't be read")})
 		m.log.Error("a command of the log can't be read", zap.Uint64("index", index), zap.Error(err))
 		return
 	}
-	version, outcome, err := m.take(change)
-	m.tell(number, verdict{version, err})
+	version, outcome, err := m.applyChange(change)
+	m.completeProposal(number, proposalResult{version, err})
 	switch {
 	case err != nil:
 		m.log.Info("a change was refused", zap.Uint64("index", index), zap.Error(err))
@@ -227,25 +227,25 @@
 
 // take puts the configuration after a change in place, and gives the version that the change brought
 // or had brought before, else the one in force.
-func (m *stateMachine) take(change *config.Change) (int64, config.Outcome, error) {
+func (m *stateMachine) applyChange(change *config.Change) (int64, config.Outcome, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.damaged {
+	if m.corrupted {
 		return 0, config.Undetermined, errs.New(errs.Internal, "no configuration is held to judge the change by")
 	}
 	next, outcome, err := m.configuration.Apply(change)
 	m.configuration = next
 	switch outcome {
 	case config.Applied:
-		m.keep(change)
+		m.retainChange(change)
 	case config.Duplicate:
 		return change.Version(), outcome, nil
 	}
 	return next.Version(), outcome, err
 }
 
-// tell gives the verdict on a proposal to whoever waits for it here.
-func (m *stateMachine) tell(number uint64, v verdict) {
+// tell gives the proposalResult on a proposal to whoever waits for it here.
+func (m *stateMachine) completeProposal(number uint64, v proposalResult) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if told := m.proposals[number]; told != nil {
@@ -255,26 +255,26 @@
 }
 
 // replace puts a snapshot in place of what is there, or says that it can't be read.
-func (m *stateMachine) replace(data []byte) bool {
+func (m *stateMachine) restoreSnapshot(data []byte) bool {
 	next, err := config.Decode(data)
 	m.mu.Lock()
-	m.release()
+	m.failProposals()
 	if err != nil {
 		m.mu.Unlock()
 		m.log.Error("a snapshot that can't be read", zap.Error(err))
 		return false
 	}
-	m.configuration, m.kept = next, nil
+	m.configuration, m.retained = next, nil
 	m.mu.Unlock()
 	m.changed()
 	return true
 }
 
-// release tells all who wait for a verdict that they get none: their commands may lie among those
+// release tells all who wait for a proposalResult that they get none: their commands may lie among those
 // that a snapshot stands for, which are never applied one by one. The caller holds the lock.
-func (m *stateMachine) release() {
+func (m *stateMachine) failProposals() {
 	for number, told := range m.proposals {
-		told <- verdict{err: errs.New(errs.DeadlineExceeded, "a snapshot stands in place of the verdict")}
+		told <- proposalResult{err: errs.New(errs.DeadlineExceeded, "a snapshot stands in place of the proposalResult")}
 		delete(m.proposals, number)
 	}
 }
@@ -282,7 +282,7 @@
 // snapshot is the state where all that the log has handed in is applied; nil: not now.
 func (m *stateMachine) snapshot() []byte {
 	m.mu.Lock()
-	configuration, ready := m.configuration, m.finished == m.handedIn && !m.damaged
+	configuration, ready := m.configuration, m.processed == m.enqueued && !m.corrupted
 	m.mu.Unlock()
 	if !ready {
 		return nil
--- a/internal/mesh/controlplane/statemachine_test.go
+++ b/internal/mesh/controlplane/statemachine_test.go
@@ -49,13 +49,13 @@
 }
 
 func settle(m *stateMachine) {
-	if err := m.idle(context.Background()); err != nil {
+	if err := m.waitProcessed(context.Background()); err != nil {
 		panic(err)
 	}
 }
 
-// told is a verdict that must be there by now.
-func told(of <-chan verdict) (int64, errs.Kind, bool) {
+// told is a proposalResult that must be there by now.
+func told(of <-chan proposalResult) (int64, errs.Kind, bool) {
 	select {
 	case v := <-of:
 		if v.err != nil {
@@ -73,9 +73,9 @@
 		changes := 0
 		m := newStateMachine(zap.NewNop(), func() { changes++ })
 		So(m.FullConfig(), ShouldBeNil)
-		first, second, third, fourth := m.expect(1), m.expect(2), m.expect(3), m.expect(4)
-		forgotten, cut := m.expect(6), m.expect(7)
-		m.forget(6)
+		first, second, third, fourth := m.expectResult(1), m.expectResult(2), m.expectResult(3), m.expectResult(4)
+		forgotten, cut := m.expectResult(6), m.expectResult(7)
+		m.forgetResult(6)
 		m.apply(1, []byte("a view"))
 		m.apply(2, command(1, put(3, 0, "a", "b")))
 		m.apply(3, command(2, drop(5, 0, "a"))) // builds on what is no more
@@ -86,7 +86,7 @@
 		m.apply(8, append(command(7, put(8, 7))[:20], "cut"...))
 		settle(m)
 		for i, want := range []struct {
-			of      <-chan verdict
+			of      <-chan proposalResult
 			version int64
 			kind    errs.Kind
 		}{{first, 3, 0}, {second, 3, errs.Stale}, {third, 5, 0}, {fourth, 3, 0}} {
@@ -98,11 +98,11 @@
 		_, kind, ok := told(cut)
 		So([]any{kind, ok}, ShouldResemble, []any{errs.Internal, true}) // no refusal: it was read before
 		So(m.Current(), ShouldEqual, 7)
-		So(string(m.current().Document()), ShouldEqual, `{"configVersion":7,"baseVersion":6,"resources":[]}`)
+		So(string(m.currentConfig().Document()), ShouldEqual, `{"configVersion":7,"baseVersion":6,"resources":[]}`)
 		So(changes, ShouldEqual, 4)
 		gone, cancel := context.WithCancel(ctx)
 		cancel()
-		_, err := await(gone, m.expect(9))
+		_, err := awaitResult(gone, m.expectResult(9))
 		So(errs.KindOf(err), ShouldEqual, errs.DeadlineExceeded)
 	})
 	Convey("A snapshot takes the place of all before, and a change from before it is known as repeated", t, func() {
@@ -113,17 +113,17 @@
 		snapshot := m.snapshot()
 		other.apply(1, command(1, put(9, 0, "z")))
 		other.restore(2, snapshot)
-		repeated := other.expect(77)
+		repeated := other.expectResult(77)
 		settle(other)
 		So(other.appliedIndex(), ShouldEqual, 2)
 		_, kind, ok := told(repeated)
 		So([]any{kind, ok}, ShouldResemble, []any{errs.DeadlineExceeded, true}) // the snapshot may stand for its command
-		repeated = other.expect(77)
+		repeated = other.expectResult(77)
 		other.apply(3, command(77, put(3, 0, "a")))
 		other.apply(4, nil)
 		settle(other)
 		So(other.appliedIndex(), ShouldEqual, 4)
-		So(encoded(other.current()), ShouldEqual, encoded(m.current()))
+		So(encoded(other.currentConfig()), ShouldEqual, encoded(m.currentConfig()))
 		version, kind, ok := told(repeated)
 		So([]any{version, kind, ok}, ShouldResemble, []any{int64(3), errs.Kind(0), true})
 		for _, version := range []int64{0, 3, 9} {
@@ -138,18 +138,18 @@
 		m := newStateMachine(zap.NewNop(), func() {})
 		m.apply(1, command(1, put(3, 0, "a")))
 		settle(m)
-		whole, held := m.snapshot(), m.current()
+		whole, held := m.snapshot(), m.currentConfig()
 		m.restore(4, whole[:len(whole)-1])
-		So(errs.KindOf(m.idle(ctx)), ShouldEqual, errs.Internal)
-		repeated, refused := m.expect(2), m.expect(3)
+		So(errs.KindOf(m.waitProcessed(ctx)), ShouldEqual, errs.Internal)
+		repeated, refused := m.expectResult(2), m.expectResult(3)
 		m.apply(5, command(2, put(3, 0, "a")))
 		m.apply(6, command(3, put(4, 0, "b")))
-		So(errs.KindOf(m.idle(ctx)), ShouldEqual, errs.Internal)
-		for _, of := range []<-chan verdict{repeated, refused} {
+		So(errs.KindOf(m.waitProcessed(ctx)), ShouldEqual, errs.Internal)
+		for _, of := range []<-chan proposalResult{repeated, refused} {
 			_, kind, ok := told(of)
 			So([]any{kind, ok}, ShouldResemble, []any{errs.Internal, true})
 		}
-		So(m.current(), ShouldEqual, held)
+		So(m.currentConfig(), ShouldEqual, held)
 		So(m.snapshot(), ShouldBeNil)
 		So(m.appliedIndex(), ShouldEqual, 1)
 		m.restore(6, whole)
@@ -167,7 +167,7 @@
 		<-started
 		gone, cancel := context.WithCancel(ctx)
 		cancel()
-		So(errs.KindOf(m.idle(gone)), ShouldEqual, errs.DeadlineExceeded)
+		So(errs.KindOf(m.waitProcessed(gone)), ShouldEqual, errs.DeadlineExceeded)
 		So(m.snapshot(), ShouldBeNil)
 		So(m.appliedIndex(), ShouldEqual, 0)
 		goOn <- struct{}{}
@@ -182,10 +182,10 @@
 		m := newStateMachine(zap.NewNop(), func() {})
 		m.apply(1, command(1, put(3, 0, "a")))
 		settle(m)
-		old, held3 := m.FullConfig(), m.current()
+		old, held3 := m.FullConfig(), m.currentConfig()
 		m.apply(2, command(2, put(5, 3, "b")))
 		settle(m)
-		held := m.current()
+		held := m.currentConfig()
 		for _, frame := range []json.RawMessage{old, m.FullConfig()} {
 			next, err := sidecar.ApplyUpdate(held, frame)
 			So(err, ShouldBeNil)
@@ -227,7 +227,7 @@
 			if outcome == config.Applied {
 				history = append(history, next)
 			}
-			heard := m.expect(uint64(step))
+			heard := m.expectResult(uint64(step))
 			m.apply(uint64(step), command(uint64(step), change))
 			if restored >= 0 {
 				late.apply(uint64(step), command(uint64(step), change))
@@ -243,14 +243,14 @@
 		}
 		want := encoded(history[len(history)-1])
 		settle(late)
-		if encoded(m.current()) != want || restored >= 0 && encoded(late.current()) != want {
-			t.Fatalf("the configurations differ: %s, %s and %s", want, encoded(m.current()), encoded(late.current()))
+		if encoded(m.currentConfig()) != want || restored >= 0 && encoded(late.currentConfig()) != want {
+			t.Fatalf("the configurations differ: %s, %s and %s", want, encoded(m.currentConfig()), encoded(late.currentConfig()))
 		}
 		last := len(history) - 1
-		for _, i := range []int{0, last, max(0, last-mostKept), max(0, last-mostKept-1), rapid.IntRange(0, last).Draw(t, "held")} {
+		for _, i := range []int{0, last, max(0, last-maxRetainedChanges), max(0, last-maxRetainedChanges-1), rapid.IntRange(0, last).Draw(t, "held")} {
 			held := history[i]
 			frames, ok := m.Since(held.Version())
-			if ok != (last-i <= mostKept) {
+			if ok != (last-i <= maxRetainedChanges) {
 				t.Fatalf("%d changes behind: %v", last-i, ok)
 			}
 			if !ok {
