--- a/internal/mesh/logring/logring.go
+++ b/internal/mesh/logring/logring.go
@@ -15,8 +15,8 @@
 const (
 	// DefaultBytes is the size of a ring for which none is given.
 	DefaultBytes = 64 << 10
-	// entryLimit bounds one entry, so that a single long one does not push all others out. The rest of it is cut off.
-	entryLimit = 2 << 10
+	// maxEntryBytes bounds one entry, so that a single long one does not push all others out. The rest of it is cut off.
+	maxEntryBytes = 2 << 10
 	// maxEntries bounds the entries kept, and so the memory for their lengths.
 	maxEntries = 1024
 	// dumpInterval is the least time between two dumps. It guards the processor against errors in a row.
@@ -25,11 +25,11 @@
 
 // New gives a logger that writes entries at Warn and above to out at once, and the ring in which it keeps all entries,
 // of at most so many bytes (DefaultBytes if that is not above zero). An entry at Error or above writes the ring out.
-func New(out io.Writer, bytes int) (*zap.Logger, *Ring) {
-	if bytes <= 0 {
-		bytes = DefaultBytes
+func New(out io.Writer, capacity int) (*zap.Logger, *Ring) {
+	if capacity <= 0 {
+		capacity = DefaultBytes
 	}
-	ring := &Ring{WriteLevel: zapcore.WarnLevel, out: zapcore.Lock(zapcore.AddSync(out)), data: make([]byte, bytes)}
+	ring := &Ring{WriteLevel: zapcore.WarnLevel, out: zapcore.Lock(zapcore.AddSync(out)), data: make([]byte, capacity)}
 	encoder := zapcore.NewConsoleEncoder(zapcore.EncoderConfig{
 		TimeKey:          "time",
 		LevelKey:         "level",
@@ -80,9 +80,9 @@
 		return err
 	}
 	defer line.Free()
-	c.ring.keep(line.Bytes())
+	c.ring.append(line.Bytes())
 	if e.Level >= zapcore.ErrorLevel {
-		if text := c.ring.take(e.Message, e.Time); text != nil {
+		if text := c.ring.drain(e.Message, e.Time); text != nil {
 			_, err = c.ring.out.Write(text)
 			return err
 		}
@@ -116,17 +116,17 @@
 // Dump writes the entries out and empties the ring, under a line that gives the reason. Within dumpInterval of the last
 // dump it does nothing, and the entries stay for the next.
 func (r *Ring) Dump(reason string) {
-	if text := r.take(reason, time.Now()); text != nil {
+	if text := r.drain(reason, time.Now()); text != nil {
 		// A log that cannot be written has nowhere to say so.
 		_, _ = r.out.Write(text)
 	}
 }
 
-// keep adds an entry, and drops the oldest ones to make room.
-func (r *Ring) keep(line []byte) {
-	limit := min(entryLimit, len(r.data))
-	cut := len(line) > limit
-	if cut {
+// append adds an entry, and drops the oldest ones to make room.
+func (r *Ring) append(line []byte) {
+	limit := min(maxEntryBytes, len(r.data))
+	truncated := len(line) > limit
+	if truncated {
 		line = line[:limit]
 	}
 	r.mu.Lock()
@@ -142,15 +142,15 @@
 	fits := copy(r.data[at:], line)
 	copy(r.data, line[fits:])
 	r.used += len(line)
-	if cut {
+	if truncated {
 		r.data[(r.start+r.used-1)%len(r.data)] = '\n'
 	}
 	r.lengths[(r.first+r.entries)%maxEntries] = uint16(len(line))
 	r.entries++
 }
 
-// take empties the ring and gives the text of a dump, nil within dumpInterval of the last one.
-func (r *Ring) take(reason string, now time.Time) []byte {
+// drain empties the ring and gives the text of a dump, nil within dumpInterval of the last one.
+func (r *Ring) drain(reason string, now time.Time) []byte {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !r.lastDump.IsZero() && now.Sub(r.lastDump) < dumpInterval {
--- a/internal/mesh/logring/logring_test.go
+++ b/internal/mesh/logring/logring_test.go
@@ -12,7 +12,7 @@
 	"go.uber.org/zap"
 )
 
-func TestDumps(t *testing.T) {
+func TestDumpOnError(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		Convey("Entries stay in memory until something goes wrong, and are written out once a second at most", t, func() {
 			var out bytes.Buffer
@@ -43,28 +43,28 @@
 	})
 }
 
-func TestRing(t *testing.T) {
+func TestRingKeepsLastEntries(t *testing.T) {
 	Convey("The ring holds just the last entries that fit, whatever their lengths", t, func() {
 		random := rand.New(rand.NewSource(1))
-		for _, size := range []int{1, 50, 3000, 8 * entryLimit} {
+		for _, size := range []int{1, 50, 3000, 8 * maxEntryBytes} {
 			_, ring := New(&bytes.Buffer{}, size)
-			var kept []string
+			var want []string
 			for i := range 5000 {
 				// Half of the entries are tiny, so that their number is what bounds the ring, and some are cut.
-				line := strings.Repeat(string(rune('a'+i%26)), random.Intn([]int{4, entryLimit + 100}[random.Intn(2)*(i/2500)])) + "\n"
-				ring.keep([]byte(line))
-				if limit := min(entryLimit, size); len(line) > limit {
+				line := strings.Repeat(string(rune('a'+i%26)), random.Intn([]int{4, maxEntryBytes + 100}[random.Intn(2)*(i/2500)])) + "\n"
+				ring.append([]byte(line))
+				if limit := min(maxEntryBytes, size); len(line) > limit {
 					line = line[:limit-1] + "\n"
 				}
-				kept = append(kept, line)
-				for len(kept) > maxEntries || len(strings.Join(kept, "")) > size {
-					kept = kept[1:]
+				want = append(want, line)
+				for len(want) > maxEntries || len(strings.Join(want, "")) > size {
+					want = want[1:]
 				}
 				if i%1250 == 1249 {
 					ring.lastDump = time.Time{}
-					_, body, _ := strings.Cut(string(ring.take("", time.Now())), "\n")
-					So(body, ShouldEqual, strings.Join(kept, ""))
-					kept = nil
+					_, body, _ := strings.Cut(string(ring.drain("", time.Now())), "\n")
+					So(body, ShouldEqual, strings.Join(want, ""))
+					want = nil
 				}
 			}
 		}
