--- a/cmd/caperarch/even_test.go
+++ b/cmd/caperarch/even_test.go
@@ -5,9 +5,9 @@
 	"testing"
 	"time"
 
-	"caperarch/internal/lab/even"
-	"caperarch/internal/lab/rig"
-	"caperarch/internal/lab/rig/fleet"
+	"caperarch/internal/lab/loadspread"
+	"caperarch/internal/lab/testbed"
+	"caperarch/internal/lab/testbed/fleet"
 )
 
 // evenFleet is a few processes before a few light upstreams, which all have the same to do; each upstream is in half of the arcs.
@@ -24,7 +24,7 @@
 const evenEach = 6.0 // requests a second of each, so an arc of 6
 
 // spreadOver measures the spread of so many seconds from now on; the load has run before.
-func spreadOver(f *fleet.Fleet, d time.Duration, stop func()) even.Spread {
+func spreadOver(f *fleet.Fleet, d time.Duration, stop func()) loadspread.Spread {
 	from := time.Now()
 	time.Sleep(d)
 	stop()
@@ -32,7 +32,7 @@
 	for i := range weights {
 		weights[i] = 1
 	}
-	return even.Of(f.Arrivals(from), weights, 0, d, d)
+	return loadspread.Of(f.Arrivals(from), weights, 0, d, d)
 }
 
 func steadily(int, time.Duration) float64 { return evenEach }
@@ -42,12 +42,12 @@
 func TestSpreadIsEvenAmongThoseThatLive(t *testing.T) {
 	t.Parallel()
 	f := evenFleet(t, fleet.Faults{Loss: 0.1, Twice: 0.1, Delay: 100 * time.Millisecond})
-	f.AwaitAgree(rig.Generous)
+	f.AwaitAgree(testbed.Generous)
 	stop := f.Streams(1, steadily)
 	for _, i := range []int{5, 2, 7} { // neighbours, as the golden ratio's multiples of 0, 5, 2, 7, 4, 1, 6, 3, 8 rise
 		f.Sidecars[i].Crash()
 	}
-	t.Logf("agreed after %v", f.AwaitAgree(rig.Generous))
+	t.Logf("agreed after %v", f.AwaitAgree(testbed.Generous))
 	s := spreadOver(f, 15*time.Second, stop)
 	t.Logf("%+v", s)
 	if s.Greatest > 1.3 || s.Variance > 1.2 {
@@ -62,10 +62,10 @@
 func TestSpreadOutOfContact(t *testing.T) {
 	t.Parallel()
 	f := evenFleet(t, fleet.Faults{})
-	f.AwaitAgree(rig.Generous)
+	f.AwaitAgree(testbed.Generous)
 	stop := f.Streams(2, steadily)
 	f.Peers.Break(fleet.Faults{Cut: func(from, to int) bool { return (from < 4) != (to < 4) }}, 1)
-	rig.Until(t, "the minority to know that it is out of contact", func() bool {
+	testbed.Until(t, "the minority to know that it is out of contact", func() bool {
 		v, ok := f.Sidecars[0].View()
 		return ok && !v.Contact
 	})
--- a/cmd/caperarch/fleet_test.go
+++ b/cmd/caperarch/fleet_test.go
@@ -10,8 +10,8 @@
 	"testing"
 	"time"
 
-	"caperarch/internal/lab/rig"
-	"caperarch/internal/lab/rig/fleet"
+	"caperarch/internal/lab/testbed"
+	"caperarch/internal/lab/testbed/fleet"
 )
 
 func itself() *exec.Cmd {
@@ -45,7 +45,7 @@
 func TestFleetOfProcesses(t *testing.T) {
 	t.Parallel()
 	f := startFleet(t, fleet.Config{Size: 5, Nodes: 4})
-	t.Logf("in contact and agreed after %v", f.AwaitAgree(rig.Generous))
+	t.Logf("in contact and agreed after %v", f.AwaitAgree(testbed.Generous))
 	stop := f.Load(150)
 	all := func(holds func(i int, v fleet.View) bool, of ...int) func() bool {
 		return func() bool {
@@ -62,18 +62,18 @@
 		t.Run(name, func(t *testing.T) {
 			do(t)
 			f.Peers.Break(fleet.Faults{}, 1)
-			t.Logf("healed: agreed after %v", f.AwaitAgree(rig.Generous))
+			t.Logf("healed: agreed after %v", f.AwaitAgree(testbed.Generous))
 		})
 	}
 
 	step("one crashes and comes back", func(t *testing.T) {
 		f.Sidecars[4].Crash()
 		begun := time.Now()
-		rig.Until(t, "the crash to be known", all(func(_ int, v fleet.View) bool { return v.State[4] == "gone" }, 0, 1, 2, 3))
+		testbed.Until(t, "the crash to be known", all(func(_ int, v fleet.View) bool { return v.State[4] == "gone" }, 0, 1, 2, 3))
 		if took := time.Since(begun); took > 6*time.Second {
 			t.Errorf("known to all after %v", took)
 		}
-		rig.Until(t, "its session to be over for good", all(func(_ int, v fleet.View) bool { return v.Out[4] }, 0, 1, 2, 3))
+		testbed.Until(t, "its session to be over for good", all(func(_ int, v fleet.View) bool { return v.Out[4] }, 0, 1, 2, 3))
 		f.Sidecars[4].Start()
 	})
 
@@ -88,7 +88,7 @@
 		if !ok || v.Contact || v.Session == before.Session {
 			t.Errorf("going on, it says before anything else: in contact %v, session %s, which was %s", v.Contact, v.Session, before.Session)
 		}
-		f.AwaitAgree(rig.Generous)
+		f.AwaitAgree(testbed.Generous)
 		if found := accusations(s.Log()[mark:], 1); found != nil {
 			t.Errorf("it accuses: %q", found)
 		}
@@ -97,7 +97,7 @@
 	step("cut in two", func(t *testing.T) {
 		f.Peers.Break(fleet.Faults{Cut: func(from, to int) bool { return (from < 2) != (to < 2) }}, 1)
 		cut := time.Now()
-		rig.Until(t, "the minority to know that it is out of contact", all(func(_ int, v fleet.View) bool { return !v.Contact }, 0, 1))
+		testbed.Until(t, "the minority to know that it is out of contact", all(func(_ int, v fleet.View) bool { return !v.Contact }, 0, 1))
 		if took := time.Since(cut); took > fleetLease+2*time.Second {
 			t.Errorf("known after %v", took)
 		}
@@ -122,8 +122,8 @@
 
 	step("nobody hears one of them", func(t *testing.T) {
 		f.Peers.Break(fleet.Faults{Cut: func(from, _ int) bool { return from == 3 }}, 1)
-		rig.Until(t, "it to know", all(func(_ int, v fleet.View) bool { return !v.Contact }, 3))
-		rig.Until(t, "the others to know", all(func(_ int, v fleet.View) bool { return v.Contact && v.State[3] == "gone" }, 0, 1, 2, 4))
+		testbed.Until(t, "it to know", all(func(_ int, v fleet.View) bool { return !v.Contact }, 3))
+		testbed.Until(t, "the others to know", all(func(_ int, v fleet.View) bool { return v.Contact && v.State[3] == "gone" }, 0, 1, 2, 4))
 	})
 
 	step("lost, doubled, out of order, then held", func(t *testing.T) {
@@ -149,7 +149,7 @@
 
 	step("one leaves in order", func(t *testing.T) {
 		f.Sidecars[2].End()
-		rig.Until(t, "its word to be heard", all(func(_ int, v fleet.View) bool { return v.State[2] == "left" && v.Out[2] }, 0, 1, 3, 4))
+		testbed.Until(t, "its word to be heard", all(func(_ int, v fleet.View) bool { return v.State[2] == "left" && v.Out[2] }, 0, 1, 3, 4))
 		f.Sidecars[2].Start()
 	})
 
@@ -168,15 +168,15 @@
 	}
 }
 
-// A server that nobody reaches any more: sidecars tell each other, and none stops sending to those that answer. Hints by liars are tested in internal/fleet/hints; here it is
+// A server that nobody reaches any more: sidecars tell each other, and none stops sending to those that answer. Hints by liars are tested in internal/fleet/healthgossip; here it is
 // that they go all the way from one process to another.
 func TestHintsGoRound(t *testing.T) {
 	t.Parallel()
 	f := startFleet(t, fleet.Config{Size: 5, Nodes: 3})
-	f.AwaitAgree(rig.Generous)
+	f.AwaitAgree(testbed.Generous)
 	stop := f.Load(150)
-	f.Nodes[2].Do(rig.Always(rig.Hang))
-	rig.Until(t, "each to have been told by three others", func() bool {
+	f.Nodes[2].Do(testbed.Always(testbed.Hang))
+	testbed.Until(t, "each to have been told by three others", func() bool {
 		for _, s := range f.Sidecars {
 			v, ok := s.View()
 			if !ok || !strings.Contains(v.Text, "doubted by others: 1") {
@@ -185,9 +185,9 @@
 		}
 		return true
 	})
-	f.Nodes[2].Do(rig.Always(rig.Serve))
+	f.Nodes[2].Do(testbed.Always(testbed.Serve))
 	mark := f.Ledger.Len()
-	rig.Until(t, "it to have requests again", func() bool {
+	testbed.Until(t, "it to have requests again", func() bool {
 		for _, a := range f.Ledger.All()[mark:] {
 			if a.Node == f.Nodes[2].ID {
 				return true
@@ -204,7 +204,7 @@
 // Fifty thousand datagrams a second from a stranger: requests are served on, and the process reads no more of them than its bound allows.
 func TestFloodOfDatagrams(t *testing.T) {
 	f := startFleet(t, fleet.Config{Size: 3, Nodes: 2})
-	f.AwaitAgree(rig.Generous)
+	f.AwaitAgree(testbed.Generous)
 	stop := f.Load(100)
 	host, _, err := net.SplitHostPort(f.Sidecars[0].Listen)
 	if err != nil {
@@ -244,7 +244,7 @@
 	if tally.Served < 100 || tally.Refused+tally.Failed > 0 {
 		t.Errorf("%+v in a flood of %v", tally, took)
 	}
-	t.Logf("%d sent in %v, %d read; %+v; settled again after %v", 100_000, took, dropped, tally, f.AwaitAgree(rig.Generous))
+	t.Logf("%d sent in %v, %d read; %+v; settled again after %v", 100_000, took, dropped, tally, f.AwaitAgree(testbed.Generous))
 }
 
 // Where nothing says so no socket is opened for peers, and nothing is told of them.
@@ -256,7 +256,7 @@
 	} else if host, _, _ := net.SplitHostPort(f.Sidecars[0].Listen); strings.Contains(string(raw), hexAddress(host)+":1F0A") {
 		t.Error("a socket is open for peers")
 	}
-	if answer, _ := rig.Operate(strings.Replace(f.Sidecars[0].Listen, ":8080", ":8081", 1), "peers"); !strings.HasPrefix(answer, "400 ") {
+	if answer, _ := testbed.Operate(strings.Replace(f.Sidecars[0].Listen, ":8080", ":8081", 1), "peers"); !strings.HasPrefix(answer, "400 ") {
 		t.Errorf("peers: %q", answer)
 	}
 }
--- a/cmd/caperarch/fleetpolicy_test.go
+++ b/cmd/caperarch/fleetpolicy_test.go
@@ -7,8 +7,8 @@
 	"testing"
 	"time"
 
-	"caperarch/internal/lab/rig"
-	"caperarch/internal/lab/rig/fleet"
+	"caperarch/internal/lab/testbed"
+	"caperarch/internal/lab/testbed/fleet"
 )
 
 // policies is five processes under load whose policy is changed. Who let a request in by which policy shows at the upstreams: by the one nothing goes to the first, by the
@@ -33,7 +33,7 @@
 	if err := p.Sidecars[0].Found(); err != nil {
 		t.Fatal(err)
 	}
-	p.settled(0, rig.Generous)
+	p.settled(0, testbed.Generous)
 	if err := p.Sidecars[1].Found(); err == nil || !strings.Contains(err.Error(), "exists and answers") {
 		t.Errorf("a second beginning: %v", err)
 	}
@@ -57,7 +57,7 @@
 // settled waits until all go by a version (-1: whichever it is), with nothing under way.
 func (p *policies) settled(want int, within time.Duration) int {
 	p.Helper()
-	version, took, why := p.AwaitPolicy(want, rig.Generous)
+	version, took, why := p.AwaitPolicy(want, testbed.Generous)
 	if why != "" || took > within {
 		p.Fatalf("version %d, %d is wanted, after %v: %s", version, want, took, why)
 	}
@@ -68,7 +68,7 @@
 // fate waits until the last proposal that was made by way of a sidecar has its outcome.
 func (p *policies) fate(by int) {
 	p.Helper()
-	rig.Until(p.T, "an outcome", func() bool {
+	testbed.Until(p.T, "an outcome", func() bool {
 		v, ok := p.Sidecars[by].Policy()
 		i := strings.LastIndex(v.Text, "proposed here: ")
 		return ok && i >= 0 && !strings.Contains(v.Text[i:], ": under way") && !strings.Contains(v.Text[i:], ": not in the log yet")
@@ -120,7 +120,7 @@
 	s := p.Sidecars[(p.leader()+1)%5]
 	s.Stop()
 	p.propose((s.Number + 1) % 5)
-	rig.Until(t, "it to hold without that one", func() bool {
+	testbed.Until(t, "it to hold without that one", func() bool {
 		v, ok := p.Sidecars[(s.Number+1)%5].Policy()
 		return ok && v.Holds == 3 && v.Mode == "one"
 	})
@@ -137,7 +137,7 @@
 	time.Sleep(time.Second)
 	p.Sidecars[l].Start()
 	p.fate((l + 1) % 5)
-	before := p.settled(-1, rig.Generous)
+	before := p.settled(-1, testbed.Generous)
 
 	t.Log("cut in two before, during and behind it")
 	l = p.leader()
@@ -148,7 +148,7 @@
 		t.Errorf("a proposal of the minority: %v", err)
 	}
 	p.propose(l)
-	rig.Until(t, "the majority to go by it", func() bool {
+	testbed.Until(t, "the majority to go by it", func() bool {
 		v, ok := p.Sidecars[l].Policy()
 		return ok && v.Mode == "one" && v.Goes > before && !v.UnderWay
 	})
@@ -158,14 +158,14 @@
 		}
 	}
 	p.Peers.Break(fleet.Faults{}, 1)
-	before = p.settled(-1, rig.Generous)
+	before = p.settled(-1, testbed.Generous)
 
 	t.Log("one can't apply it")
 	p.proposed++
 	if err := p.Sidecars[0].Propose("out = [\"s-0\"]\n[limits]\nopen = 80\n"); err != nil {
 		t.Fatal(err)
 	}
-	rig.Until(t, "it to be called off", func() bool {
+	testbed.Until(t, "it to be called off", func() bool {
 		v, ok := p.Sidecars[0].Policy()
 		return ok && strings.Contains(v.Text, "called off by 4: limits.open: 80 is over")
 	})
@@ -180,12 +180,12 @@
 	p.Peers.Break(fleet.Faults{Loss: 0.2, Twice: 0.2, Delay: 50 * time.Millisecond}, 7)
 	p.next++
 	p.changes++
-	rig.Until(t, "a proposal to be taken", func() bool { p.proposed++; return p.Sidecars[2].Propose(fleet.Marked(p.next)) == nil })
+	testbed.Until(t, "a proposal to be taken", func() bool { p.proposed++; return p.Sidecars[2].Propose(fleet.Marked(p.next)) == nil })
 	time.Sleep(2 * time.Second)
 	p.Peers.Hold(3 * time.Second)
 	time.Sleep(3500 * time.Millisecond)
 	p.Peers.Break(fleet.Faults{}, 1)
-	p.settled(-1, rig.Generous)
+	p.settled(-1, testbed.Generous)
 
 	t.Log("four of five killed at once while a change is under way, and back with nothing")
 	l := p.leader()
@@ -199,7 +199,7 @@
 	for _, s := range p.Sidecars {
 		s.Start()
 	}
-	rig.Until(t, "all to be cut off", func() bool {
+	testbed.Until(t, "all to be cut off", func() bool {
 		for _, s := range p.Sidecars {
 			if v, ok := s.Policy(); !ok || v.Mode != "cut off" {
 				return false
@@ -207,8 +207,8 @@
 		}
 		return true
 	})
-	rig.Until(t, "a new beginning to be taken", func() bool { return p.Sidecars[(l+1)%5].Found() == nil })
-	p.settled(0, rig.Generous)
+	testbed.Until(t, "a new beginning to be taken", func() bool { return p.Sidecars[(l+1)%5].Found() == nil })
+	p.settled(0, testbed.Generous)
 	p.end(1)
 }
 
@@ -220,13 +220,13 @@
 	if err := f.Sidecars[0].Found(); err != nil {
 		t.Fatal(err)
 	}
-	if _, _, why := f.AwaitPolicy(0, rig.Generous); why != "" {
+	if _, _, why := f.AwaitPolicy(0, testbed.Generous); why != "" {
 		t.Fatal(why)
 	}
 	if err := f.Sidecars[1].Propose(fleet.Marked(1)); err != nil {
 		t.Fatal(err)
 	}
-	if _, _, why := f.AwaitPolicy(1, rig.Generous); why != "" {
+	if _, _, why := f.AwaitPolicy(1, testbed.Generous); why != "" {
 		t.Fatal(why)
 	}
 	for _, s := range f.Sidecars {
@@ -247,7 +247,7 @@
 	for _, s := range f.Sidecars {
 		s.Start()
 	}
-	if _, took, why := f.AwaitPolicy(1, rig.Generous); why != "" {
+	if _, took, why := f.AwaitPolicy(1, testbed.Generous); why != "" {
 		t.Errorf("with a damaged file, after %v: %s", took, why)
 	}
 	if _, err := os.Stat(file + ".damaged"); err != nil || !strings.Contains(f.Sidecars[2].Log(), "put aside") {
@@ -263,7 +263,7 @@
 		t.Fatal(err)
 	}
 	f.Sidecars[2].Start()
-	rig.Until(t, "the one with another's file to refuse it", func() bool {
+	testbed.Until(t, "the one with another's file to refuse it", func() bool {
 		v, ok := f.Sidecars[2].Policy()
 		return ok && v.Mode == "cut off" && strings.Contains(f.Sidecars[2].Log(), "takes no part")
 	})
@@ -277,7 +277,7 @@
 		t.Fatal(err)
 	}
 	f.Sidecars[2].Start()
-	if _, took, why := f.AwaitPolicy(1, rig.Generous); why != "" {
+	if _, took, why := f.AwaitPolicy(1, testbed.Generous); why != "" {
 		t.Errorf("with the file gone, after %v: %s", took, why)
 	}
 }
--- a/cmd/caperarch/pause_test.go
+++ b/cmd/caperarch/pause_test.go
@@ -14,16 +14,16 @@
 	"testing"
 	"time"
 
-	"caperarch/internal/lab/rig"
+	"caperarch/internal/lab/testbed"
 	"caperarch/plugin"
 )
 
 // pauseTimeout is what each request of the load has.
 const pauseTimeout = 900 * time.Millisecond
 
-func pauseConfig(t *testing.T, d *rig.Discovery, nodes ...*rig.Node) string {
+func pauseConfig(t *testing.T, d *testbed.Discovery, nodes ...*testbed.Node) string {
 	t.Helper()
-	return rig.ConfigText(t, rig.Known(nodes...), func(file, settings map[string]any) {
+	return testbed.ConfigText(t, testbed.Known(nodes...), func(file, settings map[string]any) {
 		file["discovery"] = d.Address
 		for _, c := range settings["classes"].([]any) {
 			class := c.(map[string]any)
@@ -34,9 +34,9 @@
 
 // The daemon is stopped with SIGSTOP for 1.5 s under load: see rig.Pause. Its clients have one answer each.
 func TestDaemonIsStoppedForAWhile(t *testing.T) {
-	l := new(rig.Ledger)
-	nodes := []*rig.Node{rig.NewHTTPNode(t, "s-0", l), rig.NewHTTPNode(t, "s-1", l)}
-	d := rig.NewDiscovery(t, nodes...)
+	l := new(testbed.Ledger)
+	nodes := []*testbed.Node{testbed.NewHTTPNode(t, "s-0", l), testbed.NewHTTPNode(t, "s-1", l)}
+	d := testbed.NewDiscovery(t, nodes...)
 	cmd := program(t, pauseConfig(t, d, nodes...))
 	log, err := cmd.StderrPipe()
 	if err != nil {
@@ -54,7 +54,7 @@
 			}
 		}
 	}()
-	url := "http://" + rig.Wait(t, "the daemon", address) + "/entry"
+	url := "http://" + testbed.Wait(t, "the daemon", address) + "/entry"
 	client := http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 16}}
 	defer client.CloseIdleConnections()
 	stop, done := make(chan struct{}), new(sync.WaitGroup)
@@ -87,7 +87,7 @@
 			}
 		})
 	}
-	for _, broken := range rig.Pause(t, cmd.Process.Pid, d, l, nodes, 1500*time.Millisecond, pauseTimeout) {
+	for _, broken := range testbed.Pause(t, cmd.Process.Pid, d, l, nodes, 1500*time.Millisecond, pauseTimeout) {
 		t.Error(broken)
 	}
 	close(stop)
@@ -96,9 +96,9 @@
 
 // The host of a plug-in is stopped in the same way.
 func TestHostOfAPlugInIsStoppedForAWhile(t *testing.T) {
-	l := new(rig.Ledger)
-	nodes := []*rig.Node{rig.NewHTTPNode(t, "s-0", l), rig.NewHTTPNode(t, "s-1", l)}
-	d := rig.NewDiscovery(t, nodes...)
+	l := new(testbed.Ledger)
+	nodes := []*testbed.Node{testbed.NewHTTPNode(t, "s-0", l), testbed.NewHTTPNode(t, "s-1", l)}
+	d := testbed.NewDiscovery(t, nodes...)
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(pauseConfig(t, d, nodes...)), 0o600); err != nil {
 		t.Fatal(err)
@@ -115,7 +115,7 @@
 		t.Fatal(err)
 	}
 	defer cmd.Process.Kill()
-	for _, broken := range rig.Pause(t, cmd.Process.Pid, d, l, nodes, 1500*time.Millisecond, pauseTimeout) {
+	for _, broken := range testbed.Pause(t, cmd.Process.Pid, d, l, nodes, 1500*time.Millisecond, pauseTimeout) {
 		t.Error(broken)
 	}
 	in.Close()
--- a/cmd/caperarch/policy.go
+++ b/cmd/caperarch/policy.go
@@ -12,7 +12,7 @@
 	"github.com/spf13/cobra"
 
 	"caperarch/internal/fleet"
-	"caperarch/internal/fleet/fleetpolicy"
+	"caperarch/internal/fleet/policyrollout"
 )
 
 // policyCommand is what an operator does with a fleet's policy.
@@ -41,7 +41,7 @@
 				if err != nil {
 					return err
 				}
-				for _, line := range fleetpolicy.Diff(old, new) {
+				for _, line := range policyrollout.Diff(old, new) {
 					fmt.Fprintln(out, line)
 				}
 				return nil
@@ -114,7 +114,7 @@
 	if err := upload(address, text); err != nil {
 		return err
 	}
-	answer, err := ask(address, fmt.Sprintf("policy-propose %s %d", fleetpolicy.Hash(text), base))
+	answer, err := ask(address, fmt.Sprintf("policy-propose %s %d", policyrollout.Hash(text), base))
 	if err != nil {
 		return err
 	}
@@ -153,10 +153,10 @@
 }
 
 // readPolicy reads a policy's file; what is wrong with it has been told where it returns an error.
-func readPolicy(path string, log io.Writer) (p *fleetpolicy.Policy, hash string, err error) {
+func readPolicy(path string, log io.Writer) (p *policyrollout.Policy, hash string, err error) {
 	text, err := os.ReadFile(path)
 	if err == nil {
-		if p, err = fleetpolicy.Parse(text); err != nil {
+		if p, err = policyrollout.Parse(text); err != nil {
 			err = fmt.Errorf("%s: %w", path, err)
 		}
 	}
@@ -164,5 +164,5 @@
 		fmt.Fprintln(log, err)
 		return nil, "", errFailed
 	}
-	return p, fleetpolicy.Hash(text), nil
+	return p, policyrollout.Hash(text), nil
 }
--- a/cmd/caperarch/replace_test.go
+++ b/cmd/caperarch/replace_test.go
@@ -15,7 +15,7 @@
 	"testing"
 	"time"
 
-	"caperarch/internal/lab/rig"
+	"caperarch/internal/lab/testbed"
 )
 
 // log is a process' log; it is written and read by different goroutines.
@@ -51,8 +51,8 @@
 // start starts a process and returns without waiting.
 func (s *sidecar) start() *process {
 	s.t.Helper()
-	p := &process{control: rig.FreeAddress(s.t), ended: make(chan error, 1)}
-	text := rig.ConfigText(s.t, s.known, func(file, _ map[string]any) {
+	p := &process{control: testbed.FreeAddress(s.t), ended: make(chan error, 1)}
+	text := testbed.ConfigText(s.t, s.known, func(file, _ map[string]any) {
 		file["listen"], file["discovery"], file["control"] = s.listen, s.discovery, p.control
 		if s.limits != nil {
 			file["limits"] = s.limits
@@ -80,7 +80,7 @@
 
 // call calls a process; "" where it can't be reached.
 func (p *process) call(line string) string {
-	text, err := rig.Operate(p.control, line)
+	text, err := testbed.Operate(p.control, line)
 	if err != nil {
 		return ""
 	}
@@ -89,7 +89,7 @@
 
 func (p *process) ready(t *testing.T) *process {
 	t.Helper()
-	rig.Until(t, "the process' yes", func() bool { return strings.HasPrefix(p.call("health"), "200") })
+	testbed.Until(t, "the process' yes", func() bool { return strings.HasPrefix(p.call("health"), "200") })
 	return p
 }
 
@@ -98,24 +98,24 @@
 	if err := p.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	if err := rig.Wait(t, "the old process' end", p.ended); err != nil {
+	if err := testbed.Wait(t, "the old process' end", p.ended); err != nil {
 		t.Errorf("the old process ended with %v", err)
 	}
 }
 
-func newSidecar(t *testing.T, nodes ...*rig.Node) *sidecar {
+func newSidecar(t *testing.T, nodes ...*testbed.Node) *sidecar {
 	t.Helper()
-	return &sidecar{t: t, dir: t.TempDir(), listen: rig.FreeAddress(t), discovery: rig.NewDiscovery(t, nodes...).Address, known: rig.Known(nodes...)}
+	return &sidecar{t: t, dir: t.TempDir(), listen: testbed.FreeAddress(t), discovery: testbed.NewDiscovery(t, nodes...).Address, known: testbed.Known(nodes...)}
 }
 
 // Three replacements under load: every request has its one final answer, none meets a connection that broke or was refused, no entry runs twice, and each old
 // process ends by itself.
 func TestReplacedUnderLoad(t *testing.T) {
-	var l rig.Ledger
-	a, b := rig.NewHTTPNode(t, "s-0", &l), rig.NewHTTPNode(t, "s-1", &l)
-	for _, n := range []*rig.Node{a, b} {
+	var l testbed.Ledger
+	a, b := testbed.NewHTTPNode(t, "s-0", &l), testbed.NewHTTPNode(t, "s-1", &l)
+	for _, n := range []*testbed.Node{a, b} {
 		n.Delay.Store(int64(5 * time.Millisecond))
-		n.Do(rig.Always(rig.Slow))
+		n.Do(testbed.Always(testbed.Slow))
 	}
 	s := newSidecar(t, a, b)
 	p := s.start().ready(t)
@@ -125,7 +125,7 @@
 	var load sync.WaitGroup
 	for i := range 8 {
 		load.Go(func() {
-			client := http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1}, Timeout: rig.Generous}
+			client := http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1}, Timeout: testbed.Generous}
 			defer client.CloseIdleConnections()
 			for n := 0; !stop.Load(); n++ {
 				req, _ := http.NewRequest("POST", "http://"+s.listen+"/entry", strings.NewReader("1"))
@@ -152,13 +152,13 @@
 	}
 	for range 3 {
 		before := served.Load()
-		rig.Until(t, "load", func() bool { return served.Load() > before+100 })
+		testbed.Until(t, "load", func() bool { return served.Load() > before+100 })
 		next := s.start().ready(t)
 		p.stop(t)
 		p = next
 	}
 	before := served.Load()
-	rig.Until(t, "load", func() bool { return served.Load() > before+100 })
+	testbed.Until(t, "load", func() bool { return served.Load() > before+100 })
 	stop.Store(true)
 	load.Wait()
 	close(broken)
@@ -179,8 +179,8 @@
 // A newcomer that dies, before its yes or behind it, leaves the old process as it was; a ban told to one process holds in the other and ends by a call to either,
 // and outlives both where they are killed at once.
 func TestNewcomerDiesAndBansLast(t *testing.T) {
-	var l rig.Ledger
-	s := newSidecar(t, rig.NewHTTPNode(t, "s-0", &l), rig.NewHTTPNode(t, "s-1", &l))
+	var l testbed.Ledger
+	s := newSidecar(t, testbed.NewHTTPNode(t, "s-0", &l), testbed.NewHTTPNode(t, "s-1", &l))
 	old := s.start().ready(t)
 	skipped := func(p *process, n int) func() bool {
 		return func() bool {
@@ -189,22 +189,22 @@
 	}
 	for i, early := range []bool{true, false} {
 		dead := s.start()
-		rig.Until(t, "the old process to see it", func() bool { return strings.Count(old.logText(), "now=2 before=1") > i })
+		testbed.Until(t, "the old process to see it", func() bool { return strings.Count(old.logText(), "now=2 before=1") > i })
 		if !early {
 			dead.ready(t)
 		}
 		_ = dead.cmd.Process.Kill()
-		rig.Until(t, "the old process to take all again", func() bool { return strings.Count(old.logText(), "now=1 before=2") > i })
+		testbed.Until(t, "the old process to take all again", func() bool { return strings.Count(old.logText(), "now=1 before=2") > i })
 	}
 	young := s.start().ready(t)
 	if got := old.call("cordon s-0"); !strings.HasPrefix(got, "200") {
 		t.Fatal(got)
 	}
-	rig.Until(t, "the newcomer to know the ban", skipped(young, 1))
+	testbed.Until(t, "the newcomer to know the ban", skipped(young, 1))
 	if got := young.call("uncordon s-0"); !strings.HasPrefix(got, "200") {
 		t.Fatal(got)
 	}
-	rig.Until(t, "the old process to know its end", skipped(old, 0))
+	testbed.Until(t, "the old process to know its end", skipped(old, 0))
 	if got := young.call("cordon s-1"); !strings.HasPrefix(got, "200") {
 		t.Fatal(got)
 	}
@@ -227,9 +227,9 @@
 
 // A folder that can't be used takes nothing away but the replacement: the process serves, and says yes to a ban that holds in itself.
 func TestServesWithoutAFolder(t *testing.T) {
-	var l rig.Ledger
+	var l testbed.Ledger
 	for _, dir := range []string{"", filepath.Join(t.TempDir(), "none")} {
-		s := newSidecar(t, rig.NewHTTPNode(t, "s-0", &l))
+		s := newSidecar(t, testbed.NewHTTPNode(t, "s-0", &l))
 		s.dir = dir
 		p := s.start().ready(t)
 		if got := p.call("cordon s-0"); !strings.HasPrefix(got, "200") {
@@ -244,9 +244,9 @@
 
 // An old process that waits for its last answer has given its part up long before: its successor must not be held to half for as long as that takes.
 func TestSuccessorHasAllWhileTheOldOneWaits(t *testing.T) {
-	var l rig.Ledger
-	n := rig.NewHTTPNode(t, "s-0", &l)
-	n.Do(rig.Always(rig.Hang))
+	var l testbed.Ledger
+	n := testbed.NewHTTPNode(t, "s-0", &l)
+	n.Do(testbed.Always(testbed.Hang))
 	s := newSidecar(t, n)
 	old := s.start().ready(t)
 	go func() {
@@ -258,12 +258,12 @@
 			res.Body.Close()
 		}
 	}()
-	rig.Until(t, "the request to be out", func() bool { return l.Len() == 1 })
+	testbed.Until(t, "the request to be out", func() bool { return l.Len() == 1 })
 	young := s.start().ready(t)
 	if err := old.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	rig.Until(t, "the successor to have all", func() bool { return strings.Contains(young.logText(), "now=1 before=2") })
+	testbed.Until(t, "the successor to have all", func() bool { return strings.Contains(young.logText(), "now=1 before=2") })
 	select {
 	case err := <-old.ended:
 		t.Errorf("the old process ended before its request did: %v", err)
--- a/cmd/caperarch/streams_test.go
+++ b/cmd/caperarch/streams_test.go
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"caperarch/internal/lab/rig"
+	"caperarch/internal/lab/testbed"
 )
 
 // slowly reads or writes 64 kB a second until it is told to stop.
@@ -21,12 +21,12 @@
 // bulkNode answers /look?large with 32 MB, written as fast as it is read, reads what comes at its own pace, and answers all else at once.
 func bulkNode(t *testing.T) string {
 	t.Helper()
-	return rig.NewHandler(t, func(c net.Conn, req *http.Request) bool {
+	return testbed.NewHandler(t, func(c net.Conn, req *http.Request) bool {
 		if _, err := io.Copy(io.Discard, req.Body); err != nil {
 			return false
 		}
 		if req.URL.RawQuery != "large" {
-			return rig.OK(c, "ok")
+			return testbed.OK(c, "ok")
 		}
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", 32<<20)
 		_, err := io.CopyN(c, zeros{}, 32<<20)
@@ -61,7 +61,7 @@
 		t.Skip("some seconds")
 	}
 	node := bulkNode(t)
-	s := &sidecar{t: t, dir: t.TempDir(), listen: rig.FreeAddress(t), discovery: "127.0.0.1:1", known: rig.Listed(1, "ready", node), limits: map[string]any{"memory_mb": 32, "sockets": 256}}
+	s := &sidecar{t: t, dir: t.TempDir(), listen: testbed.FreeAddress(t), discovery: "127.0.0.1:1", known: testbed.Listed(1, "ready", node), limits: map[string]any{"memory_mb": 32, "sockets": 256}}
 	p := s.start().ready(t)
 	before := rss(t, p.cmd.Process.Pid)
 	request := func(id, class, query string, body io.Reader, size int64) *http.Request {
@@ -133,9 +133,9 @@
 		m.Range(func(_, _ any) bool { n++; return true })
 		return n
 	}
-	rig.Until(t, "80 streams under way", func() bool { return count(&begun)+count(&broken) >= 80 })
+	testbed.Until(t, "80 streams under way", func() bool { return count(&begun)+count(&broken) >= 80 })
 	most := 0
-	client := http.Client{Timeout: rig.Generous}
+	client := http.Client{Timeout: testbed.Generous}
 	for i := range 200 {
 		res, err := client.Do(request(fmt.Sprint("q", i), "look", "", nil, 0))
 		if err != nil || res.StatusCode != 200 {
--- a/cmd/caperarch/work.go
+++ b/cmd/caperarch/work.go
@@ -12,8 +12,8 @@
 
 	"github.com/spf13/cobra"
 
-	"caperarch/internal/fleet/fleetpolicy"
-	"caperarch/internal/fleet/outage"
+	"caperarch/internal/fleet/maintenance"
+	"caperarch/internal/fleet/policyrollout"
 )
 
 // workCommand is what an operator does with machines that are taken out for work.
@@ -32,7 +32,7 @@
 			RunE: func(_ *cobra.Command, args []string) error {
 				text, err := readPlan(args[0])
 				if err == nil {
-					fmt.Fprintf(out, "%s: usable: %s\n", args[0], fleetpolicy.Hash(text))
+					fmt.Fprintf(out, "%s: usable: %s\n", args[0], policyrollout.Hash(text))
 				}
 				return told(err)
 			},
@@ -71,7 +71,7 @@
 func readPlan(path string) ([]byte, error) {
 	text, err := os.ReadFile(path)
 	if err == nil {
-		if _, err = outage.Parse(text); err != nil {
+		if _, err = maintenance.Parse(text); err != nil {
 			err = fmt.Errorf("%s: %w", path, err)
 		}
 	}
@@ -83,7 +83,7 @@
 	if err := upload(address, text); err != nil {
 		return err
 	}
-	answer, err := ask(address, "work-plan "+fleetpolicy.Hash(text))
+	answer, err := ask(address, "work-plan "+policyrollout.Hash(text))
 	fmt.Fprint(out, answer)
 	return err
 }
--- a/cmd/caperarch/work_test.go
+++ b/cmd/caperarch/work_test.go
@@ -9,8 +9,8 @@
 	"testing"
 	"time"
 
-	"caperarch/internal/lab/rig"
-	"caperarch/internal/lab/rig/fleet"
+	"caperarch/internal/lab/testbed"
+	"caperarch/internal/lab/testbed/fleet"
 )
 
 const roundPlan = "all = true\nin_time = 0.5\nlongest = \"1m\"\n[out]\nfleet = \"2\"\ncell = \"1\"\n"
@@ -25,7 +25,7 @@
 	}})
 	for _, n := range f.Nodes {
 		n.Delay.Store(int64(delay))
-		n.Do(rig.Always(rig.Slow))
+		n.Do(testbed.Always(testbed.Slow))
 	}
 	stop := f.Load(150)
 	if err := f.Sidecars[0].Work(roundPlan); err == nil {
@@ -34,7 +34,7 @@
 	if err := f.Sidecars[0].Found(); err != nil {
 		t.Fatal(err)
 	}
-	if _, _, why := f.AwaitPolicy(0, rig.Generous); why != "" {
+	if _, _, why := f.AwaitPolicy(0, testbed.Generous); why != "" {
 		t.Fatal(why)
 	}
 	for plan, says := range map[string]string{
@@ -59,7 +59,7 @@
 	}
 	round := f.Operators(1, 300*time.Millisecond, cold)
 	begun := time.Now()
-	rig.Until(t, "the plan to be taken", func() bool { return f.Sidecars[1].Work(roundPlan) == nil })
+	testbed.Until(t, "the plan to be taken", func() bool { return f.Sidecars[1].Work(roundPlan) == nil })
 	awaits := func(turns int) {
 		t.Helper()
 		for end := time.Now().Add(time.Minute); len(round.Stays()) < turns && !round.Ended(); time.Sleep(20 * time.Millisecond) {
--- a/cmd/demo/main.go
+++ b/cmd/demo/main.go
@@ -17,7 +17,7 @@
 	"syscall"
 	"time"
 
-	"caperarch/internal/lab/rig"
+	"caperarch/internal/lab/testbed"
 )
 
 const (
@@ -51,15 +51,15 @@
 func main() {
 	w := new(world)
 	defer w.end()
-	ledger := new(rig.Ledger)
-	var nodes []*rig.Node
+	ledger := new(testbed.Ledger)
+	var nodes []*testbed.Node
 	for i := range 4 {
-		n := rig.NewHTTPNode(w, "s-"+strconv.Itoa(i), ledger)
+		n := testbed.NewHTTPNode(w, "s-"+strconv.Itoa(i), ledger)
 		n.Delay.Store(int64(15 * time.Millisecond))
-		n.Do(rig.Always(rig.Slow))
+		n.Do(testbed.Always(testbed.Slow))
 		nodes = append(nodes, n)
 	}
-	discovery := rig.NewDiscovery(w, nodes...)
+	discovery := testbed.NewDiscovery(w, nodes...)
 	url := startDaemon(w, discovery, nodes)
 
 	begun := time.Now()
@@ -69,8 +69,8 @@
 		what string
 		do   func()
 	}{
-		{silentFrom, "s-2 goes silent: it takes requests and answers none", func() { nodes[2].Do(rig.Always(rig.Hang)); t.state("s-2", "silent") }},
-		{silentTo, "s-2 answers again", func() { nodes[2].Do(rig.Always(rig.Slow)); t.state("s-2", "ready") }},
+		{silentFrom, "s-2 goes silent: it takes requests and answers none", func() { nodes[2].Do(testbed.Always(testbed.Hang)); t.state("s-2", "silent") }},
+		{silentTo, "s-2 answers again", func() { nodes[2].Do(testbed.Always(testbed.Slow)); t.state("s-2", "ready") }},
 		{drainAt, "s-3 drains: nothing new goes there", func() { discovery.Set(nodes[3], "draining"); t.state("s-3", "draining") }},
 	}
 	for _, e := range events {
@@ -101,12 +101,12 @@
 }
 
 // startDaemon builds and starts the daemon with an example configuration, which stays where it says.
-func startDaemon(w *world, d *rig.Discovery, nodes []*rig.Node) string {
+func startDaemon(w *world, d *testbed.Discovery, nodes []*testbed.Node) string {
 	dir, err := os.MkdirTemp("", "caperarch-demo")
 	if err != nil {
 		w.Fatalf("%v", err)
 	}
-	text := rig.ConfigText(w, rig.Known(nodes...), func(file, settings map[string]any) {
+	text := testbed.ConfigText(w, testbed.Known(nodes...), func(file, settings map[string]any) {
 		file["discovery"] = d.Address
 		for i, times := range [][2]float64{{500, 1000}, {600, 2500}, {500, 1000}} {
 			class := settings["classes"].([]any)[i].(map[string]any)
@@ -143,7 +143,7 @@
 			}
 		}
 	}()
-	at := rig.Wait(w, "the daemon to serve", address)
+	at := testbed.Wait(w, "the daemon to serve", address)
 	fmt.Printf("configuration: %s\ndaemon: http://%s, discovery: http://%s/discovery/hosts, %d nodes\n\n", config, at, d.Address, len(nodes))
 	return "http://" + at
 }
--- a/cmd/demo/table.go
+++ b/cmd/demo/table.go
@@ -5,13 +5,13 @@
 	"sync"
 	"time"
 
-	"caperarch/internal/lab/rig"
+	"caperarch/internal/lab/testbed"
 )
 
 // table prints a line a second and the summary.
 type table struct {
-	nodes  []*rig.Node
-	ledger *rig.Ledger
+	nodes  []*testbed.Node
+	ledger *testbed.Ledger
 	begun  time.Time
 
 	mu      sync.Mutex
--- a/cmd/measure/bench.go
+++ b/cmd/measure/bench.go
@@ -6,7 +6,7 @@
 	"strings"
 	"time"
 
-	"caperarch/internal/lab/rig"
+	"caperarch/internal/lab/testbed"
 )
 
 // bench is the stand-ins and subjects that both measurements need.
@@ -53,7 +53,7 @@
 	}
 	words := strings.Fields(line)
 	b.addresses = words[2:]
-	text := rig.ConfigText(panics{}, rig.Listed(1, "ready", b.addresses...), func(file, settings map[string]any) {
+	text := testbed.ConfigText(panics{}, testbed.Listed(1, "ready", b.addresses...), func(file, settings map[string]any) {
 		file["discovery"] = words[1]
 		file["limits"] = map[string]any{"cores": 1.0, "memory_mb": 192, "sockets": 1024}
 		settings["caps"].(map[string]any)["max_open"] = mostOpen
--- a/cmd/measure/child.go
+++ b/cmd/measure/child.go
@@ -17,7 +17,7 @@
 	"sync"
 	"time"
 
-	"caperarch/internal/lab/rig"
+	"caperarch/internal/lab/testbed"
 	"caperarch/plugin"
 )
 
@@ -75,7 +75,7 @@
 			case <-time.After(20 * time.Second):
 			}
 		}
-		_, _ = io.WriteString(w, rig.Listed(1, "ready", addresses...))
+		_, _ = io.WriteString(w, testbed.Listed(1, "ready", addresses...))
 	}))
 }
 
--- a/cmd/measure/even.go
+++ b/cmd/measure/even.go
@@ -5,8 +5,8 @@
 	"math"
 	"time"
 
-	"caperarch/internal/lab/emu"
-	"caperarch/internal/lab/even"
+	"caperarch/internal/lab/emulator"
+	"caperarch/internal/lab/loadspread"
 )
 
 // What the operators' issue asks for, at three hundred sidecars.
@@ -17,7 +17,7 @@
 
 // measureEven measures how evenly many sidecars of little traffic spread it, in virtual time.
 func measureEven(short bool) (string, []string, error) {
-	days, seeds := []emu.EvenDay{
+	days, seeds := []emulator.EvenDay{
 		{Sidecars: 40, Servers: 40, Each: 4}, {Sidecars: 24, Servers: 12, Each: 5},
 		{Sidecars: 300, Servers: 60, Each: 1}, {Sidecars: 300, Servers: 60, Each: 4}, {Sidecars: 300, Servers: 60, Each: 10}, {Sidecars: 300, Servers: 200, Each: 4},
 		{Sidecars: 300, Servers: 60, Each: 4, Heavy: true}, {Sidecars: 1000, Servers: 60, Each: 1}, {Sidecars: 5000, Servers: 200, Each: 1},
@@ -36,16 +36,16 @@
 				return "", nil, err
 			}
 			from, window := 10*time.Second, 10*time.Second
-			brief.add(even.Of(all, weights, from, d.Until, time.Second).Variance)
-			now := even.Of(all, weights, from, d.Until, window)
+			brief.add(loadspread.Of(all, weights, from, d.Until, time.Second).Variance)
+			now := loadspread.Of(all, weights, from, d.Until, window)
 			long.add(now.Variance)
 			greatest.add(now.Greatest)
-			r := even.Of(even.Random(all, weights, seed), weights, from, d.Until, window)
+			r := loadspread.Of(loadspread.Random(all, weights, seed), weights, from, d.Until, window)
 			chance.add(r.Variance)
 			chanceMost.add(r.Greatest)
-			limit.add(even.Of(even.Limit(all, weights), weights, from, d.Until, window).Variance)
+			limit.add(loadspread.Of(loadspread.Limit(all, weights), weights, from, d.Until, window).Variance)
 			if len(all) < 100_000 {
-				alike.add(even.Alike(all, weights, 50*time.Millisecond))
+				alike.add(loadspread.Alike(all, weights, 50*time.Millisecond))
 			}
 		}
 		fmt.Printf("%d sidecars at %.0f/s before %d, heavy %v: variance over mean %v in 1 s, %v in 10 s (chance %v, one round robin %v); greatest over mean %v (chance %v); alike within 50 ms %v\n",
@@ -109,13 +109,13 @@
 
 // measureEvenEvents measures the spread behind what all sidecars notice at about the same moment: in virtual time, and with real processes under faults.
 func measureEvenEvents(short bool) (string, []string, error) {
-	day, e, seeds := emu.EvenDay{Sidecars: 300, Servers: 60, Each: 4, Until: 70 * time.Second}, evenReal{sidecars: 60, nodes: 12, each: 6, peers: true}, uint64(5)
+	day, e, seeds := emulator.EvenDay{Sidecars: 300, Servers: 60, Each: 4, Until: 70 * time.Second}, evenReal{sidecars: 60, nodes: 12, each: 6, peers: true}, uint64(5)
 	if short {
 		seeds = 1
 	}
 	var missed []string
 	worst, longest := 0.0, time.Duration(0)
-	say := func(where, name string, all []emu.Behind) {
+	say := func(where, name string, all []emulator.Behind) {
 		var herd, idle, back spread
 		for _, b := range all {
 			herd.add(b.Worst / b.Chance)
@@ -132,8 +132,8 @@
 			missed = append(missed, fmt.Sprintf("%s, %s: herd %.2f, idle %.3f, back after %.0f s", where, name, herd.median(), idle.median(), back.median()))
 		}
 	}
-	for _, event := range emu.EvenEvents(day.Servers) {
-		var all []emu.Behind
+	for _, event := range emulator.EvenEvents(day.Servers) {
+		var all []emulator.Behind
 		for seed := range seeds {
 			day.Event = &event
 			arrivals, _, err := day.Run(seed)
@@ -154,8 +154,8 @@
 		if err != nil {
 			return "", nil, err
 		}
-		for _, event := range emu.EvenEvents(e.nodes) {
-			say(fmt.Sprintf("real, %d processes", e.sidecars), event.Name, []emu.Behind{seen[event.Name]})
+		for _, event := range emulator.EvenEvents(e.nodes) {
+			say(fmt.Sprintf("real, %d processes", e.sidecars), event.Name, []emulator.Behind{seen[event.Name]})
 		}
 	}
 	return fmt.Sprintf("seeds=%d herd=%.2f back=%.0f", seeds, worst, longest.Seconds()), missed, nil
--- a/cmd/measure/even_real.go
+++ b/cmd/measure/even_real.go
@@ -7,10 +7,10 @@
 	"sync"
 	"time"
 
-	"caperarch/internal/lab/emu"
-	"caperarch/internal/lab/even"
-	"caperarch/internal/lab/rig"
-	"caperarch/internal/lab/rig/fleet"
+	"caperarch/internal/lab/emulator"
+	"caperarch/internal/lab/loadspread"
+	"caperarch/internal/lab/testbed"
+	"caperarch/internal/lab/testbed/fleet"
 )
 
 // before is the daemon of an earlier release, to be measured beside the present one; "": none.
@@ -29,8 +29,8 @@
 // evenWorld is such a fleet under way.
 type evenWorld struct {
 	*fleet.Fleet
-	late  *rig.Discovery // what every other sidecar hears it from
-	spare []*rig.Node    // listed nowhere yet
+	late  *testbed.Discovery // what every other sidecar hears it from
+	spare []*testbed.Node    // listed nowhere yet
 	begun time.Time
 	stop  func()
 }
@@ -53,9 +53,9 @@
 		Begin: func(f *fleet.Fleet) {
 			for _, n := range f.Nodes {
 				n.Takes = answers
-				n.Do(rig.Always(rig.Slow))
+				n.Do(testbed.Always(testbed.Slow))
 			}
-			w.late = rig.NewDiscovery(t, f.Nodes...)
+			w.late = testbed.NewDiscovery(t, f.Nodes...)
 		},
 		Edit: func(file, settings map[string]any) {
 			if me := settings["me"].(int); me%2 == 1 {
@@ -125,16 +125,16 @@
 		weights[i] = 1
 	}
 	window := 10 * time.Second
-	o.brief.add(even.Of(all, weights, warm, warm+length, time.Second).Variance)
-	s := even.Of(all, weights, warm, warm+length, window)
+	o.brief.add(loadspread.Of(all, weights, warm, warm+length, time.Second).Variance)
+	s := loadspread.Of(all, weights, warm, warm+length, window)
 	o.long.add(s.Variance)
 	o.greatest.add(s.Greatest)
-	r := even.Of(even.Random(all, weights, e.seed), weights, warm, warm+length, window)
+	r := loadspread.Of(loadspread.Random(all, weights, e.seed), weights, warm, warm+length, window)
 	o.chance.add(r.Variance)
 	o.chanceGreatest.add(r.Greatest)
-	o.two.add(even.Of(even.Two(all, weights, 10*time.Millisecond, e.seed), weights, warm, warm+length, window).Variance)
-	o.limit.add(even.Of(even.Limit(all, weights), weights, warm, warm+length, window).Variance)
-	o.alike.add(even.Alike(all[len(all)/2:min(len(all), len(all)/2+10_000)], weights, 50*time.Millisecond))
+	o.two.add(loadspread.Of(loadspread.Two(all, weights, 10*time.Millisecond, e.seed), weights, warm, warm+length, window).Variance)
+	o.limit.add(loadspread.Of(loadspread.Limit(all, weights), weights, warm, warm+length, window).Variance)
+	o.alike.add(loadspread.Alike(all[len(all)/2:min(len(all), len(all)/2+10_000)], weights, 50*time.Millisecond))
 	o.requests += len(all)
 	o.refused += w.Refused(w.begun)
 	return nil
@@ -147,13 +147,13 @@
 
 // evenEvents has real processes live through each event, under faults: datagrams lost, late and twice, a tenth of the processes killed and a tenth stopped for a while as it happens,
 // half of them told by discovery two seconds later.
-func evenEvents(binary string, e evenReal, side int) (map[string]emu.Behind, error) {
-	seen := make(map[string]emu.Behind)
+func evenEvents(binary string, e evenReal, side int) (map[string]emulator.Behind, error) {
+	seen := make(map[string]emulator.Behind)
 	var mu sync.Mutex
 	var failed error
 	places := make(chan bool, side)
 	var all sync.WaitGroup
-	for _, event := range emu.EvenEvents(e.nodes) {
+	for _, event := range emulator.EvenEvents(e.nodes) {
 		places <- true
 		all.Go(func() {
 			defer func() { <-places }()
@@ -170,7 +170,7 @@
 }
 
 // event has a fleet live through one.
-func (e evenReal) event(binary string, event *emu.EvenEvent) (emu.Behind, error) {
+func (e evenReal) event(binary string, event *emulator.EvenEvent) (emulator.Behind, error) {
 	t := newCleanups()
 	defer t.end()
 	times := usual
@@ -179,9 +179,9 @@
 	}
 	w := e.start(t, binary, times)
 	for i := range event.Came {
-		n := rig.NewHTTPNode(t, fmt.Sprintf("s-%d", e.nodes+i), w.Ledger)
+		n := testbed.NewHTTPNode(t, fmt.Sprintf("s-%d", e.nodes+i), w.Ledger)
 		n.Cell, n.Takes = (e.nodes+i)/2, answers
-		n.Do(rig.Always(rig.Slow))
+		n.Do(testbed.Always(testbed.Slow))
 		w.spare = append(w.spare, n)
 	}
 	w.Peers.Break(fleet.Faults{Loss: 0.1, Twice: 0.1, Delay: 200 * time.Millisecond}, e.seed)
@@ -212,16 +212,16 @@
 	steps.Wait()
 	w.stop()
 	if _, broken := w.Check(); len(broken) > 0 {
-		return emu.Behind{}, fmt.Errorf("rules: %v", broken[:min(5, len(broken))])
+		return emulator.Behind{}, fmt.Errorf("rules: %v", broken[:min(5, len(broken))])
 	}
 	return event.Judge(w.Arrivals(w.begun), e.nodes, until, e.seed), nil
 }
 
 // play does to the upstreams what the event has of them.
-func (w *evenWorld) play(event *emu.EvenEvent, at func(time.Duration, func())) {
+func (w *evenWorld) play(event *emulator.EvenEvent, at func(time.Duration, func())) {
 	touched := w.Nodes[:event.Touched]
 	// Half of the sidecars hear of it two seconds later; an upstream that goes lives on for so long.
-	list := func(when time.Duration, of []*rig.Node, lifecycle string) {
+	list := func(when time.Duration, of []*testbed.Node, lifecycle string) {
 		at(when, func() {
 			for _, n := range of {
 				w.Discovery.Set(n, lifecycle)
@@ -233,7 +233,7 @@
 			}
 		})
 	}
-	each := func(when time.Duration, do func(*rig.Node)) {
+	each := func(when time.Duration, do func(*testbed.Node)) {
 		at(when, func() {
 			for _, n := range touched {
 				do(n)
@@ -244,7 +244,7 @@
 		list(event.At, touched[:event.Left], "draining")
 	}
 	if event.Came > 0 {
-		came := event.Ends - emu.EvenColdTime
+		came := event.Ends - emulator.EvenColdTime
 		at(came, func() {
 			for _, n := range w.spare {
 				n.Started = time.Now()
@@ -254,10 +254,10 @@
 	}
 	switch {
 	case event.Acts.Silent:
-		each(event.At, func(n *rig.Node) { n.Do(rig.Always(rig.Hang)) })
-		each(event.Ends, func(n *rig.Node) { n.Do(rig.Always(rig.Slow)) })
+		each(event.At, func(n *testbed.Node) { n.Do(testbed.Always(testbed.Hang)) })
+		each(event.Ends, func(n *testbed.Node) { n.Do(testbed.Always(testbed.Slow)) })
 	case event.Acts.Slower > 0:
-		takes := func(by float64) func(*rig.Node) { return func(n *rig.Node) { n.Times.Store(int64(by * 1000)) } }
+		takes := func(by float64) func(*testbed.Node) { return func(n *testbed.Node) { n.Times.Store(int64(by * 1000)) } }
 		each(event.At, takes(event.Acts.Slower))
 		if event.Ends > event.At {
 			each(event.Ends, takes(1))
--- a/cmd/measure/mesh.go
+++ b/cmd/measure/mesh.go
@@ -8,7 +8,7 @@
 	"strings"
 	"time"
 
-	"caperarch/internal/lab/rig/hollow"
+	"caperarch/internal/lab/testbed/hollow"
 	"caperarch/internal/mesh/rpc"
 )
 
--- a/cmd/measure/mesh_child.go
+++ b/cmd/measure/mesh_child.go
@@ -15,7 +15,7 @@
 	"sync"
 	"time"
 
-	"caperarch/internal/lab/rig/hollow"
+	"caperarch/internal/lab/testbed/hollow"
 	"caperarch/internal/mesh/headers"
 )
 
--- a/cmd/measure/mutants.go
+++ b/cmd/measure/mutants.go
@@ -24,8 +24,8 @@
 
 // planted are all faults.
 var planted = []batch{
-	{"internal/fleet/accord", "", accordMutants}, {"internal/fleet/agree", "", agreeMutants}, {"internal/fleet/fleetpolicy", "internal/fleet/accord", policyMutants}, {"internal/fleet/outage", "", outageMutants},
-	{"internal/fleet/outage", "internal/fleet/accord", roundMutants}, {"internal/fleet/swim", "", swimMutants},
+	{"internal/fleet/replicatedstate", "", accordMutants}, {"internal/fleet/raftlog", "", agreeMutants}, {"internal/fleet/policyrollout", "internal/fleet/replicatedstate", policyMutants}, {"internal/fleet/maintenance", "", outageMutants},
+	{"internal/fleet/maintenance", "internal/fleet/replicatedstate", roundMutants}, {"internal/fleet/swim", "", swimMutants},
 	{"internal/mesh/replication", "", replicationMutants},
 }
 
@@ -131,12 +131,12 @@
 
 // agreeMutants are faults in the agreed log.
 var agreeMutants = []mutant{
-	{"agree.go", "if m.GetTo() != n.id {\n\t\treturn", "if false {\n\t\treturn", "who restarts answers for the process before it"},
-	{"agree.go", "b[i], b[8+i] = byte(s.Life>>(8*i)), byte(s.Number>>(8*i))", "b[8+i] = byte(s.Number>>(8*i))", "a vote is a number's, not a process's"},
-	{"agree.go", "case m.Epoch < n.epoch:\n\t\tn.send(from, &Message{}) // it shall hear that there is a newer one\n\t\treturn", "case m.Epoch < n.epoch:", "an older epoch's log goes on in the new one"},
+	{"raftlog.go", "if m.GetTo() != n.id {\n\t\treturn", "if false {\n\t\treturn", "who restarts answers for the process before it"},
+	{"raftlog.go", "b[i], b[8+i] = byte(s.Life>>(8*i)), byte(s.Number>>(8*i))", "b[8+i] = byte(s.Number>>(8*i))", "a vote is a number's, not a process's"},
+	{"raftlog.go", "case m.Epoch < n.epoch:\n\t\tn.send(from, &Message{}) // it shall hear that there is a newer one\n\t\treturn", "case m.Epoch < n.epoch:", "an older epoch's log goes on in the new one"},
 	{"log.go", "if e.Index != n.Have()+1 {\n\t\tif", "if e.Index > n.Have()+1 {\n\t\tif", "an entry is added twice"},
-	{"agree.go", " && !n.tokens[m.Token] {", " {", "what stands in the log is added again"},
-	{"agree.go", "return ok && e.GetType() == raftpb.EntryType_EntryNormal && n.tokens[token]", "return false && ok && n.tokens[token]", "what another voter proposes again is added again"},
+	{"raftlog.go", " && !n.tokens[m.Token] {", " {", "what stands in the log is added again"},
+	{"raftlog.go", "return ok && e.GetType() == raftpb.EntryType_EntryNormal && n.tokens[token]", "return false && ok && n.tokens[token]", "what another voter proposes again is added again"},
 	{"confirm.go", "if term := n.Term(); term != n.confirmTerm {", "if term := n.Term(); false {", "an earlier term's confirmation counts"},
 }
 
@@ -147,10 +147,10 @@
 	{"reports.go", "n.grant(now, h, m.Index)", "n.grant(now, h, 0)", "a grant counts however little of the log is here"},
 	{"reports.go", "g.Which |= 1 << i", "g.Which |= 3 << i", "the leader's word for one is the next one's too"},
 	{"reports.go", "for range answersMost {", "for range 0 {", "the leader's word goes to nobody"},
-	{"accord.go", "	n.holder.Forget()\n", "", "what another log said goes on"},
-	{"accord.go", "n.leader == nil || n.term != n.log.Term() || n.epoch != n.log.Epoch()", "n.leader == nil", "a leader goes on with what it knew in an earlier term"},
-	{"accord.go", "if m.Epoch != 0 && m.Epoch == n.log.Epoch() {", "if true {", "reports and grants of another log count"},
-	{"accord.go", "return seat != s.Life", "return false", "a voter that has restarted is never replaced"},
+	{"replicatedstate.go", "	n.holder.Forget()\n", "", "what another log said goes on"},
+	{"replicatedstate.go", "n.leader == nil || n.term != n.log.Term() || n.epoch != n.log.Epoch()", "n.leader == nil", "a leader goes on with what it knew in an earlier term"},
+	{"replicatedstate.go", "if m.Epoch != 0 && m.Epoch == n.log.Epoch() {", "if true {", "reports and grants of another log count"},
+	{"replicatedstate.go", "return seat != s.Life", "return false", "a voter that has restarted is never replaced"},
 	{"change.go", "case goes.Mode == fleetpolicy.CutOff:", "case false:", "one that is cut off begins a change"},
 	{"change.go", "case base != s.Holds.Version:", "case false:", "a proposal on an old base is begun"},
 	{"change.go", "if x.pieces() > pushPieces {", "if false {", "a long text does not go round first"},
--- a/cmd/measure/peers.go
+++ b/cmd/measure/peers.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"caperarch/internal/fleet/swim"
-	"caperarch/internal/lab/rig/fleet"
+	"caperarch/internal/lab/testbed/fleet"
 )
 
 // What the operators' issue asks for.
--- a/cmd/measure/peers_virtual.go
+++ b/cmd/measure/peers_virtual.go
@@ -7,18 +7,18 @@
 
 	"caperarch/internal/fleet/peer"
 	"caperarch/internal/fleet/swim"
-	"caperarch/internal/lab/swimnet"
+	"caperarch/internal/lab/swimsim"
 )
 
 // virtualFleet is a fleet in virtual time that has been in contact for a while.
-func virtualFleet(size int, seed uint64, loss float64) *swimnet.Net {
-	n := swimnet.New(swimnet.Config{Size: size, Seed: seed, Loss: loss, Bytes: peer.Size, Spend: 2048, Least: time.Millisecond, Most: 20 * time.Millisecond})
+func virtualFleet(size int, seed uint64, loss float64) *swimsim.Net {
+	n := swimsim.New(swimsim.Config{Size: size, Seed: seed, Loss: loss, Bytes: peer.Size, Spend: 2048, Least: time.Millisecond, Most: 20 * time.Millisecond})
 	n.Run(2*swim.LeaseFor(size) + 20*time.Second)
 	return n
 }
 
 // crashKnown crashes members one after the other and returns how long each time it took until 95% of the others held it for gone, in seconds; -1: over 30 s.
-func crashKnown(n *swimnet.Net, crashes int) (took spread) {
+func crashKnown(n *swimsim.Net, crashes int) (took spread) {
 	for k := range crashes {
 		i := (k*37 + 5) % n.Size
 		known, need := 0, (n.Size-1)*95/100
@@ -42,7 +42,7 @@
 }
 
 // quietHour counts what is said wrongly of members that all live, in so much virtual time, and what each sent a second.
-func quietHour(n *swimnet.Net, d time.Duration, starved bool) (suspected, gone, lapsed int, bytes, datagrams float64) {
+func quietHour(n *swimsim.Net, d time.Duration, starved bool) (suspected, gone, lapsed int, bytes, datagrams float64) {
 	first := make(map[[2]int]time.Duration) // one false alarm, however many hear of it
 	n.Seen = func(node int, c swim.Change) {
 		switch {
@@ -82,7 +82,7 @@
 
 // contactAfterStart is how long after a start of all at once 95% are in contact.
 func contactAfterStart(size int, seed uint64) time.Duration {
-	n := swimnet.New(swimnet.Config{Size: size, Seed: seed, Least: time.Millisecond, Most: 20 * time.Millisecond})
+	n := swimsim.New(swimsim.Config{Size: size, Seed: seed, Least: time.Millisecond, Most: 20 * time.Millisecond})
 	in, need := 0, max(1, size*95/100)
 	n.Seen = func(node int, c swim.Change) {
 		if c.Member == node && c.Contact {
--- a/cmd/measure/plans.go
+++ b/cmd/measure/plans.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"caperarch/internal/fleet/swim"
-	"caperarch/internal/lab/rig/fleet"
+	"caperarch/internal/lab/testbed/fleet"
 )
 
 // cleanups is a rig.TB for a program that gives back what one part of it took.
--- a/cmd/measure/policy.go
+++ b/cmd/measure/policy.go
@@ -6,10 +6,10 @@
 	"slices"
 	"time"
 
-	"caperarch/internal/fleet/fleetpolicy"
+	"caperarch/internal/fleet/policyrollout"
 	"caperarch/internal/fleet/swim"
-	"caperarch/internal/lab/accordnet"
-	"caperarch/internal/lab/rig/fleet"
+	"caperarch/internal/lab/replicatedstatesim"
+	"caperarch/internal/lab/testbed/fleet"
 )
 
 // What the operators' issue asks for.
@@ -203,12 +203,12 @@
 // virtualChange has so many change their policy in virtual time, each with the bytes that swim leaves of its budget.
 func virtualChange(size int) string {
 	lease := swim.LeaseFor(size)
-	n := accordnet.New(accordnet.Config{Size: size, Seed: 1, Lease: lease, Rate: 0.001, Spend: 2048})
+	n := replicatedstatesim.New(replicatedstatesim.Config{Size: size, Seed: 1, Lease: lease, Rate: 0.001, Spend: 2048})
 	n.Run(time.Second)
 	if err := n.Nodes[0].Found(n.Nodes[0].Time(), 1<<56); err != nil {
 		return err.Error()
 	}
-	until := func(within time.Duration, holds func(goes fleetpolicy.Now) bool) (time.Duration, int) {
+	until := func(within time.Duration, holds func(goes policyrollout.Now) bool) (time.Duration, int) {
 		begun := n.Now
 		for {
 			missing := 0
@@ -223,8 +223,10 @@
 			n.Run(100 * time.Millisecond)
 		}
 	}
-	one := func(version uint32) func(fleetpolicy.Now) bool {
-		return func(goes fleetpolicy.Now) bool { return goes.Mode == fleetpolicy.One && goes.New.Version == version }
+	one := func(version uint32) func(policyrollout.Now) bool {
+		return func(goes policyrollout.Now) bool {
+			return goes.Mode == policyrollout.One && goes.New.Version == version
+		}
 	}
 	began, out := until(3*lease+time.Minute, one(0))
 	if out > 0 {
@@ -249,7 +251,7 @@
 	} {
 		c.begin()
 		m := n.Nodes[1]
-		if _, err := m.Propose(m.Time(), accordnet.Text(k), uint32(k)); err != nil {
+		if _, err := m.Propose(m.Time(), replicatedstatesim.Text(k), uint32(k)); err != nil {
 			return text + "; " + c.name + ": " + err.Error()
 		}
 		took, out := until(c.within, one(uint32(k+1)))
--- a/cmd/measure/pools.go
+++ b/cmd/measure/pools.go
@@ -7,7 +7,7 @@
 	"strings"
 	"time"
 
-	"caperarch/internal/lab/rig"
+	"caperarch/internal/lab/testbed"
 )
 
 // Bounds of the pools: what the quiet one keeps while the other is flooded.
@@ -45,7 +45,7 @@
 			return b, err
 		}
 		words := strings.Fields(line)
-		text := rig.ConfigText(panics{}, rig.Listed(1, "ready", words[2:]...), func(file, settings map[string]any) {
+		text := testbed.ConfigText(panics{}, testbed.Listed(1, "ready", words[2:]...), func(file, settings map[string]any) {
 			file["discovery"] = words[1]
 			file["limits"] = map[string]any{"cores": 1.0, "memory_mb": 192, "sockets": 512}
 			settings["caps"].(map[string]any)["max_open"] = 200
--- a/cmd/measure/service.go
+++ b/cmd/measure/service.go
@@ -16,7 +16,7 @@
 	"syscall"
 	"time"
 
-	"caperarch/internal/lab/rig"
+	"caperarch/internal/lab/testbed"
 )
 
 const (
@@ -38,14 +38,14 @@
 
 // newService starts the first process of one, of the daemon that the bench has built.
 func newService(b *bench) (s *service, err error) {
-	s = &service{b: b, binary: filepath.Join(b.dir, "caperarch"), tmp: b.dir, listen: rig.FreeAddress(panics{})}
+	s = &service{b: b, binary: filepath.Join(b.dir, "caperarch"), tmp: b.dir, listen: testbed.FreeAddress(panics{})}
 	s.process, s.control, err = s.start()
 	return s, err
 }
 
 // start starts a process and returns once it says yes.
 func (s *service) start() (cmd *exec.Cmd, control string, err error) {
-	control = rig.FreeAddress(panics{})
+	control = testbed.FreeAddress(panics{})
 	raw, err := os.ReadFile(s.b.config)
 	if err != nil {
 		return nil, "", err
@@ -69,7 +69,7 @@
 		return nil, "", err
 	}
 	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
-		if text, err := rig.Operate(control, "health"); err == nil && strings.HasPrefix(text, "200") {
+		if text, err := testbed.Operate(control, "health"); err == nil && strings.HasPrefix(text, "200") {
 			return cmd, control, nil
 		}
 	}
@@ -193,7 +193,7 @@
 	})
 	for end := time.Now().Add(time.Duration(seconds * float64(time.Second))); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		begun := time.Now()
-		text, err := rig.Operate(s.control, "counters")
+		text, err := testbed.Operate(s.control, "counters")
 		if err != nil || !strings.HasSuffix(text, "EOF\n") {
 			return nil, fmt.Errorf("an operator's call: %q, %v", text, err)
 		}
--- a/cmd/measure/strain.go
+++ b/cmd/measure/strain.go
@@ -6,7 +6,7 @@
 	"strings"
 	"time"
 
-	"caperarch/internal/lab/emu"
+	"caperarch/internal/lab/emulator"
 	"caperarch/internal/proxy/admission"
 	"caperarch/internal/proxy/admission/weighed"
 )
@@ -41,8 +41,8 @@
 	}
 	var missed []string
 	worst := 0.0
-	for i := range emu.Cases {
-		s := &emu.Cases[i]
+	for i := range emulator.Cases {
+		s := &emulator.Cases[i]
 		fmt.Println(s.Name)
 		var lines []series
 		for _, g := range gates {
@@ -76,12 +76,12 @@
 			return "", nil, err
 		}
 	}
-	return fmt.Sprintf("recovery_worst_s=%.1f cases=%d seeds=%d", worst, len(emu.Cases), seeds), missed, nil
+	return fmt.Sprintf("recovery_worst_s=%.1f cases=%d seeds=%d", worst, len(emulator.Cases), seeds), missed, nil
 }
 
 // strainLines are the shares of a run over time, half a second to a point: what was turned away at once and, of the first run, capacity
 // against the most that there was.
-func strainLines(name string, buckets []emu.Bucket, capacity bool) (lines []series) {
+func strainLines(name string, buckets []emulator.Bucket, capacity bool) (lines []series) {
 	const each = 5
 	turned, able := series{name + ": turned away", 0.5, nil}, series{"capacity", 0.5, nil}
 	most := 0.0
--- a/cmd/measure/work.go
+++ b/cmd/measure/work.go
@@ -11,11 +11,11 @@
 	"time"
 
 	"caperarch/internal/fleet/fleetlog"
-	"caperarch/internal/fleet/outage"
+	"caperarch/internal/fleet/maintenance"
 	"caperarch/internal/fleet/swim"
-	"caperarch/internal/lab/accordnet"
-	"caperarch/internal/lab/rig"
-	"caperarch/internal/lab/rig/fleet"
+	"caperarch/internal/lab/replicatedstatesim"
+	"caperarch/internal/lab/testbed"
+	"caperarch/internal/lab/testbed/fleet"
 )
 
 // What the operators' issue asks for.
@@ -106,11 +106,11 @@
 
 // virtualRound has so many sidecars take all machines out. Somebody is at each as soon as any sidecar says that it is free.
 func virtualRound(seed uint64, size, machines, gone int) (r virtualWork) {
-	site := &accordnet.Site{Deadline: 5 * time.Second, Bound: atOnce, Returns: workCold, Every: 5 * time.Second}
+	site := &replicatedstatesim.Site{Deadline: 5 * time.Second, Bound: atOnce, Returns: workCold, Every: 5 * time.Second}
 	for i := range machines {
-		site.Machines = append(site.Machines, outage.Machine{ID: uint64(i + 1), Name: fmt.Sprintf("s-%d", i), Zone: "a", Cell: i / 2, Weight: 1, State: outage.Ready, Warmth: 1})
+		site.Machines = append(site.Machines, maintenance.Machine{ID: uint64(i + 1), Name: fmt.Sprintf("s-%d", i), Zone: "a", Cell: i / 2, Weight: 1, State: maintenance.Ready, Warmth: 1})
 	}
-	n := accordnet.New(accordnet.Config{Size: size, Seed: seed, Lease: swim.LeaseFor(size), Rate: 0.001, Spend: 2048, Site: site})
+	n := replicatedstatesim.New(replicatedstatesim.Config{Size: size, Seed: seed, Lease: swim.LeaseFor(size), Rate: 0.001, Spend: 2048, Site: site})
 	n.Run(time.Second)
 	if err := n.Nodes[0].Found(n.Nodes[0].Time(), 1<<56); err != nil {
 		return virtualWork{broken: []string{err.Error()}}
@@ -132,12 +132,12 @@
 	over := func() bool {
 		s := by.WorkState()
 		for _, t := range s.Turns {
-			if t.Phase == outage.Free && !atWork[t.Number] {
+			if t.Phase == maintenance.Free && !atWork[t.Number] {
 				atWork[t.Number] = true
 				var say func()
 				say = func() {
-					if s := by.WorkState().Turn(t.Number); s != nil && s.Phase == outage.Free {
-						_ = by.Operate(by.Time(), outage.Done, t.Number)
+					if s := by.WorkState().Turn(t.Number); s != nil && s.Phase == maintenance.Free {
+						_ = by.Operate(by.Time(), maintenance.Done, t.Number)
 						n.After(time.Second, say)
 					}
 				}
@@ -176,7 +176,7 @@
 	})
 	for _, n := range f.Nodes {
 		n.Delay.Store(int64(realDelay))
-		n.Do(rig.Always(rig.Slow))
+		n.Do(testbed.Always(testbed.Slow))
 	}
 	if err := f.Sidecars[0].Found(); err != nil {
 		return r, err
--- a/conformance/cases.go
+++ b/conformance/cases.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"caperarch/internal/lab/rig"
+	"caperarch/internal/lab/testbed"
 )
 
 // classes by effect, as rig.Settings has them.
@@ -42,13 +42,13 @@
 		})
 		add("turned away/"+effect, func(t *testing.T, w *World) { // it never ran: any may go elsewhere
 			w.Start(nil, 0, 0, 0)
-			w.Script(First(rig.Refuse))
+			w.Script(First(testbed.Refuse))
 			c, _ := w.Want(class, Served)
 			if n := len(w.Ledger.Of(c.ID)); n != 2 {
 				t.Errorf("%d attempts, want 2", n)
 			}
 		})
-		for _, act := range []rig.Act{rig.Fail, rig.Busy, rig.Reset, rig.Cut, rig.Garbage} { // it may have run
+		for _, act := range []testbed.Act{testbed.Fail, testbed.Busy, testbed.Reset, testbed.Cut, testbed.Garbage} { // it may have run
 			add(act.String()+"/"+effect, func(t *testing.T, w *World) {
 				w.Start(nil, 0, 0, 0)
 				w.Script(First(act))
@@ -67,7 +67,7 @@
 		}
 		add("hang/"+effect, func(t *testing.T, w *World) {
 			w.Start(Brief, 0, 0, 0)
-			w.Script(rig.Always(rig.Hang))
+			w.Script(testbed.Always(testbed.Hang))
 			kinds := []Kind{Failed}
 			if effect == "safe" {
 				kinds = []Kind{Refused, Failed}
@@ -80,7 +80,7 @@
 		})
 		add("every node fails/"+effect, func(t *testing.T, w *World) {
 			w.Start(nil, 0, 0, 0, 0, 0)
-			w.Script(rig.Always(rig.Fail))
+			w.Script(testbed.Always(testbed.Fail))
 			kinds := []Kind{Failed}
 			if effect == "safe" {
 				kinds = []Kind{Refused}
@@ -89,7 +89,7 @@
 		})
 		add("every node turns away/"+effect, func(t *testing.T, w *World) {
 			w.Start(nil, 0, 0, 0, 0, 0)
-			w.Script(rig.Always(rig.Refuse))
+			w.Script(testbed.Always(testbed.Refuse))
 			c, a := w.Want(class, Refused)
 			if n := len(w.Ledger.Of(c.ID)); n < 2 || n > 3 {
 				t.Errorf("%d attempts, want 2 or 3 of most_tries 3", n)
@@ -123,7 +123,7 @@
 			w.Start(nil, 0)
 			w.Want(class, Served)
 			w.Nodes[0].BreakAll()
-			rig.Until(t, "the reset", func() bool { return w.Nodes[0].Open() == 0 })
+			testbed.Until(t, "the reset", func() bool { return w.Nodes[0].Open() == 0 })
 			time.Sleep(20 * time.Millisecond) // it crosses the loopback
 			w.Want(class, Served)
 		})
@@ -171,20 +171,20 @@
 		w.Start(nil, 0, 0)
 		release := make(chan struct{})
 		arrived := make(chan struct{}, 10)
-		w.Script(func(a rig.Arrival) rig.Act {
+		w.Script(func(a testbed.Arrival) testbed.Act {
 			arrived <- struct{}{}
 			<-release
-			return rig.Serve
+			return testbed.Serve
 		})
 		first := w.Usable("entry")
 		answered := make(chan Answer, 1)
 		go func() { answered <- w.client.Call(context.Background(), first) }()
-		rig.Wait(t, "the first call", arrived)
+		testbed.Wait(t, "the first call", arrived)
 		if a := w.client.Call(context.Background(), first); a.Kind != Invalid {
 			t.Errorf("a second call of the id: %+v, want invalid", a)
 		}
 		close(release)
-		if a := rig.Wait(t, "the first answer", answered); a.Kind != Served {
+		if a := testbed.Wait(t, "the first answer", answered); a.Kind != Served {
 			t.Errorf("the first call: %+v, want served", a)
 		}
 	})
@@ -194,7 +194,7 @@
 func cells(add func(string, func(*testing.T, *World))) {
 	add("keyed/not to another cell", func(t *testing.T, w *World) {
 		w.Start(nil, 0, 1, 2)
-		w.Script(First(rig.Fail))
+		w.Script(First(testbed.Fail))
 		c, _ := w.Want("reading", Failed)
 		if n := len(w.Ledger.Of(c.ID)); n != 1 {
 			t.Errorf("%d attempts, no other node is in the cell", n)
@@ -202,7 +202,7 @@
 	})
 	add("keyed/to the same cell only", func(t *testing.T, w *World) {
 		w.Start(nil, 0, 0, 1, 1)
-		w.Script(First(rig.Reset))
+		w.Script(First(testbed.Reset))
 		c, _ := w.Want("reading", Served)
 		arrivals := w.Ledger.Of(c.ID)
 		if len(arrivals) != 2 || arrivals[0].Cell != arrivals[1].Cell || arrivals[0].Node == arrivals[1].Node {
@@ -211,14 +211,14 @@
 	})
 	add("keyed/anywhere if it never ran", func(t *testing.T, w *World) {
 		w.Start(nil, 0, 1)
-		w.Script(First(rig.Refuse))
+		w.Script(First(testbed.Refuse))
 		w.Want("reading", Served)
 	})
 	add("keyed/not after the window", func(t *testing.T, w *World) {
 		w.Start(nil, 0, 0, 0)
-		w.Script(func(rig.Arrival) rig.Act {
+		w.Script(func(testbed.Arrival) testbed.Act {
 			time.Sleep(window + 50*time.Millisecond)
-			return rig.Fail
+			return testbed.Fail
 		})
 		c, _ := w.Want("reading", Failed)
 		if n := len(w.Ledger.Of(c.ID)); n != 1 {
@@ -227,7 +227,7 @@
 	})
 	add("safe/to any cell", func(t *testing.T, w *World) {
 		w.Start(nil, 0, 1, 2)
-		w.Script(First(rig.Fail))
+		w.Script(First(testbed.Fail))
 		w.Want("look", Served)
 	})
 }
@@ -242,7 +242,7 @@
 func walls(add func(string, func(*testing.T, *World))) {
 	add("compartment/full", func(t *testing.T, w *World) {
 		w.Start(narrow, 0, 0, 0)
-		w.Script(rig.Always(rig.Hang))
+		w.Script(testbed.Always(testbed.Hang))
 		var calls sync.WaitGroup
 		answers := make(chan Answer, 60)
 		for range 60 {
@@ -269,11 +269,11 @@
 	})
 	add("compartment/others", func(t *testing.T, w *World) {
 		w.Start(narrow, 0, 0, 0, 0, 0, 0, 0, 0)
-		w.Script(func(a rig.Arrival) rig.Act {
+		w.Script(func(a testbed.Arrival) testbed.Act {
 			if a.Body == "flood" {
-				return rig.Hang
+				return testbed.Hang
 			}
-			return rig.Serve
+			return testbed.Serve
 		})
 		var calls sync.WaitGroup
 		for range 40 {
@@ -283,7 +283,7 @@
 				w.Do(c)
 			})
 		}
-		rig.Until(t, "the flood", func() bool { return w.Ledger.Len() > 0 })
+		testbed.Until(t, "the flood", func() bool { return w.Ledger.Len() > 0 })
 		c := w.Usable("look")
 		c.Tenant, c.Timeout = "south", 1200*time.Millisecond
 		if a := w.Do(c); a.Kind != Served || a.Took > time.Second {
@@ -299,7 +299,7 @@
 		add("drain/"+lifecycle, func(t *testing.T, w *World) {
 			w.Start(nil, 0, 0, 0)
 			load := w.Load(4, "look", "reading", "entry")
-			rig.Until(t, "calls on all nodes", func() bool {
+			testbed.Until(t, "calls on all nodes", func() bool {
 				seen := make(map[string]bool)
 				for _, a := range w.Ledger.All() {
 					seen[a.Node] = true
@@ -317,42 +317,42 @@
 	}
 	add("drain/what it has is finished", func(t *testing.T, w *World) {
 		w.Start(nil, 0, 0)
-		w.Nodes[0].Do(rig.Always(rig.Refuse)) // the call is on the other
+		w.Nodes[0].Do(testbed.Always(testbed.Refuse)) // the call is on the other
 		release, arrived := make(chan struct{}), make(chan struct{}, 1)
-		w.Nodes[1].Do(func(rig.Arrival) rig.Act {
+		w.Nodes[1].Do(func(testbed.Arrival) testbed.Act {
 			arrived <- struct{}{}
 			<-release
-			return rig.Serve
+			return testbed.Serve
 		})
 		answered := make(chan Answer, 1)
 		c := w.Usable("entry")
 		go func() { answered <- w.Do(c) }()
-		rig.Wait(t, "the call", arrived)
+		testbed.Wait(t, "the call", arrived)
 		w.Drain(w.Nodes[1], "draining", time.Second)
-		w.Nodes[0].Do(rig.Always(rig.Serve))
+		w.Nodes[0].Do(testbed.Always(testbed.Serve))
 		w.Want("look", Served)
 		close(release)
-		if a := rig.Wait(t, "its answer", answered); a.Kind != Served {
+		if a := testbed.Wait(t, "its answer", answered); a.Kind != Served {
 			t.Errorf("%+v, want served: a node that drains finishes what it has", a)
 		}
 	})
 	add("drain/no retry goes there", func(t *testing.T, w *World) {
 		w.Start(nil, 0, 0)
 		arrived, release := make(chan struct{}, 4), make(chan struct{})
-		w.Script(func(a rig.Arrival) rig.Act {
+		w.Script(func(a testbed.Arrival) testbed.Act {
 			arrived <- struct{}{}
 			<-release
-			return rig.Fail
+			return testbed.Fail
 		})
 		answered := make(chan Answer, 1)
 		c := w.Usable("reading")
 		go func() { answered <- w.Do(c) }()
-		rig.Wait(t, "the call", arrived)
+		testbed.Wait(t, "the call", arrived)
 		w.Drain(w.Nodes[0], "draining", time.Second)
 		w.Drain(w.Nodes[1], "draining", time.Second)
 		time.Sleep(1100 * time.Millisecond)
 		close(release)
-		if a := rig.Wait(t, "its answer", answered); a.Kind != Failed {
+		if a := testbed.Wait(t, "its answer", answered); a.Kind != Failed {
 			t.Errorf("%+v, want failed: both nodes drain", a)
 		}
 		if n := len(w.Ledger.Of(c.ID)); n != 1 {
@@ -363,7 +363,7 @@
 		w.Start(nil, 0)
 		n := w.subject.Node(t, "s-new", w.Ledger)
 		w.Discovery.Set(n, "ready")
-		rig.Until(t, "a call on the new node", func() bool {
+		testbed.Until(t, "a call on the new node", func() bool {
 			c, _ := w.Want("look", Served)
 			return w.Ledger.Of(c.ID)[0].Node == "s-new"
 		})
@@ -379,12 +379,12 @@
 	add("list/a cold node is not pushed", func(t *testing.T, w *World) {
 		w.Start(nil, 0, 0, 0, 0)
 		load := w.Load(8, "look")
-		rig.Until(t, "some load", func() bool { return w.Ledger.Len() > 200 })
+		testbed.Until(t, "some load", func() bool { return w.Ledger.Len() > 200 })
 		cold := w.Nodes[2]
 		cold.Vanish()
 		cold.Return(t)
 		w.Discovery.Set(cold, "ready") // with a start time of now
-		rig.Until(t, "the news to be told", func() bool { return !w.Discovery.ToldAt(cold).IsZero() })
+		testbed.Until(t, "the news to be told", func() bool { return !w.Discovery.ToldAt(cold).IsZero() })
 		time.Sleep(100 * time.Millisecond)
 		from := time.Now()
 		time.Sleep(time.Second)
@@ -431,24 +431,24 @@
 		add("caller gone/attempt out/"+effect, func(t *testing.T, w *World) {
 			w.Start(nil, 0, 0, 0)
 			arrived := make(chan struct{}, 9)
-			w.Script(func(rig.Arrival) rig.Act {
+			w.Script(func(testbed.Arrival) testbed.Act {
 				arrived <- struct{}{}
-				return rig.Hang
+				return testbed.Hang
 			})
 			ctx, cancel := context.WithCancel(context.Background())
 			c := w.Usable(class)
 			answered := make(chan Answer, 1)
 			go func() { answered <- w.DoContext(ctx, c) }()
-			rig.Wait(t, "the attempt", arrived)
+			testbed.Wait(t, "the attempt", arrived)
 			begun := time.Now()
 			cancel()
-			if a := rig.Wait(t, "its end", answered); a.Kind != Gone {
+			if a := testbed.Wait(t, "its end", answered); a.Kind != Gone {
 				t.Errorf("%+v, want gone", a)
 			}
 			if took := time.Since(begun); took > 2*time.Second {
 				t.Errorf("the caller waited %v for its own cancel", took)
 			}
-			w.Script(rig.Always(rig.Serve))
+			w.Script(testbed.Always(testbed.Serve))
 			for range 5 {
 				w.Want("look", Served) // its slot is free again, and nothing of it goes out
 			}
@@ -465,13 +465,13 @@
 		go func() { answered <- w.DoContext(ctx, c) }()
 		time.Sleep(50 * time.Millisecond)
 		cancel()
-		if a := rig.Wait(t, "its end", answered); a.Kind != Gone {
+		if a := testbed.Wait(t, "its end", answered); a.Kind != Gone {
 			t.Errorf("%+v, want gone", a)
 		}
 		time.Sleep(100 * time.Millisecond) // its end crosses the loopback, and the client's own goroutine closes it
 		n := w.subject.Node(t, "s-late", w.Ledger)
 		w.Discovery.Set(n, "ready")
-		rig.Until(t, "the node to take part", func() bool { return w.Do(w.Usable("look")).Kind == Served })
+		testbed.Until(t, "the node to take part", func() bool { return w.Do(w.Usable("look")).Kind == Served })
 		if got := w.Ledger.Of(c.ID); len(got) > 0 {
 			t.Errorf("it went out: %+v", got)
 		}
@@ -482,14 +482,14 @@
 func atOnce(add func(string, func(*testing.T, *World))) {
 	add("at once/failed", func(t *testing.T, w *World) {
 		w.Start(nil, 0, 0, 0)
-		w.Script(rig.Always(rig.Reset))
+		w.Script(testbed.Always(testbed.Reset))
 		if _, a := w.Want("entry", Failed); a.Took > 2*time.Second {
 			t.Errorf("told after %v; it was known at once", a.Took)
 		}
 	})
 	add("at once/refused", func(t *testing.T, w *World) {
 		w.Start(nil, 0, 0, 0)
-		w.Script(rig.Always(rig.Refuse))
+		w.Script(testbed.Always(testbed.Refuse))
 		if _, a := w.Want("entry", Refused); a.Took > 2*time.Second {
 			t.Errorf("told after %v; it was known at once", a.Took)
 		}
@@ -517,15 +517,15 @@
 func whole(add func(string, func(*testing.T, *World))) {
 	add("among failing nodes", func(t *testing.T, w *World) {
 		w.Start(nil, 0, 0, 1, 1)
-		acts := []rig.Act{rig.Refuse, rig.Fail, rig.Reset, rig.Cut, rig.Garbage, rig.Busy}
+		acts := []testbed.Act{testbed.Refuse, testbed.Fail, testbed.Reset, testbed.Cut, testbed.Garbage, testbed.Busy}
 		var mu sync.Mutex
 		n := 0
-		w.Script(func(rig.Arrival) rig.Act {
+		w.Script(func(testbed.Arrival) testbed.Act {
 			mu.Lock()
 			defer mu.Unlock()
 			n++
 			if n%4 > 0 {
-				return rig.Serve
+				return testbed.Serve
 			}
 			return acts[n/4%len(acts)]
 		})
@@ -556,27 +556,27 @@
 		w.Start(nil, 0, 0)
 		arrived := make(chan struct{}, 9)
 		release := make(chan struct{})
-		w.Script(func(rig.Arrival) rig.Act {
+		w.Script(func(testbed.Arrival) testbed.Act {
 			arrived <- struct{}{}
 			<-release
-			return rig.Serve
+			return testbed.Serve
 		})
 		answered := make(chan Answer, 3)
 		for _, class := range []string{"look", "reading", "entry"} {
 			c := w.Usable(class)
 			go func() { answered <- w.Do(c) }()
-			rig.Wait(t, "an attempt", arrived)
+			testbed.Wait(t, "an attempt", arrived)
 		}
 		closed := make(chan error, 1)
 		go func() { closed <- w.Close() }()
 		time.Sleep(100 * time.Millisecond)
 		close(release)
 		for range 3 {
-			if a := rig.Wait(t, "an answer", answered); a.Kind != Served {
+			if a := testbed.Wait(t, "an answer", answered); a.Kind != Served {
 				t.Errorf("%+v, want served: it was held when the end was asked for", a)
 			}
 		}
-		if err := rig.Wait(t, "the end", closed); err != nil {
+		if err := testbed.Wait(t, "the end", closed); err != nil {
 			t.Errorf("ended with %v", err)
 		}
 	})
--- a/conformance/conformance.go
+++ b/conformance/conformance.go
@@ -14,7 +14,7 @@
 	"testing"
 	"time"
 
-	"caperarch/internal/lab/rig"
+	"caperarch/internal/lab/testbed"
 )
 
 // Kind is how a call ended for its caller.
@@ -57,7 +57,7 @@
 // Subject is one way to a decision module.
 type Subject interface {
 	// Node starts a stand-in server that the subject can send to.
-	Node(t rig.TB, id string, l *rig.Ledger) *rig.Node
+	Node(t testbed.TB, id string, l *testbed.Ledger) *testbed.Node
 	// Open starts the subject with a configuration file's text.
 	Open(t *testing.T, config string) Client
 }
@@ -73,7 +73,7 @@
 	for _, c := range Cases() {
 		t.Run(c.Name, func(t *testing.T) {
 			t.Parallel()
-			w := &World{T: t, subject: s, Ledger: new(rig.Ledger), calls: make(map[string]*made)}
+			w := &World{T: t, subject: s, Ledger: new(testbed.Ledger), calls: make(map[string]*made)}
 			c.Run(t, w)
 			w.check()
 		})
@@ -90,16 +90,16 @@
 // World is what a case plays in. Every call through it is held against the four rules when the case is over.
 type World struct {
 	T         *testing.T
-	Ledger    *rig.Ledger
-	Nodes     []*rig.Node
-	Discovery *rig.Discovery
+	Ledger    *testbed.Ledger
+	Nodes     []*testbed.Node
+	Discovery *testbed.Discovery
 	subject   Subject
 	client    Client
 	lastID    atomic.Uint64
 
 	mu     sync.Mutex
 	calls  map[string]*made // by id
-	drains map[*rig.Node]time.Time
+	drains map[*testbed.Node]time.Time
 }
 
 type made struct {
@@ -115,7 +115,7 @@
 		n.Cell = cell
 		w.Nodes = append(w.Nodes, n)
 	}
-	w.Discovery = rig.NewDiscovery(w.T, w.Nodes...)
+	w.Discovery = testbed.NewDiscovery(w.T, w.Nodes...)
 	w.Open(edit)
 }
 
@@ -130,7 +130,7 @@
 // Open starts the subject.
 func (w *World) Open(edit func(settings map[string]any)) {
 	w.T.Helper()
-	text := rig.ConfigText(w.T, rig.Known(w.Nodes...), func(file, settings map[string]any) {
+	text := testbed.ConfigText(w.T, testbed.Known(w.Nodes...), func(file, settings map[string]any) {
 		file["discovery"] = w.Discovery.Address
 		methods := make(map[string]any)
 		for _, class := range []string{"reading", "entry", "look"} {
@@ -195,14 +195,14 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	settled := time.Now()
-	byID := make(map[string][]rig.Arrival)
+	byID := make(map[string][]testbed.Arrival)
 	for _, r := range w.Ledger.All() {
 		byID[r.ID] = append(byID[r.ID], r)
 	}
 	for id, m := range w.calls {
 		c, a := m.call, m.answer
 		arrivals := byID[id]
-		runs := rig.Runs(arrivals)
+		runs := testbed.Runs(arrivals)
 		if a.Kind == "" {
 			w.T.Errorf("rule 1: %s has no answer", id)
 		}
@@ -235,7 +235,7 @@
 				w.T.Errorf("rule 2: unsafe %s was refused and ran", id)
 			}
 		case "reading":
-			if n := rig.Effects(arrivals, window); n > 1 {
+			if n := testbed.Effects(arrivals, window); n > 1 {
 				w.T.Errorf("rule 2: keyed %s had %d effects", id, n)
 			}
 			if a.Kind == Refused && runs > 0 {
@@ -254,34 +254,34 @@
 
 // Drain has discovery say that a node drains or is gone, waits until that was told, and holds what comes there
 // from grace later on against rule 3.
-func (w *World) Drain(n *rig.Node, lifecycle string, grace time.Duration) {
+func (w *World) Drain(n *testbed.Node, lifecycle string, grace time.Duration) {
 	w.T.Helper()
 	w.Discovery.Set(n, lifecycle)
-	rig.Until(w.T, "the drain to be told", func() bool { return !w.Discovery.ToldAt(n).IsZero() })
+	testbed.Until(w.T, "the drain to be told", func() bool { return !w.Discovery.ToldAt(n).IsZero() })
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.drains == nil {
-		w.drains = make(map[*rig.Node]time.Time)
+		w.drains = make(map[*testbed.Node]time.Time)
 	}
 	w.drains[n] = w.Discovery.ToldAt(n).Add(grace)
 }
 
 // Script has all nodes follow one.
-func (w *World) Script(s rig.Script) {
+func (w *World) Script(s testbed.Script) {
 	for _, n := range w.Nodes {
 		n.Do(s)
 	}
 }
 
 // First is a script that does act with the first arrival of each id and serves the others.
-func First(act rig.Act) rig.Script {
+func First(act testbed.Act) testbed.Script {
 	var mu sync.Mutex
 	seen := make(map[string]bool)
-	return func(a rig.Arrival) rig.Act {
+	return func(a testbed.Arrival) testbed.Act {
 		mu.Lock()
 		defer mu.Unlock()
 		if seen[a.ID] {
-			return rig.Serve
+			return testbed.Serve
 		}
 		seen[a.ID] = true
 		return act
--- a/conformance/subjects_test.go
+++ b/conformance/subjects_test.go
@@ -23,7 +23,7 @@
 	"google.golang.org/grpc/status"
 	"google.golang.org/protobuf/types/known/wrapperspb"
 
-	"caperarch/internal/lab/rig"
+	"caperarch/internal/lab/testbed"
 	"caperarch/plugin"
 	"caperarch/plugin/grpcplugin"
 )
@@ -40,7 +40,9 @@
 // httpNodes is for subjects that send over HTTP/1.1.
 type httpNodes struct{}
 
-func (httpNodes) Node(t rig.TB, id string, l *rig.Ledger) *rig.Node { return rig.NewHTTPNode(t, id, l) }
+func (httpNodes) Node(t testbed.TB, id string, l *testbed.Ledger) *testbed.Node {
+	return testbed.NewHTTPNode(t, id, l)
+}
 
 // build builds the daemon, once.
 func build(t *testing.T) string {
@@ -94,7 +96,9 @@
 	closed sync.Once
 }
 
-func (d daemon) Node(t rig.TB, id string, l *rig.Ledger) *rig.Node { return rig.NewHTTPNode(t, id, l) }
+func (d daemon) Node(t testbed.TB, id string, l *testbed.Ledger) *testbed.Node {
+	return testbed.NewHTTPNode(t, id, l)
+}
 
 func (d daemon) Open(t *testing.T, config string) Client {
 	t.Helper()
@@ -122,10 +126,10 @@
 		c.ended <- c.cmd.Wait()
 	}()
 	t.Cleanup(func() { _ = c.cmd.Process.Kill() })
-	c.url = "http://" + rig.Wait(t, "the daemon to serve", address)
+	c.url = "http://" + testbed.Wait(t, "the daemon to serve", address)
 	c.http.Transport = &http.Transport{MaxIdleConnsPerHost: 100}
 	t.Cleanup(c.http.CloseIdleConnections)
-	rig.Until(t, "the daemon to be up", func() bool {
+	testbed.Until(t, "the daemon to be up", func() bool {
 		res, err := c.http.Get(c.url + "/up")
 		if err != nil {
 			return false
@@ -194,7 +198,7 @@
 		c.http.CloseIdleConnections()
 		select {
 		case err = <-c.ended:
-		case <-time.After(rig.Generous):
+		case <-time.After(testbed.Generous):
 			err = errors.New("the daemon does not end")
 		}
 	})
@@ -212,7 +216,7 @@
 
 // closeAll closes a plug-in within the time that a drain may take.
 func closeAll(close func(context.Context) error) error {
-	ctx, cancel := context.WithTimeout(context.Background(), rig.Generous)
+	ctx, cancel := context.WithTimeout(context.Background(), testbed.Generous)
 	defer cancel()
 	return close(ctx)
 }
@@ -327,7 +331,9 @@
 
 type grpcClient struct{ *grpcplugin.Conn }
 
-func (overGRPC) Node(t rig.TB, id string, l *rig.Ledger) *rig.Node { return rig.NewGRPCNode(t, id, l) }
+func (overGRPC) Node(t testbed.TB, id string, l *testbed.Ledger) *testbed.Node {
+	return testbed.NewGRPCNode(t, id, l)
+}
 
 func (overGRPC) Open(t *testing.T, text string) Client {
 	t.Helper()
--- a/internal/daemon/bodies_test.go
+++ b/internal/daemon/bodies_test.go
@@ -15,7 +15,7 @@
 	"testing"
 	"time"
 
-	"caperarch/internal/lab/rig"
+	"caperarch/internal/lab/testbed"
 )
 
 // pattern is the byte at a place of a long body, so that none is lost, doubled or moved unseen.
@@ -59,7 +59,7 @@
 
 // Bodies of any size go through whole, both ways, in every framing.
 func TestLargeBodies(t *testing.T) {
-	address := rig.NewHandler(t, func(c net.Conn, req *http.Request) bool {
+	address := testbed.NewHandler(t, func(c net.Conn, req *http.Request) bool {
 		n, err := check(req.Body)
 		if err != nil {
 			return false
@@ -120,7 +120,7 @@
 func TestCutAnswersShow(t *testing.T) {
 	var mu sync.Mutex
 	times := map[string]int{}
-	address := rig.NewHandler(t, func(c net.Conn, req *http.Request) bool {
+	address := testbed.NewHandler(t, func(c net.Conn, req *http.Request) bool {
 		mu.Lock()
 		times[req.Header.Get("X-Request-ID")]++
 		mu.Unlock()
@@ -156,7 +156,7 @@
 // An upload whose server breaks off before the last byte never ran: it is refused, and sent once.
 func TestBrokenUploadIsRefused(t *testing.T) {
 	arrived := make(chan struct{}, 10)
-	address := rig.NewHandler(t, func(c net.Conn, req *http.Request) bool {
+	address := testbed.NewHandler(t, func(c net.Conn, req *http.Request) bool {
 		arrived <- struct{}{}
 		_, _ = io.CopyN(io.Discard, req.Body, 1<<20)
 		return false
@@ -176,7 +176,7 @@
 
 // A chunked request cut at every byte is the same request, and a next one may stand right behind it.
 func TestChunkedRequestCutAnywhere(t *testing.T) {
-	s := rig.NewStub(t, rig.Echo)
+	s := testbed.NewStub(t, testbed.Echo)
 	side := start(t, nil, s.Address)
 	address := strings.TrimPrefix(side.url, "http://")
 	body := "5;a=b\r\nhello\r\n1\r\n!\r\n0\r\nX: y\r\n\r\n"
@@ -187,7 +187,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		_ = c.SetDeadline(time.Now().Add(rig.Generous))
+		_ = c.SetDeadline(time.Now().Add(testbed.Generous))
 		for _, part := range []string{first + body[:cut], body[cut:] + second} {
 			if _, err := io.WriteString(c, part); err != nil {
 				t.Fatal(err)
@@ -206,10 +206,10 @@
 			}
 		}
 		c.Close()
-		if got := rig.Wait(t, "the request", s.Seen); got.Body != "hello!" {
+		if got := testbed.Wait(t, "the request", s.Seen); got.Body != "hello!" {
 			t.Fatalf("cut at %d: the upstream had %q", cut, got.Body)
 		}
-		rig.Wait(t, "the next request", s.Seen)
+		testbed.Wait(t, "the next request", s.Seen)
 	}
 }
 
@@ -218,10 +218,10 @@
 	release := make(chan struct{})
 	var once sync.Once
 	t.Cleanup(func() { once.Do(func() { close(release) }) })
-	address := rig.NewHandler(t, func(c net.Conn, req *http.Request) bool {
+	address := testbed.NewHandler(t, func(c net.Conn, req *http.Request) bool {
 		_, _ = io.Copy(io.Discard, req.Body)
 		if req.URL.Query().Get("slow") == "" {
-			return rig.OK(c, "quick")
+			return testbed.OK(c, "quick")
 		}
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", 1<<20, bytes.Repeat([]byte("x"), 1000))
 		<-release
--- a/internal/daemon/config/config_test.go
+++ b/internal/daemon/config/config_test.go
@@ -5,12 +5,12 @@
 	"testing"
 	"time"
 
-	"caperarch/internal/lab/rig"
+	"caperarch/internal/lab/testbed"
 	"caperarch/policy"
 )
 
 func TestConfig(t *testing.T) {
-	c, err := Parse([]byte(rig.ConfigText(t, rig.Listed(41, "ready", "127.0.0.1:80"), nil)), func(string) string { return "" })
+	c, err := Parse([]byte(testbed.ConfigText(t, testbed.Listed(41, "ready", "127.0.0.1:80"), nil)), func(string) string { return "" })
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/daemon/config/fleet.go
+++ b/internal/daemon/config/fleet.go
@@ -7,8 +7,8 @@
 	"path/filepath"
 	"time"
 
-	"caperarch/internal/fleet/fleetpolicy"
-	"caperarch/internal/proxy/strict"
+	"caperarch/internal/fleet/policyrollout"
+	"caperarch/internal/proxy/strictconfig"
 )
 
 // Fleet is the operator's file on what the sidecars of a fleet have to do with one another, checked whole.
@@ -69,7 +69,7 @@
 		if f.Policy.CutOff, err = os.ReadFile(from); err != nil {
 			return nil, fmt.Errorf("%s: policy.cut_off: %w", path, err)
 		}
-		if _, err := fleetpolicy.Parse(f.Policy.CutOff); err != nil {
+		if _, err := policyrollout.Parse(f.Policy.CutOff); err != nil {
 			return nil, fmt.Errorf("%s: policy.cut_off: %s: %w", path, from, err)
 		}
 	}
@@ -88,7 +88,7 @@
 			State  string
 		}
 	}
-	if err := strict.TOML(raw, &file); err != nil {
+	if err := strictconfig.TOML(raw, &file); err != nil {
 		return nil, err
 	}
 	f := &Fleet{Name: file.Name}
--- a/internal/daemon/config/pools_test.go
+++ b/internal/daemon/config/pools_test.go
@@ -5,7 +5,7 @@
 	"strings"
 	"testing"
 
-	"caperarch/internal/lab/rig"
+	"caperarch/internal/lab/testbed"
 )
 
 const poolsText = `[pools.ledger]
@@ -36,7 +36,7 @@
 }
 
 func TestPools(t *testing.T) {
-	config := rig.ConfigText(t, rig.Listed(1, "ready", "127.0.0.1:80"), nil)
+	config := testbed.ConfigText(t, testbed.Listed(1, "ready", "127.0.0.1:80"), nil)
 	p, err := readPools(t, poolsText, config)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/daemon/control/control_test.go
+++ b/internal/daemon/control/control_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"caperarch/internal/lab/rig"
+	"caperarch/internal/lab/testbed"
 )
 
 func TestParse(t *testing.T) {
@@ -67,7 +67,7 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	_ = c.SetDeadline(time.Now().Add(rig.Generous))
+	_ = c.SetDeadline(time.Now().Add(testbed.Generous))
 	go io.WriteString(c, text)
 	got, err := io.ReadAll(bufio.NewReader(c))
 	if err != nil {
@@ -88,7 +88,7 @@
 			t.Errorf("%.20q: %q, want %q", text, got, want)
 		}
 	}
-	if id := rig.Wait(t, "the call", d.cordoned); id != "s-1" {
+	if id := testbed.Wait(t, "the call", d.cordoned); id != "s-1" {
 		t.Errorf("cordoned %q", id)
 	}
 }
@@ -147,7 +147,7 @@
 	if _, err := io.WriteString(c, "health\n"); err != nil {
 		t.Fatal(err)
 	}
-	if got := rig.Wait(t, "the one that spoke", accepted); got.RemoteAddr().String() != c.LocalAddr().String() {
+	if got := testbed.Wait(t, "the one that spoke", accepted); got.RemoteAddr().String() != c.LocalAddr().String() {
 		t.Errorf("accepted %v, spoke %v", got.RemoteAddr(), c.LocalAddr())
 	}
 }
--- a/internal/daemon/bans/bans.go
+++ b/internal/daemon/cordonstore/cordonstore.go
@@ -1,5 +1,5 @@
-// Package bans carries bans by hand from operators to the lists of this process, and to and from the file that outlives it: see cordon for what a ban does.
-package bans
+// Package cordonstore carries bans by hand from operators to the lists of this process, and to and from the file that outlives it: see cordon for what a ban does.
+package cordonstore
 
 import (
 	"context"
--- a/internal/daemon/bans/bans_test.go
+++ b/internal/daemon/cordonstore/cordonstore_test.go
@@ -1,4 +1,4 @@
-package bans
+package cordonstore
 
 import (
 	"errors"
@@ -11,8 +11,8 @@
 	"testing/synctest"
 	"time"
 
-	"caperarch/internal/lab/rig"
-	"caperarch/internal/lab/rig/damage"
+	"caperarch/internal/lab/testbed"
+	"caperarch/internal/lab/testbed/damage"
 	"caperarch/internal/proxy/call"
 	"caperarch/internal/proxy/durable"
 	"caperarch/policy"
@@ -51,7 +51,7 @@
 
 func (e *engine) want(t *testing.T, what string, want policy.State) {
 	t.Helper()
-	got := rig.Wait(t, what, e.last)
+	got := testbed.Wait(t, what, e.last)
 	for len(e.last) > 0 {
 		got = <-e.last
 	}
--- a/internal/daemon/bans/golden_test.go
+++ b/internal/daemon/cordonstore/golden_test.go
@@ -1,4 +1,4 @@
-package bans
+package cordonstore
 
 import (
 	"os"
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -8,8 +8,8 @@
 	"os"
 	"sync/atomic"
 
-	"caperarch/internal/daemon/bans"
 	"caperarch/internal/daemon/config"
+	"caperarch/internal/daemon/cordonstore"
 	"caperarch/internal/proxy/call"
 	"caperarch/internal/proxy/clock"
 	"caperarch/internal/proxy/engine"
@@ -118,7 +118,7 @@
 	engine    *engine.Engine
 	follower  *membership.Follower
 	transport *http1.Transport
-	list      *bans.List
+	list      *cordonstore.List
 	leave     func()      // the service
 	current   atomic.Bool // discovery's last answer could be used
 }
--- a/internal/daemon/fleet.go
+++ b/internal/daemon/fleet.go
@@ -8,10 +8,10 @@
 	"caperarch/internal/daemon/config"
 	"caperarch/internal/daemon/control"
 	"caperarch/internal/fleet"
-	"caperarch/internal/fleet/outage"
+	"caperarch/internal/fleet/maintenance"
 	"caperarch/internal/proxy/clock"
-	"caperarch/internal/proxy/cold"
-	"caperarch/internal/proxy/figures"
+	"caperarch/internal/proxy/metrics"
+	"caperarch/internal/proxy/slowstart"
 	"caperarch/policy"
 )
 
@@ -116,8 +116,8 @@
 	case c.Verb == control.WorkShow:
 		return p.ShowWork(to)
 	}
-	return p.Operate(map[control.Verb]outage.Kind{
-		control.WorkDone: outage.Done, control.WorkPause: outage.Paused, control.WorkResume: outage.Resumed, control.WorkCancel: outage.Cancelled,
+	return p.Operate(map[control.Verb]maintenance.Kind{
+		control.WorkDone: maintenance.Done, control.WorkPause: maintenance.Paused, control.WorkResume: maintenance.Resumed, control.WorkCancel: maintenance.Cancelled,
 	}[c.Verb], c.Arguments, to)
 }
 
@@ -126,7 +126,7 @@
 	parts   *parts
 	cfg     *config.Config
 	clock   clock.Clock
-	figures *figures.Set
+	figures *metrics.Set
 	zones   map[int]string
 }
 
@@ -142,15 +142,15 @@
 	s.fleet.Policy().Attach(x)
 }
 
-func (x *site) Machines() (all []outage.Machine, current bool) {
+func (x *site) Machines() (all []maintenance.Machine, current bool) {
 	now := x.clock.Now()
 	for _, e := range x.parts.list.Entries() {
-		m := outage.Machine{ID: uint64(e.ID), Name: e.Name, Zone: x.zones[e.Zone], Cell: e.Cell, Weight: e.Weight, State: outage.Draining, Started: e.Started, Warmth: 1}
+		m := maintenance.Machine{ID: uint64(e.ID), Name: e.Name, Zone: x.zones[e.Zone], Cell: e.Cell, Weight: e.Weight, State: maintenance.Draining, Started: e.Started, Warmth: 1}
 		if e.State == policy.Ready {
-			m.State = outage.Ready
+			m.State = maintenance.Ready
 		}
 		if e.Started > 0 {
-			m.Warmth = cold.Warmth(e.Started+x.cfg.Policy.ColdTime-now, x.cfg.Policy.ColdTime, x.cfg.Policy.ColdFrom)
+			m.Warmth = slowstart.Warmth(e.Started+x.cfg.Policy.ColdTime-now, x.cfg.Policy.ColdTime, x.cfg.Policy.ColdFrom)
 		}
 		all = append(all, m)
 	}
@@ -174,7 +174,7 @@
 func (x *site) Handled() (all, passed uint64) {
 	for _, by := range x.figures.Handled() {
 		for o, n := range by {
-			if all += n; figures.Outcome(o) == figures.Passed {
+			if all += n; metrics.Outcome(o) == metrics.Passed {
 				passed += n
 			}
 		}
--- a/internal/daemon/front_test.go
+++ b/internal/daemon/front_test.go
@@ -14,12 +14,12 @@
 	"testing"
 	"time"
 
-	"caperarch/internal/lab/rig"
+	"caperarch/internal/lab/testbed"
 	"caperarch/internal/proxy/call"
 )
 
 func TestServed(t *testing.T) {
-	s := rig.NewStub(t, func(c net.Conn, r rig.Received) bool {
+	s := testbed.NewStub(t, func(c net.Conn, r testbed.Received) bool {
 		_, err := fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Type: text/hive\r\nX-Server-Load: TEXT inflight=1\r\n"+
 			"Content-Length: %d\r\n\r\n%s", len(r.Body), r.Body)
 		return err == nil
@@ -33,7 +33,7 @@
 	if res.StatusCode != http.StatusOK || body != "41.5 kg" || res.Header.Get("Content-Type") != "text/hive" {
 		t.Fatalf("%s, body %q, headers %v", res.Status, body, res.Header)
 	}
-	got := rig.Wait(t, "the request", s.Seen)
+	got := testbed.Wait(t, "the request", s.Seen)
 	if got.Method != "POST" || got.URI != "/reading/hive%2F7?scale=a%20b&x" || got.Body != "41.5 kg" ||
 		got.Header.Get("X-Request-ID") != "r1" || got.Header.Get("Idempotency-Key") != "k1" {
 		t.Errorf("the upstream had %s %s %q, headers %v", got.Method, got.URI, got.Body, got.Header)
@@ -45,7 +45,7 @@
 
 // Bad input has a plain answer and no attempt.
 func TestBadInput(t *testing.T) {
-	s := rig.NewStub(t, rig.Echo)
+	s := testbed.NewStub(t, testbed.Echo)
 	side := start(t, nil, s.Address)
 	for name, c := range map[string]struct {
 		status int
@@ -84,7 +84,7 @@
 
 // An unsafe request that may have run has failed; nobody sends it again.
 func TestFailed(t *testing.T) {
-	s := rig.NewStub(t, func(c net.Conn, _ rig.Received) bool {
+	s := testbed.NewStub(t, func(c net.Conn, _ testbed.Received) bool {
 		_, err := fmt.Fprint(c, "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")
 		return err == nil
 	})
@@ -114,7 +114,7 @@
 		}()
 	}
 	for range requests {
-		a := rig.Wait(t, "a refusal", answers)
+		a := testbed.Wait(t, "a refusal", answers)
 		if a.err != nil {
 			t.Fatal(a.err)
 		}
@@ -135,7 +135,7 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	_ = c.SetDeadline(time.Now().Add(rig.Generous))
+	_ = c.SetDeadline(time.Now().Add(testbed.Generous))
 	if _, err := io.WriteString(c, bytes); err != nil {
 		t.Fatal(err)
 	}
@@ -159,7 +159,7 @@
 // What can't be read or is not to be trusted gets one error and a close, unread, and nothing of it
 // reaches an upstream: a request hidden in a body least of all.
 func TestMalformedRequests(t *testing.T) {
-	s := rig.NewStub(t, rig.Echo)
+	s := testbed.NewStub(t, testbed.Echo)
 	side := start(t, nil, s.Address)
 	head, hidden := fmt.Sprintf(rawHead, "r1"), fmt.Sprintf(rawHead, "hidden")+"Content-Length: 1\r\n\r\n1"
 	for name, c := range map[string]struct {
@@ -215,7 +215,7 @@
 			}
 			defer c.Close()
 			begun := time.Now()
-			_ = c.SetDeadline(begun.Add(rig.Generous))
+			_ = c.SetDeadline(begun.Add(testbed.Generous))
 			_, err = fmt.Fprintf(c, "POST /entry HTTP/1.1\r\nHost: a\r\nConnection: close\r\nContent-Length: %d\r\n\r\n", rest)
 			if err != nil {
 				t.Fatal(err)
@@ -247,9 +247,9 @@
 // The id of a request that is open is another's; once that one has its answer it may be used again.
 func TestIDOfAnOpenRequest(t *testing.T) {
 	release := make(chan struct{})
-	s := rig.NewStub(t, func(c net.Conn, r rig.Received) bool {
+	s := testbed.NewStub(t, func(c net.Conn, r testbed.Received) bool {
 		<-release
-		return rig.Echo(c, r)
+		return testbed.Echo(c, r)
 	})
 	side := start(t, nil, s.Address)
 	first := side.request(t, "POST", "/entry", "1")
@@ -258,15 +258,15 @@
 		res, _ := do(t, first)
 		answered <- res.StatusCode
 	}()
-	rig.Wait(t, "the first request", s.Seen)
+	testbed.Wait(t, "the first request", s.Seen)
 	if res, _ := do(t, side.request(t, "POST", "/entry", "1")); res.StatusCode != http.StatusConflict || !res.Close {
 		t.Errorf("%s, want 409 and a close", res.Status)
 	}
 	close(release)
-	if status := rig.Wait(t, "the first answer", answered); status != http.StatusOK {
+	if status := testbed.Wait(t, "the first answer", answered); status != http.StatusOK {
 		t.Errorf("the first request: %d", status)
 	}
-	for end := time.Now().Add(rig.Generous); ; time.Sleep(time.Millisecond) { // its end is a moment behind its answer
+	for end := time.Now().Add(testbed.Generous); ; time.Sleep(time.Millisecond) { // its end is a moment behind its answer
 		if res, _ := do(t, side.request(t, "POST", "/entry", "1")); res.StatusCode == http.StatusOK {
 			return
 		} else if time.Now().After(end) {
@@ -279,11 +279,11 @@
 // without a request for longest makes room, and one with a request never does.
 func TestMostConnections(t *testing.T) {
 	release := make(chan struct{})
-	s := rig.NewStub(t, func(c net.Conn, r rig.Received) bool {
+	s := testbed.NewStub(t, func(c net.Conn, r testbed.Received) bool {
 		if r.Header.Get("X-Request-ID") == "held" {
 			<-release
 		}
-		return rig.Echo(c, r)
+		return testbed.Echo(c, r)
 	})
 	side := start(t, func(file, _ map[string]any) { file["limits"].(map[string]any)["sockets"] = 32 }, s.Address)
 	address := strings.TrimPrefix(side.url, "http://")
@@ -295,7 +295,7 @@
 	if err := side.request(t, "GET", "/look", "", "X-Request-ID", "held").Write(held); err != nil {
 		t.Fatal(err)
 	}
-	rig.Wait(t, "the held request", s.Seen)
+	testbed.Wait(t, "the held request", s.Seen)
 	closed := make(chan error, 40)
 	for range 40 {
 		c, err := net.Dial("tcp", address)
@@ -311,7 +311,7 @@
 	if res, body := do(t, side.request(t, "GET", "/look", "")); res.StatusCode != http.StatusOK || body != "done r1" {
 		t.Errorf("%s %q among silent connections, want 200", res.Status, body)
 	}
-	rig.Wait(t, "a silent connection to close", closed)
+	testbed.Wait(t, "a silent connection to close", closed)
 	close(release)
 	if res, err := http.ReadResponse(bufio.NewReader(held), nil); err != nil || res.StatusCode != http.StatusOK {
 		t.Errorf("the held request: %v, error %v, want 200", res, err)
@@ -323,7 +323,7 @@
 func TestAmongFailingUpstreams(t *testing.T) {
 	var mu sync.Mutex
 	ran := make(map[string]int)
-	fails := func(c net.Conn, r rig.Received) bool {
+	fails := func(c net.Conn, r testbed.Received) bool {
 		id := r.Header.Get("X-Request-ID")
 		n, _ := strconv.Atoi(id)
 		if n%5 == 0 && r.Conn%2 == 0 {
@@ -343,10 +343,10 @@
 			_, err := fmt.Fprint(c, "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")
 			return err == nil
 		}
-		return rig.Echo(c, r)
+		return testbed.Echo(c, r)
 	}
-	side := start(t, nil, rig.NewStub(t, fails).Address, rig.NewStub(t, fails).Address, rig.NewStub(t, fails).Address)
-	client := http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 8}, Timeout: rig.Generous}
+	side := start(t, nil, testbed.NewStub(t, fails).Address, testbed.NewStub(t, fails).Address, testbed.NewStub(t, fails).Address)
+	client := http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 8}, Timeout: testbed.Generous}
 	var clients sync.WaitGroup
 	for worker := range 8 {
 		clients.Go(func() {
@@ -386,13 +386,13 @@
 
 // Over caps.max_open requests are refused without an attempt.
 func TestMostOpen(t *testing.T) {
-	s := rig.NewStub(t, rig.Silent)
+	s := testbed.NewStub(t, testbed.Silent)
 	side := start(t, func(_, settings map[string]any) { settings["caps"].(map[string]any)["max_open"] = 1 }, s.Address)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	first := side.request(t, "GET", "/look", "").WithContext(ctx)
 	go func() { _, _ = http.DefaultClient.Do(first) }()
-	rig.Wait(t, "the first request", s.Seen)
+	testbed.Wait(t, "the first request", s.Seen)
 	if res, _ := do(t, side.request(t, "GET", "/look", "", "X-Request-ID", "r2")); res.StatusCode != http.StatusServiceUnavailable || res.Header.Get("Retry-After") == "" {
 		t.Errorf("%s, headers %v, want 503 with Retry-After", res.Status, res.Header)
 	}
@@ -403,7 +403,7 @@
 
 // Clients that tell of a body and don't send it use up nothing that requests are counted against.
 func TestUnsentBodiesAreNotCounted(t *testing.T) {
-	s := rig.NewStub(t, rig.Echo)
+	s := testbed.NewStub(t, testbed.Echo)
 	side := start(t, func(_, settings map[string]any) { settings["caps"].(map[string]any)["max_open"] = 1 }, s.Address)
 	for i := range 3 {
 		c, err := net.Dial("tcp", strings.TrimPrefix(side.url, "http://"))
@@ -425,29 +425,29 @@
 
 // A client that closes its connection calls its request off, as far as the upstream.
 func TestClientCloses(t *testing.T) {
-	s := rig.NewStub(t, rig.Silent)
+	s := testbed.NewStub(t, testbed.Silent)
 	side := start(t, func(_, settings map[string]any) { // no time-out may end the attempt before the test does
 		look := settings["classes"].([]any)[2].(map[string]any)
-		look["aim_ms"], look["hard_limit_ms"] = 10*rig.Generous.Milliseconds(), 20*rig.Generous.Milliseconds()
+		look["aim_ms"], look["hard_limit_ms"] = 10*testbed.Generous.Milliseconds(), 20*testbed.Generous.Milliseconds()
 	}, s.Address)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	req := side.request(t, "GET", "/look", "", "X-Timeout", "400000m").WithContext(ctx)
 	go func() { _, _ = http.DefaultClient.Do(req) }()
-	rig.Wait(t, "the request", s.Seen)
+	testbed.Wait(t, "the request", s.Seen)
 	cancel()
-	rig.Wait(t, "the attempt's connection to close", s.Closed)
+	testbed.Wait(t, "the attempt's connection to close", s.Closed)
 }
 
 // After SIGTERM what is held is answered, new connections are served for a while, all of them
 // close, and the sidecar ends by itself. http.Server.Shutdown alone would refuse the newcomers.
 func TestStop(t *testing.T) {
 	release := make(chan struct{})
-	s := rig.NewStub(t, func(c net.Conn, r rig.Received) bool {
+	s := testbed.NewStub(t, func(c net.Conn, r testbed.Received) bool {
 		if r.Header.Get("X-Request-ID") == "held" {
 			<-release
 		}
-		return rig.Echo(c, r)
+		return testbed.Echo(c, r)
 	})
 	side := start(t, nil, s.Address)
 	address := strings.TrimPrefix(side.url, "http://")
@@ -459,7 +459,7 @@
 	if err := side.request(t, "GET", "/look", "", "X-Request-ID", "held").Write(conn); err != nil {
 		t.Fatal(err)
 	}
-	rig.Wait(t, "the held request", s.Seen)
+	testbed.Wait(t, "the held request", s.Seen)
 	side.stop()
 	for { // until the stop has begun
 		if res, _ := do(t, side.request(t, "GET", "/up", "")); res.StatusCode == http.StatusServiceUnavailable {
@@ -475,7 +475,7 @@
 		t.Fatalf("the held request: %+v, error %v, want 200 and the connection closed", res, err)
 	}
 	res.Body.Close()
-	if err := rig.Wait(t, "the end", side.ended); err != nil {
+	if err := testbed.Wait(t, "the end", side.ended); err != nil {
 		t.Errorf("ended with %v", err)
 	}
 }
--- a/internal/daemon/handover/handover_test.go
+++ b/internal/daemon/handover/handover_test.go
@@ -9,8 +9,8 @@
 	"testing"
 	"time"
 
-	"caperarch/internal/lab/rig"
-	"caperarch/internal/lab/rig/damage"
+	"caperarch/internal/lab/testbed"
+	"caperarch/internal/lab/testbed/damage"
 	"caperarch/internal/proxy/call"
 	"caperarch/policy"
 )
@@ -74,7 +74,7 @@
 		if err := old.Tell(old.Look().Arrival, r); err != nil {
 			t.Fatal(err)
 		}
-		if got, err := young.Await(rig.Generous); err != nil || got.Pools[""].Version != 7 || got.Pools[""].Ever[0] != 1<<63 {
+		if got, err := young.Await(testbed.Generous); err != nil || got.Pools[""].Version != 7 || got.Pools[""].Ever[0] != 1<<63 {
 			t.Fatalf("%+v, %v", got, err)
 		}
 		old.Close()
@@ -127,13 +127,13 @@
 	if err := os.WriteFile(filepath.Join(dir, recordName), raw[:len(raw)/2], 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := young.Await(rig.Generous); err == nil || err == ErrNoRecord {
+	if _, err := young.Await(testbed.Generous); err == nil || err == ErrNoRecord {
 		t.Errorf("cut: %v", err)
 	}
 	if err := os.WriteFile(filepath.Join(dir, recordName), make([]byte, recordMost+1), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := young.Await(rig.Generous); !errors.Is(err, errDamaged) {
+	if _, err := young.Await(testbed.Generous); !errors.Is(err, errDamaged) {
 		t.Errorf("too long: %v", err)
 	}
 }
@@ -172,7 +172,7 @@
 					t.Fatal(err)
 				}
 				defer c.Close()
-				got[rig.Wait(t, "a connection", count)]++
+				got[testbed.Wait(t, "a connection", count)]++
 			}
 			return got
 		}
--- a/internal/daemon/pools_test.go
+++ b/internal/daemon/pools_test.go
@@ -17,15 +17,15 @@
 	"time"
 
 	"caperarch/internal/daemon/config"
-	"caperarch/internal/lab/rig"
+	"caperarch/internal/lab/testbed"
 )
 
 // world is a daemon with two pools: ledger, with two thirds, and meters.
 type world struct {
 	dir, address   string
-	ledger, meters *rig.Ledger
-	nodes          map[string]*rig.Node
-	lists          map[string]*rig.Discovery
+	ledger, meters *testbed.Ledger
+	nodes          map[string]*testbed.Node
+	lists          map[string]*testbed.Discovery
 	reload         chan os.Signal
 	ended          chan error
 	stop           context.CancelFunc
@@ -51,16 +51,16 @@
 func startPools(t *testing.T, edit func(file, settings map[string]any)) *world {
 	t.Helper()
 	w := &world{
-		dir: t.TempDir(), ledger: new(rig.Ledger), meters: new(rig.Ledger), nodes: make(map[string]*rig.Node),
-		lists: make(map[string]*rig.Discovery), reload: make(chan os.Signal, 1), ended: make(chan error, 1),
+		dir: t.TempDir(), ledger: new(testbed.Ledger), meters: new(testbed.Ledger), nodes: make(map[string]*testbed.Node),
+		lists: make(map[string]*testbed.Discovery), reload: make(chan os.Signal, 1), ended: make(chan error, 1),
 	}
-	for name, l := range map[string]*rig.Ledger{"ledger": w.ledger, "meters": w.meters} {
-		n := rig.NewHTTPNode(t, name+"-0", l)
-		w.nodes[name], w.lists[name] = n, rig.NewDiscovery(t, n)
+	for name, l := range map[string]*testbed.Ledger{"ledger": w.ledger, "meters": w.meters} {
+		n := testbed.NewHTTPNode(t, name+"-0", l)
+		w.nodes[name], w.lists[name] = n, testbed.NewDiscovery(t, n)
 		w.write(t, name+".json", w.config(t, name, nil))
 	}
 	w.write(t, "pools.toml", poolsText)
-	cfg, err := config.Parse([]byte(rig.ConfigText(t, rig.Listed(1, "ready"), edit)), func(string) string { return "" })
+	cfg, err := config.Parse([]byte(testbed.ConfigText(t, testbed.Listed(1, "ready"), edit)), func(string) string { return "" })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -81,7 +81,7 @@
 }
 
 func (w *world) config(t *testing.T, name string, edit func(file, settings map[string]any)) string {
-	return rig.ConfigText(t, rig.Known(w.nodes[name]), func(file, settings map[string]any) {
+	return testbed.ConfigText(t, testbed.Known(w.nodes[name]), func(file, settings map[string]any) {
 		file["discovery"] = w.lists[name].Address
 		for _, c := range settings["classes"].([]any) { // none that a case waits for
 			class := c.(map[string]any)
@@ -121,7 +121,7 @@
 	if class == "reading" {
 		req.Header.Set("Idempotency-Key", "k"+id)
 	}
-	client := http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: rig.Generous}
+	client := http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: testbed.Generous}
 	res, err := client.Do(req)
 	if err != nil {
 		t.Error(err)
@@ -189,7 +189,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		_ = c.SetDeadline(time.Now().Add(rig.Generous))
+		_ = c.SetDeadline(time.Now().Add(testbed.Generous))
 		if _, err := io.WriteString(c, head+rest); err != nil {
 			t.Errorf("%s: %v", name, err)
 		}
@@ -209,10 +209,10 @@
 	w := startPools(t, nil)
 	release, arrived := make(chan struct{}), make(chan struct{}, 4)
 	for _, n := range w.nodes {
-		n.Do(func(rig.Arrival) rig.Act {
+		n.Do(func(testbed.Arrival) testbed.Act {
 			arrived <- struct{}{}
 			<-release
-			return rig.Serve
+			return testbed.Serve
 		})
 	}
 	answers := make(chan int, 2)
@@ -221,11 +221,11 @@
 			status, _ := w.call(t, host, "/reading", "twin")
 			answers <- status
 		}()
-		rig.Wait(t, "a request", arrived)
+		testbed.Wait(t, "a request", arrived)
 	}
 	close(release)
 	for range 2 {
-		if status := rig.Wait(t, "an answer", answers); status != 200 {
+		if status := testbed.Wait(t, "an answer", answers); status != 200 {
 			t.Errorf("status %d", status)
 		}
 	}
@@ -238,7 +238,7 @@
 		t.Fatalf("status %d before", status)
 	}
 	w.lists["ledger"].Down(true)
-	w.nodes["ledger"].Do(rig.Always(rig.Hang))
+	w.nodes["ledger"].Do(testbed.Always(testbed.Hang))
 	var flood sync.WaitGroup
 	var refused atomic.Int64
 	for range 200 {
@@ -248,7 +248,7 @@
 			}
 		})
 	}
-	rig.Until(t, "the flood", func() bool { return refused.Load() > 50 })
+	testbed.Until(t, "the flood", func() bool { return refused.Load() > 50 })
 	for range 50 {
 		begun := time.Now()
 		if status, body := w.call(t, "meters.example.org", "/reading", ""); status != 200 || time.Since(begun) > time.Second {
@@ -311,7 +311,7 @@
 		t.Errorf("served %d, no route for %d: nothing is shown", served.Load(), gone.Load())
 	}
 	w.stop()
-	if err := rig.Wait(t, "the end", w.ended); err != nil {
+	if err := testbed.Wait(t, "the end", w.ended); err != nil {
 		t.Errorf("ended with %v", err)
 	}
 }
--- a/internal/daemon/service.go
+++ b/internal/daemon/service.go
@@ -12,13 +12,13 @@
 	"sync/atomic"
 	"time"
 
-	"caperarch/internal/daemon/bans"
 	"caperarch/internal/daemon/config"
 	"caperarch/internal/daemon/control"
+	"caperarch/internal/daemon/cordonstore"
 	"caperarch/internal/daemon/handover"
 	"caperarch/internal/fleet"
-	"caperarch/internal/proxy/figures"
 	fronthttp1 "caperarch/internal/proxy/front/http1"
+	"caperarch/internal/proxy/metrics"
 )
 
 // figuresEvery is how often the figures go to the log.
@@ -27,8 +27,8 @@
 // service is what operators see of the process, whatever pools it has.
 type service struct {
 	log     *slog.Logger
-	figures *figures.Set
-	keeper  *bans.Keeper
+	figures *metrics.Set
+	keeper  *cordonstore.Keeper
 	control net.Listener     // nil: operators call nowhere
 	callers int              // at once
 	memory  int64            // bytes that the heap may have; 0: no limit is known
@@ -50,7 +50,7 @@
 // newService listens where operators call. Their calls are answered once serve is called.
 func newService(cfg *config.Config, log *slog.Logger, o *options) (*service, error) {
 	s := &service{
-		log: log, figures: new(figures.Set), parts: make(map[*parts]bool), callers: control.CallersFor(cfg.Sockets),
+		log: log, figures: new(metrics.Set), parts: make(map[*parts]bool), callers: control.CallersFor(cfg.Sockets),
 		most:   cfg.ClientConns(),
 		memory: int64(cfg.MemoryMB) << 20 / 2, // well under what the process is killed at
 	}
@@ -71,7 +71,7 @@
 		}
 	}
 	s.sit(dir)
-	s.keeper = bans.New(dir, log)
+	s.keeper = cordonstore.New(dir, log)
 	return s, nil
 }
 
--- a/internal/daemon/service_test.go
+++ b/internal/daemon/service_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"caperarch/internal/lab/rig"
+	"caperarch/internal/lab/testbed"
 )
 
 // operator has the control address of a sidecar.
@@ -20,10 +20,10 @@
 // operated starts a sidecar with a control address and a folder for bans.
 func operated(t *testing.T, addresses ...string) (*running, operator) {
 	t.Helper()
-	o := operator{rig.FreeAddress(t)}
+	o := operator{testbed.FreeAddress(t)}
 	t.Setenv("TMPDIR", t.TempDir())
 	side := start(t, func(file, _ map[string]any) { file["control"] = o.address }, addresses...)
-	rig.Until(t, "the control address", func() bool {
+	testbed.Until(t, "the control address", func() bool {
 		c, err := net.Dial("tcp", o.address)
 		if err == nil {
 			c.Close()
@@ -35,7 +35,7 @@
 
 func (o operator) call(t *testing.T, line string) string {
 	t.Helper()
-	text, err := rig.Operate(o.address, line)
+	text, err := testbed.Operate(o.address, line)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -66,7 +66,7 @@
 
 // From the yes on nothing new goes to an upstream that is out by hand, whatever the next list says; from the call back on it is used again.
 func TestOutByHand(t *testing.T) {
-	a, b := rig.NewStub(t, rig.Echo), rig.NewStub(t, rig.Echo)
+	a, b := testbed.NewStub(t, testbed.Echo), testbed.NewStub(t, testbed.Echo)
 	side, o := operated(t, a.Address, b.Address)
 	o.want(t, "health", "200")
 	ask := func(n int) {
@@ -109,12 +109,12 @@
 
 // Whatever ends how: what was taken is what was passed, dropped, failed and what is in progress, and the upstreams had as many attempts as were counted.
 func TestFiguresAddUp(t *testing.T) {
-	var l rig.Ledger
+	var l testbed.Ledger
 	var addresses []string
 	for i := range 4 {
-		n := rig.NewHTTPNode(t, fmt.Sprint("s-", i), &l)
-		act := [...]rig.Act{rig.Serve, rig.Fail, rig.Refuse, rig.Reset}[i]
-		n.Do(rig.Always(act))
+		n := testbed.NewHTTPNode(t, fmt.Sprint("s-", i), &l)
+		act := [...]testbed.Act{testbed.Serve, testbed.Fail, testbed.Refuse, testbed.Reset}[i]
+		n.Do(testbed.Always(act))
 		addresses = append(addresses, n.Address)
 	}
 	side, o := operated(t, addresses...)
@@ -158,7 +158,7 @@
 	}
 	all.Wait()
 	var f map[string]int
-	rig.Until(t, "nothing in progress", func() bool { f = o.figures(t); return f["edge_in_progress"] == 0 })
+	testbed.Until(t, "nothing in progress", func() bool { f = o.figures(t); return f["edge_in_progress"] == 0 })
 	sum := 0
 	for _, outcome := range []string{"passed", "dropped", "bad_gateway"} {
 		n := 0
--- a/internal/daemon/stub_test.go
+++ b/internal/daemon/stub_test.go
@@ -10,7 +10,7 @@
 	"testing"
 
 	"caperarch/internal/daemon/config"
-	"caperarch/internal/lab/rig"
+	"caperarch/internal/lab/testbed"
 )
 
 // running is a whole sidecar over loopback.
@@ -23,7 +23,7 @@
 // start serves with the stubs' addresses as the list of servers, which discovery repeats.
 func start(t *testing.T, edit func(file, settings map[string]any), addresses ...string) *running {
 	t.Helper()
-	list := rig.Listed(1, "ready", addresses...)
+	list := testbed.Listed(1, "ready", addresses...)
 	d := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.RawQuery != "" { // a watch: nothing changes
 			<-r.Context().Done()
@@ -32,7 +32,7 @@
 		_, _ = io.WriteString(w, list)
 	}))
 	t.Cleanup(d.Close)
-	cfg, err := config.Parse([]byte(rig.ConfigText(t, list, func(file, settings map[string]any) {
+	cfg, err := config.Parse([]byte(testbed.ConfigText(t, list, func(file, settings map[string]any) {
 		file["discovery"] = d.Listener.Addr().String()
 		if edit != nil {
 			edit(file, settings)
@@ -81,7 +81,7 @@
 // do sends a request on a connection of its own and returns the answer with its body.
 func do(t *testing.T, req *http.Request) (*http.Response, string) {
 	t.Helper()
-	client := http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: rig.Generous}
+	client := http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: testbed.Generous}
 	res, err := client.Do(req)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/daemon/wayin_test.go
+++ b/internal/daemon/wayin_test.go
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"caperarch/internal/lab/rig"
+	"caperarch/internal/lab/testbed"
 	"caperarch/internal/proxy/call"
 )
 
@@ -24,7 +24,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	_ = c.SetDeadline(time.Now().Add(rig.Generous))
+	_ = c.SetDeadline(time.Now().Add(testbed.Generous))
 	return c, bufio.NewReader(c)
 }
 
@@ -50,7 +50,7 @@
 
 // Requests that come in one go are answered in order, also those whose client ends its side behind the last.
 func TestPipelined(t *testing.T) {
-	s := rig.NewStub(t, rig.Echo)
+	s := testbed.NewStub(t, testbed.Echo)
 	side := start(t, nil, s.Address)
 	c, r := side.dial(t)
 	var all strings.Builder
@@ -76,16 +76,16 @@
 // A refusal at the head comes before the body does, and the connection goes on behind the body.
 func TestRefusedAtTheHead(t *testing.T) {
 	release := make(chan struct{})
-	s := rig.NewStub(t, func(c net.Conn, r rig.Received) bool {
+	s := testbed.NewStub(t, func(c net.Conn, r testbed.Received) bool {
 		if r.Header.Get("X-Request-ID") == "held" {
 			<-release
 		}
-		return rig.Echo(c, r)
+		return testbed.Echo(c, r)
 	})
 	side := start(t, func(_, settings map[string]any) { settings["caps"].(map[string]any)["max_open"] = 1 }, s.Address)
 	held, heldAnswer := side.dial(t)
 	say(t, held, rawHead+"Content-Length: 1\r\n\r\n1", "held")
-	rig.Wait(t, "the held request", s.Seen)
+	testbed.Wait(t, "the held request", s.Seen)
 	c, r := side.dial(t)
 	say(t, c, rawHead+"Content-Length: %d\r\n\r\n", "r2", call.BodyLimit)
 	if status, _ := hear(t, r); status != http.StatusServiceUnavailable {
@@ -106,7 +106,7 @@
 
 // Bodies that come a byte at a time take no place of requests that come whole; they are answered.
 func TestTricklesMakeRoom(t *testing.T) {
-	s := rig.NewStub(t, rig.Echo)
+	s := testbed.NewStub(t, testbed.Echo)
 	side := start(t, func(file, _ map[string]any) { file["limits"].(map[string]any)["sockets"] = 32 }, s.Address) // 16 clients
 	var trickles []*bufio.Reader
 	for i := range 16 {
@@ -140,7 +140,7 @@
 // A long answer goes out whole, also to a client that takes its time.
 func TestLongAnswer(t *testing.T) {
 	text := strings.Repeat("0123456789abcdef", call.BodyLimit/16)
-	s := rig.NewStub(t, func(c net.Conn, r rig.Received) bool {
+	s := testbed.NewStub(t, func(c net.Conn, r testbed.Received) bool {
 		_, err := fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
 		return err == nil
 	})
@@ -161,7 +161,7 @@
 
 // Two thousand hostile connections cost no more memory than the bounds come to, and a client that asks is served.
 func TestTwoThousandHostile(t *testing.T) {
-	s := rig.NewStub(t, rig.Echo)
+	s := testbed.NewStub(t, testbed.Echo)
 	side := start(t, func(file, _ map[string]any) { file["limits"].(map[string]any)["sockets"] = 512 }, s.Address)
 	address := strings.TrimPrefix(side.url, "http://")
 	var before, after runtime.MemStats
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -16,11 +16,11 @@
 	"time"
 
 	"caperarch/internal/daemon/config"
-	"caperarch/internal/fleet/hints"
+	"caperarch/internal/fleet/healthgossip"
 	"caperarch/internal/fleet/peer"
 	"caperarch/internal/fleet/swim"
 	"caperarch/internal/proxy/clock"
-	"caperarch/internal/proxy/figures"
+	"caperarch/internal/proxy/metrics"
 	"caperarch/internal/proxy/subset"
 	"caperarch/policy"
 )
@@ -56,7 +56,7 @@
 	link *peer.Link // nil: the address is not ours yet
 
 	hintsMu sync.Mutex // apart from mu: the module asks in the middle of its work
-	hints   *hints.Book
+	hints   *healthgossip.Book
 	hintAt  time.Duration // when others are told next
 	rng     *rand.Rand
 }
@@ -104,7 +104,7 @@
 	}
 	f.known.Store(int64(cfg.Policy.Balancers))
 	f.begin.Store(math.Float64bits(f.alone()))
-	f.hints, f.rng = hints.New(len(f.peers)), rand.New(rand.NewPCG(cfg.Seed, 2))
+	f.hints, f.rng = healthgossip.New(len(f.peers)), rand.New(rand.NewPCG(cfg.Seed, 2))
 	return f, nil
 }
 
@@ -233,14 +233,14 @@
 	}
 	f.hintsMu.Lock()
 	defer f.hintsMu.Unlock()
-	f.hints.Ended(f.now(), hints.Server(to), answered)
+	f.hints.Ended(f.now(), healthgossip.Server(to), answered)
 }
 
 // Doubted says whether enough others say that a server does not answer them.
 func (f *Fleet) Doubted(s policy.ServerID) bool {
 	f.hintsMu.Lock()
 	defer f.hintsMu.Unlock()
-	return f.hints.Doubted(f.now(), hints.Server(s))
+	return f.hints.Doubted(f.now(), healthgossip.Server(s))
 }
 
 // Policy is this sidecar's part in the policy that the fleet agrees on; nil: it has none.
@@ -291,10 +291,10 @@
 }
 
 // Figures is the present view in numbers.
-func (f *Fleet) Figures() figures.Peers {
+func (f *Fleet) Figures() metrics.Peers {
 	v := f.View()
 	l := v.Link
-	p := figures.Peers{
+	p := metrics.Peers{
 		Contact: v.Contact, Sidecars: v.Sidecars, SentBytes: l.SentBytes, Dropped: l.Length + l.Spoilt + l.OtherFleet + l.Newer + l.Address,
 		Members: make(map[string]int),
 	}
@@ -341,9 +341,9 @@
 }
 
 func (t taker) Hint(from int, silent []uint64) {
-	all := make([]hints.Server, len(silent))
+	all := make([]healthgossip.Server, len(silent))
 	for i, s := range silent {
-		all[i] = hints.Server(s)
+		all[i] = healthgossip.Server(s)
 	}
 	t.f.hintsMu.Lock()
 	defer t.f.hintsMu.Unlock()
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -10,7 +10,7 @@
 	"go.uber.org/goleak"
 
 	"caperarch/internal/daemon/config"
-	"caperarch/internal/lab/rig"
+	"caperarch/internal/lab/testbed"
 	"caperarch/policy"
 )
 
@@ -47,7 +47,7 @@
 func TestTwoOfOneNumber(t *testing.T) {
 	var peers []string
 	for range 3 {
-		peers = append(peers, rig.FreeAddress(t))
+		peers = append(peers, testbed.FreeAddress(t))
 	}
 	running, stop := context.WithCancel(context.Background())
 	done := make(chan struct{}, 4)
@@ -70,7 +70,7 @@
 			done <- struct{}{}
 		}()
 	}
-	rig.Until(t, "the three to be in contact", func() bool {
+	testbed.Until(t, "the three to be in contact", func() bool {
 		return all[0].InContact() && all[1].InContact() && all[2].InContact() && all[0].Sidecars() == 3
 	})
 	if all[3].InContact() {
@@ -89,7 +89,7 @@
 	}
 	stop()
 	for range all {
-		rig.Wait(t, "an end", done)
+		testbed.Wait(t, "an end", done)
 	}
 	if all[0].InContact() {
 		t.Error("in contact behind its end")
@@ -98,7 +98,7 @@
 
 // While another process has the address, it waits, and takes no part.
 func TestWaitsForItsAddress(t *testing.T) {
-	address := rig.FreeAddress(t)
+	address := testbed.FreeAddress(t)
 	var runs []context.CancelFunc
 	var all []*Fleet
 	done := make(chan int, 2)
@@ -116,15 +116,15 @@
 			done <- i
 		}()
 		if i == 0 {
-			rig.Until(t, "one alone to be in contact", f.InContact)
+			testbed.Until(t, "one alone to be in contact", f.InContact)
 		}
 	}
 	if all[1].InContact() {
 		t.Error("the second is in contact without its address")
 	}
 	runs[0]()
-	rig.Wait(t, "the first to end", done)
-	rig.Until(t, "the second to have the address", all[1].InContact)
+	testbed.Wait(t, "the first to end", done)
+	testbed.Until(t, "the second to have the address", all[1].InContact)
 	runs[1]()
-	rig.Wait(t, "the second to end", done)
+	testbed.Wait(t, "the second to end", done)
 }
--- a/internal/fleet/hints/hints.go
+++ b/internal/fleet/healthgossip/healthgossip.go
@@ -1,9 +1,9 @@
-// Package hints keeps what sidecars tell each other of servers that don't answer. It is free of I/O; time is passed in.
+// Package healthgossip keeps what sidecars tell each other of servers that don't answer. It is free of I/O; time is passed in.
 //
 // A hint only adds caution, and only to what the one who hears it finds itself: where enough others say lately that a server is silent, one failure of one's own counts
 // as two in a row do else, so that a quiet sidecar does not need a second request to pay for it. Nothing that is heard makes a server more loved, adds one, or takes
 // its turns away by itself. So the greatest harm of any number of liars is that a server rests for 20 ms, at most 0.64 s, after a single failure of its own.
-package hints
+package healthgossip
 
 import (
 	"slices"
--- a/internal/fleet/hints/hints_test.go
+++ b/internal/fleet/healthgossip/healthgossip_test.go
@@ -1,4 +1,4 @@
-package hints
+package healthgossip
 
 import (
 	"slices"
--- a/internal/fleet/outage/plan.go
+++ b/internal/fleet/maintenance/plan.go
@@ -1,6 +1,6 @@
-// Package outage is how the sidecars of a fleet take machines out for work, one turn after the other: the operator's plan, the bounds on how many may be out, the order, and the turns as entries of the
+// Package maintenance is how the sidecars of a fleet take machines out for work, one turn after the other: the operator's plan, the bounds on how many may be out, the order, and the turns as entries of the
 // agreed log. It is free of I/O, goroutines and clocks. Equal entries give equal State everywhere; only the log's leader decides (Leader), by what it knows of the machines at that moment.
-package outage
+package maintenance
 
 import (
 	"errors"
@@ -11,7 +11,7 @@
 	"strings"
 	"time"
 
-	"caperarch/internal/proxy/strict"
+	"caperarch/internal/proxy/strictconfig"
 )
 
 const (
@@ -99,7 +99,7 @@
 // Parse reads a plan. An error names line or field.
 func Parse(text []byte) (*Plan, error) {
 	p := &Plan{InTime: 0.95, Longest: Duration(time.Hour), Back: Told, CutOff: Told, Reserve: 0.1}
-	if err := strict.TOML(text, p); err != nil {
+	if err := strictconfig.TOML(text, p); err != nil {
 		return nil, err
 	}
 	return p, p.check()
--- a/internal/fleet/outage/roll.go
+++ b/internal/fleet/maintenance/roll.go
@@ -1,4 +1,4 @@
-package outage
+package maintenance
 
 import (
 	"maps"
--- a/internal/fleet/outage/step.go
+++ b/internal/fleet/maintenance/step.go
@@ -1,4 +1,4 @@
-package outage
+package maintenance
 
 import (
 	"crypto/sha256"
@@ -7,7 +7,7 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"caperarch/internal/fleet/outage/outagepb"
+	"caperarch/internal/fleet/maintenance/outagepb"
 )
 
 // Kind is what an entry of the log says.
--- a/internal/fleet/operate.go
+++ b/internal/fleet/operate.go
@@ -10,8 +10,8 @@
 	"strings"
 	"time"
 
-	"caperarch/internal/fleet/accord"
-	"caperarch/internal/fleet/fleetpolicy"
+	"caperarch/internal/fleet/policyrollout"
+	"caperarch/internal/fleet/replicatedstate"
 )
 
 const (
@@ -37,7 +37,7 @@
 func UploadPiece(text []byte, i int) []string {
 	from := i * uploadPiece
 	part := text[from:min(len(text), from+uploadPiece)]
-	return []string{fleetpolicy.Hash(text), strconv.Itoa(i), strconv.Itoa(UploadCount(text)), "=" + base64.RawStdEncoding.EncodeToString(part)}
+	return []string{policyrollout.Hash(text), strconv.Itoa(i), strconv.Itoa(UploadCount(text)), "=" + base64.RawStdEncoding.EncodeToString(part)}
 }
 
 // Upload takes a piece of a text: its hash, the piece's number, how many there are, the piece.
@@ -52,7 +52,7 @@
 	if sum, err := hex.DecodeString(hash); err != nil || len(sum) != 32 {
 		return errors.New("the hash is no SHA-256")
 	}
-	if errors.Join(err1, err2, err3) != nil || count < 1 || count > fleetpolicy.TextMost/uploadPiece+1 || index < 0 || index >= count || len(raw) > uploadPiece {
+	if errors.Join(err1, err2, err3) != nil || count < 1 || count > policyrollout.TextMost/uploadPiece+1 || index < 0 || index >= count || len(raw) > uploadPiece {
 		return fmt.Errorf("piece %s of %s can't be used", words[1], words[2])
 	}
 	p.mu.Lock()
@@ -121,7 +121,7 @@
 			text = append(text, part...)
 		}
 		p.uploads = append(p.uploads[:i], p.uploads[i+1:]...)
-		if fleetpolicy.Hash(text) != hash {
+		if policyrollout.Hash(text) != hash {
 			return nil, errors.New("the text is not that of its hash")
 		}
 		return text, nil
@@ -163,11 +163,11 @@
 }
 
 // View is what this sidecar knows of the policy.
-func (p *Policy) View() accord.View {
+func (p *Policy) View() replicatedstate.View {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.node == nil {
-		return accord.View{Self: p.f.cfg.Policy.Index, Leader: -1}
+		return replicatedstate.View{Self: p.f.cfg.Policy.Index, Leader: -1}
 	}
 	return p.node.View(p.f.now())
 }
@@ -198,9 +198,9 @@
 		fmt.Fprintf(b, "version %d holds, hash %x\n", s.Holds.Version, s.Holds.Hash)
 	}
 	switch v.Goes.Mode {
-	case fleetpolicy.CutOff:
+	case policyrollout.CutOff:
 		fmt.Fprintln(b, "this sidecar is cut off: it goes by cut_off")
-	case fleetpolicy.One:
+	case policyrollout.One:
 		fmt.Fprintf(b, "this sidecar goes by version %d, for %s at least\n", v.Goes.New.Version, seconds(v.Until-v.Now))
 	default:
 		fmt.Fprintf(b, "this sidecar goes by the stricter of versions %d and %d, for %s at least\n", v.Goes.Old.Version, v.Goes.New.Version, seconds(v.Until-v.Now))
--- a/internal/fleet/peer/link_test.go
+++ b/internal/fleet/peer/link_test.go
@@ -16,7 +16,7 @@
 
 	"caperarch/internal/fleet/peer/peerpb"
 	"caperarch/internal/fleet/swim"
-	"caperarch/internal/lab/rig"
+	"caperarch/internal/lab/testbed"
 	"caperarch/internal/proxy/clock"
 )
 
@@ -107,8 +107,8 @@
 	if _, err := one.WriteToUDP(whole, to); err != nil {
 		t.Fatal(err)
 	}
-	rig.Until(t, "all to be read", func() bool { return l.Counters().Read == 15 })
-	if m := rig.Wait(t, "what can be read", in.messages); m.From != 1 || m.Session != (swim.Session{Life: 7, Turn: 2}) || m.Stamp != 12 || m.Kind != swim.Ping {
+	testbed.Until(t, "all to be read", func() bool { return l.Counters().Read == 15 })
+	if m := testbed.Wait(t, "what can be read", in.messages); m.From != 1 || m.Session != (swim.Session{Life: 7, Turn: 2}) || m.Stamp != 12 || m.Kind != swim.Ping {
 		t.Errorf("%+v", m)
 	}
 	c := l.Counters()
@@ -188,7 +188,7 @@
 	if !a.Decision(0, text, Urgent) {
 		t.Fatal("not sent")
 	}
-	if got := rig.Wait(t, "the decision", in.decisions); !bytes.Equal(got, text) {
+	if got := testbed.Wait(t, "the decision", in.decisions); !bytes.Equal(got, text) {
 		t.Errorf("%d bytes came, of %d", len(got), len(text))
 	}
 }
--- a/internal/fleet/policy.go
+++ b/internal/fleet/policy.go
@@ -13,14 +13,14 @@
 	"time"
 
 	"caperarch/internal/daemon/config"
-	"caperarch/internal/fleet/accord"
-	"caperarch/internal/fleet/agree"
-	"caperarch/internal/fleet/fleetpolicy"
-	"caperarch/internal/fleet/outage"
+	"caperarch/internal/fleet/maintenance"
 	"caperarch/internal/fleet/peer"
+	"caperarch/internal/fleet/policyrollout"
+	"caperarch/internal/fleet/raftlog"
+	"caperarch/internal/fleet/replicatedstate"
 	"caperarch/internal/fleet/state"
 	"caperarch/internal/fleet/swim"
-	"caperarch/internal/proxy/figures"
+	"caperarch/internal/proxy/metrics"
 	"caperarch/policy"
 )
 
@@ -29,27 +29,27 @@
 
 // InForce is what a sidecar goes by for a while. It does not change: another one takes its place.
 type InForce struct {
-	fleetpolicy.Now
-	Limits *fleetpolicy.Limits
+	policyrollout.Now
+	Limits *policyrollout.Limits
 	Module policy.Limits
 }
 
 // Policy is this sidecar's part in the policy that the fleet agrees on. It is safe for concurrent use.
 type Policy struct {
 	f        *Fleet
-	settings *fleetpolicy.Settings
+	settings *policyrollout.Settings
 	span     time.Duration // of the retry budget; 0: there is none
 	cutOff   *InForce
 
 	force atomic.Pointer[InForce]
 	until atomic.Int64 // when force is over and cutOff holds, if nothing more is heard
 
-	cfg accord.Config
+	cfg replicatedstate.Config
 
 	mu    sync.Mutex
-	node  *accord.Node // nil: it takes no part, or not yet
-	link  *peer.Link   // nil: the address is not ours yet
-	store *state.Store // nil: nothing outlives the process
+	node  *replicatedstate.Node // nil: it takes no part, or not yet
+	link  *peer.Link            // nil: the address is not ours yet
+	store *state.Store          // nil: nothing outlives the process
 	now   time.Duration
 
 	out  atomic.Pointer[[]uint64] // by plans of work
@@ -66,14 +66,14 @@
 	if err != nil {
 		return nil, fmt.Errorf("cut_off: %w", err)
 	}
-	if looser := fleetpolicy.Looser(l, &p.settings.Limits); looser != nil {
+	if looser := policyrollout.Looser(l, &p.settings.Limits); looser != nil {
 		return nil, fmt.Errorf("cut_off: it is looser than the settings, which may hold: %s", strings.Join(looser, "; "))
 	}
-	p.cutOff = p.inForce(fleetpolicy.Now{}, l)
+	p.cutOff = p.inForce(policyrollout.Now{}, l)
 	p.force.Store(p.cutOff)
 	p.until.Store(math.MaxInt64)
 	p.out.Store(new([]uint64))
-	p.cfg = accord.Config{
+	p.cfg = replicatedstate.Config{
 		Size: len(f.peers), Life: f.life, Lease: cmp.Or(f.file.Lease, swim.LeaseFor(len(f.peers))), Rate: cmp.Or(f.file.Rate, swim.DefaultRate),
 		Rand: rand.New(rand.NewPCG(f.cfg.Seed, 3)), Host: policyHost{p}, Check: p.check,
 	}
@@ -86,8 +86,8 @@
 }
 
 // settingsOf are this sidecar's own settings, as a policy sees them.
-func settingsOf(cfg *config.Config) *fleetpolicy.Settings {
-	s := &fleetpolicy.Settings{Tenants: cfg.Tenants, NoSpan: cfg.Policy.Budget.Span == 0}
+func settingsOf(cfg *config.Config) *policyrollout.Settings {
+	s := &policyrollout.Settings{Tenants: cfg.Tenants, NoSpan: cfg.Policy.Budget.Span == 0}
 	sum := 0.0
 	for _, t := range cfg.Policy.Tenants {
 		sum += t.Share
@@ -110,8 +110,8 @@
 }
 
 // resolve makes a text whole by this sidecar's settings.
-func (p *Policy) resolve(text []byte) (*fleetpolicy.Limits, error) {
-	parsed, err := fleetpolicy.Parse(text)
+func (p *Policy) resolve(text []byte) (*policyrollout.Limits, error) {
+	parsed, err := policyrollout.Parse(text)
 	if err != nil {
 		return nil, err
 	}
@@ -124,14 +124,14 @@
 	if err != nil {
 		return err
 	}
-	if looser := fleetpolicy.Looser(p.cutOff.Limits, l); looser != nil {
+	if looser := policyrollout.Looser(p.cutOff.Limits, l); looser != nil {
 		return fmt.Errorf("cut_off is looser: %s", strings.Join(looser, "; "))
 	}
 	return nil
 }
 
 // inForce is what to go by as the module takes it.
-func (p *Policy) inForce(now fleetpolicy.Now, l *fleetpolicy.Limits) *InForce {
+func (p *Policy) inForce(now policyrollout.Now, l *policyrollout.Limits) *InForce {
 	in := &InForce{Now: now, Limits: l, Module: policy.Limits{MaxAttempts: l.Attempts, Queue: l.Queue}}
 	for i, share := range l.Share {
 		t := policy.Tenant{Share: share}
@@ -159,8 +159,8 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	cfg := p.cfg
-	cfg.Self = agree.Seat{Number: p.f.cfg.Policy.Index, Life: p.f.life}
-	saved, texts := new(agree.Saved), [][]byte(nil)
+	cfg.Self = raftlog.Seat{Number: p.f.cfg.Policy.Index, Life: p.f.life}
+	saved, texts := new(raftlog.Saved), [][]byte(nil)
 	if dir := p.f.file.Policy.State; dir != "" {
 		var err error
 		if p.store, err = openState(dir, p.f.file.Name, cfg.Self); err != nil {
@@ -174,7 +174,7 @@
 		}
 		cfg.Self.Life, cfg.Disk = p.store.Seat(), p.store
 	}
-	node, err := accord.New(cfg)
+	node, err := replicatedstate.New(cfg)
 	if err != nil {
 		return err
 	}
@@ -186,7 +186,7 @@
 }
 
 // openState opens what was kept. The process before this one may be about to close it.
-func openState(dir, fleet string, seat agree.Seat) (s *state.Store, err error) {
+func openState(dir, fleet string, seat raftlog.Seat) (s *state.Store, err error) {
 	for range 20 {
 		if s, err = state.Open(dir, fleet, seat.Number, seat.Life); !errors.Is(err, state.ErrInUse) {
 			break
@@ -242,7 +242,7 @@
 	p.bar()
 	goes := p.node.Now(p.now)
 	until := p.node.Until()
-	if goes.Mode == fleetpolicy.CutOff {
+	if goes.Mode == policyrollout.CutOff {
 		p.set(p.cutOff, math.MaxInt64)
 		return
 	}
@@ -270,34 +270,34 @@
 }
 
 // limitsOf are the limits of one version, or the stricter of two.
-func (p *Policy) limitsOf(goes fleetpolicy.Now) (*fleetpolicy.Limits, error) {
-	one := func(r fleetpolicy.Ref) (*fleetpolicy.Limits, error) {
+func (p *Policy) limitsOf(goes policyrollout.Now) (*policyrollout.Limits, error) {
+	one := func(r policyrollout.Ref) (*policyrollout.Limits, error) {
 		if r.Version == 0 {
 			return &p.settings.Limits, nil
 		}
 		text, here := p.node.Text(r)
 		if !here {
-			return nil, errors.New(fleetpolicy.Waiting)
+			return nil, errors.New(policyrollout.Waiting)
 		}
 		return p.resolve(text)
 	}
 	l, err := one(goes.New)
-	if err != nil || goes.Mode != fleetpolicy.Both {
+	if err != nil || goes.Mode != policyrollout.Both {
 		return l, err
 	}
 	old, err := one(goes.Old)
 	if err != nil {
 		return nil, err
 	}
-	return fleetpolicy.Stricter(old, l), nil
+	return policyrollout.Stricter(old, l), nil
 }
 
 // figures is the present state in numbers.
-func (p *Policy) figures() *figures.Policy {
+func (p *Policy) figures() *metrics.Policy {
 	v := p.View()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return &figures.Policy{Holds: v.State.Holds.Version, Goes: v.Goes.Mode.String(), UnderWay: v.State.Busy(), Changes: maps.Clone(p.outcomes), Work: p.workFigures()}
+	return &metrics.Policy{Holds: v.State.Holds.Version, Goes: v.Goes.Mode.String(), UnderWay: v.State.Busy(), Changes: maps.Clone(p.outcomes), Work: p.workFigures()}
 }
 
 // policyHost carries out what the node decides; its methods are called with the lock held.
@@ -314,7 +314,7 @@
 	h.p.link.Decision(to, raw, priority)
 }
 
-func (h policyHost) Changed(e accord.Event) {
+func (h policyHost) Changed(e replicatedstate.Event) {
 	log := h.p.f.log
 	switch e.What {
 	case "goes by":
@@ -322,7 +322,7 @@
 		log.Info("policy: goes by", "mode", e.Goes.Mode.String(), "version", e.Goes.New.Version, "old", e.Goes.Old.Version)
 	case "leads", "log":
 		if e.What == "log" {
-			h.p.work.own, h.p.work.logs = outage.Own{}, h.p.work.logs+1
+			h.p.work.own, h.p.work.logs = maintenance.Own{}, h.p.work.logs+1
 		}
 		log.Info("policy: "+e.What, "number", e.By, "what", e.Why)
 	case "entry":
--- a/internal/fleet/policy_test.go
+++ b/internal/fleet/policy_test.go
@@ -9,15 +9,15 @@
 	"time"
 
 	"caperarch/internal/daemon/config"
-	"caperarch/internal/fleet/fleetpolicy"
 	"caperarch/internal/fleet/peer"
-	"caperarch/internal/lab/rig"
+	"caperarch/internal/fleet/policyrollout"
+	"caperarch/internal/lab/testbed"
 	"caperarch/policy"
 )
 
 func withPolicy(t *testing.T, cutOff string, edit func(c *config.Config)) (*Fleet, error) {
 	t.Helper()
-	c := settings(0, 1, rig.FreeAddress(t))
+	c := settings(0, 1, testbed.FreeAddress(t))
 	c.PeerListen = c.Peers[0]
 	c.MostOpen, c.Policy.MaxAttempts = 100, 3
 	c.Tenants = map[string]int{"north": 0, "south": 1}
@@ -87,18 +87,18 @@
 			p.tick()
 		}
 	}
-	if p.Now().Mode != fleetpolicy.CutOff {
+	if p.Now().Mode != policyrollout.CutOff {
 		t.Error("not cut off at the beginning")
 	}
 	pass(12 * time.Second)
-	if now := p.Now(); now.Mode != fleetpolicy.One || now.Limits.Open != 100 || len(now.Module.Tenants) != 2 || now.Module.Tenants[0].Share != 0.75 || now.Module.Queue != unbounded {
+	if now := p.Now(); now.Mode != policyrollout.One || now.Limits.Open != 100 || len(now.Module.Tenants) != 2 || now.Module.Tenants[0].Share != 0.75 || now.Module.Queue != unbounded {
 		t.Fatalf("by its log it goes by %+v", now)
 	}
 	text := []byte("out = [\"s-1\"]\n[limits]\nopen = 50\nqueue = 4\n[tenants.south]\nshare = 0.5\nquota = 20.0\n[tenants.north]\nquota = 30.0\n")
-	if got := call(func(b *bytes.Buffer) error { return p.Propose([]string{fleetpolicy.Hash(text), "0"}, b) }); !strings.Contains(got, "no text of this hash") {
+	if got := call(func(b *bytes.Buffer) error { return p.Propose([]string{policyrollout.Hash(text), "0"}, b) }); !strings.Contains(got, "no text of this hash") {
 		t.Errorf("proposed without its text: %s", got)
 	}
-	for _, words := range [][]string{{"ab", "0", "1", "=YQ"}, {fleetpolicy.Hash(text), "1", "1", "=YQ"}, {fleetpolicy.Hash(text), "0", "1000000", "=YQ"}, {fleetpolicy.Hash(text), "0", "1", "=!"}, {"ab"}} {
+	for _, words := range [][]string{{"ab", "0", "1", "=YQ"}, {policyrollout.Hash(text), "1", "1", "=YQ"}, {policyrollout.Hash(text), "0", "1000000", "=YQ"}, {policyrollout.Hash(text), "0", "1", "=!"}, {"ab"}} {
 		if p.Upload(words) == nil {
 			t.Errorf("%v: taken", words)
 		}
@@ -108,12 +108,12 @@
 			t.Fatal(err)
 		}
 	}
-	if got := call(func(b *bytes.Buffer) error { return p.Propose([]string{fleetpolicy.Hash(text), "0"}, b) }); !strings.HasPrefix(got, "version 1 proposed, hash "+fleetpolicy.Hash(text)) {
+	if got := call(func(b *bytes.Buffer) error { return p.Propose([]string{policyrollout.Hash(text), "0"}, b) }); !strings.HasPrefix(got, "version 1 proposed, hash "+policyrollout.Hash(text)) {
 		t.Fatal(got)
 	}
 	pass(2 * time.Second)
 	now := p.Now()
-	if now.Mode != fleetpolicy.One || now.New.Version != 1 || now.Limits.Open != 50 || now.Module.Queue != 4 || now.Module.Tenants[1] != (policy.Tenant{Share: 0.5, Quota: 20}) || fmt.Sprint(now.Limits.Out) != "[s-1]" {
+	if now.Mode != policyrollout.One || now.New.Version != 1 || now.Limits.Open != 50 || now.Module.Queue != 4 || now.Module.Tenants[1] != (policy.Tenant{Share: 0.5, Quota: 20}) || fmt.Sprint(now.Limits.Out) != "[s-1]" {
 		t.Fatalf("it goes by %+v", now)
 	}
 	if p.Now() != now {
@@ -129,11 +129,11 @@
 		t.Errorf("%+v", g)
 	}
 	ahead += time.Minute // it stood still
-	if now := p.Now(); now.Mode != fleetpolicy.CutOff || now.Limits.Open != 10 {
+	if now := p.Now(); now.Mode != policyrollout.CutOff || now.Limits.Open != 10 {
 		t.Errorf("going on it goes by %+v", now)
 	}
 	pass(2 * time.Second)
-	if now := p.Now(); now.Mode != fleetpolicy.One || now.New.Version != 1 {
+	if now := p.Now(); now.Mode != policyrollout.One || now.New.Version != 1 {
 		t.Errorf("a while later it goes by %+v", now)
 	}
 	if math.IsInf(now.Limits.Quota[0], 1) {
--- a/internal/fleet/fleetpolicy/leader.go
+++ b/internal/fleet/policyrollout/leader.go
@@ -1,4 +1,4 @@
-package fleetpolicy
+package policyrollout
 
 import (
 	"fmt"
--- a/internal/fleet/fleetpolicy/policy.go
+++ b/internal/fleet/policyrollout/policy.go
@@ -1,8 +1,8 @@
-// Package fleetpolicy is what the sidecars of a fleet agree on: limits that an operator changes everywhere or nowhere. It is free of I/O.
+// Package policyrollout is what the sidecars of a fleet agree on: limits that an operator changes everywhere or nowhere. It is free of I/O.
 //
 // A Policy is the operator's text, which may leave fields out; Resolve fills those in from the sidecar's own settings, and Stricter is of two such Limits. Between an
 // old policy and a new one each sidecar keeps to the stricter of both, field by field, so that no request is let in by one of them alone.
-package fleetpolicy
+package policyrollout
 
 import (
 	"bytes"
@@ -15,7 +15,7 @@
 	"slices"
 	"unicode/utf8"
 
-	"caperarch/internal/proxy/strict"
+	"caperarch/internal/proxy/strictconfig"
 )
 
 const (
@@ -66,7 +66,7 @@
 		return nil, fmt.Errorf("line %d: not UTF-8", 1+bytes.Count(text[:firstInvalid(text)], []byte("\n")))
 	}
 	p := new(Policy)
-	if err := strict.TOML(text, p); err != nil {
+	if err := strictconfig.TOML(text, p); err != nil {
 		return nil, err
 	}
 	return p, p.check()
--- a/internal/fleet/fleetpolicy/state.go
+++ b/internal/fleet/policyrollout/state.go
@@ -1,4 +1,4 @@
-package fleetpolicy
+package policyrollout
 
 import (
 	"crypto/sha256"
@@ -8,7 +8,7 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"caperarch/internal/fleet/fleetpolicy/policypb"
+	"caperarch/internal/fleet/policyrollout/policypb"
 )
 
 // Kind is what an entry of the log says.
--- a/internal/fleet/agree/log.go
+++ b/internal/fleet/raftlog/log.go
@@ -1,4 +1,4 @@
-package agree
+package raftlog
 
 import (
 	"encoding/binary"
--- a/internal/fleet/agree/agree.go
+++ b/internal/fleet/raftlog/raftlog.go
@@ -1,4 +1,4 @@
-// Package agree is the log on which the sidecars of a fleet agree. It is go.etcd.io/raft/v3 among a few voters, in memory, with what a fleet needs round it: voters that
+// Package raftlog is the log on which the sidecars of a fleet agree. It is go.etcd.io/raft/v3 among a few voters, in memory, with what a fleet needs round it: voters that
 // are processes, not addresses; others that follow; and a new beginning when a majority of the voters is lost at once. It is free of I/O and takes time and random
 // source from outside, so that a seed plays one history.
 //
@@ -7,7 +7,7 @@
 //
 // No disk lasts here: who restarts has forgotten its vote. So a vote belongs to a process, a Seat with its life; the next process of that number is nobody until the log says
 // otherwise, and what is said to its forerunner it drops.
-package agree
+package raftlog
 
 import (
 	"errors"
--- a/internal/fleet/agree/agree_test.go
+++ b/internal/fleet/raftlog/raftlog_test.go
@@ -1,4 +1,4 @@
-package agree_test
+package raftlog_test
 
 import (
 	"flag"
@@ -10,8 +10,8 @@
 
 	"github.com/anishathalye/porcupine"
 
-	"caperarch/internal/fleet/agree"
-	"caperarch/internal/lab/agreenet"
+	"caperarch/internal/fleet/raftlog"
+	"caperarch/internal/lab/raftlogsim"
 )
 
 var (
@@ -20,12 +20,12 @@
 )
 
 // founded is a fleet whose log has all its voters.
-func founded(t *testing.T, size int, seed uint64) *agreenet.Net {
+func founded(t *testing.T, size int, seed uint64) *raftlogsim.Net {
 	t.Helper()
-	return foundedOn(t, agreenet.New(size, seed), seed)
+	return foundedOn(t, raftlogsim.New(size, seed), seed)
 }
 
-func foundedOn(t *testing.T, n *agreenet.Net, seed uint64) *agreenet.Net {
+func foundedOn(t *testing.T, n *raftlogsim.Net, seed uint64) *raftlogsim.Net {
 	t.Helper()
 	n.Run(time.Second)
 	if err := n.Nodes[0].Found(n.Now, 1); err != nil {
@@ -38,7 +38,7 @@
 }
 
 // complete says whether all that run have the same log with all its voters, which run.
-func complete(n *agreenet.Net) bool {
+func complete(n *raftlogsim.Net) bool {
 	have := uint64(0)
 	for _, m := range n.Nodes {
 		if !m.Lives() {
@@ -47,7 +47,7 @@
 		if have == 0 {
 			have = m.Have()
 		}
-		if m.Have() != have || m.Epoch() == 0 || len(m.Seats()) != agree.VotersFor(n.Size) {
+		if m.Have() != have || m.Epoch() == 0 || len(m.Seats()) != raftlog.VotersFor(n.Size) {
 			return false
 		}
 	}
@@ -59,7 +59,7 @@
 		n := founded(t, size, uint64(size))
 		heard := 0
 		for _, m := range n.Nodes {
-			m.Heard = func(agree.Entry) { heard++ }
+			m.Heard = func(raftlog.Entry) { heard++ }
 		}
 		if err := n.Nodes[size-1].Propose(n.Now, []byte("first")); err != nil {
 			t.Fatal(err)
@@ -94,7 +94,7 @@
 // history has a fleet of five to nine live through faults while its sidecars set a register, each by what it has itself; the whole is checked by porcupine.
 func history(t *testing.T, seed uint64) (broken []string, sum sums) {
 	size := 5 + int(seed%5)
-	n := agreenet.New(size, seed)
+	n := raftlogsim.New(size, seed)
 	if seed%3 == 0 { // machines have disks that last
 		n.NewDisks()
 	}
@@ -103,8 +103,8 @@
 	value := make([]int, size)
 	var ops []porcupine.Operation
 	last := 0
-	watch := func(i int, mine *operation, done func(held bool)) func(agree.Entry) {
-		return func(e agree.Entry) {
+	watch := func(i int, mine *operation, done func(held bool)) func(raftlog.Entry) {
+		return func(e raftlog.Entry) {
 			var op operation
 			_, _ = fmt.Sscanf(string(e.Data), "%d %d", &op.base, &op.value)
 			held := op.base == value[i]
@@ -217,7 +217,7 @@
 func seed2(seed uint64) int { return int(seed % 1000) }
 
 // taken replays the log as the register that it is, and says whether an operation held in it.
-func taken(n *agreenet.Net, op operation) bool {
+func taken(n *raftlogsim.Net, op operation) bool {
 	value := 0
 	for _, e := range n.Agreed(1) {
 		var x operation
@@ -340,7 +340,7 @@
 		t.Errorf("%q, %v", all, n.Broken)
 	}
 	have := n.Nodes[2].Have()
-	n.Nodes[2].Take(n.Now, 1, &agree.Message{Epoch: 1, Have: 100, Entries: []agree.Entry{{Index: have + 1, Data: []byte("12345678old")}}})
+	n.Nodes[2].Take(n.Now, 1, &raftlog.Message{Epoch: 1, Have: 100, Entries: []raftlog.Entry{{Index: have + 1, Data: []byte("12345678old")}}})
 	if n.Nodes[2].Have() != have {
 		t.Error("an entry of the old log is in the new one")
 	}
@@ -348,7 +348,7 @@
 
 // With disks that last the log outlives a stop of all at once; a voter whose disk fails votes no more, and says why.
 func TestDisks(t *testing.T) {
-	n := agreenet.New(5, 4)
+	n := raftlogsim.New(5, 4)
 	n.NewDisks()
 	foundedOn(t, n, 4)
 	if err := n.Nodes[3].Propose(n.Now, []byte("kept")); err != nil {
@@ -399,7 +399,7 @@
 		first := n.Leader()
 		next := (first + 1 + int(s)%4) % 5
 		n.Cut = func(_, to int) bool { return to == first } // what it sends arrives, what it is answered does not
-		n.Nodes[first].Tend(n.Now, func(seat agree.Seat) bool { return seat.Number == next }, nil)
+		n.Nodes[first].Tend(n.Now, func(seat raftlog.Seat) bool { return seat.Number == next }, nil)
 		n.Run(50 * time.Millisecond)
 		n.Crash(first)
 		n.Cut = nil
--- a/internal/fleet/agree/wire.go
+++ b/internal/fleet/raftlog/wire.go
@@ -1,4 +1,4 @@
-package agree
+package raftlog
 
 import (
 	"errors"
@@ -7,7 +7,7 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"caperarch/internal/fleet/agree/agreepb"
+	"caperarch/internal/fleet/raftlog/agreepb"
 )
 
 var errSpoilt = errors.New("agree: a message that can't be read")
--- a/internal/fleet/accord/change.go
+++ b/internal/fleet/replicatedstate/change.go
@@ -1,4 +1,4 @@
-package accord
+package replicatedstate
 
 import (
 	"errors"
@@ -6,9 +6,9 @@
 	"slices"
 	"time"
 
-	"caperarch/internal/fleet/accord/accordpb"
-	"caperarch/internal/fleet/agree"
-	"caperarch/internal/fleet/fleetpolicy"
+	"caperarch/internal/fleet/policyrollout"
+	"caperarch/internal/fleet/raftlog"
+	"caperarch/internal/fleet/replicatedstate/accordpb"
 )
 
 // What an operator's call is refused for.
@@ -29,7 +29,7 @@
 
 // Mine is a proposal that was made here.
 type Mine struct {
-	fleetpolicy.Ref
+	policyrollout.Ref
 	At      time.Duration
 	Outcome string // "": it is not in the log yet
 }
@@ -38,51 +38,51 @@
 type behindOf struct {
 	at    time.Duration
 	count int
-	some  []fleetpolicy.Behind
+	some  []policyrollout.Behind
 }
 
 // Propose has the fleet change to a policy, made from the version base; the number that it returns is what can be asked on. Nothing has happened yet when it returns.
-func (n *Node) Propose(now time.Duration, raw []byte, base uint32) (fleetpolicy.Ref, error) {
+func (n *Node) Propose(now time.Duration, raw []byte, base uint32) (policyrollout.Ref, error) {
 	n.now = now
 	s := n.holder.State()
 	switch goes := n.Now(now); {
-	case goes.Mode == fleetpolicy.CutOff:
-		return fleetpolicy.Ref{}, ErrNoContact
+	case goes.Mode == policyrollout.CutOff:
+		return policyrollout.Ref{}, ErrNoContact
 	case s.Pending.Version != 0 || s.Offer.Version != 0:
-		return fleetpolicy.Ref{}, fmt.Errorf("version %d is under way", s.Busy())
+		return policyrollout.Ref{}, fmt.Errorf("version %d is under way", s.Busy())
 	case s.Open != 0:
-		return fleetpolicy.Ref{}, fmt.Errorf("version %d has its outcome, but not all have told that they go by it", s.Open)
+		return policyrollout.Ref{}, fmt.Errorf("version %d has its outcome, but not all have told that they go by it", s.Open)
 	case base != s.Holds.Version:
-		return fleetpolicy.Ref{}, fmt.Errorf("it was made from version %d, version %d holds: look at what has changed", base, s.Holds.Version)
+		return policyrollout.Ref{}, fmt.Errorf("it was made from version %d, version %d holds: look at what has changed", base, s.Holds.Version)
 	}
 	for _, m := range n.mine {
 		if m.Outcome == "" && now-m.At < mineWaits {
-			return fleetpolicy.Ref{}, errUnderWay
+			return policyrollout.Ref{}, errUnderWay
 		}
 	}
-	if len(raw) > fleetpolicy.TextMost {
-		return fleetpolicy.Ref{}, fmt.Errorf("a policy of %d bytes, %d are possible", len(raw), fleetpolicy.TextMost)
+	if len(raw) > policyrollout.TextMost {
+		return policyrollout.Ref{}, fmt.Errorf("a policy of %d bytes, %d are possible", len(raw), policyrollout.TextMost)
 	}
 	x := n.texts.add(slices.Clone(raw), n.needed()...)
-	ref := fleetpolicy.Ref{Version: s.Last + 1, Hash: x.hash}
+	ref := policyrollout.Ref{Version: s.Last + 1, Hash: x.hash}
 	switch {
 	case x.why != "":
-		return fleetpolicy.Ref{}, errors.New(x.why)
+		return policyrollout.Ref{}, errors.New(x.why)
 	case s.Holds.Version != 0 && s.Holds.Hash == ref.Hash:
-		return fleetpolicy.Ref{}, errSame
+		return policyrollout.Ref{}, errSame
 	}
-	kind := fleetpolicy.Proposed
+	kind := policyrollout.Proposed
 	if x.pieces() > pushPieces { // it does not go round at once
-		kind = fleetpolicy.Offered
+		kind = policyrollout.Offered
 	}
-	entry, err := fleetpolicy.Step{Kind: kind, Ref: ref, Base: base, By: n.Self.Number}.Encode()
+	entry, err := policyrollout.Step{Kind: kind, Ref: ref, Base: base, By: n.Self.Number}.Encode()
 	if err != nil {
-		return fleetpolicy.Ref{}, err
+		return policyrollout.Ref{}, err
 	}
 	n.have(x) // first the text, so that most have it when they hear of the change
 	n.show(n.log.Leader(), x)
 	if err := n.log.Propose(now, entry); err != nil {
-		return fleetpolicy.Ref{}, err
+		return policyrollout.Ref{}, err
 	}
 	n.mine = append(n.mine, Mine{Ref: ref, At: now})
 	n.mine = n.mine[max(0, len(n.mine)-mineMost):]
@@ -96,10 +96,10 @@
 	switch {
 	case p == 0:
 		return 0, errNothing
-	case n.Now(now).Mode == fleetpolicy.CutOff:
+	case n.Now(now).Mode == policyrollout.CutOff:
 		return 0, ErrNoContact
 	}
-	entry, err := fleetpolicy.Step{Kind: fleetpolicy.CalledOff, Ref: fleetpolicy.Ref{Version: p}, By: n.Self.Number, Why: "by hand"}.Encode()
+	entry, err := policyrollout.Step{Kind: policyrollout.CalledOff, Ref: policyrollout.Ref{Version: p}, By: n.Self.Number, Why: "by hand"}.Encode()
 	if err != nil {
 		return 0, err
 	}
@@ -113,7 +113,7 @@
 }
 
 // applied takes an entry of the log.
-func (n *Node) applied(e agree.Entry) {
+func (n *Node) applied(e raftlog.Entry) {
 	if step, is, err := unwrap(e.Data); is {
 		n.appliedWork(e, step, err)
 		return
@@ -124,42 +124,42 @@
 		pending = s.Offer
 	}
 	refused, err := n.holder.Entry(e.Index, e.Data)
-	step, _ := fleetpolicy.DecodeStep(e.Data)
+	step, _ := policyrollout.DecodeStep(e.Data)
 	switch {
 	case err != nil:
 		n.Host.Changed(Event{What: "entry", By: n.Self.Number, Why: err.Error()})
 		return
 	case refused != "":
-		if (step.Kind == fleetpolicy.Proposed || step.Kind == fleetpolicy.Offered) && !n.stands(step.Ref) {
+		if (step.Kind == policyrollout.Proposed || step.Kind == policyrollout.Offered) && !n.stands(step.Ref) {
 			n.fate(step, "refused: "+refused)
 			n.Host.Changed(Event{What: "refused", Ref: step.Ref, By: step.By, Why: refused})
 		}
 		return
 	}
-	if step.Kind == fleetpolicy.Taken || step.Kind == fleetpolicy.CalledOff {
+	if step.Kind == policyrollout.Taken || step.Kind == policyrollout.CalledOff {
 		step.Ref = pending
-		n.fate(fleetpolicy.Step{Ref: pending, By: by}, outcome(step))
-	} else if step.Kind == fleetpolicy.Proposed || step.Kind == fleetpolicy.Offered {
+		n.fate(policyrollout.Step{Ref: pending, By: by}, outcome(step))
+	} else if step.Kind == policyrollout.Proposed || step.Kind == policyrollout.Offered {
 		n.fate(step, "under way")
 	}
 	n.Host.Changed(Event{What: step.Kind.String(), Ref: step.Ref, By: step.By, Why: step.Why})
 }
 
-func outcome(step fleetpolicy.Step) string {
-	if step.Kind == fleetpolicy.CalledOff {
+func outcome(step policyrollout.Step) string {
+	if step.Kind == policyrollout.CalledOff {
 		return fmt.Sprintf("called off by %d: %s", step.By, step.Why)
 	}
 	return "taken"
 }
 
 // stands says whether a version is in the log already: where a leader is lost on the way, an entry may stand there twice.
-func (n *Node) stands(r fleetpolicy.Ref) bool {
+func (n *Node) stands(r policyrollout.Ref) bool {
 	s := n.holder.State()
-	return s.Pending == r || s.Offer == r || s.Holds == r || slices.ContainsFunc(s.History, func(p fleetpolicy.Past) bool { return p.Ref == r })
+	return s.Pending == r || s.Offer == r || s.Holds == r || slices.ContainsFunc(s.History, func(p policyrollout.Past) bool { return p.Ref == r })
 }
 
 // fate notes what became of a proposal that was made here.
-func (n *Node) fate(step fleetpolicy.Step, what string) {
+func (n *Node) fate(step policyrollout.Step, what string) {
 	for i := range n.mine {
 		if step.By == n.Self.Number && n.mine[i].Ref == step.Ref {
 			n.mine[i].Outcome = what
@@ -188,7 +188,7 @@
 	if m.Count > 0 && from == n.log.Leader() {
 		n.behind = behindOf{at: now, count: int(m.Count) - 1}
 		for _, b := range m.Behind {
-			n.behind.some = append(n.behind.some, fleetpolicy.Behind{Number: int(b.Number), Why: b.Why})
+			n.behind.some = append(n.behind.some, policyrollout.Behind{Number: int(b.Number), Why: b.Why})
 		}
 	}
 }
@@ -200,11 +200,11 @@
 	Epoch  uint64
 	Have   uint64
 	Leader int // -1: none is known
-	Voters []agree.Seat
-	State  fleetpolicy.State
-	Goes   fleetpolicy.Now
+	Voters []raftlog.Seat
+	State  policyrollout.State
+	Goes   policyrollout.Now
 	Until  time.Duration // Goes, at least, unless it is CutOff
-	Behind []fleetpolicy.Behind
+	Behind []policyrollout.Behind
 	Waits  int // for so many, Behind among them; -1: the leader has not told
 	Mine   []Mine
 }
--- a/internal/fleet/accord/history_test.go
+++ b/internal/fleet/replicatedstate/history_test.go
@@ -1,4 +1,4 @@
-package accord_test
+package replicatedstate_test
 
 import (
 	"errors"
@@ -8,8 +8,8 @@
 	"testing"
 	"time"
 
-	"caperarch/internal/fleet/agree"
-	"caperarch/internal/lab/accordnet"
+	"caperarch/internal/fleet/raftlog"
+	"caperarch/internal/lab/replicatedstatesim"
 )
 
 var (
@@ -18,9 +18,9 @@
 )
 
 // change has a fleet of five to nine live through faults while its operators propose, and call off.
-func change(seed uint64) (n *accordnet.Net, lost bool) {
+func change(seed uint64) (n *replicatedstatesim.Net, lost bool) {
 	size := 5 + int(seed%5)
-	n = accordnet.New(accordnet.Config{Size: size, Seed: seed, Lease: 3 * time.Second, Rate: 0.01, Disks: seed%3 == 0})
+	n = replicatedstatesim.New(replicatedstatesim.Config{Size: size, Seed: seed, Lease: 3 * time.Second, Rate: 0.01, Disks: seed%3 == 0})
 	rng := n.Rng
 	n.Run(time.Second)
 	if err := n.Nodes[0].Found(n.Nodes[0].Time(), 1); err != nil {
@@ -68,7 +68,7 @@
 			if rng.IntN(5) == 0 {
 				n.Cannot[[2]int{rng.IntN(size), k}] = true
 			}
-			text := accordnet.Text(k)
+			text := replicatedstatesim.Text(k)
 			if rng.IntN(4) == 0 { // a long one: it goes round first
 				for len(text) < 2000 {
 					text = append(text, fmt.Sprintf("# %x\n", rng.Uint64())...)
@@ -104,7 +104,7 @@
 	if lost {
 		// An operator begins anew, by way of any of them; whoever goes by the last log's policy still does not do so beside the new one's.
 		m := n.Nodes[rng.IntN(size)]
-		if err := m.Found(m.Time(), 1<<40); err != nil && !errors.Is(err, agree.ErrExists) { // some hold on to a leader that is none for a moment
+		if err := m.Found(m.Time(), 1<<40); err != nil && !errors.Is(err, raftlog.ErrExists) { // some hold on to a leader that is none for a moment
 			n.Broken = append(n.Broken, err.Error())
 		} else if err != nil {
 			n.Run(10 * time.Second)
--- a/internal/fleet/accord/accord.go
+++ b/internal/fleet/replicatedstate/replicatedstate.go
@@ -1,10 +1,10 @@
-// Package accord is one sidecar's whole part in what a fleet settles: the agreed log (internal/fleet/agree), by what policy it goes (internal/fleet/fleetpolicy's Holder), the leader's part
+// Package replicatedstate is one sidecar's whole part in what a fleet settles: the agreed log (internal/fleet/raftlog), by what policy it goes (internal/fleet/policyrollout's Holder), the leader's part
 // while it leads, the reports and grants between the two, and the policies' texts. It is free of I/O, goroutines and clocks; a random source is passed in, so a seed
 // plays one history. All times are of one clock that counts while the process stands still.
 //
 // Who goes by the log has a grant of its leader, for a lease. At three hundred sidecars that would be more than a leader may send, so reports and grants go by way of
 // relays, about as many as the root of the fleet's size: each gathers those of its part of the fleet into one datagram, and the leader's word comes back as a bit for each.
-package accord
+package replicatedstate
 
 import (
 	"cmp"
@@ -13,17 +13,17 @@
 	"slices"
 	"time"
 
-	"caperarch/internal/fleet/accord/accordpb"
-	"caperarch/internal/fleet/agree"
-	"caperarch/internal/fleet/fleetpolicy"
-	"caperarch/internal/fleet/outage"
+	"caperarch/internal/fleet/maintenance"
+	"caperarch/internal/fleet/policyrollout"
+	"caperarch/internal/fleet/raftlog"
+	"caperarch/internal/fleet/replicatedstate/accordpb"
 
 	"google.golang.org/protobuf/proto"
 )
 
 const (
 	// Period is how often Tick is due.
-	Period = agree.Period
+	Period = raftlog.Period
 
 	reportPart  = 40                     // % of a lease between reports where nothing changes
 	againPart   = 30                     // % of it behind which one that has had no answer is sent again, by way of another relay; an answer takes up to the two below
@@ -46,22 +46,22 @@
 	Send(to int, raw []byte, urgent bool)
 	Changed(e Event)
 	// Worked takes that the log has an entry about work on machines that changed something.
-	Worked(s outage.Step)
+	Worked(s maintenance.Step)
 }
 
 // Event is something that people are told.
 type Event struct {
 	What string // "proposed", "taken", "called off", "settled", "begun", "refused", "entry", "goes by", "leads", "log"
-	fleetpolicy.Ref
+	policyrollout.Ref
 	By   int
 	Why  string
-	Goes fleetpolicy.Now
+	Goes policyrollout.Now
 }
 
 // Config is what a Node is made of.
 type Config struct {
 	Size  int
-	Self  agree.Seat
+	Self  raftlog.Seat
 	Lease time.Duration
 	Rate  float64 // greatest error of a clock's rate
 	Rand  *rand.Rand
@@ -76,7 +76,7 @@
 
 // Disk keeps what must outlive the process, where an operator gives it a place.
 type Disk interface {
-	agree.Disk
+	raftlog.Disk
 	// Text keeps the text of a version.
 	Text(hash [32]byte, text []byte) error
 }
@@ -89,20 +89,20 @@
 // Node is one sidecar's part. It is not safe for concurrent use.
 type Node struct {
 	Config
-	log    *agree.Node
-	holder *fleetpolicy.Holder
+	log    *raftlog.Node
+	holder *policyrollout.Holder
 	texts  texts
 	life   uint64
 	now    time.Duration // of the event under way
 
-	leader *fleetpolicy.Leader // nil: another leads, or nobody does
-	epoch  uint64              // that it leads
+	leader *policyrollout.Leader // nil: another leads, or nobody does
+	epoch  uint64                // that it leads
 	term   uint64
 
 	reports
 	relay
 	mine   []Mine
-	goes   fleetpolicy.Now // as last told
+	goes   policyrollout.Now // as last told
 	behind behindOf
 	work   work
 }
@@ -110,12 +110,12 @@
 // New makes a node that knows of no log yet, and goes by CutOff.
 func New(cfg Config) (*Node, error) {
 	n := &Node{Config: cfg, life: cmp.Or(cfg.Life, cfg.Self.Life)}
-	log := agree.Config{Size: cfg.Size, Self: cfg.Self, Life: n.life, Rand: cfg.Rand, Host: logHost{n}}
+	log := raftlog.Config{Size: cfg.Size, Self: cfg.Self, Life: n.life, Rand: cfg.Rand, Host: logHost{n}}
 	if cfg.Disk != nil {
 		log.Disk = cfg.Disk
 	}
 	var err error
-	if n.log, err = agree.New(log); err != nil {
+	if n.log, err = raftlog.New(log); err != nil {
 		return nil, err
 	}
 	if cfg.Lease <= 0 {
@@ -125,14 +125,14 @@
 	if cfg.Disk != nil {
 		n.texts.keep = cfg.Disk.Text
 	}
-	n.holder = fleetpolicy.NewHolder(cfg.Lease, n.why)
+	n.holder = policyrollout.NewHolder(cfg.Lease, n.why)
 	n.answers = make(map[int][]*accordpb.Granted)
 	n.relay.waits = make(map[uint32]relayed)
 	return n, nil
 }
 
 // Restore has a node that has just been made go on with what its seat's process before it had kept. It is cut off all the same until a leader grants it more.
-func (n *Node) Restore(now time.Duration, s *agree.Saved, texts [][]byte) error {
+func (n *Node) Restore(now time.Duration, s *raftlog.Saved, texts [][]byte) error {
 	n.now = now
 	for _, raw := range texts {
 		n.texts.add(raw)
@@ -144,7 +144,7 @@
 func (n *Node) Mute() error { return n.log.Mute() }
 
 // why says why a version can't be applied here; "": it can.
-func (n *Node) why(r fleetpolicy.Ref) string {
+func (n *Node) why(r policyrollout.Ref) string {
 	if r.Version == 0 {
 		return "" // the settings
 	}
@@ -152,7 +152,7 @@
 }
 
 // Now is by what this sidecar goes. It is to be asked wherever something depends on it, at that moment.
-func (n *Node) Now(now time.Duration) fleetpolicy.Now {
+func (n *Node) Now(now time.Duration) policyrollout.Now {
 	n.holder.Upto(n.log.Have())
 	return n.holder.Now(now)
 }
@@ -161,7 +161,7 @@
 func (n *Node) Until() time.Duration { return n.holder.Until() }
 
 // Text is a version's text; false: it is not here.
-func (n *Node) Text(r fleetpolicy.Ref) ([]byte, bool) { return n.texts.get(r.Hash) }
+func (n *Node) Text(r policyrollout.Ref) ([]byte, bool) { return n.texts.get(r.Hash) }
 
 // Tick is due every Period.
 func (n *Node) Tick(now time.Duration) {
@@ -169,7 +169,7 @@
 	n.log.Tick(now)
 	n.lead(now)
 	if n.leader != nil {
-		n.log.Tend(now, func(s agree.Seat) bool { return n.gone(now, s) }, n.there(now))
+		n.log.Tend(now, func(s raftlog.Seat) bool { return n.gone(now, s) }, n.there(now))
 	}
 	n.leadWork(now)
 	n.tell(now) // before the report: who is told that this one goes by both may count on it
@@ -191,7 +191,7 @@
 	}
 	n.now = now
 	if len(m.Log) > 0 {
-		l, err := agree.Decode(m.Log)
+		l, err := raftlog.Decode(m.Log)
 		if err != nil {
 			return err
 		}
@@ -218,7 +218,7 @@
 		n.leader = nil
 		return
 	case n.leader == nil || n.term != n.log.Term() || n.epoch != n.log.Epoch():
-		n.leader = fleetpolicy.NewLeader(now, n.Size, Patience(n.Lease, n.Rate), confirmLate*agree.BeatFor(n.Size))
+		n.leader = policyrollout.NewLeader(now, n.Size, Patience(n.Lease, n.Rate), confirmLate*raftlog.BeatFor(n.Size))
 		n.term, n.epoch = n.log.Term(), n.log.Epoch()
 		n.Host.Changed(Event{What: "leads", By: n.Self.Number})
 	}
@@ -228,7 +228,7 @@
 }
 
 // decide puts a step of the leader's into the log, once: it is proposed again by the log itself.
-func (n *Node) decide(now time.Duration, step fleetpolicy.Step) {
+func (n *Node) decide(now time.Duration, step policyrollout.Step) {
 	if n.deciding == step && now < n.decidedAt+decideAgain {
 		return
 	}
@@ -242,7 +242,7 @@
 const decideAgain = 5 * time.Second
 
 // gone says that a voter's process can't take part any more, as far as reports tell.
-func (n *Node) gone(now time.Duration, s agree.Seat) bool {
+func (n *Node) gone(now time.Duration, s raftlog.Seat) bool {
 	seat, lately := n.leader.Seat(now, s.Number)
 	if lately {
 		return seat != s.Life // another process of that number reports, that has forgotten this one's vote
@@ -251,17 +251,17 @@
 }
 
 // there are those that could vote, in an order that is the same for each leader.
-func (n *Node) there(now time.Duration) (all []agree.Seat) {
+func (n *Node) there(now time.Duration) (all []raftlog.Seat) {
 	seats := n.log.Seats()
-	if len(seats) >= agree.VotersFor(n.Size) && !slices.ContainsFunc(seats, func(s agree.Seat) bool { return n.gone(now, s) }) {
+	if len(seats) >= raftlog.VotersFor(n.Size) && !slices.ContainsFunc(seats, func(s raftlog.Seat) bool { return n.gone(now, s) }) {
 		return nil // nothing is to be filled
 	}
 	for i := range n.Size {
 		if seat, lately := n.leader.Seat(now, i); lately && seat != mute {
-			all = append(all, agree.Seat{Number: i, Life: seat})
+			all = append(all, raftlog.Seat{Number: i, Life: seat})
 		}
 	}
-	slices.SortFunc(all, func(a, b agree.Seat) int {
+	slices.SortFunc(all, func(a, b raftlog.Seat) int {
 		if a.ID() < b.ID() {
 			return -1
 		}
@@ -281,7 +281,7 @@
 // logHost carries out what the log decides.
 type logHost struct{ n *Node }
 
-func (h logHost) Send(to int, m *agree.Message) {
+func (h logHost) Send(to int, m *raftlog.Message) {
 	raw, err := m.Encode()
 	if err != nil {
 		return
@@ -297,7 +297,7 @@
 	n.Host.Changed(Event{What: "log", By: n.Self.Number, Why: fmt.Sprintf("epoch %x", epoch)})
 }
 
-func (h logHost) Applied(e agree.Entry) { h.n.applied(e) }
+func (h logHost) Applied(e raftlog.Entry) { h.n.applied(e) }
 
 func (n *Node) send(to int, m *accordpb.Message) { n.post(to, m, false) }
 
--- a/internal/fleet/accord/accord_test.go
+++ b/internal/fleet/replicatedstate/replicatedstate_test.go
@@ -1,4 +1,4 @@
-package accord_test
+package replicatedstate_test
 
 import (
 	"bytes"
@@ -11,16 +11,16 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"caperarch/internal/fleet/accord"
-	"caperarch/internal/fleet/accord/accordpb"
-	"caperarch/internal/fleet/fleetpolicy"
-	"caperarch/internal/lab/accordnet"
+	"caperarch/internal/fleet/policyrollout"
+	"caperarch/internal/fleet/replicatedstate"
+	"caperarch/internal/fleet/replicatedstate/accordpb"
+	"caperarch/internal/lab/replicatedstatesim"
 )
 
 // founded is a fleet in which all go by a log that has just begun.
-func founded(t *testing.T, size int, seed uint64) *accordnet.Net {
+func founded(t *testing.T, size int, seed uint64) *replicatedstatesim.Net {
 	t.Helper()
-	n := accordnet.New(accordnet.Config{Size: size, Seed: seed, Lease: 3 * time.Second, Rate: 0.01})
+	n := replicatedstatesim.New(replicatedstatesim.Config{Size: size, Seed: seed, Lease: 3 * time.Second, Rate: 0.01})
 	n.Run(time.Second)
 	if err := n.Nodes[0].Found(n.Nodes[0].Time(), 1); err != nil {
 		t.Fatal(err)
@@ -32,7 +32,7 @@
 	return n
 }
 
-func holds(m *accordnet.Node) uint32 { return m.View(m.Time()).State.Holds.Version }
+func holds(m *replicatedstatesim.Node) uint32 { return m.View(m.Time()).State.Holds.Version }
 
 // What is wrong with a proposal is told at once, and nothing is begun.
 func TestRefused(t *testing.T) {
@@ -45,9 +45,9 @@
 		}
 	}
 	refused("65 KiB", bytes.Repeat([]byte("#"), 65<<10), 0, "65536 are possible")
-	refused("an old base", accordnet.Text(1), 7, "it was made from version 7, version 0 holds")
+	refused("an old base", replicatedstatesim.Text(1), 7, "it was made from version 7, version 0 holds")
 	n.Cannot[[2]int{3, 9}] = true
-	refused("it can't apply it itself", accordnet.Text(9), 0, "no such tenant")
+	refused("it can't apply it itself", replicatedstatesim.Text(9), 0, "no such tenant")
 	if _, err := m.Abort(m.Time()); err == nil {
 		t.Error("nothing was called off")
 	}
@@ -55,14 +55,14 @@
 		t.Error("a new beginning while the log answers")
 	}
 	have := m.View(m.Time()).Have
-	if _, err := m.Propose(m.Time(), accordnet.Text(1), 0); err != nil {
+	if _, err := m.Propose(m.Time(), replicatedstatesim.Text(1), 0); err != nil {
 		t.Fatal(err)
 	}
 	for range 1000 {
-		refused("a thousand more", accordnet.Text(2), 0, "a proposal of this sidecar has no outcome yet")
+		refused("a thousand more", replicatedstatesim.Text(2), 0, "a proposal of this sidecar has no outcome yet")
 	}
 	// Another's at the same moment: one is first, the other hears so.
-	if _, err := other.Propose(other.Time(), accordnet.Text(2), 0); err != nil {
+	if _, err := other.Propose(other.Time(), replicatedstatesim.Text(2), 0); err != nil {
 		t.Fatal(err)
 	}
 	if !n.Until(10*time.Second, func() bool { return n.Quiet() && holds(m) == 1 }) {
@@ -79,7 +79,7 @@
 	refused("the same again", raw, 1, "holds already")
 	n.Cut = func(from, to int) bool { return from == 3 || to == 3 }
 	n.Run(4 * time.Second)
-	if _, err := m.Propose(m.Time(), accordnet.Text(3), 1); !errors.Is(err, accord.ErrNoContact) {
+	if _, err := m.Propose(m.Time(), replicatedstatesim.Text(3), 1); !errors.Is(err, replicatedstate.ErrNoContact) {
 		t.Errorf("out of contact: %v", err)
 	}
 	if n.Broken != nil {
@@ -91,20 +91,20 @@
 func TestOutcomes(t *testing.T) {
 	for _, c := range []struct {
 		name    string
-		begin   func(n *accordnet.Net, leader int)
+		begin   func(n *replicatedstatesim.Net, leader int)
 		outcome string
 		within  time.Duration
 	}{
-		{"calm", func(*accordnet.Net, int) {}, "taken", time.Second},
-		{"one down", func(n *accordnet.Net, leader int) { n.Crash((leader + 1) % 5) }, "taken", 5 * time.Second},
-		{"one can't", func(n *accordnet.Net, leader int) { n.Cannot[[2]int{(leader + 1) % 5, 1}] = true }, "called off by %d: tenants.x: no such tenant", time.Second},
-		{"late", func(n *accordnet.Net, leader int) { // three of five never have the text
+		{"calm", func(*replicatedstatesim.Net, int) {}, "taken", time.Second},
+		{"one down", func(n *replicatedstatesim.Net, leader int) { n.Crash((leader + 1) % 5) }, "taken", 5 * time.Second},
+		{"one can't", func(n *replicatedstatesim.Net, leader int) { n.Cannot[[2]int{(leader + 1) % 5, 1}] = true }, "called off by %d: tenants.x: no such tenant", time.Second},
+		{"late", func(n *replicatedstatesim.Net, leader int) { // three of five never have the text
 			n.Drop = func(to int, raw []byte) bool {
 				m := new(accordpb.Message)
 				return proto.Unmarshal(raw, m) == nil && m.Piece != nil && to != leader && to != (leader+4)%5
 			}
 		}, "called off by", 10 * time.Second},
-		{"called off by hand", func(n *accordnet.Net, leader int) {
+		{"called off by hand", func(n *replicatedstatesim.Net, leader int) {
 			n.Drop = func(to int, raw []byte) bool {
 				m := new(accordpb.Message)
 				return proto.Unmarshal(raw, m) == nil && m.Piece != nil && to != leader
@@ -120,7 +120,7 @@
 		leader := n.Nodes[0].View(n.Nodes[0].Time()).Leader
 		m, begun := n.Nodes[leader], n.Now
 		c.begin(n, leader)
-		if _, err := m.Propose(m.Time(), accordnet.Text(1), 0); err != nil {
+		if _, err := m.Propose(m.Time(), replicatedstatesim.Text(1), 0); err != nil {
 			t.Fatalf("%s: %v", c.name, err)
 		}
 		got := func() string { return m.View(m.Time()).Mine[0].Outcome }
@@ -131,7 +131,7 @@
 	}
 }
 
-func textOf(m *accordnet.Node) []byte {
+func textOf(m *replicatedstatesim.Node) []byte {
 	raw, _ := m.Text(m.View(m.Time()).State.Holds)
 	return raw
 }
@@ -141,7 +141,7 @@
 	n := founded(t, 5, 3)
 	rng := rand.New(rand.NewPCG(1, 1))
 	raw := []byte("# ")
-	for len(raw) < fleetpolicy.TextMost {
+	for len(raw) < policyrollout.TextMost {
 		raw = append(raw, byte('!'+rng.IntN(90)))
 	}
 	m := n.Nodes[2]
@@ -163,7 +163,7 @@
 	for _, o := range n.Nodes {
 		if !n.Until(2*time.Minute, func() bool {
 			v := o.View(o.Time())
-			return v.Goes.Mode == fleetpolicy.One && v.State.Holds.Version == 1 && bytes.Equal(textOf(o), raw)
+			return v.Goes.Mode == policyrollout.One && v.State.Holds.Version == 1 && bytes.Equal(textOf(o), raw)
 		}) {
 			t.Fatalf("it is not there: %s", n.Text())
 		}
@@ -188,7 +188,7 @@
 		f.Add(raw)
 	}
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		n := accordnet.New(accordnet.Config{Size: 3, Seed: 1, Lease: 3 * time.Second, Rate: 0.01})
+		n := replicatedstatesim.New(replicatedstatesim.Config{Size: 3, Seed: 1, Lease: 3 * time.Second, Rate: 0.01})
 		n.Run(500 * time.Millisecond)
 		if err := n.Nodes[0].Found(n.Nodes[0].Time(), 1); err != nil {
 			t.Fatal(err)
@@ -204,14 +204,14 @@
 // With disks that last the fleet goes by its policy again after a stop of all at once, without an operator; without them it does not.
 func TestAllStoppedAtOnce(t *testing.T) {
 	for _, disks := range []bool{true, false} {
-		n := accordnet.New(accordnet.Config{Size: 5, Seed: 2, Lease: 3 * time.Second, Rate: 0.01, Disks: disks})
+		n := replicatedstatesim.New(replicatedstatesim.Config{Size: 5, Seed: 2, Lease: 3 * time.Second, Rate: 0.01, Disks: disks})
 		n.Run(time.Second)
 		if err := n.Nodes[0].Found(n.Nodes[0].Time(), 1); err != nil {
 			t.Fatal(err)
 		}
 		n.Watch(20 * time.Millisecond)
 		n.Until(30*time.Second, n.Quiet)
-		if _, err := n.Nodes[1].Propose(n.Nodes[1].Time(), accordnet.Text(1), 0); err != nil {
+		if _, err := n.Nodes[1].Propose(n.Nodes[1].Time(), replicatedstatesim.Text(1), 0); err != nil {
 			t.Fatal(err)
 		}
 		n.Run(5 * time.Second)
@@ -221,7 +221,7 @@
 		n.Run(time.Minute)
 		for i, m := range n.Nodes {
 			n.Boot(i)
-			if goes := m.Node.Now(m.Time()); goes.Mode != fleetpolicy.CutOff {
+			if goes := m.Node.Now(m.Time()); goes.Mode != policyrollout.CutOff {
 				t.Errorf("n%d has just started and goes by %v", i, goes.Mode)
 			}
 		}
--- a/internal/fleet/accord/reports.go
+++ b/internal/fleet/replicatedstate/reports.go
@@ -1,4 +1,4 @@
-package accord
+package replicatedstate
 
 import (
 	"cmp"
@@ -7,8 +7,8 @@
 	"strings"
 	"time"
 
-	"caperarch/internal/fleet/accord/accordpb"
-	"caperarch/internal/fleet/fleetpolicy"
+	"caperarch/internal/fleet/policyrollout"
+	"caperarch/internal/fleet/replicatedstate/accordpb"
 
 	"google.golang.org/protobuf/proto"
 )
@@ -34,7 +34,7 @@
 	tries   int           // since one was, or something changed
 	shift   int           // among the relays
 
-	deciding  fleetpolicy.Step // what this leader last wanted in the log
+	deciding  policyrollout.Step // what this leader last wanted in the log
 	decidedAt time.Duration
 	answers   map[int][]*accordpb.Granted // of the leader, by relay
 	owed      []owed                      // to which of them, the longest waiting first
@@ -51,7 +51,7 @@
 
 // reported is what has others told at once when it changes.
 type reported struct {
-	now    fleetpolicy.Now
+	now    policyrollout.Now
 	cannot string
 	ready  uint32
 	begun  bool
@@ -119,7 +119,7 @@
 }
 
 // wire is a report as it is sent.
-func (n *Node) wire(r fleetpolicy.Report) *accordpb.Report {
+func (n *Node) wire(r policyrollout.Report) *accordpb.Report {
 	seat := uint64(0)
 	switch {
 	case n.log.Mute() != nil:
@@ -266,16 +266,16 @@
 	}
 	n.heardWork(p)
 	s := n.holder.State()
-	ref := func(version uint32) fleetpolicy.Ref { // in one epoch a version is one text
+	ref := func(version uint32) policyrollout.Ref { // in one epoch a version is one text
 		switch version {
 		case s.Holds.Version:
 			return s.Holds
 		case s.Pending.Version:
 			return s.Pending
 		}
-		return fleetpolicy.Ref{Version: version}
+		return policyrollout.Ref{Version: version}
 	}
-	r := fleetpolicy.Report{Life: p.Life, Seat: cmp.Or(p.Seat, p.Life), Turn: p.Turn, Ready: p.Ready, Have: p.Have, Cannot: p.Cannot, Now: fleetpolicy.Now{Mode: fleetpolicy.Mode(p.Mode), Old: ref(p.Old), New: ref(p.New)}}
+	r := policyrollout.Report{Life: p.Life, Seat: cmp.Or(p.Seat, p.Life), Turn: p.Turn, Ready: p.Ready, Have: p.Have, Cannot: p.Cannot, Now: policyrollout.Now{Mode: policyrollout.Mode(p.Mode), Old: ref(p.Old), New: ref(p.New)}}
 	return n.leader.Heard(now, at, int(p.Number), r, s)
 }
 
--- a/internal/fleet/accord/size_test.go
+++ b/internal/fleet/replicatedstate/size_test.go
@@ -1,18 +1,18 @@
-package accord_test
+package replicatedstate_test
 
 import (
 	"testing"
 	"time"
 
-	"caperarch/internal/fleet/agree"
-	"caperarch/internal/fleet/fleetpolicy"
-	"caperarch/internal/lab/accordnet"
+	"caperarch/internal/fleet/policyrollout"
+	"caperarch/internal/fleet/raftlog"
+	"caperarch/internal/lab/replicatedstatesim"
 )
 
 // Three hundred, each with the bytes that the link lets it send: what a change takes, calm, with loss, and with a tenth down; and what all cost at rest.
 func TestThreeHundred(t *testing.T) {
 	const size, budget = 300, 1200.0 // of 2,048 a second: what swim leaves
-	n := accordnet.New(accordnet.Config{Size: size, Seed: 3, Lease: 15 * time.Second, Rate: 0.001, Spend: budget})
+	n := replicatedstatesim.New(replicatedstatesim.Config{Size: size, Seed: 3, Lease: 15 * time.Second, Rate: 0.001, Spend: budget})
 	n.Run(time.Second)
 	if err := n.Nodes[0].Found(n.Nodes[0].Time(), 1<<56); err != nil {
 		t.Fatal(err)
@@ -44,7 +44,7 @@
 		}
 	}
 	t.Logf("at rest, bytes a second: %.0f on average, the leader %.0f, a voter up to %.0f; spared %d", sum, leader, voter, n.Spared)
-	if most > budget*0.9 || len(v.Voters) != agree.VotersFor(size) {
+	if most > budget*0.9 || len(v.Voters) != raftlog.VotersFor(size) {
 		t.Errorf("%.0f bytes a second, voters %v", most, v.Voters)
 	}
 	change := func(name string, number int, within time.Duration, cutMost int) {
@@ -53,7 +53,7 @@
 		for !m.Lives() {
 			m = n.Nodes[n.Rng.IntN(size)]
 		}
-		ref, err := m.Propose(m.Time(), accordnet.Text(number), m.View(m.Time()).State.Holds.Version)
+		ref, err := m.Propose(m.Time(), replicatedstatesim.Text(number), m.View(m.Time()).State.Holds.Version)
 		if err != nil {
 			t.Fatalf("%s: %v", name, err)
 		}
@@ -63,9 +63,9 @@
 			for _, m := range n.Nodes {
 				switch goes := m.Node.Now(m.Time()); {
 				case !m.Lives():
-				case goes.Mode == fleetpolicy.CutOff:
+				case goes.Mode == policyrollout.CutOff:
 					cut++
-				case goes.Mode != fleetpolicy.One || goes.New != ref:
+				case goes.Mode != policyrollout.One || goes.New != ref:
 					return false
 				}
 			}
--- a/internal/fleet/accord/work.go
+++ b/internal/fleet/replicatedstate/work.go
@@ -1,4 +1,4 @@
-package accord
+package replicatedstate
 
 import (
 	"crypto/sha256"
@@ -10,18 +10,18 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"caperarch/internal/fleet/accord/accordpb"
-	"caperarch/internal/fleet/agree"
-	"caperarch/internal/fleet/fleetpolicy"
-	"caperarch/internal/fleet/outage"
+	"caperarch/internal/fleet/maintenance"
+	"caperarch/internal/fleet/policyrollout"
+	"caperarch/internal/fleet/raftlog"
+	"caperarch/internal/fleet/replicatedstate/accordpb"
 )
 
 // Work is what a Node asks its process on machines taken out for work. Its methods must not call back.
 type Work interface {
 	// Machines is the list of them as it is known here; current: it is as new as can be.
-	Machines() (all []outage.Machine, current bool)
+	Machines() (all []maintenance.Machine, current bool)
 	// Own is what this sidecar has to say of itself.
-	Own(s *outage.State) outage.Report
+	Own(s *maintenance.State) maintenance.Report
 }
 
 const (
@@ -32,21 +32,21 @@
 var (
 	errNoWork = errors.New("this process knows of no machines: it has no part in work on them")
 	errEntry  = errors.New("an entry about work that can't be read: of a newer version of the program, maybe")
-	errLong   = fmt.Errorf("a plan has %d bytes at most", fleetpolicy.TextMost)
+	errLong   = fmt.Errorf("a plan has %d bytes at most", policyrollout.TextMost)
 )
 
 // work is a node's part in machines taken out for work: what the log makes of it, and the leader's part.
 type work struct {
-	state  outage.State
-	leader *outage.Leader // nil: another leads, or nothing is to be done
-	book   outage.Book
-	plans  map[hash]*outage.Plan // those that were read
+	state  maintenance.State
+	leader *maintenance.Leader // nil: another leads, or nothing is to be done
+	book   maintenance.Book
+	plans  map[hash]*maintenance.Plan // those that were read
 
-	decided   outage.Step // what this leader last wanted in the log
+	decided   maintenance.Step // what this leader last wanted in the log
 	decidedAt time.Duration
 
 	said   string // by the leader: what the oldest plan waits for
-	away   []fleetpolicy.Behind
+	away   []policyrollout.Behind
 	aways  int
 	saidAt time.Duration
 }
@@ -55,7 +55,7 @@
 func (n *Node) inWork() bool { return len(n.work.state.Works)+len(n.work.state.Turns) > 0 }
 
 // wrap is a step about work as an entry of the log. What goes by the policy alone can't read it, and is cut off: a sidecar that knows of no turns must not be counted on.
-func wrap(s outage.Step) ([]byte, error) {
+func wrap(s maintenance.Step) ([]byte, error) {
 	raw, err := s.Encode()
 	if err != nil {
 		return nil, err
@@ -64,7 +64,7 @@
 }
 
 // unwrap is such an entry's step; is: it is one.
-func unwrap(raw []byte) (s outage.Step, is bool, err error) {
+func unwrap(raw []byte) (s maintenance.Step, is bool, err error) {
 	e := new(accordpb.Entry)
 	if proto.Unmarshal(raw, e) != nil || len(e.Work) == 0 {
 		return s, false, nil
@@ -72,12 +72,12 @@
 	if len(e.ProtoReflect().GetUnknown()) > 0 {
 		return s, true, errEntry
 	}
-	s, err = outage.Decode(e.Work)
+	s, err = maintenance.Decode(e.Work)
 	return s, true, err
 }
 
 // appliedWork takes an entry about work.
-func (n *Node) appliedWork(e agree.Entry, s outage.Step, err error) {
+func (n *Node) appliedWork(e raftlog.Entry, s maintenance.Step, err error) {
 	n.holder.Upto(e.Index)
 	if err != nil {
 		n.holder.Blind()
@@ -100,7 +100,7 @@
 		return
 	}
 	if w.leader == nil || w.leader.Term != n.term {
-		w.leader, w.book = outage.NewLeader(n.term, n.Self.Number), outage.Book{Size: n.Size, Deadline: Patience(n.Deadline, n.Rate)}
+		w.leader, w.book = maintenance.NewLeader(n.term, n.Self.Number), maintenance.Book{Size: n.Size, Deadline: Patience(n.Deadline, n.Rate)}
 	}
 	// One that is confirmed no more may lack what a later leader has put into the log.
 	if at, index := n.log.Confirmed(); at == 0 || now-at >= n.leader.Confirm || n.log.Have() < index {
@@ -122,10 +122,10 @@
 }
 
 // world is what this leader knows now.
-func (n *Node) world(now time.Duration) *outage.World {
+func (n *Node) world(now time.Duration) *maintenance.World {
 	machines, current := n.Work.Machines()
 	sum := n.work.book.Sum(now, n.leader.Until)
-	return &outage.World{
+	return &maintenance.World{
 		Now: now, Machines: machines, Traffic: sum.Traffic, InTime: sum.InTime, Unheard: len(sum.Away),
 		Current: current && sum.Whole, // a new leader does not know yet what the others have
 		Slack:   2*n.leader.Patience + n.Deadline,
@@ -135,7 +135,7 @@
 }
 
 // plan is a plan by its hash, once its text is here.
-func (n *Node) plan(h [sha256.Size]byte) (*outage.Plan, bool) {
+func (n *Node) plan(h [sha256.Size]byte) (*maintenance.Plan, bool) {
 	if p := n.work.plans[h]; p != nil {
 		return p, true
 	}
@@ -143,12 +143,12 @@
 	if !here {
 		return nil, false
 	}
-	p, err := outage.Parse(raw)
+	p, err := maintenance.Parse(raw)
 	if err != nil {
 		return nil, false
 	}
 	if n.work.plans == nil || len(n.work.plans) >= textsMost {
-		n.work.plans = make(map[hash]*outage.Plan)
+		n.work.plans = make(map[hash]*maintenance.Plan)
 	}
 	n.work.plans[h] = p
 	return p, true
@@ -174,13 +174,13 @@
 // leaves says whether a turn waits for all to tell that they are clear.
 func (n *Node) leaves() bool {
 	turns := n.work.state.Turns
-	return len(turns) > 0 && turns[len(turns)-1].Phase == outage.Leaving // the last that was given is the only one
+	return len(turns) > 0 && turns[len(turns)-1].Phase == maintenance.Leaving // the last that was given is the only one
 }
 
 // heardWork takes that from a report.
 func (n *Node) heardWork(p *accordpb.Report) {
 	if n.leadsWork() && p.Served > 0 {
-		n.work.book.Heard(int(p.Number), p.Life, p.Turn, outage.Report{Clear: p.Clear, Rate: float64(p.Rate) / 10, InTime: min(1, float64(p.Served-1)/1000)})
+		n.work.book.Heard(int(p.Number), p.Life, p.Turn, maintenance.Report{Clear: p.Clear, Rate: float64(p.Rate) / 10, InTime: min(1, float64(p.Served-1)/1000)})
 	}
 }
 
@@ -190,10 +190,10 @@
 	if n.Work == nil {
 		return 0, errNoWork
 	}
-	if len(raw) > fleetpolicy.TextMost {
+	if len(raw) > policyrollout.TextMost {
 		return 0, errLong
 	}
-	p, err := outage.Parse(raw)
+	p, err := maintenance.Parse(raw)
 	if err != nil {
 		return 0, err
 	}
@@ -205,7 +205,7 @@
 		return 0, ErrNoContact
 	}
 	x := n.texts.add(slices.Clone(raw), n.needed()...)
-	step := outage.Step{Kind: outage.Planned, Number: n.work.state.LastPlan + 1, Hash: x.hash, By: n.Self.Number}
+	step := maintenance.Step{Kind: maintenance.Planned, Number: n.work.state.LastPlan + 1, Hash: x.hash, By: n.Self.Number}
 	if refused := n.would(step); refused != "" {
 		return 0, errors.New(refused)
 	}
@@ -215,13 +215,13 @@
 }
 
 // Operate puts an operator's word on a plan or a turn into the log: it is done, or the plan is to pause, to go on, to end.
-func (n *Node) Operate(now time.Duration, kind outage.Kind, number uint32) error {
+func (n *Node) Operate(now time.Duration, kind maintenance.Kind, number uint32) error {
 	n.now = now
 	if !n.begun(now) {
 		return ErrNoContact
 	}
-	step := outage.Step{Kind: kind, Number: number, By: n.Self.Number}
-	if kind == outage.Paused {
+	step := maintenance.Step{Kind: kind, Number: number, By: n.Self.Number}
+	if kind == maintenance.Paused {
 		step.Why = "by hand"
 	}
 	if refused := n.would(step); refused != "" {
@@ -232,16 +232,16 @@
 
 // begun says whether this sidecar is in contact with a log that has begun.
 func (n *Node) begun(now time.Duration) bool {
-	return n.holder.State().Begun && n.Now(now).Mode != fleetpolicy.CutOff
+	return n.holder.State().Begun && n.Now(now).Mode != policyrollout.CutOff
 }
 
 // would says why an entry would change nothing now; "": it would. The log decides in the end.
-func (n *Node) would(s outage.Step) string {
+func (n *Node) would(s maintenance.Step) string {
 	copied := n.work.state.Clone()
 	return copied.Apply(s)
 }
 
-func (n *Node) proposeWork(now time.Duration, s outage.Step) error {
+func (n *Node) proposeWork(now time.Duration, s maintenance.Step) error {
 	raw, err := wrap(s)
 	if err != nil {
 		return err
@@ -265,13 +265,13 @@
 }
 
 // standsWork is what the oldest plan waits for, and who is out of contact for how long, as this leader knows it.
-func (n *Node) standsWork(now time.Duration) (waits string, away []fleetpolicy.Behind) {
+func (n *Node) standsWork(now time.Duration) (waits string, away []policyrollout.Behind) {
 	s := &n.work.state
 	for _, i := range n.work.book.Sum(now, n.leader.Until).Away {
-		away = append(away, fleetpolicy.Behind{Number: i, Why: fmt.Sprintf("for %.0fs", (now - n.leader.Until(i)).Seconds())})
+		away = append(away, policyrollout.Behind{Number: i, Why: fmt.Sprintf("for %.0fs", (now - n.leader.Until(i)).Seconds())})
 	}
 	for _, t := range s.Turns {
-		if t.Phase == outage.Leaving {
+		if t.Phase == maintenance.Leaving {
 			if late := n.work.book.Waits(now, t.Number, n.leader.Until); len(late) > 0 {
 				return fmt.Sprintf("turn %d: %d sidecars may still send, %v", t.Number, len(late), late[:min(len(late), awayMost)]), away
 			}
@@ -291,16 +291,16 @@
 	w := &n.work
 	w.saidAt, w.said, w.aways, w.away = now, m.WorkWaits, int(m.AwayCount)-1, nil
 	for _, a := range m.Away {
-		w.away = append(w.away, fleetpolicy.Behind{Number: int(a.Number), Why: a.Why})
+		w.away = append(w.away, policyrollout.Behind{Number: int(a.Number), Why: a.Why})
 	}
 }
 
 // WorkView is what a sidecar knows of machines taken out for work.
 type WorkView struct {
-	State outage.State
-	Waits string               // what the oldest plan waits for
-	Away  []fleetpolicy.Behind // some of those out of contact
-	Aways int                  // how many they are; -1: the leader has not told
+	State maintenance.State
+	Waits string                 // what the oldest plan waits for
+	Away  []policyrollout.Behind // some of those out of contact
+	Aways int                    // how many they are; -1: the leader has not told
 }
 
 // ViewWork is the present one.
@@ -317,7 +317,7 @@
 }
 
 // WorkState is what the log makes of plans and turns; it is to be read only, before anything else is asked of the node.
-func (n *Node) WorkState() *outage.State { return &n.work.state }
+func (n *Node) WorkState() *maintenance.State { return &n.work.state }
 
 // Out are the machines to which nothing new may be sent.
 func (n *Node) Out() []uint64 { return n.work.state.Out() }
--- a/internal/fleet/accord/work_test.go
+++ b/internal/fleet/replicatedstate/work_test.go
@@ -1,4 +1,4 @@
-package accord_test
+package replicatedstate_test
 
 import (
 	"fmt"
@@ -6,14 +6,14 @@
 	"testing"
 	"time"
 
-	"caperarch/internal/fleet/outage"
-	"caperarch/internal/lab/accordnet"
+	"caperarch/internal/fleet/maintenance"
+	"caperarch/internal/lab/replicatedstatesim"
 )
 
 // machinesOf are some in cells of two.
-func machinesOf(n int) (all []outage.Machine) {
+func machinesOf(n int) (all []maintenance.Machine) {
 	for i := range n {
-		all = append(all, outage.Machine{ID: uint64(i + 1), Name: fmt.Sprintf("s-%d", i), Zone: "a", Cell: i / 2, Weight: 1, State: outage.Ready, Warmth: 1})
+		all = append(all, maintenance.Machine{ID: uint64(i + 1), Name: fmt.Sprintf("s-%d", i), Zone: "a", Cell: i / 2, Weight: 1, State: maintenance.Ready, Warmth: 1})
 	}
 	return all
 }
@@ -21,10 +21,10 @@
 const roundText = "all = true\nlongest = \"10m\"\ncut_off = %q\n[out]\nfleet = \"2\"\ncell = \"1\"\n"
 
 // round has a fleet take all machines out, one plan, through faults; somebody works on each that is free and says that it is done.
-func round(seed uint64) *accordnet.Net {
+func round(seed uint64) *replicatedstatesim.Net {
 	size := 5 + int(seed%5)
-	site := &accordnet.Site{Machines: machinesOf(6), Deadline: time.Duration(2+4*(seed%2)) * time.Second, Bound: 2, Returns: 2 * time.Second}
-	n := accordnet.New(accordnet.Config{Size: size, Seed: seed, Lease: 3 * time.Second, Rate: 0.01, Disks: seed%3 == 0, Site: site})
+	site := &replicatedstatesim.Site{Machines: machinesOf(6), Deadline: time.Duration(2+4*(seed%2)) * time.Second, Bound: 2, Returns: 2 * time.Second}
+	n := replicatedstatesim.New(replicatedstatesim.Config{Size: size, Seed: seed, Lease: 3 * time.Second, Rate: 0.01, Disks: seed%3 == 0, Site: site})
 	rng := n.Rng
 	n.Run(time.Second)
 	if err := n.Nodes[0].Found(n.Nodes[0].Time(), 1); err != nil {
@@ -41,13 +41,13 @@
 				planned = err == nil
 			}
 			for _, t := range m.ViewWork(m.Time()).State.Turns {
-				if t.Phase == outage.Free && rng.IntN(4) == 0 {
-					_ = m.Operate(m.Time(), outage.Done, t.Number)
+				if t.Phase == maintenance.Free && rng.IntN(4) == 0 {
+					_ = m.Operate(m.Time(), maintenance.Done, t.Number)
 				}
 			}
 			for _, w := range m.ViewWork(m.Time()).State.Works {
 				if w.Paused != "" {
-					_ = m.Operate(m.Time(), outage.Resumed, w.Number)
+					_ = m.Operate(m.Time(), maintenance.Resumed, w.Number)
 				}
 			}
 		}
@@ -147,8 +147,8 @@
 
 // A plan that is paused while the turn of the same number is out: what is told of the plan names no machine (the site looks for that), the turn goes on, and nobody goes next.
 func TestPausedInATurn(t *testing.T) {
-	site := &accordnet.Site{Machines: machinesOf(4), Deadline: 2 * time.Second, Bound: 2, Returns: time.Second}
-	n := accordnet.New(accordnet.Config{Size: 5, Seed: 1, Lease: 3 * time.Second, Rate: 0.01, Site: site})
+	site := &replicatedstatesim.Site{Machines: machinesOf(4), Deadline: 2 * time.Second, Bound: 2, Returns: time.Second}
+	n := replicatedstatesim.New(replicatedstatesim.Config{Size: 5, Seed: 1, Lease: 3 * time.Second, Rate: 0.01, Site: site})
 	n.Run(time.Second)
 	m := n.Nodes[0]
 	if err := m.Found(m.Time(), 1); err != nil {
@@ -161,12 +161,12 @@
 	if !n.Until(20*time.Second, func() bool { return m.WorkState().Turn(1) != nil }) {
 		t.Fatalf("no turn: %+v", m.ViewWork(m.Time()))
 	}
-	if err := m.Operate(m.Time(), outage.Paused, 1); err != nil {
+	if err := m.Operate(m.Time(), maintenance.Paused, 1); err != nil {
 		t.Fatal(err)
 	}
 	n.Run(20 * time.Second)
 	s := m.WorkState()
-	if n.Broken != nil || len(s.Works) != 1 || s.Works[0].Paused == "" || s.LastTurn != 1 || s.Turn(1).Phase != outage.Free {
+	if n.Broken != nil || len(s.Works) != 1 || s.Works[0].Paused == "" || s.LastTurn != 1 || s.Turn(1).Phase != maintenance.Free {
 		t.Errorf("%v, %+v", n.Broken, s)
 	}
 }
--- a/internal/fleet/state/contents.go
+++ b/internal/fleet/state/contents.go
@@ -8,7 +8,7 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"caperarch/internal/fleet/agree"
+	"caperarch/internal/fleet/raftlog"
 	"caperarch/internal/proxy/durable"
 )
 
@@ -18,7 +18,7 @@
 	fileKind = "caperarch-fleet-state"
 	// textsMost bounds the texts kept; a sidecar works with fewer.
 	maxTexts = 32
-	// fileMost bounds what is read into memory: a log of agree.LogMost entries and textsMost texts of 64 KiB,
+	// fileMost bounds what is read into memory: a log of raftlog.LogMost entries and textsMost texts of 64 KiB,
 	// all in base64, come to 6 MB.
 	maxFileSize = 8 << 20
 )
@@ -75,11 +75,11 @@
 }
 
 // saved is the part of the log, or why it is none.
-func (c *contents) log() (*agree.Saved, error) {
+func (c *contents) log() (*raftlog.Saved, error) {
 	if c.Seat == 0 {
 		return nil, fmt.Errorf("%w: it has no seat", durable.ErrCorrupt)
 	}
-	saved := &agree.Saved{Epoch: c.Epoch}
+	saved := &raftlog.Saved{Epoch: c.Epoch}
 	if c.HardState != nil {
 		saved.Vote = new(raftpb.HardState)
 		if err := proto.Unmarshal(c.HardState, saved.Vote); err != nil {
--- a/internal/fleet/state/damage_test.go
+++ b/internal/fleet/state/damage_test.go
@@ -16,7 +16,7 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"caperarch/internal/lab/rig/damage"
+	"caperarch/internal/lab/testbed/damage"
 	"caperarch/internal/proxy/durable"
 )
 
--- a/internal/fleet/state/state.go
+++ b/internal/fleet/state/state.go
@@ -21,7 +21,7 @@
 
 	"go.etcd.io/raft/v3/raftpb"
 
-	"caperarch/internal/fleet/agree"
+	"caperarch/internal/fleet/raftlog"
 	"caperarch/internal/proxy/durable"
 )
 
@@ -166,7 +166,7 @@
 func (s *Store) Seat() uint64 { return s.contents.Seat }
 
 // Saved is what is kept: the part of the log, and texts.
-func (s *Store) Saved() (*agree.Saved, [][]byte, error) {
+func (s *Store) Saved() (*raftlog.Saved, [][]byte, error) {
 	saved, err := s.contents.log()
 	return saved, s.contents.Texts, err
 }
--- a/internal/fleet/swim/history_test.go
+++ b/internal/fleet/swim/history_test.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"caperarch/internal/fleet/swim"
-	"caperarch/internal/lab/swimnet"
+	"caperarch/internal/lab/swimsim"
 )
 
 var (
@@ -18,10 +18,10 @@
 
 // history plays one, of 3 to 7 processes with a lease of 3 s. Whatever goes wrong, no session that somebody counts as over
 // may be in contact; and once all is well again all views have to be equal.
-func history(seed uint64) (plan *swimnet.Plan, broken []string) {
+func history(seed uint64) (plan *swimsim.Plan, broken []string) {
 	size := 3 + int(seed%5)
-	plan = swimnet.Draw(seed, size, 25*time.Second)
-	n := swimnet.New(swimnet.Config{Size: size, Seed: seed, Rate: plan.Rate})
+	plan = swimsim.Draw(seed, size, 25*time.Second)
+	n := swimsim.New(swimsim.Config{Size: size, Seed: seed, Rate: plan.Rate})
 	if broken = n.Watched(6*time.Second, 100*time.Millisecond); broken != nil {
 		return plan, broken
 	}
@@ -62,24 +62,24 @@
 // off, one is not heard, one stands still, or one crashes and comes back at once, having forgotten.
 func TestEveryScheduleOfFaults(t *testing.T) {
 	const size, slot = 3, 1500 * time.Millisecond
-	whats := []string{swimnet.Split, swimnet.OneWay, swimnet.Stop, swimnet.Crash}
+	whats := []string{swimsim.Split, swimsim.OneWay, swimsim.Stop, swimsim.Crash}
 	ways := 1 + size*len(whats)
 	all := 1
 	for range *depth {
 		all *= ways
 	}
 	for number := range all {
-		plan := &swimnet.Plan{Most: 10 * time.Millisecond}
+		plan := &swimsim.Plan{Most: 10 * time.Millisecond}
 		for k, rest := 0, number; k < *depth; k, rest = k+1, rest/ways {
 			if way := rest % ways; way > 0 {
-				s := swimnet.Step{At: time.Duration(k) * slot, For: slot, What: whats[(way-1)/size], Who: []int{(way - 1) % size}}
-				if s.What == swimnet.Crash {
+				s := swimsim.Step{At: time.Duration(k) * slot, For: slot, What: whats[(way-1)/size], Who: []int{(way - 1) % size}}
+				if s.What == swimsim.Crash {
 					s.For = 100 * time.Millisecond
 				}
 				plan.Steps = append(plan.Steps, s)
 			}
 		}
-		n := swimnet.New(swimnet.Config{Size: size, Seed: 1, Rate: 0.01})
+		n := swimsim.New(swimsim.Config{Size: size, Seed: 1, Rate: 0.01})
 		n.Run(8 * time.Second)
 		n.Play(plan)
 		broken := n.Watched(time.Duration(*depth)*slot+4*time.Second, 100*time.Millisecond)
--- a/internal/fleet/swim/node_test.go
+++ b/internal/fleet/swim/node_test.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"caperarch/internal/fleet/swim"
-	"caperarch/internal/lab/swimnet"
+	"caperarch/internal/lab/swimsim"
 )
 
 const lease = 3 * time.Second
@@ -419,7 +419,7 @@
 // All that five members sent one another in half a minute, in which one crashed, comes to one of them again an hour later: nothing changes by it.
 func TestReplayedAnHourLater(t *testing.T) {
 	var all []swim.Message
-	n := swimnet.New(swimnet.Config{Size: 5, Seed: 3, Alter: func(_ swim.Config, to swim.Host) swim.Host { return recorder{to, &all} }})
+	n := swimsim.New(swimsim.Config{Size: 5, Seed: 3, Alter: func(_ swim.Config, to swim.Host) swim.Host { return recorder{to, &all} }})
 	n.After(20*time.Second, func() { n.Crash(4) })
 	n.After(24*time.Second, func() { n.Boot(4) })
 	n.Run(40 * time.Second)
--- a/internal/fleet/swim/swim_test.go
+++ b/internal/fleet/swim/swim_test.go
@@ -6,10 +6,10 @@
 	"time"
 
 	"caperarch/internal/fleet/swim"
-	"caperarch/internal/lab/swimnet"
+	"caperarch/internal/lab/swimsim"
 )
 
-func settled(t *testing.T, n *swimnet.Net) {
+func settled(t *testing.T, n *swimsim.Net) {
 	t.Helper()
 	if !n.Until(4*swim.LeaseFor(n.Size)+20*time.Second, func() bool { return n.InContact() == n.Size && n.Agree() }) {
 		t.Fatalf("seed %d: %d of %d in contact after %v, agree %v", n.Seed, n.InContact(), n.Size, n.Now-time.Hour, n.Agree())
@@ -18,7 +18,7 @@
 
 func TestSettles(t *testing.T) {
 	for _, size := range []int{1, 2, 3, 5, 9, 40} {
-		n := swimnet.New(swimnet.Config{Size: size, Seed: uint64(size)})
+		n := swimsim.New(swimsim.Config{Size: size, Seed: uint64(size)})
 		begun := n.Now
 		settled(t, n)
 		t.Logf("%d: %v", size, n.Now-begun)
