--- a/internal/fleet/work.go
+++ b/internal/fleet/work.go
@@ -9,16 +9,16 @@
 	"strings"
 	"time"
 
-	"caperarch/internal/fleet/accord"
-	"caperarch/internal/fleet/fleetpolicy"
-	"caperarch/internal/fleet/outage"
-	"caperarch/internal/proxy/figures"
+	"caperarch/internal/fleet/maintenance"
+	"caperarch/internal/fleet/policyrollout"
+	"caperarch/internal/fleet/replicatedstate"
+	"caperarch/internal/proxy/metrics"
 )
 
 // Site is what this process has to do with the machines that plans of work are about.
 type Site interface {
 	// Machines are those that are listed, plans left aside; current: discovery has answered lately.
-	Machines() (all []outage.Machine, current bool)
+	Machines() (all []maintenance.Machine, current bool)
 	// Quiet has told called with those of some machines to which nothing goes any more, and at which nothing is out. It does not wait.
 	Quiet(ids []uint64, told func(quiet []uint64))
 	// Handled is how many requests were answered since the start, and how many of them were served.
@@ -29,9 +29,9 @@
 type work struct {
 	site   Site
 	begun  time.Duration
-	roll   outage.Roll
-	own    outage.Own
-	load   outage.Load
+	roll   maintenance.Roll
+	own    maintenance.Own
+	load   maintenance.Load
 	asking bool // the site has not told yet
 	logs   int  // that this process has known: what the site tells of an earlier one's turns counts no more
 }
@@ -94,27 +94,27 @@
 // policyWork is what the node asks; its methods are called with the lock held.
 type policyWork struct{ p *Policy }
 
-func (w policyWork) Machines() (all []outage.Machine, current bool) {
+func (w policyWork) Machines() (all []maintenance.Machine, current bool) {
 	p := w.p
 	listed, current := p.work.site.Machines()
 	p.work.roll.Heard(p.now, listed)
 	return p.work.roll.All(p.now), current
 }
 
-func (w policyWork) Own(s *outage.State) outage.Report {
+func (w policyWork) Own(s *maintenance.State) maintenance.Report {
 	p := w.p
 	rate, served := p.work.load.Lately()
-	return outage.Report{Clear: p.work.own.Clear(p.now-p.work.begun, accord.Patience(p.cfg.Deadline, p.cfg.Rate), s), Rate: rate, InTime: served}
+	return maintenance.Report{Clear: p.work.own.Clear(p.now-p.work.begun, replicatedstate.Patience(p.cfg.Deadline, p.cfg.Rate), s), Rate: rate, InTime: served}
 }
 
-func (h policyHost) Worked(s outage.Step) {
+func (h policyHost) Worked(s maintenance.Step) {
 	p := h.p
-	if s.Kind == outage.Given || s.Kind == outage.Withdrawn || s.Kind == outage.Done {
+	if s.Kind == maintenance.Given || s.Kind == maintenance.Withdrawn || s.Kind == maintenance.Done {
 		if p.node != nil {
 			p.bar()
 		}
 	}
-	if s.Kind == outage.Leads {
+	if s.Kind == maintenance.Leads {
 		return
 	}
 	args := []any{"number", s.Number, "by", s.By}
@@ -162,12 +162,12 @@
 		return err
 	}
 	p.publish()
-	_, err = fmt.Fprintf(to, "plan %d is to begin, hash %s\n", number, fleetpolicy.Hash(text))
+	_, err = fmt.Fprintf(to, "plan %d is to begin, hash %s\n", number, policyrollout.Hash(text))
 	return err
 }
 
 // Operate carries out an operator's word on a turn (done) or a plan (paused, resumed, cancelled).
-func (p *Policy) Operate(kind outage.Kind, words []string, to io.Writer) error {
+func (p *Policy) Operate(kind maintenance.Kind, words []string, to io.Writer) error {
 	number, err := strconv.ParseUint(words[0], 10, 32)
 	if err != nil || number == 0 {
 		return errNumber
@@ -183,7 +183,7 @@
 	}
 	p.publish()
 	what := "plan"
-	if kind == outage.Done {
+	if kind == maintenance.Done {
 		what = "turn"
 	}
 	_, err = fmt.Fprintf(to, "%s %d is to be %s\n", what, number, kind)
@@ -220,7 +220,7 @@
 	}
 	for _, t := range s.Turns {
 		state := t.Phase.String()
-		if t.Phase == outage.Free {
+		if t.Phase == maintenance.Free {
 			state = "out, free to work on"
 		}
 		fmt.Fprintf(b, "turn %d of plan %d: %s: %s\n", t.Number, t.Plan, p.nameOf(t.Machine), state)
@@ -255,8 +255,8 @@
 const pastShown = 20
 
 // workFigures is the present state in numbers. The caller holds the lock.
-func (p *Policy) workFigures() figures.Work {
-	w := figures.Work{Machines: map[string]int{outage.Leaving.String(): 0, outage.Free.String(): 0, outage.Returning.String(): 0}}
+func (p *Policy) workFigures() metrics.Work {
+	w := metrics.Work{Machines: map[string]int{maintenance.Leaving.String(): 0, maintenance.Free.String(): 0, maintenance.Returning.String(): 0}}
 	if p.node == nil {
 		return w
 	}
@@ -273,11 +273,11 @@
 	return w
 }
 
-func (p *Policy) viewWork() (accord.WorkView, bool) {
+func (p *Policy) viewWork() (replicatedstate.WorkView, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.node == nil {
-		return accord.WorkView{}, false
+		return replicatedstate.WorkView{}, false
 	}
 	return p.node.ViewWork(p.f.now()), true
 }
--- a/internal/lab/emu/emu_test.go
+++ b/internal/lab/emulator/emulator_test.go
@@ -1,4 +1,4 @@
-package emu
+package emulator
 
 import (
 	"reflect"
--- a/internal/lab/emu/even.go
+++ b/internal/lab/emulator/even.go
@@ -1,11 +1,11 @@
-package emu
+package emulator
 
 import (
 	"cmp"
 	"math/rand/v2"
 	"time"
 
-	"caperarch/internal/lab/even"
+	"caperarch/internal/lab/loadspread"
 	"caperarch/internal/proxy/subset"
 	"caperarch/policy"
 )
@@ -66,8 +66,8 @@
 }
 
 // Run plays the day and returns what arrived where, and the servers' weights. Those that come later have numbers behind the first ones'.
-func (d *EvenDay) Run(seed uint64) ([]even.Arrival, []float64, error) {
-	var all []even.Arrival
+func (d *EvenDay) Run(seed uint64) ([]loadspread.Arrival, []float64, error) {
+	var all []loadspread.Arrival
 	var f *Fleet
 	c := d.config(seed)
 	c.Arrived = func(sidecar int, to policy.ServerID) {
@@ -76,7 +76,7 @@
 			n = len(d.number)
 			d.number[to] = n
 		}
-		all = append(all, even.Arrival{At: f.Now(), To: n, From: sidecar})
+		all = append(all, loadspread.Arrival{At: f.Now(), To: n, From: sidecar})
 	}
 	if d.Event != nil && d.Event.Times != nil {
 		c.Times = func(_ int, now time.Duration) float64 { return d.Event.Times(now) }
--- a/internal/lab/emu/even_test.go
+++ b/internal/lab/emulator/even_test.go
@@ -1,4 +1,4 @@
-package emu
+package emulator
 
 import (
 	"math"
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"caperarch/internal/lab/even"
+	"caperarch/internal/lab/loadspread"
 )
 
 // Guards against arcs that lie over some servers more often than over others: worse than chance over ten seconds, with nothing wrong, though each sidecar's own turns are even.
@@ -23,9 +23,9 @@
 				t.Fatal(err)
 			}
 			from := 10 * time.Second
-			short += even.Of(all, weights, from, d.Until, time.Second).Variance / seeds
-			long += even.Of(all, weights, from, d.Until, 10*time.Second).Variance / seeds
-			chance += even.Of(even.Random(all, weights, seed), weights, from, d.Until, 10*time.Second).Variance / seeds
+			short += loadspread.Of(all, weights, from, d.Until, time.Second).Variance / seeds
+			long += loadspread.Of(all, weights, from, d.Until, 10*time.Second).Variance / seeds
+			chance += loadspread.Of(loadspread.Random(all, weights, seed), weights, from, d.Until, 10*time.Second).Variance / seeds
 		}
 		t.Logf("%d sidecars before %d: variance over mean %.2f in 1 s, %.2f in 10 s, by chance %.2f", d.Sidecars, d.Servers, short, long, chance)
 		if short > 0.6 || long > 0.7 {
@@ -42,7 +42,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		s := even.Of(all, weights, from, d.Until, 10*time.Second)
+		s := loadspread.Of(all, weights, from, d.Until, 10*time.Second)
 		variance += s.Variance / float64(seeds)
 		greatest += s.Greatest / float64(seeds)
 	}
--- a/internal/lab/emu/events.go
+++ b/internal/lab/emulator/events.go
@@ -1,10 +1,10 @@
-package emu
+package emulator
 
 import (
 	"slices"
 	"time"
 
-	"caperarch/internal/lab/even"
+	"caperarch/internal/lab/loadspread"
 )
 
 // EvenEvent is something that all sidecars of a day notice at about the same moment, after which they may well think the same. What it does to servers it does to the first of the list.
@@ -78,16 +78,16 @@
 const behind = 10 * time.Second
 
 // Judge says what became of a day's spread, of as many servers as it began with.
-func (e *EvenEvent) Judge(all []even.Arrival, servers int, until time.Duration, seed uint64) (b Behind) {
+func (e *EvenEvent) Judge(all []loadspread.Arrival, servers int, until time.Duration, seed uint64) (b Behind) {
 	steady := make([]float64, servers+e.Came)
 	for i := e.Touched; i < servers; i++ {
 		steady[i] = 1
 	}
-	there := slices.DeleteFunc(slices.Clone(all), func(a even.Arrival) bool { return a.To >= len(steady) || steady[a.To] == 0 })
+	there := slices.DeleteFunc(slices.Clone(all), func(a loadspread.Arrival) bool { return a.To >= len(steady) || steady[a.To] == 0 })
 	from := e.At + time.Second // the second in which it happens is neither before nor behind
-	s := even.Of(there, steady, from, from+behind, time.Second)
+	s := loadspread.Of(there, steady, from, from+behind, time.Second)
 	b.Worst, b.Idle = s.Worst, s.Idle
-	b.Chance = even.Of(even.Random(there, steady, seed), steady, from, from+behind, time.Second).Worst
+	b.Chance = loadspread.Of(loadspread.Random(there, steady, seed), steady, from, from+behind, time.Second).Worst
 	due := make([]float64, servers+e.Came)
 	for i := range due {
 		if i >= e.Left {
@@ -96,7 +96,7 @@
 	}
 	for i := range due {
 		if i >= e.Left && i < e.Touched || i >= servers {
-			back := even.Back(all, due, i, e.Ends, until, 2*time.Second)
+			back := loadspread.Back(all, due, i, e.Ends, until, 2*time.Second)
 			if back < 0 {
 				b.Back = -1
 				return b
--- a/internal/lab/emu/fleet.go
+++ b/internal/lab/emulator/fleet.go
@@ -1,6 +1,6 @@
-// Package emu is a fleet in virtual time: sidecars with the decision module inside, servers, clients, a list, and what goes
+// Package emulator is a fleet in virtual time: sidecars with the decision module inside, servers, clients, a list, and what goes
 // wrong. It runs from a seed, to the same end every time, some thousands of times faster than the real one. It is free of I/O.
-package emu
+package emulator
 
 import (
 	"cmp"
@@ -10,7 +10,7 @@
 	"slices"
 	"time"
 
-	"caperarch/internal/lab/virtual"
+	"caperarch/internal/lab/virtualtime"
 	"caperarch/internal/proxy/engine"
 	"caperarch/policy"
 )
@@ -59,7 +59,7 @@
 // Fleet is a fleet under way.
 type Fleet struct {
 	cfg      Config
-	clock    virtual.Clock
+	clock    virtualtime.Clock
 	rng      *rand.Rand
 	nodes    []*node
 	byID     map[policy.ServerID]*node // gone ones too
--- a/internal/lab/emu/server.go
+++ b/internal/lab/emulator/server.go
@@ -1,11 +1,11 @@
-package emu
+package emulator
 
 import (
 	"math"
 	"slices"
 	"time"
 
-	"caperarch/internal/lab/virtual"
+	"caperarch/internal/lab/virtualtime"
 	"caperarch/policy"
 )
 
@@ -64,7 +64,7 @@
 	node *node
 	work float64 // seconds on a core of speed 1
 	done func(policy.Ending)
-	ends *virtual.Alarm
+	ends *virtualtime.Alarm
 	from time.Duration // when it began to run
 	over bool
 }
--- a/internal/lab/emu/sidecar.go
+++ b/internal/lab/emulator/sidecar.go
@@ -1,4 +1,4 @@
-package emu
+package emulator
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	"caperarch/internal/lab/virtual"
+	"caperarch/internal/lab/virtualtime"
 	"caperarch/internal/proxy/engine"
 	"caperarch/policy"
 )
@@ -49,7 +49,7 @@
 
 type attempt struct {
 	job   *job
-	limit *virtual.Alarm
+	limit *virtualtime.Alarm
 	ended bool
 	ran   bool
 }
--- a/internal/lab/even/even.go
+++ b/internal/lab/loadspread/loadspread.go
@@ -1,6 +1,6 @@
-// Package even tells how evenly requests were spread over upstreams, and whether those who send chose alike, from arrivals alone. It is free of I/O. Measurements use it; nothing
+// Package loadspread tells how evenly requests were spread over upstreams, and whether those who send chose alike, from arrivals alone. It is free of I/O. Measurements use it; nothing
 // that ships does.
-package even
+package loadspread
 
 import (
 	"math/rand/v2"
--- a/internal/lab/even/even_test.go
+++ b/internal/lab/loadspread/loadspread_test.go
@@ -1,4 +1,4 @@
-package even
+package loadspread
 
 import (
 	"math"
--- a/internal/lab/agreenet/disk.go
+++ b/internal/lab/raftlogsim/disk.go
@@ -1,4 +1,4 @@
-package agreenet
+package raftlogsim
 
 import (
 	"errors"
@@ -6,14 +6,14 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"caperarch/internal/fleet/agree"
+	"caperarch/internal/fleet/raftlog"
 )
 
 // Disk is a machine's, which outlives its processes.
 type Disk struct {
 	Life  uint64 // of the seat
 	Full  bool   // nothing can be written any more
-	saved agree.Saved
+	saved raftlog.Saved
 }
 
 // NewDisks gives each machine one, and a process that uses it.
@@ -34,7 +34,7 @@
 	if d.Full {
 		return errFull
 	}
-	d.saved = agree.Saved{Epoch: epoch}
+	d.saved = raftlog.Saved{Epoch: epoch}
 	return nil
 }
 
@@ -53,7 +53,7 @@
 }
 
 // Saved is what it has kept.
-func (d *Disk) Saved() *agree.Saved {
+func (d *Disk) Saved() *raftlog.Saved {
 	s := d.saved
 	s.Entries = append([]*raftpb.Entry(nil), s.Entries...)
 	return &s
--- a/internal/lab/agreenet/net.go
+++ b/internal/lab/raftlogsim/net.go
@@ -1,6 +1,6 @@
-// Package agreenet plays the sidecars that share an agreed log in virtual time: messages lost, late, doubled and cut off, processes that stop, crash and come back having
+// Package raftlogsim plays the sidecars that share an agreed log in virtual time: messages lost, late, doubled and cut off, processes that stop, crash and come back having
 // forgotten. One seed plays one history. It is for tests and measurements; nothing that ships imports it.
-package agreenet
+package raftlogsim
 
 import (
 	"fmt"
@@ -8,8 +8,8 @@
 	"slices"
 	"time"
 
-	"caperarch/internal/fleet/agree"
-	"caperarch/internal/lab/virtual"
+	"caperarch/internal/fleet/raftlog"
+	"caperarch/internal/lab/virtualtime"
 )
 
 // outAfter is when a process that has ended is known to be gone for good: what internal/fleet/swim tells takes about so long.
@@ -18,8 +18,8 @@
 // Net is a fleet.
 type Net struct {
 	Size int
-	virtual.Clock
-	virtual.Faults
+	virtualtime.Clock
+	virtualtime.Faults
 	Nodes []*Node
 	Disks []*Disk // by number, where machines have some that last; nil: none has
 
@@ -27,30 +27,30 @@
 	Sent    int
 	Longest int                  // bytes of a message, about
 	agreed  map[[2]uint64]string // by epoch and index: what somebody has
-	ended   map[agree.Seat]time.Duration
+	ended   map[raftlog.Seat]time.Duration
 	life    uint64
 }
 
 // Node is one sidecar.
 type Node struct {
-	*agree.Node
-	virtual.Process
+	*raftlog.Node
+	virtualtime.Process
 	net   *Net
-	seat  agree.Seat
+	seat  raftlog.Seat
 	last  uint64
-	term  uint64              // that it leads, or led last
-	led   time.Duration       // since when
-	Heard func(e agree.Entry) // what it applies; nil: nobody looks
+	term  uint64                // that it leads, or led last
+	led   time.Duration         // since when
+	Heard func(e raftlog.Entry) // what it applies; nil: nobody looks
 }
 
 // New makes a fleet whose processes all run.
 func New(size int, seed uint64) *Net {
 	n := &Net{
-		Size: size, Clock: virtual.Clock{Now: time.Hour}, Faults: virtual.Faults{Rng: rand.New(rand.NewPCG(seed, 5)), Most: 10 * time.Millisecond}, agreed: make(map[[2]uint64]string),
-		ended: make(map[agree.Seat]time.Duration),
+		Size: size, Clock: virtualtime.Clock{Now: time.Hour}, Faults: virtualtime.Faults{Rng: rand.New(rand.NewPCG(seed, 5)), Most: 10 * time.Millisecond}, agreed: make(map[[2]uint64]string),
+		ended: make(map[raftlog.Seat]time.Duration),
 	}
 	for range size {
-		n.Nodes = append(n.Nodes, &Node{net: n, Process: virtual.Process{Down: true}})
+		n.Nodes = append(n.Nodes, &Node{net: n, Process: virtualtime.Process{Down: true}})
 	}
 	for i := range size {
 		n.Boot(i)
@@ -66,8 +66,8 @@
 	}
 	n.life++
 	m.Begin()
-	m.seat, m.last = agree.Seat{Number: i, Life: n.life}, 0
-	cfg := agree.Config{Size: n.Size, Self: m.seat, Life: n.life, Rand: rand.New(rand.NewPCG(n.life, n.Rng.Uint64())), Host: m}
+	m.seat, m.last = raftlog.Seat{Number: i, Life: n.life}, 0
+	cfg := raftlog.Config{Size: n.Size, Self: m.seat, Life: n.life, Rand: rand.New(rand.NewPCG(n.life, n.Rng.Uint64())), Host: m}
 	if n.Disks != nil {
 		d := n.Disks[i]
 		if d.Life == 0 {
@@ -76,7 +76,7 @@
 		m.seat.Life, cfg.Self.Life, cfg.Disk = d.Life, d.Life, d
 		delete(n.ended, m.seat)
 	}
-	node, err := agree.New(cfg)
+	node, err := raftlog.New(cfg)
 	if err != nil {
 		panic(err) // the test's own mistake
 	}
@@ -96,9 +96,9 @@
 			node.Tend(n.Now, n.out, n.there())
 			m.lead()
 		}
-		n.After(agree.Period, tick)
+		n.After(raftlog.Period, tick)
 	}
-	n.After(time.Duration(n.Rng.Int64N(int64(agree.Period))), tick)
+	n.After(time.Duration(n.Rng.Int64N(int64(raftlog.Period))), tick)
 }
 
 // Crash ends a process without a word.
@@ -112,18 +112,18 @@
 // Stop has a process stand still. What comes meanwhile waits in its socket.
 func (n *Net) Stop(i int, d time.Duration) { n.Nodes[i].StandStill(&n.Clock, d, nil) }
 
-func (n *Net) out(s agree.Seat) bool {
+func (n *Net) out(s raftlog.Seat) bool {
 	at, ended := n.ended[s]
 	return ended && n.Now-at >= outAfter
 }
 
-func (n *Net) there() (all []agree.Seat) {
+func (n *Net) there() (all []raftlog.Seat) {
 	for _, m := range n.Nodes {
 		if !m.Down && m.Stopped == 0 {
 			all = append(all, m.seat)
 		}
 	}
-	slices.SortFunc(all, func(a, b agree.Seat) int {
+	slices.SortFunc(all, func(a, b raftlog.Seat) int {
 		if a.ID() < b.ID() {
 			return -1
 		}
@@ -133,7 +133,7 @@
 }
 
 // Send is called by a node.
-func (m *Node) Send(to int, msg *agree.Message) {
+func (m *Node) Send(to int, msg *raftlog.Message) {
 	n, from := m.net, m.seat.Number
 	n.Sent++
 	raw, err := msg.Encode()
@@ -143,7 +143,7 @@
 	}
 	n.Longest = max(n.Longest, len(raw))
 	take := func() {
-		c, err := agree.Decode(raw)
+		c, err := raftlog.Decode(raw)
 		if err != nil {
 			n.Broken = append(n.Broken, err.Error())
 			return
@@ -167,7 +167,7 @@
 }
 
 // Applied is called by a node: what one has, all have.
-func (m *Node) Applied(e agree.Entry) {
+func (m *Node) Applied(e raftlog.Entry) {
 	n := m.net
 	key := [2]uint64{m.Epoch(), e.Index}
 	switch had, known := n.agreed[key]; {
--- a/internal/lab/replay/estimate.go
+++ b/internal/lab/replay/estimate.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"caperarch/internal/lab/virtual"
+	"caperarch/internal/lab/virtualtime"
 	"caperarch/internal/proxy/record/recordpb"
 	"caperarch/policy"
 )
@@ -84,7 +84,7 @@
 	begun time.Duration
 	tally *side
 	b     *policy.Balancer
-	clock virtual.Clock
+	clock virtualtime.Clock
 	open  map[policy.RequestID]*played
 }
 
@@ -93,7 +93,7 @@
 	class int32
 	at    time.Duration
 	ends  time.Duration
-	tries []*virtual.Alarm
+	tries []*virtualtime.Alarm
 	over  bool
 }
 
--- a/internal/lab/accordnet/net.go
+++ b/internal/lab/replicatedstatesim/net.go
@@ -1,6 +1,6 @@
-// Package accordnet plays the sidecars that settle a policy in virtual time: messages lost, late, doubled, cut off and held back, processes that stop, crash and come back
+// Package replicatedstatesim plays the sidecars that settle a policy in virtual time: messages lost, late, doubled, cut off and held back, processes that stop, crash and come back
 // having forgotten, clocks that run at rates of their own. One seed plays one history. It is for tests and measurements; nothing that ships imports it.
-package accordnet
+package replicatedstatesim
 
 import (
 	"errors"
@@ -8,12 +8,12 @@
 	"math/rand/v2"
 	"time"
 
-	"caperarch/internal/fleet/accord"
-	"caperarch/internal/fleet/agree"
-	"caperarch/internal/fleet/fleetpolicy"
-	"caperarch/internal/fleet/outage"
-	"caperarch/internal/lab/agreenet"
-	"caperarch/internal/lab/virtual"
+	"caperarch/internal/fleet/maintenance"
+	"caperarch/internal/fleet/policyrollout"
+	"caperarch/internal/fleet/raftlog"
+	"caperarch/internal/fleet/replicatedstate"
+	"caperarch/internal/lab/raftlogsim"
+	"caperarch/internal/lab/virtualtime"
 )
 
 // Config is what a fleet is made of.
@@ -30,8 +30,8 @@
 // Net is a fleet.
 type Net struct {
 	Config
-	virtual.Clock
-	virtual.Faults
+	virtualtime.Clock
+	virtualtime.Faults
 	Nodes  []*Node
 	Drop   func(to int, raw []byte) bool // lost by what it says; nil: none
 	Cannot map[[2]int]bool               // by sidecar and text: it can't apply it
@@ -48,24 +48,24 @@
 
 // Node is one sidecar.
 type Node struct {
-	*accord.Node
-	virtual.Process
+	*replicatedstate.Node
+	virtualtime.Process
 	net     *Net
 	number  int
 	Life    uint64
-	seat    agree.Seat
+	seat    raftlog.Seat
 	Disk    disk
 	rate    float64
 	Bytes   int
 	level   float64
 	levelAt time.Duration
-	own     outage.Own
+	own     maintenance.Own
 	born    time.Duration // of the process, by its clock
 }
 
 // disk is a machine's.
 type disk struct {
-	agreenet.Disk
+	raftlogsim.Disk
 	texts [][]byte
 }
 
@@ -84,11 +84,11 @@
 // New makes a fleet whose processes all run. Nobody knows of a log yet.
 func New(cfg Config) *Net {
 	n := &Net{
-		Config: cfg, Clock: virtual.Clock{Now: time.Hour}, Faults: virtual.Faults{Rng: rand.New(rand.NewPCG(cfg.Seed, 9)), Most: 10 * time.Millisecond},
+		Config: cfg, Clock: virtualtime.Clock{Now: time.Hour}, Faults: virtualtime.Faults{Rng: rand.New(rand.NewPCG(cfg.Seed, 9)), Most: 10 * time.Millisecond},
 		Cannot: make(map[[2]int]bool), Counts: make(map[string]int), most: make(map[uint64]uint64),
 	}
 	for i := range cfg.Size {
-		n.Nodes = append(n.Nodes, &Node{net: n, number: i, rate: 1 + cfg.Rate*(2*n.Rng.Float64()-1), Process: virtual.Process{Down: true}})
+		n.Nodes = append(n.Nodes, &Node{net: n, number: i, rate: 1 + cfg.Rate*(2*n.Rng.Float64()-1), Process: virtualtime.Process{Down: true}})
 	}
 	if n.Site != nil {
 		n.open()
@@ -120,8 +120,8 @@
 	}
 	n.life++
 	m.Begin()
-	m.Life, m.seat, m.own, m.born = n.life, agree.Seat{Number: i, Life: n.life}, outage.Own{}, m.Time()
-	cfg := accord.Config{
+	m.Life, m.seat, m.own, m.born = n.life, raftlog.Seat{Number: i, Life: n.life}, maintenance.Own{}, m.Time()
+	cfg := replicatedstate.Config{
 		Size: n.Size, Life: n.life, Lease: n.Lease, Rate: n.Rate, Rand: rand.New(rand.NewPCG(n.life, n.Rng.Uint64())), Host: m,
 		Check: func(text []byte) error {
 			if n.Cannot[[2]int{i, number(text)}] {
@@ -140,7 +140,7 @@
 		m.seat.Life, cfg.Disk = m.Disk.Life, &m.Disk
 	}
 	cfg.Self = m.seat
-	node, err := accord.New(cfg)
+	node, err := replicatedstate.New(cfg)
 	if err != nil {
 		panic(err) // the test's own mistake
 	}
@@ -158,9 +158,9 @@
 		if m.Stopped == 0 {
 			node.Tick(m.Time())
 		}
-		n.After(accord.Period, tick)
+		n.After(replicatedstate.Period, tick)
 	}
-	n.After(time.Duration(n.Rng.Int64N(int64(accord.Period))), tick)
+	n.After(time.Duration(n.Rng.Int64N(int64(replicatedstate.Period))), tick)
 }
 
 // Crash ends a process without a word.
@@ -203,14 +203,14 @@
 }
 
 // Changed is called by a node. What stands in the log is counted once.
-func (m *Node) Changed(e accord.Event) {
+func (m *Node) Changed(e replicatedstate.Event) {
 	n := m.net
 	if m.Node == nil {
 		return
 	}
 	switch e.What {
 	case "log":
-		m.own = outage.Own{}
+		m.own = maintenance.Own{}
 		return
 	case "goes by", "leads":
 		return
@@ -239,9 +239,9 @@
 			continue
 		}
 		switch goes := m.Node.Now(m.Time()); goes.Mode {
-		case fleetpolicy.One:
+		case policyrollout.One:
 			alone[goes.New.Hash], live[goes.New.Hash] = true, true
-		case fleetpolicy.Both:
+		case policyrollout.Both:
 			live[goes.Old.Hash], live[goes.New.Hash] = true, true
 			n.Both++
 		default:
@@ -269,7 +269,7 @@
 
 // Quiet says whether all that run go by the one version that holds, and nothing is under way.
 func (n *Net) Quiet() bool {
-	holds, first := fleetpolicy.Ref{}, true
+	holds, first := policyrollout.Ref{}, true
 	for _, m := range n.Nodes {
 		if !m.Lives() {
 			continue
@@ -278,7 +278,7 @@
 		if first {
 			holds, first = v.State.Holds, false
 		}
-		if v.Goes != (fleetpolicy.Now{Mode: fleetpolicy.One, New: holds}) || v.State.Busy() != 0 {
+		if v.Goes != (policyrollout.Now{Mode: policyrollout.One, New: holds}) || v.State.Busy() != 0 {
 			return false
 		}
 	}
@@ -287,7 +287,7 @@
 
 // Lost says whether the log is lost: of the voters that whoever has the most of the newest log holds for the present ones, most are of processes that have ended.
 func (n *Net) Lost() bool {
-	var best accord.View
+	var best replicatedstate.View
 	for _, m := range n.Nodes {
 		if m.Down {
 			continue
--- a/internal/lab/accordnet/work.go
+++ b/internal/lab/replicatedstatesim/work.go
@@ -1,18 +1,18 @@
-package accordnet
+package replicatedstatesim
 
 import (
 	"cmp"
 	"fmt"
 	"time"
 
-	"caperarch/internal/fleet/accord"
-	"caperarch/internal/fleet/fleetpolicy"
-	"caperarch/internal/fleet/outage"
+	"caperarch/internal/fleet/maintenance"
+	"caperarch/internal/fleet/policyrollout"
+	"caperarch/internal/fleet/replicatedstate"
 )
 
 // Site is the machines that the fleet's sidecars send to, seen from outside: what arrives there, and what the log says of them, each entry counted where it is applied first.
 type Site struct {
-	Machines []outage.Machine
+	Machines []maintenance.Machine
 	Deadline time.Duration // the longest that a request is out
 	Bound    int           // machines that may be out at once
 	Returns  time.Duration // from when a machine's work is done until it is warm
@@ -23,9 +23,9 @@
 	Sent     int
 	Astray   int // to a machine that is free, by one that was out of contact
 
-	last  map[outage.Step]bool // entries that were counted
-	free  map[uint64]uint32    // machines that may be worked on, by turn
-	turns map[uint32]uint64    // that are not over
+	last  map[maintenance.Step]bool // entries that were counted
+	free  map[uint64]uint32         // machines that may be worked on, by turn
+	turns map[uint32]uint64         // that are not over
 	cold  map[uint64]time.Duration
 	out   []sent
 }
@@ -44,7 +44,7 @@
 // open has the sidecars send from now on.
 func (n *Net) open() {
 	s := n.Site
-	s.last, s.free, s.turns, s.cold = make(map[outage.Step]bool), make(map[uint64]uint32), make(map[uint32]uint64), make(map[uint64]time.Duration)
+	s.last, s.free, s.turns, s.cold = make(map[maintenance.Step]bool), make(map[uint64]uint32), make(map[uint32]uint64), make(map[uint64]time.Duration)
 	every := cmp.Or(s.Every, 100*time.Millisecond)
 	for i := range n.Nodes {
 		var send func()
@@ -66,11 +66,11 @@
 		out[id] = true
 	}
 	x := &s.Machines[n.Rng.IntN(len(s.Machines))]
-	if out[x.ID] || x.State != outage.Ready {
+	if out[x.ID] || x.State != maintenance.Ready {
 		return
 	}
 	s.Sent++
-	contact := m.Node.Now(m.Time()).Mode != fleetpolicy.CutOff
+	contact := m.Node.Now(m.Time()).Mode != policyrollout.CutOff
 	if turn, free := s.free[x.ID]; free {
 		if contact {
 			n.Broken = append(n.Broken, fmt.Sprintf("%.3fs: n%d is in contact and sends to %s, which turn %d has free", (n.Now-time.Hour).Seconds(), i, x.Name, turn))
@@ -81,7 +81,7 @@
 }
 
 // Machines is what a sidecar knows of them: as they are, but cold ones.
-func (m *Node) Machines() (all []outage.Machine, current bool) {
+func (m *Node) Machines() (all []maintenance.Machine, current bool) {
 	s := m.net.Site
 	for _, x := range s.Machines {
 		if warm := s.cold[x.ID]; m.net.Now < warm {
@@ -93,7 +93,7 @@
 }
 
 // Own is what a sidecar says of itself.
-func (m *Node) Own(st *outage.State) outage.Report {
+func (m *Node) Own(st *maintenance.State) maintenance.Report {
 	s := m.net.Site
 	asks := m.own.Asks(st)
 	for turn, machine := range asks {
@@ -105,11 +105,11 @@
 			m.own.Seen(turn, machine)
 		}
 	}
-	return outage.Report{Clear: m.own.Clear(m.Time()-m.born, accord.Patience(s.Deadline, m.net.Rate), st), Rate: 10, InTime: 1}
+	return maintenance.Report{Clear: m.own.Clear(m.Time()-m.born, replicatedstate.Patience(s.Deadline, m.net.Rate), st), Rate: 10, InTime: 1}
 }
 
 // Worked is called by a node, for what stands in the log: it is counted once.
-func (m *Node) Worked(e outage.Step) {
+func (m *Node) Worked(e maintenance.Step) {
 	n, s := m.net, m.net.Site
 	if s == nil || s.last[e] {
 		return
@@ -119,7 +119,7 @@
 		n.Broken = append(n.Broken, fmt.Sprintf("%s %d is told with machine %d", e.Kind, e.Number, e.Machine))
 	}
 	switch e.Kind {
-	case outage.Given:
+	case maintenance.Given:
 		if _, again := s.turns[e.Number]; again {
 			n.Broken = append(n.Broken, fmt.Sprintf("turn %d is told twice", e.Number))
 		}
@@ -134,7 +134,7 @@
 		if out > s.Bound {
 			n.Broken = append(n.Broken, fmt.Sprintf("%.3fs: turn %d, %d machines are out, %d may be", (n.Now-time.Hour).Seconds(), e.Number, out, s.Bound))
 		}
-	case outage.Freed:
+	case maintenance.Freed:
 		s.Freed++
 		s.free[e.Machine] = e.Number
 		for _, r := range s.out {
@@ -142,12 +142,12 @@
 				n.Broken = append(n.Broken, fmt.Sprintf("%.3fs: turn %d is free, and a request is out there that life %d sent while in contact", (n.Now-time.Hour).Seconds(), e.Number, r.life))
 			}
 		}
-	case outage.Done:
+	case maintenance.Done:
 		delete(s.free, e.Machine)
 		s.cold[e.Machine] = n.Now + s.Returns
-	case outage.Withdrawn, outage.Over:
+	case maintenance.Withdrawn, maintenance.Over:
 		delete(s.turns, e.Number)
-		if e.Kind == outage.Over {
+		if e.Kind == maintenance.Over {
 			s.Over++
 		}
 	}
--- a/internal/lab/swimnet/net.go
+++ b/internal/lab/swimsim/net.go
@@ -1,7 +1,7 @@
-// Package swimnet plays a fleet of swim nodes in virtual time: messages that are lost, late, doubled, cut off or held
+// Package swimsim plays a fleet of swim nodes in virtual time: messages that are lost, late, doubled, cut off or held
 // back, processes that stop, crash and come back, clocks that run at rates of their own. One seed plays one history. It is
 // for tests and measurements; nothing that ships imports it.
-package swimnet
+package swimsim
 
 import (
 	"fmt"
@@ -9,7 +9,7 @@
 	"time"
 
 	"caperarch/internal/fleet/swim"
-	"caperarch/internal/lab/virtual"
+	"caperarch/internal/lab/virtualtime"
 )
 
 // Config is what a fleet is made of.
@@ -32,7 +32,7 @@
 type Net struct {
 	Config
 	Rng *rand.Rand
-	virtual.Clock
+	virtualtime.Clock
 	Nodes []*Node
 	Cut   func(from, to int) bool // nil: none
 	Hold  time.Duration           // messages that are sent before this moment arrive behind it, all at once
@@ -68,7 +68,7 @@
 	if cfg.Start == 0 {
 		cfg.Start = swim.Period
 	}
-	n := &Net{Config: cfg, Rng: rand.New(rand.NewPCG(cfg.Seed, 1)), Clock: virtual.Clock{Now: time.Hour}, said: make(map[accusation]bool)}
+	n := &Net{Config: cfg, Rng: rand.New(rand.NewPCG(cfg.Seed, 1)), Clock: virtualtime.Clock{Now: time.Hour}, said: make(map[accusation]bool)}
 	for i := range cfg.Size {
 		n.Nodes = append(n.Nodes, &Node{net: n, number: i, rate: 1 + cfg.Rate*(2*n.Rng.Float64()-1), Down: true})
 	}
--- a/internal/lab/swimnet/plan.go
+++ b/internal/lab/swimsim/plan.go
@@ -1,4 +1,4 @@
-package swimnet
+package swimsim
 
 import (
 	"fmt"
--- a/internal/lab/rig/fleet/answers.go
+++ b/internal/lab/testbed/fleet/answers.go
@@ -10,7 +10,7 @@
 	"sync"
 	"time"
 
-	"caperarch/internal/lab/rig"
+	"caperarch/internal/lab/testbed"
 )
 
 // answer is one request of a client and how it ended.
@@ -82,7 +82,7 @@
 	if x.class == "look" {
 		method, body = http.MethodGet, ""
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), rig.Generous)
+	ctx, cancel := context.WithTimeout(context.Background(), testbed.Generous)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+s.Listen+"/"+x.class, strings.NewReader(body))
 	if err != nil {
@@ -134,7 +134,7 @@
 // Check looks whether the four rules were kept, by the clients' book and the upstreams' alone. It is called when no load is under way.
 func (f *Fleet) Check() (tally Tally, broken []string) {
 	say := func(format string, args ...any) { broken = append(broken, fmt.Sprintf(format, args...)) }
-	arrived := make(map[string][]rig.Arrival)
+	arrived := make(map[string][]testbed.Arrival)
 	for _, a := range f.Ledger.All() {
 		arrived[a.ID] = append(arrived[a.ID], a)
 	}
@@ -142,13 +142,13 @@
 		of := arrived[x.id]
 		refused := x.status == http.StatusTooManyRequests || x.status == http.StatusServiceUnavailable
 		// Rule 2 holds for all, whatever became of the machine.
-		switch runs := rig.Runs(of); {
+		switch runs := testbed.Runs(of); {
 		case x.class == "entry" && runs > 1:
 			say("%s of sidecar %d ran %d times", x.id, x.sidecar, runs)
 		case x.class == "entry" && refused && runs > 0:
 			say("%s of sidecar %d ran and was refused", x.id, x.sidecar)
-		case x.class == "reading" && rig.Effects(of, keyWindow) > 1:
-			say("%s of sidecar %d had %d effects", x.id, x.sidecar, rig.Effects(of, keyWindow))
+		case x.class == "reading" && testbed.Effects(of, keyWindow) > 1:
+			say("%s of sidecar %d had %d effects", x.id, x.sidecar, testbed.Effects(of, keyWindow))
 		}
 		for _, a := range of {
 			if a.At.After(x.at.Add(slack)) && x.status != 0 {
@@ -181,7 +181,7 @@
 }
 
 // drains looks for what went to nodes that drain, told long enough before.
-func (f *Fleet) drains(arrived map[string][]rig.Arrival) (broken []string) {
+func (f *Fleet) drains(arrived map[string][]testbed.Arrival) (broken []string) {
 	from := make(map[string]int)
 	for _, x := range f.Answers.all() {
 		from[x.id] = x.sidecar
--- a/internal/lab/rig/fleet/datagrams.go
+++ b/internal/lab/testbed/fleet/datagrams.go
@@ -9,7 +9,7 @@
 	"sync/atomic"
 	"time"
 
-	"caperarch/internal/lab/rig"
+	"caperarch/internal/lab/testbed"
 )
 
 // datagrams is the way between sidecars. Sidecar i sends to j's relay; j gets it from i's: so each finds the others at
@@ -36,7 +36,7 @@
 	Cut         func(from, to int) bool // nil: none
 }
 
-func newDatagrams(t rig.TB, ip func(i int) string, size int) *datagrams {
+func newDatagrams(t testbed.TB, ip func(i int) string, size int) *datagrams {
 	d := &datagrams{size: size, number: make(map[netip.Addr]int), rng: rand.New(rand.NewPCG(1, 1))}
 	for i := range size {
 		c, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(netip.MustParseAddrPort(fmt.Sprintf("%s:%d", ip(i), relayPort))))
--- a/internal/lab/rig/fleet/fleet.go
+++ b/internal/lab/testbed/fleet/fleet.go
@@ -17,7 +17,7 @@
 	"syscall"
 	"time"
 
-	"caperarch/internal/lab/rig"
+	"caperarch/internal/lab/testbed"
 )
 
 // Config is what a fleet is made of.
@@ -38,13 +38,13 @@
 type Fleet struct {
 	Config
 	Sidecars  []*Sidecar
-	Nodes     []*rig.Node
-	Discovery *rig.Discovery
-	Ledger    *rig.Ledger
+	Nodes     []*testbed.Node
+	Discovery *testbed.Discovery
+	Ledger    *testbed.Ledger
 	Peers     *datagrams
 	Answers   *answers
 
-	t      rig.TB
+	t      testbed.TB
 	dir    string
 	second byte
 	ways   ways
@@ -80,7 +80,7 @@
 )
 
 // place is a part of the loopback network that no other fleet on this machine has, for as long as the test lasts.
-func place(t rig.TB) byte {
+func place(t testbed.TB) byte {
 	for second := 64; second < 127; second++ {
 		if mark, err := net.Listen("tcp", fmt.Sprintf("127.%d.255.254:%d", second, relayPort)); err == nil {
 			t.Cleanup(func() { mark.Close() })
@@ -100,20 +100,20 @@
 func (f *Fleet) ip(i int) string { return fmt.Sprintf("127.%d.%d.%d", f.second, i/200, 1+i%200) }
 
 // New starts a fleet whose processes all serve.
-func New(t rig.TB, cfg Config) *Fleet {
+func New(t testbed.TB, cfg Config) *Fleet {
 	t.Helper()
-	f := &Fleet{Config: cfg, t: t, Ledger: new(rig.Ledger), second: place(t), Answers: newAnswers()}
+	f := &Fleet{Config: cfg, t: t, Ledger: new(testbed.Ledger), second: place(t), Answers: newAnswers()}
 	var err error
 	if f.dir, err = os.MkdirTemp("", "fleet"); err != nil {
 		t.Fatalf("fleet: %v", err)
 	}
 	t.Cleanup(func() { os.RemoveAll(f.dir) })
 	for i := range cfg.Nodes {
-		n := rig.NewHTTPNode(t, fmt.Sprintf("s-%d", i), f.Ledger)
+		n := testbed.NewHTTPNode(t, fmt.Sprintf("s-%d", i), f.Ledger)
 		n.Cell = i / 2
 		f.Nodes = append(f.Nodes, n)
 	}
-	f.Discovery = rig.NewDiscovery(t, f.Nodes...)
+	f.Discovery = testbed.NewDiscovery(t, f.Nodes...)
 	if cfg.Begin != nil {
 		cfg.Begin(f)
 	}
@@ -161,7 +161,7 @@
 // machine writes a sidecar's configuration; its upstreams and discovery have addresses of its own.
 func (f *Fleet) machine(i int, peers []string) *Sidecar {
 	s := &Sidecar{Number: i, f: f, Listen: fmt.Sprintf("%s:%d", f.ip(i), clientPort), config: filepath.Join(f.dir, fmt.Sprintf("%d.json", i))}
-	discovery, known := f.Discovery.Address, rig.Known(f.Nodes...)
+	discovery, known := f.Discovery.Address, testbed.Known(f.Nodes...)
 	if !f.Direct {
 		swap := make(map[string]string)
 		for _, n := range f.Nodes {
@@ -170,7 +170,7 @@
 		discovery = f.ways.relay(f.t, i, f.Discovery.Address, swap)
 		known = replaced(known, swap)
 	}
-	text := rig.ConfigText(f.t, known, func(file, settings map[string]any) {
+	text := testbed.ConfigText(f.t, known, func(file, settings map[string]any) {
 		file["name"], file["listen"], file["control"], file["discovery"] = fmt.Sprintf("n%d", i), s.Listen, s.control(), discovery
 		file["peer_listen"], file["peers"] = fmt.Sprintf("%s:%d", f.ip(i), peerPort), peers
 		file["seed"] = fmt.Sprintf("%x", 1000+i)
@@ -237,8 +237,8 @@
 
 // await waits until it serves.
 func (s *Sidecar) await() {
-	rig.Until(s.f.t, fmt.Sprintf("sidecar %d to serve; its log: %s", s.Number, s.log.Name()), func() bool {
-		answer, err := rig.Operate(s.control(), "health")
+	testbed.Until(s.f.t, fmt.Sprintf("sidecar %d to serve; its log: %s", s.Number, s.log.Name()), func() bool {
+		answer, err := testbed.Operate(s.control(), "health")
 		if err != nil || !strings.HasPrefix(answer, "200") {
 			time.Sleep(20 * time.Millisecond)
 			return false
@@ -270,7 +270,7 @@
 	}
 	s.shaky()
 	_ = s.cmd.Process.Signal(syscall.SIGTERM)
-	stuck := time.AfterFunc(rig.Generous, func() { _ = s.cmd.Process.Kill() })
+	stuck := time.AfterFunc(testbed.Generous, func() { _ = s.cmd.Process.Kill() })
 	err := s.cmd.Wait()
 	stuck.Stop()
 	if err != nil {
@@ -439,7 +439,7 @@
 	if !s.Runs() {
 		return v, false
 	}
-	text, err := rig.Operate(s.control(), "peers")
+	text, err := testbed.Operate(s.control(), "peers")
 	head := selfLine.FindStringSubmatch(text)
 	if err != nil || head == nil {
 		return v, false
--- a/internal/lab/rig/fleet/plan.go
+++ b/internal/lab/testbed/fleet/plan.go
@@ -10,7 +10,7 @@
 	"sync"
 	"time"
 
-	"caperarch/internal/lab/rig"
+	"caperarch/internal/lab/testbed"
 )
 
 // Plan is what goes wrong in a run of a fleet, drawn from a seed.
@@ -124,7 +124,7 @@
 		s.Rejoin()
 	}
 	ended()
-	healed, why := f.Settle(rig.Generous)
+	healed, why := f.Settle(testbed.Generous)
 	if why != "" {
 		broken = append(broken, fmt.Sprintf("%v after all is well: %s", healed, why))
 	}
--- a/internal/lab/rig/fleet/policy.go
+++ b/internal/lab/testbed/fleet/policy.go
@@ -10,8 +10,8 @@
 	"time"
 
 	program "caperarch/internal/fleet"
-	"caperarch/internal/fleet/fleetpolicy"
-	"caperarch/internal/lab/rig"
+	"caperarch/internal/fleet/policyrollout"
+	"caperarch/internal/lab/testbed"
 )
 
 // Two policies that tell by where requests go who goes by which: by the first alone nothing goes to Marked[0], by the second alone nothing to Marked[1], by both or cut
@@ -46,7 +46,7 @@
 	if !s.Runs() {
 		return v, false
 	}
-	text, err := rig.Operate(s.control(), "policy-show")
+	text, err := testbed.Operate(s.control(), "policy-show")
 	goes, leader := goesLine.FindStringSubmatch(text), leaderLine.FindStringSubmatch(text)
 	if err != nil || goes == nil || leader == nil {
 		return v, false
@@ -80,7 +80,7 @@
 
 // ask makes an operator's call; what it is told no for is an error.
 func (s *Sidecar) ask(call string) (answer string, err error) {
-	answer, err = rig.Operate(s.control(), call)
+	answer, err = testbed.Operate(s.control(), call)
 	if err == nil && !strings.HasPrefix(answer, "200 ") {
 		err = fmt.Errorf("%s", strings.TrimSpace(answer))
 	}
@@ -107,7 +107,7 @@
 	if err := s.upload(raw); err != nil {
 		return err
 	}
-	return s.operate(fmt.Sprintf("policy-propose %s %d", fleetpolicy.Hash(raw), v.Holds))
+	return s.operate(fmt.Sprintf("policy-propose %s %d", policyrollout.Hash(raw), v.Holds))
 }
 
 // Goes says whether all processes that run go by one version that holds, with nothing under way; why says what is not so.
@@ -178,7 +178,7 @@
 func (f *Fleet) histories() (broken []string) {
 	first := make(map[string]string)
 	for _, s := range f.Sidecars {
-		text, err := rig.Operate(s.control(), "policy-history")
+		text, err := testbed.Operate(s.control(), "policy-history")
 		if err != nil || !s.Runs() {
 			continue
 		}
@@ -210,13 +210,13 @@
 	if err := f.Sidecars[0].Found(); err != nil {
 		return tally, []string{err.Error()}
 	}
-	if _, _, why := f.AwaitPolicy(0, rig.Generous); why != "" {
+	if _, _, why := f.AwaitPolicy(0, testbed.Generous); why != "" {
 		return tally, []string{"no beginning: " + why}
 	}
 	if err := f.Sidecars[1].Propose(Marked(1)); err != nil {
 		return tally, []string{err.Error()}
 	}
-	if _, _, why := f.AwaitPolicy(1, rig.Generous); why != "" {
+	if _, _, why := f.AwaitPolicy(1, testbed.Generous); why != "" {
 		return tally, []string{"no first policy: " + why}
 	}
 	since, quit, done := time.Now(), make(chan struct{}), make(chan struct{})
--- a/internal/lab/rig/fleet/spread.go
+++ b/internal/lab/testbed/fleet/spread.go
@@ -10,7 +10,7 @@
 	"sync/atomic"
 	"time"
 
-	"caperarch/internal/lab/even"
+	"caperarch/internal/lab/loadspread"
 )
 
 // Streams has each sidecar that runs sent a stream of its own, at random moments, of rate requests a second as that is now, until stop is called. It returns once all have ended.
@@ -49,7 +49,7 @@
 }
 
 // Arrivals are the clients' requests as upstreams saw them, since a moment; upstreams are numbered by their ids, s-0 and so on. It is to be called when no load is under way.
-func (f *Fleet) Arrivals(since time.Time) (all []even.Arrival) {
+func (f *Fleet) Arrivals(since time.Time) (all []loadspread.Arrival) {
 	from := make(map[string]int)
 	for _, x := range f.Answers.all() {
 		from[x.id] = x.sidecar
@@ -57,7 +57,7 @@
 	for _, a := range f.Ledger.All() {
 		node, err := strconv.Atoi(strings.TrimPrefix(a.Node, "s-"))
 		if sidecar, known := from[a.ID]; known && err == nil && a.At.After(since) {
-			all = append(all, even.Arrival{At: a.At.Sub(since), To: node, From: sidecar})
+			all = append(all, loadspread.Arrival{At: a.At.Sub(since), To: node, From: sidecar})
 		}
 	}
 	return all
--- a/internal/lab/rig/fleet/ways.go
+++ b/internal/lab/testbed/fleet/ways.go
@@ -11,7 +11,7 @@
 	"sync"
 	"time"
 
-	"caperarch/internal/lab/rig"
+	"caperarch/internal/lab/testbed"
 )
 
 // ways are the connections between sidecars and what they connect to. One that is cut off says nothing: what stands stays
@@ -59,7 +59,7 @@
 }
 
 // relay listens for a sidecar's connections to an address, and returns where. Answers that list addresses have them swapped.
-func (w *ways) relay(t rig.TB, i int, to string, swap map[string]string) string {
+func (w *ways) relay(t testbed.TB, i int, to string, swap map[string]string) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatalf("fleet: a relay: %v", err)
@@ -173,7 +173,7 @@
 		var b bytes.Buffer
 		fmt.Fprintf(&b, "HTTP/1.1 %s\r\nContent-Length: %d\r\n\r\n", res.Status, len(text))
 		b.Write(text)
-		_ = c.near.SetWriteDeadline(time.Now().Add(rig.Generous))
+		_ = c.near.SetWriteDeadline(time.Now().Add(testbed.Generous))
 		if _, err := c.near.Write(b.Bytes()); err != nil {
 			return
 		}
--- a/internal/lab/rig/fleet/work.go
+++ b/internal/lab/testbed/fleet/work.go
@@ -11,14 +11,14 @@
 	"sync"
 	"time"
 
-	"caperarch/internal/fleet/fleetpolicy"
-	"caperarch/internal/lab/rig"
+	"caperarch/internal/fleet/policyrollout"
+	"caperarch/internal/lab/testbed"
 )
 
 // Stay is one machine's time with an operator: from when somebody was told that it is free to work on, until that one says that the work is done.
 type Stay struct {
 	Turn     int
-	Node     *rig.Node
+	Node     *testbed.Node
 	From, To time.Time // To is zero while it lasts
 	Warm     time.Time // when it is warm again, by the settings; zero: it was not restarted
 }
@@ -43,7 +43,7 @@
 	if err := s.upload(raw); err != nil {
 		return err
 	}
-	return s.operate("work-plan " + fleetpolicy.Hash(raw))
+	return s.operate("work-plan " + policyrollout.Hash(raw))
 }
 
 // WorkShow is what a process says of plans and turns.
@@ -247,12 +247,12 @@
 func (f *Fleet) PlayWork(p *Plan, perSecond, bound int, lease, delay, takes, cold time.Duration) (tally WorkTally, broken []string) {
 	for _, n := range f.Nodes {
 		n.Delay.Store(int64(delay))
-		n.Do(rig.Always(rig.Slow))
+		n.Do(testbed.Always(testbed.Slow))
 	}
 	if err := f.Sidecars[0].Found(); err != nil {
 		return tally, []string{err.Error()}
 	}
-	if _, _, why := f.AwaitPolicy(0, rig.Generous); why != "" {
+	if _, _, why := f.AwaitPolicy(0, testbed.Generous); why != "" {
 		return tally, []string{"no beginning: " + why}
 	}
 	round := f.Operators(p.Seed, takes, cold)
--- a/internal/lab/rig/grpc.go
+++ b/internal/lab/testbed/grpc.go
@@ -1,4 +1,4 @@
-package rig
+package testbed
 
 import (
 	"context"
--- a/internal/lab/rig/rig.go
+++ b/internal/lab/testbed/testbed.go
@@ -1,6 +1,6 @@
-// Package rig has the stand-ins that tests, the demo and measurements run against, all on loopback: records
+// Package testbed has the stand-ins that tests, the demo and measurements run against, all on loopback: records
 // nodes that fail on command, discovery, a ledger of what arrived. Nothing that ships imports it.
-package rig
+package testbed
 
 import "time"
 
--- a/internal/lab/virtual/clock.go
+++ b/internal/lab/virtualtime/clock.go
@@ -1,6 +1,6 @@
-// Package virtual is time that passes only as far as there is something to do: what is asked for is played in order, with no I/O and no
+// Package virtualtime is time that passes only as far as there is something to do: what is asked for is played in order, with no I/O and no
 // waiting, to the same end every time.
-package virtual
+package virtualtime
 
 import (
 	"container/heap"
--- a/internal/lab/virtual/process.go
+++ b/internal/lab/virtualtime/process.go
@@ -1,4 +1,4 @@
-package virtual
+package virtualtime
 
 import (
 	"math/rand/v2"
--- a/internal/mesh/sidecar/beats_test.go
+++ b/internal/mesh/sidecar/beats_test.go
@@ -14,7 +14,7 @@
 
 	"go.uber.org/zap"
 
-	"caperarch/internal/lab/rig"
+	"caperarch/internal/lab/testbed"
 	"caperarch/internal/mesh/balancer"
 	"caperarch/internal/mesh/config"
 	"caperarch/internal/mesh/gate"
@@ -121,7 +121,7 @@
 		return ""
 	}
 	until := func(is func() bool) {
-		for end := time.Now().Add(rig.Generous); !is(); runtime.Gosched() {
+		for end := time.Now().Add(testbed.Generous); !is(); runtime.Gosched() {
 			if time.Now().After(end) {
 				t.Fatalf("waited in vain, the gate takes requests for %q", told())
 			}
--- a/internal/proxy/walls/walls.go
+++ b/internal/proxy/bulkhead/bulkhead.go
@@ -1,14 +1,14 @@
-// Package walls decides how much one balancer of many may have out at servers that all share. It is free of I/O; time is passed in.
+// Package bulkhead decides how much one balancer of many may have out at servers that all share. It is free of I/O; time is passed in.
 //
 // Three hundred balancers, walled each for itself, hold several times what the servers bear: a burst, and all servers worked slower for
 // the rest of the day. Nobody sees the sum, so what each gives up as servers fill is a part of its own traffic.
-package walls
+package bulkhead
 
 import (
 	"math"
 	"time"
 
-	"caperarch/internal/proxy/traffic"
+	"caperarch/internal/proxy/ratemeter"
 )
 
 const (
@@ -30,15 +30,15 @@
 type Wall struct {
 	Even float64 // attempts that one balancer has out where all have the same traffic and servers are not crowded
 
-	hold    float64       // s for which one is out then
-	first   traffic.Meter // tries; further ones would have refusals bring room
-	crowd   float64       // logarithm of the share of the aim that answers take: few long ones say nothing of the servers
-	crowdAt time.Duration // when that was taken
+	hold    float64         // s for which one is out then
+	first   ratemeter.Meter // tries; further ones would have refusals bring room
+	crowd   float64         // logarithm of the share of the aim that answers take: few long ones say nothing of the servers
+	crowdAt time.Duration   // when that was taken
 }
 
 // New makes one whose attempts are out for hold seconds each where servers are not crowded.
 func New(hold float64) Wall {
-	return Wall{hold: hold, crowd: math.Log(calm), first: traffic.Meter{Over: rateOver}}
+	return Wall{hold: hold, crowd: math.Log(calm), first: ratemeter.Meter{Over: rateOver}}
 }
 
 // Came takes that a client's first try came.
--- a/internal/proxy/walls/walls_test.go
+++ b/internal/proxy/bulkhead/bulkhead_test.go
@@ -1,4 +1,4 @@
-package walls
+package bulkhead
 
 import (
 	"math"
--- a/internal/proxy/asking/asking.go
+++ b/internal/proxy/discoverypace/discoverypace.go
@@ -1,11 +1,11 @@
-// Package asking decides when a balancer asks for the list of servers, where it must be asked for. It is free of I/O; time is
+// Package discoverypace decides when a balancer asks for the list of servers, where it must be asked for. It is free of I/O; time is
 // passed in.
 //
 // Discovery is one service for a whole fleet, and a subscription costs it a call. A fleet of eighty that starts at once asked eighty times
 // within 20 ms; most calls waited for longer than they may, and what came back after a short pause, all at once again, kept the
 // queue full for good: in 25 s not one change reached any of them. So in a large fleet each asks first at a phase of its own, and again
 // after a failure at the pace that is its part of what such a service is built for. Once subscribed, changes come as they happen.
-package asking
+package discoverypace
 
 import (
 	"cmp"
--- a/internal/proxy/asking/asking_test.go
+++ b/internal/proxy/discoverypace/discoverypace_test.go
@@ -1,4 +1,4 @@
-package asking
+package discoverypace
 
 import (
 	"math/rand/v2"
--- a/internal/proxy/engine/engine_test.go
+++ b/internal/proxy/engine/engine_test.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"caperarch/internal/daemon/config"
-	"caperarch/internal/lab/rig"
+	"caperarch/internal/lab/testbed"
 	"caperarch/internal/proxy/call"
 	"caperarch/internal/proxy/clock"
 	"caperarch/internal/proxy/membership"
@@ -20,7 +20,7 @@
 // idle is a loop whose goroutine is the test itself, with one server in its list.
 func idle(t *testing.T, address string) *Engine {
 	t.Helper()
-	cfg, err := config.Parse([]byte(rig.ConfigText(t, rig.Listed(1, "ready", address), nil)), func(string) string { return "" })
+	cfg, err := config.Parse([]byte(testbed.ConfigText(t, testbed.Listed(1, "ready", address), nil)), func(string) string { return "" })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -39,7 +39,7 @@
 // next runs the next event and what it owes.
 func (e *Engine) next(t *testing.T) {
 	t.Helper()
-	event := rig.Wait(t, "an event", e.events)
+	event := testbed.Wait(t, "an event", e.events)
 	e.now = e.Clock.Now()
 	event(e.now)
 	e.settle()
@@ -48,7 +48,7 @@
 // hold enters a request that the module does not know, so that the test can decide for it.
 func (e *Engine) hold(id policy.RequestID) (*request, chan call.Answer) {
 	reply := make(chan call.Answer, 1)
-	r := &request{message: testMessage("1"), reply: reply, deadline: e.now + rig.Generous}
+	r := &request{message: testMessage("1"), reply: reply, deadline: e.now + testbed.Generous}
 	e.requests[id] = r
 	return r, reply
 }
@@ -57,18 +57,18 @@
 // what other attempts bring, changes nothing. Each attempt has one Outcome, then the entry goes.
 func TestOneAnswerForEachRequest(t *testing.T) {
 	release := make(chan struct{})
-	s := rig.NewStub(t, func(c net.Conn, r rig.Received) bool {
+	s := testbed.NewStub(t, func(c net.Conn, r testbed.Received) bool {
 		if r.Conn > 0 {
 			<-release
 		}
-		return rig.OK(c, "first")
+		return testbed.OK(c, "first")
 	})
 	l := idle(t, s.Address)
 	r, reply := l.hold(7)
 	to := call.ServerID("s-0")
 	host{l}.Send(7, to, 0)
 	l.next(t)
-	if a := rig.Wait(t, "the answer", reply); a.Kind != call.Served || string(a.Body) != "first" {
+	if a := testbed.Wait(t, "the answer", reply); a.Kind != call.Served || string(a.Body) != "first" {
 		t.Fatalf("answer %+v", a)
 	}
 	if len(l.requests) != 0 {
@@ -90,13 +90,13 @@
 
 // An Outcome comes after the answer too, for an attempt that is called off.
 func TestOutcomeAfterTheAnswer(t *testing.T) {
-	s := rig.NewStub(t, rig.Silent)
+	s := testbed.NewStub(t, testbed.Silent)
 	l := idle(t, s.Address)
 	r, reply := l.hold(7)
 	host{l}.Send(7, call.ServerID("s-0"), 0)
-	rig.Wait(t, "the request", s.Seen)
+	testbed.Wait(t, "the request", s.Seen)
 	host{l}.Fail(7)
-	if a := rig.Wait(t, "the answer", reply); a.Kind != call.Failed || !a.TimedOut {
+	if a := testbed.Wait(t, "the answer", reply); a.Kind != call.Failed || !a.TimedOut {
 		t.Errorf("answer %+v, want failed, timed out", a)
 	}
 	if l.requests[7] != r {
@@ -112,7 +112,7 @@
 
 // Sends past caps.most_tries, past the deadline or to a server that is not listed are not carried out.
 func TestNotSent(t *testing.T) {
-	s := rig.NewStub(t, rig.Silent)
+	s := testbed.NewStub(t, testbed.Silent)
 	l := idle(t, s.Address)
 	l.hold(7)
 	to := call.ServerID("s-0")
@@ -123,7 +123,7 @@
 	l.hold(8)
 	host{l}.Send(8, call.ServerID("unheard of"), 0)
 	host{l}.Send(8, to, -time.Second)
-	l.now += 2 * rig.Generous
+	l.now += 2 * testbed.Generous
 	host{l}.Send(8, to, 0)
 	want := []policy.Outcome{
 		{ID: 7, Attempt: 3, Ending: policy.NotSent}, {ID: 8, Attempt: 0, Ending: policy.NotSent},
@@ -138,7 +138,7 @@
 		}
 	}
 	for range 3 {
-		rig.Wait(t, "a request", s.Seen)
+		testbed.Wait(t, "a request", s.Seen)
 	}
 	for i := range 3 {
 		host{l}.Cancel(7, i)
@@ -148,16 +148,16 @@
 
 // A client that closes its connection is owed nothing more; its attempts are called off.
 func TestClientGone(t *testing.T) {
-	s := rig.NewStub(t, rig.Silent)
+	s := testbed.NewStub(t, testbed.Silent)
 	l := idle(t, s.Address)
 	reply := make(chan call.Answer, 1)
-	id := l.Ask(policy.Request{Class: 0}, testMessage("1"), l.now+rig.Generous, reply)
+	id := l.Ask(policy.Request{Class: 0}, testMessage("1"), l.now+testbed.Generous, reply)
 	l.next(t)
-	rig.Wait(t, "the request", s.Seen)
+	testbed.Wait(t, "the request", s.Seen)
 	l.Gone(id)
 	l.next(t)
 	l.next(t) // the end of its attempt
-	rig.Wait(t, "the connection to close", s.Closed)
+	testbed.Wait(t, "the connection to close", s.Closed)
 	if len(l.requests) != 0 || len(reply) != 0 {
 		t.Errorf("%d requests in the table, %d answers, want none", len(l.requests), len(reply))
 	}
@@ -183,13 +183,13 @@
 
 // A new server at the address of one that has gone is another: it inherits no connection.
 func TestNewServerAtAnOldAddress(t *testing.T) {
-	s := rig.NewStub(t, rig.Echo)
+	s := testbed.NewStub(t, testbed.Echo)
 	l := idle(t, s.Address)
 	old := l.servers[call.ServerID("s-0")]
 	attempt(t, l, old, "1")
 	l.take(call.Listing{Servers: []policy.Server{{ID: 7, State: policy.Ready}}, Address: map[policy.ServerID]string{7: s.Address}}, policy.ListDelta)
 	attempt(t, l, l.servers[7], "2")
-	if first, second := rig.Wait(t, "1", s.Seen), rig.Wait(t, "2", s.Seen); first.Conn == second.Conn {
+	if first, second := testbed.Wait(t, "1", s.Seen), testbed.Wait(t, "2", s.Seen); first.Conn == second.Conn {
 		t.Error("the new server's request went over the old one's connection")
 	}
 }
@@ -233,8 +233,8 @@
 func attempt(t *testing.T, e *Engine, to call.Server, id string) {
 	t.Helper()
 	done := make(chan call.Result, 2)
-	to.Send(testMessage(id), e.Clock.Now()+rig.Generous, func(r call.Result) { done <- r })
-	if r := rig.Wait(t, "the end of an attempt", done); r.Ending != policy.Served {
+	to.Send(testMessage(id), e.Clock.Now()+testbed.Generous, func(r call.Result) { done <- r })
+	if r := testbed.Wait(t, "the end of an attempt", done); r.Ending != policy.Served {
 		t.Fatalf("attempt %+v", r)
 	}
 }
--- a/internal/proxy/engine/quiet_test.go
+++ b/internal/proxy/engine/quiet_test.go
@@ -9,7 +9,7 @@
 	"testing/synctest"
 	"time"
 
-	"caperarch/internal/lab/rig"
+	"caperarch/internal/lab/testbed"
 	"caperarch/internal/proxy/call"
 	"caperarch/policy"
 )
@@ -20,14 +20,14 @@
 	told := make(chan []policy.ServerID, 1)
 	e.Quiet([]policy.ServerID{id}, func(quiet []policy.ServerID) { told <- quiet })
 	e.next(t)
-	return len(rig.Wait(t, "the word", told)) == 1
+	return len(testbed.Wait(t, "the word", told)) == 1
 }
 
 // A server is quiet once its last attempt has ended: one that is called off too, and one whose answer is passed on while it comes only behind that answer's last byte.
 func TestQuiet(t *testing.T) {
 	rest := make(chan struct{})
 	long := strings.Repeat("x", 1<<20)
-	s := rig.NewStub(t, func(c net.Conn, r rig.Received) bool {
+	s := testbed.NewStub(t, func(c net.Conn, r testbed.Received) bool {
 		if r.ID() != "stream" {
 			_, _ = io.Copy(io.Discard, c)
 			return false
@@ -44,7 +44,7 @@
 	}
 	e.hold(7)
 	host{e}.Send(7, to, 0)
-	rig.Wait(t, "the request", s.Seen)
+	testbed.Wait(t, "the request", s.Seen)
 	if quietNow(t, e, to) {
 		t.Error("quiet with an attempt out")
 	}
@@ -63,7 +63,7 @@
 	r.message = m
 	host{e}.Send(8, to, 0)
 	e.next(t)
-	a := rig.Wait(t, "the answer's beginning", reply)
+	a := testbed.Wait(t, "the answer's beginning", reply)
 	if a.Stream == nil {
 		t.Fatalf("%+v, want an answer that is passed on", a)
 	}
--- a/internal/proxy/front/http1/ahead.go
+++ b/internal/proxy/front/http1/ahead.go
@@ -7,8 +7,8 @@
 	"time"
 
 	"caperarch/internal/proxy/call"
-	"caperarch/internal/proxy/figures"
 	"caperarch/internal/proxy/h1"
+	"caperarch/internal/proxy/metrics"
 	"caperarch/policy"
 )
 
@@ -35,7 +35,7 @@
 // open is a request that is taken on and has no answer yet.
 type open struct {
 	t      *Target
-	counts *figures.Class
+	counts *metrics.Class
 	walls  *Walls // nil: there are none
 	size   int64  // of what is held of its body
 	number policy.RequestID
--- a/internal/proxy/front/http1/ahead_test.go
+++ b/internal/proxy/front/http1/ahead_test.go
@@ -15,7 +15,7 @@
 	"testing"
 	"time"
 
-	"caperarch/internal/lab/rig"
+	"caperarch/internal/lab/testbed"
 	"caperarch/internal/proxy/call"
 	"caperarch/internal/proxy/clock"
 	"caperarch/internal/proxy/h1"
@@ -83,7 +83,7 @@
 	t.Helper()
 	d := &desk{asks: make(chan asked, 64), gone: make(chan policy.RequestID, 64), served: make(chan error, 1)}
 	d.target = &Target{Engine: d, MostOpen: most, BodyBytes: 1 << 20, Classes: map[string]int{"look": 0}, ClassOf: []policy.Class{{Effect: policy.Safe, Deadline: time.Minute}}}
-	cfg := Config{Route: To(d.target), Conns: BoundsOf(64, 64), Linger: time.Millisecond, Longest: rig.Generous, Log: slog.New(slog.DiscardHandler)}
+	cfg := Config{Route: To(d.target), Conns: BoundsOf(64, 64), Linger: time.Millisecond, Longest: testbed.Generous, Log: slog.New(slog.DiscardHandler)}
 	if dialect {
 		cfg.Dialect = d.dialect()
 	}
@@ -102,7 +102,7 @@
 		if err := d.drain(); err != nil {
 			t.Errorf("drain: %v", err)
 		}
-		if err := rig.Wait(t, "the end", d.served); !errors.Is(err, net.ErrClosed) {
+		if err := testbed.Wait(t, "the end", d.served); !errors.Is(err, net.ErrClosed) {
 			t.Error(err)
 		}
 		if held, open := d.front.held.Load(), d.target.Held(); held != 0 || open != 0 || len(d.asks) != 0 || len(d.gone) != 0 {
@@ -125,7 +125,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	_ = c.SetDeadline(time.Now().Add(rig.Generous))
+	_ = c.SetDeadline(time.Now().Add(testbed.Generous))
 	t.Cleanup(func() { c.Close() })
 	return &caller{c.(*net.TCPConn), t, bufio.NewReader(c)}
 }
@@ -173,7 +173,7 @@
 func (d *desk) has(t *testing.T, uris ...string) (all []asked) {
 	t.Helper()
 	for _, uri := range uris {
-		a := rig.Wait(t, uri, d.asks)
+		a := testbed.Wait(t, uri, d.asks)
 		if a.uri != uri {
 			t.Fatalf("%s was asked, want %s", a.uri, uri)
 		}
@@ -201,7 +201,7 @@
 // until waits until something is so.
 func until(t *testing.T, what string, is func() bool) {
 	t.Helper()
-	for end := time.Now().Add(rig.Generous); !is(); runtime.Gosched() {
+	for end := time.Now().Add(testbed.Generous); !is(); runtime.Gosched() {
 		if time.Now().After(end) {
 			t.Fatalf("waited in vain until %s", what)
 		}
@@ -212,7 +212,7 @@
 func (d *desk) tells(t *testing.T, all ...asked) {
 	t.Helper()
 	for _, a := range all {
-		if id := rig.Wait(t, "that one is gone", d.gone); id != a.id {
+		if id := testbed.Wait(t, "that one is gone", d.gone); id != a.id {
 			t.Errorf("%d is told gone, want %d, %s", id, a.id, a.uri)
 		}
 	}
@@ -370,7 +370,7 @@
 	all[1].reply <- call.Answer{Kind: call.Served, Stream: b}
 	c.Close()
 	d.tells(t, all...)
-	rig.Wait(t, "that the answer is given up", b.closed)
+	testbed.Wait(t, "that the answer is given up", b.closed)
 
 	for range 10 { // whether its end or its last request is noticed first
 		c = d.dial(t)
@@ -412,7 +412,7 @@
 	}
 	d.tells(t, all[1:]...)
 	c.ends()
-	if err := rig.Wait(t, "the drain", drained); err != nil {
+	if err := testbed.Wait(t, "the drain", drained); err != nil {
 		t.Error(err)
 	}
 }
--- a/internal/proxy/front/http1/conn.go
+++ b/internal/proxy/front/http1/conn.go
@@ -16,8 +16,8 @@
 	"time"
 
 	"caperarch/internal/proxy/call"
-	"caperarch/internal/proxy/figures"
 	"caperarch/internal/proxy/h1"
+	"caperarch/internal/proxy/metrics"
 	"caperarch/internal/proxy/stream"
 )
 
@@ -53,7 +53,7 @@
 	bytes   int       // read under it
 	entered time.Duration
 
-	counts *figures.Class // that the answer under way counts for; nil: none
+	counts *metrics.Class // that the answer under way counts for; nil: none
 
 	// What is read ahead, see readAhead:
 	line   *line         // nil: nothing has been since it rested
@@ -654,14 +654,14 @@
 }
 
 // outcome is what a client takes a status for.
-func outcome(status int) figures.Outcome {
+func outcome(status int) metrics.Outcome {
 	switch status {
 	case http.StatusOK:
-		return figures.Passed
+		return metrics.Passed
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests:
-		return figures.Dropped
+		return metrics.Dropped
 	}
-	return figures.BadGateway
+	return metrics.BadGateway
 }
 
 // write sends head and body in one system call where the client takes that at once, and waits for answerTime at most.
--- a/internal/proxy/front/http1/front.go
+++ b/internal/proxy/front/http1/front.go
@@ -13,8 +13,8 @@
 
 	"caperarch/internal/proxy/call"
 	"caperarch/internal/proxy/clock"
-	"caperarch/internal/proxy/figures"
 	"caperarch/internal/proxy/h1"
+	"caperarch/internal/proxy/metrics"
 	"caperarch/policy"
 )
 
@@ -45,7 +45,7 @@
 	Tenants   map[string]int   // tenant by name; empty where there are none
 	MostOpen  int              // requests held at once; 0: no bound but that on connections
 	BodyBytes int64            // of their bodies
-	Figures   []*figures.Class // by class; nil: nobody counts
+	Figures   []*metrics.Class // by class; nil: nobody counts
 
 	walls atomic.Pointer[Walls]
 	owner owner        // of connections, under the acceptor's lock
@@ -83,7 +83,7 @@
 }
 
 // class is the series of a class.
-func (t *Target) class(i int) *figures.Class {
+func (t *Target) class(i int) *metrics.Class {
 	if i < len(t.Figures) {
 		return t.Figures[i]
 	}
--- a/internal/proxy/inturn/inturn.go
+++ b/internal/proxy/keyedqueue/keyedqueue.go
@@ -1,6 +1,6 @@
-// Package inturn lets requests of one key go one at a time: in the order in which they came, each until it has ended and none of its attempts may still be running. It is
+// Package keyedqueue lets requests of one key go one at a time: in the order in which they came, each until it has ended and none of its attempts may still be running. It is
 // free of I/O; time is passed in.
-package inturn
+package keyedqueue
 
 import (
 	"maps"
--- a/internal/proxy/inquiry/inquiry.go
+++ b/internal/proxy/loadquery/loadquery.go
@@ -1,7 +1,7 @@
-// Package inquiry decides whether a balancer asks servers what they hold before it sends, and among how many servers it takes turns.
+// Package loadquery decides whether a balancer asks servers what they hold before it sends, and among how many servers it takes turns.
 // The two belong together: who may not ask learns from his own answers alone, and those of one balancer among many are few. It is
 // free of I/O and of the module's state.
-package inquiry
+package loadquery
 
 import "time"
 
--- a/internal/proxy/membership/membership_test.go
+++ b/internal/proxy/membership/membership_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"caperarch/internal/lab/rig"
+	"caperarch/internal/lab/testbed"
 	"caperarch/internal/proxy/call"
 	"caperarch/policy"
 )
@@ -79,31 +79,31 @@
 	step := func(query string, answer func(http.ResponseWriter)) {
 		t.Helper()
 		answers <- answer
-		if got := rig.Wait(t, "a call", queries); got != query {
+		if got := testbed.Wait(t, "a call", queries); got != query {
 			t.Fatalf("query %q, want %q", got, query)
 		}
 	}
 	news := func(version int64, whole bool) {
 		t.Helper()
-		if l := rig.Wait(t, "a list", heard); l.Version != version || l.Whole != whole {
+		if l := testbed.Wait(t, "a list", heard); l.Version != version || l.Whole != whole {
 			t.Fatalf("version %d, whole %v, want %d, %v", l.Version, l.Whole, version, whole)
 		}
 	}
-	step("", say(rig.Listed(41, "ready", "127.0.0.1:80")))
+	step("", say(testbed.Listed(41, "ready", "127.0.0.1:80")))
 	news(41, true)
 	step("index=41&wait=20000", say(`{"generation":43,"reset":false,"instances":[]}`))
 	news(43, false)
 	step("index=43&wait=20000", say(`{"generation":44,"instances":[{"instanceId":""}]}`))
-	rig.Wait(t, "the failure", failed)
+	testbed.Wait(t, "the failure", failed)
 	step("", func(w http.ResponseWriter) { w.WriteHeader(http.StatusServiceUnavailable) })
-	rig.Wait(t, "the failure", failed)
-	step("", say(rig.Listed(45, "ready", "127.0.0.1:80")))
+	testbed.Wait(t, "the failure", failed)
+	step("", say(testbed.Listed(45, "ready", "127.0.0.1:80")))
 	news(45, true)
 	if len(heard)+len(failed) > 0 {
 		t.Errorf("%d more lists, %d more failures", len(heard), len(failed))
 	}
 	cancel()
-	rig.Wait(t, "the end", ended)
+	testbed.Wait(t, "the end", ended)
 }
 
 // Where the list must be asked for, nothing is called before the module asks.
@@ -127,8 +127,8 @@
 			t.Fatal("called unasked")
 		}
 		d.Ask()
-		rig.Wait(t, "the failure", failed)
-		rig.Wait(t, "the call", calls)
+		testbed.Wait(t, "the failure", failed)
+		testbed.Wait(t, "the call", calls)
 	}
 }
 
@@ -143,7 +143,7 @@
 				left <- struct{}{}
 				return
 			}
-			_, _ = io.WriteString(w, rig.Listed(generation, "ready", "127.0.0.1:81"))
+			_, _ = io.WriteString(w, testbed.Listed(generation, "ready", "127.0.0.1:81"))
 		}))
 		t.Cleanup(d.Close)
 		return d.Listener.Addr().String()
@@ -159,7 +159,7 @@
 	go d.Run(ctx)
 	expect := func(want string) {
 		t.Helper()
-		if got := rig.Wait(t, want, calls); got != want {
+		if got := testbed.Wait(t, want, calls); got != want {
 			t.Errorf("called %q, want %q", got, want)
 		}
 	}
@@ -167,11 +167,11 @@
 	expect("50 index=50&wait=20000")
 	d.Move(after)
 	d.Move(after)
-	rig.Wait(t, "the old watch to end", left)
+	testbed.Wait(t, "the old watch to end", left)
 	expect("3 ")
 	expect("3 index=3&wait=20000")
 	for _, version := range []int64{50, 3} {
-		if l := rig.Wait(t, "a list", heard); !l.Whole || l.Version != version {
+		if l := testbed.Wait(t, "a list", heard); !l.Whole || l.Version != version {
 			t.Errorf("version %d, whole %v, want %d as a whole", l.Version, l.Whole, version)
 		}
 	}
@@ -218,7 +218,7 @@
 		if step.ask {
 			d.Ask()
 		}
-		if q := rig.Wait(t, "a call", queries); q != step.query {
+		if q := testbed.Wait(t, "a call", queries); q != step.query {
 			t.Fatalf("asked %q, want %q", q, step.query)
 		}
 		answers <- step.answer
--- a/internal/proxy/membership/shared_test.go
+++ b/internal/proxy/membership/shared_test.go
@@ -4,7 +4,7 @@
 	"sync"
 	"testing"
 
-	"caperarch/internal/lab/rig"
+	"caperarch/internal/lab/testbed"
 	"caperarch/internal/proxy/call"
 	"caperarch/policy"
 )
@@ -53,23 +53,23 @@
 // Two share a watch; a later one has the whole list at once, changes since the first included; who closes
 // hears nothing more, and the last one ends the watch. Other zones mean another watch.
 func TestSharedWatch(t *testing.T) {
-	l := new(rig.Ledger)
-	a, b := rig.NewHTTPNode(t, "s-a", l), rig.NewHTTPNode(t, "s-b", l)
-	d := rig.NewDiscovery(t, a, b)
+	l := new(testbed.Ledger)
+	a, b := testbed.NewHTTPNode(t, "s-a", l), testbed.NewHTTPNode(t, "s-b", l)
+	d := testbed.NewDiscovery(t, a, b)
 	zones := map[string]int{"a": 0}
 	one := subscribe(t, d.Address, zones)
-	rig.Until(t, "the first list", func() bool { n, _ := one.last(); return n == 1 })
+	testbed.Until(t, "the first list", func() bool { n, _ := one.last(); return n == 1 })
 	d.Set(a, "gone")
-	rig.Until(t, "the change", func() bool { n, _ := one.last(); return n == 2 })
+	testbed.Until(t, "the change", func() bool { n, _ := one.last(); return n == 2 })
 	two := subscribe(t, d.Address, zones)
 	if n, list := two.last(); n != 1 || !list.Whole || len(list.Servers) != 1 || list.Servers[0].ID != call.ServerID("s-b") || list.Address[call.ServerID("s-b")] != b.Address {
 		t.Errorf("the later one has %d lists, %+v; want the whole list as it is", n, list)
 	}
-	rig.Until(t, "one watch for both", func() bool { return d.Watches() == 1 }) // none between two calls
+	testbed.Until(t, "one watch for both", func() bool { return d.Watches() == 1 }) // none between two calls
 	one.s.Close()
 	one.s.Close()
 	d.Set(b, "draining")
-	rig.Until(t, "the next change", func() bool {
+	testbed.Until(t, "the next change", func() bool {
 		n, list := two.last()
 		return n == 2 && list.Servers[0].State == policy.Draining
 	})
@@ -77,16 +77,16 @@
 		t.Errorf("one heard %d lists after its close", n-2)
 	}
 	other := subscribe(t, d.Address, map[string]int{"b": 0})
-	rig.Until(t, "a watch of its own", func() bool { return d.Watches() == 2 })
+	testbed.Until(t, "a watch of its own", func() bool { return d.Watches() == 2 })
 	d.Down(true)
-	rig.Until(t, "the failure", func() bool {
+	testbed.Until(t, "the failure", func() bool {
 		two.mu.Lock()
 		defer two.mu.Unlock()
 		return two.failed > 0
 	})
 	other.s.Close()
 	two.s.Close()
-	rig.Until(t, "all watches to end", func() bool { return d.Watches() == 0 })
+	testbed.Until(t, "all watches to end", func() bool { return d.Watches() == 0 })
 	if _, err := Subscribe(Config{Asked: true}); err == nil {
 		t.Error("a list that must be asked for was shared")
 	}
--- a/internal/proxy/figures/figures.go
+++ b/internal/proxy/metrics/metrics.go
@@ -1,6 +1,6 @@
-// Package figures is the one set of counters that the log and operators read. Its series stand from the start, by the
+// Package metrics is the one set of counters that the log and operators read. Its series stand from the start, by the
 // settings' classes: no client can make a new one. Counting waits for nothing.
-package figures
+package metrics
 
 import (
 	"fmt"
--- a/internal/proxy/figures/figures_test.go
+++ b/internal/proxy/metrics/metrics_test.go
@@ -1,4 +1,4 @@
-package figures
+package metrics
 
 import (
 	"fmt"
--- a/internal/proxy/traffic/traffic.go
+++ b/internal/proxy/ratemeter/ratemeter.go
@@ -1,5 +1,5 @@
-// Package traffic measures how much comes lately. It is free of I/O; time is passed in.
-package traffic
+// Package ratemeter measures how much comes lately. It is free of I/O; time is passed in.
+package ratemeter
 
 import (
 	"math"
--- a/internal/proxy/traffic/traffic_test.go
+++ b/internal/proxy/ratemeter/ratemeter_test.go
@@ -1,4 +1,4 @@
-package traffic
+package ratemeter
 
 import (
 	"math"
--- a/internal/proxy/record/record_test.go
+++ b/internal/proxy/record/record_test.go
@@ -9,7 +9,7 @@
 	"testing/synctest"
 	"time"
 
-	"caperarch/internal/lab/emu"
+	"caperarch/internal/lab/emulator"
 	"caperarch/internal/lab/replay"
 	"caperarch/internal/proxy/engine"
 	"caperarch/internal/proxy/record"
@@ -108,7 +108,7 @@
 	var file bytes.Buffer
 	w := record.NewWriter(&file, 1<<30)
 	number := uint32(0)
-	f, err := emu.Cases[0].Fleet(seed, func(c *emu.Config) {
+	f, err := emulator.Cases[0].Fleet(seed, func(c *emulator.Config) {
 		c.Sidecars, c.Rate = 6, c.Rate/4
 		c.Servers = c.Servers[:4]
 		c.New = func(cfg policy.Config, seed uint64, host policy.Host) (engine.Module, error) {
--- a/internal/proxy/terms/terms.go
+++ b/internal/proxy/requestclass/requestclass.go
@@ -1,5 +1,5 @@
-// Package terms is what settings say of classes of requests and of tenants, and whether that can be used. It decides nothing and is free of I/O.
-package terms
+// Package requestclass is what settings say of classes of requests and of tenants, and whether that can be used. It decides nothing and is free of I/O.
+package requestclass
 
 import (
 	"errors"
--- a/internal/proxy/cold/cold.go
+++ b/internal/proxy/slowstart/slowstart.go
@@ -1,5 +1,5 @@
-// Package cold is rule 4's arithmetic: how much a server that has just started may be sent, and how each balancer keeps to its part of that. It is free of I/O.
-package cold
+// Package slowstart is rule 4's arithmetic: how much a server that has just started may be sent, and how each balancer keeps to its part of that. It is free of I/O.
+package slowstart
 
 import "time"
 
--- a/internal/proxy/cold/cold_test.go
+++ b/internal/proxy/slowstart/slowstart_test.go
@@ -1,4 +1,4 @@
-package cold
+package slowstart
 
 import (
 	"testing"
--- a/internal/proxy/strict/toml.go
+++ b/internal/proxy/strictconfig/toml.go
@@ -1,5 +1,5 @@
-// Package strict reads operators' files: what is not known in them is an error that names its line.
-package strict
+// Package strictconfig reads operators' files: what is not known in them is an error that names its line.
+package strictconfig
 
 import (
 	"bytes"
--- a/internal/proxy/transport/grpc/transport_test.go
+++ b/internal/proxy/transport/grpc/transport_test.go
@@ -16,7 +16,7 @@
 	"google.golang.org/protobuf/proto"
 	"google.golang.org/protobuf/types/known/wrapperspb"
 
-	"caperarch/internal/lab/rig"
+	"caperarch/internal/lab/testbed"
 	"caperarch/internal/proxy/call"
 	"caperarch/internal/proxy/clock"
 	"caperarch/policy"
@@ -49,7 +49,7 @@
 	t.Helper()
 	done := make(chan call.Result, 2)
 	s.Send(m, tr.cfg.Clock.Now()+limit, func(r call.Result) { done <- r })
-	return rig.Wait(t, "the end of an attempt", done)
+	return testbed.Wait(t, "the end of an attempt", done)
 }
 
 // peer is a server that speaks HTTP/2 frame by frame: answer is called with each stream's id once all of its
@@ -152,7 +152,7 @@
 		t.Run(name, func(t *testing.T) {
 			address, streams := frames(t, c.answer)
 			tr := newTransport(t, nil)
-			got := send(t, tr, tr.Server(address), message(t, "1"), rig.Generous)
+			got := send(t, tr, tr.Server(address), message(t, "1"), testbed.Generous)
 			if got.Ending != c.want {
 				t.Errorf("ending %v, want %v; status %v", got.Ending, c.want, codes.Code(got.Status))
 			}
@@ -166,17 +166,17 @@
 
 // Endings over a real server.
 func TestEndings(t *testing.T) {
-	for act, want := range map[rig.Act]policy.Ending{
-		rig.Serve: policy.Served, rig.Refuse: policy.TurnedAway, rig.Fail: policy.Errored, rig.Busy: policy.Errored,
-		rig.Reset: policy.Broken, rig.Garbage: policy.Broken, rig.Cut: policy.Broken, rig.Hang: policy.TimedOut,
+	for act, want := range map[testbed.Act]policy.Ending{
+		testbed.Serve: policy.Served, testbed.Refuse: policy.TurnedAway, testbed.Fail: policy.Errored, testbed.Busy: policy.Errored,
+		testbed.Reset: policy.Broken, testbed.Garbage: policy.Broken, testbed.Cut: policy.Broken, testbed.Hang: policy.TimedOut,
 	} {
 		t.Run(act.String(), func(t *testing.T) {
-			l := new(rig.Ledger)
-			n := rig.NewGRPCNode(t, "s-0", l)
-			n.Do(rig.Always(act))
+			l := new(testbed.Ledger)
+			n := testbed.NewGRPCNode(t, "s-0", l)
+			n.Do(testbed.Always(act))
 			tr := newTransport(t, nil)
-			limit := rig.Generous
-			if act == rig.Hang {
+			limit := testbed.Generous
+			if act == testbed.Hang {
 				limit = 300 * time.Millisecond
 			}
 			if got := send(t, tr, tr.Server(n.Address), message(t, "1"), limit); got.Ending != want {
@@ -199,7 +199,7 @@
 	tr := newTransport(t, nil)
 	s := tr.Server(address)
 	for range 3 { // also while grpc waits before it tries again
-		if got := send(t, tr, s, message(t, "1"), rig.Generous); got.Ending != policy.NoConnection {
+		if got := send(t, tr, s, message(t, "1"), testbed.Generous); got.Ending != policy.NoConnection {
 			t.Errorf("ending %v, want %v", got.Ending, policy.NoConnection)
 		}
 	}
@@ -214,7 +214,7 @@
 	defer l.Close()
 	tr := newTransport(t, func(c *Config) { c.DialTimeout = 200 * time.Millisecond })
 	begun := time.Now()
-	got := send(t, tr, tr.Server(l.Addr().String()), message(t, "1"), rig.Generous)
+	got := send(t, tr, tr.Server(l.Addr().String()), message(t, "1"), testbed.Generous)
 	if took := time.Since(begun); got.Ending != policy.NoConnection || took > 5*time.Second {
 		t.Errorf("ending %v after %v, want %v within the time for a connection", got.Ending, took, policy.NoConnection)
 	}
@@ -222,23 +222,23 @@
 
 // Called off, or late, before it is written: nothing goes out.
 func TestHeldBack(t *testing.T) {
-	l := new(rig.Ledger)
-	n := rig.NewGRPCNode(t, "s-0", l)
+	l := new(testbed.Ledger)
+	n := testbed.NewGRPCNode(t, "s-0", l)
 	tr := newTransport(t, func(c *Config) { c.Clock = clock.NewMovable() })
 	s := tr.Server(n.Address)
-	if got := send(t, tr, s, message(t, "1"), rig.Generous); got.Ending != policy.Served {
+	if got := send(t, tr, s, message(t, "1"), testbed.Generous); got.Ending != policy.Served {
 		t.Fatalf("ending %v, want served", got.Ending)
 	}
 	done := make(chan call.Result, 2)
 	until := tr.cfg.Clock.Now() + time.Minute
 	tr.cfg.Clock.Jump(time.Hour) // the process was stopped between the decision and the write
 	s.Send(message(t, "1"), until, func(r call.Result) { done <- r })
-	if got := rig.Wait(t, "its end", done); got.Ending == policy.Served || got.Ending == policy.TimedOut {
+	if got := testbed.Wait(t, "its end", done); got.Ending == policy.Served || got.Ending == policy.TimedOut {
 		t.Errorf("ending %v for a call that was late before it was written", got.Ending)
 	}
 	x := s.Send(message(t, "1"), tr.cfg.Clock.Now()+time.Minute, func(r call.Result) { done <- r })
 	x.Cancel()
-	rig.Wait(t, "its end", done)
+	testbed.Wait(t, "its end", done)
 	if n := len(l.Of("1")); n > 2 {
 		t.Errorf("%d arrivals, the late call must not be one", n)
 	}
@@ -246,15 +246,15 @@
 
 // A server that lets a call run into its time-out may be cut off: the next call opens another connection.
 func TestTimeOutRetiresTheConnection(t *testing.T) {
-	n := rig.NewGRPCNode(t, "s-0", new(rig.Ledger))
-	n.Do(rig.Always(rig.Hang))
+	n := testbed.NewGRPCNode(t, "s-0", new(testbed.Ledger))
+	n.Do(testbed.Always(testbed.Hang))
 	tr := newTransport(t, func(c *Config) { c.DialTimeout = 100 * time.Millisecond })
 	s := tr.Server(n.Address)
 	if got := send(t, tr, s, message(t, "1"), 400*time.Millisecond); got.Ending != policy.TimedOut {
 		t.Fatalf("ending %v, want %v", got.Ending, policy.TimedOut)
 	}
-	n.Do(rig.Always(rig.Serve))
-	if got := send(t, tr, s, message(t, "1"), rig.Generous); got.Ending != policy.Served {
+	n.Do(testbed.Always(testbed.Serve))
+	if got := send(t, tr, s, message(t, "1"), testbed.Generous); got.Ending != policy.Served {
 		t.Fatalf("ending %v, want served", got.Ending)
 	}
 	if got := tr.Counters(); got["dialled"] != 2 || got["open"] != 1 {
@@ -264,33 +264,33 @@
 
 // At the limit the connection without a call makes room; where all have one, nothing is sent.
 func TestMostConnections(t *testing.T) {
-	l := new(rig.Ledger)
-	a, b := rig.NewGRPCNode(t, "a", l), rig.NewGRPCNode(t, "b", l)
+	l := new(testbed.Ledger)
+	a, b := testbed.NewGRPCNode(t, "a", l), testbed.NewGRPCNode(t, "b", l)
 	tr := newTransport(t, func(c *Config) { c.MostConns = 1 })
 	sa, sb := tr.Server(a.Address), tr.Server(b.Address)
 	for _, s := range []call.Server{sa, sb} {
-		if got := send(t, tr, s, message(t, "1"), rig.Generous); got.Ending != policy.Served {
+		if got := send(t, tr, s, message(t, "1"), testbed.Generous); got.Ending != policy.Served {
 			t.Fatalf("ending %v, want served", got.Ending)
 		}
 	}
-	b.Do(rig.Always(rig.Hang))
+	b.Do(testbed.Always(testbed.Hang))
 	done := make(chan call.Result, 2)
-	x := sb.Send(message(t, "1"), tr.cfg.Clock.Now()+rig.Generous, func(r call.Result) { done <- r })
-	rig.Until(t, "the call", func() bool { return l.Len() == 3 })
-	if got := send(t, tr, sa, message(t, "1"), rig.Generous); got.Ending != policy.NotSent {
+	x := sb.Send(message(t, "1"), tr.cfg.Clock.Now()+testbed.Generous, func(r call.Result) { done <- r })
+	testbed.Until(t, "the call", func() bool { return l.Len() == 3 })
+	if got := send(t, tr, sa, message(t, "1"), testbed.Generous); got.Ending != policy.NotSent {
 		t.Errorf("ending %v, want %v: no room is no word on the server", got.Ending, policy.NotSent)
 	}
 	x.Cancel()
-	if got := rig.Wait(t, "its end", done); got.Ending != policy.Cancelled {
+	if got := testbed.Wait(t, "its end", done); got.Ending != policy.Cancelled {
 		t.Errorf("ending %v, want %v", got.Ending, policy.Cancelled)
 	}
 }
 
 func TestLoadReport(t *testing.T) {
-	n := rig.NewGRPCNode(t, "s-0", new(rig.Ledger))
+	n := testbed.NewGRPCNode(t, "s-0", new(testbed.Ledger))
 	n.Load = func() string { return "TEXT inflight=7, queue=2, latency_ms=40, unheard=3" }
 	tr := newTransport(t, nil)
-	got := send(t, tr, tr.Server(n.Address), message(t, "1"), rig.Generous)
+	got := send(t, tr, tr.Server(n.Address), message(t, "1"), testbed.Generous)
 	want := policy.Load{
 		Has: policy.HasInFlight | policy.HasQueued | policy.HasService, InFlight: 7, Queued: 2, Service: 40 * time.Millisecond,
 	}
@@ -310,13 +310,13 @@
 
 // A stream is its client's from its header on; its attempt ends with it, once.
 func TestStream(t *testing.T) {
-	n := rig.NewGRPCNode(t, "s-0", new(rig.Ledger), grpc.MaxConcurrentStreams(100))
+	n := testbed.NewGRPCNode(t, "s-0", new(testbed.Ledger), grpc.MaxConcurrentStreams(100))
 	tr := newTransport(t, nil)
 	m := message(t, "stream 3")
 	m.Stream = true
 	results := make(chan call.Result, 4)
-	tr.Server(n.Address).Send(m, tr.cfg.Clock.Now()+rig.Generous, func(r call.Result) { results <- r })
-	begun := rig.Wait(t, "its begin", results)
+	tr.Server(n.Address).Send(m, tr.cfg.Clock.Now()+testbed.Generous, func(r call.Result) { results <- r })
+	begun := testbed.Wait(t, "its begin", results)
 	s, ok := begun.Stream.(*Stream)
 	if !ok || s.Header().Get("x-stream")[0] != "3" {
 		t.Fatalf("begun with %+v", begun)
@@ -330,28 +330,28 @@
 		t.Errorf("behind the last: %v, want EOF", err)
 	}
 	s.Close()
-	if end := rig.Wait(t, "its end", results); end.Ending != policy.Served || end.Stream != nil || len(results) > 0 {
+	if end := testbed.Wait(t, "its end", results); end.Ending != policy.Served || end.Stream != nil || len(results) > 0 {
 		t.Errorf("ended with %+v and %d more", end, len(results))
 	}
 }
 
 // Close lets go of everything, with calls and probes under way.
 func TestClose(t *testing.T) {
-	l := new(rig.Ledger)
-	n := rig.NewGRPCNode(t, "s-0", l)
-	n.Do(rig.Always(rig.Hang))
+	l := new(testbed.Ledger)
+	n := testbed.NewGRPCNode(t, "s-0", l)
+	n.Do(testbed.Always(testbed.Hang))
 	tr := New(Config{Clock: clock.New(), DialTimeout: time.Second, ConnIdle: time.Minute, MostConns: 2, Probes: true})
 	s := tr.Server(n.Address)
 	ends := make(chan call.Result, 9)
 	for range 3 {
-		s.Send(message(t, "1"), tr.cfg.Clock.Now()+rig.Generous, func(r call.Result) { ends <- r })
+		s.Send(message(t, "1"), tr.cfg.Clock.Now()+testbed.Generous, func(r call.Result) { ends <- r })
 	}
-	rig.Until(t, "the calls", func() bool { return l.Len() == 3 })
+	testbed.Until(t, "the calls", func() bool { return l.Len() == 3 })
 	closed := make(chan struct{})
 	go func() { tr.Close(); close(closed) }()
-	rig.Wait(t, "the close", closed)
+	testbed.Wait(t, "the close", closed)
 	if len(ends) != 3 || tr.Counters()["open"] != 0 {
 		t.Errorf("%d ends, %v", len(ends), tr.Counters())
 	}
-	rig.Until(t, "the node's connections to end", func() bool { return n.Open() == 0 })
+	testbed.Until(t, "the node's connections to end", func() bool { return n.Open() == 0 })
 }
--- a/internal/proxy/transport/http1/transport_test.go
+++ b/internal/proxy/transport/http1/transport_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"caperarch/internal/lab/rig"
+	"caperarch/internal/lab/testbed"
 	"caperarch/internal/proxy/call"
 	"caperarch/internal/proxy/clock"
 	"caperarch/internal/proxy/wire"
@@ -31,10 +31,10 @@
 // hosts are the stubs as servers of a transport.
 var hosts sync.Map
 
-func to(u *Transport, s *rig.Stub) *host {
+func to(u *Transport, s *testbed.Stub) *host {
 	type key struct {
 		u *Transport
-		s *rig.Stub
+		s *testbed.Stub
 	}
 	h, _ := hosts.LoadOrStore(key{u, s}, u.Server(s.Address))
 	return h.(*host)
@@ -52,7 +52,7 @@
 	t.Helper()
 	done := make(chan call.Result, 2)
 	u.send(to, testMessage(id), u.clock.Now()+limit, func(r call.Result) { done <- r })
-	return rig.Wait(t, "the end of an attempt", done)
+	return testbed.Wait(t, "the end of an attempt", done)
 }
 
 // Every kind of answer has its ending; a connection is kept only behind a whole and clean one.
@@ -81,15 +81,15 @@
 		"broken":              {"", policy.Broken, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := rig.NewStub(t, func(conn net.Conn, r rig.Received) bool {
+			s := testbed.NewStub(t, func(conn net.Conn, r testbed.Received) bool {
 				if r.Conn > 0 {
-					return rig.OK(conn, "again")
+					return testbed.OK(conn, "again")
 				}
 				_, _ = conn.Write([]byte(c.answer)) // fails where the sidecar has had enough of it
 				return c.kept || name == "bytes left over" || name == "to be closed" || name == "headers without end"
 			})
 			u := testUpstream(t)
-			if got := attempt(t, u, to(u, s), "1", rig.Generous); got.Ending != c.ending {
+			if got := attempt(t, u, to(u, s), "1", testbed.Generous); got.Ending != c.ending {
 				t.Fatalf("ending %v, want %v", got.Ending, c.ending)
 			} else if got.Ending == policy.Served && string(got.Body) != "hi" {
 				t.Fatalf("body %q, want hi", got.Body)
@@ -107,15 +107,15 @@
 // A kept connection that breaks behind the request's last byte: it may have run, so it must not be
 // sent again by anything but the module. http.Transport does, also for a POST with Idempotency-Key.
 func TestNothingIsSentAgain(t *testing.T) {
-	s := rig.NewStub(t, func(c net.Conn, r rig.Received) bool {
-		return r.Header.Get("X-Request-ID") == "1" && rig.OK(c, "hi")
+	s := testbed.NewStub(t, func(c net.Conn, r testbed.Received) bool {
+		return r.Header.Get("X-Request-ID") == "1" && testbed.OK(c, "hi")
 	})
 	u := testUpstream(t)
-	attempt(t, u, to(u, s), "1", rig.Generous)
-	if got := attempt(t, u, to(u, s), "2", rig.Generous); got.Ending != policy.Broken {
+	attempt(t, u, to(u, s), "1", testbed.Generous)
+	if got := attempt(t, u, to(u, s), "2", testbed.Generous); got.Ending != policy.Broken {
 		t.Fatalf("ending %v, want %v", got.Ending, policy.Broken)
 	}
-	if first, second := rig.Wait(t, "1", s.Seen), rig.Wait(t, "2", s.Seen); first.Conn != second.Conn || len(s.Seen) > 0 {
+	if first, second := testbed.Wait(t, "1", s.Seen), testbed.Wait(t, "2", s.Seen); first.Conn != second.Conn || len(s.Seen) > 0 {
 		t.Fatalf("connections %d and %d, %d more requests; want one connection and no more", first.Conn, second.Conn, len(s.Seen))
 	}
 }
@@ -125,8 +125,8 @@
 func TestStaleConnectionIsNotUsed(t *testing.T) {
 	hangUp := make(chan struct{})
 	gone := make(chan struct{})
-	s := rig.NewStub(t, func(c net.Conn, r rig.Received) bool {
-		answered := rig.Echo(c, r)
+	s := testbed.NewStub(t, func(c net.Conn, r testbed.Received) bool {
+		answered := testbed.Echo(c, r)
 		if r.Conn == 0 {
 			<-hangUp
 			c.Close()
@@ -135,15 +135,15 @@
 		return answered && r.Conn > 0
 	})
 	u := testUpstream(t)
-	attempt(t, u, to(u, s), "1", rig.Generous)
+	attempt(t, u, to(u, s), "1", testbed.Generous)
 	close(hangUp)
-	rig.Wait(t, "the server to close", gone)
-	for end := time.Now().Add(rig.Generous); u.idle[to(u, s)][0].usable(); time.Sleep(time.Millisecond) {
+	testbed.Wait(t, "the server to close", gone)
+	for end := time.Now().Add(testbed.Generous); u.idle[to(u, s)][0].usable(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) { // the news has long crossed the loopback
 			t.Fatal("the closed connection passes for usable")
 		}
 	}
-	if got := attempt(t, u, to(u, s), "2", rig.Generous); got.Ending != policy.Served {
+	if got := attempt(t, u, to(u, s), "2", testbed.Generous); got.Ending != policy.Served {
 		t.Fatalf("ending %v, want %v", got.Ending, policy.Served)
 	}
 	if u.stale != 1 || u.dialled != 2 || u.open != 1 {
@@ -153,29 +153,29 @@
 
 // Nor is one used, or kept open, that has been idle for nearly as long as its server allows.
 func TestOldConnectionsAreRetired(t *testing.T) {
-	s := rig.NewStub(t, rig.Echo)
+	s := testbed.NewStub(t, testbed.Echo)
 	u := testUpstream(t)
-	attempt(t, u, to(u, s), "1", rig.Generous)
+	attempt(t, u, to(u, s), "1", testbed.Generous)
 	u.mu.Lock()
 	u.idle[to(u, s)][0].idleSince -= u.keep
 	u.mu.Unlock()
 	u.sweep()
-	rig.Wait(t, "the old connection to close", s.Closed)
-	attempt(t, u, to(u, s), "2", rig.Generous)
+	testbed.Wait(t, "the old connection to close", s.Closed)
+	attempt(t, u, to(u, s), "2", testbed.Generous)
 	u.mu.Lock()
 	u.idle[to(u, s)][0].idleSince -= u.keep
 	u.mu.Unlock()
-	attempt(t, u, to(u, s), "3", rig.Generous)
+	attempt(t, u, to(u, s), "3", testbed.Generous)
 	if u.dialled != 3 || u.open != 1 {
 		t.Errorf("dialled %d, open %d, want 3, 1", u.dialled, u.open)
 	}
 }
 
 func TestConnectionsAreReused(t *testing.T) {
-	s := rig.NewStub(t, rig.Echo)
+	s := testbed.NewStub(t, testbed.Echo)
 	u := testUpstream(t)
 	for i := range 5 {
-		attempt(t, u, to(u, s), fmt.Sprint(i), rig.Generous)
+		attempt(t, u, to(u, s), fmt.Sprint(i), testbed.Generous)
 	}
 	if u.dialled != 1 {
 		t.Errorf("%d connections for five requests one after the other, want 1", u.dialled)
@@ -186,25 +186,25 @@
 // that has rested longest is used first.
 func TestLongestRestedGoesFirst(t *testing.T) {
 	both := make(chan struct{})
-	s := rig.NewStub(t, func(c net.Conn, r rig.Received) bool {
+	s := testbed.NewStub(t, func(c net.Conn, r testbed.Received) bool {
 		if id := r.Header.Get("X-Request-ID"); id == "1" || id == "2" {
 			<-both
 		}
-		return rig.Echo(c, r)
+		return testbed.Echo(c, r)
 	})
 	u := testUpstream(t)
 	done := make(chan call.Result, 2)
 	for _, id := range []string{"1", "2"} { // at the same time, so on two connections
-		u.send(to(u, s), testMessage(id), u.clock.Now()+rig.Generous, func(r call.Result) { done <- r })
-		rig.Wait(t, "a request", s.Seen)
+		u.send(to(u, s), testMessage(id), u.clock.Now()+testbed.Generous, func(r call.Result) { done <- r })
+		testbed.Wait(t, "a request", s.Seen)
 	}
 	close(both)
-	rig.Wait(t, "an end", done)
-	rig.Wait(t, "an end", done)
+	testbed.Wait(t, "an end", done)
+	testbed.Wait(t, "an end", done)
 	used := make(map[int]bool)
 	for _, id := range []string{"3", "4"} { // one after the other
-		attempt(t, u, to(u, s), id, rig.Generous)
-		used[rig.Wait(t, id, s.Seen).Conn] = true
+		attempt(t, u, to(u, s), id, testbed.Generous)
+		used[testbed.Wait(t, id, s.Seen).Conn] = true
 	}
 	if len(used) != 2 {
 		t.Error("the connection just used was used again while the other rested")
@@ -214,21 +214,21 @@
 // At the limit on descriptors an idle connection to another server makes room; where there is
 // none, nothing is sent.
 func TestConnectionsStayUnderTheLimit(t *testing.T) {
-	a, b, mute := rig.NewStub(t, rig.Echo), rig.NewStub(t, rig.Echo), rig.NewStub(t, rig.Silent)
+	a, b, mute := testbed.NewStub(t, testbed.Echo), testbed.NewStub(t, testbed.Echo), testbed.NewStub(t, testbed.Silent)
 	u := testUpstream(t)
 	u.most = 1
-	attempt(t, u, to(u, a), "1", rig.Generous)
-	if got := attempt(t, u, to(u, b), "2", rig.Generous); got.Ending != policy.Served || u.open != 1 {
+	attempt(t, u, to(u, a), "1", testbed.Generous)
+	if got := attempt(t, u, to(u, b), "2", testbed.Generous); got.Ending != policy.Served || u.open != 1 {
 		t.Errorf("ending %v, %d open, want served over the one connection", got.Ending, u.open)
 	}
 	done := make(chan call.Result, 1)
-	x := u.send(to(u, mute), testMessage("3"), u.clock.Now()+rig.Generous, func(r call.Result) { done <- r })
-	rig.Wait(t, "the request", mute.Seen)
-	if got := attempt(t, u, to(u, a), "4", rig.Generous); got.Ending != policy.NotSent { // no word on the server
+	x := u.send(to(u, mute), testMessage("3"), u.clock.Now()+testbed.Generous, func(r call.Result) { done <- r })
+	testbed.Wait(t, "the request", mute.Seen)
+	if got := attempt(t, u, to(u, a), "4", testbed.Generous); got.Ending != policy.NotSent { // no word on the server
 		t.Errorf("ending %v, want %v", got.Ending, policy.NotSent)
 	}
 	x.Cancel()
-	rig.Wait(t, "the cancelled attempt", done)
+	testbed.Wait(t, "the cancelled attempt", done)
 }
 
 func TestRefusedConnection(t *testing.T) {
@@ -239,14 +239,14 @@
 	address := l.Addr().String()
 	l.Close()
 	u := testUpstream(t)
-	if got := attempt(t, u, &host{u: u, address: address}, "1", rig.Generous); got.Ending != policy.NoConnection || u.open != 0 {
+	if got := attempt(t, u, &host{u: u, address: address}, "1", testbed.Generous); got.Ending != policy.NoConnection || u.open != 0 {
 		t.Fatalf("ending %v, %d open, want %v and none", got.Ending, u.open, policy.NoConnection)
 	}
 }
 
 // A machine that vanished says nothing: only the time-out ends the attempt, and its connection goes.
 func TestSilentServer(t *testing.T) {
-	s := rig.NewStub(t, rig.Silent)
+	s := testbed.NewStub(t, testbed.Silent)
 	u := testUpstream(t)
 	if got := attempt(t, u, to(u, s), "1", 30*time.Millisecond); got.Ending != policy.TimedOut {
 		// where the machine was too busy to send at all in that time, it never ran
@@ -261,17 +261,17 @@
 
 // A cancelled attempt closes its connection, which tells the upstream, and still has its one end.
 func TestCancelClosesTheConnection(t *testing.T) {
-	s := rig.NewStub(t, rig.Silent)
+	s := testbed.NewStub(t, testbed.Silent)
 	u := testUpstream(t)
 	done := make(chan call.Result, 2)
-	x := u.send(to(u, s), testMessage("1"), u.clock.Now()+rig.Generous, func(r call.Result) { done <- r })
-	rig.Wait(t, "the request", s.Seen)
+	x := u.send(to(u, s), testMessage("1"), u.clock.Now()+testbed.Generous, func(r call.Result) { done <- r })
+	testbed.Wait(t, "the request", s.Seen)
 	x.Cancel()
 	x.Cancel()
-	if got := rig.Wait(t, "its end", done); got.Ending != policy.Cancelled {
+	if got := testbed.Wait(t, "its end", done); got.Ending != policy.Cancelled {
 		t.Errorf("ending %v, want %v", got.Ending, policy.Cancelled)
 	}
-	rig.Wait(t, "the connection to close", s.Closed)
+	testbed.Wait(t, "the connection to close", s.Closed)
 	if len(done) > 0 || u.open != 0 {
 		t.Errorf("%d more ends, %d open, want none", len(done), u.open)
 	}
@@ -280,14 +280,14 @@
 // After the final answer nothing more goes out for a request, also if its attempt was still
 // waiting for a connection when it was cancelled.
 func TestCancelledBeforeItIsWritten(t *testing.T) {
-	s := rig.NewStub(t, rig.Echo)
+	s := testbed.NewStub(t, testbed.Echo)
 	u := testUpstream(t)
-	attempt(t, u, to(u, s), "1", rig.Generous)
+	attempt(t, u, to(u, s), "1", testbed.Generous)
 	x := new(exchange)
 	x.Cancel()
 	m := testMessage("2")
 	for i := range 2 { // over the kept connection, then over a new one
-		if _, _, ending := u.exchange(x, to(u, s), m, u.clock.Now()+rig.Generous); ending != policy.Cancelled {
+		if _, _, ending := u.exchange(x, to(u, s), m, u.clock.Now()+testbed.Generous); ending != policy.Cancelled {
 			t.Errorf("ending %v, want %v", ending, policy.Cancelled)
 		}
 		x.Cancel() // once more: the connection is not its own any more
@@ -296,22 +296,22 @@
 		}
 		u.close(to(u, s))
 	}
-	attempt(t, u, to(u, s), "3", rig.Generous)
-	if rig.Wait(t, "1", s.Seen); rig.Wait(t, "3", s.Seen).Header.Get("X-Request-ID") != "3" {
+	attempt(t, u, to(u, s), "3", testbed.Generous)
+	if testbed.Wait(t, "1", s.Seen); testbed.Wait(t, "3", s.Seen).Header.Get("X-Request-ID") != "3" {
 		t.Error("the cancelled request went out")
 	}
 }
 
 // What the upstream must have unchanged, and the time-out, which it must be told anew.
 func TestWhatGoesOn(t *testing.T) {
-	s := rig.NewStub(t, rig.Echo)
+	s := testbed.NewStub(t, testbed.Echo)
 	u := testUpstream(t)
-	attempt(t, u, to(u, s), "7", rig.Generous)
-	r := rig.Wait(t, "the request", s.Seen)
+	attempt(t, u, to(u, s), "7", testbed.Generous)
+	r := testbed.Wait(t, "the request", s.Seen)
 	number, ok := strings.CutSuffix(r.Header.Get("X-Timeout"), "m")
 	left, err := strconv.Atoi(number)
 	if r.Method != http.MethodPost || r.URI != "/reading" || r.Body != "weight" || r.Host != "service.internal" ||
-		r.Header.Get("X-Request-ID") != "7" || r.Header.Get("Idempotency-Key") != "k7" || !ok || err != nil || left <= 0 || left > int(rig.Generous.Milliseconds()) {
+		r.Header.Get("X-Request-ID") != "7" || r.Header.Get("Idempotency-Key") != "k7" || !ok || err != nil || left <= 0 || left > int(testbed.Generous.Milliseconds()) {
 		t.Errorf("%s %s %q for %s, headers %v", r.Method, r.URI, r.Body, r.Host, r.Header)
 	}
 }
@@ -319,16 +319,16 @@
 // A second copy behind an answer, which comes only once the connection is in use again, would be
 // read as the next request's answer. So it rests first, and what has come by then is found.
 func TestSecondCopyIsNotTheNextAnswer(t *testing.T) {
-	s := rig.NewStub(t, func(c net.Conn, r rig.Received) bool {
+	s := testbed.NewStub(t, func(c net.Conn, r testbed.Received) bool {
 		if id := r.Header.Get("X-Request-ID"); r.Conn == 0 && id != "1" {
-			return rig.OK(c, "done 1")
+			return testbed.OK(c, "done 1")
 		}
-		return rig.Echo(c, r)
+		return testbed.Echo(c, r)
 	})
 	u := testUpstream(t)
-	u.settle = rig.Generous
-	attempt(t, u, to(u, s), "1", rig.Generous)
-	if got := attempt(t, u, to(u, s), "2", rig.Generous); string(got.Body) != "done 2" {
+	u.settle = testbed.Generous
+	attempt(t, u, to(u, s), "1", testbed.Generous)
+	if got := attempt(t, u, to(u, s), "2", testbed.Generous); string(got.Body) != "done 2" {
 		t.Errorf("ending %v, body %q, want the answer to the request", got.Ending, got.Body)
 	}
 }
@@ -336,20 +336,20 @@
 // A machine that lets an attempt run into its time-out may be cut off: its idle connections would
 // take requests and say nothing, too. A new one tells.
 func TestTimeOutRetiresOlderConnections(t *testing.T) {
-	s := rig.NewStub(t, func(c net.Conn, r rig.Received) bool {
+	s := testbed.NewStub(t, func(c net.Conn, r testbed.Received) bool {
 		id := r.Header.Get("X-Request-ID")
-		return id == "brief" || id == "silent" || rig.Echo(c, r)
+		return id == "brief" || id == "silent" || testbed.Echo(c, r)
 	})
 	u := testUpstream(t)
-	attempt(t, u, to(u, s), "1", rig.Generous)
-	u.settle = rig.Generous // so that the next ones take a new connection
+	attempt(t, u, to(u, s), "1", testbed.Generous)
+	u.settle = testbed.Generous // so that the next ones take a new connection
 	attempt(t, u, to(u, s), "brief", 100*time.Millisecond)
 	if len(u.idle[to(u, s)]) != 1 {
 		t.Fatal("an attempt that had less time than a connection may take tells nothing")
 	}
 	u.dialTimeout = time.Second / 2
 	attempt(t, u, to(u, s), "silent", time.Second)
-	if rig.Wait(t, "a connection to close", s.Closed); u.open != 0 {
+	if testbed.Wait(t, "a connection to close", s.Closed); u.open != 0 {
 		t.Errorf("%d connections are kept, want none", u.open)
 	}
 }
@@ -357,17 +357,17 @@
 // One that is in use while its server leaves the list is not kept: its address may be another's.
 func TestConnectionOfOneThatLeft(t *testing.T) {
 	release := make(chan struct{})
-	s := rig.NewStub(t, func(c net.Conn, r rig.Received) bool {
+	s := testbed.NewStub(t, func(c net.Conn, r testbed.Received) bool {
 		<-release
-		return rig.Echo(c, r)
+		return testbed.Echo(c, r)
 	})
 	u := testUpstream(t)
 	done := make(chan call.Result, 1)
-	u.send(to(u, s), testMessage("1"), u.clock.Now()+rig.Generous, func(r call.Result) { done <- r })
-	rig.Wait(t, "the request", s.Seen)
+	u.send(to(u, s), testMessage("1"), u.clock.Now()+testbed.Generous, func(r call.Result) { done <- r })
+	testbed.Wait(t, "the request", s.Seen)
 	u.leave(to(u, s))
 	close(release)
-	if got := rig.Wait(t, "its end", done); got.Ending != policy.Served || u.open != 0 || len(u.idle) != 0 {
+	if got := testbed.Wait(t, "its end", done); got.Ending != policy.Served || u.open != 0 || len(u.idle) != 0 {
 		t.Errorf("ending %v, %d connections open, want served and none", got.Ending, u.open)
 	}
 }
@@ -378,7 +378,7 @@
 		load policy.Load
 	}
 	for status, want := range map[int]bool{200: true, 503: false} {
-		s := rig.NewStub(t, func(c net.Conn, r rig.Received) bool {
+		s := testbed.NewStub(t, func(c net.Conn, r testbed.Received) bool {
 			report := "TEXT inflight=7, busy_reqs=7, served_ps=2.5, svc_ms=40, failed_ps=oops"
 			if r.URI != "/metrics/load" {
 				report = ""
@@ -389,7 +389,7 @@
 		u := testUpstream(t)
 		done := make(chan told, 2)
 		u.probe(to(u, s), u.clock.Now(), func(ok bool, load policy.Load) { done <- told{ok, load} })
-		got := rig.Wait(t, "the result", done)
+		got := testbed.Wait(t, "the result", done)
 		load := policy.Load{
 			Has:      policy.HasInFlight | policy.HasService | policy.HasServed,
 			InFlight: 7, Served: 2.5, Service: 40 * time.Millisecond,
@@ -404,7 +404,7 @@
 // servers that can't tell their load.
 func TestProbeOnABrokenConnectionIsMadeOnceMore(t *testing.T) {
 	var first sync.Once
-	s := rig.NewStub(t, func(c net.Conn, r rig.Received) bool {
+	s := testbed.NewStub(t, func(c net.Conn, r testbed.Received) bool {
 		if r.URI == "/metrics/load" {
 			closes := false
 			first.Do(func() { closes = true })
@@ -412,13 +412,13 @@
 				return false
 			}
 		}
-		return rig.Echo(c, r)
+		return testbed.Echo(c, r)
 	})
 	u := testUpstream(t)
-	attempt(t, u, to(u, s), "1", rig.Generous)
+	attempt(t, u, to(u, s), "1", testbed.Generous)
 	done := make(chan bool, 2)
 	u.probe(to(u, s), u.clock.Now(), func(ok bool, _ policy.Load) { done <- ok })
-	if !rig.Wait(t, "the result", done) {
+	if !testbed.Wait(t, "the result", done) {
 		t.Error("the probe failed, though a new connection stands")
 	}
 }
@@ -466,7 +466,7 @@
 // Guards against requests that must not run twice and are lost to a connection which its server had given up: where connections
 // break, the last byte is kept back, and a reset that comes before it proves that the request never ran.
 func TestTheLastByteIsKeptBackWhereConnectionsBreak(t *testing.T) {
-	s := rig.NewStub(t, rig.Echo)
+	s := testbed.NewStub(t, testbed.Echo)
 	dead, err := net.Listen("tcp", "127.0.0.1:0") // resets as soon as anything comes
 	if err != nil {
 		t.Fatal(err)
@@ -488,29 +488,29 @@
 	}()
 	u := testUpstream(t)
 	h := u.Server(dead.Addr().String()).(*host)
-	if end := attempt(t, u, h, "1", rig.Generous).Ending; end != policy.Broken || !strings.HasSuffix(rig.Wait(t, "the request", got), "weight") {
+	if end := attempt(t, u, h, "1", testbed.Generous).Ending; end != policy.Broken || !strings.HasSuffix(testbed.Wait(t, "the request", got), "weight") {
 		t.Fatalf("ending %v, want it written whole and broken", end)
 	}
 	for range 10 {
 		u.count(h, new(conn), true)
 	}
-	if end := attempt(t, u, h, "2", rig.Generous).Ending; end != policy.NoConnection {
+	if end := attempt(t, u, h, "2", testbed.Generous).Ending; end != policy.NoConnection {
 		t.Errorf("ending %v, want NoConnection: it was never whole", end)
 	}
-	if came := rig.Wait(t, "the request", got); !strings.HasSuffix(came, "weigh") {
+	if came := testbed.Wait(t, "the request", got); !strings.HasSuffix(came, "weigh") {
 		t.Errorf("%q came, want all but the last byte", came)
 	}
-	if end := attempt(t, u, to(u, s), "3", rig.Generous).Ending; end != policy.Served {
+	if end := attempt(t, u, to(u, s), "3", testbed.Generous).Ending; end != policy.Served {
 		t.Errorf("ending %v at a server that is well, want it served", end)
 	}
 }
 
 // A process that was stopped between the decision and the write sends nothing once the time is up.
 func TestLateAttemptIsNotWritten(t *testing.T) {
-	s := rig.NewStub(t, rig.Echo)
+	s := testbed.NewStub(t, testbed.Echo)
 	u := testUpstream(t)
 	u.clock = clock.NewMovable()
-	attempt(t, u, to(u, s), "1", rig.Generous)
+	attempt(t, u, to(u, s), "1", testbed.Generous)
 	for _, stop := range []time.Duration{5 * time.Second, time.Hour} { // the kept connection stands, or is too old
 		until := u.clock.Now() + time.Second
 		u.clock.Jump(stop)
@@ -518,8 +518,8 @@
 			t.Errorf("ending %v, want NotSent: our own stop is no word on the server", ending)
 		}
 	}
-	attempt(t, u, to(u, s), "3", rig.Generous)
-	if rig.Wait(t, "1", s.Seen); rig.Wait(t, "3", s.Seen).ID() != "3" {
+	attempt(t, u, to(u, s), "3", testbed.Generous)
+	if testbed.Wait(t, "1", s.Seen); testbed.Wait(t, "3", s.Seen).ID() != "3" {
 		t.Error("the late attempt went out")
 	}
 }
--- a/plugin/grpcplugin/conn_test.go
+++ b/plugin/grpcplugin/conn_test.go
@@ -19,7 +19,7 @@
 	"google.golang.org/grpc/status"
 	"google.golang.org/protobuf/types/known/wrapperspb"
 
-	"caperarch/internal/lab/rig"
+	"caperarch/internal/lab/testbed"
 	"caperarch/plugin"
 	"caperarch/policy"
 )
@@ -253,14 +253,14 @@
 
 // Before it has begun a stream is resent as any other call.
 func TestStreamIsResentBeforeItBegins(t *testing.T) {
-	l := new(rig.Ledger)
-	a, b := rig.NewGRPCNode(t, "s-a", l), rig.NewGRPCNode(t, "s-b", l)
+	l := new(testbed.Ledger)
+	a, b := testbed.NewGRPCNode(t, "s-a", l), testbed.NewGRPCNode(t, "s-b", l)
 	var first atomic.Bool
-	script := func(rig.Arrival) rig.Act {
+	script := func(testbed.Arrival) testbed.Act {
 		if first.CompareAndSwap(false, true) {
-			return rig.Fail
+			return testbed.Fail
 		}
-		return rig.Serve
+		return testbed.Serve
 	}
 	a.Do(script)
 	b.Do(script)
@@ -307,7 +307,7 @@
 		l.unary = func(context.Context, *testgrpc.SimpleRequest) (*testgrpc.SimpleResponse, error) {
 			return &testgrpc.SimpleResponse{}, nil
 		}
-		rig.Until(t, "the slot to be free", func() bool {
+		testbed.Until(t, "the slot to be free", func() bool {
 			ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 			defer cancel()
 			_, err := stub.UnaryCall(ctx, &testgrpc.SimpleRequest{})
@@ -369,6 +369,6 @@
 		if err == io.EOF {
 			t.Error("the stream passes for whole")
 		}
-		rig.Until(t, "the goroutines to end", func() bool { return runtime.NumGoroutine() <= before })
+		testbed.Until(t, "the goroutines to end", func() bool { return runtime.NumGoroutine() <= before })
 	})
 }
--- a/plugin/plugin_test.go
+++ b/plugin/plugin_test.go
@@ -14,12 +14,12 @@
 	"testing"
 	"time"
 
-	"caperarch/internal/lab/rig"
+	"caperarch/internal/lab/testbed"
 	"caperarch/policy"
 )
 
 // usable is a configuration for some nodes: a safe class (look), a keyed (reading) and an unsafe one (entry).
-func usable(nodes ...*rig.Node) Config {
+func usable(nodes ...*testbed.Node) Config {
 	c := Config{
 		Name: "test", Classes: []string{"look", "reading", "entry"},
 		Policy: policy.Config{
@@ -44,7 +44,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
-		ctx, cancel := context.WithTimeout(context.Background(), rig.Generous)
+		ctx, cancel := context.WithTimeout(context.Background(), testbed.Generous)
 		defer cancel()
 		_ = c.Close(ctx)
 	})
@@ -126,11 +126,11 @@
 			t.Errorf("%s: error %v, want an InvalidError in one line that names %s", name, err, wrong.field)
 		}
 	}
-	rig.Until(t, "goroutines to end", func() bool { return runtime.NumGoroutine() <= before })
+	testbed.Until(t, "goroutines to end", func() bool { return runtime.NumGoroutine() <= before })
 }
 
 func TestParseConfig(t *testing.T) {
-	text := rig.ConfigText(t, rig.Listed(1, "ready", "127.0.0.1:80"), func(file, _ map[string]any) {
+	text := testbed.ConfigText(t, testbed.Listed(1, "ready", "127.0.0.1:80"), func(file, _ map[string]any) {
 		delete(file, "listen")
 		file["methods"] = map[string]any{"/p.S/M": map[string]any{"class": "entry", "tenant": "south"}}
 	})
@@ -162,8 +162,8 @@
 // A guest: after Close all goroutines and connections are gone, and nothing of the process has changed.
 func TestGoodGuest(t *testing.T) {
 	procs, logger, transport := runtime.GOMAXPROCS(0), slog.Default(), http.DefaultTransport
-	n := rig.NewHTTPNode(t, "s-0", new(rig.Ledger))
-	d := rig.NewDiscovery(t, n)
+	n := testbed.NewHTTPNode(t, "s-0", new(testbed.Ledger))
+	d := testbed.NewDiscovery(t, n)
 	idle := runtime.NumGoroutine()
 	cfg := usable(n)
 	cfg.Discovery = d.Address
@@ -173,13 +173,13 @@
 			t.Fatal(err)
 		}
 	}
-	rig.Until(t, "the watch", func() bool { return d.Watches() == 1 })
+	testbed.Until(t, "the watch", func() bool { return d.Watches() == 1 })
 	if err := c.Close(context.Background()); err != nil {
 		t.Fatal(err)
 	}
-	rig.Until(t, "the watch to end", func() bool { return d.Watches() == 0 })
-	rig.Until(t, "the connections to end", func() bool { return n.Open() == 0 })
-	rig.Until(t, "the goroutines to end", func() bool { return runtime.NumGoroutine() <= idle+1 }) // discovery's own accept loop
+	testbed.Until(t, "the watch to end", func() bool { return d.Watches() == 0 })
+	testbed.Until(t, "the connections to end", func() bool { return n.Open() == 0 })
+	testbed.Until(t, "the goroutines to end", func() bool { return runtime.NumGoroutine() <= idle+1 }) // discovery's own accept loop
 	if runtime.GOMAXPROCS(0) != procs || slog.Default() != logger || http.DefaultTransport != transport {
 		t.Error("something global has changed")
 	}
@@ -196,13 +196,13 @@
 // Two plug-ins of one process share one watch and see a drain both; one that closes under load leaves the
 // other alone.
 func TestTwoInOneProcess(t *testing.T) {
-	l := new(rig.Ledger)
-	a, b := rig.NewHTTPNode(t, "s-a", l), rig.NewHTTPNode(t, "s-b", l)
-	d := rig.NewDiscovery(t, a, b)
+	l := new(testbed.Ledger)
+	a, b := testbed.NewHTTPNode(t, "s-a", l), testbed.NewHTTPNode(t, "s-b", l)
+	d := testbed.NewDiscovery(t, a, b)
 	cfg := usable(a, b)
 	cfg.Discovery = d.Address
 	one, two := mustOpen(t, cfg), mustOpen(t, cfg)
-	rig.Until(t, "the watch", func() bool { return d.Watches() == 1 })
+	testbed.Until(t, "the watch", func() bool { return d.Watches() == 1 })
 
 	var failed atomic.Int64
 	var done atomic.Bool
@@ -223,9 +223,9 @@
 			})
 		}
 	}
-	rig.Until(t, "some load", func() bool { return l.Len() > 100 })
+	testbed.Until(t, "some load", func() bool { return l.Len() > 100 })
 	d.Set(a, "draining")
-	rig.Until(t, "the drain to be told", func() bool { return !d.ToldAt(a).IsZero() })
+	testbed.Until(t, "the drain to be told", func() bool { return !d.ToldAt(a).IsZero() })
 	told := d.ToldAt(a)
 	if n := d.Watches(); n > 1 {
 		t.Errorf("%d watches for two plug-ins", n)
@@ -235,8 +235,8 @@
 		t.Errorf("closing one: %v", err)
 	}
 	mark := l.Len()
-	rig.Until(t, "load by the other", func() bool { return l.Len() > mark+50 })
-	rig.Until(t, "its watch", func() bool { return d.Watches() == 1 })
+	testbed.Until(t, "load by the other", func() bool { return l.Len() > mark+50 })
+	testbed.Until(t, "its watch", func() bool { return d.Watches() == 1 })
 	done.Store(true)
 	load.Wait()
 	for _, r := range l.All() {
@@ -245,7 +245,7 @@
 		}
 	}
 	d.Set(b, "gone")
-	rig.Until(t, "the news by the one that is left", func() bool {
+	testbed.Until(t, "the news by the one that is left", func() bool {
 		_, err := two.Do(context.Background(), Request{Class: "entry", Timeout: 200 * time.Millisecond})
 		return err != nil
 	})
@@ -253,9 +253,9 @@
 
 // Close during a flood, with less time than the calls need: each has its one answer, and nothing is left.
 func TestCloseDuringAFlood(t *testing.T) {
-	l := new(rig.Ledger)
-	n := rig.NewHTTPNode(t, "s-0", l)
-	n.Do(rig.Always(rig.Hang))
+	l := new(testbed.Ledger)
+	n := testbed.NewHTTPNode(t, "s-0", l)
+	n.Do(testbed.Always(testbed.Hang))
 	before := runtime.NumGoroutine()
 	cfg := usable(n)
 	cfg.Policy.Slots = 20
@@ -267,7 +267,7 @@
 			answers <- err
 		}()
 	}
-	rig.Until(t, "the flood", func() bool { return l.Len() == 20 })
+	testbed.Until(t, "the flood", func() bool { return l.Len() == 20 })
 	ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
 	defer cancel()
 	if err := c.Close(ctx); !errors.Is(err, context.DeadlineExceeded) {
@@ -277,7 +277,7 @@
 	for range 200 {
 		var refused *RefusedError
 		var failed *FailedError
-		switch err := rig.Wait(t, "an answer", answers); {
+		switch err := testbed.Wait(t, "an answer", answers); {
 		case errors.As(err, &refused):
 			refusals++
 		case errors.As(err, &failed):
@@ -289,7 +289,7 @@
 	if failures != 20 || refusals != 180 {
 		t.Errorf("%d failed and %d refused, want the 20 that were out failed", failures, refusals)
 	}
-	rig.Until(t, "the goroutines to end", func() bool { return runtime.NumGoroutine() <= before+1 })
+	testbed.Until(t, "the goroutines to end", func() bool { return runtime.NumGoroutine() <= before+1 })
 }
 
 // The caller's context ends while an attempt is out: a failure that is its error, and the attempt is called off.
@@ -304,8 +304,8 @@
 			return ctx, cancel
 		},
 	} {
-		n := rig.NewHTTPNode(t, "s-0", new(rig.Ledger))
-		n.Do(rig.Always(rig.Hang))
+		n := testbed.NewHTTPNode(t, "s-0", new(testbed.Ledger))
+		n.Do(testbed.Always(testbed.Hang))
 		c := mustOpen(t, usable(n))
 		ctx, cancel := under(context.Background())
 		_, err := c.Do(ctx, Request{Class: "entry"})
@@ -320,23 +320,23 @@
 		if want == context.DeadlineExceeded && !errors.Is(err, want) && !failed.Timeout() {
 			t.Errorf("%v, want %v or a time-out", err, want)
 		}
-		rig.Until(t, "the connections to end", func() bool { return n.Open() == 0 })
+		testbed.Until(t, "the connections to end", func() bool { return n.Open() == 0 })
 	}
 }
 
 // A RoundTripper's answers, and what it can't carry.
 func TestRoundTrip(t *testing.T) {
-	l := new(rig.Ledger)
-	n := rig.NewHTTPNode(t, "s-0", l)
+	l := new(testbed.Ledger)
+	n := testbed.NewHTTPNode(t, "s-0", l)
 	cfg := usable(n)
 	cfg.Methods = map[string]Method{"/ledger.v1.Ledger/Enter": {Class: "entry"}}
 	cfg.Policy.Classes[2].Aim = 400 * time.Millisecond // a call that its one server turned away waits for another that long
 	var h http.Client
-	anew := func(act rig.Act) { // a client that has seen no failure yet: after some the module lets in less
-		n.Do(rig.Always(act))
+	anew := func(act testbed.Act) { // a client that has seen no failure yet: after some the module lets in less
+		n.Do(testbed.Always(act))
 		h.Transport = mustOpen(t, cfg).RoundTripper()
 	}
-	anew(rig.Serve)
+	anew(testbed.Serve)
 	post := func(url, body string, headers ...string) (*http.Response, error) {
 		req, err := http.NewRequest(http.MethodPost, url, strings.NewReader(body))
 		if err != nil {
@@ -355,19 +355,19 @@
 	if body, _ := io.ReadAll(res.Body); string(body) != "done r1" || res.StatusCode != http.StatusOK {
 		t.Errorf("%s %q", res.Status, body)
 	}
-	anew(rig.Fail)
+	anew(testbed.Fail)
 	if res, err := post(url, "1"); err != nil || res.StatusCode != http.StatusInternalServerError {
 		t.Errorf("%v, %v: the server's own answer is passed on", res, err)
 	}
-	anew(rig.Busy) // a 503 with no promise: whoever takes it for a refusal would enter a harvest twice
+	anew(testbed.Busy) // a 503 with no promise: whoever takes it for a refusal would enter a harvest twice
 	if _, err := post(url, "1"); !errors.As(err, new(*FailedError)) {
 		t.Errorf("%v, want a failure", err)
 	}
-	anew(rig.Refuse)
+	anew(testbed.Refuse)
 	if _, err := post(url, "1"); !errors.As(err, new(*RefusedError)) {
 		t.Errorf("%v, want a refusal", err)
 	}
-	anew(rig.Serve)
+	anew(testbed.Serve)
 	seen := l.Len()
 	for name, c := range map[string][]string{
 		"no class":        {"http://ledger/unheard/of", "1"},
@@ -392,8 +392,8 @@
 
 // A request whose parts would end its head early, or begin another request in it, is not sent.
 func TestNoSmuggling(t *testing.T) {
-	l := new(rig.Ledger)
-	c := mustOpen(t, usable(rig.NewHTTPNode(t, "s-0", l)))
+	l := new(testbed.Ledger)
+	c := mustOpen(t, usable(testbed.NewHTTPNode(t, "s-0", l)))
 	for name, r := range map[string]Request{
 		"header value": {Header: http.Header{"X-A": {"1\r\nX-B: 2"}}},
 		"header name":  {Header: http.Header{"X-A: 1\r\nX-B": {"2"}}},
@@ -418,12 +418,12 @@
 
 // The bounds on what is held refuse, with a pause, and give way again.
 func TestHeldBounds(t *testing.T) {
-	l := new(rig.Ledger)
-	n := rig.NewHTTPNode(t, "s-0", l)
+	l := new(testbed.Ledger)
+	n := testbed.NewHTTPNode(t, "s-0", l)
 	release := make(chan struct{})
-	n.Do(func(rig.Arrival) rig.Act {
+	n.Do(func(testbed.Arrival) testbed.Act {
 		<-release
-		return rig.Serve
+		return testbed.Serve
 	})
 	cfg := usable(n)
 	cfg.MaxCalls, cfg.MaxBodyBytes = 2, 1000
@@ -433,7 +433,7 @@
 		_, err := c.Do(context.Background(), Request{Class: "entry", Body: make([]byte, 900)})
 		answers <- err
 	}()
-	rig.Until(t, "the first", func() bool { return n.Open() == 1 })
+	testbed.Until(t, "the first", func() bool { return n.Open() == 1 })
 	var refused *RefusedError
 	if _, err := c.Do(context.Background(), Request{Class: "entry", Body: make([]byte, 101)}); !errors.As(err, &refused) || refused.RetryAfter <= 0 {
 		t.Errorf("over the bound on bodies: %v", err)
@@ -442,13 +442,13 @@
 		_, err := c.Do(context.Background(), Request{Class: "entry"})
 		answers <- err
 	}()
-	rig.Until(t, "the second", func() bool { return n.Open() == 2 })
+	testbed.Until(t, "the second", func() bool { return n.Open() == 2 })
 	if _, err := c.Do(context.Background(), Request{Class: "entry"}); !errors.As(err, &refused) || refused.RetryAfter <= 0 {
 		t.Errorf("over the bound on calls: %v", err)
 	}
 	close(release)
 	for range 2 {
-		if err := rig.Wait(t, "an answer", answers); err != nil {
+		if err := testbed.Wait(t, "an answer", answers); err != nil {
 			t.Error(err)
 		}
 	}
--- a/policy/api.go
+++ b/policy/api.go
@@ -22,7 +22,7 @@
 	"time"
 
 	"caperarch/internal/proxy/admission"
-	"caperarch/internal/proxy/terms"
+	"caperarch/internal/proxy/requestclass"
 )
 
 // RequestID names a request; the host picks it and never uses one twice.
@@ -31,18 +31,18 @@
 // ServerID names a server; it stays the same when the server restarts.
 type ServerID uint64
 
-// What the settings say of classes of requests and of tenants: see internal/proxy/terms.
+// What the settings say of classes of requests and of tenants: see internal/proxy/requestclass.
 type (
-	Effect = terms.Effect
-	Scope  = terms.Scope
-	Class  = terms.Class
-	Tenant = terms.Tenant
+	Effect = requestclass.Effect
+	Scope  = requestclass.Scope
+	Class  = requestclass.Class
+	Tenant = requestclass.Tenant
 )
 
 // The effects and scopes of classes.
 const (
-	Safe, Keyed, Unsafe            = terms.Safe, terms.Keyed, terms.Unsafe
-	ScopeAll, ScopeZone, ScopeCell = terms.ScopeAll, terms.ScopeZone, terms.ScopeCell
+	Safe, Keyed, Unsafe            = requestclass.Safe, requestclass.Keyed, requestclass.Unsafe
+	ScopeAll, ScopeZone, ScopeCell = requestclass.ScopeAll, requestclass.ScopeZone, requestclass.ScopeCell
 )
 
 // RetryBudget limits attempts after each request's first; the zero value: no limit.
--- a/policy/config.go
+++ b/policy/config.go
@@ -7,12 +7,12 @@
 	"time"
 
 	"caperarch/internal/proxy/admission"
-	"caperarch/internal/proxy/asking"
-	"caperarch/internal/proxy/inquiry"
-	"caperarch/internal/proxy/inturn"
+	"caperarch/internal/proxy/bulkhead"
+	"caperarch/internal/proxy/discoverypace"
+	"caperarch/internal/proxy/keyedqueue"
+	"caperarch/internal/proxy/loadquery"
+	"caperarch/internal/proxy/requestclass"
 	"caperarch/internal/proxy/subset"
-	"caperarch/internal/proxy/terms"
-	"caperarch/internal/proxy/walls"
 )
 
 // New makes a Balancer, or returns an error that names the unusable field.
@@ -21,11 +21,11 @@
 		return nil, err
 	}
 	b := &Balancer{cfg: cfg, host: host, requests: make(map[RequestID]*request), sharers: cfg.Balancers}
-	b.lines, b.queued, b.begins = make(inturn.Lines[*request]), -1, subset.Place(cfg.Index, cfg.Balancers, nil)
+	b.lines, b.queued, b.begins = make(keyedqueue.Lines[*request]), -1, subset.Place(cfg.Index, cfg.Balancers, nil)
 	b.parts = make([]compartment, len(cfg.tenants()))
 	b.rng = rand.New(rand.NewPCG(seed, 0))
 	b.pace, b.short = cfg.Classes[0].Aim/8, 1
-	b.inquiry = inquiry.New(cfg.MayProbe && cfg.Reports&HasInFlight != 0, cfg.ProbePrice)
+	b.inquiry = loadquery.New(cfg.MayProbe && cfg.Reports&HasInFlight != 0, cfg.ProbePrice)
 	for _, c := range cfg.Classes {
 		b.classes = append(b.classes, class{Class: c, pace: c.Aim / 8})
 		b.aim += c.Aim.Seconds() / float64(len(cfg.Classes))
@@ -33,7 +33,7 @@
 		b.pace = min(b.pace, c.Aim/8)
 	}
 	b.worth = cmp.Or(b.worth, 1)
-	b.asking = asking.New(b.rng, cfg.Balancers, cfg.AskWithin)
+	b.asking = discoverypace.New(b.rng, cfg.Balancers, cfg.AskWithin)
 	b.budget = admission.Budget{Limit: cfg.Budget, Parts: cfg.Parts}
 	health := admission.NewHealth()
 	if cfg.Gate == nil {
@@ -43,7 +43,7 @@
 		b.parts[i].gate = cfg.Gate(b.rng)
 	}
 	b.came.Over = rateOver
-	b.wall = walls.New(b.aim * slotAim)
+	b.wall = bulkhead.New(b.aim * slotAim)
 	b.deriveSlots()
 	return b, nil
 }
@@ -61,9 +61,9 @@
 		return fmt.Errorf("config: MaxAttempts is %d, at least 1 is needed", cfg.MaxAttempts)
 	case cfg.Slots < 0:
 		return fmt.Errorf("config: Slots is %d, it must not be negative", cfg.Slots)
-	case terms.Bad(cfg.ColdFrom) || cfg.ColdFrom > 1:
+	case requestclass.Bad(cfg.ColdFrom) || cfg.ColdFrom > 1:
 		return fmt.Errorf("config: ColdFrom is %v, a share is needed", cfg.ColdFrom)
-	case terms.Bad(cfg.ColdMultiple) || terms.Bad(cfg.CrossZonePrice) || terms.Bad(cfg.ProbePrice):
+	case requestclass.Bad(cfg.ColdMultiple) || requestclass.Bad(cfg.CrossZonePrice) || requestclass.Bad(cfg.ProbePrice):
 		return fmt.Errorf("config: ColdMultiple %v, CrossZonePrice %v or ProbePrice %v is negative or no number",
 			cfg.ColdMultiple, cfg.CrossZonePrice, cfg.ProbePrice)
 	case cfg.Budget.Check() != nil:
@@ -78,7 +78,7 @@
 			return fmt.Errorf("config: Classes[%d]: %w", i, err)
 		}
 	}
-	if err := terms.CheckTenants(cfg.Tenants); err != nil {
+	if err := requestclass.CheckTenants(cfg.Tenants); err != nil {
 		return fmt.Errorf("config: %w", err)
 	}
 	return nil
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"caperarch/internal/proxy/admission"
-	"caperarch/internal/proxy/cold"
+	"caperarch/internal/proxy/slowstart"
 )
 
 const (
@@ -353,8 +353,8 @@
 // coldGap spaces sends to a cold server, by our even part of what it can do now.
 func (b *Balancer) coldGap(now time.Duration, s *server) time.Duration {
 	rate := cmp.Or(b.quota/float64(b.sharers), float64(max(b.out, 1))/b.pace.Seconds())
-	warm := s.part * cold.Warmth(s.warmAt-now, b.cfg.ColdTime, b.cfg.ColdFrom) / admission.Parts(b.cfg.Parts)
-	return cold.Gap(b.part(rate, s)*b.weight/max(b.reach, s.Weight)*warm, b.cfg.ColdMultiple)
+	warm := s.part * slowstart.Warmth(s.warmAt-now, b.cfg.ColdTime, b.cfg.ColdFrom) / admission.Parts(b.cfg.Parts)
+	return slowstart.Gap(b.part(rate, s)*b.weight/max(b.reach, s.Weight)*warm, b.cfg.ColdMultiple)
 }
 
 // pick is smooth weighted round robin over the ready servers: each is due again one over its
--- a/policy/sizing.go
+++ b/policy/sizing.go
@@ -7,8 +7,8 @@
 	"time"
 
 	"caperarch/internal/proxy/admission"
-	"caperarch/internal/proxy/cold"
 	"caperarch/internal/proxy/sizing"
+	"caperarch/internal/proxy/slowstart"
 	"caperarch/internal/proxy/subset"
 )
 
@@ -93,7 +93,7 @@
 // gap is the time between a server's turns, in turns' own time. It is bounded, so that turns show recovery.
 // Other zones' have turns too, if fewer: a zone may have more traffic than its own servers can bear.
 func (b *Balancer) gap(now time.Duration, s *server) float64 {
-	gap := max(0.5, min(s.strain, failStrain/2)) / (s.Weight * s.part * cold.Warmth(s.warmAt-now, b.cfg.ColdTime, b.cfg.ColdFrom))
+	gap := max(0.5, min(s.strain, failStrain/2)) / (s.Weight * s.part * slowstart.Warmth(s.warmAt-now, b.cfg.ColdTime, b.cfg.ColdFrom))
 	if b.far(s) {
 		gap /= farTurns
 	}
--- a/policy/state.go
+++ b/policy/state.go
@@ -7,11 +7,11 @@
 	"time"
 
 	"caperarch/internal/proxy/admission"
-	"caperarch/internal/proxy/asking"
-	"caperarch/internal/proxy/inquiry"
-	"caperarch/internal/proxy/inturn"
-	"caperarch/internal/proxy/traffic"
-	"caperarch/internal/proxy/walls"
+	"caperarch/internal/proxy/bulkhead"
+	"caperarch/internal/proxy/discoverypace"
+	"caperarch/internal/proxy/keyedqueue"
+	"caperarch/internal/proxy/loadquery"
+	"caperarch/internal/proxy/ratemeter"
 )
 
 type server struct {
@@ -63,10 +63,10 @@
 	out       int
 	asks      *server // it waits for this one to report its load
 	asksUntil time.Duration
-	asked     int                    // so many times
-	line      *inturn.Line[*request] // its key's, where it must go in turn
-	begun     bool                   // its answer streams: it is the client's now
-	over      bool                   // ended; kept until its attempts have ended too
+	asked     int                        // so many times
+	line      *keyedqueue.Line[*request] // its key's, where it must go in turn
+	begun     bool                       // its answer streams: it is the client's now
+	over      bool                       // ended; kept until its attempts have ended too
 }
 
 // compartment holds one tenant's slots and queue, walled off from the others'.
@@ -104,26 +104,26 @@
 	fullAt   time.Duration // when
 	short    float64       // how many times as much the rest may hold while some fail
 	out      int
-	turn     float64       // due time of the latest turn
-	arc      []*server     // whom turns are taken among
-	begins   float64       // the arc, on the circle of all servers
-	reach    float64       // the weight in it
-	came     traffic.Meter // requests
-	even     float64       // requests a second of a balancer, if all have the same
-	wanted   float64       // servers that it can feed
-	pace     time.Duration // usual time of an answer, over all classes
-	aim      float64       // mean aim, in seconds
-	worth    float64       // mean worth of the classes
+	turn     float64         // due time of the latest turn
+	arc      []*server       // whom turns are taken among
+	begins   float64         // the arc, on the circle of all servers
+	reach    float64         // the weight in it
+	came     ratemeter.Meter // requests
+	even     float64         // requests a second of a balancer, if all have the same
+	wanted   float64         // servers that it can feed
+	pace     time.Duration   // usual time of an answer, over all classes
+	aim      float64         // mean aim, in seconds
+	worth    float64         // mean worth of the classes
 	wakeAt   time.Duration
-	asking   asking.Pace // when to ask for the list
+	asking   discoverypace.Pace // when to ask for the list
 	feedFrom int
-	lines    inturn.Lines[*request] // by key
-	budget   admission.Budget       // of further attempts
-	sampled  *server                // whose reports are compared
-	sampleAt time.Duration          // when it is asked again
-	inquiry  inquiry.Inquiry        // whether it is asked before sends
-	closeAt  time.Duration          // when connections to draining servers are closed once more; 0: not due
-	wall     walls.Wall             // how much may be out over all compartments
+	lines    keyedqueue.Lines[*request] // by key
+	budget   admission.Budget           // of further attempts
+	sampled  *server                    // whose reports are compared
+	sampleAt time.Duration              // when it is asked again
+	inquiry  loadquery.Inquiry          // whether it is asked before sends
+	closeAt  time.Duration              // when connections to draining servers are closed once more; 0: not due
+	wall     bulkhead.Wall              // how much may be out over all compartments
 	count    Counters
 }
 
