--- a/internal/mesh/logring/ring.go
+++ b/internal/mesh/logring/ring.go
@@ -11,13 +11,13 @@
 const (
 	// DefaultBytes is the capacity of a ring for which none is given.
 	DefaultBytes = 64 << 10
-	// maxEntryBytes bounds one entry, so that a single long one does not evict all others. The rest of it is dropped.
+	// maxEntryBytes bounds one entry, so that a single long one does not evict all others. Its end is dropped.
 	maxEntryBytes = 2 << 10
 	// maxEntries bounds the entries kept, and so the memory for their lengths.
 	maxEntries = 1024
 	// dumpInterval is the least time between two dumps. It guards the processor against many errors in a row.
 	dumpInterval = time.Second
-	// dumpHeader begins a dump, with the number of entries and the reason. Its words stay, since scripts may look for them.
+	// dumpHeader begins a dump, with the number of entries and the reason. Its words stay: scripts may look for them.
 	dumpHeader = "== daybook: %d entries up to: %s\n"
 )
 
