--- a/internal/mesh/watch/client_members.go
+++ b/internal/mesh/watch/client_members.go
@@ -29,8 +29,8 @@
 	return !knewOne && response.Zone != c.cfg.Zone && slices.ContainsFunc(c.discovered, inOwnZone)
 }
 
-// replaceMembers replaces the members discovered. A zone that is no longer said
-// is kept. c.mu is held.
+// replaceMembers replaces the members discovered. A zone known
+// before is kept if the new list names none. c.mu is held.
 func (c *Client) replaceMembers(peers []Peer) {
 	zones := map[string]string{}
 	for _, p := range c.discovered {
