--- a/internal/fleet/state/bolt.go
+++ b/internal/fleet/state/bolt.go
@@ -1,15 +1,14 @@
 package state
 
 import (
-	"bytes"
 	"encoding/binary"
 	"errors"
 	"fmt"
 	"hash/fnv"
 )
 
-// The layout of a bbolt database, version 2. Numbers are little-endian here: they are those of the machine that
-// wrote the file, which for this program is one of amd64 and arm64.
+// The layout of a bbolt database, version 2. Sizes are in bytes. Numbers are little-endian here: they are
+// those of the machine that wrote the file, which for this program is one of amd64 and arm64.
 const (
 	boltMagic   = 0xED0CDAED
 	boltVersion = 2
@@ -24,50 +23,37 @@
 	boltPageHeader    = 16     // id, flags, count, overflow
 	boltElement       = 16     // of a branch page or of a leaf page
 	boltBucketHeader  = 16     // root, sequence
-	boltMetaSize      = 64     // the last 8 bytes are the sum of those before
+	boltMetaSize      = 64     // the last 8 bytes are the checksum of those before
 	boltLargeFreeList = 0xFFFF // as a count: the count is in front of the list
-	boltMinPageSize   = 1 << 9 // bytes of a page; no system has smaller ones
+	boltMinPageSize   = 1 << 9 // no system has smaller pages
 	boltMetaPages     = 2
-	boltFirstTxID     = 1 // of a database in which nothing was kept yet
+	boltFirstTxID     = 1 // of a database in which nothing was stored yet
 )
 
-var errInvalidBolt = errors.New("no whole bbolt database")
+var errInvalidBolt = errors.New("not an intact bbolt database")
 
-// boltPair is a key of a bucket and its value.
-type boltPair struct{ key, value []byte }
-
-// boltBucket is what a bucket holds, in the order of the keys.
-type boltBucket []boltPair
-
-func (b boltBucket) value(key string) []byte {
-	for _, pair := range b {
-		if string(pair.key) == key {
-			return pair.value
-		}
-	}
-	return nil
+// boltFile is a database as plain bytes: it isn't mapped into memory, and no number in it is trusted.
+type boltFile struct {
+	raw  []byte
+	meta boltMeta
+	used []bool // by page: it was visited, each at most once
 }
 
+// boltMeta describes a transaction's state of the database.
 type boltMeta struct {
 	pageSize                    uint64
 	root, freeList, pages, txID uint64
 }
 
-// boltFile is a database as plain bytes: nothing of it is mapped, and no number in it is trusted.
-type boltFile struct {
-	raw  []byte
-	meta boltMeta
-	used []bool // by page: it was met on the way
-}
-
-// boltElements is a page of elements, by itself or inside a value.
-type boltElements struct {
-	raw   []byte
+// boltPage is a page of elements, by itself or inside a value.
+type boltPage struct {
+	raw   []byte // with the pages that it overflows into
 	flags uint16
-	count int
+	count int // of elements
 }
 
-// readBolt returns a database's buckets by name. It has no buckets inside buckets.
+// readBolt returns a database's buckets by name. Buckets inside buckets are an error, as is everything
+// that contradicts the layout.
 func readBolt(raw []byte) (map[string]boltBucket, error) {
 	f := &boltFile{raw: raw}
 	if err := f.readMetas(); err != nil {
@@ -81,7 +67,7 @@
 		return nil, err
 	}
 	if len(root) == 0 && f.meta.txID > boltFirstTxID {
-		return nil, fmt.Errorf("%w: its buckets are gone", errInvalidBolt)
+		return nil, fmt.Errorf("%w: its buckets are missing", errInvalidBolt)
 	}
 	buckets := make(map[string]boltBucket, len(root))
 	for _, pair := range root {
@@ -97,8 +83,8 @@
 	return buckets, nil
 }
 
-// readMetas takes the later of the two last transactions. Both have to be right: where one is not, it can't be
-// told whether that transaction was answered for.
+// readMetas takes the later of the two last transactions. Both have to be intact: where one is not, it
+// isn't known whether that transaction was acknowledged.
 func (f *boltFile) readMetas() error {
 	first, err := f.readMeta(0, 0)
 	if err != nil {
@@ -115,7 +101,7 @@
 	low, high := min(first.txID, second.txID), max(first.txID, second.txID)
 	switch {
 	case first.pageSize != second.pageSize || high != low+1:
-		return fmt.Errorf("%w: its meta pages don't fit", errInvalidBolt)
+		return fmt.Errorf("%w: its meta pages don't match", errInvalidBolt)
 	case f.meta.pages > uint64(len(f.raw))/f.meta.pageSize:
 		return fmt.Errorf("%w: it has %d bytes and should have %d pages", errInvalidBolt, len(f.raw), f.meta.pages)
 	}
@@ -126,58 +112,32 @@
 	return nil
 }
 
-func (f *boltFile) readMeta(offset, id uint64) (m boltMeta, err error) {
+func (f *boltFile) readMeta(offset, id uint64) (boltMeta, error) {
 	if uint64(len(f.raw)) < offset+boltPageHeader+boltMetaSize {
-		return m, fmt.Errorf("%w: %d bytes", errInvalidBolt, len(f.raw))
-	}
-	raw := f.raw[offset:]
-	meta := raw[boltPageHeader : boltPageHeader+boltMetaSize]
-	sum := fnv.New64a()
-	sum.Write(meta[:boltMetaSize-8])
-	m = boltMeta{
-		pageSize: uint64(binary.LittleEndian.Uint32(meta[8:])), root: binary.LittleEndian.Uint64(meta[16:]), freeList: binary.LittleEndian.Uint64(meta[32:]),
-		pages: binary.LittleEndian.Uint64(meta[40:]), txID: binary.LittleEndian.Uint64(meta[48:]),
-	}
+		return boltMeta{}, fmt.Errorf("%w: %d bytes", errInvalidBolt, len(f.raw))
+	}
+	page := f.raw[offset:]
+	raw := page[boltPageHeader : boltPageHeader+boltMetaSize]
+	meta := boltMeta{
+		pageSize: uint64(binary.LittleEndian.Uint32(raw[8:])),
+		root:     binary.LittleEndian.Uint64(raw[16:]),
+		freeList: binary.LittleEndian.Uint64(raw[32:]),
+		pages:    binary.LittleEndian.Uint64(raw[40:]),
+		txID:     binary.LittleEndian.Uint64(raw[48:]),
+	}
+	checksum := fnv.New64a()
+	checksum.Write(raw[:boltMetaSize-8])
 	switch {
-	case binary.LittleEndian.Uint64(raw) != id || binary.LittleEndian.Uint16(raw[8:]) != boltMetaPage,
-		binary.LittleEndian.Uint32(meta) != boltMagic || binary.LittleEndian.Uint32(meta[4:]) != boltVersion,
-		binary.LittleEndian.Uint64(meta[boltMetaSize-8:]) != sum.Sum64(),
-		m.pageSize < boltMinPageSize:
-		return m, fmt.Errorf("%w: meta page %d", errInvalidBolt, id)
-	}
-	return m, nil
-}
-
-// page is a page with those that it runs over into. Each is met once.
-func (f *boltFile) page(id uint64) (boltElements, error) {
-	if id >= f.meta.pages {
-		return boltElements{}, fmt.Errorf("%w: page %d of %d", errInvalidBolt, id, f.meta.pages)
-	}
-	raw := f.raw[id*f.meta.pageSize:]
-	end := id + uint64(binary.LittleEndian.Uint32(raw[12:])) + 1
-	if binary.LittleEndian.Uint64(raw) != id {
-		return boltElements{}, fmt.Errorf("%w: the header of page %d", errInvalidBolt, id)
-	}
-	for k := id; k < end; k++ {
-		if err := f.markUsed(k); err != nil {
-			return boltElements{}, err
-		}
-	}
-	return elementsOf(raw[:(end-id)*f.meta.pageSize]), nil
-}
-
-func elementsOf(raw []byte) boltElements {
-	return boltElements{raw, binary.LittleEndian.Uint16(raw[8:]), int(binary.LittleEndian.Uint16(raw[10:]))}
-}
-
-func (f *boltFile) markUsed(id uint64) error {
-	if id >= uint64(len(f.used)) || f.used[id] {
-		return fmt.Errorf("%w: page %d is used twice, or is none", errInvalidBolt, id)
+	case binary.LittleEndian.Uint64(page) != id || binary.LittleEndian.Uint16(page[8:]) != boltMetaPage,
+		binary.LittleEndian.Uint32(raw) != boltMagic || binary.LittleEndian.Uint32(raw[4:]) != boltVersion,
+		binary.LittleEndian.Uint64(raw[boltMetaSize-8:]) != checksum.Sum64(),
+		meta.pageSize < boltMinPageSize:
+		return meta, fmt.Errorf("%w: meta page %d", errInvalidBolt, id)
 	}
-	f.used[id] = true
-	return nil
+	return meta, nil
 }
 
+// readFreeList marks the free pages as used, so that nothing else may refer to them.
 func (f *boltFile) readFreeList() error {
 	page, err := f.page(f.meta.freeList)
 	if err != nil {
@@ -198,108 +158,32 @@
 	return nil
 }
 
-// bucket reads a bucket, whose page is in the value itself if it is small.
-func (f *boltFile) bucket(value []byte) (boltBucket, error) {
-	if len(value) < boltBucketHeader {
-		return nil, fmt.Errorf("%w: a bucket of %d bytes", errInvalidBolt, len(value))
-	}
-	if root := binary.LittleEndian.Uint64(value); root != 0 {
-		return f.collect(root, 0)
-	}
-	inline := value[boltBucketHeader:]
-	if len(inline) < boltPageHeader {
-		return nil, fmt.Errorf("%w: a bucket of %d bytes", errInvalidBolt, len(value))
+// page returns a page with those that it overflows into, and marks them as used.
+func (f *boltFile) page(id uint64) (boltPage, error) {
+	if id >= f.meta.pages {
+		return boltPage{}, fmt.Errorf("%w: page %d of %d", errInvalidBolt, id, f.meta.pages)
 	}
-	page := elementsOf(inline)
-	if page.flags != boltLeafPage {
-		return nil, fmt.Errorf("%w: a bucket without a page", errInvalidBolt)
+	raw := f.raw[id*f.meta.pageSize:]
+	end := id + uint64(binary.LittleEndian.Uint32(raw[12:])) + 1
+	if binary.LittleEndian.Uint64(raw) != id {
+		return boltPage{}, fmt.Errorf("%w: the header of page %d", errInvalidBolt, id)
 	}
-	var bucket boltBucket
-	err := page.eachLeaf(bucket.adder(0))
-	return bucket, err
-}
-
-// collect is what is under a page, all of it elements of one kind.
-func (f *boltFile) collect(id uint64, flags uint32) (boltBucket, error) {
-	var bucket boltBucket
-	err := f.walk(id, bucket.adder(flags))
-	return bucket, err
-}
-
-// adder adds elements of one kind, in the order of their keys.
-func (b *boltBucket) adder(want uint32) func(flags uint32, pair boltPair) error {
-	return func(flags uint32, pair boltPair) error {
-		if flags != want {
-			return fmt.Errorf("%w: an element of kind %x", errInvalidBolt, flags)
-		}
-		if n := len(*b); n > 0 && bytes.Compare((*b)[n-1].key, pair.key) >= 0 {
-			return fmt.Errorf("%w: keys out of order", errInvalidBolt)
+	for used := id; used < end; used++ {
+		if err := f.markUsed(used); err != nil {
+			return boltPage{}, err
 		}
-		*b = append(*b, pair)
-		return nil
 	}
+	return newBoltPage(raw[:(end-id)*f.meta.pageSize]), nil
 }
 
-// walk visits what is under a page, in order. As no page is met twice it ends.
-func (f *boltFile) walk(id uint64, visit func(flags uint32, pair boltPair) error) error {
-	page, err := f.page(id)
-	if err != nil {
-		return err
-	}
-	switch page.flags {
-	case boltLeafPage:
-		return page.eachLeaf(visit)
-	case boltBranchPage:
-		return page.eachChild(func(child uint64) error { return f.walk(child, visit) })
-	}
-	return fmt.Errorf("%w: page %d is of kind %x", errInvalidBolt, id, page.flags)
-}
-
-func (p boltElements) eachLeaf(visit func(flags uint32, pair boltPair) error) error {
-	for i := range p.count {
-		element, err := p.element(i)
-		if err != nil {
-			return err
-		}
-		key, value, err := p.keyValue(i, element)
-		if err != nil {
-			return err
-		}
-		if err := visit(binary.LittleEndian.Uint32(element), boltPair{key, value}); err != nil {
-			return err
-		}
-	}
-	return nil
+func newBoltPage(raw []byte) boltPage {
+	return boltPage{raw, binary.LittleEndian.Uint16(raw[8:]), int(binary.LittleEndian.Uint16(raw[10:]))}
 }
 
-func (p boltElements) eachChild(visit func(child uint64) error) error {
-	for i := range p.count {
-		element, err := p.element(i)
-		if err != nil {
-			return err
-		}
-		if err := visit(binary.LittleEndian.Uint64(element[8:])); err != nil {
-			return err
-		}
+func (f *boltFile) markUsed(id uint64) error {
+	if id >= uint64(len(f.used)) || f.used[id] {
+		return fmt.Errorf("%w: page %d is used twice, or doesn't exist", errInvalidBolt, id)
 	}
+	f.used[id] = true
 	return nil
 }
-
-func (p boltElements) element(i int) ([]byte, error) {
-	from := boltPageHeader + i*boltElement
-	if from+boltElement > len(p.raw) {
-		return nil, fmt.Errorf("%w: element %d of a page", errInvalidBolt, i)
-	}
-	return p.raw[from : from+boltElement], nil
-}
-
-// keyValue are a leaf's; their place is counted from the element itself.
-func (p boltElements) keyValue(i int, element []byte) (key, value []byte, err error) {
-	from := uint64(boltPageHeader+i*boltElement) + uint64(binary.LittleEndian.Uint32(element[4:]))
-	middle := from + uint64(binary.LittleEndian.Uint32(element[8:]))
-	end := middle + uint64(binary.LittleEndian.Uint32(element[12:]))
-	if end > uint64(len(p.raw)) {
-		return nil, nil, fmt.Errorf("%w: element %d of a page leads out of it", errInvalidBolt, i)
-	}
-	return bytes.Clone(p.raw[from:middle]), bytes.Clone(p.raw[middle:end]), nil
-}
--- a/internal/fleet/state/contents.go
+++ b/internal/fleet/state/contents.go
@@ -14,16 +14,19 @@
 
 const (
 	formatVersion = 2
-	// kind begins the file, before the length and the sum of what is behind them.
+	// fileKind begins the file, before the length and the checksum of what is behind them.
 	fileKind = "caperarch-fleet-state"
-	// textsMost bounds the texts kept; a sidecar works with fewer.
+	// maxTexts bounds the policy texts that are stored; a sidecar works with fewer.
 	maxTexts = 32
-	// fileMost bounds what is read into memory: a log of raftlog.LogMost entries and textsMost texts of 64 KiB,
-	// all in base64, come to 6 MB.
+	// maxFileSize bounds what is read into memory: a log of raftlog.LogMost entries and maxTexts texts of
+	// 64 KiB, all in base64, come to 6 MB.
 	maxFileSize = 8 << 20
 )
 
-// contents is what the file holds.
+// errEntryGap says that entries don't follow the stored ones.
+var errEntryGap = errors.New("entries leave a gap behind the stored ones")
+
+// contents is what the file holds. It is changed by copies, so that a failed write changes nothing.
 type contents struct {
 	Format    int      `json:"format"`
 	Fleet     string   `json:"fleet"`
@@ -32,9 +35,10 @@
 	Epoch     uint64   `json:"epoch"`             // of the log; 0: there was none
 	HardState []byte   `json:"vote,omitempty"`    // raftpb.HardState
 	Entries   [][]byte `json:"entries,omitempty"` // raftpb.Entry, the first has index 1
-	Texts     [][]byte `json:"texts,omitempty"`   // the oldest first
+	Texts     [][]byte `json:"texts,omitempty"`   // of policies, the oldest first
 }
 
+// encode returns the file's bytes. Contents that its reader would reject are durable.ErrTooLarge.
 func (c *contents) encode() ([]byte, error) {
 	raw, err := json.Marshal(c)
 	if err != nil {
@@ -47,7 +51,7 @@
 	return sealed, nil
 }
 
-// decode reads a file of this program's format. What does not fit together is durable.ErrCorrupt.
+// decode reads a file of the current format. Contents that are inconsistent are durable.ErrCorrupt.
 func decode(raw []byte) (*contents, error) {
 	content, err := durable.Unseal(fileKind, raw)
 	if err != nil {
@@ -58,7 +62,7 @@
 		return nil, fmt.Errorf("%w: %w", durable.ErrCorrupt, err)
 	}
 	if c.Format != formatVersion {
-		return nil, fmt.Errorf("it has format %d, this program knows format %d", c.Format, formatVersion)
+		return nil, fmt.Errorf("it has format %d, this program reads format %d", c.Format, formatVersion)
 	}
 	if _, err := c.log(); err != nil {
 		return nil, err
@@ -66,43 +70,44 @@
 	return c, nil
 }
 
-// belongsTo says why it is not the state of this sidecar.
-func (c *contents) belongsTo(fleet string, number int) error {
+// checkOwner is an error if this is another sidecar's state.
+func (c *contents) checkOwner(fleet string, number int) error {
 	if c.Fleet == fleet && c.Number == number {
 		return nil
 	}
 	return fmt.Errorf("it is sidecar %d's of fleet %q, this is %d of %q", c.Number, c.Fleet, number, fleet)
 }
 
-// saved is the part of the log, or why it is none.
+// log returns the stored part of the log, or durable.ErrCorrupt if it is inconsistent.
 func (c *contents) log() (*raftlog.Saved, error) {
 	if c.Seat == 0 {
 		return nil, fmt.Errorf("%w: it has no seat", durable.ErrCorrupt)
 	}
-	saved := &raftlog.Saved{Epoch: c.Epoch}
+	log := &raftlog.Saved{Epoch: c.Epoch}
 	if c.HardState != nil {
-		saved.Vote = new(raftpb.HardState)
-		if err := proto.Unmarshal(c.HardState, saved.Vote); err != nil {
-			return nil, fmt.Errorf("%w: its vote: %w", durable.ErrCorrupt, err)
+		log.Vote = new(raftpb.HardState)
+		if err := proto.Unmarshal(c.HardState, log.Vote); err != nil {
+			return nil, fmt.Errorf("%w: its hard state: %w", durable.ErrCorrupt, err)
 		}
 	}
 	for i, raw := range c.Entries {
-		e := new(raftpb.Entry)
-		if err := proto.Unmarshal(raw, e); err != nil || e.GetIndex() != uint64(i)+1 {
+		entry := new(raftpb.Entry)
+		if err := proto.Unmarshal(raw, entry); err != nil || entry.GetIndex() != uint64(i)+1 {
 			return nil, fmt.Errorf("%w: entry %d", durable.ErrCorrupt, i+1)
 		}
-		saved.Entries = append(saved.Entries, e)
+		log.Entries = append(log.Entries, entry)
 	}
+	commit, last := log.Vote.GetCommit(), uint64(len(log.Entries))
 	switch {
-	case saved.Vote == nil && len(saved.Entries) > 0:
-		return nil, fmt.Errorf("%w: it has entries and no vote", durable.ErrCorrupt)
-	case saved.Vote.GetCommit() > uint64(len(saved.Entries)):
-		return nil, fmt.Errorf("%w: %d entries are committed, it has %d", durable.ErrCorrupt, saved.Vote.GetCommit(), len(saved.Entries))
+	case log.Vote == nil && last > 0:
+		return nil, fmt.Errorf("%w: it has entries and no hard state", durable.ErrCorrupt)
+	case commit > last:
+		return nil, fmt.Errorf("%w: %d entries are committed, it has %d", durable.ErrCorrupt, commit, last)
 	}
-	return saved, nil
+	return log, nil
 }
 
-// withVote is the contents after a change of the vote; nil is no change.
+// withHardState returns the contents with another hard state; nil is no change.
 func (c contents) withHardState(hardState *raftpb.HardState) (contents, error) {
 	if hardState == nil {
 		return c, nil
@@ -112,21 +117,20 @@
 	return c, err
 }
 
-var errEntryGap = errors.New("entries that don't follow on those kept")
-
-// withEntries is the contents after entries were added; those kept from the first one's index on go.
+// withEntries returns the contents with these entries, which replace the stored ones from the first
+// one's index on. Entries that leave a gap are errEntryGap.
 func (c contents) withEntries(added []*raftpb.Entry) (contents, error) {
 	if len(added) == 0 {
 		return c, nil
 	}
 	first := added[0].GetIndex()
 	if first == 0 || first > uint64(len(c.Entries))+1 {
-		return c, fmt.Errorf("%w: %d behind %d", errEntryGap, first, len(c.Entries))
+		return c, fmt.Errorf("%w: entry %d after %d", errEntryGap, first, len(c.Entries))
 	}
-	stored := c.Entries[:first-1]
-	c.Entries = append(make([][]byte, 0, len(stored)+len(added)), stored...)
-	for _, e := range added {
-		raw, err := proto.Marshal(e)
+	kept := c.Entries[:first-1]
+	c.Entries = append(make([][]byte, 0, len(kept)+len(added)), kept...)
+	for _, entry := range added {
+		raw, err := proto.Marshal(entry)
 		if err != nil {
 			return c, err
 		}
@@ -135,9 +139,10 @@
 	return c, nil
 }
 
-// withText is the contents with one text more; of too many the oldest goes.
+// withText returns the contents with one more text. Beyond maxTexts the oldest is dropped.
 func (c contents) withText(text []byte) contents {
-	stored := c.Texts[max(0, len(c.Texts)-maxTexts+1):]
-	c.Texts = append(append(make([][]byte, 0, len(stored)+1), stored...), append([]byte{}, text...))
+	kept := c.Texts[max(0, len(c.Texts)-maxTexts+1):]
+	c.Texts = append(make([][]byte, 0, len(kept)+1), kept...)
+	c.Texts = append(c.Texts, append([]byte{}, text...))
 	return c
 }
--- a/internal/fleet/state/damage_test.go
+++ b/internal/fleet/state/damage_test.go
@@ -367,13 +367,15 @@
 	if _, err := f.bucket(inline); err == nil {
 		t.Error("a value that is no page: taken")
 	}
-	var bucket boltBucket
-	add := bucket.adder(0)
-	if add(1, boltPair{}) == nil {
-		t.Error("a bucket among values: taken")
+	var collector boltCollector
+	if collector.add(1, boltPair{}) == nil {
+		t.Error("a bucket among values: accepted")
 	}
-	if add(0, boltPair{key: []byte("b")}) != nil || add(0, boltPair{key: []byte("a")}) == nil || add(0, boltPair{key: []byte("b")}) == nil {
-		t.Errorf("keys out of order or twice: taken: %q", bucket)
+	if err := collector.add(0, boltPair{key: []byte("b")}); err != nil {
+		t.Errorf("the first key: %v", err)
+	}
+	if collector.add(0, boltPair{key: []byte("a")}) == nil || collector.add(0, boltPair{key: []byte("b")}) == nil {
+		t.Errorf("keys out of order or twice: accepted: %q", collector.bucket)
 	}
 }
 
--- a/internal/fleet/state/legacy.go
+++ b/internal/fleet/state/legacy.go
@@ -11,12 +11,15 @@
 
 const (
 	legacyFormatVersion = 1
-	// oldFileMost bounds what is read into memory of a file of the first format: it kept up to 4 MB, and grew
-	// to a few times that.
+	// maxLegacyFileSize bounds what is read into memory of a file of the first format: it held up to
+	// 4 MB, and grew to a few times that.
 	maxLegacyFileSize = 64 << 20
 )
 
-// oldOwner was kept under "owner" in the bucket "about" of the first format.
+// errForeignDatabase says that a database isn't one of this program's.
+var errForeignDatabase = errors.New("it is not a database of this program")
+
+// legacyOwner was stored under "owner" in the bucket "about" of the first format.
 type legacyOwner struct {
 	Form   int    `json:"form"`
 	Fleet  string `json:"fleet"`
@@ -25,11 +28,12 @@
 	Epoch  uint64 `json:"epoch"`
 }
 
-// decodeOld reads a file of the first format, a bbolt database; nil is that nothing was kept in it yet.
+// decodeLegacy reads a file of the first format, a bbolt database. It returns nil without an error if
+// nothing was stored in it yet.
 //
-// Such a file has no sum over what it keeps. Whatever its pages show to be wrong is refused: a page that is not
-// the one that is named, lies outside, is used twice or never, keys out of order, a last transaction that can't
-// be told. A byte that changed inside a value may pass.
+// Such a file has no checksum over its values. Whatever its pages show to be wrong is durable.ErrCorrupt:
+// a page that isn't the one referred to, lies outside, is used twice or never, keys out of order, a last
+// transaction that can't be determined. A byte that changed inside a value may go unnoticed.
 func decodeLegacy(raw []byte) (*contents, error) {
 	buckets, err := readBolt(raw)
 	if err != nil {
@@ -40,17 +44,18 @@
 	}
 	about, found := buckets["about"]
 	if !found {
-		return nil, errors.New("it is none of this program's")
+		return nil, errForeignDatabase
 	}
 	var owner legacyOwner
 	if err := json.Unmarshal(about.value("owner"), &owner); err != nil {
-		return nil, fmt.Errorf("%w: whose it is: %w", durable.ErrCorrupt, err)
+		return nil, fmt.Errorf("%w: its owner: %w", durable.ErrCorrupt, err)
 	}
 	if owner.Form != legacyFormatVersion {
-		return nil, fmt.Errorf("it has form %d, the first format has %d", owner.Form, legacyFormatVersion)
+		return nil, fmt.Errorf("it has format %d, a database has format %d", owner.Form, legacyFormatVersion)
 	}
 	c := &contents{
-		Format: formatVersion, Fleet: owner.Fleet, Number: owner.Number, Seat: owner.Seat, Epoch: owner.Epoch, HardState: about.value("vote"),
+		Format: formatVersion, Fleet: owner.Fleet, Number: owner.Number, Seat: owner.Seat, Epoch: owner.Epoch,
+		HardState: about.value("vote"),
 	}
 	entries, hasEntries := buckets["entries"]
 	texts, hasTexts := buckets["texts"]
--- a/internal/fleet/state/lock.go
+++ b/internal/fleet/state/lock.go
@@ -8,14 +8,17 @@
 )
 
 const (
-	lockTimeout       = 200 * time.Millisecond // another process that has it ends soon, or does not
+	// lockTimeout is how long to wait for a lock: a process that is about to end releases it sooner, and
+	// any other doesn't release it.
+	lockTimeout       = 200 * time.Millisecond
 	lockRetryInterval = 10 * time.Millisecond
 )
 
-// ErrInUse is that another process has the state open.
+// ErrInUse says that another process has the state open.
 var ErrInUse = errors.New("another process has it open")
 
-// lockFile opens a file and locks it, against other processes and other opens of this one, until it is closed.
+// lockFile opens a file and locks it, against other processes and other opens of this one, until it is
+// closed. It is ErrInUse if the lock isn't released within lockTimeout.
 func lockFile(path string, flags int) (*os.File, error) {
 	f, err := os.OpenFile(path, flags|os.O_RDWR, 0o600)
 	if err != nil {
@@ -28,14 +31,15 @@
 }
 
 func lock(f *os.File) error {
-	for end := time.Now().Add(lockTimeout); ; time.Sleep(lockRetryInterval) {
+	deadline := time.Now().Add(lockTimeout)
+	for ; ; time.Sleep(lockRetryInterval) {
 		err := syscall.Flock(int(f.Fd()), syscall.LOCK_EX|syscall.LOCK_NB)
 		switch {
 		case err == nil:
 			return nil
 		case !errors.Is(err, syscall.EWOULDBLOCK) && !errors.Is(err, syscall.EINTR):
 			return os.NewSyscallError("flock", err)
-		case time.Now().After(end):
+		case time.Now().After(deadline):
 			return ErrInUse
 		}
 	}
--- a/internal/fleet/state/state.go
+++ b/internal/fleet/state/state.go
@@ -1,15 +1,17 @@
-// Package state keeps what a sidecar must not forget of the log that its fleet agrees on, in a folder that
-// outlives the process: its seat, its vote, entries, policies' texts. Each is on the disk before it is answered
-// for.
+// Package state stores what a sidecar must not forget of the log that its fleet agrees on, in a directory
+// that outlives the process: its seat, its hard state, entries, policies' texts. Each is on the disk
+// before the sidecar acknowledges it.
 //
-// All of it is one small file with a length and a sum, replaced whole at each change. So a crash leaves the
-// state before the change or the one after it, and damage of any kind is seen before anything is believed: the
-// file is then put aside, and the sidecar begins with a new seat, as one without a folder does at each start.
-// A database that writes in place has no sum over what it keeps, and one that is mapped into memory ends the
-// process at some damage; what is kept here is written only when operators decide something or a voter is
-// elected, and is some kilobytes as a rule.
+// All of it is one small file with a length and a checksum, replaced at each change. So a crash leaves
+// the state before the change or the one after it, and corruption of any kind is noticed before anything
+// is believed: the file is then quarantined, and the sidecar begins with a new seat, as one without a
+// directory does at each start. A database that writes in place has no checksum over its values, and one
+// that is mapped into memory ends the process at some corruption; what is stored here is written only
+// when operators decide something or a voter is elected, and is usually a few kilobytes.
 //
 // Files of the first format, a bbolt database, are read once and replaced.
+//
+// A Store belongs to one goroutine at a time; a lock keeps other processes out while it is open.
 package state
 
 import (
@@ -31,15 +33,15 @@
 	legacyFileName = "caperarch-fleet.db" // of the first format
 )
 
-// Store is one sidecar's state. It is used from one goroutine at a time.
+// Store is one sidecar's state, open until Close.
 type Store struct {
 	path       string
-	lock       *os.File
-	contents   contents
-	corruption error
+	lock       *os.File // locked while the state is open
+	contents   contents // as on the disk
+	corruption error    // why a file was quarantined
 }
 
-// CheckWritable says whether a folder can be used, before anything is opened in it.
+// CheckWritable is an error if a directory can't be used, before anything is opened in it.
 func CheckWritable(dir string) error {
 	f, err := os.CreateTemp(dir, "caperarch-*.tmp")
 	if err != nil {
@@ -48,8 +50,9 @@
 	return errors.Join(f.Close(), os.Remove(f.Name()))
 }
 
-// Open opens the state of a fleet's sidecar in a folder, or begins one, whose seat is then life. One that is
-// damaged is put aside, see Damage; one of another sidecar or of an unknown format is an error, and stays.
+// Open opens the state of a fleet's sidecar in a directory, or begins one, whose seat is the incarnation
+// given. One that is corrupt is quarantined, see Corruption; one of another sidecar or of an unknown
+// format is an error, and stays as it is. ErrInUse: another process has it open.
 func Open(dir, fleet string, number int, incarnation uint64) (*Store, error) {
 	lock, err := lockFile(filepath.Join(dir, lockName), os.O_CREATE)
 	if err != nil {
@@ -62,7 +65,7 @@
 	return s, nil
 }
 
-// load takes up what the folder holds, or begins anew.
+// load reads what the directory holds, or begins anew.
 func (s *Store) load(fleet string, number int, incarnation uint64) error {
 	if err := durable.RemoveTemporary(s.path); err != nil {
 		return err
@@ -77,22 +80,22 @@
 	if stored == nil {
 		return s.write(contents{Format: formatVersion, Fleet: fleet, Number: number, Seat: incarnation})
 	}
-	if err := stored.belongsTo(fleet, number); err != nil {
+	if err := stored.checkOwner(fleet, number); err != nil {
 		return fmt.Errorf("%s: %w", s.path, err)
 	}
 	s.contents = *stored
 	return nil
 }
 
-// read reads the file; nil is that there is none, or none any more.
+// readCurrent reads the file. It returns nil without an error if there is none, or it was quarantined.
 func (s *Store) readCurrent() (*contents, error) {
 	raw, err := durable.ReadBounded(s.path, maxFileSize)
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil, nil
 	}
-	// A conversion that was ended before its last step left the old file, which is never to be read again.
-	old := filepath.Join(filepath.Dir(s.path), legacyFileName)
-	if err := durable.Remove(old); err != nil && !errors.Is(err, fs.ErrNotExist) {
+	// A conversion that was interrupted before its last step left the legacy file, which must not be read
+	// again.
+	if err := durable.Remove(s.legacyPath()); err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return nil, err
 	}
 	var stored *contents
@@ -102,10 +105,11 @@
 	return stored, s.quarantineIfCorrupt(s.path, err)
 }
 
-// convert takes up a file of the first format and replaces it; nil is that there is none, or none any more.
+// convertLegacy reads a file of the first format and replaces it. It returns nil without an error if
+// there is none, or it holds nothing or was quarantined.
 func (s *Store) convertLegacy(fleet string, number int) (*contents, error) {
-	path := filepath.Join(filepath.Dir(s.path), legacyFileName)
-	lock, err := lockFile(path, 0) // a process of the earlier program may have it open
+	path := s.legacyPath()
+	lock, err := lockFile(path, 0) // a process of an earlier release may have it open
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil, nil
 	}
@@ -121,7 +125,7 @@
 	if err != nil || stored == nil {
 		return nil, s.quarantineIfCorrupt(path, err)
 	}
-	if err := stored.belongsTo(fleet, number); err != nil {
+	if err := stored.checkOwner(fleet, number); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	if err := s.write(*stored); err != nil {
@@ -130,7 +134,7 @@
 	return stored, durable.Remove(path)
 }
 
-// judge puts a damaged file aside; any other error is handed on with the file's name.
+// quarantineIfCorrupt quarantines a corrupt file; any other error is returned with the file's name.
 func (s *Store) quarantineIfCorrupt(path string, err error) error {
 	if err == nil {
 		return nil
@@ -143,7 +147,9 @@
 	return durable.Quarantine(path)
 }
 
-// write replaces the file. What is kept is changed only if that succeeds.
+func (s *Store) legacyPath() string { return filepath.Join(filepath.Dir(s.path), legacyFileName) }
+
+// write replaces the file. The contents change only if that succeeds.
 func (s *Store) write(c contents) error {
 	raw, err := c.encode()
 	if err != nil {
@@ -156,29 +162,29 @@
 	return nil
 }
 
-// Close lets another process open the state.
+// Close releases the state for other processes. Nothing may be called afterwards.
 func (s *Store) Close() error { return s.lock.Close() }
 
-// Corruption is why an earlier file was put aside as Open was called; nil: none was.
+// Corruption is why Open quarantined a file; nil: it didn't.
 func (s *Store) Corruption() error { return s.corruption }
 
-// Seat is the life by which this sidecar votes.
+// Seat is the incarnation under which this sidecar votes.
 func (s *Store) Seat() uint64 { return s.contents.Seat }
 
-// Saved is what is kept: the part of the log, and texts.
+// Saved returns what is stored: a part of the log, and texts, the oldest first.
 func (s *Store) Saved() (*raftlog.Saved, [][]byte, error) {
-	saved, err := s.contents.log()
-	return saved, s.contents.Texts, err
+	log, err := s.contents.log()
+	return log, s.contents.Texts, err
 }
 
-// Begin forgets all of an earlier log.
+// Begin replaces an earlier log, with all that belongs to it, by an empty one of this epoch.
 func (s *Store) Begin(epoch uint64) error {
 	c := s.contents
 	c.Epoch, c.HardState, c.Entries, c.Texts = epoch, nil, nil, nil
 	return s.write(c)
 }
 
-// Save keeps a vote and entries; what stood at their indices and behind them goes.
+// Save stores a hard state, unless it is nil, and entries, which replace those from their first index on.
 func (s *Store) Save(hardState *raftpb.HardState, entries []*raftpb.Entry) error {
 	c, err := s.contents.withHardState(hardState)
 	if err == nil {
@@ -190,5 +196,5 @@
 	return s.write(c)
 }
 
-// Text keeps the text of a version; of too many the oldest goes.
+// Text stores the text of a policy's version; of too many the oldest is dropped.
 func (s *Store) Text(_ [32]byte, text []byte) error { return s.write(s.contents.withText(text)) }
