--- a/internal/mesh/cli/cli_test.go
+++ b/internal/mesh/cli/cli_test.go
@@ -26,9 +26,11 @@
 
 // coreSettings are of a core machine that is alone: its address, the mesh's port and the data directory are filled in.
 const coreSettings = `
-self: {nodeName: core-1, role: controlplane, machineClass: core, servedRoles: [control_plane], ipAddress: 127.0.0.1, zone: a, region: r, countedInQuorum: true,
-  firstStart: true, dataDirectory: %[3]q, limits: {cpuShare: 1, cpuCores: 1, memoryMb: 256, maxOpenFiles: 1024, bandwidthMbps: 100, diskMb: 64}}
-network: {listenAddresses: {controlPlane: "%[1]s"}, internalPortRange: [%[2]s, %[2]s], seedNodes: ["%[1]s"], zones: {a: r}}
+self: {nodeName: core-1, role: controlplane, machineClass: core, servedRoles: [control_plane], ipAddress: 127.0.0.1,
+  zone: a, region: r, countedInQuorum: true, firstStart: true, dataDirectory: %[3]q,
+  limits: {cpuShare: 1, cpuCores: 1, memoryMb: 256, maxOpenFiles: 1024, bandwidthMbps: 100, diskMb: 64}}
+network: {listenAddresses: {controlPlane: "%[1]s"}, internalPortRange: [%[2]s, %[2]s], seedNodes: ["%[1]s"],
+  zones: {a: r}}
 provider: {discoverySource: static, entryType: static, heartbeatIntervalS: 1}
 guarantees: {contracts: [base], faultTolerance: {machines: 0, zones: 0, regions: 0}, bounds: {}}
 `
@@ -39,9 +41,11 @@
 resources:
   - {resourceType: services, metadata: {name: tea}, specification: {healthCheckPath: /health}}
   - {resourceType: services, metadata: {name: milk}, specification: {}}
-  - {resourceType: routes, metadata: {name: cups}, specification: {hostname: tea.example, pathPrefix: /cup/, routeType: idempotent, timeoutS: 1.5, priority: 2, maxAttempts: 2,
+  - {resourceType: routes, metadata: {name: cups}, specification: {
+      hostname: tea.example, pathPrefix: /cup/, routeType: idempotent, timeoutS: 1.5, priority: 2, maxAttempts: 2,
       weightedTargets: [{serviceName: tea, weight: 3}, {serviceName: milk, weight: 1}]}}
-  - {resourceType: routes, metadata: {name: open}, specification: {hostname: tea.example, pathPrefix: /open/, routeType: non_idempotent, timeoutS: 1, serviceName: milk, public: true}}
+  - {resourceType: routes, metadata: {name: open}, specification: {
+      hostname: tea.example, pathPrefix: /open/, routeType: non_idempotent, timeoutS: 1, serviceName: milk, public: true}}
   - {resourceType: tenants, metadata: {name: house}, specification: {apiKeys: [k-1, k-2], priority: 0, ratePerS: 50}}
 `
 
@@ -110,40 +114,60 @@
 		expect(ExitOK, "apply -", "version 3 is in force, built on version 0")
 		expect(ExitOK, "apply - --output json", `"configVersion": 3`, `"baseVersion": 0`)
 		next := filepath.Join(t.TempDir(), "next.yaml")
-		text := strings.Replace(strings.Replace(strings.Replace(firstConfiguration, "3\nres", "5\nres", 1), "name: open", "name: wide", 1), "1.5", "2.5", 1)
+		replacer := strings.NewReplacer("3\nres", "5\nres", "name: open", "name: wide", "1.5", "2.5")
+		text := replacer.Replace(firstConfiguration)
 		So(os.WriteFile(next, []byte(text), 0o600), ShouldBeNil)
-		expect(ExitOK, "diff "+next, "from version 3, which is in force, to version 5 of the file: 3 differences\n~ routes cups\n- routes open\n+ routes wide\n")
+		expect(ExitOK, "diff "+next,
+			"from version 3, which is in force, to version 5 of the file: 3 differences\n"+
+				"~ routes cups\n- routes open\n+ routes wide\n")
 		expect(ExitRejected, "apply "+next+" --base 2", "stale: "+at, "builds on 2, but 3 is in place")
 		expect(ExitOK, "apply "+next+" --base 3", "version 5 is in force, built on version 3")
 		expect(ExitOK, "apply "+next+" --base 3", "version 5 is in force") // the very same again
 		expect(ExitRejected, "apply -", "invalid: ", "configVersion: 3 is not above 5")
-		expect(ExitOK, "describe", "version 5 is in force, built on version 3, with 5 items", "tea.example/cup/ idempotent to tea:3,milk:1", "2 keys, 50 a second")
+		expect(ExitOK, "describe", "version 5 is in force, built on version 3, with 5 items",
+			"tea.example/cup/ idempotent to tea:3,milk:1", "2 keys, 50 a second")
 		expect(ExitOK, "describe --output json", `"apiKeys"`, `"k-1"`)
 
 		// A sidecar with its upstream, and an upstream that reached the core alone.
 		client := rpc.NewClient(time.Second)
 		defer client.CloseIdleConnections()
-		_, err = rpc.Call[registry.Lease, watch.LeaseResponse](ctx, client, "http://"+inside+"/mesh/lease", &registry.Lease{
+		lease := &registry.Lease{
 			Node: "side-1", Incarnation: 1, Sequence: 1, Zone: "a", Applied: 5,
-			Upstream: &registry.Upstream{Instance: "i-1", Service: "tea", Address: "10.0.0.1:80", Inbound: "10.0.0.1:81", Zone: "a", Slots: 4, Sequence: 1},
-		})
+			Upstream: &registry.Upstream{
+				Instance: "i-1", Service: "tea", Address: "10.0.0.1:80", Inbound: "10.0.0.1:81",
+				Zone: "a", Slots: 4, Sequence: 1,
+			},
+		}
+		_, err = rpc.Call[registry.Lease, watch.LeaseResponse](ctx, client, "http://"+inside+"/mesh/lease", lease)
 		So(err, ShouldBeNil)
 		res, err := client.Post("http://"+at+"/api/instances/i-2/heartbeat", "", strings.NewReader(
-			`{"address":"10.0.0.2:80","nodeInfo":{"serviceName":"tea","zone":"b","capacitySlots":7},"status":{"state":"ready","callSequence":1}}`))
+			`{"address":"10.0.0.2:80","nodeInfo":{"serviceName":"tea","zone":"b","capacitySlots":7},`+
+				`"status":{"state":"ready","callSequence":1}}`))
 		So(err, ShouldBeNil)
 		So(res.StatusCode, ShouldEqual, http.StatusOK)
 		So(res.Body.Close(), ShouldBeNil)
-		expect(ExitOK, "members", "as core-1 knows it", inside+"  core-1  5        leader,voter,in contact", "side-1   a     5        i-1       here")
+		expect(ExitOK, "members", "as core-1 knows it",
+			inside+"  core-1  5        leader,voter,in contact", "side-1   a     5        i-1       here")
 		expect(ExitOK, "members --output json", `"asOf": "core-1"`, `"node": "side-1"`, `"leader": true`)
-		expect(ExitOK, "upstreams", "i-1       tea      a     side-1  4      ready", "i-2       tea      b     -       7      ready")
-		expect(ExitOK, "view", "node core-1", "leader "+inside, "version 5", "in contact true", "voter true", "voters "+inside, "changing false", "sick false")
+		expect(ExitOK, "upstreams",
+			"i-1       tea      a     side-1  4      ready", "i-2       tea      b     -       7      ready")
+		expect(ExitOK, "view", "node core-1", "leader "+inside, "version 5", "in contact true",
+			"voter true", "voters "+inside, "changing false", "sick false")
 
-		expect(ExitOK, "why TEA.example:80 /cup/1?x --key k-2", "Route cups takes it", "It may run more than once. One try is sent to 2 upstreams at most and held for 2.5s at most.",
-			"tenant house's, which may have 50 requests", "Its priority is 0, the tenant's", "Service tea gets 75% of the route's requests; core-1 knows 2 upstreams of it, 1 of which",
-			"i-1 in zone a, 4 slots: ready", "i-2 in zone b, 7 slots: no sidecar beside it is known", "Service milk gets 25%", "Nothing can run it there")
+		expect(ExitOK, "why TEA.example:80 /cup/1?x --key k-2",
+			"Route cups takes it",
+			"It may run more than once. One try is sent to 2 upstreams at most and held for 2.5s at most.",
+			"tenant house's, which may have 50 requests",
+			"Its priority is 0, the tenant's",
+			"Service tea gets 75% of the route's requests; core-1 knows 2 upstreams of it, 1 of which",
+			"i-1 in zone a, 4 slots: ready",
+			"i-2 in zone b, 7 slots: no sidecar beside it is known",
+			"Service milk gets 25%",
+			"Nothing can run it there")
 		expect(ExitOK, "why tea.example /cup/1 --output json --key k", `"refusal": 401`, "No tenant has this key")
 		expect(ExitOK, "why tea.example /cup/1", "none is given (--key): the answer is 401")
-		expect(ExitOK, "why tea.example /open/1", "Route wide takes it", "at most once", "The route is public", "the compartment of the service")
+		expect(ExitOK, "why tea.example /open/1",
+			"Route wide takes it", "at most once", "The route is public", "the compartment of the service")
 		expect(ExitOK, "why tea.example /cups/1", "the answer is 404")
 	})
 }
@@ -156,7 +180,13 @@
 			return path
 		}
 		core := fmt.Sprintf(coreSettings, "127.0.0.1:1", "2", "/data")
-		faulty := strings.NewReplacer("timeoutS: 1.5", "timeoutS: 700", "serviceName: milk, public", "serviceName: mlik, public", "ratePerS: 50", "ratePerS: -1").Replace(firstConfiguration)
+		faulty := strings.NewReplacer(
+			"timeoutS: 1.5", "timeoutS: 700",
+			"serviceName: milk, public", "serviceName: mlik, public",
+			"ratePerS: 50", "ratePerS: -1",
+		).Replace(firstConfiguration)
+		badAddress := strings.Replace(core, "ipAddress: 127.0.0.1", "ipAddress: here", 1)
+		badType := strings.Replace(firstConfiguration, "resourceType: tenants", "resourceType: guests", 1)
 		shared := firstConfiguration + "  - {resourceType: tenants, metadata: {name: guest}, specification: {apiKeys: [k-2]}}\n"
 		for _, x := range []struct {
 			code  int
@@ -178,16 +208,20 @@
 			{ExitUndetermined, []string{"view", "--at", refusingAddress(t), "--timeout", "100ms"}, []string{"unreached: "}},
 			{ExitOK, []string{"check", "-"}, []string{"configuration: no fault was found"}},
 			{ExitOK, []string{"check", file(core)}, []string{"settings: no fault was found"}},
-			{ExitUsage, []string{"check", file(strings.Replace(core, "ipAddress: 127.0.0.1", "ipAddress: here", 1))}, []string{"self.ipAddress: must be an IP address"}},
+			{ExitUsage, []string{"check", file(badAddress)}, []string{"self.ipAddress: must be an IP address"}},
 			{ExitUsage, []string{"check", file(faulty)}, []string{
-				"routes \"cups\": timeoutS: must be no greater than 600.\n", "routes \"open\": there is no service \"mlik\"\n", "tenants \"house\": ratePerS: ", "faults in the configuration: 3",
+				"routes \"cups\": timeoutS: must be no greater than 600.\n",
+				"routes \"open\": there is no service \"mlik\"\n",
+				"tenants \"house\": ratePerS: ", "faults in the configuration: 3",
 			}},
-			{ExitUsage, []string{"check", file(strings.Replace(firstConfiguration, "resourceType: tenants", "resourceType: guests", 1))}, []string{"guests \"house\": there is no resourceType \"guests\"\n"}},
+			{ExitUsage, []string{"check", file(badType)}, []string{"guests \"house\": there is no resourceType \"guests\"\n"}},
 			{ExitUsage, []string{"check", file(shared), "--output", "json"}, []string{`shares a key with`, `"kind": "configuration"`}},
 			{ExitUsage, []string{"check", file("- a\n: b")}, []string{"neither"}},
 		} {
 			code, text := runWithOutput("", x.args...)
-			missing := slices.DeleteFunc(x.parts, func(part string) bool { return strings.Contains(strings.ToLower(text), strings.ToLower(part)) })
+			missing := slices.DeleteFunc(x.parts, func(part string) bool {
+				return strings.Contains(strings.ToLower(text), strings.ToLower(part))
+			})
 			So(fmt.Sprintln(x.args, code, missing), ShouldEqual, fmt.Sprintln(x.args, x.code, []string{}))
 		}
 	})
--- a/meshclient/example_test.go
+++ b/meshclient/example_test.go
@@ -13,13 +13,17 @@
 	"caperarch/meshclient"
 )
 
-// standIn stands in for a core machine that holds version 5; a real program has the addresses of the control plane.
-func standIn() *httptest.Server {
+// startCoreMachine starts a stand-in for a core machine with version 5 in force; a real program has the addresses of
+// the control plane.
+func startCoreMachine() *httptest.Server {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /api/configuration/describe", func(w http.ResponseWriter, _ *http.Request) {
-		fmt.Fprint(w, `{"configVersion":5,"baseVersion":0,"resources":[{"resourceType":"services","metadata":{"name":"tea"},"specification":{}}]}`)
+		fmt.Fprint(w, `{"configVersion":5,"baseVersion":0,"resources":[
+			{"resourceType":"services","metadata":{"name":"tea"},"specification":{}}]}`)
+	})
+	mux.HandleFunc("POST /api/configuration/update", func(w http.ResponseWriter, _ *http.Request) {
+		fmt.Fprint(w, `{"configVersion":6}`)
 	})
-	mux.HandleFunc("POST /api/configuration/update", func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, `{"configVersion":6}`) })
 	mux.HandleFunc("POST /api/configuration/replace", func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("X-Mesh-Fault", "Stale")
 		w.WriteHeader(http.StatusPreconditionFailed)
@@ -39,7 +43,7 @@
 
 // A route is added to whatever is in force; another operator's change in between does no harm.
 func ExampleClient_Change() {
-	core := standIn()
+	core := startCoreMachine()
 	defer core.Close()
 	client := &meshclient.Client{Addresses: []string{core.Listener.Addr().String()}}
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
@@ -65,9 +69,9 @@
 	// Output: version 6 is in force
 }
 
-// What became of a call is asked with errors.Is, the rest with errors.As.
+// The kind of an error is found with errors.Is, the rest with errors.As.
 func ExampleClient_Replace() {
-	core := standIn()
+	core := startCoreMachine()
 	defer core.Close()
 	client := &meshclient.Client{Addresses: []string{core.Listener.Addr().String()}}
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
@@ -84,9 +88,9 @@
 	// Output: stale 412 another version is in place
 }
 
-// An upstream beats while it runs, and takes leave before it ends.
+// An upstream sends heartbeats while it runs, and drains before it ends.
 func ExampleHeartbeats() {
-	core := standIn()
+	core := startCoreMachine()
 	defer core.Close()
 	heartbeats := &meshclient.Heartbeats{
 		Client:       &meshclient.Client{Addresses: []string{core.Listener.Addr().String()}},
