--- /dev/null
+++ b/internal/mesh/controlplane/announce.go
@@ -0,0 +1,114 @@
+package controlplane
+
+import (
+	"context"
+	"net/http"
+	"slices"
+	"sync"
+	"time"
+
+	"caperarch/internal/mesh/cluster"
+	"caperarch/internal/mesh/errs"
+	"caperarch/internal/mesh/replication"
+	"caperarch/internal/mesh/rpc"
+
+	"go.uber.org/zap"
+)
+
+const (
+	// announcePath is where a core machine announces itself to another and learns who the others are.
+	announcePath = "/mesh/members"
+	// maxAnnounceBytes bounds the body of an announcement.
+	maxAnnounceBytes = 64 << 10
+	// announceTimeout bounds the wait for the answer to one.
+	announceTimeout = 300 * time.Millisecond
+)
+
+// announcePeriodically keeps the other core machines and this one known to each other, until ctx ends.
+func (s *Server) announcePeriodically(ctx context.Context, node *replication.Node) {
+	for {
+		s.memberList.SetMembership(node.Status().Membership)
+		s.announce(ctx, s.memberList.AnnounceTargets(s.now()))
+		if !sleep(ctx, cluster.AnnounceInterval) {
+			return
+		}
+	}
+}
+
+// announce announces this machine to others, all at once, and merges what they answer. It returns the
+// answers of those that belong to no other cluster.
+func (s *Server) announce(ctx context.Context, addresses []string) []*cluster.AnnounceResponse {
+	ctx, cancel := context.WithTimeout(ctx, announceTimeout)
+	defer cancel()
+	local := s.memberList.Local()
+	responses := make([]*cluster.AnnounceResponse, len(addresses))
+	var calls sync.WaitGroup
+	for i, address := range addresses {
+		calls.Go(func() { responses[i] = s.announceTo(ctx, address, &local) })
+	}
+	calls.Wait()
+	responses = slices.DeleteFunc(responses, func(r *cluster.AnnounceResponse) bool { return r == nil })
+	for _, response := range responses {
+		s.memberList.Merge(response)
+	}
+	return responses
+}
+
+// announceTo announces this machine to one other, and returns nil for no answer and for that of
+// another cluster.
+func (s *Server) announceTo(
+	ctx context.Context, address string, local *cluster.Announcement,
+) *cluster.AnnounceResponse {
+	url := "http://" + address + announcePath
+	response, err := rpc.Call[cluster.Announcement, cluster.AnnounceResponse](ctx, s.client, url, local)
+	if err != nil {
+		s.log.Debug("peer did not answer an announcement", zap.String("address", address), zap.Error(err))
+		return nil
+	}
+	if isOtherCluster(local.Cluster, response.Cluster) {
+		s.log.Warn("peer belongs to another cluster", zap.String("address", address))
+		return nil
+	}
+	return response
+}
+
+// isOtherCluster says whether two clusters are known and differ.
+func isOtherCluster(own, other replication.ClusterID) bool {
+	return own != 0 && other != 0 && own != other
+}
+
+// serveAnnouncements answers who the core machines are.
+func (s *Server) serveAnnouncements(mux *http.ServeMux) {
+	rpc.Handle(mux, announcePath, maxAnnounceBytes, s.receiveAnnouncement)
+}
+
+func (s *Server) receiveAnnouncement(
+	_ *http.Request, a *cluster.Announcement,
+) (*cluster.AnnounceResponse, error) {
+	local := s.memberList.Local()
+	if isOtherCluster(local.Cluster, a.Cluster) {
+		return nil, errs.New(errs.Invalid, "cluster: this is %x, not %x", local.Cluster, a.Cluster)
+	}
+	if err := s.memberList.Receive(s.now(), *a); err != nil {
+		return nil, err
+	}
+	return s.announceResponse(a), nil
+}
+
+// announceResponse is what this machine knows of the core machines.
+func (s *Server) announceResponse(a *cluster.Announcement) *cluster.AnnounceResponse {
+	response := &cluster.AnnounceResponse{
+		Cluster:  s.memberList.Local().Cluster,
+		Machines: s.memberList.LiveMembers(s.now()),
+	}
+	node := s.node.Load()
+	if node == nil {
+		return response
+	}
+	status := node.Status()
+	response.Membership, response.Leader, response.Term = status.Membership, status.Leader, status.Term
+	if a.Leaving && status.IsLeader && status.MembershipStable {
+		response.SafeToLeave = !cluster.HasReplacement(s.clusterView(node), a.ID)
+	}
+	return response
+}
--- a/internal/mesh/controlplane/golden_test.go
+++ b/internal/mesh/controlplane/golden_test.go
@@ -12,8 +12,8 @@
 		"/mesh/members":       announcePath,
 		"/mesh/describe":      describePath,
 		"/mesh/roll":          memberListPath,
-		"/mesh/propose/whole": proposeAt(true),
-		"/mesh/propose/part":  proposeAt(false),
+		"/mesh/propose/whole": proposeReplacePath,
+		"/mesh/propose/part":  proposeUpdatePath,
 	} {
 		if got != want {
 			t.Errorf("a path is %q, want %q", got, want)
@@ -28,7 +28,7 @@
 		t.Fatal(err)
 	}
 	want := "\x01\x02\x03\x04\x05\x06\x07\x08" + `{"form":"update","body":{"configVersion":9,"baseVersion":7}}`
-	if got := command(0x0102030405060708, change); string(got) != want {
+	if got := encodeCommand(0x0102030405060708, change); string(got) != want {
 		t.Errorf("the command is %q, want %q", got, want)
 	}
 }
--- a/internal/mesh/controlplane/push.go
+++ b/internal/mesh/controlplane/push.go
@@ -9,13 +9,17 @@
 	"go.uber.org/zap"
 )
 
-// keep keeps a change for those who hold an older version. The caller holds the lock.
+// maxRetainedChanges is how many changes are retained for sidecars that have an older version: one
+// that is further behind gets the full configuration.
+const maxRetainedChanges = 64
+
+// retainChange retains a change for sidecars that have an older version. The caller holds the lock.
 func (m *stateMachine) retainChange(change *config.Change) {
-	kept := append(m.retained, change)
-	m.retained = append([]*config.Change(nil), kept[max(0, len(kept)-maxRetainedChanges):]...)
+	all := append(m.retained, change)
+	m.retained = append([]*config.Change(nil), all[max(0, len(all)-maxRetainedChanges):]...)
 }
 
-// Since is the changes that lead on from a version, or false where it is none of those that are kept.
+// Since is the changes that lead on from a version, or false if they are no longer retained.
 func (m *stateMachine) Since(version int64) ([]json.RawMessage, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -26,38 +30,39 @@
 		if change.Base() != version {
 			continue
 		}
-		f := sidecar.ConfigUpdate{Version: m.configuration.Version()}
+		update := sidecar.ConfigUpdate{Version: m.configuration.Version()}
 		for _, change := range m.retained[i:] {
-			f.Changes = append(f.Changes, change.Encode())
+			update.Changes = append(update.Changes, change.Encode())
+		}
+		encoded := m.encodeUpdate(update)
+		if encoded == nil {
+			return nil, false
 		}
-		return m.encodeUpdate(f)
+		return []json.RawMessage{encoded}, true
 	}
 	return nil, false
 }
 
-// FullConfig is the whole configuration; nil: there is none.
+// FullConfig is the full configuration, or nil while there is none.
 func (m *stateMachine) FullConfig() json.RawMessage {
 	configuration := m.currentConfig()
 	if configuration.Version() == 0 {
 		return nil
 	}
-	whole, err := configuration.Encode()
+	full, err := configuration.Encode()
 	if err != nil {
-		m.log.Error("a configuration that can't be written", zap.Error(err))
+		m.log.Error("configuration not encoded for a push", zap.Error(err))
 		return nil
 	}
-	frames, ok := m.encodeUpdate(sidecar.ConfigUpdate{Version: configuration.Version(), Full: whole})
-	if !ok {
-		return nil
-	}
-	return frames[0]
+	return m.encodeUpdate(sidecar.ConfigUpdate{Version: configuration.Version(), Full: full})
 }
 
-func (m *stateMachine) encodeUpdate(f sidecar.ConfigUpdate) ([]json.RawMessage, bool) {
-	data, err := json.Marshal(f)
+// encodeUpdate gives an update in its JSON form, nil if it has none.
+func (m *stateMachine) encodeUpdate(update sidecar.ConfigUpdate) json.RawMessage {
+	encoded, err := json.Marshal(update)
 	if err != nil {
-		m.log.Error("a frame that can't be written", zap.Error(err))
-		return nil, false
+		m.log.Error("configuration update not encoded", zap.Error(err))
+		return nil
 	}
-	return []json.RawMessage{data}, true
+	return encoded
 }
--- a/internal/mesh/controlplane/quota.go
+++ b/internal/mesh/controlplane/quota.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"caperarch/internal/mesh/errs"
+	"caperarch/internal/mesh/replication"
 	"caperarch/internal/mesh/rpc"
 	"caperarch/internal/mesh/sidecar"
 )
@@ -12,40 +13,45 @@
 const (
 	// maxAllocateBytes bounds the body of a request for tokens.
 	maxAllocateBytes = 256 << 10
-	// maxAllocatorContactAge is how old the leader's contact with a majority may be for it to deal
-	// tokens. It guards against two dealers at once: it is shorter than the least election
-	// time-out (0.5 s), and nobody who confirmed the leader votes for another one within that
-	// time, so no other leader exists while this one still deals.
-	maxAllocatorContactAge = 400 * time.Millisecond
+	// maxAllocateContactAge is how old the leader's contact with a majority may be for it to
+	// allocate tokens. It guards against two allocators at once: it is shorter than the minimum
+	// election timeout (0.5 s), and no voter that confirmed the leader votes for another one within
+	// that time, so no other leader exists while this one still allocates.
+	maxAllocateContactAge = 400 * time.Millisecond
 )
 
-// deal answers a sidecar's request for tokens. Only the leader deals; any other member passes the
-// request on to the leader that it knows.
-func (s *Server) allocate(r *http.Request, request *sidecar.AllocateRequest) (*sidecar.AllocateResponse, error) {
+// allocate answers a sidecar's request for tokens. Only the leader allocates; any other member
+// forwards the request to the leader that it knows.
+func (s *Server) allocate(
+	r *http.Request, request *sidecar.AllocateRequest,
+) (*sidecar.AllocateResponse, error) {
 	leader, term := s.leader()
-	if leader != s.settings.OwnInternalAddress() {
+	if leader != s.ownAddress() {
 		return s.forwardToLeader(r, leader, request)
 	}
-	live, largest := s.watchServer.Members()
-	s.mu.Lock()
-	defer s.mu.Unlock()
+	live, peak := s.watchServer.Members()
+	s.allocatorMu.Lock()
+	defer s.allocatorMu.Unlock()
 	now := s.now()
-	if err := s.allocator.Configure(now, sidecar.TenantLimits(s.stateMachine.currentConfig()), max(1, live, largest)); err != nil {
+	limits := sidecar.TenantLimits(s.stateMachine.currentConfig())
+	if err := s.allocator.Configure(now, limits, max(1, live, peak)); err != nil {
 		return nil, err
 	}
 	if err := s.checkMayAllocate(term); err != nil {
 		return nil, err
 	}
-	grants, closed, err := s.allocator.Allocate(now, term, request.Node, request.Demands)
+	grants, throttled, err := s.allocator.Allocate(now, uint64(term), request.Node, request.Demands)
 	if err != nil {
 		return nil, err
 	}
-	return &sidecar.AllocateResponse{Epoch: term, Grants: grants, Throttled: closed}, nil
+	return &sidecar.AllocateResponse{Epoch: uint64(term), Grants: grants, Throttled: throttled}, nil
 }
 
-// forwardToLeader passes a request on to the leader, once: a member that is no leader refuses one that
-// was passed.
-func (s *Server) forwardToLeader(r *http.Request, leader string, request *sidecar.AllocateRequest) (*sidecar.AllocateResponse, error) {
+// forwardToLeader forwards a request to the leader, once: a member that isn't the leader rejects one
+// that was forwarded.
+func (s *Server) forwardToLeader(
+	r *http.Request, leader string, request *sidecar.AllocateRequest,
+) (*sidecar.AllocateResponse, error) {
 	if leader == "" || request.Forwarded {
 		return nil, errs.New(errs.NotLeader, "nobody deals here")
 	}
@@ -54,21 +60,23 @@
 	return rpc.Call[sidecar.AllocateRequest, sidecar.AllocateResponse](r.Context(), s.client, url, request)
 }
 
-// checkMayAllocate says whether this member may deal in the term, at this moment. The contact is asked for
-// first and the term after it, so that a contact of a later term vouches for no earlier one.
-func (s *Server) checkMayAllocate(term uint64) error {
+// checkMayAllocate returns an error unless this member may allocate in the term, at this moment. The
+// contact is read first and the term after it, so that a contact of a later term confirms no earlier
+// one.
+func (s *Server) checkMayAllocate(term replication.Term) error {
 	age, ok := s.contact()
-	leader, now := s.leader()
-	return checkAllocator(age, ok, leader == s.settings.OwnInternalAddress() && now == term)
+	leader, current := s.leader()
+	return checkAllocator(age, ok, leader == s.ownAddress() && current == term)
 }
 
-// checkAllocator refuses to deal without a contact young enough, or when the term is over.
-func checkAllocator(age time.Duration, contact, leads bool) error {
+// checkAllocator rejects the allocation without a recent contact, or when the term is over.
+func checkAllocator(contactAge time.Duration, contactKnown, leads bool) error {
 	if !leads {
 		return errs.New(errs.NotLeader, "the term is over")
 	}
-	if !contact || age > maxAllocatorContactAge {
-		return errs.New(errs.NoQuorum, "the term may be over: the contact with a majority is %v old", age)
+	if !contactKnown || contactAge > maxAllocateContactAge {
+		return errs.New(errs.NoQuorum,
+			"the term may be over: the contact with a majority is %v old", contactAge)
 	}
 	return nil
 }
--- a/internal/mesh/controlplane/quota_test.go
+++ b/internal/mesh/controlplane/quota_test.go
@@ -15,8 +15,8 @@
 
 func TestWhoMayDeal(t *testing.T) {
 	Convey("Tokens are dealt by a leader in its own term, with young contact", t, func() {
-		So(checkAllocator(maxAllocatorContactAge, true, true), ShouldBeNil)
-		So(errs.KindOf(checkAllocator(maxAllocatorContactAge+1, true, true)), ShouldEqual, errs.NoQuorum)
+		So(checkAllocator(maxAllocateContactAge, true, true), ShouldBeNil)
+		So(errs.KindOf(checkAllocator(maxAllocateContactAge+1, true, true)), ShouldEqual, errs.NoQuorum)
 		So(errs.KindOf(checkAllocator(0, false, true)), ShouldEqual, errs.NoQuorum)
 		So(errs.KindOf(checkAllocator(0, true, false)), ShouldEqual, errs.NotLeader)
 	})
--- a/internal/mesh/controlplane/request_history_test.go
+++ b/internal/mesh/controlplane/request_history_test.go
@@ -64,7 +64,7 @@
 	order  int
 	called int64
 	told   <-chan proposalResult
-	number uint64
+	number proposalID
 }
 
 // world is a log with its replicas, and operators that send orders to it.
@@ -80,7 +80,7 @@
 	leader    int
 	waiting   []sending
 	clock     int64
-	number    uint64
+	number    proposalID
 	done      []porcupine.Operation
 	counts    *[3]int
 }
@@ -169,13 +169,13 @@
 	w.waiting = append(w.waiting, s)
 }
 
-func (w *world) propose(i int) uint64 {
+func (w *world) propose(i int) proposalID {
 	w.number++
 	change, err := config.ParseReplace([]byte(w.orders[i].body(w.rng.IntN(3))))
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	w.pending = append(w.pending, command(w.number, change))
+	w.pending = append(w.pending, encodeCommand(w.number, change))
 	return w.number
 }
 
--- a/internal/mesh/controlplane/statemachine_test.go
+++ b/internal/mesh/controlplane/statemachine_test.go
@@ -77,13 +77,13 @@
 		forgotten, cut := m.expectResult(6), m.expectResult(7)
 		m.forgetResult(6)
 		m.apply(1, []byte("a view"))
-		m.apply(2, command(1, put(3, 0, "a", "b")))
-		m.apply(3, command(2, drop(5, 0, "a"))) // builds on what is no more
-		m.apply(4, command(3, drop(5, 3, "a")))
-		m.apply(5, command(4, put(3, 0, "a", "b"))) // the first once more
-		m.apply(6, command(5, drop(6, 5, "b")))
-		m.apply(7, command(6, put(7, 6)))
-		m.apply(8, append(command(7, put(8, 7))[:20], "cut"...))
+		m.apply(2, encodeCommand(1, put(3, 0, "a", "b")))
+		m.apply(3, encodeCommand(2, drop(5, 0, "a"))) // builds on what is no more
+		m.apply(4, encodeCommand(3, drop(5, 3, "a")))
+		m.apply(5, encodeCommand(4, put(3, 0, "a", "b"))) // the first once more
+		m.apply(6, encodeCommand(5, drop(6, 5, "b")))
+		m.apply(7, encodeCommand(6, put(7, 6)))
+		m.apply(8, append(encodeCommand(7, put(8, 7))[:20], "cut"...))
 		settle(m)
 		for i, want := range []struct {
 			of      <-chan proposalResult
@@ -107,11 +107,11 @@
 	})
 	Convey("A snapshot takes the place of all before, and a change from before it is known as repeated", t, func() {
 		m, other := newStateMachine(zap.NewNop(), func() {}), newStateMachine(zap.NewNop(), func() {})
-		m.apply(1, command(1, put(3, 0, "a")))
-		m.apply(2, command(2, put(4, 3, "b")))
+		m.apply(1, encodeCommand(1, put(3, 0, "a")))
+		m.apply(2, encodeCommand(2, put(4, 3, "b")))
 		settle(m)
 		snapshot := m.snapshot()
-		other.apply(1, command(1, put(9, 0, "z")))
+		other.apply(1, encodeCommand(1, put(9, 0, "z")))
 		other.restore(2, snapshot)
 		repeated := other.expectResult(77)
 		settle(other)
@@ -119,7 +119,7 @@
 		_, kind, ok := told(repeated)
 		So([]any{kind, ok}, ShouldResemble, []any{errs.DeadlineExceeded, true}) // the snapshot may stand for its command
 		repeated = other.expectResult(77)
-		other.apply(3, command(77, put(3, 0, "a")))
+		other.apply(3, encodeCommand(77, put(3, 0, "a")))
 		other.apply(4, nil)
 		settle(other)
 		So(other.appliedIndex(), ShouldEqual, 4)
@@ -136,14 +136,14 @@
 	})
 	Convey("After a snapshot that can't be read nothing is judged, kept or counted as applied, until one comes that can", t, func() {
 		m := newStateMachine(zap.NewNop(), func() {})
-		m.apply(1, command(1, put(3, 0, "a")))
+		m.apply(1, encodeCommand(1, put(3, 0, "a")))
 		settle(m)
 		whole, held := m.snapshot(), m.currentConfig()
 		m.restore(4, whole[:len(whole)-1])
 		So(errs.KindOf(m.waitProcessed(ctx)), ShouldEqual, errs.Internal)
 		repeated, refused := m.expectResult(2), m.expectResult(3)
-		m.apply(5, command(2, put(3, 0, "a")))
-		m.apply(6, command(3, put(4, 0, "b")))
+		m.apply(5, encodeCommand(2, put(3, 0, "a")))
+		m.apply(6, encodeCommand(3, put(4, 0, "b")))
 		So(errs.KindOf(m.waitProcessed(ctx)), ShouldEqual, errs.Internal)
 		for _, of := range []<-chan proposalResult{repeated, refused} {
 			_, kind, ok := told(of)
@@ -153,7 +153,7 @@
 		So(m.snapshot(), ShouldBeNil)
 		So(m.appliedIndex(), ShouldEqual, 1)
 		m.restore(6, whole)
-		m.apply(7, command(4, put(5, 3, "b")))
+		m.apply(7, encodeCommand(4, put(5, 3, "b")))
 		settle(m)
 		So([]any{m.Current(), m.appliedIndex()}, ShouldResemble, []any{int64(5), uint64(7)})
 	})
@@ -163,7 +163,7 @@
 			started <- struct{}{}
 			<-goOn
 		})
-		m.apply(1, command(1, put(3, 0, "a")))
+		m.apply(1, encodeCommand(1, put(3, 0, "a")))
 		<-started
 		gone, cancel := context.WithCancel(ctx)
 		cancel()
@@ -180,10 +180,10 @@
 func TestTake(t *testing.T) {
 	Convey("A frame leads to its version or to an error, and never back", t, func() {
 		m := newStateMachine(zap.NewNop(), func() {})
-		m.apply(1, command(1, put(3, 0, "a")))
+		m.apply(1, encodeCommand(1, put(3, 0, "a")))
 		settle(m)
 		old, held3 := m.FullConfig(), m.currentConfig()
-		m.apply(2, command(2, put(5, 3, "b")))
+		m.apply(2, encodeCommand(2, put(5, 3, "b")))
 		settle(m)
 		held := m.currentConfig()
 		for _, frame := range []json.RawMessage{old, m.FullConfig()} {
@@ -227,10 +227,10 @@
 			if outcome == config.Applied {
 				history = append(history, next)
 			}
-			heard := m.expectResult(uint64(step))
-			m.apply(uint64(step), command(uint64(step), change))
+			heard := m.expectResult(proposalID(step))
+			m.apply(uint64(step), encodeCommand(proposalID(step), change))
 			if restored >= 0 {
-				late.apply(uint64(step), command(uint64(step), change))
+				late.apply(uint64(step), encodeCommand(proposalID(step), change))
 			}
 			settle(m)
 			if _, kind, ok := told(heard); !ok || (err != nil) != (kind != 0) {
