--- a/cmd/measure/control_core.go
+++ b/cmd/measure/control_core.go
@@ -69,7 +69,7 @@
 	if err != nil {
 		return err
 	}
-	_, err = rpc.Post[json.RawMessage](ctx, k.client, k.at(host, "/api/configuration/update"), body)
+	_, err = rpc.Post[json.RawMessage](ctx, k.client, k.at(host, meshapi.UpdatePath), body)
 	return err
 }
 
--- a/cmd/measure/mesh_core.go
+++ b/cmd/measure/mesh_core.go
@@ -220,12 +220,12 @@
 
 func (m *meshCore) replace(resources []json.RawMessage) (sent, answered time.Time, size int, err error) {
 	m.resources = resources
-	return m.change("/api/configuration/replace", map[string]any{"resources": resources})
+	return m.change(meshapi.ReplacePath, map[string]any{"resources": resources})
 }
 
 // update changes one route.
 func (m *meshCore) update(route int, priority int) (sent, answered time.Time, size int, err error) {
-	return m.change("/api/configuration/update", map[string]any{"upsert": map[string]any{"resources": []json.RawMessage{meshRoute(route, priority)}}})
+	return m.change(meshapi.UpdatePath, map[string]any{"upsert": map[string]any{"resources": []json.RawMessage{meshRoute(route, priority)}}})
 }
 
 func meshRoute(i, priority int) json.RawMessage {
--- a/meshclient/doc.go
+++ b/meshclient/doc.go
@@ -6,5 +6,6 @@
 // context should have a deadline. A call that may have been received is sent again unchanged: the mesh acknowledges a
 // change that it has made before. Every error of a call is an *Error; errors.Is tells its Kind.
 //
-// A Client may be used from several goroutines at once. The package starts no goroutine that outlives a call.
+// A Client may be used from several goroutines at once. No goroutine of the package outlives a
+// call, but for those of idle HTTP connections.
 package meshclient
