--- a/internal/fleet/state/bolt_test.go
+++ b/internal/fleet/state/bolt_test.go
@@ -4,8 +4,6 @@
 	"bytes"
 	"encoding/binary"
 	"hash/fnv"
-	"os"
-	"path/filepath"
 	"testing"
 
 	"caperarch/internal/lab/testbed/damage"
@@ -17,16 +15,7 @@
 // Numbers in a database's pages, those under a correct checksum included, lead nowhere outside: each byte
 // of each header and of the first elements is changed, and what is accepted differs in nothing but values.
 func TestBoltNumbersAreChecked(t *testing.T) {
-	path := filepath.Join(t.TempDir(), legacyFileName)
-	writeLegacy(t, path, 10, 9)
-	intact, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	want, err := decodeLegacy(intact)
-	if err != nil {
-		t.Fatal(err)
-	}
+	intact, want := legacySample(t, 10)
 	for at := range len(intact) {
 		if at%boltPageSize >= numbersEnd {
 			continue
@@ -90,24 +79,12 @@
 	}
 }
 
-// legacySample returns a database with many entries, and the file it is read from.
-func legacySample(t *testing.T) ([]byte, *boltFile) {
-	t.Helper()
-	path := filepath.Join(t.TempDir(), legacyFileName)
-	writeLegacy(t, path, 600, 9)
-	raw, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	f := &boltFile{raw: raw}
+func TestContradictoryBoltIsRejected(t *testing.T) {
+	intact, _ := legacySample(t, 600)
+	f := &boltFile{raw: intact}
 	if err := f.readMetas(); err != nil {
 		t.Fatal(err)
 	}
-	return raw, f
-}
-
-func TestContradictoryBoltIsRejected(t *testing.T) {
-	intact, f := legacySample(t)
 	for how, change := range contradictions(f) {
 		raw := bytes.Clone(intact)
 		change(raw)
@@ -118,7 +95,7 @@
 }
 
 func TestBoltMetaPageWithAnyBitChangedIsRejected(t *testing.T) {
-	intact, _ := legacySample(t)
+	intact, _ := legacySample(t, 600)
 	for number := range boltMetaPages {
 		for bit := range 8 * boltMetaSize {
 			raw := bytes.Clone(intact)
--- a/internal/fleet/state/legacy_test.go
+++ b/internal/fleet/state/legacy_test.go
@@ -56,6 +56,22 @@
 	}
 }
 
+// legacySample returns a legacy file with so many entries, and what it holds.
+func legacySample(t *testing.T, entries uint64) ([]byte, *contents) {
+	t.Helper()
+	path := filepath.Join(t.TempDir(), legacyFileName)
+	writeLegacy(t, path, entries, 9)
+	raw, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	decoded, err := decodeLegacy(raw)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return raw, decoded
+}
+
 func key(index uint64) []byte { return []byte{0, 0, 0, 0, 0, 0, byte(index >> 8), byte(index)} }
 
 // A legacy file is converted completely, whether its buckets have pages of their own or not, and is read
@@ -161,16 +177,7 @@
 // is zeroed, each two that are swapped and each truncation, none passes for another state. A byte inside
 // a value may; how many do is logged.
 func TestLegacyCorruptionIsDetected(t *testing.T) {
-	path := filepath.Join(t.TempDir(), legacyFileName)
-	writeLegacy(t, path, 100, 9)
-	intact, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	want, err := decodeLegacy(intact)
-	if err != nil {
-		t.Fatal(err)
-	}
+	intact, want := legacySample(t, 100)
 	passesForOther := func(raw []byte) bool {
 		got, err := decodeLegacy(raw)
 		return err == nil && !reflect.DeepEqual(got, want)
--- a/internal/mesh/quota/limiter.go
+++ b/internal/mesh/quota/limiter.go
@@ -109,7 +109,7 @@
 func (l *LocalLimiter) allowPrepaid(now time.Duration, t *tenantBucket) bool {
 	t.longDemand.add(now, longAverage, 1)
 	tokens := t.tokens()
-	allowed := tokens >= wholeToken
+	allowed := tokens >= oneToken
 	if allowed {
 		t.spend()
 		t.served.add(now, shortAverage, 1)
@@ -132,7 +132,7 @@
 	b := &t.local
 	b.fill(now, l.refillUntil(), l.inContactUntil, &t.plan)
 	inContact := now <= l.inContactUntil
-	allowed := b.tokens >= wholeToken && (!inContact || b.drawn(l.random))
+	allowed := b.tokens >= oneToken && (!inContact || b.drawn(l.random))
 	if allowed {
 		b.tokens = max(0, b.tokens-1)
 		t.served.add(now, shortAverage, 1)
@@ -143,7 +143,7 @@
 	switch {
 	case b.throttled:
 		l.throttledDemand = true
-	case b.tokens < wholeToken || b.admitted-b.reported.Used >= t.reportThreshold:
+	case b.tokens < oneToken || b.admitted-b.reported.Used >= t.reportThreshold:
 		l.urgent = true
 	}
 	return allowed
@@ -238,7 +238,7 @@
 	}
 	for _, grant := range grants {
 		if t := l.tenants[grant.Tenant]; t != nil {
-			t.underGranted = grant.Tokens < t.requestedTokens*wholeToken
+			t.underGranted = grant.Tokens < t.requestedTokens*oneToken
 			t.advance(now, l.floorSeconds)
 			t.grants = append(t.grants, grantedTokens{grant.Tokens, l.requestedAt + TokenTTL})
 		}
--- a/internal/mesh/quota/quota.go
+++ b/internal/mesh/quota/quota.go
@@ -100,9 +100,9 @@
 	// maxAmount is the largest rate, burst, slack or number of tokens. It guards against sums that
 	// overflow.
 	maxAmount = 1e12
-	// wholeToken is what counts as a whole token. It guards against a request rejected for a rounding
+	// oneToken is what counts as a whole token. It guards against a request rejected for a rounding
 	// error.
-	wholeToken = 1 - 1e-9
+	oneToken = 1 - 1e-9
 )
 
 // Rules are the settings of the quota: the sliding window, and what the rule allows above rate and burst.
