--- a/internal/mesh/api/fixture_test.go
+++ b/internal/mesh/api/fixture_test.go
@@ -36,12 +36,13 @@
 	requests []string
 }
 
-func (f *fakeOperators) Change(_ *http.Request, replace bool, body []byte) (*meshapi.ChangeResponse, error) {
-	kind := "update "
-	if replace {
-		kind = "replace "
-	}
-	f.requests = append(f.requests, kind+string(body))
+func (f *fakeOperators) Replace(_ *http.Request, body []byte) (*meshapi.ChangeResponse, error) {
+	f.requests = append(f.requests, "replace "+string(body))
+	return &meshapi.ChangeResponse{ConfigVersion: 7}, f.err
+}
+
+func (f *fakeOperators) Update(_ *http.Request, body []byte) (*meshapi.ChangeResponse, error) {
+	f.requests = append(f.requests, "update "+string(body))
 	return &meshapi.ChangeResponse{ConfigVersion: 7}, f.err
 }
 
--- a/internal/mesh/api/forwarder.go
+++ b/internal/mesh/api/forwarder.go
@@ -20,16 +20,23 @@
 	Addresses func() []string
 }
 
-// Change forwards a change request. A body that can't be parsed is rejected here, as Malformed or Invalid.
-func (f Forwarder) Change(r *http.Request, replace bool, body []byte) (*meshapi.ChangeResponse, error) {
+// Replace forwards a request to replace the configuration. A body that can't be parsed is rejected here, as Malformed
+// or Invalid.
+func (f Forwarder) Replace(r *http.Request, body []byte) (*meshapi.ChangeResponse, error) {
+	return f.change(r, meshapi.ReplacePath, body)
+}
+
+// Update forwards a request to update the configuration, as Replace does.
+func (f Forwarder) Update(r *http.Request, body []byte) (*meshapi.ChangeResponse, error) {
+	return f.change(r, meshapi.UpdatePath, body)
+}
+
+// change forwards a change request to that path.
+func (f Forwarder) change(r *http.Request, path string, body []byte) (*meshapi.ChangeResponse, error) {
 	version, err := config.ParseVersion(body)
 	if err != nil {
 		return nil, err
 	}
-	path := meshapi.UpdatePath
-	if replace {
-		path = meshapi.ReplacePath
-	}
 	send := func(ctx context.Context, address string) (*meshapi.ChangeResponse, error) {
 		response, err := rpc.Post[meshapi.ChangeResponse](ctx, f.Client, "http://"+address+path, body)
 		return CheckForwarded(version, response, err)
--- a/internal/mesh/api/operators.go
+++ b/internal/mesh/api/operators.go
@@ -18,21 +18,19 @@
 // OperatorHandler handles the requests of operators. Its methods are called from many goroutines, and their errors
 // are of the kinds of package errs.
 type OperatorHandler interface {
-	// Change applies a change request, whose body is unparsed: it replaces the whole configuration, or updates named
-	// items of it. The response names the version in force with it.
-	Change(r *http.Request, replace bool, body []byte) (*meshapi.ChangeResponse, error)
+	// Replace replaces the whole configuration by the body, which is unparsed. The response names the version in force
+	// with it.
+	Replace(r *http.Request, body []byte) (*meshapi.ChangeResponse, error)
+	// Update applies the body, which is unparsed, to the items that it names, and answers as Replace does.
+	Update(r *http.Request, body []byte) (*meshapi.ChangeResponse, error)
 	// Describe returns the configuration in force, no older than any that was acknowledged before.
 	Describe(r *http.Request) (*json.RawMessage, error)
 }
 
 // RegisterOperatorRoutes has the requests of operators handled by the handler.
 func RegisterOperatorRoutes(mux *http.ServeMux, handler OperatorHandler) {
-	for path, replace := range map[string]bool{meshapi.ReplacePath: true, meshapi.UpdatePath: false} {
-		change := func(r *http.Request, body []byte) (*meshapi.ChangeResponse, error) {
-			return handler.Change(r, replace, body)
-		}
-		rpc.HandleRaw(mux, "POST "+path, MaxChangeBytes, change)
-	}
+	rpc.HandleRaw(mux, "POST "+meshapi.ReplacePath, MaxChangeBytes, handler.Replace)
+	rpc.HandleRaw(mux, "POST "+meshapi.UpdatePath, MaxChangeBytes, handler.Update)
 	rpc.HandleGet(mux, meshapi.DescribePath, handler.Describe)
 }
 
--- a/internal/mesh/controlplane/requests.go
+++ b/internal/mesh/controlplane/requests.go
@@ -62,14 +62,20 @@
 	})
 }
 
-// Change applies an operator's change request, a replace or else an update. It rejects only what the
-// body alone shows to be wrong, which no request was that has been applied. All else is decided by the
-// state machine, in the order of the log.
-func (s *Server) Change(r *http.Request, replace bool, body []byte) (*meshapi.ChangeResponse, error) {
-	form := updateForm
-	if replace {
-		form = replaceForm
-	}
+// Replace applies an operator's request to replace the whole configuration.
+func (s *Server) Replace(r *http.Request, body []byte) (*meshapi.ChangeResponse, error) {
+	return s.change(r, replaceForm, body)
+}
+
+// Update applies an operator's request to update items of the configuration.
+func (s *Server) Update(r *http.Request, body []byte) (*meshapi.ChangeResponse, error) {
+	return s.change(r, updateForm, body)
+}
+
+// change applies an operator's change request. It rejects only what the body alone shows to be wrong,
+// which no request was that has been applied. All else is decided by the state machine, in the order
+// of the log.
+func (s *Server) change(r *http.Request, form changeForm, body []byte) (*meshapi.ChangeResponse, error) {
 	change, err := form.parse(body)
 	if err != nil {
 		return nil, err
