--- a/internal/mesh/gate/attempt_log_test.go
+++ b/internal/mesh/gate/attempt_log_test.go
@@ -14,80 +14,80 @@
 )
 
 // terms are those of a request that must not run twice.
-func terms(id string, sender, number uint64) *AttemptTerms {
+func onceTerms(id string, sender, number uint64) *AttemptTerms {
 	return &AttemptTerms{Priority: 2, Key: KeyOf(id), SendID: SendID{Sender: sender, Number: number}}
 }
 
-func TestFence(t *testing.T) {
+func TestAttemptLogKeepsRequestsFromRunningTwice(t *testing.T) {
 	const left = 10 * time.Second
 	Convey("A request that was begun is begun by no other arrival, which is told that it may have run, also when it is over", t, func() {
 		for _, ending := range []policy.Ending{policy.Served, policy.Errored, policy.Broken, policy.TimedOut, policy.Cancelled} {
-			s := newScene(4)
-			So(s.arrive(1, terms("a", 7, 1), left), ShouldResemble, []string{"send 1 to 1 for 0s"})
-			So(s.arrive(2, terms("a", 7, 1), left), ShouldResemble, []string{"fail 2"})
-			So(s.arrive(3, terms("a", 7, 2), left), ShouldResemble, []string{"fail 3"})
-			s.end(ms, 1, ending)
-			So(s.arrive(4, terms("a", 7, 1), left), ShouldResemble, []string{"fail 4"})
-			So(s.arrive(5, terms("a", 7, 3), left), ShouldResemble, []string{"fail 5"})
-			So(s.arrive(6, terms("b", 7, 4), left), ShouldResemble, []string{"send 6 to 1 for 0s"})
+			h := newHarness(4)
+			So(h.requestWithTerms(1, onceTerms("a", 7, 1), left), ShouldResemble, []string{"send 1 to 1 for 0s"})
+			So(h.requestWithTerms(2, onceTerms("a", 7, 1), left), ShouldResemble, []string{"fail 2"})
+			So(h.requestWithTerms(3, onceTerms("a", 7, 2), left), ShouldResemble, []string{"fail 3"})
+			h.endAttempt(ms, 1, ending)
+			So(h.requestWithTerms(4, onceTerms("a", 7, 1), left), ShouldResemble, []string{"fail 4"})
+			So(h.requestWithTerms(5, onceTerms("a", 7, 3), left), ShouldResemble, []string{"fail 5"})
+			So(h.requestWithTerms(6, onceTerms("b", 7, 4), left), ShouldResemble, []string{"send 6 to 1 for 0s"})
 		}
 	})
 	Convey("One that waits is neither begun by another arrival nor refused as never run", t, func() {
-		s := newScene(1)
-		s.arrive(1, terms("a", 7, 1), left)
-		So(s.arrive(2, terms("b", 7, 2), left), ShouldBeEmpty)
-		So(s.arrive(3, terms("b", 7, 2), left), ShouldResemble, []string{"fail 3"})
-		So(s.arrive(4, terms("b", 7, 3), left), ShouldResemble, []string{"fail 4"})
-		So(s.end(ms, 1, policy.Served), ShouldResemble, []string{"send 2 to 1 for 0s"})
+		h := newHarness(1)
+		h.requestWithTerms(1, onceTerms("a", 7, 1), left)
+		So(h.requestWithTerms(2, onceTerms("b", 7, 2), left), ShouldBeEmpty)
+		So(h.requestWithTerms(3, onceTerms("b", 7, 2), left), ShouldResemble, []string{"fail 3"})
+		So(h.requestWithTerms(4, onceTerms("b", 7, 3), left), ShouldResemble, []string{"fail 4"})
+		So(h.endAttempt(ms, 1, policy.Served), ShouldResemble, []string{"send 2 to 1 for 0s"})
 	})
 	Convey("A late copy of a send that was turned away is turned away too; a later send of the same sidecar may run", t, func() {
-		s := newScene(4)
-		s.list(policy.ListDelta, 1, policy.Draining, 4)
-		So(s.arrive(1, terms("a", 7, 5), left), ShouldResemble, []string{"refuse 1 200ms"})
-		s.list(policy.ListFull, 2, policy.Ready, 4)
-		So(s.arrive(2, terms("a", 7, 5), left), ShouldResemble, []string{"refuse 2 10ms"})
-		So(s.arrive(3, terms("a", 8, 9), left), ShouldResemble, []string{"refuse 3 10ms"}) // of another sidecar, or another life
-		So(s.arrive(4, terms("a", 7, 6), left), ShouldResemble, []string{"send 4 to 2 for 0s"})
-		So(s.end(ms, 4, policy.NoConnection), ShouldResemble, []string{"refuse 4 10ms"})
-		So(s.arrive(5, terms("a", 7, 5), left), ShouldResemble, []string{"refuse 5 10ms"})
-		So(s.arrive(6, terms("a", 7, 7), left), ShouldResemble, []string{"send 6 to 2 for 0s"})
-		So(s.arrive(7, terms("a", 7, 6), left), ShouldResemble, []string{"fail 7"})
+		h := newHarness(4)
+		h.list(policy.ListDelta, 1, policy.Draining, 4)
+		So(h.requestWithTerms(1, onceTerms("a", 7, 5), left), ShouldResemble, []string{"refuse 1 200ms"})
+		h.list(policy.ListFull, 2, policy.Ready, 4)
+		So(h.requestWithTerms(2, onceTerms("a", 7, 5), left), ShouldResemble, []string{"refuse 2 10ms"})
+		So(h.requestWithTerms(3, onceTerms("a", 8, 9), left), ShouldResemble, []string{"refuse 3 10ms"}) // of another sidecar, or another life
+		So(h.requestWithTerms(4, onceTerms("a", 7, 6), left), ShouldResemble, []string{"send 4 to 2 for 0s"})
+		So(h.endAttempt(ms, 4, policy.NoConnection), ShouldResemble, []string{"refuse 4 10ms"})
+		So(h.requestWithTerms(5, onceTerms("a", 7, 5), left), ShouldResemble, []string{"refuse 5 10ms"})
+		So(h.requestWithTerms(6, onceTerms("a", 7, 7), left), ShouldResemble, []string{"send 6 to 2 for 0s"})
+		So(h.requestWithTerms(7, onceTerms("a", 7, 6), left), ShouldResemble, []string{"fail 7"})
 	})
 	Convey("One whose caller left while it waited does not run later, and may be sent again", t, func() {
-		s := newScene(1)
-		s.arrive(1, terms("a", 7, 1), left)
-		s.arrive(2, terms("b", 7, 2), left)
-		s.g.ClientGone(s.now, 2)
-		So(s.arrive(3, terms("b", 7, 2), left)[0], ShouldStartWith, "refuse 3")
-		So(s.arrive(4, terms("b", 7, 3), left), ShouldBeEmpty)
-		So(s.end(ms, 1, policy.Served), ShouldResemble, []string{"send 4 to 1 for 0s"})
+		h := newHarness(1)
+		h.requestWithTerms(1, onceTerms("a", 7, 1), left)
+		h.requestWithTerms(2, onceTerms("b", 7, 2), left)
+		h.gate.ClientGone(h.now, 2)
+		So(h.requestWithTerms(3, onceTerms("b", 7, 2), left)[0], ShouldStartWith, "refuse 3")
+		So(h.requestWithTerms(4, onceTerms("b", 7, 3), left), ShouldBeEmpty)
+		So(h.endAttempt(ms, 1, policy.Served), ShouldResemble, []string{"send 4 to 1 for 0s"})
 	})
 	Convey("What the upstream refused may be sent again, but not by a late copy", t, func() {
-		s := newScene(4)
-		s.arrive(1, terms("a", 7, 1), left)
-		So(s.end(ms, 1, policy.TurnedAway)[0], ShouldStartWith, "refuse 1")
-		So(s.arrive(2, terms("a", 7, 1), left)[0], ShouldStartWith, "refuse 2")
-		So(s.arrive(3, terms("a", 7, 2), left), ShouldResemble, []string{"send 3 to 1 for 0s"})
+		h := newHarness(4)
+		h.requestWithTerms(1, onceTerms("a", 7, 1), left)
+		So(h.endAttempt(ms, 1, policy.TurnedAway)[0], ShouldStartWith, "refuse 1")
+		So(h.requestWithTerms(2, onceTerms("a", 7, 1), left)[0], ShouldStartWith, "refuse 2")
+		So(h.requestWithTerms(3, onceTerms("a", 7, 2), left), ShouldResemble, []string{"send 3 to 1 for 0s"})
 	})
 	Convey("What may run twice is not remembered", t, func() {
-		s := newScene(4)
+		h := newHarness(4)
 		safe := &AttemptTerms{Priority: 2, Idempotent: true}
-		So(s.arrive(1, safe, left), ShouldResemble, []string{"send 1 to 1 for 0s"})
-		So(s.arrive(2, safe, left), ShouldResemble, []string{"send 2 to 1 for 0s"})
-		So(s.g.AttemptLog().Size(), ShouldEqual, 0)
+		So(h.requestWithTerms(1, safe, left), ShouldResemble, []string{"send 1 to 1 for 0s"})
+		So(h.requestWithTerms(2, safe, left), ShouldResemble, []string{"send 2 to 1 for 0s"})
+		So(h.gate.AttemptLog().Size(), ShouldEqual, 0)
 	})
 	Convey("What the front turns away is remembered, and not promised where the request is here by another arrival", t, func() {
-		s := newScene(4)
-		f := s.g.AttemptLog()
-		So(f.RecordRejection(s.now, KeyOf("a"), SendID{7, 1}, left), ShouldBeTrue)
-		So(s.arrive(1, terms("a", 7, 1), left), ShouldResemble, []string{"refuse 1 10ms"})
-		So(s.arrive(2, terms("a", 7, 2), left), ShouldResemble, []string{"send 2 to 1 for 0s"})
-		So(f.RecordRejection(s.now, KeyOf("a"), SendID{7, 3}, left), ShouldBeFalse)
-		So(f.RecordRejection(s.now, KeyOf("a"), SendID{7, 1}, left), ShouldBeFalse)
+		h := newHarness(4)
+		f := h.gate.AttemptLog()
+		So(f.RecordRejection(h.now, KeyOf("a"), SendID{7, 1}, left), ShouldBeTrue)
+		So(h.requestWithTerms(1, onceTerms("a", 7, 1), left), ShouldResemble, []string{"refuse 1 10ms"})
+		So(h.requestWithTerms(2, onceTerms("a", 7, 2), left), ShouldResemble, []string{"send 2 to 1 for 0s"})
+		So(f.RecordRejection(h.now, KeyOf("a"), SendID{7, 3}, left), ShouldBeFalse)
+		So(f.RecordRejection(h.now, KeyOf("a"), SendID{7, 1}, left), ShouldBeFalse)
 	})
 }
 
-func TestFenceBounds(t *testing.T) {
+func TestAttemptLogBounds(t *testing.T) {
 	key := func(n int) (k Key) {
 		binary.BigEndian.PutUint32(k[:], uint32(n))
 		return k
@@ -123,42 +123,42 @@
 
 // TestFenceRandom plays arrivals, copies and ends in any order: no id is sent to an upstream twice but for one whose attempt
 // provably did not reach it, none runs that was refused under the same send, and none that ran is refused afterwards.
-func TestFenceRandom(t *testing.T) {
+func TestAttemptLogRandomTraces(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := newScene(2)
+		h := newHarness(2)
 		type arrival struct {
 			id   string
 			send uint64
 		}
 		arrivals := map[policy.RequestID]arrival{}
 		ran := map[string]bool{}
-		promised := map[arrival]bool{}
+		promisedNotExecuted := map[arrival]bool{}
 		var out []policy.RequestID
-		s.send = func(id policy.RequestID) {
+		h.onSend = func(id policy.RequestID) {
 			a := arrivals[id]
 			if ran[a.id] {
 				t.Fatalf("%s runs twice", a.id)
 			}
-			if promised[a] {
+			if promisedNotExecuted[a] {
 				t.Fatalf("%s runs after its send %d was turned away", a.id, a.send)
 			}
 			ran[a.id] = true
 			out = append(out, id)
 		}
-		s.answer = func(id policy.RequestID) { // as it is given: what it promises has to hold from then on
+		h.onAnswer = func(id policy.RequestID) { // as it is given: what it promises has to hold from then on
 			a := arrivals[id]
-			if !strings.HasPrefix(s.said[len(s.said)-1], "refuse") {
+			if !strings.HasPrefix(h.decisions[len(h.decisions)-1], "refuse") {
 				return
 			}
 			if ran[a.id] {
 				t.Fatalf("%s is refused and has run", a.id)
 			}
-			promised[a] = true
+			promisedNotExecuted[a] = true
 		}
 		var next policy.RequestID
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
-			s.now += time.Duration(rapid.IntRange(0, 400).Draw(t, "ms")) * ms
-			s.heard()
+			h.now += time.Duration(rapid.IntRange(0, 400).Draw(t, "ms")) * ms
+			h.takeDecisions()
 			if len(out) > 0 && rapid.Bool().Draw(t, "end") {
 				at := rapid.IntRange(0, len(out)-1).Draw(t, "which")
 				id := out[at]
@@ -167,12 +167,12 @@
 				if ending == policy.NoConnection || ending == policy.TurnedAway {
 					ran[arrivals[id].id] = false
 				}
-				s.g.Outcome(s.now, policy.Outcome{ID: id, Ending: ending})
+				h.gate.Outcome(h.now, policy.Outcome{ID: id, Ending: ending})
 			} else {
 				next++
 				a := arrival{fmt.Sprint(rapid.IntRange(0, 4).Draw(t, "id")), rapid.Uint64Range(1, 6).Draw(t, "send")}
 				arrivals[next] = a
-				s.g.Request(s.now, policy.Request{ID: next, Left: time.Second, Terms: terms(a.id, 7, a.send)})
+				h.gate.Request(h.now, policy.Request{ID: next, Left: time.Second, Terms: onceTerms(a.id, 7, a.send)})
 			}
 		}
 	})
--- a/internal/mesh/sidecar/once_test.go
+++ b/internal/mesh/sidecar/at_most_once_test.go
@@ -38,44 +38,44 @@
 
 // mesh is a caller's sidecar and two gates with an upstream each, in memory.
 type mesh struct {
-	t      *testing.T
-	net    *memory
-	stop   context.CancelFunc
-	links  []*http1.Transport
-	gates  []*inbound
-	ledger struct {
+	t           *testing.T
+	net         *memoryNetwork
+	stop        context.CancelFunc
+	transports  []*http1.Transport
+	gates       []*inbound
+	upstreamLog struct {
 		sync.Mutex
-		ran, came map[string]int
-		wrote     map[string]string
+		executions, arrivals map[string]int
+		written              map[string]string
 	}
 	// upstreams is what they do with a request; nil: they run it.
-	upstreams behaviour
+	upstreams upstreamBehavior
 }
 
 // behaviour is what an upstream does with the n-th request that came to it under an id: whether it runs it, what it writes,
 // and whether the connection goes on behind that.
-type behaviour func(address, id string, n int) (runs bool, out string, goesOn bool)
+type upstreamBehavior func(address, id string, n int) (runs bool, out string, goesOn bool)
 
 // received is what a client got for a request.
-type received struct {
-	id     string // of the request
-	status int    // 0: no answer, or none that is whole
-	of     string // the id in the answer
-	stamp  string
-	body   string
+type clientResult struct {
+	id         string // of the request
+	status     int    // 0: no answer, or none that is whole
+	responseID string // the id in the answer
+	signature  string
+	body       string
 }
 
-func newMesh(t *testing.T, p plan, upstreams behaviour, room int64) *mesh {
-	m := &mesh{t: t, net: &memory{plan: p}, upstreams: upstreams}
+func newMesh(t *testing.T, p faultPlan, upstreams upstreamBehavior, bodyBytes int64) *mesh {
+	m := &mesh{t: t, net: &memoryNetwork{plan: p}, upstreams: upstreams}
 	if m.upstreams == nil {
-		m.upstreams = func(_, id string, _ int) (bool, string, bool) { return true, upstreamAnswer(id), true }
+		m.upstreams = func(_, id string, _ int) (bool, string, bool) { return true, successOf(id), true }
 	}
-	m.ledger.ran, m.ledger.came, m.ledger.wrote = make(map[string]int), make(map[string]int), make(map[string]string)
+	m.upstreamLog.executions, m.upstreamLog.arrivals, m.upstreamLog.written = make(map[string]int), make(map[string]int), make(map[string]string)
 	ctx, stop := context.WithCancel(context.Background())
 	m.stop = stop
 	for _, n := range []string{"1", "2"} {
 		m.upstream("upstream" + n)
-		m.gate(ctx, "gate"+n, "upstream"+n, room)
+		m.gate(ctx, "gate"+n, "upstream"+n, bodyBytes)
 	}
 	m.caller(ctx)
 	return m
@@ -84,7 +84,7 @@
 func (m *mesh) close() {
 	m.stop()
 	m.net.close()
-	for _, l := range m.links {
+	for _, l := range m.transports {
 		l.Close()
 	}
 }
@@ -102,7 +102,7 @@
 }
 
 // bodyRoom is what a front holds of bodies at once.
-const bodyRoom = 1 << 20
+const frontBodyBytes = 1 << 20
 
 func (m *mesh) serve(address string, e *engine.Engine, d *fronthttp1.Dialect, bodyRoom int64) {
 	f := fronthttp1.New(fronthttp1.Config{
@@ -115,13 +115,13 @@
 
 func (m *mesh) transport(from, kind string, d *http1.Dialect) *http1.Transport {
 	l := http1.New(http1.Config{Clock: clock.New(), DialTimeout: dialTimeout, ConnIdle: time.Minute, MostConns: 100, Dialect: d, Dial: m.net.dialer(from, kind)})
-	m.links = append(m.links, l)
+	m.transports = append(m.transports, l)
 	return l
 }
 
 func (m *mesh) caller(ctx context.Context) {
-	b := &Sidecar{settings: new(settings.Settings), clock: clock.New(), log: zap.NewNop(), endpoints: newEndpoints([]string{"z"}, "caller")}
-	b.settings.Self.ServiceName = "s"
+	s := &Sidecar{settings: new(settings.Settings), clock: clock.New(), log: zap.NewNop(), endpoints: newEndpoints([]string{"z"}, "caller")}
+	s.settings.Self.ServiceName = "s"
 	change, err := config.ParseReplace([]byte(onceConfig))
 	if err != nil {
 		m.t.Fatal(err)
@@ -130,24 +130,24 @@
 	if err != nil {
 		m.t.Fatal(err)
 	}
-	b.config.Store(c)
+	s.config.Store(c)
 	one := func() int { return 1 }
 	bounds := settings.Bounds{QuotaWindow: 5 * time.Second, RetryWindow: 10 * time.Second, RetryBudgetRatio: 0.2, RetryBudgetSlack: 100}
-	if b.quota, err = newQuotaClient(bounds, quotaConfig{clock: b.clock, log: b.log, node: "n", serviceName: b.endpoints.serviceName, sidecarCount: one}); err != nil {
+	if s.quota, err = newQuotaClient(bounds, quotaConfig{clock: s.clock, log: s.log, node: "n", serviceName: s.endpoints.serviceName, sidecarCount: one}); err != nil {
 		m.t.Fatal(err)
 	}
 	e := m.engine(ctx, gateTransport{m.transport("caller", "gate", gateDialect())}, maxSends, func(host policy.Host) engine.Module {
-		return balancer.New(balancer.Config{Members: one, RetryBudget: b.quota}, host)
+		return balancer.New(balancer.Config{Members: one, RetryBudget: s.quota}, host)
 	})
-	b.endpoints.apply(true, []registry.Upstream{
+	s.endpoints.apply(true, []registry.Upstream{
 		{Instance: "i-1", Service: "s", Inbound: "gate1", Zone: "z", Slots: 4}, {Instance: "i-2", Service: "s", Inbound: "gate2", Zone: "z", Slots: 4},
 	}, nil)
-	e.List(b.endpoints.balancerListing())
+	e.List(s.endpoints.balancerListing())
 	e.Flush()
-	m.serve("caller", e, b.newOutbound().frontDialect(), bodyRoom)
+	m.serve("caller", e, s.newOutbound().frontDialect(), frontBodyBytes)
 }
 
-func (m *mesh) gate(ctx context.Context, address, upstream string, room int64) {
+func (m *mesh) gate(ctx context.Context, address, upstream string, bodyBytes int64) {
 	in := &inbound{clock: clock.New()}
 	instance := "i-" + address[len("gate"):]
 	in.instance.Store(&instance)
@@ -159,7 +159,7 @@
 	e.List(call.Listing{Whole: true, Servers: []policy.Server{{ID: id, State: policy.Ready, Weight: 4}}, Address: map[policy.ServerID]string{id: upstream}})
 	e.Flush()
 	m.gates = append(m.gates, in)
-	m.serve(address, e, in.frontDialect(), room)
+	m.serve(address, e, in.frontDialect(), bodyBytes)
 }
 
 // upstream serves at an address, one request at a time on a connection, and keeps the ledger.
@@ -171,12 +171,12 @@
 			if err != nil {
 				return
 			}
-			go m.work(address, c)
+			go m.serveConn(address, c)
 		}
 	}()
 }
 
-func (m *mesh) work(address string, c net.Conn) {
+func (m *mesh) serveConn(address string, c net.Conn) {
 	defer c.Close()
 	in := bufio.NewReader(c)
 	for {
@@ -188,18 +188,18 @@
 		if body, err := io.ReadAll(r.Body); err != nil || r.Method == http.MethodPost && string(body) != bodyOf(id) {
 			return
 		}
-		m.ledger.Lock()
-		runs, out, goesOn := m.upstreams(address, id, m.ledger.came[id])
-		m.ledger.came[id]++
-		m.ledger.wrote[id] += out
+		m.upstreamLog.Lock()
+		runs, out, goesOn := m.upstreams(address, id, m.upstreamLog.arrivals[id])
+		m.upstreamLog.arrivals[id]++
+		m.upstreamLog.written[id] += out
 		if runs {
-			m.ledger.ran[id]++
+			m.upstreamLog.executions[id]++
 		}
-		m.ledger.Unlock()
+		m.upstreamLog.Unlock()
 		if runs {
 			time.Sleep(20 * time.Millisecond) // its work
 		}
-		for i, part := range strings.Split(out, later) {
+		for i, part := range strings.Split(out, pauseMark) {
 			if i > 0 {
 				time.Sleep(5 * time.Millisecond)
 			}
@@ -214,20 +214,20 @@
 }
 
 // upstreamAnswer is a whole answer to a request, with more fields, each ended by CR and LF.
-func upstreamAnswer(id string, more ...string) string {
+func successOf(id string, more ...string) string {
 	body := bodyOf(id)
 	return "HTTP/1.1 200 OK\r\n" + idField(id) + fmt.Sprintf("%s: 3e1b.%s\r\nContent-Length: %d\r\n", headers.Signature, id, len(body)) + strings.Join(more, "") + "\r\n" + body
 }
 
 // later divides what an upstream writes at once from what follows some milliseconds behind.
-const later = "\x00"
+const pauseMark = "\x00"
 
 // long marks ids of requests and answers whose bodies are longer than what is held whole.
-const long = "long"
+const longBody = "long"
 
 // bodyOf is the body of a request, and of the answer to it.
 func bodyOf(id string) string {
-	if strings.HasPrefix(id, long) {
+	if strings.HasPrefix(id, longBody) {
 		return "ran " + id + strings.Repeat("x", call.BodyLimit)
 	}
 	return "ran " + id
@@ -236,22 +236,22 @@
 func idField(id string) string { return headers.AttemptID + ": " + id + "\r\n" }
 
 // refusal is an upstream's word that it did not run a request.
-func refusal(id string) string {
+func rejectionOf(id string) string {
 	return "HTTP/1.1 503 Service Unavailable\r\n" + idField(id) + headers.NotExecuted + ": 1\r\nContent-Length: 0\r\n\r\n"
 }
 
 // oneRefuses and bothRefuse are upstreams that are full.
-func oneRefuses(address, id string, _ int) (bool, string, bool) {
+func oneRejects(address, id string, _ int) (bool, string, bool) {
 	if address == "upstream1" {
-		return false, refusal(id), true
+		return false, rejectionOf(id), true
 	}
-	return true, upstreamAnswer(id), true
+	return true, successOf(id), true
 }
 
-func bothRefuse(_, id string, _ int) (bool, string, bool) { return false, refusal(id), true }
+func bothReject(_, id string, _ int) (bool, string, bool) { return false, rejectionOf(id), true }
 
 // write sends requests that must not run twice one after the other, on one connection while that goes on.
-func (m *mesh) write(ids ...string) (all []received) {
+func (m *mesh) sendOneByOne(ids ...string) (all []clientResult) {
 	var c net.Conn
 	var in *bufio.Reader
 	for _, id := range ids {
@@ -273,7 +273,7 @@
 }
 
 // read sends requests that may run twice, all at once on one connection.
-func (m *mesh) read(ids ...string) (all []received) {
+func (m *mesh) sendPipelined(ids ...string) (all []clientResult) {
 	c, in := m.connect()
 	defer c.Close()
 	var out []byte
@@ -300,37 +300,37 @@
 }
 
 // receive reads the answer to a request, and says whether its connection goes on.
-func receive(id string, in *bufio.Reader) (got received, goesOn bool) {
+func receive(id string, in *bufio.Reader) (got clientResult, goesOn bool) {
 	res, err := http.ReadResponse(in, &http.Request{Method: http.MethodPost})
 	if err != nil {
-		return received{id: id}, false
+		return clientResult{id: id}, false
 	}
 	body, err := io.ReadAll(res.Body)
 	if err != nil {
-		return received{id: id}, false
+		return clientResult{id: id}, false
 	}
-	return received{id, res.StatusCode, res.Header.Get(headers.AttemptID), res.Header.Get(headers.Signature), string(body)}, !res.Close
+	return clientResult{id, res.StatusCode, res.Header.Get(headers.AttemptID), res.Header.Get(headers.Signature), string(body)}, !res.Close
 }
 
 // check looks from outside at what clients got and what ran, once all is over.
-func (m *mesh) check(all []received, mayRepeat bool) error {
-	m.ledger.Lock()
-	defer m.ledger.Unlock()
-	for id, n := range m.ledger.ran {
+func (m *mesh) verify(all []clientResult, mayRepeat bool) error {
+	m.upstreamLog.Lock()
+	defer m.upstreamLog.Unlock()
+	for id, n := range m.upstreamLog.executions {
 		if n > 1 && !mayRepeat {
 			return fmt.Errorf("%s ran %d times", id, n)
 		}
 	}
 	for _, got := range all {
-		ran := m.ledger.ran[got.id]
+		ran := m.upstreamLog.executions[got.id]
 		switch {
 		case got.status == 0:
-		case got.of == "" && got.status == http.StatusRequestTimeout: // our own word on a head that did not come whole
-		case got.of != got.id:
-			return fmt.Errorf("%s got the answer of %q", got.id, got.of)
-		case got.status/100 == 2 && (got.body != bodyOf(got.id) || got.stamp != "3e1b."+got.id || ran == 0):
+		case got.responseID == "" && got.status == http.StatusRequestTimeout: // our own word on a head that did not come whole
+		case got.responseID != got.id:
+			return fmt.Errorf("%s got the answer of %q", got.id, got.responseID)
+		case got.status/100 == 2 && (got.body != bodyOf(got.id) || got.signature != "3e1b."+got.id || ran == 0):
 			return fmt.Errorf("%s got a success that is not its own, ran %d times: %+v", got.id, ran, got)
-		case got.status/100 != 2 && got.stamp != "" && !strings.Contains(m.ledger.wrote[got.id], fmt.Sprintf("HTTP/1.1 %d ", got.status)):
+		case got.status/100 != 2 && got.signature != "" && !strings.Contains(m.upstreamLog.written[got.id], fmt.Sprintf("HTTP/1.1 %d ", got.status)):
 			return fmt.Errorf("%s got a failure under the upstream's stamp: %+v", got.id, got)
 		case (got.status == 429 || got.status == 503 || got.status == 408 || got.status == 421) && ran > 0 && !mayRepeat:
 			return fmt.Errorf("%s got %d, a promise, and ran", got.id, got.status)
@@ -340,28 +340,28 @@
 }
 
 // play plays one history and says what clients got, after all that was held up has arrived.
-func play(t *testing.T, p plan, upstreams behaviour, reads bool, ids ...string) (all []received, sizes map[string][2]int, err error) {
+func playTrace(t *testing.T, p faultPlan, upstreams upstreamBehavior, reads bool, ids ...string) (all []clientResult, sizes map[string][2]int, err error) {
 	synctest.Test(t, func(t *testing.T) {
-		m := newMesh(t, p, upstreams, bodyRoom)
+		m := newMesh(t, p, upstreams, frontBodyBytes)
 		if reads {
-			all = m.read(ids...)
+			all = m.sendPipelined(ids...)
 		} else {
-			all = m.write(ids...)
+			all = m.sendOneByOne(ids...)
 		}
 		time.Sleep(4 * freezeTime)
 		synctest.Wait()
-		err = m.check(all, reads)
-		sizes = map[string][2]int{"client": m.net.most("client"), "gate": m.net.most("gate"), "upstream": m.net.most("upstream")}
+		err = m.verify(all, reads)
+		sizes = map[string][2]int{"client": m.net.bytesOfFirstLink("client"), "gate": m.net.bytesOfFirstLink("gate"), "upstream": m.net.bytesOfFirstLink("upstream")}
 		m.close()
 	})
 	return all, sizes, err
 }
 
-var faults = map[string]fault{"reset": reset, "silence": silent, "freeze": freeze, "freeze of the gate": freezeGate, "freeze of the caller's sidecar": freezeCaller}
+var faults = map[string]fault{"reset": resetLink, "silence": silentLink, "freeze": freezeLink, "freeze of the gate": freezeGate, "freeze of the caller's sidecar": freezeCaller}
 
 // everyByte plays requests with a fault at every byte, or every few, of each link that they take, in both directions.
-func everyByte(t *testing.T, upstreams behaviour, reads bool, step int, ids ...string) {
-	_, whole, err := play(t, plan{}, upstreams, reads, ids[:1]...)
+func faultAtEveryByte(t *testing.T, upstreams upstreamBehavior, reads bool, step int, ids ...string) {
+	_, whole, err := playTrace(t, faultPlan{}, upstreams, reads, ids[:1]...)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -372,8 +372,8 @@
 				statuses := map[int]int{}
 				for direction, size := range sizes {
 					for at := 0; at <= size; at += step {
-						p := plan{kind, direction, at, fault}
-						all, _, err := play(t, p, upstreams, reads, ids...)
+						p := faultPlan{kind, direction, at, fault}
+						all, _, err := playTrace(t, p, upstreams, reads, ids...)
 						if err != nil {
 							t.Fatalf("%+v: %v", p, err)
 						}
@@ -387,19 +387,21 @@
 }
 
 // TestEveryByte cuts a request that must not run twice, and its answer, at every byte; another one follows.
-func TestEveryByte(t *testing.T) {
-	t.Run("runs", func(t *testing.T) { everyByte(t, nil, false, 1, "a", "b") })
-	t.Run("one upstream refuses", func(t *testing.T) { everyByte(t, oneRefuses, false, 5, "a", "b") })
-	t.Run("long bodies", func(t *testing.T) { everyByte(t, nil, false, 3989, "long", "long b") })
-	t.Run("both refuse", func(t *testing.T) { everyByte(t, bothRefuse, false, 5, "a", "b") })
+func TestNonIdempotentWithFaultAtEveryByte(t *testing.T) {
+	t.Run("runs", func(t *testing.T) { faultAtEveryByte(t, nil, false, 1, "a", "b") })
+	t.Run("one upstream refuses", func(t *testing.T) { faultAtEveryByte(t, oneRejects, false, 5, "a", "b") })
+	t.Run("long bodies", func(t *testing.T) { faultAtEveryByte(t, nil, false, 3989, "long", "long b") })
+	t.Run("both refuse", func(t *testing.T) { faultAtEveryByte(t, bothReject, false, 5, "a", "b") })
 }
 
 // TestPipelined cuts four requests that are sent at once and may run twice: each has its own answer, in its place.
-func TestPipelined(t *testing.T) { everyByte(t, nil, true, 1, "a", "b", "c", "d") }
+func TestPipelinedWithFaultAtEveryByte(t *testing.T) {
+	faultAtEveryByte(t, nil, true, 1, "a", "b", "c", "d")
+}
 
 // TestStrayAnswers has upstreams write what belongs to no request, or is not whole, on connections that are used again.
-func TestStrayAnswers(t *testing.T) {
-	ran := func(out func(id string, n int) (string, bool)) behaviour {
+func TestStrayResponsesReachNobody(t *testing.T) {
+	ran := func(out func(id string, n int) (string, bool)) upstreamBehavior {
 		return func(_, id string, n int) (bool, string, bool) {
 			text, goesOn := out(id, n)
 			return true, text, goesOn
@@ -408,51 +410,51 @@
 	large := strings.Repeat("x", call.BodyLimit+1)
 	for _, c := range []struct {
 		name      string
-		upstreams behaviour
+		upstreams upstreamBehavior
 		want      int // what each of three requests gets; 0: no whole answer
 	}{
-		{"twice", ran(func(id string, _ int) (string, bool) { return upstreamAnswer(id) + upstreamAnswer(id), true }), 200},
-		{"an older one first", ran(func(id string, _ int) (string, bool) { return upstreamAnswer("z") + upstreamAnswer(id), true }), 200},
-		{"an older refusal first", ran(func(id string, _ int) (string, bool) { return refusal("z") + upstreamAnswer(id), true }), 200},
+		{"twice", ran(func(id string, _ int) (string, bool) { return successOf(id) + successOf(id), true }), 200},
+		{"an older one first", ran(func(id string, _ int) (string, bool) { return successOf("z") + successOf(id), true }), 200},
+		{"an older refusal first", ran(func(id string, _ int) (string, bool) { return rejectionOf("z") + successOf(id), true }), 200},
 		{"a refusal without an id first", ran(func(id string, _ int) (string, bool) {
-			return strings.Replace(refusal(id), idField(id), "", 1) + upstreamAnswer(id), true
+			return strings.Replace(rejectionOf(id), idField(id), "", 1) + successOf(id), true
 		}), 200},
 		{"interim answers first", ran(func(id string, _ int) (string, bool) {
-			return "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\n" + idField(id) + "\r\n" + upstreamAnswer(id), true
+			return "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\n" + idField(id) + "\r\n" + successOf(id), true
 		}), 200},
 		{"no id", ran(func(id string, _ int) (string, bool) {
-			return strings.Replace(upstreamAnswer(id), idField(id), "", 1), false
+			return strings.Replace(successOf(id), idField(id), "", 1), false
 		}), 502},
-		{"another id", ran(func(string, int) (string, bool) { return upstreamAnswer("z"), false }), 502},
-		{"its id twice", ran(func(id string, _ int) (string, bool) { return upstreamAnswer(id, idField(id)), false }), 502},
-		{"another id beside its own", ran(func(id string, _ int) (string, bool) { return upstreamAnswer(id, idField("z")), false }), 502},
+		{"another id", ran(func(string, int) (string, bool) { return successOf("z"), false }), 502},
+		{"its id twice", ran(func(id string, _ int) (string, bool) { return successOf(id, idField(id)), false }), 502},
+		{"another id beside its own", ran(func(id string, _ int) (string, bool) { return successOf(id, idField("z")), false }), 502},
 		{"no answer", ran(func(string, int) (string, bool) { return "no answer\r\n", true }), 502},
-		{"bytes behind", ran(func(id string, _ int) (string, bool) { return upstreamAnswer(id) + "more", true }), 200},
-		{"cut in the body", ran(func(id string, _ int) (string, bool) { return upstreamAnswer(id)[:len(upstreamAnswer(id))-1], false }), 502},
+		{"bytes behind", ran(func(id string, _ int) (string, bool) { return successOf(id) + "more", true }), 200},
+		{"cut in the body", ran(func(id string, _ int) (string, bool) { return successOf(id)[:len(successOf(id))-1], false }), 502},
 		{"no length, cut", ran(func(id string, _ int) (string, bool) {
-			return strings.Replace(strings.TrimSuffix(upstreamAnswer(id), id), "Content-Length: 5\r\n", "", 1), false
+			return strings.Replace(strings.TrimSuffix(successOf(id), id), "Content-Length: 5\r\n", "", 1), false
 		}), 502},
 		{"chunks, cut", ran(func(id string, _ int) (string, bool) {
-			return strings.Replace(strings.TrimSuffix(upstreamAnswer(id), "ran "+id), "Content-Length: 5", "Transfer-Encoding: chunked", 1) + "5\r\nran " + id + "\r\n", false
+			return strings.Replace(strings.TrimSuffix(successOf(id), "ran "+id), "Content-Length: 5", "Transfer-Encoding: chunked", 1) + "5\r\nran " + id + "\r\n", false
 		}), 0},
 		{"a failure, then a success", ran(func(id string, _ int) (string, bool) {
-			return strings.Replace(upstreamAnswer(id), "200 OK", "500 Internal Server Error", 1) + upstreamAnswer(id), true
+			return strings.Replace(successOf(id), "200 OK", "500 Internal Server Error", 1) + successOf(id), true
 		}), 500},
 		{"a promise that it does not give", ran(func(id string, _ int) (string, bool) {
-			return strings.Replace(upstreamAnswer(id), "200 OK", "503 Service Unavailable", 1), true
+			return strings.Replace(successOf(id), "200 OK", "503 Service Unavailable", 1), true
 		}), 502},
 		{"created, with a long body that is cut", ran(func(id string, _ int) (string, bool) {
 			return "HTTP/1.1 201 Created\r\n" + idField(id) + headers.Signature + ": 3e1b." + id + fmt.Sprintf("\r\nContent-Length: %d\r\n\r\n", len(large)) + large[1:], false
 		}), 0},
 		{"a refusal twice, and then it runs", func(_, id string, n int) (bool, string, bool) {
 			if n < 2 { // once at either
-				return false, refusal(id) + later + refusal(id), true
+				return false, rejectionOf(id) + pauseMark + rejectionOf(id), true
 			}
-			return true, upstreamAnswer(id), true
+			return true, successOf(id), true
 		}, 200},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			all, _, err := play(t, plan{}, c.upstreams, false, "a", "b", "c")
+			all, _, err := playTrace(t, faultPlan{}, c.upstreams, false, "a", "b", "c")
 			for _, got := range all {
 				if err != nil || got.status != c.want {
 					t.Fatalf("%+v: %v", all, err)
@@ -463,13 +465,13 @@
 }
 
 // TestFrontRefuses: what the front of a gate turns away by itself, without asking its engine, is remembered by the gate.
-func TestFrontRefuses(t *testing.T) {
+func TestFrontRejectionIsRecordedByTheGate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		m := newMesh(t, plan{}, nil, 3) // less than a body
+		m := newMesh(t, faultPlan{}, nil, 3) // less than a body
 		defer m.close()
-		all := m.write("a")
+		all := m.sendOneByOne("a")
 		synctest.Wait()
-		if err := m.check(all, false); err != nil || all[0].status != http.StatusServiceUnavailable {
+		if err := m.verify(all, false); err != nil || all[0].status != http.StatusServiceUnavailable {
 			t.Errorf("%+v: %v", all, err)
 		}
 		for i, in := range m.gates {
--- a/internal/mesh/sidecar/memory_test.go
+++ b/internal/mesh/sidecar/memory_network_test.go
@@ -15,10 +15,10 @@
 type fault int
 
 const (
-	none         fault = iota
-	reset              // both ends see a reset, behind what was delivered
-	silent             // nothing passes any more, and nobody is told
-	freeze             // nothing passes for freezeTime, then all does
+	noFault      fault = iota
+	resetLink          // both ends see a reset, behind what was delivered
+	silentLink         // nothing passes any more, and nobody is told
+	freezeLink         // nothing passes for freezeTime, then all does
 	freezeGate         // the same for all links of the gate at one end of it
 	freezeCaller       // the same for all links of the caller's sidecar
 )
@@ -27,7 +27,7 @@
 const freezeTime = 5 * time.Second
 
 // plan has a fault happen on the first connection of a kind, once so many bytes have passed in one direction.
-type plan struct {
+type faultPlan struct {
 	kind      string // client, gate or upstream: what the connection leads from or to
 	direction int    // 0: requests, 1: answers
 	at        int
@@ -35,27 +35,27 @@
 }
 
 // memory is a network in memory, in virtual time.
-type memory struct {
+type memoryNetwork struct {
 	mu        sync.Mutex
 	listeners map[string]*memoryListener
 	links     []*link
-	plan      plan
-	planned   bool // the plan's link is there
+	plan      faultPlan
+	planUsed  bool // the plan's link is there
 }
 
 // link is a connection, with what may go wrong on it. Its owners name the processes that it joins.
 type link struct {
-	net    *memory
-	owners [2]string
-	ends   [2]*memoryConn // 0 dialled
-	passed [2]int
-	plan   *plan // nil: nothing goes wrong
-	dead   bool
-	frozen bool
-	held   [2][]func() // what waits for the end of a freeze, by direction
+	net         *memoryNetwork
+	owners      [2]string
+	ends        [2]*memoryConn // 0 dialled
+	bytesPassed [2]int
+	plan        *faultPlan // nil: nothing goes wrong
+	broken      bool
+	frozen      bool
+	delayed     [2][]func() // what waits for the end of a freeze, by direction
 }
 
-func (m *memory) listen(address string) *memoryListener {
+func (m *memoryNetwork) listen(address string) *memoryListener {
 	l := &memoryListener{address: address, ready: make(chan net.Conn, 64), done: make(chan struct{})}
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -67,7 +67,7 @@
 }
 
 // dial opens a connection from a process to an address, of a kind.
-func (m *memory) dial(from, kind, address string) (net.Conn, error) {
+func (m *memoryNetwork) dial(from, kind, address string) (net.Conn, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	l := m.listeners[address]
@@ -79,8 +79,8 @@
 		k.ends[i] = &memoryConn{link: k, end: i}
 		k.ends[i].wake = sync.NewCond(&m.mu)
 	}
-	if kind == m.plan.kind && m.plan.fault != none && !m.planned {
-		m.planned, k.plan = true, &m.plan
+	if kind == m.plan.kind && m.plan.fault != noFault && !m.planUsed {
+		m.planUsed, k.plan = true, &m.plan
 	}
 	m.links = append(m.links, k)
 	l.ready <- k.ends[1]
@@ -88,17 +88,17 @@
 }
 
 // dialer is dial as a transport wants it.
-func (m *memory) dialer(from, kind string) func(context.Context, string) (net.Conn, error) {
+func (m *memoryNetwork) dialer(from, kind string) func(context.Context, string) (net.Conn, error) {
 	return func(_ context.Context, address string) (net.Conn, error) { return m.dial(from, kind, address) }
 }
 
 // most is how many bytes passed on the first connection of a kind to an address, by direction.
-func (m *memory) most(kind string) [2]int {
+func (m *memoryNetwork) bytesOfFirstLink(kind string) [2]int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, k := range m.links {
 		if k.kind() == kind {
-			return k.passed
+			return k.bytesPassed
 		}
 	}
 	return [2]int{}
@@ -115,38 +115,38 @@
 }
 
 // close ends all connections, so that all that wait on them end.
-func (m *memory) close() {
+func (m *memoryNetwork) close() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, l := range m.listeners {
 		l.end()
 	}
 	for _, k := range m.links {
-		k.break_()
+		k.reset()
 	}
 }
 
 // send carries bytes in a direction. The caller holds the lock.
 func (k *link) send(direction int, p []byte) {
-	if k.plan != nil && k.plan.direction == direction && k.passed[direction]+len(p) >= k.plan.at {
-		before := k.plan.at - k.passed[direction]
-		k.deliver(direction, p[:before])
+	if k.plan != nil && k.plan.direction == direction && k.bytesPassed[direction]+len(p) >= k.plan.at {
+		before := k.plan.at - k.bytesPassed[direction]
+		k.sendBytes(direction, p[:before])
 		p = p[before:]
-		k.happen()
+		k.strike()
 	}
-	k.deliver(direction, p)
+	k.sendBytes(direction, p)
 }
 
 // happen has the planned fault happen.
-func (k *link) happen() {
+func (k *link) strike() {
 	what := k.plan.fault
 	k.plan = nil
 	switch what {
-	case reset:
-		k.break_()
-	case silent:
-		k.dead = true
-	case freeze:
+	case resetLink:
+		k.reset()
+	case silentLink:
+		k.broken = true
+	case freezeLink:
 		k.freeze()
 	case freezeGate, freezeCaller:
 		process := "caller"
@@ -169,8 +169,8 @@
 	return k.owners[1]
 }
 
-func (k *link) break_() {
-	k.dead = true
+func (k *link) reset() {
+	k.broken = true
 	for _, c := range k.ends {
 		c.broken = true
 		c.wake.Broadcast()
@@ -178,7 +178,7 @@
 }
 
 func (k *link) freeze() {
-	if k.frozen || k.dead {
+	if k.frozen || k.broken {
 		return
 	}
 	k.frozen = true
@@ -186,39 +186,39 @@
 		k.net.mu.Lock()
 		defer k.net.mu.Unlock()
 		k.frozen = false
-		for direction := range k.held {
-			for _, pass := range k.held[direction] {
+		for direction := range k.delayed {
+			for _, pass := range k.delayed[direction] {
 				pass()
 			}
-			k.held[direction] = nil
+			k.delayed[direction] = nil
 		}
 	})
 }
 
 // deliver has bytes arrive, or wait for the end of a freeze.
-func (k *link) deliver(direction int, p []byte) {
-	if k.dead || len(p) == 0 {
+func (k *link) sendBytes(direction int, p []byte) {
+	if k.broken || len(p) == 0 {
 		return
 	}
 	to, data := k.ends[1-direction], append([]byte(nil), p...)
-	k.passed[direction] += len(data)
-	k.pass(direction, func() { to.buffer = append(to.buffer, data...) })
+	k.bytesPassed[direction] += len(data)
+	k.deliverOrDelay(direction, func() { to.buffer = append(to.buffer, data...) })
 }
 
 // finish has the end of a direction arrive.
-func (k *link) finish(direction int) {
-	if to := k.ends[1-direction]; !k.dead {
-		k.pass(direction, func() { to.ended = true })
+func (k *link) sendEnd(direction int) {
+	if to := k.ends[1-direction]; !k.broken {
+		k.deliverOrDelay(direction, func() { to.ended = true })
 	}
 }
 
-func (k *link) pass(direction int, arrive func()) {
+func (k *link) deliverOrDelay(direction int, arrive func()) {
 	then := func() {
 		arrive()
 		k.ends[1-direction].wake.Broadcast()
 	}
 	if k.frozen {
-		k.held[direction] = append(k.held[direction], then)
+		k.delayed[direction] = append(k.delayed[direction], then)
 		return
 	}
 	then()
@@ -269,7 +269,7 @@
 		switch {
 		case c.closed:
 			return 0, net.ErrClosed
-		case c.late(0):
+		case c.deadlinePassed(0):
 			return 0, os.ErrDeadlineExceeded
 		case len(c.buffer) > 0:
 			n := copy(p, c.buffer)
@@ -290,7 +290,7 @@
 	switch {
 	case c.closed:
 		return 0, net.ErrClosed
-	case c.late(1):
+	case c.deadlinePassed(1):
 		return 0, os.ErrDeadlineExceeded
 	case c.broken:
 		return 0, syscall.EPIPE
@@ -299,7 +299,7 @@
 	return len(p), nil
 }
 
-func (c *memoryConn) late(of int) bool {
+func (c *memoryConn) deadlinePassed(of int) bool {
 	return !c.deadline[of].IsZero() && !time.Now().Before(c.deadline[of])
 }
 
@@ -308,7 +308,7 @@
 	defer c.link.net.mu.Unlock()
 	if !c.closed {
 		c.closed = true
-		c.link.finish(c.end)
+		c.link.sendEnd(c.end)
 		c.wake.Broadcast()
 	}
 	return nil
