--- /dev/null
+++ b/internal/mesh/controlplane/cluster_test.go
@@ -0,0 +1,216 @@
+package controlplane
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+	"net"
+	"net/http"
+	"slices"
+	"testing"
+	"time"
+
+	"go.uber.org/zap"
+
+	"caperarch/internal/mesh/rpc"
+	"caperarch/internal/mesh/settings"
+	"caperarch/meshapi"
+)
+
+const (
+	// callTimeout bounds each call to a machine.
+	callTimeout = time.Second
+	// eventuallyTimeout and eventuallyInterval bound and space the checks of a condition.
+	eventuallyTimeout  = 20 * time.Second
+	eventuallyInterval = 20 * time.Millisecond
+)
+
+// testCluster is core machines on loopback addresses of their own, with real sockets and disks.
+type testCluster struct {
+	t            *testing.T
+	controlPort  string // of operators and upstreams
+	internalPort string
+	client       *http.Client
+	machines     map[int]*testMachine // by number
+}
+
+// testMachine is a running core machine.
+type testMachine struct {
+	cancel context.CancelFunc
+	ended  chan error
+	reload chan *settings.Settings
+}
+
+// machineConfig is what distinguishes a core machine from others of its cluster.
+type machineConfig struct {
+	number       int // the last part of its address
+	firstStart   bool
+	disk         string
+	seeds        []int   // numbers
+	gracePeriodS float64 // in seconds
+}
+
+const machineSettings = `
+self:
+  nodeName: core-%[1]d
+  role: controlplane
+  machineClass: core
+  servedRoles: [control_plane]
+  ipAddress: 127.0.7.%[1]d
+  zone: zone-%[1]d
+  region: r
+  countedInQuorum: true
+  firstStart: %[4]t
+  dataDirectory: %[5]q
+  limits: {cpuShare: 1, cpuCores: 1, memoryMb: 256, maxOpenFiles: 1024, bandwidthMbps: 100, diskMb: 64}
+network:
+  listenAddresses: {controlPlane: "127.0.7.%[1]d:%[2]s"}
+  internalPortRange: [%[3]s, %[3]s]
+  seedNodes: [%[6]s]
+  zones: {}
+provider: {discoverySource: static, entryType: static, heartbeatIntervalS: 1}
+guarantees:
+  contracts: [base]
+  faultTolerance: {machines: 1, zones: 0, regions: 0}
+  bounds: {gracePeriodS: %[7]g}
+`
+
+// newTestCluster makes a cluster without machines. Those that run when the test ends are stopped then.
+func newTestCluster(t *testing.T) *testCluster {
+	t.Helper()
+	c := &testCluster{
+		t:            t,
+		controlPort:  freePort(t),
+		internalPort: freePort(t),
+		client:       rpc.NewClient(callTimeout),
+		machines:     map[int]*testMachine{},
+	}
+	t.Cleanup(func() {
+		for number := range c.machines {
+			c.stop(number)
+		}
+	})
+	return c
+}
+
+func freePort(t *testing.T) string {
+	t.Helper()
+	l, err := net.Listen("tcp", "127.0.7.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer l.Close()
+	_, port, _ := net.SplitHostPort(l.Addr().String())
+	return port
+}
+
+func (c *testCluster) settings(m machineConfig) *settings.Settings {
+	c.t.Helper()
+	var seeds string
+	for _, seed := range m.seeds {
+		seeds += fmt.Sprintf("%q,", fmt.Sprintf("127.0.7.%d:%s", seed, c.controlPort))
+	}
+	set, err := settings.Parse(fmt.Appendf(nil, machineSettings,
+		m.number, c.controlPort, c.internalPort, m.firstStart, m.disk, seeds, m.gracePeriodS))
+	if err != nil {
+		c.t.Fatal(err)
+	}
+	return set
+}
+
+func (c *testCluster) start(config machineConfig) {
+	c.t.Helper()
+	ctx, cancel := context.WithCancel(context.Background())
+	m := &testMachine{
+		cancel: cancel,
+		ended:  make(chan error, 1),
+		reload: make(chan *settings.Settings, 1),
+	}
+	set := c.settings(config)
+	go func() { m.ended <- Run(ctx, set, m.reload, zap.NewNop()) }()
+	c.machines[config.number] = m
+}
+
+// stop ends a machine as SIGTERM does, and waits for its end.
+func (c *testCluster) stop(number int) {
+	c.t.Helper()
+	m := c.machines[number]
+	delete(c.machines, number)
+	m.cancel()
+	if err := <-m.ended; err != nil {
+		c.t.Error(err)
+	}
+}
+
+// status is a machine's own status, the zero value when it doesn't answer.
+func (c *testCluster) status(number int) *meshapi.NodeStatus {
+	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
+	defer cancel()
+	status, err := rpc.Get[meshapi.NodeStatus](ctx, c.client, c.url(number, meshapi.NodeStatusPath))
+	if err != nil {
+		return &meshapi.NodeStatus{}
+	}
+	return status
+}
+
+func (c *testCluster) url(number int, path string) string {
+	return fmt.Sprintf("http://127.0.7.%d:%s%s", number, c.controlPort, path)
+}
+
+func (c *testCluster) internalAddress(number int) string {
+	return fmt.Sprintf("127.0.7.%d:%s", number, c.internalPort)
+}
+
+// eventually waits until a condition holds. It is checked repeatedly, because what brings it about
+// happens in other machines.
+func (c *testCluster) eventually(what string, holds func() bool) {
+	c.t.Helper()
+	for end := time.Now().Add(eventuallyTimeout); !holds(); time.Sleep(eventuallyInterval) {
+		if time.Now().After(end) {
+			c.t.Fatalf("waited in vain for %s; machine 1 says %+v", what, c.status(1))
+		}
+	}
+}
+
+// hasVoters is the condition that a machine in contact knows of just these voters, with no change in
+// progress.
+func (c *testCluster) hasVoters(asked int, voters ...int) func() bool {
+	return func() bool {
+		status := c.status(asked)
+		var want []string
+		for _, number := range voters {
+			want = append(want, c.internalAddress(number))
+		}
+		slices.Sort(status.Voters)
+		return status.InContact && !status.MembershipChanging && slices.Equal(status.Voters, want)
+	}
+}
+
+// change puts a version of the configuration in force by way of a machine, on top of the base.
+func (c *testCluster) change(number int, version, base int64) {
+	c.t.Helper()
+	body := fmt.Appendf(nil, `{"configVersion":%d,"baseVersion":%d,"resources":[`+
+		`{"resourceType":"services","metadata":{"name":"tea"},"specification":{}}]}`, version, base)
+	c.eventually(fmt.Sprintf("version %d", version), func() bool {
+		ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
+		defer cancel()
+		url := c.url(number, meshapi.ReplacePath)
+		response, err := rpc.Post[meshapi.ChangeResponse](ctx, c.client, url, body)
+		return err == nil && response.ConfigVersion == version
+	})
+}
+
+// version is the version that a machine describes, 0 when it doesn't answer.
+func (c *testCluster) version(number int) int64 {
+	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
+	defer cancel()
+	document, err := rpc.Get[json.RawMessage](ctx, c.client, c.url(number, meshapi.DescribePath))
+	if err != nil {
+		return 0
+	}
+	var described struct {
+		ConfigVersion int64 `json:"configVersion"`
+	}
+	_ = json.Unmarshal(*document, &described)
+	return described.ConfigVersion
+}
--- a/internal/mesh/controlplane/quota_test.go
+++ b/internal/mesh/controlplane/quota_test.go
@@ -10,44 +10,46 @@
 	"caperarch/internal/mesh/quota"
 )
 
-// leastElectionTimeout is how long a voter that heard a leader votes for nobody else.
-const leastElectionTimeout = 500 * time.Millisecond
+// minElectionTimeout is how long a voter that received from a leader votes for nobody else.
+const minElectionTimeout = 500 * time.Millisecond
 
-func TestWhoMayDeal(t *testing.T) {
-	Convey("Tokens are dealt by a leader in its own term, with young contact", t, func() {
+func TestOnlyTheLeaderInContactAllocates(t *testing.T) {
+	Convey("Tokens are allocated by a leader in its own term, with a recent contact", t, func() {
 		So(checkAllocator(maxAllocateContactAge, true, true), ShouldBeNil)
 		So(errs.KindOf(checkAllocator(maxAllocateContactAge+1, true, true)), ShouldEqual, errs.NoQuorum)
 		So(errs.KindOf(checkAllocator(0, false, true)), ShouldEqual, errs.NoQuorum)
 		So(errs.KindOf(checkAllocator(0, true, false)), ShouldEqual, errs.NotLeader)
 	})
-	Convey("A leader that is cut off and the next one never deal tokens that can be spent at the same time", t, func() {
+	Convey("A partitioned leader and the next one never allocate tokens that are valid at the same time", t, func() {
 		rules := quota.Rules{Window: 5 * time.Second, Overage: 0.1, Slack: 20}
 		limits := map[string]quota.Limit{"a": {Rate: 172, Burst: 172}}
-		ask := []quota.Demand{{Tenant: "a", Want: 1}}
-		var dealers []*quota.Allocator
+		demands := []quota.Demand{{Tenant: "a", Want: 1}}
+		var allocators []*quota.Allocator
 		for range 2 {
-			d, err := quota.NewAllocator(rules)
+			allocator, err := quota.NewAllocator(rules)
 			So(err, ShouldBeNil)
-			So(d.Configure(0, limits, 3), ShouldBeNil)
-			dealers = append(dealers, d)
+			So(allocator.Configure(0, limits, 3), ShouldBeNil)
+			allocators = append(allocators, allocator)
 		}
-		_, _, _ = dealers[0].Allocate(0, 1, "n1", ask)
-		confirmed := 2 * time.Second // the old leader's last round
-		var last, first time.Duration
+		allocates := func(now time.Duration, term uint64, node string) bool {
+			grants, _, err := allocators[term-1].Allocate(now, term, node, demands)
+			return err == nil && len(grants) > 0
+		}
+		allocates(0, 1, "n1")
+		confirmed := 2 * time.Second // the old leader's last heartbeat round
+		var lastOfOld, firstOfNew time.Duration
 		for now := confirmed; now < confirmed+3*time.Second; now += 5 * time.Millisecond {
-			if checkAllocator(now-confirmed, true, true) == nil {
-				if grants, _, err := dealers[0].Allocate(now, 1, "n1", ask); err == nil && len(grants) > 0 {
-					last = now
-				}
+			if checkAllocator(now-confirmed, true, true) == nil && allocates(now, 1, "n1") {
+				lastOfOld = now
 			}
-			if now < confirmed+leastElectionTimeout {
+			if now < confirmed+minElectionTimeout {
 				continue
 			}
-			if grants, _, err := dealers[1].Allocate(now, 2, "n2", ask); err == nil && len(grants) > 0 && first == 0 {
-				first = now
+			if allocates(now, 2, "n2") && firstOfNew == 0 {
+				firstOfNew = now
 			}
 		}
-		So(last, ShouldBeGreaterThan, confirmed)
-		So(first, ShouldBeGreaterThanOrEqualTo, last+quota.TokenTTL)
+		So(lastOfOld, ShouldBeGreaterThan, confirmed)
+		So(firstOfNew, ShouldBeGreaterThanOrEqualTo, lastOfOld+quota.TokenTTL)
 	})
 }
