--- a/cmd/measure/mesh.go
+++ b/cmd/measure/mesh.go
@@ -92,7 +92,7 @@
 	if _, _, _, err := core.replace(meshResources(routes)); err != nil {
 		return nil, err
 	}
-	cfg := hollow.Config{Count: sidecars, Services: meshServices, Seeds: core.seeds(), Zones: meshZones, Tenants: meshTenantNames()[:3], Share: sidecars > meshShare, Over: shape.over, Called: shape.called}
+	cfg := hollow.Config{Count: sidecars, Services: meshServices, Seeds: core.seeds(), Zones: meshZones, Tenants: meshTenantNames()[:3], ShareConfig: sidecars > meshShare, StartOver: shape.over, CalledServices: shape.called}
 	raw, err := json.Marshal(cfg)
 	if err != nil {
 		return nil, err
@@ -113,11 +113,11 @@
 		if err != nil {
 			return nil, err
 		}
-		if report.Connected == sidecars && report.Versions[core.version].Count == sidecars && (cfg.Share || shape.called > 0 || report.Least == sidecars) {
+		if report.Connected == sidecars && report.Versions[core.version].Count == sidecars && (cfg.ShareConfig || shape.called > 0 || report.MinUpstreams == sidecars) {
 			break
 		}
 		if time.Since(begun) > shape.over+3*meshUp {
-			return nil, fmt.Errorf("after %v %d of %d sidecars are connected, %d have the configuration, one knows %d upstreams", time.Since(begun), report.Connected, sidecars, report.Versions[core.version].Count, report.Least)
+			return nil, fmt.Errorf("after %v %d of %d sidecars are connected, %d have the configuration, one knows %d upstreams", time.Since(begun), report.Connected, sidecars, report.Versions[core.version].Count, report.MinUpstreams)
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
@@ -170,7 +170,7 @@
 	if err != nil {
 		return u, err
 	}
-	u.renewals, u.asks, u.failed = float64(is.Renewals-was.Renewals)/u.seconds, float64(is.Asks-was.Asks)/u.seconds, float64(is.Failed-was.Failed)/u.seconds
+	u.renewals, u.asks, u.failed = float64(is.Renewals-was.Renewals)/u.seconds, float64(is.Requests-was.Requests)/u.seconds, float64(is.FailedRequests-was.FailedRequests)/u.seconds
 	others := float64(len(r.core.members) - 1)
 	for i := range all {
 		cpu := (after[i].cpu - before[i].cpu).Seconds() / u.seconds
@@ -262,9 +262,9 @@
 		return u, 0, 0, err
 	}
 	if u.failed > 0 {
-		fmt.Printf("the ask for tokens that failed last: %.300s\n", report.AskError)
+		fmt.Printf("the ask for tokens that failed last: %.300s\n", report.RequestError)
 	}
-	return u, report.AskP50, report.AskP99, tell(0)
+	return u, report.RequestP50, report.RequestP99, tell(0)
 }
 
 // meshPoints are figures by size, to be fitted.
--- a/cmd/measure/mesh_child.go
+++ b/cmd/measure/mesh_child.go
@@ -41,7 +41,7 @@
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
-		f.Ask(every)
+		f.RequestTokens(every)
 	})
 	return http.Serve(l, mux)
 }
