--- a/internal/mesh/quota/allocator.go
+++ b/internal/mesh/quota/allocator.go
@@ -207,18 +207,18 @@
 // replan brings the tenants in line with limits and members. Buckets are filled first under the plans
 // that held so far.
 func (a *Allocator) replan(now time.Duration) {
-	plans := a.planner.plans(now)
-	removeUnplanned(a.tenants, plans)
+	a.planner.update(now)
+	removeUnlimited(a.tenants, a.planner.limits)
 	for _, t := range a.tenants {
 		t.fill(a.flow(t))
 	}
-	for name, plan := range plans {
+	for name, limit := range a.planner.limits {
 		t := a.tenants[name]
 		if t == nil {
 			t = &tenantAccount{claims: map[string]*claim{}}
 			a.tenants[name] = t
 		}
-		t.plan = plan
+		t.plan = a.planner.plan(limit)
 		t.filledTo = a.flow(t)
 		t.clamp()
 	}
--- a/internal/mesh/quota/limiter.go
+++ b/internal/mesh/quota/limiter.go
@@ -282,19 +282,19 @@
 // replan brings the tenants in line with limits and members. Floors are filled first under the plans
 // that held so far.
 func (l *LocalLimiter) replan(now time.Duration) {
-	plans := l.planner.plans(now)
-	removeUnplanned(l.tenants, plans)
+	l.planner.update(now)
+	removeUnlimited(l.tenants, l.planner.limits)
 	for _, t := range l.tenants {
 		t.advance(now, l.floorSeconds)
 	}
 	l.hasPrepaid = false
-	for name, plan := range plans {
+	for name, limit := range l.planner.limits {
 		t := l.tenants[name]
 		if t == nil {
 			t = newTenantBucket(now, l.floorSeconds, l.random.Float64())
 			l.tenants[name] = t
 		}
-		t.setPlan(plan)
+		t.setPlan(l.planner.plan(limit))
 		l.hasPrepaid = l.hasPrepaid || !t.deferred
 	}
 }
--- a/internal/mesh/quota/planner.go
+++ b/internal/mesh/quota/planner.go
@@ -1,7 +1,6 @@
 package quota
 
 import (
-	"maps"
 	"time"
 
 	"caperarch/internal/mesh/errs"
@@ -13,7 +12,7 @@
 	rules          Rules
 	limits         map[string]Limit // by tenant, only those with a rate
 	members        memberCount
-	plannedMembers int // the number of members that the current plans are made for
+	plannedMembers int // the number of members that plan goes by
 }
 
 // newPlanner returns a planner without limits, for one member.
@@ -24,7 +23,7 @@
 	return planner{rules: rules, members: newMemberCount()}, nil
 }
 
-// configure sets limits that were validated. The current plans stay until the next call of plans.
+// configure sets limits that were validated. They are enforced from the next call of update on.
 func (p *planner) configure(now time.Duration, limits map[string]Limit, members int) {
 	p.members.set(now, members)
 	p.limits = enforcedLimits(limits)
@@ -35,22 +34,20 @@
 	return p.members.at(now) != p.plannedMembers
 }
 
-// plans makes the plans for the members that there are now, by tenant.
-func (p *planner) plans(now time.Duration) map[string]plan {
-	p.plannedMembers = p.members.at(now)
-	plans := make(map[string]plan, len(p.limits))
-	for name, limit := range p.limits {
-		plans[name] = p.rules.plan(limit, p.plannedMembers)
-	}
-	return plans
-}
+// update has plan go by the number of members that there is now.
+func (p *planner) update(now time.Duration) { p.plannedMembers = p.members.at(now) }
+
+// plan is how a tenant's limit is divided.
+func (p *planner) plan(limit Limit) plan { return p.rules.plan(limit, p.plannedMembers) }
 
-// removeUnplanned removes the tenants that no longer have a plan.
-func removeUnplanned[T any](tenants map[string]T, plans map[string]plan) {
-	maps.DeleteFunc(tenants, func(name string, _ T) bool {
-		_, planned := plans[name]
-		return !planned
-	})
+// removeUnlimited removes the tenants that no longer have a limit. It allocates nothing, as the leader's
+// Allocator is configured for each request.
+func removeUnlimited[T any](tenants map[string]T, limits map[string]Limit) {
+	for name := range tenants {
+		if _, limited := limits[name]; !limited {
+			delete(tenants, name)
+		}
+	}
 }
 
 // enforcedLimits are the limits of the tenants that have one: a rate of 0 is none.
