--- a/internal/mesh/goldentest/goldentest.go
+++ b/internal/mesh/goldentest/goldentest.go
@@ -1,10 +1,11 @@
 // Package goldentest holds message types to the JSON that running processes and stored files know.
 // It is used by tests alone.
 //
-// A golden file holds three encodings of a type: "zero" of its zero value, "sparse" with every
-// pointer, slice and map present and every other field zero, and "full" with every field set. The
-// first two show which fields are left out when they are empty. The values are derived from the
-// order of the fields, so no test names a field, and renaming one in Go changes nothing here.
+// A golden file holds several encodings of a type: "zero" of its zero value, "pointers" with every
+// pointer present and every other field zero, "sparse" with every slice and map present, too, "odd"
+// and "even" with every second value besides, and "full" with every field set. All but the last
+// show which fields are left out when they are empty. The values are derived from the order of the
+// fields, so no test names a field, and renaming one in Go changes nothing here.
 package goldentest
 
 import (
@@ -19,9 +20,12 @@
 
 // encodings is the content of a golden file.
 type encodings struct {
-	Zero   json.RawMessage `json:"zero"`
-	Sparse json.RawMessage `json:"sparse"`
-	Full   json.RawMessage `json:"full"`
+	Zero     json.RawMessage `json:"zero"`
+	Pointers json.RawMessage `json:"pointers"`
+	Sparse   json.RawMessage `json:"sparse"`
+	Odd      json.RawMessage `json:"odd"`
+	Even     json.RawMessage `json:"even"`
+	Full     json.RawMessage `json:"full"`
 }
 
 // CheckJSON fails the test unless T encodes to testdata/<name>.json, byte by byte, and the full
@@ -29,8 +33,15 @@
 // running process of an earlier version sends and expects what they hold.
 func CheckJSON[T any](t *testing.T, name string) {
 	t.Helper()
-	full := Full[T]()
-	got := encodings{Zero: encode(t, *new(T)), Sparse: encode(t, sparse[T]()), Full: encode(t, full)}
+	full := fill[T](filler{lists: true, sets: all})
+	got := encodings{
+		Zero:     encode(t, *new(T)),
+		Pointers: encode(t, fill[T](filler{sets: none})),
+		Sparse:   encode(t, fill[T](filler{lists: true, sets: none})),
+		Odd:      encode(t, fill[T](filler{lists: true, sets: odd})),
+		Even:     encode(t, fill[T](filler{lists: true, sets: even})),
+		Full:     encode(t, full),
+	}
 	path := filepath.Join("testdata", name+".json")
 	golden, err := os.ReadFile(path)
 	if err != nil {
@@ -52,23 +63,17 @@
 	}
 }
 
-// Full returns a T with every exported field set, all the way down, each to another value.
-func Full[T any]() T {
-	var value T
-	(&filler{leaves: true}).fill(reflect.ValueOf(&value).Elem())
-	return value
-}
-
-// sparse returns a T whose pointers, slices and maps are present and hold zero values.
-func sparse[T any]() T {
+// fill returns a T that a filler has filled.
+func fill[T any](f filler) T {
 	var value T
-	(&filler{}).fill(reflect.ValueOf(&value).Elem())
+	f.fill(reflect.ValueOf(&value).Elem())
 	return value
 }
 
 // format returns the content of a golden file, one encoding a line.
 func format(e encodings) string {
-	return fmt.Sprintf("{\n\"zero\": %s,\n\"sparse\": %s,\n\"full\": %s\n}\n", e.Zero, e.Sparse, e.Full)
+	return fmt.Sprintf("{\n\"zero\": %s,\n\"pointers\": %s,\n\"sparse\": %s,\n\"odd\": %s,\n\"even\": %s,\n\"full\": %s\n}\n",
+		e.Zero, e.Pointers, e.Sparse, e.Odd, e.Even, e.Full)
 }
 
 func encode(t *testing.T, value any) json.RawMessage {
@@ -80,12 +85,20 @@
 	return bytes.TrimSpace(text)
 }
 
-// filler sets values; each leaf gets the next number.
+// filler sets the fields of a value, all the way down. Pointers always lead somewhere.
 type filler struct {
-	leaves bool // set fields that are no containers, too
+	lists bool // slices and maps get elements
+	// sets chooses the values to set. All that are no containers are numbered, and one that is set
+	// holds its number; bytes and raw JSON count as one value.
+	sets   func(number int) bool
 	number int
 }
 
+func none(int) bool        { return false }
+func all(int) bool         { return true }
+func odd(number int) bool  { return number%2 == 1 }
+func even(number int) bool { return number%2 == 0 }
+
 var rawMessage = reflect.TypeFor[json.RawMessage]()
 
 func (f *filler) fill(v reflect.Value) {
@@ -100,38 +113,32 @@
 			}
 		}
 	case reflect.Slice:
-		f.fillSlice(v)
-	case reflect.Map:
-		key, value := reflect.New(v.Type().Key()).Elem(), reflect.New(v.Type().Elem()).Elem()
-		f.fill(key)
-		f.fill(value)
-		v.Set(reflect.MakeMap(v.Type()))
-		v.SetMapIndex(key, value)
-	default:
-		if f.leaves {
+		if v.Type().Elem().Kind() == reflect.Uint8 {
 			f.fillLeaf(v)
+		} else if f.lists {
+			v.Set(reflect.MakeSlice(v.Type(), 2, 2))
+			f.fill(v.Index(0))
+			f.fill(v.Index(1))
+		}
+	case reflect.Map:
+		if f.lists {
+			key, value := reflect.New(v.Type().Key()).Elem(), reflect.New(v.Type().Elem()).Elem()
+			f.fill(key)
+			f.fill(value)
+			v.Set(reflect.MakeMap(v.Type()))
+			v.SetMapIndex(key, value)
 		}
-	}
-}
-
-// fillSlice gives a list two elements; bytes and raw JSON are leaves.
-func (f *filler) fillSlice(v reflect.Value) {
-	switch {
-	case v.Type() == rawMessage:
-		f.number++
-		v.SetBytes(fmt.Appendf(nil, `{"number":%d}`, f.number))
-	case v.Type().Elem().Kind() == reflect.Uint8:
-		f.number++
-		v.SetBytes(fmt.Appendf(nil, "bytes %d", f.number))
 	default:
-		v.Set(reflect.MakeSlice(v.Type(), 2, 2))
-		f.fill(v.Index(0))
-		f.fill(v.Index(1))
+		f.fillLeaf(v)
 	}
 }
 
+// fillLeaf numbers a value that is no container, and sets it where it is chosen.
 func (f *filler) fillLeaf(v reflect.Value) {
 	f.number++
+	if !f.sets(f.number) {
+		return
+	}
 	switch v.Kind() {
 	case reflect.Bool:
 		v.SetBool(true)
@@ -145,6 +152,12 @@
 		v.SetInt(int64(f.number))
 	case reflect.Float64:
 		v.SetFloat(float64(f.number) + 0.5)
+	case reflect.Slice:
+		text := fmt.Sprintf("bytes %d", f.number)
+		if v.Type() == rawMessage {
+			text = fmt.Sprintf(`{"number":%d}`, f.number)
+		}
+		v.SetBytes([]byte(text))
 	default:
 		panic(fmt.Sprintf("goldentest: no value for a %v", v.Type()))
 	}
