--- a/internal/mesh/sidecar/memory_network_test.go
+++ b/internal/mesh/sidecar/memory_network_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"fmt"
 	"io"
 	"net"
 	"os"
@@ -16,8 +15,8 @@
 
 const (
 	noFault      fault = iota
-	resetLink          // both ends see a reset, behind what was delivered
-	silentLink         // nothing passes any more, and nobody is told
+	resetLink          // both ends see a reset, after what was delivered
+	silentLink         // nothing passes any more, and neither end sees an error
 	freezeLink         // nothing passes for freezeTime, then all does
 	freezeGate         // the same for all links of the gate at one end of it
 	freezeCaller       // the same for all links of the caller's sidecar
@@ -26,35 +25,38 @@
 // freezeTime is longer than any request of the tests may take.
 const freezeTime = 5 * time.Second
 
-// plan has a fault happen on the first connection of a kind, once so many bytes have passed in one direction.
+// faultPlan is a fault on the first connection of a kind, once so many bytes have passed in one
+// direction.
 type faultPlan struct {
 	kind      string // client, gate or upstream: what the connection leads from or to
-	direction int    // 0: requests, 1: answers
+	direction int    // 0: requests, 1: responses
 	at        int
 	fault     fault
 }
 
-// memory is a network in memory, in virtual time.
+// memoryNetwork is a network in memory, in virtual time.
 type memoryNetwork struct {
 	mu        sync.Mutex
 	listeners map[string]*memoryListener
 	links     []*link
 	plan      faultPlan
-	planUsed  bool // the plan's link is there
+	planUsed  bool // a link has the plan
 }
 
-// link is a connection, with what may go wrong on it. Its owners name the processes that it joins.
+// link is a connection between the processes that its owners name. Its fields are guarded by the
+// network's lock, which the callers of its methods hold.
 type link struct {
 	net         *memoryNetwork
 	owners      [2]string
 	ends        [2]*memoryConn // 0 dialled
 	bytesPassed [2]int
-	plan        *faultPlan // nil: nothing goes wrong
+	plan        *faultPlan // nil: there is no fault to come
 	broken      bool
 	frozen      bool
-	delayed     [2][]func() // what waits for the end of a freeze, by direction
+	delayed     [2][]func() // deliveries at the end of a freeze, by direction
 }
 
+// listen opens a listener at an address.
 func (m *memoryNetwork) listen(address string) *memoryListener {
 	l := &memoryListener{address: address, ready: make(chan net.Conn, 64), done: make(chan struct{})}
 	m.mu.Lock()
@@ -92,7 +94,7 @@
 	return func(_ context.Context, address string) (net.Conn, error) { return m.dial(from, kind, address) }
 }
 
-// most is how many bytes passed on the first connection of a kind to an address, by direction.
+// bytesOfFirstLink is how many bytes passed on the first connection of a kind, by direction.
 func (m *memoryNetwork) bytesOfFirstLink(kind string) [2]int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -104,6 +106,7 @@
 	return [2]int{}
 }
 
+// kind is that of faultPlan.
 func (k *link) kind() string {
 	switch k.owners[0] {
 	case "client":
@@ -114,7 +117,7 @@
 	return "upstream"
 }
 
-// close ends all connections, so that all that wait on them end.
+// close ends all connections, so that all goroutines that wait on them end.
 func (m *memoryNetwork) close() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -126,7 +129,7 @@
 	}
 }
 
-// send carries bytes in a direction. The caller holds the lock.
+// send carries bytes in a direction. The fault strikes between those before and behind its place.
 func (k *link) send(direction int, p []byte) {
 	if k.plan != nil && k.plan.direction == direction && k.bytesPassed[direction]+len(p) >= k.plan.at {
 		before := k.plan.at - k.bytesPassed[direction]
@@ -137,11 +140,11 @@
 	k.sendBytes(direction, p)
 }
 
-// happen has the planned fault happen.
+// strike makes the planned fault happen.
 func (k *link) strike() {
-	what := k.plan.fault
+	planned := k.plan.fault
 	k.plan = nil
-	switch what {
+	switch planned {
 	case resetLink:
 		k.reset()
 	case silentLink:
@@ -150,7 +153,7 @@
 		k.freeze()
 	case freezeGate, freezeCaller:
 		process := "caller"
-		if what == freezeGate {
+		if planned == freezeGate {
 			process = k.gate()
 		}
 		for _, other := range k.net.links {
@@ -169,6 +172,7 @@
 	return k.owners[1]
 }
 
+// reset ends a link with an error at both ends.
 func (k *link) reset() {
 	k.broken = true
 	for _, c := range k.ends {
@@ -177,6 +181,7 @@
 	}
 }
 
+// freeze holds up a link for freezeTime.
 func (k *link) freeze() {
 	if k.frozen || k.broken {
 		return
@@ -187,15 +192,15 @@
 		defer k.net.mu.Unlock()
 		k.frozen = false
 		for direction := range k.delayed {
-			for _, pass := range k.delayed[direction] {
-				pass()
+			for _, deliver := range k.delayed[direction] {
+				deliver()
 			}
 			k.delayed[direction] = nil
 		}
 	})
 }
 
-// deliver has bytes arrive, or wait for the end of a freeze.
+// sendBytes has bytes arrive at the other end.
 func (k *link) sendBytes(direction int, p []byte) {
 	if k.broken || len(p) == 0 {
 		return
@@ -205,23 +210,24 @@
 	k.deliverOrDelay(direction, func() { to.buffer = append(to.buffer, data...) })
 }
 
-// finish has the end of a direction arrive.
+// sendEnd has the end of a direction arrive.
 func (k *link) sendEnd(direction int) {
 	if to := k.ends[1-direction]; !k.broken {
 		k.deliverOrDelay(direction, func() { to.ended = true })
 	}
 }
 
+// deliverOrDelay delivers now, or at the end of a freeze.
 func (k *link) deliverOrDelay(direction int, arrive func()) {
-	then := func() {
+	deliver := func() {
 		arrive()
 		k.ends[1-direction].wake.Broadcast()
 	}
 	if k.frozen {
-		k.delayed[direction] = append(k.delayed[direction], then)
+		k.delayed[direction] = append(k.delayed[direction], deliver)
 		return
 	}
-	then()
+	deliver()
 }
 
 // memoryListener is a net.Listener.
@@ -250,7 +256,7 @@
 func (memoryAddr) Network() string  { return "memory" }
 func (a memoryAddr) String() string { return string(a) }
 
-// memoryConn is one end of a link. All of it is under the network's lock.
+// memoryConn is one end of a link. Its fields are guarded by the network's lock.
 type memoryConn struct {
 	link     *link
 	end      int
@@ -259,9 +265,15 @@
 	ended    bool // the other end will send nothing more
 	broken   bool
 	closed   bool
-	deadline [2]time.Time // of reading and writing
+	deadline [2]time.Time // by operation
 }
 
+// Operations of a connection that have deadlines.
+const (
+	reading = iota
+	writing
+)
+
 func (c *memoryConn) Read(p []byte) (int, error) {
 	c.link.net.mu.Lock()
 	defer c.link.net.mu.Unlock()
@@ -269,7 +281,7 @@
 		switch {
 		case c.closed:
 			return 0, net.ErrClosed
-		case c.deadlinePassed(0):
+		case c.deadlinePassed(reading):
 			return 0, os.ErrDeadlineExceeded
 		case len(c.buffer) > 0:
 			n := copy(p, c.buffer)
@@ -290,7 +302,7 @@
 	switch {
 	case c.closed:
 		return 0, net.ErrClosed
-	case c.deadlinePassed(1):
+	case c.deadlinePassed(writing):
 		return 0, os.ErrDeadlineExceeded
 	case c.broken:
 		return 0, syscall.EPIPE
@@ -299,8 +311,9 @@
 	return len(p), nil
 }
 
-func (c *memoryConn) deadlinePassed(of int) bool {
-	return !c.deadline[of].IsZero() && !time.Now().Before(c.deadline[of])
+func (c *memoryConn) deadlinePassed(operation int) bool {
+	deadline := c.deadline[operation]
+	return !deadline.IsZero() && !time.Now().Before(deadline)
 }
 
 func (c *memoryConn) Close() error {
@@ -314,11 +327,12 @@
 	return nil
 }
 
-func (c *memoryConn) set(t time.Time, of ...int) error {
+// setDeadlines sets those of some operations, and wakes who waits once they have passed.
+func (c *memoryConn) setDeadlines(t time.Time, operations ...int) error {
 	c.link.net.mu.Lock()
 	defer c.link.net.mu.Unlock()
-	for _, i := range of {
-		c.deadline[i] = t
+	for _, operation := range operations {
+		c.deadline[operation] = t
 	}
 	c.wake.Broadcast()
 	if wait := time.Until(t); !t.IsZero() && wait > 0 {
@@ -331,8 +345,8 @@
 	return nil
 }
 
-func (c *memoryConn) SetDeadline(t time.Time) error      { return c.set(t, 0, 1) }
-func (c *memoryConn) SetReadDeadline(t time.Time) error  { return c.set(t, 0) }
-func (c *memoryConn) SetWriteDeadline(t time.Time) error { return c.set(t, 1) }
-func (c *memoryConn) LocalAddr() net.Addr                { return memoryAddr(fmt.Sprint(c.link.owners[c.end])) }
+func (c *memoryConn) SetDeadline(t time.Time) error      { return c.setDeadlines(t, reading, writing) }
+func (c *memoryConn) SetReadDeadline(t time.Time) error  { return c.setDeadlines(t, reading) }
+func (c *memoryConn) SetWriteDeadline(t time.Time) error { return c.setDeadlines(t, writing) }
+func (c *memoryConn) LocalAddr() net.Addr                { return memoryAddr(c.link.owners[c.end]) }
 func (c *memoryConn) RemoteAddr() net.Addr               { return memoryAddr(c.link.owners[1-c.end]) }
