--- a/internal/lab/testbed/hollow/hollow.go
+++ b/internal/lab/testbed/hollow/hollow.go
@@ -17,6 +17,7 @@
 	"time"
 
 	"caperarch/internal/mesh/config"
+	"caperarch/internal/mesh/registry"
 	"caperarch/internal/mesh/sidecar"
 )
 
@@ -76,7 +77,7 @@
 // New returns a fleet, which Run starts.
 func New(cfg Config) *Fleet {
 	f := &Fleet{cfg: cfg, shared: config.Empty(), versions: make(map[int64]Arrival)}
-	incarnation := uint64(time.Now().UnixNano())
+	incarnation := registry.Incarnation(time.Now().UnixNano())
 	for i := range cfg.Count {
 		f.sidecars = append(f.sidecars, newHollowSidecar(f, i, incarnation))
 	}
--- a/internal/lab/testbed/hollow/sidecar.go
+++ b/internal/lab/testbed/hollow/sidecar.go
@@ -35,7 +35,7 @@
 }
 
 // newHollowSidecar returns the sidecar of this number.
-func newHollowSidecar(f *Fleet, number int, incarnation uint64) *hollowSidecar {
+func newHollowSidecar(f *Fleet, number int, incarnation registry.Incarnation) *hollowSidecar {
 	zone := f.cfg.Zones[number%len(f.cfg.Zones)]
 	s := &hollowSidecar{
 		fleet: f, node: fmt.Sprintf("sidecar-%s-%d", zone, number), zone: zone,
--- a/internal/mesh/controlplane/server.go
+++ b/internal/mesh/controlplane/server.go
@@ -16,6 +16,7 @@
 
 	"caperarch/internal/mesh/cluster"
 	"caperarch/internal/mesh/quota"
+	"caperarch/internal/mesh/registry"
 	"caperarch/internal/mesh/replication"
 	"caperarch/internal/mesh/rpc"
 	"caperarch/internal/mesh/settings"
@@ -135,7 +136,7 @@
 	return watch.NewServer(watch.ServerConfig{
 		Self:         s.ownAddress(),
 		Zone:         s.settings.Self.Zone,
-		Epoch:        uint64(s.startedAt.UnixNano()),
+		Epoch:        registry.Epoch(s.startedAt.UnixNano()),
 		Peers:        func() []string { return s.memberList.Addresses(s.now()) },
 		Contact:      s.contact,
 		Leader:       func() string { address, _ := s.leader(); return address },
--- a/internal/mesh/registry/changes.go
+++ b/internal/mesh/registry/changes.go
@@ -15,11 +15,17 @@
 	Instance, Service string
 }
 
+// Epoch identifies the numbering of one table: numbers of one epoch mean nothing in another.
+type Epoch uint64
+
+// ChangeNumber is the number of a change within an epoch, from 1 on.
+type ChangeNumber uint64
+
 // Changes is what changed in a table since a number of its epoch. If Full, the Upserts are the full
 // state and replace what the reader held.
 type Changes struct {
-	Epoch    uint64
-	Number   uint64
+	Epoch    Epoch
+	Number   ChangeNumber
 	Full     bool
 	Upserts  []Upstream
 	Removals []Removal
@@ -35,14 +41,14 @@
 }
 
 // Epoch identifies this table's numbering.
-func (t *Table) Epoch() uint64 { return t.epoch }
+func (t *Table) Epoch() Epoch { return t.epoch }
 
 // Number is the number of the last change of this epoch, 0 before the first.
-func (t *Table) Number() uint64 { return t.number }
+func (t *Table) Number() ChangeNumber { return t.number }
 
 // Since gives what changed after a number of an epoch, and the full state when the epoch is another
 // one or the number is too old. Keep says which services the reader wants; nil keeps all.
-func (t *Table) Since(now time.Duration, epoch, number uint64, keep func(service string) bool) Changes {
+func (t *Table) Since(now time.Duration, epoch Epoch, number ChangeNumber, keep func(service string) bool) Changes {
 	changes := Changes{Epoch: t.epoch, Number: t.number}
 	if !t.logReachesBackTo(epoch, number) {
 		changes.Full = true
@@ -70,7 +76,7 @@
 }
 
 // logReachesBackTo says whether the log holds every change after a number of an epoch.
-func (t *Table) logReachesBackTo(epoch, number uint64) bool {
+func (t *Table) logReachesBackTo(epoch Epoch, number ChangeNumber) bool {
 	return epoch == t.epoch && number <= t.number &&
-		t.number-number <= uint64(min(len(t.changeLog), maxChangeLog))
+		t.number-number <= ChangeNumber(min(len(t.changeLog), maxChangeLog))
 }
--- a/internal/mesh/registry/changes_test.go
+++ b/internal/mesh/registry/changes_test.go
@@ -11,9 +11,10 @@
 
 // reader follows a table by its changes.
 type reader struct {
-	keep          func(service string) bool // nil: all services
-	epoch, number uint64
-	held          map[string]Upstream
+	keep   func(service string) bool // nil: all services
+	epoch  Epoch
+	number ChangeNumber
+	held   map[string]Upstream
 }
 
 // read takes what changed since the last time, and gives whether it was the full state.
@@ -60,7 +61,7 @@
 	up.Address = node
 	up.Service = fmt.Sprint("s", random.IntN(3))
 	up.State = State(random.IntN(20) / 18)
-	lease := Lease{Node: node, Incarnation: uint64(step + 1), Sequence: 1}
+	lease := Lease{Node: node, Incarnation: Incarnation(step + 1), Sequence: 1}
 	switch random.IntN(40) {
 	case 0:
 		up.State = Deregistered
--- a/internal/mesh/registry/late_messages_test.go
+++ b/internal/mesh/registry/late_messages_test.go
@@ -11,7 +11,7 @@
 // held. Nothing of that may bring back what has ended, or undo what was reported later.
 
 // leaseWith is a lease of a node's first incarnation.
-func leaseWith(node string, sequence uint64, up Upstream) Lease {
+func leaseWith(node string, sequence Sequence, up Upstream) Lease {
 	return Lease{Node: node, Incarnation: 1, Sequence: sequence, Upstream: &up}
 }
 
--- a/internal/mesh/registry/lease.go
+++ b/internal/mesh/registry/lease.go
@@ -6,14 +6,19 @@
 	"caperarch/internal/mesh/errs"
 )
 
+// Incarnation identifies one run of a sidecar's process and grows from run to run.
+type Incarnation uint64
+
+// Sequence numbers the leases of one incarnation, from 1 on.
+type Sequence uint64
+
 // Lease is a sidecar's claim that it is alive. Leases of one node are ordered by (Incarnation,
 // Sequence); a table ignores one that isn't newer than the one it holds.
 type Lease struct {
-	Node string `json:"node"`
-	// Incarnation identifies one run of the sidecar's process and grows from run to run.
-	Incarnation uint64 `json:"life"`
-	Sequence    uint64 `json:"sequence"`
-	Zone        string `json:"zone,omitempty"`
+	Node        string      `json:"node"`
+	Incarnation Incarnation `json:"life"`
+	Sequence    Sequence    `json:"sequence"`
+	Zone        string      `json:"zone,omitempty"`
 	// Upstream is nil while the sidecar has received no heartbeat.
 	Upstream *Upstream `json:"upstream,omitempty"`
 	// Applied is the configuration version in force at the sidecar.
@@ -33,9 +38,9 @@
 // content changed last, so that a reader knows whether the content it holds is still right.
 type Renewal struct {
 	Node            string        `json:"n"`
-	Incarnation     uint64        `json:"l"`
-	Sequence        uint64        `json:"s"`
-	ContentSequence uint64        `json:"b"`
+	Incarnation     Incarnation   `json:"l"`
+	Sequence        Sequence      `json:"s"`
+	ContentSequence Sequence      `json:"b"`
 	Remaining       time.Duration `json:"r"`
 }
 
@@ -59,7 +64,7 @@
 type lease struct {
 	Lease
 	warmupEnd       time.Duration
-	contentSequence uint64
+	contentSequence Sequence
 	expiresAt       time.Duration
 	live            bool
 }
--- a/internal/mesh/registry/table.go
+++ b/internal/mesh/registry/table.go
@@ -31,8 +31,8 @@
 
 // Table holds the leases and the upstreams. It is not safe for concurrent use.
 type Table struct {
-	epoch     uint64
-	number    uint64
+	epoch     Epoch
+	number    ChangeNumber
 	changeLog []change // the last changes; the newest has the table's number
 
 	leases     map[string]*lease    // by node
@@ -47,9 +47,8 @@
 	recentPeaks   [PeakWindow/time.Second + 1]peakSample
 }
 
-// New makes an empty table. The epoch must differ from that of every other table and be above zero:
-// numbers of one epoch mean nothing in another.
-func New(epoch uint64) *Table {
+// New makes an empty table. The epoch must differ from that of every other table and be above zero.
+func New(epoch Epoch) *Table {
 	return &Table{
 		epoch:             epoch,
 		leases:            map[string]*lease{},
--- a/internal/mesh/sidecar/sidecar.go
+++ b/internal/mesh/sidecar/sidecar.go
@@ -23,6 +23,7 @@
 
 	"caperarch/internal/mesh/balancer"
 	"caperarch/internal/mesh/config"
+	"caperarch/internal/mesh/registry"
 	"caperarch/internal/mesh/rpc"
 	"caperarch/internal/mesh/settings"
 	"caperarch/internal/mesh/watch"
@@ -103,7 +104,7 @@
 	s.config.Store(config.Empty())
 	s.watchClient = watch.NewClient(watch.ClientConfig{
 		Node:          current.Self.NodeName,
-		Incarnation:   uint64(time.Now().UnixNano()),
+		Incarnation:   registry.Incarnation(time.Now().UnixNano()),
 		Zone:          current.Self.Zone,
 		Seeds:         current.SeedAddresses(),
 		HTTP:          s.client,
--- a/internal/mesh/watch/client.go
+++ b/internal/mesh/watch/client.go
@@ -21,7 +21,7 @@
 	Node string
 	// Incarnation grows with each run of the process, for example its start in
 	// nanoseconds.
-	Incarnation uint64
+	Incarnation registry.Incarnation
 	Zone        string
 	// Seeds are internal addresses of core members to begin with.
 	Seeds []string
@@ -54,7 +54,7 @@
 
 	// mu guards the fields below.
 	mu            sync.Mutex
-	leaseSequence uint64
+	leaseSequence registry.Sequence
 	left          bool // Leave was called
 	connected     bool
 	members       int
@@ -72,8 +72,8 @@
 	attempted map[string]bool // the members tried in this round
 	// registryEpoch and registryNumber are the registry state that is complete
 	// here; an epoch of 0 means that none is.
-	registryEpoch   uint64
-	registryNumber  uint64
+	registryEpoch   registry.Epoch
+	registryNumber  registry.ChangeNumber
 	services        []string // those that the registry state is limited to
 	needsFullConfig bool
 }
--- a/internal/mesh/watch/fixture_test.go
+++ b/internal/mesh/watch/fixture_test.go
@@ -90,7 +90,7 @@
 
 var memberAddresses = []string{"m1:1", "m2:1", "m3:1"}
 
-func (n *network) member(name string, epoch uint64) *member {
+func (n *network) member(name string, epoch registry.Epoch) *member {
 	m := &member{configs: &configs{}}
 	client := n.client(name)
 	m.Server = NewServer(ServerConfig{
@@ -147,7 +147,7 @@
 	client := n.client(name)
 	s.Client = NewClient(ClientConfig{
 		Node:        name,
-		Incarnation: uint64(time.Now().UnixNano()),
+		Incarnation: registry.Incarnation(time.Now().UnixNano()),
 		Zone:        zone,
 		Seeds:       seeds,
 		HTTP:        client,
@@ -238,7 +238,7 @@
 	return s.fulls
 }
 
-func (s *sidecar) leasesSent() uint64 {
+func (s *sidecar) leasesSent() registry.Sequence {
 	s.Client.mu.Lock()
 	defer s.Client.mu.Unlock()
 	return s.leaseSequence
@@ -280,7 +280,7 @@
 		var m []*member
 		var c []*sidecar
 		for i, name := range memberAddresses {
-			m = append(m, n.member(name, uint64(i+1)))
+			m = append(m, n.member(name, registry.Epoch(i+1)))
 		}
 		for i, name := range memberAddresses {
 			c = append(c, n.sidecar(fmt.Sprint("c", i+1), "zone-"+name, memberAddresses[0]))
--- a/internal/mesh/watch/server.go
+++ b/internal/mesh/watch/server.go
@@ -42,7 +42,7 @@
 	Zone string
 	// Epoch differs in each incarnation of the process, for example its start in
 	// nanoseconds.
-	Epoch uint64
+	Epoch registry.Epoch
 	// Peers returns the internal addresses of the core members; Self may be among
 	// them.
 	Peers func() []string
@@ -78,7 +78,7 @@
 	registryDelayedUntil time.Duration // see delaysRegistry
 	syncingUntil         time.Duration
 
-	lastPushed    uint64 // the table's number at the last push
+	lastPushed    registry.ChangeNumber // the table's number at the last push
 	lastPushedAt  time.Duration
 	pushScheduled bool
 }
--- a/internal/mesh/watch/server_watch.go
+++ b/internal/mesh/watch/server_watch.go
@@ -8,6 +8,7 @@
 	"go.uber.org/zap"
 
 	"caperarch/internal/mesh/errs"
+	"caperarch/internal/mesh/registry"
 	"caperarch/internal/mesh/rpc"
 )
 
@@ -29,8 +30,8 @@
 	configVersion   int64
 	needsFullConfig bool
 	// registryEpoch and registryNumber are the registry state sent.
-	registryEpoch  uint64
-	registryNumber uint64
+	registryEpoch  registry.Epoch
+	registryNumber registry.ChangeNumber
 	// fullWhileSyncing means that the last full registry was sent while this
 	// member was syncing, so another has to follow.
 	fullWhileSyncing bool
--- a/internal/mesh/watch/wire.go
+++ b/internal/mesh/watch/wire.go
@@ -66,15 +66,15 @@
 
 // watchRequest opens a watch that continues from the sidecar's current state.
 type watchRequest struct {
-	Node          string `json:"node"`
-	Incarnation   uint64 `json:"life"`
-	ConfigVersion int64  `json:"charter"`
+	Node          string               `json:"node"`
+	Incarnation   registry.Incarnation `json:"life"`
+	ConfigVersion int64                `json:"charter"`
 	// FullConfig asks for the full configuration whatever ConfigVersion is.
 	FullConfig bool `json:"whole,omitempty"`
 	// Epoch and Number are the registry state that the sidecar has; an Epoch of
 	// zero asks for the full registry.
-	Epoch  uint64 `json:"epoch"`
-	Number uint64 `json:"number"`
+	Epoch  registry.Epoch        `json:"epoch"`
+	Number registry.ChangeNumber `json:"number"`
 	// Services limits the registry to these services; none means all.
 	Services []string `json:"services,omitempty"`
 }
@@ -89,9 +89,9 @@
 // registryFrame is the full registry of the requested services, or what changed
 // since the last frame.
 type registryFrame struct {
-	Epoch  uint64 `json:"epoch"`
-	Number uint64 `json:"number"`
-	Full   bool   `json:"full,omitempty"`
+	Epoch  registry.Epoch        `json:"epoch"`
+	Number registry.ChangeNumber `json:"number"`
+	Full   bool                  `json:"full,omitempty"`
 	// Syncing says that the member may not know all sidecars yet, so an upstream
 	// that it does not list may well exist.
 	Syncing  bool                `json:"young,omitempty"`
@@ -128,8 +128,8 @@
 // clockReading is a member's monotonic clock, which means something only to
 // that member in the incarnation that Epoch names.
 type clockReading struct {
-	Epoch uint64        `json:"epoch"`
-	At    time.Duration `json:"at"`
+	Epoch registry.Epoch `json:"epoch"`
+	At    time.Duration  `json:"at"`
 }
 
 // gossipResponse names the nodes whose full lease has to be sent.
