--- a/cmd/measure/control.go
+++ b/cmd/measure/control.go
@@ -41,7 +41,7 @@
 		return func() (figures, error) { return afterLeader(binary, network, rounds, fault) }
 	}
 	link := func(fault linkFault) func() (figures, error) {
-		return func() (figures, error) { return afterLink(rounds, fault) }
+		return func() (figures, error) { return measureLinkFault(rounds, fault) }
 	}
 	join := func(name, key string, network int, replace replacement) *controlPart {
 		run := func() (figures, error) { return toTolerance(binary, network, rounds, replace) }
@@ -50,8 +50,8 @@
 	return []*controlPart{
 		leader("leader killed", "kill", process(1, killLeader)),
 		leader("leader frozen for 5 s", "freeze", process(2, freezeLeader)),
-		leader("leader cut off", "cut", link(cutOff)),
-		leader("leader's disk stalled", "stall", link(stallDisk)),
+		leader("leader cut off", "cut", link(partitionReplica)),
+		leader("leader's disk stalled", "stall", link(stallReplicaStorage)),
 		join("follower lost", "follower", 3, replaceFollower),
 		join("leader lost", "leader", 4, replaceLeader),
 		join("planned", "planned", 5, replacePlanned),
--- a/cmd/measure/control_links.go
+++ b/cmd/measure/control_links.go
@@ -17,43 +17,44 @@
 	"caperarch/internal/mesh/replication"
 )
 
-// proposeTime bounds a change on its way through a replica, as in the control plane.
-const proposeTime = 900 * time.Millisecond
+// proposeTimeout bounds a change on its way through a replica, as in the control plane.
+const proposeTimeout = 900 * time.Millisecond
 
-// stallingDisk is a store that stands still while it is told to.
-type stallingDisk struct {
+// stallingStorage is a storage whose writes wait while it is stalled.
+type stallingStorage struct {
 	replication.Storage
-	stalled atomic.Pointer[chan struct{}] // nil: it works
+	// stalled is closed at the end of the stall; nil while there is none.
+	stalled atomic.Pointer[chan struct{}]
 }
 
-func (d *stallingDisk) Save(p *replication.WriteBatch) error {
-	if until := d.stalled.Load(); until != nil {
-		<-*until
+func (d *stallingStorage) Save(batch *replication.WriteBatch) error {
+	if ended := d.stalled.Load(); ended != nil {
+		<-*ended
 	}
-	return d.Storage.Save(p)
+	return d.Storage.Save(batch)
 }
 
-// stall has the disk stand still until the function that it returns is called.
-func (d *stallingDisk) stall() (end func()) {
-	until := make(chan struct{})
-	d.stalled.Store(&until)
+// stall makes writes wait until the function that it returns is called.
+func (d *stallingStorage) stall() (end func()) {
+	ended := make(chan struct{})
+	d.stalled.Store(&ended)
 	return func() {
 		d.stalled.Store(nil)
-		close(until)
+		close(ended)
 	}
 }
 
 // linkedReplica is one replica of linkedCore.
 type linkedReplica struct {
-	id      replication.MemberID
-	disk    *stallingDisk
-	node    *replication.Node
-	applied atomic.Uint64
-	cut     atomic.Bool // off from all others
+	id          replication.MemberID
+	storage     *stallingStorage
+	node        *replication.Node
+	applied     atomic.Uint64
+	partitioned atomic.Bool // from all others
 }
 
-// linkedCore is replicas in this process, over stores on disk; what they say to each other goes from one
-// to the other as bytes, unless one of them is cut off.
+// linkedCore is replicas in this process, over stores on disk. Their messages are passed on as JSON,
+// unless the sender or the receiver is partitioned.
 type linkedCore struct{ replicas []*linkedReplica }
 
 func startLinkedCore(c cleanups) (*linkedCore, error) {
@@ -91,10 +92,10 @@
 	if err := store.Initialize(state); err != nil {
 		return err
 	}
-	r.disk = &stallingDisk{Storage: store}
+	r.storage = &stallingStorage{Storage: store}
 	node, err := replication.StartNode(replication.NodeConfig{
-		Storage: r.disk, State: state, Logger: zap.NewNop(), AppliedIndex: r.applied.Load,
-		Send:     func(to replication.MemberID, msgs []replication.Message) { l.carry(r, to, msgs) },
+		Storage: r.storage, State: state, Logger: zap.NewNop(), AppliedIndex: r.applied.Load,
+		Send:     func(to replication.MemberID, msgs []replication.Message) { l.deliver(r, to, msgs) },
 		Apply:    func(index uint64, _ []byte) { r.applied.Store(index) },
 		Restore:  func(index uint64, _ []byte) { r.applied.Store(index) },
 		Snapshot: func() []byte { return []byte("state") },
@@ -107,10 +108,10 @@
 	return nil
 }
 
-// carry brings messages to a replica, as copies.
-func (l *linkedCore) carry(from *linkedReplica, to replication.MemberID, msgs []replication.Message) {
+// deliver passes copies of messages on to a replica.
+func (l *linkedCore) deliver(from *linkedReplica, to replication.MemberID, msgs []replication.Message) {
 	receiver := l.replica(to)
-	if receiver == nil || receiver.node == nil || from.cut.Load() || receiver.cut.Load() {
+	if receiver == nil || receiver.node == nil || from.partitioned.Load() || receiver.partitioned.Load() {
 		return
 	}
 	raw, err := json.Marshal(msgs)
@@ -132,7 +133,7 @@
 	return nil
 }
 
-// leader is the replica that leads and is in touch; nil: none is.
+// leader returns the replica that leads and is in contact, nil for none.
 func (l *linkedCore) leader() *linkedReplica {
 	for _, r := range l.replicas {
 		if r.node.Status().IsLeader && r.node.InContact() {
@@ -142,9 +143,9 @@
 	return nil
 }
 
-// whole waits until all are in touch and work.
-func (l *linkedCore) whole() error {
-	return until("a whole core", func() bool {
+// waitUntilHealthy waits until all replicas are in contact and can write.
+func (l *linkedCore) waitUntilHealthy() error {
+	return until("a healthy core", func() bool {
 		for _, r := range l.replicas {
 			if !r.node.InContact() || r.node.Status().StorageFailed {
 				return false
@@ -154,64 +155,64 @@
 	})
 }
 
-// send puts a change to a replica, which passes it on to whom it takes for the leader.
-func (l *linkedCore) send(ctx context.Context, machine int, number int64) error {
-	ctx, cancel := context.WithTimeout(ctx, proposeTime)
+// propose sends a change to a replica, which forwards it to the leader that it knows of.
+func (l *linkedCore) propose(ctx context.Context, machine int, number int64) error {
+	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
 	defer cancel()
 	asked := l.replicas[machine]
-	leads := l.replica(asked.node.Status().Leader)
-	if leads == nil {
+	leader := l.replica(asked.node.Status().Leader)
+	if leader == nil {
 		return errors.New("no leader is known")
 	}
-	if leads != asked && (asked.cut.Load() || leads.cut.Load()) {
-		<-ctx.Done() // what is sent into a cut is not answered
+	if leader != asked && (asked.partitioned.Load() || leader.partitioned.Load()) {
+		<-ctx.Done() // a request into a partition gets no response
 		return ctx.Err()
 	}
-	_, err := leads.node.Propose(ctx, binary.BigEndian.AppendUint64(nil, uint64(number)))
-	if err == nil && leads != asked && (asked.cut.Load() || leads.cut.Load()) {
-		<-ctx.Done() // nor what was cut off before its answer came
+	_, err := leader.node.Propose(ctx, binary.BigEndian.AppendUint64(nil, uint64(number)))
+	if err == nil && leader != asked && (asked.partitioned.Load() || leader.partitioned.Load()) {
+		<-ctx.Done() // nor does one whose response meets a partition
 		return ctx.Err()
 	}
 	return err
 }
 
-// linkFault is what happens to a replica; it returns what ends it.
-type linkFault func(r *linkedReplica) (mend func())
+// linkFault injects a fault at a replica; heal ends it.
+type linkFault func(r *linkedReplica) (heal func())
 
-func cutOff(r *linkedReplica) func() {
-	r.cut.Store(true)
-	return func() { r.cut.Store(false) }
+func partitionReplica(r *linkedReplica) func() {
+	r.partitioned.Store(true)
+	return func() { r.partitioned.Store(false) }
 }
 
-func stallDisk(r *linkedReplica) func() { return r.disk.stall() }
+func stallReplicaStorage(r *linkedReplica) func() { return r.storage.stall() }
 
-// afterLink measures the times from a fault of the leader's links or disk until another replica leads
-// and until the next acknowledged change.
-func afterLink(rounds int, fault linkFault) (figures, error) {
-	c := newCleanups()
-	defer c.end()
-	l, err := startLinkedCore(c)
+// measureLinkFault measures the times from a fault of the leader's links or disk until another replica
+// leads, and until the next acknowledged change.
+func measureLinkFault(rounds int, fault linkFault) (figures, error) {
+	cleanup := newCleanups()
+	defer cleanup.end()
+	core, err := startLinkedCore(cleanup)
 	if err != nil {
 		return nil, err
 	}
-	o := newOperator(controlMembers, 0, l.send)
-	defer o.goOn()()
+	client := newOperator(controlMembers, 0, core.propose)
+	defer client.goOn()()
 	measured := figures{}
 	for range rounds {
-		if err := l.whole(); err != nil {
+		if err := core.waitUntilHealthy(); err != nil {
 			return measured, err
 		}
 		time.Sleep(rand.N(2 * operatorPause)) // no fixed place in the operator's rhythm
-		leads := l.leader()
-		if leads == nil {
+		leader := core.leader()
+		if leader == nil {
 			return measured, errors.New("the leader was lost by itself")
 		}
 		at := time.Now()
-		mend := fault(leads)
-		err := until("another leader", func() bool { return l.otherLeads(leads) })
+		heal := fault(leader)
+		err := until("another leader", func() bool { return core.otherLeader(leader) })
 		elected := time.Since(at)
-		took, nextErr := o.next(at)
-		mend()
+		took, nextErr := client.next(at)
+		heal()
 		if err = errors.Join(err, nextErr); err != nil {
 			return measured, err
 		}
@@ -221,8 +222,8 @@
 	return measured, nil
 }
 
-// otherLeads says that a replica other than the lost one leads.
-func (l *linkedCore) otherLeads(lost *linkedReplica) bool {
+// otherLeader says that a replica other than the lost one leads.
+func (l *linkedCore) otherLeader(lost *linkedReplica) bool {
 	for _, r := range l.replicas {
 		if r != lost && r.node.Status().IsLeader {
 			return true
