--- a/internal/mesh/controlplane/server.go
+++ b/internal/mesh/controlplane/server.go
@@ -2,9 +2,9 @@
 // those that agree on it, applies operators' change requests to it, pushes it to the sidecars and
 // keeps their leases. While it leads it also allocates the tenants' quotas and chooses the voters.
 //
-// Run owns everything that it starts: the listeners, the replica with its disk, the watch server and
-// the loops that announce this machine and manage the voters end with it. All other functions are
-// called by those, from any goroutine.
+// Run owns everything that it starts. When it returns the replica with its disk and the listeners are
+// closed, and the watch server and the loops that announce this machine and manage the voters have been
+// told to end. All other functions are called by those, from any goroutine.
 package controlplane
 
 import (
