--- a/internal/mesh/gate/attempt_log.go
+++ b/internal/mesh/gate/attempt_log.go
@@ -39,8 +39,8 @@
 }
 
 // after says whether a send is a later one of the same sidecar.
-func (h SendID) after(before SendID) bool {
-	return h.Sender == before.Sender && h.Number > before.Number
+func (s SendID) after(before SendID) bool {
+	return s.Sender == before.Sender && s.Number > before.Number
 }
 
 // admission is what the log says of a request that arrives.
--- /dev/null
+++ b/internal/mesh/gate/random_test.go
@@ -0,0 +1,291 @@
+package gate
+
+import (
+	"fmt"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"caperarch/policy"
+
+	"pgregory.net/rapid"
+)
+
+// gateTrace is a random trace of events, with what the test knows of the requests.
+type gateTrace struct {
+	t *rapid.T
+	h *harness
+
+	slots    int
+	upstream policy.ServerID
+	ready    bool // the upstream
+
+	last           policy.RequestID
+	inFlight       []policy.RequestID // at the upstream
+	inFlightBefore []policy.RequestID // at the upstreams before it
+	waitDeadlines  map[policy.RequestID]time.Duration
+	highest        map[policy.RequestID]bool // of the highest priority
+	answered       map[policy.RequestID]bool
+}
+
+// maxTraceSlots is the largest number of slots of an upstream in a trace.
+const maxTraceSlots = 6
+
+func newGateTrace(t *rapid.T) *gateTrace {
+	tr := &gateTrace{
+		t: t, h: newHarness(3), slots: 3, upstream: 1, ready: true,
+		waitDeadlines: map[policy.RequestID]time.Duration{},
+		highest:       map[policy.RequestID]bool{},
+		answered:      map[policy.RequestID]bool{},
+	}
+	tr.h.onAnswer = tr.recordAnswer
+	tr.h.onSend = tr.recordSend
+	return tr
+}
+
+func (tr *gateTrace) recordAnswer(id policy.RequestID) {
+	if tr.answered[id] {
+		tr.t.Fatalf("request %d has a second answer", id)
+	}
+	tr.answered[id] = true
+	delete(tr.waitDeadlines, id)
+}
+
+func (tr *gateTrace) recordSend(id policy.RequestID) {
+	_, waits := tr.waitDeadlines[id]
+	if !waits || !tr.ready || len(tr.inFlight) >= tr.slots {
+		tr.t.Fatalf("request %d sent, waits %v, ready %v, %d in flight for %d slots",
+			id, waits, tr.ready, len(tr.inFlight), tr.slots)
+	}
+	delete(tr.waitDeadlines, id)
+	tr.inFlight = append(tr.inFlight, id)
+}
+
+// advance lets time pass with all wakes on the way.
+func (tr *gateTrace) advance(d time.Duration) {
+	h, to := tr.h, tr.h.now+d
+	for slices.Sort(h.wakes); len(h.wakes) > 0 && h.wakes[0] <= to; slices.Sort(h.wakes) {
+		at := h.wakes[0]
+		h.wakes = h.wakes[1:]
+		h.wake(at)
+	}
+	h.now = to
+	for id, until := range tr.waitDeadlines {
+		if h.now >= until {
+			tr.t.Fatalf("request %d still waits at %v, for longer than until %v", id, h.now, until)
+		}
+	}
+}
+
+// end ends one of the attempts in flight.
+func (tr *gateTrace) end(inFlight *[]policy.RequestID, i int, ending policy.Ending) {
+	id := (*inFlight)[i]
+	*inFlight = slices.Delete(*inFlight, i, i+1)
+	if ending == policy.Served && !tr.answered[id] {
+		tr.recordAnswer(id) // as the engine does
+	}
+	tr.h.gate.Outcome(tr.h.now, policy.Outcome{ID: id, Ending: ending, Settled: tr.answered[id]})
+}
+
+// step is a random event.
+func (tr *gateTrace) step() {
+	t := tr.t
+	ending := policy.Ending(rapid.IntRange(int(policy.Served), int(policy.Gated)).Draw(t, "ending"))
+	switch what := rapid.IntRange(0, 12).Draw(t, "what"); {
+	case what == 0 && tr.ready:
+		tr.slots = rapid.IntRange(1, maxTraceSlots).Draw(t, "slots")
+		tr.h.list(policy.ListDelta, tr.upstream, policy.Ready, float64(tr.slots))
+	case what == 1 && tr.ready:
+		tr.ready = false
+		state := rapid.SampledFrom([]policy.State{policy.Draining, policy.Gone}).Draw(t, "state")
+		tr.h.list(policy.ListDelta, tr.upstream, state, 1)
+	case what == 1:
+		tr.replaceUpstream()
+	case what == 2 && tr.last > 0:
+		tr.leave()
+	case what == 3 && len(tr.inFlightBefore) > 0:
+		tr.end(&tr.inFlightBefore, 0, ending)
+	case what <= 7 && len(tr.inFlight) > 0:
+		tr.end(&tr.inFlight, rapid.IntRange(0, len(tr.inFlight)-1).Draw(t, "which"), ending)
+	default:
+		for range rapid.IntRange(1, 8).Draw(t, "burst") {
+			tr.request()
+		}
+	}
+}
+
+// replaceUpstream has another instance take the place of one that is not ready.
+func (tr *gateTrace) replaceUpstream() {
+	tr.inFlightBefore = append(tr.inFlightBefore, tr.inFlight...)
+	tr.inFlight = nil
+	tr.upstream++
+	tr.ready = true
+	tr.h.list(policy.ListDelta, tr.upstream, policy.Ready, float64(tr.slots))
+}
+
+// leave has the caller of one of the last requests leave.
+func (tr *gateTrace) leave() {
+	back := policy.RequestID(rapid.IntRange(0, 9).Draw(tr.t, "back"))
+	id := tr.last - min(tr.last-1, back)
+	tr.answered[id] = true
+	delete(tr.waitDeadlines, id)
+	tr.h.gate.ClientGone(tr.h.now, id)
+}
+
+// request has a request arrive. It may wait for a quarter of its time, an internal check for half.
+func (tr *gateTrace) request() {
+	tr.last++
+	remaining := time.Duration(rapid.IntRange(-10, 1000).Draw(tr.t, "remaining")) * ms
+	priority := rapid.IntRange(-1, 20).Draw(tr.t, "priority")
+	wait := remaining / 4
+	if priority <= 0 {
+		wait = remaining / 2
+		tr.highest[tr.last] = true
+	}
+	tr.waitDeadlines[tr.last] = tr.h.now + wait
+	tr.h.request(tr.last, priority, remaining, 0)
+}
+
+// checkLoad compares the load that the gate publishes with the trace's own, and bounds the queue.
+func (tr *gateTrace) checkLoad() {
+	inFlight, queued, _ := tr.h.gate.Load()
+	checks := 0
+	for id := range tr.waitDeadlines {
+		if tr.highest[id] {
+			checks++
+		}
+	}
+	if inFlight != len(tr.inFlight) || queued != len(tr.waitDeadlines) {
+		tr.t.Fatalf("load %d, %d; %d are in flight and %d wait",
+			inFlight, queued, len(tr.inFlight), len(tr.waitDeadlines))
+	}
+	if queued-checks > max(2, tr.slots) || checks > highPriorityQueueSlots*maxTraceSlots {
+		tr.t.Fatalf("%d wait for %d slots, %d of them internal checks", queued, tr.slots, checks)
+	}
+}
+
+// finish ends all attempts, and all that is queued by Wake alone.
+func (tr *gateTrace) finish() {
+	tr.advance(time.Minute)
+	for len(tr.inFlight) > 0 {
+		tr.end(&tr.inFlight, 0, policy.Served)
+	}
+	for len(tr.inFlightBefore) > 0 {
+		tr.end(&tr.inFlightBefore, 0, policy.Served)
+	}
+	if len(tr.answered) != int(tr.last) {
+		tr.t.Fatalf("%d of %d requests have an answer", len(tr.answered), tr.last)
+	}
+}
+
+// In random traces there are never more attempts in flight than slots, nothing goes to an upstream
+// that drains or is gone, nothing waits longer than its share of its time, and each request has
+// exactly one answer.
+func TestGateRandomTraces(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		tr := newGateTrace(t)
+		for range rapid.IntRange(1, 150).Draw(t, "steps") {
+			tr.advance(time.Duration(rapid.IntRange(0, 30).Draw(t, "ms")) * ms)
+			tr.step()
+			tr.checkLoad()
+		}
+		tr.finish()
+	})
+}
+
+// arrival is a send of a request that must not run twice.
+type arrival struct {
+	id   string
+	send uint64
+}
+
+// attemptTrace is a random trace of arrivals, copies and ends.
+type attemptTrace struct {
+	t *rapid.T
+	h *harness
+
+	last     policy.RequestID
+	arrivals map[policy.RequestID]arrival
+	inFlight []policy.RequestID
+	executed map[string]bool  // by id; false again where the attempt provably did not reach the upstream
+	promised map[arrival]bool // rejected: it must never run
+}
+
+func newAttemptTrace(t *rapid.T) *attemptTrace {
+	tr := &attemptTrace{
+		t: t, h: newHarness(2), arrivals: map[policy.RequestID]arrival{},
+		executed: map[string]bool{}, promised: map[arrival]bool{},
+	}
+	tr.h.onSend = tr.recordSend
+	tr.h.onAnswer = tr.recordAnswer
+	return tr
+}
+
+func (tr *attemptTrace) recordSend(id policy.RequestID) {
+	a := tr.arrivals[id]
+	if tr.executed[a.id] {
+		tr.t.Fatalf("%s runs twice", a.id)
+	}
+	if tr.promised[a] {
+		tr.t.Fatalf("%s runs after its send %d was rejected", a.id, a.send)
+	}
+	tr.executed[a.id] = true
+	tr.inFlight = append(tr.inFlight, id)
+}
+
+// recordAnswer is called as the answer is given: what it promises has to hold from then on.
+func (tr *attemptTrace) recordAnswer(id policy.RequestID) {
+	a := tr.arrivals[id]
+	if !strings.HasPrefix(tr.h.decisions[len(tr.h.decisions)-1], "refuse") {
+		return
+	}
+	if tr.executed[a.id] {
+		tr.t.Fatalf("%s is rejected and has run", a.id)
+	}
+	tr.promised[a] = true
+}
+
+// arrive has a send of one of a few requests arrive, for the first time or again.
+func (tr *attemptTrace) arrive() {
+	tr.last++
+	a := arrival{
+		id:   fmt.Sprint(rapid.IntRange(0, 4).Draw(tr.t, "id")),
+		send: rapid.Uint64Range(1, 6).Draw(tr.t, "send"),
+	}
+	tr.arrivals[tr.last] = a
+	tr.h.gate.Request(tr.h.now, policy.Request{
+		ID: tr.last, Left: time.Second, Terms: onceTerms(a.id, 7, a.send),
+	})
+}
+
+// endOne ends one of the attempts in flight.
+func (tr *attemptTrace) endOne() {
+	i := rapid.IntRange(0, len(tr.inFlight)-1).Draw(tr.t, "which")
+	id := tr.inFlight[i]
+	tr.inFlight = slices.Delete(tr.inFlight, i, i+1)
+	ending := rapid.SampledFrom([]policy.Ending{
+		policy.Served, policy.Broken, policy.NoConnection, policy.TurnedAway,
+	}).Draw(tr.t, "ending")
+	if ending == policy.NoConnection || ending == policy.TurnedAway {
+		tr.executed[tr.arrivals[id].id] = false
+	}
+	tr.h.gate.Outcome(tr.h.now, policy.Outcome{ID: id, Ending: ending})
+}
+
+// In random traces no id is sent to an upstream twice but for one whose attempt provably did not reach
+// it, none runs that was rejected under the same send, and none that has run is rejected afterwards.
+func TestAttemptLogRandomTraces(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		tr := newAttemptTrace(t)
+		for range rapid.IntRange(1, 60).Draw(t, "steps") {
+			tr.h.now += time.Duration(rapid.IntRange(0, 400).Draw(t, "ms")) * ms
+			tr.h.takeDecisions()
+			if len(tr.inFlight) > 0 && rapid.Bool().Draw(t, "end") {
+				tr.endOne()
+			} else {
+				tr.arrive()
+			}
+		}
+	})
+}
