--- a/cmd/measure/control_links.go
+++ b/cmd/measure/control_links.go
@@ -79,6 +79,8 @@
 	return l, until("a leader", func() bool { return l.leader() != nil })
 }
 
+func (r *linkedReplica) appliedIndex() replication.Index { return replication.Index(r.applied.Load()) }
+
 func (l *linkedCore) start(c cleanups, r *linkedReplica, dir string, seeds []string) error {
 	if err := os.Mkdir(dir, 0o700); err != nil {
 		return err
@@ -94,10 +96,10 @@
 	}
 	r.storage = &stallingStorage{Storage: store}
 	node, err := replication.StartNode(replication.NodeConfig{
-		Storage: r.storage, State: state, Logger: zap.NewNop(), AppliedIndex: r.applied.Load,
+		Storage: r.storage, State: state, Logger: zap.NewNop(), AppliedIndex: r.appliedIndex,
 		Send:     func(to replication.MemberID, msgs []replication.Message) { l.deliver(r, to, msgs) },
-		Apply:    func(index uint64, _ []byte) { r.applied.Store(index) },
-		Restore:  func(index uint64, _ []byte) { r.applied.Store(index) },
+		Apply:    func(index replication.Index, _ []byte) { r.applied.Store(uint64(index)) },
+		Restore:  func(index replication.Index, _ []byte) { r.applied.Store(uint64(index)) },
 		Snapshot: func() []byte { return []byte("state") },
 	})
 	if err != nil {
--- a/internal/mesh/controlplane/push_test.go
+++ b/internal/mesh/controlplane/push_test.go
@@ -11,6 +11,7 @@
 	"pgregory.net/rapid"
 
 	"caperarch/internal/mesh/config"
+	"caperarch/internal/mesh/replication"
 	"caperarch/internal/mesh/sidecar"
 )
 
@@ -86,7 +87,7 @@
 			if outcome == config.Applied {
 				history = append(history, next)
 			}
-			id, index := proposalID(step), uint64(step)
+			id, index := proposalID(step), replication.Index(step)
 			result := m.expectResult(id)
 			m.apply(index, encodeCommand(id, change))
 			if restored {
--- a/internal/mesh/controlplane/request_simulation_test.go
+++ b/internal/mesh/controlplane/request_simulation_test.go
@@ -12,6 +12,7 @@
 
 	"caperarch/internal/mesh/config"
 	"caperarch/internal/mesh/errs"
+	"caperarch/internal/mesh/replication"
 )
 
 const (
@@ -118,7 +119,7 @@
 func (sim *simulation) restart(r *replica) {
 	r.machine, r.delivered = newStateMachine(zap.NewNop(), func() {}), r.snapshotAt
 	if r.snapshot != nil {
-		r.machine.restore(uint64(r.snapshotAt), r.snapshot)
+		r.machine.restore(replication.Index(r.snapshotAt), r.snapshot)
 		finishQueue(r.machine)
 	}
 }
@@ -126,11 +127,11 @@
 // catchUp delivers up to n entries to a replica.
 func (sim *simulation) catchUp(r *replica, n int) {
 	for ; n > 0 && r.delivered < len(sim.committed); n-- {
-		r.machine.apply(uint64(r.delivered+1), sim.committed[r.delivered])
+		r.machine.apply(replication.Index(r.delivered+1), sim.committed[r.delivered])
 		r.delivered++
 	}
 	finishQueue(r.machine)
-	if got := r.machine.appliedIndex(); got != uint64(r.delivered) {
+	if got := r.machine.appliedIndex(); got != replication.Index(r.delivered) {
 		sim.t.Fatalf("applied %d of %d", got, r.delivered)
 	}
 }
@@ -309,7 +310,7 @@
 	if from.snapshotAt <= r.delivered {
 		return
 	}
-	r.machine.restore(uint64(from.snapshotAt), from.snapshot)
+	r.machine.restore(replication.Index(from.snapshotAt), from.snapshot)
 	r.delivered = from.snapshotAt
 	sim.catchUp(r, 0)
 	sim.collect()
--- a/internal/mesh/controlplane/statemachine.go
+++ b/internal/mesh/controlplane/statemachine.go
@@ -6,6 +6,7 @@
 
 	"caperarch/internal/mesh/config"
 	"caperarch/internal/mesh/errs"
+	"caperarch/internal/mesh/replication"
 
 	"go.uber.org/zap"
 )
@@ -30,7 +31,7 @@
 	enqueued      uint64        // items so far
 	processed     uint64        // of these, items that are complete
 	progress      chan struct{} // closed, and made anew, whenever processed grows
-	applied       uint64        // index in the log
+	applied       replication.Index
 	// corrupted is set from a snapshot that can't be decoded to the next one that can: entries in
 	// between would be applied to the wrong state.
 	corrupted bool
@@ -38,7 +39,7 @@
 
 // logItem is an entry of the log, or a snapshot in place of all entries up to its index.
 type logItem struct {
-	index      uint64
+	index      replication.Index
 	data       []byte
 	isSnapshot bool
 }
@@ -65,7 +66,7 @@
 
 // appliedIndex is the index up to which everything that the log handed over has been applied. After a
 // snapshot that could not be decoded it stands still until one arrives that can.
-func (m *stateMachine) appliedIndex() uint64 {
+func (m *stateMachine) appliedIndex() replication.Index {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.applied
@@ -73,12 +74,12 @@
 
 // apply queues the command of an entry. An entry without a change, such as a new leader's first one,
 // only advances the applied index.
-func (m *stateMachine) apply(index uint64, command []byte) {
+func (m *stateMachine) apply(index replication.Index, command []byte) {
 	m.enqueue(logItem{index: index, data: command})
 }
 
 // restore queues a snapshot in place of all entries up to its index.
-func (m *stateMachine) restore(index uint64, data []byte) {
+func (m *stateMachine) restore(index replication.Index, data []byte) {
 	m.enqueue(logItem{index: index, data: data, isSnapshot: true})
 }
 
@@ -123,13 +124,13 @@
 	return item, true
 }
 
-func (m *stateMachine) markEntryProcessed(index uint64) {
+func (m *stateMachine) markEntryProcessed(index replication.Index) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.advance(index)
 }
 
-func (m *stateMachine) markSnapshotProcessed(index uint64, restored bool) {
+func (m *stateMachine) markSnapshotProcessed(index replication.Index, restored bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.corrupted = !restored
@@ -137,7 +138,7 @@
 }
 
 // advance counts an item as processed and wakes those who wait for that. The caller holds the lock.
-func (m *stateMachine) advance(index uint64) {
+func (m *stateMachine) advance(index replication.Index) {
 	m.processed++
 	if !m.corrupted {
 		m.applied = max(m.applied, index)
@@ -171,7 +172,7 @@
 }
 
 // applyCommand applies a command of the log and completes its proposal if it was made here.
-func (m *stateMachine) applyCommand(index uint64, command []byte) {
+func (m *stateMachine) applyCommand(index replication.Index, command []byte) {
 	if len(command) <= proposalIDSize {
 		return
 	}
@@ -181,16 +182,16 @@
 		m.completeProposal(id, proposalResult{
 			err: errs.Wrap(err, errs.Internal, "a command of the log can't be read"),
 		})
-		m.log.Error("log entry not decoded, skipped", zap.Uint64("index", index), zap.Error(err))
+		m.log.Error("log entry not decoded, skipped", zap.Uint64("index", uint64(index)), zap.Error(err))
 		return
 	}
 	version, outcome, err := m.applyChange(change)
 	m.completeProposal(id, proposalResult{version, err})
 	switch {
 	case err != nil:
-		m.log.Info("change rejected", zap.Uint64("index", index), zap.Error(err))
+		m.log.Info("change rejected", zap.Uint64("index", uint64(index)), zap.Error(err))
 	case outcome == config.Applied:
-		m.log.Info("change applied", zap.Uint64("index", index), zap.Int64("version", version))
+		m.log.Info("change applied", zap.Uint64("index", uint64(index)), zap.Int64("version", version))
 		m.configurationChanged()
 	}
 }
--- a/internal/mesh/controlplane/statemachine_test.go
+++ b/internal/mesh/controlplane/statemachine_test.go
@@ -8,6 +8,7 @@
 	"go.uber.org/zap"
 
 	"caperarch/internal/mesh/errs"
+	"caperarch/internal/mesh/replication"
 )
 
 func TestStateMachine(t *testing.T) {
@@ -101,7 +102,7 @@
 		m.restore(6, intact)
 		m.apply(7, encodeCommand(4, replaceChange(5, 3, "b")))
 		finishQueue(m)
-		So([]any{m.Current(), m.appliedIndex()}, ShouldResemble, []any{int64(5), uint64(7)})
+		So([]any{m.Current(), m.appliedIndex()}, ShouldResemble, []any{int64(5), replication.Index(7)})
 	})
 	Convey("While a command is being applied it doesn't count as applied, and there is no snapshot", t, func() {
 		started, proceed := make(chan struct{}), make(chan struct{})
--- a/internal/mesh/replication/application_test.go
+++ b/internal/mesh/replication/application_test.go
@@ -38,17 +38,17 @@
 type application struct {
 	mu    sync.Mutex
 	list  []string
-	index uint64
+	index Index
 }
 
 // applied returns the index of the last entry that was applied.
-func (a *application) applied() uint64 {
+func (a *application) applied() Index {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.index
 }
 
-func (a *application) apply(index uint64, cmd []byte) {
+func (a *application) apply(index Index, cmd []byte) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.index = index
@@ -58,7 +58,7 @@
 	a.list = append(a.list, string(cmd))
 }
 
-func (a *application) restore(index uint64, data []byte) {
+func (a *application) restore(index Index, data []byte) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.index = index
--- a/internal/mesh/replication/calls.go
+++ b/internal/mesh/replication/calls.go
@@ -28,12 +28,11 @@
 // Propose returns the index of a command once it is committed and applied here. Errors of kind
 // NotLeader, Invalid, TooLarge, Busy and DiskFailed mean that nothing was done; NoQuorum and
 // DeadlineExceeded mean that the command may be committed or not.
-func (n *Node) Propose(ctx context.Context, command []byte) (index uint64, err error) {
+func (n *Node) Propose(ctx context.Context, command []byte) (index Index, err error) {
 	if len(command) == 0 {
 		return 0, errs.New(errs.Invalid, "replication: a command is empty")
 	}
-	committed, err := n.submit(call{ctx: ctx, command: command})
-	return uint64(committed), err
+	return n.submit(call{ctx: ctx, command: command})
 }
 
 // Read returns once this replica, being the leader, has confirmed that it still is, and has applied
--- a/internal/mesh/replication/loop.go
+++ b/internal/mesh/replication/loop.go
@@ -69,7 +69,7 @@
 	}
 	n.sendMessages(ready.Messages)
 	if ready.Restore != nil {
-		n.config.Restore(uint64(ready.Restore.Index), ready.Restore.Data)
+		n.config.Restore(ready.Restore.Index, ready.Restore.Data)
 	}
 	for i := range ready.CommittedEntries {
 		n.apply(&ready.CommittedEntries[i])
@@ -104,10 +104,10 @@
 // apply hands an entry to the application, which needs only the index of a membership.
 func (n *Node) apply(e *Entry) {
 	if e.Kind == EntryMembership {
-		n.config.Apply(uint64(e.Index), nil)
+		n.config.Apply(e.Index, nil)
 		return
 	}
-	n.config.Apply(uint64(e.Index), e.Command)
+	n.config.Apply(e.Index, e.Command)
 }
 
 // publishStatus makes the replica's state visible to other goroutines.
--- a/internal/mesh/replication/node.go
+++ b/internal/mesh/replication/node.go
@@ -25,16 +25,16 @@
 	Send func(to MemberID, messages []Message)
 	// Apply receives every committed entry after the restored snapshot in order, once in the life
 	// of the node. An entry that holds no command of the application comes without one.
-	Apply func(index uint64, command []byte)
+	Apply func(index Index, command []byte)
 	// Restore replaces the application's state by that of an earlier Snapshot, which includes
 	// everything up to index.
-	Restore func(index uint64, data []byte)
+	Restore func(index Index, data []byte)
 	// Snapshot returns the application's state; nil means that it isn't available now, and is asked
 	// for again.
 	Snapshot func() []byte
 	// AppliedIndex is the index up to which the application has finished applying. It is called
 	// from any goroutine.
-	AppliedIndex func() uint64
+	AppliedIndex func() Index
 	Logger       *zap.Logger
 }
 
@@ -93,7 +93,7 @@
 		return nil, err
 	}
 	if config.State.Snapshot.Index > 0 {
-		config.Restore(uint64(config.State.Snapshot.Index), config.State.Snapshot.Data)
+		config.Restore(config.State.Snapshot.Index, config.State.Snapshot.Data)
 	}
 	config.State = State{} // the replica has it; this copy would keep its memory
 	n := &Node{
@@ -138,7 +138,7 @@
 // this node follows. It counts only once the application has applied everything that was committed
 // then, so what the node serves is at most that old. ok is false while there is no confirmation.
 func (n *Node) Contact() (age time.Duration, ok bool) {
-	return n.contact.age(n.now(), Index(n.config.AppliedIndex()))
+	return n.contact.age(n.now(), n.config.AppliedIndex())
 }
 
 // InContact says whether a majority has lately confirmed what this node serves.
