--- a/cmd/measure/mutants.go
+++ b/cmd/measure/mutants.go
@@ -24,7 +24,7 @@
 
 // planted are all faults.
 var planted = []batch{
-	{"internal/fleet/replicatedstate", "", accordMutants}, {"internal/fleet/raftlog", "", agreeMutants}, {"internal/fleet/policyrollout", "internal/fleet/replicatedstate", policyMutants}, {"internal/fleet/maintenance", "", outageMutants},
+	{"internal/fleet/replicatedstate", "", replicatedStateMutants}, {"internal/fleet/raftlog", "", raftLogMutants}, {"internal/fleet/policyrollout", "internal/fleet/replicatedstate", policyRolloutMutants}, {"internal/fleet/maintenance", "", maintenanceMutants},
 	{"internal/fleet/maintenance", "internal/fleet/replicatedstate", roundMutants}, {"internal/fleet/swim", "", swimMutants},
 	{"internal/mesh/replication", "", replicationMutants},
 }
@@ -62,8 +62,8 @@
 	{"probe.go", "if n.doubts(now) {\n\t\treturn\n\t}\n\tm := &n.members[p.to]", "m := &n.members[p.to]", "who doubts itself accuses"},
 }
 
-// outageMutants are faults in how machines are taken out for work.
-var outageMutants = []mutant{
+// maintenanceMutants are faults in how machines are taken out for work.
+var maintenanceMutants = []mutant{
 	{"state.go", "if e.Kind.ofLeader() && e.Term != s.Term {", "if false {", "a leader that leads no more decides on"},
 	{"state.go", "if e.Term <= s.Term {", "if e.Term == s.Term {", "an earlier leader takes over again"},
 	{"state.go", "case e.Number != s.LastTurn+1:", "case false:", "turns of any number"},
@@ -98,8 +98,8 @@
 	{"own.go", "if t.Phase != Returning && o.clear[t.Number] != t.Machine {\n\t\t\tif all", "if false {\n\t\t\tif all", "nobody looks whether anything is out there"},
 }
 
-// policyMutants are faults in how a change of policy takes hold.
-var policyMutants = []mutant{
+// policyRolloutMutants are faults in how a change of policy takes hold.
+var policyRolloutMutants = []mutant{
 	{"holder.go", "if h.blind || !h.Granted(now) ||", "if h.blind ||", "who has no grant goes by the log all the same"},
 	{"holder.go", "if s.Pending.Version != 0 && h.told == s.Pending {", "if false {", "who can't apply it any more goes back to the old one"},
 	{"holder.go", "if g.index <= h.have && now-g.sent", "if now-g.sent", "a grant counts before the log is here"},
@@ -129,8 +129,8 @@
 	{"state.go", "if e.Version != s.Pending.Version || e.Version == 0 {", "if e.Version == 0 {", "an outcome that comes late counts for the next change"},
 }
 
-// agreeMutants are faults in the agreed log.
-var agreeMutants = []mutant{
+// raftLogMutants are faults in the agreed log.
+var raftLogMutants = []mutant{
 	{"raftlog.go", "if m.GetTo() != n.id {\n\t\treturn", "if false {\n\t\treturn", "who restarts answers for the process before it"},
 	{"raftlog.go", "b[i], b[8+i] = byte(s.Life>>(8*i)), byte(s.Number>>(8*i))", "b[8+i] = byte(s.Number>>(8*i))", "a vote is a number's, not a process's"},
 	{"raftlog.go", "case m.Epoch < n.epoch:\n\t\tn.send(from, &Message{}) // it shall hear that there is a newer one\n\t\treturn", "case m.Epoch < n.epoch:", "an older epoch's log goes on in the new one"},
@@ -140,8 +140,8 @@
 	{"confirm.go", "if term := n.Term(); term != n.confirmTerm {", "if term := n.Term(); false {", "an earlier term's confirmation counts"},
 }
 
-// accordMutants are faults in one sidecar's whole part.
-var accordMutants = []mutant{
+// replicatedStateMutants are faults in one sidecar's whole part.
+var replicatedStateMutants = []mutant{
 	{"reports.go", "g.Life == n.life", "true", "a grant for the process before it counts"},
 	{"reports.go", "n.holder.Grant(now, unstamp(sent), index)", "n.holder.Grant(now, now, index)", "a grant counts from when it comes, not from what it answers"},
 	{"reports.go", "n.grant(now, h, m.Index)", "n.grant(now, h, 0)", "a grant counts however little of the log is here"},
@@ -151,7 +151,7 @@
 	{"replicatedstate.go", "n.leader == nil || n.term != n.log.Term() || n.epoch != n.log.Epoch()", "n.leader == nil", "a leader goes on with what it knew in an earlier term"},
 	{"replicatedstate.go", "if m.Epoch != 0 && m.Epoch == n.log.Epoch() {", "if true {", "reports and grants of another log count"},
 	{"replicatedstate.go", "return seat != s.Life", "return false", "a voter that has restarted is never replaced"},
-	{"change.go", "case goes.Mode == fleetpolicy.CutOff:", "case false:", "one that is cut off begins a change"},
+	{"change.go", "case goes.Mode == policyrollout.CutOff:", "case false:", "one that is cut off begins a change"},
 	{"change.go", "case base != s.Holds.Version:", "case false:", "a proposal on an old base is begun"},
 	{"change.go", "if x.pieces() > pushPieces {", "if false {", "a long text does not go round first"},
 	{"texts.go", "nameOf(sum) != x.name", "false", "a text that was spoilt on the way is taken"},
