--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -81,7 +81,7 @@
 	}
 	s.attach(p, cfg, c)
 	f := fronthttp1.New(fronthttp1.Config{
-		Route: fronthttp1.To(p.target), Conns: fronthttp1.BoundsOf(cfg.ClientConns(), cfg.ApplicationConns()), Longest: cfg.Longest, Log: log,
+		Route: fronthttp1.RouteTo(p.target), ConnLimits: fronthttp1.NewConnLimits(cfg.ClientConns(), cfg.ApplicationConns()), MaxDeadline: cfg.Longest, Log: log,
 	}, c)
 	running, stop := context.WithCancel(context.Background())
 	defer stop()
@@ -126,13 +126,13 @@
 // assemble puts an engine together with the transport that it sends over and the list that it follows. Nothing runs yet.
 func assemble(name string, cfg *config.Config, c clock.Clock, conns int, log *slog.Logger, s *service, o *options) (*parts, error) {
 	p := &parts{name: name, conns: conns, transport: http1.New(http1.Config{
-		Clock: c, DialTimeout: cfg.DialTimeout, ConnIdle: cfg.ConnIdle, MostConns: conns, Reports: cfg.Reports, Columns: cfg.Columns,
-		Wrote: s.figures.Tried,
+		Clock: c, DialTimeout: cfg.DialTimeout, IdleTimeout: cfg.ConnIdle, MaxConns: conns, LoadFields: cfg.Reports, Columns: cfg.Columns,
+		OnRequestWritten: s.figures.Tried,
 	})}
 	decisions := cfg.Policy
 	decisions.Parts = s.parted
 	ended := s.know(&decisions)
-	limits := s.rule(func(out []string) { p.list.Also(out) }, func(ids []policy.ServerID) { p.list.Away(ids) }, func(open int) { p.target.Bound(open) })
+	limits := s.rule(func(out []string) { p.list.Also(out) }, func(ids []policy.ServerID) { p.list.Away(ids) }, func(open int) { p.target.SetMaxOpen(open) })
 	e, err := engine.New(engine.Config{
 		Policy: decisions, Seed: cfg.Seed, Clock: c, Transport: p.transport, Log: log, Watch: func() { p.follower.Ask() },
 		Module: o.module(), AttemptEnded: ended, Limits: limits,
@@ -144,8 +144,8 @@
 	known, ever := s.known(name, cfg.Known)
 	p.known = p.list.Known(known, ever)
 	p.target = &fronthttp1.Target{
-		Engine: e, Classes: cfg.Classes, ClassOf: cfg.Policy.Classes, Tenants: cfg.Tenants, MostOpen: cfg.MostOpen, BodyBytes: cfg.BodyBytes(),
-		Figures: s.figures.Classes(cfg.Classes),
+		Engine: e, Classes: cfg.Classes, ClassOf: cfg.Policy.Classes, Tenants: cfg.Tenants, MaxOpen: cfg.MostOpen, MaxBodyBytes: cfg.BodyBytes(),
+		Metrics: s.figures.Classes(cfg.Classes),
 	}
 	p.leave = s.enter(p)
 	p.follower = membership.New(membership.Config{
--- a/internal/daemon/pools.go
+++ b/internal/daemon/pools.go
@@ -51,7 +51,7 @@
 	for _, p := range pools.List {
 		longest = max(longest, p.Config.Longest)
 	}
-	d.front = fronthttp1.New(fronthttp1.Config{Route: d.route, Conns: fronthttp1.BoundsOf(cfg.ClientConns(), cfg.ApplicationConns()), Longest: longest, Log: d.log}, d.clock)
+	d.front = fronthttp1.New(fronthttp1.Config{Route: d.route, ConnLimits: fronthttp1.NewConnLimits(cfg.ClientConns(), cfg.ApplicationConns()), MaxDeadline: longest, Log: d.log}, d.clock)
 	if err := d.take(pools); err != nil {
 		return err
 	}
@@ -142,9 +142,9 @@
 			}
 			fresh = append(fresh, r)
 		}
-		r.target.SetWalls(nil)
+		r.target.SetSharedLimits(nil)
 		if pools.Walls {
-			r.target.SetWalls(&walls{d.clock, clients, calls, bodies, i, d.cfg.MostOpen > 0})
+			r.target.SetSharedLimits(&walls{d.clock, clients, calls, bodies, i, d.cfg.MostOpen > 0})
 		}
 		next.pools[p.Name] = r
 	}
@@ -153,9 +153,9 @@
 		for i, p := range pools.List {
 			targets[i] = next.pools[p.Name].target
 		}
-		d.front.Share(targets, weights)
+		d.front.ShareAmong(targets, weights)
 	} else {
-		d.front.Share(nil, nil)
+		d.front.ShareAmong(nil, nil)
 	}
 	d.now.Store(next)
 	if before == nil {
@@ -198,10 +198,10 @@
 
 // drain lets a pool finish what was sent to it before the table changed.
 func (d *poolsDaemon) drain(r *livePool) {
-	d.log.Info("pool leaves", "pool", r.pool.Name, "held", r.target.Held())
+	d.log.Info("pool leaves", "pool", r.pool.Name, "held", r.target.OpenRequests())
 	end := time.Now().Add(drainMargin + r.pool.Config.Longest)
 	time.Sleep(drainMargin)
-	for r.target.Held() > 0 && time.Now().Before(end) {
+	for r.target.OpenRequests() > 0 && time.Now().Before(end) {
 		time.Sleep(10 * time.Millisecond)
 	}
 	d.finish(r)
@@ -272,20 +272,20 @@
 	bounded bool // calls are
 }
 
-// Enter takes a place for a connection with a request.
-func (w *walls) Enter() bool { return w.clients.Take(w.clock.Now(), w.pool, 1) }
+// BeginRead takes a place for a connection with a request.
+func (w *walls) BeginRead() bool { return w.clients.Take(w.clock.Now(), w.pool, 1) }
 
-// Exit gives it back.
-func (w *walls) Exit() { w.clients.Give(w.pool, 1) }
+// EndRead gives it back.
+func (w *walls) EndRead() { w.clients.Give(w.pool, 1) }
 
-// Room says whether Take would take one now.
-func (w *walls) Room(size int64) bool {
+// HasCapacity says whether Reserve would take one now.
+func (w *walls) HasCapacity(size int64) bool {
 	now := w.clock.Now()
 	return (!w.bounded || w.calls.Room(now, w.pool, 1)) && w.bodies.Room(now, w.pool, size)
 }
 
-// Take takes a place for a request with a body of so many bytes.
-func (w *walls) Take(size int64) bool {
+// Reserve takes a place for a request with a body of so many bytes.
+func (w *walls) Reserve(size int64) bool {
 	now := w.clock.Now()
 	if w.bounded && !w.calls.Take(now, w.pool, 1) {
 		return false
@@ -299,8 +299,8 @@
 	return true
 }
 
-// Give gives it back.
-func (w *walls) Give(size int64) {
+// Release gives it back.
+func (w *walls) Release(size int64) {
 	if w.bounded {
 		w.calls.Give(w.pool, 1)
 	}
--- a/internal/daemon/replace.go
+++ b/internal/daemon/replace.go
@@ -138,14 +138,14 @@
 		s.fit(p)
 	}
 	if s.front != nil {
-		s.front.Divide(s.parted())
+		s.front.SetProcessCount(s.parted())
 	}
 }
 
 // fit bounds a pool to this process' part of what it may hold.
 func (s *service) fit(p *parts) {
 	p.transport.Resize(p.conns / s.parted())
-	p.target.Divide(s.parted())
+	p.target.SetProcessCount(s.parted())
 }
 
 // parted is how many processes live. It never waits.
--- a/internal/daemon/service.go
+++ b/internal/daemon/service.go
@@ -111,7 +111,7 @@
 	s.mu.Lock()
 	s.front = f
 	s.machine.Serving()
-	f.Divide(s.parted())
+	f.SetProcessCount(s.parted())
 	s.mu.Unlock()
 	s.join()
 	if s.control == nil {
--- a/internal/mesh/sidecar/engines.go
+++ b/internal/mesh/sidecar/engines.go
@@ -50,8 +50,8 @@
 // newBalancerEngine makes the engine that sends this machine's requests to gates.
 func (s *Sidecar) newBalancerEngine() (*engine.Engine, error) {
 	transport := http1.New(http1.Config{
-		Clock: s.clock, DialTimeout: dialTimeout, ConnIdle: gateConnIdle,
-		MostConns: s.connectionFiles() / 4, Rest: -1, Silence: idleTimeout, Dialect: gateDialect(),
+		Clock: s.clock, DialTimeout: dialTimeout, IdleTimeout: gateConnIdle,
+		MaxConns: s.connectionFiles() / 4, ReuseDelay: -1, UserTimeout: idleTimeout, Dialect: gateDialect(),
 	})
 	cfg := balancer.Config{
 		Zone: s.endpoints.zones[s.settings.Self.Zone], Members: s.sidecarCount, RetryBudget: s.quota,
@@ -68,8 +68,8 @@
 // newGateEngine makes the engine that sends admitted requests to the upstream beside the sidecar.
 func (s *Sidecar) newGateEngine() (*engine.Engine, error) {
 	transport := http1.New(http1.Config{
-		Clock: s.clock, DialTimeout: dialTimeout, ConnIdle: upstreamConnIdle,
-		MostConns: s.connectionFiles() / 8, Dialect: s.inbound.upstreamDialect(),
+		Clock: s.clock, DialTimeout: dialTimeout, IdleTimeout: upstreamConnIdle,
+		MaxConns: s.connectionFiles() / 8, Dialect: s.inbound.upstreamDialect(),
 	})
 	return engine.New(engine.Config{
 		Policy: policy.Config{MaxAttempts: 1}, Seed: s.engineSeed(), Clock: s.clock,
@@ -101,11 +101,11 @@
 // gateDialect is how requests are sent to gates, and how gates' responses are read.
 func gateDialect() *http1.Dialect {
 	return &http1.Dialect{
-		Timeout:   headers.Timeout,
-		Mine:      headers.MatchesAttempt,
-		Judge:     classifyGateResponse,
-		SignField: headers.SendIDField,
-		Sign:      headers.NewSendIDSource().Next,
+		TimeoutField:   headers.Timeout,
+		MatchesRequest: headers.MatchesAttempt,
+		Classify:       classifyGateResponse,
+		SendIDField:    headers.SendIDField,
+		NewSendID:      headers.NewSendIDSource().Next,
 	}
 }
 
--- a/internal/mesh/sidecar/inbound.go
+++ b/internal/mesh/sidecar/inbound.go
@@ -24,13 +24,13 @@
 
 // frontDialect is how the front for sidecars treats their requests.
 func (i *inbound) frontDialect() *fronthttp1.Dialect {
-	return &fronthttp1.Dialect{Read: i.admit, Pass: i.stripHeaders, Own: i.ownResponseFields}
+	return &fronthttp1.Dialect{ParseRequest: i.admit, RewriteHeaders: i.stripHeaders, ProxyHeaders: i.ownResponseFields}
 }
 
 // upstreamDialect is how requests are sent to the local upstream, and how its responses are read.
 func (i *inbound) upstreamDialect() *http1.Dialect {
 	return &http1.Dialect{
-		Timeout: headers.Timeout, Mine: headers.MatchesAttempt, Judge: i.classifyUpstreamResponse,
+		TimeoutField: headers.Timeout, MatchesRequest: headers.MatchesAttempt, Classify: i.classifyUpstreamResponse,
 	}
 }
 
@@ -46,7 +46,7 @@
 	instance := i.instance.Load()
 	if instance == nil || *instance != h.Get(headers.Target) {
 		return policy.Request{}, 0, &fronthttp1.Rejection{
-			Status: http.StatusServiceUnavailable, Reason: "another instance is here", Keep: true,
+			Status: http.StatusServiceUnavailable, Reason: "another instance is here", KeepAlive: true,
 		}
 	}
 	return policy.Request{Terms: terms}, remaining, nil
--- a/internal/mesh/sidecar/inbound_test.go
+++ b/internal/mesh/sidecar/inbound_test.go
@@ -44,14 +44,14 @@
 
 // endingOf is how a caller's sidecar takes a response that the gate's side makes itself.
 func endingOf(d *http1.Dialect, status int, h *h1.Head, a *call.Answer) policy.Ending {
-	ending, _ := headers.ClassifyGateResponse(&http.Response{StatusCode: status, Header: d.Own(h, a)})
+	ending, _ := headers.ClassifyGateResponse(&http.Response{StatusCode: status, Header: d.ProxyHeaders(h, a)})
 	return ending
 }
 
 func TestInboundAdmission(t *testing.T) {
 	shouldReject := func(d *http1.Dialect, fields string, status int) {
 		h := parseHead(idempotentLine, fields)
-		_, _, rejection := d.Read(h)
+		_, _, rejection := d.ParseRequest(h)
 		So(rejection, ShouldNotBeNil)
 		So(rejection.Status, ShouldEqual, status)
 		So(endingOf(d, status, h, nil), ShouldEqual, policy.Gated)
@@ -88,7 +88,7 @@
 		i, d := newInbound(host)
 		i.gate.List(0, policy.ListFull, []policy.Server{{ID: 1, State: policy.Ready, Weight: 4}})
 		h := parseHead(idempotentLine, once)
-		q, remaining, rejection := d.Read(h)
+		q, remaining, rejection := d.ParseRequest(h)
 		So(rejection, ShouldBeNil)
 		q.ID, q.Left = 1, remaining
 		i.gate.Request(0, q)
@@ -103,14 +103,14 @@
 		_, d := newInbound(nil)
 		tenantField := "X-Caperarch-Tenant-Id: bozi300\r\n"
 		h := parseHead(idempotentLine, attemptIDField+sidecarFields+tenantField)
-		q, remaining, rejection := d.Read(h)
+		q, remaining, rejection := d.ParseRequest(h)
 		So(rejection, ShouldBeNil)
 		So(remaining, ShouldEqual, 800*time.Millisecond)
 		So(*q.Terms.(*gate.AttemptTerms), ShouldResemble, gate.AttemptTerms{
 			Priority: 2, Idempotent: true, LatencyTarget: 250 * time.Millisecond,
 		})
 		fields := h.EndToEnd()
-		d.Pass(&q, fields)
+		d.RewriteHeaders(&q, fields)
 		So(fields, ShouldResemble, http.Header{
 			headers.AttemptID: {"9c41"}, headers.Timeout: {"800"}, headers.Target: {"i-1"},
 			headers.Tenant: {"bozi300"},
--- a/internal/mesh/sidecar/listeners.go
+++ b/internal/mesh/sidecar/listeners.go
@@ -37,21 +37,21 @@
 	linger, longest := drainTimes(s.settings.Guarantees.Bounds.GracePeriod)
 	outbound := s.newOutbound()
 	toGates := fronthttp1.Target{
-		Engine: s.balancerEngine, MostOpen: maxInFlight, BodyBytes: maxBufferedBodyBytes,
+		Engine: s.balancerEngine, MaxOpen: maxInFlight, MaxBodyBytes: maxBufferedBodyBytes,
 	}
 	toUpstream := fronthttp1.Target{
-		Engine: s.gateEngine, MostOpen: maxInFlight, BodyBytes: maxBufferedBodyBytes,
+		Engine: s.gateEngine, MaxOpen: maxInFlight, MaxBodyBytes: maxBufferedBodyBytes,
 	}
 	return fronts{
 		outbound: fronthttp1.New(fronthttp1.Config{
-			Route: fronthttp1.To(&toGates), Dialect: outbound.frontDialect(),
-			Conns: fronthttp1.BoundsAtRest(files * 3 / 8), Limits: outbound.clientLimits,
-			Longest: longest, Linger: linger, Log: logs,
+			Route: fronthttp1.RouteTo(&toGates), Dialect: outbound.frontDialect(),
+			ConnLimits: fronthttp1.KeepAliveConnLimits(files * 3 / 8), RequestLimits: outbound.clientLimits,
+			MaxDeadline: longest, Linger: linger, Log: logs,
 		}, s.clock),
 		inbound: fronthttp1.New(fronthttp1.Config{
-			Route: fronthttp1.To(&toUpstream), Dialect: s.inbound.frontDialect(),
-			Conns: fronthttp1.BoundsOf(files/4, files/4), Limits: inboundLimits,
-			Longest: longest, Linger: linger, Log: logs,
+			Route: fronthttp1.RouteTo(&toUpstream), Dialect: s.inbound.frontDialect(),
+			ConnLimits: fronthttp1.NewConnLimits(files/4, files/4), RequestLimits: inboundLimits,
+			MaxDeadline: longest, Linger: linger, Log: logs,
 		}, s.clock),
 	}
 }
@@ -88,4 +88,6 @@
 // inboundLimits bound what sidecars send. They bound their clients by the configuration, and may
 // have a newer one than this sidecar: a head that one of them admitted must fit here, with the
 // fields that it adds.
-func inboundLimits() fronthttp1.Limits { return fronthttp1.Limits{HeadBytes: maxInboundHeadBytes} }
+func inboundLimits() fronthttp1.RequestLimits {
+	return fronthttp1.RequestLimits{HeadBytes: maxInboundHeadBytes}
+}
--- a/internal/mesh/sidecar/mesh_test.go
+++ b/internal/mesh/sidecar/mesh_test.go
@@ -123,8 +123,8 @@
 	address string, e *engine.Engine, d *fronthttp1.Dialect, bodyBytes int64,
 ) {
 	front := fronthttp1.New(fronthttp1.Config{
-		Route:   fronthttp1.To(&fronthttp1.Target{Engine: e, BodyBytes: bodyBytes}),
-		Dialect: d, Conns: fronthttp1.BoundsOf(100, 100),
+		Route:   fronthttp1.RouteTo(&fronthttp1.Target{Engine: e, MaxBodyBytes: bodyBytes}),
+		Dialect: d, ConnLimits: fronthttp1.NewConnLimits(100, 100),
 		Log: slog.New(slog.DiscardHandler), InMemory: true,
 	}, clock.New())
 	listener := m.net.listen(address)
@@ -133,7 +133,7 @@
 
 func (m *mesh) transport(from, kind string, d *http1.Dialect) *http1.Transport {
 	transport := http1.New(http1.Config{
-		Clock: clock.New(), DialTimeout: dialTimeout, ConnIdle: time.Minute, MostConns: 100, Dialect: d,
+		Clock: clock.New(), DialTimeout: dialTimeout, IdleTimeout: time.Minute, MaxConns: 100, Dialect: d,
 		Dial: m.net.dialer(from, kind),
 	})
 	m.transports = append(m.transports, transport)
--- a/internal/mesh/sidecar/outbound.go
+++ b/internal/mesh/sidecar/outbound.go
@@ -47,10 +47,10 @@
 // frontDialect is how the front for clients treats their requests.
 func (o *outbound) frontDialect() *http1.Dialect {
 	return &http1.Dialect{
-		Read:  o.admit,
-		Pass:  o.rewriteHeaders,
-		Ahead: mayReadAhead,
-		Own:   ownResponseFields,
+		ParseRequest:   o.admit,
+		RewriteHeaders: o.rewriteHeaders,
+		CanPipeline:    mayReadAhead,
+		ProxyHeaders:   ownResponseFields,
 	}
 }
 
@@ -66,9 +66,9 @@
 }
 
 // clientLimits bound what clients send, by the configuration in force.
-func (o *outbound) clientLimits() http1.Limits {
+func (o *outbound) clientLimits() http1.RequestLimits {
 	limits := o.config.Load().Limits()
-	return http1.Limits{
+	return http1.RequestLimits{
 		HeadBytes: limits.HeaderBytes, BodyBytes: limits.BodyBytes,
 		HeadTime: limits.HeaderTimeout, IdleTime: limits.IdleTimeout,
 	}
@@ -103,17 +103,17 @@
 
 // rejectAndKeep rejects a request whose connection can be used for the next one.
 func rejectAndKeep(status int, reason string) *http1.Rejection {
-	return &http1.Rejection{Status: status, Reason: reason, Keep: true}
+	return &http1.Rejection{Status: status, Reason: reason, KeepAlive: true}
 }
 
 // rejectUntil is rejectAndKeep with a Retry-After.
 func rejectUntil(status int, reason string, retryAfter time.Duration) *http1.Rejection {
-	return &http1.Rejection{Status: status, Reason: reason, Keep: true, Pause: retryAfter}
+	return &http1.Rejection{Status: status, Reason: reason, KeepAlive: true, RetryAfter: retryAfter}
 }
 
 // checkHead rejects what no configuration admits.
 func checkHead(h *h1.Head) *http1.Rejection {
-	if h.Old {
+	if h.HTTP10 {
 		return rejectAndClose(http.StatusHTTPVersionNotSupported, "HTTP/1.1 is needed")
 	}
 	if name := headers.DuplicateField(h, headers.AttemptID, headers.Timeout, headers.Key); name != "" {
--- a/internal/mesh/sidecar/outbound_test.go
+++ b/internal/mesh/sidecar/outbound_test.go
@@ -102,7 +102,7 @@
 			"X-Mesh-Load: 0,0,9\r\nX-Mesh-Verdict: turned\r\n"
 		sent := "X-Caperarch-Timeout-Remaining: 900\r\nX-Own: 1\r\n"
 		h := parseHead(onceLine, attemptIDField+apiKeyField+forged+sent)
-		q, remaining, rejection := d.Read(h)
+		q, remaining, rejection := d.ParseRequest(h)
 		So(rejection, ShouldBeNil)
 		So(remaining, ShouldEqual, 900*time.Millisecond)
 		class := *q.Terms.(*balancer.RequestClass)
@@ -112,9 +112,9 @@
 			Compartment: balancer.CompartmentSpec{Name: "tenant bozi300"}, Tenant: "bozi300",
 			Priority: 1, MaxAttempts: 2, LatencyTarget: 300 * time.Millisecond,
 		})
-		So(d.Ahead(&q), ShouldBeFalse)
+		So(d.CanPipeline(&q), ShouldBeFalse)
 		fields := h.EndToEnd()
-		d.Pass(&q, fields)
+		d.RewriteHeaders(&q, fields)
 		So(fields, ShouldResemble, http.Header{
 			headers.AttemptID: {"9c41"}, headers.Timeout: {"900"}, "X-Own": {"1"},
 			headers.Tenant: {"bozi300"}, headers.Caller: {"huvo11a"}, "X-Mesh-Visit": {"1,300,0"},
@@ -122,11 +122,11 @@
 
 		publicLine := "GET /open/ HTTP/1.1\r\nHost: HULO84.example:80" // needs no key
 		h = parseHead(publicLine, attemptIDField+forged+"X-Caperarch-Timeout-Remaining: 5000\r\n")
-		q, remaining, rejection = d.Read(h)
+		q, remaining, rejection = d.ParseRequest(h)
 		So(rejection, ShouldBeNil)
 		So(remaining, ShouldEqual, time.Second)
 		fields = h.EndToEnd()
-		d.Pass(&q, fields)
+		d.RewriteHeaders(&q, fields)
 		So(fields, ShouldResemble, http.Header{
 			headers.AttemptID: {"9c41"}, headers.Timeout: {"5000"}, headers.Caller: {"huvo11a"},
 			"X-Mesh-Visit": {"4,250,1"},
@@ -158,22 +158,22 @@
 		} {
 			_, d := newOutbound(tenantConfig)
 			h := parseHead(c.line, c.fields)
-			_, _, rejection := d.Read(h)
+			_, _, rejection := d.ParseRequest(h)
 			So(rejection, ShouldNotBeNil)
 			got, want := []any{c.line, c.fields, rejection.Status}, []any{c.line, c.fields, c.status}
 			So(got, ShouldResemble, want)
-			So(rejection.Pause, ShouldEqual, 0)
-			So(d.Own(h, nil)[headers.AttemptID], ShouldNotResemble, []string{""})
+			So(rejection.RetryAfter, ShouldEqual, 0)
+			So(d.ProxyHeaders(h, nil)[headers.AttemptID], ShouldNotResemble, []string{""})
 		}
 		_, d := newOutbound("")
-		_, _, rejection := d.Read(parseHead(idempotentLine, both))
+		_, _, rejection := d.ParseRequest(parseHead(idempotentLine, both))
 		So(rejection.Status, ShouldEqual, http.StatusServiceUnavailable)
-		So(rejection.Pause, ShouldBeGreaterThan, 0)
+		So(rejection.RetryAfter, ShouldBeGreaterThan, 0)
 	})
 	Convey("Only a tenant over its quota is rejected, and told when to come back", t, func() {
 		o, d := newOutbound(tenantConfig)
 		admit := func(line, key string) *http1.Rejection {
-			_, _, rejection := d.Read(parseHead(line, attemptIDField+key))
+			_, _, rejection := d.ParseRequest(parseHead(line, attemptIDField+key))
 			return rejection
 		}
 		n := 0
@@ -182,8 +182,8 @@
 		So(n, ShouldBeBetweenOrEqual, 1, 12) // its burst, a tenth of a window's rate, and half the slack
 		rejection := admit(idempotentLine, meagreKeyField)
 		So(rejection.Status, ShouldEqual, http.StatusTooManyRequests)
-		So(rejection.Keep, ShouldBeTrue)
-		So(rejection.Pause, ShouldBeBetween, 0, 10*time.Second)
+		So(rejection.KeepAlive, ShouldBeTrue)
+		So(rejection.RetryAfter, ShouldBeBetween, 0, 10*time.Second)
 		So(admit(idempotentLine, apiKeyField), ShouldBeNil)
 		So(admit(openLine, meagreKeyField), ShouldBeNil)
 		o.quota.clock.Jump(time.Hour)
@@ -191,7 +191,7 @@
 	})
 	Convey("Clients have the limits in force, and a gate admits what any sidecar has admitted", t, func() {
 		o, _ := newOutbound("")
-		So(o.clientLimits(), ShouldResemble, http1.Limits{
+		So(o.clientLimits(), ShouldResemble, http1.RequestLimits{
 			HeadBytes: 16 << 10, BodyBytes: 64 << 20, HeadTime: 3 * time.Second, IdleTime: 15 * time.Second,
 		})
 		change, err := config.ParseReplace([]byte(`{"configVersion":9,"resources":[
@@ -201,11 +201,11 @@
 		next, _, err := o.config.Load().Apply(change)
 		So(err, ShouldBeNil)
 		o.config.Store(next)
-		So(o.clientLimits(), ShouldResemble, http1.Limits{
+		So(o.clientLimits(), ShouldResemble, http1.RequestLimits{
 			HeadBytes: 32 << 10, BodyBytes: 9,
 			HeadTime: 4500 * time.Millisecond, IdleTime: 500 * time.Millisecond,
 		})
-		So(inboundLimits(), ShouldResemble, http1.Limits{HeadBytes: maxInboundHeadBytes})
+		So(inboundLimits(), ShouldResemble, http1.RequestLimits{HeadBytes: maxInboundHeadBytes})
 		So(inboundLimits().HeadBytes, ShouldBeGreaterThan, o.clientLimits().HeadBytes)
 	})
 	Convey("Services are drawn by weight", t, func() {
--- a/internal/mesh/sidecar/routes_test.go
+++ b/internal/mesh/sidecar/routes_test.go
@@ -44,7 +44,7 @@
 		o, d := newOutbound(tenantConfig)
 		o.endpoints.recordHeartbeat(registry.Upstream{Instance: "i-1", Service: "huvo11a", Slots: 9})
 		classOf := func(line string) *balancer.RequestClass {
-			q, _, rejection := d.Read(parseHead(line, attemptIDField))
+			q, _, rejection := d.ParseRequest(parseHead(line, attemptIDField))
 			So(rejection, ShouldBeNil)
 			return q.Terms.(*balancer.RequestClass)
 		}
--- a/internal/proxy/engine/engine_test.go
+++ b/internal/proxy/engine/engine_test.go
@@ -25,7 +25,7 @@
 		t.Fatal(err)
 	}
 	c := clock.New()
-	transport := http1.New(http1.Config{Clock: c, DialTimeout: cfg.DialTimeout, ConnIdle: cfg.ConnIdle, MostConns: 96})
+	transport := http1.New(http1.Config{Clock: c, DialTimeout: cfg.DialTimeout, IdleTimeout: cfg.ConnIdle, MaxConns: 96})
 	e, err := New(Config{Policy: cfg.Policy, Seed: cfg.Seed, Clock: c, Transport: transport, Log: slog.Default()})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/proxy/front/http1/accept.go
+++ b/internal/proxy/front/http1/accept.go
@@ -33,7 +33,7 @@
 	once  sync.Once
 }
 
-func newAcceptor(c clock.Clock, bounds Bounds, limits func() Limits) *acceptor {
+func newAcceptor(c clock.Clock, bounds ConnLimits, limits func() RequestLimits) *acceptor {
 	return &acceptor{
 		clock: c, books: books{bounds: bounds, limits: limits, speaks: func(e *entry) bool { return e.conn.speaks() }}, freed: make(chan struct{}, 1), done: make(chan struct{}),
 	}
@@ -113,7 +113,7 @@
 }
 
 // bound bounds connections anew.
-func (a *acceptor) bound(b Bounds) {
+func (a *acceptor) bound(b ConnLimits) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.books.bounds = b
--- a/internal/proxy/front/http1/accept_test.go
+++ b/internal/proxy/front/http1/accept_test.go
@@ -14,7 +14,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	a := newAcceptor(clock.New(), Bounds{Most: 2, Rest: [kinds]int{2, 2, 2, 2, 2, 2}}, nil)
+	a := newAcceptor(clock.New(), ConnLimits{Max: 2, MaxIdle: [kinds]int{2, 2, 2, 2, 2, 2}}, nil)
 	a.listener = l
 	defer a.close()
 	accept := func() *conn {
--- a/internal/proxy/front/http1/ahead.go
+++ b/internal/proxy/front/http1/ahead.go
@@ -36,8 +36,8 @@
 type open struct {
 	t      *Target
 	counts *metrics.Class
-	walls  *Walls // nil: there are none
-	size   int64  // of what is held of its body
+	walls  *SharedLimits // nil: there are none
+	size   int64         // of what is held of its body
 	number policy.RequestID
 	reply  chan call.Answer
 
@@ -46,23 +46,23 @@
 }
 
 // enter takes the place for being read, or says that there is none.
-func (o *open) enter() bool { return o.walls == nil || (*o.walls).Enter() }
+func (o *open) enter() bool { return o.walls == nil || (*o.walls).BeginRead() }
 
 // exit gives it back.
 func (o *open) exit() {
 	if o.walls != nil {
-		(*o.walls).Exit()
+		(*o.walls).EndRead()
 	}
 }
 
 // room says whether take would find places now.
 func (o *open) room() bool {
-	return o.t.room(1, o.size) && (o.walls == nil || (*o.walls).Room(o.size))
+	return o.t.room(1, o.size) && (o.walls == nil || (*o.walls).HasCapacity(o.size))
 }
 
 // take takes its places, or says that one is missing; give is called either way.
 func (o *open) take(f *Front) bool {
-	if o.counted = o.t.take(o.size); !o.counted || o.walls != nil && !(*o.walls).Take(o.size) {
+	if o.counted = o.t.take(o.size); !o.counted || o.walls != nil && !(*o.walls).Reserve(o.size) {
 		return false
 	}
 	o.taken = true
@@ -77,7 +77,7 @@
 		o.counts.Ended()
 		f.held.Add(-1)
 		if o.walls != nil {
-			(*o.walls).Give(o.size)
+			(*o.walls).Release(o.size)
 		}
 	}
 	if o.counted {
@@ -171,18 +171,18 @@
 func (c *conn) message(h *h1.Head, q *policy.Request) *call.Message {
 	m := &call.Message{Method: h.Method, URI: h.Target, Host: h.Host, Header: h.EndToEnd(), Stream: true}
 	if d := c.front.cfg.Dialect; d != nil {
-		d.Pass(q, m.Header)
+		d.RewriteHeaders(q, m.Header)
 	}
 	return m
 }
 
 // single says whether a request is its head alone and leaves its connection open.
-func single(h *h1.Head) bool { return h.Length <= 0 && !h.Chunks && !h.Expect && !h.Close }
+func single(h *h1.Head) bool { return h.Length <= 0 && !h.Chunked && !h.ExpectContinue && !h.Close }
 
 // alongside says whether a request may be open together with others of its connection. A shared front reads nothing ahead: what it reads waits for its permit.
 func (c *conn) alongside(h *h1.Head, q *policy.Request) bool {
 	d := c.front.cfg.Dialect
-	return d != nil && d.Ahead != nil && c.front.gate.Load() == nil && single(h) && d.Ahead(q)
+	return d != nil && d.CanPipeline != nil && c.front.gate.Load() == nil && single(h) && d.CanPipeline(q)
 }
 
 // readAhead takes on what has come behind the requests that are open, and says whether that was something. It never waits. It is called from one goroutine at a
@@ -195,7 +195,7 @@
 		c.pipelines()
 		if c.line == nil {
 			c.line = lines.Get().(*line)
-			c.line.parser.Limit(c.front.limits().headBytes())
+			c.line.parser.SetLimit(c.front.limits().headBytes())
 		}
 		l := c.line
 		s := &l.slots[(l.first+l.n)%aheadMost]
@@ -210,7 +210,7 @@
 		case !c.ahead(s):
 			l.blocked = true
 		default:
-			l.parser.Limit(c.front.limits().headBytes())
+			l.parser.SetLimit(c.front.limits().headBytes())
 			c.start += size
 			l.n++
 			took = true
@@ -226,7 +226,7 @@
 	}
 	most := 0
 	if c.line != nil {
-		most = c.line.parser.Most()
+		most = c.line.parser.MaxBytes()
 	}
 	c.makeRoom(most)
 	p := c.s.in[c.end:]
--- a/internal/proxy/front/http1/ahead_test.go
+++ b/internal/proxy/front/http1/ahead_test.go
@@ -63,18 +63,18 @@
 // dialect has /safe/... be idempotent and /over/... be over a quota.
 func (d *desk) dialect() *Dialect {
 	return &Dialect{
-		Read: func(h *h1.Head) (policy.Request, time.Duration, *Rejection) {
+		ParseRequest: func(h *h1.Head) (policy.Request, time.Duration, *Rejection) {
 			d.mu.Lock()
 			defer d.mu.Unlock()
 			d.reads = append(d.reads, h.Target)
 			if strings.HasPrefix(h.Target, "/over") {
-				return policy.Request{}, 0, &Rejection{Status: http.StatusTooManyRequests, Keep: true}
+				return policy.Request{}, 0, &Rejection{Status: http.StatusTooManyRequests, KeepAlive: true}
 			}
 			return policy.Request{Repeat: strings.HasPrefix(h.Target, "/safe")}, time.Minute, nil
 		},
-		Pass:  func(*policy.Request, http.Header) {},
-		Ahead: func(q *policy.Request) bool { return q.Repeat },
-		Own:   func(h *h1.Head, _ *call.Answer) http.Header { return http.Header{"Of": {h.Target}} },
+		RewriteHeaders: func(*policy.Request, http.Header) {},
+		CanPipeline:    func(q *policy.Request) bool { return q.Repeat },
+		ProxyHeaders:   func(h *h1.Head, _ *call.Answer) http.Header { return http.Header{"Of": {h.Target}} },
 	}
 }
 
@@ -82,8 +82,8 @@
 func newDesk(t *testing.T, most int, dialect bool, change ...func(*Config)) *desk {
 	t.Helper()
 	d := &desk{asks: make(chan asked, 64), gone: make(chan policy.RequestID, 64), served: make(chan error, 1)}
-	d.target = &Target{Engine: d, MostOpen: most, BodyBytes: 1 << 20, Classes: map[string]int{"look": 0}, ClassOf: []policy.Class{{Effect: policy.Safe, Deadline: time.Minute}}}
-	cfg := Config{Route: To(d.target), Conns: BoundsOf(64, 64), Linger: time.Millisecond, Longest: testbed.Generous, Log: slog.New(slog.DiscardHandler)}
+	d.target = &Target{Engine: d, MaxOpen: most, MaxBodyBytes: 1 << 20, Classes: map[string]int{"look": 0}, ClassOf: []policy.Class{{Effect: policy.Safe, Deadline: time.Minute}}}
+	cfg := Config{Route: RouteTo(d.target), ConnLimits: NewConnLimits(64, 64), Linger: time.Millisecond, MaxDeadline: testbed.Generous, Log: slog.New(slog.DiscardHandler)}
 	if dialect {
 		cfg.Dialect = d.dialect()
 	}
@@ -105,7 +105,7 @@
 		if err := testbed.Wait(t, "the end", d.served); !errors.Is(err, net.ErrClosed) {
 			t.Error(err)
 		}
-		if held, open := d.front.held.Load(), d.target.Held(); held != 0 || open != 0 || len(d.asks) != 0 || len(d.gone) != 0 {
+		if held, open := d.front.held.Load(), d.target.OpenRequests(); held != 0 || open != 0 || len(d.asks) != 0 || len(d.gone) != 0 {
 			t.Errorf("at the end %d held, %d at the target, %d not looked at, %d gone", held, open, len(d.asks), len(d.gone))
 		}
 	})
@@ -195,7 +195,7 @@
 	d.has(t, "/safe/between")[0].serve()
 	c.takes(200, "done /safe/between")
 	c.Close()
-	until(t, "all others' places are free", func() bool { return d.target.Held() == held }) // each is given back behind its answer
+	until(t, "all others' places are free", func() bool { return d.target.OpenRequests() == held }) // each is given back behind its answer
 }
 
 // until waits until something is so.
@@ -239,7 +239,7 @@
 					c.send(get(uris...))
 					all = d.has(t, uris...)
 				}
-				until(t, "the last round's places are free", func() bool { return d.target.Held() == 3 })
+				until(t, "the last round's places are free", func() bool { return d.target.OpenRequests() == 3 })
 				d.front.conns.closeResting(0)
 				if rest := d.front.Counters().Rest; rest != [kinds]int{} {
 					t.Errorf("at rest %v, want none", rest)
@@ -505,7 +505,7 @@
 	for i := range 3 {
 		uri := fmt.Sprint("/look/", i)
 		a := d.has(t, uri)[0]
-		if held := d.target.Held(); held != 1 || len(d.asks) != 0 {
+		if held := d.target.OpenRequests(); held != 1 || len(d.asks) != 0 {
 			t.Errorf("%d held, %d more asked; want one at a time", held, len(d.asks))
 		}
 		a.serve()
--- a/internal/proxy/front/http1/body.go
+++ b/internal/proxy/front/http1/body.go
@@ -26,9 +26,9 @@
 // own must not read: stop ends that.
 type bodyReader struct {
 	c       *conn
-	left    int64      // of a body of known length
-	chunks  *h1.Chunks // or how far its chunks are; nil: the length is known
-	room    int64      // bytes that chunks may bring yet; below 0: no bound
+	left    int64            // of a body of known length
+	chunks  *h1.ChunkDecoder // or how far its chunks are; nil: the length is known
+	room    int64            // bytes that chunks may bring yet; below 0: no bound
 	stopped atomic.Bool
 
 	mu   sync.Mutex // over reading
@@ -46,8 +46,8 @@
 // newBodyReader reads on from what came with the head.
 func (c *conn) newBodyReader(h *h1.Head) *bodyReader {
 	b := &bodyReader{c: c, left: h.Length, room: -1}
-	if h.Chunks {
-		b.chunks = new(h1.Chunks)
+	if h.Chunked {
+		b.chunks = new(h1.ChunkDecoder)
 		if most := c.front.limits().BodyBytes; most > 0 {
 			b.room = most
 		}
@@ -225,7 +225,7 @@
 // pass passes an answer on as it comes; false: the connection can't go on.
 func (c *conn) pass(a *call.Answer, body call.Body) bool {
 	defer body.Close()
-	head := h1.Answer{Status: cmp.Or(a.Status, http.StatusOK), Header: a.Header, Length: body.Length()}
+	head := h1.Response{Status: cmp.Or(a.Status, http.StatusOK), Header: a.Header, Length: body.Length()}
 	counts := c.counts
 	c.counts = nil // the head alone is no outcome
 	if !c.answer(&head, nil) {
@@ -244,11 +244,11 @@
 	defer stream.Give(window)
 	chunked := head.Length < 0
 	for {
-		n, err := body.Read(window[h1.FrameBefore : stream.WindowSize-h1.FrameBehind])
+		n, err := body.Read(window[h1.ChunkPrefixBytes : stream.WindowSize-h1.ChunkSuffixBytes])
 		if n > 0 {
-			piece := window[h1.FrameBefore : h1.FrameBefore+n]
+			piece := window[h1.ChunkPrefixBytes : h1.ChunkPrefixBytes+n]
 			if chunked {
-				piece = h1.Frame(window[:], n)
+				piece = h1.FrameChunk(window[:], n)
 			}
 			if stream.Write(c.net, piece) != nil {
 				return false
--- a/internal/proxy/front/http1/books.go
+++ b/internal/proxy/front/http1/books.go
@@ -40,30 +40,30 @@
 // overPart is how long one of an owner with more than its part is left at rest at most where a bound is met.
 const overPart = 50 * time.Millisecond
 
-// Bounds are how many connections clients may have.
-type Bounds struct {
-	Most int        // in all; one more waits
-	Rest [kinds]int // at rest or being read, by kind; the ones longest so go beyond that
-	own  int        // that the application may open on its side
+// ConnLimits are how many connections clients may have.
+type ConnLimits struct {
+	Max         int        // in all; one more waits
+	MaxIdle     [kinds]int // at rest or being read, by kind; the ones longest so go beyond that
+	maxUpstream int        // that the application may open on its side
 }
 
-// BoundsOf are the bounds for so many connections in all, of which the application may open so many on its own side.
+// NewConnLimits are the bounds for so many connections in all, of which the application may open so many on its own side.
 // What rests there is left no more than half of the application's part, so that half is always free for what it opens.
-func BoundsOf(most, application int) Bounds {
+func NewConnLimits(most, application int) ConnLimits {
 	part := func(of int) int { return max(2, application/of) }
-	return Bounds{Most: most, own: application, Rest: [kinds]int{over: part(4), silent: part(8), reading: part(3), visitor: part(16), once: part(8), kept: 2 * part(10)}}
+	return ConnLimits{Max: most, maxUpstream: application, MaxIdle: [kinds]int{over: part(4), silent: part(8), reading: part(3), visitor: part(16), once: part(8), kept: 2 * part(10)}}
 }
 
-// BoundsAtRest are the bounds for so many connections in all, whose clients are free to let them rest as long as Limits say: what rests goes sooner only where a newcomer needs the place. What is
+// KeepAliveConnLimits are the bounds for so many connections in all, whose clients are free to let them rest as long as Limits say: what rests goes sooner only where a newcomer needs the place. What is
 // being read, or read over, has bounds of its own all the same: a body that comes a byte at a time must not hold them all.
-func BoundsAtRest(most int) Bounds {
-	return Bounds{Most: most, Rest: [kinds]int{over: max(2, most/8), silent: most, reading: max(2, most/3), visitor: most, once: most, kept: most}}
+func KeepAliveConnLimits(most int) ConnLimits {
+	return ConnLimits{Max: most, MaxIdle: [kinds]int{over: max(2, most/8), silent: most, reading: max(2, most/3), visitor: most, once: most, kept: most}}
 }
 
 // part are the bounds of one of so many processes. The application is one, whatever it is that it connects to: all that it may open must find room in each, and what rests is bounded as
 // ever. Half of all is less: what an application in need opens to the newcomer beyond that stands unaccepted till the old process has let go of its last answers.
-func (b Bounds) part(of int) Bounds {
-	b.Most = max(1, b.Most/max(1, of), min(b.Most, b.own))
+func (b ConnLimits) perProcess(of int) ConnLimits {
+	b.Max = max(1, b.Max/max(1, of), min(b.Max, b.maxUpstream))
 	return b
 }
 
@@ -84,7 +84,7 @@
 // never sent). Therefore each kind at rest has a bound of its own, far below that of all. So has what is being read:
 // bodies that come a byte at a time must not take the places of what could be served.
 type books struct {
-	bounds  Bounds
+	bounds  ConnLimits
 	open    int
 	rests   [kinds]list.List // of *entry with no open request, or of a request that is not whole, longest first
 	figures Counters
@@ -94,7 +94,7 @@
 	// kernel's buffer, or read and on its way to busy. It does not rest then, we are late. nil: nothing ever has.
 	speaks func(*entry) bool
 	// limits are those on clients' connections that hold now. nil: leftFor holds.
-	limits func() Limits
+	limits func() RequestLimits
 }
 
 // idle is how long a connection may rest by the limits that hold now; 0: they say nothing.
@@ -133,7 +133,7 @@
 		sum += w
 	}
 	for i, o := range owners {
-		o.part = max(1, int(float64(b.bounds.Most)*(1-reserveOf)*weights[i]/sum))
+		o.part = max(1, int(float64(b.bounds.Max)*(1-reserveOf)*weights[i]/sum))
 	}
 }
 
@@ -152,7 +152,7 @@
 // crowded says whether a connection's owner has more than its part where room is short: it ought to close with its
 // next answer, so that what is kept for newcomers is free when they come. That crosses no request.
 func (b *books) crowded(e *entry) bool {
-	return b.divided && e.owner != nil && e.owner.count > e.owner.part && float64(b.open) > float64(b.bounds.Most)*(1-reserveOf)
+	return b.divided && e.owner != nil && e.owner.count > e.owner.part && float64(b.open) > float64(b.bounds.Max)*(1-reserveOf)
 }
 
 // entry is a connection in the books.
@@ -173,7 +173,7 @@
 	for k := range kinds {
 		for b.rests[k].Len() > 0 {
 			short := time.Duration(0)
-			if b.rests[k].Len() > b.bounds.Rest[k] {
+			if b.rests[k].Len() > b.bounds.MaxIdle[k] {
 				short = restsFor[k]
 			}
 			e, wait := b.longest(now, k, short)
@@ -193,7 +193,7 @@
 // before it is worth another look.
 func (b *books) room(now time.Duration) (leave []*entry, wait time.Duration, ok bool) {
 	leave, _ = b.sweep(now)
-	if b.open < b.bounds.Most {
+	if b.open < b.bounds.Max {
 		return leave, 0, true
 	}
 	wait = restTime
--- a/internal/proxy/front/http1/books_test.go
+++ b/internal/proxy/front/http1/books_test.go
@@ -20,7 +20,7 @@
 // Crowds that connect and say nothing, ask for GET /up or ask once and stay hold no more places than the bounds and
 // what came within restTime. None of those that come back is closed for them.
 func TestCrowdsAtRestMakeRoom(t *testing.T) {
-	b := books{bounds: BoundsOf(192, 128)}
+	b := books{bounds: NewConnLimits(192, 128)}
 	var clients []*entry
 	for range 24 {
 		clients = append(clients, client(&b, 0, 2))
@@ -45,7 +45,7 @@
 
 // Where nobody connects any more, what rests over a bound goes all the same.
 func TestSweepComesBack(t *testing.T) {
-	b := books{bounds: BoundsOf(192, 128)}
+	b := books{bounds: NewConnLimits(192, 128)}
 	for range 128 {
 		client(&b, time.Second, 1)
 	}
@@ -61,7 +61,7 @@
 // At the bound on all, strangers go before those that ask, and then the one longest at rest; never one with an open
 // request or one of this moment.
 func TestLongestAtRestGoes(t *testing.T) {
-	b := books{bounds: Bounds{Most: 3, Rest: [kinds]int{3, 3, 3, 3, 3, 3}}}
+	b := books{bounds: ConnLimits{Max: 3, MaxIdle: [kinds]int{3, 3, 3, 3, 3, 3}}}
 	first, second := client(&b, 0, 2), client(&b, time.Second, 2)
 	strange := client(&b, 2*time.Second, 0)
 	if _, _, ok := b.room(2 * time.Second); !ok || !first.gone || strange.gone {
@@ -81,7 +81,7 @@
 
 // An owner with more than its part closes with its answers once what is kept for newcomers is taken, and not before.
 func TestCrowdedOwner(t *testing.T) {
-	b := books{bounds: Bounds{Most: 16, Rest: [kinds]int{16, 16, 16, 16, 16, 16}}}
+	b := books{bounds: ConnLimits{Max: 16, MaxIdle: [kinds]int{16, 16, 16, 16, 16, 16}}}
 	flooded, quiet := new(owner), new(owner)
 	b.divide([]*owner{flooded, quiet}, []float64{1, 1}) // 7 each
 	var theirs []*entry
@@ -120,7 +120,7 @@
 // A silent connection whose bytes are here and not read is no stranger: we are late.
 func TestUnreadBytesCountAsSpeech(t *testing.T) {
 	speaks := map[*entry]bool{}
-	b := books{bounds: Bounds{Most: 2, Rest: [kinds]int{2, 2, 2, 2, 2, 2}}, speaks: func(e *entry) bool { return speaks[e] }}
+	b := books{bounds: ConnLimits{Max: 2, MaxIdle: [kinds]int{2, 2, 2, 2, 2, 2}}, speaks: func(e *entry) bool { return speaks[e] }}
 	late, mute := &entry{}, &entry{}
 	b.add(0, late)
 	b.add(0, mute)
@@ -133,7 +133,7 @@
 // The spare connections of an owner within its part, at rest for long, are not closed for those that a flooded one comes
 // back on.
 func TestWithinItsPartIsLeftAlone(t *testing.T) {
-	b := books{bounds: Bounds{Most: 16, Rest: [kinds]int{16, 16, 16, 16, 16, 2}}}
+	b := books{bounds: ConnLimits{Max: 16, MaxIdle: [kinds]int{16, 16, 16, 16, 16, 2}}}
 	flooded, quiet := new(owner), new(owner)
 	b.divide([]*owner{flooded, quiet}, []float64{1, 1})
 	own := func(now time.Duration, o *owner) *entry {
@@ -163,7 +163,7 @@
 
 // Where too many requests are being read, those that stand still make room, not those that come slowly.
 func TestSlowOnesStayWhereStuckOnesGo(t *testing.T) {
-	b := books{bounds: BoundsOf(128, 85)}
+	b := books{bounds: NewConnLimits(128, 85)}
 	add := func() *entry {
 		e := &entry{}
 		b.add(0, e)
@@ -179,8 +179,8 @@
 		b.moves(now, slow)
 		b.sweep(now)
 	}
-	if slow.gone || b.open > b.bounds.Rest[reading] {
-		t.Errorf("the slow one is gone: %v; %d open, %d may be read", slow.gone, b.open, b.bounds.Rest[reading])
+	if slow.gone || b.open > b.bounds.MaxIdle[reading] {
+		t.Errorf("the slow one is gone: %v; %d open, %d may be read", slow.gone, b.open, b.bounds.MaxIdle[reading])
 	}
 }
 
@@ -188,7 +188,7 @@
 // beyond a bound of ours stands unaccepted for as long as the other process needs for its last answers.
 func TestDividedBoundsLeaveRoomForTheApplication(t *testing.T) {
 	const most, application = 128, 85
-	b := books{bounds: BoundsOf(most, application).part(2)}
+	b := books{bounds: NewConnLimits(most, application).perProcess(2)}
 	for i := range application {
 		if _, _, ok := b.room(0); !ok {
 			t.Fatalf("no room for connection %d of the application's %d", i+1, application)
@@ -197,7 +197,7 @@
 		b.add(0, e)
 		b.busy(e)
 	}
-	if whole := BoundsOf(most, application).part(1); whole.Most != most {
-		t.Errorf("undivided: %d of %d", whole.Most, most)
+	if whole := NewConnLimits(most, application).perProcess(1); whole.Max != most {
+		t.Errorf("undivided: %d of %d", whole.Max, most)
 	}
 }
--- a/internal/proxy/front/http1/conn.go
+++ b/internal/proxy/front/http1/conn.go
@@ -83,7 +83,7 @@
 // serve answers a connection's requests, one after the other, until one side closes it.
 func (f *Front) serve(c *conn) {
 	c.front = f
-	if d := f.cfg.Dialect; d != nil && d.Ahead != nil && c.raw != nil {
+	if d := f.cfg.Dialect; d != nil && d.CanPipeline != nil && c.raw != nil {
 		c.more, c.armed = make(chan struct{}, 1), true
 	}
 	f.watch.add(c)
@@ -270,7 +270,7 @@
 // head reads a head; what it can't be read as is answered.
 func (c *conn) head() (size int, ok bool) {
 	s, timed, limits := c.s, false, c.front.limits()
-	s.parser.Limit(limits.headBytes())
+	s.parser.SetLimit(limits.headBytes())
 	s.head = h1.Head{Fields: s.head.Fields[:0]} // what can't be read is not answered by the last one's
 	for {
 		n, err := s.parser.Parse(s.in[c.start:c.end], &s.head)
@@ -289,7 +289,7 @@
 			_ = c.net.SetReadDeadline(time.Now().Add(cmp.Or(limits.HeadTime, headerTime)))
 			c.a.unread(c)
 		}
-		c.makeRoom(s.parser.Most())
+		c.makeRoom(s.parser.MaxBytes())
 		read, err := c.read(s.in[c.end:])
 		c.end += read
 		if read == 0 {
@@ -309,7 +309,7 @@
 		c.end = copy(s.in, s.in[c.start:c.end])
 		c.start = 0
 	case c.end == len(s.in):
-		size := min(max(h1.HeadLimit, 2*len(s.in)), max(h1.HeadLimit, most))
+		size := min(max(h1.DefaultMaxHeadBytes, 2*len(s.in)), max(h1.DefaultMaxHeadBytes, most))
 		s.in = append(s.in, make([]byte, max(0, size-len(s.in)))...)
 	}
 }
@@ -343,15 +343,15 @@
 		if !f.ready.Load() {
 			status = http.StatusServiceUnavailable
 		}
-		return c.answer(&h1.Answer{Status: status}, nil)
+		return c.answer(&h1.Response{Status: status}, nil)
 	}
 	if h.Target == "*" { // of the server itself (RFC 9110, 9.3.7)
-		return c.answer(&h1.Answer{Status: http.StatusOK, Header: http.Header{"Allow": {"GET, POST, OPTIONS"}}}, nil) && h.Length <= 0 && !h.Chunks
+		return c.answer(&h1.Response{Status: http.StatusOK, Header: http.Header{"Allow": {"GET, POST, OPTIONS"}}}, nil) && h.Length <= 0 && !h.Chunked
 	}
 	v := c.look(h)
 	if bad := v.bad; bad != nil {
-		if bad.Keep && v.t != nil {
-			return c.turnAway(h, &h1.Answer{Status: bad.Status, Pause: bad.Pause, Header: c.own(nil)})
+		if bad.KeepAlive && v.t != nil {
+			return c.turnAway(h, &h1.Response{Status: bad.Status, RetryAfter: bad.RetryAfter, Header: c.own(nil)})
 		}
 		return c.reject(bad)
 	}
@@ -382,7 +382,7 @@
 	m := c.message(h, &q)
 	var body *bodyReader // of one that is passed on as it comes
 	var ok bool
-	if !h.Chunks && h.Length <= call.BodyLimit {
+	if !h.Chunked && h.Length <= call.BodyLimit {
 		m.Body, ok = c.body(h, int(length), v.left)
 	} else if body, ok = c.begin(h, m, v.left); ok {
 		o.size = int64(len(m.Body))
@@ -440,7 +440,7 @@
 
 // bodyTime is how long a body, or what is held of it, may take once its head is here. Where the front has limits, none is on that: a request has the time that its client waits for it.
 func (c *conn) bodyTime(left time.Duration) time.Duration {
-	if c.front.cfg.Limits == nil {
+	if c.front.cfg.RequestLimits == nil {
 		return bodyTime
 	}
 	return max(bodyTime, left)
@@ -458,7 +458,7 @@
 	if have == length {
 		return body, true
 	}
-	if h.Expect && have == 0 && c.write([]byte(h1.Continue), nil) != nil {
+	if h.ExpectContinue && have == 0 && c.write([]byte(h1.Continue), nil) != nil {
 		return nil, false
 	}
 	_ = c.net.SetReadDeadline(time.Now().Add(c.bodyTime(left)))
@@ -489,7 +489,7 @@
 func (c *conn) begin(h *h1.Head, m *call.Message, left time.Duration) (*bodyReader, bool) {
 	none := c.start == c.end
 	b := c.newBodyReader(h)
-	if h.Expect && none && c.write([]byte(h1.Continue), nil) != nil {
+	if h.ExpectContinue && none && c.write([]byte(h1.Continue), nil) != nil {
 		return nil, false
 	}
 	_ = c.net.SetReadDeadline(time.Now().Add(c.bodyTime(left)))
@@ -540,13 +540,13 @@
 // connection goes on; it is one of those that are being read as long as that takes. One that would take long ends the connection.
 func (c *conn) refuseHead(h *h1.Head) bool {
 	a := call.Answer{Kind: call.Refused, Pause: time.Second, Unasked: true}
-	return c.turnAway(h, &h1.Answer{Status: http.StatusServiceUnavailable, Pause: a.Pause, Header: c.own(&a)})
+	return c.turnAway(h, &h1.Response{Status: http.StatusServiceUnavailable, RetryAfter: a.Pause, Header: c.own(&a)})
 }
 
 // turnAway answers a request by its head; see refuseHead.
-func (c *conn) turnAway(h *h1.Head, a *h1.Answer) bool {
+func (c *conn) turnAway(h *h1.Head, a *h1.Response) bool {
 	have := int64(c.end - c.start)
-	if rest := h.Length - have; !h.Chunks && rest > call.BodyLimit || c.s.head.Close && (h.Chunks || rest > 0) {
+	if rest := h.Length - have; !h.Chunked && rest > call.BodyLimit || c.s.head.Close && (h.Chunked || rest > 0) {
 		c.s.head.Close = true
 		if c.answer(a, nil) {
 			c.linger(leaveTime, lingerWhole)
@@ -556,7 +556,7 @@
 	if !c.answer(a, nil) {
 		return false
 	}
-	if h.Length <= 0 && !h.Chunks {
+	if h.Length <= 0 && !h.Chunked {
 		return true
 	}
 	b := c.newBodyReader(h)
@@ -571,9 +571,9 @@
 
 // reject answers a request that can't be taken on and closes its connection: where it ends is not to be trusted.
 func (c *conn) reject(bad *Rejection) bool {
-	a := h1.Answer{Status: bad.Status, Length: int64(len(bad.Reason) + 1), Text: true, Close: true, Header: c.own(nil)}
+	a := h1.Response{Status: bad.Status, Length: int64(len(bad.Reason) + 1), PlainText: true, Close: true, Header: c.own(nil)}
 	if bad.Status == http.StatusServiceUnavailable { // nothing of it was sent: harmless to repeat
-		a.Pause = time.Second
+		a.RetryAfter = time.Second
 	}
 	if c.answer(&a, []byte(bad.Reason+"\n")) {
 		c.linger(rejectTime, lingerMost)
@@ -615,17 +615,17 @@
 			return c.pass(a, body)
 		}
 		a.Stream.Close() // of another protocol's transport: a fault of ours
-		return c.answer(&h1.Answer{Status: http.StatusBadGateway}, nil)
+		return c.answer(&h1.Response{Status: http.StatusBadGateway}, nil)
 	case a.Kind == call.Served:
-		return c.answer(&h1.Answer{Status: cmp.Or(a.Status, http.StatusOK), Header: a.Header, Length: int64(len(a.Body))}, a.Body)
+		return c.answer(&h1.Response{Status: cmp.Or(a.Status, http.StatusOK), Header: a.Header, Length: int64(len(a.Body))}, a.Body)
 	case a.Kind == call.Refused: // trying again is harmless, best after the pause
-		return c.answer(&h1.Answer{Status: http.StatusServiceUnavailable, Pause: a.Pause, Header: c.own(a)}, nil)
+		return c.answer(&h1.Response{Status: http.StatusServiceUnavailable, RetryAfter: a.Pause, Header: c.own(a)}, nil)
 	case a.Last != nil && c.front.cfg.Dialect != nil: // the server's own word
-		return c.answer(&h1.Answer{Status: a.Last.Status, Header: a.Last.Header, Length: int64(len(a.Last.Body))}, a.Last.Body)
+		return c.answer(&h1.Response{Status: a.Last.Status, Header: a.Last.Header, Length: int64(len(a.Last.Body))}, a.Last.Body)
 	case a.TimedOut:
-		return c.answer(&h1.Answer{Status: http.StatusGatewayTimeout, Header: c.own(a)}, nil)
+		return c.answer(&h1.Response{Status: http.StatusGatewayTimeout, Header: c.own(a)}, nil)
 	}
-	return c.answer(&h1.Answer{Status: http.StatusBadGateway, Header: c.own(a)}, nil)
+	return c.answer(&h1.Response{Status: http.StatusBadGateway, Header: c.own(a)}, nil)
 }
 
 // own are the fields of an answer that is not a server's; nil for a rejection.
@@ -633,11 +633,11 @@
 	if c.front.cfg.Dialect == nil {
 		return nil
 	}
-	return c.front.cfg.Dialect.Own(&c.s.head, a)
+	return c.front.cfg.Dialect.ProxyHeaders(&c.s.head, a)
 }
 
 // answer sends an answer; false: the connection can't go on.
-func (c *conn) answer(a *h1.Answer, body []byte) bool {
+func (c *conn) answer(a *h1.Response, body []byte) bool {
 	if c.front.draining.Load() || c.front.gate.Load() != nil && c.a.crowded(c) {
 		c.s.head.Close = true // with this answer
 	}
--- a/internal/proxy/front/http1/drain.go
+++ b/internal/proxy/front/http1/drain.go
@@ -26,7 +26,7 @@
 		a.closeResting(restLeft)
 	}
 	err := a.close()
-	for end := time.After(f.cfg.Longest + exitMargin); ; {
+	for end := time.After(f.cfg.MaxDeadline + exitMargin); ; {
 		a.closeResting(0)
 		if a.counters().Open == 0 {
 			break
--- a/internal/proxy/front/http1/front.go
+++ b/internal/proxy/front/http1/front.go
@@ -39,15 +39,15 @@
 // Target is where requests go: an engine, what requests it takes and how many at once. Its counts are its own, and so
 // are the ids that are open: the same X-Request-ID at two targets is two requests.
 type Target struct {
-	Engine    Engine
-	Classes   map[string]int // class by name, its settings at that place in ClassOf
-	ClassOf   []policy.Class
-	Tenants   map[string]int   // tenant by name; empty where there are none
-	MostOpen  int              // requests held at once; 0: no bound but that on connections
-	BodyBytes int64            // of their bodies
-	Figures   []*metrics.Class // by class; nil: nobody counts
-
-	walls atomic.Pointer[Walls]
+	Engine       Engine
+	Classes      map[string]int // class by name, its settings at that place in ClassOf
+	ClassOf      []policy.Class
+	Tenants      map[string]int   // tenant by name; empty where there are none
+	MaxOpen      int              // requests held at once; 0: no bound but that on connections
+	MaxBodyBytes int64            // of their bodies
+	Metrics      []*metrics.Class // by class; nil: nobody counts
+
+	walls atomic.Pointer[SharedLimits]
 	owner owner        // of connections, under the acceptor's lock
 	bound atomic.Int64 // requests held at once, where that is not MostOpen; 0: it is
 	parts atomic.Int64 // processes that BodyBytes is divided among; 0: one
@@ -59,22 +59,22 @@
 	open map[string]bool // ids of the requests that have no answer yet
 }
 
-// Walls are bounds that several targets share.
-type Walls interface {
-	// Enter takes a place for a client's connection whose request's body is to be read, or says that there is none.
-	Enter() bool
-	// Exit gives it back.
-	Exit()
-	// Take takes a place for a request with a body of so many bytes, or says that there is none.
-	Take(size int64) bool
-	// Room says whether there would be one now. Nothing is taken.
-	Room(size int64) bool
-	// Give gives it back.
-	Give(size int64)
+// SharedLimits are bounds that several targets share.
+type SharedLimits interface {
+	// BeginRead takes a place for a client's connection whose request's body is to be read, or says that there is none.
+	BeginRead() bool
+	// EndRead gives it back.
+	EndRead()
+	// Reserve takes a place for a request with a body of so many bytes, or says that there is none.
+	Reserve(size int64) bool
+	// HasCapacity says whether there would be one now. Nothing is taken.
+	HasCapacity(size int64) bool
+	// Release gives it back.
+	Release(size int64)
 }
 
-// SetWalls has what is taken on from now on counted there too; nil: no longer.
-func (t *Target) SetWalls(w Walls) {
+// SetSharedLimits has what is taken on from now on counted there too; nil: no longer.
+func (t *Target) SetSharedLimits(w SharedLimits) {
 	if w == nil {
 		t.walls.Store(nil)
 		return
@@ -84,33 +84,33 @@
 
 // class is the series of a class.
 func (t *Target) class(i int) *metrics.Class {
-	if i < len(t.Figures) {
-		return t.Figures[i]
+	if i < len(t.Metrics) {
+		return t.Metrics[i]
 	}
 	return nil
 }
 
-// Held is how many requests have no answer yet.
-func (t *Target) Held() int64 { return t.held.Load() }
+// OpenRequests is how many requests have no answer yet.
+func (t *Target) OpenRequests() int64 { return t.held.Load() }
 
 // Config says where requests go and how many clients there may be.
 type Config struct {
 	// Route says where a request goes, by its head, or why it goes nowhere. It is called from many goroutines.
-	Route   func(h *h1.Head) (*Target, *Rejection)
-	Dialect *Dialect      // nil: the daemon's own
-	Linger  time.Duration // new connections go on coming for so long after a stop is asked for; 0: lingerTime
-	Conns   Bounds        // on clients' connections
-	Longest time.Duration // the longest deadline of any class: what a drain waits for
-	Limits  func() Limits // on what clients send, asked for each request and each look at what rests; nil: none but the front's own
-	Log     *slog.Logger
+	Route         func(h *h1.Head) (*Target, *Rejection)
+	Dialect       *Dialect             // nil: the daemon's own
+	Linger        time.Duration        // new connections go on coming for so long after a stop is asked for; 0: lingerTime
+	ConnLimits    ConnLimits           // on clients' connections
+	MaxDeadline   time.Duration        // the longest deadline of any class: what a drain waits for
+	RequestLimits func() RequestLimits // on what clients send, asked for each request and each look at what rests; nil: none but the front's own
+	Log           *slog.Logger
 
 	// InMemory says that the listener's connections are no sockets: the system tells nothing of them, so that a client
 	// that leaves is noticed by the next write, and only what comes with a head is read ahead.
 	InMemory bool
 }
 
-// To routes all requests to one target.
-func To(t *Target) func(*h1.Head) (*Target, *Rejection) {
+// RouteTo routes all requests to one target.
+func RouteTo(t *Target) func(*h1.Head) (*Target, *Rejection) {
 	return func(*h1.Head) (*Target, *Rejection) { return t, nil }
 }
 
@@ -129,7 +129,7 @@
 
 // New makes a front.
 func New(cfg Config, c clock.Clock) *Front {
-	return &Front{cfg: cfg, clock: c, conns: newAcceptor(c, cfg.Conns, cfg.Limits)}
+	return &Front{cfg: cfg, clock: c, conns: newAcceptor(c, cfg.ConnLimits, cfg.RequestLimits)}
 }
 
 // Serve takes requests on a listener until Drain is called, and returns why it ended: net.ErrClosed after a drain.
@@ -163,8 +163,8 @@
 	}
 }
 
-// Divide bounds clients' connections to this process' part of so many processes'. What is open over that goes as it rests.
-func (f *Front) Divide(parts int) { f.conns.bound(f.cfg.Conns.part(parts)) }
+// SetProcessCount bounds clients' connections to this process' part of so many processes'. What is open over that goes as it rests.
+func (f *Front) SetProcessCount(parts int) { f.conns.bound(f.cfg.ConnLimits.perProcess(parts)) }
 
 // Ready says whether the listener takes connections and no stop is asked for.
 func (f *Front) Ready() bool { return f.ready.Load() }
@@ -187,24 +187,24 @@
 
 // Dialect is what requests say of themselves where that is not the daemon's own way. With one there is no GET /up, and an id may be open more than once.
 type Dialect struct {
-	// Read takes what a request says of itself; what it can't be taken on for is a rejection. It is called from many goroutines, and what it returns holds no part of h but strings.
-	Read func(h *h1.Head) (q policy.Request, left time.Duration, bad *Rejection)
-	// Pass changes what goes on to a server.
-	Pass func(q *policy.Request, fields http.Header)
-	// Ahead says whether a request may be worked on while those before it on its connection are open, and may have others beside it that came behind it: an
+	// ParseRequest takes what a request says of itself; what it can't be taken on for is a rejection. It is called from many goroutines, and what it returns holds no part of h but strings.
+	ParseRequest func(h *h1.Head) (q policy.Request, left time.Duration, bad *Rejection)
+	// RewriteHeaders changes what goes on to a server.
+	RewriteHeaders func(q *policy.Request, fields http.Header)
+	// CanPipeline says whether a request may be worked on while those before it on its connection are open, and may have others beside it that came behind it: an
 	// idempotent one may. Such a request without a body is read ahead, at most aheadMost of them; answers go back in the order of the requests. An
 	// answer that closes the connection has those behind it called off. nil: one at a time.
-	Ahead func(q *policy.Request) bool
-	// Own are the fields of an answer that is not a server's; h is its request's head, a is nil for a rejection.
-	Own func(h *h1.Head, a *call.Answer) http.Header
+	CanPipeline func(q *policy.Request) bool
+	// ProxyHeaders are the fields of an answer that is not a server's; h is its request's head, a is nil for a rejection.
+	ProxyHeaders func(h *h1.Head, a *call.Answer) http.Header
 }
 
 // Rejection is why a request can't be taken on: an answer for its client alone.
 type Rejection struct {
-	Status int
-	Reason string
-	Keep   bool          // the head is sound: its connection goes on
-	Pause  time.Duration // Retry-After; 0: none
+	Status     int
+	Reason     string
+	KeepAlive  bool          // the head is sound: its connection goes on
+	RetryAfter time.Duration // Retry-After; 0: none
 }
 
 // room says whether so many requests more, with so many bytes of bodies, could be held now. Nothing is taken.
@@ -217,16 +217,16 @@
 	if bound := t.bound.Load(); bound > 0 {
 		return bound
 	}
-	return int64(cmp.Or(max(0, t.MostOpen), math.MaxInt64))
+	return int64(cmp.Or(max(0, t.MaxOpen), math.MaxInt64))
 }
 
-// Bound has fewer requests held than MostOpen says, or as many again. What is held stays.
-func (t *Target) Bound(most int) { t.bound.Store(int64(most)) }
+// SetMaxOpen has fewer requests held than MostOpen says, or as many again. What is held stays.
+func (t *Target) SetMaxOpen(most int) { t.bound.Store(int64(most)) }
 
-func (t *Target) bodyBytes() int64 { return t.BodyBytes / max(1, t.parts.Load()) }
+func (t *Target) bodyBytes() int64 { return t.MaxBodyBytes / max(1, t.parts.Load()) }
 
-// Divide has this process hold the bytes of bodies that are its part of so many processes'.
-func (t *Target) Divide(parts int) { t.parts.Store(int64(parts)) }
+// SetProcessCount has this process hold the bytes of bodies that are its part of so many processes'.
+func (t *Target) SetProcessCount(parts int) { t.parts.Store(int64(parts)) }
 
 // take takes a place for a request with a body of so many bytes, or says that there is none.
 func (t *Target) take(size int64) bool {
--- a/internal/proxy/front/http1/gate.go
+++ b/internal/proxy/front/http1/gate.go
@@ -83,10 +83,10 @@
 	}
 }
 
-// Share has several targets share the front from now on: the permits to read and the connections are divided by weight, where
+// ShareAmong has several targets share the front from now on: the permits to read and the connections are divided by weight, where
 // targets[i] has weights[i]. What has asked for nothing yet has a part as large as the smallest. nil: one target
 // has it all, and nothing waits for a permit.
-func (f *Front) Share(targets []*Target, weights []float64) {
+func (f *Front) ShareAmong(targets []*Target, weights []float64) {
 	if len(targets) == 0 {
 		f.gate.Store(nil)
 		f.conns.divide(nil, nil)
--- a/internal/proxy/front/http1/gate_test.go
+++ b/internal/proxy/front/http1/gate_test.go
@@ -11,9 +11,9 @@
 
 // However many connections of a flooded pool want to be read, one of a quiet pool's is read next; all permits come back.
 func TestGateIsFair(t *testing.T) {
-	f := New(Config{Conns: BoundsOf(192, 128)}, clock.New())
+	f := New(Config{ConnLimits: NewConnLimits(192, 128)}, clock.New())
 	flooded, quiet := new(Target), new(Target)
-	f.Share([]*Target{flooded, quiet}, []float64{1, 1})
+	f.ShareAmong([]*Target{flooded, quiet}, []float64{1, 1})
 	stop := make(chan struct{})
 	var flood sync.WaitGroup
 	for range 200 {
--- a/internal/proxy/front/http1/limits.go
+++ b/internal/proxy/front/http1/limits.go
@@ -9,8 +9,8 @@
 	leastHeadBytes = 256
 )
 
-// Limits bound what clients may send, and how long they may take. A field of 0 is the front's own bound.
-type Limits struct {
+// RequestLimits bound what clients may send, and how long they may take. A field of 0 is the front's own bound.
+type RequestLimits struct {
 	HeadBytes int64         // of a head's fields; its request line may have as many
 	BodyBytes int64         // of a body in chunks; one of a known length is for the Dialect to refuse by its head
 	HeadTime  time.Duration // from the first byte of a head to its last
@@ -20,7 +20,7 @@
 }
 
 // headBytes is the limit that heads are parsed with.
-func (l Limits) headBytes() int {
+func (l RequestLimits) headBytes() int {
 	if l.HeadBytes <= 0 {
 		return 0
 	}
@@ -28,9 +28,9 @@
 }
 
 // limits are those that hold now.
-func (f *Front) limits() Limits {
-	if f.cfg.Limits == nil {
-		return Limits{}
+func (f *Front) limits() RequestLimits {
+	if f.cfg.RequestLimits == nil {
+		return RequestLimits{}
 	}
-	return f.cfg.Limits()
+	return f.cfg.RequestLimits()
 }
--- a/internal/proxy/front/http1/limits_test.go
+++ b/internal/proxy/front/http1/limits_test.go
@@ -30,16 +30,16 @@
 	t      *testing.T
 	front  *Front
 	comes  pipes
-	limits atomic.Pointer[Limits]
+	limits atomic.Pointer[RequestLimits]
 }
 
-func newLimited(t *testing.T, of Limits) *limited {
+func newLimited(t *testing.T, of RequestLimits) *limited {
 	l := &limited{t: t, comes: make(pipes, 1)}
 	l.limits.Store(&of)
 	d := &desk{asks: make(chan asked), gone: make(chan policy.RequestID, 1)}
-	target := &Target{Engine: d, MostOpen: 64, BodyBytes: 1 << 20}
+	target := &Target{Engine: d, MaxOpen: 64, MaxBodyBytes: 1 << 20}
 	l.front = New(Config{
-		Route: To(target), Dialect: d.dialect(), Conns: BoundsAtRest(256), Limits: func() Limits { return *l.limits.Load() }, Log: slog.New(slog.DiscardHandler),
+		Route: RouteTo(target), Dialect: d.dialect(), ConnLimits: KeepAliveConnLimits(256), RequestLimits: func() RequestLimits { return *l.limits.Load() }, Log: slog.New(slog.DiscardHandler),
 	}, clock.New())
 	l.front.conns.listener = l.comes
 	l.front.watch = new(watcher)
@@ -97,7 +97,7 @@
 func TestTimeForHead(t *testing.T) {
 	for _, limit := range []time.Duration{3 * time.Second, 300 * time.Millisecond} {
 		synctest.Test(t, func(t *testing.T) {
-			l := newLimited(t, Limits{HeadTime: limit, IdleTime: 15 * time.Second})
+			l := newLimited(t, RequestLimits{HeadTime: limit, IdleTime: 15 * time.Second})
 			begun, rest := "GET /one HTT", "P/1.1\r\nHost: a\r\n\r\n"
 			c := l.dial()
 			time.Sleep(5 * time.Second) // the time does not run before the first byte
@@ -130,7 +130,7 @@
 func TestTimeAtRest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const idle, late = 15 * time.Second, sweepMost + time.Millisecond
-		l := newLimited(t, Limits{IdleTime: idle})
+		l := newLimited(t, RequestLimits{IdleTime: idle})
 		var all []*pipeClient
 		for i := range 120 {
 			all = append(all, l.dial())
@@ -151,7 +151,7 @@
 				synctest.Wait()
 			}
 		}
-		l.limits.Store(&Limits{IdleTime: idle / 5})
+		l.limits.Store(&RequestLimits{IdleTime: idle / 5})
 		time.Sleep(idle - time.Millisecond)
 		if n := open(); n != len(all) {
 			t.Errorf("%d of %d are left that began to rest under the longer limit", n, len(all))
@@ -163,7 +163,7 @@
 		if n := open(); n != 60 {
 			t.Errorf("%d are left behind their time, want the 60 that were used", n)
 		}
-		l.limits.Store(&Limits{IdleTime: 2 * idle})
+		l.limits.Store(&RequestLimits{IdleTime: 2 * idle})
 		time.Sleep(2*idle - late - time.Millisecond)
 		if n := open(); n != 60 {
 			t.Errorf("%d of 60 are left under a longer limit", n)
@@ -179,7 +179,7 @@
 func TestBytesOfRequest(t *testing.T) {
 	for _, limit := range []int{1000, 16 << 10, 40000} {
 		synctest.Test(t, func(t *testing.T) {
-			l := newLimited(t, Limits{HeadBytes: int64(limit), BodyBytes: 1000})
+			l := newLimited(t, RequestLimits{HeadBytes: int64(limit), BodyBytes: 1000})
 			head := func(size int) string { // 150 fields, and so many bytes of them
 				fields := "Host: a\r\n"
 				if size > 4000 {
@@ -223,7 +223,7 @@
 
 // Read ahead from a socket, heads have the same limit.
 func TestBytesOfHeadAhead(t *testing.T) {
-	d := newDesk(t, 10, true, func(cfg *Config) { cfg.Limits = func() Limits { return Limits{HeadBytes: 40000} } })
+	d := newDesk(t, 10, true, func(cfg *Config) { cfg.RequestLimits = func() RequestLimits { return RequestLimits{HeadBytes: 40000} } })
 	c := d.dial(t)
 	c.send(get("/safe/1"))
 	first := d.has(t, "/safe/1")[0]
@@ -240,13 +240,13 @@
 
 // The older program's front is asked for nothing and keeps its own bounds.
 func TestNoLimits(t *testing.T) {
-	f := New(Config{Conns: BoundsOf(64, 64)}, clock.New())
-	if of := f.limits(); of != (Limits{}) || of.headBytes() != 0 {
+	f := New(Config{ConnLimits: NewConnLimits(64, 64)}, clock.New())
+	if of := f.limits(); of != (RequestLimits{}) || of.headBytes() != 0 {
 		t.Errorf("%+v", of)
 	}
 	var p h1.Parser
-	if p.Limit(f.limits().headBytes()); p.Most() != h1.HeadLimit {
-		t.Errorf("heads have %d bytes", p.Most())
+	if p.SetLimit(f.limits().headBytes()); p.MaxBytes() != h1.DefaultMaxHeadBytes {
+		t.Errorf("heads have %d bytes", p.MaxBytes())
 	}
 	for k := range kinds {
 		if left := f.conns.books.left(new(entry), k); left != leftFor[k] {
--- a/internal/proxy/front/http1/request.go
+++ b/internal/proxy/front/http1/request.go
@@ -50,12 +50,12 @@
 // it may reach the module or an upstream, whose 400 would count as the upstream's failure.
 func (t *Target) read(d *Dialect, r *h1.Head) (q policy.Request, left time.Duration, bad *Rejection) {
 	if d != nil {
-		return d.Read(r)
+		return d.ParseRequest(r)
 	}
 	no := func(status int, reason string) (policy.Request, time.Duration, *Rejection) {
 		return policy.Request{}, 0, &Rejection{Status: status, Reason: reason}
 	}
-	if r.Old { // others pass over Transfer-Encoding there
+	if r.HTTP10 { // others pass over Transfer-Encoding there
 		return no(http.StatusHTTPVersionNotSupported, "HTTP/1.1 is needed")
 	}
 	if name := twice(r); name != "" {
@@ -81,9 +81,9 @@
 		return no(http.StatusBadRequest, "Idempotency-Key is missing")
 	case class.Effect == policy.Unsafe && key != "":
 		return no(http.StatusBadRequest, "Idempotency-Key is of no use in this class")
-	case class.Effect == policy.Safe && (r.Length > 0 || r.Chunks):
+	case class.Effect == policy.Safe && (r.Length > 0 || r.Chunked):
 		return no(http.StatusBadRequest, "GET has no body")
-	case class.Effect != policy.Safe && r.Length < 0 && !r.Chunks:
+	case class.Effect != policy.Safe && r.Length < 0 && !r.Chunked:
 		return no(http.StatusLengthRequired, "Content-Length and Transfer-Encoding are missing")
 	}
 	if len(t.Tenants) > 0 {
--- a/internal/proxy/front/http1/scratch.go
+++ b/internal/proxy/front/http1/scratch.go
@@ -33,6 +33,6 @@
 	}
 	clear(s.head.Fields)
 	s.head = h1.Head{Fields: s.head.Fields[:0]}
-	s.parser.Limit(0)
+	s.parser.SetLimit(0)
 	scratches.Put(s)
 }
--- a/internal/proxy/h1/answer.go
+++ b/internal/proxy/h1/answer.go
@@ -11,19 +11,19 @@
 // Continue is the interim answer to Expect: 100-continue (RFC 9110, 15.2.1).
 const Continue = "HTTP/1.1 100 Continue\r\n\r\n"
 
-// Answer is the head of an answer.
-type Answer struct {
-	Status int
-	Header http.Header   // of the server's answer; fields of its connection are left out. nil: none
-	Pause  time.Duration // Retry-After, in decimal seconds; 0: none
-	Length int64         // of the body in bytes; -1: it comes in chunks
-	Text   bool          // the body is plain text of ours
-	Close  bool          // the connection closes behind it
-	Date   string        // the value of Date where the server gave none (RFC 9110, 6.6.1); "": left out
+// Response is the head of a response.
+type Response struct {
+	Status     int
+	Header     http.Header   // of the server's answer; fields of its connection are left out. nil: none
+	RetryAfter time.Duration // Retry-After, in decimal seconds; 0: none
+	Length     int64         // of the body in bytes; -1: it comes in chunks
+	PlainText  bool          // the body is plain text of ours
+	Close      bool          // the connection closes behind it
+	Date       string        // the value of Date where the server gave none (RFC 9110, 6.6.1); "": left out
 }
 
 // Append appends the head's bytes.
-func (a *Answer) Append(to []byte) []byte {
+func (a *Response) Append(to []byte) []byte {
 	to = append(to, "HTTP/1.1 "...)
 	to = strconv.AppendInt(to, int64(a.Status), 10)
 	to = append(to, ' ')
@@ -54,12 +54,12 @@
 		to = append(to, a.Date...)
 		to = append(to, "\r\n"...)
 	}
-	if a.Pause > 0 {
+	if a.RetryAfter > 0 {
 		to = append(to, "Retry-After: "...)
-		to = strconv.AppendFloat(to, a.Pause.Seconds(), 'f', 3, 64)
+		to = strconv.AppendFloat(to, a.RetryAfter.Seconds(), 'f', 3, 64)
 		to = append(to, "\r\n"...)
 	}
-	if a.Text {
+	if a.PlainText {
 		to = append(to, "Content-Type: text/plain; charset=utf-8\r\nX-Content-Type-Options: nosniff\r\n"...)
 	}
 	if a.Close {
@@ -79,7 +79,7 @@
 }
 
 // listed says whether the answer's Connection names a field.
-func (a *Answer) listed(name string) bool {
+func (a *Response) listed(name string) bool {
 	for _, list := range a.Header["Connection"] {
 		for listed := range strings.SplitSeq(list, ",") {
 			if textproto.CanonicalMIMEHeaderKey(textproto.TrimString(listed)) == name {
--- a/internal/proxy/h1/chunked.go
+++ b/internal/proxy/h1/chunked.go
@@ -33,9 +33,9 @@
 	chunksDone
 )
 
-// Chunks reads a body in chunks (RFC 9112, 7.1) that comes in pieces cut anywhere. Trailers and extensions are read over: nobody here has a use for them. It is as
+// ChunkDecoder reads a body in chunks (RFC 9112, 7.1) that comes in pieces cut anywhere. Trailers and extensions are read over: nobody here has a use for them. It is as
 // strict as the head's reader: what two readers may take differently is an error. The zero value is ready.
-type Chunks struct {
+type ChunkDecoder struct {
 	state  chunkState
 	left   int64 // of the chunk's data, or of its size so far
 	digits int
@@ -44,11 +44,11 @@
 }
 
 // Done says that the whole body was read.
-func (d *Chunks) Done() bool { return d.state == chunksDone }
+func (d *ChunkDecoder) Done() bool { return d.state == chunksDone }
 
 // Next reads on in b: it returns how many bytes of it are read, and the last of them that are the body's. It returns when some are, when b is used up, and at the
 // body's end, behind which it reads nothing.
-func (d *Chunks) Next(b []byte) (used int, data []byte, err error) {
+func (d *ChunkDecoder) Next(b []byte) (used int, data []byte, err error) {
 	for used < len(b) && d.state != chunksDone {
 		if d.state == chunkData {
 			n := int(min(d.left, int64(len(b)-used)))
@@ -67,7 +67,7 @@
 }
 
 // step reads one byte that is not the body's own.
-func (d *Chunks) step(c byte) error {
+func (d *ChunkDecoder) step(c byte) error {
 	switch d.state {
 	case chunkSize:
 		return d.size(c)
@@ -114,7 +114,7 @@
 	return nil
 }
 
-func (d *Chunks) size(c byte) error {
+func (d *ChunkDecoder) size(c byte) error {
 	v := int64(0)
 	switch {
 	case digit(c):
@@ -145,7 +145,7 @@
 }
 
 // trailer reads one byte behind the last chunk.
-func (d *Chunks) trailer(c byte) error {
+func (d *ChunkDecoder) trailer(c byte) error {
 	if d.total++; d.total > trailerMost {
 		return errTrailer
 	}
@@ -188,22 +188,22 @@
 
 // A chunk's frame: its size stands before what it holds, CR LF behind it.
 const (
-	FrameBefore = 10
-	FrameBehind = 2
-	LastChunk   = "0\r\n\r\n"
+	ChunkPrefixBytes = 10
+	ChunkSuffixBytes = 2
+	LastChunk        = "0\r\n\r\n"
 )
 
-// Frame makes n bytes at b[FrameBefore:] a chunk and returns it. b has room for FrameBehind behind them, and n is above 0 and below 1<<32.
-func Frame(b []byte, n int) []byte {
+// FrameChunk makes n bytes at b[ChunkPrefixBytes:] a chunk and returns it. b has room for ChunkSuffixBytes behind them, and n is above 0 and below 1<<32.
+func FrameChunk(b []byte, n int) []byte {
 	const digits = "0123456789abcdef"
-	at := FrameBefore
+	at := ChunkPrefixBytes
 	put := func(c byte) { at--; b[at] = c }
 	put('\n')
 	put('\r')
 	for size := n; size > 0; size >>= 4 {
 		put(digits[size&15])
 	}
-	end := FrameBefore + n
+	end := ChunkPrefixBytes + n
 	b[end], b[end+1] = '\r', '\n'
-	return b[at : end+FrameBehind]
+	return b[at : end+ChunkSuffixBytes]
 }
--- a/internal/proxy/h1/chunked_test.go
+++ b/internal/proxy/h1/chunked_test.go
@@ -13,7 +13,7 @@
 
 // unchunk reads a body that comes in pieces of a size.
 func unchunk(b []byte, piece int) (body []byte, done bool, err error) {
-	var d Chunks
+	var d ChunkDecoder
 	for len(b) > 0 && !d.Done() {
 		part := b[:min(max(piece, 1), len(b))]
 		used, data, err := d.Next(part)
@@ -33,7 +33,7 @@
 	whole := chunked + "GET / next"
 	for i := range len(whole) {
 		for j := i; j <= len(whole); j++ {
-			var d Chunks
+			var d ChunkDecoder
 			var got []byte
 			rest := 0
 			for _, part := range []string{whole[:i], whole[i:j], whole[j:]} {
@@ -121,9 +121,9 @@
 // What is framed is read back as the same.
 func TestFrame(t *testing.T) {
 	for _, n := range []int{1, 9, 15, 16, 255, 4096, 32 << 10} {
-		b := make([]byte, FrameBefore+n+FrameBehind)
-		copy(b[FrameBefore:], strings.Repeat("x", n))
-		text := string(Frame(b, n)) + LastChunk
+		b := make([]byte, ChunkPrefixBytes+n+ChunkSuffixBytes)
+		copy(b[ChunkPrefixBytes:], strings.Repeat("x", n))
+		text := string(FrameChunk(b, n)) + LastChunk
 		if body, done, err := unchunk([]byte(text), 7); !done || err != nil || len(body) != n || strings.Trim(string(body), "x") != "" {
 			t.Errorf("%d bytes: %d, done %v, %v", n, len(body), done, err)
 		}
--- a/internal/proxy/h1/head.go
+++ b/internal/proxy/h1/head.go
@@ -12,7 +12,7 @@
 
 const (
 	// HeadLimit bounds a head in bytes, its last empty line included: an endless one must not hold memory.
-	HeadLimit = 16 << 10
+	DefaultMaxHeadBytes = 16 << 10
 	// FieldLimit bounds the count of a head's fields: looking one up walks over them.
 	FieldLimit = 100
 	// FieldLimitBySize is the same for a parser with a limit of its own, which bounds bytes and tells no count: an
@@ -57,15 +57,15 @@
 
 // Head is the head of a request. A parser fills it in; its strings share one copy of the head, not the caller's buffer.
 type Head struct {
-	Method string
-	Target string // origin form (RFC 9112, 3.2.1): it begins with a slash, or is * for OPTIONS
-	Host   string
-	Old    bool  // HTTP/1.0: no kept connection, and nothing but GET without a body is to be trusted
-	Length int64 // of the body in bytes, -1 where none is told
-	Chunks bool  // the body comes in chunks; Length is -1 then
-	Close  bool  // the client wants the connection closed behind the answer
-	Expect bool  // the client waits for 100 (Continue) before it sends the body
-	Fields []Field
+	Method         string
+	Target         string // origin form (RFC 9112, 3.2.1): it begins with a slash, or is * for OPTIONS
+	Host           string
+	HTTP10         bool  // HTTP/1.0: no kept connection, and nothing but GET without a body is to be trusted
+	Length         int64 // of the body in bytes, -1 where none is told
+	Chunked        bool  // the body comes in chunks; Length is -1 then
+	Close          bool  // the client wants the connection closed behind the answer
+	ExpectContinue bool  // the client waits for 100 (Continue) before it sends the body
+	Fields         []Field
 
 	authority string // of a target in absolute form
 }
@@ -106,8 +106,8 @@
 	return to
 }
 
-// Parser reads one head that comes in parts. The zero value is ready and goes by HeadLimit and FieldLimit; Reset and
-// Limit begin a new head.
+// Parser reads one head that comes in parts. The zero value is ready and goes by DefaultMaxHeadBytes and FieldLimit; Reset and
+// SetLimit begin a new head.
 type Parser struct {
 	limit  int // bytes of the fields, and of the request line; 0: HeadLimit for both together
 	seen   int // bytes looked at for line ends
@@ -119,14 +119,14 @@
 // Reset begins a new head under the limit that holds.
 func (p *Parser) Reset() { *p = Parser{limit: p.limit} }
 
-// Limit begins a new head whose fields, the empty line behind them included, may have so many bytes, and its request
+// SetLimit begins a new head whose fields, the empty line behind them included, may have so many bytes, and its request
 // line as many again; 0: both together have HeadLimit.
-func (p *Parser) Limit(bytes int) { *p = Parser{limit: bytes} }
+func (p *Parser) SetLimit(bytes int) { *p = Parser{limit: bytes} }
 
-// Most is how many bytes a head may have: a buffer of that size is never full without a head or an error.
-func (p *Parser) Most() int {
+// MaxBytes is how many bytes a head may have: a buffer of that size is never full without a head or an error.
+func (p *Parser) MaxBytes() int {
 	if p.limit == 0 {
-		return HeadLimit
+		return DefaultMaxHeadBytes
 	}
 	return 2 * p.limit
 }
@@ -134,7 +134,7 @@
 // tooLong says whether a head of so many bytes is over the limit.
 func (p *Parser) tooLong(size int) bool {
 	if p.limit == 0 {
-		return size > HeadLimit
+		return size > DefaultMaxHeadBytes
 	}
 	return size-p.fields > p.limit
 }
@@ -236,7 +236,7 @@
 	switch {
 	case version == "HTTP/1.1":
 	case version == "HTTP/1.0":
-		h.Old = true
+		h.HTTP10 = true
 	case len(version) == len("HTTP/1.1") && strings.HasPrefix(version, "HTTP/") && digit(version[5]) && version[6] == '.' && digit(version[7]):
 		return errVersion
 	default:
@@ -349,7 +349,7 @@
 			if !strings.EqualFold(value, "100-continue") {
 				return errExpect
 			}
-			h.Expect = true
+			h.ExpectContinue = true
 		case "Connection":
 			for name := range strings.SplitSeq(value, ",") {
 				name = strings.Trim(name, " \t")
@@ -360,7 +360,7 @@
 			}
 		}
 	}
-	if h.Old { // Host is not needed there, and Transfer-Encoding means nothing or something, by reader
+	if h.HTTP10 { // Host is not needed there, and Transfer-Encoding means nothing or something, by reader
 		h.Close = true
 		if transfer != "" {
 			return errVersion
@@ -372,7 +372,7 @@
 		if transfer != "chunked" || h.Length >= 0 {
 			return errTransfer
 		}
-		h.Chunks = true
+		h.Chunked = true
 	}
 	if hosts > 1 || !isHost(h.Host) {
 		return errHost
--- a/internal/proxy/h1/head_test.go
+++ b/internal/proxy/h1/head_test.go
@@ -53,53 +53,53 @@
 func TestStrict(t *testing.T) {
 	line, host := "POST / HTTP/1.1\r\n", "Host: a\r\n"
 	for text, status := range map[string]int{
-		"\r\n" + usable:                                                                  400, // an empty line first
-		"\n":                                                                             400,
-		"\x00\x01 noise":                                                                 400, // before any line end
-		"GET / HTTP/1.1\nHost: a\n\n":                                                    400, // bare LF
-		"GET / HTTP/1.1\r\nHost: a\n\r\n":                                                400,
-		"GET / HTTP/1.1\r\nX: a\rb\r\n\r\n":                                              400, // bare CR
-		"GET  / HTTP/1.1\r\nHost: a\r\n\r\n":                                             400,
-		"GET /a b HTTP/1.1\r\nHost: a\r\n\r\n":                                           400,
-		"GET / HTTP/1.1 \r\nHost: a\r\n\r\n":                                             400,
-		"G@T / HTTP/1.1\r\nHost: a\r\n\r\n":                                              400,
-		"GET http://b/ HTTP/1.1\r\nHost: a\r\n\r\n":                                      400, // against Host
-		"GET http:///x HTTP/1.1\r\nHost: a\r\n\r\n":                                      400,
-		"GET http://u@a/x HTTP/1.1\r\nHost: u@a\r\n\r\n":                                 400,
-		"GET ftp://a/x HTTP/1.1\r\nHost: a\r\n\r\n":                                      400,
-		"GET * HTTP/1.1\r\nHost: a\r\n\r\n":                                              400,
-		"GET /\x80 HTTP/1.1\r\nHost: a\r\n\r\n":                                          400,
-		"GET /%4 HTTP/1.1\r\nHost: a\r\n\r\n":                                            400,
-		"GET /#x HTTP/1.1\r\nHost: a\r\n\r\n":                                            400,
-		"GET / HTTP/2.0\r\nHost: a\r\n\r\n":                                              505,
-		"GET / HTTP/1.10\r\nHost: a\r\n\r\n":                                             400,
-		"GET / http/1.1\r\nHost: a\r\n\r\n":                                              400,
-		"GET / HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n":                           505,
-		line + "\r\n":                                                                    400, // no Host
-		line + host + host + "\r\n":                                                      400,
-		line + "Host: a/b\r\n\r\n":                                                       400,
-		line + host + " folded\r\n\r\n":                                                  400,
-		line + host + "X : 1\r\n\r\n":                                                    400,
-		line + host + "X\r\n\r\n":                                                        400,
-		line + host + ": 1\r\n\r\n":                                                      400,
-		line + host + "X: a\x00b\r\n\r\n":                                                400,
-		line + host + "Content-Length: +1\r\n\r\n":                                       400,
-		line + host + "Content-Length: -1\r\n\r\n":                                       400,
-		line + host + "Content-Length: 1,1\r\n\r\n":                                      400,
-		line + host + "Content-Length:\r\n\r\n":                                          400,
-		line + host + "Content-Length: 1\r\nContent-Length: 1\r\n\r\n":                   400,
-		line + host + "Content-Length: 9999999999999999999\r\n\r\n":                      413,
-		line + host + "Transfer-Encoding: gzip, chunked\r\n\r\n":                         400,
-		line + host + "Transfer-Encoding: chunked, identity\r\n\r\n":                     400,
-		line + host + "Transfer-Encoding: xchunked\r\n\r\n":                              400,
-		line + host + "Transfer-Encoding:\r\n\r\n":                                       400,
-		line + host + "Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n\r\n": 400,
-		line + host + "Content-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n":          400,
-		line + host + "Transfer-Encoding: chunked\r\nContent-Length: 1\r\n\r\n":          400,
-		line + host + "Expect: 200-maybe\r\n\r\n":                                        417,
-		line + host + strings.Repeat("X: 1\r\n", FieldLimit) + "\r\n":                    431,
-		line + host + "X: " + strings.Repeat("x", HeadLimit):                             431,
-		line + host + "X: " + strings.Repeat("x", HeadLimit-len(line+host)) + "\r\n\r\n": 431,
+		"\r\n" + usable:                                                                            400, // an empty line first
+		"\n":                                                                                       400,
+		"\x00\x01 noise":                                                                           400, // before any line end
+		"GET / HTTP/1.1\nHost: a\n\n":                                                              400, // bare LF
+		"GET / HTTP/1.1\r\nHost: a\n\r\n":                                                          400,
+		"GET / HTTP/1.1\r\nX: a\rb\r\n\r\n":                                                        400, // bare CR
+		"GET  / HTTP/1.1\r\nHost: a\r\n\r\n":                                                       400,
+		"GET /a b HTTP/1.1\r\nHost: a\r\n\r\n":                                                     400,
+		"GET / HTTP/1.1 \r\nHost: a\r\n\r\n":                                                       400,
+		"G@T / HTTP/1.1\r\nHost: a\r\n\r\n":                                                        400,
+		"GET http://b/ HTTP/1.1\r\nHost: a\r\n\r\n":                                                400, // against Host
+		"GET http:///x HTTP/1.1\r\nHost: a\r\n\r\n":                                                400,
+		"GET http://u@a/x HTTP/1.1\r\nHost: u@a\r\n\r\n":                                           400,
+		"GET ftp://a/x HTTP/1.1\r\nHost: a\r\n\r\n":                                                400,
+		"GET * HTTP/1.1\r\nHost: a\r\n\r\n":                                                        400,
+		"GET /\x80 HTTP/1.1\r\nHost: a\r\n\r\n":                                                    400,
+		"GET /%4 HTTP/1.1\r\nHost: a\r\n\r\n":                                                      400,
+		"GET /#x HTTP/1.1\r\nHost: a\r\n\r\n":                                                      400,
+		"GET / HTTP/2.0\r\nHost: a\r\n\r\n":                                                        505,
+		"GET / HTTP/1.10\r\nHost: a\r\n\r\n":                                                       400,
+		"GET / http/1.1\r\nHost: a\r\n\r\n":                                                        400,
+		"GET / HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n":                                     505,
+		line + "\r\n":                                                                              400, // no Host
+		line + host + host + "\r\n":                                                                400,
+		line + "Host: a/b\r\n\r\n":                                                                 400,
+		line + host + " folded\r\n\r\n":                                                            400,
+		line + host + "X : 1\r\n\r\n":                                                              400,
+		line + host + "X\r\n\r\n":                                                                  400,
+		line + host + ": 1\r\n\r\n":                                                                400,
+		line + host + "X: a\x00b\r\n\r\n":                                                          400,
+		line + host + "Content-Length: +1\r\n\r\n":                                                 400,
+		line + host + "Content-Length: -1\r\n\r\n":                                                 400,
+		line + host + "Content-Length: 1,1\r\n\r\n":                                                400,
+		line + host + "Content-Length:\r\n\r\n":                                                    400,
+		line + host + "Content-Length: 1\r\nContent-Length: 1\r\n\r\n":                             400,
+		line + host + "Content-Length: 9999999999999999999\r\n\r\n":                                413,
+		line + host + "Transfer-Encoding: gzip, chunked\r\n\r\n":                                   400,
+		line + host + "Transfer-Encoding: chunked, identity\r\n\r\n":                               400,
+		line + host + "Transfer-Encoding: xchunked\r\n\r\n":                                        400,
+		line + host + "Transfer-Encoding:\r\n\r\n":                                                 400,
+		line + host + "Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n\r\n":           400,
+		line + host + "Content-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n":                    400,
+		line + host + "Transfer-Encoding: chunked\r\nContent-Length: 1\r\n\r\n":                    400,
+		line + host + "Expect: 200-maybe\r\n\r\n":                                                  417,
+		line + host + strings.Repeat("X: 1\r\n", FieldLimit) + "\r\n":                              431,
+		line + host + "X: " + strings.Repeat("x", DefaultMaxHeadBytes):                             431,
+		line + host + "X: " + strings.Repeat("x", DefaultMaxHeadBytes-len(line+host)) + "\r\n\r\n": 431,
 	} {
 		var bad *Error
 		if _, n, err := read(text); !errors.As(err, &bad) || bad.Status != status {
@@ -156,7 +156,7 @@
 		if oracle.Method != h.Method || target != h.Target && h.authority == "" || oracle.Host != h.Host || oracle.Close && !h.Close {
 			t.Errorf("%q: %+v, net/http has %s %s of %q, close %v", b, h, oracle.Method, oracle.RequestURI, oracle.Host, oracle.Close)
 		}
-		if length := max(h.Length, 0); oracle.ContentLength != length && !(h.Chunks && oracle.ContentLength == -1) {
+		if length := max(h.Length, 0); oracle.ContentLength != length && !(h.Chunked && oracle.ContentLength == -1) {
 			t.Errorf("%q: length %d, net/http has %d", b, h.Length, oracle.ContentLength)
 		}
 		header := h.EndToEnd()
@@ -170,7 +170,7 @@
 			t.Errorf("%q: fields %v, net/http has %v", b, header, oracle.Header)
 		}
 		body, err := io.ReadAll(oracle.Body)
-		if h.Chunks {
+		if h.Chunked {
 			ours, done, failed := unchunk(b[n:], len(b))
 			if done && (err != nil || string(ours) != string(body)) {
 				t.Errorf("%q: chunks hold %q, net/http has %q, %v", b, ours, body, err)
@@ -188,7 +188,7 @@
 
 // What is written net/http reads back; fields of the connection and values that would end a field are left out.
 func TestAnswer(t *testing.T) {
-	a := Answer{
+	a := Response{
 		Status: 200, Length: 2, Close: true, Date: "Tue, 01 Dec 2026 11:00:00 GMT",
 		Header: http.Header{"X-Kept": {"1", "2"}, "Connection": {"close, x-hop"}, "X-Hop": {"1"}, "Content-Length": {"9"}, "X-Bad": {"a\r\nX-Forged: 1"}, "Content-Type": {"text/hive"}},
 	}
@@ -201,7 +201,7 @@
 	if err != nil || string(body) != "ok" || !res.Close || !reflect.DeepEqual(res.Header, want) {
 		t.Errorf("body %q, error %v, header %v, want %v", body, err, res.Header, want)
 	}
-	refusal := Answer{Status: 503, Pause: 1250e6}
+	refusal := Response{Status: 503, RetryAfter: 1250e6}
 	if got := string(refusal.Append(nil)); got != "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nRetry-After: 1.250\r\n\r\n" {
 		t.Errorf("%q", got)
 	}
@@ -232,11 +232,11 @@
 	for _, c := range []struct{ line, fields, status int }{{limit, limit, 0}, {limit, limit + 1, 431}, {limit + 1, 100, 414}, {100, 4 * limit, 431}, {4 * limit, 100, 414}} {
 		for _, part := range []int{1, 7, limit, 10 * limit} {
 			var p Parser
-			p.Limit(limit)
+			p.SetLimit(limit)
 			b, n, at := []byte(head(c.line, c.fields)), 0, 0
 			var err error
 			for n == 0 && err == nil {
-				if at == len(b) || at >= p.Most() && at > part {
+				if at == len(b) || at >= p.MaxBytes() && at > part {
 					t.Fatalf("%+v in parts of %d: %d bytes and nothing said", c, part, at)
 				}
 				at = min(at+part, len(b))
@@ -245,7 +245,7 @@
 			if bad := (*Error)(nil); c.status == 0 && (err != nil || n != len(b)) || c.status != 0 && (!errors.As(err, &bad) || bad.Status != c.status) {
 				t.Errorf("%+v in parts of %d: %d bytes, %v", c, part, n, err)
 			}
-			if p.Reset(); p.Most() != 2*limit {
+			if p.Reset(); p.MaxBytes() != 2*limit {
 				t.Error("the limit is gone with the head")
 			}
 		}
--- a/internal/proxy/transport/grpc/transport.go
+++ b/internal/proxy/transport/grpc/transport.go
@@ -28,8 +28,8 @@
 type Config struct {
 	Clock       clock.Clock
 	DialTimeout time.Duration                    // how long a connection may take to come up
-	ConnIdle    time.Duration                    // a connection with no call on it for so long is closed
-	MostConns   int                              // subchannels at most, a connection each
+	IdleTimeout time.Duration                    // a connection with no call on it for so long is closed
+	MaxConns    int                              // subchannels at most, a connection each
 	Probes      bool                             // servers have ORCA's out-of-band service
 	Report      map[string]policy.LoadFields     // ORCA's named_metrics that tell the module something
 	Credentials credentials.TransportCredentials // nil: plain TCP
@@ -102,7 +102,7 @@
 		h.sub.out++
 		return h.sub, nil
 	}
-	if t.open >= t.cfg.MostConns {
+	if t.open >= t.cfg.MaxConns {
 		var oldest *host
 		for o := range t.hosts {
 			if o.sub.out == 0 && (oldest == nil || o.used < oldest.used) {
@@ -135,7 +135,7 @@
 		grpc.WithDisableHealthCheck(),
 		grpc.WithNoProxy(),
 		grpc.WithUserAgent(t.cfg.UserAgent),
-		grpc.WithIdleTimeout(t.cfg.ConnIdle-min(idleMargin, t.cfg.ConnIdle/4)),
+		grpc.WithIdleTimeout(t.cfg.IdleTimeout-min(idleMargin, t.cfg.IdleTimeout/4)),
 		grpc.WithConnectParams(grpc.ConnectParams{
 			Backoff:           backoff.Config{BaseDelay: firstBackoff, Multiplier: 2, Jitter: 0.2, MaxDelay: lastBackoff},
 			MinConnectTimeout: t.cfg.DialTimeout,
--- a/internal/proxy/transport/grpc/transport_test.go
+++ b/internal/proxy/transport/grpc/transport_test.go
@@ -25,7 +25,7 @@
 func newTransport(t *testing.T, edit func(*Config)) *Transport {
 	t.Helper()
 	cfg := Config{
-		Clock: clock.New(), DialTimeout: 5 * time.Second, ConnIdle: 30 * time.Second, MostConns: 8,
+		Clock: clock.New(), DialTimeout: 5 * time.Second, IdleTimeout: 30 * time.Second, MaxConns: 8,
 		Report: map[string]policy.LoadFields{"inflight": policy.HasInFlight, "queue": policy.HasQueued, "latency_ms": policy.HasService},
 	}
 	if edit != nil {
@@ -266,7 +266,7 @@
 func TestMostConnections(t *testing.T) {
 	l := new(testbed.Ledger)
 	a, b := testbed.NewGRPCNode(t, "a", l), testbed.NewGRPCNode(t, "b", l)
-	tr := newTransport(t, func(c *Config) { c.MostConns = 1 })
+	tr := newTransport(t, func(c *Config) { c.MaxConns = 1 })
 	sa, sb := tr.Server(a.Address), tr.Server(b.Address)
 	for _, s := range []call.Server{sa, sb} {
 		if got := send(t, tr, s, message(t, "1"), testbed.Generous); got.Ending != policy.Served {
@@ -340,7 +340,7 @@
 	l := new(testbed.Ledger)
 	n := testbed.NewGRPCNode(t, "s-0", l)
 	n.Do(testbed.Always(testbed.Hang))
-	tr := New(Config{Clock: clock.New(), DialTimeout: time.Second, ConnIdle: time.Minute, MostConns: 2, Probes: true})
+	tr := New(Config{Clock: clock.New(), DialTimeout: time.Second, IdleTimeout: time.Minute, MaxConns: 2, Probes: true})
 	s := tr.Server(n.Address)
 	ends := make(chan call.Result, 9)
 	for range 3 {
--- a/internal/proxy/transport/http1/body.go
+++ b/internal/proxy/transport/http1/body.go
@@ -46,14 +46,14 @@
 	window := stream.Take()
 	defer stream.Give(window)
 	for {
-		n, source := m.More.Read(window[h1.FrameBefore : stream.WindowSize-h1.FrameBehind])
+		n, source := m.More.Read(window[h1.ChunkPrefixBytes : stream.WindowSize-h1.ChunkSuffixBytes])
 		if c.spoken() {
 			return true, nil
 		}
 		if n > 0 {
-			piece := window[h1.FrameBefore : h1.FrameBefore+n]
+			piece := window[h1.ChunkPrefixBytes : h1.ChunkPrefixBytes+n]
 			if chunked {
-				piece = h1.Frame(window[:], n)
+				piece = h1.FrameChunk(window[:], n)
 			}
 			if err := stream.Write(c, piece); err != nil {
 				if c.spoken() { // it closed behind an answer
@@ -100,13 +100,13 @@
 		pass := m.Stream && res.StatusCode == http.StatusOK
 		framed := res.ContentLength >= 0 || len(res.TransferEncoding) > 0
 		if u.dialect != nil && m.Header != nil { // else it is a probe
-			if !u.dialect.Mine(m, res) { // it belongs to no request, or to one before
+			if !u.dialect.MatchesRequest(m, res) { // it belongs to no request, or to one before
 				if _, err := io.Copy(io.Discard, res.Body); err != nil {
 					return nil, nil, err
 				}
 				continue
 			}
-			ending, _ := u.dialect.Judge(res)
+			ending, _ := u.dialect.Classify(res)
 			// One without a length or chunks ends with its connection: a cut one would be passed on as if it were whole.
 			pass = m.Stream && ending == policy.Served && framed
 		}
@@ -176,7 +176,7 @@
 // from the client.
 type chunks struct {
 	r     *bufio.Reader
-	state h1.Chunks
+	state h1.ChunkDecoder
 	waits bool // for more where nothing of the body is here
 }
 
--- a/internal/proxy/transport/http1/transport.go
+++ b/internal/proxy/transport/http1/transport.go
@@ -42,16 +42,16 @@
 
 // Config says how servers are reached.
 type Config struct {
-	Clock       clock.Clock
-	DialTimeout time.Duration // how long a connection may take to come up
-	ConnIdle    time.Duration // servers close connections that stood idle so long
-	MostConns   int           // connections to all servers together
-	Reports     []string      // names of a load report's fields, in the order of Columns; none: there are no reports
-	Columns     wire.Columns
-	Wrote       func() // takes that an attempt was written whole; nil: nobody counts
-	Dialect     *Dialect
-	Rest        time.Duration // connections rest so long after an answer; 0: settleTime, negative: not at all
-	Silence     time.Duration // TCP_USER_TIMEOUT: a machine that acknowledges nothing for so long is gone; 0: the system's own
+	Clock            clock.Clock
+	DialTimeout      time.Duration // how long a connection may take to come up
+	IdleTimeout      time.Duration // servers close connections that stood idle so long
+	MaxConns         int           // connections to all servers together
+	LoadFields       []string      // names of a load report's fields, in the order of Columns; none: there are no reports
+	Columns          wire.Columns
+	OnRequestWritten func() // takes that an attempt was written whole; nil: nobody counts
+	Dialect          *Dialect
+	ReuseDelay       time.Duration // connections rest so long after an answer; 0: settleTime, negative: not at all
+	UserTimeout      time.Duration // TCP_USER_TIMEOUT: a machine that acknowledges nothing for so long is gone; 0: the system's own
 
 	// Dial opens connections in place of the system's own dialer, in memory for instance; nil: the system's. On a
 	// connection that is no socket nothing can be seen without reading it, so what came while it was idle is found
@@ -61,15 +61,15 @@
 
 // Dialect is how requests and answers go where that is not the daemon's own way. nil: the daemon's own.
 type Dialect struct {
-	Timeout string // field that tells a server how many milliseconds are left
-	// Mine says whether an answer belongs to a request; one that doesn't is read over, and the next one is looked at.
-	Mine func(m *call.Message, res *http.Response) bool
-	// Judge says what an answer's head proves. Only what is Served may be passed on while it comes.
-	Judge func(res *http.Response) (policy.Ending, policy.Load)
-	// Sign is the value of a field that each attempt has anew, so that its receiver can tell a second send of a request
-	// from a late copy of the first; SignField is the field's name. nil: there is none.
-	Sign      func() string
-	SignField string
+	TimeoutField string // field that tells a server how many milliseconds are left
+	// MatchesRequest says whether an answer belongs to a request; one that doesn't is read over, and the next one is looked at.
+	MatchesRequest func(m *call.Message, res *http.Response) bool
+	// Classify says what an answer's head proves. Only what is Served may be passed on while it comes.
+	Classify func(res *http.Response) (policy.Ending, policy.Load)
+	// NewSendID is the value of a field that each attempt has anew, so that its receiver can tell a second send of a request
+	// from a late copy of the first; SendIDField is the field's name. nil: there is none.
+	NewSendID   func() string
+	SendIDField string
 }
 
 // Transport carries attempts and probes to the servers, over connections that it keeps. It is not
@@ -127,15 +127,15 @@
 // New makes a transport that has nothing open yet. It needs no closing beyond that of its servers.
 func New(cfg Config) *Transport {
 	u := &Transport{
-		clock: cfg.Clock, dialTimeout: cfg.DialTimeout, reports: cfg.Reports, columns: cfg.Columns,
+		clock: cfg.Clock, dialTimeout: cfg.DialTimeout, reports: cfg.LoadFields, columns: cfg.Columns,
 		// Well before the server closes it: a request written from then on would end as a reset.
-		keep:      cfg.ConnIdle - min(idleMargin, cfg.ConnIdle/4),
-		settle:    max(0, cmp.Or(cfg.Rest, settleTime)),
+		keep:      cfg.IdleTimeout - min(idleMargin, cfg.IdleTimeout/4),
+		settle:    max(0, cmp.Or(cfg.ReuseDelay, settleTime)),
 		dialect:   cfg.Dialect,
-		silence:   cfg.Silence,
-		most:      cfg.MostConns,
+		silence:   cfg.UserTimeout,
+		most:      cfg.MaxConns,
 		probePath: "/alive",
-		wrote:     cfg.Wrote,
+		wrote:     cfg.OnRequestWritten,
 		idle:      make(map[*host][]*conn),
 		under:     make(map[*exchange]struct{}),
 	}
@@ -145,7 +145,7 @@
 	if u.wrote == nil {
 		u.wrote = func() {}
 	}
-	if len(cfg.Reports) > 0 {
+	if len(cfg.LoadFields) > 0 {
 		u.probePath = "/metrics/load"
 	}
 	return u
@@ -302,14 +302,14 @@
 	if u.dialect == nil {
 		return false
 	}
-	ending, _ := u.dialect.Judge(res)
+	ending, _ := u.dialect.Classify(res)
 	return ending == policy.TurnedAway
 }
 
 // judge says what an answer's head proves.
 func (u *Transport) judge(res *http.Response) (policy.Ending, policy.Load) {
 	if u.dialect != nil {
-		return u.dialect.Judge(res)
+		return u.dialect.Classify(res)
 	}
 	load := u.load(res.Header.Get("X-Server-Load"))
 	switch never := res.Header.Get("X-Not-Processed") == "1"; {
@@ -358,7 +358,7 @@
 	line("Host", m.Host)
 	timeout, unit, fields := "X-Timeout", "m", []h1.Field(nil)
 	if u.dialect != nil {
-		timeout, unit = u.dialect.Timeout, ""
+		timeout, unit = u.dialect.TimeoutField, ""
 	}
 	if m.Header != nil { // else it is a probe
 		fields = to.fields
@@ -369,8 +369,8 @@
 	for _, f := range fields {
 		line(f.Name, f.Value)
 	}
-	if u.dialect != nil && u.dialect.Sign != nil && m.Header != nil {
-		line(u.dialect.SignField, u.dialect.Sign())
+	if u.dialect != nil && u.dialect.NewSendID != nil && m.Header != nil {
+		line(u.dialect.SendIDField, u.dialect.NewSendID())
 	}
 	for name, values := range m.Header {
 		for _, value := range values {
--- a/internal/proxy/transport/http1/transport_test.go
+++ b/internal/proxy/transport/http1/transport_test.go
@@ -20,9 +20,9 @@
 func testUpstream(t *testing.T) *Transport {
 	t.Helper()
 	u := New(Config{
-		Clock: clock.New(), DialTimeout: 5 * time.Second, ConnIdle: 30 * time.Second, MostConns: 96,
-		Reports: []string{"failed_ps", "svc_ms", "served_ps", "busy_reqs"},
-		Columns: wire.Columns{policy.HasErrors, policy.HasService, policy.HasServed, policy.HasInFlight},
+		Clock: clock.New(), DialTimeout: 5 * time.Second, IdleTimeout: 30 * time.Second, MaxConns: 96,
+		LoadFields: []string{"failed_ps", "svc_ms", "served_ps", "busy_reqs"},
+		Columns:    wire.Columns{policy.HasErrors, policy.HasService, policy.HasServed, policy.HasInFlight},
 	})
 	u.settle = 0 // where that is not what a test is about
 	return u
--- a/plugin/client.go
+++ b/plugin/client.go
@@ -39,8 +39,8 @@
 func overHTTP1(cfg Config, c clock.Clock) pool.Transport {
 	names, columns := cfg.reports()
 	return http1.New(http1.Config{
-		Clock: c, DialTimeout: cfg.DialTimeout, ConnIdle: cfg.ConnIdle, MostConns: cfg.MaxConnections,
-		Reports: names, Columns: columns,
+		Clock: c, DialTimeout: cfg.DialTimeout, IdleTimeout: cfg.ConnIdle, MaxConns: cfg.MaxConnections,
+		LoadFields: names, Columns: columns,
 	})
 }
 
