--- a/internal/mesh/controlplane/quota.go
+++ b/internal/mesh/controlplane/quota.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"caperarch/internal/mesh/errs"
+	"caperarch/internal/mesh/quota"
 	"caperarch/internal/mesh/replication"
 	"caperarch/internal/mesh/rpc"
 	"caperarch/internal/mesh/sidecar"
@@ -40,11 +41,12 @@
 	if err := s.checkMayAllocate(term); err != nil {
 		return nil, err
 	}
-	grants, throttled, err := s.allocator.Allocate(now, uint64(term), request.Node, request.Demands)
+	epoch := quota.Epoch(term)
+	grants, throttled, err := s.allocator.Allocate(now, epoch, request.Node, request.Demands)
 	if err != nil {
 		return nil, err
 	}
-	return &sidecar.AllocateResponse{Epoch: uint64(term), Grants: grants, Throttled: throttled}, nil
+	return &sidecar.AllocateResponse{Epoch: epoch, Grants: grants, Throttled: throttled}, nil
 }
 
 // forwardToLeader forwards a request to the leader, once: a member that isn't the leader rejects one
--- a/internal/mesh/controlplane/quota_test.go
+++ b/internal/mesh/controlplane/quota_test.go
@@ -31,8 +31,8 @@
 			So(allocator.Configure(0, limits, 3), ShouldBeNil)
 			allocators = append(allocators, allocator)
 		}
-		allocates := func(now time.Duration, term uint64, node string) bool {
-			grants, _, err := allocators[term-1].Allocate(now, term, node, demands)
+		allocates := func(now time.Duration, epoch quota.Epoch, node string) bool {
+			grants, _, err := allocators[epoch-1].Allocate(now, epoch, node, demands)
 			return err == nil && len(grants) > 0
 		}
 		allocates(0, 1, "n1")
--- a/internal/mesh/quota/allocator.go
+++ b/internal/mesh/quota/allocator.go
@@ -26,7 +26,7 @@
 	planner planner
 	tenants map[string]*tenantAccount
 
-	epoch              uint64
+	epoch              Epoch
 	hasEpoch           bool
 	allocatesFrom      time.Duration            // nothing is granted before
 	assumeContactUntil time.Duration            // for deferred tenants all members are in contact until then
@@ -71,7 +71,7 @@
 // errs.Busy, and the node mustn't be told that it was granted anything; so is a node beyond maxNodes. A
 // request that can't be used is errs.Invalid or errs.TooLarge.
 func (a *Allocator) Allocate(
-	now time.Duration, epoch uint64, node string, demands []Demand,
+	now time.Duration, epoch Epoch, node string, demands []Demand,
 ) ([]Grant, []Throttled, error) {
 	if err := validateRequest(node, demands); err != nil {
 		return nil, nil, err
@@ -154,7 +154,7 @@
 
 // beginEpoch starts a new epoch: buckets are empty, and nothing is granted until the tokens of the last
 // epoch have expired.
-func (a *Allocator) beginEpoch(now time.Duration, epoch uint64) {
+func (a *Allocator) beginEpoch(now time.Duration, epoch Epoch) {
 	a.epoch, a.hasEpoch, a.allocatesFrom = epoch, true, now+TokenTTL
 	a.assumeContactUntil = now + contactTTL
 	clear(a.lastContact)
--- a/internal/mesh/quota/fleet_test.go
+++ b/internal/mesh/quota/fleet_test.go
@@ -48,11 +48,11 @@
 func disturb(s *simulation) {
 	s.demandFactor = surgeFrom(4*second, "")
 	s.extraLatency = time.Duration(s.rng.IntN(60)) * ms
-	epochOf := make([]uint64, 20)
-	s.reachableEpoch = func(_ time.Duration, sidecar int) uint64 { return epochOf[sidecar] }
+	epochOf := make([]Epoch, 20)
+	s.reachableEpoch = func(_ time.Duration, sidecar int) Epoch { return epochOf[sidecar] }
 	s.eachMillisecond = func(now time.Duration) {
 		if now%(50*ms) == 0 {
-			epoch := 1 + uint64(now/(4*second))
+			epoch := 1 + Epoch(now/(4*second))
 			sidecar := s.rng.IntN(20)
 			switch epochOf[sidecar] = epoch; {
 			case s.rng.IntN(4) == 0:
--- a/internal/mesh/quota/limiter.go
+++ b/internal/mesh/quota/limiter.go
@@ -50,7 +50,7 @@
 	floorSeconds    float64       // seconds in which floors have filled since the start
 	floorLeaseUntil time.Duration // floors don't fill before
 
-	epoch           uint64        // the newest seen
+	epoch           Epoch         // the newest seen
 	epochStart      time.Duration // the first response of the epoch
 	inContactUntil  time.Duration // until then the Allocator counts this member as in contact
 	unansweredSince time.Duration // when the first unanswered request was made, if awaitingResponse
@@ -204,7 +204,7 @@
 // ones is no longer throttled. The floors are held back until limiterFloorLease after that request. A
 // response of an older epoch than one seen before is errs.Stale and changes nothing, as is one that
 // nobody waits for; one with impossible numbers is errs.Invalid.
-func (l *LocalLimiter) ApplyGrants(now time.Duration, epoch uint64, grants []Grant, throttled []Throttled) error {
+func (l *LocalLimiter) ApplyGrants(now time.Duration, epoch Epoch, grants []Grant, throttled []Throttled) error {
 	if !l.awaitingResponse {
 		return errs.New(errs.Stale, "response of epoch %d, no request is in flight", epoch)
 	}
--- a/internal/mesh/quota/quota.go
+++ b/internal/mesh/quota/quota.go
@@ -105,6 +105,10 @@
 	oneToken = 1 - 1e-9
 )
 
+// Epoch numbers the Allocators that follow one another: it is the term of the leader that an Allocator
+// belongs to. It travels as a JSON number.
+type Epoch uint64
+
 // Rules are the settings of the quota: the sliding window, and what the rule allows above rate and burst.
 type Rules struct {
 	Window  time.Duration
--- a/internal/mesh/quota/simulation_test.go
+++ b/internal/mesh/quota/simulation_test.go
@@ -34,14 +34,14 @@
 type simulation struct {
 	rng           *rand.Rand
 	limits        map[string]Limit
-	allocators    map[uint64]*Allocator // by epoch
-	limiters      []*LocalLimiter       // by sidecar
-	inFlightUntil []time.Duration       // until when a request of each sidecar is in flight
+	allocators    map[Epoch]*Allocator // by epoch
+	limiters      []*LocalLimiter      // by sidecar
+	inFlightUntil []time.Duration      // until when a request of each sidecar is in flight
 	deliveries    map[time.Duration][]func(now time.Duration)
 	extraLatency  time.Duration
 
 	// Hooks.
-	reachableEpoch  func(now time.Duration, sidecar int) uint64 // whose allocator it reaches, 0 for none
+	reachableEpoch  func(now time.Duration, sidecar int) Epoch // whose allocator it reaches, 0 for none
 	demandFactor    func(now time.Duration, tenant string) float64
 	eachMillisecond func(now time.Duration)
 
@@ -56,9 +56,9 @@
 	s := &simulation{
 		rng:             rand.New(rand.NewPCG(seed, 1)),
 		limits:          smallFleetLimits,
-		allocators:      map[uint64]*Allocator{},
+		allocators:      map[Epoch]*Allocator{},
 		deliveries:      map[time.Duration][]func(time.Duration){},
-		reachableEpoch:  func(time.Duration, int) uint64 { return 1 },
+		reachableEpoch:  func(time.Duration, int) Epoch { return 1 },
 		demandFactor:    func(time.Duration, string) float64 { return 1 },
 		eachMillisecond: func(time.Duration) {},
 		admitted:        map[string][]time.Duration{},
@@ -107,7 +107,7 @@
 }
 
 // allocator is the one of the epoch, which begins with its first request.
-func (s *simulation) allocator(now time.Duration, epoch uint64) *Allocator {
+func (s *simulation) allocator(now time.Duration, epoch Epoch) *Allocator {
 	allocator := s.allocators[epoch]
 	if allocator == nil {
 		var err error
@@ -227,7 +227,7 @@
 
 // replaceAllocator has the first allocator gone after ten seconds, and another begin two seconds later.
 func replaceAllocator(s *simulation) {
-	s.reachableEpoch = func(now time.Duration, _ int) uint64 {
+	s.reachableEpoch = func(now time.Duration, _ int) Epoch {
 		switch {
 		case now < 10*second:
 			return 1
@@ -241,7 +241,7 @@
 // disconnect has the chosen sidecars out of contact for a while.
 func disconnect(from, to time.Duration, chosen func(sidecar int) bool) func(*simulation) {
 	return func(s *simulation) {
-		s.reachableEpoch = func(now time.Duration, sidecar int) uint64 {
+		s.reachableEpoch = func(now time.Duration, sidecar int) Epoch {
 			if chosen(sidecar) && now >= from && now < to {
 				return 0
 			}
--- a/internal/mesh/sidecar/quota_client.go
+++ b/internal/mesh/sidecar/quota_client.go
@@ -38,7 +38,7 @@
 
 // AllocateResponse is what the leader allocates in the epoch, its term.
 type AllocateResponse struct {
-	Epoch     uint64            `json:"epoch"`
+	Epoch     quota.Epoch       `json:"epoch"`
 	Grants    []quota.Grant     `json:"grants"`
 	Throttled []quota.Throttled `json:"closed,omitempty"`
 }
