--- a/cmd/measure/strain.go
+++ b/cmd/measure/strain.go
@@ -29,9 +29,9 @@
 // all lets all in.
 type all struct{}
 
-func (all) Ask(time.Duration, float64) bool    { return true }
-func (all) Began(time.Duration)                {}
-func (all) Ended(time.Duration, admission.End) {}
+func (all) Admit(time.Duration, float64) bool                { return true }
+func (all) AttemptStarted(time.Duration)                     {}
+func (all) AttemptEnded(time.Duration, admission.AttemptEnd) {}
 
 // measureStrain plays the hard cases in virtual time, with the module's own admission and with what it was weighed against.
 func measureStrain(short bool) (string, []string, error) {
--- a/internal/daemon/config/config.go
+++ b/internal/daemon/config/config.go
@@ -44,7 +44,7 @@
 	DialTimeout time.Duration
 	Longest     time.Duration // the longest deadline of any class
 
-	Known call.Listing // the servers as last known
+	Known call.ServerList // the servers as last known
 
 	MayPeer    bool     // the settings allow sidecars to send one another datagrams
 	PeerListen string   // where those of the others arrive
--- a/internal/daemon/cordon/overlay.go
+++ b/internal/daemon/cordon/overlay.go
@@ -34,9 +34,9 @@
 }
 
 // Heard takes a list, whole or changes, and returns what is to be handed on in its place.
-func (o *Overlay) Heard(l call.Listing) call.Listing {
+func (o *Overlay) Heard(l call.ServerList) call.ServerList {
 	o.last = l.Version
-	if l.Whole {
+	if l.Full {
 		clear(o.listed)
 	}
 	servers := make([]policy.Server, 0, len(l.Servers))
@@ -45,11 +45,11 @@
 		if s.State == policy.Gone {
 			delete(o.listed, s.ID)
 		} else {
-			name := l.Name[s.ID]
+			name := l.Names[s.ID]
 			if name == "" {
 				name = o.listed[s.ID].name
 			}
-			o.listed[s.ID] = listed{s, l.Address[s.ID], name}
+			o.listed[s.ID] = listed{s, l.Addresses[s.ID], name}
 		}
 		servers = append(servers, o.seen(s))
 	}
@@ -67,7 +67,7 @@
 
 // Set takes which ids are banned from now on, and returns the whole list as it is to be handed on. An id that is not listed, or never was, is kept: it may be
 // on the way.
-func (o *Overlay) Set(ids []string) call.Listing {
+func (o *Overlay) Set(ids []string) call.ServerList {
 	clear(o.banned)
 	for _, id := range ids {
 		o.banned[call.ServerID(id)] = true
@@ -76,7 +76,7 @@
 }
 
 // SetAway takes which servers are out by plans of work from now on, and returns the whole list as it is to be handed on.
-func (o *Overlay) SetAway(ids []policy.ServerID) call.Listing {
+func (o *Overlay) SetAway(ids []policy.ServerID) call.ServerList {
 	o.away = make(map[policy.ServerID]bool, len(ids))
 	for _, id := range ids {
 		o.away[id] = true
@@ -85,7 +85,7 @@
 }
 
 // now is the whole list as it is to be handed on.
-func (o *Overlay) now() call.Listing {
+func (o *Overlay) now() call.ServerList {
 	l := o.Whole()
 	for i, s := range l.Servers {
 		l.Servers[i] = o.seen(s)
@@ -125,14 +125,14 @@
 }
 
 // Whole is the list as the list has it, bans left aside.
-func (o *Overlay) Whole() call.Listing {
-	l := call.Listing{Version: o.last, Whole: true, Address: make(map[policy.ServerID]string, len(o.listed)), Name: make(map[policy.ServerID]string, len(o.listed))}
+func (o *Overlay) Whole() call.ServerList {
+	l := call.ServerList{Version: o.last, Full: true, Addresses: make(map[policy.ServerID]string, len(o.listed)), Names: make(map[policy.ServerID]string, len(o.listed))}
 	for _, id := range slices.Sorted(maps.Keys(o.listed)) {
 		e := o.listed[id]
 		l.Servers = append(l.Servers, e.Server)
-		l.Address[id] = e.address
+		l.Addresses[id] = e.address
 		if e.name != "" {
-			l.Name[id] = e.name
+			l.Names[id] = e.name
 		}
 	}
 	return l
--- a/internal/daemon/cordon/overlay_test.go
+++ b/internal/daemon/cordon/overlay_test.go
@@ -15,15 +15,15 @@
 	return policy.Server{ID: call.ServerID(id), State: state, Weight: 1, Started: started}
 }
 
-func list(whole bool, servers ...policy.Server) call.Listing {
-	l := call.Listing{Version: 1, Whole: whole, Servers: servers, Address: make(map[policy.ServerID]string)}
+func list(whole bool, servers ...policy.Server) call.ServerList {
+	l := call.ServerList{Version: 1, Full: whole, Servers: servers, Addresses: make(map[policy.ServerID]string)}
 	for _, s := range servers {
-		l.Address[s.ID] = "127.0.0.1:1"
+		l.Addresses[s.ID] = "127.0.0.1:1"
 	}
 	return l
 }
 
-func stateOf(l call.Listing, id string) policy.State {
+func stateOf(l call.ServerList, id string) policy.State {
 	for _, s := range l.Servers {
 		if s.ID == call.ServerID(id) {
 			return s.State
@@ -36,10 +36,10 @@
 func TestBanLasts(t *testing.T) {
 	o := NewOverlay()
 	o.Heard(list(true, server("a", policy.Ready, 0), server("b", policy.Ready, 0)))
-	if l := o.Set([]string{"a"}); stateOf(l, "a") != policy.Draining || stateOf(l, "b") != policy.Ready || l.Address[call.ServerID("a")] == "" {
+	if l := o.Set([]string{"a"}); stateOf(l, "a") != policy.Draining || stateOf(l, "b") != policy.Ready || l.Addresses[call.ServerID("a")] == "" {
 		t.Fatalf("banned: %+v", l)
 	}
-	for name, l := range map[string]call.Listing{
+	for name, l := range map[string]call.ServerList{
 		"whole": list(true, server("a", policy.Ready, 0), server("b", policy.Ready, 0)), "change": list(false, server("a", policy.Ready, 7)),
 	} {
 		if got := stateOf(o.Heard(l), "a"); got != policy.Draining {
@@ -67,7 +67,7 @@
 		o, want, bans := NewOverlay(), map[string]policy.State{}, []string(nil)
 		seen := map[policy.ServerID]policy.State{}
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
-			var l call.Listing
+			var l call.ServerList
 			if rapid.Bool().Draw(t, "bans change") {
 				bans = rapid.SliceOfDistinct(rapid.SampledFrom(ids), rapid.ID[string]).Draw(t, "bans")
 				l = o.Set(bans)
@@ -83,7 +83,7 @@
 				}
 				l = o.Heard(list(whole, servers...))
 			}
-			if l.Whole {
+			if l.Full {
 				clear(seen)
 			}
 			for _, s := range l.Servers {
--- a/internal/daemon/cordonstore/cordonstore.go
+++ b/internal/daemon/cordonstore/cordonstore.go
@@ -35,9 +35,9 @@
 // Engine takes lists up; neither waits.
 type Engine interface {
 	// List takes what discovery has told.
-	List(l call.Listing)
+	UpdateServers(l call.ServerList)
 	// Relist takes the whole list as it is to be seen from now on, and calls taken once that is so.
-	Relist(l call.Listing, taken func())
+	ReplaceServers(l call.ServerList, taken func())
 }
 
 // Keeper has the bans of this process, over all of its lists.
@@ -72,7 +72,7 @@
 	defer l.k.mu.Unlock()
 	if !slices.Equal(l.also, ids) {
 		l.also = ids
-		l.engine.Relist(l.overlay.Set(l.out()), nil)
+		l.engine.ReplaceServers(l.overlay.Set(l.out()), nil)
 	}
 }
 
@@ -80,7 +80,7 @@
 func (l *List) Away(ids []policy.ServerID) {
 	l.k.mu.Lock()
 	defer l.k.mu.Unlock()
-	l.engine.Relist(l.overlay.SetAway(ids), nil)
+	l.engine.ReplaceServers(l.overlay.SetAway(ids), nil)
 }
 
 // Entries are the upstreams that are listed, plans of work left aside.
@@ -104,23 +104,23 @@
 }
 
 // Known takes the list that is known at the start and what was listed before, and returns the list as the engine is to have it.
-func (l *List) Known(known call.Listing, ever []policy.ServerID) call.Listing {
+func (l *List) Known(known call.ServerList, ever []policy.ServerID) call.ServerList {
 	l.k.mu.Lock()
 	defer l.k.mu.Unlock()
 	l.overlay.Remember(ever)
-	known.Whole = true
+	known.Full = true
 	return l.overlay.Heard(known)
 }
 
 // Heard takes a list and hands it on.
-func (l *List) Heard(heard call.Listing) {
+func (l *List) Heard(heard call.ServerList) {
 	l.k.mu.Lock()
 	defer l.k.mu.Unlock()
-	l.engine.List(l.overlay.Heard(heard))
+	l.engine.UpdateServers(l.overlay.Heard(heard))
 }
 
 // Whole is the list as it was heard last, bans left aside, and what was listed before.
-func (l *List) Whole() (listed call.Listing, left []policy.ServerID) {
+func (l *List) Whole() (listed call.ServerList, left []policy.ServerID) {
 	l.k.mu.Lock()
 	defer l.k.mu.Unlock()
 	return l.overlay.Whole(), l.overlay.Left()
@@ -214,7 +214,7 @@
 	for l := range k.lists {
 		// Handed on without a change too: what an earlier call began may still wait to be taken up.
 		all.Add(1)
-		l.engine.Relist(l.overlay.Set(l.out()), all.Done)
+		l.engine.ReplaceServers(l.overlay.Set(l.out()), all.Done)
 	}
 	done := make(chan struct{})
 	go func() {
--- a/internal/daemon/cordonstore/cordonstore_test.go
+++ b/internal/daemon/cordonstore/cordonstore_test.go
@@ -25,9 +25,9 @@
 	last chan policy.State
 }
 
-func (e *engine) List(l call.Listing) { e.Relist(l, nil) }
+func (e *engine) UpdateServers(l call.ServerList) { e.ReplaceServers(l, nil) }
 
-func (e *engine) Relist(l call.Listing, taken func()) {
+func (e *engine) ReplaceServers(l call.ServerList, taken func()) {
 	for _, s := range l.Servers {
 		e.last <- s.State
 	}
@@ -44,7 +44,7 @@
 	t.Helper()
 	k, e := New(dir, slog.Default()), &engine{last: make(chan policy.State, 100)}
 	l := k.List(e)
-	known := l.Known(call.Listing{Servers: []policy.Server{{ID: call.ServerID("s-1"), State: policy.Ready, Weight: 1}}, Address: map[policy.ServerID]string{}}, nil)
+	known := l.Known(call.ServerList{Servers: []policy.Server{{ID: call.ServerID("s-1"), State: policy.Ready, Weight: 1}}, Addresses: map[policy.ServerID]string{}}, nil)
 	e.last <- known.Servers[0].State
 	return k, e
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -111,9 +111,9 @@
 
 // parts are an engine with what it sends over and the list that it follows.
 type parts struct {
-	name      string       // of its pool
-	conns     int          // to servers, of all processes of this sidecar together
-	known     call.Listing // what the engine is to begin with
+	name      string          // of its pool
+	conns     int             // to servers, of all processes of this sidecar together
+	known     call.ServerList // what the engine is to begin with
 	target    *fronthttp1.Target
 	engine    *engine.Engine
 	follower  *membership.Follower
@@ -134,7 +134,7 @@
 	ended := s.know(&decisions)
 	limits := s.rule(func(out []string) { p.list.Also(out) }, func(ids []policy.ServerID) { p.list.Away(ids) }, func(open int) { p.target.SetMaxOpen(open) })
 	e, err := engine.New(engine.Config{
-		Policy: decisions, Seed: cfg.Seed, Clock: c, Transport: p.transport, Log: log, Watch: func() { p.follower.Ask() },
+		Policy: decisions, Seed: cfg.Seed, Clock: c, Transport: p.transport, Log: log, Watch: func() { p.follower.Trigger() },
 		Module: o.module(), AttemptEnded: ended, Limits: limits,
 	})
 	if err != nil {
@@ -149,16 +149,16 @@
 	}
 	p.leave = s.enter(p)
 	p.follower = membership.New(membership.Config{
-		Address: cfg.Discovery, Zones: cfg.Zones, Asked: cfg.Policy.AskList, Known: known,
-		Heard: func(l call.Listing) {
-			log.Info("list", "version", l.Version, "whole", l.Whole, "entries", len(l.Servers))
+		Address: cfg.Discovery, Zones: cfg.Zones, OnDemand: cfg.Policy.AskList, Known: known,
+		OnUpdate: func(l call.ServerList) {
+			log.Info("list", "version", l.Version, "whole", l.Full, "entries", len(l.Servers))
 			p.current.Store(true)
 			p.list.Heard(l)
 		},
-		Failed: func(err error) {
+		OnError: func(err error) {
 			p.current.Store(false)
 			log.Warn("discovery", "error", err)
-			e.ListFailed()
+			e.DiscoveryFailed()
 		},
 	})
 	return p, nil
@@ -173,5 +173,5 @@
 		return
 	}
 	log.Info("configuration read again", "discovery", cfg.Discovery)
-	follower.Move(cfg.Discovery)
+	follower.SetAddress(cfg.Discovery)
 }
--- a/internal/daemon/fleet.go
+++ b/internal/daemon/fleet.go
@@ -162,7 +162,7 @@
 	for i, id := range ids {
 		servers[i] = policy.ServerID(id)
 	}
-	x.parts.engine.Quiet(servers, func(quiet []policy.ServerID) {
+	x.parts.engine.ReportIdle(servers, func(quiet []policy.ServerID) {
 		all := make([]uint64, len(quiet))
 		for i, id := range quiet {
 			all[i] = uint64(id)
--- a/internal/daemon/front_test.go
+++ b/internal/daemon/front_test.go
@@ -74,7 +74,7 @@
 			t.Errorf("%s: %s, want %d", name, res.Status, c.status)
 		}
 	}
-	if res, body := do(t, side.request(t, "POST", "/entry", strings.Repeat("x", call.BodyLimit))); res.StatusCode != 200 || body != "done r1" {
+	if res, body := do(t, side.request(t, "POST", "/entry", strings.Repeat("x", call.MaxBufferedBody))); res.StatusCode != 200 || body != "done r1" {
 		t.Errorf("longest body: %s %q", res.Status, body)
 	}
 	if len(s.Seen) != 1 {
--- a/internal/daemon/handover/handover_test.go
+++ b/internal/daemon/handover/handover_test.go
@@ -86,9 +86,9 @@
 }
 
 func TestRecord(t *testing.T) {
-	l := call.Listing{Version: 3, Whole: true, Servers: []policy.Server{
+	l := call.ServerList{Version: 3, Full: true, Servers: []policy.Server{
 		{ID: 1<<64 - 1, State: policy.Ready, Weight: 1, Started: time.Duration(1<<62 + 1)}, {ID: 2, State: policy.Draining, Weight: 2, Zone: -1},
-	}, Address: map[policy.ServerID]string{1<<64 - 1: "127.0.0.1:1", 2: "127.0.0.1:2"}}
+	}, Addresses: map[policy.ServerID]string{1<<64 - 1: "127.0.0.1:1", 2: "127.0.0.1:2"}}
 	raw, err := (&Record{Pools: map[string]Pool{"": PoolOf(l, nil)}}).encode("m")
 	if err != nil {
 		t.Fatal(err)
@@ -97,7 +97,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got := r.Pools[""].Listing(); got.Version != 3 || len(got.Servers) != 2 || got.Servers[0] != l.Servers[0] || got.Servers[1] != l.Servers[1] || got.Address[2] != "127.0.0.1:2" {
+	if got := r.Pools[""].Listing(); got.Version != 3 || len(got.Servers) != 2 || got.Servers[0] != l.Servers[0] || got.Servers[1] != l.Servers[1] || got.Addresses[2] != "127.0.0.1:2" {
 		t.Errorf("%+v", got)
 	}
 	for n := range raw {
--- a/internal/daemon/handover/record.go
+++ b/internal/daemon/handover/record.go
@@ -42,22 +42,22 @@
 }
 
 // PoolOf puts a whole list in a record's form.
-func PoolOf(l call.Listing, ever []policy.ServerID) Pool {
+func PoolOf(l call.ServerList, ever []policy.ServerID) Pool {
 	p := Pool{Version: l.Version, Ever: ever}
 	for _, s := range l.Servers {
-		p.Servers = append(p.Servers, Server{s, l.Address[s.ID], l.Name[s.ID]})
+		p.Servers = append(p.Servers, Server{s, l.Addresses[s.ID], l.Names[s.ID]})
 	}
 	return p
 }
 
 // Listing is the list that a pool's record holds.
-func (p Pool) Listing() call.Listing {
-	l := call.Listing{Version: p.Version, Whole: true, Address: make(map[policy.ServerID]string, len(p.Servers)), Name: make(map[policy.ServerID]string, len(p.Servers))}
+func (p Pool) Listing() call.ServerList {
+	l := call.ServerList{Version: p.Version, Full: true, Addresses: make(map[policy.ServerID]string, len(p.Servers)), Names: make(map[policy.ServerID]string, len(p.Servers))}
 	for _, s := range p.Servers {
 		l.Servers = append(l.Servers, s.Server)
-		l.Address[s.ID] = s.Address
+		l.Addresses[s.ID] = s.Address
 		if s.Name != "" {
-			l.Name[s.ID] = s.Name
+			l.Names[s.ID] = s.Name
 		}
 	}
 	return l
--- a/internal/daemon/pools.go
+++ b/internal/daemon/pools.go
@@ -251,7 +251,7 @@
 // route says which pool a request goes to.
 func (d *poolsDaemon) route(h *h1.Head) (*fronthttp1.Target, *fronthttp1.Rejection) {
 	now := d.now.Load()
-	q, err := route.Of(h.Host, h.Target, h.Method, h.Get("X-Priority-Class"))
+	q, err := route.NewRequest(h.Host, h.Target, h.Method, h.Get("X-Priority-Class"))
 	if err != nil {
 		return nil, &fronthttp1.Rejection{Status: http.StatusBadRequest, Reason: err.Error()}
 	}
@@ -265,34 +265,34 @@
 // walls are a pool's parts of what is held.
 type walls struct {
 	clock   clock.Clock
-	clients *share.Space
-	calls   *share.Space
-	bodies  *share.Space
+	clients *share.Capacity
+	calls   *share.Capacity
+	bodies  *share.Capacity
 	pool    int
 	bounded bool // calls are
 }
 
 // BeginRead takes a place for a connection with a request.
-func (w *walls) BeginRead() bool { return w.clients.Take(w.clock.Now(), w.pool, 1) }
+func (w *walls) BeginRead() bool { return w.clients.Acquire(w.clock.Now(), w.pool, 1) }
 
 // EndRead gives it back.
-func (w *walls) EndRead() { w.clients.Give(w.pool, 1) }
+func (w *walls) EndRead() { w.clients.Release(w.pool, 1) }
 
 // HasCapacity says whether Reserve would take one now.
 func (w *walls) HasCapacity(size int64) bool {
 	now := w.clock.Now()
-	return (!w.bounded || w.calls.Room(now, w.pool, 1)) && w.bodies.Room(now, w.pool, size)
+	return (!w.bounded || w.calls.CanAcquire(now, w.pool, 1)) && w.bodies.CanAcquire(now, w.pool, size)
 }
 
 // Reserve takes a place for a request with a body of so many bytes.
 func (w *walls) Reserve(size int64) bool {
 	now := w.clock.Now()
-	if w.bounded && !w.calls.Take(now, w.pool, 1) {
+	if w.bounded && !w.calls.Acquire(now, w.pool, 1) {
 		return false
 	}
-	if !w.bodies.Take(now, w.pool, size) {
+	if !w.bodies.Acquire(now, w.pool, size) {
 		if w.bounded {
-			w.calls.Give(w.pool, 1)
+			w.calls.Release(w.pool, 1)
 		}
 		return false
 	}
@@ -302,9 +302,9 @@
 // Release gives it back.
 func (w *walls) Release(size int64) {
 	if w.bounded {
-		w.calls.Give(w.pool, 1)
+		w.calls.Release(w.pool, 1)
 	}
-	w.bodies.Give(w.pool, size)
+	w.bodies.Release(w.pool, size)
 }
 
 // Explain says which rule a request takes, for people: method and URL as a client would use them, and its class.
@@ -318,9 +318,9 @@
 		target = "/"
 	}
 	if class == "" { // as the protocol has it, the first part of the path
-		class = route.FirstPart(r.URL.Path)
+		class = route.FirstSegment(r.URL.Path)
 	}
-	q, err := route.Of(r.Host, target, method, class)
+	q, err := route.NewRequest(r.Host, target, method, class)
 	if err != nil {
 		return "", fmt.Errorf("%d: %w", http.StatusBadRequest, err)
 	}
--- a/internal/daemon/replace.go
+++ b/internal/daemon/replace.go
@@ -70,7 +70,7 @@
 
 // known is the list that a pool begins with, and what was listed before. What the process before had heard is newer than the configuration, but for a list of
 // a later version.
-func (s *service) known(pool string, known call.Listing) (call.Listing, []policy.ServerID) {
+func (s *service) known(pool string, known call.ServerList) (call.ServerList, []policy.ServerID) {
 	if s.record == nil {
 		return known, nil
 	}
--- a/internal/daemon/wayin_test.go
+++ b/internal/daemon/wayin_test.go
@@ -87,7 +87,7 @@
 	say(t, held, rawHead+"Content-Length: 1\r\n\r\n1", "held")
 	testbed.Wait(t, "the held request", s.Seen)
 	c, r := side.dial(t)
-	say(t, c, rawHead+"Content-Length: %d\r\n\r\n", "r2", call.BodyLimit)
+	say(t, c, rawHead+"Content-Length: %d\r\n\r\n", "r2", call.MaxBufferedBody)
 	if status, _ := hear(t, r); status != http.StatusServiceUnavailable {
 		t.Fatalf("%d before the body, want 503", status)
 	}
@@ -95,7 +95,7 @@
 	if status, _ := hear(t, heldAnswer); status != 200 {
 		t.Fatalf("the held request: %d", status)
 	}
-	say(t, c, "%s"+rawHead+"Content-Length: 1\r\n\r\n1", strings.Repeat("x", call.BodyLimit), "r3")
+	say(t, c, "%s"+rawHead+"Content-Length: 1\r\n\r\n1", strings.Repeat("x", call.MaxBufferedBody), "r3")
 	if status, body := hear(t, r); status != 200 || body != "done r3" {
 		t.Errorf("%d %q on the connection that was refused", status, body)
 	}
@@ -139,7 +139,7 @@
 
 // A long answer goes out whole, also to a client that takes its time.
 func TestLongAnswer(t *testing.T) {
-	text := strings.Repeat("0123456789abcdef", call.BodyLimit/16)
+	text := strings.Repeat("0123456789abcdef", call.MaxBufferedBody/16)
 	s := testbed.NewStub(t, func(c net.Conn, r testbed.Received) bool {
 		_, err := fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
 		return err == nil
@@ -199,7 +199,7 @@
 	runtime.GC()
 	runtime.ReadMemStats(&after)
 	// 256 connections, each with a body, a head and its goroutine; and what the test's own two thousand take.
-	const most = 256*(call.BodyLimit+16<<10+16<<10) + hostile*2<<10
+	const most = 256*(call.MaxBufferedBody+16<<10+16<<10) + hostile*2<<10
 	grown := int64(after.HeapInuse+after.StackInuse) - int64(before.HeapInuse+before.StackInuse)
 	if grown > most {
 		t.Errorf("%d KiB more memory, at most %d", grown>>10, most>>10)
--- a/internal/mesh/sidecar/at_most_once_test.go
+++ b/internal/mesh/sidecar/at_most_once_test.go
@@ -154,7 +154,7 @@
 			return true, text, goesOn
 		}
 	}
-	large := strings.Repeat("x", call.BodyLimit+1)
+	large := strings.Repeat("x", call.MaxBufferedBody+1)
 	for _, c := range []struct {
 		name      string
 		upstreams upstreamBehavior
--- a/internal/mesh/sidecar/endpoints_test.go
+++ b/internal/mesh/sidecar/endpoints_test.go
@@ -33,7 +33,7 @@
 	all := make(map[string]policy.State)
 	l := e.balancerListing()
 	for _, u := range l.Servers {
-		all[l.Address[u.ID]] = u.State
+		all[l.Addresses[u.ID]] = u.State
 	}
 	So(l.Servers, ShouldHaveLength, len(all))
 	return all
--- a/internal/mesh/sidecar/engines.go
+++ b/internal/mesh/sidecar/engines.go
@@ -58,7 +58,7 @@
 	}
 	return engine.New(engine.Config{
 		Policy: policy.Config{MaxAttempts: maxSends}, Seed: s.engineSeed(), Clock: s.clock,
-		Transport: gateTransport{transport}, Log: logring.NewSlog(s.log), Silent: true, Sleeps: true,
+		Transport: gateTransport{transport}, Log: logring.NewSlog(s.log), NoCounterLog: true, SleepsWhenIdle: true,
 		Module: func(_ policy.Config, _ uint64, host policy.Host) (engine.Module, error) {
 			return balancer.New(cfg, host), nil
 		},
@@ -73,7 +73,7 @@
 	})
 	return engine.New(engine.Config{
 		Policy: policy.Config{MaxAttempts: 1}, Seed: s.engineSeed(), Clock: s.clock,
-		Transport: transport, Log: logring.NewSlog(s.log), Silent: true, Sleeps: true,
+		Transport: transport, Log: logring.NewSlog(s.log), NoCounterLog: true, SleepsWhenIdle: true,
 		Module: func(_ policy.Config, _ uint64, host policy.Host) (engine.Module, error) {
 			s.inbound.gate = gate.New(host)
 			return s.inbound.gate, nil
--- a/internal/mesh/sidecar/heartbeat.go
+++ b/internal/mesh/sidecar/heartbeat.go
@@ -46,7 +46,7 @@
 	if s.endpoints.apply(full, upserts, removals) {
 		s.publishUpstream() // a core machine took the local upstream's heartbeat
 	}
-	s.balancerEngine.List(s.endpoints.balancerListing())
+	s.balancerEngine.UpdateServers(s.endpoints.balancerListing())
 }
 
 // publishUpstream tells the gate, the balancer and the core of the local upstream as it is now, and
@@ -58,8 +58,8 @@
 	if u := s.endpoints.localUpstream(); u != nil {
 		s.inbound.instance.Store(&u.Instance)
 	}
-	s.gateEngine.List(s.endpoints.gateListing(s.settings.Self.AppAddress))
+	s.gateEngine.UpdateServers(s.endpoints.gateListing(s.settings.Self.AppAddress))
 	s.gateEngine.Flush() // a heartbeat is acknowledged only after this
-	s.balancerEngine.List(s.endpoints.balancerListing())
+	s.balancerEngine.UpdateServers(s.endpoints.balancerListing())
 	s.watchClient.RenewNow()
 }
--- a/internal/mesh/sidecar/heartbeat_test.go
+++ b/internal/mesh/sidecar/heartbeat_test.go
@@ -46,7 +46,7 @@
 	cfg := engine.Config{
 		Policy: policy.Config{MaxAttempts: 1}, Clock: s.clock,
 		Transport: http1.New(http1.Config{Clock: s.clock}),
-		Log:       logring.NewSlog(s.log), Silent: true, Sleeps: true,
+		Log:       logring.NewSlog(s.log), NoCounterLog: true, SleepsWhenIdle: true,
 	}
 	cfg.Module = func(_ policy.Config, _ uint64, _ policy.Host) (engine.Module, error) {
 		return balancer.New(balancer.Config{Members: func() int { return 1 }}, nil), nil
@@ -99,7 +99,7 @@
 		}
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
-		go s.gateEngine.Run(ctx, call.Listing{})
+		go s.gateEngine.Run(ctx, call.ServerList{})
 		acked.Wait()
 		for range 3 {
 			w := <-answers
@@ -158,7 +158,7 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	go s.gateEngine.Run(ctx, call.Listing{})
+	go s.gateEngine.Run(ctx, call.ServerList{})
 	both.Wait()
 	if published() != "i-2" {
 		t.Errorf("the gate takes requests for %s", published())
--- a/internal/mesh/sidecar/inbound.go
+++ b/internal/mesh/sidecar/inbound.go
@@ -89,7 +89,7 @@
 		return false
 	}
 	terms, remaining, ok := parseAttempt(h)
-	if !ok || terms.Idempotent || a != nil && !a.Unasked {
+	if !ok || terms.Idempotent || a != nil && !a.RejectedByFront {
 		return true // no sidecar runs a request that can't be parsed
 	}
 	return i.gate.AttemptLog().RecordRejection(i.clock.Now(), terms.Key, terms.SendID, remaining)
--- a/internal/mesh/sidecar/inbound_test.go
+++ b/internal/mesh/sidecar/inbound_test.go
@@ -80,7 +80,7 @@
 		h := parseHead(idempotentLine, once)
 		So(endingOf(d, 503, h, nil), ShouldEqual, policy.Gated)
 		So(i.gate.AttemptLog().Size(), ShouldEqual, 1)
-		unasked := &call.Answer{Kind: call.Refused, Unasked: true}
+		unasked := &call.Answer{Kind: call.Refused, RejectedByFront: true}
 		So(endingOf(d, 503, h, unasked), ShouldEqual, policy.Gated)
 	})
 	Convey("It is not promised where another arrival of the request was sent", t, func() {
@@ -93,7 +93,7 @@
 		q.ID, q.Left = 1, remaining
 		i.gate.Request(0, q)
 		So(host.sent, ShouldEqual, 1)
-		unasked := &call.Answer{Kind: call.Refused, Unasked: true}
+		unasked := &call.Answer{Kind: call.Refused, RejectedByFront: true}
 		So(endingOf(d, 503, h, unasked), ShouldEqual, policy.Broken)
 		So(endingOf(d, 503, h, nil), ShouldEqual, policy.Broken)
 		byGate := &call.Answer{Kind: call.Refused}
--- a/internal/mesh/sidecar/listings.go
+++ b/internal/mesh/sidecar/listings.go
@@ -11,12 +11,12 @@
 
 // balancerListing is the list that the balancer goes by: all upstreams behind a gate, in the order
 // of their ids. The address of each is that of its gate and its instance, see gateTransport.
-func (e *endpoints) balancerListing() call.Listing {
+func (e *endpoints) balancerListing() call.ServerList {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	listing := call.Listing{
-		Whole:   true,
-		Address: make(map[policy.ServerID]string), Name: make(map[policy.ServerID]string),
+	listing := call.ServerList{
+		Full:      true,
+		Addresses: make(map[policy.ServerID]string), Names: make(map[policy.ServerID]string),
 	}
 	e.forEach(func(u registry.Upstream) {
 		if u.State == registry.Deregistered || u.Inbound == "" {
@@ -27,24 +27,24 @@
 			ID: id, Zone: e.zones[u.Zone], Cell: e.services.number(u.Service),
 			State: policyState(u.State), Weight: float64(u.Slots),
 		})
-		listing.Address[id] = u.Inbound + " " + u.Instance
-		listing.Name[id] = u.Instance
+		listing.Addresses[id] = u.Inbound + " " + u.Instance
+		listing.Names[id] = u.Instance
 	})
 	slices.SortFunc(listing.Servers, func(a, b policy.Server) int { return cmp.Compare(a.ID, b.ID) })
 	return listing
 }
 
 // gateListing is the list that the gate goes by: the local upstream at its address, if it is known.
-func (e *endpoints) gateListing(address string) call.Listing {
+func (e *endpoints) gateListing(address string) call.ServerList {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	listing := call.Listing{Whole: true, Address: make(map[policy.ServerID]string)}
+	listing := call.ServerList{Full: true, Addresses: make(map[policy.ServerID]string)}
 	if e.local != nil {
 		id := call.ServerID(e.local.Instance)
 		listing.Servers = []policy.Server{{
 			ID: id, State: policyState(e.local.State), Weight: float64(max(1, e.local.Slots)),
 		}}
-		listing.Address[id] = address
+		listing.Addresses[id] = address
 	}
 	return listing
 }
--- a/internal/mesh/sidecar/mesh_test.go
+++ b/internal/mesh/sidecar/mesh_test.go
@@ -103,7 +103,7 @@
 	m.t.Helper()
 	e, err := engine.New(engine.Config{
 		Policy: policy.Config{MaxAttempts: attempts}, Clock: clock.New(), Transport: tr,
-		Log: slog.New(slog.DiscardHandler), Silent: true, Sleeps: true,
+		Log: slog.New(slog.DiscardHandler), NoCounterLog: true, SleepsWhenIdle: true,
 		Module: func(_ policy.Config, _ uint64, host policy.Host) (engine.Module, error) {
 			return module(host), nil
 		},
@@ -111,7 +111,7 @@
 	if err != nil {
 		m.t.Fatal(err)
 	}
-	go e.Run(ctx, call.Listing{})
+	go e.Run(ctx, call.ServerList{})
 	return e
 }
 
@@ -176,7 +176,7 @@
 		{Instance: "i-1", Service: "s", Inbound: "gate1", Zone: "z", Slots: 4},
 		{Instance: "i-2", Service: "s", Inbound: "gate2", Zone: "z", Slots: 4},
 	}, nil)
-	e.List(s.endpoints.balancerListing())
+	e.UpdateServers(s.endpoints.balancerListing())
 	e.Flush()
 	m.startFront("caller", e, s.newOutbound().frontDialect(), frontBodyBytes)
 }
@@ -192,10 +192,10 @@
 		return in.gate
 	})
 	id := call.ServerID(instance)
-	e.List(call.Listing{
-		Whole:   true,
-		Servers: []policy.Server{{ID: id, State: policy.Ready, Weight: 4}},
-		Address: map[policy.ServerID]string{id: upstream},
+	e.UpdateServers(call.ServerList{
+		Full:      true,
+		Servers:   []policy.Server{{ID: id, State: policy.Ready, Weight: 4}},
+		Addresses: map[policy.ServerID]string{id: upstream},
 	})
 	e.Flush()
 	m.gates = append(m.gates, in)
@@ -284,7 +284,7 @@
 // bodyOf is the body of a request, and of the response to it.
 func bodyOf(id string) string {
 	if strings.HasPrefix(id, longBody) {
-		return "ran " + id + strings.Repeat("x", call.BodyLimit)
+		return "ran " + id + strings.Repeat("x", call.MaxBufferedBody)
 	}
 	return "ran " + id
 }
--- a/internal/mesh/sidecar/sidecar.go
+++ b/internal/mesh/sidecar/sidecar.go
@@ -72,8 +72,8 @@
 
 	background, stop := context.WithCancel(context.Background())
 	defer stop()
-	go s.balancerEngine.Run(background, call.Listing{})
-	go s.gateEngine.Run(background, call.Listing{})
+	go s.balancerEngine.Run(background, call.ServerList{})
+	go s.gateEngine.Run(background, call.ServerList{})
 	failed, err := s.listen(fronts)
 	if err != nil {
 		return err
--- a/internal/proxy/admission/admission.go
+++ b/internal/proxy/admission/admission.go
@@ -11,28 +11,28 @@
 // Gate is one way to do it. It is used from one goroutine, by one balancer.
 type Gate interface {
 	// Ask says whether a request may try. worth is its class's against the mean of all, above 0.
-	Ask(now time.Duration, worth float64) bool
+	Admit(now time.Duration, worth float64) bool
 	// Began takes that an attempt goes out.
-	Began(now time.Duration)
+	AttemptStarted(now time.Duration)
 	// Ended takes the end of an attempt, once for each that began.
-	Ended(now time.Duration, e End)
+	AttemptEnded(now time.Duration, e AttemptEnd)
 }
 
 // End is the end of an attempt.
-type End struct {
-	Good float64       // 1: the answer came well in time, less as its time was nearly over; 0: there was none
-	Mute bool          // it tells nothing: called off, not sent, or of a request that is over
-	Took time.Duration // from its sending
-	Aim  time.Duration // its class's
+type AttemptEnd struct {
+	Score         float64       // 1: the answer came well in time, less as its time was nearly over; 0: there was none
+	Ignored       bool          // it tells nothing: called off, not sent, or of a request that is over
+	Duration      time.Duration // from its sending
+	LatencyTarget time.Duration // its class's
 }
 
 const (
-	free = 1.5             // and this many requests, or a light balancer refuses after one failure
-	over = 2 * time.Second // lately: about as long as queues take to build up
-	dear = 1.0 / 8         // a class counts as worth this much of the mean at least, or it is never let in
+	freeRequests = 1.5             // and this many requests, or a light balancer refuses after one failure
+	fadeTime     = 2 * time.Second // lately: about as long as queues take to build up
+	minValue     = 1.0 / 8         // a class counts as worth this much of the mean at least, or it is never let in
 )
 
 // Pass draws whether one passes where a share of all may; worthier ones pass sooner. Nothing is drawn where all may.
-func Pass(rng *rand.Rand, share, worth float64) bool {
-	return share >= 1 || rng.Float64() < math.Pow(max(0, share), 1/max(worth, dear))
+func Draw(rng *rand.Rand, share, worth float64) bool {
+	return share >= 1 || rng.Float64() < math.Pow(max(0, share), 1/max(worth, minValue))
 }
--- a/internal/proxy/admission/admission_test.go
+++ b/internal/proxy/admission/admission_test.go
@@ -16,12 +16,12 @@
 	var ends []time.Duration
 	for now := from; now < until; now += 10 * ms {
 		for len(ends) > 0 && ends[0] <= now {
-			g.Ended(now, End{Good: good(now), Took: 50 * ms, Aim: 100 * ms})
+			g.AttemptEnded(now, AttemptEnd{Score: good(now), Duration: 50 * ms, LatencyTarget: 100 * ms})
 			ends = ends[1:]
 		}
-		if asked++; g.Ask(now, 1) {
+		if asked++; g.Admit(now, 1) {
 			let++
-			g.Began(now)
+			g.AttemptStarted(now)
 			ends = append(ends, now+50*ms)
 		}
 	}
@@ -59,11 +59,11 @@
 		for range rapid.IntRange(0, 300).Draw(t, "events") {
 			now += time.Duration(rapid.Int64Range(0, int64(200*ms)).Draw(t, "passes"))
 			if rapid.Bool().Draw(t, "ask") {
-				g.Ask(now, rapid.Float64Range(0, 5).Draw(t, "worth"))
+				g.Admit(now, rapid.Float64Range(0, 5).Draw(t, "worth"))
 			} else {
-				g.Ended(now, End{Good: rapid.Float64Range(0, 1).Draw(t, "good"), Mute: rapid.Bool().Draw(t, "mute")})
+				g.AttemptEnded(now, AttemptEnd{Score: rapid.Float64Range(0, 1).Draw(t, "good"), Ignored: rapid.Bool().Draw(t, "mute")})
 			}
-			if !(g.share >= least && g.share <= 1) {
+			if !(g.share >= minShare && g.share <= 1) {
 				t.Fatalf("share %v", g.share)
 			}
 		}
@@ -78,7 +78,7 @@
 // A budget holds within any span, and gives back what left it.
 func TestBudgetHoldsWithinAnySpan(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := Budget{Limit: Limit{Span: time.Second, Free: float64(rapid.IntRange(0, 3).Draw(t, "free")), Share: rapid.Float64Range(0, 1).Draw(t, "share")}}
+		b := RetryBudget{RetryLimit: RetryLimit{Span: time.Second, Free: float64(rapid.IntRange(0, 3).Draw(t, "free")), Share: rapid.Float64Range(0, 1).Draw(t, "share")}}
 		var taken, tried []time.Duration
 		now := time.Hour
 		since := func(list []time.Duration, from time.Duration) (n int) {
@@ -92,10 +92,10 @@
 		for range rapid.IntRange(1, 200).Draw(t, "events") {
 			now += time.Duration(rapid.Int64Range(0, int64(300*ms)).Draw(t, "passes"))
 			if rapid.Bool().Draw(t, "request") {
-				b.Taken(now)
+				b.RecordRequest(now)
 				taken = append(taken, now)
-			} else if !b.Spent(now) {
-				b.Tried(now)
+			} else if !b.Exhausted(now) {
+				b.RecordRetry(now)
 				tried = append(tried, now)
 				if n, most := since(tried, now-b.Span), b.Free+b.Share*float64(since(taken, now-b.Span+1)); float64(n) > most {
 					t.Fatalf("%d further attempts, %v allowed", n, most)
--- a/internal/proxy/admission/budget.go
+++ b/internal/proxy/admission/budget.go
@@ -5,7 +5,7 @@
 )
 
 // Parts is among how many processes a budget is divided, at least one.
-func Parts(of func() int) float64 {
+func ProcessCount(of func() int) float64 {
 	if of == nil {
 		return 1
 	}
@@ -13,31 +13,31 @@
 }
 
 // Budget keeps count of what a Limit allows. It is used from one goroutine.
-type Budget struct {
-	Limit
-	Parts       func() int // processes that Free is divided among; nil: one
-	taken, more window
+type RetryBudget struct {
+	RetryLimit
+	Processes         func() int // processes that Free is divided among; nil: one
+	requests, retries window
 }
 
 // Taken counts a request.
-func (b *Budget) Taken(now time.Duration) {
-	b.taken.since(now - b.Span)
-	b.more.since(now - b.Span)
-	b.taken = append(b.taken, now)
+func (b *RetryBudget) RecordRequest(now time.Duration) {
+	b.requests.since(now - b.Span)
+	b.retries.since(now - b.Span)
+	b.requests = append(b.requests, now)
 }
 
 // Spent says whether there is no further attempt left. A request taken just a span ago no longer counts, an attempt
 // made just then still does.
-func (b *Budget) Spent(now time.Duration) bool {
+func (b *RetryBudget) Exhausted(now time.Duration) bool {
 	if b.Span == 0 {
 		return false
 	}
 	from := now - b.Span
-	return float64(b.more.since(from)+1) > b.Free/Parts(b.Parts)+b.Share*float64(b.taken.since(from+1))
+	return float64(b.retries.since(from)+1) > b.Free/ProcessCount(b.Processes)+b.Share*float64(b.requests.since(from+1))
 }
 
 // Tried counts an attempt after a request's first.
-func (b *Budget) Tried(now time.Duration) { b.more = append(b.more, now) }
+func (b *RetryBudget) RecordRetry(now time.Duration) { b.retries = append(b.retries, now) }
 
 // window counts what happened lately.
 type window []time.Duration
--- a/internal/proxy/admission/ratio.go
+++ b/internal/proxy/admission/ratio.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-const most = 1.5 // Ratio lets in this multiple of what was lately answered in time
+const successMultiple = 1.5 // Ratio lets in this multiple of what was lately answered in time
 
 // Ratio lets in little more than what was lately answered in time, of worthier classes more. Walls bound each balancer alone; where a
 // thousand of few requests each find the fleet short of what they ask, the slots of all are more than it can serve in time, and its
@@ -21,11 +21,11 @@
 func NewRatio(rng *rand.Rand) *Ratio { return &Ratio{rng: rng} }
 
 // Ask counts one that may not try at once, any other by its attempts' ends.
-func (g *Ratio) Ask(now time.Duration, worth float64) bool {
-	fade := math.Exp(-float64(now-g.at) / float64(over))
+func (g *Ratio) Admit(now time.Duration, worth float64) bool {
+	fade := math.Exp(-float64(now-g.at) / float64(fadeTime))
 	g.at, g.all, g.good = now, g.all*fade, g.good*fade
-	share := (free + most*g.good) / (free + g.all)
-	if Pass(g.rng, share, worth) {
+	share := (freeRequests + successMultiple*g.good) / (freeRequests + g.all)
+	if Draw(g.rng, share, worth) {
 		return true
 	}
 	g.all++
@@ -33,12 +33,12 @@
 }
 
 // Began has no part in it.
-func (g *Ratio) Began(time.Duration) {}
+func (g *Ratio) AttemptStarted(time.Duration) {}
 
 // Ended counts an attempt's end.
-func (g *Ratio) Ended(_ time.Duration, e End) {
-	if !e.Mute {
+func (g *Ratio) AttemptEnded(_ time.Duration, e AttemptEnd) {
+	if !e.Ignored {
 		g.all++
-		g.good += e.Good
+		g.good += e.Score
 	}
 }
--- a/internal/proxy/admission/recovering.go
+++ b/internal/proxy/admission/recovering.go
@@ -7,40 +7,40 @@
 )
 
 const (
-	wellAt   = 0.9                    // answers are this good again: capacity is back
-	wellOver = 200 * time.Millisecond // the share doubles within this then
-	lastOf   = 8.0                    // answers that tell how it is now,
-	lastFor  = 250 * time.Millisecond // or fewer, of about so long
-	upTo     = 1.7                    // until then it settles where answers are 1/upTo as good as can be
-	farOver  = 4.0                    // times its part or more that a tenant asks for
-	least    = 0.1                    // of the share, or it is slow to find back: few tell how it is
+	recoveredScore = 0.9                    // answers are this good again: capacity is back
+	doublingTime   = 200 * time.Millisecond // the share doubles within this then
+	scoreAnswers   = 8.0                    // answers that tell how it is now,
+	scoreTime      = 250 * time.Millisecond // or fewer, of about so long
+	decayMargin    = 1.7                    // until then it settles where answers are 1/upTo as good as can be
+	maxExcess      = 4.0                    // times its part or more that a tenant asks for
+	minShare       = 0.1                    // of the share, or it is slow to find back: few tell how it is
 )
 
 // Health is how good a balancer's last answers were, whoever's they were, and how much was asked of it: servers are common
 // to all tenants.
 type Health struct {
-	now   float64
-	at    time.Duration
-	asked lately // of all tenants
+	score  float64
+	at     time.Duration
+	demand fadingCount // of all tenants
 }
 
 // lately counts what fades.
-type lately struct {
+type fadingCount struct {
 	n  float64
 	at time.Duration
 }
 
-func (l *lately) count(now time.Duration) {
-	l.n = 1 + l.n*math.Exp(-float64(now-l.at)/float64(over))
+func (l *fadingCount) count(now time.Duration) {
+	l.n = 1 + l.n*math.Exp(-float64(now-l.at)/float64(fadeTime))
 	l.at = now
 }
 
 // NewHealth begins well.
-func NewHealth() *Health { return &Health{now: 1} }
+func NewHealth() *Health { return &Health{score: 1} }
 
 // take counts an end; where they are rare each tells more.
-func (h *Health) take(now time.Duration, good float64) {
-	h.now += (good - h.now) * min(0.5, max(1/lastOf, float64(now-h.at)/float64(lastFor)))
+func (h *Health) record(now time.Duration, good float64) {
+	h.score += (good - h.score) * min(0.5, max(1/scoreAnswers, float64(now-h.at)/float64(scoreTime)))
 	h.at = now
 }
 
@@ -50,8 +50,8 @@
 type Recovering struct {
 	rng        *rand.Rand
 	health     *Health
-	part       float64 // of all traffic, that is the tenant's by right
-	asked      lately  // by the tenant
+	fairShare  float64     // of all traffic, that is the tenant's by right
+	demand     fadingCount // by the tenant
 	share      float64
 	at         time.Duration
 	ended, bad float64 // attempts that were let in; they fade
@@ -59,49 +59,49 @@
 
 // NewRecovering makes one of a balancer's gates. It draws from rng only where not all may try.
 func NewRecovering(rng *rand.Rand, h *Health) *Recovering {
-	return &Recovering{rng: rng, health: h, part: 1, share: 1}
+	return &Recovering{rng: rng, health: h, fairShare: 1, share: 1}
 }
 
 // SetPart tells a gate what part of all traffic is its tenant's by right; others than Recovering have no use for it.
-func SetPart(g Gate, part float64) {
+func SetFairShare(g Gate, part float64) {
 	if g, goes := g.(*Recovering); goes {
-		g.part = part
+		g.fairShare = part
 	}
 }
 
 // Ask moves the share on to now, and draws.
-func (g *Recovering) Ask(now time.Duration, worth float64) bool {
+func (g *Recovering) Admit(now time.Duration, worth float64) bool {
 	passed := now - g.at
 	g.at = now
-	g.asked.count(now)
-	g.health.asked.count(now)
-	fade := math.Exp(-float64(passed) / float64(over))
+	g.demand.count(now)
+	g.health.demand.count(now)
+	fade := math.Exp(-float64(passed) / float64(fadeTime))
 	g.ended, g.bad = g.ended*fade, g.bad*fade
-	switch good := 1 - g.bad/(free+g.ended); {
-	case g.health.now >= wellAt:
-		g.share *= math.Exp2(float64(passed) / float64(wellOver))
+	switch good := 1 - g.bad/(freeRequests+g.ended); {
+	case g.health.score >= recoveredScore:
+		g.share *= math.Exp2(float64(passed) / float64(doublingTime))
 	default:
-		g.share *= math.Pow(upTo*good, g.excess()*min(1, float64(passed)/float64(over)))
+		g.share *= math.Pow(decayMargin*good, g.excess()*min(1, float64(passed)/float64(fadeTime)))
 	}
-	g.share = max(least, min(1, g.share))
-	return Pass(g.rng, g.share, worth)
+	g.share = max(minShare, min(1, g.share))
+	return Draw(g.rng, g.share, worth)
 }
 
 // excess is how many times its part a tenant asks for, far either way. Its share moves as much faster: who asks for more than is his
 // makes room first, and the others are spared as long as that is enough.
 func (g *Recovering) excess() float64 {
-	return max(1/farOver, min(farOver, g.asked.n/g.health.asked.n/max(g.part, 1e-3)))
+	return max(1/maxExcess, min(maxExcess, g.demand.n/g.health.demand.n/max(g.fairShare, 1e-3)))
 }
 
 // Began has no part in it.
-func (g *Recovering) Began(time.Duration) {}
+func (g *Recovering) AttemptStarted(time.Duration) {}
 
 // Ended counts an attempt's end.
-func (g *Recovering) Ended(now time.Duration, e End) {
-	if e.Mute {
+func (g *Recovering) AttemptEnded(now time.Duration, e AttemptEnd) {
+	if e.Ignored {
 		return
 	}
 	g.ended++
-	g.bad += 1 - e.Good
-	g.health.take(now, e.Good)
+	g.bad += 1 - e.Score
+	g.health.record(now, e.Score)
 }
--- a/internal/proxy/admission/weighed/weighed.go
+++ b/internal/proxy/admission/weighed/weighed.go
@@ -26,49 +26,49 @@
 }
 
 // Ask counts each request, let in or not.
-func (g *SRE) Ask(now time.Duration, worth float64) bool {
+func (g *SRE) Admit(now time.Duration, worth float64) bool {
 	fade := math.Exp(-float64(now-g.at) / float64(g.window))
 	g.at, g.requests, g.accepts = now, g.requests*fade, g.accepts*fade
 	refuse := (g.requests - g.k*g.accepts) / (g.requests + 1)
 	g.requests++
-	return admission.Pass(g.rng, 1-refuse, worth)
+	return admission.Draw(g.rng, 1-refuse, worth)
 }
 
 // Began has no part in it.
-func (g *SRE) Began(time.Duration) {}
+func (g *SRE) AttemptStarted(time.Duration) {}
 
 // Ended counts what was answered in time.
-func (g *SRE) Ended(_ time.Duration, e admission.End) {
-	if !e.Mute && e.Good > 0 {
+func (g *SRE) AttemptEnded(_ time.Duration, e admission.AttemptEnd) {
+	if !e.Ignored && e.Score > 0 {
 		g.accepts++
 	}
 }
 
 // AIMD bounds attempts under way: one more for each limit's worth of answers in time, a tenth less for one that is late.
 type AIMD struct {
-	limit float64
-	out   int
-	cutAt time.Duration
+	limit     float64
+	inFlight  int
+	reducedAt time.Duration
 }
 
 // NewAIMD begins at 20.
 func NewAIMD() *AIMD { return &AIMD{limit: 20} }
 
 // Ask asks for a place; worth has no part in it.
-func (g *AIMD) Ask(time.Duration, float64) bool { return float64(g.out) < g.limit }
+func (g *AIMD) Admit(time.Duration, float64) bool { return float64(g.inFlight) < g.limit }
 
 // Began takes it.
-func (g *AIMD) Began(time.Duration) { g.out++ }
+func (g *AIMD) AttemptStarted(time.Duration) { g.inFlight++ }
 
 // Ended gives it back.
-func (g *AIMD) Ended(now time.Duration, e admission.End) {
-	g.out--
+func (g *AIMD) AttemptEnded(now time.Duration, e admission.AttemptEnd) {
+	g.inFlight--
 	switch {
-	case e.Mute:
-	case e.Good >= 0.5:
+	case e.Ignored:
+	case e.Score >= 0.5:
 		g.limit = min(200, g.limit+1/g.limit)
-	case now-g.cutAt > 50*time.Millisecond: // once for what went out together
-		g.limit, g.cutAt = max(1, g.limit*0.9), now
+	case now-g.reducedAt > 50*time.Millisecond: // once for what went out together
+		g.limit, g.reducedAt = max(1, g.limit*0.9), now
 	}
 }
 
@@ -76,7 +76,7 @@
 // (Gradient2) do: limit = limit x rest/now + the root of limit, smoothed.
 type Gradient struct {
 	limit     float64
-	out       int
+	inFlight  int
 	long, now float64 // seconds
 }
 
@@ -84,20 +84,20 @@
 func NewGradient() *Gradient { return &Gradient{limit: 20} }
 
 // Ask asks for a place; worth has no part in it.
-func (g *Gradient) Ask(time.Duration, float64) bool { return float64(g.out) < g.limit }
+func (g *Gradient) Admit(time.Duration, float64) bool { return float64(g.inFlight) < g.limit }
 
 // Began takes it.
-func (g *Gradient) Began(time.Duration) { g.out++ }
+func (g *Gradient) AttemptStarted(time.Duration) { g.inFlight++ }
 
 // Ended gives it back.
-func (g *Gradient) Ended(_ time.Duration, e admission.End) {
-	g.out--
-	if e.Mute {
+func (g *Gradient) AttemptEnded(_ time.Duration, e admission.AttemptEnd) {
+	g.inFlight--
+	if e.Ignored {
 		return
 	}
-	took := e.Took.Seconds()
-	if e.Good == 0 {
-		took = max(took, e.Aim.Seconds())
+	took := e.Duration.Seconds()
+	if e.Score == 0 {
+		took = max(took, e.LatencyTarget.Seconds())
 	}
 	if g.long == 0 {
 		g.long, g.now = took, took
@@ -114,10 +114,10 @@
 // CoDel refuses while no answer of the last interval was well in time, ever more often (RFC 8289, 5.2): the queues are the servers', so
 // half of the aim stands in for the time in a queue.
 type CoDel struct {
-	above    time.Duration // since when all answers were late; 0: not
-	dropping bool
-	next     time.Duration
-	count    float64
+	lateSince time.Duration // since when all answers were late; 0: not
+	dropping  bool
+	next      time.Duration
+	count     float64
 }
 
 const codelInterval = 100 * time.Millisecond
@@ -126,7 +126,7 @@
 func NewCoDel() *CoDel { return new(CoDel) }
 
 // Ask refuses one when the control law says so; worth has no part in it.
-func (g *CoDel) Ask(now time.Duration, _ float64) bool {
+func (g *CoDel) Admit(now time.Duration, _ float64) bool {
 	if !g.dropping || now < g.next {
 		return true
 	}
@@ -136,17 +136,17 @@
 }
 
 // Began has no part in it.
-func (g *CoDel) Began(time.Duration) {}
+func (g *CoDel) AttemptStarted(time.Duration) {}
 
 // Ended looks how late an answer was.
-func (g *CoDel) Ended(now time.Duration, e admission.End) {
+func (g *CoDel) AttemptEnded(now time.Duration, e admission.AttemptEnd) {
 	switch {
-	case e.Mute:
-	case e.Good >= 1:
-		g.above, g.dropping = 0, false
-	case g.above == 0:
-		g.above = now
-	case !g.dropping && now-g.above >= codelInterval:
+	case e.Ignored:
+	case e.Score >= 1:
+		g.lateSince, g.dropping = 0, false
+	case g.lateSince == 0:
+		g.lateSince = now
+	case !g.dropping && now-g.lateSince >= codelInterval:
 		g.dropping = true
 		g.count = max(1, g.count-2)
 		g.next = now
--- a/internal/proxy/call/body.go
+++ b/internal/proxy/call/body.go
@@ -11,19 +11,19 @@
 	Read   func(p []byte) (int, error) // as io.Reader's; from one goroutine at a time
 
 	claimed atomic.Bool
-	began   func()
+	onClaim func()
 }
 
 // Began has a function called when the first byte beyond Message.Body is asked for. It is set before the message is handed over.
-func (u *Upload) Began(f func()) { u.began = f }
+func (u *Upload) OnClaim(f func()) { u.onClaim = f }
 
 // Claim takes the rest for one attempt; false: another has it, so this one has nothing to send.
 func (u *Upload) Claim() bool {
 	if !u.claimed.CompareAndSwap(false, true) {
 		return false
 	}
-	if u.began != nil {
-		u.began()
+	if u.onClaim != nil {
+		u.onClaim()
 	}
 	return true
 }
--- a/internal/proxy/call/call.go
+++ b/internal/proxy/call/call.go
@@ -14,20 +14,20 @@
 )
 
 // BodyLimit is how many bytes of a body are held whole, either way, so that a request can be sent again and an answer that breaks off was none.
-const BodyLimit = 64 << 10
+const MaxBufferedBody = 64 << 10
 
 // Message is a request as it goes on to a server, but for its time-out. An attempt may still read it after
 // the request's answer, so nothing in it changes once it is handed over.
 type Message struct {
-	Method string
-	URI    string // as the client sent it; gRPC: the full method name
-	Host   string
-	Header http.Header // end-to-end ones
-	Body   []byte
-	More   *Upload       // HTTP: what of the body is passed on as it comes; nil: Body is all of it
-	Stream bool          // its answer may be passed on while it still comes: see Result.Stream
-	Ends   time.Duration // a stream: when its client gives it up, on the clock of the engine; 0: only by Close
-	Format string        // gRPC: the content subtype; "" is proto
+	Method         string
+	URI            string // as the client sent it; gRPC: the full method name
+	Host           string
+	Header         http.Header // end-to-end ones
+	Body           []byte
+	Upload         *Upload       // HTTP: what of the body is passed on as it comes; nil: Body is all of it
+	Stream         bool          // its answer may be passed on while it still comes: see Result.Stream
+	StreamDeadline time.Duration // a stream: when its client gives it up, on the clock of the engine; 0: only by Close
+	Format         string        // gRPC: the content subtype; "" is proto
 }
 
 // Kind is which of the three final answers a request had.
@@ -42,16 +42,16 @@
 
 // Answer is the final answer of a request.
 type Answer struct {
-	Kind     Kind
-	Pause    time.Duration // refused: when to come back; 0: no advice
-	Unasked  bool          // refused by the front alone: no engine had it
-	TimedOut bool          // failed: an attempt had no answer in time
-	Status   int           // served: the protocol's own figure (HTTP 200; a gRPC status code)
-	Header   http.Header   // served: the server's answer, as are the next three
-	Trailer  http.Header
-	Body     []byte
-	Stream   Stream  // where Message.Stream was set and the answer still comes
-	Last     *Result // failed: the server's own word in the last attempt that brought one; else nil
+	Kind            Kind
+	RetryAfter      time.Duration // refused: when to come back; 0: no advice
+	RejectedByFront bool          // refused by the front alone: no engine had it
+	TimedOut        bool          // failed: an attempt had no answer in time
+	Status          int           // served: the protocol's own figure (HTTP 200; a gRPC status code)
+	Header          http.Header   // served: the server's answer, as are the next three
+	Trailer         http.Header
+	Body            []byte
+	Stream          Stream  // where Message.Stream was set and the answer still comes
+	LastResult      *Result // failed: the server's own word in the last attempt that brought one; else nil
 }
 
 // Stream is an answer that has begun and is its client's now. The transport that made it closes it
@@ -64,17 +64,17 @@
 // Result is the end of an attempt or, with Stream set, the beginning of an answer that is passed on while
 // it comes: then the end follows in a second Result, but for Carried ones.
 type Result struct {
-	Ending  policy.Ending
-	Status  int // the protocol's own figure, where a whole answer came
-	Header  http.Header
-	Trailer http.Header
-	Body    []byte
-	Load    policy.Load
-	Stream  Stream
-	Carried bool // with Stream: the attempt has ended with the answer's beginning, and no second Result follows. A slow client holds no place that others need.
+	Ending   policy.Ending
+	Status   int // the protocol's own figure, where a whole answer came
+	Header   http.Header
+	Trailer  http.Header
+	Body     []byte
+	Load     policy.Load
+	Stream   Stream
+	Detached bool // with Stream: the attempt has ended with the answer's beginning, and no second Result follows. A slow client holds no place that others need.
 
 	// After has something called once nothing of a Carried answer comes any more. It is to be asked before the function that the Result is handed to returns; nil: the transport can't tell.
-	After func(end func())
+	OnStreamEnd func(end func())
 }
 
 // Attempt is one attempt under way.
@@ -96,7 +96,7 @@
 	// CloseIdle closes the connections that nothing is under way on.
 	CloseIdle()
 	// Leave takes that the server is no longer listed: what is under way goes on, nothing is kept.
-	Leave()
+	Deregister()
 }
 
 // Transport is a way to servers.
@@ -108,12 +108,12 @@
 }
 
 // Listing is one answer of discovery.
-type Listing struct {
-	Version int64
-	Whole   bool // all servers; else those that changed
-	Servers []policy.Server
-	Address map[policy.ServerID]string
-	Name    map[policy.ServerID]string // as people call them, where that is known
+type ServerList struct {
+	Version   int64
+	Full      bool // all servers; else those that changed
+	Servers   []policy.Server
+	Addresses map[policy.ServerID]string
+	Names     map[policy.ServerID]string // as people call them, where that is known
 }
 
 // ServerID names a server by a hash of its instance id (FNV-1a, 64 bits): the same at every sidecar and
@@ -133,7 +133,7 @@
 }
 
 // EndToEnd copies the headers that are meant for the other end, not for this connection (RFC 9110, 7.6.1).
-func EndToEnd(from http.Header) http.Header {
+func EndToEndHeaders(from http.Header) http.Header {
 	to := make(http.Header, len(from)+2)
 	for name, values := range from {
 		to[name] = values
--- a/internal/proxy/call/duration.go
+++ b/internal/proxy/call/duration.go
@@ -7,7 +7,7 @@
 )
 
 // LongestWait is what longer times count as: figures above it mean the same to everyone.
-const LongestWait = time.Hour
+const MaxDuration = time.Hour
 
 // ParseDuration reads a number with the unit m (milliseconds) or u (microseconds), as X-Timeout has it.
 func ParseDuration(text string) (time.Duration, bool) {
@@ -24,5 +24,5 @@
 	if err != nil {
 		return 0, false
 	}
-	return time.Duration(min(n*float64(unit), float64(LongestWait))), true
+	return time.Duration(min(n*float64(unit), float64(MaxDuration))), true
 }
--- a/internal/proxy/call/duration_test.go
+++ b/internal/proxy/call/duration_test.go
@@ -8,7 +8,7 @@
 func TestDuration(t *testing.T) {
 	for text, want := range map[string]time.Duration{
 		"480m": 480 * time.Millisecond, "250u": 250 * time.Microsecond, "0.5m": 500 * time.Microsecond, "0u": 0,
-		"99999999999999999999m": LongestWait,
+		"99999999999999999999m": MaxDuration,
 	} {
 		if got, ok := ParseDuration(text); !ok || got != want {
 			t.Errorf("%q is %v, %v, want %v", text, got, ok, want)
--- a/internal/proxy/engine/engine.go
+++ b/internal/proxy/engine/engine.go
@@ -18,28 +18,28 @@
 )
 
 const (
-	countersEvery = 10 * time.Second // how often the module's counters go to the log
-	eventQueue    = 256
+	counterLogInterval = 10 * time.Second // how often the module's counters go to the log
+	eventQueue         = 256
 
-	ownedPause = 200 * time.Millisecond // before a client sends a large body anew
+	uploadRetryAfter = 200 * time.Millisecond // before a client sends a large body anew
 
 	// The module is woken every 100 ms at least. Where more than stalledAfter has passed between two events,
 	// the process was stopped: what was told in the meantime is heard before anything is sent, for
 	// hearWithin at most. Else requests that waited would go to servers that drain or are gone by then.
 	stalledAfter = 500 * time.Millisecond
-	hearWithin   = 50 * time.Millisecond
+	catchUpLimit = 50 * time.Millisecond
 )
 
 // Config is what an engine is made of.
 type Config struct {
-	Policy    policy.Config
-	Seed      uint64
-	Clock     clock.Clock
-	Transport call.Transport // on the same clock
-	Log       *slog.Logger
-	Watch     func() // subscribes to the list; nil: it comes by itself
-	Silent    bool   // no counters in the log
-	Sleeps    bool   // the module asks for no wakes where nothing is open: a long time between two events is no sign that the process was stopped
+	Policy         policy.Config
+	Seed           uint64
+	Clock          clock.Clock
+	Transport      call.Transport // on the same clock
+	Log            *slog.Logger
+	Watch          func() // subscribes to the list; nil: it comes by itself
+	NoCounterLog   bool   // no counters in the log
+	SleepsWhenIdle bool   // the module asks for no wakes where nothing is open: a long time between two events is no sign that the process was stopped
 
 	// AttemptEnded hears how each attempt ended, and must not wait; nil: nobody does.
 	AttemptEnded func(to policy.ServerID, end policy.Ending)
@@ -66,7 +66,7 @@
 	Counters() policy.Counters
 }
 
-func balancer(cfg policy.Config, seed uint64, host policy.Host) (Module, error) {
+func newBalancer(cfg policy.Config, seed uint64, host policy.Host) (Module, error) {
 	return policy.New(cfg, seed, host)
 }
 
@@ -75,26 +75,26 @@
 // the Outcome, is kept here.
 type Engine struct {
 	Config
-	b    Module
-	most int // attempts for one request at most
-
-	lastID   atomic.Uint64
-	avoided  atomic.Int64   // Counters.Avoided
-	limits   *policy.Limits // as the module has them
-	running  atomic.Bool    // Run has taken the list known so far, and has not ended
-	events   chan func(now time.Duration)
-	ended    chan struct{}
-	now      time.Duration // the time of the event under way
-	requests map[policy.RequestID]*request
-	servers  map[policy.ServerID]*server // those that are listed and not gone
-	out      map[policy.ServerID]int     // attempts with no end yet
-	notSent  []policy.Outcome            // owed once the event under way is over
-	wakes    []time.Duration             // when Wake is due, in order
-	timer    *time.Timer                 // set for the first of them
-
-	told chan struct{} // has an item if there is news
-	mu   sync.Mutex
-	news news
+	module      Module
+	maxAttempts int // attempts for one request at most
+
+	lastID        atomic.Uint64
+	avoided       atomic.Int64   // Counters.Avoided
+	appliedLimits *policy.Limits // as the module has them
+	running       atomic.Bool    // Run has taken the list known so far, and has not ended
+	events        chan func(now time.Duration)
+	done          chan struct{}
+	now           time.Duration // the time of the event under way
+	requests      map[policy.RequestID]*request
+	servers       map[policy.ServerID]*server // those that are listed and not gone
+	inFlight      map[policy.ServerID]int     // attempts with no end yet
+	unsent        []policy.Outcome            // owed once the event under way is over
+	wakes         []time.Duration             // when Wake is due, in order
+	timer         *time.Timer                 // set for the first of them
+
+	pendingReady chan struct{} // has an item if there is news
+	mu           sync.Mutex
+	pending      pendingUpdates
 }
 
 // server is a server at an address.
@@ -105,38 +105,38 @@
 
 // request is one in the table. It stays until it has its answer and all its attempts have ended.
 type request struct {
-	message  *call.Message
-	reply    chan<- call.Answer
-	deadline time.Duration
-	attempts []call.Attempt // by number; nil: was not sent
-	out      int            // attempts with no Outcome yet
-	owned    bool           // an attempt passes its body on while it comes: there is no other for it
-	over     bool           // it has its final answer, or its client has gone
-	timedOut bool           // its last attempt did: what a failure is called
-	last     *call.Result   // the last answer that was no service
+	message     *call.Message
+	reply       chan<- call.Answer
+	deadline    time.Duration
+	attempts    []call.Attempt // by number; nil: was not sent
+	inFlight    int            // attempts with no Outcome yet
+	bodyClaimed bool           // an attempt passes its body on while it comes: there is no other for it
+	finished    bool           // it has its final answer, or its client has gone
+	timedOut    bool           // its last attempt did: what a failure is called
+	lastResult  *call.Result   // the last answer that was no service
 }
 
 // New makes an engine, or returns an error that names the unusable field of Config.Policy. Nothing runs
 // until Run is called.
 func New(cfg Config) (*Engine, error) {
 	e := &Engine{
-		Config: cfg, most: cfg.Policy.MaxAttempts,
-		events:   make(chan func(time.Duration), eventQueue),
-		ended:    make(chan struct{}),
-		requests: make(map[policy.RequestID]*request),
-		servers:  make(map[policy.ServerID]*server),
-		out:      make(map[policy.ServerID]int),
-		told:     make(chan struct{}, 1),
-		timer:    time.NewTimer(time.Hour),
+		Config: cfg, maxAttempts: cfg.Policy.MaxAttempts,
+		events:       make(chan func(time.Duration), eventQueue),
+		done:         make(chan struct{}),
+		requests:     make(map[policy.RequestID]*request),
+		servers:      make(map[policy.ServerID]*server),
+		inFlight:     make(map[policy.ServerID]int),
+		pendingReady: make(chan struct{}, 1),
+		timer:        time.NewTimer(time.Hour),
 	}
 	if e.Config.Watch == nil {
 		e.Config.Watch = func() {}
 	}
 	var err error
 	if e.Config.Module == nil {
-		e.Config.Module = balancer
+		e.Config.Module = newBalancer
 	}
-	if e.b, err = e.Config.Module(cfg.Policy, cfg.Seed, host{e}); err != nil {
+	if e.module, err = e.Config.Module(cfg.Policy, cfg.Seed, host{e}); err != nil {
 		return nil, err
 	}
 	return e, nil
@@ -147,44 +147,44 @@
 func (e *Engine) post(event func(now time.Duration)) {
 	select {
 	case e.events <- event:
-	case <-e.ended:
+	case <-e.done:
 	}
 }
 
 // Run gives the Balancer its life: start, the servers known so far, then event after event, until ctx
 // ends. It is called once. What is still open then is answered: refused where nothing was sent, else failed.
-func (e *Engine) Run(ctx context.Context, known call.Listing) {
-	defer close(e.ended)
+func (e *Engine) Run(ctx context.Context, known call.ServerList) {
+	defer close(e.done)
 	defer e.timer.Stop()
 	e.now = e.Clock.Now()
-	e.b.Start(e.now)
-	known.Whole = true
-	e.take(known, policy.ListCached)
+	e.module.Start(e.now)
+	known.Full = true
+	e.applyList(known, policy.ListCached)
 	e.running.Store(true)
 	defer e.running.Store(false)
 	var counters <-chan time.Time
-	if !e.Silent {
-		ticker := time.NewTicker(countersEvery)
+	if !e.NoCounterLog {
+		ticker := time.NewTicker(counterLogInterval)
 		defer ticker.Stop()
 		counters = ticker.C
 	}
 	for {
-		e.settle()
+		e.reportUnsent()
 		select {
 		case event := <-e.events:
 			e.advance()
 			event(e.now)
-		case <-e.told:
+		case <-e.pendingReady:
 			e.now = e.Clock.Now()
-			e.limit()
-			e.hear()
+			e.applyLimits()
+			e.applyPending()
 		case <-e.timer.C:
 			e.advance()
-			e.wake()
+			e.fireTimers()
 		case <-counters:
-			e.Log.Info("counters", "module", fmt.Sprintf("%+v", e.b.Counters()), "upstream", e.Transport.Counters())
+			e.Log.Info("counters", "module", fmt.Sprintf("%+v", e.module.Counters()), "upstream", e.Transport.Counters())
 		case <-ctx.Done():
-			e.end()
+			e.shutdown()
 			return
 		}
 	}
@@ -192,13 +192,13 @@
 
 // end takes what was handed over by now, answers what is open and calls off what is out. So a request that
 // was taken on has its one answer, whatever it was in the middle of.
-func (e *Engine) end() {
+func (e *Engine) shutdown() {
 	for {
 		select {
 		case event := <-e.events:
 			e.now = e.Clock.Now()
 			event(e.now)
-			e.settle()
+			e.reportUnsent()
 			continue
 		default:
 		}
@@ -211,15 +211,15 @@
 			}
 		}
 		switch {
-		case r.over:
+		case r.finished:
 		case len(r.attempts) == 0:
 			e.finish(id, r, &call.Answer{Kind: call.Refused})
 		default:
-			e.finish(id, r, &call.Answer{Kind: call.Failed, Last: r.last})
+			e.finish(id, r, &call.Answer{Kind: call.Failed, LastResult: r.lastResult})
 		}
 	}
 	for _, s := range e.servers {
-		s.Leave()
+		s.Deregister()
 	}
 }
 
@@ -230,7 +230,7 @@
 func (e *Engine) Running() bool { return e.running.Load() }
 
 // Ended is closed when Run has returned: what is handed over from then on is thrown away.
-func (e *Engine) Ended() <-chan struct{} { return e.ended }
+func (e *Engine) Done() <-chan struct{} { return e.done }
 
 // Flush waits until all that was handed over before it has been taken, lists of servers included.
 func (e *Engine) Flush() {
@@ -241,65 +241,65 @@
 	})
 	select {
 	case <-taken:
-	case <-e.ended:
+	case <-e.done:
 	}
 }
 
 // Quiet has told called with those of some servers at which nothing is out, once what was told of the list before it is taken. It does not wait, and told must not.
-func (e *Engine) Quiet(ids []policy.ServerID, told func(quiet []policy.ServerID)) {
+func (e *Engine) ReportIdle(ids []policy.ServerID, told func(quiet []policy.ServerID)) {
 	go e.post(func(time.Duration) {
 		e.catchUp()
-		told(slices.DeleteFunc(slices.Clone(ids), func(id policy.ServerID) bool { return e.out[id] > 0 }))
+		told(slices.DeleteFunc(slices.Clone(ids), func(id policy.ServerID) bool { return e.inFlight[id] > 0 }))
 	})
 }
 
 // returned takes that an attempt at a server has its end.
-func (e *Engine) returned(at policy.ServerID) {
-	if e.out[at]--; e.out[at] <= 0 {
-		delete(e.out, at)
+func (e *Engine) attemptReturned(at policy.ServerID) {
+	if e.inFlight[at]--; e.inFlight[at] <= 0 {
+		delete(e.inFlight, at)
 	}
 }
 
 // catchUp takes the news, if there is some.
 func (e *Engine) catchUp() {
 	select {
-	case <-e.told:
-		e.hear()
+	case <-e.pendingReady:
+		e.applyPending()
 	default:
 	}
 }
 
 // limit has the module go by the limits that hold now.
-func (e *Engine) limit() {
+func (e *Engine) applyLimits() {
 	if e.Config.Limits == nil {
 		return
 	}
 	l := e.Config.Limits()
 	e.catchUp() // servers that are out by them, or by what else the fleet has settled
-	if l == nil || l == e.limits {
+	if l == nil || l == e.appliedLimits {
 		return
 	}
-	e.limits = l
-	if err := e.b.Reconfigure(e.now, *l); err != nil {
+	e.appliedLimits = l
+	if err := e.module.Reconfigure(e.now, *l); err != nil {
 		e.Log.Error("limits that the module can't take, the last ones hold", "error", err)
 	}
 }
 
 // advance brings the time up to date before an event, the limits too, and the list after the process was stopped.
 func (e *Engine) advance() {
-	defer e.limit()
+	defer e.applyLimits()
 	before := e.now
-	if e.now = e.Clock.Now(); e.now-before < stalledAfter || e.Sleeps {
+	if e.now = e.Clock.Now(); e.now-before < stalledAfter || e.SleepsWhenIdle {
 		return
 	}
 	e.Log.Warn("stopped for a while", "time", e.now-before)
-	within := time.NewTimer(hearWithin)
+	within := time.NewTimer(catchUpLimit)
 	defer within.Stop()
 	for {
 		select {
-		case <-e.told:
+		case <-e.pendingReady:
 			e.now = e.Clock.Now()
-			e.hear()
+			e.applyPending()
 			continue
 		case <-within.C:
 		}
@@ -309,14 +309,14 @@
 }
 
 // wake calls the module once for all timers that are due.
-func (e *Engine) wake() {
+func (e *Engine) fireTimers() {
 	due := 0
 	for due < len(e.wakes) && e.wakes[due] <= e.now {
 		due++
 	}
 	if e.wakes = slices.Delete(e.wakes, 0, due); due > 0 {
-		e.b.Wake(e.now)
-		e.avoided.Store(int64(e.b.Counters().Avoided))
+		e.module.Wake(e.now)
+		e.avoided.Store(int64(e.module.Counters().Avoided))
 	}
 	e.setTimer()
 }
@@ -329,21 +329,21 @@
 
 // settle tells the module of the sends that were not carried out. It waits until the module has
 // returned, as Host's methods must not call back.
-func (e *Engine) settle() {
-	for len(e.notSent) > 0 {
-		o := e.notSent[0]
-		e.notSent = e.notSent[1:]
-		e.outcome(o)
+func (e *Engine) reportUnsent() {
+	for len(e.unsent) > 0 {
+		o := e.unsent[0]
+		e.unsent = e.unsent[1:]
+		e.reportOutcome(o)
 	}
 }
 
-func (e *Engine) take(news call.Listing, kind policy.ListKind) {
+func (e *Engine) applyList(news call.ServerList, kind policy.ListKind) {
 	before := maps.Clone(e.servers)
-	if news.Whole {
+	if news.Full {
 		clear(e.servers)
 	}
 	for _, s := range news.Servers {
-		switch known, address := before[s.ID], news.Address[s.ID]; {
+		switch known, address := before[s.ID], news.Addresses[s.ID]; {
 		case s.State == policy.Gone:
 			delete(e.servers, s.ID)
 		case known != nil && known.address == address:
@@ -354,67 +354,67 @@
 	}
 	for id, s := range before {
 		if e.servers[id] != s {
-			s.Leave()
+			s.Deregister()
 		}
 	}
-	e.b.List(e.now, kind, news.Servers)
+	e.module.List(e.now, kind, news.Servers)
 }
 
 // Ask takes a request on; its ID is the engine's. Its final answer goes to reply, which must have room
 // for it. m must not change any more. The number that Ask returns names the request for Gone.
-func (e *Engine) Ask(q policy.Request, m *call.Message, deadline time.Duration, reply chan<- call.Answer) policy.RequestID {
+func (e *Engine) Submit(q policy.Request, m *call.Message, deadline time.Duration, reply chan<- call.Answer) policy.RequestID {
 	q.ID = policy.RequestID(e.lastID.Add(1))
-	if m.More != nil {
-		m.More.Began(func() { e.post(func(time.Duration) { e.claimed(q.ID) }) })
+	if m.Upload != nil {
+		m.Upload.OnClaim(func() { e.post(func(time.Duration) { e.bodyClaimed(q.ID) }) })
 	}
 	e.post(func(now time.Duration) {
 		q.Left = deadline - now
 		e.requests[q.ID] = &request{message: m, deadline: deadline, reply: reply}
-		e.b.Request(now, q)
+		e.module.Request(now, q)
 	})
 	return q.ID
 }
 
 // claimed takes that an attempt passes a request's body on from here on: the module has no more say in it, its end is the attempt's.
-func (e *Engine) claimed(id policy.RequestID) {
-	if r := e.requests[id]; r != nil && !r.over && !r.owned {
-		r.owned = true
+func (e *Engine) bodyClaimed(id policy.RequestID) {
+	if r := e.requests[id]; r != nil && !r.finished && !r.bodyClaimed {
+		r.bodyClaimed = true
 		// Settled, with no word on the server: a client that sends slowly must hold no slot that others need.
-		e.b.Outcome(e.now, policy.Outcome{ID: id, Attempt: len(r.attempts) - 1, Ending: policy.NotSent, Settled: true})
+		e.module.Outcome(e.now, policy.Outcome{ID: id, Attempt: len(r.attempts) - 1, Ending: policy.NotSent, Settled: true})
 	}
 }
 
 // Gone takes that a request's client has gone: nothing is owed to it any more, its attempts are called
 // off. One that has its answer is passed over.
-func (e *Engine) Gone(id policy.RequestID) {
+func (e *Engine) ClientGone(id policy.RequestID) {
 	e.post(func(now time.Duration) {
-		if r := e.requests[id]; r != nil && !r.over {
+		if r := e.requests[id]; r != nil && !r.finished {
 			e.finish(id, r, nil)
-			e.b.ClientGone(now, id)
+			e.module.ClientGone(now, id)
 		}
 	})
 }
 
 // finish ends a request with its one answer, or with none where the client has gone.
 func (e *Engine) finish(id policy.RequestID, r *request, a *call.Answer) {
-	r.over = true
+	r.finished = true
 	if a != nil {
 		r.reply <- *a
 	}
-	if r.out == 0 {
+	if r.inFlight == 0 {
 		delete(e.requests, id)
 	}
 }
 
 // outcome tells the module how an attempt ended, once for each.
-func (e *Engine) outcome(o policy.Outcome) {
+func (e *Engine) reportOutcome(o policy.Outcome) {
 	r := e.requests[o.ID]
-	r.out--
-	o.Settled = r.over
-	if !r.owned { // else the module has had its word
-		e.b.Outcome(e.now, o)
+	r.inFlight--
+	o.Settled = r.finished
+	if !r.bodyClaimed { // else the module has had its word
+		e.module.Outcome(e.now, o)
 	}
-	if r.over && r.out == 0 {
+	if r.finished && r.inFlight == 0 {
 		delete(e.requests, o.ID)
 	}
 }
@@ -423,43 +423,43 @@
 // settles the request.
 func (e *Engine) attemptEnded(id policy.RequestID, number int, res call.Result) {
 	r := e.requests[id]
-	if res.Stream != nil && !res.Carried {
-		e.begun(id, r, res)
+	if res.Stream != nil && !res.Detached {
+		e.streamBegun(id, r, res)
 		return
 	}
 	r.timedOut = res.Ending == policy.TimedOut
 	switch {
-	case r.over:
+	case r.finished:
 		if res.Stream != nil { // too late: nobody takes it
 			go res.Stream.Close()
 		}
 	case res.Ending == policy.Served:
 		e.finish(id, r, &call.Answer{Kind: call.Served, Status: res.Status, Header: res.Header, Trailer: res.Trailer, Body: res.Body, Stream: res.Stream})
-	case r.owned:
+	case r.bodyClaimed:
 		e.endOwned(id, r, &res)
 	case res.Ending == policy.Errored || res.Ending == policy.Rejected:
-		r.last = &res
+		r.lastResult = &res
 	}
-	e.outcome(policy.Outcome{ID: id, Attempt: number, Ending: res.Ending, Load: res.Load})
+	e.reportOutcome(policy.Outcome{ID: id, Attempt: number, Ending: res.Ending, Load: res.Load})
 }
 
 // endOwned answers a request whose body only this attempt could pass on, by what its end proves.
 func (e *Engine) endOwned(id policy.RequestID, r *request, res *call.Result) {
 	switch res.Ending {
 	case policy.NoConnection, policy.TurnedAway, policy.NotSent, policy.Gated: // it never ran
-		e.finish(id, r, &call.Answer{Kind: call.Refused, Pause: ownedPause})
+		e.finish(id, r, &call.Answer{Kind: call.Refused, RetryAfter: uploadRetryAfter})
 	default:
-		e.finish(id, r, &call.Answer{Kind: call.Failed, TimedOut: r.timedOut, Last: r.last})
+		e.finish(id, r, &call.Answer{Kind: call.Failed, TimedOut: r.timedOut, LastResult: r.lastResult})
 	}
 }
 
 // begun takes that an attempt's answer is passed on while it comes. The request is over with it: the
 // answer is the client's now, and the attempt's end only frees its slot.
-func (e *Engine) begun(id policy.RequestID, r *request, res call.Result) {
-	if r.over { // too late: nobody takes it
+func (e *Engine) streamBegun(id policy.RequestID, r *request, res call.Result) {
+	if r.finished { // too late: nobody takes it
 		go res.Stream.Close() // from outside: its end is handed over to the goroutine that this is
 		return
 	}
 	e.finish(id, r, &call.Answer{Kind: call.Served, Status: res.Status, Header: res.Header, Stream: res.Stream})
-	e.b.StreamBegun(id)
+	e.module.StreamBegun(id)
 }
--- a/internal/proxy/engine/engine_test.go
+++ b/internal/proxy/engine/engine_test.go
@@ -31,8 +31,8 @@
 		t.Fatal(err)
 	}
 	e.now = c.Now()
-	e.b.Start(e.now)
-	e.take(cfg.Known, policy.ListCached)
+	e.module.Start(e.now)
+	e.applyList(cfg.Known, policy.ListCached)
 	return e
 }
 
@@ -42,7 +42,7 @@
 	event := testbed.Wait(t, "an event", e.events)
 	e.now = e.Clock.Now()
 	event(e.now)
-	e.settle()
+	e.reportUnsent()
 }
 
 // hold enters a request that the module does not know, so that the test can decide for it.
@@ -78,12 +78,12 @@
 	host{l}.Refuse(7, time.Second)
 	host{l}.Fail(7)
 	host{l}.Send(7, to, 0)
-	if len(reply) != 0 || len(l.notSent) != 1 || l.notSent[0] != (policy.Outcome{ID: 7, Attempt: 1, Ending: policy.NotSent}) {
-		t.Errorf("%d more answers, not sent %+v, want none and attempt 1", len(reply), l.notSent)
+	if len(reply) != 0 || len(l.unsent) != 1 || l.unsent[0] != (policy.Outcome{ID: 7, Attempt: 1, Ending: policy.NotSent}) {
+		t.Errorf("%d more answers, not sent %+v, want none and attempt 1", len(reply), l.unsent)
 	}
-	l.settle()
-	if len(l.requests) != 0 || r.out != 0 {
-		t.Errorf("%d requests in the table, %d attempts out, want none", len(l.requests), r.out)
+	l.reportUnsent()
+	if len(l.requests) != 0 || r.inFlight != 0 {
+		t.Errorf("%d requests in the table, %d attempts out, want none", len(l.requests), r.inFlight)
 	}
 	close(release)
 }
@@ -129,12 +129,12 @@
 		{ID: 7, Attempt: 3, Ending: policy.NotSent}, {ID: 8, Attempt: 0, Ending: policy.NotSent},
 		{ID: 8, Attempt: 1, Ending: policy.NotSent}, {ID: 8, Attempt: 2, Ending: policy.NotSent},
 	}
-	if len(l.notSent) != len(want) {
-		t.Fatalf("not sent %+v, want %+v", l.notSent, want)
+	if len(l.unsent) != len(want) {
+		t.Fatalf("not sent %+v, want %+v", l.unsent, want)
 	}
 	for i := range want {
-		if l.notSent[i] != want[i] {
-			t.Errorf("not sent %+v, want %+v", l.notSent[i], want[i])
+		if l.unsent[i] != want[i] {
+			t.Errorf("not sent %+v, want %+v", l.unsent[i], want[i])
 		}
 	}
 	for range 3 {
@@ -151,10 +151,10 @@
 	s := testbed.NewStub(t, testbed.Silent)
 	l := idle(t, s.Address)
 	reply := make(chan call.Answer, 1)
-	id := l.Ask(policy.Request{Class: 0}, testMessage("1"), l.now+testbed.Generous, reply)
+	id := l.Submit(policy.Request{Class: 0}, testMessage("1"), l.now+testbed.Generous, reply)
 	l.next(t)
 	testbed.Wait(t, "the request", s.Seen)
-	l.Gone(id)
+	l.ClientGone(id)
 	l.next(t)
 	l.next(t) // the end of its attempt
 	testbed.Wait(t, "the connection to close", s.Closed)
@@ -175,7 +175,7 @@
 		t.Fatalf("due in %v from %v", l.wakes, now)
 	}
 	l.now = now + 15*time.Millisecond
-	l.wake()
+	l.fireTimers()
 	if first := l.wakes[0]; first > now+20*time.Millisecond {
 		t.Errorf("first due in %v, want 20ms at most", first-now)
 	}
@@ -187,7 +187,7 @@
 	l := idle(t, s.Address)
 	old := l.servers[call.ServerID("s-0")]
 	attempt(t, l, old, "1")
-	l.take(call.Listing{Servers: []policy.Server{{ID: 7, State: policy.Ready}}, Address: map[policy.ServerID]string{7: s.Address}}, policy.ListDelta)
+	l.applyList(call.ServerList{Servers: []policy.Server{{ID: 7, State: policy.Ready}}, Addresses: map[policy.ServerID]string{7: s.Address}}, policy.ListDelta)
 	attempt(t, l, l.servers[7], "2")
 	if first, second := testbed.Wait(t, "1", s.Seen), testbed.Wait(t, "2", s.Seen); first.Conn == second.Conn {
 		t.Error("the new server's request went over the old one's connection")
@@ -203,20 +203,20 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l.take(moved, policy.ListDelta)
+	l.applyList(moved, policy.ListDelta)
 	if l.servers[id].address != "127.0.0.1:82" {
 		t.Errorf("address %q after the move", l.servers[id].address)
 	}
-	l.take(call.Listing{}, policy.ListDelta)
+	l.applyList(call.ServerList{}, policy.ListDelta)
 	if len(l.servers) != 1 {
 		t.Errorf("addresses %v after no change", l.servers)
 	}
-	l.take(call.Listing{Servers: []policy.Server{{ID: id, State: policy.Gone}}}, policy.ListDelta)
+	l.applyList(call.ServerList{Servers: []policy.Server{{ID: id, State: policy.Gone}}}, policy.ListDelta)
 	if len(l.servers) != 0 {
 		t.Errorf("addresses %v, the server is gone", l.servers)
 	}
-	l.take(moved, policy.ListDelta)
-	l.take(call.Listing{Whole: true}, policy.ListFull)
+	l.applyList(moved, policy.ListDelta)
+	l.applyList(call.ServerList{Full: true}, policy.ListFull)
 	if len(l.servers) != 0 {
 		t.Errorf("addresses %v after a whole list of none", l.servers)
 	}
@@ -241,20 +241,20 @@
 
 // News that is not taken yet is one list: a whole one replaces what came before, a change its servers' entries.
 func TestNewsIsFolded(t *testing.T) {
-	list := func(whole bool, entries ...policy.Server) call.Listing {
-		l := call.Listing{Whole: whole, Servers: entries, Address: make(map[policy.ServerID]string)}
+	list := func(whole bool, entries ...policy.Server) call.ServerList {
+		l := call.ServerList{Full: whole, Servers: entries, Addresses: make(map[policy.ServerID]string)}
 		for _, s := range entries {
-			l.Address[s.ID] = "127.0.0.1:81"
+			l.Addresses[s.ID] = "127.0.0.1:81"
 		}
 		return l
 	}
-	var n news
+	var n pendingUpdates
 	n.fold(list(false, policy.Server{ID: 1, State: policy.Ready}))
 	n.fold(list(true, policy.Server{ID: 2, State: policy.Ready}, policy.Server{ID: 3, State: policy.Ready}))
 	n.fold(list(false, policy.Server{ID: 2, State: policy.Draining}, policy.Server{ID: 4, State: policy.Ready}))
 	n.fold(list(false, policy.Server{ID: 4, State: policy.Gone}))
 	want := []policy.Server{{ID: 2, State: policy.Draining}, {ID: 3, State: policy.Ready}, {ID: 4, State: policy.Gone}}
-	if !n.list.Whole || !slices.Equal(n.list.Servers, want) || len(n.list.Address) != 3 {
+	if !n.list.Full || !slices.Equal(n.list.Servers, want) || len(n.list.Addresses) != 3 {
 		t.Errorf("folded to %+v, want the whole list %+v", n.list, want)
 	}
 }
--- a/internal/proxy/engine/news.go
+++ b/internal/proxy/engine/news.go
@@ -7,62 +7,62 @@
 
 // news is what discovery has told and the engine has not taken yet: one list, however often it
 // changed in the meantime. So those who tell never wait for an engine that is behind.
-type news struct {
-	list   call.Listing
-	some   bool
-	heard  bool // discovery told some of it
-	failed bool
-	taken  []func() // who wait for that
+type pendingUpdates struct {
+	list            call.ServerList
+	hasList         bool
+	fromDiscovery   bool // discovery told some of it
+	discoveryFailed bool
+	onApplied       []func() // who wait for that
 }
 
 // List takes news from discovery. It never waits.
-func (e *Engine) List(l call.Listing) {
+func (e *Engine) UpdateServers(l call.ServerList) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.news.fold(l)
-	e.news.heard = true
-	e.tell()
+	e.pending.fold(l)
+	e.pending.fromDiscovery = true
+	e.signalPending()
 }
 
 // Relist takes the whole list as it is to be seen from now on, of which discovery has told nothing new; without servers it is passed over. taken is called
 // once the module has been handed it, and must not wait; nor does this.
-func (e *Engine) Relist(l call.Listing, taken func()) {
+func (e *Engine) ReplaceServers(l call.ServerList, taken func()) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if len(l.Servers) > 0 {
-		l.Whole = true
-		e.news.fold(l)
+		l.Full = true
+		e.pending.fold(l)
 	}
 	if taken != nil {
-		e.news.taken = append(e.news.taken, taken)
+		e.pending.onApplied = append(e.pending.onApplied, taken)
 	}
-	e.tell()
+	e.signalPending()
 }
 
 // ListFailed takes that a call to discovery failed. It never waits.
-func (e *Engine) ListFailed() {
+func (e *Engine) DiscoveryFailed() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.news.failed = true
-	e.tell()
+	e.pending.discoveryFailed = true
+	e.signalPending()
 }
 
-func (e *Engine) tell() {
+func (e *Engine) signalPending() {
 	select {
-	case e.told <- struct{}{}:
+	case e.pendingReady <- struct{}{}:
 	default:
 	}
 }
 
 // fold adds a list to what is not taken yet: a whole one replaces it, a change replaces its servers' entries.
-func (n *news) fold(l call.Listing) {
-	if l.Whole || !n.some {
-		n.list, n.some = l, true
+func (n *pendingUpdates) fold(l call.ServerList) {
+	if l.Full || !n.hasList {
+		n.list, n.hasList = l, true
 		return
 	}
-	whole, place := n.list.Whole, make(map[policy.ServerID]int)
-	merged := call.Listing{Version: l.Version, Whole: whole, Address: make(map[policy.ServerID]string)}
-	for _, from := range []call.Listing{n.list, l} {
+	whole, place := n.list.Full, make(map[policy.ServerID]int)
+	merged := call.ServerList{Version: l.Version, Full: whole, Addresses: make(map[policy.ServerID]string)}
+	for _, from := range []call.ServerList{n.list, l} {
 		for _, s := range from.Servers {
 			i, known := place[s.ID]
 			if !known {
@@ -71,8 +71,8 @@
 				merged.Servers = append(merged.Servers, s)
 			}
 			merged.Servers[i] = s
-			if address, ok := from.Address[s.ID]; ok {
-				merged.Address[s.ID] = address
+			if address, ok := from.Addresses[s.ID]; ok {
+				merged.Addresses[s.ID] = address
 			}
 		}
 	}
@@ -80,25 +80,25 @@
 }
 
 // hear takes the news, in the order of the kinds: after a failure the list that came before still holds.
-func (e *Engine) hear() {
+func (e *Engine) applyPending() {
 	e.mu.Lock()
-	n := e.news
-	e.news = news{}
+	n := e.pending
+	e.pending = pendingUpdates{}
 	e.mu.Unlock()
-	if n.some {
+	if n.hasList {
 		kind := policy.ListDelta
 		switch {
-		case !n.heard:
+		case !n.fromDiscovery:
 			kind = policy.ListCached // the module must not take it for an answer of discovery
-		case n.list.Whole:
+		case n.list.Full:
 			kind = policy.ListFull
 		}
-		e.take(n.list, kind)
+		e.applyList(n.list, kind)
 	}
-	if n.failed {
-		e.b.List(e.now, policy.ListFailed, nil)
+	if n.discoveryFailed {
+		e.module.List(e.now, policy.ListFailed, nil)
 	}
-	for _, taken := range n.taken {
+	for _, taken := range n.onApplied {
 		taken()
 	}
 }
--- a/internal/proxy/engine/pause_test.go
+++ b/internal/proxy/engine/pause_test.go
@@ -46,7 +46,7 @@
 }
 func (recorded) Probe(told func(bool, policy.Load)) { go told(false, policy.Load{}) }
 func (recorded) CloseIdle()                         {}
-func (recorded) Leave()                             {}
+func (recorded) Deregister()                        {}
 
 func (r *recorder) all() []sent {
 	r.mu.Lock()
@@ -62,7 +62,7 @@
 				Balancers: 1, MaxAttempts: 3, MayCancel: true, MaxRetryAfter: time.Second,
 				Classes: []policy.Class{{Aim: 500 * time.Millisecond, Deadline: 2500 * time.Millisecond, Worth: 1, Effect: policy.Unsafe}},
 			},
-			Clock: clock.NewMovable(), Transport: r, Log: slog.New(slog.DiscardHandler), Silent: true,
+			Clock: clock.NewMovable(), Transport: r, Log: slog.New(slog.DiscardHandler), NoCounterLog: true,
 		})
 		if err != nil {
 			t.Fatal(err)
@@ -81,9 +81,9 @@
 	})
 }
 
-func list(state policy.State) call.Listing {
-	return call.Listing{
-		Whole: true, Servers: []policy.Server{{ID: 1, State: state, Weight: 1}}, Address: map[policy.ServerID]string{1: "one"},
+func list(state policy.State) call.ServerList {
+	return call.ServerList{
+		Full: true, Servers: []policy.Server{{ID: 1, State: state, Weight: 1}}, Addresses: map[policy.ServerID]string{1: "one"},
 	}
 }
 
@@ -93,9 +93,9 @@
 	paused(t, func(e *Engine, r *recorder) {
 		e.Clock.Jump(1500 * time.Millisecond)
 		reply := make(chan call.Answer, 2)
-		e.Ask(policy.Request{}, &call.Message{}, e.Clock.Now()+2*time.Second, reply)
+		e.Submit(policy.Request{}, &call.Message{}, e.Clock.Now()+2*time.Second, reply)
 		time.Sleep(10 * time.Millisecond) // those who read discovery's answer take a moment
-		e.List(list(policy.Draining))
+		e.UpdateServers(list(policy.Draining))
 		if a := <-reply; a.Kind != call.Refused {
 			t.Errorf("answer %+v, want refused: the only server drains", a)
 		}
@@ -111,7 +111,7 @@
 		reply := make(chan call.Answer, 2)
 		deadline := e.Clock.Now() + time.Second
 		e.Clock.Jump(1500 * time.Millisecond)
-		e.Ask(policy.Request{}, &call.Message{}, deadline, reply)
+		e.Submit(policy.Request{}, &call.Message{}, deadline, reply)
 		if a := <-reply; a.Kind != call.Refused {
 			t.Errorf("answer %+v, want refused: nothing was sent", a)
 		}
@@ -128,7 +128,7 @@
 	paused(t, func(e *Engine, r *recorder) {
 		replies := make(chan call.Answer, 100)
 		for range 20 {
-			e.Ask(policy.Request{}, &call.Message{}, e.Clock.Now()+time.Second, replies)
+			e.Submit(policy.Request{}, &call.Message{}, e.Clock.Now()+time.Second, replies)
 		}
 		synctest.Wait()
 		out := len(r.all())
@@ -161,7 +161,7 @@
 			r := new(recorder)
 			e, err := New(Config{
 				Policy: policy.Config{Balancers: 1, MaxAttempts: 3, MayCancel: true, Classes: []policy.Class{{Aim: time.Second, Deadline: 2 * time.Second, Effect: policy.Unsafe}}},
-				Clock:  clock.New(), Transport: r, Log: slog.New(slog.DiscardHandler), Silent: true,
+				Clock:  clock.New(), Transport: r, Log: slog.New(slog.DiscardHandler), NoCounterLog: true,
 			})
 			if err != nil {
 				t.Fatal(err)
@@ -169,14 +169,14 @@
 			ctx, cancel := context.WithCancel(context.Background())
 			go e.Run(ctx, list(state))
 			reply := make(chan call.Answer, 2)
-			e.Ask(policy.Request{}, &call.Message{}, e.Clock.Now()+2*time.Second, reply)
+			e.Submit(policy.Request{}, &call.Message{}, e.Clock.Now()+2*time.Second, reply)
 			synctest.Wait()
 			cancel()
 			if a := <-reply; a.Kind != want {
 				t.Errorf("answer %+v, want %v", a, want)
 			}
 			e.Flush() // after the end: does not wait
-			e.Ask(policy.Request{}, &call.Message{}, 0, reply)
+			e.Submit(policy.Request{}, &call.Message{}, 0, reply)
 			synctest.Wait()
 		})
 	}
--- a/internal/proxy/engine/quiet_test.go
+++ b/internal/proxy/engine/quiet_test.go
@@ -18,7 +18,7 @@
 func quietNow(t *testing.T, e *Engine, id policy.ServerID) bool {
 	t.Helper()
 	told := make(chan []policy.ServerID, 1)
-	e.Quiet([]policy.ServerID{id}, func(quiet []policy.ServerID) { told <- quiet })
+	e.ReportIdle([]policy.ServerID{id}, func(quiet []policy.ServerID) { told <- quiet })
 	e.next(t)
 	return len(testbed.Wait(t, "the word", told)) == 1
 }
@@ -73,8 +73,8 @@
 	close(rest)
 	a.Stream.Close()
 	e.next(t)
-	if !quietNow(t, e, to) || len(e.out) != 0 {
-		t.Errorf("not quiet behind the answer's end: %v", e.out)
+	if !quietNow(t, e, to) || len(e.inFlight) != 0 {
+		t.Errorf("not quiet behind the answer's end: %v", e.inFlight)
 	}
 }
 
@@ -85,7 +85,7 @@
 			busy, after, taken, heard := make(chan struct{}), make(chan struct{}), make(chan struct{}, 1), make(chan bool)
 			e.post(func(time.Duration) { <-busy })
 			synctest.Wait()
-			e.Relist(list(policy.Draining), func() { taken <- struct{}{} })
+			e.ReplaceServers(list(policy.Draining), func() { taken <- struct{}{} })
 			go func() {
 				e.Flush()
 				heard <- len(taken) > 0
--- a/internal/proxy/front/http1/ahead.go
+++ b/internal/proxy/front/http1/ahead.go
@@ -266,7 +266,7 @@
 		return false
 	}
 	c.a.asked(c, &o.t.owner)
-	o.number = o.t.Engine.Ask(q, m, arrived+v.left, o.reply)
+	o.number = o.t.Engine.Submit(q, m, arrived+v.left, o.reply)
 	s.open = o
 	l.seen, l.look = false, look{}
 	return true
@@ -292,7 +292,7 @@
 	replies := make([]chan call.Answer, 0, c.line.n)
 	for c.line.n > 0 {
 		o := &c.line.pop().open
-		o.t.Engine.Gone(o.number)
+		o.t.Engine.ClientGone(o.number)
 		o.give(c.front)
 		o.exit()
 		replies = append(replies, o.reply)
--- a/internal/proxy/front/http1/ahead_test.go
+++ b/internal/proxy/front/http1/ahead_test.go
@@ -49,7 +49,7 @@
 	reads []string // what the dialect was asked to read
 }
 
-func (d *desk) Ask(_ policy.Request, m *call.Message, _ time.Duration, reply chan<- call.Answer) policy.RequestID {
+func (d *desk) Submit(_ policy.Request, m *call.Message, _ time.Duration, reply chan<- call.Answer) policy.RequestID {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.last++
@@ -57,8 +57,8 @@
 	return d.last
 }
 
-func (d *desk) Gone(id policy.RequestID) { d.gone <- id }
-func (d *desk) Ended() <-chan struct{}   { return nil }
+func (d *desk) ClientGone(id policy.RequestID) { d.gone <- id }
+func (d *desk) Done() <-chan struct{}          { return nil }
 
 // dialect has /safe/... be idempotent and /over/... be over a quota.
 func (d *desk) dialect() *Dialect {
--- a/internal/proxy/front/http1/body.go
+++ b/internal/proxy/front/http1/body.go
@@ -157,9 +157,9 @@
 func (b *bodyReader) prefix() (body []byte, whole bool, err error) {
 	body = make([]byte, 0, 2*scratchSize)
 	moved := 0
-	for len(body) < call.BodyLimit {
+	for len(body) < call.MaxBufferedBody {
 		if len(body) == cap(body) { // no more memory than twice what has come, whatever the head tells
-			grown := make([]byte, len(body), min(call.BodyLimit, 2*cap(body)))
+			grown := make([]byte, len(body), min(call.MaxBufferedBody, 2*cap(body)))
 			copy(grown, body)
 			body = grown
 		}
--- a/internal/proxy/front/http1/conn.go
+++ b/internal/proxy/front/http1/conn.go
@@ -363,7 +363,7 @@
 		return c.refuseHead(h)
 	}
 	// What is held of the body at a time; of one in chunks nothing is known yet.
-	length := min(max(h.Length, 0), call.BodyLimit+stream.WindowSize)
+	length := min(max(h.Length, 0), call.MaxBufferedBody+stream.WindowSize)
 	if f.cfg.Dialect == nil {
 		id := h.Get("X-Request-Id")
 		if !t.enter(id) {
@@ -382,7 +382,7 @@
 	m := c.message(h, &q)
 	var body *bodyReader // of one that is passed on as it comes
 	var ok bool
-	if !h.Chunked && h.Length <= call.BodyLimit {
+	if !h.Chunked && h.Length <= call.MaxBufferedBody {
 		m.Body, ok = c.body(h, int(length), v.left)
 	} else if body, ok = c.begin(h, m, v.left); ok {
 		o.size = int64(len(m.Body))
@@ -403,7 +403,7 @@
 	o.reply = make(chan call.Answer, 1)
 	c.along = c.alongside(h, &q)
 	c.leave()
-	o.number = t.Engine.Ask(q, m, arrived+v.left, o.reply)
+	o.number = t.Engine.Submit(q, m, arrived+v.left, o.reply)
 	return c.conclude(&o, body)
 }
 
@@ -420,14 +420,14 @@
 			}
 		case <-hung:
 			if c.start == c.end && c.left() { // with no answer: nobody is left to take it
-				o.t.Engine.Gone(o.number)
+				o.t.Engine.ClientGone(o.number)
 				if c.along { // its answer may have been here before its turn
 					forget([]chan call.Answer{o.reply})
 				}
 				return false
 			}
 			hung = nil // more requests came before the end: it still waits for their answers
-		case <-o.t.Engine.Ended(): // its pool was taken away: what it had taken is answered by then
+		case <-o.t.Engine.Done(): // its pool was taken away: what it had taken is answered by then
 			select {
 			case a := <-o.reply:
 				return c.behind(&a, body)
@@ -509,7 +509,7 @@
 	if !c.whole() {
 		return nil, false
 	}
-	m.More = &call.Upload{Length: h.Length, Read: b.Read}
+	m.Upload = &call.Upload{Length: h.Length, Read: b.Read}
 	return b, true
 }
 
@@ -533,20 +533,20 @@
 
 // refuseBody refuses a request whose body may still be coming.
 func (c *conn) refuseBody(body *bodyReader) bool {
-	return c.behind(&call.Answer{Kind: call.Refused, Pause: time.Second, Unasked: true}, body)
+	return c.behind(&call.Answer{Kind: call.Refused, RetryAfter: time.Second, RejectedByFront: true}, body)
 }
 
 // refuseHead refuses a request by its head, at once. A body that is still to come is read over, so that the
 // connection goes on; it is one of those that are being read as long as that takes. One that would take long ends the connection.
 func (c *conn) refuseHead(h *h1.Head) bool {
-	a := call.Answer{Kind: call.Refused, Pause: time.Second, Unasked: true}
-	return c.turnAway(h, &h1.Response{Status: http.StatusServiceUnavailable, RetryAfter: a.Pause, Header: c.own(&a)})
+	a := call.Answer{Kind: call.Refused, RetryAfter: time.Second, RejectedByFront: true}
+	return c.turnAway(h, &h1.Response{Status: http.StatusServiceUnavailable, RetryAfter: a.RetryAfter, Header: c.own(&a)})
 }
 
 // turnAway answers a request by its head; see refuseHead.
 func (c *conn) turnAway(h *h1.Head, a *h1.Response) bool {
 	have := int64(c.end - c.start)
-	if rest := h.Length - have; !h.Chunked && rest > call.BodyLimit || c.s.head.Close && (h.Chunked || rest > 0) {
+	if rest := h.Length - have; !h.Chunked && rest > call.MaxBufferedBody || c.s.head.Close && (h.Chunked || rest > 0) {
 		c.s.head.Close = true
 		if c.answer(a, nil) {
 			c.linger(leaveTime, lingerWhole)
@@ -619,9 +619,9 @@
 	case a.Kind == call.Served:
 		return c.answer(&h1.Response{Status: cmp.Or(a.Status, http.StatusOK), Header: a.Header, Length: int64(len(a.Body))}, a.Body)
 	case a.Kind == call.Refused: // trying again is harmless, best after the pause
-		return c.answer(&h1.Response{Status: http.StatusServiceUnavailable, RetryAfter: a.Pause, Header: c.own(a)}, nil)
-	case a.Last != nil && c.front.cfg.Dialect != nil: // the server's own word
-		return c.answer(&h1.Response{Status: a.Last.Status, Header: a.Last.Header, Length: int64(len(a.Last.Body))}, a.Last.Body)
+		return c.answer(&h1.Response{Status: http.StatusServiceUnavailable, RetryAfter: a.RetryAfter, Header: c.own(a)}, nil)
+	case a.LastResult != nil && c.front.cfg.Dialect != nil: // the server's own word
+		return c.answer(&h1.Response{Status: a.LastResult.Status, Header: a.LastResult.Header, Length: int64(len(a.LastResult.Body))}, a.LastResult.Body)
 	case a.TimedOut:
 		return c.answer(&h1.Response{Status: http.StatusGatewayTimeout, Header: c.own(a)}, nil)
 	}
--- a/internal/proxy/front/http1/front.go
+++ b/internal/proxy/front/http1/front.go
@@ -31,9 +31,9 @@
 
 // Engine answers what the front takes: see engine.Engine.
 type Engine interface {
-	Ask(q policy.Request, m *call.Message, deadline time.Duration, reply chan<- call.Answer) policy.RequestID
-	Gone(id policy.RequestID)
-	Ended() <-chan struct{}
+	Submit(q policy.Request, m *call.Message, deadline time.Duration, reply chan<- call.Answer) policy.RequestID
+	ClientGone(id policy.RequestID)
+	Done() <-chan struct{}
 }
 
 // Target is where requests go: an engine, what requests it takes and how many at once. Its counts are its own, and so
--- a/internal/proxy/front/http1/gate.go
+++ b/internal/proxy/front/http1/gate.go
@@ -47,8 +47,8 @@
 		c.permit = make(chan bool, 1)
 	}
 	g.mu.Lock()
-	behind := g.queue.Behind(f)
-	granted, spare := g.queue.Ask(f, c)
+	behind := g.queue.IsUnderserved(f)
+	granted, spare := g.queue.Acquire(f, c)
 	g.mu.Unlock()
 	if !granted {
 		spare = <-c.permit
@@ -76,7 +76,7 @@
 	}
 	cost := g.clock.Now() - c.entered + time.Duration(c.bytes)*byteCost
 	g.mu.Lock()
-	next, ok := g.queue.Done(c.asked, of, c.spare, float64(cost))
+	next, ok := g.queue.Release(c.asked, of, c.spare, float64(cost))
 	g.mu.Unlock()
 	if ok {
 		next.permit <- c.spare
--- a/internal/proxy/membership/membership.go
+++ b/internal/proxy/membership/membership.go
@@ -19,20 +19,20 @@
 )
 
 const (
-	watchWait  = 20 * time.Second // how long discovery may hold a watch
-	answerTime = 2 * time.Second  // and how long its answer may take besides
-	listTime   = 6 * time.Second  // how long it may take over the whole list
-	firstRetry = 200 * time.Millisecond
-	lastRetry  = 2 * time.Second // with jitter, well under the 6 s after which a drain counts as told
-	listLimit  = 8 << 20         // bytes of one answer; far above any real list
-
-	none = -1 // no version
+	watchWait        = 20 * time.Second // how long discovery may hold a watch
+	responseSlack    = 2 * time.Second  // and how long its answer may take besides
+	fullListTimeout  = 6 * time.Second  // how long it may take over the whole list
+	minBackoff       = 200 * time.Millisecond
+	maxBackoff       = 2 * time.Second // with jitter, well under the 6 s after which a drain counts as told
+	maxResponseBytes = 8 << 20         // bytes of one answer; far above any real list
+
+	noVersion = -1 // no version
 )
 
-var errUnusable = errors.New("unusable list")
+var errMalformed = errors.New("unusable list")
 
 // Parse reads an answer; a zone that zones does not name is -1. One malformed entry makes the whole answer unusable.
-func Parse(raw []byte, zones map[string]int) (call.Listing, error) {
+func Parse(raw []byte, zones map[string]int) (call.ServerList, error) {
 	var answer struct {
 		Generation *int64
 		Reset      bool
@@ -47,22 +47,22 @@
 		}
 	}
 	if err := json.Unmarshal(raw, &answer); err != nil {
-		return call.Listing{}, err
+		return call.ServerList{}, err
 	}
 	if answer.Generation == nil {
-		return call.Listing{}, errors.New("no generation")
+		return call.ServerList{}, errors.New("no generation")
 	}
-	l := call.Listing{Version: *answer.Generation, Whole: answer.Reset, Address: make(map[policy.ServerID]string), Name: make(map[policy.ServerID]string)}
+	l := call.ServerList{Version: *answer.Generation, Full: answer.Reset, Addresses: make(map[policy.ServerID]string), Names: make(map[policy.ServerID]string)}
 	for i, e := range answer.Instances {
 		if e.InstanceID == "" {
-			return call.Listing{}, fmt.Errorf("instance %d has no instanceId", i)
+			return call.ServerList{}, fmt.Errorf("instance %d has no instanceId", i)
 		}
 		s := policy.Server{ID: call.ServerID(e.InstanceID), Zone: -1, Cell: e.Cell, Weight: e.Weight}
 		if zone, ok := zones[e.Zone]; ok {
 			s.Zone = zone
 		}
 		if e.StartedAtMs > math.MaxInt64/float64(time.Millisecond)/2 { // no time of this clock
-			return call.Listing{}, fmt.Errorf("instance %s: startedAtMs is %v", e.InstanceID, e.StartedAtMs)
+			return call.ServerList{}, fmt.Errorf("instance %s: startedAtMs is %v", e.InstanceID, e.StartedAtMs)
 		}
 		s.Started = time.Duration(max(0, e.StartedAtMs) * float64(time.Millisecond))
 		switch e.Lifecycle {
@@ -74,11 +74,11 @@
 			s.State = policy.Draining // nothing new, whatever it is
 		}
 		if _, _, err := net.SplitHostPort(e.HostPort); err == nil {
-			l.Address[s.ID] = e.HostPort
+			l.Addresses[s.ID] = e.HostPort
 		} else if s.State != policy.Gone {
-			return call.Listing{}, fmt.Errorf("instance %s: hostPort: %w", e.InstanceID, err)
+			return call.ServerList{}, fmt.Errorf("instance %s: hostPort: %w", e.InstanceID, err)
 		}
-		l.Name[s.ID] = e.InstanceID
+		l.Names[s.ID] = e.InstanceID
 		l.Servers = append(l.Servers, s)
 	}
 	return l, nil
@@ -86,32 +86,32 @@
 
 // Config says what to follow.
 type Config struct {
-	Address string             // of discovery, host and port
-	Zones   map[string]int     // zone by name
-	Asked   bool               // the list must be asked for, call after call: see Follower.Ask
-	Known   call.Listing       // where it is asked for: the list that is known already, to go on from; without servers: none
-	Heard   func(call.Listing) // takes what is learnt, from Run's goroutine
-	Failed  func(error)        // takes that a call failed, and why
+	Address  string                // of discovery, host and port
+	Zones    map[string]int        // zone by name
+	OnDemand bool                  // the list must be asked for, call after call: see Follower.Ask
+	Known    call.ServerList       // where it is asked for: the list that is known already, to go on from; without servers: none
+	OnUpdate func(call.ServerList) // takes what is learnt, from Run's goroutine
+	OnError  func(error)           // takes that a call failed, and why
 }
 
 // Follower follows the list of servers and hands on what it learns.
 type Follower struct {
 	Config
-	asked  chan struct{} // where the list must be asked for: the module did
-	client http.Client
-	have   int64 // the version to go on from after a failure; none: begin with the whole list
+	trigger chan struct{} // where the list must be asked for: the module did
+	client  http.Client
+	version int64 // the version to go on from after a failure; none: begin with the whole list
 
-	mu    sync.Mutex
-	moved context.CancelFunc // ends what is under way with the address before
+	mu            sync.Mutex
+	cancelCurrent context.CancelFunc // ends what is under way with the address before
 }
 
 // New makes a follower. Nothing is called until Run.
 func New(cfg Config) *Follower {
-	d := &Follower{Config: cfg, have: none}
-	if cfg.Asked {
-		d.asked = make(chan struct{}, 1)
+	d := &Follower{Config: cfg, version: noVersion}
+	if cfg.OnDemand {
+		d.trigger = make(chan struct{}, 1)
 		if len(cfg.Known.Servers) > 0 {
-			d.have = cfg.Known.Version
+			d.version = cfg.Known.Version
 		}
 	}
 	// Calls to discovery change nothing there, so the standard client may repeat one on a new connection.
@@ -120,33 +120,33 @@
 }
 
 // Ask takes that the module wants to be subscribed to the list.
-func (d *Follower) Ask() {
+func (d *Follower) Trigger() {
 	select {
-	case d.asked <- struct{}{}:
+	case d.trigger <- struct{}{}:
 	default: // already asked, or the list is pushed
 	}
 }
 
 // Move has it follow discovery at another address, from now on.
-func (d *Follower) Move(address string) {
+func (d *Follower) SetAddress(address string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if address != d.Address {
 		d.Address = address
-		if d.moved != nil {
-			d.moved()
+		if d.cancelCurrent != nil {
+			d.cancelCurrent()
 		}
 	}
 }
 
 // follower returns the address to follow, and a context that ends once that is another.
-func (d *Follower) follower(ctx context.Context) (context.Context, string) {
+func (d *Follower) currentAddress(ctx context.Context) (context.Context, string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.moved != nil {
-		d.moved()
+	if d.cancelCurrent != nil {
+		d.cancelCurrent()
 	}
-	ctx, d.moved = context.WithCancel(ctx)
+	ctx, d.cancelCurrent = context.WithCancel(ctx)
 	return ctx, d.Address
 }
 
@@ -156,39 +156,39 @@
 // versions of the old one mean nothing there.
 func (d *Follower) Run(ctx context.Context) {
 	defer d.client.CloseIdleConnections()
-	pause, moved := firstRetry, false
+	pause, moved := minBackoff, false
 	for ctx.Err() == nil {
-		if d.asked != nil && !moved {
+		if d.trigger != nil && !moved {
 			select {
-			case <-d.asked:
+			case <-d.trigger:
 			case <-ctx.Done():
 				return
 			}
 		}
-		following, address := d.follower(ctx)
+		following, address := d.currentAddress(ctx)
 		heard, err := d.follow(following, address)
 		if ctx.Err() != nil {
 			return
 		}
 		if moved = following.Err() != nil; moved {
-			d.have = none
+			d.version = noVersion
 			d.client.CloseIdleConnections()
-			pause = firstRetry
+			pause = minBackoff
 			continue
 		}
-		d.Failed(err)
-		if d.asked != nil {
+		d.OnError(err)
+		if d.trigger != nil {
 			continue
 		}
 		if heard {
-			pause = firstRetry
+			pause = minBackoff
 		}
 		// Jitter: all sidecars lose discovery at the same moment and must not come back as one.
 		select {
 		case <-time.After(time.Duration(float64(pause) * (0.5 + rand.Float64()))):
 		case <-following.Done(): // at its new address nothing has failed yet
 		}
-		pause = min(2*pause, lastRetry)
+		pause = min(2*pause, maxBackoff)
 	}
 }
 
@@ -196,57 +196,57 @@
 // from the version that it has, after a failure and at the start: discovery is one service for a whole fleet, and a fleet that
 // has lost it would ask for as many whole lists at the moment when it can least bear them.
 func (d *Follower) follow(ctx context.Context, address string) (heard bool, err error) {
-	if d.asked == nil {
-		d.have = none
+	if d.trigger == nil {
+		d.version = noVersion
 	}
 	for {
-		query, limit, whole := "", listTime, d.have == none
+		query, limit, whole := "", fullListTimeout, d.version == noVersion
 		if !whole {
-			query = fmt.Sprintf("?index=%d&wait=%d", d.have, watchWait.Milliseconds())
-			limit = watchWait + answerTime
+			query = fmt.Sprintf("?index=%d&wait=%d", d.version, watchWait.Milliseconds())
+			limit = watchWait + responseSlack
 		}
-		l, err := d.call(ctx, address, query, limit)
+		l, err := d.fetch(ctx, address, query, limit)
 		if err != nil {
-			if errors.Is(err, errUnusable) { // what it told is lost
-				d.have = none
+			if errors.Is(err, errMalformed) { // what it told is lost
+				d.version = noVersion
 			}
 			return heard, err
 		}
-		l.Whole = l.Whole || whole
-		if !l.Whole && l.Version < d.have { // another discovery, or one that began anew: its changes build on something else
-			err = fmt.Errorf("version %d after %d", l.Version, d.have)
-			d.have = none
+		l.Full = l.Full || whole
+		if !l.Full && l.Version < d.version { // another discovery, or one that began anew: its changes build on something else
+			err = fmt.Errorf("version %d after %d", l.Version, d.version)
+			d.version = noVersion
 			return heard, err
 		}
-		heard, d.have = true, l.Version
-		d.Heard(l)
+		heard, d.version = true, l.Version
+		d.OnUpdate(l)
 	}
 }
 
-func (d *Follower) call(ctx context.Context, address, query string, limit time.Duration) (call.Listing, error) {
+func (d *Follower) fetch(ctx context.Context, address, query string, limit time.Duration) (call.ServerList, error) {
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/discovery/hosts"+query, nil)
 	if err != nil {
-		return call.Listing{}, err
+		return call.ServerList{}, err
 	}
 	res, err := d.client.Do(req)
 	if err != nil {
-		return call.Listing{}, err
+		return call.ServerList{}, err
 	}
 	defer res.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(res.Body, listLimit+1))
+	body, err := io.ReadAll(io.LimitReader(res.Body, maxResponseBytes+1))
 	switch {
 	case err != nil:
-		return call.Listing{}, err
+		return call.ServerList{}, err
 	case res.StatusCode != http.StatusOK:
-		return call.Listing{}, fmt.Errorf("answered %s", res.Status)
-	case len(body) > listLimit:
-		return call.Listing{}, fmt.Errorf("%w: the answer is too long", errUnusable)
+		return call.ServerList{}, fmt.Errorf("answered %s", res.Status)
+	case len(body) > maxResponseBytes:
+		return call.ServerList{}, fmt.Errorf("%w: the answer is too long", errMalformed)
 	}
 	l, err := Parse(body, d.Zones)
 	if err != nil {
-		return call.Listing{}, fmt.Errorf("%w: %w", errUnusable, err)
+		return call.ServerList{}, fmt.Errorf("%w: %w", errMalformed, err)
 	}
 	return l, nil
 }
--- a/internal/proxy/membership/membership_test.go
+++ b/internal/proxy/membership/membership_test.go
@@ -29,7 +29,7 @@
 		{ID: call.ServerID("s-3"), Zone: -1, State: policy.Draining},
 		{ID: call.ServerID("s-4"), Zone: -1, State: policy.Gone},
 	}
-	if l.Version != 41 || l.Whole || len(l.Servers) != len(want) || l.Address[want[1].ID] != "127.0.0.1:81" {
+	if l.Version != 41 || l.Full || len(l.Servers) != len(want) || l.Addresses[want[1].ID] != "127.0.0.1:81" {
 		t.Fatalf("list %+v", l)
 	}
 	for i := range want {
@@ -67,10 +67,10 @@
 	say := func(body string) func(http.ResponseWriter) {
 		return func(w http.ResponseWriter) { _, _ = io.WriteString(w, body) }
 	}
-	heard, failed := make(chan call.Listing, 100), make(chan struct{}, 100)
+	heard, failed := make(chan call.ServerList, 100), make(chan struct{}, 100)
 	d := New(Config{
-		Address: server.Listener.Addr().String(),
-		Heard:   func(l call.Listing) { heard <- l }, Failed: func(error) { failed <- struct{}{} },
+		Address:  server.Listener.Addr().String(),
+		OnUpdate: func(l call.ServerList) { heard <- l }, OnError: func(error) { failed <- struct{}{} },
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
@@ -85,8 +85,8 @@
 	}
 	news := func(version int64, whole bool) {
 		t.Helper()
-		if l := testbed.Wait(t, "a list", heard); l.Version != version || l.Whole != whole {
-			t.Fatalf("version %d, whole %v, want %d, %v", l.Version, l.Whole, version, whole)
+		if l := testbed.Wait(t, "a list", heard); l.Version != version || l.Full != whole {
+			t.Fatalf("version %d, whole %v, want %d, %v", l.Version, l.Full, version, whole)
 		}
 	}
 	step("", say(testbed.Listed(41, "ready", "127.0.0.1:80")))
@@ -116,8 +116,8 @@
 	defer server.Close()
 	failed := make(chan struct{}, 100)
 	d := New(Config{
-		Address: server.Listener.Addr().String(), Asked: true,
-		Heard: func(call.Listing) {}, Failed: func(error) { failed <- struct{}{} },
+		Address: server.Listener.Addr().String(), OnDemand: true,
+		OnUpdate: func(call.ServerList) {}, OnError: func(error) { failed <- struct{}{} },
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -126,7 +126,7 @@
 		if len(calls) > 0 {
 			t.Fatal("called unasked")
 		}
-		d.Ask()
+		d.Trigger()
 		testbed.Wait(t, "the failure", failed)
 		testbed.Wait(t, "the call", calls)
 	}
@@ -149,10 +149,10 @@
 		return d.Listener.Addr().String()
 	}
 	before, after := serve(50), serve(3)
-	heard := make(chan call.Listing, 100)
+	heard := make(chan call.ServerList, 100)
 	d := New(Config{
-		Address: before,
-		Heard:   func(l call.Listing) { heard <- l }, Failed: func(error) { t.Error("failed") },
+		Address:  before,
+		OnUpdate: func(l call.ServerList) { heard <- l }, OnError: func(error) { t.Error("failed") },
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -165,14 +165,14 @@
 	}
 	expect("50 ")
 	expect("50 index=50&wait=20000")
-	d.Move(after)
-	d.Move(after)
+	d.SetAddress(after)
+	d.SetAddress(after)
 	testbed.Wait(t, "the old watch to end", left)
 	expect("3 ")
 	expect("3 index=3&wait=20000")
 	for _, version := range []int64{50, 3} {
-		if l := testbed.Wait(t, "a list", heard); !l.Whole || l.Version != version {
-			t.Errorf("version %d, whole %v, want %d as a whole", l.Version, l.Whole, version)
+		if l := testbed.Wait(t, "a list", heard); !l.Full || l.Version != version {
+			t.Errorf("version %d, whole %v, want %d as a whole", l.Version, l.Full, version)
 		}
 	}
 }
@@ -194,11 +194,11 @@
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}))
 	defer server.Close()
-	heard, failed := make(chan call.Listing, 10), make(chan error, 10)
+	heard, failed := make(chan call.ServerList, 10), make(chan error, 10)
 	d := New(Config{
-		Address: server.Listener.Addr().String(), Asked: true,
-		Known: call.Listing{Version: 7, Servers: []policy.Server{{ID: 1}}},
-		Heard: func(l call.Listing) { heard <- l }, Failed: func(err error) { failed <- err },
+		Address: server.Listener.Addr().String(), OnDemand: true,
+		Known:    call.ServerList{Version: 7, Servers: []policy.Server{{ID: 1}}},
+		OnUpdate: func(l call.ServerList) { heard <- l }, OnError: func(err error) { failed <- err },
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -216,7 +216,7 @@
 		{"", `{"generation":3,"reset":true,"instances":[]}`, true, true},
 	} {
 		if step.ask {
-			d.Ask()
+			d.Trigger()
 		}
 		if q := testbed.Wait(t, "a call", queries); q != step.query {
 			t.Fatalf("asked %q, want %q", q, step.query)
@@ -224,8 +224,8 @@
 		answers <- step.answer
 		select {
 		case l := <-heard:
-			if l.Whole != step.whole {
-				t.Fatalf("after %q: whole %v", step.query, l.Whole)
+			if l.Full != step.whole {
+				t.Fatalf("after %q: whole %v", step.query, l.Full)
 			}
 		case <-failed:
 		case <-time.After(5 * time.Second):
--- a/internal/proxy/membership/shared.go
+++ b/internal/proxy/membership/shared.go
@@ -20,13 +20,13 @@
 // watches are the shared ones of this process, by what is followed.
 var (
 	watchesMu sync.Mutex
-	watches   = make(map[watchKey]*watch)
+	watches   = make(map[watchKey]*sharedWatch)
 )
 
 type watchKey struct{ address, zones string }
 
 // watch is one follower with several subscribers, and the list as they have it.
-type watch struct {
+type sharedWatch struct {
 	key  watchKey
 	stop context.CancelFunc
 	done chan struct{}
@@ -34,16 +34,16 @@
 	mu      sync.Mutex
 	subs    map[*Subscription]bool
 	version int64
-	heard   bool
+	hasList bool
 	servers map[policy.ServerID]policy.Server
 	address map[policy.ServerID]string
 }
 
 // Subscription is one subscriber's part in a watch.
 type Subscription struct {
-	cfg  Config
-	w    *watch
-	once sync.Once
+	cfg   Config
+	watch *sharedWatch
+	once  sync.Once
 }
 
 // Subscribe follows the list as New and Run do, over a watch that it shares with all who follow the same
@@ -51,7 +51,7 @@
 // wait and not call back: they run for one subscriber after the other. The first list comes
 // at once where the watch has it already.
 func Subscribe(cfg Config) (*Subscription, error) {
-	if cfg.Asked {
+	if cfg.OnDemand {
 		return nil, errors.New("membership: a list that must be asked for is not shared")
 	}
 	names := slices.Sorted(maps.Keys(cfg.Zones))
@@ -66,23 +66,23 @@
 		w = newWatch(key, cfg)
 		watches[key] = w
 	}
-	s := &Subscription{cfg: cfg, w: w}
+	s := &Subscription{cfg: cfg, watch: w}
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.subs[s] = true
-	if w.heard {
-		cfg.Heard(w.whole())
+	if w.hasList {
+		cfg.OnUpdate(w.fullList())
 	}
 	return s, nil
 }
 
-func newWatch(key watchKey, cfg Config) *watch {
+func newWatch(key watchKey, cfg Config) *sharedWatch {
 	ctx, stop := context.WithCancel(context.Background())
-	w := &watch{
+	w := &sharedWatch{
 		key: key, stop: stop, done: make(chan struct{}), subs: make(map[*Subscription]bool),
 		servers: make(map[policy.ServerID]policy.Server), address: make(map[policy.ServerID]string),
 	}
-	f := New(Config{Address: cfg.Address, Zones: cfg.Zones, Heard: w.hear, Failed: w.failed})
+	f := New(Config{Address: cfg.Address, Zones: cfg.Zones, OnUpdate: w.apply, OnError: w.reportError})
 	go func() {
 		defer close(w.done)
 		f.Run(ctx)
@@ -91,40 +91,40 @@
 }
 
 // whole is the list as it is known. The caller holds the lock.
-func (w *watch) whole() call.Listing {
-	l := call.Listing{Version: w.version, Whole: true, Address: maps.Clone(w.address)}
+func (w *sharedWatch) fullList() call.ServerList {
+	l := call.ServerList{Version: w.version, Full: true, Addresses: maps.Clone(w.address)}
 	for _, s := range w.servers {
 		l.Servers = append(l.Servers, s)
 	}
 	return l
 }
 
-func (w *watch) hear(l call.Listing) {
+func (w *sharedWatch) apply(l call.ServerList) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if l.Whole {
+	if l.Full {
 		clear(w.servers)
 		clear(w.address)
 	}
-	w.heard, w.version = true, l.Version
+	w.hasList, w.version = true, l.Version
 	for _, s := range l.Servers {
 		if s.State == policy.Gone {
 			delete(w.servers, s.ID)
 			delete(w.address, s.ID)
 			continue
 		}
-		w.servers[s.ID], w.address[s.ID] = s, l.Address[s.ID]
+		w.servers[s.ID], w.address[s.ID] = s, l.Addresses[s.ID]
 	}
 	for s := range w.subs {
-		s.cfg.Heard(l)
+		s.cfg.OnUpdate(l)
 	}
 }
 
-func (w *watch) failed(err error) {
+func (w *sharedWatch) reportError(err error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for s := range w.subs {
-		s.cfg.Failed(err)
+		s.cfg.OnError(err)
 	}
 }
 
@@ -132,7 +132,7 @@
 // returns when that has let go of all that it had.
 func (s *Subscription) Close() {
 	s.once.Do(func() {
-		w := s.w
+		w := s.watch
 		watchesMu.Lock()
 		w.mu.Lock()
 		delete(w.subs, s)
--- a/internal/proxy/membership/shared_test.go
+++ b/internal/proxy/membership/shared_test.go
@@ -12,7 +12,7 @@
 // subscriber keeps what it hears.
 type subscriber struct {
 	mu     sync.Mutex
-	lists  []call.Listing
+	lists  []call.ServerList
 	failed int
 	s      *Subscription
 }
@@ -23,12 +23,12 @@
 	var err error
 	sub.s, err = Subscribe(Config{
 		Address: address, Zones: zones,
-		Heard: func(l call.Listing) {
+		OnUpdate: func(l call.ServerList) {
 			sub.mu.Lock()
 			defer sub.mu.Unlock()
 			sub.lists = append(sub.lists, l)
 		},
-		Failed: func(error) {
+		OnError: func(error) {
 			sub.mu.Lock()
 			defer sub.mu.Unlock()
 			sub.failed++
@@ -41,7 +41,7 @@
 	return sub
 }
 
-func (s *subscriber) last() (n int, l call.Listing) {
+func (s *subscriber) last() (n int, l call.ServerList) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if n = len(s.lists); n > 0 {
@@ -62,7 +62,7 @@
 	d.Set(a, "gone")
 	testbed.Until(t, "the change", func() bool { n, _ := one.last(); return n == 2 })
 	two := subscribe(t, d.Address, zones)
-	if n, list := two.last(); n != 1 || !list.Whole || len(list.Servers) != 1 || list.Servers[0].ID != call.ServerID("s-b") || list.Address[call.ServerID("s-b")] != b.Address {
+	if n, list := two.last(); n != 1 || !list.Full || len(list.Servers) != 1 || list.Servers[0].ID != call.ServerID("s-b") || list.Addresses[call.ServerID("s-b")] != b.Address {
 		t.Errorf("the later one has %d lists, %+v; want the whole list as it is", n, list)
 	}
 	testbed.Until(t, "one watch for both", func() bool { return d.Watches() == 1 }) // none between two calls
@@ -87,7 +87,7 @@
 	other.s.Close()
 	two.s.Close()
 	testbed.Until(t, "all watches to end", func() bool { return d.Watches() == 0 })
-	if _, err := Subscribe(Config{Asked: true}); err == nil {
+	if _, err := Subscribe(Config{OnDemand: true}); err == nil {
 		t.Error("a list that must be asked for was shared")
 	}
 }
--- a/internal/proxy/pool/pool.go
+++ b/internal/proxy/pool/pool.go
@@ -19,25 +19,25 @@
 
 // Config is what a pool is made of.
 type Config struct {
-	Policy    policy.Config
-	Seed      uint64
-	Clock     clock.Clock
-	Transport Transport // on the same clock; the pool closes it
-	Discovery string    // address of discovery; "": the list is Known for good
-	Zones     map[string]int
-	Known     call.Listing // the servers as last known
-	MostOpen  int          // calls held at once; 0: no bound
-	BodyBytes int64        // of their bodies, in bytes
-	Walls     Walls        // bounds that several pools share; nil: none
-	Log       *slog.Logger
+	Policy       policy.Config
+	Seed         uint64
+	Clock        clock.Clock
+	Transport    Transport // on the same clock; the pool closes it
+	Discovery    string    // address of discovery; "": the list is Known for good
+	Zones        map[string]int
+	Known        call.ServerList // the servers as last known
+	MaxOpen      int             // calls held at once; 0: no bound
+	MaxBodyBytes int64           // of their bodies, in bytes
+	SharedLimits SharedLimits    // bounds that several pools share; nil: none
+	Log          *slog.Logger
 }
 
 // Walls are bounds that several pools of a process share. They are safe for concurrent use.
-type Walls interface {
+type SharedLimits interface {
 	// Take takes a place for a call with a body of so many bytes, or says that there is none.
-	Take(size int64) bool
+	Acquire(size int64) bool
 	// Give gives it back.
-	Give(size int64)
+	Release(size int64)
 }
 
 // Transport is a call.Transport that can end.
@@ -49,40 +49,40 @@
 
 // What a call is turned away for before it comes to the module. Nothing was sent for it.
 var (
-	ErrClosed = errors.New("closed")
-	ErrFull   = errors.New("too many calls or bytes of bodies are held already")
-	ErrOpenID = errors.New("a call of this id is open")
+	ErrClosed      = errors.New("closed")
+	ErrFull        = errors.New("too many calls or bytes of bodies are held already")
+	ErrDuplicateID = errors.New("a call of this id is open")
 )
 
 // fullPause is how long one who met ErrFull ought to wait before coming back.
-const fullPause = time.Second
+const fullRetryAfter = time.Second
 
 // Pool is safe for concurrent use.
 type Pool struct {
-	cfg     Config
-	engine  *engine.Engine
-	stopRun context.CancelFunc
-	ran     chan struct{} // closed when the engine has ended
-	list    interface{ Close() }
+	cfg        Config
+	engine     *engine.Engine
+	stopEngine context.CancelFunc
+	engineDone chan struct{} // closed when the engine has ended
+	serverList interface{ Close() }
 
-	bytes atomic.Int64
+	bodyBytes atomic.Int64
 
-	mu     sync.Mutex
-	open   map[string]bool // ids of the calls that are held
-	closed bool
-	empty  chan struct{} // closed when it is closed and holds nothing
-	gone   chan struct{} // closed when Close has let go of everything
+	mu        sync.Mutex
+	open      map[string]bool // ids of the calls that are held
+	closed    bool
+	drained   chan struct{} // closed when it is closed and holds nothing
+	closeDone chan struct{} // closed when Close has let go of everything
 }
 
 // Open starts a pool, or returns an error that names the unusable field of Config.Policy.
 func Open(cfg Config) (*Pool, error) {
-	p := &Pool{cfg: cfg, open: make(map[string]bool), ran: make(chan struct{}), empty: make(chan struct{}), gone: make(chan struct{})}
+	p := &Pool{cfg: cfg, open: make(map[string]bool), engineDone: make(chan struct{}), drained: make(chan struct{}), closeDone: make(chan struct{})}
 	var follower *membership.Follower
 	e, err := engine.New(engine.Config{
-		Policy: cfg.Policy, Seed: cfg.Seed, Clock: cfg.Clock, Transport: cfg.Transport, Log: cfg.Log, Silent: true,
+		Policy: cfg.Policy, Seed: cfg.Seed, Clock: cfg.Clock, Transport: cfg.Transport, Log: cfg.Log, NoCounterLog: true,
 		Watch: func() {
 			if follower != nil {
-				follower.Ask()
+				follower.Trigger()
 			}
 		},
 	})
@@ -91,47 +91,47 @@
 	}
 	p.engine = e
 	members := membership.Config{
-		Address: cfg.Discovery, Zones: cfg.Zones, Asked: cfg.Policy.AskList, Heard: e.List,
+		Address: cfg.Discovery, Zones: cfg.Zones, OnDemand: cfg.Policy.AskList, OnUpdate: e.UpdateServers,
 		Known: cfg.Known,
-		Failed: func(err error) {
+		OnError: func(err error) {
 			cfg.Log.Warn("discovery", "error", err)
-			e.ListFailed()
+			e.DiscoveryFailed()
 		},
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	p.stopRun = stop
+	p.stopEngine = stop
 	switch {
 	case cfg.Discovery == "":
-		p.list = nothing{}
+		p.serverList = noSubscription{}
 	case cfg.Policy.AskList:
 		follower = membership.New(members)
-		p.list = follow(follower)
+		p.serverList = startFollower(follower)
 	default:
-		if p.list, err = membership.Subscribe(members); err != nil {
+		if p.serverList, err = membership.Subscribe(members); err != nil {
 			stop()
 			return nil, err
 		}
 	}
 	go func() {
-		defer close(p.ran)
+		defer close(p.engineDone)
 		e.Run(ctx, cfg.Known)
 	}()
 	return p, nil
 }
 
-type nothing struct{}
+type noSubscription struct{}
 
-func (nothing) Close() {}
+func (noSubscription) Close() {}
 
 // own is a follower that no other pool shares.
-type own struct {
+type privateFollower struct {
 	stop context.CancelFunc
 	done chan struct{}
 }
 
-func follow(f *membership.Follower) own {
+func startFollower(f *membership.Follower) privateFollower {
 	ctx, stop := context.WithCancel(context.Background())
-	o := own{stop, make(chan struct{})}
+	o := privateFollower{stop, make(chan struct{})}
 	go func() {
 		defer close(o.done)
 		f.Run(ctx)
@@ -139,7 +139,7 @@
 	return o
 }
 
-func (o own) Close() {
+func (o privateFollower) Close() {
 	o.stop()
 	<-o.done
 }
@@ -161,7 +161,7 @@
 	a, err := p.ask(ctx, q, m, deadline)
 	leave := func() { p.leave(id, int64(len(m.Body))) }
 	if a.Stream != nil {
-		a.Stream = &heldStream{Stream: a.Stream, leave: sync.OnceFunc(leave)}
+		a.Stream = &trackedStream{Stream: a.Stream, leave: sync.OnceFunc(leave)}
 		return a, err
 	}
 	leave()
@@ -170,12 +170,12 @@
 
 func (p *Pool) ask(ctx context.Context, q policy.Request, m *call.Message, deadline time.Duration) (call.Answer, error) {
 	reply := make(chan call.Answer, 1)
-	number := p.engine.Ask(q, m, deadline, reply)
+	number := p.engine.Submit(q, m, deadline, reply)
 	select {
 	case a := <-reply:
 		return a, nil
 	case <-ctx.Done():
-		p.engine.Gone(number)
+		p.engine.ClientGone(number)
 		select {
 		case a := <-reply: // both at once: the answer is here, or a stream that must not be left open
 			return a, nil
@@ -185,7 +185,7 @@
 			go closeLate(p.engine, reply)
 		}
 		return call.Answer{}, ctx.Err()
-	case <-p.engine.Ended():
+	case <-p.engine.Done():
 		select {
 		case a := <-reply:
 			return a, nil
@@ -208,19 +208,19 @@
 }
 
 // heldStream gives the call's place back with its end.
-type heldStream struct {
+type trackedStream struct {
 	call.Stream
 	leave func()
 }
 
 // Close ends the stream and gives its place back.
-func (s *heldStream) Close() {
+func (s *trackedStream) Close() {
 	s.Stream.Close()
 	s.leave()
 }
 
 // Unwrap is the transport's own stream.
-func (s *heldStream) Unwrap() call.Stream { return s.Stream }
+func (s *trackedStream) Unwrap() call.Stream { return s.Stream }
 
 func (p *Pool) enter(id string, size int64) error {
 	p.mu.Lock()
@@ -229,40 +229,40 @@
 	case p.closed:
 		return ErrClosed
 	case p.open[id]: // servers would take a second under it for a copy of the first
-		return ErrOpenID
-	case p.cfg.MostOpen > 0 && len(p.open) >= p.cfg.MostOpen,
-		p.cfg.BodyBytes > 0 && p.bytes.Load()+size > p.cfg.BodyBytes:
+		return ErrDuplicateID
+	case p.cfg.MaxOpen > 0 && len(p.open) >= p.cfg.MaxOpen,
+		p.cfg.MaxBodyBytes > 0 && p.bodyBytes.Load()+size > p.cfg.MaxBodyBytes:
 		return ErrFull
 	}
-	if p.cfg.Walls != nil && !p.cfg.Walls.Take(size) {
+	if p.cfg.SharedLimits != nil && !p.cfg.SharedLimits.Acquire(size) {
 		return ErrFull
 	}
-	p.bytes.Add(size)
+	p.bodyBytes.Add(size)
 	p.open[id] = true
 	return nil
 }
 
 // FullPause is when one who met ErrFull ought to come back, never later than clients heed.
-func (p *Pool) FullPause() time.Duration { return min(fullPause, p.cfg.Policy.MaxRetryAfter) }
+func (p *Pool) RetryAfterFull() time.Duration { return min(fullRetryAfter, p.cfg.Policy.MaxRetryAfter) }
 
 func (p *Pool) leave(id string, size int64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.bytes.Add(-size)
-	if p.cfg.Walls != nil {
-		p.cfg.Walls.Give(size)
+	p.bodyBytes.Add(-size)
+	if p.cfg.SharedLimits != nil {
+		p.cfg.SharedLimits.Release(size)
 	}
 	delete(p.open, id)
-	p.drained()
+	p.signalIfDrained()
 }
 
 // drained tells Close that nothing is held any more. The caller holds the lock.
-func (p *Pool) drained() {
+func (p *Pool) signalIfDrained() {
 	if p.closed && len(p.open) == 0 {
 		select {
-		case <-p.empty:
+		case <-p.drained:
 		default:
-			close(p.empty)
+			close(p.drained)
 		}
 	}
 }
@@ -275,22 +275,22 @@
 	p.mu.Lock()
 	first := !p.closed
 	p.closed = true
-	p.drained()
+	p.signalIfDrained()
 	p.mu.Unlock()
 	if !first {
-		<-p.gone
+		<-p.closeDone
 		return nil
 	}
-	defer close(p.gone)
+	defer close(p.closeDone)
 	var err error
 	select {
-	case <-p.empty:
+	case <-p.drained:
 	case <-ctx.Done():
 		err = ctx.Err()
 	}
-	p.list.Close()
-	p.stopRun()
-	<-p.ran
+	p.serverList.Close()
+	p.stopEngine()
+	<-p.engineDone
 	p.cfg.Transport.Close()
 	return err
 }
--- a/internal/proxy/route/table.go
+++ b/internal/proxy/route/table.go
@@ -44,18 +44,18 @@
 
 // Table is a compiled set of rules. It does not change any more and may be used from any goroutine.
 type Table struct {
-	exact    map[string]*paths // by host
-	below    map[string]*paths // by what stands behind "*."
-	any      *paths
-	wildcard int // labels of the longest key of below
+	exact           map[string]*pathRules // by host
+	suffix          map[string]*pathRules // by what stands behind "*."
+	anyHost         *pathRules
+	maxSuffixLabels int // labels of the longest key of below
 }
 
 // paths are the rules of one host pattern.
-type paths struct {
-	exact    map[string][]*Rule
-	prefix   map[string][]*Rule // "" matches every path
-	deepest  int                // segments of the longest prefix
-	hasExact bool
+type pathRules struct {
+	exact             map[string][]*Rule
+	prefix            map[string][]*Rule // "" matches every path
+	maxPrefixSegments int                // segments of the longest prefix
+	hasExact          bool
 }
 
 // Methods are those that requests come with (the protocol page).
@@ -73,17 +73,17 @@
 	if len(rules) > maxRules {
 		return nil, fmt.Errorf("routes: %d rules, %d at most", len(rules), maxRules)
 	}
-	t := &Table{exact: make(map[string]*paths), below: make(map[string]*paths)}
+	t := &Table{exact: make(map[string]*pathRules), suffix: make(map[string]*pathRules)}
 	for i := range rules {
 		r := rules[i] // a copy, in normal form
-		if err := r.normal(pools); err != nil {
+		if err := r.normalize(pools); err != nil {
 			return nil, fmt.Errorf("line %d: route to %q: %w", r.Line, r.Pool, err)
 		}
-		p := t.host(r.Host)
+		p := t.rulesOf(r.Host)
 		list, key := p.exact, r.Path
 		if r.Path == "" {
 			list, key = p.prefix, r.Prefix
-			p.deepest = max(p.deepest, strings.Count(key, "/"))
+			p.maxPrefixSegments = max(p.maxPrefixSegments, strings.Count(key, "/"))
 		} else {
 			p.hasExact = true
 		}
@@ -94,10 +94,10 @@
 		}
 		list[key] = append(list[key], &r)
 	}
-	for _, p := range t.all() {
-		for _, list := range p.lists() {
-			slices.SortStableFunc(list, func(a, b *Rule) int { return rank(a) - rank(b) })
-			if err := shadowed(list, pools); err != nil {
+	for _, p := range t.allHosts() {
+		for _, list := range p.ruleLists() {
+			slices.SortStableFunc(list, func(a, b *Rule) int { return precedence(a) - precedence(b) })
+			if err := checkReachable(list, pools); err != nil {
 				return nil, err
 			}
 		}
@@ -106,7 +106,7 @@
 }
 
 // rank orders the rules of one host and path: those with a method first, then those with a class.
-func rank(r *Rule) int {
+func precedence(r *Rule) int {
 	n := 0
 	if r.Method == "" {
 		n += 2
@@ -118,7 +118,7 @@
 }
 
 // normal brings a rule into normal form, or says why it is none or can never match.
-func (r *Rule) normal(pools Pools) error {
+func (r *Rule) normalize(pools Pools) error {
 	classes, known := pools[r.Pool]
 	if !known {
 		return fmt.Errorf("there is no pool of that name")
@@ -172,7 +172,7 @@
 }
 
 // shadowed finds a rule that others of the same host and path leave nothing to.
-func shadowed(list []*Rule, pools Pools) error {
+func checkReachable(list []*Rule, pools Pools) error {
 	for i, r := range list {
 		covered := 0
 		for _, method := range Methods {
@@ -193,42 +193,42 @@
 	return nil
 }
 
-func newPaths() *paths {
-	return &paths{exact: make(map[string][]*Rule), prefix: make(map[string][]*Rule)}
+func newPathRules() *pathRules {
+	return &pathRules{exact: make(map[string][]*Rule), prefix: make(map[string][]*Rule)}
 }
 
 // host is where the rules of a host pattern go.
-func (t *Table) host(pattern string) *paths {
+func (t *Table) rulesOf(pattern string) *pathRules {
 	if pattern == "" {
-		if t.any == nil {
-			t.any = newPaths()
+		if t.anyHost == nil {
+			t.anyHost = newPathRules()
 		}
-		return t.any
+		return t.anyHost
 	}
 	in := t.exact
 	if name, wild := strings.CutPrefix(pattern, "*."); wild {
-		in, pattern = t.below, name
-		t.wildcard = max(t.wildcard, strings.Count(name, ".")+1)
+		in, pattern = t.suffix, name
+		t.maxSuffixLabels = max(t.maxSuffixLabels, strings.Count(name, ".")+1)
 	}
 	if in[pattern] == nil {
-		in[pattern] = newPaths()
+		in[pattern] = newPathRules()
 	}
 	return in[pattern]
 }
 
-func (t *Table) all() (all []*paths) {
-	for _, in := range []map[string]*paths{t.exact, t.below} {
+func (t *Table) allHosts() (all []*pathRules) {
+	for _, in := range []map[string]*pathRules{t.exact, t.suffix} {
 		for _, p := range in {
 			all = append(all, p)
 		}
 	}
-	if t.any != nil {
-		all = append(all, t.any)
+	if t.anyHost != nil {
+		all = append(all, t.anyHost)
 	}
 	return all
 }
 
-func (p *paths) lists() (lists [][]*Rule) {
+func (p *pathRules) ruleLists() (lists [][]*Rule) {
 	for _, in := range []map[string][]*Rule{p.exact, p.prefix} {
 		for _, list := range in {
 			lists = append(lists, list)
@@ -245,58 +245,58 @@
 			return r
 		}
 	}
-	if t.wildcard > 0 {
+	if t.maxSuffixLabels > 0 {
 		// From the longest wildcard that there is: labels before it are passed over first.
 		rest := q.Host
-		for skip := strings.Count(rest, ".") - t.wildcard; skip > 0; skip-- {
+		for skip := strings.Count(rest, ".") - t.maxSuffixLabels; skip > 0; skip-- {
 			_, rest, _ = strings.Cut(rest, ".")
 		}
 		if rest == q.Host {
 			_, rest, _ = strings.Cut(rest, ".")
 		}
 		for ; rest != ""; _, rest, _ = strings.Cut(rest, ".") {
-			if p := t.below[rest]; p != nil {
+			if p := t.suffix[rest]; p != nil {
 				if r := p.match(q); r != nil {
 					return r
 				}
 			}
 		}
 	}
-	if t.any != nil {
-		return t.any.match(q)
+	if t.anyHost != nil {
+		return t.anyHost.match(q)
 	}
 	return nil
 }
 
-func (p *paths) match(q Request) *Rule {
+func (p *pathRules) match(q Request) *Rule {
 	if p.hasExact {
-		if r := first(p.exact[q.Path], q); r != nil {
+		if r := firstMatch(p.exact[q.Path], q); r != nil {
 			return r
 		}
 	}
 	// Prefixes from the deepest that there is down to "", which every path has.
 	ends := [maxDepth + 1]int{}
 	n := 0
-	for i := 1; i < len(q.Path) && n < p.deepest; i++ {
+	for i := 1; i < len(q.Path) && n < p.maxPrefixSegments; i++ {
 		if q.Path[i] == '/' {
 			ends[n] = i
 			n++
 		}
 	}
-	if n < p.deepest && len(q.Path) > 1 && q.Path[len(q.Path)-1] != '/' {
+	if n < p.maxPrefixSegments && len(q.Path) > 1 && q.Path[len(q.Path)-1] != '/' {
 		ends[n] = len(q.Path)
 		n++
 	}
 	for ; n > 0; n-- {
-		if r := first(p.prefix[q.Path[:ends[n-1]]], q); r != nil {
+		if r := firstMatch(p.prefix[q.Path[:ends[n-1]]], q); r != nil {
 			return r
 		}
 	}
-	return first(p.prefix[""], q)
+	return firstMatch(p.prefix[""], q)
 }
 
 // first returns the first rule of a list that a request's method and class match.
-func first(list []*Rule, q Request) *Rule {
+func firstMatch(list []*Rule, q Request) *Rule {
 	for _, r := range list {
 		if (r.Method == "" || r.Method == q.Method) && (r.Class == "" || r.Class == q.Class) {
 			return r
--- a/internal/proxy/route/target.go
+++ b/internal/proxy/route/target.go
@@ -15,7 +15,7 @@
 )
 
 // Of is what of a request counts for its route; an error says what in it can be read in two ways.
-func Of(hostField, target, method, class string) (Request, error) {
+func NewRequest(hostField, target, method, class string) (Request, error) {
 	// The form with a scheme and host may disagree with Host, and two readers heed different ones.
 	if !strings.HasPrefix(target, "/") {
 		return Request{}, errors.New("the target is no path")
@@ -33,7 +33,7 @@
 }
 
 // FirstPart is the first part of a path: where the protocol has a request's class.
-func FirstPart(path string) string {
+func FirstSegment(path string) string {
 	first, _, _ := strings.Cut(strings.TrimPrefix(path, "/"), "/")
 	return first
 }
--- a/internal/proxy/share/queue.go
+++ b/internal/proxy/share/queue.go
@@ -7,113 +7,113 @@
 //
 // It is free of I/O and not safe for concurrent use. Costs are in nanoseconds of a core, or what counts as such.
 type Queue[T any] struct {
-	free  int
-	spare int     // permits that only a flow that is behind may take
-	now   float64 // virtual time: the start tag of the work begun last
-	flows []flow[T]
-	waits int
+	free     int
+	reserved int     // permits that only a flow that is behind may take
+	now      float64 // virtual time: the start tag of the work begun last
+	flows    []flow[T]
+	waiting  int
 }
 
 type flow[T any] struct {
-	weight float64
-	finish float64 // where the flow's next work starts at the earliest
-	used   float64 // cost of its work lately, see lately
-	usual  float64 // cost of its work, smoothed: what work under way is taken for until its own cost is known
-	queue  []T
-	head   int // of the queue
+	weight     float64
+	nextStart  float64 // where the flow's next work starts at the earliest
+	recentCost float64 // cost of its work lately, see lately
+	meanCost   float64 // cost of its work, smoothed: what work under way is taken for until its own cost is known
+	queue      []T
+	head       int // of the queue
 }
 
 // usualPart is the weight of the newest cost in a flow's usual one.
-const usualPart = 1.0 / 8
+const meanCostGain = 1.0 / 8
 
 // A flow is behind while what it used lately, by weight, is less than behindPart of what all did. Tags can't tell that: what
 // starts next is always near the present, whose time its flow carries on. Lately is the last so many units of cost of all.
 const (
-	behindPart = 0.5
-	lately     = 50e6
+	underservedBelow = 0.5
+	recentWindow     = 50e6
 )
 
 // NewQueue makes a queue with so many permits, at least one, among flows by weight; weights must be above 0. Beside
 // them there are so many spare ones, for flows that are behind: they don't wait for work that holds a permit for long.
 func NewQueue[T any](permits, spare int, weights []float64) *Queue[T] {
-	q := &Queue[T]{free: max(1, permits), spare: spare, flows: make([]flow[T], len(weights))}
+	q := &Queue[T]{free: max(1, permits), reserved: spare, flows: make([]flow[T], len(weights))}
 	for i, w := range weights {
-		q.flows[i] = flow[T]{weight: w, usual: 1}
+		q.flows[i] = flow[T]{weight: w, meanCost: 1}
 	}
 	return q
 }
 
 // Ask takes a permit for a flow's work, or has it wait: then Done or Forget returns it when it may begin. Whoever got a
 // permit has to give it back with Done, and to say whether it was a spare one.
-func (q *Queue[T]) Ask(f int, work T) (granted, spare bool) {
+func (q *Queue[T]) Acquire(f int, work T) (granted, spare bool) {
 	w := &q.flows[f]
 	if q.free > 0 { // then nobody waits
 		q.free--
 		q.begin(w)
 		return true, false
 	}
-	if q.spare > 0 && q.Behind(f) && w.head == len(w.queue) {
-		q.spare--
+	if q.reserved > 0 && q.IsUnderserved(f) && w.head == len(w.queue) {
+		q.reserved--
 		q.begin(w)
 		return true, true
 	}
 	w.queue = append(w.queue, work)
-	q.waits++
+	q.waiting++
 	return false, false
 }
 
 // begin books the work that starts now.
 func (q *Queue[T]) begin(w *flow[T]) {
-	q.now = max(q.now, w.finish)
+	q.now = max(q.now, w.nextStart)
 	// One that asked for nothing starts at the present: it saved nothing up.
-	w.finish = max(w.finish, q.now) + w.usual/w.weight
+	w.nextStart = max(w.nextStart, q.now) + w.meanCost/w.weight
 }
 
 // Done gives a permit back. asked is the flow that it was asked for; cost is charged to the flow that the work turned out
 // to be of. It returns the work that may begin now in its place, if any: for a spare one that of a flow that is behind,
 // which has a spare one then.
-func (q *Queue[T]) Done(asked, of int, spare bool, cost float64) (next T, ok bool) {
+func (q *Queue[T]) Release(asked, of int, spare bool, cost float64) (next T, ok bool) {
 	a, w := &q.flows[asked], &q.flows[of]
-	a.finish -= a.usual / a.weight
+	a.nextStart -= a.meanCost / a.weight
 	q.charge(w, cost)
 	if asked != of { // it was let in as its own
 		q.charge(a, cost)
 	}
-	best := q.first()
-	if spare && best != nil && !q.behind(best) {
+	best := q.earliest()
+	if spare && best != nil && !q.underserved(best) {
 		best = nil
 	}
 	if best == nil {
 		if spare {
-			q.spare++
+			q.reserved++
 		} else {
 			q.free++
 		}
 		return next, false
 	}
-	next = best.take()
-	q.waits--
+	next = best.dequeue()
+	q.waiting--
 	q.begin(best)
 	return next, true
 }
 
 func (q *Queue[T]) charge(w *flow[T], cost float64) {
-	w.finish = max(w.finish, q.now) + cost/w.weight
-	w.usual += (cost - w.usual) * usualPart
-	kept := max(0, 1-cost/lately)
+	w.nextStart = max(w.nextStart, q.now) + cost/w.weight
+	w.meanCost += (cost - w.meanCost) * meanCostGain
+	kept := max(0, 1-cost/recentWindow)
 	for i := range q.flows {
-		q.flows[i].used *= kept
+		q.flows[i].recentCost *= kept
 	}
-	w.used += cost
+	w.recentCost += cost
 }
 
 // first is the flow whose work waits and starts first, or nil.
-func (q *Queue[T]) first() (best *flow[T]) {
-	if q.waits == 0 {
+func (q *Queue[T]) earliest() (best *flow[T]) {
+	if q.waiting == 0 {
 		return nil
 	}
 	for i := range q.flows {
-		if w := &q.flows[i]; w.head < len(w.queue) && (best == nil || w.finish < best.finish) {
+		if w := &q.flows[i]; w.head < len(w.queue) && (best == nil || w.nextStart < best.nextStart) {
 			best = w
 		}
 	}
@@ -121,7 +121,7 @@
 }
 
 // take takes the flow's next work out of its queue.
-func (w *flow[T]) take() T {
+func (w *flow[T]) dequeue() T {
 	work := w.queue[w.head]
 	var none T
 	w.queue[w.head] = none
@@ -136,16 +136,16 @@
 }
 
 // Behind says whether a flow had less than half of its part lately.
-func (q *Queue[T]) Behind(f int) bool { return q.behind(&q.flows[f]) }
+func (q *Queue[T]) IsUnderserved(f int) bool { return q.underserved(&q.flows[f]) }
 
-func (q *Queue[T]) behind(w *flow[T]) bool {
+func (q *Queue[T]) underserved(w *flow[T]) bool {
 	used, weights := 0.0, 0.0
 	for i := range q.flows {
-		used += q.flows[i].used
+		used += q.flows[i].recentCost
 		weights += q.flows[i].weight
 	}
-	return w.used/w.weight < behindPart*used/weights
+	return w.recentCost/w.weight < underservedBelow*used/weights
 }
 
 // Waiting is how much work waits.
-func (q *Queue[T]) Waiting() int { return q.waits }
+func (q *Queue[T]) Waiting() int { return q.waiting }
--- a/internal/proxy/share/queue_test.go
+++ b/internal/proxy/share/queue_test.go
@@ -21,7 +21,7 @@
 		ask := func(f int) {
 			w := work{f, asked[f]}
 			asked[f]++
-			if granted, _ := q.Ask(f, w); granted {
+			if granted, _ := q.Acquire(f, w); granted {
 				running = append(running, w)
 				begun[f]++
 			}
@@ -38,7 +38,7 @@
 			running = append(running[:i], running[i+1:]...)
 			cost := rapid.Float64Range(0.1, largest).Draw(t, "cost")
 			done[w.flow] += cost / weights[w.flow]
-			next, ok := q.Done(w.flow, w.flow, false, cost)
+			next, ok := q.Release(w.flow, w.flow, false, cost)
 			if !ok {
 				t.Fatal("a permit is free while something waits")
 			}
@@ -70,18 +70,18 @@
 // One that asks seldom begins with the next permit, however many of others wait and whatever was saved up.
 func TestSeldomGoesFirst(t *testing.T) {
 	q := NewQueue[string](1, 0, []float64{1, 1})
-	q.Ask(0, "first")
+	q.Acquire(0, "first")
 	for range 400 {
-		q.Ask(0, "flood")
+		q.Acquire(0, "flood")
 	}
 	for range 100 {
-		q.Done(0, 0, false, 5)
+		q.Release(0, 0, false, 5)
 	}
-	q.Ask(1, "quiet")
-	if next, ok := q.Done(0, 0, false, 5); !ok || next != "quiet" {
+	q.Acquire(1, "quiet")
+	if next, ok := q.Release(0, 0, false, 5); !ok || next != "quiet" {
 		t.Errorf("%q goes before the quiet one", next)
 	}
-	if next, ok := q.Done(1, 1, false, 5); !ok || next != "flood" {
+	if next, ok := q.Release(1, 1, false, 5); !ok || next != "flood" {
 		t.Errorf("%q, %v after the quiet one", next, ok)
 	}
 }
@@ -89,10 +89,10 @@
 // What turns out to be another flow's work is charged there.
 func TestChargedWhereItBelongs(t *testing.T) {
 	q := NewQueue[string](1, 0, []float64{1, 1, 1})
-	q.Ask(0, "new")
-	q.Ask(1, "known")
-	q.Ask(2, "other")
-	if next, _ := q.Done(0, 1, false, 50); next != "other" {
+	q.Acquire(0, "new")
+	q.Acquire(1, "known")
+	q.Acquire(2, "other")
+	if next, _ := q.Release(0, 1, false, 50); next != "other" {
 		t.Errorf("%q begins, the flow that was charged waits", next)
 	}
 }
@@ -100,32 +100,32 @@
 // A spare permit is for a flow that is behind, goes on to the next of its work, and is kept from a flow that has had its part.
 func TestSparePermit(t *testing.T) {
 	q := NewQueue[string](1, 1, []float64{1, 1})
-	q.Ask(0, "holds on")
-	q.Done(0, 0, false, 1e6)
-	q.Ask(0, "holds on")
-	if granted, _ := q.Ask(0, "more"); granted {
+	q.Acquire(0, "holds on")
+	q.Release(0, 0, false, 1e6)
+	q.Acquire(0, "holds on")
+	if granted, _ := q.Acquire(0, "more"); granted {
 		t.Error("a flow that has had its part took the spare permit")
 	}
-	if granted, spare := q.Ask(1, "quiet"); !granted || !spare {
+	if granted, spare := q.Acquire(1, "quiet"); !granted || !spare {
 		t.Fatalf("the flow that is behind waits: %v, %v", granted, spare)
 	}
-	if granted, _ := q.Ask(1, "quiet too"); granted {
+	if granted, _ := q.Acquire(1, "quiet too"); granted {
 		t.Error("there is one spare permit")
 	}
-	if next, ok := q.Done(1, 1, true, 1e3); !ok || next != "quiet too" {
+	if next, ok := q.Release(1, 1, true, 1e3); !ok || next != "quiet too" {
 		t.Errorf("%q, %v: the spare permit goes on to who waits and is behind", next, ok)
 	}
-	q.Ask(1, "no longer")
-	if next, ok := q.Done(1, 1, true, 5e6); !ok || next != "more" {
+	q.Acquire(1, "no longer")
+	if next, ok := q.Release(1, 1, true, 5e6); !ok || next != "more" {
 		t.Errorf("%q, %v: the other flow is the one that is behind now", next, ok)
 	}
-	if _, ok := q.Done(0, 0, true, 1e7); ok {
+	if _, ok := q.Release(0, 0, true, 1e7); ok {
 		t.Error("the spare permit went on to a flow that has had its part")
 	}
-	q.Done(0, 0, false, 1e3) // "no longer" begins
-	q.Ask(1, "last")
-	q.Done(1, 1, false, 1e9)
-	if q.Behind(1) || !q.Behind(0) {
-		t.Errorf("behind: %v and %v, want the one that used little lately", q.Behind(0), q.Behind(1))
+	q.Release(0, 0, false, 1e3) // "no longer" begins
+	q.Acquire(1, "last")
+	q.Release(1, 1, false, 1e9)
+	if q.IsUnderserved(1) || !q.IsUnderserved(0) {
+		t.Errorf("behind: %v and %v, want the one that used little lately", q.IsUnderserved(0), q.IsUnderserved(1))
 	}
 }
--- a/internal/proxy/share/space_test.go
+++ b/internal/proxy/share/space_test.go
@@ -9,14 +9,14 @@
 func TestEachIsSureOfItsPart(t *testing.T) {
 	s := New(100, []float64{3, 1})
 	for i, want := range []int64{75, 25} {
-		if sure, _ := s.Part(i); sure != want {
+		if sure, _ := s.Usage(i); sure != want {
 			t.Errorf("pool %d is sure of %d, want %d", i, sure, want)
 		}
-		if !s.Take(0, i, want) {
+		if !s.Acquire(0, i, want) {
 			t.Errorf("pool %d can't have its part", i)
 		}
 	}
-	if s.Take(0, 0, 1) || s.Take(0, 1, 1) {
+	if s.Acquire(0, 0, 1) || s.Acquire(0, 1, 1) {
 		t.Error("more than there is was given")
 	}
 }
@@ -26,31 +26,31 @@
 func TestLending(t *testing.T) {
 	s := New(100, []float64{1, 1})
 	lent := int64(0)
-	for s.Take(0, 0, 1) {
+	for s.Acquire(0, 0, 1) {
 		lent++
 	}
 	if lent != 95 {
 		t.Fatalf("pool 0 got %d of 100, want its 50 and all but a tenth of the other 50", lent)
 	}
 	mine := int64(0)
-	for s.Take(0, 1, 1) {
+	for s.Acquire(0, 1, 1) {
 		mine++
 	}
 	if mine != 5 {
 		t.Errorf("the owner got %d at once, want 5", mine)
 	}
 	for range 20 { // what the other gives back is the owner's, whatever the other asks for
-		s.Give(0, 1)
-		if s.Take(time.Second, 0, 1) {
+		s.Release(0, 1)
+		if s.Acquire(time.Second, 0, 1) {
 			t.Fatal("lent again while its owner asks")
 		}
-		if !s.Take(time.Second, 1, 1) {
+		if !s.Acquire(time.Second, 1, 1) {
 			t.Fatal("the owner can't have what came back")
 		}
 	}
-	s.Give(1, 25) // it has gone quiet, but for an unmet wish
-	s.Take(2*time.Second, 1, 60)
-	if !s.Take(2*time.Second+askFor, 0, 1) {
+	s.Release(1, 25) // it has gone quiet, but for an unmet wish
+	s.Acquire(2*time.Second, 1, 60)
+	if !s.Acquire(2*time.Second+reclaimTime, 0, 1) {
 		t.Error("nothing is lent although its owner has long not asked")
 	}
 }
@@ -71,18 +71,18 @@
 			pool := rng.IntN(len(weights))
 			if rng.IntN(2) == 0 && len(held[pool]) > 0 {
 				last := len(held[pool]) - 1
-				s.Give(pool, held[pool][last])
+				s.Release(pool, held[pool][last])
 				held[pool] = held[pool][:last]
 				continue
 			}
 			n := rng.Int64N(size/4 + 2)
-			sure, used := s.Part(pool)
+			sure, used := s.Usage(pool)
 			free := size
 			for i := range weights {
-				_, u := s.Part(i)
+				_, u := s.Usage(i)
 				free -= u
 			}
-			took := s.Take(time.Duration(step)*time.Millisecond, pool, n)
+			took := s.Acquire(time.Duration(step)*time.Millisecond, pool, n)
 			if took {
 				held[pool] = append(held[pool], n)
 			}
--- a/internal/proxy/transport/grpc/stream.go
+++ b/internal/proxy/transport/grpc/stream.go
@@ -62,9 +62,9 @@
 
 // stream begins a server stream: up to its header it is an attempt as any other, then it is its client's.
 func (a *attempt) stream(ctx context.Context, opts []grpc.CallOption) {
-	if a.m.Ends > 0 {
+	if a.m.StreamDeadline > 0 {
 		var stop context.CancelFunc
-		ctx, stop = context.WithDeadlineCause(ctx, a.t.cfg.Clock.At(a.m.Ends), errTimedOut)
+		ctx, stop = context.WithDeadlineCause(ctx, a.t.cfg.Clock.At(a.m.StreamDeadline), errTimedOut)
 		context.AfterFunc(a.ctx, stop) // which end cancels
 	}
 	wait := time.AfterFunc(a.until-a.t.cfg.Clock.Now(), func() { a.cancel(errTimedOut) })
--- a/internal/proxy/transport/grpc/transport.go
+++ b/internal/proxy/transport/grpc/transport.go
@@ -140,7 +140,7 @@
 			Backoff:           backoff.Config{BaseDelay: firstBackoff, Multiplier: 2, Jitter: 0.2, MaxDelay: lastBackoff},
 			MinConnectTimeout: t.cfg.DialTimeout,
 		}),
-		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(call.BodyLimit), grpc.MaxCallSendMsgSize(call.BodyLimit+1<<10)),
+		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(call.MaxBufferedBody), grpc.MaxCallSendMsgSize(call.MaxBufferedBody+1<<10)),
 	)
 }
 
@@ -213,7 +213,7 @@
 }
 
 // Leave takes that the server is no longer listed.
-func (h *host) Leave() {
+func (h *host) Deregister() {
 	h.t.mu.Lock()
 	defer h.t.mu.Unlock()
 	h.left = true
--- a/internal/proxy/transport/http1/body.go
+++ b/internal/proxy/transport/http1/body.go
@@ -33,20 +33,20 @@
 // upload writes a request whose body is passed on as it comes, of which head is what is here already. early says that the server answers before it has the whole
 // body. An error says that the last byte did not go out: it never ran.
 func (c *conn) upload(head []byte, m *call.Message) (early bool, err error) {
-	if m.More.Claimed() {
+	if m.Upload.Claimed() {
 		return false, errClaimed
 	}
 	if _, err := c.Write(head); err != nil { // it can still be sent again
 		return false, err
 	}
-	if !m.More.Claim() {
+	if !m.Upload.Claim() {
 		return false, errClaimed
 	}
-	chunked := m.More.Length < 0
+	chunked := m.Upload.Length < 0
 	window := stream.Take()
 	defer stream.Give(window)
 	for {
-		n, source := m.More.Read(window[h1.ChunkPrefixBytes : stream.WindowSize-h1.ChunkSuffixBytes])
+		n, source := m.Upload.Read(window[h1.ChunkPrefixBytes : stream.WindowSize-h1.ChunkSuffixBytes])
 		if c.spoken() {
 			return true, nil
 		}
@@ -111,13 +111,13 @@
 			pass = m.Stream && ending == policy.Served && framed
 		}
 		switch {
-		case res.ContentLength > call.BodyLimit && !pass:
+		case res.ContentLength > call.MaxBufferedBody && !pass:
 			if res.StatusCode != http.StatusOK { // what it says is enough
 				res.Close = true
 				return res, nil, nil
 			}
 			return nil, nil, errTooLong // known before any of it is read
-		case res.ContentLength > call.BodyLimit:
+		case res.ContentLength > call.MaxBufferedBody:
 			return c.pass(u, res, nil, until), nil, nil
 		case res.ContentLength >= 0:
 			body := make([]byte, res.ContentLength)
@@ -129,8 +129,8 @@
 			// It ends with the connection: nothing tells a whole one from a cut one.
 			return nil, nil, errors.New("the answer has neither a length nor chunks")
 		}
-		body, err := io.ReadAll(io.LimitReader(res.Body, call.BodyLimit+1))
-		if err == nil && len(body) > call.BodyLimit {
+		body, err := io.ReadAll(io.LimitReader(res.Body, call.MaxBufferedBody+1))
+		if err == nil && len(body) > call.MaxBufferedBody {
 			err = errTooLong
 		}
 		return res, body, err
@@ -147,7 +147,7 @@
 	}
 	hold := min(until, u.clock.Now()+holdBody)
 	body := make([]byte, 0, 4<<10)
-	for len(body) < call.BodyLimit {
+	for len(body) < call.MaxBufferedBody {
 		if u.clock.Now() >= hold || c.r.Buffered() == 0 && !c.speaks(u, hold, until) {
 			break
 		}
@@ -156,7 +156,7 @@
 			copy(grown, body)
 			body = grown
 		}
-		n, err := res.Body.Read(body[len(body):min(cap(body), call.BodyLimit)])
+		n, err := res.Body.Read(body[len(body):min(cap(body), call.MaxBufferedBody)])
 		body = body[:len(body)+n]
 		if errors.Is(err, errMore) {
 			continue
--- a/internal/proxy/transport/http1/transport.go
+++ b/internal/proxy/transport/http1/transport.go
@@ -194,7 +194,7 @@
 func (h *host) CloseIdle() { h.u.close(h) }
 
 // Leave takes that the server is no longer listed.
-func (h *host) Leave() { h.u.leave(h) }
+func (h *host) Deregister() { h.u.leave(h) }
 
 // exchange is one attempt or probe under way.
 type exchange struct {
@@ -285,7 +285,7 @@
 		if s := streamOf(res); s != nil { // it is passed on while it comes
 			over := func() {}
 			done(call.Result{
-				Ending: policy.Served, Status: res.StatusCode, Header: res.Header, Stream: s, Carried: true, After: func(end func()) { over = end }, Load: load,
+				Ending: policy.Served, Status: res.StatusCode, Header: res.Header, Stream: s, Detached: true, OnStreamEnd: func(end func()) { over = end }, Load: load,
 			})
 			u.follow(x, to, s)
 			over()
@@ -380,15 +380,15 @@
 		}
 	}
 	switch {
-	case m.More != nil && m.More.Length < 0:
+	case m.Upload != nil && m.Upload.Length < 0:
 		line("Transfer-Encoding", "chunked")
-	case m.More != nil:
-		line("Content-Length", strconv.FormatInt(m.More.Length, 10))
+	case m.Upload != nil:
+		line("Content-Length", strconv.FormatInt(m.Upload.Length, 10))
 	case m.Method != http.MethodGet || len(m.Body) > 0:
 		line("Content-Length", strconv.Itoa(len(m.Body)))
 	}
 	out.WriteString("\r\n")
-	if m.More != nil && m.More.Length < 0 {
+	if m.Upload != nil && m.Upload.Length < 0 {
 		out.WriteString(strconv.FormatInt(int64(len(m.Body)), 16) + "\r\n")
 		out.Write(m.Body)
 		out.WriteString("\r\n")
@@ -424,7 +424,7 @@
 		return nil, nil, policy.NotSent
 	}
 	_ = c.SetDeadline(u.clock.At(until)) // fails only on a closed connection, as the write then does
-	if m.More != nil {
+	if m.Upload != nil {
 		wait := until - begun
 		early, err := c.upload(u.bytesOf(to, m, wait), m)
 		if err != nil {
--- a/internal/proxy/transport/http1/transport_test.go
+++ b/internal/proxy/transport/http1/transport_test.go
@@ -57,7 +57,7 @@
 
 // Every kind of answer has its ending; a connection is kept only behind a whole and clean one.
 func TestEndings(t *testing.T) {
-	long := strings.Repeat("x", call.BodyLimit+1)
+	long := strings.Repeat("x", call.MaxBufferedBody+1)
 	for name, c := range map[string]struct {
 		answer string
 		ending policy.Ending
--- a/plugin/client.go
+++ b/plugin/client.go
@@ -103,7 +103,7 @@
 		return Response{}, err
 	}
 	m := &call.Message{
-		Method: r.Method, URI: r.Path, Host: host, Header: call.EndToEnd(r.Header), Body: r.Body,
+		Method: r.Method, URI: r.Path, Host: host, Header: call.EndToEndHeaders(r.Header), Body: r.Body,
 	}
 	if m.Method == "" {
 		m.Method = http.MethodPost
@@ -122,7 +122,7 @@
 	if err != nil {
 		return Response{}, err
 	}
-	return Response{Header: call.EndToEnd(a.Header), Body: a.Body}, nil
+	return Response{Header: call.EndToEndHeaders(a.Header), Body: a.Body}, nil
 }
 
 // Close takes no further call and waits until those that are held have their answers. Where ctx ends first
@@ -225,7 +225,7 @@
 	c.pool, err = pool.Open(pool.Config{
 		Policy: cfg.Policy, Seed: cfg.Seed, Clock: clk, Transport: transport(cfg, clk),
 		Discovery: cfg.Discovery, Zones: index(cfg.Zones), Known: cfg.listing(),
-		MostOpen: cfg.MaxCalls, BodyBytes: cfg.MaxBodyBytes, Walls: cfg.walls, Log: cfg.Log.With("plugin", cfg.Name),
+		MaxOpen: cfg.MaxCalls, MaxBodyBytes: cfg.MaxBodyBytes, SharedLimits: cfg.walls, Log: cfg.Log.With("plugin", cfg.Name),
 	})
 	if err != nil {
 		return nil, &InvalidError{"Config.Policy", strings.TrimPrefix(err.Error(), "config: ")}
@@ -297,8 +297,8 @@
 	case errors.Is(err, pool.ErrClosed):
 		return a, &RefusedError{Reason: "the client is closed"}
 	case errors.Is(err, pool.ErrFull):
-		return a, &RefusedError{RetryAfter: c.pool.FullPause(), Reason: err.Error()}
-	case errors.Is(err, pool.ErrOpenID):
+		return a, &RefusedError{RetryAfter: c.pool.RetryAfterFull(), Reason: err.Error()}
+	case errors.Is(err, pool.ErrDuplicateID):
 		return a, &InvalidError{"Request.ID", err.Error()}
 	case err != nil:
 		return a, &FailedError{Cause: err, TimedOut: errors.Is(err, context.DeadlineExceeded)}
@@ -307,11 +307,11 @@
 	case call.Served:
 		return a, nil
 	case call.Refused:
-		return a, &RefusedError{RetryAfter: a.Pause, Reason: "no server is to be had for it now"}
+		return a, &RefusedError{RetryAfter: a.RetryAfter, Reason: "no server is to be had for it now"}
 	}
 	failed := &FailedError{TimedOut: a.TimedOut}
-	if a.Last != nil {
-		failed.Status, failed.Header, failed.Body = a.Last.Status, a.Last.Header, a.Last.Body
+	if a.LastResult != nil {
+		failed.Status, failed.Header, failed.Body = a.LastResult.Status, a.LastResult.Header, a.LastResult.Body
 	}
 	return a, failed
 }
--- a/plugin/config.go
+++ b/plugin/config.go
@@ -27,7 +27,7 @@
 	DefaultConnIdle       = 30 * time.Second // servers close idle connections after this
 
 	// MaxBody bounds one body, either way, in bytes (the protocol: 64 KiB).
-	MaxBody = call.BodyLimit
+	MaxBody = call.MaxBufferedBody
 
 	mostNodes       = 1 << 16 // of Known: a guard against a broken list
 	mostConnections = 1 << 16 // no process can hold more
@@ -84,8 +84,8 @@
 
 	Log *slog.Logger // nil: nothing is logged
 
-	known call.Listing // from a file, beside Known: servers that drain are in it too
-	walls pool.Walls   // shared with the other pools of a client; nil: none
+	known call.ServerList   // from a file, beside Known: servers that drain are in it too
+	walls pool.SharedLimits // shared with the other pools of a client; nil: none
 }
 
 // ReadConfig reads a daemon's configuration file (JSON, the deployment page's form). listen is not needed and
@@ -259,10 +259,10 @@
 }
 
 // listing is Known in the engine's form.
-func (c *Config) listing() call.Listing {
+func (c *Config) listing() call.ServerList {
 	zones := index(c.Zones)
-	l := call.Listing{Whole: true, Servers: slices.Clone(c.known.Servers), Address: make(map[policy.ServerID]string)}
-	maps.Copy(l.Address, c.known.Address)
+	l := call.ServerList{Full: true, Servers: slices.Clone(c.known.Servers), Addresses: make(map[policy.ServerID]string)}
+	maps.Copy(l.Addresses, c.known.Addresses)
 	for _, n := range c.Known {
 		s := policy.Server{ID: call.ServerID(n.ID), Zone: -1, Cell: n.Cell, State: policy.Ready, Weight: n.Weight}
 		if zone, known := zones[n.Zone]; known {
@@ -272,7 +272,7 @@
 			s.Started = time.Duration(n.Started.UnixNano())
 		}
 		l.Servers = append(l.Servers, s)
-		l.Address[s.ID] = n.Address
+		l.Addresses[s.ID] = n.Address
 	}
 	return l
 }
--- a/plugin/grpcplugin/conn.go
+++ b/plugin/grpcplugin/conn.go
@@ -110,7 +110,7 @@
 }
 
 func read(opts []grpc.CallOption) (*options, error) {
-	o := &options{most: call.BodyLimit}
+	o := &options{most: call.MaxBufferedBody}
 	o.use("proto")
 	for _, opt := range opts {
 		switch opt := opt.(type) {
@@ -215,8 +215,8 @@
 	}
 	m.Body = body
 	a, err := c.core.Do(ctx, spec, q, m)
-	if a.Last != nil { // failed, with a server's word
-		a.Header, a.Trailer = a.Last.Header, a.Last.Trailer
+	if a.LastResult != nil { // failed, with a server's word
+		a.Header, a.Trailer = a.LastResult.Header, a.LastResult.Trailer
 	}
 	if o.header != nil {
 		*o.header = metadata.MD(a.Header)
--- a/plugin/grpcplugin/stream.go
+++ b/plugin/grpcplugin/stream.go
@@ -38,7 +38,7 @@
 	s.start = func() {
 		go func() {
 			defer close(s.begun)
-			m.Ends = c.core.Ends(ctx)
+			m.StreamDeadline = c.core.Ends(ctx)
 			a, err := c.core.Do(ctx, spec, q, m)
 			s.take(a, err)
 		}()
@@ -75,8 +75,8 @@
 	switch {
 	case err != nil:
 		s.err = asStatus(err)
-		if a.Last != nil {
-			s.header = metadata.MD(a.Last.Header)
+		if a.LastResult != nil {
+			s.header = metadata.MD(a.LastResult.Header)
 		}
 	case a.Stream == nil: // a status at once, with no stream
 		s.err = io.EOF
--- a/plugin/pools.go
+++ b/plugin/pools.go
@@ -84,9 +84,9 @@
 // route is the pool that a call goes to.
 func (p *pools) route(host, target, method, class string) (*Core, error) {
 	if class == "" { // as at the daemon, the first part of the path
-		class = route.FirstPart(target)
+		class = route.FirstSegment(target)
 	}
-	q, err := route.Of(host, target, method, class)
+	q, err := route.NewRequest(host, target, method, class)
 	if err != nil {
 		return nil, &InvalidError{"Request.Path", err.Error()}
 	}
@@ -120,25 +120,25 @@
 // walls are a pool's parts of what the client holds.
 type walls struct {
 	clock         clock.Clock
-	calls, bodies *share.Space
+	calls, bodies *share.Capacity
 	pool          int
 }
 
 // Take takes a place for a call.
-func (w walls) Take(size int64) bool {
+func (w walls) Acquire(size int64) bool {
 	now := w.clock.Now()
-	if !w.calls.Take(now, w.pool, 1) {
+	if !w.calls.Acquire(now, w.pool, 1) {
 		return false
 	}
-	if !w.bodies.Take(now, w.pool, size) {
-		w.calls.Give(w.pool, 1)
+	if !w.bodies.Acquire(now, w.pool, size) {
+		w.calls.Release(w.pool, 1)
 		return false
 	}
 	return true
 }
 
 // Give gives it back.
-func (w walls) Give(size int64) {
-	w.calls.Give(w.pool, 1)
-	w.bodies.Give(w.pool, size)
+func (w walls) Release(size int64) {
+	w.calls.Release(w.pool, 1)
+	w.bodies.Release(w.pool, size)
 }
--- a/plugin/roundtrip.go
+++ b/plugin/roundtrip.go
@@ -45,7 +45,7 @@
 	}
 	m := &call.Message{
 		Method: or(req.Method, http.MethodGet), URI: req.URL.RequestURI(), Host: host,
-		Header: call.EndToEnd(req.Header), Body: body,
+		Header: call.EndToEndHeaders(req.Header), Body: body,
 	}
 	if m.Method == http.MethodHead || m.Method == http.MethodConnect {
 		return nil, &InvalidError{"Request.Method", m.Method + " is not carried"}
@@ -133,7 +133,7 @@
 }
 
 func response(req *http.Request, status int, header http.Header, body []byte) *http.Response {
-	h := call.EndToEnd(header)
+	h := call.EndToEndHeaders(header)
 	delete(h, "User-Agent")
 	h["Content-Length"] = []string{strconv.Itoa(len(body))}
 	return &http.Response{
--- a/policy/api.go
+++ b/policy/api.go
@@ -46,7 +46,7 @@
 )
 
 // RetryBudget limits attempts after each request's first; the zero value: no limit.
-type RetryBudget = admission.Limit
+type RetryBudget = admission.RetryLimit
 
 // Config holds the settings a Balancer starts with; it does not change them.
 type Config struct {
--- a/policy/config.go
+++ b/policy/config.go
@@ -34,7 +34,7 @@
 	}
 	b.worth = cmp.Or(b.worth, 1)
 	b.asking = discoverypace.New(b.rng, cfg.Balancers, cfg.AskWithin)
-	b.budget = admission.Budget{Limit: cfg.Budget, Parts: cfg.Parts}
+	b.budget = admission.RetryBudget{RetryLimit: cfg.Budget, Processes: cfg.Parts}
 	health := admission.NewHealth()
 	if cfg.Gate == nil {
 		cfg.Gate = func(rng *rand.Rand) admission.Gate { return admission.NewRecovering(rng, health) }
@@ -110,7 +110,7 @@
 	}
 	err := check(cfg)
 	if err == nil {
-		b.cfg, b.budget.Limit, b.queued, b.whole = cfg, cfg.Budget, l.Queue, 1
+		b.cfg, b.budget.RetryLimit, b.queued, b.whole = cfg, cfg.Budget, l.Queue, 1
 		b.resize(b.sharers) // what has room now goes with the next event
 	}
 	return err
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -56,7 +56,7 @@
 	if _, held := b.requests[q.ID]; held {
 		return
 	}
-	b.budget.Taken(now)
+	b.budget.RecordRequest(now)
 	if !b.known(&q) {
 		b.count.Refused++
 		b.host.Refuse(q.ID, 0)
@@ -86,7 +86,7 @@
 	if b.want(now) != b.wanted {
 		b.cut(now)
 	}
-	if !r.home.gate.Ask(now, r.class.Worth/b.worth) {
+	if !r.home.gate.Admit(now, r.class.Worth/b.worth) {
 		b.count.Throttled++
 		b.finish(r)
 		return
@@ -130,11 +130,12 @@
 		a.state = neverRan
 	}
 	b.hold(r, a.to, -1)
-	e := admission.End{Mute: r.over || o.Ending == NotSent, Took: now - a.sent, Aim: r.class.Aim}
+	e := admission.AttemptEnd{Duration: now - a.sent, LatencyTarget: r.class.Aim}
+	e.Ignored = r.over || o.Ending == NotSent
 	if o.Ending == Served && now <= r.wanted {
-		e.Good = min(1, 2*float64(r.wanted-now)/float64(r.class.Aim))
+		e.Score = min(1, 2*float64(r.wanted-now)/float64(r.class.Aim))
 	}
-	r.home.gate.Ended(now, e)
+	r.home.gate.AttemptEnded(now, e)
 	if o.Ending == TimedOut || o.Ending == Broken || o.Ending == Cancelled {
 		r.line.Rest(now + b.cfg.OrderSettle)
 	}
@@ -162,7 +163,7 @@
 	if now < b.wakeAt {
 		return // an older timer
 	}
-	if n := max(b.cfg.Balancers, int(admission.Parts(b.cfg.Fleet))); n != b.sharers {
+	if n := max(b.cfg.Balancers, int(admission.ProcessCount(b.cfg.Fleet))); n != b.sharers {
 		b.resize(n)
 	}
 	if b.cfg.Place != nil {
@@ -230,7 +231,7 @@
 
 // further gives a request whose attempts have all failed another one, or ends it.
 func (b *Balancer) further(now time.Duration, r *request) {
-	late := now >= r.lateIn() || b.budget.Spent(now) || b.nowhere(now, r)
+	late := now >= r.lateIn() || b.budget.Exhausted(now) || b.nowhere(now, r)
 	if late || len(r.attempts) >= b.cfg.MaxAttempts || !r.mayRepeat(now, nil) {
 		b.finish(r)
 		return
@@ -294,7 +295,7 @@
 		return false // rule 2: one attempt at a time (no second copies), and only where it may be repeated
 	case !r.inTurn(now):
 		return false // rule 5
-	case len(r.attempts) > 0 && b.budget.Spent(now):
+	case len(r.attempts) > 0 && b.budget.Exhausted(now):
 		return false // rule 6
 	}
 	return true
@@ -326,10 +327,10 @@
 		s.apart[r.home] = away
 	}
 	b.hold(r, s, 1)
-	r.home.gate.Began(now)
+	r.home.gate.AttemptStarted(now)
 	if len(r.attempts) > 1 {
 		b.count.Retries++
-		b.budget.Tried(now)
+		b.budget.RecordRetry(now)
 	}
 	if b.far(s) {
 		b.count.Crossed++
@@ -353,7 +354,8 @@
 // coldGap spaces sends to a cold server, by our even part of what it can do now.
 func (b *Balancer) coldGap(now time.Duration, s *server) time.Duration {
 	rate := cmp.Or(b.quota/float64(b.sharers), float64(max(b.out, 1))/b.pace.Seconds())
-	warm := s.part * slowstart.Warmth(s.warmAt-now, b.cfg.ColdTime, b.cfg.ColdFrom) / admission.Parts(b.cfg.Parts)
+	warmth := slowstart.Warmth(s.warmAt-now, b.cfg.ColdTime, b.cfg.ColdFrom)
+	warm := s.part * warmth / admission.ProcessCount(b.cfg.Parts)
 	return slowstart.Gap(b.part(rate, s)*b.weight/max(b.reach, s.Weight)*warm, b.cfg.ColdMultiple)
 }
 
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -1216,9 +1216,9 @@
 	for i := range 2000 {
 		b.parts[0].gate = admission.NewRatio(b.rng)
 		for n := range 40 {
-			b.parts[0].gate.Ended(0, admission.End{Good: map[bool]float64{true: 1}[n < 10]})
+			b.parts[0].gate.AttemptEnded(0, admission.AttemptEnd{Score: map[bool]float64{true: 1}[n < 10]})
 		}
-		if b.parts[0].gate.Ask(0, b.classes[i%2].Worth/b.worth) {
+		if b.parts[0].gate.Admit(0, b.classes[i%2].Worth/b.worth) {
 			let[i%2]++
 		}
 	}
--- a/policy/sizing.go
+++ b/policy/sizing.go
@@ -36,7 +36,7 @@
 	b.slots = slots
 	for i, c := range all {
 		b.parts[i].share, b.parts[i].slots, b.parts[i].places = c.Share, c.Slots, c.Places
-		admission.SetPart(b.parts[i].gate, c.Share)
+		admission.SetFairShare(b.parts[i].gate, c.Share)
 	}
 }
 
--- a/policy/state.go
+++ b/policy/state.go
@@ -118,7 +118,7 @@
 	asking   discoverypace.Pace // when to ask for the list
 	feedFrom int
 	lines    keyedqueue.Lines[*request] // by key
-	budget   admission.Budget           // of further attempts
+	budget   admission.RetryBudget      // of further attempts
 	sampled  *server                    // whose reports are compared
 	sampleAt time.Duration              // when it is asked again
 	inquiry  loadquery.Inquiry          // whether it is asked before sends
