--- a/internal/fleet/state/corruption_test.go
+++ b/internal/fleet/state/corruption_test.go
@@ -78,10 +78,10 @@
 		"one block":            intact[:corruptionBlock],
 		"a block of zeroes":    zeroed,
 		"too long":             append(bytes.Clone(intact), make([]byte, maxFileSize)...),
-		"no seat":              durable.Seal(fileKind, []byte(`{"format":2,"fleet":"hives","number":3}`)),
-		"entries, no state":    durable.Seal(fileKind, []byte(`{"format":2,"fleet":"hives","number":3,"seat":7,"entries":["IAE="]}`)),
-		"no protobuf":          durable.Seal(fileKind, []byte(`{"format":2,"fleet":"hives","number":3,"seat":7,"vote":"/w=="}`)),
-		"no JSON":              durable.Seal(fileKind, []byte(`{`)),
+		"no seat":              sealed(`{"format":2,"fleet":"hives","number":3}`),
+		"entries, no state":    sealed(`{"format":2,"fleet":"hives","number":3,"seat":7,"entries":["IAE="]}`),
+		"no protobuf":          sealed(`{"format":2,"fleet":"hives","number":3,"seat":7,"vote":"/w=="}`),
+		"no JSON":              sealed(`{`),
 		"another kind of file": durable.Seal("caperarch-other", []byte(`{}`)),
 	} {
 		checkQuarantined(t, fileName, raw, how)
@@ -110,7 +110,7 @@
 		raw, how := source.Of(intact)
 		checkCorrupt(raw, how)
 	}
-	small := durable.Seal(fileKind, []byte(`{"format":2,"fleet":"hives","number":3,"seat":7}`))
+	small := sealed(`{"format":2,"fleet":"hives","number":3,"seat":7}`)
 	for i := range small {
 		checkCorrupt(small[:i], fmt.Sprintf("truncated at %d", i))
 		for bit := range 8 {
--- a/internal/fleet/state/state_test.go
+++ b/internal/fleet/state/state_test.go
@@ -32,6 +32,9 @@
 	return s
 }
 
+// sealed is a file of the current kind with this content.
+func sealed(content string) []byte { return durable.Seal(fileKind, []byte(content)) }
+
 // reopen closes a state and opens it in another incarnation.
 func reopen(t *testing.T, s *Store, dir string) *Store {
 	t.Helper()
@@ -165,7 +168,6 @@
 
 // A file of another format or another fleet is rejected with its name, and stays as it is.
 func TestFileOfOthersStays(t *testing.T) {
-	sealed := func(text string) []byte { return durable.Seal(fileKind, []byte(text)) }
 	for name, content := range map[string][]byte{
 		"a later format": sealed(`{"format":3,"fleet":"hives","number":3,"seat":7}`),
 		"another fleet":  sealed(`{"format":2,"fleet":"bees","number":3,"seat":7}`),
--- a/internal/mesh/headers/headers_test.go
+++ b/internal/mesh/headers/headers_test.go
@@ -1,6 +1,7 @@
 package headers
 
 import (
+	"fmt"
 	"net/http"
 	"strings"
 	"testing"
@@ -28,6 +29,8 @@
 	return &http.Response{StatusCode: status, Header: h}
 }
 
+func describe(res *http.Response) string { return fmt.Sprint(res.StatusCode, " ", res.Header) }
+
 // head is a request's head with the fields given, as names and values in turn.
 func head(fields ...string) *h1.Head {
 	h := new(h1.Head)
@@ -62,22 +65,23 @@
 	Convey("An upstream's response proves that the request was executed, that it wasn't, or neither", t, func() {
 		for _, c := range cases {
 			ending, load := ClassifyUpstreamResponse(c.res)
-			So([]any{c.res.StatusCode, c.res.Header, ending}, ShouldResemble, []any{c.res.StatusCode, c.res.Header, c.want})
+			SoMsg(describe(c.res), ending, ShouldEqual, c.want)
 			So(load, ShouldResemble, policy.Load{Has: policy.HasInFlight | policy.HasQueued, InFlight: 4, Queued: 1})
 		}
 	})
-	Convey("A gate's own response proves by its outcome, a forwarded one as the upstream's; both have the load", t, func() {
+	Convey("A gate's own response proves by its outcome, a forwarded one as the upstream's, with the load", t, func() {
 		for _, c := range cases {
 			SetGateLoad(c.res.Header, FormatLoad(5, 2, 9))
 			ending, load := ClassifyGateResponse(c.res)
-			So([]any{c.res.StatusCode, c.res.Header, ending}, ShouldResemble, []any{c.res.StatusCode, c.res.Header, c.want})
+			SoMsg(describe(c.res), ending, ShouldEqual, c.want)
 			So(load.InFlight, ShouldEqual, 7)
 			StripGateLoad(c.res.Header)
 			So(c.res.Header[gateLoadField], ShouldBeNil)
 		}
 		for notExecuted, want := range map[bool]policy.Ending{true: policy.Gated, false: policy.Broken} {
 			for _, status := range []int{200, 400, 421, 503, 504} {
-				res := &http.Response{StatusCode: status, Header: GateResponseFields("9c41", notExecuted, FormatLoad(1, 0, 1))}
+				fields := GateResponseFields("9c41", notExecuted, FormatLoad(1, 0, 1))
+				res := &http.Response{StatusCode: status, Header: fields}
 				ending, load := ClassifyGateResponse(res)
 				So(ending, ShouldEqual, want)
 				So(load.InFlight, ShouldEqual, 1)
@@ -97,8 +101,9 @@
 	Convey("A response belongs to a request only with exactly its id, once", t, func() {
 		m := &call.Message{Header: http.Header{AttemptID: {"9c41"}}}
 		for _, ids := range [][]string{nil, {}, {""}, {"9c42"}, {"9C41"}, {"9c41", "9c41"}, {"9c42", "9c41"}} {
-			So(MatchesAttempt(m, &http.Response{Header: http.Header{AttemptID: ids}}), ShouldBeFalse)
-			So(MatchesAttempt(&call.Message{Header: http.Header{AttemptID: ids}}, &http.Response{Header: m.Header}), ShouldBeFalse)
+			other := http.Header{AttemptID: ids}
+			So(MatchesAttempt(m, &http.Response{Header: other}), ShouldBeFalse)
+			So(MatchesAttempt(&call.Message{Header: other}, &http.Response{Header: m.Header}), ShouldBeFalse)
 		}
 		So(MatchesAttempt(&call.Message{Header: http.Header{}}, &http.Response{Header: http.Header{}}), ShouldBeFalse)
 		So(MatchesAttempt(m, &http.Response{Header: http.Header{AttemptID: {"9c41"}}}), ShouldBeTrue)
@@ -108,7 +113,9 @@
 func TestFieldsAreParsedInBounds(t *testing.T) {
 	Convey("What only sidecars may set is removed however a client spells it, and the rest stays", t, func() {
 		text := "POST /x HTTP/1.1\r\nHost: a\r\nX-Other: 1\r\n"
-		for _, name := range []string{attemptTermsField, SendIDField, gateLoadField, outcomeField, Target, Tenant, Caller, Key} {
+		for _, name := range []string{
+			attemptTermsField, SendIDField, gateLoadField, outcomeField, Target, Tenant, Caller, Key,
+		} {
 			text += strings.ToLower(name) + ": a\r\n" + strings.ToUpper(name) + ": b\r\n" + name + ":\r\n"
 		}
 		var h h1.Head
@@ -123,7 +130,8 @@
 	})
 	Convey("Whatever attempt terms, a load or a time-out contain, what is parsed is in bounds", t, func() {
 		for _, text := range []string{
-			"", "1", "1,2", "a,2,1", "1,a,1", "-1,2,1", "1,-2,1", "1.5,2,1", "1,99999999999999999999,1", "99999999999999999999,1,1",
+			"", "1", "1,2", "a,2,1", "1,a,1", "-1,2,1", "1,-2,1", "1.5,2,1",
+			"1,99999999999999999999,1", "99999999999999999999,1,1",
 		} {
 			_, ok := ParseAttemptTerms(head(attemptTermsField, text))
 			So(ok, ShouldBeFalse)
@@ -148,7 +156,9 @@
 		So([]policy.Load{ParseLoad("3,x,8"), ParseLoad("3,-1,8"), ParseLoad("3,1")}, ShouldResemble, make([]policy.Load, 3))
 	})
 	Convey("No latency target is negative or beyond the maximum, however long its number", t, func() {
-		for _, target := range []string{"600001", "9223372036854", "9223372036855", "10000000000000", "9223372036854775807"} {
+		for _, target := range []string{
+			"600001", "9223372036854", "9223372036855", "10000000000000", "9223372036854775807",
+		} {
 			v, _ := ParseAttemptTerms(head(attemptTermsField, "1,"+target+",1"))
 			So(v.LatencyTarget, ShouldBeBetweenOrEqual, 0, maxTimeout)
 		}
--- a/internal/mesh/quota/limiter.go
+++ b/internal/mesh/quota/limiter.go
@@ -8,19 +8,6 @@
 )
 
 const (
-	// minRequestInterval is the shortest time between two requests for tokens. It guards the leader
-	// against a request of its own for each client's request.
-	minRequestInterval = 60 * time.Millisecond
-	// scarceRequestInterval is the time between two requests when only tenants run short whose last
-	// demand wasn't granted in full. It guards the leader against many sidecars under pressure, where
-	// asking sooner brings no more.
-	scarceRequestInterval = 120 * time.Millisecond
-	// renewInterval is the longest time between two requests. It is about half of allocatorFloorLease,
-	// so that one late request doesn't cost a sidecar's share.
-	renewInterval = 250 * time.Millisecond
-	// idleInterval is the longest time between two requests where all tenants are deferred and no demand
-	// is throttled. It guards the leader against many sidecars.
-	idleInterval = time.Second
 	// responseTimeout is how long a response may be missing before the local buckets of deferred tenants
 	// are no larger than their floors and stop filling. It guards against a sidecar out of contact that
 	// admits as if it were in contact.
@@ -29,8 +16,6 @@
 	// that the last epoch throttled. It guards against a tenant with much demand of which the new
 	// Allocator hasn't learned from all sidecars.
 	throttleCarryOver = idleInterval
-	// minRequestTokens is the smallest demand. It guards against requests for a fraction of a token.
-	minRequestTokens = 0.01
 	// minRetryAfter and maxRetryAfter bound what rejected clients are told. They guard against a herd
 	// that comes back at once and against clients that stay away when there is capacity again.
 	minRetryAfter, maxRetryAfter = 100 * time.Millisecond, 2 * time.Second
@@ -41,26 +26,18 @@
 //
 // A cycle is: NextRequest says when to ask, Demands what to ask for, ApplyGrants takes the response.
 type LocalLimiter struct {
-	planner    planner
-	tenants    map[string]*tenantBucket
-	hasPrepaid bool       // some tenant is granted tokens
-	random     *rand.Rand // which requests of a throttled tenant run
+	planner  planner
+	tenants  map[string]*tenantBucket
+	schedule requestSchedule
+	random   *rand.Rand // which requests of a throttled tenant run
 
 	updatedAt       time.Duration // up to when floorSeconds is counted
 	floorSeconds    float64       // seconds in which floors have filled since the start
 	floorLeaseUntil time.Duration // floors don't fill before
 
-	epoch           Epoch         // the newest seen
-	epochStart      time.Duration // the first response of the epoch
-	inContactUntil  time.Duration // until then the Allocator counts this member as in contact
-	unansweredSince time.Duration // when the first unanswered request was made, if awaitingResponse
-
-	requestedAt      time.Duration // the last request
-	hasRequested     bool
-	awaitingResponse bool // the last request has no response yet
-	urgent           bool // a tenant runs short since the last request, or has much to report
-	scarceDemand     bool // a tenant does whose last demand wasn't granted in full
-	throttledDemand  bool // a throttled tenant has something to report
+	epoch          Epoch         // the newest seen
+	epochStart     time.Duration // the first response of the epoch
+	inContactUntil time.Duration // until then the Allocator counts this member as in contact
 }
 
 // NewLocalLimiter returns a limiter that knows no tenant yet. Rules that can't be used are errs.Invalid.
@@ -117,9 +94,9 @@
 	}
 	if !allowed || tokens < lowWaterFraction*t.target(now) {
 		if t.underGranted {
-			l.scarceDemand = true
+			l.schedule.scarce = true
 		} else {
-			l.urgent = true
+			l.schedule.urgent = true
 		}
 	}
 	return allowed
@@ -142,9 +119,9 @@
 	}
 	switch {
 	case b.throttled:
-		l.throttledDemand = true
+		l.schedule.throttled = true
 	case b.tokens < oneToken || b.admitted-b.reported.Used >= t.reportThreshold:
-		l.urgent = true
+		l.schedule.urgent = true
 	}
 	return allowed
 }
@@ -168,17 +145,7 @@
 // NextRequest returns when to ask the Allocator again: soon if something runs short, in time for the
 // lease otherwise. Each Allow may bring it forward.
 func (l *LocalLimiter) NextRequest(now time.Duration) time.Duration {
-	switch {
-	case !l.hasRequested:
-		return now
-	case l.urgent:
-		return l.requestedAt + minRequestInterval
-	case l.scarceDemand:
-		return l.requestedAt + scarceRequestInterval
-	case l.hasPrepaid, l.throttledDemand, l.awaitingResponse:
-		return l.requestedAt + renewInterval
-	}
-	return l.requestedAt + idleInterval
+	return l.schedule.next(now)
 }
 
 // Demands returns what to ask the Allocator for now; it is empty when nothing is wanted. The request is
@@ -186,11 +153,7 @@
 // that it brings live from here.
 func (l *LocalLimiter) Demands(now time.Duration) []Demand {
 	l.advance(now)
-	if !l.awaitingResponse {
-		l.unansweredSince = now
-	}
-	l.requestedAt, l.hasRequested, l.awaitingResponse = now, true, true
-	l.urgent, l.scarceDemand, l.throttledDemand = false, false, false
+	l.schedule.request(now)
 	var demands []Demand
 	for name, t := range l.tenants {
 		if demand, some := t.nextDemand(now, name, l.floorSeconds); some {
@@ -205,7 +168,7 @@
 // response of an older epoch than one seen before is errs.Stale and changes nothing, as is one that
 // nobody waits for; one with impossible numbers is errs.Invalid.
 func (l *LocalLimiter) ApplyGrants(now time.Duration, epoch Epoch, grants []Grant, throttled []Throttled) error {
-	if !l.awaitingResponse {
+	if !l.schedule.awaitingResponse {
 		return errs.New(errs.Stale, "response of epoch %d, no request is in flight", epoch)
 	}
 	if epoch < l.epoch {
@@ -219,8 +182,8 @@
 		l.epochStart = now
 	}
 	refilledUntil := l.refillUntil()
-	l.epoch, l.awaitingResponse = epoch, false
-	l.floorLeaseUntil = max(l.floorLeaseUntil, l.requestedAt+limiterFloorLease)
+	l.epoch, l.schedule.awaitingResponse = epoch, false
+	l.floorLeaseUntil = max(l.floorLeaseUntil, l.schedule.requestedAt+limiterFloorLease)
 	for _, t := range l.tenants {
 		t.underGranted = t.requestedTokens > 0
 		if t.deferred {
@@ -230,7 +193,7 @@
 			}
 		}
 	}
-	l.inContactUntil = max(l.inContactUntil, l.requestedAt+contactTTL)
+	l.inContactUntil = max(l.inContactUntil, l.schedule.requestedAt+contactTTL)
 	for _, throttle := range throttled {
 		if t := l.tenants[throttle.Tenant]; t != nil {
 			t.local.setThrottle(true, throttle.Share)
@@ -240,7 +203,7 @@
 		if t := l.tenants[grant.Tenant]; t != nil {
 			t.underGranted = grant.Tokens < t.requestedTokens*oneToken
 			t.advance(now, l.floorSeconds)
-			t.grants = append(t.grants, grantedTokens{grant.Tokens, l.requestedAt + TokenTTL})
+			t.grants = append(t.grants, grantedTokens{grant.Tokens, l.schedule.requestedAt + TokenTTL})
 		}
 	}
 	return nil
@@ -254,7 +217,8 @@
 	}
 	for _, throttle := range throttled {
 		if !(throttle.Share >= 0 && throttle.Share <= 1) {
-			return errs.New(errs.Invalid, "tenant %q: share %v must lie between 0 and 1", throttle.Tenant, throttle.Share)
+			return errs.New(errs.Invalid, "tenant %q: share %v must lie between 0 and 1",
+				throttle.Tenant, throttle.Share)
 		}
 	}
 	return nil
@@ -262,8 +226,8 @@
 
 // refillUntil is until when the local buckets of deferred tenants fill.
 func (l *LocalLimiter) refillUntil() time.Duration {
-	if l.awaitingResponse {
-		return min(l.inContactUntil, l.unansweredSince+responseTimeout)
+	if l.schedule.awaitingResponse {
+		return min(l.inContactUntil, l.schedule.unansweredSince+responseTimeout)
 	}
 	return l.inContactUntil
 }
@@ -287,7 +251,7 @@
 	for _, t := range l.tenants {
 		t.advance(now, l.floorSeconds)
 	}
-	l.hasPrepaid = false
+	l.schedule.hasPrepaid = false
 	for name, limit := range l.planner.limits {
 		t := l.tenants[name]
 		if t == nil {
@@ -295,6 +259,6 @@
 			l.tenants[name] = t
 		}
 		t.setPlan(l.planner.plan(limit))
-		l.hasPrepaid = l.hasPrepaid || !t.deferred
+		l.schedule.hasPrepaid = l.schedule.hasPrepaid || !t.deferred
 	}
 }
--- a/internal/mesh/quota/tenant_bucket.go
+++ b/internal/mesh/quota/tenant_bucket.go
@@ -14,6 +14,8 @@
 	// lowWaterFraction is the fraction of what should be held below which the Allocator is asked soon.
 	// It guards against a bucket that is empty before the next regular request.
 	lowWaterFraction = 0.7
+	// minRequestTokens is the smallest demand. It guards against requests for a fraction of a token.
+	minRequestTokens = 0.01
 	// shortAverage is the time constant of the averages that follow a change of the demand.
 	shortAverage = 300 * time.Millisecond
 	// longAverage is the time constant of the average that spans the time between two requests of a
--- a/internal/mesh/settings/reload_test.go
+++ b/internal/mesh/settings/reload_test.go
@@ -19,7 +19,7 @@
 	}
 	t.Setenv(BootVariable, path)
 	synctest.Test(t, func(t *testing.T) {
-		Convey("A change of the file is announced once, with or without a signal; other signals are forwarded", t, func() {
+		Convey("A change of the file is announced once, with or without a signal; others are forwarded", t, func() {
 			ctx, cancel := context.WithCancel(context.Background())
 			signals := make(chan os.Signal, 1)
 			out := ReloadSignals(ctx, signals)
