--- a/internal/mesh/balancer/balancer.go
+++ b/internal/mesh/balancer/balancer.go
@@ -3,13 +3,14 @@
 //
 // Its design is the bulkhead: each tenant, and each service for requests without a tenant, has a
 // compartment, that is a number of slots and a short queue. A request that finds both full is
-// rejected at once. A slot is held for an attempt's life. The upstream is picked by smooth weighted
-// round robin over those that are ready, weighted by the slots that they report. What this sidecar
-// knows of their load is what their gates report with each response: a full one loses its turn.
+// rejected at once. A request occupies a slot while it has an attempt in flight. The upstream is
+// selected by smooth weighted round robin over those that are ready, weighted by the slots that they
+// report. What this sidecar knows of their load is what their gates report with each response: a full
+// one is passed over.
 //
 // Promises: each request gets one answer; one that may have run is sent again only if it is
-// idempotent; a request is rejected only where it has not run; further attempts that reach an upstream
-// are charged to the retry budget.
+// idempotent; a request is rejected only where it has not run; attempts after the first that reached
+// an upstream are charged to the retry budget.
 //
 // A Balancer has no goroutines. One goroutine drives it, as policy.Balancer says.
 package balancer
@@ -20,7 +21,7 @@
 	"caperarch/policy"
 )
 
-// deadlineMargin before its deadline a request is given up: a later answer would come too late.
+// deadlineMargin before its deadline a request is given up: a later answer would be too late.
 const deadlineMargin = 5 * time.Millisecond
 
 // RetryBudget bounds the attempts of a service's requests that reach an upstream after the first one
@@ -28,7 +29,7 @@
 type RetryBudget interface {
 	// RecordRequest counts a request.
 	RecordRequest(now time.Duration, service int)
-	// Allowed says whether one more retry may be sent.
+	// Allowed reports whether one more retry may be sent.
 	Allowed(now time.Duration, service int) bool
 	// Charge takes a retry that is sent from the budget.
 	Charge(now time.Duration, service int)
@@ -49,8 +50,8 @@
 
 	upstreams        []*upstream     // in the order of their ids, so that all sidecars pick alike
 	totalSlots       float64         // of the ready upstreams
-	virtualTime      map[int]float64 // of the round robin, by service
-	errorRetryCredit map[int]float64 // retries after a response of failure, by service
+	virtualTime      map[int]float64 // of the round robin, by service number
+	errorRetryCredit map[int]float64 // retries after failures of the upstream, by service number
 
 	compartments map[string]*compartment
 	queued       int // in all compartments
--- a/internal/mesh/balancer/compartment.go
+++ b/internal/mesh/balancer/compartment.go
@@ -29,7 +29,7 @@
 	usedAt     time.Duration // when a request asked for it last
 }
 
-// hasWaiting says whether a request for a service is queued.
+// hasWaiting reports whether a request for a service is queued.
 func (c *compartment) hasWaiting(service int) bool {
 	return slices.ContainsFunc(c.queue, func(r *request) bool { return r.class.Service == service })
 }
@@ -53,8 +53,8 @@
 	return c
 }
 
-// resize derives a compartment's slots: its share of what the slots of all ready upstreams come to
-// at one of so many sidecars, see sizing.Compartments.
+// resize derives a compartment's slots: its share of what one of so many sidecars may use of the ready
+// upstreams' slots, see sizing.Compartments.
 func (b *Balancer) resize(c *compartment) {
 	all, _ := sizing.Compartments(b.totalSlots*c.share, b.members, 0, -1, 1, []float64{1})
 	c.slots = max(all[0].Slots, c.minSlots)
@@ -67,8 +67,8 @@
 	}
 }
 
-// removeIdleCompartments drops the empty compartments that were not asked for lately, from time to
-// time: tenants come and go with configurations.
+// removeIdleCompartments drops, at intervals, empty compartments that no request has used lately:
+// configurations add and remove tenants.
 func (b *Balancer) removeIdleCompartments(now time.Duration) {
 	if now < b.sweepAt {
 		return
--- a/internal/mesh/balancer/harness_test.go
+++ b/internal/mesh/balancer/harness_test.go
@@ -101,7 +101,7 @@
 }
 
 // serveEach has so many requests arrive, each one served before the next, and says where they went.
-func (h *harness) serveEach(from policy.RequestID, n int) (to []policy.ServerID) {
+func (h *harness) serveOneByOne(from policy.RequestID, n int) (to []policy.ServerID) {
 	h.onSend = func(_ policy.RequestID, server policy.ServerID, _ time.Duration) {
 		to = append(to, server)
 	}
--- a/internal/mesh/balancer/random_test.go
+++ b/internal/mesh/balancer/random_test.go
@@ -25,7 +25,7 @@
 	mayHaveRun, inFlight, answered   bool
 }
 
-// mayBeSent says whether another attempt is right.
+// mayBeSent reports whether another attempt is right.
 func (r *tracedRequest) mayBeSent() bool {
 	if r.answered || r.inFlight || r.mayHaveRun && !r.class.Idempotent {
 		return false
--- a/internal/mesh/balancer/request.go
+++ b/internal/mesh/balancer/request.go
@@ -16,7 +16,7 @@
 
 // RequestClass is what the balancer goes by: policy.Request.Terms.
 type RequestClass struct {
-	Service       int // number of the service that is to run it, as policy.Server.Cell has it
+	Service       int // number of its service, the policy.Server.Cell of its upstreams
 	Compartment   CompartmentSpec
 	Tenant        string        // "": none
 	Priority      int           // 0 is the highest
@@ -54,14 +54,14 @@
 func newRequest(now time.Duration, q policy.Request, class *RequestClass, c *compartment) *request {
 	r := &request{id: q.ID, class: class, compartment: c, deadline: now + q.Left - deadlineMargin}
 	wait := time.Duration(maxWaitFraction * float64(class.LatencyTarget))
-	if class.Priority == 0 { // it has no other attempt, and the request that made it fails with it
+	if class.Priority == 0 { // if it fails, so does the request that made it
 		wait = max(wait, time.Duration(highestPriorityWaitFraction*float64(q.Left)))
 	}
 	r.waitDeadline = min(r.deadline, now+wait)
 	return r
 }
 
-// attempted says whether a request was sent to an upstream.
+// attempted reports whether a request was sent to an upstream.
 func (r *request) attempted(u *upstream) bool {
 	for i := range r.attempts {
 		if r.attempts[i].upstream == u {
--- a/internal/mesh/balancer/retry.go
+++ b/internal/mesh/balancer/retry.go
@@ -7,16 +7,16 @@
 )
 
 const (
-	// errorRetryFraction of a service's requests may be sent again after the upstream's own failure:
-	// one in so many is chance, more is a fault that retries only feed, as they repeat the nested
-	// calls too. Up to maxErrorRetries may be saved up.
+	// errorRetryFraction of a service's requests may be retried after a failure that the upstream
+	// itself reports: so many are chance, more are a fault that retries amplify, as they repeat the
+	// nested calls too. Up to maxErrorRetries accumulate.
 	errorRetryFraction = 0.02
 	maxErrorRetries    = 4
-	// minRetryAfter and maxRetryAfter bound what a rejected client is told to wait.
+	// minRetryAfter and maxRetryAfter bound the Retry-After of a rejected request.
 	minRetryAfter = 20 * time.Millisecond
 	maxRetryAfter = time.Second
-	// retryAfterDivisor of its latency target is what it is told between them: the client's own retry
-	// is still within the target.
+	// retryAfterDivisor is the part of the latency target that it is between them, one in so many:
+	// the client's own retry can still meet the target.
 	retryAfterDivisor = 8
 )
 
@@ -43,7 +43,7 @@
 	if b.dispatch(now, r) {
 		return
 	}
-	// All were sent to. Those whose gates rejected it may have capacity soon.
+	// No upstream is left. Those whose gates rejected the request may have capacity soon.
 	r.clearGateRejections()
 	if now >= r.waitDeadline || r.mayHaveRun {
 		b.giveUp(r)
@@ -53,7 +53,7 @@
 	b.enqueueFirst(now, r)
 }
 
-// mayRetry says whether a request that reached an upstream may go to another.
+// mayRetry reports whether a request that reached an upstream may go to another.
 func (b *Balancer) mayRetry(now time.Duration, r *request, ending policy.Ending) bool {
 	if !b.cfg.RetryBudget.Allowed(now, r.class.Service) {
 		return false
@@ -68,13 +68,13 @@
 	return true
 }
 
-// earnErrorRetry adds a request's part to its service's credit.
+// earnErrorRetry adds a request's fraction of a retry to its service's credit.
 func (b *Balancer) earnErrorRetry(service int) {
 	credit := b.errorRetryCredit[service] + errorRetryFraction
 	b.errorRetryCredit[service] = min(maxErrorRetries, credit)
 }
 
-// giveUp answers a request that gets no further attempt: rejected where that is true, else failed.
+// giveUp answers a request that gets no further attempt: rejected if it has not run, else failed.
 func (b *Balancer) giveUp(r *request) {
 	if !r.mayHaveRun {
 		b.reject(r)
@@ -85,7 +85,7 @@
 	b.complete(r)
 }
 
-// reject answers a request that has not run, and tells its client when to come back.
+// reject answers a request that has not run, with a Retry-After.
 func (b *Balancer) reject(r *request) {
 	b.counters.Refused++
 	retryAfter := r.class.LatencyTarget / retryAfterDivisor
--- a/internal/mesh/balancer/selection.go
+++ b/internal/mesh/balancer/selection.go
@@ -17,8 +17,10 @@
 )
 
 // selectUpstream is smooth weighted round robin over the ready upstreams of a request's service that
-// have capacity: first among those of the own zone with some to spare, then among all. Where all are
-// full it is the one with the shortest queue. It returns nil where there is none.
+// have capacity, as a scheduler by earliest deadline in virtual time (Envoy has the same): the
+// deadlines of an upstream with n slots are 1/n apart. First it looks among those of the own zone that
+// have capacity to spare, then among all. Where all are full it takes the one with the least load for
+// its slots. It returns nil where there is none.
 func (b *Balancer) selectUpstream(now time.Duration, r *request) *upstream {
 	var inZone, withCapacity, leastLoaded *upstream
 	for _, u := range b.upstreams {
@@ -30,28 +32,28 @@
 			leastLoaded = lessLoaded(now, leastLoaded, u)
 			continue
 		}
-		withCapacity = earlier(withCapacity, u)
+		withCapacity = earlierDeadline(withCapacity, u)
 		if u.Zone == b.cfg.Zone && load < localZoneLoadLimit {
-			inZone = earlier(inZone, u)
+			inZone = earlierDeadline(inZone, u)
 		}
 	}
 	selected := cmp.Or(inZone, withCapacity, leastLoaded)
 	if selected != nil {
-		b.takeTurn(selected)
+		b.advanceVirtualTime(selected)
 	}
 	return selected
 }
 
-// earlier is the upstream whose turn comes first, a where both have the same; a may be nil.
-func earlier(a, u *upstream) *upstream {
-	if a == nil || u.nextTurn < a.nextTurn {
+// earlierDeadline is the upstream with the earlier deadline, a where they are equal; a may be nil.
+func earlierDeadline(a, u *upstream) *upstream {
+	if a == nil || u.virtualDeadline < a.virtualDeadline {
 		return u
 	}
 	return a
 }
 
-// lessLoaded is the upstream with less load for its slots, a where both have the same or u has more
-// than the overload allowance; a may be nil.
+// lessLoaded is the upstream with less load for its slots, a where they are equal or u is beyond the
+// overload allowance; a may be nil.
 func lessLoaded(now time.Duration, a, u *upstream) *upstream {
 	load := u.loadAt(now) / u.Weight
 	if load >= 1+overloadAllowance {
@@ -63,10 +65,11 @@
 	return a
 }
 
-// takeTurn moves the virtual time on. An upstream that had no turns for a while is due first once,
-// and does not get all the turns that it missed.
-func (b *Balancer) takeTurn(u *upstream) {
+// advanceVirtualTime moves the virtual time to the deadline of a selected upstream, and sets its next
+// one. An upstream that was not selected for a while is first once, and is not compensated for all that
+// it missed.
+func (b *Balancer) advanceVirtualTime(u *upstream) {
 	service := u.Cell
-	b.virtualTime[service] = max(b.virtualTime[service], u.nextTurn)
-	u.nextTurn = b.virtualTime[service] + 1/u.Weight
+	b.virtualTime[service] = max(b.virtualTime[service], u.virtualDeadline)
+	u.virtualDeadline = b.virtualTime[service] + 1/u.Weight
 }
--- a/internal/mesh/balancer/selection_test.go
+++ b/internal/mesh/balancer/selection_test.go
@@ -13,7 +13,7 @@
 	Convey("Turns go by slots, and smoothly: each has had its share at any moment", t, func() {
 		slots := map[policy.ServerID]float64{1: 2, 2: 4, 3: 8}
 		h := newHarness(ready(1, 0, 2), ready(2, 0, 4), ready(3, 0, 8))
-		to := h.serveEach(1, 140)
+		to := h.serveOneByOne(1, 140)
 		for n := range to {
 			for id, w := range slots {
 				So(float64(countOf(to[:n+1], id)), ShouldAlmostEqual, float64(n+1)*w/14, 1.5)
@@ -22,30 +22,30 @@
 	})
 	Convey("A new upstream, or one that had no turns for a while, gets no more than its share", t, func() {
 		h := newHarness(ready(1, 0, 8))
-		h.serveEach(1, 40)
+		h.serveOneByOne(1, 40)
 		h.balancer.List(h.now, policy.ListDelta, []policy.Server{ready(2, 0, 8)})
-		So(countOf(h.serveEach(100, 20), 2), ShouldBeBetweenOrEqual, 9, 11)
+		So(countOf(h.serveOneByOne(100, 20), 2), ShouldBeBetweenOrEqual, 9, 11)
 		h.request(200, newClass())
 		h.request(201, newClass())
 		h.endAttempt(200, 0, policy.NoConnection) // one of the two
 		h.endAttempt(201, 0, policy.Served)
 		h.endAttempt(200, 1, policy.Served)
-		h.serveEach(300, 40) // all to the other
+		h.serveOneByOne(300, 40) // all to the other
 		h.now += failureBackoff
-		to := h.serveEach(400, 20)
+		to := h.serveOneByOne(400, 20)
 		So(countOf(to, 1), ShouldBeBetweenOrEqual, 8, 12)
 	})
 	Convey("An upstream that its gate reports full loses its turns until the report is old", t, func() {
 		h := newHarness(ready(1, 0, 4), ready(2, 0, 4))
 		h.request(1, newClass())
 		h.endAttempt(1, 0, policy.Served, 4)
-		So(countOf(h.serveEach(10, 10), 1), ShouldEqual, 0)
+		So(countOf(h.serveOneByOne(10, 10), 1), ShouldEqual, 0)
 		h.now += loadReportTTL + ms
-		So(countOf(h.serveEach(30, 20), 1), ShouldBeGreaterThan, 5)
+		So(countOf(h.serveOneByOne(30, 20), 1), ShouldBeGreaterThan, 5)
 	})
 	Convey("The own zone is preferred up to a load, and what drains or is gone gets nothing", t, func() {
 		h := newHarness(ready(1, 0, 4), ready(2, 1, 8))
-		So(countOf(h.serveEach(1, 20), 1), ShouldEqual, 20)
+		So(countOf(h.serveOneByOne(1, 20), 1), ShouldEqual, 20)
 		for id := policy.RequestID(101); id <= 103; id++ {
 			So(h.request(id, newClass()), ShouldResemble, []string{fmt.Sprintf("send %d to 1", id)})
 		}
--- a/internal/mesh/balancer/upstream.go
+++ b/internal/mesh/balancer/upstream.go
@@ -17,23 +17,23 @@
 	gateRejectionBackoff = 15 * time.Millisecond
 	// loadReportTTL is how long a gate's report of its load is believed.
 	loadReportTTL = 400 * time.Millisecond
-	// noTimeKnown stands for a time that nothing tells.
+	// noTimeKnown stands for an unknown time: a long one, as no Wake is needed for it.
 	noTimeKnown = time.Hour
 )
 
 // upstream is one instance and what is known of it.
 type upstream struct {
 	policy.Server
-	nextTurn     float64 // in the virtual time of its service
-	inFlight     int     // this sidecar's attempts
-	reportedLoad float64 // in flight and queued there as its gate reported, corrected by what was sent since
-	reportedAt   time.Duration
-	availableAt  time.Duration // not selected until then
-	failures     int           // to reach it, in a row
+	virtualDeadline float64 // of its next request, see selectUpstream
+	inFlight        int     // this sidecar's attempts
+	reportedLoad    float64 // in flight and queued there as its gate reported, corrected by what was sent since
+	reportedAt      time.Duration
+	availableAt     time.Duration // not selected until then
+	failures        int           // to reach it, in a row
 }
 
-// loadAt is how many requests an upstream has, as far as is known: an old report tells nothing, but
-// this sidecar's own attempts are certain.
+// loadAt is how many requests an upstream has, as far as is known. An old report does not count, but
+// this sidecar's own attempts do.
 func (u *upstream) loadAt(now time.Duration) float64 {
 	if now-u.reportedAt > loadReportTTL {
 		return float64(u.inFlight)
@@ -73,7 +73,7 @@
 		b.upstreams[at].Server = e
 		return
 	}
-	b.upstreams = slices.Insert(b.upstreams, at, &upstream{Server: e, nextTurn: b.virtualTime[e.Cell]})
+	b.upstreams = slices.Insert(b.upstreams, at, &upstream{Server: e, virtualDeadline: b.virtualTime[e.Cell]})
 }
 
 // compareID orders upstreams by their ids.
@@ -97,8 +97,8 @@
 	}
 }
 
-// nextAvailable is when an upstream of a request's service may be selected again that now is not, or
-// its gate's report gets old; noTimeKnown from now where there is no such time.
+// nextAvailable is the earliest time at which an upstream of a request's service becomes available
+// again or the report of its gate expires; noTimeKnown from now where there is no such time.
 func (b *Balancer) nextAvailable(now time.Duration, r *request) time.Duration {
 	next := now + noTimeKnown
 	for _, u := range b.upstreams {
--- a/internal/mesh/gate/attempt_log.go
+++ b/internal/mesh/gate/attempt_log.go
@@ -38,12 +38,12 @@
 	Number uint64
 }
 
-// after says whether a send is a later one of the same sidecar.
+// after reports whether a send is a later one of the same sidecar.
 func (s SendID) after(before SendID) bool {
 	return s.Sender == before.Sender && s.Number > before.Number
 }
 
-// admission is what the log says of a request that arrives.
+// admission is the log's decision on a request that arrives.
 type admission int
 
 const (
@@ -51,8 +51,7 @@
 	admitted admission = iota
 	// notExecuted: it was rejected before, with the promise that it never runs.
 	notExecuted
-	// mayHaveExecuted: it is here already or was sent to the upstream, or there is no room to
-	// remember it.
+	// mayHaveExecuted: another arrival of it is queued or was sent to the upstream, or the log is full.
 	mayHaveExecuted
 )
 
@@ -70,7 +69,7 @@
 // the upstream, and none runs that was promised never to. Until a request has expired it keeps these
 // promises:
 //
-//   - a request that has started is not started by another arrival, which is told that it may have
+//   - a request that has started is not started by another arrival, which is answered that it may have
 //     run;
 //   - a send that was rejected is not started by a late copy of it, which is rejected too. Only a
 //     later send of the same sidecar may be.
@@ -90,7 +89,7 @@
 	phase     phase
 }
 
-// admit takes a request that has arrived completely, with the time that it has, and says whether it
+// admit takes a request that has arrived completely, with the time that it has, and reports whether it
 // may go on.
 func (l *AttemptLog) admit(
 	now time.Duration, key Key, sendID SendID, remaining time.Duration,
@@ -111,9 +110,9 @@
 	return mayHaveExecuted
 }
 
-// RecordRejection records that a send is about to be rejected before it came to the gate, and says
-// whether that may be promised: not where another arrival of the request has started, nor where there
-// is no room to remember the promise.
+// RecordRejection records that a send is about to be rejected before it reaches the gate, and reports
+// whether "not executed" may be promised: not where another arrival of the request has started, nor
+// where the log is full.
 func (l *AttemptLog) RecordRejection(
 	now time.Duration, key Key, sendID SendID, remaining time.Duration,
 ) bool {
@@ -166,7 +165,7 @@
 	}
 }
 
-// hasCapacity says whether one more can be remembered.
+// hasCapacity reports whether one more can be remembered.
 func (l *AttemptLog) hasCapacity() bool {
 	if len(l.records) >= maxRecords {
 		l.expire()
--- a/internal/mesh/gate/gate.go
+++ b/internal/mesh/gate/gate.go
@@ -33,7 +33,7 @@
 	state    policy.State // of the upstream
 	slots    int
 	inFlight int               // attempts at the upstream
-	retired  []policy.ServerID // upstreams that no update revives, newest last
+	retired  []policy.ServerID // former upstreams, newest last: later updates of them are ignored
 
 	health   health
 	wakeAt   time.Duration // when Wake is due next; 0: nothing was asked for
--- a/internal/mesh/gate/rejection.go
+++ b/internal/mesh/gate/rejection.go
@@ -7,11 +7,11 @@
 )
 
 const (
-	// minRetryAfter guards against callers that come back before anything can have changed.
+	// minRetryAfter guards against callers that retry before anything can have changed.
 	minRetryAfter = 10 * time.Millisecond
 	// maxRetryAfter guards against a few very slow requests keeping callers away for long.
 	maxRetryAfter = time.Second
-	// closedRetryAfter is what callers of an upstream that drains or is deregistered are told.
+	// closedRetryAfter is for callers of an upstream that drains or is deregistered.
 	closedRetryAfter = 200 * time.Millisecond
 )
 
@@ -55,7 +55,7 @@
 	g.host.Fail(r.id)
 }
 
-// recordPhase tells the attempt log how far a request has come.
+// recordPhase records in the attempt log how far a request has come.
 func (g *Gate) recordPhase(r *request, to phase) {
 	if r.runsOnce() {
 		g.attempts.setPhase(r.terms.Key, to)
--- a/internal/mesh/gate/request.go
+++ b/internal/mesh/gate/request.go
@@ -20,7 +20,7 @@
 	maxRemaining = time.Hour
 )
 
-// AttemptTerms is what a caller's sidecar says of a request, as policy.Request.Terms.
+// AttemptTerms are what a caller's sidecar sends along with a request: policy.Request.Terms.
 type AttemptTerms struct {
 	Priority      int           // 0 is the highest: internal checks
 	Idempotent    bool          // it may run twice
@@ -38,9 +38,9 @@
 	deadline  time.Duration
 	terms     *AttemptTerms // nil: it brought none
 
-	sent     bool // the next two hold
-	sentAt   time.Duration
-	upstream policy.ServerID
+	sent     bool
+	sentAt   time.Duration   // if sent
+	upstream policy.ServerID // if sent
 }
 
 // newRequest is a request that arrives now.
@@ -56,11 +56,11 @@
 		}
 	}
 	r.startBy = now + latencyTarget/waitDivisor
-	if r.priority == 0 { // it has no other attempt, and the request that made it fails with it
+	if r.priority == 0 { // if it fails, so does the request that made it
 		r.startBy = now + remaining/highPriorityWaitDivisor
 	}
 	return r
 }
 
-// runsOnce says whether a request must not run twice.
+// runsOnce reports whether a request must not run twice.
 func (r *request) runsOnce() bool { return r.terms != nil && !r.terms.Idempotent }
--- a/internal/mesh/gate/scheduling.go
+++ b/internal/mesh/gate/scheduling.go
@@ -3,9 +3,8 @@
 import "time"
 
 const (
-	// lowPriorityInterval keeps lower priorities from waiting for good: of so much of the slots'
-	// time that is handed out while one of them waits, one part goes to the one that has waited
-	// longest.
+	// lowPriorityInterval prevents starvation of lower priorities: while one of their requests waits,
+	// one part in so many of the slots' time goes to the one that has waited longest.
 	lowPriorityInterval = 8
 	// minQueueCapacity is how many may wait for an upstream with fewer slots than that; else as many
 	// as it has slots. A longer queue would only make callers late.
@@ -64,9 +63,8 @@
 // queueCapacity is how many requests below the highest priority may wait.
 func (g *Gate) queueCapacity() int { return max(minQueueCapacity, g.slots) }
 
-// queueFull says whether no more of a priority may wait. The highest one has a capacity of its own:
-// its requests are short, their wait is bounded by their time, and none below would ever wait beside
-// them.
+// queueFull reports whether no more requests of a priority may wait. The highest one has a capacity of
+// its own: its requests are short and wait for a bounded time, and would otherwise displace all others.
 func (g *Gate) queueFull(priority int) bool {
 	if priority == 0 {
 		return g.queue.lengthOfHighest() >= highPriorityQueueSlots*g.queueCapacity()
@@ -87,8 +85,9 @@
 	return min(r.startBy, r.deadline-g.health.expectedServiceTime(r.priority))
 }
 
-// displaceFor makes room in a full queue for a request: the last one of the lowest priority is
-// rejected, if that is a lower one. Nothing makes room for the highest priority.
+// displaceFor makes place in a full queue for a request: the last one of the lowest priority is
+// rejected, if that is lower than the request's. It returns false where it is not, and for the highest
+// priority, whose queue is separate.
 func (g *Gate) displaceFor(now time.Duration, r *request) bool {
 	if r.priority == 0 {
 		return false
--- a/internal/mesh/gate/upstream.go
+++ b/internal/mesh/gate/upstream.go
@@ -83,7 +83,7 @@
 	}
 }
 
-// accepting says whether the upstream may be sent anything.
+// accepting reports whether the upstream may be sent anything.
 func (g *Gate) accepting(now time.Duration) bool {
 	return g.state == policy.Ready && now >= g.health.unreachableUntil
 }
--- a/internal/mesh/sidecar/at_most_once_test.go
+++ b/internal/mesh/sidecar/at_most_once_test.go
@@ -51,7 +51,7 @@
 	return nil
 }
 
-// promisesNotExecuted says whether a status tells a client that its request did not run.
+// promisesNotExecuted reports whether a status tells a client that its request did not run.
 func promisesNotExecuted(status int) bool {
 	switch status {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout,
--- a/internal/mesh/sidecar/endpoints.go
+++ b/internal/mesh/sidecar/endpoints.go
@@ -64,7 +64,7 @@
 	return max(1, float64(e.readySlots[service])) / float64(e.totalReadySlots)
 }
 
-// hasReady says whether there is an upstream that a request can go to.
+// hasReady reports whether there is an upstream that a request can go to.
 func (e *endpoints) hasReady() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -93,9 +93,8 @@
 	return &u
 }
 
-// apply takes upstreams that the core pushed. It says whether that tells more of the local upstream
-// than was known: that it drains or has ended, which it told a core machine while this sidecar did
-// not run.
+// apply takes upstreams that the core pushed. It reports whether the local upstream has changed by
+// that: it drains or has ended, and sent that to a core machine while this sidecar did not run.
 func (e *endpoints) apply(full bool, upserts []registry.Upstream, removals []string) (localChanged bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -119,7 +118,7 @@
 }
 
 // adoptDiscovered takes the local upstream from its answer to a health request; false: a heartbeat
-// has told of it meanwhile.
+// has arrived meanwhile.
 func (e *endpoints) adoptDiscovered(u registry.Upstream) bool {
 	e.mu.Lock()
 	known := e.local != nil
@@ -127,8 +126,8 @@
 	return !known && e.recordHeartbeat(u)
 }
 
-// recordHeartbeat takes what the local upstream says of itself; false: it is out of date, as a later
-// heartbeat of it or of the instance in its place was recorded before.
+// recordHeartbeat takes what the local upstream reports; false: it is out of date, as a later
+// heartbeat of it or of its successor was recorded before.
 func (e *endpoints) recordHeartbeat(u registry.Upstream) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -142,7 +141,7 @@
 	}
 	if e.local != nil && e.local.Instance != u.Instance {
 		if e.local.State == registry.Ready && u.State != registry.Ready {
-			e.rememberDeregistered(u.Instance) // the last heartbeat of the instance before, come late
+			e.rememberDeregistered(u.Instance) // a late heartbeat of the predecessor
 			return false
 		}
 		e.rememberDeregistered(e.local.Instance)
--- a/internal/mesh/sidecar/engines.go
+++ b/internal/mesh/sidecar/engines.go
@@ -21,8 +21,8 @@
 	// dialTimeout bounds the set-up of a connection: more than two ways between zones. A machine
 	// that is down gives no answer at all.
 	dialTimeout = 300 * time.Millisecond
-	// idleTimeout is how long a gate's machine may acknowledge nothing. What was sent to it may have
-	// run, and its client is told so at once.
+	// idleTimeout is how long a gate's machine may acknowledge nothing. After that its requests fail
+	// at once, as they may have run.
 	idleTimeout = 1200 * time.Millisecond
 	// gateConnIdle and upstreamConnIdle are how long an idle connection is used again. Upstreams
 	// close theirs after 10 s as a rule.
@@ -34,7 +34,8 @@
 	reservedFiles = 300
 )
 
-// connectionFiles is how many file descriptors there are for connections of all kinds.
+// connectionFiles is how many file descriptors there are for connections: three eighths for those of
+// clients, a quarter each for those of sidecars and to gates, an eighth for those to the upstream.
 func (s *Sidecar) connectionFiles() int { return s.settings.Self.Limits.MaxOpenFiles - reservedFiles }
 
 // newEngines makes both engines with their transports and decision modules.
--- a/internal/mesh/sidecar/heartbeat.go
+++ b/internal/mesh/sidecar/heartbeat.go
@@ -29,7 +29,7 @@
 	return nil
 }
 
-// changesRouting says whether requests go elsewhere or in another number after a heartbeat.
+// changesRouting reports whether a heartbeat changes where requests go, or how many.
 func changesRouting(before, after registry.Upstream) bool {
 	return before.Instance != after.Instance || before.State != after.State || before.Slots != after.Slots
 }
@@ -49,9 +49,9 @@
 	s.balancerEngine.UpdateServers(s.endpoints.balancerListing())
 }
 
-// publishUpstream tells the gate, the balancer and the core of the local upstream as it is now, and
-// returns once the gate goes by it. Calls are serialised, as what an earlier one read must not be
-// told after what a later one read.
+// publishUpstream passes the local upstream as it is now to the gate, the balancer and the core, and
+// returns once the gate goes by it. Calls are serialised: what an earlier one read must not overwrite
+// what a later one read.
 func (s *Sidecar) publishUpstream() {
 	s.publishMu.Lock()
 	defer s.publishMu.Unlock()
--- a/internal/mesh/sidecar/inbound.go
+++ b/internal/mesh/sidecar/inbound.go
@@ -24,7 +24,11 @@
 
 // frontDialect is how the front for sidecars treats their requests.
 func (i *inbound) frontDialect() *fronthttp1.Dialect {
-	return &fronthttp1.Dialect{ParseRequest: i.admit, RewriteHeaders: i.stripHeaders, ProxyHeaders: i.ownResponseFields}
+	return &fronthttp1.Dialect{
+		ParseRequest:   i.admit,
+		RewriteHeaders: i.stripHeaders,
+		ProxyHeaders:   i.ownResponseFields,
+	}
 }
 
 // upstreamDialect is how requests are sent to the local upstream, and how its responses are read.
@@ -71,7 +75,7 @@
 	return terms, remaining, true
 }
 
-// stripHeaders takes out the fields that are between sidecars.
+// stripHeaders removes the fields that only sidecars read.
 func (i *inbound) stripHeaders(_ *policy.Request, fields http.Header) {
 	headers.StripSidecarFields(fields)
 }
@@ -81,8 +85,8 @@
 	return headers.GateResponseFields(h.Get(headers.AttemptID), i.provablyNotExecuted(h, a), i.loadField())
 }
 
-// provablyNotExecuted says whether a response of our own may say that its request never ran and
-// never will. What the engine rejects is in the gate's attempt log. What the front rejects by itself
+// provablyNotExecuted reports whether a response of our own may promise that its request never ran
+// and never will. What the engine rejects is in the gate's attempt log. What the front rejects by itself
 // (a is nil or unasked) has to be recorded there now, so that no late copy of it runs.
 func (i *inbound) provablyNotExecuted(h *h1.Head, a *call.Answer) bool {
 	if a != nil && a.Kind != call.Refused {
@@ -90,7 +94,7 @@
 	}
 	terms, remaining, ok := parseAttempt(h)
 	if !ok || terms.Idempotent || a != nil && !a.RejectedByFront {
-		return true // no sidecar runs a request that can't be parsed
+		return true // one that can't be parsed is run by no sidecar
 	}
 	return i.gate.AttemptLog().RecordRejection(i.clock.Now(), terms.Key, terms.SendID, remaining)
 }
--- a/internal/mesh/sidecar/lease.go
+++ b/internal/mesh/sidecar/lease.go
@@ -2,7 +2,7 @@
 
 import "caperarch/internal/mesh/registry"
 
-// assumedSidecars is the number of sidecars taken to share quotas until the core tells one.
+// assumedSidecars is how many sidecars are assumed to share quotas until the core reports a number.
 const assumedSidecars = 64
 
 // currentLease is what this sidecar reports of itself and its upstream when it renews its lease.
@@ -17,8 +17,9 @@
 	return lease
 }
 
-// sidecarCount is how many sidecars share quotas and retry budgets: the largest number of late. As
-// long as the core has told none it is more than are likely, as each would take all for itself.
+// sidecarCount is how many sidecars share quotas and retry budgets: the largest recent number. Until
+// the core reports one it is more than there are likely to be: with a smaller number each sidecar would
+// take too large a share.
 func (s *Sidecar) sidecarCount() int {
 	if n := s.watchClient.PeakMembers(); n > 0 {
 		return n
--- a/internal/mesh/sidecar/mesh_test.go
+++ b/internal/mesh/sidecar/mesh_test.go
@@ -365,7 +365,7 @@
 	return c, bufio.NewReader(c)
 }
 
-// receive reads the response to a request, and says whether its connection stays open.
+// receive reads the response to a request, and reports whether its connection stays open.
 func receive(id string, in *bufio.Reader) (got clientResult, keepAlive bool) {
 	res, err := http.ReadResponse(in, &http.Request{Method: http.MethodPost})
 	if err != nil {
--- a/internal/mesh/sidecar/outbound.go
+++ b/internal/mesh/sidecar/outbound.go
@@ -17,7 +17,7 @@
 )
 
 const (
-	// noConfigRetryAfter is what a client is told that comes before the first configuration.
+	// noConfigRetryAfter is the Retry-After of requests that arrive before the first configuration.
 	noConfigRetryAfter = 300 * time.Millisecond
 	// defaultLatencyTarget is that of a route that names none.
 	defaultLatencyTarget = time.Second
@@ -49,13 +49,13 @@
 	return &http1.Dialect{
 		ParseRequest:   o.admit,
 		RewriteHeaders: o.rewriteHeaders,
-		CanPipeline:    mayReadAhead,
+		CanPipeline:    canPipeline,
 		ProxyHeaders:   ownResponseFields,
 	}
 }
 
-// mayReadAhead says whether requests behind this one may start before it is answered.
-func mayReadAhead(q *policy.Request) bool { return q.Terms.(*balancer.RequestClass).Idempotent }
+// canPipeline reports whether a request may be in flight together with others of its connection.
+func canPipeline(q *policy.Request) bool { return q.Terms.(*balancer.RequestClass).Idempotent }
 
 // ownResponseFields are the fields of a response that the front itself makes.
 func ownResponseFields(h *h1.Head, _ *call.Answer) http.Header {
@@ -142,8 +142,8 @@
 	return route, nil
 }
 
-// remainingTime is how long a request may take: the least of what its client says and its route's
-// timeout, or the default latency target where neither says anything.
+// remainingTime is how long a request may take: the lesser of its client's and its route's timeout, or
+// the default latency target where there is neither.
 func remainingTime(h *h1.Head, route *config.Route) (time.Duration, *http1.Rejection) {
 	remaining := route.Timeout
 	if text := h.Get(headers.Timeout); text != "" {
@@ -181,8 +181,8 @@
 	return tenant, nil
 }
 
-// classify says what the balancer goes by. Priority 0 is for internal checks alone, so that those of
-// operators are one lower than they say.
+// classify is what the balancer goes by. Priority 0 is for internal checks alone, so that the
+// operators' priorities are shifted by one.
 func (o *outbound) classify(
 	snapshot *config.Snapshot, route *config.Route, tenant *config.Tenant,
 ) *balancer.RequestClass {
--- a/internal/mesh/sidecar/quota_client.go
+++ b/internal/mesh/sidecar/quota_client.go
@@ -132,8 +132,7 @@
 	}
 }
 
-// allow charges a tenant for one request; false: it is over its quota, and its client is told when to
-// come back.
+// allow charges a tenant for one request; false: it is over its quota until retryAfter from now.
 func (q *quotaClient) allow(tenant string) (retryAfter time.Duration, allowed bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -225,7 +224,7 @@
 	q.retryBudget.RecordRequest(now, q.serviceName(service))
 }
 
-// Allowed says whether a service's retry budget has room for one more.
+// Allowed reports whether a service's retry budget allows one more.
 func (q *quotaClient) Allowed(now time.Duration, service int) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/internal/mesh/sidecar/sidecar.go
+++ b/internal/mesh/sidecar/sidecar.go
@@ -55,9 +55,9 @@
 
 var _ balancer.RetryBudget = (*quotaClient)(nil)
 
-// Run serves until ctx ends, then drains and returns nil. It returns an error at once where a part
-// can't be set up or a listener fails. Settings that arrive on reload change the seeds alone. Its
-// goroutines end with the engines' context; it doesn't wait for them, as the process ends next.
+// Run serves until ctx ends, then drains and returns nil. It returns an error if a part can't be set up
+// or a listener fails. Of settings that arrive on reload only the seeds are applied. Its goroutines are
+// cancelled when it returns, without waiting for them, as the process ends next.
 func Run(
 	ctx context.Context, current *settings.Settings, reload <-chan *settings.Settings, log *zap.Logger,
 ) error {
