--- a/internal/mesh/replication/simulation_faults_test.go
+++ b/internal/mesh/replication/simulation_faults_test.go
@@ -188,6 +188,9 @@
 	sim.diskLostAt = sim.now
 }
 
+// leaveCheckInterval is how often a leaving machine checks whether it has been replaced.
+const leaveCheckInterval = 100 * time.Millisecond
+
 // leaveGracefully starts a successor and announces a machine as leaving. The machine stops once it
 // isn't a voter any more, or at the end of its grace period.
 func (sim *simulation) leaveGracefully(n *machine) {
@@ -200,24 +203,30 @@
 	sim.emptyDisk(successor)
 	sim.powerOn(successor)
 	sim.expectHealthy(sim.now)
-	since, end := sim.now, sim.now+recoveryTime
-	var stop func()
-	stop = func() {
-		if n.removed {
-			return
-		}
-		// A leader may act for a while on an earlier announcement and make the leaving learner a voter.
-		mayVote := slices.ContainsFunc(sim.membershipsInForce(), func(m Membership) bool { return m.IsVoter(n.id) })
-		out := sim.now >= since+announcementTTL && !mayVote
-		if !out && (sim.now < end || sim.healed || !sim.toleratesDiskLoss(n)) {
-			sim.schedule(100*time.Millisecond, stop)
-			return
-		}
-		sim.count(map[bool]string{true: "left after its replacement", false: "left at the end of its grace period"}[out])
-		n.recoveredAt = max(n.recoveredAt, sim.now+recoveryTime)
-		sim.removeMachine(n)
+	since := sim.now
+	sim.schedule(leaveCheckInterval, func() { sim.stopWhenReplaced(n, since) })
+}
+
+// stopWhenReplaced stops a machine that has been leaving since a time, or checks again later.
+func (sim *simulation) stopWhenReplaced(n *machine, since time.Duration) {
+	if n.removed {
+		return
+	}
+	// A leader may act for a while on an earlier announcement and make the leaving learner a voter.
+	mayVote := slices.ContainsFunc(sim.membershipsInForce(), func(m Membership) bool { return m.IsVoter(n.id) })
+	replaced := sim.now >= since+announcementTTL && !mayVote
+	inGracePeriod := sim.now < since+recoveryTime
+	if !replaced && (inGracePeriod || sim.healed || !sim.toleratesDiskLoss(n)) {
+		sim.schedule(leaveCheckInterval, func() { sim.stopWhenReplaced(n, since) })
+		return
 	}
-	sim.schedule(100*time.Millisecond, stop)
+	if replaced {
+		sim.count("left after its replacement")
+	} else {
+		sim.count("left at the end of its grace period")
+	}
+	n.recoveredAt = max(n.recoveredAt, sim.now+recoveryTime)
+	sim.removeMachine(n)
 }
 
 // expectHealthy checks that the membership is healthy within recoveryTime of a successor's start,
