--- a/internal/mesh/sidecar/engines.go
+++ b/internal/mesh/sidecar/engines.go
@@ -21,9 +21,9 @@
 	// dialTimeout bounds the set-up of a connection: more than two ways between zones. A machine
 	// that is down gives no answer at all.
 	dialTimeout = 300 * time.Millisecond
-	// idleTimeout is how long a gate's machine may acknowledge nothing. After that its requests fail
-	// at once, as they may have run.
-	idleTimeout = 1200 * time.Millisecond
+	// gateUserTimeout (TCP_USER_TIMEOUT) is how long a gate may acknowledge nothing: its requests fail
+	// then, as they may have run.
+	gateUserTimeout = 1200 * time.Millisecond
 	// gateConnIdle and upstreamConnIdle are how long an idle connection is used again. Upstreams
 	// close theirs after 10 s as a rule.
 	gateConnIdle     = 60 * time.Second
@@ -52,7 +52,7 @@
 func (s *Sidecar) newBalancerEngine() (*engine.Engine, error) {
 	transport := http1.New(http1.Config{
 		Clock: s.clock, DialTimeout: dialTimeout, IdleTimeout: gateConnIdle,
-		MaxConns: s.connectionFiles() / 4, ReuseDelay: -1, UserTimeout: idleTimeout, Dialect: gateDialect(),
+		MaxConns: s.connectionFiles() / 4, ReuseDelay: -1, UserTimeout: gateUserTimeout, Dialect: gateDialect(),
 	})
 	cfg := balancer.Config{
 		Zone: s.endpoints.zones[s.settings.Self.Zone], Members: s.sidecarCount, RetryBudget: s.quota,
--- a/internal/mesh/sidecar/inbound.go
+++ b/internal/mesh/sidecar/inbound.go
@@ -34,7 +34,9 @@
 // upstreamDialect is how requests are sent to the local upstream, and how its responses are read.
 func (i *inbound) upstreamDialect() *http1.Dialect {
 	return &http1.Dialect{
-		TimeoutField: headers.Timeout, MatchesRequest: headers.MatchesAttempt, Classify: i.classifyUpstreamResponse,
+		TimeoutField:   headers.Timeout,
+		MatchesRequest: headers.MatchesAttempt,
+		Classify:       i.classifyUpstreamResponse,
 	}
 }
 
