--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -201,9 +201,9 @@
 		if err != nil {
 			return err
 		}
-		r := policy.Request{ID: policy.RequestID(a.Job), Class: int(a.Kind), Tenant: int(a.Tenant), Left: a.Left}
+		r := policy.Request{ID: policy.RequestID(a.Job), Class: int(a.Kind), Tenant: int(a.Tenant), TimeLeft: a.Left}
 		r.Key = a.Key
-		r.Repeat = a.Bits&wire.BitRepeat != 0
+		r.IsRetry = a.Bits&wire.BitRepeat != 0
 		if a.Bits&wire.BitHint != 0 {
 			r.Work = a.Hint
 		}
@@ -214,7 +214,7 @@
 			return err
 		}
 		i.b.Outcome(now, policy.Outcome{
-			ID: policy.RequestID(f.Job), Attempt: int(f.Hop), Ending: ending(f.Ending), Settled: f.Settled,
+			ID: policy.RequestID(f.Job), Attempt: int(f.Hop), Ending: ending(f.Ending), Finished: f.Settled,
 			Load: i.loads.Load(f.Pressure),
 		})
 	case wire.EvWake:
@@ -275,13 +275,13 @@
 	case wire.EndServed:
 		return policy.Served
 	case wire.EndTurnedAway:
-		return policy.TurnedAway
+		return policy.NotProcessed
 	case wire.EndTimedOut:
 		return policy.TimedOut
 	case wire.EndNoConnection:
 		return policy.NoConnection
 	case wire.EndBroken:
-		return policy.Broken
+		return policy.ConnectionLost
 	case wire.EndCancelled:
 		return policy.Cancelled
 	case wire.EndNotSent:
@@ -300,7 +300,7 @@
 		case wire.StateReady:
 			list[i].State = policy.Ready
 		case wire.StateGone:
-			list[i].State = policy.Gone
+			list[i].State = policy.Deregistered
 		default:
 			list[i].State = policy.Draining // nothing new, whatever it is
 		}
--- a/cmd/simhost/main_test.go
+++ b/cmd/simhost/main_test.go
@@ -248,8 +248,8 @@
 
 func TestEndings(t *testing.T) {
 	for code, want := range map[uint16]policy.Ending{
-		wire.EndServed: policy.Served, wire.EndErrored: policy.Errored, wire.EndTurnedAway: policy.TurnedAway,
-		wire.EndTimedOut: policy.TimedOut, wire.EndNoConnection: policy.NoConnection, wire.EndBroken: policy.Broken,
+		wire.EndServed: policy.Served, wire.EndErrored: policy.Errored, wire.EndTurnedAway: policy.NotProcessed,
+		wire.EndTimedOut: policy.TimedOut, wire.EndNoConnection: policy.NoConnection, wire.EndBroken: policy.ConnectionLost,
 		wire.EndCancelled: policy.Cancelled, wire.EndNotSent: policy.NotSent, 999: policy.Errored,
 	} {
 		if got := ending(code); got != want {
@@ -264,7 +264,7 @@
 		{Status: wire.StateGone}, {Status: wire.StateDraining}, {Status: 77},
 	})
 	if got[0] != (policy.Server{ID: 9, Zone: 1, Cell: 3, State: policy.Ready, Weight: 2.5, Started: time.Second}) ||
-		got[1].State != policy.Gone || got[2].State != policy.Draining || got[3].State != policy.Draining {
+		got[1].State != policy.Deregistered || got[2].State != policy.Draining || got[3].State != policy.Draining {
 		t.Fatalf("servers %+v", got)
 	}
 }
--- a/internal/daemon/config/config_test.go
+++ b/internal/daemon/config/config_test.go
@@ -19,8 +19,8 @@
 		t.Errorf("config %+v", c)
 	}
 	p := c.Policy
-	if p.MaxAttempts != 3 || p.Classes[0].Effect != policy.Keyed || p.Classes[1].Effect != policy.Unsafe ||
-		p.Tenants[1].Quota != 50 || p.ColdTime != 5*time.Second || p.Reports&policy.HasInFlight == 0 {
+	if p.MaxAttempts != 3 || p.Classes[0].Effect != policy.Deduplicated || p.Classes[1].Effect != policy.NonIdempotent ||
+		p.Tenants[1].Quota != 50 || p.SlowStartTime != 5*time.Second || p.Reports&policy.HasInFlight == 0 {
 		t.Errorf("the module's config %+v", p)
 	}
 }
--- a/internal/daemon/config/fleet.go
+++ b/internal/daemon/config/fleet.go
@@ -88,7 +88,7 @@
 			State  string
 		}
 	}
-	if err := strictconfig.TOML(raw, &file); err != nil {
+	if err := strictconfig.DecodeTOML(raw, &file); err != nil {
 		return nil, err
 	}
 	f := &Fleet{Name: file.Name}
--- a/internal/daemon/config/pools.go
+++ b/internal/daemon/config/pools.go
@@ -76,7 +76,7 @@
 
 func parsePools(raw []byte, read func(string) ([]byte, error)) (*Pools, error) {
 	var file poolsFile
-	if err := strictconfig.TOML(raw, &file); err != nil {
+	if err := strictconfig.DecodeTOML(raw, &file); err != nil {
 		return nil, err
 	}
 	if len(file.Pools) == 0 || len(file.Pools) > mostPools {
--- a/internal/daemon/cordon/overlay.go
+++ b/internal/daemon/cordon/overlay.go
@@ -42,7 +42,7 @@
 	servers := make([]policy.Server, 0, len(l.Servers))
 	for _, s := range l.Servers {
 		o.remember(s.ID)
-		if s.State == policy.Gone {
+		if s.State == policy.Deregistered {
 			delete(o.listed, s.ID)
 		} else {
 			name := l.Names[s.ID]
--- a/internal/daemon/cordon/overlay_test.go
+++ b/internal/daemon/cordon/overlay_test.go
@@ -29,7 +29,7 @@
 			return s.State
 		}
 	}
-	return policy.Gone
+	return policy.Deregistered
 }
 
 // A ban lasts through whole lists, a departure and a restart; lifted, the upstream is what the list says by then, its start included.
@@ -46,7 +46,7 @@
 			t.Errorf("%s: state %v", name, got)
 		}
 	}
-	o.Heard(list(false, server("a", policy.Gone, 0)))
+	o.Heard(list(false, server("a", policy.Deregistered, 0)))
 	if known, out := o.Counts(); known != 1 || out != 0 || !o.Ever("a") || o.Ever("c") {
 		t.Errorf("gone: known %d, out %d, ever %v %v", known, out, o.Ever("a"), o.Ever("c"))
 	}
@@ -78,7 +78,7 @@
 					clear(want)
 				}
 				for _, id := range rapid.SliceOfDistinct(rapid.SampledFrom(ids), rapid.ID[string]).Draw(t, "ids") {
-					want[id] = policy.State(rapid.IntRange(int(policy.Gone), int(policy.Ready)).Draw(t, "state"))
+					want[id] = policy.State(rapid.IntRange(int(policy.Deregistered), int(policy.Ready)).Draw(t, "state"))
 					servers = append(servers, server(id, want[id], 0))
 				}
 				l = o.Heard(list(whole, servers...))
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -130,7 +130,7 @@
 		OnRequestWritten: s.figures.Tried,
 	})}
 	decisions := cfg.Policy
-	decisions.Parts = s.parted
+	decisions.Processes = s.parted
 	ended := s.know(&decisions)
 	limits := s.rule(func(out []string) { p.list.Also(out) }, func(ids []policy.ServerID) { p.list.Away(ids) }, func(open int) { p.target.SetMaxOpen(open) })
 	e, err := engine.New(engine.Config{
@@ -149,7 +149,7 @@
 	}
 	p.leave = s.enter(p)
 	p.follower = membership.New(membership.Config{
-		Address: cfg.Discovery, Zones: cfg.Zones, OnDemand: cfg.Policy.AskList, Known: known,
+		Address: cfg.Discovery, Zones: cfg.Zones, OnDemand: cfg.Policy.ListOnDemand, Known: known,
 		OnUpdate: func(l call.ServerList) {
 			log.Info("list", "version", l.Version, "whole", l.Full, "entries", len(l.Servers))
 			p.current.Store(true)
--- a/internal/daemon/fleet.go
+++ b/internal/daemon/fleet.go
@@ -41,7 +41,7 @@
 	if s.fleet == nil {
 		return nil
 	}
-	module.Fleet, module.Place, module.Doubt = s.fleet.Sidecars, s.fleet.Place, s.fleet.Doubted
+	module.FleetSize, module.ArcStart, module.SuspectedDown = s.fleet.Sidecars, s.fleet.Place, s.fleet.Doubted
 	return s.fleet.Ended
 }
 
@@ -150,7 +150,7 @@
 			m.State = maintenance.Ready
 		}
 		if e.Started > 0 {
-			m.Warmth = slowstart.Warmth(e.Started+x.cfg.Policy.ColdTime-now, x.cfg.Policy.ColdTime, x.cfg.Policy.ColdFrom)
+			m.Warmth = slowstart.Warmth(e.Started+x.cfg.Policy.SlowStartTime-now, x.cfg.Policy.SlowStartTime, x.cfg.Policy.SlowStartShare)
 		}
 		all = append(all, m)
 	}
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -63,7 +63,7 @@
 
 // New checks what a sidecar is told of its fleet. Nothing is opened until Run.
 func New(cfg *config.Config, file *config.Fleet, log *slog.Logger) (*Fleet, error) {
-	f := &Fleet{cfg: cfg, file: file, log: log, now: clock.Boot}
+	f := &Fleet{cfg: cfg, file: file, log: log, now: clock.SinceBoot}
 	switch {
 	case !cfg.MayPeer:
 		return nil, errors.New("settings.caps.peers: sidecars may not send one another anything here, so there can be no -fleet")
@@ -176,7 +176,7 @@
 
 // alone is this sidecar's place by the settings alone.
 func (f *Fleet) alone() float64 {
-	return subset.Place(f.cfg.Policy.Index, f.cfg.Policy.Balancers, nil)
+	return subset.ArcStart(f.cfg.Policy.Index, f.cfg.Policy.Balancers, nil)
 }
 
 // place reckons where among the sidecars that live this one begins. Who is out of contact knows too little of them, and goes by the settings.
@@ -196,7 +196,7 @@
 	f.seen = seen
 	at := f.alone()
 	if contact {
-		at = subset.Place(f.cfg.Policy.Index, len(f.peers), func(i int) bool { return seen[1+i] == swim.Alive || seen[1+i] == swim.Suspect })
+		at = subset.ArcStart(f.cfg.Policy.Index, len(f.peers), func(i int) bool { return seen[1+i] == swim.Alive || seen[1+i] == swim.Suspect })
 	}
 	f.begin.Store(math.Float64bits(at))
 }
--- a/internal/fleet/maintenance/plan.go
+++ b/internal/fleet/maintenance/plan.go
@@ -99,7 +99,7 @@
 // Parse reads a plan. An error names line or field.
 func Parse(text []byte) (*Plan, error) {
 	p := &Plan{InTime: 0.95, Longest: Duration(time.Hour), Back: Told, CutOff: Told, Reserve: 0.1}
-	if err := strictconfig.TOML(text, p); err != nil {
+	if err := strictconfig.DecodeTOML(text, p); err != nil {
 		return nil, err
 	}
 	return p, p.check()
--- a/internal/fleet/peer/link_test.go
+++ b/internal/fleet/peer/link_test.go
@@ -47,7 +47,7 @@
 func open(t *testing.T, rate float64, edit func(c *Config), others ...netip.AddrPort) (*Link, inbox) {
 	t.Helper()
 	cfg := Config{
-		Listen: "127.0.0.1:0", Peers: append([]netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:9")}, others...), Fleet: "hives", Life: 5, Rate: rate, Now: clock.Boot,
+		Listen: "127.0.0.1:0", Peers: append([]netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:9")}, others...), Fleet: "hives", Life: 5, Rate: rate, Now: clock.SinceBoot,
 	}
 	if edit != nil {
 		edit(&cfg)
--- a/internal/fleet/policyrollout/policy.go
+++ b/internal/fleet/policyrollout/policy.go
@@ -66,7 +66,7 @@
 		return nil, fmt.Errorf("line %d: not UTF-8", 1+bytes.Count(text[:firstInvalid(text)], []byte("\n")))
 	}
 	p := new(Policy)
-	if err := strictconfig.TOML(text, p); err != nil {
+	if err := strictconfig.DecodeTOML(text, p); err != nil {
 		return nil, err
 	}
 	return p, p.check()
--- a/internal/lab/emulator/cases.go
+++ b/internal/lab/emulator/cases.go
@@ -72,18 +72,18 @@
 		Clients: Clients{Retries: 2, Backoff: 50 * time.Millisecond},
 		Module: policy.Config{
 			Classes: []policy.Class{
-				{Aim: 500 * time.Millisecond, Deadline: time.Second, Worth: 5, Effect: policy.Keyed, Scope: policy.ScopeCell, Window: 600 * time.Millisecond},
-				{Aim: 600 * time.Millisecond, Deadline: 2500 * time.Millisecond, Worth: 2, Effect: policy.Unsafe},
+				{LatencyTarget: 500 * time.Millisecond, Deadline: time.Second, Value: 5, Effect: policy.Deduplicated, Scope: policy.ScopeCell, DedupWindow: 600 * time.Millisecond},
+				{LatencyTarget: 600 * time.Millisecond, Deadline: 2500 * time.Millisecond, Value: 2, Effect: policy.NonIdempotent},
 			},
 			MaxAttempts: 3, MayCancel: true, MayProbe: true, MaxRetryAfter: time.Second, Tick: time.Millisecond,
-			ColdFrom: 0.32, ColdTime: 8500 * time.Millisecond, ColdMultiple: 2.5,
+			SlowStartShare: 0.32, SlowStartTime: 8500 * time.Millisecond, SlowStartOverload: 2.5,
 			Reports: policy.HasInFlight | policy.HasService | policy.HasServed | policy.HasErrors,
 		},
 	}
 	if s.Small { // requests are as much quicker there, and aims shorter
 		for i := range c.Classes {
 			c.Classes[i].Work /= 5
-			c.Module.Classes[i].Aim /= 4
+			c.Module.Classes[i].LatencyTarget /= 4
 		}
 	}
 	work := c.Classes[0].Share*c.Classes[0].Work.Seconds() + c.Classes[1].Share*c.Classes[1].Work.Seconds()
@@ -145,7 +145,7 @@
 
 // Run plays the case from a seed. gate: nil is the module's own admission. The error is the first rule that was broken.
 func (s *Case) Run(seed uint64, gate func(*rand.Rand) admission.Gate) (Strained, error) {
-	f, err := s.Fleet(seed, func(c *Config) { c.Module.Gate = gate })
+	f, err := s.Fleet(seed, func(c *Config) { c.Module.NewGate = gate })
 	if err != nil {
 		return Strained{}, err
 	}
--- a/internal/lab/emulator/even.go
+++ b/internal/lab/emulator/even.go
@@ -35,9 +35,9 @@
 		Seed: seed, Sidecars: d.Sidecars, Rate: d.Each * float64(d.Sidecars), Trip: time.Millisecond,
 		Classes: []Class{{Share: 1, Work: 10 * time.Millisecond}}, Tenants: []Tenant{{Share: 1}},
 		Module: policy.Config{
-			Classes:     []policy.Class{{Aim: 500 * time.Millisecond, Deadline: time.Second, Worth: 1, Effect: policy.Safe}},
+			Classes:     []policy.Class{{LatencyTarget: 500 * time.Millisecond, Deadline: time.Second, Value: 1, Effect: policy.Idempotent}},
 			Tenants:     []policy.Tenant{{Share: 1, Quota: 1.2 * d.Each * float64(d.Sidecars)}},
-			MaxAttempts: 3, MayCancel: true, MaxRetryAfter: time.Second, Tick: time.Millisecond, ColdFrom: 0.3, ColdTime: EvenColdTime, ColdMultiple: cmp.Or(d.Cold, 3),
+			MaxAttempts: 3, MayCancel: true, MaxRetryAfter: time.Second, Tick: time.Millisecond, SlowStartShare: 0.3, SlowStartTime: EvenColdTime, SlowStartOverload: cmp.Or(d.Cold, 3),
 		},
 	}
 	for range d.Servers {
@@ -55,11 +55,11 @@
 		d.gone[i], c.Shares[i] = true, 0
 	}
 	if d.Known {
-		c.Place = func(i int) float64 { return subset.Place(i, d.Sidecars, func(j int) bool { return !d.gone[j] }) }
+		c.Place = func(i int) float64 { return subset.ArcStart(i, d.Sidecars, func(j int) bool { return !d.gone[j] }) }
 	}
 	if d.Wrong {
 		c.Place = func(i int) float64 {
-			return subset.Place(i, d.Sidecars, func(j int) bool { return rand.New(rand.NewPCG(seed+uint64(i), uint64(j))).IntN(5) > 0 })
+			return subset.ArcStart(i, d.Sidecars, func(j int) bool { return rand.New(rand.NewPCG(seed+uint64(i), uint64(j))).IntN(5) > 0 })
 		}
 	}
 	return c
--- a/internal/lab/emulator/even_test.go
+++ b/internal/lab/emulator/even_test.go
@@ -118,8 +118,8 @@
 			cold, most := d.config(seed).Module, 0.0
 			for second := range int(EvenColdTime / time.Second) {
 				from := event.At + time.Duration(second)*time.Second
-				warm := cold.ColdFrom + (1-cold.ColdFrom)*float64(second)/EvenColdTime.Seconds()
-				bears := cold.ColdMultiple * warm * cold.Tenants[0].Quota / servers
+				warm := cold.SlowStartShare + (1-cold.SlowStartShare)*float64(second)/EvenColdTime.Seconds()
+				bears := cold.SlowStartOverload * warm * cold.Tenants[0].Quota / servers
 				got := make([]float64, servers+event.Came)
 				for _, a := range all {
 					if a.At >= from && a.At < from+time.Second {
--- a/internal/lab/emulator/fleet.go
+++ b/internal/lab/emulator/fleet.go
@@ -204,7 +204,7 @@
 		if j.ends != nil {
 			j.ends.Off()
 		}
-		j.end(0, policy.Broken)
+		j.end(0, policy.ConnectionLost)
 	}
 	n.running, n.waiting = nil, nil
 }
--- a/internal/lab/emulator/mass.go
+++ b/internal/lab/emulator/mass.go
@@ -43,11 +43,11 @@
 		Clients: Clients{Retries: 2, Backoff: time.Duration(between(rng, 25, 200) * float64(time.Millisecond)), Part: between(rng, 0.5, 0.8)},
 		Module: policy.Config{
 			Classes: []policy.Class{
-				{Aim: 500 * time.Millisecond, Deadline: time.Second, Worth: 5, Effect: policy.Keyed, Scope: policy.ScopeCell, Window: 600 * time.Millisecond},
-				{Aim: 600 * time.Millisecond, Deadline: 2500 * time.Millisecond, Worth: 2, Effect: policy.Unsafe},
+				{LatencyTarget: 500 * time.Millisecond, Deadline: time.Second, Value: 5, Effect: policy.Deduplicated, Scope: policy.ScopeCell, DedupWindow: 600 * time.Millisecond},
+				{LatencyTarget: 600 * time.Millisecond, Deadline: 2500 * time.Millisecond, Value: 2, Effect: policy.NonIdempotent},
 			},
-			MaxAttempts: 3, MayCancel: true, MayProbe: true, MaxRetryAfter: time.Second, Tick: time.Millisecond, MarksRepeat: true,
-			ColdFrom: 0.32, ColdTime: 8500 * time.Millisecond, ColdMultiple: 2.5, ProbePrice: 0.08,
+			MaxAttempts: 3, MayCancel: true, MayProbe: true, MaxRetryAfter: time.Second, Tick: time.Millisecond, ClientsMarkRetries: true,
+			SlowStartShare: 0.32, SlowStartTime: 8500 * time.Millisecond, SlowStartOverload: 2.5, ProbePrice: 0.08,
 			Reports: policy.HasInFlight | policy.HasService | policy.HasServed | policy.HasErrors,
 		},
 	}
--- a/internal/lab/emulator/server.go
+++ b/internal/lab/emulator/server.go
@@ -97,13 +97,13 @@
 	case n.state.TurnAway > 0 && n.f.rng.Float64() < n.state.TurnAway:
 		n.fade()
 		n.errors++
-		j.end(turnAwayTime, policy.TurnedAway)
+		j.end(turnAwayTime, policy.NotProcessed)
 	case n.state.Most > 0 && !n.token():
 		n.fade()
 		n.errors++
-		j.end(throttleTime, policy.TurnedAway)
+		j.end(throttleTime, policy.NotProcessed)
 	case n.state.Breaks > 0 && n.f.rng.Float64() < n.state.Breaks:
-		j.end(turnAwayTime, policy.Broken)
+		j.end(turnAwayTime, policy.ConnectionLost)
 	case len(n.running) < n.spec.Cores:
 		n.begin(j)
 	case len(n.waiting) < n.spec.Room:
@@ -111,7 +111,7 @@
 	default:
 		n.fade()
 		n.errors++
-		j.end(turnAwayTime, policy.TurnedAway)
+		j.end(turnAwayTime, policy.NotProcessed)
 	}
 	return j
 }
@@ -152,11 +152,11 @@
 
 func (n *node) warmth() float64 {
 	c := &n.f.cfg.Module
-	if n.started == 0 || c.ColdTime <= 0 {
+	if n.started == 0 || c.SlowStartTime <= 0 {
 		return 1
 	}
-	share := float64(n.f.clock.Now-n.started) / float64(c.ColdTime)
-	return min(1, c.ColdFrom+(1-c.ColdFrom)*share)
+	share := float64(n.f.clock.Now-n.started) / float64(c.SlowStartTime)
+	return min(1, c.SlowStartShare+(1-c.SlowStartShare)*share)
 }
 
 // leave takes a request off and begins the next.
--- a/internal/lab/emulator/sidecar.go
+++ b/internal/lab/emulator/sidecar.go
@@ -59,7 +59,7 @@
 	c := s.f.cfg.Module
 	c.Balancers, c.Index = s.f.cfg.Sidecars, s.index
 	if s.f.cfg.Place != nil {
-		c.Place = func() float64 { return s.f.cfg.Place(s.index) }
+		c.ArcStart = func() float64 { return s.f.cfg.Place(s.index) }
 	}
 	s.m, err = s.f.cfg.New(c, s.f.rng.Uint64(), s)
 	return err
@@ -81,7 +81,7 @@
 	b := f.bucket(f.Now())
 	b.Requests++
 	b.Tenant[tenant].Requests++
-	b.Worth += f.cfg.Module.Classes[class].Worth
+	b.Worth += f.cfg.Module.Classes[class].Value
 	b.Work += w.work
 	s.try(w, 0)
 }
@@ -100,7 +100,7 @@
 	r := &request{id: s.lastID, first: w, try: n, deadline: deadline}
 	s.open[r.id] = r
 	s.event(func() {
-		s.m.Request(f.clock.Now, policy.Request{ID: r.id, Class: w.class, Tenant: w.tenant, Left: deadline - f.clock.Now, Repeat: n > 0})
+		s.m.Request(f.clock.Now, policy.Request{ID: r.id, Class: w.class, Tenant: w.tenant, TimeLeft: deadline - f.clock.Now, IsRetry: n > 0})
 	})
 	f.clock.After(deadline-f.clock.Now+answerSlack, func() {
 		if !r.over {
@@ -126,7 +126,7 @@
 	r.attempts = append(r.attempts, a)
 	r.out++
 	f.buckets[r.first.bucket].Attempts++
-	if f.cfg.Module.Classes[r.first.class].Effect == policy.Unsafe {
+	if f.cfg.Module.Classes[r.first.class].Effect == policy.NonIdempotent {
 		for _, before := range r.attempts[:number] {
 			if before.ran {
 				f.err = fmt.Errorf("emu: unsafe request %d was sent again, and may have run", id)
@@ -139,7 +139,7 @@
 			return
 		}
 		a.ended = true
-		a.ran = e != policy.TurnedAway && e != policy.NoConnection && e != policy.NotSent
+		a.ran = e != policy.NotProcessed && e != policy.NoConnection && e != policy.NotSent
 		a.limit.Off()
 		s.outcome(r, number, e)
 	}
@@ -172,15 +172,15 @@
 		r.over = true
 		f := s.f
 		b, class := &f.buckets[r.first.bucket], &f.cfg.Module.Classes[r.first.class]
-		if f.clock.Now-r.first.at <= class.Aim {
+		if f.clock.Now-r.first.at <= class.LatencyTarget {
 			b.InTime++
-			b.Earned += class.Worth
+			b.Earned += class.Value
 			b.Tenant[r.first.tenant].InTime++
 		} else {
 			b.Late++
 		}
 	}
-	o := policy.Outcome{ID: r.id, Attempt: number, Ending: e, Settled: r.over}
+	o := policy.Outcome{ID: r.id, Attempt: number, Ending: e, Finished: r.over}
 	s.event(func() { s.m.Outcome(s.f.clock.Now, o) })
 	if r.over && r.out == 0 {
 		delete(s.open, r.id)
@@ -203,7 +203,7 @@
 	if r.out == 0 {
 		delete(s.open, r.id)
 	}
-	again := r.try < f.cfg.Clients.Retries && (refused || f.cfg.Module.Classes[r.first.class].Effect != policy.Unsafe)
+	again := r.try < f.cfg.Clients.Retries && (refused || f.cfg.Module.Classes[r.first.class].Effect != policy.NonIdempotent)
 	wait := max(pause, f.jitter(f.cfg.Clients.backoff(r.try)))
 	if again && f.clock.Now+wait < r.first.at+f.cfg.Module.Classes[r.first.class].Deadline {
 		f.clock.After(wait, func() { s.try(r.first, r.try+1) })
--- a/internal/lab/replay/estimate.go
+++ b/internal/lab/replay/estimate.go
@@ -146,9 +146,9 @@
 	q.tries[o.Attempt] = nil
 	if !q.over && o.Ending == policy.Served {
 		q.over = true
-		r.tally.at(q.at-r.begun).Present.served(r.clock.Now-q.at, r.p.classes[q.class].Aim)
+		r.tally.at(q.at-r.begun).Present.served(r.clock.Now-q.at, r.p.classes[q.class].LatencyTarget)
 	}
-	o.Settled = q.over
+	o.Finished = q.over
 	r.b.Outcome(r.clock.Now, o)
 }
 
--- a/internal/lab/replay/past.go
+++ b/internal/lab/replay/past.go
@@ -132,7 +132,7 @@
 		}
 		if a != nil && !a.over && o.Ending == policy.Served {
 			a.over = true
-			tally.at(a.at-begun).Recorded.served(now-a.at, p.classes[a.class].Aim)
+			tally.at(a.at-begun).Recorded.served(now-a.at, p.classes[a.class].LatencyTarget)
 		}
 	case *recordpb.Record_Refuse:
 		if a := p.asked[what.Refuse.Id]; a != nil && !a.over {
--- a/internal/mesh/balancer/balancer.go
+++ b/internal/mesh/balancer/balancer.go
@@ -79,7 +79,7 @@
 // Request takes a request: it is sent, queued or rejected at once. Its Terms are a *RequestClass.
 func (b *Balancer) Request(now time.Duration, q policy.Request) {
 	class, ok := q.Terms.(*RequestClass)
-	if !ok || q.Left <= deadlineMargin || b.requests[q.ID] != nil {
+	if !ok || q.TimeLeft <= deadlineMargin || b.requests[q.ID] != nil {
 		b.counters.Refused++
 		b.host.Refuse(q.ID, 0)
 		return
@@ -114,7 +114,7 @@
 		u.reportedLoad, u.reportedAt = o.Load.InFlight, now
 	}
 	b.recordOutcome(now, a, o.Ending)
-	if r.answered || o.Settled || o.Ending == policy.Served {
+	if r.answered || o.Finished || o.Ending == policy.Served {
 		b.complete(r)
 	} else {
 		b.retry(now, r, o.Ending)
--- a/internal/mesh/balancer/compartment.go
+++ b/internal/mesh/balancer/compartment.go
@@ -58,7 +58,7 @@
 func (b *Balancer) resize(c *compartment) {
 	all, _ := sizing.Compartments(b.totalSlots*c.share, b.members, 0, -1, 1, []float64{1})
 	c.slots = max(all[0].Slots, c.minSlots)
-	c.queueSlots = max(1, all[0].Places, c.minSlots/2)
+	c.queueSlots = max(1, all[0].QueueSlots, c.minSlots/2)
 }
 
 func (b *Balancer) resizeAll() {
--- a/internal/mesh/balancer/compartment_test.go
+++ b/internal/mesh/balancer/compartment_test.go
@@ -56,13 +56,13 @@
 		h := newHarness(ready(1, 0, 1))
 		for remaining := ms; remaining <= deadlineMargin; remaining += ms {
 			h.balancer.Request(h.now, policy.Request{
-				ID: policy.RequestID(remaining), Left: remaining, Terms: newClass(),
+				ID: policy.RequestID(remaining), TimeLeft: remaining, Terms: newClass(),
 			})
 			So(h.takeDecisions(), ShouldResemble, []string{fmt.Sprintf("refuse %d", remaining)})
 		}
 		h = newHarness()
 		check := newClass(func(c *RequestClass) { c.Priority = 0 })
-		h.balancer.Request(h.now, policy.Request{ID: 1, Left: deadlineMargin + ms, Terms: check})
+		h.balancer.Request(h.now, policy.Request{ID: 1, TimeLeft: deadlineMargin + ms, Terms: check})
 		h.now += ms
 		h.balancer.List(h.now, policy.ListFull, []policy.Server{ready(1, 0, 1)})
 		So(h.takeDecisions(), ShouldResemble, []string{"refuse 1"})
@@ -78,7 +78,7 @@
 	Convey("A new request does not overtake those queued in its compartment", t, func() {
 		h := newHarness(ready(1, 0, 4))
 		h.request(1, newClass())
-		So(h.endAttempt(1, 0, policy.Gated), ShouldBeEmpty) // it is queued for the same gate
+		So(h.endAttempt(1, 0, policy.GateRejected), ShouldBeEmpty) // it is queued for the same gate
 		h.now += gateRejectionBackoff
 		So(h.request(2, newClass())[0], ShouldEqual, "send 1 to 1") // before the Wake
 	})
--- a/internal/mesh/balancer/harness_test.go
+++ b/internal/mesh/balancer/harness_test.go
@@ -84,7 +84,7 @@
 
 // request has a request arrive that has a second.
 func (h *harness) request(id policy.RequestID, class *RequestClass) []string {
-	h.balancer.Request(h.now, policy.Request{ID: id, Left: time.Second, Terms: class})
+	h.balancer.Request(h.now, policy.Request{ID: id, TimeLeft: time.Second, Terms: class})
 	return h.takeDecisions()
 }
 
@@ -92,7 +92,7 @@
 func (h *harness) endAttempt(
 	id policy.RequestID, attempt int, ending policy.Ending, load ...float64,
 ) []string {
-	o := policy.Outcome{ID: id, Attempt: attempt, Ending: ending, Settled: ending == policy.Served}
+	o := policy.Outcome{ID: id, Attempt: attempt, Ending: ending, Finished: ending == policy.Served}
 	if len(load) > 0 {
 		o.Load = policy.Load{Has: policy.HasInFlight, InFlight: load[0]}
 	}
--- a/internal/mesh/balancer/random_test.go
+++ b/internal/mesh/balancer/random_test.go
@@ -12,9 +12,9 @@
 
 // endings are those of attempts in a trace, some more often than others; 42 is an unknown one.
 var endings = []policy.Ending{
-	policy.Served, policy.Served, policy.Errored, policy.TurnedAway, policy.TimedOut,
-	policy.NoConnection, policy.Broken, policy.Cancelled, policy.NotSent, policy.Rejected,
-	policy.Gated, policy.Gated, 42,
+	policy.Served, policy.Served, policy.Errored, policy.NotProcessed, policy.TimedOut,
+	policy.NoConnection, policy.ConnectionLost, policy.Cancelled, policy.NotSent, policy.InvalidRequest,
+	policy.GateRejected, policy.GateRejected, 42,
 }
 
 // tracedRequest is a request of a trace, as the test keeps account of it.
@@ -97,8 +97,8 @@
 	r.inFlight = false
 	tr.inFlight[r.class.Compartment.Name]--
 	switch ending {
-	case policy.Gated, policy.NoConnection, policy.NotSent:
-	case policy.TurnedAway:
+	case policy.GateRejected, policy.NoConnection, policy.NotSent:
+	case policy.NotProcessed:
 		r.arrivals++
 	case policy.Served:
 		r.answered = true // as the engine does
@@ -108,7 +108,7 @@
 	}
 	tr.ending = id
 	tr.h.balancer.Outcome(tr.h.now, policy.Outcome{
-		ID: id, Attempt: r.sends - 1, Ending: ending, Settled: r.answered, Load: load,
+		ID: id, Attempt: r.sends - 1, Ending: ending, Finished: r.answered, Load: load,
 	})
 	tr.ending = 0
 }
@@ -194,7 +194,7 @@
 	}
 	id := policy.RequestID(len(tr.requests) + 1)
 	tr.requests[id] = r
-	tr.h.balancer.Request(now, policy.Request{ID: id, Left: remaining, Terms: class})
+	tr.h.balancer.Request(now, policy.Request{ID: id, TimeLeft: remaining, Terms: class})
 	c := tr.h.balancer.compartments[class.Compartment.Name]
 	if !r.answered && !r.inFlight && len(c.queue) > c.queueSlots {
 		t.Fatalf("request %d is queued as one of %d for %d queue slots", id, len(c.queue), c.queueSlots)
--- a/internal/mesh/balancer/request.go
+++ b/internal/mesh/balancer/request.go
@@ -52,10 +52,10 @@
 
 // newRequest is a request that arrives now.
 func newRequest(now time.Duration, q policy.Request, class *RequestClass, c *compartment) *request {
-	r := &request{id: q.ID, class: class, compartment: c, deadline: now + q.Left - deadlineMargin}
+	r := &request{id: q.ID, class: class, compartment: c, deadline: now + q.TimeLeft - deadlineMargin}
 	wait := time.Duration(maxWaitFraction * float64(class.LatencyTarget))
 	if class.Priority == 0 { // if it fails, so does the request that made it
-		wait = max(wait, time.Duration(highestPriorityWaitFraction*float64(q.Left)))
+		wait = max(wait, time.Duration(highestPriorityWaitFraction*float64(q.TimeLeft)))
 	}
 	r.waitDeadline = min(r.deadline, now+wait)
 	return r
--- a/internal/mesh/balancer/retry.go
+++ b/internal/mesh/balancer/retry.go
@@ -24,9 +24,9 @@
 func (b *Balancer) retry(now time.Duration, r *request, ending policy.Ending) {
 	reached := true
 	switch ending {
-	case policy.Gated, policy.NoConnection, policy.NotSent:
+	case policy.GateRejected, policy.NoConnection, policy.NotSent:
 		reached = false // another upstream costs nothing
-	case policy.TurnedAway:
+	case policy.NotProcessed:
 		r.arrivals++
 	default:
 		r.arrivals++
--- a/internal/mesh/balancer/retry_test.go
+++ b/internal/mesh/balancer/retry_test.go
@@ -12,7 +12,7 @@
 func TestRetries(t *testing.T) {
 	three := []policy.Server{ready(1, 0, 8), ready(2, 0, 8), ready(3, 0, 8)}
 	Convey("A request that reached no upstream goes to the next one and costs nothing", t, func() {
-		for _, ending := range []policy.Ending{policy.Gated, policy.NoConnection, policy.NotSent} {
+		for _, ending := range []policy.Ending{policy.GateRejected, policy.NoConnection, policy.NotSent} {
 			h := newHarness(three...)
 			h.request(1, newClass(func(c *RequestClass) { c.Idempotent, c.MaxAttempts = false, 1 }))
 			So(h.endAttempt(1, 0, ending), ShouldResemble, []string{"send 1 to 2"})
@@ -22,11 +22,11 @@
 	})
 	Convey("One that reached an upstream is retried within the budget, if it can't run twice", t, func() {
 		for _, ending := range []policy.Ending{
-			policy.TurnedAway, policy.Broken, policy.TimedOut, policy.Cancelled, policy.Ending(99),
+			policy.NotProcessed, policy.ConnectionLost, policy.TimedOut, policy.Cancelled, policy.Ending(99),
 		} {
 			notIdempotent := newClass(func(c *RequestClass) { c.Idempotent = false })
 			withoutBudget, nextOfNotIdempotent := "fail 1", byte('f')
-			if ending == policy.TurnedAway { // it has not run
+			if ending == policy.NotProcessed { // it has not run
 				withoutBudget, nextOfNotIdempotent = "refuse 1", 's'
 			}
 			h := newHarness(three...)
@@ -50,7 +50,7 @@
 			h.request(id, newClass())
 		}
 		for id := policy.RequestID(1); id <= 3; id++ {
-			h.endAttempt(id, 0, policy.TurnedAway) // there is no other upstream yet
+			h.endAttempt(id, 0, policy.NotProcessed) // there is no other upstream yet
 		}
 		h.balancer.List(h.now, policy.ListDelta, []policy.Server{ready(2, 0, 8)})
 		So(h.chargedRetries, ShouldBeLessThanOrEqualTo, h.allowedRetries)
@@ -71,25 +71,25 @@
 	Convey("Events of unknown requests, repeated or early ones, change nothing", t, func() {
 		h := newHarness(three...)
 		h.request(1, newClass())
-		h.endAttempt(77, 0, policy.Broken)
-		h.endAttempt(1, 1, policy.Broken)
-		h.endAttempt(1, -1, policy.Broken)
+		h.endAttempt(77, 0, policy.ConnectionLost)
+		h.endAttempt(1, 1, policy.ConnectionLost)
+		h.endAttempt(1, -1, policy.ConnectionLost)
 		h.endAttempt(1, 0, policy.Served)
-		h.endAttempt(1, 0, policy.Broken)
+		h.endAttempt(1, 0, policy.ConnectionLost)
 		h.balancer.Wake(0)
 		h.balancer.ClientGone(h.now, 1)
 		h.balancer.StreamBegun(77)
 		h.balancer.Probed(h.now, 77, true, policy.Load{})
 		So(h.takeDecisions(), ShouldBeEmpty)
-		h.balancer.Request(h.now, policy.Request{ID: 2, Left: time.Second})
+		h.balancer.Request(h.now, policy.Request{ID: 2, TimeLeft: time.Second})
 		h.balancer.Request(h.now, policy.Request{ID: 3, Terms: newClass()})
 		So(h.takeDecisions(), ShouldResemble, []string{"refuse 2", "refuse 3"})
 		h.request(4, newClass())
-		So(h.endAttempt(4, 0, policy.Gated), ShouldHaveLength, 1)
-		So(h.endAttempt(4, 0, policy.Gated), ShouldBeEmpty)
+		So(h.endAttempt(4, 0, policy.GateRejected), ShouldHaveLength, 1)
+		So(h.endAttempt(4, 0, policy.GateRejected), ShouldBeEmpty)
 		h.balancer.ClientGone(h.now, 4)
 		So(h.takeDecisions(), ShouldResemble, []string{"cancel 4.1"})
-		So(h.endAttempt(4, 1, policy.Broken), ShouldBeEmpty)
+		So(h.endAttempt(4, 1, policy.ConnectionLost), ShouldBeEmpty)
 		So(h.balancer.requests, ShouldBeEmpty)
 	})
 }
--- a/internal/mesh/balancer/upstream.go
+++ b/internal/mesh/balancer/upstream.go
@@ -48,13 +48,13 @@
 	}
 	if kind != policy.ListDelta {
 		for _, u := range b.upstreams {
-			u.State = policy.Gone
+			u.State = policy.Deregistered
 		}
 	}
 	for _, e := range entries {
 		b.applyEntry(e)
 	}
-	b.upstreams = slices.DeleteFunc(b.upstreams, func(u *upstream) bool { return u.State == policy.Gone })
+	b.upstreams = slices.DeleteFunc(b.upstreams, func(u *upstream) bool { return u.State == policy.Deregistered })
 	b.totalSlots = 0
 	for _, u := range b.upstreams {
 		if u.State == policy.Ready {
@@ -83,14 +83,14 @@
 func (b *Balancer) recordOutcome(now time.Duration, a *attempt, ending policy.Ending) {
 	u := a.upstream
 	switch ending {
-	case policy.Served, policy.Rejected, policy.Errored, policy.Cancelled:
+	case policy.Served, policy.InvalidRequest, policy.Errored, policy.Cancelled:
 		u.failures = 0
-	case policy.Gated:
+	case policy.GateRejected:
 		a.rejectedByGate = true
 		u.failures = 0
 		u.availableAt = max(u.availableAt, now+gateRejectionBackoff)
 		b.counters.Walled++
-	case policy.NoConnection, policy.Broken, policy.TurnedAway:
+	case policy.NoConnection, policy.ConnectionLost, policy.NotProcessed:
 		u.failures++
 		backoff := failureBackoff << min(u.failures-1, maxBackoffDoublings)
 		u.availableAt = max(u.availableAt, now+backoff)
--- a/internal/mesh/gate/attempt_log_test.go
+++ b/internal/mesh/gate/attempt_log_test.go
@@ -19,7 +19,7 @@
 	const remaining = 10 * time.Second
 	Convey("Other arrivals of a started request fail as it may have run, also after its end", t, func() {
 		for _, ending := range []policy.Ending{
-			policy.Served, policy.Errored, policy.Broken, policy.TimedOut, policy.Cancelled,
+			policy.Served, policy.Errored, policy.ConnectionLost, policy.TimedOut, policy.Cancelled,
 		} {
 			h := newHarness(4)
 			So(h.requestWithTerms(1, onceTerms("a", 7, 1), remaining), ShouldResemble, []string{"send 1 to 1 for 0s"})
@@ -65,7 +65,7 @@
 	Convey("What the upstream rejected may be sent again, but not by a late copy", t, func() {
 		h := newHarness(4)
 		h.requestWithTerms(1, onceTerms("a", 7, 1), remaining)
-		So(h.endAttempt(ms, 1, policy.TurnedAway)[0], ShouldStartWith, "refuse 1")
+		So(h.endAttempt(ms, 1, policy.NotProcessed)[0], ShouldStartWith, "refuse 1")
 		So(h.requestWithTerms(2, onceTerms("a", 7, 1), remaining)[0], ShouldStartWith, "refuse 2")
 		So(h.requestWithTerms(3, onceTerms("a", 7, 2), remaining), ShouldResemble, []string{"send 3 to 1 for 0s"})
 	})
--- a/internal/mesh/gate/gate.go
+++ b/internal/mesh/gate/gate.go
@@ -91,7 +91,7 @@
 		g.inFlight--
 		g.health.record(now, r, o.Ending, g.slots)
 	}
-	if !o.Settled {
+	if !o.Finished {
 		g.answer(now, r, o.Ending)
 	}
 	g.advance(now)
@@ -102,7 +102,7 @@
 func (g *Gate) answer(now time.Duration, r *request, ending policy.Ending) {
 	switch ending {
 	case policy.Served:
-	case policy.TurnedAway, policy.NoConnection, policy.NotSent, policy.Gated:
+	case policy.NotProcessed, policy.NoConnection, policy.NotSent, policy.GateRejected:
 		g.reject(now, r)
 	default: // it may have run
 		g.fail(r)
--- a/internal/mesh/gate/gate_test.go
+++ b/internal/mesh/gate/gate_test.go
@@ -23,7 +23,7 @@
 		So(h.request(3, 2, time.Second, 0), ShouldBeEmpty)
 		So(h.request(4, 2, time.Second, 0), ShouldResemble, []string{"refuse 4 10ms"})
 		So(h.request(5, 1, time.Second, 0), ShouldResemble, []string{"refuse 3 10ms"})
-		h.gate.Request(h.now, policy.Request{ID: 6, Left: time.Second}) // without Terms: priority 2
+		h.gate.Request(h.now, policy.Request{ID: 6, TimeLeft: time.Second}) // without Terms: priority 2
 		So(h.takeDecisions(), ShouldResemble, []string{"refuse 6 10ms"})
 		So(h.endAttempt(ms, 1, policy.Served), ShouldResemble, []string{"send 5 to 1 for 0s"})
 		So(h.request(7, 0, time.Second, 0), ShouldBeEmpty) // has queue slots of its own
@@ -106,7 +106,7 @@
 }
 
 func TestDrainingUpstreamIsSentNothing(t *testing.T) {
-	for _, state := range []policy.State{policy.Draining, policy.Gone} {
+	for _, state := range []policy.State{policy.Draining, policy.Deregistered} {
 		Convey(fmt.Sprintf("An upstream in state %d is sent nothing more, its successor is", state), t, func() {
 			h := newHarness(1)
 			h.request(1, 2, time.Second, 0)
@@ -130,10 +130,10 @@
 	Convey("What has not run is rejected, what may have run fails, and each has one attempt", t, func() {
 		h := newHarness(1)
 		for ending, want := range map[policy.Ending]string{
-			policy.TurnedAway: "refuse", policy.NoConnection: "refuse",
-			policy.NotSent: "refuse", policy.Gated: "refuse",
-			policy.Errored: "fail", policy.Broken: "fail", policy.TimedOut: "fail",
-			policy.Cancelled: "fail", policy.Rejected: "fail",
+			policy.NotProcessed: "refuse", policy.NoConnection: "refuse",
+			policy.NotSent: "refuse", policy.GateRejected: "refuse",
+			policy.Errored: "fail", policy.ConnectionLost: "fail", policy.TimedOut: "fail",
+			policy.Cancelled: "fail", policy.InvalidRequest: "fail",
 		} {
 			id := policy.RequestID(ending) + 1
 			h.request(id, 2, time.Second, 0)
@@ -152,7 +152,7 @@
 		h.request(1, 2, time.Minute, 0)
 		h.request(2, 2, time.Minute, 0)
 		h.request(3, 2, time.Minute, 0)
-		So(h.endAttempt(ms, 1, policy.TurnedAway), ShouldResemble, []string{"refuse 1 10ms"})
+		So(h.endAttempt(ms, 1, policy.NotProcessed), ShouldResemble, []string{"refuse 1 10ms"})
 		So(h.wakes[len(h.wakes)-1], ShouldEqual, 201*ms)
 		So(h.wake(201*ms), ShouldResemble, []string{"send 3 to 1 for 0s"})
 	})
--- a/internal/mesh/gate/harness_test.go
+++ b/internal/mesh/gate/harness_test.go
@@ -70,7 +70,7 @@
 func (h *harness) requestWithTerms(
 	id policy.RequestID, terms *AttemptTerms, remaining time.Duration,
 ) []string {
-	h.gate.Request(h.now, policy.Request{ID: id, Left: remaining, Terms: terms})
+	h.gate.Request(h.now, policy.Request{ID: id, TimeLeft: remaining, Terms: terms})
 	return h.takeDecisions()
 }
 
--- a/internal/mesh/gate/health.go
+++ b/internal/mesh/gate/health.go
@@ -39,12 +39,12 @@
 // record takes the end of an attempt at an upstream with so many slots.
 func (h *health) record(now time.Duration, r *request, ending policy.Ending, slots int) {
 	switch ending {
-	case policy.Served, policy.Errored, policy.Rejected, policy.TurnedAway: // it answered
+	case policy.Served, policy.Errored, policy.InvalidRequest, policy.NotProcessed: // it answered
 		h.connectFailures, h.unreachableFor, h.unreachableUntil = 0, 0, 0
 	}
 	switch ending {
-	case policy.NotSent, policy.Gated:
-	case policy.TurnedAway:
+	case policy.NotSent, policy.GateRejected:
+	case policy.NotProcessed:
 		h.shedUntil = append(h.shedUntil, now+shedDuration)
 		if len(h.shedUntil) > slots {
 			h.shedUntil = slices.Delete(h.shedUntil, 0, 1)
--- a/internal/mesh/gate/random_test.go
+++ b/internal/mesh/gate/random_test.go
@@ -85,20 +85,20 @@
 	if ending == policy.Served && !tr.answered[id] {
 		tr.recordAnswer(id) // as the engine does
 	}
-	tr.h.gate.Outcome(tr.h.now, policy.Outcome{ID: id, Ending: ending, Settled: tr.answered[id]})
+	tr.h.gate.Outcome(tr.h.now, policy.Outcome{ID: id, Ending: ending, Finished: tr.answered[id]})
 }
 
 // step is a random event.
 func (tr *gateTrace) step() {
 	t := tr.t
-	ending := policy.Ending(rapid.IntRange(int(policy.Served), int(policy.Gated)).Draw(t, "ending"))
+	ending := policy.Ending(rapid.IntRange(int(policy.Served), int(policy.GateRejected)).Draw(t, "ending"))
 	switch what := rapid.IntRange(0, 12).Draw(t, "what"); {
 	case what == 0 && tr.ready:
 		tr.slots = rapid.IntRange(1, maxTraceSlots).Draw(t, "slots")
 		tr.h.list(policy.ListDelta, tr.upstream, policy.Ready, float64(tr.slots))
 	case what == 1 && tr.ready:
 		tr.ready = false
-		state := rapid.SampledFrom([]policy.State{policy.Draining, policy.Gone}).Draw(t, "state")
+		state := rapid.SampledFrom([]policy.State{policy.Draining, policy.Deregistered}).Draw(t, "state")
 		tr.h.list(policy.ListDelta, tr.upstream, state, 1)
 	case what == 1:
 		tr.replaceUpstream()
@@ -255,7 +255,7 @@
 	}
 	tr.arrivals[tr.last] = a
 	tr.h.gate.Request(tr.h.now, policy.Request{
-		ID: tr.last, Left: time.Second, Terms: onceTerms(a.id, 7, a.send),
+		ID: tr.last, TimeLeft: time.Second, Terms: onceTerms(a.id, 7, a.send),
 	})
 }
 
@@ -265,9 +265,9 @@
 	id := tr.inFlight[i]
 	tr.inFlight = slices.Delete(tr.inFlight, i, i+1)
 	ending := rapid.SampledFrom([]policy.Ending{
-		policy.Served, policy.Broken, policy.NoConnection, policy.TurnedAway,
+		policy.Served, policy.ConnectionLost, policy.NoConnection, policy.NotProcessed,
 	}).Draw(tr.t, "ending")
-	if ending == policy.NoConnection || ending == policy.TurnedAway {
+	if ending == policy.NoConnection || ending == policy.NotProcessed {
 		tr.executed[tr.arrivals[id].id] = false
 	}
 	tr.h.gate.Outcome(tr.h.now, policy.Outcome{ID: id, Ending: ending})
--- a/internal/mesh/gate/request.go
+++ b/internal/mesh/gate/request.go
@@ -45,7 +45,7 @@
 
 // newRequest is a request that arrives now.
 func newRequest(now time.Duration, q policy.Request) *request {
-	remaining := min(q.Left, maxRemaining)
+	remaining := min(q.TimeLeft, maxRemaining)
 	r := &request{id: q.ID, priority: defaultPriority, arrivedAt: now, deadline: now + remaining}
 	latencyTarget := remaining
 	r.terms, _ = q.Terms.(*AttemptTerms)
--- a/internal/mesh/gate/upstream.go
+++ b/internal/mesh/gate/upstream.go
@@ -24,7 +24,7 @@
 	}
 	isCurrent := func(e policy.Server) bool { return e.ID == g.upstream }
 	if kind != policy.ListDelta && g.state == policy.Ready && !slices.ContainsFunc(entries, isCurrent) {
-		g.retire(policy.Gone)
+		g.retire(policy.Deregistered)
 	}
 	for _, e := range entries {
 		switch {
@@ -44,7 +44,7 @@
 // adopt makes the entry the upstream, with its slots. The former one is sent nothing more.
 func (g *Gate) adopt(e policy.Server) {
 	if g.state == policy.Ready && e.ID != g.upstream {
-		g.retire(policy.Gone)
+		g.retire(policy.Deregistered)
 	}
 	if g.state != policy.Ready {
 		g.upstream, g.state, g.slots = e.ID, policy.Ready, 1
--- a/internal/mesh/headers/headers_test.go
+++ b/internal/mesh/headers/headers_test.go
@@ -50,14 +50,14 @@
 		{signed(304, Signature, "-"), policy.Served},
 		{signed(400, Signature, "-"), policy.Served},
 		{signed(404), policy.Served},
-		{signed(200, Signature, "-"), policy.Broken},
-		{signed(206, Signature, "-"), policy.Broken},
-		{signed(200, "Content-Encoding", "gzip"), policy.Broken},
-		{signed(408), policy.Broken},
-		{signed(429), policy.Broken},
-		{signed(503), policy.Broken},
-		{signed(503, NotExecuted, "1"), policy.TurnedAway},
-		{signed(421, Instance, "i-02d9e6b4"), policy.TurnedAway},
+		{signed(200, Signature, "-"), policy.ConnectionLost},
+		{signed(206, Signature, "-"), policy.ConnectionLost},
+		{signed(200, "Content-Encoding", "gzip"), policy.ConnectionLost},
+		{signed(408), policy.ConnectionLost},
+		{signed(429), policy.ConnectionLost},
+		{signed(503), policy.ConnectionLost},
+		{signed(503, NotExecuted, "1"), policy.NotProcessed},
+		{signed(421, Instance, "i-02d9e6b4"), policy.NotProcessed},
 		{signed(500), policy.Errored},
 		{signed(502), policy.Errored},
 		{signed(504, Signature, "-"), policy.Errored},
@@ -78,14 +78,14 @@
 			StripGateLoad(c.res.Header)
 			So(c.res.Header[gateLoadField], ShouldBeNil)
 		}
-		for notExecuted, want := range map[bool]policy.Ending{true: policy.Gated, false: policy.Broken} {
+		for notExecuted, want := range map[bool]policy.Ending{true: policy.GateRejected, false: policy.ConnectionLost} {
 			for _, status := range []int{200, 400, 421, 503, 504} {
 				fields := GateResponseFields("9c41", notExecuted, FormatLoad(1, 0, 1))
 				res := &http.Response{StatusCode: status, Header: fields}
 				ending, load := ClassifyGateResponse(res)
 				So(ending, ShouldEqual, want)
 				So(load.InFlight, ShouldEqual, 1)
-				So(res.Header[NotExecuted] != nil, ShouldEqual, want == policy.Gated)
+				So(res.Header[NotExecuted] != nil, ShouldEqual, want == policy.GateRejected)
 				So(MatchesAttempt(&call.Message{Header: http.Header{AttemptID: {"9c41"}}}, res), ShouldBeTrue)
 			}
 		}
@@ -95,7 +95,7 @@
 		So(ending, ShouldEqual, policy.Served)
 		for _, other := range []string{"served", "TURNED", "turned,turned"} {
 			ending, _ := ClassifyGateResponse(signed(200, outcomeField, other))
-			So(ending, ShouldEqual, policy.Broken)
+			So(ending, ShouldEqual, policy.ConnectionLost)
 		}
 	})
 	Convey("A response belongs to a request only with exactly its id, once", t, func() {
--- a/internal/mesh/headers/outcome.go
+++ b/internal/mesh/headers/outcome.go
@@ -33,11 +33,11 @@
 	load := ParseLoad(res.Header.Get(Load))
 	switch {
 	case res.Header[NotExecuted] != nil, res.StatusCode == http.StatusMisdirectedRequest:
-		return policy.TurnedAway, load
+		return policy.NotProcessed, load
 	case res.StatusCode/100 == 2 && (res.Header[Signature] == nil || res.Header["Content-Encoding"] != nil):
-		return policy.Broken, load
+		return policy.ConnectionLost, load
 	case impliesNotExecuted(res.StatusCode):
-		return policy.Broken, load // our client would take it for a proof, which the upstream didn't give
+		return policy.ConnectionLost, load // our client would take it for a proof, which the upstream didn't give
 	case res.StatusCode/100 == 5:
 		return policy.Errored, load
 	}
@@ -50,10 +50,10 @@
 	load := ParseLoad(res.Header.Get(gateLoadField))
 	switch res.Header.Get(outcomeField) {
 	case outcomeNotExecuted:
-		return policy.Gated, load
+		return policy.GateRejected, load
 	case "":
 	default:
-		return policy.Broken, load
+		return policy.ConnectionLost, load
 	}
 	ending, _ := ClassifyUpstreamResponse(res)
 	return ending, load
--- a/internal/mesh/sidecar/endpoints_test.go
+++ b/internal/mesh/sidecar/endpoints_test.go
@@ -73,7 +73,7 @@
 		e.deregister("i-1")
 		So(beat(e, "i-1", registry.Ready, 6), ShouldBeFalse)
 		So(listedStates(e), ShouldBeEmpty)
-		So(e.gateListing("a").Servers[0].State, ShouldEqual, policy.Gone)
+		So(e.gateListing("a").Servers[0].State, ShouldEqual, policy.Deregistered)
 		So(beat(e, "i-2", registry.Ready, 1), ShouldBeTrue)
 		So(listedStates(e), ShouldResemble, states{local("i-2"): policy.Ready})
 	})
--- a/internal/mesh/sidecar/inbound_test.go
+++ b/internal/mesh/sidecar/inbound_test.go
@@ -36,7 +36,7 @@
 
 // newInbound is the inbound side of a sidecar; the local instance is i-1.
 func newInbound(host policy.Host) (*inbound, *http1.Dialect) {
-	i := &inbound{gate: gate.New(host), clock: clock.NewMovable()}
+	i := &inbound{gate: gate.New(host), clock: clock.NewAdjustable()}
 	instance := "i-1"
 	i.instance.Store(&instance)
 	return i, i.frontDialect()
@@ -54,10 +54,10 @@
 		_, _, rejection := d.ParseRequest(h)
 		So(rejection, ShouldNotBeNil)
 		So(rejection.Status, ShouldEqual, status)
-		So(endingOf(d, status, h, nil), ShouldEqual, policy.Gated)
+		So(endingOf(d, status, h, nil), ShouldEqual, policy.GateRejected)
 	}
 	Convey("Before the local instance is known all is rejected as not executed", t, func() {
-		i := &inbound{gate: gate.New(nil), clock: clock.NewMovable()}
+		i := &inbound{gate: gate.New(nil), clock: clock.NewAdjustable()}
 		d := i.frontDialect()
 		shouldReject(d, attemptIDField+sidecarFields, 503)
 		shouldReject(d, attemptIDField+termsField+sendField+timeoutField, 503)
@@ -78,10 +78,10 @@
 	Convey("A rejection by the front is recorded, and is promised as not executed", t, func() {
 		i, d := newInbound(nil)
 		h := parseHead(idempotentLine, once)
-		So(endingOf(d, 503, h, nil), ShouldEqual, policy.Gated)
+		So(endingOf(d, 503, h, nil), ShouldEqual, policy.GateRejected)
 		So(i.gate.AttemptLog().Size(), ShouldEqual, 1)
 		unasked := &call.Answer{Kind: call.Refused, RejectedByFront: true}
-		So(endingOf(d, 503, h, unasked), ShouldEqual, policy.Gated)
+		So(endingOf(d, 503, h, unasked), ShouldEqual, policy.GateRejected)
 	})
 	Convey("It is not promised where another arrival of the request was sent", t, func() {
 		host := new(countingHost)
@@ -90,14 +90,14 @@
 		h := parseHead(idempotentLine, once)
 		q, remaining, rejection := d.ParseRequest(h)
 		So(rejection, ShouldBeNil)
-		q.ID, q.Left = 1, remaining
+		q.ID, q.TimeLeft = 1, remaining
 		i.gate.Request(0, q)
 		So(host.sent, ShouldEqual, 1)
 		unasked := &call.Answer{Kind: call.Refused, RejectedByFront: true}
-		So(endingOf(d, 503, h, unasked), ShouldEqual, policy.Broken)
-		So(endingOf(d, 503, h, nil), ShouldEqual, policy.Broken)
+		So(endingOf(d, 503, h, unasked), ShouldEqual, policy.ConnectionLost)
+		So(endingOf(d, 503, h, nil), ShouldEqual, policy.ConnectionLost)
 		byGate := &call.Answer{Kind: call.Refused}
-		So(endingOf(d, 503, h, byGate), ShouldEqual, policy.Gated)
+		So(endingOf(d, 503, h, byGate), ShouldEqual, policy.GateRejected)
 	})
 	Convey("A request of a sidecar is admitted with its terms, without the sidecars' own fields", t, func() {
 		_, d := newInbound(nil)
@@ -115,7 +115,7 @@
 			headers.AttemptID: {"9c41"}, headers.Timeout: {"800"}, headers.Target: {"i-1"},
 			headers.Tenant: {"bozi300"},
 		})
-		So(endingOf(d, 503, h, &call.Answer{Kind: call.Refused}), ShouldEqual, policy.Gated)
-		So(endingOf(d, 503, h, &call.Answer{Kind: call.Failed}), ShouldEqual, policy.Broken)
+		So(endingOf(d, 503, h, &call.Answer{Kind: call.Refused}), ShouldEqual, policy.GateRejected)
+		So(endingOf(d, 503, h, &call.Answer{Kind: call.Failed}), ShouldEqual, policy.ConnectionLost)
 	})
 }
--- a/internal/mesh/sidecar/listings.go
+++ b/internal/mesh/sidecar/listings.go
@@ -57,5 +57,5 @@
 	case registry.Draining:
 		return policy.Draining
 	}
-	return policy.Gone
+	return policy.Deregistered
 }
--- a/internal/mesh/sidecar/outbound_test.go
+++ b/internal/mesh/sidecar/outbound_test.go
@@ -49,7 +49,7 @@
 // newOutbound is the outbound side of a sidecar beside service huvo11a with a configuration; "": none.
 func newOutbound(snapshot string) (*outbound, *http1.Dialect) {
 	s := &Sidecar{
-		settings: new(settings.Settings), clock: clock.NewMovable(), log: zap.NewNop(),
+		settings: new(settings.Settings), clock: clock.NewAdjustable(), log: zap.NewNop(),
 		endpoints: newEndpoints([]string{"hall-a", "hall-b"}, localInbound),
 	}
 	s.settings.Self.ServiceName = "huvo11a"
@@ -186,7 +186,7 @@
 		So(rejection.RetryAfter, ShouldBeBetween, 0, 10*time.Second)
 		So(admit(idempotentLine, apiKeyField), ShouldBeNil)
 		So(admit(openLine, meagreKeyField), ShouldBeNil)
-		o.quota.clock.Jump(time.Hour)
+		o.quota.clock.Advance(time.Hour)
 		So(admit(idempotentLine, meagreKeyField), ShouldBeNil)
 	})
 	Convey("Clients have the limits in force, and a gate admits what any sidecar has admitted", t, func() {
--- a/internal/proxy/bulkhead/bulkhead_test.go
+++ b/internal/proxy/bulkhead/bulkhead_test.go
@@ -13,22 +13,22 @@
 func TestRoomStaysSane(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := New(rapid.Float64Range(0, 600).Draw(t, "hold"))
-		w.Even = rapid.Float64Range(0, 1e9).Draw(t, "even")
+		w.EvenShare = rapid.Float64Range(0, 1e9).Draw(t, "even")
 		now := time.Hour
 		for range rapid.IntRange(0, 100).Draw(t, "events") {
 			now += time.Duration(rapid.Int64Range(-int64(time.Second), int64(time.Hour)).Draw(t, "passes"))
 			if rapid.Bool().Draw(t, "came") {
-				w.Came(now)
+				w.RecordRequest(now)
 			} else {
-				w.Took(now, rapid.Float64Range(0, 1000).Draw(t, "took"))
+				w.RecordLatency(now, rapid.Float64Range(0, 1000).Draw(t, "took"))
 			}
-			room := w.Room(now, 1, 1<<20)
+			room := w.Limit(now, 1, 1<<20)
 			if !(room >= 1) || math.IsInf(room, 0) {
 				t.Fatalf("room for %v", room)
 			}
 			slower := w
-			slower.Took(now, math.Exp(w.crowd)*10+1)
-			if more := slower.Room(now, 1, 1<<20); more > room {
+			slower.RecordLatency(now, math.Exp(w.congestion)*10+1)
+			if more := slower.Limit(now, 1, 1<<20); more > room {
 				t.Fatalf("room for %v, after a slower answer for %v", room, more)
 			}
 		}
@@ -40,14 +40,14 @@
 func TestRoomFollowsOnesOwnTraffic(t *testing.T) {
 	room := func(rate, took float64) float64 {
 		w := New(0.06)
-		w.Even = 1.2
+		w.EvenShare = 1.2
 		now := time.Hour
 		for range int(60 * rate) {
 			now += time.Duration(float64(time.Second) / rate)
-			w.Came(now)
-			w.Took(now, took)
+			w.RecordRequest(now)
+			w.RecordLatency(now, took)
 		}
-		return w.Room(now, 1, 1<<20)
+		return w.Limit(now, 1, 1<<20)
 	}
 	light, heavy := room(4, 0.2), room(100, 0.2)
 	if light > 6 || heavy < 2*light || heavy > 24 {
@@ -68,16 +68,16 @@
 		if i%10 == 0 {
 			took = 1
 		}
-		w.Took(now, took)
-		if w.Crowded() && i > 20 {
+		w.RecordLatency(now, took)
+		if w.Congested() && i > 20 {
 			t.Fatalf("crowded at answer %d, nine of ten are quick", i)
 		}
 	}
 	for range 16 {
 		now += 50 * time.Millisecond
-		w.Took(now, 0.4)
+		w.RecordLatency(now, 0.4)
 	}
-	if !w.Crowded() {
+	if !w.Congested() {
 		t.Fatal("not crowded after 16 slow answers")
 	}
 }
@@ -86,16 +86,16 @@
 // and heavy ones refused a fifth for as long as that.
 func TestOneThatJustBeganKnowsItsTrafficSoon(t *testing.T) {
 	old, begun := New(0.06), New(0.06)
-	old.Even, begun.Even = 0.3, 0.3
+	old.EvenShare, begun.EvenShare = 0.3, 0.3
 	now := time.Hour
 	for i := range 4000 {
 		now += 10 * time.Millisecond
-		old.Came(now)
+		old.RecordRequest(now)
 		if i >= 3800 { // two seconds before
-			begun.Came(now)
+			begun.RecordRequest(now)
 		}
 	}
-	if b, o := begun.Room(now, 1, 1<<20), old.Room(now, 1, 1<<20); b < 0.7*o {
+	if b, o := begun.Limit(now, 1, 1<<20), old.Limit(now, 1, 1<<20); b < 0.7*o {
 		t.Errorf("room for %.1f two seconds after it began, %.1f for one that knows", b, o)
 	}
 }
@@ -103,10 +103,10 @@
 // Guards against a tenant that floods and takes all of the room: the other is let in up to its share.
 func TestAFloodLeavesTheOthersTheirs(t *testing.T) {
 	w := New(0.06)
-	w.Even = 3
-	room := w.Room(time.Hour, 0.2, 1<<20)
+	w.EvenShare = 3
+	room := w.Limit(time.Hour, 0.2, 1<<20)
 	out := int(room) + 1 // the flood's
-	if float64(out) < w.Room(time.Hour, 0.2, out) || float64(out) >= w.Room(time.Hour, 0.8, 0) {
-		t.Errorf("%d out: room for %.1f, for the other tenant %.1f", out, room, w.Room(time.Hour, 0.8, 0))
+	if float64(out) < w.Limit(time.Hour, 0.2, out) || float64(out) >= w.Limit(time.Hour, 0.8, 0) {
+		t.Errorf("%d out: room for %.1f, for the other tenant %.1f", out, room, w.Limit(time.Hour, 0.8, 0))
 	}
 }
--- a/internal/proxy/clock/boot_linux.go
+++ b/internal/proxy/clock/boot_linux.go
@@ -8,7 +8,7 @@
 
 // Boot is the time since the machine started. It never goes back, no date that is set moves it, and it counts while this process or the whole machine
 // stands still: what a lease has to be set against. Go's own monotonic clock stops while a machine sleeps.
-func Boot() time.Duration {
+func SinceBoot() time.Duration {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
 		return sinceStart()
--- a/internal/proxy/clock/clock.go
+++ b/internal/proxy/clock/clock.go
@@ -11,31 +11,31 @@
 // machine's date. Copies are the same clock.
 type Clock struct {
 	start  time.Time
-	jumped *atomic.Int64 // nanoseconds that tests have it ahead by; nil: it can't be moved
+	offset *atomic.Int64 // nanoseconds that tests have it ahead by; nil: it can't be moved
 }
 
 // New starts a clock.
 func New() Clock { return Clock{start: time.Now()} }
 
 // NewMovable starts a clock that Jump moves: it stands in for a process that is stopped for a while.
-func NewMovable() Clock { return Clock{start: time.Now(), jumped: new(atomic.Int64)} }
+func NewAdjustable() Clock { return Clock{start: time.Now(), offset: new(atomic.Int64)} }
 
 // Jump moves a clock of NewMovable ahead by d, as a process finds it that was stopped for so long.
-func (c Clock) Jump(d time.Duration) { c.jumped.Add(int64(d)) }
+func (c Clock) Advance(d time.Duration) { c.offset.Add(int64(d)) }
 
-func (c Clock) ahead() time.Duration {
-	if c.jumped == nil {
+func (c Clock) currentOffset() time.Duration {
+	if c.offset == nil {
 		return 0
 	}
-	return time.Duration(c.jumped.Load())
+	return time.Duration(c.offset.Load())
 }
 
 // Now is the time since the Unix epoch.
 func (c Clock) Now() time.Duration {
-	return time.Duration(c.start.UnixNano()) + time.Since(c.start) + c.ahead()
+	return time.Duration(c.start.UnixNano()) + time.Since(c.start) + c.currentOffset()
 }
 
 // At is the moment d of this clock as a time for deadlines on connections.
 func (c Clock) At(d time.Duration) time.Time {
-	return c.start.Add(d - c.ahead() - time.Duration(c.start.UnixNano()))
+	return c.start.Add(d - c.currentOffset() - time.Duration(c.start.UnixNano()))
 }
--- a/internal/proxy/clock/clock_test.go
+++ b/internal/proxy/clock/clock_test.go
@@ -25,9 +25,9 @@
 
 // What was due before a jump is due in the past after it.
 func TestJump(t *testing.T) {
-	c := NewMovable()
+	c := NewAdjustable()
 	due := c.Now() + time.Minute
-	c.Jump(time.Hour)
+	c.Advance(time.Hour)
 	if now := c.Now(); now < due+58*time.Minute || c.At(due).After(time.Now().Add(-58*time.Minute)) {
 		t.Errorf("an hour on: %v after what was due, which is at %v", now-due, c.At(due))
 	}
--- a/internal/proxy/discoverypace/discoverypace_test.go
+++ b/internal/proxy/discoverypace/discoverypace_test.go
@@ -48,7 +48,7 @@
 				if o.ends = 0; o.failed {
 					o.pace.Failed(now)
 				} else {
-					o.pace.Heard()
+					o.pace.Subscribed()
 					subscribed++
 				}
 			}
@@ -87,7 +87,7 @@
 		t.Fatal("three balancers wait")
 	}
 	p.Failed(time.Hour)
-	if !p.Due(time.Hour + firstPause*2) {
+	if !p.Due(time.Hour + minBackoff*2) {
 		t.Fatal("does not ask again soon")
 	}
 }
@@ -119,7 +119,7 @@
 func TestNothingKnownAsksAtOnceAndFailuresSpace(t *testing.T) {
 	p := New(rand.New(rand.NewPCG(1, 2)), 80, 0)
 	p.Start(time.Hour)
-	p.Now(time.Hour)
+	p.AskNow(time.Hour)
 	if !p.Due(time.Hour) {
 		t.Fatal("nothing is known and it does not ask")
 	}
--- a/internal/proxy/engine/engine.go
+++ b/internal/proxy/engine/engine.go
@@ -344,7 +344,7 @@
 	}
 	for _, s := range news.Servers {
 		switch known, address := before[s.ID], news.Addresses[s.ID]; {
-		case s.State == policy.Gone:
+		case s.State == policy.Deregistered:
 			delete(e.servers, s.ID)
 		case known != nil && known.address == address:
 			e.servers[s.ID] = known
@@ -368,7 +368,7 @@
 		m.Upload.OnClaim(func() { e.post(func(time.Duration) { e.bodyClaimed(q.ID) }) })
 	}
 	e.post(func(now time.Duration) {
-		q.Left = deadline - now
+		q.TimeLeft = deadline - now
 		e.requests[q.ID] = &request{message: m, deadline: deadline, reply: reply}
 		e.module.Request(now, q)
 	})
@@ -380,7 +380,7 @@
 	if r := e.requests[id]; r != nil && !r.finished && !r.bodyClaimed {
 		r.bodyClaimed = true
 		// Settled, with no word on the server: a client that sends slowly must hold no slot that others need.
-		e.module.Outcome(e.now, policy.Outcome{ID: id, Attempt: len(r.attempts) - 1, Ending: policy.NotSent, Settled: true})
+		e.module.Outcome(e.now, policy.Outcome{ID: id, Attempt: len(r.attempts) - 1, Ending: policy.NotSent, Finished: true})
 	}
 }
 
@@ -410,7 +410,7 @@
 func (e *Engine) reportOutcome(o policy.Outcome) {
 	r := e.requests[o.ID]
 	r.inFlight--
-	o.Settled = r.finished
+	o.Finished = r.finished
 	if !r.bodyClaimed { // else the module has had its word
 		e.module.Outcome(e.now, o)
 	}
@@ -437,7 +437,7 @@
 		e.finish(id, r, &call.Answer{Kind: call.Served, Status: res.Status, Header: res.Header, Trailer: res.Trailer, Body: res.Body, Stream: res.Stream})
 	case r.bodyClaimed:
 		e.endOwned(id, r, &res)
-	case res.Ending == policy.Errored || res.Ending == policy.Rejected:
+	case res.Ending == policy.Errored || res.Ending == policy.InvalidRequest:
 		r.lastResult = &res
 	}
 	e.reportOutcome(policy.Outcome{ID: id, Attempt: number, Ending: res.Ending, Load: res.Load})
@@ -446,7 +446,7 @@
 // endOwned answers a request whose body only this attempt could pass on, by what its end proves.
 func (e *Engine) endOwned(id policy.RequestID, r *request, res *call.Result) {
 	switch res.Ending {
-	case policy.NoConnection, policy.TurnedAway, policy.NotSent, policy.Gated: // it never ran
+	case policy.NoConnection, policy.NotProcessed, policy.NotSent, policy.GateRejected: // it never ran
 		e.finish(id, r, &call.Answer{Kind: call.Refused, RetryAfter: uploadRetryAfter})
 	default:
 		e.finish(id, r, &call.Answer{Kind: call.Failed, TimedOut: r.timedOut, LastResult: r.lastResult})
--- a/internal/proxy/engine/engine_test.go
+++ b/internal/proxy/engine/engine_test.go
@@ -211,7 +211,7 @@
 	if len(l.servers) != 1 {
 		t.Errorf("addresses %v after no change", l.servers)
 	}
-	l.applyList(call.ServerList{Servers: []policy.Server{{ID: id, State: policy.Gone}}}, policy.ListDelta)
+	l.applyList(call.ServerList{Servers: []policy.Server{{ID: id, State: policy.Deregistered}}}, policy.ListDelta)
 	if len(l.servers) != 0 {
 		t.Errorf("addresses %v, the server is gone", l.servers)
 	}
@@ -252,8 +252,8 @@
 	n.fold(list(false, policy.Server{ID: 1, State: policy.Ready}))
 	n.fold(list(true, policy.Server{ID: 2, State: policy.Ready}, policy.Server{ID: 3, State: policy.Ready}))
 	n.fold(list(false, policy.Server{ID: 2, State: policy.Draining}, policy.Server{ID: 4, State: policy.Ready}))
-	n.fold(list(false, policy.Server{ID: 4, State: policy.Gone}))
-	want := []policy.Server{{ID: 2, State: policy.Draining}, {ID: 3, State: policy.Ready}, {ID: 4, State: policy.Gone}}
+	n.fold(list(false, policy.Server{ID: 4, State: policy.Deregistered}))
+	want := []policy.Server{{ID: 2, State: policy.Draining}, {ID: 3, State: policy.Ready}, {ID: 4, State: policy.Deregistered}}
 	if !n.list.Full || !slices.Equal(n.list.Servers, want) || len(n.list.Addresses) != 3 {
 		t.Errorf("folded to %+v, want the whole list %+v", n.list, want)
 	}
--- a/internal/proxy/engine/pause_test.go
+++ b/internal/proxy/engine/pause_test.go
@@ -60,9 +60,9 @@
 		e, err := New(Config{
 			Policy: policy.Config{
 				Balancers: 1, MaxAttempts: 3, MayCancel: true, MaxRetryAfter: time.Second,
-				Classes: []policy.Class{{Aim: 500 * time.Millisecond, Deadline: 2500 * time.Millisecond, Worth: 1, Effect: policy.Unsafe}},
+				Classes: []policy.Class{{LatencyTarget: 500 * time.Millisecond, Deadline: 2500 * time.Millisecond, Value: 1, Effect: policy.NonIdempotent}},
 			},
-			Clock: clock.NewMovable(), Transport: r, Log: slog.New(slog.DiscardHandler), NoCounterLog: true,
+			Clock: clock.NewAdjustable(), Transport: r, Log: slog.New(slog.DiscardHandler), NoCounterLog: true,
 		})
 		if err != nil {
 			t.Fatal(err)
@@ -91,7 +91,7 @@
 // arrives: both lie there when it goes on, and the request comes first. It must not be sent to that server.
 func TestNewsIsHeardFirstAfterAStop(t *testing.T) {
 	paused(t, func(e *Engine, r *recorder) {
-		e.Clock.Jump(1500 * time.Millisecond)
+		e.Clock.Advance(1500 * time.Millisecond)
 		reply := make(chan call.Answer, 2)
 		e.Submit(policy.Request{}, &call.Message{}, e.Clock.Now()+2*time.Second, reply)
 		time.Sleep(10 * time.Millisecond) // those who read discovery's answer take a moment
@@ -110,7 +110,7 @@
 	paused(t, func(e *Engine, r *recorder) {
 		reply := make(chan call.Answer, 2)
 		deadline := e.Clock.Now() + time.Second
-		e.Clock.Jump(1500 * time.Millisecond)
+		e.Clock.Advance(1500 * time.Millisecond)
 		e.Submit(policy.Request{}, &call.Message{}, deadline, reply)
 		if a := <-reply; a.Kind != call.Refused {
 			t.Errorf("answer %+v, want refused: nothing was sent", a)
@@ -135,7 +135,7 @@
 		if out == 0 {
 			t.Fatal("nothing was sent")
 		}
-		e.Clock.Jump(1500 * time.Millisecond)
+		e.Clock.Advance(1500 * time.Millisecond)
 		for _, s := range r.all() {
 			s.done(call.Result{Ending: policy.TimedOut})
 		}
@@ -160,7 +160,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			r := new(recorder)
 			e, err := New(Config{
-				Policy: policy.Config{Balancers: 1, MaxAttempts: 3, MayCancel: true, Classes: []policy.Class{{Aim: time.Second, Deadline: 2 * time.Second, Effect: policy.Unsafe}}},
+				Policy: policy.Config{Balancers: 1, MaxAttempts: 3, MayCancel: true, Classes: []policy.Class{{LatencyTarget: time.Second, Deadline: 2 * time.Second, Effect: policy.NonIdempotent}}},
 				Clock:  clock.New(), Transport: r, Log: slog.New(slog.DiscardHandler), NoCounterLog: true,
 			})
 			if err != nil {
--- a/internal/proxy/front/http1/ahead_test.go
+++ b/internal/proxy/front/http1/ahead_test.go
@@ -70,10 +70,10 @@
 			if strings.HasPrefix(h.Target, "/over") {
 				return policy.Request{}, 0, &Rejection{Status: http.StatusTooManyRequests, KeepAlive: true}
 			}
-			return policy.Request{Repeat: strings.HasPrefix(h.Target, "/safe")}, time.Minute, nil
+			return policy.Request{IsRetry: strings.HasPrefix(h.Target, "/safe")}, time.Minute, nil
 		},
 		RewriteHeaders: func(*policy.Request, http.Header) {},
-		CanPipeline:    func(q *policy.Request) bool { return q.Repeat },
+		CanPipeline:    func(q *policy.Request) bool { return q.IsRetry },
 		ProxyHeaders:   func(h *h1.Head, _ *call.Answer) http.Header { return http.Header{"Of": {h.Target}} },
 	}
 }
@@ -82,7 +82,7 @@
 func newDesk(t *testing.T, most int, dialect bool, change ...func(*Config)) *desk {
 	t.Helper()
 	d := &desk{asks: make(chan asked, 64), gone: make(chan policy.RequestID, 64), served: make(chan error, 1)}
-	d.target = &Target{Engine: d, MaxOpen: most, MaxBodyBytes: 1 << 20, Classes: map[string]int{"look": 0}, ClassOf: []policy.Class{{Effect: policy.Safe, Deadline: time.Minute}}}
+	d.target = &Target{Engine: d, MaxOpen: most, MaxBodyBytes: 1 << 20, Classes: map[string]int{"look": 0}, ClassOf: []policy.Class{{Effect: policy.Idempotent, Deadline: time.Minute}}}
 	cfg := Config{Route: RouteTo(d.target), ConnLimits: NewConnLimits(64, 64), Linger: time.Millisecond, MaxDeadline: testbed.Generous, Log: slog.New(slog.DiscardHandler)}
 	if dialect {
 		cfg.Dialect = d.dialect()
--- a/internal/proxy/front/http1/body.go
+++ b/internal/proxy/front/http1/body.go
@@ -88,7 +88,7 @@
 			if b.chunks != nil && len(b.buf) < stream.WindowSize/2 { // more is to come than what is held
 				b.buf = make([]byte, stream.WindowSize/2)
 			}
-			_ = b.c.net.SetReadDeadline(time.Now().Add(stream.StandTime))
+			_ = b.c.net.SetReadDeadline(time.Now().Add(stream.StallTimeout))
 			if b.stopped.Load() { // its own deadline came first
 				return 0, errStopped
 			}
@@ -202,8 +202,8 @@
 
 // over reads the rest of the body over; false: it did not come.
 func (b *bodyReader) over() bool {
-	p := stream.Take()
-	defer stream.Give(p)
+	p := stream.AcquireWindow()
+	defer stream.ReleaseWindow(p)
 	for {
 		if _, err := b.read(p[:], false); err != nil {
 			return errors.Is(err, io.EOF)
@@ -240,8 +240,8 @@
 		defer close(joined)
 		c.besides(body, ended)
 	}()
-	window := stream.Take()
-	defer stream.Give(window)
+	window := stream.AcquireWindow()
+	defer stream.ReleaseWindow(window)
 	chunked := head.Length < 0
 	for {
 		n, err := body.Read(window[h1.ChunkPrefixBytes : stream.WindowSize-h1.ChunkSuffixBytes])
--- a/internal/proxy/front/http1/conn.go
+++ b/internal/proxy/front/http1/conn.go
@@ -595,8 +595,8 @@
 
 // readOver reads so many bytes over; false: they did not come.
 func (c *conn) readOver(rest int64) bool {
-	b := stream.Take()
-	defer stream.Give(b)
+	b := stream.AcquireWindow()
+	defer stream.ReleaseWindow(b)
 	c.start, c.end = 0, 0 // what was here is part of it
 	for rest > 0 {
 		n, err := c.read(b[:min(rest, stream.WindowSize)])
--- a/internal/proxy/front/http1/request.go
+++ b/internal/proxy/front/http1/request.go
@@ -77,13 +77,13 @@
 		return no(http.StatusMethodNotAllowed, "requests of this class are sent with "+want)
 	}
 	switch {
-	case class.Effect == policy.Keyed && key == "":
+	case class.Effect == policy.Deduplicated && key == "":
 		return no(http.StatusBadRequest, "Idempotency-Key is missing")
-	case class.Effect == policy.Unsafe && key != "":
+	case class.Effect == policy.NonIdempotent && key != "":
 		return no(http.StatusBadRequest, "Idempotency-Key is of no use in this class")
-	case class.Effect == policy.Safe && (r.Length > 0 || r.Chunked):
+	case class.Effect == policy.Idempotent && (r.Length > 0 || r.Chunked):
 		return no(http.StatusBadRequest, "GET has no body")
-	case class.Effect != policy.Safe && r.Length < 0 && !r.Chunked:
+	case class.Effect != policy.Idempotent && r.Length < 0 && !r.Chunked:
 		return no(http.StatusLengthRequired, "Content-Length and Transfer-Encoding are missing")
 	}
 	if len(t.Tenants) > 0 {
@@ -100,11 +100,11 @@
 		}
 	}
 	q.Key = call.RouteKey(r.Get("X-Route-Key"))
-	q.Repeat = r.Get("X-Retried") == "1"
+	q.IsRetry = r.Get("X-Retried") == "1"
 	return q, left, nil
 }
 
 // methods are what each effect's requests are sent with.
 var methods = map[policy.Effect]string{
-	policy.Safe: http.MethodGet, policy.Keyed: http.MethodPost, policy.Unsafe: http.MethodPost,
+	policy.Idempotent: http.MethodGet, policy.Deduplicated: http.MethodPost, policy.NonIdempotent: http.MethodPost,
 }
--- a/internal/proxy/keyedqueue/keyedqueue.go
+++ b/internal/proxy/keyedqueue/keyedqueue.go
@@ -9,26 +9,26 @@
 )
 
 // Line is the requests of one key. A nil Line is no line: everybody is first in it.
-type Line[R comparable] struct {
-	waiting []R
-	restEnd time.Duration // an attempt may still be running until then
+type Queue[R comparable] struct {
+	waiting   []R
+	settledAt time.Duration // an attempt may still be running until then
 }
 
 // First says whether a request is the first of its key.
-func (l *Line[R]) First(r R) bool { return l == nil || l.waiting[0] == r }
+func (l *Queue[R]) IsFirst(r R) bool { return l == nil || l.waiting[0] == r }
 
 // Rests says whether an attempt of an earlier one may still be running.
-func (l *Line[R]) Rests(now time.Duration) bool { return l != nil && now < l.restEnd }
+func (l *Queue[R]) IsSettling(now time.Duration) bool { return l != nil && now < l.settledAt }
 
 // Rest takes that an attempt may be running until then.
-func (l *Line[R]) Rest(until time.Duration) {
+func (l *Queue[R]) SettleUntil(until time.Duration) {
 	if l != nil {
-		l.restEnd = max(l.restEnd, until)
+		l.settledAt = max(l.settledAt, until)
 	}
 }
 
 // Leave takes a request out, which is over.
-func (l *Line[R]) Leave(r R) {
+func (l *Queue[R]) Remove(r R) {
 	if l != nil {
 		i := slices.Index(l.waiting, r)
 		l.waiting = slices.Delete(l.waiting, i, i+1)
@@ -36,16 +36,16 @@
 }
 
 // Lines are those of all keys.
-type Lines[R comparable] map[uint64]*Line[R]
+type Queues[R comparable] map[uint64]*Queue[R]
 
 // Join puts a request at the end of its key's line. Lines that nobody waits in go now and then; held is how many requests there are.
-func (all Lines[R]) Join(now time.Duration, key uint64, r R, held int) *Line[R] {
+func (all Queues[R]) Add(now time.Duration, key uint64, r R, held int) *Queue[R] {
 	if len(all) > 64+2*held {
-		maps.DeleteFunc(all, func(_ uint64, l *Line[R]) bool { return len(l.waiting) == 0 && now >= l.restEnd })
+		maps.DeleteFunc(all, func(_ uint64, l *Queue[R]) bool { return len(l.waiting) == 0 && now >= l.settledAt })
 	}
 	l := all[key]
 	if l == nil {
-		l = new(Line[R])
+		l = new(Queue[R])
 		all[key] = l
 	}
 	l.waiting = append(l.waiting, r)
--- a/internal/proxy/loadquery/loadquery.go
+++ b/internal/proxy/loadquery/loadquery.go
@@ -6,50 +6,52 @@
 import "time"
 
 const (
-	pairs = 4 // of reports that far apart tell whether they are fresh enough
-	fresh = 3 // of them differ then
+	comparisons  = 4 // of reports that far apart tell whether they are fresh enough
+	minDiffering = 3 // of them differ then
 
 	// What a request may lose by a turn taken blind, as a share of its worth: where servers are not short a fiftieth of the answers
 	// came late that a look would have saved. A probe that costs more saves less than its price: at 0.08 one for each request
 	// took a tenth of all worth from a fleet of eighty.
-	blind = 0.02
+	maxProbePrice = 0.02
 
-	doubtful = 2.2 // times the usual that answers take
+	suspectSlowness = 2.2 // times the usual that answers take
 
-	second = 1.0 // in which each server of the arc gets a turn
-	asked  = 3.0 // where asking finds room: best among many
-	unseen = 0.4 // where it is too dear: among few, so that each tells often how it fares
+	defaultRound  = 1.0 // in which each server of the arc gets a turn
+	probedRound   = 3.0 // where asking finds room: best among many
+	unprobedRound = 0.4 // where it is too dear: among few, so that each tells often how it fares
 )
 
 // Inquiry is what one balancer goes by. It is used from one goroutine.
-type Inquiry struct {
-	may            bool
-	dear           bool
-	compared, told int
+type Prober struct {
+	enabled             bool
+	expensive           bool
+	compared, differing int
 }
 
 // New makes one. may: probes may be used, and bring what a server holds; price: of a probe, against a request's worth of 1.
-func New(may bool, price float64) Inquiry { return Inquiry{may: may, dear: price > blind} }
+func New(may bool, price float64) Prober {
+	return Prober{enabled: may, expensive: price > maxProbePrice}
+}
 
 // Comparing says that it is still to be found out whether reports change as fast as they are used.
-func (q *Inquiry) Comparing() bool { return q.may && !q.dear && q.compared < pairs }
+func (q *Prober) Comparing() bool { return q.enabled && !q.expensive && q.compared < comparisons }
 
 // Compare takes whether two reports of one server differed; one that told nothing is no fresh one.
-func (q *Inquiry) Compare(differed bool) {
+func (q *Prober) Compare(differed bool) {
 	q.compared++
 	if differed {
-		q.told++
+		q.differing++
 	}
 }
 
 // Pays says that every server is to be asked before it is sent to.
-func (q *Inquiry) Pays() bool { return q.may && !q.dear && q.told >= fresh }
+func (q *Prober) ProbesAll() bool { return q.enabled && !q.expensive && q.differing >= minDiffering }
 
 // Patience is how long an attempt that may be repeated is waited for: whole, the time in which its answer is of use, or the part of it
 // behind which another could still answer. Blind turns meet servers that are slow or silent; who looked before knows that it is the
 // request, which would take as long elsewhere.
-func (q *Inquiry) Patience(whole, part time.Duration) time.Duration {
-	if !q.dear || part < whole/2 {
+func (q *Prober) AttemptTimeout(whole, part time.Duration) time.Duration {
+	if !q.expensive || part < whole/2 {
 		return whole
 	}
 	return part
@@ -57,18 +59,20 @@
 
 // Doubts says that a server is asked though turns are blind. strain is how many times the usual its answers take, failures counted in.
 // A look at one in ten saves most of what a look at all would: the slow and the silent are few, and are known by what they did.
-func (q *Inquiry) Doubts(strain float64) bool { return q.may && q.dear && strain >= doubtful }
+func (q *Prober) ProbesSuspect(strain float64) bool {
+	return q.enabled && q.expensive && strain >= suspectSlowness
+}
 
 // Asks says whether a server is to be asked at its turn.
-func (q *Inquiry) Asks(strain float64) bool { return q.Pays() || q.Doubts(strain) }
+func (q *Prober) ShouldProbe(strain float64) bool { return q.ProbesAll() || q.ProbesSuspect(strain) }
 
 // Every is the time in seconds in which each server of the arc gets a turn.
-func (q *Inquiry) Every() float64 {
+func (q *Prober) RoundSeconds() float64 {
 	switch {
-	case q.Pays():
-		return asked
-	case q.dear:
-		return unseen
+	case q.ProbesAll():
+		return probedRound
+	case q.expensive:
+		return unprobedRound
 	}
-	return second
+	return defaultRound
 }
--- a/internal/proxy/membership/membership.go
+++ b/internal/proxy/membership/membership.go
@@ -69,13 +69,13 @@
 		case "ready":
 			s.State = policy.Ready
 		case "gone":
-			s.State = policy.Gone
+			s.State = policy.Deregistered
 		default:
 			s.State = policy.Draining // nothing new, whatever it is
 		}
 		if _, _, err := net.SplitHostPort(e.HostPort); err == nil {
 			l.Addresses[s.ID] = e.HostPort
-		} else if s.State != policy.Gone {
+		} else if s.State != policy.Deregistered {
 			return call.ServerList{}, fmt.Errorf("instance %s: hostPort: %w", e.InstanceID, err)
 		}
 		l.Names[s.ID] = e.InstanceID
--- a/internal/proxy/membership/membership_test.go
+++ b/internal/proxy/membership/membership_test.go
@@ -27,7 +27,7 @@
 		{ID: call.ServerID("s-1"), Zone: 1, Cell: 3, State: policy.Ready, Weight: 1.5, Started: 1500500 * time.Microsecond},
 		{ID: call.ServerID("s-2"), Zone: -1, State: policy.Draining},
 		{ID: call.ServerID("s-3"), Zone: -1, State: policy.Draining},
-		{ID: call.ServerID("s-4"), Zone: -1, State: policy.Gone},
+		{ID: call.ServerID("s-4"), Zone: -1, State: policy.Deregistered},
 	}
 	if l.Version != 41 || l.Full || len(l.Servers) != len(want) || l.Addresses[want[1].ID] != "127.0.0.1:81" {
 		t.Fatalf("list %+v", l)
--- a/internal/proxy/membership/shared.go
+++ b/internal/proxy/membership/shared.go
@@ -108,7 +108,7 @@
 	}
 	w.hasList, w.version = true, l.Version
 	for _, s := range l.Servers {
-		if s.State == policy.Gone {
+		if s.State == policy.Deregistered {
 			delete(w.servers, s.ID)
 			delete(w.address, s.ID)
 			continue
--- a/internal/proxy/pool/pool.go
+++ b/internal/proxy/pool/pool.go
@@ -91,7 +91,7 @@
 	}
 	p.engine = e
 	members := membership.Config{
-		Address: cfg.Discovery, Zones: cfg.Zones, OnDemand: cfg.Policy.AskList, OnUpdate: e.UpdateServers,
+		Address: cfg.Discovery, Zones: cfg.Zones, OnDemand: cfg.Policy.ListOnDemand, OnUpdate: e.UpdateServers,
 		Known: cfg.Known,
 		OnError: func(err error) {
 			cfg.Log.Warn("discovery", "error", err)
@@ -103,7 +103,7 @@
 	switch {
 	case cfg.Discovery == "":
 		p.serverList = noSubscription{}
-	case cfg.Policy.AskList:
+	case cfg.Policy.ListOnDemand:
 		follower = membership.New(members)
 		p.serverList = startFollower(follower)
 	default:
--- a/internal/proxy/record/golden_test.go
+++ b/internal/proxy/record/golden_test.go
@@ -20,8 +20,8 @@
 	goldenLoad = policy.Load{
 		Has: 63, InFlight: 1.5, Queued: 2.5, Busy: 0.5, Service: 6, Served: 7.5, Errors: 8.5,
 	}
-	goldenRequest = policy.Request{ID: 13, Class: 14, Tenant: 15, Key: 16, Left: 17, Work: 18, Repeat: true}
-	goldenOutcome = policy.Outcome{ID: 19, Attempt: 20, Ending: 2, Settled: true, Load: goldenLoad}
+	goldenRequest = policy.Request{ID: 13, Class: 14, Tenant: 15, Key: 16, TimeLeft: 17, Work: 18, IsRetry: true}
+	goldenOutcome = policy.Outcome{ID: 19, Attempt: 20, Ending: 2, Finished: true, Load: goldenLoad}
 	goldenServers = []policy.Server{
 		{ID: 21, Zone: 22, Cell: 23, State: policy.Ready, Weight: 24.5, Started: 25},
 		{ID: 26, State: policy.Draining},
--- a/internal/proxy/record/words.go
+++ b/internal/proxy/record/words.go
@@ -11,7 +11,7 @@
 
 func fromRequest(q policy.Request) *recordpb.Request {
 	return &recordpb.Request{
-		Id: uint64(q.ID), Class: int32(q.Class), Tenant: int32(q.Tenant), Key: q.Key, Left: int64(q.Left), Work: int64(q.Work), Repeat: q.Repeat,
+		Id: uint64(q.ID), Class: int32(q.Class), Tenant: int32(q.Tenant), Key: q.Key, Left: int64(q.TimeLeft), Work: int64(q.Work), Repeat: q.IsRetry,
 	}
 }
 
@@ -19,7 +19,7 @@
 func Request(q *recordpb.Request) policy.Request {
 	return policy.Request{
 		ID: policy.RequestID(q.Id), Class: int(q.Class), Tenant: int(q.Tenant), Key: q.Key,
-		Left: time.Duration(q.Left), Work: time.Duration(q.Work), Repeat: q.Repeat,
+		TimeLeft: time.Duration(q.Left), Work: time.Duration(q.Work), IsRetry: q.Repeat,
 	}
 }
 
@@ -42,14 +42,14 @@
 
 func fromOutcome(o policy.Outcome) *recordpb.Outcome {
 	return &recordpb.Outcome{
-		Id: uint64(o.ID), Attempt: int32(o.Attempt), Ending: int32(o.Ending), Settled: o.Settled, Load: fromLoad(o.Load),
+		Id: uint64(o.ID), Attempt: int32(o.Attempt), Ending: int32(o.Ending), Settled: o.Finished, Load: fromLoad(o.Load),
 	}
 }
 
 // Outcome is a recorded end of an attempt.
 func Outcome(o *recordpb.Outcome) policy.Outcome {
 	return policy.Outcome{
-		ID: policy.RequestID(o.Id), Attempt: int(o.Attempt), Ending: policy.Ending(o.Ending), Settled: o.Settled, Load: Load(o.Load),
+		ID: policy.RequestID(o.Id), Attempt: int(o.Attempt), Ending: policy.Ending(o.Ending), Finished: o.Settled, Load: Load(o.Load),
 	}
 }
 
--- a/internal/proxy/requestclass/requestclass.go
+++ b/internal/proxy/requestclass/requestclass.go
@@ -1,4 +1,5 @@
-// Package requestclass is what settings say of classes of requests and of tenants, and whether that can be used. It decides nothing and is free of I/O.
+// Package requestclass says what settings hold of classes of requests and of tenants, and checks that
+// they can be used. It is free of I/O and keeps no state.
 package requestclass
 
 import (
@@ -13,32 +14,32 @@
 
 // The effects of a class.
 const (
-	Safe   Effect = iota // may be repeated and refused at will
-	Keyed                // repeats are dropped within a group of servers, for a while
-	Unsafe               // must never run twice
+	Idempotent    Effect = iota // may be repeated and refused at will
+	Deduplicated                // repeats are dropped within a group of servers, for a while
+	NonIdempotent               // must never run twice
 )
 
-// Scope is the group of servers that drops repeats of a keyed request.
+// Scope is the group of servers that drops repeats of a deduplicated request.
 type Scope int
 
-// The scopes of a keyed class.
+// The scopes of a deduplicated class.
 const (
 	ScopeAll Scope = iota
 	ScopeZone
 	ScopeCell
 )
 
-// Class describes one kind of request.
+// Class describes one kind of request. Recordings hold it as JSON, under the keys of the tags.
 type Class struct {
-	Aim        time.Duration // answers within this earn full worth
-	AimStretch float64       // the aim grows by this multiple of the request's expected work
-	Deadline   time.Duration // the client's whole wait, over all its tries
-	LateShare  float64       // share of the worth that an answer after the aim still earns
-	Worth      float64
-	Effect     Effect
-	Scope      Scope         // keyed only
-	Window     time.Duration // keyed only: how long repeats are dropped, from the first send on
-	InOrder    bool          // requests of such classes that share a Request.Key run one at a time, in order
+	LatencyTarget time.Duration `json:"Aim"`        // answers within this earn full value
+	TargetPerWork float64       `json:"AimStretch"` // the target grows by this multiple of the request's expected work
+	Deadline      time.Duration // the client's whole wait, over all its retries
+	LateValue     float64       `json:"LateShare"` // fraction of the value that an answer after the target still earns
+	Value         float64       `json:"Worth"`
+	Effect        Effect
+	Scope         Scope         // deduplicated only
+	DedupWindow   time.Duration `json:"Window"` // deduplicated only: how long repeats are dropped, from the first send on
+	InOrder       bool          // requests of such classes that share a Request.Key run one at a time, in order
 }
 
 // Tenant is one customer with a share of the service.
@@ -48,24 +49,24 @@
 }
 
 // Bad says of a figure that it is negative or no number.
-func Bad(f float64) bool { return math.IsNaN(f) || math.IsInf(f, 0) || f < 0 }
+func IsInvalid(f float64) bool { return math.IsNaN(f) || math.IsInf(f, 0) || f < 0 }
 
-// Check returns an error that says what is unusable of a class.
+// Check returns an error that says which setting of a class is unusable. It names it as recordings do.
 func (c Class) Check() error {
 	switch {
-	case c.Aim <= 0 || c.Deadline <= 0 || c.Window < 0:
-		return fmt.Errorf("unusable: Aim %v, Deadline %v or Window %v", c.Aim, c.Deadline, c.Window)
-	case Bad(c.AimStretch) || Bad(c.LateShare) || Bad(c.Worth):
+	case c.LatencyTarget <= 0 || c.Deadline <= 0 || c.DedupWindow < 0:
+		return fmt.Errorf("unusable: Aim %v, Deadline %v or Window %v", c.LatencyTarget, c.Deadline, c.DedupWindow)
+	case IsInvalid(c.TargetPerWork) || IsInvalid(c.LateValue) || IsInvalid(c.Value):
 		return errors.New("negative or no number: AimStretch, LateShare or Worth")
 	}
 	return nil
 }
 
-// CheckTenants returns an error that names what is unusable of some tenants; none are usable.
+// CheckTenants returns an error that names the first unusable setting of the tenants. No tenants at all are usable.
 func CheckTenants(all []Tenant) error {
 	sum := 0.0
 	for i, t := range all {
-		if Bad(t.Share) || Bad(t.Quota) {
+		if IsInvalid(t.Share) || IsInvalid(t.Quota) {
 			return fmt.Errorf("negative or no number: Tenants[%d], Share %v or Quota %v", i, t.Share, t.Quota)
 		}
 		sum += t.Share
--- a/internal/proxy/sizing/sizing.go
+++ b/internal/proxy/sizing/sizing.go
@@ -5,14 +5,14 @@
 
 const (
 	// Spread is how generous a compartment is.
-	Spread      = 2.0  // so many standard deviations of a count more
-	placesShare = 0.15 // queue places for each slot: short, just enough to keep slots fed
+	Spread         = 2.0  // so many standard deviations of a count more
+	queueSlotShare = 0.15 // queue places for each slot: short, just enough to keep slots fed
 )
 
 // Compartment is what one tenant may have out at a balancer, and how many of its requests may wait.
 type Compartment struct {
-	Share         float64
-	Slots, Places int
+	Share             float64
+	Slots, QueueSlots int
 }
 
 // Compartments divides by shares what the slots of n balancers hold on average together. Each balancer gets what the largest of n random
@@ -32,9 +32,9 @@
 	for _, s := range shares {
 		part := total * s / sum
 		c := Compartment{Share: s / sum, Slots: max(1, int(math.Ceil(part+room*math.Sqrt(part))))}
-		c.Places = int(math.Ceil(float64(c.Slots) * placesShare))
+		c.QueueSlots = int(math.Ceil(float64(c.Slots) * queueSlotShare))
 		if queue >= 0 {
-			c.Places = min(c.Places, int(float64(queue)*c.Share))
+			c.QueueSlots = min(c.QueueSlots, int(float64(queue)*c.Share))
 		}
 		slots += c.Slots
 		all = append(all, c)
--- a/internal/proxy/slowstart/slowstart_test.go
+++ b/internal/proxy/slowstart/slowstart_test.go
@@ -16,7 +16,7 @@
 		from := rapid.Float64Range(0.05, 1).Draw(t, "from")
 		left := time.Duration(rapid.Int64Range(0, int64(10*time.Second)).Draw(t, "left"))
 		rate := capacity * Warmth(left, 10*time.Second, from) / float64(n)
-		if rate < leastRate/part {
+		if rate < minRate/budgetFraction {
 			return // a part so small that the least rate takes its place
 		}
 		if sent := float64(n) / Gap(rate, multiple).Seconds(); sent > multiple*capacity*Warmth(left, 10*time.Second, from) {
--- a/internal/proxy/stream/stream.go
+++ b/internal/proxy/stream/stream.go
@@ -14,7 +14,7 @@
 const (
 	// StandTime is how long an end of a stream may stand still. Slow ones that are legal give or take something each second; their
 	// system's buffers hide some of that from us, never so much.
-	StandTime = 15 * time.Second
+	StallTimeout = 15 * time.Second
 	// WindowSize is how much of a stream is in our hands at a time.
 	WindowSize = 32 << 10
 )
@@ -25,15 +25,15 @@
 var windows = sync.Pool{New: func() any { return new(Window) }}
 
 // Take takes a window, which Give gives back.
-func Take() *Window { return windows.Get().(*Window) }
+func AcquireWindow() *Window { return windows.Get().(*Window) }
 
 // Give gives a window back.
-func Give(w *Window) { windows.Put(w) }
+func ReleaseWindow(w *Window) { windows.Put(w) }
 
 // Write writes all of p, of which each part is taken within StandTime. It leaves that deadline behind.
 func Write(c net.Conn, p []byte) error {
 	for len(p) > 0 {
-		if err := c.SetWriteDeadline(time.Now().Add(StandTime)); err != nil {
+		if err := c.SetWriteDeadline(time.Now().Add(StallTimeout)); err != nil {
 			return err
 		}
 		n, err := c.Write(p)
--- a/internal/proxy/strictconfig/toml.go
+++ b/internal/proxy/strictconfig/toml.go
@@ -10,7 +10,7 @@
 )
 
 // TOML reads a text into a struct. An unknown key or what is no TOML is an error that names the line.
-func TOML(text []byte, into any) error {
+func DecodeTOML(text []byte, into any) error {
 	d := toml.NewDecoder(bytes.NewReader(text))
 	d.DisallowUnknownFields()
 	err := d.Decode(into)
--- a/internal/proxy/subset/subset_test.go
+++ b/internal/proxy/subset/subset_test.go
@@ -13,7 +13,7 @@
 	for n := 1; n <= 700; n++ {
 		taken := make([]bool, n)
 		for i := range n {
-			place := int(math.Round(Place(i, n, nil) * float64(n)))
+			place := int(math.Round(ArcStart(i, n, nil) * float64(n)))
 			if place >= n || taken[place] {
 				t.Fatalf("of %d two stand at %d", n, place)
 			}
@@ -23,7 +23,7 @@
 	for _, c := range [][2]int{{400, 40}, {1000, 40}, {300, 30}, {300, 90}, {3000, 300}, {100_000, 40}, {40, 400}, {30, 31}} {
 		var at []float64
 		for i := range c[1] {
-			x := Place(i, c[0], nil)
+			x := ArcStart(i, c[0], nil)
 			if x < 0 || x > 1 {
 				t.Fatalf("number %d of %d stands at %v", i, c[0], x)
 			}
@@ -49,7 +49,7 @@
 		var at []float64
 		for i := range n {
 			if !gone[i] {
-				at = append(at, Place(i, n, lives))
+				at = append(at, ArcStart(i, n, lives))
 			}
 		}
 		slices.Sort(at)
@@ -71,8 +71,8 @@
 func TestPartsOfAnyWeights(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		weights, begins := drawn(t), rapid.Float64Range(0, 1).Draw(t, "begins")
-		length := Length(0, rapid.Float64Range(0, 1e5).Draw(t, "feeds"), rapid.Float64Range(0, 100).Draw(t, "even"), 3)
-		parts := Parts(begins, length, weights, 4)
+		length := ArcLength(0, rapid.Float64Range(0, 1e5).Draw(t, "feeds"), rapid.Float64Range(0, 100).Draw(t, "even"), 3)
+		parts := ArcShares(begins, length, weights, 4)
 		inside := 0
 		for i, p := range parts {
 			if !(p >= 0 && p <= 1) {
@@ -85,7 +85,7 @@
 		if inside == 0 || inside < min(4, len(weights)) && slices.Max(weights) < 100 {
 			t.Fatalf("%d of %d servers", inside, len(weights))
 		}
-		if !slices.Equal(parts, Parts(begins, length, weights, 4)) {
+		if !slices.Equal(parts, ArcShares(begins, length, weights, 4)) {
 			t.Fatal("the same arc twice differs")
 		}
 	})
@@ -96,10 +96,10 @@
 	rapid.Check(t, func(t *rapid.T) {
 		like := rapid.SampledFrom([][]float64{{1}, {1, 1.3}, {0.6, 0.95, 1.6}}).Draw(t, "like")
 		weights := rapid.SliceOfN(rapid.SampledFrom(like), 12, 100).Draw(t, "weights")
-		n, length := rapid.IntRange(4*len(weights), 600).Draw(t, "n"), Length(0, rapid.Float64Range(0, 40).Draw(t, "feeds"), 0, 6)
+		n, length := rapid.IntRange(4*len(weights), 600).Draw(t, "n"), ArcLength(0, rapid.Float64Range(0, 40).Draw(t, "feeds"), 0, 6)
 		load, whole, sent := make([]float64, len(weights)), 0.0, 0.0
 		for i := range n {
-			parts, reach := Parts(Place(i, n, nil), length, weights, 4), 0.0
+			parts, reach := ArcShares(ArcStart(i, n, nil), length, weights, 4), 0.0
 			for k, p := range parts {
 				reach += p * weights[k]
 			}
@@ -123,10 +123,10 @@
 func TestLeastMovement(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(13, 300).Draw(t, "servers")
-		begins, length := rapid.Float64Range(0, 1).Draw(t, "begins"), Length(0, rapid.Float64Range(0, 12).Draw(t, "feeds"), 0, 3)
+		begins, length := rapid.Float64Range(0, 1).Draw(t, "begins"), ArcLength(0, rapid.Float64Range(0, 12).Draw(t, "feeds"), 0, 3)
 		weights := slices.Repeat([]float64{1}, n)
-		before, without := Parts(begins, length, weights, 4), rapid.IntRange(0, n-1).Draw(t, "without")
-		after := slices.Insert(Parts(begins, length, weights[1:], 4), without, 0)
+		before, without := ArcShares(begins, length, weights, 4), rapid.IntRange(0, n-1).Draw(t, "without")
+		after := slices.Insert(ArcShares(begins, length, weights[1:], 4), without, 0)
 		moved := 0.0
 		for i := range before {
 			if i != without {
@@ -145,7 +145,7 @@
 		{0, 4, 4.8, 3}, {0, 4.5, 4.8, 6}, {6, 4, 4.8, 6}, {6, 3.1, 4.8, 6}, {6, 2.9, 4.8, 3}, {3, 5.9, 6, 3}, {3, 6.1, 6.1, 6}, {0, 0, 0, 3},
 		{12, 11, 11, 12}, {0, 20, 5, 48}, {0, 20, 20, 24}, {0, 1, 1e9, 3},
 	} {
-		if got := Length(c.now, c.feeds, c.even, 3); math.Abs(got-c.want) > 1e-9 {
+		if got := ArcLength(c.now, c.feeds, c.even, 3); math.Abs(got-c.want) > 1e-9 {
 			t.Errorf("Length(%v, %v, %v) is %v, want %v", c.now, c.feeds, c.even, got, c.want)
 		}
 	}
--- a/internal/proxy/transport/grpc/attempt.go
+++ b/internal/proxy/transport/grpc/attempt.go
@@ -202,12 +202,12 @@
 	case trailers: // the server's own word, whatever else went on
 		r.Ending = fromStatus(st.Code())
 		if !headers && only(trailer, notProcessed) == "1" {
-			r.Ending = policy.TurnedAway
+			r.Ending = policy.NotProcessed
 		}
 	case errors.Is(cause, errCalledOff):
 		r.Ending = policy.Cancelled
 	case unprocessed && created:
-		r.Ending = policy.TurnedAway
+		r.Ending = policy.NotProcessed
 	case !created && !errors.Is(cause, errNoConn) && cause == nil && st.Code() == codes.DeadlineExceeded:
 		r.Ending = policy.NotSent // held back by guard: our own lack of time, no word on the server
 	case !created:
@@ -215,7 +215,7 @@
 	case errors.Is(cause, errTimedOut) || ctx.Err() != nil:
 		r.Ending = policy.TimedOut
 	default:
-		r.Ending = policy.Broken
+		r.Ending = policy.ConnectionLost
 	}
 	return r
 }
--- a/internal/proxy/transport/grpc/transport.go
+++ b/internal/proxy/transport/grpc/transport.go
@@ -171,7 +171,7 @@
 	defer t.mu.Unlock()
 	now := t.cfg.Clock.Now()
 	switch ending {
-	case policy.Served, policy.Errored, policy.TurnedAway:
+	case policy.Served, policy.Errored, policy.NotProcessed:
 		a.sub.answered = now
 	case policy.TimedOut:
 		if now-a.begun >= t.cfg.DialTimeout && a.sub.answered < a.begun && a.h.sub == a.sub {
--- a/internal/proxy/transport/grpc/transport_test.go
+++ b/internal/proxy/transport/grpc/transport_test.go
@@ -126,28 +126,28 @@
 		answer func(f *http2.Framer, c net.Conn, stream uint32)
 		want   policy.Ending
 	}{
-		"REFUSED_STREAM": {func(f *http2.Framer, _ net.Conn, s uint32) { _ = f.WriteRSTStream(s, http2.ErrCodeRefusedStream) }, policy.TurnedAway},
+		"REFUSED_STREAM": {func(f *http2.Framer, _ net.Conn, s uint32) { _ = f.WriteRSTStream(s, http2.ErrCodeRefusedStream) }, policy.NotProcessed},
 		"GOAWAY below it": {func(f *http2.Framer, c net.Conn, s uint32) {
 			_ = f.WriteGoAway(0, http2.ErrCodeNo, nil)
-		}, policy.TurnedAway},
-		"RST INTERNAL_ERROR": {func(f *http2.Framer, _ net.Conn, s uint32) { _ = f.WriteRSTStream(s, http2.ErrCodeInternal) }, policy.Broken},
+		}, policy.NotProcessed},
+		"RST INTERNAL_ERROR": {func(f *http2.Framer, _ net.Conn, s uint32) { _ = f.WriteRSTStream(s, http2.ErrCodeInternal) }, policy.ConnectionLost},
 		"GOAWAY above it, then closed": {func(f *http2.Framer, c net.Conn, s uint32) {
 			_ = f.WriteGoAway(s, http2.ErrCodeNo, nil)
 			c.Close()
-		}, policy.Broken},
-		"closed": {func(_ *http2.Framer, c net.Conn, _ uint32) { c.Close() }, policy.Broken},
+		}, policy.ConnectionLost},
+		"closed": {func(_ *http2.Framer, c net.Conn, _ uint32) { c.Close() }, policy.ConnectionLost},
 		"UNAVAILABLE": {func(f *http2.Framer, _ net.Conn, s uint32) {
 			trailers(f, s, ":status", "200", "content-type", "application/grpc", "grpc-status", "14")
 		}, policy.Errored},
 		"UNAVAILABLE, not processed": {func(f *http2.Framer, _ net.Conn, s uint32) {
 			trailers(f, s, ":status", "200", "content-type", "application/grpc", "grpc-status", "14", notProcessed, "1")
-		}, policy.TurnedAway},
+		}, policy.NotProcessed},
 		"NOT_FOUND": {func(f *http2.Framer, _ net.Conn, s uint32) {
 			trailers(f, s, ":status", "200", "content-type", "application/grpc", "grpc-status", "5")
 		}, policy.Served},
 		"no gRPC": {func(f *http2.Framer, _ net.Conn, s uint32) {
 			trailers(f, s, ":status", "503", "content-type", "text/html")
-		}, policy.Broken},
+		}, policy.ConnectionLost},
 	} {
 		t.Run(name, func(t *testing.T) {
 			address, streams := frames(t, c.answer)
@@ -167,8 +167,8 @@
 // Endings over a real server.
 func TestEndings(t *testing.T) {
 	for act, want := range map[testbed.Act]policy.Ending{
-		testbed.Serve: policy.Served, testbed.Refuse: policy.TurnedAway, testbed.Fail: policy.Errored, testbed.Busy: policy.Errored,
-		testbed.Reset: policy.Broken, testbed.Garbage: policy.Broken, testbed.Cut: policy.Broken, testbed.Hang: policy.TimedOut,
+		testbed.Serve: policy.Served, testbed.Refuse: policy.NotProcessed, testbed.Fail: policy.Errored, testbed.Busy: policy.Errored,
+		testbed.Reset: policy.ConnectionLost, testbed.Garbage: policy.ConnectionLost, testbed.Cut: policy.ConnectionLost, testbed.Hang: policy.TimedOut,
 	} {
 		t.Run(act.String(), func(t *testing.T) {
 			l := new(testbed.Ledger)
@@ -224,14 +224,14 @@
 func TestHeldBack(t *testing.T) {
 	l := new(testbed.Ledger)
 	n := testbed.NewGRPCNode(t, "s-0", l)
-	tr := newTransport(t, func(c *Config) { c.Clock = clock.NewMovable() })
+	tr := newTransport(t, func(c *Config) { c.Clock = clock.NewAdjustable() })
 	s := tr.Server(n.Address)
 	if got := send(t, tr, s, message(t, "1"), testbed.Generous); got.Ending != policy.Served {
 		t.Fatalf("ending %v, want served", got.Ending)
 	}
 	done := make(chan call.Result, 2)
 	until := tr.cfg.Clock.Now() + time.Minute
-	tr.cfg.Clock.Jump(time.Hour) // the process was stopped between the decision and the write
+	tr.cfg.Clock.Advance(time.Hour) // the process was stopped between the decision and the write
 	s.Send(message(t, "1"), until, func(r call.Result) { done <- r })
 	if got := testbed.Wait(t, "its end", done); got.Ending == policy.Served || got.Ending == policy.TimedOut {
 		t.Errorf("ending %v for a call that was late before it was written", got.Ending)
--- a/internal/proxy/transport/http1/body.go
+++ b/internal/proxy/transport/http1/body.go
@@ -43,8 +43,8 @@
 		return false, errClaimed
 	}
 	chunked := m.Upload.Length < 0
-	window := stream.Take()
-	defer stream.Give(window)
+	window := stream.AcquireWindow()
+	defer stream.ReleaseWindow(window)
 	for {
 		n, source := m.Upload.Read(window[h1.ChunkPrefixBytes : stream.WindowSize-h1.ChunkSuffixBytes])
 		if c.spoken() {
@@ -268,7 +268,7 @@
 
 // patience is when the next piece has to be here: within stream.StandTime, or as long as its request may take.
 func (s *passed) patience() time.Time {
-	soon := time.Now().Add(stream.StandTime)
+	soon := time.Now().Add(stream.StallTimeout)
 	if s.until.After(soon) {
 		return s.until
 	}
@@ -283,7 +283,7 @@
 		return n, nil
 	}
 	if err := s.c.SetReadDeadline(s.patience()); err != nil {
-		s.end(policy.Broken)
+		s.end(policy.ConnectionLost)
 		return 0, err
 	}
 	n, err := s.body.Read(p)
@@ -291,7 +291,7 @@
 	case errors.Is(err, io.EOF):
 		s.end(policy.Served)
 	case err != nil:
-		s.end(policy.Broken)
+		s.end(policy.ConnectionLost)
 	}
 	return n, err
 }
--- a/internal/proxy/transport/http1/patience_test.go
+++ b/internal/proxy/transport/http1/patience_test.go
@@ -17,7 +17,7 @@
 	for _, c := range []struct {
 		dialect       *Dialect
 		has, patience time.Duration
-	}{{new(Dialect), time.Minute, time.Minute}, {new(Dialect), time.Second, stream.StandTime}, {nil, time.Minute, stream.StandTime}} {
+	}{{new(Dialect), time.Minute, time.Minute}, {new(Dialect), time.Second, stream.StallTimeout}, {nil, time.Minute, stream.StallTimeout}} {
 		synctest.Test(t, func(t *testing.T) {
 			u := &Transport{clock: clock.New(), dialect: c.dialect}
 			here, there := net.Pipe()
@@ -41,7 +41,7 @@
 			if _, err := s.Read(b); err == nil || time.Since(before) != c.patience {
 				t.Errorf("%+v: given up after %v, %v", c, time.Since(before), err)
 			}
-			if how := <-s.ended; how != policy.Broken {
+			if how := <-s.ended; how != policy.ConnectionLost {
 				t.Errorf("%+v: ended as %v", c, how)
 			}
 		})
--- a/internal/proxy/transport/http1/transport.go
+++ b/internal/proxy/transport/http1/transport.go
@@ -303,7 +303,7 @@
 		return false
 	}
 	ending, _ := u.dialect.Classify(res)
-	return ending == policy.TurnedAway
+	return ending == policy.NotProcessed
 }
 
 // judge says what an answer's head proves.
@@ -316,9 +316,9 @@
 	case res.StatusCode == http.StatusOK:
 		return policy.Served, load
 	case never && (res.StatusCode == http.StatusServiceUnavailable || res.StatusCode == http.StatusGatewayTimeout):
-		return policy.TurnedAway, load
+		return policy.NotProcessed, load
 	case res.StatusCode/100 == 4 && res.StatusCode != http.StatusTooManyRequests && res.StatusCode != http.StatusRequestTimeout:
-		return policy.Rejected, load // RFC 9110, 15.5: the client's fault; 408 and 429 are no word on the request
+		return policy.InvalidRequest, load // RFC 9110, 15.5: the client's fault; 408 and 429 are no word on the request
 	}
 	return policy.Errored, load
 }
@@ -330,7 +330,7 @@
 		defer u.leaveExchange(x)
 		m := &call.Message{Method: http.MethodGet, URI: u.probePath, Host: to.address}
 		res, body, ending := u.exchange(x, to, m, now+u.dialTimeout)
-		if res == nil && ending == policy.Broken {
+		if res == nil && ending == policy.ConnectionLost {
 			// A kept connection that its server was closing tells nothing of the server, and a probe has no effect: once
 			// more. Without this servers that close often pass for ones that can't tell their load, and get no turns.
 			res, body, _ = u.exchange(x, to, m, now+u.dialTimeout)
@@ -445,7 +445,7 @@
 			case err != nil:
 				return nil, nil, policy.NoConnection
 			case res.StatusCode == http.StatusOK, streamOf(res) != nil: // of what? nobody knows what it did
-				return nil, nil, policy.Broken
+				return nil, nil, policy.ConnectionLost
 			}
 			return res, nil, policy.Errored
 		}
@@ -485,7 +485,7 @@
 	if u.clock.Now()-written < soon { // later it has nothing to do with the connection's age: an answer was cut off
 		u.lost(to, c)
 	}
-	return nil, nil, policy.Broken // or malformed: it may have run
+	return nil, nil, policy.ConnectionLost // or malformed: it may have run
 }
 
 // write writes a request. An error says that its last byte did not go out: so it never ran (the protocol page: a server begins with the
--- a/internal/proxy/transport/http1/transport_test.go
+++ b/internal/proxy/transport/http1/transport_test.go
@@ -67,18 +67,18 @@
 		"chunked":             {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n", policy.Served, true},
 		"interim first":       {"HTTP/1.1 103 Early Hints\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi", policy.Served, true},
 		"to be closed":        {"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nhi", policy.Served, false},
-		"until the end":       {"HTTP/1.1 200 OK\r\n\r\nhi", policy.Broken, false},
+		"until the end":       {"HTTP/1.1 200 OK\r\n\r\nhi", policy.ConnectionLost, false},
 		"bytes left over":     {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhiHTTP/1.1 200 OK\r\n", policy.Served, false},
 		"error":               {"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", policy.Errored, true},
-		"turned away":         {"HTTP/1.1 503 No\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n", policy.TurnedAway, true},
-		"over already":        {"HTTP/1.1 504 No\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n", policy.TurnedAway, true},
+		"turned away":         {"HTTP/1.1 503 No\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n", policy.NotProcessed, true},
+		"over already":        {"HTTP/1.1 504 No\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n", policy.NotProcessed, true},
 		"503 with no promise": {"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", policy.Errored, true},
 		"500 with a promise":  {"HTTP/1.1 500 No\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n", policy.Errored, true},
-		"no HTTP":             {"SMTP ready\r\n\r\n", policy.Broken, false},
-		"cut short":           {"HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\nhi", policy.Broken, false},
-		"body too long":       {fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(long), long), policy.Broken, false},
-		"headers without end": {"HTTP/1.1 200 OK\r\n" + strings.Repeat("X-A: "+long+"\r\n", 9), policy.Broken, false},
-		"broken":              {"", policy.Broken, false},
+		"no HTTP":             {"SMTP ready\r\n\r\n", policy.ConnectionLost, false},
+		"cut short":           {"HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\nhi", policy.ConnectionLost, false},
+		"body too long":       {fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(long), long), policy.ConnectionLost, false},
+		"headers without end": {"HTTP/1.1 200 OK\r\n" + strings.Repeat("X-A: "+long+"\r\n", 9), policy.ConnectionLost, false},
+		"broken":              {"", policy.ConnectionLost, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := testbed.NewStub(t, func(conn net.Conn, r testbed.Received) bool {
@@ -112,8 +112,8 @@
 	})
 	u := testUpstream(t)
 	attempt(t, u, to(u, s), "1", testbed.Generous)
-	if got := attempt(t, u, to(u, s), "2", testbed.Generous); got.Ending != policy.Broken {
-		t.Fatalf("ending %v, want %v", got.Ending, policy.Broken)
+	if got := attempt(t, u, to(u, s), "2", testbed.Generous); got.Ending != policy.ConnectionLost {
+		t.Fatalf("ending %v, want %v", got.Ending, policy.ConnectionLost)
 	}
 	if first, second := testbed.Wait(t, "1", s.Seen), testbed.Wait(t, "2", s.Seen); first.Conn != second.Conn || len(s.Seen) > 0 {
 		t.Fatalf("connections %d and %d, %d more requests; want one connection and no more", first.Conn, second.Conn, len(s.Seen))
@@ -488,7 +488,7 @@
 	}()
 	u := testUpstream(t)
 	h := u.Server(dead.Addr().String()).(*host)
-	if end := attempt(t, u, h, "1", testbed.Generous).Ending; end != policy.Broken || !strings.HasSuffix(testbed.Wait(t, "the request", got), "weight") {
+	if end := attempt(t, u, h, "1", testbed.Generous).Ending; end != policy.ConnectionLost || !strings.HasSuffix(testbed.Wait(t, "the request", got), "weight") {
 		t.Fatalf("ending %v, want it written whole and broken", end)
 	}
 	for range 10 {
@@ -509,11 +509,11 @@
 func TestLateAttemptIsNotWritten(t *testing.T) {
 	s := testbed.NewStub(t, testbed.Echo)
 	u := testUpstream(t)
-	u.clock = clock.NewMovable()
+	u.clock = clock.NewAdjustable()
 	attempt(t, u, to(u, s), "1", testbed.Generous)
 	for _, stop := range []time.Duration{5 * time.Second, time.Hour} { // the kept connection stands, or is too old
 		until := u.clock.Now() + time.Second
-		u.clock.Jump(stop)
+		u.clock.Advance(stop)
 		if _, _, ending := u.exchange(new(exchange), to(u, s), testMessage("2"), until); ending != policy.NotSent {
 			t.Errorf("ending %v, want NotSent: our own stop is no word on the server", ending)
 		}
--- a/internal/proxy/wire/settings.go
+++ b/internal/proxy/wire/settings.go
@@ -180,24 +180,24 @@
 // Config turns the settings into the module's own.
 func (s *Settings) Config() (policy.Config, error) {
 	c := policy.Config{
-		Balancers:      s.count("balancers"),
-		Index:          s.count("me"),
-		Zone:           s.count("zone"),
-		MaxAttempts:    s.count("caps.most_tries"),
-		MayCancel:      s.flag("caps.may_cancel"),
-		MayProbe:       s.flag("caps.probes") && s.text("telemetry.how") != "silent",
-		MaxRetryAfter:  Millis(s.number("caps.max_retry_after_ms", 0)),
-		MarksRepeat:    s.flag("client_habits.marks_retry"),
-		OrderSettle:    Millis(s.number("rules.order_settle_ms", 0)),
-		CloseWithin:    Millis(s.number("rules.let_go_in_ms", 0)),
-		Tick:           Millis(s.number("period_ms", 0)),
-		AskList:        s.text("discovery") == "ask",
-		AskWithin:      Millis(s.number("rules.ask_within_ms", 0)),
-		ColdFrom:       s.number("rules.cold_from", 0),
-		ColdTime:       Millis(s.number("rules.cold_ms", 0)),
-		ColdMultiple:   s.number("rules.fall_multiple", 0),
-		ProbePrice:     s.number("charges.probe", 0),
-		CrossZonePrice: s.number("charges.cross_zone", 0),
+		Balancers:          s.count("balancers"),
+		Index:              s.count("me"),
+		Zone:               s.count("zone"),
+		MaxAttempts:        s.count("caps.most_tries"),
+		MayCancel:          s.flag("caps.may_cancel"),
+		MayProbe:           s.flag("caps.probes") && s.text("telemetry.how") != "silent",
+		MaxRetryAfter:      Millis(s.number("caps.max_retry_after_ms", 0)),
+		ClientsMarkRetries: s.flag("client_habits.marks_retry"),
+		KeySettleTime:      Millis(s.number("rules.order_settle_ms", 0)),
+		IdleCloseTime:      Millis(s.number("rules.let_go_in_ms", 0)),
+		Tick:               Millis(s.number("period_ms", 0)),
+		ListOnDemand:       s.text("discovery") == "ask",
+		ListMaxAge:         Millis(s.number("rules.ask_within_ms", 0)),
+		SlowStartShare:     s.number("rules.cold_from", 0),
+		SlowStartTime:      Millis(s.number("rules.cold_ms", 0)),
+		SlowStartOverload:  s.number("rules.fall_multiple", 0),
+		ProbePrice:         s.number("charges.probe", 0),
+		CrossZonePrice:     s.number("charges.cross_zone", 0),
 		Budget: policy.RetryBudget{
 			Span:  Millis(s.number("rules.budget_span_ms", 0)),
 			Free:  s.number("rules.extra_free", 0),
@@ -210,21 +210,21 @@
 	for i := range s.count("classes.count") {
 		p := fmt.Sprintf("classes.%d.", i)
 		k := policy.Class{
-			Aim:        Millis(s.number(p+"aim_ms", 0)),
-			AimStretch: s.number(p+"aim_stretch", 0),
-			Deadline:   Millis(s.number(p+"hard_limit_ms", 0)),
-			LateShare:  s.number(p+"late_share", 0),
-			Worth:      s.number(p+"worth", 0),
-			Window:     Millis(s.number(p+"window_ms", 0)),
-			Effect:     policy.Unsafe, // an unknown word is taken for the strictest
-			Scope:      policy.ScopeCell,
-			InOrder:    s.flag(p + "fifo_by_key"),
+			LatencyTarget: Millis(s.number(p+"aim_ms", 0)),
+			TargetPerWork: s.number(p+"aim_stretch", 0),
+			Deadline:      Millis(s.number(p+"hard_limit_ms", 0)),
+			LateValue:     s.number(p+"late_share", 0),
+			Value:         s.number(p+"worth", 0),
+			DedupWindow:   Millis(s.number(p+"window_ms", 0)),
+			Effect:        policy.NonIdempotent, // an unknown word is taken for the strictest
+			Scope:         policy.ScopeCell,
+			InOrder:       s.flag(p + "fifo_by_key"),
 		}
 		switch s.text(p + "semantics") {
 		case "free":
-			k.Effect = policy.Safe
+			k.Effect = policy.Idempotent
 		case "guarded":
-			k.Effect = policy.Keyed
+			k.Effect = policy.Deduplicated
 		}
 		switch s.text(p + "dedup_scope") {
 		case "all":
--- a/internal/proxy/wire/wire_test.go
+++ b/internal/proxy/wire/wire_test.go
@@ -239,17 +239,17 @@
 		t.Fatal(err)
 	}
 	if c.Balancers != 3 || c.Zone != 2 || c.MaxAttempts != 3 || !c.MayCancel || !c.MayProbe ||
-		!c.AskList || c.ColdFrom != 0.32 || c.CrossZonePrice != 0.03 {
+		!c.ListOnDemand || c.SlowStartShare != 0.32 || c.CrossZonePrice != 0.03 {
 		t.Errorf("config %+v", c)
 	}
-	if k := c.Classes[0]; k.Effect != policy.Keyed || k.Scope != policy.ScopeCell || k.Window != 600*time.Millisecond {
+	if k := c.Classes[0]; k.Effect != policy.Deduplicated || k.Scope != policy.ScopeCell || k.DedupWindow != 600*time.Millisecond {
 		t.Errorf("class 0 %+v", k)
 	}
-	if c.Classes[1].Effect != policy.Unsafe {
+	if c.Classes[1].Effect != policy.NonIdempotent {
 		t.Error("an unknown effect is not taken for the strictest")
 	}
 	if b := (policy.RetryBudget{Span: 10 * time.Second, Free: 1, Share: 0.2}); c.Budget != b ||
-		c.CloseWithin != 300*time.Millisecond || c.OrderSettle != 250*time.Millisecond || !c.Classes[1].InOrder {
+		c.IdleCloseTime != 300*time.Millisecond || c.KeySettleTime != 250*time.Millisecond || !c.Classes[1].InOrder {
 		t.Errorf("config of the further rules %+v", c)
 	}
 	want := Columns{policy.HasErrors, policy.HasService, policy.HasServed, policy.HasInFlight}
--- a/plugin/client.go
+++ b/plugin/client.go
@@ -107,7 +107,7 @@
 	}
 	if m.Method == "" {
 		m.Method = http.MethodPost
-		if effect == policy.Safe && len(r.Body) == 0 {
+		if effect == policy.Idempotent && len(r.Body) == 0 {
 			m.Method = http.MethodGet
 		}
 	}
@@ -259,9 +259,9 @@
 	}
 	class := &c.cfg.Policy.Classes[q.Class]
 	switch {
-	case class.Effect == policy.Keyed && s.Key == "":
+	case class.Effect == policy.Deduplicated && s.Key == "":
 		return no("Key", "class %q needs one", s.Class)
-	case class.Effect == policy.Unsafe && s.Key != "":
+	case class.Effect == policy.NonIdempotent && s.Key != "":
 		return no("Key", "it is of no use in class %q, whose calls must never run twice", s.Class)
 	case s.Timeout < 0 || s.Timeout > farTimeout*class.Deadline:
 		return no("Timeout", "%v is not within 0 and %d deadlines of class %q", s.Timeout, farTimeout, s.Class)
@@ -276,7 +276,7 @@
 	if s.ID == "" {
 		s.ID = c.idPrefix + "-" + strconv.FormatUint(c.idNumber.Add(1), 16)
 	}
-	q.Key, q.Work, q.Repeat = call.RouteKey(s.RouteKey), s.Work, s.Repeat
+	q.Key, q.Work, q.IsRetry = call.RouteKey(s.RouteKey), s.Work, s.Repeat
 	return q, class.Effect, nil
 }
 
--- a/plugin/config.go
+++ b/plugin/config.go
@@ -159,7 +159,7 @@
 			return bad("Discovery", "%v", err)
 		}
 	}
-	if c.Discovery == "" && c.Policy.AskList {
+	if c.Discovery == "" && c.Policy.ListOnDemand {
 		return bad("Policy.AskList", "it is set, but Discovery is empty")
 	}
 	for _, list := range []struct {
--- a/plugin/example_test.go
+++ b/plugin/example_test.go
@@ -27,7 +27,7 @@
 		Classes: []string{"harvest-entry"},
 		Policy: policy.Config{
 			Balancers: 1, MaxAttempts: 3, MaxRetryAfter: 1200 * time.Millisecond,
-			Classes: []policy.Class{{Aim: 600 * time.Millisecond, Deadline: 2500 * time.Millisecond, Worth: 2, Effect: policy.Unsafe}},
+			Classes: []policy.Class{{LatencyTarget: 600 * time.Millisecond, Deadline: 2500 * time.Millisecond, Value: 2, Effect: policy.NonIdempotent}},
 		},
 		Methods: map[string]plugin.Method{"/harvest": {Class: "harvest-entry"}},
 	})
@@ -66,8 +66,8 @@
 		Policy: policy.Config{
 			Balancers: 1, MaxAttempts: 3,
 			Classes: []policy.Class{{
-				Aim: 500 * time.Millisecond, Deadline: time.Second, Worth: 5,
-				Effect: policy.Keyed, Scope: policy.ScopeCell, Window: 600 * time.Millisecond,
+				LatencyTarget: 500 * time.Millisecond, Deadline: time.Second, Value: 5,
+				Effect: policy.Deduplicated, Scope: policy.ScopeCell, DedupWindow: 600 * time.Millisecond,
 			}},
 		},
 	})
--- a/plugin/grpcplugin/conn_test.go
+++ b/plugin/grpcplugin/conn_test.go
@@ -28,10 +28,10 @@
 
 // config is for some servers: unary calls are unsafe, streams safe, empty calls keyed.
 func config(addresses ...string) plugin.Config {
-	brief := policy.Class{Aim: 10 * time.Second, Deadline: 20 * time.Second, Worth: 1}
+	brief := policy.Class{LatencyTarget: 10 * time.Second, Deadline: 20 * time.Second, Value: 1}
 	safe, keyed, unsafe := brief, brief, brief
-	safe.Effect, keyed.Effect, unsafe.Effect = policy.Safe, policy.Keyed, policy.Unsafe
-	keyed.Window = time.Second
+	safe.Effect, keyed.Effect, unsafe.Effect = policy.Idempotent, policy.Deduplicated, policy.NonIdempotent
+	keyed.DedupWindow = time.Second
 	c := plugin.Config{
 		Classes: []string{"look", "reading", "entry"},
 		Policy: policy.Config{
@@ -336,7 +336,7 @@
 	t.Run("abandoned", func(t *testing.T) {
 		_, stub, l := open(t, func(c *plugin.Config) {
 			for i := range c.Policy.Classes {
-				c.Policy.Classes[i].Aim, c.Policy.Classes[i].Deadline = 200*time.Millisecond, 200*time.Millisecond
+				c.Policy.Classes[i].LatencyTarget, c.Policy.Classes[i].Deadline = 200*time.Millisecond, 200*time.Millisecond
 			}
 		})
 		s, err := stub.StreamingOutputCall(context.Background(), messages(1))
--- a/plugin/grpcplugin/example_test.go
+++ b/plugin/grpcplugin/example_test.go
@@ -41,7 +41,7 @@
 		Classes: []string{"harvest-entry"},
 		Policy: policy.Config{
 			Balancers: 1, MaxAttempts: 3,
-			Classes: []policy.Class{{Aim: 600 * time.Millisecond, Deadline: 2500 * time.Millisecond, Worth: 2, Effect: policy.Unsafe}},
+			Classes: []policy.Class{{LatencyTarget: 600 * time.Millisecond, Deadline: 2500 * time.Millisecond, Value: 2, Effect: policy.NonIdempotent}},
 		},
 		Methods: map[string]plugin.Method{"/grpc.testing.TestService/UnaryCall": {Class: "harvest-entry"}},
 	})
--- a/plugin/plugin_test.go
+++ b/plugin/plugin_test.go
@@ -25,9 +25,9 @@
 		Policy: policy.Config{
 			Balancers: 1, MaxAttempts: 3, MaxRetryAfter: time.Second,
 			Classes: []policy.Class{
-				{Aim: 10 * time.Second, Deadline: 20 * time.Second, Worth: 1, Effect: policy.Safe},
-				{Aim: 10 * time.Second, Deadline: 20 * time.Second, Worth: 5, Effect: policy.Keyed, Scope: policy.ScopeCell, Window: 600 * time.Millisecond},
-				{Aim: 10 * time.Second, Deadline: 20 * time.Second, Worth: 2, Effect: policy.Unsafe},
+				{LatencyTarget: 10 * time.Second, Deadline: 20 * time.Second, Value: 1, Effect: policy.Idempotent},
+				{LatencyTarget: 10 * time.Second, Deadline: 20 * time.Second, Value: 5, Effect: policy.Deduplicated, Scope: policy.ScopeCell, DedupWindow: 600 * time.Millisecond},
+				{LatencyTarget: 10 * time.Second, Deadline: 20 * time.Second, Value: 2, Effect: policy.NonIdempotent},
 			},
 		},
 	}
@@ -73,7 +73,7 @@
 	}{
 		"no servers":           {"Config.Discovery", func(c *Config) { c.Known = nil }},
 		"discovery":            {"Config.Discovery", func(c *Config) { c.Discovery = "nowhere" }},
-		"asked, no discovery":  {"Config.Policy.AskList", func(c *Config) { c.Policy.AskList = true }},
+		"asked, no discovery":  {"Config.Policy.AskList", func(c *Config) { c.Policy.ListOnDemand = true }},
 		"node id":              {"Config.Known", func(c *Config) { c.Known[0].ID = "" }},
 		"node twice":           {"Config.Known", func(c *Config) { c.Known = append(c.Known, c.Known[0]) }},
 		"node address":         {"Config.Known", func(c *Config) { c.Known[0].Address = "nowhere" }},
@@ -98,22 +98,22 @@
 		"no classes":           {"Classes", func(c *Config) { c.Policy.Classes, c.Classes = nil, nil }},
 		"attempts":             {"MaxAttempts", func(c *Config) { c.Policy.MaxAttempts = 0 }},
 		"slots":                {"Slots", func(c *Config) { c.Policy.Slots = -1 }},
-		"cold from":            {"ColdFrom", func(c *Config) { c.Policy.ColdFrom = 2 }},
-		"cold multiple":        {"ColdMultiple", func(c *Config) { c.Policy.ColdMultiple = math.NaN() }},
-		"cold time":            {"ColdTime", func(c *Config) { c.Policy.ColdTime = -1 }},
+		"cold from":            {"ColdFrom", func(c *Config) { c.Policy.SlowStartShare = 2 }},
+		"cold multiple":        {"ColdMultiple", func(c *Config) { c.Policy.SlowStartOverload = math.NaN() }},
+		"cold time":            {"ColdTime", func(c *Config) { c.Policy.SlowStartTime = -1 }},
 		"crossing":             {"CrossZonePrice", func(c *Config) { c.Policy.CrossZonePrice = -1 }},
 		"budget":               {"Budget", func(c *Config) { c.Policy.Budget.Free = 3 }},
-		"order":                {"OrderSettle", func(c *Config) { c.Policy.OrderSettle = -1 }},
-		"close within":         {"CloseWithin", func(c *Config) { c.Policy.CloseWithin = -1 }},
+		"order":                {"OrderSettle", func(c *Config) { c.Policy.KeySettleTime = -1 }},
+		"close within":         {"CloseWithin", func(c *Config) { c.Policy.IdleCloseTime = -1 }},
 		"retry after":          {"MaxRetryAfter", func(c *Config) { c.Policy.MaxRetryAfter = -1 }},
 		"tick":                 {"Tick", func(c *Config) { c.Policy.Tick = -1 }},
-		"ask within":           {"AskWithin", func(c *Config) { c.Policy.AskWithin = -1 }},
-		"aim":                  {"Aim", func(c *Config) { c.Policy.Classes[1].Aim = 0 }},
+		"ask within":           {"AskWithin", func(c *Config) { c.Policy.ListMaxAge = -1 }},
+		"aim":                  {"Aim", func(c *Config) { c.Policy.Classes[1].LatencyTarget = 0 }},
 		"deadline":             {"Deadline", func(c *Config) { c.Policy.Classes[1].Deadline = 0 }},
-		"window":               {"Window", func(c *Config) { c.Policy.Classes[1].Window = -1 }},
-		"worth":                {"Worth", func(c *Config) { c.Policy.Classes[1].Worth = -1 }},
-		"late share":           {"LateShare", func(c *Config) { c.Policy.Classes[1].LateShare = -1 }},
-		"aim stretch":          {"AimStretch", func(c *Config) { c.Policy.Classes[1].AimStretch = -1 }},
+		"window":               {"Window", func(c *Config) { c.Policy.Classes[1].DedupWindow = -1 }},
+		"worth":                {"Worth", func(c *Config) { c.Policy.Classes[1].Value = -1 }},
+		"late share":           {"LateShare", func(c *Config) { c.Policy.Classes[1].LateValue = -1 }},
+		"aim stretch":          {"AimStretch", func(c *Config) { c.Policy.Classes[1].TargetPerWork = -1 }},
 		"tenant share":         {"Share", func(c *Config) { c.Policy.Tenants[0].Share = -1 }},
 		"tenant quota":         {"Quota", func(c *Config) { c.Policy.Tenants[0].Quota = -1 }},
 		"shares that add to 0": {"Tenants", func(c *Config) { c.Policy.Tenants[0].Share = 0 }},
@@ -330,7 +330,7 @@
 	n := testbed.NewHTTPNode(t, "s-0", l)
 	cfg := usable(n)
 	cfg.Methods = map[string]Method{"/ledger.v1.Ledger/Enter": {Class: "entry"}}
-	cfg.Policy.Classes[2].Aim = 400 * time.Millisecond // a call that its one server turned away waits for another that long
+	cfg.Policy.Classes[2].LatencyTarget = 400 * time.Millisecond // a call that its one server turned away waits for another that long
 	var h http.Client
 	anew := func(act testbed.Act) { // a client that has seen no failure yet: after some the module lets in less
 		n.Do(testbed.Always(act))
--- a/plugin/roundtrip.go
+++ b/plugin/roundtrip.go
@@ -50,7 +50,7 @@
 	if m.Method == http.MethodHead || m.Method == http.MethodConnect {
 		return nil, &InvalidError{"Request.Method", m.Method + " is not carried"}
 	}
-	if effect != policy.Safe && m.Method == http.MethodGet {
+	if effect != policy.Idempotent && m.Method == http.MethodGet {
 		return nil, &InvalidError{"Request.Method", fmt.Sprintf("calls of class %q have an effect: GET is not for them", spec.Class)}
 	}
 	if m.Method == http.MethodGet && len(body) > 0 {
--- a/policy/api.go
+++ b/policy/api.go
@@ -1,5 +1,5 @@
 // Package policy decides, for one client-side load balancer (a sidecar), when and where each request is sent,
-// sent again, refused or failed.
+// retried, refused or failed.
 //
 // A Balancer is single-threaded and deterministic: it has no goroutines, no clock and no I/O. The program that
 // embeds it calls one method per event and passes the time; the Balancer answers through the Host it was given.
@@ -9,11 +9,11 @@
 // calls for one Balancer come from one goroutine, in the order of what happened. The order of calls: New, Start,
 // List with the servers known so far, then Request, Outcome, Wake, List, Probed, ClientGone, StreamBegun and
 // Reconfigure as they occur. Each Host.Send brings exactly one Outcome, also after the request has been answered;
-// each Host.Wake one call of Wake, late rather than never. A request is answered once: by an Outcome with Settled
+// each Host.Wake one call of Wake, late rather than never. A request is answered once: by an Outcome with Finished
 // set, or by Host.Refuse or Host.Fail.
 //
 // Bad input does no harm: a request that names no class or tenant, or has no time left, is refused; an outcome,
-// probe or departure of something unknown is passed over, and so is a repeated one. New and Reconfigure return
+// probe or departure of something unknown is ignored, and so is a repeated one. New and Reconfigure return
 // an error that names the field for settings that cannot be used; it then changes nothing.
 package policy
 
@@ -39,16 +39,25 @@
 	Tenant = requestclass.Tenant
 )
 
-// The effects and scopes of classes.
+// The effects of classes.
 const (
-	Safe, Keyed, Unsafe            = requestclass.Safe, requestclass.Keyed, requestclass.Unsafe
-	ScopeAll, ScopeZone, ScopeCell = requestclass.ScopeAll, requestclass.ScopeZone, requestclass.ScopeCell
+	Idempotent    = requestclass.Idempotent
+	Deduplicated  = requestclass.Deduplicated
+	NonIdempotent = requestclass.NonIdempotent
+)
+
+// The scopes of classes.
+const (
+	ScopeAll  = requestclass.ScopeAll
+	ScopeZone = requestclass.ScopeZone
+	ScopeCell = requestclass.ScopeCell
 )
 
 // RetryBudget limits attempts after each request's first; the zero value: no limit.
 type RetryBudget = admission.RetryLimit
 
-// Config holds the settings a Balancer starts with; it does not change them.
+// Config holds the settings a Balancer starts with; it does not change them. Recordings hold it as JSON,
+// under the keys of the tags.
 type Config struct {
 	Balancers int // balancers that send to the same servers, this one included
 	Index     int // this balancer's number among them, from 0
@@ -58,42 +67,54 @@
 
 	Slots int // slots of this balancer over all compartments; 0 derives them from the rest
 
-	MaxAttempts   int           // attempts for one request at most
-	MayCancel     bool          // Host.Cancel may be used
-	MayProbe      bool          // Host.Probe may be used
-	MaxRetryAfter time.Duration // the longest pause that clients heed
-	MarksRepeat   bool          // clients mark their own further tries: Request.Repeat
+	MaxAttempts        int           // attempts for one request at most
+	MayCancel          bool          // Host.Cancel may be used
+	MayProbe           bool          // Host.Probe may be used
+	MaxRetryAfter      time.Duration // the longest Retry-After that clients heed
+	ClientsMarkRetries bool          `json:"MarksRepeat"` // clients mark their own retries: Request.IsRetry
 
-	Budget      RetryBudget   // the zero value: no limit
-	OrderSettle time.Duration // a key rests this long after an attempt that may still be running
-	CloseWithin time.Duration // idle connections to a draining server are closed this soon; 0: left alone
+	Budget RetryBudget // the zero value: no limit
+	// KeySettleTime is how long a key's next request waits after an attempt that may still be running.
+	KeySettleTime time.Duration `json:"OrderSettle"`
+	// IdleCloseTime is how soon idle connections to a draining server are closed; 0: they are left open.
+	IdleCloseTime time.Duration `json:"CloseWithin"`
 
 	Tick time.Duration // events come at most this often
 
-	AskList   bool          // the server list must be asked for
-	AskWithin time.Duration // without asking this long, a change counts as told; 0: not known
+	ListOnDemand bool `json:"AskList"` // the server list must be asked for
+	// ListMaxAge is how long after it a change counts as received by one who did not ask; 0: not known.
+	ListMaxAge time.Duration `json:"AskWithin"`
 
-	ColdFrom     float64       // a server starts with at least this share of its capacity
-	ColdTime     time.Duration // and has all of it after this
-	ColdMultiple float64       // sent more than this multiple of what it can do at that moment, it falls over
+	// SlowStartShare is the least share of its capacity that a server starts with, and SlowStartTime the
+	// time after which it has all of it. Sent more than SlowStartOverload times its capacity of that moment,
+	// it fails.
+	SlowStartShare    float64       `json:"ColdFrom"`
+	SlowStartTime     time.Duration `json:"ColdTime"`
+	SlowStartOverload float64       `json:"ColdMultiple"`
 
 	Reports LoadFields // what servers' load reports hold
 
-	ProbePrice     float64 // price of a probe, against a worth of 1
-	CrossZonePrice float64 // price of an attempt that leaves the zone, against a worth of 1
-
-	Fleet func() int                          `json:"-"` // balancers that were seen, nil: none; more than Balancers lower budgets, fewer raise none
-	Place func() float64                      `json:"-"` // where this balancer begins among those that live, from 0 to 1; nil: by Index and Balancers. What is outside that counts for nothing
-	Doubt func(ServerID) bool                 `json:"-"` // others say that it is silent: then one failure is enough; nil: none
-	Parts func() int                          `json:"-"` // processes that are this balancer for now, as one replaces the other; nil: one
-	Gate  func(rng *rand.Rand) admission.Gate `json:"-"` // who may try for a slot at all; nil: the module's own way. To weigh others.
+	ProbePrice     float64 // price of a probe, against a request's value of 1
+	CrossZonePrice float64 // price of an attempt that leaves the zone, against a request's value of 1
+
+	// FleetSize is how many balancers were seen; nil: none. More than Balancers lower budgets, fewer raise none.
+	FleetSize func() int `json:"-"`
+	// ArcStart is where this balancer's arc of servers begins among those of the live balancers, from 0 to 1;
+	// nil: by Index and Balancers. A value outside that range is ignored.
+	ArcStart func() float64 `json:"-"`
+	// SuspectedDown says that other balancers get no answer from a server: then one failure is enough; nil: none.
+	SuspectedDown func(ServerID) bool `json:"-"`
+	// Processes is how many processes are this balancer for now, as one replaces the other; nil: one.
+	Processes func() int `json:"-"`
+	// NewGate makes the admission control of a compartment; nil: admission.Recovering. For comparisons.
+	NewGate func(rng *rand.Rand) admission.Gate `json:"-"`
 }
 
 // Limits are what Reconfigure changes while a Balancer runs.
 type Limits struct {
-	Tenants     []Tenant // as many as before; their shares are parts of 1
+	Tenants     []Tenant // as many as before; their shares are fractions of 1
 	MaxAttempts int
-	Queue       int // requests that may wait over all compartments; negative: as the rest has it
+	Queue       int // requests that may wait over all compartments; negative: derived from the slots
 	Budget      RetryBudget
 }
 
@@ -102,7 +123,7 @@
 
 // The states of a server.
 const (
-	Gone State = iota
+	Deregistered State = iota
 	Draining
 	Ready
 )
@@ -122,50 +143,50 @@
 
 // The kinds of list events.
 const (
-	ListFull   ListKind = iota // all servers; one that is absent has left
+	ListFull   ListKind = iota // all servers; one that is absent is deregistered
 	ListDelta                  // only changed entries
-	ListCached                 // all servers as last known, maybe old
+	ListCached                 // all servers as last known, maybe outdated
 	ListFailed                 // the call failed or the subscription broke; no entries
 )
 
 // Request is one client request.
 type Request struct {
-	ID     RequestID
-	Class  int
-	Tenant int
-	Key    uint64        // what it is about; 0: nothing in particular
-	Left   time.Duration // until the client gives up
-	Work   time.Duration // expected work; 0 where unknown
-	Repeat bool          // known to be a client's own further try
-	Terms  any           // for a module that knows more terms than this one, which passes them over
+	ID       RequestID
+	Class    int
+	Tenant   int
+	Key      uint64        // what it is about; 0: nothing in particular
+	TimeLeft time.Duration // until the client gives up
+	Work     time.Duration // expected work; 0 where unknown
+	IsRetry  bool          // known to be a client's own retry
+	Terms    any           // for a module that knows more terms than this one, which ignores them
 }
 
 // Ending says how an attempt ended.
 type Ending int
 
-// The endings of an attempt. TurnedAway, NoConnection and NotSent prove that
-// it never ran; every other one but Served means that it may have run, and so
-// does a value not listed here.
+// The endings of an attempt. A Balancer takes NotProcessed, NoConnection and NotSent as proof that it never
+// ran; every other one but Served means that it may have run, and so does a value not listed here.
+// Recordings hold the numbers.
 const (
-	Served Ending = iota
-	Errored
-	TurnedAway
-	TimedOut
-	NoConnection
-	Broken
-	Cancelled
-	NotSent
-	Rejected // the server says that the request is at fault, not itself: it would be rejected everywhere
-	Gated    // the gate beside the server turned it back: it never ran, and never came to the server
+	Served         Ending = iota
+	Errored               // the server answered with an error of its own
+	NotProcessed          // the server rejected it without running it
+	TimedOut              // no answer came in time
+	NoConnection          // no connection could be made
+	ConnectionLost        // the connection broke after the request was sent
+	Cancelled             // called off with Host.Cancel, or by the client
+	NotSent               // it never left the process
+	InvalidRequest        // the server says that the request is at fault: it would be rejected everywhere
+	GateRejected          // the gate beside the server rejected it: it never came to the server
 )
 
 // Outcome is the end of one attempt.
 type Outcome struct {
-	ID      RequestID
-	Attempt int // numbered from 0 in the order of Host.Send for this request
-	Ending  Ending
-	Settled bool // the request is over; nothing more is owed for it
-	Load    Load // the server's report, where one came along
+	ID       RequestID
+	Attempt  int // numbered from 0 in the order of Host.Send for this request
+	Ending   Ending
+	Finished bool // the request has its answer, or needs none any more
+	Load     Load // the server's report, where one came along
 }
 
 // LoadFields is a set of the fields of a Load.
@@ -183,11 +204,11 @@
 
 // Load is what a server reports of itself. The zero value is no report at all.
 type Load struct {
-	Has      LoadFields    // the fields that hold; the others are unknown
-	InFlight float64       // requests it holds
+	Has      LoadFields    // the fields that are known
+	InFlight float64       // requests at the server, waiting ones included
 	Queued   float64       // of these, requests that wait
-	Busy     float64       // share of its cores that is busy
-	Service  time.Duration // its usual time for a request of late, without waiting
+	Busy     float64       // fraction of its cores that is busy
+	Service  time.Duration // its recent mean time for a request, without waiting
 	Served   float64       // requests served a second
 	Errors   float64       // errors a second
 }
@@ -197,8 +218,8 @@
 type Host interface {
 	// Send starts the next attempt of a request, given up after timeout.
 	Send(id RequestID, to ServerID, timeout time.Duration)
-	// Refuse ends a request; trying again is harmless, best after the pause.
-	Refuse(id RequestID, pause time.Duration)
+	// Refuse ends a request; a retry is harmless, best after retryAfter.
+	Refuse(id RequestID, retryAfter time.Duration)
 	// Fail ends a request with no promise about its effect.
 	Fail(id RequestID)
 	// Cancel calls off one attempt; its Outcome still comes.
@@ -211,21 +232,21 @@
 	Probe(to ServerID)
 	// WatchList subscribes to the server list; Balancer.List brings changes.
 	WatchList()
-	// Log writes a line for the people on call.
+	// Log writes a line for the on-call engineers.
 	Log(line string)
 }
 
-// Counters tell what a Balancer did since it was made.
+// Counters tell what a Balancer did since it was made. The log prints them under their names here.
 type Counters struct {
 	Ordinary  uint64 // first sends by the ordinary path: a slot, and the server whose turn it was
-	Walled    uint64 // sends moved on because a server held its portion
-	Held      uint64 // times that a request with a slot free was held back, as all servers were crowded
-	Throttled uint64 // requests refused at once, as too few were lately answered in time
+	Walled    uint64 // sends that went to another server, as the one in turn was at its limit
+	Held      uint64 // times that a request with a free slot had to wait, as all servers were congested
+	Throttled uint64 // requests refused at once by admission control, as too few were answered in time
 	Crossed   uint64 // sends of any kind to another zone, where that has a price
 	Retries   uint64 // further attempts after one that failed
-	Late      uint64 // clients' later tries refused as their aim was gone
+	Late      uint64 // clients' retries refused as their latency target had passed
 	Queued    uint64 // requests that had to wait for a slot or a server
 	Refused   uint64
 	Failed    uint64
-	Avoided   int // ready servers that had no turns at the last Wake, for what they did
+	Avoided   int // ready servers that were ejected at the last Wake
 }
--- a/policy/arcs_test.go
+++ b/policy/arcs_test.go
@@ -87,7 +87,7 @@
 func TestPlaceMovesTheArc(t *testing.T) {
 	cfg := testConfig()
 	place := 0.5
-	cfg.Balancers, cfg.Tenants, cfg.Place = 40, []Tenant{{Share: 1, Quota: 240}}, func() float64 { return place }
+	cfg.Balancers, cfg.Tenants, cfg.ArcStart = 40, []Tenant{{Share: 1, Quota: 240}}, func() float64 { return place }
 	var list []Server
 	for i := range 30 {
 		list = append(list, Server{ID: ServerID(i + 1), State: Ready, Weight: 1})
--- a/policy/config.go
+++ b/policy/config.go
@@ -21,28 +21,28 @@
 		return nil, err
 	}
 	b := &Balancer{cfg: cfg, host: host, requests: make(map[RequestID]*request), sharers: cfg.Balancers}
-	b.lines, b.queued, b.begins = make(keyedqueue.Lines[*request]), -1, subset.Place(cfg.Index, cfg.Balancers, nil)
+	b.lines, b.queued, b.begins = make(keyedqueue.Queues[*request]), -1, subset.ArcStart(cfg.Index, cfg.Balancers, nil)
 	b.parts = make([]compartment, len(cfg.tenants()))
 	b.rng = rand.New(rand.NewPCG(seed, 0))
-	b.pace, b.short = cfg.Classes[0].Aim/8, 1
+	b.pace, b.short = cfg.Classes[0].LatencyTarget/8, 1
 	b.inquiry = loadquery.New(cfg.MayProbe && cfg.Reports&HasInFlight != 0, cfg.ProbePrice)
 	for _, c := range cfg.Classes {
-		b.classes = append(b.classes, class{Class: c, pace: c.Aim / 8})
-		b.aim += c.Aim.Seconds() / float64(len(cfg.Classes))
-		b.worth += c.Worth / float64(len(cfg.Classes))
-		b.pace = min(b.pace, c.Aim/8)
+		b.classes = append(b.classes, class{Class: c, pace: c.LatencyTarget / 8})
+		b.aim += c.LatencyTarget.Seconds() / float64(len(cfg.Classes))
+		b.worth += c.Value / float64(len(cfg.Classes))
+		b.pace = min(b.pace, c.LatencyTarget/8)
 	}
 	b.worth = cmp.Or(b.worth, 1)
-	b.asking = discoverypace.New(b.rng, cfg.Balancers, cfg.AskWithin)
-	b.budget = admission.RetryBudget{RetryLimit: cfg.Budget, Processes: cfg.Parts}
+	b.asking = discoverypace.New(b.rng, cfg.Balancers, cfg.ListMaxAge)
+	b.budget = admission.RetryBudget{RetryLimit: cfg.Budget, Processes: cfg.Processes}
 	health := admission.NewHealth()
-	if cfg.Gate == nil {
-		cfg.Gate = func(rng *rand.Rand) admission.Gate { return admission.NewRecovering(rng, health) }
+	if cfg.NewGate == nil {
+		cfg.NewGate = func(rng *rand.Rand) admission.Gate { return admission.NewRecovering(rng, health) }
 	}
 	for i := range b.parts { // one each: a tenant's flood turns no other's away
-		b.parts[i].gate = cfg.Gate(b.rng)
+		b.parts[i].gate = cfg.NewGate(b.rng)
 	}
-	b.came.Over = rateOver
+	b.came.Window = rateOver
 	b.wall = bulkhead.New(b.aim * slotAim)
 	b.deriveSlots()
 	return b, nil
@@ -61,16 +61,16 @@
 		return fmt.Errorf("config: MaxAttempts is %d, at least 1 is needed", cfg.MaxAttempts)
 	case cfg.Slots < 0:
 		return fmt.Errorf("config: Slots is %d, it must not be negative", cfg.Slots)
-	case requestclass.Bad(cfg.ColdFrom) || cfg.ColdFrom > 1:
-		return fmt.Errorf("config: ColdFrom is %v, a share is needed", cfg.ColdFrom)
-	case requestclass.Bad(cfg.ColdMultiple) || requestclass.Bad(cfg.CrossZonePrice) || requestclass.Bad(cfg.ProbePrice):
+	case requestclass.IsInvalid(cfg.SlowStartShare) || cfg.SlowStartShare > 1:
+		return fmt.Errorf("config: ColdFrom is %v, a share is needed", cfg.SlowStartShare)
+	case requestclass.IsInvalid(cfg.SlowStartOverload) || requestclass.IsInvalid(cfg.CrossZonePrice) || requestclass.IsInvalid(cfg.ProbePrice):
 		return fmt.Errorf("config: ColdMultiple %v, CrossZonePrice %v or ProbePrice %v is negative or no number",
-			cfg.ColdMultiple, cfg.CrossZonePrice, cfg.ProbePrice)
+			cfg.SlowStartOverload, cfg.CrossZonePrice, cfg.ProbePrice)
 	case cfg.Budget.Check() != nil:
 		return fmt.Errorf("config: Budget: %w", cfg.Budget.Check())
-	case min(cfg.OrderSettle, cfg.CloseWithin) < 0:
-		return fmt.Errorf("config: OrderSettle %v or CloseWithin %v is negative", cfg.OrderSettle, cfg.CloseWithin)
-	case min(cfg.MaxRetryAfter, cfg.Tick, cfg.AskWithin, cfg.ColdTime) < 0:
+	case min(cfg.KeySettleTime, cfg.IdleCloseTime) < 0:
+		return fmt.Errorf("config: OrderSettle %v or CloseWithin %v is negative", cfg.KeySettleTime, cfg.IdleCloseTime)
+	case min(cfg.MaxRetryAfter, cfg.Tick, cfg.ListMaxAge, cfg.SlowStartTime) < 0:
 		return fmt.Errorf("config: MaxRetryAfter, Tick, AskWithin or ColdTime is negative")
 	}
 	for i, c := range cfg.Classes {
@@ -90,7 +90,7 @@
 	if len(b.cfg.Tenants) == 0 {
 		q.Tenant = 0
 	}
-	return q.Class >= 0 && q.Class < len(b.classes) && q.Tenant >= 0 && q.Tenant < len(b.parts) && q.Left > 0
+	return q.Class >= 0 && q.Class < len(b.classes) && q.Tenant >= 0 && q.Tenant < len(b.parts) && q.TimeLeft > 0
 }
 
 // tenants returns the tenants, or one for all where none are set.
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -29,7 +29,7 @@
 		Balancers:   1,
 		MaxAttempts: 2,
 		Slots:       1,
-		Classes:     []policy.Class{{Aim: time.Second, Deadline: 2 * time.Second, Worth: 1, Effect: policy.Unsafe}},
+		Classes:     []policy.Class{{LatencyTarget: time.Second, Deadline: 2 * time.Second, Value: 1, Effect: policy.NonIdempotent}},
 	}, 42, sidecar{})
 	if err != nil {
 		fmt.Println(err)
@@ -39,10 +39,10 @@
 	b.Start(now)
 	b.List(now, policy.ListFull, []policy.Server{{ID: 7, State: policy.Ready, Weight: 1}})
 	for id := range policy.RequestID(3) { // one slot, one queue place: the third is refused
-		b.Request(now, policy.Request{ID: id, Left: 2 * time.Second})
+		b.Request(now, policy.Request{ID: id, TimeLeft: 2 * time.Second})
 	}
 	now += 80 * time.Millisecond
-	b.Outcome(now, policy.Outcome{ID: 0, Attempt: 0, Ending: policy.Served, Settled: true})
+	b.Outcome(now, policy.Outcome{ID: 0, Attempt: 0, Ending: policy.Served, Finished: true})
 	// Output:
 	// send request 0, for at most 1s
 	// refuse request 2
--- a/policy/helpers_test.go
+++ b/policy/helpers_test.go
@@ -104,24 +104,24 @@
 
 func testConfig() Config {
 	class := func(e Effect, s Scope) Class {
-		return Class{Aim: time.Second, Deadline: 3 * time.Second, Worth: 1, Effect: e, Scope: s, Window: 700 * ms}
+		return Class{LatencyTarget: time.Second, Deadline: 3 * time.Second, Value: 1, Effect: e, Scope: s, DedupWindow: 700 * ms}
 	}
 	return Config{
 		Balancers: 2,
 		Classes: []Class{
-			class(Safe, ScopeAll), class(Keyed, ScopeAll), class(Keyed, ScopeZone), class(Keyed, ScopeCell),
-			class(Unsafe, ScopeAll),
+			class(Idempotent, ScopeAll), class(Deduplicated, ScopeAll), class(Deduplicated, ScopeZone), class(Deduplicated, ScopeCell),
+			class(NonIdempotent, ScopeAll),
 		},
-		Tenants:       []Tenant{{Share: 0.75, Quota: 75}, {Share: 0.25, Quota: 25}},
-		Slots:         8,
-		MaxAttempts:   3,
-		MayCancel:     true,
-		MaxRetryAfter: time.Second,
-		Tick:          5 * ms,
-		AskWithin:     10 * time.Second,
-		ColdFrom:      0.3,
-		ColdTime:      8 * time.Second,
-		ColdMultiple:  3,
+		Tenants:           []Tenant{{Share: 0.75, Quota: 75}, {Share: 0.25, Quota: 25}},
+		Slots:             8,
+		MaxAttempts:       3,
+		MayCancel:         true,
+		MaxRetryAfter:     time.Second,
+		Tick:              5 * ms,
+		ListMaxAge:        10 * time.Second,
+		SlowStartShare:    0.3,
+		SlowStartTime:     8 * time.Second,
+		SlowStartOverload: 3,
 	}
 }
 
@@ -154,12 +154,12 @@
 
 // ask hands in a request of tenant 0.
 func ask(b *Balancer, now time.Duration, id RequestID, class int) {
-	b.Request(now, Request{ID: id, Class: class, Left: 2 * time.Second})
+	b.Request(now, Request{ID: id, Class: class, TimeLeft: 2 * time.Second})
 }
 
 // end ends an attempt of a request.
 func end(b *Balancer, now time.Duration, id RequestID, attempt int, e Ending) {
-	b.Outcome(now, Outcome{ID: id, Attempt: attempt, Ending: e, Settled: e == Served})
+	b.Outcome(now, Outcome{ID: id, Attempt: attempt, Ending: e, Finished: e == Served})
 }
 
 // findFresh has a balancer find that reports are fresh.
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -41,11 +41,11 @@
 
 // Start begins the Balancer's life; it must be the first event.
 func (b *Balancer) Start(now time.Duration) {
-	if b.cfg.AskList {
+	if b.cfg.ListOnDemand {
 		b.asking.Start(now)
 	}
 	b.ask(now)
-	b.came.Lately(now)                                               // it begins
+	b.came.Recent(now)                                               // it begins
 	b.sampleAt = now + time.Duration(b.rng.Int64N(int64(4*toldFor))) // not all balancers at once
 	b.wake(now, idleTick)
 }
@@ -63,30 +63,30 @@
 		return
 	}
 	r := &request{id: q.ID, class: &b.classes[q.Class], home: &b.parts[q.Tenant]}
-	r.deadline = now + min(q.Left, time.Hour)
-	r.useful, r.wanted = r.deadline, min(r.deadline, now+r.class.Aim)
-	if stretch := r.class.AimStretch; r.class.LateShare == 0 && (stretch == 0 || q.Work > 0) {
+	r.deadline = now + min(q.TimeLeft, time.Hour)
+	r.useful, r.wanted = r.deadline, min(r.deadline, now+r.class.LatencyTarget)
+	if stretch := r.class.TargetPerWork; r.class.LateValue == 0 && (stretch == 0 || q.Work > 0) {
 		begun := now // the first try; a later one has less time left, or waits less for good
-		r.class.longest = max(q.Left, r.class.longest-(r.class.longest-q.Left)/64)
-		if (q.Repeat || !b.cfg.MarksRepeat) && q.Left < r.class.longest-2*busyTick {
+		r.class.longest = max(q.TimeLeft, r.class.longest-(r.class.longest-q.TimeLeft)/64)
+		if (q.IsRetry || !b.cfg.ClientsMarkRetries) && q.TimeLeft < r.class.longest-2*busyTick {
 			begun = min(now, r.deadline-r.class.Deadline)
 		}
-		r.useful = min(r.deadline, begun+r.class.Aim+time.Duration(stretch*float64(q.Work)))
+		r.useful = min(r.deadline, begun+r.class.LatencyTarget+time.Duration(stretch*float64(q.Work)))
 	}
 	if r.class.InOrder && q.Key != 0 {
-		r.line = b.lines.Join(now, q.Key, r, len(b.requests))
+		r.line = b.lines.Add(now, q.Key, r, len(b.requests))
 	}
 	b.requests[r.id] = r
 	b.open = append(b.open, r)
 	b.wake(now, busyTick)
-	b.came.Came(now)
-	if !q.Repeat {
-		b.wall.Came(now)
+	b.came.Record(now)
+	if !q.IsRetry {
+		b.wall.RecordRequest(now)
 	}
 	if b.want(now) != b.wanted {
 		b.cut(now)
 	}
-	if !r.home.gate.Admit(now, r.class.Worth/b.worth) {
+	if !r.home.gate.Admit(now, r.class.Value/b.worth) {
 		b.count.Throttled++
 		b.finish(r)
 		return
@@ -101,7 +101,7 @@
 	}
 	if now > r.lateIn() { // late, or as good as: it takes nothing from others
 		r.useful = r.deadline
-		if b.wall.Crowded() || !b.dispatch(now, r) {
+		if b.wall.Congested() || !b.dispatch(now, r) {
 			b.count.Late++
 			b.finish(r)
 		}
@@ -125,19 +125,19 @@
 		return
 	}
 	a := &r.attempts[o.Attempt]
-	a.state, a.broke = mayHaveRun, o.Ending == Broken
-	if o.Ending == TurnedAway || o.Ending == NoConnection || o.Ending == NotSent {
+	a.state, a.broke = mayHaveRun, o.Ending == ConnectionLost
+	if o.Ending == NotProcessed || o.Ending == NoConnection || o.Ending == NotSent {
 		a.state = neverRan
 	}
 	b.hold(r, a.to, -1)
-	e := admission.AttemptEnd{Duration: now - a.sent, LatencyTarget: r.class.Aim}
+	e := admission.AttemptEnd{Duration: now - a.sent, LatencyTarget: r.class.LatencyTarget}
 	e.Ignored = r.over || o.Ending == NotSent
 	if o.Ending == Served && now <= r.wanted {
-		e.Score = min(1, 2*float64(r.wanted-now)/float64(r.class.Aim))
+		e.Score = min(1, 2*float64(r.wanted-now)/float64(r.class.LatencyTarget))
 	}
 	r.home.gate.AttemptEnded(now, e)
-	if o.Ending == TimedOut || o.Ending == Broken || o.Ending == Cancelled {
-		r.line.Rest(now + b.cfg.OrderSettle)
+	if o.Ending == TimedOut || o.Ending == ConnectionLost || o.Ending == Cancelled {
+		r.line.SettleUntil(now + b.cfg.KeySettleTime)
 	}
 	if a.to.State != Ready {
 		b.close(now, a.to)
@@ -146,9 +146,9 @@
 	switch {
 	case r.over && r.out == 0:
 		b.forget(r)
-	case !r.over && (o.Settled || o.Ending == Served || r.begun):
+	case !r.over && (o.Finished || o.Ending == Served || r.begun):
 		b.settle(r)
-	case !r.over && o.Ending == Rejected: // it would be everywhere
+	case !r.over && o.Ending == InvalidRequest: // it would be everywhere
 		b.count.Failed++
 		b.host.Fail(r.id)
 		b.settle(r)
@@ -163,11 +163,11 @@
 	if now < b.wakeAt {
 		return // an older timer
 	}
-	if n := max(b.cfg.Balancers, int(admission.ProcessCount(b.cfg.Fleet))); n != b.sharers {
+	if n := max(b.cfg.Balancers, int(admission.ProcessCount(b.cfg.FleetSize))); n != b.sharers {
 		b.resize(n)
 	}
-	if b.cfg.Place != nil {
-		if at := b.cfg.Place(); at >= 0 && at < 1 && at != b.begins {
+	if b.cfg.ArcStart != nil {
+		if at := b.cfg.ArcStart(); at >= 0 && at < 1 && at != b.begins {
 			b.begins = at
 			b.cut(now)
 		}
@@ -214,14 +214,16 @@
 }
 
 // lateIn is when a wait stops being worth it: servers would work for answers that come late.
-func (r *request) lateIn() time.Duration { return r.useful - min(2*r.class.pace, r.class.Aim/2) }
+func (r *request) lateIn() time.Duration {
+	return r.useful - min(2*r.class.pace, r.class.LatencyTarget/2)
+}
 
 // dispatch sends a request if a slot of its compartment and a server are free.
 func (b *Balancer) dispatch(now time.Duration, r *request) bool {
 	if r.home.used >= r.home.slots {
 		return false
 	}
-	if float64(b.out) >= b.wall.Room(now, r.home.share, r.home.used) { // one each of many is a crowd too
+	if float64(b.out) >= b.wall.Limit(now, r.home.share, r.home.used) { // one each of many is a crowd too
 		b.count.Held++
 		return false
 	}
@@ -272,9 +274,9 @@
 func (r *request) mayRepeat(now time.Duration, s *server) bool {
 	first := r.ran()
 	switch {
-	case first == nil || r.class.Effect == Safe:
+	case first == nil || r.class.Effect == Idempotent:
 		return true
-	case r.class.Effect == Unsafe || now >= first.sent+r.class.Window:
+	case r.class.Effect == NonIdempotent || now >= first.sent+r.class.DedupWindow:
 		return false
 	case s == nil || r.class.Scope == ScopeAll:
 		return true
@@ -303,14 +305,14 @@
 
 // inTurn says whether a request is the first of its key, and no earlier attempt may still run.
 func (r *request) inTurn(now time.Duration) bool {
-	return r.line.First(r) && (len(r.attempts) > 0 || !r.line.Rests(now))
+	return r.line.IsFirst(r) && (len(r.attempts) > 0 || !r.line.IsSettling(now))
 }
 
 // close closes idle connections to a server that drains (rule 7): now and, as one may be opening, once more.
 func (b *Balancer) close(now time.Duration, s *server) {
-	if b.cfg.CloseWithin > 0 {
+	if b.cfg.IdleCloseTime > 0 {
 		b.host.Close(s.ID)
-		b.closeAt = cmp.Or(b.closeAt, now+b.cfg.CloseWithin/2)
+		b.closeAt = cmp.Or(b.closeAt, now+b.cfg.IdleCloseTime/2)
 		b.wake(now, b.closeAt-now)
 	}
 }
@@ -342,21 +344,21 @@
 // patience is how long an attempt is waited for; see Inquiry.Patience.
 func (b *Balancer) patience(now time.Duration, r *request) time.Duration {
 	whole, cut := r.useful-now, r.lateIn()-now-busyTick
-	if r.class.Effect == Keyed {
-		cut = min(cut, r.class.Window-2*busyTick)
+	if r.class.Effect == Deduplicated {
+		cut = min(cut, r.class.DedupWindow-2*busyTick)
 	}
-	if r.class.Effect == Unsafe || len(r.attempts) >= b.cfg.MaxAttempts || b.nowhere(now, r) {
+	if r.class.Effect == NonIdempotent || len(r.attempts) >= b.cfg.MaxAttempts || b.nowhere(now, r) {
 		return whole
 	}
-	return b.inquiry.Patience(whole, cut)
+	return b.inquiry.AttemptTimeout(whole, cut)
 }
 
 // coldGap spaces sends to a cold server, by our even part of what it can do now.
 func (b *Balancer) coldGap(now time.Duration, s *server) time.Duration {
 	rate := cmp.Or(b.quota/float64(b.sharers), float64(max(b.out, 1))/b.pace.Seconds())
-	warmth := slowstart.Warmth(s.warmAt-now, b.cfg.ColdTime, b.cfg.ColdFrom)
-	warm := s.part * warmth / admission.ProcessCount(b.cfg.Parts)
-	return slowstart.Gap(b.part(rate, s)*b.weight/max(b.reach, s.Weight)*warm, b.cfg.ColdMultiple)
+	warmth := slowstart.Warmth(s.warmAt-now, b.cfg.SlowStartTime, b.cfg.SlowStartShare)
+	warm := s.part * warmth / admission.ProcessCount(b.cfg.Processes)
+	return slowstart.Gap(b.part(rate, s)*b.weight/max(b.reach, s.Weight)*warm, b.cfg.SlowStartOverload)
 }
 
 // pick is smooth weighted round robin over the ready servers: each is due again one over its
@@ -407,20 +409,20 @@
 func (b *Balancer) judge(now time.Duration, r *request, a *attempt, end Ending) {
 	s, took, away := a.to, now-a.sent, a.to.apart[r.home]
 	if end == Served || end == TimedOut && s.strain < failStrain/2 { // a strained one alone is no crowd
-		x := float64(took) / float64(r.class.Aim)
+		x := float64(took) / float64(r.class.LatencyTarget)
 		s.used += (x*x - s.used) / 8
-		b.wall.Took(now, x)
+		b.wall.RecordLatency(now, x)
 	}
 	x := failStrain
 	switch end {
-	case Cancelled, NotSent, Rejected:
+	case Cancelled, NotSent, InvalidRequest:
 		return
 	case Served:
 		x = min(x, float64(took)/float64(r.class.pace))
 		r.class.pace += (took - r.class.pace) / 16
 		b.pace += (took - b.pace) / 32
 		if s.silent > 0 && s.strain > failStrain/2 && now-s.silent > time.Second { // restarted, maybe
-			s.warmAt = max(s.warmAt, now+b.cfg.ColdTime)
+			s.warmAt = max(s.warmAt, now+b.cfg.SlowStartTime)
 			b.host.Log(fmt.Sprintf("server %x answers again after %v", s.ID, now-s.silent))
 		}
 		s.silent, s.fails, s.backAt = 0, 0, 0
@@ -436,16 +438,16 @@
 	}
 	switch {
 	case end == Served:
-	case end == TurnedAway && a.sent < away.cutAt:
+	case end == NotProcessed && a.sent < away.cutAt:
 		return // it went out before the last one was known of: that was one word, not many
-	case end == TurnedAway: // it takes so many a second, maybe: spaced, and felt for, rather than stopped
+	case end == NotProcessed: // it takes so many a second, maybe: spaced, and felt for, rather than stopped
 		away.cutAt, away.by = now, min(max(2*away.by, firstSpace), lastSpace)
 		if s.apart == nil {
 			s.apart = make(map[*compartment]apart)
 		}
 		s.apart[r.home] = away
 	default:
-		if s.fails++; s.fails > 1 || b.cfg.Doubt != nil && b.cfg.Doubt(s.ID) {
+		if s.fails++; s.fails > 1 || b.cfg.SuspectedDown != nil && b.cfg.SuspectedDown(s.ID) {
 			s.backAt = max(s.backAt, now+failPause<<min(max(0, s.fails-2), failDouble))
 		}
 	}
@@ -463,9 +465,9 @@
 	}
 	switch {
 	case kind != ListCached:
-		b.asking.Heard()
+		b.asking.Subscribed()
 	case len(entries) == 0:
-		b.asking.Now(now)
+		b.asking.AskNow(now)
 	}
 	if kind != ListDelta {
 		b.allGone() // until the list names them
@@ -473,7 +475,7 @@
 	for _, e := range entries {
 		b.enter(now, e)
 	}
-	b.servers = slices.DeleteFunc(b.servers, func(s *server) bool { return s.State == Gone })
+	b.servers = slices.DeleteFunc(b.servers, func(s *server) bool { return s.State == Deregistered })
 	if b.mean == 0 {
 		b.deriveSlots() // no quotas: the first list is all there is to go by
 	}
@@ -493,7 +495,7 @@
 	}
 	s := b.listed(e.ID)
 	if e.Started > 0 && e.Started > s.Started { // cold, and nothing known of it holds any more
-		warm := max(s.warmAt, e.Started+b.cfg.ColdTime)
+		warm := max(s.warmAt, e.Started+b.cfg.SlowStartTime)
 		*s = server{Server: e, out: s.out, warmAt: warm, strain: 1, part: s.part, coldAt: -1}
 	}
 	s.Server = e
@@ -504,7 +506,7 @@
 
 // ask asks for the list where that is due.
 func (b *Balancer) ask(now time.Duration) {
-	if b.cfg.AskList && b.asking.Due(now) {
+	if b.cfg.ListOnDemand && b.asking.Due(now) {
 		b.host.WatchList()
 	}
 }
@@ -530,7 +532,7 @@
 		return false
 	}
 	s, _ := b.turnOf(now, r, b.arc, false)
-	if s == nil || !b.inquiry.Asks(s.strain) || (s.toldAt > 0 && now-s.toldAt < toldFor) {
+	if s == nil || !b.inquiry.ShouldProbe(s.strain) || (s.toldAt > 0 && now-s.toldAt < toldFor) {
 		return false
 	}
 	r.asks, r.asksUntil, s.askedAt = s, now+askWait, now
@@ -549,13 +551,13 @@
 	}
 	if told {
 		s.toldAt, s.load, s.others = now, l, max(0, l.InFlight-float64(s.out))
-	} else if s != nil && b.inquiry.Asks(s.strain) { // it can't tell: the turn is the next one's
+	} else if s != nil && b.inquiry.ShouldProbe(s.strain) { // it can't tell: the turn is the next one's
 		s.toldAt, s.others = now, math.Inf(1)
 		if now-s.askedAt < askWait { // it said so at once: a connection broke, maybe, so that is soon forgotten
 			s.toldAt -= 4 * toldFor
 		}
 	}
-	if s != nil && b.inquiry.Doubts(s.strain) && b.fuller(now, nil, s) {
+	if s != nil && b.inquiry.ProbesSuspect(s.strain) && b.fuller(now, nil, s) {
 		s.due = b.turn + b.gap(now, s) // it had its turn
 	}
 	for _, r := range b.open {
@@ -570,17 +572,17 @@
 // it has not reported and the request met only such ones.
 func (b *Balancer) fuller(now time.Duration, r *request, s *server) bool {
 	if s.toldAt == 0 || now-s.toldAt >= 5*toldFor {
-		return b.inquiry.Pays() && r.asked >= askMost
+		return b.inquiry.ProbesAll() && r.asked >= askMost
 	}
 	return s.others+float64(s.out) >= partRoom+b.part(b.mean, s)*b.short
 }
 
 // finish is the one place that answers: refused where that is true, failed where it is not.
 func (b *Balancer) finish(r *request) {
-	switch {
+	switch c := r.class; {
 	case r.over:
 		return
-	case r.ran() == nil || r.class.Effect == Safe || r.class.Effect == Keyed && r.class.Scope == ScopeAll:
+	case r.ran() == nil || c.Effect == Idempotent || c.Effect == Deduplicated && c.Scope == ScopeAll:
 		b.count.Refused++
 		pause := time.Duration((1 + b.rng.Float64()) * float64(b.pace)) // spread: not all at once
 		b.host.Refuse(r.id, min(b.cfg.MaxRetryAfter, pause))
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -28,7 +28,7 @@
 	if b.SlotsFree(1) != 2 {
 		t.Fatalf("tenant 1 lost slots to tenant 0")
 	}
-	b.Request(0, Request{ID: 20, Class: safeClass, Tenant: 1, Left: 2 * time.Second})
+	b.Request(0, Request{ID: 20, Class: safeClass, Tenant: 1, TimeLeft: 2 * time.Second})
 	if len(h.sends) != 7 {
 		t.Fatalf("the other compartment did not send past the full one")
 	}
@@ -41,7 +41,7 @@
 // Guards against: a client's later tries are served when nothing can be earned by them any more.
 func TestLateTriesGiveWay(t *testing.T) {
 	b, h := start(t, testConfig(), ready(1, 2))
-	left := func(id RequestID, d time.Duration) { b.Request(0, Request{ID: id, Class: safeClass, Left: d}) }
+	left := func(id RequestID, d time.Duration) { b.Request(0, Request{ID: id, Class: safeClass, TimeLeft: d}) }
 	left(1, 2800*ms) // first tries come with this much of the class's 3 s
 	left(2, 2500*ms) // begun half a second ago
 	left(3, 1500*ms) // begun 1.5 s ago, late already, but answers are quick
@@ -58,7 +58,7 @@
 // took has answers take such a share of their aim for a while.
 func took(b *Balancer, share float64) {
 	for range 100 {
-		b.wall.Took(0, share)
+		b.wall.RecordLatency(0, share)
 	}
 }
 
@@ -71,7 +71,7 @@
 		if id >= 20 {
 			left = 2200 * ms
 		}
-		b.Request(now, Request{ID: id, Class: safeClass, Left: left})
+		b.Request(now, Request{ID: id, Class: safeClass, TimeLeft: left})
 		end(b, now+5*ms, id, 0, Served)
 	}
 	if last := h.sends[len(h.sends)-1]; last.timeout != time.Second {
@@ -81,11 +81,11 @@
 
 func TestUnmarkedTriesAreFirstTriesWhereClientsMark(t *testing.T) {
 	cfg := testConfig()
-	cfg.MarksRepeat = true
+	cfg.ClientsMarkRetries = true
 	b, h := start(t, cfg, ready(1, 2))
-	b.Request(0, Request{ID: 1, Class: safeClass, Left: 2800 * ms})
-	b.Request(0, Request{ID: 2, Class: safeClass, Left: 2500 * ms})
-	b.Request(0, Request{ID: 3, Class: safeClass, Left: 2500 * ms, Repeat: true})
+	b.Request(0, Request{ID: 1, Class: safeClass, TimeLeft: 2800 * ms})
+	b.Request(0, Request{ID: 2, Class: safeClass, TimeLeft: 2500 * ms})
+	b.Request(0, Request{ID: 3, Class: safeClass, TimeLeft: 2500 * ms, IsRetry: true})
 	if h.sends[1].timeout != time.Second || h.sends[2].timeout != 500*ms {
 		t.Fatalf("sends %v: want only the marked one cut", h.sends)
 	}
@@ -152,11 +152,11 @@
 
 func TestAttemptIsCutWhereItsAnswerIsWorthless(t *testing.T) {
 	cfg := testConfig()
-	cfg.Classes[1].LateShare = 0.5
+	cfg.Classes[1].LateValue = 0.5
 	b, h := start(t, cfg, ready(1, 2))
 	ask(b, 0, 1, safeClass)
 	ask(b, 0, 2, keyedAll)
-	b.Request(0, Request{ID: 3, Class: keyedCell, Left: 300 * ms})
+	b.Request(0, Request{ID: 3, Class: keyedCell, TimeLeft: 300 * ms})
 	if got := h.sends[0].timeout; got != time.Second {
 		t.Errorf("time-out %v, want the aim", got)
 	}
@@ -177,12 +177,12 @@
 		fails bool // where it is not sent again
 	}{
 		{"safe after an error", safeClass, Errored, true, false},
-		{"keyed after a reset", keyedAll, Broken, true, false},
-		{"unsafe turned away", unsafeClass, TurnedAway, true, false},
+		{"keyed after a reset", keyedAll, ConnectionLost, true, false},
+		{"unsafe turned away", unsafeClass, NotProcessed, true, false},
 		{"unsafe without a connection", unsafeClass, NoConnection, true, false},
 		{"unsafe never sent", unsafeClass, NotSent, true, false},
 		{"unsafe after an error", unsafeClass, Errored, false, true},
-		{"unsafe after a reset", unsafeClass, Broken, false, true},
+		{"unsafe after a reset", unsafeClass, ConnectionLost, false, true},
 		{"unsafe after a time-out", unsafeClass, TimedOut, false, true},
 		{"unsafe after an unknown end", unsafeClass, Ending(99), false, true},
 	} {
@@ -230,7 +230,7 @@
 			h.sends = nil
 			ask(b, 2*ms, 1, class)
 			first := byID(h.sends[0].to)
-			end(b, 30*ms, 1, 0, Broken)
+			end(b, 30*ms, 1, 0, ConnectionLost)
 			if len(h.sends) < 2 {
 				if class == keyedZone || first.Zone == 1 {
 					t.Fatalf("class %d from server %d was not sent again", class, first.ID)
@@ -254,13 +254,13 @@
 		ask(b, 0, id, safeClass)
 		end(b, ms, id, 0, Served)
 	}
-	b.List(ms, ListDelta, []Server{{ID: 3, State: Gone}})
+	b.List(ms, ListDelta, []Server{{ID: 3, State: Deregistered}})
 	h.sends = nil
 	ask(b, 2*ms, 1, keyedZone) // it is the turn of server 2, in zone 1
 	if h.sends[0].to != 2 {
 		t.Fatalf("set-up: first attempt went to %d", h.sends[0].to)
 	}
-	end(b, 3*ms, 1, 0, TurnedAway) // it never ran there, so zone 1 does not bind
+	end(b, 3*ms, 1, 0, NotProcessed) // it never ran there, so zone 1 does not bind
 	if len(h.sends) != 2 || h.sends[1].to != 1 {
 		t.Fatalf("sends %v, want a second attempt at server 1", h.sends)
 	}
@@ -286,7 +286,7 @@
 }
 
 func TestDrainingServerGetsNothingMore(t *testing.T) {
-	for _, state := range []State{Draining, Gone} {
+	for _, state := range []State{Draining, Deregistered} {
 		b, h := start(t, testConfig(), ready(1, 2))
 		b.List(10*ms, ListDelta, []Server{{ID: 1, State: state, Weight: 1}})
 		for id := range RequestID(10) {
@@ -334,7 +334,7 @@
 	sends := map[int]int{}
 	for _, parts := range []int{1, 2} {
 		cfg := testConfig()
-		cfg.Balancers, cfg.Parts = 1, func() int { return parts }
+		cfg.Balancers, cfg.Processes = 1, func() int { return parts }
 		list := ready(1, 2)
 		b, h := start(t, cfg, list)
 		list[0].Started = 10 * time.Second
@@ -550,7 +550,7 @@
 	}
 	b, h := start(t, testConfig(), ready(1, 2))
 	ask(b, 0, 1, safeClass)
-	end(b, 5*ms, 1, 0, Rejected)
+	end(b, 5*ms, 1, 0, InvalidRequest)
 	if !h.failed[1] || len(h.sends) != 1 || b.server(h.sends[0].to).strain != 1 {
 		t.Errorf("failed %v, sends %v: want it failed at once, and nothing held against the server", h.failed, h.sends)
 	}
@@ -559,7 +559,7 @@
 // Guards against cells of two whose other server has no room: a keyed request whose connection broke may go again where it was, as
 // repeats are dropped there; one that had no answer in time may not.
 func TestABrokenConnectionDoesNotRuleItsServerOut(t *testing.T) {
-	for end, want := range map[Ending]int{Broken: 2, Errored: 1} {
+	for end, want := range map[Ending]int{ConnectionLost: 2, Errored: 1} {
 		b, h := start(t, testConfig(), ready(1))
 		ask(b, 0, 1, keyedCell)
 		b.Outcome(5*ms, Outcome{ID: 1, Ending: end})
@@ -580,7 +580,7 @@
 		for n := 0; n < 3 && len(h.sends) > away+taken; n++ {
 			if h.sends[away+taken].to == 1 {
 				away++
-				end(b, now, id, n, TurnedAway)
+				end(b, now, id, n, NotProcessed)
 			} else {
 				taken++
 				end(b, now, id, n, Served)
@@ -636,12 +636,12 @@
 		}
 		if now%(10*ms) == 0 { // it is asked for 100 a second
 			id++
-			b.Request(now, Request{ID: id, Class: safeClass, Left: 500 * ms})
+			b.Request(now, Request{ID: id, Class: safeClass, TimeLeft: 500 * ms})
 		}
 		b.Wake(now)
 		for ; seen < len(h.sends); seen++ {
 			s := h.sends[seen]
-			d := due{now + 40*ms, s.id, tries[s.id], TurnedAway}
+			d := due{now + 40*ms, s.id, tries[s.id], NotProcessed}
 			tries[s.id]++
 			if away++; tokens >= 1 {
 				tokens--
@@ -679,7 +679,7 @@
 
 func TestAsksForTheListAndAgain(t *testing.T) {
 	cfg := testConfig()
-	cfg.AskList = true
+	cfg.ListOnDemand = true
 	b, h := start(t, cfg, ready(1))
 	if h.asks != 1 {
 		t.Fatalf("asked %d times at the start", h.asks)
@@ -695,8 +695,8 @@
 			b.List(now, ListFailed, nil)
 		}
 	}
-	if len(gaps) < 4 || slices.Max(gaps) >= cfg.AskWithin || gaps[0] >= gaps[len(gaps)-1] {
-		t.Fatalf("gaps between calls %v: want them to grow, and none to reach %v", gaps, cfg.AskWithin)
+	if len(gaps) < 4 || slices.Max(gaps) >= cfg.ListMaxAge || gaps[0] >= gaps[len(gaps)-1] {
+		t.Fatalf("gaps between calls %v: want them to grow, and none to reach %v", gaps, cfg.ListMaxAge)
 	}
 	if b.server(1) == nil {
 		t.Fatal("a failed call dropped the old list")
@@ -712,11 +712,11 @@
 
 func TestUnansweredCallIsRepeated(t *testing.T) {
 	cfg := testConfig()
-	cfg.AskList = true
+	cfg.ListOnDemand = true
 	h := newFakeHost()
 	b, _ := New(cfg, 1, h)
 	b.Start(0)
-	for now := time.Duration(0); now < cfg.AskWithin; now += 50 * ms {
+	for now := time.Duration(0); now < cfg.ListMaxAge; now += 50 * ms {
 		b.Wake(now)
 	}
 	if h.asks < 2 {
@@ -727,7 +727,7 @@
 // Guards against asking at every Wake, or never again, where it is not known how soon silence counts.
 func TestUnansweredCallIsRepeatedNowAndThenWithoutALimit(t *testing.T) {
 	cfg := testConfig()
-	cfg.AskList, cfg.AskWithin = true, 0
+	cfg.ListOnDemand, cfg.ListMaxAge = true, 0
 	h := newFakeHost()
 	b, _ := New(cfg, 1, h)
 	b.Start(0)
@@ -741,11 +741,11 @@
 
 func TestOddEventsArePassedOver(t *testing.T) {
 	b, h := start(t, testConfig(), ready(1, 2))
-	b.Request(0, Request{ID: 1, Class: 99, Left: time.Second})
-	b.Request(0, Request{ID: 2, Class: -1, Left: time.Second})
-	b.Request(0, Request{ID: 3, Tenant: 7, Left: time.Second})
-	b.Request(0, Request{ID: 4, Left: 0})
-	b.Request(0, Request{ID: 5, Left: -time.Second})
+	b.Request(0, Request{ID: 1, Class: 99, TimeLeft: time.Second})
+	b.Request(0, Request{ID: 2, Class: -1, TimeLeft: time.Second})
+	b.Request(0, Request{ID: 3, Tenant: 7, TimeLeft: time.Second})
+	b.Request(0, Request{ID: 4, TimeLeft: 0})
+	b.Request(0, Request{ID: 5, TimeLeft: -time.Second})
 	if len(h.refused) != 5 || len(h.sends) != 0 {
 		t.Fatalf("refused %d, sent %d; want 5 and 0", len(h.refused), len(h.sends))
 	}
@@ -789,7 +789,7 @@
 	if len(h.refused)+len(h.failed)+len(h.cancelled) != 0 || len(h.sends) != 1 {
 		t.Fatal("a stream that had begun was answered, called off or sent again")
 	}
-	b.Outcome(11*time.Second, Outcome{ID: 1, Ending: Broken, Settled: true})
+	b.Outcome(11*time.Second, Outcome{ID: 1, Ending: ConnectionLost, Finished: true})
 	if len(b.requests) != 0 {
 		t.Fatal("the ended stream is still held")
 	}
@@ -807,12 +807,12 @@
 			b.ClientGone(now+ms, id)
 			end(b, now+2*ms, id, 0, Cancelled)
 		case 2:
-			end(b, now+ms, id, 0, Broken)
+			end(b, now+ms, id, 0, ConnectionLost)
 			end(b, now+2*ms, id, 1, Served)
 		}
 		if id%100 == 0 {
 			b.List(now, ListDelta, []Server{{ID: ServerID(1000 + id), State: Ready, Weight: 1}})
-			b.List(now, ListDelta, []Server{{ID: ServerID(1000 + id), State: Gone}})
+			b.List(now, ListDelta, []Server{{ID: ServerID(1000 + id), State: Deregistered}})
 		}
 		b.Wake(now + 3*ms)
 	}
@@ -840,7 +840,7 @@
 	}
 	cfg.Tenants, cfg.Balancers = nil, 4 // no tenants and no quota: one compartment, sized by the first list
 	b, h := start(t, cfg, ready(1, 2))
-	b.Request(0, Request{ID: 1, Tenant: 5, Left: time.Second})
+	b.Request(0, Request{ID: 1, Tenant: 5, TimeLeft: time.Second})
 	if len(b.parts) != 1 || b.slots != 7 || len(h.sends) != 1 {
 		t.Fatalf("without tenants: %d compartments, %d slots, %d sends", len(b.parts), b.slots, len(h.sends))
 	}
@@ -852,13 +852,13 @@
 		"Classes":       func(c *Config) { c.Classes = nil },
 		"MaxAttempts":   func(c *Config) { c.MaxAttempts = 0 },
 		"Slots":         func(c *Config) { c.Slots = -1 },
-		"ColdFrom":      func(c *Config) { c.ColdFrom = 1.5 },
-		"ColdMultiple":  func(c *Config) { c.ColdMultiple = math.Inf(1) },
-		"ColdTime":      func(c *Config) { c.ColdTime = -1 },
+		"ColdFrom":      func(c *Config) { c.SlowStartShare = 1.5 },
+		"ColdMultiple":  func(c *Config) { c.SlowStartOverload = math.Inf(1) },
+		"ColdTime":      func(c *Config) { c.SlowStartTime = -1 },
 		"Tick":          func(c *Config) { c.Tick = -1 },
-		"Aim":           func(c *Config) { c.Classes[2].Aim = 0 },
+		"Aim":           func(c *Config) { c.Classes[2].LatencyTarget = 0 },
 		"Deadline":      func(c *Config) { c.Classes[0].Deadline = -1 },
-		"LateShare":     func(c *Config) { c.Classes[0].LateShare = math.NaN() },
+		"LateShare":     func(c *Config) { c.Classes[0].LateValue = math.NaN() },
 		"Share":         func(c *Config) { c.Tenants[1].Share = -0.1 },
 		"Quota":         func(c *Config) { c.Tenants[1].Quota = math.NaN() },
 		"adds up to 0":  func(c *Config) { c.Tenants = []Tenant{{Quota: 5}} },
@@ -1003,7 +1003,7 @@
 func inOrder(settle time.Duration) Config {
 	cfg := testConfig()
 	cfg.Classes = cfg.Classes[:1]
-	cfg.Classes[0].InOrder, cfg.OrderSettle, cfg.Slots = true, settle, 20
+	cfg.Classes[0].InOrder, cfg.KeySettleTime, cfg.Slots = true, settle, 20
 	return cfg
 }
 
@@ -1011,14 +1011,14 @@
 func TestRequestsOfOneKeyGoInTurn(t *testing.T) {
 	b, h := start(t, inOrder(100*ms), ready(1, 2, 3))
 	for id := range RequestID(3) {
-		b.Request(0, Request{ID: id, Key: 9, Left: 2 * time.Second})
+		b.Request(0, Request{ID: id, Key: 9, TimeLeft: 2 * time.Second})
 	}
-	b.Request(0, Request{ID: 3, Key: 8, Left: 2 * time.Second})
-	b.Request(0, Request{ID: 4, Left: 2 * time.Second})
+	b.Request(0, Request{ID: 3, Key: 8, TimeLeft: 2 * time.Second})
+	b.Request(0, Request{ID: 4, TimeLeft: 2 * time.Second})
 	if got := sentIDs(h); !slices.Equal(got, []RequestID{0, 3, 4}) {
 		t.Fatalf("sent %v, want the first of each key", got)
 	}
-	end(b, 10*ms, 0, 0, TurnedAway) // its own further try is not delayed, and nothing passes it
+	end(b, 10*ms, 0, 0, NotProcessed) // its own further try is not delayed, and nothing passes it
 	end(b, 20*ms, 0, 1, Served)
 	if got := sentIDs(h); !slices.Equal(got, []RequestID{0, 3, 4, 0, 1}) {
 		t.Fatalf("sent %v, want 0 again and then 1", got)
@@ -1045,10 +1045,10 @@
 	cfg.Tenants, cfg.Slots = nil, 10 // two queue places
 	b, h := start(t, cfg, ready(1, 2))
 	for id := range RequestID(2) {
-		b.Request(0, Request{ID: id, Key: 9, Left: 2 * time.Second})
+		b.Request(0, Request{ID: id, Key: 9, TimeLeft: 2 * time.Second})
 	}
 	for id := RequestID(2); b.Counters().Queued < 2; id++ {
-		b.Request(0, Request{ID: id, Left: 2 * time.Second})
+		b.Request(0, Request{ID: id, TimeLeft: 2 * time.Second})
 	}
 	n := len(h.sends)
 	end(b, ms, h.sends[n-1].id, 0, Served)
@@ -1073,7 +1073,7 @@
 		n := len(h.sends)
 		b.parts[0].gate = admission.NewRatio(b.rng)
 		ask(b, now, id, class)
-		end(b, now, id, 0, TurnedAway)
+		end(b, now, id, 0, NotProcessed)
 		if len(h.sends) > n+1 {
 			end(b, now, id, 1, Served)
 		}
@@ -1104,7 +1104,7 @@
 		cfg.Budget = c.budget
 		b, h := start(t, cfg, ready(1, 2, 3))
 		ask(b, 0, 1, safeClass)
-		end(b, 0, 1, 0, TurnedAway)
+		end(b, 0, 1, 0, NotProcessed)
 		if len(h.sends) != c.want {
 			t.Errorf("budget %+v: %d sends, want %d", c.budget, len(h.sends), c.want)
 		}
@@ -1114,7 +1114,7 @@
 // Rule 7: idle connections are closed at the notice, after each later outcome, and once more.
 func TestConnectionsToDrainingServersAreClosed(t *testing.T) {
 	cfg := testConfig()
-	cfg.CloseWithin = 300 * ms
+	cfg.IdleCloseTime = 300 * ms
 	b, h := start(t, cfg, ready(1))
 	ask(b, 0, 1, safeClass)
 	b.List(10*ms, ListDelta, []Server{{ID: 1, State: Draining}})
@@ -1138,7 +1138,7 @@
 
 // Guards against: a server that fails what it gets, for whatever reason, keeps its turns, or never gets them back.
 func TestStrainedServerLosesTurnsAndComesBack(t *testing.T) {
-	for _, ending := range []Ending{Errored, TurnedAway, NoConnection, Broken, TimedOut} {
+	for _, ending := range []Ending{Errored, NotProcessed, NoConnection, ConnectionLost, TimedOut} {
 		b, h := start(t, testConfig(), ready(1, 2, 3, 4))
 		now, id := time.Duration(0), RequestID(0)
 		run := func(n int, bad Ending) int {
@@ -1210,7 +1210,7 @@
 func TestAdmissionShedsTheLessWorthyFirst(t *testing.T) {
 	cfg := testConfig()
 	cfg.Classes = cfg.Classes[:2]
-	cfg.Classes[0].Worth, cfg.Classes[1].Worth = 1, 4
+	cfg.Classes[0].Value, cfg.Classes[1].Value = 1, 4
 	b, _ := start(t, cfg, ready(1, 2))
 	var let [2]int
 	for i := range 2000 {
@@ -1218,7 +1218,7 @@
 		for n := range 40 {
 			b.parts[0].gate.AttemptEnded(0, admission.AttemptEnd{Score: map[bool]float64{true: 1}[n < 10]})
 		}
-		if b.parts[0].gate.Admit(0, b.classes[i%2].Worth/b.worth) {
+		if b.parts[0].gate.Admit(0, b.classes[i%2].Value/b.worth) {
 			let[i%2]++
 		}
 	}
@@ -1446,7 +1446,7 @@
 	for _, balancers := range []int{1, 80, 100_000} {
 		for _, price := range []float64{0, 0.08} {
 			cfg := testConfig()
-			cfg.Balancers, cfg.AskList, cfg.ProbePrice, cfg.Slots = balancers, true, price, 0
+			cfg.Balancers, cfg.ListOnDemand, cfg.ProbePrice, cfg.Slots = balancers, true, price, 0
 			cfg.MayProbe, cfg.Reports = true, HasInFlight
 			var old, list []Server
 			for id := range ServerID(10_000) {
@@ -1514,7 +1514,7 @@
 	cfg := testConfig()
 	cfg.Slots, cfg.Balancers = 0, 10
 	seen := 0
-	cfg.Fleet = func() int { return seen }
+	cfg.FleetSize = func() int { return seen }
 	b, _ := start(t, cfg, ready(1))
 	now := time.Duration(0)
 	sizes := func(n int) (slots int, gap time.Duration) {
@@ -1540,7 +1540,7 @@
 func TestDoubtOfOthers(t *testing.T) {
 	for _, doubted := range []bool{false, true} {
 		cfg := testConfig()
-		cfg.Doubt = func(id ServerID) bool { return doubted && id == 1 }
+		cfg.SuspectedDown = func(id ServerID) bool { return doubted && id == 1 }
 		b, _ := start(t, cfg, ready(1, 2))
 		s := b.listed(1)
 		if s.backAt != 0 {
--- a/policy/random_test.go
+++ b/policy/random_test.go
@@ -48,7 +48,7 @@
 
 func (a *asked) mayHaveRun() *tried {
 	for i := range a.tries {
-		if e := a.tries[i].end; a.tries[i].out || (e != TurnedAway && e != NoConnection && e != NotSent) {
+		if e := a.tries[i].end; a.tries[i].out || (e != NotProcessed && e != NoConnection && e != NotSent) {
 			return &a.tries[i]
 		}
 	}
@@ -75,12 +75,12 @@
 	class := w.cfg.Classes[a.q.Class]
 	if first := a.mayHaveRun(); first != nil {
 		switch {
-		case class.Effect == Unsafe:
+		case class.Effect == NonIdempotent:
 			w.t.Fatalf("rule 2: unsafe request %d sent again though it may have run", id)
-		case class.Effect == Keyed && w.now-first.sent >= class.Window:
+		case class.Effect == Deduplicated && w.now-first.sent >= class.DedupWindow:
 			w.t.Fatalf("rule 2: keyed request %d sent again %v after the first send", id, w.now-first.sent)
-		case class.Effect == Keyed && class.Scope == ScopeZone && s.Zone != first.to.Zone,
-			class.Effect == Keyed && class.Scope == ScopeCell && s.Cell != first.to.Cell:
+		case class.Effect == Deduplicated && class.Scope == ScopeZone && s.Zone != first.to.Zone,
+			class.Effect == Deduplicated && class.Scope == ScopeCell && s.Cell != first.to.Cell:
 			w.t.Fatalf("rule 2: keyed request %d sent outside its group", id)
 		}
 	}
@@ -122,7 +122,7 @@
 // cold checks this balancer's part of a cold server's budget, of which it may have an even one at most.
 func (w *world) cold(s Server) {
 	age := w.now - s.Started
-	if s.Started == 0 || age >= w.cfg.ColdTime {
+	if s.Started == 0 || age >= w.cfg.SlowStartTime {
 		return
 	}
 	w.colds[s.ID] = append(w.colds[s.ID], w.now)
@@ -136,8 +136,8 @@
 	for _, t := range w.cfg.Tenants {
 		quota += t.Quota
 	}
-	warmth := w.cfg.ColdFrom + (1-w.cfg.ColdFrom)*float64(age)/float64(w.cfg.ColdTime)
-	if most := 1 + w.cfg.ColdMultiple*warmth*quota/float64(w.cfg.Balancers); float64(n) > most {
+	warmth := w.cfg.SlowStartShare + (1-w.cfg.SlowStartShare)*float64(age)/float64(w.cfg.SlowStartTime)
+	if most := 1 + w.cfg.SlowStartOverload*warmth*quota/float64(w.cfg.Balancers); float64(n) > most {
 		w.t.Fatalf("rule 4: %d sends in a second to server %d, cold for %v, at most %.1f", n, s.ID, age, most)
 	}
 }
@@ -170,8 +170,8 @@
 
 // mustClose starts that time anew: an event at a server that drains.
 func (w *world) mustClose(id ServerID) {
-	if w.cfg.CloseWithin > 0 && w.listed[id].State == Draining {
-		w.closing[id] = w.now + w.cfg.CloseWithin
+	if w.cfg.IdleCloseTime > 0 && w.listed[id].State == Draining {
+		w.closing[id] = w.now + w.cfg.IdleCloseTime
 	}
 }
 
@@ -191,7 +191,7 @@
 	w.note("refuse %d %v", id, pause)
 	a := w.answer(id)
 	class := w.cfg.Classes[a.q.Class]
-	if a.mayHaveRun() != nil && (class.Effect == Unsafe || class.Effect == Keyed && class.Scope != ScopeAll) {
+	if a.mayHaveRun() != nil && (class.Effect == NonIdempotent || class.Effect == Deduplicated && class.Scope != ScopeAll) {
 		w.t.Fatalf("rule 2: request %d refused though it may have run", id)
 	}
 	if pause < 0 || pause > w.cfg.MaxRetryAfter {
@@ -210,11 +210,11 @@
 // drive runs a world; pick(n) chooses among n possibilities.
 func drive(t testing.TB, steps int, pick func(n int) int) []string {
 	cfg := testConfig()
-	cfg.AskList, cfg.MayProbe = true, true
+	cfg.ListOnDemand, cfg.MayProbe = true, true
 	cfg.Reports = []LoadFields{0, HasInFlight, HasInFlight | HasBusy, HasBusy | HasService}[pick(4)]
 	cfg.Balancers = []int{2, 50}[pick(2)]
-	cfg.CloseWithin = time.Duration(pick(2)) * 100 * ms
-	cfg.OrderSettle = time.Duration(pick(3)) * 50 * ms
+	cfg.IdleCloseTime = time.Duration(pick(2)) * 100 * ms
+	cfg.KeySettleTime = time.Duration(pick(3)) * 50 * ms
 	cfg.Slots = []int{0, 8, 40}[pick(3)]
 	if pick(2) == 0 {
 		cfg.Budget = RetryBudget{Span: time.Second, Free: float64(pick(3)), Share: float64(pick(3)) / 5}
@@ -263,9 +263,9 @@
 	case 0, 1, 2:
 		w.next++
 		q := Request{ID: w.next, Class: pick(len(w.cfg.Classes)), Tenant: pick(2)}
-		q.Left = time.Duration(1+pick(2000)) * ms
+		q.TimeLeft = time.Duration(1+pick(2000)) * ms
 		q.Key = uint64(pick(4))
-		w.held[q.ID] = &asked{q: q, deadline: w.now + q.Left, turn: int(w.next)}
+		w.held[q.ID] = &asked{q: q, deadline: w.now + q.TimeLeft, turn: int(w.next)}
 		w.taken = append(w.taken, w.now)
 		w.order = append(w.order, q.ID)
 		w.b.Request(w.now, q)
@@ -298,7 +298,7 @@
 		id := w.order[pick(len(w.order))]
 		for i := range w.held[id].tries {
 			if w.held[id].tries[i].out {
-				w.end(id, i, []Ending{Served, Errored, TurnedAway, NoConnection, Broken, Cancelled, NotSent}[pick(7)])
+				w.end(id, i, []Ending{Served, Errored, NotProcessed, NoConnection, ConnectionLost, Cancelled, NotSent}[pick(7)])
 				return
 			}
 		}
@@ -310,11 +310,11 @@
 	a.tries[i].out, a.tries[i].end = false, e
 	settled := a.answered || e == Served
 	a.answered = settled
-	if w.cfg.Classes[a.q.Class].InOrder && (e == TimedOut || e == Broken || e == Cancelled) {
-		w.rests[a.q.Key] = w.now + w.cfg.OrderSettle
+	if w.cfg.Classes[a.q.Class].InOrder && (e == TimedOut || e == ConnectionLost || e == Cancelled) {
+		w.rests[a.q.Key] = w.now + w.cfg.KeySettleTime
 	}
 	w.mustClose(a.tries[i].to.ID)
-	w.b.Outcome(w.now, Outcome{ID: id, Attempt: i, Ending: e, Settled: settled, Load: w.load(int(id))})
+	w.b.Outcome(w.now, Outcome{ID: id, Attempt: i, Ending: e, Finished: settled, Load: w.load(int(id))})
 }
 
 // timeouts ends the attempts whose request's deadline has come, and wakes the
@@ -356,7 +356,7 @@
 			continue
 		}
 		entries = append(entries, s)
-		if old, ok := before[s.ID]; !ok || s.Started > old.Started || old.State == Gone {
+		if old, ok := before[s.ID]; !ok || s.Started > old.Started || old.State == Deregistered {
 			delete(w.colds, s.ID)
 		}
 		w.listed[s.ID] = s
--- a/policy/reconfigure_test.go
+++ b/policy/reconfigure_test.go
@@ -27,7 +27,7 @@
 		now := time.Second
 		for i := range 400 {
 			now += time.Duration(rng.IntN(3)) * ms
-			b.Request(now, Request{ID: RequestID(i + 1), Tenant: rng.IntN(2), Left: time.Second})
+			b.Request(now, Request{ID: RequestID(i + 1), Tenant: rng.IntN(2), TimeLeft: time.Second})
 			if again && i%7 == 0 {
 				if err := b.Reconfigure(now, limitsOf(cfg)); err != nil {
 					t.Fatal(err)
@@ -35,7 +35,7 @@
 			}
 			if n := len(h.sends); n > 0 && rng.IntN(2) == 0 {
 				s := h.sends[rng.IntN(n)]
-				b.Outcome(now, Outcome{ID: s.id, Ending: []Ending{Served, TurnedAway, TimedOut}[rng.IntN(3)]})
+				b.Outcome(now, Outcome{ID: s.id, Ending: []Ending{Served, NotProcessed, TimedOut}[rng.IntN(3)]})
 			}
 			if i%10 == 0 {
 				b.Wake(now)
@@ -62,7 +62,7 @@
 	b, h := start(t, cfg, ready(1, 2, 3, 4))
 	now := time.Second
 	for i := range 500 {
-		b.Request(now, Request{ID: RequestID(i + 1), Tenant: i % 2, Left: time.Second})
+		b.Request(now, Request{ID: RequestID(i + 1), Tenant: i % 2, TimeLeft: time.Second})
 	}
 	used, slots, other := b.parts[0].used, b.parts[0].slots, b.parts[1].slots
 	sends := len(h.sends)
@@ -101,7 +101,7 @@
 func TestReconfigureAttempts(t *testing.T) {
 	cfg := twoTenants()
 	b, h := start(t, cfg, ready(1, 2, 3, 4))
-	b.Request(time.Second, Request{ID: 1, Left: time.Second})
+	b.Request(time.Second, Request{ID: 1, TimeLeft: time.Second})
 	l := limitsOf(cfg)
 	l.MaxAttempts = 1
 	if err := b.Reconfigure(time.Second, l); err != nil {
--- a/policy/sizing.go
+++ b/policy/sizing.go
@@ -16,7 +16,7 @@
 func (b *Balancer) resize(n int) {
 	b.sharers = n
 	b.deriveSlots()
-	b.asking.Share(n)
+	b.asking.SetBalancers(n)
 }
 
 // deriveSlots sizes the walls. By Little's law a rate holds rate x time slots: the quotas times a small share of the aim, to leave most of
@@ -31,11 +31,11 @@
 	n := float64(b.sharers)
 	b.mean = cmp.Or(b.quota*b.aim*slotAim, serverSlots*float64(len(b.servers)))
 	b.even = b.quota / n
-	b.wall.Even = cmp.Or(float64(b.cfg.Slots), b.mean/n)
+	b.wall.EvenShare = cmp.Or(float64(b.cfg.Slots), b.mean/n)
 	all, slots := sizing.Compartments(b.mean, b.sharers, b.cfg.Slots, b.queued, b.whole, shares)
 	b.slots = slots
 	for i, c := range all {
-		b.parts[i].share, b.parts[i].slots, b.parts[i].places = c.Share, c.Slots, c.Places
+		b.parts[i].share, b.parts[i].slots, b.parts[i].places = c.Share, c.Slots, c.QueueSlots
 		admission.SetFairShare(b.parts[i].gate, c.Share)
 	}
 }
@@ -62,10 +62,10 @@
 
 // want is how many servers the arc is to have: those that our own traffic can feed, and so many that all arcs together leave none out.
 func (b *Balancer) want(now time.Duration) float64 {
-	each := b.inquiry.Every()
-	came, seconds := b.came.Lately(now)
+	each := b.inquiry.RoundSeconds()
+	came, seconds := b.came.Recent(now)
 	least := max(fewest-1, float64(len(b.servers))/float64(b.sharers)) // it touches one more
-	return subset.Length(b.wanted, (came+b.even*rateBegin)/(seconds+rateBegin)*each, b.even*each, least)
+	return subset.ArcLength(b.wanted, (came+b.even*rateBegin)/(seconds+rateBegin)*each, b.even*each, least)
 }
 
 // cut picks the servers to take turns among. A thousand balancers of few requests each would hold connections to all servers and never learn
@@ -76,7 +76,7 @@
 		weights = append(weights, s.Weight)
 	}
 	b.wanted, b.reach, b.arc = b.want(now), 0, nil
-	for i, part := range subset.Parts(b.begins, b.wanted, weights, fewest) {
+	for i, part := range subset.ArcShares(b.begins, b.wanted, weights, fewest) {
 		s := all[i]
 		if part == 0 {
 			s.ours, s.part = false, 1
@@ -93,7 +93,7 @@
 // gap is the time between a server's turns, in turns' own time. It is bounded, so that turns show recovery.
 // Other zones' have turns too, if fewer: a zone may have more traffic than its own servers can bear.
 func (b *Balancer) gap(now time.Duration, s *server) float64 {
-	gap := max(0.5, min(s.strain, failStrain/2)) / (s.Weight * s.part * slowstart.Warmth(s.warmAt-now, b.cfg.ColdTime, b.cfg.ColdFrom))
+	gap := max(0.5, min(s.strain, failStrain/2)) / (s.Weight * s.part * slowstart.Warmth(s.warmAt-now, b.cfg.SlowStartTime, b.cfg.SlowStartShare))
 	if b.far(s) {
 		gap /= farTurns
 	}
--- a/policy/state.go
+++ b/policy/state.go
@@ -63,10 +63,10 @@
 	out       int
 	asks      *server // it waits for this one to report its load
 	asksUntil time.Duration
-	asked     int                        // so many times
-	line      *keyedqueue.Line[*request] // its key's, where it must go in turn
-	begun     bool                       // its answer streams: it is the client's now
-	over      bool                       // ended; kept until its attempts have ended too
+	asked     int                         // so many times
+	line      *keyedqueue.Queue[*request] // its key's, where it must go in turn
+	begun     bool                        // its answer streams: it is the client's now
+	over      bool                        // ended; kept until its attempts have ended too
 }
 
 // compartment holds one tenant's slots and queue, walled off from the others'.
@@ -117,13 +117,13 @@
 	wakeAt   time.Duration
 	asking   discoverypace.Pace // when to ask for the list
 	feedFrom int
-	lines    keyedqueue.Lines[*request] // by key
-	budget   admission.RetryBudget      // of further attempts
-	sampled  *server                    // whose reports are compared
-	sampleAt time.Duration              // when it is asked again
-	inquiry  loadquery.Inquiry          // whether it is asked before sends
-	closeAt  time.Duration              // when connections to draining servers are closed once more; 0: not due
-	wall     bulkhead.Wall              // how much may be out over all compartments
+	lines    keyedqueue.Queues[*request] // by key
+	budget   admission.RetryBudget       // of further attempts
+	sampled  *server                     // whose reports are compared
+	sampleAt time.Duration               // when it is asked again
+	inquiry  loadquery.Prober            // whether it is asked before sends
+	closeAt  time.Duration               // when connections to draining servers are closed once more; 0: not due
+	wall     bulkhead.Bulkhead           // how much may be out over all compartments
 	count    Counters
 }
 
@@ -219,7 +219,7 @@
 // forget drops a request that is over and has no attempt out; the next in its line may go.
 func (b *Balancer) forget(r *request) {
 	delete(b.requests, r.id)
-	r.line.Leave(r)
+	r.line.Remove(r)
 }
 
 // listed returns the server of that name, entered where it was not listed yet.
@@ -234,7 +234,7 @@
 // allGone marks all servers as gone.
 func (b *Balancer) allGone() {
 	for _, s := range b.servers {
-		s.State = Gone
+		s.State = Deregistered
 	}
 }
 
