--- a/internal/mesh/names_test.go
+++ b/internal/mesh/names_test.go
@@ -6,6 +6,7 @@
 	"go/token"
 	"io/fs"
 	"path/filepath"
+	"regexp"
 	"strings"
 	"testing"
 )
@@ -126,3 +127,39 @@
 		}
 	}
 }
+
+// withdrawn are the words of an earlier house style, whole or as parts of longer names.
+var withdrawn = regexp.MustCompile(`(?i)charter|carrel|athenaeum|sequencer|stacks|catalogue|purse|librarian|dealer|crumbs|archivist`)
+
+// keys are where withdrawn words stay, since running processes know them: keys of messages, as tags
+// and in JSON that is written out. charter is a configuration on its way to a sidecar and the version
+// that one has, catalogue a change of the registry on the same way, sequencer the leader's address
+// in the answer to a lease.
+var keys = regexp.MustCompile(`"(charter|catalogue|sequencer)(,omitempty)?"`)
+
+// The withdrawn words stand in no name, comment or text.
+func TestWithdrawnWordsStayAway(t *testing.T) {
+	for _, s := range sources(t) {
+		if s.path == "names_test.go" {
+			continue // it lists them
+		}
+		for _, group := range s.file.Comments {
+			if word := withdrawn.FindString(group.Text()); word != "" {
+				t.Errorf("%s: a comment says %q", s.at(group.Pos()), word)
+			}
+		}
+		ast.Inspect(s.file, func(n ast.Node) bool {
+			switch n := n.(type) {
+			case *ast.Ident:
+				if withdrawn.MatchString(n.Name) {
+					t.Errorf("%s: the name %s", s.at(n.Pos()), n.Name)
+				}
+			case *ast.BasicLit:
+				if word := withdrawn.FindString(keys.ReplaceAllString(n.Value, "")); word != "" {
+					t.Errorf("%s: the text %.60s says %q", s.at(n.Pos()), n.Value, word)
+				}
+			}
+			return true
+		})
+	}
+}
