--- a/internal/mesh/goldentest/goldentest.go
+++ b/internal/mesh/goldentest/goldentest.go
@@ -108,7 +108,7 @@
 		f.fill(v.Elem())
 	case reflect.Struct:
 		for i := range v.NumField() {
-			if v.Type().Field(i).IsExported() {
+			if field := v.Type().Field(i); field.IsExported() && field.Tag.Get("json") != "-" {
 				f.fill(v.Field(i))
 			}
 		}
