--- /dev/null
+++ b/internal/fleet/maintenance/plan_keys_test.go
@@ -0,0 +1,41 @@
+package maintenance
+
+import (
+	"reflect"
+	"testing"
+	"time"
+)
+
+// Operators keep files with these keys.
+func TestEveryKeyOfAPlan(t *testing.T) {
+	const common = `
+reserve = 0.25
+bears = 120.5
+in_time = 0.75
+longest = "2h"
+back = "started"
+cut_off = "awaited"
+[out]
+fleet = "10%"
+zone = 2
+cell = "3"
+`
+	for machines, want := range map[string]Plan{
+		`machines = ["s-1", "s-2"]`: {Machines: []string{"s-1", "s-2"}},
+		`cells = [3, 4]`:            {Cells: []int{3, 4}},
+		`zones = ["b", "c"]`:        {Zones: []string{"b", "c"}},
+		`all = true`:                {All: true},
+	} {
+		want.Reserve, want.Bears, want.InTime, want.Longest = 0.25, 120.5, 0.75, Duration(2*time.Hour)
+		want.Back, want.CutOff = "started", "awaited"
+		want.Out = Bounds{Fleet: &Bound{Percent: 10}, Zone: &Bound{Count: 2}, Cell: &Bound{Count: 3}}
+		got, err := Parse([]byte(machines + common))
+		if err != nil {
+			t.Errorf("%s: %v", machines, err)
+			continue
+		}
+		if !reflect.DeepEqual(*got, want) {
+			t.Errorf("%s: read is %+v, want %+v", machines, *got, want)
+		}
+	}
+}
