--- a/internal/daemon/cordonstore/cordonstore.go
+++ b/internal/daemon/cordonstore/cordonstore.go
@@ -34,9 +34,9 @@
 
 // Engine takes lists up; neither waits.
 type Engine interface {
-	// List takes what discovery has told.
+	// UpdateServers takes what discovery has told.
 	UpdateServers(l call.ServerList)
-	// Relist takes the whole list as it is to be seen from now on, and calls taken once that is so.
+	// ReplaceServers takes the whole list as it is to be seen from now on, and calls taken once that is so.
 	ReplaceServers(l call.ServerList, taken func())
 }
 
--- a/internal/proxy/admission/admission.go
+++ b/internal/proxy/admission/admission.go
@@ -10,15 +10,15 @@
 
 // Gate is one way to do it. It is used from one goroutine, by one balancer.
 type Gate interface {
-	// Ask says whether a request may try. worth is its class's against the mean of all, above 0.
+	// Admit says whether a request may try. worth is its class's against the mean of all, above 0.
 	Admit(now time.Duration, worth float64) bool
-	// Began takes that an attempt goes out.
+	// AttemptStarted takes that an attempt goes out.
 	AttemptStarted(now time.Duration)
-	// Ended takes the end of an attempt, once for each that began.
+	// AttemptEnded takes the end of an attempt, once for each that began.
 	AttemptEnded(now time.Duration, e AttemptEnd)
 }
 
-// End is the end of an attempt.
+// AttemptEnd is the end of an attempt.
 type AttemptEnd struct {
 	Score         float64       // 1: the answer came well in time, less as its time was nearly over; 0: there was none
 	Ignored       bool          // it tells nothing: called off, not sent, or of a request that is over
@@ -32,7 +32,7 @@
 	minValue     = 1.0 / 8         // a class counts as worth this much of the mean at least, or it is never let in
 )
 
-// Pass draws whether one passes where a share of all may; worthier ones pass sooner. Nothing is drawn where all may.
+// Draw draws whether one passes where a share of all may; worthier ones pass sooner. Nothing is drawn where all may.
 func Draw(rng *rand.Rand, share, worth float64) bool {
 	return share >= 1 || rng.Float64() < math.Pow(max(0, share), 1/max(worth, minValue))
 }
--- a/internal/proxy/admission/budget.go
+++ b/internal/proxy/admission/budget.go
@@ -4,7 +4,7 @@
 	"time"
 )
 
-// Parts is among how many processes a budget is divided, at least one.
+// ProcessCount is among how many processes a budget is divided, at least one.
 func ProcessCount(of func() int) float64 {
 	if of == nil {
 		return 1
@@ -12,21 +12,21 @@
 	return float64(max(1, of()))
 }
 
-// Budget keeps count of what a Limit allows. It is used from one goroutine.
+// RetryBudget keeps count of what a Limit allows. It is used from one goroutine.
 type RetryBudget struct {
 	RetryLimit
 	Processes         func() int // processes that Free is divided among; nil: one
 	requests, retries window
 }
 
-// Taken counts a request.
+// RecordRequest counts a request.
 func (b *RetryBudget) RecordRequest(now time.Duration) {
 	b.requests.since(now - b.Span)
 	b.retries.since(now - b.Span)
 	b.requests = append(b.requests, now)
 }
 
-// Spent says whether there is no further attempt left. A request taken just a span ago no longer counts, an attempt
+// Exhausted says whether there is no further attempt left. A request taken just a span ago no longer counts, an attempt
 // made just then still does.
 func (b *RetryBudget) Exhausted(now time.Duration) bool {
 	if b.Span == 0 {
@@ -36,7 +36,7 @@
 	return float64(b.retries.since(from)+1) > b.Free/ProcessCount(b.Processes)+b.Share*float64(b.requests.since(from+1))
 }
 
-// Tried counts an attempt after a request's first.
+// RecordRetry counts an attempt after a request's first.
 func (b *RetryBudget) RecordRetry(now time.Duration) { b.retries = append(b.retries, now) }
 
 // window counts what happened lately.
--- a/internal/proxy/admission/limit.go
+++ b/internal/proxy/admission/limit.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Limit bounds attempts after each request's first: within any Span they number at most Free plus Share for each request
+// RetryLimit bounds attempts after each request's first: within any Span they number at most Free plus Share for each request
 // taken in that Span.
 type RetryLimit struct {
 	Span  time.Duration // 0: no limit
--- a/internal/proxy/admission/ratio.go
+++ b/internal/proxy/admission/ratio.go
@@ -20,7 +20,7 @@
 // NewRatio makes one. It draws from rng only where not all may try.
 func NewRatio(rng *rand.Rand) *Ratio { return &Ratio{rng: rng} }
 
-// Ask counts one that may not try at once, any other by its attempts' ends.
+// Admit counts one that may not try at once, any other by its attempts' ends.
 func (g *Ratio) Admit(now time.Duration, worth float64) bool {
 	fade := math.Exp(-float64(now-g.at) / float64(fadeTime))
 	g.at, g.all, g.good = now, g.all*fade, g.good*fade
@@ -32,10 +32,10 @@
 	return false
 }
 
-// Began has no part in it.
+// AttemptStarted has no part in it.
 func (g *Ratio) AttemptStarted(time.Duration) {}
 
-// Ended counts an attempt's end.
+// AttemptEnded counts an attempt's end.
 func (g *Ratio) AttemptEnded(_ time.Duration, e AttemptEnd) {
 	if !e.Ignored {
 		g.all++
--- a/internal/proxy/admission/recovering.go
+++ b/internal/proxy/admission/recovering.go
@@ -24,7 +24,7 @@
 	demand fadingCount // of all tenants
 }
 
-// lately counts what fades.
+// fadingCount counts what fades.
 type fadingCount struct {
 	n  float64
 	at time.Duration
@@ -38,7 +38,7 @@
 // NewHealth begins well.
 func NewHealth() *Health { return &Health{score: 1} }
 
-// take counts an end; where they are rare each tells more.
+// record counts an end; where they are rare each tells more.
 func (h *Health) record(now time.Duration, good float64) {
 	h.score += (good - h.score) * min(0.5, max(1/scoreAnswers, float64(now-h.at)/float64(scoreTime)))
 	h.at = now
@@ -62,14 +62,14 @@
 	return &Recovering{rng: rng, health: h, fairShare: 1, share: 1}
 }
 
-// SetPart tells a gate what part of all traffic is its tenant's by right; others than Recovering have no use for it.
+// SetFairShare tells a gate what part of all traffic is its tenant's by right; others than Recovering have no use for it.
 func SetFairShare(g Gate, part float64) {
 	if g, goes := g.(*Recovering); goes {
 		g.fairShare = part
 	}
 }
 
-// Ask moves the share on to now, and draws.
+// Admit moves the share on to now, and draws.
 func (g *Recovering) Admit(now time.Duration, worth float64) bool {
 	passed := now - g.at
 	g.at = now
@@ -93,10 +93,10 @@
 	return max(1/maxExcess, min(maxExcess, g.demand.n/g.health.demand.n/max(g.fairShare, 1e-3)))
 }
 
-// Began has no part in it.
+// AttemptStarted has no part in it.
 func (g *Recovering) AttemptStarted(time.Duration) {}
 
-// Ended counts an attempt's end.
+// AttemptEnded counts an attempt's end.
 func (g *Recovering) AttemptEnded(now time.Duration, e AttemptEnd) {
 	if e.Ignored {
 		return
--- a/internal/proxy/admission/weighed/weighed.go
+++ b/internal/proxy/admission/weighed/weighed.go
@@ -25,7 +25,7 @@
 	return &SRE{rng: rng, k: k, window: window}
 }
 
-// Ask counts each request, let in or not.
+// Admit counts each request, let in or not.
 func (g *SRE) Admit(now time.Duration, worth float64) bool {
 	fade := math.Exp(-float64(now-g.at) / float64(g.window))
 	g.at, g.requests, g.accepts = now, g.requests*fade, g.accepts*fade
@@ -34,10 +34,10 @@
 	return admission.Draw(g.rng, 1-refuse, worth)
 }
 
-// Began has no part in it.
+// AttemptStarted has no part in it.
 func (g *SRE) AttemptStarted(time.Duration) {}
 
-// Ended counts what was answered in time.
+// AttemptEnded counts what was answered in time.
 func (g *SRE) AttemptEnded(_ time.Duration, e admission.AttemptEnd) {
 	if !e.Ignored && e.Score > 0 {
 		g.accepts++
@@ -54,13 +54,13 @@
 // NewAIMD begins at 20.
 func NewAIMD() *AIMD { return &AIMD{limit: 20} }
 
-// Ask asks for a place; worth has no part in it.
+// Admit asks for a place; worth has no part in it.
 func (g *AIMD) Admit(time.Duration, float64) bool { return float64(g.inFlight) < g.limit }
 
-// Began takes it.
+// AttemptStarted takes it.
 func (g *AIMD) AttemptStarted(time.Duration) { g.inFlight++ }
 
-// Ended gives it back.
+// AttemptEnded gives it back.
 func (g *AIMD) AttemptEnded(now time.Duration, e admission.AttemptEnd) {
 	g.inFlight--
 	switch {
@@ -83,13 +83,13 @@
 // NewGradient begins at 20.
 func NewGradient() *Gradient { return &Gradient{limit: 20} }
 
-// Ask asks for a place; worth has no part in it.
+// Admit asks for a place; worth has no part in it.
 func (g *Gradient) Admit(time.Duration, float64) bool { return float64(g.inFlight) < g.limit }
 
-// Began takes it.
+// AttemptStarted takes it.
 func (g *Gradient) AttemptStarted(time.Duration) { g.inFlight++ }
 
-// Ended gives it back.
+// AttemptEnded gives it back.
 func (g *Gradient) AttemptEnded(_ time.Duration, e admission.AttemptEnd) {
 	g.inFlight--
 	if e.Ignored {
@@ -125,7 +125,7 @@
 // NewCoDel makes one.
 func NewCoDel() *CoDel { return new(CoDel) }
 
-// Ask refuses one when the control law says so; worth has no part in it.
+// Admit refuses one when the control law says so; worth has no part in it.
 func (g *CoDel) Admit(now time.Duration, _ float64) bool {
 	if !g.dropping || now < g.next {
 		return true
@@ -135,10 +135,10 @@
 	return false
 }
 
-// Began has no part in it.
+// AttemptStarted has no part in it.
 func (g *CoDel) AttemptStarted(time.Duration) {}
 
-// Ended looks how late an answer was.
+// AttemptEnded looks how late an answer was.
 func (g *CoDel) AttemptEnded(now time.Duration, e admission.AttemptEnd) {
 	switch {
 	case e.Ignored:
--- a/internal/proxy/bulkhead/bulkhead.go
+++ b/internal/proxy/bulkhead/bulkhead.go
@@ -26,7 +26,7 @@
 	initialLatency  = 0.1              // share of the aim that answers take to begin with
 )
 
-// Wall is one balancer's. It is used from one goroutine.
+// Bulkhead is one balancer's. It is used from one goroutine.
 type Bulkhead struct {
 	EvenShare float64 // attempts that one balancer has out where all have the same traffic and servers are not crowded
 
@@ -41,22 +41,22 @@
 	return Bulkhead{holdTime: hold, congestion: math.Log(initialLatency), firstAttempts: ratemeter.Meter{Window: rateWindow}}
 }
 
-// Came takes that a client's first try came.
+// RecordRequest takes that a client's first try came.
 func (w *Bulkhead) RecordRequest(now time.Duration) {
 	w.firstAttempts.Record(now)
 }
 
-// Took takes that an answer, or the lack of one, took such a share of its aim. Where few come each tells more.
+// RecordLatency takes that an answer, or the lack of one, took such a share of its aim. Where few come each tells more.
 func (w *Bulkhead) RecordLatency(now time.Duration, share float64) {
 	part := min(0.5, max(1, (now-w.updatedAt).Seconds()/answerSeconds)/averagedAnswers)
 	w.congestion += (math.Log(max(share, 1e-3)) - w.congestion) * part
 	w.updatedAt = now
 }
 
-// Crowded says that answers are slow enough for room to shrink.
+// Congested says that answers are slow enough for room to shrink.
 func (w *Bulkhead) Congested() bool { return w.congestion > math.Log(congestedAt) }
 
-// Room is how many attempts the balancer may have out before it sends one more, at least one. Who has less than the even part may hold what
+// Limit is how many attempts the balancer may have out before it sends one more, at least one. Who has less than the even part may hold what
 // that needs. A tenant that holds less than its share of the room, and used of it, is let in beyond: one that floods can't take the others'.
 func (w *Bulkhead) Limit(now time.Duration, share float64, used int) float64 {
 	came, seconds := w.firstAttempts.Recent(now)
--- a/internal/proxy/call/body.go
+++ b/internal/proxy/call/body.go
@@ -5,19 +5,23 @@
 	"sync/atomic"
 )
 
-// Upload is the rest of a request's body, beyond what Message.Body holds: it is passed on as it comes, to one attempt alone.
+// Upload is the rest of a request's body, beyond what Message.Body holds. It is streamed to one attempt
+// alone. Its methods may be called from any goroutine.
 type Upload struct {
-	Length int64                       // of the whole body in bytes, what Message.Body holds included; -1: unknown until it ends
-	Read   func(p []byte) (int, error) // as io.Reader's; from one goroutine at a time
+	// Length is that of the whole body in bytes, what Message.Body holds included; -1: unknown until it ends.
+	Length int64
+	// Read is as io.Reader's. One goroutine at a time may call it.
+	Read func(p []byte) (int, error)
 
 	claimed atomic.Bool
 	onClaim func()
 }
 
-// Began has a function called when the first byte beyond Message.Body is asked for. It is set before the message is handed over.
+// OnClaim has a function called when an attempt claims the upload. It is set before the message is handed
+// over.
 func (u *Upload) OnClaim(f func()) { u.onClaim = f }
 
-// Claim takes the rest for one attempt; false: another has it, so this one has nothing to send.
+// Claim gives the upload to one attempt; false: another attempt has it, so this one has nothing to send.
 func (u *Upload) Claim() bool {
 	if !u.claimed.CompareAndSwap(false, true) {
 		return false
@@ -28,14 +32,15 @@
 	return true
 }
 
-// Claimed says whether an attempt has it.
+// Claimed says whether an attempt has claimed the upload.
 func (u *Upload) Claimed() bool { return u.claimed.Load() }
 
-// Body is a Stream of an answer's body over HTTP: whoever has it reads it from the server. Read returns io.EOF behind the last byte of a whole body; any other error
-// says that it is cut off. A Body that was not read to its end has to be closed.
+// Body is a Stream of an answer's body over HTTP, read from the server. Read returns io.EOF after the last
+// byte of a complete body; any other error says that it is truncated. A Body that was not read to its end
+// has to be closed.
 type Body interface {
 	Stream
 	io.Reader
-	// Length is the body's in bytes; -1: unknown until it ends.
+	// Length is the body's length in bytes; -1: unknown until it ends.
 	Length() int64
 }
--- a/internal/proxy/call/call.go
+++ b/internal/proxy/call/call.go
@@ -1,5 +1,6 @@
-// Package call has the words that fronts, the engine and transports share: a request on its way, its
-// final answer, the end of an attempt, a list of servers. It knows no protocol and does nothing.
+// Package call defines the types that fronts, the engine and transports share: a request to forward, its
+// final answer, the result of an attempt, a list of servers. It is independent of the protocol and starts
+// no goroutines.
 package call
 
 import (
@@ -13,27 +14,29 @@
 	"caperarch/policy"
 )
 
-// BodyLimit is how many bytes of a body are held whole, either way, so that a request can be sent again and an answer that breaks off was none.
+// MaxBufferedBody is the size in bytes up to which the body of a request or an answer is buffered: such a
+// request can be retried, and such an answer is only passed on when it is complete.
 const MaxBufferedBody = 64 << 10
 
-// Message is a request as it goes on to a server, but for its time-out. An attempt may still read it after
-// the request's answer, so nothing in it changes once it is handed over.
+// Message is a request as it is forwarded to a server, except for its time-out. An attempt may still read
+// it after the request was answered, so nothing in it changes once it is handed over.
 type Message struct {
-	Method         string
-	URI            string // as the client sent it; gRPC: the full method name
-	Host           string
-	Header         http.Header // end-to-end ones
-	Body           []byte
-	Upload         *Upload       // HTTP: what of the body is passed on as it comes; nil: Body is all of it
-	Stream         bool          // its answer may be passed on while it still comes: see Result.Stream
-	StreamDeadline time.Duration // a stream: when its client gives it up, on the clock of the engine; 0: only by Close
-	Format         string        // gRPC: the content subtype; "" is proto
+	Method string
+	URI    string // as the client sent it; gRPC: the full method name
+	Host   string
+	Header http.Header // end-to-end headers only
+	Body   []byte
+	Upload *Upload // HTTP: the part of the body that is streamed; nil: Body is all of it
+	Stream bool    // the answer may be streamed: see Result.Stream
+	// StreamDeadline is when the client of a stream gives up, on the engine's clock; 0: only Close ends it.
+	StreamDeadline time.Duration
+	Format         string // gRPC: the content subtype; "" is proto
 }
 
-// Kind is which of the three final answers a request had.
+// Kind says which of the three final answers a request had.
 type Kind int
 
-// The final answers. A refusal says that trying again is harmless, a failure promises nothing.
+// The kinds of final answers. After Refused a retry is harmless; Failed promises nothing.
 const (
 	Served Kind = iota
 	Refused
@@ -43,88 +46,93 @@
 // Answer is the final answer of a request.
 type Answer struct {
 	Kind            Kind
-	RetryAfter      time.Duration // refused: when to come back; 0: no advice
-	RejectedByFront bool          // refused by the front alone: no engine had it
+	RetryAfter      time.Duration // refused: how long to wait before a retry; 0: no advice
+	RejectedByFront bool          // refused by the front, before an engine had it
 	TimedOut        bool          // failed: an attempt had no answer in time
-	Status          int           // served: the protocol's own figure (HTTP 200; a gRPC status code)
-	Header          http.Header   // served: the server's answer, as are the next three
+	Status          int           // served: the protocol's status (HTTP 200; a gRPC status code)
+	Header          http.Header   // served: the server's answer, as are the next three fields
 	Trailer         http.Header
 	Body            []byte
-	Stream          Stream  // where Message.Stream was set and the answer still comes
-	LastResult      *Result // failed: the server's own word in the last attempt that brought one; else nil
+	Stream          Stream  // where Message.Stream was set and the answer is streamed
+	LastResult      *Result // failed: the last attempt that a server answered; nil: none did
 }
 
-// Stream is an answer that has begun and is its client's now. The transport that made it closes it
-// when Close is called or the server ends it; its attempt ends then, not before.
+// Stream is an answer that has begun and that its client now receives. Its attempt ends when Close is called
+// or the server ends the answer, unless the Result was Detached.
 type Stream interface {
-	// Close gives the answer up. It may be called more than once, from any goroutine.
+	// Close abandons the answer. It may be called more than once, from any goroutine.
 	Close()
 }
 
-// Result is the end of an attempt or, with Stream set, the beginning of an answer that is passed on while
-// it comes: then the end follows in a second Result, but for Carried ones.
+// Result is the end of an attempt or, with Stream set, the beginning of an answer that is streamed: then the
+// end follows in a second Result, unless Detached is set.
 type Result struct {
-	Ending   policy.Ending
-	Status   int // the protocol's own figure, where a whole answer came
-	Header   http.Header
-	Trailer  http.Header
-	Body     []byte
-	Load     policy.Load
-	Stream   Stream
-	Detached bool // with Stream: the attempt has ended with the answer's beginning, and no second Result follows. A slow client holds no place that others need.
-
-	// After has something called once nothing of a Carried answer comes any more. It is to be asked before the function that the Result is handed to returns; nil: the transport can't tell.
+	Ending  policy.Ending
+	Status  int // the protocol's status, where a complete answer came
+	Header  http.Header
+	Trailer http.Header
+	Body    []byte
+	Load    policy.Load
+	Stream  Stream
+	// Detached, with Stream set, says that the attempt ended with the beginning of its answer, so that a slow
+	// client occupies no slot. No second Result follows.
+	Detached bool
+
+	// OnStreamEnd has a function called when a Detached answer has ended. It may only be called before the
+	// function that the Result was handed to returns; nil: the transport does not know of the end.
 	OnStreamEnd func(end func())
 }
 
 // Attempt is one attempt under way.
 type Attempt interface {
-	// Cancel gives the attempt up; its end still comes, soon. If its request is not yet on the way it
-	// will not be sent. It may be called more than once, and never waits.
+	// Cancel abandons the attempt; its Result still follows, soon. A request that has not been sent yet is
+	// not sent. Cancel may be called more than once, and never blocks.
 	Cancel()
 }
 
-// Server is a server at an address, as a transport reaches it. One that comes to a gone one's address is
-// another Server. Its methods never wait, and are called from one goroutine.
+// Server is a server at an address, as a transport reaches it. A new server at the address of a deregistered
+// one is another Server. Its methods never block, and are called from one goroutine.
 type Server interface {
-	// Send starts an attempt that is given up at until, a time of the clock that the transport was made with.
-	// Its end goes to done once, from any goroutine but never before Send has returned.
-	// NoConnection, TurnedAway and NotSent may only be said where it is known not to have run.
+	// Send starts an attempt that times out at until, a time of the transport's clock. Its Result goes to
+	// done once, from any goroutine but never before Send has returned. The endings NoConnection,
+	// NotProcessed and NotSent are only for a request that is known not to have run.
 	Send(m *Message, until time.Duration, done func(Result)) Attempt
-	// Probe asks for a load report, for as long as a connection may take. The result goes to told once.
-	Probe(told func(ok bool, load policy.Load))
-	// CloseIdle closes the connections that nothing is under way on.
+	// Probe asks for a load report, within the time-out for connections. The result goes to done once.
+	Probe(done func(ok bool, load policy.Load))
+	// CloseIdle closes the connections that carry no request.
 	CloseIdle()
-	// Leave takes that the server is no longer listed: what is under way goes on, nothing is kept.
+	// Deregister tells that the server is no longer listed: requests in flight go on, and no connection is
+	// kept open after them.
 	Deregister()
 }
 
-// Transport is a way to servers.
+// Transport connects to servers.
 type Transport interface {
-	// Server is a server at an address (host and port), which nothing was opened to yet.
+	// Server returns the server at an address (host and port). It opens no connection.
 	Server(address string) Server
-	// Counters are figures for the log.
+	// Counters returns figures for the log, by name.
 	Counters() map[string]int
 }
 
-// Listing is one answer of discovery.
+// ServerList is the list of servers at one version of discovery's list, or a change to it.
 type ServerList struct {
 	Version   int64
 	Full      bool // all servers; else those that changed
 	Servers   []policy.Server
-	Addresses map[policy.ServerID]string
-	Names     map[policy.ServerID]string // as people call them, where that is known
+	Addresses map[policy.ServerID]string // host and port
+	Names     map[policy.ServerID]string // instance ids, where they are known
 }
 
-// ServerID names a server by a hash of its instance id (FNV-1a, 64 bits): the same at every sidecar and
-// after a restart, as the module spreads the sidecars over the servers by the order of their ids.
+// ServerID returns a server's id: a hash of its instance id (FNV-1a, 64 bits). It is the same at every
+// sidecar and after a restart, as the policy spreads the sidecars over the servers by the order of their
+// ids.
 func ServerID(instance string) policy.ServerID {
 	h := fnv.New64a()
-	_, _ = io.WriteString(h, instance) // a hash takes everything
+	_, _ = io.WriteString(h, instance) // a hash never fails to write
 	return policy.ServerID(h.Sum64())
 }
 
-// RouteKey is what a request's route key is to the module; "" is 0, nothing in particular.
+// RouteKey returns a route key in the form that policy.Request has; "" is 0, no key.
 func RouteKey(key string) uint64 {
 	if key == "" {
 		return 0
@@ -132,7 +140,8 @@
 	return uint64(ServerID(key))
 }
 
-// EndToEnd copies the headers that are meant for the other end, not for this connection (RFC 9110, 7.6.1).
+// EndToEndHeaders copies the end-to-end headers, without those of this connection (RFC 9110, 7.6.1). Where
+// there is no User-Agent it sets an empty one, so that net/http adds none of its own.
 func EndToEndHeaders(from http.Header) http.Header {
 	to := make(http.Header, len(from)+2)
 	for name, values := range from {
@@ -150,7 +159,7 @@
 		delete(to, name)
 	}
 	if to["User-Agent"] == nil {
-		to["User-Agent"] = nil // none was given, so none is made up
+		to["User-Agent"] = nil
 	}
 	return to
 }
--- a/internal/proxy/call/duration.go
+++ b/internal/proxy/call/duration.go
@@ -6,10 +6,11 @@
 	"time"
 )
 
-// LongestWait is what longer times count as: figures above it mean the same to everyone.
+// MaxDuration is what ParseDuration returns for longer times.
 const MaxDuration = time.Hour
 
-// ParseDuration reads a number with the unit m (milliseconds) or u (microseconds), as X-Timeout has it.
+// ParseDuration parses a number with the unit m (milliseconds) or u (microseconds), as in X-Timeout; false:
+// the text is malformed.
 func ParseDuration(text string) (time.Duration, bool) {
 	unit := time.Millisecond
 	number, ok := strings.CutSuffix(text, "m")
--- a/internal/proxy/clock/clock.go
+++ b/internal/proxy/clock/clock.go
@@ -17,10 +17,10 @@
 // New starts a clock.
 func New() Clock { return Clock{start: time.Now()} }
 
-// NewMovable starts a clock that Jump moves: it stands in for a process that is stopped for a while.
+// NewAdjustable starts a clock that Jump moves: it stands in for a process that is stopped for a while.
 func NewAdjustable() Clock { return Clock{start: time.Now(), offset: new(atomic.Int64)} }
 
-// Jump moves a clock of NewMovable ahead by d, as a process finds it that was stopped for so long.
+// Advance moves a clock of NewMovable ahead by d, as a process finds it that was stopped for so long.
 func (c Clock) Advance(d time.Duration) { c.offset.Add(int64(d)) }
 
 func (c Clock) currentOffset() time.Duration {
--- a/internal/proxy/discoverypace/discoverypace.go
+++ b/internal/proxy/discoverypace/discoverypace.go
@@ -43,7 +43,7 @@
 	return p
 }
 
-// Share takes how many balancers there are from now on.
+// SetBalancers takes how many balancers there are from now on.
 func (p *Pace) SetBalancers(balancers int) {
 	whole := time.Duration(min(balancers, 1<<16)) * timePerCall
 	p.isLargeFleet, p.interval = whole > unpacedBelow, min(whole, maxInterval)
@@ -60,7 +60,7 @@
 	}
 }
 
-// Now takes that no server is known: there is nothing to wait with.
+// AskNow takes that no server is known: there is nothing to wait with.
 func (p *Pace) AskNow(now time.Duration) { p.nextAt = now }
 
 // Due says that it is time to ask, and takes that it is done. Without any word it is due again before silence counts as being told.
@@ -72,7 +72,7 @@
 	return true
 }
 
-// Heard takes that the list came: it is subscribed.
+// Subscribed takes that the list came: it is subscribed.
 func (p *Pace) Subscribed() { p.failures, p.subscribed = 0, true }
 
 // Failed takes that a call failed. A service that is over what it can do must see fewer calls, or it never finds back.
--- a/internal/proxy/engine/engine.go
+++ b/internal/proxy/engine/engine.go
@@ -190,7 +190,7 @@
 	}
 }
 
-// end takes what was handed over by now, answers what is open and calls off what is out. So a request that
+// shutdown takes what was handed over by now, answers what is open and calls off what is out. So a request that
 // was taken on has its one answer, whatever it was in the middle of.
 func (e *Engine) shutdown() {
 	for {
@@ -229,7 +229,7 @@
 // Running says whether Run takes events.
 func (e *Engine) Running() bool { return e.running.Load() }
 
-// Ended is closed when Run has returned: what is handed over from then on is thrown away.
+// Done is closed when Run has returned: what is handed over from then on is thrown away.
 func (e *Engine) Done() <-chan struct{} { return e.done }
 
 // Flush waits until all that was handed over before it has been taken, lists of servers included.
@@ -245,7 +245,7 @@
 	}
 }
 
-// Quiet has told called with those of some servers at which nothing is out, once what was told of the list before it is taken. It does not wait, and told must not.
+// ReportIdle has told called with those of some servers at which nothing is out, once what was told of the list before it is taken. It does not wait, and told must not.
 func (e *Engine) ReportIdle(ids []policy.ServerID, told func(quiet []policy.ServerID)) {
 	go e.post(func(time.Duration) {
 		e.catchUp()
@@ -253,7 +253,7 @@
 	})
 }
 
-// returned takes that an attempt at a server has its end.
+// attemptReturned takes that an attempt at a server has its end.
 func (e *Engine) attemptReturned(at policy.ServerID) {
 	if e.inFlight[at]--; e.inFlight[at] <= 0 {
 		delete(e.inFlight, at)
@@ -269,7 +269,7 @@
 	}
 }
 
-// limit has the module go by the limits that hold now.
+// applyLimits has the module go by the limits that hold now.
 func (e *Engine) applyLimits() {
 	if e.Config.Limits == nil {
 		return
@@ -308,7 +308,7 @@
 	}
 }
 
-// wake calls the module once for all timers that are due.
+// fireTimers calls the module once for all timers that are due.
 func (e *Engine) fireTimers() {
 	due := 0
 	for due < len(e.wakes) && e.wakes[due] <= e.now {
@@ -327,7 +327,7 @@
 	}
 }
 
-// settle tells the module of the sends that were not carried out. It waits until the module has
+// reportUnsent tells the module of the sends that were not carried out. It waits until the module has
 // returned, as Host's methods must not call back.
 func (e *Engine) reportUnsent() {
 	for len(e.unsent) > 0 {
@@ -360,7 +360,7 @@
 	e.module.List(e.now, kind, news.Servers)
 }
 
-// Ask takes a request on; its ID is the engine's. Its final answer goes to reply, which must have room
+// Submit takes a request on; its ID is the engine's. Its final answer goes to reply, which must have room
 // for it. m must not change any more. The number that Ask returns names the request for Gone.
 func (e *Engine) Submit(q policy.Request, m *call.Message, deadline time.Duration, reply chan<- call.Answer) policy.RequestID {
 	q.ID = policy.RequestID(e.lastID.Add(1))
@@ -375,7 +375,7 @@
 	return q.ID
 }
 
-// claimed takes that an attempt passes a request's body on from here on: the module has no more say in it, its end is the attempt's.
+// bodyClaimed takes that an attempt passes a request's body on from here on: the module has no more say in it, its end is the attempt's.
 func (e *Engine) bodyClaimed(id policy.RequestID) {
 	if r := e.requests[id]; r != nil && !r.finished && !r.bodyClaimed {
 		r.bodyClaimed = true
@@ -384,7 +384,7 @@
 	}
 }
 
-// Gone takes that a request's client has gone: nothing is owed to it any more, its attempts are called
+// ClientGone takes that a request's client has gone: nothing is owed to it any more, its attempts are called
 // off. One that has its answer is passed over.
 func (e *Engine) ClientGone(id policy.RequestID) {
 	e.post(func(now time.Duration) {
@@ -406,7 +406,7 @@
 	}
 }
 
-// outcome tells the module how an attempt ended, once for each.
+// reportOutcome tells the module how an attempt ended, once for each.
 func (e *Engine) reportOutcome(o policy.Outcome) {
 	r := e.requests[o.ID]
 	r.inFlight--
@@ -453,7 +453,7 @@
 	}
 }
 
-// begun takes that an attempt's answer is passed on while it comes. The request is over with it: the
+// streamBegun takes that an attempt's answer is passed on while it comes. The request is over with it: the
 // answer is the client's now, and the attempt's end only frees its slot.
 func (e *Engine) streamBegun(id policy.RequestID, r *request, res call.Result) {
 	if r.finished { // too late: nobody takes it
--- a/internal/proxy/engine/news.go
+++ b/internal/proxy/engine/news.go
@@ -5,7 +5,7 @@
 	"caperarch/policy"
 )
 
-// news is what discovery has told and the engine has not taken yet: one list, however often it
+// pendingUpdates is what discovery has told and the engine has not taken yet: one list, however often it
 // changed in the meantime. So those who tell never wait for an engine that is behind.
 type pendingUpdates struct {
 	list            call.ServerList
@@ -15,7 +15,7 @@
 	onApplied       []func() // who wait for that
 }
 
-// List takes news from discovery. It never waits.
+// UpdateServers takes news from discovery. It never waits.
 func (e *Engine) UpdateServers(l call.ServerList) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -24,7 +24,7 @@
 	e.signalPending()
 }
 
-// Relist takes the whole list as it is to be seen from now on, of which discovery has told nothing new; without servers it is passed over. taken is called
+// ReplaceServers takes the whole list as it is to be seen from now on, of which discovery has told nothing new; without servers it is passed over. taken is called
 // once the module has been handed it, and must not wait; nor does this.
 func (e *Engine) ReplaceServers(l call.ServerList, taken func()) {
 	e.mu.Lock()
@@ -39,7 +39,7 @@
 	e.signalPending()
 }
 
-// ListFailed takes that a call to discovery failed. It never waits.
+// DiscoveryFailed takes that a call to discovery failed. It never waits.
 func (e *Engine) DiscoveryFailed() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -79,7 +79,7 @@
 	n.list = merged
 }
 
-// hear takes the news, in the order of the kinds: after a failure the list that came before still holds.
+// applyPending takes the news, in the order of the kinds: after a failure the list that came before still holds.
 func (e *Engine) applyPending() {
 	e.mu.Lock()
 	n := e.pending
--- a/internal/proxy/loadquery/loadquery.go
+++ b/internal/proxy/loadquery/loadquery.go
@@ -21,7 +21,7 @@
 	unprobedRound = 0.4 // where it is too dear: among few, so that each tells often how it fares
 )
 
-// Inquiry is what one balancer goes by. It is used from one goroutine.
+// Prober is what one balancer goes by. It is used from one goroutine.
 type Prober struct {
 	enabled             bool
 	expensive           bool
@@ -44,10 +44,10 @@
 	}
 }
 
-// Pays says that every server is to be asked before it is sent to.
+// ProbesAll says that every server is to be asked before it is sent to.
 func (q *Prober) ProbesAll() bool { return q.enabled && !q.expensive && q.differing >= minDiffering }
 
-// Patience is how long an attempt that may be repeated is waited for: whole, the time in which its answer is of use, or the part of it
+// AttemptTimeout is how long an attempt that may be repeated is waited for: whole, the time in which its answer is of use, or the part of it
 // behind which another could still answer. Blind turns meet servers that are slow or silent; who looked before knows that it is the
 // request, which would take as long elsewhere.
 func (q *Prober) AttemptTimeout(whole, part time.Duration) time.Duration {
@@ -57,16 +57,16 @@
 	return part
 }
 
-// Doubts says that a server is asked though turns are blind. strain is how many times the usual its answers take, failures counted in.
+// ProbesSuspect says that a server is asked though turns are blind. strain is how many times the usual its answers take, failures counted in.
 // A look at one in ten saves most of what a look at all would: the slow and the silent are few, and are known by what they did.
 func (q *Prober) ProbesSuspect(strain float64) bool {
 	return q.enabled && q.expensive && strain >= suspectSlowness
 }
 
-// Asks says whether a server is to be asked at its turn.
+// ShouldProbe says whether a server is to be asked at its turn.
 func (q *Prober) ShouldProbe(strain float64) bool { return q.ProbesAll() || q.ProbesSuspect(strain) }
 
-// Every is the time in seconds in which each server of the arc gets a turn.
+// RoundSeconds is the time in seconds in which each server of the arc gets a turn.
 func (q *Prober) RoundSeconds() float64 {
 	switch {
 	case q.ProbesAll():
--- a/internal/proxy/membership/membership.go
+++ b/internal/proxy/membership/membership.go
@@ -119,7 +119,7 @@
 	return d
 }
 
-// Ask takes that the module wants to be subscribed to the list.
+// Trigger takes that the module wants to be subscribed to the list.
 func (d *Follower) Trigger() {
 	select {
 	case d.trigger <- struct{}{}:
@@ -127,7 +127,7 @@
 	}
 }
 
-// Move has it follow discovery at another address, from now on.
+// SetAddress has it follow discovery at another address, from now on.
 func (d *Follower) SetAddress(address string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -139,7 +139,7 @@
 	}
 }
 
-// follower returns the address to follow, and a context that ends once that is another.
+// currentAddress returns the address to follow, and a context that ends once that is another.
 func (d *Follower) currentAddress(ctx context.Context) (context.Context, string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/proxy/membership/shared.go
+++ b/internal/proxy/membership/shared.go
@@ -25,7 +25,7 @@
 
 type watchKey struct{ address, zones string }
 
-// watch is one follower with several subscribers, and the list as they have it.
+// sharedWatch is one follower with several subscribers, and the list as they have it.
 type sharedWatch struct {
 	key  watchKey
 	stop context.CancelFunc
@@ -90,7 +90,7 @@
 	return w
 }
 
-// whole is the list as it is known. The caller holds the lock.
+// fullList is the list as it is known. The caller holds the lock.
 func (w *sharedWatch) fullList() call.ServerList {
 	l := call.ServerList{Version: w.version, Full: true, Addresses: maps.Clone(w.address)}
 	for _, s := range w.servers {
--- a/internal/proxy/pool/pool.go
+++ b/internal/proxy/pool/pool.go
@@ -32,11 +32,11 @@
 	Log          *slog.Logger
 }
 
-// Walls are bounds that several pools of a process share. They are safe for concurrent use.
+// SharedLimits are bounds that several pools of a process share. They are safe for concurrent use.
 type SharedLimits interface {
-	// Take takes a place for a call with a body of so many bytes, or says that there is none.
+	// Acquire takes a place for a call with a body of so many bytes, or says that there is none.
 	Acquire(size int64) bool
-	// Give gives it back.
+	// Release gives it back.
 	Release(size int64)
 }
 
@@ -54,7 +54,7 @@
 	ErrDuplicateID = errors.New("a call of this id is open")
 )
 
-// fullPause is how long one who met ErrFull ought to wait before coming back.
+// fullRetryAfter is how long one who met ErrFull ought to wait before coming back.
 const fullRetryAfter = time.Second
 
 // Pool is safe for concurrent use.
@@ -123,7 +123,7 @@
 
 func (noSubscription) Close() {}
 
-// own is a follower that no other pool shares.
+// privateFollower is a follower that no other pool shares.
 type privateFollower struct {
 	stop context.CancelFunc
 	done chan struct{}
@@ -207,7 +207,7 @@
 	}
 }
 
-// heldStream gives the call's place back with its end.
+// trackedStream gives the call's place back with its end.
 type trackedStream struct {
 	call.Stream
 	leave func()
@@ -242,7 +242,7 @@
 	return nil
 }
 
-// FullPause is when one who met ErrFull ought to come back, never later than clients heed.
+// RetryAfterFull is when one who met ErrFull ought to come back, never later than clients heed.
 func (p *Pool) RetryAfterFull() time.Duration { return min(fullRetryAfter, p.cfg.Policy.MaxRetryAfter) }
 
 func (p *Pool) leave(id string, size int64) {
@@ -256,7 +256,7 @@
 	p.signalIfDrained()
 }
 
-// drained tells Close that nothing is held any more. The caller holds the lock.
+// signalIfDrained tells Close that nothing is held any more. The caller holds the lock.
 func (p *Pool) signalIfDrained() {
 	if p.closed && len(p.open) == 0 {
 		select {
--- a/internal/proxy/ratemeter/ratemeter.go
+++ b/internal/proxy/ratemeter/ratemeter.go
@@ -14,13 +14,13 @@
 	updatedAt      time.Duration
 }
 
-// Came takes that one came.
+// Record takes that one came.
 func (m *Meter) Record(now time.Duration) {
 	m.decay(now)
 	m.count++
 }
 
-// Lately is how many came, and in how many seconds.
+// Recent is how many came, and in how many seconds.
 func (m *Meter) Recent(now time.Duration) (came, seconds float64) {
 	m.decay(now)
 	return m.count, m.seconds
--- a/internal/proxy/requestclass/requestclass.go
+++ b/internal/proxy/requestclass/requestclass.go
@@ -48,7 +48,7 @@
 	Quota float64 // requests a second within its share over all balancers; 0 where unknown
 }
 
-// Bad says of a figure that it is negative or no number.
+// IsInvalid says of a figure that it is negative or no number.
 func IsInvalid(f float64) bool { return math.IsNaN(f) || math.IsInf(f, 0) || f < 0 }
 
 // Check returns an error that says which setting of a class is unusable. It names it as recordings do.
--- a/internal/proxy/route/table.go
+++ b/internal/proxy/route/table.go
@@ -50,7 +50,7 @@
 	maxSuffixLabels int // labels of the longest key of below
 }
 
-// paths are the rules of one host pattern.
+// pathRules are the rules of one host pattern.
 type pathRules struct {
 	exact             map[string][]*Rule
 	prefix            map[string][]*Rule // "" matches every path
@@ -105,7 +105,7 @@
 	return t, nil
 }
 
-// rank orders the rules of one host and path: those with a method first, then those with a class.
+// precedence orders the rules of one host and path: those with a method first, then those with a class.
 func precedence(r *Rule) int {
 	n := 0
 	if r.Method == "" {
@@ -117,7 +117,7 @@
 	return n
 }
 
-// normal brings a rule into normal form, or says why it is none or can never match.
+// normalize brings a rule into normal form, or says why it is none or can never match.
 func (r *Rule) normalize(pools Pools) error {
 	classes, known := pools[r.Pool]
 	if !known {
@@ -171,7 +171,7 @@
 	return nil
 }
 
-// shadowed finds a rule that others of the same host and path leave nothing to.
+// checkReachable finds a rule that others of the same host and path leave nothing to.
 func checkReachable(list []*Rule, pools Pools) error {
 	for i, r := range list {
 		covered := 0
@@ -197,7 +197,7 @@
 	return &pathRules{exact: make(map[string][]*Rule), prefix: make(map[string][]*Rule)}
 }
 
-// host is where the rules of a host pattern go.
+// rulesOf is where the rules of a host pattern go.
 func (t *Table) rulesOf(pattern string) *pathRules {
 	if pattern == "" {
 		if t.anyHost == nil {
@@ -295,7 +295,7 @@
 	return firstMatch(p.prefix[""], q)
 }
 
-// first returns the first rule of a list that a request's method and class match.
+// firstMatch returns the first rule of a list that a request's method and class match.
 func firstMatch(list []*Rule, q Request) *Rule {
 	for _, r := range list {
 		if (r.Method == "" || r.Method == q.Method) && (r.Class == "" || r.Class == q.Class) {
--- a/internal/proxy/route/target.go
+++ b/internal/proxy/route/target.go
@@ -14,7 +14,7 @@
 	maxPath = 8 << 10
 )
 
-// Of is what of a request counts for its route; an error says what in it can be read in two ways.
+// NewRequest is what of a request counts for its route; an error says what in it can be read in two ways.
 func NewRequest(hostField, target, method, class string) (Request, error) {
 	// The form with a scheme and host may disagree with Host, and two readers heed different ones.
 	if !strings.HasPrefix(target, "/") {
@@ -32,7 +32,7 @@
 	return Request{Host: host, Path: path, Method: method, Class: class}, nil
 }
 
-// FirstPart is the first part of a path: where the protocol has a request's class.
+// FirstSegment is the first part of a path: where the protocol has a request's class.
 func FirstSegment(path string) string {
 	first, _, _ := strings.Cut(strings.TrimPrefix(path, "/"), "/")
 	return first
--- a/internal/proxy/share/queue.go
+++ b/internal/proxy/share/queue.go
@@ -23,7 +23,7 @@
 	head       int // of the queue
 }
 
-// usualPart is the weight of the newest cost in a flow's usual one.
+// meanCostGain is the weight of the newest cost in a flow's usual one.
 const meanCostGain = 1.0 / 8
 
 // A flow is behind while what it used lately, by weight, is less than behindPart of what all did. Tags can't tell that: what
@@ -43,7 +43,7 @@
 	return q
 }
 
-// Ask takes a permit for a flow's work, or has it wait: then Done or Forget returns it when it may begin. Whoever got a
+// Acquire takes a permit for a flow's work, or has it wait: then Done or Forget returns it when it may begin. Whoever got a
 // permit has to give it back with Done, and to say whether it was a spare one.
 func (q *Queue[T]) Acquire(f int, work T) (granted, spare bool) {
 	w := &q.flows[f]
@@ -69,7 +69,7 @@
 	w.nextStart = max(w.nextStart, q.now) + w.meanCost/w.weight
 }
 
-// Done gives a permit back. asked is the flow that it was asked for; cost is charged to the flow that the work turned out
+// Release gives a permit back. asked is the flow that it was asked for; cost is charged to the flow that the work turned out
 // to be of. It returns the work that may begin now in its place, if any: for a spare one that of a flow that is behind,
 // which has a spare one then.
 func (q *Queue[T]) Release(asked, of int, spare bool, cost float64) (next T, ok bool) {
@@ -107,7 +107,7 @@
 	w.recentCost += cost
 }
 
-// first is the flow whose work waits and starts first, or nil.
+// earliest is the flow whose work waits and starts first, or nil.
 func (q *Queue[T]) earliest() (best *flow[T]) {
 	if q.waiting == 0 {
 		return nil
@@ -120,7 +120,7 @@
 	return best
 }
 
-// take takes the flow's next work out of its queue.
+// dequeue takes the flow's next work out of its queue.
 func (w *flow[T]) dequeue() T {
 	work := w.queue[w.head]
 	var none T
@@ -135,7 +135,7 @@
 	return work
 }
 
-// Behind says whether a flow had less than half of its part lately.
+// IsUnderserved says whether a flow had less than half of its part lately.
 func (q *Queue[T]) IsUnderserved(f int) bool { return q.underserved(&q.flows[f]) }
 
 func (q *Queue[T]) underserved(w *flow[T]) bool {
--- a/internal/proxy/share/space.go
+++ b/internal/proxy/share/space.go
@@ -7,13 +7,13 @@
 )
 
 const (
-	// keepBack is the share of an owner's unused part that is never lent: one that wakes up begins at once.
+	// reserveFraction is the share of an owner's unused part that is never lent: one that wakes up begins at once.
 	reserveFraction = 0.1
-	// askFor is how long an owner that met its own part lent away keeps others from borrowing more, after it last asked.
+	// reclaimTime is how long an owner that met its own part lent away keeps others from borrowing more, after it last asked.
 	reclaimTime = 3 * time.Second
 )
 
-// Space divides a number of like things (places, bytes) among pools by weight. Each is sure of its part and may
+// Capacity divides a number of like things (places, bytes) among pools by weight. Each is sure of its part and may
 // borrow what others leave, but for a tenth of what each of them has unused. What is lent is not taken back: it
 // returns as what it is used for ends. From the moment that an owner has to be refused part of its own, nothing more is
 // lent until it has what it asked for, or has not asked for 3 s. Safe for concurrent use.
@@ -47,7 +47,7 @@
 	return s
 }
 
-// Take takes n for a pool, or says that there is no room; n must not be below 0. What it took has to be given back
+// Acquire takes n for a pool, or says that there is no room; n must not be below 0. What it took has to be given back
 // with Give.
 func (s *Capacity) Acquire(now time.Duration, pool int, n int64) bool {
 	s.mu.Lock()
@@ -60,7 +60,7 @@
 	return true
 }
 
-// Room says whether Take would take n now. An owner that is told no has asked, as with Take.
+// CanAcquire says whether Take would take n now. An owner that is told no has asked, as with Take.
 func (s *Capacity) CanAcquire(now time.Duration, pool int, n int64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -93,7 +93,7 @@
 	return n <= free
 }
 
-// Give gives n of a pool back.
+// Release gives n of a pool back.
 func (s *Capacity) Release(pool int, n int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -101,7 +101,7 @@
 	s.used -= n
 }
 
-// Part is what a pool is sure of and what it has.
+// Usage is what a pool is sure of and what it has.
 func (s *Capacity) Usage(pool int) (sure, used int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/proxy/stream/stream.go
+++ b/internal/proxy/stream/stream.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	// StandTime is how long an end of a stream may stand still. Slow ones that are legal give or take something each second; their
+	// StallTimeout is how long an end of a stream may stand still. Slow ones that are legal give or take something each second; their
 	// system's buffers hide some of that from us, never so much.
 	StallTimeout = 15 * time.Second
 	// WindowSize is how much of a stream is in our hands at a time.
@@ -24,10 +24,10 @@
 
 var windows = sync.Pool{New: func() any { return new(Window) }}
 
-// Take takes a window, which Give gives back.
+// AcquireWindow takes a window, which Give gives back.
 func AcquireWindow() *Window { return windows.Get().(*Window) }
 
-// Give gives a window back.
+// ReleaseWindow gives a window back.
 func ReleaseWindow(w *Window) { windows.Put(w) }
 
 // Write writes all of p, of which each part is taken within StandTime. It leaves that deadline behind.
--- a/internal/proxy/strictconfig/toml.go
+++ b/internal/proxy/strictconfig/toml.go
@@ -9,7 +9,7 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// TOML reads a text into a struct. An unknown key or what is no TOML is an error that names the line.
+// DecodeTOML reads a text into a struct. An unknown key or what is no TOML is an error that names the line.
 func DecodeTOML(text []byte, into any) error {
 	d := toml.NewDecoder(bytes.NewReader(text))
 	d.DisallowUnknownFields()
--- a/internal/proxy/subset/subset.go
+++ b/internal/proxy/subset/subset.go
@@ -11,7 +11,7 @@
 	minShare    = 0.1 // a server of which less lies inside is left out: its turns would be too far apart for a connection to be kept
 )
 
-// Place is where balancer i of n begins on the circle, a share of it: all that live at equal distances, in the order of the golden ratio's multiples, so that some of them are spread well too. By
+// ArcStart is where balancer i of n begins on the circle, a share of it: all that live at equal distances, in the order of the golden ratio's multiples, so that some of them are spread well too. By
 // those multiples alone some servers were in three balancers' arcs and others in five, for as long as nothing changed (docs/measurements/even.md). lives tells of the others; nil: all do.
 func ArcStart(i, n int, lives func(int) bool) float64 {
 	before, all := 0, 1
@@ -28,7 +28,7 @@
 	return float64(before) / float64(all)
 }
 
-// Length is the servers in an arc that has now so many (0: none yet), where a balancer's own traffic can feed feeds of them and that of an even one of all balancers even. The
+// ArcLength is the servers in an arc that has now so many (0: none yet), where a balancer's own traffic can feed feeds of them and that of an even one of all balancers even. The
 // few that have far more than the even traffic may lie anywhere, side by side too, and nobody evens out what they do: their arcs are up to a step longer.
 // No more: they would learn of each server too seldom.
 func ArcLength(now, feeds, even, fewest float64) float64 {
@@ -40,7 +40,7 @@
 	return fewest * math.Pow(lengthStep, math.Round(math.Log(want/fewest)/math.Log(lengthStep)))
 }
 
-// Parts is how much of each server, by their weights, lies in an arc that begins at a place and is as long as so many servers of mean weight, or as it takes for some of fewest.
+// ArcShares is how much of each server, by their weights, lies in an arc that begins at a place and is as long as so many servers of mean weight, or as it takes for some of fewest.
 func ArcShares(begins, length float64, weights []float64, fewest int) []float64 {
 	parts, whole := make([]float64, len(weights)), 0.0
 	for _, w := range weights {
--- a/internal/proxy/transport/grpc/transport.go
+++ b/internal/proxy/transport/grpc/transport.go
@@ -212,7 +212,7 @@
 	}
 }
 
-// Leave takes that the server is no longer listed.
+// Deregister takes that the server is no longer listed.
 func (h *host) Deregister() {
 	h.t.mu.Lock()
 	defer h.t.mu.Unlock()
--- a/internal/proxy/transport/http1/transport.go
+++ b/internal/proxy/transport/http1/transport.go
@@ -193,7 +193,7 @@
 // CloseIdle closes the idle connections.
 func (h *host) CloseIdle() { h.u.close(h) }
 
-// Leave takes that the server is no longer listed.
+// Deregister takes that the server is no longer listed.
 func (h *host) Deregister() { h.u.leave(h) }
 
 // exchange is one attempt or probe under way.
--- a/plugin/pools.go
+++ b/plugin/pools.go
@@ -124,7 +124,7 @@
 	pool          int
 }
 
-// Take takes a place for a call.
+// Acquire takes a place for a call.
 func (w walls) Acquire(size int64) bool {
 	now := w.clock.Now()
 	if !w.calls.Acquire(now, w.pool, 1) {
@@ -137,7 +137,7 @@
 	return true
 }
 
-// Give gives it back.
+// Release gives it back.
 func (w walls) Release(size int64) {
 	w.calls.Release(w.pool, 1)
 	w.bodies.Release(w.pool, size)
