--- a/internal/proxy/engine/engine_test.go
+++ b/internal/proxy/engine/engine_test.go
@@ -17,10 +17,11 @@
 	"caperarch/policy"
 )
 
-// idle is a loop whose goroutine is the test itself, with one server in its list.
-func idle(t *testing.T, address string) *Engine {
+// newTestEngine makes an engine with one server in its list. The test takes the place of Run.
+func newTestEngine(t *testing.T, address string) *Engine {
 	t.Helper()
-	cfg, err := config.Parse([]byte(testbed.ConfigText(t, testbed.Listed(1, "ready", address), nil)), func(string) string { return "" })
+	text := testbed.ConfigText(t, testbed.Listed(1, "ready", address), nil)
+	cfg, err := config.Parse([]byte(text), func(string) string { return "" })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -36,7 +37,7 @@
 	return e
 }
 
-// next runs the next event and what it owes.
+// next handles the next event.
 func (e *Engine) next(t *testing.T) {
 	t.Helper()
 	event := testbed.Wait(t, "an event", e.events)
@@ -45,17 +46,17 @@
 	e.reportUnsent()
 }
 
-// hold enters a request that the module does not know, so that the test can decide for it.
-func (e *Engine) hold(id policy.RequestID) (*request, chan call.Answer) {
+// openRequest adds a request that the module does not know, so that the test decides for it.
+func (e *Engine) openRequest(id policy.RequestID) (*request, chan call.Answer) {
 	reply := make(chan call.Answer, 1)
 	r := &request{message: testMessage("1"), reply: reply, deadline: e.now + testbed.Generous}
 	e.requests[id] = r
 	return r, reply
 }
 
-// The first served attempt answers at once; what the module says of the request after that, and
-// what other attempts bring, changes nothing. Each attempt has one Outcome, then the entry goes.
-func TestOneAnswerForEachRequest(t *testing.T) {
+// The first served attempt answers at once; what the module decides for the request after that, and the
+// results of other attempts, change nothing. Each attempt has one Outcome, then the request is forgotten.
+func TestRequestHasOneAnswer(t *testing.T) {
 	release := make(chan struct{})
 	s := testbed.NewStub(t, func(c net.Conn, r testbed.Received) bool {
 		if r.Conn > 0 {
@@ -63,162 +64,168 @@
 		}
 		return testbed.OK(c, "first")
 	})
-	l := idle(t, s.Address)
-	r, reply := l.hold(7)
+	e := newTestEngine(t, s.Address)
+	r, reply := e.openRequest(7)
 	to := call.ServerID("s-0")
-	host{l}.Send(7, to, 0)
-	l.next(t)
+	host{e}.Send(7, to, 0)
+	e.next(t)
 	if a := testbed.Wait(t, "the answer", reply); a.Kind != call.Served || string(a.Body) != "first" {
 		t.Fatalf("answer %+v", a)
 	}
-	if len(l.requests) != 0 {
+	if len(e.requests) != 0 {
 		t.Fatal("the request is still in the table")
 	}
-	l.requests[7] = r // as if another attempt were out
-	host{l}.Refuse(7, time.Second)
-	host{l}.Fail(7)
-	host{l}.Send(7, to, 0)
-	if len(reply) != 0 || len(l.unsent) != 1 || l.unsent[0] != (policy.Outcome{ID: 7, Attempt: 1, Ending: policy.NotSent}) {
-		t.Errorf("%d more answers, not sent %+v, want none and attempt 1", len(reply), l.unsent)
+	e.requests[7] = r // as if another attempt were out
+	host{e}.Refuse(7, time.Second)
+	host{e}.Fail(7)
+	host{e}.Send(7, to, 0)
+	unsent := policy.Outcome{ID: 7, Attempt: 1, Ending: policy.NotSent}
+	if len(reply) != 0 || len(e.unsent) != 1 || e.unsent[0] != unsent {
+		t.Errorf("%d more answers, not sent %+v, want none and attempt 1", len(reply), e.unsent)
 	}
-	l.reportUnsent()
-	if len(l.requests) != 0 || r.inFlight != 0 {
-		t.Errorf("%d requests in the table, %d attempts out, want none", len(l.requests), r.inFlight)
+	e.reportUnsent()
+	if len(e.requests) != 0 || r.inFlight != 0 {
+		t.Errorf("%d requests in the table, %d attempts out, want none", len(e.requests), r.inFlight)
 	}
 	close(release)
 }
 
-// An Outcome comes after the answer too, for an attempt that is called off.
-func TestOutcomeAfterTheAnswer(t *testing.T) {
+// An attempt that is cancelled has its Outcome after the request's answer too.
+func TestCancelledAttemptHasAnOutcomeAfterTheAnswer(t *testing.T) {
 	s := testbed.NewStub(t, testbed.Silent)
-	l := idle(t, s.Address)
-	r, reply := l.hold(7)
-	host{l}.Send(7, call.ServerID("s-0"), 0)
+	e := newTestEngine(t, s.Address)
+	r, reply := e.openRequest(7)
+	host{e}.Send(7, call.ServerID("s-0"), 0)
 	testbed.Wait(t, "the request", s.Seen)
-	host{l}.Fail(7)
+	host{e}.Fail(7)
 	if a := testbed.Wait(t, "the answer", reply); a.Kind != call.Failed || !a.TimedOut {
 		t.Errorf("answer %+v, want failed, timed out", a)
 	}
-	if l.requests[7] != r {
+	if e.requests[7] != r {
 		t.Fatal("the request has left the table with an attempt out")
 	}
-	host{l}.Cancel(7, 0)
-	host{l}.Cancel(7, 5)
-	l.next(t)
-	if len(l.requests) != 0 {
+	host{e}.Cancel(7, 0)
+	host{e}.Cancel(7, 5)
+	e.next(t)
+	if len(e.requests) != 0 {
 		t.Error("the request is still in the table")
 	}
 }
 
-// Sends past caps.most_tries, past the deadline or to a server that is not listed are not carried out.
-func TestNotSent(t *testing.T) {
+// Sends beyond the maximum number of attempts, past the deadline or to a server that is not listed are not
+// carried out.
+func TestSendsThatAreNotAllowedAreReportedAsNotSent(t *testing.T) {
 	s := testbed.NewStub(t, testbed.Silent)
-	l := idle(t, s.Address)
-	l.hold(7)
+	e := newTestEngine(t, s.Address)
+	e.openRequest(7)
 	to := call.ServerID("s-0")
 	for range 3 {
-		host{l}.Send(7, to, 0)
+		host{e}.Send(7, to, 0)
 	}
-	host{l}.Send(7, to, 0)
-	l.hold(8)
-	host{l}.Send(8, call.ServerID("unheard of"), 0)
-	host{l}.Send(8, to, -time.Second)
-	l.now += 2 * testbed.Generous
-	host{l}.Send(8, to, 0)
+	host{e}.Send(7, to, 0)
+	e.openRequest(8)
+	host{e}.Send(8, call.ServerID("unheard of"), 0)
+	host{e}.Send(8, to, -time.Second)
+	e.now += 2 * testbed.Generous
+	host{e}.Send(8, to, 0)
 	want := []policy.Outcome{
 		{ID: 7, Attempt: 3, Ending: policy.NotSent}, {ID: 8, Attempt: 0, Ending: policy.NotSent},
 		{ID: 8, Attempt: 1, Ending: policy.NotSent}, {ID: 8, Attempt: 2, Ending: policy.NotSent},
 	}
-	if len(l.unsent) != len(want) {
-		t.Fatalf("not sent %+v, want %+v", l.unsent, want)
+	if len(e.unsent) != len(want) {
+		t.Fatalf("not sent %+v, want %+v", e.unsent, want)
 	}
 	for i := range want {
-		if l.unsent[i] != want[i] {
-			t.Errorf("not sent %+v, want %+v", l.unsent[i], want[i])
+		if e.unsent[i] != want[i] {
+			t.Errorf("not sent %+v, want %+v", e.unsent[i], want[i])
 		}
 	}
 	for range 3 {
 		testbed.Wait(t, "a request", s.Seen)
 	}
 	for i := range 3 {
-		host{l}.Cancel(7, i)
-		l.next(t)
+		host{e}.Cancel(7, i)
+		e.next(t)
 	}
 }
 
-// A client that closes its connection is owed nothing more; its attempts are called off.
-func TestClientGone(t *testing.T) {
+// A client that closes its connection gets no answer any more; its attempts are cancelled.
+func TestClientGoneCancelsTheAttempts(t *testing.T) {
 	s := testbed.NewStub(t, testbed.Silent)
-	l := idle(t, s.Address)
+	e := newTestEngine(t, s.Address)
 	reply := make(chan call.Answer, 1)
-	id := l.Submit(policy.Request{Class: 0}, testMessage("1"), l.now+testbed.Generous, reply)
-	l.next(t)
+	id := e.Submit(policy.Request{Class: 0}, testMessage("1"), e.now+testbed.Generous, reply)
+	e.next(t)
 	testbed.Wait(t, "the request", s.Seen)
-	l.ClientGone(id)
-	l.next(t)
-	l.next(t) // the end of its attempt
+	e.ClientGone(id)
+	e.next(t)
+	e.next(t) // the end of its attempt
 	testbed.Wait(t, "the connection to close", s.Closed)
-	if len(l.requests) != 0 || len(reply) != 0 {
-		t.Errorf("%d requests in the table, %d answers, want none", len(l.requests), len(reply))
+	if len(e.requests) != 0 || len(reply) != 0 {
+		t.Errorf("%d requests in the table, %d answers, want none", len(e.requests), len(reply))
 	}
 }
 
-// Timers due at one moment share one call, the rest wait for theirs.
-func TestWakesAreMerged(t *testing.T) {
-	l := idle(t, "127.0.0.1:1")
-	l.wakes = nil
-	now := l.now
+// Timers due at the same moment share one call, the others wait for theirs.
+func TestTimersDueAtTheSameMomentShareACall(t *testing.T) {
+	e := newTestEngine(t, "127.0.0.1:1")
+	e.wakes = nil
+	now := e.now
 	for _, d := range []time.Duration{30, 10, 20, 10, -5} {
-		host{l}.Wake(d * time.Millisecond)
+		host{e}.Wake(d * time.Millisecond)
 	}
-	if len(l.wakes) != 4 || l.wakes[0] != now || l.wakes[1] != now+10*time.Millisecond {
-		t.Fatalf("due in %v from %v", l.wakes, now)
+	if len(e.wakes) != 4 || e.wakes[0] != now || e.wakes[1] != now+10*time.Millisecond {
+		t.Fatalf("due in %v from %v", e.wakes, now)
 	}
-	l.now = now + 15*time.Millisecond
-	l.fireTimers()
-	if first := l.wakes[0]; first > now+20*time.Millisecond {
+	e.now = now + 15*time.Millisecond
+	e.fireTimers()
+	if first := e.wakes[0]; first > now+20*time.Millisecond {
 		t.Errorf("first due in %v, want 20ms at most", first-now)
 	}
 }
 
-// A new server at the address of one that has gone is another: it inherits no connection.
-func TestNewServerAtAnOldAddress(t *testing.T) {
+// A new server at the address of a deregistered one is another: it inherits no connection.
+func TestNewServerAtAnOldAddressHasItsOwnConnections(t *testing.T) {
 	s := testbed.NewStub(t, testbed.Echo)
-	l := idle(t, s.Address)
-	old := l.servers[call.ServerID("s-0")]
-	attempt(t, l, old, "1")
-	l.applyList(call.ServerList{Servers: []policy.Server{{ID: 7, State: policy.Ready}}, Addresses: map[policy.ServerID]string{7: s.Address}}, policy.ListDelta)
-	attempt(t, l, l.servers[7], "2")
+	e := newTestEngine(t, s.Address)
+	old := e.servers[call.ServerID("s-0")]
+	attempt(t, e, old, "1")
+	e.applyList(call.ServerList{
+		Servers:   []policy.Server{{ID: 7, State: policy.Ready}},
+		Addresses: map[policy.ServerID]string{7: s.Address},
+	}, policy.ListDelta)
+	attempt(t, e, e.servers[7], "2")
 	if first, second := testbed.Wait(t, "1", s.Seen), testbed.Wait(t, "2", s.Seen); first.Conn == second.Conn {
-		t.Error("the new server's request went over the old one's connection")
+		t.Error("the new server's request was sent on the old one's connection")
 	}
 }
 
-// A server that moves is reached where it is now, one that left is not reached at all, and a list
-// of changes leaves the others alone.
-func TestListMovesServers(t *testing.T) {
-	l := idle(t, "127.0.0.1:81")
+// A server that moved is reached at its new address, a deregistered one is not reached at all, and a change
+// of the list leaves the other servers alone.
+func TestListUpdatesAddresses(t *testing.T) {
+	e := newTestEngine(t, "127.0.0.1:81")
 	id := call.ServerID("s-0")
-	moved, err := membership.Parse([]byte(`{"generation":2,"instances":[{"instanceId":"s-0","hostPort":"127.0.0.1:82","lifecycle":"ready"}]}`), nil)
+	raw := `{"generation":2,"instances":[{"instanceId":"s-0","hostPort":"127.0.0.1:82","lifecycle":"ready"}]}`
+	moved, err := membership.Parse([]byte(raw), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	l.applyList(moved, policy.ListDelta)
-	if l.servers[id].address != "127.0.0.1:82" {
-		t.Errorf("address %q after the move", l.servers[id].address)
+	e.applyList(moved, policy.ListDelta)
+	if e.servers[id].address != "127.0.0.1:82" {
+		t.Errorf("address %q after the move", e.servers[id].address)
 	}
-	l.applyList(call.ServerList{}, policy.ListDelta)
-	if len(l.servers) != 1 {
-		t.Errorf("addresses %v after no change", l.servers)
+	e.applyList(call.ServerList{}, policy.ListDelta)
+	if len(e.servers) != 1 {
+		t.Errorf("addresses %v after no change", e.servers)
 	}
-	l.applyList(call.ServerList{Servers: []policy.Server{{ID: id, State: policy.Deregistered}}}, policy.ListDelta)
-	if len(l.servers) != 0 {
-		t.Errorf("addresses %v, the server is gone", l.servers)
+	e.applyList(call.ServerList{Servers: []policy.Server{{ID: id, State: policy.Deregistered}}}, policy.ListDelta)
+	if len(e.servers) != 0 {
+		t.Errorf("addresses %v, the server is deregistered", e.servers)
 	}
-	l.applyList(moved, policy.ListDelta)
-	l.applyList(call.ServerList{Full: true}, policy.ListFull)
-	if len(l.servers) != 0 {
-		t.Errorf("addresses %v after a whole list of none", l.servers)
+	e.applyList(moved, policy.ListDelta)
+	e.applyList(call.ServerList{Full: true}, policy.ListFull)
+	if len(e.servers) != 0 {
+		t.Errorf("addresses %v after a full list of none", e.servers)
 	}
 }
 
@@ -229,7 +236,7 @@
 	}
 }
 
-// attempt sends one and waits for its end.
+// attempt sends a request to a server and waits for the result.
 func attempt(t *testing.T, e *Engine, to call.Server, id string) {
 	t.Helper()
 	done := make(chan call.Result, 2)
@@ -239,22 +246,24 @@
 	}
 }
 
-// News that is not taken yet is one list: a whole one replaces what came before, a change its servers' entries.
-func TestNewsIsFolded(t *testing.T) {
-	list := func(whole bool, entries ...policy.Server) call.ServerList {
-		l := call.ServerList{Full: whole, Servers: entries, Addresses: make(map[policy.ServerID]string)}
+// Pending updates are one list: a full list replaces what came before, a change its servers' entries.
+func TestPendingUpdatesAreMergedIntoOneList(t *testing.T) {
+	list := func(full bool, entries ...policy.Server) call.ServerList {
+		l := call.ServerList{Full: full, Servers: entries, Addresses: make(map[policy.ServerID]string)}
 		for _, s := range entries {
 			l.Addresses[s.ID] = "127.0.0.1:81"
 		}
 		return l
 	}
-	var n pendingUpdates
-	n.fold(list(false, policy.Server{ID: 1, State: policy.Ready}))
-	n.fold(list(true, policy.Server{ID: 2, State: policy.Ready}, policy.Server{ID: 3, State: policy.Ready}))
-	n.fold(list(false, policy.Server{ID: 2, State: policy.Draining}, policy.Server{ID: 4, State: policy.Ready}))
-	n.fold(list(false, policy.Server{ID: 4, State: policy.Deregistered}))
-	want := []policy.Server{{ID: 2, State: policy.Draining}, {ID: 3, State: policy.Ready}, {ID: 4, State: policy.Deregistered}}
-	if !n.list.Full || !slices.Equal(n.list.Servers, want) || len(n.list.Addresses) != 3 {
-		t.Errorf("folded to %+v, want the whole list %+v", n.list, want)
+	var updates pendingUpdates
+	updates.merge(list(false, policy.Server{ID: 1, State: policy.Ready}))
+	updates.merge(list(true, policy.Server{ID: 2, State: policy.Ready}, policy.Server{ID: 3, State: policy.Ready}))
+	updates.merge(list(false, policy.Server{ID: 2, State: policy.Draining}, policy.Server{ID: 4, State: policy.Ready}))
+	updates.merge(list(false, policy.Server{ID: 4, State: policy.Deregistered}))
+	want := []policy.Server{
+		{ID: 2, State: policy.Draining}, {ID: 3, State: policy.Ready}, {ID: 4, State: policy.Deregistered},
+	}
+	if !updates.list.Full || !slices.Equal(updates.list.Servers, want) || len(updates.list.Addresses) != 3 {
+		t.Errorf("merged to %+v, want the full list %+v", updates.list, want)
 	}
 }
--- a/internal/proxy/engine/host.go
+++ b/internal/proxy/engine/host.go
@@ -8,67 +8,81 @@
 	"caperarch/policy"
 )
 
-// host carries out what the module decides.
+// host is the policy.Host of an engine's module: it carries out what the module decides.
 type host struct{ engine *Engine }
 
-// Send starts an attempt, given up after timeout or at the client's deadline. Where the request is
-// over or out of attempts or time, or the server is not listed, nothing is sent.
+// Send starts an attempt, which times out after timeout or at the client's deadline. Nothing is sent where the
+// request is finished, has no attempts or time left, or the server is not listed.
 func (h host) Send(id policy.RequestID, to policy.ServerID, timeout time.Duration) {
 	e := h.engine
 	r := e.requests[id]
 	if r == nil {
-		return // over, with all attempts ended: the module has forgotten it too
+		return // finished, with all attempts ended: the module has forgotten it too
 	}
-	number, left := len(r.attempts), r.deadline-e.now
+	number, timeLeft := len(r.attempts), r.deadline-e.now
 	r.inFlight++
 	s := e.servers[to]
-	if r.finished || number >= e.maxAttempts || left <= 0 || timeout < 0 || s == nil || r.message.Upload != nil && r.message.Upload.Claimed() {
+	if s == nil || timeLeft <= 0 || timeout < 0 || !e.maySend(r) {
 		r.attempts = append(r.attempts, nil)
 		e.unsent = append(e.unsent, policy.Outcome{ID: id, Attempt: number, Ending: policy.NotSent})
 		return
 	}
-	if timeout == 0 || timeout > left {
-		timeout = left
+	if timeout == 0 || timeout > timeLeft {
+		timeout = timeLeft
 	}
 	e.inFlight[to]++
 	r.attempts = append(r.attempts, s.Send(r.message, e.now+timeout, func(res call.Result) {
-		if res.OnStreamEnd != nil { // the attempt is over, and the server still at it
-			res.OnStreamEnd(func() { e.post(func(time.Duration) { e.attemptReturned(to) }) })
-		}
-		e.post(func(time.Duration) {
-			if e.AttemptEnded != nil {
-				e.AttemptEnded(to, res.Ending)
-			}
-			if res.Stream == nil || res.Detached && res.OnStreamEnd == nil { // else its answer comes on
-				e.attemptReturned(to)
-			}
-			e.attemptEnded(id, number, res)
-		})
+		e.postResult(id, number, to, res)
 	}))
 }
 
-// Refuse ends a request; trying again is harmless.
-func (h host) Refuse(id policy.RequestID, pause time.Duration) {
+// maySend says whether a request may have one more attempt.
+func (e *Engine) maySend(r *request) bool {
+	upload := r.message.Upload
+	return !r.finished && len(r.attempts) < e.maxAttempts && (upload == nil || !upload.Claimed())
+}
+
+// postResult hands the result of an attempt over to Run. Any goroutine may call it.
+func (e *Engine) postResult(id policy.RequestID, number int, to policy.ServerID, res call.Result) {
+	if res.OnStreamEnd != nil { // the attempt has ended, and the server still sends
+		res.OnStreamEnd(func() { e.post(func(time.Duration) { e.attemptReturned(to) }) })
+	}
+	e.post(func(time.Duration) {
+		if e.AttemptEnded != nil {
+			e.AttemptEnded(to, res.Ending)
+		}
+		if res.Stream == nil || res.Detached && res.OnStreamEnd == nil { // else the server still sends
+			e.attemptReturned(to)
+		}
+		e.attemptEnded(id, number, res)
+	})
+}
+
+// Refuse ends a request; a retry is harmless.
+func (h host) Refuse(id policy.RequestID, retryAfter time.Duration) {
 	if r := h.engine.requests[id]; r != nil && !r.finished {
-		h.engine.finish(id, r, &call.Answer{Kind: call.Refused, RetryAfter: pause})
+		h.engine.finish(id, r, &call.Answer{Kind: call.Refused, RetryAfter: retryAfter})
 	}
 }
 
-// Fail ends a request with no promise.
+// Fail ends a request with no promise about its effect.
 func (h host) Fail(id policy.RequestID) {
 	if r := h.engine.requests[id]; r != nil && !r.finished {
-		h.engine.finish(id, r, &call.Answer{Kind: call.Failed, TimedOut: r.timedOut || r.inFlight > 0, LastResult: r.lastResult})
+		h.engine.finish(id, r, &call.Answer{
+			Kind: call.Failed, TimedOut: r.timedOut || r.inFlight > 0, LastResult: r.lastResult,
+		})
 	}
 }
 
-// Cancel calls off an attempt; its Outcome still comes.
+// Cancel cancels an attempt; its Outcome still follows.
 func (h host) Cancel(id policy.RequestID, attempt int) {
-	if r := h.engine.requests[id]; r != nil && attempt >= 0 && attempt < len(r.attempts) && r.attempts[attempt] != nil {
+	r := h.engine.requests[id]
+	if r != nil && attempt >= 0 && attempt < len(r.attempts) && r.attempts[attempt] != nil {
 		r.attempts[attempt].Cancel()
 	}
 }
 
-// Wake sees to a call of Balancer.Wake after d. Timers due at one moment share that call.
+// Wake sees to a call of Module.Wake after d. Timers due at the same moment share that call.
 func (h host) Wake(d time.Duration) {
 	e := h.engine
 	due := e.now + max(d, 0)
@@ -76,7 +90,8 @@
 	if found {
 		return
 	}
-	if e.wakes = slices.Insert(e.wakes, i, due); i == 0 {
+	e.wakes = slices.Insert(e.wakes, i, due)
+	if i == 0 {
 		e.setTimer()
 	}
 }
@@ -84,15 +99,15 @@
 // Probe asks a server for a load report.
 func (h host) Probe(to policy.ServerID) {
 	e := h.engine
-	told := func(ok bool, load policy.Load) {
+	done := func(ok bool, load policy.Load) {
 		e.post(func(now time.Duration) { e.module.Probed(now, to, ok, load) })
 	}
 	s := e.servers[to]
-	if s == nil { // no longer listed; Host's methods must not call back, so from outside
-		go told(false, policy.Load{})
+	if s == nil {
+		go done(false, policy.Load{}) // in a goroutine: post may block, and this is the one that handles events
 		return
 	}
-	s.Probe(told)
+	s.Probe(done)
 }
 
 // Close closes the idle connections to a server.
@@ -105,5 +120,5 @@
 // WatchList subscribes to the server list.
 func (h host) WatchList() { h.engine.Watch() }
 
-// Log writes a line for the people on call.
+// Log writes a line for the on-call engineers.
 func (h host) Log(line string) { h.engine.Log.Info("module", "says", line) }
--- a/internal/proxy/engine/pause_test.go
+++ b/internal/proxy/engine/stall_test.go
@@ -13,7 +13,7 @@
 	"caperarch/policy"
 )
 
-// recorder is a transport that notes what is sent and answers nothing by itself.
+// recorder is a transport that records what is sent. The test ends the attempts.
 type recorder struct {
 	mu    sync.Mutex
 	sends []sent
@@ -29,9 +29,9 @@
 	address string
 }
 
-type off struct{ done func(call.Result) }
+type recordedAttempt struct{ done func(call.Result) }
 
-func (o off) Cancel() { go o.done(call.Result{Ending: policy.Cancelled}) }
+func (a recordedAttempt) Cancel() { go a.done(call.Result{Ending: policy.Cancelled}) }
 
 func (r *recorder) Server(address string) call.Server { return recorded{r, address} }
 func (r *recorder) Counters() map[string]int          { return nil }
@@ -42,9 +42,10 @@
 	var once sync.Once
 	end := func(res call.Result) { once.Do(func() { done(res) }) }
 	s.r.sends = append(s.r.sends, sent{s.address, end})
-	return off{end}
+	return recordedAttempt{end}
 }
-func (recorded) Probe(told func(bool, policy.Load)) { go told(false, policy.Load{}) }
+
+func (recorded) Probe(done func(bool, policy.Load)) { go done(false, policy.Load{}) }
 func (recorded) CloseIdle()                         {}
 func (recorded) Deregister()                        {}
 
@@ -54,13 +55,19 @@
 	return append([]sent(nil), r.sends...)
 }
 
-func paused(t *testing.T, run func(e *Engine, r *recorder)) {
+// runStallable runs a test in a synctest bubble, with a running engine whose clock can be set ahead: that is
+// what a process finds that was stopped.
+func runStallable(t *testing.T, run func(e *Engine, r *recorder)) {
+	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		r := new(recorder)
 		e, err := New(Config{
 			Policy: policy.Config{
 				Balancers: 1, MaxAttempts: 3, MayCancel: true, MaxRetryAfter: time.Second,
-				Classes: []policy.Class{{LatencyTarget: 500 * time.Millisecond, Deadline: 2500 * time.Millisecond, Value: 1, Effect: policy.NonIdempotent}},
+				Classes: []policy.Class{{
+					LatencyTarget: 500 * time.Millisecond, Deadline: 2500 * time.Millisecond,
+					Value: 1, Effect: policy.NonIdempotent,
+				}},
 			},
 			Clock: clock.NewAdjustable(), Transport: r, Log: slog.New(slog.DiscardHandler), NoCounterLog: true,
 		})
@@ -68,33 +75,35 @@
 			t.Fatal(err)
 		}
 		ctx, cancel := context.WithCancel(context.Background())
-		ended := make(chan struct{})
+		done := make(chan struct{})
 		go func() {
-			defer close(ended)
+			defer close(done)
 			e.Run(ctx, list(policy.Ready))
 		}()
 		synctest.Wait()
 		run(e, r)
 		cancel()
-		<-ended
+		<-done
 		synctest.Wait()
 	})
 }
 
 func list(state policy.State) call.ServerList {
 	return call.ServerList{
-		Full: true, Servers: []policy.Server{{ID: 1, State: state, Weight: 1}}, Addresses: map[policy.ServerID]string{1: "one"},
+		Full:      true,
+		Servers:   []policy.Server{{ID: 1, State: state, Weight: 1}},
+		Addresses: map[policy.ServerID]string{1: "one"},
 	}
 }
 
 // The process is stopped for 1.5 s. In that time discovery says that a server drains, and a request
-// arrives: both lie there when it goes on, and the request comes first. It must not be sent to that server.
-func TestNewsIsHeardFirstAfterAStop(t *testing.T) {
-	paused(t, func(e *Engine, r *recorder) {
+// arrives: both are pending when it goes on, the request first. It must not be sent to that server.
+func TestListIsAppliedBeforeRequestsAfterAStop(t *testing.T) {
+	runStallable(t, func(e *Engine, r *recorder) {
 		e.Clock.Advance(1500 * time.Millisecond)
 		reply := make(chan call.Answer, 2)
 		e.Submit(policy.Request{}, &call.Message{}, e.Clock.Now()+2*time.Second, reply)
-		time.Sleep(10 * time.Millisecond) // those who read discovery's answer take a moment
+		time.Sleep(10 * time.Millisecond) // the follower of discovery's list takes a moment
 		e.UpdateServers(list(policy.Draining))
 		if a := <-reply; a.Kind != call.Refused {
 			t.Errorf("answer %+v, want refused: the only server drains", a)
@@ -105,9 +114,9 @@
 	})
 }
 
-// A request whose time ran out while the process was stopped is not sent, and is answered once.
-func TestNothingGoesOutLateAfterAStop(t *testing.T) {
-	paused(t, func(e *Engine, r *recorder) {
+// A request whose deadline passed while the process was stopped is not sent, and is answered once.
+func TestNothingIsSentPastItsDeadlineAfterAStop(t *testing.T) {
+	runStallable(t, func(e *Engine, r *recorder) {
 		reply := make(chan call.Answer, 2)
 		deadline := e.Clock.Now() + time.Second
 		e.Clock.Advance(1500 * time.Millisecond)
@@ -122,10 +131,10 @@
 	})
 }
 
-// An attempt that is out when the process is stopped: one answer, no second attempt of an unsafe request, and
-// the many timers that are overdue by then are one call of the module each round, not one each.
-func TestAttemptOutOverAStop(t *testing.T) {
-	paused(t, func(e *Engine, r *recorder) {
+// Attempts are in flight while the process is stopped: each request has one answer, none that is not idempotent
+// a second attempt, and the timers that are overdue by then share a call of the module.
+func TestAttemptsInFlightOverAStopAreNotRepeated(t *testing.T) {
+	runStallable(t, func(e *Engine, r *recorder) {
 		replies := make(chan call.Answer, 100)
 		for range 20 {
 			e.Submit(policy.Request{}, &call.Message{}, e.Clock.Now()+time.Second, replies)
@@ -154,14 +163,19 @@
 	})
 }
 
-// What is open at the end is answered: refused where nothing was sent, failed where something was.
-func TestTheEndAnswersWhatIsOpen(t *testing.T) {
+// Requests that are open when Run ends are answered: refused where nothing was sent, failed where something was.
+func TestEndOfRunAnswersOpenRequests(t *testing.T) {
 	for state, want := range map[policy.State]call.Kind{policy.Ready: call.Failed, policy.Draining: call.Refused} {
 		synctest.Test(t, func(t *testing.T) {
 			r := new(recorder)
 			e, err := New(Config{
-				Policy: policy.Config{Balancers: 1, MaxAttempts: 3, MayCancel: true, Classes: []policy.Class{{LatencyTarget: time.Second, Deadline: 2 * time.Second, Effect: policy.NonIdempotent}}},
-				Clock:  clock.New(), Transport: r, Log: slog.New(slog.DiscardHandler), NoCounterLog: true,
+				Policy: policy.Config{
+					Balancers: 1, MaxAttempts: 3, MayCancel: true,
+					Classes: []policy.Class{{
+						LatencyTarget: time.Second, Deadline: 2 * time.Second, Effect: policy.NonIdempotent,
+					}},
+				},
+				Clock: clock.New(), Transport: r, Log: slog.New(slog.DiscardHandler), NoCounterLog: true,
 			})
 			if err != nil {
 				t.Fatal(err)
@@ -175,7 +189,7 @@
 			if a := <-reply; a.Kind != want {
 				t.Errorf("answer %+v, want %v", a, want)
 			}
-			e.Flush() // after the end: does not wait
+			e.Flush() // does not block after the end
 			e.Submit(policy.Request{}, &call.Message{}, 0, reply)
 			synctest.Wait()
 		})
