--- a/internal/proxy/front/http1/accept.go
+++ b/internal/proxy/front/http1/acceptor.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	acceptPause = 5 * time.Millisecond   // before the next try where the system is short of descriptors
-	sweepMost   = 500 * time.Millisecond // between two looks at what rests, while something does
+	acceptBackoff    = 5 * time.Millisecond   // before the next try where the system is short of descriptors
+	maxSweepInterval = 500 * time.Millisecond // between two looks at what rests, while something does
 )
 
 // acceptor bounds how many connections clients hold: they would take the descriptors that upstreams
@@ -25,17 +25,17 @@
 	listener net.Listener
 	clock    clock.Clock
 
-	mu    sync.Mutex
-	books books
-	sweep *time.Timer   // set while something is at rest
-	freed chan struct{} // has an item if a connection may have closed or turned idle
-	done  chan struct{}
-	once  sync.Once
+	mu          sync.Mutex
+	table       connTable
+	sweepTimer  *time.Timer   // set while something is at rest
+	mayHaveRoom chan struct{} // has an item if a connection may have closed or turned idle
+	closed      chan struct{}
+	closeOnce   sync.Once
 }
 
 func newAcceptor(c clock.Clock, bounds ConnLimits, limits func() RequestLimits) *acceptor {
 	return &acceptor{
-		clock: c, books: books{bounds: bounds, limits: limits, speaks: func(e *entry) bool { return e.conn.speaks() }}, freed: make(chan struct{}, 1), done: make(chan struct{}),
+		clock: c, table: connTable{limits: bounds, requestLimits: limits, hasUnrecordedInput: func(e *entry) bool { return e.conn.hasUnrecordedInput() }}, mayHaveRoom: make(chan struct{}, 1), closed: make(chan struct{}),
 	}
 }
 
@@ -48,20 +48,20 @@
 			return nil, err
 		}
 		select {
-		case <-time.After(acceptPause):
-		case <-a.done:
+		case <-time.After(acceptBackoff):
+		case <-a.closed:
 			return nil, net.ErrClosed
 		}
 	}
 	for {
-		wait, ok := a.room()
+		wait, ok := a.makeRoom()
 		if ok {
 			break
 		}
 		select {
-		case <-a.freed:
+		case <-a.mayHaveRoom:
 		case <-time.After(wait):
-		case <-a.done:
+		case <-a.closed:
 			raw.Close()
 			return nil, net.ErrClosed
 		}
@@ -69,65 +69,65 @@
 	c := newConn(raw, a)
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.books.add(a.clock.Now(), &c.entry)
-	a.tidy()
+	a.table.add(a.clock.Now(), &c.entry)
+	a.sweep()
 	return c, nil
 }
 
 // room makes room for one more, or tells how long to wait before it is worth another look.
-func (a *acceptor) room() (wait time.Duration, ok bool) {
+func (a *acceptor) makeRoom() (wait time.Duration, ok bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	leave, wait, ok := a.books.room(a.clock.Now())
-	closeAll(leave)
+	removed, wait, ok := a.table.makeRoom(a.clock.Now())
+	closeConns(removed)
 	return wait, ok
 }
 
 // tidy closes what rests over the bounds or for too long, now and for as long as something rests: clients at a bound of
 // their own open none that would have us look. The caller holds the lock.
-func (a *acceptor) tidy() {
-	if a.sweep != nil {
+func (a *acceptor) sweep() {
+	if a.sweepTimer != nil {
 		return // a look is due
 	}
-	leave, again := a.books.sweep(a.clock.Now())
-	closeAll(leave)
+	removed, again := a.table.sweep(a.clock.Now())
+	closeConns(removed)
 	if again > 0 {
-		a.sweep = time.AfterFunc(min(again, sweepMost), func() {
+		a.sweepTimer = time.AfterFunc(min(again, maxSweepInterval), func() {
 			a.mu.Lock()
 			defer a.mu.Unlock()
-			a.sweep = nil
-			a.tidy()
+			a.sweepTimer = nil
+			a.sweep()
 		})
 	}
 }
 
 // closeAll ends connections that are off the books. One that is being read is only woken: it answers.
-func closeAll(entries []*entry) {
+func closeConns(entries []*entry) {
 	for _, e := range entries {
-		if e.in == reading || e.in == over {
-			_ = e.conn.net.SetReadDeadline(time.Unix(1, 0))
+		if e.state == stateReading || e.state == stateLingering {
+			_ = e.conn.netConn.SetReadDeadline(time.Unix(1, 0))
 			continue
 		}
-		e.conn.net.Close()
+		e.conn.netConn.Close()
 	}
 }
 
 // bound bounds connections anew.
-func (a *acceptor) bound(b ConnLimits) {
+func (a *acceptor) setLimits(b ConnLimits) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.books.bounds = b
-	a.tidy()
-	a.signal()
+	a.table.limits = b
+	a.sweep()
+	a.signalRoom()
 }
 
 // open has connections come from a listener; false: it was closed before.
-func (a *acceptor) open(l net.Listener) bool {
+func (a *acceptor) setListener(l net.Listener) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.listener = l
 	select {
-	case <-a.done:
+	case <-a.closed:
 		l.Close()
 		return false
 	default:
@@ -139,7 +139,7 @@
 func (a *acceptor) close() error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.once.Do(func() { close(a.done) })
+	a.closeOnce.Do(func() { close(a.closed) })
 	if a.listener == nil {
 		return nil
 	}
@@ -147,101 +147,101 @@
 }
 
 // closeResting closes what no request is open on, and has not been for a time.
-func (a *acceptor) closeResting(least time.Duration) {
+func (a *acceptor) closeIdle(minIdle time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	closeAll(a.books.resting(a.clock.Now(), least))
+	closeConns(a.table.removeIdle(a.clock.Now(), minIdle))
 }
 
 // counters are the books' figures.
 func (a *acceptor) counters() Counters {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.books.counters()
+	return a.table.counters()
 }
 
-func (a *acceptor) signal() {
+func (a *acceptor) signalRoom() {
 	select {
-	case a.freed <- struct{}{}:
+	case a.mayHaveRoom <- struct{}{}:
 	default:
 	}
 }
 
 // busy takes that a request has begun to come on a connection; false: it is off the books.
-func (a *acceptor) busy(c *conn) bool {
+func (a *acceptor) markBusy(c *conn) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.books.busy(&c.entry)
-	return !c.entry.gone
+	a.table.markBusy(&c.entry)
+	return !c.entry.removed
 }
 
 // unread takes that a part of a connection's request is still to come.
-func (a *acceptor) unread(c *conn) {
+func (a *acceptor) markReading(c *conn) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.books.unread(a.clock.Now(), &c.entry)
-	a.tidy()
-	a.signal()
+	a.table.markReading(a.clock.Now(), &c.entry)
+	a.sweep()
+	a.signalRoom()
 }
 
 // moves takes that a good piece of a connection's request came.
-func (a *acceptor) moves(c *conn) {
+func (a *acceptor) markProgress(c *conn) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.books.moves(a.clock.Now(), &c.entry)
+	a.table.markProgress(a.clock.Now(), &c.entry)
 }
 
 // last takes that a connection has its last answer, and is read over.
-func (a *acceptor) last(c *conn) {
+func (a *acceptor) markLingering(c *conn) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.books.busy(&c.entry)
-	a.books.last(a.clock.Now(), &c.entry)
-	a.tidy()
-	a.signal()
+	a.table.markBusy(&c.entry)
+	a.table.markLingering(a.clock.Now(), &c.entry)
+	a.sweep()
+	a.signalRoom()
 }
 
 // asked takes that a request of a connection can be taken on, and whose it is.
-func (a *acceptor) asked(c *conn, o *owner) {
+func (a *acceptor) markRequest(c *conn, o *owner) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.books.asked(&c.entry)
-	a.books.belongs(&c.entry, o)
+	a.table.markRequest(&c.entry)
+	a.table.setOwner(&c.entry, o)
 }
 
 // crowded says whether a connection ought to close with its next answer.
-func (a *acceptor) crowded(c *conn) bool {
+func (a *acceptor) overShare(c *conn) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.books.crowded(&c.entry)
+	return a.table.overShare(&c.entry)
 }
 
 // divide gives owners parts of the connections.
-func (a *acceptor) divide(owners []*owner, weights []float64) {
+func (a *acceptor) setShares(owners []*owner, weights []float64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.books.divide(owners, weights)
+	a.table.setShares(owners, weights)
 }
 
 // rest takes that a connection's request has its answer.
-func (a *acceptor) rest(c *conn) {
+func (a *acceptor) markIdle(c *conn) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.books.rest(a.clock.Now(), &c.entry)
-	a.tidy()
-	a.signal()
+	a.table.markIdle(a.clock.Now(), &c.entry)
+	a.sweep()
+	a.signalRoom()
 }
 
 // ended takes that a connection has closed.
-func (a *acceptor) ended(c *conn) {
+func (a *acceptor) remove(c *conn) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.books.end(&c.entry)
-	a.signal()
+	a.table.remove(&c.entry)
+	a.signalRoom()
 }
 
-func (a *acceptor) isGone(c *conn) bool {
+func (a *acceptor) isRemoved(c *conn) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return c.entry.gone
+	return c.entry.removed
 }
--- a/internal/proxy/front/http1/accept_test.go
+++ b/internal/proxy/front/http1/acceptor_test.go
@@ -14,7 +14,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	a := newAcceptor(clock.New(), ConnLimits{Max: 2, MaxIdle: [kinds]int{2, 2, 2, 2, 2, 2}}, nil)
+	a := newAcceptor(clock.New(), ConnLimits{Max: 2, MaxIdle: [stateCount]int{2, 2, 2, 2, 2, 2}}, nil)
 	a.listener = l
 	defer a.close()
 	accept := func() *conn {
@@ -31,14 +31,14 @@
 		return c
 	}
 	open, quiet := accept(), accept()
-	if !a.busy(open) {
+	if !a.markBusy(open) {
 		t.Fatal("a new connection is off the books")
 	}
 	accept()
-	if open.entry.gone || !quiet.entry.gone || a.books.open != 2 {
-		t.Errorf("the open one closed: %v, the quiet one: %v, %d open; want false, true, 2", open.entry.gone, quiet.entry.gone, a.books.open)
+	if open.entry.removed || !quiet.entry.removed || a.table.open != 2 {
+		t.Errorf("the open one closed: %v, the quiet one: %v, %d open; want false, true, 2", open.entry.removed, quiet.entry.removed, a.table.open)
 	}
-	if a.busy(quiet) {
+	if a.markBusy(quiet) {
 		t.Error("what comes on a closing connection is taken")
 	}
 }
--- a/internal/proxy/front/http1/body.go
+++ b/internal/proxy/front/http1/body.go
@@ -17,45 +17,45 @@
 
 const (
 	// leaveTime is how long the rest of a body is read over whose request has its answer: its client may look for that only once it has sent all.
-	leaveTime = 2 * time.Second
+	earlyResponseLinger = 2 * time.Second
 	// goodPiece is what a legal slow client sends in a quarter of a second. Who sends less in twice that is one of those that make room.
-	goodPiece = 16 << 10
+	progressBytes = 16 << 10
 )
 
 // bodyReader reads the body of one request from its client, in whatever form it comes. While it is read on another goroutine (see call.Upload) the connection's
 // own must not read: stop ends that.
 type bodyReader struct {
-	c       *conn
-	left    int64            // of a body of known length
-	chunks  *h1.ChunkDecoder // or how far its chunks are; nil: the length is known
-	room    int64            // bytes that chunks may bring yet; below 0: no bound
-	stopped atomic.Bool
+	conn        *conn
+	remaining   int64            // of a body of known length
+	decoder     *h1.ChunkDecoder // or how far its chunks are; nil: the length is known
+	chunkBudget int64            // bytes that chunks may bring yet; below 0: no bound
+	stopped     atomic.Bool
 
-	mu   sync.Mutex // over reading
-	have []byte     // was read from the connection and is not taken yet
-	buf  []byte     // that have is a part of; nil: none is needed now
-	done bool       // the last byte was taken
-	err  error      // why it ends before that
+	mu       sync.Mutex // over reading
+	buffered []byte     // was read from the connection and is not taken yet
+	buffer   []byte     // that have is a part of; nil: none is needed now
+	done     bool       // the last byte was taken
+	err      error      // why it ends before that
 }
 
 var (
-	errStopped  = errors.New("the request has its answer")
-	errLongBody = &h1.Error{Status: http.StatusRequestEntityTooLarge, Reason: "the body is too long"}
+	errStopped     = errors.New("the request has its answer")
+	errBodyTooLong = &h1.Error{Status: http.StatusRequestEntityTooLarge, Reason: "the body is too long"}
 )
 
 // newBodyReader reads on from what came with the head.
 func (c *conn) newBodyReader(h *h1.Head) *bodyReader {
-	b := &bodyReader{c: c, left: h.Length, room: -1}
+	b := &bodyReader{conn: c, remaining: h.Length, chunkBudget: -1}
 	if h.Chunked {
-		b.chunks = new(h1.ChunkDecoder)
-		if most := c.front.limits().BodyBytes; most > 0 {
-			b.room = most
+		b.decoder = new(h1.ChunkDecoder)
+		if most := c.front.requestLimits().BodyBytes; most > 0 {
+			b.chunkBudget = most
 		}
 	}
-	if n := c.end - c.start; n > 0 {
-		b.buf = make([]byte, max(n, scratchSize))
-		b.have = b.buf[:copy(b.buf, c.s.in[c.start:c.end])]
-		c.start = c.end
+	if n := c.unreadEnd - c.unreadStart; n > 0 {
+		b.buffer = make([]byte, max(n, bufferSize))
+		b.buffered = b.buffer[:copy(b.buffer, c.buffers.in[c.unreadStart:c.unreadEnd])]
+		c.unreadStart = c.unreadEnd
 	}
 	return b
 }
@@ -75,7 +75,7 @@
 		case b.stopped.Load():
 			return 0, errStopped
 		}
-		if n, b.err = b.take(p); n > 0 || b.err != nil {
+		if n, b.err = b.consume(p); n > 0 || b.err != nil {
 			if b.done && n > 0 {
 				return n, io.EOF
 			}
@@ -85,17 +85,17 @@
 			continue
 		}
 		if timed {
-			if b.chunks != nil && len(b.buf) < stream.WindowSize/2 { // more is to come than what is held
-				b.buf = make([]byte, stream.WindowSize/2)
+			if b.decoder != nil && len(b.buffer) < stream.WindowSize/2 { // more is to come than what is held
+				b.buffer = make([]byte, stream.WindowSize/2)
 			}
-			_ = b.c.net.SetReadDeadline(time.Now().Add(stream.StallTimeout))
+			_ = b.conn.netConn.SetReadDeadline(time.Now().Add(stream.StandTime))
 			if b.stopped.Load() { // its own deadline came first
 				return 0, errStopped
 			}
 		}
-		if b.chunks == nil { // straight into p: that is never more than the body's own
-			n, err = b.c.read(p[:min(int64(len(p)), b.left)])
-			if b.left -= int64(n); b.left == 0 {
+		if b.decoder == nil { // straight into p: that is never more than the body's own
+			n, err = b.conn.read(p[:min(int64(len(p)), b.remaining)])
+			if b.remaining -= int64(n); b.remaining == 0 {
 				b.done = true
 				return n, io.EOF
 			}
@@ -105,11 +105,11 @@
 			b.fail(err)
 			continue
 		}
-		if b.buf == nil {
-			b.buf = make([]byte, scratchSize)
+		if b.buffer == nil {
+			b.buffer = make([]byte, bufferSize)
 		}
-		n, err = b.c.read(b.buf)
-		if b.have = b.buf[:n]; n == 0 {
+		n, err = b.conn.read(b.buffer)
+		if b.buffered = b.buffer[:n]; n == 0 {
 			b.fail(err)
 		}
 	}
@@ -123,30 +123,30 @@
 }
 
 // take takes what is here of the body.
-func (b *bodyReader) take(p []byte) (int, error) {
-	if b.chunks == nil {
-		n := copy(p[:min(int64(len(p)), b.left)], b.have)
-		b.have = b.have[n:]
-		b.left -= int64(n)
-		b.done = b.left == 0
+func (b *bodyReader) consume(p []byte) (int, error) {
+	if b.decoder == nil {
+		n := copy(p[:min(int64(len(p)), b.remaining)], b.buffered)
+		b.buffered = b.buffered[n:]
+		b.remaining -= int64(n)
+		b.done = b.remaining == 0
 		return n, nil
 	}
 	n := 0
-	for n < len(p) && len(b.have) > 0 && !b.done {
-		window := b.have
+	for n < len(p) && len(b.buffered) > 0 && !b.done {
+		window := b.buffered
 		if len(window) > len(p)-n { // never more than there is room for
 			window = window[:len(p)-n]
 		}
-		used, data, err := b.chunks.Next(window)
+		used, data, err := b.decoder.Next(window)
 		n += copy(p[n:], data)
-		b.have = b.have[used:]
-		b.done = b.chunks.Done()
+		b.buffered = b.buffered[used:]
+		b.done = b.decoder.Done()
 		if err != nil {
 			return n, err
 		}
-		if b.room >= 0 {
-			if b.room -= int64(len(data)); b.room < 0 {
-				return 0, errLongBody
+		if b.chunkBudget >= 0 {
+			if b.chunkBudget -= int64(len(data)); b.chunkBudget < 0 {
+				return 0, errBodyTooLong
 			}
 		}
 	}
@@ -154,19 +154,19 @@
 }
 
 // prefix reads as much as is held whole, within bodyTime. whole says that this is all of it.
-func (b *bodyReader) prefix() (body []byte, whole bool, err error) {
-	body = make([]byte, 0, 2*scratchSize)
-	moved := 0
-	for len(body) < call.MaxBufferedBody {
+func (b *bodyReader) readPrefix() (body []byte, complete bool, err error) {
+	body = make([]byte, 0, 2*bufferSize)
+	reported := 0
+	for len(body) < call.BodyLimit {
 		if len(body) == cap(body) { // no more memory than twice what has come, whatever the head tells
 			grown := make([]byte, len(body), min(call.MaxBufferedBody, 2*cap(body)))
 			copy(grown, body)
 			body = grown
 		}
 		n, err := b.read(body[len(body):cap(body)], false)
-		if body = body[:len(body)+n]; len(body)-moved >= goodPiece {
-			moved = len(body)
-			b.c.a.moves(b.c)
+		if body = body[:len(body)+n]; len(body)-reported >= progressBytes {
+			reported = len(body)
+			b.conn.acceptor.markProgress(b.conn)
 		}
 		if errors.Is(err, io.EOF) {
 			return body, true, nil
@@ -181,29 +181,29 @@
 }
 
 // stop ends reading on other goroutines and says whether the whole body was read by then. It returns once nobody reads.
-func (b *bodyReader) stop() (whole bool) {
+func (b *bodyReader) stop() (complete bool) {
 	b.stopped.Store(true)
-	_ = b.c.net.SetReadDeadline(time.Unix(1, 0))
+	_ = b.conn.netConn.SetReadDeadline(time.Unix(1, 0))
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.done
 }
 
 // giveBack has the connection read on behind the body, whose last byte was taken.
-func (b *bodyReader) giveBack() {
-	c := b.c
-	_ = c.net.SetReadDeadline(time.Time{})
-	if len(b.have) > len(c.s.in) {
-		c.s.in = make([]byte, len(b.have))
+func (b *bodyReader) returnUnread() {
+	c := b.conn
+	_ = c.netConn.SetReadDeadline(time.Time{})
+	if len(b.buffered) > len(c.buffers.in) {
+		c.buffers.in = make([]byte, len(b.buffered))
 	}
-	c.start, c.end = 0, copy(c.s.in, b.have)
-	b.have, b.buf = nil, nil
+	c.unreadStart, c.unreadEnd = 0, copy(c.buffers.in, b.buffered)
+	b.buffered, b.buffer = nil, nil
 }
 
 // over reads the rest of the body over; false: it did not come.
-func (b *bodyReader) over() bool {
-	p := stream.AcquireWindow()
-	defer stream.ReleaseWindow(p)
+func (b *bodyReader) discardRest() bool {
+	p := stream.Take()
+	defer stream.Give(p)
 	for {
 		if _, err := b.read(p[:], false); err != nil {
 			return errors.Is(err, io.EOF)
@@ -212,45 +212,45 @@
 }
 
 // fault is what a client is told whose body can't be read; nil: it left, and nobody is left to tell.
-func (b *bodyReader) fault(err error) *Rejection {
-	if bad := (*h1.Error)(nil); errors.As(err, &bad) {
-		return &Rejection{Status: bad.Status, Reason: bad.Reason}
+func (b *bodyReader) rejectionFor(err error) *Rejection {
+	if malformed := (*h1.Error)(nil); errors.As(err, &malformed) {
+		return &Rejection{Status: malformed.Status, Reason: malformed.Reason}
 	}
 	if errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, os.ErrDeadlineExceeded) {
-		return b.c.late(&Rejection{Status: http.StatusRequestTimeout, Reason: "the body does not end"})
+		return b.conn.timeoutRejection(&Rejection{Status: http.StatusRequestTimeout, Reason: "the body does not end"})
 	}
 	return nil
 }
 
 // pass passes an answer on as it comes; false: the connection can't go on.
-func (c *conn) pass(a *call.Answer, body call.Body) bool {
+func (c *conn) streamResponse(reply *call.Answer, body call.Body) bool {
 	defer body.Close()
-	head := h1.Response{Status: cmp.Or(a.Status, http.StatusOK), Header: a.Header, Length: body.Length()}
-	counts := c.counts
-	c.counts = nil // the head alone is no outcome
-	if !c.answer(&head, nil) {
+	response := h1.Response{Status: cmp.Or(reply.Status, http.StatusOK), Header: reply.Header, Length: body.Length()}
+	classMetrics := c.metrics
+	c.metrics = nil // the head alone is no outcome
+	if !c.writeResponse(&response, nil) {
 		return false
 	}
-	ended, joined := make(chan struct{}), make(chan struct{})
+	finished, joined := make(chan struct{}), make(chan struct{})
 	defer func() {
-		close(ended)
+		close(finished)
 		<-joined // until then what is read ahead is the other goroutine's
 	}()
 	go func() {
 		defer close(joined)
-		c.besides(body, ended)
+		c.watchClient(body, finished)
 	}()
-	window := stream.AcquireWindow()
-	defer stream.ReleaseWindow(window)
-	chunked := head.Length < 0
+	window := stream.Take()
+	defer stream.Give(window)
+	chunked := response.Length < 0
 	for {
 		n, err := body.Read(window[h1.ChunkPrefixBytes : stream.WindowSize-h1.ChunkSuffixBytes])
 		if n > 0 {
-			piece := window[h1.ChunkPrefixBytes : h1.ChunkPrefixBytes+n]
+			chunk := window[h1.ChunkPrefixBytes : h1.ChunkPrefixBytes+n]
 			if chunked {
-				piece = h1.FrameChunk(window[:], n)
+				chunk = h1.FrameChunk(window[:], n)
 			}
-			if stream.Write(c.net, piece) != nil {
+			if stream.Write(c.netConn, chunk) != nil {
 				return false
 			}
 		}
@@ -258,38 +258,38 @@
 			break
 		}
 		if err != nil { // its client sees that by the missing end
-			counts.Handled(outcome(http.StatusBadGateway))
+			classMetrics.Handled(outcomeOf(http.StatusBadGateway))
 			return false
 		}
 	}
-	if chunked && stream.Write(c.net, []byte(h1.LastChunk)) != nil || c.net.SetWriteDeadline(time.Time{}) != nil {
+	if chunked && stream.Write(c.netConn, []byte(h1.LastChunk)) != nil || c.netConn.SetWriteDeadline(time.Time{}) != nil {
 		return false
 	}
-	counts.Handled(outcome(http.StatusOK))
+	classMetrics.Handled(outcomeOf(http.StatusOK))
 	return true
 }
 
 // besides looks to a connection while an answer is passed on: a client that leaves must not keep its server's connection, and what it sends is read ahead.
-func (c *conn) besides(body call.Body, ended <-chan struct{}) {
+func (c *conn) watchClient(body call.Body, finished <-chan struct{}) {
 	defer func() {
 		if r := recover(); r != nil { // as in serve
-			c.front.panicked(r)
+			c.front.logPanic(r)
 			body.Close()
 		}
 	}()
-	for hung := c.hung; ; {
+	for hangup := c.hangup; ; {
 		select {
-		case <-hung:
-			if c.left() {
+		case <-hangup:
+			if c.clientGone() {
 				body.Close()
 				return
 			}
-			hung = nil
-		case <-c.more:
-			if c.unread = true; c.readAhead() {
-				hung = c.hung
+			hangup = nil
+		case <-c.dataArrived:
+			if c.mayHaveUnread = true; c.readPipelined() {
+				hangup = c.hangup
 			}
-		case <-ended:
+		case <-finished:
 			return
 		}
 	}
--- a/internal/proxy/front/http1/scratch.go
+++ b/internal/proxy/front/http1/buffers.go
@@ -7,10 +7,10 @@
 )
 
 // scratchSize holds the head and body of nearly all requests. Longer heads get a buffer of their own.
-const scratchSize = 4 << 10
+const bufferSize = 4 << 10
 
 // scratch is what a connection needs while a request is open; one at rest has none.
-type scratch struct {
+type buffers struct {
 	in     []byte
 	out    []byte
 	head   h1.Head
@@ -18,21 +18,21 @@
 }
 
 // scratches are those that no connection has. There are never more in use than connections.
-var scratches = sync.Pool{New: func() any {
-	return &scratch{in: make([]byte, scratchSize), out: make([]byte, 0, scratchSize)}
+var buffersPool = sync.Pool{New: func() any {
+	return &buffers{in: make([]byte, bufferSize), out: make([]byte, 0, bufferSize)}
 }}
 
-func takeScratch() *scratch { return scratches.Get().(*scratch) }
+func takeBuffers() *buffers { return buffersPool.Get().(*buffers) }
 
-func (s *scratch) free() {
-	if len(s.in) > scratchSize {
-		s.in = make([]byte, scratchSize) // one long head must not keep its memory for good
+func (s *buffers) release() {
+	if len(s.in) > bufferSize {
+		s.in = make([]byte, bufferSize) // one long head must not keep its memory for good
 	}
-	if cap(s.out) > 2*scratchSize {
-		s.out = make([]byte, 0, scratchSize)
+	if cap(s.out) > 2*bufferSize {
+		s.out = make([]byte, 0, bufferSize)
 	}
 	clear(s.head.Fields)
 	s.head = h1.Head{Fields: s.head.Fields[:0]}
 	s.parser.SetLimit(0)
-	scratches.Put(s)
+	buffersPool.Put(s)
 }
--- a/internal/proxy/front/http1/books_test.go
+++ b/internal/proxy/front/http1/conn_table_test.go
@@ -6,38 +6,38 @@
 )
 
 // client adds a connection that has asked so often and is at rest.
-func client(b *books, now time.Duration, times int) *entry {
+func client(b *connTable, now time.Duration, times int) *entry {
 	e := &entry{}
 	b.add(now, e)
-	b.busy(e)
+	b.markBusy(e)
 	for range times {
-		b.asked(e)
+		b.markRequest(e)
 	}
-	b.rest(now, e)
+	b.markIdle(now, e)
 	return e
 }
 
 // Crowds that connect and say nothing, ask for GET /up or ask once and stay hold no more places than the bounds and
 // what came within restTime. None of those that come back is closed for them.
 func TestCrowdsAtRestMakeRoom(t *testing.T) {
-	b := books{bounds: NewConnLimits(192, 128)}
+	b := connTable{limits: NewConnLimits(192, 128)}
 	var clients []*entry
 	for range 24 {
 		clients = append(clients, client(&b, 0, 2))
 	}
 	for i := range 10000 { // 500 a second
 		now := time.Second + time.Duration(i)*2*time.Millisecond
-		if _, _, ok := b.room(now); !ok {
+		if _, _, ok := b.makeRoom(now); !ok {
 			t.Fatalf("no room for connection %d, %d open", i, b.open)
 		}
 		client(&b, now, i%2)
 	}
 	// What is not at rest for restTime yet is 50, and more than the bounds leave.
-	if c := b.counters(); c.Most > len(clients)+50+2 || c.Closed[kept] != 0 || c.Closed[visitor] < 4900 || c.Closed[once] < 4900 {
+	if c := b.counters(); c.Most > len(clients)+50+2 || c.Closed[stateReused] != 0 || c.Closed[stateHealthCheck] < 4900 || c.Closed[stateUsedOnce] < 4900 {
 		t.Errorf("counters %+v, at most %d open", c, len(clients)+52)
 	}
 	for i, e := range clients {
-		if e.gone {
+		if e.removed {
 			t.Errorf("client %d was closed for a crowd", i)
 		}
 	}
@@ -45,15 +45,15 @@
 
 // Where nobody connects any more, what rests over a bound goes all the same.
 func TestSweepComesBack(t *testing.T) {
-	b := books{bounds: NewConnLimits(192, 128)}
+	b := connTable{limits: NewConnLimits(192, 128)}
 	for range 128 {
 		client(&b, time.Second, 1)
 	}
 	leave, again := b.sweep(time.Second)
-	if len(leave) != 0 || again != restTime {
+	if len(leave) != 0 || again != minIdle {
 		t.Fatalf("%d leave at once, another look after %v", len(leave), again)
 	}
-	if leave, again = b.sweep(time.Second + again); len(leave) != 112 || again != leftFor[once]-restTime {
+	if leave, again = b.sweep(time.Second + again); len(leave) != 112 || again != defaultMaxIdle[stateUsedOnce]-minIdle {
 		t.Errorf("%d leave, another look after %v, want all over the bound of 16 and one for the rest", len(leave), again)
 	}
 }
@@ -61,57 +61,57 @@
 // At the bound on all, strangers go before those that ask, and then the one longest at rest; never one with an open
 // request or one of this moment.
 func TestLongestAtRestGoes(t *testing.T) {
-	b := books{bounds: ConnLimits{Max: 3, MaxIdle: [kinds]int{3, 3, 3, 3, 3, 3}}}
+	b := connTable{limits: ConnLimits{Max: 3, MaxIdle: [stateCount]int{3, 3, 3, 3, 3, 3}}}
 	first, second := client(&b, 0, 2), client(&b, time.Second, 2)
 	strange := client(&b, 2*time.Second, 0)
-	if _, _, ok := b.room(2 * time.Second); !ok || !first.gone || strange.gone {
-		t.Errorf("a stranger of this moment has to be left alone: ok %v, first gone %v", ok, first.gone)
+	if _, _, ok := b.makeRoom(2 * time.Second); !ok || !first.removed || strange.removed {
+		t.Errorf("a stranger of this moment has to be left alone: ok %v, first gone %v", ok, first.removed)
 	}
 	third := client(&b, 2*time.Second, 2)
-	if _, _, ok := b.room(3 * time.Second); !ok || !strange.gone || second.gone {
+	if _, _, ok := b.makeRoom(3 * time.Second); !ok || !strange.removed || second.removed {
 		t.Error("a stranger at rest has to go first")
 	}
-	b.busy(second)
-	b.busy(third)
+	b.markBusy(second)
+	b.markBusy(third)
 	client(&b, 3*time.Second, 2)
-	if leave, wait, ok := b.room(3 * time.Second); ok || leave != nil || wait != fullFor[kept] {
+	if leave, wait, ok := b.makeRoom(3 * time.Second); ok || leave != nil || wait != minIdleWhenFull[stateReused] {
 		t.Errorf("those with an open request and one of this moment must stay: wait %v, ok %v", wait, ok)
 	}
 }
 
 // An owner with more than its part closes with its answers once what is kept for newcomers is taken, and not before.
 func TestCrowdedOwner(t *testing.T) {
-	b := books{bounds: ConnLimits{Max: 16, MaxIdle: [kinds]int{16, 16, 16, 16, 16, 16}}}
+	b := connTable{limits: ConnLimits{Max: 16, MaxIdle: [stateCount]int{16, 16, 16, 16, 16, 16}}}
 	flooded, quiet := new(owner), new(owner)
-	b.divide([]*owner{flooded, quiet}, []float64{1, 1}) // 7 each
+	b.setShares([]*owner{flooded, quiet}, []float64{1, 1}) // 7 each
 	var theirs []*entry
 	for range 10 {
 		e := &entry{}
 		b.add(0, e)
-		b.asked(e)
-		b.belongs(e, flooded)
+		b.markRequest(e)
+		b.setOwner(e, flooded)
 		theirs = append(theirs, e)
 	}
-	if b.crowded(theirs[0]) {
+	if b.overShare(theirs[0]) {
 		t.Error("told to make room while there is some")
 	}
 	one := &entry{}
 	for range 5 {
 		one = &entry{}
 		b.add(0, one)
-		b.asked(one)
-		b.belongs(one, quiet)
+		b.markRequest(one)
+		b.setOwner(one, quiet)
 	}
-	if !b.crowded(theirs[0]) || b.crowded(one) {
-		t.Errorf("the one over its part: %v, the one within: %v; want true, false", b.crowded(theirs[0]), b.crowded(one))
+	if !b.overShare(theirs[0]) || b.overShare(one) {
+		t.Errorf("the one over its part: %v, the one within: %v; want true, false", b.overShare(theirs[0]), b.overShare(one))
 	}
 	for range 3 {
-		b.end(theirs[flooded.count-1])
+		b.remove(theirs[flooded.count-1])
 	}
-	if b.crowded(theirs[0]) || flooded.count != 7 {
-		t.Errorf("%d connections left of a part of %d, still to make room", flooded.count, flooded.part)
+	if b.overShare(theirs[0]) || flooded.count != 7 {
+		t.Errorf("%d connections left of a part of %d, still to make room", flooded.count, flooded.share)
 	}
-	b.belongs(theirs[0], quiet) // its next request is another's
+	b.setOwner(theirs[0], quiet) // its next request is another's
 	if flooded.count != 6 || quiet.count != 6 {
 		t.Errorf("%d and %d after one changed hands", flooded.count, quiet.count)
 	}
@@ -120,12 +120,12 @@
 // A silent connection whose bytes are here and not read is no stranger: we are late.
 func TestUnreadBytesCountAsSpeech(t *testing.T) {
 	speaks := map[*entry]bool{}
-	b := books{bounds: ConnLimits{Max: 2, MaxIdle: [kinds]int{2, 2, 2, 2, 2, 2}}, speaks: func(e *entry) bool { return speaks[e] }}
+	b := connTable{limits: ConnLimits{Max: 2, MaxIdle: [stateCount]int{2, 2, 2, 2, 2, 2}}, hasUnrecordedInput: func(e *entry) bool { return speaks[e] }}
 	late, mute := &entry{}, &entry{}
 	b.add(0, late)
 	b.add(0, mute)
 	speaks[late] = true
-	if leave, _, ok := b.room(fullFor[silent]); !ok || len(leave) != 1 || leave[0] != mute {
+	if leave, _, ok := b.makeRoom(minIdleWhenFull[stateNew]); !ok || len(leave) != 1 || leave[0] != mute {
 		t.Errorf("%d leave, ok %v, want the mute one alone", len(leave), ok)
 	}
 }
@@ -133,42 +133,42 @@
 // The spare connections of an owner within its part, at rest for long, are not closed for those that a flooded one comes
 // back on.
 func TestWithinItsPartIsLeftAlone(t *testing.T) {
-	b := books{bounds: ConnLimits{Max: 16, MaxIdle: [kinds]int{16, 16, 16, 16, 16, 2}}}
+	b := connTable{limits: ConnLimits{Max: 16, MaxIdle: [stateCount]int{16, 16, 16, 16, 16, 2}}}
 	flooded, quiet := new(owner), new(owner)
-	b.divide([]*owner{flooded, quiet}, []float64{1, 1})
+	b.setShares([]*owner{flooded, quiet}, []float64{1, 1})
 	own := func(now time.Duration, o *owner) *entry {
 		e := &entry{}
 		b.add(now, e)
-		b.busy(e)
-		b.asked(e)
-		b.asked(e)
-		b.belongs(e, o)
-		b.rest(now, e)
+		b.markBusy(e)
+		b.markRequest(e)
+		b.markRequest(e)
+		b.setOwner(e, o)
+		b.markIdle(now, e)
 		return e
 	}
 	spare := []*entry{own(0, quiet), own(0, quiet)}
 	for range 14 {
 		own(10*time.Second, flooded)
 	}
-	if leave, _, ok := b.room(10*time.Second + overPart); !ok || len(leave) != 7 {
+	if leave, _, ok := b.makeRoom(10*time.Second + maxIdleOverShare); !ok || len(leave) != 7 {
 		t.Errorf("%d leave, ok %v, want all seven over the part", len(leave), ok)
 	}
-	if spare[0].gone || spare[1].gone {
+	if spare[0].removed || spare[1].removed {
 		t.Error("a spare connection of the quiet owner was closed")
 	}
-	if leave, _ := b.sweep(leftFor[kept]); len(leave) < 2 || !spare[0].gone {
+	if leave, _ := b.sweep(defaultMaxIdle[stateReused]); len(leave) < 2 || !spare[0].removed {
 		t.Errorf("%d leave once they rest for too long", len(leave))
 	}
 }
 
 // Where too many requests are being read, those that stand still make room, not those that come slowly.
 func TestSlowOnesStayWhereStuckOnesGo(t *testing.T) {
-	b := books{bounds: NewConnLimits(128, 85)}
+	b := connTable{limits: NewConnLimits(128, 85)}
 	add := func() *entry {
 		e := &entry{}
 		b.add(0, e)
-		b.busy(e)
-		b.unread(0, e)
+		b.markBusy(e)
+		b.markReading(0, e)
 		return e
 	}
 	slow := add() // the first: it would go first
@@ -176,11 +176,11 @@
 		add()
 	}
 	for now := time.Duration(0); now <= 2*time.Second; now += 250 * time.Millisecond {
-		b.moves(now, slow)
+		b.markProgress(now, slow)
 		b.sweep(now)
 	}
-	if slow.gone || b.open > b.bounds.MaxIdle[reading] {
-		t.Errorf("the slow one is gone: %v; %d open, %d may be read", slow.gone, b.open, b.bounds.MaxIdle[reading])
+	if slow.removed || b.open > b.limits.MaxIdle[stateReading] {
+		t.Errorf("the slow one is gone: %v; %d open, %d may be read", slow.removed, b.open, b.limits.MaxIdle[stateReading])
 	}
 }
 
@@ -188,14 +188,14 @@
 // beyond a bound of ours stands unaccepted for as long as the other process needs for its last answers.
 func TestDividedBoundsLeaveRoomForTheApplication(t *testing.T) {
 	const most, application = 128, 85
-	b := books{bounds: NewConnLimits(most, application).perProcess(2)}
+	b := connTable{limits: NewConnLimits(most, application).perProcess(2)}
 	for i := range application {
-		if _, _, ok := b.room(0); !ok {
+		if _, _, ok := b.makeRoom(0); !ok {
 			t.Fatalf("no room for connection %d of the application's %d", i+1, application)
 		}
 		e := &entry{}
 		b.add(0, e)
-		b.busy(e)
+		b.markBusy(e)
 	}
 	if whole := NewConnLimits(most, application).perProcess(1); whole.Max != most {
 		t.Errorf("undivided: %d of %d", whole.Max, most)
--- a/internal/proxy/front/http1/front.go
+++ b/internal/proxy/front/http1/front.go
@@ -21,12 +21,12 @@
 const (
 	// A client beside us sends a request at once. These leave room for one that is short of CPU and
 	// end those that never finish within 3 s of connecting.
-	headerTime    = 2200 * time.Millisecond // over the head, from its first byte
-	bodyTime      = 2 * time.Second         // over the body, once the head is here
-	rejectTime    = 500 * time.Millisecond  // the rest of a rejected request is read over for so long
-	answerTime    = 3 * time.Second         // a client that doesn't take its answer for so long is gone
-	countersEvery = 10 * time.Second
-	farTimeout    = 10 // a time-out of more than so many deadlines of its class is no usable one
+	headTimeout          = 2200 * time.Millisecond // over the head, from its first byte
+	bodyTimeout          = 2 * time.Second         // over the body, once the head is here
+	rejectLinger         = 500 * time.Millisecond  // the rest of a rejected request is read over for so long
+	responseWriteTimeout = 3 * time.Second         // a client that doesn't take its answer for so long is gone
+	counterLogInterval   = 10 * time.Second
+	maxTimeoutFactor     = 10 // a time-out of more than so many deadlines of its class is no usable one
 )
 
 // Engine answers what the front takes: see engine.Engine.
@@ -47,16 +47,16 @@
 	MaxBodyBytes int64            // of their bodies
 	Metrics      []*metrics.Class // by class; nil: nobody counts
 
-	walls atomic.Pointer[SharedLimits]
-	owner owner        // of connections, under the acceptor's lock
-	bound atomic.Int64 // requests held at once, where that is not MostOpen; 0: it is
-	parts atomic.Int64 // processes that BodyBytes is divided among; 0: one
-	flow  atomic.Int64 // its place in the gate's queue
-	held  atomic.Int64 // requests with no answer yet
-	bytes atomic.Int64 // of their bodies
+	sharedLimits    atomic.Pointer[SharedLimits]
+	owner           owner        // of connections, under the acceptor's lock
+	maxOpenOverride atomic.Int64 // requests held at once, where that is not MostOpen; 0: it is
+	processes       atomic.Int64 // processes that BodyBytes is divided among; 0: one
+	permitFlow      atomic.Int64 // its place in the gate's queue
+	openRequests    atomic.Int64 // requests with no answer yet
+	openBodyBytes   atomic.Int64 // of their bodies
 
-	mu   sync.Mutex
-	open map[string]bool // ids of the requests that have no answer yet
+	mu      sync.Mutex
+	openIDs map[string]bool // ids of the requests that have no answer yet
 }
 
 // SharedLimits are bounds that several targets share.
@@ -76,14 +76,14 @@
 // SetSharedLimits has what is taken on from now on counted there too; nil: no longer.
 func (t *Target) SetSharedLimits(w SharedLimits) {
 	if w == nil {
-		t.walls.Store(nil)
+		t.sharedLimits.Store(nil)
 		return
 	}
-	t.walls.Store(&w)
+	t.sharedLimits.Store(&w)
 }
 
 // class is the series of a class.
-func (t *Target) class(i int) *metrics.Class {
+func (t *Target) classMetrics(i int) *metrics.Class {
 	if i < len(t.Metrics) {
 		return t.Metrics[i]
 	}
@@ -91,7 +91,7 @@
 }
 
 // OpenRequests is how many requests have no answer yet.
-func (t *Target) OpenRequests() int64 { return t.held.Load() }
+func (t *Target) OpenRequests() int64 { return t.openRequests.Load() }
 
 // Config says where requests go and how many clients there may be.
 type Config struct {
@@ -116,35 +116,35 @@
 
 // Front is the application's side.
 type Front struct {
-	cfg      Config
-	clock    clock.Clock
-	held     atomic.Int64 // requests with no answer yet, of all targets
-	ready    atomic.Bool  // what GET /up tells
-	draining atomic.Bool  // each connection closes with its next answer
-	watch    *watcher
-	conns    *acceptor
-	turns    turns
-	gate     atomic.Pointer[gate] // nil: there is one target, nothing is shared
+	cfg          Config
+	clock        clock.Clock
+	openRequests atomic.Int64 // requests with no answer yet, of all targets
+	ready        atomic.Bool  // what GET /up tells
+	draining     atomic.Bool  // each connection closes with its next answer
+	watcher      *watcher
+	acceptor     *acceptor
+	pollWaits    pollWaits
+	readPermits  atomic.Pointer[readPermits] // nil: there is one target, nothing is shared
 }
 
 // New makes a front.
 func New(cfg Config, c clock.Clock) *Front {
-	return &Front{cfg: cfg, clock: c, conns: newAcceptor(c, cfg.ConnLimits, cfg.RequestLimits)}
+	return &Front{cfg: cfg, clock: c, acceptor: newAcceptor(c, cfg.ConnLimits, cfg.RequestLimits)}
 }
 
 // Serve takes requests on a listener until Drain is called, and returns why it ended: net.ErrClosed after a drain.
 func (f *Front) Serve(l net.Listener) error {
 	if f.cfg.InMemory {
-		f.watch = new(watcher)
+		f.watcher = new(watcher)
 	} else {
 		var err error
-		if f.watch, err = newWatcher(); err != nil {
+		if f.watcher, err = newWatcher(); err != nil {
 			return err
 		}
-		defer f.watch.close()
+		defer f.watcher.close()
 	}
-	defer f.turns.close()
-	if !f.conns.open(l) {
+	defer f.pollWaits.close()
+	if !f.acceptor.setListener(l) {
 		return net.ErrClosed
 	}
 	f.ready.Store(true)
@@ -152,33 +152,33 @@
 	defer close(ended)
 	go f.logCounters(ended)
 	for {
-		c, err := f.conns.accept()
+		c, err := f.acceptor.accept()
 		if err != nil {
 			return err
 		}
 		go f.serve(c)
-		if f.gate.Load() != nil {
-			f.turns.wait() // a crowd that connects waits in the listener's queue, not in ours
+		if f.readPermits.Load() != nil {
+			f.pollWaits.wait() // a crowd that connects waits in the listener's queue, not in ours
 		}
 	}
 }
 
 // SetProcessCount bounds clients' connections to this process' part of so many processes'. What is open over that goes as it rests.
-func (f *Front) SetProcessCount(parts int) { f.conns.bound(f.cfg.ConnLimits.perProcess(parts)) }
+func (f *Front) SetProcessCount(parts int) { f.acceptor.setLimits(f.cfg.ConnLimits.perProcess(parts)) }
 
 // Ready says whether the listener takes connections and no stop is asked for.
 func (f *Front) Ready() bool { return f.ready.Load() }
 
 // Counters are figures of the clients' connections.
-func (f *Front) Counters() Counters { return f.conns.counters() }
+func (f *Front) Counters() Counters { return f.acceptor.counters() }
 
 func (f *Front) logCounters(ended <-chan struct{}) {
-	ticker := time.NewTicker(countersEvery)
+	ticker := time.NewTicker(counterLogInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ticker.C:
-			f.cfg.Log.Info("clients", "connections", f.Counters(), "held", f.held.Load())
+			f.cfg.Log.Info("clients", "connections", f.Counters(), "held", f.openRequests.Load())
 		case <-ended:
 			return
 		}
@@ -208,59 +208,59 @@
 }
 
 // room says whether so many requests more, with so many bytes of bodies, could be held now. Nothing is taken.
-func (t *Target) room(requests, size int64) bool {
-	return t.held.Load()+requests <= t.mostOpen() && t.bytes.Load()+size <= t.bodyBytes()
+func (t *Target) hasCapacity(requests, size int64) bool {
+	return t.openRequests.Load()+requests <= t.maxOpen() && t.openBodyBytes.Load()+size <= t.maxBodyBytes()
 }
 
 // mostOpen is how many requests may be held now.
-func (t *Target) mostOpen() int64 {
-	if bound := t.bound.Load(); bound > 0 {
+func (t *Target) maxOpen() int64 {
+	if bound := t.maxOpenOverride.Load(); bound > 0 {
 		return bound
 	}
 	return int64(cmp.Or(max(0, t.MaxOpen), math.MaxInt64))
 }
 
 // SetMaxOpen has fewer requests held than MostOpen says, or as many again. What is held stays.
-func (t *Target) SetMaxOpen(most int) { t.bound.Store(int64(most)) }
+func (t *Target) SetMaxOpen(most int) { t.maxOpenOverride.Store(int64(most)) }
 
-func (t *Target) bodyBytes() int64 { return t.MaxBodyBytes / max(1, t.parts.Load()) }
+func (t *Target) maxBodyBytes() int64 { return t.MaxBodyBytes / max(1, t.processes.Load()) }
 
 // SetProcessCount has this process hold the bytes of bodies that are its part of so many processes'.
-func (t *Target) SetProcessCount(parts int) { t.parts.Store(int64(parts)) }
+func (t *Target) SetProcessCount(parts int) { t.processes.Store(int64(parts)) }
 
 // take takes a place for a request with a body of so many bytes, or says that there is none.
-func (t *Target) take(size int64) bool {
-	held, bytes := t.held.Add(1), t.bytes.Add(size)
-	if held > t.mostOpen() || bytes > t.bodyBytes() {
-		t.give(size)
+func (t *Target) reserve(size int64) bool {
+	held, bytes := t.openRequests.Add(1), t.openBodyBytes.Add(size)
+	if held > t.maxOpen() || bytes > t.maxBodyBytes() {
+		t.release(size)
 		return false
 	}
 	return true
 }
 
 // give gives it back.
-func (t *Target) give(size int64) {
-	t.held.Add(-1)
-	t.bytes.Add(-size)
+func (t *Target) release(size int64) {
+	t.openRequests.Add(-1)
+	t.openBodyBytes.Add(-size)
 }
 
 // enter takes an id into use. One that is open belongs to another request: upstreams would take a
 // second under it for a copy of the first.
-func (t *Target) enter(id string) bool {
+func (t *Target) registerID(id string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.open[id] {
+	if t.openIDs[id] {
 		return false
 	}
-	if t.open == nil {
-		t.open = make(map[string]bool)
+	if t.openIDs == nil {
+		t.openIDs = make(map[string]bool)
 	}
-	t.open[id] = true
+	t.openIDs[id] = true
 	return true
 }
 
-func (t *Target) leave(id string) {
+func (t *Target) unregisterID(id string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	delete(t.open, id)
+	delete(t.openIDs, id)
 }
--- a/internal/proxy/front/http1/ahead_test.go
+++ b/internal/proxy/front/http1/pipelining_test.go
@@ -105,7 +105,7 @@
 		if err := testbed.Wait(t, "the end", d.served); !errors.Is(err, net.ErrClosed) {
 			t.Error(err)
 		}
-		if held, open := d.front.held.Load(), d.target.OpenRequests(); held != 0 || open != 0 || len(d.asks) != 0 || len(d.gone) != 0 {
+		if held, open := d.front.openRequests.Load(), d.target.OpenRequests(); held != 0 || open != 0 || len(d.asks) != 0 || len(d.gone) != 0 {
 			t.Errorf("at the end %d held, %d at the target, %d not looked at, %d gone", held, open, len(d.asks), len(d.gone))
 		}
 	})
@@ -240,15 +240,15 @@
 					all = d.has(t, uris...)
 				}
 				until(t, "the last round's places are free", func() bool { return d.target.OpenRequests() == 3 })
-				d.front.conns.closeResting(0)
-				if rest := d.front.Counters().Rest; rest != [kinds]int{} {
+				d.front.acceptor.closeIdle(0)
+				if rest := d.front.Counters().Rest; rest != [stateCount]int{} {
 					t.Errorf("at rest %v, want none", rest)
 				}
 				all[2].serve()
 				all[0].serve()
 				c.takes(200, "done "+uris[0])
 				d.hasNone(t, 2, "")
-				d.front.conns.closeResting(0) // nor does one with requests behind an answer
+				d.front.acceptor.closeIdle(0) // nor does one with requests behind an answer
 				all[1].serve()
 				c.takes(200, "done "+uris[1])
 				c.takes(200, "done "+uris[2])
@@ -261,7 +261,7 @@
 func TestAheadSeenLate(t *testing.T) {
 	d := newDesk(t, 0, true)
 	c := d.dial(t)
-	for i := range 2 * aloneMost {
+	for i := range 2 * maxUnpipelinedResponses {
 		uri := fmt.Sprint("/safe/", i)
 		c.send(get(uri))
 		d.has(t, uri)[0].serve()
@@ -452,18 +452,18 @@
 	d := newDesk(t, 0, true)
 	c := d.dial(t)
 	var uris []string
-	for i := range 3 * aheadMost {
-		uris = append(uris, fmt.Sprintf("/safe/%d?%s", i, strings.Repeat("x", scratchSize/aheadMost))) // more than a scratch holds
+	for i := range 3 * maxPipelined {
+		uris = append(uris, fmt.Sprintf("/safe/%d?%s", i, strings.Repeat("x", bufferSize/maxPipelined))) // more than a scratch holds
 	}
 	c.send(get(uris...))
-	all := d.has(t, uris[:1+aheadMost]...)
+	all := d.has(t, uris[:1+maxPipelined]...)
 	for i, uri := range uris {
-		if i+aheadMost < len(uris) {
-			d.hasNone(t, 1+aheadMost, "")
+		if i+maxPipelined < len(uris) {
+			d.hasNone(t, 1+maxPipelined, "")
 		}
 		all[i].serve()
 		c.takes(200, "done "+uri)
-		if next := i + 1 + aheadMost; next < len(uris) {
+		if next := i + 1 + maxPipelined; next < len(uris) {
 			all = append(all, d.has(t, uris[next])...)
 		}
 	}
--- a/internal/proxy/front/http1/turn.go
+++ b/internal/proxy/front/http1/poll_wait.go
@@ -11,23 +11,23 @@
 // more, or after 10 ms. One that waits for that has let all go first that others have begun, and all that has come in
 // over the network; yielding does the opposite: whoever yields is runnable, and as long as somebody is, the
 // network is looked at every 10 ms only, which all answers then wait for.
-type turns struct {
+type pollWaits struct {
 	mu   sync.Mutex
-	free []*turn
+	free []*pollPipe
 }
 
 // turn is a pipe: a byte that is written to it is seen by the poller.
-type turn struct {
+type pollPipe struct {
 	r, w *os.File
 	raw  syscall.RawConn
 }
 
-func newTurn() (*turn, error) {
+func newPollPipe() (*pollPipe, error) {
 	r, w, err := os.Pipe()
 	if err != nil {
 		return nil, err
 	}
-	t := &turn{r: r, w: w}
+	t := &pollPipe{r: r, w: w}
 	if t.raw, err = r.SyscallConn(); err != nil {
 		t.close()
 		return nil, err
@@ -35,22 +35,22 @@
 	return t, nil
 }
 
-func (t *turn) close() {
+func (t *pollPipe) close() {
 	t.r.Close()
 	t.w.Close()
 }
 
 // wait returns behind one look of the poller at the network, or at once where the system has no pipe left.
-func (ts *turns) wait() {
+func (ts *pollWaits) wait() {
 	ts.mu.Lock()
-	var t *turn
+	var t *pollPipe
 	if n := len(ts.free); n > 0 {
 		t, ts.free = ts.free[n-1], ts.free[:n-1]
 	}
 	ts.mu.Unlock()
 	if t == nil {
 		var err error
-		if t, err = newTurn(); err != nil {
+		if t, err = newPollPipe(); err != nil {
 			return
 		}
 	}
@@ -75,7 +75,7 @@
 }
 
 // close closes those that nobody waits on.
-func (ts *turns) close() {
+func (ts *pollWaits) close() {
 	ts.mu.Lock()
 	defer ts.mu.Unlock()
 	for _, t := range ts.free {
--- a/internal/proxy/front/http1/gate_test.go
+++ b/internal/proxy/front/http1/read_permits_test.go
@@ -18,32 +18,32 @@
 	var flood sync.WaitGroup
 	for range 200 {
 		flood.Go(func() {
-			c := &conn{front: f, of: flooded}
+			c := &conn{front: f, target: flooded}
 			for {
 				select {
 				case <-stop:
 					return
 				default:
 				}
-				c.enter()
+				c.acquirePermit()
 				for begun := time.Now(); time.Since(begun) < 50*time.Microsecond; {
 				}
-				c.leave()
+				c.releasePermit()
 			}
 		})
 	}
-	c := &conn{front: f, of: quiet}
+	c := &conn{front: f, target: quiet}
 	var waits []time.Duration
 	for range 50 {
 		time.Sleep(time.Millisecond)
 		begun := time.Now()
-		c.enter()
+		c.acquirePermit()
 		waits = append(waits, time.Since(begun))
-		c.leave()
+		c.releasePermit()
 	}
 	close(stop)
 	flood.Wait()
-	g := f.gate.Load()
+	g := f.readPermits.Load()
 	if n := g.queue.Waiting(); n != 0 {
 		t.Errorf("%d still wait", n)
 	}
@@ -52,8 +52,8 @@
 	if median := waits[len(waits)/2]; median > 3*time.Millisecond {
 		t.Errorf("the quiet one waited %v in the median", median)
 	}
-	c.enter()
-	c.enter() // a second one passes: it has its permit
-	c.leave()
-	c.leave()
+	c.acquirePermit()
+	c.acquirePermit() // a second one passes: it has its permit
+	c.releasePermit()
+	c.releasePermit()
 }
--- a/internal/proxy/front/http1/limits.go
+++ b/internal/proxy/front/http1/request_limits.go
@@ -6,7 +6,7 @@
 	// maxHeadBytes bounds HeadBytes, whatever is asked for: heads are held whole, one for each connection that is being read.
 	maxHeadBytes = 1 << 20
 	// leastHeadBytes is the least HeadBytes that is gone by: less fits no request.
-	leastHeadBytes = 256
+	minHeadBytes = 256
 )
 
 // RequestLimits bound what clients may send, and how long they may take. A field of 0 is the front's own bound.
@@ -24,11 +24,11 @@
 	if l.HeadBytes <= 0 {
 		return 0
 	}
-	return int(min(max(l.HeadBytes, leastHeadBytes), maxHeadBytes))
+	return int(min(max(l.HeadBytes, minHeadBytes), maxHeadBytes))
 }
 
 // limits are those that hold now.
-func (f *Front) limits() RequestLimits {
+func (f *Front) requestLimits() RequestLimits {
 	if f.cfg.RequestLimits == nil {
 		return RequestLimits{}
 	}
--- a/internal/proxy/front/http1/limits_test.go
+++ b/internal/proxy/front/http1/request_limits_test.go
@@ -41,8 +41,8 @@
 	l.front = New(Config{
 		Route: RouteTo(target), Dialect: d.dialect(), ConnLimits: KeepAliveConnLimits(256), RequestLimits: func() RequestLimits { return *l.limits.Load() }, Log: slog.New(slog.DiscardHandler),
 	}, clock.New())
-	l.front.conns.listener = l.comes
-	l.front.watch = new(watcher)
+	l.front.acceptor.listener = l.comes
+	l.front.watcher = new(watcher)
 	ended := make(chan struct{})
 	go func() {
 		for {
@@ -62,7 +62,7 @@
 func (l *limited) dial() *pipeClient {
 	here, there := net.Pipe()
 	l.comes <- there
-	c, err := l.front.conns.accept()
+	c, err := l.front.acceptor.accept()
 	if err != nil {
 		l.t.Fatal(err)
 	}
@@ -129,7 +129,7 @@
 // Connections rest as long as the limits say, however many there are: to the moment, not a fraction of it. What changes meanwhile never shortens a rest that has begun.
 func TestTimeAtRest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		const idle, late = 15 * time.Second, sweepMost + time.Millisecond
+		const idle, late = 15 * time.Second, maxSweepInterval + time.Millisecond
 		l := newLimited(t, RequestLimits{IdleTime: idle})
 		var all []*pipeClient
 		for i := range 120 {
@@ -241,16 +241,16 @@
 // The older program's front is asked for nothing and keeps its own bounds.
 func TestNoLimits(t *testing.T) {
 	f := New(Config{ConnLimits: NewConnLimits(64, 64)}, clock.New())
-	if of := f.limits(); of != (RequestLimits{}) || of.headBytes() != 0 {
+	if of := f.requestLimits(); of != (RequestLimits{}) || of.headBytes() != 0 {
 		t.Errorf("%+v", of)
 	}
 	var p h1.Parser
-	if p.SetLimit(f.limits().headBytes()); p.MaxBytes() != h1.DefaultMaxHeadBytes {
+	if p.SetLimit(f.requestLimits().headBytes()); p.MaxBytes() != h1.DefaultMaxHeadBytes {
 		t.Errorf("heads have %d bytes", p.MaxBytes())
 	}
-	for k := range kinds {
-		if left := f.conns.books.left(new(entry), k); left != leftFor[k] {
-			t.Errorf("kind %d is left %v at rest, want %v", k, left, leftFor[k])
+	for k := range stateCount {
+		if left := f.acceptor.table.maxIdle(new(entry), k); left != defaultMaxIdle[k] {
+			t.Errorf("kind %d is left %v at rest, want %v", k, left, defaultMaxIdle[k])
 		}
 	}
 }
--- a/internal/proxy/front/http1/watch_linux.go
+++ b/internal/proxy/front/http1/watcher_linux.go
@@ -43,10 +43,10 @@
 
 // add has a connection told once when its client ends its side or breaks it, and each time that bytes come if it is armed.
 func (w *watcher) add(c *conn) {
-	if c.raw == nil {
+	if c.rawConn == nil {
 		return
 	}
-	_ = c.raw.Control(func(fd uintptr) {
+	_ = c.rawConn.Control(func(fd uintptr) {
 		c.fd = int32(fd)
 		w.mu.Lock()
 		w.conns[c.fd] = c
@@ -56,14 +56,14 @@
 }
 
 // change has a connection told of bytes as well, or no longer, by c.armed. What has come already is told too.
-func (w *watcher) change(c *conn) {
-	_ = c.raw.Control(func(uintptr) { w.control(syscall.EPOLL_CTL_MOD, c) })
+func (w *watcher) update(c *conn) {
+	_ = c.rawConn.Control(func(uintptr) { w.control(syscall.EPOLL_CTL_MOD, c) })
 }
 
 // control is called while the connection's descriptor is sure to be its own.
 func (w *watcher) control(op int, c *conn) {
 	event := syscall.EpollEvent{Events: syscall.EPOLLRDHUP | epollET, Fd: c.fd}
-	if c.armed {
+	if c.notifyOnData {
 		event.Events |= syscall.EPOLLIN
 	}
 	_ = w.raw.Control(func(epoll uintptr) {
@@ -97,10 +97,10 @@
 			// The descriptor may be another connection's by now: who is told looks for itself, see conn.left.
 			if c := w.conns[e.Fd]; c != nil {
 				if e.Events&^syscall.EPOLLIN != 0 {
-					c.hang()
+					c.signalHangup()
 				}
 				if e.Events&syscall.EPOLLIN != 0 {
-					c.comes()
+					c.notifyData()
 				}
 			}
 		}
--- a/internal/proxy/front/http1/watch_other.go
+++ b/internal/proxy/front/http1/watcher_other.go
@@ -8,5 +8,5 @@
 func newWatcher() (*watcher, error) { return new(watcher), nil }
 func (*watcher) close()             {}
 func (*watcher) add(*conn)          {}
-func (*watcher) change(*conn)       {}
+func (*watcher) update(*conn)       {}
 func (*watcher) remove(*conn)       {}
