--- a/internal/proxy/front/http1/acceptor.go
+++ b/internal/proxy/front/http1/acceptor.go
@@ -11,40 +11,46 @@
 )
 
 const (
-	acceptBackoff    = 5 * time.Millisecond   // before the next try where the system is short of descriptors
-	maxSweepInterval = 500 * time.Millisecond // between two looks at what rests, while something does
+	acceptBackoff    = 5 * time.Millisecond   // before the next attempt where the system is short of descriptors
+	maxSweepInterval = 500 * time.Millisecond // between two sweeps, while any connection is idle
 )
 
-// acceptor bounds how many connections clients hold: they would take the descriptors that upstreams
-// need, and accepting would end in "too many open files". Which of them makes room is the books' to say. Below the
-// bounds none is closed: that only crosses requests.
+// acceptor limits how many connections clients have open: they would take the descriptors that upstreams need, and
+// accepting would end in "too many open files". Its connTable decides which of them makes room. Below the limits none
+// is closed: that would only cross requests.
 //
-// A connection's state changes under its lock, so that making room never closes it under a request: what was read
-// once it is off the books is thrown away unread, which its client takes as a crossing.
+// A connection's state changes under the acceptor's lock, so that making room never closes it under a request: what is
+// read after its removal is discarded, and its client finds the connection closed and sends the request again.
 type acceptor struct {
 	listener net.Listener
 	clock    clock.Clock
 
-	mu          sync.Mutex
+	mu          sync.Mutex // guards listener, table, the connections' entries and sweepTimer
 	table       connTable
-	sweepTimer  *time.Timer   // set while something is at rest
-	mayHaveRoom chan struct{} // has an item if a connection may have closed or turned idle
-	closed      chan struct{}
+	sweepTimer  *time.Timer   // set while any connection is idle
+	mayHaveRoom chan struct{} // has an item if a connection may have closed or become idle
+	closed      chan struct{} // closed by close
 	closeOnce   sync.Once
 }
 
-func newAcceptor(c clock.Clock, bounds ConnLimits, limits func() RequestLimits) *acceptor {
+func newAcceptor(c clock.Clock, connLimits ConnLimits, requestLimits func() RequestLimits) *acceptor {
 	return &acceptor{
-		clock: c, table: connTable{limits: bounds, requestLimits: limits, hasUnrecordedInput: func(e *entry) bool { return e.conn.hasUnrecordedInput() }}, mayHaveRoom: make(chan struct{}, 1), closed: make(chan struct{}),
+		clock: c,
+		table: connTable{
+			limits:             connLimits,
+			requestLimits:      requestLimits,
+			hasUnrecordedInput: func(e *entry) bool { return e.conn.hasUnrecordedInput() },
+		},
+		mayHaveRoom: make(chan struct{}, 1),
+		closed:      make(chan struct{}),
 	}
 }
 
-// accept waits for a client, and then for room if there is none.
+// accept waits for a client, and then for room if there is none. After close it returns net.ErrClosed.
 func (a *acceptor) accept() (*conn, error) {
 	raw, err := a.listener.Accept()
 	for ; err != nil; raw, err = a.listener.Accept() {
-		if !errors.Is(err, syscall.EMFILE) && !errors.Is(err, syscall.ENFILE) && !errors.Is(err, syscall.ECONNABORTED) &&
-			!errors.Is(err, syscall.ENOBUFS) && !errors.Is(err, syscall.ENOMEM) {
+		if !isTemporary(err) {
 			return nil, err
 		}
 		select {
@@ -54,7 +60,7 @@
 		}
 	}
 	for {
-		wait, ok := a.makeRoom()
+		wait, ok := a.evictForNew()
 		if ok {
 			break
 		}
@@ -74,20 +80,26 @@
 	return c, nil
 }
 
-// room makes room for one more, or tells how long to wait before it is worth another look.
-func (a *acceptor) makeRoom() (wait time.Duration, ok bool) {
+// isTemporary returns whether accepting may succeed later: the system is short of something, or a client has left.
+func isTemporary(err error) bool {
+	return errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) || errors.Is(err, syscall.ECONNABORTED) ||
+		errors.Is(err, syscall.ENOBUFS) || errors.Is(err, syscall.ENOMEM)
+}
+
+// evictForNew makes room for one more connection, or returns how long to wait before another attempt.
+func (a *acceptor) evictForNew() (wait time.Duration, ok bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	removed, wait, ok := a.table.makeRoom(a.clock.Now())
+	removed, wait, ok := a.table.evictForNew(a.clock.Now())
 	closeConns(removed)
 	return wait, ok
 }
 
-// tidy closes what rests over the bounds or for too long, now and for as long as something rests: clients at a bound of
-// their own open none that would have us look. The caller holds the lock.
+// sweep closes the connections that are idle beyond the limits, now and as long as any is idle: clients at a limit of
+// their own open no new ones that would cause a sweep. The caller holds the lock.
 func (a *acceptor) sweep() {
 	if a.sweepTimer != nil {
-		return // a look is due
+		return // one is due
 	}
 	removed, again := a.table.sweep(a.clock.Now())
 	closeConns(removed)
@@ -101,7 +113,7 @@
 	}
 }
 
-// closeAll ends connections that are off the books. One that is being read is only woken: it answers.
+// closeConns closes connections that were removed from the table. One that is being read is only woken: it responds.
 func closeConns(entries []*entry) {
 	for _, e := range entries {
 		if e.state == stateReading || e.state == stateLingering {
@@ -112,16 +124,17 @@
 	}
 }
 
-// bound bounds connections anew.
-func (a *acceptor) setLimits(b ConnLimits) {
+// setLimits replaces the limits on connections.
+func (a *acceptor) setLimits(limits ConnLimits) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.table.limits = b
+	a.table.limits = limits
 	a.sweep()
 	a.signalRoom()
 }
 
-// open has connections come from a listener; false: it was closed before.
+// setListener sets where connections come from. It returns false if the acceptor was closed before, and has closed the
+// listener then.
 func (a *acceptor) setListener(l net.Listener) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -135,7 +148,7 @@
 	}
 }
 
-// close ends accepting; what is open goes on.
+// close ends accepting. Open connections stay open.
 func (a *acceptor) close() error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -146,20 +159,21 @@
 	return a.listener.Close()
 }
 
-// closeResting closes what no request is open on, and has not been for a time.
+// closeIdle closes the connections that have had no open request for minIdle.
 func (a *acceptor) closeIdle(minIdle time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	closeConns(a.table.removeIdle(a.clock.Now(), minIdle))
 }
 
-// counters are the books' figures.
+// counters count the connections.
 func (a *acceptor) counters() Counters {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.table.counters()
 }
 
+// signalRoom wakes accept, and a drain.
 func (a *acceptor) signalRoom() {
 	select {
 	case a.mayHaveRoom <- struct{}{}:
@@ -167,7 +181,8 @@
 	}
 }
 
-// busy takes that a request has begun to come on a connection; false: it is off the books.
+// markBusy records that a request has begun to come on a connection, or is complete. It returns false if the connection
+// was removed.
 func (a *acceptor) markBusy(c *conn) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -175,7 +190,7 @@
 	return !c.entry.removed
 }
 
-// unread takes that a part of a connection's request is still to come.
+// markReading records that a part of a connection's request is still to come.
 func (a *acceptor) markReading(c *conn) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -184,14 +199,14 @@
 	a.signalRoom()
 }
 
-// moves takes that a good piece of a connection's request came.
+// markProgress records that progressBytes of a connection's request came.
 func (a *acceptor) markProgress(c *conn) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.table.markProgress(a.clock.Now(), &c.entry)
 }
 
-// last takes that a connection has its last answer, and is read over.
+// markLingering records that a connection has its last response while its client may still send.
 func (a *acceptor) markLingering(c *conn) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -201,7 +216,7 @@
 	a.signalRoom()
 }
 
-// asked takes that a request of a connection can be taken on, and whose it is.
+// markRequest records that a request of a connection can be accepted, and whose it is.
 func (a *acceptor) markRequest(c *conn, o *owner) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -209,21 +224,21 @@
 	a.table.setOwner(&c.entry, o)
 }
 
-// crowded says whether a connection ought to close with its next answer.
+// overShare returns whether a connection ought to close with its next response: see connTable.overShare.
 func (a *acceptor) overShare(c *conn) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.table.overShare(&c.entry)
 }
 
-// divide gives owners parts of the connections.
+// setShares divides the connections among owners by weight.
 func (a *acceptor) setShares(owners []*owner, weights []float64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.table.setShares(owners, weights)
 }
 
-// rest takes that a connection's request has its answer.
+// markIdle records that a connection's request has its response.
 func (a *acceptor) markIdle(c *conn) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -232,7 +247,7 @@
 	a.signalRoom()
 }
 
-// ended takes that a connection has closed.
+// remove records that a connection has closed.
 func (a *acceptor) remove(c *conn) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -240,6 +255,7 @@
 	a.signalRoom()
 }
 
+// isRemoved returns whether a connection was removed, be it to make room.
 func (a *acceptor) isRemoved(c *conn) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/proxy/front/http1/acceptor_test.go
+++ b/internal/proxy/front/http1/acceptor_test.go
@@ -7,8 +7,8 @@
 	"caperarch/internal/proxy/clock"
 )
 
-// At the bound one waits for room; a connection at rest makes it, one whose request has just been
-// read does not, and what comes on one that is closing is thrown away unread.
+// At the limit a new connection waits for room; an idle connection makes it, one whose request has just been
+// read does not, and what comes on one that is closing is discarded.
 func TestAcceptorKeepsOpenRequests(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -32,11 +32,12 @@
 	}
 	open, quiet := accept(), accept()
 	if !a.markBusy(open) {
-		t.Fatal("a new connection is off the books")
+		t.Fatal("a new connection is not in the table")
 	}
 	accept()
 	if open.entry.removed || !quiet.entry.removed || a.table.open != 2 {
-		t.Errorf("the open one closed: %v, the quiet one: %v, %d open; want false, true, 2", open.entry.removed, quiet.entry.removed, a.table.open)
+		t.Errorf("the open one closed: %v, the idle one: %v, %d open; want false, true, 2",
+			open.entry.removed, quiet.entry.removed, a.table.open)
 	}
 	if a.markBusy(quiet) {
 		t.Error("what comes on a closing connection is taken")
--- a/internal/proxy/front/http1/buffers.go
+++ b/internal/proxy/front/http1/buffers.go
@@ -6,10 +6,10 @@
 	"caperarch/internal/proxy/h1"
 )
 
-// scratchSize holds the head and body of nearly all requests. Longer heads get a buffer of their own.
+// bufferSize holds the head and body of nearly all requests. Longer heads get a larger buffer.
 const bufferSize = 4 << 10
 
-// scratch is what a connection needs while a request is open; one at rest has none.
+// buffers are what a connection needs while a request is open. An idle one has none.
 type buffers struct {
 	in     []byte
 	out    []byte
@@ -17,22 +17,22 @@
 	parser h1.Parser
 }
 
-// scratches are those that no connection has. There are never more in use than connections.
+// buffersPool has those that no connection uses. There are never more in use than connections.
 var buffersPool = sync.Pool{New: func() any {
 	return &buffers{in: make([]byte, bufferSize), out: make([]byte, 0, bufferSize)}
 }}
 
 func takeBuffers() *buffers { return buffersPool.Get().(*buffers) }
 
-func (s *buffers) release() {
-	if len(s.in) > bufferSize {
-		s.in = make([]byte, bufferSize) // one long head must not keep its memory for good
+func (b *buffers) release() {
+	if len(b.in) > bufferSize {
+		b.in = make([]byte, bufferSize) // one long head must not keep its memory for good
 	}
-	if cap(s.out) > 2*bufferSize {
-		s.out = make([]byte, 0, bufferSize)
+	if cap(b.out) > 2*bufferSize {
+		b.out = make([]byte, 0, bufferSize)
 	}
-	clear(s.head.Fields)
-	s.head = h1.Head{Fields: s.head.Fields[:0]}
-	s.parser.SetLimit(0)
-	buffersPool.Put(s)
+	clear(b.head.Fields)
+	b.head = h1.Head{Fields: b.head.Fields[:0]}
+	b.parser.SetLimit(0)
+	buffersPool.Put(b)
 }
--- a/internal/proxy/front/http1/conn_table_test.go
+++ b/internal/proxy/front/http1/conn_table_test.go
@@ -6,7 +6,7 @@
 )
 
 // client adds a connection that has asked so often and is at rest.
-func client(b *connTable, now time.Duration, times int) *entry {
+func addIdleConn(b *connTable, now time.Duration, times int) *entry {
 	e := &entry{}
 	b.add(now, e)
 	b.markBusy(e)
@@ -17,23 +17,25 @@
 	return e
 }
 
-// Crowds that connect and say nothing, ask for GET /up or ask once and stay hold no more places than the bounds and
-// what came within restTime. None of those that come back is closed for them.
-func TestCrowdsAtRestMakeRoom(t *testing.T) {
+// Crowds that connect and send nothing, send GET /up or one request and stay have no more connections than the limits
+// and what came within minIdleTime. None of those that come back is closed for them.
+func TestIdleCrowdsMakeRoom(t *testing.T) {
 	b := connTable{limits: NewConnLimits(192, 128)}
 	var clients []*entry
 	for range 24 {
-		clients = append(clients, client(&b, 0, 2))
+		clients = append(clients, addIdleConn(&b, 0, 2))
 	}
 	for i := range 10000 { // 500 a second
 		now := time.Second + time.Duration(i)*2*time.Millisecond
-		if _, _, ok := b.makeRoom(now); !ok {
+		if _, _, ok := b.evictForNew(now); !ok {
 			t.Fatalf("no room for connection %d, %d open", i, b.open)
 		}
-		client(&b, now, i%2)
+		addIdleConn(&b, now, i%2)
 	}
-	// What is not at rest for restTime yet is 50, and more than the bounds leave.
-	if c := b.counters(); c.Most > len(clients)+50+2 || c.Closed[stateReused] != 0 || c.Closed[stateHealthCheck] < 4900 || c.Closed[stateUsedOnce] < 4900 {
+	// What is not at rest for minIdleTime yet is 50, and more than the bounds leave.
+	c := b.counters()
+	if c.Most > len(clients)+50+2 || c.Closed[stateReused] != 0 || c.Closed[stateHealthCheck] < 4900 ||
+		c.Closed[stateUsedOnce] < 4900 {
 		t.Errorf("counters %+v, at most %d open", c, len(clients)+52)
 	}
 	for i, e := range clients {
@@ -43,44 +45,46 @@
 	}
 }
 
-// Where nobody connects any more, what rests over a bound goes all the same.
-func TestSweepComesBack(t *testing.T) {
+// Where nobody connects any more, idle connections over a limit are closed all the same.
+func TestSweepIsDueAgain(t *testing.T) {
 	b := connTable{limits: NewConnLimits(192, 128)}
 	for range 128 {
-		client(&b, time.Second, 1)
+		addIdleConn(&b, time.Second, 1)
 	}
 	leave, again := b.sweep(time.Second)
-	if len(leave) != 0 || again != minIdle {
+	if len(leave) != 0 || again != minIdleTime {
 		t.Fatalf("%d leave at once, another look after %v", len(leave), again)
 	}
-	if leave, again = b.sweep(time.Second + again); len(leave) != 112 || again != defaultMaxIdle[stateUsedOnce]-minIdle {
+	leave, again = b.sweep(time.Second + again)
+	if len(leave) != 112 || again != defaultMaxIdle[stateUsedOnce]-minIdleTime {
 		t.Errorf("%d leave, another look after %v, want all over the bound of 16 and one for the rest", len(leave), again)
 	}
 }
 
-// At the bound on all, strangers go before those that ask, and then the one longest at rest; never one with an open
-// request or one of this moment.
-func TestLongestAtRestGoes(t *testing.T) {
+// At the limit on all, unused connections are closed before used ones, and then the longest idle; never one with an
+// open request or one of this moment.
+func TestLongestIdleIsClosed(t *testing.T) {
 	b := connTable{limits: ConnLimits{Max: 3, MaxIdle: [stateCount]int{3, 3, 3, 3, 3, 3}}}
-	first, second := client(&b, 0, 2), client(&b, time.Second, 2)
-	strange := client(&b, 2*time.Second, 0)
-	if _, _, ok := b.makeRoom(2 * time.Second); !ok || !first.removed || strange.removed {
+	first, second := addIdleConn(&b, 0, 2), addIdleConn(&b, time.Second, 2)
+	strange := addIdleConn(&b, 2*time.Second, 0)
+	if _, _, ok := b.evictForNew(2 * time.Second); !ok || !first.removed || strange.removed {
 		t.Errorf("a stranger of this moment has to be left alone: ok %v, first gone %v", ok, first.removed)
 	}
-	third := client(&b, 2*time.Second, 2)
-	if _, _, ok := b.makeRoom(3 * time.Second); !ok || !strange.removed || second.removed {
+	third := addIdleConn(&b, 2*time.Second, 2)
+	if _, _, ok := b.evictForNew(3 * time.Second); !ok || !strange.removed || second.removed {
 		t.Error("a stranger at rest has to go first")
 	}
 	b.markBusy(second)
 	b.markBusy(third)
-	client(&b, 3*time.Second, 2)
-	if leave, wait, ok := b.makeRoom(3 * time.Second); ok || leave != nil || wait != minIdleWhenFull[stateReused] {
+	addIdleConn(&b, 3*time.Second, 2)
+	if leave, wait, ok := b.evictForNew(3 * time.Second); ok || leave != nil || wait != minIdleWhenFull[stateReused] {
 		t.Errorf("those with an open request and one of this moment must stay: wait %v, ok %v", wait, ok)
 	}
 }
 
-// An owner with more than its part closes with its answers once what is kept for newcomers is taken, and not before.
-func TestCrowdedOwner(t *testing.T) {
+// An owner with more than its share closes connections with its responses once the reserve for new ones is used, and
+// not before.
+func TestOwnerOverItsShareClosesWithResponses(t *testing.T) {
 	b := connTable{limits: ConnLimits{Max: 16, MaxIdle: [stateCount]int{16, 16, 16, 16, 16, 16}}}
 	flooded, quiet := new(owner), new(owner)
 	b.setShares([]*owner{flooded, quiet}, []float64{1, 1}) // 7 each
@@ -117,22 +121,25 @@
 	}
 }
 
-// A silent connection whose bytes are here and not read is no stranger: we are late.
-func TestUnreadBytesCountAsSpeech(t *testing.T) {
-	speaks := map[*entry]bool{}
-	b := connTable{limits: ConnLimits{Max: 2, MaxIdle: [stateCount]int{2, 2, 2, 2, 2, 2}}, hasUnrecordedInput: func(e *entry) bool { return speaks[e] }}
+// A new connection whose bytes are here and not read is not idle: we are late.
+func TestUnreadInputIsNotIdle(t *testing.T) {
+	hasInput := map[*entry]bool{}
+	b := connTable{
+		limits:             ConnLimits{Max: 2, MaxIdle: [stateCount]int{2, 2, 2, 2, 2, 2}},
+		hasUnrecordedInput: func(e *entry) bool { return hasInput[e] },
+	}
 	late, mute := &entry{}, &entry{}
 	b.add(0, late)
 	b.add(0, mute)
-	speaks[late] = true
-	if leave, _, ok := b.makeRoom(minIdleWhenFull[stateNew]); !ok || len(leave) != 1 || leave[0] != mute {
+	hasInput[late] = true
+	if leave, _, ok := b.evictForNew(minIdleWhenFull[stateNew]); !ok || len(leave) != 1 || leave[0] != mute {
 		t.Errorf("%d leave, ok %v, want the mute one alone", len(leave), ok)
 	}
 }
 
-// The spare connections of an owner within its part, at rest for long, are not closed for those that a flooded one comes
-// back on.
-func TestWithinItsPartIsLeftAlone(t *testing.T) {
+// The spare connections of an owner within its share, idle for long, are not closed for those that a flooded one
+// comes back on.
+func TestOwnerWithinItsShareKeepsIdleConnections(t *testing.T) {
 	b := connTable{limits: ConnLimits{Max: 16, MaxIdle: [stateCount]int{16, 16, 16, 16, 16, 2}}}
 	flooded, quiet := new(owner), new(owner)
 	b.setShares([]*owner{flooded, quiet}, []float64{1, 1})
@@ -150,7 +157,7 @@
 	for range 14 {
 		own(10*time.Second, flooded)
 	}
-	if leave, _, ok := b.makeRoom(10*time.Second + maxIdleOverShare); !ok || len(leave) != 7 {
+	if leave, _, ok := b.evictForNew(10*time.Second + maxIdleOverShare); !ok || len(leave) != 7 {
 		t.Errorf("%d leave, ok %v, want all seven over the part", len(leave), ok)
 	}
 	if spare[0].removed || spare[1].removed {
@@ -161,8 +168,8 @@
 	}
 }
 
-// Where too many requests are being read, those that stand still make room, not those that come slowly.
-func TestSlowOnesStayWhereStuckOnesGo(t *testing.T) {
+// Where too many requests are being read, those without progress make room, not those that come slowly.
+func TestSlowRequestsStayWhileStuckOnesAreClosed(t *testing.T) {
 	b := connTable{limits: NewConnLimits(128, 85)}
 	add := func() *entry {
 		e := &entry{}
@@ -184,13 +191,14 @@
 	}
 }
 
-// While two processes live the one that came last takes all that the application may open, each with a request that waits: the application is one, and what it opens
-// beyond a bound of ours stands unaccepted for as long as the other process needs for its last answers.
-func TestDividedBoundsLeaveRoomForTheApplication(t *testing.T) {
+// While two processes live the one that came last takes all that the application may open, each with a request that
+// waits: the application is one, and what it opens beyond a bound of ours stands unaccepted for as long as the other
+// process needs for its last answers.
+func TestLimitsPerProcessLeaveRoomForTheApplication(t *testing.T) {
 	const most, application = 128, 85
 	b := connTable{limits: NewConnLimits(most, application).perProcess(2)}
 	for i := range application {
-		if _, _, ok := b.makeRoom(0); !ok {
+		if _, _, ok := b.evictForNew(0); !ok {
 			t.Fatalf("no room for connection %d of the application's %d", i+1, application)
 		}
 		e := &entry{}
--- a/internal/proxy/front/http1/date.go
+++ b/internal/proxy/front/http1/date.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// stamped is a Date field's value and the second that it is for.
+// cachedDate is a Date field's value and the second that it is for.
 type cachedDate struct {
 	second int64
 	text   string
--- a/internal/proxy/front/http1/drain.go
+++ b/internal/proxy/front/http1/drain.go
@@ -7,22 +7,25 @@
 )
 
 const (
-	defaultDrainLinger = 500 * time.Millisecond // new connections go on coming for so long after a stop is asked for
-	drainMinIdle       = 250 * time.Millisecond // a connection that was used so lately is likely to be used again meanwhile
-	drainPollInterval  = 50 * time.Millisecond  // between two looks at what rests
-	drainMargin        = 600 * time.Millisecond // more than the longest deadline that may pass until the end
+	defaultDrainLinger = 500 * time.Millisecond // connections are still accepted for so long
+	drainMinIdle       = 250 * time.Millisecond // a connection used so lately is likely to be used again meanwhile
+	drainPollInterval  = 50 * time.Millisecond  // between two looks at idle connections
+	drainMargin        = 600 * time.Millisecond // how much longer than the longest deadline a drain may take
 )
 
-// Drain ends the service without losing a request. Clients still connect for a while, and send on
-// what they have: so the listener stays open at first, and every connection closes with its next
-// answer, or at once if it is at rest (a request that crosses this is sent again on a new one).
+// Drain ends the service without losing a request. Clients still connect for a while, and send on the connections that
+// they have: so the listener stays open at first, and every connection closes with its next response, or at once if it
+// is idle (a request that crosses this is sent again on a new one). It returns context.DeadlineExceeded if requests are
+// open when its time is over.
 func (f *Front) Drain() error {
 	f.cfg.Log.Info("stopping", "held", f.openRequests.Load())
 	f.ready.Store(false)
 	f.draining.Store(true)
 	a := f.acceptor
-	// What clients use often closes with its next answer, which crosses nothing; only what they let rest is closed under them at first.
-	for begun := a.clock.Now(); a.clock.Now()-begun < cmp.Or(f.cfg.Linger, defaultDrainLinger); time.Sleep(drainPollInterval) {
+	// Connections that are used often close with their next response, which crosses no request; only idle ones are closed
+	// under their clients at first.
+	linger := cmp.Or(f.cfg.Linger, defaultDrainLinger)
+	for begun := a.clock.Now(); a.clock.Now()-begun < linger; time.Sleep(drainPollInterval) {
 		a.closeIdle(drainMinIdle)
 	}
 	err := a.close()
@@ -37,7 +40,7 @@
 		case <-time.After(drainPollInterval):
 			continue
 		case <-end:
-			if f.openRequests.Load() > 0 { // what is left else are connections that nothing whole came on
+			if f.openRequests.Load() > 0 { // otherwise no complete request came on those that are left
 				err = context.DeadlineExceeded
 			}
 		}
--- a/internal/proxy/front/http1/front_bench_test.go
+++ b/internal/proxy/front/http1/front_bench_test.go
@@ -14,22 +14,25 @@
 	"caperarch/policy"
 )
 
-// instantEngine replies to each request before Ask returns.
+// instantEngine replies to each request before Submit returns.
 type instantEngine struct{ response call.Answer }
 
-func (e *instantEngine) Ask(_ policy.Request, _ *call.Message, _ time.Duration, reply chan<- call.Answer) policy.RequestID {
+func (e *instantEngine) Submit(
+	_ policy.Request, _ *call.Message, _ time.Duration, reply chan<- call.Answer,
+) policy.RequestID {
 	reply <- e.response
 	return 1
 }
-func (e *instantEngine) Gone(policy.RequestID)  {}
-func (e *instantEngine) Ended() <-chan struct{} { return nil }
+func (e *instantEngine) ClientGone(policy.RequestID) {}
+func (e *instantEngine) Done() <-chan struct{}       { return nil }
 
 // benchmarkRequests sends the same batch of requests over one kept connection and reads the responses.
 func benchmarkRequests(b *testing.B, batch string, perBatch int) {
 	b.Helper()
 	target := &Target{Engine: &instantEngine{call.Answer{Kind: call.Served, Body: []byte("done")}}, MaxBodyBytes: 1 << 20}
 	front := New(Config{
-		Route: RouteTo(target), ConnLimits: NewConnLimits(64, 64), Linger: time.Millisecond, Log: slog.New(slog.DiscardHandler),
+		Route: RouteTo(target), ConnLimits: NewConnLimits(64, 64),
+		Linger: time.Millisecond, Log: slog.New(slog.DiscardHandler),
 		Dialect: &Dialect{
 			ParseRequest: func(*h1.Head) (policy.Request, time.Duration, *Rejection) {
 				return policy.Request{}, time.Minute, nil
--- a/internal/proxy/front/http1/parse_request.go
+++ b/internal/proxy/front/http1/parse_request.go
@@ -11,100 +11,135 @@
 	"caperarch/policy"
 )
 
-// singles lists the headers that steer a request. Sent twice, two readers may heed different ones.
+// maxTimeoutFactor bounds an X-Timeout: one of more than so many deadlines of its class is malformed.
+const maxTimeoutFactor = 10
+
+// uniqueFields lists the header fields that control a request. Sent twice, two readers may heed different ones.
 var uniqueFields = [...]string{
 	"X-Request-Id", "X-Priority-Class", "X-Tenant-Id", "X-Route-Key", "X-Timeout", "X-Retried", "X-Cost",
 	"X-Attrs", "Idempotency-Key", "Content-Length",
 }
 
-// twice is the name of a field that steers a request and is given twice, or "".
-func duplicateField(r *h1.Head) string {
-	var have [len(uniqueFields)]bool
-	for i := range r.Fields {
-		for j, name := range uniqueFields {
-			if r.Fields[i].Name == name {
-				if have[j] {
-					return name
-				}
-				have[j] = true
-			}
-		}
-	}
-	return ""
-}
-
-// firstPart is the first part of a target's path, decoded.
-func firstPathSegment(target string) string {
-	path, _, _ := strings.Cut(target[1:], "?")
-	first, _, _ := strings.Cut(path, "/")
-	if strings.IndexByte(first, '%') < 0 {
-		return first
-	}
-	if decoded, err := url.PathUnescape(first); err == nil {
-		return decoded
-	}
-	return ""
+// methodByEffect is the method that each effect's requests are sent with.
+var methodByEffect = map[policy.Effect]string{
+	policy.Idempotent: http.MethodGet, policy.Deduplicated: http.MethodPost, policy.NonIdempotent: http.MethodPost,
 }
 
-// read takes what a request says of itself. What is missing or malformed is a rejection: nothing of
-// it may reach the module or an upstream, whose 400 would count as the upstream's failure.
-func (target *Target) parseRequest(dialect *Dialect, head *h1.Head) (q policy.Request, timeout time.Duration, rejection *Rejection) {
+// parseRequest parses a request's head, by the dialect if there is one. What is missing or malformed is rejected:
+// nothing of it may reach the policy or an upstream, whose 400 would count as the upstream's failure.
+func (t *Target) parseRequest(dialect *Dialect, head *h1.Head) (policy.Request, time.Duration, *Rejection) {
 	if dialect != nil {
 		return dialect.ParseRequest(head)
 	}
-	reject := func(status int, reason string) (policy.Request, time.Duration, *Rejection) {
-		return policy.Request{}, 0, &Rejection{Status: status, Reason: reason}
+	class, rejection := t.parseClass(head)
+	if rejection != nil {
+		return policy.Request{}, 0, rejection
 	}
-	if head.HTTP10 { // others pass over Transfer-Encoding there
-		return reject(http.StatusHTTPVersionNotSupported, "HTTP/1.1 is needed")
+	if rejection := checkEffect(t.ClassOf[class].Effect, head); rejection != nil {
+		return policy.Request{}, 0, rejection
+	}
+	q := policy.Request{Class: class}
+	timeout, rejection := t.parseFields(head, &q)
+	if rejection != nil {
+		return policy.Request{}, 0, rejection
+	}
+	return q, timeout, nil
+}
+
+// parseClass returns the index of a request's class.
+func (t *Target) parseClass(head *h1.Head) (int, *Rejection) {
+	if head.HTTP10 { // others ignore Transfer-Encoding there
+		return 0, &Rejection{Status: http.StatusHTTPVersionNotSupported, Reason: "HTTP/1.1 is needed"}
 	}
 	if name := duplicateField(head); name != "" {
-		return reject(http.StatusBadRequest, name+" is given twice")
+		return 0, badRequest(name + " is given twice")
 	}
 	if head.Get("X-Request-Id") == "" {
-		return reject(http.StatusBadRequest, "X-Request-ID is missing")
+		return 0, badRequest("X-Request-ID is missing")
 	}
 	name := head.Get("X-Priority-Class")
-	var ok bool
-	if q.Class, ok = target.Classes[name]; !ok {
-		return reject(http.StatusBadRequest, "X-Priority-Class names no class")
+	class, ok := t.Classes[name]
+	if !ok {
+		return 0, badRequest("X-Priority-Class names no class")
 	}
 	if firstPathSegment(head.Target) != name {
-		return reject(http.StatusBadRequest, "the path is of another class than X-Priority-Class")
+		return 0, badRequest("the path is of another class than X-Priority-Class")
 	}
-	class, key := &target.ClassOf[q.Class], head.Get("Idempotency-Key")
-	if want := methodByEffect[class.Effect]; head.Method != want {
-		return reject(http.StatusMethodNotAllowed, "requests of this class are sent with "+want)
+	return class, nil
+}
+
+// checkEffect checks what a request's method, key and body have to be for the effect of its class.
+func checkEffect(effect policy.Effect, head *h1.Head) *Rejection {
+	if want := methodByEffect[effect]; head.Method != want {
+		return &Rejection{Status: http.StatusMethodNotAllowed, Reason: "requests of this class are sent with " + want}
 	}
+	key := head.Get("Idempotency-Key")
 	switch {
-	case class.Effect == policy.Keyed && key == "":
-		return reject(http.StatusBadRequest, "Idempotency-Key is missing")
-	case class.Effect == policy.Unsafe && key != "":
-		return reject(http.StatusBadRequest, "Idempotency-Key is of no use in this class")
-	case class.Effect == policy.Safe && (head.Length > 0 || head.Chunked):
-		return reject(http.StatusBadRequest, "GET has no body")
-	case class.Effect != policy.Safe && head.Length < 0 && !head.Chunked:
-		return reject(http.StatusLengthRequired, "Content-Length and Transfer-Encoding are missing")
-	}
-	if len(target.Tenants) > 0 {
-		if q.Tenant, ok = target.Tenants[head.Get("X-Tenant-Id")]; !ok {
-			return reject(http.StatusBadRequest, "X-Tenant-Id names no tenant")
+	case effect == policy.Deduplicated && key == "":
+		return badRequest("Idempotency-Key is missing")
+	case effect == policy.NonIdempotent && key != "":
+		return badRequest("Idempotency-Key is of no use in this class")
+	case effect == policy.Idempotent && (head.Length > 0 || head.Chunked):
+		return badRequest("GET has no body")
+	case effect != policy.Idempotent && head.Length < 0 && !head.Chunked:
+		return &Rejection{
+			Status: http.StatusLengthRequired, Reason: "Content-Length and Transfer-Encoding are missing",
 		}
 	}
-	if timeout, ok = call.ParseDuration(head.Get("X-Timeout")); !ok || timeout <= 0 || timeout > maxTimeoutFactor*class.Deadline {
-		return reject(http.StatusBadRequest, "X-Timeout is missing, malformed or out of range")
+	return nil
+}
+
+// parseFields parses the other fields that control a request into q, whose class is set, and returns its timeout.
+func (t *Target) parseFields(head *h1.Head, q *policy.Request) (timeout time.Duration, rejection *Rejection) {
+	var ok bool
+	if len(t.Tenants) > 0 {
+		if q.Tenant, ok = t.Tenants[head.Get("X-Tenant-Id")]; !ok {
+			return 0, badRequest("X-Tenant-Id names no tenant")
+		}
+	}
+	timeout, ok = call.ParseDuration(head.Get("X-Timeout"))
+	if !ok || timeout <= 0 || timeout > maxTimeoutFactor*t.ClassOf[q.Class].Deadline {
+		return 0, badRequest("X-Timeout is missing, malformed or out of range")
 	}
 	if cost := head.Get("X-Cost"); cost != "" {
 		if q.Work, ok = call.ParseDuration(cost + "u"); !ok {
-			return reject(http.StatusBadRequest, "X-Cost is malformed")
+			return 0, badRequest("X-Cost is malformed")
 		}
 	}
 	q.Key = call.RouteKey(head.Get("X-Route-Key"))
-	q.Repeat = head.Get("X-Retried") == "1"
-	return q, timeout, nil
+	q.IsRetry = head.Get("X-Retried") == "1"
+	return timeout, nil
 }
 
-// methods are what each effect's requests are sent with.
-var methodByEffect = map[policy.Effect]string{
-	policy.Safe: http.MethodGet, policy.Keyed: http.MethodPost, policy.Unsafe: http.MethodPost,
+func badRequest(reason string) *Rejection {
+	return &Rejection{Status: http.StatusBadRequest, Reason: reason}
+}
+
+// duplicateField is the name of a field that controls a request and is given twice, or "".
+func duplicateField(r *h1.Head) string {
+	var have [len(uniqueFields)]bool
+	for i := range r.Fields {
+		for j, name := range uniqueFields {
+			if r.Fields[i].Name == name {
+				if have[j] {
+					return name
+				}
+				have[j] = true
+			}
+		}
+	}
+	return ""
+}
+
+// firstPathSegment is the first segment of a request target's path, decoded; "" if it can't be decoded.
+func firstPathSegment(target string) string {
+	path, _, _ := strings.Cut(target[1:], "?")
+	first, _, _ := strings.Cut(path, "/")
+	if strings.IndexByte(first, '%') < 0 {
+		return first
+	}
+	if decoded, err := url.PathUnescape(first); err == nil {
+		return decoded
+	}
+	return ""
 }
--- a/internal/proxy/front/http1/pipelining_test.go
+++ b/internal/proxy/front/http1/pipelining_test.go
@@ -22,51 +22,53 @@
 	"caperarch/policy"
 )
 
-// asked is a request that a desk has, to be answered or told gone.
-type asked struct {
+// askedRequest is a request that a fakeEngine was asked, to be replied to or reported gone.
+type askedRequest struct {
 	uri, body string
 	id        policy.RequestID
-	reply     chan<- call.Answer
+	replies   chan<- call.Answer
 }
 
 // serve answers it.
-func (a asked) serve() {
-	a.reply <- call.Answer{Kind: call.Served, Status: http.StatusOK, Body: []byte("done " + a.uri)}
+func (a askedRequest) reply() {
+	a.replies <- call.Answer{Kind: call.Served, Status: http.StatusOK, Body: []byte("done " + a.uri)}
 }
 
-// desk is an engine whose answers the test gives, and its one target's front.
-type desk struct {
-	front  *Front
-	target *Target
-	at     string
-	drain  func() error // once; a second call waits for the first
-	asks   chan asked
-	gone   chan policy.RequestID
-	served chan error
-
-	mu    sync.Mutex
-	last  policy.RequestID
-	reads []string // what the dialect was asked to read
+// fakeEngine is an engine whose replies the test gives, and its one target's front.
+type fakeEngine struct {
+	front   *Front
+	target  *Target
+	address string
+	drain   func() error // once; a second call waits for the first
+	asked   chan askedRequest
+	gone    chan policy.RequestID
+	served  chan error
+
+	mu            sync.Mutex
+	last          policy.RequestID
+	parsedTargets []string // what the dialect was asked to read
 }
 
-func (d *desk) Submit(_ policy.Request, m *call.Message, _ time.Duration, reply chan<- call.Answer) policy.RequestID {
+func (d *fakeEngine) Submit(
+	_ policy.Request, m *call.Message, _ time.Duration, reply chan<- call.Answer,
+) policy.RequestID {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.last++
-	d.asks <- asked{m.URI, string(m.Body), d.last, reply}
+	d.asked <- askedRequest{m.URI, string(m.Body), d.last, reply}
 	return d.last
 }
 
-func (d *desk) ClientGone(id policy.RequestID) { d.gone <- id }
-func (d *desk) Done() <-chan struct{}          { return nil }
+func (d *fakeEngine) ClientGone(id policy.RequestID) { d.gone <- id }
+func (d *fakeEngine) Done() <-chan struct{}          { return nil }
 
 // dialect has /safe/... be idempotent and /over/... be over a quota.
-func (d *desk) dialect() *Dialect {
+func (d *fakeEngine) dialect() *Dialect {
 	return &Dialect{
 		ParseRequest: func(h *h1.Head) (policy.Request, time.Duration, *Rejection) {
 			d.mu.Lock()
 			defer d.mu.Unlock()
-			d.reads = append(d.reads, h.Target)
+			d.parsedTargets = append(d.parsedTargets, h.Target)
 			if strings.HasPrefix(h.Target, "/over") {
 				return policy.Request{}, 0, &Rejection{Status: http.StatusTooManyRequests, KeepAlive: true}
 			}
@@ -78,12 +80,20 @@
 	}
 }
 
-// newDesk serves on loopback. At the end of the test the front drains, and every place must have been given back.
-func newDesk(t *testing.T, most int, dialect bool, change ...func(*Config)) *desk {
+// newFakeEngine serves on loopback. At the end of the test the front drains, and every place must have been given back.
+func newFakeEngine(t *testing.T, maxOpen int, dialect bool, change ...func(*Config)) *fakeEngine {
 	t.Helper()
-	d := &desk{asks: make(chan asked, 64), gone: make(chan policy.RequestID, 64), served: make(chan error, 1)}
-	d.target = &Target{Engine: d, MaxOpen: most, MaxBodyBytes: 1 << 20, Classes: map[string]int{"look": 0}, ClassOf: []policy.Class{{Effect: policy.Idempotent, Deadline: time.Minute}}}
-	cfg := Config{Route: RouteTo(d.target), ConnLimits: NewConnLimits(64, 64), Linger: time.Millisecond, MaxDeadline: testbed.Generous, Log: slog.New(slog.DiscardHandler)}
+	d := &fakeEngine{
+		asked: make(chan askedRequest, 64), gone: make(chan policy.RequestID, 64), served: make(chan error, 1),
+	}
+	d.target = &Target{
+		Engine: d, MaxOpen: maxOpen, MaxBodyBytes: 1 << 20,
+		Classes: map[string]int{"look": 0}, ClassOf: []policy.Class{{Effect: policy.Idempotent, Deadline: time.Minute}},
+	}
+	cfg := Config{
+		Route: RouteTo(d.target), ConnLimits: NewConnLimits(64, 64),
+		Linger: time.Millisecond, MaxDeadline: testbed.Generous, Log: slog.New(slog.DiscardHandler),
+	}
 	if dialect {
 		cfg.Dialect = d.dialect()
 	}
@@ -96,7 +106,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	d.at = l.Addr().String()
+	d.address = l.Addr().String()
 	go func() { d.served <- d.front.Serve(l) }()
 	t.Cleanup(func() {
 		if err := d.drain(); err != nil {
@@ -105,29 +115,31 @@
 		if err := testbed.Wait(t, "the end", d.served); !errors.Is(err, net.ErrClosed) {
 			t.Error(err)
 		}
-		if held, open := d.front.openRequests.Load(), d.target.OpenRequests(); held != 0 || open != 0 || len(d.asks) != 0 || len(d.gone) != 0 {
-			t.Errorf("at the end %d held, %d at the target, %d not looked at, %d gone", held, open, len(d.asks), len(d.gone))
+		ofFront, ofTarget := d.front.openRequests.Load(), d.target.OpenRequests()
+		if ofFront != 0 || ofTarget != 0 || len(d.asked) != 0 || len(d.gone) != 0 {
+			t.Errorf("at the end %d open requests, %d of the target, %d not looked at, %d gone",
+				ofFront, ofTarget, len(d.asked), len(d.gone))
 		}
 	})
 	return d
 }
 
-// caller is a client's connection.
-type caller struct {
+// testClient is a client's connection.
+type testClient struct {
 	*net.TCPConn
 	t *testing.T
 	r *bufio.Reader
 }
 
-func (d *desk) dial(t *testing.T) *caller {
+func (d *fakeEngine) dial(t *testing.T) *testClient {
 	t.Helper()
-	c, err := net.Dial("tcp", d.at)
+	c, err := net.Dial("tcp", d.address)
 	if err != nil {
 		t.Fatal(err)
 	}
 	_ = c.SetDeadline(time.Now().Add(testbed.Generous))
 	t.Cleanup(func() { c.Close() })
-	return &caller{c.(*net.TCPConn), t, bufio.NewReader(c)}
+	return &testClient{c.(*net.TCPConn), t, bufio.NewReader(c)}
 }
 
 // get is the bytes of requests without a body.
@@ -139,15 +151,15 @@
 	return b.String()
 }
 
-func (c *caller) send(bytes string) {
+func (c *testClient) send(bytes string) {
 	c.t.Helper()
 	if _, err := io.WriteString(c, bytes); err != nil {
 		c.t.Fatal(err)
 	}
 }
 
-// takes takes one answer.
-func (c *caller) takes(status int, body string) *http.Response {
+// expectResponse reads one response.
+func (c *testClient) expectResponse(status int, body string) *http.Response {
 	c.t.Helper()
 	res, err := http.ReadResponse(c.r, nil)
 	if err != nil {
@@ -160,8 +172,8 @@
 	return res
 }
 
-// ends takes that the connection ends with nothing more on it.
-func (c *caller) ends() {
+// expectEnd reads that the connection ends with nothing more on it.
+func (c *testClient) expectEnd() {
 	c.t.Helper()
 	if b, err := io.ReadAll(c.r); err != nil || len(b) > 0 {
 		c.t.Fatalf("the connection ends with %q, %v", b, err)
@@ -169,11 +181,11 @@
 	c.Close()
 }
 
-// has waits for requests, in this order.
-func (d *desk) has(t *testing.T, uris ...string) (all []asked) {
+// expectAsked waits for requests, in this order.
+func (d *fakeEngine) expectAsked(t *testing.T, uris ...string) (all []askedRequest) {
 	t.Helper()
 	for _, uri := range uris {
-		a := testbed.Wait(t, uri, d.asks)
+		a := testbed.Wait(t, uri, d.asked)
 		if a.uri != uri {
 			t.Fatalf("%s was asked, want %s", a.uri, uri)
 		}
@@ -182,24 +194,26 @@
 	return all
 }
 
-// hasNone says that nothing else was asked while so many are held: the dialect has read this target, if one is named, and another connection had a whole request since.
-func (d *desk) hasNone(t *testing.T, held int64, read string) {
+// expectNoneAsked checks that nothing else was asked while so many are open: the dialect has read this target, if one
+// is named, and another connection had a whole request since.
+func (d *fakeEngine) expectNoneAsked(t *testing.T, held int64, read string) {
 	t.Helper()
-	until(t, read+" is read", func() bool {
+	waitUntil(t, read+" is read", func() bool {
 		d.mu.Lock()
 		defer d.mu.Unlock()
-		return read == "" || slices.Contains(d.reads, read)
+		return read == "" || slices.Contains(d.parsedTargets, read)
 	})
 	c := d.dial(t)
 	c.send(get("/safe/between"))
-	d.has(t, "/safe/between")[0].serve()
-	c.takes(200, "done /safe/between")
+	d.expectAsked(t, "/safe/between")[0].reply()
+	c.expectResponse(200, "done /safe/between")
 	c.Close()
-	until(t, "all others' places are free", func() bool { return d.target.OpenRequests() == held }) // each is given back behind its answer
+	// Each request is released behind its response.
+	waitUntil(t, "all others are released", func() bool { return d.target.OpenRequests() == held })
 }
 
-// until waits until something is so.
-func until(t *testing.T, what string, is func() bool) {
+// waitUntil waits until something is so.
+func waitUntil(t *testing.T, what string, is func() bool) {
 	t.Helper()
 	for end := time.Now().Add(testbed.Generous); !is(); runtime.Gosched() {
 		if time.Now().After(end) {
@@ -208,307 +222,320 @@
 	}
 }
 
-// tells waits for those that are told gone.
-func (d *desk) tells(t *testing.T, all ...asked) {
+// expectGone waits until requests are reported gone.
+func (d *fakeEngine) expectGone(t *testing.T, all ...askedRequest) {
 	t.Helper()
 	for _, a := range all {
 		if id := testbed.Wait(t, "that one is gone", d.gone); id != a.id {
-			t.Errorf("%d is told gone, want %d, %s", id, a.id, a.uri)
+			t.Errorf("%d is reported gone, want %d, %s", id, a.id, a.uri)
 		}
 	}
 }
 
-// What comes behind an open request, with it or later, is worked on at the same time, the last one's end first; answers keep the order. A connection with open
-// requests never rests.
-func TestAheadInOrder(t *testing.T) {
+// What comes behind an open request, with it or later, is worked on at the same time, the last one's end first;
+// answers keep the order. A connection with open requests never rests.
+func TestPipelinedResponsesKeepOrder(t *testing.T) {
 	for name, split := range map[string]bool{"one write": false, "separate writes": true} {
 		t.Run(name, func(t *testing.T) {
-			d := newDesk(t, 0, true)
+			d := newFakeEngine(t, 0, true)
 			c := d.dial(t)
 			for round := range 3 {
 				uris := []string{fmt.Sprint("/safe/a", round), fmt.Sprint("/safe/b", round), fmt.Sprint("/safe/c", round)}
-				var all []asked
+				var all []askedRequest
 				if split {
 					for _, uri := range uris {
 						whole := get(uri)
 						c.send(whole[:9]) // in parts, which must not be lost
 						c.send(whole[9:])
-						all = append(all, d.has(t, uri)...)
+						all = append(all, d.expectAsked(t, uri)...)
 					}
 				} else {
 					c.send(get(uris...))
-					all = d.has(t, uris...)
+					all = d.expectAsked(t, uris...)
 				}
-				until(t, "the last round's places are free", func() bool { return d.target.OpenRequests() == 3 })
+				waitUntil(t, "the last round's places are free", func() bool { return d.target.OpenRequests() == 3 })
 				d.front.acceptor.closeIdle(0)
 				if rest := d.front.Counters().Rest; rest != [stateCount]int{} {
 					t.Errorf("at rest %v, want none", rest)
 				}
-				all[2].serve()
-				all[0].serve()
-				c.takes(200, "done "+uris[0])
-				d.hasNone(t, 2, "")
+				all[2].reply()
+				all[0].reply()
+				c.expectResponse(200, "done "+uris[0])
+				d.expectNoneAsked(t, 2, "")
 				d.front.acceptor.closeIdle(0) // nor does one with requests behind an answer
-				all[1].serve()
-				c.takes(200, "done "+uris[1])
-				c.takes(200, "done "+uris[2])
+				all[1].reply()
+				c.expectResponse(200, "done "+uris[1])
+				c.expectResponse(200, "done "+uris[2])
 			}
 		})
 	}
 }
 
 // A client that pipelines late is seen to do it, though it was taken for one that does not.
-func TestAheadSeenLate(t *testing.T) {
-	d := newDesk(t, 0, true)
+func TestLatePipeliningIsNoticed(t *testing.T) {
+	d := newFakeEngine(t, 0, true)
 	c := d.dial(t)
 	for i := range 2 * maxUnpipelinedResponses {
 		uri := fmt.Sprint("/safe/", i)
 		c.send(get(uri))
-		d.has(t, uri)[0].serve()
-		c.takes(200, "done "+uri)
+		d.expectAsked(t, uri)[0].reply()
+		c.expectResponse(200, "done "+uri)
 	}
 	c.send(get("/safe/a"))
-	a := d.has(t, "/safe/a")[0]
+	a := d.expectAsked(t, "/safe/a")[0]
 	c.send(get("/safe/b")) // nobody looks for it before the answer
-	a.serve()
-	c.takes(200, "done /safe/a")
-	b := d.has(t, "/safe/b")[0]
+	a.reply()
+	c.expectResponse(200, "done /safe/a")
+	b := d.expectAsked(t, "/safe/b")[0]
 	c.send(get("/safe/c"))
-	d.has(t, "/safe/c")[0].serve()
-	b.serve()
-	c.takes(200, "done /safe/b")
-	c.takes(200, "done /safe/c")
+	d.expectAsked(t, "/safe/c")[0].reply()
+	b.reply()
+	c.expectResponse(200, "done /safe/b")
+	c.expectResponse(200, "done /safe/c")
 }
 
-// What is not idempotent or has a body is served alone, when all before it has its answer, and what follows waits for that; each is looked at once.
-func TestAheadWaitsForOthers(t *testing.T) {
-	d := newDesk(t, 0, true)
+// What is not idempotent or has a body is served alone, when all before it has its answer, and what follows waits for
+// that; each is looked at once.
+func TestNonIdempotentRequestsAreServedAlone(t *testing.T) {
+	d := newFakeEngine(t, 0, true)
 	c := d.dial(t)
-	c.send(get("/safe/1", "/safe/2", "/run/3") + "POST /safe/4 HTTP/1.1\r\nHost: a\r\nContent-Length: 2\r\n\r\n42" + get("/safe/5", "/safe/6"))
-	first := d.has(t, "/safe/1", "/safe/2")
-	d.hasNone(t, 2, "/run/3")
-	first[1].serve()
-	first[0].serve()
-	c.takes(200, "done /safe/1")
-	c.takes(200, "done /safe/2")
-	alone := d.has(t, "/run/3")[0]
-	d.hasNone(t, 1, "")
-	alone.serve()
-	c.takes(200, "done /run/3")
-	if alone = d.has(t, "/safe/4")[0]; alone.body != "42" {
+	c.send(get("/safe/1", "/safe/2", "/run/3") +
+		"POST /safe/4 HTTP/1.1\r\nHost: a\r\nContent-Length: 2\r\n\r\n42" +
+		get("/safe/5", "/safe/6"))
+	first := d.expectAsked(t, "/safe/1", "/safe/2")
+	d.expectNoneAsked(t, 2, "/run/3")
+	first[1].reply()
+	first[0].reply()
+	c.expectResponse(200, "done /safe/1")
+	c.expectResponse(200, "done /safe/2")
+	alone := d.expectAsked(t, "/run/3")[0]
+	d.expectNoneAsked(t, 1, "")
+	alone.reply()
+	c.expectResponse(200, "done /run/3")
+	if alone = d.expectAsked(t, "/safe/4")[0]; alone.body != "42" {
 		t.Errorf("body %q", alone.body)
 	}
-	d.hasNone(t, 1, "")
-	alone.serve()
-	c.takes(200, "done /safe/4")
-	for _, a := range slices.Backward(d.has(t, "/safe/5", "/safe/6")) {
-		a.serve()
+	d.expectNoneAsked(t, 1, "")
+	alone.reply()
+	c.expectResponse(200, "done /safe/4")
+	for _, a := range slices.Backward(d.expectAsked(t, "/safe/5", "/safe/6")) {
+		a.reply()
 	}
-	c.takes(200, "done /safe/5")
-	c.takes(200, "done /safe/6")
+	c.expectResponse(200, "done /safe/5")
+	c.expectResponse(200, "done /safe/6")
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.reads = slices.DeleteFunc(d.reads, func(uri string) bool { return uri == "/safe/between" })
-	if want := []string{"/safe/1", "/safe/2", "/run/3", "/safe/4", "/safe/5", "/safe/6"}; !slices.Equal(d.reads, want) {
-		t.Errorf("looked at %q, want %q", d.reads, want)
+	d.parsedTargets = slices.DeleteFunc(d.parsedTargets, func(uri string) bool { return uri == "/safe/between" })
+	want := []string{"/safe/1", "/safe/2", "/run/3", "/safe/4", "/safe/5", "/safe/6"}
+	if !slices.Equal(d.parsedTargets, want) {
+		t.Errorf("looked at %q, want %q", d.parsedTargets, want)
 	}
 }
 
-// What closes the connection, or can't be read, has its answer in its turn, and nothing behind it is taken.
-func TestAheadCloses(t *testing.T) {
-	for name, last := range map[string]string{"asked to": "GET /safe/2 HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n", "unreadable": "GET /safe/2 HTTP/1.1\r\nHost: a\n\r\n"} {
+// A request that closes the connection or can't be read has its response in its turn, and nothing behind it is read.
+func TestPipelinedRequestThatCloses(t *testing.T) {
+	for name, last := range map[string]string{
+		"asked to":   "GET /safe/2 HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n",
+		"unreadable": "GET /safe/2 HTTP/1.1\r\nHost: a\n\r\n",
+	} {
 		t.Run(name, func(t *testing.T) {
-			d := newDesk(t, 0, true)
+			d := newFakeEngine(t, 0, true)
 			c := d.dial(t)
 			c.send(get("/safe/0", "/safe/1") + last)
-			for _, a := range slices.Backward(d.has(t, "/safe/0", "/safe/1")) {
-				a.serve()
+			for _, a := range slices.Backward(d.expectAsked(t, "/safe/0", "/safe/1")) {
+				a.reply()
 			}
-			c.takes(200, "done /safe/0")
-			c.takes(200, "done /safe/1")
+			c.expectResponse(200, "done /safe/0")
+			c.expectResponse(200, "done /safe/1")
 			if name == "unreadable" {
-				if res := c.takes(400, "a line ends in a bare LF or holds a bare CR\n"); !res.Close || res.Header.Get("Of") != "" {
+				res := c.expectResponse(400, "a line ends in a bare LF or holds a bare CR\n")
+				if !res.Close || res.Header.Get("Of") != "" {
 					t.Errorf("headers %v, want none of the request before", res.Header)
 				}
 			} else {
-				d.has(t, "/safe/2")[0].serve()
-				if res := c.takes(200, "done /safe/2"); !res.Close {
+				d.expectAsked(t, "/safe/2")[0].reply()
+				if res := c.expectResponse(200, "done /safe/2"); !res.Close {
 					t.Error("the answer does not say that its connection closes")
 				}
 			}
-			c.ends()
+			c.expectEnd()
 		})
 	}
 }
 
-// body is an answer's that the test passes on piece by piece.
-type body struct {
+// testBody is a response's body that the test writes.
+type testBody struct {
 	*io.PipeReader
 	closed chan struct{}
 	once   *sync.Once
 }
 
-func newBody() (body, *io.PipeWriter) {
+func newTestBody() (testBody, *io.PipeWriter) {
 	r, w := io.Pipe()
-	return body{r, make(chan struct{}), new(sync.Once)}, w
+	return testBody{r, make(chan struct{}), new(sync.Once)}, w
 }
 
-func (body) Length() int64 { return -1 }
+func (testBody) Length() int64 { return -1 }
 
-func (b body) Close() {
+func (b testBody) Close() {
 	b.once.Do(func() { close(b.closed) })
 	b.PipeReader.Close()
 }
 
-// Of a client that hangs up all that is open is told gone, and an answer that has begun is given up. One that sent half a request more still has its answers.
-func TestAheadHangsUp(t *testing.T) {
-	d := newDesk(t, 0, true)
+// Of a client that hangs up all that is open is told gone, and an answer that has begun is given up. One that sent
+// half a request more still has its answers.
+func TestHangupCancelsPipelined(t *testing.T) {
+	d := newFakeEngine(t, 0, true)
 	c := d.dial(t)
 	c.send(get("/safe/1", "/safe/2", "/safe/3"))
-	all := d.has(t, "/safe/1", "/safe/2", "/safe/3")
-	b, _ := newBody()
-	all[1].reply <- call.Answer{Kind: call.Served, Stream: b}
+	all := d.expectAsked(t, "/safe/1", "/safe/2", "/safe/3")
+	b, _ := newTestBody()
+	all[1].replies <- call.Answer{Kind: call.Served, Stream: b}
 	c.Close()
-	d.tells(t, all...)
+	d.expectGone(t, all...)
 	testbed.Wait(t, "that the answer is given up", b.closed)
 
 	for range 10 { // whether its end or its last request is noticed first
 		c = d.dial(t)
 		c.send(get("/safe/1"))
-		all = d.has(t, "/safe/1")
+		all = d.expectAsked(t, "/safe/1")
 		c.send(get("/safe/2"))
 		c.Close()
-		d.tells(t, append(all, d.has(t, "/safe/2")...)...)
+		d.expectGone(t, append(all, d.expectAsked(t, "/safe/2")...)...)
 	}
 
 	c = d.dial(t)
 	c.send(get("/safe/1", "/safe/2") + "GET /safe/3")
-	all = d.has(t, "/safe/1", "/safe/2")
+	all = d.expectAsked(t, "/safe/1", "/safe/2")
 	if err := c.CloseWrite(); err != nil {
 		t.Fatal(err)
 	}
-	d.hasNone(t, 2, "")
-	all[1].serve()
-	all[0].serve()
-	c.takes(200, "done /safe/1")
-	c.takes(200, "done /safe/2")
-	c.ends()
+	d.expectNoneAsked(t, 2, "")
+	all[1].reply()
+	all[0].reply()
+	c.expectResponse(200, "done /safe/1")
+	c.expectResponse(200, "done /safe/2")
+	c.expectEnd()
 }
 
-// With a drain the next answer is the connection's last; what was read behind it is called off.
-func TestAheadDrains(t *testing.T) {
-	d := newDesk(t, 0, true)
+// With a drain the next response is the connection's last; what was read behind it is cancelled.
+func TestDrainCancelsPipelined(t *testing.T) {
+	d := newFakeEngine(t, 0, true)
 	c := d.dial(t)
 	c.send(get("/safe/1", "/safe/2", "/safe/3"))
-	all := d.has(t, "/safe/1", "/safe/2", "/safe/3")
+	all := d.expectAsked(t, "/safe/1", "/safe/2", "/safe/3")
 	drained := make(chan error, 1)
 	go func() { drained <- d.drain() }()
-	until(t, "it drains", d.front.draining.Load)
+	waitUntil(t, "it drains", d.front.draining.Load)
 	c.send(get("/safe/4"))
-	all[1].serve()
-	all[0].serve()
-	if res := c.takes(200, "done /safe/1"); !res.Close {
+	all[1].reply()
+	all[0].reply()
+	if res := c.expectResponse(200, "done /safe/1"); !res.Close {
 		t.Error("the answer does not say that its connection closes")
 	}
-	d.tells(t, all[1:]...)
-	c.ends()
+	d.expectGone(t, all[1:]...)
+	c.expectEnd()
 	if err := testbed.Wait(t, "the drain", drained); err != nil {
 		t.Error(err)
 	}
 }
 
-// What is turned away, and what finds no place while others are open, has its answer in its turn: each by its own head.
-func TestAheadRefused(t *testing.T) {
-	d := newDesk(t, 2, true)
+// Requests that are rejected, or find no capacity while others are open, have their response in their turn: each by its
+// own head.
+func TestPipelinedRejections(t *testing.T) {
+	d := newFakeEngine(t, 2, true)
 	c := d.dial(t)
 	c.send(get("/safe/1", "/over/2", "/safe/3", "/safe/4", "/safe/5"))
-	first := d.has(t, "/safe/1")[0]
-	d.hasNone(t, 1, "/over/2")
-	first.serve()
-	c.takes(200, "done /safe/1")
-	if res := c.takes(429, ""); res.Header.Get("Of") != "/over/2" {
+	first := d.expectAsked(t, "/safe/1")[0]
+	d.expectNoneAsked(t, 1, "/over/2")
+	first.reply()
+	c.expectResponse(200, "done /safe/1")
+	if res := c.expectResponse(429, ""); res.Header.Get("Of") != "/over/2" {
 		t.Errorf("headers %v", res.Header)
 	}
-	both := d.has(t, "/safe/3", "/safe/4")
-	both[1].reply <- call.Answer{Kind: call.Refused}
-	both[0].reply <- call.Answer{Kind: call.Failed}
-	if res := c.takes(502, ""); res.Header.Get("Of") != "/safe/3" {
+	both := d.expectAsked(t, "/safe/3", "/safe/4")
+	both[1].replies <- call.Answer{Kind: call.Refused}
+	both[0].replies <- call.Answer{Kind: call.Failed}
+	if res := c.expectResponse(502, ""); res.Header.Get("Of") != "/safe/3" {
 		t.Errorf("headers %v", res.Header)
 	}
-	if res := c.takes(503, ""); res.Header.Get("Of") != "/safe/4" {
+	if res := c.expectResponse(503, ""); res.Header.Get("Of") != "/safe/4" {
 		t.Errorf("headers %v", res.Header)
 	}
-	d.has(t, "/safe/5")[0].serve()
-	c.takes(200, "done /safe/5")
+	d.expectAsked(t, "/safe/5")[0].reply()
+	c.expectResponse(200, "done /safe/5")
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.reads = slices.DeleteFunc(d.reads, func(uri string) bool { return uri == "/safe/between" }); len(d.reads) != 5 {
-		t.Errorf("looked at %q, want each once", d.reads)
+	d.parsedTargets = slices.DeleteFunc(d.parsedTargets, func(uri string) bool { return uri == "/safe/between" })
+	if len(d.parsedTargets) != 5 {
+		t.Errorf("looked at %q, want each once", d.parsedTargets)
 	}
 }
 
-// No more than aheadMost are read ahead; each answer makes room for one.
-func TestAheadBound(t *testing.T) {
-	d := newDesk(t, 0, true)
+// No more than maxPipelined are read ahead; each response allows one more.
+func TestPipelineLimit(t *testing.T) {
+	d := newFakeEngine(t, 0, true)
 	c := d.dial(t)
 	var uris []string
 	for i := range 3 * maxPipelined {
-		uris = append(uris, fmt.Sprintf("/safe/%d?%s", i, strings.Repeat("x", bufferSize/maxPipelined))) // more than a scratch holds
+		// Together they are more than a buffer holds.
+		uris = append(uris, fmt.Sprintf("/safe/%d?%s", i, strings.Repeat("x", bufferSize/maxPipelined)))
 	}
 	c.send(get(uris...))
-	all := d.has(t, uris[:1+maxPipelined]...)
+	all := d.expectAsked(t, uris[:1+maxPipelined]...)
 	for i, uri := range uris {
 		if i+maxPipelined < len(uris) {
-			d.hasNone(t, 1+maxPipelined, "")
+			d.expectNoneAsked(t, 1+maxPipelined, "")
 		}
-		all[i].serve()
-		c.takes(200, "done "+uri)
+		all[i].reply()
+		c.expectResponse(200, "done "+uri)
 		if next := i + 1 + maxPipelined; next < len(uris) {
-			all = append(all, d.has(t, uris[next])...)
+			all = append(all, d.expectAsked(t, uris[next])...)
 		}
 	}
 }
 
-// An answer that is passed on as it comes has its place among the others; requests are taken on meanwhile.
-func TestAheadStreams(t *testing.T) {
-	d := newDesk(t, 0, true)
+// A response that is streamed has its place among the others; requests are accepted meanwhile.
+func TestPipelinedStream(t *testing.T) {
+	d := newFakeEngine(t, 0, true)
 	c := d.dial(t)
 	c.send(get("/safe/1", "/safe/2", "/safe/3"))
-	all := d.has(t, "/safe/1", "/safe/2", "/safe/3")
-	b, w := newBody()
-	all[2].serve()
-	all[1].reply <- call.Answer{Kind: call.Served, Stream: b}
-	all[0].serve()
-	c.takes(200, "done /safe/1")
+	all := d.expectAsked(t, "/safe/1", "/safe/2", "/safe/3")
+	b, w := newTestBody()
+	all[2].reply()
+	all[1].replies <- call.Answer{Kind: call.Served, Stream: b}
+	all[0].reply()
+	c.expectResponse(200, "done /safe/1")
 	if _, err := io.WriteString(w, "some "); err != nil {
 		t.Fatal(err)
 	}
 	c.send(get("/safe/4"))
-	fourth := d.has(t, "/safe/4")[0]
+	fourth := d.expectAsked(t, "/safe/4")[0]
 	if _, err := io.WriteString(w, "more"); err != nil {
 		t.Fatal(err)
 	}
 	w.Close()
-	c.takes(200, "some more")
-	c.takes(200, "done /safe/3")
-	fourth.serve()
-	c.takes(200, "done /safe/4")
+	c.expectResponse(200, "some more")
+	c.expectResponse(200, "done /safe/3")
+	fourth.reply()
+	c.expectResponse(200, "done /safe/4")
 }
 
 // Without a dialect a connection serves one request at a time.
-func TestNothingAheadWithoutDialect(t *testing.T) {
-	d := newDesk(t, 0, false)
+func TestNoPipeliningWithoutDialect(t *testing.T) {
+	d := newFakeEngine(t, 0, false)
 	c := d.dial(t)
 	for i := range 3 {
-		c.send(fmt.Sprintf("GET /look/%d HTTP/1.1\r\nHost: a\r\nX-Request-Id: r%d\r\nX-Priority-Class: look\r\nX-Timeout: 1000m\r\n\r\n", i, i))
+		c.send(fmt.Sprintf("GET /look/%d HTTP/1.1\r\nHost: a\r\nX-Request-Id: r%d\r\n"+
+			"X-Priority-Class: look\r\nX-Timeout: 1000m\r\n\r\n", i, i))
 	}
 	for i := range 3 {
 		uri := fmt.Sprint("/look/", i)
-		a := d.has(t, uri)[0]
-		if held := d.target.OpenRequests(); held != 1 || len(d.asks) != 0 {
-			t.Errorf("%d held, %d more asked; want one at a time", held, len(d.asks))
+		a := d.expectAsked(t, uri)[0]
+		if held := d.target.OpenRequests(); held != 1 || len(d.asked) != 0 {
+			t.Errorf("%d held, %d more asked; want one at a time", held, len(d.asked))
 		}
-		a.serve()
-		c.takes(200, "done "+uri)
+		a.reply()
+		c.expectResponse(200, "done "+uri)
 	}
 }
--- a/internal/proxy/front/http1/poll_wait.go
+++ b/internal/proxy/front/http1/poll_wait.go
@@ -7,16 +7,16 @@
 	"syscall"
 )
 
-// turns wait for the runtime's poller to have looked at the network once more. It does when nothing is runnable any
-// more, or after 10 ms. One that waits for that has let all go first that others have begun, and all that has come in
-// over the network; yielding does the opposite: whoever yields is runnable, and as long as somebody is, the
-// network is looked at every 10 ms only, which all answers then wait for.
+// pollWaits waits for the runtime's poller to look at the network once more. It does when no goroutine is runnable
+// any more, or after 10 ms. One that waits for that lets all go first that others have begun, and all that has come
+// in over the network. Yielding does the opposite: whoever yields is runnable, and as long as somebody is, the
+// network is looked at every 10 ms only, which all responses then wait for.
 type pollWaits struct {
 	mu   sync.Mutex
-	free []*pollPipe
+	free []*pollPipe // that nobody waits on; guarded by mu
 }
 
-// turn is a pipe: a byte that is written to it is seen by the poller.
+// pollPipe is a pipe: a byte that is written to it is seen by the poller.
 type pollPipe struct {
 	r, w *os.File
 	raw  syscall.RawConn
@@ -27,38 +27,38 @@
 	if err != nil {
 		return nil, err
 	}
-	t := &pollPipe{r: r, w: w}
-	if t.raw, err = r.SyscallConn(); err != nil {
-		t.close()
+	p := &pollPipe{r: r, w: w}
+	if p.raw, err = r.SyscallConn(); err != nil {
+		p.close()
 		return nil, err
 	}
-	return t, nil
+	return p, nil
 }
 
-func (t *pollPipe) close() {
-	t.r.Close()
-	t.w.Close()
+func (p *pollPipe) close() {
+	p.r.Close()
+	p.w.Close()
 }
 
-// wait returns behind one look of the poller at the network, or at once where the system has no pipe left.
-func (ts *pollWaits) wait() {
-	ts.mu.Lock()
-	var t *pollPipe
-	if n := len(ts.free); n > 0 {
-		t, ts.free = ts.free[n-1], ts.free[:n-1]
+// wait returns after one look of the poller at the network, or at once where the system has no pipe left.
+func (w *pollWaits) wait() {
+	w.mu.Lock()
+	var p *pollPipe
+	if n := len(w.free); n > 0 {
+		p, w.free = w.free[n-1], w.free[:n-1]
 	}
-	ts.mu.Unlock()
-	if t == nil {
+	w.mu.Unlock()
+	if p == nil {
 		var err error
-		if t, err = newPollPipe(); err != nil {
+		if p, err = newPollPipe(); err != nil {
 			return
 		}
 	}
 	written := false
-	err := t.raw.Read(func(fd uintptr) bool {
+	err := p.raw.Read(func(fd uintptr) bool {
 		if !written { // only now that the poller's memory of the pipe is cleared, see internal/poll's prepareRead
 			written = true
-			_, err := t.w.Write([]byte{1})
+			_, err := p.w.Write([]byte{1})
 			return err != nil
 		}
 		var b [1]byte
@@ -66,20 +66,20 @@
 		return !errors.Is(err, syscall.EAGAIN) && !errors.Is(err, syscall.EINTR)
 	})
 	if err != nil {
-		t.close()
+		p.close()
 		return
 	}
-	ts.mu.Lock()
-	defer ts.mu.Unlock()
-	ts.free = append(ts.free, t)
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.free = append(w.free, p)
 }
 
-// close closes those that nobody waits on.
-func (ts *pollWaits) close() {
-	ts.mu.Lock()
-	defer ts.mu.Unlock()
-	for _, t := range ts.free {
-		t.close()
+// close closes the pipes that nobody waits on.
+func (w *pollWaits) close() {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	for _, p := range w.free {
+		p.close()
 	}
-	ts.free = nil
+	w.free = nil
 }
--- a/internal/proxy/front/http1/read_permits_test.go
+++ b/internal/proxy/front/http1/read_permits_test.go
@@ -9,8 +9,9 @@
 	"caperarch/internal/proxy/clock"
 )
 
-// However many connections of a flooded pool want to be read, one of a quiet pool's is read next; all permits come back.
-func TestGateIsFair(t *testing.T) {
+// However many connections of a flooded pool want to be read, one of a quiet pool's is read next; all permits come
+// back.
+func TestReadPermitsAreFair(t *testing.T) {
 	f := New(Config{ConnLimits: NewConnLimits(192, 128)}, clock.New())
 	flooded, quiet := new(Target), new(Target)
 	f.ShareAmong([]*Target{flooded, quiet}, []float64{1, 1})
--- /dev/null
+++ b/internal/proxy/front/http1/response.go
@@ -0,0 +1,202 @@
+package http1
+
+import (
+	"cmp"
+	"errors"
+	"log/slog"
+	"net"
+	"net/http"
+	"syscall"
+	"time"
+
+	"caperarch/internal/proxy/call"
+	"caperarch/internal/proxy/h1"
+	"caperarch/internal/proxy/metrics"
+)
+
+// overloadRetryAfter is what a client is told to wait where the front itself has no capacity for its request.
+const overloadRetryAfter = time.Second
+
+// respond sends the response to a request whose body may still be coming; reader is nil if it is not. It returns
+// whether the connection can stay open, as all that respond do.
+func (c *conn) respond(reply *call.Answer, reader *bodyReader) bool {
+	if reader == nil {
+		return c.writeReply(reply)
+	}
+	if reader.stop() {
+		reader.returnUnread()
+		return c.writeReply(reply)
+	}
+	c.buffers.head.Close = true // nobody knows where its next request begins
+	_ = c.netConn.SetReadDeadline(time.Time{})
+	if !c.writeReply(reply) {
+		return false
+	}
+	c.lingeringClose(earlyResponseLinger, maxEarlyResponseLingerBytes)
+	return false
+}
+
+// rejectOverload rejects a request whose body may still be coming.
+func (c *conn) rejectOverload(reader *bodyReader) bool {
+	return c.respond(&call.Answer{Kind: call.Refused, RetryAfter: overloadRetryAfter, RejectedByFront: true}, reader)
+}
+
+// rejectOverloadByHead rejects a request by its head, at once. A body that is still to come is discarded, so that the
+// connection stays open; meanwhile it counts as one that is being read. A body that would take long ends the
+// connection.
+func (c *conn) rejectOverloadByHead(head *h1.Head) bool {
+	reply := call.Answer{Kind: call.Refused, RetryAfter: overloadRetryAfter, RejectedByFront: true}
+	return c.respondByHead(head, &h1.Response{
+		Status: http.StatusServiceUnavailable, RetryAfter: reply.RetryAfter, Header: c.proxyHeaders(&reply),
+	})
+}
+
+// respondByHead responds to a request before its body is read; see rejectOverloadByHead.
+func (c *conn) respondByHead(head *h1.Head, response *h1.Response) bool {
+	toCome := head.Length - int64(c.unreadEnd-c.unreadStart)
+	tooLong := !head.Chunked && toCome > call.MaxBufferedBody
+	closesBeforeEnd := c.buffers.head.Close && (head.Chunked || toCome > 0)
+	if tooLong || closesBeforeEnd {
+		c.buffers.head.Close = true
+		if c.writeResponse(response, nil) {
+			c.lingeringClose(earlyResponseLinger, maxEarlyResponseLingerBytes)
+		}
+		return false
+	}
+	if !c.writeResponse(response, nil) {
+		return false
+	}
+	if head.Length <= 0 && !head.Chunked {
+		return true
+	}
+	reader := c.newBodyReader(head)
+	_ = c.netConn.SetReadDeadline(time.Now().Add(bodyTimeout))
+	c.acceptor.markReading(c)
+	if !reader.discardRest() {
+		return false
+	}
+	reader.returnUnread()
+	return c.acceptor.markBusy(c)
+}
+
+// reject responds to a request that can't be accepted and closes its connection: where the request ends is not to be
+// trusted.
+func (c *conn) reject(rejection *Rejection) bool {
+	response := h1.Response{
+		Status: rejection.Status, Length: int64(len(rejection.Reason) + 1), PlainText: true, Close: true,
+		Header: c.proxyHeaders(nil),
+	}
+	if rejection.Status == http.StatusServiceUnavailable { // nothing of it was forwarded: harmless to retry
+		response.RetryAfter = overloadRetryAfter
+	}
+	if c.writeResponse(&response, []byte(rejection.Reason+"\n")) {
+		c.lingeringClose(rejectLinger, maxLingerBytes)
+	}
+	return false
+}
+
+// writeReply sends an engine's reply as a response.
+func (c *conn) writeReply(reply *call.Answer) bool {
+	switch {
+	case reply.Kind == call.Served && reply.Stream != nil:
+		if body, ok := reply.Stream.(call.Body); ok {
+			return c.streamResponse(reply, body)
+		}
+		reply.Stream.Close() // of another protocol's transport: an internal fault
+		return c.writeResponse(&h1.Response{Status: http.StatusBadGateway}, nil)
+	case reply.Kind == call.Served:
+		return c.writeResponse(&h1.Response{
+			Status: cmp.Or(reply.Status, http.StatusOK), Header: reply.Header, Length: int64(len(reply.Body)),
+		}, reply.Body)
+	case reply.Kind == call.Refused: // a retry is harmless, best after the pause
+		return c.writeResponse(&h1.Response{
+			Status: http.StatusServiceUnavailable, RetryAfter: reply.RetryAfter, Header: c.proxyHeaders(reply),
+		}, nil)
+	case reply.LastResult != nil && c.front.cfg.Dialect != nil: // the server's own error response
+		return c.writeResponse(&h1.Response{
+			Status: reply.LastResult.Status, Header: reply.LastResult.Header, Length: int64(len(reply.LastResult.Body)),
+		}, reply.LastResult.Body)
+	case reply.TimedOut:
+		return c.writeResponse(&h1.Response{Status: http.StatusGatewayTimeout, Header: c.proxyHeaders(reply)}, nil)
+	}
+	return c.writeResponse(&h1.Response{Status: http.StatusBadGateway, Header: c.proxyHeaders(reply)}, nil)
+}
+
+// proxyHeaders are the fields of a response that is not a server's; reply is nil for a rejection.
+func (c *conn) proxyHeaders(reply *call.Answer) http.Header {
+	if c.front.cfg.Dialect == nil {
+		return nil
+	}
+	return c.front.cfg.Dialect.ProxyHeaders(&c.buffers.head, reply)
+}
+
+// writeResponse sends a response and counts it. It returns false if the client did not take it.
+func (c *conn) writeResponse(response *h1.Response, body []byte) bool {
+	if c.front.draining.Load() || c.isOverShare() {
+		c.buffers.head.Close = true // with this response
+	}
+	response.Close = response.Close || c.buffers.head.Close
+	response.Date = dateNow(c.front.clock.Now())
+	c.buffers.out = response.Append(c.buffers.out[:0])
+	if err := c.write(c.buffers.out, body); err != nil {
+		c.front.cfg.Log.Debug("client did not take the response", "error", err, slog.Int("status", response.Status))
+		return false
+	}
+	c.metrics.Handled(outcomeOf(response.Status))
+	c.metrics = nil // a request is counted once
+	return true
+}
+
+// outcomeOf is the outcome that a response's status is counted as.
+func outcomeOf(status int) metrics.Outcome {
+	switch status {
+	case http.StatusOK:
+		return metrics.Passed
+	case http.StatusServiceUnavailable, http.StatusTooManyRequests:
+		return metrics.Dropped
+	}
+	return metrics.BadGateway
+}
+
+// write sends head and body in one system call if the client takes that at once, and waits for responseWriteTimeout at
+// most.
+func (c *conn) write(head, body []byte) error {
+	if len(head)+len(body) <= 2*bufferSize {
+		head, body = append(head, body...), nil
+	}
+	if c.rawConn != nil && body == nil { // with no deadline to set and take back
+		n, err := c.writeNonblocking(head)
+		if n == len(head) {
+			return nil
+		}
+		if err != nil {
+			return err
+		}
+		head = head[max(n, 0):] // an error of the socket comes again
+	}
+	c.releasePermit() // the client takes its time
+	if err := c.netConn.SetWriteDeadline(time.Now().Add(responseWriteTimeout)); err != nil {
+		return err
+	}
+	defer c.netConn.SetWriteDeadline(time.Time{})
+	buffers := net.Buffers{head}
+	if body != nil {
+		buffers = append(buffers, body)
+	}
+	_, err := buffers.WriteTo(c.netConn)
+	return err
+}
+
+// writeNonblocking writes what the socket takes at once. n is negative if that failed; an error says that the
+// connection is closed.
+func (c *conn) writeNonblocking(b []byte) (n int, err error) {
+	err = c.rawConn.Write(func(fd uintptr) bool {
+		for {
+			var err error
+			if n, err = syscall.Write(int(fd), b); !errors.Is(err, syscall.EINTR) {
+				return true
+			}
+		}
+	})
+	return n, err
+}
--- a/internal/proxy/front/http1/watcher_linux.go
+++ b/internal/proxy/front/http1/watcher_linux.go
@@ -10,15 +10,15 @@
 // epollET is EPOLLET: syscall's own constant is negative and doesn't fit the field.
 const epollET = 1 << 31
 
-// watcher notices clients that go away while their requests are open, for all connections at once. Each is
-// added when it comes and taken off by the system when it closes, so a request costs no system call for it and no
-// goroutine of its own.
+// watcher notices clients that leave while their requests are open, for all connections at once. Each connection is
+// added when it is accepted and removed by the system when it closes, so a request costs no system call for that and
+// no goroutine of its own. The watcher's goroutine ends with close.
 type watcher struct {
 	file *os.File // of epoll(7): the runtime's poller waits for it, no thread does
 	raw  syscall.RawConn
 
 	mu    sync.Mutex
-	conns map[int32]*conn // by descriptor
+	conns map[int32]*conn // by descriptor; guarded by mu
 }
 
 func newWatcher() (*watcher, error) {
@@ -26,7 +26,7 @@
 	if err != nil {
 		return nil, os.NewSyscallError("epoll_create1", err)
 	}
-	if err := syscall.SetNonblock(fd, true); err != nil { // what has os.NewFile hand it to the runtime's poller
+	if err := syscall.SetNonblock(fd, true); err != nil { // so that os.NewFile hands it to the runtime's poller
 		syscall.Close(fd)
 		return nil, os.NewSyscallError("fcntl", err)
 	}
@@ -41,7 +41,8 @@
 
 func (w *watcher) close() { w.file.Close() }
 
-// add has a connection told once when its client ends its side or breaks it, and each time that bytes come if it is armed.
+// add has a connection told once when its client ends its side or resets it, and each time that bytes come if
+// notifyOnData is set.
 func (w *watcher) add(c *conn) {
 	if c.rawConn == nil {
 		return
@@ -55,7 +56,8 @@
 	})
 }
 
-// change has a connection told of bytes as well, or no longer, by c.armed. What has come already is told too.
+// update has a connection told of bytes as well, or no longer, by c.notifyOnData. Bytes that have come already count
+// too.
 func (w *watcher) update(c *conn) {
 	_ = c.rawConn.Control(func(uintptr) { w.control(syscall.EPOLL_CTL_MOD, c) })
 }
@@ -71,7 +73,7 @@
 	})
 }
 
-// remove forgets a connection that is about to close.
+// remove removes a connection that is about to close.
 func (w *watcher) remove(c *conn) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -80,6 +82,7 @@
 	}
 }
 
+// run reports events until the watcher is closed.
 func (w *watcher) run() {
 	var events [64]syscall.EpollEvent
 	for {
@@ -94,7 +97,7 @@
 		}
 		w.mu.Lock()
 		for _, e := range events[:max(n, 0)] {
-			// The descriptor may be another connection's by now: who is told looks for itself, see conn.left.
+			// The descriptor may be another connection's by now: who is told checks, see conn.clientGone.
 			if c := w.conns[e.Fd]; c != nil {
 				if e.Events&^syscall.EPOLLIN != 0 {
 					c.signalHangup()
--- a/internal/proxy/front/http1/watcher_other.go
+++ b/internal/proxy/front/http1/watcher_other.go
@@ -2,7 +2,8 @@
 
 package http1
 
-// watcher is for Linux. Elsewhere a client's going away is noticed when its answer is written, and only what comes with a request's head is read ahead.
+// watcher works on Linux only. Elsewhere a client that leaves is noticed when its response is written, and only what
+// comes with a request's head is read ahead.
 type watcher struct{}
 
 func newWatcher() (*watcher, error) { return new(watcher), nil }
