--- a/cmd/measure/bench.go
+++ b/cmd/measure/bench.go
@@ -53,18 +53,19 @@
 	}
 	words := strings.Fields(line)
 	b.addresses = words[2:]
-	text := testbed.ConfigText(panics{}, testbed.Listed(1, "ready", b.addresses...), func(file, settings map[string]any) {
-		file["discovery"] = words[1]
-		file["limits"] = map[string]any{"cores": 1.0, "memory_mb": 192, "sockets": 1024}
-		settings["caps"].(map[string]any)["max_open"] = mostOpen
-		for _, c := range settings["classes"].([]any) {
-			class := c.(map[string]any)
-			class["aim_ms"], class["hard_limit_ms"] = 500.0, 2000.0
-		}
-		for _, o := range settings["orgs"].([]any) {
-			o.(map[string]any)["quota_per_s"] = quota
-		}
-	})
+	text := testbed.ConfigText(panics{}, testbed.Listed(1, "ready", b.addresses...),
+		func(file, settings map[string]any) {
+			file["discovery"] = words[1]
+			file["limits"] = map[string]any{"cores": 1.0, "memory_mb": 192, "sockets": 1024}
+			settings["caps"].(map[string]any)["max_open"] = mostOpen
+			for _, c := range settings["classes"].([]any) {
+				class := c.(map[string]any)
+				class["aim_ms"], class["hard_limit_ms"] = 500.0, 2000.0
+			}
+			for _, o := range settings["orgs"].([]any) {
+				o.(map[string]any)["quota_per_s"] = quota
+			}
+		})
 	b.config = b.dir + "/plugin.json"
 	if err := os.WriteFile(b.config, []byte(text), 0o600); err != nil {
 		return nil, err
@@ -134,7 +135,8 @@
 	for _, connections := range []int{16, 256} {
 		f := make(figures)
 		for round := range rounds {
-			l := load{Nodes: b.addresses, Connections: connections, Seconds: seconds, Seed: uint64(time.Now().UnixNano())}
+			l := load{Nodes: b.addresses, Connections: connections, Seconds: seconds,
+				Seed: uint64(time.Now().UnixNano())}
 			l.Mode = "direct"
 			direct, err := l.run()
 			if err != nil {
@@ -155,19 +157,23 @@
 			f.add("daemon p50", viaDaemon.P50)
 			f.add("proxy CPU", proxyCPU)
 			f.add("daemon CPU", daemonCPU)
-			fmt.Printf("%d connections, round %d: p50 direct %.3f proxy %.3f daemon %.3f ms; CPU a request proxy %.1f daemon %.1f µs\n",
+			fmt.Printf("%d connections, round %d: p50 direct %.3f proxy %.3f daemon %.3f ms; CPU a "+
+				"request proxy %.1f daemon %.1f µs\n",
 				connections, round+1, direct.P50, viaProxy.P50, viaDaemon.P50, proxyCPU, daemonCPU)
 		}
 		ratio, p50 := f["daemon CPU"].over(f["proxy CPU"]), f["daemon p50"].over(f["proxy p50"])
 		fmt.Printf("%d connections: CPU a request, daemon over proxy: %v\n", connections, ratio)
 		fmt.Printf("%d connections: p50, daemon over proxy:           %v\n", connections, p50)
 		if ratio.median() > daemonBound {
-			missed = append(missed, fmt.Sprintf("at %d connections the daemon takes %.2f of the proxy's CPU, %.2f at most", connections, ratio.median(), daemonBound))
+			missed = append(missed, fmt.Sprintf("at %d connections the daemon takes %.2f of the proxy's "+
+				"CPU, %.2f at most", connections, ratio.median(), daemonBound))
 		}
 		if p50.median() > 1 {
-			missed = append(missed, fmt.Sprintf("at %d connections the daemon's p50 is %.2f of the proxy's, 1 at most", connections, p50.median()))
+			missed = append(missed, fmt.Sprintf("at %d connections the daemon's p50 is %.2f of the proxy's, 1 at most",
+				connections, p50.median()))
 		}
-		result += fmt.Sprintf("cpu_ratio_%d=%.3f cpu_us_%d=%.1f p50_ratio_%d=%.3f ", connections, ratio.median(), connections, f["daemon CPU"].median(), connections, p50.median())
+		result += fmt.Sprintf("cpu_ratio_%d=%.3f cpu_us_%d=%.1f p50_ratio_%d=%.3f ", connections,
+			ratio.median(), connections, f["daemon CPU"].median(), connections, p50.median())
 	}
 	return fmt.Sprintf("%srounds=%d", result, rounds), missed, nil
 }
@@ -178,7 +184,8 @@
 // turnawayBound is what of a served request's CPU a refusal at the head may take.
 const turnawayBound = 0.5
 
-// measureTurnaway: what a request costs that is refused at its head, with the place held by another, beside one that is served.
+// measureTurnaway: what a request costs that is refused at its head, with the place held by
+// another, beside one that is served.
 func measureTurnaway(short bool) (string, []string, error) {
 	served, err := newBench()
 	if err != nil {
@@ -196,7 +203,8 @@
 	}
 	f := make(figures)
 	for round := range rounds {
-		l := load{Nodes: served.addresses, Connections: 16, Seconds: seconds, Seed: uint64(time.Now().UnixNano()), Lenient: true}
+		l := load{Nodes: served.addresses, Connections: 16, Seconds: seconds,
+			Seed: uint64(time.Now().UnixNano()), Lenient: true}
 		_, servedCPU, err := served.through(served.daemon, served.at, l)
 		if err != nil {
 			return "", nil, err
@@ -210,13 +218,16 @@
 		}
 		f.add("served", servedCPU)
 		f.add("refused", refusedCPU)
-		fmt.Printf("round %d: CPU a request served %.1f refused %.1f µs (%d refused)\n", round+1, servedCPU, refusedCPU, o.Failed)
+		fmt.Printf("round %d: CPU a request served %.1f refused %.1f µs (%d refused)\n", round+1, servedCPU,
+			refusedCPU, o.Failed)
 	}
 	ratio := f["refused"].over(f["served"])
 	fmt.Println("CPU a request, refused at the head over served:", ratio)
 	var missed []string
 	if ratio.median() > turnawayBound {
-		missed = append(missed, fmt.Sprintf("a refusal takes %.2f of a served request's CPU, %.2f at most", ratio.median(), turnawayBound))
+		missed = append(missed, fmt.Sprintf("a refusal takes %.2f of a served request's CPU, %.2f at most",
+			ratio.median(), turnawayBound))
 	}
-	return fmt.Sprintf("cpu_ratio=%.3f refused_us=%.1f rounds=%d", ratio.median(), f["refused"].median(), rounds), missed, nil
+	return fmt.Sprintf("cpu_ratio=%.3f refused_us=%.1f rounds=%d", ratio.median(), f["refused"].median(),
+		rounds), missed, nil
 }
--- a/cmd/measure/child.go
+++ b/cmd/measure/child.go
@@ -27,9 +27,20 @@
 	body     = "weight 41.5 kg; hive 7; the rest is padding as a gateway app has it ..................................."
 )
 
+// childParts are the parts that this program plays in processes that a measurement starts.
+var childParts = map[string]func([]string) error{
+	"nodes":        serveNodes,
+	"proxy":        serveProxy,
+	"host":         host,
+	"flood":        flood,
+	"hollow":       hollowSidecars,
+	"meshupstream": meshUpstream,
+	"meshcallers":  meshCallers,
+}
+
 // child is this program in another part.
 func child(part string, args []string) {
-	err := map[string]func([]string) error{"nodes": serveNodes, "proxy": serveProxy, "host": host, "flood": flood, "hollow": hollowSidecars, "meshupstream": meshUpstream, "meshcallers": meshCallers}[part](args)
+	err := childParts[part](args)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "measure:", part+":", err)
 		os.Exit(1)
@@ -92,7 +103,8 @@
 			mu.Unlock()
 			r.SetURL(&url.URL{Scheme: "http", Host: address})
 		},
-		Transport: &http.Transport{MaxIdleConnsPerHost: 100, IdleConnTimeout: 30 * time.Second, DisableCompression: true},
+		Transport: &http.Transport{MaxIdleConnsPerHost: 100, IdleConnTimeout: 30 * time.Second,
+			DisableCompression: true},
 	}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -123,10 +135,11 @@
 	P50, P99, P999 float64 // of the time of a request from when it was due, in ms
 	Requests       int
 	Failed         int
-	CPU            float64      // of the host, µs a request
-	Allocs         float64      // of the host, a request
-	RSS            float64      // MiB
-	Series         [][2]float64 `json:",omitempty"` // of each request: when it was due, in s, and its time, in ms; -1: it failed
+	CPU            float64 // of the host, µs a request
+	Allocs         float64 // of the host, a request
+	RSS            float64 // MiB
+	// of each request: when it was due, in s, and its time, in ms; -1: it failed
+	Series [][2]float64 `json:",omitempty"`
 }
 
 // host is a process of callers.
@@ -163,7 +176,8 @@
 		}
 		h := req.Header
 		h["X-Request-Id"] = []string{strconv.FormatUint(l.Seed, 36) + "-" + strconv.Itoa(n)}
-		h["X-Priority-Class"], h["X-Tenant-Id"], h["X-Timeout"] = []string{"entry"}, []string{"north"}, []string{"2000m"}
+		h["X-Priority-Class"], h["X-Tenant-Id"], h["X-Timeout"] = []string{"entry"}, []string{"north"},
+			[]string{"2000m"}
 		res, err := client.Do(req)
 		if err != nil {
 			return err
@@ -198,8 +212,10 @@
 	runtime.ReadMemStats(&after)
 	n := float64(len(times))
 	return json.NewEncoder(os.Stdout).Encode(outcome{
-		P50: quantile(times, 0.5), P99: quantile(times, 0.99), P999: quantile(times, 0.999), Requests: len(times), Failed: failed,
-		CPU: float64((cpuAfter - cpu).Microseconds()) / n, Allocs: float64(after.Mallocs-before.Mallocs) / n, RSS: float64(rss) / (1 << 20),
+		P50: quantile(times, 0.5), P99: quantile(times, 0.99), P999: quantile(times, 0.999),
+		Requests: len(times), Failed: failed,
+		CPU:    float64((cpuAfter - cpu).Microseconds()) / n,
+		Allocs: float64(after.Mallocs-before.Mallocs) / n, RSS: float64(rss) / (1 << 20),
 		Series: l.series,
 	})
 }
--- a/cmd/measure/control.go
+++ b/cmd/measure/control.go
@@ -78,7 +78,9 @@
 	if err != nil {
 		return "", nil, err
 	}
-	parts := slices.DeleteFunc(controlParts(binary, rounds, behind), func(p *controlPart) bool { return !strings.Contains(p.key, within) })
+	parts := slices.DeleteFunc(controlParts(binary, rounds, behind), func(p *controlPart) bool {
+		return !strings.Contains(p.key, within)
+	})
 	before := loadAverage()
 	var running sync.WaitGroup
 	for _, p := range parts {
@@ -109,7 +111,8 @@
 	if e := p.measured["elected"]; len(e) > 0 {
 		elected = fmt.Sprintf("%.3f, %.3f", e.median(), slices.Max(e))
 	}
-	return fmt.Sprintf("| %s | %d | %.3f | %.3f | %s | %g |", p.name, len(times), times.median(), p.worst(), elected, p.bound)
+	return fmt.Sprintf("| %s | %d | %.3f | %.3f | %s | %g |", p.name, len(times), times.median(), p.worst(),
+		elected, p.bound)
 }
 
 // missed names what the part did not do, and its bound where that was missed.
@@ -133,7 +136,8 @@
 	var keys []string
 	for _, p := range parts {
 		fmt.Println(p.row())
-		keys = append(keys, fmt.Sprintf("%s_median_s=%.3f %s_worst_s=%.3f", p.key, p.measured[p.figure].median(), p.key, p.worst()))
+		keys = append(keys, fmt.Sprintf("%s_median_s=%.3f %s_worst_s=%.3f", p.key,
+			p.measured[p.figure].median(), p.key, p.worst()))
 		missed = append(missed, p.missed(rounds)...)
 	}
 	fmt.Println()
--- a/cmd/measure/control_core.go
+++ b/cmd/measure/control_core.go
@@ -126,7 +126,9 @@
 	if v == nil || !v.Voter || !v.InContact || v.MembershipChanging || len(v.Voters) != controlMembers {
 		return false
 	}
-	return !slices.ContainsFunc(k.hosts, func(host string) bool { return !slices.Contains(v.Voters, k.internalAt(host)) })
+	return !slices.ContainsFunc(k.hosts, func(host string) bool {
+		return !slices.Contains(v.Voters, k.internalAt(host))
+	})
 }
 
 // restart starts a member anew on the disk that it has.
--- a/cmd/measure/control_join.go
+++ b/cmd/measure/control_join.go
@@ -84,7 +84,9 @@
 		if err != nil {
 			return measured, err
 		}
-		if err := until("full tolerance", func() bool { return k.tolerant(k.hosts[newcomer]) && k.leaderTolerant() }); err != nil {
+		if err := until("full tolerance", func() bool {
+			return k.tolerant(k.hosts[newcomer]) && k.leaderTolerant()
+		}); err != nil {
 			return measured, err
 		}
 		measured.add("tolerance", time.Since(began).Seconds())
--- a/cmd/measure/control_operator.go
+++ b/cmd/measure/control_operator.go
@@ -34,7 +34,8 @@
 	woken chan struct{}
 }
 
-func newOperator(machines int, number int64, send func(ctx context.Context, machine int, number int64) error) *operator {
+func newOperator(machines int, number int64,
+	send func(ctx context.Context, machine int, number int64) error) *operator {
 	return &operator{send: send, machines: machines, number: number, pause: operatorPause, woken: make(chan struct{})}
 }
 
--- a/cmd/measure/even.go
+++ b/cmd/measure/even.go
@@ -19,8 +19,10 @@
 func measureEven(short bool) (string, []string, error) {
 	days, seeds := []emulator.EvenDay{
 		{Sidecars: 40, Servers: 40, Each: 4}, {Sidecars: 24, Servers: 12, Each: 5},
-		{Sidecars: 300, Servers: 60, Each: 1}, {Sidecars: 300, Servers: 60, Each: 4}, {Sidecars: 300, Servers: 60, Each: 10}, {Sidecars: 300, Servers: 200, Each: 4},
-		{Sidecars: 300, Servers: 60, Each: 4, Heavy: true}, {Sidecars: 1000, Servers: 60, Each: 1}, {Sidecars: 5000, Servers: 200, Each: 1},
+		{Sidecars: 300, Servers: 60, Each: 1}, {Sidecars: 300, Servers: 60, Each: 4},
+		{Sidecars: 300, Servers: 60, Each: 10}, {Sidecars: 300, Servers: 200, Each: 4},
+		{Sidecars: 300, Servers: 60, Each: 4, Heavy: true}, {Sidecars: 1000, Servers: 60, Each: 1},
+		{Sidecars: 5000, Servers: 200, Each: 1},
 	}, uint64(5)
 	if short {
 		days, seeds = days[:4], 2
@@ -48,12 +50,14 @@
 				alike.add(loadspread.Alike(all, weights, 50*time.Millisecond))
 			}
 		}
-		fmt.Printf("%d sidecars at %.0f/s before %d, heavy %v: variance over mean %v in 1 s, %v in 10 s (chance %v, one round robin %v); greatest over mean %v (chance %v); alike within 50 ms %v\n",
+		fmt.Printf("%d sidecars at %.0f/s before %d, heavy %v: variance over mean %v in 1 s, %v in 10 s "+
+			"(chance %v, one round robin %v); greatest over mean %v (chance %v); alike within 50 ms %v\n",
 			d.Sidecars, d.Each, d.Servers, d.Heavy, brief, long, chance, limit, greatest, chanceMost, alike)
 		if d.Sidecars == 300 {
 			worst = max(worst, long.median())
 			if long.median() > evenVariance || greatest.median() > evenGreatest {
-				missed = append(missed, fmt.Sprintf("%d at %.0f/s before %d, heavy %v: variance %.2f, greatest %.2f; at most %v and %v", d.Sidecars, d.Each, d.Servers, d.Heavy, long.median(),
+				missed = append(missed, fmt.Sprintf("%d at %.0f/s before %d, heavy %v: variance %.2f, "+
+					"greatest %.2f; at most %v and %v", d.Sidecars, d.Each, d.Servers, d.Heavy, long.median(),
 					greatest.median(), evenVariance, evenGreatest))
 			}
 		}
@@ -71,7 +75,8 @@
 	var missed []string
 	worst := 0.0
 	days, warm, length, rounds := []evenReal{
-		{sidecars: 300, nodes: 60, each: 4}, {sidecars: 300, nodes: 60, each: 4, dead: 0.1, peers: true}, {sidecars: 300, nodes: 60, each: 4, dead: 0.1}, {sidecars: 300, nodes: 60, each: 4, heavy: true},
+		{sidecars: 300, nodes: 60, each: 4}, {sidecars: 300, nodes: 60, each: 4, dead: 0.1, peers: true},
+		{sidecars: 300, nodes: 60, each: 4, dead: 0.1}, {sidecars: 300, nodes: 60, each: 4, heavy: true},
 	}, 20*time.Second, 30*time.Second, uint64(1)
 	if short {
 		days, warm, length = []evenReal{{sidecars: 40, nodes: 12, each: 4}}, 3*time.Second, 10*time.Second
@@ -88,14 +93,16 @@
 				}
 			}
 		}
-		name := fmt.Sprintf("real, %d processes at %.0f/s before %d, heavy %v, %.0f%% dead, peers %v", d.sidecars, d.each, d.nodes, d.heavy, 100*d.dead, d.peers)
+		name := fmt.Sprintf("real, %d processes at %.0f/s before %d, heavy %v, %.0f%% dead, peers %v",
+			d.sidecars, d.each, d.nodes, d.heavy, 100*d.dead, d.peers)
 		fmt.Printf("%s: %v\n", name, &now)
 		if len(then.long) > 0 {
 			fmt.Printf("  the release before: %v\n", &then)
 		}
 		worst = max(worst, now.long.median())
 		if !short && (now.long.median() > evenVariance || now.greatest.median() > evenGreatest) {
-			missed = append(missed, fmt.Sprintf("%s: variance %.2f, greatest %.2f; at most %v and %v", name, now.long.median(), now.greatest.median(), evenVariance, evenGreatest))
+			missed = append(missed, fmt.Sprintf("%s: variance %.2f, greatest %.2f; at most %v and %v", name,
+				now.long.median(), now.greatest.median(), evenVariance, evenGreatest))
 		}
 	}
 	return fmt.Sprintf("worst_variance_10s=%.2f", worst), missed, nil
@@ -107,9 +114,11 @@
 	eventSide = 3               // fleets that live through events at once
 )
 
-// measureEvenEvents measures the spread behind what all sidecars notice at about the same moment: in virtual time, and with real processes under faults.
+// measureEvenEvents measures the spread behind what all sidecars notice at about the same moment:
+// in virtual time, and with real processes under faults.
 func measureEvenEvents(short bool) (string, []string, error) {
-	day, e, seeds := emulator.EvenDay{Sidecars: 300, Servers: 60, Each: 4, Until: 70 * time.Second}, evenReal{sidecars: 60, nodes: 12, each: 6, peers: true}, uint64(5)
+	day, e, seeds := emulator.EvenDay{Sidecars: 300, Servers: 60, Each: 4, Until: 70 * time.Second},
+		evenReal{sidecars: 60, nodes: 12, each: 6, peers: true}, uint64(5)
 	if short {
 		seeds = 1
 	}
@@ -126,10 +135,13 @@
 				back.add(b.Back.Seconds())
 			}
 		}
-		fmt.Printf("%s, %s: greatest over mean in the worst second, over chance's %v; idle %v; back after %v s\n", where, name, herd, idle, back)
-		worst, longest = max(worst, herd.median()), max(longest, time.Duration(min(back.median(), 999)*float64(time.Second)))
+		fmt.Printf("%s, %s: greatest over mean in the worst second, over chance's %v; idle %v; back after %v s\n",
+			where, name, herd, idle, back)
+		worst, longest = max(worst, herd.median()),
+			max(longest, time.Duration(min(back.median(), 999)*float64(time.Second)))
 		if herd.median() > evenHerd || idle.median() > 0.01 || back.median() > evenBack.Seconds() {
-			missed = append(missed, fmt.Sprintf("%s, %s: herd %.2f, idle %.3f, back after %.0f s", where, name, herd.median(), idle.median(), back.median()))
+			missed = append(missed, fmt.Sprintf("%s, %s: herd %.2f, idle %.3f, back after %.0f s", where,
+				name, herd.median(), idle.median(), back.median()))
 		}
 	}
 	for _, event := range emulator.EvenEvents(day.Servers) {
--- a/cmd/measure/even_real.go
+++ b/cmd/measure/even_real.go
@@ -49,7 +49,8 @@
 	w := new(evenWorld)
 	// Every other sidecar asks another stand-in, which can be told later.
 	w.Fleet = fleet.New(t, fleet.Config{
-		Size: e.sidecars, Nodes: e.nodes, Direct: true, Plain: !e.peers, Command: func() *exec.Cmd { return exec.Command(binary) },
+		Size: e.sidecars, Nodes: e.nodes, Direct: true, Plain: !e.peers,
+		Command: func() *exec.Cmd { return exec.Command(binary) },
 		Begin: func(f *fleet.Fleet) {
 			for _, n := range f.Nodes {
 				n.Takes = answers
@@ -80,7 +81,9 @@
 		}
 	}
 	if e.peers { // by their logs, as asking hundreds again and again costs them memory
-		for begun := time.Now(); w.Logged("peers: in contact") < e.sidecars && time.Since(begun) < contactTime; time.Sleep(200 * time.Millisecond) {
+		begun := time.Now()
+		for w.Logged("peers: in contact") < e.sidecars && time.Since(begun) < contactTime {
+			time.Sleep(200 * time.Millisecond)
 		}
 	}
 	for _, i := range rng.Perm(e.sidecars)[:int(e.dead*float64(e.sidecars))] {
@@ -132,7 +135,8 @@
 	r := loadspread.Of(loadspread.Random(all, weights, e.seed), weights, warm, warm+length, window)
 	o.chance.add(r.Variance)
 	o.chanceGreatest.add(r.Greatest)
-	o.two.add(loadspread.Of(loadspread.Two(all, weights, 10*time.Millisecond, e.seed), weights, warm, warm+length, window).Variance)
+	o.two.add(loadspread.Of(loadspread.Two(all, weights, 10*time.Millisecond, e.seed), weights, warm,
+		warm+length, window).Variance)
 	o.limit.add(loadspread.Of(loadspread.Limit(all, weights), weights, warm, warm+length, window).Variance)
 	o.alike.add(loadspread.Alike(all[len(all)/2:min(len(all), len(all)/2+10_000)], weights, 50*time.Millisecond))
 	o.requests += len(all)
@@ -141,12 +145,14 @@
 }
 
 func (o *evenSeen) String() string {
-	return fmt.Sprintf("variance over mean %v in 1 s, %v in 10 s (chance %v, random of two by own view %v, one round robin %v); greatest over mean %v (chance %v); alike within 50 ms %v; %d requests, %d refused",
+	return fmt.Sprintf("variance over mean %v in 1 s, %v in 10 s (chance %v, random of two by own view "+
+		"%v, one round robin %v); greatest over mean %v (chance %v); alike within 50 ms %v; %d requests, %d refused",
 		o.brief, o.long, o.chance, o.two, o.limit, o.greatest, o.chanceGreatest, o.alike, o.requests, o.refused)
 }
 
-// evenEvents has real processes live through each event, under faults: datagrams lost, late and twice, a tenth of the processes killed and a tenth stopped for a while as it happens,
-// half of them told by discovery two seconds later.
+// evenEvents has real processes live through each event, under faults: datagrams lost, late and
+// twice, a tenth of the processes killed and a tenth stopped for a while as it happens, half of
+// them told by discovery two seconds later.
 func evenEvents(binary string, e evenReal, side int) (map[string]emulator.Behind, error) {
 	seen := make(map[string]emulator.Behind)
 	var mu sync.Mutex
@@ -257,7 +263,9 @@
 		each(event.At, func(n *testbed.Node) { n.Do(testbed.Always(testbed.Hang)) })
 		each(event.Ends, func(n *testbed.Node) { n.Do(testbed.Always(testbed.Slow)) })
 	case event.Acts.Slower > 0:
-		takes := func(by float64) func(*testbed.Node) { return func(n *testbed.Node) { n.Times.Store(int64(by * 1000)) } }
+		takes := func(by float64) func(*testbed.Node) {
+			return func(n *testbed.Node) { n.Times.Store(int64(by * 1000)) }
+		}
 		each(event.At, takes(event.Acts.Slower))
 		if event.Ends > event.At {
 			each(event.Ends, takes(1))
--- a/cmd/measure/flood.go
+++ b/cmd/measure/flood.go
@@ -13,7 +13,8 @@
 )
 
 // floods are what the flooded pool's clients do.
-var floods = []string{"full bodies", "bodies a byte at a time", "connections that say nothing", "nodes that answer nothing"}
+var floods = []string{"full bodies", "bodies a byte at a time", "connections that say nothing",
+	"nodes that answer nothing"}
 
 // flooding is what a flood is asked for.
 type flooding struct {
@@ -73,7 +74,8 @@
 }
 
 func (f *flooding) head(i, n, length int) string {
-	return fmt.Sprintf("POST /entry HTTP/1.1\r\nHost: %s\r\nX-Request-ID: f%d-%d-%d\r\nX-Priority-Class: entry\r\nX-Tenant-Id: north\r\n"+
+	return fmt.Sprintf("POST /entry HTTP/1.1\r\nHost: %s\r\nX-Request-ID: f%d-%d-%d\r\n"+
+		"X-Priority-Class: entry\r\nX-Tenant-Id: north\r\n"+
 		"X-Timeout: 2000m\r\nContent-Length: %d\r\n\r\n", f.Host, i, n, time.Now().UnixNano(), length)
 }
 
@@ -104,7 +106,8 @@
 		}
 		req.Host = f.Host
 		for name, value := range map[string]string{
-			"X-Request-ID": fmt.Sprintf("f%d-%d-%d", i, n, time.Now().UnixNano()), "X-Priority-Class": "entry", "X-Tenant-Id": "north", "X-Timeout": "2000m",
+			"X-Request-ID":     fmt.Sprintf("f%d-%d-%d", i, n, time.Now().UnixNano()),
+			"X-Priority-Class": "entry", "X-Tenant-Id": "north", "X-Timeout": "2000m",
 		} {
 			req.Header.Set(name, value)
 		}
--- a/cmd/measure/main.go
+++ b/cmd/measure/main.go
@@ -27,7 +27,40 @@
 // seed is the only one that is played, of the measurements that draw from several; 0: all are.
 var seed uint64
 
-var measurements = map[string]measurement{"daemon": measureDaemon, "plugin": measurePlugin, "pools": measurePools, "turnaway": measureTurnaway, "strain": measureStrain, "service": measureService, "walls": measureWalls, "rest": measureRest, "mutants": measureMutants, "plans": measurePlans, "peers": measurePeers, "vast": measureVast, "policyplans": measurePolicyPlans, "policy": measurePolicy, "even": measureEven, "evenreal": measureEvenReal, "evenevents": measureEvenEvents, "work": measureWork, "workplans": measureWorkPlans, "mesh": measureMesh, "meshlarge": measureMeshLarge, "control": measureControl}
+// measurements are the verbs of the command line.
+var measurements = map[string]measurement{
+	// One proxy: its cost, its walls, its upgrades.
+	"daemon":   measureDaemon,
+	"plugin":   measurePlugin,
+	"pools":    measurePools,
+	"turnaway": measureTurnaway,
+	"walls":    measureWalls,
+	"rest":     measureRest,
+	"service":  measureService,
+
+	// The decision module in virtual time.
+	"strain": measureStrain,
+	"even":   measureEven,
+
+	// Fleets of proxies that gossip and agree.
+	"evenreal":    measureEvenReal,
+	"evenevents":  measureEvenEvents,
+	"peers":       measurePeers,
+	"vast":        measureVast,
+	"plans":       measurePlans,
+	"policy":      measurePolicy,
+	"policyplans": measurePolicyPlans,
+	"work":        measureWork,
+	"workplans":   measureWorkPlans,
+
+	// The mesh and its core machines.
+	"mesh":      measureMesh,
+	"meshlarge": measureMeshLarge,
+	"control":   measureControl,
+
+	// Planted faults that the tests must find.
+	"mutants": measureMutants,
+}
 
 func main() {
 	if len(os.Args) > 2 && os.Args[1] == "child" {
@@ -48,10 +81,13 @@
 	flags := flag.NewFlagSet(name, flag.ExitOnError)
 	short := flags.Bool("short", false, "end within 45 s")
 	flags.StringVar(&plots, "plots", "", "folder for plots (SVG), of the measurements that have some")
-	flags.IntVar(&seedsMost, "seeds", 0, "play seeds 1 to `N` instead of as many as are usual, of the measurements that draw from several")
+	flags.IntVar(&seedsMost, "seeds", 0,
+		"play seeds 1 to `N` instead of as many as are usual, of the measurements that draw from several")
 	flags.Uint64Var(&seed, "seed", 0, "play this seed alone, of the measurements that draw from several")
-	flags.StringVar(&within, "in", "", "only what is about packages whose names have this in them, of the measurements that go by packages; of control, only the parts whose keys have it")
-	flags.StringVar(&before, "before", "", "the daemon of an earlier release, to be measured beside the present one by those that can")
+	flags.StringVar(&within, "in", "", "only what is about packages whose names have this in them, of "+
+		"the measurements that go by packages; of control, only the parts whose keys have it")
+	flags.StringVar(&before, "before", "",
+		"the daemon of an earlier release, to be measured beside the present one by those that can")
 	_ = flags.Parse(os.Args[2:]) // exits on an error
 	endOnSignal()
 	result, missed, err := measurements[name](*short)
--- a/cmd/measure/mesh.go
+++ b/cmd/measure/mesh.go
@@ -45,7 +45,8 @@
 	sequencer int
 }
 
-// meshUse is what was used over a while, a second; of members by their role when the core had calmed down, the mean of those that were no sequencer.
+// meshUse is what was used over a while, a second; of members by their role when the core had
+// calmed down, the mean of those that were no sequencer.
 type meshUse struct {
 	sidecarCPU, sequencerCPU, followerCPU       float64 // of a core; of all sidecars together
 	sidecarIn, sidecarOut                       float64 // bytes, of all sidecars together
@@ -82,7 +83,8 @@
 	return s
 }
 
-// startMeshRun starts core members, a configuration and sidecars, and returns once all of them have it and the core has calmed down.
+// startMeshRun starts core members, a configuration and sidecars, and returns once all of them have
+// it and the core has calmed down.
 func startMeshRun(c cleanups, binary string, shape meshShape, routes int) (*meshRun, error) {
 	sidecars := shape.sidecars
 	core, err := startMeshCore(c, binary, shape.members)
@@ -92,7 +94,9 @@
 	if _, _, _, err := core.replace(meshResources(routes)); err != nil {
 		return nil, err
 	}
-	cfg := hollow.Config{Count: sidecars, Services: meshServices, Seeds: core.seeds(), Zones: meshZones, Tenants: meshTenantNames()[:3], ShareConfig: sidecars > meshShare, StartOver: shape.over, CalledServices: shape.called}
+	cfg := hollow.Config{Count: sidecars, Services: meshServices, Seeds: core.seeds(), Zones: meshZones,
+		Tenants: meshTenantNames()[:3], ShareConfig: sidecars > meshShare, StartOver: shape.over,
+		CalledServices: shape.called}
 	raw, err := json.Marshal(cfg)
 	if err != nil {
 		return nil, err
@@ -113,15 +117,19 @@
 		if err != nil {
 			return nil, err
 		}
-		if report.Connected == sidecars && report.Versions[core.version].Count == sidecars && (cfg.ShareConfig || shape.called > 0 || report.MinUpstreams == sidecars) {
+		if report.Connected == sidecars && report.Versions[core.version].Count == sidecars &&
+			(cfg.ShareConfig || shape.called > 0 || report.MinUpstreams == sidecars) {
 			break
 		}
 		if time.Since(begun) > shape.over+3*meshUp {
-			return nil, fmt.Errorf("after %v %d of %d sidecars are connected, %d have the configuration, one knows %d upstreams", time.Since(begun), report.Connected, sidecars, report.Versions[core.version].Count, report.MinUpstreams)
+			return nil, fmt.Errorf("after %v %d of %d sidecars are connected, %d have the "+
+				"configuration, one knows %d upstreams", time.Since(begun), report.Connected, sidecars,
+				report.Versions[core.version].Count, report.MinUpstreams)
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
-	fmt.Printf("%v, %d routes, started over %v: all up after %.1f s\n", shape, routes, shape.over, time.Since(begun).Seconds())
+	fmt.Printf("%v, %d routes, started over %v: all up after %.1f s\n", shape, routes, shape.over,
+		time.Since(begun).Seconds())
 	time.Sleep(meshSettle)
 	r.sequencer, err = core.sequencer()
 	return r, err
@@ -170,7 +178,8 @@
 	if err != nil {
 		return u, err
 	}
-	u.renewals, u.asks, u.failed = float64(is.Renewals-was.Renewals)/u.seconds, float64(is.Requests-was.Requests)/u.seconds, float64(is.FailedRequests-was.FailedRequests)/u.seconds
+	u.renewals, u.asks, u.failed = float64(is.Renewals-was.Renewals)/u.seconds,
+		float64(is.Requests-was.Requests)/u.seconds, float64(is.FailedRequests-was.FailedRequests)/u.seconds
 	others := float64(len(r.core.members) - 1)
 	for i := range all {
 		cpu := (after[i].cpu - before[i].cpu).Seconds() / u.seconds
@@ -209,7 +218,8 @@
 }
 
 // changes makes changes one after the other, each once the one before is in force everywhere.
-func (r *meshRun) changes(n int, quiet meshUse, change func(i int) (sent, answered time.Time, size int, err error)) (m meshChange, err error) {
+func (r *meshRun) changes(n int, quiet meshUse,
+	change func(i int) (sent, answered time.Time, size int, err error)) (m meshChange, err error) {
 	used, err := r.while(func() error {
 		for i := range n {
 			sent, answered, size, err := change(i)
@@ -227,7 +237,8 @@
 					break
 				}
 				if time.Since(sent) > 3*meshUp {
-					return fmt.Errorf("version %d is in force at %d of %d sidecars after %v", r.core.version, a.Count, r.sidecars, time.Since(sent))
+					return fmt.Errorf("version %d is in force at %d of %d sidecars after %v",
+						r.core.version, a.Count, r.sidecars, time.Since(sent))
 				}
 				time.Sleep(20 * time.Millisecond)
 			}
@@ -294,10 +305,12 @@
 		return
 	}
 	at0, slope, explained := p.fit()
-	fmt.Printf("slope: %s: %.4g %s + %.4g %s for each sidecar; explains %.3f of the variance over %d sizes\n", what, at0*scale, unit, slope*scale, unit, explained, len(p.x))
+	fmt.Printf("slope: %s: %.4g %s + %.4g %s for each sidecar; explains %.3f of the variance over %d sizes\n", what,
+		at0*scale, unit, slope*scale, unit, explained, len(p.x))
 }
 
-// measureMesh measures what the mesh's control costs by its size, what a change costs by its configuration's, and what the data path adds to a call.
+// measureMesh measures what the mesh's control costs by its size, what a change costs by its
+// configuration's, and what the data path adds to a call.
 func measureMesh(short bool) (string, []string, error) {
 	sizes, windows, each, routes := []int{50, 100, 200, 400, 800}, 3, 5*time.Second, []int{25, 350, 2000}
 	if short {
@@ -342,10 +355,12 @@
 			points[name].add(float64(n), y)
 		}
 		if y := s.bytes + s.askBytes; y > meshControlBytes {
-			miss("%d sidecars: each moves %.0f bytes a second for control with the asks for tokens, %.0f at most", n, y, meshControlBytes)
+			miss("%d sidecars: each moves %.0f bytes a second for control with the asks for tokens, %.0f at most", n,
+				y, meshControlBytes)
 		}
 		if y := s.cpu + s.askCPU; y > meshControlCPU {
-			miss("%d sidecars: each uses %.4f of a core for control with the asks for tokens, %.3f at most", n, y, meshControlCPU)
+			miss("%d sidecars: each uses %.4f of a core for control with the asks for tokens, %.3f at most",
+				n, y, meshControlCPU)
 		}
 		if s.memory > meshControlMemory {
 			miss("%d sidecars: each holds %.0f bytes, %d at most", n, s.memory, meshControlMemory)
@@ -358,9 +373,13 @@
 		name, unit string
 		scale      float64
 	}{
-		{"sequencer: CPU", "% of a core", 100}, {"other member: CPU", "% of a core", 100}, {"sequencer: memory", "KiB", 1.0 / 1024}, {"other member: memory", "KiB", 1.0 / 1024},
-		{"sequencer: bytes a second", "B", 1}, {"other member: bytes a second", "B", 1}, {"sequencer: CPU for asks for tokens", "% of a core", 100}, {"other member: CPU for asks for tokens", "% of a core", 100},
-		{"sidecar: memory", "KiB", 1.0 / 1024}, {"change: CPU at the sequencer", "ms", 1000}, {"change: in force at the last", "ms", 1000},
+		{"sequencer: CPU", "% of a core", 100}, {"other member: CPU", "% of a core", 100},
+		{"sequencer: memory", "KiB", 1.0 / 1024}, {"other member: memory", "KiB", 1.0 / 1024},
+		{"sequencer: bytes a second", "B", 1}, {"other member: bytes a second", "B", 1},
+		{"sequencer: CPU for asks for tokens", "% of a core", 100},
+		{"other member: CPU for asks for tokens", "% of a core", 100},
+		{"sidecar: memory", "KiB", 1.0 / 1024}, {"change: CPU at the sequencer", "ms", 1000},
+		{"change: in force at the last", "ms", 1000},
 	} {
 		if p := points[f.name]; p != nil {
 			p.print(f.name, f.unit, f.scale)
@@ -379,8 +398,10 @@
 		fmt.Println("meshlarge", large)
 		missed = append(missed, more...)
 	}
-	return fmt.Sprintf("sidecars=%d bytes_s=%.0f ask_bytes_s=%.0f cpu_core=%.5f ask_cpu_core=%.5f memory_mib=%.2f applied_s=%.3f added_p99_ms=%.3f",
-		reached, last.bytes, last.askBytes, last.cpu, last.askCPU, last.memory/(1<<20), last.applied, added.median()), missed, nil
+	return fmt.Sprintf("sidecars=%d bytes_s=%.0f ask_bytes_s=%.0f cpu_core=%.5f ask_cpu_core=%.5f "+
+		"memory_mib=%.2f applied_s=%.3f added_p99_ms=%.3f",
+		reached, last.bytes, last.askBytes, last.cpu, last.askCPU, last.memory/(1<<20), last.applied,
+		added.median()), missed, nil
 }
 
 // meshSized is what a mesh of one size used: of one sidecar, and of members by role.
@@ -393,12 +414,15 @@
 
 func (s meshSized) fitted(n int) map[string]float64 {
 	all := map[string]float64{
-		"sequencer: CPU": s.quiet.sequencerCPU, "other member: CPU": s.quiet.followerCPU, "sequencer: memory": s.quiet.sequencerMem, "other member: memory": s.quiet.followerMemory,
+		"sequencer: CPU": s.quiet.sequencerCPU, "other member: CPU": s.quiet.followerCPU,
+		"sequencer: memory": s.quiet.sequencerMem, "other member: memory": s.quiet.followerMemory,
 		"sequencer: bytes a second": s.quiet.sequencerBytes, "other member: bytes a second": s.quiet.followerBytes,
 		"change: CPU at the sequencer": s.change, "change: in force at the last": s.applied,
 	}
-	if s.asked.failed < 0.01*s.asked.asks { // else they were turned away: the cost is not that of a mesh that serves them
-		all["sequencer: CPU for asks for tokens"], all["other member: CPU for asks for tokens"] = s.asked.sequencerCPU, s.asked.followerCPU
+	// else they were turned away: the cost is not that of a mesh that serves them
+	if s.asked.failed < 0.01*s.asked.asks {
+		all["sequencer: CPU for asks for tokens"] = s.asked.sequencerCPU
+		all["other member: CPU for asks for tokens"] = s.asked.followerCPU
 	}
 	if !s.shared {
 		all["sidecar: memory"] = s.memory
@@ -431,9 +455,15 @@
 	s.bytes, s.cpu, s.memory = in.median()+out.median(), cpu.median()/100, s.quiet.sidecarMemory/n
 	s.quiet.sequencerCPU, s.quiet.followerCPU = sequencer.median()/100, follower.median()/100
 	kind := shape.String()
-	fmt.Printf("%s, quiet: a sidecar: in %v B/s, out %v B/s, %v %% of a core, %.2f renewals/s, %.2f MiB%s\n", kind, in, out, cpu, s.quiet.renewals/n, s.memory/(1<<20), map[bool]string{true: " (charter shared, no catalogue)"}[s.shared])
-	fmt.Printf("%s, quiet: sequencer %v %% of a core, %.1f MiB, %.0f B/s; another member %v %%, %.1f MiB, %.0f B/s\n", kind, sequencer, s.quiet.sequencerMem/(1<<20), s.quiet.sequencerBytes, follower, s.quiet.followerMemory/(1<<20), s.quiet.followerBytes)
-	m, err := r.changes(meshChanges, s.quiet, func(i int) (time.Time, time.Time, int, error) { return r.core.update(i, 3) })
+	fmt.Printf("%s, quiet: a sidecar: in %v B/s, out %v B/s, %v %% of a core, %.2f renewals/s, %.2f MiB%s\n", kind,
+		in, out, cpu, s.quiet.renewals/n, s.memory/(1<<20),
+		map[bool]string{true: " (charter shared, no catalogue)"}[s.shared])
+	fmt.Printf("%s, quiet: sequencer %v %% of a core, %.1f MiB, %.0f B/s; another member %v %%, %.1f MiB, %.0f B/s\n",
+		kind, sequencer, s.quiet.sequencerMem/(1<<20), s.quiet.sequencerBytes, follower,
+		s.quiet.followerMemory/(1<<20), s.quiet.followerBytes)
+	m, err := r.changes(meshChanges, s.quiet, func(i int) (time.Time, time.Time, int, error) {
+		return r.core.update(i, 3)
+	})
 	if err != nil {
 		return s, err
 	}
@@ -445,15 +475,22 @@
 	}
 	s.asked = asked.less(s.quiet)
 	s.askBytes, s.askCPU = (s.asked.sidecarIn+s.asked.sidecarOut)/n, s.asked.sidecarCPU/n
-	fmt.Printf("%s, an ask for tokens every %v from each: %.0f/s answered, %.0f/s failed, p50 %.2f p99 %.2f ms; a sidecar more: %.0f B/s, %.3f %% of a core; sequencer more: %.1f %%, another member more: %.1f %%; members hold %.1f and %.1f MiB\n",
-		kind, meshIdle, s.asked.asks, s.asked.failed, p50, p99, s.askBytes, s.askCPU*100, s.asked.sequencerCPU*100, s.asked.followerCPU*100, s.asked.sequencerMem/(1<<20), s.asked.followerMemory/(1<<20))
+	fmt.Printf("%s, an ask for tokens every %v from each: %.0f/s answered, %.0f/s failed, p50 %.2f p99 "+
+		"%.2f ms; a sidecar more: %.0f B/s, %.3f %% of a core; sequencer more: %.1f %%, another member "+
+		"more: %.1f %%; members hold %.1f and %.1f MiB\n",
+		kind, meshIdle, s.asked.asks, s.asked.failed, p50, p99, s.askBytes, s.askCPU*100,
+		s.asked.sequencerCPU*100, s.asked.followerCPU*100, s.asked.sequencerMem/(1<<20), s.asked.followerMemory/(1<<20))
 	return s, nil
 }
 
 func (m meshChange) print(kind string, sidecars float64, changes int) {
 	of := func(v float64) float64 { return v * m.used.seconds / float64(changes) }
-	fmt.Printf("%s: body %.0f B; answered after %v ms; come to the last sidecar after %v, in force there after %v ms, which is %v ms behind the answer; CPU of one: sequencer %.1f, another member %.1f, a sidecar %.3f ms; a sidecar's bytes in %.0f, out %.0f\n",
-		kind, m.size, m.answered, m.arrived, m.applied, m.afterAnswer, of(m.used.sequencerCPU)*1000, of(m.used.followerCPU)*1000, of(m.used.sidecarCPU)*1000/sidecars, of(m.used.sidecarIn)/sidecars, of(m.used.sidecarOut)/sidecars)
+	fmt.Printf("%s: body %.0f B; answered after %v ms; come to the last sidecar after %v, in force "+
+		"there after %v ms, which is %v ms behind the answer; CPU of one: sequencer %.1f, another "+
+		"member %.1f, a sidecar %.3f ms; a sidecar's bytes in %.0f, out %.0f\n",
+		kind, m.size, m.answered, m.arrived, m.applied, m.afterAnswer, of(m.used.sequencerCPU)*1000,
+		of(m.used.followerCPU)*1000, of(m.used.sidecarCPU)*1000/sidecars, of(m.used.sidecarIn)/sidecars,
+		of(m.used.sidecarOut)/sidecars)
 }
 
 // meshByRoutes measures changes of a configuration of so many routes, before a hundred sidecars.
@@ -469,7 +506,9 @@
 	if err != nil {
 		return err
 	}
-	m, err := r.changes(meshChanges, quiet[0], func(i int) (time.Time, time.Time, int, error) { return r.core.update(i, 3) })
+	m, err := r.changes(meshChanges, quiet[0], func(i int) (time.Time, time.Time, int, error) {
+		return r.core.update(i, 3)
+	})
 	if err != nil {
 		return err
 	}
@@ -487,11 +526,13 @@
 	if err != nil {
 		return err
 	}
-	fmt.Printf("%d routes: a sidecar holds %.2f MiB, the sequencer %.1f, another member %.1f\n", routes, after[0].sidecarMemory/sidecars/(1<<20), after[0].sequencerMem/(1<<20), after[0].followerMemory/(1<<20))
+	fmt.Printf("%d routes: a sidecar holds %.2f MiB, the sequencer %.1f, another member %.1f\n", routes,
+		after[0].sidecarMemory/sidecars/(1<<20), after[0].sequencerMem/(1<<20), after[0].followerMemory/(1<<20))
 	return nil
 }
 
-// measureMeshLarge measures meshes of the size that the operators expect, as far as this machine bears them: what it does not bear is told.
+// measureMeshLarge measures meshes of the size that the operators expect, as far as this machine
+// bears them: what it does not bear is told.
 func measureMeshLarge(short bool) (string, []string, error) {
 	dir, err := os.MkdirTemp("", "measure")
 	if err != nil {
@@ -503,7 +544,9 @@
 		return "", nil, err
 	}
 	shapes := []meshShape{
-		{members: meshCoreMachines, sidecars: meshSize, called: 8, over: 30 * time.Second}, {members: meshCoreMachines, sidecars: meshSize, over: 60 * time.Second}, {members: 3, sidecars: meshSize, called: 8, over: 30 * time.Second},
+		{members: meshCoreMachines, sidecars: meshSize, called: 8, over: 30 * time.Second},
+		{members: meshCoreMachines, sidecars: meshSize, over: 60 * time.Second},
+		{members: 3, sidecars: meshSize, called: 8, over: 30 * time.Second},
 	}
 	if short {
 		shapes = []meshShape{{members: 3, sidecars: 800, called: 8, over: 5 * time.Second}}
@@ -518,7 +561,8 @@
 		}
 		borne++
 		if s.applied > meshAppliedIn {
-			missed = append(missed, fmt.Sprintf("%v: a change is in force everywhere after %.2f s, %.0f at most", shape, s.applied, meshAppliedIn))
+			missed = append(missed, fmt.Sprintf("%v: a change is in force everywhere after %.2f s, %.0f at most",
+				shape, s.applied, meshAppliedIn))
 		}
 	}
 	return fmt.Sprintf("shapes=%d borne=%d", len(shapes), borne), missed, nil
--- a/cmd/measure/mesh_child.go
+++ b/cmd/measure/mesh_child.go
@@ -19,7 +19,8 @@
 	"caperarch/internal/mesh/headers"
 )
 
-// hollowSidecars is a process of sidecars without a data path. It prints the address at which it is asked how they fare (/report) and told to ask for tokens (/ask?every=).
+// hollowSidecars is a process of sidecars without a data path. It prints the address at which it is
+// asked how they fare (/report) and told to ask for tokens (/ask?every=).
 func hollowSidecars(args []string) error {
 	var cfg hollow.Config
 	if err := json.Unmarshal([]byte(args[0]), &cfg); err != nil {
@@ -34,7 +35,9 @@
 	go f.Run(context.Background())
 	fmt.Println("hollow", l.Addr())
 	mux := http.NewServeMux()
-	mux.HandleFunc("/report", func(w http.ResponseWriter, _ *http.Request) { _ = json.NewEncoder(w).Encode(f.Report()) })
+	mux.HandleFunc("/report", func(w http.ResponseWriter, _ *http.Request) {
+		_ = json.NewEncoder(w).Encode(f.Report())
+	})
 	mux.HandleFunc("/ask", func(w http.ResponseWriter, r *http.Request) {
 		every, err := time.ParseDuration(r.URL.Query().Get("every"))
 		if err != nil {
@@ -56,7 +59,8 @@
 	return http.Serve(l, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		h := w.Header()
-		h[headers.Instance], h[headers.Load], h[headers.Signature] = []string{"i-measured"}, []string{"0,0,64"}, []string{"stamp"}
+		h[headers.Instance], h[headers.Load], h[headers.Signature] = []string{"i-measured"},
+			[]string{"0,0,64"}, []string{"stamp"}
 		if id := r.Header[headers.AttemptID]; id != nil {
 			h[headers.AttemptID] = id
 		}
@@ -65,7 +69,8 @@
 	}))
 }
 
-// meshLoad is what a process of callers is asked for: calls at random moments, drawn to go to the upstream or through the mesh, so that what else runs on the machine meets both alike.
+// meshLoad is what a process of callers is asked for: calls at random moments, drawn to go to the
+// upstream or through the mesh, so that what else runs on the machine meets both alike.
 type meshLoad struct {
 	Direct, Through string  // addresses
 	Rate            float64 // calls a second, in all
@@ -142,6 +147,7 @@
 	}
 	calls.Wait()
 	t.Direct, t.Through = len(direct), len(through)
-	t.DirectP50, t.DirectP99, t.ThroughP50, t.ThroughP99 = quantile(direct, 0.5), quantile(direct, 0.99), quantile(through, 0.5), quantile(through, 0.99)
+	t.DirectP50, t.DirectP99, t.ThroughP50, t.ThroughP99 = quantile(direct, 0.5), quantile(direct, 0.99),
+		quantile(through, 0.5), quantile(through, 0.99)
 	return json.NewEncoder(os.Stdout).Encode(t)
 }
--- a/cmd/measure/mesh_core.go
+++ b/cmd/measure/mesh_core.go
@@ -19,7 +19,8 @@
 	"caperarch/meshapi"
 )
 
-// meshZones are the zones of the measured mesh; meshPrefix is the loopback network in which each of its machines has an address of its own, as ports are alike on all.
+// meshZones are the zones of the measured mesh; meshPrefix is the loopback network in which each of
+// its machines has an address of its own, as ports are alike on all.
 var meshZones = []string{"hall-a", "hall-b", "hall-c"}
 
 const (
@@ -130,8 +131,10 @@
 		regions[z] = "kochi"
 	}
 	all := map[string]any{
-		"nodeName": "node-" + host, "role": role, "servedRoles": []string{role}, "ipAddress": host, "zone": zone, "region": "kochi", "countedInQuorum": role == "controlplane", "firstStart": true,
-		"limits": map[string]any{"cpuShare": 0.3, "cpuCores": 1, "memoryMb": 284, "maxOpenFiles": 8192, "bandwidthMbps": 1000, "diskMb": 256},
+		"nodeName": "node-" + host, "role": role, "servedRoles": []string{role}, "ipAddress": host,
+		"zone": zone, "region": "kochi", "countedInQuorum": role == "controlplane", "firstStart": true,
+		"limits": map[string]any{"cpuShare": 0.3, "cpuCores": 1, "memoryMb": 284, "maxOpenFiles": 8192,
+			"bandwidthMbps": 1000, "diskMb": 256},
 	}
 	for k, v := range self {
 		all[k] = v
@@ -143,12 +146,16 @@
 	file := map[string]any{
 		"self": all,
 		"network": map[string]any{
-			"listenAddresses": addresses, "internalPortRange": []int{m.internal, min(m.internal+15, 65535)}, "seedNodes": seeds, "zones": regions,
+			"listenAddresses": addresses, "internalPortRange": []int{m.internal, min(m.internal+15, 65535)},
+			"seedNodes": seeds, "zones": regions,
 		},
 		"provider": map[string]any{"discoverySource": "static", "entryType": "static", "heartbeatIntervalS": 1.5},
 		"guarantees": map[string]any{
-			"contracts": []string{"base", "drain", "config", "retry", "recover", "tenants", "quota"}, "faultTolerance": map[string]any{"machines": 1, "zones": 0, "regions": 0},
-			"bounds": map[string]any{"gracePeriodS": 2, "configApplyS": 14, "quotaWindowS": 5, "quotaOverage": 0.1, "quotaSlack": 20, "retryBudgetRatio": 0.2, "retryWindowS": 10, "retryBudgetSlack": 62},
+			"contracts":      []string{"base", "drain", "config", "retry", "recover", "tenants", "quota"},
+			"faultTolerance": map[string]any{"machines": 1, "zones": 0, "regions": 0},
+			"bounds": map[string]any{"gracePeriodS": 2, "configApplyS": 14, "quotaWindowS": 5,
+				"quotaOverage": 0.1, "quotaSlack": 20, "retryBudgetRatio": 0.2, "retryWindowS": 10,
+				"retryBudgetSlack": 62},
 		},
 	}
 	raw, err := json.Marshal(file) // JSON is YAML
@@ -159,7 +166,8 @@
 	if err := os.WriteFile(path, raw, 0o600); err != nil {
 		return nil, err
 	}
-	p, err := start(exec.Command(m.binary, "-say", "error", role), []string{settings.BootVariable + "=" + path, "GOMAXPROCS=1"}, false)
+	p, err := start(exec.Command(m.binary, "-say", "error", role),
+		[]string{settings.BootVariable + "=" + path, "GOMAXPROCS=1"}, false)
 	if err != nil {
 		return nil, err
 	}
@@ -195,7 +203,8 @@
 	return all
 }
 
-// change puts a change to the first member, and the same once more where no clear answer came. It returns the moments of the first sending and of the answer, and the body's size.
+// change puts a change to the first member, and the same once more where no clear answer came. It
+// returns the moments of the first sending and of the answer, and the body's size.
 func (m *meshCore) change(path string, body map[string]any) (sent, answered time.Time, size int, err error) {
 	body["configVersion"], body["baseVersion"] = m.version+1, m.version
 	raw, err := json.Marshal(body)
@@ -225,11 +234,16 @@
 
 // update changes one route.
 func (m *meshCore) update(route int, priority int) (sent, answered time.Time, size int, err error) {
-	return m.change(meshapi.UpdatePath, map[string]any{"upsert": map[string]any{"resources": []json.RawMessage{meshRoute(route, priority)}}})
+	changed := []json.RawMessage{meshRoute(route, priority)}
+	return m.change(meshapi.UpdatePath, map[string]any{"upsert": map[string]any{"resources": changed}})
 }
 
 func meshRoute(i, priority int) json.RawMessage {
-	return json.RawMessage(fmt.Sprintf(`{"resourceType":"routes","metadata":{"name":"route-%04d"},"specification":{"hostname":"host%03d.example","pathPrefix":"/part%04d/","routeType":"non_idempotent","timeoutS":2,"targetLatencyS":0.25,"priority":%d,"weightedTargets":[{"serviceName":"service%02d","weight":90},{"serviceName":"service%02d","weight":10}],"maxAttempts":2,"public":true}}`,
+	return json.RawMessage(fmt.Sprintf(`{"resourceType":"routes","metadata":{"name":"route-%04d"},`+
+		`"specification":{"hostname":"host%03d.example","pathPrefix":"/part%04d/",`+
+		`"routeType":"non_idempotent","timeoutS":2,"targetLatencyS":0.25,"priority":%d,`+
+		`"weightedTargets":[{"serviceName":"service%02d","weight":90},{"serviceName":"service%02d","weight":10}],`+
+		`"maxAttempts":2,"public":true}}`,
 		i, i%200, i, priority, i%meshServices, (i+1)%meshServices))
 }
 
@@ -249,10 +263,12 @@
 // meshResources is a configuration of so many routes.
 func meshResources(routes int) (all []json.RawMessage) {
 	for i := range meshServices {
-		all = append(all, json.RawMessage(fmt.Sprintf(`{"resourceType":"services","metadata":{"name":"service%02d"},"specification":{"healthCheckPath":"/health","maxConnections":130,"protocol":"h1","tlsEnabled":false}}`, i)))
+		all = append(all, json.RawMessage(fmt.Sprintf(`{"resourceType":"services","metadata":{"name":"service%02d"},`+
+			`"specification":{"healthCheckPath":"/health","maxConnections":130,"protocol":"h1","tlsEnabled":false}}`, i)))
 	}
 	for i, name := range meshTenantNames() {
-		all = append(all, json.RawMessage(fmt.Sprintf(`{"resourceType":"tenants","metadata":{"name":"%s"},"specification":{"apiKeys":["key-%02d-kcuyj8pjbvk9m68k"],"priority":1,"ratePerS":3000,"burstLimit":3000}}`, name, i)))
+		all = append(all, json.RawMessage(fmt.Sprintf(`{"resourceType":"tenants","metadata":{"name":"%s"},"specification":`+
+			`{"apiKeys":["key-%02d-kcuyj8pjbvk9m68k"],"priority":1,"ratePerS":3000,"burstLimit":3000}}`, name, i)))
 	}
 	for i := range routes {
 		all = append(all, meshRoute(i, 1))
--- a/cmd/measure/mesh_path.go
+++ b/cmd/measure/mesh_path.go
@@ -31,10 +31,13 @@
 }
 
 // meshPathRoute is the route of the measured calls, whose one service is beside the gate's sidecar.
-const meshPathRoute = `{"resourceType":"routes","metadata":{"name":"path"},"specification":{"hostname":"path.example","pathPrefix":"/","routeType":"non_idempotent","timeoutS":2,"targetLatencyS":0.25,"serviceName":"service00","maxAttempts":2,"public":true}}`
+const meshPathRoute = `{"resourceType":"routes","metadata":{"name":"path"},` +
+	`"specification":{"hostname":"path.example","pathPrefix":"/","routeType":"non_idempotent","timeoutS":2,` +
+	`"targetLatencyS":0.25,"serviceName":"service00","maxAttempts":2,"public":true}}`
 
-// meshPath measures what two sidecars, one at either end, add to a call, and what they use for it. It returns what is added to the 99th percentile, in ms, by round, at the rate that is
-// expected of one sidecar.
+// meshPath measures what two sidecars, one at either end, add to a call, and what they use for it.
+// It returns what is added to the 99th percentile, in ms, by round, at the rate that is expected of
+// one sidecar.
 func meshPath(binary string, short bool) (added spread, err error) {
 	rounds, seconds, rates := 5, 6.0, []float64{125, 400}
 	if short {
@@ -66,7 +69,9 @@
 		} else {
 			upstream = ports[3]
 		}
-		p, err := core.start(c, "sidecar", host, meshZones[0], map[string]any{"machineClass": settings.Sidecar, "appAddress": ports[3], "serviceName": []string{"service01", "service00"}[i]},
+		p, err := core.start(c, "sidecar", host, meshZones[0],
+			map[string]any{"machineClass": settings.Sidecar, "appAddress": ports[3],
+				"serviceName": []string{"service01", "service00"}[i]},
 			map[string]any{"inbound": ports[0], "outbound": ports[1], "readiness": ports[2]})
 		if err != nil {
 			return nil, err
@@ -85,7 +90,8 @@
 		var p50, p99, out, gate, directP50, directP99, throughP50, throughP99 spread
 		failed := 0
 		for round := range rounds {
-			load := meshLoad{Direct: upstream, Through: outbound, Rate: 2 * rate, Seconds: seconds, Seed: uint64(100*i + round + 1)}
+			load := meshLoad{Direct: upstream, Through: outbound, Rate: 2 * rate, Seconds: seconds,
+				Seed: uint64(100*i + round + 1)}
 			if i == 0 && round == 0 { // the upstream is met, connections come up
 				if err := warmMesh(load); err != nil {
 					return nil, err
@@ -120,7 +126,9 @@
 			throughP50.add(t.ThroughP50)
 			throughP99.add(t.ThroughP99)
 		}
-		fmt.Printf("path, %.0f calls/s through two sidecars and as many direct, in turn by chance: p50 direct %v through %v added %v ms; p99 direct %v through %v added %v ms; CPU a call: way out %v, gate %v µs, control included; %d failed\n",
+		fmt.Printf("path, %.0f calls/s through two sidecars and as many direct, in turn by chance: p50 "+
+			"direct %v through %v added %v ms; p99 direct %v through %v added %v ms; CPU a call: way "+
+			"out %v, gate %v µs, control included; %d failed\n",
 			rate, directP50, throughP50, p50, directP99, throughP99, p99, out, gate, failed)
 		if i == 0 {
 			added = p99
@@ -131,7 +139,8 @@
 		if err != nil {
 			return nil, err
 		}
-		fmt.Printf("path: %s holds %.1f MiB\n", []string{"the sidecar of the way out", "the sidecar of the gate"}[i], float64(rss)/(1<<20))
+		fmt.Printf("path: %s holds %.1f MiB\n",
+			[]string{"the sidecar of the way out", "the sidecar of the gate"}[i], float64(rss)/(1<<20))
 	}
 	return added, nil
 }
--- a/cmd/measure/peers.go
+++ b/cmd/measure/peers.go
@@ -15,7 +15,8 @@
 	peersBytes  = 1024.0  // a second a member at 300, where nothing goes wrong
 	peersCPU    = 0.01    // of a core
 	peersMemory = 3 << 20 // bytes more than with it off
-	peersP99    = 1.25    // requests' 99th percentile over that with it off: the spread of such a ratio on a shared machine
+	// requests' 99th percentile over that with it off: the spread of such a ratio on a shared machine
+	peersP99 = 1.25
 )
 
 // measurePeers measures what it takes that sidecars know of each other, and how well they do.
@@ -29,7 +30,8 @@
 	for _, size := range sizes {
 		n := virtualFleet(size, 1, 0)
 		known := crashKnown(n, 5)
-		fmt.Printf("virtual, %d sidecars: lease %v; in contact %v after a start of all; a crash known to 95%% after %v s\n",
+		fmt.Printf("virtual, %d sidecars: lease %v; in contact %v after a start of all; a crash known "+
+			"to 95%% after %v s\n",
 			size, swim.LeaseFor(size), contactAfterStart(size, 2).Round(100*time.Millisecond), known)
 		if size <= 300 && (most(known) > peersKnown || known.at(0) < 0) {
 			miss("virtual, %d: a crash known after %v s, at most %v", size, known, peersKnown)
@@ -42,7 +44,8 @@
 		time    time.Duration
 	}{{0, false, quiet}, {0.05, false, quiet}, {0.3, false, quiet / 30}, {0, true, quiet / 10}} {
 		suspected, gone, lapsed, bytes, datagrams := quietHour(virtualFleet(size, 3, c.loss), c.time, c.starved)
-		fmt.Printf("virtual, %d sidecars for %v, loss %.2f, one in ten starved %v: %d suspicions, %d false alarms, %d lapses of contact; %.0f bytes in %.1f datagrams a second a member\n",
+		fmt.Printf("virtual, %d sidecars for %v, loss %.2f, one in ten starved %v: %d suspicions, %d "+
+			"false alarms, %d lapses of contact; %.0f bytes in %.1f datagrams a second a member\n",
 			size, c.time, c.loss, c.starved, suspected, gone, lapsed, bytes, datagrams)
 		switch {
 		case c.loss <= 0.05 && !c.starved && gone > 0:
@@ -61,8 +64,11 @@
 		if last, err = realPeers(binary, size, settle); err != nil {
 			return "", nil, err
 		}
-		fmt.Printf("real, %d processes: all in contact after %.1f s and agreed a lease later; a crash known to 95%% after %v s; %.0f bytes a second, %.2f%% of a core and %.1f MiB a process, %.2f%% and %.1f MiB with it off\n",
-			size, last.contact, last.known, last.bytes, 100*last.cpu, last.rss/(1<<20), 100*last.plainCPU, last.plainRSS/(1<<20))
+		fmt.Printf("real, %d processes: all in contact after %.1f s and agreed a lease later; a crash "+
+			"known to 95%% after %v s; %.0f bytes a second, %.2f%% of a core and %.1f MiB a process, "+
+			"%.2f%% and %.1f MiB with it off\n",
+			size, last.contact, last.known, last.bytes, 100*last.cpu, last.rss/(1<<20), 100*last.plainCPU,
+			last.plainRSS/(1<<20))
 		switch {
 		case most(last.known) > peersKnown:
 			miss("real, %d: a crash known after %v s, at most %v", size, last.known, peersKnown)
@@ -84,8 +90,10 @@
 	if p99.median() > peersP99 {
 		miss("p99 is %v times that with it off, at most %v", p99, peersP99)
 	}
-	return fmt.Sprintf("processes=%d contact=%.1f known=%.2f bytes=%.0f cpu=%.4f cpu_off=%.4f rss_mib=%.1f rss_off_mib=%.1f p99_ratio=%.2f",
-		real[len(real)-1], last.contact, most(last.known), last.bytes, last.cpu, last.plainCPU, last.rss/(1<<20), last.plainRSS/(1<<20), p99.median()), missed, nil
+	return fmt.Sprintf("processes=%d contact=%.1f known=%.2f bytes=%.0f cpu=%.4f cpu_off=%.4f "+
+		"rss_mib=%.1f rss_off_mib=%.1f p99_ratio=%.2f",
+		real[len(real)-1], last.contact, most(last.known), last.bytes, last.cpu, last.plainCPU,
+		last.rss/(1<<20), last.plainRSS/(1<<20), p99.median()), missed, nil
 }
 
 type peersRun struct {
@@ -105,7 +113,8 @@
 	begun, lease := time.Now(), swim.LeaseFor(size)
 	for f.Logged("peers: in contact") < size {
 		if time.Since(begun) > 6*lease+10*time.Second {
-			return r, fmt.Errorf("after %v only %d of %d processes were ever in contact", time.Since(begun), f.Logged("peers: in contact"), size)
+			return r, fmt.Errorf("after %v only %d of %d processes were ever in contact", time.Since(begun),
+				f.Logged("peers: in contact"), size)
 		}
 		time.Sleep(200 * time.Millisecond)
 	}
--- a/cmd/measure/peers_virtual.go
+++ b/cmd/measure/peers_virtual.go
@@ -12,12 +12,14 @@
 
 // virtualFleet is a fleet in virtual time that has been in contact for a while.
 func virtualFleet(size int, seed uint64, loss float64) *swimsim.Net {
-	n := swimsim.New(swimsim.Config{Size: size, Seed: seed, Loss: loss, Bytes: peer.Size, Spend: 2048, Least: time.Millisecond, Most: 20 * time.Millisecond})
+	n := swimsim.New(swimsim.Config{Size: size, Seed: seed, Loss: loss, Bytes: peer.Size, Spend: 2048,
+		Least: time.Millisecond, Most: 20 * time.Millisecond})
 	n.Run(2*swim.LeaseFor(size) + 20*time.Second)
 	return n
 }
 
-// crashKnown crashes members one after the other and returns how long each time it took until 95% of the others held it for gone, in seconds; -1: over 30 s.
+// crashKnown crashes members one after the other and returns how long each time it took until 95%
+// of the others held it for gone, in seconds; -1: over 30 s.
 func crashKnown(n *swimsim.Net, crashes int) (took spread) {
 	for k := range crashes {
 		i := (k*37 + 5) % n.Size
@@ -113,7 +115,9 @@
 	in := n.InContact()
 	_, gone, lapsed, bytes, datagrams := quietHour(n, 20*time.Second, false)
 	known := crashKnown(n, 3)
-	fmt.Printf("virtual, %d sidecars: lease %v, %d in contact two leases and 20 s after a start; %d false alarms and %d lapses in 20 s, %.0f bytes in %.1f datagrams a second a member; a crash known to 95%% after %v s\n",
+	fmt.Printf("virtual, %d sidecars: lease %v, %d in contact two leases and 20 s after a start; %d "+
+		"false alarms and %d lapses in 20 s, %.0f bytes in %.1f datagrams a second a member; a crash "+
+		"known to 95%% after %v s\n",
 		size, swim.LeaseFor(size), in, gone, lapsed, bytes, datagrams, known)
 	var missed []string
 	if gone > 0 || known.at(0) < 0 {
--- a/cmd/measure/plans.go
+++ b/cmd/measure/plans.go
@@ -31,7 +31,8 @@
 	return c
 }
 
-// open are those whose end has not come. A measurement that is called off must leave no process behind: a hundred of one went on beside the next.
+// open are those whose end has not come. A measurement that is called off must leave no process
+// behind: a hundred of one went on beside the next.
 var open sync.Map
 
 // ending says that the program was told to end: nothing new is begun.
@@ -90,7 +91,9 @@
 	seeds = eachSeed(seeds, at, func(seed uint64) {
 		t := newCleanups()
 		defer t.end()
-		f := fleet.New(t, fleet.Config{Size: planSize, Nodes: 4, Command: func() *exec.Cmd { return exec.Command(binary) }})
+		f := fleet.New(t, fleet.Config{
+			Size: planSize, Nodes: 4, Command: func() *exec.Cmd { return exec.Command(binary) },
+		})
 		f.AwaitAgree(30 * time.Second)
 		plan := fleet.Draw(seed, planSize, planLength)
 		tally, took, broken := f.Play(plan, planLoad)
@@ -106,12 +109,15 @@
 		}
 		missed = append(missed, told(f, plan, broken)...)
 	})
-	fmt.Printf("%d plans of %v with %d processes: faults %v; datagrams lost %d, delayed %d, doubled %d; requests %+v; views equal again after %v s\n",
+	fmt.Printf("%d plans of %v with %d processes: faults %v; datagrams lost %d, delayed %d, doubled %d; "+
+		"requests %+v; views equal again after %v s\n",
 		seeds, planLength, planSize, faults, lost, delayed, doubled, sum, healed)
-	return fmt.Sprintf("seeds=%d broken=%d healed_median=%.2f healed_most=%.2f served=%d lost=%d", seeds, len(missed), healed.median(), healed.at(1), sum.Served, lost), missed, nil
+	return fmt.Sprintf("seeds=%d broken=%d healed_median=%.2f healed_most=%.2f served=%d lost=%d", seeds,
+		len(missed), healed.median(), healed.at(1), sum.Served, lost), missed, nil
 }
 
-// eachSeed has something done for seeds 1, 2 and so on, some at a time, or for the one that was asked for; it returns for how many.
+// eachSeed has something done for seeds 1, 2 and so on, some at a time, or for the one that was
+// asked for; it returns for how many.
 func eachSeed(seeds, at int, do func(seed uint64)) int {
 	if seedsMost > 0 {
 		seeds = seedsMost
@@ -143,7 +149,8 @@
 	return []string{line}
 }
 
-// measurePolicyPlans has fleets of five to nine real processes change their policy while they live through plans drawn from seeds 1, 2 and so on.
+// measurePolicyPlans has fleets of five to nine real processes change their policy while they live
+// through plans drawn from seeds 1, 2 and so on.
 func measurePolicyPlans(short bool) (string, []string, error) {
 	seeds, at := 300, 4
 	if short {
@@ -164,7 +171,10 @@
 		t := newCleanups()
 		defer t.end()
 		size := 5 + int(seed%5)
-		f := fleet.New(t, fleet.Config{Size: size, Nodes: 4, CutOff: fleet.CutOffPolicy, Command: func() *exec.Cmd { return exec.Command(binary) }})
+		f := fleet.New(t, fleet.Config{
+			Size: size, Nodes: 4, CutOff: fleet.CutOffPolicy,
+			Command: func() *exec.Cmd { return exec.Command(binary) },
+		})
 		plan := fleet.Draw(seed, size, planLength)
 		tally, broken := f.PlayPolicies(plan, planLoad)
 		mu.Lock()
@@ -182,12 +192,16 @@
 		}
 		missed = append(missed, told(f, plan, broken)...)
 	})
-	fmt.Printf("%d plans of %v with 5 to 9 processes: faults %v; %d policies proposed, %d told no, requests turned %d times; the log lost and begun anew %d times; requests %+v; all by one policy again after %v s\n",
+	fmt.Printf("%d plans of %v with 5 to 9 processes: faults %v; %d policies proposed, %d told no, "+
+		"requests turned %d times; the log lost and begun anew %d times; requests %+v; all by one "+
+		"policy again after %v s\n",
 		seeds, planLength, faults, sum.Proposed, sum.Refused, turned, anew, sum.Tally, settled)
-	return fmt.Sprintf("seeds=%d broken=%d proposed=%d turned=%d lost=%d settled_median=%.2f served=%d", seeds, len(missed), sum.Proposed, turned, anew, settled.median(), sum.Served), missed, nil
+	return fmt.Sprintf("seeds=%d broken=%d proposed=%d turned=%d lost=%d settled_median=%.2f served=%d",
+		seeds, len(missed), sum.Proposed, turned, anew, settled.median(), sum.Served), missed, nil
 }
 
-// measureWorkPlans has fleets of five to nine real processes take machines out for work while they live through plans of faults drawn from seeds 1, 2 and so on.
+// measureWorkPlans has fleets of five to nine real processes take machines out for work while they
+// live through plans of faults drawn from seeds 1, 2 and so on.
 func measureWorkPlans(short bool) (string, []string, error) {
 	seeds, at := 300, 12
 	if short {
@@ -209,12 +223,16 @@
 		defer t.end()
 		size := 5 + int(seed%5)
 		f := fleet.New(t, fleet.Config{
-			Size: size, Nodes: 6, CutOff: "[limits]\nopen = 40\n", Command: func() *exec.Cmd { return exec.Command(binary) },
-			Edit: func(_, settings map[string]any) { settings["rules"].(map[string]any)["cold_ms"] = 1500.0 },
+			Size: size, Nodes: 6, CutOff: "[limits]\nopen = 40\n",
+			Command: func() *exec.Cmd { return exec.Command(binary) },
+			Edit:    func(_, settings map[string]any) { settings["rules"].(map[string]any)["cold_ms"] = 1500.0 },
 		})
 		plan := fleet.Draw(seed, size, planLength)
-		plan.Steps = slices.DeleteFunc(plan.Steps, func(s fleet.Step) bool { return s.What == fleet.Drain }) // for good: its machine would never come back
-		tally, broken := f.PlayWork(plan, planLoad, 2, swim.LeaseFor(size), 60*time.Millisecond, 300*time.Millisecond, 1500*time.Millisecond)
+		plan.Steps = slices.DeleteFunc(plan.Steps, func(s fleet.Step) bool {
+			return s.What == fleet.Drain
+		}) // for good: its machine would never come back
+		tally, broken := f.PlayWork(plan, planLoad, 2, swim.LeaseFor(size), 60*time.Millisecond,
+			300*time.Millisecond, 1500*time.Millisecond)
 		mu.Lock()
 		defer mu.Unlock()
 		ended.add(tally.Ended.Seconds())
@@ -230,9 +248,12 @@
 		}
 		missed = append(missed, told(f, plan, broken)...)
 	})
-	fmt.Printf("%d plans of %v with 5 to 9 processes: faults %v; %d machines were worked on, at most %d out or cold at once; %d requests there by processes that had just begun; the log lost %d times; requests %+v; the round over %v s after all was well\n",
+	fmt.Printf("%d plans of %v with 5 to 9 processes: faults %v; %d machines were worked on, at most %d "+
+		"out or cold at once; %d requests there by processes that had just begun; the log lost %d "+
+		"times; requests %+v; the round over %v s after all was well\n",
 		seeds, planLength, faults, sum.Turns, sum.Most, sum.Astray, anew, sum.Tally, ended)
-	return fmt.Sprintf("seeds=%d broken=%d turns=%d astray=%d lost=%d ended_median=%.2f served=%d", seeds, len(missed), sum.Turns, sum.Astray, anew, ended.median(), sum.Served), missed, nil
+	return fmt.Sprintf("seeds=%d broken=%d turns=%d astray=%d lost=%d ended_median=%.2f served=%d", seeds,
+		len(missed), sum.Turns, sum.Astray, anew, ended.median(), sum.Served), missed, nil
 }
 
 // keepLogs writes what processes logged where KEEP_LOGS says, for a run that was broken.
--- a/cmd/measure/plugin.go
+++ b/cmd/measure/plugin.go
@@ -35,7 +35,8 @@
 	for _, rate := range []float64{350, 2100} {
 		f := make(figures)
 		for range rounds {
-			l := load{Nodes: b.addresses, Config: b.config, Rate: rate, Seconds: seconds, Seed: uint64(time.Now().UnixNano())}
+			l := load{Nodes: b.addresses, Config: b.config, Rate: rate, Seconds: seconds,
+				Seed: uint64(time.Now().UnixNano())}
 			l.Mode = "direct"
 			direct, err := l.run()
 			if err != nil {
@@ -72,19 +73,25 @@
 			fmt.Printf("  %-6s direct %v ms; added by the plug-in %v, by the daemon %v\n", name, f["direct "+name],
 				f["plugin "+name].minus(f["direct "+name]), f["daemon "+name].minus(f["direct "+name]))
 		}
-		fmt.Printf("  CPU a request, µs, with the host's own: direct %v, plug-in %v, host and daemon %v\n", f["direct CPU"], f["plugin CPU"], f["daemon CPU"])
+		fmt.Printf("  CPU a request, µs, with the host's own: direct %v, plug-in %v, host and daemon %v\n",
+			f["direct CPU"], f["plugin CPU"], f["daemon CPU"])
 		fmt.Printf("  allocations a request: direct %v, plug-in %v\n", f["direct allocs"], f["plugin allocs"])
-		fmt.Printf("  memory, MiB: host alone %v, host with plug-in %v, host %v and daemon %v\n", f["direct RSS"], f["plugin RSS"], f["daemon RSS"], f["daemon's own RSS"])
+		fmt.Printf("  memory, MiB: host alone %v, host with plug-in %v, host %v and daemon %v\n",
+			f["direct RSS"], f["plugin RSS"], f["daemon RSS"], f["daemon's own RSS"])
 		plug, daemon := f["plugin p50"].minus(f["direct p50"]), f["daemon p50"].minus(f["direct p50"])
 		allocs := f["plugin allocs"].minus(f["direct allocs"])
 		if plug.median() > daemon.median()*addedShare {
-			missed = append(missed, fmt.Sprintf("at %.0f/s the plug-in adds %.3f ms to p50, a third of the daemon's %.3f at most", rate, plug.median(), daemon.median()))
+			missed = append(missed, fmt.Sprintf("at %.0f/s the plug-in adds %.3f ms to p50, a third of "+
+				"the daemon's %.3f at most", rate, plug.median(), daemon.median()))
 		}
 		if allocs.median() > mostAllocs {
-			missed = append(missed, fmt.Sprintf("at %.0f/s the plug-in allocates %.1f times more a request than net/http, %.0f at most", rate, allocs.median(), mostAllocs))
+			missed = append(missed, fmt.Sprintf("at %.0f/s the plug-in allocates %.1f times more a "+
+				"request than net/http, %.0f at most", rate, allocs.median(), mostAllocs))
 		}
-		result += fmt.Sprintf("added_p50_ms_%.0f=%.3f daemon_added_p50_ms_%.0f=%.3f extra_allocs_%.0f=%.1f cpu_us_%.0f=%.1f daemon_cpu_us_%.0f=%.1f ",
-			rate, plug.median(), rate, daemon.median(), rate, allocs.median(), rate, f["plugin CPU"].median(), rate, f["daemon CPU"].median())
+		result += fmt.Sprintf("added_p50_ms_%.0f=%.3f daemon_added_p50_ms_%.0f=%.3f "+
+			"extra_allocs_%.0f=%.1f cpu_us_%.0f=%.1f daemon_cpu_us_%.0f=%.1f ",
+			rate, plug.median(), rate, daemon.median(), rate, allocs.median(), rate,
+			f["plugin CPU"].median(), rate, f["daemon CPU"].median())
 	}
 	bytes, routines, err := idle(b.config)
 	if err != nil {
@@ -97,7 +104,8 @@
 	return result + fmt.Sprintf("idle_kib=%.1f idle_goroutines=%.2f", bytes/1024, routines), missed, nil
 }
 
-// idle is what an idle plug-in costs in memory (heap and stacks, in bytes) and goroutines, a part of what they share included.
+// idle is what an idle plug-in costs in memory (heap and stacks, in bytes) and goroutines, a part
+// of what they share included.
 func idle(config string) (bytes, routines float64, err error) {
 	held := func() (float64, float64) {
 		runtime.GC()
--- a/cmd/measure/policy.go
+++ b/cmd/measure/policy.go
@@ -37,14 +37,18 @@
 			return "", nil, err
 		}
 		lease := swim.LeaseFor(size).Seconds()
-		fmt.Printf("real, %d processes (lease %.0f s): a change is with the last after %v s calm, %v s at 10%% loss, %v s with a tenth down; %.0f datagrams and %.0f KiB a change over the fleet; "+
-			"no change possible for %.1f s after the leader's death, %.1f s after two voters'; p99 during changes over calm %.2f, refused %d during %d changes\n",
-			size, lease, last.calm, last.lossy, last.down, last.datagrams, last.bytes/1024, last.leader, last.voters, last.p99, last.refused, last.changes)
+		fmt.Printf("real, %d processes (lease %.0f s): a change is with the last after %v s calm, %v s "+
+			"at 10%% loss, %v s with a tenth down; %.0f datagrams and %.0f KiB a change over the fleet; "+
+			"no change possible for %.1f s after the leader's death, %.1f s after two voters'; p99 "+
+			"during changes over calm %.2f, refused %d during %d changes\n",
+			size, lease, last.calm, last.lossy, last.down, last.datagrams, last.bytes/1024, last.leader,
+			last.voters, last.p99, last.refused, last.changes)
 		if size == 300 && last.calm.at(1) > policyCalm {
 			missed = append(missed, fmt.Sprintf("%d: calm %v s, at most %v", size, last.calm, policyCalm))
 		}
 		if last.down.at(1) > lease+policyDown {
-			missed = append(missed, fmt.Sprintf("%d: with a tenth down %v s, at most %v", size, last.down, lease+policyDown))
+			missed = append(missed, fmt.Sprintf("%d: with a tenth down %v s, at most %v", size, last.down,
+				lease+policyDown))
 		}
 	}
 	for _, size := range virtual {
@@ -53,7 +57,8 @@
 	if last.p99 > policyP99 {
 		missed = append(missed, fmt.Sprintf("p99 %.2f times that of calm, at most %v", last.p99, policyP99))
 	}
-	return fmt.Sprintf("processes=%d calm=%.2f lossy=%.2f down=%.2f kib=%.0f datagrams=%.0f p99_ratio=%.2f", real[len(real)-1], last.calm.at(1), last.lossy.at(1), last.down.at(1),
+	return fmt.Sprintf("processes=%d calm=%.2f lossy=%.2f down=%.2f kib=%.0f datagrams=%.0f p99_ratio=%.2f",
+		real[len(real)-1], last.calm.at(1), last.lossy.at(1), last.down.at(1),
 		last.bytes/1024, last.datagrams, last.p99), missed, nil
 }
 
@@ -69,7 +74,10 @@
 func realChanges(binary string, size int, short bool) (r policyRun, err error) {
 	t := newCleanups()
 	defer t.end()
-	f := fleet.New(t, fleet.Config{Size: size, Nodes: 4, Direct: true, CutOff: fleet.CutOffPolicy, Command: func() *exec.Cmd { return exec.Command(binary) }})
+	f := fleet.New(t, fleet.Config{
+		Size: size, Nodes: 4, Direct: true, CutOff: fleet.CutOffPolicy,
+		Command: func() *exec.Cmd { return exec.Command(binary) },
+	})
 	lease := swim.LeaseFor(size)
 	if err := f.Sidecars[0].Found(); err != nil {
 		return r, err
@@ -230,13 +238,15 @@
 	}
 	began, out := until(3*lease+time.Minute, one(0))
 	if out > 0 {
-		return fmt.Sprintf("virtual, %d sidecars: %v after a beginning %d of them don't go by the log", size, began, out)
+		return fmt.Sprintf("virtual, %d sidecars: %v after a beginning %d of them don't go by the log",
+			size, began, out)
 	}
 	n.Run(lease)
 	bytes := n.Bytes
 	n.Run(lease)
 	rest := float64(n.Bytes-bytes) / lease.Seconds() / float64(size)
-	text := fmt.Sprintf("virtual, %d sidecars (lease %v): all by the log %v after its beginning, %.0f bytes a second each at rest", size, lease, began.Round(time.Second), rest)
+	text := fmt.Sprintf("virtual, %d sidecars (lease %v): all by the log %v after its beginning, %.0f "+
+		"bytes a second each at rest", size, lease, began.Round(time.Second), rest)
 	for k, c := range []struct {
 		name   string
 		begin  func()
--- a/cmd/measure/pools.go
+++ b/cmd/measure/pools.go
@@ -45,18 +45,19 @@
 			return b, err
 		}
 		words := strings.Fields(line)
-		text := testbed.ConfigText(panics{}, testbed.Listed(1, "ready", words[2:]...), func(file, settings map[string]any) {
-			file["discovery"] = words[1]
-			file["limits"] = map[string]any{"cores": 1.0, "memory_mb": 192, "sockets": 512}
-			settings["caps"].(map[string]any)["max_open"] = 200
-			for _, c := range settings["classes"].([]any) {
-				class := c.(map[string]any)
-				class["aim_ms"], class["hard_limit_ms"] = 500.0, 2000.0
-			}
-			for _, o := range settings["orgs"].([]any) {
-				o.(map[string]any)["quota_per_s"] = 400.0
-			}
-		})
+		text := testbed.ConfigText(panics{}, testbed.Listed(1, "ready", words[2:]...),
+			func(file, settings map[string]any) {
+				file["discovery"] = words[1]
+				file["limits"] = map[string]any{"cores": 1.0, "memory_mb": 192, "sockets": 512}
+				settings["caps"].(map[string]any)["max_open"] = 200
+				for _, c := range settings["classes"].([]any) {
+					class := c.(map[string]any)
+					class["aim_ms"], class["hard_limit_ms"] = 500.0, 2000.0
+				}
+				for _, o := range settings["orgs"].([]any) {
+					o.(map[string]any)["quota_per_s"] = 400.0
+				}
+			})
 		if err := os.WriteFile(b.dir+"/"+name+".json", []byte(text), 0o600); err != nil {
 			return b, err
 		}
@@ -81,7 +82,8 @@
 		other = "silent"
 	}
 	file := fmt.Sprintf("walls = %v\n[pools.quiet]\nconfig = \"quiet.json\"\n[pools.other]\nconfig = \"%s.json\"\n"+
-		"[[routes]]\nhost = \"quiet.example.org\"\npool = \"quiet\"\n[[routes]]\nhost = \"other.example.org\"\npool = \"other\"\n", walls, other)
+		"[[routes]]\nhost = \"quiet.example.org\"\npool = \"quiet\"\n"+
+		"[[routes]]\nhost = \"other.example.org\"\npool = \"other\"\n", walls, other)
 	if err := os.WriteFile(b.dir+"/pools.toml", []byte(file), 0o600); err != nil {
 		return outcome{}, err
 	}
@@ -94,7 +96,8 @@
 	if kind == "" {
 		ended <- nil
 	} else {
-		raw, err := json.Marshal(flooding{Kind: kind, Address: at, Host: "other.example.org", Seconds: seconds * 0.6, Connections: 400})
+		raw, err := json.Marshal(flooding{Kind: kind, Address: at, Host: "other.example.org",
+			Seconds: seconds * 0.6, Connections: 400})
 		if err != nil {
 			return outcome{}, err
 		}
@@ -119,8 +122,8 @@
 	return o, err
 }
 
-// measurePools: a daemon with two pools on one core; one has a steady 200 requests a second, the other is flooded, in four
-// ways; with walls and without, beside the same with no flood.
+// measurePools: a daemon with two pools on one core; one has a steady 200 requests a second, the
+// other is flooded, in four ways; with walls and without, beside the same with no flood.
 func measurePools(short bool) (string, []string, error) {
 	b, err := newPoolsBench()
 	if err != nil {
@@ -154,16 +157,20 @@
 			}
 		}
 		kept, slower := f["walls goodput"].over(f["none goodput"]), f["walls p99"].over(f["none p99"])
-		fmt.Printf("%s\n  no flood: goodput %v, p50 %v, p99 %v ms\n  walls:    goodput %v, p50 %v, p99 %v ms\n  no walls: goodput %v, p50 %v, p99 %v ms\n",
+		fmt.Printf("%s\n  no flood: goodput %v, p50 %v, p99 %v ms\n  walls:    goodput %v, p50 %v, p99 "+
+			"%v ms\n  no walls: goodput %v, p50 %v, p99 %v ms\n",
 			kind, f["none goodput"], f["none p50"], f["none p99"], f["walls goodput"], f["walls p50"], f["walls p99"],
 			f["no walls goodput"], f["no walls p50"], f["no walls p99"])
 		if kept.median() < keptGoodput {
-			missed = append(missed, fmt.Sprintf("%s: the quiet pool keeps %.3f of its goodput, %.2f at least", kind, kept.median(), keptGoodput))
+			missed = append(missed, fmt.Sprintf("%s: the quiet pool keeps %.3f of its goodput, %.2f at least", kind,
+				kept.median(), keptGoodput))
 		}
 		if slower.median() > keptP99 {
-			missed = append(missed, fmt.Sprintf("%s: the quiet pool's p99 is %.2f times what it was, %.1f at most", kind, slower.median(), keptP99))
+			missed = append(missed, fmt.Sprintf("%s: the quiet pool's p99 is %.2f times what it was, %.1f at most",
+				kind, slower.median(), keptP99))
 		}
-		result += fmt.Sprintf("kept_%d=%.3f p99_ratio_%d=%.2f bare_kept_%d=%.3f ", i+1, kept.median(), i+1, slower.median(), i+1,
+		result += fmt.Sprintf("kept_%d=%.3f p99_ratio_%d=%.2f bare_kept_%d=%.3f ", i+1, kept.median(), i+1,
+			slower.median(), i+1,
 			f["no walls goodput"].over(f["none goodput"]).median())
 	}
 	return strings.TrimSpace(result), missed, nil
--- a/cmd/measure/rest.go
+++ b/cmd/measure/rest.go
@@ -80,8 +80,9 @@
 	return most
 }
 
-// measureRest measures what a daemon does while nothing, or next to nothing, comes: a fleet of them pays it all the time. In its long form it is 45 minutes at
-// ten requests a second. The daemon stands as it would in service: with an operators' address and a shared folder that it looks into.
+// measureRest measures what a daemon does while nothing, or next to nothing, comes: a fleet of them
+// pays it all the time. In its long form it is 45 minutes at ten requests a second. The daemon
+// stands as it would in service: with an operators' address and a shared folder that it looks into.
 func measureRest(short bool) (string, []string, error) {
 	idle, quiet := 20*time.Second, 45*time.Minute
 	if short {
@@ -115,19 +116,24 @@
 	growth := max(0, slices.Max(most[1:])-most[0])
 	const mib = 1 << 20
 	fmt.Printf("nothing comes, %v: %.0f wakes a second, %.2f%% of a core\n", idle, still.wakes, 100*still.cpu)
-	fmt.Printf("%.0f requests a second, %v: %.0f wakes a second, %.2f%% of a core; most memory by quarters %.1f, %.1f, %.1f, %.1f MiB; %d sent, %d failed\n", seldom, quiet,
-		busy.wakes, 100*busy.cpu, float64(most[0])/mib, float64(most[1])/mib, float64(most[2])/mib, float64(most[3])/mib, load.sent.Load(), load.failed.Load())
+	fmt.Printf("%.0f requests a second, %v: %.0f wakes a second, %.2f%% of a core; most memory by "+
+		"quarters %.1f, %.1f, %.1f, %.1f MiB; %d sent, %d failed\n", seldom, quiet,
+		busy.wakes, 100*busy.cpu, float64(most[0])/mib, float64(most[1])/mib, float64(most[2])/mib,
+		float64(most[3])/mib, load.sent.Load(), load.failed.Load())
 	var missed []string
 	for _, bound := range []struct {
 		what      string
 		got, most float64
 	}{
-		{"share of a core while nothing comes", still.cpu, restCPU}, {"wakes a second while nothing comes", still.wakes, restWakes},
-		{"bytes that memory grew after the first quarter", float64(growth), restGrowth}, {"requests failed", float64(load.failed.Load()), 0},
+		{"share of a core while nothing comes", still.cpu, restCPU},
+		{"wakes a second while nothing comes", still.wakes, restWakes},
+		{"bytes that memory grew after the first quarter", float64(growth), restGrowth},
+		{"requests failed", float64(load.failed.Load()), 0},
 	} {
 		if bound.got > bound.most {
 			missed = append(missed, fmt.Sprintf("%s: %.4g, at most %.4g", bound.what, bound.got, bound.most))
 		}
 	}
-	return fmt.Sprintf("idle_wakes=%.0f idle_cpu=%.4f quiet_wakes=%.0f quiet_cpu=%.4f growth_bytes=%d", still.wakes, still.cpu, busy.wakes, busy.cpu, growth), missed, nil
+	return fmt.Sprintf("idle_wakes=%.0f idle_cpu=%.4f quiet_wakes=%.0f quiet_cpu=%.4f growth_bytes=%d",
+		still.wakes, still.cpu, busy.wakes, busy.cpu, growth), missed, nil
 }
--- a/cmd/measure/service.go
+++ b/cmd/measure/service.go
@@ -96,7 +96,8 @@
 	return rss, descriptors
 }
 
-// steady sends at a rate until it is stopped, and counts what met a closed door: what failed, and what had to be sent again.
+// steady sends at a rate until it is stopped, and counts what met a closed door: what failed, and
+// what had to be sent again.
 type steady struct {
 	client          http.Client
 	address         string
@@ -108,7 +109,8 @@
 
 func newSteady(address string, rate float64) *steady {
 	ctx, stop := context.WithCancel(context.Background())
-	l := &steady{address: address, stop: stop, client: http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}, Timeout: 5 * time.Second}}
+	l := &steady{address: address, stop: stop,
+		client: http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}, Timeout: 5 * time.Second}}
 	l.done.Go(func() {
 		ticker := time.NewTicker(time.Duration(float64(time.Second) / rate))
 		defer ticker.Stop()
@@ -152,7 +154,8 @@
 	}
 }
 
-// upgrades replaces the process so many times under a rate, and returns how many requests met a closed door and what the pair held at most.
+// upgrades replaces the process so many times under a rate, and returns how many requests met a
+// closed door and what the pair held at most.
 func (s *service) upgrades(times int, rate float64) (l *steady, rss int64, descriptors int, err error) {
 	l = newSteady(s.listen, rate)
 	defer l.done.Wait()
@@ -189,9 +192,11 @@
 	var loading sync.WaitGroup
 	defer loading.Wait()
 	loading.Go(func() {
-		_, _ = load{Mode: "through", Address: s.listen, Connections: 256, Seconds: seconds, Seed: uint64(time.Now().UnixNano()), Lenient: true}.run()
+		_, _ = load{Mode: "through", Address: s.listen, Connections: 256, Seconds: seconds,
+			Seed: uint64(time.Now().UnixNano()), Lenient: true}.run()
 	})
-	for end := time.Now().Add(time.Duration(seconds * float64(time.Second))); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
+	end := time.Now().Add(time.Duration(seconds * float64(time.Second)))
+	for ; time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		begun := time.Now()
 		text, err := testbed.Operate(s.control, "counters")
 		if err != nil || !strings.HasSuffix(text, "EOF\n") {
@@ -202,7 +207,8 @@
 	return times, nil
 }
 
-// measureService: operators' calls while the core is saturated, replacements under load, streams beside the standard library's reverse proxy.
+// measureService: operators' calls while the core is saturated, replacements under load, streams
+// beside the standard library's reverse proxy.
 func measureService(short bool) (string, []string, error) {
 	b, err := newBenchOf("", 1000, 20000)
 	if err != nil {
@@ -225,7 +231,8 @@
 			return "", nil, err
 		}
 		p50, most := quantile(took, 0.5), quantile(took, 1)
-		fmt.Printf("operators' calls beside 256 busy clients and %d silent callers: p50 %.2f ms, most %.1f ms, %d calls\n", silent, p50, most, len(took))
+		fmt.Printf("operators' calls beside 256 busy clients and %d silent callers: p50 %.2f ms, most "+
+			"%.1f ms, %d calls\n", silent, p50, most, len(took))
 		result += fmt.Sprintf("call_p50_ms_%d=%.2f call_most_ms_%d=%.1f ", silent, p50, silent, most)
 		if most > float64(controlBound.Milliseconds()) {
 			missed = append(missed, fmt.Sprintf("an operator waited %.0f ms, %v at most", most, controlBound))
@@ -237,11 +244,14 @@
 			return "", nil, err
 		}
 		touched := float64(l.failed.Load()+l.again.Load()) / float64(times)
-		fmt.Printf("%d upgrades at %.0f/s: %d requests, %d failed, %d sent again, %d refused; the pair held %.1f MiB and %d descriptors at most\n",
-			times, rate, l.sent.Load(), l.failed.Load(), l.again.Load(), l.refusals.Load(), float64(rss)/(1<<20), descriptors)
+		fmt.Printf("%d upgrades at %.0f/s: %d requests, %d failed, %d sent again, %d refused; the pair "+
+			"held %.1f MiB and %d descriptors at most\n",
+			times, rate, l.sent.Load(), l.failed.Load(), l.again.Load(), l.refusals.Load(),
+			float64(rss)/(1<<20), descriptors)
 		result += fmt.Sprintf("touched_%.0f=%.2f failed_%.0f=%d ", rate, touched, rate, l.failed.Load())
 		if touched > touchedBound || l.failed.Load() > 0 {
-			missed = append(missed, fmt.Sprintf("%.2f requests an upgrade met a closed door at %.0f/s, %d failed", touched, rate, l.failed.Load()))
+			missed = append(missed, fmt.Sprintf("%.2f requests an upgrade met a closed door at %.0f/s, %d failed",
+				touched, rate, l.failed.Load()))
 		}
 	}
 	streams, worse, err := measureStreams(short)
--- a/cmd/measure/strain.go
+++ b/cmd/measure/strain.go
@@ -33,7 +33,8 @@
 func (all) AttemptStarted(time.Duration)                     {}
 func (all) AttemptEnded(time.Duration, admission.AttemptEnd) {}
 
-// measureStrain plays the hard cases in virtual time, with the module's own admission and with what it was weighed against.
+// measureStrain plays the hard cases in virtual time, with the module's own admission and with what
+// it was weighed against.
 func measureStrain(short bool) (string, []string, error) {
 	seeds, gates := 5, strainGates
 	if short {
@@ -67,7 +68,8 @@
 			if g.make == nil {
 				worst = max(worst, f["recovery"].median())
 				if f["recovery"].median() > 1 {
-					missed = append(missed, fmt.Sprintf("%s: %.1f s until nothing is refused, 1 s at most", s.Name, f["recovery"].median()))
+					missed = append(missed,
+						fmt.Sprintf("%s: %.1f s until nothing is refused, 1 s at most", s.Name, f["recovery"].median()))
 				}
 			}
 		}
@@ -79,8 +81,8 @@
 	return fmt.Sprintf("recovery_worst_s=%.1f cases=%d seeds=%d", worst, len(emulator.Cases), seeds), missed, nil
 }
 
-// strainLines are the shares of a run over time, half a second to a point: what was turned away at once and, of the first run, capacity
-// against the most that there was.
+// strainLines are the shares of a run over time, half a second to a point: what was turned away at
+// once and, of the first run, capacity against the most that there was.
 func strainLines(name string, buckets []emulator.Bucket, capacity bool) (lines []series) {
 	const each = 5
 	turned, able := series{name + ": turned away", 0.5, nil}, series{"capacity", 0.5, nil}
--- a/cmd/measure/streams.go
+++ b/cmd/measure/streams.go
@@ -13,7 +13,8 @@
 	bulkAtOnce = 8
 )
 
-// measureStreams: answers and bodies of 8 MiB through the daemon and through the standard library's reverse proxy, in turn.
+// measureStreams: answers and bodies of 8 MiB through the daemon and through the standard library's
+// reverse proxy, in turn.
 func measureStreams(short bool) (string, []string, error) {
 	b, err := newBenchOf("bulk", 1000, 20000)
 	if err != nil {
@@ -59,17 +60,20 @@
 	}
 	result := ""
 	for _, way := range []string{"down", "up"} {
-		rate, cpu := f["daemon"+way+"rate"].over(f["proxy"+way+"rate"]), f["daemon"+way+"cpu"].over(f["proxy"+way+"cpu"])
+		rate, cpu := f["daemon"+way+"rate"].over(f["proxy"+way+"rate"]),
+			f["daemon"+way+"cpu"].over(f["proxy"+way+"cpu"])
 		fmt.Printf("8 MiB %s: throughput, daemon over proxy %v (%v MiB/s); CPU a MiB %v; RSS daemon %v, proxy %v MiB\n",
 			way, rate, f["daemon"+way+"rate"], cpu, f["daemon"+way+"rss"], f["proxy"+way+"rss"])
-		result += fmt.Sprintf("%s_rate_ratio=%.2f %s_cpu_ratio=%.2f %s_rss=%.1f ", way, rate.median(), way, cpu.median(), way, f["daemon"+way+"rss"].median())
+		result += fmt.Sprintf("%s_rate_ratio=%.2f %s_cpu_ratio=%.2f %s_rss=%.1f ", way, rate.median(), way,
+			cpu.median(), way, f["daemon"+way+"rss"].median())
 	}
 	return result, nil, nil
 }
 
 // bulk makes so many transfers, bulkAtOnce at a time.
 func bulk(address string, up bool, each, round int) error {
-	client := http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: bulkAtOnce, DisableCompression: true}, Timeout: time.Minute}
+	client := http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: bulkAtOnce,
+		DisableCompression: true}, Timeout: time.Minute}
 	defer client.CloseIdleConnections()
 	failed := make(chan error, each)
 	work := make(chan int)
@@ -77,7 +81,8 @@
 	for range bulkAtOnce {
 		all.Go(func() {
 			for n := range work {
-				failed <- transfer(&client, address, up, fmt.Sprintf("b-%v-%d-%d-%d", up, round, n, time.Now().UnixNano()))
+				failed <- transfer(&client, address, up,
+					fmt.Sprintf("b-%v-%d-%d-%d", up, round, n, time.Now().UnixNano()))
 			}
 		})
 	}
@@ -110,7 +115,8 @@
 	}
 	req.ContentLength = size
 	h := req.Header
-	h["X-Request-Id"], h["X-Priority-Class"], h["X-Tenant-Id"], h["X-Timeout"] = []string{id}, []string{"entry"}, []string{"north"}, []string{"2000m"}
+	h["X-Request-Id"], h["X-Priority-Class"], h["X-Tenant-Id"], h["X-Timeout"] = []string{id},
+		[]string{"entry"}, []string{"north"}, []string{"2000m"}
 	res, err := client.Do(req)
 	if err != nil {
 		return err
--- a/cmd/measure/walls.go
+++ b/cmd/measure/walls.go
@@ -10,13 +10,14 @@
 	"caperarch/internal/lab/emulator"
 )
 
-// wallBounds are what the share of the worth in time must reach in the median, by day: some two hundredths below what was measured when the
-// walls were made to add up, and above what was before.
+// wallBounds are what the share of the worth in time must reach in the median, by day: some two
+// hundredths below what was measured when the walls were made to add up, and above what was before.
 var wallBounds = map[string]float64{
 	"burst of 1.5": 0.93, "burst of 1.5 on 0.72": 0.88, "one tenant x 5": 0.86, "a tenth has half of it": 0.93,
 }
 
-// measureWalls plays the days of a fleet of hundreds in virtual time, from several seeds, and the sweep over sizes of it.
+// measureWalls plays the days of a fleet of hundreds in virtual time, from several seeds, and the
+// sweep over sizes of it.
 func measureWalls(short bool) (string, []string, error) {
 	seeds, days := 5, emulator.MassDays
 	if short {
@@ -51,11 +52,13 @@
 			f.add("tipped", float64(o.Tipped)/float64(d.Servers))
 			f.add("recovery", o.Recovery)
 		}
-		fmt.Printf("%-24s in time %v, worst 10 s %v, larger tenant in the burst %v, tipped %v of the servers, recovery %v s\n",
+		fmt.Printf("%-24s in time %v, worst 10 s %v, larger tenant in the burst %v, tipped %v of the "+
+			"servers, recovery %v s\n",
 			d.Name, f["in time"], f["worst"], f["larger"], f["tipped"], f["recovery"])
 		worst = min(worst, f["in time"].median())
 		if got := f["in time"].median(); got < wallBounds[d.Name] {
-			missed = append(missed, fmt.Sprintf("%s: %.3f of the worth in time, at least %.2f", d.Name, got, wallBounds[d.Name]))
+			missed = append(missed, fmt.Sprintf("%s: %.3f of the worth in time, at least %.2f", d.Name, got,
+				wallBounds[d.Name]))
 		}
 		if err := plotWalls(d, played[i][1]); err != nil {
 			return "", nil, err
@@ -64,14 +67,16 @@
 	return fmt.Sprintf("worst_in_time=%.3f days=%d seeds=%d", worst, len(days), seeds), missed, nil
 }
 
-// plotWalls draws the second seed's day: what was in time, what was asked for, and how much of their bounds servers held.
+// plotWalls draws the second seed's day: what was in time, what was asked for, and how much of
+// their bounds servers held.
 func plotWalls(d emulator.MassDay, o emulator.Massed) error {
 	inTime, load := series{"in time", 1, nil}, series{"work asked for, of what servers can do", 1, nil}
 	tipped, held := series{"servers tipped", 1, nil}, series{"requests held, of 10 at each server", 1, nil}
 	for _, s := range o.Seconds {
 		n := float64(d.Servers)
 		inTime.values, load.values = append(inTime.values, s.InTime), append(load.values, s.Load)
-		tipped.values, held.values = append(tipped.values, float64(s.Tipped)/n), append(held.values, float64(s.Held)/n/10)
+		tipped.values, held.values = append(tipped.values, float64(s.Tipped)/n),
+			append(held.values, float64(s.Held)/n/10)
 	}
 	name := "walls-" + strings.NewReplacer(" ", "-", ",", "", "%", "").Replace(d.Name) + ".svg"
 	return plotLines(name, d.Name, "share", inTime, load, tipped, held)
--- a/cmd/measure/work.go
+++ b/cmd/measure/work.go
@@ -24,7 +24,8 @@
 	workServed = 0.005 // less of the requests served than in calm
 )
 
-// measureWork measures a whole round of machines taken out for work: with real processes beside a script that cordons by hand, and with three hundred sidecars in virtual time.
+// measureWork measures a whole round of machines taken out for work: with real processes beside a
+// script that cordons by hand, and with three hundred sidecars in virtual time.
 func measureWork(short bool) (string, []string, error) {
 	var missed []string
 	machines, size, seeds := 60, 300, 3
@@ -43,13 +44,16 @@
 			} else {
 				down.add(r.took / r.ideal)
 			}
-			fmt.Printf("virtual, %d sidecars, %d of them down, %d machines, %d at once: a round in %.0f s, ideal %.0f; %d turns, %d withdrawn, %d requests at a free machine by sidecars out of contact; %.0f bytes a second each\n",
+			fmt.Printf("virtual, %d sidecars, %d of them down, %d machines, %d at once: a round in %.0f "+
+				"s, ideal %.0f; %d turns, %d withdrawn, %d requests at a free machine by sidecars out "+
+				"of contact; %.0f bytes a second each\n",
 				size, gone, machines, atOnce, r.took, r.ideal, r.given, r.given-r.over, r.astray, r.bytes)
 		}
 	}
 	for name, s := range map[string]spread{"calm": calm, "a tenth down": down} {
 		if s.at(1) > workRound {
-			missed = append(missed, fmt.Sprintf("virtual, %s: a round takes %v times the ideal, at most %v", name, s, workRound))
+			missed = append(missed, fmt.Sprintf("virtual, %s: a round takes %v times the ideal, at most %v",
+				name, s, workRound))
 		}
 	}
 	binary, end, err := tempDaemon()
@@ -73,16 +77,21 @@
 		name string
 		realWork
 	}{{"by a plan", plan}, {"by a script", script}} {
-		fmt.Printf("real, %d processes, a tenth of them down from the second machine on, %d machines, %d at once, %s: a round in %.1f s; served %.4f (calm %.4f), p99 %.1f ms (calm %.1f); at most %d out at once, "+
-			"%d requests at machines that somebody worked on\n", processes, nodes, realAtOnce, r.name, r.took, r.served, r.calm, 1000*r.p99, 1000*r.calmP99, r.most, r.wrong)
+		fmt.Printf("real, %d processes, a tenth of them down from the second machine on, %d machines, "+
+			"%d at once, %s: a round in %.1f s; served %.4f (calm %.4f), p99 %.1f ms (calm %.1f); at "+
+			"most %d out at once, "+
+			"%d requests at machines that somebody worked on\n", processes, nodes, realAtOnce, r.name,
+			r.took, r.served, r.calm, 1000*r.p99, 1000*r.calmP99, r.most, r.wrong)
 	}
 	if plan.wrong > 0 || plan.most > realAtOnce {
-		missed = append(missed, fmt.Sprintf("by a plan %d out at once, %d may be; %d requests at machines that somebody worked on", plan.most, realAtOnce, plan.wrong))
+		missed = append(missed, fmt.Sprintf("by a plan %d out at once, %d may be; %d requests at "+
+			"machines that somebody worked on", plan.most, realAtOnce, plan.wrong))
 	}
 	if plan.served < plan.calm-workServed {
 		missed = append(missed, fmt.Sprintf("by a plan %.4f served, calm %.4f", plan.served, plan.calm))
 	}
-	return fmt.Sprintf("virtual_round=%.2f virtual_down=%.2f plan_s=%.1f script_s=%.1f plan_served=%.4f script_served=%.4f plan_wrong=%d script_wrong=%d", calm.at(1), down.at(1), plan.took, script.took,
+	return fmt.Sprintf("virtual_round=%.2f virtual_down=%.2f plan_s=%.1f script_s=%.1f plan_served=%.4f "+
+		"script_served=%.4f plan_wrong=%d script_wrong=%d", calm.at(1), down.at(1), plan.took, script.took,
 		plan.served, script.served, plan.wrong, script.wrong), missed, nil
 }
 
@@ -104,13 +113,18 @@
 	broken             []string
 }
 
-// virtualRound has so many sidecars take all machines out. Somebody is at each as soon as any sidecar says that it is free.
+// virtualRound has so many sidecars take all machines out. Somebody is at each as soon as any
+// sidecar says that it is free.
 func virtualRound(seed uint64, size, machines, gone int) (r virtualWork) {
-	site := &replicatedstatesim.Site{Deadline: 5 * time.Second, Bound: atOnce, Returns: workCold, Every: 5 * time.Second}
+	site := &replicatedstatesim.Site{Deadline: 5 * time.Second, Bound: atOnce, Returns: workCold,
+		Every: 5 * time.Second}
 	for i := range machines {
-		site.Machines = append(site.Machines, maintenance.Machine{ID: uint64(i + 1), Name: fmt.Sprintf("s-%d", i), Zone: "a", Cell: i / 2, Weight: 1, State: maintenance.Ready, Warmth: 1})
+		site.Machines = append(site.Machines,
+			maintenance.Machine{ID: uint64(i + 1), Name: fmt.Sprintf("s-%d", i), Zone: "a", Cell: i / 2,
+				Weight: 1, State: maintenance.Ready, Warmth: 1})
 	}
-	n := replicatedstatesim.New(replicatedstatesim.Config{Size: size, Seed: seed, Lease: swim.LeaseFor(size), Rate: 0.001, Spend: 2048, Site: site})
+	n := replicatedstatesim.New(replicatedstatesim.Config{Size: size, Seed: seed,
+		Lease: swim.LeaseFor(size), Rate: 0.001, Spend: 2048, Site: site})
 	n.Run(time.Second)
 	if err := n.Nodes[0].Found(n.Nodes[0].Time(), 1<<56); err != nil {
 		return virtualWork{broken: []string{err.Error()}}
@@ -124,7 +138,8 @@
 	}
 	n.Run(10 * time.Second)
 	by := n.Nodes[1]
-	if _, err := by.Plan(by.Time(), fmt.Appendf(nil, "all = true\nlongest = \"10m\"\n[out]\nfleet = \"%d\"\ncell = \"1\"\n", atOnce)); err != nil {
+	if _, err := by.Plan(by.Time(), fmt.Appendf(nil,
+		"all = true\nlongest = \"10m\"\n[out]\nfleet = \"%d\"\ncell = \"1\"\n", atOnce)); err != nil {
 		return virtualWork{broken: []string{err.Error()}}
 	}
 	begun, bytes := n.Now, n.Bytes
@@ -164,12 +179,15 @@
 	most, wrong                      int
 }
 
-// realRound has processes take machines out under load, a tenth of them down from the third machine on: by a plan, or by a script that cordons each machine by hand at each sidecar in fixed order.
+// realRound has processes take machines out under load, a tenth of them down from the third machine
+// on: by a plan, or by a script that cordons each machine by hand at each sidecar in fixed order.
 func realRound(binary string, size, nodes int, byScript bool) (r realWork, err error) {
 	t := newCleanups()
 	defer t.end()
 	f := fleet.New(t, fleet.Config{
-		Size: size, Nodes: nodes, Direct: true, CutOff: "[limits]\nopen = 40\n", Command: func() *exec.Cmd { return exec.Command(binary) },
+		Size: size, Nodes: nodes, Direct: true, CutOff: "[limits]\nopen = 40\n", Command: func() *exec.Cmd {
+			return exec.Command(binary)
+		},
 		Edit: func(_, settings map[string]any) {
 			settings["rules"].(map[string]any)["cold_ms"] = float64(realCold.Milliseconds())
 		},
@@ -194,7 +212,8 @@
 		round = f.Script(realAtOnce, realTakes, realCold)
 	} else {
 		round = f.Operators(1, realTakes, realCold)
-		if err := f.Sidecars[1].Work(fmt.Sprintf("all = true\nin_time = 0.5\n[out]\nfleet = \"%d\"\n", realAtOnce)); err != nil {
+		if err := f.Sidecars[1].Work(fmt.Sprintf("all = true\nin_time = 0.5\n[out]\nfleet = \"%d\"\n",
+			realAtOnce)); err != nil {
 			return r, err
 		}
 	}
--- a/conformance/cases.go
+++ b/conformance/cases.go
@@ -48,7 +48,8 @@
 				t.Errorf("%d attempts, want 2", n)
 			}
 		})
-		for _, act := range []testbed.Act{testbed.Fail, testbed.Busy, testbed.Reset, testbed.Cut, testbed.Garbage} { // it may have run
+		// it may have run
+		for _, act := range []testbed.Act{testbed.Fail, testbed.Busy, testbed.Reset, testbed.Cut, testbed.Garbage} {
 			add(act.String()+"/"+effect, func(t *testing.T, w *World) {
 				w.Start(nil, 0, 0, 0)
 				w.Script(First(act))
@@ -235,7 +236,8 @@
 // narrow leaves each tenant few slots.
 func narrow(settings map[string]any) {
 	Brief(settings)
-	settings["orgs"] = decode(`[{"name":"north","share":0.5,"quota_per_s":4.0},{"name":"south","share":0.5,"quota_per_s":4.0}]`)
+	settings["orgs"] = decode(`[{"name":"north","share":0.5,"quota_per_s":4.0},
+		{"name":"south","share":0.5,"quota_per_s":4.0}]`)
 }
 
 // walls is about compartments.
@@ -402,7 +404,8 @@
 	})
 }
 
-// Load has a number of callers make calls of some classes, one after the other, until the function that it returns is called.
+// Load has a number of callers make calls of some classes, one after the other, until the function
+// that it returns is called.
 func (w *World) Load(callers int, classes ...string) (stop func()) {
 	done := make(chan struct{})
 	var all sync.WaitGroup
--- a/conformance/subjects_test.go
+++ b/conformance/subjects_test.go
@@ -117,9 +117,10 @@
 		t.Fatal(err)
 	}
 	address := make(chan string, 1)
+	servingLine := regexp.MustCompile(`msg=serving.* listen=(\S+)|serving.* listen=(\S+)`)
 	go func() {
 		for lines := bufio.NewScanner(log); lines.Scan(); {
-			if m := regexp.MustCompile(`msg=serving.* listen=(\S+)|serving.* listen=(\S+)`).FindStringSubmatch(lines.Text()); m != nil {
+			if m := servingLine.FindStringSubmatch(lines.Text()); m != nil {
 				address <- m[1] + m[2]
 			}
 		}
@@ -277,7 +278,8 @@
 }
 
 func (c clientClient) Call(ctx context.Context, call Call) Answer {
-	r := plugin.Request{Host: c.host, ID: call.ID, Class: call.Class, Tenant: call.Tenant, Key: call.Key, Timeout: call.Timeout}
+	r := plugin.Request{Host: c.host, ID: call.ID, Class: call.Class, Tenant: call.Tenant, Key: call.Key,
+		Timeout: call.Timeout}
 	if call.Class != "look" {
 		r.Body = []byte(call.Body)
 	}
@@ -353,7 +355,8 @@
 		}
 	}
 	var out wrapperspb.StringValue
-	err := c.Invoke(metadata.NewOutgoingContext(ctx, md), "/ledger.Ledger/"+call.Class, wrapperspb.String(call.Body), &out)
+	err := c.Invoke(metadata.NewOutgoingContext(ctx, md), "/ledger.Ledger/"+call.Class,
+		wrapperspb.String(call.Body), &out)
 	if err != nil {
 		a := said(ctx, err)
 		if a.Kind == "" { // a server's own status
--- a/internal/lab/emulator/cases.go
+++ b/internal/lab/emulator/cases.go
@@ -33,20 +33,23 @@
 		f.At(faultFrom, func() { f.Set(0, State{Slower: 5}) })
 		f.At(faultFrom+3*time.Second, func() { f.Set(0, State{}) })
 	}},
-	{Name: "one tenant x 10 for 10 s", Load: 0.5, Until: faultFrom + 10*time.Second, flood: func(now time.Duration) float64 {
-		if now >= faultFrom && now < faultFrom+10*time.Second {
-			return 10
-		}
-		return 1
-	}},
-	{Name: "two turn half away, look idle", Load: 0.6, Until: faultFrom + 20*time.Second, set: func(f *Fleet, c *Config) {
-		f.At(faultFrom, func() { f.Set(2, State{TurnAway: 0.5, Idle: true}) })
-		f.At(faultFrom+20*time.Second, func() { f.Set(2, State{}) })
-	}},
-	{Name: "three of six throttle", Load: 0.45, Until: faultFrom + 10*time.Second, Small: true, set: func(f *Fleet, c *Config) {
-		f.At(faultFrom, func() { f.SetFastest(3, State{Most: 40}) }) // of some 280 that each can do
-		f.At(faultFrom+10*time.Second, func() { f.SetFastest(3, State{}) })
-	}},
+	{Name: "one tenant x 10 for 10 s", Load: 0.5, Until: faultFrom + 10*time.Second,
+		flood: func(now time.Duration) float64 {
+			if now >= faultFrom && now < faultFrom+10*time.Second {
+				return 10
+			}
+			return 1
+		}},
+	{Name: "two turn half away, look idle", Load: 0.6, Until: faultFrom + 20*time.Second,
+		set: func(f *Fleet, c *Config) {
+			f.At(faultFrom, func() { f.Set(2, State{TurnAway: 0.5, Idle: true}) })
+			f.At(faultFrom+20*time.Second, func() { f.Set(2, State{}) })
+		}},
+	{Name: "three of six throttle", Load: 0.45, Until: faultFrom + 10*time.Second, Small: true,
+		set: func(f *Fleet, c *Config) {
+			f.At(faultFrom, func() { f.SetFastest(3, State{Most: 40}) }) // of some 280 that each can do
+			f.At(faultFrom+10*time.Second, func() { f.SetFastest(3, State{}) })
+		}},
 	{Name: "all break 1 of 50", Load: 0.6, Until: faultFrom + 20*time.Second, set: func(f *Fleet, c *Config) {
 		f.At(faultFrom, func() { f.Set(0, State{Breaks: 0.02}) })
 		f.At(faultFrom+20*time.Second, func() { f.Set(0, State{}) })
@@ -72,8 +75,10 @@
 		Clients: Clients{Retries: 2, Backoff: 50 * time.Millisecond},
 		Module: policy.Config{
 			Classes: []policy.Class{
-				{LatencyTarget: 500 * time.Millisecond, Deadline: time.Second, Value: 5, Effect: policy.Deduplicated, Scope: policy.ScopeCell, DedupWindow: 600 * time.Millisecond},
-				{LatencyTarget: 600 * time.Millisecond, Deadline: 2500 * time.Millisecond, Value: 2, Effect: policy.NonIdempotent},
+				{LatencyTarget: 500 * time.Millisecond, Deadline: time.Second, Value: 5,
+					Effect: policy.Deduplicated, Scope: policy.ScopeCell, DedupWindow: 600 * time.Millisecond},
+				{LatencyTarget: 600 * time.Millisecond, Deadline: 2500 * time.Millisecond, Value: 2,
+					Effect: policy.NonIdempotent},
 			},
 			MaxAttempts: 3, MayCancel: true, MayProbe: true, MaxRetryAfter: time.Second, Tick: time.Millisecond,
 			SlowStartShare: 0.32, SlowStartTime: 8500 * time.Millisecond, SlowStartOverload: 2.5,
@@ -189,8 +194,8 @@
 	return float64(len(series)-from) / 10
 }
 
-// swing is the greatest autocorrelation of the share that is turned away, at lags of 0.5 to 5 s: 1 is a whole fleet that turns away
-// and lets in at the same times.
+// swing is the greatest autocorrelation of the share that is turned away, at lags of 0.5 to 5 s: 1
+// is a whole fleet that turns away and lets in at the same times.
 func swing(series []Bucket) (most float64) {
 	var share []float64
 	mean := 0.0
--- a/internal/lab/emulator/cases_test.go
+++ b/internal/lab/emulator/cases_test.go
@@ -2,8 +2,9 @@
 
 import "testing"
 
-// The hard cases, from several seeds: no rule is broken, and what on-call would see stays within bounds that the module before this one
-// did not keep, where it has a figure: of worth in time while it lasts, and of seconds until nothing is turned away any more.
+// The hard cases, from several seeds: no rule is broken, and what on-call would see stays within
+// bounds that the module before this one did not keep, where it has a figure: of worth in time
+// while it lasts, and of seconds until nothing is turned away any more.
 func TestHardCases(t *testing.T) {
 	bounds := map[string]struct{ earned, recovery float64 }{
 		"a third silent 20 s":           {0.85, 1},
@@ -25,7 +26,8 @@
 					t.Fatalf("seed %d: %v", seed+1, err)
 				}
 				if b := bounds[c.Name]; o.Earned < b.earned || o.Recovery > b.recovery || o.After < 0.98 {
-					t.Errorf("seed %d: earned %.3f, then %.3f, %.1f s until nothing is turned away; want %.2f, 0.98, %.1f s",
+					t.Errorf("seed %d: earned %.3f, then %.3f, %.1f s until nothing is turned away; "+
+						"want %.2f, 0.98, %.1f s",
 						seed+1, o.Earned, o.After, o.Recovery, b.earned, b.recovery)
 				}
 			}
--- a/internal/lab/emulator/even.go
+++ b/internal/lab/emulator/even.go
@@ -10,7 +10,8 @@
 	"caperarch/policy"
 )
 
-// EvenDay is a day on which only the spread of requests is looked at: many sidecars of little traffic, servers that bear it with ease.
+// EvenDay is a day on which only the spread of requests is looked at: many sidecars of little
+// traffic, servers that bear it with ease.
 type EvenDay struct {
 	Sidecars, Servers int
 	Each              float64 // requests a second of a sidecar, on average
@@ -35,9 +36,11 @@
 		Seed: seed, Sidecars: d.Sidecars, Rate: d.Each * float64(d.Sidecars), Trip: time.Millisecond,
 		Classes: []Class{{Share: 1, Work: 10 * time.Millisecond}}, Tenants: []Tenant{{Share: 1}},
 		Module: policy.Config{
-			Classes:     []policy.Class{{LatencyTarget: 500 * time.Millisecond, Deadline: time.Second, Value: 1, Effect: policy.Idempotent}},
+			Classes: []policy.Class{{LatencyTarget: 500 * time.Millisecond, Deadline: time.Second,
+				Value: 1, Effect: policy.Idempotent}},
 			Tenants:     []policy.Tenant{{Share: 1, Quota: 1.2 * d.Each * float64(d.Sidecars)}},
-			MaxAttempts: 3, MayCancel: true, MaxRetryAfter: time.Second, Tick: time.Millisecond, SlowStartShare: 0.3, SlowStartTime: EvenColdTime, SlowStartOverload: cmp.Or(d.Cold, 3),
+			MaxAttempts: 3, MayCancel: true, MaxRetryAfter: time.Second, Tick: time.Millisecond,
+			SlowStartShare: 0.3, SlowStartTime: EvenColdTime, SlowStartOverload: cmp.Or(d.Cold, 3),
 		},
 	}
 	for range d.Servers {
@@ -59,13 +62,16 @@
 	}
 	if d.Wrong {
 		c.Place = func(i int) float64 {
-			return subset.ArcStart(i, d.Sidecars, func(j int) bool { return rand.New(rand.NewPCG(seed+uint64(i), uint64(j))).IntN(5) > 0 })
+			return subset.ArcStart(i, d.Sidecars, func(j int) bool {
+				return rand.New(rand.NewPCG(seed+uint64(i), uint64(j))).IntN(5) > 0
+			})
 		}
 	}
 	return c
 }
 
-// Run plays the day and returns what arrived where, and the servers' weights. Those that come later have numbers behind the first ones'.
+// Run plays the day and returns what arrived where, and the servers' weights. Those that come later
+// have numbers behind the first ones'.
 func (d *EvenDay) Run(seed uint64) ([]loadspread.Arrival, []float64, error) {
 	var all []loadspread.Arrival
 	var f *Fleet
--- a/internal/lab/emulator/even_test.go
+++ b/internal/lab/emulator/even_test.go
@@ -9,10 +9,12 @@
 	"caperarch/internal/lab/loadspread"
 )
 
-// Guards against arcs that lie over some servers more often than over others: worse than chance over ten seconds, with nothing wrong, though each sidecar's own turns are even.
+// Guards against arcs that lie over some servers more often than over others: worse than chance
+// over ten seconds, with nothing wrong, though each sidecar's own turns are even.
 func TestEvenFromThinViews(t *testing.T) {
 	for _, d := range []EvenDay{
-		{Sidecars: 40, Servers: 40, Each: 4}, {Sidecars: 24, Servers: 12, Each: 5}, {Sidecars: 100, Servers: 20, Each: 4}, {Sidecars: 100, Servers: 66, Each: 4},
+		{Sidecars: 40, Servers: 40, Each: 4}, {Sidecars: 24, Servers: 12, Each: 5},
+		{Sidecars: 100, Servers: 20, Each: 4}, {Sidecars: 100, Servers: 66, Each: 4},
 	} {
 		d.Until = 70 * time.Second
 		const seeds = 3
@@ -25,11 +27,14 @@
 			from := 10 * time.Second
 			short += loadspread.Of(all, weights, from, d.Until, time.Second).Variance / seeds
 			long += loadspread.Of(all, weights, from, d.Until, 10*time.Second).Variance / seeds
-			chance += loadspread.Of(loadspread.Random(all, weights, seed), weights, from, d.Until, 10*time.Second).Variance / seeds
+			chance += loadspread.Of(loadspread.Random(all, weights, seed), weights, from, d.Until,
+				10*time.Second).Variance / seeds
 		}
-		t.Logf("%d sidecars before %d: variance over mean %.2f in 1 s, %.2f in 10 s, by chance %.2f", d.Sidecars, d.Servers, short, long, chance)
+		t.Logf("%d sidecars before %d: variance over mean %.2f in 1 s, %.2f in 10 s, by chance %.2f",
+			d.Sidecars, d.Servers, short, long, chance)
 		if short > 0.6 || long > 0.7 {
-			t.Errorf("%d sidecars before %d: variance over mean %.2f in 1 s, %.2f in 10 s", d.Sidecars, d.Servers, short, long)
+			t.Errorf("%d sidecars before %d: variance over mean %.2f in 1 s, %.2f in 10 s", d.Sidecars,
+				d.Servers, short, long)
 		}
 	}
 }
@@ -49,7 +54,8 @@
 	return variance, greatest
 }
 
-// Guards against the few that have most of the traffic: each keeps to an arc of its own, and where these lie side by side their servers have a third more than the others.
+// Guards against the few that have most of the traffic: each keeps to an arc of its own, and where
+// these lie side by side their servers have a third more than the others.
 func TestHeavySidecarsSpreadWide(t *testing.T) {
 	d := EvenDay{Sidecars: 300, Servers: 60, Each: 4, Heavy: true, Until: 60 * time.Second}
 	variance, greatest := meanVariance(t, d, 30*time.Second, 2)
@@ -59,7 +65,8 @@
 	}
 }
 
-// Where those that live know who does not, they close the gaps; where they know it wrongly, each in its own way, they are no worse than by chance.
+// Where those that live know who does not, they close the gaps; where they know it wrongly, each in
+// its own way, they are no worse than by chance.
 func TestEvenAmongThoseThatLive(t *testing.T) {
 	d := EvenDay{Sidecars: 100, Servers: 20, Each: 4, Dead: 0.2, Until: 50 * time.Second}
 	blind, _ := meanVariance(t, d, 10*time.Second, 3)
@@ -67,7 +74,8 @@
 	known, _ := meanVariance(t, d, 10*time.Second, 3)
 	d.Dead, d.Wrong = 0, true
 	wrong, _ := meanVariance(t, d, 10*time.Second, 3)
-	t.Logf("a fifth is dead: variance over mean %.2f, %.2f where that is known; %.2f where each believes another fifth to be", blind, known, wrong)
+	t.Logf("a fifth is dead: variance over mean %.2f, %.2f where that is known; %.2f where each "+
+		"believes another fifth to be", blind, known, wrong)
 	if known > 0.45 || known > 0.7*blind {
 		t.Errorf("a fifth is dead: variance over mean %.2f, %.2f where that is known", blind, known)
 	}
@@ -76,7 +84,8 @@
 	}
 }
 
-// Behind what all notice at about the same moment nobody is overrun and nobody left idle; what was touched has its part again.
+// Behind what all notice at about the same moment nobody is overrun and nobody left idle; what was
+// touched has its part again.
 func TestEventsPutNobodyInStep(t *testing.T) {
 	for _, event := range EvenEvents(20) {
 		t.Run(event.Name, func(t *testing.T) {
@@ -102,12 +111,15 @@
 	}
 }
 
-// Rule 4 goes before evenness: where all but one have just come, they get, in each of their first seconds and by all sidecars together, no more than the settings have them bear, though traffic is more.
+// Rule 4 goes before evenness: where all but one have just come, they get, in each of their first
+// seconds and by all sidecars together, no more than the settings have them bear, though traffic is
+// more.
 func TestColdBudgetGoesBeforeEvenness(t *testing.T) {
 	const servers = 20
-	event := EvenEvent{At: eventAt, Ends: eventAt + EvenColdTime, Left: servers - 1, Came: servers - 1, Play: func(f *Fleet) {
-		f.At(eventAt, func() { f.Add(f.Remove(servers - 1)) })
-	}}
+	event := EvenEvent{At: eventAt, Ends: eventAt + EvenColdTime, Left: servers - 1, Came: servers - 1,
+		Play: func(f *Fleet) {
+			f.At(eventAt, func() { f.Add(f.Remove(servers - 1)) })
+		}}
 	for _, heavy := range []bool{false, true} {
 		d := EvenDay{Sidecars: 100, Servers: servers, Each: 8, Heavy: heavy, Cold: 1, Until: event.Ends, Event: &event}
 		for seed := range uint64(3) {
--- a/internal/lab/emulator/events.go
+++ b/internal/lab/emulator/events.go
@@ -7,7 +7,8 @@
 	"caperarch/internal/lab/loadspread"
 )
 
-// EvenEvent is something that all sidecars of a day notice at about the same moment, after which they may well think the same. What it does to servers it does to the first of the list.
+// EvenEvent is something that all sidecars of a day notice at about the same moment, after which
+// they may well think the same. What it does to servers it does to the first of the list.
 type EvenEvent struct {
 	Name    string
 	At      time.Duration
@@ -35,13 +36,19 @@
 	}
 	return []EvenEvent{
 		{Name: "all start at once", At: 0, Ends: 0},
-		{Name: "the list changes", At: eventAt, Ends: eventAt, Play: func(f *Fleet) { f.At(eventAt, func() { f.Remove(1) }) }, Touched: 1, Left: 1},
-		{Name: "one returns, cold", At: eventAt, Ends: eventAt + EvenColdTime, Play: replaced(1, 0), Touched: 1, Left: 1, Came: 1},
+		{Name: "the list changes", At: eventAt, Ends: eventAt, Play: func(f *Fleet) {
+			f.At(eventAt, func() { f.Remove(1) })
+		}, Touched: 1, Left: 1},
+		{Name: "one returns, cold", At: eventAt, Ends: eventAt + EvenColdTime, Play: replaced(1, 0),
+			Touched: 1, Left: 1, Came: 1},
 		{Name: "one is slow for 5 s", At: eventAt, Ends: eventAt + 5*time.Second, Acts: State{Slower: 8}, Touched: 1},
-		{Name: "a tenth is silent for 5 s", At: eventAt, Ends: eventAt + 5*time.Second, Acts: State{Silent: true}, Touched: some(0.1)},
+		{Name: "a tenth is silent for 5 s", At: eventAt, Ends: eventAt + 5*time.Second,
+			Acts: State{Silent: true}, Touched: some(0.1)},
 		{Name: "one is four times as quick", At: eventAt, Ends: eventAt, Acts: State{Slower: 0.25}, Touched: 1},
-		{Name: "half are replaced", At: eventAt, Ends: eventAt + EvenColdTime, Play: replaced(servers/2, 0), Touched: servers / 2, Left: servers / 2, Came: servers / 2},
-		{Name: "a zone returns after 5 s", At: eventAt, Ends: eventAt + 5*time.Second + EvenColdTime, Play: replaced(some(0.3), 5*time.Second), Touched: some(0.3), Left: some(0.3), Came: some(0.3)},
+		{Name: "half are replaced", At: eventAt, Ends: eventAt + EvenColdTime, Play: replaced(servers/2, 0),
+			Touched: servers / 2, Left: servers / 2, Came: servers / 2},
+		{Name: "a zone returns after 5 s", At: eventAt, Ends: eventAt + 5*time.Second + EvenColdTime,
+			Play: replaced(some(0.3), 5*time.Second), Touched: some(0.3), Left: some(0.3), Came: some(0.3)},
 		{Name: "traffic doubles", At: eventAt, Ends: eventAt, Times: func(now time.Duration) float64 {
 			if now >= eventAt {
 				return 2
@@ -69,9 +76,12 @@
 
 // Behind is what an event did to the spread.
 type Behind struct {
-	Worst, Chance float64       // greatest over mean among the servers that were there all along, in the worst second of the ten behind it; and what chance has
-	Idle          float64       // share of those seconds in which one that five were due had none
-	Back          time.Duration // from Ends until the last of the servers that were touched or came has half of its part; negative: it never had
+	// greatest over mean among the servers that were there all along, in the worst second of the
+	// ten behind it; and what chance has
+	Worst, Chance float64
+	Idle          float64 // share of those seconds in which one that five were due had none
+	// from Ends until the last of the servers that were touched or came has half of its part; negative: it never had
+	Back time.Duration
 }
 
 // behind is how long the spread is watched.
@@ -83,7 +93,9 @@
 	for i := e.Touched; i < servers; i++ {
 		steady[i] = 1
 	}
-	there := slices.DeleteFunc(slices.Clone(all), func(a loadspread.Arrival) bool { return a.To >= len(steady) || steady[a.To] == 0 })
+	there := slices.DeleteFunc(slices.Clone(all), func(a loadspread.Arrival) bool {
+		return a.To >= len(steady) || steady[a.To] == 0
+	})
 	from := e.At + time.Second // the second in which it happens is neither before nor behind
 	s := loadspread.Of(there, steady, from, from+behind, time.Second)
 	b.Worst, b.Idle = s.Worst, s.Idle
--- a/internal/lab/emulator/fleet.go
+++ b/internal/lab/emulator/fleet.go
@@ -1,5 +1,6 @@
-// Package emulator is a fleet in virtual time: sidecars with the decision module inside, servers, clients, a list, and what goes
-// wrong. It runs from a seed, to the same end every time, some thousands of times faster than the real one. It is free of I/O.
+// Package emulator is a fleet in virtual time: sidecars with the decision module inside, servers,
+// clients, a list, and what goes wrong. It runs from a seed, to the same end every time, some
+// thousands of times faster than the real one. It is free of I/O.
 package emulator
 
 import (
@@ -21,7 +22,8 @@
 	Work  time.Duration // mean, on a core of speed 1
 	Shape int           // gamma-distributed of this shape; 0: 4, some 50% of standard deviation
 	Tail  float64       // above 0: Pareto-distributed instead, with this coefficient of variation
-	Noise float64       // each attempt's own work differs from its request's by so much (standard deviation of the logarithm)
+	// each attempt's own work differs from its request's by so much (standard deviation of the logarithm)
+	Noise float64
 }
 
 // Tenant is a tenant's traffic.
@@ -48,12 +50,15 @@
 	Classes  []Class
 	Tenants  []Tenant
 	Clients  Clients
-	Trip     time.Duration                                                                 // from a sidecar to a server and back
-	Module   policy.Config                                                                 // Balancers, Index and Tick are set for each
-	New      func(cfg policy.Config, seed uint64, host policy.Host) (engine.Module, error) // nil: policy.New
-	Bucket   time.Duration                                                                 // of the series; 0: 100 ms
-	Place    func(sidecar int) float64                                                     // what each is told of its place; nil: nothing
-	Arrived  func(sidecar int, to policy.ServerID)                                         // hears of each attempt that arrives at a server; nil: nobody does
+	// from a sidecar to a server and back
+	Trip time.Duration
+	// Balancers, Index and Tick are set for each
+	Module policy.Config
+	New    func(cfg policy.Config, seed uint64, host policy.Host) (engine.Module, error) // nil: policy.New
+	Bucket time.Duration                                                                 // of the series; 0: 100 ms
+	// what each is told of its place; nil: nothing
+	Place   func(sidecar int) float64
+	Arrived func(sidecar int, to policy.ServerID) // hears of each attempt that arrives at a server; nil: nobody does
 }
 
 // Fleet is a fleet under way.
@@ -71,17 +76,19 @@
 	err      error
 }
 
-// Bucket is what came, and what became of it, in one stretch of the time. Requests count in the bucket that they came in.
+// Bucket is what came, and what became of it, in one stretch of the time. Requests count in the
+// bucket that they came in.
 type Bucket struct {
 	Requests, InTime, Late, Refused, Failed, Attempts int
 	Probes                                            int // as they go out
-	Throttled                                         int // refused at once, as seen by the module's counters, in this stretch
-	Worth, Earned                                     float64
-	Tenant                                            []Count
-	Capacity                                          float64 // work that the servers can do, in seconds of work a second
-	Held                                              int     // requests that the servers hold as it begins
-	Tipped                                            int     // servers that are slower as they were crowded
-	Work                                              float64 // work asked for
+	// refused at once, as seen by the module's counters, in this stretch
+	Throttled     int
+	Worth, Earned float64
+	Tenant        []Count
+	Capacity      float64 // work that the servers can do, in seconds of work a second
+	Held          int     // requests that the servers hold as it begins
+	Tipped        int     // servers that are slower as they were crowded
+	Work          float64 // work asked for
 }
 
 // Count counts a tenant's requests.
@@ -125,7 +132,8 @@
 func (f *Fleet) add(s Server, started time.Duration) *node {
 	f.nextNode++
 	// Ids that tell nothing of the order.
-	n := &node{f: f, id: policy.ServerID(uint64(f.nextNode) * 0x9e3779b97f4a7c15), spec: s, started: started, recent: 0.05}
+	n := &node{f: f, id: policy.ServerID(uint64(f.nextNode) * 0x9e3779b97f4a7c15), spec: s,
+		started: started, recent: 0.05}
 	f.nodes, f.byID[n.id] = append(f.nodes, n), n
 	return n
 }
@@ -142,7 +150,8 @@
 func (f *Fleet) list() (entries []policy.Server) {
 	for _, n := range f.nodes {
 		if !n.gone {
-			entries = append(entries, policy.Server{ID: n.id, State: policy.Ready, Weight: cmp.Or(n.spec.Weight, 1), Cell: n.spec.Cell, Started: n.started})
+			entries = append(entries, policy.Server{ID: n.id, State: policy.Ready,
+				Weight: cmp.Or(n.spec.Weight, 1), Cell: n.spec.Cell, Started: n.started})
 		}
 	}
 	return entries
--- a/internal/lab/emulator/large_test.go
+++ b/internal/lab/emulator/large_test.go
@@ -21,8 +21,9 @@
 	}
 }
 
-// Guards against looks before each send that cost a fleet more than they bring, and against blind turns that learn of silent servers too
-// late: ten of sixty servers are silent for ten seconds, under eighty sidecars and under a thousand.
+// Guards against looks before each send that cost a fleet more than they bring, and against blind
+// turns that learn of silent servers too late: ten of sixty servers are silent for ten seconds,
+// under eighty sidecars and under a thousand.
 func TestALargeFleetLooksSeldomAndServes(t *testing.T) {
 	play := func(t *testing.T, sidecars int, price float64, seed uint64) (probes, inTime float64) {
 		c := Case{Name: "silent", Load: 0.55, Until: strainEnds, set: func(f *Fleet, _ *Config) {
@@ -42,7 +43,8 @@
 		for seed := range uint64(seeds) {
 			probes, inTime := play(t, sidecars, 0.08, seed)
 			often, best := play(t, sidecars, 0.004, seed)
-			t.Logf("seed %d, %d sidecars: %.2f probes a request and %.3f in time where they are dear, %.2f and %.3f where not",
+			t.Logf("seed %d, %d sidecars: %.2f probes a request and %.3f in time where they are dear, "+
+				"%.2f and %.3f where not",
 				seed, sidecars, probes, inTime, often, best)
 			if mean += inTime / seeds; probes > 0.3 || often < 0.9 || inTime-0.08*probes < best-0.08*often {
 				t.Errorf("seed %d, %d sidecars: looks bring less than they cost, or are not made", seed, sidecars)
--- a/internal/lab/emulator/mass.go
+++ b/internal/lab/emulator/mass.go
@@ -10,8 +10,9 @@
 	"caperarch/policy"
 )
 
-// Mass is a day of a fleet of hundreds: many sidecars of little and uneven traffic, requests of a long tail, servers that tip where they
-// hold too many and come back only when they rest, clients that come again. What the deployment is like is drawn from the seed.
+// Mass is a day of a fleet of hundreds: many sidecars of little and uneven traffic, requests of a
+// long tail, servers that tip where they hold too many and come back only when they rest, clients
+// that come again. What the deployment is like is drawn from the seed.
 type Mass struct {
 	Sidecars, Servers int
 	Load              float64 // of the capacity, at the usual rate
@@ -37,16 +38,25 @@
 	c := Config{
 		Seed: seed, Sidecars: m.Sidecars, Trip: time.Millisecond,
 		Classes: []Class{
-			{Share: 0.8, Work: time.Duration(between(rng, 39, 70) * float64(time.Millisecond)), Tail: between(rng, 1.4, 2.6), Noise: between(rng, 0.07, 0.48)},
-			{Share: 0.2, Work: time.Duration(between(rng, 50, 91) * float64(time.Millisecond)), Tail: between(rng, 1.6, 2.8), Noise: between(rng, 0.06, 0.44)},
+			{Share: 0.8, Work: time.Duration(between(rng, 39, 70) * float64(time.Millisecond)),
+				Tail: between(rng, 1.4, 2.6), Noise: between(rng, 0.07, 0.48)},
+			{Share: 0.2, Work: time.Duration(between(rng, 50, 91) * float64(time.Millisecond)),
+				Tail: between(rng, 1.6, 2.8), Noise: between(rng, 0.06, 0.44)},
+		},
+		Clients: Clients{
+			Retries: 2,
+			Backoff: time.Duration(between(rng, 25, 200) * float64(time.Millisecond)),
+			Part:    between(rng, 0.5, 0.8),
 		},
-		Clients: Clients{Retries: 2, Backoff: time.Duration(between(rng, 25, 200) * float64(time.Millisecond)), Part: between(rng, 0.5, 0.8)},
 		Module: policy.Config{
 			Classes: []policy.Class{
-				{LatencyTarget: 500 * time.Millisecond, Deadline: time.Second, Value: 5, Effect: policy.Deduplicated, Scope: policy.ScopeCell, DedupWindow: 600 * time.Millisecond},
-				{LatencyTarget: 600 * time.Millisecond, Deadline: 2500 * time.Millisecond, Value: 2, Effect: policy.NonIdempotent},
+				{LatencyTarget: 500 * time.Millisecond, Deadline: time.Second, Value: 5,
+					Effect: policy.Deduplicated, Scope: policy.ScopeCell, DedupWindow: 600 * time.Millisecond},
+				{LatencyTarget: 600 * time.Millisecond, Deadline: 2500 * time.Millisecond, Value: 2,
+					Effect: policy.NonIdempotent},
 			},
-			MaxAttempts: 3, MayCancel: true, MayProbe: true, MaxRetryAfter: time.Second, Tick: time.Millisecond, ClientsMarkRetries: true,
+			MaxAttempts: 3, MayCancel: true, MayProbe: true, MaxRetryAfter: time.Second,
+			Tick: time.Millisecond, ClientsMarkRetries: true,
 			SlowStartShare: 0.32, SlowStartTime: 8500 * time.Millisecond, SlowStartOverload: 2.5, ProbePrice: 0.08,
 			Reports: policy.HasInFlight | policy.HasService | policy.HasServed | policy.HasErrors,
 		},
@@ -58,9 +68,11 @@
 	capacity := 0.0
 	for i := range m.Servers {
 		kind := []struct{ speed, cv float64 }{{1.6, 0.12}, {0.6, 0.15}, {0.95, 0.1}, {0.6, 0.15}, {1.6, 0.12}}[i%5]
-		s := Server{Cores: 2, Speed: kind.speed * math.Exp(kind.cv*rng.NormFloat64()), Room: int(2 * between(rng, 11, 36)), Cell: i / 8, Weight: kind.speed}
+		s := Server{Cores: 2, Speed: kind.speed * math.Exp(kind.cv*rng.NormFloat64()),
+			Room: int(2 * between(rng, 11, 36)), Cell: i / 8, Weight: kind.speed}
 		s.Crowd = &Crowd{
-			Over: seconds(over), Most: min(0.7*float64(s.Cores+s.Room), float64(s.Cores)+at*math.Sqrt(float64(s.Cores))),
+			Over: seconds(over), Most: min(0.7*float64(s.Cores+s.Room),
+				float64(s.Cores)+at*math.Sqrt(float64(s.Cores))),
 			Slower: slower, Rest: seconds(rest), Below: below, Until: seconds(until),
 		}
 		c.Servers = append(c.Servers, s)
--- a/internal/lab/emulator/mass_test.go
+++ b/internal/lab/emulator/mass_test.go
@@ -7,9 +7,10 @@
 	"caperarch/policy"
 )
 
-// Guards against walls that add up: each sidecar of a fleet holds little, all of them more than the servers bear, and a burst of half as
-// much again leaves servers tipped for the rest of the day. Seeds draw the deployment. Of the second, where servers tip soonest, walls of
-// each sidecar alone had 0.636 of the worth in time, with all 40 servers tipped.
+// Guards against walls that add up: each sidecar of a fleet holds little, all of them more than the
+// servers bear, and a burst of half as much again leaves servers tipped for the rest of the day.
+// Seeds draw the deployment. Of the second, where servers tip soonest, walls of each sidecar alone
+// had 0.636 of the worth in time, with all 40 servers tipped.
 func TestABurstLeavesTheFleetStanding(t *testing.T) {
 	bounds := map[uint64]struct {
 		inTime float64
@@ -26,14 +27,15 @@
 			}
 			t.Logf("seed %d: %.3f in time, %d tipped", seed, o.InTime, o.Tipped)
 			if o.InTime < want.inTime || o.Tipped > want.tipped {
-				t.Errorf("seed %d: %.3f in time, %d tipped; want %.2f and %d", seed, o.InTime, o.Tipped, want.inTime, want.tipped)
+				t.Errorf("seed %d: %.3f in time, %d tipped; want %.2f and %d", seed, o.InTime, o.Tipped,
+					want.inTime, want.tipped)
 			}
 		})
 	}
 }
 
-// Guards against figures of the emulator that nobody can trust: a server that is crowded tips, works slower for as long as it has work,
-// and is well again once it has rested.
+// Guards against figures of the emulator that nobody can trust: a server that is crowded tips,
+// works slower for as long as it has work, and is well again once it has rested.
 func TestACrowdedServerTipsUntilItRests(t *testing.T) {
 	m := CalmMass
 	m.Sidecars, m.Servers, m.Burst, m.Shift = 2, 1, 0, false
@@ -52,7 +54,8 @@
 	f.clock.To(f.clock.Now + 6*crowd.Over)
 	n.crowded()
 	if !n.tipped || n.speed() > 0.6*speed {
-		t.Fatalf("holds %d where %.1f is the most: tipped %v, speed %.2f of %.2f", len(held), crowd.Most, n.tipped, n.speed(), speed)
+		t.Fatalf("holds %d where %.1f is the most: tipped %v, speed %.2f of %.2f", len(held), crowd.Most,
+			n.tipped, n.speed(), speed)
 	}
 	f.clock.To(f.clock.Now + crowd.Rest)
 	if !n.tipped {
--- a/internal/lab/emulator/server.go
+++ b/internal/lab/emulator/server.go
@@ -37,7 +37,8 @@
 	TurnAway float64 // share of the requests that it turns away unseen
 	Idle     bool    // reports that it holds nothing
 	Breaks   float64 // share of the requests after which the connection breaks, run or not
-	Most     float64 // requests that it takes a second; it turns away what comes beyond that, after a while; 0: no bound
+	// requests that it takes a second; it turns away what comes beyond that, after a while; 0: no bound
+	Most float64
 }
 
 // node is a server at work.
--- a/internal/lab/emulator/sidecar.go
+++ b/internal/lab/emulator/sidecar.go
@@ -77,7 +77,8 @@
 // ask is a client's first try.
 func (s *sidecar) ask(class, tenant int) {
 	f := s.f
-	w := &wish{class: class, tenant: tenant, at: f.clock.Now, work: f.work(&f.cfg.Classes[class]), bucket: int(f.Now() / f.cfg.Bucket)}
+	w := &wish{class: class, tenant: tenant, at: f.clock.Now, work: f.work(&f.cfg.Classes[class]),
+		bucket: int(f.Now() / f.cfg.Bucket)}
 	b := f.bucket(f.Now())
 	b.Requests++
 	b.Tenant[tenant].Requests++
@@ -100,7 +101,8 @@
 	r := &request{id: s.lastID, first: w, try: n, deadline: deadline}
 	s.open[r.id] = r
 	s.event(func() {
-		s.m.Request(f.clock.Now, policy.Request{ID: r.id, Class: w.class, Tenant: w.tenant, TimeLeft: deadline - f.clock.Now, IsRetry: n > 0})
+		s.m.Request(f.clock.Now, policy.Request{ID: r.id, Class: w.class, Tenant: w.tenant,
+			TimeLeft: deadline - f.clock.Now, IsRetry: n > 0})
 	})
 	f.clock.After(deadline-f.clock.Now+answerSlack, func() {
 		if !r.over {
@@ -203,7 +205,8 @@
 	if r.out == 0 {
 		delete(s.open, r.id)
 	}
-	again := r.try < f.cfg.Clients.Retries && (refused || f.cfg.Module.Classes[r.first.class].Effect != policy.NonIdempotent)
+	again := r.try < f.cfg.Clients.Retries &&
+		(refused || f.cfg.Module.Classes[r.first.class].Effect != policy.NonIdempotent)
 	wait := max(pause, f.jitter(f.cfg.Clients.backoff(r.try)))
 	if again && f.clock.Now+wait < r.first.at+f.cfg.Module.Classes[r.first.class].Deadline {
 		f.clock.After(wait, func() { s.try(r.first, r.try+1) })
--- a/internal/lab/loadspread/loadspread.go
+++ b/internal/lab/loadspread/loadspread.go
@@ -1,5 +1,6 @@
-// Package loadspread tells how evenly requests were spread over upstreams, and whether those who send chose alike, from arrivals alone. It is free of I/O. Measurements use it; nothing
-// that ships does.
+// Package loadspread tells how evenly requests were spread over upstreams, and whether those who
+// send chose alike, from arrivals alone. It is free of I/O. Measurements use it; nothing that ships
+// does.
 package loadspread
 
 import (
@@ -17,15 +18,18 @@
 
 // Spread is how evenly arrivals were spread over windows of some length.
 type Spread struct {
-	Window   time.Duration
-	Variance float64 // over mean of the arrivals at an upstream in a window, each against its window's mean: 1 is chance alone, 0 a turn for each
+	Window time.Duration
+	// over mean of the arrivals at an upstream in a window, each against its window's mean: 1 is
+	// chance alone, 0 a turn for each
+	Variance float64
 	Greatest float64 // over mean, in the median window
 	Worst    float64 // and in the worst
 	Idle     float64 // share of upstreams and windows with nothing, where five or more were due
 	Due      float64 // share of those in which so many were due
 }
 
-// Of measures windows of a length over all whole ones from a time on. weights are the upstreams', and say what was due; 0: it is not there.
+// Of measures windows of a length over all whole ones from a time on. weights are the upstreams',
+// and say what was due; 0: it is not there.
 func Of(all []Arrival, weights []float64, from, until, window time.Duration) (s Spread) {
 	s.Window = window
 	windows := int((until - from) / window)
@@ -96,7 +100,8 @@
 	return n
 }
 
-// Back is how long after a moment an upstream had at least half of its part again and kept it for good, in windows of a length; negative: it had not, by the end.
+// Back is how long after a moment an upstream had at least half of its part again and kept it for
+// good, in windows of a length; negative: it had not, by the end.
 func Back(all []Arrival, weights []float64, to int, from, until, window time.Duration) time.Duration {
 	whole := 0.0
 	for _, w := range weights {
@@ -120,7 +125,8 @@
 	return back
 }
 
-// Alike is how often two that different senders sent within a time of one another went to the same upstream, over how often chance has it, by weight: 1 is chance.
+// Alike is how often two that different senders sent within a time of one another went to the same
+// upstream, over how often chance has it, by weight: 1 is chance.
 func Alike(all []Arrival, weights []float64, within time.Duration) float64 {
 	whole, same := 0.0, 0.0
 	for _, w := range weights {
@@ -165,7 +171,8 @@
 	return drawn
 }
 
-// Two is the same arrivals, each at the one of two drawn by weight at which its sender has less out, by its own view alone; what is sent is out for so long.
+// Two is the same arrivals, each at the one of two drawn by weight at which its sender has less
+// out, by its own view alone; what is sent is out for so long.
 func Two(all []Arrival, weights []float64, out time.Duration, seed uint64) []Arrival {
 	first, second := Random(all, weights, seed), Random(all, weights, seed+1)
 	type sent struct {
--- a/internal/lab/loadspread/loadspread_test.go
+++ b/internal/lab/loadspread/loadspread_test.go
@@ -17,7 +17,8 @@
 	if math.Abs(chance.Variance-1) > 0.1 || chance.Greatest < 1.1 || chance.Idle != 0 || chance.Due != 1 {
 		t.Errorf("chance: %+v", chance)
 	}
-	if limit := Of(Limit(all, weights), weights, 0, 2*time.Minute, time.Second); limit.Variance > 0.02 || limit.Greatest > 1.05 {
+	if limit := Of(Limit(all, weights), weights, 0, 2*time.Minute, time.Second); limit.Variance > 0.02 ||
+		limit.Greatest > 1.05 {
 		t.Errorf("one round robin: %+v", limit)
 	}
 	if one := Of(all, weights, 0, 2*time.Minute, time.Second); one.Greatest < 11 || one.Idle < 0.85 {
@@ -34,7 +35,8 @@
 	}
 }
 
-// An upstream that is not there counts for nothing; one that comes back is back from the window on in which it has half of its part, for good.
+// An upstream that is not there counts for nothing; one that comes back is back from the window on
+// in which it has half of its part, for good.
 func TestBackAndAbsent(t *testing.T) {
 	weights := []float64{0, 1, 1}
 	var all []Arrival
@@ -54,7 +56,8 @@
 	if back := Back(all[:1000], weights, 2, 0, 5*time.Second, time.Second); back >= 0 {
 		t.Errorf("one that never came is back after %v", back)
 	}
-	if s := Of(Limit(all, []float64{0, 1, 1}), weights, 0, 20*time.Second, time.Second); s.Variance > 0.02 || s.Worst > 1.05 {
+	if s := Of(Limit(all, []float64{0, 1, 1}), weights, 0, 20*time.Second,
+		time.Second); s.Variance > 0.02 || s.Worst > 1.05 {
 		t.Errorf("with one that is not there: %+v", s)
 	}
 }
--- a/internal/lab/raftlogsim/net.go
+++ b/internal/lab/raftlogsim/net.go
@@ -1,5 +1,6 @@
-// Package raftlogsim plays the sidecars that share an agreed log in virtual time: messages lost, late, doubled and cut off, processes that stop, crash and come back having
-// forgotten. One seed plays one history. It is for tests and measurements; nothing that ships imports it.
+// Package raftlogsim plays the sidecars that share an agreed log in virtual time: messages lost,
+// late, doubled and cut off, processes that stop, crash and come back having forgotten. One seed
+// plays one history. It is for tests and measurements; nothing that ships imports it.
 package raftlogsim
 
 import (
@@ -12,7 +13,8 @@
 	"caperarch/internal/lab/virtualtime"
 )
 
-// outAfter is when a process that has ended is known to be gone for good: what internal/fleet/swim tells takes about so long.
+// outAfter is when a process that has ended is known to be gone for good: what internal/fleet/swim
+// tells takes about so long.
 const outAfter = 6 * time.Second
 
 // Net is a fleet.
@@ -46,8 +48,10 @@
 // New makes a fleet whose processes all run.
 func New(size int, seed uint64) *Net {
 	n := &Net{
-		Size: size, Clock: virtualtime.Clock{Now: time.Hour}, Faults: virtualtime.Faults{Rng: rand.New(rand.NewPCG(seed, 5)), Most: 10 * time.Millisecond}, agreed: make(map[[2]uint64]string),
-		ended: make(map[raftlog.Seat]time.Duration),
+		Size: size, Clock: virtualtime.Clock{Now: time.Hour},
+		Faults: virtualtime.Faults{Rng: rand.New(rand.NewPCG(seed, 5)), Most: 10 * time.Millisecond},
+		agreed: make(map[[2]uint64]string),
+		ended:  make(map[raftlog.Seat]time.Duration),
 	}
 	for range size {
 		n.Nodes = append(n.Nodes, &Node{net: n, Process: virtualtime.Process{Down: true}})
@@ -67,7 +71,8 @@
 	n.life++
 	m.Begin()
 	m.seat, m.last = raftlog.Seat{Number: i, Life: n.life}, 0
-	cfg := raftlog.Config{Size: n.Size, Self: m.seat, Life: n.life, Rand: rand.New(rand.NewPCG(n.life, n.Rng.Uint64())), Host: m}
+	cfg := raftlog.Config{Size: n.Size, Self: m.seat, Life: n.life,
+		Rand: rand.New(rand.NewPCG(n.life, n.Rng.Uint64())), Host: m}
 	if n.Disks != nil {
 		d := n.Disks[i]
 		if d.Life == 0 {
@@ -162,7 +167,8 @@
 		m.term, m.led = term, m.net.Now
 	}
 	if at, _ := m.Confirmed(); at > 0 && at < m.led {
-		m.net.Broken = append(m.net.Broken, fmt.Sprintf("n%d leads since %v and takes a word of %v for a confirmation", m.seat.Number, m.led, at))
+		m.net.Broken = append(m.net.Broken,
+			fmt.Sprintf("n%d leads since %v and takes a word of %v for a confirmation", m.seat.Number, m.led, at))
 	}
 }
 
@@ -172,7 +178,8 @@
 	key := [2]uint64{m.Epoch(), e.Index}
 	switch had, known := n.agreed[key]; {
 	case known && had != string(e.Data):
-		n.Broken = append(n.Broken, fmt.Sprintf("n%d has %q at %d of epoch %d, another has %q", m.seat.Number, e.Data, e.Index, m.Epoch(), had))
+		n.Broken = append(n.Broken, fmt.Sprintf("n%d has %q at %d of epoch %d, another has %q",
+			m.seat.Number, e.Data, e.Index, m.Epoch(), had))
 	case e.Index <= m.last:
 		n.Broken = append(n.Broken, fmt.Sprintf("n%d applies %d behind %d", m.seat.Number, e.Index, m.last))
 	}
@@ -195,7 +202,8 @@
 	return -1
 }
 
-// Lost says whether the log is lost, as it may be where a majority of the voters is: of the seats that anybody holds for the voters', most are of processes that have ended.
+// Lost says whether the log is lost, as it may be where a majority of the voters is: of the seats
+// that anybody holds for the voters', most are of processes that have ended.
 func (n *Net) Lost() bool {
 	for _, m := range n.Nodes {
 		if m.Down || m.Epoch() == 0 {
--- a/internal/lab/replay/estimate.go
+++ b/internal/lab/replay/estimate.go
@@ -54,9 +54,10 @@
 	return s.seconds[n]
 }
 
-// Estimate hands the recorded requests and lists to the present module and answers what it does by what happened then: an attempt
-// goes as the recorded one nearest to it went, a probe likewise. Servers don't feel what the module does otherwise, and clients retry
-// as they did: so it is good for changes of who is turned away and who is tried again, and for none of how much servers bear.
+// Estimate hands the recorded requests and lists to the present module and answers what it does by
+// what happened then: an attempt goes as the recorded one nearest to it went, a probe likewise.
+// Servers don't feel what the module does otherwise, and clients retry as they did: so it is good
+// for changes of who is turned away and who is tried again, and for none of how much servers bear.
 func Estimate(from Source) (*Estimation, error) {
 	all, begun, tally, err := read(from)
 	if err != nil {
@@ -107,7 +108,8 @@
 	for _, e := range p.events {
 		r.clock.To(max(r.clock.Now, time.Duration(e.At)))
 		if q := e.GetRequest(); q != nil {
-			r.open[policy.RequestID(q.Id)] = &played{class: q.Class, at: r.clock.Now, ends: r.clock.Now + time.Duration(q.Left)}
+			r.open[policy.RequestID(q.Id)] = &played{class: q.Class, at: r.clock.Now,
+				ends: r.clock.Now + time.Duration(q.Left)}
 		}
 		if g := e.GetGone(); g != nil {
 			if q := r.open[policy.RequestID(g.Id)]; q == nil || q.over {
--- a/internal/lab/replay/exact.go
+++ b/internal/lab/replay/exact.go
@@ -1,5 +1,6 @@
-// Package replay runs recorded events (internal/proxy/record) through the present decision module: to find where it departs
-// from what was done, or to estimate how it would have fared. It is free of I/O.
+// Package replay runs recorded events (internal/proxy/record) through the present decision module:
+// to find where it departs from what was done, or to estimate how it would have fared. It is free
+// of I/O.
 package replay
 
 import (
@@ -54,8 +55,8 @@
 	Cut             bool   // the file ends within a record
 }
 
-// Exact hands the recorded events to the present module at their times and compares what it does, action by action. It keeps
-// the first most departures. An error is one of the file.
+// Exact hands the recorded events to the present module at their times and compares what it does,
+// action by action. It keeps the first most departures. An error is one of the file.
 func Exact(from Source, most int) (Comparison, error) {
 	var c Comparison
 	all := make(map[uint32]*exact)
@@ -182,7 +183,8 @@
 // isAction says whether a record is what a module did, not what it was handed.
 func isAction(r *recordpb.Record) bool {
 	switch r.What.(type) {
-	case *recordpb.Record_Send, *recordpb.Record_Refuse, *recordpb.Record_Fail, *recordpb.Record_Cancel, *recordpb.Record_Alarm,
+	case *recordpb.Record_Send, *recordpb.Record_Refuse, *recordpb.Record_Fail, *recordpb.Record_Cancel,
+		*recordpb.Record_Alarm,
 		*recordpb.Record_Close, *recordpb.Record_Probe, *recordpb.Record_Watch, *recordpb.Record_Log:
 		return true
 	}
--- a/internal/lab/replay/past.go
+++ b/internal/lab/replay/past.go
@@ -78,7 +78,8 @@
 			}
 			all[r.Instance] = &past{
 				opened: o, classes: cfg.Classes, asked: make(map[uint64]*asked), attempts: make(map[key]*sample),
-				byServer: make(map[uint64][]*sample), probes: make(map[uint64][]*sample), probing: make(map[uint64][]time.Duration),
+				byServer: make(map[uint64][]*sample), probes: make(map[uint64][]*sample),
+				probing: make(map[uint64][]time.Duration),
 			}
 			continue
 		}
@@ -173,8 +174,9 @@
 	p.all = tidy(p.all)
 }
 
-// attempt is how an attempt would go: as this request's went at this server, else as the one that was sent there nearest in
-// time went, of the same class if there is one near; else as the nearest anywhere. nil: nothing was ever sent.
+// attempt is how an attempt would go: as this request's went at this server, else as the one that
+// was sent there nearest in time went, of the same class if there is one near; else as the nearest
+// anywhere. nil: nothing was ever sent.
 func (p *past) attempt(id, server uint64, class int32, at time.Duration) *sample {
 	if a := p.asked[id]; a != nil {
 		for i := range a.sends {
--- a/internal/lab/replicatedstatesim/net.go
+++ b/internal/lab/replicatedstatesim/net.go
@@ -1,5 +1,7 @@
-// Package replicatedstatesim plays the sidecars that settle a policy in virtual time: messages lost, late, doubled, cut off and held back, processes that stop, crash and come back
-// having forgotten, clocks that run at rates of their own. One seed plays one history. It is for tests and measurements; nothing that ships imports it.
+// Package replicatedstatesim plays the sidecars that settle a policy in virtual time: messages
+// lost, late, doubled, cut off and held back, processes that stop, crash and come back having
+// forgotten, clocks that run at rates of their own. One seed plays one history. It is for tests and
+// measurements; nothing that ships imports it.
 package replicatedstatesim
 
 import (
@@ -84,11 +86,13 @@
 // New makes a fleet whose processes all run. Nobody knows of a log yet.
 func New(cfg Config) *Net {
 	n := &Net{
-		Config: cfg, Clock: virtualtime.Clock{Now: time.Hour}, Faults: virtualtime.Faults{Rng: rand.New(rand.NewPCG(cfg.Seed, 9)), Most: 10 * time.Millisecond},
+		Config: cfg, Clock: virtualtime.Clock{Now: time.Hour},
+		Faults: virtualtime.Faults{Rng: rand.New(rand.NewPCG(cfg.Seed, 9)), Most: 10 * time.Millisecond},
 		Cannot: make(map[[2]int]bool), Counts: make(map[string]int), most: make(map[uint64]uint64),
 	}
 	for i := range cfg.Size {
-		n.Nodes = append(n.Nodes, &Node{net: n, number: i, rate: 1 + cfg.Rate*(2*n.Rng.Float64()-1), Process: virtualtime.Process{Down: true}})
+		n.Nodes = append(n.Nodes, &Node{net: n, number: i, rate: 1 + cfg.Rate*(2*n.Rng.Float64()-1),
+			Process: virtualtime.Process{Down: true}})
 	}
 	if n.Site != nil {
 		n.open()
@@ -122,7 +126,8 @@
 	m.Begin()
 	m.Life, m.seat, m.own, m.born = n.life, raftlog.Seat{Number: i, Life: n.life}, maintenance.Own{}, m.Time()
 	cfg := replicatedstate.Config{
-		Size: n.Size, Life: n.life, Lease: n.Lease, Rate: n.Rate, Rand: rand.New(rand.NewPCG(n.life, n.Rng.Uint64())), Host: m,
+		Size: n.Size, Life: n.life, Lease: n.Lease, Rate: n.Rate,
+		Rand: rand.New(rand.NewPCG(n.life, n.Rng.Uint64())), Host: m,
 		Check: func(text []byte) error {
 			if n.Cannot[[2]int{i, number(text)}] {
 				return errors.New("tenants.x: no such tenant")
@@ -249,7 +254,8 @@
 		}
 	}
 	if len(alone) > 1 || len(live) > 2 {
-		n.Broken = append(n.Broken, fmt.Sprintf("%.3fs: alone by %d policies, %d live:%s", (n.Now-time.Hour).Seconds(), len(alone), len(live), n.Text()))
+		n.Broken = append(n.Broken, fmt.Sprintf("%.3fs: alone by %d policies, %d live:%s",
+			(n.Now-time.Hour).Seconds(), len(alone), len(live), n.Text()))
 	}
 }
 
@@ -261,7 +267,8 @@
 			continue
 		}
 		v := m.View(m.Time())
-		text += fmt.Sprintf("\nn%d leader %d epoch %d have %d goes by %s %d %d; holds %d, pending %d, open %d, voters %v", m.number, v.Leader, v.Epoch, v.Have, v.Goes.Mode, v.Goes.Old.Version,
+		text += fmt.Sprintf("\nn%d leader %d epoch %d have %d goes by %s %d %d; holds %d, pending %d, "+
+			"open %d, voters %v", m.number, v.Leader, v.Epoch, v.Have, v.Goes.Mode, v.Goes.Old.Version,
 			v.Goes.New.Version, v.State.Holds.Version, v.State.Pending.Version, v.State.Open, v.Voters)
 	}
 	return text
@@ -285,7 +292,8 @@
 	return !first
 }
 
-// Lost says whether the log is lost: of the voters that whoever has the most of the newest log holds for the present ones, most are of processes that have ended.
+// Lost says whether the log is lost: of the voters that whoever has the most of the newest log
+// holds for the present ones, most are of processes that have ended.
 func (n *Net) Lost() bool {
 	var best replicatedstate.View
 	for _, m := range n.Nodes {
--- a/internal/lab/replicatedstatesim/work.go
+++ b/internal/lab/replicatedstatesim/work.go
@@ -10,7 +10,8 @@
 	"caperarch/internal/fleet/replicatedstate"
 )
 
-// Site is the machines that the fleet's sidecars send to, seen from outside: what arrives there, and what the log says of them, each entry counted where it is applied first.
+// Site is the machines that the fleet's sidecars send to, seen from outside: what arrives there,
+// and what the log says of them, each entry counted where it is applied first.
 type Site struct {
 	Machines []maintenance.Machine
 	Deadline time.Duration // the longest that a request is out
@@ -44,7 +45,8 @@
 // open has the sidecars send from now on.
 func (n *Net) open() {
 	s := n.Site
-	s.last, s.free, s.turns, s.cold = make(map[maintenance.Step]bool), make(map[uint64]uint32), make(map[uint32]uint64), make(map[uint64]time.Duration)
+	s.last, s.free, s.turns, s.cold = make(map[maintenance.Step]bool), make(map[uint64]uint32),
+		make(map[uint32]uint64), make(map[uint64]time.Duration)
 	every := cmp.Or(s.Every, 100*time.Millisecond)
 	for i := range n.Nodes {
 		var send func()
@@ -73,7 +75,8 @@
 	contact := m.Node.Now(m.Time()).Mode != policyrollout.CutOff
 	if turn, free := s.free[x.ID]; free {
 		if contact {
-			n.Broken = append(n.Broken, fmt.Sprintf("%.3fs: n%d is in contact and sends to %s, which turn %d has free", (n.Now-time.Hour).Seconds(), i, x.Name, turn))
+			n.Broken = append(n.Broken, fmt.Sprintf("%.3fs: n%d is in contact and sends to %s, which turn %d has free",
+				(n.Now-time.Hour).Seconds(), i, x.Name, turn))
 		}
 		s.Astray++
 	}
@@ -105,7 +108,8 @@
 			m.own.Seen(turn, machine)
 		}
 	}
-	return maintenance.Report{Clear: m.own.Clear(m.Time()-m.born, replicatedstate.Patience(s.Deadline, m.net.Rate), st), Rate: 10, InTime: 1}
+	return maintenance.Report{Clear: m.own.Clear(m.Time()-m.born,
+		replicatedstate.Patience(s.Deadline, m.net.Rate), st), Rate: 10, InTime: 1}
 }
 
 // Worked is called by a node, for what stands in the log: it is counted once.
@@ -132,14 +136,17 @@
 			}
 		}
 		if out > s.Bound {
-			n.Broken = append(n.Broken, fmt.Sprintf("%.3fs: turn %d, %d machines are out, %d may be", (n.Now-time.Hour).Seconds(), e.Number, out, s.Bound))
+			n.Broken = append(n.Broken, fmt.Sprintf("%.3fs: turn %d, %d machines are out, %d may be",
+				(n.Now-time.Hour).Seconds(), e.Number, out, s.Bound))
 		}
 	case maintenance.Freed:
 		s.Freed++
 		s.free[e.Machine] = e.Number
 		for _, r := range s.out {
 			if r.machine == e.Machine && n.Now < r.until && r.contact {
-				n.Broken = append(n.Broken, fmt.Sprintf("%.3fs: turn %d is free, and a request is out there that life %d sent while in contact", (n.Now-time.Hour).Seconds(), e.Number, r.life))
+				n.Broken = append(n.Broken,
+					fmt.Sprintf("%.3fs: turn %d is free, and a request is out there that life %d sent while in contact",
+						(n.Now-time.Hour).Seconds(), e.Number, r.life))
 			}
 		}
 	case maintenance.Done:
--- a/internal/lab/swimsim/net.go
+++ b/internal/lab/swimsim/net.go
@@ -1,6 +1,7 @@
-// Package swimsim plays a fleet of swim nodes in virtual time: messages that are lost, late, doubled, cut off or held
-// back, processes that stop, crash and come back, clocks that run at rates of their own. One seed plays one history. It is
-// for tests and measurements; nothing that ships imports it.
+// Package swimsim plays a fleet of swim nodes in virtual time: messages that are lost, late,
+// doubled, cut off or held back, processes that stop, crash and come back, clocks that run at rates
+// of their own. One seed plays one history. It is for tests and measurements; nothing that ships
+// imports it.
 package swimsim
 
 import (
@@ -24,7 +25,8 @@
 	Loss  float64       // part of the messages that never arrive
 	Twice float64       // part that arrive twice, the second time up to 4 s late
 	Bytes func(*swim.Message) int
-	Spend float64                                // bytes a second that each may send, and two seconds' worth at a time; 0: as many as it likes
+	// bytes a second that each may send, and two seconds' worth at a time; 0: as many as it likes
+	Spend float64
 	Alter func(swim.Config, swim.Host) swim.Host // stands between a node and the fleet; nil: nothing does
 }
 
@@ -68,7 +70,8 @@
 	if cfg.Start == 0 {
 		cfg.Start = swim.Period
 	}
-	n := &Net{Config: cfg, Rng: rand.New(rand.NewPCG(cfg.Seed, 1)), Clock: virtualtime.Clock{Now: time.Hour}, said: make(map[accusation]bool)}
+	n := &Net{Config: cfg, Rng: rand.New(rand.NewPCG(cfg.Seed, 1)),
+		Clock: virtualtime.Clock{Now: time.Hour}, said: make(map[accusation]bool)}
 	for i := range cfg.Size {
 		n.Nodes = append(n.Nodes, &Node{net: n, number: i, rate: 1 + cfg.Rate*(2*n.Rng.Float64()-1), Down: true})
 	}
--- a/internal/lab/swimsim/plan.go
+++ b/internal/lab/swimsim/plan.go
@@ -29,7 +29,8 @@
 }
 
 func (p *Plan) String() string {
-	all := []string{fmt.Sprintf("loss %.2f, twice %.2f, clocks within %.4f, up to %v late", p.Loss, p.Twice, p.Rate, p.Most)}
+	all := []string{fmt.Sprintf("loss %.2f, twice %.2f, clocks within %.4f, up to %v late", p.Loss, p.Twice,
+		p.Rate, p.Most)}
 	for _, s := range p.Steps {
 		all = append(all, s.String())
 	}
@@ -61,7 +62,8 @@
 		p.Most = time.Duration(rng.Int64N(int64(3 * time.Second)))
 	}
 	for range 1 + rng.IntN(8) {
-		s := Step{At: time.Duration(rng.Int64N(int64(within))), What: whats[rng.IntN(len(whats))], For: time.Duration(rng.Int64N(int64(within / 2)))}
+		s := Step{At: time.Duration(rng.Int64N(int64(within))), What: whats[rng.IntN(len(whats))],
+			For: time.Duration(rng.Int64N(int64(within / 2)))}
 		s.Who = rng.Perm(size)[:1+rng.IntN(size)]
 		if s.What == Held {
 			s.For = min(s.For, 3*time.Second)
--- a/internal/lab/swimsim/truth.go
+++ b/internal/lab/swimsim/truth.go
@@ -10,8 +10,11 @@
 
 // truth is what the world knows of a process: the checker goes by it, and by nothing that a node says of itself.
 type truth struct {
-	last   []time.Duration       // by member: when the newest message of its present process was sent that this one has taken
-	proved []time.Duration       // by member: when the newest message of this process was sent that the member has taken, and said something behind it that came here
+	// by member: when the newest message of its present process was sent that this one has taken
+	last []time.Duration
+	// by member: when the newest message of this process was sent that the member has taken, and
+	// said something behind it that came here
+	proved []time.Duration
 	over   map[swim.Session]bool // sessions whose contact has ended
 	in     bool                  // said to be in contact when it was last asked
 	at     swim.Session
@@ -54,7 +57,8 @@
 	m.Take(m.Time(), &c.Message)
 }
 
-// reached is how many processes, this one among them, have proved within a lease and the error of its clock that they hear it.
+// reached is how many processes, this one among them, have proved within a lease and the error of
+// its clock that they hear it.
 func (m *Node) reached() (n int) {
 	lease := m.net.Lease
 	if lease == 0 {
@@ -78,7 +82,8 @@
 		if !c.Contact {
 			m.over[c.Session] = true
 		} else if m.over[c.Session] {
-			m.net.broken = append(m.net.broken, fmt.Sprintf("%s is in contact again under session %v, which was over", m.name(), c.Session))
+			m.net.broken = append(m.net.broken,
+				fmt.Sprintf("%s is in contact again under session %v, which was over", m.name(), c.Session))
 		}
 		return
 	}
@@ -89,10 +94,12 @@
 		return // it was said before, perhaps by its forerunner, and goes round in its name
 	}
 	if m.wentOn > 0 && m.net.Now-m.wentOn < time.Second {
-		m.net.broken = append(m.net.broken, fmt.Sprintf("%s accuses n%d %v after it was stopped", m.name(), c.Member, m.net.Now-m.wentOn))
+		m.net.broken = append(m.net.broken,
+			fmt.Sprintf("%s accuses n%d %v after it was stopped", m.name(), c.Member, m.net.Now-m.wentOn))
 	}
 	if m.reached() < m.net.Size/2+1 {
-		m.net.broken = append(m.net.broken, fmt.Sprintf("%s accuses n%d while it is out of contact", m.name(), c.Member))
+		m.net.broken = append(m.net.broken,
+			fmt.Sprintf("%s accuses n%d while it is out of contact", m.name(), c.Member))
 	}
 }
 
@@ -106,7 +113,8 @@
 		}
 		in, session := a.Node.InContact(a.Time()), a.Session()
 		if reached := a.reached(); in && reached < n.Size/2+1 {
-			say("%s is in contact, and only %d of %d have proved within a lease that they hear it", a.name(), reached, n.Size)
+			say("%s is in contact, and only %d of %d have proved within a lease that they hear it",
+				a.name(), reached, n.Size)
 		}
 		a.in, a.at = in, session
 	}
--- a/internal/lab/testbed/config.go
+++ b/internal/lab/testbed/config.go
@@ -11,7 +11,8 @@
 const Settings = `{"balancers":1,"me":0,"discovery":"push","period_ms":5.0,"zones":["a","b"],
  "caps":{"conn_idle_ms":30000.0,"dial_timeout_ms":5000.0,"may_cancel":true,"most_tries":3,"max_open":100,
   "max_retry_after_ms":1200.0,"probes":false},
- "classes":[{"name":"reading","aim_ms":10000.0,"hard_limit_ms":20000.0,"semantics":"guarded","dedup_scope":"cell","window_ms":600.0,"worth":5.0},
+ "classes":[{"name":"reading","aim_ms":10000.0,"hard_limit_ms":20000.0,"semantics":"guarded",
+   "dedup_scope":"cell","window_ms":600.0,"worth":5.0},
   {"name":"entry","aim_ms":10000.0,"hard_limit_ms":20000.0,"semantics":"single_shot","worth":2.0},
   {"name":"look","aim_ms":10000.0,"hard_limit_ms":20000.0,"semantics":"free","worth":1.0}],
  "orgs":[{"name":"north","share":0.7,"quota_per_s":100.0},{"name":"south","share":0.3,"quota_per_s":50.0}],
@@ -23,7 +24,8 @@
 	var entries []string
 	for i, a := range addresses {
 		entries = append(entries, fmt.Sprintf(
-			`{"instanceId":"s-%d","hostPort":%q,"zone":"a","cell":0,"lifecycle":%q,"weight":1.0,"startedAtMs":0}`, i, a, lifecycle))
+			`{"instanceId":"s-%d","hostPort":%q,"zone":"a","cell":0,"lifecycle":%q,"weight":1.0,"startedAtMs":0}`,
+			i, a, lifecycle))
 	}
 	return fmt.Sprintf(`{"generation":%d,"reset":true,"instances":[%s]}`, generation, strings.Join(entries, ","))
 }
--- a/internal/lab/testbed/fleet/answers.go
+++ b/internal/lab/testbed/fleet/answers.go
@@ -46,8 +46,8 @@
 // Timeout is what each request has.
 const Timeout = time.Second
 
-// Load sends so many requests a second over all sidecars that run, of all three classes in turn, until stop is called. It returns once all have
-// ended.
+// Load sends so many requests a second over all sidecars that run, of all three classes in turn,
+// until stop is called. It returns once all have ended.
 func (f *Fleet) Load(perSecond int) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 32, IdleConnTimeout: time.Second}}
@@ -77,7 +77,8 @@
 }
 
 func (f *Fleet) request(client *http.Client, s *Sidecar, n int) {
-	x := answer{id: fmt.Sprintf("%d-%d", f.second, n), class: []string{"reading", "entry", "look"}[n/len(f.Sidecars)%3], sidecar: s.Number, sent: time.Now()}
+	x := answer{id: fmt.Sprintf("%d-%d", f.second, n),
+		class: []string{"reading", "entry", "look"}[n/len(f.Sidecars)%3], sidecar: s.Number, sent: time.Now()}
 	method, body := http.MethodPost, "1"
 	if x.class == "look" {
 		method, body = http.MethodGet, ""
@@ -131,7 +132,8 @@
 	keyWindow  = 600 * time.Millisecond
 )
 
-// Check looks whether the four rules were kept, by the clients' book and the upstreams' alone. It is called when no load is under way.
+// Check looks whether the four rules were kept, by the clients' book and the upstreams' alone. It
+// is called when no load is under way.
 func (f *Fleet) Check() (tally Tally, broken []string) {
 	say := func(format string, args ...any) { broken = append(broken, fmt.Sprintf(format, args...)) }
 	arrived := make(map[string][]testbed.Arrival)
@@ -200,7 +202,9 @@
 					grace += toldLatest
 				}
 				if a.Node == n.ID && known && a.At.After(told.Add(grace)) && f.Sidecars[i].steady(told, a.At) {
-					broken = append(broken, fmt.Sprintf("%s of sidecar %d went to the draining %s %v after that was told", id, i, n.ID, a.At.Sub(told)))
+					broken = append(broken,
+						fmt.Sprintf("%s of sidecar %d went to the draining %s %v after that was told", id,
+							i, n.ID, a.At.Sub(told)))
 				}
 			}
 		}
--- a/internal/lab/testbed/fleet/datagrams.go
+++ b/internal/lab/testbed/fleet/datagrams.go
@@ -39,7 +39,8 @@
 func newDatagrams(t testbed.TB, ip func(i int) string, size int) *datagrams {
 	d := &datagrams{size: size, number: make(map[netip.Addr]int), rng: rand.New(rand.NewPCG(1, 1))}
 	for i := range size {
-		c, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(netip.MustParseAddrPort(fmt.Sprintf("%s:%d", ip(i), relayPort))))
+		relay := netip.MustParseAddrPort(fmt.Sprintf("%s:%d", ip(i), relayPort))
+		c, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(relay))
 		if err != nil {
 			t.Fatalf("fleet: a relay: %v", err)
 		}
@@ -110,7 +111,8 @@
 		if !known {
 			continue
 		}
-		for last := d.Longest.Load(); int64(n) > last && !d.Longest.CompareAndSwap(last, int64(n)); last = d.Longest.Load() {
+		for last := d.Longest.Load(); int64(n) > last &&
+			!d.Longest.CompareAndSwap(last, int64(n)); last = d.Longest.Load() {
 		}
 		for _, delay := range d.fate(from, to) {
 			d.Passed.Add(1)
--- a/internal/lab/testbed/fleet/fleet.go
+++ b/internal/lab/testbed/fleet/fleet.go
@@ -1,5 +1,6 @@
-// Package fleet starts many real processes of the program, each on a loopback address of its own, and breaks what is between
-// them: every datagram and every connection of theirs goes through relays that this rig owns.
+// Package fleet starts many real processes of the program, each on a loopback address of its own,
+// and breaks what is between them: every datagram and every connection of theirs goes through
+// relays that this rig owns.
 package fleet
 
 import (
@@ -31,7 +32,8 @@
 	CutOff  string         // text of the policy of who is cut off; "": the fleet agrees on no policy
 	State   bool           // machines have folders that outlive their processes
 	Plain   bool           // no fleet file: for comparisons
-	Direct  bool           // no relays between sidecars and upstreams or discovery: hundreds would need too many descriptors
+	// no relays between sidecars and upstreams or discovery: hundreds would need too many descriptors
+	Direct bool
 }
 
 // Fleet is the processes, their world and what was seen of both.
@@ -160,7 +162,8 @@
 
 // machine writes a sidecar's configuration; its upstreams and discovery have addresses of its own.
 func (f *Fleet) machine(i int, peers []string) *Sidecar {
-	s := &Sidecar{Number: i, f: f, Listen: fmt.Sprintf("%s:%d", f.ip(i), clientPort), config: filepath.Join(f.dir, fmt.Sprintf("%d.json", i))}
+	s := &Sidecar{Number: i, f: f, Listen: fmt.Sprintf("%s:%d", f.ip(i), clientPort),
+		config: filepath.Join(f.dir, fmt.Sprintf("%d.json", i))}
 	discovery, known := f.Discovery.Address, testbed.Known(f.Nodes...)
 	if !f.Direct {
 		swap := make(map[string]string)
@@ -171,7 +174,8 @@
 		known = replaced(known, swap)
 	}
 	text := testbed.ConfigText(f.t, known, func(file, settings map[string]any) {
-		file["name"], file["listen"], file["control"], file["discovery"] = fmt.Sprintf("n%d", i), s.Listen, s.control(), discovery
+		file["name"], file["listen"], file["control"], file["discovery"] = fmt.Sprintf("n%d", i), s.Listen,
+			s.control(), discovery
 		file["peer_listen"], file["peers"] = fmt.Sprintf("%s:%d", f.ip(i), peerPort), peers
 		file["seed"] = fmt.Sprintf("%x", 1000+i)
 		settings["balancers"], settings["me"] = f.Size, i
@@ -354,7 +358,9 @@
 
 // touch says whether one of some spans has part of a stretch.
 func touch(spans []span, from, to time.Time) bool {
-	return slices.ContainsFunc(spans, func(b span) bool { return (b.to.IsZero() || b.to.After(from)) && b.from.Before(to) })
+	return slices.ContainsFunc(spans, func(b span) bool {
+		return (b.to.IsZero() || b.to.After(from)) && b.from.Before(to)
+	})
 }
 
 // begins says whether a process began in a stretch.
@@ -402,10 +408,12 @@
 
 // GoneAt is when each process logged that it holds a member for gone, since a moment.
 func (f *Fleet) GoneAt(member int, since time.Time) []time.Time {
-	return f.loggedAt(regexp.MustCompile(fmt.Sprintf(`(?m)^time=(\S+) .*peers: member" number=%d state=gone `, member)), since)
+	return f.loggedAt(regexp.MustCompile(fmt.Sprintf(`(?m)^time=(\S+) .*peers: member" number=%d state=gone `,
+		member)), since)
 }
 
-// loggedAt is when each process logged a line, its time the first group, the first time since a moment; those that did not have no part in it.
+// loggedAt is when each process logged a line, its time the first group, the first time since a
+// moment; those that did not have no part in it.
 func (f *Fleet) loggedAt(line *regexp.Regexp, since time.Time) (at []time.Time) {
 	for _, s := range f.Sidecars {
 		for _, m := range line.FindAllStringSubmatch(s.Log(), -1) {
@@ -444,7 +452,8 @@
 	if err != nil || head == nil {
 		return v, false
 	}
-	v = View{Contact: head[1] == "in", Session: head[2], State: make(map[int]string), Of: make(map[int]string), Out: make(map[int]bool), Text: text}
+	v = View{Contact: head[1] == "in", Session: head[2], State: make(map[int]string),
+		Of: make(map[int]string), Out: make(map[int]bool), Text: text}
 	v.Sidecars, _ = strconv.Atoi(head[3])
 	for _, m := range memberLine.FindAllStringSubmatch(text, -1) {
 		i, _ := strconv.Atoi(m[1])
@@ -453,8 +462,8 @@
 	return v, true
 }
 
-// Agree says whether all processes that run are in contact, hold each other for alive under their present sessions, and those
-// that don't live for gone or left; why says what is not so.
+// Agree says whether all processes that run are in contact, hold each other for alive under their
+// present sessions, and those that don't live for gone or left; why says what is not so.
 func (f *Fleet) Agree() (ok bool, why string) {
 	views := make(map[int]View)
 	var mu sync.Mutex
@@ -481,7 +490,8 @@
 		}
 		for j := range f.Sidecars {
 			if other, lives := views[j]; i != j && lives && (v.State[j] != "alive" || v.Of[j] != other.Session) {
-				return false, fmt.Sprintf("%d holds %d for %s under %s, it is there under %s", i, j, v.State[j], v.Of[j], other.Session)
+				return false, fmt.Sprintf("%d holds %d for %s under %s, it is there under %s", i, j,
+					v.State[j], v.Of[j], other.Session)
 			} else if i != j && !lives && v.State[j] != "gone" && v.State[j] != "left" {
 				return false, fmt.Sprintf("%d holds %d for %s, it does not live", i, j, v.State[j])
 			}
--- a/internal/lab/testbed/fleet/plan.go
+++ b/internal/lab/testbed/fleet/plan.go
@@ -43,7 +43,8 @@
 var whats = []string{Crash, Crash, Stall, Stall, Split, Split, OneWay, Zone, Hold, Drain, Flap}
 
 func (p *Plan) String() string {
-	all := []string{fmt.Sprintf("seed %d, loss %.2f, twice %.2f, delay up to %v", p.Seed, p.Faults.Loss, p.Faults.Twice, p.Faults.Delay)}
+	all := []string{fmt.Sprintf("seed %d, loss %.2f, twice %.2f, delay up to %v", p.Seed, p.Faults.Loss,
+		p.Faults.Twice, p.Faults.Delay)}
 	for _, s := range p.Steps {
 		all = append(all, fmt.Sprintf("%.1fs %s %v for %.1fs", s.At.Seconds(), s.What, s.Who, s.For.Seconds()))
 	}
@@ -55,7 +56,8 @@
 	rng := rand.New(rand.NewPCG(seed, 4))
 	p := &Plan{Seed: seed, Length: length}
 	if rng.IntN(2) == 0 {
-		p.Faults = Faults{Loss: 0.3 * rng.Float64(), Twice: 0.2 * rng.Float64(), Delay: time.Duration(rng.Int64N(int64(200 * time.Millisecond)))}
+		p.Faults = Faults{Loss: 0.3 * rng.Float64(), Twice: 0.2 * rng.Float64(),
+			Delay: time.Duration(rng.Int64N(int64(200 * time.Millisecond)))}
 	}
 	for range 1 + rng.IntN(4) {
 		s := Step{At: time.Duration(rng.Int64N(int64(length * 3 / 4))), What: whats[rng.IntN(len(whats))]}
@@ -75,8 +77,9 @@
 	return p
 }
 
-// Play has the fleet live through a plan, under load, and returns what was broken: by the views of all processes against one another while it lasts, by their
-// logs, and by the books of clients and upstreams behind it.
+// Play has the fleet live through a plan, under load, and returns what was broken: by the views of
+// all processes against one another while it lasts, by their logs, and by the books of clients and
+// upstreams behind it.
 func (f *Fleet) Play(p *Plan, perSecond int) (tally Tally, healed time.Duration, broken []string) {
 	return f.play(p, perSecond, func() {})
 }
@@ -203,7 +206,8 @@
 		for j, sessions := range over {
 			if v, ok := f.Sidecars[j].View(); ok && v.Contact {
 				if by, out := sessions[v.Session]; out {
-					broken = append(broken, fmt.Sprintf("%d is in contact under %s, which %d counts as over", j, v.Session, by))
+					broken = append(broken,
+						fmt.Sprintf("%d is in contact under %s, which %d counts as over", j, v.Session, by))
 				}
 			}
 		}
@@ -233,7 +237,8 @@
 			}
 			for _, stall := range stalls {
 				if stall.to.Sub(stall.from) > afterStop && at.After(stall.to) && at.Before(stall.to.Add(afterStop)) {
-					broken = append(broken, fmt.Sprintf("%d accuses %s %v after it stood still", s.Number, m[1], at.Sub(stall.to)))
+					broken = append(broken,
+						fmt.Sprintf("%d accuses %s %v after it stood still", s.Number, m[1], at.Sub(stall.to)))
 				}
 			}
 		}
--- a/internal/lab/testbed/fleet/policy.go
+++ b/internal/lab/testbed/fleet/policy.go
@@ -14,8 +14,8 @@
 	"caperarch/internal/lab/testbed"
 )
 
-// Two policies that tell by where requests go who goes by which: by the first alone nothing goes to Marked[0], by the second alone nothing to Marked[1], by both or cut
-// off to neither.
+// Two policies that tell by where requests go who goes by which: by the first alone nothing goes to
+// Marked[0], by the second alone nothing to Marked[1], by both or cut off to neither.
 const (
 	CutOffPolicy = "out = [\"s-0\", \"s-1\"]\n[limits]\nopen = 40\n"
 	marks        = 2
@@ -36,8 +36,9 @@
 }
 
 var (
-	holdsLine  = regexp.MustCompile(`(?m)^version (\d+) holds`)
-	goesLine   = regexp.MustCompile(`(?m)^this sidecar (?:goes by version (\d+)|goes by the stricter of versions \d+ and (\d+)|is cut off)`)
+	holdsLine = regexp.MustCompile(`(?m)^version (\d+) holds`)
+	goesLine  = regexp.MustCompile(
+		`(?m)^this sidecar (?:goes by version (\d+)|goes by the stricter of versions \d+ and (\d+)|is cut off)`)
 	leaderLine = regexp.MustCompile(`(?m)^log: .* leader (-?\d+)`)
 )
 
@@ -110,7 +111,8 @@
 	return s.operate(fmt.Sprintf("policy-propose %s %d", policyrollout.Hash(raw), v.Holds))
 }
 
-// Goes says whether all processes that run go by one version that holds, with nothing under way; why says what is not so.
+// Goes says whether all processes that run go by one version that holds, with nothing under way;
+// why says what is not so.
 func (f *Fleet) Goes() (version int, why string) {
 	version = -1
 	for _, s := range f.Sidecars {
@@ -143,12 +145,14 @@
 	}
 }
 
-// LetIn looks, by what arrived at the upstreams alone, whether requests were let in by one marked policy while others still were by the other: each change of policy turns
-// them from one marked upstream to the other once. It returns how often they turned between two moments.
+// LetIn looks, by what arrived at the upstreams alone, whether requests were let in by one marked
+// policy while others still were by the other: each change of policy turns them from one marked
+// upstream to the other once. It returns how often they turned between two moments.
 func (f *Fleet) LetIn(since, until time.Time) (turns int) {
 	last := ""
 	for _, a := range f.Ledger.All() {
-		if a.At.Before(since) || a.At.After(until) || a.Node != f.Nodes[0].ID && a.Node != f.Nodes[1].ID || a.Node == last {
+		if a.At.Before(since) || a.At.After(until) || a.Node != f.Nodes[0].ID && a.Node != f.Nodes[1].ID ||
+			a.Node == last {
 			continue
 		}
 		if last != "" {
@@ -171,7 +175,8 @@
 
 // GoesAt is when each process logged that it goes by one version, the first time since a moment.
 func (f *Fleet) GoesAt(version int, since time.Time) []time.Time {
-	return f.loggedAt(regexp.MustCompile(fmt.Sprintf(`(?m)^time=(\S+) .*policy: goes by" mode=one version=%d `, version)), since)
+	return f.loggedAt(regexp.MustCompile(fmt.Sprintf(`(?m)^time=(\S+) .*policy: goes by" mode=one version=%d `,
+		version)), since)
 }
 
 // histories says where two processes have different outcomes of one version.
@@ -204,8 +209,9 @@
 	Settled                  time.Duration
 }
 
-// PlayPolicies has the fleet live through a plan, under load, while operators propose policies and call some off, and returns what was broken: by what arrived at the upstreams,
-// by what processes hold of the log, and by the books of clients and upstreams.
+// PlayPolicies has the fleet live through a plan, under load, while operators propose policies and
+// call some off, and returns what was broken: by what arrived at the upstreams, by what processes
+// hold of the log, and by the books of clients and upstreams.
 func (f *Fleet) PlayPolicies(p *Plan, perSecond int) (tally PolicyTally, broken []string) {
 	if err := f.Sidecars[0].Found(); err != nil {
 		return tally, []string{err.Error()}
@@ -259,7 +265,8 @@
 		}
 	}
 	if tally.Turns = f.LetIn(since, until); tally.Turns > tally.Proposed {
-		rules = append(rules, fmt.Sprintf("requests turned %d times by %d proposals: two policies were gone by at once", tally.Turns, tally.Proposed))
+		rules = append(rules, fmt.Sprintf("requests turned %d times by %d proposals: two policies were gone by at once",
+			tally.Turns, tally.Proposed))
 	}
 	return tally, append(rules, f.histories()...)
 }
@@ -279,7 +286,8 @@
 // Refused is how many clients were refused of those that have sent since a moment.
 func (f *Fleet) Refused(since time.Time) (n int) {
 	for _, x := range f.Answers.all() {
-		if x.sent.After(since) && (x.status == http.StatusServiceUnavailable || x.status == http.StatusTooManyRequests) {
+		if x.sent.After(since) && (x.status == http.StatusServiceUnavailable ||
+			x.status == http.StatusTooManyRequests) {
 			n++
 		}
 	}
--- a/internal/lab/testbed/fleet/spread.go
+++ b/internal/lab/testbed/fleet/spread.go
@@ -13,7 +13,8 @@
 	"caperarch/internal/lab/loadspread"
 )
 
-// Streams has each sidecar that runs sent a stream of its own, at random moments, of rate requests a second as that is now, until stop is called. It returns once all have ended.
+// Streams has each sidecar that runs sent a stream of its own, at random moments, of rate requests
+// a second as that is now, until stop is called. It returns once all have ended.
 func (f *Fleet) Streams(seed uint64, rate func(sidecar int, since time.Duration) float64) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 32, IdleConnTimeout: time.Second}}
@@ -27,7 +28,8 @@
 			defer timer.Stop()
 			due := begun // a late timer loses no request
 			for {
-				due = due.Add(time.Duration(rng.ExpFloat64() / max(1e-3, rate(i, time.Since(begun))) * float64(time.Second)))
+				perSecond := max(1e-3, rate(i, time.Since(begun)))
+				due = due.Add(time.Duration(rng.ExpFloat64() / perSecond * float64(time.Second)))
 				timer.Reset(time.Until(due))
 				select {
 				case <-timer.C:
@@ -48,7 +50,8 @@
 	}
 }
 
-// Arrivals are the clients' requests as upstreams saw them, since a moment; upstreams are numbered by their ids, s-0 and so on. It is to be called when no load is under way.
+// Arrivals are the clients' requests as upstreams saw them, since a moment; upstreams are numbered
+// by their ids, s-0 and so on. It is to be called when no load is under way.
 func (f *Fleet) Arrivals(since time.Time) (all []loadspread.Arrival) {
 	from := make(map[string]int)
 	for _, x := range f.Answers.all() {
--- a/internal/lab/testbed/fleet/ways.go
+++ b/internal/lab/testbed/fleet/ways.go
@@ -14,8 +14,8 @@
 	"caperarch/internal/lab/testbed"
 )
 
-// ways are the connections between sidecars and what they connect to. One that is cut off says nothing: what stands stays
-// open and silent, and what is new never gets an answer.
+// ways are the connections between sidecars and what they connect to. One that is cut off says
+// nothing: what stands stays open and silent, and what is new never gets an answer.
 type ways struct {
 	mu    sync.Mutex
 	cut   map[int]bool
@@ -28,7 +28,8 @@
 	silent    bool
 }
 
-// silence cuts a sidecar off from upstreams and discovery, or has its machine crash: what it has open stays so on the other side.
+// silence cuts a sidecar off from upstreams and discovery, or has its machine crash: what it has
+// open stays so on the other side.
 func (w *ways) silence(i int) { w.set(i, true, false) }
 
 // restore brings it back. What stood before is reset, as the protocol has it of a machine that is back.
@@ -58,7 +59,8 @@
 	return c.silent
 }
 
-// relay listens for a sidecar's connections to an address, and returns where. Answers that list addresses have them swapped.
+// relay listens for a sidecar's connections to an address, and returns where. Answers that list
+// addresses have them swapped.
 func (w *ways) relay(t testbed.TB, i int, to string, swap map[string]string) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/lab/testbed/fleet/work.go
+++ b/internal/lab/testbed/fleet/work.go
@@ -15,7 +15,8 @@
 	"caperarch/internal/lab/testbed"
 )
 
-// Stay is one machine's time with an operator: from when somebody was told that it is free to work on, until that one says that the work is done.
+// Stay is one machine's time with an operator: from when somebody was told that it is free to work
+// on, until that one says that the work is done.
 type Stay struct {
 	Turn     int
 	Node     *testbed.Node
@@ -23,7 +24,8 @@
 	Warm     time.Time // when it is warm again, by the settings; zero: it was not restarted
 }
 
-// Round is operators who work on whatever machine is free, whoever of the sidecars tells them so. They don't know of each other.
+// Round is operators who work on whatever machine is free, whoever of the sidecars tells them so.
+// They don't know of each other.
 type Round struct {
 	f     *Fleet
 	Cold  time.Duration // a restarted machine is warm so long after
@@ -60,7 +62,8 @@
 )
 
 func (f *Fleet) round(takes, cold time.Duration) *Round {
-	return &Round{f: f, Cold: cold, Takes: takes, stays: make(map[int]*Stay), quit: make(chan struct{}), done: make(chan struct{})}
+	return &Round{f: f, Cold: cold, Takes: takes, stays: make(map[int]*Stay), quit: make(chan struct{}),
+		done: make(chan struct{})}
 }
 
 // Operators begin to work on what is free. Every other machine is restarted for it.
@@ -123,10 +126,13 @@
 	r.handle(x)
 	for {
 		s := r.f.Sidecars[rng.IntN(len(r.f.Sidecars))]
-		if err := s.WorkDo("done", x.Turn); s.Runs() && (err == nil || strings.Contains(err.Error(), fmt.Sprintf("turn %d is", x.Turn))) {
-			// Taken on, or in the log already. A leader that dies takes what it was told with it: so somebody looks again.
+		if err := s.WorkDo("done", x.Turn); s.Runs() &&
+			(err == nil || strings.Contains(err.Error(), fmt.Sprintf("turn %d is", x.Turn))) {
+			// Taken on, or in the log already. A leader that dies takes what it was told with it:
+			// so somebody looks again.
 			time.Sleep(2 * time.Second)
-			if text, err := s.WorkShow(); err == nil && !strings.Contains(text, fmt.Sprintf("turn %d of plan 1: %s: out, free", x.Turn, x.Node.ID)) {
+			if text, err := s.WorkShow(); err == nil &&
+				!strings.Contains(text, fmt.Sprintf("turn %d of plan 1: %s: out, free", x.Turn, x.Node.ID)) {
 				return
 			}
 		}
@@ -189,14 +195,20 @@
 	Most    int      // machines out or cold at once
 }
 
-// Check looks at the operators' and the upstreams' own records, for a plan that does not wait for sidecars out of contact. An upstream takes delay for each request.
+// Check looks at the operators' and the upstreams' own records, for a plan that does not wait for
+// sidecars out of contact. An upstream takes delay for each request.
 func (r *Round) Check(bound int, delay, lease time.Duration) Found {
-	return r.check(bound, delay, func(s *Sidecar, x *Stay, at time.Time) bool { return !s.steady(at.Add(-2*lease), at) })
+	return r.check(bound, delay, func(s *Sidecar, x *Stay, at time.Time) bool {
+		return !s.steady(at.Add(-2*lease), at)
+	})
 }
 
-// CheckAwaited is Check for a plan that waits for them: only a process that began since, or shortly before, may have missed the turn.
+// CheckAwaited is Check for a plan that waits for them: only a process that began since, or shortly
+// before, may have missed the turn.
 func (r *Round) CheckAwaited(bound int, delay, lease time.Duration) Found {
-	return r.check(bound, delay, func(s *Sidecar, x *Stay, at time.Time) bool { return s.begins(x.From.Add(-2*lease), at) })
+	return r.check(bound, delay, func(s *Sidecar, x *Stay, at time.Time) bool {
+		return s.begins(x.From.Add(-2*lease), at)
+	})
 }
 
 func (r *Round) check(bound int, delay time.Duration, excused func(*Sidecar, *Stay, time.Time) bool) (found Found) {
@@ -213,22 +225,29 @@
 		}
 		out := 1
 		for _, y := range all {
-			if y.Turn != x.Turn && y.From.Before(x.From) && (y.To.IsZero() || y.To.After(x.From) || y.Warm.After(x.From)) {
+			if y.Turn != x.Turn && y.From.Before(x.From) &&
+				(y.To.IsZero() || y.To.After(x.From) || y.Warm.After(x.From)) {
 				out++
 			}
 		}
 		if found.Most = max(found.Most, out); out > bound {
-			found.Bounds = append(found.Bounds, fmt.Sprintf("turn %d: %d machines are out or cold when %s is free, %d may be", x.Turn, out, x.Node.ID, bound))
+			found.Bounds = append(found.Bounds,
+				fmt.Sprintf("turn %d: %d machines are out or cold when %s is free, %d may be", x.Turn, out,
+					x.Node.ID, bound))
 		}
 		for _, a := range arrivals {
-			if a.Node != x.Node.ID || a.At.After(to) || a.At.Add(delay).Before(x.From) || a.At.Before(x.From) && a.Class == "look" { // a look is called off where another answers first
+			// a look is called off where another answers first
+			if a.Node != x.Node.ID || a.At.After(to) || a.At.Add(delay).Before(x.From) ||
+				a.At.Before(x.From) && a.Class == "look" {
 				continue
 			}
 			if sender := by[a.ID]; sender.id == "" || excused(r.f.Sidecars[sender.sidecar], x, a.At) {
 				found.Astray++
 				continue
 			}
-			found.Arrived = append(found.Arrived, fmt.Sprintf("turn %d: %s is free from %s on, %s of sidecar %d came %v behind that", x.Turn, x.Node.ID, x.From.Format("05.000"), a.ID, by[a.ID].sidecar, a.At.Sub(x.From)))
+			found.Arrived = append(found.Arrived,
+				fmt.Sprintf("turn %d: %s is free from %s on, %s of sidecar %d came %v behind that", x.Turn,
+					x.Node.ID, x.From.Format("05.000"), a.ID, by[a.ID].sidecar, a.At.Sub(x.From)))
 		}
 	}
 	return found
@@ -243,8 +262,11 @@
 	Ended time.Duration // after all was well again
 }
 
-// PlayWork has the fleet live through a plan of faults, under load, while operators take all machines out by a plan of work that waits for sidecars out of contact, and returns what was broken. Upstreams take delay for each request.
-func (f *Fleet) PlayWork(p *Plan, perSecond, bound int, lease, delay, takes, cold time.Duration) (tally WorkTally, broken []string) {
+// PlayWork has the fleet live through a plan of faults, under load, while operators take all
+// machines out by a plan of work that waits for sidecars out of contact, and returns what was
+// broken. Upstreams take delay for each request.
+func (f *Fleet) PlayWork(p *Plan, perSecond, bound int, lease, delay, takes,
+	cold time.Duration) (tally WorkTally, broken []string) {
 	for _, n := range f.Nodes {
 		n.Delay.Store(int64(delay))
 		n.Do(testbed.Always(testbed.Slow))
@@ -256,7 +278,8 @@
 		return tally, []string{"no beginning: " + why}
 	}
 	round := f.Operators(p.Seed, takes, cold)
-	text := fmt.Sprintf("all = true\nin_time = 0.3\ncut_off = \"awaited\"\nlongest = \"2m\"\n[out]\nfleet = \"%d\"\ncell = \"1\"\n", bound)
+	text := fmt.Sprintf("all = true\nin_time = 0.3\ncut_off = \"awaited\"\nlongest = \"2m\"\n"+
+		"[out]\nfleet = \"%d\"\ncell = \"1\"\n", bound)
 	if err := f.Sidecars[1].Work(text); err != nil {
 		return tally, []string{err.Error()}
 	}
@@ -264,7 +287,8 @@
 	tally.Tally, _, rules = f.play(p, perSecond, func() {
 		begun := time.Now()
 		for ; !round.Ended() && time.Since(begun) < 2*time.Minute; time.Sleep(50 * time.Millisecond) {
-			if time.Since(begun) > 40*time.Second && !tally.Lost && f.Sidecars[int(p.Seed)%len(f.Sidecars)].Found() == nil {
+			if time.Since(begun) > 40*time.Second && !tally.Lost &&
+				f.Sidecars[int(p.Seed)%len(f.Sidecars)].Found() == nil {
 				tally.Lost = true // a majority of the voters was lost: what follows is another log's
 				break
 			}
@@ -278,8 +302,9 @@
 	return tally, slices.Concat(broken, rules, tally.Bounds, tally.Arrived)
 }
 
-// Script is what operators do without a plan: in the list's order, so many at a time, each machine is cordoned at each sidecar that answers, one after the other; what is out there is given its time; then somebody works on
-// it, has it used again at each, and waits until it is warm.
+// Script is what operators do without a plan: in the list's order, so many at a time, each machine
+// is cordoned at each sidecar that answers, one after the other; what is out there is given its
+// time; then somebody works on it, has it used again at each, and waits until it is warm.
 func (f *Fleet) Script(atOnce int, takes, cold time.Duration) *Round {
 	r := f.round(takes, cold)
 	go func() {
@@ -320,7 +345,8 @@
 	}
 }
 
-// Served is which share of the requests since a moment was served, and the time in seconds within which 99 in 100 were; of sidecars that nothing had gone wrong with.
+// Served is which share of the requests since a moment was served, and the time in seconds within
+// which 99 in 100 were; of sidecars that nothing had gone wrong with.
 func (f *Fleet) Served(since time.Time) (share, p99 float64) {
 	served, all := 0, 0
 	var took []float64
--- a/internal/lab/testbed/grpc.go
+++ b/internal/lab/testbed/grpc.go
@@ -43,7 +43,8 @@
 	}
 	method, _ := grpc.MethodFromServerStream(s)
 	a := Arrival{
-		ID: one("x-request-id"), Key: one("idempotency-key"), Class: one("x-priority-class"), Method: method, Body: in.GetValue(),
+		ID: one("x-request-id"), Key: one("idempotency-key"), Class: one("x-priority-class"),
+		Method: method, Body: in.GetValue(),
 	}
 	if end, limited := s.Context().Deadline(); limited {
 		a.Told = time.Until(end)
--- a/internal/lab/testbed/hollow/hollow_test.go
+++ b/internal/lab/testbed/hollow/hollow_test.go
@@ -13,7 +13,8 @@
 		Count: 1, Services: 2, Seeds: []string{"s"}, Zones: []string{"z"}, Tenants: []string{"t"},
 		ShareConfig: true, StartOver: 3, CalledServices: 4,
 	})
-	wantConfig := `{"Count":1,"Services":2,"Seeds":["s"],"Zones":["z"],"Tenants":["t"],"Share":true,"Over":3,"Called":4}`
+	wantConfig := `{"Count":1,"Services":2,"Seeds":["s"],"Zones":["z"],"Tenants":["t"],` +
+		`"Share":true,"Over":3,"Called":4}`
 	if err != nil || string(cfg) != wantConfig {
 		t.Errorf("config %s, %v, want %s", cfg, err, wantConfig)
 	}
@@ -21,7 +22,8 @@
 		Connected: 1, Renewals: 2, MinUpstreams: 3, Versions: map[int64]Arrival{4: {5, 6, 7}},
 		Requests: 8, FailedRequests: 9, RequestP50: 10, RequestP99: 11, RequestError: "e",
 	})
-	wantReport := `{"Connected":1,"Renewals":2,"Least":3,"Versions":{"4":{"Count":5,"LastArrived":6,"LastApplied":7}},` +
+	wantReport := `{"Connected":1,"Renewals":2,"Least":3,` +
+		`"Versions":{"4":{"Count":5,"LastArrived":6,"LastApplied":7}},` +
 		`"Asks":8,"Failed":9,"AskP50":10,"AskP99":11,"AskError":"e"}`
 	if err != nil || string(report) != wantReport {
 		t.Errorf("report %s, %v, want %s", report, err, wantReport)
@@ -30,7 +32,8 @@
 
 // Without a core member no sidecar is connected, and Run ends with its context all the same.
 func TestRunEndsWithItsContext(t *testing.T) {
-	f := New(Config{Count: 3, Services: 2, Seeds: []string{"127.0.0.1:1"}, Zones: []string{"a", "b"}, StartOver: time.Hour})
+	f := New(Config{Count: 3, Services: 2, Seeds: []string{"127.0.0.1:1"}, Zones: []string{"a", "b"},
+		StartOver: time.Hour})
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan struct{})
 	go func() {
--- a/internal/lab/testbed/http.go
+++ b/internal/lab/testbed/http.go
@@ -66,7 +66,8 @@
 	text := "done " + id
 	millis, _ := strconv.Atoi(strings.TrimSuffix(req.Header.Get("X-Timeout"), "m"))
 	act := n.act(Arrival{
-		ID: id, Key: req.Header.Get("Idempotency-Key"), Class: req.Header.Get("X-Priority-Class"), Method: req.Method, Body: body,
+		ID: id, Key: req.Header.Get("Idempotency-Key"), Class: req.Header.Get("X-Priority-Class"),
+		Method: req.Method, Body: body,
 		Told: time.Duration(millis) * time.Millisecond,
 	})
 	switch act {
--- a/internal/lab/testbed/node.go
+++ b/internal/lab/testbed/node.go
@@ -48,11 +48,12 @@
 	Started time.Time
 	Address string
 	Ledger  *Ledger
-	Delay   atomic.Int64         // of Slow, in nanoseconds
-	Takes   func() time.Duration // of Slow; nil: Delay. It is set before the first request and called from many goroutines
-	Times   atomic.Int64         // thousandths of that, or of Delay, that it takes; 0: all of it
-	Load    func() string        // the load report of an answer and a probe, in the protocol's form; nil: none
-	Probes  atomic.Int64
+	Delay   atomic.Int64 // of Slow, in nanoseconds
+	// of Slow; nil: Delay. It is set before the first request and called from many goroutines
+	Takes  func() time.Duration
+	Times  atomic.Int64  // thousandths of that, or of Delay, that it takes; 0: all of it
+	Load   func() string // the load report of an answer and a probe, in the protocol's form; nil: none
+	Probes atomic.Int64
 
 	script atomic.Pointer[Script]
 	serve  func(net.Listener) (stop func())
@@ -120,7 +121,8 @@
 	return true
 }
 
-// reserve holds the port of a node that has vanished: bound, with nobody listening, it refuses connections, and no other program's listener comes to it meanwhile. One of another test's was
+// reserve holds the port of a node that has vanished: bound, with nobody listening, it refuses
+// connections, and no other program's listener comes to it meanwhile. One of another test's was
 // sent what was meant for the node, and served it.
 func (n *Node) reserve() {
 	address, err := netip.ParseAddrPort(n.Address)
@@ -132,7 +134,8 @@
 		return
 	}
 	to := &syscall.SockaddrInet4{Port: int(address.Port()), Addr: address.Addr().As4()}
-	for until := time.Now().Add(reserveTime); ; time.Sleep(time.Millisecond) { // connections that were broken off may still hold it
+	// connections that were broken off may still hold it
+	for until := time.Now().Add(reserveTime); ; time.Sleep(time.Millisecond) {
 		if err = syscall.Bind(fd, to); err == nil || time.Now().After(until) {
 			break
 		}
@@ -218,8 +221,9 @@
 	unforked(func() { _ = c.Close() })
 }
 
-// A child of this process holds a copy of every descriptor until its own program begins, and a copy keeps what is closed here alive: a
-// listener goes on taking connections, and a reset is not sent till then. Both of these end it at once.
+// A child of this process holds a copy of every descriptor until its own program begins, and a copy
+// keeps what is closed here alive: a listener goes on taking connections, and a reset is not sent
+// till then. Both of these end it at once.
 
 // unforked ends something while no child is being started.
 func unforked(end func()) {
@@ -277,7 +281,8 @@
 	if !n.Started.IsZero() {
 		started = n.Started.UnixMilli()
 	}
-	return fmt.Sprintf(`{"instanceId":%q,"hostPort":%q,"zone":%q,"cell":%d,"lifecycle":%q,"weight":1.0,"startedAtMs":%d}`,
+	return fmt.Sprintf(`{"instanceId":%q,"hostPort":%q,"zone":%q,"cell":%d,`+
+		`"lifecycle":%q,"weight":1.0,"startedAtMs":%d}`,
 		n.ID, n.Address, n.Zone, n.Cell, lifecycle, started)
 }
 
--- a/internal/lab/testbed/pause.go
+++ b/internal/lab/testbed/pause.go
@@ -52,10 +52,12 @@
 		if _, known := first[a.ID]; !known {
 			first[a.ID] = a.At
 		} else if late := a.At.Sub(first[a.ID]); late > timeout+100*time.Millisecond {
-			broken = append(broken, fmt.Sprintf("%s went out again %v after its first attempt, it had %v", a.ID, late, timeout))
+			broken = append(broken, fmt.Sprintf("%s went out again %v after its first attempt, it had %v",
+				a.ID, late, timeout))
 		}
 		if a.Node == nodes[1].ID && a.At.After(on.Add(500*time.Millisecond)) {
-			broken = append(broken, fmt.Sprintf("%s went to the draining node %v after the process went on", a.ID, a.At.Sub(on)))
+			broken = append(broken, fmt.Sprintf("%s went to the draining node %v after the process went on",
+				a.ID, a.At.Sub(on)))
 		}
 		if a.At.After(on) && a.At.Before(on.Add(100*time.Millisecond)) {
 			early++
--- a/internal/lab/testbed/stub.go
+++ b/internal/lab/testbed/stub.go
@@ -35,7 +35,8 @@
 	if err != nil {
 		t.Fatalf("stub: %v", err)
 	}
-	s := &Stub{Address: l.Addr().String(), Seen: make(chan Received, 100000), Closed: make(chan int, 100000), listener: l}
+	s := &Stub{Address: l.Addr().String(), Seen: make(chan Received, 100000),
+		Closed: make(chan int, 100000), listener: l}
 	t.Cleanup(func() { l.Close() })
 	go s.accept(l, answer)
 	return s
@@ -87,8 +88,9 @@
 // Silent never answers.
 func Silent(net.Conn, Received) bool { return true }
 
-// NewHandler starts a server that hands each request to a function before its body is read, with the connection to answer on, and returns its address. If
-// answer returns false the connection is closed.
+// NewHandler starts a server that hands each request to a function before its body is read, with
+// the connection to answer on, and returns its address. If answer returns false the connection is
+// closed.
 func NewHandler(t TB, answer func(c net.Conn, r *http.Request) bool) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/lab/testbed/vanish_test.go
+++ b/internal/lab/testbed/vanish_test.go
@@ -8,8 +8,9 @@
 	"testing"
 )
 
-// TestVanishWhileOthersStart: a child that is between fork and exec holds a copy of every descriptor, so what its parent closes lives on
-// till then. A node that has vanished takes nothing more all the same, whoever starts programs beside it.
+// TestVanishWhileOthersStart: a child that is between fork and exec holds a copy of every
+// descriptor, so what its parent closes lives on till then. A node that has vanished takes nothing
+// more all the same, whoever starts programs beside it.
 func TestVanishWhileOthersStart(t *testing.T) {
 	var over atomic.Bool
 	var starting sync.WaitGroup
@@ -36,7 +37,8 @@
 	}
 }
 
-// TestVanishedPortIsNobodyElses: another program's listener that came to the port of a node that has vanished would be sent what is meant for the node.
+// TestVanishedPortIsNobodyElses: another program's listener that came to the port of a node that
+// has vanished would be sent what is meant for the node.
 func TestVanishedPortIsNobodyElses(t *testing.T) {
 	n := NewHTTPNode(t, "s-0", new(Ledger))
 	c, err := net.Dial("tcp", n.Address)
--- a/internal/lab/virtualtime/clock.go
+++ b/internal/lab/virtualtime/clock.go
@@ -1,5 +1,5 @@
-// Package virtualtime is time that passes only as far as there is something to do: what is asked for is played in order, with no I/O and no
-// waiting, to the same end every time.
+// Package virtualtime is time that passes only as far as there is something to do: what is asked
+// for is played in order, with no I/O and no waiting, to the same end every time.
 package virtualtime
 
 import (
@@ -56,7 +56,8 @@
 // Run plays on for a while.
 func (c *Clock) Run(d time.Duration) { c.To(c.Now + d) }
 
-// Until plays on until something holds, looked at after each call, for a while at most; it says whether it came to that.
+// Until plays on until something holds, looked at after each call, for a while at most; it says
+// whether it came to that.
 func (c *Clock) Until(d time.Duration, holds func() bool) bool {
 	return !c.While(c.Now+d, func() bool { return !holds() })
 }
--- a/internal/lab/virtualtime/process.go
+++ b/internal/lab/virtualtime/process.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// Process is one that may be gone, or stand still for a while: what comes meanwhile waits in its socket. The zero value runs.
+// Process is one that may be gone, or stand still for a while: what comes meanwhile waits in its
+// socket. The zero value runs.
 type Process struct {
 	Down    bool
 	Stopped time.Duration // until then; 0: it runs
@@ -18,7 +19,8 @@
 // Begin has it run, as one to which nothing has come.
 func (p *Process) Begin() { *p = Process{} }
 
-// StandStill has it stand still for a while. on is called when it goes on, before what has come is taken; nil: nothing is.
+// StandStill has it stand still for a while. on is called when it goes on, before what has come is
+// taken; nil: nothing is.
 func (p *Process) StandStill(c *Clock, d time.Duration, on func()) {
 	if p.Down {
 		return
@@ -73,7 +75,8 @@
 		copies = 2
 	}
 	for k := range copies {
-		delay := time.Duration(f.Rng.Int64N(int64(f.Most))) + time.Duration(k)*time.Duration(f.Rng.Int64N(int64(3*time.Second)))
+		delay := time.Duration(f.Rng.Int64N(int64(f.Most)))
+		delay += time.Duration(k) * time.Duration(f.Rng.Int64N(int64(3*time.Second)))
 		c.After(max(delay, f.Held-c.Now), func() {
 			if !cut() {
 				arrive()
