--- a/internal/mesh/replication/node_test.go
+++ b/internal/mesh/replication/node_test.go
@@ -49,6 +49,8 @@
 			disks[first].setFull(true)
 			_, err := nodes[first].Propose(ctx, []byte("refused"))
 			So(errs.KindOf(err), ShouldEqual, errs.NoQuorum)
+			// A caller gets its result before the loop publishes the status of the same step.
+			synctest.Wait()
 			So(nodes[first].Status().StorageFailed, ShouldBeTrue)
 			_, err = nodes[first].Propose(ctx, []byte("refused"))
 			So(errs.KindOf(err), ShouldEqual, errs.DiskFailed)
