--- a/internal/proxy/membership/shared_test.go
+++ b/internal/proxy/membership/subscription_test.go
@@ -9,38 +9,40 @@
 	"caperarch/policy"
 )
 
-// subscriber keeps what it hears.
+// subscriber keeps the updates of a subscription.
 type subscriber struct {
 	mu     sync.Mutex
 	lists  []call.ServerList
 	failed int
-	s      *Subscription
+	sub    *Subscription
 }
 
+// subscribe makes a subscription that ends with the test.
 func subscribe(t *testing.T, address string, zones map[string]int) *subscriber {
 	t.Helper()
-	sub := new(subscriber)
+	s := new(subscriber)
 	var err error
-	sub.s, err = Subscribe(Config{
+	s.sub, err = Subscribe(Config{
 		Address: address, Zones: zones,
 		OnUpdate: func(l call.ServerList) {
-			sub.mu.Lock()
-			defer sub.mu.Unlock()
-			sub.lists = append(sub.lists, l)
+			s.mu.Lock()
+			defer s.mu.Unlock()
+			s.lists = append(s.lists, l)
 		},
 		OnError: func(error) {
-			sub.mu.Lock()
-			defer sub.mu.Unlock()
-			sub.failed++
+			s.mu.Lock()
+			defer s.mu.Unlock()
+			s.failed++
 		},
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(sub.s.Close)
-	return sub
+	t.Cleanup(s.sub.Close)
+	return s
 }
 
+// last returns the number of updates and the last one.
 func (s *subscriber) last() (n int, l call.ServerList) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -50,9 +52,9 @@
 	return n, l
 }
 
-// Two share a watch; a later one has the whole list at once, changes since the first included; who closes
-// hears nothing more, and the last one ends the watch. Other zones mean another watch.
-func TestSharedWatch(t *testing.T) {
+// Two subscriptions share a watch; the later one has the current list at once. A closed one gets no further
+// updates, and the last Close ends the watch. Other zones mean another watch.
+func TestSubscriptionsShareAWatch(t *testing.T) {
 	l := new(testbed.Ledger)
 	a, b := testbed.NewHTTPNode(t, "s-a", l), testbed.NewHTTPNode(t, "s-b", l)
 	d := testbed.NewDiscovery(t, a, b)
@@ -62,19 +64,21 @@
 	d.Set(a, "gone")
 	testbed.Until(t, "the change", func() bool { n, _ := one.last(); return n == 2 })
 	two := subscribe(t, d.Address, zones)
-	if n, list := two.last(); n != 1 || !list.Full || len(list.Servers) != 1 || list.Servers[0].ID != call.ServerID("s-b") || list.Addresses[call.ServerID("s-b")] != b.Address {
-		t.Errorf("the later one has %d lists, %+v; want the whole list as it is", n, list)
+	idB := call.ServerID("s-b")
+	if n, list := two.last(); n != 1 || !list.Full || len(list.Servers) != 1 || list.Servers[0].ID != idB ||
+		list.Addresses[idB] != b.Address {
+		t.Errorf("the later one has %d lists, %+v; want the current list in full", n, list)
 	}
 	testbed.Until(t, "one watch for both", func() bool { return d.Watches() == 1 }) // none between two calls
-	one.s.Close()
-	one.s.Close()
+	one.sub.Close()
+	one.sub.Close()
 	d.Set(b, "draining")
 	testbed.Until(t, "the next change", func() bool {
 		n, list := two.last()
 		return n == 2 && list.Servers[0].State == policy.Draining
 	})
 	if n, _ := one.last(); n != 2 {
-		t.Errorf("one heard %d lists after its close", n-2)
+		t.Errorf("%d lists after Close", n-2)
 	}
 	other := subscribe(t, d.Address, map[string]int{"b": 0})
 	testbed.Until(t, "a watch of its own", func() bool { return d.Watches() == 2 })
@@ -84,8 +88,8 @@
 		defer two.mu.Unlock()
 		return two.failed > 0
 	})
-	other.s.Close()
-	two.s.Close()
+	other.sub.Close()
+	two.sub.Close()
 	testbed.Until(t, "all watches to end", func() bool { return d.Watches() == 0 })
 	if _, err := Subscribe(Config{OnDemand: true}); err == nil {
 		t.Error("a list that must be asked for was shared")
--- a/internal/proxy/pool/pool.go
+++ b/internal/proxy/pool/pool.go
@@ -1,5 +1,5 @@
-// Package pool is an engine with its transport, list and limits, for those who call it from inside
-// their own process: one call in, one final answer out.
+// Package pool runs an engine with its transport, server list and limits for programs that embed it: one call
+// in, one final answer out. A Pool owns its goroutines, and Close ends them.
 package pool
 
 import (
@@ -23,63 +23,70 @@
 	Seed         uint64
 	Clock        clock.Clock
 	Transport    Transport // on the same clock; the pool closes it
-	Discovery    string    // address of discovery; "": the list is Known for good
+	Discovery    string    // address of discovery; "": the servers are Known, for good
 	Zones        map[string]int
 	Known        call.ServerList // the servers as last known
-	MaxOpen      int             // calls held at once; 0: no bound
-	MaxBodyBytes int64           // of their bodies, in bytes
-	SharedLimits SharedLimits    // bounds that several pools share; nil: none
+	MaxOpen      int             // open calls; 0: no bound
+	MaxBodyBytes int64           // of the open calls' bodies; 0: no bound
+	SharedLimits SharedLimits    // limits that several pools share; nil: none
 	Log          *slog.Logger
 }
 
-// SharedLimits are bounds that several pools of a process share. They are safe for concurrent use.
+// SharedLimits are limits that several pools of a process share. They are safe for concurrent use.
 type SharedLimits interface {
-	// Acquire takes a place for a call with a body of so many bytes, or says that there is none.
+	// Acquire counts a call with a body of size bytes; false: there is no capacity for it.
 	Acquire(size int64) bool
-	// Release gives it back.
+	// Release gives back what Acquire took.
 	Release(size int64)
 }
 
-// Transport is a call.Transport that can end.
+// Transport is a call.Transport that can be closed.
 type Transport interface {
 	call.Transport
-	// Close calls off what is under way, closes all connections and returns when nothing of it is left.
+	// Close cancels what is in flight, closes all connections and returns when all goroutines have ended.
 	Close()
 }
 
-// What a call is turned away for before it comes to the module. Nothing was sent for it.
+// The errors of a call that never came to the module. Nothing was sent for it.
 var (
 	ErrClosed      = errors.New("closed")
 	ErrFull        = errors.New("too many calls or bytes of bodies are held already")
 	ErrDuplicateID = errors.New("a call of this id is open")
 )
 
-// fullRetryAfter is how long one who met ErrFull ought to wait before coming back.
+// fullRetryAfter is how long a caller that met ErrFull should wait before it retries.
 const fullRetryAfter = time.Second
 
-// Pool is safe for concurrent use.
+// Pool sends calls to the servers of one list. It is safe for concurrent use.
 type Pool struct {
 	cfg        Config
 	engine     *engine.Engine
 	stopEngine context.CancelFunc
 	engineDone chan struct{} // closed when the engine has ended
-	serverList interface{ Close() }
+	serverList closer
 
-	bodyBytes atomic.Int64
+	bodyBytes atomic.Int64 // of the open calls
 
-	mu        sync.Mutex
-	open      map[string]bool // ids of the calls that are held
+	mu        sync.Mutex      // guards what follows
+	open      map[string]bool // ids of the open calls
 	closed    bool
-	drained   chan struct{} // closed when it is closed and holds nothing
-	closeDone chan struct{} // closed when Close has let go of everything
+	drained   chan struct{} // closed when closed is set and no call is open
+	closeDone chan struct{} // closed when Close has ended everything
 }
 
+// closer is a source of server lists; Close returns when no further list comes.
+type closer interface{ Close() }
+
 // Open starts a pool, or returns an error that names the unusable field of Config.Policy.
 func Open(cfg Config) (*Pool, error) {
-	p := &Pool{cfg: cfg, open: make(map[string]bool), engineDone: make(chan struct{}), drained: make(chan struct{}), closeDone: make(chan struct{})}
+	p := &Pool{
+		cfg: cfg, open: make(map[string]bool),
+		engineDone: make(chan struct{}), drained: make(chan struct{}), closeDone: make(chan struct{}),
+	}
 	var follower *membership.Follower
 	e, err := engine.New(engine.Config{
-		Policy: cfg.Policy, Seed: cfg.Seed, Clock: cfg.Clock, Transport: cfg.Transport, Log: cfg.Log, NoCounterLog: true,
+		Policy: cfg.Policy, Seed: cfg.Seed, Clock: cfg.Clock, Transport: cfg.Transport, Log: cfg.Log,
+		NoCounterLog: true,
 		Watch: func() {
 			if follower != nil {
 				follower.Trigger()
@@ -90,28 +97,28 @@
 		return nil, err
 	}
 	p.engine = e
-	members := membership.Config{
-		Address: cfg.Discovery, Zones: cfg.Zones, OnDemand: cfg.Policy.ListOnDemand, OnUpdate: e.UpdateServers,
-		Known: cfg.Known,
+	discovery := membership.Config{
+		Address: cfg.Discovery, Zones: cfg.Zones, OnDemand: cfg.Policy.ListOnDemand, Known: cfg.Known,
+		OnUpdate: e.UpdateServers,
 		OnError: func(err error) {
 			cfg.Log.Warn("discovery", "error", err)
 			e.DiscoveryFailed()
 		},
 	}
-	ctx, stop := context.WithCancel(context.Background())
-	p.stopEngine = stop
 	switch {
 	case cfg.Discovery == "":
 		p.serverList = noSubscription{}
 	case cfg.Policy.ListOnDemand:
-		follower = membership.New(members)
+		follower = membership.New(discovery)
 		p.serverList = startFollower(follower)
 	default:
-		if p.serverList, err = membership.Subscribe(members); err != nil {
-			stop()
+		p.serverList, err = membership.Subscribe(discovery)
+		if err != nil {
 			return nil, err
 		}
 	}
+	ctx, stop := context.WithCancel(context.Background())
+	p.stopEngine = stop
 	go func() {
 		defer close(p.engineDone)
 		e.Run(ctx, cfg.Known)
@@ -119,11 +126,13 @@
 	return p, nil
 }
 
+// noSubscription is the closer of a pool whose server list never changes.
 type noSubscription struct{}
 
+// Close does nothing.
 func (noSubscription) Close() {}
 
-// privateFollower is a follower that no other pool shares.
+// privateFollower is a running follower that no other pool shares.
 type privateFollower struct {
 	stop context.CancelFunc
 	done chan struct{}
@@ -131,34 +140,37 @@
 
 func startFollower(f *membership.Follower) privateFollower {
 	ctx, stop := context.WithCancel(context.Background())
-	o := privateFollower{stop, make(chan struct{})}
+	running := privateFollower{stop, make(chan struct{})}
 	go func() {
-		defer close(o.done)
+		defer close(running.done)
 		f.Run(ctx)
 	}()
-	return o
+	return running
 }
 
-func (o privateFollower) Close() {
-	o.stop()
-	<-o.done
+// Close stops the follower and waits for its end.
+func (f privateFollower) Close() {
+	f.stop()
+	<-f.done
 }
 
-// Now is the pool's time.
+// Now returns the time on the pool's clock.
 func (p *Pool) Now() time.Duration { return p.cfg.Clock.Now() }
 
-// Do carries a call out and returns its final answer. id names it among those that are open; deadline is
-// on the pool's clock. The error is that of ctx where it ends first (the call is then called off, and
-// nothing is promised), or one of ErrFull, ErrOpenID, ErrClosed. A stream holds the call's place until
-// its Close is called.
-func (p *Pool) Do(ctx context.Context, id string, q policy.Request, m *call.Message, deadline time.Duration) (call.Answer, error) {
+// Do carries a call out and returns its final answer. id identifies it among the open calls; deadline is on
+// the pool's clock. The error is that of ctx where it ends first (the call is then cancelled, and nothing is
+// promised), or one of ErrFull, ErrDuplicateID, ErrClosed. With a Stream in its answer the call stays open
+// until Stream.Close is called.
+func (p *Pool) Do(
+	ctx context.Context, id string, q policy.Request, m *call.Message, deadline time.Duration,
+) (call.Answer, error) {
 	if err := ctx.Err(); err != nil {
 		return call.Answer{}, err
 	}
 	if err := p.enter(id, int64(len(m.Body))); err != nil {
 		return call.Answer{}, err
 	}
-	a, err := p.ask(ctx, q, m, deadline)
+	a, err := p.submit(ctx, q, m, deadline)
 	leave := func() { p.leave(id, int64(len(m.Body))) }
 	if a.Stream != nil {
 		a.Stream = &trackedStream{Stream: a.Stream, leave: sync.OnceFunc(leave)}
@@ -168,16 +180,19 @@
 	return a, err
 }
 
-func (p *Pool) ask(ctx context.Context, q policy.Request, m *call.Message, deadline time.Duration) (call.Answer, error) {
+// submit hands a call to the engine and waits for its answer, for ctx or for the engine's end.
+func (p *Pool) submit(
+	ctx context.Context, q policy.Request, m *call.Message, deadline time.Duration,
+) (call.Answer, error) {
 	reply := make(chan call.Answer, 1)
-	number := p.engine.Submit(q, m, deadline, reply)
+	id := p.engine.Submit(q, m, deadline, reply)
 	select {
 	case a := <-reply:
 		return a, nil
 	case <-ctx.Done():
-		p.engine.ClientGone(number)
+		p.engine.ClientGone(id)
 		select {
-		case a := <-reply: // both at once: the answer is here, or a stream that must not be left open
+		case a := <-reply: // both at once; the answer may hold a stream, which must be closed
 			return a, nil
 		default:
 		}
@@ -189,13 +204,13 @@
 		select {
 		case a := <-reply:
 			return a, nil
-		default: // it came too late to be sent
+		default: // submitted too late to be sent
 			return call.Answer{Kind: call.Refused}, nil
 		}
 	}
 }
 
-// closeLate closes a stream that began while its caller went away.
+// closeLate closes a stream that began after its caller had gone.
 func closeLate(e *engine.Engine, reply <-chan call.Answer) {
 	e.Flush()
 	select {
@@ -207,28 +222,29 @@
 	}
 }
 
-// trackedStream gives the call's place back with its end.
+// trackedStream is the stream of an open call, which ends with it.
 type trackedStream struct {
 	call.Stream
 	leave func()
 }
 
-// Close ends the stream and gives its place back.
+// Close ends the stream and the call.
 func (s *trackedStream) Close() {
 	s.Stream.Close()
 	s.leave()
 }
 
-// Unwrap is the transport's own stream.
+// Unwrap returns the transport's stream.
 func (s *trackedStream) Unwrap() call.Stream { return s.Stream }
 
+// enter counts a call as open, or returns why it can't be.
 func (p *Pool) enter(id string, size int64) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	switch {
 	case p.closed:
 		return ErrClosed
-	case p.open[id]: // servers would take a second under it for a copy of the first
+	case p.open[id]: // servers would drop it as a repeat of the first
 		return ErrDuplicateID
 	case p.cfg.MaxOpen > 0 && len(p.open) >= p.cfg.MaxOpen,
 		p.cfg.MaxBodyBytes > 0 && p.bodyBytes.Load()+size > p.cfg.MaxBodyBytes:
@@ -242,9 +258,10 @@
 	return nil
 }
 
-// RetryAfterFull is when one who met ErrFull ought to come back, never later than clients heed.
+// RetryAfterFull is how long a caller that met ErrFull should wait, at most as long as clients heed.
 func (p *Pool) RetryAfterFull() time.Duration { return min(fullRetryAfter, p.cfg.Policy.MaxRetryAfter) }
 
+// leave counts a call as ended.
 func (p *Pool) leave(id string, size int64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -256,7 +273,7 @@
 	p.signalIfDrained()
 }
 
-// signalIfDrained tells Close that nothing is held any more. The caller holds the lock.
+// signalIfDrained tells Close that no call is open any more. The caller holds mu.
 func (p *Pool) signalIfDrained() {
 	if p.closed && len(p.open) == 0 {
 		select {
@@ -267,10 +284,10 @@
 	}
 }
 
-// Close takes no further call and waits until those that are held have their answers, or ctx ends: then
-// they are answered at once, refused where nothing was sent and failed where something was, and
-// the error is that of ctx. Either way nothing of the pool is left when it returns. A second Close waits for
-// the first.
+// Close rejects further calls and waits until the open ones have their answers, or ctx ends: then they are
+// answered at once, refused where nothing was sent and failed where something was, and the error is that of
+// ctx. Either way all of the pool's goroutines have ended and its connections are closed when it returns. A
+// second Close waits for the first.
 func (p *Pool) Close(ctx context.Context) error {
 	p.mu.Lock()
 	first := !p.closed
