--- a/cmd/measure/mutants.go
+++ b/cmd/measure/mutants.go
@@ -132,11 +132,11 @@
 // raftLogMutants are faults in the agreed log.
 var raftLogMutants = []mutant{
 	{"raftlog.go", "if m.GetTo() != n.id {\n\t\treturn", "if false {\n\t\treturn", "who restarts answers for the process before it"},
-	{"raftlog.go", "b[i], b[8+i] = byte(s.Life>>(8*i)), byte(s.Number>>(8*i))", "b[8+i] = byte(s.Number>>(8*i))", "a vote is a number's, not a process's"},
+	{"raftlog.go", "b[i], b[8+i] = byte(s.Incarnation>>(8*i)), byte(s.Number>>(8*i))", "b[8+i] = byte(s.Number>>(8*i))", "a vote is a number's, not a process's"},
 	{"raftlog.go", "case m.Epoch < n.epoch:\n\t\tn.send(from, &Message{}) // it shall hear that there is a newer one\n\t\treturn", "case m.Epoch < n.epoch:", "an older epoch's log goes on in the new one"},
-	{"log.go", "if e.Index != n.Have()+1 {\n\t\tif", "if e.Index > n.Have()+1 {\n\t\tif", "an entry is added twice"},
-	{"raftlog.go", " && !n.tokens[m.Token] {", " {", "what stands in the log is added again"},
-	{"raftlog.go", "return ok && e.GetType() == raftpb.EntryType_EntryNormal && n.tokens[token]", "return false && ok && n.tokens[token]", "what another voter proposes again is added again"},
+	{"log.go", "if e.Index != n.LastIndex()+1 {\n\t\tif", "if e.Index > n.LastIndex()+1 {\n\t\tif", "an entry is added twice"},
+	{"raftlog.go", " && !n.loggedTokens[m.ProposalToken] {", " {", "what stands in the log is added again"},
+	{"raftlog.go", "return ok && e.GetType() == raftpb.EntryType_EntryNormal && n.loggedTokens[token]", "return false && ok && n.loggedTokens[token]", "what another voter proposes again is added again"},
 	{"confirm.go", "if term := n.Term(); term != n.confirmTerm {", "if term := n.Term(); false {", "an earlier term's confirmation counts"},
 }
 
@@ -150,7 +150,7 @@
 	{"replicatedstate.go", "	n.holder.Forget()\n", "", "what another log said goes on"},
 	{"replicatedstate.go", "n.leader == nil || n.term != n.log.Term() || n.epoch != n.log.Epoch()", "n.leader == nil", "a leader goes on with what it knew in an earlier term"},
 	{"replicatedstate.go", "if m.Epoch != 0 && m.Epoch == n.log.Epoch() {", "if true {", "reports and grants of another log count"},
-	{"replicatedstate.go", "return seat != s.Life", "return false", "a voter that has restarted is never replaced"},
+	{"replicatedstate.go", "return seat != s.Incarnation", "return false", "a voter that has restarted is never replaced"},
 	{"change.go", "case goes.Mode == policyrollout.CutOff:", "case false:", "one that is cut off begins a change"},
 	{"change.go", "case base != s.Holds.Version:", "case false:", "a proposal on an old base is begun"},
 	{"change.go", "if x.pieces() > pushPieces {", "if false {", "a long text does not go round first"},
--- a/internal/fleet/policy.go
+++ b/internal/fleet/policy.go
@@ -159,8 +159,8 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	cfg := p.cfg
-	cfg.Self = raftlog.Seat{Number: p.f.cfg.Policy.Index, Life: p.f.life}
-	saved, texts := new(raftlog.Saved), [][]byte(nil)
+	cfg.Self = raftlog.Voter{Number: p.f.cfg.Policy.Index, Incarnation: p.f.life}
+	saved, texts := new(raftlog.SavedState), [][]byte(nil)
 	if dir := p.f.file.Policy.State; dir != "" {
 		var err error
 		if p.store, err = openState(dir, p.f.file.Name, cfg.Self); err != nil {
@@ -172,7 +172,7 @@
 		if saved, texts, err = p.store.Saved(); err != nil {
 			return err
 		}
-		cfg.Self.Life, cfg.Disk = p.store.Seat(), p.store
+		cfg.Self.Incarnation, cfg.Disk = p.store.Seat(), p.store
 	}
 	node, err := replicatedstate.New(cfg)
 	if err != nil {
@@ -186,9 +186,9 @@
 }
 
 // openState opens what was kept. The process before this one may be about to close it.
-func openState(dir, fleet string, seat raftlog.Seat) (s *state.Store, err error) {
+func openState(dir, fleet string, seat raftlog.Voter) (s *state.Store, err error) {
 	for range 20 {
-		if s, err = state.Open(dir, fleet, seat.Number, seat.Life); !errors.Is(err, state.ErrInUse) {
+		if s, err = state.Open(dir, fleet, seat.Number, seat.Incarnation); !errors.Is(err, state.ErrInUse) {
 			break
 		}
 	}
--- a/internal/fleet/raftlog/raftlog_test.go
+++ b/internal/fleet/raftlog/raftlog_test.go
@@ -28,11 +28,11 @@
 func foundedOn(t *testing.T, n *raftlogsim.Net, seed uint64) *raftlogsim.Net {
 	t.Helper()
 	n.Run(time.Second)
-	if err := n.Nodes[0].Found(n.Now, 1); err != nil {
+	if err := n.Nodes[0].Bootstrap(n.Now, 1); err != nil {
 		t.Fatal(err)
 	}
 	if !n.Until(20*time.Second, func() bool { return complete(n) }) {
-		t.Fatalf("seed %d: after 20 s %d seats, leader %d", seed, len(n.Nodes[0].Seats()), n.Leader())
+		t.Fatalf("seed %d: after 20 s %d seats, leader %d", seed, len(n.Nodes[0].Voters()), n.Leader())
 	}
 	return n
 }
@@ -45,9 +45,9 @@
 			continue
 		}
 		if have == 0 {
-			have = m.Have()
+			have = m.LastIndex()
 		}
-		if m.Have() != have || m.Epoch() == 0 || len(m.Seats()) != raftlog.VotersFor(n.Size) {
+		if m.LastIndex() != have || m.Epoch() == 0 || len(m.Voters()) != raftlog.VotersFor(n.Size) {
 			return false
 		}
 	}
@@ -177,7 +177,7 @@
 	if !settled && !lost {
 		text := ""
 		for i, m := range n.Nodes {
-			text += fmt.Sprintf(" n%d lives %v has %d of epoch %d, leads %v, votes %v, seats %v;", i, m.Lives(), m.Have(), m.Epoch(), m.Leads(), m.Voter(), m.Seats())
+			text += fmt.Sprintf(" n%d lives %v has %d of epoch %d, leads %v, votes %v, seats %v;", i, m.Lives(), m.LastIndex(), m.Epoch(), m.IsLeader(), m.IsVoter(), m.Voters())
 		}
 		broken = append(broken, "30 s after all is well logs or voters differ:"+text)
 	}
@@ -253,7 +253,7 @@
 	n := founded(t, 9, 4)
 	n.Run(1500 * time.Millisecond)
 	leader := n.Nodes[n.Leader()]
-	if at, index := leader.Confirmed(); at < n.Now-1500*time.Millisecond || index == 0 {
+	if at, index := leader.LastQuorumAck(); at < n.Now-1500*time.Millisecond || index == 0 {
 		t.Errorf("confirmed %v ago, %d entries", n.Now-at, index)
 	}
 	for i, m := range n.Nodes {
@@ -264,7 +264,7 @@
 	lone := n.Leader()
 	n.Cut = func(from, to int) bool { return from == lone || to == lone }
 	n.Run(10 * time.Second)
-	if at, _ := leader.Confirmed(); n.Now-at < 8*time.Second && at > 0 {
+	if at, _ := leader.LastQuorumAck(); n.Now-at < 8*time.Second && at > 0 {
 		t.Errorf("cut off from all for 10 s it was confirmed %v ago", n.Now-at)
 	}
 }
@@ -279,11 +279,11 @@
 func proposedAgain(t *testing.T, votes bool) {
 	n := founded(t, 9, 2)
 	deaf := 0
-	for n.Nodes[deaf].Voter() != votes || deaf == n.Leader() {
+	for n.Nodes[deaf].IsVoter() != votes || deaf == n.Leader() {
 		deaf++
 	}
 	n.Cut = func(_, to int) bool { return to == deaf }
-	before := n.Nodes[n.Leader()].Have()
+	before := n.Nodes[n.Leader()].LastIndex()
 	if err := n.Nodes[deaf].Propose(n.Now, []byte("again")); err != nil {
 		t.Fatal(err)
 	}
@@ -294,7 +294,7 @@
 			again++
 		}
 	}
-	if grown := n.Nodes[n.Leader()].Have() - before; again != 1 || grown > 8 {
+	if grown := n.Nodes[n.Leader()].LastIndex() - before; again != 1 || grown > 8 {
 		t.Errorf("it stands there %d times, the log has grown by %d", again, grown)
 	}
 }
@@ -302,7 +302,7 @@
 // A majority of the voters is lost at once: nothing can be agreed on any more, and a new beginning is refused while the log answers, taken when it does not, and yielded to by those of the old one.
 func TestNewBeginning(t *testing.T) {
 	n := founded(t, 5, 3)
-	if err := n.Nodes[1].Found(n.Now, 2); err == nil && !n.Nodes[1].Voter() {
+	if err := n.Nodes[1].Bootstrap(n.Now, 2); err == nil && !n.Nodes[1].IsVoter() {
 		t.Error("a new beginning while the log answers")
 	}
 	n = founded(t, 5, 3)
@@ -320,10 +320,10 @@
 	if len(n.Agreed(1)) != before {
 		t.Error("two of five agreed on something")
 	}
-	if err := n.Nodes[0].Found(n.Now, 1); err == nil {
+	if err := n.Nodes[0].Bootstrap(n.Now, 1); err == nil {
 		t.Error("the same epoch again")
 	}
-	if err := n.Nodes[0].Found(n.Now, 2); err != nil {
+	if err := n.Nodes[0].Bootstrap(n.Now, 2); err != nil {
 		t.Fatal(err)
 	}
 	n.Run(10 * time.Second)
@@ -339,9 +339,9 @@
 	if len(all) == 0 || all[len(all)-1] != "new" || n.Broken != nil {
 		t.Errorf("%q, %v", all, n.Broken)
 	}
-	have := n.Nodes[2].Have()
-	n.Nodes[2].Take(n.Now, 1, &raftlog.Message{Epoch: 1, Have: 100, Entries: []raftlog.Entry{{Index: have + 1, Data: []byte("12345678old")}}})
-	if n.Nodes[2].Have() != have {
+	have := n.Nodes[2].LastIndex()
+	n.Nodes[2].Receive(n.Now, 1, &raftlog.Message{Epoch: 1, LastIndex: 100, Entries: []raftlog.Entry{{Index: have + 1, Data: []byte("12345678old")}}})
+	if n.Nodes[2].LastIndex() != have {
 		t.Error("an entry of the old log is in the new one")
 	}
 }
@@ -379,13 +379,13 @@
 		t.Fatal(err)
 	}
 	n.Run(20 * time.Second)
-	if n.Nodes[lame].Mute() == nil || n.Nodes[lame].Voter() || n.Leader() == lame {
-		t.Errorf("with a full disk: %v, votes %v, leader %d of %d", n.Nodes[lame].Mute(), n.Nodes[lame].Voter(), n.Leader(), lame)
+	if n.Nodes[lame].StorageError() == nil || n.Nodes[lame].IsVoter() || n.Leader() == lame {
+		t.Errorf("with a full disk: %v, votes %v, leader %d of %d", n.Nodes[lame].StorageError(), n.Nodes[lame].IsVoter(), n.Leader(), lame)
 	}
-	if all := n.Agreed(1); all[len(all)-1] != "beyond" || n.Nodes[lame].Have() != n.Nodes[n.Leader()].Have() {
-		t.Errorf("the log: %q, %d entries at the one that votes no more", all, n.Nodes[lame].Have())
+	if all := n.Agreed(1); all[len(all)-1] != "beyond" || n.Nodes[lame].LastIndex() != n.Nodes[n.Leader()].LastIndex() {
+		t.Errorf("the log: %q, %d entries at the one that votes no more", all, n.Nodes[lame].LastIndex())
 	}
-	if err := n.Nodes[lame].Found(n.Now, 9); err == nil {
+	if err := n.Nodes[lame].Bootstrap(n.Now, 9); err == nil {
 		t.Error("one that can't vote began a log")
 	}
 }
@@ -399,7 +399,7 @@
 		first := n.Leader()
 		next := (first + 1 + int(s)%4) % 5
 		n.Cut = func(_, to int) bool { return to == first } // what it sends arrives, what it is answered does not
-		n.Nodes[first].Tend(n.Now, func(seat raftlog.Seat) bool { return seat.Number == next }, nil)
+		n.Nodes[first].UpdateVoters(n.Now, func(seat raftlog.Voter) bool { return seat.Number == next }, nil)
 		n.Run(50 * time.Millisecond)
 		n.Crash(first)
 		n.Cut = nil
@@ -411,7 +411,7 @@
 		}
 		tried++
 		n.Run(10 * time.Second)
-		if leader := n.Leader(); leader < 0 || !n.Nodes[leader].Voter() {
+		if leader := n.Leader(); leader < 0 || !n.Nodes[leader].IsVoter() {
 			t.Fatalf("seed %d: %d leads, its seat was taken", s, leader)
 		}
 		if err := n.Nodes[next].Propose(n.Now, []byte("beyond")); err != nil {
--- a/internal/fleet/raftlog/wire.go
+++ b/internal/fleet/raftlog/wire.go
@@ -10,18 +10,18 @@
 	"caperarch/internal/fleet/raftlog/agreepb"
 )
 
-var errSpoilt = errors.New("agree: a message that can't be read")
+var errMalformed = errors.New("agree: a message that can't be read")
 
 // Encode is a message as it goes from one sidecar to another.
 func (m *Message) Encode() ([]byte, error) {
-	p := &agreepb.Message{Epoch: m.Epoch, Have: m.Have, Lead: uint32(m.Lead), LeadTerm: m.LeadTerm, Ask: m.Ask, News: m.News, Propose: m.Propose, Token: m.Token}
-	if m.Age > 0 { // rounded up: it must not seem younger than it is
-		p.Age = uint64((m.Age + time.Millisecond - 1) / time.Millisecond)
+	p := &agreepb.Message{Epoch: m.Epoch, Have: m.LastIndex, Lead: uint32(m.LeaderNumber), LeadTerm: m.LeaderTerm, Ask: m.WantEntries, News: m.Gossip, Propose: m.Proposal, Token: m.ProposalToken}
+	if m.LeaderAge > 0 { // rounded up: it must not seem younger than it is
+		p.Age = uint64((m.LeaderAge + time.Millisecond - 1) / time.Millisecond)
 	}
 	for _, e := range m.Entries {
-		x := &agreepb.Entry{Index: e.Index, Voters: e.conf, Data: e.Data}
-		if e.conf {
-			x.Data = e.text
+		x := &agreepb.Entry{Index: e.Index, Voters: e.isVoterChange, Data: e.Data}
+		if e.isVoterChange {
+			x.Data = e.voterChange
 		}
 		p.Entry = append(p.Entry, x)
 	}
@@ -37,29 +37,29 @@
 // Decode reads such a message.
 func Decode(raw []byte) (*Message, error) {
 	p := new(agreepb.Message)
-	if proto.Unmarshal(raw, p) != nil || p.Epoch == 0 || p.Age > ageMost || p.Lead > sizeMost {
-		return nil, errSpoilt
+	if proto.Unmarshal(raw, p) != nil || p.Epoch == 0 || p.Age > maxLeaderAgeMillis || p.Lead > maxFleetSize {
+		return nil, errMalformed
 	}
 	m := &Message{
-		Epoch: p.Epoch, Have: p.Have, Age: time.Duration(p.Age) * time.Millisecond, Lead: int(p.Lead), LeadTerm: p.LeadTerm, Ask: p.Ask, News: p.News, Propose: p.Propose, Token: p.Token,
+		Epoch: p.Epoch, LastIndex: p.Have, LeaderAge: time.Duration(p.Age) * time.Millisecond, LeaderNumber: int(p.Lead), LeaderTerm: p.LeadTerm, WantEntries: p.Ask, Gossip: p.News, Proposal: p.Propose, ProposalToken: p.Token,
 	}
 	for _, x := range p.Entry {
 		e := Entry{Index: x.Index, Data: x.Data}
 		if x.Voters {
-			e = Entry{Index: x.Index, conf: true, text: x.Data}
+			e = Entry{Index: x.Index, isVoterChange: true, voterChange: x.Data}
 		}
 		m.Entries = append(m.Entries, e)
 	}
 	if len(p.Raft) > 0 {
 		m.Raft = new(raftpb.Message)
 		if proto.Unmarshal(p.Raft, m.Raft) != nil {
-			return nil, errSpoilt
+			return nil, errMalformed
 		}
 	}
 	return m, nil
 }
 
 const (
-	ageMost  = 1 << 40 // ms: more is none
-	sizeMost = 1 << 16
+	maxLeaderAgeMillis = 1 << 40 // ms: more is none
+	maxFleetSize       = 1 << 16
 )
--- a/internal/fleet/replicatedstate/change.go
+++ b/internal/fleet/replicatedstate/change.go
@@ -109,7 +109,7 @@
 // Found begins a log, with this sidecar as its first voter. It is an operator's own act: where an older log was lost it ends with this. The policy is the settings again.
 func (n *Node) Found(now time.Duration, epoch uint64) error {
 	n.now = now
-	return n.log.Found(now, epoch)
+	return n.log.Bootstrap(now, epoch)
 }
 
 // applied takes an entry of the log.
@@ -200,7 +200,7 @@
 	Epoch  uint64
 	Have   uint64
 	Leader int // -1: none is known
-	Voters []raftlog.Seat
+	Voters []raftlog.Voter
 	State  policyrollout.State
 	Goes   policyrollout.Now
 	Until  time.Duration // Goes, at least, unless it is CutOff
@@ -212,7 +212,7 @@
 // View is the present one.
 func (n *Node) View(now time.Duration) View {
 	v := View{
-		Now: now, Self: n.Self.Number, Epoch: n.log.Epoch(), Have: n.log.Have(), Leader: n.log.Leader(), Voters: n.log.Seats(), State: *n.holder.State(), Goes: n.Now(now),
+		Now: now, Self: n.Self.Number, Epoch: n.log.Epoch(), Have: n.log.LastIndex(), Leader: n.log.Leader(), Voters: n.log.Voters(), State: *n.holder.State(), Goes: n.Now(now),
 		Until: n.Until(), Waits: -1, Mine: slices.Clone(n.mine),
 	}
 	v.State.History = slices.Clone(v.State.History)
--- a/internal/fleet/replicatedstate/history_test.go
+++ b/internal/fleet/replicatedstate/history_test.go
@@ -104,7 +104,7 @@
 	if lost {
 		// An operator begins anew, by way of any of them; whoever goes by the last log's policy still does not do so beside the new one's.
 		m := n.Nodes[rng.IntN(size)]
-		if err := m.Found(m.Time(), 1<<40); err != nil && !errors.Is(err, raftlog.ErrExists) { // some hold on to a leader that is none for a moment
+		if err := m.Found(m.Time(), 1<<40); err != nil && !errors.Is(err, raftlog.ErrLogExists) { // some hold on to a leader that is none for a moment
 			n.Broken = append(n.Broken, err.Error())
 		} else if err != nil {
 			n.Run(10 * time.Second)
--- a/internal/fleet/replicatedstate/replicatedstate.go
+++ b/internal/fleet/replicatedstate/replicatedstate.go
@@ -61,7 +61,7 @@
 // Config is what a Node is made of.
 type Config struct {
 	Size  int
-	Self  raftlog.Seat
+	Self  raftlog.Voter
 	Lease time.Duration
 	Rate  float64 // greatest error of a clock's rate
 	Rand  *rand.Rand
@@ -76,7 +76,7 @@
 
 // Disk keeps what must outlive the process, where an operator gives it a place.
 type Disk interface {
-	raftlog.Disk
+	raftlog.Storage
 	// Text keeps the text of a version.
 	Text(hash [32]byte, text []byte) error
 }
@@ -109,10 +109,10 @@
 
 // New makes a node that knows of no log yet, and goes by CutOff.
 func New(cfg Config) (*Node, error) {
-	n := &Node{Config: cfg, life: cmp.Or(cfg.Life, cfg.Self.Life)}
-	log := raftlog.Config{Size: cfg.Size, Self: cfg.Self, Life: n.life, Rand: cfg.Rand, Host: logHost{n}}
+	n := &Node{Config: cfg, life: cmp.Or(cfg.Life, cfg.Self.Incarnation)}
+	log := raftlog.Config{Size: cfg.Size, Self: cfg.Self, ProcessIncarnation: n.life, Rand: cfg.Rand, Host: logHost{n}}
 	if cfg.Disk != nil {
-		log.Disk = cfg.Disk
+		log.Storage = cfg.Disk
 	}
 	var err error
 	if n.log, err = raftlog.New(log); err != nil {
@@ -132,7 +132,7 @@
 }
 
 // Restore has a node that has just been made go on with what its seat's process before it had kept. It is cut off all the same until a leader grants it more.
-func (n *Node) Restore(now time.Duration, s *raftlog.Saved, texts [][]byte) error {
+func (n *Node) Restore(now time.Duration, s *raftlog.SavedState, texts [][]byte) error {
 	n.now = now
 	for _, raw := range texts {
 		n.texts.add(raw)
@@ -141,7 +141,7 @@
 }
 
 // Mute is why this process, which had a vote, has none any more; nil: nothing is wrong.
-func (n *Node) Mute() error { return n.log.Mute() }
+func (n *Node) Mute() error { return n.log.StorageError() }
 
 // why says why a version can't be applied here; "": it can.
 func (n *Node) why(r policyrollout.Ref) string {
@@ -153,7 +153,7 @@
 
 // Now is by what this sidecar goes. It is to be asked wherever something depends on it, at that moment.
 func (n *Node) Now(now time.Duration) policyrollout.Now {
-	n.holder.Upto(n.log.Have())
+	n.holder.Upto(n.log.LastIndex())
 	return n.holder.Now(now)
 }
 
@@ -169,7 +169,7 @@
 	n.log.Tick(now)
 	n.lead(now)
 	if n.leader != nil {
-		n.log.Tend(now, func(s raftlog.Seat) bool { return n.gone(now, s) }, n.there(now))
+		n.log.UpdateVoters(now, func(s raftlog.Voter) bool { return n.gone(now, s) }, n.there(now))
 	}
 	n.leadWork(now)
 	n.tell(now) // before the report: who is told that this one goes by both may count on it
@@ -195,7 +195,7 @@
 		if err != nil {
 			return err
 		}
-		n.log.Take(now, from, l)
+		n.log.Receive(now, from, l)
 	}
 	if m.Epoch != 0 && m.Epoch == n.log.Epoch() { // else it is about another log
 		n.takeReports(now, from, m)
@@ -212,13 +212,13 @@
 
 // lead does the leader's part, if it is this one's.
 func (n *Node) lead(now time.Duration) {
-	n.holder.Upto(n.log.Have())
+	n.holder.Upto(n.log.LastIndex())
 	switch {
-	case !n.log.Leads():
+	case !n.log.IsLeader():
 		n.leader = nil
 		return
 	case n.leader == nil || n.term != n.log.Term() || n.epoch != n.log.Epoch():
-		n.leader = policyrollout.NewLeader(now, n.Size, Patience(n.Lease, n.Rate), confirmLate*raftlog.BeatFor(n.Size))
+		n.leader = policyrollout.NewLeader(now, n.Size, Patience(n.Lease, n.Rate), confirmLate*raftlog.HeartbeatInterval(n.Size))
 		n.term, n.epoch = n.log.Term(), n.log.Epoch()
 		n.Host.Changed(Event{What: "leads", By: n.Self.Number})
 	}
@@ -242,26 +242,26 @@
 const decideAgain = 5 * time.Second
 
 // gone says that a voter's process can't take part any more, as far as reports tell.
-func (n *Node) gone(now time.Duration, s raftlog.Seat) bool {
+func (n *Node) gone(now time.Duration, s raftlog.Voter) bool {
 	seat, lately := n.leader.Seat(now, s.Number)
 	if lately {
-		return seat != s.Life // another process of that number reports, that has forgotten this one's vote
+		return seat != s.Incarnation // another process of that number reports, that has forgotten this one's vote
 	}
 	return now >= n.leader.Since()+Patience(n.Lease, n.Rate)
 }
 
 // there are those that could vote, in an order that is the same for each leader.
-func (n *Node) there(now time.Duration) (all []raftlog.Seat) {
-	seats := n.log.Seats()
-	if len(seats) >= raftlog.VotersFor(n.Size) && !slices.ContainsFunc(seats, func(s raftlog.Seat) bool { return n.gone(now, s) }) {
+func (n *Node) there(now time.Duration) (all []raftlog.Voter) {
+	seats := n.log.Voters()
+	if len(seats) >= raftlog.VotersFor(n.Size) && !slices.ContainsFunc(seats, func(s raftlog.Voter) bool { return n.gone(now, s) }) {
 		return nil // nothing is to be filled
 	}
 	for i := range n.Size {
 		if seat, lately := n.leader.Seat(now, i); lately && seat != mute {
-			all = append(all, raftlog.Seat{Number: i, Life: seat})
+			all = append(all, raftlog.Voter{Number: i, Incarnation: seat})
 		}
 	}
-	slices.SortFunc(all, func(a, b raftlog.Seat) int {
+	slices.SortFunc(all, func(a, b raftlog.Voter) int {
 		if a.ID() < b.ID() {
 			return -1
 		}
@@ -286,7 +286,7 @@
 	if err != nil {
 		return
 	}
-	h.n.post(to, &accordpb.Message{Log: raw}, m.Raft != nil || m.News)
+	h.n.post(to, &accordpb.Message{Log: raw}, m.Raft != nil || m.Gossip)
 }
 
 func (h logHost) Reset(epoch uint64) {
--- a/internal/fleet/replicatedstate/reports.go
+++ b/internal/fleet/replicatedstate/reports.go
@@ -85,11 +85,11 @@
 
 // report tells the leader how this one stands: where something has changed, where the last report has had no grant, or as a lease goes by.
 func (n *Node) report(now time.Duration) {
-	seats := n.log.Seats()
+	seats := n.log.Voters()
 	if n.log.Epoch() == 0 || len(seats) == 0 {
 		return
 	}
-	n.holder.Upto(n.log.Have())
+	n.holder.Upto(n.log.LastIndex())
 	if leader := n.log.Leader(); n.poked && leader >= 0 && leader != n.Self.Number {
 		// Beside the ordinary ones, which alone are granted: told so twice a second, one that reported straight instead was cut off (accord, seed 22).
 		n.send(leader, &accordpb.Message{Epoch: n.log.Epoch(), Report: []*accordpb.Report{n.wire(n.holder.Report(now))}})
@@ -122,10 +122,10 @@
 func (n *Node) wire(r policyrollout.Report) *accordpb.Report {
 	seat := uint64(0)
 	switch {
-	case n.log.Mute() != nil:
+	case n.log.StorageError() != nil:
 		seat = mute
-	case n.life != n.Self.Life:
-		seat = n.Self.Life
+	case n.life != n.Self.Incarnation:
+		seat = n.Self.Incarnation
 	}
 	p := &accordpb.Report{
 		Number: uint32(n.Self.Number), Life: n.life, Seat: seat, Stamp: stamp(r.Stamp), Mode: uint32(r.Now.Mode), Old: r.Now.Old.Version, New: r.Now.New.Version, Have: r.Have, Turn: r.Turn,
@@ -151,7 +151,7 @@
 
 // relayed is by way of whom this one reports: it need not be a voter. After all relays the ones beside them are tried.
 func (n *Node) relayed() int {
-	if n.log.Leads() {
+	if n.log.IsLeader() {
 		return n.Self.Number
 	}
 	relays := int(math.Ceil(math.Sqrt(float64(n.Size))))
@@ -214,7 +214,7 @@
 		}
 		to := n.owed[0].to
 		n.owed = n.owed[1:]
-		m := &accordpb.Message{Epoch: n.log.Epoch(), Index: n.log.Have()}
+		m := &accordpb.Message{Epoch: n.log.Epoch(), Index: n.log.LastIndex()}
 		for _, g := range n.answers[to] {
 			if m.Granted = append(m.Granted, g); proto.Size(m) > Longest {
 				m.Granted = m.Granted[:len(m.Granted)-1]
@@ -238,17 +238,17 @@
 	for k := range min(len(late), pokeMost) {
 		i := k + n.Rand.IntN(len(late)-k)
 		late[k], late[i] = late[i], late[k]
-		n.send(late[k].Number, &accordpb.Message{Epoch: n.log.Epoch(), Index: n.log.Have(), Ask: true})
+		n.send(late[k].Number, &accordpb.Message{Epoch: n.log.Epoch(), Index: n.log.LastIndex(), Ask: true})
 	}
 }
 
 // hand takes a report of one: answered here where this one leads, else kept for the next batch.
 func (n *Node) hand(now time.Duration, h handed) {
-	if n.log.Leads() {
+	if n.log.IsLeader() {
 		// In a change those report straight whom it has asked: what they are owed they get by way of a relay, as a word to each would be more than there is room for.
 		s := n.holder.State()
 		if n.hears(now, h.report) && (h.from == n.Self.Number || s.Busy() == 0) {
-			n.grant(now, h, n.log.Have())
+			n.grant(now, h, n.log.LastIndex())
 		}
 		return
 	}
@@ -260,8 +260,8 @@
 
 // hears is the leader's part: it says whether a report is granted.
 func (n *Node) hears(now time.Duration, p *accordpb.Report) bool {
-	at, index := n.log.Confirmed()
-	if n.leader == nil || n.term != n.log.Term() || n.epoch != n.log.Epoch() || at == 0 || n.log.Have() < index {
+	at, index := n.log.LastQuorumAck()
+	if n.leader == nil || n.term != n.log.Term() || n.epoch != n.log.Epoch() || at == 0 || n.log.LastIndex() < index {
 		return false
 	}
 	n.heardWork(p)
@@ -327,7 +327,7 @@
 	}
 	if m.Ask && from == n.log.Leader() {
 		n.poked = true
-		n.log.Reach(now, from, m.Index)
+		n.log.CatchUp(now, from, m.Index)
 	}
 	if g := m.Grant; g != nil && g.Life == n.life {
 		n.take(now, g.Stamp, m.Index)
--- a/internal/fleet/replicatedstate/work.go
+++ b/internal/fleet/replicatedstate/work.go
@@ -103,7 +103,7 @@
 		w.leader, w.book = maintenance.NewLeader(n.term, n.Self.Number), maintenance.Book{Size: n.Size, Deadline: Patience(n.Deadline, n.Rate)}
 	}
 	// One that is confirmed no more may lack what a later leader has put into the log.
-	if at, index := n.log.Confirmed(); at == 0 || now-at >= n.leader.Confirm || n.log.Have() < index {
+	if at, index := n.log.LastQuorumAck(); at == 0 || now-at >= n.leader.Confirm || n.log.LastIndex() < index {
 		return
 	}
 	step, due := w.leader.Decide(n.world(now), &w.state)
--- a/internal/fleet/state/contents.go
+++ b/internal/fleet/state/contents.go
@@ -79,14 +79,14 @@
 }
 
 // log returns the stored part of the log, or durable.ErrCorrupt if it is inconsistent.
-func (c *contents) log() (*raftlog.Saved, error) {
+func (c *contents) log() (*raftlog.SavedState, error) {
 	if c.Seat == 0 {
 		return nil, fmt.Errorf("%w: it has no seat", durable.ErrCorrupt)
 	}
-	log := &raftlog.Saved{Epoch: c.Epoch}
+	log := &raftlog.SavedState{Epoch: c.Epoch}
 	if c.HardState != nil {
-		log.Vote = new(raftpb.HardState)
-		if err := proto.Unmarshal(c.HardState, log.Vote); err != nil {
+		log.HardState = new(raftpb.HardState)
+		if err := proto.Unmarshal(c.HardState, log.HardState); err != nil {
 			return nil, fmt.Errorf("%w: its hard state: %w", durable.ErrCorrupt, err)
 		}
 	}
@@ -97,9 +97,9 @@
 		}
 		log.Entries = append(log.Entries, entry)
 	}
-	commit, last := log.Vote.GetCommit(), uint64(len(log.Entries))
+	commit, last := log.HardState.GetCommit(), uint64(len(log.Entries))
 	switch {
-	case log.Vote == nil && last > 0:
+	case log.HardState == nil && last > 0:
 		return nil, fmt.Errorf("%w: it has entries and no hard state", durable.ErrCorrupt)
 	case commit > last:
 		return nil, fmt.Errorf("%w: %d entries are committed, it has %d", durable.ErrCorrupt, commit, last)
--- a/internal/fleet/state/corruption_test.go
+++ b/internal/fleet/state/corruption_test.go
@@ -56,7 +56,7 @@
 	}
 	defer s.Close()
 	saved, texts, err := s.Saved()
-	if err != nil || s.Seat() != 1 || saved.Epoch != 0 || saved.Vote != nil || len(saved.Entries)+len(texts) != 0 {
+	if err != nil || s.Seat() != 1 || saved.Epoch != 0 || saved.HardState != nil || len(saved.Entries)+len(texts) != 0 {
 		t.Errorf("%s: accepted: seat %d, %+v, %d texts, %v", how, s.Seat(), saved, len(texts), err)
 	}
 	if s.Corruption() == nil || !strings.Contains(s.Corruption().Error(), path) {
--- a/internal/fleet/state/golden_test.go
+++ b/internal/fleet/state/golden_test.go
@@ -41,8 +41,8 @@
 	if s.Seat() != 99 || saved.Epoch != 5 {
 		t.Errorf("seat %d, epoch %d, want 99 and 5", s.Seat(), saved.Epoch)
 	}
-	if !proto.Equal(saved.Vote, vote(2, 2)) {
-		t.Errorf("vote %v, want %v", saved.Vote, vote(2, 2))
+	if !proto.Equal(saved.HardState, vote(2, 2)) {
+		t.Errorf("vote %v, want %v", saved.HardState, vote(2, 2))
 	}
 	want := []*raftpb.Entry{entry(1, 1), entry(2, 2)}
 	if len(saved.Entries) != len(want) || !proto.Equal(saved.Entries[0], want[0]) || !proto.Equal(saved.Entries[1], want[1]) {
--- a/internal/fleet/state/legacy_test.go
+++ b/internal/fleet/state/legacy_test.go
@@ -91,8 +91,8 @@
 				if err != nil || s.Corruption() != nil || s.Seat() != 99 || saved.Epoch != 5 {
 					t.Errorf("%d entries: seat %d, %+v, %v, %v", entries, s.Seat(), saved, s.Corruption(), err)
 				}
-				if uint64(len(saved.Entries)) != entries || saved.Vote.GetCommit() != entries {
-					t.Errorf("%d entries: converted are %d, hard state %v", entries, len(saved.Entries), saved.Vote)
+				if uint64(len(saved.Entries)) != entries || saved.HardState.GetCommit() != entries {
+					t.Errorf("%d entries: converted are %d, hard state %v", entries, len(saved.Entries), saved.HardState)
 				}
 				if len(texts) != 3 || len(texts[0]) != text || text > 0 && texts[2][text-1] != 'c' {
 					t.Errorf("texts of %d bytes: %d texts", text, len(texts))
@@ -139,7 +139,7 @@
 	if err := os.WriteFile(path, stored, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if saved, _, err := open(t, dir).Saved(); err != nil || saved.Vote.GetTerm() != 7 {
+	if saved, _, err := open(t, dir).Saved(); err != nil || saved.HardState.GetTerm() != 7 {
 		t.Errorf("%+v, %v", saved, err)
 	}
 	if _, err := os.Stat(path); !errors.Is(err, os.ErrNotExist) {
--- a/internal/fleet/state/state.go
+++ b/internal/fleet/state/state.go
@@ -172,7 +172,7 @@
 func (s *Store) Seat() uint64 { return s.contents.Seat }
 
 // Saved returns what is stored: a part of the log, and texts, the oldest first.
-func (s *Store) Saved() (*raftlog.Saved, [][]byte, error) {
+func (s *Store) Saved() (*raftlog.SavedState, [][]byte, error) {
 	log, err := s.contents.log()
 	return log, s.contents.Texts, err
 }
--- a/internal/fleet/state/state_test.go
+++ b/internal/fleet/state/state_test.go
@@ -65,7 +65,7 @@
 		t.Errorf("seat %d, want 99", s.Seat())
 	}
 	saved, texts, err := s.Saved()
-	if err != nil || saved.Epoch != 5 || saved.Vote.GetCommit() != 2 {
+	if err != nil || saved.Epoch != 5 || saved.HardState.GetCommit() != 2 {
 		t.Errorf("%+v, %v, want epoch 5 and 2 committed", saved, err)
 	}
 	if len(saved.Entries) != 2 || saved.Entries[1].GetTerm() != 2 {
@@ -78,7 +78,7 @@
 		t.Fatal(err)
 	}
 	saved, texts, err = s.Saved()
-	if err != nil || saved.Epoch != 6 || saved.Vote != nil || len(saved.Entries) != 0 || len(texts) != 0 {
+	if err != nil || saved.Epoch != 6 || saved.HardState != nil || len(saved.Entries) != 0 || len(texts) != 0 {
 		t.Errorf("another log: %+v, %q, %v", saved, texts, err)
 	}
 }
@@ -149,7 +149,7 @@
 		t.Error("stored in a directory that is gone")
 	}
 	saved, _, err := s.Saved()
-	if err != nil || saved.Epoch != 0 || saved.Vote.GetTerm() != 1 {
+	if err != nil || saved.Epoch != 0 || saved.HardState.GetTerm() != 1 {
 		t.Errorf("%+v, %v, want the first hard state", saved, err)
 	}
 	if len(saved.Entries) != 1 || saved.Entries[0].GetTerm() != 1 {
--- a/internal/lab/raftlogsim/disk.go
+++ b/internal/lab/raftlogsim/disk.go
@@ -13,7 +13,7 @@
 type Disk struct {
 	Life  uint64 // of the seat
 	Full  bool   // nothing can be written any more
-	saved raftlog.Saved
+	saved raftlog.SavedState
 }
 
 // NewDisks gives each machine one, and a process that uses it.
@@ -34,7 +34,7 @@
 	if d.Full {
 		return errFull
 	}
-	d.saved = raftlog.Saved{Epoch: epoch}
+	d.saved = raftlog.SavedState{Epoch: epoch}
 	return nil
 }
 
@@ -44,7 +44,7 @@
 		return errFull
 	}
 	if vote != nil {
-		d.saved.Vote = proto.CloneOf(vote)
+		d.saved.HardState = proto.CloneOf(vote)
 	}
 	for _, e := range entries {
 		d.saved.Entries = append(d.saved.Entries[:e.GetIndex()-1], proto.CloneOf(e))
@@ -53,7 +53,7 @@
 }
 
 // Saved is what it has kept.
-func (d *Disk) Saved() *raftlog.Saved {
+func (d *Disk) Saved() *raftlog.SavedState {
 	s := d.saved
 	s.Entries = append([]*raftpb.Entry(nil), s.Entries...)
 	return &s
--- a/internal/lab/raftlogsim/net.go
+++ b/internal/lab/raftlogsim/net.go
@@ -29,7 +29,7 @@
 	Sent    int
 	Longest int                  // bytes of a message, about
 	agreed  map[[2]uint64]string // by epoch and index: what somebody has
-	ended   map[raftlog.Seat]time.Duration
+	ended   map[raftlog.Voter]time.Duration
 	life    uint64
 }
 
@@ -38,7 +38,7 @@
 	*raftlog.Node
 	virtualtime.Process
 	net   *Net
-	seat  raftlog.Seat
+	seat  raftlog.Voter
 	last  uint64
 	term  uint64                // that it leads, or led last
 	led   time.Duration         // since when
@@ -51,7 +51,7 @@
 		Size: size, Clock: virtualtime.Clock{Now: time.Hour},
 		Faults: virtualtime.Faults{Rng: rand.New(rand.NewPCG(seed, 5)), Most: 10 * time.Millisecond},
 		agreed: make(map[[2]uint64]string),
-		ended:  make(map[raftlog.Seat]time.Duration),
+		ended:  make(map[raftlog.Voter]time.Duration),
 	}
 	for range size {
 		n.Nodes = append(n.Nodes, &Node{net: n, Process: virtualtime.Process{Down: true}})
@@ -70,15 +70,15 @@
 	}
 	n.life++
 	m.Begin()
-	m.seat, m.last = raftlog.Seat{Number: i, Life: n.life}, 0
-	cfg := raftlog.Config{Size: n.Size, Self: m.seat, Life: n.life,
+	m.seat, m.last = raftlog.Voter{Number: i, Incarnation: n.life}, 0
+	cfg := raftlog.Config{Size: n.Size, Self: m.seat, ProcessIncarnation: n.life,
 		Rand: rand.New(rand.NewPCG(n.life, n.Rng.Uint64())), Host: m}
 	if n.Disks != nil {
 		d := n.Disks[i]
 		if d.Life == 0 {
 			d.Life = n.life
 		}
-		m.seat.Life, cfg.Self.Life, cfg.Disk = d.Life, d.Life, d
+		m.seat.Incarnation, cfg.Self.Incarnation, cfg.Storage = d.Life, d.Life, d
 		delete(n.ended, m.seat)
 	}
 	node, err := raftlog.New(cfg)
@@ -98,7 +98,7 @@
 		}
 		if m.Stopped == 0 {
 			node.Tick(n.Now)
-			node.Tend(n.Now, n.out, n.there())
+			node.UpdateVoters(n.Now, n.out, n.there())
 			m.lead()
 		}
 		n.After(raftlog.Period, tick)
@@ -117,18 +117,18 @@
 // Stop has a process stand still. What comes meanwhile waits in its socket.
 func (n *Net) Stop(i int, d time.Duration) { n.Nodes[i].StandStill(&n.Clock, d, nil) }
 
-func (n *Net) out(s raftlog.Seat) bool {
+func (n *Net) out(s raftlog.Voter) bool {
 	at, ended := n.ended[s]
 	return ended && n.Now-at >= outAfter
 }
 
-func (n *Net) there() (all []raftlog.Seat) {
+func (n *Net) there() (all []raftlog.Voter) {
 	for _, m := range n.Nodes {
 		if !m.Down && m.Stopped == 0 {
 			all = append(all, m.seat)
 		}
 	}
-	slices.SortFunc(all, func(a, b raftlog.Seat) int {
+	slices.SortFunc(all, func(a, b raftlog.Voter) int {
 		if a.ID() < b.ID() {
 			return -1
 		}
@@ -153,20 +153,20 @@
 			n.Broken = append(n.Broken, err.Error())
 			return
 		}
-		n.Nodes[to].Take(n.Now, from, c)
+		n.Nodes[to].Receive(n.Now, from, c)
 	}
 	n.Carry(&n.Clock, from, to, func() { n.Nodes[to].Arrive(100, take) })
 }
 
 // lead checks that what a leader takes for confirmed is of its own term.
 func (m *Node) lead() {
-	if !m.Leads() {
+	if !m.IsLeader() {
 		return
 	}
 	if term := m.Term(); term != m.term {
 		m.term, m.led = term, m.net.Now
 	}
-	if at, _ := m.Confirmed(); at > 0 && at < m.led {
+	if at, _ := m.LastQuorumAck(); at > 0 && at < m.led {
 		m.net.Broken = append(m.net.Broken,
 			fmt.Sprintf("n%d leads since %v and takes a word of %v for a confirmation", m.seat.Number, m.led, at))
 	}
@@ -195,7 +195,7 @@
 // Leader is a node that leads; -1: none does.
 func (n *Net) Leader() int {
 	for i, m := range n.Nodes {
-		if m.Lives() && m.Leads() {
+		if m.Lives() && m.IsLeader() {
 			return i
 		}
 	}
@@ -210,12 +210,12 @@
 			continue
 		}
 		alive := 0
-		for _, s := range m.Seats() {
+		for _, s := range m.Voters() {
 			if _, ended := n.ended[s]; !ended {
 				alive++
 			}
 		}
-		if 2*alive <= len(m.Seats()) {
+		if 2*alive <= len(m.Voters()) {
 			return true
 		}
 	}
--- a/internal/lab/replicatedstatesim/net.go
+++ b/internal/lab/replicatedstatesim/net.go
@@ -55,7 +55,7 @@
 	net     *Net
 	number  int
 	Life    uint64
-	seat    raftlog.Seat
+	seat    raftlog.Voter
 	Disk    disk
 	rate    float64
 	Bytes   int
@@ -124,7 +124,7 @@
 	}
 	n.life++
 	m.Begin()
-	m.Life, m.seat, m.own, m.born = n.life, raftlog.Seat{Number: i, Life: n.life}, maintenance.Own{}, m.Time()
+	m.Life, m.seat, m.own, m.born = n.life, raftlog.Voter{Number: i, Incarnation: n.life}, maintenance.Own{}, m.Time()
 	cfg := replicatedstate.Config{
 		Size: n.Size, Life: n.life, Lease: n.Lease, Rate: n.Rate,
 		Rand: rand.New(rand.NewPCG(n.life, n.Rng.Uint64())), Host: m,
@@ -142,7 +142,7 @@
 		if m.Disk.Life == 0 {
 			m.Disk.Life = n.life
 		}
-		m.seat.Life, cfg.Disk = m.Disk.Life, &m.Disk
+		m.seat.Incarnation, cfg.Disk = m.Disk.Life, &m.Disk
 	}
 	cfg.Self = m.seat
 	node, err := replicatedstate.New(cfg)
