--- a/cmd/measure/peers_virtual.go
+++ b/cmd/measure/peers_virtual.go
@@ -25,7 +25,7 @@
 		i := (k*37 + 5) % n.Size
 		known, need := 0, (n.Size-1)*95/100
 		n.Seen = func(_ int, c swim.Change) {
-			if c.Member == i && c.State == swim.Gone {
+			if c.Member == i && c.State == swim.Dead {
 				known++
 			}
 		}
@@ -50,10 +50,10 @@
 		switch {
 		case c.Member == node && !c.Contact:
 			lapsed++
-		case c.State == swim.Suspect && c.By == node:
+		case c.State == swim.Suspect && c.Accuser == node:
 			suspected++
-		case c.State == swim.Gone:
-			key := [2]int{c.Member, int(c.Session.Turn)}
+		case c.State == swim.Dead:
+			key := [2]int{c.Member, int(c.Session.Sequence)}
 			if _, known := first[key]; !known {
 				first[key] = n.Now
 				gone++
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -88,7 +88,7 @@
 	// Later starts have higher lives, and two within a millisecond differ by the seed.
 	f.life = uint64(time.Now().UnixMilli())<<16 | cfg.Seed&0xffff
 	f.node, err = swim.New(swim.Config{
-		Size: len(f.peers), Self: cfg.Policy.Index, Life: f.life, Lease: file.Lease, Rate: file.Rate, Bytes: contact,
+		Size: len(f.peers), Self: cfg.Policy.Index, Incarnation: f.life, Lease: file.Lease, MaxClockError: file.Rate, BytesPerSecond: contact,
 		Rand: rand.New(rand.NewPCG(cfg.Seed, 1)), Host: host{f},
 	})
 	if err != nil {
@@ -166,7 +166,7 @@
 	defer f.mu.Unlock()
 	now := f.now()
 	f.node.Tick(now)
-	f.known.Store(int64(max(f.cfg.Policy.Balancers, f.node.Fleet(now))))
+	f.known.Store(int64(max(f.cfg.Policy.Balancers, f.node.FleetSize(now))))
 	f.place(now)
 	if now >= f.hintAt {
 		f.hintAt = now + hintEvery
@@ -324,8 +324,8 @@
 		log.Info("peers: in contact", "why", c.Why)
 	case c.Member == h.f.cfg.Policy.Index:
 		log.Warn("peers: out of contact", "why", c.Why)
-	case c.By >= 0:
-		log.Info("peers: member", "number", c.Member, "state", c.State.String(), "was", c.Was.String(), "by", c.By, "session", c.Session)
+	case c.Accuser >= 0:
+		log.Info("peers: member", "number", c.Member, "state", c.State.String(), "was", c.Was.String(), "by", c.Accuser, "session", c.Session)
 	default:
 		log.Info("peers: member", "number", c.Member, "state", c.State.String(), "was", c.Was.String(), "session", c.Session)
 	}
@@ -337,7 +337,7 @@
 func (t taker) Contact(_ int, m *swim.Message) {
 	t.f.mu.Lock()
 	defer t.f.mu.Unlock()
-	t.f.node.Take(t.f.now(), m)
+	t.f.node.Receive(t.f.now(), m)
 }
 
 func (t taker) Hint(from int, silent []uint64) {
--- a/internal/fleet/peer/code.go
+++ b/internal/fleet/peer/code.go
@@ -32,15 +32,15 @@
 // encode is a message of swim as a record.
 func encode(m *swim.Message) *peerpb.Contact {
 	c := &peerpb.Contact{
-		Turn: m.Session.Turn, Kind: uint32(m.Kind), Stamp: m.Stamp, Echo: m.Echo, Mute: m.Mute, About: uint32(m.About), Mark: m.Mark, Digest: m.Digest,
-		Count: uint32(m.Count),
+		Turn: m.Session.Sequence, Kind: uint32(m.Kind), Stamp: m.Stamp, Echo: m.Echo, Mute: m.NoLease, About: uint32(m.Target), Mark: m.Cookie, Digest: m.Digest,
+		Count: uint32(m.MemberCount),
 	}
 	if m.Echo != 0 {
-		c.EchoOf = m.EchoOf
+		c.EchoOf = m.EchoTag
 	}
 	for _, r := range m.Rumours {
 		c.Rumour = append(c.Rumour, &peerpb.Rumour{
-			Member: uint32(r.Member), Life: r.Session.Life, Turn: r.Session.Turn, State: uint32(r.State), By: uint32(r.By),
+			Member: uint32(r.Member), Life: r.Session.Incarnation, Turn: r.Session.Sequence, State: uint32(r.State), By: uint32(r.Accuser),
 		})
 	}
 	return c
@@ -49,12 +49,12 @@
 // decode reads such a record. Numbers that no member can have become ones that swim passes over.
 func decode(from int, life uint64, c *peerpb.Contact) *swim.Message {
 	m := &swim.Message{
-		From: from, Session: swim.Session{Life: life, Turn: c.Turn}, Kind: swim.Kind(min(c.Kind, 255)), Stamp: c.Stamp, Echo: c.Echo, EchoOf: c.EchoOf,
-		Mute: c.Mute, About: int(c.About), Mark: c.Mark, Digest: c.Digest, Count: int(min(c.Count, swim.Most)),
+		From: from, Session: swim.Session{Incarnation: life, Sequence: c.Turn}, Kind: swim.Kind(min(c.Kind, 255)), Stamp: c.Stamp, Echo: c.Echo, EchoTag: c.EchoOf,
+		NoLease: c.Mute, Target: int(c.About), Cookie: c.Mark, Digest: c.Digest, MemberCount: int(min(c.Count, swim.MaxMembers)),
 	}
 	for _, r := range c.Rumour {
 		m.Rumours = append(m.Rumours, swim.Rumour{
-			Member: int(r.Member), Session: swim.Session{Life: r.Life, Turn: r.Turn}, State: swim.State(min(r.State, 255)), By: int(r.By),
+			Member: int(r.Member), Session: swim.Session{Incarnation: r.Life, Sequence: r.Turn}, State: swim.State(min(r.State, 255)), Accuser: int(r.By),
 		})
 	}
 	return m
@@ -62,7 +62,7 @@
 
 // Size is how many bytes a message takes on the way.
 func Size(m *swim.Message) int {
-	return proto.Size(&peerpb.Datagram{Fleet: 1, From: uint32(m.From) + 1, Life: m.Session.Life, Contact: []*peerpb.Contact{encode(m)}})
+	return proto.Size(&peerpb.Datagram{Fleet: 1, From: uint32(m.From) + 1, Life: m.Session.Incarnation, Contact: []*peerpb.Contact{encode(m)}})
 }
 
 // fit packs a message, with as many of its rumours as there is room for.
--- a/internal/fleet/peer/link.go
+++ b/internal/fleet/peer/link.go
@@ -38,8 +38,8 @@
 
 // Addresses reads the addresses of a fleet's sidecars, in the order of their numbers.
 func Addresses(peers []string, self int) ([]netip.AddrPort, error) {
-	if len(peers) == 0 || len(peers) > swim.Most {
-		return nil, fmt.Errorf("peers: %d addresses, 1 to %d are possible", len(peers), swim.Most)
+	if len(peers) == 0 || len(peers) > swim.MaxMembers {
+		return nil, fmt.Errorf("peers: %d addresses, 1 to %d are possible", len(peers), swim.MaxMembers)
 	}
 	if self < 0 || self >= len(peers) {
 		return nil, fmt.Errorf("peers: %d addresses, so this sidecar's own number (settings.me), %d, is not among them", len(peers), self)
@@ -119,7 +119,7 @@
 // Contact sends a message of swim. It never waits; what the budget has no room for is dropped and counted.
 func (l *Link) Contact(to int, m *swim.Message) {
 	head := l.head()
-	head.Life = m.Session.Life // a node may have had to take a higher one than its process began with
+	head.Life = m.Session.Incarnation // a node may have had to take a higher one than its process began with
 	raw, err := fit(head, encode(m))
 	if err != nil {
 		l.failed()
--- a/internal/fleet/peer/link_test.go
+++ b/internal/fleet/peer/link_test.go
@@ -71,7 +71,7 @@
 
 func datagram(t *testing.T, edit func(d *peerpb.Datagram)) []byte {
 	t.Helper()
-	m := &swim.Message{From: 1, Session: swim.Session{Life: 7, Turn: 2}, Kind: swim.Ping, Stamp: 12}
+	m := &swim.Message{From: 1, Session: swim.Session{Incarnation: 7, Sequence: 2}, Kind: swim.Ping, Stamp: 12}
 	d := &peerpb.Datagram{Fleet: FleetTag("hives"), From: 2, Life: 7, Contact: []*peerpb.Contact{encode(m)}}
 	if edit != nil {
 		edit(d)
@@ -108,7 +108,7 @@
 		t.Fatal(err)
 	}
 	testbed.Until(t, "all to be read", func() bool { return l.Counters().Read == 15 })
-	if m := testbed.Wait(t, "what can be read", in.messages); m.From != 1 || m.Session != (swim.Session{Life: 7, Turn: 2}) || m.Stamp != 12 || m.Kind != swim.Ping {
+	if m := testbed.Wait(t, "what can be read", in.messages); m.From != 1 || m.Session != (swim.Session{Incarnation: 7, Sequence: 2}) || m.Stamp != 12 || m.Kind != swim.Ping {
 		t.Errorf("%+v", m)
 	}
 	c := l.Counters()
@@ -121,18 +121,18 @@
 func TestMessagesFit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &swim.Message{
-			From: rapid.IntRange(0, swim.Most-1).Draw(t, "from"), Session: swim.Session{Life: rapid.Uint64Min(1).Draw(t, "life"), Turn: rapid.Uint32().Draw(t, "turn")},
+			From: rapid.IntRange(0, swim.MaxMembers-1).Draw(t, "from"), Session: swim.Session{Incarnation: rapid.Uint64Min(1).Draw(t, "life"), Sequence: rapid.Uint32().Draw(t, "turn")},
 			Kind: swim.Kind(rapid.IntRange(1, 7).Draw(t, "kind")), Stamp: rapid.Uint64().Draw(t, "stamp"), Echo: rapid.Uint64().Draw(t, "echo"),
-			About: rapid.IntRange(0, swim.Most-1).Draw(t, "about"), Mark: rapid.Uint64().Draw(t, "mark"), Digest: rapid.Uint32().Draw(t, "digest"),
-			Count: rapid.IntRange(0, swim.Most).Draw(t, "count"), Mute: rapid.Bool().Draw(t, "mute"),
+			Target: rapid.IntRange(0, swim.MaxMembers-1).Draw(t, "about"), Cookie: rapid.Uint64().Draw(t, "mark"), Digest: rapid.Uint32().Draw(t, "digest"),
+			MemberCount: rapid.IntRange(0, swim.MaxMembers).Draw(t, "count"), NoLease: rapid.Bool().Draw(t, "mute"),
 		}
 		for range rapid.IntRange(0, 20).Draw(t, "rumours") {
 			m.Rumours = append(m.Rumours, swim.Rumour{
-				Member: rapid.IntRange(0, swim.Most-1).Draw(t, "member"), Session: swim.Session{Life: rapid.Uint64().Draw(t, "its life"), Turn: rapid.Uint32().Draw(t, "its turn")},
-				State: swim.State(rapid.IntRange(0, 4).Draw(t, "state")), By: rapid.IntRange(0, swim.Most-1).Draw(t, "by"),
+				Member: rapid.IntRange(0, swim.MaxMembers-1).Draw(t, "member"), Session: swim.Session{Incarnation: rapid.Uint64().Draw(t, "its life"), Sequence: rapid.Uint32().Draw(t, "its turn")},
+				State: swim.State(rapid.IntRange(0, 4).Draw(t, "state")), Accuser: rapid.IntRange(0, swim.MaxMembers-1).Draw(t, "by"),
 			})
 		}
-		raw, err := fit(&peerpb.Datagram{Fleet: 1, From: uint32(m.From) + 1, Life: m.Session.Life}, encode(m))
+		raw, err := fit(&peerpb.Datagram{Fleet: 1, From: uint32(m.From) + 1, Life: m.Session.Incarnation}, encode(m))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -144,7 +144,7 @@
 		if n := len(got.Rumours); n > len(m.Rumours) || n < min(5, len(m.Rumours)) || !slices.Equal(got.Rumours, m.Rumours[:n]) {
 			t.Fatalf("%d rumours of %d", n, len(m.Rumours))
 		}
-		if got.Session != m.Session || got.Stamp != m.Stamp || got.Echo != m.Echo || got.Mark != m.Mark || got.About != m.About || got.Mute != m.Mute {
+		if got.Session != m.Session || got.Stamp != m.Stamp || got.Echo != m.Echo || got.Cookie != m.Cookie || got.Target != m.Target || got.NoLease != m.NoLease {
 			t.Fatalf("%+v became %+v", m, got)
 		}
 	})
@@ -200,7 +200,7 @@
 		says  string
 	}{
 		{nil, 0, "peers"}, {[]string{"127.0.0.1:1"}, 1, "settings.me"}, {[]string{"127.0.0.1:1", "x:2"}, 0, "peers[1]"}, {[]string{"127.0.0.1:0"}, 0, "peers[0]"},
-		{[]string{"127.0.0.1:1", "127.0.0.2:1", "[::ffff:127.0.0.1]:1"}, 0, "peers[2]"}, {make([]string, swim.Most+1), 0, "peers"},
+		{[]string{"127.0.0.1:1", "127.0.0.2:1", "[::ffff:127.0.0.1]:1"}, 0, "peers[2]"}, {make([]string, swim.MaxMembers+1), 0, "peers"},
 	} {
 		if _, err := Addresses(c.peers, c.self); err == nil || !strings.Contains(err.Error(), c.says) {
 			t.Errorf("%v: %v, want an error that names %s", c.peers[:min(3, len(c.peers))], err, c.says)
@@ -241,7 +241,7 @@
 }
 
 func FuzzRead(f *testing.F) {
-	m := &swim.Message{From: 1, Session: swim.Session{Life: 7}, Kind: swim.Answer, Echo: 9, Rumours: []swim.Rumour{{Member: 3, State: swim.Gone}}}
+	m := &swim.Message{From: 1, Session: swim.Session{Incarnation: 7}, Kind: swim.Ack, Echo: 9, Rumours: []swim.Rumour{{Member: 3, State: swim.Dead}}}
 	raw, _ := proto.Marshal(&peerpb.Datagram{Fleet: 1, From: 2, Life: 7, Contact: []*peerpb.Contact{encode(m)}, Decision: []byte{1}})
 	f.Add(raw)
 	f.Fuzz(func(t *testing.T, raw []byte) {
@@ -250,13 +250,13 @@
 			return
 		}
 		host := quiet{}
-		n, err := swim.New(swim.Config{Size: 4, Life: 1, Rand: rand.New(rand.NewPCG(1, 1)), Host: host})
+		n, err := swim.New(swim.Config{Size: 4, Incarnation: 1, Rand: rand.New(rand.NewPCG(1, 1)), Host: host})
 		if err != nil {
 			t.Fatal(err)
 		}
 		n.Start(time.Hour)
 		for _, c := range d.Contact {
-			n.Take(time.Hour, decode(int(d.From)-1, d.Life, c))
+			n.Receive(time.Hour, decode(int(d.From)-1, d.Life, c))
 		}
 		n.Tick(time.Hour + swim.Period)
 		n.Members(time.Hour + swim.Period)
--- a/internal/fleet/policy.go
+++ b/internal/fleet/policy.go
@@ -74,7 +74,7 @@
 	p.until.Store(math.MaxInt64)
 	p.out.Store(new([]uint64))
 	p.cfg = replicatedstate.Config{
-		Size: len(f.peers), Life: f.life, Lease: cmp.Or(f.file.Lease, swim.LeaseFor(len(f.peers))), Rate: cmp.Or(f.file.Rate, swim.DefaultRate),
+		Size: len(f.peers), Life: f.life, Lease: cmp.Or(f.file.Lease, swim.LeaseFor(len(f.peers))), Rate: cmp.Or(f.file.Rate, swim.DefaultClockError),
 		Rand: rand.New(rand.NewPCG(f.cfg.Seed, 3)), Host: policyHost{p}, Check: p.check,
 	}
 	if dir := f.file.Policy.State; dir != "" {
--- a/internal/fleet/swim/budget_test.go
+++ b/internal/fleet/swim/budget_test.go
@@ -13,13 +13,13 @@
 // and at three in ten few are, for a moment (some 700 sights of it where refutations stand behind accusations).
 func TestHundredWithinTheirBudget(t *testing.T) {
 	for _, loss := range []float64{0, 0.1, 0.2, 0.3} {
-		n := swimsim.New(swimsim.Config{Size: 100, Seed: 1, Loss: loss, Bytes: peer.Size, Spend: swim.DefaultBytes})
+		n := swimsim.New(swimsim.Config{Size: 100, Seed: 1, Loss: loss, Bytes: peer.Size, Spend: swim.DefaultBytesPerSecond})
 		n.Run(30 * time.Second)
 		gone, lapsed := 0, 0
 		n.Seen = func(node int, c swim.Change) {
 			if c.Member == node && !c.Contact {
 				lapsed++
-			} else if c.State == swim.Gone {
+			} else if c.State == swim.Dead {
 				gone++
 			}
 		}
--- a/internal/fleet/swim/history_test.go
+++ b/internal/fleet/swim/history_test.go
@@ -99,37 +99,37 @@
 // only up to four times the configured number.
 func TestSidecarsSeen(t *testing.T) {
 	l := newLone(t, 10)
-	if n := l.Fleet(l.now); n != 1 {
+	if n := l.FleetSize(l.now); n != 1 {
 		t.Errorf("%d at the start", n)
 	}
 	for i := 1; i < 8; i++ {
-		l.ping(i, swim.Session{Life: 10})
+		l.ping(i, swim.Session{Incarnation: 10})
 	}
-	l.say(1, swim.Rumour{Member: 2, Session: swim.Session{Life: 10}, State: swim.Gone, By: 1})
-	l.say(1, swim.Rumour{Member: 3, Session: swim.Session{Life: 10}, State: swim.Left, By: 3})
-	if n := l.Fleet(l.now); n != 7 {
+	l.say(1, swim.Rumour{Member: 2, Session: swim.Session{Incarnation: 10}, State: swim.Dead, Accuser: 1})
+	l.say(1, swim.Rumour{Member: 3, Session: swim.Session{Incarnation: 10}, State: swim.Left, Accuser: 3})
+	if n := l.FleetSize(l.now); n != 7 {
 		t.Errorf("%d of eight, of which one is gone and one left; want 7", n)
 	}
 	claim := func(from, count int) {
 		m := l.message(from, swim.Ping)
-		m.Count = count
-		l.Take(l.now, &m)
+		m.MemberCount = count
+		l.Receive(l.now, &m)
 	}
 	claim(4, 1<<30)
 	claim(5, 1<<30)
-	if n := l.Fleet(l.now); n != 7 {
+	if n := l.FleetSize(l.now); n != 7 {
 		t.Errorf("two that lie make it %d", n)
 	}
 	claim(6, 20)
-	if n := l.Fleet(l.now); n != 20 {
+	if n := l.FleetSize(l.now); n != 20 {
 		t.Errorf("three say at least 20, it takes %d", n)
 	}
 	claim(6, 1000)
-	if n := l.Fleet(l.now); n != 40 {
+	if n := l.FleetSize(l.now); n != 40 {
 		t.Errorf("three that lie make it %d, more than four times what is configured", n)
 	}
 	l.now += 2 * time.Minute
-	if n := l.Fleet(l.now); n != 7 {
+	if n := l.FleetSize(l.now); n != 7 {
 		t.Errorf("two minutes later %d", n)
 	}
 }
--- a/internal/fleet/swim/node_test.go
+++ b/internal/fleet/swim/node_test.go
@@ -38,7 +38,7 @@
 func newLone(t *testing.T, size int) *lone {
 	t.Helper()
 	l := &lone{t: t, now: time.Hour}
-	n, err := swim.New(swim.Config{Size: size, Life: 100, Lease: lease, Rand: rand.New(rand.NewPCG(1, 2)), Host: l})
+	n, err := swim.New(swim.Config{Size: size, Incarnation: 100, Lease: lease, Rand: rand.New(rand.NewPCG(1, 2)), Host: l})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -61,13 +61,13 @@
 
 // message is one from another, of its life 10.
 func (l *lone) message(from int, kind swim.Kind) swim.Message {
-	return swim.Message{From: from, Session: swim.Session{Life: 10}, Kind: kind}
+	return swim.Message{From: from, Session: swim.Session{Incarnation: 10}, Kind: kind}
 }
 
 // yes is an answer to something that was sent at a moment.
 func (l *lone) yes(from int, sent time.Duration) *swim.Message {
-	m := l.message(from, swim.Answer)
-	m.Echo, m.EchoOf = uint64(sent/time.Millisecond)+1, swim.Tag(l.Session().Life)
+	m := l.message(from, swim.Ack)
+	m.Echo, m.EchoTag = uint64(sent/time.Millisecond)+1, swim.IncarnationTag(l.Session().Incarnation)
 	return &m
 }
 
@@ -89,14 +89,14 @@
 	l.sent = nil
 	m := l.message(from, swim.Ping)
 	m.Session, m.Stamp = session, 7
-	l.Take(l.now, &m)
-	return l.last(from, swim.Answer)
+	l.Receive(l.now, &m)
+	return l.last(from, swim.Ack)
 }
 
 func (l *lone) say(from int, r swim.Rumour) {
-	m := l.message(from, swim.News)
+	m := l.message(from, swim.Gossip)
 	m.Rumours = []swim.Rumour{r}
-	l.Take(l.now, &m)
+	l.Receive(l.now, &m)
 }
 
 func (l *lone) want(contact bool, why string) {
@@ -111,41 +111,41 @@
 		"an answer counts from when it was asked for": func(l *lone) {
 			asked := l.now
 			l.now += 2 * time.Second
-			l.Take(l.now, l.yes(1, asked))
+			l.Receive(l.now, l.yes(1, asked))
 			l.want(true, "an answer of a majority")
 			l.now = asked + lease
 			l.want(false, "a lease after the question")
 		},
 		"one that gives no lease does not": func(l *lone) {
 			m := l.yes(1, l.now)
-			m.Mute = true
-			l.Take(l.now, m)
+			m.NoLease = true
+			l.Receive(l.now, m)
 			l.want(false, "a mute answer")
 		},
 		"one to the process before does not": func(l *lone) {
 			m := l.yes(1, l.now)
-			m.EchoOf = swim.Tag(99)
-			l.Take(l.now, m)
+			m.EchoTag = swim.IncarnationTag(99)
+			l.Receive(l.now, m)
 			l.want(false, "another life's answer")
 		},
 		"one of after its own moment does not": func(l *lone) {
-			l.Take(l.now, l.yes(1, l.now+time.Second))
+			l.Receive(l.now, l.yes(1, l.now+time.Second))
 			l.want(false, "an answer to what was never asked")
 		},
 		"a lapse ends the session, and what was asked under it": func(l *lone) {
-			l.Take(l.now, l.yes(1, l.now))
+			l.Receive(l.now, l.yes(1, l.now))
 			before := l.Session()
 			asked := l.now + lease - 100*time.Millisecond
 			l.now += lease + 100*time.Millisecond // nobody looked meanwhile
-			l.Take(l.now, l.yes(2, asked))
+			l.Receive(l.now, l.yes(2, asked))
 			l.want(false, "an answer under the session that lapsed")
 			if l.Session() == before {
 				l.t.Error("the session goes on")
 			}
-			l.Take(l.now, l.yes(1, l.now))
+			l.Receive(l.now, l.yes(1, l.now))
 			l.want(false, "what was asked in the same millisecond may be of before")
 			l.now += 10 * time.Millisecond
-			l.Take(l.now, l.yes(1, l.now))
+			l.Receive(l.now, l.yes(1, l.now))
 			l.want(true, "an answer under the next one")
 		},
 		"a session that never was in contact ends too": func(l *lone) {
@@ -157,36 +157,36 @@
 			}
 		},
 		"who hears that it was counted as gone": func(l *lone) {
-			l.Take(l.now, l.yes(1, l.now))
+			l.Receive(l.now, l.yes(1, l.now))
 			l.now += time.Second
-			l.say(2, swim.Rumour{Member: 0, Session: l.Session(), State: swim.Gone, By: 2})
+			l.say(2, swim.Rumour{Member: 0, Session: l.Session(), State: swim.Dead, Accuser: 2})
 			l.want(false, "counted as gone")
-			if l.Session().Turn != 1 {
+			if l.Session().Sequence != 1 {
 				l.t.Errorf("session %v", l.Session())
 			}
 		},
 		"who hears that it is suspected": func(l *lone) {
-			l.Take(l.now, l.yes(1, l.now))
-			l.say(2, swim.Rumour{Member: 0, Session: l.Session(), State: swim.Suspect, By: 2})
+			l.Receive(l.now, l.yes(1, l.now))
+			l.say(2, swim.Rumour{Member: 0, Session: l.Session(), State: swim.Suspect, Accuser: 2})
 			l.want(true, "suspected")
-			if l.Session().Turn != 1 {
+			if l.Session().Sequence != 1 {
 				l.t.Errorf("session %v, it has to be a later one for others to hear that it lives", l.Session())
 			}
 		},
 		"another life of this number": func(l *lone) {
-			l.Take(l.now, l.yes(1, l.now))
-			l.say(2, swim.Rumour{Member: 0, Session: swim.Session{Life: 500}, State: swim.Alive, By: 2})
+			l.Receive(l.now, l.yes(1, l.now))
+			l.say(2, swim.Rumour{Member: 0, Session: swim.Session{Incarnation: 500}, State: swim.Alive, Accuser: 2})
 			l.want(false, "another process of its number")
-			if l.Session().Life <= 500 {
+			if l.Session().Incarnation <= 500 {
 				l.t.Errorf("session %v is older than one that others hold", l.Session())
 			}
 		},
 		"who leaves": func(l *lone) {
-			l.Take(l.now, l.yes(1, l.now))
+			l.Receive(l.now, l.yes(1, l.now))
 			l.Leave(l.now)
 			l.want(false, "it left")
 			l.now += 10 * time.Millisecond
-			l.Take(l.now, l.yes(1, l.now))
+			l.Receive(l.now, l.yes(1, l.now))
 			l.want(false, "it left for good")
 		},
 	} {
@@ -197,27 +197,27 @@
 // What is given away: leases to sessions that are not counted as gone, by a process that has lived long enough to know.
 func TestLeasesGiven(t *testing.T) {
 	l := newLone(t, 5)
-	one := swim.Session{Life: 10}
-	if !l.ping(1, one).Mute {
+	one := swim.Session{Incarnation: 10}
+	if !l.ping(1, one).NoLease {
 		t.Error("a process that has just begun, and may have forgotten, gives a lease")
 	}
-	l.pass(l.Patience() + lease/2 - time.Second)
-	if !l.ping(1, one).Mute {
+	l.pass(l.LeaseExpiry() + lease/2 - time.Second)
+	if !l.ping(1, one).NoLease {
 		t.Error("a second before its time it gives a lease")
 	}
 	l.pass(2 * time.Second)
-	if l.ping(1, one).Mute {
+	if l.ping(1, one).NoLease {
 		t.Error("it gives none when it should")
 	}
-	l.say(2, swim.Rumour{Member: 1, Session: one, State: swim.Gone, By: 2})
+	l.say(2, swim.Rumour{Member: 1, Session: one, State: swim.Dead, Accuser: 2})
 	m := l.ping(1, one)
-	if !m.Mute || !slices.ContainsFunc(m.Rumours, func(r swim.Rumour) bool { return r.Member == 1 && r.State == swim.Gone }) {
+	if !m.NoLease || !slices.ContainsFunc(m.Rumours, func(r swim.Rumour) bool { return r.Member == 1 && r.State == swim.Dead }) {
 		t.Errorf("a session that is counted as gone gets a lease, or is not told: %+v", m)
 	}
-	if m = l.ping(1, swim.Session{Life: 10, Turn: 1}); m.Mute {
+	if m = l.ping(1, swim.Session{Incarnation: 10, Sequence: 1}); m.NoLease {
 		t.Error("the session after it gets none")
 	}
-	if m = l.ping(1, one); !m.Mute || len(m.Rumours) == 0 || m.Rumours[0].Session.Turn != 1 {
+	if m = l.ping(1, one); !m.NoLease || len(m.Rumours) == 0 || m.Rumours[0].Session.Sequence != 1 {
 		t.Errorf("an old session is not told of the later one: %+v", m)
 	}
 }
@@ -225,32 +225,32 @@
 // A member's session is over for good once a majority has shown, lately, that it holds the same, and a lease is over.
 func TestOut(t *testing.T) {
 	const size = 5
-	gone := swim.Rumour{Member: 4, Session: swim.Session{Life: 10}, State: swim.Gone, By: 2}
+	gone := swim.Rumour{Member: 4, Session: swim.Session{Incarnation: 10}, State: swim.Dead, Accuser: 2}
 	shows := func(l *lone, from int, asked time.Duration, digest uint32) {
 		m := l.yes(from, asked)
 		m.Digest = digest
-		l.Take(l.now, m)
+		l.Receive(l.now, m)
 	}
 	begin := func(t *testing.T) (*lone, uint32) {
 		l := newLone(t, size)
 		l.say(2, gone)
-		return l, l.ping(1, swim.Session{Life: 10}).Digest
+		return l, l.ping(1, swim.Session{Incarnation: 10}).Digest
 	}
 	t.Run("a majority", func(t *testing.T) {
 		l, digest := begin(t)
 		shows(l, 1, l.now, digest)
 		shows(l, 2, l.now, digest)
 		agreed := l.now + swim.Period
-		l.pass(l.Patience() - 10*swim.Period)
-		if _, out := l.Out(l.now, 4); out {
+		l.pass(l.LeaseExpiry() - 10*swim.Period)
+		if _, out := l.SessionOver(l.now, 4); out {
 			t.Errorf("out %v after all had agreed, its lease may hold", l.now-agreed)
 		}
 		l.pass(12 * swim.Period)
-		if s, out := l.Out(l.now, 4); !out || s != gone.Session {
+		if s, out := l.SessionOver(l.now, 4); !out || s != gone.Session {
 			t.Errorf("session %v, out %v; nobody can give it a lease any more", s, out)
 		}
-		l.say(4, swim.Rumour{Member: 4, Session: swim.Session{Life: 10, Turn: 1}, State: swim.Alive, By: 4})
-		if s, out := l.Out(l.now, 4); out || s.Turn != 1 {
+		l.say(4, swim.Rumour{Member: 4, Session: swim.Session{Incarnation: 10, Sequence: 1}, State: swim.Alive, Accuser: 4})
+		if s, out := l.SessionOver(l.now, 4); out || s.Sequence != 1 {
 			t.Errorf("session %v, out %v; it came back under a later one", s, out)
 		}
 	})
@@ -270,23 +270,23 @@
 		},
 		"one restarted": func(l *lone, digest uint32) {
 			shows(l, 1, l.now, digest)
-			l.say(3, swim.Rumour{Member: 1, Session: swim.Session{Life: 11}, State: swim.Alive, By: 1})
+			l.say(3, swim.Rumour{Member: 1, Session: swim.Session{Incarnation: 11}, State: swim.Alive, Accuser: 1})
 			shows(l, 2, l.now, digest)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			l, digest := begin(t)
 			f(l, digest)
-			l.pass(3 * l.Patience())
-			if _, out := l.Out(l.now, 4); out {
+			l.pass(3 * l.LeaseExpiry())
+			if _, out := l.SessionOver(l.now, 4); out {
 				t.Error("out")
 			}
 		})
 	}
 	t.Run("left", func(t *testing.T) {
 		l := newLone(t, size)
-		l.say(4, swim.Rumour{Member: 4, Session: gone.Session, State: swim.Left, By: 4})
-		if _, out := l.Out(l.now, 4); !out {
+		l.say(4, swim.Rumour{Member: 4, Session: gone.Session, State: swim.Left, Accuser: 4})
+		if _, out := l.SessionOver(l.now, 4); !out {
 			t.Error("it said itself that it left")
 		}
 	})
@@ -295,34 +295,34 @@
 // Of one session a stronger state stays, and what is missed is told again where digests differ.
 func TestRumours(t *testing.T) {
 	l := newLone(t, 5)
-	s := swim.Session{Life: 10}
+	s := swim.Session{Incarnation: 10}
 	for _, r := range []struct {
 		state swim.State
 		turn  uint32
 		want  swim.State
 	}{
 		{swim.Alive, 0, swim.Alive}, {swim.Suspect, 0, swim.Suspect}, {swim.Alive, 0, swim.Suspect}, {swim.Alive, 1, swim.Alive},
-		{swim.Suspect, 0, swim.Alive}, {swim.Gone, 1, swim.Gone}, {swim.Suspect, 1, swim.Gone}, {swim.Alive, 1, swim.Gone},
-		{swim.Left, 1, swim.Left}, {swim.Gone, 1, swim.Left}, {swim.Gone, 0, swim.Left}, {swim.Alive, 2, swim.Alive}, {swim.Gone, 2, swim.Gone},
+		{swim.Suspect, 0, swim.Alive}, {swim.Dead, 1, swim.Dead}, {swim.Suspect, 1, swim.Dead}, {swim.Alive, 1, swim.Dead},
+		{swim.Left, 1, swim.Left}, {swim.Dead, 1, swim.Left}, {swim.Dead, 0, swim.Left}, {swim.Alive, 2, swim.Alive}, {swim.Dead, 2, swim.Dead},
 	} {
-		s.Turn = r.turn
-		l.say(1, swim.Rumour{Member: 3, Session: s, State: r.state, By: 1})
+		s.Sequence = r.turn
+		l.say(1, swim.Rumour{Member: 3, Session: s, State: r.state, Accuser: 1})
 		if got, _ := l.State(3); got != r.want {
 			t.Fatalf("%v under turn %d: %v, want %v", r.state, r.turn, got, r.want)
 		}
 	}
 	l.pass(time.Minute) // the rumour has been passed on for as often as it is
-	m := l.ping(2, swim.Session{Life: 10})
+	m := l.ping(2, swim.Session{Incarnation: 10})
 	if len(m.Rumours) == 0 || m.Rumours[len(m.Rumours)-1].Member != 3 {
 		t.Errorf("one with another digest is not told: %+v", m)
 	}
 	for _, bad := range []swim.Rumour{
-		{Member: -1, State: swim.Gone}, {Member: 5, State: swim.Gone}, {Member: 1, State: 9}, {Member: 1, State: swim.Unknown}, {Member: 1, State: swim.Gone, By: 77},
+		{Member: -1, State: swim.Dead}, {Member: 5, State: swim.Dead}, {Member: 1, State: 9}, {Member: 1, State: swim.Unknown}, {Member: 1, State: swim.Dead, Accuser: 77},
 	} {
-		bad.Session = swim.Session{Life: 1 << 60}
+		bad.Session = swim.Session{Incarnation: 1 << 60}
 		l.say(2, bad)
 	}
-	if state, session := l.State(1); state != swim.Alive || session.Life != 10 {
+	if state, session := l.State(1); state != swim.Alive || session.Incarnation != 10 {
 		t.Errorf("nonsense was taken: %v %v", state, session)
 	}
 }
@@ -332,7 +332,7 @@
 	const size = 6
 	accused := func(l *lone) (n int) {
 		for _, c := range l.changes {
-			if c.State == swim.Suspect || c.State == swim.Gone {
+			if c.State == swim.Suspect || c.State == swim.Dead {
 				n++
 			}
 		}
@@ -345,7 +345,7 @@
 			l.tick()
 			for _, s := range slices.Clone(l.sent) {
 				if s.m.Kind == swim.Ping && answers(s.to) {
-					l.Take(l.now, l.yes(s.to, l.now))
+					l.Receive(l.now, l.yes(s.to, l.now))
 				}
 			}
 		}
@@ -355,7 +355,7 @@
 	live(l, 10*time.Second, all)
 	l.want(true, "all answer")
 	live(l, 6*time.Second, func(i int) bool { return i != 3 })
-	if state, _ := l.State(3); accused(l) != 2 || state != swim.Gone {
+	if state, _ := l.State(3); accused(l) != 2 || state != swim.Dead {
 		t.Fatalf("one of five does not answer for 6 s: it is %v", state)
 	}
 
@@ -363,7 +363,7 @@
 	live(l, 10*time.Second, all)
 	live(l, 10*time.Second, func(i int) bool { return i == 1 })
 	for i := 2; i < size; i++ {
-		if state, _ := l.State(i); state == swim.Gone {
+		if state, _ := l.State(i); state == swim.Dead {
 			t.Errorf("four of five don't answer: %d is counted as gone", i)
 		}
 	}
@@ -392,19 +392,19 @@
 // One that others accuse, and that is heard of here all the while, is not counted as gone here: it will refute that.
 func TestHeardSinceIsNotGone(t *testing.T) {
 	l := newLone(t, 6)
-	one := swim.Session{Life: 10}
+	one := swim.Session{Incarnation: 10}
 	for end := l.now + 12*time.Second; l.now < end; {
 		l.sent = nil
 		l.tick()
 		for _, s := range slices.Clone(l.sent) {
 			if s.m.Kind == swim.Ping && s.to != 3 {
-				l.Take(l.now, l.yes(s.to, l.now))
+				l.Receive(l.now, l.yes(s.to, l.now))
 			}
 		}
 		if state, _ := l.State(3); state == swim.Unknown {
 			l.ping(3, one)
 			for by := 1; by < 5; by++ {
-				l.say(by, swim.Rumour{Member: 3, Session: one, State: swim.Suspect, By: by})
+				l.say(by, swim.Rumour{Member: 3, Session: one, State: swim.Suspect, Accuser: by})
 			}
 		}
 		if l.now%(5*swim.Period) < swim.Period { // it goes on asking; its own answers get lost
@@ -431,11 +431,11 @@
 	before := n.Nodes[0].Members(n.Nodes[0].Time())
 	for i := range early {
 		if early[i].From != 0 {
-			n.Nodes[0].Take(n.Nodes[0].Time(), &early[i])
+			n.Nodes[0].Receive(n.Nodes[0].Time(), &early[i])
 		}
 	}
 	for i, m := range n.Nodes[0].Members(n.Nodes[0].Time()) {
-		if m.State != before[i].State || m.Session != before[i].Session || m.Answered != before[i].Answered {
+		if m.State != before[i].State || m.Session != before[i].Session || m.LastLeaseAck != before[i].LastLeaseAck {
 			t.Errorf("member %d: %+v, before %+v", i, m, before[i])
 		}
 	}
--- a/internal/fleet/swim/probe.go
+++ b/internal/fleet/swim/probe.go
@@ -8,59 +8,59 @@
 
 // probe is one that is under way.
 type probe struct {
-	to    int
-	sent  time.Duration
-	last  time.Duration // when it was asked again
-	asked bool          // others were asked to try
-	heard int           // of these, said that it has not answered them
-	relay int           // how many were asked
-	state State
+	target     int
+	sent       time.Duration
+	lastPing   time.Duration // when it was asked again
+	indirect   bool          // others were asked to try
+	nacks      int           // of these, said that it has not answered them
+	relayCount int           // how many were asked
+	state      State
 }
 
-// relayed is a probe made for another.
-type relayed struct {
-	from, about int
-	mark        uint64
-	sent        time.Duration
+// relayedProbe is a probe made for another.
+type relayedProbe struct {
+	from, target int
+	cookie       uint64
+	sent         time.Duration
 }
 
-// next sends the next probe: to each that is there once in a round, in an order drawn anew, and now and then to one that
+// probeNext sends the next probe: to each that is there once in a round, in an order drawn anew, and now and then to one that
 // is gone or was never heard of.
-func (n *Node) next(now time.Duration) {
-	if !n.room(forProbe) {
+func (n *Node) probeNext(now time.Duration) {
+	if !n.hasBudget(probeReserve) {
 		return
 	}
 	var to int
 	ok := false
-	if n.ticks%rareEvery == 0 && !n.extra {
-		to, ok = n.draw(now, &n.rare, func(s State) bool { return s == Gone || s == Left || s == Unknown })
+	if n.ticks%absentProbeInterval == 0 && !n.seeking {
+		to, ok = n.drawTarget(now, &n.absentRound, func(s State) bool { return s == Dead || s == Left || s == Unknown })
 	}
 	if !ok {
 		// Until it is in contact nobody is known, so all are as good as there.
-		to, ok = n.draw(now, &n.order, func(s State) bool {
-			return s == Alive || s == Suspect || s == Unknown && !n.in
+		to, ok = n.drawTarget(now, &n.round, func(s State) bool {
+			return s == Alive || s == Suspect || s == Unknown && !n.inContact
 		})
 	}
 	if !ok {
-		if to, ok = n.draw(now, &n.rare, func(s State) bool { return s != Alive && s != Suspect }); !ok {
+		if to, ok = n.drawTarget(now, &n.absentRound, func(s State) bool { return s != Alive && s != Suspect }); !ok {
 			return
 		}
 	}
 	for i := range n.probes { // small fleets: the same one is not probed twice at a time
-		if n.probes[i].to == to {
+		if n.probes[i].target == to {
 			return
 		}
 	}
-	n.probe(now, to)
+	n.startProbe(now, to)
 }
 
-// draw takes the next member of a round that fits, and begins the next round where none is left.
-func (n *Node) draw(now time.Duration, order *[]int, fits func(State) bool) (int, bool) {
+// drawTarget takes the next member of a round that fits, and begins the next round where none is left.
+func (n *Node) drawTarget(now time.Duration, order *[]int, fits func(State) bool) (int, bool) {
 	for range 2 {
 		for len(*order) > 0 {
 			to := (*order)[len(*order)-1]
 			*order = (*order)[:len(*order)-1]
-			if fits(n.members[to].state) && !n.lately(now, to) {
+			if fits(n.members[to].state) && !n.ackedRecently(now, to) {
 				return to, true
 			}
 		}
@@ -74,57 +74,57 @@
 	return 0, false
 }
 
-// lately says that a member has answered something that is at most half a round old: it has probed this node, and told as much as it
+// ackedRecently says that a member has answered something that is at most half a round old: it has probed this node, and told as much as it
 // would now. So all are heard of evenly, twice as often as by one's own probes alone.
-func (n *Node) lately(now time.Duration, i int) bool {
+func (n *Node) ackedRecently(now time.Duration, i int) bool {
 	const answers = 2 // to each probe of one's own comes one of another
-	v := n.members[i].vouched
+	v := n.members[i].lastLeaseAck
 	return v > 0 && now-v < time.Duration(n.Size)*Period/answers/2
 }
 
-func (n *Node) probe(now time.Duration, to int) {
+func (n *Node) startProbe(now time.Duration, to int) {
 	n.Stats.Probes++
-	n.probes = append(n.probes, probe{to: to, sent: now, last: now, state: n.members[to].state})
+	n.probes = append(n.probes, probe{target: to, sent: now, lastPing: now, state: n.members[to].state})
 	n.ping(now, to)
 }
 
 func (n *Node) ping(now time.Duration, to int) {
-	n.begin(Ping)
-	n.out.Stamp = stamp(now)
-	if n.Stats.Probes%countEvery == 1 {
-		n.out.Count = n.Fleet(now)
+	n.newMessage(Ping)
+	n.out.Stamp = toStamp(now)
+	if n.Stats.Probes%countInterval == 1 {
+		n.out.MemberCount = n.FleetSize(now)
 	}
-	n.warn(to)
-	n.load(now, to, n.members[to].digest)
+	n.addAccusation(to)
+	n.addRumours(now, to, n.members[to].digest)
 	n.send(to)
 }
 
-// warn puts what is held against a member first on a message to it: it may refute that.
-func (n *Node) warn(to int) {
-	if m := &n.members[to]; m.state == Suspect || m.state == Gone {
-		n.out.Rumours = append(n.out.Rumours, Rumour{Member: to, Session: m.session, State: m.state, By: m.by})
+// addAccusation puts what is held against a member first on a message to it: it may refute that.
+func (n *Node) addAccusation(to int) {
+	if m := &n.members[to]; m.state == Suspect || m.state == Dead {
+		n.out.Rumours = append(n.out.Rumours, Rumour{Member: to, Session: m.session, State: m.state, Accuser: m.accuser})
 	}
 }
 
-// slack is how many times longer than usual this node waits, as it doubts itself.
-func (n *Node) slack() time.Duration { return time.Duration(1 + n.health) }
+// timeoutFactor is how many times longer than usual this node waits, as it doubts itself.
+func (n *Node) timeoutFactor() time.Duration { return time.Duration(1 + n.health) }
 
-// noisy is how many times longer a probe is waited for, as accusations proved wrong of late: it is the way that loses much, and each that is heard by all and
+// noiseFactor is how many times longer a probe is waited for, as accusations proved wrong of late: it is the way that loses much, and each that is heard by all and
 // refuted costs more than the wait. Those that crash refute nothing, so it does not hold them up for long.
-func (n *Node) noisy(now time.Duration) time.Duration {
-	n.refuted *= math.Exp(-float64(now-n.refutedAt) / float64(noiseTime))
-	n.refutedAt = now
-	return time.Duration(1 + min(noiseMost, n.refuted/noiseStep))
+func (n *Node) noiseFactor(now time.Duration) time.Duration {
+	n.refutations *= math.Exp(-float64(now-n.refutationsAt) / float64(noiseDecay))
+	n.refutationsAt = now
+	return time.Duration(1 + min(maxNoise, n.refutations/noiseStep))
 }
 
-// judge looks at the probes under way.
-func (n *Node) judge(now time.Duration) {
-	n.asked = slices.DeleteFunc(n.asked, func(r relayed) bool {
-		if now-r.sent < probeTime/2 {
+// checkProbes looks at the probes under way.
+func (n *Node) checkProbes(now time.Duration) {
+	n.relayed = slices.DeleteFunc(n.relayed, func(r relayedProbe) bool {
+		if now-r.sent < probeTimeout/2 {
 			return false
 		}
-		n.begin(NotYet)
-		n.out.About, n.out.Mark = r.about, r.mark
+		n.newMessage(IndirectNack)
+		n.out.Target, n.out.Cookie = r.target, r.cookie
 		n.send(r.from)
 		return true
 	})
@@ -132,161 +132,161 @@
 	var over []probe
 	for _, p := range n.probes {
 		age := now - p.sent
-		if age >= probeTime*max(n.slack(), n.noisy(now)) {
+		if age >= probeTimeout*max(n.timeoutFactor(), n.noiseFactor(now)) {
 			over = append(over, p)
 			continue
 		}
-		if !p.asked && age >= relayTime*n.slack() && (p.state == Alive || p.state == Suspect) && n.room(forMore) {
-			p.asked = true
-			p.relay = n.askOthers(now, p.to, p.sent)
+		if !p.indirect && age >= indirectTimeout*n.timeoutFactor() && (p.state == Alive || p.state == Suspect) && n.hasBudget(extraReserve) {
+			p.indirect = true
+			p.relayCount = n.pingIndirectly(now, p.target, p.sent)
 		}
 		kept = append(kept, p)
 	}
 	n.probes = kept
-	n.again(now)
+	n.retryProbe(now)
 	for _, p := range over {
-		n.unanswered(now, p)
+		n.failProbe(now, p)
 	}
 }
 
-// again asks one of those that have not answered once more: one datagram in twenty may be lost, and each suspicion is heard by all. One with each tick, however
+// retryProbe asks one of those that have not answered once more: one datagram in twenty may be lost, and each suspicion is heard by all. One with each tick, however
 // many there are: where nothing gets through, asking more often is what keeps it so. In turn it is one that this node accuses: better it answers.
-func (n *Node) again(now time.Duration) {
-	if !n.room(forProbe) || n.ticks%2 == 0 && n.askAccused(now) {
+func (n *Node) retryProbe(now time.Duration) {
+	if !n.hasBudget(probeReserve) || n.ticks%2 == 0 && n.pingAccused(now) {
 		return
 	}
 	var oldest *probe
 	for i := range n.probes {
 		p := &n.probes[i]
-		if now-p.last >= directTime && (p.state == Alive || p.state == Suspect) && (oldest == nil || p.last < oldest.last) {
+		if now-p.lastPing >= directTimeout && (p.state == Alive || p.state == Suspect) && (oldest == nil || p.lastPing < oldest.lastPing) {
 			oldest = p
 		}
 	}
 	if oldest == nil {
-		n.askAccused(now)
+		n.pingAccused(now)
 		return
 	}
-	oldest.last = now
-	n.ping(now, oldest.to)
+	oldest.lastPing = now
+	n.ping(now, oldest.target)
 }
 
-// askAccused asks the one of those accused that was not asked for longest; false: there is none.
-func (n *Node) askAccused(now time.Duration) bool {
+// pingAccused asks the one of those accused that was not asked for longest; false: there is none.
+func (n *Node) pingAccused(now time.Duration) bool {
 	oldest := -1
 	for i := range n.members {
 		s := n.members[i].suspicion
-		if s != nil && slices.Contains(s.by[:s.n], n.Self) && now-s.last >= Period && (oldest < 0 || s.last < n.members[oldest].suspicion.last) {
+		if s != nil && slices.Contains(s.accusers[:s.count], n.Self) && now-s.lastPing >= Period && (oldest < 0 || s.lastPing < n.members[oldest].suspicion.lastPing) {
 			oldest = i
 		}
 	}
 	if oldest < 0 {
 		return false
 	}
-	n.members[oldest].suspicion.last = now
+	n.members[oldest].suspicion.lastPing = now
 	n.ping(now, oldest)
 	return true
 }
 
-// askOthers has some others try: it may be the way between the two that is broken, or this node.
-func (n *Node) askOthers(now time.Duration, about int, sent time.Duration) int {
+// pingIndirectly has some others try: it may be the way between the two that is broken, or this node.
+func (n *Node) pingIndirectly(now time.Duration, about int, sent time.Duration) int {
 	asked := 0
-	for range 4 * relays {
+	for range 4 * indirectProbes {
 		i := n.Rand.IntN(n.Size)
 		if i == n.Self || i == about || n.members[i].state != Alive {
 			continue
 		}
-		n.begin(Ask)
-		n.out.About, n.out.Mark = about, stamp(sent)
+		n.newMessage(IndirectPing)
+		n.out.Target, n.out.Cookie = about, toStamp(sent)
 		n.send(i)
-		if asked++; asked == relays {
+		if asked++; asked == indirectProbes {
 			break
 		}
 	}
 	return asked
 }
 
-// ask probes a member for another.
-func (n *Node) ask(now time.Duration, m *Message) {
-	if m.About < 0 || m.About >= n.Size || m.About == n.Self || m.About == m.From || len(n.asked) >= 4*relays {
+// handleIndirectPing probes a member for another.
+func (n *Node) handleIndirectPing(now time.Duration, m *Message) {
+	if m.Target < 0 || m.Target >= n.Size || m.Target == n.Self || m.Target == m.From || len(n.relayed) >= 4*indirectProbes {
 		return
 	}
-	n.asked = append(n.asked, relayed{m.From, m.About, m.Mark, now})
-	n.ping(now, m.About)
+	n.relayed = append(n.relayed, relayedProbe{m.From, m.Target, m.Cookie, now})
+	n.ping(now, m.Target)
 }
 
-// probeEnded takes an answer of a member to what was sent to it at a moment.
-func (n *Node) probeEnded(now time.Duration, from int, sent time.Duration) {
-	n.asked = slices.DeleteFunc(n.asked, func(r relayed) bool {
-		if r.about != from || sent < r.sent-time.Millisecond {
+// completeProbes takes an answer of a member to what was sent to it at a moment.
+func (n *Node) completeProbes(now time.Duration, from int, sent time.Duration) {
+	n.relayed = slices.DeleteFunc(n.relayed, func(r relayedProbe) bool {
+		if r.target != from || sent < r.sent-time.Millisecond {
 			return false
 		}
-		n.begin(Told)
-		n.out.About, n.out.Mark = r.about, r.mark
+		n.newMessage(IndirectAck)
+		n.out.Target, n.out.Cookie = r.target, r.cookie
 		n.send(r.from)
 		return true
 	})
-	n.good(now, from, sent)
+	n.completeProbe(now, from, sent)
 }
 
-// good ends a probe well.
-func (n *Node) good(now time.Duration, to int, sent time.Duration) {
+// completeProbe ends a probe well.
+func (n *Node) completeProbe(now time.Duration, to int, sent time.Duration) {
 	for i := range n.probes {
-		if p := n.probes[i]; p.to == to && p.sent <= sent+time.Millisecond {
+		if p := n.probes[i]; p.target == to && p.sent <= sent+time.Millisecond {
 			n.probes = slices.Delete(n.probes, i, i+1)
 			n.health = max(0, n.health-1)
 			if p.state == Alive || p.state == Suspect {
-				n.note(false)
+				n.recordResult(false)
 			}
 			return
 		}
 	}
 }
 
-// relayed takes what one who was asked found.
-func (n *Node) relayed(now time.Duration, m *Message) {
-	if m.About < 0 || m.About >= n.Size {
+// handleIndirectAck takes what one who was asked found.
+func (n *Node) handleIndirectAck(now time.Duration, m *Message) {
+	if m.Target < 0 || m.Target >= n.Size {
 		return
 	}
-	if m.Kind == Told {
-		n.good(now, m.About, at(m.Mark))
+	if m.Kind == IndirectAck {
+		n.completeProbe(now, m.Target, fromStamp(m.Cookie))
 		return
 	}
 	for i := range n.probes {
-		if p := &n.probes[i]; p.to == m.About && stamp(p.sent) == m.Mark {
-			p.heard++
+		if p := &n.probes[i]; p.target == m.Target && toStamp(p.sent) == m.Cookie {
+			p.nacks++
 		}
 	}
 }
 
-// note keeps how the last probes of those who should be there ended.
-func (n *Node) note(failed bool) {
-	slot := n.result % min(window, max(1, n.Size-1))
-	if n.result >= min(window, max(1, n.Size-1)) && n.results[slot] {
+// recordResult keeps how the last probes of those who should be there ended.
+func (n *Node) recordResult(failed bool) {
+	slot := n.resultCount % min(resultWindow, max(1, n.Size-1))
+	if n.resultCount >= min(resultWindow, max(1, n.Size-1)) && n.results[slot] {
 		n.failed--
 	}
 	n.results[slot] = failed
-	n.result++
+	n.resultCount++
 	if failed {
 		n.failed++
 	}
 }
 
-// unanswered takes that a probe has failed by all ways.
-func (n *Node) unanswered(now time.Duration, p probe) {
+// failProbe takes that a probe has failed by all ways.
+func (n *Node) failProbe(now time.Duration, p probe) {
 	if p.state != Alive && p.state != Suspect {
 		return // nobody expected it to answer
 	}
 	n.Stats.Unanswered++
-	n.note(true)
-	if p.heard < p.relay { // Lifeguard: who was asked did not answer either, so it may be this node
-		n.health = min(healthMost, n.health+1)
+	n.recordResult(true)
+	if p.nacks < p.relayCount { // Lifeguard: who was asked did not answer either, so it may be this node
+		n.health = min(maxHealth, n.health+1)
 	}
-	if n.doubts(now) {
+	if n.doubtsItself(now) {
 		return
 	}
-	m := &n.members[p.to]
-	if m.heard > p.sent { // a message of its own has come since
+	m := &n.members[p.target]
+	if m.lastReceived > p.sent { // a message of its own has come since
 		return
 	}
-	n.hear(now, Rumour{Member: p.to, Session: m.session, State: Suspect, By: n.Self})
+	n.applyRumour(now, Rumour{Member: p.target, Session: m.session, State: Suspect, Accuser: n.Self})
 }
--- a/internal/fleet/swim/swim.go
+++ b/internal/fleet/swim/swim.go
@@ -29,7 +29,7 @@
 	Unknown State = iota // not heard of yet
 	Alive
 	Suspect // does not answer; it may yet refute that
-	Gone    // counted as crashed or cut off
+	Dead    // counted as crashed or cut off
 	Left    // said itself that it leaves
 )
 
@@ -43,16 +43,16 @@
 // Session is one stretch of a member's being there. It only grows: Life is new with each start of its process, Turn with
 // each accusation that it refutes and each lapse of its lease.
 type Session struct {
-	Life uint64
-	Turn uint32
+	Incarnation uint64
+	Sequence    uint32
 }
 
 // String is the session as people see it, in logs and views alike.
-func (s Session) String() string { return fmt.Sprintf("%x.%d", s.Life, s.Turn) }
+func (s Session) String() string { return fmt.Sprintf("%x.%d", s.Incarnation, s.Sequence) }
 
 // Before says whether s is older than t.
 func (s Session) Before(t Session) bool {
-	return s.Life < t.Life || s.Life == t.Life && s.Turn < t.Turn
+	return s.Incarnation < t.Incarnation || s.Incarnation == t.Incarnation && s.Sequence < t.Sequence
 }
 
 // Rumour is what one member says of another.
@@ -60,7 +60,7 @@
 	Member  int
 	Session Session
 	State   State
-	By      int // who accuses, of a Suspect or Gone
+	Accuser int // who accuses, of a Suspect or Gone
 }
 
 // newer says whether a rumour overrides what is held.
@@ -75,29 +75,29 @@
 // that the other hears them.
 const (
 	Ping Kind = iota + 1
-	Answer
-	Thanks
-	Ask    // to probe About for the sender
-	Told   // About answered one who was asked
-	NotYet // About has not answered one who was asked: the asked one itself is there
-	News   // rumours alone
+	Ack
+	AckReply
+	IndirectPing // to probe About for the sender
+	IndirectAck  // About answered one who was asked
+	IndirectNack // About has not answered one who was asked: the asked one itself is there
+	Gossip       // rumours alone
 	kinds
 )
 
 // Message is one from a member to another.
 type Message struct {
-	From    int
-	Session Session // the sender's
-	Kind    Kind
-	Stamp   uint64 // when it was sent, by the sender's clock; it comes back as Echo. 0: none
-	Echo    uint64 // the receiver's stamp that this answers; 0: none
-	EchoOf  uint32 // tag of the life that stamp is of
-	Mute    bool   // the answer gives no lease
-	About   int    // Ask, Told, NotYet
-	Mark    uint64 // Ask: comes back with Told and NotYet
-	Digest  uint32 // of the sessions that the sender counts as Gone or Left
-	Count   int    // sidecars that the sender has seen; 0: not said
-	Rumours []Rumour
+	From        int
+	Session     Session // the sender's
+	Kind        Kind
+	Stamp       uint64 // when it was sent, by the sender's clock; it comes back as Echo. 0: none
+	Echo        uint64 // the receiver's stamp that this answers; 0: none
+	EchoTag     uint32 // tag of the life that stamp is of
+	NoLease     bool   // the answer gives no lease
+	Target      int    // Ask, Told, NotYet
+	Cookie      uint64 // Ask: comes back with Told and NotYet
+	Digest      uint32 // of the sessions that the sender counts as Gone or Left
+	MemberCount int    // sidecars that the sender has seen; 0: not said
+	Rumours     []Rumour
 }
 
 // Host carries out what a Node decides. Its methods must not call back into the Node, nor keep m.
@@ -113,129 +113,129 @@
 	Session Session
 	State   State
 	Was     State
-	By      int  // who accuses; -1: nobody else
+	Accuser int  // who accuses; -1: nobody else
 	Contact bool // of this node itself: in contact from now on, or not
 	Why     string
 }
 
 // Config is what a Node is made of.
 type Config struct {
-	Size  int // configured sidecars, this one included: numbers 0 to Size-1
-	Self  int
-	Life  uint64        // above that of each earlier process of this number
-	Lease time.Duration // 0: LeaseFor(Size)
-	Rate  float64       // greatest error of a clock's rate, on either side; 0: DefaultRate
-	Bytes float64       // a second that may be sent, about; 0: DefaultBytes
-	Rand  *rand.Rand
-	Host  Host
+	Size           int // configured sidecars, this one included: numbers 0 to Size-1
+	Self           int
+	Incarnation    uint64        // above that of each earlier process of this number
+	Lease          time.Duration // 0: LeaseFor(Size)
+	MaxClockError  float64       // greatest error of a clock's rate, on either side; 0: DefaultRate
+	BytesPerSecond float64       // a second that may be sent, about; 0: DefaultBytes
+	Rand           *rand.Rand
+	Host           Host
 }
 
 const (
-	// Most is how many sidecars a fleet may have: a bound on memory, some 200 bytes a member.
-	Most = 1 << 14
+	// MaxMembers is how many sidecars a fleet may have: a bound on memory, some 200 bytes a member.
+	MaxMembers = 1 << 14
 
 	// Period is how often a member is probed, and how often Tick is due. Eight a second, three small messages each, stay
 	// under 1 KiB/s.
 	Period = 125 * time.Millisecond
 
-	// DefaultRate is the greatest error of a clock's rate. Quartz is off by 0.0001 at the worst; a clock that is being
+	// DefaultClockError is the greatest error of a clock's rate. Quartz is off by 0.0001 at the worst; a clock that is being
 	// slewed by 0.0005 more.
-	DefaultRate = 0.001
-
-	leastLease     = 3 * time.Second
-	leaseForMember = 50 * time.Millisecond // 16 answers a second refresh a majority of 300 in 9.4 s; the lease is half as long again
-
-	directTime = 100 * time.Millisecond // for an answer, before it is asked again
-	relayTime  = 300 * time.Millisecond // before others are asked to try: each costs as much as five probes
-	probeTime  = 700 * time.Millisecond // for an answer by any way
-	relays     = 3                      // how many are asked to try
-	seekTimes  = 2                      // so many times as many probes while not in contact,
-	seekLeases = 3                      // for so many leases
-	rareEvery  = 8                      // one probe in so many goes to one that is gone or was never heard of
-
-	noiseTime = 10 * time.Second
-	noiseStep = 4.0
-	noiseMost = 3.0
-
-	healthMost = 8 // Lifeguard: times are up to so many times longer, and one more, while this one doubts itself
-	window     = 16
-	lateTick   = 4 * Period      // no Tick for so long: this process was stopped or starved
-	doubtTime  = 2 * time.Second // and accuses nobody for so long behind it
-
-	suspectLeast = 1200 * time.Millisecond // a suspicion that others confirm lasts so long
-	suspectMost  = 3500 * time.Millisecond // and one that nobody does
-	confirmers   = 3
-
-	rumoursMost = 5   // in one message
-	spreadTimes = 1.5 // a rumour is passed on so many times the logarithm of the fleet's size
-	burst       = 3   // members that hear of a member's end at once
-	burstEvery  = Period
-	countEvery  = 16 // a probe in so many says how many sidecars its sender has seen
-
-	queueMost = 64 // rumours that wait to be passed on
-	freshPart = 2  // a sight of another's digest counts for so many parts of a lease; see settle
+	DefaultClockError = 0.001
+
+	minLease       = 3 * time.Second
+	leasePerMember = 50 * time.Millisecond // 16 answers a second refresh a majority of 300 in 9.4 s; the lease is half as long again
+
+	directTimeout       = 100 * time.Millisecond // for an answer, before it is asked again
+	indirectTimeout     = 300 * time.Millisecond // before others are asked to try: each costs as much as five probes
+	probeTimeout        = 700 * time.Millisecond // for an answer by any way
+	indirectProbes      = 3                      // how many are asked to try
+	seekFactor          = 2                      // so many times as many probes while not in contact,
+	seekLeases          = 3                      // for so many leases
+	absentProbeInterval = 8                      // one probe in so many goes to one that is gone or was never heard of
+
+	noiseDecay = 10 * time.Second
+	noiseStep  = 4.0
+	maxNoise   = 3.0
+
+	maxHealth      = 8 // Lifeguard: times are up to so many times longer, and one more, while this one doubts itself
+	resultWindow   = 16
+	stallThreshold = 4 * Period      // no Tick for so long: this process was stopped or starved
+	selfDoubtTime  = 2 * time.Second // and accuses nobody for so long behind it
+
+	minSuspicion     = 1200 * time.Millisecond // a suspicion that others confirm lasts so long
+	maxSuspicion     = 3500 * time.Millisecond // and one that nobody does
+	maxConfirmations = 3
+
+	maxRumoursPerMessage = 5   // in one message
+	retransmitMultiplier = 1.5 // a rumour is passed on so many times the logarithm of the fleet's size
+	burstFanout          = 3   // members that hear of a member's end at once
+	burstInterval        = Period
+	countInterval        = 16 // a probe in so many says how many sidecars its sender has seen
+
+	maxQueuedRumours = 64 // rumours that wait to be passed on
+	digestFreshness  = 2  // a sight of another's digest counts for so many parts of a lease; see settle
 )
 
 // LeaseFor is the lease of a fleet of so many: what it takes to hear a majority of them, and half as long again.
 func LeaseFor(size int) time.Duration {
-	return max(leastLease, time.Duration(size)*leaseForMember)
+	return max(minLease, time.Duration(size)*leasePerMember)
 }
 
 // member is what is held of one.
 type member struct {
-	session Session
-	state   State
-	by      int
-	since   time.Duration // of this state
-	heard   time.Duration // last message of its own; 0: none in this process's life
-
-	vouched time.Duration // when a message of ours was sent that it has answered with a lease; 0: none in this session
-	digest  uint32        // that it last showed
-	shown   time.Duration // behind this moment, when a message was sent that it answered; 0: never
-	count   int           // that it last said
-	counted time.Duration
-
-	suspicion *suspicion
-	agreed    time.Duration // Gone or Left: a majority has shown that it holds the same; 0: not yet
+	session      Session
+	state        State
+	accuser      int
+	since        time.Duration // of this state
+	lastReceived time.Duration // last message of its own; 0: none in this process's life
+
+	lastLeaseAck time.Duration // when a message of ours was sent that it has answered with a lease; 0: none in this session
+	digest       uint32        // that it last showed
+	digestAt     time.Duration // behind this moment, when a message was sent that it answered; 0: never
+	claimedSize  int           // that it last said
+	claimedAt    time.Duration
+
+	suspicion  *suspicion
+	majorityAt time.Duration // Gone or Left: a majority has shown that it holds the same; 0: not yet
 }
 
 // Node is one sidecar's view. It is not safe for concurrent use.
 type Node struct {
 	Config
-	session  Session
-	left     bool
-	born     time.Duration
-	started  bool
-	members  []member
-	majority int
-
-	leaseEnd   time.Duration // a lower bound of it; see held
-	in         bool          // was in contact at the last look
-	since      time.Duration // of that
-	sessionAt  time.Duration // stamps before it are of an earlier session
-	turnAt     time.Duration // of its present number
-	digest     uint32
-	vouchers   int  // members with a lease-giving answer in this session
-	fresher    bool // there are answers that leaseEnd does not reckon with
-	probes     []probe
-	order      []int // members still to be probed in this round
-	rare       []int
-	ticks      int
-	extra      bool
-	health     int
-	results    [window]bool // of the last probes: true: unanswered
-	result     int          // how many there were
-	failed     int
-	lastTick   time.Duration
-	doubtUntil time.Duration
-	refuted    float64 // accusations of others that were refuted in the last noiseTime or so
-	refutedAt  time.Duration
-	rumours    []*spread
-	budget     budget
-	burstAt    time.Duration
-	asked      []relayed
-	out        Message // reused
-	Stats      Stats
+	session   Session
+	left      bool
+	startedAt time.Duration
+	started   bool
+	members   []member
+	majority  int
+
+	leaseEnd      time.Duration // a lower bound of it; see held
+	inContact     bool          // was in contact at the last look
+	contactSince  time.Duration // of that
+	sessionStart  time.Duration // stamps before it are of an earlier session
+	sequenceStart time.Duration // of its present number
+	digest        uint32
+	leaseAcks     int  // members with a lease-giving answer in this session
+	leaseStale    bool // there are answers that leaseEnd does not reckon with
+	probes        []probe
+	round         []int // members still to be probed in this round
+	absentRound   []int
+	ticks         int
+	seeking       bool
+	health        int
+	results       [resultWindow]bool // of the last probes: true: unanswered
+	resultCount   int                // how many there were
+	failed        int
+	lastTick      time.Duration
+	doubtUntil    time.Duration
+	refutations   float64 // accusations of others that were refuted in the last noiseTime or so
+	refutationsAt time.Duration
+	rumours       []*queuedRumour
+	budget        budget
+	nextBurst     time.Duration
+	relayed       []relayedProbe
+	out           Message // reused
+	Stats         Stats
 }
 
 // Stats counts what happened since the start.
@@ -246,39 +246,39 @@
 // New makes a node, or returns an error that names the unusable field.
 func New(cfg Config) (*Node, error) {
 	switch {
-	case cfg.Size < 1 || cfg.Size > Most:
-		return nil, fmt.Errorf("peers: %d sidecars, 1 to %d are possible", cfg.Size, Most)
+	case cfg.Size < 1 || cfg.Size > MaxMembers:
+		return nil, fmt.Errorf("peers: %d sidecars, 1 to %d are possible", cfg.Size, MaxMembers)
 	case cfg.Self < 0 || cfg.Self >= cfg.Size:
 		return nil, fmt.Errorf("peers: number %d is not among %d", cfg.Self, cfg.Size)
 	case cfg.Lease < 0 || cfg.Lease > 0 && cfg.Lease < time.Second:
 		return nil, fmt.Errorf("lease: %v, at least 1s is needed", cfg.Lease)
-	case cfg.Rate < 0 || cfg.Rate > 0.1:
-		return nil, fmt.Errorf("clock_error: %v is not within 0 and 0.1", cfg.Rate)
+	case cfg.MaxClockError < 0 || cfg.MaxClockError > 0.1:
+		return nil, fmt.Errorf("clock_error: %v is not within 0 and 0.1", cfg.MaxClockError)
 	}
 	if cfg.Lease == 0 {
 		cfg.Lease = LeaseFor(cfg.Size)
 	}
-	if cfg.Rate == 0 {
-		cfg.Rate = DefaultRate
+	if cfg.MaxClockError == 0 {
+		cfg.MaxClockError = DefaultClockError
 	}
-	if cfg.Bytes == 0 {
-		cfg.Bytes = DefaultBytes
+	if cfg.BytesPerSecond == 0 {
+		cfg.BytesPerSecond = DefaultBytesPerSecond
 	}
 	n := &Node{
-		Config: cfg, session: Session{Life: cfg.Life}, members: make([]member, cfg.Size), majority: cfg.Size/2 + 1,
+		Config: cfg, session: Session{Incarnation: cfg.Incarnation}, members: make([]member, cfg.Size), majority: cfg.Size/2 + 1,
 	}
 	n.members[cfg.Self].state = Alive
-	n.budget = budget{rate: cfg.Bytes, level: 2 * cfg.Bytes}
+	n.budget = budget{rate: cfg.BytesPerSecond, level: 2 * cfg.BytesPerSecond}
 	return n, nil
 }
 
 // Start begins the node's life. It must be called first.
 func (n *Node) Start(now time.Duration) {
-	n.started, n.fresher = true, true
-	n.born, n.since, n.sessionAt, n.turnAt, n.lastTick, n.budget.at = now, now, now, now, now, now
+	n.started, n.leaseStale = true, true
+	n.startedAt, n.contactSince, n.sessionStart, n.sequenceStart, n.lastTick, n.budget.at = now, now, now, now, now, now
 	n.members[n.Self].session, n.members[n.Self].since = n.session, now
-	n.tell(Rumour{Member: n.Self, Session: n.session, State: Alive, By: n.Self}, n.often())
-	n.look(now)
+	n.queueRumour(Rumour{Member: n.Self, Session: n.session, State: Alive, Accuser: n.Self}, n.retransmits())
+	n.refreshContact(now)
 }
 
 // Tick is due every Period. It may come late: then this process was stopped, and doubts itself.
@@ -286,113 +286,113 @@
 	if n.left {
 		return
 	}
-	n.look(now)
+	n.refreshContact(now)
 	n.budget.fill(now)
-	if gap := now - n.lastTick; gap >= lateTick {
-		n.stalled(now, gap)
+	if gap := now - n.lastTick; gap >= stallThreshold {
+		n.handleStall(now, gap)
 	} else if gap > 2*Period {
-		n.health = min(healthMost, n.health+1)
+		n.health = min(maxHealth, n.health+1)
 	}
 	n.lastTick = now
 	n.ticks++
-	n.judge(now)
-	n.expire(now)
-	n.settle(now)
-	n.next(now)
+	n.checkProbes(now)
+	n.expireSuspicions(now)
+	n.confirmDeaths(now)
+	n.probeNext(now)
 	// While it is out of contact, it looks for it in twice as many places, for a time: a fleet that is cut in two for long
 	// must not double what it costs.
-	if n.extra = !n.in && now-n.since < seekLeases*n.Lease && n.room(forMore); n.extra {
-		for range seekTimes - 1 {
-			n.next(now)
+	if n.seeking = !n.inContact && now-n.contactSince < seekLeases*n.Lease && n.hasBudget(extraReserve); n.seeking {
+		for range seekFactor - 1 {
+			n.probeNext(now)
 		}
 	}
 }
 
-// stalled takes that this process stood still: what it waited for meanwhile proves nothing of others.
-func (n *Node) stalled(now, gap time.Duration) {
+// handleStall takes that this process stood still: what it waited for meanwhile proves nothing of others.
+func (n *Node) handleStall(now, gap time.Duration) {
 	n.Stats.Stalls++
-	n.health = healthMost
-	n.doubtUntil = now + doubtTime
-	n.probes, n.asked = n.probes[:0], n.asked[:0]
-	n.failed, n.result = 0, 0
+	n.health = maxHealth
+	n.doubtUntil = now + selfDoubtTime
+	n.probes, n.relayed = n.probes[:0], n.relayed[:0]
+	n.failed, n.resultCount = 0, 0
 	for i := range n.members {
 		if s := n.members[i].suspicion; s != nil {
-			s.from = max(s.from+gap, now-s.lasts()+suspectLeast)
+			s.start = max(s.start+gap, now-s.timeout()+minSuspicion)
 		}
 	}
 }
 
-// doubts says whether this node has more reason to blame itself than others: it was stopped, is out of contact, or most
+// doubtsItself says whether this node has more reason to blame itself than others: it was stopped, is out of contact, or most
 // of those whom it asked did not answer.
-func (n *Node) doubts(now time.Duration) bool {
-	asked := min(n.result, window, max(1, n.Size-1))
-	return now < n.doubtUntil || !n.in || asked >= min(4, n.Size-1) && 2*n.failed > asked
+func (n *Node) doubtsItself(now time.Duration) bool {
+	asked := min(n.resultCount, resultWindow, max(1, n.Size-1))
+	return now < n.doubtUntil || !n.inContact || asked >= min(4, n.Size-1) && 2*n.failed > asked
 }
 
-// Take takes a message that has come. What is not of a member or makes no sense is passed over.
-func (n *Node) Take(now time.Duration, m *Message) {
+// Receive takes a message that has come. What is not of a member or makes no sense is passed over.
+func (n *Node) Receive(now time.Duration, m *Message) {
 	if n.left || m.From < 0 || m.From >= n.Size || m.From == n.Self || m.Kind == 0 || m.Kind >= kinds {
 		return
 	}
-	n.look(now)
+	n.refreshContact(now)
 	n.budget.fill(now)
 	from := &n.members[m.From]
 	if m.Session.Before(from.session) {
-		n.stale(now, m)
+		n.answerStale(now, m)
 		return
 	}
-	if own := (Rumour{Member: m.From, Session: m.Session, State: Alive, By: m.From}); own.newer(from.session, from.state) {
-		n.hear(now, own)
+	if own := (Rumour{Member: m.From, Session: m.Session, State: Alive, Accuser: m.From}); own.newer(from.session, from.state) {
+		n.applyRumour(now, own)
 	}
 	for _, r := range m.Rumours {
-		n.hear(now, r)
+		n.applyRumour(now, r)
 	}
 	if m.Session.Before(from.session) { // its own message told of a later session: not one that counts
 		return
 	}
-	from.heard = now
-	if m.Count > 0 {
-		from.count, from.counted = min(m.Count, Most), now
+	from.lastReceived = now
+	if m.MemberCount > 0 {
+		from.claimedSize, from.claimedAt = min(m.MemberCount, MaxMembers), now
 	}
 	switch m.Kind {
 	case Ping:
-		n.answer(now, m)
-	case Answer, Thanks:
-		n.answered(now, m)
-	case Ask:
-		n.ask(now, m)
-	case Told, NotYet:
-		n.relayed(now, m)
+		n.handlePing(now, m)
+	case Ack, AckReply:
+		n.handleAck(now, m)
+	case IndirectPing:
+		n.handleIndirectPing(now, m)
+	case IndirectAck, IndirectNack:
+		n.handleIndirectAck(now, m)
 	}
 }
 
-// stale answers one that speaks under a session that is over here: it is told so, and gets no lease.
-func (n *Node) stale(now time.Duration, m *Message) {
+// answerStale answers one that speaks under a session that is over here: it is told so, and gets no lease.
+func (n *Node) answerStale(now time.Duration, m *Message) {
 	from := &n.members[m.From]
 	if m.Kind != Ping {
 		return
 	}
-	n.begin(Answer)
-	n.out.Echo, n.out.EchoOf, n.out.Mute = m.Stamp, Tag(m.Session.Life), true
-	n.out.Rumours = append(n.out.Rumours, Rumour{Member: m.From, Session: from.session, State: from.state, By: from.by})
+	n.newMessage(Ack)
+	n.out.Echo, n.out.EchoTag, n.out.NoLease = m.Stamp, IncarnationTag(m.Session.Incarnation), true
+	n.out.Rumours = append(n.out.Rumours, Rumour{Member: m.From, Session: from.session, State: from.state, Accuser: from.accuser})
 	n.send(m.From)
 }
 
-// begin prepares a message of this node's in n.out.
-func (n *Node) begin(kind Kind) {
+// newMessage prepares a message of this node's in n.out.
+func (n *Node) newMessage(kind Kind) {
 	n.out = Message{From: n.Self, Session: n.session, Kind: kind, Digest: n.digest, Rumours: n.out.Rumours[:0]}
 }
 
-// stamp is a moment as others return it; it is never 0, and never later than the moment itself.
-func stamp(now time.Duration) uint64 { return uint64(now/time.Millisecond) + 1 }
+// toStamp is a moment as others return it; it is never 0, and never later than the moment itself.
+func toStamp(now time.Duration) uint64 { return uint64(now/time.Millisecond) + 1 }
 
-// at is the moment of a stamp, or of a little before it.
-func at(stamp uint64) time.Duration {
+// fromStamp is the moment of a stamp, or of a little before it.
+func fromStamp(stamp uint64) time.Duration {
 	return time.Duration(min(stamp-1, uint64(1<<62/time.Millisecond))) * time.Millisecond
 }
 
-// Tag is a short form of a life, to tell a process's stamps from those of the one before it.
-func Tag(life uint64) uint32 {
+// IncarnationTag is a short form of a life, to tell a process's stamps from those of the one before it.
+func IncarnationTag(life uint64) uint32 {
 	life *= 0x9e3779b97f4a7c15 // Fibonacci hashing: the high half depends on all bits
 	return uint32(life>>32) | 1
 }
@@ -402,20 +402,20 @@
 	if n.left || !n.started {
 		return
 	}
-	n.look(now)
-	n.lose(now, "it leaves")
+	n.refreshContact(now)
+	n.endContact(now, "it leaves")
 	n.left = true // before anyone is told: who hears of it may count this one out at once
-	r := Rumour{Member: n.Self, Session: n.session, State: Left, By: n.Self}
+	r := Rumour{Member: n.Self, Session: n.session, State: Left, Accuser: n.Self}
 	targets := n.Rand.Perm(n.Size)
 	told := 0
 	for _, i := range targets {
 		if s := n.members[i].state; i == n.Self || s != Alive && s != Suspect {
 			continue
 		}
-		n.begin(News)
+		n.newMessage(Gossip)
 		n.out.Rumours = append(n.out.Rumours, r)
 		n.send(i)
-		if told++; told == 2*burst {
+		if told++; told == 2*burstFanout {
 			return
 		}
 	}
@@ -426,24 +426,24 @@
 
 // Member is what is known of one, for people.
 type Member struct {
-	Number   int
-	Session  Session
-	State    State
-	By       int
-	Since    time.Duration // of the state
-	Heard    time.Duration // last message; 0: none
-	Answered time.Duration // send time of the last message that it answered with a lease; 0: none
-	Out      bool          // its session is over for good
+	Number       int
+	Session      Session
+	State        State
+	Accuser      int
+	Since        time.Duration // of the state
+	LastReceived time.Duration // last message; 0: none
+	LastLeaseAck time.Duration // send time of the last message that it answered with a lease; 0: none
+	SessionOver  bool          // its session is over for good
 }
 
 // Members is the view now, by number.
 func (n *Node) Members(now time.Duration) []Member {
-	n.look(now)
+	n.refreshContact(now)
 	all := make([]Member, n.Size)
 	for i := range n.members {
 		m := &n.members[i]
-		_, out := n.Out(now, i)
-		all[i] = Member{i, m.session, m.state, m.by, m.since, m.heard, m.vouched, out}
+		_, out := n.SessionOver(now, i)
+		all[i] = Member{i, m.session, m.state, m.accuser, m.since, m.lastReceived, m.lastLeaseAck, out}
 	}
 	return all
 }
@@ -451,30 +451,30 @@
 // State is what is held of one member.
 func (n *Node) State(i int) (State, Session) { return n.members[i].state, n.members[i].session }
 
-// Fleet is how many sidecars there are at least: the most that were seen at once, less those that left on purpose since.
+// FleetSize is how many sidecars there are at least: the most that were seen at once, less those that left on purpose since.
 // One that crashed or can't be reached counts on, for it may serve where nobody sees it: a cut must raise no budget.
-func (n *Node) Fleet(now time.Duration) int {
+func (n *Node) FleetSize(now time.Duration) int {
 	present := 0
 	for i := range n.members {
 		if s := n.members[i].state; s != Unknown && s != Left {
 			present++
 		}
 	}
-	return max(present, min(n.claimed(now), claimMost*n.Size))
+	return max(present, min(n.claimedFleetSize(now), maxClaimFactor*n.Size))
 }
 
 const (
-	claimers  = 3 // so many have to say at least as much
-	claimMost = 4 // and no more is believed than so many times what is configured
-	claimTime = time.Minute
+	minClaimers    = 3 // so many have to say at least as much
+	maxClaimFactor = 4 // and no more is believed than so many times what is configured
+	claimLifetime  = time.Minute
 )
 
-// claimed is how many sidecars at least claimers others say to have seen: one or two that lie change nothing.
-func (n *Node) claimed(now time.Duration) int {
-	var top [claimers]int // ascending
+// claimedFleetSize is how many sidecars at least claimers others say to have seen: one or two that lie change nothing.
+func (n *Node) claimedFleetSize(now time.Duration) int {
+	var top [minClaimers]int // ascending
 	for i := range n.members {
-		if m := &n.members[i]; m.count > top[0] && now-m.counted < claimTime && (m.state == Alive || m.state == Suspect) {
-			top[0] = m.count
+		if m := &n.members[i]; m.claimedSize > top[0] && now-m.claimedAt < claimLifetime && (m.state == Alive || m.state == Suspect) {
+			top[0] = m.claimedSize
 			slices.Sort(top[:])
 		}
 	}
--- a/internal/fleet/text.go
+++ b/internal/fleet/text.go
@@ -31,14 +31,14 @@
 			continue
 		}
 		why := ""
-		if m.By != m.Number && m.State.String() != "alive" && m.State.String() != "unknown" {
-			why = fmt.Sprintf(", says %d", m.By)
+		if m.Accuser != m.Number && m.State.String() != "alive" && m.State.String() != "unknown" {
+			why = fmt.Sprintf(", says %d", m.Accuser)
 		}
-		if m.Out {
+		if m.SessionOver {
 			why += ", over for good"
 		}
 		if _, err := fmt.Fprintf(to, "member %d: %s for %s%s, heard %s ago, answered %s ago, session %v\n",
-			m.Number, m.State, seconds(v.Now-m.Since), why, since(v.Now, m.Heard), since(v.Now, m.Answered), m.Session); err != nil {
+			m.Number, m.State, seconds(v.Now-m.Since), why, since(v.Now, m.LastReceived), since(v.Now, m.LastLeaseAck), m.Session); err != nil {
 			return err
 		}
 	}
--- a/internal/lab/swimsim/net.go
+++ b/internal/lab/swimsim/net.go
@@ -98,7 +98,7 @@
 	m.truth = truth{last: make([]time.Duration, n.Size), proved: make([]time.Duration, n.Size)}
 	m.life = max(m.life+1, uint64(n.Now/time.Millisecond)<<16|n.Rng.Uint64N(1<<16))
 	cfg := swim.Config{
-		Size: n.Size, Self: i, Life: m.life, Lease: n.Lease, Rate: max(n.Rate, swim.DefaultRate),
+		Size: n.Size, Self: i, Incarnation: m.life, Lease: n.Lease, MaxClockError: max(n.Rate, swim.DefaultClockError),
 		Rand: rand.New(rand.NewPCG(n.Seed, m.life)), Host: m,
 	}
 	if n.Alter != nil {
@@ -216,7 +216,7 @@
 		}
 		for j, b := range n.Nodes {
 			state, session := a.State(j)
-			if b.Lives() && (state != swim.Alive || session != b.Session()) || b.Down && state < swim.Gone {
+			if b.Lives() && (state != swim.Alive || session != b.Session()) || b.Down && state < swim.Dead {
 				return false
 			}
 		}
--- a/internal/lab/swimsim/truth.go
+++ b/internal/lab/swimsim/truth.go
@@ -41,8 +41,8 @@
 	c := carried{Message: *msg, sent: m.net.Now, heard: m.last[to], of: m.net.Nodes[to].life}
 	c.Rumours = slices.Clone(msg.Rumours)
 	for _, r := range c.Rumours {
-		if r.State == swim.Suspect || r.State == swim.Gone {
-			m.net.said[accusation{r.Member, r.By, r.Session, r.State}] = true
+		if r.State == swim.Suspect || r.State == swim.Dead {
+			m.net.said[accusation{r.Member, r.Accuser, r.Session, r.State}] = true
 		}
 	}
 	return c
@@ -54,7 +54,7 @@
 	if c.heard > 0 && c.of == m.life {
 		m.proved[c.From] = max(m.proved[c.From], c.heard)
 	}
-	m.Take(m.Time(), &c.Message)
+	m.Receive(m.Time(), &c.Message)
 }
 
 // reached is how many processes, this one among them, have proved within a lease and the error of
@@ -87,10 +87,10 @@
 		}
 		return
 	}
-	if c.By != m.number || c.State != swim.Suspect && c.State != swim.Gone {
+	if c.Accuser != m.number || c.State != swim.Suspect && c.State != swim.Dead {
 		return
 	}
-	if m.net.said[accusation{c.Member, c.By, c.Session, c.State}] {
+	if m.net.said[accusation{c.Member, c.Accuser, c.Session, c.State}] {
 		return // it was said before, perhaps by its forerunner, and goes round in its name
 	}
 	if m.wentOn > 0 && m.net.Now-m.wentOn < time.Second {
@@ -123,7 +123,7 @@
 			if a == b || !a.Lives() || !b.Lives() {
 				continue
 			}
-			if session, out := a.Out(a.Time(), j); out && b.in && session == b.at {
+			if session, out := a.SessionOver(a.Time(), j); out && b.in && session == b.at {
 				say("%s counts session %v of %s as over, which is in contact", a.name(), session, b.name())
 			}
 		}
