--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -56,7 +56,7 @@
 	link *peer.Link // nil: the address is not ours yet
 
 	hintsMu sync.Mutex // apart from mu: the module asks in the middle of its work
-	hints   *healthgossip.Book
+	hints   *healthgossip.Hints
 	hintAt  time.Duration // when others are told next
 	rng     *rand.Rand
 }
@@ -112,7 +112,7 @@
 func (f *Fleet) Run(ctx context.Context) {
 	for waited := false; ; {
 		link, err := peer.Open(peer.Config{
-			Listen: f.cfg.PeerListen, Peers: f.peers, Self: f.cfg.Policy.Index, Fleet: f.file.Name, Life: f.life, Rate: f.file.Share(len(f.peers)), Now: f.now,
+			Listen: f.cfg.PeerListen, Peers: f.peers, Self: f.cfg.Policy.Index, Fleet: f.file.Name, Incarnation: f.life, BytesPerSecond: f.file.Share(len(f.peers)), Now: f.now,
 		})
 		if err == nil {
 			f.serve(ctx, link)
@@ -207,7 +207,7 @@
 // tell tells some others of the servers that don't answer this one.
 func (f *Fleet) tell(now time.Duration) {
 	f.hintsMu.Lock()
-	silent := f.hints.Silent(now)
+	silent := f.hints.Unresponsive(now)
 	f.hintsMu.Unlock()
 	if len(silent) == 0 {
 		return
@@ -219,7 +219,7 @@
 	for told, tries := 0, 0; told < hintTo && tries < 4*hintTo; tries++ {
 		i := f.rng.IntN(len(f.peers))
 		if state, _ := f.node.State(i); i != f.cfg.Policy.Index && state == swim.Alive {
-			f.link.Hint(i, ids)
+			f.link.SendHint(i, ids)
 			told++
 		}
 	}
@@ -233,7 +233,7 @@
 	}
 	f.hintsMu.Lock()
 	defer f.hintsMu.Unlock()
-	f.hints.Ended(f.now(), healthgossip.Server(to), answered)
+	f.hints.RecordAttempt(f.now(), healthgossip.Server(to), answered)
 }
 
 // Doubted says whether enough others say that a server does not answer them.
@@ -278,7 +278,7 @@
 	defer f.mu.Unlock()
 	now := f.now()
 	f.hintsMu.Lock()
-	silent, doubted := len(f.hints.Silent(now)), f.hints.Count(now)
+	silent, doubted := len(f.hints.Unresponsive(now)), f.hints.DoubtedCount(now)
 	f.hintsMu.Unlock()
 	v := View{Silent: silent, Doubted: doubted, Now: now, Self: f.cfg.Policy.Index, Sidecars: f.Sidecars(), Lease: f.node.Lease}
 	if f.link == nil {
@@ -295,7 +295,7 @@
 	v := f.View()
 	l := v.Link
 	p := metrics.Peers{
-		Contact: v.Contact, Sidecars: v.Sidecars, SentBytes: l.SentBytes, Dropped: l.Length + l.Spoilt + l.OtherFleet + l.Newer + l.Address,
+		Contact: v.Contact, Sidecars: v.Sidecars, SentBytes: l.SentBytes, Dropped: l.Length + l.Malformed + l.OtherFleet + l.NewerFormat + l.Address,
 		Members: make(map[string]int),
 	}
 	if f.policy != nil {
@@ -315,7 +315,7 @@
 // host carries out what the node decides; its methods are called with the lock held.
 type host struct{ f *Fleet }
 
-func (h host) Send(to int, m *swim.Message) { h.f.link.Contact(to, m) }
+func (h host) Send(to int, m *swim.Message) { h.f.link.SendContact(to, m) }
 
 func (h host) Changed(c swim.Change) {
 	log := h.f.log
@@ -347,7 +347,7 @@
 	}
 	t.f.hintsMu.Lock()
 	defer t.f.hintsMu.Unlock()
-	t.f.hints.Heard(t.f.now(), from, all)
+	t.f.hints.Receive(t.f.now(), from, all)
 }
 
 func (t taker) Decision(from int, message []byte) error {
--- a/internal/fleet/healthgossip/healthgossip.go
+++ b/internal/fleet/healthgossip/healthgossip.go
@@ -11,14 +11,14 @@
 )
 
 const (
-	quorum    = 3               // others that have to say the same,
-	fadeTime  = 5 * time.Second // within this
-	failures  = 2               // in a row, of one's own attempts, before one says it of a server,
-	sayTime   = 5 * time.Second // for this long behind the last of them
-	sayMost   = 4               // servers at a time
-	ownMost   = 1024            // servers whose ends are kept: bounds memory where lists change for ever
-	heardMost = 256             // and ones that are told of
-	byMost    = 2 * quorum      // of those who tell of one
+	quorum       = 3               // others that have to say the same,
+	reportTTL    = 5 * time.Second // within this
+	minFailures  = 2               // in a row, of one's own attempts, before one says it of a server,
+	announceTime = 5 * time.Second // for this long behind the last of them
+	maxAnnounced = 4               // servers at a time
+	maxOwn       = 1024            // servers whose ends are kept: bounds memory where lists change for ever
+	maxReported  = 256             // and ones that are told of
+	maxReporters = 2 * quorum      // of those who tell of one
 )
 
 // Quorum is how many others of a fleet have to say the same: three, or all but oneself where there are fewer.
@@ -27,89 +27,89 @@
 // Server names one; it is the same at every sidecar.
 type Server uint64
 
-type own struct {
-	fails int
+type ownFailures struct {
+	count int
 	at    time.Duration // of the last
 }
 
-type said struct {
-	by int
-	at time.Duration
+type report struct {
+	reporter int
+	at       time.Duration
 }
 
-// Book is one sidecar's. It is not safe for concurrent use.
-type Book struct {
-	quorum int
-	own    map[Server]own
-	heard  map[Server][]said
+// Hints is one sidecar's. It is not safe for concurrent use.
+type Hints struct {
+	quorum   int
+	failures map[Server]ownFailures
+	reports  map[Server][]report
 }
 
 // New makes the book of a sidecar in a fleet of some size.
-func New(size int) *Book {
-	return &Book{quorum: Quorum(size), own: make(map[Server]own), heard: make(map[Server][]said)}
+func New(size int) *Hints {
+	return &Hints{quorum: Quorum(size), failures: make(map[Server]ownFailures), reports: make(map[Server][]report)}
 }
 
-// Ended takes how an attempt of one's own ended: in an answer of the server, whatever it was, or in silence.
-func (b *Book) Ended(now time.Duration, s Server, answered bool) {
+// RecordAttempt takes how an attempt of one's own ended: in an answer of the server, whatever it was, or in silence.
+func (b *Hints) RecordAttempt(now time.Duration, s Server, answered bool) {
 	if answered {
-		delete(b.own, s)
+		delete(b.failures, s)
 		return
 	}
-	o, known := b.own[s]
-	if !known && len(b.own) >= ownMost {
+	o, known := b.failures[s]
+	if !known && len(b.failures) >= maxOwn {
 		return
 	}
-	b.own[s] = own{o.fails + 1, now}
+	b.failures[s] = ownFailures{o.count + 1, now}
 }
 
-// Silent is what this one has to say: the servers that have not answered it, the latest first.
-func (b *Book) Silent(now time.Duration) (all []Server) {
-	for s, o := range b.own {
+// Unresponsive is what this one has to say: the servers that have not answered it, the latest first.
+func (b *Hints) Unresponsive(now time.Duration) (all []Server) {
+	for s, o := range b.failures {
 		switch {
-		case now-o.at > sayTime:
-			delete(b.own, s)
-		case o.fails >= failures:
+		case now-o.at > announceTime:
+			delete(b.failures, s)
+		case o.count >= minFailures:
 			all = append(all, s)
 		}
 	}
 	slices.SortFunc(all, func(x, y Server) int {
-		if d := b.own[y].at - b.own[x].at; d != 0 {
+		if d := b.failures[y].at - b.failures[x].at; d != 0 {
 			return int(d)
 		}
 		return int(x>>1) - int(y>>1)
 	})
-	return all[:min(len(all), sayMost)]
+	return all[:min(len(all), maxAnnounced)]
 }
 
-// Heard takes what another says.
-func (b *Book) Heard(now time.Duration, by int, silent []Server) {
-	for _, s := range silent[:min(len(silent), sayMost)] {
-		all, known := b.heard[s]
-		if !known && len(b.heard) >= heardMost && !b.forget(now) {
+// Receive takes what another says.
+func (b *Hints) Receive(now time.Duration, by int, silent []Server) {
+	for _, s := range silent[:min(len(silent), maxAnnounced)] {
+		all, known := b.reports[s]
+		if !known && len(b.reports) >= maxReported && !b.expire(now) {
 			return
 		}
-		all = slices.DeleteFunc(all, func(x said) bool { return x.by == by || now-x.at > fadeTime })
-		if len(all) < byMost {
-			all = append(all, said{by, now})
+		all = slices.DeleteFunc(all, func(x report) bool { return x.reporter == by || now-x.at > reportTTL })
+		if len(all) < maxReporters {
+			all = append(all, report{by, now})
 		}
-		b.heard[s] = all
+		b.reports[s] = all
 	}
 }
 
-// forget lets go of what has faded; false: nothing has.
-func (b *Book) forget(now time.Duration) bool {
-	before := len(b.heard)
-	for s, all := range b.heard {
-		if !slices.ContainsFunc(all, func(x said) bool { return now-x.at <= fadeTime }) {
-			delete(b.heard, s)
+// expire lets go of what has faded; false: nothing has.
+func (b *Hints) expire(now time.Duration) bool {
+	before := len(b.reports)
+	for s, all := range b.reports {
+		if !slices.ContainsFunc(all, func(x report) bool { return now-x.at <= reportTTL }) {
+			delete(b.reports, s)
 		}
 	}
-	return len(b.heard) < before
+	return len(b.reports) < before
 }
 
-// Count is how many servers are doubted now.
-func (b *Book) Count(now time.Duration) (n int) {
-	for s := range b.heard {
+// DoubtedCount is how many servers are doubted now.
+func (b *Hints) DoubtedCount(now time.Duration) (n int) {
+	for s := range b.reports {
 		if b.Doubted(now, s) {
 			n++
 		}
@@ -118,10 +118,10 @@
 }
 
 // Doubted says whether enough others say lately that a server does not answer them.
-func (b *Book) Doubted(now time.Duration, s Server) bool {
+func (b *Hints) Doubted(now time.Duration, s Server) bool {
 	n := 0
-	for _, x := range b.heard[s] {
-		if now-x.at <= fadeTime {
+	for _, x := range b.reports[s] {
+		if now-x.at <= reportTTL {
 			n++
 		}
 	}
--- a/internal/fleet/peer/budget.go
+++ b/internal/fleet/peer/budget.go
@@ -13,8 +13,8 @@
 	Hint
 )
 
-// kept is how much of a full budget is left to what is more important.
-var kept = [...]float64{Contact: 0, Urgent: 0.1, Decision: 0.25, Hint: 0.5}
+// reserved is how much of a full budget is left to what is more important.
+var reserved = [...]float64{Contact: 0, Urgent: 0.1, Decision: 0.25, Hint: 0.5}
 
 // budget is a bucket of bytes that fills at a rate. It is not safe for concurrent use.
 type budget struct {
@@ -34,7 +34,7 @@
 		b.level = min(b.full(), b.level+b.rate*(now-b.at).Seconds())
 	}
 	b.at = now
-	if b.level-float64(bytes) < kept[p]*b.full() {
+	if b.level-float64(bytes) < reserved[p]*b.full() {
 		return false
 	}
 	b.level -= float64(bytes)
--- a/internal/fleet/peer/code.go
+++ b/internal/fleet/peer/code.go
@@ -11,22 +11,22 @@
 	"caperarch/internal/fleet/swim"
 )
 
-// Longest is the longest datagram, in bytes: a longer one is not allowed between sidecars.
-const Longest = 256
+// MaxDatagramBytes is the longest datagram, in bytes: a longer one is not allowed between sidecars.
+const MaxDatagramBytes = 256
 
-// form is the newest form of a datagram that is read.
-const form = 0
+// formatVersion is the newest form of a datagram that is read.
+const formatVersion = 0
 
 // FleetTag stands for a fleet's name in datagrams.
 func FleetTag(name string) uint32 { return uint32(xxhash.Sum64String(name)) }
 
 // What a datagram is not read for.
 var (
-	errLength  = errors.New("no datagram of 1 to 256 bytes")
-	errSpoilt  = errors.New("it can't be read")
-	errFleet   = errors.New("another fleet's")
-	errForm    = errors.New("a newer form")
-	errAddress = errors.New("the sender's number is not that of its address")
+	errLength    = errors.New("no datagram of 1 to 256 bytes")
+	errMalformed = errors.New("it can't be read")
+	errFleet     = errors.New("another fleet's")
+	errFormat    = errors.New("a newer form")
+	errAddress   = errors.New("the sender's number is not that of its address")
 )
 
 // encode is a message of swim as a record.
@@ -73,7 +73,7 @@
 		switch {
 		case err != nil:
 			return nil, err
-		case len(raw) <= Longest:
+		case len(raw) <= MaxDatagramBytes:
 			return raw, nil
 		case len(c.Rumour) == 0:
 			return nil, fmt.Errorf("a message of %d bytes", len(raw))
@@ -84,17 +84,17 @@
 
 // read takes a datagram apart.
 func read(raw []byte, fleet uint32) (*peerpb.Datagram, error) {
-	if len(raw) == 0 || len(raw) > Longest {
+	if len(raw) == 0 || len(raw) > MaxDatagramBytes {
 		return nil, errLength
 	}
 	d := new(peerpb.Datagram)
 	switch err := proto.Unmarshal(raw, d); {
 	case err != nil || d.From == 0 || d.Life == 0:
-		return nil, errSpoilt
+		return nil, errMalformed
 	case d.Fleet != fleet:
 		return nil, errFleet
-	case d.Form > form:
-		return nil, errForm
+	case d.Form > formatVersion:
+		return nil, errFormat
 	}
 	return d, nil
 }
--- a/internal/fleet/peer/link.go
+++ b/internal/fleet/peer/link.go
@@ -19,21 +19,21 @@
 
 const (
 	// A flood costs no more than so many datagrams' reading: the rest is left to the kernel, which drops it.
-	readsMost  = 25
-	readsEvery = 20 * time.Millisecond
+	maxReads     = 25
+	readInterval = 20 * time.Millisecond
 
-	leastRate = 512 // bytes a second: below that no contact can be kept
+	minBytesPerSecond = 512 // bytes a second: below that no contact can be kept
 )
 
 // Config is what a link is made of.
 type Config struct {
-	Listen string // address of the socket
-	Peers  []netip.AddrPort
-	Self   int
-	Fleet  string // its name: another fleet's datagrams are dropped
-	Life   uint64
-	Rate   float64 // bytes a second that may be sent
-	Now    func() time.Duration
+	Listen         string // address of the socket
+	Peers          []netip.AddrPort
+	Self           int
+	Fleet          string // its name: another fleet's datagrams are dropped
+	Incarnation    uint64
+	BytesPerSecond float64 // bytes a second that may be sent
+	Now            func() time.Duration
 }
 
 // Addresses reads the addresses of a fleet's sidecars, in the order of their numbers.
@@ -61,22 +61,22 @@
 
 // Counters is what went over a link since it was opened.
 type Counters struct {
-	Sent, SentBytes, Read                      uint64
-	Spared                                     uint64 // not sent, as the budget was spent
-	Length, Spoilt, OtherFleet, Newer, Address uint64 // dropped
-	Failed                                     uint64 // the system did not take it
+	Sent, SentBytes, Read                               uint64
+	OverBudget                                          uint64 // not sent, as the budget was spent
+	Length, Malformed, OtherFleet, NewerFormat, Address uint64 // dropped
+	Failed                                              uint64 // the system did not take it
 }
 
 // Link is safe for concurrent use.
 type Link struct {
-	cfg    Config
-	conn   *net.UDPConn
-	number map[netip.AddrPort]int
-	fleet  uint32
-
-	mu     sync.Mutex
-	budget budget
-	count  Counters
+	cfg     Config
+	conn    *net.UDPConn
+	numbers map[netip.AddrPort]int
+	fleet   uint32
+
+	mu       sync.Mutex
+	budget   budget
+	counters Counters
 }
 
 // Open opens the socket.
@@ -85,16 +85,16 @@
 	if err != nil {
 		return nil, fmt.Errorf("peer_listen: %w", err)
 	}
-	if cfg.Rate < leastRate {
-		return nil, fmt.Errorf("fleet_bytes_per_second: this sidecar's part is %.0f, at least %d are needed", cfg.Rate, leastRate)
+	if cfg.BytesPerSecond < minBytesPerSecond {
+		return nil, fmt.Errorf("fleet_bytes_per_second: this sidecar's part is %.0f, at least %d are needed", cfg.BytesPerSecond, minBytesPerSecond)
 	}
 	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(address))
 	if err != nil {
 		return nil, fmt.Errorf("peer_listen: %w", err)
 	}
-	l := &Link{cfg: cfg, conn: conn, number: make(map[netip.AddrPort]int), fleet: FleetTag(cfg.Fleet), budget: budget{rate: cfg.Rate}}
+	l := &Link{cfg: cfg, conn: conn, numbers: make(map[netip.AddrPort]int), fleet: FleetTag(cfg.Fleet), budget: budget{rate: cfg.BytesPerSecond}}
 	for i, a := range cfg.Peers {
-		l.number[a] = i
+		l.numbers[a] = i
 	}
 	return l, nil
 }
@@ -109,71 +109,71 @@
 func (l *Link) Counters() Counters {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.count
+	return l.counters
 }
 
-func (l *Link) head() *peerpb.Datagram {
-	return &peerpb.Datagram{Fleet: l.fleet, From: uint32(l.cfg.Self) + 1, Life: l.cfg.Life}
+func (l *Link) newDatagram() *peerpb.Datagram {
+	return &peerpb.Datagram{Fleet: l.fleet, From: uint32(l.cfg.Self) + 1, Life: l.cfg.Incarnation}
 }
 
-// Contact sends a message of swim. It never waits; what the budget has no room for is dropped and counted.
-func (l *Link) Contact(to int, m *swim.Message) {
-	head := l.head()
+// SendContact sends a message of swim. It never waits; what the budget has no room for is dropped and counted.
+func (l *Link) SendContact(to int, m *swim.Message) {
+	head := l.newDatagram()
 	head.Life = m.Session.Incarnation // a node may have had to take a higher one than its process began with
 	raw, err := fit(head, encode(m))
 	if err != nil {
-		l.failed()
+		l.countFailure()
 		return
 	}
 	l.write(to, raw, Contact)
 }
 
-// Decision sends a message of accord, and says whether the budget had room for it.
-func (l *Link) Decision(to int, message []byte, p Priority) bool {
-	d := l.head()
+// SendDecision sends a message of accord, and says whether the budget had room for it.
+func (l *Link) SendDecision(to int, message []byte, p Priority) bool {
+	d := l.newDatagram()
 	d.Decision = message
 	raw, err := proto.Marshal(d)
-	if err != nil || len(raw) > Longest {
-		l.failed()
+	if err != nil || len(raw) > MaxDatagramBytes {
+		l.countFailure()
 		return false
 	}
 	return l.write(to, raw, p)
 }
 
-// Hint tells a member of servers that don't answer.
-func (l *Link) Hint(to int, silent []uint64) {
-	d := l.head()
+// SendHint tells a member of servers that don't answer.
+func (l *Link) SendHint(to int, silent []uint64) {
+	d := l.newDatagram()
 	d.Hint = &peerpb.Hint{Silent: silent}
-	if raw, err := proto.Marshal(d); err != nil || len(raw) > Longest || !l.write(to, raw, Hint) {
-		l.failed()
+	if raw, err := proto.Marshal(d); err != nil || len(raw) > MaxDatagramBytes || !l.write(to, raw, Hint) {
+		l.countFailure()
 	}
 }
 
-func (l *Link) failed() {
+func (l *Link) countFailure() {
 	l.mu.Lock()
-	l.count.Failed++
+	l.counters.Failed++
 	l.mu.Unlock()
 }
 
 func (l *Link) write(to int, raw []byte, p Priority) bool {
 	l.mu.Lock()
 	if !l.budget.take(l.cfg.Now(), len(raw), p) {
-		l.count.Spared++
+		l.counters.OverBudget++
 		l.mu.Unlock()
 		return false
 	}
-	l.count.Sent++
-	l.count.SentBytes += uint64(len(raw))
+	l.counters.Sent++
+	l.counters.SentBytes += uint64(len(raw))
 	l.mu.Unlock()
 	if _, err := l.conn.WriteToUDPAddrPort(raw, l.cfg.Peers[to]); err != nil {
-		l.failed()
+		l.countFailure()
 		return false
 	}
 	return true
 }
 
-// Taker takes what has come from a member.
-type Taker interface {
+// Handler takes what has come from a member.
+type Handler interface {
 	Contact(from int, m *swim.Message)
 	// Decision is an error where the message can't be read.
 	Decision(from int, message []byte) error
@@ -181,12 +181,12 @@
 }
 
 // Read hands over what comes, until the link is closed.
-func (l *Link) Read(to Taker) {
-	b := make([]byte, Longest+1) // one byte more than there may be: what is longer shows
+func (l *Link) Read(to Handler) {
+	b := make([]byte, MaxDatagramBytes+1) // one byte more than there may be: what is longer shows
 	begun, reads := time.Now(), 0
 	for {
-		if reads++; reads > readsMost {
-			if rest := readsEvery - time.Since(begun); rest > 0 {
+		if reads++; reads > maxReads {
+			if rest := readInterval - time.Since(begun); rest > 0 {
 				time.Sleep(rest)
 			}
 			begun, reads = time.Now(), 1
@@ -198,13 +198,13 @@
 		if err != nil { // an ICMP of a peer that is gone shows here on some systems
 			continue
 		}
-		l.take(b[:n], netip.AddrPortFrom(from.Addr().Unmap(), from.Port()), to)
+		l.handleDatagram(b[:n], netip.AddrPortFrom(from.Addr().Unmap(), from.Port()), to)
 	}
 }
 
-// take takes one datagram.
-func (l *Link) take(raw []byte, from netip.AddrPort, to Taker) {
-	number, known := l.number[from]
+// handleDatagram takes one datagram.
+func (l *Link) handleDatagram(raw []byte, from netip.AddrPort, to Handler) {
+	number, known := l.numbers[from]
 	var d *peerpb.Datagram
 	err := errAddress
 	if known && number != l.cfg.Self { // before anything else: a stranger costs a look at a map
@@ -213,18 +213,18 @@
 		}
 	}
 	l.mu.Lock()
-	l.count.Read++
+	l.counters.Read++
 	switch {
 	case errors.Is(err, errLength):
-		l.count.Length++
-	case errors.Is(err, errSpoilt):
-		l.count.Spoilt++
+		l.counters.Length++
+	case errors.Is(err, errMalformed):
+		l.counters.Malformed++
 	case errors.Is(err, errFleet):
-		l.count.OtherFleet++
-	case errors.Is(err, errForm):
-		l.count.Newer++
+		l.counters.OtherFleet++
+	case errors.Is(err, errFormat):
+		l.counters.NewerFormat++
 	case errors.Is(err, errAddress):
-		l.count.Address++
+		l.counters.Address++
 	}
 	l.mu.Unlock()
 	if err != nil {
@@ -238,7 +238,7 @@
 	}
 	if len(d.Decision) > 0 && to.Decision(number, d.Decision) != nil {
 		l.mu.Lock()
-		l.count.Spoilt++
+		l.counters.Malformed++
 		l.mu.Unlock()
 	}
 }
--- a/internal/fleet/peer/link_test.go
+++ b/internal/fleet/peer/link_test.go
@@ -47,7 +47,7 @@
 func open(t *testing.T, rate float64, edit func(c *Config), others ...netip.AddrPort) (*Link, inbox) {
 	t.Helper()
 	cfg := Config{
-		Listen: "127.0.0.1:0", Peers: append([]netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:9")}, others...), Fleet: "hives", Life: 5, Rate: rate, Now: clock.SinceBoot,
+		Listen: "127.0.0.1:0", Peers: append([]netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:9")}, others...), Fleet: "hives", Incarnation: 5, BytesPerSecond: rate, Now: clock.SinceBoot,
 	}
 	if edit != nil {
 		edit(&cfg)
@@ -94,7 +94,7 @@
 	long := datagram(t, func(d *peerpb.Datagram) { d.Decision = make([]byte, 200) })
 	for _, b := range [][]byte{
 		{}, make([]byte, 256), make([]byte, 257), make([]byte, 65507), whole[:len(whole)-1], append(slices.Clone(whole), 0xff), long[:100], append(long, make([]byte, 60)...),
-		datagram(t, func(d *peerpb.Datagram) { d.Fleet++ }), datagram(t, func(d *peerpb.Datagram) { d.Form = form + 1 }),
+		datagram(t, func(d *peerpb.Datagram) { d.Fleet++ }), datagram(t, func(d *peerpb.Datagram) { d.Form = formatVersion + 1 }),
 		datagram(t, func(d *peerpb.Datagram) { d.From = 3 }), datagram(t, func(d *peerpb.Datagram) { d.From = 1 << 31 }), datagram(t, func(d *peerpb.Datagram) { d.From = 0 }),
 	} {
 		if _, err := one.WriteToUDP(b, to); err != nil {
@@ -112,7 +112,7 @@
 		t.Errorf("%+v", m)
 	}
 	c := l.Counters()
-	if len(in.messages) != 0 || c.Length != 4 || c.OtherFleet != 1 || c.Newer != 1 || c.Address != 3 || c.Spoilt != 5 {
+	if len(in.messages) != 0 || c.Length != 4 || c.OtherFleet != 1 || c.NewerFormat != 1 || c.Address != 3 || c.Malformed != 5 {
 		t.Errorf("%d more were taken; %+v", len(in.messages), c)
 	}
 }
@@ -181,11 +181,11 @@
 	a, _ := open(t, 1e6, func(c *Config) {
 		c.Listen, c.Self, c.Peers = address.String(), 1, []netip.AddrPort{b.Address(), address}
 	})
-	if a.Decision(0, make([]byte, Longest), Urgent) {
+	if a.SendDecision(0, make([]byte, MaxDatagramBytes), Urgent) {
 		t.Error("one that does not fit was sent")
 	}
 	text := []byte(strings.Repeat("policy ", 30))
-	if !a.Decision(0, text, Urgent) {
+	if !a.SendDecision(0, text, Urgent) {
 		t.Fatal("not sent")
 	}
 	if got := testbed.Wait(t, "the decision", in.decisions); !bytes.Equal(got, text) {
@@ -232,7 +232,7 @@
 		_, _ = one.WriteToUDP(raw, to)
 	}
 	took := time.Since(begun)
-	if read, most := l.Counters().Read, uint64(float64(took)/float64(readsEvery)+2)*readsMost; read > most {
+	if read, most := l.Counters().Read, uint64(float64(took)/float64(readInterval)+2)*maxReads; read > most {
 		t.Errorf("%d read in %v, at most %d are allowed", read, took, most)
 	}
 	l.Close()
--- a/internal/fleet/policy.go
+++ b/internal/fleet/policy.go
@@ -311,7 +311,7 @@
 	if urgent {
 		priority = peer.Urgent
 	}
-	h.p.link.Decision(to, raw, priority)
+	h.p.link.SendDecision(to, raw, priority)
 }
 
 func (h policyHost) Changed(e replicatedstate.Event) {
--- a/internal/fleet/policy_test.go
+++ b/internal/fleet/policy_test.go
@@ -144,7 +144,7 @@
 // quietLink is a link of a fleet of one.
 func quietLink(t *testing.T, f *Fleet) *peer.Link {
 	t.Helper()
-	l, err := peer.Open(peer.Config{Listen: f.cfg.PeerListen, Peers: f.peers, Fleet: "hives", Life: f.life, Rate: 4096, Now: f.now})
+	l, err := peer.Open(peer.Config{Listen: f.cfg.PeerListen, Peers: f.peers, Fleet: "hives", Incarnation: f.life, BytesPerSecond: 4096, Now: f.now})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/fleet/text.go
+++ b/internal/fleet/text.go
@@ -23,7 +23,7 @@
 		"servers that do not answer here: %d, doubted by others: %d\n",
 		v.Self, contact, seconds(v.Lease), v.Session, v.Sidecars,
 		s.Probes, s.Unanswered, s.Suspicions, s.Refuted, s.Accused, s.Lapses, s.Stalls,
-		l.Sent, l.SentBytes, l.Read, l.Length, l.Spoilt, l.OtherFleet, l.Newer, l.Address, l.Spared, l.Failed, v.Silent, v.Doubted); err != nil {
+		l.Sent, l.SentBytes, l.Read, l.Length, l.Malformed, l.OtherFleet, l.NewerFormat, l.Address, l.OverBudget, l.Failed, v.Silent, v.Doubted); err != nil {
 		return err
 	}
 	for _, m := range v.Members {
