--- a/cmd/measure/policy.go
+++ b/cmd/measure/policy.go
@@ -216,7 +216,7 @@
 	if err := n.Nodes[0].Found(n.Nodes[0].Time(), 1<<56); err != nil {
 		return err.Error()
 	}
-	until := func(within time.Duration, holds func(goes policyrollout.Now) bool) (time.Duration, int) {
+	until := func(within time.Duration, holds func(goes policyrollout.Active) bool) (time.Duration, int) {
 		begun := n.Now
 		for {
 			missing := 0
@@ -231,8 +231,8 @@
 			n.Run(100 * time.Millisecond)
 		}
 	}
-	one := func(version uint32) func(policyrollout.Now) bool {
-		return func(goes policyrollout.Now) bool {
+	one := func(version uint32) func(policyrollout.Active) bool {
+		return func(goes policyrollout.Active) bool {
 			return goes.Mode == policyrollout.One && goes.New.Version == version
 		}
 	}
@@ -266,7 +266,7 @@
 		}
 		took, out := until(c.within, one(uint32(k+1)))
 		text += fmt.Sprintf("; %s: with all but %d after %.1f s", c.name, out, took.Seconds())
-		busy := func() bool { v := m.View(m.Time()); return v.State.Busy() != 0 }
+		busy := func() bool { v := m.View(m.Time()); return v.State.InProgress() != 0 }
 		for end := n.Now + lease; n.Now < end && busy(); {
 			n.Run(time.Second)
 		}
--- a/internal/fleet/operate.go
+++ b/internal/fleet/operate.go
@@ -52,7 +52,7 @@
 	if sum, err := hex.DecodeString(hash); err != nil || len(sum) != 32 {
 		return errors.New("the hash is no SHA-256")
 	}
-	if errors.Join(err1, err2, err3) != nil || count < 1 || count > policyrollout.TextMost/uploadPiece+1 || index < 0 || index >= count || len(raw) > uploadPiece {
+	if errors.Join(err1, err2, err3) != nil || count < 1 || count > policyrollout.MaxTextBytes/uploadPiece+1 || index < 0 || index >= count || len(raw) > uploadPiece {
 		return fmt.Errorf("piece %s of %s can't be used", words[1], words[2])
 	}
 	p.mu.Lock()
@@ -175,7 +175,7 @@
 // Show writes what holds, what is under way and whom that waits for; the leader is asked for the last.
 func (p *Policy) Show(to io.Writer) error {
 	v := p.View()
-	if v.State.Busy() != 0 && v.Waits < 0 {
+	if v.State.InProgress() != 0 && v.Waits < 0 {
 		p.mu.Lock()
 		if p.node != nil {
 			p.node.AskBehind(p.f.now())
@@ -190,12 +190,12 @@
 	switch {
 	case v.Epoch == 0:
 		fmt.Fprintln(b, "no log is known here: it was never begun (policy found), or this process has not heard of it yet")
-	case !s.Begun:
+	case !s.Started:
 		fmt.Fprintln(b, "the log has begun, and waits until nobody can go by an earlier one")
-	case s.Holds.Version == 0:
+	case s.Current.Version == 0:
 		fmt.Fprintln(b, "version 0 holds: the settings")
 	default:
-		fmt.Fprintf(b, "version %d holds, hash %x\n", s.Holds.Version, s.Holds.Hash)
+		fmt.Fprintf(b, "version %d holds, hash %x\n", s.Current.Version, s.Current.Hash)
 	}
 	switch v.Goes.Mode {
 	case policyrollout.CutOff:
@@ -206,16 +206,16 @@
 		fmt.Fprintf(b, "this sidecar goes by the stricter of versions %d and %d, for %s at least\n", v.Goes.Old.Version, v.Goes.New.Version, seconds(v.Until-v.Now))
 	}
 	switch {
-	case s.Offer.Version != 0:
-		fmt.Fprintf(b, "under way: version %d of sidecar %d, hash %x: its text goes round\n", s.Offer.Version, s.By, s.Offer.Hash)
+	case s.Offered.Version != 0:
+		fmt.Fprintf(b, "under way: version %d of sidecar %d, hash %x: its text goes round\n", s.Offered.Version, s.ProposedBy, s.Offered.Hash)
 	case s.Pending.Version != 0:
-		fmt.Fprintf(b, "under way: version %d of sidecar %d, hash %x: all are to go by the stricter of both\n", s.Pending.Version, s.By, s.Pending.Hash)
-	case s.Open != 0:
-		fmt.Fprintf(b, "under way: version %d has its outcome, all are to go by that\n", s.Open)
+		fmt.Fprintf(b, "under way: version %d of sidecar %d, hash %x: all are to go by the stricter of both\n", s.Pending.Version, s.ProposedBy, s.Pending.Hash)
+	case s.Completing != 0:
+		fmt.Fprintf(b, "under way: version %d has its outcome, all are to go by that\n", s.Completing)
 	default:
 		fmt.Fprintln(b, "under way: nothing")
 	}
-	if s.Busy() != 0 {
+	if s.InProgress() != 0 {
 		if v.Waits < 0 {
 			fmt.Fprintln(b, "behind: the leader does not say")
 		} else {
@@ -247,7 +247,7 @@
 	for _, h := range v.State.History {
 		line := fmt.Sprintf("version %d of sidecar %d, hash %x: %s", h.Version, h.By, h.Hash, h.Outcome)
 		if h.Why != "" {
-			line += fmt.Sprintf(", by sidecar %d: %s", h.Ended, h.Why)
+			line += fmt.Sprintf(", by sidecar %d: %s", h.EndedBy, h.Why)
 		}
 		if _, err := fmt.Fprintln(to, line); err != nil {
 			return err
--- a/internal/fleet/policy.go
+++ b/internal/fleet/policy.go
@@ -29,7 +29,7 @@
 
 // InForce is what a sidecar goes by for a while. It does not change: another one takes its place.
 type InForce struct {
-	policyrollout.Now
+	policyrollout.Active
 	Limits *policyrollout.Limits
 	Module policy.Limits
 }
@@ -69,7 +69,7 @@
 	if looser := policyrollout.Looser(l, &p.settings.Limits); looser != nil {
 		return nil, fmt.Errorf("cut_off: it is looser than the settings, which may hold: %s", strings.Join(looser, "; "))
 	}
-	p.cutOff = p.inForce(policyrollout.Now{}, l)
+	p.cutOff = p.inForce(policyrollout.Active{}, l)
 	p.force.Store(p.cutOff)
 	p.until.Store(math.MaxInt64)
 	p.out.Store(new([]uint64))
@@ -87,7 +87,7 @@
 
 // settingsOf are this sidecar's own settings, as a policy sees them.
 func settingsOf(cfg *config.Config) *policyrollout.Settings {
-	s := &policyrollout.Settings{Tenants: cfg.Tenants, NoSpan: cfg.Policy.Budget.Span == 0}
+	s := &policyrollout.Settings{Tenants: cfg.Tenants, NoRetryBudget: cfg.Policy.Budget.Span == 0}
 	sum := 0.0
 	for _, t := range cfg.Policy.Tenants {
 		sum += t.Share
@@ -103,9 +103,9 @@
 	if s.Limits.Open == 0 {
 		s.Limits.Open = unbounded
 	}
-	s.Limits.RetryFree, s.Limits.RetryPart = cfg.Policy.Budget.Free, cfg.Policy.Budget.Share
+	s.Limits.RetryFree, s.Limits.RetryShare = cfg.Policy.Budget.Free, cfg.Policy.Budget.Share
 	// What the platform allows a sidecar is no policy's to raise.
-	s.Most.Attempts, s.Most.Open = cfg.Policy.MaxAttempts, cfg.MostOpen
+	s.Max.Attempts, s.Max.Open = cfg.Policy.MaxAttempts, cfg.MostOpen
 	return s
 }
 
@@ -131,8 +131,8 @@
 }
 
 // inForce is what to go by as the module takes it.
-func (p *Policy) inForce(now policyrollout.Now, l *policyrollout.Limits) *InForce {
-	in := &InForce{Now: now, Limits: l, Module: policy.Limits{MaxAttempts: l.Attempts, Queue: l.Queue}}
+func (p *Policy) inForce(now policyrollout.Active, l *policyrollout.Limits) *InForce {
+	in := &InForce{Active: now, Limits: l, Module: policy.Limits{MaxAttempts: l.Attempts, Queue: l.Queue}}
 	for i, share := range l.Share {
 		t := policy.Tenant{Share: share}
 		if !math.IsInf(l.Quota[i], 1) {
@@ -141,7 +141,7 @@
 		in.Module.Tenants = append(in.Module.Tenants, t)
 	}
 	if p.span > 0 {
-		in.Module.Budget = policy.RetryBudget{Span: p.span, Free: l.RetryFree, Share: l.RetryPart}
+		in.Module.Budget = policy.RetryBudget{Span: p.span, Free: l.RetryFree, Share: l.RetryShare}
 	}
 	return in
 }
@@ -246,7 +246,7 @@
 		p.set(p.cutOff, math.MaxInt64)
 		return
 	}
-	if in := p.force.Load(); in.Now == goes {
+	if in := p.force.Load(); in.Active == goes {
 		p.until.Store(int64(until))
 		return
 	}
@@ -270,7 +270,7 @@
 }
 
 // limitsOf are the limits of one version, or the stricter of two.
-func (p *Policy) limitsOf(goes policyrollout.Now) (*policyrollout.Limits, error) {
+func (p *Policy) limitsOf(goes policyrollout.Active) (*policyrollout.Limits, error) {
 	one := func(r policyrollout.Ref) (*policyrollout.Limits, error) {
 		if r.Version == 0 {
 			return &p.settings.Limits, nil
@@ -297,7 +297,7 @@
 	v := p.View()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return &metrics.Policy{Holds: v.State.Holds.Version, Goes: v.Goes.Mode.String(), UnderWay: v.State.Busy(), Changes: maps.Clone(p.outcomes), Work: p.workFigures()}
+	return &metrics.Policy{Holds: v.State.Current.Version, Goes: v.Goes.Mode.String(), UnderWay: v.State.InProgress(), Changes: maps.Clone(p.outcomes), Work: p.workFigures()}
 }
 
 // policyHost carries out what the node decides; its methods are called with the lock held.
--- a/internal/fleet/policyrollout/policy.go
+++ b/internal/fleet/policyrollout/policy.go
@@ -19,15 +19,15 @@
 )
 
 const (
-	// TextMost bounds a policy's text, in bytes.
-	TextMost = 64 << 10
+	// MaxTextBytes bounds a policy's text, in bytes.
+	MaxTextBytes = 64 << 10
 
-	tenantsMost  = 1000
-	outMost      = 10_000
-	nameMost     = 128
-	attemptsMost = 100
-	quotaMost    = 1e6
-	countMost    = 1e6
+	maxTenants   = 1000
+	maxOut       = 10_000
+	maxNameBytes = 128
+	maxAttempts  = 100
+	maxQuota     = 1e6
+	maxCount     = 1e6
 )
 
 // Policy is an operator's text. A nil field is not in it: the sidecar's own settings hold.
@@ -60,8 +60,8 @@
 // Parse reads an operator's text. An error names line or field.
 func Parse(text []byte) (*Policy, error) {
 	switch {
-	case len(text) > TextMost:
-		return nil, fmt.Errorf("a policy of %d bytes, %d are possible", len(text), TextMost)
+	case len(text) > MaxTextBytes:
+		return nil, fmt.Errorf("a policy of %d bytes, %d are possible", len(text), MaxTextBytes)
 	case !utf8.Valid(text):
 		return nil, fmt.Errorf("line %d: not UTF-8", 1+bytes.Count(text[:firstInvalid(text)], []byte("\n")))
 	}
@@ -103,13 +103,13 @@
 		}
 		return nil
 	}
-	if len(p.Tenants) > tenantsMost {
-		return fmt.Errorf("tenants: %d of them, %d are possible", len(p.Tenants), tenantsMost)
+	if len(p.Tenants) > maxTenants {
+		return fmt.Errorf("tenants: %d of them, %d are possible", len(p.Tenants), maxTenants)
 	}
 	sum := 0.0
 	for _, name := range slices.Sorted(maps.Keys(p.Tenants)) {
 		t := p.Tenants[name]
-		if err := errors.Join(number("tenants."+name+".share", t.Share, 1e-6, 1), number("tenants."+name+".quota", t.Quota, 1e-3, quotaMost)); err != nil {
+		if err := errors.Join(number("tenants."+name+".share", t.Share, 1e-6, 1), number("tenants."+name+".quota", t.Quota, 1e-3, maxQuota)); err != nil {
 			return err
 		}
 		if t.Share != nil {
@@ -122,39 +122,39 @@
 	seen := make(map[string]bool)
 	for i, id := range p.Out {
 		switch {
-		case id == "" || len(id) > nameMost:
-			return fmt.Errorf("out[%d]: an id of %d bytes, 1 to %d are possible", i, len(id), nameMost)
+		case id == "" || len(id) > maxNameBytes:
+			return fmt.Errorf("out[%d]: an id of %d bytes, 1 to %d are possible", i, len(id), maxNameBytes)
 		case seen[id]:
 			return fmt.Errorf("out[%d]: %s stands there twice", i, id)
-		case i >= outMost:
-			return fmt.Errorf("out: %d ids, %d are possible", len(p.Out), outMost)
+		case i >= maxOut:
+			return fmt.Errorf("out: %d ids, %d are possible", len(p.Out), maxOut)
 		}
 		seen[id] = true
 	}
 	return errors.Join(
-		count("limits.attempts", p.Limits.Attempts, 1, attemptsMost), count("limits.open", p.Limits.Open, 1, countMost), count("limits.queue", p.Limits.Queue, 0, countMost),
-		number("retry.free", p.Retry.Free, 0, countMost), number("retry.share", p.Retry.Share, 0, 1),
+		count("limits.attempts", p.Limits.Attempts, 1, maxAttempts), count("limits.open", p.Limits.Open, 1, maxCount), count("limits.queue", p.Limits.Queue, 0, maxCount),
+		number("retry.free", p.Retry.Free, 0, maxCount), number("retry.share", p.Retry.Share, 0, 1),
 	)
 }
 
 // Limits is a policy with every field there: what a sidecar goes by.
 type Limits struct {
-	Share     []float64 // by tenant, a part of the whole
-	Quota     []float64 // by tenant, requests a second over the fleet; math.Inf(1): none
-	Attempts  int
-	Open      int
-	Queue     int
-	RetryFree float64
-	RetryPart float64
-	Out       []string // in order
+	Share      []float64 // by tenant, a part of the whole
+	Quota      []float64 // by tenant, requests a second over the fleet; math.Inf(1): none
+	Attempts   int
+	Open       int
+	Queue      int
+	RetryFree  float64
+	RetryShare float64
+	Out        []string // in order
 }
 
 // Settings are a sidecar's own, by which a policy is resolved.
 type Settings struct {
-	Tenants map[string]int // number by name
-	Limits  Limits
-	Most    Limits // what its own memory and descriptors bear: Attempts, Open and Queue; 0: no bound
-	NoSpan  bool   // there is no retry budget here, so none can be changed
+	Tenants       map[string]int // number by name
+	Limits        Limits
+	Max           Limits // what its own memory and descriptors bear: Attempts, Open and Queue; 0: no bound
+	NoRetryBudget bool   // there is no retry budget here, so none can be changed
 }
 
 // Resolve fills in from the settings what a policy leaves out. A tenant that the settings don't have, or a bound over what this sidecar bears, can't be applied here: the
@@ -181,8 +181,8 @@
 		to   *int
 		most int
 	}{
-		{"limits.attempts", p.Limits.Attempts, &l.Attempts, s.Most.Attempts}, {"limits.open", p.Limits.Open, &l.Open, s.Most.Open},
-		{"limits.queue", p.Limits.Queue, &l.Queue, s.Most.Queue},
+		{"limits.attempts", p.Limits.Attempts, &l.Attempts, s.Max.Attempts}, {"limits.open", p.Limits.Open, &l.Open, s.Max.Open},
+		{"limits.queue", p.Limits.Queue, &l.Queue, s.Max.Queue},
 	} {
 		if f.v == nil {
 			continue
@@ -192,11 +192,11 @@
 		}
 		*f.to = *f.v
 	}
-	if s.NoSpan && p.Retry != (Retry{}) {
+	if s.NoRetryBudget && p.Retry != (Retry{}) {
 		return nil, errors.New("retry: the settings here have no retry budget, and so no span that it could be over")
 	}
-	if s.Limits.quotas() == 0 {
-		if with := l.quotas(); with != 0 && with != len(l.Quota) { // together they say how much the fleet's servers are there for
+	if s.Limits.quotaCount() == 0 {
+		if with := l.quotaCount(); with != 0 && with != len(l.Quota) { // together they say how much the fleet's servers are there for
 			return nil, fmt.Errorf("tenants: the settings here have no quotas, the policy has them for %d of %d: all are to have one, or none", with, len(l.Quota))
 		}
 	}
@@ -204,7 +204,7 @@
 		l.RetryFree = *p.Retry.Free
 	}
 	if p.Retry.Share != nil {
-		l.RetryPart = *p.Retry.Share
+		l.RetryShare = *p.Retry.Share
 	}
 	l.Out = append(l.Out, p.Out...)
 	slices.Sort(l.Out)
@@ -212,10 +212,10 @@
 	return l, nil
 }
 
-// quotas is how many tenants have one.
-func (l *Limits) quotas() (n int) {
+// quotaCount is how many tenants have one.
+func (l *Limits) quotaCount() (n int) {
 	for _, q := range l.Quota {
-		if q < none {
+		if q < noQuota {
 			n++
 		}
 	}
@@ -253,5 +253,5 @@
 	return &c
 }
 
-// none is a quota that bounds nothing.
-var none = math.Inf(1)
+// noQuota is a quota that bounds nothing.
+var noQuota = math.Inf(1)
--- a/internal/fleet/policyrollout/policy_test.go
+++ b/internal/fleet/policyrollout/policy_test.go
@@ -24,9 +24,9 @@
 	return &Settings{
 		Tenants: map[string]int{"north": 0, "south": 1, "west": 2},
 		Limits: Limits{
-			Share: []float64{0.6, 0.3, 0.1}, Quota: []float64{100, 50, math.Inf(1)}, Attempts: 3, Open: 100, Queue: 20, RetryFree: 10, RetryPart: 0.1, Out: []string{"s-5"},
+			Share: []float64{0.6, 0.3, 0.1}, Quota: []float64{100, 50, math.Inf(1)}, Attempts: 3, Open: 100, Queue: 20, RetryFree: 10, RetryShare: 0.1, Out: []string{"s-5"},
 		},
-		Most: Limits{Open: 200},
+		Max: Limits{Open: 200},
 	}
 }
 
@@ -38,7 +38,7 @@
 	s := settings()
 	got, err := p.Resolve(s)
 	want := &Limits{
-		Share: []float64{0.5, 0.3, 0.1}, Quota: []float64{80, 50, math.Inf(1)}, Attempts: 2, Open: 100, Queue: 20, RetryFree: 5, RetryPart: 0.1, Out: []string{"s-1", "s-5", "s-9"},
+		Share: []float64{0.5, 0.3, 0.1}, Quota: []float64{80, 50, math.Inf(1)}, Attempts: 2, Open: 100, Queue: 20, RetryFree: 5, RetryShare: 0.1, Out: []string{"s-1", "s-5", "s-9"},
 	}
 	if err != nil || !reflect.DeepEqual(got, want) {
 		t.Errorf("%+v, %v; want %+v", got, err, want)
@@ -81,7 +81,7 @@
 		"out = [\"\"]":                                               "out[0]",
 		"out = 3":                                                    "line 1",
 		"# a\nout = [\"\xff\"]":                                      "line 2",
-		strings.Repeat("#", TextMost+1):                              "65537 bytes",
+		strings.Repeat("#", MaxTextBytes+1):                          "65537 bytes",
 		"[limits]\nattempts = 2\n[limits]\nattempts = 3":             "line 3",
 	} {
 		if p, err := Parse([]byte(bad)); err == nil || !strings.Contains(err.Error(), says) {
@@ -97,7 +97,7 @@
 	n := rapid.IntRange(0, 4).Draw(t, name+" tenants")
 	l := &Limits{
 		Attempts: rapid.IntRange(1, 5).Draw(t, name+" attempts"), Open: rapid.IntRange(1, 5).Draw(t, name+" open"), Queue: rapid.IntRange(0, 5).Draw(t, name+" queue"),
-		RetryFree: float64(rapid.IntRange(0, 4).Draw(t, name+" free")), RetryPart: float64(rapid.IntRange(0, 4).Draw(t, name+" part")) / 4,
+		RetryFree: float64(rapid.IntRange(0, 4).Draw(t, name+" free")), RetryShare: float64(rapid.IntRange(0, 4).Draw(t, name+" part")) / 4,
 	}
 	for range n {
 		l.Share = append(l.Share, float64(rapid.IntRange(0, 4).Draw(t, name+" share"))/16)
@@ -177,7 +177,7 @@
 
 // What stands in a log is read as it was written, or not at all.
 func FuzzStep(f *testing.F) {
-	for _, s := range []Step{{Kind: Begun}, {Kind: Proposed, Ref: Ref{Version: 3}, Base: 2, By: 7}, {Kind: CalledOff, Ref: Ref{Version: 1}, Why: strings.Repeat("é", 40)}, {Kind: Offered, Ref: Ref{Version: 9}}} {
+	for _, s := range []Step{{Kind: Started}, {Kind: Proposed, Ref: Ref{Version: 3}, Base: 2, By: 7}, {Kind: Aborted, Ref: Ref{Version: 1}, Why: strings.Repeat("é", 40)}, {Kind: Offered, Ref: Ref{Version: 9}}} {
 		raw, err := s.Encode()
 		if err != nil {
 			f.Fatal(err)
--- a/internal/fleet/policyrollout/state.go
+++ b/internal/fleet/policyrollout/state.go
@@ -18,10 +18,10 @@
 // any more: a log that an operator has founded anew must not let anybody go by its policy beside those who still go by the last one's.
 const (
 	Proposed Kind = iota + 1
-	Taken
-	CalledOff
-	Settled
-	Begun
+	Committed
+	Aborted
+	Completed
+	Started
 	Offered // of a long text: a change to it is proposed once it is there, so that nobody has to be cut off for want of it
 )
 
@@ -48,13 +48,13 @@
 }
 
 const (
-	whyMost     = 32 // bytes of Why: an entry has 96
-	historyMost = 64
+	maxReasonBytes = 32 // bytes of Why: an entry has 96
+	maxHistory     = 64
 )
 
 // Encode is the step as an entry.
 func (s Step) Encode() ([]byte, error) {
-	p := &policypb.Step{Kind: uint32(s.Kind), Version: s.Version, Base: s.Base, By: uint32(s.By) + 1, Why: strings.ToValidUTF8(s.Why[:min(len(s.Why), whyMost)], "")}
+	p := &policypb.Step{Kind: uint32(s.Kind), Version: s.Version, Base: s.Base, By: uint32(s.By) + 1, Why: strings.ToValidUTF8(s.Why[:min(len(s.Why), maxReasonBytes)], "")}
 	if s.Kind == Proposed || s.Kind == Offered {
 		p.Hash = s.Hash[:]
 	}
@@ -66,7 +66,7 @@
 // DecodeStep reads an entry. What can't be understood is an error: it must not be passed over.
 func DecodeStep(raw []byte) (s Step, err error) {
 	p := new(policypb.Step)
-	if proto.Unmarshal(raw, p) != nil || p.Kind < uint32(Proposed) || p.Kind > uint32(Offered) || (p.Version == 0) != (p.Kind == uint32(Begun)) || p.By == 0 {
+	if proto.Unmarshal(raw, p) != nil || p.Kind < uint32(Proposed) || p.Kind > uint32(Offered) || (p.Version == 0) != (p.Kind == uint32(Started)) || p.By == 0 {
 		return s, errEntry
 	}
 	s = Step{Kind: Kind(p.Kind), Ref: Ref{Version: p.Version}, Base: p.Base, By: int(p.By) - 1, Why: p.Why}
@@ -84,76 +84,76 @@
 	Ref
 	By      int
 	Outcome Kind // Taken or CalledOff
-	Ended   int  // who put that into the log, or can't apply it
+	EndedBy int  // who put that into the log, or can't apply it
 	Why     string
 }
 
 // State is what the log makes of the policy: the same at everyone who has the same entries.
 type State struct {
-	Begun   bool
-	Holds   Ref
-	Offer   Ref    // Version 0: none; its text goes round
-	Pending Ref    // Version 0: nothing is under way
-	By      int    // who proposed either
-	Last    uint32 // the highest version there was
-	Open    uint32 // the version whose outcome has not settled; 0: nobody goes by what was before
-	OpenAt  uint64 // index of that outcome
-	History []Past // the last historyMost
+	Started      bool
+	Current      Ref
+	Offered      Ref    // Version 0: none; its text goes round
+	Pending      Ref    // Version 0: nothing is under way
+	ProposedBy   int    // who proposed either
+	LastVersion  uint32 // the highest version there was
+	Completing   uint32 // the version whose outcome has not settled; 0: nobody goes by what was before
+	OutcomeIndex uint64 // index of that outcome
+	History      []Past // the last historyMost
 }
 
 // Apply takes the next entry, by its index. refused says why it changes nothing: so that of two proposals at once the second hears so.
 func (s *State) Apply(index uint64, e Step) (refused string) {
 	switch e.Kind {
-	case Begun:
-		if s.Begun {
+	case Started:
+		if s.Started {
 			return "it has begun already"
 		}
-		s.Begun = true
+		s.Started = true
 	case Proposed, Offered:
-		offer := e.Kind == Proposed && s.Offer.Version != 0 && e.Ref == s.Offer
+		offer := e.Kind == Proposed && s.Offered.Version != 0 && e.Ref == s.Offered
 		switch {
-		case !s.Begun:
+		case !s.Started:
 			return "the log has not begun yet"
-		case s.Pending.Version != 0 || s.Offer.Version != 0 && !offer:
-			return fmt.Sprintf("version %d is under way", max(s.Pending.Version, s.Offer.Version))
-		case s.Open != 0:
-			return fmt.Sprintf("version %d has not settled yet", s.Open)
-		case e.Base != s.Holds.Version:
-			return fmt.Sprintf("it was made from version %d, %d holds", e.Base, s.Holds.Version)
-		case e.Version != s.Last+1 && !offer:
-			return fmt.Sprintf("version %d is the next one", s.Last+1)
+		case s.Pending.Version != 0 || s.Offered.Version != 0 && !offer:
+			return fmt.Sprintf("version %d is under way", max(s.Pending.Version, s.Offered.Version))
+		case s.Completing != 0:
+			return fmt.Sprintf("version %d has not settled yet", s.Completing)
+		case e.Base != s.Current.Version:
+			return fmt.Sprintf("it was made from version %d, %d holds", e.Base, s.Current.Version)
+		case e.Version != s.LastVersion+1 && !offer:
+			return fmt.Sprintf("version %d is the next one", s.LastVersion+1)
 		}
-		if s.By, s.Last, s.Offer = e.By, e.Version, e.Ref; e.Kind == Proposed {
-			s.Pending, s.Offer = e.Ref, Ref{}
+		if s.ProposedBy, s.LastVersion, s.Offered = e.By, e.Version, e.Ref; e.Kind == Proposed {
+			s.Pending, s.Offered = e.Ref, Ref{}
 		}
-	case Taken, CalledOff:
-		if e.Kind == CalledOff && e.Version == s.Offer.Version && e.Version != 0 { // nobody has gone by it
-			s.past(s.Offer, e)
-			s.Offer = Ref{}
+	case Committed, Aborted:
+		if e.Kind == Aborted && e.Version == s.Offered.Version && e.Version != 0 { // nobody has gone by it
+			s.addHistory(s.Offered, e)
+			s.Offered = Ref{}
 			return ""
 		}
 		if e.Version != s.Pending.Version || e.Version == 0 {
 			return "it is not under way"
 		}
-		s.past(s.Pending, e)
-		if e.Kind == Taken {
-			s.Holds = s.Pending
+		s.addHistory(s.Pending, e)
+		if e.Kind == Committed {
+			s.Current = s.Pending
 		}
-		s.Pending, s.Open, s.OpenAt = Ref{}, e.Version, index
-	case Settled:
-		if e.Version != s.Open || e.Version == 0 {
+		s.Pending, s.Completing, s.OutcomeIndex = Ref{}, e.Version, index
+	case Completed:
+		if e.Version != s.Completing || e.Version == 0 {
 			return "it is not open"
 		}
-		s.Open = 0
+		s.Completing = 0
 	}
 	return ""
 }
 
-// past notes what became of a version.
-func (s *State) past(r Ref, e Step) {
-	s.History = append(s.History, Past{r, s.By, e.Kind, e.By, e.Why})
-	s.History = s.History[max(0, len(s.History)-historyMost):]
+// addHistory notes what became of a version.
+func (s *State) addHistory(r Ref, e Step) {
+	s.History = append(s.History, Past{r, s.ProposedBy, e.Kind, e.By, e.Why})
+	s.History = s.History[max(0, len(s.History)-maxHistory):]
 }
 
-// Busy is the version that is under way, or whose outcome has not settled; 0: none, so another may be proposed.
-func (s *State) Busy() uint32 { return max(s.Offer.Version, s.Pending.Version, s.Open) }
+// InProgress is the version that is under way, or whose outcome has not settled; 0: none, so another may be proposed.
+func (s *State) InProgress() uint32 { return max(s.Offered.Version, s.Pending.Version, s.Completing) }
--- a/internal/fleet/policyrollout/stricter.go
+++ b/internal/fleet/policyrollout/stricter.go
@@ -8,9 +8,9 @@
 // Stricter is what keeps to both: each bound the lower one, each upstream out that is out by either. What it lets in, each of them lets in.
 func Stricter(a, b *Limits) *Limits {
 	return &Limits{
-		Share: lower(a.Share, b.Share, 0), Quota: lower(a.Quota, b.Quota, none),
+		Share: lower(a.Share, b.Share, 0), Quota: lower(a.Quota, b.Quota, noQuota),
 		Attempts: min(a.Attempts, b.Attempts), Open: min(a.Open, b.Open), Queue: min(a.Queue, b.Queue),
-		RetryFree: min(a.RetryFree, b.RetryFree), RetryPart: min(a.RetryPart, b.RetryPart),
+		RetryFree: min(a.RetryFree, b.RetryFree), RetryShare: min(a.RetryShare, b.RetryShare),
 		Out: union(a.Out, b.Out),
 	}
 }
@@ -53,14 +53,14 @@
 		say(x > y, fmt.Sprintf("share of tenant %d", i), x, y)
 	}
 	for i := range b.Quota {
-		x, y := at(a.Quota, i, none), b.Quota[i]
+		x, y := at(a.Quota, i, noQuota), b.Quota[i]
 		say(x > y, fmt.Sprintf("quota of tenant %d", i), x, y)
 	}
 	say(a.Attempts > b.Attempts, "attempts", a.Attempts, b.Attempts)
 	say(a.Open > b.Open, "open", a.Open, b.Open)
 	say(a.Queue > b.Queue, "queue", a.Queue, b.Queue)
 	say(a.RetryFree > b.RetryFree, "retry.free", a.RetryFree, b.RetryFree)
-	say(a.RetryPart > b.RetryPart, "retry.share", a.RetryPart, b.RetryPart)
+	say(a.RetryShare > b.RetryShare, "retry.share", a.RetryShare, b.RetryShare)
 	for _, id := range b.Out {
 		say(!slices.Contains(a.Out, id), "out", "without "+id, "with it")
 	}
--- a/internal/fleet/replicatedstate/change.go
+++ b/internal/fleet/replicatedstate/change.go
@@ -38,7 +38,7 @@
 type behindOf struct {
 	at    time.Duration
 	count int
-	some  []policyrollout.Behind
+	some  []policyrollout.Laggard
 }
 
 // Propose has the fleet change to a policy, made from the version base; the number that it returns is what can be asked on. Nothing has happened yet when it returns.
@@ -48,27 +48,27 @@
 	switch goes := n.Now(now); {
 	case goes.Mode == policyrollout.CutOff:
 		return policyrollout.Ref{}, ErrNoContact
-	case s.Pending.Version != 0 || s.Offer.Version != 0:
-		return policyrollout.Ref{}, fmt.Errorf("version %d is under way", s.Busy())
-	case s.Open != 0:
-		return policyrollout.Ref{}, fmt.Errorf("version %d has its outcome, but not all have told that they go by it", s.Open)
-	case base != s.Holds.Version:
-		return policyrollout.Ref{}, fmt.Errorf("it was made from version %d, version %d holds: look at what has changed", base, s.Holds.Version)
+	case s.Pending.Version != 0 || s.Offered.Version != 0:
+		return policyrollout.Ref{}, fmt.Errorf("version %d is under way", s.InProgress())
+	case s.Completing != 0:
+		return policyrollout.Ref{}, fmt.Errorf("version %d has its outcome, but not all have told that they go by it", s.Completing)
+	case base != s.Current.Version:
+		return policyrollout.Ref{}, fmt.Errorf("it was made from version %d, version %d holds: look at what has changed", base, s.Current.Version)
 	}
 	for _, m := range n.mine {
 		if m.Outcome == "" && now-m.At < mineWaits {
 			return policyrollout.Ref{}, errUnderWay
 		}
 	}
-	if len(raw) > policyrollout.TextMost {
-		return policyrollout.Ref{}, fmt.Errorf("a policy of %d bytes, %d are possible", len(raw), policyrollout.TextMost)
+	if len(raw) > policyrollout.MaxTextBytes {
+		return policyrollout.Ref{}, fmt.Errorf("a policy of %d bytes, %d are possible", len(raw), policyrollout.MaxTextBytes)
 	}
 	x := n.texts.add(slices.Clone(raw), n.needed()...)
-	ref := policyrollout.Ref{Version: s.Last + 1, Hash: x.hash}
+	ref := policyrollout.Ref{Version: s.LastVersion + 1, Hash: x.hash}
 	switch {
 	case x.why != "":
 		return policyrollout.Ref{}, errors.New(x.why)
-	case s.Holds.Version != 0 && s.Holds.Hash == ref.Hash:
+	case s.Current.Version != 0 && s.Current.Hash == ref.Hash:
 		return policyrollout.Ref{}, errSame
 	}
 	kind := policyrollout.Proposed
@@ -92,14 +92,14 @@
 // Abort calls off what is under way, if it has no outcome by then.
 func (n *Node) Abort(now time.Duration) (version uint32, err error) {
 	n.now = now
-	p := max(n.holder.State().Pending.Version, n.holder.State().Offer.Version)
+	p := max(n.holder.State().Pending.Version, n.holder.State().Offered.Version)
 	switch {
 	case p == 0:
 		return 0, errNothing
 	case n.Now(now).Mode == policyrollout.CutOff:
 		return 0, ErrNoContact
 	}
-	entry, err := policyrollout.Step{Kind: policyrollout.CalledOff, Ref: policyrollout.Ref{Version: p}, By: n.Self.Number, Why: "by hand"}.Encode()
+	entry, err := policyrollout.Step{Kind: policyrollout.Aborted, Ref: policyrollout.Ref{Version: p}, By: n.Self.Number, Why: "by hand"}.Encode()
 	if err != nil {
 		return 0, err
 	}
@@ -119,11 +119,11 @@
 		return
 	}
 	s := n.holder.State()
-	pending, by := s.Pending, s.By
+	pending, by := s.Pending, s.ProposedBy
 	if pending.Version == 0 {
-		pending = s.Offer
+		pending = s.Offered
 	}
-	refused, err := n.holder.Entry(e.Index, e.Data)
+	refused, err := n.holder.ApplyEntry(e.Index, e.Data)
 	step, _ := policyrollout.DecodeStep(e.Data)
 	switch {
 	case err != nil:
@@ -136,7 +136,7 @@
 		}
 		return
 	}
-	if step.Kind == policyrollout.Taken || step.Kind == policyrollout.CalledOff {
+	if step.Kind == policyrollout.Committed || step.Kind == policyrollout.Aborted {
 		step.Ref = pending
 		n.fate(policyrollout.Step{Ref: pending, By: by}, outcome(step))
 	} else if step.Kind == policyrollout.Proposed || step.Kind == policyrollout.Offered {
@@ -146,7 +146,7 @@
 }
 
 func outcome(step policyrollout.Step) string {
-	if step.Kind == policyrollout.CalledOff {
+	if step.Kind == policyrollout.Aborted {
 		return fmt.Sprintf("called off by %d: %s", step.By, step.Why)
 	}
 	return "taken"
@@ -155,7 +155,7 @@
 // stands says whether a version is in the log already: where a leader is lost on the way, an entry may stand there twice.
 func (n *Node) stands(r policyrollout.Ref) bool {
 	s := n.holder.State()
-	return s.Pending == r || s.Offer == r || s.Holds == r || slices.ContainsFunc(s.History, func(p policyrollout.Past) bool { return p.Ref == r })
+	return s.Pending == r || s.Offered == r || s.Current == r || slices.ContainsFunc(s.History, func(p policyrollout.Past) bool { return p.Ref == r })
 }
 
 // fate notes what became of a proposal that was made here.
@@ -177,7 +177,7 @@
 
 func (n *Node) takeBehind(now time.Duration, from int, m *accordpb.Message) {
 	if m.Who && n.leader != nil {
-		all := n.leader.Behind(now, n.holder.State())
+		all := n.leader.Laggards(now, n.holder.State())
 		answer := &accordpb.Message{Epoch: n.log.Epoch(), Count: uint32(len(all)) + 1}
 		for _, b := range all[:min(len(all), behindMost)] {
 			answer.Behind = append(answer.Behind, &accordpb.Behind{Number: uint32(b.Number), Why: short(b.Why, behindTold)})
@@ -188,7 +188,7 @@
 	if m.Count > 0 && from == n.log.Leader() {
 		n.behind = behindOf{at: now, count: int(m.Count) - 1}
 		for _, b := range m.Behind {
-			n.behind.some = append(n.behind.some, policyrollout.Behind{Number: int(b.Number), Why: b.Why})
+			n.behind.some = append(n.behind.some, policyrollout.Laggard{Number: int(b.Number), Why: b.Why})
 		}
 	}
 }
@@ -202,9 +202,9 @@
 	Leader int // -1: none is known
 	Voters []raftlog.Voter
 	State  policyrollout.State
-	Goes   policyrollout.Now
+	Goes   policyrollout.Active
 	Until  time.Duration // Goes, at least, unless it is CutOff
-	Behind []policyrollout.Behind
+	Behind []policyrollout.Laggard
 	Waits  int // for so many, Behind among them; -1: the leader has not told
 	Mine   []Mine
 }
@@ -218,7 +218,7 @@
 	v.State.History = slices.Clone(v.State.History)
 	switch {
 	case n.leader != nil:
-		v.Behind = n.leader.Behind(now, n.holder.State())
+		v.Behind = n.leader.Laggards(now, n.holder.State())
 		v.Waits = len(v.Behind)
 	case n.behind.at > 0 && now-n.behind.at < behindFresh:
 		v.Behind, v.Waits = n.behind.some, n.behind.count
--- a/internal/fleet/replicatedstate/history_test.go
+++ b/internal/fleet/replicatedstate/history_test.go
@@ -74,7 +74,7 @@
 					text = append(text, fmt.Sprintf("# %x\n", rng.Uint64())...)
 				}
 			}
-			if _, err := m.Propose(m.Time(), text, m.View(m.Time()).State.Holds.Version); err != nil {
+			if _, err := m.Propose(m.Time(), text, m.View(m.Time()).State.Current.Version); err != nil {
 				n.Counts["told no"]++
 			} else if rng.IntN(5) == 0 {
 				n.After(time.Duration(rng.Int64N(int64(time.Second))), func() {
--- a/internal/fleet/replicatedstate/replicatedstate.go
+++ b/internal/fleet/replicatedstate/replicatedstate.go
@@ -55,7 +55,7 @@
 	policyrollout.Ref
 	By   int
 	Why  string
-	Goes policyrollout.Now
+	Goes policyrollout.Active
 }
 
 // Config is what a Node is made of.
@@ -90,7 +90,7 @@
 type Node struct {
 	Config
 	log    *raftlog.Node
-	holder *policyrollout.Holder
+	holder *policyrollout.Participant
 	texts  texts
 	life   uint64
 	now    time.Duration // of the event under way
@@ -102,7 +102,7 @@
 	reports
 	relay
 	mine   []Mine
-	goes   policyrollout.Now // as last told
+	goes   policyrollout.Active // as last told
 	behind behindOf
 	work   work
 }
@@ -125,7 +125,7 @@
 	if cfg.Disk != nil {
 		n.texts.keep = cfg.Disk.Text
 	}
-	n.holder = policyrollout.NewHolder(cfg.Lease, n.why)
+	n.holder = policyrollout.NewParticipant(cfg.Lease, n.why)
 	n.answers = make(map[int][]*accordpb.Granted)
 	n.relay.waits = make(map[uint32]relayed)
 	return n, nil
@@ -152,13 +152,13 @@
 }
 
 // Now is by what this sidecar goes. It is to be asked wherever something depends on it, at that moment.
-func (n *Node) Now(now time.Duration) policyrollout.Now {
-	n.holder.Upto(n.log.LastIndex())
-	return n.holder.Now(now)
+func (n *Node) Now(now time.Duration) policyrollout.Active {
+	n.holder.AdvanceIndex(n.log.LastIndex())
+	return n.holder.Active(now)
 }
 
 // Until is when that changes to CutOff if nothing more is heard.
-func (n *Node) Until() time.Duration { return n.holder.Until() }
+func (n *Node) Until() time.Duration { return n.holder.GrantedUntil() }
 
 // Text is a version's text; false: it is not here.
 func (n *Node) Text(r policyrollout.Ref) ([]byte, bool) { return n.texts.get(r.Hash) }
@@ -212,7 +212,7 @@
 
 // lead does the leader's part, if it is this one's.
 func (n *Node) lead(now time.Duration) {
-	n.holder.Upto(n.log.LastIndex())
+	n.holder.AdvanceIndex(n.log.LastIndex())
 	switch {
 	case !n.log.IsLeader():
 		n.leader = nil
@@ -243,11 +243,11 @@
 
 // gone says that a voter's process can't take part any more, as far as reports tell.
 func (n *Node) gone(now time.Duration, s raftlog.Voter) bool {
-	seat, lately := n.leader.Seat(now, s.Number)
+	seat, lately := n.leader.VoterIncarnation(now, s.Number)
 	if lately {
 		return seat != s.Incarnation // another process of that number reports, that has forgotten this one's vote
 	}
-	return now >= n.leader.Since()+Patience(n.Lease, n.Rate)
+	return now >= n.leader.TermStart()+Patience(n.Lease, n.Rate)
 }
 
 // there are those that could vote, in an order that is the same for each leader.
@@ -257,7 +257,7 @@
 		return nil // nothing is to be filled
 	}
 	for i := range n.Size {
-		if seat, lately := n.leader.Seat(now, i); lately && seat != mute {
+		if seat, lately := n.leader.VoterIncarnation(now, i); lately && seat != mute {
 			all = append(all, raftlog.Voter{Number: i, Incarnation: seat})
 		}
 	}
@@ -291,7 +291,7 @@
 
 func (h logHost) Reset(epoch uint64) {
 	n := h.n
-	n.holder.Forget()
+	n.holder.Reset()
 	n.leader, n.reports, n.relay = nil, reports{answers: make(map[int][]*accordpb.Granted)}, relay{waits: make(map[uint32]relayed)}
 	n.mine, n.behind, n.work = nil, behindOf{}, work{}
 	n.Host.Changed(Event{What: "log", By: n.Self.Number, Why: fmt.Sprintf("epoch %x", epoch)})
--- a/internal/fleet/replicatedstate/replicatedstate_test.go
+++ b/internal/fleet/replicatedstate/replicatedstate_test.go
@@ -32,7 +32,7 @@
 	return n
 }
 
-func holds(m *replicatedstatesim.Node) uint32 { return m.View(m.Time()).State.Holds.Version }
+func holds(m *replicatedstatesim.Node) uint32 { return m.View(m.Time()).State.Current.Version }
 
 // What is wrong with a proposal is told at once, and nothing is begun.
 func TestRefused(t *testing.T) {
@@ -75,7 +75,7 @@
 	if grown := m.View(m.Time()).Have - have; grown > 6 {
 		t.Errorf("the log has grown by %d entries", grown)
 	}
-	raw, _ := m.Text(m.View(m.Time()).State.Holds)
+	raw, _ := m.Text(m.View(m.Time()).State.Current)
 	refused("the same again", raw, 1, "holds already")
 	n.Cut = func(from, to int) bool { return from == 3 || to == 3 }
 	n.Run(4 * time.Second)
@@ -132,7 +132,7 @@
 }
 
 func textOf(m *replicatedstatesim.Node) []byte {
-	raw, _ := m.Text(m.View(m.Time()).State.Holds)
+	raw, _ := m.Text(m.View(m.Time()).State.Current)
 	return raw
 }
 
@@ -141,7 +141,7 @@
 	n := founded(t, 5, 3)
 	rng := rand.New(rand.NewPCG(1, 1))
 	raw := []byte("# ")
-	for len(raw) < policyrollout.TextMost {
+	for len(raw) < policyrollout.MaxTextBytes {
 		raw = append(raw, byte('!'+rng.IntN(90)))
 	}
 	m := n.Nodes[2]
@@ -163,7 +163,7 @@
 	for _, o := range n.Nodes {
 		if !n.Until(2*time.Minute, func() bool {
 			v := o.View(o.Time())
-			return v.Goes.Mode == policyrollout.One && v.State.Holds.Version == 1 && bytes.Equal(textOf(o), raw)
+			return v.Goes.Mode == policyrollout.One && v.State.Current.Version == 1 && bytes.Equal(textOf(o), raw)
 		}) {
 			t.Fatalf("it is not there: %s", n.Text())
 		}
--- a/internal/fleet/replicatedstate/reports.go
+++ b/internal/fleet/replicatedstate/reports.go
@@ -51,7 +51,7 @@
 
 // reported is what has others told at once when it changes.
 type reported struct {
-	now    policyrollout.Now
+	now    policyrollout.Active
 	cannot string
 	ready  uint32
 	begun  bool
@@ -89,15 +89,15 @@
 	if n.log.Epoch() == 0 || len(seats) == 0 {
 		return
 	}
-	n.holder.Upto(n.log.LastIndex())
+	n.holder.AdvanceIndex(n.log.LastIndex())
 	if leader := n.log.Leader(); n.poked && leader >= 0 && leader != n.Self.Number {
 		// Beside the ordinary ones, which alone are granted: told so twice a second, one that reported straight instead was cut off (accord, seed 22).
-		n.send(leader, &accordpb.Message{Epoch: n.log.Epoch(), Report: []*accordpb.Report{n.wire(n.holder.Report(now))}})
+		n.send(leader, &accordpb.Message{Epoch: n.log.Epoch(), Report: []*accordpb.Report{n.wire(n.holder.NextReport(now))}})
 	}
 	n.poked = false
-	r := n.holder.Report(now)
+	r := n.holder.NextReport(now)
 	s := n.holder.State()
-	is := reported{r.Now, r.Cannot, r.Ready, s.Begun, s.OpenAt, min(len(seats), 2), n.clear(), n.work.state.LastTurn}
+	is := reported{r.Active, r.Rejection, r.ReadyVersion, s.Started, s.OutcomeIndex, min(len(seats), 2), n.clear(), n.work.state.LastTurn}
 	switch due := n.toldAt + n.Lease*reportPart/100; {
 	case is != n.told: // at once
 		n.tries = 0
@@ -128,8 +128,8 @@
 		seat = n.Self.Incarnation
 	}
 	p := &accordpb.Report{
-		Number: uint32(n.Self.Number), Life: n.life, Seat: seat, Stamp: stamp(r.Stamp), Mode: uint32(r.Now.Mode), Old: r.Now.Old.Version, New: r.Now.New.Version, Have: r.Have, Turn: r.Turn,
-		Ready: r.Ready, Cannot: short(r.Cannot, cannotMost),
+		Number: uint32(n.Self.Number), Life: n.life, Seat: seat, Stamp: stamp(r.SentAt), Mode: uint32(r.Active.Mode), Old: r.Active.Old.Version, New: r.Active.New.Version, Have: r.LastIndex, Turn: r.Sequence,
+		Ready: r.ReadyVersion, Cannot: short(r.Rejection, cannotMost),
 	}
 	n.ownWork(p)
 	return p
@@ -137,13 +137,13 @@
 
 // again is when a report that was not granted is sent again.
 func (n *Node) again(now time.Duration) time.Duration {
-	s, left, wait := n.holder.State(), n.holder.Until()-now, n.Lease*againPart/100
+	s, left, wait := n.holder.State(), n.holder.GrantedUntil()-now, n.Lease*againPart/100
 	switch {
 	case left <= 0:
 		wait = reportAgain << min(n.tries, 8)
 	case left < n.Lease/2:
 		wait = max(reportAgain, n.Lease*soonPart/100)
-	case s.Busy() != 0:
+	case s.InProgress() != 0:
 		wait = min(wait, changeAgain<<min(n.tries, 8))
 	}
 	return n.toldAt + wait
@@ -205,7 +205,7 @@
 // they were more than there was room for at five thousand, and the same relays had none each time.
 func (n *Node) answer(now time.Duration) {
 	wait := n.Lease * answerPart / 100
-	if n.Size < many && n.holder.State().Busy() != 0 {
+	if n.Size < many && n.holder.State().InProgress() != 0 {
 		wait = min(wait, handSoon)
 	}
 	for range answersMost {
@@ -230,11 +230,11 @@
 // poke has the leader ask some of those whom a change waits for to report: most who are heard of late have reported, and it was lost.
 func (n *Node) poke(now time.Duration) {
 	s := n.holder.State()
-	if n.leader == nil || now < n.pokeAt || s.Busy() == 0 {
+	if n.leader == nil || now < n.pokeAt || s.InProgress() == 0 {
 		return
 	}
 	n.pokeAt = now + pokeEvery
-	late := n.leader.Behind(now, s)
+	late := n.leader.Laggards(now, s)
 	for k := range min(len(late), pokeMost) {
 		i := k + n.Rand.IntN(len(late)-k)
 		late[k], late[i] = late[i], late[k]
@@ -247,7 +247,7 @@
 	if n.log.IsLeader() {
 		// In a change those report straight whom it has asked: what they are owed they get by way of a relay, as a word to each would be more than there is room for.
 		s := n.holder.State()
-		if n.hears(now, h.report) && (h.from == n.Self.Number || s.Busy() == 0) {
+		if n.hears(now, h.report) && (h.from == n.Self.Number || s.InProgress() == 0) {
 			n.grant(now, h, n.log.LastIndex())
 		}
 		return
@@ -268,22 +268,22 @@
 	s := n.holder.State()
 	ref := func(version uint32) policyrollout.Ref { // in one epoch a version is one text
 		switch version {
-		case s.Holds.Version:
-			return s.Holds
+		case s.Current.Version:
+			return s.Current
 		case s.Pending.Version:
 			return s.Pending
 		}
 		return policyrollout.Ref{Version: version}
 	}
-	r := policyrollout.Report{Life: p.Life, Seat: cmp.Or(p.Seat, p.Life), Turn: p.Turn, Ready: p.Ready, Have: p.Have, Cannot: p.Cannot, Now: policyrollout.Now{Mode: policyrollout.Mode(p.Mode), Old: ref(p.Old), New: ref(p.New)}}
-	return n.leader.Heard(now, at, int(p.Number), r, s)
+	r := policyrollout.Report{Incarnation: p.Life, VoterIncarnation: cmp.Or(p.Seat, p.Life), Sequence: p.Turn, ReadyVersion: p.Ready, LastIndex: p.Have, Rejection: p.Cannot, Active: policyrollout.Active{Mode: policyrollout.Mode(p.Mode), Old: ref(p.Old), New: ref(p.New)}}
+	return n.leader.ReceiveReport(now, at, int(p.Number), r, s)
 }
 
 // flush hands on what has gathered.
 func (n *Node) flush(now time.Duration) {
 	s := n.holder.State()
 	wait := n.Lease * handPart / 100
-	if s.Busy() != 0 || n.leaves() {
+	if s.InProgress() != 0 || n.leaves() {
 		wait = handSoon
 	}
 	if now < min(n.handAt, n.handedAt+wait) && len(n.batch) < full {
@@ -347,5 +347,5 @@
 	if sent == stamp(n.toldAt) {
 		n.granted, n.tries = true, 0
 	}
-	n.holder.Grant(now, unstamp(sent), index)
+	n.holder.RecordGrant(now, unstamp(sent), index)
 }
--- a/internal/fleet/replicatedstate/size_test.go
+++ b/internal/fleet/replicatedstate/size_test.go
@@ -53,7 +53,7 @@
 		for !m.Lives() {
 			m = n.Nodes[n.Rng.IntN(size)]
 		}
-		ref, err := m.Propose(m.Time(), replicatedstatesim.Text(number), m.View(m.Time()).State.Holds.Version)
+		ref, err := m.Propose(m.Time(), replicatedstatesim.Text(number), m.View(m.Time()).State.Current.Version)
 		if err != nil {
 			t.Fatalf("%s: %v", name, err)
 		}
--- a/internal/fleet/replicatedstate/texts.go
+++ b/internal/fleet/replicatedstate/texts.go
@@ -14,14 +14,14 @@
 
 const (
 	pieceBytes = 160
-	piecesMost = (policyrollout.TextMost+policyrollout.TextMost/8)/pieceBytes + 1 // a text that can't be made smaller grows a little
-	textsMost  = 14                                                               // kept; those that matter are few
-	halfMost   = 3                                                                // texts that are half here
-	halfTime   = 20 * time.Second                                                 // without a further piece
-	wantMost   = 4                                                                // pieces that are asked for at a time
-	wantEvery  = 250 * time.Millisecond                                           // without an answer
-	pushPieces = 3                                                                // a text of so few goes to some others unasked
-	pushTexts  = 2                                                                // so many
+	piecesMost = (policyrollout.MaxTextBytes+policyrollout.MaxTextBytes/8)/pieceBytes + 1 // a text that can't be made smaller grows a little
+	textsMost  = 14                                                                       // kept; those that matter are few
+	halfMost   = 3                                                                        // texts that are half here
+	halfTime   = 20 * time.Second                                                         // without a further piece
+	wantMost   = 4                                                                        // pieces that are asked for at a time
+	wantEvery  = 250 * time.Millisecond                                                   // without an answer
+	pushPieces = 3                                                                        // a text of so few goes to some others unasked
+	pushTexts  = 2                                                                        // so many
 )
 
 type hash = [sha256.Size]byte
@@ -125,7 +125,7 @@
 // needed are the texts that this one can't do without.
 func (n *Node) needed() (all []hash) {
 	s := n.holder.State()
-	for _, r := range []policyrollout.Ref{s.Holds, s.Pending, s.Offer} {
+	for _, r := range []policyrollout.Ref{s.Current, s.Pending, s.Offered} {
 		if r.Version != 0 {
 			all = append(all, r.Hash)
 		}
@@ -246,8 +246,8 @@
 		return nil
 	}
 	t.half = append(t.half[:at], t.half[at+1:]...)
-	raw, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(bytes.Join(x.parts, nil))), policyrollout.TextMost+1))
-	if sum := sha256.Sum256(raw); err != nil || len(raw) > policyrollout.TextMost || nameOf(sum) != x.name {
+	raw, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(bytes.Join(x.parts, nil))), policyrollout.MaxTextBytes+1))
+	if sum := sha256.Sum256(raw); err != nil || len(raw) > policyrollout.MaxTextBytes || nameOf(sum) != x.name {
 		return nil
 	}
 	return raw
--- a/internal/fleet/replicatedstate/work.go
+++ b/internal/fleet/replicatedstate/work.go
@@ -32,7 +32,7 @@
 var (
 	errNoWork = errors.New("this process knows of no machines: it has no part in work on them")
 	errEntry  = errors.New("an entry about work that can't be read: of a newer version of the program, maybe")
-	errLong   = fmt.Errorf("a plan has %d bytes at most", policyrollout.TextMost)
+	errLong   = fmt.Errorf("a plan has %d bytes at most", policyrollout.MaxTextBytes)
 )
 
 // work is a node's part in machines taken out for work: what the log makes of it, and the leader's part.
@@ -46,7 +46,7 @@
 	decidedAt time.Duration
 
 	said   string // by the leader: what the oldest plan waits for
-	away   []policyrollout.Behind
+	away   []policyrollout.Laggard
 	aways  int
 	saidAt time.Duration
 }
@@ -78,9 +78,9 @@
 
 // appliedWork takes an entry about work.
 func (n *Node) appliedWork(e raftlog.Entry, s maintenance.Step, err error) {
-	n.holder.Upto(e.Index)
+	n.holder.AdvanceIndex(e.Index)
 	if err != nil {
-		n.holder.Blind()
+		n.holder.MarkUnreadable()
 		n.Host.Changed(Event{What: "entry", By: n.Self.Number, Why: err.Error()})
 		return
 	}
@@ -103,7 +103,7 @@
 		w.leader, w.book = maintenance.NewLeader(n.term, n.Self.Number), maintenance.Book{Size: n.Size, Deadline: Patience(n.Deadline, n.Rate)}
 	}
 	// One that is confirmed no more may lack what a later leader has put into the log.
-	if at, index := n.log.LastQuorumAck(); at == 0 || now-at >= n.leader.Confirm || n.log.LastIndex() < index {
+	if at, index := n.log.LastQuorumAck(); at == 0 || now-at >= n.leader.QuorumAckTimeout || n.log.LastIndex() < index {
 		return
 	}
 	step, due := w.leader.Decide(n.world(now), &w.state)
@@ -124,12 +124,12 @@
 // world is what this leader knows now.
 func (n *Node) world(now time.Duration) *maintenance.World {
 	machines, current := n.Work.Machines()
-	sum := n.work.book.Sum(now, n.leader.Until)
+	sum := n.work.book.Sum(now, n.leader.GrantExpiry)
 	return &maintenance.World{
 		Now: now, Machines: machines, Traffic: sum.Traffic, InTime: sum.InTime, Unheard: len(sum.Away),
 		Current: current && sum.Whole, // a new leader does not know yet what the others have
-		Slack:   2*n.leader.Patience + n.Deadline,
-		Clear:   func(turn uint32) bool { return len(n.work.book.Waits(now, turn, n.leader.Until)) == 0 },
+		Slack:   2*n.leader.LeaseExpiry + n.Deadline,
+		Clear:   func(turn uint32) bool { return len(n.work.book.Waits(now, turn, n.leader.GrantExpiry)) == 0 },
 		Plan:    n.plan,
 	}
 }
@@ -190,7 +190,7 @@
 	if n.Work == nil {
 		return 0, errNoWork
 	}
-	if len(raw) > policyrollout.TextMost {
+	if len(raw) > policyrollout.MaxTextBytes {
 		return 0, errLong
 	}
 	p, err := maintenance.Parse(raw)
@@ -232,7 +232,7 @@
 
 // begun says whether this sidecar is in contact with a log that has begun.
 func (n *Node) begun(now time.Duration) bool {
-	return n.holder.State().Begun && n.Now(now).Mode != policyrollout.CutOff
+	return n.holder.State().Started && n.Now(now).Mode != policyrollout.CutOff
 }
 
 // would says why an entry would change nothing now; "": it would. The log decides in the end.
@@ -265,14 +265,14 @@
 }
 
 // standsWork is what the oldest plan waits for, and who is out of contact for how long, as this leader knows it.
-func (n *Node) standsWork(now time.Duration) (waits string, away []policyrollout.Behind) {
+func (n *Node) standsWork(now time.Duration) (waits string, away []policyrollout.Laggard) {
 	s := &n.work.state
-	for _, i := range n.work.book.Sum(now, n.leader.Until).Away {
-		away = append(away, policyrollout.Behind{Number: i, Why: fmt.Sprintf("for %.0fs", (now - n.leader.Until(i)).Seconds())})
+	for _, i := range n.work.book.Sum(now, n.leader.GrantExpiry).Away {
+		away = append(away, policyrollout.Laggard{Number: i, Why: fmt.Sprintf("for %.0fs", (now - n.leader.GrantExpiry(i)).Seconds())})
 	}
 	for _, t := range s.Turns {
 		if t.Phase == maintenance.Leaving {
-			if late := n.work.book.Waits(now, t.Number, n.leader.Until); len(late) > 0 {
+			if late := n.work.book.Waits(now, t.Number, n.leader.GrantExpiry); len(late) > 0 {
 				return fmt.Sprintf("turn %d: %d sidecars may still send, %v", t.Number, len(late), late[:min(len(late), awayMost)]), away
 			}
 		}
@@ -291,16 +291,16 @@
 	w := &n.work
 	w.saidAt, w.said, w.aways, w.away = now, m.WorkWaits, int(m.AwayCount)-1, nil
 	for _, a := range m.Away {
-		w.away = append(w.away, policyrollout.Behind{Number: int(a.Number), Why: a.Why})
+		w.away = append(w.away, policyrollout.Laggard{Number: int(a.Number), Why: a.Why})
 	}
 }
 
 // WorkView is what a sidecar knows of machines taken out for work.
 type WorkView struct {
 	State maintenance.State
-	Waits string                 // what the oldest plan waits for
-	Away  []policyrollout.Behind // some of those out of contact
-	Aways int                    // how many they are; -1: the leader has not told
+	Waits string                  // what the oldest plan waits for
+	Away  []policyrollout.Laggard // some of those out of contact
+	Aways int                     // how many they are; -1: the leader has not told
 }
 
 // ViewWork is the present one.
--- a/internal/lab/replicatedstatesim/net.go
+++ b/internal/lab/replicatedstatesim/net.go
@@ -269,7 +269,7 @@
 		v := m.View(m.Time())
 		text += fmt.Sprintf("\nn%d leader %d epoch %d have %d goes by %s %d %d; holds %d, pending %d, "+
 			"open %d, voters %v", m.number, v.Leader, v.Epoch, v.Have, v.Goes.Mode, v.Goes.Old.Version,
-			v.Goes.New.Version, v.State.Holds.Version, v.State.Pending.Version, v.State.Open, v.Voters)
+			v.Goes.New.Version, v.State.Current.Version, v.State.Pending.Version, v.State.Completing, v.Voters)
 	}
 	return text
 }
@@ -283,9 +283,9 @@
 		}
 		v := m.View(m.Time())
 		if first {
-			holds, first = v.State.Holds, false
+			holds, first = v.State.Current, false
 		}
-		if v.Goes != (policyrollout.Now{Mode: policyrollout.One, New: holds}) || v.State.Busy() != 0 {
+		if v.Goes != (policyrollout.Active{Mode: policyrollout.One, New: holds}) || v.State.InProgress() != 0 {
 			return false
 		}
 	}
