--- a/cmd/measure/mutants.go
+++ b/cmd/measure/mutants.go
@@ -64,38 +64,38 @@
 
 // maintenanceMutants are faults in how machines are taken out for work.
 var maintenanceMutants = []mutant{
-	{"state.go", "if e.Kind.ofLeader() && e.Term != s.Term {", "if false {", "a leader that leads no more decides on"},
+	{"state.go", "if e.Kind.leaderOnly() && e.Term != s.Term {", "if false {", "a leader that leads no more decides on"},
 	{"state.go", "if e.Term <= s.Term {", "if e.Term == s.Term {", "an earlier leader takes over again"},
-	{"state.go", "case e.Number != s.LastTurn+1:", "case false:", "turns of any number"},
-	{"state.go", "case e.Plans != s.LastPlan:", "case false:", "a turn that was not held against the newest plan's bounds"},
+	{"state.go", "case e.Number != s.LastWindow+1:", "case false:", "turns of any number"},
+	{"state.go", "case e.LastPlan != s.LastPlan:", "case false:", "a turn that was not held against the newest plan's bounds"},
 	{"state.go", "case w.Paused != \"\":", "case false:", "a paused plan gives turns"},
 	{"state.go", "case e.Kind == Done && t.Phase == Free:", "case e.Kind == Done:", "done before it is free"},
-	{"state.go", "case e.Kind == Withdrawn && t.Phase == Leaving:", "case e.Kind == Withdrawn:", "withdrawn while somebody works on it"},
-	{"state.go", "			delete(w.Worked, t.Machine)\n", "", "a withdrawn turn is never given again"},
+	{"state.go", "case e.Kind == Withdrawn && t.Phase == Draining:", "case e.Kind == Withdrawn:", "withdrawn while somebody works on it"},
+	{"state.go", "\t\t\tdelete(w.Visited, t.Machine)\n", "", "a withdrawn turn is never given again"},
 	{"leader.go", "if s.Term != l.Term {", "if false {", "a leader does not say that it begins"},
-	{"leader.go", "if m := &w.Machines[i]; turns[m.ID] || m.State != Ready || m.Warmth < 1 {", "if m := &w.Machines[i]; m.State != Ready || m.Warmth < 1 {", "turns of the log don't count"},
-	{"leader.go", "		if why := l.tooMany(w, s, p, m.ID); why != \"\" {\n			return why\n		}\n", "", "no bounds"},
-	{"leader.go", "case cells[it.Cell] > p.Out.Cell.of(byCell[it.Cell]):", "case cells[it.Cell] > p.Out.Cell.of(byCell[it.Cell]) && false:", "no bound by cell"},
-	{"leader.go", "case zones[it.Zone] > p.Out.Zone.of(byZone[it.Zone]):", "case zones[it.Zone] > p.Out.Zone.of(byZone[it.Zone]) && false:", "no bound by zone"},
-	{"leader.go", "case slices.ContainsFunc(s.Turns, func(t Turn) bool { return t.Phase == Leaving }):", "case false:", "two turns by one look"},
+	{"leader.go", "if m := &w.Machines[i]; turns[m.ID] || m.State != MachineReady || m.Warmth < 1 {", "if m := &w.Machines[i]; m.State != MachineReady || m.Warmth < 1 {", "turns of the log don't count"},
+	{"leader.go", "\t\tif why := l.whyTooMany(w, s, p, m.ID); why != \"\" {\n\t\t\treturn why\n\t\t}\n", "", "no bounds"},
+	{"leader.go", "case cells[it.Cell] > p.Out.Cell.limit(byCell[it.Cell]):", "case cells[it.Cell] > p.Out.Cell.limit(byCell[it.Cell]) && false:", "no bound by cell"},
+	{"leader.go", "case zones[it.Zone] > p.Out.Zone.limit(byZone[it.Zone]):", "case zones[it.Zone] > p.Out.Zone.limit(byZone[it.Zone]) && false:", "no bound by zone"},
+	{"leader.go", "case slices.ContainsFunc(s.Windows, func(t Window) bool { return t.Phase == Draining }):", "case false:", "two turns by one look"},
 	{"leader.go", "case back && (p == nil || w.InTime >= p.InTime && w.Current):", "case (back || m != nil) && (p == nil || w.InTime >= p.InTime && w.Current):", "over before it is warm"},
 	{"leader.go", "case w.Clear(t.Number) && (", "case (", "free before it is clear"},
-	{"leader.go", "(p.CutOff != Awaited || w.Unheard == 0)", "true", "free while sidecars are out of contact that were to be waited for"},
-	{"leader.go", "case long > leaveFor+w.Slack:", "case false:", "a turn that nobody lets go of stands for ever"},
-	{"leader.go", "case w.Unheard > 0 && p.CutOff == Awaited:", "case false:", "sidecars out of contact are not waited for"},
-	{"leader.go", "if p.carries(w.Machines, out(s), w.Traffic) != \"\" {", "if false {", "freed though the others are short"},
-	{"leader.go", "case mine > 0 && l.badAt > 0 && w.Now-l.badAt >= badFor:", "case false:", "a plan goes on though service got worse"},
+	{"leader.go", "(p.CutOff != AwaitExpiry || w.Unreachable == 0)", "true", "free while sidecars are out of contact that were to be waited for"},
+	{"leader.go", "case long > drainTimeout+w.Slack:", "case false:", "a turn that nobody lets go of stands for ever"},
+	{"leader.go", "case w.Unreachable > 0 && p.CutOff == AwaitExpiry:", "case false:", "sidecars out of contact are not waited for"},
+	{"leader.go", "if p.whyOverloaded(w.Machines, machinesOutSet(s), w.Traffic) != \"\" {", "if false {", "freed though the others are short"},
+	{"leader.go", "case mine > 0 && l.lateSince > 0 && w.Now-l.lateSince >= pauseAfter:", "case false:", "a plan goes on though service got worse"},
 }
 
 // roundMutants are faults in what a leader is told of turns, found where whole fleets play.
 var roundMutants = []mutant{
-	{"book.go", "case now < end && t.heard && t.Clear >= turn:", "case now < end && t.heard:", "who has told anything is clear"},
-	{"book.go", "case now >= end+b.Deadline:", "case now >= end:", "what is out there is not given its time behind a lease"},
-	{"book.go", "!t.heard || life > t.life || life == t.life && turn > t.turn {", "t != nil {", "an overtaken report counts"},
-	{"book.go", "s.Whole = false", "", "a new leader takes those it has not heard of for idle"},
-	{"own.go", "if age < deadline {", "if false {", "a process that has just begun is clear of what the one before it has out"},
-	{"own.go", "return t.Number - 1", "continue", "a sidecar is clear of a turn whose machine it has something out at"},
-	{"own.go", "if t.Phase != Returning && o.clear[t.Number] != t.Machine {\n\t\t\tif all", "if false {\n\t\t\tif all", "nobody looks whether anything is out there"},
+	{"reports.go", "case now < end && t.received && t.ClearUpTo >= turn:", "case now < end && t.received:", "who has told anything is clear"},
+	{"reports.go", "case now >= end+b.Deadline:", "case now >= end:", "what is out there is not given its time behind a lease"},
+	{"reports.go", "!t.received || life > t.incarnation || life == t.incarnation && turn > t.sequence {", "t != nil {", "an overtaken report counts"},
+	{"reports.go", "s.Complete = false", "", "a new leader takes those it has not heard of for idle"},
+	{"clearance.go", "if age < deadline {", "if false {", "a process that has just begun is clear of what the one before it has out"},
+	{"clearance.go", "return t.Number - 1", "continue", "a sidecar is clear of a turn whose machine it has something out at"},
+	{"clearance.go", "if t.Phase != Returning && o.clear[t.Number] != t.Machine {\n\t\t\tif all", "if false {\n\t\t\tif all", "nobody looks whether anything is out there"},
 }
 
 // policyRolloutMutants are faults in how a change of policy takes hold.
@@ -155,7 +155,7 @@
 	{"change.go", "case base != s.Current.Version:", "case false:", "a proposal on an old base is begun"},
 	{"change.go", "if x.pieces() > pushPieces {", "if false {", "a long text does not go round first"},
 	{"texts.go", "nameOf(sum) != x.name", "false", "a text that was spoilt on the way is taken"},
-	{"work.go", "p.Clear, p.Rate, p.Served = r.Clear,", "p.Clear, p.Rate, p.Served = n.work.state.LastTurn,", "a sidecar tells that it is clear of all that it knows of"},
+	{"work.go", "p.Clear, p.Rate, p.Served = r.ClearUpTo,", "p.ClearUpTo, p.Rate, p.Served = n.work.state.LastTurn,", "a sidecar tells that it is clear of all that it knows of"},
 }
 
 var (
--- a/cmd/measure/work.go
+++ b/cmd/measure/work.go
@@ -121,7 +121,7 @@
 	for i := range machines {
 		site.Machines = append(site.Machines,
 			maintenance.Machine{ID: uint64(i + 1), Name: fmt.Sprintf("s-%d", i), Zone: "a", Cell: i / 2,
-				Weight: 1, State: maintenance.Ready, Warmth: 1})
+				Weight: 1, State: maintenance.MachineReady, Warmth: 1})
 	}
 	n := replicatedstatesim.New(replicatedstatesim.Config{Size: size, Seed: seed,
 		Lease: swim.LeaseFor(size), Rate: 0.001, Spend: 2048, Site: site})
@@ -146,12 +146,12 @@
 	atWork := make(map[uint32]bool)
 	over := func() bool {
 		s := by.WorkState()
-		for _, t := range s.Turns {
+		for _, t := range s.Windows {
 			if t.Phase == maintenance.Free && !atWork[t.Number] {
 				atWork[t.Number] = true
 				var say func()
 				say = func() {
-					if s := by.WorkState().Turn(t.Number); s != nil && s.Phase == maintenance.Free {
+					if s := by.WorkState().Window(t.Number); s != nil && s.Phase == maintenance.Free {
 						_ = by.Operate(by.Time(), maintenance.Done, t.Number)
 						n.After(time.Second, say)
 					}
--- a/internal/daemon/fleet.go
+++ b/internal/daemon/fleet.go
@@ -145,9 +145,9 @@
 func (x *site) Machines() (all []maintenance.Machine, current bool) {
 	now := x.clock.Now()
 	for _, e := range x.parts.list.Entries() {
-		m := maintenance.Machine{ID: uint64(e.ID), Name: e.Name, Zone: x.zones[e.Zone], Cell: e.Cell, Weight: e.Weight, State: maintenance.Draining, Started: e.Started, Warmth: 1}
+		m := maintenance.Machine{ID: uint64(e.ID), Name: e.Name, Zone: x.zones[e.Zone], Cell: e.Cell, Weight: e.Weight, State: maintenance.MachineDraining, Started: e.Started, Warmth: 1}
 		if e.State == policy.Ready {
-			m.State = maintenance.Ready
+			m.State = maintenance.MachineReady
 		}
 		if e.Started > 0 {
 			m.Warmth = slowstart.Warmth(e.Started+x.cfg.Policy.SlowStartTime-now, x.cfg.Policy.SlowStartTime, x.cfg.Policy.SlowStartShare)
--- a/internal/fleet/maintenance/history_test.go
+++ b/internal/fleet/maintenance/history_test.go
@@ -84,7 +84,7 @@
 // enter puts an entry into the log, and looks at what has become of the machines from outside: by the entries that were accepted alone.
 func (h *history) enter(s Step) {
 	h.log = append(h.log, s)
-	before := len(h.state.Turns)
+	before := len(h.state.Windows)
 	refused := h.state.Apply(s)
 	if refused != "" {
 		h.counts["refused"]++
@@ -95,13 +95,13 @@
 	switch s.Kind {
 	case Planned:
 		h.bounds[s.Number] = h.plans[s.Hash]
-	case Given:
-		if before == len(h.state.Turns) {
+	case Opened:
+		if before == len(h.state.Windows) {
 			h.say("turn %d was taken and is not there", s.Number)
 		}
 		out, cells, zones := 0, make(map[int]int), make(map[string]int)
 		seen := make(map[uint64]bool)
-		for _, t := range h.state.Turns {
+		for _, t := range h.state.Windows {
 			m := find(h.machines, t.Machine)
 			if seen[t.Machine] {
 				h.say("%s is out twice", m.Name)
@@ -117,31 +117,31 @@
 			allCells[h.machines[i].Cell]++
 			allZones[h.machines[i].Zone]++
 		}
-		for _, w := range h.state.Works {
+		for _, w := range h.state.Plans {
 			b := h.bounds[w.Number].Out
-			if out > b.Fleet.of(len(h.machines)) || cells[m.Cell] > b.Cell.of(allCells[m.Cell]) || zones[m.Zone] > b.Zone.of(allZones[m.Zone]) {
+			if out > b.Fleet.limit(len(h.machines)) || cells[m.Cell] > b.Cell.limit(allCells[m.Cell]) || zones[m.Zone] > b.Zone.limit(allZones[m.Zone]) {
 				h.say("turn %d: %d out, %d in its cell, %d in its zone, plan %d allows %+v", s.Number, out, cells[m.Cell], zones[m.Zone], w.Number, b)
 			}
 		}
-	case Freed:
+	case Released:
 		h.working[s.Number] = h.now + time.Duration(h.rng.Int64N(int64(20*time.Second)))
 	}
 }
 
 // follow holds an entry that was accepted against those before it.
 func (h *history) follow(s Step) {
-	after := map[Kind]Kind{Freed: Given, Withdrawn: Given, Done: Freed, Over: Done}
+	after := map[Kind]Kind{Released: Opened, Withdrawn: Opened, Done: Released, Closed: Done}
 	switch {
-	case s.Kind == Leads:
+	case s.Kind == LeaderStarted:
 		if s.Term <= h.term {
 			h.say("the leader of term %d begins behind that of %d", s.Term, h.term)
 		}
 		h.term = s.Term
-	case s.Kind.ofLeader() && s.Term != h.term:
+	case s.Kind.leaderOnly() && s.Term != h.term:
 		h.say("%s of term %d, %d has begun", s.Kind, s.Term, h.term)
 	case s.Kind == Paused || s.Kind == Resumed:
 		h.paused[s.Number] = s.Kind == Paused
-	case s.Kind == Given:
+	case s.Kind == Opened:
 		if s.Number <= h.lastTurn {
 			h.say("turn %d is given behind turn %d", s.Number, h.lastTurn)
 		}
@@ -153,7 +153,7 @@
 		} else {
 			h.turns[key]++
 		}
-		h.phase[s.Number], h.given[s.Number] = Given, s
+		h.phase[s.Number], h.given[s.Number] = Opened, s
 	case after[s.Kind] != 0:
 		if h.phase[s.Number] != after[s.Kind] {
 			h.say("turn %d is %s, and was %s", s.Number, s.Kind, h.phase[s.Number])
@@ -171,10 +171,10 @@
 }
 
 // world is what a leader sees: true but for what it can't know.
-func (h *history) world(l *reader) *World {
-	w := &World{Now: h.now, Current: h.calm || h.rng.IntN(20) > 0, Traffic: h.traffic, InTime: 1, Plan: func(hash [32]byte) (*Plan, bool) { p, ok := h.plans[hash]; return p, ok }}
+func (h *history) world(l *reader) *Snapshot {
+	w := &Snapshot{Now: h.now, Current: h.calm || h.rng.IntN(20) > 0, Traffic: h.traffic, InTime: 1, Plan: func(hash [32]byte) (*Plan, bool) { p, ok := h.plans[hash]; return p, ok }}
 	if !h.calm && h.rng.IntN(8) == 0 {
-		w.Unheard = 1
+		w.Unreachable = 1
 	}
 	if !h.calm && h.rng.IntN(10) == 0 {
 		w.InTime = 0.5
@@ -182,7 +182,7 @@
 	w.Machines = slices.Clone(h.machines)
 	for i := range w.Machines {
 		if m := &w.Machines[i]; h.now < h.downUntil[i] {
-			m.State = Down
+			m.State = MachineDown
 		} else if since := h.now - h.downUntil[i]; h.downUntil[i] > 0 && since < 8*time.Second {
 			m.Warmth = 0.3 + 0.7*float64(since)/float64(8*time.Second)
 		}
@@ -215,7 +215,7 @@
 	for turn, until := range h.working {
 		if h.now >= until {
 			delete(h.working, turn)
-			if t := h.state.Turn(turn); t != nil {
+			if t := h.state.Window(turn); t != nil {
 				for i := range h.machines {
 					if h.machines[i].ID == t.Machine {
 						h.downUntil[i] = h.now + time.Second
@@ -248,7 +248,7 @@
 	}
 	lead()
 	plan := func() {
-		text := fmt.Sprintf("all = true\nbears = 10.0\ncut_off = %q\nlongest = \"%ds\"\n[out]\nfleet = \"%d\"\ncell = \"%d\"\n", []string{Told, Awaited}[h.rng.IntN(2)], 20+h.rng.IntN(60), 1+h.rng.IntN(3), 1+h.rng.IntN(2))
+		text := fmt.Sprintf("all = true\nbears = 10.0\ncut_off = %q\nlongest = \"%ds\"\n[out]\nfleet = \"%d\"\ncell = \"%d\"\n", []string{ByOperator, AwaitExpiry}[h.rng.IntN(2)], 20+h.rng.IntN(60), 1+h.rng.IntN(3), 1+h.rng.IntN(2))
 		p, err := Parse([]byte(text))
 		if err != nil {
 			h.say("%v", err)
@@ -278,7 +278,7 @@
 		case 6, 9, 10, 11:
 			h.propose(Step{Kind: []Kind{Paused, Paused, Paused, Resumed, Cancelled}[h.rng.IntN(5)], Number: 1 + h.rng.Uint32N(h.state.LastPlan+1), By: 1})
 		case 7:
-			h.propose(Step{Kind: Done, Number: 1 + h.rng.Uint32N(h.state.LastTurn+1), By: 2}) // for a turn that may be over: its number tells
+			h.propose(Step{Kind: Done, Number: 1 + h.rng.Uint32N(h.state.LastWindow+1), By: 2}) // for a turn that may be over: its number tells
 		case 8:
 			h.traffic = float64(len(h.machines)) * (2 + 10*h.rng.Float64())
 		}
@@ -289,17 +289,17 @@
 	lead()
 	for range 4 * 60 * 60 {
 		h.step()
-		for _, w := range h.state.Works {
+		for _, w := range h.state.Plans {
 			if w.Paused != "" && h.rng.IntN(20) == 0 {
 				h.propose(Step{Kind: Resumed, Number: w.Number, By: 1})
 			}
 		}
-		for _, t := range h.state.Turns {
+		for _, t := range h.state.Windows {
 			if _, worked := h.working[t.Number]; t.Phase == Free && !worked && h.rng.IntN(20) == 0 {
 				h.propose(Step{Kind: Done, Number: t.Number, By: 1})
 			}
 		}
-		if len(h.state.Works) == 0 && len(h.state.Turns) == 0 {
+		if len(h.state.Plans) == 0 && len(h.state.Windows) == 0 {
 			return h
 		}
 	}
--- a/internal/fleet/maintenance/leader_test.go
+++ b/internal/fleet/maintenance/leader_test.go
@@ -13,7 +13,7 @@
 	t     *testing.T
 	l     *Leader
 	s     State
-	w     World
+	w     Snapshot
 	plan  *Plan
 	clear bool
 }
@@ -25,9 +25,9 @@
 		t.Fatal(err)
 	}
 	g := &stage{t: t, l: NewLeader(1, 0), plan: p}
-	g.w = World{Now: time.Hour, Current: true, Machines: machines(8), Traffic: 40, InTime: 1, Clear: func(uint32) bool { return g.clear }, Plan: func([32]byte) (*Plan, bool) { return g.plan, g.plan != nil }}
+	g.w = Snapshot{Now: time.Hour, Current: true, Machines: machines(8), Traffic: 40, InTime: 1, Clear: func(uint32) bool { return g.clear }, Plan: func([32]byte) (*Plan, bool) { return g.plan, g.plan != nil }}
 	g.enter(Step{Kind: Planned, Number: 1, Hash: [32]byte{1}, By: 1})
-	g.next(Leads)
+	g.next(LeaderStarted)
 	return g
 }
 
@@ -43,7 +43,7 @@
 	g.t.Helper()
 	s, due := g.l.Decide(&g.w, &g.s)
 	if !due || s.Kind != want {
-		g.t.Fatalf("decided %v %s, want %s; it waits for %q", due, s.Kind, want, g.l.Waits(1))
+		g.t.Fatalf("decided %v %s, want %s; it waits for %q", due, s.Kind, want, g.l.WaitReason(1))
 	}
 	g.enter(s)
 	return s
@@ -55,7 +55,7 @@
 	if s, due := g.l.Decide(&g.w, &g.s); due {
 		g.t.Fatalf("decided %s %d", s.Kind, s.Number)
 	}
-	if got := g.l.Waits(1); !strings.Contains(got, why) {
+	if got := g.l.WaitReason(1); !strings.Contains(got, why) {
 		g.t.Fatalf("it waits for %q, want something about %q", got, why)
 	}
 }
@@ -65,18 +65,18 @@
 // One turn from its beginning to its end, and what has to be there for each step.
 func TestTurn(t *testing.T) {
 	g := newStage(t)
-	turn := g.next(Given)
+	turn := g.next(Opened)
 	g.nothing("just been given")
 	g.after(10 * time.Second)
 	g.nothing("") // somebody may still have something out there
 	g.clear = true
-	g.next(Freed)
+	g.next(Released)
 	m := find(g.w.Machines, turn.Machine)
-	m.State = Down
-	g.next(Given) // a second one may be out
-	g.next(Freed)
+	m.State = MachineDown
+	g.next(Opened) // a second one may be out
+	g.next(Released)
 	g.nothing("would be out")
-	m.State, m.Started, m.Warmth = Ready, g.w.Now+time.Minute, 0.3
+	m.State, m.Started, m.Warmth = MachineReady, g.w.Now+time.Minute, 0.3
 	if done := g.next(Done); done.Number != turn.Number {
 		t.Fatalf("turn %d is done, %d has started", done.Number, turn.Number)
 	}
@@ -85,10 +85,10 @@
 	g.w.InTime = 0.9
 	g.nothing("in time")
 	g.w.InTime = 1
-	if over := g.next(Over); over.Number != turn.Number {
+	if over := g.next(Closed); over.Number != turn.Number {
 		t.Fatalf("turn %d is over", over.Number)
 	}
-	if third := g.next(Given); third.Machine == turn.Machine {
+	if third := g.next(Opened); third.Machine == turn.Machine {
 		t.Fatal("it has had its turn")
 	}
 }
@@ -100,13 +100,13 @@
 		why   string
 	}{
 		"an old list":             {func(g *stage) { g.w.Current = false }, "old"},
-		"sidecars out of contact": {func(g *stage) { g.w.Unheard = 1 }, "out of contact"},
+		"sidecars out of contact": {func(g *stage) { g.w.Unreachable = 1 }, "out of contact"},
 		"late answers":            {func(g *stage) { g.w.InTime = 0.94 }, "in time"},
 		"no text":                 {func(g *stage) { g.plan = nil }, "text"},
 		"three are down":          {func(g *stage) { g.downBut(&g.w.Machines[5], 3) }, "would be out"},
 		"three are cold":          {func(g *stage) { g.w.Machines[0].Warmth, g.w.Machines[4].Warmth, g.w.Machines[7].Warmth = 0.9, 0.9, 0.9 }, "would be out"},
 		"some drain, or are out by hand": {func(g *stage) {
-			g.w.Machines[0].State, g.w.Machines[4].State, g.w.Machines[7].State = Draining, Draining, Draining
+			g.w.Machines[0].State, g.w.Machines[4].State, g.w.Machines[7].State = MachineDraining, MachineDraining, MachineDraining
 		}, "would be out"},
 		"too much traffic": {func(g *stage) { g.w.Traffic = 64 }, "the others carry 63"},
 	} {
@@ -115,12 +115,12 @@
 			c.doubt(g)
 			g.nothing(c.why)
 			g = newStage(t)
-			g.next(Given)
+			g.next(Opened)
 			g.clear = true
-			g.next(Freed)
+			g.next(Released)
 			c.doubt(g)
 			g.after(time.Second)
-			if s, due := g.l.Decide(&g.w, &g.s); due && s.Kind != Given {
+			if s, due := g.l.Decide(&g.w, &g.s); due && s.Kind != Opened {
 				t.Errorf("a turn that was free is %s", s.Kind)
 			}
 		})
@@ -134,11 +134,11 @@
 		"traffic doubled":            func(g *stage, _ *Machine) { g.w.Traffic = 80 },
 		"somebody sends on and on":   func(g *stage, _ *Machine) { g.clear = false; g.after(61 * time.Second) },
 		"its plan was cancelled":     func(g *stage, _ *Machine) { g.enter(Step{Kind: Cancelled, Number: 1, By: 1}) },
-		"its cell's other went down": func(g *stage, m *Machine) { find(g.w.Machines, (m.ID-1)^1+1).State = Down },
+		"its cell's other went down": func(g *stage, m *Machine) { find(g.w.Machines, (m.ID-1)^1+1).State = MachineDown },
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := newStage(t)
-			turn := g.next(Given)
+			turn := g.next(Opened)
 			g.clear = false
 			if _, due := g.l.Decide(&g.w, &g.s); due {
 				t.Fatal("it is not clear yet")
@@ -148,8 +148,8 @@
 			if w := g.next(Withdrawn); w.Number != turn.Number {
 				t.Errorf("turn %d was withdrawn", w.Number)
 			}
-			if len(g.s.Out()) != 0 {
-				t.Errorf("out: %v", g.s.Out())
+			if len(g.s.MachinesOut()) != 0 {
+				t.Errorf("out: %v", g.s.MachinesOut())
 			}
 		})
 	}
@@ -158,7 +158,7 @@
 func (g *stage) downBut(m *Machine, n int) {
 	for i := range g.w.Machines {
 		if o := &g.w.Machines[i]; o.ID != m.ID && n > 0 {
-			o.State = Down
+			o.State = MachineDown
 			n--
 		}
 	}
@@ -170,7 +170,7 @@
 		"takes too long": func(g *stage, _ Step) { g.after(61 * time.Second) },
 		"never came back": func(g *stage, turn Step) {
 			g.enter(Step{Kind: Done, Number: turn.Number, By: 1})
-			find(g.w.Machines, turn.Machine).State = Down
+			find(g.w.Machines, turn.Machine).State = MachineDown
 			g.look()
 			g.after(61 * time.Second)
 		},
@@ -184,16 +184,16 @@
 	} {
 		t.Run(why, func(t *testing.T) {
 			g := newStage(t)
-			turn := g.next(Given)
+			turn := g.next(Opened)
 			g.clear = true
-			g.next(Freed)
-			g.w.Unheard = 1 // nobody goes next
+			g.next(Released)
+			g.w.Unreachable = 1 // nobody goes next
 			g.look()
 			spoil(g, turn)
 			if s := g.next(Paused); !strings.Contains(s.Why, why) {
 				t.Errorf("paused: %q", s.Why)
 			}
-			g.w.Unheard, g.w.InTime = 0, 1
+			g.w.Unreachable, g.w.InTime = 0, 1
 			g.nothing("paused")
 			g.enter(Step{Kind: Resumed, Number: 1, By: 1})
 		})
@@ -213,13 +213,13 @@
 	order := func() (ids []uint64) {
 		g := newStage(t)
 		g.clear = true
-		g.w.Machines[6].Strained, g.w.Machines[2].Weight = true, 2
+		g.w.Machines[6].Overloaded, g.w.Machines[2].Weight = true, 2
 		for len(ids) < 8 {
-			turn := g.next(Given)
+			turn := g.next(Opened)
 			ids = append(ids, turn.Machine)
-			g.next(Freed)
+			g.next(Released)
 			g.enter(Step{Kind: Done, Number: turn.Number, By: 1})
-			g.next(Over)
+			g.next(Closed)
 		}
 		g.next(Finished)
 		return ids
@@ -242,28 +242,28 @@
 func TestAwaitedBeforeFree(t *testing.T) {
 	g := newStage(t)
 	g.w.Slack = 30 * time.Second
-	g.next(Given)
-	g.clear, g.w.Unheard = true, 1
+	g.next(Opened)
+	g.clear, g.w.Unreachable = true, 1
 	g.nothing("out of contact")
-	g.after(leaveFor + g.w.Slack)
+	g.after(drainTimeout + g.w.Slack)
 	g.nothing("out of contact")
 	g.after(time.Second)
 	if s := g.next(Withdrawn); s.Why == "" {
 		t.Error("withdrawn with no word on why")
 	}
 	g.nothing("out of contact")
-	g.w.Unheard = 0
-	g.next(Given)
-	g.w.Unheard = 1
+	g.w.Unreachable = 0
+	g.next(Opened)
+	g.w.Unreachable = 1
 	g.nothing("out of contact")
-	g.w.Unheard = 0
-	g.next(Freed)
+	g.w.Unreachable = 0
+	g.next(Released)
 }
 
 // A turn's entries fit one phase each, whoever puts them into the log and however late.
 func TestEntriesFitPhases(t *testing.T) {
 	g := newStage(t)
-	turn := g.next(Given)
+	turn := g.next(Opened)
 	step := func(k Kind) Step { return Step{Kind: k, Number: turn.Number, Term: g.l.Term, By: 0} }
 	refused := func(k Kind) {
 		t.Helper()
@@ -271,28 +271,28 @@
 			t.Errorf("%s was taken", k)
 		}
 	}
-	for _, k := range []Kind{Done, Over} {
+	for _, k := range []Kind{Done, Closed} {
 		refused(k)
 	}
-	g.enter(step(Freed))
-	for _, k := range []Kind{Freed, Withdrawn, Over} { // somebody works on it
+	g.enter(step(Released))
+	for _, k := range []Kind{Released, Withdrawn, Closed} { // somebody works on it
 		refused(k)
 	}
-	if len(g.s.Out()) != 1 {
-		t.Errorf("out: %v", g.s.Out())
+	if len(g.s.MachinesOut()) != 1 {
+		t.Errorf("out: %v", g.s.MachinesOut())
 	}
 	for _, number := range []uint32{turn.Number, turn.Number + 2} { // one that came late, one that overtook another
-		other := Step{Kind: Given, Number: number, Plan: 1, Plans: 1, Machine: g.w.Machines[7].ID, Term: g.l.Term}
+		other := Step{Kind: Opened, Number: number, Plan: 1, LastPlan: 1, Machine: g.w.Machines[7].ID, Term: g.l.Term}
 		if g.s.Apply(other) == "" {
 			t.Errorf("turn %d was taken behind turn %d", number, turn.Number)
 		}
 	}
 	g.enter(step(Done))
-	for _, k := range []Kind{Freed, Withdrawn, Done} {
+	for _, k := range []Kind{Released, Withdrawn, Done} {
 		refused(k)
 	}
-	g.enter(step(Over))
-	for _, k := range []Kind{Freed, Withdrawn, Done, Over} {
+	g.enter(step(Closed))
+	for _, k := range []Kind{Released, Withdrawn, Done, Closed} {
 		refused(k)
 	}
 }
@@ -310,13 +310,13 @@
 		zones[m.Zone] = true
 	}
 	for range zones {
-		turn := g.next(Given)
+		turn := g.next(Opened)
 		zone := find(g.w.Machines, turn.Machine).Zone
 		if !zones[zone] {
 			t.Fatalf("a second one of zone %s", zone)
 		}
 		zones[zone] = false
-		g.next(Freed)
+		g.next(Released)
 	}
 	g.nothing("would be out in zone")
 }
--- a/internal/fleet/maintenance/plan.go
+++ b/internal/fleet/maintenance/plan.go
@@ -15,9 +15,9 @@
 )
 
 const (
-	machinesMost = 10_000
-	nameMost     = 128
-	longestMost  = 7 * 24 * time.Hour
+	maxMachines  = 10_000
+	maxNameBytes = 128
+	maxLongest   = 7 * 24 * time.Hour
 )
 
 // Plan is an operator's text: what needs work, and within which bounds.
@@ -27,13 +27,13 @@
 	Zones    []string `toml:"zones"`    // or of these,
 	All      bool     `toml:"all"`      // or all that are listed
 
-	Out     Bounds   `toml:"out"`     // how many may be out at once, for whatever reason
-	Reserve float64  `toml:"reserve"` // share of what the others carry that must stay free
-	Bears   float64  `toml:"bears"`   // requests a second that a machine of weight 1 carries; 0: not known, and no reserve is kept
-	InTime  float64  `toml:"in_time"` // share of the requests that has to be served in time before the next turn
-	Longest Duration `toml:"longest"` // that one may be out; the plan stops then
-	Back    string   `toml:"back"`    // what says that a machine is done: "told" by the operator, or that it has "started" anew
-	CutOff  string   `toml:"cut_off"` // sidecars out of contact, which may send to a machine that is out: "told" with the answer, or "awaited"
+	Out                Bounds   `toml:"out"`     // how many may be out at once, for whatever reason
+	Reserve            float64  `toml:"reserve"` // share of what the others carry that must stay free
+	CapacityPerMachine float64  `toml:"bears"`   // requests a second that a machine of weight 1 carries; 0: not known, and no reserve is kept
+	InTime             float64  `toml:"in_time"` // share of the requests that has to be served in time before the next turn
+	MaxDuration        Duration `toml:"longest"` // that one may be out; the plan stops then
+	DoneWhen           string   `toml:"back"`    // what says that a machine is done: "told" by the operator, or that it has "started" anew
+	CutOff             string   `toml:"cut_off"` // sidecars out of contact, which may send to a machine that is out: "told" with the answer, or "awaited"
 }
 
 // Bounds are how many may be out at once. Those left out don't bind.
@@ -61,15 +61,15 @@
 		return nil
 	}
 	n, err := strconv.Atoi(s)
-	if err != nil || n < 1 || n > machinesMost {
-		return fmt.Errorf("%q is no bound: a number from 1 to %d, or a share such as \"10%%\"", s, machinesMost)
+	if err != nil || n < 1 || n > maxMachines {
+		return fmt.Errorf("%q is no bound: a number from 1 to %d, or a share such as \"10%%\"", s, maxMachines)
 	}
 	*b = Bound{Count: n}
 	return nil
 }
 
-// of is the bound where there are so many; a nil one does not bind.
-func (b *Bound) of(n int) int {
+// limit is the bound where there are so many; a nil one does not bind.
+func (b *Bound) limit(n int) int {
 	switch {
 	case b == nil:
 		return math.MaxInt
@@ -91,14 +91,14 @@
 
 // What says that a machine is done, and what becomes of sidecars out of contact.
 const (
-	Told    = "told"
-	Started = "started"
-	Awaited = "awaited"
+	ByOperator  = "told"
+	Restarted   = "started"
+	AwaitExpiry = "awaited"
 )
 
 // Parse reads a plan. An error names line or field.
 func Parse(text []byte) (*Plan, error) {
-	p := &Plan{InTime: 0.95, Longest: Duration(time.Hour), Back: Told, CutOff: Told, Reserve: 0.1}
+	p := &Plan{InTime: 0.95, MaxDuration: Duration(time.Hour), DoneWhen: ByOperator, CutOff: ByOperator, Reserve: 0.1}
 	if err := strictconfig.DecodeTOML(text, p); err != nil {
 		return nil, err
 	}
@@ -116,27 +116,27 @@
 	switch {
 	case ways != 1:
 		return errors.New("one of machines, cells, zones and all = true says what needs work")
-	case len(p.Machines) > machinesMost:
-		return fmt.Errorf("machines: %d of them, %d are possible", len(p.Machines), machinesMost)
+	case len(p.Machines) > maxMachines:
+		return fmt.Errorf("machines: %d of them, %d are possible", len(p.Machines), maxMachines)
 	case p.Out.Fleet == nil:
 		return errors.New("out.fleet is missing: how many may be out at once")
 	case !share(p.Reserve) || p.Reserve == 1:
 		return fmt.Errorf("reserve: %v is no share below 1", p.Reserve)
-	case !(p.Bears >= 0) || math.IsInf(p.Bears, 0):
-		return fmt.Errorf("bears: %v is no number of requests a second", p.Bears)
+	case !(p.CapacityPerMachine >= 0) || math.IsInf(p.CapacityPerMachine, 0):
+		return fmt.Errorf("bears: %v is no number of requests a second", p.CapacityPerMachine)
 	case !share(p.InTime):
 		return fmt.Errorf("in_time: %v is no share", p.InTime)
-	case p.Longest <= 0 || time.Duration(p.Longest) > longestMost:
-		return fmt.Errorf("longest: %v is not within 0 and %v", time.Duration(p.Longest), longestMost)
-	case p.Back != Told && p.Back != Started:
-		return fmt.Errorf("back: %q is neither %q nor %q", p.Back, Told, Started)
-	case p.CutOff != Told && p.CutOff != Awaited:
-		return fmt.Errorf("cut_off: %q is neither %q nor %q", p.CutOff, Told, Awaited)
+	case p.MaxDuration <= 0 || time.Duration(p.MaxDuration) > maxLongest:
+		return fmt.Errorf("longest: %v is not within 0 and %v", time.Duration(p.MaxDuration), maxLongest)
+	case p.DoneWhen != ByOperator && p.DoneWhen != Restarted:
+		return fmt.Errorf("back: %q is neither %q nor %q", p.DoneWhen, ByOperator, Restarted)
+	case p.CutOff != ByOperator && p.CutOff != AwaitExpiry:
+		return fmt.Errorf("cut_off: %q is neither %q nor %q", p.CutOff, ByOperator, AwaitExpiry)
 	}
 	seen := make(map[string]bool, len(p.Machines))
 	for i, id := range p.Machines {
-		if id == "" || len(id) > nameMost {
-			return fmt.Errorf("machines[%d]: an id of %d bytes, 1 to %d are possible", i, len(id), nameMost)
+		if id == "" || len(id) > maxNameBytes {
+			return fmt.Errorf("machines[%d]: an id of %d bytes, 1 to %d are possible", i, len(id), maxNameBytes)
 		}
 		if seen[id] {
 			return fmt.Errorf("machines[%d]: %s stands there twice", i, id)
@@ -146,8 +146,8 @@
 	return nil
 }
 
-// names says whether a plan is about a machine.
-func (p *Plan) names(m *Machine) bool {
+// matches says whether a plan is about a machine.
+func (p *Plan) matches(m *Machine) bool {
 	switch {
 	case p.All:
 		return true
@@ -159,12 +159,12 @@
 	return slices.Contains(p.Machines, m.Name)
 }
 
-// Usable says why a plan can't begin with the machines that there are: told at once, not waited for.
-func (p *Plan) Usable(all []Machine) error {
+// CheckMachines says why a plan can't begin with the machines that there are: told at once, not waited for.
+func (p *Plan) CheckMachines(all []Machine) error {
 	listed, named := make(map[string]bool, len(all)), 0
 	for i := range all {
 		listed[all[i].Name] = true
-		if p.names(&all[i]) {
+		if p.matches(&all[i]) {
 			named++
 		}
 	}
@@ -176,10 +176,10 @@
 	if named == 0 {
 		return errors.New("no machine that is listed is meant")
 	}
-	zones, cells := count(all)
+	zones, cells := countByZoneAndCell(all)
 	for i := range all {
 		m := &all[i]
-		if !p.names(m) {
+		if !p.matches(m) {
 			continue
 		}
 		for _, b := range []struct {
@@ -187,19 +187,19 @@
 			bound *Bound
 			there int
 		}{{"fleet", p.Out.Fleet, len(all)}, {"zone", p.Out.Zone, zones[m.Zone]}, {"cell", p.Out.Cell, cells[m.Cell]}} {
-			if b.bound.of(b.there) < 1 {
+			if b.bound.limit(b.there) < 1 {
 				return fmt.Errorf("out.%s: %v%% of %d machines is less than one, so %s could never go", b.field, b.bound.Percent, b.there, m.Name)
 			}
 		}
-		if why := p.carries(all, map[uint64]bool{m.ID: true}, 0); p.Bears > 0 && why != "" {
+		if why := p.whyOverloaded(all, map[uint64]bool{m.ID: true}, 0); p.CapacityPerMachine > 0 && why != "" {
 			return fmt.Errorf("without %s nothing is left to carry anything", m.Name)
 		}
 	}
 	return nil
 }
 
-// count counts machines by zone and cell, those that are gone for now among them.
-func count(all []Machine) (zones map[string]int, cells map[int]int) {
+// countByZoneAndCell counts machines by zone and cell, those that are gone for now among them.
+func countByZoneAndCell(all []Machine) (zones map[string]int, cells map[int]int) {
 	zones, cells = make(map[string]int), make(map[int]int)
 	for i := range all {
 		zones[all[i].Zone]++
@@ -208,15 +208,15 @@
 	return zones, cells
 }
 
-// carries says why those that are left can't carry the traffic with the plan's reserve; "" where they can, or where it is not known what they bear.
-func (p *Plan) carries(all []Machine, out map[uint64]bool, traffic float64) string {
-	if p.Bears == 0 {
+// whyOverloaded says why those that are left can't carry the traffic with the plan's reserve; "" where they can, or where it is not known what they bear.
+func (p *Plan) whyOverloaded(all []Machine, out map[uint64]bool, traffic float64) string {
+	if p.CapacityPerMachine == 0 {
 		return ""
 	}
 	bears := 0.0
 	for i := range all {
-		if m := &all[i]; m.State == Ready && !out[m.ID] {
-			bears += p.Bears * m.Weight * m.Warmth
+		if m := &all[i]; m.State == MachineReady && !out[m.ID] {
+			bears += p.CapacityPerMachine * m.Weight * m.Warmth
 		}
 	}
 	if free := bears * (1 - p.Reserve); bears == 0 || traffic > free {
--- a/internal/fleet/maintenance/plan_keys_test.go
+++ b/internal/fleet/maintenance/plan_keys_test.go
@@ -26,8 +26,8 @@
 		`zones = ["b", "c"]`:        {Zones: []string{"b", "c"}},
 		`all = true`:                {All: true},
 	} {
-		want.Reserve, want.Bears, want.InTime, want.Longest = 0.25, 120.5, 0.75, Duration(2*time.Hour)
-		want.Back, want.CutOff = "started", "awaited"
+		want.Reserve, want.CapacityPerMachine, want.InTime, want.MaxDuration = 0.25, 120.5, 0.75, Duration(2*time.Hour)
+		want.DoneWhen, want.CutOff = "started", "awaited"
 		want.Out = Bounds{Fleet: &Bound{Percent: 10}, Zone: &Bound{Count: 2}, Cell: &Bound{Count: 3}}
 		got, err := Parse([]byte(machines + common))
 		if err != nil {
--- a/internal/fleet/maintenance/plan_test.go
+++ b/internal/fleet/maintenance/plan_test.go
@@ -8,7 +8,7 @@
 
 func machines(n int) (all []Machine) {
 	for i := range n {
-		all = append(all, Machine{ID: uint64(i + 1), Name: fmt.Sprintf("s-%d", i), Zone: []string{"a", "b"}[i%2], Cell: i / 4, Weight: 1, State: Ready, Warmth: 1})
+		all = append(all, Machine{ID: uint64(i + 1), Name: fmt.Sprintf("s-%d", i), Zone: []string{"a", "b"}[i%2], Cell: i / 4, Weight: 1, State: MachineReady, Warmth: 1})
 	}
 	return all
 }
@@ -44,7 +44,7 @@
 	} {
 		p, err := Parse([]byte(text))
 		if err == nil {
-			err = p.Usable(machines(8))
+			err = p.CheckMachines(machines(8))
 		}
 		if err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%q: %v, want something about %q", text, err, want)
@@ -52,16 +52,16 @@
 	}
 	p, err := Parse([]byte("zones = [\"a\"]\nbears = 10.0\nback = \"started\"\n[out]\nfleet = \"25%\"\ncell = \"1\"\n"))
 	if err == nil {
-		err = p.Usable(machines(8))
+		err = p.CheckMachines(machines(8))
 	}
 	if err != nil {
 		t.Error(err)
 	}
-	if err := p.Usable(machines(1)); err == nil || !strings.Contains(err.Error(), "less than one") {
+	if err := p.CheckMachines(machines(1)); err == nil || !strings.Contains(err.Error(), "less than one") {
 		t.Errorf("a quarter of one: %v", err)
 	}
 	long := "machines = ["
-	for i := range machinesMost + 1 {
+	for i := range maxMachines + 1 {
 		long += fmt.Sprintf("\"s-%d\",", i)
 	}
 	if _, err := Parse([]byte(long + "]\nout.fleet = \"1\"")); err == nil || !strings.Contains(err.Error(), "10001 of them") {
@@ -72,10 +72,10 @@
 // An entry fits into the log whatever it says, comes back as it was, and what is none is refused.
 func TestEntries(t *testing.T) {
 	for _, s := range []Step{
-		{Kind: Leads, Term: 7, By: 299},
+		{Kind: LeaderStarted, Term: 7, By: 299},
 		{Kind: Planned, Number: 1 << 30, By: 4999, Hash: [32]byte{1, 2, 3}},
-		{Kind: Given, Number: 1 << 30, Plan: 1 << 30, Plans: 1 << 30, Machine: ^uint64(0), Term: ^uint64(0), By: 4999},
-		{Kind: Withdrawn, Number: 3, Term: 1, Why: strings.Repeat("x", whyMost)},
+		{Kind: Opened, Number: 1 << 30, Plan: 1 << 30, LastPlan: 1 << 30, Machine: ^uint64(0), Term: ^uint64(0), By: 4999},
+		{Kind: Withdrawn, Number: 3, Term: 1, Why: strings.Repeat("x", maxReasonBytes)},
 		{Kind: Paused, Number: 3, Why: "too long"},
 	} {
 		raw, err := s.Encode()
@@ -91,7 +91,7 @@
 		t.Error(err)
 	}
 	for name, s := range map[string]Step{
-		"a turn of nobody": {Kind: Given, Number: 1, Plan: 1, Machine: 1}, "a kind of a newer version": {Kind: kinds, Number: 1}, "no number": {Kind: Done}, "a machine that is none": {Kind: Given, Number: 1, Plan: 1, Term: 1},
+		"a turn of nobody": {Kind: Opened, Number: 1, Plan: 1, Machine: 1}, "a kind of a newer version": {Kind: kinds, Number: 1}, "no number": {Kind: Done}, "a machine that is none": {Kind: Opened, Number: 1, Plan: 1, Term: 1},
 	} {
 		raw, _ := s.Encode()
 		if _, err := Decode(raw); err == nil {
@@ -101,7 +101,7 @@
 }
 
 func FuzzDecode(f *testing.F) {
-	raw, _ := Step{Kind: Given, Number: 1, Plan: 1, Plans: 1, Machine: 5, Term: 2}.Encode()
+	raw, _ := Step{Kind: Opened, Number: 1, Plan: 1, LastPlan: 1, Machine: 5, Term: 2}.Encode()
 	f.Add(raw)
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		if s, err := Decode(raw); err == nil {
@@ -109,7 +109,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if back, err := Decode(again); err != nil || back != s && len(s.Why) <= whyMost {
+			if back, err := Decode(again); err != nil || back != s && len(s.Why) <= maxReasonBytes {
 				t.Fatalf("%+v came back as %+v, %v", s, back, err)
 			}
 		}
@@ -120,7 +120,7 @@
 	f.Add("all = true\nout.fleet = \"10%\"\n")
 	f.Fuzz(func(t *testing.T, text string) {
 		if p, err := Parse([]byte(text)); err == nil {
-			_ = p.Usable(machines(5))
+			_ = p.CheckMachines(machines(5))
 		}
 	})
 }
--- a/internal/fleet/maintenance/state.go
+++ b/internal/fleet/maintenance/state.go
@@ -11,94 +11,94 @@
 
 // The phases of a turn that is not over.
 const (
-	Leaving   Phase = iota // nothing new is sent to the machine
+	Draining  Phase = iota // nothing new is sent to the machine
 	Free                   // it may be worked on
 	Returning              // the work is done: it comes back, cold
 )
 
 func (p Phase) String() string { return [...]string{"leaving", "free", "returning"}[p] }
 
-// Turn is one machine's.
-type Turn struct {
+// Window is one machine's.
+type Window struct {
 	Number  uint32 // grows from turn to turn, over all plans
 	Plan    uint32
 	Machine uint64
 	Phase   Phase
 }
 
-// Work is a plan that has not ended.
-type Work struct {
-	Number  uint32
-	Hash    [32]byte
-	By      int
-	Paused  string          // why; "": it is not
-	Worked  map[uint64]bool // machines that have had a turn
-	Skipped int             // turns that were withdrawn
+// ActivePlan is a plan that has not ended.
+type ActivePlan struct {
+	Number    uint32
+	Hash      [32]byte
+	By        int
+	Paused    string          // why; "": it is not
+	Visited   map[uint64]bool // machines that have had a turn
+	Withdrawn int             // turns that were withdrawn
 }
 
 // Past is a turn that has ended.
 type Past struct {
-	Turn
+	Window
 	Outcome Kind // Over or Withdrawn
 	Why     string
 }
 
 const (
-	pastMost  = 256
-	worksMost = 8
+	maxPast  = 256
+	maxPlans = 8
 )
 
 // State is what the log makes of it: the same at everyone who has the same entries.
 type State struct {
-	Term     uint64 // of the leader whose decisions count
-	LastPlan uint32
-	LastTurn uint32
-	Works    []Work // that have not ended, the oldest first
-	Turns    []Turn // that are not over, the oldest first
-	Past     []Past // the last pastMost
-	Ended    []Ended
+	Term       uint64 // of the leader whose decisions count
+	LastPlan   uint32
+	LastWindow uint32
+	Plans      []ActivePlan // that have not ended, the oldest first
+	Windows    []Window     // that are not over, the oldest first
+	Past       []Past       // the last pastMost
+	Ended      []EndedPlan
 }
 
-// Ended is a plan that has ended.
-type Ended struct {
+// EndedPlan is a plan that has ended.
+type EndedPlan struct {
 	Number  uint32
 	Outcome Kind // Finished or Cancelled
-	Worked  int
+	Visited int
 }
 
 // Clone is a copy that shares nothing.
 func (s *State) Clone() State {
 	c := *s
-	c.Works, c.Turns, c.Past, c.Ended = slices.Clone(s.Works), slices.Clone(s.Turns), slices.Clone(s.Past), slices.Clone(s.Ended)
-	for i := range c.Works {
-		c.Works[i].Worked = maps.Clone(c.Works[i].Worked)
+	c.Plans, c.Windows, c.Past, c.Ended = slices.Clone(s.Plans), slices.Clone(s.Windows), slices.Clone(s.Past), slices.Clone(s.Ended)
+	for i := range c.Plans {
+		c.Plans[i].Visited = maps.Clone(c.Plans[i].Visited)
 	}
 	return c
 }
 
-// Work is a plan that has not ended, or nil.
-func (s *State) Work(number uint32) *Work {
-	for i := range s.Works {
-		if s.Works[i].Number == number {
-			return &s.Works[i]
+// Plan is a plan that has not ended, or nil.
+func (s *State) Plan(number uint32) *ActivePlan {
+	for i := range s.Plans {
+		if s.Plans[i].Number == number {
+			return &s.Plans[i]
 		}
 	}
 	return nil
 }
 
-// Turn is one that is not over, or nil.
-func (s *State) Turn(number uint32) *Turn {
-	for i := range s.Turns {
-		if s.Turns[i].Number == number {
-			return &s.Turns[i]
+// Window is one that is not over, or nil.
+func (s *State) Window(number uint32) *Window {
+	for i := range s.Windows {
+		if s.Windows[i].Number == number {
+			return &s.Windows[i]
 		}
 	}
 	return nil
 }
 
-// Out are the machines to which nothing new may be sent.
-func (s *State) Out() (all []uint64) {
-	for _, t := range s.Turns {
+// MachinesOut are the machines to which nothing new may be sent.
+func (s *State) MachinesOut() (all []uint64) {
+	for _, t := range s.Windows {
 		if t.Phase != Returning {
 			all = append(all, t.Machine)
 		}
@@ -108,7 +108,7 @@
 
 // Apply takes the next entry. refused says why it changes nothing: each may stand in the log twice, or come long after what it was decided by.
 func (s *State) Apply(e Step) (refused string) {
-	if e.Kind == Leads {
+	if e.Kind == LeaderStarted {
 		if e.Term <= s.Term {
 			return "a later leader has begun"
 		}
@@ -116,60 +116,60 @@
 		return ""
 	}
 	// A leader that stood still, and goes on thinking that it leads, must not give a turn beside those of the present one: what it decided it decided by what it knew then.
-	if e.Kind.ofLeader() && e.Term != s.Term {
+	if e.Kind.leaderOnly() && e.Term != s.Term {
 		return "it is of a leader that leads no more"
 	}
 	switch e.Kind {
 	case Planned, Paused, Resumed, Cancelled, Finished:
 		return s.applyPlan(e)
-	case Given:
-		w := s.Work(e.Plan)
+	case Opened:
+		w := s.Plan(e.Plan)
 		switch {
-		case e.Number != s.LastTurn+1:
-			return fmt.Sprintf("turn %d is the next one", s.LastTurn+1)
-		case e.Plans != s.LastPlan: // whose bounds it was not held against
+		case e.Number != s.LastWindow+1:
+			return fmt.Sprintf("turn %d is the next one", s.LastWindow+1)
+		case e.LastPlan != s.LastPlan: // whose bounds it was not held against
 			return fmt.Sprintf("plan %d was not known where it was decided", s.LastPlan)
 		case w == nil:
 			return fmt.Sprintf("plan %d has ended", e.Plan)
 		case w.Paused != "":
 			return fmt.Sprintf("plan %d is paused", e.Plan)
-		case w.Worked[e.Machine]:
+		case w.Visited[e.Machine]:
 			return "it has had its turn"
-		case slices.ContainsFunc(s.Turns, func(t Turn) bool { return t.Machine == e.Machine }):
+		case slices.ContainsFunc(s.Windows, func(t Window) bool { return t.Machine == e.Machine }):
 			return "it is out already"
 		}
-		s.LastTurn, w.Worked[e.Machine] = e.Number, true
-		s.Turns = append(s.Turns, Turn{Number: e.Number, Plan: e.Plan, Machine: e.Machine})
+		s.LastWindow, w.Visited[e.Machine] = e.Number, true
+		s.Windows = append(s.Windows, Window{Number: e.Number, Plan: e.Plan, Machine: e.Machine})
 		return ""
 	}
-	t := s.Turn(e.Number)
+	t := s.Window(e.Number)
 	switch {
 	case t == nil:
 		return fmt.Sprintf("turn %d is over, or never was", e.Number)
-	case e.Kind == Freed && t.Phase == Leaving:
+	case e.Kind == Released && t.Phase == Draining:
 		t.Phase = Free
 	case e.Kind == Done && t.Phase == Free:
 		t.Phase = Returning
-	case e.Kind == Withdrawn && t.Phase == Leaving:
-		if w := s.Work(t.Plan); w != nil { // its turn is still to come
-			delete(w.Worked, t.Machine)
-			w.Skipped++
+	case e.Kind == Withdrawn && t.Phase == Draining:
+		if w := s.Plan(t.Plan); w != nil { // its turn is still to come
+			delete(w.Visited, t.Machine)
+			w.Withdrawn++
 		}
-		s.end(e)
-	case e.Kind == Over && t.Phase == Returning:
-		s.end(e)
+		s.endWindow(e)
+	case e.Kind == Closed && t.Phase == Returning:
+		s.endWindow(e)
 	default:
 		return fmt.Sprintf("turn %d is %s", e.Number, t.Phase)
 	}
 	return ""
 }
 
-// end takes a turn from those that are not over.
-func (s *State) end(e Step) {
-	i := slices.IndexFunc(s.Turns, func(t Turn) bool { return t.Number == e.Number })
-	s.Past = append(s.Past, Past{s.Turns[i], e.Kind, e.Why})
-	s.Past = s.Past[max(0, len(s.Past)-pastMost):]
-	s.Turns = slices.Delete(s.Turns, i, i+1)
+// endWindow takes a turn from those that are not over.
+func (s *State) endWindow(e Step) {
+	i := slices.IndexFunc(s.Windows, func(t Window) bool { return t.Number == e.Number })
+	s.Past = append(s.Past, Past{s.Windows[i], e.Kind, e.Why})
+	s.Past = s.Past[max(0, len(s.Past)-maxPast):]
+	s.Windows = slices.Delete(s.Windows, i, i+1)
 }
 
 // applyPlan takes an entry about a plan.
@@ -178,14 +178,14 @@
 		switch {
 		case e.Number != s.LastPlan+1:
 			return fmt.Sprintf("plan %d is the next one", s.LastPlan+1)
-		case len(s.Works) >= worksMost:
-			return fmt.Sprintf("%d plans are under way, no more are possible", worksMost)
+		case len(s.Plans) >= maxPlans:
+			return fmt.Sprintf("%d plans are under way, no more are possible", maxPlans)
 		}
 		s.LastPlan = e.Number
-		s.Works = append(s.Works, Work{Number: e.Number, Hash: e.Hash, By: e.By, Worked: make(map[uint64]bool)})
+		s.Plans = append(s.Plans, ActivePlan{Number: e.Number, Hash: e.Hash, By: e.By, Visited: make(map[uint64]bool)})
 		return ""
 	}
-	w := s.Work(e.Number)
+	w := s.Plan(e.Number)
 	switch {
 	case w == nil:
 		return fmt.Sprintf("plan %d has ended, or never was", e.Number)
@@ -197,13 +197,13 @@
 		w.Paused = ""
 	case e.Kind == Paused || e.Kind == Resumed:
 		return fmt.Sprintf("plan %d is that already", e.Number)
-	case e.Kind == Finished && slices.ContainsFunc(s.Turns, func(t Turn) bool { return t.Plan == e.Number }):
+	case e.Kind == Finished && slices.ContainsFunc(s.Windows, func(t Window) bool { return t.Plan == e.Number }):
 		return "a turn of it is not over"
 	default:
 		// A turn that was given goes on: somebody may be at the machine.
-		s.Ended = append(s.Ended, Ended{w.Number, e.Kind, len(w.Worked)})
-		s.Ended = s.Ended[max(0, len(s.Ended)-worksMost):]
-		s.Works = slices.DeleteFunc(s.Works, func(w Work) bool { return w.Number == e.Number })
+		s.Ended = append(s.Ended, EndedPlan{w.Number, e.Kind, len(w.Visited)})
+		s.Ended = s.Ended[max(0, len(s.Ended)-maxPlans):]
+		s.Plans = slices.DeleteFunc(s.Plans, func(w ActivePlan) bool { return w.Number == e.Number })
 	}
 	return ""
 }
--- a/internal/fleet/policy.go
+++ b/internal/fleet/policy.go
@@ -322,7 +322,7 @@
 		log.Info("policy: goes by", "mode", e.Goes.Mode.String(), "version", e.Goes.New.Version, "old", e.Goes.Old.Version)
 	case "leads", "log":
 		if e.What == "log" {
-			h.p.work.own, h.p.work.logs = maintenance.Own{}, h.p.work.logs+1
+			h.p.work.own, h.p.work.logs = maintenance.LocalClearance{}, h.p.work.logs+1
 		}
 		log.Info("policy: "+e.What, "number", e.By, "what", e.Why)
 	case "entry":
--- a/internal/fleet/replicatedstate/reports.go
+++ b/internal/fleet/replicatedstate/reports.go
@@ -97,7 +97,7 @@
 	n.poked = false
 	r := n.holder.NextReport(now)
 	s := n.holder.State()
-	is := reported{r.Active, r.Rejection, r.ReadyVersion, s.Started, s.OutcomeIndex, min(len(seats), 2), n.clear(), n.work.state.LastTurn}
+	is := reported{r.Active, r.Rejection, r.ReadyVersion, s.Started, s.OutcomeIndex, min(len(seats), 2), n.clear(), n.work.state.LastWindow}
 	switch due := n.toldAt + n.Lease*reportPart/100; {
 	case is != n.told: // at once
 		n.tries = 0
--- a/internal/fleet/replicatedstate/texts.go
+++ b/internal/fleet/replicatedstate/texts.go
@@ -130,7 +130,7 @@
 			all = append(all, r.Hash)
 		}
 	}
-	for _, w := range n.work.state.Works {
+	for _, w := range n.work.state.Plans {
 		all = append(all, w.Hash)
 	}
 	return all
--- a/internal/fleet/replicatedstate/work.go
+++ b/internal/fleet/replicatedstate/work.go
@@ -39,7 +39,7 @@
 type work struct {
 	state  maintenance.State
 	leader *maintenance.Leader // nil: another leads, or nothing is to be done
-	book   maintenance.Book
+	book   maintenance.Reports
 	plans  map[hash]*maintenance.Plan // those that were read
 
 	decided   maintenance.Step // what this leader last wanted in the log
@@ -52,7 +52,7 @@
 }
 
 // inWork says whether there is anything about work: only then it costs anyone a byte.
-func (n *Node) inWork() bool { return len(n.work.state.Works)+len(n.work.state.Turns) > 0 }
+func (n *Node) inWork() bool { return len(n.work.state.Plans)+len(n.work.state.Windows) > 0 }
 
 // wrap is a step about work as an entry of the log. What goes by the policy alone can't read it, and is cut off: a sidecar that knows of no turns must not be counted on.
 func wrap(s maintenance.Step) ([]byte, error) {
@@ -84,7 +84,7 @@
 		n.Host.Changed(Event{What: "entry", By: n.Self.Number, Why: err.Error()})
 		return
 	}
-	if t := n.work.state.Turn(s.Number); s.Kind.OfTurn() && t != nil { // before it is applied: the turn may be over by it
+	if t := n.work.state.Window(s.Number); s.Kind.OfWindow() && t != nil { // before it is applied: the turn may be over by it
 		s.Machine = t.Machine
 	}
 	if refused := n.work.state.Apply(s); refused == "" {
@@ -100,7 +100,7 @@
 		return
 	}
 	if w.leader == nil || w.leader.Term != n.term {
-		w.leader, w.book = maintenance.NewLeader(n.term, n.Self.Number), maintenance.Book{Size: n.Size, Deadline: Patience(n.Deadline, n.Rate)}
+		w.leader, w.book = maintenance.NewLeader(n.term, n.Self.Number), maintenance.Reports{Size: n.Size, Deadline: Patience(n.Deadline, n.Rate)}
 	}
 	// One that is confirmed no more may lack what a later leader has put into the log.
 	if at, index := n.log.LastQuorumAck(); at == 0 || now-at >= n.leader.QuorumAckTimeout || n.log.LastIndex() < index {
@@ -122,14 +122,14 @@
 }
 
 // world is what this leader knows now.
-func (n *Node) world(now time.Duration) *maintenance.World {
+func (n *Node) world(now time.Duration) *maintenance.Snapshot {
 	machines, current := n.Work.Machines()
-	sum := n.work.book.Sum(now, n.leader.GrantExpiry)
-	return &maintenance.World{
-		Now: now, Machines: machines, Traffic: sum.Traffic, InTime: sum.InTime, Unheard: len(sum.Away),
-		Current: current && sum.Whole, // a new leader does not know yet what the others have
+	sum := n.work.book.Summarize(now, n.leader.GrantExpiry)
+	return &maintenance.Snapshot{
+		Now: now, Machines: machines, Traffic: sum.Traffic, InTime: sum.InTime, Unreachable: len(sum.Unreachable),
+		Current: current && sum.Complete, // a new leader does not know yet what the others have
 		Slack:   2*n.leader.LeaseExpiry + n.Deadline,
-		Clear:   func(turn uint32) bool { return len(n.work.book.Waits(now, turn, n.leader.GrantExpiry)) == 0 },
+		Clear:   func(turn uint32) bool { return len(n.work.book.WaitingFor(now, turn, n.leader.GrantExpiry)) == 0 },
 		Plan:    n.plan,
 	}
 }
@@ -160,7 +160,7 @@
 		return
 	}
 	r := n.Work.Own(&n.work.state)
-	p.Clear, p.Rate, p.Served = r.Clear, uint32(min(math.Round(10*r.Rate), math.MaxUint32)), 1+uint32(math.Floor(1000*r.InTime))
+	p.Clear, p.Rate, p.Served = r.ClearUpTo, uint32(min(math.Round(10*r.Rate), math.MaxUint32)), 1+uint32(math.Floor(1000*r.InTime))
 }
 
 // clear is how far this sidecar is clear; a change of it is told at once.
@@ -168,19 +168,19 @@
 	if n.Work == nil || !n.inWork() {
 		return 0
 	}
-	return n.Work.Own(&n.work.state).Clear
+	return n.Work.Own(&n.work.state).ClearUpTo
 }
 
 // leaves says whether a turn waits for all to tell that they are clear.
 func (n *Node) leaves() bool {
-	turns := n.work.state.Turns
-	return len(turns) > 0 && turns[len(turns)-1].Phase == maintenance.Leaving // the last that was given is the only one
+	turns := n.work.state.Windows
+	return len(turns) > 0 && turns[len(turns)-1].Phase == maintenance.Draining // the last that was given is the only one
 }
 
 // heardWork takes that from a report.
 func (n *Node) heardWork(p *accordpb.Report) {
 	if n.leadsWork() && p.Served > 0 {
-		n.work.book.Heard(int(p.Number), p.Life, p.Turn, maintenance.Report{Clear: p.Clear, Rate: float64(p.Rate) / 10, InTime: min(1, float64(p.Served-1)/1000)})
+		n.work.book.Receive(int(p.Number), p.Life, p.Turn, maintenance.Report{ClearUpTo: p.Clear, Rate: float64(p.Rate) / 10, InTime: min(1, float64(p.Served-1)/1000)})
 	}
 }
 
@@ -198,7 +198,7 @@
 		return 0, err
 	}
 	machines, _ := n.Work.Machines()
-	if err := p.Usable(machines); err != nil {
+	if err := p.CheckMachines(machines); err != nil {
 		return 0, err
 	}
 	if !n.begun(now) {
@@ -267,18 +267,18 @@
 // standsWork is what the oldest plan waits for, and who is out of contact for how long, as this leader knows it.
 func (n *Node) standsWork(now time.Duration) (waits string, away []policyrollout.Laggard) {
 	s := &n.work.state
-	for _, i := range n.work.book.Sum(now, n.leader.GrantExpiry).Away {
+	for _, i := range n.work.book.Summarize(now, n.leader.GrantExpiry).Unreachable {
 		away = append(away, policyrollout.Laggard{Number: i, Why: fmt.Sprintf("for %.0fs", (now - n.leader.GrantExpiry(i)).Seconds())})
 	}
-	for _, t := range s.Turns {
-		if t.Phase == maintenance.Leaving {
-			if late := n.work.book.Waits(now, t.Number, n.leader.GrantExpiry); len(late) > 0 {
+	for _, t := range s.Windows {
+		if t.Phase == maintenance.Draining {
+			if late := n.work.book.WaitingFor(now, t.Number, n.leader.GrantExpiry); len(late) > 0 {
 				return fmt.Sprintf("turn %d: %d sidecars may still send, %v", t.Number, len(late), late[:min(len(late), awayMost)]), away
 			}
 		}
 	}
-	if len(s.Works) > 0 {
-		waits = n.work.leader.Waits(s.Works[0].Number)
+	if len(s.Plans) > 0 {
+		waits = n.work.leader.WaitReason(s.Plans[0].Number)
 	}
 	return waits, away
 }
@@ -320,4 +320,4 @@
 func (n *Node) WorkState() *maintenance.State { return &n.work.state }
 
 // Out are the machines to which nothing new may be sent.
-func (n *Node) Out() []uint64 { return n.work.state.Out() }
+func (n *Node) Out() []uint64 { return n.work.state.MachinesOut() }
--- a/internal/fleet/replicatedstate/work_test.go
+++ b/internal/fleet/replicatedstate/work_test.go
@@ -13,7 +13,7 @@
 // machinesOf are some in cells of two.
 func machinesOf(n int) (all []maintenance.Machine) {
 	for i := range n {
-		all = append(all, maintenance.Machine{ID: uint64(i + 1), Name: fmt.Sprintf("s-%d", i), Zone: "a", Cell: i / 2, Weight: 1, State: maintenance.Ready, Warmth: 1})
+		all = append(all, maintenance.Machine{ID: uint64(i + 1), Name: fmt.Sprintf("s-%d", i), Zone: "a", Cell: i / 2, Weight: 1, State: maintenance.MachineReady, Warmth: 1})
 	}
 	return all
 }
@@ -40,12 +40,12 @@
 				_, err := m.Plan(m.Time(), fmt.Appendf(nil, roundText, []string{"told", "awaited"}[seed/2%2]))
 				planned = err == nil
 			}
-			for _, t := range m.ViewWork(m.Time()).State.Turns {
+			for _, t := range m.ViewWork(m.Time()).State.Windows {
 				if t.Phase == maintenance.Free && rng.IntN(4) == 0 {
 					_ = m.Operate(m.Time(), maintenance.Done, t.Number)
 				}
 			}
-			for _, w := range m.ViewWork(m.Time()).State.Works {
+			for _, w := range m.ViewWork(m.Time()).State.Plans {
 				if w.Paused != "" {
 					_ = m.Operate(m.Time(), maintenance.Resumed, w.Number)
 				}
@@ -107,7 +107,7 @@
 			return true
 		}
 		for _, m := range n.Nodes {
-			if s := m.ViewWork(m.Time()).State; len(s.Ended) == 0 || len(s.Turns)+len(s.Works) > 0 {
+			if s := m.ViewWork(m.Time()).State; len(s.Ended) == 0 || len(s.Windows)+len(s.Plans) > 0 {
 				return false
 			}
 		}
@@ -158,7 +158,7 @@
 	if _, err := m.Plan(m.Time(), fmt.Appendf(nil, roundText, "told")); err != nil {
 		t.Fatal(err)
 	}
-	if !n.Until(20*time.Second, func() bool { return m.WorkState().Turn(1) != nil }) {
+	if !n.Until(20*time.Second, func() bool { return m.WorkState().Window(1) != nil }) {
 		t.Fatalf("no turn: %+v", m.ViewWork(m.Time()))
 	}
 	if err := m.Operate(m.Time(), maintenance.Paused, 1); err != nil {
@@ -166,7 +166,7 @@
 	}
 	n.Run(20 * time.Second)
 	s := m.WorkState()
-	if n.Broken != nil || len(s.Works) != 1 || s.Works[0].Paused == "" || s.LastTurn != 1 || s.Turn(1).Phase != maintenance.Free {
+	if n.Broken != nil || len(s.Plans) != 1 || s.Plans[0].Paused == "" || s.LastWindow != 1 || s.Window(1).Phase != maintenance.Free {
 		t.Errorf("%v, %+v", n.Broken, s)
 	}
 }
--- a/internal/fleet/work.go
+++ b/internal/fleet/work.go
@@ -29,8 +29,8 @@
 type work struct {
 	site   Site
 	begun  time.Duration
-	roll   maintenance.Roll
-	own    maintenance.Own
+	roll   maintenance.MachineList
+	own    maintenance.LocalClearance
 	load   maintenance.Load
 	asking bool // the site has not told yet
 	logs   int  // that this process has known: what the site tells of an earlier one's turns counts no more
@@ -60,7 +60,7 @@
 		all, passed := w.site.Handled()
 		w.load.Count(p.now, all, passed)
 	}
-	asks := w.own.Asks(p.node.WorkState())
+	asks := w.own.Unconfirmed(p.node.WorkState())
 	if len(asks) == 0 || w.asking {
 		return
 	}
@@ -77,7 +77,7 @@
 			w.asking = false
 			for turn, id := range asks {
 				if w.logs == log && slices.Contains(quiet, id) {
-					w.own.Seen(turn, id)
+					w.own.MarkClear(turn, id)
 				}
 			}
 		}()
@@ -97,24 +97,24 @@
 func (w policyWork) Machines() (all []maintenance.Machine, current bool) {
 	p := w.p
 	listed, current := p.work.site.Machines()
-	p.work.roll.Heard(p.now, listed)
+	p.work.roll.Update(p.now, listed)
 	return p.work.roll.All(p.now), current
 }
 
 func (w policyWork) Own(s *maintenance.State) maintenance.Report {
 	p := w.p
-	rate, served := p.work.load.Lately()
-	return maintenance.Report{Clear: p.work.own.Clear(p.now-p.work.begun, replicatedstate.Patience(p.cfg.Deadline, p.cfg.Rate), s), Rate: rate, InTime: served}
+	rate, served := p.work.load.Recent()
+	return maintenance.Report{ClearUpTo: p.work.own.ClearUpTo(p.now-p.work.begun, replicatedstate.Patience(p.cfg.Deadline, p.cfg.Rate), s), Rate: rate, InTime: served}
 }
 
 func (h policyHost) Worked(s maintenance.Step) {
 	p := h.p
-	if s.Kind == maintenance.Given || s.Kind == maintenance.Withdrawn || s.Kind == maintenance.Done {
+	if s.Kind == maintenance.Opened || s.Kind == maintenance.Withdrawn || s.Kind == maintenance.Done {
 		if p.node != nil {
 			p.bar()
 		}
 	}
-	if s.Kind == maintenance.Leads {
+	if s.Kind == maintenance.LeaderStarted {
 		return
 	}
 	args := []any{"number", s.Number, "by", s.By}
@@ -193,7 +193,7 @@
 // ShowWork writes plans and turns, what they wait for, and who is out of contact; the leader is asked for the last two.
 func (p *Policy) ShowWork(to io.Writer) error {
 	v, known := p.viewWork()
-	if known && v.Aways < 0 && len(v.State.Works)+len(v.State.Turns) > 0 {
+	if known && v.Aways < 0 && len(v.State.Plans)+len(v.State.Windows) > 0 {
 		p.mu.Lock()
 		if p.node != nil {
 			p.node.AskBehind(p.f.now())
@@ -208,17 +208,17 @@
 	}
 	b, s := new(strings.Builder), &v.State
 	p.mu.Lock()
-	for _, w := range s.Works {
+	for _, w := range s.Plans {
 		state := "under way"
 		if w.Paused != "" {
 			state = "paused: " + w.Paused
 		}
-		fmt.Fprintf(b, "plan %d of sidecar %d, hash %x: %s; %d have had a turn or have it, %d turns withdrawn\n", w.Number, w.By, w.Hash, state, len(w.Worked), w.Skipped)
+		fmt.Fprintf(b, "plan %d of sidecar %d, hash %x: %s; %d have had a turn or have it, %d turns withdrawn\n", w.Number, w.By, w.Hash, state, len(w.Visited), w.Withdrawn)
 	}
 	for _, e := range s.Ended {
-		fmt.Fprintf(b, "plan %d: %s, %d had a turn\n", e.Number, e.Outcome, e.Worked)
+		fmt.Fprintf(b, "plan %d: %s, %d had a turn\n", e.Number, e.Outcome, e.Visited)
 	}
-	for _, t := range s.Turns {
+	for _, t := range s.Windows {
 		state := t.Phase.String()
 		if t.Phase == maintenance.Free {
 			state = "out, free to work on"
@@ -234,7 +234,7 @@
 	}
 	p.mu.Unlock()
 	switch {
-	case len(s.Works)+len(s.Turns) == 0:
+	case len(s.Plans)+len(s.Windows) == 0:
 		fmt.Fprintln(b, "no plan is under way")
 	case v.Aways < 0:
 		fmt.Fprintln(b, "the leader does not say what is waited for")
@@ -256,20 +256,20 @@
 
 // workFigures is the present state in numbers. The caller holds the lock.
 func (p *Policy) workFigures() metrics.Work {
-	w := metrics.Work{Machines: map[string]int{maintenance.Leaving.String(): 0, maintenance.Free.String(): 0, maintenance.Returning.String(): 0}}
+	w := metrics.Work{Machines: map[string]int{maintenance.Draining.String(): 0, maintenance.Free.String(): 0, maintenance.Returning.String(): 0}}
 	if p.node == nil {
 		return w
 	}
 	s := p.node.WorkState()
-	for _, t := range s.Turns {
+	for _, t := range s.Windows {
 		w.Machines[t.Phase.String()]++
 	}
-	for i := range s.Works {
-		if s.Works[i].Paused != "" {
+	for i := range s.Plans {
+		if s.Plans[i].Paused != "" {
 			w.Paused++
 		}
 	}
-	w.Plans, w.Turn = len(s.Works), s.LastTurn
+	w.Plans, w.Turn = len(s.Plans), s.LastWindow
 	return w
 }
 
--- a/internal/lab/replicatedstatesim/net.go
+++ b/internal/lab/replicatedstatesim/net.go
@@ -61,7 +61,7 @@
 	Bytes   int
 	level   float64
 	levelAt time.Duration
-	own     maintenance.Own
+	own     maintenance.LocalClearance
 	born    time.Duration // of the process, by its clock
 }
 
@@ -124,7 +124,7 @@
 	}
 	n.life++
 	m.Begin()
-	m.Life, m.seat, m.own, m.born = n.life, raftlog.Voter{Number: i, Incarnation: n.life}, maintenance.Own{}, m.Time()
+	m.Life, m.seat, m.own, m.born = n.life, raftlog.Voter{Number: i, Incarnation: n.life}, maintenance.LocalClearance{}, m.Time()
 	cfg := replicatedstate.Config{
 		Size: n.Size, Life: n.life, Lease: n.Lease, Rate: n.Rate,
 		Rand: rand.New(rand.NewPCG(n.life, n.Rng.Uint64())), Host: m,
@@ -215,7 +215,7 @@
 	}
 	switch e.What {
 	case "log":
-		m.own = maintenance.Own{}
+		m.own = maintenance.LocalClearance{}
 		return
 	case "goes by", "leads":
 		return
--- a/internal/lab/replicatedstatesim/work.go
+++ b/internal/lab/replicatedstatesim/work.go
@@ -68,7 +68,7 @@
 		out[id] = true
 	}
 	x := &s.Machines[n.Rng.IntN(len(s.Machines))]
-	if out[x.ID] || x.State != maintenance.Ready {
+	if out[x.ID] || x.State != maintenance.MachineReady {
 		return
 	}
 	s.Sent++
@@ -98,17 +98,17 @@
 // Own is what a sidecar says of itself.
 func (m *Node) Own(st *maintenance.State) maintenance.Report {
 	s := m.net.Site
-	asks := m.own.Asks(st)
+	asks := m.own.Unconfirmed(st)
 	for turn, machine := range asks {
 		quiet := true
 		for _, r := range s.out {
 			quiet = quiet && !(r.life == m.Life && r.machine == machine && m.net.Now < r.until)
 		}
 		if quiet {
-			m.own.Seen(turn, machine)
+			m.own.MarkClear(turn, machine)
 		}
 	}
-	return maintenance.Report{Clear: m.own.Clear(m.Time()-m.born,
+	return maintenance.Report{ClearUpTo: m.own.ClearUpTo(m.Time()-m.born,
 		replicatedstate.Patience(s.Deadline, m.net.Rate), st), Rate: 10, InTime: 1}
 }
 
@@ -119,11 +119,11 @@
 		return
 	}
 	s.last[e] = true
-	if e.Kind.OfTurn() != (e.Machine != 0) {
+	if e.Kind.OfWindow() != (e.Machine != 0) {
 		n.Broken = append(n.Broken, fmt.Sprintf("%s %d is told with machine %d", e.Kind, e.Number, e.Machine))
 	}
 	switch e.Kind {
-	case maintenance.Given:
+	case maintenance.Opened:
 		if _, again := s.turns[e.Number]; again {
 			n.Broken = append(n.Broken, fmt.Sprintf("turn %d is told twice", e.Number))
 		}
@@ -139,7 +139,7 @@
 			n.Broken = append(n.Broken, fmt.Sprintf("%.3fs: turn %d, %d machines are out, %d may be",
 				(n.Now-time.Hour).Seconds(), e.Number, out, s.Bound))
 		}
-	case maintenance.Freed:
+	case maintenance.Released:
 		s.Freed++
 		s.free[e.Machine] = e.Number
 		for _, r := range s.out {
@@ -152,9 +152,9 @@
 	case maintenance.Done:
 		delete(s.free, e.Machine)
 		s.cold[e.Machine] = n.Now + s.Returns
-	case maintenance.Withdrawn, maintenance.Over:
+	case maintenance.Withdrawn, maintenance.Closed:
 		delete(s.turns, e.Number)
-		if e.Kind == maintenance.Over {
+		if e.Kind == maintenance.Closed {
 			s.Over++
 		}
 	}
