--- a/cmd/measure/policy.go
+++ b/cmd/measure/policy.go
@@ -213,7 +213,7 @@
 	lease := swim.LeaseFor(size)
 	n := replicatedstatesim.New(replicatedstatesim.Config{Size: size, Seed: 1, Lease: lease, Rate: 0.001, Spend: 2048})
 	n.Run(time.Second)
-	if err := n.Nodes[0].Found(n.Nodes[0].Time(), 1<<56); err != nil {
+	if err := n.Nodes[0].Bootstrap(n.Nodes[0].Time(), 1<<56); err != nil {
 		return err.Error()
 	}
 	until := func(within time.Duration, holds func(goes policyrollout.Active) bool) (time.Duration, int) {
@@ -221,7 +221,7 @@
 		for {
 			missing := 0
 			for _, m := range n.Nodes {
-				if m.Lives() && !holds(m.Node.Now(m.Time())) {
+				if m.Lives() && !holds(m.Node.Active(m.Time())) {
 					missing++
 				}
 			}
--- a/cmd/measure/work.go
+++ b/cmd/measure/work.go
@@ -126,7 +126,7 @@
 	n := replicatedstatesim.New(replicatedstatesim.Config{Size: size, Seed: seed,
 		Lease: swim.LeaseFor(size), Rate: 0.001, Spend: 2048, Site: site})
 	n.Run(time.Second)
-	if err := n.Nodes[0].Found(n.Nodes[0].Time(), 1<<56); err != nil {
+	if err := n.Nodes[0].Bootstrap(n.Nodes[0].Time(), 1<<56); err != nil {
 		return virtualWork{broken: []string{err.Error()}}
 	}
 	if !n.Until(3*time.Minute, n.Quiet) {
@@ -145,13 +145,13 @@
 	begun, bytes := n.Now, n.Bytes
 	atWork := make(map[uint32]bool)
 	over := func() bool {
-		s := by.WorkState()
+		s := by.MaintenanceState()
 		for _, t := range s.Windows {
 			if t.Phase == maintenance.Free && !atWork[t.Number] {
 				atWork[t.Number] = true
 				var say func()
 				say = func() {
-					if s := by.WorkState().Window(t.Number); s != nil && s.Phase == maintenance.Free {
+					if s := by.MaintenanceState().Window(t.Number); s != nil && s.Phase == maintenance.Free {
 						_ = by.Operate(by.Time(), maintenance.Done, t.Number)
 						n.After(time.Second, say)
 					}
@@ -164,8 +164,8 @@
 	for end := n.Now + time.Hour; !over() && n.Now < end; {
 		n.Run(100 * time.Millisecond)
 	}
-	if r.broken = n.Broken; len(by.WorkState().Ended) == 0 {
-		r.broken = append(r.broken, fmt.Sprintf("not over within an hour: %+v", by.ViewWork(by.Time())))
+	if r.broken = n.Broken; len(by.MaintenanceState().Ended) == 0 {
+		r.broken = append(r.broken, fmt.Sprintf("not over within an hour: %+v", by.MaintenanceView(by.Time())))
 	}
 	r.took = (n.Now - begun).Seconds()
 	r.ideal = float64((machines+atOnce-1)/atOnce) * (workTakes + workCold).Seconds()
--- a/internal/fleet/operate.go
+++ b/internal/fleet/operate.go
@@ -155,7 +155,7 @@
 	p.now = p.f.now()
 	// Above each that was begun before, and no other's: the later of two that are begun at once wins.
 	epoch := uint64(time.Now().UnixMilli())<<16 | uint64(p.f.cfg.Policy.Index)
-	if err := p.node.Found(p.now, epoch); err != nil {
+	if err := p.node.Bootstrap(p.now, epoch); err != nil {
 		return err
 	}
 	_, err := fmt.Fprintf(to, "a log is begun, epoch %x; the policy is the settings\n", epoch)
@@ -175,13 +175,13 @@
 // Show writes what holds, what is under way and whom that waits for; the leader is asked for the last.
 func (p *Policy) Show(to io.Writer) error {
 	v := p.View()
-	if v.State.InProgress() != 0 && v.Waits < 0 {
+	if v.State.InProgress() != 0 && v.LaggardCount < 0 {
 		p.mu.Lock()
 		if p.node != nil {
-			p.node.AskBehind(p.f.now())
+			p.node.RequestLaggards(p.f.now())
 		}
 		p.mu.Unlock()
-		for end := time.Now().Add(behindWait); v.Waits < 0 && time.Now().Before(end); v = p.View() {
+		for end := time.Now().Add(behindWait); v.LaggardCount < 0 && time.Now().Before(end); v = p.View() {
 			time.Sleep(10 * time.Millisecond)
 		}
 	}
@@ -197,13 +197,13 @@
 	default:
 		fmt.Fprintf(b, "version %d holds, hash %x\n", s.Current.Version, s.Current.Hash)
 	}
-	switch v.Goes.Mode {
+	switch v.Active.Mode {
 	case policyrollout.CutOff:
 		fmt.Fprintln(b, "this sidecar is cut off: it goes by cut_off")
 	case policyrollout.One:
-		fmt.Fprintf(b, "this sidecar goes by version %d, for %s at least\n", v.Goes.New.Version, seconds(v.Until-v.Now))
+		fmt.Fprintf(b, "this sidecar goes by version %d, for %s at least\n", v.Active.New.Version, seconds(v.ActiveUntil-v.Now))
 	default:
-		fmt.Fprintf(b, "this sidecar goes by the stricter of versions %d and %d, for %s at least\n", v.Goes.Old.Version, v.Goes.New.Version, seconds(v.Until-v.Now))
+		fmt.Fprintf(b, "this sidecar goes by the stricter of versions %d and %d, for %s at least\n", v.Active.Old.Version, v.Active.New.Version, seconds(v.ActiveUntil-v.Now))
 	}
 	switch {
 	case s.Offered.Version != 0:
@@ -216,21 +216,21 @@
 		fmt.Fprintln(b, "under way: nothing")
 	}
 	if s.InProgress() != 0 {
-		if v.Waits < 0 {
+		if v.LaggardCount < 0 {
 			fmt.Fprintln(b, "behind: the leader does not say")
 		} else {
-			fmt.Fprintf(b, "behind: %d\n", v.Waits)
+			fmt.Fprintf(b, "behind: %d\n", v.LaggardCount)
 		}
-		for _, x := range v.Behind[:min(len(v.Behind), 20)] {
+		for _, x := range v.Laggards[:min(len(v.Laggards), 20)] {
 			fmt.Fprintf(b, "behind: sidecar %d: %s\n", x.Number, x.Why)
 		}
 	}
-	fmt.Fprintf(b, "log: epoch %x, %d entries, leader %d, voters", v.Epoch, v.Have, v.Leader)
+	fmt.Fprintf(b, "log: epoch %x, %d entries, leader %d, voters", v.Epoch, v.LastIndex, v.Leader)
 	for _, seat := range v.Voters {
 		fmt.Fprintf(b, " %d", seat.Number)
 	}
 	fmt.Fprintln(b)
-	for _, m := range v.Mine {
+	for _, m := range v.Proposals {
 		outcome := m.Outcome
 		if outcome == "" {
 			outcome = "not in the log yet"
--- a/internal/fleet/policy.go
+++ b/internal/fleet/policy.go
@@ -74,7 +74,7 @@
 	p.until.Store(math.MaxInt64)
 	p.out.Store(new([]uint64))
 	p.cfg = replicatedstate.Config{
-		Size: len(f.peers), Life: f.life, Lease: cmp.Or(f.file.Lease, swim.LeaseFor(len(f.peers))), Rate: cmp.Or(f.file.Rate, swim.DefaultClockError),
+		Size: len(f.peers), ProcessIncarnation: f.life, Lease: cmp.Or(f.file.Lease, swim.LeaseFor(len(f.peers))), MaxClockError: cmp.Or(f.file.Rate, swim.DefaultClockError),
 		Rand: rand.New(rand.NewPCG(f.cfg.Seed, 3)), Host: policyHost{p}, Check: p.check,
 	}
 	if dir := f.file.Policy.State; dir != "" {
@@ -172,7 +172,7 @@
 		if saved, texts, err = p.store.Saved(); err != nil {
 			return err
 		}
-		cfg.Self.Incarnation, cfg.Disk = p.store.Seat(), p.store
+		cfg.Self.Incarnation, cfg.Storage = p.store.Seat(), p.store
 	}
 	node, err := replicatedstate.New(cfg)
 	if err != nil {
@@ -219,7 +219,7 @@
 	p.look()
 	p.node.Tick(p.now)
 	p.publish()
-	if err := p.node.Mute(); err != nil && !p.muted {
+	if err := p.node.StorageError(); err != nil && !p.muted {
 		p.muted = true
 		p.f.log.Error("policy: what must not be forgotten can't be kept, this sidecar votes no more", "error", err)
 	}
@@ -232,7 +232,7 @@
 		return nil
 	}
 	p.now = p.f.now()
-	err := p.node.Take(p.now, from, message)
+	err := p.node.Receive(p.now, from, message)
 	p.publish()
 	return err
 }
@@ -240,8 +240,8 @@
 // publish has Now tell what the node goes by. The caller holds the lock; the node itself calls for it before it tells the fleet by what it goes.
 func (p *Policy) publish() {
 	p.bar()
-	goes := p.node.Now(p.now)
-	until := p.node.Until()
+	goes := p.node.Active(p.now)
+	until := p.node.ActiveUntil()
 	if goes.Mode == policyrollout.CutOff {
 		p.set(p.cutOff, math.MaxInt64)
 		return
@@ -297,7 +297,7 @@
 	v := p.View()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return &metrics.Policy{Holds: v.State.Current.Version, Goes: v.Goes.Mode.String(), UnderWay: v.State.InProgress(), Changes: maps.Clone(p.outcomes), Work: p.workFigures()}
+	return &metrics.Policy{Holds: v.State.Current.Version, Goes: v.Active.Mode.String(), UnderWay: v.State.InProgress(), Changes: maps.Clone(p.outcomes), Work: p.workFigures()}
 }
 
 // policyHost carries out what the node decides; its methods are called with the lock held.
@@ -316,21 +316,21 @@
 
 func (h policyHost) Changed(e replicatedstate.Event) {
 	log := h.p.f.log
-	switch e.What {
+	switch e.Kind {
 	case "goes by":
 		h.p.publish()
-		log.Info("policy: goes by", "mode", e.Goes.Mode.String(), "version", e.Goes.New.Version, "old", e.Goes.Old.Version)
+		log.Info("policy: goes by", "mode", e.Active.Mode.String(), "version", e.Active.New.Version, "old", e.Active.Old.Version)
 	case "leads", "log":
-		if e.What == "log" {
+		if e.Kind == "log" {
 			h.p.work.own, h.p.work.logs = maintenance.LocalClearance{}, h.p.work.logs+1
 		}
-		log.Info("policy: "+e.What, "number", e.By, "what", e.Why)
+		log.Info("policy: "+e.Kind, "number", e.By, "what", e.Why)
 	case "entry":
 		log.Error("policy: an entry of the log can't be read, this sidecar is cut off", "error", e.Why)
 	default:
-		if e.What == "taken" || e.What == "called off" || e.What == "refused" {
-			h.p.outcomes[e.What]++
+		if e.Kind == "taken" || e.Kind == "called off" || e.Kind == "refused" {
+			h.p.outcomes[e.Kind]++
 		}
-		log.Info("policy: "+e.What, "version", e.Version, "hash", fmt.Sprintf("%x", e.Hash[:6]), "by", e.By, "why", e.Why)
+		log.Info("policy: "+e.Kind, "version", e.Version, "hash", fmt.Sprintf("%x", e.Hash[:6]), "by", e.By, "why", e.Why)
 	}
 }
--- a/internal/fleet/replicatedstate/history_test.go
+++ b/internal/fleet/replicatedstate/history_test.go
@@ -23,7 +23,7 @@
 	n = replicatedstatesim.New(replicatedstatesim.Config{Size: size, Seed: seed, Lease: 3 * time.Second, Rate: 0.01, Disks: seed%3 == 0})
 	rng := n.Rng
 	n.Run(time.Second)
-	if err := n.Nodes[0].Found(n.Nodes[0].Time(), 1); err != nil {
+	if err := n.Nodes[0].Bootstrap(n.Nodes[0].Time(), 1); err != nil {
 		n.Broken = append(n.Broken, err.Error())
 	}
 	n.Watch(20 * time.Millisecond)
@@ -104,11 +104,11 @@
 	if lost {
 		// An operator begins anew, by way of any of them; whoever goes by the last log's policy still does not do so beside the new one's.
 		m := n.Nodes[rng.IntN(size)]
-		if err := m.Found(m.Time(), 1<<40); err != nil && !errors.Is(err, raftlog.ErrLogExists) { // some hold on to a leader that is none for a moment
+		if err := m.Bootstrap(m.Time(), 1<<40); err != nil && !errors.Is(err, raftlog.ErrLogExists) { // some hold on to a leader that is none for a moment
 			n.Broken = append(n.Broken, err.Error())
 		} else if err != nil {
 			n.Run(10 * time.Second)
-			_ = m.Found(m.Time(), 1<<40)
+			_ = m.Bootstrap(m.Time(), 1<<40)
 		}
 	}
 	if !n.Until(110*time.Second, whole) { // a text on offer whose only holder was lost is given up behind a minute
--- a/internal/fleet/replicatedstate/replicatedstate.go
+++ b/internal/fleet/replicatedstate/replicatedstate.go
@@ -25,19 +25,19 @@
 	// Period is how often Tick is due.
 	Period = raftlog.Period
 
-	reportPart  = 40                     // % of a lease between reports where nothing changes
-	againPart   = 30                     // % of it behind which one that has had no answer is sent again, by way of another relay; an answer takes up to the two below
-	handPart    = 13                     // % of it that a relay waits for others' reports, but where there is a datagram full,
-	answerPart  = 13                     // and that the leader's word to each relay does: it counts from the report
-	soonPart    = 7                      // % of it behind which one that has less than half of its lease left sends again
-	reportAgain = 500 * time.Millisecond // the same of one who is cut off; and ever later, up to the first
-	changeAgain = time.Second            // the same in a change, which waits for all reports
-	handSoon    = 250 * time.Millisecond // what a relay waits in a change
-	pokeEvery   = 500 * time.Millisecond // whom a change waits for is asked to report, by the leader itself,
-	pokeMost    = 4                      // so many at a time
-	confirmLate = 3                      // a leader that a majority has not confirmed for so many beats grants nothing
-	// Longest is the longest message, in bytes: what stands round it in a datagram of 256 takes up to 40.
-	Longest = 216
+	reportPercent       = 40                     // % of a lease between reports where nothing changes
+	retryPercent        = 30                     // % of it behind which one that has had no answer is sent again, by way of another relay; an answer takes up to the two below
+	batchPercent        = 13                     // % of it that a relay waits for others' reports, but where there is a datagram full,
+	grantPercent        = 13                     // and that the leader's word to each relay does: it counts from the report
+	urgentRetryPercent  = 7                      // % of it behind which one that has less than half of its lease left sends again
+	cutOffRetry         = 500 * time.Millisecond // the same of one who is cut off; and ever later, up to the first
+	changeRetry         = time.Second            // the same in a change, which waits for all reports
+	changeBatchDelay    = 250 * time.Millisecond // what a relay waits in a change
+	pollInterval        = 500 * time.Millisecond // whom a change waits for is asked to report, by the leader itself,
+	maxPolled           = 4                      // so many at a time
+	quorumAckHeartbeats = 3                      // a leader that a majority has not confirmed for so many beats grants nothing
+	// MaxMessageBytes is the longest message, in bytes: what stands round it in a datagram of 256 takes up to 40.
+	MaxMessageBytes = 216
 )
 
 // Host carries out what a Node decides. Its methods must not call back, but for Now, Until and Text in Changed.
@@ -51,49 +51,49 @@
 
 // Event is something that people are told.
 type Event struct {
-	What string // "proposed", "taken", "called off", "settled", "begun", "refused", "entry", "goes by", "leads", "log"
+	Kind string // "proposed", "taken", "called off", "settled", "begun", "refused", "entry", "goes by", "leads", "log"
 	policyrollout.Ref
-	By   int
-	Why  string
-	Goes policyrollout.Active
+	By     int
+	Why    string
+	Active policyrollout.Active
 }
 
 // Config is what a Node is made of.
 type Config struct {
-	Size  int
-	Self  raftlog.Voter
-	Lease time.Duration
-	Rate  float64 // greatest error of a clock's rate
-	Rand  *rand.Rand
-	Host  Host
-	Check func(text []byte) error // why a policy can't be applied here; nil: it can
-	Life  uint64                  // of the process, where its seat is an earlier one's that kept its vote; 0: the seat's
-	Disk  Disk                    // nil: nothing outlives the process
-
-	Work     Work          // nil: nothing is known of machines here
+	Size               int
+	Self               raftlog.Voter
+	Lease              time.Duration
+	MaxClockError      float64 // greatest error of a clock's rate
+	Rand               *rand.Rand
+	Host               Host
+	Check              func(text []byte) error // why a policy can't be applied here; nil: it can
+	ProcessIncarnation uint64                  // of the process, where its seat is an earlier one's that kept its vote; 0: the seat's
+	Storage            Storage                 // nil: nothing outlives the process
+
+	Work     Machines      // nil: nothing is known of machines here
 	Deadline time.Duration // the longest that a request may be out at one
 }
 
-// Disk keeps what must outlive the process, where an operator gives it a place.
-type Disk interface {
+// Storage keeps what must outlive the process, where an operator gives it a place.
+type Storage interface {
 	raftlog.Storage
 	// Text keeps the text of a version.
 	Text(hash [32]byte, text []byte) error
 }
 
-// Patience is when a grant of a lease is over by anybody's clock: the errors of both, and what rounding may add.
-func Patience(lease time.Duration, rate float64) time.Duration {
+// LeaseExpiry is when a grant of a lease is over by anybody's clock: the errors of both, and what rounding may add.
+func LeaseExpiry(lease time.Duration, rate float64) time.Duration {
 	return lease + time.Duration(2.5*rate*float64(lease)) + 2*time.Millisecond
 }
 
 // Node is one sidecar's part. It is not safe for concurrent use.
 type Node struct {
 	Config
-	log    *raftlog.Node
-	holder *policyrollout.Participant
-	texts  texts
-	life   uint64
-	now    time.Duration // of the event under way
+	log         *raftlog.Node
+	participant *policyrollout.Participant
+	texts       textStore
+	incarnation uint64
+	now         time.Duration // of the event under way
 
 	leader *policyrollout.Leader // nil: another leads, or nobody does
 	epoch  uint64                // that it leads
@@ -101,18 +101,18 @@
 
 	reports
 	relay
-	mine   []Mine
-	goes   policyrollout.Active // as last told
-	behind behindOf
-	work   work
+	proposals   []Proposal
+	announced   policyrollout.Active // as last told
+	laggards    reportedLaggards
+	maintenance maintenanceState
 }
 
 // New makes a node that knows of no log yet, and goes by CutOff.
 func New(cfg Config) (*Node, error) {
-	n := &Node{Config: cfg, life: cmp.Or(cfg.Life, cfg.Self.Incarnation)}
-	log := raftlog.Config{Size: cfg.Size, Self: cfg.Self, ProcessIncarnation: n.life, Rand: cfg.Rand, Host: logHost{n}}
-	if cfg.Disk != nil {
-		log.Storage = cfg.Disk
+	n := &Node{Config: cfg, incarnation: cmp.Or(cfg.ProcessIncarnation, cfg.Self.Incarnation)}
+	log := raftlog.Config{Size: cfg.Size, Self: cfg.Self, ProcessIncarnation: n.incarnation, Rand: cfg.Rand, Host: logHost{n}}
+	if cfg.Storage != nil {
+		log.Storage = cfg.Storage
 	}
 	var err error
 	if n.log, err = raftlog.New(log); err != nil {
@@ -122,12 +122,12 @@
 		return nil, fmt.Errorf("accord: a lease of %v", cfg.Lease)
 	}
 	n.texts.init(cfg.Check)
-	if cfg.Disk != nil {
-		n.texts.keep = cfg.Disk.Text
+	if cfg.Storage != nil {
+		n.texts.persist = cfg.Storage.Text
 	}
-	n.holder = policyrollout.NewParticipant(cfg.Lease, n.why)
-	n.answers = make(map[int][]*accordpb.Granted)
-	n.relay.waits = make(map[uint32]relayed)
+	n.participant = policyrollout.NewParticipant(cfg.Lease, n.whyNotApplicable)
+	n.pendingGrants = make(map[int][]*accordpb.Granted)
+	n.relay.pendingBatches = make(map[uint32]sentBatch)
 	return n, nil
 }
 
@@ -140,25 +140,25 @@
 	return n.log.Restore(now, s)
 }
 
-// Mute is why this process, which had a vote, has none any more; nil: nothing is wrong.
-func (n *Node) Mute() error { return n.log.StorageError() }
+// StorageError is why this process, which had a vote, has none any more; nil: nothing is wrong.
+func (n *Node) StorageError() error { return n.log.StorageError() }
 
-// why says why a version can't be applied here; "": it can.
-func (n *Node) why(r policyrollout.Ref) string {
+// whyNotApplicable says why a version can't be applied here; "": it can.
+func (n *Node) whyNotApplicable(r policyrollout.Ref) string {
 	if r.Version == 0 {
 		return "" // the settings
 	}
-	return n.texts.why(r.Hash)
+	return n.texts.whyNotApplicable(r.Hash)
 }
 
-// Now is by what this sidecar goes. It is to be asked wherever something depends on it, at that moment.
-func (n *Node) Now(now time.Duration) policyrollout.Active {
-	n.holder.AdvanceIndex(n.log.LastIndex())
-	return n.holder.Active(now)
+// Active is by what this sidecar goes. It is to be asked wherever something depends on it, at that moment.
+func (n *Node) Active(now time.Duration) policyrollout.Active {
+	n.participant.AdvanceIndex(n.log.LastIndex())
+	return n.participant.Active(now)
 }
 
-// Until is when that changes to CutOff if nothing more is heard.
-func (n *Node) Until() time.Duration { return n.holder.GrantedUntil() }
+// ActiveUntil is when that changes to CutOff if nothing more is heard.
+func (n *Node) ActiveUntil() time.Duration { return n.participant.GrantedUntil() }
 
 // Text is a version's text; false: it is not here.
 func (n *Node) Text(r policyrollout.Ref) ([]byte, bool) { return n.texts.get(r.Hash) }
@@ -167,27 +167,27 @@
 func (n *Node) Tick(now time.Duration) {
 	n.now = now
 	n.log.Tick(now)
-	n.lead(now)
+	n.actAsLeader(now)
 	if n.leader != nil {
-		n.log.UpdateVoters(now, func(s raftlog.Voter) bool { return n.gone(now, s) }, n.there(now))
+		n.log.UpdateVoters(now, func(s raftlog.Voter) bool { return n.voterLost(now, s) }, n.voterCandidates(now))
 	}
-	n.leadWork(now)
-	n.tell(now) // before the report: who is told that this one goes by both may count on it
-	n.report(now)
-	n.flush(now)
-	n.answer(now)
-	n.poke(now)
-	n.fetch(now)
+	n.leadMaintenance(now)
+	n.announceActive(now) // before the report: who is told that this one goes by both may count on it
+	n.sendReport(now)
+	n.flushBatch(now)
+	n.sendGrants(now)
+	n.pollLaggards(now)
+	n.fetchTexts(now)
 }
 
-// Take takes a message of a sidecar. What can't be read is an error, and changes nothing.
-func (n *Node) Take(now time.Duration, from int, raw []byte) error {
+// Receive takes a message of a sidecar. What can't be read is an error, and changes nothing.
+func (n *Node) Receive(now time.Duration, from int, raw []byte) error {
 	if from < 0 || from >= n.Size || from == n.Self.Number {
-		return errSpoilt
+		return errMalformed
 	}
 	m := new(accordpb.Message)
 	if proto.Unmarshal(raw, m) != nil {
-		return errSpoilt
+		return errMalformed
 	}
 	n.now = now
 	if len(m.Log) > 0 {
@@ -198,66 +198,66 @@
 		n.log.Receive(now, from, l)
 	}
 	if m.Epoch != 0 && m.Epoch == n.log.Epoch() { // else it is about another log
-		n.takeReports(now, from, m)
-		n.takeGrants(now, from, m)
-		n.takeBehind(now, from, m)
-		n.takeWork(now, from, m)
+		n.handleReports(now, from, m)
+		n.handleGrants(now, from, m)
+		n.handleLaggards(now, from, m)
+		n.handleMaintenanceStatus(now, from, m)
 	}
-	n.takeText(now, from, m)
-	n.lead(now)
-	n.tell(now)
-	n.report(now)
+	n.handleText(now, from, m)
+	n.actAsLeader(now)
+	n.announceActive(now)
+	n.sendReport(now)
 	return nil
 }
 
-// lead does the leader's part, if it is this one's.
-func (n *Node) lead(now time.Duration) {
-	n.holder.AdvanceIndex(n.log.LastIndex())
+// actAsLeader does the leader's part, if it is this one's.
+func (n *Node) actAsLeader(now time.Duration) {
+	n.participant.AdvanceIndex(n.log.LastIndex())
 	switch {
 	case !n.log.IsLeader():
 		n.leader = nil
 		return
 	case n.leader == nil || n.term != n.log.Term() || n.epoch != n.log.Epoch():
-		n.leader = policyrollout.NewLeader(now, n.Size, Patience(n.Lease, n.Rate), confirmLate*raftlog.HeartbeatInterval(n.Size))
+		n.leader = policyrollout.NewLeader(now, n.Size, LeaseExpiry(n.Lease, n.MaxClockError), quorumAckHeartbeats*raftlog.HeartbeatInterval(n.Size))
 		n.term, n.epoch = n.log.Term(), n.log.Epoch()
-		n.Host.Changed(Event{What: "leads", By: n.Self.Number})
+		n.Host.Changed(Event{Kind: "leads", By: n.Self.Number})
 	}
-	if step, due := n.leader.Decide(now, n.holder.State(), n.Self.Number); due {
-		n.decide(now, step)
+	if step, due := n.leader.Decide(now, n.participant.State(), n.Self.Number); due {
+		n.proposeStep(now, step)
 	}
 }
 
-// decide puts a step of the leader's into the log, once: it is proposed again by the log itself.
-func (n *Node) decide(now time.Duration, step policyrollout.Step) {
-	if n.deciding == step && now < n.decidedAt+decideAgain {
+// proposeStep puts a step of the leader's into the log, once: it is proposed again by the log itself.
+func (n *Node) proposeStep(now time.Duration, step policyrollout.Step) {
+	if n.lastDecision == step && now < n.decidedAt+decisionRetry {
 		return
 	}
-	n.deciding, n.decidedAt = step, now
+	n.lastDecision, n.decidedAt = step, now
 	if raw, err := step.Encode(); err == nil {
 		_ = n.log.Propose(now, raw)
 	}
 }
 
-// decideAgain is when a step that has not come back is proposed anew: the log itself does so behind a second, and ever later.
-const decideAgain = 5 * time.Second
+// decisionRetry is when a step that has not come back is proposed anew: the log itself does so behind a second, and ever later.
+const decisionRetry = 5 * time.Second
 
-// gone says that a voter's process can't take part any more, as far as reports tell.
-func (n *Node) gone(now time.Duration, s raftlog.Voter) bool {
+// voterLost says that a voter's process can't take part any more, as far as reports tell.
+func (n *Node) voterLost(now time.Duration, s raftlog.Voter) bool {
 	seat, lately := n.leader.VoterIncarnation(now, s.Number)
 	if lately {
 		return seat != s.Incarnation // another process of that number reports, that has forgotten this one's vote
 	}
-	return now >= n.leader.TermStart()+Patience(n.Lease, n.Rate)
+	return now >= n.leader.TermStart()+LeaseExpiry(n.Lease, n.MaxClockError)
 }
 
-// there are those that could vote, in an order that is the same for each leader.
-func (n *Node) there(now time.Duration) (all []raftlog.Voter) {
+// voterCandidates are those that could vote, in an order that is the same for each leader.
+func (n *Node) voterCandidates(now time.Duration) (all []raftlog.Voter) {
 	seats := n.log.Voters()
-	if len(seats) >= raftlog.VotersFor(n.Size) && !slices.ContainsFunc(seats, func(s raftlog.Voter) bool { return n.gone(now, s) }) {
+	if len(seats) >= raftlog.VotersFor(n.Size) && !slices.ContainsFunc(seats, func(s raftlog.Voter) bool { return n.voterLost(now, s) }) {
 		return nil // nothing is to be filled
 	}
 	for i := range n.Size {
-		if seat, lately := n.leader.VoterIncarnation(now, i); lately && seat != mute {
+		if seat, lately := n.leader.VoterIncarnation(now, i); lately && seat != noVote {
 			all = append(all, raftlog.Voter{Number: i, Incarnation: seat})
 		}
 	}
@@ -270,11 +270,11 @@
 	return all
 }
 
-// tell tells people by what this one goes, where that has changed.
-func (n *Node) tell(now time.Duration) {
-	if goes := n.Now(now); goes != n.goes {
-		n.goes = goes
-		n.Host.Changed(Event{What: "goes by", Ref: goes.New, Goes: goes, By: n.Self.Number})
+// announceActive tells people by what this one goes, where that has changed.
+func (n *Node) announceActive(now time.Duration) {
+	if goes := n.Active(now); goes != n.announced {
+		n.announced = goes
+		n.Host.Changed(Event{Kind: "goes by", Ref: goes.New, Active: goes, By: n.Self.Number})
 	}
 }
 
@@ -286,36 +286,36 @@
 	if err != nil {
 		return
 	}
-	h.n.post(to, &accordpb.Message{Log: raw}, m.Raft != nil || m.Gossip)
+	h.n.sendUrgent(to, &accordpb.Message{Log: raw}, m.Raft != nil || m.Gossip)
 }
 
 func (h logHost) Reset(epoch uint64) {
 	n := h.n
-	n.holder.Reset()
-	n.leader, n.reports, n.relay = nil, reports{answers: make(map[int][]*accordpb.Granted)}, relay{waits: make(map[uint32]relayed)}
-	n.mine, n.behind, n.work = nil, behindOf{}, work{}
-	n.Host.Changed(Event{What: "log", By: n.Self.Number, Why: fmt.Sprintf("epoch %x", epoch)})
+	n.participant.Reset()
+	n.leader, n.reports, n.relay = nil, reports{pendingGrants: make(map[int][]*accordpb.Granted)}, relay{pendingBatches: make(map[uint32]sentBatch)}
+	n.proposals, n.laggards, n.maintenance = nil, reportedLaggards{}, maintenanceState{}
+	n.Host.Changed(Event{Kind: "log", By: n.Self.Number, Why: fmt.Sprintf("epoch %x", epoch)})
 }
 
-func (h logHost) Applied(e raftlog.Entry) { h.n.applied(e) }
+func (h logHost) Applied(e raftlog.Entry) { h.n.applyEntry(e) }
 
-func (n *Node) send(to int, m *accordpb.Message) { n.post(to, m, false) }
+func (n *Node) send(to int, m *accordpb.Message) { n.sendUrgent(to, m, false) }
 
-// post sends a message, which has to fit.
-func (n *Node) post(to int, m *accordpb.Message, urgent bool) {
+// sendUrgent sends a message, which has to fit.
+func (n *Node) sendUrgent(to int, m *accordpb.Message, urgent bool) {
 	if to == n.Self.Number || to < 0 || to >= n.Size {
 		return
 	}
 	raw, err := proto.Marshal(m)
-	if err != nil || len(raw) > Longest {
+	if err != nil || len(raw) > MaxMessageBytes {
 		n.TooLong++
 		return
 	}
 	n.Host.Send(to, raw, urgent)
 }
 
-// other is one of the others, at random.
-func (n *Node) other() int {
+// randomPeer is one of the others, at random.
+func (n *Node) randomPeer() int {
 	if i := n.Rand.IntN(max(1, n.Size-1)); i < n.Self.Number {
 		return i
 	} else {
--- a/internal/fleet/replicatedstate/replicatedstate_test.go
+++ b/internal/fleet/replicatedstate/replicatedstate_test.go
@@ -22,7 +22,7 @@
 	t.Helper()
 	n := replicatedstatesim.New(replicatedstatesim.Config{Size: size, Seed: seed, Lease: 3 * time.Second, Rate: 0.01})
 	n.Run(time.Second)
-	if err := n.Nodes[0].Found(n.Nodes[0].Time(), 1); err != nil {
+	if err := n.Nodes[0].Bootstrap(n.Nodes[0].Time(), 1); err != nil {
 		t.Fatal(err)
 	}
 	n.Watch(20 * time.Millisecond)
@@ -51,10 +51,10 @@
 	if _, err := m.Abort(m.Time()); err == nil {
 		t.Error("nothing was called off")
 	}
-	if err := m.Found(m.Time(), 2); err == nil {
+	if err := m.Bootstrap(m.Time(), 2); err == nil {
 		t.Error("a new beginning while the log answers")
 	}
-	have := m.View(m.Time()).Have
+	have := m.View(m.Time()).LastIndex
 	if _, err := m.Propose(m.Time(), replicatedstatesim.Text(1), 0); err != nil {
 		t.Fatal(err)
 	}
@@ -68,11 +68,11 @@
 	if !n.Until(10*time.Second, func() bool { return n.Quiet() && holds(m) == 1 }) {
 		t.Fatal(n.Text())
 	}
-	a, b := m.View(m.Time()).Mine[0].Outcome, other.View(other.Time()).Mine[0].Outcome
+	a, b := m.View(m.Time()).Proposals[0].Outcome, other.View(other.Time()).Proposals[0].Outcome
 	if (a == "taken") == (b == "taken") || !strings.HasPrefix(a+b, "refused: ") && !strings.HasPrefix(b+a, "refused: ") {
 		t.Errorf("outcomes %q and %q", a, b)
 	}
-	if grown := m.View(m.Time()).Have - have; grown > 6 {
+	if grown := m.View(m.Time()).LastIndex - have; grown > 6 {
 		t.Errorf("the log has grown by %d entries", grown)
 	}
 	raw, _ := m.Text(m.View(m.Time()).State.Current)
@@ -123,7 +123,7 @@
 		if _, err := m.Propose(m.Time(), replicatedstatesim.Text(1), 0); err != nil {
 			t.Fatalf("%s: %v", c.name, err)
 		}
-		got := func() string { return m.View(m.Time()).Mine[0].Outcome }
+		got := func() string { return m.View(m.Time()).Proposals[0].Outcome }
 		n.Until(c.within, func() bool { return got() != "" && got() != "under way" })
 		if want := strings.ReplaceAll(c.outcome, "%d", fmt.Sprint((leader+1)%5)); !strings.Contains(got(), want) || n.Broken != nil {
 			t.Errorf("%s: %q after %v, %q is wanted; %v", c.name, got(), n.Now-begun, want, n.Broken)
@@ -163,7 +163,7 @@
 	for _, o := range n.Nodes {
 		if !n.Until(2*time.Minute, func() bool {
 			v := o.View(o.Time())
-			return v.Goes.Mode == policyrollout.One && v.State.Current.Version == 1 && bytes.Equal(textOf(o), raw)
+			return v.Active.Mode == policyrollout.One && v.State.Current.Version == 1 && bytes.Equal(textOf(o), raw)
 		}) {
 			t.Fatalf("it is not there: %s", n.Text())
 		}
@@ -190,12 +190,12 @@
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		n := replicatedstatesim.New(replicatedstatesim.Config{Size: 3, Seed: 1, Lease: 3 * time.Second, Rate: 0.01})
 		n.Run(500 * time.Millisecond)
-		if err := n.Nodes[0].Found(n.Nodes[0].Time(), 1); err != nil {
+		if err := n.Nodes[0].Bootstrap(n.Nodes[0].Time(), 1); err != nil {
 			t.Fatal(err)
 		}
 		n.Run(3 * time.Second)
 		for _, m := range n.Nodes {
-			_ = m.Take(m.Time(), (m.View(m.Time()).Self+1)%3, raw)
+			_ = m.Receive(m.Time(), (m.View(m.Time()).Self+1)%3, raw)
 		}
 		n.Run(time.Second)
 	})
@@ -206,7 +206,7 @@
 	for _, disks := range []bool{true, false} {
 		n := replicatedstatesim.New(replicatedstatesim.Config{Size: 5, Seed: 2, Lease: 3 * time.Second, Rate: 0.01, Disks: disks})
 		n.Run(time.Second)
-		if err := n.Nodes[0].Found(n.Nodes[0].Time(), 1); err != nil {
+		if err := n.Nodes[0].Bootstrap(n.Nodes[0].Time(), 1); err != nil {
 			t.Fatal(err)
 		}
 		n.Watch(20 * time.Millisecond)
@@ -221,7 +221,7 @@
 		n.Run(time.Minute)
 		for i, m := range n.Nodes {
 			n.Boot(i)
-			if goes := m.Node.Now(m.Time()); goes.Mode != policyrollout.CutOff {
+			if goes := m.Node.Active(m.Time()); goes.Mode != policyrollout.CutOff {
 				t.Errorf("n%d has just started and goes by %v", i, goes.Mode)
 			}
 		}
--- a/internal/fleet/replicatedstate/size_test.go
+++ b/internal/fleet/replicatedstate/size_test.go
@@ -14,7 +14,7 @@
 	const size, budget = 300, 1200.0 // of 2,048 a second: what swim leaves
 	n := replicatedstatesim.New(replicatedstatesim.Config{Size: size, Seed: 3, Lease: 15 * time.Second, Rate: 0.001, Spend: budget})
 	n.Run(time.Second)
-	if err := n.Nodes[0].Found(n.Nodes[0].Time(), 1<<56); err != nil {
+	if err := n.Nodes[0].Bootstrap(n.Nodes[0].Time(), 1<<56); err != nil {
 		t.Fatal(err)
 	}
 	n.Watch(50 * time.Millisecond)
@@ -61,7 +61,7 @@
 		by := func() bool {
 			cut = 0
 			for _, m := range n.Nodes {
-				switch goes := m.Node.Now(m.Time()); {
+				switch goes := m.Node.Active(m.Time()); {
 				case !m.Lives():
 				case goes.Mode == policyrollout.CutOff:
 					cut++
--- a/internal/fleet/replicatedstate/work_test.go
+++ b/internal/fleet/replicatedstate/work_test.go
@@ -27,7 +27,7 @@
 	n := replicatedstatesim.New(replicatedstatesim.Config{Size: size, Seed: seed, Lease: 3 * time.Second, Rate: 0.01, Disks: seed%3 == 0, Site: site})
 	rng := n.Rng
 	n.Run(time.Second)
-	if err := n.Nodes[0].Found(n.Nodes[0].Time(), 1); err != nil {
+	if err := n.Nodes[0].Bootstrap(n.Nodes[0].Time(), 1); err != nil {
 		n.Broken = append(n.Broken, err.Error())
 	}
 	n.Run(15 * time.Second)
@@ -40,12 +40,12 @@
 				_, err := m.Plan(m.Time(), fmt.Appendf(nil, roundText, []string{"told", "awaited"}[seed/2%2]))
 				planned = err == nil
 			}
-			for _, t := range m.ViewWork(m.Time()).State.Windows {
+			for _, t := range m.MaintenanceView(m.Time()).State.Windows {
 				if t.Phase == maintenance.Free && rng.IntN(4) == 0 {
 					_ = m.Operate(m.Time(), maintenance.Done, t.Number)
 				}
 			}
-			for _, w := range m.ViewWork(m.Time()).State.Plans {
+			for _, w := range m.MaintenanceView(m.Time()).State.Plans {
 				if w.Paused != "" {
 					_ = m.Operate(m.Time(), maintenance.Resumed, w.Number)
 				}
@@ -95,9 +95,9 @@
 	if n.Lost() { // an operator begins anew, and plans anew
 		planned = false
 		site.Forget()
-		if err := n.Nodes[0].Found(n.Nodes[0].Time(), 1<<40); err != nil { // some hold on to a leader that is none for a moment
+		if err := n.Nodes[0].Bootstrap(n.Nodes[0].Time(), 1<<40); err != nil { // some hold on to a leader that is none for a moment
 			n.Run(10 * time.Second)
-			if err := n.Nodes[0].Found(n.Nodes[0].Time(), 1<<40); err != nil {
+			if err := n.Nodes[0].Bootstrap(n.Nodes[0].Time(), 1<<40); err != nil {
 				n.Broken = append(n.Broken, err.Error())
 			}
 		}
@@ -107,7 +107,7 @@
 			return true
 		}
 		for _, m := range n.Nodes {
-			if s := m.ViewWork(m.Time()).State; len(s.Ended) == 0 || len(s.Windows)+len(s.Plans) > 0 {
+			if s := m.MaintenanceView(m.Time()).State; len(s.Ended) == 0 || len(s.Windows)+len(s.Plans) > 0 {
 				return false
 			}
 		}
@@ -115,7 +115,7 @@
 	}
 	if !n.Until(5*time.Minute, over) {
 		m := n.Nodes[0]
-		n.Broken = append(n.Broken, fmt.Sprintf("5 minutes after all is well: %+v %s", m.ViewWork(m.Time()), n.Text()))
+		n.Broken = append(n.Broken, fmt.Sprintf("5 minutes after all is well: %+v %s", m.MaintenanceView(m.Time()), n.Text()))
 	}
 	for _, m := range n.Nodes {
 		if m.TooLong > 0 {
@@ -151,21 +151,21 @@
 	n := replicatedstatesim.New(replicatedstatesim.Config{Size: 5, Seed: 1, Lease: 3 * time.Second, Rate: 0.01, Site: site})
 	n.Run(time.Second)
 	m := n.Nodes[0]
-	if err := m.Found(m.Time(), 1); err != nil {
+	if err := m.Bootstrap(m.Time(), 1); err != nil {
 		t.Fatal(err)
 	}
 	n.Run(15 * time.Second)
 	if _, err := m.Plan(m.Time(), fmt.Appendf(nil, roundText, "told")); err != nil {
 		t.Fatal(err)
 	}
-	if !n.Until(20*time.Second, func() bool { return m.WorkState().Window(1) != nil }) {
-		t.Fatalf("no turn: %+v", m.ViewWork(m.Time()))
+	if !n.Until(20*time.Second, func() bool { return m.MaintenanceState().Window(1) != nil }) {
+		t.Fatalf("no turn: %+v", m.MaintenanceView(m.Time()))
 	}
 	if err := m.Operate(m.Time(), maintenance.Paused, 1); err != nil {
 		t.Fatal(err)
 	}
 	n.Run(20 * time.Second)
-	s := m.WorkState()
+	s := m.MaintenanceState()
 	if n.Broken != nil || len(s.Plans) != 1 || s.Plans[0].Paused == "" || s.LastWindow != 1 || s.Window(1).Phase != maintenance.Free {
 		t.Errorf("%v, %+v", n.Broken, s)
 	}
--- a/internal/fleet/work.go
+++ b/internal/fleet/work.go
@@ -60,7 +60,7 @@
 		all, passed := w.site.Handled()
 		w.load.Count(p.now, all, passed)
 	}
-	asks := w.own.Unconfirmed(p.node.WorkState())
+	asks := w.own.Unconfirmed(p.node.MaintenanceState())
 	if len(asks) == 0 || w.asking {
 		return
 	}
@@ -86,7 +86,7 @@
 
 // bar has Out tell what the log says now. The caller holds the lock.
 func (p *Policy) bar() {
-	if now := p.node.Out(); !slices.Equal(now, *p.out.Load()) {
+	if now := p.node.MachinesOut(); !slices.Equal(now, *p.out.Load()) {
 		p.out.Store(&now)
 	}
 }
@@ -101,10 +101,10 @@
 	return p.work.roll.All(p.now), current
 }
 
-func (w policyWork) Own(s *maintenance.State) maintenance.Report {
+func (w policyWork) LocalReport(s *maintenance.State) maintenance.Report {
 	p := w.p
 	rate, served := p.work.load.Recent()
-	return maintenance.Report{ClearUpTo: p.work.own.ClearUpTo(p.now-p.work.begun, replicatedstate.Patience(p.cfg.Deadline, p.cfg.Rate), s), Rate: rate, InTime: served}
+	return maintenance.Report{ClearUpTo: p.work.own.ClearUpTo(p.now-p.work.begun, replicatedstate.LeaseExpiry(p.cfg.Deadline, p.cfg.MaxClockError), s), Rate: rate, InTime: served}
 }
 
 func (h policyHost) Worked(s maintenance.Step) {
@@ -193,13 +193,13 @@
 // ShowWork writes plans and turns, what they wait for, and who is out of contact; the leader is asked for the last two.
 func (p *Policy) ShowWork(to io.Writer) error {
 	v, known := p.viewWork()
-	if known && v.Aways < 0 && len(v.State.Plans)+len(v.State.Windows) > 0 {
+	if known && v.UnreachableCount < 0 && len(v.State.Plans)+len(v.State.Windows) > 0 {
 		p.mu.Lock()
 		if p.node != nil {
-			p.node.AskBehind(p.f.now())
+			p.node.RequestLaggards(p.f.now())
 		}
 		p.mu.Unlock()
-		for end := time.Now().Add(behindWait); v.Aways < 0 && time.Now().Before(end); v, _ = p.viewWork() {
+		for end := time.Now().Add(behindWait); v.UnreachableCount < 0 && time.Now().Before(end); v, _ = p.viewWork() {
 			time.Sleep(10 * time.Millisecond)
 		}
 	}
@@ -236,14 +236,14 @@
 	switch {
 	case len(s.Plans)+len(s.Windows) == 0:
 		fmt.Fprintln(b, "no plan is under way")
-	case v.Aways < 0:
+	case v.UnreachableCount < 0:
 		fmt.Fprintln(b, "the leader does not say what is waited for")
 	default:
-		if v.Waits != "" {
-			fmt.Fprintf(b, "waits: %s\n", v.Waits)
+		if v.WaitReason != "" {
+			fmt.Fprintf(b, "waits: %s\n", v.WaitReason)
 		}
-		fmt.Fprintf(b, "out of contact: %d sidecars, which may send to machines that are out\n", v.Aways)
-		for _, a := range v.Away {
+		fmt.Fprintf(b, "out of contact: %d sidecars, which may send to machines that are out\n", v.UnreachableCount)
+		for _, a := range v.Unreachable {
 			fmt.Fprintf(b, "out of contact: sidecar %d, %s\n", a.Number, a.Why)
 		}
 	}
@@ -260,7 +260,7 @@
 	if p.node == nil {
 		return w
 	}
-	s := p.node.WorkState()
+	s := p.node.MaintenanceState()
 	for _, t := range s.Windows {
 		w.Machines[t.Phase.String()]++
 	}
@@ -273,11 +273,11 @@
 	return w
 }
 
-func (p *Policy) viewWork() (replicatedstate.WorkView, bool) {
+func (p *Policy) viewWork() (replicatedstate.MaintenanceView, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.node == nil {
-		return replicatedstate.WorkView{}, false
+		return replicatedstate.MaintenanceView{}, false
 	}
-	return p.node.ViewWork(p.f.now()), true
+	return p.node.MaintenanceView(p.f.now()), true
 }
--- a/internal/lab/replicatedstatesim/net.go
+++ b/internal/lab/replicatedstatesim/net.go
@@ -126,7 +126,7 @@
 	m.Begin()
 	m.Life, m.seat, m.own, m.born = n.life, raftlog.Voter{Number: i, Incarnation: n.life}, maintenance.LocalClearance{}, m.Time()
 	cfg := replicatedstate.Config{
-		Size: n.Size, Life: n.life, Lease: n.Lease, Rate: n.Rate,
+		Size: n.Size, ProcessIncarnation: n.life, Lease: n.Lease, MaxClockError: n.Rate,
 		Rand: rand.New(rand.NewPCG(n.life, n.Rng.Uint64())), Host: m,
 		Check: func(text []byte) error {
 			if n.Cannot[[2]int{i, number(text)}] {
@@ -142,7 +142,7 @@
 		if m.Disk.Life == 0 {
 			m.Disk.Life = n.life
 		}
-		m.seat.Incarnation, cfg.Disk = m.Disk.Life, &m.Disk
+		m.seat.Incarnation, cfg.Storage = m.Disk.Life, &m.Disk
 	}
 	cfg.Self = m.seat
 	node, err := replicatedstate.New(cfg)
@@ -200,7 +200,7 @@
 	}
 	raw = append([]byte(nil), raw...)
 	take := func() {
-		if o := n.Nodes[to]; o.Take(o.Time(), from, raw) != nil {
+		if o := n.Nodes[to]; o.Receive(o.Time(), from, raw) != nil {
 			n.Broken = append(n.Broken, fmt.Sprintf("n%d can't read what n%d of life %d sent", to, from, life))
 		}
 	}
@@ -213,7 +213,7 @@
 	if m.Node == nil {
 		return
 	}
-	switch e.What {
+	switch e.Kind {
 	case "log":
 		m.own = maintenance.LocalClearance{}
 		return
@@ -223,9 +223,9 @@
 		n.Broken = append(n.Broken, e.Why)
 	}
 	// Within an entry the view is of before it.
-	if v := m.View(m.Time()); v.Have > n.most[v.Epoch] {
-		n.most[v.Epoch] = v.Have
-		n.Counts[e.What]++
+	if v := m.View(m.Time()); v.LastIndex > n.most[v.Epoch] {
+		n.most[v.Epoch] = v.LastIndex
+		n.Counts[e.Kind]++
 	}
 }
 
@@ -243,7 +243,7 @@
 		if !m.Lives() {
 			continue
 		}
-		switch goes := m.Node.Now(m.Time()); goes.Mode {
+		switch goes := m.Node.Active(m.Time()); goes.Mode {
 		case policyrollout.One:
 			alone[goes.New.Hash], live[goes.New.Hash] = true, true
 		case policyrollout.Both:
@@ -268,8 +268,8 @@
 		}
 		v := m.View(m.Time())
 		text += fmt.Sprintf("\nn%d leader %d epoch %d have %d goes by %s %d %d; holds %d, pending %d, "+
-			"open %d, voters %v", m.number, v.Leader, v.Epoch, v.Have, v.Goes.Mode, v.Goes.Old.Version,
-			v.Goes.New.Version, v.State.Current.Version, v.State.Pending.Version, v.State.Completing, v.Voters)
+			"open %d, voters %v", m.number, v.Leader, v.Epoch, v.LastIndex, v.Active.Mode, v.Active.Old.Version,
+			v.Active.New.Version, v.State.Current.Version, v.State.Pending.Version, v.State.Completing, v.Voters)
 	}
 	return text
 }
@@ -285,7 +285,7 @@
 		if first {
 			holds, first = v.State.Current, false
 		}
-		if v.Goes != (policyrollout.Active{Mode: policyrollout.One, New: holds}) || v.State.InProgress() != 0 {
+		if v.Active != (policyrollout.Active{Mode: policyrollout.One, New: holds}) || v.State.InProgress() != 0 {
 			return false
 		}
 	}
@@ -300,7 +300,7 @@
 		if m.Down {
 			continue
 		}
-		if v := m.View(m.Time()); v.Epoch > best.Epoch || v.Epoch == best.Epoch && v.Have > best.Have {
+		if v := m.View(m.Time()); v.Epoch > best.Epoch || v.Epoch == best.Epoch && v.LastIndex > best.LastIndex {
 			best = v
 		}
 	}
--- a/internal/lab/replicatedstatesim/work.go
+++ b/internal/lab/replicatedstatesim/work.go
@@ -64,7 +64,7 @@
 		return
 	}
 	out := make(map[uint64]bool)
-	for _, id := range m.Out() {
+	for _, id := range m.MachinesOut() {
 		out[id] = true
 	}
 	x := &s.Machines[n.Rng.IntN(len(s.Machines))]
@@ -72,7 +72,7 @@
 		return
 	}
 	s.Sent++
-	contact := m.Node.Now(m.Time()).Mode != policyrollout.CutOff
+	contact := m.Node.Active(m.Time()).Mode != policyrollout.CutOff
 	if turn, free := s.free[x.ID]; free {
 		if contact {
 			n.Broken = append(n.Broken, fmt.Sprintf("%.3fs: n%d is in contact and sends to %s, which turn %d has free",
@@ -96,7 +96,7 @@
 }
 
 // Own is what a sidecar says of itself.
-func (m *Node) Own(st *maintenance.State) maintenance.Report {
+func (m *Node) LocalReport(st *maintenance.State) maintenance.Report {
 	s := m.net.Site
 	asks := m.own.Unconfirmed(st)
 	for turn, machine := range asks {
@@ -109,7 +109,7 @@
 		}
 	}
 	return maintenance.Report{ClearUpTo: m.own.ClearUpTo(m.Time()-m.born,
-		replicatedstate.Patience(s.Deadline, m.net.Rate), st), Rate: 10, InTime: 1}
+		replicatedstate.LeaseExpiry(s.Deadline, m.net.Rate), st), Rate: 10, InTime: 1}
 }
 
 // Worked is called by a node, for what stands in the log: it is counted once.
