--- a/internal/proxy/route/route_test.go
+++ b/internal/proxy/route/route_test.go
@@ -9,46 +9,49 @@
 
 var twoPools = Pools{"ledger": {"reading", "entry"}, "meters": {"reading", "meter"}}
 
-func TestHost(t *testing.T) {
+func TestHostIsNormalizedOrRejected(t *testing.T) {
 	for value, want := range map[string]string{
-		"ledger.example.org": "ledger.example.org", "Ledger.EXAMPLE.org:8080": "ledger.example.org", "ledger.example.org.": "ledger.example.org",
-		"ledger.example.org.:80": "ledger.example.org", "[::1]": "::1", "[0:0::0:1]:80": "::1", "127.0.0.1:9": "127.0.0.1", "a:": "a",
+		"ledger.example.org": "ledger.example.org", "Ledger.EXAMPLE.org:8080": "ledger.example.org",
+		"ledger.example.org.": "ledger.example.org", "ledger.example.org.:80": "ledger.example.org",
+		"[::1]": "::1", "[0:0::0:1]:80": "::1", "127.0.0.1:9": "127.0.0.1", "a:": "a",
 	} {
 		if got, err := Host(value); err != nil || got != want {
 			t.Errorf("%q is %q, %v, want %q", value, got, err, want)
 		}
 	}
 	for _, value := range []string{
-		"", ".", ":80", "a..b", ".a", "a b", "a/b", "a:b", "a:123456", "::1", "[::1", "[::1]x", "[fe80::1%25eth0]", "[127.0.0.1]", "a@b", "a,b",
+		"", ".", ":80", "a..b", ".a", "a b", "a/b", "a:b", "a:123456", "::1", "[::1", "[::1]x", "[fe80::1%25eth0]",
+		"[127.0.0.1]", "a@b", "a,b",
 		"a\x00", "é.example.org", strings.Repeat("a", maxHost+1), "a:80:80", "[::1]:x",
 	} {
 		if got, err := Host(value); err == nil {
-			t.Errorf("%q was taken for %q", value, got)
+			t.Errorf("%q was read as %q", value, got)
 		}
 	}
 }
 
-func TestPath(t *testing.T) {
+func TestPathIsNormalizedOrRejected(t *testing.T) {
 	for raw, want := range map[string]string{
-		"/": "/", "/a": "/a", "/a/": "/a/", "/a/b.c": "/a/b.c", "/%61%2D": "/a-", "/a%20b": "/a%20b", "/a%c3%A9": "/a%C3%A9", "/...": "/...",
-		"/.a": "/.a", "/a%3fb": "/a%3Fb",
+		"/": "/", "/a": "/a", "/a/": "/a/", "/a/b.c": "/a/b.c", "/%61%2D": "/a-", "/a%20b": "/a%20b",
+		"/a%c3%A9": "/a%C3%A9", "/...": "/...", "/.a": "/.a", "/a%3fb": "/a%3Fb",
 	} {
 		if got, err := Path(raw); err != nil || got != want {
 			t.Errorf("%q is %q, %v, want %q", raw, got, err, want)
 		}
 	}
 	for _, raw := range []string{
-		"", "a", "//", "//a", "/a//b", "/a//", "/.", "/..", "/a/./b", "/a/../b", "/a/..", "/a/.", "/%2e%2E/b", "/.%2e", "/a%2fb", "/a%5cb", "/a\\b", "/a%00",
+		"", "a", "//", "//a", "/a//b", "/a//", "/.", "/..", "/a/./b", "/a/../b", "/a/..", "/a/.", "/%2e%2E/b",
+		"/.%2e", "/a%2fb", "/a%5cb", "/a\\b", "/a%00",
 		"/%", "/%2", "/%zz", "/%252e", "/" + strings.Repeat("a", maxPath),
 	} {
 		if got, err := Path(raw); err == nil {
-			t.Errorf("%q was taken for %q", raw, got)
+			t.Errorf("%q was read as %q", raw, got)
 		}
 	}
 }
 
-// The most specific rule wins, in whatever order they stand.
-func TestMostSpecificWins(t *testing.T) {
+// The most specific rule wins, whatever the order of the rules.
+func TestMostSpecificRuleWins(t *testing.T) {
 	rules := []Rule{
 		{Pool: "ledger"},
 		{Pool: "meters", Host: "meters.example.org"},
@@ -100,14 +103,18 @@
 }
 
 // Rules that can't be used are errors that name their line.
-func TestUnusableRules(t *testing.T) {
+func TestUnusableRulesAreErrorsWithTheirLine(t *testing.T) {
 	for name, c := range map[string]struct {
 		rules []Rule
 		says  string
 	}{
-		"unknown pool":      {[]Rule{{Line: 3, Pool: "no"}}, "no pool"},
-		"tie":               {[]Rule{{Line: 1, Pool: "ledger", Host: "A.org"}, {Line: 3, Pool: "meters", Host: "a.org."}}, "ties with line 1"},
-		"tie of paths":      {[]Rule{{Line: 1, Pool: "ledger", Prefix: "/entry/"}, {Line: 3, Pool: "ledger", Prefix: "/%65ntry"}}, "ties with line 1"},
+		"unknown pool": {[]Rule{{Line: 3, Pool: "no"}}, "no pool"},
+		"tie": {[]Rule{
+			{Line: 1, Pool: "ledger", Host: "A.org"}, {Line: 3, Pool: "meters", Host: "a.org."},
+		}, "ties with line 1"},
+		"tie of paths": {[]Rule{
+			{Line: 1, Pool: "ledger", Prefix: "/entry/"}, {Line: 3, Pool: "ledger", Prefix: "/%65ntry"},
+		}, "ties with line 1"},
 		"path and prefix":   {[]Rule{{Line: 3, Pool: "ledger", Path: "/entry", Prefix: "/entry"}}, "both"},
 		"dot segment":       {[]Rule{{Line: 3, Pool: "ledger", Prefix: "/entry/../reading"}}, "never match"},
 		"method":            {[]Rule{{Line: 3, Pool: "ledger", Method: "PUT"}}, "never match"},
@@ -118,7 +125,10 @@
 		"host of no form":   {[]Rule{{Line: 3, Pool: "ledger", Host: "a b"}}, "host"},
 		"star in the midst": {[]Rule{{Line: 3, Pool: "ledger", Host: "a.*.org"}}, "host"},
 		"deep":              {[]Rule{{Line: 3, Pool: "ledger", Path: "/entry" + strings.Repeat("/a", maxDepth)}}, "segments"},
-		"all methods taken": {[]Rule{{Line: 1, Pool: "ledger", Method: "GET"}, {Line: 2, Pool: "ledger", Method: "POST"}, {Line: 3, Pool: "meters"}}, "more specific"},
+		"all methods taken": {[]Rule{
+			{Line: 1, Pool: "ledger", Method: "GET"}, {Line: 2, Pool: "ledger", Method: "POST"},
+			{Line: 3, Pool: "meters"},
+		}, "more specific"},
 	} {
 		_, err := Compile(c.rules, twoPools)
 		if err == nil || !strings.Contains(err.Error(), c.says) || !strings.Contains(err.Error(), "line 3") {
@@ -127,7 +137,7 @@
 	}
 }
 
-// oracle is Match in the plainest words: of all rules that match, the best in the documented order.
+// oracle is the simplest implementation of Match: of all rules that match, the best in the documented order.
 func oracle(rules []Rule, q Request) *Rule {
 	var best *Rule
 	var bestKey []int
@@ -198,7 +208,10 @@
 		pick := func(of ...string) string { return of[rng.IntN(len(of))] }
 		var rules []Rule
 		for line := range 1 + rng.IntN(30) {
-			r := Rule{Line: line, Pool: pick("ledger", "meters"), Host: pick("", "a.org", "b.org", "*.org", "*.b.org", "a.b.org", "*.a.b.org")}
+			r := Rule{
+				Line: line, Pool: pick("ledger", "meters"),
+				Host: pick("", "a.org", "b.org", "*.org", "*.b.org", "a.b.org", "*.a.b.org"),
+			}
 			first := pick("reading", pick(twoPools[r.Pool]...))
 			path := "/" + first + pick("", "/a", "/a/b", "/a/b/c", "/b")
 			switch rng.IntN(3) {
@@ -219,7 +232,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		hosts, paths := []string{"a.org", "b.org", "x.b.org", "a.b.org", "x.a.b.org", "org", "other"}, []string{"/reading", "/reading/", "/reading/a/b/c/d", "/entry/a", "/meter/a/b", "/", "/readings"}
+		hosts := []string{"a.org", "b.org", "x.b.org", "a.b.org", "x.a.b.org", "org", "other"}
+		paths := []string{"/reading", "/reading/", "/reading/a/b/c/d", "/entry/a", "/meter/a/b", "/", "/readings"}
 		if h, err := Host(hostText); err == nil {
 			hosts = append(hosts, h)
 		}
--- a/internal/proxy/route/target.go
+++ b/internal/proxy/route/target.go
@@ -1,5 +1,5 @@
-// Package route matches a request to a pool. It is free of I/O and compiled once: a request costs a bounded
-// number of look-ups, whatever is in it.
+// Package route finds the pool of a request by rules on its host, path, method and class. Rules are compiled once
+// into an immutable Table; a request then costs a bounded number of look-ups. The package does no I/O.
 package route
 
 import (
@@ -8,15 +8,16 @@
 	"strings"
 )
 
-// Bounds of what is matched; longer hosts (RFC 1035, 2.3.4) and paths are errors.
+// Bounds of hosts (RFC 1035, 2.3.4) and paths, in bytes; longer ones are errors.
 const (
 	maxHost = 253
 	maxPath = 8 << 10
 )
 
-// NewRequest is what of a request counts for its route; an error says what in it can be read in two ways.
+// NewRequest returns the fields of a request that its route depends on, or an error that says why they are
+// ambiguous or malformed.
 func NewRequest(hostField, target, method, class string) (Request, error) {
-	// The form with a scheme and host may disagree with Host, and two readers heed different ones.
+	// A target with a scheme and host may disagree with the Host field, and servers differ in which they use.
 	if !strings.HasPrefix(target, "/") {
 		return Request{}, errors.New("the target is no path")
 	}
@@ -32,14 +33,14 @@
 	return Request{Host: host, Path: path, Method: method, Class: class}, nil
 }
 
-// FirstSegment is the first part of a path: where the protocol has a request's class.
+// FirstSegment returns the first segment of a path, where the protocol has a request's class.
 func FirstSegment(path string) string {
 	first, _, _ := strings.Cut(strings.TrimPrefix(path, "/"), "/")
 	return first
 }
 
-// Host brings a Host header's value into the one form that rules are written in: lower case, without port and
-// trailing dot; an IPv6 literal without its brackets, in its canonical text (RFC 9110, 7.2; RFC 3986, 3.2.2).
+// Host brings a Host header's value into the normal form that rules use: lower case, without port and trailing
+// dot; an IPv6 literal without its brackets, in its canonical text (RFC 9110, 7.2; RFC 3986, 3.2.2).
 func Host(value string) (string, error) {
 	host := value
 	if rest, bracketed := strings.CutPrefix(host, "["); bracketed {
@@ -77,7 +78,7 @@
 	return host, nil
 }
 
-// isPort says whether text is empty, or a colon and a port's digits (none at all are allowed: RFC 3986, 3.2.3).
+// isPort says whether text is empty, or a colon and the digits of a port, which may be missing (RFC 3986, 3.2.3).
 func isPort(text string) bool {
 	if text == "" {
 		return true
@@ -85,59 +86,79 @@
 	return text[0] == ':' && len(text) <= 6 && strings.Trim(text[1:], "0123456789") == ""
 }
 
-var errPath = errors.New("the path can be read in more than one way: a dot segment, an empty segment, " +
+var errAmbiguousPath = errors.New("the path can be read in more than one way: a dot segment, an empty segment, " +
 	"a backslash, or an encoded slash, backslash or NUL")
 
-// Path brings a request target's path (no query) into the one form that rules are written in: what is
-// percent-encoded without need is decoded, once (RFC 3986, 6.2.2.2). A path that two readers may take for
-// different ones is an error, and so nothing can be reached under the name of another: dot segments,
-// empty segments before the last, backslashes, and encoded slashes, backslashes, percent signs and NULs.
+// Path brings a request target's path, without the query, into the normal form that rules use: bytes that are
+// percent-encoded without need are decoded, once (RFC 3986, 6.2.2.2). A path that two parsers may read
+// differently is an error, so that no rule can be evaded: dot segments, empty segments before the last,
+// backslashes, and encoded slashes, backslashes, percent signs and NULs.
 func Path(raw string) (string, error) {
 	if raw == "" || raw[0] != '/' || len(raw) > maxPath {
 		return "", errors.New("the path doesn't begin with a slash, or is too long")
 	}
 	path := raw
 	if strings.IndexByte(raw, '%') >= 0 {
-		var b strings.Builder
-		b.Grow(len(raw))
-		for i := 0; i < len(raw); i++ {
-			if raw[i] != '%' {
-				b.WriteByte(raw[i])
-				continue
-			}
-			if i+2 >= len(raw) {
-				return "", errors.New("the path ends in half an encoded byte")
-			}
-			hi, lo := hex(raw[i+1]), hex(raw[i+2])
-			if hi < 0 || lo < 0 {
-				return "", errors.New("the path has a percent sign with no byte behind it")
-			}
-			switch c := byte(hi<<4 | lo); {
-			case c == '/' || c == '\\' || c == 0 || c == '%':
-				return "", errPath
-			case unreserved(c):
-				b.WriteByte(c)
-			default: // it means what it is: kept, in upper case
-				b.WriteString("%" + strings.ToUpper(raw[i+1:i+3]))
-			}
-			i += 2
+		var err error
+		path, err = decodeUnreserved(raw)
+		if err != nil {
+			return "", err
 		}
-		path = b.String()
 	}
+	if err := checkSegments(path); err != nil {
+		return "", err
+	}
+	return path, nil
+}
+
+// decodeUnreserved decodes the percent-encoded bytes of a path that need no encoding, and writes the others in
+// upper case.
+func decodeUnreserved(raw string) (string, error) {
+	var b strings.Builder
+	b.Grow(len(raw))
+	for i := 0; i < len(raw); i++ {
+		if raw[i] != '%' {
+			b.WriteByte(raw[i])
+			continue
+		}
+		if i+2 >= len(raw) {
+			return "", errors.New("the path ends in half an encoded byte")
+		}
+		hi, lo := hex(raw[i+1]), hex(raw[i+2])
+		if hi < 0 || lo < 0 {
+			return "", errors.New("the path has a percent sign with no byte behind it")
+		}
+		switch c := byte(hi<<4 | lo); {
+		case c == '/' || c == '\\' || c == 0 || c == '%':
+			return "", errAmbiguousPath
+		case unreserved(c):
+			b.WriteByte(c)
+		default:
+			b.WriteString("%" + strings.ToUpper(raw[i+1:i+3]))
+		}
+		i += 2
+	}
+	return b.String(), nil
+}
+
+// checkSegments returns an error if a path has dot segments, empty segments before the last, or backslashes.
+func checkSegments(path string) error {
 	for i := 0; i < len(path); {
 		end := strings.IndexByte(path[i+1:], '/')
 		segment, next := path[i+1:], len(path)
 		if end >= 0 {
 			segment, next = path[i+1:i+1+end], i+1+end
 		}
-		if segment == "." || segment == ".." || segment == "" && next < len(path) || strings.IndexByte(segment, '\\') >= 0 {
-			return "", errPath
+		isEmpty := segment == "" && next < len(path)
+		if isEmpty || segment == "." || segment == ".." || strings.IndexByte(segment, '\\') >= 0 {
+			return errAmbiguousPath
 		}
 		i = next
 	}
-	return path, nil
+	return nil
 }
 
+// hex returns the value of a hexadecimal digit, or -1.
 func hex(c byte) int {
 	switch {
 	case '0' <= c && c <= '9':
@@ -150,6 +171,7 @@
 	return -1
 }
 
+// unreserved says whether a byte never needs encoding (RFC 3986, 2.3).
 func unreserved(c byte) bool {
 	return 'a' <= c && c <= 'z' || 'A' <= c && c <= 'Z' || '0' <= c && c <= '9' || strings.IndexByte("-._~", c) >= 0
 }
