--- a/internal/daemon/pools.go
+++ b/internal/daemon/pools.go
@@ -121,10 +121,10 @@
 	}
 	// Parts by weight. What is held is divided anew with each table: what older requests hold then counts in the
 	// spaces that they took it from, and in the new ones not, for one deadline at most.
-	calls := share.New(int64(max(1, d.cfg.MostOpen)), weights)
-	bodies := share.New(d.cfg.BodyBytes(), weights)
+	calls := share.NewCapacity(int64(max(1, d.cfg.MostOpen)), weights)
+	bodies := share.NewCapacity(d.cfg.BodyBytes(), weights)
 	// A part of the connections is left for those that have said nothing yet: nobody knows whose they are.
-	clients := share.New(int64(max(len(weights), d.cfg.ClientConns()*3/4)), weights)
+	clients := share.NewCapacity(int64(max(len(weights), d.cfg.ClientConns()*3/4)), weights)
 	var fresh []*livePool
 	for i, p := range pools.List {
 		conns := int(float64(d.cfg.UpstreamConns()) * p.Weight / sum)
--- a/internal/proxy/share/queue.go
+++ b/internal/proxy/share/queue.go
@@ -1,53 +1,56 @@
 package share
 
-// Queue gives out a few permits for work among flows by start-time fair queueing with a depth (Goyal, Vin, Cheng 1996;
-// SFQ(D): Jin, Chase, Kaur 2004). Work that waits is served in the order of its start tags, and what it cost is charged once it
-// is known. So a flow that asks seldom waits for what holds the permits and for little else, however many others wait;
-// one that wants more than its part waits behind all who want less; and no permit is left while somebody waits.
+// Queue gives out a few permits for work among flows by start-time fair queueing with a depth (Goyal, Vin, Cheng
+// 1996; SFQ(D): Jin, Chase, Kaur 2004). Waiting work is served in the order of its start tags, and charged its
+// cost once that is known. So a flow that rarely has work waits for what holds the permits and for little else,
+// however much work of others waits; a flow that wants more than its share waits behind those that want less;
+// and no permit is free while work waits.
 //
-// It is free of I/O and not safe for concurrent use. Costs are in nanoseconds of a core, or what counts as such.
+// It does no I/O and is not safe for concurrent use. Costs are in nanoseconds of a core, or an equivalent.
 type Queue[T any] struct {
-	free     int
-	reserved int     // permits that only a flow that is behind may take
+	free     int     // permits
+	reserved int     // free permits that only an underserved flow may take
 	now      float64 // virtual time: the start tag of the work begun last
 	flows    []flow[T]
-	waiting  int
+	waiting  int // over all flows
 }
 
+// flow is the work of one client, or of one kind.
 type flow[T any] struct {
 	weight     float64
-	nextStart  float64 // where the flow's next work starts at the earliest
-	recentCost float64 // cost of its work lately, see lately
-	meanCost   float64 // cost of its work, smoothed: what work under way is taken for until its own cost is known
-	queue      []T
-	head       int // of the queue
+	nextStart  float64 // the earliest start tag of the flow's next work
+	recentCost float64 // over the last recentWindow of all flows' cost
+	meanCost   float64 // smoothed; work in progress counts with it until its own cost is known
+	queue      []T     // from head on, the work that waits
+	head       int
 }
 
-// meanCostGain is the weight of the newest cost in a flow's usual one.
+// meanCostGain is the weight of the newest cost in a flow's mean cost.
 const meanCostGain = 1.0 / 8
 
-// A flow is behind while what it used lately, by weight, is less than behindPart of what all did. Tags can't tell that: what
-// starts next is always near the present, whose time its flow carries on. Lately is the last so many units of cost of all.
+// A flow is underserved while its recent cost, by weight, is below underservedBelow of that of all flows. Start
+// tags can't tell that: what starts next is always near the virtual time. recentWindow is in units of cost.
 const (
 	underservedBelow = 0.5
 	recentWindow     = 50e6
 )
 
-// NewQueue makes a queue with so many permits, at least one, among flows by weight; weights must be above 0. Beside
-// them there are so many spare ones, for flows that are behind: they don't wait for work that holds a permit for long.
-func NewQueue[T any](permits, spare int, weights []float64) *Queue[T] {
-	q := &Queue[T]{free: max(1, permits), reserved: spare, flows: make([]flow[T], len(weights))}
+// NewQueue makes a queue with permits, at least one, among flows by weight; weights must be above 0. Beside the
+// permits there are reserved ones for underserved flows, which so don't wait for work that holds a permit for
+// long.
+func NewQueue[T any](permits, reserved int, weights []float64) *Queue[T] {
+	q := &Queue[T]{free: max(1, permits), reserved: reserved, flows: make([]flow[T], len(weights))}
 	for i, w := range weights {
 		q.flows[i] = flow[T]{weight: w, meanCost: 1}
 	}
 	return q
 }
 
-// Acquire takes a permit for a flow's work, or has it wait: then Done or Forget returns it when it may begin. Whoever got a
-// permit has to give it back with Done, and to say whether it was a spare one.
-func (q *Queue[T]) Acquire(f int, work T) (granted, spare bool) {
+// Acquire takes a permit for a flow's work, or queues the work: then Release returns it when it may begin.
+// Whoever got a permit has to give it back with Release, and to say whether it was a reserved one.
+func (q *Queue[T]) Acquire(f int, work T) (granted, reserved bool) {
 	w := &q.flows[f]
-	if q.free > 0 { // then nobody waits
+	if q.free > 0 { // then no work waits
 		q.free--
 		q.begin(w)
 		return true, false
@@ -62,29 +65,29 @@
 	return false, false
 }
 
-// begin books the work that starts now.
+// begin counts the flow's work that starts now.
 func (q *Queue[T]) begin(w *flow[T]) {
 	q.now = max(q.now, w.nextStart)
-	// One that asked for nothing starts at the present: it saved nothing up.
+	// A flow that had no work starts at the current time: it saved nothing up.
 	w.nextStart = max(w.nextStart, q.now) + w.meanCost/w.weight
 }
 
-// Release gives a permit back. asked is the flow that it was asked for; cost is charged to the flow that the work turned out
-// to be of. It returns the work that may begin now in its place, if any: for a spare one that of a flow that is behind,
-// which has a spare one then.
-func (q *Queue[T]) Release(asked, of int, spare bool, cost float64) (next T, ok bool) {
+// Release gives a permit back. asked is the flow that it was acquired for; cost is charged to the flow of, which
+// the work turned out to belong to. Release returns the work that may begin now with the permit, if any. A
+// reserved permit only goes to the work of an underserved flow, and stays a reserved one.
+func (q *Queue[T]) Release(asked, of int, reserved bool, cost float64) (next T, ok bool) {
 	a, w := &q.flows[asked], &q.flows[of]
 	a.nextStart -= a.meanCost / a.weight
 	q.charge(w, cost)
-	if asked != of { // it was let in as its own
+	if asked != of { // it was admitted as its own
 		q.charge(a, cost)
 	}
 	best := q.earliest()
-	if spare && best != nil && !q.underserved(best) {
+	if reserved && best != nil && !q.underserved(best) {
 		best = nil
 	}
 	if best == nil {
-		if spare {
+		if reserved {
 			q.reserved++
 		} else {
 			q.free++
@@ -97,6 +100,7 @@
 	return next, true
 }
 
+// charge charges a flow the cost of its work.
 func (q *Queue[T]) charge(w *flow[T], cost float64) {
 	w.nextStart = max(w.nextStart, q.now) + cost/w.weight
 	w.meanCost += (cost - w.meanCost) * meanCostGain
@@ -107,7 +111,7 @@
 	w.recentCost += cost
 }
 
-// earliest is the flow whose work waits and starts first, or nil.
+// earliest returns the flow whose waiting work starts first, or nil.
 func (q *Queue[T]) earliest() (best *flow[T]) {
 	if q.waiting == 0 {
 		return nil
@@ -127,7 +131,7 @@
 	w.queue[w.head] = none
 	if w.head++; w.head == len(w.queue) {
 		w.queue, w.head = w.queue[:0], 0
-	} else if w.head > 64 && w.head > len(w.queue)/2 { // a queue that is never empty must not grow for ever
+	} else if w.head > 64 && w.head > len(w.queue)/2 { // a queue that is never empty must not grow without bound
 		n := copy(w.queue, w.queue[w.head:])
 		clear(w.queue[n:])
 		w.queue, w.head = w.queue[:n], 0
@@ -135,9 +139,10 @@
 	return work
 }
 
-// IsUnderserved says whether a flow had less than half of its part lately.
+// IsUnderserved says whether a flow recently had less than half of its share.
 func (q *Queue[T]) IsUnderserved(f int) bool { return q.underserved(&q.flows[f]) }
 
+// underserved is IsUnderserved for a flow itself.
 func (q *Queue[T]) underserved(w *flow[T]) bool {
 	used, weights := 0.0, 0.0
 	for i := range q.flows {
@@ -147,5 +152,5 @@
 	return w.recentCost/w.weight < underservedBelow*used/weights
 }
 
-// Waiting is how much work waits.
+// Waiting returns how much work waits.
 func (q *Queue[T]) Waiting() int { return q.waiting }
--- a/internal/proxy/share/queue_test.go
+++ b/internal/proxy/share/queue_test.go
@@ -6,8 +6,8 @@
 	"pgregory.net/rapid"
 )
 
-// Of flows that always want more, none is behind its fair part by more than the largest work of each flow and permit;
-// no permit is free while something waits; and work of a flow comes in the order it was asked for.
+// Of flows that always have work waiting, none is further below its fair share than the largest work of each
+// flow and permit; no permit is free while work waits; and a flow's work begins in the order of Acquire.
 func TestQueueIsFair(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const largest = 10.0
@@ -59,7 +59,8 @@
 			for f := range weights {
 				for g := range weights {
 					if done[g]-done[f] > bound {
-						t.Fatalf("flow %d had %.1f by weight and flow %d had %.1f, more than %.1f apart", g, done[g], f, done[f], bound)
+						t.Fatalf("flow %d had %.1f by weight and flow %d had %.1f, more than %.1f apart",
+							g, done[g], f, done[f], bound)
 					}
 				}
 			}
@@ -67,8 +68,8 @@
 	})
 }
 
-// One that asks seldom begins with the next permit, however many of others wait and whatever was saved up.
-func TestSeldomGoesFirst(t *testing.T) {
+// A flow that rarely has work has the next permit, however much work of others waits.
+func TestFlowThatRarelyHasWorkGoesFirst(t *testing.T) {
 	q := NewQueue[string](1, 0, []float64{1, 1})
 	q.Acquire(0, "first")
 	for range 400 {
@@ -79,15 +80,15 @@
 	}
 	q.Acquire(1, "quiet")
 	if next, ok := q.Release(0, 0, false, 5); !ok || next != "quiet" {
-		t.Errorf("%q goes before the quiet one", next)
+		t.Errorf("%q begins before the quiet one", next)
 	}
 	if next, ok := q.Release(1, 1, false, 5); !ok || next != "flood" {
 		t.Errorf("%q, %v after the quiet one", next, ok)
 	}
 }
 
-// What turns out to be another flow's work is charged there.
-func TestChargedWhereItBelongs(t *testing.T) {
+// Work that turns out to be another flow's is charged to that one.
+func TestCostIsChargedToTheFlowOfTheWork(t *testing.T) {
 	q := NewQueue[string](1, 0, []float64{1, 1, 1})
 	q.Acquire(0, "new")
 	q.Acquire(1, "known")
@@ -97,35 +98,36 @@
 	}
 }
 
-// A spare permit is for a flow that is behind, goes on to the next of its work, and is kept from a flow that has had its part.
-func TestSparePermit(t *testing.T) {
+// A reserved permit is for an underserved flow, goes on to its next work, and is kept from a flow that has had
+// its share.
+func TestReservedPermitsAreForUnderservedFlows(t *testing.T) {
 	q := NewQueue[string](1, 1, []float64{1, 1})
 	q.Acquire(0, "holds on")
 	q.Release(0, 0, false, 1e6)
 	q.Acquire(0, "holds on")
 	if granted, _ := q.Acquire(0, "more"); granted {
-		t.Error("a flow that has had its part took the spare permit")
+		t.Error("a flow that has had its share took the reserved permit")
 	}
-	if granted, spare := q.Acquire(1, "quiet"); !granted || !spare {
-		t.Fatalf("the flow that is behind waits: %v, %v", granted, spare)
+	if granted, reserved := q.Acquire(1, "quiet"); !granted || !reserved {
+		t.Fatalf("the underserved flow waits: %v, %v", granted, reserved)
 	}
 	if granted, _ := q.Acquire(1, "quiet too"); granted {
-		t.Error("there is one spare permit")
+		t.Error("there is one reserved permit")
 	}
 	if next, ok := q.Release(1, 1, true, 1e3); !ok || next != "quiet too" {
-		t.Errorf("%q, %v: the spare permit goes on to who waits and is behind", next, ok)
+		t.Errorf("%q, %v: the reserved permit goes on to waiting work of an underserved flow", next, ok)
 	}
 	q.Acquire(1, "no longer")
 	if next, ok := q.Release(1, 1, true, 5e6); !ok || next != "more" {
-		t.Errorf("%q, %v: the other flow is the one that is behind now", next, ok)
+		t.Errorf("%q, %v: the other flow is the underserved one now", next, ok)
 	}
 	if _, ok := q.Release(0, 0, true, 1e7); ok {
-		t.Error("the spare permit went on to a flow that has had its part")
+		t.Error("the reserved permit went on to a flow that has had its share")
 	}
 	q.Release(0, 0, false, 1e3) // "no longer" begins
 	q.Acquire(1, "last")
 	q.Release(1, 1, false, 1e9)
 	if q.IsUnderserved(1) || !q.IsUnderserved(0) {
-		t.Errorf("behind: %v and %v, want the one that used little lately", q.IsUnderserved(0), q.IsUnderserved(1))
+		t.Errorf("underserved: %v and %v, want the one with little recent cost", q.IsUnderserved(0), q.IsUnderserved(1))
 	}
 }
--- a/plugin/pools.go
+++ b/plugin/pools.go
@@ -53,8 +53,8 @@
 		sum += p.Weight
 	}
 	w := walls{
-		calls:  share.New(int64(or(cfg.MaxCalls, DefaultMaxCalls)), weights),
-		bodies: share.New(or(cfg.MaxBodyBytes, DefaultMaxBodyBytes), weights),
+		calls:  share.NewCapacity(int64(or(cfg.MaxCalls, DefaultMaxCalls)), weights),
+		bodies: share.NewCapacity(or(cfg.MaxBodyBytes, DefaultMaxBodyBytes), weights),
 	}
 	all := &pools{table: file.Table, cores: make(map[string]*Core)}
 	for i, p := range file.List {
