--- a/internal/proxy/transport/http1/patience_test.go
+++ b/internal/proxy/transport/http1/response_stream_test.go
@@ -12,19 +12,24 @@
 	"caperarch/policy"
 )
 
-// In a dialect a server may be silent in the middle of an answer for as long as its request has; without one for StandTime.
-func TestSilenceWithinAnAnswer(t *testing.T) {
+// In a dialect a server may pause in the middle of a response for as long as its request has; without one for
+// StallTimeout.
+func TestPauseWithinAResponse(t *testing.T) {
 	for _, c := range []struct {
 		dialect       *Dialect
 		has, patience time.Duration
-	}{{new(Dialect), time.Minute, time.Minute}, {new(Dialect), time.Second, stream.StallTimeout}, {nil, time.Minute, stream.StallTimeout}} {
+	}{
+		{new(Dialect), time.Minute, time.Minute},
+		{new(Dialect), time.Second, stream.StallTimeout},
+		{nil, time.Minute, stream.StallTimeout},
+	} {
 		synctest.Test(t, func(t *testing.T) {
 			u := &Transport{clock: clock.New(), dialect: c.dialect}
 			here, there := net.Pipe()
 			defer there.Close()
 			k := &conn{Conn: here}
-			k.limit.R = here
-			s := streamOf(k.pass(u, &http.Response{Body: overConn{here}}, nil, u.clock.Now()+c.has))
+			k.limited.R = here
+			s := streamOf(k.streamResponse(u, &http.Response{Body: connBody{here}}, nil, u.clock.Now()+c.has))
 			go func() {
 				time.Sleep(c.patience - time.Millisecond)
 				_, _ = there.Write([]byte("x"))
@@ -33,15 +38,15 @@
 			if n, err := s.Read(b); n != 1 || err != nil {
 				t.Errorf("%+v: %d bytes, %v", c, n, err)
 			}
-			s.until = time.Now().Add(c.has)
+			s.deadline = time.Now().Add(c.has)
 			if c.dialect == nil {
-				s.until = time.Time{}
+				s.deadline = time.Time{}
 			}
 			before := time.Now()
 			if _, err := s.Read(b); err == nil || time.Since(before) != c.patience {
 				t.Errorf("%+v: given up after %v, %v", c, time.Since(before), err)
 			}
-			if how := <-s.ended; how != policy.ConnectionLost {
+			if how := <-s.ending; how != policy.ConnectionLost {
 				t.Errorf("%+v: ended as %v", c, how)
 			}
 		})
@@ -49,4 +54,4 @@
 }
 
 // overConn is a body over a connection.
-type overConn struct{ net.Conn }
+type connBody struct{ net.Conn }
--- a/internal/proxy/transport/http1/transport_bench_test.go
+++ b/internal/proxy/transport/http1/transport_bench_test.go
@@ -34,7 +34,9 @@
 		<-served
 	}()
 	ticking := clock.New()
-	transport := New(Config{Clock: ticking, DialTimeout: time.Second, IdleTimeout: time.Minute, MaxConns: 8, ReuseDelay: -1})
+	transport := New(Config{
+		Clock: ticking, DialTimeout: time.Second, IdleTimeout: time.Minute, MaxConns: 8, ReuseDelay: -1,
+	})
 	defer transport.Close()
 	server := transport.Server(listener.Addr().String())
 	message := &call.Message{
--- a/internal/proxy/transport/http1/transport_test.go
+++ b/internal/proxy/transport/http1/transport_test.go
@@ -17,21 +17,21 @@
 	"caperarch/policy"
 )
 
-func testUpstream(t *testing.T) *Transport {
+func newTestTransport(t *testing.T) *Transport {
 	t.Helper()
 	u := New(Config{
 		Clock: clock.New(), DialTimeout: 5 * time.Second, IdleTimeout: 30 * time.Second, MaxConns: 96,
 		LoadFields: []string{"failed_ps", "svc_ms", "served_ps", "busy_reqs"},
 		Columns:    wire.Columns{policy.HasErrors, policy.HasService, policy.HasServed, policy.HasInFlight},
 	})
-	u.settle = 0 // where that is not what a test is about
+	u.reuseDelay = 0 // where that is not what a test is about
 	return u
 }
 
 // hosts are the stubs as servers of a transport.
 var hosts sync.Map
 
-func to(u *Transport, s *testbed.Stub) *host {
+func hostOf(u *Transport, s *testbed.Stub) *host {
 	type key struct {
 		u *Transport
 		s *testbed.Stub
@@ -55,28 +55,38 @@
 	return testbed.Wait(t, "the end of an attempt", done)
 }
 
-// Every kind of answer has its ending; a connection is kept only behind a whole and clean one.
-func TestEndings(t *testing.T) {
+// Every kind of response has its ending; a connection is kept only behind a complete and clean one.
+func TestResponseEndings(t *testing.T) {
 	long := strings.Repeat("x", call.MaxBufferedBody+1)
 	for name, c := range map[string]struct {
 		answer string
 		ending policy.Ending
 		kept   bool
 	}{
-		"served":              {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi", policy.Served, true},
-		"chunked":             {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n", policy.Served, true},
-		"interim first":       {"HTTP/1.1 103 Early Hints\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi", policy.Served, true},
-		"to be closed":        {"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nhi", policy.Served, false},
-		"until the end":       {"HTTP/1.1 200 OK\r\n\r\nhi", policy.ConnectionLost, false},
-		"bytes left over":     {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhiHTTP/1.1 200 OK\r\n", policy.Served, false},
-		"error":               {"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", policy.Errored, true},
-		"turned away":         {"HTTP/1.1 503 No\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n", policy.NotProcessed, true},
-		"over already":        {"HTTP/1.1 504 No\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n", policy.NotProcessed, true},
-		"503 with no promise": {"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", policy.Errored, true},
-		"500 with a promise":  {"HTTP/1.1 500 No\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n", policy.Errored, true},
-		"no HTTP":             {"SMTP ready\r\n\r\n", policy.ConnectionLost, false},
-		"cut short":           {"HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\nhi", policy.ConnectionLost, false},
-		"body too long":       {fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(long), long), policy.ConnectionLost, false},
+		"served": {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi", policy.Served, true},
+		"chunked": {
+			"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n", policy.Served, true,
+		},
+		"interim first": {
+			"HTTP/1.1 103 Early Hints\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi", policy.Served, true,
+		},
+		"to be closed":    {"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nhi", policy.Served, false},
+		"until the end":   {"HTTP/1.1 200 OK\r\n\r\nhi", policy.ConnectionLost, false},
+		"bytes left over": {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhiHTTP/1.1 200 OK\r\n", policy.Served, false},
+		"error":           {"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", policy.Errored, true},
+		"not processed": {
+			"HTTP/1.1 503 No\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n", policy.NotProcessed, true,
+		},
+		"too late": {
+			"HTTP/1.1 504 No\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n", policy.NotProcessed, true,
+		},
+		"503 alone":         {"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", policy.Errored, true},
+		"500 not processed": {"HTTP/1.1 500 No\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n", policy.Errored, true},
+		"no HTTP":           {"SMTP ready\r\n\r\n", policy.ConnectionLost, false},
+		"cut short":         {"HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\nhi", policy.ConnectionLost, false},
+		"body too long": {
+			fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(long), long), policy.ConnectionLost, false,
+		},
 		"headers without end": {"HTTP/1.1 200 OK\r\n" + strings.Repeat("X-A: "+long+"\r\n", 9), policy.ConnectionLost, false},
 		"broken":              {"", policy.ConnectionLost, false},
 	} {
@@ -88,14 +98,14 @@
 				_, _ = conn.Write([]byte(c.answer)) // fails where the sidecar has had enough of it
 				return c.kept || name == "bytes left over" || name == "to be closed" || name == "headers without end"
 			})
-			u := testUpstream(t)
-			if got := attempt(t, u, to(u, s), "1", testbed.Generous); got.Ending != c.ending {
+			u := newTestTransport(t)
+			if got := attempt(t, u, hostOf(u, s), "1", testbed.Generous); got.Ending != c.ending {
 				t.Fatalf("ending %v, want %v", got.Ending, c.ending)
 			} else if got.Ending == policy.Served && string(got.Body) != "hi" {
 				t.Fatalf("body %q, want hi", got.Body)
 			}
-			if idle := len(u.idle[to(u, s)]); idle != 0 != c.kept || u.open != idle {
-				t.Errorf("%d connections idle, %d open, want one kept: %v", idle, u.open, c.kept)
+			if idle := len(u.idle[hostOf(u, s)]); idle != 0 != c.kept || u.openConns != idle {
+				t.Errorf("%d connections idle, %d open, want one kept: %v", idle, u.openConns, c.kept)
 			}
 			if len(s.Seen) != 1 {
 				t.Errorf("the upstream had %d requests, want one", len(s.Seen))
@@ -106,17 +116,19 @@
 
 // A kept connection that breaks behind the request's last byte: it may have run, so it must not be
 // sent again by anything but the module. http.Transport does, also for a POST with Idempotency-Key.
-func TestNothingIsSentAgain(t *testing.T) {
+func TestNoAttemptIsSentTwice(t *testing.T) {
 	s := testbed.NewStub(t, func(c net.Conn, r testbed.Received) bool {
 		return r.Header.Get("X-Request-ID") == "1" && testbed.OK(c, "hi")
 	})
-	u := testUpstream(t)
-	attempt(t, u, to(u, s), "1", testbed.Generous)
-	if got := attempt(t, u, to(u, s), "2", testbed.Generous); got.Ending != policy.ConnectionLost {
+	u := newTestTransport(t)
+	attempt(t, u, hostOf(u, s), "1", testbed.Generous)
+	if got := attempt(t, u, hostOf(u, s), "2", testbed.Generous); got.Ending != policy.ConnectionLost {
 		t.Fatalf("ending %v, want %v", got.Ending, policy.ConnectionLost)
 	}
-	if first, second := testbed.Wait(t, "1", s.Seen), testbed.Wait(t, "2", s.Seen); first.Conn != second.Conn || len(s.Seen) > 0 {
-		t.Fatalf("connections %d and %d, %d more requests; want one connection and no more", first.Conn, second.Conn, len(s.Seen))
+	first, second := testbed.Wait(t, "1", s.Seen), testbed.Wait(t, "2", s.Seen)
+	if first.Conn != second.Conn || len(s.Seen) > 0 {
+		t.Fatalf("connections %d and %d, %d more requests; want one connection and no more",
+			first.Conn, second.Conn, len(s.Seen))
 	}
 }
 
@@ -134,57 +146,57 @@
 		}
 		return answered && r.Conn > 0
 	})
-	u := testUpstream(t)
-	attempt(t, u, to(u, s), "1", testbed.Generous)
+	u := newTestTransport(t)
+	attempt(t, u, hostOf(u, s), "1", testbed.Generous)
 	close(hangUp)
 	testbed.Wait(t, "the server to close", gone)
-	for end := time.Now().Add(testbed.Generous); u.idle[to(u, s)][0].usable(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testbed.Generous); u.idle[hostOf(u, s)][0].isUsable(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) { // the news has long crossed the loopback
 			t.Fatal("the closed connection passes for usable")
 		}
 	}
-	if got := attempt(t, u, to(u, s), "2", testbed.Generous); got.Ending != policy.Served {
+	if got := attempt(t, u, hostOf(u, s), "2", testbed.Generous); got.Ending != policy.Served {
 		t.Fatalf("ending %v, want %v", got.Ending, policy.Served)
 	}
-	if u.stale != 1 || u.dialled != 2 || u.open != 1 {
-		t.Errorf("stale %d, dialled %d, open %d, want 1, 2, 1", u.stale, u.dialled, u.open)
+	if u.staleConns != 1 || u.dials != 2 || u.openConns != 1 {
+		t.Errorf("stale %d, dialled %d, open %d, want 1, 2, 1", u.staleConns, u.dials, u.openConns)
 	}
 }
 
 // Nor is one used, or kept open, that has been idle for nearly as long as its server allows.
 func TestOldConnectionsAreRetired(t *testing.T) {
 	s := testbed.NewStub(t, testbed.Echo)
-	u := testUpstream(t)
-	attempt(t, u, to(u, s), "1", testbed.Generous)
+	u := newTestTransport(t)
+	attempt(t, u, hostOf(u, s), "1", testbed.Generous)
 	u.mu.Lock()
-	u.idle[to(u, s)][0].idleSince -= u.keep
+	u.idle[hostOf(u, s)][0].idleSince -= u.maxIdle
 	u.mu.Unlock()
-	u.sweep()
+	u.sweepIdle()
 	testbed.Wait(t, "the old connection to close", s.Closed)
-	attempt(t, u, to(u, s), "2", testbed.Generous)
+	attempt(t, u, hostOf(u, s), "2", testbed.Generous)
 	u.mu.Lock()
-	u.idle[to(u, s)][0].idleSince -= u.keep
+	u.idle[hostOf(u, s)][0].idleSince -= u.maxIdle
 	u.mu.Unlock()
-	attempt(t, u, to(u, s), "3", testbed.Generous)
-	if u.dialled != 3 || u.open != 1 {
-		t.Errorf("dialled %d, open %d, want 3, 1", u.dialled, u.open)
+	attempt(t, u, hostOf(u, s), "3", testbed.Generous)
+	if u.dials != 3 || u.openConns != 1 {
+		t.Errorf("dialled %d, open %d, want 3, 1", u.dials, u.openConns)
 	}
 }
 
 func TestConnectionsAreReused(t *testing.T) {
 	s := testbed.NewStub(t, testbed.Echo)
-	u := testUpstream(t)
+	u := newTestTransport(t)
 	for i := range 5 {
-		attempt(t, u, to(u, s), fmt.Sprint(i), testbed.Generous)
+		attempt(t, u, hostOf(u, s), fmt.Sprint(i), testbed.Generous)
 	}
-	if u.dialled != 1 {
-		t.Errorf("%d connections for five requests one after the other, want 1", u.dialled)
+	if u.dials != 1 {
+		t.Errorf("%d connections for five requests one after the other, want 1", u.dials)
 	}
 }
 
 // A server that closes right after an answer crosses requests that come soon after: so the connection
 // that has rested longest is used first.
-func TestLongestRestedGoesFirst(t *testing.T) {
+func TestLongestIdleIsUsedFirst(t *testing.T) {
 	both := make(chan struct{})
 	s := testbed.NewStub(t, func(c net.Conn, r testbed.Received) bool {
 		if id := r.Header.Get("X-Request-ID"); id == "1" || id == "2" {
@@ -192,10 +204,10 @@
 		}
 		return testbed.Echo(c, r)
 	})
-	u := testUpstream(t)
+	u := newTestTransport(t)
 	done := make(chan call.Result, 2)
 	for _, id := range []string{"1", "2"} { // at the same time, so on two connections
-		u.send(to(u, s), testMessage(id), u.clock.Now()+testbed.Generous, func(r call.Result) { done <- r })
+		u.send(hostOf(u, s), testMessage(id), u.clock.Now()+testbed.Generous, func(r call.Result) { done <- r })
 		testbed.Wait(t, "a request", s.Seen)
 	}
 	close(both)
@@ -203,7 +215,7 @@
 	testbed.Wait(t, "an end", done)
 	used := make(map[int]bool)
 	for _, id := range []string{"3", "4"} { // one after the other
-		attempt(t, u, to(u, s), id, testbed.Generous)
+		attempt(t, u, hostOf(u, s), id, testbed.Generous)
 		used[testbed.Wait(t, id, s.Seen).Conn] = true
 	}
 	if len(used) != 2 {
@@ -215,16 +227,16 @@
 // none, nothing is sent.
 func TestConnectionsStayUnderTheLimit(t *testing.T) {
 	a, b, mute := testbed.NewStub(t, testbed.Echo), testbed.NewStub(t, testbed.Echo), testbed.NewStub(t, testbed.Silent)
-	u := testUpstream(t)
-	u.most = 1
-	attempt(t, u, to(u, a), "1", testbed.Generous)
-	if got := attempt(t, u, to(u, b), "2", testbed.Generous); got.Ending != policy.Served || u.open != 1 {
-		t.Errorf("ending %v, %d open, want served over the one connection", got.Ending, u.open)
+	u := newTestTransport(t)
+	u.maxConns = 1
+	attempt(t, u, hostOf(u, a), "1", testbed.Generous)
+	if got := attempt(t, u, hostOf(u, b), "2", testbed.Generous); got.Ending != policy.Served || u.openConns != 1 {
+		t.Errorf("ending %v, %d open, want served over the one connection", got.Ending, u.openConns)
 	}
 	done := make(chan call.Result, 1)
-	x := u.send(to(u, mute), testMessage("3"), u.clock.Now()+testbed.Generous, func(r call.Result) { done <- r })
+	x := u.send(hostOf(u, mute), testMessage("3"), u.clock.Now()+testbed.Generous, func(r call.Result) { done <- r })
 	testbed.Wait(t, "the request", mute.Seen)
-	if got := attempt(t, u, to(u, a), "4", testbed.Generous); got.Ending != policy.NotSent { // no word on the server
+	if got := attempt(t, u, hostOf(u, a), "4", testbed.Generous); got.Ending != policy.NotSent { // no word on the server
 		t.Errorf("ending %v, want %v", got.Ending, policy.NotSent)
 	}
 	x.Cancel()
@@ -238,33 +250,34 @@
 	}
 	address := l.Addr().String()
 	l.Close()
-	u := testUpstream(t)
-	if got := attempt(t, u, &host{u: u, address: address}, "1", testbed.Generous); got.Ending != policy.NoConnection || u.open != 0 {
-		t.Fatalf("ending %v, %d open, want %v and none", got.Ending, u.open, policy.NoConnection)
+	u := newTestTransport(t)
+	got := attempt(t, u, &host{transport: u, address: address}, "1", testbed.Generous)
+	if got.Ending != policy.NoConnection || u.openConns != 0 {
+		t.Fatalf("ending %v, %d open, want %v and none", got.Ending, u.openConns, policy.NoConnection)
 	}
 }
 
 // A machine that vanished says nothing: only the time-out ends the attempt, and its connection goes.
-func TestSilentServer(t *testing.T) {
+func TestServerWithoutResponse(t *testing.T) {
 	s := testbed.NewStub(t, testbed.Silent)
-	u := testUpstream(t)
-	if got := attempt(t, u, to(u, s), "1", 30*time.Millisecond); got.Ending != policy.TimedOut {
+	u := newTestTransport(t)
+	if got := attempt(t, u, hostOf(u, s), "1", 30*time.Millisecond); got.Ending != policy.TimedOut {
 		// where the machine was too busy to send at all in that time, it never ran
 		if got.Ending != policy.NoConnection || len(s.Seen) > 0 {
 			t.Fatalf("ending %v, want %v", got.Ending, policy.TimedOut)
 		}
 	}
-	if u.open != 0 {
-		t.Errorf("%d connections open, want none", u.open)
+	if u.openConns != 0 {
+		t.Errorf("%d connections open, want none", u.openConns)
 	}
 }
 
 // A cancelled attempt closes its connection, which tells the upstream, and still has its one end.
 func TestCancelClosesTheConnection(t *testing.T) {
 	s := testbed.NewStub(t, testbed.Silent)
-	u := testUpstream(t)
+	u := newTestTransport(t)
 	done := make(chan call.Result, 2)
-	x := u.send(to(u, s), testMessage("1"), u.clock.Now()+testbed.Generous, func(r call.Result) { done <- r })
+	x := u.send(hostOf(u, s), testMessage("1"), u.clock.Now()+testbed.Generous, func(r call.Result) { done <- r })
 	testbed.Wait(t, "the request", s.Seen)
 	x.Cancel()
 	x.Cancel()
@@ -272,8 +285,8 @@
 		t.Errorf("ending %v, want %v", got.Ending, policy.Cancelled)
 	}
 	testbed.Wait(t, "the connection to close", s.Closed)
-	if len(done) > 0 || u.open != 0 {
-		t.Errorf("%d more ends, %d open, want none", len(done), u.open)
+	if len(done) > 0 || u.openConns != 0 {
+		t.Errorf("%d more ends, %d open, want none", len(done), u.openConns)
 	}
 }
 
@@ -281,94 +294,95 @@
 // waiting for a connection when it was cancelled.
 func TestCancelledBeforeItIsWritten(t *testing.T) {
 	s := testbed.NewStub(t, testbed.Echo)
-	u := testUpstream(t)
-	attempt(t, u, to(u, s), "1", testbed.Generous)
+	u := newTestTransport(t)
+	attempt(t, u, hostOf(u, s), "1", testbed.Generous)
 	x := new(exchange)
 	x.Cancel()
 	m := testMessage("2")
 	for i := range 2 { // over the kept connection, then over a new one
-		if _, _, ending := u.exchange(x, to(u, s), m, u.clock.Now()+testbed.Generous); ending != policy.Cancelled {
+		if _, _, ending := u.roundTrip(x, hostOf(u, s), m, u.clock.Now()+testbed.Generous); ending != policy.Cancelled {
 			t.Errorf("ending %v, want %v", ending, policy.Cancelled)
 		}
 		x.Cancel() // once more: the connection is not its own any more
-		if list := u.idle[to(u, s)]; i == 0 && (len(list) != 1 || !list[0].usable()) {
+		if list := u.idle[hostOf(u, s)]; i == 0 && (len(list) != 1 || !list[0].isUsable()) {
 			t.Fatal("the connection, which nothing was written to, is not kept")
 		}
-		u.close(to(u, s))
+		u.closeIdle(hostOf(u, s))
 	}
-	attempt(t, u, to(u, s), "3", testbed.Generous)
+	attempt(t, u, hostOf(u, s), "3", testbed.Generous)
 	if testbed.Wait(t, "1", s.Seen); testbed.Wait(t, "3", s.Seen).Header.Get("X-Request-ID") != "3" {
 		t.Error("the cancelled request went out")
 	}
 }
 
 // What the upstream must have unchanged, and the time-out, which it must be told anew.
-func TestWhatGoesOn(t *testing.T) {
+func TestForwardedRequest(t *testing.T) {
 	s := testbed.NewStub(t, testbed.Echo)
-	u := testUpstream(t)
-	attempt(t, u, to(u, s), "7", testbed.Generous)
+	u := newTestTransport(t)
+	attempt(t, u, hostOf(u, s), "7", testbed.Generous)
 	r := testbed.Wait(t, "the request", s.Seen)
 	number, ok := strings.CutSuffix(r.Header.Get("X-Timeout"), "m")
 	left, err := strconv.Atoi(number)
 	if r.Method != http.MethodPost || r.URI != "/reading" || r.Body != "weight" || r.Host != "service.internal" ||
-		r.Header.Get("X-Request-ID") != "7" || r.Header.Get("Idempotency-Key") != "k7" || !ok || err != nil || left <= 0 || left > int(testbed.Generous.Milliseconds()) {
+		r.Header.Get("X-Request-ID") != "7" || r.Header.Get("Idempotency-Key") != "k7" ||
+		!ok || err != nil || left <= 0 || left > int(testbed.Generous.Milliseconds()) {
 		t.Errorf("%s %s %q for %s, headers %v", r.Method, r.URI, r.Body, r.Host, r.Header)
 	}
 }
 
 // A second copy behind an answer, which comes only once the connection is in use again, would be
 // read as the next request's answer. So it rests first, and what has come by then is found.
-func TestSecondCopyIsNotTheNextAnswer(t *testing.T) {
+func TestDuplicateResponseIsNotTheNextOne(t *testing.T) {
 	s := testbed.NewStub(t, func(c net.Conn, r testbed.Received) bool {
 		if id := r.Header.Get("X-Request-ID"); r.Conn == 0 && id != "1" {
 			return testbed.OK(c, "done 1")
 		}
 		return testbed.Echo(c, r)
 	})
-	u := testUpstream(t)
-	u.settle = testbed.Generous
-	attempt(t, u, to(u, s), "1", testbed.Generous)
-	if got := attempt(t, u, to(u, s), "2", testbed.Generous); string(got.Body) != "done 2" {
+	u := newTestTransport(t)
+	u.reuseDelay = testbed.Generous
+	attempt(t, u, hostOf(u, s), "1", testbed.Generous)
+	if got := attempt(t, u, hostOf(u, s), "2", testbed.Generous); string(got.Body) != "done 2" {
 		t.Errorf("ending %v, body %q, want the answer to the request", got.Ending, got.Body)
 	}
 }
 
 // A machine that lets an attempt run into its time-out may be cut off: its idle connections would
 // take requests and say nothing, too. A new one tells.
-func TestTimeOutRetiresOlderConnections(t *testing.T) {
+func TestTimeoutClosesOlderConnections(t *testing.T) {
 	s := testbed.NewStub(t, func(c net.Conn, r testbed.Received) bool {
 		id := r.Header.Get("X-Request-ID")
 		return id == "brief" || id == "silent" || testbed.Echo(c, r)
 	})
-	u := testUpstream(t)
-	attempt(t, u, to(u, s), "1", testbed.Generous)
-	u.settle = testbed.Generous // so that the next ones take a new connection
-	attempt(t, u, to(u, s), "brief", 100*time.Millisecond)
-	if len(u.idle[to(u, s)]) != 1 {
+	u := newTestTransport(t)
+	attempt(t, u, hostOf(u, s), "1", testbed.Generous)
+	u.reuseDelay = testbed.Generous // so that the next ones take a new connection
+	attempt(t, u, hostOf(u, s), "brief", 100*time.Millisecond)
+	if len(u.idle[hostOf(u, s)]) != 1 {
 		t.Fatal("an attempt that had less time than a connection may take tells nothing")
 	}
 	u.dialTimeout = time.Second / 2
-	attempt(t, u, to(u, s), "silent", time.Second)
-	if testbed.Wait(t, "a connection to close", s.Closed); u.open != 0 {
-		t.Errorf("%d connections are kept, want none", u.open)
+	attempt(t, u, hostOf(u, s), "silent", time.Second)
+	if testbed.Wait(t, "a connection to close", s.Closed); u.openConns != 0 {
+		t.Errorf("%d connections are kept, want none", u.openConns)
 	}
 }
 
 // One that is in use while its server leaves the list is not kept: its address may be another's.
-func TestConnectionOfOneThatLeft(t *testing.T) {
+func TestConnectionOfDeregisteredServer(t *testing.T) {
 	release := make(chan struct{})
 	s := testbed.NewStub(t, func(c net.Conn, r testbed.Received) bool {
 		<-release
 		return testbed.Echo(c, r)
 	})
-	u := testUpstream(t)
+	u := newTestTransport(t)
 	done := make(chan call.Result, 1)
-	u.send(to(u, s), testMessage("1"), u.clock.Now()+testbed.Generous, func(r call.Result) { done <- r })
+	u.send(hostOf(u, s), testMessage("1"), u.clock.Now()+testbed.Generous, func(r call.Result) { done <- r })
 	testbed.Wait(t, "the request", s.Seen)
-	u.leave(to(u, s))
+	u.deregister(hostOf(u, s))
 	close(release)
-	if got := testbed.Wait(t, "its end", done); got.Ending != policy.Served || u.open != 0 || len(u.idle) != 0 {
-		t.Errorf("ending %v, %d connections open, want served and none", got.Ending, u.open)
+	if got := testbed.Wait(t, "its end", done); got.Ending != policy.Served || u.openConns != 0 || len(u.idle) != 0 {
+		t.Errorf("ending %v, %d connections open, want served and none", got.Ending, u.openConns)
 	}
 }
 
@@ -386,9 +400,9 @@
 			_, err := fmt.Fprintf(c, "HTTP/1.1 %d X\r\nContent-Length: %d\r\n\r\n%s", status, len(report), report)
 			return err == nil
 		})
-		u := testUpstream(t)
+		u := newTestTransport(t)
 		done := make(chan told, 2)
-		u.probe(to(u, s), u.clock.Now(), func(ok bool, load policy.Load) { done <- told{ok, load} })
+		u.probe(hostOf(u, s), u.clock.Now(), func(ok bool, load policy.Load) { done <- told{ok, load} })
 		got := testbed.Wait(t, "the result", done)
 		load := policy.Load{
 			Has:      policy.HasInFlight | policy.HasService | policy.HasServed,
@@ -400,9 +414,9 @@
 	}
 }
 
-// Guards against servers that close kept connections with the next request: their probes failed, which the module takes for
-// servers that can't tell their load.
-func TestProbeOnABrokenConnectionIsMadeOnceMore(t *testing.T) {
+// Guards against servers that close kept connections with the next request: their probes failed, which the module
+// takes for servers that can't tell their load.
+func TestProbeOnBrokenConnectionIsRetried(t *testing.T) {
 	var first sync.Once
 	s := testbed.NewStub(t, func(c net.Conn, r testbed.Received) bool {
 		if r.URI == "/metrics/load" {
@@ -414,39 +428,41 @@
 		}
 		return testbed.Echo(c, r)
 	})
-	u := testUpstream(t)
-	attempt(t, u, to(u, s), "1", testbed.Generous)
+	u := newTestTransport(t)
+	attempt(t, u, hostOf(u, s), "1", testbed.Generous)
 	done := make(chan bool, 2)
-	u.probe(to(u, s), u.clock.Now(), func(ok bool, _ policy.Load) { done <- ok })
+	u.probe(hostOf(u, s), u.clock.Now(), func(ok bool, _ policy.Load) { done <- ok })
 	if !testbed.Wait(t, "the result", done) {
 		t.Error("the probe failed, though a new connection stands")
 	}
 }
 
-// Guards against a server that closes some time after its answer, and one (or a machine between) that forgets connections which rested for
-// longer: what is written meanwhile may have run for all that can be proved. Of the connections that are kept the age is
-// taken at which fewest broke.
-func TestConnectionsAreTakenAtTheAgeAtWhichFewestBreak(t *testing.T) {
-	var own, all ages
+// Guards against a server that closes some time after its answer, and one (or a machine between) that forgets
+// connections which rested for longer: what is written meanwhile may have run for all that can be proved. Of the
+// connections that are kept the age is taken at which fewest broke.
+func TestConnectionsAreReusedAtTheAgeAtWhichFewestBreak(t *testing.T) {
+	var own, all reuseStats
 	for range 40 {
-		for age, broke := range map[time.Duration]bool{12 * time.Millisecond: true, 50 * time.Millisecond: false, 300 * time.Millisecond: true} {
-			own.count(bucket(age), broke)
-			all.count(bucket(age), broke)
+		for age, broke := range map[time.Duration]bool{
+			12 * time.Millisecond: true, 50 * time.Millisecond: false, 300 * time.Millisecond: true,
+		} {
+			own.record(ageBucket(age), broke)
+			all.record(ageBucket(age), broke)
 		}
-		own.count(brandNew, false)
-		all.count(brandNew, false)
+		own.record(newConnBucket, false)
+		all.record(newConnBucket, false)
 	}
 	rested := []time.Duration{310 * time.Millisecond, 52 * time.Millisecond, 50 * time.Millisecond, 12 * time.Millisecond}
-	if at := best(&own, &all, rested); at != 1 {
+	if at := chooseByBreakRate(&own, &all, rested); at != 1 {
 		t.Errorf("taken %d of %v, want the one of 52 ms", at, rested)
 	}
-	if at := best(&own, &all, rested[:1]); at != -1 {
+	if at := chooseByBreakRate(&own, &all, rested[:1]); at != -1 {
 		t.Error("one that as good as always breaks is taken, and not a new one")
 	}
-	if at := best(new(ages), &all, rested); at != 1 {
+	if at := chooseByBreakRate(new(reuseStats), &all, rested); at != 1 {
 		t.Errorf("a server that nothing is known of: taken %d, want what holds for all", at)
 	}
-	if at := best(new(ages), new(ages), rested); at != 0 {
+	if at := chooseByBreakRate(new(reuseStats), new(reuseStats), rested); at != 0 {
 		t.Errorf("nothing is known: taken %d, want the longest rested one", at)
 	}
 }
@@ -455,17 +471,17 @@
 func TestBucketsAreInOrder(t *testing.T) {
 	before := 0
 	for age := time.Duration(0); age < time.Minute; age += time.Millisecond {
-		b := bucket(age)
-		if b < before || b > before+1 || b >= buckets {
+		b := ageBucket(age)
+		if b < before || b > before+1 || b >= ageBuckets {
 			t.Fatalf("%v is in bucket %d, a millisecond less in %d", age, b, before)
 		}
 		before = b
 	}
 }
 
-// Guards against requests that must not run twice and are lost to a connection which its server had given up: where connections
-// break, the last byte is kept back, and a reset that comes before it proves that the request never ran.
-func TestTheLastByteIsKeptBackWhereConnectionsBreak(t *testing.T) {
+// Guards against requests that must not run twice and are lost to a connection which its server had given up: where
+// connections break, the last byte is kept back, and a reset that comes before it proves that the request never ran.
+func TestLastByteIsDelayedWhereConnectionsBreak(t *testing.T) {
 	s := testbed.NewStub(t, testbed.Echo)
 	dead, err := net.Listen("tcp", "127.0.0.1:0") // resets as soon as anything comes
 	if err != nil {
@@ -486,13 +502,14 @@
 			got <- string(b[:n])
 		}
 	}()
-	u := testUpstream(t)
+	u := newTestTransport(t)
 	h := u.Server(dead.Addr().String()).(*host)
-	if end := attempt(t, u, h, "1", testbed.Generous).Ending; end != policy.ConnectionLost || !strings.HasSuffix(testbed.Wait(t, "the request", got), "weight") {
+	end := attempt(t, u, h, "1", testbed.Generous).Ending
+	if end != policy.ConnectionLost || !strings.HasSuffix(testbed.Wait(t, "the request", got), "weight") {
 		t.Fatalf("ending %v, want it written whole and broken", end)
 	}
 	for range 10 {
-		u.count(h, new(conn), true)
+		u.recordUse(h, new(conn), true)
 	}
 	if end := attempt(t, u, h, "2", testbed.Generous).Ending; end != policy.NoConnection {
 		t.Errorf("ending %v, want NoConnection: it was never whole", end)
@@ -500,7 +517,7 @@
 	if came := testbed.Wait(t, "the request", got); !strings.HasSuffix(came, "weigh") {
 		t.Errorf("%q came, want all but the last byte", came)
 	}
-	if end := attempt(t, u, to(u, s), "3", testbed.Generous).Ending; end != policy.Served {
+	if end := attempt(t, u, hostOf(u, s), "3", testbed.Generous).Ending; end != policy.Served {
 		t.Errorf("ending %v at a server that is well, want it served", end)
 	}
 }
@@ -508,17 +525,17 @@
 // A process that was stopped between the decision and the write sends nothing once the time is up.
 func TestLateAttemptIsNotWritten(t *testing.T) {
 	s := testbed.NewStub(t, testbed.Echo)
-	u := testUpstream(t)
+	u := newTestTransport(t)
 	u.clock = clock.NewAdjustable()
-	attempt(t, u, to(u, s), "1", testbed.Generous)
+	attempt(t, u, hostOf(u, s), "1", testbed.Generous)
 	for _, stop := range []time.Duration{5 * time.Second, time.Hour} { // the kept connection stands, or is too old
 		until := u.clock.Now() + time.Second
 		u.clock.Advance(stop)
-		if _, _, ending := u.exchange(new(exchange), to(u, s), testMessage("2"), until); ending != policy.NotSent {
+		if _, _, ending := u.roundTrip(new(exchange), hostOf(u, s), testMessage("2"), until); ending != policy.NotSent {
 			t.Errorf("ending %v, want NotSent: our own stop is no word on the server", ending)
 		}
 	}
-	attempt(t, u, to(u, s), "3", testbed.Generous)
+	attempt(t, u, hostOf(u, s), "3", testbed.Generous)
 	if testbed.Wait(t, "1", s.Seen); testbed.Wait(t, "3", s.Seen).ID() != "3" {
 		t.Error("the late attempt went out")
 	}
