--- /dev/null
+++ b/cmd/measure/cleanup.go
@@ -0,0 +1,68 @@
+package main
+
+import (
+	"fmt"
+	"os"
+	"os/signal"
+	"sync"
+	"sync/atomic"
+	"syscall"
+)
+
+// panics is a rig.TB for a program: what can't go on ends it.
+type panics struct{}
+
+func (panics) Helper() {}
+
+func (panics) Fatalf(format string, args ...any) { panic(fmt.Sprintf(format, args...)) }
+
+func (panics) Cleanup(func()) {}
+
+// cleanups is a rig.TB for a program that gives back what one part of it took.
+type cleanups struct {
+	panics
+	all *[]func()
+}
+
+func newCleanups() cleanups {
+	if ending.Load() {
+		select {} // the program is about to end
+	}
+	c := cleanups{all: new([]func())}
+	open.Store(c, true)
+	return c
+}
+
+// open are those whose end has not come. A measurement that is called off must leave no process
+// behind: a hundred of one went on beside the next.
+var open sync.Map
+
+// ending says that the program was told to end: nothing new is begun.
+var ending atomic.Bool
+
+// endOnSignal gives everything back when the program is told to end.
+func endOnSignal() {
+	told := make(chan os.Signal, 1)
+	signal.Notify(told, syscall.SIGTERM, syscall.SIGINT)
+	go func() {
+		<-told
+		ending.Store(true)
+		open.Range(func(c, _ any) bool {
+			c.(cleanups).end()
+			return true
+		})
+		os.Exit(1)
+	}()
+}
+
+// Cleanup has something done at the end.
+func (c cleanups) Cleanup(f func()) { *c.all = append(*c.all, f) }
+
+func (c cleanups) end() {
+	if _, still := open.LoadAndDelete(c); !still {
+		return
+	}
+	for i := len(*c.all) - 1; i >= 0; i-- {
+		(*c.all)[i]()
+	}
+}
--- a/cmd/measure/plans.go
+++ b/cmd/measure/fleet_plans.go
@@ -2,69 +2,15 @@
 
 import (
 	"fmt"
-	"os"
 	"os/exec"
-	"os/signal"
 	"slices"
-	"strings"
 	"sync"
-	"sync/atomic"
-	"syscall"
 	"time"
 
 	"caperarch/internal/fleet/swim"
 	"caperarch/internal/lab/testbed/fleet"
 )
 
-// cleanups is a rig.TB for a program that gives back what one part of it took.
-type cleanups struct {
-	panics
-	all *[]func()
-}
-
-func newCleanups() cleanups {
-	if ending.Load() {
-		select {} // the program is about to end
-	}
-	c := cleanups{all: new([]func())}
-	open.Store(c, true)
-	return c
-}
-
-// open are those whose end has not come. A measurement that is called off must leave no process
-// behind: a hundred of one went on beside the next.
-var open sync.Map
-
-// ending says that the program was told to end: nothing new is begun.
-var ending atomic.Bool
-
-// endOnSignal gives everything back when the program is told to end.
-func endOnSignal() {
-	told := make(chan os.Signal, 1)
-	signal.Notify(told, syscall.SIGTERM, syscall.SIGINT)
-	go func() {
-		<-told
-		ending.Store(true)
-		open.Range(func(c, _ any) bool {
-			c.(cleanups).end()
-			return true
-		})
-		os.Exit(1)
-	}()
-}
-
-// Cleanup has something done at the end.
-func (c cleanups) Cleanup(f func()) { *c.all = append(*c.all, f) }
-
-func (c cleanups) end() {
-	if _, still := open.LoadAndDelete(c); !still {
-		return
-	}
-	for i := len(*c.all) - 1; i >= 0; i-- {
-		(*c.all)[i]()
-	}
-}
-
 const (
 	planLength = 20 * time.Second
 	planSize   = 5
@@ -116,39 +62,6 @@
 		len(missed), healed.median(), healed.at(1), sum.Served, lost), missed, nil
 }
 
-// eachSeed has something done for seeds 1, 2 and so on, some at a time, or for the one that was
-// asked for; it returns for how many.
-func eachSeed(seeds, at int, do func(seed uint64)) int {
-	if seedsMost > 0 {
-		seeds = seedsMost
-	}
-	first, last := uint64(1), uint64(seeds)
-	if seed != 0 {
-		first, last = seed, seed
-	}
-	places, done := make(chan struct{}, at), new(sync.WaitGroup)
-	for s := first; s <= last; s++ {
-		places <- struct{}{}
-		done.Go(func() {
-			defer func() { <-places }()
-			do(s)
-		})
-	}
-	done.Wait()
-	return int(last - first + 1)
-}
-
-// told prints what was broken in a plan's run, as one line of what was missed; nothing was: none.
-func told(f *fleet.Fleet, p *fleet.Plan, broken []string) (missed []string) {
-	if broken == nil {
-		return nil
-	}
-	line := fmt.Sprintf("%v: %s", p, strings.Join(broken, "; "))
-	fmt.Println("broken:", line)
-	keepLogs(f, p.Seed)
-	return []string{line}
-}
-
 // measurePolicyPlans has fleets of five to nine real processes change their policy while they live
 // through plans drawn from seeds 1, 2 and so on.
 func measurePolicyPlans(short bool) (string, []string, error) {
@@ -255,15 +168,3 @@
 	return fmt.Sprintf("seeds=%d broken=%d turns=%d astray=%d lost=%d ended_median=%.2f served=%d", seeds,
 		len(missed), sum.Turns, sum.Astray, anew, ended.median(), sum.Served), missed, nil
 }
-
-// keepLogs writes what processes logged where KEEP_LOGS says, for a run that was broken.
-func keepLogs(f *fleet.Fleet, seed uint64) {
-	keep := os.Getenv("KEEP_LOGS")
-	if keep == "" {
-		return
-	}
-	if out, err := os.Create(fmt.Sprintf("%s/seed-%d.log", keep, seed)); err == nil {
-		f.Dump(out)
-		out.Close()
-	}
-}
--- a/cmd/measure/policy.go
+++ b/cmd/measure/fleet_policy.go
@@ -6,9 +6,7 @@
 	"slices"
 	"time"
 
-	"caperarch/internal/fleet/policyrollout"
 	"caperarch/internal/fleet/swim"
-	"caperarch/internal/lab/replicatedstatesim"
 	"caperarch/internal/lab/testbed/fleet"
 )
 
@@ -207,69 +205,3 @@
 		}
 	}
 }
-
-// virtualChange has so many change their policy in virtual time, each with the bytes that swim leaves of its budget.
-func virtualChange(size int) string {
-	lease := swim.LeaseFor(size)
-	n := replicatedstatesim.New(replicatedstatesim.Config{Size: size, Seed: 1, Lease: lease, Rate: 0.001, Spend: 2048})
-	n.Run(time.Second)
-	if err := n.Nodes[0].Bootstrap(n.Nodes[0].Time(), 1<<56); err != nil {
-		return err.Error()
-	}
-	until := func(within time.Duration, holds func(goes policyrollout.Active) bool) (time.Duration, int) {
-		begun := n.Now
-		for {
-			missing := 0
-			for _, m := range n.Nodes {
-				if m.Lives() && !holds(m.Node.Active(m.Time())) {
-					missing++
-				}
-			}
-			if missing == 0 || n.Now-begun > within {
-				return n.Now - begun, missing
-			}
-			n.Run(100 * time.Millisecond)
-		}
-	}
-	one := func(version uint32) func(policyrollout.Active) bool {
-		return func(goes policyrollout.Active) bool {
-			return goes.Mode == policyrollout.One && goes.New.Version == version
-		}
-	}
-	began, out := until(3*lease+time.Minute, one(0))
-	if out > 0 {
-		return fmt.Sprintf("virtual, %d sidecars: %v after a beginning %d of them don't go by the log",
-			size, began, out)
-	}
-	n.Run(lease)
-	bytes := n.Bytes
-	n.Run(lease)
-	rest := float64(n.Bytes-bytes) / lease.Seconds() / float64(size)
-	text := fmt.Sprintf("virtual, %d sidecars (lease %v): all by the log %v after its beginning, %.0f "+
-		"bytes a second each at rest", size, lease, began.Round(time.Second), rest)
-	for k, c := range []struct {
-		name   string
-		begin  func()
-		within time.Duration
-	}{
-		{"calm", func() {}, lease + time.Minute},
-		{"a tenth down", func() {
-			for i := range size / 10 {
-				n.Crash(10*i + 5)
-			}
-		}, 2*lease + time.Minute},
-	} {
-		c.begin()
-		m := n.Nodes[1]
-		if _, err := m.Propose(m.Time(), replicatedstatesim.Text(k), uint32(k)); err != nil {
-			return text + "; " + c.name + ": " + err.Error()
-		}
-		took, out := until(c.within, one(uint32(k+1)))
-		text += fmt.Sprintf("; %s: with all but %d after %.1f s", c.name, out, took.Seconds())
-		busy := func() bool { v := m.View(m.Time()); return v.State.InProgress() != 0 }
-		for end := n.Now + lease; n.Now < end && busy(); {
-			n.Run(time.Second)
-		}
-	}
-	return text
-}
--- a/cmd/measure/work.go
+++ b/cmd/measure/fleet_work.go
@@ -11,9 +11,7 @@
 	"time"
 
 	"caperarch/internal/fleet/fleetlog"
-	"caperarch/internal/fleet/maintenance"
 	"caperarch/internal/fleet/swim"
-	"caperarch/internal/lab/replicatedstatesim"
 	"caperarch/internal/lab/testbed"
 	"caperarch/internal/lab/testbed/fleet"
 )
@@ -106,74 +104,6 @@
 	realDelay  = 20 * time.Millisecond
 )
 
-type virtualWork struct {
-	took, ideal, bytes float64
-	given, over        int
-	astray             int
-	broken             []string
-}
-
-// virtualRound has so many sidecars take all machines out. Somebody is at each as soon as any
-// sidecar says that it is free.
-func virtualRound(seed uint64, size, machines, gone int) (r virtualWork) {
-	site := &replicatedstatesim.Site{Deadline: 5 * time.Second, Bound: atOnce, Returns: workCold,
-		Every: 5 * time.Second}
-	for i := range machines {
-		site.Machines = append(site.Machines,
-			maintenance.Machine{ID: uint64(i + 1), Name: fmt.Sprintf("s-%d", i), Zone: "a", Cell: i / 2,
-				Weight: 1, State: maintenance.MachineReady, Warmth: 1})
-	}
-	n := replicatedstatesim.New(replicatedstatesim.Config{Size: size, Seed: seed,
-		Lease: swim.LeaseFor(size), Rate: 0.001, Spend: 2048, Site: site})
-	n.Run(time.Second)
-	if err := n.Nodes[0].Bootstrap(n.Nodes[0].Time(), 1<<56); err != nil {
-		return virtualWork{broken: []string{err.Error()}}
-	}
-	if !n.Until(3*time.Minute, n.Quiet) {
-		return virtualWork{broken: []string{"not all go by the log"}}
-	}
-	n.Run(time.Minute)
-	for i := range gone {
-		n.Crash(size/gone*i + 5)
-	}
-	n.Run(10 * time.Second)
-	by := n.Nodes[1]
-	if _, err := by.Plan(by.Time(), fmt.Appendf(nil,
-		"all = true\nlongest = \"10m\"\n[out]\nfleet = \"%d\"\ncell = \"1\"\n", atOnce)); err != nil {
-		return virtualWork{broken: []string{err.Error()}}
-	}
-	begun, bytes := n.Now, n.Bytes
-	atWork := make(map[uint32]bool)
-	over := func() bool {
-		s := by.MaintenanceState()
-		for _, t := range s.Windows {
-			if t.Phase == maintenance.Free && !atWork[t.Number] {
-				atWork[t.Number] = true
-				var say func()
-				say = func() {
-					if s := by.MaintenanceState().Window(t.Number); s != nil && s.Phase == maintenance.Free {
-						_ = by.Operate(by.Time(), maintenance.Done, t.Number)
-						n.After(time.Second, say)
-					}
-				}
-				n.After(workTakes, say)
-			}
-		}
-		return n.Broken != nil || len(s.Ended) > 0
-	}
-	for end := n.Now + time.Hour; !over() && n.Now < end; {
-		n.Run(100 * time.Millisecond)
-	}
-	if r.broken = n.Broken; len(by.MaintenanceState().Ended) == 0 {
-		r.broken = append(r.broken, fmt.Sprintf("not over within an hour: %+v", by.MaintenanceView(by.Time())))
-	}
-	r.took = (n.Now - begun).Seconds()
-	r.ideal = float64((machines+atOnce-1)/atOnce) * (workTakes + workCold).Seconds()
-	r.bytes = float64(n.Bytes-bytes) / r.took / float64(size)
-	r.given, r.over, r.astray = site.Given, site.Over, site.Astray
-	return r
-}
-
 type realWork struct {
 	took, served, calm, p99, calmP99 float64
 	most, wrong                      int
--- a/cmd/measure/mesh_path.go
+++ b/cmd/measure/mesh_path.go
@@ -1,35 +1,14 @@
 package main
 
 import (
-	"context"
 	"encoding/json"
 	"fmt"
-	"io"
 	"net"
-	"net/http"
 	"time"
 
 	"caperarch/internal/mesh/settings"
 )
 
-// get asks for a page and passes over what it says.
-func get(ctx context.Context, client *http.Client, url string) error {
-	r, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
-	if err != nil {
-		return err
-	}
-	answer, err := client.Do(r)
-	if err != nil {
-		return err
-	}
-	defer answer.Body.Close()
-	_, _ = io.Copy(io.Discard, answer.Body)
-	if answer.StatusCode != http.StatusOK {
-		return fmt.Errorf("%s answered %s", url, answer.Status)
-	}
-	return nil
-}
-
 // meshPathRoute is the route of the measured calls, whose one service is beside the gate's sidecar.
 const meshPathRoute = `{"resourceType":"routes","metadata":{"name":"path"},` +
 	`"specification":{"hostname":"path.example","pathPrefix":"/","routeType":"non_idempotent","timeoutS":2,` +
--- a/cmd/measure/process.go
+++ b/cmd/measure/process.go
@@ -140,3 +140,22 @@
 	p.drop()
 	return p, address, nil
 }
+
+// bytesOf are what a process has read and written so far: sockets, and its disk.
+func bytesOf(pid int) (read, written float64, err error) {
+	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/io", pid))
+	if err != nil {
+		return 0, 0, err
+	}
+	for line := range strings.Lines(string(raw)) {
+		name, value, _ := strings.Cut(strings.TrimSpace(line), ": ")
+		n, _ := strconv.ParseFloat(value, 64)
+		switch name {
+		case "rchar":
+			read = n
+		case "wchar":
+			written = n
+		}
+	}
+	return read, written, nil
+}
