--- a/cmd/meshd/main.go
+++ b/cmd/meshd/main.go
@@ -1,8 +1,9 @@
 // Meshd is the mesh's one program for all machines. "meshd sidecar" is the proxy beside an upstream, "meshd
 // controlplane" a core machine that holds the configuration; the operators' verbs are those of package cli.
 //
-// A role runs until SIGTERM or SIGINT. SIGHUP reloads the settings, SIGUSR1 writes the log in memory out. Exit codes of
-// a role are 0 after a signal, 1 when it failed, 2 when it was used wrongly or its settings can't be used.
+// A role runs until SIGTERM or SIGINT. SIGHUP reloads the settings, SIGUSR1 writes the log in
+// memory out. Exit codes of a role are 0 after a signal, 1 when it failed, 2 when it was used
+// wrongly or its settings can't be used.
 package main
 
 import (
--- a/cmd/meshd/main_test.go
+++ b/cmd/meshd/main_test.go
@@ -23,7 +23,8 @@
 	os.Exit(m.Run())
 }
 
-// runProgram gives the exit code, standard output and standard error of the program as a golden file holds them.
+// runProgram gives the exit code, standard output and standard error of the program as a golden
+// file holds them.
 func runProgram(t *testing.T, args, environment []string) string {
 	t.Helper()
 	executable, err := os.Executable()
@@ -69,7 +70,8 @@
 	}
 }
 
-// coreSettings are of a core machine that is alone: its address, data directory and internal port are filled in.
+// coreSettings are of a core machine that is alone: its address, data directory and internal port
+// are filled in.
 const coreSettings = `
 self: {nodeName: core-1, role: controlplane, machineClass: core, servedRoles: [control_plane], ipAddress: 127.0.0.1, zone: a, region: r,
   countedInQuorum: true, firstStart: true, dataDirectory: %[2]q,
--- a/cmd/meshd/role.go
+++ b/cmd/meshd/role.go
@@ -25,8 +25,8 @@
 )
 
 const (
-	// gcPercent is by how many per cent the heap grows between two garbage collections: memory is scarce on these
-	// machines, and the heap small.
+	// gcPercent is by how many per cent the heap grows between two garbage collections: memory is
+	// scarce on these machines, and the heap small.
 	gcPercent = 50
 	// signalBacklog is how many signals may wait while one is handled.
 	signalBacklog = 4
--- a/internal/mesh/api/fixture_test.go
+++ b/internal/mesh/api/fixture_test.go
@@ -29,8 +29,8 @@
 	return f.err
 }
 
-// fakeOperators is an OperatorHandler that records the requests it was given, and answers with its error or with
-// version 7.
+// fakeOperators is an OperatorHandler that records the requests it was given, and answers with its
+// error or with version 7.
 type fakeOperators struct {
 	err      error
 	requests []string
--- a/internal/mesh/api/forward.go
+++ b/internal/mesh/api/forward.go
@@ -10,13 +10,14 @@
 )
 
 const (
-	// forwardTimeout bounds a request until a response begins: its caller gives up on this machine after a second
-	// without one, and is answered before that.
+	// forwardTimeout bounds a request until a response begins: its caller gives up on this machine
+	// after a second without one, and is answered before that.
 	forwardTimeout = 900 * time.Millisecond
 	// timePerByte is added for each byte of the body, as callers wait longer behind large bodies.
 	timePerByte = time.Microsecond
-	// hedgeDelay is how long a core member may take before the next one is asked besides: one that is frozen or
-	// unreachable would use up all the time otherwise. It is longer than a change takes that all sidecars apply at once.
+	// hedgeDelay is how long a core member may take before the next one is asked besides: one that
+	// is frozen or unreachable would use up all the time otherwise. It is longer than a change
+	// takes that all sidecars apply at once.
 	hedgeDelay = 450 * time.Millisecond
 	// responseTimeout bounds a response once it has begun: a large configuration takes several round trips.
 	responseTimeout = 2 * time.Second
@@ -31,15 +32,15 @@
 	err      error
 }
 
-// decides says whether no other member is to be asked: the request is answered, or rejected for good.
+// decides reports whether no other member is to be asked: the request is answered, or rejected finally.
 func (r result[Resp]) decides() bool {
 	return r.err == nil || isRejection(r.err)
 }
 
-// forward sends a request to the members in order: to the next one as soon as one fails, or has not answered within
-// hedgeDelay. It returns the first result that decides, or else the last error, NoQuorum if there are no members, and
-// DeadlineExceeded if none answers in time. extraTime is added to the timeouts. Sends that are still under way when it
-// returns are cancelled.
+// forward sends a request to the members in order: to the next one as soon as one fails, or has not
+// answered within hedgeDelay. It returns the first result that decides, or else the last error,
+// NoQuorum if there are no members, and DeadlineExceeded if none answers in time. extraTime is
+// added to the timeouts. Sends that are still under way when it returns are cancelled.
 func forward[Resp any](
 	ctx context.Context, addresses []string, extraTime time.Duration, send sendFunc[Resp],
 ) (*Resp, error) {
--- a/internal/mesh/api/forward_test.go
+++ b/internal/mesh/api/forward_test.go
@@ -64,8 +64,8 @@
 	return mux
 }
 
-// A caller has an answer within the second, whatever core members do with its request: the one that decides, or a 5xx
-// that has it try another machine. What may have been applied is not rejected.
+// A caller has an answer within the second, whatever core members do with its request: the one that
+// decides, or a 5xx that has it try another machine. What may have been applied is not rejected.
 func TestForwardInTime(t *testing.T) {
 	const quick = 100 * time.Millisecond
 	for _, c := range []struct {
--- a/internal/mesh/api/upstreams.go
+++ b/internal/mesh/api/upstreams.go
@@ -12,10 +12,10 @@
 // maxHeartbeatBytes bounds the body of a heartbeat.
 const maxHeartbeatBytes = 16 << 10
 
-// UpstreamHandler handles the requests of upstreams. Its methods are called from many goroutines, and their errors are
-// of the kinds of package errs.
+// UpstreamHandler handles the requests of upstreams. Its methods are called from many goroutines,
+// and their errors are of the kinds of package errs.
 type UpstreamHandler interface {
-	// Heartbeat takes a heartbeat. Without an error it is acknowledged, and in force from now on.
+	// Heartbeat applies a heartbeat. Without an error it is acknowledged, and in force from now on.
 	Heartbeat(u registry.Upstream) error
 	// Deregister removes an instance that has ended.
 	Deregister(instance string) error
--- a/internal/mesh/balancer/balancer.go
+++ b/internal/mesh/balancer/balancer.go
@@ -31,7 +31,7 @@
 	RecordRequest(now time.Duration, service int)
 	// Allowed reports whether one more retry may be sent.
 	Allowed(now time.Duration, service int) bool
-	// Charge takes a retry that is sent from the budget.
+	// Charge charges a retry that is sent to the budget.
 	Charge(now time.Duration, service int)
 }
 
@@ -76,7 +76,7 @@
 // Start does nothing: a balancer has nothing to do before its first list.
 func (b *Balancer) Start(time.Duration) {}
 
-// Request takes a request: it is sent, queued or rejected at once. Its Terms are a *RequestClass.
+// Request receives a request: it is sent, queued or rejected at once. Its Terms are a *RequestClass.
 func (b *Balancer) Request(now time.Duration, q policy.Request) {
 	class, ok := q.Terms.(*RequestClass)
 	if !ok || q.TimeLeft <= deadlineMargin || b.requests[q.ID] != nil {
@@ -99,7 +99,7 @@
 	b.enqueue(now, r)
 }
 
-// Outcome takes the end of an attempt.
+// Outcome records the end of an attempt.
 func (b *Balancer) Outcome(now time.Duration, o policy.Outcome) {
 	r := b.requests[o.ID]
 	if r == nil || o.Attempt < 0 || o.Attempt >= len(r.attempts) || r.attempts[o.Attempt].done {
@@ -157,7 +157,7 @@
 // Reconfigure does nothing: compartments are sized by the shares that requests bring.
 func (b *Balancer) Reconfigure(time.Duration, policy.Limits) error { return nil }
 
-// Counters tell what the balancer did since it was made.
+// Counters returns counts of what the balancer did since it was made.
 func (b *Balancer) Counters() policy.Counters { return b.counters }
 
 // complete closes a request that has its answer. It is dropped once none of its attempts is in
--- a/internal/mesh/balancer/dispatch.go
+++ b/internal/mesh/balancer/dispatch.go
@@ -59,7 +59,7 @@
 			r := c.queue[i]
 			switch {
 			case now >= r.waitDeadline:
-				b.reject(r) // which takes it out
+				b.reject(r) // which removes it from the queue
 			case b.dispatch(now, r):
 				b.dequeue(r)
 			default:
@@ -92,7 +92,7 @@
 	b.scheduleWake(now, min(r.waitDeadline, b.nextAvailable(now, r))-now)
 }
 
-// dequeue takes a request out of its queue, if it is in one.
+// dequeue removes a request from its queue, if it is in one.
 func (b *Balancer) dequeue(r *request) {
 	if i := slices.Index(r.compartment.queue, r); i >= 0 {
 		r.compartment.queue = slices.Delete(r.compartment.queue, i, i+1)
--- a/internal/mesh/balancer/request.go
+++ b/internal/mesh/balancer/request.go
@@ -14,7 +14,7 @@
 	highestPriorityWaitFraction = 0.4
 )
 
-// RequestClass is what the balancer goes by: policy.Request.Terms.
+// RequestClass is what the balancer decides by; policy.Request.Terms holds it.
 type RequestClass struct {
 	Service       int // number of its service, the policy.Server.Cell of its upstreams
 	Compartment   CompartmentSpec
--- a/internal/mesh/balancer/retry.go
+++ b/internal/mesh/balancer/retry.go
@@ -74,7 +74,7 @@
 	b.errorRetryCredit[service] = min(maxErrorRetries, credit)
 }
 
-// giveUp answers a request that gets no further attempt: rejected if it has not run, else failed.
+// giveUp answers a request that has no further attempt: rejected if it has not run, else failed.
 func (b *Balancer) giveUp(r *request) {
 	if !r.mayHaveRun {
 		b.reject(r)
--- a/internal/mesh/balancer/selection.go
+++ b/internal/mesh/balancer/selection.go
@@ -19,7 +19,7 @@
 // selectUpstream is smooth weighted round robin over the ready upstreams of a request's service that
 // have capacity, as a scheduler by earliest deadline in virtual time (Envoy has the same): the
 // deadlines of an upstream with n slots are 1/n apart. First it looks among those of the own zone that
-// have capacity to spare, then among all. Where all are full it takes the one with the least load for
+// have capacity to spare, then among all. Where all are full it selects the one with the least load for
 // its slots. It returns nil where there is none.
 func (b *Balancer) selectUpstream(now time.Duration, r *request) *upstream {
 	var inZone, withCapacity, leastLoaded *upstream
--- a/internal/mesh/balancer/upstream.go
+++ b/internal/mesh/balancer/upstream.go
@@ -41,7 +41,7 @@
 	return max(u.reportedLoad, float64(u.inFlight))
 }
 
-// List takes an update of the upstreams.
+// List applies an update of the upstreams.
 func (b *Balancer) List(now time.Duration, kind policy.ListKind, entries []policy.Server) {
 	if kind == policy.ListFailed {
 		return
--- a/internal/mesh/cli/apply.go
+++ b/internal/mesh/cli/apply.go
@@ -20,8 +20,8 @@
 	return err
 }
 
-// apply puts the configuration of a file in force. Without --base it builds on the version in force, whatever that is,
-// and a file that is in force already is not sent.
+// apply puts the configuration of a file in force. Without --base it builds on the version in
+// force, whatever that is, and a file that is in force already is not sent.
 func apply(ctx context.Context, inv *invocation) error {
 	doc, err := inv.readDocument(inv.args[0])
 	if err != nil {
--- a/internal/mesh/cli/arguments.go
+++ b/internal/mesh/cli/arguments.go
@@ -14,7 +14,8 @@
 	"caperarch/meshclient"
 )
 
-// AddressesVariable is the environment variable that holds the control plane addresses where --at is not given.
+// AddressesVariable is the environment variable that holds the control plane addresses where --at
+// is not given.
 const AddressesVariable = "MESHD_AT"
 
 const (
@@ -113,8 +114,8 @@
 	return inv, nil
 }
 
-// parseInterspersed parses flags and arguments in any order and returns the arguments; after endOfFlags all are
-// arguments. Its error is a usageError, or flag.ErrHelp.
+// parseInterspersed parses flags and arguments in any order and returns the arguments; after
+// endOfFlags all are arguments. Its error is a usageError, or flag.ErrHelp.
 func parseInterspersed(flags *flag.FlagSet, args []string) ([]string, error) {
 	var arguments []string
 	for {
--- a/internal/mesh/cli/check.go
+++ b/internal/mesh/cli/check.go
@@ -68,7 +68,7 @@
 	return nil
 }
 
-// kindOfFile tells settings from a configuration by their top-level fields.
+// kindOfFile distinguishes settings from a configuration by their top-level fields.
 func kindOfFile(text []byte) (string, error) {
 	encoded, err := toJSON(text)
 	if err != nil {
@@ -84,8 +84,8 @@
 	return kindConfiguration, nil
 }
 
-// faultsOf returns the faults of a configuration: of each resource its first one; and where no resource has one, the
-// first that lies between them.
+// faultsOf returns the faults of a configuration: of each resource its first one; and where no
+// resource has one, the first one between them.
 func faultsOf(doc *meshclient.Document) ([]string, error) {
 	if doc.Resources == nil {
 		return []string{"resources: the list is missing"}, nil
@@ -157,8 +157,8 @@
 	return slices.Compact(names)
 }
 
-// trimName removes from the start of a message what names the resource, as its line does so already: its name, or its
-// position, which is not the one in the file.
+// trimName removes from the start of a message what names the resource, as its line does so
+// already: its name, or its position, which is not the one in the file.
 func trimName(message string, r meshclient.Resource) string {
 	if strings.HasPrefix(message, "resource 0 (") {
 		if _, rest, ok := strings.Cut(message, "): "); ok {
--- a/internal/mesh/cli/cli.go
+++ b/internal/mesh/cli/cli.go
@@ -1,8 +1,8 @@
-// Package cli is the operators' verbs of the program meshd: each calls the mesh through package meshclient, or reads a
-// file, and writes the result as text or JSON.
+// Package cli is the operators' verbs of the program meshd: each calls the mesh through package
+// meshclient, or reads a file, and writes the result as text or JSON.
 //
-// Verbs, flags, exit codes and what is written on standard output are known to operators' scripts and do not change.
-// The package keeps no state; Run may be called from any goroutine.
+// Verbs, flags, exit codes and what is written on standard output are known to operators' scripts
+// and do not change. The package keeps no state; Run may be called from any goroutine.
 package cli
 
 import (
@@ -23,8 +23,8 @@
 	ExitRejected = 1
 	// ExitUsage means that the verb was used wrongly, or that its file can't be read or has faults.
 	ExitUsage = 2
-	// ExitUndetermined means that no conclusive answer came in time: a change may be in force or not, and may be sent
-	// again unchanged.
+	// ExitUndetermined means that no conclusive answer came in time: a change may be in force or
+	// not, and may be sent again unchanged.
 	ExitUndetermined = 3
 )
 
@@ -72,10 +72,11 @@
 	"check":     {argumentCount: 1, offline: true, run: check},
 }
 
-// IsVerb says whether name is one of the verbs.
+// IsVerb reports whether name is one of the verbs.
 func IsVerb(name string) bool { return verbs[name].run != nil }
 
-// Run runs the verb that is the first of args and returns the exit code. It looks AddressesVariable up with getenv.
+// Run runs the verb that is the first of args and returns the exit code. It looks AddressesVariable
+// up with getenv.
 func Run(
 	ctx context.Context, args []string, stdin io.Reader, stdout, stderr io.Writer, getenv func(string) string,
 ) int {
--- a/internal/mesh/cli/cli_test.go
+++ b/internal/mesh/cli/cli_test.go
@@ -24,7 +24,8 @@
 	"caperarch/internal/mesh/watch"
 )
 
-// coreSettings are of a core machine that is alone: its address, the mesh's port and the data directory are filled in.
+// coreSettings are of a core machine that is alone: its address, the mesh's port and the data
+// directory are filled in.
 const coreSettings = `
 self: {nodeName: core-1, role: controlplane, machineClass: core, servedRoles: [control_plane], ipAddress: 127.0.0.1,
   zone: a, region: r, countedInQuorum: true, firstStart: true, dataDirectory: %[3]q,
@@ -60,8 +61,9 @@
 	return l.Addr().String()
 }
 
-// refusingAddress gives an address that is bound but takes no connections until the test ends. One that is merely free
-// may be met by a connection to itself: the kernel may give the caller the very port that it calls.
+// refusingAddress gives an address that is bound but takes no connections until the test ends. One
+// that is merely free may be met by a connection to itself: the kernel may give the caller the very
+// port that it calls.
 func refusingAddress(t *testing.T) string {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
--- a/internal/mesh/cli/describe.go
+++ b/internal/mesh/cli/describe.go
@@ -48,7 +48,7 @@
 	MaxBodyBytes   int64
 }
 
-// weightedTarget is a service that gets a share of a route's requests.
+// weightedTarget is a service that receives a share of a route's requests.
 type weightedTarget struct {
 	ServiceName string
 	Weight      float64
--- a/internal/mesh/cli/diff.go
+++ b/internal/mesh/cli/diff.go
@@ -61,7 +61,8 @@
 	return nil
 }
 
-// resourceID identifies a resource in a configuration. The limits have no name, as there is one set of them.
+// resourceID identifies a resource in a configuration. The limits have no name, as there is one set
+// of them.
 type resourceID struct{ resourceType, name string }
 
 func idOf(r meshclient.Resource) resourceID {
@@ -71,8 +72,8 @@
 	return resourceID{r.ResourceType, r.Metadata.Name}
 }
 
-// differences returns what leads from one configuration to another, by type and name. White space and the order of
-// fields make none.
+// differences returns what leads from one configuration to another, by type and name. White space
+// and the order of fields make none.
 func differences(from, to *meshclient.Document) []difference {
 	remaining := make(map[resourceID]meshclient.Resource, len(from.Resources))
 	for _, r := range from.Resources {
@@ -101,7 +102,7 @@
 	return result
 }
 
-// equalJSON says whether two texts hold the same JSON value, or are the same where one holds none.
+// equalJSON reports whether two texts hold the same JSON value, or are the same where one holds none.
 func equalJSON(a, b json.RawMessage) bool {
 	var x, y any
 	if json.Unmarshal(a, &x) != nil || json.Unmarshal(b, &y) != nil {
--- a/internal/mesh/cli/files.go
+++ b/internal/mesh/cli/files.go
@@ -15,11 +15,11 @@
 	"caperarch/meshclient"
 )
 
-// stdinName is the name that stands for the standard input.
+// stdinName is the file name that means the standard input.
 const stdinName = "-"
 
-// readFile reads a file of at most the bytes that the mesh accepts. The limit guards against files that are no
-// configuration. Its errors are usageErrors.
+// readFile reads a file of at most the bytes that the mesh accepts. The limit guards against files
+// that are no configuration. Its errors are usageErrors.
 func (inv *invocation) readFile(name string) ([]byte, error) {
 	from := inv.stdin
 	if name != stdinName {
@@ -67,8 +67,8 @@
 	return line
 }
 
-// parseDocument parses a configuration. An unknown field outside of specifications is an error, so that a slip of the
-// pen is found.
+// parseDocument parses a configuration. An unknown field outside of specifications is an error, so
+// that a slip of the pen is found.
 func parseDocument(text []byte) (*meshclient.Document, error) {
 	encoded, err := toJSON(text)
 	if err != nil {
--- a/internal/mesh/cli/verbs_golden_test.go
+++ b/internal/mesh/cli/verbs_golden_test.go
@@ -27,7 +27,8 @@
 	describedFile = "testdata/described.json"
 )
 
-// coreStub answers as a core machine with fixed state. A change is answered with changeStatus and changeBody.
+// coreStub answers as a core machine with fixed state. A change is answered with changeStatus and
+// changeBody.
 type coreStub struct {
 	described    string // the answer to describe
 	changeStatus int
@@ -55,8 +56,8 @@
 	}
 }
 
-// checkGolden compares with a file of testdata/golden. Golden files are never rewritten: scripts of operators know
-// what they hold.
+// checkGolden compares with a file of testdata/golden. Golden files are never rewritten: scripts of
+// operators know what they hold.
 func checkGolden(t *testing.T, name, got string) {
 	t.Helper()
 	want, err := os.ReadFile(filepath.Join(goldenFolder, name+".txt"))
@@ -68,8 +69,8 @@
 	}
 }
 
-// runVerb gives a verb's exit code, standard output and standard error as a golden file holds them. The address of the
-// stand-in is replaced, as it differs from run to run.
+// runVerb gives a verb's exit code, standard output and standard error as a golden file holds them.
+// The address of the stand-in is replaced, as it differs from run to run.
 func runVerb(address, stdin string, args []string) string {
 	var out, errs bytes.Buffer
 	code := Run(context.Background(), args, strings.NewReader(stdin), &out, &errs, func(name string) string {
--- a/internal/mesh/cli/why.go
+++ b/internal/mesh/cli/why.go
@@ -11,7 +11,8 @@
 	"caperarch/meshapi"
 )
 
-// explanation is what becomes of a request, by the configuration in force and the upstreams that a core machine knows.
+// explanation is what becomes of a request, by the configuration in force and the upstreams that a
+// core machine knows.
 type explanation struct {
 	ConfigVersion int64 `json:"configVersion"`
 	// RejectionStatus is the status with which a sidecar rejects the request; 0: it forwards it.
@@ -53,7 +54,8 @@
 	return err
 }
 
-// explain follows a request as a sidecar does: to its route, its compartment, and the upstreams it may go to.
+// explain follows a request as a sidecar does: to its route, its compartment, and the upstreams it
+// may go to.
 func explain(ctx context.Context, inv *invocation, host, path string) (*explanation, error) {
 	doc, err := inv.client.Describe(ctx)
 	if err != nil {
@@ -115,8 +117,8 @@
 	return route
 }
 
-// assignCompartment finds the compartment and the priority of the request: the tenant's where the route asks for a
-// key. Without a valid key it is rejected.
+// assignCompartment finds the compartment and the priority of the request: the tenant's where the
+// route asks for a key. Without a valid key it is rejected.
 func (e *explanation) assignCompartment(snapshot *config.Snapshot, route *config.Route, inv *invocation) {
 	switch {
 	case !snapshot.HasTenants():
@@ -209,7 +211,7 @@
 	return ""
 }
 
-// condition says whether an upstream is sent requests, and why not.
+// condition reports whether an upstream is sent requests, and why not.
 func condition(u meshapi.Upstream) string {
 	if reason := reasonNotSent(u); reason != "" {
 		return reason
--- a/internal/mesh/cluster/announcement.go
+++ b/internal/mesh/cluster/announcement.go
@@ -18,7 +18,7 @@
 	maxNameBytes = 512
 )
 
-// Announcement is what a core machine tells the others of itself.
+// Announcement is what a core machine reports of itself to the others.
 type Announcement struct {
 	ID   replication.MemberID `json:"id"`
 	Zone string               `json:"zone"`
--- a/internal/mesh/cluster/view.go
+++ b/internal/mesh/cluster/view.go
@@ -28,7 +28,7 @@
 	return learners
 }
 
-// HasReplacement says whether a voter that is leaving has a learner to wait for.
+// HasReplacement reports whether a voter that is leaving has a learner to wait for.
 func HasReplacement(v View, id replication.MemberID) bool {
 	return v.Status.Membership.IsVoter(id) && len(v.promotable()) > 0
 }
@@ -75,14 +75,14 @@
 	return "", false
 }
 
-// hasNewDisk says that another disk announces itself from the voter's address: its own is lost.
+// hasNewDisk reports whether another disk announces itself from the voter's address: its own is lost.
 func (v View) hasNewDisk(id replication.MemberID) bool {
 	return slices.ContainsFunc(v.Live, func(m Announcement) bool {
 		return m.ID.Address() == id.Address() && m.ID != id
 	})
 }
 
-// isLeaving says that a voter other than the leader waits to be replaced. The leader transfers its
+// isLeaving reports whether a voter other than the leader waits to be replaced. The leader transfers its
 // leadership first.
 func (v View) isLeaving(id replication.MemberID) bool {
 	return id != v.Self && slices.ContainsFunc(v.Live, func(m Announcement) bool { return m.ID == id && m.Leaving })
--- a/internal/mesh/config/change.go
+++ b/internal/mesh/config/change.go
@@ -43,7 +43,7 @@
 	Body json.RawMessage `json:"body"`
 }
 
-// Encode gives the change with its form as one JSON value, for DecodeChange.
+// Encode returns the change with its form as one JSON value, for DecodeChange.
 func (c *Change) Encode() []byte {
 	out := make([]byte, 0, len(c.body)+len(`{"form":"","body":}`)+len(c.form))
 	out = append(out, `{"form":"`...)
--- a/internal/mesh/config/digest.go
+++ b/internal/mesh/config/digest.go
@@ -29,7 +29,7 @@
 // the same digest. Numbers count as they are written: 1 and 1.0 are different content.
 type digest [digestSize]byte
 
-// digestOf gives the digest of a change request from its canonical body. A key that stands twice in
+// digestOf returns the digest of a change request from its canonical body. A key that stands twice in
 // one object is Invalid, because readers of JSON disagree on which of the two holds.
 func digestOf(form string, body []byte) (digest, error) {
 	n := normalizer{text: body, out: make([]byte, 0, len(body)+len(body)/2)}
@@ -134,7 +134,7 @@
 }
 
 // sortMembers sorts the members that were written last by their keys. Keys that differ by case
-// alone stay in the order in which they came, since encoding/json takes both for the same field and
+// alone stay in the order of the body, since encoding/json reads both as the same field and
 // the later one holds.
 func (n *normalizer) sortMembers(members []member) error {
 	slices.SortFunc(members, func(a, b member) int { return strings.Compare(a.key, b.key) })
@@ -190,7 +190,7 @@
 	n.out = append(n.out, text...)
 }
 
-// fold maps keys that encoding/json takes for the same field to the same text.
+// fold maps keys that encoding/json reads as the same field to the same text.
 func fold(key string) string {
 	return strings.Map(func(r rune) rune {
 		for next := unicode.SimpleFold(r); next > r; next = unicode.SimpleFold(r) {
@@ -200,7 +200,7 @@
 	}, key)
 }
 
-// canonical gives a body without spaces between its tokens and with the escapes that encoding/json
+// canonical returns a body without spaces between its tokens and with the escapes that encoding/json
 // puts into raw messages, so that its items read the same however often it is passed on.
 func canonical(body []byte) ([]byte, error) {
 	if !utf8.Valid(body) {
--- a/internal/mesh/config/encoding.go
+++ b/internal/mesh/config/encoding.go
@@ -7,7 +7,7 @@
 	"caperarch/internal/mesh/errs"
 )
 
-// Document gives the full configuration in the layout of a replace: every resource as it was sent,
+// Document returns the full configuration in the layout of a replace: every resource as it was sent,
 // fields that are unknown here included. A resource keeps its position when an update replaces it;
 // new ones are at the end.
 func (s *Snapshot) Document() json.RawMessage {
@@ -35,7 +35,7 @@
 	Requests *encodedRequestLog `json:"orders,omitempty"`
 }
 
-// Encode gives the snapshot with its request log as one JSON value, for Decode. An error is of kind
+// Encode returns the snapshot with its request log as one JSON value, for Decode. An error is of kind
 // Internal.
 func (s *Snapshot) Encode() ([]byte, error) {
 	out, err := json.Marshal(encodedSnapshot{s.Document(), s.requests.encode()})
--- a/internal/mesh/config/requests.go
+++ b/internal/mesh/config/requests.go
@@ -14,7 +14,7 @@
 	// request takes some 24 bytes, 100 KB in all.
 	maxApplied = 4096
 	// maxRejectedAhead is the number of rejected requests that are remembered because the version
-	// they build on may still come. It guards the log against clients that name versions at random.
+	// they build on may still be applied. It guards the log against clients that name versions at random.
 	maxRejectedAhead = 512
 )
 
@@ -36,30 +36,30 @@
 	// forgottenUpTo is the newest version that was applied and is no longer in the log, 0 for none.
 	forgottenUpTo int64
 	// rejectedAhead are requests that were rejected because the version they build on was not there
-	// yet, by their baseVersion. Should it come, they stay rejected.
+	// yet, by their baseVersion. If it appears later, they stay rejected.
 	rejectedAhead []requestID
 }
 
-// hasApplied says whether this very request was applied, as far back as the log reaches.
+// hasApplied reports whether this very request was applied, as far back as the log reaches.
 func (l *requestLog) hasApplied(change *Change) bool {
 	id := requestID{change.version, change.digest}
 	_, found := slices.BinarySearchFunc(l.applied, id, compareRequests)
 	return found
 }
 
-// mayHaveApplied says whether the log no longer tells if this request was applied.
+// mayHaveApplied reports whether the request is older than the log, which then doesn't show its result.
 func (l *requestLog) mayHaveApplied(change *Change) bool {
 	return change.version > 0 && change.version <= l.forgottenUpTo
 }
 
-// hasRejected says whether this very request was rejected ahead of its base.
+// hasRejected reports whether this very request was rejected ahead of its base.
 func (l *requestLog) hasRejected(change *Change) bool {
 	id := requestID{change.base, change.digest}
 	_, found := slices.BinarySearchFunc(l.rejectedAhead, id, compareRequests)
 	return found
 }
 
-// withApplied gives the log after a request was applied. Rejected requests that build on an older
+// withApplied returns the log after a request was applied. Rejected requests that build on an older
 // version are dropped: they are rejected for their base from now on.
 func (l *requestLog) withApplied(change *Change) requestLog {
 	next := requestLog{forgottenUpTo: l.forgottenUpTo}
@@ -78,7 +78,7 @@
 	return next
 }
 
-// withRejected gives the log after a request was rejected ahead of its base, or false where the log
+// withRejected returns the log after a request was rejected ahead of its base, or false where the log
 // is full.
 func (l *requestLog) withRejected(change *Change) (requestLog, bool) {
 	id := requestID{change.base, change.digest}
--- a/internal/mesh/config/resource.go
+++ b/internal/mesh/config/resource.go
@@ -34,7 +34,7 @@
 	parsed any // *Route, *Service, *Tenant or *Limits, by the kind
 }
 
-// id gives the resource's id. A snapshot has one set of limits, whatever its name.
+// id returns the resource's id. A snapshot has one set of limits, whatever its name.
 func (r *resource) id() resourceID {
 	if r.kind == kindLimits {
 		return resourceID{kind: kindLimits}
@@ -50,7 +50,7 @@
 	parsed(name string) any
 }
 
-// newSpecification gives an empty specification of a kind, or nil for an unknown kind.
+// newSpecification returns an empty specification of a kind, or nil for an unknown kind.
 func newSpecification(k kind) specification {
 	switch k {
 	case kindRoutes:
--- a/internal/mesh/config/routing.go
+++ b/internal/mesh/config/routing.go
@@ -121,7 +121,7 @@
 // longer.
 const maxHostLength = 255
 
-// Match gives the route for a Host header and a path, or nil if there is none: among the routes of
+// Match returns the route for a Host header and a path, or nil if there is none: among the routes of
 // the host, the one with the longest prefix that begins the path. A port, the case of the host's
 // letters and a query make no difference. It doesn't allocate.
 func (s *Snapshot) Match(host, path string) *Route {
@@ -172,20 +172,20 @@
 	return all
 }
 
-// Tenant gives the tenant that holds a key, or nil.
+// Tenant returns the tenant that holds a key, or nil.
 func (s *Snapshot) Tenant(key string) *Tenant { return s.table.tenantByKey[key] }
 
-// HasTenants says whether requests need the key of a tenant.
+// HasTenants reports whether requests need the key of a tenant.
 func (s *Snapshot) HasTenants() bool { return len(s.table.tenantsByName) > 0 }
 
-// Tenants gives the tenants ordered by name. The slice is shared and must not be changed.
+// Tenants returns the tenants ordered by name. The slice is shared and must not be changed.
 func (s *Snapshot) Tenants() []*Tenant { return s.table.tenantsByName }
 
-// Service gives the service of a name, or nil.
+// Service returns the service of a name, or nil.
 func (s *Snapshot) Service(name string) *Service { return s.table.serviceByName[name] }
 
-// Services gives the services ordered by name. The slice is shared and must not be changed.
+// Services returns the services ordered by name. The slice is shared and must not be changed.
 func (s *Snapshot) Services() []*Service { return s.table.servicesByName }
 
-// Limits gives the limits in force.
+// Limits returns the limits in force.
 func (s *Snapshot) Limits() Limits { return s.table.limits }
--- a/internal/mesh/config/snapshot.go
+++ b/internal/mesh/config/snapshot.go
@@ -22,7 +22,7 @@
 
 var empty = &Snapshot{table: &routingTable{limits: defaultLimits}}
 
-// Empty gives the snapshot of version 0, which holds nothing.
+// Empty returns the snapshot of version 0, which holds nothing.
 func Empty() *Snapshot { return empty }
 
 // Version is the configVersion in force, 0 before the first.
@@ -39,12 +39,12 @@
 	// Duplicate changes had been applied before with the very same content: the configuration stays
 	// as it is and the operator gets the success of the first.
 	Duplicate
-	// Undetermined changes are not applied now, and the request log doesn't tell what became of
+	// Undetermined changes are not applied now, and the request log doesn't show what became of
 	// them or would become of them later: the operator must not get a rejection.
 	Undetermined
 )
 
-// Apply gives the snapshot after a change, in the order of the replicated log. Whether the very
+// Apply returns the snapshot after a change, in the order of the replicated log. Whether the very
 // same change was applied before is checked first, so that no other check rejects it. Then one that
 // builds on another version is Stale and one that is invalid on top of this one is Invalid. An
 // error of kind Undetermined goes with that outcome. With every outcome the caller continues with
@@ -81,7 +81,7 @@
 	}, Applied, nil
 }
 
-// rejectAhead rejects a change whose base may still come, and remembers it, so that a copy of the
+// rejectAhead rejects a change whose base may still be applied, and remembers it, so that a copy of the
 // request that arrives after its base is rejected too. Where it can't be remembered the outcome is
 // Undetermined.
 func (s *Snapshot) rejectAhead(change *Change) (*Snapshot, Outcome, error) {
@@ -100,7 +100,7 @@
 		"version %d builds on %d, but %d is in place", change.version, change.base, s.version)
 }
 
-// merge gives the resources after a change. A resource that is sent unchanged stays the same one,
+// merge returns the resources after a change. A resource that is sent unchanged stays the same one,
 // with its pointer.
 func (s *Snapshot) merge(change *Change) []*resource {
 	positions := make(map[resourceID]int, len(s.resources))
@@ -120,7 +120,7 @@
 	return s.update(sent, change.removed, positions)
 }
 
-// update gives the resources after an update. Upserts take the place of the resources they replace
+// update returns the resources after an update. Upserts take the place of the resources they replace
 // or go to the end; removals come after upserts, and removing what doesn't exist changes nothing.
 func (s *Snapshot) update(
 	upserts []*resource, removed []resourceID, positions map[resourceID]int,
--- a/internal/mesh/controlplane/announce.go
+++ b/internal/mesh/controlplane/announce.go
@@ -72,7 +72,7 @@
 	return response
 }
 
-// isOtherCluster says whether two clusters are known and differ.
+// isOtherCluster reports whether two clusters are known and differ.
 func isOtherCluster(own, other replication.ClusterID) bool {
 	return own != 0 && other != 0 && own != other
 }
--- a/internal/mesh/controlplane/leave.go
+++ b/internal/mesh/controlplane/leave.go
@@ -21,7 +21,7 @@
 	requiredSafeAnswers = 2
 )
 
-// leave hands over what others need of this machine before it ends: leadership, and its vote to a
+// leave transfers what others need of this machine before it ends: leadership, and its vote to a
 // replacement if there is one. It is bounded by a fraction of the grace period.
 func (s *Server) leave(node *replication.Node) {
 	bound := time.Duration(leaveGraceFraction * float64(s.settings.Guarantees.Bounds.GracePeriod))
@@ -48,7 +48,7 @@
 	}
 }
 
-// leavingMembers are the machines that are about to end: none of them gets the leadership, else two
+// leavingMembers are the machines that are about to end: none of them is to take leadership, else two
 // would hand it to each other.
 func (s *Server) leavingMembers() []replication.MemberID {
 	var leaving []replication.MemberID
--- a/internal/mesh/controlplane/listen.go
+++ b/internal/mesh/controlplane/listen.go
@@ -70,7 +70,7 @@
 	return internal, external
 }
 
-// Heartbeat takes an upstream's heartbeat that reached a core machine because the sidecar beside the
+// Heartbeat applies an upstream's heartbeat that reached a core machine because the sidecar beside the
 // upstream did not take it. Another upstream on the same host shows which sidecar that is.
 func (s *Server) Heartbeat(u registry.Upstream) error {
 	if host, _, err := net.SplitHostPort(u.Address); err == nil {
--- a/internal/mesh/controlplane/push.go
+++ b/internal/mesh/controlplane/push.go
@@ -57,7 +57,7 @@
 	return m.encodeUpdate(sidecar.ConfigUpdate{Version: configuration.Version(), Full: full})
 }
 
-// encodeUpdate gives an update in its JSON form, nil if it has none.
+// encodeUpdate returns an update in its JSON form, nil if it has none.
 func (m *stateMachine) encodeUpdate(update sidecar.ConfigUpdate) json.RawMessage {
 	encoded, err := json.Marshal(update)
 	if err != nil {
--- a/internal/mesh/controlplane/replica.go
+++ b/internal/mesh/controlplane/replica.go
@@ -8,8 +8,8 @@
 	"caperarch/internal/mesh/replication"
 )
 
-// startReplica takes part in the replicated log until closeReplica is called. The loops that go with
-// it end with ctx.
+// startReplica joins the replicated log until closeReplica is called. The loops that it starts end
+// with ctx.
 func (s *Server) startReplica(
 	ctx context.Context, store *replication.Store, state replication.State,
 ) (node *replication.Node, closeReplica func(), err error) {
@@ -41,7 +41,7 @@
 	}, nil
 }
 
-// deliver hands on what the transport received in answer to its own messages.
+// deliver passes on what the transport received in answer to its own messages.
 func (s *Server) deliver(from replication.MemberID, messages []replication.Message) {
 	if node := s.node.Load(); node != nil {
 		node.Deliver(from, messages)
@@ -87,7 +87,7 @@
 	return node.Contact()
 }
 
-// inContact says whether a majority has lately confirmed what is known here.
+// inContact reports whether a majority has lately confirmed what is known here.
 func (s *Server) inContact() bool {
 	node := s.node.Load()
 	return node != nil && node.InContact()
--- a/internal/mesh/controlplane/requests.go
+++ b/internal/mesh/controlplane/requests.go
@@ -18,15 +18,16 @@
 	// changeTimeout bounds a change request: operators' clients go on to another machine after a
 	// second without an answer, longer for large bodies.
 	changeTimeout = 900 * time.Millisecond
-	// changeTimePerByte is what a change request gets beyond that for each byte of its body.
+	// changeTimePerByte is added to that for each byte of its body.
 	changeTimePerByte = time.Microsecond
 	// appliedTimeout is how long an operator's answer waits for sidecars that have not applied the
 	// change: it is complete without them, and pushes to them go on.
 	appliedTimeout = 350 * time.Millisecond
 )
 
-// Where the leader takes what reached another core machine: the two forms of a change request, and the
-// request for the configuration, which it answers once it has confirmed that it leads.
+// The paths at which the leader receives what reached another core machine: the two forms of a
+// change request, and the request for the configuration, which it answers once it has confirmed
+// that it leads.
 const (
 	proposeReplacePath = "/mesh/propose/whole"
 	proposeUpdatePath  = "/mesh/propose/part"
@@ -35,7 +36,7 @@
 
 // changeForm is one of the two forms of a change request.
 type changeForm struct {
-	// path is where the leader takes it from other core machines.
+	// path is where the leader receives it from other core machines.
 	path  string
 	parse func(body []byte) (*config.Change, error)
 }
@@ -135,7 +136,7 @@
 	return api.FetchDocument(ctx, s.client, "http://"+leader+describePath)
 }
 
-// describeAsLeader gives the configuration once a majority has confirmed that this member leads, and
+// describeAsLeader returns the configuration once a majority has confirmed that this member leads, and
 // once all that was committed by then is applied.
 func (s *Server) describeAsLeader(ctx context.Context) (*json.RawMessage, error) {
 	node, err := s.runningNode()
--- a/internal/mesh/controlplane/server.go
+++ b/internal/mesh/controlplane/server.go
@@ -4,7 +4,7 @@
 //
 // Run owns everything that it starts. When it returns the replica with its disk and the listeners are
 // closed, and the watch server and the loops that announce this machine and manage the voters have been
-// told to end. All other functions are called by those, from any goroutine.
+// cancelled. All other functions are called by those, from any goroutine.
 package controlplane
 
 import (
@@ -26,7 +26,7 @@
 )
 
 const (
-	// dialTimeout is how long a connection to another machine may take to come up.
+	// dialTimeout is how long a connection to another machine may take to open.
 	dialTimeout = 300 * time.Millisecond
 	// defaultQuotaWindow holds where the settings name none.
 	defaultQuotaWindow = time.Second
@@ -48,7 +48,7 @@
 	allocator   *quota.Allocator
 }
 
-// Run runs a core machine until ctx ends and this machine has handed over, or until it fails. Settings
+// Run runs a core machine until ctx ends and this machine has left in order, or until it fails. Settings
 // that are read again arrive by reload. Errors are of the kinds of package errs.
 func Run(
 	ctx context.Context, set *settings.Settings, reload <-chan *settings.Settings, log *zap.Logger,
@@ -93,7 +93,7 @@
 	})
 }
 
-// configurationChanged has the sidecars told of another version in force.
+// configurationChanged pushes another version in force to the sidecars.
 func (s *Server) configurationChanged() {
 	if s.watchServer != nil {
 		s.watchServer.Publish()
@@ -101,7 +101,7 @@
 }
 
 func (s *Server) run(ctx context.Context, reload <-chan *settings.Settings) error {
-	// The machine keeps serving while it hands over, so its loops outlast ctx.
+	// The machine keeps serving while it transfers leadership, so its loops outlast ctx.
 	running, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
 	go s.watchSettings(running, reload)
@@ -146,8 +146,8 @@
 	})
 }
 
-// watchSettings takes over settings that were read again, until ctx ends: the seeds are where others
-// may be found.
+// watchSettings applies reloaded settings until ctx ends: of them only the seeds, the addresses at
+// which other machines may be found, can change.
 func (s *Server) watchSettings(ctx context.Context, reload <-chan *settings.Settings) {
 	for {
 		select {
--- a/internal/mesh/controlplane/statemachine.go
+++ b/internal/mesh/controlplane/statemachine.go
@@ -111,7 +111,7 @@
 	}
 }
 
-// dequeue takes the first item off the queue. If there is none the calling goroutine has to end.
+// dequeue removes the first item from the queue. If there is none the calling goroutine has to end.
 func (m *stateMachine) dequeue() (item logItem, ok bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/mesh/gate/attempt_log.go
+++ b/internal/mesh/gate/attempt_log.go
@@ -55,7 +55,7 @@
 	mayHaveExecuted
 )
 
-// phase is how far a remembered request has come.
+// phase is how far a remembered request has got.
 type phase int8
 
 const (
@@ -89,8 +89,8 @@
 	phase     phase
 }
 
-// admit takes a request that has arrived completely, with the time that it has, and reports whether it
-// may go on.
+// admit records a request that has arrived completely, with the time that it has, and reports whether
+// it may go on.
 func (l *AttemptLog) admit(
 	now time.Duration, key Key, sendID SendID, remaining time.Duration,
 ) admission {
@@ -129,7 +129,7 @@
 	return true
 }
 
-// setPhase records how far an admitted request has come.
+// setPhase records how far an admitted request has got.
 func (l *AttemptLog) setPhase(key Key, to phase) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/mesh/gate/gate.go
+++ b/internal/mesh/gate/gate.go
@@ -52,7 +52,7 @@
 // Start does nothing: a gate has nothing to do before its first list.
 func (g *Gate) Start(time.Duration) {}
 
-// Request takes a request: it is sent, queued or rejected at once.
+// Request receives a request: it is sent, queued or rejected at once.
 func (g *Gate) Request(now time.Duration, q policy.Request) {
 	if g.requests[q.ID] != nil {
 		return
@@ -80,7 +80,7 @@
 	}
 }
 
-// Outcome takes the end of an attempt: its slot is free, and its request has its answer.
+// Outcome records the end of an attempt: its slot is free, and its request has its answer.
 func (g *Gate) Outcome(now time.Duration, o policy.Outcome) {
 	r := g.requests[o.ID]
 	if r == nil || !r.sent || o.Attempt != 0 {
@@ -118,7 +118,7 @@
 	g.endEvent(now)
 }
 
-// ClientGone takes a request out of the queue whose caller has left. What runs keeps its slot until
+// ClientGone removes a request from the queue whose caller has left. What runs keeps its slot until
 // it ends, as the upstream still works on it.
 func (g *Gate) ClientGone(now time.Duration, id policy.RequestID) {
 	if r := g.requests[id]; r != nil && !r.sent {
@@ -135,13 +135,13 @@
 // StreamBegun does nothing: the slot stays in use until the Outcome.
 func (g *Gate) StreamBegun(policy.RequestID) {}
 
-// Reconfigure does nothing: the gate goes by the list alone.
+// Reconfigure does nothing: the gate depends on the list alone.
 func (g *Gate) Reconfigure(time.Duration, policy.Limits) error { return nil }
 
-// Counters tell what the gate did since it was made.
+// Counters returns counts of what the gate did since it was made.
 func (g *Gate) Counters() policy.Counters { return g.counters }
 
-// send starts a request's one attempt. It has no time-out of its own, as it may last until its
+// send starts a request's one attempt. It has no timeout of its own, as it may last until its
 // caller's deadline.
 func (g *Gate) send(now time.Duration, r *request) {
 	r.sent, r.sentAt, r.upstream = true, now, g.upstream
--- a/internal/mesh/gate/health.go
+++ b/internal/mesh/gate/health.go
@@ -36,7 +36,7 @@
 	unreachableUntil time.Duration
 }
 
-// record takes the end of an attempt at an upstream with so many slots.
+// record records the end of an attempt at an upstream with so many slots.
 func (h *health) record(now time.Duration, r *request, ending policy.Ending, slots int) {
 	switch ending {
 	case policy.Served, policy.Errored, policy.InvalidRequest, policy.NotProcessed: // it answered
@@ -80,7 +80,7 @@
 	}
 }
 
-// shedSlots is how many slots the upstream has shed of late.
+// shedSlots is how many slots the upstream has shed recently.
 func (h *health) shedSlots(now time.Duration) int {
 	h.shedUntil = slices.DeleteFunc(h.shedUntil, func(until time.Duration) bool { return now >= until })
 	return len(h.shedUntil)
--- a/internal/mesh/gate/load.go
+++ b/internal/mesh/gate/load.go
@@ -17,7 +17,7 @@
 	return int(g.load.inFlight.Load()), int(g.load.queued.Load()), int(g.load.slots.Load())
 }
 
-// MeanServiceTime is the mean time of an attempt of late; 0: none has ended yet. It may be called
+// MeanServiceTime is the recent mean time of an attempt; 0: none has ended yet. It may be called
 // from any goroutine.
 func (g *Gate) MeanServiceTime() time.Duration { return time.Duration(g.load.meanService.Load()) }
 
--- a/internal/mesh/gate/rejection.go
+++ b/internal/mesh/gate/rejection.go
@@ -55,7 +55,7 @@
 	g.host.Fail(r.id)
 }
 
-// recordPhase records in the attempt log how far a request has come.
+// recordPhase records in the attempt log how far a request has got.
 func (g *Gate) recordPhase(r *request, to phase) {
 	if r.runsOnce() {
 		g.attempts.setPhase(r.terms.Key, to)
--- a/internal/mesh/gate/scheduling.go
+++ b/internal/mesh/gate/scheduling.go
@@ -38,7 +38,7 @@
 				i++
 				continue
 			}
-			g.rejectQueued(now, r) // which takes it out
+			g.rejectQueued(now, r) // which removes it from the queue
 		}
 	}
 }
@@ -106,7 +106,7 @@
 	g.reject(now, r)
 }
 
-// removeQueued takes a request that waits out of the gate.
+// removeQueued removes a request that waits from the gate.
 func (g *Gate) removeQueued(r *request) {
 	g.queue.remove(r)
 	delete(g.requests, r.id)
--- a/internal/mesh/gate/upstream.go
+++ b/internal/mesh/gate/upstream.go
@@ -16,7 +16,7 @@
 	maxRetired = 64
 )
 
-// List takes an update of the upstream. One that drains or is deregistered is sent nothing more,
+// List applies an update of the upstream. One that drains or is deregistered is sent nothing more,
 // whatever later updates say; another one in its place is.
 func (g *Gate) List(now time.Duration, kind policy.ListKind, entries []policy.Server) {
 	if kind == policy.ListFailed {
--- a/internal/mesh/headers/attempt_terms.go
+++ b/internal/mesh/headers/attempt_terms.go
@@ -9,7 +9,7 @@
 	"caperarch/internal/proxy/h1"
 )
 
-// AttemptTerms are what a caller's sidecar tells the gate beside an upstream about an attempt.
+// AttemptTerms are what a caller's sidecar sends to the gate beside an upstream about an attempt.
 type AttemptTerms struct {
 	Priority      int           // 0 goes first
 	LatencyTarget time.Duration // travels in whole milliseconds
--- a/internal/mesh/headers/headers.go
+++ b/internal/mesh/headers/headers.go
@@ -45,10 +45,10 @@
 	outcomeUnknown     = "unknown" // it may have run
 )
 
-// maxTimeout is what longer time-outs count as.
+// maxTimeout is what longer timeouts count as.
 const maxTimeout = 10 * time.Minute
 
-// ParseTimeout reads a time-out in milliseconds. It returns false for what can't be read, and for what
+// ParseTimeout reads a timeout in milliseconds. It returns false for what can't be read, and for what
 // isn't positive.
 func ParseTimeout(text string) (time.Duration, bool) {
 	ms, err := strconv.ParseFloat(text, 64)
@@ -60,7 +60,7 @@
 	return timeout, timeout > 0
 }
 
-// IsExpired says whether a time-out is well formed and zero: the client no longer waits.
+// IsExpired reports whether a timeout is well formed and zero: the client no longer waits.
 func IsExpired(text string) bool {
 	ms, err := strconv.ParseFloat(text, 64)
 	return err == nil && ms == 0
@@ -83,7 +83,7 @@
 	return ""
 }
 
-// HasDuplicateControlField says whether a request between sidecars gives a field more than once that
+// HasDuplicateControlField reports whether a request between sidecars gives a field more than once that
 // controls how it is handled.
 func HasDuplicateControlField(h *h1.Head) bool {
 	return DuplicateField(h, AttemptID, Timeout, Target, attemptTermsField, SendIDField) != ""
--- a/internal/mesh/headers/outcome.go
+++ b/internal/mesh/headers/outcome.go
@@ -21,7 +21,7 @@
 	return fields
 }
 
-// MatchesAttempt says whether a response belongs to a request: upstreams and gates return its id.
+// MatchesAttempt reports whether a response belongs to a request: upstreams and gates return its id.
 func MatchesAttempt(m *call.Message, res *http.Response) bool {
 	ids := res.Header[AttemptID]
 	return len(ids) == 1 && len(m.Header[AttemptID]) == 1 && ids[0] == m.Header[AttemptID][0]
@@ -59,7 +59,7 @@
 	return ending, load
 }
 
-// impliesNotExecuted says whether our clients take a status as proof that their request was not executed
+// impliesNotExecuted reports whether our clients take a status as proof that their request was not executed
 // and never will be.
 func impliesNotExecuted(status int) bool {
 	switch status {
--- a/internal/mesh/logring/logring.go
+++ b/internal/mesh/logring/logring.go
@@ -1,5 +1,5 @@
-// Package logring is the log of a process: the last entries are kept in memory, and written out only when something
-// goes wrong, because writing costs processor time.
+// Package logring is the log of a process: the last entries are kept in memory, and written out
+// only when something goes wrong, because writing costs processor time.
 //
 // It starts no goroutines. Loggers and the Ring may be used from any goroutine.
 package logring
@@ -12,9 +12,9 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// New returns a logger that writes entries at Warn and above to out at once, and the ring in which it keeps all
-// entries, of at most capacity bytes (DefaultBytes if that is not above zero). An entry at Error or above dumps the
-// ring.
+// New returns a logger that writes entries at Warn and above to out at once, and the ring in which
+// it keeps all entries, of at most capacity bytes (DefaultBytes if that is not above zero). An
+// entry at Error or above dumps the ring.
 func New(out io.Writer, capacity int) (*zap.Logger, *Ring) {
 	if capacity <= 0 {
 		capacity = DefaultBytes
@@ -38,7 +38,8 @@
 	return zap.New(&core{encoder: encoder, ring: ring}), ring
 }
 
-// encodeTime writes the time of day in UTC, so that the logs of machines in different places can be compared.
+// encodeTime writes the time of day in UTC, so that the logs of machines in different places can be
+// compared.
 func encodeTime(t time.Time, line zapcore.PrimitiveArrayEncoder) {
 	line.AppendString(t.UTC().Format("15:04:05.000"))
 }
@@ -66,8 +67,8 @@
 	return checked.AddCore(e, c)
 }
 
-// Write keeps the entry. One at Error or above is dumped with all before it, or written alone if the last dump was less
-// than dumpInterval ago; one at the ring's WriteLevel is written alone.
+// Write keeps the entry. One at Error or above is dumped with all before it, or written alone if
+// the last dump was less than dumpInterval ago; one at the ring's WriteLevel is written alone.
 func (c *core) Write(e zapcore.Entry, fields []zapcore.Field) error {
 	line, err := c.encoder.EncodeEntry(e, fields)
 	if err != nil {
--- a/internal/mesh/logring/logring_test.go
+++ b/internal/mesh/logring/logring_test.go
@@ -51,8 +51,8 @@
 			_, ring := New(&bytes.Buffer{}, size)
 			var want []string
 			for i := range 5000 {
-				// The first half of the entries are tiny, so that their number is what bounds the ring; in the
-				// second half, some are truncated.
+				// The first half of the entries are tiny, so that their number is what bounds the
+				// ring; in the second half, some are truncated.
 				maxLength := []int{4, maxEntryBytes + 100}[random.Intn(2)*(i/2500)]
 				line := strings.Repeat(string(rune('a'+i%26)), random.Intn(maxLength)) + "\n"
 				ring.append([]byte(line))
--- a/internal/mesh/logring/ring.go
+++ b/internal/mesh/logring/ring.go
@@ -11,20 +11,23 @@
 const (
 	// DefaultBytes is the capacity of a ring for which none is given.
 	DefaultBytes = 64 << 10
-	// maxEntryBytes bounds one entry, so that a single long one does not evict all others. Its end is dropped.
+	// maxEntryBytes bounds one entry, so that a single long one does not evict all others. Its end
+	// is dropped.
 	maxEntryBytes = 2 << 10
 	// maxEntries bounds the entries kept, and so the memory for their lengths.
 	maxEntries = 1024
 	// dumpInterval is the least time between two dumps. It guards the processor against many errors in a row.
 	dumpInterval = time.Second
-	// dumpHeader begins a dump, with the number of entries and the reason. Its words stay: scripts may look for them.
+	// dumpHeader begins a dump, with the number of entries and the reason. Its words stay: scripts
+	// may look for them.
 	dumpHeader = "== daybook: %d entries up to: %s\n"
 )
 
-// Ring is the last entries of a log, oldest first, as they were encoded. It keeps as many as fit into its capacity, and
-// at most maxEntries.
+// Ring is the last entries of a log, oldest first, as they were encoded. It keeps as many as fit
+// into its capacity, and at most maxEntries.
 type Ring struct {
-	// WriteLevel is the level from which on entries are written out at once. It is set before the first entry.
+	// WriteLevel is the level from which on entries are written out at once. It is set before the
+	// first entry.
 	WriteLevel zapcore.Level
 	out        zapcore.WriteSyncer // locks by itself
 
@@ -38,8 +41,8 @@
 	lastDump time.Time
 }
 
-// Dump writes the entries out and empties the ring, under a line that gives the reason. Within dumpInterval of the last
-// dump it does nothing, and the entries stay for the next.
+// Dump writes the entries out and empties the ring, under a line that gives the reason. Within
+// dumpInterval of the last dump it does nothing, and the entries stay for the next.
 func (r *Ring) Dump(reason string) {
 	if text := r.drain(reason, time.Now()); text != nil {
 		// There is nowhere to report that the log itself can't be written.
--- a/internal/mesh/logring/slog.go
+++ b/internal/mesh/logring/slog.go
@@ -8,8 +8,8 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// NewSlog returns a slog.Logger for code that is shared with the daemon and logs by log/slog: its entries go to the
-// ring of the zap logger.
+// NewSlog returns a slog.Logger for code that is shared with the daemon and logs by log/slog: its
+// entries go to the ring of the zap logger.
 func NewSlog(to *zap.Logger) *slog.Logger { return slog.New(slogHandler{core: to.Core()}) }
 
 // slogHandler is a slog.Handler over the core of a zap logger.
@@ -17,7 +17,7 @@
 	core zapcore.Core
 }
 
-// Enabled says whether entries of the level are kept.
+// Enabled reports whether entries of the level are kept.
 func (h slogHandler) Enabled(_ context.Context, l slog.Level) bool {
 	return h.core.Enabled(zapLevel(l))
 }
--- a/internal/mesh/quota/allocator.go
+++ b/internal/mesh/quota/allocator.go
@@ -13,7 +13,7 @@
 	// maxDemands is the largest number of demands of one call. It guards against a call that holds the
 	// Allocator up.
 	maxDemands = 4096
-	// maxNodes is the largest number of nodes that are told apart. It guards against names that use up
+	// maxNodes is the largest number of nodes that are remembered. It guards against names that use up
 	// the memory.
 	maxNodes = 4096
 	// maxNodeName is the longest name of a node, in bytes. It guards the same.
@@ -68,7 +68,7 @@
 // tenant isn't throttled.
 //
 // An epoch before the newest is errs.Stale. Within TokenTTL of the epoch's start everything is
-// errs.Busy, and the node mustn't be told that it was granted anything; so is a node beyond maxNodes. A
+// errs.Busy, and nothing is granted to the node; so is a node beyond maxNodes. A
 // request that can't be used is errs.Invalid or errs.TooLarge.
 func (a *Allocator) Allocate(
 	now time.Duration, epoch Epoch, node string, demands []Demand,
@@ -117,7 +117,7 @@
 	return nil
 }
 
-// grant takes what a node reports and gives it what it wants of prepaid tenants. Of the reports only
+// grant charges what a node reports, and returns what it is granted of prepaid tenants. Of the reports only
 // reportedShare counts.
 func (a *Allocator) grant(now time.Duration, node string, demands []Demand, reportedShare float64) []Grant {
 	grants := make([]Grant, 0, len(demands))
--- a/internal/mesh/quota/limiter.go
+++ b/internal/mesh/quota/limiter.go
@@ -16,15 +16,15 @@
 	// that the last epoch throttled. It guards against a tenant with much demand of which the new
 	// Allocator hasn't learned from all sidecars.
 	throttleCarryOver = idleInterval
-	// minRetryAfter and maxRetryAfter bound what rejected clients are told. They guard against a herd
-	// that comes back at once and against clients that stay away when there is capacity again.
+	// minRetryAfter and maxRetryAfter bound the Retry-After of rejected clients. They guard against a herd
+	// that retries at once and against clients that stay away when there is capacity again.
 	minRetryAfter, maxRetryAfter = 100 * time.Millisecond, 2 * time.Second
 )
 
 // LocalLimiter is what one sidecar may spend for each tenant: granted tokens and a floor of its own, or,
 // of deferred tenants, what it admits and reports. Which requests of a throttled tenant run is random.
 //
-// A cycle is: NextRequest says when to ask, Demands what to ask for, ApplyGrants takes the response.
+// A cycle is: NextRequest says when to ask, Demands what to ask for, ApplyGrants applies the response.
 type LocalLimiter struct {
 	planner  planner
 	tenants  map[string]*tenantBucket
@@ -65,7 +65,7 @@
 	return nil
 }
 
-// Allow says whether a request of the tenant may run now, and spends a token on it if so. It belongs
+// Allow reports whether a request of the tenant may run now, and spends a token on it if so. It belongs
 // right before the send, as the limit counts executions. A tenant that the limits don't name, or whose
 // rate is 0, has no limit.
 func (l *LocalLimiter) Allow(now time.Duration, tenant string) bool {
@@ -163,10 +163,10 @@
 	return demands
 }
 
-// ApplyGrants takes the response to the last Demands; a deferred tenant that isn't among the throttled
+// ApplyGrants applies the response to the last Demands; a deferred tenant that isn't among the throttled
 // ones is no longer throttled. The floors are held back until limiterFloorLease after that request. A
-// response of an older epoch than one seen before is errs.Stale and changes nothing, as is one that
-// nobody waits for; one with impossible numbers is errs.Invalid.
+// response of an older epoch than one seen before is errs.Stale and changes nothing, as is one
+// while no request is in flight; one with impossible numbers is errs.Invalid.
 func (l *LocalLimiter) ApplyGrants(now time.Duration, epoch Epoch, grants []Grant, throttled []Throttled) error {
 	if !l.schedule.awaitingResponse {
 		return errs.New(errs.Stale, "response of epoch %d, no request is in flight", epoch)
--- a/internal/mesh/quota/local_bucket.go
+++ b/internal/mesh/quota/local_bucket.go
@@ -46,7 +46,7 @@
 	b.updatedAt = max(b.updatedAt, now)
 }
 
-// drawn says whether a request is among the fraction that may run.
+// drawn reports whether a request is among the fraction that may run.
 func (b *localBucket) drawn(random *rand.Rand) bool {
 	return b.admittedFraction >= 1 || random.Float64() < b.admittedFraction
 }
@@ -65,7 +65,7 @@
 	return b.reported
 }
 
-// applyResponse fills the bucket and takes off what the Allocator now knows.
+// applyResponse fills the bucket and subtracts from the report what the Allocator now knows.
 func (b *localBucket) applyResponse(now, refilledUntil, inContactUntil time.Duration, plan *plan) {
 	b.fill(now, refilledUntil, inContactUntil, plan)
 	b.tokens = max(plan.localDepth, min(responseGrowth*b.reported.Want, maxGrowthFraction*plan.rate))
--- a/internal/mesh/quota/member_count.go
+++ b/internal/mesh/quota/member_count.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// memberCountHold is how long a larger number of members stands. It guards against floors that grow
+// memberCountHold is how long a larger number of members stays in force. It guards against floors that grow
 // while sidecars that have just left, or are only thought to have left, still spend theirs.
 const memberCountHold = 10 * time.Second
 
--- a/internal/mesh/quota/planner.go
+++ b/internal/mesh/quota/planner.go
@@ -12,7 +12,7 @@
 	rules          Rules
 	limits         map[string]Limit // by tenant, only those with a rate
 	members        memberCount
-	plannedMembers int // the number of members that plan goes by
+	plannedMembers int // the number of members that plan divides by
 }
 
 // newPlanner returns a planner without limits, for one member.
@@ -29,12 +29,12 @@
 	p.limits = enforcedLimits(limits)
 }
 
-// outdated says whether the current plans are made for another number of members than there are now.
+// outdated reports whether the current plans are made for another number of members than there are now.
 func (p *planner) outdated(now time.Duration) bool {
 	return p.members.at(now) != p.plannedMembers
 }
 
-// update has plan go by the number of members that there is now.
+// update sets plannedMembers to the number of members that there is now.
 func (p *planner) update(now time.Duration) { p.plannedMembers = p.members.at(now) }
 
 // plan is how a tenant's limit is divided.
--- a/internal/mesh/quota/quota.go
+++ b/internal/mesh/quota/quota.go
@@ -41,7 +41,7 @@
 //
 // # How the limit of a deferred tenant is kept
 //
-// With many members a granted token lies at one that has no request for it. So members admit requests
+// With many members a granted token is often at one that has no request for it. So members admit requests
 // and report afterwards what arrived and what they admitted, and the Allocator takes that from the
 // bucket, below zero if need be. The bucket fills at deferredRateFraction*R, less the share of members
 // without contact for contactTTL, which fill floors with it. The Allocator names the throttled tenants,
@@ -143,13 +143,13 @@
 	Share  float64 `json:"share"` // from 0 to 1
 }
 
-// Grant is what a sidecar gets for a tenant.
+// Grant is the tokens granted to a sidecar for a tenant.
 type Grant struct {
 	Tenant string  `json:"tenant"`
 	Tokens float64 `json:"tokens"`
 }
 
-// validAmount says whether x is a number of something: not negative, and maxAmount at most.
+// validAmount reports whether x is a number of something: not negative, and maxAmount at most.
 func validAmount(x float64) bool { return x >= 0 && x <= maxAmount }
 
 // validateMembers is an error if there is no member.
--- a/internal/mesh/quota/retry_budget.go
+++ b/internal/mesh/quota/retry_budget.go
@@ -71,7 +71,7 @@
 	}
 }
 
-// Allowed says whether one more attempt after a request's first fits in. Requests are counted over the
+// Allowed reports whether one more attempt after a request's first fits in. Requests are counted over the
 // window at most, and attempts over the window at least. A service beyond maxServices has no retries.
 func (b *RetryBudget) Allowed(now time.Duration, service string) bool {
 	c := b.countsOf(now, service)
--- a/internal/mesh/registry/changes.go
+++ b/internal/mesh/registry/changes.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// change is one numbered change; the entries tell what it led to.
+// change is one numbered change; the entries hold the result.
 type change struct {
 	instance, service string
 }
@@ -46,7 +46,7 @@
 // Number is the number of the last change of this epoch, 0 before the first.
 func (t *Table) Number() ChangeNumber { return t.number }
 
-// Since gives what changed after a number of an epoch, and the full state when the epoch is another
+// Since returns what changed after a number of an epoch, and the full state when the epoch is another
 // one or the number is too old. Keep says which services the reader wants; nil keeps all.
 func (t *Table) Since(now time.Duration, epoch Epoch, number ChangeNumber, keep func(service string) bool) Changes {
 	changes := Changes{Epoch: t.epoch, Number: t.number}
@@ -75,7 +75,7 @@
 	return changes
 }
 
-// logReachesBackTo says whether the log holds every change after a number of an epoch.
+// logReachesBackTo reports whether the log holds every change after a number of an epoch.
 func (t *Table) logReachesBackTo(epoch Epoch, number ChangeNumber) bool {
 	return epoch == t.epoch && number <= t.number &&
 		t.number-number <= ChangeNumber(min(len(t.changeLog), maxChangeLog))
--- a/internal/mesh/registry/counts.go
+++ b/internal/mesh/registry/counts.go
@@ -16,7 +16,7 @@
 	t.recordPeak(now)
 }
 
-// markEnded takes a lease out of the counts, if it is counted.
+// markEnded removes a lease from the counts, if it is counted.
 func (t *Table) markEnded(l *lease) {
 	if !l.live {
 		return
--- a/internal/mesh/registry/lease.go
+++ b/internal/mesh/registry/lease.go
@@ -44,7 +44,7 @@
 	Remaining       time.Duration `json:"r"`
 }
 
-// Check returns an error of kind Invalid for a lease that no table should take.
+// Check returns an error of kind Invalid for a lease that no table may hold.
 func (l *Lease) Check() error {
 	if l.Node == "" || len(l.Node) > maxName || len(l.Zone) > maxName {
 		return errs.New(errs.Invalid,
@@ -69,10 +69,10 @@
 	live            bool
 }
 
-// isLive says whether the lease is live at this moment, whenever Expire was called last.
+// isLive reports whether the lease is live at this moment, whenever Expire was called last.
 func (l *lease) isLive(now time.Duration) bool { return l.live && now < l.expiresAt }
 
-// at gives the lease with its upstream's warm-up counted from now.
+// at returns the lease with its upstream's warm-up counted from now.
 func (l *lease) at(now time.Duration) Lease {
 	current := l.Lease
 	if current.Upstream != nil {
@@ -83,7 +83,7 @@
 	return current
 }
 
-// isOlderThan says whether next replaces this lease. Nothing of an incarnation that has left does.
+// isOlderThan reports whether next replaces this lease. Nothing of an incarnation that has left does.
 func (l *lease) isOlderThan(next *Lease) bool {
 	if next.Incarnation != l.Incarnation {
 		return next.Incarnation > l.Incarnation
@@ -91,7 +91,7 @@
 	return next.Sequence > l.Sequence && !l.Left
 }
 
-// lacksContentOf says whether the content that a renewal extends is newer than the one held.
+// lacksContentOf reports whether the content that a renewal extends is newer than the one held.
 func (l *lease) lacksContentOf(r Renewal) bool {
 	if l.Incarnation != r.Incarnation {
 		return l.Incarnation < r.Incarnation
@@ -99,12 +99,12 @@
 	return l.Sequence < r.ContentSequence
 }
 
-// isExtendedBy says whether a renewal, whose content is held, is newer than the lease.
+// isExtendedBy reports whether a renewal, whose content is held, is newer than the lease.
 func (l *lease) isExtendedBy(r Renewal) bool {
 	return l.Incarnation == r.Incarnation && l.Sequence < r.Sequence && !l.Left
 }
 
-// warmupEndWith gives the end of a reported upstream's warm-up. A report that was seen before doesn't
+// warmupEndWith returns the end of a reported upstream's warm-up. A report that was seen before doesn't
 // move it.
 func (l *lease) warmupEndWith(now time.Duration, up *Upstream) time.Duration {
 	if l.Upstream != nil && l.Upstream.Instance == up.Instance && l.Upstream.Sequence == up.Sequence {
@@ -113,7 +113,7 @@
 	return now + seconds(up.WarmupRemaining)
 }
 
-// contentChanges says whether next says more than that the sidecar is still alive.
+// contentChanges reports whether next differs in more than the sequence: not a mere renewal.
 func (l *lease) contentChanges(now time.Duration, next *Lease, warmupEnd time.Duration) bool {
 	if !l.live || l.Incarnation != next.Incarnation || l.Zone != next.Zone ||
 		l.Applied != next.Applied || l.Leaving != next.Leaving || l.Left != next.Left {
--- a/internal/mesh/registry/lease_table.go
+++ b/internal/mesh/registry/lease_table.go
@@ -6,7 +6,7 @@
 	"caperarch/internal/mesh/errs"
 )
 
-// Renew takes a lease that this member received from its sidecar. It reports whether the content
+// Renew applies a lease that this member received from its sidecar. It reports whether the content
 // changed, that is, whether other members need to see it now. A lease that isn't newer than the one
 // held is ignored. An invalid lease is an error of kind Invalid, and one of a new node is Busy when
 // the table is full.
@@ -20,8 +20,8 @@
 	return t.applyLease(now, l, LeaseTTL), nil
 }
 
-// Merge takes leases that other members hold. It returns the nodes whose lease was newer than the one
-// held here. Leases that Check rejects, that expired on their way, or for which the table has no room
+// Merge applies leases that other members hold. It returns the nodes whose lease was newer than the one
+// held here. Leases that Check rejects, that expired on their way, or for which the table has no capacity
 // are ignored.
 func (t *Table) Merge(now time.Duration, leases []RemoteLease) (newer []string) {
 	for _, r := range leases {
@@ -37,7 +37,7 @@
 	return newer
 }
 
-// Extend takes renewals of leases that another member holds. It returns the nodes whose renewal was
+// Extend applies renewals of leases that another member holds. It returns the nodes whose renewal was
 // newer than the lease held here, and those whose lease must be sent in full because the content held
 // here is older than what was renewed.
 func (t *Table) Extend(now time.Duration, renewals []Renewal) (newer, unknown []string) {
@@ -100,7 +100,7 @@
 	return changed
 }
 
-// RemoteLease gives a node's lease for another member, or false if none is held. A sidecar that left
+// RemoteLease returns a node's lease for another member, or false if none is held. A sidecar that left
 // is included, so that other members learn of it.
 func (t *Table) RemoteLease(now time.Duration, node string) (RemoteLease, bool) {
 	l := t.leases[node]
@@ -110,7 +110,7 @@
 	return RemoteLease{Lease: l.at(now), Remaining: max(l.expiresAt-now, 0)}, true
 }
 
-// Renewal gives a node's lease as a renewal, or false if none is live.
+// Renewal returns a node's lease as a renewal, or false if none is live.
 func (t *Table) Renewal(now time.Duration, node string) (Renewal, bool) {
 	l := t.leases[node]
 	if l == nil || !l.isLive(now) {
--- a/internal/mesh/registry/tombstones.go
+++ b/internal/mesh/registry/tombstones.go
@@ -5,12 +5,12 @@
 // tombstone remembers an instance that was removed, against messages that arrive late.
 type tombstone struct {
 	sequence     int64 // the last one that was known
-	deregistered bool  // it is never taken back
+	deregistered bool  // no report brings it back
 	expired      bool  // it went stale, and its last report may be repeated
 	forgetAt     time.Duration
 }
 
-// rejects says whether a report is too old to bring the instance back. A sidecar's lease may repeat
+// rejects reports whether a report is too old to bring the instance back. A sidecar's lease may repeat
 // the last report of an instance that only expired; a heartbeat that arrives twice may not.
 func (d tombstone) rejects(sequence int64, from source) bool {
 	if d.deregistered || sequence < d.sequence {
@@ -32,7 +32,7 @@
 	deregistered
 )
 
-// deregister removes an instance for good. It reports whether that is new.
+// deregister removes an instance permanently. It reports whether that is new.
 func (t *Table) deregister(now time.Duration, instance string) (taken bool) {
 	if t.tombstones[instance].deregistered {
 		return false
@@ -41,7 +41,7 @@
 	return true
 }
 
-// remove takes an instance out of the table and leaves a tombstone.
+// remove removes an instance from the table and leaves a tombstone.
 func (t *Table) remove(now time.Duration, instance string, cause removal) {
 	removed, known := t.tombstones[instance]
 	removed.deregistered = removed.deregistered || cause == deregistered
--- a/internal/mesh/registry/upstream.go
+++ b/internal/mesh/registry/upstream.go
@@ -9,7 +9,7 @@
 // State is an upstream's own statement on whether it takes requests.
 type State uint8
 
-// The states of an upstream. Deregistered is final: the instance isn't taken back.
+// The states of an upstream. Deregistered is final: no later report brings the instance back.
 const (
 	Ready State = iota
 	Draining
@@ -19,7 +19,7 @@
 // stateNames are the names on the wire.
 var stateNames = [...]string{Ready: "ready", Draining: "draining", Deregistered: "gone"}
 
-// String gives the state's name on the wire, and "unknown" for a number that is no state's.
+// String returns the state's name on the wire, and "unknown" for a number that is no state's.
 func (s State) String() string {
 	if int(s) < len(stateNames) {
 		return stateNames[s]
@@ -52,7 +52,7 @@
 	Service  string `json:"service"`
 	// Address is where the application itself listens.
 	Address string `json:"address"`
-	// Node names the sidecar beside the application, and Inbound is where that sidecar takes
+	// Node names the sidecar beside the application, and Inbound is where that sidecar receives
 	// requests for it.
 	Node    string `json:"node,omitempty"`
 	Inbound string `json:"inbound,omitempty"`
@@ -66,7 +66,7 @@
 	WarmupRemaining float64 `json:"warmupRemaining,omitempty"`
 	// Sequence numbers the heartbeats of one instance: the later one wins.
 	Sequence int64 `json:"sequence"`
-	// Stale says that no lease or heartbeat has refreshed the upstream of late. It may be alive: its
+	// Stale says that no lease or heartbeat has refreshed the upstream recently. It may be alive: its
 	// sidecar may only be partitioned from the core members.
 	Stale bool `json:"stale,omitempty"`
 }
@@ -90,7 +90,7 @@
 	warmupTolerance = time.Second
 )
 
-// Check returns an error of kind Invalid for an upstream that no table should take.
+// Check returns an error of kind Invalid for an upstream that no table may hold.
 func (u *Upstream) Check() error {
 	if u.Instance == "" {
 		return errs.New(errs.Invalid, "the upstream names no instance")
@@ -119,14 +119,14 @@
 	return nil
 }
 
-// sameExceptWarmup says whether two upstreams look the same to others, their slow start aside.
+// sameExceptWarmup reports whether two upstreams look the same to others, their slow start aside.
 func sameExceptWarmup(a, b *Upstream) bool {
 	x, y := *a, *b
 	x.Sequence, x.WarmupRemaining = y.Sequence, y.WarmupRemaining
 	return x == y
 }
 
-// warmupMoved says whether the end of a slow start moved by more than message delays explain.
+// warmupMoved reports whether the end of a slow start moved by more than message delays explain.
 func warmupMoved(now, before, after time.Duration) bool {
 	before, after = max(before, now), max(after, now)
 	return max(before-after, after-before) > warmupTolerance
--- a/internal/mesh/registry/upstream_table.go
+++ b/internal/mesh/registry/upstream_table.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// entry is an upstream as a table holds it.
+// entry is an upstream in a table.
 type entry struct {
 	Upstream
 	warmupEnd time.Duration
@@ -25,8 +25,8 @@
 	fromHeartbeat
 )
 
-// Heartbeat takes an upstream's heartbeat that reached a core member directly. It reports whether the
-// heartbeat was taken; one that isn't newer than the last is not. An invalid one is an error of kind
+// Heartbeat applies an upstream's heartbeat that reached a core member directly. It reports whether the
+// heartbeat was applied; one that isn't newer than the last is not. An invalid one is an error of kind
 // Invalid.
 func (t *Table) Heartbeat(now time.Duration, up Upstream) (taken bool, err error) {
 	if err := up.Check(); err != nil {
@@ -37,7 +37,7 @@
 
 // RelayedHeartbeat is Heartbeat for one that another member received. Remaining is the time for which
 // it still refreshes the upstream; below zero it is the time since it no longer does. A heartbeat that
-// Check rejects is not taken, nor one whose upstream would have been dropped by now. One whose time is
+// Check rejects is not applied, nor one whose upstream would have been dropped by now. One whose time is
 // over replaces no other instance.
 func (t *Table) RelayedHeartbeat(now time.Duration, up Upstream, remaining time.Duration) (taken bool) {
 	if up.Check() != nil {
@@ -75,8 +75,8 @@
 	return u
 }
 
-// upsert takes a report of an upstream that is fresh until the given time, and records a change if
-// there is one to see. It reports whether the report was newer than what is held.
+// upsert applies a report of an upstream that is fresh until the given time, and records a change if
+// readers see one. It reports whether the report was newer than the entry.
 func (t *Table) upsert(now time.Duration, up Upstream, freshUntil time.Duration, from source) (taken bool) {
 	if up.State == Deregistered {
 		return t.deregister(now, up.Instance)
@@ -112,7 +112,7 @@
 	return true
 }
 
-// isReplacedBy says whether a report of the same instance is newer. One of the same sequence is, if
+// isReplacedBy reports whether a report of the same instance is newer. One of the same sequence is, if
 // it comes from another sidecar and the upstream has gone stale at the one before.
 func (e *entry) isReplacedBy(up *Upstream) bool {
 	if up.Sequence == e.Sequence {
@@ -121,12 +121,12 @@
 	return up.Sequence > e.Sequence
 }
 
-// colocated gives the instances known at the upstream's node and address; "" stands for none.
+// colocated returns the instances known at the upstream's node and address; "" stands for none.
 func (t *Table) colocated(up *Upstream) [2]string {
 	return [...]string{t.instanceByNode[up.Node], t.instanceByAddress[up.Address]}
 }
 
-// displacesAny says whether another instance is known at the upstream's node or address.
+// displacesAny reports whether another instance is known at the upstream's node or address.
 func (t *Table) displacesAny(up *Upstream) bool {
 	for _, other := range t.colocated(up) {
 		if other != "" && other != up.Instance {
@@ -213,13 +213,13 @@
 	return all
 }
 
-// isLeased says whether the live lease of an upstream's sidecar includes it.
+// isLeased reports whether the live lease of an upstream's sidecar includes it.
 func (t *Table) isLeased(now time.Duration, e *entry) bool {
 	l := t.leases[e.Node]
 	return l != nil && l.isLive(now) && l.Upstream != nil && l.Upstream.Instance == e.Instance
 }
 
-// at gives the upstream with its warm-up counted from now.
+// at returns the upstream with its warm-up counted from now.
 func (e *entry) at(now time.Duration) Upstream {
 	up := e.Upstream
 	up.WarmupRemaining = remainingSeconds(e.warmupEnd, now)
--- a/internal/mesh/replication/bounds.go
+++ b/internal/mesh/replication/bounds.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// The protocol's time-outs.
+// The protocol's timeouts.
 const (
 	// HeartbeatInterval is the longest time between two messages of a leader to a peer. Four
-	// heartbeats fit into the shortest election time-out, so that lost ones cause no election.
+	// heartbeats fit into the shortest election timeout, so that lost ones cause no election.
 	HeartbeatInterval = 120 * time.Millisecond
 	// MinElectionTimeout and MaxElectionTimeout bound the random time without contact to a leader
 	// after which a voter starts an election: above four heartbeats, and low enough that a dead
@@ -16,7 +16,7 @@
 	MinElectionTimeout = 500 * time.Millisecond
 	MaxElectionTimeout = 900 * time.Millisecond
 	// minElectionRetry and maxElectionRetry bound the random wait after an election without a
-	// winner. A pre-vote disturbs nobody, so it may be repeated soon; the spread is wider than a
+	// winner. A pre-vote changes no state, so it may be repeated soon; the spread is wider than a
 	// round trip, so that split votes don't repeat.
 	minElectionRetry = 150 * time.Millisecond
 	maxElectionRetry = 450 * time.Millisecond
--- a/internal/mesh/replication/compaction.go
+++ b/internal/mesh/replication/compaction.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// ShouldCompact says that the log is long enough to be replaced by a snapshot. A leader retains
+// ShouldCompact reports whether the log is long enough to be replaced by a snapshot. A leader retains
 // more of it for peers that lag behind: they would need the snapshot for entries that are gone.
 func (r *Replica) ShouldCompact() bool {
 	n := int(r.applied - r.log.snapshot.Index)
@@ -19,7 +19,7 @@
 	return n >= maxRetainedEntries || r.log.bytes >= maxRetainedBytes+2*limit || !r.hasLaggingPeer()
 }
 
-// hasLaggingPeer says that a peer in contact lacks entries that are applied here.
+// hasLaggingPeer reports whether a peer in contact lacks entries that are applied here.
 func (r *Replica) hasLaggingPeer() bool {
 	if r.role != leader {
 		return false
--- a/internal/mesh/replication/deliveries.go
+++ b/internal/mesh/replication/deliveries.go
@@ -19,7 +19,7 @@
 	from      MemberID
 	messages  []Message
 	arrivedAt time.Duration
-	// response, when not nil, takes the messages for the sender.
+	// response, when not nil, receives the messages for the sender.
 	response chan []Message
 }
 
--- a/internal/mesh/replication/election.go
+++ b/internal/mesh/replication/election.go
@@ -50,7 +50,7 @@
 	r.startElection(now, VoteRequest{})
 }
 
-// isLogUpToDate says that a candidate's log lacks nothing that this replica may have acknowledged:
+// isLogUpToDate reports whether a candidate's log lacks nothing that this replica may have acknowledged:
 // it ends in a higher term, or in the same one and no earlier.
 func (r *Replica) isLogUpToDate(request *VoteRequest) bool {
 	last := r.log.lastTerm()
--- a/internal/mesh/replication/follower.go
+++ b/internal/mesh/replication/follower.go
@@ -24,9 +24,9 @@
 	return !r.storageFailed
 }
 
-// recordQuorumAck adopts the time at which a majority last confirmed the leader. How long a message
-// was in flight can't be told from its arrival; that it was made after this replica sent the
-// response whose clock it echoes, can.
+// recordQuorumAck adopts the time at which a majority last confirmed the leader. The arrival of a
+// message doesn't show how long it was in flight; the clock reading that it echoes shows that it was
+// made after this replica sent the response with that reading.
 func (r *Replica) recordQuorumAck(now time.Duration, h *Heartbeat) {
 	if h.QuorumAckAge < 0 || h.QuorumAckAge >= longAgo {
 		return
--- a/internal/mesh/replication/identifiers.go
+++ b/internal/mesh/replication/identifiers.go
@@ -2,7 +2,7 @@
 
 import "strings"
 
-// Term numbers the reigns of leaders; at most one replica leads in a term.
+// Term is the Raft term, which each election raises; at most one replica leads in a term.
 type Term uint64
 
 // Index is a position in the log; the first entry has Index 1.
@@ -19,7 +19,7 @@
 // ReadRound numbers the rounds of heartbeats that confirm a leader before a read is served.
 type ReadRound uint64
 
-// Incarnation tells one run of a replica's process from the others. It is drawn at random.
+// Incarnation identifies one run of a replica's process. It is drawn at random.
 type Incarnation uint64
 
 // MemberID names one disk of one machine: the machine's address and, for every disk but those of
--- a/internal/mesh/replication/leadership_transfer.go
+++ b/internal/mesh/replication/leadership_transfer.go
@@ -32,7 +32,7 @@
 	return true
 }
 
-// transferTimedOut says that this leader has asked a peer to take over and has waited long enough.
+// transferTimedOut reports whether this leader has asked a peer to take over and has waited long enough.
 func (r *Replica) transferTimedOut(now time.Duration) bool {
 	return r.transferring && now-r.transferStartedAt > leadershipTransferTimeout
 }
--- a/internal/mesh/replication/log.go
+++ b/internal/mesh/replication/log.go
@@ -35,7 +35,7 @@
 	return term
 }
 
-// matches says whether the log holds an entry at index that was numbered in term.
+// matches reports whether the log holds an entry at index that was numbered in term.
 func (l *entryLog) matches(index Index, term Term) bool {
 	found, ok := l.term(index)
 	return ok && found == term
--- a/internal/mesh/replication/loop.go
+++ b/internal/mesh/replication/loop.go
@@ -84,7 +84,7 @@
 	}
 }
 
-// save syncs what a Ready wants persisted, and tells the replica when that fails.
+// save syncs what a Ready wants persisted, and notifies the replica when that fails.
 func (n *Node) save(ready *Ready) bool {
 	if err := n.config.Storage.Save(ready.Persist); err != nil {
 		if !n.storageFailed {
--- a/internal/mesh/replication/membership.go
+++ b/internal/mesh/replication/membership.go
@@ -21,10 +21,10 @@
 	Outgoing []MemberID `json:"o,omitempty"`
 }
 
-// IsJoint says whether a change is under way.
+// IsJoint reports whether a change is under way.
 func (m Membership) IsJoint() bool { return len(m.Outgoing) > 0 }
 
-// IsVoter says whether a member votes, in either set.
+// IsVoter reports whether a member votes, in either set.
 func (m Membership) IsVoter(id MemberID) bool {
 	return slices.Contains(m.Voters, id) || slices.Contains(m.Outgoing, id)
 }
@@ -34,7 +34,7 @@
 	return slices.Compact(slices.Sorted(slices.Values(slices.Concat(m.Voters, m.Outgoing))))
 }
 
-// hasQuorum says whether the members that agree are a majority of each set.
+// hasQuorum reports whether the members that agree are a majority of each set.
 func (m Membership) hasQuorum(agrees func(MemberID) bool) bool {
 	return hasMajority(m.Voters, agrees) && (!m.IsJoint() || hasMajority(m.Outgoing, agrees))
 }
--- a/internal/mesh/replication/message.go
+++ b/internal/mesh/replication/message.go
@@ -135,7 +135,7 @@
 	return n
 }
 
-// isWellFormed says whether the replica may process a message at all.
+// isWellFormed reports whether the replica may process a message at all.
 func (r *Replica) isWellFormed(msg *Message) bool {
 	if msg.Cluster != r.cluster || msg.payloadCount() != 1 {
 		return false
@@ -146,7 +146,7 @@
 	return msg.SnapshotChunk == nil || msg.SnapshotChunk.isWellFormed()
 }
 
-// isWellFormed says whether the entries follow PrevIndex without gaps, belong to no term after the
+// isWellFormed reports whether the entries follow PrevIndex without gaps, belong to no term after the
 // message's, and hold memberships that can be decoded.
 func (msg *AppendEntries) isWellFormed(term Term) bool {
 	for i := range msg.Entries {
@@ -164,7 +164,7 @@
 	return true
 }
 
-// isWellFormed says whether the header can be that of a snapshot and the chunk lies within it.
+// isWellFormed reports whether the header can be that of a snapshot and the chunk lies within it.
 func (chunk *SnapshotChunk) isWellFormed() bool {
 	h := &chunk.Header
 	return h.Index > 0 && h.Size >= 0 && h.Size <= maxSnapshotBytes && h.Membership.validate() == nil &&
--- a/internal/mesh/replication/node.go
+++ b/internal/mesh/replication/node.go
@@ -141,7 +141,7 @@
 	return n.contact.age(n.now(), n.config.AppliedIndex())
 }
 
-// InContact says whether a majority has lately confirmed what this node serves.
+// InContact reports whether a majority has lately confirmed what this node serves.
 func (n *Node) InContact() bool {
 	age, ok := n.Contact()
 	return ok && age <= maxContactAge
--- a/internal/mesh/replication/progress.go
+++ b/internal/mesh/replication/progress.go
@@ -91,10 +91,10 @@
 	return all
 }
 
-// storesCommitted says that a peer has synced everything that is committed.
+// storesCommitted reports whether a peer has synced everything that is committed.
 func (r *Replica) storesCommitted(p *progress) bool { return p.match > 0 && p.match >= r.commit }
 
-// isCaughtUp says that a member is in contact and has synced everything that is committed.
+// isCaughtUp reports whether a member is in contact and has synced everything that is committed.
 func (r *Replica) isCaughtUp(now time.Duration, id MemberID) bool {
 	if id == r.id {
 		return r.stable >= r.commit
--- a/internal/mesh/replication/quorum.go
+++ b/internal/mesh/replication/quorum.go
@@ -34,7 +34,7 @@
 	return at
 }
 
-// hasCommittedInTerm says that an entry of this leader's own term is committed. Then so is
+// hasCommittedInTerm reports whether an entry of this leader's own term is committed. Then so is
 // everything that earlier leaders committed, and only then does the leader know how far that is.
 func (r *Replica) hasCommittedInTerm() bool {
 	term, ok := r.log.term(r.commit)
--- a/internal/mesh/replication/replica.go
+++ b/internal/mesh/replication/replica.go
@@ -23,7 +23,7 @@
 type ReplicaConfig struct {
 	// State is what the replica's disk holds.
 	State State
-	// Seed makes election time-outs differ between replicas.
+	// Seed makes election timeouts differ between replicas.
 	Seed uint64
 }
 
@@ -146,7 +146,7 @@
 	return r, nil
 }
 
-// validate says whether a replica can start from the state.
+// validate reports whether a replica can start from the state.
 func (s *State) validate() error {
 	if s.ID == "" {
 		return errs.New(errs.Invalid, "replication: a replica without an id")
@@ -174,7 +174,7 @@
 // Leader returns the leader that this replica follows ("" when it knows of none) and its term.
 func (r *Replica) Leader() (MemberID, Term) { return r.leader, r.hardState.Term }
 
-// IsLeader says whether the replica leads its term at the time now.
+// IsLeader reports whether the replica leads its term at the time now.
 func (r *Replica) IsLeader(now time.Duration) bool {
 	r.checkQuorum(now)
 	return r.role == leader
@@ -186,10 +186,10 @@
 	return current.Membership, current.index <= r.commit
 }
 
-// IsVoter says whether the replica is a voter in the membership in force.
+// IsVoter reports whether the replica is a voter in the membership in force.
 func (r *Replica) IsVoter() bool { return r.memberships.current().IsVoter(r.id) }
 
-// StorageFailed says that the last write failed; the replica sends nothing until one succeeds.
+// StorageFailed reports whether the last write failed; the replica sends nothing until one succeeds.
 func (r *Replica) StorageFailed() bool { return r.storageFailed }
 
 // Applied is the last entry that was handed out as committed and confirmed by Advance.
--- a/internal/mesh/replication/role.go
+++ b/internal/mesh/replication/role.go
@@ -39,7 +39,7 @@
 	r.advanceCommit(now)
 }
 
-// hasLeaderLease says that a live leader sent a message within the shortest election time-out, or
+// hasLeaderLease reports whether a live leader sent a message within the shortest election timeout, or
 // that the replica leads itself. Then it rejects vote requests, so that a member that was
 // partitioned, frozen or retired disturbs nothing when it returns.
 func (r *Replica) hasLeaderLease(now time.Duration) bool {
--- a/internal/mesh/replication/snapshot.go
+++ b/internal/mesh/replication/snapshot.go
@@ -20,7 +20,7 @@
 	data   []byte
 }
 
-// isSame says whether chunks under both headers belong to the same snapshot.
+// isSame reports whether chunks under both headers belong to the same snapshot.
 func (h *SnapshotHeader) isSame(other *SnapshotHeader) bool {
 	return h.Index == other.Index && h.Term == other.Term && h.Size == other.Size && h.Checksum == other.Checksum
 }
--- a/internal/mesh/replication/store.go
+++ b/internal/mesh/replication/store.go
@@ -69,7 +69,7 @@
 	return s, state, nil
 }
 
-// IsCorrupt says whether an error of OpenStore means that the store can't be read any more, in
+// IsCorrupt reports whether an error of OpenStore means that the store can't be read any more, in
 // contrast to a disk that is unavailable for now.
 func IsCorrupt(err error) bool {
 	return eris.Is(err, errCorrupt) || leveldberrors.IsCorrupted(eris.Cause(err))
--- a/internal/mesh/replication/transport.go
+++ b/internal/mesh/replication/transport.go
@@ -138,8 +138,8 @@
 	}
 }
 
-// nextBatch takes what waits on a lane. It returns nil, and the lane's goroutine must end, when
-// nothing does or the transport is closed.
+// nextBatch removes and returns what waits on a lane. It returns nil, and the lane's goroutine must
+// end, when nothing does or the transport is closed.
 func (t *Transport) nextBatch(l *lane) []Message {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/mesh/rpc/body.go
+++ b/internal/mesh/rpc/body.go
@@ -6,19 +6,20 @@
 )
 
 const (
-	// announcedBuffer bounds the memory taken because of a Content-Length alone. It guards against senders that
-	// announce a large body and never send it; once so much has arrived, the rest is allocated at once.
+	// announcedBuffer bounds the memory taken because of a Content-Length alone. It guards against
+	// senders that announce a large body and never send it; once so much has arrived, the rest is
+	// allocated at once.
 	announcedBuffer = 256 << 10
-	// unannouncedBuffer is the first buffer for a body that comes without its length.
+	// unannouncedBuffer is the first buffer for a body without an announced length.
 	unannouncedBuffer = 4 << 10
 )
 
 // errOverLimit is why readBody gave up on a body.
 var errOverLimit = errors.New("over the limit")
 
-// readBody reads to the end of r, at most limit bytes; length is the announced one, negative if there is none. Its
-// memory grows with what has arrived: see announcedBuffer. With an error that is not errOverLimit it returns what
-// was read until then.
+// readBody reads to the end of r, at most limit bytes; length is the announced one, negative if
+// there is none. Its memory grows with what has arrived: see announcedBuffer. With an error that is
+// not errOverLimit it returns what was read until then.
 func readBody(r io.Reader, length, limit int64) ([]byte, error) {
 	first, next := int64(unannouncedBuffer), int64(0)
 	if length >= 0 {
--- a/internal/mesh/rpc/client.go
+++ b/internal/mesh/rpc/client.go
@@ -16,31 +16,34 @@
 )
 
 const (
-	// userTimeout is how long sent bytes or probes may stay unacknowledged before the connection is given up. It guards
-	// against peers without power or behind a network partition, which close no connection.
+	// userTimeout is how long sent bytes or probes may stay unacknowledged before the connection is
+	// given up. It guards against peers without power or behind a network partition, which close no
+	// connection.
 	userTimeout = 1500 * time.Millisecond
 	// keepAliveIdle is how long a connection is idle before the first probe.
 	keepAliveIdle = time.Second
-	// keepAliveInterval is the time between probes. The kernel counts it in whole seconds, so Go makes this one second.
+	// keepAliveInterval is the time between probes. The kernel counts it in whole seconds, so Go
+	// makes this one second.
 	keepAliveInterval = 500 * time.Millisecond
 	// keepAliveCount is how many probes may go unanswered.
 	keepAliveCount = 3
-	// idleConnsPerPeer bounds the idle connections kept to one peer, so that a burst of calls does not keep file
-	// descriptors open.
+	// idleConnsPerPeer bounds the idle connections kept to one peer, so that a burst of calls does
+	// not keep file descriptors open.
 	idleConnsPerPeer = 4
-	// idleConnTimeout is how long an idle connection is kept. It guards against keeping connections to machines that
-	// no longer exist.
+	// idleConnTimeout is how long an idle connection is kept. It guards against keeping connections
+	// to machines that no longer exist.
 	idleConnTimeout = 30 * time.Second
-	// maxResponseBytes bounds a response. It guards the caller's memory against a faulty peer, and leaves room for the
-	// largest configuration (64 MiB) with its envelope.
+	// maxResponseBytes bounds a response. It guards the caller's memory against a faulty peer, and
+	// leaves room for the largest configuration (64 MiB) with its envelope.
 	maxResponseBytes = 72 << 20
 	// maxErrorBytes bounds what is read of a response that is an error.
 	maxErrorBytes = 16 << 10
 )
 
-// NewClient returns a client for Call, Post and Get: HTTP/1.1, with kept connections on which a peer without power is
-// noticed within about two seconds. Opening a connection takes at most dialTimeout; zero is no limit. It follows no
-// redirects and uses no proxy. The caller closes its idle connections in the end.
+// NewClient returns a client for Call, Post and Get: HTTP/1.1, with kept connections on which a
+// peer without power is noticed within about two seconds. Opening a connection takes at most
+// dialTimeout; zero is no limit. It follows no redirects and uses no proxy. The caller closes its
+// idle connections in the end.
 func NewClient(dialTimeout time.Duration) *http.Client {
 	dialer := &net.Dialer{
 		Timeout: dialTimeout,
@@ -79,9 +82,10 @@
 	return optionErr
 }
 
-// Call posts the request as JSON and returns the response. A response that is not 2xx is returned as an error of the
-// kind that the peer named, and of Internal if it named none. If there is no response, if it breaks off, or if ctx
-// ends first, the error is Unreachable: whether the peer did what was asked is then unknown.
+// Call posts the request as JSON and returns the response. A response that is not 2xx is returned
+// as an error of the kind that the peer named, and of Internal if it named none. If there is no
+// response, if it breaks off, or if ctx ends first, the error is Unreachable: whether the peer did
+// what was asked is then unknown.
 func Call[Req, Resp any](ctx context.Context, c *http.Client, url string, request *Req) (*Resp, error) {
 	body, err := json.Marshal(request)
 	if err != nil {
@@ -130,11 +134,11 @@
 	return decoded, nil
 }
 
-// readError turns a response that is not 2xx into an error of the kind that its header names. The message is the
-// peer's if there is one.
+// readError turns a response that is not 2xx into an error of the kind that its header names. The
+// message is the peer's if there is one.
 func readError(url string, response *http.Response) error {
 	kind := errs.ParseKind(response.Header.Get(kindHeader))
-	// A body that breaks off is used as far as it came; it only carries the message.
+	// Of a body that breaks off the part that arrived is used; it only carries the message.
 	body, _ := io.ReadAll(io.LimitReader(response.Body, maxErrorBytes))
 	var peerError errorBody
 	if json.Unmarshal(body, &peerError) != nil || peerError.ErrorMessage == "" {
--- a/internal/mesh/rpc/rpc_test.go
+++ b/internal/mesh/rpc/rpc_test.go
@@ -33,8 +33,8 @@
 	client  *http.Client
 }
 
-// newFixture starts the server: /echo answers with the request's Fill, or with an error of its Kind; /ignore takes
-// any body; /get takes none.
+// newFixture starts the server: /echo answers with the request's Fill, or with an error of its
+// Kind; /ignore takes any body; /get takes none.
 func newFixture(t *testing.T) *fixture {
 	t.Helper()
 	mux := http.NewServeMux()
--- a/internal/mesh/rpc/server.go
+++ b/internal/mesh/rpc/server.go
@@ -10,10 +10,10 @@
 	"caperarch/internal/mesh/errs"
 )
 
-// Handle serves POST requests for the pattern: the JSON body of at most limit bytes is read in full into a Req, and
-// the Resp that serve returns is the response, as JSON with status 200. An error is answered as by WriteError. If
-// Req is struct{}, the body may be empty or anything else within the limit, and is ignored. The pattern may name
-// another method.
+// Handle serves POST requests for the pattern: the JSON body of at most limit bytes is read in full
+// into a Req, and the Resp that serve returns is the response, as JSON with status 200. An error is
+// answered as by WriteError. If Req is struct{}, the body may be empty or anything else within the
+// limit, and is ignored. The pattern may name another method.
 func Handle[Req, Resp any](
 	mux *http.ServeMux, pattern string, limit int64, serve func(r *http.Request, request *Req) (*Resp, error),
 ) {
@@ -28,8 +28,8 @@
 	})
 }
 
-// HandleGet serves GET requests for the pattern: the response is what serve returns, as JSON with status 200. An
-// error is answered as by WriteError.
+// HandleGet serves GET requests for the pattern: the response is what serve returns, as JSON with
+// status 200. An error is answered as by WriteError.
 func HandleGet[Resp any](mux *http.ServeMux, pattern string, serve func(r *http.Request) (*Resp, error)) {
 	mux.HandleFunc(withMethod(http.MethodGet, pattern), func(w http.ResponseWriter, r *http.Request) {
 		response, err := serve(r)
@@ -37,7 +37,8 @@
 	})
 }
 
-// HandleRaw is Handle for handlers that parse the body themselves: serve gets all its bytes, at most limit of them.
+// HandleRaw is Handle for handlers that parse the body themselves: serve gets all its bytes, at
+// most limit of them.
 func HandleRaw[Resp any](
 	mux *http.ServeMux, pattern string, limit int64, serve func(r *http.Request, body []byte) (*Resp, error),
 ) {
@@ -52,8 +53,8 @@
 	})
 }
 
-// ReadBody reads the whole body of the request. A body of more than limit bytes is TooLarge, and is not read if its
-// Content-Length already says so; a body that is cut short is Malformed.
+// ReadBody reads the whole body of the request. A body of more than limit bytes is TooLarge, and is
+// not read if its Content-Length already says so; a body that is cut short is Malformed.
 func ReadBody(r *http.Request, limit int64) ([]byte, error) {
 	if r.ContentLength > limit {
 		return nil, errs.New(errs.TooLarge, "body: %d bytes, at most %d are taken", r.ContentLength, limit)
@@ -68,8 +69,8 @@
 	return body, nil
 }
 
-// WriteError responds with the status and Retry-After of the error's kind, the kind in a header, and a JSON body of
-// message and kind. The error must not be nil.
+// WriteError responds with the status and Retry-After of the error's kind, the kind in a header,
+// and a JSON body of message and kind. The error must not be nil.
 func WriteError(w http.ResponseWriter, err error) {
 	kind := errs.KindOf(err)
 	if wait := kind.RetryAfter(); wait != "" {
@@ -95,7 +96,8 @@
 	writeJSON(w, http.StatusOK, body)
 }
 
-// writeJSON writes a response with its length. If the caller is no longer there, nobody could use the error.
+// writeJSON writes a response with its length. If the caller is no longer there, nobody could use
+// the error.
 func writeJSON(w http.ResponseWriter, status int, body []byte) {
 	w.Header().Set("Content-Type", contentJSON)
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
@@ -103,8 +105,9 @@
 	_, _ = w.Write(body)
 }
 
-// decode reads all of body as one JSON value: a body that is no JSON, or has more after the value, is Malformed. A
-// value of the wrong type is Invalid, and so is what a type's own UnmarshalJSON rejects without stating a kind.
+// decode reads all of body as one JSON value: a body that is no JSON, or has more after the value,
+// is Malformed. A value of the wrong type is Invalid, and so is what a type's own UnmarshalJSON
+// rejects without stating a kind.
 func decode(body []byte, into any) error {
 	err := json.Unmarshal(body, into)
 	if err == nil {
--- a/internal/mesh/settings/settings.go
+++ b/internal/mesh/settings/settings.go
@@ -97,7 +97,7 @@
 // Contracts names the groups of rules in force.
 type Contracts []string
 
-// Has says whether the group is in force.
+// Has reports whether the group is in force.
 func (c Contracts) Has(contract string) bool { return slices.Contains(c, contract) }
 
 // FaultTolerance says how many of each may fail at the same time while every rule is kept.
--- a/internal/mesh/settings/values.go
+++ b/internal/mesh/settings/values.go
@@ -17,7 +17,7 @@
 // The parse functions take a value as the YAML parser returns it. They return false for a value that
 // isn't what their name says.
 
-// parseText takes any string but the empty one.
+// parseText accepts any string but the empty one.
 func parseText(v any) (string, bool) {
 	s, _ := v.(string)
 	return s, s != ""
@@ -52,7 +52,7 @@
 	return PortRange{First: first, Last: last}, first > 0 && first <= last && last <= math.MaxUint16
 }
 
-// parseNumber takes any finite number.
+// parseNumber accepts any finite number.
 func parseNumber(v any) (float64, bool) {
 	var n float64
 	switch v := v.(type) {
@@ -68,7 +68,7 @@
 	return n, !math.IsNaN(n) && !math.IsInf(n, 0)
 }
 
-// parseInteger takes whole numbers from 0 on.
+// parseInteger accepts integers from 0 on.
 func parseInteger(v any) (int, bool) {
 	n, ok := parseNumber(v)
 	if !ok || n < 0 || n > maxInteger || n != math.Trunc(n) {
@@ -77,7 +77,7 @@
 	return int(n), true
 }
 
-// parseSeconds takes seconds from 0 on, and rounds them to nanoseconds.
+// parseSeconds accepts seconds from 0 on, and rounds them to nanoseconds.
 func parseSeconds(v any) (time.Duration, bool) {
 	n, ok := parseNumber(v)
 	if !ok || n < 0 || n > maxSeconds {
--- a/internal/mesh/sidecar/config_update.go
+++ b/internal/mesh/sidecar/config_update.go
@@ -17,7 +17,7 @@
 	Full    json.RawMessage   `json:"whole,omitempty"`
 }
 
-// ApplyUpdate gives the configuration after an update in its JSON form. An update that is not newer
+// ApplyUpdate returns the configuration after an update in its JSON form. An update that is not newer
 // gives current itself. The error is errs.Malformed for what can't be parsed, errs.Invalid for an
 // update that does not lead to its version, or what package config says of a change.
 func ApplyUpdate(current *config.Snapshot, raw json.RawMessage) (*config.Snapshot, error) {
--- a/internal/mesh/sidecar/endpoints.go
+++ b/internal/mesh/sidecar/endpoints.go
@@ -12,8 +12,8 @@
 const maxDeregistered = 64
 
 // endpoints are the upstreams as this sidecar knows them: the registry, as core machines push it,
-// and the local upstream, of which it learns at first hand. Where the two differ about the local
-// upstream, what the sidecar knows goes first.
+// and the local upstream, which reports to it directly. Where the two differ about the local
+// upstream, the direct report has precedence.
 type endpoints struct {
 	inboundAddress string         // of this sidecar
 	zones          map[string]int // numbers of the zones
@@ -93,7 +93,7 @@
 	return &u
 }
 
-// apply takes upstreams that the core pushed. It reports whether the local upstream has changed by
+// apply applies upstreams that the core pushed. It reports whether the local upstream has changed by
 // that: it drains or has ended, and sent that to a core machine while this sidecar did not run.
 func (e *endpoints) apply(full bool, upserts []registry.Upstream, removals []string) (localChanged bool) {
 	e.mu.Lock()
@@ -117,7 +117,7 @@
 	return localChanged
 }
 
-// adoptDiscovered takes the local upstream from its answer to a health request; false: a heartbeat
+// adoptDiscovered records the local upstream by its answer to a health request; false: a heartbeat
 // has arrived meanwhile.
 func (e *endpoints) adoptDiscovered(u registry.Upstream) bool {
 	e.mu.Lock()
@@ -126,7 +126,7 @@
 	return !known && e.recordHeartbeat(u)
 }
 
-// recordHeartbeat takes what the local upstream reports; false: it is out of date, as a later
+// recordHeartbeat records what the local upstream reports; false: it is out of date, as a later
 // heartbeat of it or of its successor was recorded before.
 func (e *endpoints) recordHeartbeat(u registry.Upstream) bool {
 	e.mu.Lock()
--- a/internal/mesh/sidecar/engines.go
+++ b/internal/mesh/sidecar/engines.go
@@ -93,7 +93,7 @@
 // instance that the request is for, see endpoints.balancerListing.
 type gateTransport struct{ *http1.Transport }
 
-// Server gives the gate at such an address.
+// Server returns the gate at such an address.
 func (t gateTransport) Server(address string) call.Server {
 	listener, instance, _ := strings.Cut(address, " ")
 	return t.ServerWith(listener, h1.Field{Name: headers.Target, Value: instance})
@@ -110,7 +110,7 @@
 	}
 }
 
-// classifyGateResponse tells how an attempt ended, and takes out the fields that are for this
+// classifyGateResponse returns how an attempt ended, and removes the fields that are for this
 // sidecar alone.
 func classifyGateResponse(res *http.Response) (policy.Ending, policy.Load) {
 	ending, load := headers.ClassifyGateResponse(res)
--- a/internal/mesh/sidecar/heartbeat.go
+++ b/internal/mesh/sidecar/heartbeat.go
@@ -7,7 +7,7 @@
 	"go.uber.org/zap"
 )
 
-// Heartbeat takes a heartbeat of the upstream beside the sidecar, for api.UpstreamHandler. It is
+// Heartbeat applies a heartbeat of the upstream beside the sidecar, for api.UpstreamHandler. It is
 // complete here, also without a core: nothing reaches the upstream but through this gate. The error
 // is errs.Invalid for an address that is not the settings' one.
 func (s *Sidecar) Heartbeat(u registry.Upstream) error {
@@ -41,7 +41,7 @@
 	return nil
 }
 
-// applyRegistry takes the upstreams that the core pushes: all of them, or what changed.
+// applyRegistry applies the upstreams that the core pushes: all of them, or what changed.
 func (s *Sidecar) applyRegistry(full bool, upserts []registry.Upstream, removals []string) {
 	if s.endpoints.apply(full, upserts, removals) {
 		s.publishUpstream() // a core machine took the local upstream's heartbeat
@@ -50,7 +50,7 @@
 }
 
 // publishUpstream passes the local upstream as it is now to the gate, the balancer and the core, and
-// returns once the gate goes by it. Calls are serialised: what an earlier one read must not overwrite
+// returns once the gate has applied it. Calls are serialised: what an earlier one read must not overwrite
 // what a later one read.
 func (s *Sidecar) publishUpstream() {
 	s.publishMu.Lock()
--- a/internal/mesh/sidecar/inbound.go
+++ b/internal/mesh/sidecar/inbound.go
@@ -40,7 +40,7 @@
 	}
 }
 
-// admit takes a request of a sidecar. One for another instance than the local one is rejected: it
+// admit admits a request of a sidecar. One for another instance than the local one is rejected: it
 // has not run, and the instance that it was for has ended.
 func (i *inbound) admit(h *h1.Head) (policy.Request, time.Duration, *fronthttp1.Rejection) {
 	terms, remaining, ok := parseAttempt(h)
@@ -101,7 +101,7 @@
 	return i.gate.AttemptLog().RecordRejection(i.clock.Now(), terms.Key, terms.SendID, remaining)
 }
 
-// classifyUpstreamResponse tells how an attempt ended, and adds the gate's load for the caller's
+// classifyUpstreamResponse returns how an attempt ended, and adds the gate's load for the caller's
 // sidecar.
 func (i *inbound) classifyUpstreamResponse(res *http.Response) (policy.Ending, policy.Load) {
 	running, queued, slots := i.gate.Load()
--- a/internal/mesh/sidecar/listings.go
+++ b/internal/mesh/sidecar/listings.go
@@ -9,7 +9,7 @@
 	"caperarch/policy"
 )
 
-// balancerListing is the list that the balancer goes by: all upstreams behind a gate, in the order
+// balancerListing is the balancer's list: all upstreams behind a gate, in the order
 // of their ids. The address of each is that of its gate and its instance, see gateTransport.
 func (e *endpoints) balancerListing() call.ServerList {
 	e.mu.Lock()
@@ -34,7 +34,7 @@
 	return listing
 }
 
-// gateListing is the list that the gate goes by: the local upstream at its address, if it is known.
+// gateListing is the gate's list: the local upstream at its address, if it is known.
 func (e *endpoints) gateListing(address string) call.ServerList {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/mesh/sidecar/outbound.go
+++ b/internal/mesh/sidecar/outbound.go
@@ -181,7 +181,7 @@
 	return tenant, nil
 }
 
-// classify is what the balancer goes by. Priority 0 is for internal checks alone, so that the
+// classify returns what the balancer decides by. Priority 0 is for internal checks alone, so that the
 // operators' priorities are shifted by one.
 func (o *outbound) classify(
 	snapshot *config.Snapshot, route *config.Route, tenant *config.Tenant,
--- a/internal/mesh/sidecar/quota_client.go
+++ b/internal/mesh/sidecar/quota_client.go
@@ -26,7 +26,7 @@
 	unusedQuotaWindow = time.Second
 )
 
-// AllocatePath is where core members take requests for tokens.
+// AllocatePath is where core members receive requests for tokens.
 const AllocatePath = "/mesh/deal"
 
 // AllocateRequest asks for tokens for a sidecar's tenants.
@@ -66,7 +66,7 @@
 }
 
 // quotaClient decides what this sidecar may admit for each tenant and may retry for each service. It
-// has core machines allocate tokens as they are needed.
+// requests tokens from core machines as they are needed.
 type quotaClient struct {
 	quotaConfig
 	wake chan struct{} // holds a signal for run to look again
@@ -97,7 +97,7 @@
 	return q, err
 }
 
-// configure takes the limits of a configuration.
+// configure applies the limits of a configuration.
 func (q *quotaClient) configure(c *config.Snapshot) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -124,7 +124,7 @@
 	}
 }
 
-// wakeUp has run look at what is needed.
+// wakeUp signals run to look at what is needed.
 func (q *quotaClient) wakeUp() {
 	select {
 	case q.wake <- struct{}{}:
@@ -231,7 +231,7 @@
 	return q.retryBudget.Allowed(now, q.serviceName(service))
 }
 
-// Charge takes one retry from a service's budget.
+// Charge charges one retry to a service's budget.
 func (q *quotaClient) Charge(now time.Duration, service int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/internal/mesh/sidecar/routes.go
+++ b/internal/mesh/sidecar/routes.go
@@ -43,9 +43,9 @@
 	return shares
 }
 
-// internalChecks finds the routes of internal checks: calls that a running request makes. They go
-// before all else, as the request that waits for them holds a slot meanwhile. Nothing in a request
-// tells. A route is one if all the time that it may take fits into the latency target of every route
+// internalChecks finds the routes of internal checks: calls that a running request makes. They have
+// priority over all else, as the request that waits for them holds a slot meanwhile. Nothing in a request
+// marks them. A route is one if all the time that it may take fits into the latency target of every route
 // that may take longer and is none: else it could be no part of their requests.
 func internalChecks(c *config.Snapshot) map[*config.Route]bool {
 	checks := make(map[*config.Route]bool)
@@ -77,7 +77,7 @@
 	current *derivedRoutes // guarded by mu; nil: none were asked for yet
 }
 
-// of gives what is derived from a configuration, which is worked out once for each.
+// of returns what is derived from a configuration, which is worked out once for each.
 func (r *routeCache) of(c *config.Snapshot) *derivedRoutes {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/mesh/sidecar/sidecar.go
+++ b/internal/mesh/sidecar/sidecar.go
@@ -3,10 +3,10 @@
 // It owns the listeners on its machine and two engines: the outbound one sends requests that begin
 // here to the gates of other sidecars (package balancer decides where), the inbound one admits what
 // sidecars send to the upstream beside it (package gate decides when). It also holds the
-// configuration and the endpoint list that core machines push, and tells the core of its upstream.
+// configuration and the endpoint list that core machines push, and reports its upstream to them.
 //
 // Promises: a request whose answer says that it was not executed never runs; an upstream's
-// heartbeat is acknowledged only once the local gate goes by it; a configuration is never replaced
+// heartbeat is acknowledged only once the local gate has applied it; a configuration is never replaced
 // by an older one; and a stop answers what was accepted before the process ends.
 //
 // The package wires parts together and moves data between them. Run is the only entry point of a
--- a/internal/mesh/watch/client.go
+++ b/internal/mesh/watch/client.go
@@ -35,7 +35,7 @@
 	// and returns false to be sent the full configuration.
 	ConfigVersion func() int64
 	OnConfig      func(frame json.RawMessage) (ok bool)
-	// OnRegistry takes upserts and removals; if full, the upserts replace all.
+	// OnRegistry applies upserts and removals; if full, the upserts replace all.
 	OnRegistry func(full bool, upserts []registry.Upstream, removals []string)
 	// Services names the services this sidecar calls; nil or none means all.
 	Services func() []string
@@ -122,7 +122,7 @@
 	c.disconnect()
 }
 
-// Connected says whether updates arrive: a member serves the watch now.
+// Connected reports whether updates arrive: a member serves the watch now.
 func (c *Client) Connected() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -137,7 +137,7 @@
 	return c.members
 }
 
-// PeakMembers is the largest number of sidecars of late, as last received.
+// PeakMembers is the largest recent number of sidecars, as last received.
 func (c *Client) PeakMembers() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/mesh/watch/client_lease.go
+++ b/internal/mesh/watch/client_lease.go
@@ -11,7 +11,7 @@
 
 // Leave ends the lease, so that this sidecar's upstream is removed from the
 // registry, and renews no more. It notifies each member known until one answers
-// that is in contact, as one without may be unable to tell the others; if there
+// that is in contact, as one without may be unable to notify the others; if there
 // is none, the answer of any other counts. The error is that of the last member,
 // Unreachable if none is known.
 func (c *Client) Leave(ctx context.Context) error {
--- a/internal/mesh/watch/client_select.go
+++ b/internal/mesh/watch/client_select.go
@@ -66,7 +66,7 @@
 	hash     uint64
 }
 
-// before says whether the candidate is tried before another.
+// before reports whether the candidate is tried before another.
 func (a candidate) before(b candidate) bool {
 	if a.sameZone != b.sameZone {
 		return a.sameZone
@@ -103,5 +103,5 @@
 	return order
 }
 
-// sameZone says whether a member of that zone is in the sidecar's own.
+// sameZone reports whether a member of that zone is in the sidecar's own.
 func (c *Client) sameZone(zone string) bool { return zone != "" && zone == c.cfg.Zone }
--- a/internal/mesh/watch/client_watch.go
+++ b/internal/mesh/watch/client_watch.go
@@ -102,7 +102,7 @@
 		return nil, errs.Wrap(err, errs.Unreachable, "no watch at %s", address)
 	}
 	if response.StatusCode != http.StatusOK {
-		// A body that breaks off is used as far as it came; it only explains.
+		// Of a body that breaks off the part that arrived is used; it only explains.
 		message, _ := io.ReadAll(io.LimitReader(response.Body, maxErrorBody))
 		response.Body.Close()
 		return nil, errs.New(errs.Unreachable, "%s rejects the watch: %s %s", address, response.Status, message)
@@ -158,8 +158,8 @@
 	return nil
 }
 
-// applyHeartbeat takes the counts of a heartbeat, or has the lease's goroutine
-// look for another member if there is no contact. c.mu is held.
+// applyHeartbeat records the counts of a heartbeat, or signals the lease's
+// goroutine to look for another member if there is no contact. c.mu is held.
 func (c *Client) applyHeartbeat(heartbeat *heartbeatFrame) {
 	switch {
 	case !heartbeat.Contact.OK:
--- a/internal/mesh/watch/contact.go
+++ b/internal/mesh/watch/contact.go
@@ -33,7 +33,7 @@
 	Age time.Duration `json:"age"`
 }
 
-// fresh says whether a sidecar may move to the member.
+// fresh reports whether a sidecar may move to the member.
 func (c Contact) fresh() bool { return c.OK && c.Age <= freshContactAge }
 
 // contactState is a Server's contact when it was last checked.
@@ -84,7 +84,7 @@
 	}
 }
 
-// delaysRegistry says whether registry changes wait for the responses of the
+// delaysRegistry reports whether registry changes wait for the responses of the
 // other members, since the table may be from before the contact was lost: until
 // each member has answered or failed, and one has answered. s.mu is held.
 func (s *Server) delaysRegistry(now time.Duration) bool {
--- a/internal/mesh/watch/contact_test.go
+++ b/internal/mesh/watch/contact_test.go
@@ -220,7 +220,8 @@
 		q := newMajority(m)
 		defer close(q.done)
 		advance(time.Second)
-		// It has checked its contact, reads the configuration, and is frozen until after the next two changes.
+		// It has checked its contact, reads the configuration, and is frozen until after the next
+		// two changes.
 		m[0].configs.mu.Lock()
 		m[0].configs.stall = time.Second
 		m[0].configs.mu.Unlock()
--- a/internal/mesh/watch/gossip_receive.go
+++ b/internal/mesh/watch/gossip_receive.go
@@ -8,7 +8,7 @@
 	"caperarch/internal/mesh/registry"
 )
 
-// receiveGossip takes another member's changes. It forwards what is new here to
+// receiveGossip applies another member's changes. It forwards what is new here to
 // the members that the sender does not reach, so that a failed link between two
 // members hides nothing as long as a third reaches both.
 func (s *Server) receiveGossip(_ *http.Request, request *gossipRequest) (*gossipResponse, error) {
@@ -61,7 +61,7 @@
 }
 
 // messageAge is how old the message may be. One that echoes no clock reading of
-// this incarnation may be of any age, so what it reports is taken for expired.
+// this incarnation may be of any age, so what it reports counts as expired.
 func (s *Server) messageAge(now time.Duration, request *gossipRequest) time.Duration {
 	if request.Echo.Epoch != s.cfg.Epoch {
 		return registry.LeaseTTL
--- a/internal/mesh/watch/server_lease.go
+++ b/internal/mesh/watch/server_lease.go
@@ -6,8 +6,8 @@
 	"caperarch/internal/mesh/registry"
 )
 
-// Heartbeat takes a heartbeat of an upstream that reached this member directly,
-// and sends it on to the other members. A State of Deregistered is a
+// Heartbeat applies a heartbeat of an upstream that reached this member directly,
+// and forwards it to the other members. A State of Deregistered is a
 // deregistration. The error is the registry's, of kind Invalid.
 func (s *Server) Heartbeat(up registry.Upstream) error {
 	s.mu.Lock()
@@ -24,7 +24,7 @@
 	return nil
 }
 
-// renewLease takes a sidecar's renewal, and answers with what is known here.
+// renewLease applies a sidecar's renewal, and answers with what is known here.
 func (s *Server) renewLease(_ *http.Request, lease *registry.Lease) (*LeaseResponse, error) {
 	contact := s.checkContact()
 	// Read after the contact, which proves that it is the newest.
--- a/internal/mesh/watch/server_query.go
+++ b/internal/mesh/watch/server_query.go
@@ -2,7 +2,7 @@
 
 import "caperarch/internal/mesh/registry"
 
-// Syncing says whether this member may not know all sidecars yet.
+// Syncing reports whether this member may not know all sidecars yet.
 func (s *Server) Syncing() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -16,7 +16,7 @@
 	return s.table.Upstreams(s.now())
 }
 
-// Members returns the number of live leases, and the largest number of late.
+// Members returns the number of live leases, and the largest recent number.
 func (s *Server) Members() (live, peak int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/mesh/watch/server_updates.go
+++ b/internal/mesh/watch/server_updates.go
@@ -8,7 +8,7 @@
 )
 
 // sendUpdates writes what has not been sent on the watch yet. A member without
-// contact sends nothing but that, so that its sidecars go to other members.
+// contact sends only that it has none, so that its sidecars go to other members.
 func (s *Server) sendUpdates(out *frameWriter, to *session, heartbeatDue bool) error {
 	contact := s.checkContact()
 	if !contact.OK {
@@ -102,7 +102,7 @@
 }
 
 // nextRegistryFrame returns what changed in the registry since it was sent on
-// the watch, nil if nothing did, and takes it for sent. s.mu is held.
+// the watch, nil if nothing did, and records it as sent. s.mu is held.
 func (s *Server) nextRegistryFrame(to *session, now time.Duration) *registryFrame {
 	syncing := now < s.syncingUntil
 	if to.fullWhileSyncing && !syncing {
--- a/internal/mesh/watch/server_watch.go
+++ b/internal/mesh/watch/server_watch.go
@@ -23,7 +23,7 @@
 
 	// The rest belongs to the goroutine that serves the watch.
 
-	// wantsService says whether the sidecar calls a service; nil means all.
+	// wantsService reports whether the sidecar calls a service; nil means all.
 	wantsService func(service string) bool
 	// configVersion is the newest version sent; needsFullConfig has the full
 	// configuration sent whatever it is.
@@ -35,7 +35,7 @@
 	// fullWhileSyncing means that the last full registry was sent while this
 	// member was syncing, so another has to follow.
 	fullWhileSyncing bool
-	// contactLossSent means that the sidecar was told that there is no contact.
+	// contactLossSent means that the loss of contact was sent to the sidecar.
 	contactLossSent bool
 }
 
--- a/internal/mesh/watch/watch_test.go
+++ b/internal/mesh/watch/watch_test.go
@@ -48,7 +48,8 @@
 		So(c[2].configFrames(), ShouldResemble, []string{"[7]", "8", "[9]", "10", "[10]"})
 		So(c[2].Peers()[0], ShouldEqual, "m3:1")
 
-		// A deregistration that reaches a member directly counts everywhere, although the sidecar still renews.
+		// A deregistration that reaches a member directly counts everywhere, although the sidecar
+		// still renews.
 		So(m[0].Heartbeat(registry.Upstream{Instance: "i-c2", State: registry.Deregistered}), ShouldBeNil)
 		advance(30 * ms)
 		So(c[2].upstreams(), ShouldEqual, "i-c1 i-c3!")
--- a/internal/mesh/watch/wire.go
+++ b/internal/mesh/watch/wire.go
@@ -46,7 +46,7 @@
 type LeaseResponse struct {
 	// TTL is how long the lease lasts, in seconds.
 	TTL float64 `json:"ttl"`
-	// Members counts the live leases, PeakMembers is the largest count of late.
+	// Members counts the live leases, PeakMembers is the largest recent count.
 	// While Syncing both may be too small.
 	Members     int  `json:"members"`
 	PeakMembers int  `json:"largest"`
@@ -100,7 +100,7 @@
 }
 
 // heartbeatFrame says that the member is alive. Without contact it carries
-// nothing else, and tells the sidecar to go to another member.
+// nothing else, and the sidecar goes to another member.
 type heartbeatFrame struct {
 	Contact     Contact `json:"contact"`
 	Version     int64   `json:"version"`
--- a/meshapi/configuration.go
+++ b/meshapi/configuration.go
@@ -2,9 +2,9 @@
 
 // The paths of the operators' calls on the configuration. Sidecars and core machines serve them.
 const (
-	// ReplacePath takes a full configuration with POST and answers with a ChangeResponse.
+	// ReplacePath accepts a full configuration with POST and answers with a ChangeResponse.
 	ReplacePath = "/api/configuration/replace"
-	// UpdatePath takes a change of named resources with POST and answers with a ChangeResponse.
+	// UpdatePath accepts a change of named resources with POST and answers with a ChangeResponse.
 	UpdatePath = "/api/configuration/update"
 	// DescribePath answers GET with the configuration in force.
 	DescribePath = "/api/configuration/describe"
--- a/meshapi/inspection.go
+++ b/meshapi/inspection.go
@@ -96,7 +96,7 @@
 	Service string `json:"service"`
 	// Address is where it listens, host:port.
 	Address string `json:"address"`
-	// Node is the sidecar beside it, empty while that is not known; then it gets no requests.
+	// Node is the sidecar beside it, empty while that is not known; then it is sent no requests.
 	Node string `json:"node,omitempty"`
 	// Zone is where it runs.
 	Zone string `json:"zone"`
@@ -104,6 +104,7 @@
 	State string `json:"state"`
 	// Slots is how many requests it can run at once, as it says itself.
 	Slots int `json:"slots"`
-	// Stale says that no lease or heartbeat has refreshed it of late. It may be alive, and still gets requests.
+	// Stale says that no lease or heartbeat has refreshed it recently. It may be alive, and is
+	// still sent requests.
 	Stale bool `json:"stale"`
 }
--- a/meshapi/instances.go
+++ b/meshapi/instances.go
@@ -5,12 +5,12 @@
 	"strings"
 )
 
-// The patterns of the calls that an upstream makes of its own accord, with POST. Sidecars and core machines serve them.
-// InstancePath puts the id of the instance in.
+// The patterns of the calls that an upstream makes of its own accord, with POST. Sidecars and core
+// machines serve them. InstancePath puts the id of the instance in.
 const (
-	// HeartbeatPattern takes a HeartbeatRequest and answers with a HeartbeatResponse.
+	// HeartbeatPattern receives a HeartbeatRequest and answers with a HeartbeatResponse.
 	HeartbeatPattern = "/api/instances/{id}/heartbeat"
-	// DeregisterPattern takes any body and answers with an empty HeartbeatResponse.
+	// DeregisterPattern accepts any body and answers with an empty HeartbeatResponse.
 	DeregisterPattern = "/api/instances/{id}/deregister"
 )
 
@@ -21,7 +21,7 @@
 
 // The states of an upstream.
 const (
-	// StateReady means that it takes requests.
+	// StateReady means that it accepts requests.
 	StateReady = "ready"
 	// StateDraining means that it finishes what is in flight and is sent nothing new.
 	StateDraining = "draining"
--- a/meshclient/attempt.go
+++ b/meshclient/attempt.go
@@ -15,8 +15,8 @@
 const (
 	// idleTimeout is how long a machine may send nothing before the attempt is given up.
 	idleTimeout = time.Second
-	// timePerByte is added to idleTimeout for each byte of a request's body, so that a large one has the time to be sent
-	// and read.
+	// timePerByte is added to idleTimeout for each byte of a request's body, so that a large one
+	// has the time to be sent and read.
 	timePerByte = time.Microsecond
 	// maxRedirects bounds the redirects that one attempt follows, against machines that point at each other.
 	maxRedirects = 2
--- a/meshclient/backoff.go
+++ b/meshclient/backoff.go
@@ -8,8 +8,8 @@
 	"github.com/rotisserie/eris"
 )
 
-// minBackoff and maxBackoff bound the wait between two attempts. It protects overloaded machines from callers that come
-// back at once.
+// minBackoff and maxBackoff bound the wait between two attempts. It protects overloaded machines
+// from callers that come back at once.
 const (
 	minBackoff = 50 * time.Millisecond
 	maxBackoff = 2 * time.Second
--- a/meshclient/client.go
+++ b/meshclient/client.go
@@ -17,8 +17,8 @@
 	// maxRejections is the number of rejections at which a call ends that another machine might have answered
 	// differently.
 	maxRejections = 3
-	// maxResponseBytes bounds the body of a response. It guards the caller's memory and leaves room for the largest
-	// configuration.
+	// maxResponseBytes bounds the body of a response. It guards the caller's memory and leaves room
+	// for the largest configuration.
 	maxResponseBytes = 72 << 20
 )
 
@@ -26,8 +26,8 @@
 type Client struct {
 	// Addresses are the control plane addresses, each host:port. They must not change after first use.
 	Addresses []string
-	// HTTP sends the requests; nil: a client that detects machines that are down. Of redirects only the control plane's
-	// own, status 307, are followed.
+	// HTTP sends the requests; nil: a client that detects machines that are down. Of redirects only
+	// the control plane's own, status 307, are followed.
 	HTTP *http.Client
 
 	once       sync.Once
--- a/meshclient/configuration.go
+++ b/meshclient/configuration.go
@@ -21,7 +21,8 @@
 	Limits = "limits"
 )
 
-// maxChangeAttempts bounds how often Client.Change starts again while others change the configuration all the time.
+// maxChangeAttempts bounds how often Client.Change starts again while others change the
+// configuration all the time.
 const maxChangeAttempts = 32
 
 // Document is a full configuration.
@@ -50,8 +51,8 @@
 	Name string `json:"name,omitempty"`
 }
 
-// NewResource returns a resource with the JSON of specification. When specification can't be encoded it returns an
-// *Error of kind InvalidUsage.
+// NewResource returns a resource with the JSON of specification. When specification can't be
+// encoded it returns an *Error of kind InvalidUsage.
 func NewResource(resourceType, name string, specification any) (Resource, error) {
 	text, err := json.Marshal(specification)
 	if err != nil {
@@ -61,7 +62,8 @@
 	return Resource{resourceType, Metadata{name}, text}, nil
 }
 
-// Find returns the resource with a type and a name. For Limits the name is ignored, as there is one set of them.
+// Find returns the resource with a type and a name. For Limits the name is ignored, as there is one
+// set of them.
 func (d *Document) Find(resourceType, name string) (Resource, bool) {
 	for _, r := range d.Resources {
 		if r.ResourceType == resourceType && (r.Metadata.Name == name || resourceType == Limits) {
@@ -96,8 +98,8 @@
 	Limits   []string `json:"limits,omitempty"`
 }
 
-// Replace puts a full configuration in force and returns its version. Unless its BaseVersion is in force the error is
-// Stale.
+// Replace puts a full configuration in force and returns its version. Unless its BaseVersion is in
+// force the error is Stale.
 func (c *Client) Replace(ctx context.Context, d Document) (version int64, err error) {
 	if d.Resources == nil {
 		d.Resources = []Resource{} // the server requires the list
@@ -105,7 +107,8 @@
 	return c.put(ctx, meshapi.ReplacePath, d)
 }
 
-// Update puts a change in force and returns its version. Unless its BaseVersion is in force the error is Stale.
+// Update puts a change in force and returns its version. Unless its BaseVersion is in force the
+// error is Stale.
 func (c *Client) Update(ctx context.Context, change Change) (version int64, err error) {
 	if change.Upsert.Resources == nil {
 		change.Upsert.Resources = []Resource{}
@@ -126,9 +129,10 @@
 	return response.ConfigVersion, nil
 }
 
-// Change reads the configuration, has revise return what is to change in it, and puts that in force; when another
-// change came in between, it starts again from what is in force then, 32 times in all. It fills in the base version,
-// and also the version where revise leaves that 0: the next one. An error of revise is returned as it is.
+// Change reads the configuration, has revise return what is to change in it, and puts that in
+// force; when another change came in between, it starts again from what is in force then, 32 times
+// in all. It fills in the base version, and also the version where revise leaves that 0: the next
+// one. An error of revise is returned as it is.
 func (c *Client) Change(ctx context.Context, revise func(doc Document) (Change, error)) (version int64, err error) {
 	for attempt := 1; ; attempt++ {
 		doc, err := c.Describe(ctx)
@@ -150,8 +154,8 @@
 	}
 }
 
-// Describe returns the configuration in force, no older than any change that was acknowledged before the call. Before
-// the first one its version is 0.
+// Describe returns the configuration in force, no older than any change that was acknowledged
+// before the call. Before the first one its version is 0.
 func (c *Client) Describe(ctx context.Context) (*Document, error) {
 	return call[Document](ctx, c, http.MethodGet, meshapi.DescribePath, nil)
 }
--- a/meshclient/drain.go
+++ b/meshclient/drain.go
@@ -9,17 +9,19 @@
 	"caperarch/meshapi"
 )
 
-// drainMargin is added to the time for which a draining upstream goes on serving: its state may be acknowledged before
-// every sidecar has it.
+// drainMargin is added to the time for which a draining upstream goes on serving: its state may be
+// acknowledged before every sidecar has it.
 const drainMargin = 300 * time.Millisecond
 
-// Drain takes leave of the mesh. It has Run say that the upstream is draining until that is acknowledged, waits
-// DrainTimeout and a margin of 0.3 s, during which the upstream goes on serving and Run goes on sending heartbeats,
-// ends Run, and deregisters the instance. It needs a Run that is under way.
+// Drain ends the upstream's part in the mesh. It has Run report draining until that is
+// acknowledged, waits DrainTimeout and a margin of 0.3 s, during which the upstream goes on serving
+// and Run goes on sending heartbeats, ends Run, and deregisters the instance. It needs a Run that
+// is under way.
 //
-// When ctx ends before the acknowledgement, or before the time to serve is over, Drain returns an *Error of kind
-// Undetermined, and Run goes on saying that the upstream is draining. Without addresses the kind is InvalidUsage; an
-// error of the deregistration is that of any call of the Client.
+// When ctx ends before the acknowledgement, or before the time to serve is over, Drain returns an
+// *Error of kind Undetermined, and Run goes on saying that the upstream is draining. Without
+// addresses the kind is InvalidUsage; an error of the deregistration is that of any call of the
+// Client.
 func (h *Heartbeats) Drain(ctx context.Context) error {
 	if h.Client == nil || len(h.Client.Addresses) == 0 {
 		return &Error{Kind: InvalidUsage, Message: "the client has no addresses"}
--- a/meshclient/errors.go
+++ b/meshclient/errors.go
@@ -8,13 +8,14 @@
 	"caperarch/internal/mesh/errs"
 )
 
-// Kind says what became of a call that failed. Each Kind is an error itself, so that errors.Is(err, meshclient.Stale)
-// asks for it; errors.As with an *Error gives the rest.
+// Kind says what became of a call that failed. Each Kind is an error itself, so that errors.Is(err,
+// meshclient.Stale) asks for it; errors.As with an *Error gives the rest.
 type Kind uint8
 
 // The closed list of kinds.
 const (
-	// InvalidUsage means that nothing was sent: the client has no addresses, or what it is to send can't be encoded.
+	// InvalidUsage means that nothing was sent: the client has no addresses, or what it is to send
+	// can't be encoded.
 	InvalidUsage Kind = iota + 1
 	// Invalid means that the request breaks a rule or could not be parsed. Nothing was changed.
 	Invalid
@@ -28,8 +29,8 @@
 	Rejected
 	// Unreachable means that no address could be reached before the context ended. Nothing was changed.
 	Unreachable
-	// Undetermined means that something was sent and no conclusive answer came before the context ended: a change may be
-	// in force or not. It may be sent again unchanged.
+	// Undetermined means that something was sent and no conclusive answer came before the context
+	// ended: a change may be in force or not. It may be sent again unchanged.
 	Undetermined
 )
 
@@ -59,8 +60,8 @@
 	Kind Kind
 	// Status is the HTTP status of the last response, 0 where none came.
 	Status int
-	// ServerKind is the server's own kind of the error, from the header X-Mesh-Fault of the last response; empty where it
-	// has none.
+	// ServerKind is the server's own kind of the error, from the header X-Mesh-Fault of the last
+	// response; empty where it has none.
 	ServerKind string
 	// Address is the control plane address that was tried last, host:port; empty where none was.
 	Address string
@@ -78,7 +79,7 @@
 	return fmt.Sprintf("%s: %s: %s", e.Kind.Error(), e.Address, e.Message)
 }
 
-// Is says whether the target is the error's Kind. It is for errors.Is.
+// Is reports whether the target is the error's Kind. It is for errors.Is.
 func (e *Error) Is(target error) bool {
 	k, ok := target.(Kind)
 	return ok && k == e.Kind
@@ -96,8 +97,8 @@
 	return 0
 }
 
-// kindWithoutAnswer is the kind of a call to which no conclusive answer came; sent says that bytes of it may have
-// reached a machine.
+// kindWithoutAnswer is the kind of a call to which no conclusive answer came; sent says that bytes
+// of it may have reached a machine.
 func kindWithoutAnswer(sent bool) Kind {
 	if sent {
 		return Undetermined
@@ -105,7 +106,8 @@
 	return Unreachable
 }
 
-// kindOfRejection is the kind of a 4xx response: by the server's own kind where it names one, else by the status.
+// kindOfRejection is the kind of a 4xx response: by the server's own kind where it names one, else
+// by the status.
 func kindOfRejection(status int, serverKind string) Kind {
 	if serverKind != "" {
 		switch errs.ParseKind(serverKind) {
--- a/meshclient/example_test.go
+++ b/meshclient/example_test.go
@@ -13,8 +13,8 @@
 	"caperarch/meshclient"
 )
 
-// startCoreMachine starts a stand-in for a core machine with version 5 in force; a real program has the addresses of
-// the control plane.
+// startCoreMachine starts a stand-in for a core machine with version 5 in force; a real program has
+// the addresses of the control plane.
 func startCoreMachine() *httptest.Server {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /api/configuration/describe", func(w http.ResponseWriter, _ *http.Request) {
--- a/meshclient/heartbeats.go
+++ b/meshclient/heartbeats.go
@@ -37,10 +37,12 @@
 	Warmup time.Duration
 }
 
-// Heartbeats announces an upstream to the mesh: Run sends heartbeats, Drain takes leave. The exported fields are set
-// before Run and not changed afterwards. Run is called once; Drain may be called from other goroutines.
+// Heartbeats announces an upstream to the mesh: Run sends heartbeats, Drain drains and deregisters.
+// The exported fields are set before Run and not changed afterwards. Run is called once; Drain may
+// be called from other goroutines.
 type Heartbeats struct {
-	// Client has the addresses to send to; a heartbeat that is not acknowledged is followed by one to the next address.
+	// Client has the addresses to send to; a heartbeat that is not acknowledged is followed by one
+	// to the next address.
 	Client *Client
 	// Instance is the upstream.
 	Instance Instance
@@ -76,9 +78,9 @@
 	h.Client.once.Do(h.Client.start)
 }
 
-// Run sends heartbeats until Drain has finished, and then returns nil, or until ctx ends, and then returns its cause.
-// After one that fails the next follows with a backoff of at most Interval. Without the required fields it returns an
-// *Error of kind InvalidUsage.
+// Run sends heartbeats until Drain has finished, and then returns nil, or until ctx ends, and then
+// returns its cause. After one that fails the next follows with a backoff of at most Interval.
+// Without the required fields it returns an *Error of kind InvalidUsage.
 func (h *Heartbeats) Run(ctx context.Context) error {
 	if !h.configured() {
 		const message = "heartbeats need a client with addresses, an interval, and an instance with id, service and address"
@@ -109,7 +111,7 @@
 	}
 }
 
-// configured says whether the required fields are set.
+// configured reports whether the required fields are set.
 func (h *Heartbeats) configured() bool {
 	instance := &h.Instance
 	return instance.ID != "" && instance.Service != "" && instance.Address != "" &&
@@ -151,7 +153,8 @@
 	return nil
 }
 
-// stateToSend returns the upstream's state, and takes back a pending wake: this heartbeat says what it was for.
+// stateToSend returns the upstream's state, and drops a pending wake: this heartbeat carries what
+// it was for.
 func (h *Heartbeats) stateToSend() string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -187,7 +190,8 @@
 	return body
 }
 
-// leaveAddress goes back from the endpoint that the mesh named to the Client's addresses, or on to the next of those.
+// leaveAddress goes back from the endpoint that the mesh named to the Client's addresses, or on to
+// the next of those.
 func (h *Heartbeats) leaveAddress(address string) {
 	if h.endpoint != "" {
 		h.endpoint = ""
--- a/meshclient/transport_test.go
+++ b/meshclient/transport_test.go
@@ -14,8 +14,8 @@
 	"time"
 )
 
-// response is what the stand-in answers to one request; status 0: nothing until the request is cancelled, -1: no
-// connection comes up.
+// response is what the stand-in answers to one request; status 0: nothing until the request is
+// cancelled, -1: no connection comes up.
 type response struct {
 	status       int
 	header       http.Header
@@ -38,8 +38,8 @@
 	return b.Reader.Read(p[:1])
 }
 
-// scriptedTransport stands in for the machines. It answers each request with the next of its responses, and records
-// the requests.
+// scriptedTransport stands in for the machines. It answers each request with the next of its
+// responses, and records the requests.
 type scriptedTransport struct {
 	startedAt time.Time
 
