--- a/internal/proxy/admission/admission.go
+++ b/internal/proxy/admission/admission.go
@@ -1,5 +1,5 @@
-// Package admission decides which requests may try for a slot at all, where a fleet is short of what is asked of it. It is
-// free of I/O and of the module's state: time is passed in, and it is told how attempts end.
+// Package admission decides which requests may try for a slot, where a fleet has too little capacity. It does no I/O:
+// time and the ends of attempts are passed in.
 package admission
 
 import (
@@ -8,31 +8,31 @@
 	"time"
 )
 
-// Gate is one way to do it. It is used from one goroutine, by one balancer.
+// Gate is one method of admission control. It is used by one balancer, from one goroutine.
 type Gate interface {
-	// Admit says whether a request may try. worth is its class's against the mean of all, above 0.
-	Admit(now time.Duration, worth float64) bool
-	// AttemptStarted takes that an attempt goes out.
+	// Admit says whether a request may try for a slot. value is its class's, relative to the mean of all, above 0.
+	Admit(now time.Duration, value float64) bool
+	// AttemptStarted counts an attempt that is sent.
 	AttemptStarted(now time.Duration)
-	// AttemptEnded takes the end of an attempt, once for each that began.
+	// AttemptEnded counts the end of an attempt, once for each that started.
 	AttemptEnded(now time.Duration, e AttemptEnd)
 }
 
 // AttemptEnd is the end of an attempt.
 type AttemptEnd struct {
-	Score         float64       // 1: the answer came well in time, less as its time was nearly over; 0: there was none
-	Ignored       bool          // it tells nothing: called off, not sent, or of a request that is over
-	Duration      time.Duration // from its sending
-	LatencyTarget time.Duration // its class's
+	Score         float64       // 1: answered in time, falling to 0 near the latency target; 0: not answered in time
+	Ignored       bool          // it says nothing of capacity: cancelled, not sent, or its request was finished
+	Duration      time.Duration // since it was sent
+	LatencyTarget time.Duration // of its class
 }
 
 const (
-	freeRequests = 1.5             // and this many requests, or a light balancer refuses after one failure
-	fadeTime     = 2 * time.Second // lately: about as long as queues take to build up
-	minValue     = 1.0 / 8         // a class counts as worth this much of the mean at least, or it is never let in
+	freeRequests = 1.5             // admitted beyond the measured share, or one failure would shut a light balancer
+	fadeTime     = 2 * time.Second // counts fade over it: about as long as queues take to build up
+	minValue     = 1.0 / 8         // the least value of a class, relative to the mean, or it would never be admitted
 )
 
-// Draw draws whether one passes where a share of all may; worthier ones pass sooner. Nothing is drawn where all may.
-func Draw(rng *rand.Rand, share, worth float64) bool {
-	return share >= 1 || rng.Float64() < math.Pow(max(0, share), 1/max(worth, minValue))
+// Draw admits by chance, where share of all requests may pass, those of high value rather. It draws only if share < 1.
+func Draw(rng *rand.Rand, share, value float64) bool {
+	return share >= 1 || rng.Float64() < math.Pow(max(0, share), 1/max(value, minValue))
 }
--- a/internal/proxy/admission/budget.go
+++ b/internal/proxy/admission/budget.go
@@ -1,18 +1,16 @@
 package admission
 
-import (
-	"time"
-)
+import "time"
 
-// ProcessCount is among how many processes a budget is divided, at least one.
-func ProcessCount(of func() int) float64 {
-	if of == nil {
+// ProcessCount is how many processes a budget is divided among, at least one; a nil function means one.
+func ProcessCount(count func() int) float64 {
+	if count == nil {
 		return 1
 	}
-	return float64(max(1, of()))
+	return float64(max(1, count()))
 }
 
-// RetryBudget keeps count of what a Limit allows. It is used from one goroutine.
+// RetryBudget counts the requests and retries that a RetryLimit allows. It is used from one goroutine.
 type RetryBudget struct {
 	RetryLimit
 	Processes         func() int // processes that Free is divided among; nil: one
@@ -26,8 +24,7 @@
 	b.requests = append(b.requests, now)
 }
 
-// Exhausted says whether there is no further attempt left. A request taken just a span ago no longer counts, an attempt
-// made just then still does.
+// Exhausted says whether no retry is left. A request exactly one span ago no longer counts, a retry of then still does.
 func (b *RetryBudget) Exhausted(now time.Duration) bool {
 	if b.Span == 0 {
 		return false
@@ -39,10 +36,10 @@
 // RecordRetry counts an attempt after a request's first.
 func (b *RetryBudget) RecordRetry(now time.Duration) { b.retries = append(b.retries, now) }
 
-// window counts what happened lately.
+// window holds the times of recent events, in order.
 type window []time.Duration
 
-// since drops what happened before t and counts the rest.
+// since drops the events before t and counts the others.
 func (w *window) since(t time.Duration) int {
 	n := 0
 	for n < len(*w) && (*w)[n] < t {
--- a/internal/proxy/admission/limit.go
+++ b/internal/proxy/admission/limit.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// RetryLimit bounds attempts after each request's first: within any Span they number at most Free plus Share for each request
-// taken in that Span.
+// RetryLimit bounds the attempts after each request's first: within any Span there are at most Free of them, plus
+// Share for each request of that Span.
 type RetryLimit struct {
 	Span  time.Duration // 0: no limit
 	Free  float64
 	Share float64
 }
 
-// Check returns an error that says what is unusable of it.
+// Check returns an error that says why the limit is unusable.
 func (l RetryLimit) Check() error {
 	bad := func(f float64) bool { return math.IsNaN(f) || math.IsInf(f, 0) || f < 0 }
 	switch {
--- a/internal/proxy/admission/recovering.go
+++ b/internal/proxy/admission/recovering.go
@@ -7,96 +7,96 @@
 )
 
 const (
-	recoveredScore = 0.9                    // answers are this good again: capacity is back
-	doublingTime   = 200 * time.Millisecond // the share doubles within this then
-	scoreAnswers   = 8.0                    // answers that tell how it is now,
-	scoreTime      = 250 * time.Millisecond // or fewer, of about so long
-	decayMargin    = 1.7                    // until then it settles where answers are 1/upTo as good as can be
-	maxExcess      = 4.0                    // times its part or more that a tenant asks for
-	minShare       = 0.1                    // of the share, or it is slow to find back: few tell how it is
+	recoveredScore = 0.9                    // mean score from which capacity counts as sufficient again
+	doublingTime   = 200 * time.Millisecond // the share then doubles within this time
+	scoreAnswers   = 8.0                    // the mean score is over about this many answers,
+	scoreTime      = 250 * time.Millisecond // or over this time, where answers are few
+	decayMargin    = 1.7                    // until recovery the share settles where the score is 1/decayMargin
+	maxExcess      = 4.0                    // bounds a tenant's demand relative to its fair share, either way
+	minShare       = 0.1                    // with less admitted, recovery would be noticed late
 )
 
-// Health is how good a balancer's last answers were, whoever's they were, and how much was asked of it: servers are common
-// to all tenants.
+// Health is the mean score of a balancer's recent answers, and the demand on it, over all tenants: they share the
+// servers. It is used by the gates of one balancer, from one goroutine.
 type Health struct {
 	score  float64
 	at     time.Duration
 	demand fadingCount // of all tenants
 }
 
-// fadingCount counts what fades.
+// fadingCount is a count of events that fade over fadeTime.
 type fadingCount struct {
 	n  float64
 	at time.Duration
 }
 
-func (l *fadingCount) count(now time.Duration) {
-	l.n = 1 + l.n*math.Exp(-float64(now-l.at)/float64(fadeTime))
-	l.at = now
+func (c *fadingCount) count(now time.Duration) {
+	c.n = 1 + c.n*math.Exp(-float64(now-c.at)/float64(fadeTime))
+	c.at = now
 }
 
-// NewHealth begins well.
+// NewHealth makes one with the best score.
 func NewHealth() *Health { return &Health{score: 1} }
 
-// record counts an end; where they are rare each tells more.
-func (h *Health) record(now time.Duration, good float64) {
-	h.score += (good - h.score) * min(0.5, max(1/scoreAnswers, float64(now-h.at)/float64(scoreTime)))
+// record counts a score, with more weight where scores are rare.
+func (h *Health) record(now time.Duration, score float64) {
+	h.score += (score - h.score) * min(0.5, max(1/scoreAnswers, float64(now-h.at)/float64(scoreTime)))
 	h.at = now
 }
 
-// Recovering lets a share of the requests in that falls while answers come late, by Ratio's measure, and comes back as soon as they are
-// good again: doubled every 0.2 s. Ratio counts what it turns away against itself and so comes back by half a share every two seconds at
-// best: it refused a fifth for 10 s after answers were quick again.
+// Recovering admits a share of the requests that falls while answers are late, by Ratio's measure, and doubles every
+// 0.2 s once they are in time. Ratio counts its own rejections as failures and so recovers by half a share every 2 s
+// at best: it rejected a fifth of the requests for 10 s after answers were in time again.
 type Recovering struct {
 	rng        *rand.Rand
 	health     *Health
-	fairShare  float64     // of all traffic, that is the tenant's by right
-	demand     fadingCount // by the tenant
+	fairShare  float64     // the tenant's fraction of all traffic
+	demand     fadingCount // of the tenant
 	share      float64
 	at         time.Duration
-	ended, bad float64 // attempts that were let in; they fade
+	ended, bad float64 // admitted attempts, and what their scores lack of 1; both fade
 }
 
-// NewRecovering makes one of a balancer's gates. It draws from rng only where not all may try.
+// NewRecovering makes the gate of one tenant. It draws from rng only while the share is below 1.
 func NewRecovering(rng *rand.Rand, h *Health) *Recovering {
 	return &Recovering{rng: rng, health: h, fairShare: 1, share: 1}
 }
 
-// SetFairShare tells a gate what part of all traffic is its tenant's by right; others than Recovering have no use for it.
-func SetFairShare(g Gate, part float64) {
-	if g, goes := g.(*Recovering); goes {
-		g.fairShare = part
+// SetFairShare sets the fraction of all traffic that a gate's tenant is entitled to. Only a Recovering uses it.
+func SetFairShare(g Gate, share float64) {
+	if recovering, ok := g.(*Recovering); ok {
+		recovering.fairShare = share
 	}
 }
 
-// Admit moves the share on to now, and draws.
-func (g *Recovering) Admit(now time.Duration, worth float64) bool {
+// Admit updates the share and draws.
+func (g *Recovering) Admit(now time.Duration, value float64) bool {
 	passed := now - g.at
 	g.at = now
 	g.demand.count(now)
 	g.health.demand.count(now)
 	fade := math.Exp(-float64(passed) / float64(fadeTime))
 	g.ended, g.bad = g.ended*fade, g.bad*fade
-	switch good := 1 - g.bad/(freeRequests+g.ended); {
-	case g.health.score >= recoveredScore:
+	if g.health.score >= recoveredScore {
 		g.share *= math.Exp2(float64(passed) / float64(doublingTime))
-	default:
+	} else {
+		good := 1 - g.bad/(freeRequests+g.ended)
 		g.share *= math.Pow(decayMargin*good, g.excess()*min(1, float64(passed)/float64(fadeTime)))
 	}
 	g.share = max(minShare, min(1, g.share))
-	return Draw(g.rng, g.share, worth)
+	return Draw(g.rng, g.share, value)
 }
 
-// excess is how many times its part a tenant asks for, far either way. Its share moves as much faster: who asks for more than is his
-// makes room first, and the others are spared as long as that is enough.
+// excess is the tenant's demand relative to its fair share, bounded both ways. Its share falls as much faster: a tenant
+// that asks for more is limited first, and the others only if that is not enough.
 func (g *Recovering) excess() float64 {
 	return max(1/maxExcess, min(maxExcess, g.demand.n/g.health.demand.n/max(g.fairShare, 1e-3)))
 }
 
-// AttemptStarted has no part in it.
+// AttemptStarted does nothing.
 func (g *Recovering) AttemptStarted(time.Duration) {}
 
-// AttemptEnded counts an attempt's end.
+// AttemptEnded counts the score of an attempt.
 func (g *Recovering) AttemptEnded(now time.Duration, e AttemptEnd) {
 	if e.Ignored {
 		return
--- a/internal/proxy/admission/weighed/weighed.go
+++ b/internal/proxy/admission/weighed/weighed.go
@@ -1,5 +1,5 @@
-// Package weighed has the ways of admission that were weighed and not taken: for measurements, and for whoever weighs again.
-// docs/design/strain.md has their figures.
+// Package weighed holds the methods of admission control that were compared with admission.Recovering and not chosen,
+// for measurements. docs/design/strain.md has the figures.
 package weighed
 
 import (
@@ -10,7 +10,7 @@
 	"caperarch/internal/proxy/admission"
 )
 
-// SRE is client-side throttling as in Google's SRE book, chapter 21, "Handling Overload": it refuses with the chance
+// SRE is client-side throttling as in Google's SRE book, chapter 21, "Handling Overload": it rejects with probability
 // (requests - K x accepts) / (requests + 1), both counted over a window that fades.
 type SRE struct {
 	rng               *rand.Rand
@@ -20,44 +20,45 @@
 	requests, accepts float64
 }
 
-// NewSRE makes one; the book has K 2 and two minutes.
+// NewSRE makes a gate; the book has a K of 2 and a window of two minutes.
 func NewSRE(rng *rand.Rand, k float64, window time.Duration) *SRE {
 	return &SRE{rng: rng, k: k, window: window}
 }
 
-// Admit counts each request, let in or not.
-func (g *SRE) Admit(now time.Duration, worth float64) bool {
+// Admit counts each request, admitted or not.
+func (g *SRE) Admit(now time.Duration, value float64) bool {
 	fade := math.Exp(-float64(now-g.at) / float64(g.window))
 	g.at, g.requests, g.accepts = now, g.requests*fade, g.accepts*fade
-	refuse := (g.requests - g.k*g.accepts) / (g.requests + 1)
+	reject := (g.requests - g.k*g.accepts) / (g.requests + 1)
 	g.requests++
-	return admission.Draw(g.rng, 1-refuse, worth)
+	return admission.Draw(g.rng, 1-reject, value)
 }
 
-// AttemptStarted has no part in it.
+// AttemptStarted does nothing.
 func (g *SRE) AttemptStarted(time.Duration) {}
 
-// AttemptEnded counts what was answered in time.
+// AttemptEnded counts an answer in time.
 func (g *SRE) AttemptEnded(_ time.Duration, e admission.AttemptEnd) {
 	if !e.Ignored && e.Score > 0 {
 		g.accepts++
 	}
 }
 
-// AIMD bounds attempts under way: one more for each limit's worth of answers in time, a tenth less for one that is late.
+// AIMD bounds attempts in flight: by one more for each limit's number of answers in time, a tenth less for a late
+// one.
 type AIMD struct {
 	limit     float64
 	inFlight  int
 	reducedAt time.Duration
 }
 
-// NewAIMD begins at 20.
+// NewAIMD makes a gate with a limit of 20.
 func NewAIMD() *AIMD { return &AIMD{limit: 20} }
 
-// Admit asks for a place; worth has no part in it.
+// Admit admits a request while the limit is not reached.
 func (g *AIMD) Admit(time.Duration, float64) bool { return float64(g.inFlight) < g.limit }
 
-// AttemptStarted takes it.
+// AttemptStarted counts an attempt in flight.
 func (g *AIMD) AttemptStarted(time.Duration) { g.inFlight++ }
 
 // AttemptEnded gives it back.
@@ -72,21 +73,21 @@
 	}
 }
 
-// Gradient bounds attempts under way by how much longer they take than they did at rest, as Netflix's concurrency-limits
-// (Gradient2) do: limit = limit x rest/now + the root of limit, smoothed.
+// Gradient bounds attempts in flight by how much longer they take than without load, as Netflix's concurrency-limits
+// (Gradient2) do: limit = limit x long/now + the root of limit, smoothed.
 type Gradient struct {
 	limit     float64
 	inFlight  int
-	long, now float64 // seconds
+	long, now float64 // smoothed durations over many and over few attempts, in seconds
 }
 
-// NewGradient begins at 20.
+// NewGradient makes a gate with a limit of 20.
 func NewGradient() *Gradient { return &Gradient{limit: 20} }
 
-// Admit asks for a place; worth has no part in it.
+// Admit admits a request while the limit is not reached.
 func (g *Gradient) Admit(time.Duration, float64) bool { return float64(g.inFlight) < g.limit }
 
-// AttemptStarted takes it.
+// AttemptStarted counts an attempt in flight.
 func (g *Gradient) AttemptStarted(time.Duration) { g.inFlight++ }
 
 // AttemptEnded gives it back.
@@ -104,15 +105,15 @@
 	}
 	g.long += (took - g.long) / 600
 	g.now += (took - g.now) / 10
-	if g.long > 2*g.now { // it was slow for long: come back from there
+	if g.long > 2*g.now { // attempts were slow for long
 		g.long *= 0.95
 	}
 	gradient := max(0.5, min(1, 1.5*g.long/g.now))
 	g.limit = max(1, min(200, 0.8*g.limit+0.2*(gradient*g.limit+math.Sqrt(g.limit))))
 }
 
-// CoDel refuses while no answer of the last interval was well in time, ever more often (RFC 8289, 5.2): the queues are the servers', so
-// half of the aim stands in for the time in a queue.
+// CoDel rejects while no answer of the last interval had the full score, ever more often (RFC 8289, 5.2). The queues
+// are the servers', so half of the latency target stands in for the time in a queue.
 type CoDel struct {
 	lateSince time.Duration // since when all answers were late; 0: not
 	dropping  bool
@@ -122,10 +123,10 @@
 
 const codelInterval = 100 * time.Millisecond
 
-// NewCoDel makes one.
+// NewCoDel makes a gate.
 func NewCoDel() *CoDel { return new(CoDel) }
 
-// Admit refuses one when the control law says so; worth has no part in it.
+// Admit rejects a request when the control law says so.
 func (g *CoDel) Admit(now time.Duration, _ float64) bool {
 	if !g.dropping || now < g.next {
 		return true
@@ -135,7 +136,7 @@
 	return false
 }
 
-// AttemptStarted has no part in it.
+// AttemptStarted does nothing.
 func (g *CoDel) AttemptStarted(time.Duration) {}
 
 // AttemptEnded looks how late an answer was.
