--- a/cmd/caperarch/command.go
+++ b/cmd/caperarch/command.go
@@ -205,7 +205,7 @@
 		return 1
 	}
 	fmt.Fprintf(out, "%s: usable: listens on %s, discovery at %s, %d classes, %d tenants, %d servers known\n",
-		path, cfg.Listen, cfg.Discovery, len(cfg.Classes), len(cfg.Tenants), len(cfg.Known.Servers))
+		path, cfg.Listen, cfg.Discovery, len(cfg.Classes), len(cfg.Tenants), len(cfg.KnownServers.Servers))
 	return 0
 }
 
--- a/cmd/caperarch/main.go
+++ b/cmd/caperarch/main.go
@@ -73,14 +73,14 @@
 				slog.Warn("the recording ended before the process", "file", d.record, "error", err)
 			}
 		}()
-		with = append(with, daemon.Recorded(w))
+		with = append(with, daemon.WithRecording(w))
 	}
 	if d.fleet != "" {
 		file, err := config.ReadFleet(d.fleet)
 		if err != nil {
 			return err
 		}
-		with = append(with, daemon.InFleet(file))
+		with = append(with, daemon.WithFleet(file))
 	}
 	if d.pools == "" {
 		return daemon.Run(ctx, cfg, reload, with...)
--- a/internal/daemon/config/config.go
+++ b/internal/daemon/config/config.go
@@ -32,23 +32,23 @@
 	MemoryMB int // the process is killed above this; 0: no limit is known
 	Sockets  int // descriptors it may hold
 
-	Policy  policy.Config
-	Classes map[string]int // class by name
-	Tenants map[string]int // tenant by name; empty where there are none
-	Zones   map[string]int // zone by name
-	Reports []string       // names of a load report's fields, in the order of Columns; none: there are no reports
-	Columns wire.Columns
+	Policy            policy.Config
+	Classes           map[string]int // class by name
+	Tenants           map[string]int // tenant by name; empty where there are none
+	Zones             map[string]int // zone by name
+	LoadReportFields  []string       // names of a load report's fields, in the order of Columns; none: there are no reports
+	LoadReportColumns wire.Columns
 
-	MostOpen    int           // requests held at once
-	ConnIdle    time.Duration // an upstream closes connections that stood idle so long
-	DialTimeout time.Duration
-	Longest     time.Duration // the longest deadline of any class
+	MaxOpenRequests int           // requests held at once
+	ConnIdle        time.Duration // an upstream closes connections that stood idle so long
+	DialTimeout     time.Duration
+	MaxDeadline     time.Duration // the longest deadline of any class
 
-	Known call.ServerList // the servers as last known
+	KnownServers call.ServerList // the servers as last known
 
-	MayPeer    bool     // the settings allow sidecars to send one another datagrams
-	PeerListen string   // where those of the others arrive
-	Peers      []string // one address for each sidecar, by number
+	PeersAllowed bool     // the settings allow sidecars to send one another datagrams
+	PeerListen   string   // where those of the others arrive
+	Peers        []string // one address for each sidecar, by number
 
 	Methods map[string]Method // a client's: what calls are, by their method
 }
@@ -180,7 +180,7 @@
 		return nil, err
 	}
 	if len(file.Known) > 0 {
-		if c.Known, err = membership.Parse(file.Known, c.Zones); err != nil {
+		if c.KnownServers, err = membership.Parse(file.Known, c.Zones); err != nil {
 			return nil, fmt.Errorf("config: known: %w", err)
 		}
 	}
@@ -204,15 +204,15 @@
 	for i, zone := range strings.Split(s.Text("zones"), ",") {
 		c.Zones[zone] = i
 	}
-	if c.Columns = s.Columns(); c.Policy.Reports != 0 {
-		c.Reports = strings.Split(s.Text("telemetry.columns"), ",")
+	if c.LoadReportColumns = s.Columns(); c.Policy.Reports != 0 {
+		c.LoadReportFields = strings.Split(s.Text("telemetry.columns"), ",")
 	}
-	c.MostOpen = int(s.Number("caps.max_open"))
-	c.MayPeer = s.Text("caps.peers") == "true"
+	c.MaxOpenRequests = int(s.Number("caps.max_open"))
+	c.PeersAllowed = s.Text("caps.peers") == "true"
 	c.ConnIdle = s.Duration("caps.conn_idle_ms")
 	c.DialTimeout = s.Duration("caps.dial_timeout_ms")
 	for _, k := range c.Policy.Classes {
-		c.Longest = max(c.Longest, k.Deadline)
+		c.MaxDeadline = max(c.MaxDeadline, k.Deadline)
 	}
 	if err := s.Err(); err != nil {
 		return fmt.Errorf("config: %w", err)
@@ -222,8 +222,8 @@
 			return fmt.Errorf("config: settings: %s is %v, a time above 0 is needed", field, d)
 		}
 	}
-	if c.MostOpen < 0 {
-		return fmt.Errorf("config: settings: caps.max_open is %d", c.MostOpen)
+	if c.MaxOpenRequests < 0 {
+		return fmt.Errorf("config: settings: caps.max_open is %d", c.MaxOpenRequests)
 	}
 	return nil
 }
@@ -239,8 +239,8 @@
 // UpstreamConns is how many connections to upstreams there may be.
 func (c *Config) UpstreamConns() int { return c.Sockets * 3 / 8 }
 
-// BodyBytes bounds the bodies of clients that are held at once.
-func (c *Config) BodyBytes() int64 {
+// MaxBodyBytes bounds the bodies of clients that are held at once.
+func (c *Config) MaxBodyBytes() int64 {
 	if c.MemoryMB == 0 {
 		return math.MaxInt64
 	}
--- a/internal/daemon/config/config_test.go
+++ b/internal/daemon/config/config_test.go
@@ -14,8 +14,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if c.Seed != 0x8c1f30d27a5be964 || c.ConnIdle != 30*time.Second || c.Longest != 20*time.Second || c.Known.Version != 41 ||
-		c.Classes["entry"] != 1 || c.Tenants["south"] != 1 || c.Zones["b"] != 1 || c.MostOpen != 100 {
+	if c.Seed != 0x8c1f30d27a5be964 || c.ConnIdle != 30*time.Second || c.MaxDeadline != 20*time.Second || c.KnownServers.Version != 41 ||
+		c.Classes["entry"] != 1 || c.Tenants["south"] != 1 || c.Zones["b"] != 1 || c.MaxOpenRequests != 100 {
 		t.Errorf("config %+v", c)
 	}
 	p := c.Policy
--- a/internal/daemon/config/fleet.go
+++ b/internal/daemon/config/fleet.go
@@ -13,19 +13,19 @@
 
 // Fleet is the operator's file on what the sidecars of a fleet have to do with one another, checked whole.
 type Fleet struct {
-	Path  string
-	Name  string        // sidecars of another name are not heard
-	Lease time.Duration // 0: by the number of sidecars
-	Rate  float64       // greatest error of a clock's rate; 0: the usual
-	Bytes float64       // a second over the whole fleet; 0: fleetBytes for each sidecar
+	Path           string
+	Name           string        // sidecars of another name are not heard
+	Lease          time.Duration // 0: by the number of sidecars
+	ClockError     float64       // greatest error of a clock's rate; 0: the usual
+	BytesPerSecond float64       // a second over the whole fleet; 0: fleetBytes for each sidecar
 
 	Policy *FleetPolicy // nil: the sidecars agree on no policy
 }
 
 // FleetPolicy is what the file says of the policy that the sidecars agree on.
 type FleetPolicy struct {
-	CutOff []byte // text of the policy by which one goes that may have missed something
-	State  string // folder that outlives the process; "": there is none
+	FallbackPolicy []byte // text of the policy by which one goes that may have missed something
+	StateDir       string // folder that outlives the process; "": there is none
 }
 
 const (
@@ -35,15 +35,15 @@
 
 const nameMost = 64
 
-// Share is how many bytes a second one of so many sidecars may send.
-func (f *Fleet) Share(sidecars int) float64 {
-	if f.Bytes == 0 && f.Policy != nil {
+// BytesPerSidecar is how many bytes a second one of so many sidecars may send.
+func (f *Fleet) BytesPerSidecar(sidecars int) float64 {
+	if f.BytesPerSecond == 0 && f.Policy != nil {
 		return fleetBytes + policyBytes
 	}
-	if f.Bytes == 0 {
+	if f.BytesPerSecond == 0 {
 		return fleetBytes
 	}
-	return f.Bytes / float64(max(1, sidecars))
+	return f.BytesPerSecond / float64(max(1, sidecars))
 }
 
 // ReadFleet reads the operator's file on the fleet (TOML). Unknown keys and values that can't be used: the error names line or field.
@@ -64,12 +64,12 @@
 			}
 			return filepath.Join(filepath.Dir(path), name)
 		}
-		from := beside(string(f.Policy.CutOff))
-		f.Policy.State = beside(f.Policy.State)
-		if f.Policy.CutOff, err = os.ReadFile(from); err != nil {
+		from := beside(string(f.Policy.FallbackPolicy))
+		f.Policy.StateDir = beside(f.Policy.StateDir)
+		if f.Policy.FallbackPolicy, err = os.ReadFile(from); err != nil {
 			return nil, fmt.Errorf("%s: policy.cut_off: %w", path, err)
 		}
-		if _, err := policyrollout.Parse(f.Policy.CutOff); err != nil {
+		if _, err := policyrollout.Parse(f.Policy.FallbackPolicy); err != nil {
 			return nil, fmt.Errorf("%s: policy.cut_off: %s: %w", path, from, err)
 		}
 	}
@@ -102,20 +102,20 @@
 		}
 	}
 	if file.Clock != nil {
-		if f.Rate = *file.Clock; !(f.Rate > 0 && f.Rate <= 0.1) {
-			return nil, fmt.Errorf("clock_error: %v is not above 0 and at most 0.1", f.Rate)
+		if f.ClockError = *file.Clock; !(f.ClockError > 0 && f.ClockError <= 0.1) {
+			return nil, fmt.Errorf("clock_error: %v is not above 0 and at most 0.1", f.ClockError)
 		}
 	}
 	if file.Bytes != nil {
-		if f.Bytes = *file.Bytes; !(f.Bytes >= 512 && f.Bytes <= 1e9) {
-			return nil, fmt.Errorf("fleet_bytes_per_second: %v is not within 512 and 1e9", f.Bytes)
+		if f.BytesPerSecond = *file.Bytes; !(f.BytesPerSecond >= 512 && f.BytesPerSecond <= 1e9) {
+			return nil, fmt.Errorf("fleet_bytes_per_second: %v is not within 512 and 1e9", f.BytesPerSecond)
 		}
 	}
 	if p := file.Policy; p != nil {
 		if p.CutOff == "" {
 			return nil, errors.New("policy.cut_off: a file is needed, with the policy by which a sidecar goes that may have missed something")
 		}
-		f.Policy = &FleetPolicy{CutOff: []byte(p.CutOff), State: p.State} // its name: it is read once this file's own place is known
+		f.Policy = &FleetPolicy{FallbackPolicy: []byte(p.CutOff), StateDir: p.State} // its name: it is read once this file's own place is known
 	}
 	return f, nil
 }
--- a/internal/daemon/config/fleet_test.go
+++ b/internal/daemon/config/fleet_test.go
@@ -8,10 +8,10 @@
 
 func TestFleetFile(t *testing.T) {
 	f, err := parseFleet([]byte("name = \"hives\"\nlease = \"15s\"\nclock_error = 0.002\nfleet_bytes_per_second = 600000.0\n"))
-	if err != nil || f.Name != "hives" || f.Lease != 15*time.Second || f.Rate != 0.002 || f.Share(300) != 2000 {
+	if err != nil || f.Name != "hives" || f.Lease != 15*time.Second || f.ClockError != 0.002 || f.BytesPerSidecar(300) != 2000 {
 		t.Errorf("%+v, %v", f, err)
 	}
-	if f, err = parseFleet([]byte("name = \"hives\"")); err != nil || f.Lease != 0 || f.Rate != 0 || f.Share(300) != fleetBytes {
+	if f, err = parseFleet([]byte("name = \"hives\"")); err != nil || f.Lease != 0 || f.ClockError != 0 || f.BytesPerSidecar(300) != fleetBytes {
 		t.Errorf("%+v, %v", f, err)
 	}
 	for text, says := range map[string]string{
--- a/internal/daemon/config/keys_test.go
+++ b/internal/daemon/config/keys_test.go
@@ -73,8 +73,8 @@
 			t.Errorf("%s: %v", name, err)
 			continue
 		}
-		if len(got.Known.Servers) != 1 {
-			t.Errorf("%s: the list known at the start is %+v", name, got.Known)
+		if len(got.KnownServers.Servers) != 1 {
+			t.Errorf("%s: the list known at the start is %+v", name, got.KnownServers)
 		}
 		if got := (read{
 			Name: got.Name, Listen: got.Listen, Discovery: got.Discovery, Control: got.Control, Seed: got.Seed,
@@ -109,8 +109,8 @@
 		t.Fatal(err)
 	}
 	want := &Fleet{
-		Path: path, Name: "hives", Lease: 15 * time.Second, Rate: 0.002, Bytes: 600000.5,
-		Policy: &FleetPolicy{CutOff: []byte(cutOff), State: filepath.Join(dir, "kept")},
+		Path: path, Name: "hives", Lease: 15 * time.Second, ClockError: 0.002, BytesPerSecond: 600000.5,
+		Policy: &FleetPolicy{FallbackPolicy: []byte(cutOff), StateDir: filepath.Join(dir, "kept")},
 	}
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("read is %+v, want %+v", got, want)
--- a/internal/daemon/config/pools.go
+++ b/internal/daemon/config/pools.go
@@ -20,10 +20,10 @@
 
 // Pools is the operator's file of pools and routes, checked whole.
 type Pools struct {
-	Path  string
-	List  []*Pool // in order of their names
-	Table *route.Table
-	Walls bool // what pools have in common is divided; off, the first to come has it
+	Path      string
+	List      []*Pool // in order of their names
+	Table     *route.Table
+	Bulkheads bool // what pools have in common is divided; off, the first to come has it
 }
 
 // Pool is one of them.
@@ -34,8 +34,10 @@
 	text   []byte  // of its configuration, to know a changed one by
 }
 
-// Same says whether two pools are the same in all but their weight, which can change while one runs.
-func (p *Pool) Same(q *Pool) bool { return p.Name == q.Name && bytes.Equal(p.text, q.text) }
+// EqualExceptWeight says whether two pools are the same in all but their weight, which can change while one runs.
+func (p *Pool) EqualExceptWeight(q *Pool) bool {
+	return p.Name == q.Name && bytes.Equal(p.text, q.text)
+}
 
 // Route is a rule of the file, as written.
 type Route struct {
@@ -82,7 +84,7 @@
 	if len(file.Pools) == 0 || len(file.Pools) > mostPools {
 		return nil, fmt.Errorf("pools: %d of them, 1 to %d are needed", len(file.Pools), mostPools)
 	}
-	p := &Pools{Walls: file.Walls == nil || *file.Walls}
+	p := &Pools{Bulkheads: file.Walls == nil || *file.Walls}
 	classes := make(route.Pools)
 	for _, name := range slices.Sorted(maps.Keys(file.Pools)) {
 		entry := file.Pools[name]
--- a/internal/daemon/control/control_test.go
+++ b/internal/daemon/control/control_test.go
@@ -25,7 +25,7 @@
 	}
 	for _, line := range []string{
 		"", "\r", "HEALTH", "cordon", "cordon a b", "health now", "policy-show 1", "policy-propose ab", "policy-text a b c", "GET / HTTP/1.1", "\x16\x03\x01\x02\x00", "cordon a\x00b", "cordon \xff",
-		strings.Repeat("x", LineMost+1), "cordon " + strings.Repeat("x", LineMost),
+		strings.Repeat("x", MaxLineBytes+1), "cordon " + strings.Repeat("x", MaxLineBytes),
 	} {
 		if c, err := Parse([]byte(line)); err == nil || strings.ContainsAny(err.Error(), "\n\x00") {
 			t.Errorf("%.20q: %+v, %v; want an error of one line", line, c, err)
--- a/internal/daemon/control/listener.go
+++ b/internal/daemon/control/listener.go
@@ -24,8 +24,8 @@
 	rest       = 50 * time.Millisecond  // before the next try where the system is short of descriptors
 )
 
-// Calls carries out what operators ask for. All may be called from many goroutines.
-type Calls interface {
+// Handler carries out what operators ask for. All may be called from many goroutines.
+type Handler interface {
 	// Health is why this process can't serve; nil: it can.
 	Health() error
 	// Counters writes the figures.
@@ -41,13 +41,13 @@
 	Work(c Call, to io.Writer) error
 }
 
-// CallersFor is how many callers there may be at once where the process may hold so many descriptors.
-func CallersFor(sockets int) int { return min(callersMost, max(callersLeast, sockets/ofSockets)) }
+// MaxCallers is how many callers there may be at once where the process may hold so many descriptors.
+func MaxCallers(sockets int) int { return min(callersMost, max(callersLeast, sockets/ofSockets)) }
 
 // Server answers operators on a listener. Callers are bounded in number, bytes and time; where a new one finds no room, the one goes that has said nothing whole
 // for longest.
 type Server struct {
-	calls Calls
+	calls Handler
 	most  int
 
 	mu     sync.Mutex
@@ -58,7 +58,7 @@
 }
 
 // New makes a server for so many callers at once.
-func New(calls Calls, most int) *Server {
+func New(calls Handler, most int) *Server {
 	return &Server{calls: calls, most: max(1, most), freed: make(chan struct{}, 1)}
 }
 
@@ -151,7 +151,7 @@
 // readLine reads one line, or as much of one as makes it too long. whole says that nothing came behind it.
 func readLine(c net.Conn) (line []byte, whole bool, err error) {
 	_ = c.SetReadDeadline(time.Now().Add(silentTime))
-	b := make([]byte, LineMost+2)
+	b := make([]byte, MaxLineBytes+2)
 	for n := 0; ; {
 		m, err := c.Read(b[n:])
 		n += m
--- a/internal/daemon/control/protocol.go
+++ b/internal/daemon/control/protocol.go
@@ -8,8 +8,8 @@
 	"unicode/utf8"
 )
 
-// LineMost bounds a call in bytes, its line end left out.
-const LineMost = 512
+// MaxLineBytes bounds a call in bytes, its line end left out.
+const MaxLineBytes = 512
 
 // Verb is what is asked for.
 type Verb string
@@ -52,8 +52,8 @@
 
 // Parse reads a line without its end. An error says what is wrong with it, in one line and without repeating what might break it.
 func Parse(line []byte) (Call, error) {
-	if len(line) > LineMost {
-		return Call{}, fmt.Errorf("a call has %d bytes at most", LineMost)
+	if len(line) > MaxLineBytes {
+		return Call{}, fmt.Errorf("a call has %d bytes at most", MaxLineBytes)
 	}
 	if n := len(line); n > 0 && line[n-1] == '\r' {
 		line = line[:n-1]
--- a/internal/daemon/cordon/ever.go
+++ b/internal/daemon/cordon/ever.go
@@ -42,8 +42,8 @@
 	o.ever.order = kept
 }
 
-// Left are the upstreams that are remembered and not listed any more.
-func (o *Overlay) Left() (ids []policy.ServerID) {
+// Delisted are the upstreams that are remembered and not listed any more.
+func (o *Overlay) Delisted() (ids []policy.ServerID) {
 	for _, id := range o.ever.order {
 		if _, here := o.listed[id]; !here {
 			ids = append(ids, id)
@@ -59,5 +59,5 @@
 	}
 }
 
-// Ever says whether an upstream was listed since the start, whether or not it still is.
-func (o *Overlay) Ever(id string) bool { return o.ever.ids[call.ServerID(id)] }
+// WasListed says whether an upstream was listed since the start, whether or not it still is.
+func (o *Overlay) WasListed(id string) bool { return o.ever.ids[call.ServerID(id)] }
--- a/internal/daemon/cordon/overlay.go
+++ b/internal/daemon/cordon/overlay.go
@@ -33,8 +33,8 @@
 	return &Overlay{banned: make(map[policy.ServerID]bool), listed: make(map[policy.ServerID]listed)}
 }
 
-// Heard takes a list, whole or changes, and returns what is to be handed on in its place.
-func (o *Overlay) Heard(l call.ServerList) call.ServerList {
+// Update takes a list, whole or changes, and returns what is to be handed on in its place.
+func (o *Overlay) Update(l call.ServerList) call.ServerList {
 	o.last = l.Version
 	if l.Full {
 		clear(o.listed)
@@ -65,9 +65,9 @@
 	return s
 }
 
-// Set takes which ids are banned from now on, and returns the whole list as it is to be handed on. An id that is not listed, or never was, is kept: it may be
+// SetBanned takes which ids are banned from now on, and returns the whole list as it is to be handed on. An id that is not listed, or never was, is kept: it may be
 // on the way.
-func (o *Overlay) Set(ids []string) call.ServerList {
+func (o *Overlay) SetBanned(ids []string) call.ServerList {
 	clear(o.banned)
 	for _, id := range ids {
 		o.banned[call.ServerID(id)] = true
@@ -75,8 +75,8 @@
 	return o.now()
 }
 
-// SetAway takes which servers are out by plans of work from now on, and returns the whole list as it is to be handed on.
-func (o *Overlay) SetAway(ids []policy.ServerID) call.ServerList {
+// SetUnderMaintenance takes which servers are out by plans of work from now on, and returns the whole list as it is to be handed on.
+func (o *Overlay) SetUnderMaintenance(ids []policy.ServerID) call.ServerList {
 	o.away = make(map[policy.ServerID]bool, len(ids))
 	for _, id := range ids {
 		o.away[id] = true
@@ -86,7 +86,7 @@
 
 // now is the whole list as it is to be handed on.
 func (o *Overlay) now() call.ServerList {
-	l := o.Whole()
+	l := o.Listed()
 	for i, s := range l.Servers {
 		l.Servers[i] = o.seen(s)
 	}
@@ -124,8 +124,8 @@
 	return len(o.listed), out
 }
 
-// Whole is the list as the list has it, bans left aside.
-func (o *Overlay) Whole() call.ServerList {
+// Listed is the list as the list has it, bans left aside.
+func (o *Overlay) Listed() call.ServerList {
 	l := call.ServerList{Version: o.last, Full: true, Addresses: make(map[policy.ServerID]string, len(o.listed)), Names: make(map[policy.ServerID]string, len(o.listed))}
 	for _, id := range slices.Sorted(maps.Keys(o.listed)) {
 		e := o.listed[id]
--- a/internal/daemon/cordon/overlay_test.go
+++ b/internal/daemon/cordon/overlay_test.go
@@ -35,25 +35,25 @@
 // A ban lasts through whole lists, a departure and a restart; lifted, the upstream is what the list says by then, its start included.
 func TestBanLasts(t *testing.T) {
 	o := NewOverlay()
-	o.Heard(list(true, server("a", policy.Ready, 0), server("b", policy.Ready, 0)))
-	if l := o.Set([]string{"a"}); stateOf(l, "a") != policy.Draining || stateOf(l, "b") != policy.Ready || l.Addresses[call.ServerID("a")] == "" {
+	o.Update(list(true, server("a", policy.Ready, 0), server("b", policy.Ready, 0)))
+	if l := o.SetBanned([]string{"a"}); stateOf(l, "a") != policy.Draining || stateOf(l, "b") != policy.Ready || l.Addresses[call.ServerID("a")] == "" {
 		t.Fatalf("banned: %+v", l)
 	}
 	for name, l := range map[string]call.ServerList{
 		"whole": list(true, server("a", policy.Ready, 0), server("b", policy.Ready, 0)), "change": list(false, server("a", policy.Ready, 7)),
 	} {
-		if got := stateOf(o.Heard(l), "a"); got != policy.Draining {
+		if got := stateOf(o.Update(l), "a"); got != policy.Draining {
 			t.Errorf("%s: state %v", name, got)
 		}
 	}
-	o.Heard(list(false, server("a", policy.Deregistered, 0)))
-	if known, out := o.Counts(); known != 1 || out != 0 || !o.Ever("a") || o.Ever("c") {
-		t.Errorf("gone: known %d, out %d, ever %v %v", known, out, o.Ever("a"), o.Ever("c"))
+	o.Update(list(false, server("a", policy.Deregistered, 0)))
+	if known, out := o.Counts(); known != 1 || out != 0 || !o.WasListed("a") || o.WasListed("c") {
+		t.Errorf("gone: known %d, out %d, ever %v %v", known, out, o.WasListed("a"), o.WasListed("c"))
 	}
-	if got := stateOf(o.Heard(list(false, server("a", policy.Ready, time.Hour))), "a"); got != policy.Draining {
+	if got := stateOf(o.Update(list(false, server("a", policy.Ready, time.Hour))), "a"); got != policy.Draining {
 		t.Errorf("back from being gone: state %v", got)
 	}
-	l := o.Set(nil)
+	l := o.SetBanned(nil)
 	i := slices.IndexFunc(l.Servers, func(s policy.Server) bool { return s.ID == call.ServerID("a") })
 	if i < 0 || l.Servers[i].State != policy.Ready || l.Servers[i].Started != time.Hour {
 		t.Errorf("lifted: %+v", l)
@@ -70,7 +70,7 @@
 			var l call.ServerList
 			if rapid.Bool().Draw(t, "bans change") {
 				bans = rapid.SliceOfDistinct(rapid.SampledFrom(ids), rapid.ID[string]).Draw(t, "bans")
-				l = o.Set(bans)
+				l = o.SetBanned(bans)
 			} else {
 				var servers []policy.Server
 				whole := rapid.Bool().Draw(t, "whole")
@@ -81,7 +81,7 @@
 					want[id] = policy.State(rapid.IntRange(int(policy.Deregistered), int(policy.Ready)).Draw(t, "state"))
 					servers = append(servers, server(id, want[id], 0))
 				}
-				l = o.Heard(list(whole, servers...))
+				l = o.Update(list(whole, servers...))
 			}
 			if l.Full {
 				clear(seen)
@@ -105,11 +105,11 @@
 // What left long ago is forgotten, so that ids that come and go without end don't fill the memory; what is listed or banned is not.
 func TestEverIsBounded(t *testing.T) {
 	o := NewOverlay()
-	o.Heard(list(true, server("stays", policy.Ready, 0)))
+	o.Update(list(true, server("stays", policy.Ready, 0)))
 	for i := range 2 * everMost {
 		o.remember(policy.ServerID(i))
 	}
-	if len(o.ever.ids) > everMost+1 || len(o.ever.order) > everMost+1 || !o.Ever("stays") {
-		t.Errorf("%d remembered, stays %v", len(o.ever.ids), o.Ever("stays"))
+	if len(o.ever.ids) > everMost+1 || len(o.ever.order) > everMost+1 || !o.WasListed("stays") {
+		t.Errorf("%d remembered, stays %v", len(o.ever.ids), o.WasListed("stays"))
 	}
 }
--- a/internal/daemon/cordonstore/cordonstore.go
+++ b/internal/daemon/cordonstore/cordonstore.go
@@ -26,10 +26,10 @@
 
 // What a call is told no for.
 var (
-	ErrNever = errors.New("no upstream of this id was ever listed") // a slip of the pen, that nobody would notice
-	errBusy  = errors.New("not taken up within 0.8 s, call again")
-	errMany  = fmt.Errorf("%d upstreams are out by hand already", most)
-	errID    = fmt.Errorf("an id has 1 to %d bytes, no white space and no control bytes", idMost)
+	ErrNeverListed = errors.New("no upstream of this id was ever listed") // a slip of the pen, that nobody would notice
+	errBusy        = errors.New("not taken up within 0.8 s, call again")
+	errMany        = fmt.Errorf("%d upstreams are out by hand already", most)
+	errID          = fmt.Errorf("an id has 1 to %d bytes, no white space and no control bytes", idMost)
 )
 
 // Engine takes lists up; neither waits.
@@ -40,8 +40,8 @@
 	ReplaceServers(l call.ServerList, taken func())
 }
 
-// Keeper has the bans of this process, over all of its lists.
-type Keeper struct {
+// Store has the bans of this process, over all of its lists.
+type Store struct {
 	log  *slog.Logger
 	file file
 
@@ -52,35 +52,35 @@
 }
 
 // New makes a keeper whose bans are kept in a folder; "": in this process alone. What stands there holds from the start.
-func New(dir string, log *slog.Logger) *Keeper {
-	k := &Keeper{log: log, file: file{dir}, lists: make(map[*List]struct{})}
+func New(dir string, log *slog.Logger) *Store {
+	k := &Store{log: log, file: file{dir}, lists: make(map[*List]struct{})}
 	k.look()
 	return k
 }
 
 // List is one engine's list, with the bans laid over it.
 type List struct {
-	k       *Keeper
+	k       *Store
 	engine  Engine
 	overlay *cordon.Overlay // under the keeper's lock
 	also    []string        // out by the fleet's policy, in order; under the keeper's lock
 }
 
-// Also takes what else is out, by the fleet's policy: it is no ban by hand, and no call ends it. It does not wait.
-func (l *List) Also(ids []string) {
+// SetPolicyBanned takes what else is out, by the fleet's policy: it is no ban by hand, and no call ends it. It does not wait.
+func (l *List) SetPolicyBanned(ids []string) {
 	l.k.mu.Lock()
 	defer l.k.mu.Unlock()
 	if !slices.Equal(l.also, ids) {
 		l.also = ids
-		l.engine.ReplaceServers(l.overlay.Set(l.out()), nil)
+		l.engine.ReplaceServers(l.overlay.SetBanned(l.out()), nil)
 	}
 }
 
-// Away takes which upstreams are out by the fleet's plans of work, whatever is said by hand. It does not wait.
-func (l *List) Away(ids []policy.ServerID) {
+// SetUnderMaintenance takes which upstreams are out by the fleet's plans of work, whatever is said by hand. It does not wait.
+func (l *List) SetUnderMaintenance(ids []policy.ServerID) {
 	l.k.mu.Lock()
 	defer l.k.mu.Unlock()
-	l.engine.ReplaceServers(l.overlay.SetAway(ids), nil)
+	l.engine.ReplaceServers(l.overlay.SetUnderMaintenance(ids), nil)
 }
 
 // Entries are the upstreams that are listed, plans of work left aside.
@@ -93,37 +93,37 @@
 // out is all that is out, by hand and by policy.
 func (l *List) out() []string { return slices.Concat(l.k.bans, l.also) }
 
-// List lays the bans over one more list; what is heard of it goes to Heard.
-func (k *Keeper) List(e Engine) *List {
+// NewList lays the bans over one more list; what is heard of it goes to Heard.
+func (k *Store) NewList(e Engine) *List {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	l := &List{k: k, engine: e, overlay: cordon.NewOverlay()}
-	l.overlay.Set(k.bans)
+	l.overlay.SetBanned(k.bans)
 	k.lists[l] = struct{}{}
 	return l
 }
 
-// Known takes the list that is known at the start and what was listed before, and returns the list as the engine is to have it.
-func (l *List) Known(known call.ServerList, ever []policy.ServerID) call.ServerList {
+// SetInitial takes the list that is known at the start and what was listed before, and returns the list as the engine is to have it.
+func (l *List) SetInitial(known call.ServerList, ever []policy.ServerID) call.ServerList {
 	l.k.mu.Lock()
 	defer l.k.mu.Unlock()
 	l.overlay.Remember(ever)
 	known.Full = true
-	return l.overlay.Heard(known)
+	return l.overlay.Update(known)
 }
 
-// Heard takes a list and hands it on.
-func (l *List) Heard(heard call.ServerList) {
+// Update takes a list and hands it on.
+func (l *List) Update(heard call.ServerList) {
 	l.k.mu.Lock()
 	defer l.k.mu.Unlock()
-	l.engine.UpdateServers(l.overlay.Heard(heard))
+	l.engine.UpdateServers(l.overlay.Update(heard))
 }
 
-// Whole is the list as it was heard last, bans left aside, and what was listed before.
-func (l *List) Whole() (listed call.ServerList, left []policy.ServerID) {
+// Listed is the list as it was heard last, bans left aside, and what was listed before.
+func (l *List) Listed() (listed call.ServerList, left []policy.ServerID) {
 	l.k.mu.Lock()
 	defer l.k.mu.Unlock()
-	return l.overlay.Whole(), l.overlay.Left()
+	return l.overlay.Listed(), l.overlay.Delisted()
 }
 
 // Counts are how many upstreams are listed, and how many of them are not ready or out by hand.
@@ -133,20 +133,20 @@
 	return l.overlay.Counts()
 }
 
-// Leave takes that the list is no longer followed.
-func (l *List) Leave() {
+// Close takes that the list is no longer followed.
+func (l *List) Close() {
 	l.k.mu.Lock()
 	defer l.k.mu.Unlock()
 	delete(l.k.lists, l)
 }
 
 // Cordon takes an upstream out, and returns once every engine sends it nothing new. A repeat is harmless.
-func (k *Keeper) Cordon(id string) error { return k.change(id, true) }
+func (k *Store) Cordon(id string) error { return k.change(id, true) }
 
 // Uncordon has an upstream used again. One call ends the ban, however often it was laid.
-func (k *Keeper) Uncordon(id string) error { return k.change(id, false) }
+func (k *Store) Uncordon(id string) error { return k.change(id, false) }
 
-func (k *Keeper) change(id string, ban bool) error {
+func (k *Store) change(id string, ban bool) error {
 	if !usable(id) {
 		return errID
 	}
@@ -156,7 +156,7 @@
 	k.mu.Lock()
 	if k.never(id) {
 		k.mu.Unlock()
-		return ErrNever
+		return ErrNeverListed
 	}
 	full := false
 	bans, err := k.file.change(k.bans, func(bans []string) []string {
@@ -195,12 +195,12 @@
 }
 
 // never says that no list has had an id. An id that is banned was listed to whoever banned it. The caller holds the lock.
-func (k *Keeper) never(id string) bool {
+func (k *Store) never(id string) bool {
 	if _, banned := slices.BinarySearch(k.bans, id); banned {
 		return false
 	}
 	for l := range k.lists {
-		if l.overlay.Ever(id) {
+		if l.overlay.WasListed(id) {
 			return false
 		}
 	}
@@ -208,13 +208,13 @@
 }
 
 // apply lays other bans over all lists; the channel is closed once all engines have taken that up. The caller holds the lock.
-func (k *Keeper) apply(bans []string) <-chan struct{} {
+func (k *Store) apply(bans []string) <-chan struct{} {
 	k.bans = bans
 	var all sync.WaitGroup
 	for l := range k.lists {
 		// Handed on without a change too: what an earlier call began may still wait to be taken up.
 		all.Add(1)
-		l.engine.ReplaceServers(l.overlay.Set(l.out()), all.Done)
+		l.engine.ReplaceServers(l.overlay.SetBanned(l.out()), all.Done)
 	}
 	done := make(chan struct{})
 	go func() {
@@ -225,7 +225,7 @@
 }
 
 // look reads the file where it has changed since it was last read.
-func (k *Keeper) look() {
+func (k *Store) look() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := k.file.stamp()
@@ -246,7 +246,7 @@
 }
 
 // Run looks at the file until ctx ends.
-func (k *Keeper) Run(ctx context.Context) {
+func (k *Store) Run(ctx context.Context) {
 	if k.file.dir == "" {
 		return
 	}
--- a/internal/daemon/cordonstore/cordonstore_test.go
+++ b/internal/daemon/cordonstore/cordonstore_test.go
@@ -40,11 +40,11 @@
 	}
 }
 
-func open(t *testing.T, dir string) (*Keeper, *engine) {
+func open(t *testing.T, dir string) (*Store, *engine) {
 	t.Helper()
 	k, e := New(dir, slog.Default()), &engine{last: make(chan policy.State, 100)}
-	l := k.List(e)
-	known := l.Known(call.ServerList{Servers: []policy.Server{{ID: call.ServerID("s-1"), State: policy.Ready, Weight: 1}}, Addresses: map[policy.ServerID]string{}}, nil)
+	l := k.NewList(e)
+	known := l.SetInitial(call.ServerList{Servers: []policy.Server{{ID: call.ServerID("s-1"), State: policy.Ready, Weight: 1}}, Addresses: map[policy.ServerID]string{}}, nil)
 	e.last <- known.Servers[0].State
 	return k, e
 }
@@ -86,7 +86,7 @@
 	if err := b.Uncordon("s-1"); err != nil {
 		t.Errorf("a second call back: %v", err)
 	}
-	if err := b.Cordon("s-2"); !errors.Is(err, ErrNever) {
+	if err := b.Cordon("s-2"); !errors.Is(err, ErrNeverListed) {
 		t.Errorf("an id never listed: %v", err)
 	}
 	if err := b.Cordon("s 1"); err == nil {
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -29,11 +29,11 @@
 	fleet     *config.Fleet  // nil: sidecars know nothing of each other
 }
 
-// Recorded has what the modules are handed and do written down. The caller closes w.
-func Recorded(w *record.Writer) Option { return func(o *options) { o.recording = w } }
+// WithRecording has what the modules are handed and do written down. The caller closes w.
+func WithRecording(w *record.Writer) Option { return func(o *options) { o.recording = w } }
 
-// InFleet has the daemon take part in a fleet, as the operator's file says.
-func InFleet(f *config.Fleet) Option { return func(o *options) { o.fleet = f } }
+// WithFleet has the daemon take part in a fleet, as the operator's file says.
+func WithFleet(f *config.Fleet) Option { return func(o *options) { o.fleet = f } }
 
 func optionsOf(all []Option) *options {
 	o := new(options)
@@ -81,7 +81,7 @@
 	}
 	s.attach(p, cfg, c)
 	f := fronthttp1.New(fronthttp1.Config{
-		Route: fronthttp1.RouteTo(p.target), ConnLimits: fronthttp1.NewConnLimits(cfg.ClientConns(), cfg.ApplicationConns()), MaxDeadline: cfg.Longest, Log: log,
+		Route: fronthttp1.RouteTo(p.target), ConnLimits: fronthttp1.NewConnLimits(cfg.ClientConns(), cfg.ApplicationConns()), MaxDeadline: cfg.MaxDeadline, Log: log,
 	}, c)
 	running, stop := context.WithCancel(context.Background())
 	defer stop()
@@ -126,13 +126,13 @@
 // assemble puts an engine together with the transport that it sends over and the list that it follows. Nothing runs yet.
 func assemble(name string, cfg *config.Config, c clock.Clock, conns int, log *slog.Logger, s *service, o *options) (*parts, error) {
 	p := &parts{name: name, conns: conns, transport: http1.New(http1.Config{
-		Clock: c, DialTimeout: cfg.DialTimeout, IdleTimeout: cfg.ConnIdle, MaxConns: conns, LoadFields: cfg.Reports, Columns: cfg.Columns,
+		Clock: c, DialTimeout: cfg.DialTimeout, IdleTimeout: cfg.ConnIdle, MaxConns: conns, LoadFields: cfg.LoadReportFields, Columns: cfg.LoadReportColumns,
 		OnRequestWritten: s.figures.Tried,
 	})}
 	decisions := cfg.Policy
 	decisions.Processes = s.parted
 	ended := s.know(&decisions)
-	limits := s.rule(func(out []string) { p.list.Also(out) }, func(ids []policy.ServerID) { p.list.Away(ids) }, func(open int) { p.target.SetMaxOpen(open) })
+	limits := s.rule(func(out []string) { p.list.SetPolicyBanned(out) }, func(ids []policy.ServerID) { p.list.SetUnderMaintenance(ids) }, func(open int) { p.target.SetMaxOpen(open) })
 	e, err := engine.New(engine.Config{
 		Policy: decisions, Seed: cfg.Seed, Clock: c, Transport: p.transport, Log: log, Watch: func() { p.follower.Trigger() },
 		Module: o.module(), AttemptEnded: ended, Limits: limits,
@@ -140,11 +140,11 @@
 	if err != nil {
 		return nil, err
 	}
-	p.engine, p.list = e, s.keeper.List(e)
-	known, ever := s.known(name, cfg.Known)
-	p.known = p.list.Known(known, ever)
+	p.engine, p.list = e, s.keeper.NewList(e)
+	known, ever := s.known(name, cfg.KnownServers)
+	p.known = p.list.SetInitial(known, ever)
 	p.target = &fronthttp1.Target{
-		Engine: e, Classes: cfg.Classes, ClassOf: cfg.Policy.Classes, Tenants: cfg.Tenants, MaxOpen: cfg.MostOpen, MaxBodyBytes: cfg.BodyBytes(),
+		Engine: e, Classes: cfg.Classes, ClassOf: cfg.Policy.Classes, Tenants: cfg.Tenants, MaxOpen: cfg.MaxOpenRequests, MaxBodyBytes: cfg.MaxBodyBytes(),
 		Metrics: s.figures.Classes(cfg.Classes),
 	}
 	p.leave = s.enter(p)
@@ -153,7 +153,7 @@
 		OnUpdate: func(l call.ServerList) {
 			log.Info("list", "version", l.Version, "whole", l.Full, "entries", len(l.Servers))
 			p.current.Store(true)
-			p.list.Heard(l)
+			p.list.Update(l)
 		},
 		OnError: func(err error) {
 			p.current.Store(false)
--- a/internal/daemon/handover/golden_test.go
+++ b/internal/daemon/handover/golden_test.go
@@ -22,7 +22,7 @@
 				},
 				{Server: policy.Server{ID: 2, Zone: -1, State: policy.Draining, Weight: 2}, Address: "127.0.0.1:2"},
 			},
-			Ever: []policy.ServerID{1 << 63, 9},
+			Delisted: []policy.ServerID{1 << 63, 9},
 		},
 		"meters": {Version: 8},
 	}}
--- a/internal/daemon/handover/handover_test.go
+++ b/internal/daemon/handover/handover_test.go
@@ -19,28 +19,28 @@
 
 func TestMachine(t *testing.T) {
 	m := &Machine{}
-	step := func(s Seen, want Do) {
+	step := func(s Observation, want Action) {
 		t.Helper()
-		if got := m.Look(s); got != want {
+		if got := m.Decide(s); got != want {
 			t.Errorf("%+v: %+v, want %+v", s, got, want)
 		}
 	}
-	step(Seen{Seat: true, Newcomer: true, Arrival: "x"}, Do{Parts: 2}) // it does not serve yet: nothing to tell
+	step(Observation{HasSeat: true, Newcomer: true, LatestArrival: "x"}, Action{ProcessCount: 2}) // it does not serve yet: nothing to tell
 	m.Serving()
-	step(Seen{Seat: true}, Do{Parts: 1})
-	step(Seen{Seat: true, Newcomer: true, Arrival: "a"}, Do{Parts: 2, Tell: "a"})
-	step(Seen{Seat: true, Newcomer: true, Arrival: "a"}, Do{Parts: 2})            // told once
-	step(Seen{Seat: true, Arrival: "a"}, Do{Parts: 1})                            // the newcomer died
-	step(Seen{Seat: true, Newcomer: true, Arrival: "b"}, Do{Parts: 2, Tell: "b"}) // the next one
+	step(Observation{HasSeat: true}, Action{ProcessCount: 1})
+	step(Observation{HasSeat: true, Newcomer: true, LatestArrival: "a"}, Action{ProcessCount: 2, WriteRecordFor: "a"})
+	step(Observation{HasSeat: true, Newcomer: true, LatestArrival: "a"}, Action{ProcessCount: 2})                      // told once
+	step(Observation{HasSeat: true, LatestArrival: "a"}, Action{ProcessCount: 1})                                      // the newcomer died
+	step(Observation{HasSeat: true, Newcomer: true, LatestArrival: "b"}, Action{ProcessCount: 2, WriteRecordFor: "b"}) // the next one
 	m.Leaving()
-	step(Seen{Seat: true, Newcomer: true, Arrival: "c"}, Do{Parts: 2}) // the one that stays tells
-	step(Seen{Seat: true, Newcomer: true, Few: true}, Do{Parts: LeavingPart, Leave: true})
-	step(Seen{}, Do{Parts: LeavingPart, Leave: true}) // for good
-	m = &Machine{Mark: "b"}
+	step(Observation{HasSeat: true, Newcomer: true, LatestArrival: "c"}, Action{ProcessCount: 2}) // the one that stays tells
+	step(Observation{HasSeat: true, Newcomer: true, HoldsFewConns: true}, Action{ProcessCount: LeavingDivisor, ReleaseSeat: true})
+	step(Observation{}, Action{ProcessCount: LeavingDivisor, ReleaseSeat: true}) // for good
+	m = &Machine{ID: "b"}
 	m.Serving()
-	step(Seen{Arrival: "b"}, Do{Parts: 2})            // the older lives, and this is its own mark
-	step(Seen{Arrival: "c"}, Do{Parts: 2, Tell: "c"}) // one more comes before the older is gone
-	step(Seen{Seat: true, Arrival: "c"}, Do{Parts: 1})
+	step(Observation{LatestArrival: "b"}, Action{ProcessCount: 2})                      // the older lives, and this is its own mark
+	step(Observation{LatestArrival: "c"}, Action{ProcessCount: 2, WriteRecordFor: "c"}) // one more comes before the older is gone
+	step(Observation{HasSeat: true, LatestArrival: "c"}, Action{ProcessCount: 1})
 }
 
 func open(t *testing.T, dir string) *Seat {
@@ -59,26 +59,26 @@
 	old := open(t, dir)
 	for range 3 {
 		dead := open(t, dir)
-		if seen := old.Look(); !seen.Seat || !seen.Newcomer || seen.Arrival != dead.Mark() {
-			t.Fatalf("the old one sees %+v, the newcomer is %s", seen, dead.Mark())
+		if seen := old.Observe(); !seen.HasSeat || !seen.Newcomer || seen.LatestArrival != dead.ID() {
+			t.Fatalf("the old one sees %+v, the newcomer is %s", seen, dead.ID())
 		}
 		dead.Close() // killed before its yes
-		if seen := old.Look(); seen.Newcomer {
+		if seen := old.Observe(); seen.Newcomer {
 			t.Fatal("a dead newcomer is seen")
 		}
 		young := open(t, dir)
-		if seen := young.Look(); seen.Seat {
+		if seen := young.Observe(); seen.HasSeat {
 			t.Fatal("two have the seat")
 		}
-		r := &Record{Pools: map[string]Pool{"": {Version: 7, Ever: []policy.ServerID{1 << 63}}}}
-		if err := old.Tell(old.Look().Arrival, r); err != nil {
+		r := &Record{Pools: map[string]Pool{"": {Version: 7, Delisted: []policy.ServerID{1 << 63}}}}
+		if err := old.WriteRecord(old.Observe().LatestArrival, r); err != nil {
 			t.Fatal(err)
 		}
-		if got, err := young.Await(testbed.Generous); err != nil || got.Pools[""].Version != 7 || got.Pools[""].Ever[0] != 1<<63 {
+		if got, err := young.AwaitRecord(testbed.Generous); err != nil || got.Pools[""].Version != 7 || got.Pools[""].Delisted[0] != 1<<63 {
 			t.Fatalf("%+v, %v", got, err)
 		}
 		old.Close()
-		if seen := young.Look(); !seen.Seat || seen.Newcomer {
+		if seen := young.Observe(); !seen.HasSeat || seen.Newcomer {
 			t.Fatalf("the old one is gone, the newcomer sees %+v", seen)
 		}
 		old = young
@@ -89,7 +89,7 @@
 	l := call.ServerList{Version: 3, Full: true, Servers: []policy.Server{
 		{ID: 1<<64 - 1, State: policy.Ready, Weight: 1, Started: time.Duration(1<<62 + 1)}, {ID: 2, State: policy.Draining, Weight: 2, Zone: -1},
 	}, Addresses: map[policy.ServerID]string{1<<64 - 1: "127.0.0.1:1", 2: "127.0.0.1:2"}}
-	raw, err := (&Record{Pools: map[string]Pool{"": PoolOf(l, nil)}}).encode("m")
+	raw, err := (&Record{Pools: map[string]Pool{"": NewPool(l, nil)}}).encode("m")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -97,7 +97,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got := r.Pools[""].Listing(); got.Version != 3 || len(got.Servers) != 2 || got.Servers[0] != l.Servers[0] || got.Servers[1] != l.Servers[1] || got.Addresses[2] != "127.0.0.1:2" {
+	if got := r.Pools[""].ServerList(); got.Version != 3 || len(got.Servers) != 2 || got.Servers[0] != l.Servers[0] || got.Servers[1] != l.Servers[1] || got.Addresses[2] != "127.0.0.1:2" {
 		t.Errorf("%+v", got)
 	}
 	for n := range raw {
@@ -115,25 +115,25 @@
 	dir := t.TempDir()
 	open(t, dir)
 	young := open(t, dir)
-	if _, err := young.Await(20 * time.Millisecond); err != ErrNoRecord {
+	if _, err := young.AwaitRecord(20 * time.Millisecond); err != ErrNoRecord {
 		t.Errorf("missing: %v", err)
 	}
 	if err := os.WriteFile(filepath.Join(dir, recordName), raw, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := young.Await(20 * time.Millisecond); err != ErrNoRecord {
+	if _, err := young.AwaitRecord(20 * time.Millisecond); err != ErrNoRecord {
 		t.Errorf("another's: %v", err)
 	}
 	if err := os.WriteFile(filepath.Join(dir, recordName), raw[:len(raw)/2], 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := young.Await(testbed.Generous); err == nil || err == ErrNoRecord {
+	if _, err := young.AwaitRecord(testbed.Generous); err == nil || err == ErrNoRecord {
 		t.Errorf("cut: %v", err)
 	}
 	if err := os.WriteFile(filepath.Join(dir, recordName), make([]byte, recordMost+1), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := young.Await(testbed.Generous); !errors.Is(err, errDamaged) {
+	if _, err := young.AwaitRecord(testbed.Generous); !errors.Is(err, errDamaged) {
 		t.Errorf("too long: %v", err)
 	}
 }
--- a/internal/daemon/handover/record.go
+++ b/internal/daemon/handover/record.go
@@ -29,9 +29,9 @@
 
 // Pool is what it knows of one list.
 type Pool struct {
-	Version int64             `json:"version"`
-	Servers []Server          `json:"servers"`
-	Ever    []policy.ServerID `json:"ever"` // were listed, and are not any more
+	Version  int64             `json:"version"`
+	Servers  []Server          `json:"servers"`
+	Delisted []policy.ServerID `json:"ever"` // were listed, and are not any more
 }
 
 // Server is one line of the list.
@@ -41,17 +41,17 @@
 	Name    string `json:"name,omitempty"`
 }
 
-// PoolOf puts a whole list in a record's form.
-func PoolOf(l call.ServerList, ever []policy.ServerID) Pool {
-	p := Pool{Version: l.Version, Ever: ever}
+// NewPool puts a whole list in a record's form.
+func NewPool(l call.ServerList, ever []policy.ServerID) Pool {
+	p := Pool{Version: l.Version, Delisted: ever}
 	for _, s := range l.Servers {
 		p.Servers = append(p.Servers, Server{s, l.Addresses[s.ID], l.Names[s.ID]})
 	}
 	return p
 }
 
-// Listing is the list that a pool's record holds.
-func (p Pool) Listing() call.ServerList {
+// ServerList is the list that a pool's record holds.
+func (p Pool) ServerList() call.ServerList {
 	l := call.ServerList{Version: p.Version, Full: true, Addresses: make(map[policy.ServerID]string, len(p.Servers)), Names: make(map[policy.ServerID]string, len(p.Servers))}
 	for _, s := range p.Servers {
 		l.Servers = append(l.Servers, s.Server)
--- a/internal/daemon/handover/seat.go
+++ b/internal/daemon/handover/seat.go
@@ -74,13 +74,13 @@
 	}
 }
 
-// Mark is the newcomer's mark; "": this process came first.
-func (s *Seat) Mark() string { return s.mark }
+// ID is the newcomer's mark; "": this process came first.
+func (s *Seat) ID() string { return s.mark }
 
-// Look sees who lives. Where the older process is gone it takes the seat.
-func (s *Seat) Look() Seen {
+// Observe sees who lives. Where the older process is gone it takes the seat.
+func (s *Seat) Observe() Observation {
 	if s.left {
-		return Seen{}
+		return Observation{}
 	}
 	if !s.held {
 		if s.held, _ = lock(s.seat); s.held && s.yours { // its place is the next newcomer's
@@ -88,7 +88,7 @@
 			s.yours = false
 		}
 	}
-	seen := Seen{Seat: s.held, Arrival: s.arrival()}
+	seen := Observation{HasSeat: s.held, LatestArrival: s.arrival()}
 	if !s.yours {
 		if free, err := lock(s.young); err == nil && !free {
 			seen.Newcomer = true
@@ -107,8 +107,8 @@
 	return string(raw)
 }
 
-// Tell writes the record for a newcomer.
-func (s *Seat) Tell(mark string, r *Record) error {
+// WriteRecord writes the record for a newcomer.
+func (s *Seat) WriteRecord(mark string, r *Record) error {
 	raw, err := r.encode(mark)
 	if err != nil {
 		return err
@@ -119,8 +119,8 @@
 // ErrNoRecord is why a newcomer starts without a record.
 var ErrNoRecord = errors.New("no record came in time")
 
-// Await waits for the record that the older process writes under this one's mark, for so long at most. Where that process is gone there is nothing to wait for.
-func (s *Seat) Await(within time.Duration) (*Record, error) {
+// AwaitRecord waits for the record that the older process writes under this one's mark, for so long at most. Where that process is gone there is nothing to wait for.
+func (s *Seat) AwaitRecord(within time.Duration) (*Record, error) {
 	for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(awaitEvery) {
 		r, err := s.record()
 		if err == nil {
@@ -147,8 +147,8 @@
 
 const awaitEvery = 5 * time.Millisecond
 
-// Leave gives the place up for good; a second call changes nothing.
-func (s *Seat) Leave() {
+// Release gives the place up for good; a second call changes nothing.
+func (s *Seat) Release() {
 	if !s.left {
 		s.left = true
 		s.Close()
--- a/internal/daemon/pools.go
+++ b/internal/daemon/pools.go
@@ -47,9 +47,9 @@
 	}
 	defer d.service.close()
 	defer d.end()
-	longest := cfg.Longest
+	longest := cfg.MaxDeadline
 	for _, p := range pools.List {
-		longest = max(longest, p.Config.Longest)
+		longest = max(longest, p.Config.MaxDeadline)
 	}
 	d.front = fronthttp1.New(fronthttp1.Config{Route: d.route, ConnLimits: fronthttp1.NewConnLimits(cfg.ClientConns(), cfg.ApplicationConns()), MaxDeadline: longest, Log: d.log}, d.clock)
 	if err := d.take(pools); err != nil {
@@ -121,8 +121,8 @@
 	}
 	// Parts by weight. What is held is divided anew with each table: what older requests hold then counts in the
 	// spaces that they took it from, and in the new ones not, for one deadline at most.
-	calls := share.NewCapacity(int64(max(1, d.cfg.MostOpen)), weights)
-	bodies := share.NewCapacity(d.cfg.BodyBytes(), weights)
+	calls := share.NewCapacity(int64(max(1, d.cfg.MaxOpenRequests)), weights)
+	bodies := share.NewCapacity(d.cfg.MaxBodyBytes(), weights)
 	// A part of the connections is left for those that have said nothing yet: nobody knows whose they are.
 	clients := share.NewCapacity(int64(max(len(weights), d.cfg.ClientConns()*3/4)), weights)
 	var fresh []*livePool
@@ -132,7 +132,7 @@
 			return d.giveUp(fresh, fmt.Errorf("pools.%s: its part of %d connections to nodes is none: limits.sockets is too small, or there are too many pools", p.Name, d.cfg.UpstreamConns()))
 		}
 		var r *livePool
-		if before != nil && before.pools[p.Name] != nil && before.pools[p.Name].pool.Same(p) {
+		if before != nil && before.pools[p.Name] != nil && before.pools[p.Name].pool.EqualExceptWeight(p) {
 			r = before.pools[p.Name]
 			d.service.resize(r.parts, conns)
 		} else {
@@ -143,12 +143,12 @@
 			fresh = append(fresh, r)
 		}
 		r.target.SetSharedLimits(nil)
-		if pools.Walls {
-			r.target.SetSharedLimits(&walls{d.clock, clients, calls, bodies, i, d.cfg.MostOpen > 0})
+		if pools.Bulkheads {
+			r.target.SetSharedLimits(&walls{d.clock, clients, calls, bodies, i, d.cfg.MaxOpenRequests > 0})
 		}
 		next.pools[p.Name] = r
 	}
-	if pools.Walls {
+	if pools.Bulkheads {
 		targets := make([]*fronthttp1.Target, len(pools.List))
 		for i, p := range pools.List {
 			targets[i] = next.pools[p.Name].target
@@ -199,7 +199,7 @@
 // drain lets a pool finish what was sent to it before the table changed.
 func (d *poolsDaemon) drain(r *livePool) {
 	d.log.Info("pool leaves", "pool", r.pool.Name, "held", r.target.OpenRequests())
-	end := time.Now().Add(drainMargin + r.pool.Config.Longest)
+	end := time.Now().Add(drainMargin + r.pool.Config.MaxDeadline)
 	time.Sleep(drainMargin)
 	for r.target.OpenRequests() > 0 && time.Now().Before(end) {
 		time.Sleep(10 * time.Millisecond)
--- a/internal/daemon/replace.go
+++ b/internal/daemon/replace.go
@@ -36,13 +36,13 @@
 
 // takePlace waits for the record of the process before, if there is one.
 func (s *service) takePlace() {
-	s.machine.Mark = s.seat.Mark()
-	if s.machine.Mark == "" {
+	s.machine.ID = s.seat.ID()
+	if s.machine.ID == "" {
 		return
 	}
 	s.divided.Store(2)
 	var err error
-	if s.record, err = s.seat.Await(recordIn); err != nil {
+	if s.record, err = s.seat.AwaitRecord(recordIn); err != nil {
 		s.log.Warn("another process serves, this one starts without what that one knows", "error", err)
 		return
 	}
@@ -76,9 +76,9 @@
 	}
 	told, ok := s.record.Pools[pool]
 	if !ok || len(told.Servers) == 0 || told.Version < known.Version {
-		return known, told.Ever
+		return known, told.Delisted
 	}
-	return told.Listing(), told.Ever
+	return told.ServerList(), told.Delisted
 }
 
 // watch looks for processes that come and go, until ctx ends.
@@ -91,38 +91,38 @@
 
 // look does what is to be done by who lives now: this process shrinks before a newcomer is told that it may take its part.
 func (s *service) look() {
-	seen := s.seat.Look()
+	seen := s.seat.Observe()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	seen.Few = s.few()
-	do := s.machine.Look(seen)
-	if before := s.parted(); do.Parts != before {
-		s.log.Info("processes of this sidecar", "now", do.Parts, "before", before)
-		s.divided.Store(int32(do.Parts))
+	seen.HoldsFewConns = s.few()
+	do := s.machine.Decide(seen)
+	if before := s.parted(); do.ProcessCount != before {
+		s.log.Info("processes of this sidecar", "now", do.ProcessCount, "before", before)
+		s.divided.Store(int32(do.ProcessCount))
 		s.share()
 	}
-	if do.Leave { // behind the shrinking
-		s.seat.Leave()
+	if do.ReleaseSeat { // behind the shrinking
+		s.seat.Release()
 	}
-	if do.Tell == "" {
+	if do.WriteRecordFor == "" {
 		return
 	}
 	r := &handover.Record{Pools: make(map[string]handover.Pool)}
 	for p := range s.parts {
-		r.Pools[p.name] = handover.PoolOf(p.list.Whole())
+		r.Pools[p.name] = handover.NewPool(p.list.Listed())
 	}
-	if err := s.seat.Tell(do.Tell, r); err != nil {
+	if err := s.seat.WriteRecord(do.WriteRecordFor, r); err != nil {
 		s.log.Error("the next process can't be told what this one knows", "error", err)
 	}
 }
 
 // few says whether this process holds no more than what one that leaves may hold. The caller holds the lock.
 func (s *service) few() bool {
-	if s.front == nil || s.front.Counters().Open > s.most/handover.LeavingPart {
+	if s.front == nil || s.front.Counters().Open > s.most/handover.LeavingDivisor {
 		return false
 	}
 	for p := range s.parts {
-		if p.transport.Busy() > max(1, p.conns/handover.LeavingPart) {
+		if p.transport.Busy() > max(1, p.conns/handover.LeavingDivisor) {
 			return false
 		}
 	}
--- a/internal/daemon/service.go
+++ b/internal/daemon/service.go
@@ -28,7 +28,7 @@
 type service struct {
 	log     *slog.Logger
 	figures *metrics.Set
-	keeper  *cordonstore.Keeper
+	keeper  *cordonstore.Store
 	control net.Listener     // nil: operators call nowhere
 	callers int              // at once
 	memory  int64            // bytes that the heap may have; 0: no limit is known
@@ -50,7 +50,7 @@
 // newService listens where operators call. Their calls are answered once serve is called.
 func newService(cfg *config.Config, log *slog.Logger, o *options) (*service, error) {
 	s := &service{
-		log: log, figures: new(metrics.Set), parts: make(map[*parts]bool), callers: control.CallersFor(cfg.Sockets),
+		log: log, figures: new(metrics.Set), parts: make(map[*parts]bool), callers: control.MaxCallers(cfg.Sockets),
 		most:   cfg.ClientConns(),
 		memory: int64(cfg.MemoryMB) << 20 / 2, // well under what the process is killed at
 	}
@@ -102,7 +102,7 @@
 		defer s.mu.Unlock()
 		delete(s.parts, p)
 		unfollow()
-		p.list.Leave()
+		p.list.Close()
 	}
 }
 
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -65,7 +65,7 @@
 func New(cfg *config.Config, file *config.Fleet, log *slog.Logger) (*Fleet, error) {
 	f := &Fleet{cfg: cfg, file: file, log: log, now: clock.SinceBoot}
 	switch {
-	case !cfg.MayPeer:
+	case !cfg.PeersAllowed:
 		return nil, errors.New("settings.caps.peers: sidecars may not send one another anything here, so there can be no -fleet")
 	case cfg.PeerListen == "":
 		return nil, errors.New("peer_listen is missing")
@@ -80,7 +80,7 @@
 	if len(f.peers) < cfg.Policy.Balancers {
 		return nil, fmt.Errorf("peers: %d addresses, settings.balancers is %d: each sidecar needs one", len(f.peers), cfg.Policy.Balancers)
 	}
-	share := file.Share(len(f.peers))
+	share := file.BytesPerSidecar(len(f.peers))
 	contact := share // what the members' own messages may come to
 	if file.Policy != nil {
 		contact = share / 2
@@ -88,7 +88,7 @@
 	// Later starts have higher lives, and two within a millisecond differ by the seed.
 	f.life = uint64(time.Now().UnixMilli())<<16 | cfg.Seed&0xffff
 	f.node, err = swim.New(swim.Config{
-		Size: len(f.peers), Self: cfg.Policy.Index, Incarnation: f.life, Lease: file.Lease, MaxClockError: file.Rate, BytesPerSecond: contact,
+		Size: len(f.peers), Self: cfg.Policy.Index, Incarnation: f.life, Lease: file.Lease, MaxClockError: file.ClockError, BytesPerSecond: contact,
 		Rand: rand.New(rand.NewPCG(cfg.Seed, 1)), Host: host{f},
 	})
 	if err != nil {
@@ -112,7 +112,7 @@
 func (f *Fleet) Run(ctx context.Context) {
 	for waited := false; ; {
 		link, err := peer.Open(peer.Config{
-			Listen: f.cfg.PeerListen, Peers: f.peers, Self: f.cfg.Policy.Index, Fleet: f.file.Name, Incarnation: f.life, BytesPerSecond: f.file.Share(len(f.peers)), Now: f.now,
+			Listen: f.cfg.PeerListen, Peers: f.peers, Self: f.cfg.Policy.Index, Fleet: f.file.Name, Incarnation: f.life, BytesPerSecond: f.file.BytesPerSidecar(len(f.peers)), Now: f.now,
 		})
 		if err == nil {
 			f.serve(ctx, link)
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -17,7 +17,7 @@
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 func settings(self, balancers int, peers ...string) *config.Config {
-	return &config.Config{MayPeer: true, PeerListen: "127.0.0.1:0", Peers: peers, Policy: policy.Config{Index: self, Balancers: balancers}, Seed: uint64(7 + self)}
+	return &config.Config{PeersAllowed: true, PeerListen: "127.0.0.1:0", Peers: peers, Policy: policy.Config{Index: self, Balancers: balancers}, Seed: uint64(7 + self)}
 }
 
 func quiet() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
@@ -25,14 +25,14 @@
 func TestUnusable(t *testing.T) {
 	file := &config.Fleet{Path: "fleet.toml", Name: "hives"}
 	for says, edit := range map[string]func(c *config.Config, f *config.Fleet){
-		"settings.caps.peers":    func(c *config.Config, _ *config.Fleet) { c.MayPeer = false },
+		"settings.caps.peers":    func(c *config.Config, _ *config.Fleet) { c.PeersAllowed = false },
 		"peer_listen is missing": func(c *config.Config, _ *config.Fleet) { c.PeerListen = "" },
 		"peer_listen":            func(c *config.Config, _ *config.Fleet) { c.PeerListen = "here:1" },
 		"settings.me":            func(c *config.Config, _ *config.Fleet) { c.Policy.Index = 3 },
 		"settings.balancers":     func(c *config.Config, _ *config.Fleet) { c.Policy.Balancers = 4 },
 		"peers[1]":               func(c *config.Config, _ *config.Fleet) { c.Peers[1] = c.Peers[0] },
-		"fleet_bytes_per_second": func(_ *config.Config, f *config.Fleet) { f.Bytes = 600 },
-		"clock_error":            func(_ *config.Config, f *config.Fleet) { f.Rate = 0.5 },
+		"fleet_bytes_per_second": func(_ *config.Config, f *config.Fleet) { f.BytesPerSecond = 600 },
+		"clock_error":            func(_ *config.Config, f *config.Fleet) { f.ClockError = 0.5 },
 	} {
 		c, f := settings(0, 3, "127.0.0.1:1", "127.0.0.2:1", "127.0.0.3:1"), *file
 		edit(c, &f)
--- a/internal/fleet/policy.go
+++ b/internal/fleet/policy.go
@@ -62,7 +62,7 @@
 
 func newPolicy(f *Fleet) (*Policy, error) {
 	p := &Policy{f: f, settings: settingsOf(f.cfg), span: f.cfg.Policy.Budget.Span, outcomes: map[string]uint64{"taken": 0, "called off": 0, "refused": 0}}
-	l, err := p.resolve(f.file.Policy.CutOff)
+	l, err := p.resolve(f.file.Policy.FallbackPolicy)
 	if err != nil {
 		return nil, fmt.Errorf("cut_off: %w", err)
 	}
@@ -74,10 +74,10 @@
 	p.until.Store(math.MaxInt64)
 	p.out.Store(new([]uint64))
 	p.cfg = replicatedstate.Config{
-		Size: len(f.peers), ProcessIncarnation: f.life, Lease: cmp.Or(f.file.Lease, swim.LeaseFor(len(f.peers))), MaxClockError: cmp.Or(f.file.Rate, swim.DefaultClockError),
+		Size: len(f.peers), ProcessIncarnation: f.life, Lease: cmp.Or(f.file.Lease, swim.LeaseFor(len(f.peers))), MaxClockError: cmp.Or(f.file.ClockError, swim.DefaultClockError),
 		Rand: rand.New(rand.NewPCG(f.cfg.Seed, 3)), Host: policyHost{p}, Check: p.check,
 	}
-	if dir := f.file.Policy.State; dir != "" {
+	if dir := f.file.Policy.StateDir; dir != "" {
 		if err := state.CheckWritable(dir); err != nil {
 			return nil, fmt.Errorf("state: %w", err)
 		}
@@ -99,13 +99,13 @@
 		}
 		s.Limits.Share, s.Limits.Quota = append(s.Limits.Share, t.Share/sum), append(s.Limits.Quota, quota)
 	}
-	s.Limits.Attempts, s.Limits.Open, s.Limits.Queue = cfg.Policy.MaxAttempts, cfg.MostOpen, unbounded
+	s.Limits.Attempts, s.Limits.Open, s.Limits.Queue = cfg.Policy.MaxAttempts, cfg.MaxOpenRequests, unbounded
 	if s.Limits.Open == 0 {
 		s.Limits.Open = unbounded
 	}
 	s.Limits.RetryFree, s.Limits.RetryShare = cfg.Policy.Budget.Free, cfg.Policy.Budget.Share
 	// What the platform allows a sidecar is no policy's to raise.
-	s.Max.Attempts, s.Max.Open = cfg.Policy.MaxAttempts, cfg.MostOpen
+	s.Max.Attempts, s.Max.Open = cfg.Policy.MaxAttempts, cfg.MaxOpenRequests
 	return s
 }
 
@@ -161,7 +161,7 @@
 	cfg := p.cfg
 	cfg.Self = raftlog.Voter{Number: p.f.cfg.Policy.Index, Incarnation: p.f.life}
 	saved, texts := new(raftlog.SavedState), [][]byte(nil)
-	if dir := p.f.file.Policy.State; dir != "" {
+	if dir := p.f.file.Policy.StateDir; dir != "" {
 		var err error
 		if p.store, err = openState(dir, p.f.file.Name, cfg.Self); err != nil {
 			return err
--- a/internal/fleet/policy_test.go
+++ b/internal/fleet/policy_test.go
@@ -19,14 +19,14 @@
 	t.Helper()
 	c := settings(0, 1, testbed.FreeAddress(t))
 	c.PeerListen = c.Peers[0]
-	c.MostOpen, c.Policy.MaxAttempts = 100, 3
+	c.MaxOpenRequests, c.Policy.MaxAttempts = 100, 3
 	c.Tenants = map[string]int{"north": 0, "south": 1}
 	c.Policy.Tenants = []policy.Tenant{{Share: 3}, {Share: 1}}
 	c.Policy.Budget = policy.RetryBudget{Span: time.Second, Free: 5, Share: 0.1}
 	if edit != nil {
 		edit(c)
 	}
-	return New(c, &config.Fleet{Path: "fleet.toml", Name: "hives", Policy: &config.FleetPolicy{CutOff: []byte(cutOff)}}, quiet())
+	return New(c, &config.Fleet{Path: "fleet.toml", Name: "hives", Policy: &config.FleetPolicy{FallbackPolicy: []byte(cutOff)}}, quiet())
 }
 
 func TestCutOffIsChecked(t *testing.T) {
--- a/internal/fleet/work.go
+++ b/internal/fleet/work.go
@@ -41,7 +41,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.work.site, p.work.begun = site, p.f.now()
-	p.cfg.Work, p.cfg.Deadline = policyWork{p}, p.f.cfg.Longest+overrun
+	p.cfg.Work, p.cfg.Deadline = policyWork{p}, p.f.cfg.MaxDeadline+overrun
 }
 
 // overrun is what a request may take beyond its deadline till its end is known here.
--- a/internal/proxy/engine/engine_test.go
+++ b/internal/proxy/engine/engine_test.go
@@ -33,7 +33,7 @@
 	}
 	e.now = c.Now()
 	e.module.Start(e.now)
-	e.applyList(cfg.Known, policy.ListCached)
+	e.applyList(cfg.KnownServers, policy.ListCached)
 	return e
 }
 
--- a/plugin/config.go
+++ b/plugin/config.go
@@ -118,18 +118,18 @@
 		Name: f.Name, Seed: f.Seed, Discovery: f.Discovery, Policy: f.Policy,
 		Classes: byNumber(f.Classes), Tenants: byNumber(f.Tenants), Zones: byNumber(f.Zones),
 		Methods: make(map[string]Method), LoadReport: make(map[string]policy.LoadFields),
-		MaxConnections: f.UpstreamConns(), MaxCalls: f.MostOpen,
-		DialTimeout: f.DialTimeout, ConnIdle: f.ConnIdle, known: f.Known,
+		MaxConnections: f.UpstreamConns(), MaxCalls: f.MaxOpenRequests,
+		DialTimeout: f.DialTimeout, ConnIdle: f.ConnIdle, known: f.KnownServers,
 	}
-	if b := f.BodyBytes(); b < math.MaxInt64 {
+	if b := f.MaxBodyBytes(); b < math.MaxInt64 {
 		c.MaxBodyBytes = b
 	}
 	for name, m := range f.Methods {
 		c.Methods[name] = Method(m)
 	}
-	for i, name := range f.Reports {
-		if name != "" && i < len(f.Columns) {
-			c.LoadReport[name] = f.Columns[i]
+	for i, name := range f.LoadReportFields {
+		if name != "" && i < len(f.LoadReportColumns) {
+			c.LoadReport[name] = f.LoadReportColumns[i]
 		}
 	}
 	return c
