--- a/internal/mesh/errs/errs.go
+++ b/internal/mesh/errs/errs.go
@@ -15,8 +15,10 @@
 	err  error
 }
 
+// Error returns the message, without the kind.
 func (e *kindError) Error() string { return e.err.Error() }
 
+// Unwrap returns the error that carries the message and its cause.
 func (e *kindError) Unwrap() error { return e.err }
 
 // New makes an error of the kind, with a message formatted as by fmt.Sprintf.
--- a/internal/mesh/gate/attempt_log_test.go
+++ b/internal/mesh/gate/attempt_log_test.go
@@ -53,7 +53,7 @@
 		So(h.requestWithTerms(6, onceTerms("a", 7, 7), remaining), ShouldResemble, []string{"send 6 to 2 for 0s"})
 		So(h.requestWithTerms(7, onceTerms("a", 7, 6), remaining), ShouldResemble, []string{"fail 7"})
 	})
-	Convey("A request whose caller remaining while it was queued may be sent again", t, func() {
+	Convey("A request whose caller left while it was queued may be sent again", t, func() {
 		h := newHarness(1)
 		h.requestWithTerms(1, onceTerms("a", 7, 1), remaining)
 		h.requestWithTerms(2, onceTerms("b", 7, 2), remaining)
--- a/internal/mesh/headers/headers.go
+++ b/internal/mesh/headers/headers.go
@@ -32,7 +32,7 @@
 	Instance    = "X-Caperarch-Instance-Id"
 	Key         = "X-Api-Key"
 
-	// Between sidecars only: neither clients nor upstreams see them.
+	// Fields between sidecars only: neither clients nor upstreams see them.
 	attemptTermsField = "X-Mesh-Visit"   // priority, milliseconds of the latency target, 1 if idempotent
 	SendIDField       = "X-Mesh-Send"    // a SendID
 	gateLoadField     = "X-Mesh-Load"    // running, waiting, slots at the gate
--- a/internal/mesh/quota/tenant_bucket.go
+++ b/internal/mesh/quota/tenant_bucket.go
@@ -85,7 +85,7 @@
 	return sum
 }
 
-// spend takes one token, first of those that expire first and last of the floor.
+// spend removes one token: of those that expire first, and of the floor last.
 func (t *tenantBucket) spend() {
 	remaining, spent := 1.0, 0
 	for spent < len(t.grants) && t.grants[spent].tokens <= remaining {
--- a/internal/mesh/registry/changes_test.go
+++ b/internal/mesh/registry/changes_test.go
@@ -14,20 +14,20 @@
 	keep   func(service string) bool // nil: all services
 	epoch  Epoch
 	number ChangeNumber
-	held   map[string]Upstream
+	known  map[string]Upstream
 }
 
-// read takes what changed since the last time, and gives whether it was the full state.
+// read applies what changed since the last time, and reports whether it was the full state.
 func (r *reader) read(table *Table, now time.Duration) (full bool) {
 	changes := table.Since(now, r.epoch, r.number, r.keep)
 	if changes.Full {
-		r.held = map[string]Upstream{}
+		r.known = map[string]Upstream{}
 	}
 	for _, u := range changes.Upserts {
-		r.held[u.Instance] = u
+		r.known[u.Instance] = u
 	}
 	for _, removal := range changes.Removals {
-		delete(r.held, removal.Instance)
+		delete(r.known, removal.Instance)
 	}
 	r.epoch, r.number = changes.Epoch, changes.Number
 	return changes.Full
@@ -43,13 +43,13 @@
 			continue
 		}
 		wanted++
-		held := r.held[u.Instance]
-		if !sameExceptWarmup(&held, &u) {
-			t.Fatalf("at number %d the reader holds %+v, not %+v", r.number, held, u)
+		current := r.known[u.Instance]
+		if !sameExceptWarmup(&current, &u) {
+			t.Fatalf("at number %d the reader holds %+v, not %+v", r.number, current, u)
 		}
 	}
-	if wanted != len(r.held) {
-		t.Fatalf("at number %d the reader holds %d upstreams, not %d", r.number, len(r.held), wanted)
+	if wanted != len(r.known) {
+		t.Fatalf("at number %d the reader holds %d upstreams, not %d", r.number, len(r.known), wanted)
 	}
 }
 
--- a/internal/mesh/registry/lease_table.go
+++ b/internal/mesh/registry/lease_table.go
@@ -42,13 +42,13 @@
 // here is older than what was renewed.
 func (t *Table) Extend(now time.Duration, renewals []Renewal) (newer, unknown []string) {
 	for _, r := range renewals {
-		held := t.leases[r.Node]
+		current := t.leases[r.Node]
 		switch {
 		case r.Remaining <= 0: // it has expired on its way
-		case held == nil || held.lacksContentOf(r):
+		case current == nil || current.lacksContentOf(r):
 			unknown = append(unknown, r.Node)
-		case held.isExtendedBy(r):
-			l := held.at(now)
+		case current.isExtendedBy(r):
+			l := current.at(now)
 			l.Sequence = r.Sequence
 			t.applyLease(now, l, min(r.Remaining, LeaseTTL))
 			newer = append(newer, r.Node)
@@ -58,8 +58,8 @@
 }
 
 func (t *Table) isNewer(l *Lease) bool {
-	held := t.leases[l.Node]
-	return held == nil || held.isOlderThan(l)
+	current := t.leases[l.Node]
+	return current == nil || current.isOlderThan(l)
 }
 
 // applyLease puts a lease in place of an older one, with what it says of its upstream. It reports
@@ -68,10 +68,10 @@
 	if !t.isNewer(&l) {
 		return false
 	}
-	held := t.leases[l.Node]
-	if held == nil {
-		held = &lease{}
-		t.leases[l.Node] = held
+	current := t.leases[l.Node]
+	if current == nil {
+		current = &lease{}
+		t.leases[l.Node] = current
 	}
 	warmupEnd := time.Duration(0)
 	if l.Upstream != nil {
@@ -79,23 +79,23 @@
 		up.Node = l.Node
 		up.Stale = false
 		l.Upstream = &up
-		warmupEnd = held.warmupEndWith(now, &up)
+		warmupEnd = current.warmupEndWith(now, &up)
 	}
-	if changed = held.contentChanges(now, &l, warmupEnd); changed {
-		held.contentSequence = l.Sequence
+	if changed = current.contentChanges(now, &l, warmupEnd); changed {
+		current.contentSequence = l.Sequence
 	}
-	t.markEnded(held)
-	held.Lease, held.warmupEnd, held.expiresAt = l, warmupEnd, now+validFor
+	t.markEnded(current)
+	current.Lease, current.warmupEnd, current.expiresAt = l, warmupEnd, now+validFor
 	if l.Left {
-		held.expiresAt = now + TombstoneTTL
+		current.expiresAt = now + TombstoneTTL
 		if instance, ok := t.instanceByNode[l.Node]; ok {
 			t.remove(now, instance, replaced)
 		}
 		return changed
 	}
-	t.markLive(now, held)
+	t.markLive(now, current)
 	if l.Upstream != nil {
-		t.upsert(now, *l.Upstream, held.expiresAt, fromLease)
+		t.upsert(now, *l.Upstream, current.expiresAt, fromLease)
 	}
 	return changed
 }
--- a/internal/mesh/registry/tombstones.go
+++ b/internal/mesh/registry/tombstones.go
@@ -33,7 +33,7 @@
 )
 
 // deregister removes an instance permanently. It reports whether that is new.
-func (t *Table) deregister(now time.Duration, instance string) (taken bool) {
+func (t *Table) deregister(now time.Duration, instance string) (applied bool) {
 	if t.tombstones[instance].deregistered {
 		return false
 	}
--- a/internal/mesh/registry/upstream_table.go
+++ b/internal/mesh/registry/upstream_table.go
@@ -28,7 +28,7 @@
 // Heartbeat applies an upstream's heartbeat that reached a core member directly. It reports whether the
 // heartbeat was applied; one that isn't newer than the last is not. An invalid one is an error of kind
 // Invalid.
-func (t *Table) Heartbeat(now time.Duration, up Upstream) (taken bool, err error) {
+func (t *Table) Heartbeat(now time.Duration, up Upstream) (applied bool, err error) {
 	if err := up.Check(); err != nil {
 		return false, err
 	}
@@ -39,18 +39,18 @@
 // it still refreshes the upstream; below zero it is the time since it no longer does. A heartbeat that
 // Check rejects is not applied, nor one whose upstream would have been dropped by now. One whose time is
 // over replaces no other instance.
-func (t *Table) RelayedHeartbeat(now time.Duration, up Upstream, remaining time.Duration) (taken bool) {
+func (t *Table) RelayedHeartbeat(now time.Duration, up Upstream, remaining time.Duration) (applied bool) {
 	if up.Check() != nil {
 		return false
 	}
 	if up.State == Deregistered {
 		return t.deregister(now, up.Instance)
 	}
-	if held := t.upstreams[up.Instance]; held != nil {
-		if up.Sequence <= held.Sequence {
+	if current := t.upstreams[up.Instance]; current != nil {
+		if up.Sequence <= current.Sequence {
 			return false
 		}
-		up = up.withPlacementOf(&held.Upstream)
+		up = up.withPlacementOf(&current.Upstream)
 	} else if atAddress := t.upstreams[t.instanceByAddress[up.Address]]; atAddress != nil && up.Address != "" {
 		// A new instance at a known address runs beside the same sidecar. An instance that was
 		// replaced there comes back only if its successor is stale.
@@ -77,29 +77,29 @@
 
 // upsert applies a report of an upstream that is fresh until the given time, and records a change if
 // readers see one. It reports whether the report was newer than the entry.
-func (t *Table) upsert(now time.Duration, up Upstream, freshUntil time.Duration, from source) (taken bool) {
+func (t *Table) upsert(now time.Duration, up Upstream, freshUntil time.Duration, from source) (applied bool) {
 	if up.State == Deregistered {
 		return t.deregister(now, up.Instance)
 	}
 	if removed, ok := t.tombstones[up.Instance]; ok && removed.rejects(up.Sequence, from) {
 		return false
 	}
-	held := t.upstreams[up.Instance]
-	if held == nil && len(t.upstreams) >= MaxLeases {
+	current := t.upstreams[up.Instance]
+	if current == nil && len(t.upstreams) >= MaxLeases {
 		return false
 	}
 	warmupEnd := now + seconds(up.WarmupRemaining)
-	if held != nil {
-		if !held.isReplacedBy(&up) {
-			if up.Node == held.Node && from == fromLease {
-				t.refresh(held, freshUntil)
+	if current != nil {
+		if !current.isReplacedBy(&up) {
+			if up.Node == current.Node && from == fromLease {
+				t.refresh(current, freshUntil)
 			}
 			return false
 		}
-		if up.Sequence == held.Sequence {
-			warmupEnd = held.warmupEnd
+		if up.Sequence == current.Sequence {
+			warmupEnd = current.warmupEnd
 		}
-		freshUntil = max(freshUntil, held.freshUntil)
+		freshUntil = max(freshUntil, current.freshUntil)
 	}
 	for _, other := range t.colocated(&up) {
 		if other != "" && other != up.Instance {
@@ -108,7 +108,7 @@
 	}
 	delete(t.tombstones, up.Instance)
 	up.Stale = freshUntil <= now
-	t.store(now, &entry{Upstream: up, warmupEnd: warmupEnd, freshUntil: freshUntil}, held)
+	t.store(now, &entry{Upstream: up, warmupEnd: warmupEnd, freshUntil: freshUntil}, current)
 	return true
 }
 
--- a/internal/mesh/replication/loop.go
+++ b/internal/mesh/replication/loop.go
@@ -31,7 +31,7 @@
 
 // runOnce processes everything that waits and does everything that is due.
 func (n *Node) runOnce() {
-	inbox, calls := n.takeQueues()
+	inbox, calls := n.drainQueues()
 	// The time is read once before anything is acted on, so that after a freeze the replica sees
 	// how late it is before it does anything.
 	now := n.now()
@@ -53,8 +53,8 @@
 	n.publishStatus(n.now())
 }
 
-// takeQueues empties the queues and returns what was in them.
-func (n *Node) takeQueues() ([]delivery, []call) {
+// drainQueues empties the inbox and the queue of calls, and returns what was in them.
+func (n *Node) drainQueues() ([]delivery, []call) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	inbox, calls := n.inbox, n.calls
@@ -136,7 +136,7 @@
 
 // abortAll ends the exchanges and calls that still wait.
 func (n *Node) abortAll() {
-	inbox, calls := n.takeQueues()
+	inbox, calls := n.drainQueues()
 	for _, d := range inbox {
 		if d.response != nil {
 			close(d.response)
--- a/internal/mesh/watch/client_members.go
+++ b/internal/mesh/watch/client_members.go
@@ -60,7 +60,7 @@
 	c.members, c.peakMembers = members, peak
 }
 
-// raiseCounts takes counts of sidecars that may be too small. c.mu is held.
+// raiseCounts applies counts of sidecars that may be too small. c.mu is held.
 func (c *Client) raiseCounts(members, peak int) {
 	c.setCounts(max(members, c.members), max(peak, c.peakMembers))
 }
--- a/internal/mesh/watch/gossip_send.go
+++ b/internal/mesh/watch/gossip_send.go
@@ -123,19 +123,19 @@
 	return nil
 }
 
-// gossipBatch is what one message took from a peer's queue.
+// gossipBatch is what one message removed from a peer's queue.
 type gossipBatch struct {
 	leases  map[string]leaseUpdate
 	reports map[string]queuedReport
 }
 
-// nextMessage takes the next message from a peer's queue.
+// nextMessage removes the next message from a peer's queue.
 func (s *Server) nextMessage(p *gossipPeer) (*gossipRequest, gossipBatch) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.now()
 	request := &gossipRequest{From: s.cfg.Self, Echo: p.clock, SinceEcho: now - p.answeredAt}
-	batch := gossipBatch{leases: s.takeLeases(p, request, now), reports: p.reports}
+	batch := gossipBatch{leases: s.dequeueLeases(p, request, now), reports: p.reports}
 	for _, r := range p.reports {
 		request.Reports = append(request.Reports, registry.UpstreamReport{
 			Upstream: r.up, Remaining: max(r.at+registry.LeaseTTL-now, 0),
@@ -150,17 +150,17 @@
 	return request, batch
 }
 
-// takeLeases moves queued leases into the request, at most maxLeasesPerMessage
-// of them, and returns what it took. s.mu is held.
-func (s *Server) takeLeases(p *gossipPeer, request *gossipRequest, now time.Duration) map[string]leaseUpdate {
-	taken := map[string]leaseUpdate{}
+// dequeueLeases moves queued leases into the request, at most maxLeasesPerMessage
+// of them, and returns what it moved. s.mu is held.
+func (s *Server) dequeueLeases(p *gossipPeer, request *gossipRequest, now time.Duration) map[string]leaseUpdate {
+	dequeued := map[string]leaseUpdate{}
 	for node, update := range p.leases {
-		if len(taken) == maxLeasesPerMessage {
+		if len(dequeued) == maxLeasesPerMessage {
 			signal(p.wake)
 			break
 		}
 		delete(p.leases, node)
-		taken[node] = update
+		dequeued[node] = update
 		if update == fullLease {
 			if lease, ok := s.table.RemoteLease(now, node); ok {
 				request.Leases = append(request.Leases, lease)
@@ -169,11 +169,11 @@
 			request.Renewals = append(request.Renewals, renewal)
 		}
 	}
-	return taken
+	return dequeued
 }
 
-// requeue puts back what a message that failed had taken, as far as it still
-// counts. s.mu is held.
+// requeue puts back what a message that failed had removed, as far as it is still
+// valid. s.mu is held.
 func (s *Server) requeue(p *gossipPeer, sent gossipBatch) {
 	now := s.now()
 	for node, update := range sent.leases {
--- a/internal/mesh/watch/server_lease.go
+++ b/internal/mesh/watch/server_lease.go
@@ -13,8 +13,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.now()
-	taken, err := s.table.Heartbeat(now, up)
-	if err != nil || !taken {
+	applied, err := s.table.Heartbeat(now, up)
+	if err != nil || !applied {
 		return err
 	}
 	for _, p := range s.peers {
