--- a/internal/proxy/bulkhead/bulkhead.go
+++ b/internal/proxy/bulkhead/bulkhead.go
@@ -1,7 +1,7 @@
-// Package bulkhead decides how much one balancer of many may have out at servers that all share. It is free of I/O; time is passed in.
+// Package bulkhead bounds how many attempts one of many balancers may have in flight at servers that all share.
 //
-// Three hundred balancers, walled each for itself, hold several times what the servers bear: a burst, and all servers worked slower for
-// the rest of the day. Nobody sees the sum, so what each gives up as servers fill is a part of its own traffic.
+// Three hundred balancers that each keep to a bound of their own have several times as much in flight as the servers
+// can bear. None knows the sum, so each gives up a part of its own traffic as answers become slow.
 package bulkhead
 
 import (
@@ -12,58 +12,57 @@
 )
 
 const (
-	congestedAt    = 0.17 // answers take this share of the aim: from here on room shrinks
-	shrinkExponent = 2.0  // with this power of what they take more; and Little's law has the rate fall with one power more
-	headroom       = 2.0  // so many times what one's own traffic holds where servers are not crowded,
-	deviations     = 2.0  // and so many standard deviations of such a count
+	congestedAt    = 0.17 // answers that take this fraction of the latency target: from here on the limit shrinks,
+	shrinkExponent = 2.0  // by this power of the latency; by Little's law the rate falls by one power more
+	headroom       = 2.0  // the limit without congestion, as a multiple of the balancer's own traffic in flight,
+	deviations     = 2.0  // and so many standard deviations of such a count more
 
-	smallTenantFactor = 1.5 // so much more for a tenant that holds less than its share
+	smallTenantFactor = 1.5 // the limit's multiple for a tenant with less in flight than its share
 
-	rateWindow      = 10 * time.Second // one's own traffic is measured over about this long
-	priorSeconds    = 1.0              // s for which it is taken for the even one
-	averagedAnswers = 8.0              // that tell how crowded it is now, or fewer:
-	answerSeconds   = 0.06             // s that one stands for
-	initialLatency  = 0.1              // share of the aim that answers take to begin with
+	rateWindow      = 10 * time.Second // over which the balancer's own traffic is measured
+	priorSeconds    = 1.0              // for which it is first taken to be even
+	averagedAnswers = 8.0              // the latency is a mean over about so many answers, fewer where they are rare:
+	answerSeconds   = 0.06             // each then has the weight of one answer in so many seconds
+	initialLatency  = 0.1              // fraction of the latency target
 )
 
-// Bulkhead is one balancer's. It is used from one goroutine.
+// Bulkhead is the bound of one balancer. It is used from one goroutine.
 type Bulkhead struct {
-	EvenShare float64 // attempts that one balancer has out where all have the same traffic and servers are not crowded
+	EvenShare float64 // attempts that a balancer has in flight where all have the same traffic, without congestion
 
-	holdTime      float64         // s for which one is out then
-	firstAttempts ratemeter.Meter // tries; further ones would have refusals bring room
-	congestion    float64         // logarithm of the share of the aim that answers take: few long ones say nothing of the servers
-	updatedAt     time.Duration   // when that was taken
+	holdTime      float64         // seconds that an attempt then takes
+	firstAttempts ratemeter.Meter // clients' retries not counted: rejections would raise the limit
+	congestion    float64         // logarithm of the latency as a fraction of the target: few long answers count little
+	updatedAt     time.Duration   // of congestion
 }
 
-// New makes one whose attempts are out for hold seconds each where servers are not crowded.
+// New makes a bulkhead for attempts that take hold seconds without congestion.
 func New(hold float64) Bulkhead {
-	return Bulkhead{holdTime: hold, congestion: math.Log(initialLatency), firstAttempts: ratemeter.Meter{Window: rateWindow}}
+	meter := ratemeter.Meter{Window: rateWindow}
+	return Bulkhead{holdTime: hold, congestion: math.Log(initialLatency), firstAttempts: meter}
 }
 
-// RecordRequest takes that a client's first try came.
-func (w *Bulkhead) RecordRequest(now time.Duration) {
-	w.firstAttempts.Record(now)
-}
+// RecordRequest counts a request that is not a client's retry.
+func (b *Bulkhead) RecordRequest(now time.Duration) { b.firstAttempts.Record(now) }
 
-// RecordLatency takes that an answer, or the lack of one, took such a share of its aim. Where few come each tells more.
-func (w *Bulkhead) RecordLatency(now time.Duration, share float64) {
-	part := min(0.5, max(1, (now-w.updatedAt).Seconds()/answerSeconds)/averagedAnswers)
-	w.congestion += (math.Log(max(share, 1e-3)) - w.congestion) * part
-	w.updatedAt = now
+// RecordLatency counts an answer, or a time-out, after this fraction of the latency target. Rare ones weigh more.
+func (b *Bulkhead) RecordLatency(now time.Duration, fraction float64) {
+	gain := min(0.5, max(1, (now-b.updatedAt).Seconds()/answerSeconds)/averagedAnswers)
+	b.congestion += (math.Log(max(fraction, 1e-3)) - b.congestion) * gain
+	b.updatedAt = now
 }
 
-// Congested says that answers are slow enough for room to shrink.
-func (w *Bulkhead) Congested() bool { return w.congestion > math.Log(congestedAt) }
+// Congested says whether answers are slow enough for the limit to shrink.
+func (b *Bulkhead) Congested() bool { return b.congestion > math.Log(congestedAt) }
 
-// Limit is how many attempts the balancer may have out before it sends one more, at least one. Who has less than the even part may hold what
-// that needs. A tenant that holds less than its share of the room, and used of it, is let in beyond: one that floods can't take the others'.
-func (w *Bulkhead) Limit(now time.Duration, share float64, used int) float64 {
-	came, seconds := w.firstAttempts.Recent(now)
-	own := headroom * max(w.EvenShare, (came*w.holdTime+w.EvenShare*priorSeconds)/(seconds+priorSeconds))
-	room := (own + deviations*math.Sqrt(own)) * math.Exp(-shrinkExponent*(w.congestion-math.Log(congestedAt)))
-	if float64(used+1) < share*room {
-		room *= smallTenantFactor
+// Limit is how many attempts the balancer may have in flight: at least one, and without congestion the even share.
+// A tenant that uses less than its share of the limit has a higher one, so that others can't use up what it needs.
+func (b *Bulkhead) Limit(now time.Duration, share float64, used int) float64 {
+	count, seconds := b.firstAttempts.Recent(now)
+	own := headroom * max(b.EvenShare, (count*b.holdTime+b.EvenShare*priorSeconds)/(seconds+priorSeconds))
+	limit := (own + deviations*math.Sqrt(own)) * math.Exp(-shrinkExponent*(b.congestion-math.Log(congestedAt)))
+	if float64(used+1) < share*limit {
+		limit *= smallTenantFactor
 	}
-	return max(1, room)
+	return max(1, limit)
 }
--- a/internal/proxy/discoverypace/discoverypace.go
+++ b/internal/proxy/discoverypace/discoverypace.go
@@ -1,10 +1,8 @@
-// Package discoverypace decides when a balancer asks for the list of servers, where it must be asked for. It is free of I/O; time is
-// passed in.
+// Package discoverypace decides when a balancer asks for the list of servers, where it must ask.
 //
-// Discovery is one service for a whole fleet, and a subscription costs it a call. A fleet of eighty that starts at once asked eighty times
-// within 20 ms; most calls waited for longer than they may, and what came back after a short pause, all at once again, kept the
-// queue full for good: in 25 s not one change reached any of them. So in a large fleet each asks first at a phase of its own, and again
-// after a failure at the pace that is its part of what such a service is built for. Once subscribed, changes come as they happen.
+// Discovery is one service for a whole fleet, and each subscription costs it a call. In a fleet of eighty that started
+// at once most calls timed out, and their retries, again at once, kept its queue full for good. So in a large fleet
+// each balancer first asks at a phase of its own, and retries at its part of the rate that discovery is built for.
 package discoverypace
 
 import (
@@ -14,56 +12,56 @@
 )
 
 const (
-	timePerCall  = 125 * time.Millisecond // of discovery's time is a balancer's part for one call
-	unpacedBelow = time.Second            // a fleet whose calls all fit into this asks at once
+	timePerCall  = 125 * time.Millisecond // of discovery's time, for one balancer's call
+	unpacedBelow = time.Second            // a fleet whose calls all fit into this is not large
 
-	minBackoff = 250 * time.Millisecond // before a subscription is asked for again after a failed call,
+	minBackoff = 250 * time.Millisecond // after a failed call of a small fleet,
 	maxBackoff = 4 * time.Second        // doubled after each up to this
 
-	maxInterval    = 9 * time.Second // a list that is older than this is little use
-	maxAgeFraction = 0.9             // of the time in which silence counts as being told: a call may take the rest
-	failureFactor  = 2               // so many times that between calls after failures, which count as asking for four times it
+	maxInterval    = 9 * time.Second // an older list is of little use
+	maxAgeFraction = 0.9             // of the list's maximum age, after which to ask again: the call may take the rest
+	failureFactor  = 2               // bounds the time between failed calls, as a multiple of the maximum age
 )
 
 // Pace is when one balancer asks. It is used from one goroutine.
 type Pace struct {
 	rng          *rand.Rand
-	isLargeFleet bool          // the fleet is large
-	maxAge       time.Duration // without asking this long a change counts as told; 0: not known
-	interval     time.Duration // the part of one balancer
+	isLargeFleet bool
+	maxAge       time.Duration // after which a change counts as received by one who did not ask; 0: not known
+	interval     time.Duration // between calls in a large fleet
 	failures     int           // in a row
-	subscribed   bool          // no need to ask: it is subscribed
+	subscribed   bool          // no need to ask
 	nextAt       time.Duration // else when to ask next
 }
 
-// New makes one.
-func New(rng *rand.Rand, balancers int, within time.Duration) Pace {
-	p := Pace{rng: rng, maxAge: within}
+// New makes a pace.
+func New(rng *rand.Rand, balancers int, maxAge time.Duration) Pace {
+	p := Pace{rng: rng, maxAge: maxAge}
 	p.SetBalancers(balancers)
 	return p
 }
 
-// SetBalancers takes how many balancers there are from now on.
+// SetBalancers sets how many balancers the fleet has from now on.
 func (p *Pace) SetBalancers(balancers int) {
-	whole := time.Duration(min(balancers, 1<<16)) * timePerCall
-	p.isLargeFleet, p.interval = whole > unpacedBelow, min(whole, maxInterval)
+	round := time.Duration(min(balancers, 1<<16)) * timePerCall
+	p.isLargeFleet, p.interval = round > unpacedBelow, min(round, maxInterval)
 	if p.maxAge > 0 {
 		p.interval = min(p.interval, time.Duration(maxAgeFraction*float64(p.maxAge)))
 	}
 }
 
-// Start begins, in a large fleet at a phase of its own: balancers that were stopped together start together. What is known serves
-// till then; where nothing is, see Now.
+// Start begins, in a large fleet at a random phase, as balancers may all be restarted together. The servers known so
+// far serve until then; where there are none, see AskNow.
 func (p *Pace) Start(now time.Duration) {
 	if p.nextAt = now; p.isLargeFleet {
 		p.nextAt += time.Duration(p.rng.Float64() * float64(p.interval))
 	}
 }
 
-// AskNow takes that no server is known: there is nothing to wait with.
+// AskNow makes the call due, as no server is known.
 func (p *Pace) AskNow(now time.Duration) { p.nextAt = now }
 
-// Due says that it is time to ask, and takes that it is done. Without any word it is due again before silence counts as being told.
+// Due says whether to ask now, and counts that as done. Without an answer it is due again before the maximum age.
 func (p *Pace) Due(now time.Duration) bool {
 	if p.subscribed || now < p.nextAt {
 		return false
@@ -72,16 +70,16 @@
 	return true
 }
 
-// Subscribed takes that the list came: it is subscribed.
+// Subscribed notes that the list came: changes follow.
 func (p *Pace) Subscribed() { p.failures, p.subscribed = 0, true }
 
-// Failed takes that a call failed. A service that is over what it can do must see fewer calls, or it never finds back.
+// Failed notes that a call failed. An overloaded service must see fewer calls, or it never recovers.
 func (p *Pace) Failed(now time.Duration) {
-	pause := min(minBackoff<<min(p.failures, 16), maxBackoff)
+	backoff := min(minBackoff<<min(p.failures, 16), maxBackoff)
 	if p.isLargeFleet {
-		pause = min(p.interval<<min(p.failures, 16), failureFactor*cmp.Or(p.maxAge, maxInterval))
+		backoff = min(p.interval<<min(p.failures, 16), failureFactor*cmp.Or(p.maxAge, maxInterval))
 	}
 	p.failures++
 	p.subscribed = false
-	p.nextAt = now + time.Duration(float64(pause)*(0.5+p.rng.Float64()))
+	p.nextAt = now + time.Duration(float64(backoff)*(0.5+p.rng.Float64()))
 }
--- a/internal/proxy/keyedqueue/keyedqueue.go
+++ b/internal/proxy/keyedqueue/keyedqueue.go
@@ -1,5 +1,5 @@
-// Package keyedqueue lets requests of one key go one at a time: in the order in which they came, each until it has ended and none of its attempts may still be running. It is
-// free of I/O; time is passed in.
+// Package keyedqueue has the requests of one key run one at a time, in order of arrival: each begins when the previous
+// one has ended and none of its attempts may still be running.
 package keyedqueue
 
 import (
@@ -8,46 +8,46 @@
 	"time"
 )
 
-// Queue is the requests of one key. A nil Line is no line: everybody is first in it.
+// Queue holds the requests of one key. A nil Queue is that of a request without a key, which is always first.
 type Queue[R comparable] struct {
-	waiting   []R
-	settledAt time.Duration // an attempt may still be running until then
+	waiting      []R
+	blockedUntil time.Duration // until then an attempt may still be running
 }
 
 // IsFirst says whether a request is the first of its key.
-func (l *Queue[R]) IsFirst(r R) bool { return l == nil || l.waiting[0] == r }
+func (q *Queue[R]) IsFirst(r R) bool { return q == nil || q.waiting[0] == r }
 
-// IsSettling says whether an attempt of an earlier one may still be running.
-func (l *Queue[R]) IsSettling(now time.Duration) bool { return l != nil && now < l.settledAt }
+// IsBlocked says whether an attempt of an earlier request may still be running.
+func (q *Queue[R]) IsBlocked(now time.Duration) bool { return q != nil && now < q.blockedUntil }
 
-// SettleUntil takes that an attempt may be running until then.
-func (l *Queue[R]) SettleUntil(until time.Duration) {
-	if l != nil {
-		l.settledAt = max(l.settledAt, until)
+// BlockUntil notes that an attempt may be running until then.
+func (q *Queue[R]) BlockUntil(until time.Duration) {
+	if q != nil {
+		q.blockedUntil = max(q.blockedUntil, until)
 	}
 }
 
-// Remove takes a request out, which is over.
-func (l *Queue[R]) Remove(r R) {
-	if l != nil {
-		i := slices.Index(l.waiting, r)
-		l.waiting = slices.Delete(l.waiting, i, i+1)
+// Remove removes a request that has ended.
+func (q *Queue[R]) Remove(r R) {
+	if q != nil {
+		i := slices.Index(q.waiting, r)
+		q.waiting = slices.Delete(q.waiting, i, i+1)
 	}
 }
 
-// Queues are those of all keys.
+// Queues are the queues by key.
 type Queues[R comparable] map[uint64]*Queue[R]
 
-// Add puts a request at the end of its key's line. Lines that nobody waits in go now and then; held is how many requests there are.
-func (all Queues[R]) Add(now time.Duration, key uint64, r R, held int) *Queue[R] {
-	if len(all) > 64+2*held {
-		maps.DeleteFunc(all, func(_ uint64, l *Queue[R]) bool { return len(l.waiting) == 0 && now >= l.settledAt })
+// Add appends a request to its key's queue. Now and then it drops empty queues; open is the number of open requests.
+func (all Queues[R]) Add(now time.Duration, key uint64, r R, open int) *Queue[R] {
+	if len(all) > 64+2*open {
+		maps.DeleteFunc(all, func(_ uint64, q *Queue[R]) bool { return len(q.waiting) == 0 && now >= q.blockedUntil })
 	}
-	l := all[key]
-	if l == nil {
-		l = new(Queue[R])
-		all[key] = l
+	q := all[key]
+	if q == nil {
+		q = new(Queue[R])
+		all[key] = q
 	}
-	l.waiting = append(l.waiting, r)
-	return l
+	q.waiting = append(q.waiting, r)
+	return q
 }
--- a/internal/proxy/ratemeter/ratemeter.go
+++ b/internal/proxy/ratemeter/ratemeter.go
@@ -1,4 +1,4 @@
-// Package ratemeter measures how much comes lately. It is free of I/O; time is passed in.
+// Package ratemeter measures the recent rate of events. It does no I/O; time is passed in.
 package ratemeter
 
 import (
@@ -6,30 +6,35 @@
 	"time"
 )
 
-// Meter counts what comes, fading. Who has just begun knows by Lately how little that stands on: nothing in no time is not the same as nothing in ten seconds.
+// Meter counts events, which fade over Window. It is used from one goroutine. Recent tells for how long it has
+// counted, as no event in no time is not the same as no event in ten seconds.
 type Meter struct {
-	Window time.Duration // it is measured over about this long
+	Window time.Duration
 
-	count, seconds float64 // what came, and the s in which it came
+	count, seconds float64 // events, and the time in which they were counted; both fade
 	updatedAt      time.Duration
 }
 
-// Record takes that one came.
+// Record counts an event.
 func (m *Meter) Record(now time.Duration) {
 	m.decay(now)
 	m.count++
 }
 
-// Recent is how many came, and in how many seconds.
-func (m *Meter) Recent(now time.Duration) (came, seconds float64) {
+// Recent returns the number of recent events, and the seconds in which they were counted.
+func (m *Meter) Recent(now time.Duration) (count, seconds float64) {
 	m.decay(now)
 	return m.count, m.seconds
 }
 
+// decay has the counts fade up to now. The first call begins the measurement.
 func (m *Meter) decay(now time.Duration) {
-	if m.updatedAt == 0 { // it begins with the first call
+	if m.updatedAt == 0 {
 		m.updatedAt = now
 	}
-	kept, whole := math.Exp(-max(0, now-m.updatedAt).Seconds()/m.Window.Seconds()), m.Window.Seconds()
-	m.count, m.seconds, m.updatedAt = m.count*kept, whole-(whole-m.seconds)*kept, now
+	window := m.Window.Seconds()
+	kept := math.Exp(-max(0, now-m.updatedAt).Seconds() / window)
+	m.count *= kept
+	m.seconds = window - (window-m.seconds)*kept
+	m.updatedAt = now
 }
--- a/internal/proxy/wire/settings.go
+++ b/internal/proxy/wire/settings.go
@@ -188,7 +188,7 @@
 		MayProbe:           s.flag("caps.probes") && s.text("telemetry.how") != "silent",
 		MaxRetryAfter:      Millis(s.number("caps.max_retry_after_ms", 0)),
 		ClientsMarkRetries: s.flag("client_habits.marks_retry"),
-		KeySettleTime:      Millis(s.number("rules.order_settle_ms", 0)),
+		KeyBlockTime:       Millis(s.number("rules.order_settle_ms", 0)),
 		IdleCloseTime:      Millis(s.number("rules.let_go_in_ms", 0)),
 		Tick:               Millis(s.number("period_ms", 0)),
 		ListOnDemand:       s.text("discovery") == "ask",
--- a/internal/proxy/wire/wire_test.go
+++ b/internal/proxy/wire/wire_test.go
@@ -249,7 +249,7 @@
 		t.Error("an unknown effect is not taken for the strictest")
 	}
 	if b := (policy.RetryBudget{Span: 10 * time.Second, Free: 1, Share: 0.2}); c.Budget != b ||
-		c.IdleCloseTime != 300*time.Millisecond || c.KeySettleTime != 250*time.Millisecond || !c.Classes[1].InOrder {
+		c.IdleCloseTime != 300*time.Millisecond || c.KeyBlockTime != 250*time.Millisecond || !c.Classes[1].InOrder {
 		t.Errorf("config of the further rules %+v", c)
 	}
 	want := Columns{policy.HasErrors, policy.HasService, policy.HasServed, policy.HasInFlight}
--- a/plugin/plugin_test.go
+++ b/plugin/plugin_test.go
@@ -103,7 +103,7 @@
 		"cold time":            {"ColdTime", func(c *Config) { c.Policy.SlowStartTime = -1 }},
 		"crossing":             {"CrossZonePrice", func(c *Config) { c.Policy.CrossZonePrice = -1 }},
 		"budget":               {"Budget", func(c *Config) { c.Policy.Budget.Free = 3 }},
-		"order":                {"OrderSettle", func(c *Config) { c.Policy.KeySettleTime = -1 }},
+		"order":                {"OrderSettle", func(c *Config) { c.Policy.KeyBlockTime = -1 }},
 		"close within":         {"CloseWithin", func(c *Config) { c.Policy.IdleCloseTime = -1 }},
 		"retry after":          {"MaxRetryAfter", func(c *Config) { c.Policy.MaxRetryAfter = -1 }},
 		"tick":                 {"Tick", func(c *Config) { c.Policy.Tick = -1 }},
--- a/policy/api.go
+++ b/policy/api.go
@@ -74,8 +74,8 @@
 	ClientsMarkRetries bool          `json:"MarksRepeat"` // clients mark their own retries: Request.IsRetry
 
 	Budget RetryBudget // the zero value: no limit
-	// KeySettleTime is how long a key's next request waits after an attempt that may still be running.
-	KeySettleTime time.Duration `json:"OrderSettle"`
+	// KeyBlockTime is how long a key's next request waits after an attempt that may still be running.
+	KeyBlockTime time.Duration `json:"OrderSettle"`
 	// IdleCloseTime is how soon idle connections to a draining server are closed; 0: they are left open.
 	IdleCloseTime time.Duration `json:"CloseWithin"`
 
--- a/policy/config.go
+++ b/policy/config.go
@@ -68,8 +68,8 @@
 			cfg.SlowStartOverload, cfg.CrossZonePrice, cfg.ProbePrice)
 	case cfg.Budget.Check() != nil:
 		return fmt.Errorf("config: Budget: %w", cfg.Budget.Check())
-	case min(cfg.KeySettleTime, cfg.IdleCloseTime) < 0:
-		return fmt.Errorf("config: OrderSettle %v or CloseWithin %v is negative", cfg.KeySettleTime, cfg.IdleCloseTime)
+	case min(cfg.KeyBlockTime, cfg.IdleCloseTime) < 0:
+		return fmt.Errorf("config: OrderSettle %v or CloseWithin %v is negative", cfg.KeyBlockTime, cfg.IdleCloseTime)
 	case min(cfg.MaxRetryAfter, cfg.Tick, cfg.ListMaxAge, cfg.SlowStartTime) < 0:
 		return fmt.Errorf("config: MaxRetryAfter, Tick, AskWithin or ColdTime is negative")
 	}
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -137,7 +137,7 @@
 	}
 	r.home.gate.AttemptEnded(now, e)
 	if o.Ending == TimedOut || o.Ending == ConnectionLost || o.Ending == Cancelled {
-		r.line.SettleUntil(now + b.cfg.KeySettleTime)
+		r.line.BlockUntil(now + b.cfg.KeyBlockTime)
 	}
 	if a.to.State != Ready {
 		b.close(now, a.to)
@@ -305,7 +305,7 @@
 
 // inTurn says whether a request is the first of its key, and no earlier attempt may still run.
 func (r *request) inTurn(now time.Duration) bool {
-	return r.line.IsFirst(r) && (len(r.attempts) > 0 || !r.line.IsSettling(now))
+	return r.line.IsFirst(r) && (len(r.attempts) > 0 || !r.line.IsBlocked(now))
 }
 
 // close closes idle connections to a server that drains (rule 7): now and, as one may be opening, once more.
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -1003,7 +1003,7 @@
 func inOrder(settle time.Duration) Config {
 	cfg := testConfig()
 	cfg.Classes = cfg.Classes[:1]
-	cfg.Classes[0].InOrder, cfg.KeySettleTime, cfg.Slots = true, settle, 20
+	cfg.Classes[0].InOrder, cfg.KeyBlockTime, cfg.Slots = true, settle, 20
 	return cfg
 }
 
--- a/policy/random_test.go
+++ b/policy/random_test.go
@@ -214,7 +214,7 @@
 	cfg.Reports = []LoadFields{0, HasInFlight, HasInFlight | HasBusy, HasBusy | HasService}[pick(4)]
 	cfg.Balancers = []int{2, 50}[pick(2)]
 	cfg.IdleCloseTime = time.Duration(pick(2)) * 100 * ms
-	cfg.KeySettleTime = time.Duration(pick(3)) * 50 * ms
+	cfg.KeyBlockTime = time.Duration(pick(3)) * 50 * ms
 	cfg.Slots = []int{0, 8, 40}[pick(3)]
 	if pick(2) == 0 {
 		cfg.Budget = RetryBudget{Span: time.Second, Free: float64(pick(3)), Share: float64(pick(3)) / 5}
@@ -311,7 +311,7 @@
 	settled := a.answered || e == Served
 	a.answered = settled
 	if w.cfg.Classes[a.q.Class].InOrder && (e == TimedOut || e == ConnectionLost || e == Cancelled) {
-		w.rests[a.q.Key] = w.now + w.cfg.KeySettleTime
+		w.rests[a.q.Key] = w.now + w.cfg.KeyBlockTime
 	}
 	w.mustClose(a.tries[i].to.ID)
 	w.b.Outcome(w.now, Outcome{ID: id, Attempt: i, Ending: e, Finished: settled, Load: w.load(int(id))})
--- a/policy/sizing.go
+++ b/policy/sizing.go
@@ -62,7 +62,7 @@
 
 // want is how many servers the arc is to have: those that our own traffic can feed, and so many that all arcs together leave none out.
 func (b *Balancer) want(now time.Duration) float64 {
-	each := b.inquiry.RoundSeconds()
+	each := b.inquiry.TurnInterval()
 	came, seconds := b.came.Recent(now)
 	least := max(fewest-1, float64(len(b.servers))/float64(b.sharers)) // it touches one more
 	return subset.ArcLength(b.wanted, (came+b.even*rateBegin)/(seconds+rateBegin)*each, b.even*each, least)
