--- a/internal/proxy/h1/chunked_test.go
+++ b/internal/proxy/h1/chunk_decoder_test.go
@@ -11,8 +11,8 @@
 	"testing"
 )
 
-// unchunk reads a body that comes in pieces of a size.
-func unchunk(b []byte, piece int) (body []byte, done bool, err error) {
+// decodeChunks reads a body that comes in pieces of a size.
+func decodeChunks(b []byte, piece int) (body []byte, done bool, err error) {
 	var d ChunkDecoder
 	for len(b) > 0 && !d.Done() {
 		part := b[:min(max(piece, 1), len(b))]
@@ -29,7 +29,7 @@
 const chunked = "5\r\nhello\r\n1;a=\"b;c\" \r\n,\r\n0006 ;x\r\n world\r\n0\r\nTrailer-A: 1\r\nB:\r\n\r\n"
 
 // Every cut position of a small body, and random ones of a large one: the same bytes, and nothing read behind the end.
-func TestChunksCutAnywhere(t *testing.T) {
+func TestChunksInParts(t *testing.T) {
 	whole := chunked + "GET / next"
 	for i := range len(whole) {
 		for j := i; j <= len(whole); j++ {
@@ -66,7 +66,8 @@
 	_ = w.Close()
 	wire.WriteString("\r\n")
 	for range 20 {
-		if got, done, err := unchunk(wire.Bytes(), 1+rng.IntN(3000)); !done || err != nil || !bytes.Equal(got, plain.Bytes()) {
+		got, done, err := decodeChunks(wire.Bytes(), 1+rng.IntN(3000))
+		if !done || err != nil || !bytes.Equal(got, plain.Bytes()) {
 			t.Fatalf("seed %d: %d bytes of %d, done %v, %v", seed, len(got), plain.Len(), done, err)
 		}
 	}
@@ -74,12 +75,14 @@
 
 func TestChunksMalformed(t *testing.T) {
 	for _, text := range []string{
-		"\r\n", "g\r\n", "-1\r\n", "+1\r\n", "0x1\r\n", " 1\r\n", "1\n", "1\rx", "1\r\nab", "1\r\na\n", "1\r\na\rx", "1;a\x00\r\n", "1;a\nb\r\n",
-		"1234567890abcdef1\r\n", "1;" + strings.Repeat("x", chunkLineMost+1), "0\r\n x: 1\r\n", "0\r\n:\r\n", "0\r\nX : 1\r\n", "0\r\nX\r\n", "0\r\n\n", "0\r\n\rx", "0\r\nX: \x01\r\n",
-		"0\r\nX: " + strings.Repeat("x", trailerMost),
+		"\r\n", "g\r\n", "-1\r\n", "+1\r\n", "0x1\r\n", " 1\r\n", "1\n", "1\rx", "1\r\nab", "1\r\na\n", "1\r\na\rx",
+		"1;a\x00\r\n", "1;a\nb\r\n",
+		"1234567890abcdef1\r\n", "1;" + strings.Repeat("x", maxChunkLineBytes+1), "0\r\n x: 1\r\n", "0\r\n:\r\n",
+		"0\r\nX : 1\r\n", "0\r\nX\r\n", "0\r\n\n", "0\r\n\rx", "0\r\nX: \x01\r\n",
+		"0\r\nX: " + strings.Repeat("x", maxTrailerBytes),
 	} {
 		var bad *Error
-		if body, done, err := unchunk([]byte(text), 3); !errors.As(err, &bad) || bad.Status != 400 {
+		if body, done, err := decodeChunks([]byte(text), 3); !errors.As(err, &bad) || bad.Status != 400 {
 			t.Errorf("%.30q: %q, done %v, %v", text, body, done, err)
 		}
 	}
@@ -87,12 +90,15 @@
 
 // What we take as a whole body an independent reader takes as the same one.
 func FuzzChunks(f *testing.F) {
-	for _, seed := range []string{chunked, "0\r\n\r\n", "1\r\na\r\n0\r\n\r\n", "1;;\r\na\r\n0 \r\n\r\n", "a\r\n0123456789\r\n0\r\n\r\nrest"} {
+	for _, seed := range []string{
+		chunked, "0\r\n\r\n", "1\r\na\r\n0\r\n\r\n", "1;;\r\na\r\n0 \r\n\r\n", "a\r\n0123456789\r\n0\r\n\r\nrest",
+	} {
 		f.Add([]byte(seed), 3)
 	}
 	f.Fuzz(func(t *testing.T, b []byte, piece int) {
-		body, done, err := unchunk(b, piece)
-		if whole, again, err2 := unchunk(b, len(b)); again != done || (err == nil) != (err2 == nil) || string(whole) != string(body) {
+		body, done, err := decodeChunks(b, piece)
+		whole, again, err2 := decodeChunks(b, len(b))
+		if again != done || (err == nil) != (err2 == nil) || string(whole) != string(body) {
 			t.Fatalf("%q: in pieces of %d %q %v %v, at once %q %v %v", b, piece, body, done, err, whole, again, err2)
 		}
 		if !done {
@@ -112,19 +118,20 @@
 	piece := []byte(fmt.Sprintf("%x\r\n%s\r\n0\r\n\r\n", 32<<10, strings.Repeat("x", 32<<10)))
 	b.SetBytes(32 << 10)
 	for b.Loop() {
-		if _, done, err := unchunk(piece, len(piece)); !done || err != nil {
+		if _, done, err := decodeChunks(piece, len(piece)); !done || err != nil {
 			b.Fatal(err)
 		}
 	}
 }
 
 // What is framed is read back as the same.
-func TestFrame(t *testing.T) {
+func TestFrameChunk(t *testing.T) {
 	for _, n := range []int{1, 9, 15, 16, 255, 4096, 32 << 10} {
 		b := make([]byte, ChunkPrefixBytes+n+ChunkSuffixBytes)
 		copy(b[ChunkPrefixBytes:], strings.Repeat("x", n))
 		text := string(FrameChunk(b, n)) + LastChunk
-		if body, done, err := unchunk([]byte(text), 7); !done || err != nil || len(body) != n || strings.Trim(string(body), "x") != "" {
+		body, done, err := decodeChunks([]byte(text), 7)
+		if !done || err != nil || len(body) != n || strings.Trim(string(body), "x") != "" {
 			t.Errorf("%d bytes: %d, done %v, %v", n, len(body), done, err)
 		}
 	}
--- /dev/null
+++ b/internal/proxy/h1/framing.go
@@ -0,0 +1,93 @@
+package h1
+
+import (
+	"strings"
+)
+
+// parseFraming parses the fields that say where the request ends and what becomes of its connection.
+func (h *Head) parseFraming() error {
+	hosts := 0
+	transfer := ""
+	for i := range h.Fields {
+		value := h.Fields[i].Value
+		switch h.Fields[i].Name {
+		case "Host":
+			hosts++
+			h.Host = value
+		case "Content-Length":
+			if err := h.parseContentLength(value); err != nil {
+				return err
+			}
+		case "Transfer-Encoding":
+			if transfer != "" { // two readers may heed different ones of several fields
+				return errTransferEncoding
+			}
+			if transfer = strings.ToLower(value); transfer == "" {
+				return errTransferEncoding
+			}
+		case "Expect":
+			if !strings.EqualFold(value, "100-continue") {
+				return errExpect
+			}
+			h.ExpectContinue = true
+		case "Connection":
+			if err := h.parseConnection(value); err != nil {
+				return err
+			}
+		}
+	}
+	return h.checkFraming(hosts, transfer)
+}
+
+// parseContentLength parses a Content-Length, which no other one may have preceded.
+func (h *Head) parseContentLength(value string) error {
+	if h.Length >= 0 || value == "" || strings.Trim(value, "0123456789") != "" {
+		return errLength
+	}
+	if len(value) > maxLengthDigits {
+		return errBodyTooLong
+	}
+	h.Length = 0
+	for i := range len(value) {
+		h.Length = 10*h.Length + int64(value[i]-'0')
+	}
+	return nil
+}
+
+// parseConnection parses a Connection field.
+func (h *Head) parseConnection(value string) error {
+	for name := range strings.SplitSeq(value, ",") {
+		name = strings.Trim(name, " \t")
+		if name != "" && !isToken(name) {
+			return errConnection
+		}
+		h.Close = h.Close || strings.EqualFold(name, "close")
+	}
+	return nil
+}
+
+// checkFraming checks the fields of the framing together: how many Host fields there are, and the Transfer-Encoding, ""
+// where there is none.
+func (h *Head) checkFraming(hosts int, transfer string) error {
+	if h.HTTP10 { // Host is not needed there, and readers differ on whether Transfer-Encoding means anything
+		h.Close = true
+		if transfer != "" {
+			return errVersion
+		}
+	} else if hosts == 0 {
+		return errHost
+	}
+	if transfer != "" {
+		if transfer != "chunked" || h.Length >= 0 {
+			return errTransferEncoding
+		}
+		h.Chunked = true
+	}
+	if hosts > 1 || !isHost(h.Host) {
+		return errHost
+	}
+	if h.authority != "" && !strings.EqualFold(h.authority, h.Host) {
+		return errHost // RFC 9112, 3.2.2 prefers the target's; a reader that goes by Host takes it for another service's
+	}
+	return nil
+}
--- a/internal/proxy/h1/head_test.go
+++ b/internal/proxy/h1/head_test.go
@@ -11,7 +11,8 @@
 	"testing"
 )
 
-const usable = "POST /entry/7?x=%41&y HTTP/1.1\r\nHost: a.example:80\r\nX-Request-ID: r1\r\nx-timeout:\t480m \r\nContent-Length: 3\r\n\r\n"
+const usable = "POST /entry/7?x=%41&y HTTP/1.1\r\nHost: a.example:80\r\nX-Request-ID: r1\r\n" +
+	"x-timeout:\t480m \r\nContent-Length: 3\r\n\r\n"
 
 func read(b string) (Head, int, error) {
 	var p Parser
@@ -50,7 +51,7 @@
 }
 
 // What two readers may take differently has its fixed status.
-func TestStrict(t *testing.T) {
+func TestAmbiguousHeadsAreRejected(t *testing.T) {
 	line, host := "POST / HTTP/1.1\r\n", "Host: a\r\n"
 	for text, status := range map[string]int{
 		"\r\n" + usable:                                                                            400, // an empty line first
@@ -97,7 +98,7 @@
 		line + host + "Content-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n":                    400,
 		line + host + "Transfer-Encoding: chunked\r\nContent-Length: 1\r\n\r\n":                    400,
 		line + host + "Expect: 200-maybe\r\n\r\n":                                                  417,
-		line + host + strings.Repeat("X: 1\r\n", FieldLimit) + "\r\n":                              431,
+		line + host + strings.Repeat("X: 1\r\n", MaxFields) + "\r\n":                               431,
 		line + host + "X: " + strings.Repeat("x", DefaultMaxHeadBytes):                             431,
 		line + host + "X: " + strings.Repeat("x", DefaultMaxHeadBytes-len(line+host)) + "\r\n\r\n": 431,
 	} {
@@ -108,25 +109,34 @@
 	}
 }
 
-// whyStricter are the reasons for which we turn away what net/http's reader takes.
+// whyStricter are the reasons for which we reject what net/http's reader takes.
 var whyStricter = map[*Error]string{
 	errLineEnd: "it takes a bare LF as a line's end, and others do not (RFC 9112, 2.2)",
-	errControl: "it waits for the line's end", errLong: "its bound is its server's", errMany: "it has no bound on the count",
-	errLine: "it takes any spaces and versions that its server turns away", errTarget: "only the origin form, without a fragment, names a class",
-	errVersion: "it takes 1.0 with Transfer-Encoding and drops that", errFold: "it joins folded lines (RFC 9112, 5.2)",
-	errHost:   "its server checks Host, its reader does not",
-	errLength: "it takes the same length given twice", errTooLong: "the body's bound comes later there",
-	errTransfer: "it passes over Content-Length beside chunks (RFC 9112, 6.1: an attack, maybe)", errExpect: "its server checks that",
-	errConnected: "it passes over what is no token", errMethod: "", errName: "it takes white space before the colon (RFC 9112, 5.1)", errValue: "its server checks that",
+	errControl: "it waits for the line's end", errHeadTooLong: "its bound is its server's",
+	errTooManyFields: "it has no bound on the count",
+	errRequestLine:   "it takes any spaces and versions that its server rejects",
+	errTarget:        "only the origin form, without a fragment, names a class",
+	errVersion:       "it takes 1.0 with Transfer-Encoding and drops that",
+	errFoldedField:   "it joins folded lines (RFC 9112, 5.2)",
+	errHost:          "its server checks Host, its reader does not",
+	errLength:        "it takes the same length given twice", errBodyTooLong: "the body's bound comes later there",
+	errTransferEncoding: "it passes over Content-Length beside chunks (RFC 9112, 6.1: an attack, maybe)",
+	errExpect:           "its server checks that",
+	errConnection:       "it passes over what is no token", errMethod: "",
+	errFieldName: "it takes white space before the colon (RFC 9112, 5.1)", errFieldValue: "its server checks that",
 }
 
 // What we accept net/http accepts, as the same request; where it accepts and we don't, the reason is in the list.
 func FuzzAgainstNetHTTP(f *testing.F) {
 	for _, seed := range []string{
-		usable, "GET /up HTTP/1.1\r\nHost: a\r\n\r\n", "GET / HTTP/1.0\r\n\r\n", "GET /%2F?%zz HTTP/1.1\r\nHost: [::1]:80\r\nConnection: close, x\r\n\r\n",
-		"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 1\r\nContent-Length: 1\r\n\r\nx", "POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
-		"GET / HTTP/1.1\nHost: a\n\n", "GET / HTTP/1.1\r\nHost: a\r\nX: a\r\n b\r\n\r\n", "GET //a/b HTTP/1.1\r\nHost:\r\nExpect: 100-continue\r\n\r\n",
-		"POST http://a/b?c HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: Chunked\r\n\r\n5;x=\"y\"\r\nhello\r\n00 \r\nT: 1\r\n\r\n",
+		usable, "GET /up HTTP/1.1\r\nHost: a\r\n\r\n", "GET / HTTP/1.0\r\n\r\n",
+		"GET /%2F?%zz HTTP/1.1\r\nHost: [::1]:80\r\nConnection: close, x\r\n\r\n",
+		"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 1\r\nContent-Length: 1\r\n\r\nx",
+		"POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
+		"GET / HTTP/1.1\nHost: a\n\n", "GET / HTTP/1.1\r\nHost: a\r\nX: a\r\n b\r\n\r\n",
+		"GET //a/b HTTP/1.1\r\nHost:\r\nExpect: 100-continue\r\n\r\n",
+		"POST http://a/b?c HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: Chunked\r\n\r\n" +
+			"5;x=\"y\"\r\nhello\r\n00 \r\nT: 1\r\n\r\n",
 		"GET / HTTP/1.1\r\nHost: a\r\nCookie: a\r\nCookie: b\r\nX-\xff: 1\r\n\r\n",
 	} {
 		f.Add([]byte(seed))
@@ -153,14 +163,19 @@
 		if h.authority != "" { // it leaves that to whoever asks
 			target = oracle.URL.RequestURI()
 		}
-		if oracle.Method != h.Method || target != h.Target && h.authority == "" || oracle.Host != h.Host || oracle.Close && !h.Close {
-			t.Errorf("%q: %+v, net/http has %s %s of %q, close %v", b, h, oracle.Method, oracle.RequestURI, oracle.Host, oracle.Close)
+		if oracle.Method != h.Method || target != h.Target && h.authority == "" ||
+			oracle.Host != h.Host || oracle.Close && !h.Close {
+			t.Errorf("%q: %+v, net/http has %s %s of %q, close %v",
+				b, h, oracle.Method, oracle.RequestURI, oracle.Host, oracle.Close)
 		}
 		if length := max(h.Length, 0); oracle.ContentLength != length && !(h.Chunked && oracle.ContentLength == -1) {
 			t.Errorf("%q: length %d, net/http has %d", b, h.Length, oracle.ContentLength)
 		}
 		header := h.EndToEnd()
-		for _, name := range []string{"Connection", "Keep-Alive", "Proxy-Connection", "Te", "Trailer", "Upgrade", "Expect", "Content-Length", "X-Server-Load"} {
+		for _, name := range []string{
+			"Connection", "Keep-Alive", "Proxy-Connection", "Te", "Trailer", "Upgrade", "Expect",
+			"Content-Length", "X-Server-Load",
+		} {
 			delete(oracle.Header, name)
 		}
 		if h.Get("Connection") != "" || h.Get("Pragma") != "" { // net/http edits the one, and the other names fields
@@ -171,7 +186,7 @@
 		}
 		body, err := io.ReadAll(oracle.Body)
 		if h.Chunked {
-			ours, done, failed := unchunk(b[n:], len(b))
+			ours, done, failed := decodeChunks(b[n:], len(b))
 			if done && (err != nil || string(ours) != string(body)) {
 				t.Errorf("%q: chunks hold %q, net/http has %q, %v", b, ours, body, err)
 			}
@@ -187,10 +202,13 @@
 }
 
 // What is written net/http reads back; fields of the connection and values that would end a field are left out.
-func TestAnswer(t *testing.T) {
+func TestResponse(t *testing.T) {
 	a := Response{
 		Status: 200, Length: 2, Close: true, Date: "Tue, 01 Dec 2026 11:00:00 GMT",
-		Header: http.Header{"X-Kept": {"1", "2"}, "Connection": {"close, x-hop"}, "X-Hop": {"1"}, "Content-Length": {"9"}, "X-Bad": {"a\r\nX-Forged: 1"}, "Content-Type": {"text/hive"}},
+		Header: http.Header{
+			"X-Kept": {"1", "2"}, "Connection": {"close, x-hop"}, "X-Hop": {"1"}, "Content-Length": {"9"},
+			"X-Bad": {"a\r\nX-Forged: 1"}, "Content-Type": {"text/hive"},
+		},
 	}
 	res, err := http.ReadResponse(bufio.NewReader(strings.NewReader(string(a.Append(nil))+"ok")), nil)
 	if err != nil {
@@ -201,8 +219,9 @@
 	if err != nil || string(body) != "ok" || !res.Close || !reflect.DeepEqual(res.Header, want) {
 		t.Errorf("body %q, error %v, header %v, want %v", body, err, res.Header, want)
 	}
-	refusal := Response{Status: 503, RetryAfter: 1250e6}
-	if got := string(refusal.Append(nil)); got != "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nRetry-After: 1.250\r\n\r\n" {
+	rejection := Response{Status: 503, RetryAfter: 1250e6}
+	const wantRejection = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nRetry-After: 1.250\r\n\r\n"
+	if got := string(rejection.Append(nil)); got != wantRejection {
 		t.Errorf("%q", got)
 	}
 }
@@ -223,13 +242,18 @@
 	b.ReportAllocs()
 }
 
-// Under a limit of its own a parser takes fields and request line up to that, in parts of any size, and never waits for more than Most bytes.
-func TestLimit(t *testing.T) {
+// Under a limit of its own a parser takes fields and request line up to that, in parts of any size, and never waits
+// for more than MaxBytes.
+func TestParserLimit(t *testing.T) {
 	const limit = 700
 	head := func(line, fields int) string {
-		return "GET /" + strings.Repeat("p", line-len("GET / HTTP/1.1\r\n")) + " HTTP/1.1\r\nHost: a\r\nX: " + strings.Repeat("x", fields-len("Host: a\r\nX: \r\n\r\n")) + "\r\n\r\n"
+		path := strings.Repeat("p", line-len("GET / HTTP/1.1\r\n"))
+		value := strings.Repeat("x", fields-len("Host: a\r\nX: \r\n\r\n"))
+		return "GET /" + path + " HTTP/1.1\r\nHost: a\r\nX: " + value + "\r\n\r\n"
 	}
-	for _, c := range []struct{ line, fields, status int }{{limit, limit, 0}, {limit, limit + 1, 431}, {limit + 1, 100, 414}, {100, 4 * limit, 431}, {4 * limit, 100, 414}} {
+	for _, c := range []struct{ line, fields, status int }{
+		{limit, limit, 0}, {limit, limit + 1, 431}, {limit + 1, 100, 414}, {100, 4 * limit, 431}, {4 * limit, 100, 414},
+	} {
 		for _, part := range []int{1, 7, limit, 10 * limit} {
 			var p Parser
 			p.SetLimit(limit)
@@ -242,7 +266,9 @@
 				at = min(at+part, len(b))
 				n, err = p.Parse(b[:at], new(Head))
 			}
-			if bad := (*Error)(nil); c.status == 0 && (err != nil || n != len(b)) || c.status != 0 && (!errors.As(err, &bad) || bad.Status != c.status) {
+			bad := (*Error)(nil)
+			accepted := err == nil && n == len(b)
+			if c.status == 0 && !accepted || c.status != 0 && (!errors.As(err, &bad) || bad.Status != c.status) {
 				t.Errorf("%+v in parts of %d: %d bytes, %v", c, part, n, err)
 			}
 			if p.Reset(); p.MaxBytes() != 2*limit {
