--- a/cmd/meshd/main_test.go
+++ b/cmd/meshd/main_test.go
@@ -23,7 +23,7 @@
 	os.Exit(m.Run())
 }
 
-// runProgram gives the exit code, standard output and standard error of the program as a golden
+// runProgram returns the exit code, standard output and standard error of the program as a golden
 // file holds them.
 func runProgram(t *testing.T, args, environment []string) string {
 	t.Helper()
--- a/cmd/meshd/role.go
+++ b/cmd/meshd/role.go
@@ -69,7 +69,8 @@
 
 // handleSignals dumps the ring on SIGUSR1 and sends the settings read anew on SIGHUP, until ctx ends.
 func handleSignals(
-	ctx context.Context, signals <-chan os.Signal, reload chan<- *settings.Settings, log *zap.Logger, ring *logring.Ring,
+	ctx context.Context, signals <-chan os.Signal, reload chan<- *settings.Settings,
+	log *zap.Logger, ring *logring.Ring,
 ) {
 	for s := range settings.ReloadSignals(ctx, signals) {
 		if s == syscall.SIGUSR1 {
--- a/internal/mesh/api/forward.go
+++ b/internal/mesh/api/forward.go
@@ -86,7 +86,9 @@
 	hedge     *time.Timer // fires when the newest send has had no result for delay
 }
 
-func newHedgedSends[Resp any](addresses []string, delay time.Duration, send sendFunc[Resp]) *hedgedSends[Resp] {
+func newHedgedSends[Resp any](
+	addresses []string, delay time.Duration, send sendFunc[Resp],
+) *hedgedSends[Resp] {
 	return &hedgedSends[Resp]{
 		send:      send,
 		remaining: addresses,
--- a/internal/mesh/api/upstreams.go
+++ b/internal/mesh/api/upstreams.go
@@ -55,7 +55,8 @@
 	case meshapi.StateDraining:
 		up.State = registry.Draining
 	default:
-		return up, errs.New(errs.Invalid, "status.state: %.32q is neither ready nor draining", heartbeat.Status.State)
+		return up, errs.New(errs.Invalid,
+			"status.state: %.32q is neither ready nor draining", heartbeat.Status.State)
 	}
 	if heartbeat.Address == "" {
 		return up, errs.New(errs.Invalid, "address: missing")
--- a/internal/mesh/balancer/upstream.go
+++ b/internal/mesh/balancer/upstream.go
@@ -54,7 +54,8 @@
 	for _, e := range entries {
 		b.applyEntry(e)
 	}
-	b.upstreams = slices.DeleteFunc(b.upstreams, func(u *upstream) bool { return u.State == policy.Deregistered })
+	isDeregistered := func(u *upstream) bool { return u.State == policy.Deregistered }
+	b.upstreams = slices.DeleteFunc(b.upstreams, isDeregistered)
 	b.totalSlots = 0
 	for _, u := range b.upstreams {
 		if u.State == policy.Ready {
--- a/internal/mesh/cli/cli_test.go
+++ b/internal/mesh/cli/cli_test.go
@@ -50,7 +50,7 @@
   - {resourceType: tenants, metadata: {name: house}, specification: {apiKeys: [k-1, k-2], priority: 0, ratePerS: 50}}
 `
 
-// freeAddress gives a loopback address at which nothing listens.
+// freeAddress returns a loopback address at which nothing listens.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -61,7 +61,7 @@
 	return l.Addr().String()
 }
 
-// refusingAddress gives an address that is bound but takes no connections until the test ends. One
+// refusingAddress returns an address that is bound but accepts no connections until the test ends. One
 // that is merely free may be met by a connection to itself: the kernel may give the caller the very
 // port that it calls.
 func refusingAddress(t *testing.T) string {
--- a/internal/mesh/cli/verbs_golden_test.go
+++ b/internal/mesh/cli/verbs_golden_test.go
@@ -69,7 +69,7 @@
 	}
 }
 
-// runVerb gives a verb's exit code, standard output and standard error as a golden file holds them.
+// runVerb returns a verb's exit code, standard output and standard error as a golden file holds them.
 // The address of the stand-in is replaced, as it differs from run to run.
 func runVerb(address, stdin string, args []string) string {
 	var out, errs bytes.Buffer
--- a/internal/mesh/cluster/planner.go
+++ b/internal/mesh/cluster/planner.go
@@ -79,7 +79,9 @@
 
 // grow adds learners until the target is reached, to an odd number: an even one tolerates no more
 // losses than the odd one below it.
-func (p *Planner) grow(now time.Duration, v View, learners []replication.MemberID) ([]replication.MemberID, bool) {
+func (p *Planner) grow(
+	now time.Duration, v View, learners []replication.MemberID,
+) ([]replication.MemberID, bool) {
 	voters := slices.Clone(v.Status.Membership.Voters)
 	candidates := withoutAddressesOf(voters, learners)
 	size := min(p.target, len(voters)+len(candidates))
@@ -105,6 +107,8 @@
 // withoutAddressesOf returns the members at whose address no voter is.
 func withoutAddressesOf(voters, members []replication.MemberID) []replication.MemberID {
 	return slices.DeleteFunc(slices.Clone(members), func(id replication.MemberID) bool {
-		return slices.ContainsFunc(voters, func(voter replication.MemberID) bool { return voter.Address() == id.Address() })
+		return slices.ContainsFunc(voters, func(voter replication.MemberID) bool {
+			return voter.Address() == id.Address()
+		})
 	})
 }
--- a/internal/mesh/cluster/view.go
+++ b/internal/mesh/cluster/view.go
@@ -85,7 +85,9 @@
 // isLeaving reports whether a voter other than the leader waits to be replaced. The leader transfers its
 // leadership first.
 func (v View) isLeaving(id replication.MemberID) bool {
-	return id != v.Self && slices.ContainsFunc(v.Live, func(m Announcement) bool { return m.ID == id && m.Leaving })
+	return id != v.Self && slices.ContainsFunc(v.Live, func(m Announcement) bool {
+		return m.ID == id && m.Leaving
+	})
 }
 
 func (v View) isOutOfContact(id replication.MemberID) bool {
@@ -94,7 +96,8 @@
 		return false
 	}
 	neverContacted := p.Match == 0
-	return p.SinceLastContact > LastContactThreshold || neverContacted && p.SinceLastContact > neverContactedThreshold
+	return p.SinceLastContact > LastContactThreshold ||
+		neverContacted && p.SinceLastContact > neverContactedThreshold
 }
 
 // bestCandidate returns the learner in the zone with the fewest voters.
--- a/internal/mesh/config/digest_test.go
+++ b/internal/mesh/config/digest_test.go
@@ -9,7 +9,7 @@
 	"caperarch/internal/mesh/errs"
 )
 
-// digestsOf gives the digests of updates, which must stay the same on their way to another process.
+// digestsOf returns the digests of updates, which must stay the same on their way to another process.
 func digestsOf(t *testing.T, bodies ...string) map[digest]bool {
 	t.Helper()
 	found := make(map[digest]bool)
--- a/internal/mesh/config/routing_test.go
+++ b/internal/mesh/config/routing_test.go
@@ -41,7 +41,7 @@
 	})
 }
 
-// largeSnapshot gives a snapshot of 50 hosts with 200 prefixes each.
+// largeSnapshot returns a snapshot of 50 hosts with 200 prefixes each.
 func largeSnapshot(t testing.TB) *Snapshot {
 	t.Helper()
 	change, err := ParseReplace(largeBody())
--- a/internal/mesh/controlplane/helpers_test.go
+++ b/internal/mesh/controlplane/helpers_test.go
@@ -53,7 +53,7 @@
 	}
 }
 
-// resultOf gives the version and the kind of error of a result, 0 without an error, and whether there
+// resultOf returns the version and the kind of error of a result, 0 without an error, and whether there
 // is a result by now.
 func resultOf(results <-chan proposalResult) (version int64, kind errs.Kind, ok bool) {
 	select {
--- a/internal/mesh/controlplane/request_model_test.go
+++ b/internal/mesh/controlplane/request_model_test.go
@@ -95,7 +95,7 @@
 	return requests[s.newest].body(0)
 }
 
-// step gives the states that an answer to a request may lead to, none if it contradicts the state.
+// step returns the states that an answer to a request may lead to, none if it contradicts the state.
 func (s modelState) step(requests []testRequest, i int, a answer) []any {
 	request, bit, current := requests[i], uint64(1)<<i, int64(0)
 	if s.newest >= 0 {
--- a/internal/mesh/controlplane/request_simulation_test.go
+++ b/internal/mesh/controlplane/request_simulation_test.go
@@ -213,7 +213,7 @@
 	})
 }
 
-// collect takes the results that are there; some answers are lost.
+// collect receives the results that are there; some answers are lost.
 func (sim *simulation) collect() {
 	var still []pendingRequest
 	for _, sent := range sim.waiting {
--- a/internal/mesh/gate/harness_test.go
+++ b/internal/mesh/gate/harness_test.go
@@ -90,7 +90,7 @@
 	return h.takeDecisions()
 }
 
-// takeDecisions gives what was decided since the last call.
+// takeDecisions returns what was decided since the last call.
 func (h *harness) takeDecisions() (decisions []string) {
 	decisions, h.decisions = h.decisions, nil
 	return decisions
--- a/internal/mesh/quota/limiter.go
+++ b/internal/mesh/quota/limiter.go
@@ -167,7 +167,9 @@
 // ones is no longer throttled. The floors are held back until limiterFloorLease after that request. A
 // response of an older epoch than one seen before is errs.Stale and changes nothing, as is one
 // while no request is in flight; one with impossible numbers is errs.Invalid.
-func (l *LocalLimiter) ApplyGrants(now time.Duration, epoch Epoch, grants []Grant, throttled []Throttled) error {
+func (l *LocalLimiter) ApplyGrants(
+	now time.Duration, epoch Epoch, grants []Grant, throttled []Throttled,
+) error {
 	if !l.schedule.awaitingResponse {
 		return errs.New(errs.Stale, "response of epoch %d, no request is in flight", epoch)
 	}
--- a/internal/mesh/registry/changes.go
+++ b/internal/mesh/registry/changes.go
@@ -48,7 +48,9 @@
 
 // Since returns what changed after a number of an epoch, and the full state when the epoch is another
 // one or the number is too old. Keep says which services the reader wants; nil keeps all.
-func (t *Table) Since(now time.Duration, epoch Epoch, number ChangeNumber, keep func(service string) bool) Changes {
+func (t *Table) Since(
+	now time.Duration, epoch Epoch, number ChangeNumber, keep func(service string) bool,
+) Changes {
 	changes := Changes{Epoch: t.epoch, Number: t.number}
 	if !t.logReachesBackTo(epoch, number) {
 		changes.Full = true
--- a/internal/mesh/registry/table_test.go
+++ b/internal/mesh/registry/table_test.go
@@ -23,21 +23,21 @@
 
 func at(ms int) time.Duration { return time.Duration(ms) * time.Millisecond }
 
-// renew takes a valid lease and gives whether its content changed.
+// renew applies a valid lease and reports whether its content changed.
 func renew(table *Table, now time.Duration, l Lease) bool {
 	changed, err := table.Renew(now, l)
 	So(err, ShouldBeNil)
 	return changed
 }
 
-// heartbeat takes a valid heartbeat and gives whether it was taken.
+// heartbeat applies a valid heartbeat and reports whether it was applied.
 func heartbeat(table *Table, now time.Duration, up Upstream) bool {
 	taken, err := table.Heartbeat(now, up)
 	So(err, ShouldBeNil)
 	return taken
 }
 
-// show gives the table's upstreams as "instance@inbound state", stale ones with a question mark.
+// show returns the table's upstreams as "instance@inbound state", stale ones with a question mark.
 func show(table *Table, now time.Duration) string {
 	var all []string
 	for _, u := range table.Upstreams(now) {
--- a/internal/mesh/replication/membership_change.go
+++ b/internal/mesh/replication/membership_change.go
@@ -37,7 +37,8 @@
 		return err
 	}
 	if !next.hasQuorum(func(id MemberID) bool { return r.isCaughtUp(now, id) }) {
-		return errs.New(errs.NoQuorum, "replication: too few of the old or the new voters hold all that is committed")
+		return errs.New(errs.NoQuorum,
+			"replication: too few of the old or the new voters hold all that is committed")
 	}
 	for _, id := range next.Voters {
 		if !current.IsVoter(id) && !r.isCaughtUp(now, id) {
@@ -49,7 +50,12 @@
 }
 
 func (r *Replica) appendMembership(now time.Duration, m Membership) {
-	entry := Entry{Index: r.log.lastIndex() + 1, Term: r.hardState.Term, Kind: EntryMembership, Command: m.encode()}
+	entry := Entry{
+		Index:   r.log.lastIndex() + 1,
+		Term:    r.hardState.Term,
+		Kind:    EntryMembership,
+		Command: m.encode(),
+	}
 	r.log.append(entry)
 	r.memberships = append(r.memberships, indexedMembership{entry.Index, m})
 	r.updatePeers(now)
--- a/internal/mesh/replication/propose.go
+++ b/internal/mesh/replication/propose.go
@@ -21,7 +21,8 @@
 	case size == 0:
 		return 0, errs.New(errs.Invalid, "replication: a command is empty")
 	case size > MaxCommandBytes:
-		return 0, errs.New(errs.TooLarge, "replication: a command of %d bytes is over the limit of %d", size, MaxCommandBytes)
+		return 0, errs.New(errs.TooLarge,
+			"replication: a command of %d bytes is over the limit of %d", size, MaxCommandBytes)
 	case r.storageFailed:
 		return 0, errs.New(errs.DiskFailed, "replication: the disk of %s takes no writes", r.id)
 	case r.role != leader:
@@ -32,7 +33,8 @@
 	r.lastToken++
 	index := r.log.lastIndex() + 1
 	r.log.append(Entry{Index: index, Term: r.hardState.Term, Command: command})
-	r.pendingProposals = append(r.pendingProposals, pendingProposal{token: r.lastToken, index: index, bytes: len(command)})
+	proposal := pendingProposal{token: r.lastToken, index: index, bytes: len(command)}
+	r.pendingProposals = append(r.pendingProposals, proposal)
 	r.pendingBytes += len(command)
 	return r.lastToken, nil
 }
--- a/internal/mesh/replication/replicate.go
+++ b/internal/mesh/replication/replicate.go
@@ -69,7 +69,13 @@
 	if r.hasCommittedInTerm() {
 		age = max(0, now-r.leaderQuorumAck())
 	}
-	return Heartbeat{Commit: r.commit, SentAt: now, ReadRound: r.readRound, QuorumAckAge: age, EchoedClock: p.clock}
+	return Heartbeat{
+		Commit:       r.commit,
+		SentAt:       now,
+		ReadRound:    r.readRound,
+		QuorumAckAge: age,
+		EchoedClock:  p.clock,
+	}
 }
 
 // stepAppendResponse updates a peer's progress, and commits what a majority has synced by now.
--- a/internal/mesh/replication/snapshot.go
+++ b/internal/mesh/replication/snapshot.go
@@ -48,7 +48,9 @@
 }
 
 // stepSnapshotResponse continues at the offset that the member names.
-func (r *Replica) stepSnapshotResponse(now time.Duration, from MemberID, term Term, response *SnapshotResponse) {
+func (r *Replica) stepSnapshotResponse(
+	now time.Duration, from MemberID, term Term, response *SnapshotResponse,
+) {
 	p := r.recordResponse(now, from, term, response.SentAt, response.ReadRound, response.Clock)
 	if p == nil {
 		return
--- a/internal/mesh/replication/store_load.go
+++ b/internal/mesh/replication/store_load.go
@@ -94,7 +94,8 @@
 	defer entries.Release()
 	for entries.Next() {
 		key, value := entries.Key(), entries.Value()
-		if len(key) != entryKeyBytes || len(value) < entryHeaderBytes || Index(binary.BigEndian.Uint64(key[1:])) != s.last+1 {
+		if len(key) != entryKeyBytes || len(value) < entryHeaderBytes ||
+			Index(binary.BigEndian.Uint64(key[1:])) != s.last+1 {
 			return eris.Wrapf(errCorrupt, "the entry %x after %d", key, s.last)
 		}
 		s.last++
--- a/internal/mesh/watch/client_contact.go
+++ b/internal/mesh/watch/client_contact.go
@@ -49,7 +49,9 @@
 
 // findMemberInContact asks all other members known, the seeds among them, for
 // one with fresh contact, and makes the first of them in order the move target.
-func (c *Client) findMemberInContact(ctx context.Context, current string, lease *registry.Lease) (found bool) {
+func (c *Client) findMemberInContact(
+	ctx context.Context, current string, lease *registry.Lease,
+) (found bool) {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	var others []string
--- a/internal/mesh/watch/client_lease.go
+++ b/internal/mesh/watch/client_lease.go
@@ -125,7 +125,9 @@
 }
 
 // sendLease sends a lease to a member, and records what its response proves.
-func (c *Client) sendLease(ctx context.Context, address string, lease *registry.Lease) (*LeaseResponse, error) {
+func (c *Client) sendLease(
+	ctx context.Context, address string, lease *registry.Lease,
+) (*LeaseResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	askedAt := time.Now()
--- a/internal/mesh/watch/client_watch.go
+++ b/internal/mesh/watch/client_watch.go
@@ -86,7 +86,9 @@
 
 // openWatch asks a member for a watch and returns its stream of frames, which
 // the caller closes.
-func (c *Client) openWatch(ctx context.Context, address string, request *watchRequest) (io.ReadCloser, error) {
+func (c *Client) openWatch(
+	ctx context.Context, address string, request *watchRequest,
+) (io.ReadCloser, error) {
 	body, err := json.Marshal(request)
 	if err != nil {
 		return nil, errs.Wrap(err, errs.Internal, "encode the watch request")
--- a/meshclient/attempt.go
+++ b/meshclient/attempt.go
@@ -47,7 +47,9 @@
 }
 
 // attempt sends the request to one address, following redirects, and returns the body of a 2xx response.
-func (q *callRequest) attempt(ctx context.Context, client *http.Client, address string) ([]byte, *attemptFailure) {
+func (q *callRequest) attempt(
+	ctx context.Context, client *http.Client, address string,
+) ([]byte, *attemptFailure) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	idle := time.AfterFunc(idleTimeout+time.Duration(len(q.body))*timePerByte, cancel)
@@ -77,7 +79,9 @@
 }
 
 // send sends the request and follows redirects. The caller closes the body of the response.
-func (q *callRequest) send(ctx context.Context, client *http.Client, address string) (*http.Response, *attemptFailure) {
+func (q *callRequest) send(
+	ctx context.Context, client *http.Client, address string,
+) (*http.Response, *attemptFailure) {
 	failure := &attemptFailure{err: Error{Address: address}}
 	target := "http://" + address + q.path
 	for redirects := 0; ; redirects++ {
--- a/meshclient/configuration.go
+++ b/meshclient/configuration.go
@@ -133,7 +133,9 @@
 // force; when another change came in between, it starts again from what is in force then, 32 times
 // in all. It fills in the base version, and also the version where revise leaves that 0: the next
 // one. An error of revise is returned as it is.
-func (c *Client) Change(ctx context.Context, revise func(doc Document) (Change, error)) (version int64, err error) {
+func (c *Client) Change(
+	ctx context.Context, revise func(doc Document) (Change, error),
+) (version int64, err error) {
 	for attempt := 1; ; attempt++ {
 		doc, err := c.Describe(ctx)
 		if err != nil {
