--- a/internal/daemon/config/config.go
+++ b/internal/daemon/config/config.go
@@ -143,17 +143,17 @@
 	if err := json.Unmarshal(raw, &file); err != nil {
 		return nil, fmt.Errorf("EDGE_CONFIG: %w", err)
 	}
-	given := func(value, variable string) string {
+	orEnv := func(value, variable string) string {
 		if value == "" {
 			return env(variable)
 		}
 		return value
 	}
 	c := &Config{
-		Name:      given(file.Name, "EDGE_NAME"),
-		Listen:    given(file.Listen, "EDGE_LISTEN"),
-		Discovery: given(file.Discovery, "EDGE_DISCOVERY"),
-		Control:   given(file.Control, "EDGE_CONTROL"),
+		Name:      orEnv(file.Name, "EDGE_NAME"),
+		Listen:    orEnv(file.Listen, "EDGE_LISTEN"),
+		Discovery: orEnv(file.Discovery, "EDGE_DISCOVERY"),
+		Control:   orEnv(file.Control, "EDGE_CONTROL"),
 		MemoryMB:  int(file.Limits.MemoryMB),
 		Sockets:   int(file.Limits.Sockets),
 
@@ -176,7 +176,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("config: %w", err)
 	}
-	if err := c.take(s); err != nil {
+	if err := c.applySettings(s); err != nil {
 		return nil, err
 	}
 	if len(file.Known) > 0 {
@@ -188,7 +188,7 @@
 }
 
 // take reads the settings: the module's own, and what the sidecar needs besides.
-func (c *Config) take(s *wire.Settings) error {
+func (c *Config) applySettings(s *wire.Settings) error {
 	var err error
 	if c.Policy, err = s.Config(); err != nil {
 		return fmt.Errorf("config: %w", err)
--- a/internal/daemon/config/fleet.go
+++ b/internal/daemon/config/fleet.go
@@ -33,7 +33,7 @@
 	policyBytes = 2048 // and as much again where sidecars agree on a policy: changes come in bursts, at the log's leader above all
 )
 
-const nameMost = 64
+const maxNameBytes = 64
 
 // BytesPerSidecar is how many bytes a second one of so many sidecars may send.
 func (f *Fleet) BytesPerSidecar(sidecars int) float64 {
@@ -92,8 +92,8 @@
 		return nil, err
 	}
 	f := &Fleet{Name: file.Name}
-	if f.Name == "" || len(f.Name) > nameMost {
-		return nil, fmt.Errorf("name: %d characters, 1 to %d are needed: it tells this fleet's sidecars from others'", len(f.Name), nameMost)
+	if f.Name == "" || len(f.Name) > maxNameBytes {
+		return nil, fmt.Errorf("name: %d characters, 1 to %d are needed: it tells this fleet's sidecars from others'", len(f.Name), maxNameBytes)
 	}
 	if file.Lease != "" {
 		var err error
--- a/internal/daemon/config/keys_test.go
+++ b/internal/daemon/config/keys_test.go
@@ -134,7 +134,7 @@
 		t.Fatal(err)
 	}
 	ledger := file.Pools["ledger"]
-	if ledger.Config != "ledger.json" || ledger.Weight == nil || *ledger.Weight != 3 || file.Walls == nil || *file.Walls {
+	if ledger.Config != "ledger.json" || ledger.Weight == nil || *ledger.Weight != 3 || file.Bulkheads == nil || *file.Bulkheads {
 		t.Errorf("read is %+v", file)
 	}
 	want := []Route{{
--- a/internal/daemon/config/pools.go
+++ b/internal/daemon/config/pools.go
@@ -16,7 +16,7 @@
 )
 
 // mostPools bounds a file: each pool has an engine, a watch on discovery and a part of the descriptors.
-const mostPools = 100
+const maxPools = 100
 
 // Pools is the operator's file of pools and routes, checked whole.
 type Pools struct {
@@ -49,12 +49,12 @@
 		Config string
 		Weight *float64
 	}
-	Routes []Route
-	Walls  *bool
+	Routes    []Route
+	Bulkheads *bool `toml:"walls"`
 }
 
 // routeHead is where a rule begins in the file.
-var routeHead = regexp.MustCompile(`(?m)^[ \t]*\[\[[ \t]*routes[ \t]*\]\]`)
+var routeHeader = regexp.MustCompile(`(?m)^[ \t]*\[\[[ \t]*routes[ \t]*\]\]`)
 
 // ReadPools reads the operator's file of pools (TOML) and the configuration of each, named relative to the
 // file. Unknown keys, pools and classes, rules that tie or can never match: the error names line and field.
@@ -81,10 +81,10 @@
 	if err := strictconfig.DecodeTOML(raw, &file); err != nil {
 		return nil, err
 	}
-	if len(file.Pools) == 0 || len(file.Pools) > mostPools {
-		return nil, fmt.Errorf("pools: %d of them, 1 to %d are needed", len(file.Pools), mostPools)
+	if len(file.Pools) == 0 || len(file.Pools) > maxPools {
+		return nil, fmt.Errorf("pools: %d of them, 1 to %d are needed", len(file.Pools), maxPools)
 	}
-	p := &Pools{Bulkheads: file.Walls == nil || *file.Walls}
+	p := &Pools{Bulkheads: file.Bulkheads == nil || *file.Bulkheads}
 	classes := make(route.Pools)
 	for _, name := range slices.Sorted(maps.Keys(file.Pools)) {
 		entry := file.Pools[name]
@@ -111,7 +111,7 @@
 		classes[name] = slices.Sorted(maps.Keys(pool.Config.Classes))
 		p.List = append(p.List, pool)
 	}
-	heads := routeHead.FindAllIndex(raw, -1)
+	heads := routeHeader.FindAllIndex(raw, -1)
 	if len(heads) != len(file.Routes) {
 		return nil, fmt.Errorf("routes: write each as a [[routes]] table, so that errors can name its line")
 	}
--- a/internal/daemon/control/control_test.go
+++ b/internal/daemon/control/control_test.go
@@ -47,7 +47,7 @@
 }
 func (d desk) Work(c Call, w io.Writer) error { return d.Policy(c, w) }
 
-func start(t *testing.T, most int) (string, desk) {
+func start(t *testing.T, maxOpen int) (string, desk) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0") // the plain way: Listen's makes silent callers cost nothing
 	if err != nil {
@@ -55,7 +55,7 @@
 	}
 	t.Cleanup(func() { l.Close() })
 	d := desk{make(chan string, 100)}
-	go New(d, most).Serve(l)
+	go New(d, maxOpen).Serve(l)
 	return l.Addr().String(), d
 }
 
@@ -81,7 +81,7 @@
 	for text, want := range map[string]string{
 		"health\n": "400 no; not yet\n", "counters\n": "a 1\nEOF\n", "cordon s-1\r\n": "200 ok\n", "uncordon s-1\nhealth\n": "200 ok\n",
 		"policy-propose ab 3\n":                    "200 ok\npolicy-propose [\"ab\" \"3\"]\nEOF\n",
-		"GET /metrics HTTP/1.1\r\nHost: a\r\n\r\n": "400 unknown call: one of " + verbs + " is needed\n",
+		"GET /metrics HTTP/1.1\r\nHost: a\r\n\r\n": "400 unknown call: one of " + callUsage + " is needed\n",
 		strings.Repeat("x", 1<<20) + "\n":          "400 a call has 512 bytes at most\n",
 	} {
 		if got := say(t, address, text); got != want {
@@ -110,7 +110,7 @@
 	if got := say(t, address, "counters\n"); got != "a 1\nEOF\n" {
 		t.Errorf("%q", got)
 	}
-	if took := time.Since(begun); took > silentTime/2 { // only their own time-out would end them else
+	if took := time.Since(begun); took > readTimeout/2 { // only their own time-out would end them else
 		t.Errorf("answered after %v", took)
 	}
 }
--- a/internal/daemon/control/defer_linux.go
+++ b/internal/daemon/control/defer_linux.go
@@ -6,10 +6,13 @@
 	"golang.org/x/sys/unix"
 )
 
-// deferFor is how long the kernel keeps a connection to itself that says nothing, in seconds.
-const deferFor = 5
+// deferSeconds is how long the kernel withholds a connection on which nothing has arrived.
+const deferSeconds = 5
 
+// deferAccept sets TCP_DEFER_ACCEPT on the listener.
 func deferAccept(_, _ string, raw syscall.RawConn) error {
-	// Where it is refused, silent callers make room as those do that say half a line.
-	return raw.Control(func(fd uintptr) { _ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_DEFER_ACCEPT, deferFor) })
+	// If it is not supported, idle callers are evicted as those are that sent half a line.
+	return raw.Control(func(fd uintptr) {
+		_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_DEFER_ACCEPT, deferSeconds)
+	})
 }
--- a/internal/daemon/control/listen.go
+++ b/internal/daemon/control/listen.go
@@ -5,9 +5,10 @@
 	"net"
 )
 
-// Listen listens where operators call. Where the system can, it hands a connection over only once it has said something: callers that say nothing cost no descriptor.
+// Listen listens for control calls. Where the system supports it, a connection is accepted only once it has sent
+// something: idle callers cost no descriptor.
 func Listen(address string) (net.Listener, error) {
 	cfg := net.ListenConfig{Control: deferAccept}
-	cfg.SetMultipathTCP(false) // its sockets do not defer
+	cfg.SetMultipathTCP(false) // its sockets do not support TCP_DEFER_ACCEPT
 	return cfg.Listen(context.Background(), "tcp", address)
 }
--- a/internal/daemon/control/protocol.go
+++ b/internal/daemon/control/protocol.go
@@ -1,4 +1,5 @@
-// Package control answers operators: one line a connection, one answer.
+// Package control serves operators' calls: each connection carries one line and gets one answer. A Handler carries the
+// calls out; the Server bounds callers in number, bytes and time.
 package control
 
 import (
@@ -8,10 +9,10 @@
 	"unicode/utf8"
 )
 
-// MaxLineBytes bounds a call in bytes, its line end left out.
+// MaxLineBytes bounds a call, without its line end.
 const MaxLineBytes = 512
 
-// Verb is what is asked for.
+// Verb is the first word of a call.
 type Verb string
 
 // The calls.
@@ -37,20 +38,21 @@
 	WorkCancel Verb = "work-cancel"
 )
 
-// arguments is how many each call has.
-var arguments = map[Verb]int{
+// argumentCounts says how many arguments each call takes.
+var argumentCounts = map[Verb]int{
 	Health: 0, Counters: 0, Cordon: 1, Uncordon: 1, Peers: 0,
 	PolicyText: 4, PolicyPropose: 2, PolicyShow: 0, PolicyHistory: 0, PolicyAbort: 0, PolicyFound: 0,
 	WorkPlan: 1, WorkShow: 0, WorkDone: 1, WorkPause: 1, WorkResume: 1, WorkCancel: 1,
 }
 
-// Call is one line, read.
+// Call is a parsed call.
 type Call struct {
 	Verb      Verb
-	Arguments []string // as many as the call has
+	Arguments []string // as many as the verb takes
 }
 
-// Parse reads a line without its end. An error says what is wrong with it, in one line and without repeating what might break it.
+// Parse parses a line without its end. An error says in one line what is wrong, and quotes none of the input, which
+// might break the line.
 func Parse(line []byte) (Call, error) {
 	if len(line) > MaxLineBytes {
 		return Call{}, fmt.Errorf("a call has %d bytes at most", MaxLineBytes)
@@ -58,27 +60,33 @@
 	if n := len(line); n > 0 && line[n-1] == '\r' {
 		line = line[:n-1]
 	}
-	if i := bytes.IndexFunc(line, func(r rune) bool { return r < ' ' && r != '\t' || r == 0x7f || r == utf8.RuneError }); i >= 0 {
+	if i := bytes.IndexFunc(line, notText); i >= 0 {
 		return Call{}, fmt.Errorf("byte %d is no text", i+1)
 	}
-	words := strings.Fields(string(line))
-	if len(words) == 0 {
-		return Call{}, fmt.Errorf("no call: one of %s is needed", verbs)
+	fields := strings.Fields(string(line))
+	if len(fields) == 0 {
+		return Call{}, fmt.Errorf("no call: one of %s is needed", callUsage)
 	}
-	c := Call{Verb: Verb(words[0])}
-	need, known := arguments[c.Verb]
-	switch given := len(words) - 1; {
+	c := Call{Verb: Verb(fields[0])}
+	need, known := argumentCounts[c.Verb]
+	switch given := len(fields) - 1; {
 	case !known:
-		return Call{}, fmt.Errorf("unknown call: one of %s is needed", verbs)
+		return Call{}, fmt.Errorf("unknown call: one of %s is needed", callUsage)
 	case given < need && (c.Verb == Cordon || c.Verb == Uncordon):
 		return Call{}, fmt.Errorf("%s needs the id of an upstream", c.Verb)
-	case given < need:
-		return Call{}, fmt.Errorf("%s has %d words behind it, %d are needed", c.Verb, given, need)
-	case given > need:
+	case given != need:
 		return Call{}, fmt.Errorf("%s has %d words behind it, %d are needed", c.Verb, given, need)
 	}
-	c.Arguments = words[1:]
+	c.Arguments = fields[1:]
 	return c, nil
 }
 
-const verbs = "health, counters, cordon ID, uncordon ID, peers, policy-show, policy-history, policy-abort, policy-found, work-show, work-done TURN, work-pause PLAN, work-resume PLAN, work-cancel PLAN"
+// notText says whether a character may not stand in a call.
+func notText(r rune) bool {
+	return r < ' ' && r != '\t' || r == 0x7f || r == utf8.RuneError
+}
+
+// callUsage lists the calls that people make; the others are for the caperarch command.
+const callUsage = "health, counters, cordon ID, uncordon ID, peers, " +
+	"policy-show, policy-history, policy-abort, policy-found, " +
+	"work-show, work-done TURN, work-pause PLAN, work-resume PLAN, work-cancel PLAN"
--- a/internal/daemon/cordon/overlay.go
+++ b/internal/daemon/cordon/overlay.go
@@ -1,5 +1,6 @@
-// Package cordon lays bans by hand over discovery's list of upstreams. It is free of I/O: what it is told and asked is handed to it, what it
-// returns is to be handed on to the engine, in order.
+// Package cordon overlays discovery's list of upstreams with operators' bans and with machines under maintenance. It
+// does no I/O and is not safe for concurrent use: package cordonstore owns each Overlay, serializes its calls and hands
+// the lists that they return to the engine, in order.
 package cordon
 
 import (
@@ -11,31 +12,32 @@
 	"caperarch/policy"
 )
 
-// Overlay is a list of upstreams with the bans that lie over it. A banned one is handed on as draining, whatever the
-// list says: the module sends it nothing new and lets it finish, and knows nothing of bans. Lifted, it is what the
-// list says now, with its present start time, so it is cold if it was restarted meanwhile. It is not safe for concurrent use.
+// Overlay is a list of upstreams with the bans on them. A banned upstream is reported as draining, whatever discovery
+// says: the decision module sends it nothing new and lets it finish, and knows nothing of bans. Once the ban is lifted
+// the upstream is what discovery says now, with its present start time: if it was restarted meanwhile it is in slow
+// start.
 type Overlay struct {
-	banned map[policy.ServerID]bool // by hand, or by the fleet's policy
-	away   map[policy.ServerID]bool // by the fleet's plans of work
-	listed map[policy.ServerID]listed
-	ever   ever
-	last   int64 // version heard
+	banned           map[policy.ServerID]bool // by an operator, or by the fleet's policy
+	underMaintenance map[policy.ServerID]bool // by the fleet's maintenance plans
+	listed           map[policy.ServerID]listedServer
+	history          listHistory
+	version          int64 // of the last list from discovery
 }
 
-type listed struct {
+type listedServer struct {
 	policy.Server
 	address string
 	name    string
 }
 
-// NewOverlay makes one with no list and no bans.
+// NewOverlay returns an Overlay with an empty list and no bans.
 func NewOverlay() *Overlay {
-	return &Overlay{banned: make(map[policy.ServerID]bool), listed: make(map[policy.ServerID]listed)}
+	return &Overlay{banned: make(map[policy.ServerID]bool), listed: make(map[policy.ServerID]listedServer)}
 }
 
-// Update takes a list, whole or changes, and returns what is to be handed on in its place.
+// Update applies a list from discovery, full or a delta, and returns it as the engine is to see it.
 func (o *Overlay) Update(l call.ServerList) call.ServerList {
-	o.last = l.Version
+	o.version = l.Version
 	if l.Full {
 		clear(o.listed)
 	}
@@ -49,57 +51,58 @@
 			if name == "" {
 				name = o.listed[s.ID].name
 			}
-			o.listed[s.ID] = listed{s, l.Addresses[s.ID], name}
+			o.listed[s.ID] = listedServer{s, l.Addresses[s.ID], name}
 		}
-		servers = append(servers, o.seen(s))
+		servers = append(servers, o.effective(s))
 	}
 	l.Servers = servers
 	return l
 }
 
-// seen is a server as the module is to see it.
-func (o *Overlay) seen(s policy.Server) policy.Server {
-	if s.State == policy.Ready && (o.banned[s.ID] || o.away[s.ID]) {
+// effective is a server as the decision module is to see it.
+func (o *Overlay) effective(s policy.Server) policy.Server {
+	if s.State == policy.Ready && (o.banned[s.ID] || o.underMaintenance[s.ID]) {
 		s.State = policy.Draining
 	}
 	return s
 }
 
-// SetBanned takes which ids are banned from now on, and returns the whole list as it is to be handed on. An id that is not listed, or never was, is kept: it may be
-// on the way.
+// SetBanned replaces the set of banned ids and returns the full list as the engine is to see it. An id that is not
+// listed is kept: it may be listed later.
 func (o *Overlay) SetBanned(ids []string) call.ServerList {
 	clear(o.banned)
 	for _, id := range ids {
 		o.banned[call.ServerID(id)] = true
 	}
-	return o.now()
+	return o.effectiveList()
 }
 
-// SetUnderMaintenance takes which servers are out by plans of work from now on, and returns the whole list as it is to be handed on.
+// SetUnderMaintenance replaces the set of servers that maintenance plans have taken out, and returns the full list as
+// the engine is to see it.
 func (o *Overlay) SetUnderMaintenance(ids []policy.ServerID) call.ServerList {
-	o.away = make(map[policy.ServerID]bool, len(ids))
+	o.underMaintenance = make(map[policy.ServerID]bool, len(ids))
 	for _, id := range ids {
-		o.away[id] = true
+		o.underMaintenance[id] = true
 	}
-	return o.now()
+	return o.effectiveList()
 }
 
-// now is the whole list as it is to be handed on.
-func (o *Overlay) now() call.ServerList {
+// effectiveList is the full list as the engine is to see it.
+func (o *Overlay) effectiveList() call.ServerList {
 	l := o.Listed()
 	for i, s := range l.Servers {
-		l.Servers[i] = o.seen(s)
+		l.Servers[i] = o.effective(s)
 	}
 	return l
 }
 
-// Entry is an upstream as it is listed, plans of work left aside: one that is out by hand drains.
+// Entry is a listed upstream; a banned one is draining. Maintenance plans are left out of account.
 type Entry struct {
 	policy.Server
-	Name string // as people call it
+	Name string // for people; the id in hexadecimal if discovery gives none
 }
 
-// Entries are those that are listed.
+// Entries returns the listed upstreams, sorted by id.
 func (o *Overlay) Entries() (all []Entry) {
 	for _, id := range slices.Sorted(maps.Keys(o.listed)) {
 		e := Entry{o.listed[id].Server, o.listed[id].name}
@@ -114,19 +117,23 @@
 	return all
 }
 
-// Counts are how many upstreams are listed, and how many of them are not ready or banned.
+// Counts returns how many upstreams are listed, and how many of them get no new requests.
 func (o *Overlay) Counts() (known, out int) {
 	for _, e := range o.listed {
-		if o.seen(e.Server).State != policy.Ready {
+		if o.effective(e.Server).State != policy.Ready {
 			out++
 		}
 	}
 	return len(o.listed), out
 }
 
-// Listed is the list as the list has it, bans left aside.
+// Listed returns the full list as discovery has it, without the bans.
 func (o *Overlay) Listed() call.ServerList {
-	l := call.ServerList{Version: o.last, Full: true, Addresses: make(map[policy.ServerID]string, len(o.listed)), Names: make(map[policy.ServerID]string, len(o.listed))}
+	l := call.ServerList{
+		Version: o.version, Full: true,
+		Addresses: make(map[policy.ServerID]string, len(o.listed)),
+		Names:     make(map[policy.ServerID]string, len(o.listed)),
+	}
 	for _, id := range slices.Sorted(maps.Keys(o.listed)) {
 		e := o.listed[id]
 		l.Servers = append(l.Servers, e.Server)
--- a/internal/daemon/cordon/overlay_test.go
+++ b/internal/daemon/cordon/overlay_test.go
@@ -106,10 +106,10 @@
 func TestEverIsBounded(t *testing.T) {
 	o := NewOverlay()
 	o.Update(list(true, server("stays", policy.Ready, 0)))
-	for i := range 2 * everMost {
+	for i := range 2 * maxHistory {
 		o.remember(policy.ServerID(i))
 	}
-	if len(o.ever.ids) > everMost+1 || len(o.ever.order) > everMost+1 || !o.WasListed("stays") {
-		t.Errorf("%d remembered, stays %v", len(o.ever.ids), o.WasListed("stays"))
+	if len(o.history.ids) > maxHistory+1 || len(o.history.oldestFirst) > maxHistory+1 || !o.WasListed("stays") {
+		t.Errorf("%d remembered, stays %v", len(o.history.ids), o.WasListed("stays"))
 	}
 }
--- a/internal/daemon/cordonstore/cordonstore.go
+++ b/internal/daemon/cordonstore/cordonstore.go
@@ -1,4 +1,6 @@
-// Package cordonstore carries bans by hand from operators to the lists of this process, and to and from the file that outlives it: see cordon for what a ban does.
+// Package cordonstore owns operators' bans of upstreams: it applies them to every list of this process, stores them in
+// a file that outlives the process, and picks up what another process of the same sidecar wrote there. Package cordon
+// says what a ban does. All methods may be called from any goroutine; only Cordon and Uncordon wait.
 package cordonstore
 
 import (
@@ -18,188 +20,200 @@
 )
 
 const (
-	lookEvery = 50 * time.Millisecond  // at the file: another process of this sidecar may have been told
-	takeUp    = 800 * time.Millisecond // a call may take so long, the file's writing and the engines' part; its answer is owed within 1 s
-	most      = 4096                   // bans at once; each list is told apart by them
-	idMost    = 256                    // bytes of an id
+	pollInterval = 50 * time.Millisecond  // of the file: another process of this sidecar may have changed it
+	applyTimeout = 800 * time.Millisecond // of a call, the file's write included: its answer is due within 1 s
+	maxBans      = 4096
+	maxIDBytes   = 256
 )
 
-// What a call is told no for.
+// Why a call is rejected.
 var (
-	ErrNeverListed = errors.New("no upstream of this id was ever listed") // a slip of the pen, that nobody would notice
-	errBusy        = errors.New("not taken up within 0.8 s, call again")
-	errMany        = fmt.Errorf("%d upstreams are out by hand already", most)
-	errID          = fmt.Errorf("an id has 1 to %d bytes, no white space and no control bytes", idMost)
+	ErrNeverListed = errors.New("no upstream of this id was ever listed") // else a typing error would go unnoticed
+	errTimeout     = errors.New("not taken up within 0.8 s, call again")
+	errTooMany     = fmt.Errorf("%d upstreams are out by hand already", maxBans)
+	errInvalidID   = fmt.Errorf("an id has 1 to %d bytes, no white space and no control bytes", maxIDBytes)
 )
 
-// Engine takes lists up; neither waits.
+// Engine receives lists. Neither method waits.
 type Engine interface {
-	// UpdateServers takes what discovery has told.
+	// UpdateServers applies a list from discovery, full or a delta.
 	UpdateServers(l call.ServerList)
-	// ReplaceServers takes the whole list as it is to be seen from now on, and calls taken once that is so.
-	ReplaceServers(l call.ServerList, taken func())
+	// ReplaceServers applies a full list, and calls applied once decisions follow it; applied may be nil.
+	ReplaceServers(l call.ServerList, applied func())
 }
 
-// Store has the bans of this process, over all of its lists.
+// Store holds the bans of this process and applies them to all of its lists.
 type Store struct {
 	log  *slog.Logger
 	file file
 
-	mu    sync.Mutex
-	bans  []string // sorted
-	lists map[*List]struct{}
-	seen  stamp // of the file, when it was read last
+	mu        sync.Mutex
+	banned    []string // sorted
+	lists     map[*List]struct{}
+	lastStamp stamp // of the file when it was last read or written
 }
 
-// New makes a keeper whose bans are kept in a folder; "": in this process alone. What stands there holds from the start.
+// New returns a store that keeps its bans in the folder dir, or in memory alone if dir is "". Bans that the file
+// already holds apply from the start.
 func New(dir string, log *slog.Logger) *Store {
-	k := &Store{log: log, file: file{dir}, lists: make(map[*List]struct{})}
-	k.look()
-	return k
+	s := &Store{log: log, file: file{dir}, lists: make(map[*List]struct{})}
+	s.reload()
+	return s
 }
 
-// List is one engine's list, with the bans laid over it.
+// List is one engine's list with the bans applied.
 type List struct {
-	k       *Store
-	engine  Engine
-	overlay *cordon.Overlay // under the keeper's lock
-	also    []string        // out by the fleet's policy, in order; under the keeper's lock
+	store        *Store
+	engine       Engine
+	overlay      *cordon.Overlay // guarded by store.mu
+	policyBanned []string        // sorted; guarded by store.mu
 }
 
-// SetPolicyBanned takes what else is out, by the fleet's policy: it is no ban by hand, and no call ends it. It does not wait.
+// SetPolicyBanned replaces the ids that the fleet's policy bans. They are no bans of an operator, and Uncordon does not
+// lift them. It does not wait.
 func (l *List) SetPolicyBanned(ids []string) {
-	l.k.mu.Lock()
-	defer l.k.mu.Unlock()
-	if !slices.Equal(l.also, ids) {
-		l.also = ids
-		l.engine.ReplaceServers(l.overlay.SetBanned(l.out()), nil)
+	l.store.mu.Lock()
+	defer l.store.mu.Unlock()
+	if !slices.Equal(l.policyBanned, ids) {
+		l.policyBanned = ids
+		l.engine.ReplaceServers(l.overlay.SetBanned(l.excluded()), nil)
 	}
 }
 
-// SetUnderMaintenance takes which upstreams are out by the fleet's plans of work, whatever is said by hand. It does not wait.
+// SetUnderMaintenance replaces the servers that the fleet's maintenance plans have taken out. It does not wait.
 func (l *List) SetUnderMaintenance(ids []policy.ServerID) {
-	l.k.mu.Lock()
-	defer l.k.mu.Unlock()
+	l.store.mu.Lock()
+	defer l.store.mu.Unlock()
 	l.engine.ReplaceServers(l.overlay.SetUnderMaintenance(ids), nil)
 }
 
-// Entries are the upstreams that are listed, plans of work left aside.
+// Entries returns the listed upstreams. Maintenance plans are left out of account.
 func (l *List) Entries() []cordon.Entry {
-	l.k.mu.Lock()
-	defer l.k.mu.Unlock()
+	l.store.mu.Lock()
+	defer l.store.mu.Unlock()
 	return l.overlay.Entries()
 }
 
-// out is all that is out, by hand and by policy.
-func (l *List) out() []string { return slices.Concat(l.k.bans, l.also) }
+// excluded returns all banned ids, by operators and by policy. The caller holds store.mu.
+func (l *List) excluded() []string { return slices.Concat(l.store.banned, l.policyBanned) }
 
-// NewList lays the bans over one more list; what is heard of it goes to Heard.
-func (k *Store) NewList(e Engine) *List {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	l := &List{k: k, engine: e, overlay: cordon.NewOverlay()}
-	l.overlay.SetBanned(k.bans)
-	k.lists[l] = struct{}{}
+// NewList starts a list for an engine. The list is followed until its Close.
+func (s *Store) NewList(e Engine) *List {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	l := &List{store: s, engine: e, overlay: cordon.NewOverlay()}
+	l.overlay.SetBanned(s.banned)
+	s.lists[l] = struct{}{}
 	return l
 }
 
-// SetInitial takes the list that is known at the start and what was listed before, and returns the list as the engine is to have it.
+// SetInitial sets the list that is known at the start and the upstreams that were listed before, and returns the list
+// as the engine is to begin with it.
 func (l *List) SetInitial(known call.ServerList, ever []policy.ServerID) call.ServerList {
-	l.k.mu.Lock()
-	defer l.k.mu.Unlock()
+	l.store.mu.Lock()
+	defer l.store.mu.Unlock()
 	l.overlay.Remember(ever)
 	known.Full = true
 	return l.overlay.Update(known)
 }
 
-// Update takes a list and hands it on.
-func (l *List) Update(heard call.ServerList) {
-	l.k.mu.Lock()
-	defer l.k.mu.Unlock()
-	l.engine.UpdateServers(l.overlay.Update(heard))
+// Update applies a list from discovery and passes it to the engine, with the bans applied.
+func (l *List) Update(fromDiscovery call.ServerList) {
+	l.store.mu.Lock()
+	defer l.store.mu.Unlock()
+	l.engine.UpdateServers(l.overlay.Update(fromDiscovery))
 }
 
-// Listed is the list as it was heard last, bans left aside, and what was listed before.
-func (l *List) Listed() (listed call.ServerList, left []policy.ServerID) {
-	l.k.mu.Lock()
-	defer l.k.mu.Unlock()
+// Listed returns the full list as discovery has it, without the bans, and the upstreams that were listed before.
+func (l *List) Listed() (listed call.ServerList, delisted []policy.ServerID) {
+	l.store.mu.Lock()
+	defer l.store.mu.Unlock()
 	return l.overlay.Listed(), l.overlay.Delisted()
 }
 
-// Counts are how many upstreams are listed, and how many of them are not ready or out by hand.
-func (l *List) Counts() (known, out int) {
-	l.k.mu.Lock()
-	defer l.k.mu.Unlock()
+// Counts returns how many upstreams are listed, and how many of them get no new requests.
+func (l *List) Counts() (known, excluded int) {
+	l.store.mu.Lock()
+	defer l.store.mu.Unlock()
 	return l.overlay.Counts()
 }
 
-// Close takes that the list is no longer followed.
+// Close ends the list: bans are no longer applied to it.
 func (l *List) Close() {
-	l.k.mu.Lock()
-	defer l.k.mu.Unlock()
-	delete(l.k.lists, l)
+	l.store.mu.Lock()
+	defer l.store.mu.Unlock()
+	delete(l.store.lists, l)
 }
 
-// Cordon takes an upstream out, and returns once every engine sends it nothing new. A repeat is harmless.
-func (k *Store) Cordon(id string) error { return k.change(id, true) }
+// Cordon bans an upstream, and returns once every engine sends it nothing new. It is idempotent.
+func (s *Store) Cordon(id string) error { return s.change(id, true) }
 
-// Uncordon has an upstream used again. One call ends the ban, however often it was laid.
-func (k *Store) Uncordon(id string) error { return k.change(id, false) }
+// Uncordon lifts the ban on an upstream, however often it was banned, and returns once every engine may use it again.
+func (s *Store) Uncordon(id string) error { return s.change(id, false) }
 
-func (k *Store) change(id string, ban bool) error {
-	if !usable(id) {
-		return errID
+// change bans an upstream or lifts its ban, and waits until every engine has applied that.
+func (s *Store) change(id string, ban bool) error {
+	if !validID(id) {
+		return errInvalidID
 	}
-	// From here on, not from when the file is written: a disk that took 0.4 s for it had the caller wait for 1.2 s.
-	end := time.NewTimer(takeUp)
-	defer end.Stop()
-	k.mu.Lock()
-	if k.never(id) {
-		k.mu.Unlock()
-		return ErrNeverListed
+	// The time-out starts here, not once the file is written: a disk that took 0.4 s had the caller wait for 1.2 s.
+	timeout := time.NewTimer(applyTimeout)
+	defer timeout.Stop()
+	applied, err := s.store(id, ban)
+	if err != nil {
+		return err
+	}
+	s.log.Info("by hand", "upstream", id, "out", ban)
+	select {
+	case <-applied:
+		return nil
+	case <-timeout.C:
+	}
+	select {
+	case <-applied: // a slow disk has used up the time, and the engines were ready nonetheless
+		return nil
+	default:
+		return errTimeout
+	}
+}
+
+// store edits the file and applies the result; the channel is closed once every engine has applied it.
+func (s *Store) store(id string, ban bool) (applied <-chan struct{}, err error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.neverListed(id) {
+		return nil, ErrNeverListed
 	}
 	full := false
-	bans, err := k.file.change(k.bans, func(bans []string) []string {
-		at, found := slices.BinarySearch(bans, id)
+	banned, err := s.file.change(s.banned, func(banned []string) []string {
+		at, found := slices.BinarySearch(banned, id)
 		switch {
 		case found && !ban:
-			bans = slices.Delete(bans, at, at+1)
-		case !found && ban && len(bans) >= most:
+			banned = slices.Delete(banned, at, at+1)
+		case !found && ban && len(banned) >= maxBans:
 			full = true
 		case !found && ban:
-			bans = slices.Insert(bans, at, id)
+			banned = slices.Insert(banned, at, id)
 		}
-		return bans
+		return banned
 	})
-	if err != nil { // it holds here; whoever replaces this process would not know
-		k.log.Error("bans could not be kept, they hold in this process alone", "error", err)
+	if err != nil { // the ban applies here; a process that replaces this one would not know of it
+		s.log.Error("bans could not be kept, they hold in this process alone", "error", err)
 	}
-	k.seen = k.file.stamp()
-	taken := k.apply(bans)
-	k.mu.Unlock()
+	s.lastStamp = s.file.stamp()
+	applied = s.apply(banned)
 	if full {
-		return errMany
-	}
-	k.log.Info("by hand", "upstream", id, "out", ban)
-	select {
-	case <-taken:
-		return nil
-	case <-end.C:
-	}
-	select {
-	case <-taken: // a slow disk has used the time up, and they were ready nonetheless
-		return nil
-	default:
-		return errBusy
+		return nil, errTooMany
 	}
+	return applied, nil
 }
 
-// never says that no list has had an id. An id that is banned was listed to whoever banned it. The caller holds the lock.
-func (k *Store) never(id string) bool {
-	if _, banned := slices.BinarySearch(k.bans, id); banned {
+// neverListed says whether no list ever had an id. A banned id was listed to whoever banned it. The caller holds mu.
+func (s *Store) neverListed(id string) bool {
+	if _, banned := slices.BinarySearch(s.banned, id); banned {
 		return false
 	}
-	for l := range k.lists {
+	for l := range s.lists {
 		if l.overlay.WasListed(id) {
 			return false
 		}
@@ -207,14 +221,14 @@
 	return true
 }
 
-// apply lays other bans over all lists; the channel is closed once all engines have taken that up. The caller holds the lock.
-func (k *Store) apply(bans []string) <-chan struct{} {
-	k.bans = bans
+// apply sets the bans on all lists; the channel is closed once all engines have applied them. The caller holds mu.
+func (s *Store) apply(banned []string) <-chan struct{} {
+	s.banned = banned
 	var all sync.WaitGroup
-	for l := range k.lists {
-		// Handed on without a change too: what an earlier call began may still wait to be taken up.
+	for l := range s.lists {
+		// Also without a change: the one of an earlier call may still wait to be applied.
 		all.Add(1)
-		l.engine.ReplaceServers(l.overlay.SetBanned(l.out()), all.Done)
+		l.engine.ReplaceServers(l.overlay.SetBanned(l.excluded()), all.Done)
 	}
 	done := make(chan struct{})
 	go func() {
@@ -224,38 +238,38 @@
 	return done
 }
 
-// look reads the file where it has changed since it was last read.
-func (k *Store) look() {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	now := k.file.stamp()
-	if now == k.seen || now == (stamp{}) {
+// reload applies the bans of the file if it has changed since it was last read or written.
+func (s *Store) reload() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	now := s.file.stamp()
+	if now == s.lastStamp || now == (stamp{}) {
 		return
 	}
-	k.seen = now
-	bans, err := k.file.read()
+	s.lastStamp = now
+	banned, err := s.file.read()
 	if err != nil {
-		k.log.Error("the file of bans can't be used, those known hold", "error", err)
+		s.log.Error("bans file not usable, the known bans stay", "error", err)
 		return
 	}
-	slices.Sort(bans)
-	if bans = slices.Compact(bans); !slices.Equal(bans, k.bans) {
-		k.log.Info("bans read", "out", bans)
-		k.apply(bans)
+	slices.Sort(banned)
+	if banned = slices.Compact(banned); !slices.Equal(banned, s.banned) {
+		s.log.Info("bans read", "out", banned)
+		s.apply(banned)
 	}
 }
 
-// Run looks at the file until ctx ends.
-func (k *Store) Run(ctx context.Context) {
-	if k.file.dir == "" {
+// Run reloads the file whenever it changes, until ctx ends.
+func (s *Store) Run(ctx context.Context) {
+	if s.file.dir == "" {
 		return
 	}
-	clock.Every(ctx, lookEvery, k.look)
+	clock.Every(ctx, pollInterval, s.reload)
 }
 
-// usable says whether text may be an id: whatever stands in the list may, but for what would break a line of the log.
-func usable(id string) bool {
-	if id == "" || len(id) > idMost || !utf8.ValidString(id) {
+// validID says whether text may be an id: all that discovery may list, but for what would break a line of the log.
+func validID(id string) bool {
+	if id == "" || len(id) > maxIDBytes || !utf8.ValidString(id) {
 		return false
 	}
 	for _, c := range id {
--- a/internal/daemon/cordonstore/cordonstore_test.go
+++ b/internal/daemon/cordonstore/cordonstore_test.go
@@ -42,11 +42,11 @@
 
 func open(t *testing.T, dir string) (*Store, *engine) {
 	t.Helper()
-	k, e := New(dir, slog.Default()), &engine{last: make(chan policy.State, 100)}
-	l := k.NewList(e)
+	s, e := New(dir, slog.Default()), &engine{last: make(chan policy.State, 100)}
+	l := s.NewList(e)
 	known := l.SetInitial(call.ServerList{Servers: []policy.Server{{ID: call.ServerID("s-1"), State: policy.Ready, Weight: 1}}, Addresses: map[policy.ServerID]string{}}, nil)
 	e.last <- known.Servers[0].State
-	return k, e
+	return s, e
 }
 
 func (e *engine) want(t *testing.T, what string, want policy.State) {
@@ -73,7 +73,7 @@
 		}
 		ea.want(t, "told", policy.Draining)
 	}
-	b.look()
+	b.reload()
 	eb.want(t, "looked", policy.Draining)
 	_, ec := open(t, dir)
 	ec.want(t, "started later", policy.Draining)
@@ -81,7 +81,7 @@
 		t.Fatal(err)
 	}
 	eb.want(t, "told of the end", policy.Ready)
-	a.look()
+	a.reload()
 	ea.want(t, "looked at the end", policy.Ready)
 	if err := b.Uncordon("s-1"); err != nil {
 		t.Errorf("a second call back: %v", err)
@@ -97,13 +97,13 @@
 // Without a folder, or with one that can't be written, a ban holds in this process.
 func TestNowhereToKeep(t *testing.T) {
 	for _, dir := range []string{"", filepath.Join(t.TempDir(), "none")} {
-		k, e := open(t, dir)
+		s, e := open(t, dir)
 		e.want(t, "start", policy.Ready)
-		if err := k.Cordon("s-1"); err != nil {
+		if err := s.Cordon("s-1"); err != nil {
 			t.Errorf("%q: %v", dir, err)
 		}
 		e.want(t, "banned", policy.Draining)
-		k.look()
+		s.reload()
 		if len(e.last) > 0 {
 			t.Errorf("%q: the ban was lost at the next look", dir)
 		}
@@ -113,36 +113,36 @@
 // Half a file, noise, another form and a changed byte are put aside, and what is known holds.
 func TestDamagedFileIsPutAside(t *testing.T) {
 	dir := t.TempDir()
-	k, _ := open(t, dir)
-	if err := k.Cordon("s-1"); err != nil {
+	s, _ := open(t, dir)
+	if err := s.Cordon("s-1"); err != nil {
 		t.Fatal(err)
 	}
-	whole, err := os.ReadFile(k.file.path())
+	whole, err := os.ReadFile(s.file.path())
 	if err != nil {
 		t.Fatal(err)
 	}
 	changed := append([]byte(nil), whole...)
 	changed[len(`{"form":1,"bans":["s-`)] = '2'
 	for name, raw := range map[string][]byte{"half": whole[:len(whole)/2], "noise": {0, 1, 2}, "empty": {}, "changed": changed, "form": []byte(`{"form":9}`)} {
-		if err := os.WriteFile(k.file.path(), raw, 0o600); err != nil {
+		if err := os.WriteFile(s.file.path(), raw, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		k.look()
-		if len(k.bans) != 1 {
-			t.Errorf("%s: bans %v", name, k.bans)
+		s.reload()
+		if len(s.banned) != 1 {
+			t.Errorf("%s: bans %v", name, s.banned)
 		}
-		if _, err := os.Stat(k.file.path() + ".damaged"); err != nil {
+		if _, err := os.Stat(s.file.path() + ".damaged"); err != nil {
 			t.Errorf("%s: not put aside: %v", name, err)
 		}
-		if later, _ := open(t, dir); len(later.bans) != 0 {
-			t.Errorf("%s: a later start has %v", name, later.bans)
+		if later, _ := open(t, dir); len(later.banned) != 0 {
+			t.Errorf("%s: a later start has %v", name, later.banned)
 		}
 	}
-	if err := k.Cordon("s-1"); err != nil { // written anew
+	if err := s.Cordon("s-1"); err != nil { // written anew
 		t.Fatal(err)
 	}
-	if later, _ := open(t, dir); len(later.bans) != 1 {
-		t.Errorf("after a further call: %v", later.bans)
+	if later, _ := open(t, dir); len(later.banned) != 1 {
+		t.Errorf("after a further call: %v", later.banned)
 	}
 }
 
@@ -166,7 +166,7 @@
 			t.Errorf("%s: %q", how, got)
 		}
 	}
-	if err := os.WriteFile(f.path(), make([]byte, fileMost+1), 0o600); err != nil {
+	if err := os.WriteFile(f.path(), make([]byte, maxFileBytes+1), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := f.read(); !errors.Is(err, durable.ErrCorrupt) {
@@ -177,10 +177,10 @@
 // An engine that does not take a ban up gets its caller a no in time, not a yes that is not true.
 func TestNoWhereNotTakenUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		k, e := open(t, "")
+		s, e := open(t, "")
 		e.deaf = true
 		begun := time.Now()
-		if err := k.Cordon("s-1"); !errors.Is(err, errBusy) || time.Since(begun) != takeUp {
+		if err := s.Cordon("s-1"); !errors.Is(err, errTimeout) || time.Since(begun) != applyTimeout {
 			t.Errorf("%v after %v", err, time.Since(begun))
 		}
 		e.late()
@@ -190,9 +190,9 @@
 // What the file's writing takes counts too: here another process has its lock for a while.
 func TestFilesTimeCounts(t *testing.T) {
 	const held = 600 * time.Millisecond
-	k, e := open(t, t.TempDir())
+	s, e := open(t, t.TempDir())
 	e.deaf = true
-	lock, err := os.Create(filepath.Join(k.file.dir, lockName))
+	lock, err := os.Create(filepath.Join(s.file.dir, lockName))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -202,7 +202,7 @@
 	let := time.AfterFunc(held, func() { lock.Close() })
 	defer let.Stop()
 	begun := time.Now()
-	if err := k.Cordon("s-1"); !errors.Is(err, errBusy) || time.Since(begun) >= held+takeUp {
+	if err := s.Cordon("s-1"); !errors.Is(err, errTimeout) || time.Since(begun) >= held+applyTimeout {
 		t.Errorf("%v after %v", err, time.Since(begun))
 	}
 }
--- a/internal/daemon/cordonstore/file.go
+++ b/internal/daemon/cordonstore/file.go
@@ -16,23 +16,23 @@
 )
 
 const (
-	fileName = "caperarch-bans.json"
-	lockName = "caperarch-bans.lock"
-	fileMost = 1 << 20 // bytes of the file; more is none of ours
-	form     = 1       // of the file
+	fileName        = "caperarch-bans.json"
+	lockName        = "caperarch-bans.lock"
+	maxFileBytes    = 1 << 20 // a larger file is not one of ours
+	documentVersion = 1
 )
 
-// file keeps the bans where they outlive the process, and where another process of the same sidecar sees them.
+// file stores the bans so that they outlive the process and other processes of the same sidecar see them.
 type file struct{ dir string }
 
-// kept is the file's text.
-type kept struct {
+// document is the content of the file.
+type document struct {
 	Form int             `json:"form"`
 	Bans json.RawMessage `json:"bans"`
-	Sum  uint64          `json:"sum"` // of Bans' bytes: half a file, or one that was edited, is none
+	Sum  uint64          `json:"sum"` // xxhash of Bans: a truncated or edited file is corrupt
 }
 
-// stamp tells one writing of the file from another. They are renamed into place, so each has an inode of its own.
+// stamp identifies one version of the file. Each is renamed into place, so it has an inode of its own.
 type stamp struct {
 	inode uint64
 	time  syscall.Timespec
@@ -41,7 +41,7 @@
 
 func (f file) path() string { return filepath.Join(f.dir, fileName) }
 
-// stamp is the file's present one; the zero one where there is no file.
+// stamp returns the stamp of the present file; the zero stamp if there is none.
 func (f file) stamp() stamp {
 	var s syscall.Stat_t
 	if f.dir == "" || syscall.Stat(f.path(), &s) != nil {
@@ -50,17 +50,19 @@
 	return stamp{s.Ino, s.Mtim, s.Size}
 }
 
-// read returns the bans; none where there is no file. One that is damaged is put aside, so that it can be looked at and is not read again.
+// read returns the bans; none if there is no file. A corrupt file is quarantined, so that it can be inspected and is
+// not read again.
 func (f file) read() ([]string, error) {
-	bans, err := f.parse()
+	banned, err := f.parse()
 	if errors.Is(err, durable.ErrCorrupt) {
 		return nil, errors.Join(err, durable.Quarantine(f.path()))
 	}
-	return bans, err
+	return banned, err
 }
 
+// parse reads and checks the file; the error is durable.ErrCorrupt if its content is not valid.
 func (f file) parse() ([]string, error) {
-	raw, err := durable.ReadBounded(f.path(), fileMost)
+	raw, err := durable.ReadBounded(f.path(), maxFileBytes)
 	switch {
 	case errors.Is(err, fs.ErrNotExist):
 		return nil, nil
@@ -69,51 +71,51 @@
 	case err != nil:
 		return nil, err
 	}
-	var k kept
-	if err := json.Unmarshal(raw, &k); err != nil {
+	var d document
+	if err := json.Unmarshal(raw, &d); err != nil {
 		return nil, fmt.Errorf("%w: %w", durable.ErrCorrupt, err)
 	}
-	if k.Form != form || k.Sum != xxhash.Sum64(k.Bans) {
-		return nil, fmt.Errorf("%w: form %d or its sum is not right", durable.ErrCorrupt, k.Form)
+	if d.Form != documentVersion || d.Sum != xxhash.Sum64(d.Bans) {
+		return nil, fmt.Errorf("%w: form %d or its sum is not right", durable.ErrCorrupt, d.Form)
 	}
-	var bans []string
-	if err := json.Unmarshal(k.Bans, &bans); err != nil {
+	var banned []string
+	if err := json.Unmarshal(d.Bans, &banned); err != nil {
 		return nil, fmt.Errorf("%w: %w", durable.ErrCorrupt, err)
 	}
-	return bans, nil
+	return banned, nil
 }
 
-// write replaces the file, whole or not at all.
-func (f file) write(bans []string) error {
-	text, err := json.Marshal(bans)
+// write replaces the file atomically.
+func (f file) write(banned []string) error {
+	text, err := json.Marshal(banned)
 	if err != nil {
 		return err
 	}
-	raw, err := json.Marshal(kept{form, text, xxhash.Sum64(text)})
+	raw, err := json.Marshal(document{documentVersion, text, xxhash.Sum64(text)})
 	if err != nil {
 		return err
 	}
 	return durable.Replace(f.path(), raw)
 }
 
-// change reads, edits and writes the bans while no other process does. The result is what they are now, also where they could not be
-// written: then it holds in this process alone.
-func (f file) change(have []string, edit func([]string) []string) ([]string, error) {
+// change reads, edits and writes the bans under a lock that other processes respect. It returns the bans as they are
+// now, even with an error: then they hold in this process alone.
+func (f file) change(current []string, edit func([]string) []string) ([]string, error) {
 	if f.dir == "" {
-		return edit(slices.Clone(have)), errors.New("TMPDIR is not set")
+		return edit(slices.Clone(current)), errors.New("TMPDIR is not set")
 	}
-	l, err := os.OpenFile(filepath.Join(f.dir, lockName), os.O_CREATE|os.O_RDWR, 0o600)
+	lock, err := os.OpenFile(filepath.Join(f.dir, lockName), os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
-		return edit(slices.Clone(have)), err
+		return edit(slices.Clone(current)), err
 	}
-	defer l.Close() // which unlocks it
-	if err := syscall.Flock(int(l.Fd()), syscall.LOCK_EX); err != nil {
-		return edit(slices.Clone(have)), err
+	defer lock.Close() // which unlocks it
+	if err := syscall.Flock(int(lock.Fd()), syscall.LOCK_EX); err != nil {
+		return edit(slices.Clone(current)), err
 	}
-	bans, err := f.read()
+	banned, err := f.read()
 	if err != nil {
-		bans = slices.Clone(have)
+		banned = slices.Clone(current)
 	}
-	bans = edit(bans)
-	return bans, errors.Join(err, f.write(bans))
+	banned = edit(banned)
+	return banned, errors.Join(err, f.write(banned))
 }
--- a/internal/daemon/cordonstore/golden_test.go
+++ b/internal/daemon/cordonstore/golden_test.go
@@ -9,11 +9,11 @@
 
 // A process of an earlier release shares the file with this one.
 func TestFileIsReadAndWrittenAsBefore(t *testing.T) {
-	dir, bans := t.TempDir(), []string{"s-1", "s-<&>é"}
-	if got, err := (file{"testdata"}).read(); err != nil || !reflect.DeepEqual(got, bans) {
-		t.Errorf("read are %q, %v, want %q", got, err, bans)
+	dir, banned := t.TempDir(), []string{"s-1", "s-<&>é"}
+	if got, err := (file{"testdata"}).read(); err != nil || !reflect.DeepEqual(got, banned) {
+		t.Errorf("read are %q, %v, want %q", got, err, banned)
 	}
-	if err := (file{dir}).write(bans); err != nil {
+	if err := (file{dir}).write(banned); err != nil {
 		t.Fatal(err)
 	}
 	const name = "caperarch-bans.json"
--- a/internal/daemon/handover/golden_test.go
+++ b/internal/daemon/handover/golden_test.go
@@ -11,7 +11,7 @@
 
 // The other process of a handover may be one of an earlier release.
 func TestRecordIsReadAndWrittenAsBefore(t *testing.T) {
-	const mark = "the newcomer's mark"
+	const id = "the newcomer's mark"
 	want := &Record{Pools: map[string]Pool{
 		"": {
 			Version: 7,
@@ -30,10 +30,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got, err := decode(golden, mark); err != nil || !reflect.DeepEqual(got, want) {
+	if got, err := decode(golden, id); err != nil || !reflect.DeepEqual(got, want) {
 		t.Errorf("read is %+v, %v, want %+v", got, err, want)
 	}
-	if got, err := want.encode(mark); err != nil || string(got) != string(golden) {
+	if got, err := want.encode(id); err != nil || string(got) != string(golden) {
 		t.Errorf("written is %v\n%s, want\n%s", err, got, golden)
 	}
 }
--- a/internal/daemon/handover/handover_test.go
+++ b/internal/daemon/handover/handover_test.go
@@ -66,22 +66,22 @@
 		if seen := old.Observe(); seen.Newcomer {
 			t.Fatal("a dead newcomer is seen")
 		}
-		young := open(t, dir)
-		if seen := young.Observe(); seen.HasSeat {
+		newcomer := open(t, dir)
+		if seen := newcomer.Observe(); seen.HasSeat {
 			t.Fatal("two have the seat")
 		}
 		r := &Record{Pools: map[string]Pool{"": {Version: 7, Delisted: []policy.ServerID{1 << 63}}}}
 		if err := old.WriteRecord(old.Observe().LatestArrival, r); err != nil {
 			t.Fatal(err)
 		}
-		if got, err := young.AwaitRecord(testbed.Generous); err != nil || got.Pools[""].Version != 7 || got.Pools[""].Delisted[0] != 1<<63 {
+		if got, err := newcomer.AwaitRecord(testbed.Generous); err != nil || got.Pools[""].Version != 7 || got.Pools[""].Delisted[0] != 1<<63 {
 			t.Fatalf("%+v, %v", got, err)
 		}
 		old.Close()
-		if seen := young.Observe(); !seen.HasSeat || seen.Newcomer {
+		if seen := newcomer.Observe(); !seen.HasSeat || seen.Newcomer {
 			t.Fatalf("the old one is gone, the newcomer sees %+v", seen)
 		}
-		old = young
+		old = newcomer
 	}
 }
 
@@ -114,33 +114,33 @@
 	}
 	dir := t.TempDir()
 	open(t, dir)
-	young := open(t, dir)
-	if _, err := young.AwaitRecord(20 * time.Millisecond); err != ErrNoRecord {
+	newcomer := open(t, dir)
+	if _, err := newcomer.AwaitRecord(20 * time.Millisecond); err != ErrNoRecord {
 		t.Errorf("missing: %v", err)
 	}
 	if err := os.WriteFile(filepath.Join(dir, recordName), raw, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := young.AwaitRecord(20 * time.Millisecond); err != ErrNoRecord {
+	if _, err := newcomer.AwaitRecord(20 * time.Millisecond); err != ErrNoRecord {
 		t.Errorf("another's: %v", err)
 	}
 	if err := os.WriteFile(filepath.Join(dir, recordName), raw[:len(raw)/2], 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := young.AwaitRecord(testbed.Generous); err == nil || err == ErrNoRecord {
+	if _, err := newcomer.AwaitRecord(testbed.Generous); err == nil || err == ErrNoRecord {
 		t.Errorf("cut: %v", err)
 	}
-	if err := os.WriteFile(filepath.Join(dir, recordName), make([]byte, recordMost+1), 0o600); err != nil {
+	if err := os.WriteFile(filepath.Join(dir, recordName), make([]byte, maxRecordBytes+1), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := young.AwaitRecord(testbed.Generous); !errors.Is(err, errDamaged) {
+	if _, err := newcomer.AwaitRecord(testbed.Generous); !errors.Is(err, errCorrupt) {
 		t.Errorf("too long: %v", err)
 	}
 }
 
 // With steering all new connections go to the one that came last, and after its predecessor's end still; without it both get some.
 func TestListen(t *testing.T) {
-	for _, plain = range []bool{false, true} {
+	for _, steeringDisabled = range []bool{false, true} {
 		first, steered, err := Listen("127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
@@ -149,7 +149,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if steered == plain {
+		if steered == steeringDisabled {
 			t.Fatalf("steered %v", steered)
 		}
 		count := make(chan int, 1000)
@@ -176,14 +176,14 @@
 			}
 			return got
 		}
-		if got := dial(); plain == (got[0] == 0) {
-			t.Errorf("plain %v: %v", plain, got)
+		if got := dial(); steeringDisabled == (got[0] == 0) {
+			t.Errorf("plain %v: %v", steeringDisabled, got)
 		}
 		first.Close()
 		if got := dial(); got[1] != 64 {
-			t.Errorf("plain %v, the first closed: %v", plain, got)
+			t.Errorf("plain %v, the first closed: %v", steeringDisabled, got)
 		}
 		second.Close()
 	}
-	plain = false
+	steeringDisabled = false
 }
--- a/internal/daemon/handover/listen_linux.go
+++ b/internal/daemon/handover/listen_linux.go
@@ -8,14 +8,15 @@
 	"golang.org/x/sys/unix"
 )
 
-// Listen listens on an address that another process of this sidecar may listen on too, now or later. Where the system lets it, new connections all go to the
-// process that came last: steered says so. Else it gives some to each, and who leaves has to empty its queue.
+// Listen listens on an address that another process of this sidecar may listen on too, now or later. If steered, new
+// connections all go to the process that came last; else the system spreads them, and a process that leaves has to
+// empty its queue.
 func Listen(address string) (l net.Listener, steered bool, err error) {
 	cfg := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
-		// Where the option is refused there is no second process on this address, and the first one serves all the same.
+		// If the option is not supported no second process can listen here, and the first one serves all the same.
 		return raw.Control(func(fd uintptr) { _ = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1) })
 	}}
-	cfg.SetMultipathTCP(false) // its sockets take no program, and nobody here has two paths
+	cfg.SetMultipathTCP(false) // its sockets accept no BPF program, and no host here has two paths
 	l, err = cfg.Listen(context.Background(), "tcp", address)
 	if err != nil {
 		return nil, false, err
@@ -23,10 +24,11 @@
 	return l, steer(l) == nil, nil
 }
 
-// steer has the group of sockets on this address pick its second one. The first is the older process'; a group of one has no second, and the kernel
-// falls back to picking by hash, which is the one there is. When the older leaves, its place is the last one's.
+// steer makes the group of sockets on this address select its second one. The first belongs to the older process. In a
+// group of one there is no second, and the kernel falls back to selecting by hash, which finds the only one. When the
+// older process leaves, the last socket takes its index.
 func steer(l net.Listener) error {
-	if plain {
+	if steeringDisabled {
 		return syscall.ENOPROTOOPT
 	}
 	raw, err := l.(*net.TCPListener).SyscallConn()
@@ -44,5 +46,5 @@
 	return failed
 }
 
-// plain has tests go without steering, as where it is refused.
-var plain bool
+// steeringDisabled makes tests run without steering, as where the system does not support it.
+var steeringDisabled bool
--- a/internal/daemon/handover/record.go
+++ b/internal/daemon/handover/record.go
@@ -13,35 +13,35 @@
 )
 
 const (
-	recordForm = 1
-	recordMost = 16 << 20 // bytes; more is no record of ours
+	recordVersion  = 1
+	maxRecordBytes = 16 << 20 // a larger file is no record of ours
 )
 
 var (
-	errOther   = errors.New("the record is for another process")
-	errDamaged = errors.New("the record is damaged or of another version")
+	errOtherRecipient = errors.New("the record is for another process")
+	errCorrupt        = errors.New("the record is damaged or of another version")
 )
 
-// Record is what the older process knows that the newer one would learn too late.
+// Record is what the older process knows that the newer one would learn too late: the lists of upstreams.
 type Record struct {
-	Pools map[string]Pool `json:"pools"` // by name; the single pool's is ""
+	Pools map[string]Pool `json:"pools"` // by name; the name of a single pool is ""
 }
 
-// Pool is what it knows of one list.
+// Pool is the list of one pool.
 type Pool struct {
 	Version  int64             `json:"version"`
 	Servers  []Server          `json:"servers"`
-	Delisted []policy.ServerID `json:"ever"` // were listed, and are not any more
+	Delisted []policy.ServerID `json:"ever"` // were listed, and are no longer
 }
 
-// Server is one line of the list.
+// Server is one upstream of a list.
 type Server struct {
 	policy.Server
 	Address string `json:"address"`
 	Name    string `json:"name,omitempty"`
 }
 
-// NewPool puts a whole list in a record's form.
+// NewPool makes the record of a full list and of the upstreams that were listed before.
 func NewPool(l call.ServerList, ever []policy.ServerID) Pool {
 	p := Pool{Version: l.Version, Delisted: ever}
 	for _, s := range l.Servers {
@@ -50,9 +50,13 @@
 	return p
 }
 
-// ServerList is the list that a pool's record holds.
+// ServerList returns the list that a pool's record holds.
 func (p Pool) ServerList() call.ServerList {
-	l := call.ServerList{Version: p.Version, Full: true, Addresses: make(map[policy.ServerID]string, len(p.Servers)), Names: make(map[policy.ServerID]string, len(p.Servers))}
+	l := call.ServerList{
+		Version: p.Version, Full: true,
+		Addresses: make(map[policy.ServerID]string, len(p.Servers)),
+		Names:     make(map[policy.ServerID]string, len(p.Servers)),
+	}
 	for _, s := range p.Servers {
 		l.Servers = append(l.Servers, s.Server)
 		l.Addresses[s.ID] = s.Address
@@ -63,48 +67,52 @@
 	return l
 }
 
-// check passes only what a list may hold: what comes from a file is not trusted more than what comes from discovery.
-func (p Pool) check() error {
+// validate accepts only what a list may hold: a file is trusted no more than discovery.
+func (p Pool) validate() error {
 	for _, s := range p.Servers {
-		if s.State != policy.Ready && s.State != policy.Draining || s.Address == "" || math.IsNaN(s.Weight) || s.Started < 0 {
-			return fmt.Errorf("%w: server %x", errDamaged, s.ID)
+		knownState := s.State == policy.Ready || s.State == policy.Draining
+		if !knownState || s.Address == "" || math.IsNaN(s.Weight) || s.Started < 0 {
+			return fmt.Errorf("%w: server %x", errCorrupt, s.ID)
 		}
 	}
 	return nil
 }
 
+// envelope is the content of the file.
 type envelope struct {
-	Form   int             `json:"form"`
-	Mark   string          `json:"mark"`
-	Sum    uint64          `json:"sum"` // of Record's bytes
-	Record json.RawMessage `json:"record"`
+	Version   int             `json:"form"`
+	Recipient string          `json:"mark"` // id of the process that it is written for
+	Sum       uint64          `json:"sum"`  // xxhash of Record
+	Record    json.RawMessage `json:"record"`
 }
 
-func (r *Record) encode(mark string) ([]byte, error) {
+// encode returns the file's content for the newcomer of this id.
+func (r *Record) encode(id string) ([]byte, error) {
 	raw, err := json.Marshal(r)
 	if err != nil {
 		return nil, err
 	}
-	return json.Marshal(envelope{recordForm, mark, xxhash.Sum64(raw), raw})
+	return json.Marshal(envelope{recordVersion, id, xxhash.Sum64(raw), raw})
 }
 
-func decode(raw []byte, mark string) (*Record, error) {
+// decode reads a file's content: errOtherRecipient if it is for another id, errCorrupt if it is not valid.
+func decode(raw []byte, id string) (*Record, error) {
 	var e envelope
 	if err := json.Unmarshal(raw, &e); err != nil {
-		return nil, fmt.Errorf("%w: %w", errDamaged, err)
+		return nil, fmt.Errorf("%w: %w", errCorrupt, err)
 	}
-	if e.Mark != mark {
-		return nil, errOther
+	if e.Recipient != id {
+		return nil, errOtherRecipient
 	}
-	if e.Form != recordForm || e.Sum != xxhash.Sum64(e.Record) {
-		return nil, fmt.Errorf("%w: form %d", errDamaged, e.Form)
+	if e.Version != recordVersion || e.Sum != xxhash.Sum64(e.Record) {
+		return nil, fmt.Errorf("%w: form %d", errCorrupt, e.Version)
 	}
 	r := new(Record)
 	if err := json.Unmarshal(e.Record, r); err != nil {
-		return nil, fmt.Errorf("%w: %w", errDamaged, err)
+		return nil, fmt.Errorf("%w: %w", errCorrupt, err)
 	}
 	for _, p := range r.Pools {
-		if err := p.check(); err != nil {
+		if err := p.validate(); err != nil {
 			return nil, err
 		}
 	}
--- a/internal/daemon/handover/seat.go
+++ b/internal/daemon/handover/seat.go
@@ -18,49 +18,51 @@
 	arrivalName  = "caperarch-arrival"
 	recordName   = "caperarch-record.json"
 
-	markMost = 64 // bytes of a mark
+	maxIDBytes = 64
 )
 
-// Seat is a process' place among those of its sidecar, in the folder that they share. Locks end with the process that has them.
+// Seat is the claim of a process among those of its sidecar, in the folder that they share. The oldest process has the
+// seat; one that is to replace it is the newcomer. Locks end with the process that holds them.
 type Seat struct {
-	dir   string
-	mark  string   // its own; "": it came first
-	seat  *os.File // locked once held
-	held  bool
-	young *os.File // the newcomers' lock
-	yours bool     // young is locked by this process
-	left  bool     // it gave its place up, and lives on
+	dir          string
+	id           string // its own; "": it came first
+	seatLock     *os.File
+	hasSeat      bool // seatLock is locked by this process
+	newcomerLock *os.File
+	isNewcomer   bool // newcomerLock is locked by this process
+	released     bool // it gave up its claim, and lives on
 }
 
-// Open takes the seat, or a newcomer's place where an older process has it.
+// Open takes the seat, or announces a newcomer if an older process has the seat.
 func Open(dir string) (s *Seat, err error) {
 	s = &Seat{dir: dir}
-	made := s // a return with an error leaves none in s
+	opened := s // a return with an error clears s
 	defer func() {
 		if err != nil {
-			made.Close()
+			opened.Close()
 		}
 	}()
-	if s.seat, err = os.OpenFile(filepath.Join(dir, seatName), os.O_CREATE|os.O_RDWR, 0o600); err != nil {
+	if s.seatLock, err = os.OpenFile(filepath.Join(dir, seatName), os.O_CREATE|os.O_RDWR, 0o600); err != nil {
 		return nil, err
 	}
-	if s.young, err = os.OpenFile(filepath.Join(dir, newcomerName), os.O_CREATE|os.O_RDWR, 0o600); err != nil {
+	if s.newcomerLock, err = os.OpenFile(filepath.Join(dir, newcomerName), os.O_CREATE|os.O_RDWR, 0o600); err != nil {
 		return nil, err
 	}
-	if s.held, err = lock(s.seat); err != nil || s.held {
+	if s.hasSeat, err = lock(s.seatLock); err != nil || s.hasSeat {
 		return s, err
 	}
-	if s.yours, err = lock(s.young); err != nil { // false: another one is on its way too, and each finds the older one
+	// False: there is another newcomer, and both find the older process.
+	if s.isNewcomer, err = lock(s.newcomerLock); err != nil {
 		return nil, err
 	}
-	s.mark = rand.Text()
-	if err := durable.ReplaceUnsynced(filepath.Join(dir, arrivalName), []byte(s.mark)); err != nil {
+	s.id = rand.Text()
+	if err := durable.ReplaceUnsynced(filepath.Join(dir, arrivalName), []byte(s.id)); err != nil {
 		return nil, fmt.Errorf("arrival: %w", err)
 	}
 	return s, nil
 }
 
-// lock takes a lock if nobody has it.
+// lock takes a lock without waiting; false: another process has it.
 func lock(f *os.File) (bool, error) {
 	for {
 		switch err := syscall.Flock(int(f.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); {
@@ -74,90 +76,94 @@
 	}
 }
 
-// ID is the newcomer's mark; "": this process came first.
-func (s *Seat) ID() string { return s.mark }
+// ID returns the newcomer's id; "": this process came first.
+func (s *Seat) ID() string { return s.id }
 
-// Observe sees who lives. Where the older process is gone it takes the seat.
+// Observe looks which processes live, and takes the seat if the older process has ended.
 func (s *Seat) Observe() Observation {
-	if s.left {
+	if s.released {
 		return Observation{}
 	}
-	if !s.held {
-		if s.held, _ = lock(s.seat); s.held && s.yours { // its place is the next newcomer's
-			_ = syscall.Flock(int(s.young.Fd()), syscall.LOCK_UN)
-			s.yours = false
+	if !s.hasSeat {
+		if s.hasSeat, _ = lock(s.seatLock); s.hasSeat && s.isNewcomer { // the next newcomer may come
+			_ = syscall.Flock(int(s.newcomerLock.Fd()), syscall.LOCK_UN)
+			s.isNewcomer = false
 		}
 	}
-	seen := Observation{HasSeat: s.held, LatestArrival: s.arrival()}
-	if !s.yours {
-		if free, err := lock(s.young); err == nil && !free {
+	seen := Observation{HasSeat: s.hasSeat, LatestArrival: s.arrival()}
+	if !s.isNewcomer {
+		if free, err := lock(s.newcomerLock); err == nil && !free {
 			seen.Newcomer = true
 		} else if free {
-			_ = syscall.Flock(int(s.young.Fd()), syscall.LOCK_UN)
+			_ = syscall.Flock(int(s.newcomerLock.Fd()), syscall.LOCK_UN)
 		}
 	}
 	return seen
 }
 
+// arrival returns the id of the newest newcomer; "": there was none.
 func (s *Seat) arrival() string {
-	raw, err := durable.ReadBounded(filepath.Join(s.dir, arrivalName), markMost)
+	raw, err := durable.ReadBounded(filepath.Join(s.dir, arrivalName), maxIDBytes)
 	if err != nil {
 		return ""
 	}
 	return string(raw)
 }
 
-// WriteRecord writes the record for a newcomer.
-func (s *Seat) WriteRecord(mark string, r *Record) error {
-	raw, err := r.encode(mark)
+// WriteRecord writes the record for the newcomer of this id.
+func (s *Seat) WriteRecord(id string, r *Record) error {
+	raw, err := r.encode(id)
 	if err != nil {
 		return err
 	}
 	return durable.ReplaceUnsynced(filepath.Join(s.dir, recordName), raw)
 }
 
-// ErrNoRecord is why a newcomer starts without a record.
+// ErrNoRecord says that the older process wrote no record in time.
 var ErrNoRecord = errors.New("no record came in time")
 
-// AwaitRecord waits for the record that the older process writes under this one's mark, for so long at most. Where that process is gone there is nothing to wait for.
+// AwaitRecord waits for the record that the older process writes for this one. Its error is ErrNoRecord if none came in
+// time, or says why the record can't be used.
 func (s *Seat) AwaitRecord(within time.Duration) (*Record, error) {
-	for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(awaitEvery) {
+	for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(pollInterval) {
 		r, err := s.record()
 		if err == nil {
 			return r, nil
 		}
-		if !errors.Is(err, ErrNoRecord) && !errors.Is(err, errOther) { // other: of an earlier replacement
-			return nil, err // renamed into place, it gets no better
+		// A record for another process was left by an earlier replacement.
+		if !errors.Is(err, ErrNoRecord) && !errors.Is(err, errOtherRecipient) {
+			return nil, err // it was renamed into place, so a retry would find the same
 		}
 	}
 	return nil, ErrNoRecord
 }
 
-// record reads what is there now.
+// record reads the record that is there now.
 func (s *Seat) record() (*Record, error) {
-	raw, err := durable.ReadBounded(filepath.Join(s.dir, recordName), recordMost)
+	raw, err := durable.ReadBounded(filepath.Join(s.dir, recordName), maxRecordBytes)
 	switch {
 	case errors.Is(err, durable.ErrTooLarge):
-		return nil, fmt.Errorf("%w: %w", errDamaged, err)
+		return nil, fmt.Errorf("%w: %w", errCorrupt, err)
 	case err != nil:
 		return nil, fmt.Errorf("%w: %w", ErrNoRecord, err)
 	}
-	return decode(raw, s.mark)
+	return decode(raw, s.id)
 }
 
-const awaitEvery = 5 * time.Millisecond
+// pollInterval is the time between two looks for the record.
+const pollInterval = 5 * time.Millisecond
 
-// Release gives the place up for good; a second call changes nothing.
+// Release gives up seat and claim for good; a second call changes nothing.
 func (s *Seat) Release() {
-	if !s.left {
-		s.left = true
+	if !s.released {
+		s.released = true
 		s.Close()
 	}
 }
 
-// Close gives the place up.
+// Close closes the lock files, which releases the locks.
 func (s *Seat) Close() {
-	for _, f := range []*os.File{s.seat, s.young} {
+	for _, f := range []*os.File{s.seatLock, s.newcomerLock} {
 		if f != nil {
 			f.Close()
 		}
--- a/internal/daemon/service.go
+++ b/internal/daemon/service.go
@@ -50,7 +50,7 @@
 // newService listens where operators call. Their calls are answered once serve is called.
 func newService(cfg *config.Config, log *slog.Logger, o *options) (*service, error) {
 	s := &service{
-		log: log, figures: new(metrics.Set), parts: make(map[*parts]bool), callers: control.MaxCallers(cfg.Sockets),
+		log: log, figures: new(metrics.Set), parts: make(map[*parts]bool), callers: control.CallerLimit(cfg.Sockets),
 		most:   cfg.ClientConns(),
 		memory: int64(cfg.MemoryMB) << 20 / 2, // well under what the process is killed at
 	}
