--- a/internal/mesh/api/operators.go
+++ b/internal/mesh/api/operators.go
@@ -27,7 +27,7 @@
 	Describe(r *http.Request) (*json.RawMessage, error)
 }
 
-// RegisterOperatorRoutes has the requests of operators handled by the handler.
+// RegisterOperatorRoutes registers the routes of operators' requests, served by the handler.
 func RegisterOperatorRoutes(mux *http.ServeMux, handler OperatorHandler) {
 	rpc.HandleRaw(mux, "POST "+meshapi.ReplacePath, MaxChangeBytes, handler.Replace)
 	rpc.HandleRaw(mux, "POST "+meshapi.UpdatePath, MaxChangeBytes, handler.Update)
--- a/internal/mesh/api/upstreams.go
+++ b/internal/mesh/api/upstreams.go
@@ -21,7 +21,7 @@
 	Deregister(instance string) error
 }
 
-// RegisterUpstreamRoutes has the requests of upstreams handled by the handler.
+// RegisterUpstreamRoutes registers the routes of upstreams' requests, served by the handler.
 func RegisterUpstreamRoutes(mux *http.ServeMux, handler UpstreamHandler) {
 	heartbeat := func(r *http.Request, request *meshapi.HeartbeatRequest) (*meshapi.HeartbeatResponse, error) {
 		up, err := upstreamOf(r.PathValue("id"), request)
--- a/internal/mesh/cli/arguments.go
+++ b/internal/mesh/cli/arguments.go
@@ -23,7 +23,7 @@
 	defaultTimeout = 10 * time.Second
 	// noBase is the base version where --base is not given.
 	noBase = -1
-	// endOfFlags has all that follows it taken as arguments.
+	// endOfFlags ends the flags: all that follows it is arguments.
 	endOfFlags = "--"
 )
 
@@ -39,7 +39,7 @@
 // Error implements error.
 func (e *usageError) Error() string { return e.err.Error() }
 
-// Unwrap returns the error without the mark.
+// Unwrap returns the error itself.
 func (e *usageError) Unwrap() error { return e.err }
 
 // usageErrorf makes a usageError.
--- a/internal/mesh/cli/cli.go
+++ b/internal/mesh/cli/cli.go
@@ -57,7 +57,7 @@
 	defineFlag func(flags *flag.FlagSet, inv *invocation)
 	// offline says that it makes no call, and needs no address.
 	offline bool
-	// run does what the verb says; ctx ends when the time to try is over.
+	// run runs the verb; ctx ends with the time of --timeout.
 	run func(ctx context.Context, inv *invocation) error
 }
 
--- a/internal/mesh/cli/diff.go
+++ b/internal/mesh/cli/diff.go
@@ -21,7 +21,7 @@
 	changed changeKind = "changed"
 )
 
-// signs stand for the kinds of changes in text output.
+// signs are the kinds of changes in text output.
 var signs = map[changeKind]string{added: "+", removed: "-", changed: "~"}
 
 // difference is a resource that two configurations do not have alike.
--- a/internal/mesh/cli/files.go
+++ b/internal/mesh/cli/files.go
@@ -68,7 +68,7 @@
 }
 
 // parseDocument parses a configuration. An unknown field outside of specifications is an error, so
-// that a slip of the pen is found.
+// that a misspelt name is found.
 func parseDocument(text []byte) (*meshclient.Document, error) {
 	encoded, err := toJSON(text)
 	if err != nil {
--- a/internal/mesh/controlplane/identity.go
+++ b/internal/mesh/controlplane/identity.go
@@ -22,7 +22,7 @@
 	incarnationBytes = 8
 )
 
-// openIdentity opens the disk and has it belong to the cluster. An empty one becomes a first voter's
+// openIdentity opens the disk and makes it belong to the cluster. An empty one becomes a first voter's
 // when the whole system starts for the first time and the settings name this machine as a seed; else
 // that of a new member, under an id that no disk had before.
 func (s *Server) openIdentity(ctx context.Context) (*replication.Store, replication.State, error) {
@@ -88,7 +88,7 @@
 	}
 }
 
-// discoverCluster asks all that may be core machines which cluster they belong to, and gives 0 if none
+// discoverCluster asks all that may be core machines which cluster they belong to, and returns 0 if none
 // answers.
 func (s *Server) discoverCluster(ctx context.Context) replication.ClusterID {
 	for _, response := range s.announce(ctx, s.memberList.AnnounceTargets(s.now())) {
--- a/internal/mesh/controlplane/leave.go
+++ b/internal/mesh/controlplane/leave.go
@@ -49,7 +49,7 @@
 }
 
 // leavingMembers are the machines that are about to end: none of them is to take leadership, else two
-// would hand it to each other.
+// would transfer it to each other.
 func (s *Server) leavingMembers() []replication.MemberID {
 	var leaving []replication.MemberID
 	for _, member := range s.memberList.LiveMembers(s.now()) {
--- a/internal/mesh/controlplane/listen.go
+++ b/internal/mesh/controlplane/listen.go
@@ -15,7 +15,7 @@
 
 const (
 	// readHeaderTimeout, idleTimeout and maxHeaderBytes guard the listeners against clients that are
-	// slow, gone or greedy.
+	// slow, have ended or send too much.
 	readHeaderTimeout = 2 * time.Second
 	idleTimeout       = 60 * time.Second
 	maxHeaderBytes    = 16 << 10
@@ -71,7 +71,7 @@
 }
 
 // Heartbeat applies an upstream's heartbeat that reached a core machine because the sidecar beside the
-// upstream did not take it. Another upstream on the same host shows which sidecar that is.
+// upstream did not accept it. Another upstream on the same host shows which sidecar that is.
 func (s *Server) Heartbeat(u registry.Upstream) error {
 	if host, _, err := net.SplitHostPort(u.Address); err == nil {
 		for _, known := range s.watchServer.Upstreams() {
--- a/internal/mesh/controlplane/proposals.go
+++ b/internal/mesh/controlplane/proposals.go
@@ -36,8 +36,8 @@
 	return id, change, err
 }
 
-// expectResult has the result of a proposal sent to the channel once its command has been applied
-// here; forgetResult ends that.
+// expectResult returns a channel that receives the result of a proposal once its command has been
+// applied here; forgetResult ends that.
 func (m *stateMachine) expectResult(id proposalID) <-chan proposalResult {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/mesh/controlplane/requests.go
+++ b/internal/mesh/controlplane/requests.go
@@ -73,8 +73,8 @@
 	return s.change(r, updateForm, body)
 }
 
-// change applies an operator's change request. It rejects only what the body alone shows to be wrong,
-// which no request was that has been applied. All else is decided by the state machine, in the order
+// change applies an operator's change request. It rejects only what is invalid by the body alone: no
+// such request can have been applied before. All else is decided by the state machine, in the order
 // of the log.
 func (s *Server) change(r *http.Request, form changeForm, body []byte) (*meshapi.ChangeResponse, error) {
 	change, err := form.parse(body)
--- a/internal/mesh/controlplane/statemachine.go
+++ b/internal/mesh/controlplane/statemachine.go
@@ -65,7 +65,7 @@
 func (m *stateMachine) Current() int64 { return m.currentConfig().Version() }
 
 // appliedIndex is the index up to which everything that the log handed over has been applied. After a
-// snapshot that could not be decoded it stands still until one arrives that can.
+// snapshot that could not be decoded it does not advance until one arrives that can.
 func (m *stateMachine) appliedIndex() replication.Index {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -196,7 +196,7 @@
 	}
 }
 
-// applyChange puts the configuration after a change in force, and gives the version that the change
+// applyChange puts the configuration after a change in force, and returns the version that the change
 // brought or had brought before, else the one in force.
 func (m *stateMachine) applyChange(change *config.Change) (int64, config.Outcome, error) {
 	m.mu.Lock()
@@ -216,7 +216,8 @@
 	return next.Version(), outcome, err
 }
 
-// restoreSnapshot puts the configuration of a snapshot in force, and says whether it could be decoded.
+// restoreSnapshot puts the configuration of a snapshot in force, and reports whether it could be
+// decoded.
 func (m *stateMachine) restoreSnapshot(data []byte) (restored bool) {
 	next, err := config.Decode(data)
 	m.mu.Lock()
--- a/internal/mesh/controlplane/voters.go
+++ b/internal/mesh/controlplane/voters.go
@@ -13,7 +13,7 @@
 // planInterval is how often a leader checks whether the voters are to be changed.
 const planInterval = 50 * time.Millisecond
 
-// manageVoters has a leader keep learners up to date and change the voters, until ctx ends.
+// manageVoters updates the learners and changes the voters while this machine leads, until ctx ends.
 func (s *Server) manageVoters(ctx context.Context, node *replication.Node) {
 	tolerance := s.settings.Guarantees.FaultTolerance
 	target := cluster.TargetVoters(tolerance.Machines, tolerance.Zones, tolerance.Regions)
@@ -39,7 +39,7 @@
 	}
 }
 
-// clusterView is what a leader's decisions rest on.
+// clusterView is what a leader decides on the voters by.
 func (s *Server) clusterView(node *replication.Node) cluster.View {
 	return cluster.View{
 		Self:       node.ID(),
--- a/internal/mesh/gate/attempt_log.go
+++ b/internal/mesh/gate/attempt_log.go
@@ -22,7 +22,7 @@
 	sweepInterval = 5 * time.Second
 )
 
-// Key stands for a request's attempt id: 16 bytes of its hash, so that no length of id costs memory.
+// Key identifies a request's attempt id by 16 bytes of its hash, so that long ids cost no memory.
 type Key [16]byte
 
 // KeyOf is the key of an attempt id.
--- a/internal/mesh/gate/gate.go
+++ b/internal/mesh/gate/gate.go
@@ -109,7 +109,7 @@
 	}
 }
 
-// Wake rejects what can't start in time any more, and hands out slots that count again.
+// Wake rejects what can't start in time any more, and assigns slots that count again.
 func (g *Gate) Wake(now time.Duration) {
 	if now >= g.wakeAt {
 		g.wakeAt = 0
--- a/internal/mesh/gate/health.go
+++ b/internal/mesh/gate/health.go
@@ -26,7 +26,7 @@
 	maxUnreachable = 800 * time.Millisecond
 )
 
-// health is what the ends of attempts say of an upstream.
+// health is what the endings of attempts show of an upstream.
 type health struct {
 	meanService      time.Duration                     // 0: not known
 	meanByPriority   [lowestPriority + 1]time.Duration // 0: not known
--- a/internal/mesh/gate/scheduling.go
+++ b/internal/mesh/gate/scheduling.go
@@ -13,8 +13,8 @@
 	highPriorityQueueSlots = 4
 )
 
-// advance rejects what can't start in time any more, hands out the slots that are free, and cuts the
-// queue to its capacity.
+// advance rejects what can't start in time any more, assigns the slots that are free, and truncates
+// the queue to its capacity.
 func (g *Gate) advance(now time.Duration) {
 	g.rejectLate(now)
 	for g.queue.length > 0 && g.inFlight < g.concurrencyLimit(now) {
@@ -85,7 +85,7 @@
 	return min(r.startBy, r.deadline-g.health.expectedServiceTime(r.priority))
 }
 
-// displaceFor makes place in a full queue for a request: the last one of the lowest priority is
+// displaceFor frees a position in a full queue for a request: the last one of the lowest priority is
 // rejected, if that is lower than the request's. It returns false where it is not, and for the highest
 // priority, whose queue is separate.
 func (g *Gate) displaceFor(now time.Duration, r *request) bool {
--- a/internal/mesh/gate/upstream.go
+++ b/internal/mesh/gate/upstream.go
@@ -69,7 +69,7 @@
 	return n
 }
 
-// retire has nothing sent to the upstream any more.
+// retire ends all sending to the upstream: its late updates are ignored from now on.
 func (g *Gate) retire(state policy.State) {
 	g.state = state
 	g.rememberRetired(g.upstream)
--- a/internal/mesh/headers/headers.go
+++ b/internal/mesh/headers/headers.go
@@ -67,7 +67,7 @@
 }
 
 // DuplicateField returns the first of the names whose field is given more than once, or "". Two readers
-// of such a request may go by different ones.
+// of such a request may read different ones.
 func DuplicateField(h *h1.Head, names ...string) string {
 	for _, name := range names {
 		seen := false
--- a/internal/mesh/quota/quota.go
+++ b/internal/mesh/quota/quota.go
@@ -80,8 +80,8 @@
 	"caperarch/internal/mesh/errs"
 )
 
-// TokenTTL is how long a granted token can be spent, from the request that brought it. It bounds what
-// an Allocator that is gone has left behind.
+// TokenTTL is how long a granted token can be spent, from the request that brought it. It bounds the
+// tokens that remain valid after their Allocator has ended.
 const TokenTTL = 300 * time.Millisecond
 
 const (
@@ -100,7 +100,7 @@
 	// maxAmount is the largest rate, burst, slack or number of tokens. It guards against sums that
 	// overflow.
 	maxAmount = 1e12
-	// oneToken is what counts as a whole token. It guards against a request rejected for a rounding
+	// oneToken is what counts as a full token. It guards against a request rejected for a rounding
 	// error.
 	oneToken = 1 - 1e-9
 )
--- a/internal/mesh/quota/tenant_bucket.go
+++ b/internal/mesh/quota/tenant_bucket.go
@@ -6,12 +6,12 @@
 )
 
 const (
-	// demandHorizon is the time ahead for which tokens are held.
+	// demandHorizon is the time ahead for which tokens are kept.
 	demandHorizon = 250 * time.Millisecond
-	// headroomDeviations is how many standard deviations above the predicted demand are held. It guards
+	// headroomDeviations is how many standard deviations above the predicted demand are kept. It guards
 	// against rejections by chance.
 	headroomDeviations = 2
-	// lowWaterFraction is the fraction of what should be held below which the Allocator is asked soon.
+	// lowWaterFraction is the fraction of the target below which the Allocator is asked soon.
 	// It guards against a bucket that is empty before the next regular request.
 	lowWaterFraction = 0.7
 	// minRequestTokens is the smallest demand. It guards against requests for a fraction of a token.
@@ -19,8 +19,8 @@
 	// shortAverage is the time constant of the averages that follow a change of the demand.
 	shortAverage = 300 * time.Millisecond
 	// longAverage is the time constant of the average that spans the time between two requests of a
-	// small demand. It guards against a bucket that lets its tokens go whenever nothing came for a
-	// moment.
+	// small demand. It guards against a bucket that lets its tokens expire whenever no request
+	// arrived for a moment.
 	longAverage = 3 * time.Second
 )
 
@@ -54,7 +54,7 @@
 	}
 }
 
-// setPlan replaces the plan. What is held above the floor's new depth is lost.
+// setPlan replaces the plan. What is above the floor's new depth is lost.
 func (t *tenantBucket) setPlan(plan plan) {
 	t.plan = plan
 	t.floor = min(t.floor, t.floorDepth)
--- a/internal/mesh/registry/upstream.go
+++ b/internal/mesh/registry/upstream.go
@@ -9,7 +9,7 @@
 // State is an upstream's own statement on whether it takes requests.
 type State uint8
 
-// The states of an upstream. Deregistered is final: no later report brings the instance back.
+// The states of an upstream. Deregistered is final: for TombstoneTTL later reports of it are rejected.
 const (
 	Ready State = iota
 	Draining
@@ -79,7 +79,7 @@
 }
 
 const (
-	// maxName bounds every string of a lease in bytes, against memory taken by junk.
+	// maxName bounds every string of a lease in bytes, against memory taken by invalid reports.
 	maxName = 512
 	// maxSlots bounds an upstream's slots, against sums that overflow.
 	maxSlots = 1 << 20
--- a/internal/mesh/replication/calls.go
+++ b/internal/mesh/replication/calls.go
@@ -16,7 +16,7 @@
 	ctx       context.Context
 	command   []byte
 	operation func(now time.Duration, r *Replica) error
-	// done receives the result. It has room for it, so that the loop never waits for the caller.
+	// done receives the result. It has capacity one, so that the loop never waits for the caller.
 	done chan callResult
 }
 
--- a/internal/mesh/replication/compaction.go
+++ b/internal/mesh/replication/compaction.go
@@ -6,7 +6,7 @@
 )
 
 // ShouldCompact reports whether the log is long enough to be replaced by a snapshot. A leader retains
-// more of it for peers that lag behind: they would need the snapshot for entries that are gone.
+// more of it for peers that lag behind: they would need the snapshot for entries that were dropped.
 func (r *Replica) ShouldCompact() bool {
 	n := int(r.applied - r.log.snapshot.Index)
 	if r.storageFailed || n == 0 || r.pendingRestore != nil {
--- a/internal/mesh/replication/deliveries.go
+++ b/internal/mesh/replication/deliveries.go
@@ -58,7 +58,7 @@
 	n.wakeLoop()
 }
 
-// receive has the replica process a delivery, unless it is too old.
+// receive passes a delivery to the replica, unless it is too old.
 func (n *Node) receive(now time.Duration, d *delivery) {
 	if d.response != nil {
 		n.openExchange(d.from, d.response)
--- a/internal/mesh/replication/follower.go
+++ b/internal/mesh/replication/follower.go
@@ -6,7 +6,7 @@
 // isn't from the leader of this replica's term, or can't be stored.
 func (r *Replica) acceptLeader(now time.Duration, from MemberID, term Term, h *Heartbeat) bool {
 	if term < r.hardState.Term {
-		// The term is over: tell the old leader, so that it steps down.
+		// The term is over: answer the old leader, so that it steps down.
 		r.send(from, Message{AppendResponse: &AppendResponse{Rejected: true}})
 		return false
 	}
--- a/internal/mesh/replication/identifiers.go
+++ b/internal/mesh/replication/identifiers.go
@@ -24,7 +24,7 @@
 
 // MemberID names one disk of one machine: the machine's address and, for every disk but those of
 // the very first start, a suffix that no other disk has. A machine that lost its disk comes back
-// under a new MemberID, so that it isn't held to the votes and acknowledgements of the lost disk.
+// under a new MemberID, so that it isn't bound by the votes and acknowledgements of the lost disk.
 type MemberID string
 
 // incarnationSeparator stands between the address and the incarnation in a MemberID.
--- a/internal/mesh/replication/replica.go
+++ b/internal/mesh/replication/replica.go
@@ -33,8 +33,8 @@
 type Replica struct {
 	id      MemberID
 	cluster ClusterID
-	// incarnation tells this run of the replica from earlier ones of the same id, whose clocks
-	// started at other times.
+	// incarnation distinguishes this run of the replica from earlier ones of the same id, whose
+	// clocks started at other times.
 	incarnation Incarnation
 	random      *rand.Rand
 
@@ -146,7 +146,7 @@
 	return r, nil
 }
 
-// validate reports whether a replica can start from the state.
+// validate returns an error of kind Invalid or DiskFailed unless a replica can start from the state.
 func (s *State) validate() error {
 	if s.ID == "" {
 		return errs.New(errs.Invalid, "replication: a replica without an id")
--- a/internal/mesh/sidecar/discovery.go
+++ b/internal/mesh/sidecar/discovery.go
@@ -39,7 +39,7 @@
 	}
 }
 
-// queryUpstream makes one health request; false: there is no answer that tells who it is.
+// queryUpstream makes one health request; false: there is no answer that names the instance.
 func (s *Sidecar) queryUpstream(ctx context.Context) (registry.Upstream, bool) {
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
--- a/internal/mesh/sidecar/heartbeat.go
+++ b/internal/mesh/sidecar/heartbeat.go
@@ -44,7 +44,7 @@
 // applyRegistry applies the upstreams that the core pushes: all of them, or what changed.
 func (s *Sidecar) applyRegistry(full bool, upserts []registry.Upstream, removals []string) {
 	if s.endpoints.apply(full, upserts, removals) {
-		s.publishUpstream() // a core machine took the local upstream's heartbeat
+		s.publishUpstream() // a core machine received the local upstream's heartbeat
 	}
 	s.balancerEngine.UpdateServers(s.endpoints.balancerListing())
 }
--- a/internal/mesh/sidecar/service_numbers.go
+++ b/internal/mesh/sidecar/service_numbers.go
@@ -1,6 +1,6 @@
 package sidecar
 
-// serviceNumbers gives each service a number for the life of the process: the decision modules know
+// serviceNumbers assigns each service a number for the life of the process: the decision modules know
 // services by number. It is not safe for concurrent use.
 type serviceNumbers struct {
 	byName map[string]int
--- a/internal/mesh/watch/client_contact.go
+++ b/internal/mesh/watch/client_contact.go
@@ -124,8 +124,8 @@
 	return lostContactRenewInterval/2 + rand.N(lostContactRenewInterval/2)
 }
 
-// recheckContact has a Client that has no configuration yet ask again whether
-// the member is in contact, if its first one took long since the watch was
+// recheckContact asks again whether the member is in contact, for a Client that
+// has no configuration yet, if the first one took long since the watch was
 // requested: a member that was frozen meanwhile may have written it.
 func (c *Client) recheckContact(ctx context.Context, address string, askedAt time.Time) error {
 	if c.cfg.ConfigVersion() > 0 || time.Since(askedAt) <= maxContactAge {
--- a/internal/mesh/watch/client_session.go
+++ b/internal/mesh/watch/client_session.go
@@ -44,7 +44,7 @@
 	return true
 }
 
-// stay has the next session be with the same member. The Client counts as
+// stay keeps the same member for the next session. The Client counts as
 // connected until that one fails.
 func (c *Client) stay(address string) {
 	c.mu.Lock()
@@ -52,7 +52,7 @@
 	c.current, c.moveTarget = address, ""
 }
 
-// move has the next session be with the move target, or with the first member
+// move makes the move target the member of the next session, or the first member
 // in order if there is none. The Client counts as connected until that fails.
 func (c *Client) move() {
 	c.mu.Lock()
--- a/internal/mesh/watch/gossip_peer.go
+++ b/internal/mesh/watch/gossip_peer.go
@@ -82,7 +82,7 @@
 	p.zone, p.clock, p.answeredAt = zone, clock, now
 }
 
-// requestSync has all that the peer knows fetched, at once.
+// requestSync schedules a fetch of all that the peer knows, at once.
 func (p *gossipPeer) requestSync() {
 	p.sync = syncPending
 	signal(p.wake)
--- a/internal/mesh/watch/server_push.go
+++ b/internal/mesh/watch/server_push.go
@@ -3,12 +3,12 @@
 import "time"
 
 // minPushInterval is the least time between two pushes, so that a burst of
-// changes makes few frames. A change that comes later than that after the last
+// changes makes few frames. A change that is made later than that after the last
 // push is pushed at once.
 const minPushInterval = 5 * time.Millisecond
 
 // Publish pushes the configuration to the sidecars. The caller calls it when
-// ConfigSource has something new.
+// ConfigSource has a new version.
 func (s *Server) Publish() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/meshclient/drain.go
+++ b/meshclient/drain.go
@@ -46,7 +46,7 @@
 	return err
 }
 
-// startDraining has Run say at once that the upstream is draining.
+// startDraining makes Run report at once that the upstream is draining.
 func (h *Heartbeats) startDraining() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
