--- a/internal/mesh/controlplane/statemachine.go
+++ b/internal/mesh/controlplane/statemachine.go
@@ -103,11 +103,11 @@
 		}
 		if item.isSnapshot {
 			restored := m.restoreSnapshot(item.data)
-			m.markSnapshotProcessed(item.index, restored)
+			m.finishSnapshot(item.index, restored)
 			continue
 		}
 		m.applyCommand(item.index, item.data)
-		m.markEntryProcessed(item.index)
+		m.finishEntry(item.index)
 	}
 }
 
@@ -124,13 +124,13 @@
 	return item, true
 }
 
-func (m *stateMachine) markEntryProcessed(index replication.Index) {
+func (m *stateMachine) finishEntry(index replication.Index) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.advance(index)
 }
 
-func (m *stateMachine) markSnapshotProcessed(index replication.Index, restored bool) {
+func (m *stateMachine) finishSnapshot(index replication.Index, restored bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.corrupted = !restored
