--- a/internal/proxy/transport/grpc/codec.go
+++ b/internal/proxy/transport/grpc/codec.go
@@ -6,12 +6,12 @@
 	"google.golang.org/grpc/mem"
 )
 
-// raw is a codec that passes messages on as they are: they are encoded once, by the caller, and however
-// many attempts there are, none writes into what the caller holds.
-type raw struct{ name string }
+// rawCodec forwards messages as they are: the caller has encoded them once, and however many attempts there are, none
+// writes into the caller's bytes.
+type rawCodec struct{ name string }
 
 // Marshal implements encoding.CodecV2.
-func (raw) Marshal(v any) (mem.BufferSlice, error) {
+func (rawCodec) Marshal(v any) (mem.BufferSlice, error) {
 	b, ok := v.(*[]byte)
 	if !ok {
 		return nil, fmt.Errorf("raw codec: %T is no bytes", v)
@@ -20,7 +20,7 @@
 }
 
 // Unmarshal implements encoding.CodecV2.
-func (raw) Unmarshal(data mem.BufferSlice, v any) error {
+func (rawCodec) Unmarshal(data mem.BufferSlice, v any) error {
 	b, ok := v.(*[]byte)
 	if !ok {
 		return fmt.Errorf("raw codec: %T is no bytes", v)
@@ -30,4 +30,4 @@
 }
 
 // Name implements encoding.CodecV2: it is the content subtype.
-func (c raw) Name() string { return c.name }
+func (c rawCodec) Name() string { return c.name }
--- a/internal/proxy/transport/grpc/stream.go
+++ b/internal/proxy/transport/grpc/stream.go
@@ -13,29 +13,29 @@
 	"caperarch/policy"
 )
 
-// Stream is a server's stream that has begun. Recv is called from one goroutine at a time.
+// Stream is a server's stream that has begun. Recv is called from one goroutine at a time; Close from any.
 type Stream struct {
-	a   *attempt
-	ctx context.Context
-	cs  grpc.ClientStream
-	md  metadata.MD
+	attempt      *attempt
+	ctx          context.Context
+	clientStream grpc.ClientStream
+	header       metadata.MD
 
-	// What was read before it was known to have begun.
-	early    []byte
-	hasEarly bool
-	earlyEnd error
+	// What was read before the stream was known to have begun.
+	firstMessage    []byte
+	hasFirstMessage bool
+	firstErr        error
 }
 
 // Recv returns the next message, io.EOF behind the last one, or the server's status as an error.
 func (s *Stream) Recv() ([]byte, error) {
-	if s.hasEarly {
-		s.hasEarly = false
-		return s.early, nil
+	if s.hasFirstMessage {
+		s.hasFirstMessage = false
+		return s.firstMessage, nil
 	}
 	var body []byte
-	err := s.earlyEnd
+	err := s.firstErr
 	if err == nil {
-		err = s.cs.RecvMsg(&body)
+		err = s.clientStream.RecvMsg(&body)
 	}
 	if err == nil {
 		return body, nil
@@ -44,36 +44,36 @@
 	if errors.Is(err, io.EOF) {
 		end = nil
 	}
-	s.a.end(s.a.result(s.ctx, end, s.md, s.cs.Trailer(), nil))
+	s.attempt.finish(s.attempt.result(s.ctx, end, s.header, s.clientStream.Trailer(), nil))
 	return nil, err
 }
 
 // Header is the header metadata.
-func (s *Stream) Header() metadata.MD { return s.md }
+func (s *Stream) Header() metadata.MD { return s.header }
 
 // Trailer is the trailer metadata, once Recv has returned an error.
-func (s *Stream) Trailer() metadata.MD { return s.cs.Trailer() }
+func (s *Stream) Trailer() metadata.MD { return s.clientStream.Trailer() }
 
-// Close gives the stream up; one that has ended is passed over.
+// Close cancels the stream, unless it has ended.
 func (s *Stream) Close() {
-	s.a.Cancel()
-	s.a.end(call.Result{Ending: policy.Cancelled})
+	s.attempt.Cancel()
+	s.attempt.finish(call.Result{Ending: policy.Cancelled})
 }
 
-// stream begins a server stream: up to its header it is an attempt as any other, then it is its client's.
-func (a *attempt) stream(ctx context.Context, opts []grpc.CallOption) {
-	if a.m.StreamDeadline > 0 {
+// runStream begins a server stream: up to its header it is an attempt as any other, then it belongs to its client.
+func (a *attempt) runStream(ctx context.Context, opts []grpc.CallOption) {
+	if a.message.StreamDeadline > 0 {
 		var stop context.CancelFunc
-		ctx, stop = context.WithDeadlineCause(ctx, a.t.cfg.Clock.At(a.m.StreamDeadline), errTimedOut)
-		context.AfterFunc(a.ctx, stop) // which end cancels
+		ctx, stop = context.WithDeadlineCause(ctx, a.transport.cfg.Clock.At(a.message.StreamDeadline), errTimedOut)
+		context.AfterFunc(a.ctx, stop) // which finish cancels
 	}
-	wait := time.AfterFunc(a.until-a.t.cfg.Clock.Now(), func() { a.cancel(errTimedOut) })
-	cs, err := a.sub.cc.NewStream(ctx, &grpc.StreamDesc{ServerStreams: true}, a.m.URI, opts...)
+	wait := time.AfterFunc(a.until-a.transport.cfg.Clock.Now(), func() { a.cancel(errTimedOut) })
+	cs, err := a.subchannel.clientConn.NewStream(ctx, &grpc.StreamDesc{ServerStreams: true}, a.message.URI, opts...)
 	if err != nil {
-		a.end(a.result(ctx, err, nil, nil, nil))
+		a.finish(a.result(ctx, err, nil, nil, nil))
 		return
 	}
-	if err = cs.SendMsg(&a.m.Body); err == nil || errors.Is(err, io.EOF) { // EOF: its status comes with the answer
+	if err = cs.SendMsg(&a.message.Body); err == nil || errors.Is(err, io.EOF) { // EOF: its status comes with the response
 		err = cs.CloseSend()
 	}
 	var md metadata.MD
@@ -81,32 +81,33 @@
 		md, err = cs.Header()
 	}
 	a.mu.Lock()
-	begun := a.headers
+	begun := a.headerReceived
 	a.mu.Unlock()
-	st := &Stream{a: a, ctx: ctx, cs: cs, md: md}
-	// The word on the header may lag behind Header itself, and an answer of trailers alone has none: the next
-	// message tells, and it is kept.
+	st := &Stream{attempt: a, ctx: ctx, clientStream: cs, header: md}
+	// statsHandler's report may lag behind Header itself, and a response of trailers alone has no header: the first
+	// message shows which it is, and is kept.
 	if err == nil && !begun {
-		switch err = cs.RecvMsg(&st.early); {
+		switch err = cs.RecvMsg(&st.firstMessage); {
 		case err == nil:
-			st.hasEarly = true
+			st.hasFirstMessage = true
 		case errors.Is(err, io.EOF): // an empty stream
-			st.earlyEnd, err = err, nil
+			st.firstErr, err = err, nil
 		}
 	}
 	if err != nil {
-		if errors.Is(err, io.EOF) { // SendMsg's: the status comes with the answer
+		if errors.Is(err, io.EOF) { // SendMsg's: the status comes with the response
 			var body []byte
 			err = cs.RecvMsg(&body)
 		}
-		a.end(a.result(ctx, err, md, cs.Trailer(), nil))
+		a.finish(a.result(ctx, err, md, cs.Trailer(), nil))
 		return
 	}
-	if !wait.Stop() { // its time ended as it began: one of both
-		a.end(call.Result{Ending: policy.TimedOut})
+	if !wait.Stop() { // it timed out as it began: only one of both is reported
+		a.finish(call.Result{Ending: policy.TimedOut})
 		return
 	}
 	a.done(call.Result{Ending: policy.Served, Header: map[string][]string(md), Stream: st})
-	// Behind its begin, or its end could come first. It ends with its context too: a stream that nobody reads must not keep its slot, nor Close waiting.
-	context.AfterFunc(ctx, func() { a.end(call.Result{Ending: policy.Cancelled}) })
+	// After its begin was reported, or its end could come first. It ends with its context too: a stream that nobody
+	// reads must not occupy its slot, nor keep Close waiting.
+	context.AfterFunc(ctx, func() { a.finish(call.Result{Ending: policy.Cancelled}) })
 }
--- a/internal/proxy/transport/grpc/transport_test.go
+++ b/internal/proxy/transport/grpc/transport_test.go
@@ -26,7 +26,9 @@
 	t.Helper()
 	cfg := Config{
 		Clock: clock.New(), DialTimeout: 5 * time.Second, IdleTimeout: 30 * time.Second, MaxConns: 8,
-		Report: map[string]policy.LoadFields{"inflight": policy.HasInFlight, "queue": policy.HasQueued, "latency_ms": policy.HasService},
+		LoadMetrics: map[string]policy.LoadFields{
+			"inflight": policy.HasInFlight, "queue": policy.HasQueued, "latency_ms": policy.HasService,
+		},
 	}
 	if edit != nil {
 		edit(&cfg)
@@ -52,9 +54,11 @@
 	return testbed.Wait(t, "the end of an attempt", done)
 }
 
-// peer is a server that speaks HTTP/2 frame by frame: answer is called with each stream's id once all of its
+// serveFrames is a server that speaks HTTP/2 frame by frame: answer is called with each stream's id once all of its
 // request is here.
-func frames(t *testing.T, answer func(f *http2.Framer, c net.Conn, stream uint32)) (address string, streams *atomic.Int64) {
+func serveFrames(
+	t *testing.T, answer func(f *http2.Framer, c net.Conn, stream uint32),
+) (address string, streams *atomic.Int64) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -103,7 +107,7 @@
 	return l.Addr().String(), streams
 }
 
-func trailers(f *http2.Framer, stream uint32, fields ...string) {
+func writeTrailers(f *http2.Framer, stream uint32, fields ...string) {
 	var block writer
 	e := hpack.NewEncoder(&block)
 	for i := 0; i+1 < len(fields); i += 2 {
@@ -121,36 +125,41 @@
 
 // What proves that a call never ran, and what doesn't. grpc-go would send the proved ones again by itself, on the
 // same connection: whatever it is, one stream is all that reaches the server.
-func TestProof(t *testing.T) {
+func TestWhatProvesThatACallNeverRan(t *testing.T) {
 	for name, c := range map[string]struct {
 		answer func(f *http2.Framer, c net.Conn, stream uint32)
 		want   policy.Ending
 	}{
-		"REFUSED_STREAM": {func(f *http2.Framer, _ net.Conn, s uint32) { _ = f.WriteRSTStream(s, http2.ErrCodeRefusedStream) }, policy.NotProcessed},
+		"REFUSED_STREAM": {func(f *http2.Framer, _ net.Conn, s uint32) {
+			_ = f.WriteRSTStream(s, http2.ErrCodeRefusedStream)
+		}, policy.NotProcessed},
 		"GOAWAY below it": {func(f *http2.Framer, c net.Conn, s uint32) {
 			_ = f.WriteGoAway(0, http2.ErrCodeNo, nil)
 		}, policy.NotProcessed},
-		"RST INTERNAL_ERROR": {func(f *http2.Framer, _ net.Conn, s uint32) { _ = f.WriteRSTStream(s, http2.ErrCodeInternal) }, policy.ConnectionLost},
+		"RST INTERNAL_ERROR": {func(f *http2.Framer, _ net.Conn, s uint32) {
+			_ = f.WriteRSTStream(s, http2.ErrCodeInternal)
+		}, policy.ConnectionLost},
 		"GOAWAY above it, then closed": {func(f *http2.Framer, c net.Conn, s uint32) {
 			_ = f.WriteGoAway(s, http2.ErrCodeNo, nil)
 			c.Close()
 		}, policy.ConnectionLost},
 		"closed": {func(_ *http2.Framer, c net.Conn, _ uint32) { c.Close() }, policy.ConnectionLost},
 		"UNAVAILABLE": {func(f *http2.Framer, _ net.Conn, s uint32) {
-			trailers(f, s, ":status", "200", "content-type", "application/grpc", "grpc-status", "14")
+			writeTrailers(f, s, ":status", "200", "content-type", "application/grpc", "grpc-status", "14")
 		}, policy.Errored},
 		"UNAVAILABLE, not processed": {func(f *http2.Framer, _ net.Conn, s uint32) {
-			trailers(f, s, ":status", "200", "content-type", "application/grpc", "grpc-status", "14", notProcessed, "1")
+			writeTrailers(f, s, ":status", "200", "content-type", "application/grpc", "grpc-status", "14",
+				notProcessedTrailer, "1")
 		}, policy.NotProcessed},
 		"NOT_FOUND": {func(f *http2.Framer, _ net.Conn, s uint32) {
-			trailers(f, s, ":status", "200", "content-type", "application/grpc", "grpc-status", "5")
+			writeTrailers(f, s, ":status", "200", "content-type", "application/grpc", "grpc-status", "5")
 		}, policy.Served},
 		"no gRPC": {func(f *http2.Framer, _ net.Conn, s uint32) {
-			trailers(f, s, ":status", "503", "content-type", "text/html")
+			writeTrailers(f, s, ":status", "503", "content-type", "text/html")
 		}, policy.ConnectionLost},
 	} {
 		t.Run(name, func(t *testing.T) {
-			address, streams := frames(t, c.answer)
+			address, streams := serveFrames(t, c.answer)
 			tr := newTransport(t, nil)
 			got := send(t, tr, tr.Server(address), message(t, "1"), testbed.Generous)
 			if got.Ending != c.want {
@@ -167,8 +176,14 @@
 // Endings over a real server.
 func TestEndings(t *testing.T) {
 	for act, want := range map[testbed.Act]policy.Ending{
-		testbed.Serve: policy.Served, testbed.Refuse: policy.NotProcessed, testbed.Fail: policy.Errored, testbed.Busy: policy.Errored,
-		testbed.Reset: policy.ConnectionLost, testbed.Garbage: policy.ConnectionLost, testbed.Cut: policy.ConnectionLost, testbed.Hang: policy.TimedOut,
+		testbed.Serve:   policy.Served,
+		testbed.Refuse:  policy.NotProcessed,
+		testbed.Fail:    policy.Errored,
+		testbed.Busy:    policy.Errored,
+		testbed.Reset:   policy.ConnectionLost,
+		testbed.Garbage: policy.ConnectionLost,
+		testbed.Cut:     policy.ConnectionLost,
+		testbed.Hang:    policy.TimedOut,
 	} {
 		t.Run(act.String(), func(t *testing.T) {
 			l := new(testbed.Ledger)
@@ -220,8 +235,8 @@
 	}
 }
 
-// Called off, or late, before it is written: nothing goes out.
-func TestHeldBack(t *testing.T) {
+// Cancelled, or late, before it is written: nothing goes out.
+func TestCancelledOrLateCallIsNotSent(t *testing.T) {
 	l := new(testbed.Ledger)
 	n := testbed.NewGRPCNode(t, "s-0", l)
 	tr := newTransport(t, func(c *Config) { c.Clock = clock.NewAdjustable() })
@@ -244,8 +259,8 @@
 	}
 }
 
-// A server that lets a call run into its time-out may be cut off: the next call opens another connection.
-func TestTimeOutRetiresTheConnection(t *testing.T) {
+// A server that lets a call time out may be partitioned: the next call opens another connection.
+func TestTimeoutRetiresTheConnection(t *testing.T) {
 	n := testbed.NewGRPCNode(t, "s-0", new(testbed.Ledger))
 	n.Do(testbed.Always(testbed.Hang))
 	tr := newTransport(t, func(c *Config) { c.DialTimeout = 100 * time.Millisecond })
@@ -263,7 +278,7 @@
 }
 
 // At the limit the connection without a call makes room; where all have one, nothing is sent.
-func TestMostConnections(t *testing.T) {
+func TestConnectionLimit(t *testing.T) {
 	l := new(testbed.Ledger)
 	a, b := testbed.NewGRPCNode(t, "a", l), testbed.NewGRPCNode(t, "b", l)
 	tr := newTransport(t, func(c *Config) { c.MaxConns = 1 })
@@ -278,7 +293,7 @@
 	x := sb.Send(message(t, "1"), tr.cfg.Clock.Now()+testbed.Generous, func(r call.Result) { done <- r })
 	testbed.Until(t, "the call", func() bool { return l.Len() == 3 })
 	if got := send(t, tr, sa, message(t, "1"), testbed.Generous); got.Ending != policy.NotSent {
-		t.Errorf("ending %v, want %v: no room is no word on the server", got.Ending, policy.NotSent)
+		t.Errorf("ending %v, want %v: our own limit says nothing of the server", got.Ending, policy.NotSent)
 	}
 	x.Cancel()
 	if got := testbed.Wait(t, "its end", done); got.Ending != policy.Cancelled {
@@ -292,18 +307,20 @@
 	tr := newTransport(t, nil)
 	got := send(t, tr, tr.Server(n.Address), message(t, "1"), testbed.Generous)
 	want := policy.Load{
-		Has: policy.HasInFlight | policy.HasQueued | policy.HasService, InFlight: 7, Queued: 2, Service: 40 * time.Millisecond,
+		Has:      policy.HasInFlight | policy.HasQueued | policy.HasService,
+		InFlight: 7, Queued: 2, Service: 40 * time.Millisecond,
 	}
 	if got.Load != want {
 		t.Errorf("load %+v, want %+v", got.Load, want)
 	}
-	if got := tr.fromORCA(&orcapb.OrcaLoadReport{CpuUtilization: 0.6, RpsFractional: 12, Eps: 2}); got.Busy != 0.6 || got.Served != 10 || got.Errors != 2 {
-		t.Errorf("the fields that ORCA has itself: %+v", got)
+	own := tr.loadFromORCA(&orcapb.OrcaLoadReport{CpuUtilization: 0.6, RpsFractional: 12, Eps: 2})
+	if own.Busy != 0.6 || own.Served != 10 || own.Errors != 2 {
+		t.Errorf("the fields that ORCA has itself: %+v", own)
 	}
-	if got := tr.load(metadata.Pairs(loadTrailer, "\xff\xff")); got.Has != 0 {
+	if got := tr.parseLoad(metadata.Pairs(loadTrailer, "\xff\xff")); got.Has != 0 {
 		t.Errorf("a report that can't be read: %+v", got)
 	}
-	if got := tr.fromORCA(&orcapb.OrcaLoadReport{NamedMetrics: map[string]float64{"inflight": -1}}); got.Has != 0 {
+	if got := tr.loadFromORCA(&orcapb.OrcaLoadReport{NamedMetrics: map[string]float64{"inflight": -1}}); got.Has != 0 {
 		t.Errorf("a value that is none: %+v", got)
 	}
 }
@@ -335,12 +352,14 @@
 	}
 }
 
-// Close lets go of everything, with calls and probes under way.
+// Close ends everything, with calls and probes under way.
 func TestClose(t *testing.T) {
 	l := new(testbed.Ledger)
 	n := testbed.NewGRPCNode(t, "s-0", l)
 	n.Do(testbed.Always(testbed.Hang))
-	tr := New(Config{Clock: clock.New(), DialTimeout: time.Second, IdleTimeout: time.Minute, MaxConns: 2, Probes: true})
+	tr := New(Config{
+		Clock: clock.New(), DialTimeout: time.Second, IdleTimeout: time.Minute, MaxConns: 2, ORCAProbes: true,
+	})
 	s := tr.Server(n.Address)
 	ends := make(chan call.Result, 9)
 	for range 3 {
--- a/plugin/grpcplugin/conn.go
+++ b/plugin/grpcplugin/conn.go
@@ -73,7 +73,7 @@
 	core, err := plugin.OpenCore(cfg, func(cfg plugin.Config, c clock.Clock) pool.Transport {
 		t := grpctransport.Config{
 			Clock: c, DialTimeout: cfg.DialTimeout, IdleTimeout: cfg.ConnIdle, MaxConns: cfg.MaxConnections,
-			Probes: cfg.Policy.MayProbe, Report: cfg.LoadReport,
+			ORCAProbes: cfg.Policy.MayProbe, LoadMetrics: cfg.LoadReport,
 		}
 		for _, o := range opts {
 			o(&t)
