--- a/cmd/measure/child.go
+++ b/cmd/measure/child.go
@@ -5,8 +5,8 @@
 	"os"
 )
 
-// childParts are the parts that this program plays in processes that a measurement starts.
-var childParts = map[string]func([]string) error{
+// childRoles are the parts that this program plays in processes that a measurement starts.
+var childRoles = map[string]func([]string) error{
 	"nodes":        serveNodes,
 	"proxy":        serveProxy,
 	"host":         host,
@@ -18,7 +18,7 @@
 
 // child is this program in another part.
 func child(part string, args []string) {
-	err := childParts[part](args)
+	err := childRoles[part](args)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "measure:", part+":", err)
 		os.Exit(1)
--- a/cmd/measure/cleanup.go
+++ b/cmd/measure/cleanup.go
@@ -9,16 +9,19 @@
 	"syscall"
 )
 
-// panics is a rig.TB for a program: what can't go on ends it.
+// panics is a testbed.TB for a program: what can't go on ends it.
 type panics struct{}
 
+// Helper marks nothing: a program has no test log.
 func (panics) Helper() {}
 
+// Fatalf ends the program.
 func (panics) Fatalf(format string, args ...any) { panic(fmt.Sprintf(format, args...)) }
 
+// Cleanup keeps nothing: whoever starts something ends it.
 func (panics) Cleanup(func()) {}
 
-// cleanups is a rig.TB for a program that gives back what one part of it took.
+// cleanups is a testbed.TB for a program that gives back what one part of it took.
 type cleanups struct {
 	panics
 	all *[]func()
--- a/cmd/measure/control.go
+++ b/cmd/measure/control.go
@@ -20,34 +20,34 @@
 	catchUpBound = 4.0
 )
 
-// controlPart is one thing that happens to a core of its own, again and again.
-type controlPart struct {
+// controlScenario is one thing that happens to a core of its own, again and again.
+type controlScenario struct {
 	name, key string
-	// figure is the one that the bound is on.
-	figure string
+	// metric is the one that the bound is on.
+	metric string
 	bound  float64
-	run    func() (figures, error)
+	run    func() (metrics, error)
 
-	measured figures
+	measured metrics
 	err      error
 }
 
-// controlParts are all of them; each core of processes has a loopback network of its own.
-func controlParts(binary string, rounds, behind int) []*controlPart {
-	leader := func(name, key string, run func() (figures, error)) *controlPart {
-		return &controlPart{name: name, key: key, figure: "acknowledged", bound: ackBound, run: run}
+// controlScenarios are all of them; each core of processes has a loopback network of its own.
+func controlScenarios(binary string, rounds, behind int) []*controlScenario {
+	leader := func(name, key string, run func() (metrics, error)) *controlScenario {
+		return &controlScenario{name: name, key: key, metric: "acknowledged", bound: ackBound, run: run}
 	}
-	process := func(network int, fault leaderFault) func() (figures, error) {
-		return func() (figures, error) { return afterLeader(binary, network, rounds, fault) }
+	process := func(network int, fault leaderFault) func() (metrics, error) {
+		return func() (metrics, error) { return afterLeader(binary, network, rounds, fault) }
 	}
-	link := func(fault linkFault) func() (figures, error) {
-		return func() (figures, error) { return measureLinkFault(rounds, fault) }
+	link := func(fault linkFault) func() (metrics, error) {
+		return func() (metrics, error) { return measureLinkFault(rounds, fault) }
 	}
-	join := func(name, key string, network int, replace replacement) *controlPart {
-		run := func() (figures, error) { return toTolerance(binary, network, rounds, replace) }
-		return &controlPart{name: name, key: key, figure: "tolerance", bound: catchUpBound, run: run}
+	join := func(name, key string, network int, replace replacement) *controlScenario {
+		run := func() (metrics, error) { return toTolerance(binary, network, rounds, replace) }
+		return &controlScenario{name: name, key: key, metric: "tolerance", bound: catchUpBound, run: run}
 	}
-	return []*controlPart{
+	return []*controlScenario{
 		leader("leader killed", "kill", process(1, killLeader)),
 		leader("leader frozen for 5 s", "freeze", process(2, freezeLeader)),
 		leader("leader cut off", "cut", link(partitionReplica)),
@@ -56,13 +56,13 @@
 		join("leader lost", "leader", 4, replaceLeader),
 		join("planned", "planned", 5, replacePlanned),
 		join("empty disk at the old address", "disk", 6, replaceDisk),
-		{name: fmt.Sprintf("%d changes behind", behind), key: "behind", figure: "caught up", bound: catchUpBound,
-			run: func() (figures, error) { return catchUpTogether(binary, 7, rounds, behind) }},
+		{name: fmt.Sprintf("%d changes behind", behind), key: "behind", metric: "caught up", bound: catchUpBound,
+			run: func() (metrics, error) { return catchUpTogether(binary, 7, rounds, behind) }},
 	}
 }
 
 // measureControl measures how long the control side takes to go on after a loss: to the next
-// acknowledged change, to full tolerance, and to what a member far behind lacks. All parts run at the
+// acknowledged change, to full tolerance, and to what a member far behind lacks. All scenarios run at the
 // same time, each on a core of its own.
 func measureControl(short bool) (string, []string, error) {
 	rounds, behind := controlRounds, behindBy
@@ -78,12 +78,12 @@
 	if err != nil {
 		return "", nil, err
 	}
-	parts := slices.DeleteFunc(controlParts(binary, rounds, behind), func(p *controlPart) bool {
-		return !strings.Contains(p.key, within)
+	scenarios := slices.DeleteFunc(controlScenarios(binary, rounds, behind), func(p *controlScenario) bool {
+		return !strings.Contains(p.key, nameFilter)
 	})
 	before := loadAverage()
 	var running sync.WaitGroup
-	for _, p := range parts {
+	for _, p := range scenarios {
 		running.Go(func() {
 			p.measured, p.err = p.run()
 			fmt.Printf("%s: done, load average %s\n", p.row(), loadAverage())
@@ -92,22 +92,16 @@
 	running.Wait()
 	fmt.Printf("%s, %d cores, load average %s before and %s after, %d rounds each\n\n",
 		time.Now().Format(time.DateOnly), runtime.NumCPU(), before, loadAverage(), rounds)
-	result, missed := controlResult(parts, rounds)
+	result, missed := controlResult(scenarios, rounds)
 	return result, missed, nil
 }
 
 // worst is the longest of the times that the bound is on.
-func (p *controlPart) worst() float64 {
-	times := p.measured[p.figure]
-	if len(times) == 0 {
-		return 0
-	}
-	return slices.Max(times)
-}
+func (p *controlScenario) worst() float64 { return p.measured[p.metric].max() }
 
 // row is the part's line of the table.
-func (p *controlPart) row() string {
-	times, elected := p.measured[p.figure], "-"
+func (p *controlScenario) row() string {
+	times, elected := p.measured[p.metric], "-"
 	if e := p.measured["elected"]; len(e) > 0 {
 		elected = fmt.Sprintf("%.3f, %.3f", e.median(), slices.Max(e))
 	}
@@ -116,11 +110,11 @@
 }
 
 // missed names what the part did not do, and its bound where that was missed.
-func (p *controlPart) missed(rounds int) (missed []string) {
+func (p *controlScenario) missed(rounds int) (missed []string) {
 	if p.err != nil {
 		missed = append(missed, fmt.Sprintf("%s: %v", p.name, p.err))
 	}
-	if done := len(p.measured[p.figure]); done < rounds {
+	if done := len(p.measured[p.metric]); done < rounds {
 		missed = append(missed, fmt.Sprintf("%s: %d rounds of %d", p.name, done, rounds))
 	}
 	if p.worst() >= p.bound {
@@ -130,14 +124,14 @@
 }
 
 // controlResult prints the table and says which bounds were missed.
-func controlResult(parts []*controlPart, rounds int) (result string, missed []string) {
+func controlResult(scenarios []*controlScenario, rounds int) (result string, missed []string) {
 	fmt.Println("| what | rounds | median s | worst s | another leader known: median s, worst s | bound s |")
 	fmt.Println("| --- | --- | --- | --- | --- | --- |")
 	var keys []string
-	for _, p := range parts {
+	for _, p := range scenarios {
 		fmt.Println(p.row())
 		keys = append(keys, fmt.Sprintf("%s_median_s=%.3f %s_worst_s=%.3f", p.key,
-			p.measured[p.figure].median(), p.key, p.worst()))
+			p.measured[p.metric].median(), p.key, p.worst()))
 		missed = append(missed, p.missed(rounds)...)
 	}
 	fmt.Println()
--- a/cmd/measure/control_behind.go
+++ b/cmd/measure/control_behind.go
@@ -19,8 +19,8 @@
 )
 
 // catchUpTogether has several cores, from a network's number on, share the rounds of catchUp.
-func catchUpTogether(binary string, network, rounds, behind int) (figures, error) {
-	measured := make([]figures, behindCores)
+func catchUpTogether(binary string, network, rounds, behind int) (metrics, error) {
+	measured := make([]metrics, behindCores)
 	failed := make([]error, behindCores)
 	var running sync.WaitGroup
 	for i := range behindCores {
@@ -28,7 +28,7 @@
 		running.Go(func() { measured[i], failed[i] = catchUp(binary, network+i, share, behind) })
 	}
 	running.Wait()
-	all := figures{}
+	all := metrics{}
 	for _, f := range measured {
 		all["caught up"] = append(all["caught up"], f["caught up"]...)
 	}
@@ -37,13 +37,13 @@
 
 // catchUp measures how long a member that lacks so many changes takes, from its start, until it has
 // applied all that was committed at that moment, while more come. Each round it misses as many anew.
-func catchUp(binary string, network, rounds, behind int) (figures, error) {
+func catchUp(binary string, network, rounds, behind int) (metrics, error) {
 	k, err := startControlCore(binary, network, controlRoutes)
 	if err != nil {
 		return nil, err
 	}
 	defer k.end()
-	measured := figures{}
+	measured := metrics{}
 	for range rounds {
 		member, err := k.follower()
 		if err != nil {
@@ -58,7 +58,7 @@
 			return measured, err
 		}
 		measured.add("caught up", took.Seconds())
-		if err := k.whole(); err != nil {
+		if err := k.waitUntilHealthy(); err != nil {
 			return measured, err
 		}
 	}
@@ -72,7 +72,7 @@
 		return err
 	}
 	for last := k.version + int64(changes); k.version < last; {
-		ctx, cancel := context.WithTimeout(context.Background(), operatorSilence)
+		ctx, cancel := context.WithTimeout(context.Background(), operatorTimeout)
 		err := k.post(ctx, k.hosts[leads], k.version+1)
 		cancel()
 		if err == nil {
@@ -97,7 +97,7 @@
 		return 0, fmt.Errorf("the leader gave no view")
 	}
 	o := k.operator()
-	o.pause = changesEvery
+	o.interval = changesEvery
 	stop := o.goOn()
 	began := time.Now()
 	if err := k.restart(member); err != nil {
--- a/cmd/measure/control_core.go
+++ b/cmd/measure/control_core.go
@@ -44,7 +44,7 @@
 	}
 	k := &controlCore{core, c, controlMembers}
 	if _, _, _, err = core.replace(meshResources(routes)); err == nil {
-		err = k.whole()
+		err = k.waitUntilHealthy()
 	}
 	if err != nil {
 		c.end()
@@ -112,9 +112,9 @@
 	return (leads + 1 + rand.IntN(controlMembers-1)) % controlMembers, err
 }
 
-// whole waits until all members vote, are in touch and have settled on who they are.
-func (k *controlCore) whole() error {
-	return until("a whole core", func() bool {
+// waitUntilHealthy waits until all members vote, are in touch and agree on who they are.
+func (k *controlCore) waitUntilHealthy() error {
+	return until("a healthy core", func() bool {
 		return !slices.ContainsFunc(k.hosts, func(host string) bool { return !k.tolerant(host) })
 	})
 }
@@ -144,7 +144,7 @@
 }
 
 // leaderFault is what happens to the leader's process; it returns what brings the member back.
-type leaderFault func(k *controlCore, member int) (mend func() error)
+type leaderFault func(k *controlCore, member int) (repair func() error)
 
 func killLeader(k *controlCore, member int) func() error {
 	k.members[member].kill()
@@ -163,7 +163,7 @@
 
 // afterLeader measures the times from a fault of the leader's process until another member is known to
 // lead (by the word of one that is left) and until the next acknowledged change.
-func afterLeader(binary string, network, rounds int, fault leaderFault) (figures, error) {
+func afterLeader(binary string, network, rounds int, fault leaderFault) (metrics, error) {
 	k, err := startControlCore(binary, network, controlRoutes)
 	if err != nil {
 		return nil, err
@@ -171,18 +171,18 @@
 	defer k.end()
 	o := k.operator()
 	defer o.goOn()()
-	measured := figures{}
+	measured := metrics{}
 	for range rounds {
-		if err := k.whole(); err != nil {
+		if err := k.waitUntilHealthy(); err != nil {
 			return measured, err
 		}
-		time.Sleep(rand.N(2 * operatorPause)) // no fixed place in the operator's rhythm
+		time.Sleep(rand.N(2 * operatorBackoff)) // no fixed place in the operator's rhythm
 		leads, err := k.leader()
 		if err != nil {
 			return measured, err
 		}
 		at := time.Now()
-		mend := fault(k, leads)
+		repair := fault(k, leads)
 		elected := k.elected(at, leads)
 		took, err := o.next(at)
 		if err != nil {
@@ -190,7 +190,7 @@
 		}
 		measured.add("acknowledged", took.Seconds())
 		measured.add("elected", (<-elected).Seconds())
-		if err := mend(); err != nil {
+		if err := repair(); err != nil {
 			return measured, err
 		}
 	}
--- a/cmd/measure/control_join.go
+++ b/cmd/measure/control_join.go
@@ -70,15 +70,15 @@
 	return member, began, k.restart(member)
 }
 
-// toTolerance measures the times from a newcomer's start until the core is whole with it: it votes and
+// toTolerance measures the times from a newcomer's start until the core is healthy with it: it votes and
 // is in touch, and it and the leader say that the members that there are, and no others, are the voters.
-func toTolerance(binary string, network, rounds int, replace replacement) (figures, error) {
+func toTolerance(binary string, network, rounds int, replace replacement) (metrics, error) {
 	k, err := startControlCore(binary, network, controlRoutes)
 	if err != nil {
 		return nil, err
 	}
 	defer k.end()
-	measured := figures{}
+	measured := metrics{}
 	for range rounds {
 		newcomer, began, err := replace(k)
 		if err != nil {
@@ -90,14 +90,14 @@
 			return measured, err
 		}
 		measured.add("tolerance", time.Since(began).Seconds())
-		if err := k.whole(); err != nil {
+		if err := k.waitUntilHealthy(); err != nil {
 			return measured, err
 		}
 	}
 	return measured, nil
 }
 
-// leaderTolerant says that the member that leads says that the core is whole.
+// leaderTolerant says that the member that leads says that the core is healthy.
 func (k *controlCore) leaderTolerant() bool {
 	for _, host := range k.hosts {
 		if v := k.view(host); v != nil && v.Leader == k.internalAt(host) {
--- a/cmd/measure/control_links.go
+++ b/cmd/measure/control_links.go
@@ -27,6 +27,7 @@
 	stalled atomic.Pointer[chan struct{}]
 }
 
+// Save waits until the stall is over, then writes.
 func (d *stallingStorage) Save(batch *replication.WriteBatch) error {
 	if ended := d.stalled.Load(); ended != nil {
 		<-*ended
@@ -190,7 +191,7 @@
 
 // measureLinkFault measures the times from a fault of the leader's links or disk until another replica
 // leads, and until the next acknowledged change.
-func measureLinkFault(rounds int, fault linkFault) (figures, error) {
+func measureLinkFault(rounds int, fault linkFault) (metrics, error) {
 	cleanup := newCleanups()
 	defer cleanup.end()
 	core, err := startLinkedCore(cleanup)
@@ -199,12 +200,12 @@
 	}
 	client := newOperator(controlMembers, 0, core.propose)
 	defer client.goOn()()
-	measured := figures{}
+	measured := metrics{}
 	for range rounds {
 		if err := core.waitUntilHealthy(); err != nil {
 			return measured, err
 		}
-		time.Sleep(rand.N(2 * operatorPause)) // no fixed place in the operator's rhythm
+		time.Sleep(rand.N(2 * operatorBackoff)) // no fixed place in the operator's rhythm
 		leader := core.leader()
 		if leader == nil {
 			return measured, errors.New("the leader was lost by itself")
--- a/cmd/measure/control_operator.go
+++ b/cmd/measure/control_operator.go
@@ -8,11 +8,11 @@
 )
 
 const (
-	// operatorSilence is how long an operator waits for an answer before it goes on to the next machine.
-	operatorSilence = time.Second
-	// operatorPause is between an acknowledgement and the next change, and between a failure and the
+	// operatorTimeout is how long an operator waits for an answer before it goes on to the next machine.
+	operatorTimeout = time.Second
+	// operatorBackoff is between an acknowledgement and the next change, and between a failure and the
 	// next try.
-	operatorPause = 50 * time.Millisecond
+	operatorBackoff = 50 * time.Millisecond
 )
 
 // acknowledgement is when a change was acknowledged, and when the attempt began that was.
@@ -26,8 +26,8 @@
 	// machines is how many there are, number the newest change that was acknowledged.
 	machines int
 	number   int64
-	// pause is between an acknowledgement and the next change.
-	pause time.Duration
+	// interval is between an acknowledgement and the next change.
+	interval time.Duration
 
 	mu    sync.Mutex
 	acks  []acknowledgement
@@ -36,7 +36,8 @@
 
 func newOperator(machines int, number int64,
 	send func(ctx context.Context, machine int, number int64) error) *operator {
-	return &operator{send: send, machines: machines, number: number, pause: operatorPause, woken: make(chan struct{})}
+	return &operator{send: send, machines: machines, number: number, interval: operatorBackoff,
+		woken: make(chan struct{})}
 }
 
 // goOn sends changes until the function that it returns is called.
@@ -46,7 +47,7 @@
 	done.Go(func() {
 		for machine := 0; ctx.Err() == nil; {
 			machine = o.change(ctx, machine)
-			wait(ctx, o.pause)
+			wait(ctx, o.interval)
 		}
 	})
 	return func() {
@@ -59,14 +60,14 @@
 func (o *operator) change(ctx context.Context, machine int) int {
 	for ; ctx.Err() == nil; machine = (machine + 1) % o.machines {
 		sent := time.Now()
-		within, cancel := context.WithTimeout(ctx, operatorSilence)
+		within, cancel := context.WithTimeout(ctx, operatorTimeout)
 		err := o.send(within, machine, o.number+1)
 		cancel()
 		if err == nil {
 			o.acknowledged(acknowledgement{sent, time.Now()})
 			return machine
 		}
-		wait(ctx, operatorPause)
+		wait(ctx, operatorBackoff)
 	}
 	return machine
 }
@@ -82,7 +83,7 @@
 
 // next is how long after a moment the first change was acknowledged by an attempt that began behind it.
 func (o *operator) next(after time.Time) (time.Duration, error) {
-	bound := time.After(meshUp)
+	bound := time.After(meshStartTimeout)
 	for {
 		o.mu.Lock()
 		woken := o.woken
@@ -97,7 +98,7 @@
 		select {
 		case <-woken:
 		case <-bound:
-			return 0, fmt.Errorf("no change was acknowledged for %v", meshUp)
+			return 0, fmt.Errorf("no change was acknowledged for %v", meshStartTimeout)
 		}
 	}
 }
@@ -111,10 +112,10 @@
 
 // until asks every 5 ms until a condition holds.
 func until(what string, holds func() bool) error {
-	for end := time.Now().Add(meshUp); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(meshStartTimeout); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		if holds() {
 			return nil
 		}
 	}
-	return fmt.Errorf("%s: not within %v", what, meshUp)
+	return fmt.Errorf("%s: not within %v", what, meshStartTimeout)
 }
--- a/cmd/measure/even.go
+++ b/cmd/measure/even.go
@@ -31,7 +31,7 @@
 	worst := 0.0
 	for _, d := range days {
 		d.Until = 70 * time.Second
-		var brief, long, greatest, alike, chance, chanceMost, limit spread
+		var brief, long, greatest, alike, chance, chanceMost, limit samples
 		for seed := range seeds {
 			all, weights, err := d.Run(seed)
 			if err != nil {
@@ -87,8 +87,8 @@
 			if err := d.run(binary, warm, length, &now); err != nil {
 				return "", nil, err
 			}
-			if before != "" && !d.peers {
-				if err := d.run(before, warm, length, &then); err != nil {
+			if earlierBinary != "" && !d.peers {
+				if err := d.run(earlierBinary, warm, length, &then); err != nil {
 					return "", nil, err
 				}
 			}
@@ -110,7 +110,7 @@
 
 const (
 	evenBack  = 3 * time.Second // until what was touched has half of its part again
-	evenHerd  = 1.0             // the worst second's greatest over mean, over what chance has
+	evenSurge = 1.0             // the worst second's greatest over mean, over what chance has
 	eventSide = 3               // fleets that live through events at once
 )
 
@@ -125,7 +125,7 @@
 	var missed []string
 	worst, longest := 0.0, time.Duration(0)
 	say := func(where, name string, all []emulator.Behind) {
-		var herd, idle, back spread
+		var herd, idle, back samples
 		for _, b := range all {
 			herd.add(b.Worst / b.Chance)
 			idle.add(b.Idle)
@@ -139,7 +139,7 @@
 			where, name, herd, idle, back)
 		worst, longest = max(worst, herd.median()),
 			max(longest, time.Duration(min(back.median(), 999)*float64(time.Second)))
-		if herd.median() > evenHerd || idle.median() > 0.01 || back.median() > evenBack.Seconds() {
+		if herd.median() > evenSurge || idle.median() > 0.01 || back.median() > evenBack.Seconds() {
 			missed = append(missed, fmt.Sprintf("%s, %s: herd %.2f, idle %.3f, back after %.0f s", where,
 				name, herd.median(), idle.median(), back.median()))
 		}
--- a/cmd/measure/even_real.go
+++ b/cmd/measure/even_real.go
@@ -13,8 +13,8 @@
 	"caperarch/internal/lab/testbed/fleet"
 )
 
-// before is the daemon of an earlier release, to be measured beside the present one; "": none.
-var before string
+// earlierBinary is the daemon of an earlier release, to be measured beside the present one; "": none.
+var earlierBinary string
 
 // evenReal is a fleet of real processes whose spread is looked at.
 type evenReal struct {
@@ -29,10 +29,10 @@
 // evenWorld is such a fleet under way.
 type evenWorld struct {
 	*fleet.Fleet
-	late  *testbed.Discovery // what every other sidecar hears it from
-	spare []*testbed.Node    // listed nowhere yet
-	begun time.Time
-	stop  func()
+	late     *testbed.Discovery // what every other sidecar hears it from
+	unlisted []*testbed.Node    // listed nowhere yet
+	begun    time.Time
+	stop     func()
 }
 
 // answers takes 10 ms on average and as its standard deviation half of that.
@@ -82,7 +82,7 @@
 	}
 	if e.peers { // by their logs, as asking hundreds again and again costs them memory
 		begun := time.Now()
-		for w.Logged("peers: in contact") < e.sidecars && time.Since(begun) < contactTime {
+		for w.Logged("peers: in contact") < e.sidecars && time.Since(begun) < contactTimeout {
 			time.Sleep(200 * time.Millisecond)
 		}
 	}
@@ -90,7 +90,7 @@
 		w.Sidecars[i].Crash()
 	}
 	if e.peers && e.dead > 0 {
-		time.Sleep(knownTime)
+		time.Sleep(crashKnownTime)
 	}
 	w.begun = time.Now()
 	w.stop = w.Streams(e.seed, func(i int, since time.Duration) float64 { return rates[i] * times(since) })
@@ -98,18 +98,18 @@
 }
 
 const (
-	contactTime = 2 * time.Minute // a start of 300 takes half a minute to be in contact
-	knownTime   = 8 * time.Second // and a crash some seconds to be known
+	contactTimeout = 2 * time.Minute // a start of 300 takes half a minute to be in contact
+	crashKnownTime = 8 * time.Second // and a crash some seconds to be known
 )
 
 func usual(time.Duration) float64 { return 1 }
 
 // evenSeen is what was seen of the spread, the fleet's own and that of the references over the same arrivals.
 type evenSeen struct {
-	brief, long, alike spread
-	greatest           spread
-	chance, two, limit spread // variance over mean in 10 s
-	chanceGreatest     spread
+	brief, long, alike samples
+	greatest           samples
+	chance, two, limit samples // variance over mean in 10 s
+	chanceGreatest     samples
 	requests, refused  int
 }
 
@@ -188,7 +188,7 @@
 		n := testbed.NewHTTPNode(t, fmt.Sprintf("s-%d", e.nodes+i), w.Ledger)
 		n.Cell, n.Takes = (e.nodes+i)/2, answers
 		n.Do(testbed.Always(testbed.Slow))
-		w.spare = append(w.spare, n)
+		w.unlisted = append(w.unlisted, n)
 	}
 	w.Peers.Break(fleet.Faults{Loss: 0.1, Twice: 0.1, Delay: 200 * time.Millisecond}, e.seed)
 	until := event.Ends + 14*time.Second
@@ -252,11 +252,11 @@
 	if event.Came > 0 {
 		came := event.Ends - emulator.EvenColdTime
 		at(came, func() {
-			for _, n := range w.spare {
+			for _, n := range w.unlisted {
 				n.Started = time.Now()
 			}
 		})
-		list(came+10*time.Millisecond, w.spare, "ready")
+		list(came+10*time.Millisecond, w.unlisted, "ready")
 	}
 	switch {
 	case event.Acts.Silent:
--- a/cmd/measure/fleet_peers.go
+++ b/cmd/measure/fleet_peers.go
@@ -25,35 +25,8 @@
 	if short {
 		sizes, quiet, real, settle = []int{10, 100}, 2*time.Minute, []int{10}, 6*time.Second
 	}
-	var missed []string
-	miss := func(format string, args ...any) { missed = append(missed, fmt.Sprintf(format, args...)) }
-	for _, size := range sizes {
-		n := virtualFleet(size, 1, 0)
-		known := crashKnown(n, 5)
-		fmt.Printf("virtual, %d sidecars: lease %v; in contact %v after a start of all; a crash known "+
-			"to 95%% after %v s\n",
-			size, swim.LeaseFor(size), contactAfterStart(size, 2).Round(100*time.Millisecond), known)
-		if size <= 300 && (most(known) > peersKnown || known.at(0) < 0) {
-			miss("virtual, %d: a crash known after %v s, at most %v", size, known, peersKnown)
-		}
-	}
-	size := sizes[min(2, len(sizes)-1)]
-	for _, c := range []struct {
-		loss    float64
-		starved bool
-		time    time.Duration
-	}{{0, false, quiet}, {0.05, false, quiet}, {0.3, false, quiet / 30}, {0, true, quiet / 10}} {
-		suspected, gone, lapsed, bytes, datagrams := quietHour(virtualFleet(size, 3, c.loss), c.time, c.starved)
-		fmt.Printf("virtual, %d sidecars for %v, loss %.2f, one in ten starved %v: %d suspicions, %d "+
-			"false alarms, %d lapses of contact; %.0f bytes in %.1f datagrams a second a member\n",
-			size, c.time, c.loss, c.starved, suspected, gone, lapsed, bytes, datagrams)
-		switch {
-		case c.loss <= 0.05 && !c.starved && gone > 0:
-			miss("%d false alarms at loss %.2f in %v", gone, c.loss, c.time)
-		case c.loss == 0 && !c.starved && bytes > peersBytes:
-			miss("%.0f bytes a second, at most %.0f", bytes, peersBytes)
-		}
-	}
+	missed := virtualCrashes(sizes)
+	missed = append(missed, virtualQuiet(sizes[min(2, len(sizes)-1)], quiet)...)
 	binary, end, err := tempDaemon()
 	if err != nil {
 		return "", nil, err
@@ -69,18 +42,7 @@
 			"%.2f%% and %.1f MiB with it off\n",
 			size, last.contact, last.known, last.bytes, 100*last.cpu, last.rss/(1<<20), 100*last.plainCPU,
 			last.plainRSS/(1<<20))
-		switch {
-		case most(last.known) > peersKnown:
-			miss("real, %d: a crash known after %v s, at most %v", size, last.known, peersKnown)
-		case last.bytes > peersBytes:
-			miss("real, %d: %.0f bytes a second, at most %.0f", size, last.bytes, peersBytes)
-		}
-		if last.cpu-last.plainCPU > peersCPU {
-			miss("real, %d: %.4f of a core more, at most %.4f", size, last.cpu-last.plainCPU, peersCPU)
-		}
-		if last.rss-last.plainRSS > peersMemory {
-			miss("real, %d: %.1f MiB more, at most %d", size, (last.rss-last.plainRSS)/(1<<20), peersMemory>>20)
-		}
+		missed = append(missed, last.missed(size)...)
 	}
 	p99, err := peersLatency(binary, short)
 	if err != nil {
@@ -88,20 +50,78 @@
 	}
 	fmt.Printf("requests' p99 over that with it off, round by round: %v\n", p99)
 	if p99.median() > peersP99 {
-		miss("p99 is %v times that with it off, at most %v", p99, peersP99)
+		missed = append(missed, fmt.Sprintf("p99 is %v times that with it off, at most %v", p99, peersP99))
 	}
 	return fmt.Sprintf("processes=%d contact=%.1f known=%.2f bytes=%.0f cpu=%.4f cpu_off=%.4f "+
 		"rss_mib=%.1f rss_off_mib=%.1f p99_ratio=%.2f",
-		real[len(real)-1], last.contact, most(last.known), last.bytes, last.cpu, last.plainCPU,
+		real[len(real)-1], last.contact, last.known.max(), last.bytes, last.cpu, last.plainCPU,
 		last.rss/(1<<20), last.plainRSS/(1<<20), p99.median()), missed, nil
 }
 
+// virtualCrashes measures in virtual time how soon members of fleets of some sizes are in contact, and
+// how soon a crash is known.
+func virtualCrashes(sizes []int) (missed []string) {
+	for _, size := range sizes {
+		n := virtualFleet(size, 1, 0)
+		known := crashKnown(n, 5)
+		fmt.Printf("virtual, %d sidecars: lease %v; in contact %v after a start of all; a crash known "+
+			"to 95%% after %v s\n",
+			size, swim.LeaseFor(size), contactAfterStart(size, 2).Round(100*time.Millisecond), known)
+		if size <= 300 && (known.max() > peersKnown || known.at(0) < 0) {
+			missed = append(missed, fmt.Sprintf("virtual, %d: a crash known after %v s, at most %v",
+				size, known, peersKnown))
+		}
+	}
+	return missed
+}
+
+// virtualQuiet counts false alarms in virtual time while all members live, with datagrams lost or
+// members starved of their core, and measures what is sent.
+func virtualQuiet(size int, quiet time.Duration) (missed []string) {
+	for _, c := range []struct {
+		loss    float64
+		starved bool
+		time    time.Duration
+	}{{0, false, quiet}, {0.05, false, quiet}, {0.3, false, quiet / 30}, {0, true, quiet / 10}} {
+		suspected, gone, lapsed, bytes, datagrams := quietHour(virtualFleet(size, 3, c.loss), c.time, c.starved)
+		fmt.Printf("virtual, %d sidecars for %v, loss %.2f, one in ten starved %v: %d suspicions, %d "+
+			"false alarms, %d lapses of contact; %.0f bytes in %.1f datagrams a second a member\n",
+			size, c.time, c.loss, c.starved, suspected, gone, lapsed, bytes, datagrams)
+		switch {
+		case c.loss <= 0.05 && !c.starved && gone > 0:
+			missed = append(missed, fmt.Sprintf("%d false alarms at loss %.2f in %v", gone, c.loss, c.time))
+		case c.loss == 0 && !c.starved && bytes > peersBytes:
+			missed = append(missed, fmt.Sprintf("%.0f bytes a second, at most %.0f", bytes, peersBytes))
+		}
+	}
+	return missed
+}
+
+// peersRun is what a fleet of real processes took, and a few with membership off beside it.
 type peersRun struct {
 	contact                             float64 // seconds until all were in contact
-	known                               spread
+	known                               samples
 	bytes, cpu, rss, plainCPU, plainRSS float64
 }
 
+// missed names the bounds that a fleet of so many processes missed.
+func (r *peersRun) missed(size int) (missed []string) {
+	miss := func(format string, args ...any) { missed = append(missed, fmt.Sprintf(format, args...)) }
+	switch {
+	case r.known.max() > peersKnown:
+		miss("real, %d: a crash known after %v s, at most %v", size, r.known, peersKnown)
+	case r.bytes > peersBytes:
+		miss("real, %d: %.0f bytes a second, at most %.0f", size, r.bytes, peersBytes)
+	}
+	if r.cpu-r.plainCPU > peersCPU {
+		miss("real, %d: %.4f of a core more, at most %.4f", size, r.cpu-r.plainCPU, peersCPU)
+	}
+	if r.rss-r.plainRSS > peersMemory {
+		miss("real, %d: %.1f MiB more, at most %d", size, (r.rss-r.plainRSS)/(1<<20), peersMemory>>20)
+	}
+	return missed
+}
+
 // realPeers has so many processes know of each other, and a few that don't beside them.
 func realPeers(binary string, size int, settle time.Duration) (r peersRun, err error) {
 	t := newCleanups()
@@ -141,7 +161,7 @@
 		f.Sidecars[victim].Crash()
 		for end := crashed.Add(20 * time.Second); time.Now().Before(end); time.Sleep(200 * time.Millisecond) {
 			if at := f.GoneAt(victim, crashed); len(at) >= need {
-				var all spread
+				var all samples
 				for _, moment := range at {
 					all.add(moment.Sub(crashed).Seconds())
 				}
@@ -177,7 +197,7 @@
 }
 
 // peersLatency sends the same load to processes that know of each other and to ones that don't, in turn.
-func peersLatency(binary string, short bool) (spread, error) {
+func peersLatency(binary string, short bool) (samples, error) {
 	rounds, each := 9, 6*time.Second
 	if short {
 		rounds, each = 3, 2*time.Second
@@ -190,7 +210,7 @@
 	if took, why := on.Settle(30 * time.Second); why != "" {
 		return nil, fmt.Errorf("8 processes don't agree after %v: %s", took, why)
 	}
-	var ratio spread
+	var ratio samples
 	for range rounds {
 		var p99 [2]float64
 		for i, f := range []*fleet.Fleet{on, off} {
--- a/cmd/measure/fleet_peers_virtual.go
+++ b/cmd/measure/fleet_peers_virtual.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"slices"
 	"time"
 
 	"caperarch/internal/fleet/peer"
@@ -20,7 +19,7 @@
 
 // crashKnown crashes members one after the other and returns how long each time it took until 95%
 // of the others held it for gone, in seconds; -1: over 30 s.
-func crashKnown(n *swimsim.Net, crashes int) (took spread) {
+func crashKnown(n *swimsim.Net, crashes int) (took samples) {
 	for k := range crashes {
 		i := (k*37 + 5) % n.Size
 		known, need := 0, (n.Size-1)*95/100
@@ -98,13 +97,6 @@
 	return n.Now - begun
 }
 
-func most(s spread) float64 {
-	if len(s) == 0 {
-		return 0
-	}
-	return slices.Max(s)
-}
-
 // measureVast is measurePeers' part for a fleet of thousands, in virtual time: the views of all take 1 GiB.
 func measureVast(short bool) (string, []string, error) {
 	size := 2000 // 5,000 take 7 GiB and did not come to an end in 12 minutes
@@ -123,5 +115,5 @@
 	if gone > 0 || known.at(0) < 0 {
 		missed = append(missed, "a false alarm, or a crash that was not known in 30 s")
 	}
-	return fmt.Sprintf("sidecars=%d in_contact=%d known=%.2f bytes=%.0f", size, in, most(known), bytes), missed, nil
+	return fmt.Sprintf("sidecars=%d in_contact=%d known=%.2f bytes=%.0f", size, in, known.max(), bytes), missed, nil
 }
--- a/cmd/measure/fleet_plans.go
+++ b/cmd/measure/fleet_plans.go
@@ -30,7 +30,7 @@
 	defer end()
 	var mu sync.Mutex
 	var missed []string
-	var healed spread
+	var healed samples
 	var sum fleet.Tally
 	var lost, delayed, doubled int64
 	faults := make(map[string]int)
@@ -53,7 +53,7 @@
 		for _, s := range plan.Steps {
 			faults[s.What]++
 		}
-		missed = append(missed, told(f, plan, broken)...)
+		missed = append(missed, reportBroken(f, plan, broken)...)
 	})
 	fmt.Printf("%d plans of %v with %d processes: faults %v; datagrams lost %d, delayed %d, doubled %d; "+
 		"requests %+v; views equal again after %v s\n",
@@ -76,7 +76,7 @@
 	defer end()
 	var mu sync.Mutex
 	var missed []string
-	var settled spread
+	var settled samples
 	var sum fleet.PolicyTally
 	anew, turned := 0, 0
 	faults := make(map[string]int)
@@ -103,7 +103,7 @@
 		for _, s := range plan.Steps {
 			faults[s.What]++
 		}
-		missed = append(missed, told(f, plan, broken)...)
+		missed = append(missed, reportBroken(f, plan, broken)...)
 	})
 	fmt.Printf("%d plans of %v with 5 to 9 processes: faults %v; %d policies proposed, %d told no, "+
 		"requests turned %d times; the log lost and begun anew %d times; requests %+v; all by one "+
@@ -127,7 +127,7 @@
 	defer end()
 	var mu sync.Mutex
 	var missed []string
-	var ended spread
+	var ended samples
 	var sum fleet.WorkTally
 	anew := 0
 	faults := make(map[string]int)
@@ -159,7 +159,7 @@
 		for _, s := range plan.Steps {
 			faults[s.What]++
 		}
-		missed = append(missed, told(f, plan, broken)...)
+		missed = append(missed, reportBroken(f, plan, broken)...)
 	})
 	fmt.Printf("%d plans of %v with 5 to 9 processes: faults %v; %d machines were worked on, at most %d "+
 		"out or cold at once; %d requests there by processes that had just begun; the log lost %d "+
--- a/cmd/measure/fleet_policy.go
+++ b/cmd/measure/fleet_policy.go
@@ -60,141 +60,181 @@
 		last.bytes/1024, last.datagrams, last.p99), missed, nil
 }
 
+// policyRun is what changes of policy took in one fleet: seconds, by round.
 type policyRun struct {
-	calm, lossy, down spread
+	calm, lossy, down samples
 	bytes, datagrams  float64 // a change, calm
 	leader, voters    float64 // seconds without a change
 	p99               float64
 	refused, changes  int
 }
 
+// policyFleet is a fleet of processes that change their policy, one change after the other.
+type policyFleet struct {
+	*fleet.Fleet
+	size    int
+	lease   time.Duration
+	version int // newest that was proposed
+	by      int // the sidecar that proposes
+}
+
 // realChanges has so many processes change their policy.
 func realChanges(binary string, size int, short bool) (r policyRun, err error) {
 	t := newCleanups()
 	defer t.end()
-	f := fleet.New(t, fleet.Config{
+	p := &policyFleet{size: size, lease: swim.LeaseFor(size), by: 1}
+	p.Fleet = fleet.New(t, fleet.Config{
 		Size: size, Nodes: 4, Direct: true, CutOff: fleet.CutOffPolicy,
 		Command: func() *exec.Cmd { return exec.Command(binary) },
 	})
-	lease := swim.LeaseFor(size)
-	if err := f.Sidecars[0].Found(); err != nil {
+	if err := p.Sidecars[0].Found(); err != nil {
 		return r, err
 	}
-	if at := awaitVersion(f, 0, size, time.Time{}, 10*lease+30*time.Second); len(at) < size {
+	if at := awaitVersion(p.Fleet, 0, size, time.Time{}, 10*p.lease+30*time.Second); len(at) < size {
 		return r, fmt.Errorf("%d of %d go by the log", len(at), size)
 	}
-	time.Sleep(lease)
-	stop := f.Load(200)
+	time.Sleep(p.lease)
+	stop := p.Load(200)
 	defer func() { stop() }()
-	time.Sleep(5 * time.Second)
-	calmFrom := time.Now().Add(-4 * time.Second)
-	calm := f.Took(calmFrom)
-	version, from := 0, time.Now()
-	by := 1
-	change := func(into *spread, live int, within time.Duration) error {
-		for begun := time.Now(); ; time.Sleep(100 * time.Millisecond) {
-			err := f.Sidecars[by].Propose(fmt.Sprintf("[limits]\nopen = %d\n", 50+version))
-			if err == nil {
-				break
-			}
-			if time.Since(begun) > 2*lease+30*time.Second {
-				return err
-			}
-		}
-		proposed := time.Now()
-		version++
-		at := awaitVersion(f, version, live, proposed, within)
-		if len(at) < live {
-			return fmt.Errorf("version %d is with %d of %d after %v", version, len(at), live, within)
-		}
-		into.add(slices.MaxFunc(at, time.Time.Compare).Sub(proposed).Seconds())
-		return nil
-	}
 	rounds := 5
 	if short {
 		rounds = 3
 	}
-	beforeBytes, beforeSent, begun := f.Peers.PassedBytes.Load(), f.Peers.Passed.Load(), time.Now()
+	if err := p.calm(&r, rounds); err != nil {
+		return r, err
+	}
+	if err := p.lossy(&r); err != nil {
+		return r, err
+	}
+	if err := p.tenthDown(&r); err != nil {
+		return r, err
+	}
+	return r, p.votersDown(&r)
+}
+
+// change proposes the next version and adds how long it took until the last of the living goes by it.
+func (p *policyFleet) change(into *samples, live int, within time.Duration) error {
+	for begun := time.Now(); ; time.Sleep(100 * time.Millisecond) {
+		err := p.Sidecars[p.by].Propose(fmt.Sprintf("[limits]\nopen = %d\n", 50+p.version))
+		if err == nil {
+			break
+		}
+		if time.Since(begun) > 2*p.lease+30*time.Second {
+			return err
+		}
+	}
+	proposed := time.Now()
+	p.version++
+	at := awaitVersion(p.Fleet, p.version, live, proposed, within)
+	if len(at) < live {
+		return fmt.Errorf("version %d is with %d of %d after %v", p.version, len(at), live, within)
+	}
+	into.add(slices.MaxFunc(at, time.Time.Compare).Sub(proposed).Seconds())
+	return nil
+}
+
+// calm makes changes while nothing is wrong, and measures what they cost in requests' time and datagrams.
+func (p *policyFleet) calm(r *policyRun, rounds int) error {
+	time.Sleep(5 * time.Second)
+	calm := p.Took(time.Now().Add(-4 * time.Second))
+	from := time.Now()
+	beforeBytes, beforeSent, begun := p.Peers.PassedBytes.Load(), p.Peers.Passed.Load(), time.Now()
 	for range rounds {
-		if err := change(&r.calm, size, lease+20*time.Second); err != nil {
-			return r, err
+		if err := p.change(&r.calm, p.size, p.lease+20*time.Second); err != nil {
+			return err
 		}
 		time.Sleep(2 * time.Second)
 	}
 	spent := time.Since(begun).Seconds()
-	bytes, sent := float64(f.Peers.PassedBytes.Load()-beforeBytes), float64(f.Peers.Passed.Load()-beforeSent)
-	during := f.Took(from)
+	bytes, sent := float64(p.Peers.PassedBytes.Load()-beforeBytes), float64(p.Peers.Passed.Load()-beforeSent)
+	during := p.Took(from)
 	r.p99 = quantile(during, 0.99) / quantile(calm, 0.99)
-	r.refused, r.changes = f.Refused(from), rounds
+	r.refused, r.changes = p.Refused(from), rounds
 	time.Sleep(3 * time.Second)
 	// What is sent at rest, to be taken off.
-	beforeBytes, beforeSent, begun = f.Peers.PassedBytes.Load(), f.Peers.Passed.Load(), time.Now()
+	beforeBytes, beforeSent, begun = p.Peers.PassedBytes.Load(), p.Peers.Passed.Load(), time.Now()
 	time.Sleep(10 * time.Second)
 	rest := time.Since(begun).Seconds()
-	r.bytes = (bytes - float64(f.Peers.PassedBytes.Load()-beforeBytes)/rest*spent) / float64(rounds)
-	r.datagrams = (sent - float64(f.Peers.Passed.Load()-beforeSent)/rest*spent) / float64(rounds)
+	r.bytes = (bytes - float64(p.Peers.PassedBytes.Load()-beforeBytes)/rest*spent) / float64(rounds)
+	r.datagrams = (sent - float64(p.Peers.Passed.Load()-beforeSent)/rest*spent) / float64(rounds)
+	return nil
+}
 
-	f.Peers.Break(fleet.Faults{Loss: 0.1}, 1)
+// lossy makes changes while a tenth of the datagrams are lost.
+func (p *policyFleet) lossy(r *policyRun) error {
+	p.Peers.Break(fleet.Faults{Loss: 0.1}, 1)
 	for range 2 {
-		// Some are cut off for a moment at any time then: all but one in fifty are waited for.
-		if err := change(&r.lossy, size-size/50, 2*lease+30*time.Second); err != nil {
-			return r, fmt.Errorf("at 10%% loss: %w", err)
+		// Some are partitioned for a moment at any time then: all but one in fifty are waited for.
+		if err := p.change(&r.lossy, p.size-p.size/50, 2*p.lease+30*time.Second); err != nil {
+			return fmt.Errorf("at 10%% loss: %w", err)
 		}
 	}
-	f.Peers.Break(fleet.Faults{}, 1)
-	time.Sleep(lease)
+	p.Peers.Break(fleet.Faults{}, 1)
+	time.Sleep(p.lease)
+	return nil
+}
 
-	view, _ := f.Sidecars[by].Policy()
+// tenthDown makes a change while a tenth of the processes have crashed, and starts them again.
+func (p *policyFleet) tenthDown(r *policyRun) error {
+	view, _ := p.Sidecars[p.by].Policy()
 	down := 0
-	for i := 2; i < size && down < max(1, size/10); i += max(1, size/max(1, size/10)) {
-		if i != by && i != view.Leader {
-			f.Sidecars[i].Crash()
+	for i := 2; i < p.size && down < max(1, p.size/10); i += max(1, p.size/max(1, p.size/10)) {
+		if i != p.by && i != view.Leader {
+			p.Sidecars[i].Crash()
 			down++
 		}
 	}
-	if err := change(&r.down, size-down, 2*lease+30*time.Second); err != nil {
-		keepLogs(f, uint64(size))
-		v, _ := f.Sidecars[by].Policy()
-		return r, fmt.Errorf("with %d down: %w; %s", down, err, v.Text)
+	if err := p.change(&r.down, p.size-down, 2*p.lease+30*time.Second); err != nil {
+		keepLogs(p.Fleet, uint64(p.size))
+		v, _ := p.Sidecars[p.by].Policy()
+		return fmt.Errorf("with %d down: %w; %s", down, err, v.Text)
 	}
-	for _, s := range f.Sidecars {
+	for _, s := range p.Sidecars {
 		s.Start()
 	}
-	time.Sleep(lease)
-	// The leader, then two voters: how long until a change goes through again.
-	without := func(victims ...int) (float64, error) {
-		for _, v := range victims {
-			f.Sidecars[v].Crash()
-		}
-		died := time.Now()
-		var took spread
-		by = 0
-		for slices.Contains(victims, by) {
-			by++
-		}
-		if err := change(&took, size-len(victims), 3*lease+60*time.Second); err != nil {
-			return 0, err
-		}
-		all := time.Since(died).Seconds()
-		for _, v := range victims {
-			f.Sidecars[v].Start()
-		}
-		time.Sleep(lease)
-		return all, nil
-	}
-	if view, _ = f.Sidecars[by].Policy(); view.Leader >= 0 {
-		if r.leader, err = without(view.Leader); err != nil {
-			return r, fmt.Errorf("the leader dead: %w", err)
+	time.Sleep(p.lease)
+	return nil
+}
+
+// votersDown crashes the leader, then two voters: how long until a change goes through again.
+func (p *policyFleet) votersDown(r *policyRun) (err error) {
+	view, _ := p.Sidecars[p.by].Policy()
+	if view.Leader >= 0 {
+		if r.leader, err = p.changeWithout(view.Leader); err != nil {
+			return fmt.Errorf("the leader dead: %w", err)
 		}
 	}
-	view, _ = f.Sidecars[by].Policy()
+	view, _ = p.Sidecars[p.by].Policy()
 	if voters := view.Voters(); len(voters) >= 5 {
 		voters = slices.DeleteFunc(voters, func(v int) bool { return v == view.Leader })
-		if r.voters, err = without(voters[:2]...); err != nil {
-			return r, fmt.Errorf("two voters dead: %w", err)
+		if r.voters, err = p.changeWithout(voters[:2]...); err != nil {
+			return fmt.Errorf("two voters dead: %w", err)
 		}
 	}
-	return r, nil
+	return nil
+}
+
+// changeWithout crashes some, has a change made by another, and returns the seconds that it took
+// from the crash on; they are started again.
+func (p *policyFleet) changeWithout(victims ...int) (float64, error) {
+	for _, v := range victims {
+		p.Sidecars[v].Crash()
+	}
+	died := time.Now()
+	var took samples
+	p.by = 0
+	for slices.Contains(victims, p.by) {
+		p.by++
+	}
+	if err := p.change(&took, p.size-len(victims), 3*p.lease+60*time.Second); err != nil {
+		return 0, err
+	}
+	all := time.Since(died).Seconds()
+	for _, v := range victims {
+		p.Sidecars[v].Start()
+	}
+	time.Sleep(p.lease)
+	return all, nil
 }
 
 // awaitVersion waits until so many have logged that they go by a version alone, and returns when.
--- a/cmd/measure/fleet_policy_virtual.go
+++ b/cmd/measure/fleet_policy_virtual.go
@@ -17,27 +17,12 @@
 	if err := n.Nodes[0].Bootstrap(n.Nodes[0].Time(), 1<<56); err != nil {
 		return err.Error()
 	}
-	until := func(within time.Duration, holds func(goes policyrollout.Active) bool) (time.Duration, int) {
-		begun := n.Now
-		for {
-			missing := 0
-			for _, m := range n.Nodes {
-				if m.Lives() && !holds(m.Node.Active(m.Time())) {
-					missing++
-				}
-			}
-			if missing == 0 || n.Now-begun > within {
-				return n.Now - begun, missing
-			}
-			n.Run(100 * time.Millisecond)
-		}
-	}
 	one := func(version uint32) func(policyrollout.Active) bool {
 		return func(goes policyrollout.Active) bool {
 			return goes.Mode == policyrollout.One && goes.New.Version == version
 		}
 	}
-	began, out := until(3*lease+time.Minute, one(0))
+	began, out := untilPolicy(n, 3*lease+time.Minute, one(0))
 	if out > 0 {
 		return fmt.Sprintf("virtual, %d sidecars: %v after a beginning %d of them don't go by the log",
 			size, began, out)
@@ -65,7 +50,7 @@
 		if _, err := m.Propose(m.Time(), replicatedstatesim.Text(k), uint32(k)); err != nil {
 			return text + "; " + c.name + ": " + err.Error()
 		}
-		took, out := until(c.within, one(uint32(k+1)))
+		took, out := untilPolicy(n, c.within, one(uint32(k+1)))
 		text += fmt.Sprintf("; %s: with all but %d after %.1f s", c.name, out, took.Seconds())
 		busy := func() bool { v := m.View(m.Time()); return v.State.InProgress() != 0 }
 		for end := n.Now + lease; n.Now < end && busy(); {
@@ -74,3 +59,22 @@
 	}
 	return text
 }
+
+// untilPolicy runs until a condition holds of what each living node goes by; it returns how long that
+// took, and of how many it did not hold in the end.
+func untilPolicy(n *replicatedstatesim.Net, within time.Duration,
+	holds func(goes policyrollout.Active) bool) (time.Duration, int) {
+	begun := n.Now
+	for {
+		missing := 0
+		for _, m := range n.Nodes {
+			if m.Lives() && !holds(m.Node.Active(m.Time())) {
+				missing++
+			}
+		}
+		if missing == 0 || n.Now-begun > within {
+			return n.Now - begun, missing
+		}
+		n.Run(100 * time.Millisecond)
+	}
+}
--- a/cmd/measure/fleet_seeds.go
+++ b/cmd/measure/fleet_seeds.go
@@ -12,12 +12,12 @@
 // eachSeed has something done for seeds 1, 2 and so on, some at a time, or for the one that was
 // asked for; it returns for how many.
 func eachSeed(seeds, at int, do func(seed uint64)) int {
-	if seedsMost > 0 {
-		seeds = seedsMost
+	if maxSeeds > 0 {
+		seeds = maxSeeds
 	}
 	first, last := uint64(1), uint64(seeds)
-	if seed != 0 {
-		first, last = seed, seed
+	if onlySeed != 0 {
+		first, last = onlySeed, onlySeed
 	}
 	places, done := make(chan struct{}, at), new(sync.WaitGroup)
 	for s := first; s <= last; s++ {
@@ -31,8 +31,8 @@
 	return int(last - first + 1)
 }
 
-// told prints what was broken in a plan's run, as one line of what was missed; nothing was: none.
-func told(f *fleet.Fleet, p *fleet.Plan, broken []string) (missed []string) {
+// reportBroken prints what was broken in a plan's run, as one line of what was missed; nothing was: none.
+func reportBroken(f *fleet.Fleet, p *fleet.Plan, broken []string) (missed []string) {
 	if broken == nil {
 		return nil
 	}
--- a/cmd/measure/fleet_work.go
+++ b/cmd/measure/fleet_work.go
@@ -25,12 +25,37 @@
 // measureWork measures a whole round of machines taken out for work: with real processes beside a
 // script that cordons by hand, and with three hundred sidecars in virtual time.
 func measureWork(short bool) (string, []string, error) {
-	var missed []string
+	calm, down, missed := virtualRounds(short)
+	binary, end, err := tempDaemon()
+	if err != nil {
+		return "", nil, err
+	}
+	defer end()
+	processes, nodes := 30, 12
+	if short {
+		processes, nodes = 9, 4
+	}
+	plan, err := realRound(binary, processes, nodes, false)
+	if err != nil {
+		return "", nil, err
+	}
+	script, err := realRound(binary, processes, nodes, true)
+	if err != nil {
+		return "", nil, err
+	}
+	missed = append(missed, compareRounds(processes, nodes, plan, script)...)
+	return fmt.Sprintf("virtual_round=%.2f virtual_down=%.2f plan_s=%.1f script_s=%.1f plan_served=%.4f "+
+		"script_served=%.4f plan_wrong=%d script_wrong=%d", calm.at(1), down.at(1), plan.took, script.took,
+		plan.served, script.served, plan.wrong, script.wrong), missed, nil
+}
+
+// virtualRounds plays rounds in virtual time, in calm and with a tenth of the sidecars down; it returns
+// their times over the ideal.
+func virtualRounds(short bool) (calm, down samples, missed []string) {
 	machines, size, seeds := 60, 300, 3
 	if short {
 		machines, size, seeds = 24, 100, 1
 	}
-	var calm, down spread
 	for seed := range uint64(seeds) {
 		for _, gone := range []int{0, size / 10} {
 			r := virtualRound(seed+1, size, machines, gone)
@@ -48,29 +73,18 @@
 				size, gone, machines, atOnce, r.took, r.ideal, r.given, r.given-r.over, r.astray, r.bytes)
 		}
 	}
-	for name, s := range map[string]spread{"calm": calm, "a tenth down": down} {
+	for name, s := range map[string]samples{"calm": calm, "a tenth down": down} {
 		if s.at(1) > workRound {
 			missed = append(missed, fmt.Sprintf("virtual, %s: a round takes %v times the ideal, at most %v",
 				name, s, workRound))
 		}
 	}
-	binary, end, err := tempDaemon()
-	if err != nil {
-		return "", nil, err
-	}
-	defer end()
-	processes, nodes := 30, 12
-	if short {
-		processes, nodes = 9, 4
-	}
-	plan, err := realRound(binary, processes, nodes, false)
-	if err != nil {
-		return "", nil, err
-	}
-	script, err := realRound(binary, processes, nodes, true)
-	if err != nil {
-		return "", nil, err
-	}
+	return calm, down, missed
+}
+
+// compareRounds prints the rounds of real processes, by a plan and by a script, and names the bounds
+// that the plan missed.
+func compareRounds(processes, nodes int, plan, script realWork) (missed []string) {
 	for _, r := range []struct {
 		name string
 		realWork
@@ -88,9 +102,7 @@
 	if plan.served < plan.calm-workServed {
 		missed = append(missed, fmt.Sprintf("by a plan %.4f served, calm %.4f", plan.served, plan.calm))
 	}
-	return fmt.Sprintf("virtual_round=%.2f virtual_down=%.2f plan_s=%.1f script_s=%.1f plan_served=%.4f "+
-		"script_served=%.4f plan_wrong=%d script_wrong=%d", calm.at(1), down.at(1), plan.took, script.took,
-		plan.served, script.served, plan.wrong, script.wrong), missed, nil
+	return missed
 }
 
 const (
@@ -104,6 +116,7 @@
 	realDelay  = 20 * time.Millisecond
 )
 
+// realWork is what a round of real processes took: seconds, shares of requests served, machines out at once.
 type realWork struct {
 	took, served, calm, p99, calmP99 float64
 	most, wrong                      int
@@ -115,9 +128,8 @@
 	t := newCleanups()
 	defer t.end()
 	f := fleet.New(t, fleet.Config{
-		Size: size, Nodes: nodes, Direct: true, CutOff: "[limits]\nopen = 40\n", Command: func() *exec.Cmd {
-			return exec.Command(binary)
-		},
+		Size: size, Nodes: nodes, Direct: true, CutOff: "[limits]\nopen = 40\n",
+		Command: func() *exec.Cmd { return exec.Command(binary) },
 		Edit: func(_, settings map[string]any) {
 			settings["rules"].(map[string]any)["cold_ms"] = float64(realCold.Milliseconds())
 		},
@@ -147,6 +159,23 @@
 			return r, err
 		}
 	}
+	if err := awaitRound(f, round, size, nodes); err != nil {
+		return r, err
+	}
+	r.took = time.Since(from).Seconds()
+	round.End()
+	r.served, r.p99 = f.Served(from)
+	found := round.Check(realAtOnce, realDelay, swim.LeaseFor(size))
+	r.wrong, r.most = len(found.Arrived), found.Most
+	if byScript {
+		return r, nil
+	}
+	return r, drawRound(f)
+}
+
+// awaitRound waits until a round is over. A tenth of the processes are down from its second machine on
+// until two thirds of the machines have had their time.
+func awaitRound(f *fleet.Fleet, round *fleet.Round, size, nodes int) error {
 	var down []*fleet.Sidecar
 	for begun := time.Now(); !round.Ended(); time.Sleep(50 * time.Millisecond) {
 		if down == nil && len(round.Stays()) >= 2 {
@@ -162,23 +191,15 @@
 			down = down[:0]
 		}
 		if time.Since(begun) > 10*time.Minute {
-			return r, fmt.Errorf("the round does not end: %s", round.Shown)
+			return fmt.Errorf("the round does not end: %s", round.Shown)
 		}
 	}
-	r.took = time.Since(from).Seconds()
-	round.End()
-	r.served, r.p99 = f.Served(from)
-	found := round.Check(realAtOnce, realDelay, swim.LeaseFor(size))
-	r.wrong, r.most = len(found.Arrived), found.Most
-	if byScript {
-		return r, nil
-	}
-	return r, drawRound(f)
+	return nil
 }
 
 // drawRound draws a round as its processes logged it, if there is a folder for plots.
 func drawRound(f *fleet.Fleet) error {
-	if plots == "" {
+	if plotDir == "" {
 		return nil
 	}
 	all := fleetlog.New()
@@ -191,5 +212,5 @@
 	if err := all.DrawWork(&svg); err != nil {
 		return err
 	}
-	return os.WriteFile(filepath.Join(plots, "work-round.svg"), svg.Bytes(), 0o644)
+	return os.WriteFile(filepath.Join(plotDir, "work-round.svg"), svg.Bytes(), 0o644)
 }
--- a/cmd/measure/fleet_work_virtual.go
+++ b/cmd/measure/fleet_work_virtual.go
@@ -9,6 +9,7 @@
 	"caperarch/internal/lab/replicatedstatesim"
 )
 
+// virtualWork is what a round in virtual time took, and what was broken in it.
 type virtualWork struct {
 	took, ideal, bytes float64
 	given, over        int
--- a/cmd/measure/main.go
+++ b/cmd/measure/main.go
@@ -15,17 +15,17 @@
 // measurement makes one; missed names the bounds that it missed.
 type measurement func(short bool) (result string, missed []string, err error)
 
-// plots is the folder that plots go to; "": none are made.
-var plots string
+// plotDir is the folder that plots go to; "": none are made.
+var plotDir string
 
-// seedsMost is how many seeds are played; 0: as many as are usual.
-var seedsMost int
+// maxSeeds is how many seeds are played, by -seeds; 0: as many as are usual.
+var maxSeeds int
 
-// within is a part of the names of the packages that are looked at; "": all are.
-var within string
+// nameFilter is a part of the names of the packages that are looked at; "": all are.
+var nameFilter string
 
-// seed is the only one that is played, of the measurements that draw from several; 0: all are.
-var seed uint64
+// onlySeed is the only one that is played, of the measurements that draw from several; 0: all are.
+var onlySeed uint64
 
 // measurements are the verbs of the command line.
 var measurements = map[string]measurement{
@@ -80,13 +80,13 @@
 	name := os.Args[1]
 	flags := flag.NewFlagSet(name, flag.ExitOnError)
 	short := flags.Bool("short", false, "end within 45 s")
-	flags.StringVar(&plots, "plots", "", "folder for plots (SVG), of the measurements that have some")
-	flags.IntVar(&seedsMost, "seeds", 0,
+	flags.StringVar(&plotDir, "plots", "", "folder for plots (SVG), of the measurements that have some")
+	flags.IntVar(&maxSeeds, "seeds", 0,
 		"play seeds 1 to `N` instead of as many as are usual, of the measurements that draw from several")
-	flags.Uint64Var(&seed, "seed", 0, "play this seed alone, of the measurements that draw from several")
-	flags.StringVar(&within, "in", "", "only what is about packages whose names have this in them, of "+
+	flags.Uint64Var(&onlySeed, "seed", 0, "play this seed alone, of the measurements that draw from several")
+	flags.StringVar(&nameFilter, "in", "", "only what is about packages whose names have this in them, of "+
 		"the measurements that go by packages; of control, only the parts whose keys have it")
-	flags.StringVar(&before, "before", "",
+	flags.StringVar(&earlierBinary, "before", "",
 		"the daemon of an earlier release, to be measured beside the present one by those that can")
 	_ = flags.Parse(os.Args[2:]) // exits on an error
 	endOnSignal()
--- a/cmd/measure/mesh.go
+++ b/cmd/measure/mesh.go
@@ -20,12 +20,14 @@
 const (
 	// meshRoutes is how many routes the configuration has while the number of sidecars is varied.
 	meshRoutes = 350
-	// meshShare is the number of sidecars from which on they share one charter in their process, and hold no catalogue.
+	// meshShare is the number of sidecars from which on those of a process share one configuration,
+	// and keep no registry.
 	meshShare = 1000
-	// meshSettle is how long after all have come the core still sends whole catalogues, and more.
-	meshSettle = 4 * time.Second
-	// meshIdle is how often a sidecar asks for tokens at least, where a tenant has a limit.
-	meshIdle = 250 * time.Millisecond
+	// meshStabilizeTime is how long after the last sidecar has connected the core still sends
+	// full registries, and more.
+	meshStabilizeTime = 4 * time.Second
+	// meshRequestInterval is how often a sidecar asks for tokens at least, where a tenant has a limit.
+	meshRequestInterval = 250 * time.Millisecond
 	// meshChanges are made one after the other: of 8 one brings a snapshot.
 	meshChanges = 8
 )
@@ -47,13 +49,13 @@
 		return "", nil, err
 	}
 	var missed []string
-	miss := func(format string, args ...any) { missed = append(missed, fmt.Sprintf(format, args...)) }
 	added, err := meshPath(binary, short)
 	if err != nil {
 		return "", nil, err
 	}
 	if added.median() > meshAdded {
-		miss("%.3f ms are added to the 99th percentile of calls, %.2f at most", added.median(), meshAdded)
+		missed = append(missed, fmt.Sprintf("%.3f ms are added to the 99th percentile of calls, %.2f at most",
+			added.median(), meshAdded))
 	}
 	for _, n := range routes {
 		if err := meshByRoutes(binary, n); err != nil {
@@ -69,43 +71,15 @@
 			return "", nil, fmt.Errorf("%d sidecars: %w", n, err)
 		}
 		last, reached = s, n
-		for name, y := range s.fitted(n) {
+		for name, y := range s.fitted() {
 			if points[name] == nil {
 				points[name] = new(meshPoints)
 			}
 			points[name].add(float64(n), y)
 		}
-		if y := s.bytes + s.askBytes; y > meshControlBytes {
-			miss("%d sidecars: each moves %.0f bytes a second for control with the asks for tokens, %.0f at most", n,
-				y, meshControlBytes)
-		}
-		if y := s.cpu + s.askCPU; y > meshControlCPU {
-			miss("%d sidecars: each uses %.4f of a core for control with the asks for tokens, %.3f at most",
-				n, y, meshControlCPU)
-		}
-		if s.memory > meshControlMemory {
-			miss("%d sidecars: each holds %.0f bytes, %d at most", n, s.memory, meshControlMemory)
-		}
-		if s.applied > meshAppliedIn {
-			miss("%d sidecars: a change is in force everywhere after %.2f s, %.0f at most", n, s.applied, meshAppliedIn)
-		}
-	}
-	for _, f := range []struct {
-		name, unit string
-		scale      float64
-	}{
-		{"sequencer: CPU", "% of a core", 100}, {"other member: CPU", "% of a core", 100},
-		{"sequencer: memory", "KiB", 1.0 / 1024}, {"other member: memory", "KiB", 1.0 / 1024},
-		{"sequencer: bytes a second", "B", 1}, {"other member: bytes a second", "B", 1},
-		{"sequencer: CPU for asks for tokens", "% of a core", 100},
-		{"other member: CPU for asks for tokens", "% of a core", 100},
-		{"sidecar: memory", "KiB", 1.0 / 1024}, {"change: CPU at the sequencer", "ms", 1000},
-		{"change: in force at the last", "ms", 1000},
-	} {
-		if p := points[f.name]; p != nil {
-			p.print(f.name, f.unit, f.scale)
-		}
+		missed = append(missed, s.missed(n)...)
 	}
+	printMeshFits(points)
 	if !short {
 		for _, members := range []int{5, meshCoreMachines} {
 			if _, err := meshBySize(binary, meshShape{members: members, sidecars: 400}, windows, each); err != nil {
@@ -121,12 +95,52 @@
 	}
 	return fmt.Sprintf("sidecars=%d bytes_s=%.0f ask_bytes_s=%.0f cpu_core=%.5f ask_cpu_core=%.5f "+
 		"memory_mib=%.2f applied_s=%.3f added_p99_ms=%.3f",
-		reached, last.bytes, last.askBytes, last.cpu, last.askCPU, last.memory/(1<<20), last.applied,
+		reached, last.bytes, last.tokenBytes, last.cpu, last.tokenCPU, last.memory/(1<<20), last.applied,
 		added.median()), missed, nil
 }
 
+// missed names the bounds that a mesh of so many sidecars missed.
+func (s meshSized) missed(n int) (missed []string) {
+	miss := func(format string, args ...any) { missed = append(missed, fmt.Sprintf(format, args...)) }
+	if y := s.bytes + s.tokenBytes; y > meshControlBytes {
+		miss("%d sidecars: each moves %.0f bytes a second for control with the asks for tokens, %.0f at most", n,
+			y, meshControlBytes)
+	}
+	if y := s.cpu + s.tokenCPU; y > meshControlCPU {
+		miss("%d sidecars: each uses %.4f of a core for control with the asks for tokens, %.3f at most",
+			n, y, meshControlCPU)
+	}
+	if s.memory > meshControlMemory {
+		miss("%d sidecars: each holds %.0f bytes, %d at most", n, s.memory, meshControlMemory)
+	}
+	if s.applied > meshAppliedIn {
+		miss("%d sidecars: a change is in force everywhere after %.2f s, %.0f at most", n, s.applied, meshAppliedIn)
+	}
+	return missed
+}
+
+// printMeshFits prints how what was measured grows with the number of sidecars.
+func printMeshFits(points map[string]*meshPoints) {
+	for _, f := range []struct {
+		name, unit string
+		scale      float64
+	}{
+		{"leader: CPU", "% of a core", 100}, {"other member: CPU", "% of a core", 100},
+		{"leader: memory", "KiB", 1.0 / 1024}, {"other member: memory", "KiB", 1.0 / 1024},
+		{"leader: bytes a second", "B", 1}, {"other member: bytes a second", "B", 1},
+		{"leader: CPU for asks for tokens", "% of a core", 100},
+		{"other member: CPU for asks for tokens", "% of a core", 100},
+		{"sidecar: memory", "KiB", 1.0 / 1024}, {"change: CPU at the leader", "ms", 1000},
+		{"change: in force at the last", "ms", 1000},
+	} {
+		if p := points[f.name]; p != nil {
+			p.print(f.name, f.unit, f.scale)
+		}
+	}
+}
+
 // measureMeshLarge measures meshes of the size that the operators expect, as far as this machine
-// bears them: what it does not bear is told.
+// bears them: it prints which it does not.
 func measureMeshLarge(short bool) (string, []string, error) {
 	dir, err := os.MkdirTemp("", "measure")
 	if err != nil {
--- a/cmd/measure/mesh_child.go
+++ b/cmd/measure/mesh_child.go
@@ -92,25 +92,7 @@
 		return err
 	}
 	client := http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64, DisableCompression: true}}
-	call := func(address string, n int) error {
-		r, err := http.NewRequest(http.MethodPost, "http://"+address+"/entry", strings.NewReader(body))
-		if err != nil {
-			return err
-		}
-		r.Host = "path.example"
-		r.Header[headers.AttemptID] = []string{strconv.FormatUint(l.Seed, 36) + "-" + strconv.Itoa(n)}
-		r.Header[headers.Timeout] = []string{"2000"}
-		res, err := client.Do(r)
-		if err != nil {
-			return err
-		}
-		defer res.Body.Close()
-		said, err := io.ReadAll(res.Body)
-		if err == nil && res.StatusCode != http.StatusOK {
-			err = fmt.Errorf("answered %s: %.100s", res.Status, said)
-		}
-		return err
-	}
+	call := func(address string, n int) error { return l.call(&client, address, n) }
 	for n := range 40 { // connections
 		_, _ = call(l.Direct, 1_000_000+n), call(l.Through, 2_000_000+n)
 	}
@@ -147,7 +129,28 @@
 	}
 	calls.Wait()
 	t.Direct, t.Through = len(direct), len(through)
-	t.DirectP50, t.DirectP99, t.ThroughP50, t.ThroughP99 = quantile(direct, 0.5), quantile(direct, 0.99),
-		quantile(through, 0.5), quantile(through, 0.99)
+	t.DirectP50, t.DirectP99 = quantile(direct, 0.5), quantile(direct, 0.99)
+	t.ThroughP50, t.ThroughP99 = quantile(through, 0.5), quantile(through, 0.99)
 	return json.NewEncoder(os.Stdout).Encode(t)
 }
+
+// call sends the request of a number to an address and reads its answer.
+func (l *meshLoad) call(client *http.Client, address string, n int) error {
+	r, err := http.NewRequest(http.MethodPost, "http://"+address+"/entry", strings.NewReader(body))
+	if err != nil {
+		return err
+	}
+	r.Host = "path.example"
+	r.Header[headers.AttemptID] = []string{strconv.FormatUint(l.Seed, 36) + "-" + strconv.Itoa(n)}
+	r.Header[headers.Timeout] = []string{"2000"}
+	res, err := client.Do(r)
+	if err != nil {
+		return err
+	}
+	defer res.Body.Close()
+	answer, err := io.ReadAll(res.Body)
+	if err == nil && res.StatusCode != http.StatusOK {
+		err = fmt.Errorf("answered %s: %.100s", res.Status, answer)
+	}
+	return err
+}
--- a/cmd/measure/mesh_config.go
+++ b/cmd/measure/mesh_config.go
@@ -5,6 +5,7 @@
 	"fmt"
 )
 
+// meshRoute is the route of a number, to two services.
 func meshRoute(i, priority int) json.RawMessage {
 	return json.RawMessage(fmt.Sprintf(`{"resourceType":"routes","metadata":{"name":"route-%04d"},`+
 		`"specification":{"hostname":"host%03d.example","pathPrefix":"/part%04d/",`+
@@ -20,6 +21,7 @@
 	meshTenants  = 10
 )
 
+// meshTenantNames are the names of all tenants.
 func meshTenantNames() (names []string) {
 	for i := range meshTenants {
 		names = append(names, fmt.Sprintf("tenant%02d", i))
@@ -31,11 +33,13 @@
 func meshResources(routes int) (all []json.RawMessage) {
 	for i := range meshServices {
 		all = append(all, json.RawMessage(fmt.Sprintf(`{"resourceType":"services","metadata":{"name":"service%02d"},`+
-			`"specification":{"healthCheckPath":"/health","maxConnections":130,"protocol":"h1","tlsEnabled":false}}`, i)))
+			`"specification":{"healthCheckPath":"/health","maxConnections":130,"protocol":"h1","tlsEnabled":false}}`,
+			i)))
 	}
 	for i, name := range meshTenantNames() {
-		all = append(all, json.RawMessage(fmt.Sprintf(`{"resourceType":"tenants","metadata":{"name":"%s"},"specification":`+
-			`{"apiKeys":["key-%02d-kcuyj8pjbvk9m68k"],"priority":1,"ratePerS":3000,"burstLimit":3000}}`, name, i)))
+		all = append(all, json.RawMessage(fmt.Sprintf(`{"resourceType":"tenants","metadata":{"name":"%s"},`+
+			`"specification":{"apiKeys":["key-%02d-kcuyj8pjbvk9m68k"],"priority":1,"ratePerS":3000,"burstLimit":3000}}`,
+			name, i)))
 	}
 	for i := range routes {
 		all = append(all, meshRoute(i, 1))
--- a/cmd/measure/mesh_core.go
+++ b/cmd/measure/mesh_core.go
@@ -25,14 +25,14 @@
 
 const (
 	meshPrefix = "127.77.0."
-	// meshUp bounds how long a mesh takes to come up here, against a measurement that hangs.
-	meshUp = 20 * time.Second
+	// meshStartTimeout bounds how long a mesh takes to come up here, against a measurement that hangs.
+	meshStartTimeout = 20 * time.Second
 	// meshControlPorts and meshInternalPorts are where the spans of either kind of port begin;
-	// meshPortTries bounds the search in one, against a machine on which all are taken.
+	// meshPortAttempts bounds the search in one, against a machine on which all are taken.
 	meshControlPorts  = 20_000
 	meshInternalPorts = 25_000
 	meshPortSpan      = 4_900
-	meshPortTries     = 100
+	meshPortAttempts  = 100
 )
 
 // meshCore is core members as processes of cmd/meshd, on loopback addresses of their own.
@@ -61,7 +61,7 @@
 // meshPort is a port that is free on the first machine's address, out of a span below those that
 // outgoing connections get.
 func meshPort(prefix string, low int) (int, error) {
-	for range meshPortTries {
+	for range meshPortAttempts {
 		port := low + rand.IntN(meshPortSpan)
 		l, err := net.Listen("tcp", net.JoinHostPort(prefix+"1", strconv.Itoa(port)))
 		if err == nil {
@@ -71,7 +71,7 @@
 	return 0, fmt.Errorf("no free port from %d on", low)
 }
 
-// startMeshCore starts core members with empty disks and returns once a sequencer is known.
+// startMeshCore starts core members with empty disks and returns once a leader is known.
 func startMeshCore(c cleanups, binary string, members int) (*meshCore, error) {
 	return startMeshCoreIn(c, binary, meshPrefix, members)
 }
@@ -100,12 +100,12 @@
 		}
 		m.members = append(m.members, p)
 	}
-	for end := time.Now().Add(meshUp); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
-		if _, err := m.sequencer(); err == nil {
+	for end := time.Now().Add(meshStartTimeout); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
+		if _, err := m.reportedLeader(); err == nil {
 			return m, nil
 		}
 	}
-	return nil, fmt.Errorf("%d core members have no sequencer after %v", members, meshUp)
+	return nil, fmt.Errorf("%d core members have no leader after %v", members, meshStartTimeout)
 }
 
 // disk is the data directory of the member at an address.
@@ -175,8 +175,8 @@
 	return p, nil
 }
 
-// sequencer is the number of the member that is the sequencer, by the first one's word.
-func (m *meshCore) sequencer() (int, error) {
+// reportedLeader is the number of the member that leads, by the first one's word.
+func (m *meshCore) reportedLeader() (int, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
 	view, err := rpc.Get[meshapi.NodeStatus](ctx, m.client, m.url(0, meshapi.NodeStatusPath))
@@ -188,7 +188,7 @@
 			return i, nil
 		}
 	}
-	return 0, fmt.Errorf("no sequencer is known")
+	return 0, fmt.Errorf("no leader is known")
 }
 
 func (m *meshCore) url(member int, path string) string {
@@ -212,7 +212,7 @@
 		return sent, answered, 0, err
 	}
 	sent = time.Now()
-	for end := sent.Add(meshUp); ; {
+	for end := sent.Add(meshStartTimeout); ; {
 		ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 		_, err = rpc.Post[json.RawMessage](ctx, m.client, m.url(0, path), raw)
 		cancel()
--- a/cmd/measure/mesh_run.go
+++ b/cmd/measure/mesh_run.go
@@ -14,33 +14,33 @@
 
 // meshRun is one mesh of hollow sidecars, and what it used.
 type meshRun struct {
-	core      *meshCore
-	fleet     *process
-	control   string // of the fleet
-	sidecars  int
-	sequencer int
+	core     *meshCore
+	fleet    *process
+	control  string // of the fleet
+	sidecars int
+	leader   int
 }
 
 // meshUse is what was used over a while, a second; of members by their role when the core had
-// calmed down, the mean of those that were no sequencer.
+// calmed down, the mean of those that did not lead.
 type meshUse struct {
-	sidecarCPU, sequencerCPU, followerCPU       float64 // of a core; of all sidecars together
+	sidecarCPU, leaderCPU, followerCPU          float64 // of a core; of all sidecars together
 	sidecarIn, sidecarOut                       float64 // bytes, of all sidecars together
-	sequencerBytes, followerBytes               float64 // both ways, disk too
-	sidecarMemory, sequencerMem, followerMemory float64 // bytes held at the end
-	renewals, asks, failed                      float64
+	leaderBytes, followerBytes                  float64 // both ways, disk too
+	sidecarMemory, leaderMemory, followerMemory float64 // bytes held at the end
+	renewals, tokenRequests, failed             float64
 	seconds                                     float64
 }
 
 // less takes what is used anyway off.
-func (u meshUse) less(quiet meshUse) meshUse {
-	u.sidecarCPU -= quiet.sidecarCPU
-	u.sequencerCPU -= quiet.sequencerCPU
-	u.followerCPU -= quiet.followerCPU
-	u.sidecarIn -= quiet.sidecarIn
-	u.sidecarOut -= quiet.sidecarOut
-	u.sequencerBytes -= quiet.sequencerBytes
-	u.followerBytes -= quiet.followerBytes
+func (u meshUse) less(idle meshUse) meshUse {
+	u.sidecarCPU -= idle.sidecarCPU
+	u.leaderCPU -= idle.leaderCPU
+	u.followerCPU -= idle.followerCPU
+	u.sidecarIn -= idle.sidecarIn
+	u.sidecarOut -= idle.sidecarOut
+	u.leaderBytes -= idle.leaderBytes
+	u.followerBytes -= idle.followerBytes
 	return u
 }
 
@@ -97,7 +97,7 @@
 			(cfg.ShareConfig || shape.called > 0 || report.MinUpstreams == sidecars) {
 			break
 		}
-		if time.Since(begun) > shape.over+3*meshUp {
+		if time.Since(begun) > shape.over+3*meshStartTimeout {
 			return nil, fmt.Errorf("after %v %d of %d sidecars are connected, %d have the "+
 				"configuration, one knows %d upstreams", time.Since(begun), report.Connected, sidecars,
 				report.Versions[core.version].Count, report.MinUpstreams)
@@ -106,8 +106,8 @@
 	}
 	fmt.Printf("%v, %d routes, started over %v: all up after %.1f s\n", shape, routes, shape.over,
 		time.Since(begun).Seconds())
-	time.Sleep(meshSettle)
-	r.sequencer, err = core.sequencer()
+	time.Sleep(meshStabilizeTime)
+	r.leader, err = core.reportedLeader()
 	return r, err
 }
 
@@ -154,7 +154,7 @@
 	if err != nil {
 		return u, err
 	}
-	u.renewals, u.asks, u.failed = float64(is.Renewals-was.Renewals)/u.seconds,
+	u.renewals, u.tokenRequests, u.failed = float64(is.Renewals-was.Renewals)/u.seconds,
 		float64(is.Requests-was.Requests)/u.seconds, float64(is.FailedRequests-was.FailedRequests)/u.seconds
 	others := float64(len(r.core.members) - 1)
 	for i := range all {
@@ -163,8 +163,8 @@
 		switch i {
 		case 0:
 			u.sidecarCPU, u.sidecarIn, u.sidecarOut, u.sidecarMemory = cpu, in, out, float64(after[i].rss)
-		case 1 + r.sequencer:
-			u.sequencerCPU, u.sequencerBytes, u.sequencerMem = cpu, in+out, float64(after[i].rss)
+		case 1 + r.leader:
+			u.leaderCPU, u.leaderBytes, u.leaderMemory = cpu, in+out, float64(after[i].rss)
 		default:
 			u.followerCPU += cpu / others
 			u.followerBytes += (in + out) / others
@@ -174,8 +174,8 @@
 	return u, nil
 }
 
-// quiet is what is used while nothing is changed, window by window.
-func (r *meshRun) quiet(windows int, each time.Duration) (all []meshUse, err error) {
+// idleUse is what is used while nothing is changed, window by window.
+func (r *meshRun) idleUse(windows int, each time.Duration) (all []meshUse, err error) {
 	for range windows {
 		u, err := r.while(func() error { time.Sleep(each); return nil })
 		if err != nil {
@@ -188,13 +188,13 @@
 
 // meshChange is what changes took: times in ms, bodies in bytes.
 type meshChange struct {
-	answered, afterAnswer, arrived, applied spread
+	answered, afterAnswer, arrived, applied samples
 	size                                    float64
 	used                                    meshUse // a second, above what is used anyway
 }
 
 // changes makes changes one after the other, each once the one before is in force everywhere.
-func (r *meshRun) changes(n int, quiet meshUse,
+func (r *meshRun) changes(n int, idle meshUse,
 	change func(i int) (sent, answered time.Time, size int, err error)) (m meshChange, err error) {
 	used, err := r.while(func() error {
 		for i := range n {
@@ -212,7 +212,7 @@
 				if a = report.Versions[r.core.version]; a.Count >= r.sidecars {
 					break
 				}
-				if time.Since(sent) > 3*meshUp {
+				if time.Since(sent) > 3*meshStartTimeout {
 					return fmt.Errorf("version %d is in force at %d of %d sidecars after %v",
 						r.core.version, a.Count, r.sidecars, time.Since(sent))
 				}
@@ -226,12 +226,12 @@
 		}
 		return nil
 	})
-	m.used = used.less(quiet)
+	m.used = used.less(idle)
 	return m, err
 }
 
-// asking has all sidecars ask for tokens once in so long and tells what that uses.
-func (r *meshRun) asking(every, each time.Duration) (u meshUse, p50, p99 float64, err error) {
+// requestTokens has all sidecars ask for tokens once in so long and tells what that uses.
+func (r *meshRun) requestTokens(every, each time.Duration) (u meshUse, p50, p99 float64, err error) {
 	tell := func(every time.Duration) error {
 		ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 		defer cancel()
--- a/cmd/measure/mutants.go
+++ b/cmd/measure/mutants.go
@@ -241,10 +241,10 @@
 	var mu sync.Mutex
 	var missed []string
 	var errs []error
-	needed, found, all := spread(nil), 0, 0
+	needed, found, all := samples(nil), 0, 0
 	places, done := make(chan struct{}, 3), new(sync.WaitGroup)
 	for _, b := range planted {
-		if !strings.Contains(b.in, within) {
+		if !strings.Contains(b.in, nameFilter) {
 			continue
 		}
 		for _, m := range b.faults {
--- a/cmd/measure/plot.go
+++ b/cmd/measure/plot.go
@@ -19,7 +19,7 @@
 
 // plotLines writes lines over time as an SVG into the folder of plots, if there is one.
 func plotLines(file, title, unit string, lines ...series) error {
-	if plots == "" {
+	if plotDir == "" {
 		return nil
 	}
 	p := plot.New()
@@ -39,5 +39,5 @@
 		p.Add(line)
 		p.Legend.Add(l.name, line)
 	}
-	return p.Save(20*vg.Centimeter, 9*vg.Centimeter, filepath.Join(plots, file))
+	return p.Save(20*vg.Centimeter, 9*vg.Centimeter, filepath.Join(plotDir, file))
 }
--- a/cmd/measure/proxy_bench.go
+++ b/cmd/measure/proxy_bench.go
@@ -20,7 +20,7 @@
 func newBench() (*bench, error) { return newBenchOf("", 1000, 2100) }
 
 // newBenchOf has nodes of a kind, and a daemon that holds so many requests at once, for tenants with a quota each.
-func newBenchOf(kind string, mostOpen int, quota float64) (b *bench, err error) {
+func newBenchOf(kind string, maxOpen int, quota float64) (b *bench, err error) {
 	b = new(bench)
 	if b.dir, err = os.MkdirTemp("", "measure"); err != nil {
 		return nil, err
@@ -48,7 +48,7 @@
 		func(file, settings map[string]any) {
 			file["discovery"] = words[1]
 			file["limits"] = map[string]any{"cores": 1.0, "memory_mb": 192, "sockets": 1024}
-			settings["caps"].(map[string]any)["max_open"] = mostOpen
+			settings["caps"].(map[string]any)["max_open"] = maxOpen
 			for _, c := range settings["classes"].([]any) {
 				class := c.(map[string]any)
 				class["aim_ms"], class["hard_limit_ms"] = 500.0, 2000.0
--- a/cmd/measure/proxy_daemon.go
+++ b/cmd/measure/proxy_daemon.go
@@ -29,33 +29,14 @@
 	var missed []string
 	result := ""
 	for _, connections := range []int{16, 256} {
-		f := make(figures)
+		f := make(metrics)
 		for round := range rounds {
 			l := load{Nodes: b.addresses, Connections: connections, Seconds: seconds,
 				Seed: uint64(time.Now().UnixNano())}
-			l.Mode = "direct"
-			direct, err := l.run()
-			if err != nil {
+			name := fmt.Sprintf("%d connections, round %d", connections, round+1)
+			if err := b.daemonRound(name, f, proxy, proxyAt, l); err != nil {
 				return "", nil, err
 			}
-			l.Seed++
-			viaProxy, proxyCPU, err := b.through(proxy, proxyAt, l)
-			if err != nil {
-				return "", nil, err
-			}
-			l.Seed++
-			viaDaemon, daemonCPU, err := b.through(b.daemon, b.at, l)
-			if err != nil {
-				return "", nil, err
-			}
-			f.add("direct p50", direct.P50)
-			f.add("proxy p50", viaProxy.P50)
-			f.add("daemon p50", viaDaemon.P50)
-			f.add("proxy CPU", proxyCPU)
-			f.add("daemon CPU", daemonCPU)
-			fmt.Printf("%d connections, round %d: p50 direct %.3f proxy %.3f daemon %.3f ms; CPU a "+
-				"request proxy %.1f daemon %.1f µs\n",
-				connections, round+1, direct.P50, viaProxy.P50, viaDaemon.P50, proxyCPU, daemonCPU)
 		}
 		ratio, p50 := f["daemon CPU"].over(f["proxy CPU"]), f["daemon p50"].over(f["proxy p50"])
 		fmt.Printf("%d connections: CPU a request, daemon over proxy: %v\n", connections, ratio)
@@ -73,3 +54,30 @@
 	}
 	return fmt.Sprintf("%srounds=%d", result, rounds), missed, nil
 }
+
+// daemonRound makes the same load directly, through the reverse proxy and through the daemon.
+func (b *bench) daemonRound(name string, f metrics, proxy *process, proxyAt string, l load) error {
+	l.Mode = "direct"
+	direct, err := l.run()
+	if err != nil {
+		return err
+	}
+	l.Seed++
+	viaProxy, proxyCPU, err := b.through(proxy, proxyAt, l)
+	if err != nil {
+		return err
+	}
+	l.Seed++
+	viaDaemon, daemonCPU, err := b.through(b.daemon, b.at, l)
+	if err != nil {
+		return err
+	}
+	f.add("direct p50", direct.P50)
+	f.add("proxy p50", viaProxy.P50)
+	f.add("daemon p50", viaDaemon.P50)
+	f.add("proxy CPU", proxyCPU)
+	f.add("daemon CPU", daemonCPU)
+	fmt.Printf("%s: p50 direct %.3f proxy %.3f daemon %.3f ms; CPU a request proxy %.1f daemon %.1f µs\n",
+		name, direct.P50, viaProxy.P50, viaDaemon.P50, proxyCPU, daemonCPU)
+	return nil
+}
--- a/cmd/measure/proxy_flood.go
+++ b/cmd/measure/proxy_flood.go
@@ -37,14 +37,14 @@
 			switch f.Kind {
 			case "connections that say nothing":
 				for time.Now().Before(end) {
-					f.silent(end)
+					f.holdIdle(end)
 				}
 			case "bodies a byte at a time":
 				for n := 0; time.Now().Before(end); n++ {
 					f.trickle(i, n, end)
 				}
 			default:
-				f.send(i, end, &done, &refused)
+				f.sendBodies(i, end, &done, &refused)
 			}
 		})
 	}
@@ -64,7 +64,7 @@
 	return c
 }
 
-func (f *flooding) silent(end time.Time) {
+func (f *flooding) holdIdle(end time.Time) {
 	c := f.dial(end)
 	if c == nil {
 		return
@@ -73,7 +73,7 @@
 	_, _ = c.Read(make([]byte, 1))
 }
 
-func (f *flooding) head(i, n, length int) string {
+func (f *flooding) requestHead(i, n, length int) string {
 	return fmt.Sprintf("POST /entry HTTP/1.1\r\nHost: %s\r\nX-Request-ID: f%d-%d-%d\r\n"+
 		"X-Priority-Class: entry\r\nX-Tenant-Id: north\r\n"+
 		"X-Timeout: 2000m\r\nContent-Length: %d\r\n\r\n", f.Host, i, n, time.Now().UnixNano(), length)
@@ -85,7 +85,7 @@
 		return
 	}
 	defer c.Close()
-	if _, err := io.WriteString(c, f.head(i, n, 64<<10)); err != nil {
+	if _, err := io.WriteString(c, f.requestHead(i, n, 64<<10)); err != nil {
 		return
 	}
 	for {
@@ -96,7 +96,7 @@
 	}
 }
 
-func (f *flooding) send(i int, end time.Time, done, refused *atomic.Int64) {
+func (f *flooding) sendBodies(i int, end time.Time, done, refused *atomic.Int64) {
 	client := http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1}, Timeout: 3 * time.Second}
 	text := strings.Repeat("x", 64<<10)
 	for n := 0; time.Now().Before(end); n++ {
--- a/cmd/measure/proxy_load.go
+++ b/cmd/measure/proxy_load.go
@@ -34,6 +34,7 @@
 	series [][2]float64
 }
 
+// outcome is what came of a load.
 type outcome struct {
 	P50, P99, P999 float64 // of the time of a request from when it was due, in ms
 	Requests       int
@@ -65,35 +66,7 @@
 		transport = c.RoundTripper()
 	}
 	client := http.Client{Transport: transport}
-	call := func(n int) error {
-		address := l.Address
-		if l.Mode != "through" {
-			address = l.Nodes[n%len(l.Nodes)]
-		}
-		req, err := http.NewRequest(http.MethodPost, "http://"+address+"/entry", strings.NewReader(body))
-		if err != nil {
-			return err
-		}
-		if l.Host != "" {
-			req.Host = l.Host
-		}
-		h := req.Header
-		h["X-Request-Id"] = []string{strconv.FormatUint(l.Seed, 36) + "-" + strconv.Itoa(n)}
-		h["X-Priority-Class"], h["X-Tenant-Id"], h["X-Timeout"] = []string{"entry"}, []string{"north"},
-			[]string{"2000m"}
-		res, err := client.Do(req)
-		if err != nil {
-			return err
-		}
-		defer res.Body.Close()
-		if _, err := io.Copy(io.Discard, res.Body); err != nil {
-			return err
-		}
-		if res.StatusCode != http.StatusOK {
-			return fmt.Errorf("answered %s", res.Status)
-		}
-		return nil
-	}
+	call := func(n int) error { return l.call(&client, n) }
 	for n := range 64 { // connections, pools and the module's first word of the servers
 		_ = call(1_000_000 + n)
 	}
@@ -123,6 +96,38 @@
 	})
 }
 
+// call sends the request of a number and reads its answer.
+func (l *load) call(client *http.Client, n int) error {
+	address := l.Address
+	if l.Mode != "through" {
+		address = l.Nodes[n%len(l.Nodes)]
+	}
+	req, err := http.NewRequest(http.MethodPost, "http://"+address+"/entry", strings.NewReader(body))
+	if err != nil {
+		return err
+	}
+	if l.Host != "" {
+		req.Host = l.Host
+	}
+	h := req.Header
+	h["X-Request-Id"] = []string{strconv.FormatUint(l.Seed, 36) + "-" + strconv.Itoa(n)}
+	h["X-Priority-Class"] = []string{"entry"}
+	h["X-Tenant-Id"] = []string{"north"}
+	h["X-Timeout"] = []string{"2000m"}
+	res, err := client.Do(req)
+	if err != nil {
+		return err
+	}
+	defer res.Body.Close()
+	if _, err := io.Copy(io.Discard, res.Body); err != nil {
+		return err
+	}
+	if res.StatusCode != http.StatusOK {
+		return fmt.Errorf("answered %s", res.Status)
+	}
+	return nil
+}
+
 // open calls at times drawn ahead, whatever the answers do: a slow one makes no later one come later.
 func (l *load) open(call func(int) error) (times []time.Duration, failed int) {
 	rng := rand.New(rand.NewPCG(l.Seed, 0))
--- a/cmd/measure/proxy_plugin.go
+++ b/cmd/measure/proxy_plugin.go
@@ -12,7 +12,7 @@
 // Bounds of the plug-in.
 const (
 	addedShare  = 1.0 / 3 // of what the daemon adds to p50
-	mostAllocs  = 40.0    // a request, beyond net/http's own
+	maxAllocs   = 40.0    // a request, beyond net/http's own
 	idleBytes   = 256 << 10
 	idleRoutine = 6.0
 	idlePlugins = 200
@@ -33,67 +33,32 @@
 	var missed []string
 	result := ""
 	for _, rate := range []float64{350, 2100} {
-		f := make(figures)
+		f := make(metrics)
 		for range rounds {
 			l := load{Nodes: b.addresses, Config: b.config, Rate: rate, Seconds: seconds,
 				Seed: uint64(time.Now().UnixNano())}
-			l.Mode = "direct"
-			direct, err := l.run()
-			if err != nil {
+			if err := b.pluginRound(f, l); err != nil {
 				return "", nil, err
 			}
-			l.Mode = "plugin"
-			in, err := l.run()
-			if err != nil {
-				return "", nil, err
-			}
-			l.Seed++ // the ids of the last are spent
-			by, daemonCPU, err := b.through(b.daemon, b.at, l)
-			if err != nil {
-				return "", nil, err
-			}
-			_, daemonRSS, err := usage(b.daemon.cmd.Process.Pid)
-			if err != nil {
-				return "", nil, err
-			}
-			for name, o := range map[string]outcome{"direct ": direct, "plugin ": in, "daemon ": by} {
-				f.add(name+"p50", o.P50)
-				f.add(name+"p99", o.P99)
-				f.add(name+"p99.9", o.P999)
-				f.add(name+"allocs", o.Allocs)
-				f.add(name+"RSS", o.RSS)
-			}
-			f.add("direct CPU", direct.CPU)
-			f.add("plugin CPU", in.CPU)
-			f.add("daemon CPU", by.CPU+daemonCPU)
-			f.add("daemon's own RSS", float64(daemonRSS)/(1<<20))
 		}
 		fmt.Printf("%.0f requests a second, %d rounds of %.1f s: median (least to most)\n", rate, rounds, seconds)
-		for _, name := range []string{"p50", "p99", "p99.9"} {
-			fmt.Printf("  %-6s direct %v ms; added by the plug-in %v, by the daemon %v\n", name, f["direct "+name],
-				f["plugin "+name].minus(f["direct "+name]), f["daemon "+name].minus(f["direct "+name]))
-		}
-		fmt.Printf("  CPU a request, µs, with the host's own: direct %v, plug-in %v, host and daemon %v\n",
-			f["direct CPU"], f["plugin CPU"], f["daemon CPU"])
-		fmt.Printf("  allocations a request: direct %v, plug-in %v\n", f["direct allocs"], f["plugin allocs"])
-		fmt.Printf("  memory, MiB: host alone %v, host with plug-in %v, host %v and daemon %v\n",
-			f["direct RSS"], f["plugin RSS"], f["daemon RSS"], f["daemon's own RSS"])
+		printPlugin(f)
 		plug, daemon := f["plugin p50"].minus(f["direct p50"]), f["daemon p50"].minus(f["direct p50"])
 		allocs := f["plugin allocs"].minus(f["direct allocs"])
 		if plug.median() > daemon.median()*addedShare {
 			missed = append(missed, fmt.Sprintf("at %.0f/s the plug-in adds %.3f ms to p50, a third of "+
 				"the daemon's %.3f at most", rate, plug.median(), daemon.median()))
 		}
-		if allocs.median() > mostAllocs {
+		if allocs.median() > maxAllocs {
 			missed = append(missed, fmt.Sprintf("at %.0f/s the plug-in allocates %.1f times more a "+
-				"request than net/http, %.0f at most", rate, allocs.median(), mostAllocs))
+				"request than net/http, %.0f at most", rate, allocs.median(), maxAllocs))
 		}
 		result += fmt.Sprintf("added_p50_ms_%.0f=%.3f daemon_added_p50_ms_%.0f=%.3f "+
 			"extra_allocs_%.0f=%.1f cpu_us_%.0f=%.1f daemon_cpu_us_%.0f=%.1f ",
 			rate, plug.median(), rate, daemon.median(), rate, allocs.median(), rate,
 			f["plugin CPU"].median(), rate, f["daemon CPU"].median())
 	}
-	bytes, routines, err := idle(b.config)
+	bytes, routines, err := idlePluginCost(b.config)
 	if err != nil {
 		return "", nil, err
 	}
@@ -104,9 +69,57 @@
 	return result + fmt.Sprintf("idle_kib=%.1f idle_goroutines=%.2f", bytes/1024, routines), missed, nil
 }
 
-// idle is what an idle plug-in costs in memory (heap and stacks, in bytes) and goroutines, a part
+// pluginRound makes the same load directly, through the plug-in and through the daemon.
+func (b *bench) pluginRound(f metrics, l load) error {
+	l.Mode = "direct"
+	direct, err := l.run()
+	if err != nil {
+		return err
+	}
+	l.Mode = "plugin"
+	in, err := l.run()
+	if err != nil {
+		return err
+	}
+	l.Seed++ // the ids of the last are spent
+	by, daemonCPU, err := b.through(b.daemon, b.at, l)
+	if err != nil {
+		return err
+	}
+	_, daemonRSS, err := usage(b.daemon.cmd.Process.Pid)
+	if err != nil {
+		return err
+	}
+	for name, o := range map[string]outcome{"direct ": direct, "plugin ": in, "daemon ": by} {
+		f.add(name+"p50", o.P50)
+		f.add(name+"p99", o.P99)
+		f.add(name+"p99.9", o.P999)
+		f.add(name+"allocs", o.Allocs)
+		f.add(name+"RSS", o.RSS)
+	}
+	f.add("direct CPU", direct.CPU)
+	f.add("plugin CPU", in.CPU)
+	f.add("daemon CPU", by.CPU+daemonCPU)
+	f.add("daemon's own RSS", float64(daemonRSS)/(1<<20))
+	return nil
+}
+
+// printPlugin prints what the rounds at one rate gave.
+func printPlugin(f metrics) {
+	for _, name := range []string{"p50", "p99", "p99.9"} {
+		fmt.Printf("  %-6s direct %v ms; added by the plug-in %v, by the daemon %v\n", name, f["direct "+name],
+			f["plugin "+name].minus(f["direct "+name]), f["daemon "+name].minus(f["direct "+name]))
+	}
+	fmt.Printf("  CPU a request, µs, with the host's own: direct %v, plug-in %v, host and daemon %v\n",
+		f["direct CPU"], f["plugin CPU"], f["daemon CPU"])
+	fmt.Printf("  allocations a request: direct %v, plug-in %v\n", f["direct allocs"], f["plugin allocs"])
+	fmt.Printf("  memory, MiB: host alone %v, host with plug-in %v, host %v and daemon %v\n",
+		f["direct RSS"], f["plugin RSS"], f["daemon RSS"], f["daemon's own RSS"])
+}
+
+// idlePluginCost is what an idle plug-in costs in memory (heap and stacks, in bytes) and goroutines, a part
 // of what they share included.
-func idle(config string) (bytes, routines float64, err error) {
+func idlePluginCost(config string) (bytes, routines float64, err error) {
 	held := func() (float64, float64) {
 		runtime.GC()
 		var m runtime.MemStats
--- a/cmd/measure/proxy_pools.go
+++ b/cmd/measure/proxy_pools.go
@@ -19,11 +19,11 @@
 
 // poolsBench is a daemon with two pools, quiet and flooded, on nodes of their own.
 type poolsBench struct {
-	dir    string
-	binary string
-	config string
-	parts  []*process
-	quiet  []string // addresses of its nodes
+	dir      string
+	binary   string
+	config   string
+	children []*process
+	quiet    []string // addresses of its nodes
 }
 
 func newPoolsBench() (b *poolsBench, err error) {
@@ -39,7 +39,7 @@
 		if err != nil {
 			return b, err
 		}
-		b.parts = append(b.parts, p)
+		b.children = append(b.children, p)
 		line, err := p.line("nodes ")
 		if err != nil {
 			return b, err
@@ -69,7 +69,7 @@
 }
 
 func (b *poolsBench) close() {
-	for _, p := range b.parts {
+	for _, p := range b.children {
 		p.kill()
 	}
 	_ = os.RemoveAll(b.dir)
@@ -141,7 +141,7 @@
 	result := ""
 	goodput := func(o outcome) float64 { return float64(o.Requests-o.Failed) / float64(o.Requests) }
 	for i, kind := range floods {
-		f := make(figures)
+		f := make(metrics)
 		for range rounds {
 			for name, how := range map[string]struct {
 				kind  string
--- a/cmd/measure/proxy_streams.go
+++ b/cmd/measure/proxy_streams.go
@@ -30,7 +30,7 @@
 	if short {
 		rounds, each = 3, 16
 	}
-	f := make(figures)
+	f := make(metrics)
 	for round := range rounds {
 		for _, up := range []bool{false, true} {
 			way := map[bool]string{false: "down", true: "up"}[up]
--- a/cmd/measure/proxy_turnaway.go
+++ b/cmd/measure/proxy_turnaway.go
@@ -25,7 +25,7 @@
 	if short {
 		rounds, seconds = 5, 2.0
 	}
-	f := make(figures)
+	f := make(metrics)
 	for round := range rounds {
 		l := load{Nodes: served.addresses, Connections: 16, Seconds: seconds,
 			Seed: uint64(time.Now().UnixNano()), Lenient: true}
--- a/cmd/measure/stats.go
+++ b/cmd/measure/stats.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// spread is a figure over several rounds.
-type spread []float64
+// samples is a figure over several rounds.
+type samples []float64
 
-func (s spread) median() float64 {
+func (s samples) median() float64 {
 	if len(s) == 0 {
 		return 0
 	}
@@ -17,7 +17,7 @@
 	return sorted[len(sorted)/2]
 }
 
-func (s spread) String() string {
+func (s samples) String() string {
 	if len(s) == 0 {
 		return "-"
 	}
@@ -25,10 +25,18 @@
 }
 
 // add takes one more value.
-func (s *spread) add(v float64) { *s = append(*s, v) }
+func (s *samples) add(v float64) { *s = append(*s, v) }
+
+// max is the largest value; 0: there is none.
+func (s samples) max() float64 {
+	if len(s) == 0 {
+		return 0
+	}
+	return slices.Max(s)
+}
 
 // at is the value at a part of the whole, in ascending order.
-func (s spread) at(part float64) float64 {
+func (s samples) at(part float64) float64 {
 	if len(s) == 0 {
 		return 0
 	}
@@ -36,7 +44,7 @@
 }
 
 // over is the ratio, round by round.
-func (s spread) over(reference spread) (ratio spread) {
+func (s samples) over(reference samples) (ratio samples) {
 	for i := range min(len(s), len(reference)) {
 		ratio = append(ratio, s[i]/reference[i])
 	}
@@ -44,7 +52,7 @@
 }
 
 // minus is the difference, round by round.
-func (s spread) minus(reference spread) (added spread) {
+func (s samples) minus(reference samples) (added samples) {
 	for i := range min(len(s), len(reference)) {
 		added = append(added, s[i]-reference[i])
 	}
@@ -60,7 +68,7 @@
 	return float64(times[min(len(times)-1, int(q*float64(len(times))))]) / float64(time.Millisecond)
 }
 
-// figures of one kind of subject, by name, a value a round.
-type figures map[string]spread
+// metrics of one kind of subject, by name, a value a round.
+type metrics map[string]samples
 
-func (f figures) add(name string, v float64) { f[name] = append(f[name], v) }
+func (f metrics) add(name string, v float64) { f[name] = append(f[name], v) }
--- a/cmd/measure/virtual_strain.go
+++ b/cmd/measure/virtual_strain.go
@@ -26,11 +26,16 @@
 	{"none", func(*rand.Rand) admission.Gate { return all{} }},
 }
 
-// all lets all in.
+// all is a gate that admits every request.
 type all struct{}
 
-func (all) Admit(time.Duration, float64) bool                { return true }
-func (all) AttemptStarted(time.Duration)                     {}
+// Admit admits every request.
+func (all) Admit(time.Duration, float64) bool { return true }
+
+// AttemptStarted does nothing.
+func (all) AttemptStarted(time.Duration) {}
+
+// AttemptEnded does nothing.
 func (all) AttemptEnded(time.Duration, admission.AttemptEnd) {}
 
 // measureStrain plays the hard cases in virtual time, with the module's own admission and with what
@@ -47,7 +52,7 @@
 		fmt.Println(s.Name)
 		var lines []series
 		for _, g := range gates {
-			f := make(figures)
+			f := make(metrics)
 			for seed := range seeds {
 				o, err := s.Run(uint64(seed+1), g.make)
 				if err != nil {
--- a/cmd/measure/virtual_walls.go
+++ b/cmd/measure/virtual_walls.go
@@ -44,7 +44,7 @@
 		if err := errors.Join(fails[i]...); err != nil {
 			return "", nil, fmt.Errorf("%s: %w", d.Name, err)
 		}
-		f := make(figures)
+		f := make(metrics)
 		for _, o := range played[i] {
 			f.add("in time", o.InTime)
 			f.add("worst", o.Worst)
