--- a/internal/proxy/loadquery/loadquery.go
+++ b/internal/proxy/loadquery/loadquery.go
@@ -9,9 +9,8 @@
 	comparisons  = 4 // pairs of reports that show whether reports change as fast as they are used
 	minDiffering = 3 // of them that must differ
 
-	// maxProbePrice is what a request loses by a turn without a probe, as a fraction of its value: where capacity is
-	// sufficient, a fiftieth of the answers was late that a probe would have saved. At a price of 0.08 probes took a tenth
-	// of all value from a fleet of eighty.
+	// maxProbePrice is what a request loses by a turn without a probe, as a fraction of its value: a fiftieth of the
+	// answers came late that probes would have saved. At a price of 0.08 probes cost a fleet of eighty a tenth.
 	maxProbePrice = 0.02
 
 	suspectSlowness = 2.2 // latency as a multiple of the usual from which a server is suspect
@@ -47,9 +46,8 @@
 // ProbesAll says whether every server is probed before it is sent a request.
 func (p *Prober) ProbesAll() bool { return p.enabled && !p.expensive && p.differing >= minDiffering }
 
-// AttemptTimeout is how long an attempt that may be repeated is waited for: whole, while its answer is of use, or the
-// part of it after which another could still answer. Without probes servers may be slow or silent; after a probe it is
-// the request that takes long, and would elsewhere too.
+// AttemptTimeout is how long an attempt that may be repeated is waited for: whole, while its answer is of use, or, where
+// servers are not probed and may be silent, the part of it after which another attempt could still succeed.
 func (p *Prober) AttemptTimeout(whole, part time.Duration) time.Duration {
 	if !p.expensive || part < whole/2 {
 		return whole
--- a/policy/arcs_test.go
+++ b/policy/arcs_test.go
@@ -73,12 +73,12 @@
 	}
 	a, _ := start(t, cfg, list)
 	b, _ := start(t, cfg, turned)
-	if len(a.arc) != len(b.arc) || len(a.arc) < fewest {
+	if len(a.arc) != len(b.arc) || len(a.arc) < minArcServers {
 		t.Fatalf("arcs of %d and %d", len(a.arc), len(b.arc))
 	}
 	for i := range a.arc {
-		if a.arc[i].ID != b.arc[i].ID || a.arc[i].part != b.arc[i].part {
-			t.Errorf("server %x, %v against %x, %v", a.arc[i].ID, a.arc[i].part, b.arc[i].ID, b.arc[i].part)
+		if a.arc[i].ID != b.arc[i].ID || a.arc[i].arcShare != b.arc[i].arcShare {
+			t.Errorf("server %x, %v against %x, %v", a.arc[i].ID, a.arc[i].arcShare, b.arc[i].ID, b.arc[i].arcShare)
 		}
 	}
 }
@@ -99,11 +99,11 @@
 		t.Fatalf("at half of the circle the arc begins with %d", first())
 	}
 	stays := b.server(18)
-	stays.strain = 3
+	stays.slowness = 3
 	place = 0.55
 	b.Wake(400 * ms)
-	if first() != 17 || b.server(18).strain != 3 || b.server(16).ours {
-		t.Errorf("the arc begins with %d, strain %v", first(), b.server(18).strain)
+	if first() != 17 || b.server(18).slowness != 3 || b.server(16).inArc {
+		t.Errorf("the arc begins with %d, strain %v", first(), b.server(18).slowness)
 	}
 	for _, bad := range []float64{math.NaN(), -0.1, 1, math.Inf(1)} {
 		place = bad
--- a/policy/config.go
+++ b/policy/config.go
@@ -20,35 +20,36 @@
 	if err := check(cfg); err != nil {
 		return nil, err
 	}
-	b := &Balancer{cfg: cfg, host: host, requests: make(map[RequestID]*request), sharers: cfg.Balancers}
-	b.lines, b.queued, b.begins = make(keyedqueue.Queues[*request]), -1, subset.ArcStart(cfg.Index, cfg.Balancers, nil)
-	b.parts = make([]compartment, len(cfg.tenants()))
+	b := &Balancer{cfg: cfg, host: host, requests: make(map[RequestID]*request), balancers: cfg.Balancers}
+	b.keyQueues, b.maxQueued = make(keyedqueue.Queues[*request]), -1
+	b.arcStart = subset.ArcStart(cfg.Index, cfg.Balancers, nil)
+	b.compartments = make([]compartment, len(cfg.tenants()))
 	b.rng = rand.New(rand.NewPCG(seed, 0))
-	b.pace, b.short = cfg.Classes[0].LatencyTarget/8, 1
-	b.inquiry = loadquery.New(cfg.MayProbe && cfg.Reports&HasInFlight != 0, cfg.ProbePrice)
+	b.meanLatency, b.shortageFactor = cfg.Classes[0].LatencyTarget/8, 1
+	b.prober = loadquery.New(cfg.MayProbe && cfg.Reports&HasInFlight != 0, cfg.ProbePrice)
 	for _, c := range cfg.Classes {
-		b.classes = append(b.classes, class{Class: c, pace: c.LatencyTarget / 8})
-		b.aim += c.LatencyTarget.Seconds() / float64(len(cfg.Classes))
-		b.worth += c.Value / float64(len(cfg.Classes))
-		b.pace = min(b.pace, c.LatencyTarget/8)
+		b.classes = append(b.classes, class{Class: c, meanLatency: c.LatencyTarget / 8})
+		b.meanTarget += c.LatencyTarget.Seconds() / float64(len(cfg.Classes))
+		b.meanValue += c.Value / float64(len(cfg.Classes))
+		b.meanLatency = min(b.meanLatency, c.LatencyTarget/8)
 	}
-	b.worth = cmp.Or(b.worth, 1)
-	b.asking = discoverypace.New(b.rng, cfg.Balancers, cfg.ListMaxAge)
+	b.meanValue = cmp.Or(b.meanValue, 1)
+	b.discovery = discoverypace.New(b.rng, cfg.Balancers, cfg.ListMaxAge)
 	b.budget = admission.RetryBudget{RetryLimit: cfg.Budget, Processes: cfg.Processes}
 	health := admission.NewHealth()
 	if cfg.NewGate == nil {
 		cfg.NewGate = func(rng *rand.Rand) admission.Gate { return admission.NewRecovering(rng, health) }
 	}
-	for i := range b.parts { // one each: a tenant's flood turns no other's away
-		b.parts[i].gate = cfg.NewGate(b.rng)
+	for i := range b.compartments { // a gate each: one tenant's flood must not have others' requests rejected
+		b.compartments[i].gate = cfg.NewGate(b.rng)
 	}
-	b.came.Window = rateOver
-	b.wall = bulkhead.New(b.aim * slotAim)
+	b.arrivals.Window = rateWindow
+	b.bulkhead = bulkhead.New(b.meanTarget * slotTargetShare)
 	b.deriveSlots()
 	return b, nil
 }
 
-// check returns an error that names the first unusable field of a Config.
+// check returns an error that names the first unusable field of a Config, as recordings do.
 func check(cfg Config) error {
 	switch {
 	case cfg.Balancers < 1:
@@ -63,7 +64,8 @@
 		return fmt.Errorf("config: Slots is %d, it must not be negative", cfg.Slots)
 	case requestclass.IsInvalid(cfg.SlowStartShare) || cfg.SlowStartShare > 1:
 		return fmt.Errorf("config: ColdFrom is %v, a share is needed", cfg.SlowStartShare)
-	case requestclass.IsInvalid(cfg.SlowStartOverload) || requestclass.IsInvalid(cfg.CrossZonePrice) || requestclass.IsInvalid(cfg.ProbePrice):
+	case requestclass.IsInvalid(cfg.SlowStartOverload), requestclass.IsInvalid(cfg.CrossZonePrice),
+		requestclass.IsInvalid(cfg.ProbePrice):
 		return fmt.Errorf("config: ColdMultiple %v, CrossZonePrice %v or ProbePrice %v is negative or no number",
 			cfg.SlowStartOverload, cfg.CrossZonePrice, cfg.ProbePrice)
 	case cfg.Budget.Check() != nil:
@@ -84,13 +86,13 @@
 	return nil
 }
 
-// known says whether a request names a class and a tenant that there are, and has time left. Where
-// no tenants are set it gives the request the one for all.
-func (b *Balancer) known(q *Request) bool {
+// isValid says whether a request names an existing class and tenant, and has time left. Where no tenants are set it
+// gives the request the only compartment.
+func (b *Balancer) isValid(q *Request) bool {
 	if len(b.cfg.Tenants) == 0 {
 		q.Tenant = 0
 	}
-	return q.Class >= 0 && q.Class < len(b.classes) && q.Tenant >= 0 && q.Tenant < len(b.parts) && q.TimeLeft > 0
+	return q.Class >= 0 && q.Class < len(b.classes) && q.Tenant >= 0 && q.Tenant < len(b.compartments) && q.TimeLeft > 0
 }
 
 // tenants returns the tenants, or one for all where none are set.
@@ -101,7 +103,8 @@
 	return c.Tenants
 }
 
-// Reconfigure takes other limits. Nothing that is out or waits is cut: compartments that hold more than they may now shrink as that ends.
+// Reconfigure sets other limits. No attempt is cancelled and no request removed from a queue for it: compartments
+// that are over their new limits shrink as requests end.
 func (b *Balancer) Reconfigure(_ time.Duration, l Limits) error {
 	cfg := b.cfg
 	cfg.Tenants, cfg.MaxAttempts, cfg.Budget = l.Tenants, l.MaxAttempts, l.Budget
@@ -110,8 +113,8 @@
 	}
 	err := check(cfg)
 	if err == nil {
-		b.cfg, b.budget.RetryLimit, b.queued, b.whole = cfg, cfg.Budget, l.Queue, 1
-		b.resize(b.sharers) // what has room now goes with the next event
+		b.cfg, b.budget.RetryLimit, b.maxQueued, b.minShareSum = cfg, cfg.Budget, l.Queue, 1
+		b.setBalancers(b.balancers) // queued requests are sent with the next event
 	}
 	return err
 }
--- a/policy/helpers_test.go
+++ b/policy/helpers_test.go
@@ -164,15 +164,17 @@
 
 // findFresh has a balancer find that reports are fresh.
 func findFresh(b *Balancer) {
-	for b.inquiry.Comparing() {
-		b.inquiry.Compare(true)
+	for b.prober.Comparing() {
+		b.prober.Compare(true)
 	}
 }
 
 // SlotsFree returns the free slots in a tenant's compartment.
-func (b *Balancer) SlotsFree(tenant int) int { return b.parts[tenant].slots - b.parts[tenant].used }
+func (b *Balancer) SlotsFree(tenant int) int {
+	return b.compartments[tenant].slots - b.compartments[tenant].used
+}
 
 // QueueFree returns the free queue places in a tenant's compartment.
 func (b *Balancer) QueueFree(tenant int) int {
-	return b.parts[tenant].places - len(b.parts[tenant].queue)
+	return b.compartments[tenant].queueSlots - len(b.compartments[tenant].queue)
 }
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -1,5 +1,5 @@
-// The interface is api.go, sizes are in sizing.go; every decision is here: start, events, compartments,
-// the gate that all sends pass, server choice and health, list, reports, endings.
+// The decisions of a Balancer: events, queues, the rules that every send must meet, the choice and health of
+// servers, the server list, load reports, answers. The interface is in api.go, sizes are in sizing.go.
 
 package policy
 
@@ -15,94 +15,94 @@
 )
 
 const (
-	busyTick = 10 * time.Millisecond  // how often open requests are looked at
-	idleTick = 100 * time.Millisecond // and the rest when none is open
-
-	slotAim     = 0.12 // slots hold a quota's traffic for this share of the aim (deriveSlots)
-	serverSlots = 3.0  // slots for each server first listed, where no quota is known
-
-	rateOver   = 30 * time.Second       // our traffic is measured over about this long,
-	rateBegin  = 5.0                    // s: and taken for the even one for so long before we began
-	fewest     = 4                      // turns are taken among at least this many servers
-	toldFor    = 50 * time.Millisecond  // a load report is good for this long
-	askWait    = 30 * time.Millisecond  // a request waits this long for one
-	askMost    = 3                      // and asks so many servers at most
-	crowdedAt  = 0.3                    // a server that takes this share of the aim to answer is crowded
-	partRoom   = 2.0                    // it is full at its part of all balancers' requests and so many more
-	farTurns   = 0.25                   // other zones' servers have this share of turns, if crossing is priced
-	failStrain = 8.0                    // a failure counts as an answer that took so many times the usual
-	failPause  = 20 * time.Millisecond  // no turns for this after a second failure in a row, then doubled
-	failDouble = 5                      // up to so many times
-	firstSpace = 8 * time.Millisecond   // between sends to a server that turned one away, then doubled
-	lastSpace  = 256 * time.Millisecond // up to this,
-	shortMost  = 1.5                    // the others hold so many times as much then, at most
-	spaceBack  = 6                      // and shorter by a sixth with each that it serves
+	busyTick = 10 * time.Millisecond  // between calls of Wake while requests are open,
+	idleTick = 100 * time.Millisecond // and while none is
+
+	slotTargetShare = 0.12 // slots suffice for a quota's traffic for this fraction of the latency target
+	serverSlots     = 3.0  // slots for each server of the first list, where no quota is known
+
+	rateWindow           = 30 * time.Second       // the rate of requests is measured over this time,
+	ratePrior            = 5.0                    // and taken to be even for so many seconds before
+	minArcServers        = 4                      // turns are taken among at least so many servers
+	reportMaxAge         = 50 * time.Millisecond  // a load report is used for this time
+	probeWait            = 30 * time.Millisecond  // a request waits this long for one,
+	maxProbes            = 3                      // and has at most so many servers probed
+	crowdedAt            = 0.3                    // of the latency target: a server this slow is crowded
+	shareMargin          = 2.0                    // a server is full with its share and so many requests more
+	crossZoneTurns       = 0.25                   // fraction of turns for other zones, if crossing has a price
+	failureSlowness      = 8.0                    // a failure counts as an answer this much slower than usual
+	minEjection          = 20 * time.Millisecond  // after a second failure in a row, doubled with each more,
+	maxEjectionDoublings = 5                      // so many times at most
+	minSpacing           = 8 * time.Millisecond   // between sends to a server that rejected one, then doubled
+	maxSpacing           = 256 * time.Millisecond // up to this;
+	spacingRecovery      = 6                      // each request that it serves takes off a sixth,
+	maxShortageFactor    = 1.5                    // and the limits of the others grow up to this factor
 )
 
-// Start begins the Balancer's life; it must be the first event.
+// Start must be the first event.
 func (b *Balancer) Start(now time.Duration) {
 	if b.cfg.ListOnDemand {
-		b.asking.Start(now)
+		b.discovery.Start(now)
 	}
-	b.ask(now)
-	b.came.Recent(now)                                               // it begins
-	b.sampleAt = now + time.Duration(b.rng.Int64N(int64(4*toldFor))) // not all balancers at once
+	b.askForList(now)
+	b.arrivals.Recent(now)                                                 // the measurement begins
+	b.compareAt = now + time.Duration(b.rng.Int64N(int64(4*reportMaxAge))) // not all balancers at once
 	b.wake(now, idleTick)
 }
 
-// Request takes a request on. It is answered once, by an Outcome that settles it or through the
-// Host, before its time left is up. An id still held is passed over; one unusable is refused.
+// Request accepts a request. It is answered once, by an Outcome that finishes it or through the Host, before
+// its time is over. One whose id is open is ignored; an unusable one is refused.
 func (b *Balancer) Request(now time.Duration, q Request) {
-	if _, held := b.requests[q.ID]; held {
+	if _, open := b.requests[q.ID]; open {
 		return
 	}
 	b.budget.RecordRequest(now)
-	if !b.known(&q) {
-		b.count.Refused++
+	if !b.isValid(&q) {
+		b.counters.Refused++
 		b.host.Refuse(q.ID, 0)
 		return
 	}
-	r := &request{id: q.ID, class: &b.classes[q.Class], home: &b.parts[q.Tenant]}
+	r := &request{id: q.ID, class: &b.classes[q.Class], compartment: &b.compartments[q.Tenant]}
 	r.deadline = now + min(q.TimeLeft, time.Hour)
-	r.useful, r.wanted = r.deadline, min(r.deadline, now+r.class.LatencyTarget)
+	r.usefulUntil, r.targetAt = r.deadline, min(r.deadline, now+r.class.LatencyTarget)
 	if stretch := r.class.TargetPerWork; r.class.LateValue == 0 && (stretch == 0 || q.Work > 0) {
-		begun := now // the first try; a later one has less time left, or waits less for good
-		r.class.longest = max(q.TimeLeft, r.class.longest-(r.class.longest-q.TimeLeft)/64)
-		if (q.IsRetry || !b.cfg.ClientsMarkRetries) && q.TimeLeft < r.class.longest-2*busyTick {
+		begun := now // of the client's first attempt; a retry has less time left
+		r.class.longestTimeLeft = max(q.TimeLeft, r.class.longestTimeLeft-(r.class.longestTimeLeft-q.TimeLeft)/64)
+		if (q.IsRetry || !b.cfg.ClientsMarkRetries) && q.TimeLeft < r.class.longestTimeLeft-2*busyTick {
 			begun = min(now, r.deadline-r.class.Deadline)
 		}
-		r.useful = min(r.deadline, begun+r.class.LatencyTarget+time.Duration(stretch*float64(q.Work)))
+		r.usefulUntil = min(r.deadline, begun+r.class.LatencyTarget+time.Duration(stretch*float64(q.Work)))
 	}
 	if r.class.InOrder && q.Key != 0 {
-		r.line = b.lines.Add(now, q.Key, r, len(b.requests))
+		r.keyQueue = b.keyQueues.Add(now, q.Key, r, len(b.requests))
 	}
 	b.requests[r.id] = r
-	b.open = append(b.open, r)
+	b.openRequests = append(b.openRequests, r)
 	b.wake(now, busyTick)
-	b.came.Record(now)
+	b.arrivals.Record(now)
 	if !q.IsRetry {
-		b.wall.RecordRequest(now)
+		b.bulkhead.RecordRequest(now)
 	}
-	if b.want(now) != b.wanted {
-		b.cut(now)
+	if b.wantedArcLength(now) != b.arcLength {
+		b.chooseArc(now)
 	}
-	if !r.home.gate.Admit(now, r.class.Value/b.worth) {
-		b.count.Throttled++
+	if !r.compartment.gate.Admit(now, r.class.Value/b.meanValue) {
+		b.counters.Throttled++
 		b.finish(r)
 		return
 	}
-	b.place(now, r)
+	b.placeRequest(now, r)
 }
 
-// place sends a request, or lets it wait, or refuses it.
-func (b *Balancer) place(now time.Duration, r *request) {
-	if b.inquire(now, r) {
+// placeRequest sends a request, or queues or refuses it.
+func (b *Balancer) placeRequest(now time.Duration, r *request) {
+	if b.probeFirst(now, r) {
 		return
 	}
-	if now > r.lateIn() { // late, or as good as: it takes nothing from others
-		r.useful = r.deadline
-		if b.wall.Congested() || !b.dispatch(now, r) {
-			b.count.Late++
+	if now > r.latestStart() { // its answer would be late: it must take no capacity from others
+		r.usefulUntil = r.deadline
+		if b.bulkhead.Congested() || !b.dispatch(now, r) {
+			b.counters.Late++
 			b.finish(r)
 		}
 		return
@@ -110,73 +110,73 @@
 	if b.dispatch(now, r) {
 		return
 	}
-	if len(r.home.queue) >= r.home.places { // full: refuse promptly
+	if len(r.compartment.queue) >= r.compartment.queueSlots {
 		b.finish(r)
 		return
 	}
-	b.count.Queued++
-	r.home.queue = append(r.home.queue, r)
+	b.counters.Queued++
+	r.compartment.queue = append(r.compartment.queue, r)
 }
 
-// Outcome takes the end of an attempt. What is unknown or came before is passed over.
+// Outcome handles the end of an attempt. An unknown or repeated one is ignored.
 func (b *Balancer) Outcome(now time.Duration, o Outcome) {
 	r := b.requests[o.ID]
 	if r == nil || o.Attempt < 0 || o.Attempt >= len(r.attempts) || r.attempts[o.Attempt].state != inFlight {
 		return
 	}
 	a := &r.attempts[o.Attempt]
-	a.state, a.broke = mayHaveRun, o.Ending == ConnectionLost
+	a.state, a.connectionLost = mayHaveRun, o.Ending == ConnectionLost
 	if o.Ending == NotProcessed || o.Ending == NoConnection || o.Ending == NotSent {
 		a.state = neverRan
 	}
-	b.hold(r, a.to, -1)
+	b.countInFlight(r, a.to, -1)
 	e := admission.AttemptEnd{Duration: now - a.sent, LatencyTarget: r.class.LatencyTarget}
-	e.Ignored = r.over || o.Ending == NotSent
-	if o.Ending == Served && now <= r.wanted {
-		e.Score = min(1, 2*float64(r.wanted-now)/float64(r.class.LatencyTarget))
+	e.Ignored = r.finished || o.Ending == NotSent
+	if o.Ending == Served && now <= r.targetAt {
+		e.Score = min(1, 2*float64(r.targetAt-now)/float64(r.class.LatencyTarget))
 	}
-	r.home.gate.AttemptEnded(now, e)
+	r.compartment.gate.AttemptEnded(now, e)
 	if o.Ending == TimedOut || o.Ending == ConnectionLost || o.Ending == Cancelled {
-		r.line.BlockUntil(now + b.cfg.KeyBlockTime)
+		r.keyQueue.BlockUntil(now + b.cfg.KeyBlockTime)
 	}
 	if a.to.State != Ready {
-		b.close(now, a.to)
+		b.closeIdle(now, a.to)
 	}
-	b.judge(now, r, a, o.Ending)
+	b.recordOutcome(now, r, a, o.Ending)
 	switch {
-	case r.over && r.out == 0:
+	case r.finished && r.inFlight == 0:
 		b.forget(r)
-	case !r.over && (o.Finished || o.Ending == Served || r.begun):
-		b.settle(r)
-	case !r.over && o.Ending == InvalidRequest: // it would be everywhere
-		b.count.Failed++
+	case !r.finished && (o.Finished || o.Ending == Served || r.streaming):
+		b.complete(r)
+	case !r.finished && o.Ending == InvalidRequest: // no other server would accept it
+		b.counters.Failed++
 		b.host.Fail(r.id)
-		b.settle(r)
-	case !r.over && r.out == 0:
-		b.further(now, r)
+		b.complete(r)
+	case !r.finished && r.inFlight == 0:
+		b.retry(now, r)
 	}
-	b.feed(now)
+	b.dispatchQueued(now)
 }
 
-// Wake takes that a time asked for with Host.Wake has come.
+// Wake handles that a time asked for with Host.Wake has come.
 func (b *Balancer) Wake(now time.Duration) {
 	if now < b.wakeAt {
 		return // an older timer
 	}
-	if n := max(b.cfg.Balancers, int(admission.ProcessCount(b.cfg.FleetSize))); n != b.sharers {
-		b.resize(n)
+	if n := max(b.cfg.Balancers, int(admission.ProcessCount(b.cfg.FleetSize))); n != b.balancers {
+		b.setBalancers(n)
 	}
 	if b.cfg.ArcStart != nil {
-		if at := b.cfg.ArcStart(); at >= 0 && at < 1 && at != b.begins {
-			b.begins = at
-			b.cut(now)
+		if at := b.cfg.ArcStart(); at >= 0 && at < 1 && at != b.arcStart {
+			b.arcStart = at
+			b.chooseArc(now)
 		}
 	}
-	b.ask(now)
-	b.count.Avoided = 0
+	b.askForList(now)
+	b.counters.Avoided = 0
 	for _, s := range b.servers {
-		if s.State == Ready && now < s.backAt {
-			b.count.Avoided++
+		if s.State == Ready && now < s.ejectedUntil {
+			b.counters.Avoided++
 		}
 	}
 	if b.closeAt > 0 && now >= b.closeAt {
@@ -187,24 +187,24 @@
 			}
 		}
 	}
-	b.feed(now)
-	for _, r := range b.open {
-		if r.asks != nil && !r.over && now >= r.asksUntil {
-			r.asks.toldAt, r.asks.others = now, math.Inf(1) // it cannot even tell
-			r.asks = nil
-			b.place(now, r)
+	b.dispatchQueued(now)
+	for _, r := range b.openRequests {
+		if r.probing != nil && !r.finished && now >= r.probeDeadline {
+			r.probing.reportedAt, r.probing.othersInFlight = now, math.Inf(1) // too busy to report
+			r.probing = nil
+			b.placeRequest(now, r)
 		}
-		ends := now+2*max(busyTick, b.cfg.Tick) > r.deadline || now >= r.lateIn()
-		waited := r.out == 0 && (ends || !r.mayRepeat(now, nil))
-		if !r.begun && (waited || now >= r.deadline) {
+		ends := now+2*max(busyTick, b.cfg.Tick) > r.deadline || now >= r.latestStart()
+		waited := r.inFlight == 0 && (ends || !r.mayRepeat(now, nil))
+		if !r.streaming && (waited || now >= r.deadline) {
 			b.finish(r)
 		}
 	}
-	b.open = slices.DeleteFunc(b.open, func(r *request) bool { return r.over })
-	b.short = b.shortage()
+	b.openRequests = slices.DeleteFunc(b.openRequests, func(r *request) bool { return r.finished })
+	b.shortageFactor = b.shortage()
 	b.wakeAt = 0
-	b.sample(now)
-	if len(b.open) > 0 {
+	b.compareReports(now)
+	if len(b.openRequests) > 0 {
 		b.wake(now, busyTick)
 	}
 	b.wake(now, idleTick)
@@ -213,66 +213,66 @@
 	}
 }
 
-// lateIn is when a wait stops being worth it: servers would work for answers that come late.
-func (r *request) lateIn() time.Duration {
-	return r.useful - min(2*r.class.pace, r.class.LatencyTarget/2)
+// latestStart is until when an attempt may start: the answer of a later one would be late.
+func (r *request) latestStart() time.Duration {
+	return r.usefulUntil - min(2*r.class.meanLatency, r.class.LatencyTarget/2)
 }
 
-// dispatch sends a request if a slot of its compartment and a server are free.
+// dispatch sends a request if compartment, bulkhead and a server have capacity, and says whether it did.
 func (b *Balancer) dispatch(now time.Duration, r *request) bool {
-	if r.home.used >= r.home.slots {
+	c := r.compartment
+	if c.used >= c.slots {
 		return false
 	}
-	if float64(b.out) >= b.wall.Limit(now, r.home.share, r.home.used) { // one each of many is a crowd too
-		b.count.Held++
+	if float64(b.inFlight) >= b.bulkhead.Limit(now, c.share, c.used) {
+		b.counters.Held++
 		return false
 	}
-	s := b.pick(now, r)
+	s := b.pickServer(now, r)
 	return s != nil && b.send(now, r, s)
 }
 
-// further gives a request whose attempts have all failed another one, or ends it.
-func (b *Balancer) further(now time.Duration, r *request) {
-	late := now >= r.lateIn() || b.budget.Exhausted(now) || b.nowhere(now, r)
+// retry gives a request whose attempts have all failed another attempt, or answers it.
+func (b *Balancer) retry(now time.Duration, r *request) {
+	late := now >= r.latestStart() || b.budget.Exhausted(now) || b.noServerLeft(now, r)
 	if late || len(r.attempts) >= b.cfg.MaxAttempts || !r.mayRepeat(now, nil) {
 		b.finish(r)
 		return
 	}
 	if !b.dispatch(now, r) {
-		r.home.queue = slices.Insert(r.home.queue, 0, r) // it has waited already: to the front
+		r.compartment.queue = slices.Insert(r.compartment.queue, 0, r) // it has waited before
 	}
 }
 
-// nowhere says that no server is left for a request: waiting for one would only use its client's time up.
-func (b *Balancer) nowhere(now time.Duration, r *request) bool {
-	left := func(s *server) bool { return s.State == Ready && !r.tried(s, true) && r.mayRepeat(now, s) }
+// noServerLeft says whether no server is left for a request, so that waiting for one is useless.
+func (b *Balancer) noServerLeft(now time.Duration, r *request) bool {
+	left := func(s *server) bool { return s.State == Ready && !r.wasSentTo(s, true) && r.mayRepeat(now, s) }
 	return !slices.ContainsFunc(b.servers, left)
 }
 
-// feed gives free slots to what waits, one compartment after the other.
-func (b *Balancer) feed(now time.Duration) {
-	b.feedFrom = (b.feedFrom + 1) % len(b.parts)
-	for i := range b.parts {
-		c := &b.parts[(b.feedFrom+i)%len(b.parts)]
+// dispatchQueued sends queued requests while there is capacity, one compartment after the other.
+func (b *Balancer) dispatchQueued(now time.Duration) {
+	b.nextCompartment = (b.nextCompartment + 1) % len(b.compartments)
+	for i := range b.compartments {
+		c := &b.compartments[(b.nextCompartment+i)%len(b.compartments)]
 		for n := 0; n < len(c.queue) && c.used < c.slots; {
 			switch r := c.queue[n]; {
-			case now >= r.lateIn():
-				b.finish(r) // which takes it out of the queue
+			case now >= r.latestStart():
+				b.finish(r) // which removes it from the queue
 			case b.dispatch(now, r):
 				c.queue = slices.Delete(c.queue, n, n+1)
-			case len(r.attempts) == 0 && r.inTurn(now):
-				n = len(c.queue) // it could go anywhere, so nothing behind it can go
+			case len(r.attempts) == 0 && r.isKeysTurn(now):
+				n = len(c.queue) // any server would do, and none is free
 			default:
-				n++ // bound to where it has been, or behind its key: others may go
+				n++ // it needs a certain server, or waits for its key: others may be sent
 			}
 		}
 	}
 }
 
-// mayRepeat says whether the class allows an attempt now, on a server or (nil)
-// on some server: what may have run must be dropped there if it comes again.
+// mayRepeat says whether the class allows an attempt now, at a server or (nil) at any.
 func (r *request) mayRepeat(now time.Duration, s *server) bool {
-	first := r.ran()
+	first := r.firstMayHaveRun()
 	switch {
 	case first == nil || r.class.Effect == Idempotent:
 		return true
@@ -284,32 +284,32 @@
 	return s.Zone == first.to.Zone && (r.class.Scope == ScopeZone || s.Cell == first.to.Cell)
 }
 
-// mayGo is the gate: whether the rules let a request go to a server now.
-func (b *Balancer) mayGo(now time.Duration, r *request, s *server) bool {
+// maySend says whether the rules allow to send a request to a server now. Every send must meet them.
+func (b *Balancer) maySend(now time.Duration, r *request, s *server) bool {
 	switch {
-	case r.over || r.begun || now >= r.deadline || len(r.attempts) >= b.cfg.MaxAttempts:
-		return false // rule 1, and the limit on attempts
+	case r.finished || r.streaming || now >= r.deadline || len(r.attempts) >= b.cfg.MaxAttempts:
+		return false // rule 1: one answer; and the limit on attempts
 	case s.State != Ready:
-		return false // rule 3: at once, long before the grace is over
-	case now < s.warmAt && now < s.coldAt:
-		return false // rule 4
-	case r.out > 0 || !r.mayRepeat(now, s):
-		return false // rule 2: one attempt at a time (no second copies), and only where it may be repeated
-	case !r.inTurn(now):
-		return false // rule 5
+		return false // rule 3: nothing new to a server that drains, from the first notice on
+	case now < s.warmAt && now < s.nextPacedSend:
+		return false // rule 4: slow start
+	case r.inFlight > 0 || !r.mayRepeat(now, s):
+		return false // rule 2: one attempt at a time, no hedging, and a repeat only where it is allowed
+	case !r.isKeysTurn(now):
+		return false // rule 5: the requests of a key in order
 	case len(r.attempts) > 0 && b.budget.Exhausted(now):
-		return false // rule 6
+		return false // rule 6: the retry budget
 	}
 	return true
 }
 
-// inTurn says whether a request is the first of its key, and no earlier attempt may still run.
-func (r *request) inTurn(now time.Duration) bool {
-	return r.line.IsFirst(r) && (len(r.attempts) > 0 || !r.line.IsBlocked(now))
+// isKeysTurn says whether a request is the first of its key, and no attempt of an earlier one may still run.
+func (r *request) isKeysTurn(now time.Duration) bool {
+	return r.keyQueue.IsFirst(r) && (len(r.attempts) > 0 || !r.keyQueue.IsBlocked(now))
 }
 
-// close closes idle connections to a server that drains (rule 7): now and, as one may be opening, once more.
-func (b *Balancer) close(now time.Duration, s *server) {
+// closeIdle closes idle connections to a draining server (rule 7), now and, as one may be opening, once more.
+func (b *Balancer) closeIdle(now time.Duration, s *server) {
 	if b.cfg.IdleCloseTime > 0 {
 		b.host.Close(s.ID)
 		b.closeAt = cmp.Or(b.closeAt, now+b.cfg.IdleCloseTime/2)
@@ -317,294 +317,294 @@
 	}
 }
 
-// send is the one place that sends.
+// send sends a request if the rules allow it, and says whether it did. Nothing else sends.
 func (b *Balancer) send(now time.Duration, r *request, s *server) bool {
-	if !b.mayGo(now, r, s) {
+	if !b.maySend(now, r, s) {
 		return false
 	}
-	s.coldAt = now + b.coldGap(now, s)
+	s.nextPacedSend = now + b.slowStartGap(now, s)
 	r.attempts = append(r.attempts, attempt{to: s, sent: now})
-	if away, is := s.apart[r.home]; is { // spread, so that many balancers do not come at once
-		away.nextAt = now + time.Duration(float64(away.by)*(0.5+b.rng.Float64()))
-		s.apart[r.home] = away
+	if spacing, ok := s.spacing[r.compartment]; ok { // with jitter, as other balancers do the same
+		spacing.nextAt = now + time.Duration(float64(spacing.gap)*(0.5+b.rng.Float64()))
+		s.spacing[r.compartment] = spacing
 	}
-	b.hold(r, s, 1)
-	r.home.gate.AttemptStarted(now)
+	b.countInFlight(r, s, 1)
+	r.compartment.gate.AttemptStarted(now)
 	if len(r.attempts) > 1 {
-		b.count.Retries++
+		b.counters.Retries++
 		b.budget.RecordRetry(now)
 	}
-	if b.far(s) {
-		b.count.Crossed++
+	if b.crossesZone(s) {
+		b.counters.Crossed++
 	}
-	b.host.Send(r.id, s.ID, b.patience(now, r))
+	b.host.Send(r.id, s.ID, b.attemptTimeout(now, r))
 	return true
 }
 
-// patience is how long an attempt is waited for; see Inquiry.Patience.
-func (b *Balancer) patience(now time.Duration, r *request) time.Duration {
-	whole, cut := r.useful-now, r.lateIn()-now-busyTick
+// attemptTimeout is how long an attempt is waited for; see loadquery.Prober.AttemptTimeout.
+func (b *Balancer) attemptTimeout(now time.Duration, r *request) time.Duration {
+	whole, part := r.usefulUntil-now, r.latestStart()-now-busyTick
 	if r.class.Effect == Deduplicated {
-		cut = min(cut, r.class.DedupWindow-2*busyTick)
+		part = min(part, r.class.DedupWindow-2*busyTick)
 	}
-	if r.class.Effect == NonIdempotent || len(r.attempts) >= b.cfg.MaxAttempts || b.nowhere(now, r) {
+	if r.class.Effect == NonIdempotent || len(r.attempts) >= b.cfg.MaxAttempts || b.noServerLeft(now, r) {
 		return whole
 	}
-	return b.inquiry.AttemptTimeout(whole, cut)
+	return b.prober.AttemptTimeout(whole, part)
 }
 
-// coldGap spaces sends to a cold server, by our even part of what it can do now.
-func (b *Balancer) coldGap(now time.Duration, s *server) time.Duration {
-	rate := cmp.Or(b.quota/float64(b.sharers), float64(max(b.out, 1))/b.pace.Seconds())
+// slowStartGap is the time between sends to a warming server, by our even part of its capacity now.
+func (b *Balancer) slowStartGap(now time.Duration, s *server) time.Duration {
+	rate := cmp.Or(b.quota/float64(b.balancers), float64(max(b.inFlight, 1))/b.meanLatency.Seconds())
 	warmth := slowstart.Warmth(s.warmAt-now, b.cfg.SlowStartTime, b.cfg.SlowStartShare)
-	warm := s.part * warmth / admission.ProcessCount(b.cfg.Processes)
-	return slowstart.Gap(b.part(rate, s)*b.weight/max(b.reach, s.Weight)*warm, b.cfg.SlowStartOverload)
+	warm := s.arcShare * warmth / admission.ProcessCount(b.cfg.Processes)
+	rate = b.weightShare(rate, s) * b.readyWeight / max(b.arcWeight, s.Weight) * warm
+	return slowstart.Gap(rate, b.cfg.SlowStartOverload)
 }
 
-// pick is smooth weighted round robin over the ready servers: each is due again one over its
-// weight after its last turn, and the one due first has its turn. It loses it while it holds its
-// portion of our attempts, or if the request has been there already.
-func (b *Balancer) pick(now time.Duration, r *request) *server {
-	best, walled := b.turnOf(now, r, b.arc, false)
-	if best == nil && r.ran() != nil { // bound to where it has been
-		best, walled = b.turnOf(now, r, b.servers, false)
+// pickServer is smooth weighted round robin: the next turn of a server is one over its weight after its last,
+// and the earliest is picked. A server is skipped at its limit, and where the request was sent to it before.
+func (b *Balancer) pickServer(now time.Duration, r *request) *server {
+	best, skipped := b.nextInTurn(now, r, b.arc, false)
+	if best == nil && r.firstMayHaveRun() != nil { // only certain servers drop it as a repeat
+		best, skipped = b.nextInTurn(now, r, b.servers, false)
 	}
-	if best == nil && len(r.attempts) > 0 { // a connection broke there, no more is known against it
-		best, walled = b.turnOf(now, r, b.servers, true)
+	if best == nil && len(r.attempts) > 0 { // servers whose connection broke may work
+		best, skipped = b.nextInTurn(now, r, b.servers, true)
 	}
 	if best == nil {
 		return nil
 	}
-	b.turn = max(b.turn, best.due)
-	best.due = b.turn + b.gap(now, best)
+	b.lastTurn = max(b.lastTurn, best.nextTurn)
+	best.nextTurn = b.lastTurn + b.turnGap(now, best)
 	switch {
-	case walled:
-		b.count.Walled++
+	case skipped:
+		b.counters.Walled++
 	case len(r.attempts) == 0:
-		b.count.Ordinary++
+		b.counters.Ordinary++
 	}
 	return best
 }
 
-// turnOf finds whose turn it is, and whether a server that holds its portion lost it. Those that the
-// request has been to have none; with again, those where only its connection broke have one.
-func (b *Balancer) turnOf(now time.Duration, r *request, in []*server, again bool) (best *server, wall bool) {
-	lost := math.Inf(1)
-	for _, s := range in {
+// nextInTurn returns the server whose turn it is, and whether one was skipped that is ejected, paced or full.
+// Servers that the request was sent to have no turn; with again, those do where only the connection broke.
+func (b *Balancer) nextInTurn(now time.Duration, r *request, of []*server, again bool) (*server, bool) {
+	var best *server
+	earliestSkipped := math.Inf(1)
+	for _, s := range of {
 		switch {
-		case r.tried(s, again) || !b.mayGo(now, r, s):
-		case now < max(s.backAt, s.apart[r.home].nextAt): // else one that turns all away draws them all
-			lost = min(lost, s.due)
-		case float64(s.out) >= b.portion(s) || b.fuller(now, r, s):
-			lost = min(lost, s.due)
-		case best == nil || s.due < best.due:
+		case r.wasSentTo(s, again) || !b.maySend(now, r, s):
+		case now < max(s.ejectedUntil, s.spacing[r.compartment].nextAt),
+			float64(s.inFlight) >= b.maxInFlight(s), b.reportsFull(now, r, s):
+			earliestSkipped = min(earliestSkipped, s.nextTurn)
+		case best == nil || s.nextTurn < best.nextTurn:
 			best = s
 		}
 	}
-	return best, best != nil && lost < best.due
+	return best, best != nil && earliestSkipped < best.nextTurn
 }
 
-// judge learns how a server fares: strain stretches the gap between its turns. It guards against any cause,
-// slowness, errors, silence, refusals, a limit shared with others. The turns left show when it is well again.
-func (b *Balancer) judge(now time.Duration, r *request, a *attempt, end Ending) {
-	s, took, away := a.to, now-a.sent, a.to.apart[r.home]
-	if end == Served || end == TimedOut && s.strain < failStrain/2 { // a strained one alone is no crowd
-		x := float64(took) / float64(r.class.LatencyTarget)
-		s.used += (x*x - s.used) / 8
-		b.wall.RecordLatency(now, x)
+// recordOutcome updates what is known of a server: slowness, which failures add to, stretches the gap between
+// its turns, whatever the cause. The turns that remain show when the server has recovered.
+func (b *Balancer) recordOutcome(now time.Duration, r *request, a *attempt, end Ending) {
+	s, took, spacing := a.to, now-a.sent, a.to.spacing[r.compartment]
+	if end == Served || end == TimedOut && s.slowness < failureSlowness/2 { // one slow server is no congestion
+		latency := float64(took) / float64(r.class.LatencyTarget)
+		s.squareLatency += (latency*latency - s.squareLatency) / 8
+		b.bulkhead.RecordLatency(now, latency)
 	}
-	x := failStrain
+	slowness := failureSlowness
 	switch end {
 	case Cancelled, NotSent, InvalidRequest:
 		return
 	case Served:
-		x = min(x, float64(took)/float64(r.class.pace))
-		r.class.pace += (took - r.class.pace) / 16
-		b.pace += (took - b.pace) / 32
-		if s.silent > 0 && s.strain > failStrain/2 && now-s.silent > time.Second { // restarted, maybe
-			s.warmAt = max(s.warmAt, now+b.cfg.SlowStartTime)
-			b.host.Log(fmt.Sprintf("server %x answers again after %v", s.ID, now-s.silent))
+		slowness = min(slowness, float64(took)/float64(r.class.meanLatency))
+		r.class.meanLatency += (took - r.class.meanLatency) / 16
+		b.meanLatency += (took - b.meanLatency) / 32
+		if s.silentSince > 0 && s.slowness > failureSlowness/2 && now-s.silentSince > time.Second {
+			s.warmAt = max(s.warmAt, now+b.cfg.SlowStartTime) // it may have restarted
+			b.host.Log(fmt.Sprintf("server %x answers again after %v", s.ID, now-s.silentSince))
 		}
-		s.silent, s.fails, s.backAt = 0, 0, 0
-		if away.by -= away.by / spaceBack; away.by < firstSpace/2 {
-			delete(s.apart, r.home)
+		s.silentSince, s.failures, s.ejectedUntil = 0, 0, 0
+		if spacing.gap -= spacing.gap / spacingRecovery; spacing.gap < minSpacing/2 {
+			delete(s.spacing, r.compartment)
 		} else {
-			s.apart[r.home] = away
+			s.spacing[r.compartment] = spacing
 		}
 	case TimedOut, NoConnection:
-		if s.silent == 0 && (end == TimedOut || s.fails > 0) { // one broken connection is no silence
-			s.silent = now
+		if s.silentSince == 0 && (end == TimedOut || s.failures > 0) { // not at the first refused connection
+			s.silentSince = now
 		}
 	}
 	switch {
 	case end == Served:
-	case end == NotProcessed && a.sent < away.cutAt:
-		return // it went out before the last one was known of: that was one word, not many
-	case end == NotProcessed: // it takes so many a second, maybe: spaced, and felt for, rather than stopped
-		away.cutAt, away.by = now, min(max(2*away.by, firstSpace), lastSpace)
-		if s.apart == nil {
-			s.apart = make(map[*compartment]apart)
+	case end == NotProcessed && a.sent < spacing.widenedAt:
+		return // it was sent before the last rejection was known
+	case end == NotProcessed: // the server may have a rate limit: sends are spaced, not stopped
+		spacing.widenedAt, spacing.gap = now, min(max(2*spacing.gap, minSpacing), maxSpacing)
+		if s.spacing == nil {
+			s.spacing = make(map[*compartment]sendSpacing)
 		}
-		s.apart[r.home] = away
+		s.spacing[r.compartment] = spacing
 	default:
-		if s.fails++; s.fails > 1 || b.cfg.SuspectedDown != nil && b.cfg.SuspectedDown(s.ID) {
-			s.backAt = max(s.backAt, now+failPause<<min(max(0, s.fails-2), failDouble))
+		if s.failures++; s.failures > 1 || b.cfg.SuspectedDown != nil && b.cfg.SuspectedDown(s.ID) {
+			s.ejectedUntil = max(s.ejectedUntil, now+minEjection<<min(max(0, s.failures-2), maxEjectionDoublings))
 		}
 	}
-	if before := s.strain; before < failStrain/2 && before+(x-before)/4 >= failStrain/2 {
-		b.host.Log(fmt.Sprintf("server %x strained, %d attempts out", s.ID, s.out))
+	if before := s.slowness; before < failureSlowness/2 && before+(slowness-before)/4 >= failureSlowness/2 {
+		b.host.Log(fmt.Sprintf("server %x strained, %d attempts out", s.ID, s.inFlight))
 	}
-	s.strain += (x - s.strain) / 4
+	s.slowness += (slowness - s.slowness) / 4
 }
 
-// List takes news of the server list.
+// List handles an update of the server list, or its failure.
 func (b *Balancer) List(now time.Duration, kind ListKind, entries []Server) {
 	if kind == ListFailed {
-		b.asking.Failed(now)
+		b.discovery.Failed(now)
 		return
 	}
 	switch {
 	case kind != ListCached:
-		b.asking.Subscribed()
+		b.discovery.Subscribed()
 	case len(entries) == 0:
-		b.asking.AskNow(now)
+		b.discovery.AskNow(now)
 	}
 	if kind != ListDelta {
-		b.allGone() // until the list names them
+		b.markAllDeregistered() // those that are not in the list
 	}
 	for _, e := range entries {
-		b.enter(now, e)
+		b.applyEntry(now, e)
 	}
 	b.servers = slices.DeleteFunc(b.servers, func(s *server) bool { return s.State == Deregistered })
-	if b.mean == 0 {
-		b.deriveSlots() // no quotas: the first list is all there is to go by
+	if b.fleetSlots == 0 {
+		b.deriveSlots() // no quotas: derived from the first list
 	}
-	b.weigh(now)
+	b.updateWeights(now)
 	for _, s := range b.servers {
-		if s.coldAt < 0 { // told at about the same time, balancers spread first sends, by the whole list
-			s.coldAt = now + time.Duration(b.rng.Float64()*float64(b.coldGap(now, s)))
+		if s.nextPacedSend < 0 { // a random time, as all balancers learn of the server at once
+			s.nextPacedSend = now + time.Duration(b.rng.Float64()*float64(b.slowStartGap(now, s)))
 		}
 	}
-	b.feed(now)
+	b.dispatchQueued(now)
 }
 
-// enter takes over one line of the list.
-func (b *Balancer) enter(now time.Duration, e Server) {
+// applyEntry applies one entry of the list.
+func (b *Balancer) applyEntry(now time.Duration, e Server) {
 	if !(e.Weight > 0) || math.IsInf(e.Weight, 0) {
-		e.Weight = 1 // no weights, even turns
+		e.Weight = 1 // no usable weight
 	}
-	s := b.listed(e.ID)
-	if e.Started > 0 && e.Started > s.Started { // cold, and nothing known of it holds any more
+	s := b.entryOf(e.ID)
+	if e.Started > 0 && e.Started > s.Started { // restarted: what was known of it no longer applies
 		warm := max(s.warmAt, e.Started+b.cfg.SlowStartTime)
-		*s = server{Server: e, out: s.out, warmAt: warm, strain: 1, part: s.part, coldAt: -1}
+		*s = server{Server: e, inFlight: s.inFlight, warmAt: warm, slowness: 1, arcShare: s.arcShare}
+		s.nextPacedSend = -1
 	}
 	s.Server = e
 	if s.State == Draining {
-		b.close(now, s)
+		b.closeIdle(now, s)
 	}
 }
 
-// ask asks for the list where that is due.
-func (b *Balancer) ask(now time.Duration) {
-	if b.cfg.ListOnDemand && b.asking.Due(now) {
+// askForList asks for the server list if that is due.
+func (b *Balancer) askForList(now time.Duration) {
+	if b.cfg.ListOnDemand && b.discovery.Due(now) {
 		b.host.WatchList()
 	}
 }
 
-// sample probes one server a few times in a row: reports that do not change as fast as they are used
-// must not steer single sends. All balancers would crowd to where it was empty (i50e019).
-func (b *Balancer) sample(now time.Duration) {
-	if now < b.sampleAt || len(b.arc) == 0 || !b.inquiry.Comparing() {
+// compareReports probes one server a few times in a row: reports that don't change as fast as they are used
+// would have all balancers send to the server that was idle before (i50e019).
+func (b *Balancer) compareReports(now time.Duration) {
+	if now < b.compareAt || len(b.arc) == 0 || !b.prober.Comparing() {
 		return
 	}
-	if b.sampled == nil || b.sampled.State != Ready {
-		b.sampled = b.arc[b.rng.IntN(len(b.arc))]
+	if b.comparedServer == nil || b.comparedServer.State != Ready {
+		b.comparedServer = b.arc[b.rng.IntN(len(b.arc))]
 	}
-	b.sampleAt = now + toldFor
-	b.host.Probe(b.sampled.ID)
-	b.wake(now, toldFor)
+	b.compareAt = now + reportMaxAge
+	b.host.Probe(b.comparedServer.ID)
+	b.wake(now, reportMaxAge)
 }
 
-// inquire asks the server whose turn it is what it holds, where its last word is old: among many
-// balancers, what one has out there itself tells next to nothing.
-func (b *Balancer) inquire(now time.Duration, r *request) bool {
-	if r.asked >= askMost {
+// probeFirst probes the server whose turn it is, if its last report is old, and says whether it did.
+func (b *Balancer) probeFirst(now time.Duration, r *request) bool {
+	if r.probes >= maxProbes {
 		return false
 	}
-	s, _ := b.turnOf(now, r, b.arc, false)
-	if s == nil || !b.inquiry.ShouldProbe(s.strain) || (s.toldAt > 0 && now-s.toldAt < toldFor) {
+	s, _ := b.nextInTurn(now, r, b.arc, false)
+	if s == nil || !b.prober.ShouldProbe(s.slowness) || (s.reportedAt > 0 && now-s.reportedAt < reportMaxAge) {
 		return false
 	}
-	r.asks, r.asksUntil, s.askedAt = s, now+askWait, now
-	r.asked++
+	r.probing, r.probeDeadline, s.probedAt = s, now+probeWait, now
+	r.probes++
 	b.host.Probe(s.ID)
 	return true
 }
 
-// Probed takes the result of a probe.
+// Probed handles the result of a probe.
 func (b *Balancer) Probed(now time.Duration, id ServerID, ok bool, l Load) {
 	s := b.server(id)
-	told := s != nil && ok && l.Has&HasInFlight != 0
-	again := s != nil && s == b.sampled && (!told || s.toldAt > 0 && now-s.toldAt >= toldFor)
-	if again && b.inquiry.Comparing() {
-		b.inquiry.Compare(told && l != s.load)
-	}
-	if told {
-		s.toldAt, s.load, s.others = now, l, max(0, l.InFlight-float64(s.out))
-	} else if s != nil && b.inquiry.ShouldProbe(s.strain) { // it can't tell: the turn is the next one's
-		s.toldAt, s.others = now, math.Inf(1)
-		if now-s.askedAt < askWait { // it said so at once: a connection broke, maybe, so that is soon forgotten
-			s.toldAt -= 4 * toldFor
+	reported := s != nil && ok && l.Has&HasInFlight != 0
+	isOld := s != nil && s.reportedAt > 0 && now-s.reportedAt >= reportMaxAge
+	if s != nil && s == b.comparedServer && (!reported || isOld) && b.prober.Comparing() {
+		b.prober.Compare(reported && l != s.load)
+	}
+	if reported {
+		s.reportedAt, s.load, s.othersInFlight = now, l, max(0, l.InFlight-float64(s.inFlight))
+	} else if s != nil && b.prober.ShouldProbe(s.slowness) { // no report: the next server has the turn
+		s.reportedAt, s.othersInFlight = now, math.Inf(1)
+		if now-s.probedAt < probeWait { // failed at once: a broken connection, maybe, so it counts for less time
+			s.reportedAt -= 4 * reportMaxAge
 		}
 	}
-	if s != nil && b.inquiry.ProbesSuspect(s.strain) && b.fuller(now, nil, s) {
-		s.due = b.turn + b.gap(now, s) // it had its turn
+	if s != nil && b.prober.ProbesSuspect(s.slowness) && b.reportsFull(now, nil, s) {
+		s.nextTurn = b.lastTurn + b.turnGap(now, s) // it loses its turn
 	}
-	for _, r := range b.open {
-		if s != nil && r.asks == s && !r.over {
-			r.asks = nil
-			b.place(now, r)
+	for _, r := range b.openRequests {
+		if s != nil && r.probing == s && !r.finished {
+			r.probing = nil
+			b.placeRequest(now, r)
 		}
 	}
 }
 
-// fuller says that a server reports to hold its part of all balancers' requests, or that
-// it has not reported and the request met only such ones.
-func (b *Balancer) fuller(now time.Duration, r *request, s *server) bool {
-	if s.toldAt == 0 || now-s.toldAt >= 5*toldFor {
-		return b.inquiry.ProbesAll() && r.asked >= askMost
+// reportsFull says whether a server's last report exceeds its share of all requests; without a recent report,
+// whether the request has had as many servers probed as it may.
+func (b *Balancer) reportsFull(now time.Duration, r *request, s *server) bool {
+	if s.reportedAt == 0 || now-s.reportedAt >= 5*reportMaxAge {
+		return b.prober.ProbesAll() && r.probes >= maxProbes
 	}
-	return s.others+float64(s.out) >= partRoom+b.part(b.mean, s)*b.short
+	return s.othersInFlight+float64(s.inFlight) >= shareMargin+b.weightShare(b.fleetSlots, s)*b.shortageFactor
 }
 
-// finish is the one place that answers: refused where that is true, failed where it is not.
+// finish answers a request: refused where a retry is harmless, else failed.
 func (b *Balancer) finish(r *request) {
 	switch c := r.class; {
-	case r.over:
+	case r.finished:
 		return
-	case r.ran() == nil || c.Effect == Idempotent || c.Effect == Deduplicated && c.Scope == ScopeAll:
-		b.count.Refused++
-		pause := time.Duration((1 + b.rng.Float64()) * float64(b.pace)) // spread: not all at once
-		b.host.Refuse(r.id, min(b.cfg.MaxRetryAfter, pause))
+	case r.firstMayHaveRun() == nil || c.Effect == Idempotent || c.Effect == Deduplicated && c.Scope == ScopeAll:
+		b.counters.Refused++
+		retryAfter := time.Duration((1 + b.rng.Float64()) * float64(b.meanLatency)) // with jitter
+		b.host.Refuse(r.id, min(b.cfg.MaxRetryAfter, retryAfter))
 	default:
-		b.count.Failed++
+		b.counters.Failed++
 		b.host.Fail(r.id)
 	}
-	b.settle(r)
+	b.complete(r)
 }
 
-// settle closes a request that has its answer: out of the queue, attempts called off.
-func (b *Balancer) settle(r *request) {
-	r.over = true
-	if i := slices.Index(r.home.queue, r); i >= 0 {
-		r.home.queue = slices.Delete(r.home.queue, i, i+1)
+// complete ends a request that has its answer: it leaves the queue, and its attempts are cancelled.
+func (b *Balancer) complete(r *request) {
+	r.finished = true
+	if i := slices.Index(r.compartment.queue, r); i >= 0 {
+		r.compartment.queue = slices.Delete(r.compartment.queue, i, i+1)
 	}
 	for i := range r.attempts {
 		if r.attempts[i].state == inFlight && b.cfg.MayCancel {
 			b.host.Cancel(r.id, i)
 		}
 	}
-	if r.out == 0 {
+	if r.inFlight == 0 {
 		b.forget(r)
 	}
 }
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -58,7 +58,7 @@
 // took has answers take such a share of their aim for a while.
 func took(b *Balancer, share float64) {
 	for range 100 {
-		b.wall.RecordLatency(0, share)
+		b.bulkhead.RecordLatency(0, share)
 	}
 }
 
@@ -277,7 +277,7 @@
 	if _, refused := h.refused[1]; len(h.sends) != 1 || !refused {
 		t.Fatalf("sends %d, refused %v; want 1 and a refusal, as all servers drop repeats", len(h.sends), refused)
 	}
-	b.parts[0].gate = admission.NewRatio(b.rng)
+	b.compartments[0].gate = admission.NewRatio(b.rng)
 	ask(b, 800*ms, 2, keyedZone)
 	end(b, 1500*ms, 2, 0, Errored)
 	if !h.failed[2] {
@@ -410,9 +410,9 @@
 func TestSlowServerHoldsLess(t *testing.T) {
 	b, _ := start(t, testConfig(), ready(1, 2))
 	for range 50 {
-		b.server(1).used += (0.8*0.8 - b.server(1).used) / 8
+		b.server(1).squareLatency += (0.8*0.8 - b.server(1).squareLatency) / 8
 	}
-	if slow, well := b.portion(b.server(1)), b.portion(b.server(2)); slow != 1 || well != 4 {
+	if slow, well := b.maxInFlight(b.server(1)), b.maxInFlight(b.server(2)); slow != 1 || well != 4 {
 		t.Fatalf("portions %v and %v, want 1 and 4", slow, well)
 	}
 }
@@ -487,9 +487,9 @@
 	for now := time.Second; now < 1200*ms; now += 10 * ms {
 		b.Wake(now) // no report comes
 	}
-	if n := len(h.probes) - 2; n != askMost || len(h.sends) != 1 {
+	if n := len(h.probes) - 2; n != maxProbes || len(h.sends) != 1 {
 		t.Fatalf("%d asked, %d sends; want %d and nothing sent to servers that do not answer or were not asked",
-			n, len(h.sends), askMost)
+			n, len(h.sends), maxProbes)
 	}
 	for now := 1200 * ms; now < 3*time.Second; now += 10 * ms {
 		b.Wake(now)
@@ -551,7 +551,7 @@
 	b, h := start(t, testConfig(), ready(1, 2))
 	ask(b, 0, 1, safeClass)
 	end(b, 5*ms, 1, 0, InvalidRequest)
-	if !h.failed[1] || len(h.sends) != 1 || b.server(h.sends[0].to).strain != 1 {
+	if !h.failed[1] || len(h.sends) != 1 || b.server(h.sends[0].to).slowness != 1 {
 		t.Errorf("failed %v, sends %v: want it failed at once, and nothing held against the server", h.failed, h.sends)
 	}
 }
@@ -607,7 +607,7 @@
 	cfg.MayProbe, cfg.Reports = true, HasInFlight
 	for over, want := range map[float64]int{1.5: 1, 2.5: 0} {
 		b, h := start(t, cfg, ready(1))
-		b.Probed(ms, 1, true, Load{Has: HasInFlight, InFlight: b.mean + over})
+		b.Probed(ms, 1, true, Load{Has: HasInFlight, InFlight: b.fleetSlots + over})
 		if ask(b, 2*ms, 1, safeClass); len(h.sends) != want {
 			t.Errorf("%d sends at %v over its part, want %d", len(h.sends), over, want)
 		}
@@ -672,7 +672,7 @@
 	}
 	// All balancers hold 100/s x 1 s x 0.12 = 12 at the quotas, a fourth of it at one server.
 	b.Probed(2*ms, 1, true, Load{Has: HasInFlight, InFlight: 5})
-	if !b.fuller(2*ms, &request{}, b.server(1)) {
+	if !b.reportsFull(2*ms, &request{}, b.server(1)) {
 		t.Fatal("the last of four servers may hold more than a fourth and one of the whole fleet's attempts")
 	}
 }
@@ -818,9 +818,9 @@
 	}
 	b.Wake(time.Hour)
 	// A few had their second attempt after a pause, behind the end that this test told of.
-	if len(b.requests) > 20 || len(b.open) > 3 || len(b.servers) != 2 || cap(b.open) > 100 {
+	if len(b.requests) > 20 || len(b.openRequests) > 3 || len(b.servers) != 2 || cap(b.openRequests) > 100 {
 		t.Fatalf("held: %d requests, %d open (room for %d), %d servers",
-			len(b.requests), len(b.open), cap(b.open), len(b.servers))
+			len(b.requests), len(b.openRequests), cap(b.openRequests), len(b.servers))
 	}
 }
 
@@ -830,7 +830,7 @@
 	for _, balancers := range []int{1, 4, 64} {
 		cfg.Balancers = balancers
 		b, _ := start(t, cfg, ready(1))
-		whole := 100*1*slotAim + 2*sizing.Spread*math.Sqrt(100*slotAim) + 2
+		whole := 100*1*slotTargetShare + 2*sizing.Spread*math.Sqrt(100*slotTargetShare) + 2
 		if b.slots < 2 || float64(b.slots) > whole {
 			t.Errorf("%d balancers: %d slots, want 2 to %.0f", balancers, b.slots, whole)
 		}
@@ -841,8 +841,8 @@
 	cfg.Tenants, cfg.Balancers = nil, 4 // no tenants and no quota: one compartment, sized by the first list
 	b, h := start(t, cfg, ready(1, 2))
 	b.Request(0, Request{ID: 1, Tenant: 5, TimeLeft: time.Second})
-	if len(b.parts) != 1 || b.slots != 7 || len(h.sends) != 1 {
-		t.Fatalf("without tenants: %d compartments, %d slots, %d sends", len(b.parts), b.slots, len(h.sends))
+	if len(b.compartments) != 1 || b.slots != 7 || len(h.sends) != 1 {
+		t.Fatalf("without tenants: %d compartments, %d slots, %d sends", len(b.compartments), b.slots, len(h.sends))
 	}
 }
 
@@ -923,7 +923,7 @@
 			t.Fatalf("an arc of %d servers, want 12 and the ends", got)
 		}
 		for _, s := range b.arc {
-			cover[s.ID] += s.part
+			cover[s.ID] += s.arcShare
 		}
 	}
 	for id, n := range cover {
@@ -961,7 +961,7 @@
 		b, h := startSeeded(t, cfg, uint64(n), list)
 		for id := range ServerID(servers) {
 			if id != 5 {
-				b.server(id).due = math.Inf(1) // the others are down: all would go to the cold one
+				b.server(id).nextTurn = math.Inf(1) // the others are down: all would go to the cold one
 			}
 		}
 		b.List(10*time.Second, ListDelta, []Server{{ID: 5, State: Ready, Weight: 1, Started: 10 * time.Second}})
@@ -1071,7 +1071,7 @@
 	b, h := start(t, cfg, ready(1, 2, 3))
 	try := func(now time.Duration, id RequestID, class int) int {
 		n := len(h.sends)
-		b.parts[0].gate = admission.NewRatio(b.rng)
+		b.compartments[0].gate = admission.NewRatio(b.rng)
 		ask(b, now, id, class)
 		end(b, now, id, 0, NotProcessed)
 		if len(h.sends) > n+1 {
@@ -1146,7 +1146,7 @@
 			for range n {
 				now += 50 * ms
 				id++
-				b.parts[0].gate = admission.NewRatio(b.rng) // admission is not at stake here
+				b.compartments[0].gate = admission.NewRatio(b.rng) // admission is not at stake here
 				ask(b, now, id, unsafeClass)
 				for k := len(h.sends); k > 0 && h.sends[k-1].id == id; k = len(h.sends) {
 					n := len(b.requests[id].attempts)
@@ -1214,11 +1214,11 @@
 	b, _ := start(t, cfg, ready(1, 2))
 	var let [2]int
 	for i := range 2000 {
-		b.parts[0].gate = admission.NewRatio(b.rng)
+		b.compartments[0].gate = admission.NewRatio(b.rng)
 		for n := range 40 {
-			b.parts[0].gate.AttemptEnded(0, admission.AttemptEnd{Score: map[bool]float64{true: 1}[n < 10]})
+			b.compartments[0].gate.AttemptEnded(0, admission.AttemptEnd{Score: map[bool]float64{true: 1}[n < 10]})
 		}
-		if b.parts[0].gate.Admit(0, b.classes[i%2].Value/b.worth) {
+		if b.compartments[0].gate.Admit(0, b.classes[i%2].Value/b.meanValue) {
 			let[i%2]++
 		}
 	}
@@ -1273,10 +1273,10 @@
 	b, h := start(t, testConfig(), ready(1))
 	ask(b, 0, 1, unsafeClass)
 	end(b, time.Second, 1, 0, TimedOut)
-	b.parts[0].gate = admission.NewRatio(b.rng)
+	b.compartments[0].gate = admission.NewRatio(b.rng)
 	ask(b, 1100*ms, 2, unsafeClass)
 	end(b, 2100*ms, 2, 0, TimedOut)
-	b.parts[0].gate = admission.NewRatio(b.rng)
+	b.compartments[0].gate = admission.NewRatio(b.rng)
 	ask(b, 3*time.Second, 3, unsafeClass)
 	end(b, 3100*ms, 3, 0, Served)
 	if b.server(1).warmAt != 3100*ms+8*time.Second || len(h.log) == 0 {
@@ -1305,18 +1305,18 @@
 func TestGateKeepsTheFirstRule(t *testing.T) {
 	b, _ := start(t, testConfig(), ready(1))
 	for name, r := range map[string]*request{
-		"over":    {over: true, deadline: time.Second},
-		"begun":   {begun: true, deadline: time.Second},
+		"over":    {finished: true, deadline: time.Second},
+		"begun":   {streaming: true, deadline: time.Second},
 		"late":    {deadline: 100 * ms},
-		"out":     {deadline: time.Second, out: 1},
+		"out":     {deadline: time.Second, inFlight: 1},
 		"all out": {deadline: time.Second, attempts: make([]attempt, b.cfg.MaxAttempts)},
 	} {
 		r.class = &b.classes[safeClass]
-		if b.mayGo(100*ms, r, b.servers[0]) {
+		if b.maySend(100*ms, r, b.servers[0]) {
 			t.Errorf("a request that is %s may go", name)
 		}
 	}
-	if !b.mayGo(100*ms, &request{class: &b.classes[safeClass], deadline: time.Second}, b.servers[0]) {
+	if !b.maySend(100*ms, &request{class: &b.classes[safeClass], deadline: time.Second}, b.servers[0]) {
 		t.Error("an ordinary request may not go")
 	}
 }
@@ -1377,9 +1377,9 @@
 		cfg.MayProbe, cfg.Reports, cfg.ProbePrice = true, HasInFlight, 0.08
 		b, h := start(t, cfg, ready(1, 2, 3))
 		for _, s := range b.servers {
-			s.due = float64(s.ID)
+			s.nextTurn = float64(s.ID)
 		}
-		b.server(1).strain, b.server(1).due = 4, 0
+		b.server(1).slowness, b.server(1).nextTurn = 4, 0
 		ask(b, 10*ms, 1, safeClass)
 		if len(h.probes) != 1 || h.probes[0] != 1 || len(h.sends) != 0 {
 			t.Fatalf("probes %v, sends %v: want the one in doubt asked first", h.probes, h.sends)
@@ -1429,12 +1429,12 @@
 	for _, strained := range []bool{false, true} {
 		b, _ := start(t, testConfig(), ready(1))
 		if strained {
-			b.server(1).strain = failStrain
+			b.server(1).slowness = failureSlowness
 		}
 		ask(b, 0, 1, unsafeClass)
-		before := b.wall
+		before := b.bulkhead
 		end(b, time.Second, 1, 0, TimedOut)
-		if crowd := b.wall != before; crowd == strained {
+		if crowd := b.bulkhead != before; crowd == strained {
 			t.Errorf("strained %v: a time-out counts as crowding %v", strained, crowd)
 		}
 	}
@@ -1521,7 +1521,7 @@
 		seen = n
 		now += time.Second
 		b.Wake(now)
-		return b.slots, b.coldGap(0, b.servers[0])
+		return b.slots, b.slowStartGap(0, b.servers[0])
 	}
 	slots, gap := sizes(10)
 	if s, g := sizes(3); s != slots || g != gap {
@@ -1542,14 +1542,14 @@
 		cfg := testConfig()
 		cfg.SuspectedDown = func(id ServerID) bool { return doubted && id == 1 }
 		b, _ := start(t, cfg, ready(1, 2))
-		s := b.listed(1)
-		if s.backAt != 0 {
-			t.Errorf("doubted %v: no turns before %v, with nothing sent", doubted, s.backAt)
+		s := b.entryOf(1)
+		if s.ejectedUntil != 0 {
+			t.Errorf("doubted %v: no turns before %v, with nothing sent", doubted, s.ejectedUntil)
 		}
-		r := &request{class: &b.classes[0], home: &b.parts[0]}
-		b.judge(time.Second, r, &attempt{to: s, sent: 0}, NoConnection)
-		if stopped := s.backAt > time.Second; stopped != doubted || s.backAt > time.Second+failPause {
-			t.Errorf("doubted %v: one failure, no turns before %v", doubted, s.backAt)
+		r := &request{class: &b.classes[0], compartment: &b.compartments[0]}
+		b.recordOutcome(time.Second, r, &attempt{to: s, sent: 0}, NoConnection)
+		if stopped := s.ejectedUntil > time.Second; stopped != doubted || s.ejectedUntil > time.Second+minEjection {
+			t.Errorf("doubted %v: one failure, no turns before %v", doubted, s.ejectedUntil)
 		}
 	}
 }
--- a/policy/random_test.go
+++ b/policy/random_test.go
@@ -250,8 +250,8 @@
 			t.Fatalf("rule 1: request %d was never answered", id)
 		}
 	}
-	if len(b.requests) != 0 || b.out != 0 {
-		t.Fatalf("%d requests and %d attempts are still held", len(b.requests), b.out)
+	if len(b.requests) != 0 || b.inFlight != 0 {
+		t.Fatalf("%d requests and %d attempts are still held", len(b.requests), b.inFlight)
 	}
 	return w.trace
 }
@@ -392,17 +392,17 @@
 			}
 		}
 	}
-	for i, c := range w.b.parts {
+	for i, c := range w.b.compartments {
 		if c.used != used[i] || c.used > c.slots || w.b.SlotsFree(i) < 0 {
 			w.t.Fatalf("compartment %d: %d of %d slots used, %d attempts out", i, c.used, c.slots, used[i])
 		}
 	}
-	if w.b.out != out {
-		w.t.Fatalf("%d attempts counted, %d out", w.b.out, out)
+	if w.b.inFlight != out {
+		w.t.Fatalf("%d attempts counted, %d out", w.b.inFlight, out)
 	}
 	for _, s := range w.b.servers {
-		if s.out < 0 {
-			w.t.Fatalf("server %d holds %d", s.ID, s.out)
+		if s.inFlight < 0 {
+			w.t.Fatalf("server %d holds %d", s.ID, s.inFlight)
 		}
 	}
 	if len(w.order) > 60 { // forget what is over
--- a/policy/reconfigure_test.go
+++ b/policy/reconfigure_test.go
@@ -64,15 +64,15 @@
 	for i := range 500 {
 		b.Request(now, Request{ID: RequestID(i + 1), Tenant: i % 2, TimeLeft: time.Second})
 	}
-	used, slots, other := b.parts[0].used, b.parts[0].slots, b.parts[1].slots
+	used, slots, other := b.compartments[0].used, b.compartments[0].slots, b.compartments[1].slots
 	sends := len(h.sends)
 	l := limitsOf(cfg)
 	l.Tenants[0].Share = 0.1
 	if err := b.Reconfigure(now, l); err != nil {
 		t.Fatal(err)
 	}
-	if b.parts[0].used != used || len(h.cancelled) > 0 || b.parts[0].slots >= slots || b.parts[1].slots != other {
-		t.Errorf("%d out of %d, slots %d of %d, the other's %d of %d, cancelled %d", b.parts[0].used, used, b.parts[0].slots, slots, b.parts[1].slots, other, len(h.cancelled))
+	if b.compartments[0].used != used || len(h.cancelled) > 0 || b.compartments[0].slots >= slots || b.compartments[1].slots != other {
+		t.Errorf("%d out of %d, slots %d of %d, the other's %d of %d, cancelled %d", b.compartments[0].used, used, b.compartments[0].slots, slots, b.compartments[1].slots, other, len(h.cancelled))
 	}
 	if len(h.sends) != sends {
 		t.Errorf("%d sent for limits that are stricter", len(h.sends)-sends)
@@ -80,20 +80,20 @@
 	for i, s := range slices.Clone(h.sends) { // each that ends makes room only once few enough are out
 		now += ms
 		b.Outcome(now, Outcome{ID: s.id, Ending: Served})
-		if before := b.parts[0].used; before > b.parts[0].slots && len(h.sends) > sends && h.sends[len(h.sends)-1].id%2 == 1 && i < 3 {
-			t.Errorf("one more of a tenant with %d out of %d", before, b.parts[0].slots)
+		if before := b.compartments[0].used; before > b.compartments[0].slots && len(h.sends) > sends && h.sends[len(h.sends)-1].id%2 == 1 && i < 3 {
+			t.Errorf("one more of a tenant with %d out of %d", before, b.compartments[0].slots)
 		}
 	}
-	if err := b.Reconfigure(now, limitsOf(cfg)); err != nil || b.parts[0].slots != slots || slots < 10 {
-		t.Errorf("%v, slots %d of %d again", err, b.parts[0].slots, slots)
+	if err := b.Reconfigure(now, limitsOf(cfg)); err != nil || b.compartments[0].slots != slots || slots < 10 {
+		t.Errorf("%v, slots %d of %d again", err, b.compartments[0].slots, slots)
 	}
 	l.Queue = 0
-	if err := b.Reconfigure(now, l); err != nil || b.parts[0].places+b.parts[1].places != 0 {
-		t.Errorf("%v, places %d and %d", err, b.parts[0].places, b.parts[1].places)
+	if err := b.Reconfigure(now, l); err != nil || b.compartments[0].queueSlots+b.compartments[1].queueSlots != 0 {
+		t.Errorf("%v, places %d and %d", err, b.compartments[0].queueSlots, b.compartments[1].queueSlots)
 	}
 	l.Queue = 10
-	if err := b.Reconfigure(now, l); err != nil || b.parts[0].places+b.parts[1].places > 10 || b.parts[1].places == 0 {
-		t.Errorf("%v, places %d and %d", err, b.parts[0].places, b.parts[1].places)
+	if err := b.Reconfigure(now, l); err != nil || b.compartments[0].queueSlots+b.compartments[1].queueSlots > 10 || b.compartments[1].queueSlots == 0 {
+		t.Errorf("%v, places %d and %d", err, b.compartments[0].queueSlots, b.compartments[1].queueSlots)
 	}
 }
 
--- a/policy/sizing.go
+++ b/policy/sizing.go
@@ -1,4 +1,4 @@
-// How much: slots of the compartments, portions of the servers, the arc that turns are taken among.
+// Sizes: the slots of the compartments, the limits of the servers, the arc that turns are taken among.
 
 package policy
 
@@ -12,15 +12,14 @@
 	"caperarch/internal/proxy/subset"
 )
 
-// resize takes how many there are now.
-func (b *Balancer) resize(n int) {
-	b.sharers = n
+// setBalancers sets how many balancers there are now.
+func (b *Balancer) setBalancers(n int) {
+	b.balancers = n
 	b.deriveSlots()
-	b.asking.SetBalancers(n)
+	b.discovery.SetBalancers(n)
 }
 
-// deriveSlots sizes the walls. By Little's law a rate holds rate x time slots: the quotas times a small share of the aim, to leave most of
-// it for what goes wrong.
+// deriveSlots sizes the compartments by Little's law: slots are a quota times slotTargetShare of the latency target.
 func (b *Balancer) deriveSlots() {
 	var shares []float64
 	b.quota = 0
@@ -28,74 +27,77 @@
 		shares = append(shares, t.Share)
 		b.quota += t.Quota
 	}
-	n := float64(b.sharers)
-	b.mean = cmp.Or(b.quota*b.aim*slotAim, serverSlots*float64(len(b.servers)))
-	b.even = b.quota / n
-	b.wall.EvenShare = cmp.Or(float64(b.cfg.Slots), b.mean/n)
-	all, slots := sizing.Compartments(b.mean, b.sharers, b.cfg.Slots, b.queued, b.whole, shares)
+	n := float64(b.balancers)
+	b.fleetSlots = cmp.Or(b.quota*b.meanTarget*slotTargetShare, serverSlots*float64(len(b.servers)))
+	b.evenRate = b.quota / n
+	b.bulkhead.EvenShare = cmp.Or(float64(b.cfg.Slots), b.fleetSlots/n)
+	all, slots := sizing.Compartments(b.fleetSlots, b.balancers, b.cfg.Slots, b.maxQueued, b.minShareSum, shares)
 	b.slots = slots
 	for i, c := range all {
-		b.parts[i].share, b.parts[i].slots, b.parts[i].places = c.Share, c.Slots, c.QueueSlots
-		admission.SetFairShare(b.parts[i].gate, c.Share)
+		b.compartments[i].share, b.compartments[i].slots, b.compartments[i].queueSlots = c.Share, c.Slots, c.QueueSlots
+		admission.SetFairShare(b.compartments[i].gate, c.Share)
 	}
 }
 
-// portion is how many of our attempts a server may hold: its part of our slots, less the more of the aim its answers take (mean square: a
-// long tail counts). It does not grow when others leave or fail, but by a little (short): the last would be overrun.
-func (b *Balancer) portion(s *server) float64 {
-	return max(1, b.part(float64(b.slots), s)*b.weight/b.reach*ease(s.used)*b.short)
+// maxInFlight is how many of our attempts a server may have: its share of our slots, less if it is crowded. It grows by
+// little (shortageFactor) when others are deregistered or fail, or the last ones would be overloaded.
+func (b *Balancer) maxInFlight(s *server) float64 {
+	share := b.weightShare(float64(b.slots), s) * b.readyWeight / b.arcWeight
+	return max(1, share*crowdingFactor(s.squareLatency)*b.shortageFactor)
 }
 
-// shortage is how many times as much servers may hold while others of ours fail or turn away.
+// shortage is the factor for the limits of servers while others of the arc fail or reject requests.
 func (b *Balancer) shortage() float64 {
-	well := 0.0
+	healthy := 0.0
 	for _, s := range b.arc {
-		if s.State == Ready && s.fails < 2 && len(s.apart) == 0 {
-			well += s.Weight * s.part
+		if s.State == Ready && s.failures < 2 && len(s.spacing) == 0 {
+			healthy += s.Weight * s.arcShare
 		}
 	}
-	return min(shortMost, b.reach/max(well, b.reach/shortMost))
+	return min(maxShortageFactor, b.arcWeight/max(healthy, b.arcWeight/maxShortageFactor))
 }
 
-// ease is the share of its portion that crowding leaves.
-func ease(used float64) float64 { return min(1, crowdedAt*crowdedAt/max(used, 1e-4)) }
+// crowdingFactor is the fraction of its limit that a server keeps, by the mean square of its latency: long tails count.
+func crowdingFactor(square float64) float64 { return min(1, crowdedAt*crowdedAt/max(square, 1e-4)) }
 
-// want is how many servers the arc is to have: those that our own traffic can feed, and so many that all arcs together leave none out.
-func (b *Balancer) want(now time.Duration) float64 {
-	each := b.inquiry.TurnInterval()
-	came, seconds := b.came.Recent(now)
-	least := max(fewest-1, float64(len(b.servers))/float64(b.sharers)) // it touches one more
-	return subset.ArcLength(b.wanted, (came+b.even*rateBegin)/(seconds+rateBegin)*each, b.even*each, least)
+// wantedArcLength is how many servers our own traffic can feed, and no less than have all arcs together cover all.
+func (b *Balancer) wantedArcLength(now time.Duration) float64 {
+	interval := b.prober.TurnInterval()
+	count, seconds := b.arrivals.Recent(now)
+	fewest := max(minArcServers-1, float64(len(b.servers))/float64(b.balancers)) // its ends lie in one more
+	rate := (count + b.evenRate*ratePrior) / (seconds + ratePrior)
+	return subset.ArcLength(b.arcLength, rate*interval, b.evenRate*interval, fewest)
 }
 
-// cut picks the servers to take turns among. A thousand balancers of few requests each would hold connections to all servers and never learn
-// how any of them fares, so each keeps to an arc of the list that its own traffic can feed. Arcs begin evenly spread, by the balancers' numbers.
-func (b *Balancer) cut(now time.Duration) {
+// chooseArc picks the servers to take turns among. A thousand balancers of few requests each would learn too little of
+// all servers, so each keeps to an arc that its own traffic can feed. The beginnings of the arcs are evenly spread.
+func (b *Balancer) chooseArc(now time.Duration) {
 	all, weights := b.ready(), []float64(nil)
 	for _, s := range all {
 		weights = append(weights, s.Weight)
 	}
-	b.wanted, b.reach, b.arc = b.want(now), 0, nil
-	for i, part := range subset.ArcShares(b.begins, b.wanted, weights, fewest) {
+	b.arcLength, b.arcWeight, b.arc = b.wantedArcLength(now), 0, nil
+	for i, share := range subset.ArcShares(b.arcStart, b.arcLength, weights, minArcServers) {
 		s := all[i]
-		if part == 0 {
-			s.ours, s.part = false, 1
+		if share == 0 {
+			s.inArc, s.arcShare = false, 1
 			continue
 		}
-		if s.part = part; !s.ours { // at a random point of its round: balancers must not begin in step
-			s.ours, s.due = true, b.turn+b.rng.Float64()*b.gap(now, s)
+		if s.arcShare = share; !s.inArc { // a random first turn: balancers must not begin in step
+			s.inArc, s.nextTurn = true, b.lastTurn+b.rng.Float64()*b.turnGap(now, s)
 		}
-		b.reach += s.Weight * part
+		b.arcWeight += s.Weight * share
 		b.arc = append(b.arc, s)
 	}
 }
 
-// gap is the time between a server's turns, in turns' own time. It is bounded, so that turns show recovery.
-// Other zones' have turns too, if fewer: a zone may have more traffic than its own servers can bear.
-func (b *Balancer) gap(now time.Duration, s *server) float64 {
-	gap := max(0.5, min(s.strain, failStrain/2)) / (s.Weight * s.part * slowstart.Warmth(s.warmAt-now, b.cfg.SlowStartTime, b.cfg.SlowStartShare))
-	if b.far(s) {
-		gap /= farTurns
+// turnGap is the virtual time between a server's turns. It is bounded, so that some turns are left to show recovery.
+// Servers of other zones have turns too, if fewer: a zone may have more traffic than its own servers can bear.
+func (b *Balancer) turnGap(now time.Duration, s *server) float64 {
+	warmth := slowstart.Warmth(s.warmAt-now, b.cfg.SlowStartTime, b.cfg.SlowStartShare)
+	gap := max(0.5, min(s.slowness, failureSlowness/2)) / (s.Weight * s.arcShare * warmth)
+	if b.crossesZone(s) {
+		gap /= crossZoneTurns
 	}
 	return gap
 }
--- a/policy/state.go
+++ b/policy/state.go
@@ -14,29 +14,31 @@
 	"caperarch/internal/proxy/ratemeter"
 )
 
+// server is a listed server with what is known of it.
 type server struct {
 	Server
-	out     int                    // this balancer's attempts there
-	ours    bool                   // in our arc
-	part    float64                // how much of it lies in the arc; 1 where it does not
-	due     float64                // smooth weighted round robin: when its next turn is, in turns' own time
-	strain  float64                // time that its answers take, against the usual; failures count too
-	used    float64                // mean square of the share of the aim that its answers take, lately
-	toldAt  time.Duration          // it last reported its load; 0: never
-	askedAt time.Duration          // it was last asked
-	load    Load                   // what it told then
-	others  float64                // and then held this many requests that are not ours
-	silent  time.Duration          // it has not answered since; 0: it has
-	fails   int                    // failures in a row
-	backAt  time.Duration          // after them: no turns before this
-	apart   map[*compartment]apart // whose requests it turns away
-	warmAt  time.Duration          // cold until then, by the list or by our own guess
-	coldAt  time.Duration          // while cold: nothing more before this
-}
-
-// apart is how far apart a tenant's sends to a server go, as it turns away what comes faster.
-type apart struct{ by, cutAt, nextAt time.Duration }
-
+	inFlight       int                          // this balancer's attempts there
+	inArc          bool                         // turns are taken among the servers of the arc
+	arcShare       float64                      // fraction of it that lies in the arc; 1 outside the arc
+	nextTurn       float64                      // smooth weighted round robin: virtual time of its next turn
+	slowness       float64                      // smoothed latency as a multiple of the usual; failures add to it
+	squareLatency  float64                      // smoothed square of its latency as a fraction of the target
+	reportedAt     time.Duration                // of its last load report; 0: none
+	probedAt       time.Duration                // of the last probe
+	load           Load                         // its last report
+	othersInFlight float64                      // requests of other balancers by that report
+	silentSince    time.Duration                // it has not answered since; 0: it does
+	failures       int                          // in a row
+	ejectedUntil   time.Duration                // after failures: no turns before this
+	spacing        map[*compartment]sendSpacing // of the tenants whose requests it rejected
+	warmAt         time.Duration                // slow start until then, by the list or by our own guess
+	nextPacedSend  time.Duration                // during slow start: nothing is sent before this
+}
+
+// sendSpacing spaces a tenant's sends to a server that rejects a higher rate. widenedAt is when the gap last grew.
+type sendSpacing struct{ gap, widenedAt, nextAt time.Duration }
+
+// attemptState says what is known of an attempt.
 type attemptState int
 
 const (
@@ -45,93 +47,96 @@
 	neverRan
 )
 
+// attempt is one send of a request.
 type attempt struct {
-	to    *server
-	sent  time.Duration
-	state attemptState
-	broke bool // its connection did
+	to             *server
+	sent           time.Duration
+	state          attemptState
+	connectionLost bool
 }
 
+// request is an open request, or a finished one with attempts in flight.
 type request struct {
-	id        RequestID
-	class     *class
-	home      *compartment
-	deadline  time.Duration // the client's
-	useful    time.Duration // an answer after this earns nothing
-	wanted    time.Duration // and one before this earns most
-	attempts  []attempt
-	out       int
-	asks      *server // it waits for this one to report its load
-	asksUntil time.Duration
-	asked     int                         // so many times
-	line      *keyedqueue.Queue[*request] // its key's, where it must go in turn
-	begun     bool                        // its answer streams: it is the client's now
-	over      bool                        // ended; kept until its attempts have ended too
-}
-
-// compartment holds one tenant's slots and queue, walled off from the others'.
+	id            RequestID
+	class         *class
+	compartment   *compartment
+	deadline      time.Duration // the client's
+	usefulUntil   time.Duration // an answer after this has no value
+	targetAt      time.Duration // an answer before this has full value
+	attempts      []attempt
+	inFlight      int
+	probing       *server // whose load report it waits for; nil: none
+	probeDeadline time.Duration
+	probes        int                         // made for it
+	keyQueue      *keyedqueue.Queue[*request] // of its key; nil: its class is not in order
+	streaming     bool                        // the client receives its answer
+	finished      bool                        // answered, or its client has gone
+}
+
+// compartment is the bulkhead of one tenant: its slots and its queue.
 type compartment struct {
-	slots, used, places int
-	share               float64 // of the service, by right
-	queue               []*request
-	gate                admission.Gate // who may try for a slot
+	slots, used, queueSlots int
+	share                   float64 // of the service
+	queue                   []*request
+	gate                    admission.Gate
 }
 
+// class is a Class with what is known of its requests.
 type class struct {
 	Class
-	pace    time.Duration // usual time of an answer
-	longest time.Duration // the time left that first tries come with: the most seen, followed down
+	meanLatency     time.Duration // smoothed
+	longestTimeLeft time.Duration // of first attempts: the longest seen, which decays
 }
 
-// Balancer makes the decisions of one sidecar.
+// Balancer makes the decisions of one sidecar. It is used from one goroutine.
 type Balancer struct {
-	cfg      Config
-	host     Host
-	rng      *rand.Rand
-	classes  []class
-	parts    []compartment
-	requests map[RequestID]*request
-	open     []*request    // in order of arrival; ended ones are swept out by Wake
-	servers  []*server     // in order of their ids
-	slots    int           // of all compartments
-	queued   int           // requests that may wait in all of them; negative: as slots have it
-	whole    float64       // what all shares add up to at least: they are parts of it
-	mean     float64       // what the slots of all balancers hold while traffic is at the quotas
-	quota    float64       // of all tenants together
-	sharers  int           // balancers that what all may do is divided among
-	weight   float64       // of all ready servers
-	full     float64       // the most of it that there was lately
-	fullAt   time.Duration // when
-	short    float64       // how many times as much the rest may hold while some fail
-	out      int
-	turn     float64         // due time of the latest turn
-	arc      []*server       // whom turns are taken among
-	begins   float64         // the arc, on the circle of all servers
-	reach    float64         // the weight in it
-	came     ratemeter.Meter // requests
-	even     float64         // requests a second of a balancer, if all have the same
-	wanted   float64         // servers that it can feed
-	pace     time.Duration   // usual time of an answer, over all classes
-	aim      float64         // mean aim, in seconds
-	worth    float64         // mean worth of the classes
-	wakeAt   time.Duration
-	asking   discoverypace.Pace // when to ask for the list
-	feedFrom int
-	lines    keyedqueue.Queues[*request] // by key
-	budget   admission.RetryBudget       // of further attempts
-	sampled  *server                     // whose reports are compared
-	sampleAt time.Duration               // when it is asked again
-	inquiry  loadquery.Prober            // whether it is asked before sends
-	closeAt  time.Duration               // when connections to draining servers are closed once more; 0: not due
-	wall     bulkhead.Bulkhead           // how much may be out over all compartments
-	count    Counters
-}
-
-// Counters returns what was done so far.
-func (b *Balancer) Counters() Counters { return b.count }
-
-// ran returns the first attempt that may have run or still may, or nil.
-func (r *request) ran() *attempt {
+	cfg             Config
+	host            Host
+	rng             *rand.Rand
+	classes         []class
+	compartments    []compartment
+	requests        map[RequestID]*request
+	openRequests    []*request    // in order of arrival; Wake removes the finished ones
+	servers         []*server     // in order of their ids
+	slots           int           // of all compartments
+	maxQueued       int           // requests that may wait in all of them; negative: derived from the slots
+	minShareSum     float64       // of the tenants' shares: where they add up to less, the rest is unused
+	fleetSlots      float64       // mean attempts in flight of all balancers, with traffic at the quotas
+	quota           float64       // of all tenants together
+	balancers       int           // in the fleet
+	readyWeight     float64       // of all ready servers
+	peakWeight      float64       // the recent maximum of readyWeight
+	peakAt          time.Duration // of that maximum
+	shortageFactor  float64       // of the servers' limits, while some servers fail
+	inFlight        int
+	lastTurn        float64         // virtual time of the last turn
+	arc             []*server       // the servers that turns are taken among
+	arcStart        float64         // on the circle of all servers, from 0 to 1
+	arcWeight       float64         // weight in the arc
+	arrivals        ratemeter.Meter // requests
+	evenRate        float64         // requests a second of a balancer, where all have the same
+	arcLength       float64         // servers in the arc, by weight
+	meanLatency     time.Duration   // smoothed, over all classes
+	meanTarget      float64         // mean latency target of the classes, in seconds
+	meanValue       float64         // mean value of the classes
+	wakeAt          time.Duration
+	discovery       discoverypace.Pace // when to ask for the list
+	nextCompartment int
+	keyQueues       keyedqueue.Queues[*request] // by key
+	budget          admission.RetryBudget       // of attempts after a request's first
+	comparedServer  *server                     // whose reports are compared
+	compareAt       time.Duration               // when it is probed next
+	prober          loadquery.Prober            // decides whether servers are probed
+	closeAt         time.Duration               // when idle connections to draining servers are closed again; 0: not due
+	bulkhead        bulkhead.Bulkhead           // over all compartments
+	counters        Counters
+}
+
+// Counters returns the counts since New.
+func (b *Balancer) Counters() Counters { return b.counters }
+
+// firstMayHaveRun returns the first attempt that may have run or may still run, or nil.
+func (r *request) firstMayHaveRun() *attempt {
 	for i := range r.attempts {
 		if r.attempts[i].state != neverRan {
 			return &r.attempts[i]
@@ -140,22 +145,23 @@
 	return nil
 }
 
-// tried says whether a server has had this request already; with again it counts only where more than its connection broke.
-func (r *request) tried(s *server, again bool) bool {
+// wasSentTo says whether the request was sent to a server before; with again set, attempts whose connection
+// broke don't count.
+func (r *request) wasSentTo(s *server, again bool) bool {
 	for i := range r.attempts {
-		if a := &r.attempts[i]; a.to == s && !(again && a.broke) {
+		if a := &r.attempts[i]; a.to == s && !(again && a.connectionLost) {
 			return true
 		}
 	}
 	return false
 }
 
-// find returns where in the list a server of that name is, or would be.
+// find returns the position of a server in the list, or where it would be inserted.
 func (b *Balancer) find(id ServerID) (int, bool) {
 	return slices.BinarySearchFunc(b.servers, id, func(s *server, id ServerID) int { return cmp.Compare(s.ID, id) })
 }
 
-// server returns the listed server of that name, or nil.
+// server returns a listed server, or nil.
 func (b *Balancer) server(id ServerID) *server {
 	if i, ok := b.find(id); ok {
 		return b.servers[i]
@@ -163,29 +169,29 @@
 	return nil
 }
 
-// fullFor is how long the fullest list counts: what left for good must not keep parts small for ever.
-const fullFor = 30 * time.Second
+// peakWeightTime is how long the peak weight counts: servers that are gone for good must not keep shares small.
+const peakWeightTime = 30 * time.Second
 
-// weigh adds up the weights of the ready servers.
-func (b *Balancer) weigh(now time.Duration) {
-	b.weight = 0
+// updateWeights adds up the weights of the ready servers.
+func (b *Balancer) updateWeights(now time.Duration) {
+	b.readyWeight = 0
 	for _, s := range b.servers {
 		if s.State == Ready {
-			b.weight += s.Weight
+			b.readyWeight += s.Weight
 		}
 	}
-	if b.weight >= b.full || now-b.fullAt > fullFor {
-		b.full, b.fullAt = b.weight, now
+	if b.readyWeight >= b.peakWeight || now-b.peakAt > peakWeightTime {
+		b.peakWeight, b.peakAt = b.readyWeight, now
 	}
-	b.cut(now)
+	b.chooseArc(now)
 }
 
-// part is a server's part of a total by its weight in the fullest list there was.
-func (b *Balancer) part(total float64, s *server) float64 {
-	return total * s.Weight / max(b.full, s.Weight)
+// weightShare is a server's share of a total, by its weight relative to the peak weight.
+func (b *Balancer) weightShare(total float64, s *server) float64 {
+	return total * s.Weight / max(b.peakWeight, s.Weight)
 }
 
-// wake sees to it that Wake comes after d at the latest.
+// wake has Wake called after d at the latest.
 func (b *Balancer) wake(now, d time.Duration) {
 	if b.wakeAt == 0 || now+d < b.wakeAt {
 		b.wakeAt = now + d
@@ -198,50 +204,52 @@
 	return slices.DeleteFunc(slices.Clone(b.servers), func(s *server) bool { return s.State != Ready })
 }
 
-// hold counts an attempt that begins (1) or ends (-1) wherever it counts.
-func (b *Balancer) hold(r *request, s *server, n int) {
-	r.out += n
-	s.out += n
-	r.home.used += n
-	b.out += n
+// countInFlight counts an attempt that begins (1) or ends (-1).
+func (b *Balancer) countInFlight(r *request, s *server, n int) {
+	r.inFlight += n
+	s.inFlight += n
+	r.compartment.used += n
+	b.inFlight += n
 }
 
-// far says that a server is in another zone, where crossing has a price.
-func (b *Balancer) far(s *server) bool { return b.cfg.CrossZonePrice > 0 && s.Zone != b.cfg.Zone }
+// crossesZone says whether a server is in another zone and that has a price.
+func (b *Balancer) crossesZone(s *server) bool {
+	return b.cfg.CrossZonePrice > 0 && s.Zone != b.cfg.Zone
+}
 
-// StreamBegun takes that a request's answer has begun to stream: the client owns it now.
+// StreamBegun handles that a client receives the answer to its request from now on.
 func (b *Balancer) StreamBegun(id RequestID) {
 	if r := b.requests[id]; r != nil {
-		r.begun = true
+		r.streaming = true
 	}
 }
 
-// forget drops a request that is over and has no attempt out; the next in its line may go.
+// forget drops a finished request without attempts in flight; the next one of its key may be sent.
 func (b *Balancer) forget(r *request) {
 	delete(b.requests, r.id)
-	r.line.Remove(r)
+	r.keyQueue.Remove(r)
 }
 
-// listed returns the server of that name, entered where it was not listed yet.
-func (b *Balancer) listed(id ServerID) *server {
+// entryOf returns the server with an id, and adds it to the list where it is new.
+func (b *Balancer) entryOf(id ServerID) *server {
 	i, ok := b.find(id)
 	if !ok {
-		b.servers = slices.Insert(b.servers, i, &server{strain: 1, part: 1})
+		b.servers = slices.Insert(b.servers, i, &server{slowness: 1, arcShare: 1})
 	}
 	return b.servers[i]
 }
 
-// allGone marks all servers as gone.
-func (b *Balancer) allGone() {
+// markAllDeregistered marks all servers as deregistered.
+func (b *Balancer) markAllDeregistered() {
 	for _, s := range b.servers {
 		s.State = Deregistered
 	}
 }
 
-// ClientGone takes that a client quit: nothing more is owed for the request.
+// ClientGone handles that a client has gone: its request needs no answer any more.
 func (b *Balancer) ClientGone(now time.Duration, id RequestID) {
-	if r := b.requests[id]; r != nil && !r.over {
-		b.settle(r)
-		b.feed(now)
+	if r := b.requests[id]; r != nil && !r.finished {
+		b.complete(r)
+		b.dispatchQueued(now)
 	}
 }
