--- a/cmd/caperarch/command_test.go
+++ b/cmd/caperarch/command_test.go
@@ -53,7 +53,7 @@
 			}
 		}
 		var out, log strings.Builder
-		if code := command(c.args, &out, &log); code != c.code || !strings.Contains(out.String(), c.out) || !strings.Contains(log.String(), c.says) {
+		if code := runCommand(c.args, &out, &log); code != c.code || !strings.Contains(out.String(), c.out) || !strings.Contains(log.String(), c.says) {
 			t.Errorf("%v: code %d, %q, %q; want %d, %q, %q", c.args, code, out.String(), log.String(), c.code, c.out, c.says)
 		}
 	}
--- /dev/null
+++ b/cmd/caperarch/control.go
@@ -0,0 +1,46 @@
+package main
+
+import (
+	"fmt"
+	"io"
+	"net"
+	"strings"
+	"time"
+)
+
+// controlTimeout bounds a control call; the daemon answers within a second.
+const controlTimeout = 5 * time.Second
+
+// runControlCall makes a control call, prints the body of its answer and returns the exit code.
+func runControlCall(address, call string, out, log io.Writer) int {
+	text, err := controlCall(address, call)
+	if err != nil {
+		fmt.Fprintf(log, "caperarch: %v\n", err)
+		return 1
+	}
+	fmt.Fprint(out, text)
+	return 0
+}
+
+// controlCall makes a control call and returns the body of its answer, without the status line and EOF.
+// A rejected call is an error.
+func controlCall(address, call string) (string, error) {
+	conn, err := net.DialTimeout("tcp", address, controlTimeout)
+	if err != nil {
+		return "", err
+	}
+	defer conn.Close()
+	_ = conn.SetDeadline(time.Now().Add(controlTimeout))
+	var raw []byte
+	if _, err = io.WriteString(conn, call+"\n"); err == nil {
+		raw, err = io.ReadAll(conn)
+	}
+	text, ok := strings.CutPrefix(string(raw), "200 ok\n")
+	switch {
+	case err != nil:
+		return "", fmt.Errorf("%s: %w", address, err)
+	case !ok:
+		return "", fmt.Errorf("%s says: %s", address, strings.TrimSuffix(strings.TrimPrefix(text, "400 "), "\n"))
+	}
+	return strings.TrimSuffix(text, "EOF\n"), nil
+}
--- a/cmd/caperarch/main.go
+++ b/cmd/caperarch/main.go
@@ -17,21 +17,21 @@
 	"caperarch/internal/proxy/record"
 )
 
-func main() { os.Exit(command(os.Args[1:], os.Stdout, os.Stderr)) }
+func main() { os.Exit(runCommand(os.Args[1:], os.Stdout, os.Stderr)) }
 
 // daemonArgs are the daemon's arguments. Without any it is the single pool of EDGE_CONFIG.
 type daemonArgs struct {
-	pools      string // the operator's file of pools; "": none
-	fleet      string // the operator's file on the fleet; "": sidecars know nothing of each other
-	logFormat  string // plain, text or json
-	record     string // file for what the module is handed and does; "-": standard output; "": none
-	recordMost int64  // MiB of it
+	pools        string // the operator's file of pools; "": none
+	fleet        string // the operator's file on the fleet; "": sidecars know nothing of each other
+	logFormat    string // plain, text or json
+	record       string // file for the decision module's inputs and outputs; "-": standard output; "": none
+	maxRecordMiB int64  // the recording ends at this size
 }
 
-// recordMost bounds a recording in MiB where the operator doesn't say: some 20 minutes of 350 requests a second.
-const recordMost = 256
+// defaultMaxRecordMiB bounds a recording unless -record-most says otherwise: some 20 minutes of 350 requests a second.
+const defaultMaxRecordMiB = 256
 
-// serve is the daemon.
+// serve runs the daemon until it is told to stop. The error has been logged.
 func serve(d *daemonArgs) error {
 	switch d.logFormat {
 	case "text":
@@ -44,7 +44,7 @@
 	debug.SetGCPercent(400)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	reload := make(chan os.Signal, 1) // several that come close together are one
+	reload := make(chan os.Signal, 1) // a reload that waits covers all signals before it
 	signal.Notify(reload, syscall.SIGHUP)
 	cfg, err := config.Read(os.Getenv("EDGE_CONFIG"))
 	if err == nil {
@@ -56,8 +56,9 @@
 	return err
 }
 
+// run runs the daemon with one pool or several, as the arguments say.
 func (d *daemonArgs) run(ctx context.Context, cfg *config.Config, reload <-chan os.Signal) error {
-	var with []daemon.Option
+	var options []daemon.Option
 	if d.record != "" {
 		out := os.Stdout
 		if d.record != "-" {
@@ -67,27 +68,27 @@
 			}
 			defer out.Close()
 		}
-		w := record.NewWriter(out, d.recordMost<<20)
+		w := record.NewWriter(out, d.maxRecordMiB<<20)
 		defer func() {
 			if err := w.Close(); err != nil {
 				slog.Warn("the recording ended before the process", "file", d.record, "error", err)
 			}
 		}()
-		with = append(with, daemon.WithRecording(w))
+		options = append(options, daemon.WithRecording(w))
 	}
 	if d.fleet != "" {
 		file, err := config.ReadFleet(d.fleet)
 		if err != nil {
 			return err
 		}
-		with = append(with, daemon.WithFleet(file))
+		options = append(options, daemon.WithFleet(file))
 	}
 	if d.pools == "" {
-		return daemon.Run(ctx, cfg, reload, with...)
+		return daemon.Run(ctx, cfg, reload, options...)
 	}
 	pools, err := config.ReadPools(d.pools)
 	if err != nil {
 		return err
 	}
-	return daemon.RunPools(ctx, cfg, pools, reload, with...)
+	return daemon.RunPools(ctx, cfg, pools, reload, options...)
 }
--- a/cmd/caperarch/policy.go
+++ b/cmd/caperarch/policy.go
@@ -11,66 +11,88 @@
 
 	"github.com/spf13/cobra"
 
+	"caperarch/internal/daemon/control"
 	"caperarch/internal/fleet"
 	"caperarch/internal/fleet/policyrollout"
 )
 
-// policyCommand is what an operator does with a fleet's policy.
+// policyCommand groups an operator's commands on a fleet's policy.
 func policyCommand(out, log io.Writer) *cobra.Command {
-	c := &cobra.Command{Use: "policy", Short: "Look at a fleet's policy, and change it everywhere or nowhere", Args: cobra.NoArgs, RunE: func(c *cobra.Command, _ []string) error { return c.Help() }}
-	c.AddCommand(
-		&cobra.Command{
-			Use: "check FILE", Short: "Say whether a policy (TOML) can be used, and what can't", Args: cobra.ExactArgs(1),
-			RunE: func(_ *cobra.Command, args []string) error {
-				_, hash, err := readPolicy(args[0], log)
-				if err != nil {
-					return err
-				}
-				fmt.Fprintf(out, "%s: usable: %s\n", args[0], hash)
-				return nil
-			},
+	c := &cobra.Command{
+		Use: "policy", Short: "Look at a fleet's policy, and change it everywhere or nowhere", Args: cobra.NoArgs,
+		RunE: func(c *cobra.Command, _ []string) error { return c.Help() },
+	}
+	c.AddCommand(policyCheckCommand(out, log), policyDiffCommand(out, log), proposeCommand(out, log))
+	for _, call := range []struct {
+		use, short string
+		verb       control.Verb
+	}{
+		{
+			"show ADDRESS",
+			"Print what holds, what is under way and whom that waits for, as the sidecar with this control address knows",
+			control.PolicyShow,
 		},
-		&cobra.Command{
-			Use: "diff OLD NEW", Short: "Print what changes from one policy to another", Args: cobra.ExactArgs(2),
-			RunE: func(_ *cobra.Command, args []string) error {
-				old, _, err := readPolicy(args[0], log)
-				if err != nil {
-					return err
-				}
-				new, _, err := readPolicy(args[1], log)
-				if err != nil {
-					return err
-				}
-				for _, line := range policyrollout.Diff(old, new) {
-					fmt.Fprintln(out, line)
-				}
-				return nil
-			},
+		{"history ADDRESS", "Print the changes that have their outcome", control.PolicyHistory},
+		{"abort ADDRESS", "Call off what is under way", control.PolicyAbort},
+		{
+			"found ADDRESS",
+			"Begin the log on which sidecars agree, or begin it anew where it was lost; the policy is the settings again",
+			control.PolicyFound,
 		},
-		proposeCommand(out, log),
-	)
-	for _, call := range []struct{ use, what, short string }{
-		{"show ADDRESS", "policy-show", "Print what holds, what is under way and whom that waits for, as the sidecar with this control address knows"},
-		{"history ADDRESS", "policy-history", "Print the changes that have their outcome"},
-		{"abort ADDRESS", "policy-abort", "Call off what is under way"},
-		{"found ADDRESS", "policy-found", "Begin the log on which sidecars agree, or begin it anew where it was lost; the policy is the settings again"},
 	} {
 		c.AddCommand(&cobra.Command{
 			Use: call.use, Short: call.short, Args: cobra.ExactArgs(1),
-			RunE: func(_ *cobra.Command, args []string) error { return done(operate(args[0], call.what, out, log)) },
+			RunE: func(_ *cobra.Command, args []string) error {
+				return exitError(runControlCall(args[0], string(call.verb), out, log))
+			},
 		})
 	}
 	return c
 }
 
-// pollEvery is how often a proposal's outcome is asked for.
-const pollEvery = 250 * time.Millisecond
+func policyCheckCommand(out, log io.Writer) *cobra.Command {
+	return &cobra.Command{
+		Use: "check FILE", Short: "Say whether a policy (TOML) can be used, and what can't", Args: cobra.ExactArgs(1),
+		RunE: func(_ *cobra.Command, args []string) error {
+			_, hash, err := readPolicy(args[0], log)
+			if err != nil {
+				return err
+			}
+			fmt.Fprintf(out, "%s: usable: %s\n", args[0], hash)
+			return nil
+		},
+	}
+}
+
+func policyDiffCommand(out, log io.Writer) *cobra.Command {
+	return &cobra.Command{
+		Use: "diff OLD NEW", Short: "Print what changes from one policy to another", Args: cobra.ExactArgs(2),
+		RunE: func(_ *cobra.Command, args []string) error {
+			before, _, err := readPolicy(args[0], log)
+			if err != nil {
+				return err
+			}
+			after, _, err := readPolicy(args[1], log)
+			if err != nil {
+				return err
+			}
+			for _, line := range policyrollout.Diff(before, after) {
+				fmt.Fprintln(out, line)
+			}
+			return nil
+		},
+	}
+}
+
+// pollInterval is the time between two calls while a command waits for an outcome.
+const pollInterval = 250 * time.Millisecond
 
 func proposeCommand(out, log io.Writer) *cobra.Command {
 	var base int64
 	var wait time.Duration
 	c := &cobra.Command{
-		Use: "propose ADDRESS FILE", Short: "Have the fleet change to a policy, by way of the sidecar with this control address", Args: cobra.ExactArgs(2),
+		Use: "propose ADDRESS FILE", Args: cobra.ExactArgs(2),
+		Short: "Have the fleet change to a policy, by way of the sidecar with this control address",
 		RunE: func(_ *cobra.Command, args []string) error {
 			if _, _, err := readPolicy(args[1], log); err != nil {
 				return err
@@ -79,80 +101,91 @@
 			if err == nil {
 				err = propose(args[0], text, base, wait, out)
 			}
-			if err != nil {
-				fmt.Fprintf(log, "caperarch: %v\n", err)
-				return errFailed
-			}
-			return nil
+			return reportError(err, log)
 		},
 	}
-	c.Flags().Int64Var(&base, "base", -1, "the `VERSION` that the policy was made from; left out, the one that holds at that sidecar")
-	c.Flags().DurationVar(&wait, "wait", 0, "wait for the outcome for so `LONG`; it fails where that is not \"taken\"")
+	c.Flags().Int64Var(&base, "base", -1,
+		"the `VERSION` that the policy was made from; left out, the one that holds at that sidecar")
+	c.Flags().DurationVar(&wait, "wait", 0,
+		"wait for the outcome for so `LONG`; it fails where that is not \"taken\"")
 	return c
 }
 
 var (
-	holdsLine = regexp.MustCompile(`(?m)^version (\d+) holds`)
-	proposed  = regexp.MustCompile(`(?m)^version (\d+) proposed, hash (\w+)$`)
+	versionLine  = regexp.MustCompile(`(?m)^version (\d+) holds`)
+	proposedLine = regexp.MustCompile(`(?m)^version (\d+) proposed, hash (\w+)$`)
 )
 
-// propose hands a policy's text over, proposes it, and waits for its outcome.
+// propose uploads a policy, proposes it on top of the base version (below 0: the one in force) and waits for its
+// outcome, for as long as wait says.
 func propose(address string, text []byte, base int64, wait time.Duration, out io.Writer) error {
 	if base < 0 {
-		shown, err := ask(address, "policy-show")
-		if err != nil {
-			return err
-		}
-		holds := holdsLine.FindStringSubmatch(shown)
-		if holds == nil {
-			return fmt.Errorf("%s knows of no version that holds: %s", address, strings.TrimSpace(shown))
-		}
-		if base, err = strconv.ParseInt(holds[1], 10, 64); err != nil {
+		var err error
+		if base, err = versionInForce(address); err != nil {
 			return err
 		}
 	}
 	if err := upload(address, text); err != nil {
 		return err
 	}
-	answer, err := ask(address, fmt.Sprintf("policy-propose %s %d", policyrollout.Hash(text), base))
+	answer, err := controlCall(address, fmt.Sprintf("%s %s %d", control.PolicyPropose, policyrollout.Hash(text), base))
 	if err != nil {
 		return err
 	}
 	fmt.Fprint(out, answer)
-	number := proposed.FindStringSubmatch(answer)
-	if wait == 0 || number == nil {
+	proposed := proposedLine.FindStringSubmatch(answer)
+	if wait == 0 || proposed == nil {
 		return nil
 	}
-	fate := regexp.MustCompile(`(?m)^proposed here: version ` + number[1] + `, hash ` + number[2] + `: (.*)$`)
-	for end := time.Now().Add(wait); time.Now().Before(end); time.Sleep(pollEvery) {
-		shown, err := ask(address, "policy-show")
+	return awaitOutcome(address, proposed[1], proposed[2], wait, out)
+}
+
+// versionInForce asks a sidecar which version of the policy it goes by.
+func versionInForce(address string) (int64, error) {
+	shown, err := controlCall(address, string(control.PolicyShow))
+	if err != nil {
+		return 0, err
+	}
+	version := versionLine.FindStringSubmatch(shown)
+	if version == nil {
+		return 0, fmt.Errorf("%s knows of no version that holds: %s", address, strings.TrimSpace(shown))
+	}
+	return strconv.ParseInt(version[1], 10, 64)
+}
+
+// awaitOutcome polls until a proposed version has its outcome. Any other than "taken" is an error.
+func awaitOutcome(address, version, hash string, wait time.Duration, out io.Writer) error {
+	outcomeLine := regexp.MustCompile(`(?m)^proposed here: version ` + version + `, hash ` + hash + `: (.*)$`)
+	for end := time.Now().Add(wait); time.Now().Before(end); time.Sleep(pollInterval) {
+		shown, err := controlCall(address, string(control.PolicyShow))
 		if err != nil {
 			return err
 		}
-		of := fate.FindStringSubmatch(shown)
-		if of == nil || of[1] == "under way" || of[1] == "not in the log yet" {
+		outcome := outcomeLine.FindStringSubmatch(shown)
+		if outcome == nil || outcome[1] == "under way" || outcome[1] == "not in the log yet" {
 			continue
 		}
-		if of[1] != "taken" {
-			return fmt.Errorf("version %s: %s", number[1], of[1])
+		if outcome[1] != "taken" {
+			return fmt.Errorf("version %s: %s", version, outcome[1])
 		}
-		fmt.Fprintf(out, "version %s: taken\n", number[1])
+		fmt.Fprintf(out, "version %s: taken\n", version)
 		return nil
 	}
-	return fmt.Errorf("version %s has no outcome after %v", number[1], wait)
+	return fmt.Errorf("version %s has no outcome after %v", version, wait)
 }
 
-// upload hands a text over in pieces.
+// upload sends a text in chunks, as a control call is bounded in length.
 func upload(address string, text []byte) error {
 	for i := range fleet.UploadCount(text) {
-		if _, err := ask(address, "policy-text "+strings.Join(fleet.UploadPiece(text, i), " ")); err != nil {
+		call := string(control.PolicyText) + " " + strings.Join(fleet.UploadPiece(text, i), " ")
+		if _, err := controlCall(address, call); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// readPolicy reads a policy's file; what is wrong with it has been told where it returns an error.
+// readPolicy reads a policy file. Where it returns an error, that has been printed.
 func readPolicy(path string, log io.Writer) (p *policyrollout.Policy, hash string, err error) {
 	text, err := os.ReadFile(path)
 	if err == nil {
--- a/cmd/caperarch/work_test.go
+++ b/cmd/caperarch/work_test.go
@@ -126,13 +126,13 @@
 			t.Fatal(err)
 		}
 		var out, log bytes.Buffer
-		code := command([]string{"work", "check", file}, &out, &log)
+		code := runCommand([]string{"work", "check", file}, &out, &log)
 		if says == "" && (code != 0 || !strings.Contains(out.String(), "usable")) || says != "" && (code != 1 || !strings.Contains(log.String(), says)) {
 			t.Errorf("%q: %d %s %s, want %q", text, code, out.String(), log.String(), says)
 		}
 	}
 	var out, log bytes.Buffer
-	if code := command([]string{"work", "done", "127.0.0.1:1", "x"}, &out, &log); code != 1 || !strings.Contains(log.String(), "no number") {
+	if code := runCommand([]string{"work", "done", "127.0.0.1:1", "x"}, &out, &log); code != 1 || !strings.Contains(log.String(), "no number") {
 		t.Errorf("done x: %d %s", code, log.String())
 	}
 }
