--- a/cmd/measure/mutants.go
+++ b/cmd/measure/mutants.go
@@ -131,12 +131,12 @@
 
 // raftLogMutants are faults in the agreed log.
 var raftLogMutants = []mutant{
-	{"raftlog.go", "if m.GetTo() != n.id {\n\t\treturn", "if false {\n\t\treturn", "who restarts answers for the process before it"},
-	{"raftlog.go", "b[i], b[8+i] = byte(s.Incarnation>>(8*i)), byte(s.Number>>(8*i))", "b[8+i] = byte(s.Number>>(8*i))", "a vote is a number's, not a process's"},
-	{"raftlog.go", "case m.Epoch < n.epoch:\n\t\tn.send(from, &Message{}) // it shall hear that there is a newer one\n\t\treturn", "case m.Epoch < n.epoch:", "an older epoch's log goes on in the new one"},
+	{"receive.go", "if m.GetTo() != n.id {\n\t\treturn", "if false {\n\t\treturn", "who restarts answers for the process before it"},
+	{"voters.go", "b[i], b[8+i] = byte(s.Incarnation>>(8*i)), byte(s.Number>>(8*i))", "b[8+i] = byte(s.Number>>(8*i))", "a vote is a number's, not a process's"},
+	{"receive.go", "case m.Epoch < n.epoch:\n\t\tn.send(from, &Message{}) // tells it of the newer epoch\n\t\treturn", "case m.Epoch < n.epoch:", "an older epoch's log goes on in the new one"},
 	{"log.go", "if e.Index != n.LastIndex()+1 {\n\t\tif", "if e.Index > n.LastIndex()+1 {\n\t\tif", "an entry is added twice"},
-	{"raftlog.go", " && !n.loggedTokens[m.ProposalToken] {", " {", "what stands in the log is added again"},
-	{"raftlog.go", "return ok && e.GetType() == raftpb.EntryType_EntryNormal && n.loggedTokens[token]", "return false && ok && n.loggedTokens[token]", "what another voter proposes again is added again"},
+	{"receive.go", " && !n.loggedTokens[m.ProposalToken] {", " {", "what stands in the log is added again"},
+	{"receive.go", "return ok && e.GetType() == raftpb.EntryType_EntryNormal && n.loggedTokens[token]", "return false && ok && n.loggedTokens[token]", "what another voter proposes again is added again"},
 	{"confirm.go", "if term := n.Term(); term != n.confirmTerm {", "if term := n.Term(); false {", "an earlier term's confirmation counts"},
 }
 
--- a/internal/fleet/raftlog/confirm.go
+++ b/internal/fleet/raftlog/confirm.go
@@ -7,13 +7,14 @@
 	"go.etcd.io/raft/v3"
 )
 
-// Leader is the number of the leader, as far as is known; -1: none is.
+// Leader returns the leader's number; -1: none is known.
 func (n *Node) Leader() int {
 	lead, _ := n.leader()
 	return lead
 }
 
-// leader is the leader of the latest term that is known of, and that term. A process that was a voter once may know of an old one by itself.
+// leader returns the number and term of the leader of the latest known term. A process that was a
+// voter earlier may know an old leader from raft.
 func (n *Node) leader() (number int, term uint64) {
 	if n.raft != nil {
 		if s := n.raft.BasicStatus(); s.Lead != raft.None && s.GetTerm() >= n.reportedTerm {
@@ -28,7 +29,7 @@
 	return n.reportedLeader - 1, n.reportedTerm
 }
 
-// Term is that of the voters; it grows with each leader. 0: this is no voter.
+// Term returns the voters' current term; 0: this process is no voter.
 func (n *Node) Term() uint64 {
 	if n.raft == nil {
 		return 0
@@ -36,16 +37,17 @@
 	return n.raft.BasicStatus().GetTerm()
 }
 
-// LastQuorumAck is the newest moment of which a majority of the voters has confirmed that this process led then, and how many entries were agreed on by then: whoever leads another term was elected behind
-// that moment. 0: none.
+// LastQuorumAck returns when a majority of the voters last confirmed this process as the leader,
+// and the index that was committed then: a leader of another term was elected after that moment. 0:
+// never.
 func (n *Node) LastQuorumAck() (at time.Duration, index uint64) {
-	if !n.IsLeader() || n.confirmTerm != n.Term() { // an earlier term's word says nothing of what was agreed on since
+	if !n.IsLeader() || n.confirmTerm != n.Term() { // an earlier term's index may be outdated
 		return 0, 0
 	}
 	return n.lastQuorumAck, n.quorumAckIndex
 }
 
-// requestQuorumAck asks a majority whether this one still leads.
+// requestQuorumAck asks a majority to confirm that this process still leads (ReadIndex).
 func (n *Node) requestQuorumAck(now time.Duration) {
 	if now < n.nextConfirm {
 		return
@@ -56,14 +58,14 @@
 		clear(n.pendingConfirms)
 	}
 	if len(n.pendingConfirms) >= maxPendingConfirms {
-		clear(n.pendingConfirms) // they were lost
+		clear(n.pendingConfirms) // lost on the way
 	}
 	n.confirmSeq++
 	n.pendingConfirms[n.confirmSeq] = now
 	n.raft.ReadIndex(binary.BigEndian.AppendUint64(nil, n.confirmSeq))
 }
 
-// recordQuorumAck takes a majority's word.
+// recordQuorumAck records the confirmation of a majority.
 func (n *Node) recordQuorumAck(s raft.ReadState) {
 	if len(s.RequestCtx) != 8 {
 		return
--- /dev/null
+++ b/internal/fleet/raftlog/epoch.go
@@ -0,0 +1,120 @@
+package raftlog
+
+import (
+	"errors"
+	"fmt"
+	"math"
+	"time"
+
+	"go.etcd.io/raft/v3"
+)
+
+// Bootstrap starts a log under a higher epoch with this process as its first voter; UpdateVoters
+// adds others. Only an operator starts it: an older log ends with it. It returns ErrLogExists while
+// a leader of the current log is heard of.
+func (n *Node) Bootstrap(now time.Duration, epoch uint64) error {
+	switch {
+	case n.lastLeaderAck > 0 && now-n.lastLeaderAck < 2*(electionHeartbeats+electionJitter)*n.heartbeat:
+		return ErrLogExists
+	case epoch <= n.epoch:
+		return fmt.Errorf("agree: epoch %d is not above %d", epoch, n.epoch)
+	}
+	n.startEpoch(now, epoch)
+	if err := n.startVoting(now); err != nil {
+		return err
+	}
+	if err := n.raft.Bootstrap([]raft.Peer{{ID: n.id, Context: encodeVoters(n.Self)}}); err != nil {
+		return err
+	}
+	if n.processReady(now); n.storageError != nil {
+		return n.storageError
+	}
+	if err := n.raft.Campaign(); err != nil {
+		return err
+	}
+	n.processReady(now)
+	return n.storageError
+}
+
+// Restore makes a new node continue with the state that an earlier process of its voter saved.
+func (n *Node) Restore(now time.Duration, s *SavedState) error {
+	if s.Epoch == 0 {
+		return nil
+	}
+	n.resetLog(now, s.Epoch)
+	if s.HardState == nil {
+		return nil
+	}
+	n.raftStorage = raft.NewMemoryStorage()
+	if err := errors.Join(n.raftStorage.Append(s.Entries), n.raftStorage.SetHardState(s.HardState)); err != nil {
+		return err
+	}
+	if err := n.startVoting(now); err != nil {
+		return err
+	}
+	n.processReady(now)
+	return nil
+}
+
+// StorageError returns why this process, which was a voter, votes no more; nil if nothing failed.
+func (n *Node) StorageError() error { return n.storageError }
+
+// disableVoting stops this process from voting: it must not send what it could not persist.
+func (n *Node) disableVoting(err error) { n.storageError, n.raft, n.raftStorage = err, nil, nil }
+
+// startEpoch abandons the log for that of another epoch, here and in Storage.
+func (n *Node) startEpoch(now time.Duration, epoch uint64) {
+	n.resetLog(now, epoch)
+	if n.Storage != nil && n.storageError == nil {
+		if err := n.Storage.Begin(epoch); err != nil {
+			n.disableVoting(err)
+		}
+	}
+}
+
+// resetLog forgets everything about the current log.
+func (n *Node) resetLog(now time.Duration, epoch uint64) {
+	n.epoch, n.log, n.raft, n.raftStorage = epoch, nil, nil, nil
+	n.voters, n.senders = make(map[uint64]Voter), make(map[uint64]int)
+	n.pending, n.lastLeaderAck, n.highestIndex, n.reportedLeader, n.reportedTerm = nil, 0, 0, 0, 0
+	n.pendingConfirms, n.lastQuorumAck, n.quorumAckIndex = make(map[uint64]time.Duration), 0, 0
+	n.loggedTokens, n.buffered = make(map[uint64]bool), make(map[uint64]Entry)
+	n.nextPoll = now
+	n.Host.Reset(epoch)
+}
+
+// startVoting creates the raft instance: from here on this process can vote.
+func (n *Node) startVoting(now time.Duration) error {
+	if n.storageError != nil {
+		return n.storageError
+	}
+	if n.raftStorage == nil {
+		n.raftStorage = raft.NewMemoryStorage()
+	}
+	var err error
+	n.raft, err = raft.NewRawNode(&raft.Config{
+		ID: n.id,
+		// Elections are timed by this package with the given random source: raft's own is the
+		// system's.
+		ElectionTick:             1 << 30,
+		HeartbeatTick:            heartbeatTicks,
+		Storage:                  n.raftStorage,
+		MaxSizePerMsg:            0,
+		MaxCommittedSizePerReady: math.MaxUint64,
+		MaxInflightMsgs:          8,
+		PreVote:                  true,
+		// A removed leader can commit nothing, and while it is heard of nobody starts an election
+		// (policyplans, seed 60).
+		StepDownOnRemoval: true,
+		Logger:            discardLogger{},
+	})
+	n.resetElectionTimeout(now)
+	return err
+}
+
+// resetElectionTimeout restarts the election timeout, as a leader was heard of.
+func (n *Node) resetElectionTimeout(now time.Duration) {
+	n.electionDeadline = now + electionHeartbeats*n.heartbeat + time.Duration(
+		n.Rand.Int64N(int64(electionJitter*n.heartbeat)),
+	)
+}
--- a/internal/fleet/raftlog/raftlog_test.go
+++ b/internal/fleet/raftlog/raftlog_test.go
@@ -68,7 +68,10 @@
 		if !n.Until(20*time.Second, func() bool { return heard == size }) {
 			t.Fatalf("%d of %d have it", heard, size)
 		}
-		t.Logf("%d sidecars: known to all after %v, %d messages in all, the longest of some %d bytes", size, n.Now-begun, n.Sent, n.Longest)
+		t.Logf(
+			"%d sidecars: known to all after %v, %d messages in all, the longest of some %d bytes",
+			size, n.Now-begun, n.Sent, n.Longest,
+		)
 		if n.Longest > 215 { // of 256, less what stands round it
 			t.Errorf("a message of %d bytes", n.Longest)
 		}
@@ -78,7 +81,8 @@
 // operation is a sidecar's compare and set: a new value where the last one is as it says.
 type operation struct{ base, value int }
 
-// register is what the log makes of them: of entries in their order, those whose base is the last one's value hold.
+// register is what the log makes of them: of entries in their order, those whose base is the last
+// one's value hold.
 var register = porcupine.Model{
 	Init: func() any { return 0 },
 	Step: func(state, in, out any) (bool, any) {
@@ -91,7 +95,8 @@
 	Equal: func(a, b any) bool { return a == b },
 }
 
-// history has a fleet of five to nine live through faults while its sidecars set a register, each by what it has itself; the whole is checked by porcupine.
+// history has a fleet of five to nine live through faults while its sidecars set a register, each
+// by what it has itself; the whole is checked by porcupine.
 func history(t *testing.T, seed uint64) (broken []string, sum sums) {
 	size := 5 + int(seed%5)
 	n := raftlogsim.New(size, seed)
@@ -120,9 +125,11 @@
 	for i, m := range n.Nodes {
 		m.Heard = watch(i, nil, nil)
 	}
-	// Faults: at most a minority of the voters is lost within the time that it takes to replace them, else the log is lost by its own promise.
+	// Faults: at most a minority of the voters is lost within the time that it takes to replace
+	// them, else the log is lost by its own promise.
 	for range 1 + rng.IntN(5) {
-		at, length := time.Duration(rng.Int64N(int64(20*time.Second))), time.Duration(rng.Int64N(int64(8*time.Second)))
+		at := time.Duration(rng.Int64N(int64(20 * time.Second)))
+		length := time.Duration(rng.Int64N(int64(8 * time.Second)))
 		who := rng.Perm(size)
 		switch rng.IntN(4) {
 		case 0:
@@ -166,7 +173,10 @@
 				return
 			}
 			at := len(ops)
-			ops = append(ops, porcupine.Operation{ClientId: k, Input: op, Call: int64(n.Now), Output: true, Return: -1})
+			ops = append(
+				ops,
+				porcupine.Operation{ClientId: k, Input: op, Call: int64(n.Now), Output: true, Return: -1},
+			)
 			m.Heard = watch(i, &op, func(held bool) { ops[at].Output, ops[at].Return = held, int64(n.Now) })
 		})
 	}
@@ -177,7 +187,10 @@
 	if !settled && !lost {
 		text := ""
 		for i, m := range n.Nodes {
-			text += fmt.Sprintf(" n%d lives %v has %d of epoch %d, leads %v, votes %v, seats %v;", i, m.Lives(), m.LastIndex(), m.Epoch(), m.IsLeader(), m.IsVoter(), m.Voters())
+			text += fmt.Sprintf(
+				" n%d lives %v has %d of epoch %d, leads %v, votes %v, seats %v;", i, m.Lives(),
+				m.LastIndex(), m.Epoch(), m.IsLeader(), m.IsVoter(), m.Voters(),
+			)
 		}
 		broken = append(broken, "30 s after all is well logs or voters differ:"+text)
 	}
@@ -187,7 +200,8 @@
 			known = append(known, op)
 		}
 	}
-	// What has not come back may hold at any time, or never: both are tried with porcupine's partial histories by leaving it open to the end.
+	// What has not come back may hold at any time, or never: both are tried with porcupine's
+	// partial histories by leaving it open to the end.
 	for _, op := range ops {
 		if op.Return < 0 && taken(n, op.Input.(operation)) {
 			op.Return, op.Output = int64(n.Now)+1, true
@@ -299,7 +313,8 @@
 	}
 }
 
-// A majority of the voters is lost at once: nothing can be agreed on any more, and a new beginning is refused while the log answers, taken when it does not, and yielded to by those of the old one.
+// A majority of the voters is lost at once: nothing can be agreed on any more, and a new beginning
+// is refused while the log answers, taken when it does not, and yielded to by those of the old one.
 func TestNewBeginning(t *testing.T) {
 	n := founded(t, 5, 3)
 	if err := n.Nodes[1].Bootstrap(n.Now, 2); err == nil && !n.Nodes[1].IsVoter() {
@@ -340,13 +355,20 @@
 		t.Errorf("%q, %v", all, n.Broken)
 	}
 	have := n.Nodes[2].LastIndex()
-	n.Nodes[2].Receive(n.Now, 1, &raftlog.Message{Epoch: 1, LastIndex: 100, Entries: []raftlog.Entry{{Index: have + 1, Data: []byte("12345678old")}}})
+	n.Nodes[2].Receive(
+		n.Now, 1,
+		&raftlog.Message{
+			Epoch: 1, LastIndex: 100,
+			Entries: []raftlog.Entry{{Index: have + 1, Data: []byte("12345678old")}},
+		},
+	)
 	if n.Nodes[2].LastIndex() != have {
 		t.Error("an entry of the old log is in the new one")
 	}
 }
 
-// With disks that last the log outlives a stop of all at once; a voter whose disk fails votes no more, and says why.
+// With disks that last the log outlives a stop of all at once; a voter whose disk fails votes no
+// more, and says why.
 func TestDisks(t *testing.T) {
 	n := raftlogsim.New(5, 4)
 	n.NewDisks()
@@ -380,9 +402,13 @@
 	}
 	n.Run(20 * time.Second)
 	if n.Nodes[lame].StorageError() == nil || n.Nodes[lame].IsVoter() || n.Leader() == lame {
-		t.Errorf("with a full disk: %v, votes %v, leader %d of %d", n.Nodes[lame].StorageError(), n.Nodes[lame].IsVoter(), n.Leader(), lame)
+		t.Errorf(
+			"with a full disk: %v, votes %v, leader %d of %d", n.Nodes[lame].StorageError(),
+			n.Nodes[lame].IsVoter(), n.Leader(), lame,
+		)
 	}
-	if all := n.Agreed(1); all[len(all)-1] != "beyond" || n.Nodes[lame].LastIndex() != n.Nodes[n.Leader()].LastIndex() {
+	if all := n.Agreed(1); all[len(all)-1] != "beyond" ||
+		n.Nodes[lame].LastIndex() != n.Nodes[n.Leader()].LastIndex() {
 		t.Errorf("the log: %q, %d entries at the one that votes no more", all, n.Nodes[lame].LastIndex())
 	}
 	if err := n.Nodes[lame].Bootstrap(n.Now, 9); err == nil {
@@ -390,7 +416,8 @@
 	}
 }
 
-// A leader that the log takes its seat from stands down: it can add nothing any more, and as long as it is heard nobody else stands for election.
+// A leader that the log takes its seat from stands down: it can add nothing any more, and as long
+// as it is heard nobody else stands for election.
 func TestLeaderWithoutSeat(t *testing.T) {
 	tried := 0
 	for s := range uint64(40) {
@@ -398,7 +425,8 @@
 		n.Run(3 * time.Second)
 		first := n.Leader()
 		next := (first + 1 + int(s)%4) % 5
-		n.Cut = func(_, to int) bool { return to == first } // what it sends arrives, what it is answered does not
+		// what it sends arrives, what it is answered does not
+		n.Cut = func(_, to int) bool { return to == first }
 		n.Nodes[first].UpdateVoters(n.Now, func(seat raftlog.Voter) bool { return seat.Number == next }, nil)
 		n.Run(50 * time.Millisecond)
 		n.Crash(first)
--- /dev/null
+++ b/internal/fleet/raftlog/voters.go
@@ -0,0 +1,160 @@
+package raftlog
+
+import (
+	"encoding/binary"
+	"maps"
+	"slices"
+	"time"
+
+	"github.com/cespare/xxhash/v2"
+	"go.etcd.io/raft/v3"
+	"go.etcd.io/raft/v3/raftpb"
+	"google.golang.org/protobuf/proto"
+)
+
+// Voter identifies a process that may vote.
+type Voter struct {
+	Number      int
+	Incarnation uint64
+}
+
+// ID returns the voter's id in raft. It is never 0.
+func (s Voter) ID() uint64 {
+	var b [16]byte
+	for i := range 8 {
+		b[i], b[8+i] = byte(s.Incarnation>>(8*i)), byte(s.Number>>(8*i))
+	}
+	return xxhash.Sum64(b[:]) | 1
+}
+
+// IsVoter reports whether this process votes.
+func (n *Node) IsVoter() bool {
+	_, votes := n.voters[n.id]
+	return votes && n.raft != nil
+}
+
+// IsLeader reports whether this process is the leader, as far as it knows.
+func (n *Node) IsLeader() bool {
+	return n.raft != nil && n.raft.BasicStatus().RaftState == raft.StateLeader
+}
+
+// Voters returns the log's voters, ordered by number.
+func (n *Node) Voters() []Voter {
+	return slices.SortedFunc(maps.Values(n.voters), func(a, b Voter) int { return a.Number - b.Number })
+}
+
+// voterChangeInterval is the least time between two changes of the voters.
+const voterChangeInterval = time.Second
+
+// maxVotersAdded bounds how many voters one change adds.
+const maxVotersAdded = 2
+
+// UpdateVoters has the leader replace voters that are lost for good and fill up their number; on
+// other nodes it does nothing. lost reports whether a voter's process can't take part any more;
+// candidates are the processes that can, the preferred one first.
+func (n *Node) UpdateVoters(now time.Duration, lost func(Voter) bool, candidates []Voter) {
+	if !n.IsLeader() || now < n.nextVoterChange {
+		return
+	}
+	change := &raftpb.ConfChangeV2{}
+	var added []Voter
+	kept := 0
+	for _, s := range n.Voters() {
+		if lost(s) && s != n.Self {
+			change.Changes = append(change.Changes, newVoterChange(raftpb.ConfChangeType_ConfChangeRemoveNode, s))
+		} else {
+			kept++
+		}
+	}
+	for _, s := range candidates {
+		if kept+len(added) >= n.VoterCount || len(added) >= maxVotersAdded {
+			break
+		}
+		_, votes := n.voters[s.ID()]
+		sameNumber := func(o Voter) bool { return o.Number == s.Number && !lost(o) }
+		if !votes && !slices.ContainsFunc(n.Voters(), sameNumber) {
+			change.Changes = append(change.Changes, newVoterChange(raftpb.ConfChangeType_ConfChangeAddNode, s))
+			added = append(added, s)
+		}
+	}
+	if len(change.Changes) == 0 {
+		return
+	}
+	// A voter is removed without a replacement only if there is no candidate.
+	change.Context = encodeVoters(added...)
+	// One change at a time: raft rejects a second one by appending an empty entry. Requested with
+	// each event, a change that could not commit grew the log by a thousand entries a second
+	// (accordnet, seed 3).
+	n.nextVoterChange = now + voterChangeInterval
+	_ = n.raft.ProposeConfChange(change)
+	n.processReady(now)
+}
+
+func newVoterChange(kind raftpb.ConfChangeType, s Voter) *raftpb.ConfChangeSingle {
+	return &raftpb.ConfChangeSingle{Type: &kind, NodeId: proto.Uint64(s.ID())}
+}
+
+// parseVoterChange returns the change of voters that a raft entry holds, in either of raft's
+// encodings; nil if it can't be decoded. isChange reports whether the entry is one at all.
+func parseVoterChange(e *raftpb.Entry) (c *raftpb.ConfChangeV2, isChange bool) {
+	switch e.GetType() {
+	case raftpb.EntryType_EntryConfChange:
+		if old := new(raftpb.ConfChange); proto.Unmarshal(e.GetData(), old) == nil {
+			c = old.AsV2()
+		}
+	case raftpb.EntryType_EntryConfChangeV2:
+		if v := new(raftpb.ConfChangeV2); proto.Unmarshal(e.GetData(), v) == nil {
+			c = v
+		}
+	default:
+		return nil, false
+	}
+	return c, true
+}
+
+// applyVoterChange applies a committed change of the voters.
+func (n *Node) applyVoterChange(text []byte) {
+	c := new(raftpb.ConfChangeV2)
+	if proto.Unmarshal(text, c) != nil {
+		return
+	}
+	joined := decodeVoters(c.GetContext())
+	for _, s := range c.GetChanges() {
+		switch s.GetType() {
+		case raftpb.ConfChangeType_ConfChangeAddNode:
+			for _, j := range joined {
+				if j.ID() == s.GetNodeId() {
+					n.voters[j.ID()] = j
+				}
+			}
+		case raftpb.ConfChangeType_ConfChangeRemoveNode:
+			delete(n.voters, s.GetNodeId())
+		}
+	}
+}
+
+// encodeVoters encodes the processes of the voters that a change adds.
+func encodeVoters(all ...Voter) (raw []byte) {
+	for _, s := range all {
+		raw = binary.BigEndian.AppendUint32(raw, uint32(s.Number))
+		raw = binary.BigEndian.AppendUint64(raw, s.Incarnation)
+	}
+	return raw
+}
+
+// decodeVoters is the inverse of encodeVoters.
+func decodeVoters(raw []byte) (all []Voter) {
+	for ; len(raw) >= 12; raw = raw[12:] {
+		all = append(all, Voter{int(binary.BigEndian.Uint32(raw)), binary.BigEndian.Uint64(raw[4:])})
+	}
+	return all
+}
+
+// voterNumber returns the sidecar's number of a raft id.
+func (n *Node) voterNumber(id uint64) (int, bool) {
+	if s, votes := n.voters[id]; votes {
+		return s.Number, true
+	}
+	i, known := n.senders[id]
+	return i, known
+}
--- a/internal/fleet/raftlog/wire.go
+++ b/internal/fleet/raftlog/wire.go
@@ -12,10 +12,13 @@
 
 var errMalformed = errors.New("agree: a message that can't be read")
 
-// Encode is a message as it goes from one sidecar to another.
+// Encode returns the message in its wire format (agreepb).
 func (m *Message) Encode() ([]byte, error) {
-	p := &agreepb.Message{Epoch: m.Epoch, Have: m.LastIndex, Lead: uint32(m.LeaderNumber), LeadTerm: m.LeaderTerm, Ask: m.WantEntries, News: m.Gossip, Propose: m.Proposal, Token: m.ProposalToken}
-	if m.LeaderAge > 0 { // rounded up: it must not seem younger than it is
+	p := &agreepb.Message{
+		Epoch: m.Epoch, Have: m.LastIndex, Lead: uint32(m.LeaderNumber), LeadTerm: m.LeaderTerm,
+		Ask: m.WantEntries, News: m.Gossip, Propose: m.Proposal, Token: m.ProposalToken,
+	}
+	if m.LeaderAge > 0 { // rounded up: it must not seem more recent than it is
 		p.Age = uint64((m.LeaderAge + time.Millisecond - 1) / time.Millisecond)
 	}
 	for _, e := range m.Entries {
@@ -34,14 +37,22 @@
 	return proto.Marshal(p)
 }
 
-// Decode reads such a message.
+// Decode parses a message in its wire format.
 func Decode(raw []byte) (*Message, error) {
 	p := new(agreepb.Message)
 	if proto.Unmarshal(raw, p) != nil || p.Epoch == 0 || p.Age > maxLeaderAgeMillis || p.Lead > maxFleetSize {
 		return nil, errMalformed
 	}
 	m := &Message{
-		Epoch: p.Epoch, LastIndex: p.Have, LeaderAge: time.Duration(p.Age) * time.Millisecond, LeaderNumber: int(p.Lead), LeaderTerm: p.LeadTerm, WantEntries: p.Ask, Gossip: p.News, Proposal: p.Propose, ProposalToken: p.Token,
+		Epoch:         p.Epoch,
+		LastIndex:     p.Have,
+		LeaderAge:     time.Duration(p.Age) * time.Millisecond,
+		LeaderNumber:  int(p.Lead),
+		LeaderTerm:    p.LeadTerm,
+		WantEntries:   p.Ask,
+		Gossip:        p.News,
+		Proposal:      p.Propose,
+		ProposalToken: p.Token,
 	}
 	for _, x := range p.Entry {
 		e := Entry{Index: x.Index, Data: x.Data}
@@ -60,6 +71,6 @@
 }
 
 const (
-	maxLeaderAgeMillis = 1 << 40 // ms: more is none
+	maxLeaderAgeMillis = 1 << 40 // more is invalid
 	maxFleetSize       = 1 << 16
 )
