--- a/internal/fleet/swim/budget_test.go
+++ b/internal/fleet/swim/budget_test.go
@@ -9,11 +9,14 @@
 	"caperarch/internal/lab/swimsim"
 )
 
-// A hundred that start together, each with two KiB a second, come into contact and stay there; where up to a fifth of the datagrams is lost nobody who lives is counted as gone,
-// and at three in ten few are, for a moment (some 700 sights of it where refutations stand behind accusations).
+// A hundred that start together, each with two KiB a second, come into contact and stay there;
+// where up to a fifth of the datagrams is lost nobody who lives is counted as gone, and at three in
+// ten few are, for a moment (some 700 sights of it where refutations stand behind accusations).
 func TestHundredWithinTheirBudget(t *testing.T) {
 	for _, loss := range []float64{0, 0.1, 0.2, 0.3} {
-		n := swimsim.New(swimsim.Config{Size: 100, Seed: 1, Loss: loss, Bytes: peer.Size, Spend: swim.DefaultBytesPerSecond})
+		n := swimsim.New(
+			swimsim.Config{Size: 100, Seed: 1, Loss: loss, Bytes: peer.Size, Spend: swim.DefaultBytesPerSecond},
+		)
 		n.Run(30 * time.Second)
 		gone, lapsed := 0, 0
 		n.Seen = func(node int, c swim.Change) {
--- a/internal/fleet/swim/contact.go
+++ b/internal/fleet/swim/contact.go
@@ -3,46 +3,51 @@
 import (
 	"slices"
 	"time"
-
-	"github.com/cespare/xxhash/v2"
 )
 
-// InContact says whether this node is in contact now. It is to be asked where something depends on it, at that moment: a
-// process that stood still finds its lease over at its first question.
+// InContact reports whether this node is in contact. Ask it where something depends on it, at that
+// moment: a process that was stopped finds its lease expired at its first call.
 func (n *Node) InContact(now time.Duration) bool {
 	n.refreshContact(now)
 	return n.inContact
 }
 
-// ContactUntil is when the lease is over if no further answer comes; false: it is over.
+// ContactUntil returns when the lease expires if no further ack arrives; false: it has expired.
 func (n *Node) ContactUntil(now time.Duration) (time.Duration, bool) {
 	n.refreshContact(now)
 	return n.computeLeaseEnd(), n.inContact
 }
 
-// refreshContact brings in and the session up to date. It comes before anything else that a message or a tick brings: an answer that
-// arrives behind the end of the lease must not be counted as if it had come before it.
+// refreshContact brings inContact and the session up to date. It comes before everything else that
+// a message or a tick brings: an ack that arrives after the lease has expired must not be counted
+// as if it had come before.
 func (n *Node) refreshContact(now time.Duration) {
 	if n.left || !n.started {
 		return
 	}
 	if now >= n.leaseEnd && n.leaseStale {
-		n.leaseEnd, n.leaseStale = n.computeLeaseEnd(), false // answers only push it on, so it is reckoned anew when it would matter
+		// acks only extend the lease: computed once it would expire
+		n.leaseEnd, n.leaseStale = n.computeLeaseEnd(), false
 	}
 	switch in := now < n.leaseEnd; {
 	case in == n.inContact:
-		// A session that never was in contact must not outlive a lease either: by then others may have counted it out,
-		// crashed, and forgotten that (seed 12160).
+		// A session that never was in contact must not outlive a lease either: by then others may
+		// have considered it over, crashed, and forgotten that (seed 12160).
 		if !in && now >= n.sequenceStart+n.Lease {
 			n.advanceSequence(now, n.session.Sequence+1, startRetransmits)
 		}
 	case in:
 		n.inContact, n.contactSince = true, now
-		n.changed(Change{At: now, Member: n.Self, Session: n.session, State: Alive, Was: Alive, Accuser: -1, Contact: true, Why: "a majority answers"})
+		n.changed(
+			Change{
+				At: now, Member: n.Self, Session: n.session, State: Alive, Was: Alive, Accuser: -1,
+				Contact: true, Why: "a majority answers",
+			},
+		)
 	default:
 		n.Stats.Lapses++
 		n.endContact(now, "no majority answered within the lease")
-		n.startSession(now, n.session.Sequence+1) // what others count out stays so: this session never comes back
+		n.startSession(now, n.session.Sequence+1) // what others consider over never comes back
 	}
 }
 
@@ -50,12 +55,15 @@
 func (n *Node) endContact(now time.Duration, why string) {
 	if was := n.inContact; was {
 		n.inContact, n.contactSince = false, now
-		n.changed(Change{At: now, Member: n.Self, Session: n.session, State: Alive, Was: Alive, Accuser: -1, Why: why})
+		n.changed(
+			Change{At: now, Member: n.Self, Session: n.session, State: Alive, Was: Alive, Accuser: -1, Why: why},
+		)
 	}
 	n.leaseEnd, n.leaseAcks = 0, 0
 }
 
-// advanceSequence has this one go on under the next number. Answers to the last one count on: it was not in contact, or nobody counted it as gone.
+// advanceSequence goes on under the next sequence number. Acks to the last one still count: it was
+// not in contact, or nobody counted it as dead.
 func (n *Node) advanceSequence(now time.Duration, turn uint32, times int) {
 	n.session.Sequence, n.sequenceStart = turn, now
 	own := &n.members[n.Self]
@@ -63,19 +71,19 @@
 	n.queueRumour(Rumour{Member: n.Self, Session: n.session, State: Alive, Accuser: n.Self}, times)
 }
 
-// startSession begins a new session behind one that was in contact, or that others count as gone.
+// startSession begins a new session after one that was in contact, or that others count as dead.
 func (n *Node) startSession(now time.Duration, turn uint32) {
-	// Nothing that was answered to the session before counts for this one.
+	// Acks to the session before don't count for this one.
 	n.leaseEnd, n.leaseAcks = 0, 0
 	for i := range n.members {
 		n.members[i].lastLeaseAck = 0
 	}
-	n.sessionStart = now + time.Millisecond // stamps are of whole milliseconds: those of this one may be of before
+	n.sessionStart = now + time.Millisecond // stamps are whole milliseconds: one may be of before
 	n.advanceSequence(now, turn, n.retransmits())
 }
 
-// computeLeaseEnd is when the lease ends: when the oldest of the newest answers that make a majority, with this one itself, is a
-// lease old. 0: there are too few.
+// computeLeaseEnd returns when the lease expires: when, of the newest acks that make a majority
+// together with this node itself, the oldest is a lease old. 0: there are too few.
 func (n *Node) computeLeaseEnd() time.Duration {
 	need := n.majority - 1
 	if need == 0 {
@@ -94,26 +102,27 @@
 	return times[len(times)-need] + n.Lease
 }
 
-// LeaseExpiry is how long after the last answer of a member its lease from here is over, whatever its clock: a lease, and the
-// greatest error of both clocks.
+// LeaseExpiry returns how long after a member's last ack its lease from here is over, whatever its
+// clock: a lease, and the greatest error of both clocks.
 func (n *Node) LeaseExpiry() time.Duration {
 	return n.Lease + time.Duration(2.5*n.MaxClockError*float64(n.Lease)) + 2*time.Millisecond
 }
 
-// withholdsLeases says that this node gives no leases yet. A process that comes back has forgotten whom it counted as gone: for so
-// long it must not vouch for anyone, as what it showed before it crashed may have been counted on by others.
+// withholdsLeases reports whether this node gives no leases yet. A restarted process has forgotten
+// whom it counted as dead: for this long it must not give leases, as others may have relied on the
+// digest that it showed before.
 func (n *Node) withholdsLeases(now time.Duration) bool {
 	return now < n.startedAt+n.LeaseExpiry()+n.digestLifetime()+time.Duration(4*n.MaxClockError*float64(n.Lease))
 }
 
-// grantsLease says whether a session of a member gets a lease from here. One that is counted as gone gets none any more: Out
-// rests on it.
+// grantsLease reports whether a session of a member gets a lease from here. One that is counted as
+// dead gets none any more: SessionOver rests on it.
 func (n *Node) grantsLease(now time.Duration, to int, s Session) bool {
 	m := &n.members[to]
 	return !n.withholdsLeases(now) && m.state < Dead && m.session == s
 }
 
-// digestLifetime is how old a sight of another's digest may be to count.
+// digestLifetime returns how old another's digest may be to count.
 func (n *Node) digestLifetime() time.Duration { return n.Lease / digestFreshness }
 
 // handlePing answers a ping, with a lease where one may be given.
@@ -123,20 +132,22 @@
 	n.sendEcho(now, m)
 }
 
-// sendEcho sends back a message's stamp, and what is said of its sender.
+// sendEcho returns a message's stamp, and what is said of its sender.
 func (n *Node) sendEcho(now time.Duration, m *Message) {
-	n.out.Echo, n.out.EchoTag, n.out.NoLease = m.Stamp, IncarnationTag(m.Session.Incarnation), !n.grantsLease(now, m.From, m.Session)
+	n.out.Echo, n.out.EchoTag = m.Stamp, IncarnationTag(m.Session.Incarnation)
+	n.out.NoLease = !n.grantsLease(now, m.From, m.Session)
 	n.addAccusation(m.From)
 	n.addRumours(now, m.From, m.Digest)
 	n.send(m.From)
 }
 
-// handleAck takes an answer, and gives thanks for one that asks for it.
+// handleAck handles an Ack or AckReply, and replies to one that asks for it.
 func (n *Node) handleAck(now time.Duration, m *Message) {
 	from := &n.members[m.From]
-	if m.Echo != 0 && m.EchoTag == IncarnationTag(n.session.Incarnation) && fromStamp(m.Echo) <= now { // else it answers the process before this one
+	// else it answers the process before this one
+	if m.Echo != 0 && m.EchoTag == IncarnationTag(n.session.Incarnation) && fromStamp(m.Echo) <= now {
 		sent := fromStamp(m.Echo)
-		// What it shows, it showed behind that moment, however late it comes.
+		// The digest was sent after that moment, however late it arrives.
 		if sent > from.digestAt {
 			from.digest, from.digestAt = m.Digest, sent
 		}
@@ -154,60 +165,3 @@
 	}
 	n.refreshContact(now)
 }
-
-// digestOf is what a member's end adds to the digest: of an exact session, and whether it said so itself.
-func digestOf(i int, s Session, state State) uint32 {
-	if state < Dead {
-		return 0
-	}
-	var b [17]byte
-	for k := range 4 {
-		b[k], b[4+k] = byte(i>>(8*k)), byte(s.Sequence>>(8*k))
-	}
-	for k := range 8 {
-		b[8+k] = byte(s.Incarnation >> (8 * k))
-	}
-	b[16] = byte(state)
-	return uint32(xxhash.Sum64(b[:]))
-}
-
-// confirmDeaths notes for those who are gone that a majority holds the same, each by a sight that is fresh.
-func (n *Node) confirmDeaths(now time.Duration) {
-	open := false
-	for i := range n.members {
-		m := &n.members[i]
-		open = open || m.state == Dead && m.majorityAt == 0
-	}
-	if !open {
-		return
-	}
-	same := 1
-	for i := range n.members {
-		m := &n.members[i]
-		// An old sight may be of one that has restarted and forgotten since; mute reckons with its age.
-		if i != n.Self && m.digestAt > 0 && now-m.digestAt <= n.digestLifetime() && m.digest == n.digest {
-			same++
-		}
-	}
-	if same < n.majority {
-		return
-	}
-	for i := range n.members {
-		if m := &n.members[i]; m.state == Dead && m.majorityAt == 0 {
-			m.majorityAt = now
-		}
-	}
-}
-
-// SessionOver says whether a member's session, as held here, is over for good: the member has known so itself before. A majority
-// has shown that it gives it no more leases, and the longest that it may have is over. One that left said so itself.
-func (n *Node) SessionOver(now time.Duration, i int) (Session, bool) {
-	m := &n.members[i]
-	switch m.state {
-	case Left:
-		return m.session, true
-	case Dead:
-		return m.session, m.majorityAt > 0 && now >= m.majorityAt+n.LeaseExpiry()
-	}
-	return m.session, false
-}
--- a/internal/fleet/swim/history_test.go
+++ b/internal/fleet/swim/history_test.go
@@ -16,8 +16,8 @@
 	histories = flag.Int("histories", 400, "how many are played")
 )
 
-// history plays one, of 3 to 7 processes with a lease of 3 s. Whatever goes wrong, no session that somebody counts as over
-// may be in contact; and once all is well again all views have to be equal.
+// history plays one, of 3 to 7 processes with a lease of 3 s. Whatever goes wrong, no session that
+// somebody counts as over may be in contact; and once all is well again all views have to be equal.
 func history(seed uint64) (plan *swimsim.Plan, broken []string) {
 	size := 3 + int(seed%5)
 	plan = swimsim.Draw(seed, size, 25*time.Second)
@@ -34,7 +34,10 @@
 		return plan, broken
 	}
 	if !n.Agree() || n.InContact() != size {
-		broken = append(broken, "20 s after all is well, views differ or "+strconv.Itoa(size-n.InContact())+" are out of contact")
+		broken = append(
+			broken,
+			"20 s after all is well, views differ or "+strconv.Itoa(size-n.InContact())+" are out of contact",
+		)
 	}
 	return plan, broken
 }
@@ -58,8 +61,9 @@
 
 var depth = flag.Int("depth", 3, "slots that faults are enumerated over")
 
-// Every way to have one fault, or none, in each of some slots of a second and a half befall three processes with a lease of 3 s, once they are in contact: one is cut
-// off, one is not heard, one stands still, or one crashes and comes back at once, having forgotten.
+// Every way to have one fault, or none, in each of some slots of a second and a half befall three
+// processes with a lease of 3 s, once they are in contact: one is cut off, one is not heard, one
+// stands still, or one crashes and comes back at once, having forgotten.
 func TestEveryScheduleOfFaults(t *testing.T) {
 	const size, slot = 3, 1500 * time.Millisecond
 	whats := []string{swimsim.Split, swimsim.OneWay, swimsim.Stop, swimsim.Crash}
@@ -72,7 +76,10 @@
 		plan := &swimsim.Plan{Most: 10 * time.Millisecond}
 		for k, rest := 0, number; k < *depth; k, rest = k+1, rest/ways {
 			if way := rest % ways; way > 0 {
-				s := swimsim.Step{At: time.Duration(k) * slot, For: slot, What: whats[(way-1)/size], Who: []int{(way - 1) % size}}
+				s := swimsim.Step{
+					At: time.Duration(k) * slot, For: slot, What: whats[(way-1)/size],
+					Who: []int{(way - 1) % size},
+				}
 				if s.What == swimsim.Crash {
 					s.For = 100 * time.Millisecond
 				}
@@ -95,8 +102,9 @@
 	}
 }
 
-// Budgets are divided by the sidecars seen: those that left count no more, those that crashed or can't be reached do, and what others claim is believed of three and
-// only up to four times the configured number.
+// Budgets are divided by the sidecars seen: those that left count no more, those that crashed or
+// can't be reached do, and what others claim is believed of three and only up to four times the
+// configured number.
 func TestSidecarsSeen(t *testing.T) {
 	l := newLone(t, 10)
 	if n := l.FleetSize(l.now); n != 1 {
--- a/internal/fleet/swim/node_test.go
+++ b/internal/fleet/swim/node_test.go
@@ -38,7 +38,9 @@
 func newLone(t *testing.T, size int) *lone {
 	t.Helper()
 	l := &lone{t: t, now: time.Hour}
-	n, err := swim.New(swim.Config{Size: size, Incarnation: 100, Lease: lease, Rand: rand.New(rand.NewPCG(1, 2)), Host: l})
+	n, err := swim.New(
+		swim.Config{Size: size, Incarnation: 100, Lease: lease, Rand: rand.New(rand.NewPCG(1, 2)), Host: l},
+	)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -194,7 +196,8 @@
 	}
 }
 
-// What is given away: leases to sessions that are not counted as gone, by a process that has lived long enough to know.
+// What is given away: leases to sessions that are not counted as gone, by a process that has lived
+// long enough to know.
 func TestLeasesGiven(t *testing.T) {
 	l := newLone(t, 5)
 	one := swim.Session{Incarnation: 10}
@@ -211,7 +214,8 @@
 	}
 	l.say(2, swim.Rumour{Member: 1, Session: one, State: swim.Dead, Accuser: 2})
 	m := l.ping(1, one)
-	if !m.NoLease || !slices.ContainsFunc(m.Rumours, func(r swim.Rumour) bool { return r.Member == 1 && r.State == swim.Dead }) {
+	if !m.NoLease ||
+		!slices.ContainsFunc(m.Rumours, func(r swim.Rumour) bool { return r.Member == 1 && r.State == swim.Dead }) {
 		t.Errorf("a session that is counted as gone gets a lease, or is not told: %+v", m)
 	}
 	if m = l.ping(1, swim.Session{Incarnation: 10, Sequence: 1}); m.NoLease {
@@ -222,7 +226,8 @@
 	}
 }
 
-// A member's session is over for good once a majority has shown, lately, that it holds the same, and a lease is over.
+// A member's session is over for good once a majority has shown, lately, that it holds the same,
+// and a lease is over.
 func TestOut(t *testing.T) {
 	const size = 5
 	gone := swim.Rumour{Member: 4, Session: swim.Session{Incarnation: 10}, State: swim.Dead, Accuser: 2}
@@ -249,14 +254,23 @@
 		if s, out := l.SessionOver(l.now, 4); !out || s != gone.Session {
 			t.Errorf("session %v, out %v; nobody can give it a lease any more", s, out)
 		}
-		l.say(4, swim.Rumour{Member: 4, Session: swim.Session{Incarnation: 10, Sequence: 1}, State: swim.Alive, Accuser: 4})
+		l.say(
+			4,
+			swim.Rumour{
+				Member: 4, Session: swim.Session{Incarnation: 10, Sequence: 1}, State: swim.Alive,
+				Accuser: 4,
+			},
+		)
 		if s, out := l.SessionOver(l.now, 4); out || s.Sequence != 1 {
 			t.Errorf("session %v, out %v; it came back under a later one", s, out)
 		}
 	})
 	for name, f := range map[string]func(l *lone, digest uint32){
-		"too few":            func(l *lone, digest uint32) { shows(l, 1, l.now, digest) },
-		"others hold others": func(l *lone, digest uint32) { shows(l, 1, l.now, digest); shows(l, 2, l.now, digest+1) },
+		"too few": func(l *lone, digest uint32) { shows(l, 1, l.now, digest) },
+		"others hold others": func(l *lone, digest uint32) {
+			shows(l, 1, l.now, digest)
+			shows(l, 2, l.now, digest+1)
+		},
 		"one is old": func(l *lone, digest uint32) {
 			shows(l, 1, l.now, digest)
 			l.pass(lease * 3 / 4)
@@ -317,7 +331,8 @@
 		t.Errorf("one with another digest is not told: %+v", m)
 	}
 	for _, bad := range []swim.Rumour{
-		{Member: -1, State: swim.Dead}, {Member: 5, State: swim.Dead}, {Member: 1, State: 9}, {Member: 1, State: swim.Unknown}, {Member: 1, State: swim.Dead, Accuser: 77},
+		{Member: -1, State: swim.Dead}, {Member: 5, State: swim.Dead}, {Member: 1, State: 9},
+		{Member: 1, State: swim.Unknown}, {Member: 1, State: swim.Dead, Accuser: 77},
 	} {
 		bad.Session = swim.Session{Incarnation: 1 << 60}
 		l.say(2, bad)
@@ -327,7 +342,8 @@
 	}
 }
 
-// One that was stopped accuses nobody before it has had time to hear the others, and one that most don't answer doubts itself.
+// One that was stopped accuses nobody before it has had time to hear the others, and one that most
+// don't answer doubts itself.
 func TestDoubtsItself(t *testing.T) {
 	const size = 6
 	accused := func(l *lone) (n int) {
@@ -389,7 +405,8 @@
 	}
 }
 
-// One that others accuse, and that is heard of here all the while, is not counted as gone here: it will refute that.
+// One that others accuse, and that is heard of here all the while, is not counted as gone here: it
+// will refute that.
 func TestHeardSinceIsNotGone(t *testing.T) {
 	l := newLone(t, 6)
 	one := swim.Session{Incarnation: 10}
@@ -416,10 +433,16 @@
 	}
 }
 
-// All that five members sent one another in half a minute, in which one crashed, comes to one of them again an hour later: nothing changes by it.
+// All that five members sent one another in half a minute, in which one crashed, comes to one of
+// them again an hour later: nothing changes by it.
 func TestReplayedAnHourLater(t *testing.T) {
 	var all []swim.Message
-	n := swimsim.New(swimsim.Config{Size: 5, Seed: 3, Alter: func(_ swim.Config, to swim.Host) swim.Host { return recorder{to, &all} }})
+	n := swimsim.New(
+		swimsim.Config{
+			Size: 5, Seed: 3,
+			Alter: func(_ swim.Config, to swim.Host) swim.Host { return recorder{to, &all} },
+		},
+	)
 	n.After(20*time.Second, func() { n.Crash(4) })
 	n.After(24*time.Second, func() { n.Boot(4) })
 	n.Run(40 * time.Second)
--- a/internal/fleet/swim/probe.go
+++ b/internal/fleet/swim/probe.go
@@ -6,26 +6,26 @@
 	"time"
 )
 
-// probe is one that is under way.
+// probe is a probe in flight.
 type probe struct {
 	target     int
 	sent       time.Duration
-	lastPing   time.Duration // when it was asked again
-	indirect   bool          // others were asked to try
-	nacks      int           // of these, said that it has not answered them
-	relayCount int           // how many were asked
+	lastPing   time.Duration
+	indirect   bool // others were asked to probe
+	nacks      int  // of these
+	relayCount int  // members that were asked
 	state      State
 }
 
-// relayedProbe is a probe made for another.
+// relayedProbe is a probe made for another member.
 type relayedProbe struct {
 	from, target int
 	cookie       uint64
 	sent         time.Duration
 }
 
-// probeNext sends the next probe: to each that is there once in a round, in an order drawn anew, and now and then to one that
-// is gone or was never heard of.
+// probeNext sends the next probe: to each member that is present once a round, in an order drawn
+// anew, and now and then to one that is dead or was never heard of.
 func (n *Node) probeNext(now time.Duration) {
 	if !n.hasBudget(probeReserve) {
 		return
@@ -33,10 +33,13 @@
 	var to int
 	ok := false
 	if n.ticks%absentProbeInterval == 0 && !n.seeking {
-		to, ok = n.drawTarget(now, &n.absentRound, func(s State) bool { return s == Dead || s == Left || s == Unknown })
+		to, ok = n.drawTarget(
+			now, &n.absentRound,
+			func(s State) bool { return s == Dead || s == Left || s == Unknown },
+		)
 	}
 	if !ok {
-		// Until it is in contact nobody is known, so all are as good as there.
+		// Out of contact nobody's state is known: all count as present.
 		to, ok = n.drawTarget(now, &n.round, func(s State) bool {
 			return s == Alive || s == Suspect || s == Unknown && !n.inContact
 		})
@@ -46,7 +49,7 @@
 			return
 		}
 	}
-	for i := range n.probes { // small fleets: the same one is not probed twice at a time
+	for i := range n.probes { // small fleets: no second probe of a target in flight
 		if n.probes[i].target == to {
 			return
 		}
@@ -54,7 +57,8 @@
 	n.startProbe(now, to)
 }
 
-// drawTarget takes the next member of a round that fits, and begins the next round where none is left.
+// drawTarget takes the next fitting member of a round, and begins the next round where none is
+// left.
 func (n *Node) drawTarget(now time.Duration, order *[]int, fits func(State) bool) (int, bool) {
 	for range 2 {
 		for len(*order) > 0 {
@@ -74,50 +78,40 @@
 	return 0, false
 }
 
-// ackedRecently says that a member has answered something that is at most half a round old: it has probed this node, and told as much as it
-// would now. So all are heard of evenly, twice as often as by one's own probes alone.
+// ackedRecently reports whether a member has acked something that is at most half a round old: it
+// has probed this node, and told as much as it would now. So all are heard of evenly, twice as
+// often as by one's own probes alone.
 func (n *Node) ackedRecently(now time.Duration, i int) bool {
-	const answers = 2 // to each probe of one's own comes one of another
+	const answers = 2 // for each probe sent, one is received
 	v := n.members[i].lastLeaseAck
 	return v > 0 && now-v < time.Duration(n.Size)*Period/answers/2
 }
 
-func (n *Node) startProbe(now time.Duration, to int) {
-	n.Stats.Probes++
-	n.probes = append(n.probes, probe{target: to, sent: now, lastPing: now, state: n.members[to].state})
-	n.ping(now, to)
-}
-
-func (n *Node) ping(now time.Duration, to int) {
-	n.newMessage(Ping)
-	n.out.Stamp = toStamp(now)
-	if n.Stats.Probes%countInterval == 1 {
-		n.out.MemberCount = n.FleetSize(now)
-	}
-	n.addAccusation(to)
-	n.addRumours(now, to, n.members[to].digest)
-	n.send(to)
-}
-
-// addAccusation puts what is held against a member first on a message to it: it may refute that.
+// addAccusation puts what a member is accused of first on a message to it, so that it can refute
+// it.
 func (n *Node) addAccusation(to int) {
 	if m := &n.members[to]; m.state == Suspect || m.state == Dead {
-		n.out.Rumours = append(n.out.Rumours, Rumour{Member: to, Session: m.session, State: m.state, Accuser: m.accuser})
+		n.out.Rumours = append(
+			n.out.Rumours,
+			Rumour{Member: to, Session: m.session, State: m.state, Accuser: m.accuser},
+		)
 	}
 }
 
-// timeoutFactor is how many times longer than usual this node waits, as it doubts itself.
+// timeoutFactor returns how many times longer than usual this node waits, by its local health.
 func (n *Node) timeoutFactor() time.Duration { return time.Duration(1 + n.health) }
 
-// noiseFactor is how many times longer a probe is waited for, as accusations proved wrong of late: it is the way that loses much, and each that is heard by all and
-// refuted costs more than the wait. Those that crash refute nothing, so it does not hold them up for long.
+// noiseFactor returns how many times longer a probe is waited for, as accusations proved wrong
+// recently: the network loses much then, and an accusation that everybody receives and that is
+// refuted costs more than the wait. Crashed members refute nothing, so they don't slow detection
+// down for long.
 func (n *Node) noiseFactor(now time.Duration) time.Duration {
 	n.refutations *= math.Exp(-float64(now-n.refutationsAt) / float64(noiseDecay))
 	n.refutationsAt = now
 	return time.Duration(1 + min(maxNoise, n.refutations/noiseStep))
 }
 
-// checkProbes looks at the probes under way.
+// checkProbes times out the probes in flight.
 func (n *Node) checkProbes(now time.Duration) {
 	n.relayed = slices.DeleteFunc(n.relayed, func(r relayedProbe) bool {
 		if now-r.sent < probeTimeout/2 {
@@ -136,7 +130,8 @@
 			over = append(over, p)
 			continue
 		}
-		if !p.indirect && age >= indirectTimeout*n.timeoutFactor() && (p.state == Alive || p.state == Suspect) && n.hasBudget(extraReserve) {
+		if !p.indirect && age >= indirectTimeout*n.timeoutFactor() &&
+			(p.state == Alive || p.state == Suspect) && n.hasBudget(extraReserve) {
 			p.indirect = true
 			p.relayCount = n.pingIndirectly(now, p.target, p.sent)
 		}
@@ -149,8 +144,10 @@
 	}
 }
 
-// retryProbe asks one of those that have not answered once more: one datagram in twenty may be lost, and each suspicion is heard by all. One with each tick, however
-// many there are: where nothing gets through, asking more often is what keeps it so. In turn it is one that this node accuses: better it answers.
+// retryProbe pings one unanswered target again: one datagram in twenty may be lost, and each
+// suspicion is gossiped to all. It pings one with each tick, however many there are: under heavy
+// loss, more pings would keep it up. Every other time it is a member that this node accuses: better
+// that it answers.
 func (n *Node) retryProbe(now time.Duration) {
 	if !n.hasBudget(probeReserve) || n.ticks%2 == 0 && n.pingAccused(now) {
 		return
@@ -158,7 +155,8 @@
 	var oldest *probe
 	for i := range n.probes {
 		p := &n.probes[i]
-		if now-p.lastPing >= directTimeout && (p.state == Alive || p.state == Suspect) && (oldest == nil || p.lastPing < oldest.lastPing) {
+		if now-p.lastPing >= directTimeout && (p.state == Alive || p.state == Suspect) &&
+			(oldest == nil || p.lastPing < oldest.lastPing) {
 			oldest = p
 		}
 	}
@@ -170,12 +168,14 @@
 	n.ping(now, oldest.target)
 }
 
-// pingAccused asks the one of those accused that was not asked for longest; false: there is none.
+// pingAccused pings the member accused by this node whose last ping is the oldest; false: there is
+// none.
 func (n *Node) pingAccused(now time.Duration) bool {
 	oldest := -1
 	for i := range n.members {
 		s := n.members[i].suspicion
-		if s != nil && slices.Contains(s.accusers[:s.count], n.Self) && now-s.lastPing >= Period && (oldest < 0 || s.lastPing < n.members[oldest].suspicion.lastPing) {
+		if s != nil && slices.Contains(s.accusers[:s.count], n.Self) && now-s.lastPing >= Period &&
+			(oldest < 0 || s.lastPing < n.members[oldest].suspicion.lastPing) {
 			oldest = i
 		}
 	}
@@ -187,7 +187,7 @@
 	return true
 }
 
-// pingIndirectly has some others try: it may be the way between the two that is broken, or this node.
+// pingIndirectly asks some others to probe: the path between the two may be broken, or this node.
 func (n *Node) pingIndirectly(now time.Duration, about int, sent time.Duration) int {
 	asked := 0
 	for range 4 * indirectProbes {
@@ -207,14 +207,15 @@
 
 // handleIndirectPing probes a member for another.
 func (n *Node) handleIndirectPing(now time.Duration, m *Message) {
-	if m.Target < 0 || m.Target >= n.Size || m.Target == n.Self || m.Target == m.From || len(n.relayed) >= 4*indirectProbes {
+	if m.Target < 0 || m.Target >= n.Size || m.Target == n.Self || m.Target == m.From ||
+		len(n.relayed) >= 4*indirectProbes {
 		return
 	}
 	n.relayed = append(n.relayed, relayedProbe{m.From, m.Target, m.Cookie, now})
 	n.ping(now, m.Target)
 }
 
-// completeProbes takes an answer of a member to what was sent to it at a moment.
+// completeProbes handles a member's ack to a message that was sent at a moment.
 func (n *Node) completeProbes(now time.Duration, from int, sent time.Duration) {
 	n.relayed = slices.DeleteFunc(n.relayed, func(r relayedProbe) bool {
 		if r.target != from || sent < r.sent-time.Millisecond {
@@ -228,7 +229,7 @@
 	n.completeProbe(now, from, sent)
 }
 
-// completeProbe ends a probe well.
+// completeProbe ends a probe as answered.
 func (n *Node) completeProbe(now time.Duration, to int, sent time.Duration) {
 	for i := range n.probes {
 		if p := n.probes[i]; p.target == to && p.sent <= sent+time.Millisecond {
@@ -242,7 +243,7 @@
 	}
 }
 
-// handleIndirectAck takes what one who was asked found.
+// handleIndirectAck handles the result of an indirect probe.
 func (n *Node) handleIndirectAck(now time.Duration, m *Message) {
 	if m.Target < 0 || m.Target >= n.Size {
 		return
@@ -258,7 +259,7 @@
 	}
 }
 
-// recordResult keeps how the last probes of those who should be there ended.
+// recordResult records how a probe of a member that should be present ended.
 func (n *Node) recordResult(failed bool) {
 	slot := n.resultCount % min(resultWindow, max(1, n.Size-1))
 	if n.resultCount >= min(resultWindow, max(1, n.Size-1)) && n.results[slot] {
@@ -271,22 +272,39 @@
 	}
 }
 
-// failProbe takes that a probe has failed by all ways.
+// failProbe handles a probe that no path answered in time.
 func (n *Node) failProbe(now time.Duration, p probe) {
 	if p.state != Alive && p.state != Suspect {
-		return // nobody expected it to answer
+		return // an answer was not expected
 	}
 	n.Stats.Unanswered++
 	n.recordResult(true)
-	if p.nacks < p.relayCount { // Lifeguard: who was asked did not answer either, so it may be this node
+	if p.nacks < p.relayCount { // Lifeguard: those asked did not answer either, so it may be this node
 		n.health = min(maxHealth, n.health+1)
 	}
 	if n.doubtsItself(now) {
 		return
 	}
 	m := &n.members[p.target]
-	if m.lastReceived > p.sent { // a message of its own has come since
+	if m.lastReceived > p.sent { // a message of its own has arrived since
 		return
 	}
 	n.applyRumour(now, Rumour{Member: p.target, Session: m.session, State: Suspect, Accuser: n.Self})
 }
+
+func (n *Node) startProbe(now time.Duration, to int) {
+	n.Stats.Probes++
+	n.probes = append(n.probes, probe{target: to, sent: now, lastPing: now, state: n.members[to].state})
+	n.ping(now, to)
+}
+
+func (n *Node) ping(now time.Duration, to int) {
+	n.newMessage(Ping)
+	n.out.Stamp = toStamp(now)
+	if n.Stats.Probes%countInterval == 1 {
+		n.out.MemberCount = n.FleetSize(now)
+	}
+	n.addAccusation(to)
+	n.addRumours(now, to, n.members[to].digest)
+	n.send(to)
+}
--- a/internal/fleet/swim/views_test.go
+++ b/internal/fleet/swim/views_test.go
@@ -9,15 +9,20 @@
 	"caperarch/internal/fleet/swim"
 )
 
-// Whatever order rumours come in, and however often, the view behind them is the same: so views that have heard the same are equal.
+// Whatever order rumours come in, and however often, the view behind them is the same: so views
+// that have heard the same are equal.
 func TestViewsDoNotDependOnOrder(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		var all []swim.Rumour
 		for range rapid.IntRange(1, 30).Draw(rt, "rumours") {
 			all = append(all, swim.Rumour{
-				Member:  rapid.IntRange(1, 4).Draw(rt, "member"),
-				Session: swim.Session{Incarnation: rapid.Uint64Range(11, 13).Draw(rt, "life"), Sequence: rapid.Uint32Range(0, 2).Draw(rt, "turn")},
-				State:   swim.State(rapid.IntRange(1, 4).Draw(rt, "state")), Accuser: rapid.IntRange(1, 4).Draw(rt, "by"),
+				Member: rapid.IntRange(1, 4).Draw(rt, "member"),
+				Session: swim.Session{
+					Incarnation: rapid.Uint64Range(11, 13).Draw(rt, "life"),
+					Sequence:    rapid.Uint32Range(0, 2).Draw(rt, "turn"),
+				},
+				State:   swim.State(rapid.IntRange(1, 4).Draw(rt, "state")),
+				Accuser: rapid.IntRange(1, 4).Draw(rt, "by"),
 			})
 		}
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(rt, "order"), 1))
@@ -41,7 +46,8 @@
 				rt.Fatalf("member %d: %v %v and %v %v", i, a, as, b, bs)
 			}
 		}
-		if x, y := views[0].ping(5, swim.Session{Incarnation: 10}).Digest, views[1].ping(5, swim.Session{Incarnation: 10}).Digest; x != y {
+		session := swim.Session{Incarnation: 10}
+		if x, y := views[0].ping(5, session).Digest, views[1].ping(5, session).Digest; x != y {
 			rt.Fatalf("digests %x and %x", x, y)
 		}
 	})
