--- a/cmd/measure/mutants.go
+++ b/cmd/measure/mutants.go
@@ -142,20 +142,20 @@
 
 // replicatedStateMutants are faults in one sidecar's whole part.
 var replicatedStateMutants = []mutant{
-	{"reports.go", "g.Life == n.incarnation", "true", "a grant for the process before it counts"},
-	{"reports.go", "n.participant.RecordGrant(now, fromStamp(sent), index)", "n.participant.RecordGrant(now, now, index)", "a grant counts from when it comes, not from what it answers"},
-	{"reports.go", "n.deliverGrant(now, h, m.Index)", "n.deliverGrant(now, h, 0)", "a grant counts however little of the log is here"},
-	{"reports.go", "g.Which |= 1 << i", "g.Which |= 3 << i", "the leader's word for one is the next one's too"},
-	{"reports.go", "for range maxGrantsPerTick {", "for range 0 {", "the leader's word goes to nobody"},
-	{"replicatedstate.go", "\tn.participant.Reset()\n", "", "what another log said goes on"},
-	{"replicatedstate.go", "n.leader == nil || n.term != n.log.Term() || n.epoch != n.log.Epoch()", "n.leader == nil", "a leader goes on with what it knew in an earlier term"},
+	{"grants.go", "g.Life == n.incarnation", "true", "a grant for the process before it counts"},
+	{"grants.go", "n.participant.RecordGrant(now, fromStamp(sent), index)", "n.participant.RecordGrant(now, now, index)", "a grant counts from when it comes, not from what it answers"},
+	{"grants.go", "n.deliverGrant(now, h, m.Index)", "n.deliverGrant(now, h, 0)", "a grant counts however little of the log is here"},
+	{"grants.go", "g.Which |= 1 << i", "g.Which |= 3 << i", "the leader's word for one is the next one's too"},
+	{"grants.go", "for range maxGrantsPerTick {", "for range 0 {", "the leader's word goes to nobody"},
+	{"loghost.go", "\tn.participant.Reset()\n", "", "what another log said goes on"},
+	{"leader.go", "n.leader == nil || n.term != n.log.Term() || n.epoch != n.log.Epoch()", "n.leader == nil", "a leader goes on with what it knew in an earlier term"},
 	{"replicatedstate.go", "if m.Epoch != 0 && m.Epoch == n.log.Epoch() {", "if true {", "reports and grants of another log count"},
-	{"replicatedstate.go", "return seat != s.Incarnation", "return false", "a voter that has restarted is never replaced"},
-	{"change.go", "case goes.Mode == policyrollout.CutOff:", "case false:", "one that is cut off begins a change"},
+	{"leader.go", "return incarnation != s.Incarnation", "return false", "a voter that has restarted is never replaced"},
+	{"change.go", "if n.Active(now).Mode == policyrollout.CutOff {", "if false {", "one that is cut off begins a change"},
 	{"change.go", "case base != s.Current.Version:", "case false:", "a proposal on an old base is begun"},
 	{"change.go", "if x.chunkCount() > maxPushedChunks {", "if false {", "a long text does not go round first"},
 	{"texts.go", "shortHash(sum) != x.name", "false", "a text that was spoilt on the way is taken"},
-	{"work.go", "p.Clear, p.Rate, p.Served = r.ClearUpTo,", "p.ClearUpTo, p.Rate, p.Served = n.work.state.LastTurn,", "a sidecar tells that it is clear of all that it knows of"},
+	{"maintenance.go", "p.Clear, p.Rate, p.Served = r.ClearUpTo,", "p.ClearUpTo, p.Rate, p.Served = n.work.state.LastTurn,", "a sidecar tells that it is clear of all that it knows of"},
 }
 
 var (
--- a/internal/fleet/replicatedstate/change.go
+++ b/internal/fleet/replicatedstate/change.go
@@ -8,61 +8,54 @@
 
 	"caperarch/internal/fleet/policyrollout"
 	"caperarch/internal/fleet/raftlog"
-	"caperarch/internal/fleet/replicatedstate/accordpb"
 )
 
-// What an operator's call is refused for.
+// Errors of operators' calls. Their texts are shown to operators.
 var (
-	ErrNoContact = errors.New("this sidecar has no grant of a leader now: it may have missed something, nothing is begun")
-	errUnderWay  = errors.New("a proposal of this sidecar has no outcome yet")
-	errSame      = errors.New("this very policy holds already")
-	errNothing   = errors.New("no change is under way")
+	ErrNoContact = errors.New(
+		"this sidecar has no grant of a leader now: it may have missed something, nothing is begun",
+	)
+	errUnderWay = errors.New("a proposal of this sidecar has no outcome yet")
+	errSame     = errors.New("this very policy holds already")
+	errNothing  = errors.New("no change is under way")
 )
 
 const (
-	maxProposals     = 16
-	proposalTimeout  = 30 * time.Second // a proposal that has not come back stands in the way of the next for so long
-	maxLaggardsSent  = 4                // that are told at a time: they have to fit
-	maxLaggardReason = 30               // bytes of each one's why
+	maxProposals = 16
+	// after which a proposal that is not in the log no longer blocks the next one
+	proposalTimeout  = 30 * time.Second
+	maxLaggardsSent  = 4  // per message: they have to fit
+	maxLaggardReason = 30 // bytes
 	laggardsLifetime = 2 * time.Second
 )
 
-// Proposal is a proposal that was made here.
+// Proposal is a change of policy that was proposed at this sidecar.
 type Proposal struct {
 	policyrollout.Ref
 	At      time.Duration
-	Outcome string // "": it is not in the log yet
+	Outcome string // "": not in the log yet
 }
 
-// reportedLaggards is whom a change waits for, as its leader told.
+// reportedLaggards are the sidecars that a change waits for, as its leader told.
 type reportedLaggards struct {
 	at    time.Duration
 	count int
 	list  []policyrollout.Laggard
 }
 
-// Propose has the fleet change to a policy, made from the version base; the number that it returns is what can be asked on. Nothing has happened yet when it returns.
+// Propose proposes a change of the fleet's policy to a text that was made from version base.
+// Nothing has happened yet when it returns: the version that it returns identifies the change.
 func (n *Node) Propose(now time.Duration, raw []byte, base uint32) (policyrollout.Ref, error) {
 	n.now = now
-	s := n.participant.State()
-	switch goes := n.Active(now); {
-	case goes.Mode == policyrollout.CutOff:
-		return policyrollout.Ref{}, ErrNoContact
-	case s.Pending.Version != 0 || s.Offered.Version != 0:
-		return policyrollout.Ref{}, fmt.Errorf("version %d is under way", s.InProgress())
-	case s.Completing != 0:
-		return policyrollout.Ref{}, fmt.Errorf("version %d has its outcome, but not all have told that they go by it", s.Completing)
-	case base != s.Current.Version:
-		return policyrollout.Ref{}, fmt.Errorf("it was made from version %d, version %d holds: look at what has changed", base, s.Current.Version)
-	}
-	for _, m := range n.proposals {
-		if m.Outcome == "" && now-m.At < proposalTimeout {
-			return policyrollout.Ref{}, errUnderWay
-		}
+	if err := n.whyNotProposable(now, base); err != nil {
+		return policyrollout.Ref{}, err
 	}
 	if len(raw) > policyrollout.MaxTextBytes {
-		return policyrollout.Ref{}, fmt.Errorf("a policy of %d bytes, %d are possible", len(raw), policyrollout.MaxTextBytes)
+		return policyrollout.Ref{}, fmt.Errorf(
+			"a policy of %d bytes, %d are possible", len(raw), policyrollout.MaxTextBytes,
+		)
 	}
+	s := n.participant.State()
 	x := n.texts.add(slices.Clone(raw), n.neededTexts()...)
 	ref := policyrollout.Ref{Version: s.LastVersion + 1, Hash: x.hash}
 	switch {
@@ -72,14 +65,14 @@
 		return policyrollout.Ref{}, errSame
 	}
 	kind := policyrollout.Proposed
-	if x.chunkCount() > maxPushedChunks { // it does not go round at once
+	if x.chunkCount() > maxPushedChunks { // too long to be pushed at once
 		kind = policyrollout.Offered
 	}
 	entry, err := policyrollout.Step{Kind: kind, Ref: ref, Base: base, By: n.Self.Number}.Encode()
 	if err != nil {
 		return policyrollout.Ref{}, err
 	}
-	n.pushText(x) // first the text, so that most have it when they hear of the change
+	n.pushText(x) // the text first, so that most have it when they receive the change
 	n.sendText(n.log.Leader(), x)
 	if err := n.log.Propose(now, entry); err != nil {
 		return policyrollout.Ref{}, err
@@ -89,7 +82,32 @@
 	return ref, nil
 }
 
-// Abort calls off what is under way, if it has no outcome by then.
+// whyNotProposable returns why no change that was made from version base can be proposed now.
+func (n *Node) whyNotProposable(now time.Duration, base uint32) error {
+	s := n.participant.State()
+	if n.Active(now).Mode == policyrollout.CutOff {
+		return ErrNoContact
+	}
+	switch {
+	case s.Pending.Version != 0 || s.Offered.Version != 0:
+		return fmt.Errorf("version %d is under way", s.InProgress())
+	case s.Completing != 0:
+		return fmt.Errorf("version %d has its outcome, but not all have told that they go by it", s.Completing)
+	case base != s.Current.Version:
+		return fmt.Errorf(
+			"it was made from version %d, version %d holds: look at what has changed", base,
+			s.Current.Version,
+		)
+	}
+	for _, m := range n.proposals {
+		if m.Outcome == "" && now-m.At < proposalTimeout {
+			return errUnderWay
+		}
+	}
+	return nil
+}
+
+// Abort proposes to abort the change in progress, if it has no outcome by then.
 func (n *Node) Abort(now time.Duration) (version uint32, err error) {
 	n.now = now
 	p := max(n.participant.State().Pending.Version, n.participant.State().Offered.Version)
@@ -99,20 +117,24 @@
 	case n.Active(now).Mode == policyrollout.CutOff:
 		return 0, ErrNoContact
 	}
-	entry, err := policyrollout.Step{Kind: policyrollout.Aborted, Ref: policyrollout.Ref{Version: p}, By: n.Self.Number, Why: "by hand"}.Encode()
+	entry, err := policyrollout.Step{
+		Kind: policyrollout.Aborted, Ref: policyrollout.Ref{Version: p}, By: n.Self.Number,
+		Why: "by hand",
+	}.Encode()
 	if err != nil {
 		return 0, err
 	}
 	return p, n.log.Propose(now, entry)
 }
 
-// Bootstrap begins a log, with this sidecar as its first voter. It is an operator's own act: where an older log was lost it ends with this. The policy is the settings again.
+// Bootstrap starts a log with this sidecar as its first voter. Only an operator starts it: an older
+// log ends with it, and the policy is that of the settings again.
 func (n *Node) Bootstrap(now time.Duration, epoch uint64) error {
 	n.now = now
 	return n.log.Bootstrap(now, epoch)
 }
 
-// applyEntry takes an entry of the log.
+// applyEntry applies an entry of the log.
 func (n *Node) applyEntry(e raftlog.Entry) {
 	if step, is, err := decodeWork(e.Data); is {
 		n.applyMaintenance(e, step, err)
@@ -123,16 +145,16 @@
 	if pending.Version == 0 {
 		pending = s.Offered
 	}
-	refused, err := n.participant.ApplyEntry(e.Index, e.Data)
+	rejected, err := n.participant.ApplyEntry(e.Index, e.Data)
 	step, _ := policyrollout.DecodeStep(e.Data)
 	switch {
 	case err != nil:
 		n.Host.Changed(Event{Kind: "entry", By: n.Self.Number, Why: err.Error()})
 		return
-	case refused != "":
+	case rejected != "":
 		if (step.Kind == policyrollout.Proposed || step.Kind == policyrollout.Offered) && !n.inLog(step.Ref) {
-			n.recordOutcome(step, "refused: "+refused)
-			n.Host.Changed(Event{Kind: "refused", Ref: step.Ref, By: step.By, Why: refused})
+			n.recordOutcome(step, "refused: "+rejected)
+			n.Host.Changed(Event{Kind: "refused", Ref: step.Ref, By: step.By, Why: rejected})
 		}
 		return
 	}
@@ -152,13 +174,15 @@
 	return "taken"
 }
 
-// inLog says whether a version is in the log already: where a leader is lost on the way, an entry may stand there twice.
+// inLog reports whether a version is in the log already: an entry may stand there twice after a
+// leader was lost.
 func (n *Node) inLog(r policyrollout.Ref) bool {
 	s := n.participant.State()
-	return s.Pending == r || s.Offered == r || s.Current == r || slices.ContainsFunc(s.History, func(p policyrollout.Past) bool { return p.Ref == r })
+	return s.Pending == r || s.Offered == r || s.Current == r ||
+		slices.ContainsFunc(s.History, func(p policyrollout.Past) bool { return p.Ref == r })
 }
 
-// recordOutcome notes what became of a proposal that was made here.
+// recordOutcome records what became of a proposal of this sidecar.
 func (n *Node) recordOutcome(step policyrollout.Step, what string) {
 	for i := range n.proposals {
 		if step.By == n.Self.Number && n.proposals[i].Ref == step.Ref {
@@ -166,62 +190,3 @@
 		}
 	}
 }
-
-// RequestLaggards asks the leader whom a change waits for; it shows in View a moment later.
-func (n *Node) RequestLaggards(now time.Duration) {
-	n.now = now
-	if n.leader == nil {
-		n.send(n.log.Leader(), &accordpb.Message{Epoch: n.log.Epoch(), Who: true})
-	}
-}
-
-func (n *Node) handleLaggards(now time.Duration, from int, m *accordpb.Message) {
-	if m.Who && n.leader != nil {
-		all := n.leader.Laggards(now, n.participant.State())
-		answer := &accordpb.Message{Epoch: n.log.Epoch(), Count: uint32(len(all)) + 1}
-		for _, b := range all[:min(len(all), maxLaggardsSent)] {
-			answer.Behind = append(answer.Behind, &accordpb.Behind{Number: uint32(b.Number), Why: truncateText(b.Why, maxLaggardReason)})
-		}
-		n.addMaintenanceStatus(now, answer)
-		n.send(from, answer)
-	}
-	if m.Count > 0 && from == n.log.Leader() {
-		n.laggards = reportedLaggards{at: now, count: int(m.Count) - 1}
-		for _, b := range m.Behind {
-			n.laggards.list = append(n.laggards.list, policyrollout.Laggard{Number: int(b.Number), Why: b.Why})
-		}
-	}
-}
-
-// View is what this sidecar knows, for people.
-type View struct {
-	Now          time.Duration
-	Self         int
-	Epoch        uint64
-	LastIndex    uint64
-	Leader       int // -1: none is known
-	Voters       []raftlog.Voter
-	State        policyrollout.State
-	Active       policyrollout.Active
-	ActiveUntil  time.Duration // Goes, at least, unless it is CutOff
-	Laggards     []policyrollout.Laggard
-	LaggardCount int // for so many, Behind among them; -1: the leader has not told
-	Proposals    []Proposal
-}
-
-// View is the present one.
-func (n *Node) View(now time.Duration) View {
-	v := View{
-		Now: now, Self: n.Self.Number, Epoch: n.log.Epoch(), LastIndex: n.log.LastIndex(), Leader: n.log.Leader(), Voters: n.log.Voters(), State: *n.participant.State(), Active: n.Active(now),
-		ActiveUntil: n.ActiveUntil(), LaggardCount: -1, Proposals: slices.Clone(n.proposals),
-	}
-	v.State.History = slices.Clone(v.State.History)
-	switch {
-	case n.leader != nil:
-		v.Laggards = n.leader.Laggards(now, n.participant.State())
-		v.LaggardCount = len(v.Laggards)
-	case n.laggards.at > 0 && now-n.laggards.at < laggardsLifetime:
-		v.Laggards, v.LaggardCount = n.laggards.list, n.laggards.count
-	}
-	return v
-}
--- /dev/null
+++ b/internal/fleet/replicatedstate/exchange.go
@@ -0,0 +1,81 @@
+package replicatedstate
+
+import (
+	"crypto/sha256"
+	"time"
+
+	"caperarch/internal/fleet/policyrollout"
+	"caperarch/internal/fleet/replicatedstate/accordpb"
+)
+
+// neededTexts returns the texts that this sidecar needs.
+func (n *Node) neededTexts() (all []hash) {
+	s := n.participant.State()
+	for _, r := range []policyrollout.Ref{s.Current, s.Pending, s.Offered} {
+		if r.Version != 0 {
+			all = append(all, r.Hash)
+		}
+	}
+	for _, w := range n.maintenance.state.Plans {
+		all = append(all, w.Hash)
+	}
+	return all
+}
+
+// fetchTexts asks another sidecar for chunks of a text that is needed and not here.
+func (n *Node) fetchTexts(now time.Duration) {
+	if now < n.texts.nextFetch {
+		return
+	}
+	for _, h := range n.neededTexts() {
+		if n.texts.find(h) == nil {
+			n.texts.nextFetch = now + fetchInterval
+			to := n.randomPeer()
+			if n.texts.lastSender > 0 {
+				to, n.texts.lastSender = n.texts.lastSender-1, 0
+			}
+			n.send(to, &accordpb.Message{Want: h[:], Pieces: n.texts.missing(shortHash(h))})
+			return
+		}
+	}
+}
+
+// handleText answers a sidecar that lacks a text, and adds a chunk of one.
+func (n *Node) handleText(now time.Duration, from int, m *accordpb.Message) {
+	if len(m.Want) == sha256.Size {
+		if x := n.texts.find(hash(m.Want)); x != nil {
+			for _, i := range m.Pieces[:min(len(m.Pieces), maxWantedChunks)] {
+				if int(i) < x.chunkCount() {
+					n.send(from, &accordpb.Message{Piece: x.chunk(int(i))})
+				}
+			}
+		}
+	}
+	if p := m.Piece; p != nil {
+		if raw := n.texts.receiveChunk(now, p); raw != nil {
+			n.pushText(n.texts.add(raw, n.neededTexts()...))
+		} else {
+			// chunks are arriving: fetch on soon
+			n.texts.nextFetch, n.texts.lastSender = min(n.texts.nextFetch, now+Period/2), from+1
+		}
+	}
+}
+
+// pushText sends a text that is new here to some others, if it is short.
+func (n *Node) pushText(x *text) {
+	if n.Size < 2 {
+		return
+	}
+	for range pushFanout {
+		n.sendText(n.randomPeer(), x)
+	}
+}
+
+// sendText sends a short text to a sidecar.
+func (n *Node) sendText(to int, x *text) {
+	for i := range x.chunkCount() {
+		if x.chunkCount() <= maxPushedChunks {
+			n.send(to, &accordpb.Message{Piece: x.chunk(i)})
+		}
+	}
+}
--- a/internal/fleet/replicatedstate/history_test.go
+++ b/internal/fleet/replicatedstate/history_test.go
@@ -20,7 +20,9 @@
 // change has a fleet of five to nine live through faults while its operators propose, and call off.
 func change(seed uint64) (n *replicatedstatesim.Net, lost bool) {
 	size := 5 + int(seed%5)
-	n = replicatedstatesim.New(replicatedstatesim.Config{Size: size, Seed: seed, Lease: 3 * time.Second, Rate: 0.01, Disks: seed%3 == 0})
+	n = replicatedstatesim.New(
+		replicatedstatesim.Config{Size: size, Seed: seed, Lease: 3 * time.Second, Rate: 0.01, Disks: seed%3 == 0},
+	)
 	rng := n.Rng
 	n.Run(time.Second)
 	if err := n.Nodes[0].Bootstrap(n.Nodes[0].Time(), 1); err != nil {
@@ -29,7 +31,8 @@
 	n.Watch(20 * time.Millisecond)
 	n.Run(20 * time.Second)
 	for range rng.IntN(6) {
-		at, length := time.Duration(rng.Int64N(int64(40*time.Second))), time.Duration(rng.Int64N(int64(12*time.Second)))
+		at := time.Duration(rng.Int64N(int64(40 * time.Second)))
+		length := time.Duration(rng.Int64N(int64(12 * time.Second)))
 		who := rng.Perm(size)
 		switch rng.IntN(7) {
 		case 0:
@@ -102,16 +105,19 @@
 		n.Broken = append(n.Broken, "the log is lost, though all have kept their votes:"+n.Text())
 	}
 	if lost {
-		// An operator begins anew, by way of any of them; whoever goes by the last log's policy still does not do so beside the new one's.
+		// An operator begins anew, by way of any of them; whoever goes by the last log's policy
+		// still does not do so beside the new one's.
 		m := n.Nodes[rng.IntN(size)]
-		if err := m.Bootstrap(m.Time(), 1<<40); err != nil && !errors.Is(err, raftlog.ErrLogExists) { // some hold on to a leader that is none for a moment
+		// some hold on to a leader that is none for a moment
+		if err := m.Bootstrap(m.Time(), 1<<40); err != nil && !errors.Is(err, raftlog.ErrLogExists) {
 			n.Broken = append(n.Broken, err.Error())
 		} else if err != nil {
 			n.Run(10 * time.Second)
 			_ = m.Bootstrap(m.Time(), 1<<40)
 		}
 	}
-	if !n.Until(110*time.Second, whole) { // a text on offer whose only holder was lost is given up behind a minute
+	// a text on offer whose only holder was lost is given up behind a minute
+	if !n.Until(110*time.Second, whole) {
 		n.Broken = append(n.Broken, "110 s after all is well:"+n.Text())
 	}
 	for _, m := range n.Nodes {
@@ -122,8 +128,8 @@
 	return n, lost
 }
 
-// Whatever is cut, stopped, crashed, held and lost while policies change: nobody goes by one policy alone while another goes by another alone, and in the end all go by
-// the same.
+// Whatever is cut, stopped, crashed, held and lost while policies change: nobody goes by one policy
+// alone while another goes by another alone, and in the end all go by the same.
 func TestChanges(t *testing.T) {
 	first, last := uint64(1), uint64(*histories)
 	if *seed != 0 {
@@ -143,8 +149,12 @@
 		}
 		both, cut, longest = both+n.Both, cut+n.CutOff, max(longest, n.Longest)
 	}
-	t.Logf("%v; looks at one that goes by both %d, cut off %d; the log lost and begun anew %d times; the longest message %d bytes", sum, both, cut, lost, longest)
-	if *seed == 0 && (sum["taken"] < *histories || sum["called off"] < *histories/10 || sum["told no"] < *histories/10 || both == 0 || cut == 0) {
+	t.Logf(
+		"%v; looks at one that goes by both %d, cut off %d; the log lost and begun anew %d times; the longest message %d bytes",
+		sum, both, cut, lost, longest,
+	)
+	if *seed == 0 &&
+		(sum["taken"] < *histories || sum["called off"] < *histories/10 || sum["told no"] < *histories/10 || both == 0 || cut == 0) {
 		t.Error("hardly anything happened")
 	}
 }
--- /dev/null
+++ b/internal/fleet/replicatedstate/leader.go
@@ -0,0 +1,76 @@
+package replicatedstate
+
+import (
+	"slices"
+	"time"
+
+	"caperarch/internal/fleet/policyrollout"
+	"caperarch/internal/fleet/raftlog"
+)
+
+// actAsLeader does the leader's part, if this sidecar leads.
+func (n *Node) actAsLeader(now time.Duration) {
+	n.participant.AdvanceIndex(n.log.LastIndex())
+	switch {
+	case !n.log.IsLeader():
+		n.leader = nil
+		return
+	case n.leader == nil || n.term != n.log.Term() || n.epoch != n.log.Epoch():
+		n.leader = policyrollout.NewLeader(
+			now, n.Size, LeaseExpiry(n.Lease, n.MaxClockError),
+			quorumAckHeartbeats*raftlog.HeartbeatInterval(n.Size),
+		)
+		n.term, n.epoch = n.log.Term(), n.log.Epoch()
+		n.Host.Changed(Event{Kind: "leads", By: n.Self.Number})
+	}
+	if step, due := n.leader.Decide(now, n.participant.State(), n.Self.Number); due {
+		n.proposeStep(now, step)
+	}
+}
+
+// proposeStep proposes a decision of the leader, once: the log itself repeats it.
+func (n *Node) proposeStep(now time.Duration, step policyrollout.Step) {
+	if n.lastDecision == step && now < n.decidedAt+decisionRetry {
+		return
+	}
+	n.lastDecision, n.decidedAt = step, now
+	if raw, err := step.Encode(); err == nil {
+		_ = n.log.Propose(now, raw)
+	}
+}
+
+// decisionRetry is when a decision that is not in the log yet is proposed anew: the log itself
+// repeats it after a second, with growing delays.
+const decisionRetry = 5 * time.Second
+
+// voterLost reports whether a voter's process can't take part any more, as far as reports tell.
+func (n *Node) voterLost(now time.Duration, s raftlog.Voter) bool {
+	incarnation, recent := n.leader.VoterIncarnation(now, s.Number)
+	if recent {
+		// another process of that number reports, which has forgotten this vote
+		return incarnation != s.Incarnation
+	}
+	return now >= n.leader.TermStart()+LeaseExpiry(n.Lease, n.MaxClockError)
+}
+
+// voterCandidates returns the processes that could vote, in an order that is the same for each
+// leader.
+func (n *Node) voterCandidates(now time.Duration) (all []raftlog.Voter) {
+	voters := n.log.Voters()
+	if len(voters) >= raftlog.VotersFor(n.Size) &&
+		!slices.ContainsFunc(voters, func(s raftlog.Voter) bool { return n.voterLost(now, s) }) {
+		return nil // no vacancy
+	}
+	for i := range n.Size {
+		if incarnation, recent := n.leader.VoterIncarnation(now, i); recent && incarnation != noVote {
+			all = append(all, raftlog.Voter{Number: i, Incarnation: incarnation})
+		}
+	}
+	slices.SortFunc(all, func(a, b raftlog.Voter) int {
+		if a.ID() < b.ID() {
+			return -1
+		}
+		return 1
+	})
+	return all
+}
--- a/internal/fleet/replicatedstate/work_test.go
+++ b/internal/fleet/replicatedstate/maintenance_test.go
@@ -13,18 +13,33 @@
 // machinesOf are some in cells of two.
 func machinesOf(n int) (all []maintenance.Machine) {
 	for i := range n {
-		all = append(all, maintenance.Machine{ID: uint64(i + 1), Name: fmt.Sprintf("s-%d", i), Zone: "a", Cell: i / 2, Weight: 1, State: maintenance.MachineReady, Warmth: 1})
+		all = append(
+			all,
+			maintenance.Machine{
+				ID: uint64(i + 1), Name: fmt.Sprintf("s-%d", i), Zone: "a", Cell: i / 2, Weight: 1,
+				State: maintenance.MachineReady, Warmth: 1,
+			},
+		)
 	}
 	return all
 }
 
 const roundText = "all = true\nlongest = \"10m\"\ncut_off = %q\n[out]\nfleet = \"2\"\ncell = \"1\"\n"
 
-// round has a fleet take all machines out, one plan, through faults; somebody works on each that is free and says that it is done.
+// round has a fleet take all machines out, one plan, through faults; somebody works on each that is
+// free and says that it is done.
 func round(seed uint64) *replicatedstatesim.Net {
 	size := 5 + int(seed%5)
-	site := &replicatedstatesim.Site{Machines: machinesOf(6), Deadline: time.Duration(2+4*(seed%2)) * time.Second, Bound: 2, Returns: 2 * time.Second}
-	n := replicatedstatesim.New(replicatedstatesim.Config{Size: size, Seed: seed, Lease: 3 * time.Second, Rate: 0.01, Disks: seed%3 == 0, Site: site})
+	site := &replicatedstatesim.Site{
+		Machines: machinesOf(6), Deadline: time.Duration(2+4*(seed%2)) * time.Second, Bound: 2,
+		Returns: 2 * time.Second,
+	}
+	n := replicatedstatesim.New(
+		replicatedstatesim.Config{
+			Size: size, Seed: seed, Lease: 3 * time.Second, Rate: 0.01, Disks: seed%3 == 0,
+			Site: site,
+		},
+	)
 	rng := n.Rng
 	n.Run(time.Second)
 	if err := n.Nodes[0].Bootstrap(n.Nodes[0].Time(), 1); err != nil {
@@ -62,7 +77,8 @@
 		})
 	}
 	for range rng.IntN(6) {
-		at, length := time.Duration(rng.Int64N(int64(40*time.Second))), time.Duration(rng.Int64N(int64(12*time.Second)))
+		at := time.Duration(rng.Int64N(int64(40 * time.Second)))
+		length := time.Duration(rng.Int64N(int64(12 * time.Second)))
 		who := rng.Perm(size)
 		switch rng.IntN(6) {
 		case 0, 1: // the leader among them, often: it goes on thinking that it leads
@@ -95,7 +111,8 @@
 	if n.Lost() { // an operator begins anew, and plans anew
 		planned = false
 		site.Forget()
-		if err := n.Nodes[0].Bootstrap(n.Nodes[0].Time(), 1<<40); err != nil { // some hold on to a leader that is none for a moment
+		// some hold on to a leader that is none for a moment
+		if err := n.Nodes[0].Bootstrap(n.Nodes[0].Time(), 1<<40); err != nil {
 			n.Run(10 * time.Second)
 			if err := n.Nodes[0].Bootstrap(n.Nodes[0].Time(), 1<<40); err != nil {
 				n.Broken = append(n.Broken, err.Error())
@@ -115,7 +132,10 @@
 	}
 	if !n.Until(5*time.Minute, over) {
 		m := n.Nodes[0]
-		n.Broken = append(n.Broken, fmt.Sprintf("5 minutes after all is well: %+v %s", m.MaintenanceView(m.Time()), n.Text()))
+		n.Broken = append(
+			n.Broken,
+			fmt.Sprintf("5 minutes after all is well: %+v %s", m.MaintenanceView(m.Time()), n.Text()),
+		)
 	}
 	for _, m := range n.Nodes {
 		if m.TooLong > 0 {
@@ -125,7 +145,9 @@
 	return n
 }
 
-// Whatever is cut, stopped, crashed, held and lost while machines take their turns: never more are out than may be, nobody in contact sends to one that is free or has anything out there, and the plan ends.
+// Whatever is cut, stopped, crashed, held and lost while machines take their turns: never more are
+// out than may be, nobody in contact sends to one that is free or has anything out there, and the
+// plan ends.
 func TestRounds(t *testing.T) {
 	first, last := uint64(1), uint64(*histories/3)
 	if *seed != 0 {
@@ -139,16 +161,24 @@
 		}
 		given, freed, over, sent, astray, longest = given+n.Site.Given, freed+n.Site.Freed, over+n.Site.Over, sent+n.Site.Sent, astray+n.Site.Astray, max(longest, n.Longest)
 	}
-	t.Logf("%d turns given, %d free, %d over; %d requests, %d to a free machine by one out of contact; the longest message %d bytes", given, freed, over, sent, astray, longest)
+	t.Logf(
+		"%d turns given, %d free, %d over; %d requests, %d to a free machine by one out of contact; the longest message %d bytes",
+		given, freed, over, sent, astray, longest,
+	)
 	if *seed == 0 && (over < 6*int(last) || astray == 0) {
 		t.Error("hardly anything happened")
 	}
 }
 
-// A plan that is paused while the turn of the same number is out: what is told of the plan names no machine (the site looks for that), the turn goes on, and nobody goes next.
+// A plan that is paused while the turn of the same number is out: what is told of the plan names no
+// machine (the site looks for that), the turn goes on, and nobody goes next.
 func TestPausedInATurn(t *testing.T) {
-	site := &replicatedstatesim.Site{Machines: machinesOf(4), Deadline: 2 * time.Second, Bound: 2, Returns: time.Second}
-	n := replicatedstatesim.New(replicatedstatesim.Config{Size: 5, Seed: 1, Lease: 3 * time.Second, Rate: 0.01, Site: site})
+	site := &replicatedstatesim.Site{
+		Machines: machinesOf(4), Deadline: 2 * time.Second, Bound: 2, Returns: time.Second,
+	}
+	n := replicatedstatesim.New(
+		replicatedstatesim.Config{Size: 5, Seed: 1, Lease: 3 * time.Second, Rate: 0.01, Site: site},
+	)
 	n.Run(time.Second)
 	m := n.Nodes[0]
 	if err := m.Bootstrap(m.Time(), 1); err != nil {
@@ -166,7 +196,8 @@
 	}
 	n.Run(20 * time.Second)
 	s := m.MaintenanceState()
-	if n.Broken != nil || len(s.Plans) != 1 || s.Plans[0].Paused == "" || s.LastWindow != 1 || s.Window(1).Phase != maintenance.Free {
+	if n.Broken != nil || len(s.Plans) != 1 || s.Plans[0].Paused == "" || s.LastWindow != 1 ||
+		s.Window(1).Phase != maintenance.Free {
 		t.Errorf("%v, %+v", n.Broken, s)
 	}
 }
--- a/internal/fleet/replicatedstate/replicatedstate.go
+++ b/internal/fleet/replicatedstate/replicatedstate.go
@@ -1,87 +1,105 @@
-// Package replicatedstate is one sidecar's whole part in what a fleet settles: the agreed log (internal/fleet/raftlog), by what policy it goes (internal/fleet/policyrollout's Holder), the leader's part
-// while it leads, the reports and grants between the two, and the policies' texts. It is free of I/O, goroutines and clocks; a random source is passed in, so a seed
-// plays one history. All times are of one clock that counts while the process stands still.
+// Package replicatedstate is one sidecar's part in the state that a fleet replicates: the log
+// (internal/fleet/raftlog), the policy in force here (policyrollout.Participant), the leader's
+// decisions while this sidecar leads, the reports and grants between the two, the texts of policies
+// and plans, and the machines that are out for maintenance (internal/fleet/maintenance).
 //
-// Who goes by the log has a grant of its leader, for a lease. At three hundred sidecars that would be more than a leader may send, so reports and grants go by way of
-// relays, about as many as the root of the fleet's size: each gathers those of its part of the fleet into one datagram, and the leader's word comes back as a bit for each.
+// A Node does no I/O, starts no goroutines and reads no clock; a random source is passed in, so one
+// seed gives one history. It must be used by one goroutine at a time. All times are of one clock
+// that counts on while the process is stopped.
+//
+// A sidecar that applies an agreed policy has a grant of the log's leader, for a lease. At three
+// hundred sidecars, reports and grants are more than a leader may send. They go by way of relays,
+// about as many as the square root of the fleet's size: each batches the reports of its share of
+// the fleet into one datagram, and the leader's grants come back as a bit for each report.
 package replicatedstate
 
 import (
 	"cmp"
 	"fmt"
 	"math/rand/v2"
-	"slices"
 	"time"
 
+	"google.golang.org/protobuf/proto"
+
 	"caperarch/internal/fleet/maintenance"
 	"caperarch/internal/fleet/policyrollout"
 	"caperarch/internal/fleet/raftlog"
 	"caperarch/internal/fleet/replicatedstate/accordpb"
-
-	"google.golang.org/protobuf/proto"
 )
 
 const (
 	// Period is how often Tick is due.
 	Period = raftlog.Period
 
-	reportPercent       = 40                     // % of a lease between reports where nothing changes
-	retryPercent        = 30                     // % of it behind which one that has had no answer is sent again, by way of another relay; an answer takes up to the two below
-	batchPercent        = 13                     // % of it that a relay waits for others' reports, but where there is a datagram full,
-	grantPercent        = 13                     // and that the leader's word to each relay does: it counts from the report
-	urgentRetryPercent  = 7                      // % of it behind which one that has less than half of its lease left sends again
-	cutOffRetry         = 500 * time.Millisecond // the same of one who is cut off; and ever later, up to the first
-	changeRetry         = time.Second            // the same in a change, which waits for all reports
-	changeBatchDelay    = 250 * time.Millisecond // what a relay waits in a change
-	pollInterval        = 500 * time.Millisecond // whom a change waits for is asked to report, by the leader itself,
-	maxPolled           = 4                      // so many at a time
-	quorumAckHeartbeats = 3                      // a leader that a majority has not confirmed for so many beats grants nothing
-	// MaxMessageBytes is the longest message, in bytes: what stands round it in a datagram of 256 takes up to 40.
+	// Times in percent of a lease:
+	reportPercent = 40 // between reports while nothing changes
+	// retryPercent is when a report that was not granted is repeated, by way of another relay; a
+	// grant takes up to batchPercent and grantPercent.
+	retryPercent       = 30
+	batchPercent       = 13 // that a relay waits for more reports, unless a datagram is full
+	grantPercent       = 13 // that the leader's grants to a relay wait for more
+	urgentRetryPercent = 7  // as retryPercent, with less than half of the lease remaining
+
+	cutOffRetry      = 500 * time.Millisecond // first retry of a sidecar that is cut off; it doubles
+	changeRetry      = time.Second            // the same during a change, which waits for all reports
+	changeBatchDelay = 250 * time.Millisecond // that a relay waits for more reports during a change
+	pollInterval     = 500 * time.Millisecond // between polls of sidecars that a change waits for,
+	maxPolled        = 4                      // so many at a time
+	// quorumAckHeartbeats: a leader that no majority has confirmed for so many heartbeats grants
+	// nothing.
+	quorumAckHeartbeats = 3
+	// MaxMessageBytes is the longest message, in bytes: the envelope in a datagram of 256 takes up
+	// to 40.
 	MaxMessageBytes = 216
 )
 
-// Host carries out what a Node decides. Its methods must not call back, but for Now, Until and Text in Changed.
+// Host carries out what a Node decides. Its methods must not call back into the Node, except that
+// Changed may call Active, ActiveUntil and Text.
 type Host interface {
-	// Send sends a message; where there is not room for all, the urgent ones go first.
+	// Send sends a message; if the budget is short, urgent ones go first.
 	Send(to int, raw []byte, urgent bool)
 	Changed(e Event)
-	// Worked takes that the log has an entry about work on machines that changed something.
+	// Worked is called for each entry about maintenance that changed something.
 	Worked(s maintenance.Step)
 }
 
-// Event is something that people are told.
+// Event is a change that is logged.
 type Event struct {
-	Kind string // "proposed", "taken", "called off", "settled", "begun", "refused", "entry", "goes by", "leads", "log"
+	// "proposed", "taken", "called off", "settled", "begun", "offered", "refused", "entry", "goes
+	// by", "leads" or "log": the words of the log lines
+	Kind string
 	policyrollout.Ref
 	By     int
 	Why    string
 	Active policyrollout.Active
 }
 
-// Config is what a Node is made of.
+// Config configures a Node.
 type Config struct {
-	Size               int
-	Self               raftlog.Voter
-	Lease              time.Duration
-	MaxClockError      float64 // greatest error of a clock's rate
-	Rand               *rand.Rand
-	Host               Host
-	Check              func(text []byte) error // why a policy can't be applied here; nil: it can
-	ProcessIncarnation uint64                  // of the process, where its seat is an earlier one's that kept its vote; 0: the seat's
-	Storage            Storage                 // nil: nothing outlives the process
-
-	Work     Machines      // nil: nothing is known of machines here
-	Deadline time.Duration // the longest that a request may be out at one
-}
-
-// Storage keeps what must outlive the process, where an operator gives it a place.
+	Size          int
+	Self          raftlog.Voter
+	Lease         time.Duration
+	MaxClockError float64 // greatest error of a clock's rate, to either side
+	Rand          *rand.Rand
+	Host          Host
+	Check         func(text []byte) error // returns why a policy can't be applied here
+	// where Self is the voter of an earlier process that saved its vote; 0: Self.Incarnation
+	ProcessIncarnation uint64
+	Storage            Storage // nil: nothing outlives the process
+
+	Work     Machines      // nil: no machines are known here
+	Deadline time.Duration // the longest that a request may be in flight
+}
+
+// Storage persists what must outlive the process.
 type Storage interface {
 	raftlog.Storage
-	// Text keeps the text of a version.
+	// Text persists the text of a version.
 	Text(hash [32]byte, text []byte) error
 }
 
-// LeaseExpiry is when a grant of a lease is over by anybody's clock: the errors of both, and what rounding may add.
+// LeaseExpiry returns after what time a lease has expired by anybody's clock: it adds the errors of
+// both clocks, rate each, and what rounding may add.
 func LeaseExpiry(lease time.Duration, rate float64) time.Duration {
 	return lease + time.Duration(2.5*rate*float64(lease)) + 2*time.Millisecond
 }
@@ -93,24 +111,27 @@
 	participant *policyrollout.Participant
 	texts       textStore
 	incarnation uint64
-	now         time.Duration // of the event under way
+	now         time.Duration // time of the current event
 
-	leader *policyrollout.Leader // nil: another leads, or nobody does
-	epoch  uint64                // that it leads
+	leader *policyrollout.Leader // nil: this sidecar does not lead
+	epoch  uint64                // of the log that it leads
 	term   uint64
 
 	reports
 	relay
 	proposals   []Proposal
-	announced   policyrollout.Active // as last told
+	announced   policyrollout.Active // last reported to the host
 	laggards    reportedLaggards
 	maintenance maintenanceState
 }
 
-// New makes a node that knows of no log yet, and goes by CutOff.
+// New returns a node that knows of no log yet, and applies CutOff.
 func New(cfg Config) (*Node, error) {
 	n := &Node{Config: cfg, incarnation: cmp.Or(cfg.ProcessIncarnation, cfg.Self.Incarnation)}
-	log := raftlog.Config{Size: cfg.Size, Self: cfg.Self, ProcessIncarnation: n.incarnation, Rand: cfg.Rand, Host: logHost{n}}
+	log := raftlog.Config{
+		Size: cfg.Size, Self: cfg.Self, ProcessIncarnation: n.incarnation, Rand: cfg.Rand,
+		Host: logHost{n},
+	}
 	if cfg.Storage != nil {
 		log.Storage = cfg.Storage
 	}
@@ -131,7 +152,8 @@
 	return n, nil
 }
 
-// Restore has a node that has just been made go on with what its seat's process before it had kept. It is cut off all the same until a leader grants it more.
+// Restore makes a new node continue with the state that an earlier process of its voter saved. It
+// stays cut off until a leader grants it more.
 func (n *Node) Restore(now time.Duration, s *raftlog.SavedState, texts [][]byte) error {
 	n.now = now
 	for _, raw := range texts {
@@ -140,10 +162,10 @@
 	return n.log.Restore(now, s)
 }
 
-// StorageError is why this process, which had a vote, has none any more; nil: nothing is wrong.
+// StorageError returns why this process, which was a voter, votes no more; nil if nothing failed.
 func (n *Node) StorageError() error { return n.log.StorageError() }
 
-// whyNotApplicable says why a version can't be applied here; "": it can.
+// whyNotApplicable returns why a version can't be applied here; "": it can.
 func (n *Node) whyNotApplicable(r policyrollout.Ref) string {
 	if r.Version == 0 {
 		return "" // the settings
@@ -151,19 +173,20 @@
 	return n.texts.whyNotApplicable(r.Hash)
 }
 
-// Active is by what this sidecar goes. It is to be asked wherever something depends on it, at that moment.
+// Active returns the policy that this sidecar applies. Ask it wherever something depends on it, at
+// that moment.
 func (n *Node) Active(now time.Duration) policyrollout.Active {
 	n.participant.AdvanceIndex(n.log.LastIndex())
 	return n.participant.Active(now)
 }
 
-// ActiveUntil is when that changes to CutOff if nothing more is heard.
+// ActiveUntil returns when Active changes to CutOff if nothing more is received.
 func (n *Node) ActiveUntil() time.Duration { return n.participant.GrantedUntil() }
 
-// Text is a version's text; false: it is not here.
+// Text returns the text of a version; false: it is not here.
 func (n *Node) Text(r policyrollout.Ref) ([]byte, bool) { return n.texts.get(r.Hash) }
 
-// Tick is due every Period.
+// Tick advances time. It is due every Period.
 func (n *Node) Tick(now time.Duration) {
 	n.now = now
 	n.log.Tick(now)
@@ -172,7 +195,7 @@
 		n.log.UpdateVoters(now, func(s raftlog.Voter) bool { return n.voterLost(now, s) }, n.voterCandidates(now))
 	}
 	n.leadMaintenance(now)
-	n.announceActive(now) // before the report: who is told that this one goes by both may count on it
+	n.announceActive(now) // before the report: its receivers rely on the policy that it states
 	n.sendReport(now)
 	n.flushBatch(now)
 	n.sendGrants(now)
@@ -180,7 +203,7 @@
 	n.fetchTexts(now)
 }
 
-// Receive takes a message of a sidecar. What can't be read is an error, and changes nothing.
+// Receive handles a message of the sidecar from. A malformed one is an error, and changes nothing.
 func (n *Node) Receive(now time.Duration, from int, raw []byte) error {
 	if from < 0 || from >= n.Size || from == n.Self.Number {
 		return errMalformed
@@ -210,115 +233,10 @@
 	return nil
 }
 
-// actAsLeader does the leader's part, if it is this one's.
-func (n *Node) actAsLeader(now time.Duration) {
-	n.participant.AdvanceIndex(n.log.LastIndex())
-	switch {
-	case !n.log.IsLeader():
-		n.leader = nil
-		return
-	case n.leader == nil || n.term != n.log.Term() || n.epoch != n.log.Epoch():
-		n.leader = policyrollout.NewLeader(now, n.Size, LeaseExpiry(n.Lease, n.MaxClockError), quorumAckHeartbeats*raftlog.HeartbeatInterval(n.Size))
-		n.term, n.epoch = n.log.Term(), n.log.Epoch()
-		n.Host.Changed(Event{Kind: "leads", By: n.Self.Number})
-	}
-	if step, due := n.leader.Decide(now, n.participant.State(), n.Self.Number); due {
-		n.proposeStep(now, step)
-	}
-}
-
-// proposeStep puts a step of the leader's into the log, once: it is proposed again by the log itself.
-func (n *Node) proposeStep(now time.Duration, step policyrollout.Step) {
-	if n.lastDecision == step && now < n.decidedAt+decisionRetry {
-		return
-	}
-	n.lastDecision, n.decidedAt = step, now
-	if raw, err := step.Encode(); err == nil {
-		_ = n.log.Propose(now, raw)
-	}
-}
-
-// decisionRetry is when a step that has not come back is proposed anew: the log itself does so behind a second, and ever later.
-const decisionRetry = 5 * time.Second
-
-// voterLost says that a voter's process can't take part any more, as far as reports tell.
-func (n *Node) voterLost(now time.Duration, s raftlog.Voter) bool {
-	seat, lately := n.leader.VoterIncarnation(now, s.Number)
-	if lately {
-		return seat != s.Incarnation // another process of that number reports, that has forgotten this one's vote
-	}
-	return now >= n.leader.TermStart()+LeaseExpiry(n.Lease, n.MaxClockError)
-}
-
-// voterCandidates are those that could vote, in an order that is the same for each leader.
-func (n *Node) voterCandidates(now time.Duration) (all []raftlog.Voter) {
-	seats := n.log.Voters()
-	if len(seats) >= raftlog.VotersFor(n.Size) && !slices.ContainsFunc(seats, func(s raftlog.Voter) bool { return n.voterLost(now, s) }) {
-		return nil // nothing is to be filled
-	}
-	for i := range n.Size {
-		if seat, lately := n.leader.VoterIncarnation(now, i); lately && seat != noVote {
-			all = append(all, raftlog.Voter{Number: i, Incarnation: seat})
-		}
-	}
-	slices.SortFunc(all, func(a, b raftlog.Voter) int {
-		if a.ID() < b.ID() {
-			return -1
-		}
-		return 1
-	})
-	return all
-}
-
-// announceActive tells people by what this one goes, where that has changed.
+// announceActive reports a change of Active to the host.
 func (n *Node) announceActive(now time.Duration) {
 	if goes := n.Active(now); goes != n.announced {
 		n.announced = goes
 		n.Host.Changed(Event{Kind: "goes by", Ref: goes.New, Active: goes, By: n.Self.Number})
 	}
 }
-
-// logHost carries out what the log decides.
-type logHost struct{ n *Node }
-
-func (h logHost) Send(to int, m *raftlog.Message) {
-	raw, err := m.Encode()
-	if err != nil {
-		return
-	}
-	h.n.sendUrgent(to, &accordpb.Message{Log: raw}, m.Raft != nil || m.Gossip)
-}
-
-func (h logHost) Reset(epoch uint64) {
-	n := h.n
-	n.participant.Reset()
-	n.leader, n.reports, n.relay = nil, reports{pendingGrants: make(map[int][]*accordpb.Granted)}, relay{pendingBatches: make(map[uint32]sentBatch)}
-	n.proposals, n.laggards, n.maintenance = nil, reportedLaggards{}, maintenanceState{}
-	n.Host.Changed(Event{Kind: "log", By: n.Self.Number, Why: fmt.Sprintf("epoch %x", epoch)})
-}
-
-func (h logHost) Applied(e raftlog.Entry) { h.n.applyEntry(e) }
-
-func (n *Node) send(to int, m *accordpb.Message) { n.sendUrgent(to, m, false) }
-
-// sendUrgent sends a message, which has to fit.
-func (n *Node) sendUrgent(to int, m *accordpb.Message, urgent bool) {
-	if to == n.Self.Number || to < 0 || to >= n.Size {
-		return
-	}
-	raw, err := proto.Marshal(m)
-	if err != nil || len(raw) > MaxMessageBytes {
-		n.TooLong++
-		return
-	}
-	n.Host.Send(to, raw, urgent)
-}
-
-// randomPeer is one of the others, at random.
-func (n *Node) randomPeer() int {
-	if i := n.Rand.IntN(max(1, n.Size-1)); i < n.Self.Number {
-		return i
-	} else {
-		return i + 1
-	}
-}
--- a/internal/fleet/replicatedstate/replicatedstate_test.go
+++ b/internal/fleet/replicatedstate/replicatedstate_test.go
@@ -69,7 +69,8 @@
 		t.Fatal(n.Text())
 	}
 	a, b := m.View(m.Time()).Proposals[0].Outcome, other.View(other.Time()).Proposals[0].Outcome
-	if (a == "taken") == (b == "taken") || !strings.HasPrefix(a+b, "refused: ") && !strings.HasPrefix(b+a, "refused: ") {
+	if (a == "taken") == (b == "taken") ||
+		!strings.HasPrefix(a+b, "refused: ") && !strings.HasPrefix(b+a, "refused: ") {
 		t.Errorf("outcomes %q and %q", a, b)
 	}
 	if grown := m.View(m.Time()).LastIndex - have; grown > 6 {
@@ -87,7 +88,8 @@
 	}
 }
 
-// One that is down does not hold a change up for longer than a lease; one that most never come to is called off; one that somebody can't apply is at once, and says by whom and why.
+// One that is down does not hold a change up for longer than a lease; one that most never come to
+// is called off; one that somebody can't apply is at once, and says by whom and why.
 func TestOutcomes(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -96,8 +98,15 @@
 		within  time.Duration
 	}{
 		{"calm", func(*replicatedstatesim.Net, int) {}, "taken", time.Second},
-		{"one down", func(n *replicatedstatesim.Net, leader int) { n.Crash((leader + 1) % 5) }, "taken", 5 * time.Second},
-		{"one can't", func(n *replicatedstatesim.Net, leader int) { n.Cannot[[2]int{(leader + 1) % 5, 1}] = true }, "called off by %d: tenants.x: no such tenant", time.Second},
+		{
+			"one down", func(n *replicatedstatesim.Net, leader int) { n.Crash((leader + 1) % 5) },
+			"taken", 5 * time.Second,
+		},
+		{
+			"one can't",
+			func(n *replicatedstatesim.Net, leader int) { n.Cannot[[2]int{(leader + 1) % 5, 1}] = true },
+			"called off by %d: tenants.x: no such tenant", time.Second,
+		},
 		{"late", func(n *replicatedstatesim.Net, leader int) { // three of five never have the text
 			n.Drop = func(to int, raw []byte) bool {
 				m := new(accordpb.Message)
@@ -125,7 +134,8 @@
 		}
 		got := func() string { return m.View(m.Time()).Proposals[0].Outcome }
 		n.Until(c.within, func() bool { return got() != "" && got() != "under way" })
-		if want := strings.ReplaceAll(c.outcome, "%d", fmt.Sprint((leader+1)%5)); !strings.Contains(got(), want) || n.Broken != nil {
+		want := strings.ReplaceAll(c.outcome, "%d", fmt.Sprint((leader+1)%5))
+		if !strings.Contains(got(), want) || n.Broken != nil {
 			t.Errorf("%s: %q after %v, %q is wanted; %v", c.name, got(), n.Now-begun, want, n.Broken)
 		}
 	}
@@ -136,7 +146,8 @@
 	return raw
 }
 
-// A text of 64 KiB that can't be made smaller reaches all, also where much is lost; one that is spoilt on the way is not taken.
+// A text of 64 KiB that can't be made smaller reaches all, also where much is lost; one that is
+// spoilt on the way is not taken.
 func TestLongTexts(t *testing.T) {
 	n := founded(t, 5, 3)
 	rng := rand.New(rand.NewPCG(1, 1))
@@ -177,9 +188,16 @@
 // What another sends can't make a sidecar stumble, nor speak for a third.
 func FuzzTake(f *testing.F) {
 	for _, m := range []*accordpb.Message{
-		{Log: []byte{1, 2}}, {Epoch: 1, Report: []*accordpb.Report{{Number: 1, Life: 2, Stamp: 3, Mode: 1, Have: 9}}}, {Epoch: 1, Batch: 4, Report: []*accordpb.Report{{Number: 9}}},
-		{Epoch: 1, Granted: []*accordpb.Granted{{Batch: 1, Which: 7}}, Index: 1}, {Epoch: 1, Grant: &accordpb.Grant{Stamp: 1 << 62, Life: 1}}, {Want: make([]byte, 32), Pieces: []uint32{1, 2, 1 << 31}},
-		{Piece: &accordpb.Piece{Text: 1, Index: 1, Count: 1 << 31}}, {Piece: &accordpb.Piece{Text: 1, Count: 1, Data: []byte{3, 0}}}, {Epoch: 1, Who: true}, {Epoch: 1, Count: 3, Ask: true, Index: 1 << 62},
+		{Log: []byte{1, 2}},
+		{Epoch: 1, Report: []*accordpb.Report{{Number: 1, Life: 2, Stamp: 3, Mode: 1, Have: 9}}},
+		{Epoch: 1, Batch: 4, Report: []*accordpb.Report{{Number: 9}}},
+		{Epoch: 1, Granted: []*accordpb.Granted{{Batch: 1, Which: 7}}, Index: 1},
+		{Epoch: 1, Grant: &accordpb.Grant{Stamp: 1 << 62, Life: 1}},
+		{Want: make([]byte, 32), Pieces: []uint32{1, 2, 1 << 31}},
+		{Piece: &accordpb.Piece{Text: 1, Index: 1, Count: 1 << 31}},
+		{Piece: &accordpb.Piece{Text: 1, Count: 1, Data: []byte{3, 0}}},
+		{Epoch: 1, Who: true},
+		{Epoch: 1, Count: 3, Ask: true, Index: 1 << 62},
 	} {
 		raw, err := proto.Marshal(m)
 		if err != nil {
@@ -201,10 +219,13 @@
 	})
 }
 
-// With disks that last the fleet goes by its policy again after a stop of all at once, without an operator; without them it does not.
+// With disks that last the fleet goes by its policy again after a stop of all at once, without an
+// operator; without them it does not.
 func TestAllStoppedAtOnce(t *testing.T) {
 	for _, disks := range []bool{true, false} {
-		n := replicatedstatesim.New(replicatedstatesim.Config{Size: 5, Seed: 2, Lease: 3 * time.Second, Rate: 0.01, Disks: disks})
+		n := replicatedstatesim.New(
+			replicatedstatesim.Config{Size: 5, Seed: 2, Lease: 3 * time.Second, Rate: 0.01, Disks: disks},
+		)
 		n.Run(time.Second)
 		if err := n.Nodes[0].Bootstrap(n.Nodes[0].Time(), 1); err != nil {
 			t.Fatal(err)
--- a/internal/fleet/replicatedstate/size_test.go
+++ b/internal/fleet/replicatedstate/size_test.go
@@ -9,10 +9,13 @@
 	"caperarch/internal/lab/replicatedstatesim"
 )
 
-// Three hundred, each with the bytes that the link lets it send: what a change takes, calm, with loss, and with a tenth down; and what all cost at rest.
+// Three hundred, each with the bytes that the link lets it send: what a change takes, calm, with
+// loss, and with a tenth down; and what all cost at rest.
 func TestThreeHundred(t *testing.T) {
 	const size, budget = 300, 1200.0 // of 2,048 a second: what swim leaves
-	n := replicatedstatesim.New(replicatedstatesim.Config{Size: size, Seed: 3, Lease: 15 * time.Second, Rate: 0.001, Spend: budget})
+	n := replicatedstatesim.New(
+		replicatedstatesim.Config{Size: size, Seed: 3, Lease: 15 * time.Second, Rate: 0.001, Spend: budget},
+	)
 	n.Run(time.Second)
 	if err := n.Nodes[0].Bootstrap(n.Nodes[0].Time(), 1<<56); err != nil {
 		t.Fatal(err)
@@ -43,7 +46,10 @@
 			}
 		}
 	}
-	t.Logf("at rest, bytes a second: %.0f on average, the leader %.0f, a voter up to %.0f; spared %d", sum, leader, voter, n.Spared)
+	t.Logf(
+		"at rest, bytes a second: %.0f on average, the leader %.0f, a voter up to %.0f; spared %d",
+		sum, leader, voter, n.Spared,
+	)
 	if most > budget*0.9 || len(v.Voters) != raftlog.VotersFor(size) {
 		t.Errorf("%.0f bytes a second, voters %v", most, v.Voters)
 	}
--- a/internal/fleet/replicatedstate/texts.go
+++ b/internal/fleet/replicatedstate/texts.go
@@ -6,6 +6,7 @@
 	"crypto/sha256"
 	"encoding/binary"
 	"io"
+	"slices"
 	"time"
 
 	"caperarch/internal/fleet/policyrollout"
@@ -13,44 +14,45 @@
 )
 
 const (
-	chunkBytes      = 160
-	maxChunks       = (policyrollout.MaxTextBytes+policyrollout.MaxTextBytes/8)/chunkBytes + 1 // a text that can't be made smaller grows a little
-	maxTexts        = 14                                                                       // kept; those that matter are few
-	maxPartialTexts = 3                                                                        // texts that are half here
-	partialTimeout  = 20 * time.Second                                                         // without a further piece
-	maxWantedChunks = 4                                                                        // pieces that are asked for at a time
-	fetchInterval   = 250 * time.Millisecond                                                   // without an answer
-	maxPushedChunks = 3                                                                        // a text of so few goes to some others unasked
-	pushFanout      = 2                                                                        // so many
+	chunkBytes = 160
+	// maxChunks allows for a text that compression makes slightly longer.
+	maxChunks       = (policyrollout.MaxTextBytes+policyrollout.MaxTextBytes/8)/chunkBytes + 1
+	maxTexts        = 14                     // that are kept
+	maxPartialTexts = 3                      // that are being received
+	partialTimeout  = 20 * time.Second       // without a further chunk
+	maxWantedChunks = 4                      // per request
+	fetchInterval   = 250 * time.Millisecond // without an answer
+	maxPushedChunks = 3                      // of a text that is sent without a request,
+	pushFanout      = 2                      // to so many sidecars
 )
 
 type hash = [sha256.Size]byte
 
-// text is one that is here whole.
+// text is the complete text of a policy or a plan.
 type text struct {
 	hash       hash
 	raw        []byte
-	compressed []byte // as it goes to others
-	rejection  string // it can't be applied here; "": it can
+	compressed []byte // as it is sent
+	rejection  string // why it can't be applied here; "": it can
 }
 
-// partialText is a text that is half here.
+// partialText is a text of which chunks are missing.
 type partialText struct {
 	name      uint64
 	chunks    [][]byte
 	remaining int
-	at        time.Duration // of the last piece
+	at        time.Duration // of the last chunk
 }
 
-// textStore are those of policies, known by their hashes. Who has one hands it on.
+// textStore keeps texts by their hashes. Who has a text passes it on.
 type textStore struct {
 	check      func([]byte) error
-	persist    func(hash, []byte) error // on the disk; nil: there is none
-	persistErr error                    // why that was not possible, the last time
+	persist    func(hash, []byte) error // nil: there is no storage
+	persistErr error                    // of the last time that persist failed
 	all        []*text                  // the newest last
 	partial    []*partialText
 	nextFetch  time.Duration
-	lastSender int // who sent the last piece, and one: it is asked on. 0: nobody did
+	lastSender int // sender of the last chunk plus one: it is asked for more; 0: none
 }
 
 func (t *textStore) init(check func([]byte) error) { t.check = check }
@@ -71,7 +73,7 @@
 	return nil, false
 }
 
-// whyNotApplicable says why a text can't be applied here.
+// whyNotApplicable returns why a text can't be applied here; "": it can.
 func (t *textStore) whyNotApplicable(h hash) string {
 	if x := t.find(h); x != nil {
 		return x.rejection
@@ -79,163 +81,70 @@
 	return policyrollout.Waiting
 }
 
-// add keeps a text. Of too many the oldest goes that is none of those to be kept.
+// add keeps a text. Of too many, the oldest that is not among keep is dropped.
 func (t *textStore) add(raw []byte, keep ...hash) *text {
 	x := &text{hash: sha256.Sum256(raw), raw: raw}
 	if had := t.find(x.hash); had != nil {
 		return had
 	}
 	var b bytes.Buffer
-	w, _ := flate.NewWriter(&b, flate.BestCompression) // the level is a known one
+	w, _ := flate.NewWriter(&b, flate.BestCompression) // the level is valid
 	_, _ = w.Write(raw)
 	_ = w.Close()
 	x.compressed = b.Bytes()
 	if err := t.check(raw); err != nil {
 		x.rejection = err.Error()
 	}
-	for i := 0; len(t.all) >= maxTexts && i < len(t.all); i++ {
-		kept := false
-		for _, h := range keep {
-			kept = kept || t.all[i].hash == h
-		}
-		if !kept {
-			t.all = append(t.all[:i], t.all[i+1:]...)
-			break
-		}
-	}
+	t.evictOldest(keep)
 	t.all = append(t.all, x)
 	if t.persist != nil {
-		if err := t.persist(x.hash, raw); err != nil { // it can be asked for again, of others
+		if err := t.persist(x.hash, raw); err != nil { // the text can be fetched again
 			t.persistErr = err
 		}
 	}
 	return x
 }
 
-// shortHash is the short name by which pieces are known.
-func shortHash(h hash) uint64 { return binary.BigEndian.Uint64(h[:8]) }
-
-func (x *text) chunkCount() int { return max(1, (len(x.compressed)+chunkBytes-1)/chunkBytes) }
-
-func (x *text) chunk(i int) *accordpb.Piece {
-	from := min(i*chunkBytes, len(x.compressed))
-	return &accordpb.Piece{Text: shortHash(x.hash), Index: uint32(i), Count: uint32(x.chunkCount()), Data: x.compressed[from:min(from+chunkBytes, len(x.compressed))]}
-}
-
-// neededTexts are the texts that this one can't do without.
-func (n *Node) neededTexts() (all []hash) {
-	s := n.participant.State()
-	for _, r := range []policyrollout.Ref{s.Current, s.Pending, s.Offered} {
-		if r.Version != 0 {
-			all = append(all, r.Hash)
-		}
-	}
-	for _, w := range n.maintenance.state.Plans {
-		all = append(all, w.Hash)
-	}
-	return all
-}
-
-// fetchTexts asks one of the others for pieces of what is needed and not here.
-func (n *Node) fetchTexts(now time.Duration) {
-	if now < n.texts.nextFetch {
+// evictOldest drops the oldest text that is not among keep, if there are too many.
+func (t *textStore) evictOldest(keep []hash) {
+	if len(t.all) < maxTexts {
 		return
 	}
-	for _, h := range n.neededTexts() {
-		if n.texts.find(h) == nil {
-			n.texts.nextFetch = now + fetchInterval
-			to := n.randomPeer()
-			if n.texts.lastSender > 0 {
-				to, n.texts.lastSender = n.texts.lastSender-1, 0
-			}
-			n.send(to, &accordpb.Message{Want: h[:], Pieces: n.texts.missing(shortHash(h))})
+	for i, x := range t.all {
+		if !slices.Contains(keep, x.hash) {
+			t.all = append(t.all[:i], t.all[i+1:]...)
 			return
 		}
 	}
 }
 
-// missing are some of the pieces that are not here yet.
-func (t *textStore) missing(name uint64) (all []uint32) {
-	for _, x := range t.partial {
-		if x.name != name {
-			continue
-		}
-		for i := range x.chunks {
-			if x.chunks[i] == nil && len(all) < maxWantedChunks {
-				all = append(all, uint32(i))
-			}
-		}
-		return all
-	}
-	return []uint32{0, 1, 2, 3}[:maxWantedChunks] // how many there are is told with the first
-}
-
-// handleText answers who lacks a text, and takes pieces of one.
-func (n *Node) handleText(now time.Duration, from int, m *accordpb.Message) {
-	if len(m.Want) == sha256.Size {
-		if x := n.texts.find(hash(m.Want)); x != nil {
-			for _, i := range m.Pieces[:min(len(m.Pieces), maxWantedChunks)] {
-				if int(i) < x.chunkCount() {
-					n.send(from, &accordpb.Message{Piece: x.chunk(int(i))})
-				}
-			}
-		}
-	}
-	if p := m.Piece; p != nil {
-		if raw := n.texts.receiveChunk(now, p); raw != nil {
-			n.pushText(n.texts.add(raw, n.neededTexts()...))
-		} else {
-			n.texts.nextFetch, n.texts.lastSender = min(n.texts.nextFetch, now+Period/2), from+1 // it comes on
-		}
-	}
-}
+// shortHash returns the short name by which chunks refer to a text.
+func shortHash(h hash) uint64 { return binary.BigEndian.Uint64(h[:8]) }
 
-// pushText takes that a text has just come, and hands it on where it is short.
-func (n *Node) pushText(x *text) {
-	if n.Size < 2 {
-		return
-	}
-	for range pushFanout {
-		n.sendText(n.randomPeer(), x)
-	}
-}
+func (x *text) chunkCount() int { return max(1, (len(x.compressed)+chunkBytes-1)/chunkBytes) }
 
-// sendText sends a short text to one.
-func (n *Node) sendText(to int, x *text) {
-	for i := range x.chunkCount() {
-		if x.chunkCount() <= maxPushedChunks {
-			n.send(to, &accordpb.Message{Piece: x.chunk(i)})
-		}
+func (x *text) chunk(i int) *accordpb.Piece {
+	from := min(i*chunkBytes, len(x.compressed))
+	return &accordpb.Piece{
+		Text: shortHash(x.hash), Index: uint32(i), Count: uint32(x.chunkCount()),
+		Data: x.compressed[from:min(from+chunkBytes, len(x.compressed))],
 	}
 }
 
-// receiveChunk takes a piece, and returns the text once it is whole. What does not come to the hash that it was sent under is thrown away.
+// receiveChunk adds a chunk, and returns the text once it is complete. A text that does not have
+// the hash under which it was sent is dropped.
 func (t *textStore) receiveChunk(now time.Duration, p *accordpb.Piece) []byte {
 	if p.Count == 0 || p.Count > maxChunks || p.Index >= p.Count || len(p.Data) > chunkBytes {
 		return nil
 	}
 	for _, x := range t.all {
 		if shortHash(x.hash) == p.Text {
-			return nil // it is here
+			return nil // complete already
 		}
 	}
-	at := -1
-	for i, x := range t.partial {
-		if x.name == p.Text {
-			at = i
-		}
-	}
-	if at >= 0 && len(t.partial[at].chunks) != int(p.Count) {
-		return nil
-	}
+	at := t.partialFor(now, p)
 	if at < 0 {
-		if len(t.partial) >= maxPartialTexts && now-t.partial[0].at < partialTimeout {
-			return nil
-		} else if len(t.partial) >= maxPartialTexts {
-			t.partial = t.partial[1:]
-		}
-		at = len(t.partial)
-		t.partial = append(t.partial, &partialText{name: p.Text, chunks: make([][]byte, p.Count), remaining: int(p.Count)})
+		return nil
 	}
 	x := t.partial[at]
 	if x.at = now; x.chunks[p.Index] != nil {
@@ -246,9 +155,54 @@
 		return nil
 	}
 	t.partial = append(t.partial[:at], t.partial[at+1:]...)
-	raw, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(bytes.Join(x.chunks, nil))), policyrollout.MaxTextBytes+1))
+	raw, err := io.ReadAll(
+		io.LimitReader(flate.NewReader(bytes.NewReader(bytes.Join(x.chunks, nil))), policyrollout.MaxTextBytes+1),
+	)
 	if sum := sha256.Sum256(raw); err != nil || len(raw) > policyrollout.MaxTextBytes || shortHash(sum) != x.name {
 		return nil
 	}
 	return raw
 }
+
+// partialFor returns the index of the partial text that a chunk belongs to, and adds it if there is
+// room; -1: the chunk can't be used.
+func (t *textStore) partialFor(now time.Duration, p *accordpb.Piece) int {
+	at := -1
+	for i, x := range t.partial {
+		if x.name == p.Text {
+			at = i
+		}
+	}
+	if at >= 0 {
+		if len(t.partial[at].chunks) != int(p.Count) {
+			return -1
+		}
+		return at
+	}
+	if len(t.partial) >= maxPartialTexts {
+		if now-t.partial[0].at < partialTimeout {
+			return -1
+		}
+		t.partial = t.partial[1:]
+	}
+	t.partial = append(t.partial, &partialText{
+		name: p.Text, chunks: make([][]byte, p.Count), remaining: int(p.Count),
+	})
+	return len(t.partial) - 1
+}
+
+// missing returns some of the chunks that are not here yet.
+func (t *textStore) missing(name uint64) (all []uint32) {
+	for _, x := range t.partial {
+		if x.name != name {
+			continue
+		}
+		for i := range x.chunks {
+			if x.chunks[i] == nil && len(all) < maxWantedChunks {
+				all = append(all, uint32(i))
+			}
+		}
+		return all
+	}
+	return []uint32{0, 1, 2, 3}[:maxWantedChunks] // the first chunk tells how many there are
+}
