--- a/internal/mesh/api/forward.go
+++ b/internal/mesh/api/forward.go
@@ -15,7 +15,7 @@
 	forwardTimeout = 900 * time.Millisecond
 	// timePerByte is added for each byte of the body, as callers wait longer behind large bodies.
 	timePerByte = time.Microsecond
-	// hedgeDelay is how long a core member may take before the next one is asked besides: one that
+	// hedgeDelay is how long a core machine may take before the next one is asked besides: one that
 	// is frozen or unreachable would use up all the time otherwise. It is longer than a change
 	// takes that all sidecars apply at once.
 	hedgeDelay = 450 * time.Millisecond
@@ -23,7 +23,7 @@
 	responseTimeout = 2 * time.Second
 )
 
-// sendFunc sends a request to one core member.
+// sendFunc sends a request to one core machine.
 type sendFunc[Resp any] func(ctx context.Context, address string) (*Resp, error)
 
 // result is what one member answered.
--- a/internal/mesh/api/forward_test.go
+++ b/internal/mesh/api/forward_test.go
@@ -12,10 +12,10 @@
 	"time"
 )
 
-// memberFunc is a core member's response to a request.
+// memberFunc is a core machine's response to a request.
 type memberFunc func(r *http.Request) (*http.Response, error)
 
-// members are core members by address, in virtual time.
+// members are core machines by address, in virtual time.
 type members map[string]memberFunc
 
 func (m members) RoundTrip(r *http.Request) (*http.Response, error) { return m[r.URL.Host](r) }
@@ -64,7 +64,7 @@
 	return mux
 }
 
-// A caller has an answer within the second, whatever core members do with its request: the one that
+// A caller has an answer within the second, whatever core machines do with its request: the one that
 // decides, or a 5xx that has it try another machine. What may have been applied is not rejected.
 func TestForwardInTime(t *testing.T) {
 	const quick = 100 * time.Millisecond
--- a/internal/mesh/api/forwarder.go
+++ b/internal/mesh/api/forwarder.go
@@ -11,13 +11,13 @@
 	"caperarch/meshapi"
 )
 
-// Forwarder is an OperatorHandler that forwards requests to core members until one of them decides.
+// Forwarder is an OperatorHandler that forwards requests to core machines until one of them decides.
 // A member that fails or does not answer may have applied the change; forwarding it again is safe,
 // since a change that is applied already is acknowledged again, and one that the log has rejected
 // is rejected by every member.
 type Forwarder struct {
 	Client *http.Client
-	// Addresses returns the internal addresses of the core members, in the order in which they are tried.
+	// Addresses returns the internal addresses of the core machines, in the order in which they are tried.
 	Addresses func() []string
 }
 
--- a/internal/mesh/cli/why.go
+++ b/internal/mesh/cli/why.go
@@ -152,7 +152,7 @@
 	e.addf("Its priority is %d, the %s's, in the compartment of the tenant.", e.Priority, owner)
 }
 
-// addQuota says what the tenant may send.
+// addQuota adds what the tenant may send.
 func (e *explanation) addQuota(t *config.Tenant) {
 	if t.RatePerS == 0 {
 		e.addf("The key is tenant %s's, which has no quota.", t.Name)
@@ -200,7 +200,7 @@
 	}
 }
 
-// reasonNotSent says why an upstream is sent nothing; empty: it is sent requests.
+// reasonNotSent returns why an upstream is sent nothing; empty: it is sent requests.
 func reasonNotSent(u meshapi.Upstream) string {
 	switch {
 	case u.State != meshapi.StateReady:
--- a/internal/mesh/config/schema.go
+++ b/internal/mesh/config/schema.go
@@ -29,7 +29,7 @@
 	Weight      *float64 `json:"weight"`
 }
 
-// Validate says what is wrong with a weighted target.
+// Validate returns an error that names what is wrong with a weighted target.
 func (s targetSpecification) Validate() error {
 	return validation.ValidateStruct(&s,
 		validation.Field(&s.ServiceName, validation.Required),
@@ -50,7 +50,7 @@
 	Public          bool                  `json:"public"`
 }
 
-// Validate says what is wrong with a route, other services and routes apart.
+// Validate returns an error that names what is wrong with a route, other services and routes apart.
 func (s *routeSpecification) Validate() error {
 	if err := validation.ValidateStruct(s,
 		validation.Field(&s.Hostname, validation.Required, validation.By(hasHostName)),
@@ -128,7 +128,7 @@
 	MaxConnections  int    `json:"maxConnections"`
 }
 
-// Validate says what is wrong with a service.
+// Validate returns an error that names what is wrong with a service.
 func (s *serviceSpecification) Validate() error {
 	return validation.ValidateStruct(s,
 		validation.Field(&s.HealthCheckPath,
@@ -148,8 +148,8 @@
 	BurstLimit float64  `json:"burstLimit"`
 }
 
-// Validate says what is wrong with a tenant, other tenants apart. A tenant may have no key for the
-// time being, but the list must be there.
+// Validate returns an error that names what is wrong with a tenant, other tenants apart. A tenant may
+// have no key at present, but the list must be there.
 func (s *tenantSpecification) Validate() error {
 	return validation.ValidateStruct(s,
 		validation.Field(&s.APIKeys, validation.NotNil, validation.Each(validation.Required)),
@@ -180,7 +180,7 @@
 	IdleTimeoutS   float64 `json:"idleTimeoutS"`
 }
 
-// Validate says what is wrong with the limits.
+// Validate returns an error that names what is wrong with the limits.
 func (s *limitsSpecification) Validate() error {
 	return validation.ValidateStruct(s,
 		validation.Field(&s.MaxHeaderBytes, validation.Min(0)),
--- a/internal/mesh/quota/fair_share.go
+++ b/internal/mesh/quota/fair_share.go
@@ -35,8 +35,8 @@
 	return granted
 }
 
-// releaseUnwanted returns to the balance what is reserved for old claims or beyond a claim, and says how
-// much all claims lack.
+// releaseUnwanted returns to the balance what is reserved for old claims or beyond a claim, and returns
+// how much all claims lack.
 func (t *tenantAccount) releaseUnwanted(now time.Duration) float64 {
 	lacking := 0.0
 	for node, c := range t.claims {
@@ -83,7 +83,7 @@
 	}
 }
 
-// unmetClaims counts the claims that lack something, and says the least that one of them lacks.
+// unmetClaims counts the claims that lack something, and returns the least that one of them lacks.
 func (t *tenantAccount) unmetClaims() (unmet int, minLack float64) {
 	for _, c := range t.claims {
 		lack := c.lack()
--- a/internal/mesh/quota/limiter.go
+++ b/internal/mesh/quota/limiter.go
@@ -24,7 +24,7 @@
 // LocalLimiter is what one sidecar may spend for each tenant: granted tokens and a floor of its own, or,
 // of deferred tenants, what it admits and reports. Which requests of a throttled tenant run is random.
 //
-// A cycle is: NextRequest says when to ask, Demands what to ask for, ApplyGrants applies the response.
+// A cycle is: NextRequest returns when to ask, Demands what to ask for, ApplyGrants applies the response.
 type LocalLimiter struct {
 	planner  planner
 	tenants  map[string]*tenantBucket
--- a/internal/mesh/registry/late_messages_test.go
+++ b/internal/mesh/registry/late_messages_test.go
@@ -7,7 +7,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// These tests have a core member come back after it was partitioned or suspended, and tell what it
+// These tests have a core machine come back after it was partitioned or suspended, and tell what it
 // held. Nothing of that may bring back what has ended, or undo what was reported later.
 
 // leaseWith is a lease of a node's first incarnation.
--- a/internal/mesh/registry/upstream.go
+++ b/internal/mesh/registry/upstream.go
@@ -67,7 +67,7 @@
 	// Sequence numbers the heartbeats of one instance: the later one wins.
 	Sequence int64 `json:"sequence"`
 	// Stale says that no lease or heartbeat has refreshed the upstream recently. It may be alive: its
-	// sidecar may only be partitioned from the core members.
+	// sidecar may only be partitioned from the core machines.
 	Stale bool `json:"stale,omitempty"`
 }
 
--- a/internal/mesh/registry/upstream_table.go
+++ b/internal/mesh/registry/upstream_table.go
@@ -25,7 +25,7 @@
 	fromHeartbeat
 )
 
-// Heartbeat applies an upstream's heartbeat that reached a core member directly. It reports whether the
+// Heartbeat applies an upstream's heartbeat that reached a core machine directly. It reports whether the
 // heartbeat was applied; one that isn't newer than the last is not. An invalid one is an error of kind
 // Invalid.
 func (t *Table) Heartbeat(now time.Duration, up Upstream) (applied bool, err error) {
--- a/internal/mesh/sidecar/quota_client.go
+++ b/internal/mesh/sidecar/quota_client.go
@@ -26,7 +26,7 @@
 	unusedQuotaWindow = time.Second
 )
 
-// AllocatePath is where core members receive requests for tokens.
+// AllocatePath is where core machines receive requests for tokens.
 const AllocatePath = "/mesh/deal"
 
 // AllocateRequest asks for tokens for a sidecar's tenants.
--- a/internal/mesh/watch/client.go
+++ b/internal/mesh/watch/client.go
@@ -23,7 +23,7 @@
 	// nanoseconds.
 	Incarnation registry.Incarnation
 	Zone        string
-	// Seeds are internal addresses of core members to begin with.
+	// Seeds are internal addresses of core machines to begin with.
 	Seeds []string
 	// HTTP must have no Timeout of its own, since watches last.
 	HTTP *http.Client
@@ -42,7 +42,7 @@
 	Log      *zap.Logger
 }
 
-// Client is the sidecar's side: it keeps a lease and a watch at one core member,
+// Client is the sidecar's side: it keeps a lease and a watch at one core machine,
 // and goes to another when that one fails.
 type Client struct {
 	cfg ClientConfig
@@ -98,7 +98,7 @@
 	}
 }
 
-// Run keeps a lease and a watch at a core member until ctx ends. It is called
+// Run keeps a lease and a watch at a core machine until ctx ends. It is called
 // once.
 func (c *Client) Run(ctx context.Context) {
 	failures := 0
@@ -144,7 +144,7 @@
 	return c.peakMembers
 }
 
-// Peers returns the internal addresses of the core members known, the current
+// Peers returns the internal addresses of the core machines known, the current
 // one first, then in the order in which they would be tried.
 func (c *Client) Peers() []string {
 	c.mu.Lock()
--- a/internal/mesh/watch/client_contact.go
+++ b/internal/mesh/watch/client_contact.go
@@ -22,8 +22,8 @@
 	probeGrace = 50 * time.Millisecond
 )
 
-// ContactAge says how old what this Client has applied may be: that long ago, it
-// had applied all that a majority had committed by then. The ages in responses
+// ContactAge returns how old what this Client has applied may be: that long ago,
+// it had applied all that a majority had committed by then. The ages in responses
 // are counted from when the request was sent, so that no delay on the way makes
 // them too small. ok is false until a member in contact has confirmed it once.
 func (c *Client) ContactAge() (age time.Duration, ok bool) {
--- a/internal/mesh/watch/client_watch.go
+++ b/internal/mesh/watch/client_watch.go
@@ -64,7 +64,8 @@
 	}
 }
 
-// newWatchRequest says what is complete here and what is wanted.
+// newWatchRequest makes a request that states what is complete here and what is
+// wanted.
 func (c *Client) newWatchRequest() watchRequest {
 	var services []string
 	if c.cfg.Services != nil {
--- a/internal/mesh/watch/contact.go
+++ b/internal/mesh/watch/contact.go
@@ -3,7 +3,7 @@
 import "time"
 
 const (
-	// maxContactAge is how old a core member's contact with a majority may be
+	// maxContactAge is how old a core machine's contact with a majority may be
 	// when it hands out configuration or registry. It guards against a member
 	// that is partitioned and does not know it. It spans ten heartbeats of the
 	// leader, and with the time that a sidecar needs to change members it stays
@@ -24,7 +24,7 @@
 	maxRegistryDelay = time.Second
 )
 
-// Contact is what a core member knows of its contact with a majority: how long
+// Contact is what a core machine knows of its contact with a majority: how long
 // ago the majority is known to have confirmed the leader that the member
 // follows, with everything applied that was committed then.
 type Contact struct {
--- a/internal/mesh/watch/doc.go
+++ b/internal/mesh/watch/doc.go
@@ -1,10 +1,10 @@
-// Package watch distributes the configuration and the registry of upstreams from the core members
-// to the sidecars.
+// Package watch distributes the configuration and the registry of upstreams from the core machines
+// to the sidecars. A member is a core machine.
 //
-// The Server of a core member owns the registry table: it receives the leases of sidecars and the
-// heartbeats of upstreams, gossips them with the other core members, and pushes what changed to
+// The Server of a core machine owns the registry table: it receives the leases of sidecars and the
+// heartbeats of upstreams, gossips them with the other core machines, and pushes what changed to
 // every sidecar that has a watch open. The Client of a sidecar keeps a lease and a watch at one
-// core member at a time, and goes to another member when that one fails or loses its contact with a
+// core machine at a time, and goes to another member when that one fails or loses its contact with a
 // majority.
 //
 // A Server hands out configuration and registry only while it is in contact with a majority (see
--- a/internal/mesh/watch/gossip_peer.go
+++ b/internal/mesh/watch/gossip_peer.go
@@ -47,7 +47,7 @@
 	return registry.LeaseTTL
 }
 
-// gossipPeer is another core member and what has not been sent to it yet. Of
+// gossipPeer is another core machine and what has not been sent to it yet. Of
 // each changed lease only the node's name is queued, so that the queue is
 // bounded by the number of leases. The Server's lock guards it, but for
 // address, cancel and wake, which do not change.
--- a/internal/mesh/watch/server.go
+++ b/internal/mesh/watch/server.go
@@ -43,7 +43,7 @@
 	// Epoch differs in each incarnation of the process, for example its start in
 	// nanoseconds.
 	Epoch registry.Epoch
-	// Peers returns the internal addresses of the core members; Self may be among
+	// Peers returns the internal addresses of the core machines; Self may be among
 	// them.
 	Peers func() []string
 	// Contact says how long ago a majority is known to have confirmed the leader
@@ -58,7 +58,7 @@
 	Log          *zap.Logger
 }
 
-// Server is the core member's side: it owns the registry table, pushes updates
+// Server is the core machine's side: it owns the registry table, pushes updates
 // to the sidecars that watch, and gossips with the other members.
 type Server struct {
 	cfg   ServerConfig
@@ -69,7 +69,7 @@
 	mu       sync.Mutex
 	table    *registry.Table
 	sessions map[string]*session    // open watches by node
-	peers    map[string]*gossipPeer // other core members by address
+	peers    map[string]*gossipPeer // other core machines by address
 	waiters  map[*waiter]struct{}
 
 	// All times are readings of now().
--- a/internal/mesh/watch/server_lease.go
+++ b/internal/mesh/watch/server_lease.go
@@ -59,7 +59,7 @@
 	return response, nil
 }
 
-// listPeers lists all core members, this one first. s.mu is held.
+// listPeers lists all core machines, this one first. s.mu is held.
 func (s *Server) listPeers() []Peer {
 	peers := []Peer{{Address: s.cfg.Self, Zone: s.cfg.Zone}}
 	for _, p := range s.peers {
--- a/internal/mesh/watch/server_updates.go
+++ b/internal/mesh/watch/server_updates.go
@@ -26,7 +26,7 @@
 	return out.writeFrame(f)
 }
 
-// sendContactLost says once, and then with each heartbeat, that there is no
+// sendContactLost writes once, and then with each heartbeat, that there is no
 // contact.
 func (s *Server) sendContactLost(out *frameWriter, to *session, contact Contact, heartbeatDue bool) error {
 	if to.contactLossSent && !heartbeatDue {
--- a/internal/mesh/watch/wire.go
+++ b/internal/mesh/watch/wire.go
@@ -35,7 +35,7 @@
 	memberListPath = "/mesh/roll"
 )
 
-// Peer is a core member as sidecars learn of it. The zone is empty while it is
+// Peer is a core machine as sidecars learn of it. The zone is empty while it is
 // not known.
 type Peer struct {
 	Address string `json:"address"`
@@ -53,7 +53,7 @@
 	Syncing     bool `json:"young,omitempty"`
 	// Leader is a hint where the leader is.
 	Leader string `json:"sequencer,omitempty"`
-	// Zone is the answering member's, and Peers are all core members.
+	// Zone is the answering member's, and Peers are all core machines.
 	Zone  string `json:"zone,omitempty"`
 	Peers []Peer `json:"peers"`
 	// Contact is the answering member's. Without it the sidecar should go to
