--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -51,7 +51,7 @@
 	number := o.recorded
 	o.recorded++
 	return func(cfg policy.Config, seed uint64, host policy.Host) (engine.Module, error) {
-		return o.recording.Open(number, cfg, seed, host)
+		return o.recording.NewBalancer(number, cfg, seed, host)
 	}
 }
 
@@ -127,7 +127,7 @@
 func assemble(name string, cfg *config.Config, c clock.Clock, conns int, log *slog.Logger, s *service, o *options) (*parts, error) {
 	p := &parts{name: name, conns: conns, transport: http1.New(http1.Config{
 		Clock: c, DialTimeout: cfg.DialTimeout, IdleTimeout: cfg.ConnIdle, MaxConns: conns, LoadFields: cfg.LoadReportFields, Columns: cfg.LoadReportColumns,
-		OnRequestWritten: s.figures.Tried,
+		OnRequestWritten: s.figures.CountAttempt,
 	})}
 	decisions := cfg.Policy
 	decisions.Processes = s.parted
--- a/internal/daemon/service.go
+++ b/internal/daemon/service.go
@@ -93,7 +93,7 @@
 	defer s.mu.Unlock()
 	s.parts[p] = true
 	s.fit(p)
-	unfollow := s.figures.Follow(func() (known, skipped int) {
+	unfollow := s.figures.FollowUpstreams(func() (known, skipped int) {
 		known, out := p.list.Counts()
 		return known, min(known, out+p.engine.Avoided())
 	})
@@ -168,7 +168,7 @@
 }
 
 // Counters writes the figures.
-func (s *service) Counters(to io.Writer) error { return s.figures.Snapshot().Text(to) }
+func (s *service) Counters(to io.Writer) error { return s.figures.Snapshot().WriteText(to) }
 
 // Cordon takes an upstream out by hand.
 func (s *service) Cordon(id string) error { return s.keeper.Cordon(id) }
--- a/internal/lab/replay/exact.go
+++ b/internal/lab/replay/exact.go
@@ -143,7 +143,7 @@
 func open(o *recordpb.Opened, instance uint32) (*exact, error) {
 	x := &exact{instance: instance}
 	var err error
-	x.b, err = Open(o, record.Scribe(func(r *recordpb.Record) {
+	x.b, err = Open(o, record.ActionRecorder(func(r *recordpb.Record) {
 		r.Instance = instance
 		x.acts = append(x.acts, r)
 	}))
@@ -198,16 +198,16 @@
 	case *recordpb.Record_Start:
 		b.Start(now)
 	case *recordpb.Record_Request:
-		b.Request(now, record.Request(what.Request))
+		b.Request(now, record.DecodeRequest(what.Request))
 	case *recordpb.Record_Outcome:
-		b.Outcome(now, record.Outcome(what.Outcome))
+		b.Outcome(now, record.DecodeOutcome(what.Outcome))
 	case *recordpb.Record_Wake:
 		b.Wake(now)
 	case *recordpb.Record_List:
-		kind, entries := record.List(what.List)
+		kind, entries := record.DecodeList(what.List)
 		b.List(now, kind, entries)
 	case *recordpb.Record_Probed:
-		b.Probed(now, policy.ServerID(what.Probed.Server), what.Probed.Ok, record.Load(what.Probed.Load))
+		b.Probed(now, policy.ServerID(what.Probed.Server), what.Probed.Ok, record.DecodeLoad(what.Probed.Load))
 	case *recordpb.Record_Gone:
 		b.ClientGone(now, policy.RequestID(what.Gone.Id))
 	case *recordpb.Record_Begun:
--- a/internal/lab/replay/past.go
+++ b/internal/lab/replay/past.go
@@ -126,7 +126,7 @@
 		p.all = append(p.all, s)
 		tally.at(a.at-begun).Recorded.Attempts++
 	case *recordpb.Record_Outcome:
-		o := record.Outcome(what.Outcome)
+		o := record.DecodeOutcome(what.Outcome)
 		a, s := p.asked[what.Outcome.Id], p.attempts[key{what.Outcome.Id, what.Outcome.Attempt}]
 		if s != nil && o.Ending != policy.Cancelled && o.Ending != policy.NotSent {
 			s.took, s.ending, s.load, s.known = now-s.at, o.Ending, o.Load, true
@@ -151,7 +151,7 @@
 		if sent := p.probing[what.Probed.Server]; len(sent) > 0 { // in the order of their sending, as good as
 			p.probing[what.Probed.Server] = sent[1:]
 			p.probes[what.Probed.Server] = append(p.probes[what.Probed.Server], &sample{
-				at: sent[0], took: now - sent[0], ok: what.Probed.Ok, load: record.Load(what.Probed.Load), known: true,
+				at: sent[0], took: now - sent[0], ok: what.Probed.Ok, load: record.DecodeLoad(what.Probed.Load), known: true,
 			})
 		}
 	}
--- a/internal/proxy/front/http1/pending.go
+++ b/internal/proxy/front/http1/pending.go
@@ -51,14 +51,14 @@
 	}
 	p.reserved = true
 	f.openRequests.Add(1)
-	p.metrics.Began()
+	p.metrics.RequestStarted()
 	return true
 }
 
 // release releases what reserve has reserved.
 func (p *pendingRequest) release(f *Front) {
 	if p.reserved {
-		p.metrics.Ended()
+		p.metrics.RequestFinished()
 		f.openRequests.Add(-1)
 		if p.sharedLimits != nil {
 			(*p.sharedLimits).Release(p.bodyBytes)
--- a/internal/proxy/front/http1/response.go
+++ b/internal/proxy/front/http1/response.go
@@ -142,7 +142,7 @@
 		c.front.cfg.Log.Debug("client did not take the response", "error", err, slog.Int("status", response.Status))
 		return false
 	}
-	c.metrics.Handled(outcomeOf(response.Status))
+	c.metrics.CountOutcome(outcomeOf(response.Status))
 	c.metrics = nil // a request is counted once
 	return true
 }
--- a/internal/proxy/front/http1/stream_response.go
+++ b/internal/proxy/front/http1/stream_response.go
@@ -33,7 +33,7 @@
 	chunked := response.Length < 0
 	complete, err := c.copyBody(body, chunked)
 	if err != nil { // its client sees that by the missing end
-		classMetrics.Handled(outcomeOf(http.StatusBadGateway))
+		classMetrics.CountOutcome(outcomeOf(http.StatusBadGateway))
 	}
 	if !complete {
 		return false
@@ -44,7 +44,7 @@
 	if c.netConn.SetWriteDeadline(time.Time{}) != nil {
 		return false
 	}
-	classMetrics.Handled(outcomeOf(http.StatusOK))
+	classMetrics.CountOutcome(outcomeOf(http.StatusOK))
 	return true
 }
 
--- a/internal/proxy/metrics/golden_test.go
+++ b/internal/proxy/metrics/golden_test.go
@@ -20,7 +20,7 @@
 		},
 	}
 	var text strings.Builder
-	if err := figures.Text(&text); err != nil {
+	if err := figures.WriteText(&text); err != nil {
 		t.Fatal(err)
 	}
 	var got strings.Builder
--- a/internal/proxy/metrics/metrics.go
+++ b/internal/proxy/metrics/metrics.go
@@ -1,5 +1,6 @@
-// Package metrics is the one set of counters that the log and operators read. Its series stand from the start, by the
-// settings' classes: no client can make a new one. Counting waits for nothing.
+// Package metrics has the counters of a process that its log and the metrics endpoint report. The series exist from
+// the start, by the configured classes: no client can create a new one. Counting takes no lock; everything in the
+// package is safe for concurrent use.
 package metrics
 
 import (
@@ -12,46 +13,48 @@
 // Outcome is how a request ended for its client.
 type Outcome int
 
-// The outcomes: served, refused, failed.
+// The outcomes: answered by an upstream, rejected, failed.
 const (
 	Passed Outcome = iota
 	Dropped
 	BadGateway
-	outcomes
+	outcomeCount
 )
 
+// String is the value of the label outcome.
 func (o Outcome) String() string { return [...]string{"passed", "dropped", "bad_gateway"}[o] }
 
-// Upstreams is how many upstreams a list has and how many of them are avoided now.
-type Upstreams func() (known, skipped int)
+// UpstreamCounts is how many upstreams a list has and how many of them are avoided now.
+type UpstreamCounts func() (known, skipped int)
 
-// Peers is what a sidecar knows of the others of its fleet.
+// Peers is what a sidecar knows of the others of its fleet. The fields' names are in the log, as those of Policy,
+// Work and Snapshot.
 type Peers struct {
-	Members   map[string]int // by state; this one is left out
-	Contact   bool
-	Sidecars  int // that there are at least
+	Members   map[string]int // by state; without this one
+	Contact   bool           // a majority of the fleet responds
+	Sidecars  int            // that there are at least
 	SentBytes uint64
 	Dropped   uint64  // datagrams that could not be read
 	Policy    *Policy // nil: no policy is agreed on
 }
 
-// Policy is by what a sidecar goes, of what its fleet agrees on.
+// Policy is the version of the policy that a sidecar applies, of those that its fleet agrees on.
 type Policy struct {
-	Holds    uint32            // the version
-	Goes     string            // by: one, both, cut off
-	UnderWay uint32            // a version without its outcome, or that not all go by yet; 0: none
-	Changes  map[string]uint64 // heard of since the start, by outcome
+	Holds    uint32            // the current version
+	Goes     string            // what it applies: one, both, cut off
+	UnderWay uint32            // a version without an outcome, or that not all apply yet; 0: none
+	Changes  map[string]uint64 // received since the start, by outcome
 	Work     Work
 }
 
-// Work is what a sidecar knows of machines taken out for work.
+// Work is what a sidecar knows of the maintenance of machines.
 type Work struct {
-	Plans, Paused int // that have not ended
-	Turn          uint32
-	Machines      map[string]int // with a turn that is not over, by how far it is
+	Plans, Paused int            // that have not ended
+	Turn          uint32         // number of the last machine's turn
+	Machines      map[string]int // in maintenance, by phase
 }
 
-// String is for the log, which has the figures as a whole.
+// String is for the log.
 func (p *Peers) String() string {
 	if p == nil {
 		return "none"
@@ -59,25 +62,26 @@
 	return fmt.Sprintf("%+v", *p)
 }
 
-// Set is all figures of a process. The zero value is ready. A nil Set counts nothing.
+// Set has all counters of a process. The zero value is ready. A nil Set counts nothing.
 type Set struct {
-	tries    atomic.Uint64
-	progress atomic.Int64
+	attempts   atomic.Uint64
+	inProgress atomic.Int64
 
-	mu      sync.Mutex
-	classes []*Class
-	lists   map[*Upstreams]struct{}
-	peers   func() Peers // nil: there is no fleet
+	mu        sync.Mutex
+	classes   []*Class
+	upstreams map[*UpstreamCounts]struct{}
+	peers     func() Peers // nil: there is no fleet
 }
 
 // Class is the series of one class. A nil Class counts nothing.
 type Class struct {
-	set     *Set
-	name    string
-	handled [outcomes]atomic.Uint64
+	set       *Set
+	name      string
+	byOutcome [outcomeCount]atomic.Uint64
 }
 
-// Classes are the series of some classes, in the order of their names' numbers. Pools that have a class of one name share its series.
+// Classes are the series of classes, by the index that each name has. Pools that have a class of the same name share
+// its series.
 func (s *Set) Classes(byName map[string]int) []*Class {
 	all := make([]*Class, len(byName))
 	if s == nil {
@@ -98,93 +102,93 @@
 	return all
 }
 
-// Follow has the upstreams of one more list counted, until the function that it returns is called.
-func (s *Set) Follow(u Upstreams) (leave func()) {
+// FollowUpstreams has the upstreams of one more list counted, until the function that it returns is called.
+func (s *Set) FollowUpstreams(u UpstreamCounts) (leave func()) {
 	if s == nil {
 		return func() {}
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.lists == nil {
-		s.lists = make(map[*Upstreams]struct{})
+	if s.upstreams == nil {
+		s.upstreams = make(map[*UpstreamCounts]struct{})
 	}
-	s.lists[&u] = struct{}{}
+	s.upstreams[&u] = struct{}{}
 	return func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		delete(s.lists, &u)
+		delete(s.upstreams, &u)
 	}
 }
 
-// FollowPeers has the figures of a fleet read too.
+// FollowPeers has a snapshot include the counters of a fleet; nil: no longer.
 func (s *Set) FollowPeers(p func() Peers) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.peers = p
 }
 
-// Tried takes that an attempt was written whole to an upstream.
-func (s *Set) Tried() {
+// CountAttempt counts an attempt that was written completely to an upstream.
+func (s *Set) CountAttempt() {
 	if s != nil {
-		s.tries.Add(1)
+		s.attempts.Add(1)
 	}
 }
 
-// Began takes that a request was taken: its last byte is here.
-func (c *Class) Began() {
+// RequestStarted counts a request as in progress: it was accepted, with its last byte here.
+func (c *Class) RequestStarted() {
 	if c != nil {
-		c.set.progress.Add(1)
+		c.set.inProgress.Add(1)
 	}
 }
 
-// Ended takes that one that Began has its end.
-func (c *Class) Ended() {
+// RequestFinished ends what RequestStarted has begun.
+func (c *Class) RequestFinished() {
 	if c != nil {
-		c.set.progress.Add(-1)
+		c.set.inProgress.Add(-1)
 	}
 }
 
-// Handled takes the outcome that a client was told.
-func (c *Class) Handled(o Outcome) {
+// CountOutcome counts a request's outcome for its client.
+func (c *Class) CountOutcome(o Outcome) {
 	if c != nil {
-		c.handled[o].Add(1)
+		c.byOutcome[o].Add(1)
 	}
 }
 
-// Snapshot is what the figures stand at.
+// Snapshot has the values of the counters. The fields' names are keys of its JSON form.
 type Snapshot struct {
 	Handled        map[string][3]uint64 // by class: passed, dropped, bad_gateway
-	Tries          uint64
+	Tries          uint64               // attempts written to upstreams
 	InProgress     int64
 	Known, Skipped int
 	Peers          *Peers `json:",omitempty"` // nil: there is no fleet
 }
 
-// Handled is how many clients were told what, by class.
+// Handled is how many requests had which outcome, by class.
 func (s *Set) Handled() map[string][3]uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	all := make(map[string][3]uint64, len(s.classes))
 	for _, c := range s.classes {
-		var by [outcomes]uint64
+		var by [outcomeCount]uint64
 		for o := range by {
-			by[o] = c.handled[o].Load()
+			by[o] = c.byOutcome[o].Load()
 		}
 		all[c.name] = by
 	}
 	return all
 }
 
-// Snapshot reads the figures.
+// Snapshot reads the counters.
 func (s *Set) Snapshot() Snapshot {
 	s.mu.Lock()
-	lists := make([]Upstreams, 0, len(s.lists))
-	for u := range s.lists {
+	lists := make([]UpstreamCounts, 0, len(s.upstreams))
+	for u := range s.upstreams {
 		lists = append(lists, *u)
 	}
 	peers := s.peers
 	s.mu.Unlock()
-	out := Snapshot{Handled: s.Handled(), Tries: s.tries.Load(), InProgress: max(0, s.progress.Load())}
+	out := Snapshot{Handled: s.Handled(), Tries: s.attempts.Load(), InProgress: max(0, s.inProgress.Load())}
 	if peers != nil {
 		p := peers()
 		out.Peers = &p
--- a/internal/proxy/metrics/metrics_test.go
+++ b/internal/proxy/metrics/metrics_test.go
@@ -9,15 +9,15 @@
 	"github.com/prometheus/common/model"
 )
 
-// All series stand from the start at 0, a published reader takes them, and what is counted shows.
+// All series are there from the start at 0, Prometheus' parser accepts them, and what is counted shows.
 func TestText(t *testing.T) {
 	s := new(Set)
 	c := s.Classes(map[string]int{"a\"b": 1, "c": 0})
-	defer s.Follow(func() (int, int) { return 7, 2 })()
+	defer s.FollowUpstreams(func() (int, int) { return 7, 2 })()
 	read := func() map[string]float64 {
 		t.Helper()
 		var b strings.Builder
-		if err := s.Snapshot().Text(&b); err != nil {
+		if err := s.Snapshot().WriteText(&b); err != nil {
 			t.Fatal(err)
 		}
 		p := expfmt.NewTextParser(model.UTF8Validation)
@@ -40,12 +40,13 @@
 	if got := read(); len(got) != 10 || got["edge_known_upstreams"] != 7 || got["edge_skipped_upstreams"] != 2 {
 		t.Errorf("at the start: %v", got)
 	}
-	c[1].Began()
-	c[1].Handled(Dropped)
-	s.Tried()
+	c[1].RequestStarted()
+	c[1].CountOutcome(Dropped)
+	s.CountAttempt()
 	got := read()
 	for key, want := range map[string]float64{
-		`edge_handled_total,category=a"b,outcome=dropped`: 1, `edge_handled_total,category=c,outcome=dropped`: 0, "edge_in_progress": 1, "edge_upstream_tries_total": 1,
+		`edge_handled_total,category=a"b,outcome=dropped`: 1, `edge_handled_total,category=c,outcome=dropped`: 0,
+		"edge_in_progress": 1, "edge_upstream_tries_total": 1,
 	} {
 		if v, ok := got[key]; !ok || v != want {
 			t.Errorf("%s is %v, %v; want %v", key, v, ok, want)
@@ -56,8 +57,9 @@
 	})
 	peers := read()
 	for key, want := range map[string]float64{
-		"edge_peers,state=alive": 8, "edge_peers,state=gone": 1, "edge_peers_in_contact": 1, "edge_peers_sidecars": 10, "edge_peer_sent_bytes_total": 5,
-		"edge_peer_dropped_total": 2,
+		"edge_peers,state=alive": 8, "edge_peers,state=gone": 1, "edge_peers_in_contact": 1, "edge_peers_sidecars": 10,
+		"edge_peer_sent_bytes_total": 5,
+		"edge_peer_dropped_total":    2,
 	} {
 		if v, ok := peers[key]; !ok || v != want {
 			t.Errorf("%s is %v, %v; want %v", key, v, ok, want)
@@ -68,7 +70,7 @@
 	}
 	s.FollowPeers(nil)
 	again := s.Classes(map[string]int{"c": 0}) // another pool with a class of the same name
-	again[0].Handled(Passed)
+	again[0].CountOutcome(Passed)
 	if got := read(); got["edge_handled_total,category=c,outcome=passed"] != 1 || len(got) != 10 {
 		t.Errorf("shared: %v", got)
 	}
--- a/internal/proxy/record/golden_test.go
+++ b/internal/proxy/record/golden_test.go
@@ -37,19 +37,19 @@
 		list = append(list, r)
 	}
 	opened := &recordpb.Opened{Seed: 11, Config: []byte(`{"Index":12}`)}
-	probed := &recordpb.Probed{Server: 27, Ok: true, Load: fromLoad(goldenLoad)}
+	probed := &recordpb.Probed{Server: 27, Ok: true, Load: encodeLoad(goldenLoad)}
 	limits := &recordpb.Reconfigure{Limits: []byte(`{"Queue":30}`)}
 	put(&recordpb.Record{What: &recordpb.Record_Opened{Opened: opened}})
 	put(&recordpb.Record{What: &recordpb.Record_Start{Start: &recordpb.Start{}}})
-	put(&recordpb.Record{What: &recordpb.Record_Request{Request: fromRequest(goldenRequest)}})
-	put(&recordpb.Record{What: &recordpb.Record_Outcome{Outcome: fromOutcome(goldenOutcome)}})
+	put(&recordpb.Record{What: &recordpb.Record_Request{Request: encodeRequest(goldenRequest)}})
+	put(&recordpb.Record{What: &recordpb.Record_Outcome{Outcome: encodeOutcome(goldenOutcome)}})
 	put(&recordpb.Record{What: &recordpb.Record_Wake{Wake: &recordpb.Wake{}}})
-	put(&recordpb.Record{What: &recordpb.Record_List{List: fromList(1, goldenServers)}})
+	put(&recordpb.Record{What: &recordpb.Record_List{List: encodeList(1, goldenServers)}})
 	put(&recordpb.Record{What: &recordpb.Record_Probed{Probed: probed}})
 	put(&recordpb.Record{What: &recordpb.Record_Gone{Gone: &recordpb.Gone{Id: 28}}})
 	put(&recordpb.Record{What: &recordpb.Record_Begun{Begun: &recordpb.Begun{Id: 29}}})
 	put(&recordpb.Record{What: &recordpb.Record_Reconfigure{Reconfigure: limits}})
-	actions := Scribe(put)
+	actions := ActionRecorder(put)
 	actions.Send(31, 32, 33)
 	actions.Refuse(34, 35)
 	actions.Fail(36)
@@ -88,15 +88,15 @@
 	}
 }
 
-func TestValuesOfTheModuleAreReadAsTheyWereWritten(t *testing.T) {
+func TestPolicyValuesAreReadAsTheyWereWritten(t *testing.T) {
 	records := goldenRecords()
-	if got := Request(records[2].GetRequest()); got != goldenRequest {
+	if got := DecodeRequest(records[2].GetRequest()); got != goldenRequest {
 		t.Errorf("request %+v, want %+v", got, goldenRequest)
 	}
-	if got := Outcome(records[3].GetOutcome()); got != goldenOutcome {
+	if got := DecodeOutcome(records[3].GetOutcome()); got != goldenOutcome {
 		t.Errorf("outcome %+v, want %+v", got, goldenOutcome)
 	}
-	if kind, got := List(records[5].GetList()); kind != 1 || !reflect.DeepEqual(got, goldenServers) {
+	if kind, got := DecodeList(records[5].GetList()); kind != 1 || !reflect.DeepEqual(got, goldenServers) {
 		t.Errorf("list %v %+v, want 1 %+v", kind, got, goldenServers)
 	}
 }
--- a/internal/proxy/record/record_test.go
+++ b/internal/proxy/record/record_test.go
@@ -37,8 +37,8 @@
 	}
 }
 
-// A recording that reaches its bound ends, says why, and is no longer than that.
-func TestTheBoundEndsTheRecording(t *testing.T) {
+// A recording that reaches its size limit ends, says why, and is no longer than that.
+func TestSizeLimitEndsTheRecording(t *testing.T) {
 	var file bytes.Buffer
 	w := record.NewWriter(&file, 2000)
 	for range 100 {
@@ -53,21 +53,21 @@
 	}
 }
 
-// stuck is a file that takes nothing until it is let go.
-type stuck struct {
+// stuckFile is a file whose writes wait until free is closed.
+type stuckFile struct {
 	free chan struct{}
 	bytes.Buffer
 }
 
-func (s *stuck) Write(p []byte) (int, error) {
+func (s *stuckFile) Write(p []byte) (int, error) {
 	<-s.free
 	return s.Buffer.Write(p)
 }
 
-// Guards the requests: a file that takes nothing ends the recording, and nobody waits for it meanwhile.
-func TestASlowFileIsNotWaitedFor(t *testing.T) {
+// A file whose writes wait ends the recording, and nobody waits for it meanwhile.
+func TestSlowFileEndsTheRecording(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		file := &stuck{free: make(chan struct{})}
+		file := &stuckFile{free: make(chan struct{})}
 		w := record.NewWriter(file, 1<<30)
 		for range 3000 { // some 3 MB
 			w.Append(line(strings.Repeat("x", 1000)))
@@ -82,7 +82,7 @@
 	})
 }
 
-func TestReaderNamesWhatItCantRead(t *testing.T) {
+func TestReaderNamesTheMalformedRecord(t *testing.T) {
 	var file bytes.Buffer
 	w := record.NewWriter(&file, 1<<20)
 	w.Append(line("one"))
@@ -97,12 +97,13 @@
 	if _, err := r.Next(); !errors.Is(err, io.ErrUnexpectedEOF) {
 		t.Errorf("cut off: %v", err)
 	}
-	if _, err := record.NewReader(strings.NewReader("\x03\xff\xff\xff")).Next(); err == nil || !strings.Contains(err.Error(), "record 1") {
+	_, err := record.NewReader(strings.NewReader("\x03\xff\xff\xff")).Next()
+	if err == nil || !strings.Contains(err.Error(), "record 1") {
 		t.Errorf("garbage: %v", err)
 	}
 }
 
-// recorded plays a hard case with a tap before each module.
+// recorded simulates a hard case in which each balancer is recorded.
 func recorded(t *testing.T, seed uint64) []byte {
 	t.Helper()
 	var file bytes.Buffer
@@ -113,7 +114,7 @@
 		c.Servers = c.Servers[:4]
 		c.New = func(cfg policy.Config, seed uint64, host policy.Host) (engine.Module, error) {
 			number++
-			return w.Open(number-1, cfg, seed, host)
+			return w.NewBalancer(number-1, cfg, seed, host)
 		}
 	})
 	if err != nil {
@@ -127,8 +128,8 @@
 	return file.Bytes()
 }
 
-// The module is deterministic, and the tap writes all of it down: a replay takes each action again.
-func TestReplayDepartsNowhere(t *testing.T) {
+// The balancer is deterministic, and all of it is recorded: a replay repeats each action.
+func TestReplayRepeatsEveryAction(t *testing.T) {
 	for seed := range uint64(3) {
 		c, err := replay.Exact(record.NewReader(bytes.NewReader(recorded(t, seed))), 3)
 		if err != nil || c.Departures > 0 || c.Events < 1000 || c.Actions < 1000 {
@@ -137,8 +138,8 @@
 	}
 }
 
-// A recording that was tampered with: the module departs, and the first place is named.
-func TestReplayFindsADeparture(t *testing.T) {
+// A recording that was tampered with: the replay differs, and the first difference is named.
+func TestReplayFindsADifference(t *testing.T) {
 	var file bytes.Buffer
 	w := record.NewWriter(&file, 1<<30)
 	changed := 0
@@ -158,8 +159,8 @@
 	}
 }
 
-// The estimate of the module that made the recording comes near to what it did.
-func TestEstimateIsNearWhatWas(t *testing.T) {
+// The estimate for the balancer that made the recording comes near to what it did.
+func TestEstimateIsNearTheRecording(t *testing.T) {
 	e, err := replay.Estimate(record.NewReader(bytes.NewReader(recorded(t, 2))))
 	if err != nil {
 		t.Fatal(err)
