--- a/cmd/caperarch/fleet_test.go
+++ b/cmd/caperarch/fleet_test.go
@@ -45,7 +45,7 @@
 func TestFleetOfProcesses(t *testing.T) {
 	t.Parallel()
 	f := startFleet(t, fleet.Config{Size: 5, Nodes: 4})
-	t.Logf("in contact and agreed after %v", f.AwaitAgree(testbed.Generous))
+	t.Logf("in contact and agreed after %v", f.RequireAgreement(testbed.Generous))
 	stop := f.Load(150)
 	all := func(holds func(i int, v fleet.View) bool, of ...int) func() bool {
 		return func() bool {
@@ -62,7 +62,7 @@
 		t.Run(name, func(t *testing.T) {
 			do(t)
 			f.Peers.Break(fleet.Faults{}, 1)
-			t.Logf("healed: agreed after %v", f.AwaitAgree(testbed.Generous))
+			t.Logf("healed: agreed after %v", f.RequireAgreement(testbed.Generous))
 		})
 	}
 
@@ -88,7 +88,7 @@
 		if !ok || v.Contact || v.Session == before.Session {
 			t.Errorf("going on, it says before anything else: in contact %v, session %s, which was %s", v.Contact, v.Session, before.Session)
 		}
-		f.AwaitAgree(testbed.Generous)
+		f.RequireAgreement(testbed.Generous)
 		if found := accusations(s.Log()[mark:], 1); found != nil {
 			t.Errorf("it accuses: %q", found)
 		}
@@ -139,11 +139,11 @@
 		}
 		for _, s := range f.Sidecars {
 			s.Start()
-			s.CutOff()
+			s.Partition()
 		}
 		time.Sleep(time.Second)
 		for _, s := range f.Sidecars {
-			s.Rejoin()
+			s.Heal()
 		}
 	})
 
@@ -173,7 +173,7 @@
 func TestHintsGoRound(t *testing.T) {
 	t.Parallel()
 	f := startFleet(t, fleet.Config{Size: 5, Nodes: 3})
-	f.AwaitAgree(testbed.Generous)
+	f.RequireAgreement(testbed.Generous)
 	stop := f.Load(150)
 	f.Nodes[2].Do(testbed.Always(testbed.Hang))
 	testbed.Until(t, "each to have been told by three others", func() bool {
@@ -186,9 +186,9 @@
 		return true
 	})
 	f.Nodes[2].Do(testbed.Always(testbed.Serve))
-	mark := f.Ledger.Len()
+	mark := f.ArrivalLog.Len()
 	testbed.Until(t, "it to have requests again", func() bool {
-		for _, a := range f.Ledger.All()[mark:] {
+		for _, a := range f.ArrivalLog.All()[mark:] {
 			if a.Node == f.Nodes[2].ID {
 				return true
 			}
@@ -204,7 +204,7 @@
 // Fifty thousand datagrams a second from a stranger: requests are served on, and the process reads no more of them than its bound allows.
 func TestFloodOfDatagrams(t *testing.T) {
 	f := startFleet(t, fleet.Config{Size: 3, Nodes: 2})
-	f.AwaitAgree(testbed.Generous)
+	f.RequireAgreement(testbed.Generous)
 	stop := f.Load(100)
 	host, _, err := net.SplitHostPort(f.Sidecars[0].Listen)
 	if err != nil {
@@ -244,7 +244,7 @@
 	if tally.Served < 100 || tally.Refused+tally.Failed > 0 {
 		t.Errorf("%+v in a flood of %v", tally, took)
 	}
-	t.Logf("%d sent in %v, %d read; %+v; settled again after %v", 100_000, took, dropped, tally, f.AwaitAgree(testbed.Generous))
+	t.Logf("%d sent in %v, %d read; %+v; settled again after %v", 100_000, took, dropped, tally, f.RequireAgreement(testbed.Generous))
 }
 
 // Where nothing says so no socket is opened for peers, and nothing is told of them.
--- a/cmd/caperarch/fleetpolicy_test.go
+++ b/cmd/caperarch/fleetpolicy_test.go
@@ -30,11 +30,11 @@
 	if err := p.Sidecars[3].Propose(fleet.Marked(0)); err == nil {
 		t.Error("a proposal before there is a log was taken")
 	}
-	if err := p.Sidecars[0].Found(); err != nil {
+	if err := p.Sidecars[0].Bootstrap(); err != nil {
 		t.Fatal(err)
 	}
 	p.settled(0, testbed.Generous)
-	if err := p.Sidecars[1].Found(); err == nil || !strings.Contains(err.Error(), "exists and answers") {
+	if err := p.Sidecars[1].Bootstrap(); err == nil || !strings.Contains(err.Error(), "exists and answers") {
 		t.Errorf("a second beginning: %v", err)
 	}
 	p.propose(1)
@@ -95,7 +95,7 @@
 	for _, b := range broken {
 		p.Error(b)
 	}
-	turns := p.LetIn(p.since, p.until)
+	turns := p.PolicySwitches(p.since, p.until)
 	if turns > p.changes {
 		p.Errorf("requests turned from one upstream to the other %d times, by %d changes at most: two policies were gone by at once", turns, p.changes)
 	}
@@ -122,10 +122,10 @@
 	p.propose((s.Number + 1) % 5)
 	testbed.Until(t, "it to hold without that one", func() bool {
 		v, ok := p.Sidecars[(s.Number+1)%5].Policy()
-		return ok && v.Holds == 3 && v.Mode == "one"
+		return ok && v.Committed == 3 && v.Mode == "one"
 	})
 	s.Continue()
-	if v, ok := s.Policy(); !ok || v.Mode == "one" && v.Goes != 3 {
+	if v, ok := s.Policy(); !ok || v.Mode == "one" && v.Active != 3 {
 		t.Errorf("going on, it says before anything else: %s", v.Text)
 	}
 	p.settled(3, 10*time.Second)
@@ -150,11 +150,11 @@
 	p.propose(l)
 	testbed.Until(t, "the majority to go by it", func() bool {
 		v, ok := p.Sidecars[l].Policy()
-		return ok && v.Mode == "one" && v.Goes > before && !v.UnderWay
+		return ok && v.Mode == "one" && v.Active > before && !v.InProgress
 	})
 	for i := range minority {
 		if v, ok := p.Sidecars[i].Policy(); !ok || v.Mode != "cut off" {
-			t.Errorf("of the minority %d goes by %s %d", i, v.Mode, v.Goes)
+			t.Errorf("of the minority %d goes by %s %d", i, v.Mode, v.Active)
 		}
 	}
 	p.Peers.Break(fleet.Faults{}, 1)
@@ -207,7 +207,7 @@
 		}
 		return true
 	})
-	testbed.Until(t, "a new beginning to be taken", func() bool { return p.Sidecars[(l+1)%5].Found() == nil })
+	testbed.Until(t, "a new beginning to be taken", func() bool { return p.Sidecars[(l+1)%5].Bootstrap() == nil })
 	p.settled(0, testbed.Generous)
 	p.end(1)
 }
@@ -217,7 +217,7 @@
 func TestPolicyOutlivesAll(t *testing.T) {
 	t.Parallel()
 	f := startFleet(t, fleet.Config{Size: 3, Nodes: 3, CutOff: fleet.CutOffPolicy, State: true})
-	if err := f.Sidecars[0].Found(); err != nil {
+	if err := f.Sidecars[0].Bootstrap(); err != nil {
 		t.Fatal(err)
 	}
 	if _, _, why := f.AwaitPolicy(0, testbed.Generous); why != "" {
@@ -268,8 +268,8 @@
 		return ok && v.Mode == "cut off" && strings.Contains(f.Sidecars[2].Log(), "takes no part")
 	})
 	for number, s := range f.Sidecars[:2] {
-		if v, ok := s.Policy(); !ok || v.Mode != "one" || v.Goes != 1 {
-			t.Errorf("meanwhile sidecar %d goes by %s %d", number, v.Mode, v.Goes)
+		if v, ok := s.Policy(); !ok || v.Mode != "one" || v.Active != 1 {
+			t.Errorf("meanwhile sidecar %d goes by %s %d", number, v.Mode, v.Active)
 		}
 	}
 	f.Sidecars[2].Crash()
--- a/cmd/caperarch/pause_test.go
+++ b/cmd/caperarch/pause_test.go
@@ -34,7 +34,7 @@
 
 // The daemon is stopped with SIGSTOP for 1.5 s under load: see rig.Pause. Its clients have one answer each.
 func TestDaemonIsStoppedForAWhile(t *testing.T) {
-	l := new(testbed.Ledger)
+	l := new(testbed.ArrivalLog)
 	nodes := []*testbed.Node{testbed.NewHTTPNode(t, "s-0", l), testbed.NewHTTPNode(t, "s-1", l)}
 	d := testbed.NewDiscovery(t, nodes...)
 	cmd := program(t, pauseConfig(t, d, nodes...))
@@ -96,7 +96,7 @@
 
 // The host of a plug-in is stopped in the same way.
 func TestHostOfAPlugInIsStoppedForAWhile(t *testing.T) {
-	l := new(testbed.Ledger)
+	l := new(testbed.ArrivalLog)
 	nodes := []*testbed.Node{testbed.NewHTTPNode(t, "s-0", l), testbed.NewHTTPNode(t, "s-1", l)}
 	d := testbed.NewDiscovery(t, nodes...)
 	path := filepath.Join(t.TempDir(), "config.json")
--- a/cmd/caperarch/work_test.go
+++ b/cmd/caperarch/work_test.go
@@ -31,7 +31,7 @@
 	if err := f.Sidecars[0].Work(roundPlan); err == nil {
 		t.Error("a plan before there is a log was taken")
 	}
-	if err := f.Sidecars[0].Found(); err != nil {
+	if err := f.Sidecars[0].Bootstrap(); err != nil {
 		t.Fatal(err)
 	}
 	if _, _, why := f.AwaitPolicy(0, testbed.Generous); why != "" {
--- a/cmd/demo/main.go
+++ b/cmd/demo/main.go
@@ -51,7 +51,7 @@
 func main() {
 	w := new(world)
 	defer w.end()
-	ledger := new(testbed.Ledger)
+	ledger := new(testbed.ArrivalLog)
 	var nodes []*testbed.Node
 	for i := range 4 {
 		n := testbed.NewHTTPNode(w, "s-"+strconv.Itoa(i), ledger)
--- a/cmd/demo/table.go
+++ b/cmd/demo/table.go
@@ -11,7 +11,7 @@
 // table prints a line a second and the summary.
 type table struct {
 	nodes  []*testbed.Node
-	ledger *testbed.Ledger
+	ledger *testbed.ArrivalLog
 	begun  time.Time
 
 	mu      sync.Mutex
--- a/cmd/measure/even_real.go
+++ b/cmd/measure/even_real.go
@@ -53,7 +53,7 @@
 		Command: func() *exec.Cmd { return exec.Command(binary) },
 		Begin: func(f *fleet.Fleet) {
 			for _, n := range f.Nodes {
-				n.Takes = answers
+				n.ServiceTime = answers
 				n.Do(testbed.Always(testbed.Slow))
 			}
 			w.late = testbed.NewDiscovery(t, f.Nodes...)
@@ -185,8 +185,8 @@
 	}
 	w := e.start(t, binary, times)
 	for i := range event.Came {
-		n := testbed.NewHTTPNode(t, fmt.Sprintf("s-%d", e.nodes+i), w.Ledger)
-		n.Cell, n.Takes = (e.nodes+i)/2, answers
+		n := testbed.NewHTTPNode(t, fmt.Sprintf("s-%d", e.nodes+i), w.ArrivalLog)
+		n.Cell, n.ServiceTime = (e.nodes+i)/2, answers
 		n.Do(testbed.Always(testbed.Slow))
 		w.unlisted = append(w.unlisted, n)
 	}
@@ -264,7 +264,7 @@
 		each(event.Ends, func(n *testbed.Node) { n.Do(testbed.Always(testbed.Slow)) })
 	case event.Acts.Slower > 0:
 		takes := func(by float64) func(*testbed.Node) {
-			return func(n *testbed.Node) { n.Times.Store(int64(by * 1000)) }
+			return func(n *testbed.Node) { n.ServiceTimeScale.Store(int64(by * 1000)) }
 		}
 		each(event.At, takes(event.Acts.Slower))
 		if event.Ends > event.At {
--- a/cmd/measure/fleet_peers.go
+++ b/cmd/measure/fleet_peers.go
@@ -152,7 +152,7 @@
 		return r, err
 	}
 	r.cpu, r.rss, r.plainCPU, r.plainRSS = on[0], on[1], plain[0], plain[1]
-	if took, why := f.Settle(2 * lease); why != "" {
+	if took, why := f.WaitForAgreement(2 * lease); why != "" {
 		return r, fmt.Errorf("%d processes don't agree after %v: %s", size, took, why)
 	}
 	for n, victim := range []int{size / 2, size - 1, 1} {
@@ -207,7 +207,7 @@
 	command := func() *exec.Cmd { return exec.Command(binary) }
 	on := fleet.New(t, fleet.Config{Size: 8, Nodes: 4, Direct: true, Command: command})
 	off := fleet.New(t, fleet.Config{Size: 8, Nodes: 4, Direct: true, Plain: true, Command: command})
-	if took, why := on.Settle(30 * time.Second); why != "" {
+	if took, why := on.WaitForAgreement(30 * time.Second); why != "" {
 		return nil, fmt.Errorf("8 processes don't agree after %v: %s", took, why)
 	}
 	var ratio samples
--- a/cmd/measure/fleet_plans.go
+++ b/cmd/measure/fleet_plans.go
@@ -40,7 +40,7 @@
 		f := fleet.New(t, fleet.Config{
 			Size: planSize, Nodes: 4, Command: func() *exec.Cmd { return exec.Command(binary) },
 		})
-		f.AwaitAgree(30 * time.Second)
+		f.RequireAgreement(30 * time.Second)
 		plan := fleet.Draw(seed, planSize, planLength)
 		tally, took, broken := f.Play(plan, planLoad)
 		mu.Lock()
--- a/cmd/measure/fleet_policy.go
+++ b/cmd/measure/fleet_policy.go
@@ -87,7 +87,7 @@
 		Size: size, Nodes: 4, Direct: true, CutOff: fleet.CutOffPolicy,
 		Command: func() *exec.Cmd { return exec.Command(binary) },
 	})
-	if err := p.Sidecars[0].Found(); err != nil {
+	if err := p.Sidecars[0].Bootstrap(); err != nil {
 		return r, err
 	}
 	if at := awaitVersion(p.Fleet, 0, size, time.Time{}, 10*p.lease+30*time.Second); len(at) < size {
@@ -240,7 +240,7 @@
 // awaitVersion waits until so many have logged that they go by a version alone, and returns when.
 func awaitVersion(f *fleet.Fleet, version, live int, since time.Time, within time.Duration) (at []time.Time) {
 	for end := time.Now().Add(within); ; time.Sleep(200 * time.Millisecond) {
-		if at = f.GoesAt(version, since); len(at) >= live || time.Now().After(end) {
+		if at = f.ActiveAt(version, since); len(at) >= live || time.Now().After(end) {
 			return at
 		}
 	}
--- a/cmd/measure/fleet_work.go
+++ b/cmd/measure/fleet_work.go
@@ -138,7 +138,7 @@
 		n.Delay.Store(int64(realDelay))
 		n.Do(testbed.Always(testbed.Slow))
 	}
-	if err := f.Sidecars[0].Found(); err != nil {
+	if err := f.Sidecars[0].Bootstrap(); err != nil {
 		return r, err
 	}
 	if _, _, why := f.AwaitPolicy(0, time.Minute); why != "" {
--- a/conformance/cases.go
+++ b/conformance/cases.go
@@ -36,20 +36,20 @@
 		add("served/"+effect, func(t *testing.T, w *World) {
 			w.Start(nil, 0, 0, 0)
 			c, _ := w.Want(class, Served)
-			if n := len(w.Ledger.Of(c.ID)); n != 1 {
+			if n := len(w.ArrivalLog.Of(c.ID)); n != 1 {
 				t.Errorf("%d attempts, want 1", n)
 			}
 		})
 		add("turned away/"+effect, func(t *testing.T, w *World) { // it never ran: any may go elsewhere
 			w.Start(nil, 0, 0, 0)
-			w.Script(First(testbed.Refuse))
+			w.Script(First(testbed.Reject))
 			c, _ := w.Want(class, Served)
-			if n := len(w.Ledger.Of(c.ID)); n != 2 {
+			if n := len(w.ArrivalLog.Of(c.ID)); n != 2 {
 				t.Errorf("%d attempts, want 2", n)
 			}
 		})
 		// it may have run
-		for _, act := range []testbed.Act{testbed.Fail, testbed.Busy, testbed.Reset, testbed.Cut, testbed.Garbage} {
+		for _, act := range []testbed.Act{testbed.Fail, testbed.Busy, testbed.Reset, testbed.Truncate, testbed.Garbage} {
 			add(act.String()+"/"+effect, func(t *testing.T, w *World) {
 				w.Start(nil, 0, 0, 0)
 				w.Script(First(act))
@@ -58,7 +58,7 @@
 					want, attempts = Failed, 1
 				}
 				c, a := w.Want(class, want)
-				if n := len(w.Ledger.Of(c.ID)); n != attempts {
+				if n := len(w.ArrivalLog.Of(c.ID)); n != attempts {
 					t.Errorf("%d attempts, want %d", n, attempts)
 				}
 				if a.Took > 5*time.Second {
@@ -90,9 +90,9 @@
 		})
 		add("every node turns away/"+effect, func(t *testing.T, w *World) {
 			w.Start(nil, 0, 0, 0, 0, 0)
-			w.Script(testbed.Always(testbed.Refuse))
+			w.Script(testbed.Always(testbed.Reject))
 			c, a := w.Want(class, Refused)
-			if n := len(w.Ledger.Of(c.ID)); n < 2 || n > 3 {
+			if n := len(w.ArrivalLog.Of(c.ID)); n < 2 || n > 3 {
 				t.Errorf("%d attempts, want 2 or 3 of most_tries 3", n)
 			}
 			if a.RetryAfter <= 0 || a.RetryAfter > 1200*time.Millisecond {
@@ -151,7 +151,7 @@
 			if a := w.Do(call); a.Kind != Invalid || a.Detail == "" {
 				t.Errorf("%+v, want invalid, with a word on why", a)
 			}
-			if n := w.Ledger.Len(); n != 0 {
+			if n := w.ArrivalLog.Len(); n != 0 {
 				t.Errorf("%d attempts", n)
 			}
 			w.Want(c.class, Served) // and the next is none the worse
@@ -162,7 +162,7 @@
 		w.Start(nil, 0, 0)
 		call := w.Usable("entry")
 		call.Body = strings.Repeat("x", 64<<10+1)
-		a, n := w.Do(call), w.Ledger.Len()
+		a, n := w.Do(call), w.ArrivalLog.Len()
 		if !(a.Kind == Served && n == 1 || a.Kind == Invalid && a.Detail != "" && n == 0) {
 			t.Errorf("%+v, %d attempts", a, n)
 		}
@@ -197,7 +197,7 @@
 		w.Start(nil, 0, 1, 2)
 		w.Script(First(testbed.Fail))
 		c, _ := w.Want("reading", Failed)
-		if n := len(w.Ledger.Of(c.ID)); n != 1 {
+		if n := len(w.ArrivalLog.Of(c.ID)); n != 1 {
 			t.Errorf("%d attempts, no other node is in the cell", n)
 		}
 	})
@@ -205,14 +205,14 @@
 		w.Start(nil, 0, 0, 1, 1)
 		w.Script(First(testbed.Reset))
 		c, _ := w.Want("reading", Served)
-		arrivals := w.Ledger.Of(c.ID)
+		arrivals := w.ArrivalLog.Of(c.ID)
 		if len(arrivals) != 2 || arrivals[0].Cell != arrivals[1].Cell || arrivals[0].Node == arrivals[1].Node {
 			t.Errorf("attempts %+v, want two nodes of one cell", arrivals)
 		}
 	})
 	add("keyed/anywhere if it never ran", func(t *testing.T, w *World) {
 		w.Start(nil, 0, 1)
-		w.Script(First(testbed.Refuse))
+		w.Script(First(testbed.Reject))
 		w.Want("reading", Served)
 	})
 	add("keyed/not after the window", func(t *testing.T, w *World) {
@@ -222,7 +222,7 @@
 			return testbed.Fail
 		})
 		c, _ := w.Want("reading", Failed)
-		if n := len(w.Ledger.Of(c.ID)); n != 1 {
+		if n := len(w.ArrivalLog.Of(c.ID)); n != 1 {
 			t.Errorf("%d attempts, repeats are no longer dropped", n)
 		}
 	})
@@ -285,7 +285,7 @@
 				w.Do(c)
 			})
 		}
-		testbed.Until(t, "the flood", func() bool { return w.Ledger.Len() > 0 })
+		testbed.Until(t, "the flood", func() bool { return w.ArrivalLog.Len() > 0 })
 		c := w.Usable("look")
 		c.Tenant, c.Timeout = "south", 1200*time.Millisecond
 		if a := w.Do(c); a.Kind != Served || a.Took > time.Second {
@@ -303,23 +303,23 @@
 			load := w.Load(4, "look", "reading", "entry")
 			testbed.Until(t, "calls on all nodes", func() bool {
 				seen := make(map[string]bool)
-				for _, a := range w.Ledger.All() {
+				for _, a := range w.ArrivalLog.All() {
 					seen[a.Node] = true
 				}
 				return len(seen) == 3
 			})
 			w.Drain(w.Nodes[1], lifecycle, time.Second) // the rule allows 2 s
-			before := w.Ledger.Len()
+			before := w.ArrivalLog.Len()
 			time.Sleep(1300 * time.Millisecond)
 			load()
-			if after := w.Ledger.Len(); after-before < 20 {
+			if after := w.ArrivalLog.Len(); after-before < 20 {
 				t.Errorf("only %d calls since the drain: nothing is shown", after-before)
 			}
 		})
 	}
 	add("drain/what it has is finished", func(t *testing.T, w *World) {
 		w.Start(nil, 0, 0)
-		w.Nodes[0].Do(testbed.Always(testbed.Refuse)) // the call is on the other
+		w.Nodes[0].Do(testbed.Always(testbed.Reject)) // the call is on the other
 		release, arrived := make(chan struct{}), make(chan struct{}, 1)
 		w.Nodes[1].Do(func(testbed.Arrival) testbed.Act {
 			arrived <- struct{}{}
@@ -357,17 +357,17 @@
 		if a := testbed.Wait(t, "its answer", answered); a.Kind != Failed {
 			t.Errorf("%+v, want failed: both nodes drain", a)
 		}
-		if n := len(w.Ledger.Of(c.ID)); n != 1 {
+		if n := len(w.ArrivalLog.Of(c.ID)); n != 1 {
 			t.Errorf("%d attempts, want 1", n)
 		}
 	})
 	add("list/a new node takes part", func(t *testing.T, w *World) {
 		w.Start(nil, 0)
-		n := w.subject.Node(t, "s-new", w.Ledger)
+		n := w.subject.Node(t, "s-new", w.ArrivalLog)
 		w.Discovery.Set(n, "ready")
 		testbed.Until(t, "a call on the new node", func() bool {
 			c, _ := w.Want("look", Served)
-			return w.Ledger.Of(c.ID)[0].Node == "s-new"
+			return w.ArrivalLog.Of(c.ID)[0].Node == "s-new"
 		})
 	})
 	add("list/discovery is down", func(t *testing.T, w *World) {
@@ -381,19 +381,19 @@
 	add("list/a cold node is not pushed", func(t *testing.T, w *World) {
 		w.Start(nil, 0, 0, 0, 0)
 		load := w.Load(8, "look")
-		testbed.Until(t, "some load", func() bool { return w.Ledger.Len() > 200 })
+		testbed.Until(t, "some load", func() bool { return w.ArrivalLog.Len() > 200 })
 		cold := w.Nodes[2]
 		cold.Vanish()
 		cold.Return(t)
 		w.Discovery.Set(cold, "ready") // with a start time of now
-		testbed.Until(t, "the news to be told", func() bool { return !w.Discovery.ToldAt(cold).IsZero() })
+		testbed.Until(t, "the news to be told", func() bool { return !w.Discovery.NotifiedAt(cold).IsZero() })
 		time.Sleep(100 * time.Millisecond)
 		from := time.Now()
 		time.Sleep(time.Second)
 		to := time.Now()
 		load()
 		count := make(map[string]int)
-		for _, a := range w.Ledger.All() {
+		for _, a := range w.ArrivalLog.All() {
 			if a.At.After(from) && a.At.Before(to) {
 				count[a.Node]++
 			}
@@ -455,7 +455,7 @@
 			for range 5 {
 				w.Want("look", Served) // its slot is free again, and nothing of it goes out
 			}
-			if n := len(w.Ledger.Of(c.ID)); n != 1 {
+			if n := len(w.ArrivalLog.Of(c.ID)); n != 1 {
 				t.Errorf("%d attempts, want 1", n)
 			}
 		})
@@ -472,10 +472,10 @@
 			t.Errorf("%+v, want gone", a)
 		}
 		time.Sleep(100 * time.Millisecond) // its end crosses the loopback, and the client's own goroutine closes it
-		n := w.subject.Node(t, "s-late", w.Ledger)
+		n := w.subject.Node(t, "s-late", w.ArrivalLog)
 		w.Discovery.Set(n, "ready")
 		testbed.Until(t, "the node to take part", func() bool { return w.Do(w.Usable("look")).Kind == Served })
-		if got := w.Ledger.Of(c.ID); len(got) > 0 {
+		if got := w.ArrivalLog.Of(c.ID); len(got) > 0 {
 			t.Errorf("it went out: %+v", got)
 		}
 	})
@@ -492,7 +492,7 @@
 	})
 	add("at once/refused", func(t *testing.T, w *World) {
 		w.Start(nil, 0, 0, 0)
-		w.Script(testbed.Always(testbed.Refuse))
+		w.Script(testbed.Always(testbed.Reject))
 		if _, a := w.Want("entry", Refused); a.Took > 2*time.Second {
 			t.Errorf("told after %v; it was known at once", a.Took)
 		}
@@ -520,7 +520,7 @@
 func whole(add func(string, func(*testing.T, *World))) {
 	add("among failing nodes", func(t *testing.T, w *World) {
 		w.Start(nil, 0, 0, 1, 1)
-		acts := []testbed.Act{testbed.Refuse, testbed.Fail, testbed.Reset, testbed.Cut, testbed.Garbage, testbed.Busy}
+		acts := []testbed.Act{testbed.Reject, testbed.Fail, testbed.Reset, testbed.Truncate, testbed.Garbage, testbed.Busy}
 		var mu sync.Mutex
 		n := 0
 		w.Script(func(testbed.Arrival) testbed.Act {
--- a/conformance/conformance.go
+++ b/conformance/conformance.go
@@ -57,7 +57,7 @@
 // Subject is one way to a decision module.
 type Subject interface {
 	// Node starts a stand-in server that the subject can send to.
-	Node(t testbed.TB, id string, l *testbed.Ledger) *testbed.Node
+	Node(t testbed.TB, id string, l *testbed.ArrivalLog) *testbed.Node
 	// Open starts the subject with a configuration file's text.
 	Open(t *testing.T, config string) Client
 }
@@ -73,7 +73,7 @@
 	for _, c := range Cases() {
 		t.Run(c.Name, func(t *testing.T) {
 			t.Parallel()
-			w := &World{T: t, subject: s, Ledger: new(testbed.Ledger), calls: make(map[string]*made)}
+			w := &World{T: t, subject: s, ArrivalLog: new(testbed.ArrivalLog), calls: make(map[string]*made)}
 			c.Run(t, w)
 			w.check()
 		})
@@ -89,13 +89,13 @@
 
 // World is what a case plays in. Every call through it is held against the four rules when the case is over.
 type World struct {
-	T         *testing.T
-	Ledger    *testbed.Ledger
-	Nodes     []*testbed.Node
-	Discovery *testbed.Discovery
-	subject   Subject
-	client    Client
-	lastID    atomic.Uint64
+	T          *testing.T
+	ArrivalLog *testbed.ArrivalLog
+	Nodes      []*testbed.Node
+	Discovery  *testbed.Discovery
+	subject    Subject
+	client     Client
+	lastID     atomic.Uint64
 
 	mu     sync.Mutex
 	calls  map[string]*made // by id
@@ -111,7 +111,7 @@
 func (w *World) Start(edit func(settings map[string]any), cells ...int) {
 	w.T.Helper()
 	for i, cell := range cells {
-		n := w.subject.Node(w.T, fmt.Sprintf("s-%d", i), w.Ledger)
+		n := w.subject.Node(w.T, fmt.Sprintf("s-%d", i), w.ArrivalLog)
 		n.Cell = cell
 		w.Nodes = append(w.Nodes, n)
 	}
@@ -196,7 +196,7 @@
 	defer w.mu.Unlock()
 	settled := time.Now()
 	byID := make(map[string][]testbed.Arrival)
-	for _, r := range w.Ledger.All() {
+	for _, r := range w.ArrivalLog.All() {
 		byID[r.ID] = append(byID[r.ID], r)
 	}
 	for id, m := range w.calls {
@@ -213,8 +213,8 @@
 			if r.At.After(a.At.Add(slack)) && a.At.Before(settled) {
 				w.T.Errorf("rule 1: %s went out to %s %v after its answer", id, r.Node, r.At.Sub(a.At))
 			}
-			if c.Timeout > 0 && r.Told > c.Timeout+slack {
-				w.T.Errorf("%s told %s of %v, it had %v", id, r.Node, r.Told, c.Timeout)
+			if c.Timeout > 0 && r.Timeout > c.Timeout+slack {
+				w.T.Errorf("%s told %s of %v, it had %v", id, r.Node, r.Timeout, c.Timeout)
 			}
 		}
 		if len(arrivals) > 3 {
@@ -244,7 +244,7 @@
 		}
 	}
 	for n, since := range w.drains {
-		for _, r := range w.Ledger.All() {
+		for _, r := range w.ArrivalLog.All() {
 			if r.Node == n.ID && r.At.After(since) {
 				w.T.Errorf("rule 3: %s went to %s %v after its drain was told", r.ID, n.ID, r.At.Sub(since))
 			}
@@ -257,13 +257,13 @@
 func (w *World) Drain(n *testbed.Node, lifecycle string, grace time.Duration) {
 	w.T.Helper()
 	w.Discovery.Set(n, lifecycle)
-	testbed.Until(w.T, "the drain to be told", func() bool { return !w.Discovery.ToldAt(n).IsZero() })
+	testbed.Until(w.T, "the drain to be told", func() bool { return !w.Discovery.NotifiedAt(n).IsZero() })
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.drains == nil {
 		w.drains = make(map[*testbed.Node]time.Time)
 	}
-	w.drains[n] = w.Discovery.ToldAt(n).Add(grace)
+	w.drains[n] = w.Discovery.NotifiedAt(n).Add(grace)
 }
 
 // Script has all nodes follow one.
--- a/conformance/subjects_test.go
+++ b/conformance/subjects_test.go
@@ -40,7 +40,7 @@
 // httpNodes is for subjects that send over HTTP/1.1.
 type httpNodes struct{}
 
-func (httpNodes) Node(t testbed.TB, id string, l *testbed.Ledger) *testbed.Node {
+func (httpNodes) Node(t testbed.TB, id string, l *testbed.ArrivalLog) *testbed.Node {
 	return testbed.NewHTTPNode(t, id, l)
 }
 
@@ -96,7 +96,7 @@
 	closed sync.Once
 }
 
-func (d daemon) Node(t testbed.TB, id string, l *testbed.Ledger) *testbed.Node {
+func (d daemon) Node(t testbed.TB, id string, l *testbed.ArrivalLog) *testbed.Node {
 	return testbed.NewHTTPNode(t, id, l)
 }
 
@@ -333,7 +333,7 @@
 
 type grpcClient struct{ *grpcplugin.Conn }
 
-func (overGRPC) Node(t testbed.TB, id string, l *testbed.Ledger) *testbed.Node {
+func (overGRPC) Node(t testbed.TB, id string, l *testbed.ArrivalLog) *testbed.Node {
 	return testbed.NewGRPCNode(t, id, l)
 }
 
--- a/internal/daemon/pools_test.go
+++ b/internal/daemon/pools_test.go
@@ -23,7 +23,7 @@
 // world is a daemon with two pools: ledger, with two thirds, and meters.
 type world struct {
 	dir, address   string
-	ledger, meters *testbed.Ledger
+	ledger, meters *testbed.ArrivalLog
 	nodes          map[string]*testbed.Node
 	lists          map[string]*testbed.Discovery
 	reload         chan os.Signal
@@ -51,10 +51,10 @@
 func startPools(t *testing.T, edit func(file, settings map[string]any)) *world {
 	t.Helper()
 	w := &world{
-		dir: t.TempDir(), ledger: new(testbed.Ledger), meters: new(testbed.Ledger), nodes: make(map[string]*testbed.Node),
+		dir: t.TempDir(), ledger: new(testbed.ArrivalLog), meters: new(testbed.ArrivalLog), nodes: make(map[string]*testbed.Node),
 		lists: make(map[string]*testbed.Discovery), reload: make(chan os.Signal, 1), ended: make(chan error, 1),
 	}
-	for name, l := range map[string]*testbed.Ledger{"ledger": w.ledger, "meters": w.meters} {
+	for name, l := range map[string]*testbed.ArrivalLog{"ledger": w.ledger, "meters": w.meters} {
 		n := testbed.NewHTTPNode(t, name+"-0", l)
 		w.nodes[name], w.lists[name] = n, testbed.NewDiscovery(t, n)
 		w.write(t, name+".json", w.config(t, name, nil))
--- a/internal/daemon/service_test.go
+++ b/internal/daemon/service_test.go
@@ -109,11 +109,11 @@
 
 // Whatever ends how: what was taken is what was passed, dropped, failed and what is in progress, and the upstreams had as many attempts as were counted.
 func TestFiguresAddUp(t *testing.T) {
-	var l testbed.Ledger
+	var l testbed.ArrivalLog
 	var addresses []string
 	for i := range 4 {
 		n := testbed.NewHTTPNode(t, fmt.Sprint("s-", i), &l)
-		act := [...]testbed.Act{testbed.Serve, testbed.Fail, testbed.Refuse, testbed.Reset}[i]
+		act := [...]testbed.Act{testbed.Serve, testbed.Fail, testbed.Reject, testbed.Reset}[i]
 		n.Do(testbed.Always(act))
 		addresses = append(addresses, n.Address)
 	}
--- a/internal/lab/testbed/discovery.go
+++ b/internal/lab/testbed/discovery.go
@@ -15,13 +15,13 @@
 type Discovery struct {
 	Address string
 
-	mu      sync.Mutex
-	version int
-	entries []entry
-	changed chan struct{} // closed at the next change
-	down    bool
-	watches int                  // under way
-	told    map[string]time.Time // when an instance's last change was first written to anyone
+	mu       sync.Mutex
+	version  int
+	entries  []entry
+	changed  chan struct{} // closed at the next change
+	down     bool
+	watches  int                  // under way
+	notified map[string]time.Time // when an instance's last change was first written to anyone
 }
 
 type entry struct {
@@ -33,7 +33,7 @@
 // NewDiscovery starts one that lists some nodes as ready.
 func NewDiscovery(t TB, nodes ...*Node) *Discovery {
 	t.Helper()
-	d := &Discovery{version: 1, changed: make(chan struct{}), told: make(map[string]time.Time)}
+	d := &Discovery{version: 1, changed: make(chan struct{}), notified: make(map[string]time.Time)}
 	for _, n := range nodes {
 		d.entries = append(d.entries, entry{n, "ready", 1})
 	}
@@ -57,7 +57,7 @@
 		d.entries = append(d.entries, entry{})
 	}
 	d.entries[i] = entry{n, lifecycle, d.version}
-	delete(d.told, n.ID)
+	delete(d.notified, n.ID)
 	d.change()
 }
 
@@ -88,11 +88,11 @@
 	return d.watches
 }
 
-// ToldAt is when a node's last change was first written to anyone; zero: not yet.
-func (d *Discovery) ToldAt(n *Node) time.Time {
+// NotifiedAt is when a node's last change was first written to anyone; zero: not yet.
+func (d *Discovery) NotifiedAt(n *Node) time.Time {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.told[n.ID]
+	return d.notified[n.ID]
 }
 
 func (d *Discovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -114,8 +114,8 @@
 		if !whole && e.since <= index {
 			continue
 		}
-		if _, told := d.told[e.node.ID]; !told {
-			d.told[e.node.ID] = now
+		if _, known := d.notified[e.node.ID]; !known {
+			d.notified[e.node.ID] = now
 		}
 		if !whole || e.lifecycle != "gone" { // a whole list tells of it by leaving it out
 			entries = append(entries, e.node.Entry(e.lifecycle))
--- a/internal/lab/testbed/fleet/answers.go
+++ b/internal/lab/testbed/fleet/answers.go
@@ -126,10 +126,10 @@
 }
 
 const (
-	slack      = 500 * time.Millisecond // an answer may be so late on a busy machine
-	drainGrace = 2 * time.Second
-	toldLatest = 6 * time.Second // by the protocol, what can't be told counts as told so much later
-	keyWindow  = 600 * time.Millisecond
+	slack          = 500 * time.Millisecond // an answer may be so late on a busy machine
+	drainGrace     = 2 * time.Second
+	notifiedLatest = 6 * time.Second // by the protocol, what can't be told counts as told so much later
+	keyWindow      = 600 * time.Millisecond
 )
 
 // Check looks whether the four rules were kept, by the clients' book and the upstreams' alone. It
@@ -137,7 +137,7 @@
 func (f *Fleet) Check() (tally Tally, broken []string) {
 	say := func(format string, args ...any) { broken = append(broken, fmt.Sprintf(format, args...)) }
 	arrived := make(map[string][]testbed.Arrival)
-	for _, a := range f.Ledger.All() {
+	for _, a := range f.ArrivalLog.All() {
 		arrived[a.ID] = append(arrived[a.ID], a)
 	}
 	for _, x := range f.Answers.all() {
@@ -189,8 +189,8 @@
 		from[x.id] = x.sidecar
 	}
 	for _, n := range f.Nodes {
-		told := f.Discovery.ToldAt(n)
-		if !f.Discovery.Draining(n) || told.IsZero() {
+		notified := f.Discovery.NotifiedAt(n)
+		if !f.Discovery.Draining(n) || notified.IsZero() {
 			continue
 		}
 		for id, all := range arrived {
@@ -198,13 +198,13 @@
 				i, known := from[id]
 				// One that was stopped or began anew meanwhile hears of it when it goes on; that is tested elsewhere.
 				grace := drainGrace
-				if known && !f.Sidecars[i].reached(told, a.At) {
-					grace += toldLatest
+				if known && !f.Sidecars[i].reached(notified, a.At) {
+					grace += notifiedLatest
 				}
-				if a.Node == n.ID && known && a.At.After(told.Add(grace)) && f.Sidecars[i].steady(told, a.At) {
+				if a.Node == n.ID && known && a.At.After(notified.Add(grace)) && f.Sidecars[i].steady(notified, a.At) {
 					broken = append(broken,
-						fmt.Sprintf("%s of sidecar %d went to the draining %s %v after that was told", id,
-							i, n.ID, a.At.Sub(told)))
+						fmt.Sprintf("%s of sidecar %d went to the draining %s %v after that was announced", id,
+							i, n.ID, a.At.Sub(notified)))
 				}
 			}
 		}
--- a/internal/lab/testbed/fleet/fleet.go
+++ b/internal/lab/testbed/fleet/fleet.go
@@ -39,12 +39,12 @@
 // Fleet is the processes, their world and what was seen of both.
 type Fleet struct {
 	Config
-	Sidecars  []*Sidecar
-	Nodes     []*testbed.Node
-	Discovery *testbed.Discovery
-	Ledger    *testbed.Ledger
-	Peers     *datagrams
-	Answers   *answers
+	Sidecars   []*Sidecar
+	Nodes      []*testbed.Node
+	Discovery  *testbed.Discovery
+	ArrivalLog *testbed.ArrivalLog
+	Peers      *datagrams
+	Answers    *answers
 
 	t      testbed.TB
 	dir    string
@@ -104,14 +104,14 @@
 // New starts a fleet whose processes all serve.
 func New(t testbed.TB, cfg Config) *Fleet {
 	t.Helper()
-	f := &Fleet{Config: cfg, t: t, Ledger: new(testbed.Ledger), second: place(t), Answers: newAnswers()}
+	f := &Fleet{Config: cfg, t: t, ArrivalLog: new(testbed.ArrivalLog), second: place(t), Answers: newAnswers()}
 	var err error
 	if f.dir, err = os.MkdirTemp("", "fleet"); err != nil {
 		t.Fatalf("fleet: %v", err)
 	}
 	t.Cleanup(func() { os.RemoveAll(f.dir) })
 	for i := range cfg.Nodes {
-		n := testbed.NewHTTPNode(t, fmt.Sprintf("s-%d", i), f.Ledger)
+		n := testbed.NewHTTPNode(t, fmt.Sprintf("s-%d", i), f.ArrivalLog)
 		n.Cell = i / 2
 		f.Nodes = append(f.Nodes, n)
 	}
@@ -309,16 +309,16 @@
 	_ = s.cmd.Process.Signal(which)
 }
 
-// CutOff has nothing of the machine's reach upstreams and discovery any more, nor theirs the machine. Rejoin ends that.
-func (s *Sidecar) CutOff() {
+// Partition has nothing of the machine's reach upstreams and discovery any more, nor theirs the machine. Rejoin ends that.
+func (s *Sidecar) Partition() {
 	s.f.ways.silence(s.Number)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.cuts = append(s.cuts, span{from: time.Now()})
 }
 
-// Rejoin has it reach them again.
-func (s *Sidecar) Rejoin() {
+// Heal has it reach them again.
+func (s *Sidecar) Heal() {
 	if s.PID() != 0 {
 		s.f.ways.restore(s.Number)
 	}
@@ -500,8 +500,8 @@
 	return true, ""
 }
 
-// Settle waits until all agree, and returns how long it took, or why they don't.
-func (f *Fleet) Settle(within time.Duration) (took time.Duration, why string) {
+// WaitForAgreement waits until all agree, and returns how long it took, or why they don't.
+func (f *Fleet) WaitForAgreement(within time.Duration) (took time.Duration, why string) {
 	for begun := time.Now(); ; time.Sleep(50 * time.Millisecond) {
 		ok, why := f.Agree()
 		if took := time.Since(begun); ok {
@@ -512,10 +512,10 @@
 	}
 }
 
-// AwaitAgree is Settle where anything else is a failure.
-func (f *Fleet) AwaitAgree(within time.Duration) time.Duration {
+// RequireAgreement is Settle where anything else is a failure.
+func (f *Fleet) RequireAgreement(within time.Duration) time.Duration {
 	f.t.Helper()
-	took, why := f.Settle(within)
+	took, why := f.WaitForAgreement(within)
 	if why != "" {
 		f.t.Fatalf("after %v: %s", took, why)
 	}
--- a/internal/lab/testbed/fleet/plan.go
+++ b/internal/lab/testbed/fleet/plan.go
@@ -124,10 +124,10 @@
 	for _, s := range f.Sidecars { // two steps may have crossed
 		s.Continue()
 		s.Start()
-		s.Rejoin()
+		s.Heal()
 	}
 	ended()
-	healed, why := f.Settle(testbed.Generous)
+	healed, why := f.WaitForAgreement(testbed.Generous)
 	if why != "" {
 		broken = append(broken, fmt.Sprintf("%v after all is well: %s", healed, why))
 	}
@@ -167,11 +167,11 @@
 			cut(func(from, to int) bool { return in(from) != in(to) })
 		}
 		if s.What == Zone {
-			each((*Sidecar).CutOff)
+			each((*Sidecar).Partition)
 		}
 		time.Sleep(s.For)
 		if s.What == Zone {
-			each((*Sidecar).Rejoin)
+			each((*Sidecar).Heal)
 		}
 		cut(nil)
 	case Hold:
--- a/internal/lab/testbed/fleet/policy.go
+++ b/internal/lab/testbed/fleet/policy.go
@@ -28,11 +28,11 @@
 
 // PolicyView is what a process says of the fleet's policy.
 type PolicyView struct {
-	Holds, Goes int
-	Mode        string // one, both, cut off
-	UnderWay    bool
-	Leader      int
-	Text        string
+	Committed, Active int
+	Mode              string // one, both, cut off
+	InProgress        bool
+	Leader            int
+	Text              string
 }
 
 var (
@@ -52,24 +52,24 @@
 	if err != nil || goes == nil || leader == nil {
 		return v, false
 	}
-	v = PolicyView{Mode: "cut off", UnderWay: !strings.Contains(text, "under way: nothing"), Text: text, Holds: -1}
+	v = PolicyView{Mode: "cut off", InProgress: !strings.Contains(text, "under way: nothing"), Text: text, Committed: -1}
 	if holds := holdsLine.FindStringSubmatch(text); holds != nil {
-		v.Holds, _ = strconv.Atoi(holds[1])
+		v.Committed, _ = strconv.Atoi(holds[1])
 	}
 	v.Leader, _ = strconv.Atoi(leader[1])
 	switch {
 	case goes[1] != "":
 		v.Mode = "one"
-		v.Goes, _ = strconv.Atoi(goes[1])
+		v.Active, _ = strconv.Atoi(goes[1])
 	case goes[2] != "":
 		v.Mode = "both"
-		v.Goes, _ = strconv.Atoi(goes[2])
+		v.Active, _ = strconv.Atoi(goes[2])
 	}
 	return v, true
 }
 
-// Found begins the log by way of a process.
-func (s *Sidecar) Found() error { return s.operate("policy-found") }
+// Bootstrap begins the log by way of a process.
+func (s *Sidecar) Bootstrap() error { return s.operate("policy-found") }
 
 // Abort calls off what is under way.
 func (s *Sidecar) Abort() error { return s.operate("policy-abort") }
@@ -108,12 +108,12 @@
 	if err := s.upload(raw); err != nil {
 		return err
 	}
-	return s.operate(fmt.Sprintf("policy-propose %s %d", policyrollout.Hash(raw), v.Holds))
+	return s.operate(fmt.Sprintf("policy-propose %s %d", policyrollout.Hash(raw), v.Committed))
 }
 
-// Goes says whether all processes that run go by one version that holds, with nothing under way;
+// ActivePolicy says whether all processes that run go by one version that holds, with nothing under way;
 // why says what is not so.
-func (f *Fleet) Goes() (version int, why string) {
+func (f *Fleet) ActivePolicy() (version int, why string) {
 	version = -1
 	for _, s := range f.Sidecars {
 		v, ok := s.Policy()
@@ -121,12 +121,12 @@
 		case !s.Runs():
 		case !ok:
 			return 0, fmt.Sprintf("%d says nothing", s.Number)
-		case v.Mode != "one" || v.UnderWay || v.Goes != v.Holds:
-			return 0, fmt.Sprintf("%d goes by %s, %d: %s", s.Number, v.Mode, v.Goes, v.Text)
-		case version >= 0 && v.Holds != version:
-			return 0, fmt.Sprintf("%d goes by %d, another by %d", s.Number, v.Holds, version)
+		case v.Mode != "one" || v.InProgress || v.Active != v.Committed:
+			return 0, fmt.Sprintf("%d goes by %s, %d: %s", s.Number, v.Mode, v.Active, v.Text)
+		case version >= 0 && v.Committed != version:
+			return 0, fmt.Sprintf("%d goes by %d, another by %d", s.Number, v.Committed, version)
 		default:
-			version = v.Holds
+			version = v.Committed
 		}
 	}
 	return version, ""
@@ -135,7 +135,7 @@
 // AwaitPolicy waits until all go by one version, a certain one or (-1) any, and returns it.
 func (f *Fleet) AwaitPolicy(want int, within time.Duration) (version int, took time.Duration, why string) {
 	for begun := time.Now(); ; time.Sleep(50 * time.Millisecond) {
-		version, why = f.Goes()
+		version, why = f.ActivePolicy()
 		if why == "" && want >= 0 && version != want {
 			why = fmt.Sprintf("all go by version %d, not %d", version, want)
 		}
@@ -145,12 +145,12 @@
 	}
 }
 
-// LetIn looks, by what arrived at the upstreams alone, whether requests were let in by one marked
+// PolicySwitches looks, by what arrived at the upstreams alone, whether requests were let in by one marked
 // policy while others still were by the other: each change of policy turns them from one marked
 // upstream to the other once. It returns how often they turned between two moments.
-func (f *Fleet) LetIn(since, until time.Time) (turns int) {
+func (f *Fleet) PolicySwitches(since, until time.Time) (turns int) {
 	last := ""
-	for _, a := range f.Ledger.All() {
+	for _, a := range f.ArrivalLog.All() {
 		if a.At.Before(since) || a.At.After(until) || a.Node != f.Nodes[0].ID && a.Node != f.Nodes[1].ID ||
 			a.Node == last {
 			continue
@@ -173,8 +173,8 @@
 	return all
 }
 
-// GoesAt is when each process logged that it goes by one version, the first time since a moment.
-func (f *Fleet) GoesAt(version int, since time.Time) []time.Time {
+// ActiveAt is when each process logged that it goes by one version, the first time since a moment.
+func (f *Fleet) ActiveAt(version int, since time.Time) []time.Time {
 	return f.loggedAt(regexp.MustCompile(fmt.Sprintf(`(?m)^time=(\S+) .*policy: goes by" mode=one version=%d `,
 		version)), since)
 }
@@ -213,7 +213,7 @@
 // call some off, and returns what was broken: by what arrived at the upstreams, by what processes
 // hold of the log, and by the books of clients and upstreams.
 func (f *Fleet) PlayPolicies(p *Plan, perSecond int) (tally PolicyTally, broken []string) {
-	if err := f.Sidecars[0].Found(); err != nil {
+	if err := f.Sidecars[0].Bootstrap(); err != nil {
 		return tally, []string{err.Error()}
 	}
 	if _, _, why := f.AwaitPolicy(0, testbed.Generous); why != "" {
@@ -257,14 +257,14 @@
 	})
 	_, tally.Settled, _ = f.AwaitPolicy(-1, 20*time.Second)
 	until := time.Now()
-	if _, why := f.Goes(); why != "" {
+	if _, why := f.ActivePolicy(); why != "" {
 		// A majority of the voters was lost, maybe: an operator begins anew, which is refused while the log answers.
-		tally.Lost = f.Sidecars[int(p.Seed)%len(f.Sidecars)].Found() == nil
+		tally.Lost = f.Sidecars[int(p.Seed)%len(f.Sidecars)].Bootstrap() == nil
 		if _, took, why := f.AwaitPolicy(-1, 70*time.Second); why != "" {
 			rules = append(rules, fmt.Sprintf("%v behind the end (begun anew %v): %s", took, tally.Lost, why))
 		}
 	}
-	if tally.Turns = f.LetIn(since, until); tally.Turns > tally.Proposed {
+	if tally.Turns = f.PolicySwitches(since, until); tally.Turns > tally.Proposed {
 		rules = append(rules, fmt.Sprintf("requests turned %d times by %d proposals: two policies were gone by at once",
 			tally.Turns, tally.Proposed))
 	}
--- a/internal/lab/testbed/fleet/spread.go
+++ b/internal/lab/testbed/fleet/spread.go
@@ -57,7 +57,7 @@
 	for _, x := range f.Answers.all() {
 		from[x.id] = x.sidecar
 	}
-	for _, a := range f.Ledger.All() {
+	for _, a := range f.ArrivalLog.All() {
 		node, err := strconv.Atoi(strings.TrimPrefix(a.Node, "s-"))
 		if sidecar, known := from[a.ID]; known && err == nil && a.At.After(since) {
 			all = append(all, loadspread.Arrival{At: a.At.Sub(since), To: node, From: sidecar})
--- a/internal/lab/testbed/fleet/work.go
+++ b/internal/lab/testbed/fleet/work.go
@@ -216,7 +216,7 @@
 	for _, x := range r.f.Answers.all() {
 		by[x.id] = x
 	}
-	all, arrivals := r.Stays(), r.f.Ledger.All()
+	all, arrivals := r.Stays(), r.f.ArrivalLog.All()
 	for i := range all {
 		x := &all[i]
 		to := x.To
@@ -271,7 +271,7 @@
 		n.Delay.Store(int64(delay))
 		n.Do(testbed.Always(testbed.Slow))
 	}
-	if err := f.Sidecars[0].Found(); err != nil {
+	if err := f.Sidecars[0].Bootstrap(); err != nil {
 		return tally, []string{err.Error()}
 	}
 	if _, _, why := f.AwaitPolicy(0, testbed.Generous); why != "" {
@@ -288,7 +288,7 @@
 		begun := time.Now()
 		for ; !round.Ended() && time.Since(begun) < 2*time.Minute; time.Sleep(50 * time.Millisecond) {
 			if time.Since(begun) > 40*time.Second && !tally.Lost &&
-				f.Sidecars[int(p.Seed)%len(f.Sidecars)].Found() == nil {
+				f.Sidecars[int(p.Seed)%len(f.Sidecars)].Bootstrap() == nil {
 				tally.Lost = true // a majority of the voters was lost: what follows is another log's
 				break
 			}
--- a/internal/lab/testbed/grpc.go
+++ b/internal/lab/testbed/grpc.go
@@ -20,7 +20,7 @@
 
 // NewGRPCNode starts a node that speaks gRPC: any method takes a google.protobuf.StringValue and answers one,
 // "done" and the request's id (metadata x-request-id). A body of "stream N" has N of them.
-func NewGRPCNode(t TB, id string, l *Ledger, opts ...grpc.ServerOption) *Node {
+func NewGRPCNode(t TB, id string, l *ArrivalLog, opts ...grpc.ServerOption) *Node {
 	t.Helper()
 	return newNode(t, id, l, func(n *Node, l net.Listener) func() {
 		s := grpc.NewServer(append(opts, grpc.UnknownServiceHandler(n.grpc))...)
@@ -47,7 +47,7 @@
 		Method: method, Body: in.GetValue(),
 	}
 	if end, limited := s.Context().Deadline(); limited {
-		a.Told = time.Until(end)
+		a.Timeout = time.Until(end)
 	}
 	act := n.act(a)
 	if n.Load != nil {
@@ -55,7 +55,7 @@
 	}
 	p, _ := peer.FromContext(s.Context())
 	switch act {
-	case Refuse:
+	case Reject:
 		s.SetTrailer(metadata.Pairs("x-not-processed", "1"))
 		return status.Error(codes.Unavailable, "queue full")
 	case Fail:
@@ -69,7 +69,7 @@
 		n.breakConn(p.Addr.String())
 		<-s.Context().Done()
 		return s.Context().Err()
-	case Cut:
+	case Truncate:
 		_ = s.SendHeader(metadata.Pairs("x-cut", "1"))
 		n.breakConn(p.Addr.String())
 		<-s.Context().Done()
--- a/internal/lab/testbed/http.go
+++ b/internal/lab/testbed/http.go
@@ -12,7 +12,7 @@
 )
 
 // NewHTTPNode starts a node that speaks HTTP/1.1. Its answer to a request is "done" and the request's id.
-func NewHTTPNode(t TB, id string, l *Ledger) *Node {
+func NewHTTPNode(t TB, id string, l *ArrivalLog) *Node {
 	t.Helper()
 	return newNode(t, id, l, func(n *Node, l net.Listener) func() {
 		go func() {
@@ -68,10 +68,10 @@
 	act := n.act(Arrival{
 		ID: id, Key: req.Header.Get("Idempotency-Key"), Class: req.Header.Get("X-Priority-Class"),
 		Method: req.Method, Body: body,
-		Told: time.Duration(millis) * time.Millisecond,
+		Timeout: time.Duration(millis) * time.Millisecond,
 	})
 	switch act {
-	case Refuse:
+	case Reject:
 		return say(http.StatusServiceUnavailable, "X-Not-Processed: 1\r\n", "")
 	case Fail:
 		return say(http.StatusInternalServerError, "", "")
@@ -83,7 +83,7 @@
 	case Reset:
 		n.breakConn(c.RemoteAddr().String())
 		return false
-	case Cut:
+	case Truncate:
 		_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text[:len(text)/2])
 		return false
 	case Garbage:
--- a/internal/lab/testbed/ledger.go
+++ b/internal/lab/testbed/ledger.go
@@ -7,40 +7,40 @@
 
 // Arrival is a request that a node has read whole.
 type Arrival struct {
-	At     time.Time
-	Node   string // instance id
-	Cell   int
-	ID     string
-	Key    string
-	Class  string
-	Method string // HTTP's or gRPC's full method name
-	Body   string
-	Told   time.Duration // how long its answer is waited for, as it says; 0: it doesn't
-	Ran    bool          // the node did the work, or might have
+	At      time.Time
+	Node    string // instance id
+	Cell    int
+	ID      string
+	Key     string
+	Class   string
+	Method  string // HTTP's or gRPC's full method name
+	Body    string
+	Timeout time.Duration // how long its answer is waited for, as it says; 0: it doesn't
+	Ran     bool          // the node did the work, or might have
 }
 
-// Ledger records what arrived, over all nodes.
-type Ledger struct {
+// ArrivalLog records what arrived, over all nodes.
+type ArrivalLog struct {
 	mu   sync.Mutex
 	list []Arrival
 }
 
 // Add enters an arrival.
-func (l *Ledger) Add(a Arrival) {
+func (l *ArrivalLog) Add(a Arrival) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.list = append(l.list, a)
 }
 
 // All returns everything so far, in the order of arrival.
-func (l *Ledger) All() []Arrival {
+func (l *ArrivalLog) All() []Arrival {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return append([]Arrival(nil), l.list...)
 }
 
 // Of returns the arrivals of one id.
-func (l *Ledger) Of(id string) (of []Arrival) {
+func (l *ArrivalLog) Of(id string) (of []Arrival) {
 	for _, a := range l.All() {
 		if a.ID == id {
 			of = append(of, a)
@@ -50,7 +50,7 @@
 }
 
 // Len is how many arrivals there were.
-func (l *Ledger) Len() int {
+func (l *ArrivalLog) Len() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.list)
--- a/internal/lab/testbed/node.go
+++ b/internal/lab/testbed/node.go
@@ -17,17 +17,17 @@
 // Act is what a node does with a request.
 type Act int
 
-// The acts. All but Refuse may have run the request.
+// The acts. All but Reject may have run the request.
 const (
-	Serve   Act = iota
-	Refuse      // turned away, with the protocol's word that it has not run
-	Fail        // an error answer
-	Busy        // a 503 or UNAVAILABLE with no promise
-	Hang        // takes it and says nothing
-	Reset       // breaks the connection behind the request's last byte
-	Cut         // breaks it in the middle of the answer
-	Garbage     // answers with what is none
-	Slow        // serves after Node.Delay, or as Node.Takes has it
+	Serve    Act = iota
+	Reject       // turned away, with the protocol's word that it has not run
+	Fail         // an error answer
+	Busy         // a 503 or UNAVAILABLE with no promise
+	Hang         // takes it and says nothing
+	Reset        // breaks the connection behind the request's last byte
+	Truncate     // breaks it in the middle of the answer
+	Garbage      // answers with what is none
+	Slow         // serves after Node.Delay, or as Node.Takes has it
 )
 
 func (a Act) String() string {
@@ -42,18 +42,18 @@
 
 // Node is a stand-in for a records node, over HTTP/1.1 or gRPC. It can be changed at any time.
 type Node struct {
-	ID      string
-	Cell    int
-	Zone    string
-	Started time.Time
-	Address string
-	Ledger  *Ledger
-	Delay   atomic.Int64 // of Slow, in nanoseconds
+	ID         string
+	Cell       int
+	Zone       string
+	Started    time.Time
+	Address    string
+	ArrivalLog *ArrivalLog
+	Delay      atomic.Int64 // of Slow, in nanoseconds
 	// of Slow; nil: Delay. It is set before the first request and called from many goroutines
-	Takes  func() time.Duration
-	Times  atomic.Int64  // thousandths of that, or of Delay, that it takes; 0: all of it
-	Load   func() string // the load report of an answer and a probe, in the protocol's form; nil: none
-	Probes atomic.Int64
+	ServiceTime      func() time.Duration
+	ServiceTimeScale atomic.Int64  // thousandths of that, or of Delay, that it takes; 0: all of it
+	Load             func() string // the load report of an answer and a probe, in the protocol's form; nil: none
+	Probes           atomic.Int64
 
 	script atomic.Pointer[Script]
 	serve  func(net.Listener) (stop func())
@@ -67,9 +67,9 @@
 	Dials    atomic.Int64
 }
 
-func newNode(t TB, id string, l *Ledger, serve func(*Node, net.Listener) func()) *Node {
+func newNode(t TB, id string, l *ArrivalLog, serve func(*Node, net.Listener) func()) *Node {
 	t.Helper()
-	n := &Node{ID: id, Zone: "a", Ledger: l, conns: make(map[string]net.Conn)}
+	n := &Node{ID: id, Zone: "a", ArrivalLog: l, conns: make(map[string]net.Conn)}
 	n.serve = func(l net.Listener) func() { return serve(n, l) }
 	n.Do(Always(Serve))
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -94,8 +94,8 @@
 func (n *Node) act(a Arrival) Act {
 	a.At, a.Node, a.Cell = time.Now(), n.ID, n.Cell
 	act := (*n.script.Load())(a)
-	a.Ran = act != Refuse
-	n.Ledger.Add(a)
+	a.Ran = act != Reject
+	n.ArrivalLog.Add(a)
 	return act
 }
 
@@ -195,10 +195,10 @@
 // slow waits as long as the node takes for a request.
 func (n *Node) slow() {
 	takes := time.Duration(n.Delay.Load())
-	if n.Takes != nil {
-		takes = n.Takes()
+	if n.ServiceTime != nil {
+		takes = n.ServiceTime()
 	}
-	if by := n.Times.Load(); by > 0 {
+	if by := n.ServiceTimeScale.Load(); by > 0 {
 		takes = takes * time.Duration(by) / 1000
 	}
 	time.Sleep(takes)
--- a/internal/lab/testbed/pause.go
+++ b/internal/lab/testbed/pause.go
@@ -9,7 +9,7 @@
 // Pause plays the host that stops in mid-request: the process pid is under load on two nodes, is stopped for
 // stop, in which discovery says that node 1 drains, and goes on. It returns what was broken. arrivals of
 // unsafe requests are those of class entry; timeout is what each request has.
-func Pause(t TB, pid int, d *Discovery, l *Ledger, nodes []*Node, stop, timeout time.Duration) (broken []string) {
+func Pause(t TB, pid int, d *Discovery, l *ArrivalLog, nodes []*Node, stop, timeout time.Duration) (broken []string) {
 	t.Helper()
 	Until(t, "load on both nodes", func() bool {
 		seen := make(map[string]int)
@@ -38,7 +38,7 @@
 	if err := syscall.Kill(pid, syscall.SIGCONT); err != nil {
 		t.Fatalf("going on: %v", err)
 	}
-	Until(t, "the drain to be told", func() bool { return !d.ToldAt(nodes[1]).IsZero() })
+	Until(t, "the drain to be told", func() bool { return !d.NotifiedAt(nodes[1]).IsZero() })
 	Until(t, "load again", func() bool { return l.Len() > before+50 })
 	time.Sleep(2200 * time.Millisecond) // past the 2 s that a drain may take
 	all := l.All()
--- a/internal/lab/testbed/testbed.go
+++ b/internal/lab/testbed/testbed.go
@@ -1,5 +1,5 @@
 // Package testbed has the stand-ins that tests, the demo and measurements run against, all on loopback: records
-// nodes that fail on command, discovery, a ledger of what arrived. Nothing that ships imports it.
+// nodes that fail on command, discovery, a log of what arrived. Nothing that ships imports it.
 package testbed
 
 import "time"
--- a/internal/lab/testbed/vanish_test.go
+++ b/internal/lab/testbed/vanish_test.go
@@ -23,7 +23,7 @@
 	}
 	taken := 0
 	for range 1000 {
-		n := NewHTTPNode(t, "s-0", new(Ledger))
+		n := NewHTTPNode(t, "s-0", new(ArrivalLog))
 		n.Vanish()
 		if c, err := net.Dial("tcp", n.Address); err == nil {
 			taken++
@@ -40,7 +40,7 @@
 // TestVanishedPortIsNobodyElses: another program's listener that came to the port of a node that
 // has vanished would be sent what is meant for the node.
 func TestVanishedPortIsNobodyElses(t *testing.T) {
-	n := NewHTTPNode(t, "s-0", new(Ledger))
+	n := NewHTTPNode(t, "s-0", new(ArrivalLog))
 	c, err := net.Dial("tcp", n.Address)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/proxy/membership/subscription_test.go
+++ b/internal/proxy/membership/subscription_test.go
@@ -55,7 +55,7 @@
 // Two subscriptions share a watch; the later one has the current list at once. A closed one gets no further
 // updates, and the last Close ends the watch. Other zones mean another watch.
 func TestSubscriptionsShareAWatch(t *testing.T) {
-	l := new(testbed.Ledger)
+	l := new(testbed.ArrivalLog)
 	a, b := testbed.NewHTTPNode(t, "s-a", l), testbed.NewHTTPNode(t, "s-b", l)
 	d := testbed.NewDiscovery(t, a, b)
 	zones := map[string]int{"a": 0}
--- a/internal/proxy/transport/grpc/transport_test.go
+++ b/internal/proxy/transport/grpc/transport_test.go
@@ -176,17 +176,17 @@
 // Endings over a real server.
 func TestEndings(t *testing.T) {
 	for act, want := range map[testbed.Act]policy.Ending{
-		testbed.Serve:   policy.Served,
-		testbed.Refuse:  policy.NotProcessed,
-		testbed.Fail:    policy.Errored,
-		testbed.Busy:    policy.Errored,
-		testbed.Reset:   policy.ConnectionLost,
-		testbed.Garbage: policy.ConnectionLost,
-		testbed.Cut:     policy.ConnectionLost,
-		testbed.Hang:    policy.TimedOut,
+		testbed.Serve:    policy.Served,
+		testbed.Reject:   policy.NotProcessed,
+		testbed.Fail:     policy.Errored,
+		testbed.Busy:     policy.Errored,
+		testbed.Reset:    policy.ConnectionLost,
+		testbed.Garbage:  policy.ConnectionLost,
+		testbed.Truncate: policy.ConnectionLost,
+		testbed.Hang:     policy.TimedOut,
 	} {
 		t.Run(act.String(), func(t *testing.T) {
-			l := new(testbed.Ledger)
+			l := new(testbed.ArrivalLog)
 			n := testbed.NewGRPCNode(t, "s-0", l)
 			n.Do(testbed.Always(act))
 			tr := newTransport(t, nil)
@@ -237,7 +237,7 @@
 
 // Cancelled, or late, before it is written: nothing goes out.
 func TestCancelledOrLateCallIsNotSent(t *testing.T) {
-	l := new(testbed.Ledger)
+	l := new(testbed.ArrivalLog)
 	n := testbed.NewGRPCNode(t, "s-0", l)
 	tr := newTransport(t, func(c *Config) { c.Clock = clock.NewAdjustable() })
 	s := tr.Server(n.Address)
@@ -261,7 +261,7 @@
 
 // A server that lets a call time out may be partitioned: the next call opens another connection.
 func TestTimeoutRetiresTheConnection(t *testing.T) {
-	n := testbed.NewGRPCNode(t, "s-0", new(testbed.Ledger))
+	n := testbed.NewGRPCNode(t, "s-0", new(testbed.ArrivalLog))
 	n.Do(testbed.Always(testbed.Hang))
 	tr := newTransport(t, func(c *Config) { c.DialTimeout = 100 * time.Millisecond })
 	s := tr.Server(n.Address)
@@ -279,7 +279,7 @@
 
 // At the limit the connection without a call makes room; where all have one, nothing is sent.
 func TestConnectionLimit(t *testing.T) {
-	l := new(testbed.Ledger)
+	l := new(testbed.ArrivalLog)
 	a, b := testbed.NewGRPCNode(t, "a", l), testbed.NewGRPCNode(t, "b", l)
 	tr := newTransport(t, func(c *Config) { c.MaxConns = 1 })
 	sa, sb := tr.Server(a.Address), tr.Server(b.Address)
@@ -302,7 +302,7 @@
 }
 
 func TestLoadReport(t *testing.T) {
-	n := testbed.NewGRPCNode(t, "s-0", new(testbed.Ledger))
+	n := testbed.NewGRPCNode(t, "s-0", new(testbed.ArrivalLog))
 	n.Load = func() string { return "TEXT inflight=7, queue=2, latency_ms=40, unheard=3" }
 	tr := newTransport(t, nil)
 	got := send(t, tr, tr.Server(n.Address), message(t, "1"), testbed.Generous)
@@ -327,7 +327,7 @@
 
 // A stream is its client's from its header on; its attempt ends with it, once.
 func TestStream(t *testing.T) {
-	n := testbed.NewGRPCNode(t, "s-0", new(testbed.Ledger), grpc.MaxConcurrentStreams(100))
+	n := testbed.NewGRPCNode(t, "s-0", new(testbed.ArrivalLog), grpc.MaxConcurrentStreams(100))
 	tr := newTransport(t, nil)
 	m := message(t, "stream 3")
 	m.Stream = true
@@ -354,7 +354,7 @@
 
 // Close ends everything, with calls and probes under way.
 func TestClose(t *testing.T) {
-	l := new(testbed.Ledger)
+	l := new(testbed.ArrivalLog)
 	n := testbed.NewGRPCNode(t, "s-0", l)
 	n.Do(testbed.Always(testbed.Hang))
 	tr := New(Config{
--- a/plugin/grpcplugin/conn_test.go
+++ b/plugin/grpcplugin/conn_test.go
@@ -253,7 +253,7 @@
 
 // Before it has begun a stream is resent as any other call.
 func TestStreamIsResentBeforeItBegins(t *testing.T) {
-	l := new(testbed.Ledger)
+	l := new(testbed.ArrivalLog)
 	a, b := testbed.NewGRPCNode(t, "s-a", l), testbed.NewGRPCNode(t, "s-b", l)
 	var first atomic.Bool
 	script := func(testbed.Arrival) testbed.Act {
--- a/plugin/plugin_test.go
+++ b/plugin/plugin_test.go
@@ -162,7 +162,7 @@
 // A guest: after Close all goroutines and connections are gone, and nothing of the process has changed.
 func TestGoodGuest(t *testing.T) {
 	procs, logger, transport := runtime.GOMAXPROCS(0), slog.Default(), http.DefaultTransport
-	n := testbed.NewHTTPNode(t, "s-0", new(testbed.Ledger))
+	n := testbed.NewHTTPNode(t, "s-0", new(testbed.ArrivalLog))
 	d := testbed.NewDiscovery(t, n)
 	idle := runtime.NumGoroutine()
 	cfg := usable(n)
@@ -196,7 +196,7 @@
 // Two plug-ins of one process share one watch and see a drain both; one that closes under load leaves the
 // other alone.
 func TestTwoInOneProcess(t *testing.T) {
-	l := new(testbed.Ledger)
+	l := new(testbed.ArrivalLog)
 	a, b := testbed.NewHTTPNode(t, "s-a", l), testbed.NewHTTPNode(t, "s-b", l)
 	d := testbed.NewDiscovery(t, a, b)
 	cfg := usable(a, b)
@@ -225,8 +225,8 @@
 	}
 	testbed.Until(t, "some load", func() bool { return l.Len() > 100 })
 	d.Set(a, "draining")
-	testbed.Until(t, "the drain to be told", func() bool { return !d.ToldAt(a).IsZero() })
-	told := d.ToldAt(a)
+	testbed.Until(t, "the drain to be told", func() bool { return !d.NotifiedAt(a).IsZero() })
+	told := d.NotifiedAt(a)
 	if n := d.Watches(); n > 1 {
 		t.Errorf("%d watches for two plug-ins", n)
 	}
@@ -253,7 +253,7 @@
 
 // Close during a flood, with less time than the calls need: each has its one answer, and nothing is left.
 func TestCloseDuringAFlood(t *testing.T) {
-	l := new(testbed.Ledger)
+	l := new(testbed.ArrivalLog)
 	n := testbed.NewHTTPNode(t, "s-0", l)
 	n.Do(testbed.Always(testbed.Hang))
 	before := runtime.NumGoroutine()
@@ -304,7 +304,7 @@
 			return ctx, cancel
 		},
 	} {
-		n := testbed.NewHTTPNode(t, "s-0", new(testbed.Ledger))
+		n := testbed.NewHTTPNode(t, "s-0", new(testbed.ArrivalLog))
 		n.Do(testbed.Always(testbed.Hang))
 		c := mustOpen(t, usable(n))
 		ctx, cancel := under(context.Background())
@@ -326,7 +326,7 @@
 
 // A RoundTripper's answers, and what it can't carry.
 func TestRoundTrip(t *testing.T) {
-	l := new(testbed.Ledger)
+	l := new(testbed.ArrivalLog)
 	n := testbed.NewHTTPNode(t, "s-0", l)
 	cfg := usable(n)
 	cfg.Methods = map[string]Method{"/ledger.v1.Ledger/Enter": {Class: "entry"}}
@@ -363,7 +363,7 @@
 	if _, err := post(url, "1"); !errors.As(err, new(*FailedError)) {
 		t.Errorf("%v, want a failure", err)
 	}
-	anew(testbed.Refuse)
+	anew(testbed.Reject)
 	if _, err := post(url, "1"); !errors.As(err, new(*RefusedError)) {
 		t.Errorf("%v, want a refusal", err)
 	}
@@ -392,7 +392,7 @@
 
 // A request whose parts would end its head early, or begin another request in it, is not sent.
 func TestNoSmuggling(t *testing.T) {
-	l := new(testbed.Ledger)
+	l := new(testbed.ArrivalLog)
 	c := mustOpen(t, usable(testbed.NewHTTPNode(t, "s-0", l)))
 	for name, r := range map[string]Request{
 		"header value": {Header: http.Header{"X-A": {"1\r\nX-B: 2"}}},
@@ -418,7 +418,7 @@
 
 // The bounds on what is held refuse, with a pause, and give way again.
 func TestHeldBounds(t *testing.T) {
-	l := new(testbed.Ledger)
+	l := new(testbed.ArrivalLog)
 	n := testbed.NewHTTPNode(t, "s-0", l)
 	release := make(chan struct{})
 	n.Do(func(testbed.Arrival) testbed.Act {
