--- a/internal/proxy/clock/boot.go
+++ b/internal/proxy/clock/boot.go
@@ -4,5 +4,6 @@
 
 var processStart = time.Now()
 
-// sinceStart stands in for the time since the machine started, an hour of which it takes for granted: it is never 0.
+// sinceStart returns the time since the process started, and an hour more so that it is never 0. It is used where
+// the time since the machine started is not known.
 func sinceStart() time.Duration { return time.Hour + time.Since(processStart) }
--- a/internal/proxy/clock/boot_linux.go
+++ b/internal/proxy/clock/boot_linux.go
@@ -6,8 +6,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// SinceBoot is the time since the machine started. It never goes back, no date that is set moves it, and it counts while this process or the whole machine
-// stands still: what a lease has to be set against. Go's own monotonic clock stops while a machine sleeps.
+// SinceBoot returns the time since the machine started. It never goes back, it does not depend on the machine's date,
+// and it goes on while this process or the machine is suspended, as leases need. Go's monotonic clock stops while a
+// machine sleeps.
 func SinceBoot() time.Duration {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
--- a/internal/proxy/clock/boot_other.go
+++ b/internal/proxy/clock/boot_other.go
@@ -4,5 +4,6 @@
 
 import "time"
 
-// Boot is a time that never goes back, whatever is done to the machine's date. Here it may not count while the machine sleeps.
-func Boot() time.Duration { return sinceStart() }
+// SinceBoot returns a time that never goes back, whatever is done to the machine's date. On this system it may stop
+// while the machine sleeps.
+func SinceBoot() time.Duration { return sinceStart() }
--- a/internal/proxy/clock/clock_test.go
+++ b/internal/proxy/clock/clock_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func TestNeverGoesBack(t *testing.T) {
+func TestClockNeverGoesBack(t *testing.T) {
 	c := New()
 	last := c.Now()
 	if off := last - time.Duration(time.Now().UnixNano()); off > time.Minute || off < -time.Minute {
@@ -23,12 +23,12 @@
 	}
 }
 
-// What was due before a jump is due in the past after it.
-func TestJump(t *testing.T) {
+// A moment that was in the future before Advance is in the past after it.
+func TestAdvanceMovesDeadlinesIntoThePast(t *testing.T) {
 	c := NewAdjustable()
 	due := c.Now() + time.Minute
 	c.Advance(time.Hour)
 	if now := c.Now(); now < due+58*time.Minute || c.At(due).After(time.Now().Add(-58*time.Minute)) {
-		t.Errorf("an hour on: %v after what was due, which is at %v", now-due, c.At(due))
+		t.Errorf("after Advance: %v past the deadline, which is at %v", now-due, c.At(due))
 	}
 }
--- a/internal/proxy/clock/every.go
+++ b/internal/proxy/clock/every.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Every does something again and again, every d, until ctx ends.
+// Every calls do every d until ctx ends. It returns when the last call has.
 func Every(ctx context.Context, d time.Duration, do func()) {
 	ticker := time.NewTicker(d)
 	defer ticker.Stop()
--- a/internal/proxy/strictconfig/toml.go
+++ b/internal/proxy/strictconfig/toml.go
@@ -1,4 +1,4 @@
-// Package strictconfig reads operators' files: what is not known in them is an error that names its line.
+// Package strictconfig decodes configuration files. An unknown key is an error that names its line.
 package strictconfig
 
 import (
@@ -9,7 +9,8 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// DecodeTOML reads a text into a struct. An unknown key or what is no TOML is an error that names the line.
+// DecodeTOML decodes a TOML text into the struct that into points to. An unknown key or malformed TOML is an error
+// that names the line.
 func DecodeTOML(text []byte, into any) error {
 	d := toml.NewDecoder(bytes.NewReader(text))
 	d.DisallowUnknownFields()
