--- a/internal/fleet/state/golden_test.go
+++ b/internal/fleet/state/golden_test.go
@@ -55,18 +55,26 @@
 
 func TestFileIsWrittenAsBefore(t *testing.T) {
 	dir := t.TempDir()
-	if err := saveGolden(open(t, dir)); err != nil {
+	s := open(t, dir)
+	checkFile(t, dir, "new.state") // nothing was saved yet
+	if err := saveGolden(s); err != nil {
 		t.Fatal(err)
 	}
+	checkFile(t, dir, goldenFile)
+}
+
+// checkFile compares the file in a folder with one in testdata.
+func checkFile(t *testing.T, dir, golden string) {
+	t.Helper()
 	got, err := os.ReadFile(filepath.Join(dir, goldenFile))
 	if err != nil {
 		t.Fatal(err)
 	}
-	want, err := os.ReadFile(filepath.Join("testdata", goldenFile))
+	want, err := os.ReadFile(filepath.Join("testdata", golden))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if string(got) != string(want) {
-		t.Errorf("written is\n%s, want\n%s", got, want)
+		t.Errorf("written is\n%s, want %s\n%s", got, golden, want)
 	}
 }
--- a/internal/mesh/config/stored_test.go
+++ b/internal/mesh/config/stored_test.go
@@ -129,3 +129,28 @@
 		t.Errorf("limits %+v, want %+v", got, want)
 	}
 }
+
+// An update names what it removes by kind, under the keys that operators use.
+func TestUpdateRemovesEachKind(t *testing.T) {
+	for remove, removed := range map[string]func(s *Snapshot) bool{
+		`{"routes":["meters"]}`:      func(s *Snapshot) bool { return s.Match("meters.example", "/read/1") == nil },
+		`{"services":["meters-c"]}`:  func(s *Snapshot) bool { return s.Service("meters-c") == nil },
+		`{"tenants":["grid <&> é"]}`: func(s *Snapshot) bool { return s.Tenant("key-1") == nil },
+		`{"limits":["limits"]}`:      func(s *Snapshot) bool { return s.Limits() == Empty().Limits() },
+	} {
+		snapshot, err := Decode(golden(t, storedSnapshot))
+		if err != nil {
+			t.Fatal(err)
+		}
+		change, err := ParseUpdate([]byte(`{"configVersion":11,"baseVersion":9,"remove":` + remove + `}`))
+		if err != nil {
+			t.Fatal(err)
+		}
+		if removed(snapshot) {
+			t.Errorf("%s: it isn't there before", remove)
+		}
+		if next, outcome, err := snapshot.Apply(change); outcome != Applied || !removed(next) {
+			t.Errorf("%s: outcome %v, %v; is it still there?", remove, outcome, err)
+		}
+	}
+}
--- a/internal/mesh/goldentest/goldentest.go
+++ b/internal/mesh/goldentest/goldentest.go
@@ -2,10 +2,11 @@
 // It is used by tests alone.
 //
 // A golden file holds several encodings of a type: "zero" of its zero value, "pointers" with every
-// pointer present and every other field zero, "sparse" with every slice and map present, too, "odd"
-// and "even" with every second value besides, and "full" with every field set. All but the last
-// show which fields are left out when they are empty. The values are derived from the order of the
-// fields, so no test names a field, and renaming one in Go changes nothing here.
+// pointer present and every other field zero, "lists" with every slice and map present in their
+// place, "odd" and "even" with all of these and every second value, and "full" with every field
+// set. All but the last show which fields are left out when they are empty. The values are derived
+// from the order of the fields, so no test names a field, and renaming one in Go changes nothing
+// here.
 package goldentest
 
 import (
@@ -22,7 +23,7 @@
 type encodings struct {
 	Zero     json.RawMessage `json:"zero"`
 	Pointers json.RawMessage `json:"pointers"`
-	Sparse   json.RawMessage `json:"sparse"`
+	Lists    json.RawMessage `json:"lists"`
 	Odd      json.RawMessage `json:"odd"`
 	Even     json.RawMessage `json:"even"`
 	Full     json.RawMessage `json:"full"`
@@ -33,13 +34,13 @@
 // running process of an earlier version sends and expects what they hold.
 func CheckJSON[T any](t *testing.T, name string) {
 	t.Helper()
-	full := fill[T](filler{lists: true, sets: all})
+	full := fill[T](filler{pointers: true, lists: true, sets: all})
 	got := encodings{
 		Zero:     encode(t, *new(T)),
-		Pointers: encode(t, fill[T](filler{sets: none})),
-		Sparse:   encode(t, fill[T](filler{lists: true, sets: none})),
-		Odd:      encode(t, fill[T](filler{lists: true, sets: odd})),
-		Even:     encode(t, fill[T](filler{lists: true, sets: even})),
+		Pointers: encode(t, fill[T](filler{pointers: true, sets: none})),
+		Lists:    encode(t, fill[T](filler{lists: true, sets: none})),
+		Odd:      encode(t, fill[T](filler{pointers: true, lists: true, sets: odd})),
+		Even:     encode(t, fill[T](filler{pointers: true, lists: true, sets: even})),
 		Full:     encode(t, full),
 	}
 	path := filepath.Join("testdata", name+".json")
@@ -72,8 +73,8 @@
 
 // format returns the content of a golden file, one encoding a line.
 func format(e encodings) string {
-	return fmt.Sprintf("{\n\"zero\": %s,\n\"pointers\": %s,\n\"sparse\": %s,\n\"odd\": %s,\n\"even\": %s,\n\"full\": %s\n}\n",
-		e.Zero, e.Pointers, e.Sparse, e.Odd, e.Even, e.Full)
+	return fmt.Sprintf("{\n\"zero\": %s,\n\"pointers\": %s,\n\"lists\": %s,\n\"odd\": %s,\n\"even\": %s,\n\"full\": %s\n}\n",
+		e.Zero, e.Pointers, e.Lists, e.Odd, e.Even, e.Full)
 }
 
 func encode(t *testing.T, value any) json.RawMessage {
@@ -85,9 +86,10 @@
 	return bytes.TrimSpace(text)
 }
 
-// filler sets the fields of a value, all the way down. Pointers always lead somewhere.
+// filler sets the fields of a value, all the way down.
 type filler struct {
-	lists bool // slices and maps get elements
+	pointers bool // pointers lead somewhere
+	lists    bool // slices and maps get elements
 	// sets chooses the values to set. All that are no containers are numbered, and one that is set
 	// holds its number; bytes and raw JSON count as one value.
 	sets   func(number int) bool
@@ -104,8 +106,10 @@
 func (f *filler) fill(v reflect.Value) {
 	switch v.Kind() {
 	case reflect.Pointer:
-		v.Set(reflect.New(v.Type().Elem()))
-		f.fill(v.Elem())
+		if f.pointers {
+			v.Set(reflect.New(v.Type().Elem()))
+			f.fill(v.Elem())
+		}
 	case reflect.Struct:
 		for i := range v.NumField() {
 			if field := v.Type().Field(i); field.IsExported() && field.Tag.Get("json") != "-" {
