--- a/internal/proxy/discoverypace/discoverypace_test.go
+++ b/internal/proxy/discoverypace/discoverypace_test.go
@@ -11,50 +11,51 @@
 	step = 5 * ms
 )
 
-// service is a discovery that takes new subscriptions in turn, so long for each, and works through those too that have given up on it.
+// service is a discovery that handles one call at a time, including calls that have timed out meanwhile.
 type service struct {
-	each time.Duration
-	free time.Duration // when it has worked through all that it took
+	timePerCall time.Duration
+	idleAt      time.Duration // when it has handled all calls so far
 }
 
-// call takes one and tells when it ends, and whether it failed.
+// call accepts a call and returns when it ends, and whether it failed.
 func (s *service) call(now, limit time.Duration) (ends time.Duration, failed bool) {
-	s.free = max(s.free, now) + s.each
-	if s.free > now+limit {
+	s.idleAt = max(s.idleAt, now) + s.timePerCall
+	if s.idleAt > now+limit {
 		return now + limit, true
 	}
-	return s.free, false
+	return s.idleAt, false
 }
 
-// fleet has n balancers start at once before a service that takes seven seconds for a call from each. Each goes by the pace of a fleet
-// of so many as it is told. It returns the most calls in a second, and how many are subscribed after twelve seconds.
-func fleet(n, told int, seed uint64) (peak, subscribed int) {
-	type one struct {
+// fleet has n balancers start at once with a service that takes seven seconds for a call from each. Each balancer has
+// the pace of a fleet of assumed. It returns the most calls in a second, and how many balancers are subscribed after
+// twelve seconds.
+func fleet(n, assumed int, seed uint64) (peak, subscribed int) {
+	type balancer struct {
 		pace   Pace
-		ends   time.Duration // of the call under way; 0: none
+		ends   time.Duration // of the call in flight; 0: none
 		failed bool
 	}
-	discovery := &service{each: 7 * time.Second / time.Duration(n)}
+	discovery := &service{timePerCall: 7 * time.Second / time.Duration(n)}
 	rng := rand.New(rand.NewPCG(seed, 9))
-	all := make([]*one, n)
+	all := make([]*balancer, n)
 	for i := range all {
-		all[i] = &one{pace: New(rand.New(rand.NewPCG(rng.Uint64(), 0)), told, 10*time.Second)}
+		all[i] = &balancer{pace: New(rand.New(rand.NewPCG(rng.Uint64(), 0)), assumed, 10*time.Second)}
 		all[i].pace.Start(0)
 	}
 	calls := make(map[time.Duration]int)
 	for now := time.Duration(0); now < 12*time.Second; now += step {
-		for _, o := range all {
-			if o.ends > 0 && now >= o.ends {
-				if o.ends = 0; o.failed {
-					o.pace.Failed(now)
+		for _, b := range all {
+			if b.ends > 0 && now >= b.ends {
+				if b.ends = 0; b.failed {
+					b.pace.Failed(now)
 				} else {
-					o.pace.Subscribed()
+					b.pace.Subscribed()
 					subscribed++
 				}
 			}
-			if o.ends == 0 && o.pace.Due(now) {
+			if b.ends == 0 && b.pace.Due(now) {
 				calls[now/time.Second]++
-				o.ends, o.failed = discovery.call(now, 2*time.Second)
+				b.ends, b.failed = discovery.call(now, 2*time.Second)
 			}
 		}
 	}
@@ -64,9 +65,9 @@
 	return peak, subscribed
 }
 
-// Guards against a whole fleet that asks at the same moment, fails together, and keeps discovery busy with calls that are too late
-// to be of use: not one list came through in 25 s.
-func TestAMassRestartReachesDiscovery(t *testing.T) {
+// Guards against a whole fleet that asks at the same moment, fails together, and keeps discovery busy with calls that
+// have timed out: not one list came through in 25 s.
+func TestFleetThatRestartsAtOnceIsSubscribed(t *testing.T) {
 	for _, n := range []int{80, 1000} {
 		for seed := range uint64(5) {
 			if peak, subscribed := fleet(n, n, seed); peak > n/3 || subscribed < n*19/20 {
@@ -79,8 +80,8 @@
 	}
 }
 
-// A small fleet asks at once, and soon again.
-func TestASmallFleetAsksAtOnce(t *testing.T) {
+// A small fleet asks at once, and soon again after a failure.
+func TestSmallFleetAsksAtOnce(t *testing.T) {
 	p := New(rand.New(rand.NewPCG(1, 2)), 3, 10*time.Second)
 	p.Start(time.Hour)
 	if !p.Due(time.Hour) {
@@ -92,14 +93,15 @@
 	}
 }
 
-// Silence counts as being told some time after the last call, four times as late after a failed one: a call comes before that.
-func TestCallsComeBeforeSilenceCounts(t *testing.T) {
+// A change counts as received by a balancer that has not asked for the maximum age, or four times that after a failed
+// call: it asks before that.
+func TestCallsComeBeforeTheMaximumAge(t *testing.T) {
 	for _, n := range []int{9, 80, 100_000} {
 		for seed := range uint64(20) {
 			p := New(rand.New(rand.NewPCG(seed, 1)), n, 10*time.Second)
 			p.Start(0)
 			last, answer, within := time.Duration(0), time.Duration(-1), 10*time.Second
-			for now := time.Duration(0); now < 5*time.Minute; now += 100 * ms { // no balancer is woken more often at rest
+			for now := time.Duration(0); now < 5*time.Minute; now += 100 * ms { // an idle balancer is woken no more often
 				if answer >= 0 && now >= answer {
 					answer, within = -1, 40*time.Second
 					p.Failed(now)
@@ -115,13 +117,13 @@
 	}
 }
 
-// Where no server is known there is nothing to wait with; an overdue service sees fewer and fewer calls, but some.
-func TestNothingKnownAsksAtOnceAndFailuresSpace(t *testing.T) {
+// A balancer that knows no server asks at once; a service that fails sees fewer and fewer calls, but some.
+func TestAskNowIsDueAtOnceAndFailuresSpaceCalls(t *testing.T) {
 	p := New(rand.New(rand.NewPCG(1, 2)), 80, 0)
 	p.Start(time.Hour)
 	p.AskNow(time.Hour)
 	if !p.Due(time.Hour) {
-		t.Fatal("nothing is known and it does not ask")
+		t.Fatal("does not ask although no server is known")
 	}
 	calls := 0
 	for now := time.Hour; now < time.Hour+10*time.Minute; now += step {
--- a/internal/proxy/slowstart/slowstart_test.go
+++ b/internal/proxy/slowstart/slowstart_test.go
@@ -7,8 +7,9 @@
 	"pgregory.net/rapid"
 )
 
-// However many balancers share a cold server, what they send together within any time stays under its budget, but for the first send of each.
-func TestTogetherWithinTheBudget(t *testing.T) {
+// However many balancers share a starting server, their sends together stay within its budget, except for the first
+// send of each.
+func TestBalancersTogetherStayWithinTheCapacity(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 1000).Draw(t, "balancers")
 		capacity := rapid.Float64Range(1, 1e4).Draw(t, "requests a second")
@@ -17,9 +18,10 @@
 		left := time.Duration(rapid.Int64Range(0, int64(10*time.Second)).Draw(t, "left"))
 		rate := capacity * Warmth(left, 10*time.Second, from) / float64(n)
 		if rate < minRate/budgetFraction {
-			return // a part so small that the least rate takes its place
+			return // the least rate applies
 		}
-		if sent := float64(n) / Gap(rate, multiple).Seconds(); sent > multiple*capacity*Warmth(left, 10*time.Second, from) {
+		budget := multiple * capacity * Warmth(left, 10*time.Second, from)
+		if sent := float64(n) / Gap(rate, multiple).Seconds(); sent > budget {
 			t.Fatalf("%v a second together", sent)
 		}
 	})
