--- a/internal/mesh/goldentest/goldentest.go
+++ b/internal/mesh/goldentest/goldentest.go
@@ -73,7 +73,8 @@
 
 // format returns the content of a golden file, one encoding a line.
 func format(e encodings) string {
-	return fmt.Sprintf("{\n\"zero\": %s,\n\"pointers\": %s,\n\"lists\": %s,\n\"odd\": %s,\n\"even\": %s,\n\"full\": %s\n}\n",
+	return fmt.Sprintf("{\n\"zero\": %s,\n\"pointers\": %s,\n\"lists\": %s,\n"+
+		"\"odd\": %s,\n\"even\": %s,\n\"full\": %s\n}\n",
 		e.Zero, e.Pointers, e.Lists, e.Odd, e.Even, e.Full)
 }
 
