--- a/internal/lab/testbed/config.go
+++ b/internal/lab/testbed/config.go
@@ -37,10 +37,10 @@
 	text := fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"8c1f30d27a5be964",
 		"limits":{"cores":1.0,"memory_mb":192,"sockets":256},"known":%s}`, known)
 	if err := json.Unmarshal([]byte(text), &file); err != nil {
-		t.Fatalf("rig: config: %v", err)
+		t.Fatalf("testbed: config: %v", err)
 	}
 	if err := json.Unmarshal([]byte(Settings), &settings); err != nil {
-		t.Fatalf("rig: settings: %v", err)
+		t.Fatalf("testbed: settings: %v", err)
 	}
 	if edit != nil {
 		edit(file, settings)
@@ -48,7 +48,7 @@
 	file["settings"] = settings
 	raw, err := json.Marshal(file)
 	if err != nil {
-		t.Fatalf("rig: config: %v", err)
+		t.Fatalf("testbed: config: %v", err)
 	}
 	return string(raw)
 }
--- a/internal/lab/testbed/fleet/answers.go
+++ b/internal/lab/testbed/fleet/answers.go
@@ -118,11 +118,11 @@
 }
 
 // Tally is how the clients' requests ended, those of steady machines.
-type Tally struct{ Served, Refused, Failed, Shaky int }
+type Tally struct{ Served, Refused, Failed, Unstable int }
 
 // Add adds another run's.
 func (t *Tally) Add(o Tally) {
-	t.Served, t.Refused, t.Failed, t.Shaky = t.Served+o.Served, t.Refused+o.Refused, t.Failed+o.Failed, t.Shaky+o.Shaky
+	t.Served, t.Refused, t.Failed, t.Unstable = t.Served+o.Served, t.Refused+o.Refused, t.Failed+o.Failed, t.Unstable+o.Unstable
 }
 
 const (
@@ -158,8 +158,8 @@
 			}
 		}
 		// Rule 1, for clients that could count on their machine.
-		if !f.Sidecars[x.sidecar].steady(x.sent.Add(-time.Second), x.at) {
-			tally.Shaky++
+		if !f.Sidecars[x.sidecar].stableThrough(x.sent.Add(-time.Second), x.at) {
+			tally.Unstable++
 			continue
 		}
 		switch {
@@ -198,10 +198,10 @@
 				i, known := from[id]
 				// One that was stopped or began anew meanwhile hears of it when it goes on; that is tested elsewhere.
 				grace := drainGrace
-				if known && !f.Sidecars[i].reached(notified, a.At) {
+				if known && !f.Sidecars[i].reachableThrough(notified, a.At) {
 					grace += notifiedLatest
 				}
-				if a.Node == n.ID && known && a.At.After(notified.Add(grace)) && f.Sidecars[i].steady(notified, a.At) {
+				if a.Node == n.ID && known && a.At.After(notified.Add(grace)) && f.Sidecars[i].stableThrough(notified, a.At) {
 					broken = append(broken,
 						fmt.Sprintf("%s of sidecar %d went to the draining %s %v after that was announced", id,
 							i, n.ID, a.At.Sub(notified)))
--- a/internal/lab/testbed/fleet/ways.go
+++ b/internal/lab/testbed/fleet/tcp_relays.go
@@ -14,28 +14,28 @@
 	"caperarch/internal/lab/testbed"
 )
 
-// ways are the connections between sidecars and what they connect to. One that is cut off says
+// tcpRelays carries the connections between sidecars and what they connect to. One that is cut off says
 // nothing: what stands stays open and silent, and what is new never gets an answer.
-type ways struct {
+type tcpRelays struct {
 	mu    sync.Mutex
 	cut   map[int]bool
-	conns map[int]map[*way]bool
+	conns map[int]map[*relayedConn]bool
 }
 
-// way is one connection.
-type way struct {
+// relayedConn is one connection.
+type relayedConn struct {
 	near, far net.Conn
 	silent    bool
 }
 
-// silence cuts a sidecar off from upstreams and discovery, or has its machine crash: what it has
+// partition cuts a sidecar off from upstreams and discovery, or has its machine crash: what it has
 // open stays so on the other side.
-func (w *ways) silence(i int) { w.set(i, true, false) }
+func (w *tcpRelays) partition(i int) { w.set(i, true, false) }
 
 // restore brings it back. What stood before is reset, as the protocol has it of a machine that is back.
-func (w *ways) restore(i int) { w.set(i, false, true) }
+func (w *tcpRelays) restore(i int) { w.set(i, false, true) }
 
-func (w *ways) set(i int, cut, reset bool) {
+func (w *tcpRelays) set(i int, cut, reset bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.cut[i] = cut
@@ -52,8 +52,8 @@
 	}
 }
 
-// quiet says whether a connection may carry nothing any more.
-func (w *ways) quiet(c *way) bool {
+// isSilenced says whether a connection may carry nothing any more.
+func (w *tcpRelays) isSilenced(c *relayedConn) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return c.silent
@@ -61,7 +61,7 @@
 
 // relay listens for a sidecar's connections to an address, and returns where. Answers that list
 // addresses have them swapped.
-func (w *ways) relay(t testbed.TB, i int, to string, swap map[string]string) string {
+func (w *tcpRelays) relay(t testbed.TB, i int, to string, swap map[string]string) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatalf("fleet: a relay: %v", err)
@@ -84,7 +84,7 @@
 }
 
 // end closes all that a sidecar has open.
-func (w *ways) end(i int) {
+func (w *tcpRelays) end(i int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for c := range w.conns[i] {
@@ -95,14 +95,14 @@
 	}
 }
 
-func (w *ways) carry(i int, near net.Conn, to string, swap map[string]string) {
-	c := &way{near: near}
+func (w *tcpRelays) carry(i int, near net.Conn, to string, swap map[string]string) {
+	c := &relayedConn{near: near}
 	w.mu.Lock()
 	if w.conns == nil {
-		w.conns = make(map[int]map[*way]bool)
+		w.conns = make(map[int]map[*relayedConn]bool)
 	}
 	if w.conns[i] == nil {
-		w.conns[i] = make(map[*way]bool)
+		w.conns[i] = make(map[*relayedConn]bool)
 	}
 	w.conns[i][c], c.silent = true, w.cut[i]
 	w.mu.Unlock()
@@ -127,11 +127,11 @@
 		}
 	}()
 	w.copy(c, far, near)
-	if !w.quiet(c) {
+	if !w.isSilenced(c) {
 		far.Close()
 	}
 	<-back
-	if !w.quiet(c) {
+	if !w.isSilenced(c) {
 		near.Close()
 		far.Close()
 		w.mu.Lock()
@@ -141,11 +141,11 @@
 }
 
 // copy carries bytes until an end comes or the way is cut; then nothing more goes over, an end neither.
-func (w *ways) copy(c *way, to, from net.Conn) {
+func (w *tcpRelays) copy(c *relayedConn, to, from net.Conn) {
 	b := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(b)
-		if w.quiet(c) {
+		if w.isSilenced(c) {
 			return
 		}
 		if n > 0 {
@@ -160,15 +160,15 @@
 }
 
 // lists carries discovery's answers, with a sidecar's own addresses in them.
-func (w *ways) lists(c *way, swap map[string]string) {
+func (w *tcpRelays) lists(c *relayedConn, swap map[string]string) {
 	for r := bufio.NewReader(c.far); ; {
 		res, err := http.ReadResponse(r, nil)
-		if err != nil || w.quiet(c) {
+		if err != nil || w.isSilenced(c) {
 			c.near.Close()
 			return
 		}
 		text, err := io.ReadAll(res.Body)
-		if err != nil || w.quiet(c) {
+		if err != nil || w.isSilenced(c) {
 			return
 		}
 		text = []byte(replaced(string(text), swap))
--- a/internal/lab/testbed/fleet/datagrams.go
+++ b/internal/lab/testbed/fleet/udp_relays.go
@@ -12,9 +12,9 @@
 	"caperarch/internal/lab/testbed"
 )
 
-// datagrams is the way between sidecars. Sidecar i sends to j's relay; j gets it from i's: so each finds the others at
+// udpRelays carries the datagrams between sidecars. Sidecar i sends to j's relay; j gets it from i's: so each finds the others at
 // addresses that are not their own.
-type datagrams struct {
+type udpRelays struct {
 	size    int
 	sockets []*net.UDPConn
 	real    []*net.UDPAddr
@@ -36,8 +36,8 @@
 	Cut         func(from, to int) bool // nil: none
 }
 
-func newDatagrams(t testbed.TB, ip func(i int) string, size int) *datagrams {
-	d := &datagrams{size: size, number: make(map[netip.Addr]int), rng: rand.New(rand.NewPCG(1, 1))}
+func newUDPRelays(t testbed.TB, ip func(i int) string, size int) *udpRelays {
+	d := &udpRelays{size: size, number: make(map[netip.Addr]int), rng: rand.New(rand.NewPCG(1, 1))}
 	for i := range size {
 		relay := netip.MustParseAddrPort(fmt.Sprintf("%s:%d", ip(i), relayPort))
 		c, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(relay))
@@ -60,21 +60,21 @@
 }
 
 // Break has faults from now on.
-func (d *datagrams) Break(f Faults, seed uint64) {
+func (d *udpRelays) Break(f Faults, seed uint64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.fault, d.rng = f, rand.New(rand.NewPCG(seed, 3))
 }
 
 // Hold keeps all datagrams back for a while; they then arrive at once.
-func (d *datagrams) Hold(t time.Duration) {
+func (d *udpRelays) Hold(t time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.held = time.Now().Add(t)
 }
 
 // fate says what becomes of a datagram: how long each copy of it takes.
-func (d *datagrams) fate(from, to int) (copies []time.Duration) {
+func (d *udpRelays) fate(from, to int) (copies []time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	f := d.fault
@@ -100,7 +100,7 @@
 	return copies
 }
 
-func (d *datagrams) read(to int) {
+func (d *udpRelays) read(to int) {
 	b := make([]byte, 1<<16)
 	for {
 		n, source, err := d.sockets[to].ReadFromUDPAddrPort(b)
--- a/internal/lab/testbed/grpc.go
+++ b/internal/lab/testbed/grpc.go
@@ -29,26 +29,13 @@
 	})
 }
 
+// grpc answers one call of any method.
 func (n *Node) grpc(_ any, s grpc.ServerStream) error {
 	var in wrapperspb.StringValue
 	if err := s.RecvMsg(&in); err != nil {
 		return err
 	}
-	md, _ := metadata.FromIncomingContext(s.Context())
-	one := func(name string) string {
-		if v := md.Get(name); len(v) > 0 {
-			return v[0]
-		}
-		return ""
-	}
-	method, _ := grpc.MethodFromServerStream(s)
-	a := Arrival{
-		ID: one("x-request-id"), Key: one("idempotency-key"), Class: one("x-priority-class"),
-		Method: method, Body: in.GetValue(),
-	}
-	if end, limited := s.Context().Deadline(); limited {
-		a.Timeout = time.Until(end)
-	}
+	a := grpcArrival(s, &in)
 	act := n.act(a)
 	if n.Load != nil {
 		s.SetTrailer(metadata.Pairs("endpoint-load-metrics-bin", ORCA(n.Load())))
@@ -66,14 +53,10 @@
 		<-s.Context().Done()
 		return status.FromContextError(context.Cause(s.Context())).Err()
 	case Reset:
-		n.breakConn(p.Addr.String())
-		<-s.Context().Done()
-		return s.Context().Err()
+		return n.breakStream(s, p)
 	case Truncate:
 		_ = s.SendHeader(metadata.Pairs("x-cut", "1"))
-		n.breakConn(p.Addr.String())
-		<-s.Context().Done()
-		return s.Context().Err()
+		return n.breakStream(s, p)
 	case Garbage:
 		n.mu.Lock()
 		c := n.conns[p.Addr.String()]
@@ -81,9 +64,7 @@
 		if c != nil {
 			_, _ = io.WriteString(c, "SMTP ready, no frames here at all\r\n\r\n")
 		}
-		n.breakConn(p.Addr.String())
-		<-s.Context().Done()
-		return s.Context().Err()
+		return n.breakStream(s, p)
 	case Slow:
 		n.slow()
 	}
@@ -100,6 +81,33 @@
 	return nil
 }
 
+// grpcArrival is a call as it is recorded.
+func grpcArrival(s grpc.ServerStream, in *wrapperspb.StringValue) Arrival {
+	md, _ := metadata.FromIncomingContext(s.Context())
+	one := func(name string) string {
+		if v := md.Get(name); len(v) > 0 {
+			return v[0]
+		}
+		return ""
+	}
+	method, _ := grpc.MethodFromServerStream(s)
+	a := Arrival{
+		ID: one("x-request-id"), Key: one("idempotency-key"), Class: one("x-priority-class"),
+		Method: method, Body: in.GetValue(),
+	}
+	if end, limited := s.Context().Deadline(); limited {
+		a.Timeout = time.Until(end)
+	}
+	return a
+}
+
+// breakStream resets the connection that a call came on, and waits for the call's end.
+func (n *Node) breakStream(s grpc.ServerStream, p *peer.Peer) error {
+	n.breakConn(p.Addr.String())
+	<-s.Context().Done()
+	return s.Context().Err()
+}
+
 // ORCA is a load report "TEXT name=value, ..." as gRPC's trailer has it: all of it in named_metrics.
 func ORCA(report string) string {
 	r := &orcapb.OrcaLoadReport{NamedMetrics: make(map[string]float64)}
--- a/internal/lab/testbed/node.go
+++ b/internal/lab/testbed/node.go
@@ -30,6 +30,7 @@
 	Slow         // serves after Node.Delay, or as Node.Takes has it
 )
 
+// String is the act as the cases of the conformance suite name it.
 func (a Act) String() string {
 	return [...]string{"serve", "refuse", "fail", "busy", "hang", "reset", "cut", "garbage", "slow"}[a]
 }
@@ -61,7 +62,7 @@
 	mu       sync.Mutex
 	stop     func()
 	listener net.Listener
-	gone     bool
+	vanished bool
 	reserved int                 // descriptor of the socket that holds a vanished node's port; 0: none does
 	conns    map[string]net.Conn // by the other side's address
 	Dials    atomic.Int64
@@ -77,7 +78,7 @@
 		t.Fatalf("node %s: %v", id, err)
 	}
 	n.Address, n.listener = listener.Addr().String(), listener
-	n.stop = n.serve(tracked{listener, n})
+	n.stop = n.serve(trackingListener{listener, n})
 	t.Cleanup(func() {
 		n.end()
 		n.mu.Lock()
@@ -110,12 +111,12 @@
 func (n *Node) end() bool {
 	n.mu.Lock()
 	stop := n.stop
-	n.stop, n.gone = nil, true
+	n.stop, n.vanished = nil, true
 	n.mu.Unlock()
 	if stop == nil {
 		return false
 	}
-	deafen(n.listener)
+	stopAccepting(n.listener)
 	stop() // first: what is accepted behind BreakAll would live on
 	n.BreakAll()
 	return true
@@ -171,8 +172,8 @@
 	})
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.Started, n.gone, n.listener = time.Now(), false, l
-	n.stop = n.serve(tracked{l, n})
+	n.Started, n.vanished, n.listener = time.Now(), false, l
+	n.stop = n.serve(trackingListener{l, n})
 }
 
 // BreakAll resets all connections.
@@ -218,22 +219,22 @@
 	if t, ok := c.(*net.TCPConn); ok {
 		_ = t.SetLinger(0)
 	}
-	unforked(func() { _ = c.Close() })
+	withoutFork(func() { _ = c.Close() })
 }
 
 // A child of this process holds a copy of every descriptor until its own program begins, and a copy
 // keeps what is closed here alive: a listener goes on taking connections, and a reset is not sent
 // till then. Both of these end it at once.
 
-// unforked ends something while no child is being started.
-func unforked(end func()) {
+// withoutFork ends something while no child is being started.
+func withoutFork(end func()) {
 	syscall.ForkLock.RLock()
 	defer syscall.ForkLock.RUnlock()
 	end()
 }
 
-// deafen has a listener take no further connection, through whichever copy.
-func deafen(l net.Listener) {
+// stopAccepting has a listener take no further connection, through whichever copy.
+func stopAccepting(l net.Listener) {
 	raw, err := l.(*net.TCPListener).SyscallConn()
 	if err != nil {
 		return // closed already
@@ -241,13 +242,14 @@
 	_ = raw.Control(func(fd uintptr) { _ = syscall.Shutdown(int(fd), syscall.SHUT_RD) })
 }
 
-// tracked is a listener that keeps the node's book of connections.
-type tracked struct {
+// trackingListener is a listener that keeps the node's table of connections.
+type trackingListener struct {
 	net.Listener
 	n *Node
 }
 
-func (l tracked) Accept() (net.Conn, error) {
+// Accept takes a connection, unless the node has vanished.
+func (l trackingListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
@@ -255,7 +257,7 @@
 	l.n.Dials.Add(1)
 	l.n.mu.Lock()
 	defer l.n.mu.Unlock()
-	if l.n.gone { // it was in the queue when its process ended
+	if l.n.vanished { // it was in the queue when its process ended
 		abort(c)
 		return nil, net.ErrClosed
 	}
--- a/internal/lab/testbed/pause.go
+++ b/internal/lab/testbed/pause.go
@@ -38,10 +38,15 @@
 	if err := syscall.Kill(pid, syscall.SIGCONT); err != nil {
 		t.Fatalf("going on: %v", err)
 	}
-	Until(t, "the drain to be told", func() bool { return !d.NotifiedAt(nodes[1]).IsZero() })
+	Until(t, "the drain to be announced", func() bool { return !d.NotifiedAt(nodes[1]).IsZero() })
 	Until(t, "load again", func() bool { return l.Len() > before+50 })
 	time.Sleep(2200 * time.Millisecond) // past the 2 s that a drain may take
-	all := l.All()
+	return judgePause(l.All(), nodes[1], on, timeout)
+}
+
+// judgePause looks through all arrivals for what a process must not do that went on at a moment, with one
+// node draining.
+func judgePause(all []Arrival, draining *Node, on time.Time, timeout time.Duration) (broken []string) {
 	runs := make(map[string]int)
 	first := make(map[string]time.Time)
 	early := 0
@@ -55,7 +60,7 @@
 			broken = append(broken, fmt.Sprintf("%s went out again %v after its first attempt, it had %v",
 				a.ID, late, timeout))
 		}
-		if a.Node == nodes[1].ID && a.At.After(on.Add(500*time.Millisecond)) {
+		if a.Node == draining.ID && a.At.After(on.Add(500*time.Millisecond)) {
 			broken = append(broken, fmt.Sprintf("%s went to the draining node %v after the process went on",
 				a.ID, a.At.Sub(on)))
 		}
