--- a/policy/arcs_test.go
+++ b/policy/arcs_test.go
@@ -6,9 +6,10 @@
 	"time"
 )
 
-// Whatever the list and the settings say, requests go out, and no ready server that should have turns is passed over for good: weights that are no weights, few servers or very many, a number of balancers that is
+// Whatever the list and the settings say, requests go out, and no ready server that should have turns is
+// passed over for good: weights that are no weights, few servers or very many, a number of balancers that is
 // far from true, a number outside it, two of one number.
-func TestArcsOfBadInput(t *testing.T) {
+func TestArcsOfBadInputStillServe(t *testing.T) {
 	odd := func(i int) float64 { return []float64{0, 1e-9, 1e9, math.NaN(), math.Inf(1), -1, 1, 2}[i%8] }
 	plain := func(int) float64 { return 1 }
 	for name, c := range map[string]struct {
@@ -62,8 +63,9 @@
 	}
 }
 
-// Two of one number send to the same servers, as others do; a restart, or a list in another order, changes nothing of the arc.
-func TestArcsAreOfTheNumberAlone(t *testing.T) {
+// Two balancers of one number send to the same servers; a restart, or a list in another order, changes
+// nothing of the arc.
+func TestArcDependsOnTheNumberAlone(t *testing.T) {
 	cfg := testConfig()
 	cfg.Balancers, cfg.Index, cfg.Tenants = 40, 11, []Tenant{{Share: 1, Quota: 240}}
 	var list, turned []Server
@@ -84,7 +86,7 @@
 }
 
 // A place that is told moves the arc, keeps what is known of servers in both, and what is none counts for nothing.
-func TestPlaceMovesTheArc(t *testing.T) {
+func TestArcStartMovesTheArc(t *testing.T) {
 	cfg := testConfig()
 	place := 0.5
 	cfg.Balancers, cfg.Tenants, cfg.ArcStart = 40, []Tenant{{Share: 1, Quota: 240}}, func() float64 { return place }
--- /dev/null
+++ b/policy/attempts_test.go
@@ -0,0 +1,242 @@
+package policy
+
+import (
+	"testing"
+	"time"
+
+	"caperarch/internal/proxy/admission"
+)
+
+func TestAttemptTimesOutWhenItsAnswerHasNoValue(t *testing.T) {
+	cfg := testConfig()
+	cfg.Classes[1].LateValue = 0.5
+	b, h := start(t, cfg, ready(1, 2))
+	ask(b, 0, 1, safeClass)
+	ask(b, 0, 2, keyedAll)
+	b.Request(0, Request{ID: 3, Class: keyedCell, TimeLeft: 300 * ms})
+	if got := h.sends[0].timeout; got != time.Second {
+		t.Errorf("time-out %v, want the aim", got)
+	}
+	if got := h.sends[1].timeout; got != 2*time.Second {
+		t.Errorf("time-out %v where late answers are worth something, want all the time left", got)
+	}
+	if got := h.sends[2].timeout; got != 300*ms {
+		t.Errorf("time-out %v, want the client's time left", got)
+	}
+}
+
+func TestRetryFollowsWhatTheEndingProves(t *testing.T) {
+	for _, c := range []struct {
+		name  string
+		class int
+		ends  Ending
+		again bool
+		fails bool // where it is not sent again
+	}{
+		{"safe after an error", safeClass, Errored, true, false},
+		{"keyed after a reset", keyedAll, ConnectionLost, true, false},
+		{"unsafe turned away", unsafeClass, NotProcessed, true, false},
+		{"unsafe without a connection", unsafeClass, NoConnection, true, false},
+		{"unsafe never sent", unsafeClass, NotSent, true, false},
+		{"unsafe after an error", unsafeClass, Errored, false, true},
+		{"unsafe after a reset", unsafeClass, ConnectionLost, false, true},
+		{"unsafe after a time-out", unsafeClass, TimedOut, false, true},
+		{"unsafe after an unknown end", unsafeClass, Ending(99), false, true},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			b, h := start(t, testConfig(), ready(1, 2, 3))
+			ask(b, 0, 1, c.class)
+			end(b, 30*ms, 1, 0, c.ends)
+			if again := len(h.sends) == 2; again != c.again {
+				t.Fatalf("sent again: %v, want %v", again, c.again)
+			}
+			if !c.again && h.failed[1] != c.fails {
+				t.Fatalf("failed: %v, want %v (refused: %v)", h.failed[1], c.fails, h.refused)
+			}
+			if c.again && h.sends[1].to == h.sends[0].to {
+				t.Fatal("sent again to the same server")
+			}
+		})
+	}
+}
+
+func TestRequestIsRefusedAfterTheLastAttempt(t *testing.T) {
+	b, h := start(t, testConfig(), ready(1, 2, 3, 4, 5))
+	ask(b, 0, 1, unsafeClass)
+	for i := range 3 {
+		end(b, time.Duration(i+1)*ms, 1, i, NoConnection)
+	}
+	if _, ok := h.refused[1]; len(h.sends) != 3 || !ok {
+		t.Fatalf("sends %d, refused %v; want 3 and a refusal: it provably never ran", len(h.sends), ok)
+	}
+}
+
+func TestDeduplicatedRequestStaysInItsGroup(t *testing.T) {
+	list := []Server{
+		{ID: 1, State: Ready, Weight: 1, Zone: 0, Cell: 10}, {ID: 2, State: Ready, Weight: 1, Zone: 0, Cell: 11},
+		{ID: 3, State: Ready, Weight: 1, Zone: 1, Cell: 12}, {ID: 4, State: Ready, Weight: 1, Zone: 1, Cell: 12},
+	}
+	byID := func(id ServerID) Server { return list[id-1] }
+	for id := range RequestID(8) { // the turns make the first attempt meet every server
+		for _, class := range []int{keyedZone, keyedCell} {
+			b, h := start(t, testConfig(), list)
+			for warm := range id {
+				ask(b, 0, 100+warm, safeClass)
+				end(b, ms, 100+warm, 0, Served)
+			}
+			h.sends = nil
+			ask(b, 2*ms, 1, class)
+			first := byID(h.sends[0].to)
+			end(b, 30*ms, 1, 0, ConnectionLost)
+			if len(h.sends) < 2 {
+				if class == keyedZone || first.Zone == 1 {
+					t.Fatalf("class %d from server %d was not sent again", class, first.ID)
+				}
+				continue // alone in its cell
+			}
+			second := byID(h.sends[1].to)
+			if second.Zone != first.Zone || (class == keyedCell && second.Cell != first.Cell) {
+				t.Fatalf("class %d went from server %d to %d, outside its group", class, first.ID, second.ID)
+			}
+		}
+	}
+}
+
+func TestGroupIsThatOfTheAttemptThatMayHaveRun(t *testing.T) {
+	list := []Server{{ID: 1, State: Ready, Weight: 1, Zone: 0}, {ID: 2, State: Ready, Weight: 1, Zone: 1},
+		{ID: 3, State: Ready, Weight: 1, Zone: 1}}
+	b, h := start(t, testConfig(), list)
+	for h.sentTo(1) == 0 || len(h.sends) == 0 || h.sends[len(h.sends)-1].to != 1 {
+		id := RequestID(100 + len(h.sends))
+		ask(b, 0, id, safeClass)
+		end(b, ms, id, 0, Served)
+	}
+	b.List(ms, ListDelta, []Server{{ID: 3, State: Deregistered}})
+	h.sends = nil
+	ask(b, 2*ms, 1, keyedZone) // it is the turn of server 2, in zone 1
+	if h.sends[0].to != 2 {
+		t.Fatalf("set-up: first attempt went to %d", h.sends[0].to)
+	}
+	end(b, 3*ms, 1, 0, NotProcessed) // it never ran there, so zone 1 does not bind
+	if len(h.sends) != 2 || h.sends[1].to != 1 {
+		t.Fatalf("sends %v, want a second attempt at server 1", h.sends)
+	}
+	end(b, 4*ms, 1, 1, Errored) // may have run in zone 0: server 2 is barred now
+	if len(h.sends) != 2 {
+		t.Fatalf("sent outside the group: %v", h.sends)
+	}
+}
+
+func TestDeduplicatedRequestIsNotRepeatedAfterItsWindow(t *testing.T) {
+	b, h := start(t, testConfig(), ready(1, 2, 3))
+	ask(b, 0, 1, keyedAll)
+	end(b, 700*ms, 1, 0, Errored) // the window of 700 ms since its send is over
+	if _, refused := h.refused[1]; len(h.sends) != 1 || !refused {
+		t.Fatalf("sends %d, refused %v; want 1 and a refusal, as all servers drop repeats", len(h.sends), refused)
+	}
+	b.compartments[0].gate = admission.NewRatio(b.rng)
+	ask(b, 800*ms, 2, keyedZone)
+	end(b, 1500*ms, 2, 0, Errored)
+	if !h.failed[2] {
+		t.Fatal("a keyed request that may have run, with a group of one zone, must be failed and not refused")
+	}
+}
+
+// Guards against 7.5 s in the queue for another server where there was none, and against clients whose bad
+// requests cost servers their turns.
+func TestRequestWithoutAServerLeftIsAnsweredAtOnce(t *testing.T) {
+	for _, class := range []int{safeClass, keyedCell, unsafeClass} {
+		b, h := start(t, testConfig(), ready(1))
+		ask(b, 0, 1, class)
+		end(b, 5*ms, 1, 0, NoConnection)
+		if _, refused := h.refused[1]; !refused {
+			t.Errorf("class %d: not refused though its one server refuses connections", class)
+		}
+	}
+	b, h := start(t, testConfig(), ready(1, 2))
+	ask(b, 0, 1, safeClass)
+	end(b, 5*ms, 1, 0, InvalidRequest)
+	if !h.failed[1] || len(h.sends) != 1 || b.server(h.sends[0].to).slowness != 1 {
+		t.Errorf("failed %v, sends %v: want it failed at once, and nothing held against the server", h.failed, h.sends)
+	}
+}
+
+// Guards against cells of two whose other server has no capacity: a deduplicated request whose connection
+// broke may be sent to the same server again, which drops repeats; one that timed out may not.
+func TestServerMayBeTriedAgainAfterABrokenConnection(t *testing.T) {
+	for end, want := range map[Ending]int{ConnectionLost: 2, Errored: 1} {
+		b, h := start(t, testConfig(), ready(1))
+		ask(b, 0, 1, keyedCell)
+		b.Outcome(5*ms, Outcome{ID: 1, Ending: end})
+		if len(h.sends) != want {
+			t.Errorf("ending %v: %d sends, want %d", end, len(h.sends), want)
+		}
+	}
+}
+
+// Rule 6: retries stay within the budget of their window.
+func TestRetriesStayWithinTheBudget(t *testing.T) {
+	cfg := testConfig()
+	cfg.Budget = RetryBudget{Span: time.Second, Free: 1, Share: 0.5}
+	b, h := start(t, cfg, ready(1, 2, 3))
+	try := func(now time.Duration, id RequestID, class int) int {
+		n := len(h.sends)
+		b.compartments[0].gate = admission.NewRatio(b.rng)
+		ask(b, now, id, class)
+		end(b, now, id, 0, NotProcessed)
+		if len(h.sends) > n+1 {
+			end(b, now, id, 1, Served)
+		}
+		return len(h.sends) - n
+	}
+	if try(0, 1, safeClass) != 2 || try(0, 2, unsafeClass) != 2 || try(0, 3, unsafeClass) != 1 {
+		t.Fatalf("sends %+v: want one free further attempt and one for two requests", h.sends)
+	}
+	if _, ok := h.refused[3]; !ok {
+		t.Fatal("a request that never ran and met the end of the budget is not refused")
+	}
+	// A second later the requests no longer count, but the attempts made just then still do.
+	if n := try(time.Second, 4, safeClass); n != 1 {
+		t.Fatalf("%d sends at the window's edge, want 1", n)
+	}
+	if n := try(time.Second+1, 5, safeClass); n != 2 {
+		t.Fatalf("%d sends once the window has passed, want 2", n)
+	}
+}
+
+// A budget of zero is a limit; an absent budget is none.
+func TestRetryBudgetOfZeroIsALimitAndAnAbsentOneIsNot(t *testing.T) {
+	for _, c := range []struct {
+		budget RetryBudget
+		want   int
+	}{{RetryBudget{Span: time.Second}, 1}, {RetryBudget{}, 2}} {
+		cfg := testConfig()
+		cfg.Budget = c.budget
+		b, h := start(t, cfg, ready(1, 2, 3))
+		ask(b, 0, 1, safeClass)
+		end(b, 0, 1, 0, NotProcessed)
+		if len(h.sends) != c.want {
+			t.Errorf("budget %+v: %d sends, want %d", c.budget, len(h.sends), c.want)
+		}
+	}
+}
+
+// Rule 1: nothing is sent for a request that is finished, streams, is past its deadline or has had its attempts.
+func TestNothingIsSentForAFinishedRequest(t *testing.T) {
+	b, _ := start(t, testConfig(), ready(1))
+	for name, r := range map[string]*request{
+		"over":    {finished: true, deadline: time.Second},
+		"begun":   {streaming: true, deadline: time.Second},
+		"late":    {deadline: 100 * ms},
+		"out":     {deadline: time.Second, inFlight: 1},
+		"all out": {deadline: time.Second, attempts: make([]attempt, b.cfg.MaxAttempts)},
+	} {
+		r.class = &b.classes[safeClass]
+		if b.maySend(100*ms, r, b.servers[0]) {
+			t.Errorf("a request that is %s may go", name)
+		}
+	}
+	if !b.maySend(100*ms, &request{class: &b.classes[safeClass], deadline: time.Second}, b.servers[0]) {
+		t.Error("an ordinary request may not go")
+	}
+}
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -29,7 +29,9 @@
 		Balancers:   1,
 		MaxAttempts: 2,
 		Slots:       1,
-		Classes:     []policy.Class{{LatencyTarget: time.Second, Deadline: 2 * time.Second, Value: 1, Effect: policy.NonIdempotent}},
+		Classes: []policy.Class{{
+			LatencyTarget: time.Second, Deadline: 2 * time.Second, Value: 1, Effect: policy.NonIdempotent,
+		}},
 	}, 42, sidecar{})
 	if err != nil {
 		fmt.Println(err)
--- a/policy/helpers_test.go
+++ b/policy/helpers_test.go
@@ -104,12 +104,16 @@
 
 func testConfig() Config {
 	class := func(e Effect, s Scope) Class {
-		return Class{LatencyTarget: time.Second, Deadline: 3 * time.Second, Value: 1, Effect: e, Scope: s, DedupWindow: 700 * ms}
+		return Class{
+			LatencyTarget: time.Second, Deadline: 3 * time.Second, Value: 1,
+			Effect: e, Scope: s, DedupWindow: 700 * ms,
+		}
 	}
 	return Config{
 		Balancers: 2,
 		Classes: []Class{
-			class(Idempotent, ScopeAll), class(Deduplicated, ScopeAll), class(Deduplicated, ScopeZone), class(Deduplicated, ScopeCell),
+			class(Idempotent, ScopeAll),
+			class(Deduplicated, ScopeAll), class(Deduplicated, ScopeZone), class(Deduplicated, ScopeCell),
 			class(NonIdempotent, ScopeAll),
 		},
 		Tenants:           []Tenant{{Share: 0.75, Quota: 75}, {Share: 0.25, Quota: 25}},
--- a/policy/reconfigure_test.go
+++ b/policy/reconfigure_test.go
@@ -56,7 +56,8 @@
 	}
 }
 
-// Compartments shrink without cutting what is out, and grow at once; what a tenant gives up is not another's unless the limits say so.
+// Compartments shrink without cancelling attempts, and grow at once; what a tenant gives up is not another's
+// unless the limits say so.
 func TestReconfigureUnderLoad(t *testing.T) {
 	cfg := twoTenants()
 	b, h := start(t, cfg, ready(1, 2, 3, 4))
@@ -71,8 +72,10 @@
 	if err := b.Reconfigure(now, l); err != nil {
 		t.Fatal(err)
 	}
-	if b.compartments[0].used != used || len(h.cancelled) > 0 || b.compartments[0].slots >= slots || b.compartments[1].slots != other {
-		t.Errorf("%d out of %d, slots %d of %d, the other's %d of %d, cancelled %d", b.compartments[0].used, used, b.compartments[0].slots, slots, b.compartments[1].slots, other, len(h.cancelled))
+	first, second := &b.compartments[0], &b.compartments[1]
+	if first.used != used || len(h.cancelled) > 0 || first.slots >= slots || second.slots != other {
+		t.Errorf("%d in flight of %d, slots %d of %d, the other's %d of %d, cancelled %d",
+			first.used, used, first.slots, slots, second.slots, other, len(h.cancelled))
 	}
 	if len(h.sends) != sends {
 		t.Errorf("%d sent for limits that are stricter", len(h.sends)-sends)
@@ -80,7 +83,8 @@
 	for i, s := range slices.Clone(h.sends) { // each that ends makes room only once few enough are out
 		now += ms
 		b.Outcome(now, Outcome{ID: s.id, Ending: Served})
-		if before := b.compartments[0].used; before > b.compartments[0].slots && len(h.sends) > sends && h.sends[len(h.sends)-1].id%2 == 1 && i < 3 {
+		before, sent := first.used, len(h.sends) > sends && h.sends[len(h.sends)-1].id%2 == 1
+		if before > first.slots && sent && i < 3 {
 			t.Errorf("one more of a tenant with %d out of %d", before, b.compartments[0].slots)
 		}
 	}
@@ -92,7 +96,8 @@
 		t.Errorf("%v, places %d and %d", err, b.compartments[0].queueSlots, b.compartments[1].queueSlots)
 	}
 	l.Queue = 10
-	if err := b.Reconfigure(now, l); err != nil || b.compartments[0].queueSlots+b.compartments[1].queueSlots > 10 || b.compartments[1].queueSlots == 0 {
+	err := b.Reconfigure(now, l)
+	if err != nil || first.queueSlots+second.queueSlots > 10 || second.queueSlots == 0 {
 		t.Errorf("%v, places %d and %d", err, b.compartments[0].queueSlots, b.compartments[1].queueSlots)
 	}
 }
@@ -112,8 +117,10 @@
 		t.Errorf("%d sent, refused %v", len(h.sends), refused)
 	}
 	for name, spoil := range map[string]func(*Limits){
-		"no attempts": func(l *Limits) { l.MaxAttempts = 0 }, "a tenant more": func(l *Limits) { l.Tenants = append(l.Tenants, Tenant{Share: 1}) },
-		"a negative share": func(l *Limits) { l.Tenants = []Tenant{{Share: -1}, {Share: 1}} }, "a budget without span": func(l *Limits) { l.Budget = RetryBudget{Free: 1} },
+		"no attempts":           func(l *Limits) { l.MaxAttempts = 0 },
+		"a tenant more":         func(l *Limits) { l.Tenants = append(l.Tenants, Tenant{Share: 1}) },
+		"a negative share":      func(l *Limits) { l.Tenants = []Tenant{{Share: -1}, {Share: 1}} },
+		"a budget without span": func(l *Limits) { l.Budget = RetryBudget{Free: 1} },
 	} {
 		l := limitsOf(cfg)
 		spoil(&l)
