--- a/cmd/caperarch/command.go
+++ b/cmd/caperarch/command.go
@@ -158,8 +158,8 @@
 	}
 }
 
-// runDemo runs the demo and returns its exit code. The demo is a program of its own, so that no stand-in is part of the
-// release.
+// runDemo runs the demo and returns its exit code. The demo is a program of its own, so that no stand-in is
+// part of the release.
 func runDemo(args []string, out, log io.Writer) int {
 	cmd := exec.Command("go", append([]string{"run", "caperarch/cmd/demo"}, args...)...)
 	cmd.Stdin, cmd.Stdout, cmd.Stderr = os.Stdin, out, log
--- a/cmd/caperarch/even_test.go
+++ b/cmd/caperarch/even_test.go
@@ -10,7 +10,8 @@
 	"caperarch/internal/lab/testbed/fleet"
 )
 
-// evenFleet is a few processes before a few light upstreams, which all have the same to do; each upstream is in half of the arcs.
+// evenFleet is a few processes before a few light upstreams, which all have the same to do; each upstream is in
+// half of the arcs.
 func evenFleet(t *testing.T, peers fleet.Faults) *fleet.Fleet {
 	f := startFleet(t, fleet.Config{Size: 9, Nodes: 12, Direct: true, Edit: func(_, settings map[string]any) {
 		for _, org := range settings["orgs"].([]any) {
@@ -37,8 +38,9 @@
 
 func steadily(int, time.Duration) float64 { return evenEach }
 
-// Guards against a gap that stays in the fleet's spread: three of nine sidecars that lie side by side are killed, over lossy and late datagrams between the others. Who lives takes the places anew, evenly; by
-// the numbers in the settings alone the upstreams in the gap would have half of the others' load.
+// Guards against a gap that stays in the fleet's spread: three of nine sidecars that lie side by side are
+// killed, over lossy and late datagrams between the others. Who lives takes the places anew, evenly; by the
+// numbers in the settings alone the upstreams in the gap would have half of the others' load.
 func TestSpreadIsEvenAmongThoseThatLive(t *testing.T) {
 	t.Parallel()
 	f := evenFleet(t, fleet.Faults{Loss: 0.1, Twice: 0.1, Delay: 100 * time.Millisecond})
@@ -58,7 +60,8 @@
 	}
 }
 
-// What is known of others is no condition, and makes nothing worse: with the peers cut in two, each side goes on as well as it knows, and those out of contact go by the settings.
+// What is known of others is no condition, and makes nothing worse: with the peers cut in two, each side goes
+// on as well as it knows, and those out of contact go by the settings.
 func TestSpreadOutOfContact(t *testing.T) {
 	t.Parallel()
 	f := evenFleet(t, fleet.Faults{})
--- a/cmd/caperarch/fleet_test.go
+++ b/cmd/caperarch/fleet_test.go
@@ -40,8 +40,8 @@
 
 const fleetLease = 3 * time.Second
 
-// Five processes under load, and one thing after the other goes wrong between them. Each time all views are equal again in the end, and over all of it the
-// four rules hold by the clients' and the upstreams' own books.
+// Five processes under load, and one thing after the other goes wrong between them. Each time all views are
+// equal again in the end, and over all of it the four rules hold by the clients' and the upstreams' own books.
 func TestFleetOfProcesses(t *testing.T) {
 	t.Parallel()
 	f := startFleet(t, fleet.Config{Size: 5, Nodes: 4})
@@ -168,8 +168,9 @@
 	}
 }
 
-// A server that nobody reaches any more: sidecars tell each other, and none stops sending to those that answer. Hints by liars are tested in internal/fleet/healthgossip; here it is
-// that they go all the way from one process to another.
+// A server that nobody reaches any more: sidecars tell each other, and none stops sending to those that answer.
+// Hints by liars are tested in internal/fleet/healthgossip; here it is that they go all the way from one
+// process to another.
 func TestHintsGoRound(t *testing.T) {
 	t.Parallel()
 	f := startFleet(t, fleet.Config{Size: 5, Nodes: 3})
@@ -201,7 +202,8 @@
 	}
 }
 
-// Fifty thousand datagrams a second from a stranger: requests are served on, and the process reads no more of them than its bound allows.
+// Fifty thousand datagrams a second from a stranger: requests are served on, and the process reads no more of
+// them than its bound allows.
 func TestFloodOfDatagrams(t *testing.T) {
 	f := startFleet(t, fleet.Config{Size: 3, Nodes: 2})
 	f.RequireAgreement(testbed.Generous)
--- a/cmd/caperarch/fleetpolicy_test.go
+++ b/cmd/caperarch/fleetpolicy_test.go
@@ -11,8 +11,8 @@
 	"caperarch/internal/lab/testbed/fleet"
 )
 
-// policies is five processes under load whose policy is changed. Who let a request in by which policy shows at the upstreams: by the one nothing goes to the first, by the
-// other nothing to the second.
+// policies is five processes under load whose policy is changed. Who let a request in by which policy shows at
+// the upstreams: by the one nothing goes to the first, by the other nothing to the second.
 type policies struct {
 	*testing.T
 	*fleet.Fleet
@@ -105,7 +105,8 @@
 	}
 }
 
-// A change takes hold everywhere or nowhere while one process after the other stands still, dies, is cut off or can't apply it.
+// A change takes hold everywhere or nowhere while one process after the other stands still, dies, is cut off or
+// can't apply it.
 func TestPolicyEverywhereOrNowhere(t *testing.T) {
 	t.Parallel()
 	p := startPolicies(t, func(_, settings map[string]any) {
@@ -173,7 +174,8 @@
 	p.end(3)
 }
 
-// The network loses, doubles and holds messages while the policy changes; then the log itself is lost, and begun anew.
+// The network loses, doubles and holds messages while the policy changes; then the log itself is lost, and
+// begun anew.
 func TestPolicyLossAndNewBeginning(t *testing.T) {
 	t.Parallel()
 	p := startPolicies(t, nil)
@@ -212,8 +214,9 @@
 	p.end(1)
 }
 
-// With folders that outlive the processes a fleet that was killed whole goes by its policy again by itself. One whose file is
-// damaged says so, puts it aside and votes as a new one; one that has another's file takes no part until it is gone.
+// With folders that outlive the processes a fleet that was killed whole goes by its policy again by itself. One
+// whose file is damaged says so, puts it aside and votes as a new one; one that has another's file takes no
+// part until it is gone.
 func TestPolicyOutlivesAll(t *testing.T) {
 	t.Parallel()
 	f := startFleet(t, fleet.Config{Size: 3, Nodes: 3, CutOff: fleet.CutOffPolicy, State: true})
--- a/cmd/caperarch/main.go
+++ b/cmd/caperarch/main.go
@@ -28,7 +28,8 @@
 	maxRecordMiB int64  // the recording ends at this size
 }
 
-// defaultMaxRecordMiB bounds a recording unless -record-most says otherwise: some 20 minutes of 350 requests a second.
+// defaultMaxRecordMiB bounds a recording unless -record-most says otherwise: some 20 minutes of 350 requests a
+// second.
 const defaultMaxRecordMiB = 256
 
 // serve runs the daemon until it is told to stop. The error has been logged.
--- a/cmd/caperarch/replace_test.go
+++ b/cmd/caperarch/replace_test.go
@@ -108,8 +108,8 @@
 	return &sidecar{t: t, dir: t.TempDir(), listen: testbed.FreeAddress(t), discovery: testbed.NewDiscovery(t, nodes...).Address, known: testbed.Known(nodes...)}
 }
 
-// Three replacements under load: every request has its one final answer, none meets a connection that broke or was refused, no entry runs twice, and each old
-// process ends by itself.
+// Three replacements under load: every request has its one final answer, none meets a connection that broke or
+// was refused, no entry runs twice, and each old process ends by itself.
 func TestReplacedUnderLoad(t *testing.T) {
 	var l testbed.ArrivalLog
 	a, b := testbed.NewHTTPNode(t, "s-0", &l), testbed.NewHTTPNode(t, "s-1", &l)
@@ -176,8 +176,8 @@
 	}
 }
 
-// A newcomer that dies, before its yes or behind it, leaves the old process as it was; a ban told to one process holds in the other and ends by a call to either,
-// and outlives both where they are killed at once.
+// A newcomer that dies, before its yes or behind it, leaves the old process as it was; a ban told to one
+// process holds in the other and ends by a call to either, and outlives both where they are killed at once.
 func TestNewcomerDiesAndBansLast(t *testing.T) {
 	var l testbed.ArrivalLog
 	s := newSidecar(t, testbed.NewHTTPNode(t, "s-0", &l), testbed.NewHTTPNode(t, "s-1", &l))
@@ -225,7 +225,8 @@
 	return p.log.b.String()
 }
 
-// A folder that can't be used takes nothing away but the replacement: the process serves, and says yes to a ban that holds in itself.
+// A folder that can't be used takes nothing away but the replacement: the process serves, and says yes to a ban
+// that holds in itself.
 func TestServesWithoutAFolder(t *testing.T) {
 	var l testbed.ArrivalLog
 	for _, dir := range []string{"", filepath.Join(t.TempDir(), "none")} {
@@ -242,7 +243,8 @@
 	}
 }
 
-// An old process that waits for its last answer has given its part up long before: its successor must not be held to half for as long as that takes.
+// An old process that waits for its last answer has given its part up long before: its successor must not be
+// held to half for as long as that takes.
 func TestSuccessorHasAllWhileTheOldOneWaits(t *testing.T) {
 	var l testbed.ArrivalLog
 	n := testbed.NewHTTPNode(t, "s-0", &l)
--- a/cmd/caperarch/streams_test.go
+++ b/cmd/caperarch/streams_test.go
@@ -18,7 +18,8 @@
 // slowly reads or writes 64 kB a second until it is told to stop.
 const slowly = 64 << 10
 
-// bulkNode answers /look?large with 32 MB, written as fast as it is read, reads what comes at its own pace, and answers all else at once.
+// bulkNode answers /look?large with 32 MB, written as fast as it is read, reads what comes at its own pace, and
+// answers all else at once.
 func bulkNode(t *testing.T) string {
 	t.Helper()
 	return testbed.NewHandler(t, func(c net.Conn, req *http.Request) bool {
@@ -55,7 +56,8 @@
 	return 0
 }
 
-// 40 answers and 40 bodies of 32 MB at 64 kB a second, under a limit of 32 MB and 256 descriptors: memory does not depend on their size, and small requests go on.
+// 40 answers and 40 bodies of 32 MB at 64 kB a second, under a limit of 32 MB and 256 descriptors: memory does
+// not depend on their size, and small requests go on.
 func TestSlowStreamsWithin32MB(t *testing.T) {
 	if testing.Short() {
 		t.Skip("some seconds")
--- a/cmd/caperarch/work_test.go
+++ b/cmd/caperarch/work_test.go
@@ -15,8 +15,10 @@
 
 const roundPlan = "all = true\nin_time = 0.5\nlongest = \"1m\"\n[out]\nfleet = \"2\"\ncell = \"1\"\n"
 
-// Five processes under load take six machines out, two at once, while the leader is killed, then another one stands still for 10 s, two are cut off, and messages are lost, late and doubled. By the operators' and the
-// upstreams' records nothing comes to a machine that somebody works on, nothing is out there, and never more are out than the plan says.
+// Five processes under load take six machines out, two at once, while the leader is killed, then another one
+// stands still for 10 s, two are cut off, and messages are lost, late and doubled. By the operators' and the
+// upstreams' records nothing comes to a machine that somebody works on, nothing is out there, and never more
+// are out than the plan says.
 func TestWorkRound(t *testing.T) {
 	t.Parallel()
 	const cold, delay = 1500 * time.Millisecond, 60 * time.Millisecond
--- a/internal/daemon/bodies_test.go
+++ b/internal/daemon/bodies_test.go
@@ -213,7 +213,8 @@
 	}
 }
 
-// Slow clients and servers hold windows, not places: while more streams stand than there are slots, small requests are answered at once.
+// Slow clients and servers hold windows, not places: while more streams stand than there are slots, small
+// requests are answered at once.
 func TestStreamsHoldNoPlaces(t *testing.T) {
 	release := make(chan struct{})
 	var once sync.Once
--- a/internal/daemon/config/config.go
+++ b/internal/daemon/config/config.go
@@ -228,9 +228,9 @@
 	return nil
 }
 
-// ClientConns is how many connections clients may hold. It and UpstreamConns divide the descriptors: half for the application's connections, of
-// which it may hold a third of all for requests, most of the rest for upstreams, and a reserve for
-// what is being closed and for the process itself.
+// ClientConns is how many connections clients may hold. It and UpstreamConns divide the descriptors: half for
+// the application's connections, of which it may hold a third of all for requests, most of the rest for
+// upstreams, and a reserve for what is being closed and for the process itself.
 func (c *Config) ClientConns() int { return c.Sockets / 2 }
 
 // ApplicationConns is how many of them the application may open for its requests, on its own side of the wire.
--- a/internal/daemon/config/fleet.go
+++ b/internal/daemon/config/fleet.go
@@ -46,7 +46,8 @@
 	return f.BytesPerSecond / float64(max(1, sidecars))
 }
 
-// ReadFleet reads the operator's file on the fleet (TOML). Unknown keys and values that can't be used: the error names line or field.
+// ReadFleet reads the operator's file on the fleet (TOML). Unknown keys and values that can't be used: the
+// error names line or field.
 func ReadFleet(path string) (*Fleet, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/daemon/control/protocol.go
+++ b/internal/daemon/control/protocol.go
@@ -1,5 +1,5 @@
-// Package control serves operators' calls: each connection carries one line and gets one answer. A Handler carries the
-// calls out; the Server bounds callers in number, bytes and time.
+// Package control serves operators' calls: each connection carries one line and gets one answer. A Handler
+// carries the calls out; the Server bounds callers in number, bytes and time.
 package control
 
 import (
--- a/internal/daemon/control/server.go
+++ b/internal/daemon/control/server.go
@@ -45,8 +45,8 @@
 // CallerLimit returns how many callers there may be at once in a process with so many descriptors.
 func CallerLimit(sockets int) int { return min(maxCallers, max(minCallers, sockets/socketsPerCaller)) }
 
-// Server answers callers on a listener. It bounds them in number, bytes and time: a new caller without a slot evicts the
-// one that has been idle, without a complete call, for longest.
+// Server answers callers on a listener. It bounds them in number, bytes and time: a new caller without a slot
+// evicts the one that has been idle, without a complete call, for longest.
 type Server struct {
 	handler Handler
 	maxOpen int
@@ -97,8 +97,9 @@
 func (s *Server) admit(c *caller) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	// An evicted caller is closed by its own goroutine, which takes a while when the core is saturated. So as many as
-	// there are slots may be in eviction: while each was waited for, a call behind 200 idle ones had no answer in 5 s.
+	// An evicted caller is closed by its own goroutine, which takes a while when the core is saturated. So as
+	// many as there are slots may be in eviction: while each was waited for, a call behind 200 idle ones had no
+	// answer in 5 s.
 	if s.open-s.evicting >= s.maxOpen && s.evicting < s.maxOpen {
 		if first := s.idle.Front(); first != nil {
 			if old := first.Value.(*caller); time.Since(old.since) >= evictionGrace {
--- a/internal/daemon/cordon/overlay.go
+++ b/internal/daemon/cordon/overlay.go
@@ -1,6 +1,6 @@
-// Package cordon overlays discovery's list of upstreams with operators' bans and with machines under maintenance. It
-// does no I/O and is not safe for concurrent use: package cordonstore owns each Overlay, serializes its calls and hands
-// the lists that they return to the engine, in order.
+// Package cordon overlays discovery's list of upstreams with operators' bans and with machines under
+// maintenance. It does no I/O and is not safe for concurrent use: package cordonstore owns each Overlay,
+// serializes its calls and hands the lists that they return to the engine, in order.
 package cordon
 
 import (
@@ -12,10 +12,10 @@
 	"caperarch/policy"
 )
 
-// Overlay is a list of upstreams with the bans on them. A banned upstream is reported as draining, whatever discovery
-// says: the decision module sends it nothing new and lets it finish, and knows nothing of bans. Once the ban is lifted
-// the upstream is what discovery says now, with its present start time: if it was restarted meanwhile it is in slow
-// start.
+// Overlay is a list of upstreams with the bans on them. A banned upstream is reported as draining, whatever
+// discovery says: the decision module sends it nothing new and lets it finish, and knows nothing of bans. Once
+// the ban is lifted the upstream is what discovery says now, with its present start time: if it was restarted
+// meanwhile it is in slow start.
 type Overlay struct {
 	banned           map[policy.ServerID]bool // by an operator, or by the fleet's policy
 	underMaintenance map[policy.ServerID]bool // by the fleet's maintenance plans
--- a/internal/daemon/cordon/overlay_test.go
+++ b/internal/daemon/cordon/overlay_test.go
@@ -32,7 +32,8 @@
 	return policy.Deregistered
 }
 
-// A ban lasts through whole lists, a departure and a restart; lifted, the upstream is what the list says by then, its start included.
+// A ban lasts through whole lists, a departure and a restart; lifted, the upstream is what the list says by
+// then, its start included.
 func TestBanLasts(t *testing.T) {
 	o := NewOverlay()
 	o.Update(list(true, server("a", policy.Ready, 0), server("b", policy.Ready, 0)))
@@ -102,7 +103,8 @@
 	})
 }
 
-// What left long ago is forgotten, so that ids that come and go without end don't fill the memory; what is listed or banned is not.
+// What left long ago is forgotten, so that ids that come and go without end don't fill the memory; what is
+// listed or banned is not.
 func TestEverIsBounded(t *testing.T) {
 	o := NewOverlay()
 	o.Update(list(true, server("stays", policy.Ready, 0)))
--- a/internal/daemon/cordonstore/cordonstore.go
+++ b/internal/daemon/cordonstore/cordonstore.go
@@ -1,6 +1,7 @@
-// Package cordonstore owns operators' bans of upstreams: it applies them to every list of this process, stores them in
-// a file that outlives the process, and picks up what another process of the same sidecar wrote there. Package cordon
-// says what a ban does. All methods may be called from any goroutine; only Cordon and Uncordon wait.
+// Package cordonstore owns operators' bans of upstreams: it applies them to every list of this process, stores
+// them in a file that outlives the process, and picks up what another process of the same sidecar wrote there.
+// Package cordon says what a ban does. All methods may be called from any goroutine; only Cordon and Uncordon
+// wait.
 package cordonstore
 
 import (
@@ -69,8 +70,8 @@
 	policyBanned []string        // sorted; guarded by store.mu
 }
 
-// SetPolicyBanned replaces the ids that the fleet's policy bans. They are no bans of an operator, and Uncordon does not
-// lift them. It does not wait.
+// SetPolicyBanned replaces the ids that the fleet's policy bans. They are no bans of an operator, and Uncordon
+// does not lift them. It does not wait.
 func (l *List) SetPolicyBanned(ids []string) {
 	l.store.mu.Lock()
 	defer l.store.mu.Unlock()
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,4 +1,6 @@
-// Package daemon wires the parts of the daemon: front, engine, transport, membership.
+// Package daemon runs the sidecar: it wires front, decision engine, transport and membership together, for one
+// pool of upstreams (Run) or several (RunPools), and serves operators' control calls. Configuration and
+// listener belong to the run from the call on.
 package daemon
 
 import (
@@ -6,36 +8,32 @@
 	"log/slog"
 	"net"
 	"os"
-	"sync/atomic"
 
 	"caperarch/internal/daemon/config"
-	"caperarch/internal/daemon/cordonstore"
-	"caperarch/internal/proxy/call"
 	"caperarch/internal/proxy/clock"
 	"caperarch/internal/proxy/engine"
 	fronthttp1 "caperarch/internal/proxy/front/http1"
 	"caperarch/internal/proxy/membership"
 	"caperarch/internal/proxy/record"
-	"caperarch/internal/proxy/transport/http1"
 	"caperarch/policy"
 )
 
-// Option is something that is off without it.
+// Option turns on a feature that is off by default.
 type Option func(*options)
 
 type options struct {
 	recording *record.Writer // nil: none
-	recorded  uint32         // instances so far
+	instances uint32         // decision modules recorded so far
 	fleet     *config.Fleet  // nil: sidecars know nothing of each other
 }
 
-// WithRecording has what the modules are handed and do written down. The caller closes w.
+// WithRecording records the inputs and outputs of the decision modules to w, which the caller closes.
 func WithRecording(w *record.Writer) Option { return func(o *options) { o.recording = w } }
 
-// WithFleet has the daemon take part in a fleet, as the operator's file says.
+// WithFleet makes the daemon a member of a fleet, as the operator's file says.
 func WithFleet(f *config.Fleet) Option { return func(o *options) { o.fleet = f } }
 
-func optionsOf(all []Option) *options {
+func newOptions(all []Option) *options {
 	o := new(options)
 	for _, option := range all {
 		option(o)
@@ -43,135 +41,96 @@
 	return o
 }
 
-// module makes an engine's decision module; nil: as the engine does by itself.
-func (o *options) module() func(policy.Config, uint64, policy.Host) (engine.Module, error) {
+// moduleFactory returns what makes the decision module of one more engine; nil: the engine's default.
+func (o *options) moduleFactory() func(policy.Config, uint64, policy.Host) (engine.Module, error) {
 	if o.recording == nil {
 		return nil
 	}
-	number := o.recorded
-	o.recorded++
+	number := o.instances
+	o.instances++
 	return func(cfg policy.Config, seed uint64, host policy.Host) (engine.Module, error) {
 		return o.recording.NewBalancer(number, cfg, seed, host)
 	}
 }
 
-// Run listens and serves until ctx ends and everything taken by then is answered. Each signal on
-// reload has it read its configuration again.
+// Run listens and serves until ctx ends and all requests accepted by then are answered. Each signal on reload
+// makes it read its configuration again.
 func Run(ctx context.Context, cfg *config.Config, reload <-chan os.Signal, with ...Option) error {
 	return run(ctx, cfg, nil, reload, with...)
 }
 
-// Serve is Run on a listener that is there already, which it closes.
-func Serve(ctx context.Context, cfg *config.Config, listener net.Listener, reload <-chan os.Signal, with ...Option) error {
+// Serve is Run on an open listener, which it closes.
+func Serve(
+	ctx context.Context, cfg *config.Config, listener net.Listener, reload <-chan os.Signal, with ...Option,
+) error {
 	return run(ctx, cfg, listener, reload, with...)
 }
 
-func run(ctx context.Context, cfg *config.Config, listener net.Listener, reload <-chan os.Signal, with ...Option) error {
-	c := clock.New()
+// run is Run, on a listener of its own if there is none yet.
+func run(
+	ctx context.Context, cfg *config.Config, listener net.Listener, reload <-chan os.Signal, with ...Option,
+) error {
+	clk := clock.New()
 	log := slog.Default()
-	o := optionsOf(with)
+	o := newOptions(with)
 	s, err := newService(cfg, log, o)
 	if err != nil {
 		return err
 	}
 	defer s.close()
-	p, err := assemble("", cfg, c, cfg.UpstreamConns(), log, s, o)
+	p, err := newPool("", cfg, clk, cfg.UpstreamConns(), log, s, o)
 	if err != nil {
 		return err
 	}
-	s.attach(p, cfg, c)
-	f := fronthttp1.New(fronthttp1.Config{
-		Route: fronthttp1.RouteTo(p.target), ConnLimits: fronthttp1.NewConnLimits(cfg.ClientConns(), cfg.ApplicationConns()), MaxDeadline: cfg.MaxDeadline, Log: log,
-	}, c)
+	s.attachMaintenance(p, cfg, clk)
+	front := fronthttp1.New(fronthttp1.Config{
+		Route:       fronthttp1.RouteTo(p.target),
+		ConnLimits:  fronthttp1.NewConnLimits(cfg.ClientConns(), cfg.ApplicationConns()),
+		MaxDeadline: cfg.MaxDeadline,
+		Log:         log,
+	}, clk)
 	running, stop := context.WithCancel(context.Background())
 	defer stop()
-	go p.engine.Run(running, p.known)
+	go p.engine.Run(running, p.initial)
 	go p.follower.Run(running)
-	if listener == nil { // last: what connects is served
+	if listener == nil { // last: a client that connects is served
 		if listener, err = s.listen(cfg); err != nil {
 			return err
 		}
 	}
-	log.Info("serving", "name", cfg.Name, "listen", listener.Addr(), "servers", len(p.known.Servers))
-	s.serve(running, f)
+	log.Info("serving", "name", cfg.Name, "listen", listener.Addr(), "servers", len(p.initial.Servers))
+	s.start(running, front)
+	return s.serveUntil(ctx, listener, reload, func() { reloadDiscovery(cfg.Path, p.follower, log) })
+}
+
+// serveUntil serves clients until the listener fails, or until ctx ends and the front has drained. Each signal
+// on reload calls onReload.
+func (s *service) serveUntil(
+	ctx context.Context, listener net.Listener, reload <-chan os.Signal, onReload func(),
+) error {
 	failed := make(chan error, 1)
-	go func() { failed <- f.Serve(listener) }()
+	go func() { failed <- s.front.Serve(listener) }()
 	for {
 		select {
 		case err := <-failed:
 			return err
 		case <-reload:
-			again(cfg, p.follower, log)
+			onReload()
 		case <-ctx.Done():
-			s.leaving()
-			return f.Drain()
+			s.beginLeaving()
+			return s.front.Drain()
 		}
 	}
 }
 
-// parts are an engine with what it sends over and the list that it follows.
-type parts struct {
-	name      string          // of its pool
-	conns     int             // to servers, of all processes of this sidecar together
-	known     call.ServerList // what the engine is to begin with
-	target    *fronthttp1.Target
-	engine    *engine.Engine
-	follower  *membership.Follower
-	transport *http1.Transport
-	list      *cordonstore.List
-	leave     func()      // the service
-	current   atomic.Bool // discovery's last answer could be used
-}
-
-// assemble puts an engine together with the transport that it sends over and the list that it follows. Nothing runs yet.
-func assemble(name string, cfg *config.Config, c clock.Clock, conns int, log *slog.Logger, s *service, o *options) (*parts, error) {
-	p := &parts{name: name, conns: conns, transport: http1.New(http1.Config{
-		Clock: c, DialTimeout: cfg.DialTimeout, IdleTimeout: cfg.ConnIdle, MaxConns: conns, LoadFields: cfg.LoadReportFields, Columns: cfg.LoadReportColumns,
-		OnRequestWritten: s.figures.CountAttempt,
-	})}
-	decisions := cfg.Policy
-	decisions.Processes = s.parted
-	ended := s.know(&decisions)
-	limits := s.rule(func(out []string) { p.list.SetPolicyBanned(out) }, func(ids []policy.ServerID) { p.list.SetUnderMaintenance(ids) }, func(open int) { p.target.SetMaxOpen(open) })
-	e, err := engine.New(engine.Config{
-		Policy: decisions, Seed: cfg.Seed, Clock: c, Transport: p.transport, Log: log, Watch: func() { p.follower.Trigger() },
-		Module: o.module(), AttemptEnded: ended, Limits: limits,
-	})
-	if err != nil {
-		return nil, err
-	}
-	p.engine, p.list = e, s.keeper.NewList(e)
-	known, ever := s.known(name, cfg.KnownServers)
-	p.known = p.list.SetInitial(known, ever)
-	p.target = &fronthttp1.Target{
-		Engine: e, Classes: cfg.Classes, ClassOf: cfg.Policy.Classes, Tenants: cfg.Tenants, MaxOpen: cfg.MaxOpenRequests, MaxBodyBytes: cfg.MaxBodyBytes(),
-		Metrics: s.figures.Classes(cfg.Classes),
-	}
-	p.leave = s.enter(p)
-	p.follower = membership.New(membership.Config{
-		Address: cfg.Discovery, Zones: cfg.Zones, OnDemand: cfg.Policy.ListOnDemand, Known: known,
-		OnUpdate: func(l call.ServerList) {
-			log.Info("list", "version", l.Version, "whole", l.Full, "entries", len(l.Servers))
-			p.current.Store(true)
-			p.list.Update(l)
-		},
-		OnError: func(err error) {
-			p.current.Store(false)
-			log.Warn("discovery", "error", err)
-			e.DiscoveryFailed()
-		},
-	})
-	return p, nil
-}
-
-// again takes discovery's address from the configuration as it is now. The rest of it holds until
-// the next start. A file that can't be used changes nothing.
-func again(before *config.Config, follower *membership.Follower, log *slog.Logger) {
-	cfg, err := config.Read(before.Path)
+// reloadDiscovery applies the discovery address of the configuration as it is now. All else takes effect at the next
+// start. A file that can't be used changes nothing.
+func reloadDiscovery(path string, follower *membership.Follower, log *slog.Logger) {
+	cfg, err := config.Read(path)
 	if err != nil {
-		log.Error("the new configuration can't be used, the old one stays", "error", err)
+		log.Error("configuration not usable, the old one stays", "error", err)
 		return
 	}
-	log.Info("configuration read again", "discovery", cfg.Discovery)
+	log.Info("configuration reloaded", "discovery", cfg.Discovery)
 	follower.SetAddress(cfg.Discovery)
 }
--- a/internal/daemon/handover/handover_test.go
+++ b/internal/daemon/handover/handover_test.go
@@ -53,7 +53,8 @@
 	return s
 }
 
-// Three replacements in a row, and newcomers that die at every step: whoever lives ends up with the seat, and what was told reaches the one it was meant for.
+// Three replacements in a row, and newcomers that die at every step: whoever lives ends up with the seat, and
+// what was told reaches the one it was meant for.
 func TestSeats(t *testing.T) {
 	dir := t.TempDir()
 	old := open(t, dir)
@@ -138,7 +139,8 @@
 	}
 }
 
-// With steering all new connections go to the one that came last, and after its predecessor's end still; without it both get some.
+// With steering all new connections go to the one that came last, and after its predecessor's end still;
+// without it both get some.
 func TestListen(t *testing.T) {
 	for _, steeringDisabled = range []bool{false, true} {
 		first, steered, err := Listen("127.0.0.1:0")
--- a/internal/daemon/handover/listen_linux.go
+++ b/internal/daemon/handover/listen_linux.go
@@ -24,9 +24,9 @@
 	return l, steer(l) == nil, nil
 }
 
-// steer makes the group of sockets on this address select its second one. The first belongs to the older process. In a
-// group of one there is no second, and the kernel falls back to selecting by hash, which finds the only one. When the
-// older process leaves, the last socket takes its index.
+// steer makes the group of sockets on this address select its second one. The first belongs to the older
+// process. In a group of one there is no second, and the kernel falls back to selecting by hash, which finds
+// the only one. When the older process leaves, the last socket takes its index.
 func steer(l net.Listener) error {
 	if steeringDisabled {
 		return syscall.ENOPROTOOPT
--- a/internal/daemon/handover/machine.go
+++ b/internal/daemon/handover/machine.go
@@ -1,6 +1,6 @@
-// Package handover lets two processes be one sidecar while one replaces the other. Machine decides what a process does,
-// free of I/O; Seat is the lock files and the record by which the two find each other; Listen is the socket that both
-// accept from. Machine and Seat are not safe for concurrent use: one goroutine owns them.
+// Package handover lets two processes be one sidecar while one replaces the other. Machine decides what a
+// process does, free of I/O; Seat is the lock files and the record by which the two find each other; Listen is
+// the socket that both accept from. Machine and Seat are not safe for concurrent use: one goroutine owns them.
 package handover
 
 // Observation is what a process sees of the other processes of its sidecar.
@@ -18,8 +18,8 @@
 	ReleaseSeat    bool   // the seat is to be given up: the process that stays may use the full budgets
 }
 
-// LeavingDivisor bounds a process that leaves and has released its seat: it may hold this fraction of the budgets. The
-// reserve beside clients' and upstreams' connections has room for it.
+// LeavingDivisor bounds a process that leaves and has released its seat: it may hold this fraction of the
+// budgets. The reserve beside clients' and upstreams' connections has room for it.
 const LeavingDivisor = 8
 
 // Machine decides for one process. Any process may end after any call, so it goes by what is observed alone, never by
@@ -41,8 +41,9 @@
 
 // Decide says what is to be done, by what is observed.
 func (m *Machine) Decide(seen Observation) Action {
-	// A process that leaves may wait seconds for its last answers. Were its successor bound to half of the connections
-	// meanwhile, it would close idle ones that clients are about to use: measured, 300 requests of one upgrade failed.
+	// A process that leaves may wait seconds for its last answers. Were its successor bound to half of the
+	// connections meanwhile, it would close idle ones that clients are about to use: measured, 300 requests of
+	// one upgrade failed.
 	if !m.released {
 		m.released = m.leaving && seen.HoldsFewConns && seen.HasSeat
 	}
--- a/internal/daemon/handover/seat.go
+++ b/internal/daemon/handover/seat.go
@@ -21,8 +21,8 @@
 	maxIDBytes = 64
 )
 
-// Seat is the claim of a process among those of its sidecar, in the folder that they share. The oldest process has the
-// seat; one that is to replace it is the newcomer. Locks end with the process that holds them.
+// Seat is the claim of a process among those of its sidecar, in the folder that they share. The oldest process
+// has the seat; one that is to replace it is the newcomer. Locks end with the process that holds them.
 type Seat struct {
 	dir          string
 	id           string // its own; "": it came first
@@ -122,8 +122,8 @@
 // ErrNoRecord says that the older process wrote no record in time.
 var ErrNoRecord = errors.New("no record came in time")
 
-// AwaitRecord waits for the record that the older process writes for this one. Its error is ErrNoRecord if none came in
-// time, or says why the record can't be used.
+// AwaitRecord waits for the record that the older process writes for this one. Its error is ErrNoRecord if none
+// came in time, or says why the record can't be used.
 func (s *Seat) AwaitRecord(within time.Duration) (*Record, error) {
 	for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(pollInterval) {
 		r, err := s.record()
--- a/internal/daemon/pools_test.go
+++ b/internal/daemon/pools_test.go
@@ -231,7 +231,8 @@
 	}
 }
 
-// One pool's list goes out of reach and its node is silent, with calls that pile up against its wall: the other's are served.
+// One pool's list goes out of reach and its node is silent, with calls that pile up against its wall: the
+// other's are served.
 func TestOutageStaysInItsPool(t *testing.T) {
 	w := startPools(t, func(_, settings map[string]any) { settings["caps"].(map[string]any)["max_open"] = 60 })
 	if status, _ := w.call(t, "meters.example.org", "/reading", ""); status != 200 {
--- a/internal/daemon/replace.go
+++ b/internal/daemon/replace.go
@@ -15,49 +15,52 @@
 )
 
 const (
-	lookEvery = 50 * time.Millisecond  // for a process that came or went
-	recordIn  = 400 * time.Millisecond // the process before tells what it knows within this; its look and its writing take a tenth of it
+	processPollInterval = 50 * time.Millisecond // for processes that started or ended
+
+	// recordTimeout bounds the wait for the handover record. The older process finds this one and writes the
+	// record in a tenth of it.
+	recordTimeout = 400 * time.Millisecond
 )
 
-// sit takes this process' place among those of its sidecar, and reads what the one before told.
-func (s *service) sit(dir string) {
-	s.divided.Store(1)
+// openSeat claims this process's seat among those of its sidecar, and reads the record of the one that it replaces.
+func (s *service) openSeat(dir string) {
+	s.processCount.Store(1)
 	if dir != "" {
 		seat, err := handover.Open(dir)
 		if err != nil {
 			s.log.Error("this process can't be replaced while it serves", "error", err)
 		} else {
 			s.seat = seat
-			s.takePlace()
+			s.awaitRecord()
 		}
 	}
-	s.share()
+	s.applyLimits()
 }
 
-// takePlace waits for the record of the process before, if there is one.
-func (s *service) takePlace() {
+// awaitRecord waits for the record of the process that this one replaces, if there is one.
+func (s *service) awaitRecord() {
 	s.machine.ID = s.seat.ID()
 	if s.machine.ID == "" {
 		return
 	}
-	s.divided.Store(2)
+	s.processCount.Store(2)
 	var err error
-	if s.record, err = s.seat.AwaitRecord(recordIn); err != nil {
+	if s.record, err = s.seat.AwaitRecord(recordTimeout); err != nil {
 		s.log.Warn("another process serves, this one starts without what that one knows", "error", err)
 		return
 	}
 	s.log.Info("another process serves, this one takes over from it")
 }
 
-// listen listens for clients, on an address that the next process may listen on too.
+// listen listens for clients, on an address that the process that replaces this one may listen on too.
 func (s *service) listen(cfg *config.Config) (net.Listener, error) {
-	var l net.Listener
+	var listener net.Listener
 	var err error
 	steered := true
 	if s.seat == nil {
-		l, err = net.Listen("tcp", cfg.Listen)
+		listener, err = net.Listen("tcp", cfg.Listen)
 	} else {
-		l, steered, err = handover.Listen(cfg.Listen)
+		listener, steered, err = handover.Listen(cfg.Listen)
 	}
 	if err != nil {
 		return nil, fmt.Errorf("listen: %w", err)
@@ -65,102 +68,108 @@
 	if !steered {
 		s.log.Warn("new connections can't be steered: in a replacement the old process goes on getting some of them")
 	}
-	return l, nil
+	return listener, nil
 }
 
-// known is the list that a pool begins with, and what was listed before. What the process before had heard is newer than the configuration, but for a list of
-// a later version.
-func (s *service) known(pool string, known call.ServerList) (call.ServerList, []policy.ServerID) {
+// initialList is the list that a pool starts with, and the upstreams that were listed before. The record of the
+// process that this one replaces is newer than the configuration, unless the configuration's list has a later
+// version.
+func (s *service) initialList(pool string, configured call.ServerList) (call.ServerList, []policy.ServerID) {
 	if s.record == nil {
-		return known, nil
+		return configured, nil
 	}
-	told, ok := s.record.Pools[pool]
-	if !ok || len(told.Servers) == 0 || told.Version < known.Version {
-		return known, told.Delisted
+	recorded, ok := s.record.Pools[pool]
+	if !ok || len(recorded.Servers) == 0 || recorded.Version < configured.Version {
+		return configured, recorded.Delisted
 	}
-	return told.ServerList(), told.Delisted
+	return recorded.ServerList(), recorded.Delisted
 }
 
-// watch looks for processes that come and go, until ctx ends.
-func (s *service) watch(ctx context.Context) {
+// watchProcesses looks for processes of this sidecar that start or end, until ctx ends.
+func (s *service) watchProcesses(ctx context.Context) {
 	if s.seat == nil {
 		return
 	}
-	clock.Every(ctx, lookEvery, s.look)
+	clock.Every(ctx, processPollInterval, s.checkProcesses)
 }
 
-// look does what is to be done by who lives now: this process shrinks before a newcomer is told that it may take its part.
-func (s *service) look() {
+// checkProcesses does what the live processes call for. This process shrinks its limits before it writes the
+// record that lets a newcomer use its share.
+func (s *service) checkProcesses() {
 	seen := s.seat.Observe()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	seen.HoldsFewConns = s.few()
-	do := s.machine.Decide(seen)
-	if before := s.parted(); do.ProcessCount != before {
-		s.log.Info("processes of this sidecar", "now", do.ProcessCount, "before", before)
-		s.divided.Store(int32(do.ProcessCount))
-		s.share()
-	}
-	if do.ReleaseSeat { // behind the shrinking
+	seen.HoldsFewConns = s.holdsFewConns()
+	action := s.machine.Decide(seen)
+	if before := s.processes(); action.ProcessCount != before {
+		s.log.Info("processes of this sidecar", "now", action.ProcessCount, "before", before)
+		s.processCount.Store(int32(action.ProcessCount))
+		s.applyLimits()
+	}
+	if action.ReleaseSeat { // after the limits
 		s.seat.Release()
 	}
-	if do.WriteRecordFor == "" {
-		return
+	if action.WriteRecordFor != "" {
+		s.writeRecord(action.WriteRecordFor)
 	}
-	r := &handover.Record{Pools: make(map[string]handover.Pool)}
-	for p := range s.parts {
-		r.Pools[p.name] = handover.NewPool(p.list.Listed())
+}
+
+// writeRecord writes the handover record for the process of this id. The caller holds mu.
+func (s *service) writeRecord(id string) {
+	record := &handover.Record{Pools: make(map[string]handover.Pool)}
+	for p := range s.pools {
+		record.Pools[p.name] = handover.NewPool(p.list.Listed())
 	}
-	if err := s.seat.WriteRecord(do.WriteRecordFor, r); err != nil {
-		s.log.Error("the next process can't be told what this one knows", "error", err)
+	if err := s.seat.WriteRecord(id, record); err != nil {
+		s.log.Error("handover record not written", "error", err)
 	}
 }
 
-// few says whether this process holds no more than what one that leaves may hold. The caller holds the lock.
-func (s *service) few() bool {
-	if s.front == nil || s.front.Counters().Open > s.most/handover.LeavingDivisor {
+// holdsFewConns says whether this process holds no more than one that leaves may hold. The caller holds mu.
+func (s *service) holdsFewConns() bool {
+	if s.front == nil || s.front.Counters().Open > s.maxClientConns/handover.LeavingDivisor {
 		return false
 	}
-	for p := range s.parts {
-		if p.transport.Busy() > max(1, p.conns/handover.LeavingDivisor) {
+	for p := range s.pools {
+		if p.transport.Busy() > max(1, p.maxConns/handover.LeavingDivisor) {
 			return false
 		}
 	}
 	return true
 }
 
-// share bounds this process to its part of what the sidecar may hold. The caller holds the lock, or is alone.
-func (s *service) share() {
-	if s.memory > 0 {
-		debug.SetMemoryLimit(s.memory / int64(s.parted()))
+// applyLimits bounds this process to its share of the sidecar's limits. The caller holds mu, or runs alone.
+func (s *service) applyLimits() {
+	if s.memoryLimit > 0 {
+		debug.SetMemoryLimit(s.memoryLimit / int64(s.processes()))
 	}
-	for p := range s.parts {
-		s.fit(p)
+	for p := range s.pools {
+		s.applyPoolLimits(p)
 	}
 	if s.front != nil {
-		s.front.SetProcessCount(s.parted())
+		s.front.SetProcessCount(s.processes())
 	}
 }
 
-// fit bounds a pool to this process' part of what it may hold.
-func (s *service) fit(p *parts) {
-	p.transport.Resize(p.conns / s.parted())
-	p.target.SetProcessCount(s.parted())
+// applyPoolLimits bounds a pool to this process's share of its limits. The caller holds mu.
+func (s *service) applyPoolLimits(p *pool) {
+	p.transport.Resize(p.maxConns / s.processes())
+	p.target.SetProcessCount(s.processes())
 }
 
-// parted is how many processes live. It never waits.
-func (s *service) parted() int { return int(s.divided.Load()) }
+// processes returns how many processes of this sidecar live, this one included. It never waits.
+func (s *service) processes() int { return int(s.processCount.Load()) }
 
-// resize gives a pool another part of the connections to servers.
-func (s *service) resize(p *parts, conns int) {
+// resizePool sets how many connections to upstreams a pool may hold, in all processes together.
+func (s *service) resizePool(p *pool, maxConns int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	p.conns = conns
-	s.fit(p)
+	p.maxConns = maxConns
+	s.applyPoolLimits(p)
 }
 
-// leaving takes that this process was told to stop.
-func (s *service) leaving() {
+// beginLeaving notes that this process was told to stop.
+func (s *service) beginLeaving() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.machine.Leaving()
--- a/internal/daemon/service.go
+++ b/internal/daemon/service.go
@@ -21,38 +21,42 @@
 	"caperarch/internal/proxy/metrics"
 )
 
-// figuresEvery is how often the figures go to the log.
-const figuresEvery = 10 * time.Second
+// metricsLogInterval is the time between two lines of the log with all metrics.
+const metricsLogInterval = 10 * time.Second
 
-// service is what operators see of the process, whatever pools it has.
+// service is the process as operators see it, whatever pools it has. It implements control.Handler.
 type service struct {
-	log     *slog.Logger
-	figures *metrics.Set
-	keeper  *cordonstore.Store
-	control net.Listener     // nil: operators call nowhere
-	callers int              // at once
-	memory  int64            // bytes that the heap may have; 0: no limit is known
-	most    int              // clients' connections, of all processes of this sidecar together
-	seat    *handover.Seat   // nil: a process that comes while this one lives finds its address in use
-	record  *handover.Record // what the process before told; nil: nothing
+	log            *slog.Logger
+	metrics        *metrics.Set
+	cordons        *cordonstore.Store
+	control        net.Listener     // nil: no control calls
+	maxCallers     int              // of control calls, at once
+	memoryLimit    int64            // bytes of the heap; 0: no limit is known
+	maxClientConns int              // of all processes of this sidecar together
+	seat           *handover.Seat   // nil: this process can't be replaced while it serves
+	record         *handover.Record // of the process that this one replaces; nil: none
 
-	fleet   *fleet.Fleet // nil: sidecars know nothing of each other
-	parting func()       // has the fleet told that this one leaves; nil: there is none
+	fleet      *fleet.Fleet // nil: sidecars know nothing of each other
+	leaveFleet func()       // announces that this process leaves, and waits for that; nil: not in a fleet
 
-	divided atomic.Int32 // processes that live; changed under the lock
+	processCount atomic.Int32 // live processes of this sidecar; changed under mu
 
 	mu      sync.Mutex
-	machine handover.Machine
-	front   *fronthttp1.Front // nil: not yet
-	parts   map[*parts]bool
+	machine handover.Machine  // guarded by mu
+	pools   map[*pool]bool    // guarded by mu
+	front   *fronthttp1.Front // set once by start, under mu; nil: not yet
 }
 
-// newService listens where operators call. Their calls are answered once serve is called.
+// newService opens the control listener, the fleet and the seat of this process. Control calls are answered
+// from start on.
 func newService(cfg *config.Config, log *slog.Logger, o *options) (*service, error) {
 	s := &service{
-		log: log, figures: new(metrics.Set), parts: make(map[*parts]bool), callers: control.CallerLimit(cfg.Sockets),
-		most:   cfg.ClientConns(),
-		memory: int64(cfg.MemoryMB) << 20 / 2, // well under what the process is killed at
+		log:            log,
+		metrics:        new(metrics.Set),
+		pools:          make(map[*pool]bool),
+		maxCallers:     control.CallerLimit(cfg.Sockets),
+		maxClientConns: cfg.ClientConns(),
+		memoryLimit:    int64(cfg.MemoryMB) << 20 / 2, // well under the size at which the process is killed
 	}
 	if o.fleet != nil {
 		var err error
@@ -70,14 +74,15 @@
 			log.Warn("TMPDIR is not set: bans by hand end with this process, and it can't be replaced while it serves")
 		}
 	}
-	s.sit(dir)
-	s.keeper = cordonstore.New(dir, log)
+	s.openSeat(dir)
+	s.cordons = cordonstore.New(dir, log)
 	return s, nil
 }
 
+// close leaves the fleet, and releases the control listener and the seat.
 func (s *service) close() {
-	if s.parting != nil {
-		s.parting()
+	if s.leaveFleet != nil {
+		s.leaveFleet()
 	}
 	if s.control != nil {
 		s.control.Close()
@@ -87,91 +92,98 @@
 	}
 }
 
-// enter takes an engine on; the function that it returns takes it off.
-func (s *service) enter(p *parts) (leave func()) {
+// register adds a pool; the function that it returns removes it.
+func (s *service) register(p *pool) (unregister func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.parts[p] = true
-	s.fit(p)
-	unfollow := s.figures.FollowUpstreams(func() (known, skipped int) {
+	s.pools[p] = true
+	s.applyPoolLimits(p)
+	unfollow := s.metrics.FollowUpstreams(func() (known, skipped int) {
 		known, out := p.list.Counts()
 		return known, min(known, out+p.engine.Avoided())
 	})
 	return func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		delete(s.parts, p)
+		delete(s.pools, p)
 		unfollow()
 		p.list.Close()
 	}
 }
 
-// serve answers operators until ctx ends.
-func (s *service) serve(ctx context.Context, f *fronthttp1.Front) {
+// start makes the front known and starts what runs beside it until ctx ends: control calls, bans, the handover to the
+// next process and the log of metrics.
+func (s *service) start(ctx context.Context, front *fronthttp1.Front) {
 	s.mu.Lock()
-	s.front = f
+	s.front = front
 	s.machine.Serving()
-	f.SetProcessCount(s.parted())
+	front.SetProcessCount(s.processes())
 	s.mu.Unlock()
-	s.join()
+	s.joinFleet()
 	if s.control == nil {
 		return
 	}
-	go s.watch(ctx)
-	s.log.Info("operators", "control", s.control.Addr())
-	go s.keeper.Run(ctx)
-	go func() {
-		if err := control.New(s, s.callers).Serve(s.control); !errors.Is(err, net.ErrClosed) {
-			s.log.Error("operators can't call any more", "error", err)
-		}
-	}()
-	go func() {
-		ticker := time.NewTicker(figuresEvery)
-		defer ticker.Stop()
-		for {
-			select {
-			case <-ticker.C:
-				s.log.Info("figures", "now", s.figures.Snapshot())
-			case <-ctx.Done():
-				return
-			}
+	go s.watchProcesses(ctx)
+	s.log.Info("control calls accepted", "address", s.control.Addr())
+	go s.cordons.Run(ctx)
+	go s.serveControl()
+	go s.logMetrics(ctx)
+}
+
+// serveControl answers control calls until the listener is closed.
+func (s *service) serveControl() {
+	if err := control.New(s, s.maxCallers).Serve(s.control); !errors.Is(err, net.ErrClosed) {
+		s.log.Error("control listener failed", "error", err)
+	}
+}
+
+// logMetrics writes all metrics to the log from time to time, until ctx ends.
+func (s *service) logMetrics(ctx context.Context) {
+	ticker := time.NewTicker(metricsLogInterval)
+	defer ticker.Stop()
+	for {
+		select {
+		case <-ticker.C:
+			s.log.Info("figures", "now", s.metrics.Snapshot())
+		case <-ctx.Done():
+			return
 		}
-	}()
+	}
 }
 
-// What health says no for.
+// Why the process can't serve.
 var (
-	errNotYet  = errors.New("clients can't connect yet, or a stop is under way")
-	errEngine  = errors.New("an engine does not run")
-	errNoLists = errors.New("no upstream is known")
+	errNotServing  = errors.New("clients can't connect yet, or a stop is under way")
+	errEngineDown  = errors.New("an engine does not run")
+	errNoUpstreams = errors.New("no upstream is known")
 )
 
-// Health says why this process can't serve; nil: it can.
+// Health returns why this process can't serve; nil: it can.
 func (s *service) Health() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.front == nil || !s.front.Ready() {
-		return errNotYet
+		return errNotServing
 	}
 	known := 0
-	for p := range s.parts {
+	for p := range s.pools {
 		if !p.engine.Running() {
-			return errEngine
+			return errEngineDown
 		}
-		n, _ := p.list.Counts()
-		known += n
+		listed, _ := p.list.Counts()
+		known += listed
 	}
 	if known == 0 {
-		return errNoLists
+		return errNoUpstreams
 	}
 	return nil
 }
 
-// Counters writes the figures.
-func (s *service) Counters(to io.Writer) error { return s.figures.Snapshot().WriteText(to) }
+// Counters writes all metrics.
+func (s *service) Counters(to io.Writer) error { return s.metrics.Snapshot().WriteText(to) }
 
-// Cordon takes an upstream out by hand.
-func (s *service) Cordon(id string) error { return s.keeper.Cordon(id) }
+// Cordon bans an upstream.
+func (s *service) Cordon(id string) error { return s.cordons.Cordon(id) }
 
-// Uncordon has it used again.
-func (s *service) Uncordon(id string) error { return s.keeper.Uncordon(id) }
+// Uncordon lifts the ban.
+func (s *service) Uncordon(id string) error { return s.cordons.Uncordon(id) }
--- a/plugin/example_test.go
+++ b/plugin/example_test.go
@@ -14,7 +14,8 @@
 	"caperarch/policy"
 )
 
-// A complete program for net/http: two servers that are always the same, one class of calls that must never run twice.
+// A complete program for net/http: two servers that are always the same, one class of calls that must never run
+// twice.
 func ExampleClient_RoundTripper() {
 	// Stands in for the servers; a real program has them, or a discovery that lists them.
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/plugin/grpcplugin/conn.go
+++ b/plugin/grpcplugin/conn.go
@@ -4,13 +4,15 @@
 //
 // Unary calls and server streams are carried; streams of the client's are answered Unimplemented. The calls'
 // classes come from plugin.Config.Methods, by full method name. Metadata idempotency-key, x-tenant-id,
-// x-route-key, x-request-id, x-timeout and x-retried mean what the headers of that name do at the daemon; all but
-// x-timeout go on to the server. A call's time is the least of x-timeout (else its class's deadline) and ctx's. A message holds plugin.MaxBody bytes at most.
+// x-route-key, x-request-id, x-timeout and x-retried mean what the headers of that name do at the daemon; all
+// but x-timeout go on to the server. A call's time is the least of x-timeout (else its class's deadline) and
+// ctx's. A message holds plugin.MaxBody bytes at most.
 //
 // A server's answer, of whatever status, is returned as it came, details too, with one exception: UNAVAILABLE
-// is what many take as leave to repeat, so it is kept for refusals, which promise that repeating is harmless, and come
-// with a RetryInfo detail. A server's own UNAVAILABLE to a call that may have run becomes UNKNOWN. Every error
-// unwraps to *plugin.RefusedError, *plugin.FailedError or *plugin.InvalidError where it is one of these.
+// is what many take as leave to repeat, so it is kept for refusals, which promise that repeating is harmless,
+// and come with a RetryInfo detail. A server's own UNAVAILABLE to a call that may have run becomes UNKNOWN.
+// Every error unwraps to *plugin.RefusedError, *plugin.FailedError or *plugin.InvalidError where it is one of
+// these.
 package grpcplugin
 
 import (
--- a/plugin/grpcplugin/conn_test.go
+++ b/plugin/grpcplugin/conn_test.go
@@ -283,7 +283,8 @@
 	}
 }
 
-// A caller that never reads its stream holds a slot only until its context ends, or for ten deadlines, or until Close.
+// A caller that never reads its stream holds a slot only until its context ends, or for ten deadlines, or until
+// Close.
 func TestStreamThatNobodyReads(t *testing.T) {
 	endless := func(_ *testgrpc.StreamingOutputCallRequest, s grpc.ServerStreamingServer[testgrpc.StreamingOutputCallResponse]) error {
 		for {
--- a/plugin/pools.go
+++ b/plugin/pools.go
@@ -29,11 +29,12 @@
 	cores map[string]*Core
 }
 
-// OpenPools starts a client with several pools, by the daemon's file of pools and routes (TOML; docs/operate/pools.md). Calls go by their
-// Host, Path, Method and Class to the pool that the most specific route names; a call that none matches is an
-// *InvalidError, and so is one whose host or path can be read in two ways. The limits and listen addresses of the pools' own
-// files are passed over but for caps.max_open. Calls and bytes of bodies are parts with lending, connections are fixed parts. The error names the
-// file, line and field. The client needs a Close.
+// OpenPools starts a client with several pools, by the daemon's file of pools and routes (TOML;
+// docs/operate/pools.md). Calls go by their Host, Path, Method and Class to the pool that the most specific
+// route names; a call that none matches is an *InvalidError, and so is one whose host or path can be read in
+// two ways. The limits and listen addresses of the pools' own files are passed over but for caps.max_open.
+// Calls and bytes of bodies are parts with lending, connections are fixed parts. The error names the file, line
+// and field. The client needs a Close.
 func OpenPools(path string, cfg PoolsConfig) (*Client, error) {
 	file, err := config.ReadPools(path)
 	if err != nil {
