--- a/cmd/measure/mutants.go
+++ b/cmd/measure/mutants.go
@@ -112,7 +112,7 @@
 	{"leader.go", "m.grantedAt = now\n", "m.grantedAt = 0\n", "the leader forgets whom it granted"},
 	{"leader.go", "return l.termStart + l.LeaseExpiry + l.QuorumAckTimeout + l.QuorumAckTimeout/4", "return l.termStart", "a new leader does not wait for others' grants"},
 	{"leader.go", "return max(l.earlierGrantsExpired(), granted+l.LeaseExpiry)", "return max(l.earlierGrantsExpired(), granted)", "a grant is taken for over before it is"},
-	{"leader.go", "if l.allGranted(now, func(r Report) bool { return appliesBoth(r, s) }) && 2*there > l.Size {", "if 2*there > l.Size {", "taken once a majority is there"},
+	{"leader.go", "if l.allGranted(now, func(r Report) bool { return appliesBoth(r, s) }) && 2*granted > l.Size {", "if 2*granted > l.Size {", "taken once a majority is there"},
 	{"leader.go", "if s.Completing != 0 && l.allGranted(", "if s.Completing != 0 || l.allGranted(", "settled while some go by both still"},
 	{"leader.go", "return r.LastIndex >= s.OutcomeIndex && r.Active", "return r.Active", "a report of before the outcome counts as one of behind it"},
 	{"leader.go", "if !l.hasNoGrant(now, i) && !(", "if !(", "who is down holds a change up for ever"},
--- a/internal/fleet/policyrollout/diff.go
+++ b/internal/fleet/policyrollout/diff.go
@@ -6,7 +6,8 @@
 	"slices"
 )
 
-// Diff tells people what changes from one policy to another, a line for each field: "+" is new, "-" goes, "~" has another value.
+// Diff lists what changes from one policy to another, for operators: a line for each field, "+" for
+// a new one, "-" for one that goes, "~" for another value.
 func Diff(old, new *Policy) (lines []string) {
 	was, is := old.fields(), new.fields()
 	names := maps.Clone(was)
@@ -26,7 +27,7 @@
 	return lines
 }
 
-// fields are all that a policy says, by name.
+// fields returns all that a policy sets, by field name.
 func (p *Policy) fields() map[string]string {
 	all := make(map[string]string)
 	number := func(field string, v *float64) {
--- a/internal/fleet/policyrollout/leader.go
+++ b/internal/fleet/policyrollout/leader.go
@@ -5,50 +5,61 @@
 	"time"
 )
 
-// Leader is the part of the sidecar that leads the log: it grants, and decides when a change goes on. What it knows is of one term: a new leader knows nothing, and waits until no grant of
-// another's can count any more.
+// Leader is the part of the sidecar that leads the log: it grants, and decides when a change goes
+// on. What it knows is of one term: a new leader knows nothing, and waits until no grant of another
+// leader can count any more.
 //
-// The promise: no sidecar goes by a new version alone while another goes by the old one alone. Why: a version is taken only when each sidecar has told this leader that it goes by both, or has no
-// grant that counts. Whoever goes by both never goes back to the old one alone, but by an entry that calls the change off; whoever has no grant goes by CutOff, and gets one while the change is under
-// way only by telling that it goes by both. So what made the decision right stays so until the log has its outcome, however late that comes.
+// It promises that no sidecar applies a new version alone while another applies the old one alone.
+// A version is committed only when each sidecar has told this leader that it applies both, or has
+// no grant that counts. Who applies both never returns to the old one alone, except by an entry
+// that aborts the change; who has no grant applies CutOff, and gets a grant during the change only
+// by telling that it applies both. So what made the decision right stays so until the log has its
+// outcome, however late that comes.
 type Leader struct {
 	Size             int
-	LeaseExpiry      time.Duration // a lease, and the errors of both clocks
-	QuorumAckTimeout time.Duration // a leader that a majority has not confirmed for so long grants nothing
+	LeaseExpiry      time.Duration // of a grant: a lease, and the errors of both clocks
+	QuorumAckTimeout time.Duration // a leader that no majority has confirmed for so long grants nothing
 
 	termStart   time.Duration
 	members     []memberReport
-	changeStart time.Duration // when what is under way was first seen; 0: nothing is
+	changeStart time.Duration // when the change in progress was first seen; 0: none
 	version     uint32
 }
 
 // memberReport is what a leader knows of a sidecar.
 type memberReport struct {
-	grantedAt  time.Duration // last; 0: never by this leader
+	grantedAt  time.Duration // when it was granted last; 0: never by this leader
 	report     Report
 	received   bool
-	receivedAt time.Duration // when
+	receivedAt time.Duration
 }
 
-// NewLeader begins a term.
+// NewLeader returns the leader's part for a term that begins now.
 func NewLeader(now time.Duration, size int, patience, confirm time.Duration) *Leader {
-	return &Leader{Size: size, LeaseExpiry: patience, QuorumAckTimeout: confirm, termStart: now, members: make([]memberReport, size)}
+	return &Leader{
+		Size: size, LeaseExpiry: patience, QuorumAckTimeout: confirm, termStart: now,
+		members: make([]memberReport, size),
+	}
 }
 
-// earlierGrantsExpired is when no grant of a leader before this one can count any more. That one was last confirmed before this one was elected, granted for Confirm behind that at most, by its own clock, and a
-// grant counts from when what it answers was sent.
+// earlierGrantsExpired returns when no grant of an earlier leader can count any more. That leader
+// was last confirmed before this one was elected, granted for QuorumAckTimeout after that at most,
+// by its own clock, and a grant counts from when its report was sent.
 func (l *Leader) earlierGrantsExpired() time.Duration {
 	return l.termStart + l.LeaseExpiry + l.QuorumAckTimeout + l.QuorumAckTimeout/4
 }
 
-// ReceiveReport takes a report, and says whether it is granted. s is what the log makes of the policy here, all of it up to where this leader was confirmed; confirmed is when it was confirmed last.
+// ReceiveReport records a report, and says whether it is granted. s is what the log makes of the
+// policy here, up to where this leader was confirmed; confirmed is when it was confirmed last.
 func (l *Leader) ReceiveReport(now, confirmed time.Duration, from int, r Report, s *State) bool {
 	if from < 0 || from >= l.Size {
 		return false
 	}
 	m := &l.members[from]
-	// Overtaken on the way: told by itself that it goes by both and then, late, that it went by one, eighty of three hundred held a change up (accordnet, 300, seed 1).
-	if m.received && (r.Incarnation < m.report.Incarnation || r.Incarnation == m.report.Incarnation && r.Sequence <= m.report.Sequence) {
+	// An older report that arrives late is dropped: eighty of three hundred, reported to apply both
+	// and then, late, one, blocked a change (accordnet, 300, seed 1).
+	if m.received &&
+		(r.Incarnation < m.report.Incarnation || r.Incarnation == m.report.Incarnation && r.Sequence <= m.report.Sequence) {
 		return false
 	}
 	m.report, m.received, m.receivedAt = r, true, now
@@ -56,7 +67,7 @@
 	case now-confirmed >= l.QuorumAckTimeout || !s.Started:
 		return false
 	case s.Pending.Version != 0 && !appliesBoth(r, s):
-		return false // not now: else the change would wait for one that may never come to it
+		return false // not during the change: it would wait for this sidecar, which may never apply both
 	case r.Active.Mode == CutOff:
 		return false
 	}
@@ -66,16 +77,17 @@
 
 func appliesBoth(r Report, s *State) bool { return r.Active == Active{Both, s.Current, s.Pending} }
 
-// VoterIncarnation is that by which a sidecar was last heard to vote, and whether that was within a patience.
+// VoterIncarnation returns the incarnation by which a sidecar last reported to vote, and whether
+// that was within LeaseExpiry.
 func (l *Leader) VoterIncarnation(now time.Duration, i int) (seat uint64, lately bool) {
 	m := &l.members[i]
 	return m.report.VoterIncarnation, m.received && now-m.receivedAt < l.LeaseExpiry
 }
 
-// TermStart is when the term began.
+// TermStart returns when the term began.
 func (l *Leader) TermStart() time.Duration { return l.termStart }
 
-// GrantExpiry is when no grant of a sidecar can count any more, by this leader's clock.
+// GrantExpiry returns when no grant of a sidecar can count any more, by this leader's clock.
 func (l *Leader) GrantExpiry(i int) time.Duration {
 	if granted := l.members[i].grantedAt; granted != 0 {
 		return max(l.earlierGrantsExpired(), granted+l.LeaseExpiry)
@@ -83,12 +95,13 @@
 	return l.earlierGrantsExpired()
 }
 
-// hasNoGrant says that a sidecar goes by CutOff for certain: it has no grant that counts, of this leader or one before.
+// hasNoGrant reports whether a sidecar certainly applies CutOff: it has no grant that counts, of
+// this leader or an earlier one.
 func (l *Leader) hasNoGrant(now time.Duration, i int) bool {
 	return now >= l.GrantExpiry(i)
 }
 
-// Decide says what the log needs next; false: nothing now.
+// Decide returns what the log needs next; false: nothing now.
 func (l *Leader) Decide(now time.Duration, s *State, self int) (Step, bool) {
 	if !s.Started {
 		return Step{Kind: Started, By: self}, now >= l.earlierGrantsExpired()
@@ -98,7 +111,8 @@
 	}
 	if s.Pending.Version == 0 {
 		l.changeStart, l.version = 0, 0
-		// What was reported before the outcome may be of before the change: one that has come to both since looked the same (seed 551).
+		// A report from before the outcome may be from before the change, and looks the same (seed
+		// 551).
 		if s.Completing != 0 && l.allGranted(now, func(r Report) bool {
 			return r.LastIndex >= s.OutcomeIndex && r.Active == Active{Mode: One, New: s.Current}
 		}) {
@@ -106,29 +120,38 @@
 		}
 		return Step{}, false
 	}
+	return l.decidePending(now, s, self)
+}
+
+// decidePending commits the pending change once all sidecars with grants apply both versions, and
+// aborts it if one can't or if it takes too long.
+func (l *Leader) decidePending(now time.Duration, s *State, self int) (Step, bool) {
 	if l.version != s.Pending.Version {
 		l.changeStart, l.version = now, s.Pending.Version
 	}
 	if step, no := l.abortIfRejected(now, s.Pending.Version); no {
 		return step, true
 	}
-	there := 0
+	granted := 0
 	for i := range l.members {
 		m := &l.members[i]
 		if m.grantedAt > 0 && now < m.grantedAt+l.LeaseExpiry {
-			there++
+			granted++
 		}
 	}
-	if l.allGranted(now, func(r Report) bool { return appliesBoth(r, s) }) && 2*there > l.Size {
+	if l.allGranted(now, func(r Report) bool { return appliesBoth(r, s) }) && 2*granted > l.Size {
 		return Step{Kind: Committed, Ref: Ref{Version: s.Pending.Version}, By: self}, true
 	}
 	if now >= max(l.changeStart, l.earlierGrantsExpired())+changeTimeoutHalves*l.LeaseExpiry/2 {
-		return Step{Kind: Aborted, Ref: Ref{Version: s.Pending.Version}, By: self, Why: fmt.Sprintf("%d of %d came to it in time", there, l.Size)}, true
+		return Step{
+			Kind: Aborted, Ref: Ref{Version: s.Pending.Version}, By: self,
+			Why: fmt.Sprintf("%d of %d came to it in time", granted, l.Size),
+		}, true
 	}
 	return Step{}, false
 }
 
-// abortIfRejected calls a version off where somebody heard of lately can't apply it.
+// abortIfRejected aborts a version that somebody heard of recently can't apply.
 func (l *Leader) abortIfRejected(now time.Duration, version uint32) (Step, bool) {
 	for i := range l.members {
 		if m := &l.members[i]; m.received && m.report.Rejection != "" && now-m.receivedAt < l.LeaseExpiry {
@@ -138,7 +161,8 @@
 	return Step{}, false
 }
 
-// decideOffered has a change proposed once its text is with all who go by the log, or with most after a while.
+// decideOffered proposes a change once its text is with all who have grants, or with most after a
+// while.
 func (l *Leader) decideOffered(now time.Duration, s *State, self int) (Step, bool) {
 	if l.version != s.Offered.Version {
 		l.changeStart, l.version = now, s.Offered.Version
@@ -154,22 +178,27 @@
 	}
 	late := now >= max(l.changeStart, l.earlierGrantsExpired())+offerTimeout
 	switch {
-	case 2*ready > l.Size && (late || l.allGranted(now, func(r Report) bool { return r.ReadyVersion == s.Offered.Version })):
-		l.version = 0 // the change's own time begins with its entry
+	case 2*ready > l.Size &&
+		(late || l.allGranted(now, func(r Report) bool { return r.ReadyVersion == s.Offered.Version })):
+		l.version = 0 // the change's time-out starts with its entry
 		return Step{Kind: Proposed, Ref: s.Offered, Base: s.Current.Version, By: s.ProposedBy}, true
 	case late:
-		return Step{Kind: Aborted, Ref: Ref{Version: s.Offered.Version}, By: self, Why: fmt.Sprintf("%d of %d had its text in time", ready, l.Size)}, true
+		return Step{
+			Kind: Aborted, Ref: Ref{Version: s.Offered.Version}, By: self,
+			Why: fmt.Sprintf("%d of %d had its text in time", ready, l.Size),
+		}, true
 	}
 	return Step{}, false
 }
 
-// offerTimeout is how long a text may be on its way.
+// offerTimeout is how long the distribution of a text may take.
 const offerTimeout = time.Minute
 
-// changeTimeoutHalves is how many halves of a patience a change may take before it is called off: one for those that are cut off, and as much again for texts that are late.
+// changeTimeoutHalves is how many halves of LeaseExpiry a change may take before it is aborted: two
+// for sidecars that are cut off, and as much again for late texts.
 const changeTimeoutHalves = 4
 
-// Laggards are those that a change waits for: what they tell, or that they have not been heard of.
+// Laggards returns the sidecars that a change waits for, and why.
 func (l *Leader) Laggards(now time.Duration, s *State) (all []Laggard) {
 	for i := range l.members {
 		m := &l.members[i]
@@ -180,11 +209,15 @@
 			all = append(all, Laggard{i, Waiting})
 		case !m.received:
 			all = append(all, Laggard{i, "not heard of yet"})
-		case s.Pending.Version != 0 && appliesBoth(r, s), s.Pending.Version == 0 && r.LastIndex >= s.OutcomeIndex && r.Active == Active{Mode: One, New: s.Current}:
+		case s.Pending.Version != 0 && appliesBoth(r, s), s.Pending.Version == 0 &&
+			r.LastIndex >= s.OutcomeIndex && r.Active == Active{Mode: One, New: s.Current}:
 		case r.Rejection != "":
 			all = append(all, Laggard{i, r.Rejection})
 		default:
-			all = append(all, Laggard{i, fmt.Sprintf("%s, heard %.1fs ago", r.Active.Mode, (now - m.receivedAt).Seconds())})
+			all = append(
+				all,
+				Laggard{i, fmt.Sprintf("%s, heard %.1fs ago", r.Active.Mode, (now - m.receivedAt).Seconds())},
+			)
 		}
 	}
 	return all
@@ -196,7 +229,7 @@
 	Why    string
 }
 
-// allGranted says whether something holds of all that may have a grant that counts.
+// allGranted reports whether holds is true of the reports of all sidecars that may have a grant.
 func (l *Leader) allGranted(now time.Duration, holds func(Report) bool) bool {
 	for i := range l.members {
 		if !l.hasNoGrant(now, i) && !(l.members[i].received && holds(l.members[i].report)) {
--- a/internal/fleet/policyrollout/participant.go
+++ b/internal/fleet/policyrollout/participant.go
@@ -1,66 +1,72 @@
 package policyrollout
 
-import "time"
+import (
+	"time"
+)
 
-// Mode is by what a sidecar goes.
+// Mode is which versions of the policy a sidecar applies.
 type Mode int
 
 // The modes.
 const (
-	CutOff Mode = iota // the operator's own limits for who may have missed something
+	CutOff Mode = iota // the limits that the settings have for a sidecar that may have missed something
 	One                // one version alone
-	Both               // the stricter of what holds and what is under way
+	Both               // the stricter of the current version and the pending one
 )
 
+// String returns the mode as logs and operators' output show it.
 func (m Mode) String() string { return [...]string{"cut off", "one", "both"}[m] }
 
-// Active is by what a sidecar goes at a moment.
+// Active is the policy that a sidecar applies at a moment.
 type Active struct {
 	Mode     Mode
-	Old, New Ref // Both; One: New
+	Old, New Ref // of Both; of One: New alone
 }
 
-// Report is what a sidecar tells the leader of itself.
+// Report is what a sidecar reports to the leader.
 type Report struct {
 	Incarnation      uint64        // of its process
-	VoterIncarnation uint64        // by which it votes, or might: its own life, or one that it has kept
-	Sequence         uint32        // grows with each report of it
-	SentAt           time.Duration // when it was sent, by its own clock: the grant that answers it counts from here
-	Active           Active        // by what it goes, or would with a grant
-	LastIndex        uint64        // entries of the log
-	ReadyVersion     uint32        // the version on offer whose text is here and can be applied; 0: none
-	Rejection        string        // why it can't apply what is under way; "": it can
+	VoterIncarnation uint64        // by which it votes, or might: its own, or a saved one
+	Sequence         uint32        // grows with each report of a process
+	SentAt           time.Duration // by its own clock: the grant counts from here
+	Active           Active        // what it applies, or would with a grant
+	LastIndex        uint64        // of its log
+	ReadyVersion     uint32        // the offered version, if its text is here and can be applied; 0: none
+	Rejection        string        // why it can't apply the change in progress; "": it can
 }
 
-// Participant is one sidecar's part: what it knows of the log, and what it was granted. It decides nothing for others. A process that has just begun has no grant and goes by CutOff.
-// It is not safe for concurrent use.
+// Participant is one sidecar's part: what it knows of the log, and its grants. It decides nothing
+// for others. A process that has just started has no grant and applies CutOff. It is not safe for
+// concurrent use.
 type Participant struct {
 	Lease time.Duration
 
 	state            State
 	lastIndex        uint64
-	whyNotApplicable func(Ref) string // why a version can't be applied here; "" once its text is here and resolved
+	whyNotApplicable func(Ref) string // "": the version's text is here and can be applied
 	grants           []grant          // the newest last
-	reportedBoth     Ref              // that it was reported to go by both of
-	reportSequence   uint32           // of the last report
-	unreadable       bool             // an entry could not be read: this program can't know what holds
+	// the pending version that was last reported as applied with the old one
+	reportedBoth   Ref
+	reportSequence uint32 // of the last report
+	unreadable     bool   // an entry could not be read, so the current policy is unknown
 }
 
-// grant is the leader's word that it counts this sidecar in.
+// grant is the leader's statement that it counts this sidecar in.
 type grant struct {
-	sent  time.Duration // when what it answers was sent
-	index uint64        // of the log, that has to be here first
+	sent  time.Duration // send time of its report
+	index uint64        // up to which the log has to be here
 }
 
-// NewParticipant makes one. apply says why a version can't be applied here, "" where it can, and waiting where its text is not here yet.
+// NewParticipant returns a participant without grants. whyNotApplicable returns why a version can't
+// be applied here, "" if it can, and Waiting if its text is not here yet.
 func NewParticipant(lease time.Duration, apply func(Ref) string) *Participant {
 	return &Participant{Lease: lease, whyNotApplicable: apply}
 }
 
-// Waiting is what apply says of a text that is not here yet: it may come.
+// Waiting is the reason for a text that is not here yet: it may still arrive.
 const Waiting = "its text is not here yet"
 
-// ApplyEntry takes the next entry of the log.
+// ApplyEntry applies the next entry of the log.
 func (h *Participant) ApplyEntry(index uint64, raw []byte) (refused string, err error) {
 	h.lastIndex = index
 	e, err := DecodeStep(raw)
@@ -71,28 +77,29 @@
 	return h.state.Apply(index, e), nil
 }
 
-// MarkUnreadable takes that an entry of another kind could not be read: what it says may matter.
+// MarkUnreadable records that an entry of another kind could not be read: its meaning may matter.
 func (h *Participant) MarkUnreadable() { h.unreadable = true }
 
-// AdvanceIndex takes that the log is here up to an index, whatever its last entries say.
+// AdvanceIndex records that the log is here up to an index, whatever its last entries are about.
 func (h *Participant) AdvanceIndex(index uint64) { h.lastIndex = max(h.lastIndex, index) }
 
-// Reset takes that the log is another one: nothing of the last counts.
+// Reset forgets everything about the last log.
 func (h *Participant) Reset() {
 	h.state, h.lastIndex, h.grants, h.reportedBoth, h.unreadable = State{}, 0, nil, Ref{}, false
 }
 
-// State is what the log makes of the policy, as far as it is here.
+// State returns what the log makes of the policy, as far as it is here.
 func (h *Participant) State() *State { return &h.state }
 
-// RecordGrant takes the leader's answer to a report that was sent at a moment: it counts once the log is here up to an index.
+// RecordGrant records the leader's grant of a report that was sent at a moment. It counts once the
+// log is here up to index.
 func (h *Participant) RecordGrant(now, sent time.Duration, index uint64) {
 	if sent > now || now-sent >= h.Lease {
 		return
 	}
 	for _, g := range h.grants {
 		if g.sent >= sent && g.index <= index {
-			return // it adds nothing
+			return // no later than a grant that is known
 		}
 	}
 	h.grants = append(h.grants, grant{sent, index})
@@ -101,10 +108,10 @@
 	}
 }
 
-// maxGrants is how many are kept, as the newest may wait for its entries.
+// maxGrants bounds the grants that are kept, as the newest may wait for its entries.
 const maxGrants = 8
 
-// HasGrant says whether a grant counts now.
+// HasGrant reports whether a grant counts now.
 func (h *Participant) HasGrant(now time.Duration) bool {
 	for _, g := range h.grants {
 		if g.index <= h.lastIndex && now-g.sent < h.Lease && now >= g.sent {
@@ -114,7 +121,8 @@
 	return false
 }
 
-// GrantedUntil is when this one goes by CutOff if nothing more is heard; it is in the past where it does so now.
+// GrantedUntil returns when this sidecar changes to CutOff if nothing more is received; it is in
+// the past if it is cut off now.
 func (h *Participant) GrantedUntil() (until time.Duration) {
 	for _, g := range h.grants {
 		if g.index <= h.lastIndex {
@@ -124,20 +132,22 @@
 	return until
 }
 
-// activeIfGranted is by what this one goes where it has a grant.
+// activeIfGranted returns what this sidecar applies if it has a grant.
 func (h *Participant) activeIfGranted() Active {
 	s := &h.state
 	if s.Pending.Version != 0 && h.whyNotApplicable(s.Pending) == "" && h.whyNotApplicable(s.Current) == "" {
 		return Active{Both, s.Current, s.Pending}
 	}
 	if s.Pending.Version != 0 && h.reportedBoth == s.Pending {
-		// It was told that this one goes by both, and others may go by the new one alone by now: what it can't apply any more must not bring it back to the old one (seed 5829).
+		// It was reported to apply both, and others may apply the new version alone by now: a text
+		// that it can't apply any more must not return it to the old version (seed 5829).
 		return Active{Mode: CutOff}
 	}
 	return Active{Mode: One, New: s.Current}
 }
 
-// Active is by what this sidecar goes. It is to be asked wherever something depends on it, at that moment: a process that stood still finds its grant over at its first question.
+// Active returns the policy that this sidecar applies. Ask it wherever something depends on it, at
+// that moment: a process that was stopped finds its grant expired at its first call.
 func (h *Participant) Active(now time.Duration) Active {
 	if h.unreadable || !h.HasGrant(now) || h.whyNotApplicable(h.state.Current) != "" {
 		return Active{Mode: CutOff}
@@ -145,7 +155,7 @@
 	return h.activeIfGranted()
 }
 
-// NextReport is what the leader is to be told.
+// NextReport returns what the leader is to be told.
 func (h *Participant) NextReport(now time.Duration) Report {
 	h.reportSequence++
 	r := Report{SentAt: now, Sequence: h.reportSequence, Active: h.activeIfGranted(), LastIndex: h.lastIndex}
@@ -156,7 +166,7 @@
 	case h.unreadable:
 		r.Rejection = errEntry.Error()
 	case why != "":
-		r.Active.Mode = CutOff // it could not go by what holds, granted or not
+		r.Active.Mode = CutOff // it could not apply the current version, granted or not
 	}
 	if o := h.state.Offered; o.Version != 0 && r.Rejection == "" {
 		switch why := h.whyNotApplicable(o); why {
--- a/internal/fleet/policyrollout/participant_test.go
+++ b/internal/fleet/policyrollout/participant_test.go
@@ -100,29 +100,47 @@
 		ok   bool
 	}{
 		{Step{Kind: Proposed, Ref: ref(1), By: 1}, false}, {Step{Kind: Started}, true}, {Step{Kind: Started}, false},
-		{Step{Kind: Proposed, Ref: ref(2), By: 1}, false}, {Step{Kind: Proposed, Ref: ref(1), Base: 1, By: 1}, false}, {Step{Kind: Committed, Ref: ref(1)}, false},
-		{Step{Kind: Proposed, Ref: ref(1), By: 1}, true}, {Step{Kind: Proposed, Ref: ref(2), By: 1}, false}, {Step{Kind: Committed, Ref: ref(2)}, false}, {Step{Kind: Completed, Ref: ref(1)}, false},
-		{Step{Kind: Committed, Ref: ref(1)}, true}, {Step{Kind: Aborted, Ref: ref(1)}, false}, {Step{Kind: Proposed, Ref: ref(2), Base: 1, By: 1}, false}, {Step{Kind: Completed, Ref: ref(1)}, true},
-		{Step{Kind: Proposed, Ref: ref(2), Base: 0, By: 1}, false}, {Step{Kind: Proposed, Ref: ref(2), Base: 1, By: 1}, true}, {Step{Kind: Aborted, Ref: ref(2), Why: "no such tenant"}, true},
-		{Step{Kind: Committed, Ref: ref(2)}, false}, {Step{Kind: Completed, Ref: ref(2)}, true}, {Step{Kind: Proposed, Ref: ref(3), Base: 1, By: 1}, true},
+		{Step{Kind: Proposed, Ref: ref(2), By: 1}, false},
+		{Step{Kind: Proposed, Ref: ref(1), Base: 1, By: 1}, false},
+		{Step{Kind: Committed, Ref: ref(1)}, false},
+		{Step{Kind: Proposed, Ref: ref(1), By: 1}, true},
+		{Step{Kind: Proposed, Ref: ref(2), By: 1}, false},
+		{Step{Kind: Committed, Ref: ref(2)}, false},
+		{Step{Kind: Completed, Ref: ref(1)}, false},
+		{Step{Kind: Committed, Ref: ref(1)}, true},
+		{Step{Kind: Aborted, Ref: ref(1)}, false},
+		{Step{Kind: Proposed, Ref: ref(2), Base: 1, By: 1}, false},
+		{Step{Kind: Completed, Ref: ref(1)}, true},
+		{Step{Kind: Proposed, Ref: ref(2), Base: 0, By: 1}, false},
+		{Step{Kind: Proposed, Ref: ref(2), Base: 1, By: 1}, true},
+		{Step{Kind: Aborted, Ref: ref(2), Why: "no such tenant"}, true},
+		{Step{Kind: Committed, Ref: ref(2)}, false},
+		{Step{Kind: Completed, Ref: ref(2)}, true},
+		{Step{Kind: Proposed, Ref: ref(3), Base: 1, By: 1}, true},
 	} {
 		if refused := s.Apply(uint64(i+1), c.step); (refused == "") != c.ok {
 			t.Errorf("%d: %v %d: refused %q", i, c.step.Kind, c.step.Version, refused)
 		}
 	}
-	if s.Current != ref(1) || s.Pending != ref(3) || len(s.History) != 2 || s.History[1].Outcome != Aborted || s.History[1].Why != "no such tenant" {
+	if s.Current != ref(1) || s.Pending != ref(3) || len(s.History) != 2 ||
+		s.History[1].Outcome != Aborted || s.History[1].Why != "no such tenant" {
 		t.Errorf("%+v", s)
 	}
 }
 
-// A change settles by what sidecars report of behind its outcome: what they went by before it looks the same where it was called off.
+// A change settles by what sidecars report of behind its outcome: what they went by before it looks
+// the same where it was called off.
 func TestSettlesByLaterReports(t *testing.T) {
 	now := time.Hour
 	l := NewLeader(now, 3, patience, confirm)
 	s := &State{Started: true, LastVersion: 1, Completing: 1, OutcomeIndex: 7}
 	settles := func(have ...uint64) bool {
 		for i, h := range have {
-			if !l.ReceiveReport(now, now, i, Report{Incarnation: 1, Sequence: uint32(h), LastIndex: h, Active: Active{Mode: One}}, s) {
+			if !l.ReceiveReport(
+				now, now, i,
+				Report{Incarnation: 1, Sequence: uint32(h), LastIndex: h, Active: Active{Mode: One}},
+				s,
+			) {
 				t.Fatal("no grant")
 			}
 		}
@@ -147,8 +165,12 @@
 		r  Report
 		ok bool
 	}{
-		{Report{Incarnation: 5, Sequence: 2, Active: both}, true}, {Report{Incarnation: 5, Sequence: 1, Active: one}, false}, {Report{Incarnation: 5, Sequence: 2, Active: both}, false}, {Report{Incarnation: 4, Sequence: 9, Active: both}, false},
-		{Report{Incarnation: 6, Sequence: 1, Active: one}, false}, {Report{Incarnation: 6, Sequence: 2, Active: both}, true},
+		{Report{Incarnation: 5, Sequence: 2, Active: both}, true},
+		{Report{Incarnation: 5, Sequence: 1, Active: one}, false},
+		{Report{Incarnation: 5, Sequence: 2, Active: both}, false},
+		{Report{Incarnation: 4, Sequence: 9, Active: both}, false},
+		{Report{Incarnation: 6, Sequence: 1, Active: one}, false},
+		{Report{Incarnation: 6, Sequence: 2, Active: both}, true},
 	} {
 		if ok := l.ReceiveReport(now, now, 1, c.r, s); ok != c.ok {
 			t.Errorf("%+v: granted %v", c.r, ok)
@@ -159,7 +181,8 @@
 	}
 }
 
-// A log that has just begun grants nobody anything and takes no change, until no grant of another log can count any more.
+// A log that has just begun grants nobody anything and takes no change, until no grant of another
+// log can count any more.
 func TestBegins(t *testing.T) {
 	now := time.Hour
 	l := NewLeader(now, 1, patience, confirm)
--- a/internal/fleet/policyrollout/policy.go
+++ b/internal/fleet/policyrollout/policy.go
@@ -1,7 +1,13 @@
-// Package policyrollout is what the sidecars of a fleet agree on: limits that an operator changes everywhere or nowhere. It is free of I/O.
+// Package policyrollout is the policy that the sidecars of a fleet agree on, and how a change of it
+// is rolled out: to all or to none. It owns the policy's text and its resolution, the state that
+// the log's entries make of it (State), each sidecar's part (Participant) and the leader's
+// (Leader). It does no I/O, starts no goroutines and reads no clock; its types are not safe for
+// concurrent use.
 //
-// A Policy is the operator's text, which may leave fields out; Resolve fills those in from the sidecar's own settings, and Stricter is of two such Limits. Between an
-// old policy and a new one each sidecar keeps to the stricter of both, field by field, so that no request is let in by one of them alone.
+// A Policy is the operator's text, which may leave fields out; Resolve fills those in from the
+// sidecar's own settings, and Stricter combines two such Limits. Between an old policy and a new
+// one each sidecar applies the stricter of both, field by field, so that no request is let in by
+// one of them alone.
 package policyrollout
 
 import (
@@ -11,7 +17,6 @@
 	"errors"
 	"fmt"
 	"maps"
-	"math"
 	"slices"
 	"unicode/utf8"
 
@@ -19,7 +24,7 @@
 )
 
 const (
-	// MaxTextBytes bounds a policy's text, in bytes.
+	// MaxTextBytes bounds a policy's text.
 	MaxTextBytes = 64 << 10
 
 	maxTenants   = 1000
@@ -30,34 +35,34 @@
 	maxCount     = 1e6
 )
 
-// Policy is an operator's text. A nil field is not in it: the sidecar's own settings hold.
+// Policy is an operator's text. A nil field is not in it: the sidecar's own settings apply.
 type Policy struct {
 	Tenants map[string]Tenant `toml:"tenants"`
 	Limits  Bounds            `toml:"limits"`
 	Retry   Retry             `toml:"retry"`
-	Out     []string          `toml:"out"` // upstreams out by hand
+	Out     []string          `toml:"out"` // ids of upstreams that are taken out by hand
 }
 
-// Tenant is one tenant's part.
+// Tenant is the part of a policy about one tenant.
 type Tenant struct {
-	Share *float64 `toml:"share"` // of what this sidecar may have out: a part of the whole, all together at most 1
-	Quota *float64 `toml:"quota"` // requests a second over the fleet
+	Share *float64 `toml:"share"` // fraction of the requests in flight here; all together at most 1
+	Quota *float64 `toml:"quota"` // requests per second over the fleet
 }
 
-// Bounds are a sidecar's.
+// Bounds limits a sidecar.
 type Bounds struct {
-	Attempts *int `toml:"attempts"` // for one request
-	Open     *int `toml:"open"`     // requests held at once
-	Queue    *int `toml:"queue"`    // of these, ones that wait, over all tenants
+	Attempts *int `toml:"attempts"` // per request
+	Open     *int `toml:"open"`     // requests in flight at once
+	Queue    *int `toml:"queue"`    // of these, requests that wait, over all tenants
 }
 
-// Retry is the budget of attempts behind each request's first.
+// Retry is the budget of attempts after each request's first.
 type Retry struct {
-	Free  *float64 `toml:"free"`  // in the settings' span, whatever the traffic
-	Share *float64 `toml:"share"` // and this for each request in it
+	Free  *float64 `toml:"free"`  // retries in the settings' span, whatever the traffic
+	Share *float64 `toml:"share"` // and retries per request in it
 }
 
-// Parse reads an operator's text. An error names line or field.
+// Parse parses an operator's text. An error names the line or the field.
 func Parse(text []byte) (*Policy, error) {
 	switch {
 	case len(text) > MaxTextBytes:
@@ -72,7 +77,7 @@
 	return p, p.check()
 }
 
-// firstInvalid is where a text stops being UTF-8.
+// firstInvalid returns the offset at which a text stops being UTF-8.
 func firstInvalid(text []byte) int {
 	for i := 0; i < len(text); {
 		r, size := utf8.DecodeRune(text[i:])
@@ -84,32 +89,40 @@
 	return len(text)
 }
 
-// Hash names a text: who has one of this hash has this very text.
+// Hash returns the SHA-256 of a text in hexadecimal, by which the text is known.
 func Hash(text []byte) string {
 	sum := sha256.Sum256(text)
 	return hex.EncodeToString(sum[:])
 }
 
 func (p *Policy) check() error {
-	number := func(field string, v *float64, least, most float64) error {
-		if v != nil && !(*v >= least && *v <= most) { // not a number too
-			return fmt.Errorf("%s: %v is not within %v and %v", field, *v, least, most)
-		}
-		return nil
-	}
-	count := func(field string, v *int, least, most int) error {
-		if v != nil && (*v < least || *v > most) {
-			return fmt.Errorf("%s: %d is not within %d and %d", field, *v, least, most)
-		}
-		return nil
-	}
 	if len(p.Tenants) > maxTenants {
 		return fmt.Errorf("tenants: %d of them, %d are possible", len(p.Tenants), maxTenants)
 	}
+	if err := p.checkTenants(); err != nil {
+		return err
+	}
+	if err := p.checkOut(); err != nil {
+		return err
+	}
+	return errors.Join(
+		checkCount("limits.attempts", p.Limits.Attempts, 1, maxAttempts),
+		checkCount("limits.open", p.Limits.Open, 1, maxCount),
+		checkCount("limits.queue", p.Limits.Queue, 0, maxCount),
+		checkNumber("retry.free", p.Retry.Free, 0, maxCount),
+		checkNumber("retry.share", p.Retry.Share, 0, 1),
+	)
+}
+
+func (p *Policy) checkTenants() error {
 	sum := 0.0
 	for _, name := range slices.Sorted(maps.Keys(p.Tenants)) {
 		t := p.Tenants[name]
-		if err := errors.Join(number("tenants."+name+".share", t.Share, 1e-6, 1), number("tenants."+name+".quota", t.Quota, 1e-3, maxQuota)); err != nil {
+		err := errors.Join(
+			checkNumber("tenants."+name+".share", t.Share, 1e-6, 1),
+			checkNumber("tenants."+name+".quota", t.Quota, 1e-3, maxQuota),
+		)
+		if err != nil {
 			return err
 		}
 		if t.Share != nil {
@@ -119,6 +132,10 @@
 	if sum > 1+1e-9 {
 		return fmt.Errorf("tenants: the shares add up to %v, 1 is all there is", sum)
 	}
+	return nil
+}
+
+func (p *Policy) checkOut() error {
 	seen := make(map[string]bool)
 	for i, id := range p.Out {
 		switch {
@@ -131,127 +148,21 @@
 		}
 		seen[id] = true
 	}
-	return errors.Join(
-		count("limits.attempts", p.Limits.Attempts, 1, maxAttempts), count("limits.open", p.Limits.Open, 1, maxCount), count("limits.queue", p.Limits.Queue, 0, maxCount),
-		number("retry.free", p.Retry.Free, 0, maxCount), number("retry.share", p.Retry.Share, 0, 1),
-	)
+	return nil
 }
 
-// Limits is a policy with every field there: what a sidecar goes by.
-type Limits struct {
-	Share      []float64 // by tenant, a part of the whole
-	Quota      []float64 // by tenant, requests a second over the fleet; math.Inf(1): none
-	Attempts   int
-	Open       int
-	Queue      int
-	RetryFree  float64
-	RetryShare float64
-	Out        []string // in order
-}
-
-// Settings are a sidecar's own, by which a policy is resolved.
-type Settings struct {
-	Tenants       map[string]int // number by name
-	Limits        Limits
-	Max           Limits // what its own memory and descriptors bear: Attempts, Open and Queue; 0: no bound
-	NoRetryBudget bool   // there is no retry budget here, so none can be changed
-}
-
-// Resolve fills in from the settings what a policy leaves out. A tenant that the settings don't have, or a bound over what this sidecar bears, can't be applied here: the
-// error names the field.
-func (p *Policy) Resolve(s *Settings) (*Limits, error) {
-	l := s.Limits.clone()
-	for _, name := range slices.Sorted(maps.Keys(p.Tenants)) {
-		i, known := s.Tenants[name]
-		if !known || i < 0 || i >= len(l.Share) || i >= len(l.Quota) {
-			return nil, fmt.Errorf("tenants.%s: no such tenant here", name)
-		}
-		if t := p.Tenants[name]; t.Share != nil {
-			l.Share[i] = *t.Share
-		}
-		if t := p.Tenants[name]; t.Quota != nil {
-			l.Quota[i] = *t.Quota
-		}
+// checkNumber checks that a field that is set is between least and most.
+func checkNumber(field string, v *float64, least, most float64) error {
+	if v != nil && !(*v >= least && *v <= most) { // not a number too
+		return fmt.Errorf("%s: %v is not within %v and %v", field, *v, least, most)
 	}
-	// Those that are not named share what is left, as the settings have them to one another.
-	l.fitShares(p, s)
-	for _, f := range []struct {
-		name string
-		v    *int
-		to   *int
-		most int
-	}{
-		{"limits.attempts", p.Limits.Attempts, &l.Attempts, s.Max.Attempts}, {"limits.open", p.Limits.Open, &l.Open, s.Max.Open},
-		{"limits.queue", p.Limits.Queue, &l.Queue, s.Max.Queue},
-	} {
-		if f.v == nil {
-			continue
-		}
-		if f.most > 0 && *f.v > f.most {
-			return nil, fmt.Errorf("%s: %d is over what this sidecar bears, %d", f.name, *f.v, f.most)
-		}
-		*f.to = *f.v
-	}
-	if s.NoRetryBudget && p.Retry != (Retry{}) {
-		return nil, errors.New("retry: the settings here have no retry budget, and so no span that it could be over")
-	}
-	if s.Limits.quotaCount() == 0 {
-		if with := l.quotaCount(); with != 0 && with != len(l.Quota) { // together they say how much the fleet's servers are there for
-			return nil, fmt.Errorf("tenants: the settings here have no quotas, the policy has them for %d of %d: all are to have one, or none", with, len(l.Quota))
-		}
-	}
-	if p.Retry.Free != nil {
-		l.RetryFree = *p.Retry.Free
-	}
-	if p.Retry.Share != nil {
-		l.RetryShare = *p.Retry.Share
-	}
-	l.Out = append(l.Out, p.Out...)
-	slices.Sort(l.Out)
-	l.Out = slices.Compact(l.Out)
-	return l, nil
+	return nil
 }
 
-// quotaCount is how many tenants have one.
-func (l *Limits) quotaCount() (n int) {
-	for _, q := range l.Quota {
-		if q < noQuota {
-			n++
-		}
+// checkCount is checkNumber for whole numbers.
+func checkCount(field string, v *int, least, most int) error {
+	if v != nil && (*v < least || *v > most) {
+		return fmt.Errorf("%s: %d is not within %d and %d", field, *v, least, most)
 	}
-	return n
+	return nil
 }
-
-// fitShares keeps the sum of all shares at 1 at most: those that the policy does not name give way.
-func (l *Limits) fitShares(p *Policy, s *Settings) {
-	named := make([]bool, len(l.Share))
-	said := 0.0
-	for name, t := range p.Tenants {
-		if t.Share != nil {
-			named[s.Tenants[name]] = true
-			said += *t.Share
-		}
-	}
-	rest := 0.0
-	for i, v := range l.Share {
-		if !named[i] {
-			rest += v
-		}
-	}
-	if left := max(0, 1-said); rest > left {
-		for i := range l.Share {
-			if !named[i] {
-				l.Share[i] *= left / rest
-			}
-		}
-	}
-}
-
-func (l *Limits) clone() *Limits {
-	c := *l
-	c.Share, c.Quota, c.Out = slices.Clone(l.Share), slices.Clone(l.Quota), slices.Clone(l.Out)
-	return &c
-}
-
-// noQuota is a quota that bounds nothing.
-var noQuota = math.Inf(1)
--- a/internal/fleet/policyrollout/policy_test.go
+++ b/internal/fleet/policyrollout/policy_test.go
@@ -24,7 +24,14 @@
 	return &Settings{
 		Tenants: map[string]int{"north": 0, "south": 1, "west": 2},
 		Limits: Limits{
-			Share: []float64{0.6, 0.3, 0.1}, Quota: []float64{100, 50, math.Inf(1)}, Attempts: 3, Open: 100, Queue: 20, RetryFree: 10, RetryShare: 0.1, Out: []string{"s-5"},
+			Share:      []float64{0.6, 0.3, 0.1},
+			Quota:      []float64{100, 50, math.Inf(1)},
+			Attempts:   3,
+			Open:       100,
+			Queue:      20,
+			RetryFree:  10,
+			RetryShare: 0.1,
+			Out:        []string{"s-5"},
 		},
 		Max: Limits{Open: 200},
 	}
@@ -38,7 +45,14 @@
 	s := settings()
 	got, err := p.Resolve(s)
 	want := &Limits{
-		Share: []float64{0.5, 0.3, 0.1}, Quota: []float64{80, 50, math.Inf(1)}, Attempts: 2, Open: 100, Queue: 20, RetryFree: 5, RetryShare: 0.1, Out: []string{"s-1", "s-5", "s-9"},
+		Share:      []float64{0.5, 0.3, 0.1},
+		Quota:      []float64{80, 50, math.Inf(1)},
+		Attempts:   2,
+		Open:       100,
+		Queue:      20,
+		RetryFree:  5,
+		RetryShare: 0.1,
+		Out:        []string{"s-1", "s-5", "s-9"},
 	}
 	if err != nil || !reflect.DeepEqual(got, want) {
 		t.Errorf("%+v, %v; want %+v", got, err, want)
@@ -46,7 +60,9 @@
 	if !reflect.DeepEqual(s, settings()) {
 		t.Error("the settings were changed")
 	}
-	for change, says := range map[string]string{"[tenants.east]\nshare = 0.1": "tenants.east", "[limits]\nopen = 201": "limits.open"} {
+	for change, says := range map[string]string{
+		"[tenants.east]\nshare = 0.1": "tenants.east", "[limits]\nopen = 201": "limits.open",
+	} {
 		p, err := Parse([]byte(change))
 		if err != nil {
 			t.Fatal(err)
@@ -60,7 +76,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got, err = p.Resolve(settings()); err != nil || math.Abs(got.Share[1]-0.075) > 1e-9 || math.Abs(got.Share[2]-0.025) > 1e-9 {
+	if got, err = p.Resolve(settings()); err != nil || math.Abs(got.Share[1]-0.075) > 1e-9 ||
+		math.Abs(got.Share[2]-0.025) > 1e-9 {
 		t.Errorf("%+v, %v", got, err)
 	}
 }
@@ -96,14 +113,19 @@
 func drawLimits(t *rapid.T, name string) *Limits {
 	n := rapid.IntRange(0, 4).Draw(t, name+" tenants")
 	l := &Limits{
-		Attempts: rapid.IntRange(1, 5).Draw(t, name+" attempts"), Open: rapid.IntRange(1, 5).Draw(t, name+" open"), Queue: rapid.IntRange(0, 5).Draw(t, name+" queue"),
-		RetryFree: float64(rapid.IntRange(0, 4).Draw(t, name+" free")), RetryShare: float64(rapid.IntRange(0, 4).Draw(t, name+" part")) / 4,
+		Attempts:   rapid.IntRange(1, 5).Draw(t, name+" attempts"),
+		Open:       rapid.IntRange(1, 5).Draw(t, name+" open"),
+		Queue:      rapid.IntRange(0, 5).Draw(t, name+" queue"),
+		RetryFree:  float64(rapid.IntRange(0, 4).Draw(t, name+" free")),
+		RetryShare: float64(rapid.IntRange(0, 4).Draw(t, name+" part")) / 4,
 	}
 	for range n {
 		l.Share = append(l.Share, float64(rapid.IntRange(0, 4).Draw(t, name+" share"))/16)
 		l.Quota = append(l.Quota, []float64{1, 2, 3, math.Inf(1)}[rapid.IntRange(0, 3).Draw(t, name+" quota")])
 	}
-	if out := rapid.SliceOfNDistinct(rapid.SampledFrom([]string{"a", "b", "c"}), 0, 3, rapid.ID).Draw(t, name+" out"); len(out) > 0 {
+	if out := rapid.SliceOfNDistinct(
+		rapid.SampledFrom([]string{"a", "b", "c"}), 0, 3, rapid.ID,
+	).Draw(t, name+" out"); len(out) > 0 {
 		slices.Sort(out)
 		l.Out = out
 	}
@@ -113,7 +135,8 @@
 // equal takes what has no figure for what it stands for.
 func equal(a, b *Limits) bool { return len(Looser(a, b)) == 0 && len(Looser(b, a)) == 0 }
 
-// Stricter is idempotent, commutative and associative, never looser than either, and no stricter than it has to be.
+// Stricter is idempotent, commutative and associative, never looser than either, and no stricter
+// than it has to be.
 func TestStricterIsAMeet(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b, c := drawLimits(t, "a"), drawLimits(t, "b"), drawLimits(t, "c")
@@ -138,7 +161,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	new, err := Parse([]byte("out = [\"s-1\"]\n[tenants.north]\nshare = 0.4\n[tenants.south]\nshare = 0.2\n[limits]\nattempts = 2\n[retry]\nfree = 5.0\n"))
+	new, err := Parse(
+		[]byte(
+			"out = [\"s-1\"]\n[tenants.north]\nshare = 0.4\n[tenants.south]\nshare = 0.2\n[limits]\nattempts = 2\n[retry]\nfree = 5.0\n",
+		),
+	)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -177,7 +204,11 @@
 
 // What stands in a log is read as it was written, or not at all.
 func FuzzStep(f *testing.F) {
-	for _, s := range []Step{{Kind: Started}, {Kind: Proposed, Ref: Ref{Version: 3}, Base: 2, By: 7}, {Kind: Aborted, Ref: Ref{Version: 1}, Why: strings.Repeat("é", 40)}, {Kind: Offered, Ref: Ref{Version: 9}}} {
+	for _, s := range []Step{
+		{Kind: Started}, {Kind: Proposed, Ref: Ref{Version: 3}, Base: 2, By: 7},
+		{Kind: Aborted, Ref: Ref{Version: 1}, Why: strings.Repeat("é", 40)},
+		{Kind: Offered, Ref: Ref{Version: 9}},
+	} {
 		raw, err := s.Encode()
 		if err != nil {
 			f.Fatal(err)
--- a/internal/fleet/policyrollout/state.go
+++ b/internal/fleet/policyrollout/state.go
@@ -11,20 +11,25 @@
 	"caperarch/internal/fleet/policyrollout/policypb"
 )
 
-// Kind is what an entry of the log says.
+// Kind is the kind of an entry of the log.
 type Kind uint32
 
-// The kinds. A change is proposed, then taken or called off, and settled once nobody goes by what was before. Begun comes first, once no grant of an earlier log can count
-// any more: a log that an operator has founded anew must not let anybody go by its policy beside those who still go by the last one's.
+// The kinds of entries. A change is proposed, then committed or aborted, and completed once nobody
+// applies the policy before it. Started comes first, once no grant of an earlier log can count any
+// more: when an operator bootstraps a new log, nobody may apply its policy while others still apply
+// the last log's.
 const (
 	Proposed Kind = iota + 1
 	Committed
 	Aborted
 	Completed
 	Started
-	Offered // of a long text: a change to it is proposed once it is there, so that nobody has to be cut off for want of it
+	// Offered announces a long text: the change to it is proposed once the text is distributed, so
+	// that nobody is cut off for lack of it.
+	Offered
 )
 
+// String returns the kind as logs and operators' output show it.
 func (k Kind) String() string {
 	if k < Proposed || k > Offered {
 		return "unknown"
@@ -32,7 +37,8 @@
 	return [...]string{"proposed", "taken", "called off", "settled", "begun", "offered"}[k-1]
 }
 
-// Ref names a version of the policy by its number and its text's hash. The zero Ref is what holds before any was agreed on: the settings.
+// Ref identifies a version of the policy by its number and its text's hash. The zero Ref is the
+// policy before any was agreed on: the settings.
 type Ref struct {
 	Version uint32
 	Hash    [sha256.Size]byte
@@ -42,19 +48,22 @@
 type Step struct {
 	Kind Kind
 	Ref
-	Base uint32 // Proposed: the version that it was made from
+	Base uint32 // of Proposed and Offered: the version that it was made from
 	By   int
-	Why  string // CalledOff
+	Why  string // of Aborted
 }
 
 const (
-	maxReasonBytes = 32 // bytes of Why: an entry has 96
+	maxReasonBytes = 32 // of Step.Why: an entry has 96
 	maxHistory     = 64
 )
 
-// Encode is the step as an entry.
+// Encode returns the step as an entry of the log.
 func (s Step) Encode() ([]byte, error) {
-	p := &policypb.Step{Kind: uint32(s.Kind), Version: s.Version, Base: s.Base, By: uint32(s.By) + 1, Why: strings.ToValidUTF8(s.Why[:min(len(s.Why), maxReasonBytes)], "")}
+	p := &policypb.Step{
+		Kind: uint32(s.Kind), Version: s.Version, Base: s.Base, By: uint32(s.By) + 1,
+		Why: strings.ToValidUTF8(s.Why[:min(len(s.Why), maxReasonBytes)], ""),
+	}
 	if s.Kind == Proposed || s.Kind == Offered {
 		p.Hash = s.Hash[:]
 	}
@@ -63,10 +72,11 @@
 
 var errEntry = errors.New("an entry that can't be read: of a newer version of the program, maybe")
 
-// DecodeStep reads an entry. What can't be understood is an error: it must not be passed over.
+// DecodeStep parses an entry. What can't be understood is an error: it must not be ignored.
 func DecodeStep(raw []byte) (s Step, err error) {
 	p := new(policypb.Step)
-	if proto.Unmarshal(raw, p) != nil || p.Kind < uint32(Proposed) || p.Kind > uint32(Offered) || (p.Version == 0) != (p.Kind == uint32(Started)) || p.By == 0 {
+	if proto.Unmarshal(raw, p) != nil || p.Kind < uint32(Proposed) || p.Kind > uint32(Offered) ||
+		(p.Version == 0) != (p.Kind == uint32(Started)) || p.By == 0 {
 		return s, errEntry
 	}
 	s = Step{Kind: Kind(p.Kind), Ref: Ref{Version: p.Version}, Base: p.Base, By: int(p.By) - 1, Why: p.Why}
@@ -79,29 +89,30 @@
 	return s, nil
 }
 
-// Past is one change that has its outcome.
+// Past is a change that has its outcome.
 type Past struct {
 	Ref
 	By      int
-	Outcome Kind // Taken or CalledOff
-	EndedBy int  // who put that into the log, or can't apply it
+	Outcome Kind // Committed or Aborted
+	EndedBy int  // who proposed the outcome, or can't apply the version
 	Why     string
 }
 
-// State is what the log makes of the policy: the same at everyone who has the same entries.
+// State is what the log makes of the policy: the same at all sidecars that have the same entries.
 type State struct {
 	Started      bool
 	Current      Ref
-	Offered      Ref    // Version 0: none; its text goes round
-	Pending      Ref    // Version 0: nothing is under way
-	ProposedBy   int    // who proposed either
-	LastVersion  uint32 // the highest version there was
-	Completing   uint32 // the version whose outcome has not settled; 0: nobody goes by what was before
-	OutcomeIndex uint64 // index of that outcome
-	History      []Past // the last historyMost
+	Offered      Ref    // its text is being distributed; Version 0: none
+	Pending      Ref    // its change is in progress; Version 0: none
+	ProposedBy   int    // of Offered or Pending
+	LastVersion  uint32 // the highest version so far
+	Completing   uint32 // has its outcome, but some may still apply the policy before; 0: none
+	OutcomeIndex uint64 // log index of the outcome of Completing
+	History      []Past // the last maxHistory
 }
 
-// Apply takes the next entry, by its index. refused says why it changes nothing: so that of two proposals at once the second hears so.
+// Apply applies the next entry, by its index. refused says why it changes nothing, so that the
+// second of two concurrent proposals learns so.
 func (s *State) Apply(index uint64, e Step) (refused string) {
 	switch e.Kind {
 	case Started:
@@ -127,7 +138,7 @@
 			s.Pending, s.Offered = e.Ref, Ref{}
 		}
 	case Committed, Aborted:
-		if e.Kind == Aborted && e.Version == s.Offered.Version && e.Version != 0 { // nobody has gone by it
+		if e.Kind == Aborted && e.Version == s.Offered.Version && e.Version != 0 { // nobody has applied it
 			s.addHistory(s.Offered, e)
 			s.Offered = Ref{}
 			return ""
@@ -149,11 +160,12 @@
 	return ""
 }
 
-// addHistory notes what became of a version.
+// addHistory records what became of a version.
 func (s *State) addHistory(r Ref, e Step) {
 	s.History = append(s.History, Past{r, s.ProposedBy, e.Kind, e.By, e.Why})
 	s.History = s.History[max(0, len(s.History)-maxHistory):]
 }
 
-// InProgress is the version that is under way, or whose outcome has not settled; 0: none, so another may be proposed.
+// InProgress returns the version whose change is in progress or not completed; 0: none, so another
+// may be proposed.
 func (s *State) InProgress() uint32 { return max(s.Offered.Version, s.Pending.Version, s.Completing) }
--- a/internal/fleet/policyrollout/stricter.go
+++ b/internal/fleet/policyrollout/stricter.go
@@ -5,7 +5,8 @@
 	"slices"
 )
 
-// Stricter is what keeps to both: each bound the lower one, each upstream out that is out by either. What it lets in, each of them lets in.
+// Stricter returns limits that keep to both: each bound the lower one, each upstream out that is
+// out by either. What they let in, each of the two lets in.
 func Stricter(a, b *Limits) *Limits {
 	return &Limits{
 		Share: lower(a.Share, b.Share, 0), Quota: lower(a.Quota, b.Quota, noQuota),
@@ -15,7 +16,7 @@
 	}
 }
 
-// at is a tenant's figure; what a sidecar has no figure for is absent.
+// at returns a tenant's figure, or absent if there is none.
 func at(of []float64, i int, absent float64) float64 {
 	if i < len(of) {
 		return of[i]
@@ -23,7 +24,7 @@
 	return absent
 }
 
-// lower is the lower of two, tenant by tenant.
+// lower returns the lower of two figures, tenant by tenant.
 func lower(a, b []float64, absent float64) []float64 {
 	all := make([]float64, max(len(a), len(b)))
 	for i := range all {
@@ -32,15 +33,6 @@
 	return all
 }
 
-func union(a, b []string) []string {
-	if len(a)+len(b) == 0 {
-		return nil
-	}
-	all := slices.Concat(a, b)
-	slices.Sort(all)
-	return slices.Compact(all)
-}
-
 // Looser names the fields in which a lets in more than b; none: a is as strict as b, or stricter.
 func Looser(a, b *Limits) (fields []string) {
 	say := func(looser bool, field string, x, y any) {
@@ -66,3 +58,12 @@
 	}
 	return fields
 }
+
+func union(a, b []string) []string {
+	if len(a)+len(b) == 0 {
+		return nil
+	}
+	all := slices.Concat(a, b)
+	slices.Sort(all)
+	return slices.Compact(all)
+}
