--- a/internal/fleet/maintenance/history_test.go
+++ b/internal/fleet/maintenance/history_test.go
@@ -14,8 +14,9 @@
 	histories = flag.Int("histories", 150, "how many are played")
 )
 
-// history is a fleet's log, and those who write to it: leaders of rising terms, of which the earlier ones may go on thinking that they lead, and operators. What they propose comes late, twice or never, as the log
-// has it where a leader is lost on the way.
+// history is a fleet's log, and those who write to it: leaders of rising terms, of which the
+// earlier ones may go on thinking that they lead, and operators. What they propose comes late,
+// twice or never, as the log has it where a leader is lost on the way.
 type history struct {
 	rng       *rand.Rand
 	now       time.Duration
@@ -81,7 +82,8 @@
 	}
 }
 
-// enter puts an entry into the log, and looks at what has become of the machines from outside: by the entries that were accepted alone.
+// enter puts an entry into the log, and looks at what has become of the machines from outside: by
+// the entries that were accepted alone.
 func (h *history) enter(s Step) {
 	h.log = append(h.log, s)
 	before := len(h.state.Windows)
@@ -119,8 +121,12 @@
 		}
 		for _, w := range h.state.Plans {
 			b := h.bounds[w.Number].Out
-			if out > b.Fleet.limit(len(h.machines)) || cells[m.Cell] > b.Cell.limit(allCells[m.Cell]) || zones[m.Zone] > b.Zone.limit(allZones[m.Zone]) {
-				h.say("turn %d: %d out, %d in its cell, %d in its zone, plan %d allows %+v", s.Number, out, cells[m.Cell], zones[m.Zone], w.Number, b)
+			if out > b.Fleet.limit(len(h.machines)) ||
+				cells[m.Cell] > b.Cell.limit(allCells[m.Cell]) || zones[m.Zone] > b.Zone.limit(allZones[m.Zone]) {
+				h.say(
+					"turn %d: %d out, %d in its cell, %d in its zone, plan %d allows %+v", s.Number,
+					out, cells[m.Cell], zones[m.Zone], w.Number, b,
+				)
 			}
 		}
 	case Released:
@@ -172,7 +178,10 @@
 
 // world is what a leader sees: true but for what it can't know.
 func (h *history) world(l *reader) *Snapshot {
-	w := &Snapshot{Now: h.now, Current: h.calm || h.rng.IntN(20) > 0, Traffic: h.traffic, InTime: 1, Plan: func(hash [32]byte) (*Plan, bool) { p, ok := h.plans[hash]; return p, ok }}
+	w := &Snapshot{
+		Now: h.now, Current: h.calm || h.rng.IntN(20) > 0, Traffic: h.traffic, InTime: 1,
+		Plan: func(hash [32]byte) (*Plan, bool) { p, ok := h.plans[hash]; return p, ok },
+	}
 	if !h.calm && h.rng.IntN(8) == 0 {
 		w.Unreachable = 1
 	}
@@ -230,7 +239,16 @@
 
 func play(seed uint64) *history {
 	h := &history{
-		rng: rand.New(rand.NewPCG(seed, 5)), plans: make(map[[32]byte]*Plan), bounds: make(map[uint32]*Plan), counts: make(map[string]int), working: make(map[uint32]time.Duration), phase: make(map[uint32]Kind), paused: make(map[uint32]bool), turns: make(map[[2]uint64]int), given: make(map[uint32]Step), machines: machines(6 + int(seed%9)),
+		rng:      rand.New(rand.NewPCG(seed, 5)),
+		plans:    make(map[[32]byte]*Plan),
+		bounds:   make(map[uint32]*Plan),
+		counts:   make(map[string]int),
+		working:  make(map[uint32]time.Duration),
+		phase:    make(map[uint32]Kind),
+		paused:   make(map[uint32]bool),
+		turns:    make(map[[2]uint64]int),
+		given:    make(map[uint32]Step),
+		machines: machines(6 + int(seed%9)),
 	}
 	h.downUntil = make([]time.Duration, len(h.machines))
 	h.traffic = 4 * float64(len(h.machines))
@@ -248,7 +266,11 @@
 	}
 	lead()
 	plan := func() {
-		text := fmt.Sprintf("all = true\nbears = 10.0\ncut_off = %q\nlongest = \"%ds\"\n[out]\nfleet = \"%d\"\ncell = \"%d\"\n", []string{ByOperator, AwaitExpiry}[h.rng.IntN(2)], 20+h.rng.IntN(60), 1+h.rng.IntN(3), 1+h.rng.IntN(2))
+		text := fmt.Sprintf(
+			"all = true\nbears = 10.0\ncut_off = %q\nlongest = \"%ds\"\n[out]\nfleet = \"%d\"\ncell = \"%d\"\n",
+			[]string{ByOperator, AwaitExpiry}[h.rng.IntN(2)], 20+h.rng.IntN(60), 1+h.rng.IntN(3),
+			1+h.rng.IntN(2),
+		)
 		p, err := Parse([]byte(text))
 		if err != nil {
 			h.say("%v", err)
@@ -276,9 +298,15 @@
 				plan()
 			}
 		case 6, 9, 10, 11:
-			h.propose(Step{Kind: []Kind{Paused, Paused, Paused, Resumed, Cancelled}[h.rng.IntN(5)], Number: 1 + h.rng.Uint32N(h.state.LastPlan+1), By: 1})
+			h.propose(
+				Step{
+					Kind:   []Kind{Paused, Paused, Paused, Resumed, Cancelled}[h.rng.IntN(5)],
+					Number: 1 + h.rng.Uint32N(h.state.LastPlan+1), By: 1,
+				},
+			)
 		case 7:
-			h.propose(Step{Kind: Done, Number: 1 + h.rng.Uint32N(h.state.LastWindow+1), By: 2}) // for a turn that may be over: its number tells
+			// for a turn that may be over: its number tells
+			h.propose(Step{Kind: Done, Number: 1 + h.rng.Uint32N(h.state.LastWindow+1), By: 2})
 		case 8:
 			h.traffic = float64(len(h.machines)) * (2 + 10*h.rng.Float64())
 		}
@@ -307,7 +335,9 @@
 	return h
 }
 
-// Whatever comes late, twice or never, and whoever thinks that it leads: no machine is out twice, never more are out than every plan under way allows, turns' numbers grow, and in the end all plans end.
+// Whatever comes late, twice or never, and whoever thinks that it leads: no machine is out twice,
+// never more are out than every plan under way allows, turns' numbers grow, and in the end all
+// plans end.
 func TestHistories(t *testing.T) {
 	first, last := uint64(1), uint64(*histories)
 	if *seed != 0 {
@@ -331,7 +361,10 @@
 		}
 	}
 	t.Logf("%d histories: %v", last-first+1, sum)
-	for _, what := range []string{"given", "free", "withdrawn", "done", "over", "paused", "resumed", "cancelled", "finished", "leads", "refused"} {
+	for _, what := range []string{
+		"given", "free", "withdrawn", "done", "over", "paused", "resumed", "cancelled", "finished",
+		"leads", "refused",
+	} {
 		if *seed == 0 && sum[what] == 0 {
 			t.Errorf("nothing was ever %s", what)
 		}
--- a/internal/fleet/maintenance/leader_test.go
+++ b/internal/fleet/maintenance/leader_test.go
@@ -25,7 +25,11 @@
 		t.Fatal(err)
 	}
 	g := &stage{t: t, l: NewLeader(1, 0), plan: p}
-	g.w = Snapshot{Now: time.Hour, Current: true, Machines: machines(8), Traffic: 40, InTime: 1, Clear: func(uint32) bool { return g.clear }, Plan: func([32]byte) (*Plan, bool) { return g.plan, g.plan != nil }}
+	g.w = Snapshot{
+		Now: time.Hour, Current: true, Machines: machines(8), Traffic: 40, InTime: 1,
+		Clear: func(uint32) bool { return g.clear },
+		Plan:  func([32]byte) (*Plan, bool) { return g.plan, g.plan != nil },
+	}
 	g.enter(Step{Kind: Planned, Number: 1, Hash: [32]byte{1}, By: 1})
 	g.next(LeaderStarted)
 	return g
@@ -104,7 +108,10 @@
 		"late answers":            {func(g *stage) { g.w.InTime = 0.94 }, "in time"},
 		"no text":                 {func(g *stage) { g.plan = nil }, "text"},
 		"three are down":          {func(g *stage) { g.downBut(&g.w.Machines[5], 3) }, "would be out"},
-		"three are cold":          {func(g *stage) { g.w.Machines[0].Warmth, g.w.Machines[4].Warmth, g.w.Machines[7].Warmth = 0.9, 0.9, 0.9 }, "would be out"},
+		"three are cold": {
+			func(g *stage) { g.w.Machines[0].Warmth, g.w.Machines[4].Warmth, g.w.Machines[7].Warmth = 0.9, 0.9, 0.9 },
+			"would be out",
+		},
 		"some drain, or are out by hand": {func(g *stage) {
 			g.w.Machines[0].State, g.w.Machines[4].State, g.w.Machines[7].State = MachineDraining, MachineDraining, MachineDraining
 		}, "would be out"},
@@ -127,14 +134,17 @@
 	}
 }
 
-// Up to the moment at which somebody is told that it may be worked on, what has become of the others counts.
+// Up to the moment at which somebody is told that it may be worked on, what has become of the
+// others counts.
 func TestWithdrawn(t *testing.T) {
 	for name, change := range map[string]func(g *stage, m *Machine){
-		"two others went down":       func(g *stage, m *Machine) { g.downBut(m, 2) },
-		"traffic doubled":            func(g *stage, _ *Machine) { g.w.Traffic = 80 },
-		"somebody sends on and on":   func(g *stage, _ *Machine) { g.clear = false; g.after(61 * time.Second) },
-		"its plan was cancelled":     func(g *stage, _ *Machine) { g.enter(Step{Kind: Cancelled, Number: 1, By: 1}) },
-		"its cell's other went down": func(g *stage, m *Machine) { find(g.w.Machines, (m.ID-1)^1+1).State = MachineDown },
+		"two others went down":     func(g *stage, m *Machine) { g.downBut(m, 2) },
+		"traffic doubled":          func(g *stage, _ *Machine) { g.w.Traffic = 80 },
+		"somebody sends on and on": func(g *stage, _ *Machine) { g.clear = false; g.after(61 * time.Second) },
+		"its plan was cancelled":   func(g *stage, _ *Machine) { g.enter(Step{Kind: Cancelled, Number: 1, By: 1}) },
+		"its cell's other went down": func(g *stage, m *Machine) {
+			find(g.w.Machines, (m.ID-1)^1+1).State = MachineDown
+		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := newStage(t)
@@ -164,7 +174,8 @@
 	}
 }
 
-// A plan stops, and says why, where a turn takes too long, a machine never comes back, or service gets worse; resumed, it goes on.
+// A plan stops, and says why, where a turn takes too long, a machine never comes back, or service
+// gets worse; resumed, it goes on.
 func TestPlanStops(t *testing.T) {
 	for why, spoil := range map[string]func(g *stage, turn Step){
 		"takes too long": func(g *stage, _ Step) { g.after(61 * time.Second) },
@@ -208,7 +219,8 @@
 	}
 }
 
-// Cells are spread, strained machines go first, then those that carry most; the same inputs give the same order.
+// Cells are spread, strained machines go first, then those that carry most; the same inputs give
+// the same order.
 func TestOrder(t *testing.T) {
 	order := func() (ids []uint64) {
 		g := newStage(t)
@@ -238,7 +250,8 @@
 	}
 }
 
-// A plan that waits for sidecars out of contact has no turn become free while there are any, and one that waits too long is withdrawn; what leases and deadlines take is not too long.
+// A plan that waits for sidecars out of contact has no turn become free while there are any, and
+// one that waits too long is withdrawn; what leases and deadlines take is not too long.
 func TestAwaitedBeforeFree(t *testing.T) {
 	g := newStage(t)
 	g.w.Slack = 30 * time.Second
@@ -281,7 +294,8 @@
 	if len(g.s.MachinesOut()) != 1 {
 		t.Errorf("out: %v", g.s.MachinesOut())
 	}
-	for _, number := range []uint32{turn.Number, turn.Number + 2} { // one that came late, one that overtook another
+	// one that came late, one that overtook another
+	for _, number := range []uint32{turn.Number, turn.Number + 2} {
 		other := Step{Kind: Opened, Number: number, Plan: 1, LastPlan: 1, Machine: g.w.Machines[7].ID, Term: g.l.Term}
 		if g.s.Apply(other) == "" {
 			t.Errorf("turn %d was taken behind turn %d", number, turn.Number)
--- a/internal/fleet/maintenance/machines.go
+++ b/internal/fleet/maintenance/machines.go
@@ -7,11 +7,12 @@
 )
 
 const (
-	downTime      = 10 * time.Minute // a machine that left the list is taken to be down for so long; behind that it is gone for good
-	maxRemembered = maxMachines      // that are remembered so
+	// a machine that left the list counts as down for so long, and then as removed
+	downTime      = 10 * time.Minute
+	maxRemembered = maxMachines // machines that are remembered as down
 )
 
-// MachineList is the list of machines with those that left it lately. The zero value is ready.
+// MachineList is the list of machines with those that left it recently. The zero value is ready.
 type MachineList struct {
 	listed  map[uint64]Machine
 	missing map[uint64]missingMachine
@@ -22,7 +23,7 @@
 	since time.Duration
 }
 
-// Update takes the list as it is now.
+// Update replaces the list.
 func (r *MachineList) Update(now time.Duration, all []Machine) {
 	next := make(map[uint64]Machine, len(all))
 	for _, m := range all {
@@ -44,7 +45,7 @@
 	r.listed = next
 }
 
-// Name is a machine as people call it; false: it is neither listed nor down.
+// Name returns a machine's name for operators; false: it is neither listed nor down.
 func (r *MachineList) Name(now time.Duration, id uint64) (string, bool) {
 	if m, here := r.listed[id]; here {
 		return m.Name, true
@@ -53,7 +54,7 @@
 	return g.Name, left && now-g.since < downTime
 }
 
-// All is the list with those that are down, in the order of ids.
+// All returns the list with those that are down, by id.
 func (r *MachineList) All(now time.Duration) []Machine {
 	all := slices.Collect(maps.Values(r.listed))
 	for id, g := range r.missing {
--- a/internal/fleet/maintenance/plan.go
+++ b/internal/fleet/maintenance/plan.go
@@ -1,5 +1,12 @@
-// Package maintenance is how the sidecars of a fleet take machines out for work, one turn after the other: the operator's plan, the bounds on how many may be out, the order, and the turns as entries of the
-// agreed log. It is free of I/O, goroutines and clocks. Equal entries give equal State everywhere; only the log's leader decides (Leader), by what it knows of the machines at that moment.
+// Package maintenance takes a fleet's machines out for work, one maintenance window after the
+// other: the operator's plan, the bounds on how many machines may be out, the order, and the
+// windows as entries of the replicated log.
+//
+// It owns the state that the log makes of plans and windows (State), the leader's decisions
+// (Leader) and what sidecars report for them (Reports, LocalClearance, Load). It does no I/O,
+// starts no goroutines and reads no clock; its types are not safe for concurrent use. Equal entries
+// give an equal State everywhere; only the log's leader decides, by what it knows of the machines
+// at that moment.
 package maintenance
 
 import (
@@ -7,8 +14,6 @@
 	"fmt"
 	"math"
 	"slices"
-	"strconv"
-	"strings"
 	"time"
 
 	"caperarch/internal/proxy/strictconfig"
@@ -27,76 +32,29 @@
 	Zones    []string `toml:"zones"`    // or of these,
 	All      bool     `toml:"all"`      // or all that are listed
 
-	Out                Bounds   `toml:"out"`     // how many may be out at once, for whatever reason
-	Reserve            float64  `toml:"reserve"` // share of what the others carry that must stay free
-	CapacityPerMachine float64  `toml:"bears"`   // requests a second that a machine of weight 1 carries; 0: not known, and no reserve is kept
-	InTime             float64  `toml:"in_time"` // share of the requests that has to be served in time before the next turn
-	MaxDuration        Duration `toml:"longest"` // that one may be out; the plan stops then
-	DoneWhen           string   `toml:"back"`    // what says that a machine is done: "told" by the operator, or that it has "started" anew
-	CutOff             string   `toml:"cut_off"` // sidecars out of contact, which may send to a machine that is out: "told" with the answer, or "awaited"
+	Out     Bounds  `toml:"out"`     // machines that may be out at once, for whatever reason
+	Reserve float64 `toml:"reserve"` // share of the others' capacity that must stay free
+	// requests per second of a machine of weight 1; 0: unknown, and no reserve is kept
+	CapacityPerMachine float64 `toml:"bears"`
+	// share of requests that has to be served in time before the next window
+	InTime      float64  `toml:"in_time"`
+	MaxDuration Duration `toml:"longest"` // of a window; the plan is paused after it
+	// the work is done when "told" by the operator, or when the machine has "started" anew
+	DoneWhen string `toml:"back"`
+	// sidecars out of contact, which may send to a machine that is out: "told" to the operator, or
+	// "awaited"
+	CutOff string `toml:"cut_off"`
 }
 
-// Bounds are how many may be out at once. Those left out don't bind.
-type Bounds struct {
-	Fleet *Bound `toml:"fleet"`
-	Zone  *Bound `toml:"zone"` // in each
-	Cell  *Bound `toml:"cell"`
-}
-
-// Bound is a number of machines, or a share of them in percent, rounded down.
-type Bound struct {
-	Count   int
-	Percent float64
-}
-
-// UnmarshalText reads "2" or "10%".
-func (b *Bound) UnmarshalText(text []byte) error {
-	s := string(text)
-	if share, is := strings.CutSuffix(s, "%"); is {
-		p, err := strconv.ParseFloat(share, 64)
-		if err != nil || !(p > 0 && p <= 100) {
-			return fmt.Errorf("%q is no share: above 0%% and at most 100%%", s)
-		}
-		*b = Bound{Percent: p}
-		return nil
-	}
-	n, err := strconv.Atoi(s)
-	if err != nil || n < 1 || n > maxMachines {
-		return fmt.Errorf("%q is no bound: a number from 1 to %d, or a share such as \"10%%\"", s, maxMachines)
-	}
-	*b = Bound{Count: n}
-	return nil
-}
-
-// limit is the bound where there are so many; a nil one does not bind.
-func (b *Bound) limit(n int) int {
-	switch {
-	case b == nil:
-		return math.MaxInt
-	case b.Count > 0:
-		return b.Count
-	}
-	return int(b.Percent / 100 * float64(n))
-}
-
-// Duration is a time as operators write it, such as "30m".
-type Duration time.Duration
-
-// UnmarshalText reads one.
-func (d *Duration) UnmarshalText(text []byte) error {
-	t, err := time.ParseDuration(string(text))
-	*d = Duration(t)
-	return err
-}
-
-// What says that a machine is done, and what becomes of sidecars out of contact.
+// What ends the work on a machine (Plan.DoneWhen), and what becomes of sidecars out of contact
+// (Plan.CutOff).
 const (
 	ByOperator  = "told"
 	Restarted   = "started"
 	AwaitExpiry = "awaited"
 )
 
-// Parse reads a plan. An error names line or field.
+// Parse parses a plan. An error names the line or the field.
 func Parse(text []byte) (*Plan, error) {
 	p := &Plan{InTime: 0.95, MaxDuration: Duration(time.Hour), DoneWhen: ByOperator, CutOff: ByOperator, Reserve: 0.1}
 	if err := strictconfig.DecodeTOML(text, p); err != nil {
@@ -146,7 +104,7 @@
 	return nil
 }
 
-// matches says whether a plan is about a machine.
+// matches reports whether a plan is about a machine.
 func (p *Plan) matches(m *Machine) bool {
 	switch {
 	case p.All:
@@ -159,7 +117,8 @@
 	return slices.Contains(p.Machines, m.Name)
 }
 
-// CheckMachines says why a plan can't begin with the machines that there are: told at once, not waited for.
+// CheckMachines returns why a plan can't begin with the machines that there are, so that its
+// operator learns so at once.
 func (p *Plan) CheckMachines(all []Machine) error {
 	listed, named := make(map[string]bool, len(all)), 0
 	for i := range all {
@@ -176,6 +135,12 @@
 	if named == 0 {
 		return errors.New("no machine that is listed is meant")
 	}
+	return p.checkBounds(all)
+}
+
+// checkBounds returns an error if a bound lets no machine go out, or if one machine is all there
+// is.
+func (p *Plan) checkBounds(all []Machine) error {
 	zones, cells := countByZoneAndCell(all)
 	for i := range all {
 		m := &all[i]
@@ -186,9 +151,15 @@
 			field string
 			bound *Bound
 			there int
-		}{{"fleet", p.Out.Fleet, len(all)}, {"zone", p.Out.Zone, zones[m.Zone]}, {"cell", p.Out.Cell, cells[m.Cell]}} {
+		}{
+			{"fleet", p.Out.Fleet, len(all)}, {"zone", p.Out.Zone, zones[m.Zone]},
+			{"cell", p.Out.Cell, cells[m.Cell]},
+		} {
 			if b.bound.limit(b.there) < 1 {
-				return fmt.Errorf("out.%s: %v%% of %d machines is less than one, so %s could never go", b.field, b.bound.Percent, b.there, m.Name)
+				return fmt.Errorf(
+					"out.%s: %v%% of %d machines is less than one, so %s could never go", b.field,
+					b.bound.Percent, b.there, m.Name,
+				)
 			}
 		}
 		if why := p.whyOverloaded(all, map[uint64]bool{m.ID: true}, 0); p.CapacityPerMachine > 0 && why != "" {
@@ -198,7 +169,7 @@
 	return nil
 }
 
-// countByZoneAndCell counts machines by zone and cell, those that are gone for now among them.
+// countByZoneAndCell counts machines, down ones included.
 func countByZoneAndCell(all []Machine) (zones map[string]int, cells map[int]int) {
 	zones, cells = make(map[string]int), make(map[int]int)
 	for i := range all {
@@ -208,7 +179,8 @@
 	return zones, cells
 }
 
-// whyOverloaded says why those that are left can't carry the traffic with the plan's reserve; "" where they can, or where it is not known what they bear.
+// whyOverloaded returns why the machines that are left can't carry the traffic with the plan's
+// reserve; "" if they can, or if their capacity is not known.
 func (p *Plan) whyOverloaded(all []Machine, out map[uint64]bool, traffic float64) string {
 	if p.CapacityPerMachine == 0 {
 		return ""
--- a/internal/fleet/maintenance/plan_test.go
+++ b/internal/fleet/maintenance/plan_test.go
@@ -8,12 +8,19 @@
 
 func machines(n int) (all []Machine) {
 	for i := range n {
-		all = append(all, Machine{ID: uint64(i + 1), Name: fmt.Sprintf("s-%d", i), Zone: []string{"a", "b"}[i%2], Cell: i / 4, Weight: 1, State: MachineReady, Warmth: 1})
+		all = append(
+			all,
+			Machine{
+				ID: uint64(i + 1), Name: fmt.Sprintf("s-%d", i), Zone: []string{"a", "b"}[i%2],
+				Cell: i / 4, Weight: 1, State: MachineReady, Warmth: 1,
+			},
+		)
 	}
 	return all
 }
 
-// What can't be used is an error that names its field or line; what no bound ever allows is told at once.
+// What can't be used is an error that names its field or line; what no bound ever allows is told at
+// once.
 func TestPlansThatCantBeUsed(t *testing.T) {
 	for text, want := range map[string]string{
 		"all = true\n": "out.fleet",
@@ -50,7 +57,9 @@
 			t.Errorf("%q: %v, want something about %q", text, err, want)
 		}
 	}
-	p, err := Parse([]byte("zones = [\"a\"]\nbears = 10.0\nback = \"started\"\n[out]\nfleet = \"25%\"\ncell = \"1\"\n"))
+	p, err := Parse(
+		[]byte("zones = [\"a\"]\nbears = 10.0\nback = \"started\"\n[out]\nfleet = \"25%\"\ncell = \"1\"\n"),
+	)
 	if err == nil {
 		err = p.CheckMachines(machines(8))
 	}
@@ -64,7 +73,8 @@
 	for i := range maxMachines + 1 {
 		long += fmt.Sprintf("\"s-%d\",", i)
 	}
-	if _, err := Parse([]byte(long + "]\nout.fleet = \"1\"")); err == nil || !strings.Contains(err.Error(), "10001 of them") {
+	if _, err := Parse([]byte(long + "]\nout.fleet = \"1\"")); err == nil ||
+		!strings.Contains(err.Error(), "10001 of them") {
 		t.Errorf("ten thousand and one: %v", err)
 	}
 }
@@ -74,12 +84,16 @@
 	for _, s := range []Step{
 		{Kind: LeaderStarted, Term: 7, By: 299},
 		{Kind: Planned, Number: 1 << 30, By: 4999, Hash: [32]byte{1, 2, 3}},
-		{Kind: Opened, Number: 1 << 30, Plan: 1 << 30, LastPlan: 1 << 30, Machine: ^uint64(0), Term: ^uint64(0), By: 4999},
+		{
+			Kind: Opened, Number: 1 << 30, Plan: 1 << 30, LastPlan: 1 << 30, Machine: ^uint64(0),
+			Term: ^uint64(0), By: 4999,
+		},
 		{Kind: Withdrawn, Number: 3, Term: 1, Why: strings.Repeat("x", maxReasonBytes)},
 		{Kind: Paused, Number: 3, Why: "too long"},
 	} {
 		raw, err := s.Encode()
-		if err != nil || len(raw) > 84 { // an entry of the log has 96, what tells it from a policy's takes some
+		// an entry of the log has 96, what tells it from a policy's takes some
+		if err != nil || len(raw) > 84 {
 			t.Fatalf("%+v: %d bytes, %v", s, len(raw), err)
 		}
 		if back, err := Decode(raw); err != nil || back != s {
@@ -91,7 +105,10 @@
 		t.Error(err)
 	}
 	for name, s := range map[string]Step{
-		"a turn of nobody": {Kind: Opened, Number: 1, Plan: 1, Machine: 1}, "a kind of a newer version": {Kind: kinds, Number: 1}, "no number": {Kind: Done}, "a machine that is none": {Kind: Opened, Number: 1, Plan: 1, Term: 1},
+		"a turn of nobody":          {Kind: Opened, Number: 1, Plan: 1, Machine: 1},
+		"a kind of a newer version": {Kind: kinds, Number: 1},
+		"no number":                 {Kind: Done},
+		"a machine that is none":    {Kind: Opened, Number: 1, Plan: 1, Term: 1},
 	} {
 		raw, _ := s.Encode()
 		if _, err := Decode(raw); err == nil {
--- a/internal/fleet/maintenance/reports.go
+++ b/internal/fleet/maintenance/reports.go
@@ -1,32 +1,37 @@
 package maintenance
 
-import "time"
+import (
+	"time"
+)
 
-// Report is what a sidecar tells the log's leader while a plan or a turn is there.
+// Report is what a sidecar tells the log's leader while there is a plan or a window.
 type Report struct {
-	ClearUpTo uint32  // of all turns up to this one's number that are not over: it sends nothing to their machines, and has nothing out there
-	Rate      float64 // requests a second that it answered lately
+	// it sends nothing, and has nothing in flight, to the machines of all windows up to this one
+	ClearUpTo uint32
+	Rate      float64 // requests per second that it answered recently
 	InTime    float64 // share of them that it served in time
 }
 
-// Reports is what the log's leader has been told in its term. The zero value knows nothing; Size and Deadline are to be set.
+// Reports is what the log's leader has been told in its term. The zero value knows nothing; Size
+// and Deadline are to be set.
 type Reports struct {
 	Size     int
-	Deadline time.Duration // the longest that a request may be out
+	Deadline time.Duration // the longest that a request may be in flight
 
 	received []receivedReport
 }
 
-// receivedReport is what one sidecar has told last.
+// receivedReport is the last report of a sidecar.
 type receivedReport struct {
 	Report
 	incarnation uint64
-	sequence    uint32 // of its report
+	sequence    uint32 // of the report
 	received    bool
 }
 
-// Receive takes a report, by its process's life and its number. What was overtaken on the way says nothing: a process that is clear of a turn stays so, and one that has come in its place
-// has told of itself already.
+// Receive records a report, by its process's incarnation and sequence number. One that arrives
+// after a later one is dropped: a process that is clear of a window stays so, and a process that
+// has come in its place has reported already.
 func (b *Reports) Receive(from int, life uint64, turn uint32, r Report) {
 	if from < 0 || from >= b.Size {
 		return
@@ -46,8 +51,9 @@
 	return t
 }
 
-// WaitingFor are those who may still send to a turn's machine, or have something out there, as far as can be known. until is when no grant of a sidecar can count any more: up to then it has
-// to tell that it is clear; behind it the longest deadline has to be over.
+// WaitingFor returns the sidecars that may still send to a window's machine, or have requests in
+// flight there. until returns when no grant of a sidecar can count any more: up to then the sidecar
+// has to report that it is clear; after that the longest deadline has to pass.
 func (b *Reports) WaitingFor(now time.Duration, turn uint32, until func(i int) time.Duration) (all []int) {
 	for i := range b.Size {
 		switch t, end := b.reportOf(i), until(i); {
@@ -60,15 +66,16 @@
 	return all
 }
 
-// Summary is what all sidecars have together.
+// Summary is the sum of all sidecars' reports.
 type Summary struct {
-	Traffic     float64 // requests a second
+	Traffic     float64 // requests per second
 	InTime      float64 // share of them
-	Unreachable []int   // those who have no grant: what they send, and to whom, is not known
-	Complete    bool    // each of the others has told
+	Unreachable []int   // sidecars without a grant: what they send, and to whom, is not known
+	Complete    bool    // each of the others has reported
 }
 
-// Summarize adds up. Who is away is taken to have as much traffic as the others have on average: it serves on, by its list.
+// Summarize adds up the reports. A sidecar that is out of contact is assumed to have the average
+// traffic of the others: it goes on serving.
 func (b *Reports) Summarize(now time.Duration, until func(i int) time.Duration) Summary {
 	s := Summary{InTime: 1, Complete: true}
 	good, heard := 0.0, 0
--- a/internal/fleet/maintenance/reports_test.go
+++ b/internal/fleet/maintenance/reports_test.go
@@ -32,7 +32,8 @@
 	b.Receive(9, 1, 1, Report{}) // nobody
 }
 
-// Who is away is taken to have as much traffic as the others; nobody's word is waited for who may have none.
+// Who is away is taken to have as much traffic as the others; nobody's word is waited for who may
+// have none.
 func TestBookSum(t *testing.T) {
 	b := Reports{Size: 4}
 	until := func(i int) time.Duration { return []time.Duration{100, 100, 100, 50}[i] }
@@ -50,7 +51,8 @@
 	}
 }
 
-// A machine that leaves the list is down for a while, then gone for good; the counters' rate is of the last seconds.
+// A machine that leaves the list is down for a while, then gone for good; the counters' rate is of
+// the last seconds.
 func TestRollAndLoad(t *testing.T) {
 	var r MachineList
 	two := machines(2)
@@ -78,7 +80,9 @@
 	}
 }
 
-// A sidecar is clear up to the first turn of whose machine it is not known that nothing is out there; a process younger than the longest deadline is clear of nothing; another log's turn of the same number is another one.
+// A sidecar is clear up to the first turn of whose machine it is not known that nothing is out
+// there; a process younger than the longest deadline is clear of nothing; another log's turn of the
+// same number is another one.
 func TestOwn(t *testing.T) {
 	var o LocalClearance
 	s := &State{LastWindow: 5, Windows: []Window{{Number: 3, Machine: 30}, {Number: 5, Machine: 50}}}
--- a/internal/fleet/policyrollout/participant.go
+++ b/internal/fleet/policyrollout/participant.go
@@ -67,7 +67,7 @@
 const Waiting = "its text is not here yet"
 
 // ApplyEntry applies the next entry of the log.
-func (h *Participant) ApplyEntry(index uint64, raw []byte) (refused string, err error) {
+func (h *Participant) ApplyEntry(index uint64, raw []byte) (rejected string, err error) {
 	h.lastIndex = index
 	e, err := DecodeStep(raw)
 	if err != nil {
--- a/internal/fleet/policyrollout/state.go
+++ b/internal/fleet/policyrollout/state.go
@@ -111,9 +111,9 @@
 	History      []Past // the last maxHistory
 }
 
-// Apply applies the next entry, by its index. refused says why it changes nothing, so that the
+// Apply applies the next entry, by its index. rejected says why it changes nothing, so that the
 // second of two concurrent proposals learns so.
-func (s *State) Apply(index uint64, e Step) (refused string) {
+func (s *State) Apply(index uint64, e Step) (rejected string) {
 	switch e.Kind {
 	case Started:
 		if s.Started {
