--- a/internal/fleet/healthgossip/healthgossip.go
+++ b/internal/fleet/healthgossip/healthgossip.go
@@ -1,8 +1,11 @@
-// Package healthgossip keeps what sidecars tell each other of servers that don't answer. It is free of I/O; time is passed in.
+// Package healthgossip keeps what the sidecars of a fleet tell each other of servers that don't
+// answer. It does no I/O; time is passed in.
 //
-// A hint only adds caution, and only to what the one who hears it finds itself: where enough others say lately that a server is silent, one failure of one's own counts
-// as two in a row do else, so that a quiet sidecar does not need a second request to pay for it. Nothing that is heard makes a server more loved, adds one, or takes
-// its turns away by itself. So the greatest harm of any number of liars is that a server rests for 20 ms, at most 0.64 s, after a single failure of its own.
+// A hint only adds caution, and only to what the receiver finds itself: while enough others report
+// a server, a single own failure counts like two in a row otherwise, so that a sidecar with little
+// traffic does not lose a second request to it. No report makes a server preferred, adds one, or
+// takes it out of the rotation by itself. So the most that any number of false reports can do is
+// that a server rests for 20 ms, at most 0.64 s, after a single failure of its own.
 package healthgossip
 
 import (
@@ -11,69 +14,74 @@
 )
 
 const (
-	quorum       = 3               // others that have to say the same,
-	reportTTL    = 5 * time.Second // within this
-	minFailures  = 2               // in a row, of one's own attempts, before one says it of a server,
-	announceTime = 5 * time.Second // for this long behind the last of them
-	maxAnnounced = 4               // servers at a time
-	maxOwn       = 1024            // servers whose ends are kept: bounds memory where lists change for ever
-	maxReported  = 256             // and ones that are told of
-	maxReporters = 2 * quorum      // of those who tell of one
+	quorum       = 3               // other sidecars that have to report a server
+	reportTTL    = 5 * time.Second // of other sidecars' reports
+	minFailures  = 2               // consecutive failures of own attempts before a server is reported,
+	announceTime = 5 * time.Second // for this long after the last of them
+	maxAnnounced = 4               // servers per message
+	maxOwn       = 1024            // servers with own failures: bounds memory
+	maxReported  = 256             // servers reported by others
+	maxReporters = 2 * quorum      // of one server
 )
 
-// Quorum is how many others of a fleet have to say the same: three, or all but oneself where there are fewer.
+// Quorum returns how many others of a fleet have to report a server: three, or all others if there
+// are fewer.
 func Quorum(size int) int { return max(1, min(quorum, size-1)) }
 
-// Server names one; it is the same at every sidecar.
+// Server identifies a server; it is the same number at every sidecar.
 type Server uint64
 
+// ownFailures is a server's consecutive failures of this sidecar's attempts.
 type ownFailures struct {
 	count int
-	at    time.Duration // of the last
+	at    time.Duration // of the last failure
 }
 
+// report is when a sidecar reported a server last.
 type report struct {
 	reporter int
 	at       time.Duration
 }
 
-// Hints is one sidecar's. It is not safe for concurrent use.
+// Hints is one sidecar's knowledge. It is not safe for concurrent use.
 type Hints struct {
 	quorum   int
 	failures map[Server]ownFailures
 	reports  map[Server][]report
 }
 
-// New makes the book of a sidecar in a fleet of some size.
+// New returns the knowledge of a sidecar in a fleet of size.
 func New(size int) *Hints {
 	return &Hints{quorum: Quorum(size), failures: make(map[Server]ownFailures), reports: make(map[Server][]report)}
 }
 
-// RecordAttempt takes how an attempt of one's own ended: in an answer of the server, whatever it was, or in silence.
-func (b *Hints) RecordAttempt(now time.Duration, s Server, answered bool) {
+// RecordAttempt records how an own attempt ended: with an answer of the server, whatever it was, or
+// without.
+func (h *Hints) RecordAttempt(now time.Duration, s Server, answered bool) {
 	if answered {
-		delete(b.failures, s)
+		delete(h.failures, s)
 		return
 	}
-	o, known := b.failures[s]
-	if !known && len(b.failures) >= maxOwn {
+	o, known := h.failures[s]
+	if !known && len(h.failures) >= maxOwn {
 		return
 	}
-	b.failures[s] = ownFailures{o.count + 1, now}
+	h.failures[s] = ownFailures{o.count + 1, now}
 }
 
-// Unresponsive is what this one has to say: the servers that have not answered it, the latest first.
-func (b *Hints) Unresponsive(now time.Duration) (all []Server) {
-	for s, o := range b.failures {
+// Unresponsive returns what this sidecar reports: the servers that have not answered it, the latest
+// first.
+func (h *Hints) Unresponsive(now time.Duration) (all []Server) {
+	for s, o := range h.failures {
 		switch {
 		case now-o.at > announceTime:
-			delete(b.failures, s)
+			delete(h.failures, s)
 		case o.count >= minFailures:
 			all = append(all, s)
 		}
 	}
 	slices.SortFunc(all, func(x, y Server) int {
-		if d := b.failures[y].at - b.failures[x].at; d != 0 {
+		if d := h.failures[y].at - h.failures[x].at; d != 0 {
 			return int(d)
 		}
 		return int(x>>1) - int(y>>1)
@@ -81,49 +89,49 @@
 	return all[:min(len(all), maxAnnounced)]
 }
 
-// Receive takes what another says.
-func (b *Hints) Receive(now time.Duration, by int, silent []Server) {
+// Receive records what another sidecar reports.
+func (h *Hints) Receive(now time.Duration, by int, silent []Server) {
 	for _, s := range silent[:min(len(silent), maxAnnounced)] {
-		all, known := b.reports[s]
-		if !known && len(b.reports) >= maxReported && !b.expire(now) {
+		all, known := h.reports[s]
+		if !known && len(h.reports) >= maxReported && !h.expire(now) {
 			return
 		}
 		all = slices.DeleteFunc(all, func(x report) bool { return x.reporter == by || now-x.at > reportTTL })
 		if len(all) < maxReporters {
 			all = append(all, report{by, now})
 		}
-		b.reports[s] = all
+		h.reports[s] = all
 	}
 }
 
-// expire lets go of what has faded; false: nothing has.
-func (b *Hints) expire(now time.Duration) bool {
-	before := len(b.reports)
-	for s, all := range b.reports {
+// expire drops servers whose reports have expired; false: there are none.
+func (h *Hints) expire(now time.Duration) bool {
+	before := len(h.reports)
+	for s, all := range h.reports {
 		if !slices.ContainsFunc(all, func(x report) bool { return now-x.at <= reportTTL }) {
-			delete(b.reports, s)
+			delete(h.reports, s)
 		}
 	}
-	return len(b.reports) < before
+	return len(h.reports) < before
 }
 
-// DoubtedCount is how many servers are doubted now.
-func (b *Hints) DoubtedCount(now time.Duration) (n int) {
-	for s := range b.reports {
-		if b.Doubted(now, s) {
+// DoubtedCount returns how many servers are doubted now.
+func (h *Hints) DoubtedCount(now time.Duration) (n int) {
+	for s := range h.reports {
+		if h.Doubted(now, s) {
 			n++
 		}
 	}
 	return n
 }
 
-// Doubted says whether enough others say lately that a server does not answer them.
-func (b *Hints) Doubted(now time.Duration, s Server) bool {
+// Doubted reports whether enough others have reported recently that a server does not answer them.
+func (h *Hints) Doubted(now time.Duration, s Server) bool {
 	n := 0
-	for _, x := range b.reports[s] {
+	for _, x := range h.reports[s] {
 		if now-x.at <= reportTTL {
 			n++
 		}
 	}
-	return n >= b.quorum
+	return n >= h.quorum
 }
--- a/internal/fleet/healthgossip/healthgossip_test.go
+++ b/internal/fleet/healthgossip/healthgossip_test.go
@@ -52,7 +52,10 @@
 func TestBounds(t *testing.T) {
 	b := New(1000)
 	for i := range 100_000 {
-		b.Receive(time.Duration(i), i%1000, []Server{Server(i), Server(i + 1), Server(i + 2), Server(i + 3), Server(i + 4)})
+		b.Receive(
+			time.Duration(i), i%1000,
+			[]Server{Server(i), Server(i + 1), Server(i + 2), Server(i + 3), Server(i + 4)},
+		)
 		b.RecordAttempt(time.Duration(i), Server(i), false)
 	}
 	if len(b.reports) > maxReported || len(b.failures) > maxOwn {
--- a/internal/fleet/peer/budget.go
+++ b/internal/fleet/peer/budget.go
@@ -1,32 +1,34 @@
 package peer
 
-import "time"
+import (
+	"time"
+)
 
-// Priority says what goes first when there are more bytes than the budget has.
+// Priority decides what is sent first when the budget is short.
 type Priority int
 
-// The priorities, the most important first.
+// The priorities, the highest first.
 const (
-	Contact Priority = iota
-	Urgent           // decisions that others wait for
-	Decision
-	Hint
+	Contact  Priority = iota
+	Urgent            // messages of replicatedstate that others wait for
+	Decision          // other messages of replicatedstate
+	Hint              // servers that don't answer
 )
 
-// reserved is how much of a full budget is left to what is more important.
+// reserved is the fraction of a full budget that is kept for higher priorities.
 var reserved = [...]float64{Contact: 0, Urgent: 0.1, Decision: 0.25, Hint: 0.5}
 
-// budget is a bucket of bytes that fills at a rate. It is not safe for concurrent use.
+// budget is a token bucket of bytes. It is not safe for concurrent use.
 type budget struct {
-	rate  float64 // bytes a second
+	rate  float64 // bytes per second
 	level float64
 	at    time.Duration
 }
 
-// full is how much it holds at most: what two seconds bring.
+// full returns the bucket's size: two seconds' worth.
 func (b *budget) full() float64 { return 2 * b.rate }
 
-// take takes so many bytes, or says that they are not there.
+// take takes bytes from the bucket; false: there are too few.
 func (b *budget) take(now time.Duration, bytes int, p Priority) bool {
 	if b.at == 0 {
 		b.level = b.full()
--- a/internal/fleet/peer/link_test.go
+++ b/internal/fleet/peer/link_test.go
@@ -47,7 +47,12 @@
 func open(t *testing.T, rate float64, edit func(c *Config), others ...netip.AddrPort) (*Link, inbox) {
 	t.Helper()
 	cfg := Config{
-		Listen: "127.0.0.1:0", Peers: append([]netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:9")}, others...), Fleet: "hives", Incarnation: 5, BytesPerSecond: rate, Now: clock.SinceBoot,
+		Listen:         "127.0.0.1:0",
+		Peers:          append([]netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:9")}, others...),
+		Fleet:          "hives",
+		Incarnation:    5,
+		BytesPerSecond: rate,
+		Now:            clock.SinceBoot,
 	}
 	if edit != nil {
 		edit(&cfg)
@@ -94,8 +99,11 @@
 	long := datagram(t, func(d *peerpb.Datagram) { d.Decision = make([]byte, 200) })
 	for _, b := range [][]byte{
 		{}, make([]byte, 256), make([]byte, 257), make([]byte, 65507), whole[:len(whole)-1], append(slices.Clone(whole), 0xff), long[:100], append(long, make([]byte, 60)...),
-		datagram(t, func(d *peerpb.Datagram) { d.Fleet++ }), datagram(t, func(d *peerpb.Datagram) { d.Form = formatVersion + 1 }),
-		datagram(t, func(d *peerpb.Datagram) { d.From = 3 }), datagram(t, func(d *peerpb.Datagram) { d.From = 1 << 31 }), datagram(t, func(d *peerpb.Datagram) { d.From = 0 }),
+		datagram(t, func(d *peerpb.Datagram) { d.Fleet++ }),
+		datagram(t, func(d *peerpb.Datagram) { d.Form = formatVersion + 1 }),
+		datagram(t, func(d *peerpb.Datagram) { d.From = 3 }),
+		datagram(t, func(d *peerpb.Datagram) { d.From = 1 << 31 }),
+		datagram(t, func(d *peerpb.Datagram) { d.From = 0 }),
 	} {
 		if _, err := one.WriteToUDP(b, to); err != nil {
 			t.Fatal(err)
@@ -108,11 +116,13 @@
 		t.Fatal(err)
 	}
 	testbed.Until(t, "all to be read", func() bool { return l.Counters().Read == 15 })
-	if m := testbed.Wait(t, "what can be read", in.messages); m.From != 1 || m.Session != (swim.Session{Incarnation: 7, Sequence: 2}) || m.Stamp != 12 || m.Kind != swim.Ping {
+	if m := testbed.Wait(t, "what can be read", in.messages); m.From != 1 ||
+		m.Session != (swim.Session{Incarnation: 7, Sequence: 2}) || m.Stamp != 12 || m.Kind != swim.Ping {
 		t.Errorf("%+v", m)
 	}
 	c := l.Counters()
-	if len(in.messages) != 0 || c.Length != 4 || c.OtherFleet != 1 || c.NewerFormat != 1 || c.Address != 3 || c.Malformed != 5 {
+	if len(in.messages) != 0 || c.Length != 4 || c.OtherFleet != 1 || c.NewerFormat != 1 ||
+		c.Address != 3 || c.Malformed != 5 {
 		t.Errorf("%d more were taken; %+v", len(in.messages), c)
 	}
 }
@@ -121,15 +131,28 @@
 func TestMessagesFit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &swim.Message{
-			From: rapid.IntRange(0, swim.MaxMembers-1).Draw(t, "from"), Session: swim.Session{Incarnation: rapid.Uint64Min(1).Draw(t, "life"), Sequence: rapid.Uint32().Draw(t, "turn")},
-			Kind: swim.Kind(rapid.IntRange(1, 7).Draw(t, "kind")), Stamp: rapid.Uint64().Draw(t, "stamp"), Echo: rapid.Uint64().Draw(t, "echo"),
-			Target: rapid.IntRange(0, swim.MaxMembers-1).Draw(t, "about"), Cookie: rapid.Uint64().Draw(t, "mark"), Digest: rapid.Uint32().Draw(t, "digest"),
+			From: rapid.IntRange(0, swim.MaxMembers-1).Draw(t, "from"),
+			Session: swim.Session{
+				Incarnation: rapid.Uint64Min(1).Draw(t, "life"),
+				Sequence:    rapid.Uint32().Draw(t, "turn"),
+			},
+			Kind:        swim.Kind(rapid.IntRange(1, 7).Draw(t, "kind")),
+			Stamp:       rapid.Uint64().Draw(t, "stamp"),
+			Echo:        rapid.Uint64().Draw(t, "echo"),
+			Target:      rapid.IntRange(0, swim.MaxMembers-1).Draw(t, "about"),
+			Cookie:      rapid.Uint64().Draw(t, "mark"),
+			Digest:      rapid.Uint32().Draw(t, "digest"),
 			MemberCount: rapid.IntRange(0, swim.MaxMembers).Draw(t, "count"), NoLease: rapid.Bool().Draw(t, "mute"),
 		}
 		for range rapid.IntRange(0, 20).Draw(t, "rumours") {
 			m.Rumours = append(m.Rumours, swim.Rumour{
-				Member: rapid.IntRange(0, swim.MaxMembers-1).Draw(t, "member"), Session: swim.Session{Incarnation: rapid.Uint64().Draw(t, "its life"), Sequence: rapid.Uint32().Draw(t, "its turn")},
-				State: swim.State(rapid.IntRange(0, 4).Draw(t, "state")), Accuser: rapid.IntRange(0, swim.MaxMembers-1).Draw(t, "by"),
+				Member: rapid.IntRange(0, swim.MaxMembers-1).Draw(t, "member"),
+				Session: swim.Session{
+					Incarnation: rapid.Uint64().Draw(t, "its life"),
+					Sequence:    rapid.Uint32().Draw(t, "its turn"),
+				},
+				State:   swim.State(rapid.IntRange(0, 4).Draw(t, "state")),
+				Accuser: rapid.IntRange(0, swim.MaxMembers-1).Draw(t, "by"),
 			})
 		}
 		raw, err := fit(&peerpb.Datagram{Fleet: 1, From: uint32(m.From) + 1, Life: m.Session.Incarnation}, encode(m))
@@ -141,10 +164,12 @@
 			t.Fatalf("%d bytes: %v", len(raw), err)
 		}
 		got := decode(m.From, d.Life, d.Contact[0])
-		if n := len(got.Rumours); n > len(m.Rumours) || n < min(5, len(m.Rumours)) || !slices.Equal(got.Rumours, m.Rumours[:n]) {
+		if n := len(got.Rumours); n > len(m.Rumours) || n < min(5, len(m.Rumours)) ||
+			!slices.Equal(got.Rumours, m.Rumours[:n]) {
 			t.Fatalf("%d rumours of %d", n, len(m.Rumours))
 		}
-		if got.Session != m.Session || got.Stamp != m.Stamp || got.Echo != m.Echo || got.Cookie != m.Cookie || got.Target != m.Target || got.NoLease != m.NoLease {
+		if got.Session != m.Session || got.Stamp != m.Stamp || got.Echo != m.Echo ||
+			got.Cookie != m.Cookie || got.Target != m.Target || got.NoLease != m.NoLease {
 			t.Fatalf("%+v became %+v", m, got)
 		}
 	})
@@ -199,8 +224,12 @@
 		self  int
 		says  string
 	}{
-		{nil, 0, "peers"}, {[]string{"127.0.0.1:1"}, 1, "settings.me"}, {[]string{"127.0.0.1:1", "x:2"}, 0, "peers[1]"}, {[]string{"127.0.0.1:0"}, 0, "peers[0]"},
-		{[]string{"127.0.0.1:1", "127.0.0.2:1", "[::ffff:127.0.0.1]:1"}, 0, "peers[2]"}, {make([]string, swim.MaxMembers+1), 0, "peers"},
+		{nil, 0, "peers"},
+		{[]string{"127.0.0.1:1"}, 1, "settings.me"},
+		{[]string{"127.0.0.1:1", "x:2"}, 0, "peers[1]"},
+		{[]string{"127.0.0.1:0"}, 0, "peers[0]"},
+		{[]string{"127.0.0.1:1", "127.0.0.2:1", "[::ffff:127.0.0.1]:1"}, 0, "peers[2]"},
+		{make([]string, swim.MaxMembers+1), 0, "peers"},
 	} {
 		if _, err := Addresses(c.peers, c.self); err == nil || !strings.Contains(err.Error(), c.says) {
 			t.Errorf("%v: %v, want an error that names %s", c.peers[:min(3, len(c.peers))], err, c.says)
@@ -241,8 +270,13 @@
 }
 
 func FuzzRead(f *testing.F) {
-	m := &swim.Message{From: 1, Session: swim.Session{Incarnation: 7}, Kind: swim.Ack, Echo: 9, Rumours: []swim.Rumour{{Member: 3, State: swim.Dead}}}
-	raw, _ := proto.Marshal(&peerpb.Datagram{Fleet: 1, From: 2, Life: 7, Contact: []*peerpb.Contact{encode(m)}, Decision: []byte{1}})
+	m := &swim.Message{
+		From: 1, Session: swim.Session{Incarnation: 7}, Kind: swim.Ack, Echo: 9,
+		Rumours: []swim.Rumour{{Member: 3, State: swim.Dead}},
+	}
+	raw, _ := proto.Marshal(
+		&peerpb.Datagram{Fleet: 1, From: 2, Life: 7, Contact: []*peerpb.Contact{encode(m)}, Decision: []byte{1}},
+	)
 	f.Add(raw)
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		d, err := read(raw, 1)
