--- a/internal/proxy/front/http1/acceptor_test.go
+++ b/internal/proxy/front/http1/acceptor_test.go
@@ -40,6 +40,6 @@
 			open.entry.removed, quiet.entry.removed, a.table.open)
 	}
 	if a.markBusy(quiet) {
-		t.Error("what comes on a closing connection is taken")
+		t.Error("input of a closing connection is accepted")
 	}
 }
--- a/internal/proxy/front/http1/body_reader.go
+++ b/internal/proxy/front/http1/body_reader.go
@@ -59,9 +59,9 @@
 // Read reads the next bytes of the body, and waits for stream.StallTimeout at most.
 func (b *bodyReader) Read(p []byte) (int, error) { return b.read(p, true) }
 
-// read reads the next bytes of the body. If standTimeout is set it waits for stream.StallTimeout at most, otherwise until
-// the deadline that the connection has.
-func (b *bodyReader) read(p []byte, standTimeout bool) (int, error) {
+// read reads the next bytes of the body. If stallTimeout is set it waits for stream.StallTimeout at most, otherwise
+// until the deadline that the connection has.
+func (b *bodyReader) read(p []byte, stallTimeout bool) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for {
@@ -79,7 +79,7 @@
 		if b.done || len(p) == 0 {
 			continue
 		}
-		if standTimeout && !b.setStandTimeout() {
+		if stallTimeout && !b.setStallTimeout() {
 			return 0, errStopped
 		}
 		if b.decoder == nil {
@@ -105,8 +105,8 @@
 	return nil
 }
 
-// setStandTimeout sets the deadline for the next bytes. It returns false if the reader was stopped.
-func (b *bodyReader) setStandTimeout() bool {
+// setStallTimeout sets the deadline for the next bytes. It returns false if the reader was stopped.
+func (b *bodyReader) setStallTimeout() bool {
 	if b.decoder != nil && len(b.buffer) < stream.WindowSize/2 { // more is to come than what is buffered
 		b.buffer = make([]byte, stream.WindowSize/2)
 	}
--- a/internal/proxy/front/http1/conn_table_test.go
+++ b/internal/proxy/front/http1/conn_table_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// client adds a connection that has asked so often and is at rest.
+// addIdleConn adds a connection that has sent so many requests and is idle.
 func addIdleConn(b *connTable, now time.Duration, times int) *entry {
 	e := &entry{}
 	b.add(now, e)
@@ -32,7 +32,7 @@
 		}
 		addIdleConn(&b, now, i%2)
 	}
-	// What is not at rest for minIdleTime yet is 50, and more than the bounds leave.
+	// Those that are not idle for minIdleTime yet are 50, more than the limits removed.
 	c := b.counters()
 	if c.Most > len(clients)+50+2 || c.Closed[stateReused] != 0 || c.Closed[stateHealthCheck] < 4900 ||
 		c.Closed[stateUsedOnce] < 4900 {
@@ -51,13 +51,14 @@
 	for range 128 {
 		addIdleConn(&b, time.Second, 1)
 	}
-	leave, again := b.sweep(time.Second)
-	if len(leave) != 0 || again != minIdleTime {
-		t.Fatalf("%d leave at once, another look after %v", len(leave), again)
+	removed, again := b.sweep(time.Second)
+	if len(removed) != 0 || again != minIdleTime {
+		t.Fatalf("%d removed at once, another sweep after %v", len(removed), again)
 	}
-	leave, again = b.sweep(time.Second + again)
-	if len(leave) != 112 || again != defaultMaxIdle[stateUsedOnce]-minIdleTime {
-		t.Errorf("%d leave, another look after %v, want all over the bound of 16 and one for the rest", len(leave), again)
+	removed, again = b.sweep(time.Second + again)
+	if len(removed) != 112 || again != defaultMaxIdle[stateUsedOnce]-minIdleTime {
+		t.Errorf("%d removed, another sweep after %v, want all over the limit of 16 and one for the rest",
+			len(removed), again)
 	}
 }
 
@@ -66,18 +67,18 @@
 func TestLongestIdleIsClosed(t *testing.T) {
 	b := connTable{limits: ConnLimits{Max: 3, MaxIdle: [stateCount]int{3, 3, 3, 3, 3, 3}}}
 	first, second := addIdleConn(&b, 0, 2), addIdleConn(&b, time.Second, 2)
-	strange := addIdleConn(&b, 2*time.Second, 0)
-	if _, _, ok := b.evictForNew(2 * time.Second); !ok || !first.removed || strange.removed {
-		t.Errorf("a stranger of this moment has to be left alone: ok %v, first gone %v", ok, first.removed)
+	unused := addIdleConn(&b, 2*time.Second, 0)
+	if _, _, ok := b.evictForNew(2 * time.Second); !ok || !first.removed || unused.removed {
+		t.Errorf("a new connection has to be left alone: ok %v, first gone %v", ok, first.removed)
 	}
 	third := addIdleConn(&b, 2*time.Second, 2)
-	if _, _, ok := b.evictForNew(3 * time.Second); !ok || !strange.removed || second.removed {
-		t.Error("a stranger at rest has to go first")
+	if _, _, ok := b.evictForNew(3 * time.Second); !ok || !unused.removed || second.removed {
+		t.Error("an unused connection has to be closed first")
 	}
 	b.markBusy(second)
 	b.markBusy(third)
 	addIdleConn(&b, 3*time.Second, 2)
-	if leave, wait, ok := b.evictForNew(3 * time.Second); ok || leave != nil || wait != minIdleWhenFull[stateReused] {
+	if removed, wait, ok := b.evictForNew(3 * time.Second); ok || removed != nil || wait != minIdleWhenFull[stateReused] {
 		t.Errorf("those with an open request and one of this moment must stay: wait %v, ok %v", wait, ok)
 	}
 }
@@ -97,7 +98,7 @@
 		theirs = append(theirs, e)
 	}
 	if b.overShare(theirs[0]) {
-		t.Error("told to make room while there is some")
+		t.Error("over its share while there is room")
 	}
 	one := &entry{}
 	for range 5 {
@@ -107,13 +108,13 @@
 		b.setOwner(one, quiet)
 	}
 	if !b.overShare(theirs[0]) || b.overShare(one) {
-		t.Errorf("the one over its part: %v, the one within: %v; want true, false", b.overShare(theirs[0]), b.overShare(one))
+		t.Errorf("the one over its share: %v, the one within: %v; want true, false", b.overShare(theirs[0]), b.overShare(one))
 	}
 	for range 3 {
 		b.remove(theirs[flooded.count-1])
 	}
 	if b.overShare(theirs[0]) || flooded.count != 7 {
-		t.Errorf("%d connections left of a part of %d, still to make room", flooded.count, flooded.share)
+		t.Errorf("%d connections left of a share of %d, still over its share", flooded.count, flooded.share)
 	}
 	b.setOwner(theirs[0], quiet) // its next request is another's
 	if flooded.count != 6 || quiet.count != 6 {
@@ -128,12 +129,12 @@
 		limits:             ConnLimits{Max: 2, MaxIdle: [stateCount]int{2, 2, 2, 2, 2, 2}},
 		hasUnrecordedInput: func(e *entry) bool { return hasInput[e] },
 	}
-	late, mute := &entry{}, &entry{}
+	late, silent := &entry{}, &entry{}
 	b.add(0, late)
-	b.add(0, mute)
+	b.add(0, silent)
 	hasInput[late] = true
-	if leave, _, ok := b.evictForNew(minIdleWhenFull[stateNew]); !ok || len(leave) != 1 || leave[0] != mute {
-		t.Errorf("%d leave, ok %v, want the mute one alone", len(leave), ok)
+	if removed, _, ok := b.evictForNew(minIdleWhenFull[stateNew]); !ok || len(removed) != 1 || removed[0] != silent {
+		t.Errorf("%d removed, ok %v, want the silent one alone", len(removed), ok)
 	}
 }
 
@@ -157,14 +158,14 @@
 	for range 14 {
 		own(10*time.Second, flooded)
 	}
-	if leave, _, ok := b.evictForNew(10*time.Second + maxIdleOverShare); !ok || len(leave) != 7 {
-		t.Errorf("%d leave, ok %v, want all seven over the part", len(leave), ok)
+	if removed, _, ok := b.evictForNew(10*time.Second + maxIdleOverShare); !ok || len(removed) != 7 {
+		t.Errorf("%d removed, ok %v, want all seven over the share", len(removed), ok)
 	}
 	if spare[0].removed || spare[1].removed {
 		t.Error("a spare connection of the quiet owner was closed")
 	}
-	if leave, _ := b.sweep(defaultMaxIdle[stateReused]); len(leave) < 2 || !spare[0].removed {
-		t.Errorf("%d leave once they rest for too long", len(leave))
+	if removed, _ := b.sweep(defaultMaxIdle[stateReused]); len(removed) < 2 || !spare[0].removed {
+		t.Errorf("%d removed once they are idle for too long", len(removed))
 	}
 }
 
--- a/internal/proxy/front/http1/request_body.go
+++ b/internal/proxy/front/http1/request_body.go
@@ -68,9 +68,9 @@
 	return grown
 }
 
-// readBodyPrefix reads the part that is buffered of a body that comes in chunks or is longer than call.MaxBufferedBody. The
-// reader is nil if that was all of the body; otherwise the message's rest comes from it. It returns false if the prefix
-// did not come, and has rejected the request then.
+// readBodyPrefix reads the part that is buffered of a body that comes in chunks or is longer than
+// call.MaxBufferedBody. The reader is nil if that was all of the body; otherwise the message's rest comes from it. It
+// returns false if the prefix did not come, and has rejected the request then.
 func (c *conn) readBodyPrefix(head *h1.Head, message *call.Message, timeout time.Duration) (*bodyReader, bool) {
 	nothingYet := c.unreadStart == c.unreadEnd
 	reader := c.newBodyReader(head)
--- a/internal/proxy/front/http1/request_limits_test.go
+++ b/internal/proxy/front/http1/request_limits_test.go
@@ -36,7 +36,7 @@
 func newLimitedFront(t *testing.T, of RequestLimits) *limitedFront {
 	l := &limitedFront{t: t, listener: make(pipeListener, 1)}
 	l.limits.Store(&of)
-	d := &fakeEngine{asked: make(chan askedRequest), gone: make(chan policy.RequestID, 1)}
+	d := &fakeEngine{submitted: make(chan submittedRequest), gone: make(chan policy.RequestID, 1)}
 	target := &Target{Engine: d, MaxOpen: 64, MaxBodyBytes: 1 << 20}
 	l.front = New(Config{
 		Route: RouteTo(target), Dialect: d.dialect(), ConnLimits: KeepAliveConnLimits(256),
@@ -48,7 +48,7 @@
 	go func() {
 		for {
 			select {
-			case a := <-d.asked:
+			case a := <-d.submitted:
 				a.reply()
 			case <-ended:
 				return
@@ -141,7 +141,7 @@
 				if status := all[i].request(get("/one")); status != 200 {
 					t.Fatalf("%d", status)
 				}
-				synctest.Wait() // a request counts as held until its goroutine goes on behind the answer
+				synctest.Wait() // a request counts as open until its goroutine goes on behind the response
 			}
 		}
 		open := func() int { synctest.Wait(); return l.front.Counters().Open }
@@ -234,9 +234,9 @@
 	})
 	c := d.dial(t)
 	c.send(get("/safe/1"))
-	first := d.expectAsked(t, "/safe/1")[0]
+	first := d.expectSubmitted(t, "/safe/1")[0]
 	c.send("GET /safe/2 HTTP/1.1\r\nHost: a\r\nX: " + strings.Repeat("x", 39000) + "\r\n\r\n")
-	second := d.expectAsked(t, "/safe/2")[0]
+	second := d.expectSubmitted(t, "/safe/2")[0]
 	second.reply()
 	first.reply()
 	c.expectResponse(200, "done /safe/1")
