--- a/internal/proxy/admission/recovering.go
+++ b/internal/proxy/admission/recovering.go
@@ -45,8 +45,7 @@
 }
 
 // Recovering admits a share of the requests that falls while answers are late, by Ratio's measure, and doubles every
-// 0.2 s once they are in time. Ratio counts its own rejections as failures and so recovers by half a share every 2 s
-// at best: it rejected a fifth of the requests for 10 s after answers were in time again.
+// 0.2 s once they are in time. Ratio counts its rejections as failures, and so rejected a fifth for 10 s after that.
 type Recovering struct {
 	rng        *rand.Rand
 	health     *Health
--- a/internal/proxy/bulkhead/bulkhead.go
+++ b/internal/proxy/bulkhead/bulkhead.go
@@ -1,7 +1,6 @@
 // Package bulkhead bounds how many attempts one of many balancers may have in flight at servers that all share.
 //
-// Three hundred balancers that each keep to a bound of their own have several times as much in flight as the servers
-// can bear. None knows the sum, so each gives up a part of its own traffic as answers become slow.
+// The balancers' own bounds add up to more than servers can bear, so each sends less as answers become slow.
 package bulkhead
 
 import (
--- a/internal/proxy/discoverypace/discoverypace.go
+++ b/internal/proxy/discoverypace/discoverypace.go
@@ -1,8 +1,7 @@
 // Package discoverypace decides when a balancer asks for the list of servers, where it must ask.
 //
-// Discovery is one service for a whole fleet, and each subscription costs it a call. In a fleet of eighty that started
-// at once most calls timed out, and their retries, again at once, kept its queue full for good. So in a large fleet
-// each balancer first asks at a phase of its own, and retries at its part of the rate that discovery is built for.
+// In a fleet of eighty that asked at once most calls timed out, and their retries kept discovery busy for good. So in a
+// large fleet balancers first ask at random phases, and retry at their part of the rate that discovery is built for.
 package discoverypace
 
 import (
@@ -50,8 +49,7 @@
 	}
 }
 
-// Start begins, in a large fleet at a random phase, as balancers may all be restarted together. The servers known so
-// far serve until then; where there are none, see AskNow.
+// Start begins, in a large fleet at a random phase: balancers may restart together. See AskNow where that is too late.
 func (p *Pace) Start(now time.Duration) {
 	if p.nextAt = now; p.isLargeFleet {
 		p.nextAt += time.Duration(p.rng.Float64() * float64(p.interval))
--- a/internal/proxy/loadquery/loadquery.go
+++ b/internal/proxy/loadquery/loadquery.go
@@ -1,6 +1,5 @@
 // Package loadquery decides whether a balancer probes servers for their load before it sends, and how often each server
-// gets a turn. The two belong together: a balancer that may not probe learns from its own answers alone, and one among
-// many has few of those.
+// gets a turn: a balancer that may not probe learns from its own answers alone, which may be few.
 package loadquery
 
 import "time"
@@ -26,8 +25,7 @@
 	compared, differing int
 }
 
-// New makes a prober. enabled: probes may be used, and report the requests in flight; price: of a probe, against a
-// request's value of 1.
+// New makes a prober. enabled: probes may be used and report requests in flight; price: against a request's value of 1.
 func New(enabled bool, price float64) Prober {
 	return Prober{enabled: enabled, expensive: price > maxProbePrice}
 }
@@ -46,7 +44,7 @@
 // ProbesAll says whether every server is probed before it is sent a request.
 func (p *Prober) ProbesAll() bool { return p.enabled && !p.expensive && p.differing >= minDiffering }
 
-// AttemptTimeout is how long an attempt that may be repeated is waited for: whole, while its answer is of use, or, where
+// AttemptTimeout is how long an attempt that may be repeated is waited for: whole, while its answer is of use, or where
 // servers are not probed and may be silent, the part of it after which another attempt could still succeed.
 func (p *Prober) AttemptTimeout(whole, part time.Duration) time.Duration {
 	if !p.expensive || part < whole/2 {
--- a/internal/proxy/sizing/sizing.go
+++ b/internal/proxy/sizing/sizing.go
@@ -15,10 +15,9 @@
 	Slots, QueueSlots int
 }
 
-// Compartments divides by shares the mean number of attempts in flight from n balancers. Each balancer gets as much as
-// the largest of n random parts of the traffic (ln n + 0.58 even parts), and Spread standard deviations. fixed is the
-// balancer's number of slots by the settings; 0: derived. queue is how many requests may wait in all compartments;
-// negative: derived from the slots. Where the shares add up to less than whole, the rest is unused.
+// Compartments divides by shares the mean attempts in flight of n balancers. Each balancer gets the largest of n random
+// parts (ln n + 0.58 even ones), and Spread standard deviations. fixed slots replace that unless 0. queue is how many
+// requests may wait; negative: derived from the slots. Where the shares add up to less than whole, the rest is unused.
 func Compartments(mean float64, n, fixed, queue int, whole float64, shares []float64) (all []Compartment, slots int) {
 	total, spread := mean*min(1, (math.Log(float64(n))+0.58)/float64(n)), Spread
 	if fixed > 0 {
--- a/internal/proxy/subset/subset.go
+++ b/internal/proxy/subset/subset.go
@@ -12,9 +12,8 @@
 	minShare    = 0.1 // of a server; one with less inside is left out, as its turns would be too far apart
 )
 
-// ArcStart is where the arc of balancer i of n begins, as a fraction of the circle: at equal distances for all that are
-// live, in the order of the golden ratio's multiples, so that some of them are spread well too. With those multiples
-// alone some servers were in three arcs and others in five (docs/measurements/even.md). live nil: all are.
+// ArcStart is where the arc of balancer i of n begins, as a fraction of the circle: at equal distances for live ones
+// (live nil: all), in the order of the golden ratio's multiples, which spread any of them (docs/measurements/even.md).
 func ArcStart(i, n int, live func(int) bool) float64 {
 	before, all := 0, 1
 	_, at := math.Modf(float64(i) * math.Phi)
--- a/policy/api.go
+++ b/policy/api.go
@@ -3,7 +3,8 @@
 //
 // A Balancer is single-threaded and deterministic: it has no goroutines, no clock and no I/O. The program that
 // embeds it calls one method per event and passes the time; the Balancer answers through the Host it was given.
-// This file is the interface; every decision is in policy.go.
+// This file is the interface. The decisions on requests are in policy.go, those on servers in servers.go, and sizes in
+// sizing.go.
 //
 // Times are durations since a fixed moment of the embedding program's choice; they must never go back, and all
 // calls for one Balancer come from one goroutine, in the order of what happened. The order of calls: New, Start,
