--- a/internal/daemon/config/config.go
+++ b/internal/daemon/config/config.go
@@ -1,4 +1,5 @@
-// Package config reads what the daemon is told at its start.
+// Package config reads and checks the daemon's files: its own configuration (JSON), the pools file and the fleet file
+// (TOML). It starts nothing, and what it returns is not changed later. Errors name the file, line or field.
 package config
 
 import (
@@ -20,47 +21,47 @@
 	"caperarch/policy"
 )
 
-// Config is what a sidecar is told at its start.
+// Config is a sidecar's configuration.
 type Config struct {
-	Path      string // of the file it was read from
+	Path      string // of its file
 	Name      string
-	Listen    string // where the application connects
+	Listen    string // address for the application
 	Discovery string // address of discovery
-	Control   string // where operators call; "": nowhere
+	Control   string // address for control calls; "": none
 	Seed      uint64
 
-	MemoryMB int // the process is killed above this; 0: no limit is known
-	Sockets  int // descriptors it may hold
+	MemoryMB int // the process is killed above it; 0: no limit is known
+	Sockets  int // file descriptors that it may hold
 
 	Policy            policy.Config
 	Classes           map[string]int // class by name
 	Tenants           map[string]int // tenant by name; empty where there are none
 	Zones             map[string]int // zone by name
-	LoadReportFields  []string       // names of a load report's fields, in the order of Columns; none: there are no reports
+	LoadReportFields  []string       // names of a load report's fields, as LoadReportColumns; none: no reports
 	LoadReportColumns wire.Columns
 
-	MaxOpenRequests int           // requests held at once
-	ConnIdle        time.Duration // an upstream closes connections that stood idle so long
+	MaxOpenRequests int           // requests in flight
+	ConnIdle        time.Duration // upstreams close connections that were idle for so long
 	DialTimeout     time.Duration
 	MaxDeadline     time.Duration // the longest deadline of any class
 
-	KnownServers call.ServerList // the servers as last known
+	KnownServers call.ServerList // the list of servers to start with
 
 	PeersAllowed bool     // the settings allow sidecars to send one another datagrams
-	PeerListen   string   // where those of the others arrive
-	Peers        []string // one address for each sidecar, by number
+	PeerListen   string   // address for them
+	Peers        []string // of each sidecar, by its number
 
-	Methods map[string]Method // a client's: what calls are, by their method
+	Methods map[string]Method // of a client: classes by RPC method
 }
 
-// Method says of which class and tenant the calls of an RPC method are.
+// Method gives the class and the tenant of the calls of an RPC method.
 type Method struct {
 	Class  string `json:"class"`
 	Tenant string `json:"tenant"`
 }
 
-// Read reads the file that EDGE_CONFIG names. What the environment says in EDGE_NAME,
-// EDGE_LISTEN and EDGE_DISCOVERY stands in for what the file leaves out.
+// Read reads the configuration file at path. The environment's EDGE_NAME, EDGE_LISTEN, EDGE_DISCOVERY and
+// EDGE_CONTROL are the defaults of the fields that the file leaves out.
 func Read(path string) (*Config, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -74,7 +75,7 @@
 	return c, nil
 }
 
-// Parse reads the text of such a file; env looks a variable up.
+// Parse parses the content of a configuration file; env looks up a variable of the environment.
 func Parse(raw []byte, env func(string) string) (*Config, error) {
 	c, err := parse(raw, env)
 	if err != nil {
@@ -92,13 +93,14 @@
 	return c, nil
 }
 
-// clientFields are the fields of a file that a client takes or passes over.
+// clientFields are the fields that a client's file may have; a client ignores some of them.
 var clientFields = []string{
-	"name", "listen", "discovery", "control", "seed", "limits", "peer_listen", "peers", "peers_all", "known", "settings", "methods",
+	"name", "listen", "discovery", "control", "seed", "limits", "peer_listen", "peers", "peers_all",
+	"known", "settings", "methods",
 }
 
-// ParseClient reads the text of such a file for a client that has no sidecar beside it: the environment is
-// not asked, nothing needs a listen address, and an unknown field is an error that names it.
+// ParseClient parses the file of a client that has no sidecar beside it: the environment is not used, no listen
+// address is needed, and an unknown field is an error that names it.
 func ParseClient(raw []byte) (*Config, error) {
 	c, err := parse(raw, func(string) string { return "" })
 	if err != nil {
@@ -128,6 +130,7 @@
 	return c, nil
 }
 
+// parse parses a file without checking its addresses.
 func parse(raw []byte, env func(string) string) (*Config, error) {
 	var file struct {
 		Name, Listen, Discovery, Control, Seed string
@@ -187,7 +190,7 @@
 	return c, nil
 }
 
-// take reads the settings: the module's own, and what the sidecar needs besides.
+// applySettings reads the settings: the decision module's, and what else the sidecar needs.
 func (c *Config) applySettings(s *wire.Settings) error {
 	var err error
 	if c.Policy, err = s.Config(); err != nil {
@@ -217,7 +220,8 @@
 	if err := s.Err(); err != nil {
 		return fmt.Errorf("config: %w", err)
 	}
-	for field, d := range map[string]time.Duration{"caps.conn_idle_ms": c.ConnIdle, "caps.dial_timeout_ms": c.DialTimeout} {
+	durations := map[string]time.Duration{"caps.conn_idle_ms": c.ConnIdle, "caps.dial_timeout_ms": c.DialTimeout}
+	for field, d := range durations {
 		if d <= 0 {
 			return fmt.Errorf("config: settings: %s is %v, a time above 0 is needed", field, d)
 		}
@@ -228,18 +232,18 @@
 	return nil
 }
 
-// ClientConns is how many connections clients may hold. It and UpstreamConns divide the descriptors: half for
-// the application's connections, of which it may hold a third of all for requests, most of the rest for
-// upstreams, and a reserve for what is being closed and for the process itself.
+// ClientConns is how many connections of clients the process may hold. The descriptors are divided: half for
+// clients' connections, a third of all for the application's requests among these, most of the rest for
+// upstreams, and a reserve for connections that are being closed and for the process itself.
 func (c *Config) ClientConns() int { return c.Sockets / 2 }
 
-// ApplicationConns is how many of them the application may open for its requests, on its own side of the wire.
+// ApplicationConns is how many of ClientConns the application may use for its requests.
 func (c *Config) ApplicationConns() int { return c.Sockets / 3 }
 
-// UpstreamConns is how many connections to upstreams there may be.
+// UpstreamConns is how many connections to upstreams the process may hold.
 func (c *Config) UpstreamConns() int { return c.Sockets * 3 / 8 }
 
-// MaxBodyBytes bounds the bodies of clients that are held at once.
+// MaxBodyBytes bounds the bodies of clients that are buffered at once, in bytes.
 func (c *Config) MaxBodyBytes() int64 {
 	if c.MemoryMB == 0 {
 		return math.MaxInt64
--- a/internal/daemon/config/fleet.go
+++ b/internal/daemon/config/fleet.go
@@ -14,28 +14,29 @@
 // Fleet is the operator's file on what the sidecars of a fleet have to do with one another, checked whole.
 type Fleet struct {
 	Path           string
-	Name           string        // sidecars of another name are not heard
-	Lease          time.Duration // 0: by the number of sidecars
-	ClockError     float64       // greatest error of a clock's rate; 0: the usual
-	BytesPerSecond float64       // a second over the whole fleet; 0: fleetBytes for each sidecar
+	Name           string        // datagrams of sidecars with another name are ignored
+	Lease          time.Duration // 0: derived from the number of sidecars
+	ClockError     float64       // bound on the relative error of a clock's rate; 0: the default
+	BytesPerSecond float64       // of the whole fleet; 0: fleetBytes for each sidecar
 
-	Policy *FleetPolicy // nil: the sidecars agree on no policy
+	Policy *FleetPolicy // nil: none
 }
 
-// FleetPolicy is what the file says of the policy that the sidecars agree on.
+// FleetPolicy is the file's section on the policy that the sidecars agree on.
 type FleetPolicy struct {
-	FallbackPolicy []byte // text of the policy by which one goes that may have missed something
-	StateDir       string // folder that outlives the process; "": there is none
+	FallbackPolicy []byte // TOML (cut_off), applied by a sidecar that may have missed a change
+	StateDir       string // folder that outlives the process; "": none
 }
 
 const (
-	fleetBytes  = 2048 // what each sidecar may send a second where the operator doesn't say,
-	policyBytes = 2048 // and as much again where sidecars agree on a policy: changes come in bursts, at the log's leader above all
+	fleetBytes  = 2048 // per second and sidecar, unless the operator's file says otherwise
+	policyBytes = 2048 // on top if sidecars agree on a policy: changes come in bursts, above all at the leader
 )
 
+// maxNameBytes bounds the name of a fleet.
 const maxNameBytes = 64
 
-// BytesPerSidecar is how many bytes a second one of so many sidecars may send.
+// BytesPerSidecar is how many bytes per second each of so many sidecars may send.
 func (f *Fleet) BytesPerSidecar(sidecars int) float64 {
 	if f.BytesPerSecond == 0 && f.Policy != nil {
 		return fleetBytes + policyBytes
@@ -46,8 +47,8 @@
 	return f.BytesPerSecond / float64(max(1, sidecars))
 }
 
-// ReadFleet reads the operator's file on the fleet (TOML). Unknown keys and values that can't be used: the
-// error names line or field.
+// ReadFleet reads the operator's fleet file (TOML) and the policy file that it names. Errors, among them
+// unknown keys, name the line or the field.
 func ReadFleet(path string) (*Fleet, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -59,24 +60,34 @@
 	}
 	f.Path = path
 	if f.Policy != nil {
-		beside := func(name string) string { // relative to the file
-			if name == "" || filepath.IsAbs(name) {
-				return name
-			}
-			return filepath.Join(filepath.Dir(path), name)
-		}
-		from := beside(string(f.Policy.FallbackPolicy))
-		f.Policy.StateDir = beside(f.Policy.StateDir)
-		if f.Policy.FallbackPolicy, err = os.ReadFile(from); err != nil {
+		if err := f.Policy.resolve(path); err != nil {
 			return nil, fmt.Errorf("%s: policy.cut_off: %w", path, err)
 		}
-		if _, err := policyrollout.Parse(f.Policy.FallbackPolicy); err != nil {
-			return nil, fmt.Errorf("%s: policy.cut_off: %s: %w", path, from, err)
-		}
 	}
 	return f, nil
 }
 
+// resolve makes paths relative to the fleet file, and reads the policy file in place of its name.
+func (p *FleetPolicy) resolve(fleetFile string) error {
+	resolvePath := func(name string) string {
+		if name == "" || filepath.IsAbs(name) {
+			return name
+		}
+		return filepath.Join(filepath.Dir(fleetFile), name)
+	}
+	p.StateDir = resolvePath(p.StateDir)
+	policyFile := resolvePath(string(p.FallbackPolicy))
+	var err error
+	if p.FallbackPolicy, err = os.ReadFile(policyFile); err != nil {
+		return err
+	}
+	if _, err := policyrollout.Parse(p.FallbackPolicy); err != nil {
+		return fmt.Errorf("%s: %w", policyFile, err)
+	}
+	return nil
+}
+
+// parseFleet parses a fleet file. Its FallbackPolicy is still the name of the policy file.
 func parseFleet(raw []byte) (*Fleet, error) {
 	var file struct {
 		Name  string
@@ -94,7 +105,8 @@
 	}
 	f := &Fleet{Name: file.Name}
 	if f.Name == "" || len(f.Name) > maxNameBytes {
-		return nil, fmt.Errorf("name: %d characters, 1 to %d are needed: it tells this fleet's sidecars from others'", len(f.Name), maxNameBytes)
+		return nil, fmt.Errorf("name: %d characters, 1 to %d are needed: it tells this fleet's sidecars from others'",
+			len(f.Name), maxNameBytes)
 	}
 	if file.Lease != "" {
 		var err error
@@ -114,9 +126,10 @@
 	}
 	if p := file.Policy; p != nil {
 		if p.CutOff == "" {
-			return nil, errors.New("policy.cut_off: a file is needed, with the policy by which a sidecar goes that may have missed something")
+			return nil, errors.New("policy.cut_off: a file is needed, " +
+				"with the policy by which a sidecar goes that may have missed something")
 		}
-		f.Policy = &FleetPolicy{FallbackPolicy: []byte(p.CutOff), StateDir: p.State} // its name: it is read once this file's own place is known
+		f.Policy = &FleetPolicy{FallbackPolicy: []byte(p.CutOff), StateDir: p.State}
 	}
 	return f, nil
 }
--- a/plugin/client.go
+++ b/plugin/client.go
@@ -36,16 +36,17 @@
 	return &Client{core: core}, nil
 }
 
+// overHTTP1 makes the transport of a client.
 func overHTTP1(cfg Config, c clock.Clock) pool.Transport {
-	names, columns := cfg.reports()
+	names, columns := cfg.loadReport()
 	return http1.New(http1.Config{
 		Clock: c, DialTimeout: cfg.DialTimeout, IdleTimeout: cfg.ConnIdle, MaxConns: cfg.MaxConnections,
 		LoadFields: names, Columns: columns,
 	})
 }
 
-// coreOf is the core that a call goes to. With several pools its host, path, method and class say which.
-func (c *Client) coreOf(host, target, method, class string) (*Core, error) {
+// coreFor returns the core of the pool that a call goes to, by its host, path, method and class.
+func (c *Client) coreFor(host, target, method, class string) (*Core, error) {
 	if c.pools == nil {
 		return c.core, nil
 	}
@@ -85,7 +86,8 @@
 		return Response{}, &InvalidError{"Request.Body", fmt.Sprintf("%d bytes, %d at most", len(r.Body), MaxBody)}
 	}
 	spec := CallSpec{
-		Class: r.Class, Tenant: r.Tenant, ID: r.ID, Key: r.Key, RouteKey: r.RouteKey, Timeout: r.Timeout, Work: r.Work, Repeat: r.Repeat,
+		Class: r.Class, Tenant: r.Tenant, ID: r.ID, Key: r.Key, RouteKey: r.RouteKey,
+		Timeout: r.Timeout, Work: r.Work, Repeat: r.Repeat,
 	}
 	if path, _, _ := strings.Cut(r.Path, "?"); r.Path != "" {
 		if !strings.HasPrefix(r.Path, "/") || strings.ContainsFunc(r.Path, notInPath) {
@@ -94,7 +96,7 @@
 		spec.Method = path
 	}
 	host := or(r.Host, "service.internal")
-	core, err := c.coreOf(host, or(r.Path, "/"+r.Class), r.Method, r.Class)
+	core, err := c.coreFor(host, or(r.Path, "/"+r.Class), r.Method, r.Class)
 	if err != nil {
 		return Response{}, err
 	}
@@ -117,7 +119,7 @@
 	if err := checkMessage(m); err != nil {
 		return Response{}, err
 	}
-	core.steer(m.Header, &spec)
+	core.setControlHeaders(m.Header, &spec)
 	a, err := core.Do(ctx, &spec, q, m)
 	if err != nil {
 		return Response{}, err
@@ -134,9 +136,10 @@
 	return c.core.Close(ctx)
 }
 
+// notInPath says whether a character may not stand in a path.
 func notInPath(r rune) bool { return r <= ' ' || r == 0x7f }
 
-// checkMessage guards against what would end a request's head early or begin another request in it.
+// checkMessage rejects what would end a request's head early or begin another request in it.
 func checkMessage(m *call.Message) error {
 	bad := func(field, reason string) error { return &InvalidError{"Request." + field, reason} }
 	token := func(s string) bool {
@@ -163,8 +166,8 @@
 	return nil
 }
 
-// steer sets the headers that the protocol has for what a call says of itself.
-func (c *Core) steer(h http.Header, s *CallSpec) {
+// setControlHeaders sets the headers of the protocol that carry a call's specification.
+func (c *Core) setControlHeaders(h http.Header, s *CallSpec) {
 	h["X-Request-Id"] = []string{s.ID}
 	h["X-Priority-Class"] = []string{s.Class}
 	set := func(name, value string) {
@@ -209,11 +212,11 @@
 }
 
 func openCore(cfg Config, transport func(Config, clock.Clock) pool.Transport, clk clock.Clock) (*Core, error) {
-	cfg, err := cfg.normal()
+	cfg, err := cfg.validated()
 	if err != nil {
 		return nil, err
 	}
-	c := &Core{cfg: cfg, classes: index(cfg.Classes), tenants: index(cfg.Tenants)}
+	c := &Core{cfg: cfg, classes: numbersByName(cfg.Classes), tenants: numbersByName(cfg.Tenants)}
 	if cfg.Seed == 0 {
 		cfg.Seed = mathrand.Uint64()
 	}
@@ -224,8 +227,9 @@
 	c.idPrefix = hex.EncodeToString(prefix[:])
 	c.pool, err = pool.Open(pool.Config{
 		Policy: cfg.Policy, Seed: cfg.Seed, Clock: clk, Transport: transport(cfg, clk),
-		Discovery: cfg.Discovery, Zones: index(cfg.Zones), Known: cfg.listing(),
-		MaxOpen: cfg.MaxCalls, MaxBodyBytes: cfg.MaxBodyBytes, SharedLimits: cfg.walls, Log: cfg.Log.With("plugin", cfg.Name),
+		Discovery: cfg.Discovery, Zones: numbersByName(cfg.Zones), Known: cfg.knownServers(),
+		MaxOpen: cfg.MaxCalls, MaxBodyBytes: cfg.MaxBodyBytes, SharedLimits: cfg.sharedLimits,
+		Log: cfg.Log.With("plugin", cfg.Name),
 	})
 	if err != nil {
 		return nil, &InvalidError{"Config.Policy", strings.TrimPrefix(err.Error(), "config: ")}
@@ -263,14 +267,14 @@
 		return no("Key", "class %q needs one", s.Class)
 	case class.Effect == policy.NonIdempotent && s.Key != "":
 		return no("Key", "it is of no use in class %q, whose calls must never run twice", s.Class)
-	case s.Timeout < 0 || s.Timeout > farTimeout*class.Deadline:
-		return no("Timeout", "%v is not within 0 and %d deadlines of class %q", s.Timeout, farTimeout, s.Class)
+	case s.Timeout < 0 || s.Timeout > maxTimeoutDeadlines*class.Deadline:
+		return no("Timeout", "%v is not within 0 and %d deadlines of class %q", s.Timeout, maxTimeoutDeadlines, s.Class)
 	case s.Work < 0 || s.Work > time.Hour:
 		return no("Work", "%v is not within 0 and an hour", s.Work)
 	}
 	for field, value := range map[string]string{"ID": s.ID, "Key": s.Key, "RouteKey": s.RouteKey} {
-		if len(value) > longestName || strings.ContainsFunc(value, func(r rune) bool { return r < ' ' || r >= 0x7f }) {
-			return no(field, "more than %d bytes, or not of printable ASCII characters", longestName)
+		if len(value) > maxIDBytes || strings.ContainsFunc(value, func(r rune) bool { return r < ' ' || r >= 0x7f }) {
+			return no(field, "more than %d bytes, or not of printable ASCII characters", maxIDBytes)
 		}
 	}
 	if s.ID == "" {
@@ -281,8 +285,8 @@
 }
 
 const (
-	farTimeout  = 10  // a time-out of more than so many deadlines of its class is no usable one
-	longestName = 512 // bytes of an id or key: they go into headers and the table of open calls
+	maxTimeoutDeadlines = 10  // bounds a time-out, in deadlines of its class
+	maxIDBytes          = 512 // of an id or key: they go into headers and the table of open calls
 )
 
 // Do carries a resolved call out. The error is as Client.Do has it.
--- a/plugin/config.go
+++ b/plugin/config.go
@@ -5,10 +5,8 @@
 	"log/slog"
 	"maps"
 	"math"
-	"net"
 	"os"
 	"slices"
-	"strings"
 	"time"
 
 	"caperarch/internal/daemon/config"
@@ -29,9 +27,9 @@
 	// MaxBody bounds one body, either way, in bytes (the protocol: 64 KiB).
 	MaxBody = call.MaxBufferedBody
 
-	mostNodes       = 1 << 16 // of Known: a guard against a broken list
-	mostConnections = 1 << 16 // no process can hold more
-	mostCalls       = 1 << 20
+	maxNodes       = 1 << 16 // of Known: a guard against a broken list
+	maxConnections = 1 << 16 // no process can hold more
+	maxCalls       = 1 << 20
 )
 
 // Node is a server as Config.Known lists it.
@@ -84,8 +82,8 @@
 
 	Log *slog.Logger // nil: nothing is logged
 
-	known call.ServerList   // from a file, beside Known: servers that drain are in it too
-	walls pool.SharedLimits // shared with the other pools of a client; nil: none
+	known        call.ServerList   // from a file, beside Known: draining servers are in it too
+	sharedLimits pool.SharedLimits // of the pools of one client; nil: none
 }
 
 // ReadConfig reads a daemon's configuration file (JSON, the deployment page's form). listen is not needed and
@@ -116,7 +114,7 @@
 func configOf(f *config.Config) Config {
 	c := Config{
 		Name: f.Name, Seed: f.Seed, Discovery: f.Discovery, Policy: f.Policy,
-		Classes: byNumber(f.Classes), Tenants: byNumber(f.Tenants), Zones: byNumber(f.Zones),
+		Classes: namesByNumber(f.Classes), Tenants: namesByNumber(f.Tenants), Zones: namesByNumber(f.Zones),
 		Methods: make(map[string]Method), LoadReport: make(map[string]policy.LoadFields),
 		MaxConnections: f.UpstreamConns(), MaxCalls: f.MaxOpenRequests,
 		DialTimeout: f.DialTimeout, ConnIdle: f.ConnIdle, known: f.KnownServers,
@@ -135,8 +133,8 @@
 	return c
 }
 
-// byNumber turns a table of numbers by name into the names in their order.
-func byNumber(numbers map[string]int) []string {
+// namesByNumber is the inverse of numbersByName.
+func namesByNumber(numbers map[string]int) []string {
 	names := make([]string, len(numbers))
 	for name, i := range numbers {
 		if i < len(names) {
@@ -146,121 +144,18 @@
 	return names
 }
 
-// normal checks a Config and fills in what was left out. The error names the field.
-func (c Config) normal() (Config, error) {
-	bad := func(field, format string, args ...any) (Config, error) {
-		return Config{}, &InvalidError{"Config." + field, fmt.Sprintf(format, args...)}
-	}
-	if c.Discovery == "" && len(c.Known)+len(c.known.Servers) == 0 {
-		return bad("Discovery", "it is empty and Known too: there is no server to send to")
-	}
-	if c.Discovery != "" {
-		if _, _, err := net.SplitHostPort(c.Discovery); err != nil {
-			return bad("Discovery", "%v", err)
-		}
-	}
-	if c.Discovery == "" && c.Policy.ListOnDemand {
-		return bad("Policy.AskList", "it is set, but Discovery is empty")
-	}
-	for _, list := range []struct {
-		field, of string
-		names     []string
-		want      int
-	}{{"Classes", "Policy.Classes", c.Classes, len(c.Policy.Classes)}, {"Tenants", "Policy.Tenants", c.Tenants, len(c.Policy.Tenants)},
-		{"Zones", "", c.Zones, len(c.Zones)}} {
-		if len(list.names) != list.want {
-			return bad(list.field, "%d names for %d of %s", len(list.names), list.want, list.of)
-		}
-		seen := make(map[string]bool)
-		for i, name := range list.names {
-			if name == "" || seen[name] || strings.ContainsAny(name, "\r\n") {
-				return bad(list.field, "[%d] is %q: each needs a name of its own", i, name)
-			}
-			seen[name] = true
-		}
-	}
-	if len(c.Zones) > 0 && (c.Policy.Zone < 0 || c.Policy.Zone >= len(c.Zones)) {
-		return bad("Policy.Zone", "%d is not the number of one of the %d Zones", c.Policy.Zone, len(c.Zones))
-	}
-	if len(c.Known) > mostNodes {
-		return bad("Known", "%d nodes, %d at most", len(c.Known), mostNodes)
-	}
-	ids := make(map[string]bool)
-	for i, n := range c.Known {
-		switch _, _, err := net.SplitHostPort(n.Address); {
-		case n.ID == "" || ids[n.ID]:
-			return bad("Known", "[%d].ID is %q: each node needs one of its own", i, n.ID)
-		case err != nil:
-			return bad("Known", "[%d].Address: %v", i, err)
-		case !(n.Weight >= 0) || math.IsInf(n.Weight, 0):
-			return bad("Known", "[%d].Weight is %v", i, n.Weight)
-		}
-		ids[n.ID] = true
-	}
-	classes, tenants := index(c.Classes), index(c.Tenants)
-	for name, m := range c.Methods {
-		switch _, known := classes[m.Class]; {
-		case !strings.HasPrefix(name, "/"):
-			return bad("Methods", "%q does not begin with a slash", name)
-		case !known:
-			return bad("Methods", "%q: class %q is none of Classes", name, m.Class)
-		}
-		if _, known := tenants[m.Tenant]; !known && m.Tenant != "" {
-			return bad("Methods", "%q: tenant %q is none of Tenants", name, m.Tenant)
-		}
-	}
-	for name := range c.LoadReport {
-		if name == "" || strings.ContainsAny(name, "=, \r\n") {
-			return bad("LoadReport", "%q is no field's name", name)
-		}
-	}
-	if c.MaxConnections < 0 || c.MaxConnections > mostConnections {
-		return bad("MaxConnections", "%d is not within 0 and %d", c.MaxConnections, mostConnections)
-	}
-	if c.MaxCalls < 0 || c.MaxCalls > mostCalls {
-		return bad("MaxCalls", "%d is not within 0 and %d", c.MaxCalls, mostCalls)
-	}
-	if c.MaxBodyBytes < 0 {
-		return bad("MaxBodyBytes", "%d is below 0", c.MaxBodyBytes)
-	}
-	if c.DialTimeout < 0 {
-		return bad("DialTimeout", "%v is below 0", c.DialTimeout)
-	}
-	if c.ConnIdle < 0 {
-		return bad("ConnIdle", "%v is below 0", c.ConnIdle)
-	}
-	c.MaxConnections = or(c.MaxConnections, DefaultMaxConnections)
-	c.MaxCalls = or(c.MaxCalls, DefaultMaxCalls)
-	c.MaxBodyBytes = or(c.MaxBodyBytes, DefaultMaxBodyBytes)
-	c.DialTimeout = or(c.DialTimeout, DefaultDialTimeout)
-	c.ConnIdle = or(c.ConnIdle, DefaultConnIdle)
-	c.Policy.MayCancel = true // every transport here can
-	if c.Log == nil {
-		c.Log = slog.New(slog.DiscardHandler)
-	}
-	return c, nil
-}
-
-func or[T comparable](v, otherwise T) T {
-	var zero T
-	if v == zero {
-		return otherwise
-	}
-	return v
-}
-
-// index turns names into their places.
-func index(names []string) map[string]int {
-	at := make(map[string]int, len(names))
+// numbersByName turns a list of names into the number of each.
+func numbersByName(names []string) map[string]int {
+	numbers := make(map[string]int, len(names))
 	for i, name := range names {
-		at[name] = i
+		numbers[name] = i
 	}
-	return at
+	return numbers
 }
 
-// listing is Known in the engine's form.
-func (c *Config) listing() call.ServerList {
-	zones := index(c.Zones)
+// knownServers is Known as the engine's list.
+func (c *Config) knownServers() call.ServerList {
+	zones := numbersByName(c.Zones)
 	l := call.ServerList{Full: true, Servers: slices.Clone(c.known.Servers), Addresses: make(map[policy.ServerID]string)}
 	maps.Copy(l.Addresses, c.known.Addresses)
 	for _, n := range c.Known {
@@ -277,8 +172,8 @@
 	return l
 }
 
-// reports is LoadReport in the transport's form.
-func (c *Config) reports() (names []string, columns wire.Columns) {
+// loadReport is LoadReport as the transport needs it.
+func (c *Config) loadReport() (names []string, columns wire.Columns) {
 	if c.Policy.Reports == 0 {
 		return nil, nil
 	}
@@ -287,3 +182,11 @@
 	}
 	return names, columns
 }
+
+func or[T comparable](v, otherwise T) T {
+	var zero T
+	if v == zero {
+		return otherwise
+	}
+	return v
+}
--- a/plugin/grpcplugin/stream.go
+++ b/plugin/grpcplugin/stream.go
@@ -21,11 +21,14 @@
 // the server's header it is resent as a unary one is, from then on the stream is the caller's and nothing
 // sends it again. It ends with an error from RecvMsg, with ctx, or when nobody has read it for
 // ten of the longest deadlines.
-func (c *Conn) NewStream(ctx context.Context, desc *grpc.StreamDesc, method string, opts ...grpc.CallOption) (grpc.ClientStream, error) {
+func (c *Conn) NewStream(
+	ctx context.Context, desc *grpc.StreamDesc, method string, opts ...grpc.CallOption,
+) (grpc.ClientStream, error) {
 	if desc.ClientStreams || !desc.ServerStreams {
-		return nil, status.Errorf(codes.Unimplemented, "grpcplugin: %s: only unary calls and server streams are carried", method)
+		return nil, status.Errorf(codes.Unimplemented,
+			"grpcplugin: %s: only unary calls and server streams are carried", method)
 	}
-	o, err := read(opts)
+	o, err := parseCallOptions(opts)
 	if err != nil {
 		return nil, err
 	}
@@ -34,13 +37,13 @@
 		return nil, err
 	}
 	m.Stream = true
-	s := &stream{conn: c, ctx: ctx, o: o, message: m, begun: make(chan struct{})}
+	s := &stream{conn: c, ctx: ctx, o: o, message: m, started: make(chan struct{})}
 	s.start = func() {
 		go func() {
-			defer close(s.begun)
+			defer close(s.started)
 			m.StreamDeadline = c.core.Ends(ctx)
-			a, err := c.core.Do(ctx, spec, q, m)
-			s.take(a, err)
+			answer, err := c.core.Do(ctx, spec, q, m)
+			s.begin(answer, err)
 		}()
 	}
 	return s, nil
@@ -53,25 +56,26 @@
 	o       *options
 	message *call.Message
 	start   func()
-	once    sync.Once // start
-	begun   chan struct{}
-
-	// Set when begun is closed.
-	held    call.Stream
-	recv    *grpctransport.Stream
-	header  metadata.MD
-	err     error // the call had no stream
-	unwatch func() bool
-	idle    *time.Timer // gives up a stream that nobody reads
-
-	sent     bool
-	mu       sync.Mutex
-	over     error // what RecvMsg ended with; nil: it has not
+	once    sync.Once // of start
+	started chan struct{}
+
+	// Set before started is closed, and not changed after it.
+	upstream call.Stream
+	recv     *grpctransport.Stream
+	header   metadata.MD
+	err      error // the call has no stream: its result
+	unwatch  func() bool
+	idle     *time.Timer // gives up a stream that nobody reads
+
+	sent bool // the message; for the caller's sending goroutine alone
+
+	mu       sync.Mutex // guards the fields below
+	result   error      // of RecvMsg; nil: the stream has not ended
 	finished bool
 }
 
-// take takes the call's answer.
-func (s *stream) take(a call.Answer, err error) {
+// begin sets the stream by the call's answer.
+func (s *stream) begin(a call.Answer, err error) {
 	switch {
 	case err != nil:
 		s.err = asStatus(err)
@@ -84,17 +88,17 @@
 			s.err = decodeStatus(a.Status, a.Body).Err()
 		}
 	default:
-		s.held, s.header = a.Stream, metadata.MD(a.Header)
+		s.upstream, s.header = a.Stream, metadata.MD(a.Header)
 		s.recv = a.Stream.(interface{ Unwrap() call.Stream }).Unwrap().(*grpctransport.Stream)
-		s.unwatch = context.AfterFunc(s.ctx, s.held.Close)
-		s.idle = time.AfterFunc(s.conn.abandon, s.held.Close)
+		s.unwatch = context.AfterFunc(s.ctx, s.upstream.Close)
+		s.idle = time.AfterFunc(s.conn.abandon, s.upstream.Close)
 	}
 	if s.o.header != nil {
 		*s.o.header = s.header
 	}
 }
 
-// SendMsg takes the one message of the call.
+// SendMsg sets the one message of the call.
 func (s *stream) SendMsg(v any) error {
 	if s.sent {
 		return status.Error(codes.Internal, "grpcplugin: SendMsg called a second time on a server stream")
@@ -107,7 +111,7 @@
 	return nil
 }
 
-// CloseSend begins the call.
+// CloseSend starts the call.
 func (s *stream) CloseSend() error {
 	if !s.sent {
 		return status.Error(codes.Internal, "grpcplugin: CloseSend before the call's message")
@@ -121,7 +125,7 @@
 	if err := s.CloseSend(); err != nil {
 		return nil, err
 	}
-	<-s.begun
+	<-s.started
 	if s.err != nil && !errors.Is(s.err, io.EOF) {
 		return s.header, s.err
 	}
@@ -132,7 +136,7 @@
 func (s *stream) Trailer() metadata.MD {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.over == nil || s.recv == nil {
+	if s.result == nil || s.recv == nil {
 		return nil
 	}
 	return s.recv.Trailer()
@@ -146,12 +150,12 @@
 	if err := s.CloseSend(); err != nil {
 		return err
 	}
-	<-s.begun
+	<-s.started
 	s.mu.Lock()
-	over := s.over
+	result := s.result
 	s.mu.Unlock()
-	if over != nil {
-		return over
+	if result != nil {
+		return result
 	}
 	if s.err != nil {
 		return s.finish(s.err)
@@ -167,7 +171,7 @@
 	}
 	if ended := s.ctx.Err(); ended != nil {
 		err = asStatus(&plugin.FailedError{Cause: ended})
-	} else if status.Code(err) == codes.Unavailable { // it has begun, so it may have run
+	} else if status.Code(err) == codes.Unavailable { // it had started, so it may have run
 		err = mayHaveRun(status.Convert(err)).Err()
 	}
 	return s.finish(err)
@@ -177,23 +181,23 @@
 func (s *stream) finish(err error) error {
 	s.mu.Lock()
 	first := !s.finished
-	s.over, s.finished = err, true
+	s.result, s.finished = err, true
 	s.mu.Unlock()
 	if !first {
 		return err
 	}
-	if s.held != nil {
+	if s.upstream != nil {
 		s.unwatch()
 		s.idle.Stop()
-		s.held.Close()
+		s.upstream.Close()
 	}
 	if s.o.trailer != nil && s.recv != nil {
 		*s.o.trailer = s.recv.Trailer()
 	}
-	told := err
+	reported := err
 	if errors.Is(err, io.EOF) {
-		told = nil
+		reported = nil
 	}
-	s.o.finished(told)
+	s.o.finished(reported)
 	return err
 }
--- a/plugin/plugin_test.go
+++ b/plugin/plugin_test.go
@@ -140,7 +140,7 @@
 	}
 	if strings.Join(c.Classes, " ") != "reading entry look" || strings.Join(c.Tenants, " ") != "north south" ||
 		c.Methods["/p.S/M"] != (Method{"entry", "south"}) || c.LoadReport["busy_reqs"] != policy.HasInFlight ||
-		c.MaxCalls != 100 || len(c.listing().Servers) != 1 || c.Seed == 0 {
+		c.MaxCalls != 100 || len(c.knownServers().Servers) != 1 || c.Seed == 0 {
 		t.Errorf("config %+v", c)
 	}
 	for field, edit := range map[string][2]string{
@@ -403,7 +403,7 @@
 		"method":       {Method: "GET /x"},
 		"id":           {ID: "a\r\nX-B: 2"},
 		"route key":    {RouteKey: "a\nb"},
-		"long id":      {ID: strings.Repeat("x", longestName+1)},
+		"long id":      {ID: strings.Repeat("x", maxIDBytes+1)},
 	} {
 		r.Class = "look"
 		var invalid *InvalidError
--- a/plugin/pools.go
+++ b/plugin/pools.go
@@ -47,39 +47,50 @@
 			return nil, &InvalidError{"PoolsConfig." + field, fmt.Sprintf("%d is below 0", n)}
 		}
 	}
+	all := &pools{table: file.Table, cores: make(map[string]*Core)}
+	for i, one := range poolConfigs(file, cfg) {
+		core, err := openPool(one)
+		if err != nil {
+			ended, stop := context.WithCancel(context.Background())
+			stop()
+			_ = all.close(ended) // no call is open yet
+			return nil, fmt.Errorf("caperarch: %s: pools.%s: %w", path, file.List[i].Name, err)
+		}
+		all.cores[one.Name] = core
+	}
+	return &Client{pools: all}, nil
+}
+
+// poolConfigs are the configurations of the pools, with the client's bounds divided among them by weight.
+func poolConfigs(file *config.Pools, cfg PoolsConfig) []Config {
 	var weights []float64
 	sum := 0.0
 	for _, p := range file.List {
 		weights = append(weights, p.Weight)
 		sum += p.Weight
 	}
-	w := walls{
-		calls:  share.NewCapacity(int64(or(cfg.MaxCalls, DefaultMaxCalls)), weights),
-		bodies: share.NewCapacity(or(cfg.MaxBodyBytes, DefaultMaxBodyBytes), weights),
-	}
-	all := &pools{table: file.Table, cores: make(map[string]*Core)}
+	maxConns, maxBodies := or(cfg.MaxConnections, DefaultMaxConnections), or(cfg.MaxBodyBytes, DefaultMaxBodyBytes)
+	calls := share.NewCapacity(int64(or(cfg.MaxCalls, DefaultMaxCalls)), weights)
+	bodies := share.NewCapacity(maxBodies, weights)
+	var all []Config
 	for i, p := range file.List {
 		one := configOf(p.Config)
 		one.Name, one.Log = p.Name, cfg.Log
-		one.MaxConnections = int(float64(or(cfg.MaxConnections, DefaultMaxConnections)) * p.Weight / sum)
-		one.MaxBodyBytes = or(cfg.MaxBodyBytes, DefaultMaxBodyBytes)
-		w.clock, w.pool = clock.New(), i
-		one.walls = w
-		var core *Core
-		if one.MaxConnections < 1 {
-			err = fmt.Errorf("its part of the connections is none: MaxConnections is too small, or there are too many pools")
-		} else {
-			core, err = OpenCore(one, overHTTP1)
-		}
-		if err != nil {
-			ended, stop := context.WithCancel(context.Background())
-			stop()
-			_ = all.close(ended) // they hold nothing yet
-			return nil, fmt.Errorf("caperarch: %s: pools.%s: %w", path, p.Name, err)
-		}
-		all.cores[p.Name] = core
+		one.MaxConnections = int(float64(maxConns) * p.Weight / sum)
+		one.MaxBodyBytes = maxBodies
+		one.sharedLimits = bulkhead{clock: clock.New(), calls: calls, bodies: bodies, pool: i}
+		all = append(all, one)
 	}
-	return &Client{pools: all}, nil
+	return all
+}
+
+// openPool opens the core of one pool.
+func openPool(cfg Config) (*Core, error) {
+	if cfg.MaxConnections < 1 {
+		return nil, errors.New("its part of the connections is none: " +
+			"MaxConnections is too small, or there are too many pools")
+	}
+	return OpenCore(cfg, overHTTP1)
 }
 
 // route is the pool that a call goes to.
@@ -118,28 +129,28 @@
 	return errors.Join(errs...)
 }
 
-// walls are a pool's parts of what the client holds.
-type walls struct {
+// bulkhead is a pool's share of the calls and bodies that the client holds, so that none can crowd out the others.
+type bulkhead struct {
 	clock         clock.Clock
 	calls, bodies *share.Capacity
-	pool          int
+	pool          int // its index in the capacities
 }
 
-// Acquire takes a place for a call.
-func (w walls) Acquire(size int64) bool {
-	now := w.clock.Now()
-	if !w.calls.Acquire(now, w.pool, 1) {
+// Acquire reserves capacity for a call with a body of so many bytes; false: there is none.
+func (b bulkhead) Acquire(size int64) bool {
+	now := b.clock.Now()
+	if !b.calls.Acquire(now, b.pool, 1) {
 		return false
 	}
-	if !w.bodies.Acquire(now, w.pool, size) {
-		w.calls.Release(w.pool, 1)
+	if !b.bodies.Acquire(now, b.pool, size) {
+		b.calls.Release(b.pool, 1)
 		return false
 	}
 	return true
 }
 
-// Release gives it back.
-func (w walls) Release(size int64) {
-	w.calls.Release(w.pool, 1)
-	w.bodies.Release(w.pool, size)
+// Release returns what Acquire took.
+func (b bulkhead) Release(size int64) {
+	b.calls.Release(b.pool, 1)
+	b.bodies.Release(b.pool, size)
 }
--- a/plugin/roundtrip.go
+++ b/plugin/roundtrip.go
@@ -35,7 +35,7 @@
 		return nil, err
 	}
 	host := or(req.Host, req.URL.Host)
-	core, err := t.client.coreOf(host, req.URL.RequestURI(), or(req.Method, http.MethodGet), spec.Class)
+	core, err := t.client.coreFor(host, req.URL.RequestURI(), or(req.Method, http.MethodGet), spec.Class)
 	if err != nil {
 		return nil, err
 	}
@@ -51,7 +51,8 @@
 		return nil, &InvalidError{"Request.Method", m.Method + " is not carried"}
 	}
 	if effect != policy.Idempotent && m.Method == http.MethodGet {
-		return nil, &InvalidError{"Request.Method", fmt.Sprintf("calls of class %q have an effect: GET is not for them", spec.Class)}
+		reason := fmt.Sprintf("calls of class %q have an effect: GET is not for them", spec.Class)
+		return nil, &InvalidError{"Request.Method", reason}
 	}
 	if m.Method == http.MethodGet && len(body) > 0 {
 		return nil, &InvalidError{"Request.Body", "GET has none"}
@@ -59,7 +60,7 @@
 	if err := checkMessage(m); err != nil {
 		return nil, err
 	}
-	core.steer(m.Header, spec)
+	core.setControlHeaders(m.Header, spec)
 	a, err := core.Do(req.Context(), spec, q, m)
 	if err == nil {
 		return response(req, http.StatusOK, a.Header, a.Body), nil
@@ -76,6 +77,7 @@
 	return status >= 300 && status != http.StatusTooManyRequests && status != http.StatusServiceUnavailable
 }
 
+// requestBody reads a request's body, which has a bound.
 func requestBody(req *http.Request) ([]byte, error) {
 	if req.Body == nil {
 		return nil, nil
@@ -98,17 +100,20 @@
 	return buffer.Bytes(), nil
 }
 
-// steering are the headers that steer a call. Given twice, two readers may heed different ones.
-var steering = []string{
-	"X-Request-Id", "X-Priority-Class", "X-Tenant-Id", "X-Route-Key", "X-Timeout", "X-Retried", "X-Cost", "Idempotency-Key",
+// controlHeaders are the headers that carry a call's specification. If one is given twice, two readers may heed
+// different values, so that is an error.
+var controlHeaders = []string{
+	"X-Request-Id", "X-Priority-Class", "X-Tenant-Id", "X-Route-Key",
+	"X-Timeout", "X-Retried", "X-Cost", "Idempotency-Key",
 }
 
+// specOf reads a call's specification from the control headers.
 func specOf(req *http.Request) (*CallSpec, error) {
 	if req.URL == nil || req.URL.Scheme != "http" {
 		return nil, &InvalidError{"Request.URL", "its scheme must be http"}
 	}
 	h := req.Header
-	for _, name := range steering {
+	for _, name := range controlHeaders {
 		if len(h[name]) > 1 {
 			return nil, &InvalidError{name, "it is given twice"}
 		}
@@ -132,6 +137,7 @@
 	return s, nil
 }
 
+// response makes the response that http.Client gets.
 func response(req *http.Request, status int, header http.Header, body []byte) *http.Response {
 	h := call.EndToEndHeaders(header)
 	delete(h, "User-Agent")
