--- a/cmd/caperarch/policy.go
+++ b/cmd/caperarch/policy.go
@@ -176,8 +176,8 @@
 
 // upload sends a text in chunks, as a control call is bounded in length.
 func upload(address string, text []byte) error {
-	for i := range fleet.UploadCount(text) {
-		call := string(control.PolicyText) + " " + strings.Join(fleet.UploadPiece(text, i), " ")
+	for i := range fleet.UploadChunks(text) {
+		call := string(control.PolicyText) + " " + strings.Join(fleet.UploadChunkArgs(text, i), " ")
 		if _, err := controlCall(address, call); err != nil {
 			return err
 		}
--- a/internal/daemon/fleet.go
+++ b/internal/daemon/fleet.go
@@ -19,7 +19,7 @@
 	if s.fleet == nil {
 		return
 	}
-	s.metrics.FollowPeers(s.fleet.Figures)
+	s.metrics.FollowPeers(s.fleet.Metrics)
 	running, stop := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
@@ -39,7 +39,7 @@
 	if s.fleet == nil {
 		return nil
 	}
-	module.FleetSize, module.ArcStart, module.SuspectedDown = s.fleet.Sidecars, s.fleet.Place, s.fleet.Doubted
+	module.FleetSize, module.ArcStart, module.SuspectedDown = s.fleet.Sidecars, s.fleet.Position, s.fleet.Doubted
 	return s.fleet.Ended
 }
 
@@ -72,7 +72,7 @@
 	case control.PolicyAbort:
 		return p.Abort(to)
 	case control.PolicyFound:
-		return p.Found(to)
+		return p.Bootstrap(to)
 	}
 	return p.Show(to)
 }
@@ -87,7 +87,7 @@
 	case control.WorkPlan:
 		return p.Plan(c.Arguments, to)
 	case control.WorkShow:
-		return p.ShowWork(to)
+		return p.ShowMaintenance(to)
 	}
 	return p.Operate(maintenanceKinds[c.Verb], c.Arguments, to)
 }
@@ -114,8 +114,8 @@
 	policy *fleet.Policy
 	pool   *pool
 
-	applied          *fleet.InForce // the last policy that was applied
-	underMaintenance *[]uint64      // the last servers that were taken out
+	applied          *fleet.ActiveLimits // the last policy that was applied
+	underMaintenance *[]uint64           // the last servers that were taken out
 }
 
 // policyLimits returns what keeps a pool to the fleet's policy and returns the module's limits; nil: there is
@@ -130,7 +130,7 @@
 
 // limits applies what has changed in the policy, and returns the limits that the decision module has to keep now.
 func (l *policyLimiter) limits() *policy.Limits {
-	if out := l.policy.Out(); out != l.underMaintenance {
+	if out := l.policy.MachinesOut(); out != l.underMaintenance {
 		l.underMaintenance = out
 		var ids []policy.ServerID
 		for _, id := range *out {
@@ -138,11 +138,11 @@
 		}
 		l.pool.list.SetUnderMaintenance(ids)
 	}
-	now := l.policy.Now()
+	now := l.policy.Active()
 	if now != l.applied {
 		l.applied = now
 		l.pool.list.SetPolicyBanned(now.Limits.Out)
 		l.pool.target.SetMaxOpen(now.Limits.Open)
 	}
-	return &now.Module
+	return &now.Engine
 }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -25,40 +25,40 @@
 	"caperarch/policy"
 )
 
-// bindEvery is how often the address is tried again while the process before this one still has it.
-const bindEvery = 250 * time.Millisecond
+// bindRetryInterval is how often the address is tried again while the process before this one still has it.
+const bindRetryInterval = 250 * time.Millisecond
 
-// leastShare is how many bytes a second a sidecar has to have: less keeps no contact. peer.Open asks for as many.
-const leastShare = 512
+// minBytesPerSecond is how many bytes a second a sidecar has to have: less keeps no contact. peer.Open asks for as many.
+const minBytesPerSecond = 512
 
 const (
-	hintEvery = 500 * time.Millisecond
-	hintTo    = 3 // others that are told each time
+	hintInterval = 500 * time.Millisecond
+	hintFanout   = 3 // others that are told each time
 )
 
 // Fleet is this sidecar's part in a fleet. It is safe for concurrent use.
 type Fleet struct {
-	cfg   *config.Config
-	file  *config.Fleet
-	peers []netip.AddrPort
-	life  uint64
-	log   *slog.Logger
-	now   func() time.Duration
+	cfg         *config.Config
+	file        *config.Fleet
+	peers       []netip.AddrPort
+	incarnation uint64
+	log         *slog.Logger
+	now         func() time.Duration
 
 	policy *Policy // nil: this sidecar has no part in a policy of the fleet
 
-	known atomic.Int64  // sidecars that there are at least
-	begin atomic.Uint64 // math.Float64bits of this one's place among them
-	seen  []swim.State  // of the members, as that was reckoned; guarded by mu
+	sidecars       atomic.Int64  // sidecars that there are at least
+	position       atomic.Uint64 // math.Float64bits of this one's place among them
+	positionStates []swim.State  // of the members, as that was reckoned; guarded by mu
 
 	mu   sync.Mutex
 	node *swim.Node
 	link *peer.Link // nil: the address is not ours yet
 
-	hintsMu sync.Mutex // apart from mu: the module asks in the middle of its work
-	hints   *healthgossip.Hints
-	hintAt  time.Duration // when others are told next
-	rng     *rand.Rand
+	hintsMu  sync.Mutex // apart from mu: the module asks in the middle of its work
+	hints    *healthgossip.Hints
+	nextHint time.Duration // when others are told next
+	hintRand *rand.Rand
 }
 
 // New checks what a sidecar is told of its fleet. Nothing is opened until Run.
@@ -86,25 +86,25 @@
 		contact = share / 2
 	}
 	// Later starts have higher lives, and two within a millisecond differ by the seed.
-	f.life = uint64(time.Now().UnixMilli())<<16 | cfg.Seed&0xffff
+	f.incarnation = uint64(time.Now().UnixMilli())<<16 | cfg.Seed&0xffff
 	f.node, err = swim.New(swim.Config{
-		Size: len(f.peers), Self: cfg.Policy.Index, Incarnation: f.life, Lease: file.Lease, MaxClockError: file.ClockError, BytesPerSecond: contact,
+		Size: len(f.peers), Self: cfg.Policy.Index, Incarnation: f.incarnation, Lease: file.Lease, MaxClockError: file.ClockError, BytesPerSecond: contact,
 		Rand: rand.New(rand.NewPCG(cfg.Seed, 1)), Host: host{f},
 	})
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", file.Path, err)
 	}
-	if share < leastShare {
-		return nil, fmt.Errorf("%s: fleet_bytes_per_second: each of %d sidecars would have %.0f, at least %d are needed", file.Path, len(f.peers), share, leastShare)
+	if share < minBytesPerSecond {
+		return nil, fmt.Errorf("%s: fleet_bytes_per_second: each of %d sidecars would have %.0f, at least %d are needed", file.Path, len(f.peers), share, minBytesPerSecond)
 	}
 	if file.Policy != nil {
 		if f.policy, err = newPolicy(f); err != nil {
 			return nil, fmt.Errorf("%s: policy: %w", file.Path, err)
 		}
 	}
-	f.known.Store(int64(cfg.Policy.Balancers))
-	f.begin.Store(math.Float64bits(f.alone()))
-	f.hints, f.rng = healthgossip.New(len(f.peers)), rand.New(rand.NewPCG(cfg.Seed, 2))
+	f.sidecars.Store(int64(cfg.Policy.Balancers))
+	f.position.Store(math.Float64bits(f.configuredPosition()))
+	f.hints, f.hintRand = healthgossip.New(len(f.peers)), rand.New(rand.NewPCG(cfg.Seed, 2))
 	return f, nil
 }
 
@@ -112,18 +112,18 @@
 func (f *Fleet) Run(ctx context.Context) {
 	for waited := false; ; {
 		link, err := peer.Open(peer.Config{
-			Listen: f.cfg.PeerListen, Peers: f.peers, Self: f.cfg.Policy.Index, Fleet: f.file.Name, Incarnation: f.life, BytesPerSecond: f.file.BytesPerSidecar(len(f.peers)), Now: f.now,
+			Listen: f.cfg.PeerListen, Peers: f.peers, Self: f.cfg.Policy.Index, Fleet: f.file.Name, Incarnation: f.incarnation, BytesPerSecond: f.file.BytesPerSidecar(len(f.peers)), Now: f.now,
 		})
 		if err == nil {
 			f.serve(ctx, link)
 			return
 		}
 		if !waited {
-			f.log.Warn("peers: the address can't be had yet", "error", err, "again every", bindEvery, "in use", errors.Is(err, syscall.EADDRINUSE))
+			f.log.Warn("peers: the address can't be had yet", "error", err, "again every", bindRetryInterval, "in use", errors.Is(err, syscall.EADDRINUSE))
 			waited = true
 		}
 		select {
-		case <-time.After(bindEvery):
+		case <-time.After(bindRetryInterval):
 		case <-ctx.Done():
 			return
 		}
@@ -136,17 +136,17 @@
 	f.node.Start(f.now())
 	f.mu.Unlock()
 	if f.policy != nil {
-		if err := f.policy.begin(link); err != nil {
-			f.policy.end()
+		if err := f.policy.start(link); err != nil {
+			f.policy.stop()
 			f.log.Error("policy: this sidecar takes no part, and goes by cut_off", "error", err)
 		}
-		defer f.policy.end()
+		defer f.policy.stop()
 	}
-	f.log.Info("peers", "listen", link.Address(), "fleet", f.file.Name, "sidecars", len(f.peers), "number", f.cfg.Policy.Index, "session", f.life)
+	f.log.Info("peers", "listen", link.Address(), "fleet", f.file.Name, "sidecars", len(f.peers), "number", f.cfg.Policy.Index, "session", f.incarnation)
 	read := make(chan struct{})
 	go func() {
 		defer close(read)
-		link.Read(taker{f})
+		link.Read(handler{f})
 	}()
 	clock.Every(ctx, swim.Period, func() {
 		f.tick()
@@ -166,21 +166,21 @@
 	defer f.mu.Unlock()
 	now := f.now()
 	f.node.Tick(now)
-	f.known.Store(int64(max(f.cfg.Policy.Balancers, f.node.FleetSize(now))))
-	f.place(now)
-	if now >= f.hintAt {
-		f.hintAt = now + hintEvery
-		f.tell(now)
+	f.sidecars.Store(int64(max(f.cfg.Policy.Balancers, f.node.FleetSize(now))))
+	f.updatePosition(now)
+	if now >= f.nextHint {
+		f.nextHint = now + hintInterval
+		f.sendHints(now)
 	}
 }
 
-// alone is this sidecar's place by the settings alone.
-func (f *Fleet) alone() float64 {
+// configuredPosition is this sidecar's place by the settings alone.
+func (f *Fleet) configuredPosition() float64 {
 	return subset.ArcStart(f.cfg.Policy.Index, f.cfg.Policy.Balancers, nil)
 }
 
-// place reckons where among the sidecars that live this one begins. Who is out of contact knows too little of them, and goes by the settings.
-func (f *Fleet) place(now time.Duration) {
+// updatePosition reckons where among the sidecars that live this one begins. Who is out of contact knows too little of them, and goes by the settings.
+func (f *Fleet) updatePosition(now time.Duration) {
 	contact := f.node.InContact(now)
 	seen := make([]swim.State, 1, 1+len(f.peers)) // the first says whether there is contact at all
 	if contact {
@@ -190,22 +190,22 @@
 			seen = append(seen, state)
 		}
 	}
-	if slices.Equal(seen, f.seen) {
+	if slices.Equal(seen, f.positionStates) {
 		return
 	}
-	f.seen = seen
-	at := f.alone()
+	f.positionStates = seen
+	at := f.configuredPosition()
 	if contact {
 		at = subset.ArcStart(f.cfg.Policy.Index, len(f.peers), func(i int) bool { return seen[1+i] == swim.Alive || seen[1+i] == swim.Suspect })
 	}
-	f.begin.Store(math.Float64bits(at))
+	f.position.Store(math.Float64bits(at))
 }
 
-// Place is where this sidecar begins among those that live, a share of the whole. It never waits.
-func (f *Fleet) Place() float64 { return math.Float64frombits(f.begin.Load()) }
+// Position is where this sidecar begins among those that live, a share of the whole. It never waits.
+func (f *Fleet) Position() float64 { return math.Float64frombits(f.position.Load()) }
 
-// tell tells some others of the servers that don't answer this one.
-func (f *Fleet) tell(now time.Duration) {
+// sendHints tells some others of the servers that don't answer this one.
+func (f *Fleet) sendHints(now time.Duration) {
 	f.hintsMu.Lock()
 	silent := f.hints.Unresponsive(now)
 	f.hintsMu.Unlock()
@@ -216,8 +216,8 @@
 	for i, s := range silent {
 		ids[i] = uint64(s)
 	}
-	for told, tries := 0, 0; told < hintTo && tries < 4*hintTo; tries++ {
-		i := f.rng.IntN(len(f.peers))
+	for told, tries := 0, 0; told < hintFanout && tries < 4*hintFanout; tries++ {
+		i := f.hintRand.IntN(len(f.peers))
 		if state, _ := f.node.State(i); i != f.cfg.Policy.Index && state == swim.Alive {
 			f.link.SendHint(i, ids)
 			told++
@@ -247,7 +247,7 @@
 func (f *Fleet) Policy() *Policy { return f.policy }
 
 // Sidecars is how many there are at least, by the settings or by what was seen. It never waits.
-func (f *Fleet) Sidecars() int { return int(f.known.Load()) }
+func (f *Fleet) Sidecars() int { return int(f.sidecars.Load()) }
 
 // InContact says whether this sidecar is in contact at this very moment. It is to be asked where something depends on it.
 func (f *Fleet) InContact() bool {
@@ -258,18 +258,18 @@
 
 // View is what this sidecar knows of the fleet, for people.
 type View struct {
-	Now      time.Duration
-	Self     int
-	Contact  bool
-	Until    time.Duration // its lease, if no further answer comes
-	Lease    time.Duration
-	Session  swim.Session
-	Members  []swim.Member
-	Stats    swim.Stats
-	Link     peer.Counters
-	Sidecars int
-	Silent   int // servers that others are told don't answer this one
-	Doubted  int // servers that enough others say so of
+	Now          time.Duration
+	Self         int
+	InContact    bool
+	ContactUntil time.Duration // its lease, if no further answer comes
+	Lease        time.Duration
+	Session      swim.Session
+	Members      []swim.Member
+	Stats        swim.Stats
+	Link         peer.Counters
+	Sidecars     int
+	Unresponsive int // servers that others are told don't answer this one
+	Doubted      int // servers that enough others say so of
 }
 
 // View is the present one.
@@ -280,26 +280,26 @@
 	f.hintsMu.Lock()
 	silent, doubted := len(f.hints.Unresponsive(now)), f.hints.DoubtedCount(now)
 	f.hintsMu.Unlock()
-	v := View{Silent: silent, Doubted: doubted, Now: now, Self: f.cfg.Policy.Index, Sidecars: f.Sidecars(), Lease: f.node.Lease}
+	v := View{Unresponsive: silent, Doubted: doubted, Now: now, Self: f.cfg.Policy.Index, Sidecars: f.Sidecars(), Lease: f.node.Lease}
 	if f.link == nil {
 		return v
 	}
 	v.Members = f.node.Members(v.Now)
-	v.Until, v.Contact = f.node.ContactUntil(v.Now)
+	v.ContactUntil, v.InContact = f.node.ContactUntil(v.Now)
 	v.Session, v.Stats, v.Link = f.node.Session(), f.node.Stats, f.link.Counters()
 	return v
 }
 
-// Figures is the present view in numbers.
-func (f *Fleet) Figures() metrics.Peers {
+// Metrics is the present view in numbers.
+func (f *Fleet) Metrics() metrics.Peers {
 	v := f.View()
 	l := v.Link
 	p := metrics.Peers{
-		Contact: v.Contact, Sidecars: v.Sidecars, SentBytes: l.SentBytes, Dropped: l.Length + l.Malformed + l.OtherFleet + l.NewerFormat + l.Address,
+		Contact: v.InContact, Sidecars: v.Sidecars, SentBytes: l.SentBytes, Dropped: l.Length + l.Malformed + l.OtherFleet + l.NewerFormat + l.Address,
 		Members: make(map[string]int),
 	}
 	if f.policy != nil {
-		p.Policy = f.policy.figures()
+		p.Policy = f.policy.metrics()
 	}
 	for state := swim.Unknown; state <= swim.Left; state++ {
 		p.Members[state.String()] = 0
@@ -331,16 +331,16 @@
 	}
 }
 
-// taker hands over what the link reads.
-type taker struct{ f *Fleet }
+// handler hands over what the link reads.
+type handler struct{ f *Fleet }
 
-func (t taker) Contact(_ int, m *swim.Message) {
+func (t handler) Contact(_ int, m *swim.Message) {
 	t.f.mu.Lock()
 	defer t.f.mu.Unlock()
 	t.f.node.Receive(t.f.now(), m)
 }
 
-func (t taker) Hint(from int, silent []uint64) {
+func (t handler) Hint(from int, silent []uint64) {
 	all := make([]healthgossip.Server, len(silent))
 	for i, s := range silent {
 		all[i] = healthgossip.Server(s)
@@ -350,9 +350,9 @@
 	t.f.hints.Receive(t.f.now(), from, all)
 }
 
-func (t taker) Decision(from int, message []byte) error {
+func (t handler) Decision(from int, message []byte) error {
 	if t.f.policy == nil {
 		return nil // this one has no part in it
 	}
-	return t.f.policy.take(from, message)
+	return t.f.policy.receive(from, message)
 }
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -79,7 +79,7 @@
 	if v := all[0].View(); v.Link.Address == 0 {
 		t.Errorf("its datagrams were not dropped: %+v", v.Link)
 	}
-	if p := all[0].Figures(); p.Members["alive"] != 2 || !p.Contact || p.Dropped == 0 {
+	if p := all[0].Metrics(); p.Members["alive"] != 2 || !p.Contact || p.Dropped == 0 {
 		t.Errorf("%+v", p)
 	}
 	var text strings.Builder
--- a/internal/fleet/operate.go
+++ b/internal/fleet/operate.go
@@ -15,29 +15,29 @@
 )
 
 const (
-	uploadPiece = 300              // bytes of a text in one call
-	uploadsMost = 4                // texts that are half here
-	uploadTime  = 30 * time.Second // without a further piece
-	behindWait  = 400 * time.Millisecond
+	uploadChunk     = 300              // bytes of a text in one call
+	maxUploads      = 4                // texts that are half here
+	uploadTimeout   = 30 * time.Second // without a further piece
+	laggardsTimeout = 400 * time.Millisecond
 )
 
-var errNotYet = errors.New("this process takes no part in the fleet's policy: the address for peers is not its own yet, or what it kept can't be used; its log says which")
+var errNotRunning = errors.New("this process takes no part in the fleet's policy: the address for peers is not its own yet, or what it kept can't be used; its log says which")
 
 // upload is a text that an operator hands over in pieces, as a call is short.
 type upload struct {
-	hash  string
-	parts [][]byte
-	at    time.Duration
+	hash      string
+	chunks    [][]byte
+	lastChunk time.Duration
 }
 
-// UploadCount is in how many pieces a text is handed over, and UploadPiece one of them as the words of its call.
-func UploadCount(text []byte) int { return max(1, (len(text)+uploadPiece-1)/uploadPiece) }
+// UploadChunks is in how many pieces a text is handed over, and UploadPiece one of them as the words of its call.
+func UploadChunks(text []byte) int { return max(1, (len(text)+uploadChunk-1)/uploadChunk) }
 
-// UploadPiece is a piece of a text as the words of its call.
-func UploadPiece(text []byte, i int) []string {
-	from := i * uploadPiece
-	part := text[from:min(len(text), from+uploadPiece)]
-	return []string{policyrollout.Hash(text), strconv.Itoa(i), strconv.Itoa(UploadCount(text)), "=" + base64.RawStdEncoding.EncodeToString(part)}
+// UploadChunkArgs is a piece of a text as the words of its call.
+func UploadChunkArgs(text []byte, i int) []string {
+	from := i * uploadChunk
+	part := text[from:min(len(text), from+uploadChunk)]
+	return []string{policyrollout.Hash(text), strconv.Itoa(i), strconv.Itoa(UploadChunks(text)), "=" + base64.RawStdEncoding.EncodeToString(part)}
 }
 
 // Upload takes a piece of a text: its hash, the piece's number, how many there are, the piece.
@@ -52,30 +52,30 @@
 	if sum, err := hex.DecodeString(hash); err != nil || len(sum) != 32 {
 		return errors.New("the hash is no SHA-256")
 	}
-	if errors.Join(err1, err2, err3) != nil || count < 1 || count > policyrollout.MaxTextBytes/uploadPiece+1 || index < 0 || index >= count || len(raw) > uploadPiece {
+	if errors.Join(err1, err2, err3) != nil || count < 1 || count > policyrollout.MaxTextBytes/uploadChunk+1 || index < 0 || index >= count || len(raw) > uploadChunk {
 		return fmt.Errorf("piece %s of %s can't be used", words[1], words[2])
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	now := p.f.now()
+	now := p.fleet.now()
 	var u *upload
 	kept := p.uploads[:0]
 	for _, x := range p.uploads {
-		if now-x.at < uploadTime {
+		if now-x.lastChunk < uploadTimeout {
 			kept = append(kept, x)
 		}
-		if x.hash == hash && len(x.parts) == count {
+		if x.hash == hash && len(x.chunks) == count {
 			u = x
 		}
 	}
 	if p.uploads = kept; u == nil {
-		if len(p.uploads) >= uploadsMost {
-			return fmt.Errorf("%d policies are being handed over, try again in a moment", uploadsMost)
+		if len(p.uploads) >= maxUploads {
+			return fmt.Errorf("%d policies are being handed over, try again in a moment", maxUploads)
 		}
-		u = &upload{hash: hash, parts: make([][]byte, count)}
+		u = &upload{hash: hash, chunks: make([][]byte, count)}
 		p.uploads = append(p.uploads, u)
 	}
-	u.at, u.parts[index] = now, raw
+	u.lastChunk, u.chunks[index] = now, raw
 	return nil
 }
 
@@ -95,14 +95,14 @@
 		return err
 	}
 	if p.node == nil {
-		return errNotYet
+		return errNotRunning
 	}
-	p.now = p.f.now()
+	p.now = p.fleet.now()
 	ref, err := p.node.Propose(p.now, text, uint32(base))
 	if err != nil {
 		return err
 	}
-	p.publish()
+	p.publishActive()
 	_, err = fmt.Fprintf(to, "version %d proposed, hash %x\n", ref.Version, ref.Hash)
 	return err
 }
@@ -114,9 +114,9 @@
 			continue
 		}
 		var text []byte
-		for k, part := range u.parts {
+		for k, part := range u.chunks {
 			if part == nil {
-				return nil, fmt.Errorf("piece %d of %d was not handed over", k, len(u.parts))
+				return nil, fmt.Errorf("piece %d of %d was not handed over", k, len(u.chunks))
 			}
 			text = append(text, part...)
 		}
@@ -134,9 +134,9 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.node == nil {
-		return errNotYet
+		return errNotRunning
 	}
-	p.now = p.f.now()
+	p.now = p.fleet.now()
 	version, err := p.node.Abort(p.now)
 	if err != nil {
 		return err
@@ -145,16 +145,16 @@
 	return err
 }
 
-// Found begins a log. It is refused while one answers.
-func (p *Policy) Found(to io.Writer) error {
+// Bootstrap begins a log. It is refused while one answers.
+func (p *Policy) Bootstrap(to io.Writer) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.node == nil {
-		return errNotYet
+		return errNotRunning
 	}
-	p.now = p.f.now()
+	p.now = p.fleet.now()
 	// Above each that was begun before, and no other's: the later of two that are begun at once wins.
-	epoch := uint64(time.Now().UnixMilli())<<16 | uint64(p.f.cfg.Policy.Index)
+	epoch := uint64(time.Now().UnixMilli())<<16 | uint64(p.fleet.cfg.Policy.Index)
 	if err := p.node.Bootstrap(p.now, epoch); err != nil {
 		return err
 	}
@@ -167,9 +167,9 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.node == nil {
-		return replicatedstate.View{Self: p.f.cfg.Policy.Index, Leader: -1}
+		return replicatedstate.View{Self: p.fleet.cfg.Policy.Index, Leader: -1}
 	}
-	return p.node.View(p.f.now())
+	return p.node.View(p.fleet.now())
 }
 
 // Show writes what holds, what is under way and whom that waits for; the leader is asked for the last.
@@ -178,10 +178,10 @@
 	if v.State.InProgress() != 0 && v.LaggardCount < 0 {
 		p.mu.Lock()
 		if p.node != nil {
-			p.node.RequestLaggards(p.f.now())
+			p.node.RequestLaggards(p.fleet.now())
 		}
 		p.mu.Unlock()
-		for end := time.Now().Add(behindWait); v.LaggardCount < 0 && time.Now().Before(end); v = p.View() {
+		for end := time.Now().Add(laggardsTimeout); v.LaggardCount < 0 && time.Now().Before(end); v = p.View() {
 			time.Sleep(10 * time.Millisecond)
 		}
 	}
--- a/internal/fleet/policy.go
+++ b/internal/fleet/policy.go
@@ -27,22 +27,22 @@
 // unbounded stands for a bound that the settings don't have.
 const unbounded = 1_000_000
 
-// InForce is what a sidecar goes by for a while. It does not change: another one takes its place.
-type InForce struct {
+// ActiveLimits is what a sidecar goes by for a while. It does not change: another one takes its place.
+type ActiveLimits struct {
 	policyrollout.Active
 	Limits *policyrollout.Limits
-	Module policy.Limits
+	Engine policy.Limits
 }
 
 // Policy is this sidecar's part in the policy that the fleet agrees on. It is safe for concurrent use.
 type Policy struct {
-	f        *Fleet
-	settings *policyrollout.Settings
-	span     time.Duration // of the retry budget; 0: there is none
-	cutOff   *InForce
+	fleet     *Fleet
+	settings  *policyrollout.Settings
+	retrySpan time.Duration // of the retry budget; 0: there is none
+	cutOff    *ActiveLimits
 
-	force atomic.Pointer[InForce]
-	until atomic.Int64 // when force is over and cutOff holds, if nothing more is heard
+	active      atomic.Pointer[ActiveLimits]
+	activeUntil atomic.Int64 // when force is over and cutOff holds, if nothing more is heard
 
 	cfg replicatedstate.Config
 
@@ -52,30 +52,30 @@
 	store *state.Store          // nil: nothing outlives the process
 	now   time.Duration
 
-	out  atomic.Pointer[[]uint64] // by plans of work
-	work work
+	machinesOut atomic.Pointer[[]uint64] // by plans of work
+	maintenance maintenanceState
 
-	muted    bool              // that was logged
-	uploads  []*upload         // by operators
-	outcomes map[string]uint64 // changes that were taken, called off, refused
+	storageErrorLogged bool              // that was logged
+	uploads            []*upload         // by operators
+	outcomes           map[string]uint64 // changes that were taken, called off, refused
 }
 
 func newPolicy(f *Fleet) (*Policy, error) {
-	p := &Policy{f: f, settings: settingsOf(f.cfg), span: f.cfg.Policy.Budget.Span, outcomes: map[string]uint64{"taken": 0, "called off": 0, "refused": 0}}
-	l, err := p.resolve(f.file.Policy.FallbackPolicy)
+	p := &Policy{fleet: f, settings: policySettings(f.cfg), retrySpan: f.cfg.Policy.Budget.Span, outcomes: map[string]uint64{"taken": 0, "called off": 0, "refused": 0}}
+	l, err := p.resolvePolicy(f.file.Policy.FallbackPolicy)
 	if err != nil {
 		return nil, fmt.Errorf("cut_off: %w", err)
 	}
 	if looser := policyrollout.Looser(l, &p.settings.Limits); looser != nil {
 		return nil, fmt.Errorf("cut_off: it is looser than the settings, which may hold: %s", strings.Join(looser, "; "))
 	}
-	p.cutOff = p.inForce(policyrollout.Active{}, l)
-	p.force.Store(p.cutOff)
-	p.until.Store(math.MaxInt64)
-	p.out.Store(new([]uint64))
+	p.cutOff = p.newActiveLimits(policyrollout.Active{}, l)
+	p.active.Store(p.cutOff)
+	p.activeUntil.Store(math.MaxInt64)
+	p.machinesOut.Store(new([]uint64))
 	p.cfg = replicatedstate.Config{
-		Size: len(f.peers), ProcessIncarnation: f.life, Lease: cmp.Or(f.file.Lease, swim.LeaseFor(len(f.peers))), MaxClockError: cmp.Or(f.file.ClockError, swim.DefaultClockError),
-		Rand: rand.New(rand.NewPCG(f.cfg.Seed, 3)), Host: policyHost{p}, Check: p.check,
+		Size: len(f.peers), ProcessIncarnation: f.incarnation, Lease: cmp.Or(f.file.Lease, swim.LeaseFor(len(f.peers))), MaxClockError: cmp.Or(f.file.ClockError, swim.DefaultClockError),
+		Rand: rand.New(rand.NewPCG(f.cfg.Seed, 3)), Host: policyHost{p}, Check: p.checkPolicy,
 	}
 	if dir := f.file.Policy.StateDir; dir != "" {
 		if err := state.CheckWritable(dir); err != nil {
@@ -85,8 +85,8 @@
 	return p, nil
 }
 
-// settingsOf are this sidecar's own settings, as a policy sees them.
-func settingsOf(cfg *config.Config) *policyrollout.Settings {
+// policySettings are this sidecar's own settings, as a policy sees them.
+func policySettings(cfg *config.Config) *policyrollout.Settings {
 	s := &policyrollout.Settings{Tenants: cfg.Tenants, NoRetryBudget: cfg.Policy.Budget.Span == 0}
 	sum := 0.0
 	for _, t := range cfg.Policy.Tenants {
@@ -109,8 +109,8 @@
 	return s
 }
 
-// resolve makes a text whole by this sidecar's settings.
-func (p *Policy) resolve(text []byte) (*policyrollout.Limits, error) {
+// resolvePolicy makes a text whole by this sidecar's settings.
+func (p *Policy) resolvePolicy(text []byte) (*policyrollout.Limits, error) {
 	parsed, err := policyrollout.Parse(text)
 	if err != nil {
 		return nil, err
@@ -118,9 +118,9 @@
 	return parsed.Resolve(p.settings)
 }
 
-// check says why a policy can't be applied here.
-func (p *Policy) check(text []byte) error {
-	l, err := p.resolve(text)
+// checkPolicy says why a policy can't be applied here.
+func (p *Policy) checkPolicy(text []byte) error {
+	l, err := p.resolvePolicy(text)
 	if err != nil {
 		return err
 	}
@@ -130,44 +130,44 @@
 	return nil
 }
 
-// inForce is what to go by as the module takes it.
-func (p *Policy) inForce(now policyrollout.Active, l *policyrollout.Limits) *InForce {
-	in := &InForce{Active: now, Limits: l, Module: policy.Limits{MaxAttempts: l.Attempts, Queue: l.Queue}}
+// newActiveLimits is what to go by as the module takes it.
+func (p *Policy) newActiveLimits(now policyrollout.Active, l *policyrollout.Limits) *ActiveLimits {
+	in := &ActiveLimits{Active: now, Limits: l, Engine: policy.Limits{MaxAttempts: l.Attempts, Queue: l.Queue}}
 	for i, share := range l.Share {
 		t := policy.Tenant{Share: share}
 		if !math.IsInf(l.Quota[i], 1) {
 			t.Quota = l.Quota[i]
 		}
-		in.Module.Tenants = append(in.Module.Tenants, t)
+		in.Engine.Tenants = append(in.Engine.Tenants, t)
 	}
-	if p.span > 0 {
-		in.Module.Budget = policy.RetryBudget{Span: p.span, Free: l.RetryFree, Share: l.RetryShare}
+	if p.retrySpan > 0 {
+		in.Engine.Budget = policy.RetryBudget{Span: p.retrySpan, Free: l.RetryFree, Share: l.RetryShare}
 	}
 	return in
 }
 
-// Now is what holds at this very moment. It is to be asked wherever something depends on it: a process that stood still finds itself cut off.
-func (p *Policy) Now() *InForce {
-	if p.f.now() >= time.Duration(p.until.Load()) {
+// Active is what holds at this very moment. It is to be asked wherever something depends on it: a process that stood still finds itself cut off.
+func (p *Policy) Active() *ActiveLimits {
+	if p.fleet.now() >= time.Duration(p.activeUntil.Load()) {
 		return p.cutOff
 	}
-	return p.force.Load()
+	return p.active.Load()
 }
 
-// begin has it take part, over a link. What it has kept in its folder is the process's only that has the address: the one before it may have used it till now.
-func (p *Policy) begin(link *peer.Link) error {
+// start has it take part, over a link. What it has kept in its folder is the process's only that has the address: the one before it may have used it till now.
+func (p *Policy) start(link *peer.Link) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	cfg := p.cfg
-	cfg.Self = raftlog.Voter{Number: p.f.cfg.Policy.Index, Incarnation: p.f.life}
+	cfg.Self = raftlog.Voter{Number: p.fleet.cfg.Policy.Index, Incarnation: p.fleet.incarnation}
 	saved, texts := new(raftlog.SavedState), [][]byte(nil)
-	if dir := p.f.file.Policy.StateDir; dir != "" {
+	if dir := p.fleet.file.Policy.StateDir; dir != "" {
 		var err error
-		if p.store, err = openState(dir, p.f.file.Name, cfg.Self); err != nil {
+		if p.store, err = openState(dir, p.fleet.file.Name, cfg.Self); err != nil {
 			return err
 		}
 		if damage := p.store.Corruption(); damage != nil {
-			p.f.log.Error("policy: the state was damaged and is put aside, this sidecar votes with a new seat", "error", damage)
+			p.fleet.log.Error("policy: the state was damaged and is put aside, this sidecar votes with a new seat", "error", damage)
 		}
 		if saved, texts, err = p.store.Saved(); err != nil {
 			return err
@@ -178,10 +178,10 @@
 	if err != nil {
 		return err
 	}
-	p.link, p.now = link, p.f.now()
+	p.link, p.now = link, p.fleet.now()
 	p.node = node
 	err = node.Restore(p.now, saved, texts)
-	p.bar()
+	p.publishMachinesOut()
 	return err
 }
 
@@ -195,18 +195,18 @@
 	return s, err
 }
 
-// end closes what is kept; nothing is sent from then on.
-func (p *Policy) end() {
+// stop closes what is kept; nothing is sent from then on.
+func (p *Policy) stop() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.node, p.link = nil, nil
 	if p.store != nil {
 		if err := p.store.Close(); err != nil {
-			p.f.log.Error("policy: state", "error", err)
+			p.fleet.log.Error("policy: state", "error", err)
 		}
 		p.store = nil
 	}
-	p.set(p.cutOff, math.MaxInt64)
+	p.setActive(p.cutOff, math.MaxInt64)
 }
 
 func (p *Policy) tick() {
@@ -215,58 +215,58 @@
 	if p.node == nil {
 		return
 	}
-	p.now = p.f.now()
-	p.look()
+	p.now = p.fleet.now()
+	p.updateMaintenance()
 	p.node.Tick(p.now)
-	p.publish()
-	if err := p.node.StorageError(); err != nil && !p.muted {
-		p.muted = true
-		p.f.log.Error("policy: what must not be forgotten can't be kept, this sidecar votes no more", "error", err)
+	p.publishActive()
+	if err := p.node.StorageError(); err != nil && !p.storageErrorLogged {
+		p.storageErrorLogged = true
+		p.fleet.log.Error("policy: what must not be forgotten can't be kept, this sidecar votes no more", "error", err)
 	}
 }
 
-func (p *Policy) take(from int, message []byte) error {
+func (p *Policy) receive(from int, message []byte) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.node == nil {
 		return nil
 	}
-	p.now = p.f.now()
+	p.now = p.fleet.now()
 	err := p.node.Receive(p.now, from, message)
-	p.publish()
+	p.publishActive()
 	return err
 }
 
-// publish has Now tell what the node goes by. The caller holds the lock; the node itself calls for it before it tells the fleet by what it goes.
-func (p *Policy) publish() {
-	p.bar()
+// publishActive has Now tell what the node goes by. The caller holds the lock; the node itself calls for it before it tells the fleet by what it goes.
+func (p *Policy) publishActive() {
+	p.publishMachinesOut()
 	goes := p.node.Active(p.now)
 	until := p.node.ActiveUntil()
 	if goes.Mode == policyrollout.CutOff {
-		p.set(p.cutOff, math.MaxInt64)
+		p.setActive(p.cutOff, math.MaxInt64)
 		return
 	}
-	if in := p.force.Load(); in.Active == goes {
-		p.until.Store(int64(until))
+	if in := p.active.Load(); in.Active == goes {
+		p.activeUntil.Store(int64(until))
 		return
 	}
 	l, err := p.limitsOf(goes)
 	if err != nil { // its text was checked when it came
-		p.f.log.Error("policy: what the fleet goes by can't be applied, this sidecar is cut off", "error", err)
-		p.set(p.cutOff, math.MaxInt64)
+		p.fleet.log.Error("policy: what the fleet goes by can't be applied, this sidecar is cut off", "error", err)
+		p.setActive(p.cutOff, math.MaxInt64)
 		return
 	}
-	p.set(p.inForce(goes, l), int64(until))
+	p.setActive(p.newActiveLimits(goes, l), int64(until))
 }
 
-// set has something else hold. Whoever asks between the two finds cutOff, which is no looser than either.
-func (p *Policy) set(in *InForce, until int64) {
-	if p.force.Load() == in && p.until.Load() == until {
+// setActive has something else hold. Whoever asks between the two finds cutOff, which is no looser than either.
+func (p *Policy) setActive(in *ActiveLimits, until int64) {
+	if p.active.Load() == in && p.activeUntil.Load() == until {
 		return
 	}
-	p.until.Store(0)
-	p.force.Store(in)
-	p.until.Store(until)
+	p.activeUntil.Store(0)
+	p.active.Store(in)
+	p.activeUntil.Store(until)
 }
 
 // limitsOf are the limits of one version, or the stricter of two.
@@ -279,7 +279,7 @@
 		if !here {
 			return nil, errors.New(policyrollout.Waiting)
 		}
-		return p.resolve(text)
+		return p.resolvePolicy(text)
 	}
 	l, err := one(goes.New)
 	if err != nil || goes.Mode != policyrollout.Both {
@@ -292,12 +292,12 @@
 	return policyrollout.Stricter(old, l), nil
 }
 
-// figures is the present state in numbers.
-func (p *Policy) figures() *metrics.Policy {
+// metrics is the present state in numbers.
+func (p *Policy) metrics() *metrics.Policy {
 	v := p.View()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return &metrics.Policy{Holds: v.State.Current.Version, Goes: v.Active.Mode.String(), UnderWay: v.State.InProgress(), Changes: maps.Clone(p.outcomes), Work: p.workFigures()}
+	return &metrics.Policy{Holds: v.State.Current.Version, Goes: v.Active.Mode.String(), UnderWay: v.State.InProgress(), Changes: maps.Clone(p.outcomes), Work: p.maintenanceMetrics()}
 }
 
 // policyHost carries out what the node decides; its methods are called with the lock held.
@@ -315,14 +315,14 @@
 }
 
 func (h policyHost) Changed(e replicatedstate.Event) {
-	log := h.p.f.log
+	log := h.p.fleet.log
 	switch e.Kind {
 	case "goes by":
-		h.p.publish()
+		h.p.publishActive()
 		log.Info("policy: goes by", "mode", e.Active.Mode.String(), "version", e.Active.New.Version, "old", e.Active.Old.Version)
 	case "leads", "log":
 		if e.Kind == "log" {
-			h.p.work.own, h.p.work.logs = maintenance.LocalClearance{}, h.p.work.logs+1
+			h.p.maintenance.clearance, h.p.maintenance.logCount = maintenance.LocalClearance{}, h.p.maintenance.logCount+1
 		}
 		log.Info("policy: "+e.Kind, "number", e.By, "what", e.Why)
 	case "entry":
--- a/internal/fleet/policy_test.go
+++ b/internal/fleet/policy_test.go
@@ -40,7 +40,7 @@
 	} {
 		f, err := withPolicy(t, cutOff, nil)
 		switch {
-		case says == "" && (err != nil || f.Policy().Now().Limits.Open != 10):
+		case says == "" && (err != nil || f.Policy().Active().Limits.Open != 10):
 			t.Errorf("%q: %v", cutOff, err)
 		case says != "" && (err == nil || !strings.Contains(err.Error(), says)):
 			t.Errorf("%q: %v, want an error that says %q", cutOff, err, says)
@@ -68,7 +68,7 @@
 		}
 		return b.String()
 	}
-	found := func(b *bytes.Buffer) error { return p.Found(b) }
+	found := func(b *bytes.Buffer) error { return p.Bootstrap(b) }
 	show := func(b *bytes.Buffer) error { return p.Show(b) }
 	if got := call(found); !strings.Contains(got, "takes no part") {
 		t.Errorf("found without a link: %s", got)
@@ -76,7 +76,7 @@
 	if got := call(show); !strings.Contains(got, "no log is known here") || !strings.Contains(got, "is cut off") {
 		t.Errorf("show: %s", got)
 	}
-	if err := p.begin(quietLink(t, f)); err != nil {
+	if err := p.start(quietLink(t, f)); err != nil {
 		t.Fatal(err)
 	}
 	if got := call(found); !strings.Contains(got, "a log is begun") {
@@ -87,11 +87,11 @@
 			p.tick()
 		}
 	}
-	if p.Now().Mode != policyrollout.CutOff {
+	if p.Active().Mode != policyrollout.CutOff {
 		t.Error("not cut off at the beginning")
 	}
 	pass(12 * time.Second)
-	if now := p.Now(); now.Mode != policyrollout.One || now.Limits.Open != 100 || len(now.Module.Tenants) != 2 || now.Module.Tenants[0].Share != 0.75 || now.Module.Queue != unbounded {
+	if now := p.Active(); now.Mode != policyrollout.One || now.Limits.Open != 100 || len(now.Engine.Tenants) != 2 || now.Engine.Tenants[0].Share != 0.75 || now.Engine.Queue != unbounded {
 		t.Fatalf("by its log it goes by %+v", now)
 	}
 	text := []byte("out = [\"s-1\"]\n[limits]\nopen = 50\nqueue = 4\n[tenants.south]\nshare = 0.5\nquota = 20.0\n[tenants.north]\nquota = 30.0\n")
@@ -103,8 +103,8 @@
 			t.Errorf("%v: taken", words)
 		}
 	}
-	for i := range UploadCount(text) {
-		if err := p.Upload(UploadPiece(text, i)); err != nil {
+	for i := range UploadChunks(text) {
+		if err := p.Upload(UploadChunkArgs(text, i)); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -112,11 +112,11 @@
 		t.Fatal(got)
 	}
 	pass(2 * time.Second)
-	now := p.Now()
-	if now.Mode != policyrollout.One || now.New.Version != 1 || now.Limits.Open != 50 || now.Module.Queue != 4 || now.Module.Tenants[1] != (policy.Tenant{Share: 0.5, Quota: 20}) || fmt.Sprint(now.Limits.Out) != "[s-1]" {
+	now := p.Active()
+	if now.Mode != policyrollout.One || now.New.Version != 1 || now.Limits.Open != 50 || now.Engine.Queue != 4 || now.Engine.Tenants[1] != (policy.Tenant{Share: 0.5, Quota: 20}) || fmt.Sprint(now.Limits.Out) != "[s-1]" {
 		t.Fatalf("it goes by %+v", now)
 	}
-	if p.Now() != now {
+	if p.Active() != now {
 		t.Error("the same limits have another pointer at each question")
 	}
 	if got := call(func(b *bytes.Buffer) error { return p.History(b) }); !strings.Contains(got, "version 1 of sidecar 0") || !strings.Contains(got, ": taken") {
@@ -125,15 +125,15 @@
 	if got := call(func(b *bytes.Buffer) error { return p.Abort(b) }); !strings.Contains(got, "no change is under way") {
 		t.Errorf("abort: %s", got)
 	}
-	if g := f.Figures().Policy; g.Holds != 1 || g.Goes != "one" || g.Changes["taken"] != 1 {
+	if g := f.Metrics().Policy; g.Holds != 1 || g.Goes != "one" || g.Changes["taken"] != 1 {
 		t.Errorf("%+v", g)
 	}
 	ahead += time.Minute // it stood still
-	if now := p.Now(); now.Mode != policyrollout.CutOff || now.Limits.Open != 10 {
+	if now := p.Active(); now.Mode != policyrollout.CutOff || now.Limits.Open != 10 {
 		t.Errorf("going on it goes by %+v", now)
 	}
 	pass(2 * time.Second)
-	if now := p.Now(); now.Mode != policyrollout.One || now.New.Version != 1 {
+	if now := p.Active(); now.Mode != policyrollout.One || now.New.Version != 1 {
 		t.Errorf("a while later it goes by %+v", now)
 	}
 	if math.IsInf(now.Limits.Quota[0], 1) {
@@ -144,7 +144,7 @@
 // quietLink is a link of a fleet of one.
 func quietLink(t *testing.T, f *Fleet) *peer.Link {
 	t.Helper()
-	l, err := peer.Open(peer.Config{Listen: f.cfg.PeerListen, Peers: f.peers, Fleet: "hives", Incarnation: f.life, BytesPerSecond: 4096, Now: f.now})
+	l, err := peer.Open(peer.Config{Listen: f.cfg.PeerListen, Peers: f.peers, Fleet: "hives", Incarnation: f.incarnation, BytesPerSecond: 4096, Now: f.now})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/fleet/text.go
+++ b/internal/fleet/text.go
@@ -9,8 +9,8 @@
 // Text writes a view, a line for this sidecar, one for what went over the link and one for each other. Times are in seconds.
 func (v *View) Text(to io.Writer) error {
 	contact := "out of contact"
-	if v.Contact {
-		contact = fmt.Sprintf("in contact for %s at least", seconds(v.Until-v.Now))
+	if v.InContact {
+		contact = fmt.Sprintf("in contact for %s at least", seconds(v.ContactUntil-v.Now))
 	}
 	if len(v.Members) == 0 {
 		_, err := fmt.Fprintf(to, "self %d: %s, the address for peers is not this process's yet\n", v.Self, contact)
@@ -23,7 +23,7 @@
 		"servers that do not answer here: %d, doubted by others: %d\n",
 		v.Self, contact, seconds(v.Lease), v.Session, v.Sidecars,
 		s.Probes, s.Unanswered, s.Suspicions, s.Refuted, s.Accused, s.Lapses, s.Stalls,
-		l.Sent, l.SentBytes, l.Read, l.Length, l.Malformed, l.OtherFleet, l.NewerFormat, l.Address, l.OverBudget, l.Failed, v.Silent, v.Doubted); err != nil {
+		l.Sent, l.SentBytes, l.Read, l.Length, l.Malformed, l.OtherFleet, l.NewerFormat, l.Address, l.OverBudget, l.Failed, v.Unresponsive, v.Doubted); err != nil {
 		return err
 	}
 	for _, m := range v.Members {
--- a/internal/fleet/work.go
+++ b/internal/fleet/work.go
@@ -25,34 +25,34 @@
 	Handled() (all, passed uint64)
 }
 
-// work is this process's part in plans of work. The policy's lock guards it.
-type work struct {
-	site   Site
-	begun  time.Duration
-	roll   maintenance.MachineList
-	own    maintenance.LocalClearance
-	load   maintenance.Load
-	asking bool // the site has not told yet
-	logs   int  // that this process has known: what the site tells of an earlier one's turns counts no more
+// maintenanceState is this process's part in plans of work. The policy's lock guards it.
+type maintenanceState struct {
+	site             Site
+	attachedAt       time.Duration
+	machines         maintenance.MachineList
+	clearance        maintenance.LocalClearance
+	load             maintenance.Load
+	idleCheckPending bool // the site has not told yet
+	logCount         int  // that this process has known: what the site tells of an earlier one's turns counts no more
 }
 
 // Attach gives the policy the machines. It is to be called before the fleet runs; without it this sidecar is never clear, and leads no plan.
 func (p *Policy) Attach(site Site) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.work.site, p.work.begun = site, p.f.now()
-	p.cfg.Work, p.cfg.Deadline = policyWork{p}, p.f.cfg.MaxDeadline+overrun
+	p.maintenance.site, p.maintenance.attachedAt = site, p.fleet.now()
+	p.cfg.Work, p.cfg.Deadline = machineSource{p}, p.fleet.cfg.MaxDeadline+deadlineOverrun
 }
 
-// overrun is what a request may take beyond its deadline till its end is known here.
-const overrun = 700 * time.Millisecond
+// deadlineOverrun is what a request may take beyond its deadline till its end is known here.
+const deadlineOverrun = 700 * time.Millisecond
 
-// Out are the machines to which nothing new may be sent, by plans of work. It never waits; another slice is another answer, and each is its caller's to read only.
-func (p *Policy) Out() *[]uint64 { return p.out.Load() }
+// MachinesOut are the machines to which nothing new may be sent, by plans of work. It never waits; another slice is another answer, and each is its caller's to read only.
+func (p *Policy) MachinesOut() *[]uint64 { return p.machinesOut.Load() }
 
-// look brings what is known of machines and of this sidecar up to date. The caller holds the lock.
-func (p *Policy) look() {
-	w := &p.work
+// updateMaintenance brings what is known of machines and of this sidecar up to date. The caller holds the lock.
+func (p *Policy) updateMaintenance() {
+	w := &p.maintenance
 	if w.site == nil {
 		return
 	}
@@ -60,13 +60,13 @@
 		all, passed := w.site.Handled()
 		w.load.Count(p.now, all, passed)
 	}
-	asks := w.own.Unconfirmed(p.node.MaintenanceState())
-	if len(asks) == 0 || w.asking {
+	asks := w.clearance.Unconfirmed(p.node.MaintenanceState())
+	if len(asks) == 0 || w.idleCheckPending {
 		return
 	}
-	w.asking = true
+	w.idleCheckPending = true
 	var ids []uint64
-	log := w.logs
+	log := w.logCount
 	for _, id := range asks {
 		ids = append(ids, id)
 	}
@@ -74,44 +74,44 @@
 		go func() { // whoever tells must not wait
 			p.mu.Lock()
 			defer p.mu.Unlock()
-			w.asking = false
+			w.idleCheckPending = false
 			for turn, id := range asks {
-				if w.logs == log && slices.Contains(quiet, id) {
-					w.own.MarkClear(turn, id)
+				if w.logCount == log && slices.Contains(quiet, id) {
+					w.clearance.MarkClear(turn, id)
 				}
 			}
 		}()
 	})
 }
 
-// bar has Out tell what the log says now. The caller holds the lock.
-func (p *Policy) bar() {
-	if now := p.node.MachinesOut(); !slices.Equal(now, *p.out.Load()) {
-		p.out.Store(&now)
+// publishMachinesOut has Out tell what the log says now. The caller holds the lock.
+func (p *Policy) publishMachinesOut() {
+	if now := p.node.MachinesOut(); !slices.Equal(now, *p.machinesOut.Load()) {
+		p.machinesOut.Store(&now)
 	}
 }
 
-// policyWork is what the node asks; its methods are called with the lock held.
-type policyWork struct{ p *Policy }
+// machineSource is what the node asks; its methods are called with the lock held.
+type machineSource struct{ p *Policy }
 
-func (w policyWork) Machines() (all []maintenance.Machine, current bool) {
+func (w machineSource) Machines() (all []maintenance.Machine, current bool) {
 	p := w.p
-	listed, current := p.work.site.Machines()
-	p.work.roll.Update(p.now, listed)
-	return p.work.roll.All(p.now), current
+	listed, current := p.maintenance.site.Machines()
+	p.maintenance.machines.Update(p.now, listed)
+	return p.maintenance.machines.All(p.now), current
 }
 
-func (w policyWork) LocalReport(s *maintenance.State) maintenance.Report {
+func (w machineSource) LocalReport(s *maintenance.State) maintenance.Report {
 	p := w.p
-	rate, served := p.work.load.Recent()
-	return maintenance.Report{ClearUpTo: p.work.own.ClearUpTo(p.now-p.work.begun, replicatedstate.LeaseExpiry(p.cfg.Deadline, p.cfg.MaxClockError), s), Rate: rate, InTime: served}
+	rate, served := p.maintenance.load.Recent()
+	return maintenance.Report{ClearUpTo: p.maintenance.clearance.ClearUpTo(p.now-p.maintenance.attachedAt, replicatedstate.LeaseExpiry(p.cfg.Deadline, p.cfg.MaxClockError), s), Rate: rate, InTime: served}
 }
 
 func (h policyHost) Worked(s maintenance.Step) {
 	p := h.p
 	if s.Kind == maintenance.Opened || s.Kind == maintenance.Withdrawn || s.Kind == maintenance.Done {
 		if p.node != nil {
-			p.bar()
+			p.publishMachinesOut()
 		}
 	}
 	if s.Kind == maintenance.LeaderStarted {
@@ -119,7 +119,7 @@
 	}
 	args := []any{"number", s.Number, "by", s.By}
 	if s.Machine != 0 {
-		args = append(args, "machine", p.nameOf(s.Machine))
+		args = append(args, "machine", p.machineName(s.Machine))
 	}
 	if s.Plan != 0 {
 		args = append(args, "plan", s.Plan)
@@ -127,15 +127,15 @@
 	if s.Why != "" {
 		args = append(args, "why", s.Why)
 	}
-	p.f.log.Info("work: "+s.Kind.String(), args...)
+	p.fleet.log.Info("work: "+s.Kind.String(), args...)
 }
 
-// nameOf is a machine as people call it. The caller holds the lock.
-func (p *Policy) nameOf(id uint64) string {
-	name, known := p.work.roll.Name(p.now, id)
-	if !known && p.work.site != nil { // listed since the list was last looked at, maybe
-		policyWork{p}.Machines()
-		name, known = p.work.roll.Name(p.now, id)
+// machineName is a machine as people call it. The caller holds the lock.
+func (p *Policy) machineName(id uint64) string {
+	name, known := p.maintenance.machines.Name(p.now, id)
+	if !known && p.maintenance.site != nil { // listed since the list was last looked at, maybe
+		machineSource{p}.Machines()
+		name, known = p.maintenance.machines.Name(p.now, id)
 	}
 	if !known {
 		return fmt.Sprintf("%016x", id)
@@ -154,14 +154,14 @@
 		return err
 	}
 	if p.node == nil {
-		return errNotYet
+		return errNotRunning
 	}
-	p.now = p.f.now()
+	p.now = p.fleet.now()
 	number, err := p.node.Plan(p.now, text)
 	if err != nil {
 		return err
 	}
-	p.publish()
+	p.publishActive()
 	_, err = fmt.Fprintf(to, "plan %d is to begin, hash %s\n", number, policyrollout.Hash(text))
 	return err
 }
@@ -175,13 +175,13 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.node == nil {
-		return errNotYet
+		return errNotRunning
 	}
-	p.now = p.f.now()
+	p.now = p.fleet.now()
 	if err := p.node.Operate(p.now, kind, uint32(number)); err != nil {
 		return err
 	}
-	p.publish()
+	p.publishActive()
 	what := "plan"
 	if kind == maintenance.Done {
 		what = "turn"
@@ -190,21 +190,21 @@
 	return err
 }
 
-// ShowWork writes plans and turns, what they wait for, and who is out of contact; the leader is asked for the last two.
-func (p *Policy) ShowWork(to io.Writer) error {
-	v, known := p.viewWork()
+// ShowMaintenance writes plans and turns, what they wait for, and who is out of contact; the leader is asked for the last two.
+func (p *Policy) ShowMaintenance(to io.Writer) error {
+	v, known := p.maintenanceView()
 	if known && v.UnreachableCount < 0 && len(v.State.Plans)+len(v.State.Windows) > 0 {
 		p.mu.Lock()
 		if p.node != nil {
-			p.node.RequestLaggards(p.f.now())
+			p.node.RequestLaggards(p.fleet.now())
 		}
 		p.mu.Unlock()
-		for end := time.Now().Add(behindWait); v.UnreachableCount < 0 && time.Now().Before(end); v, _ = p.viewWork() {
+		for end := time.Now().Add(laggardsTimeout); v.UnreachableCount < 0 && time.Now().Before(end); v, _ = p.maintenanceView() {
 			time.Sleep(10 * time.Millisecond)
 		}
 	}
 	if !known {
-		return errNotYet
+		return errNotRunning
 	}
 	b, s := new(strings.Builder), &v.State
 	p.mu.Lock()
@@ -223,14 +223,14 @@
 		if t.Phase == maintenance.Free {
 			state = "out, free to work on"
 		}
-		fmt.Fprintf(b, "turn %d of plan %d: %s: %s\n", t.Number, t.Plan, p.nameOf(t.Machine), state)
+		fmt.Fprintf(b, "turn %d of plan %d: %s: %s\n", t.Number, t.Plan, p.machineName(t.Machine), state)
 	}
-	for _, x := range s.Past[max(0, len(s.Past)-pastShown):] {
+	for _, x := range s.Past[max(0, len(s.Past)-maxPastShown):] {
 		why := ""
 		if x.Why != "" {
 			why = ", " + x.Why
 		}
-		fmt.Fprintf(b, "turn %d of plan %d: %s: %s%s\n", x.Number, x.Plan, p.nameOf(x.Machine), x.Outcome, why)
+		fmt.Fprintf(b, "turn %d of plan %d: %s: %s%s\n", x.Number, x.Plan, p.machineName(x.Machine), x.Outcome, why)
 	}
 	p.mu.Unlock()
 	switch {
@@ -251,11 +251,11 @@
 	return err
 }
 
-// pastShown is how many turns that are over are shown: an answer is short.
-const pastShown = 20
+// maxPastShown is how many turns that are over are shown: an answer is short.
+const maxPastShown = 20
 
-// workFigures is the present state in numbers. The caller holds the lock.
-func (p *Policy) workFigures() metrics.Work {
+// maintenanceMetrics is the present state in numbers. The caller holds the lock.
+func (p *Policy) maintenanceMetrics() metrics.Work {
 	w := metrics.Work{Machines: map[string]int{maintenance.Draining.String(): 0, maintenance.Free.String(): 0, maintenance.Returning.String(): 0}}
 	if p.node == nil {
 		return w
@@ -273,11 +273,11 @@
 	return w
 }
 
-func (p *Policy) viewWork() (replicatedstate.MaintenanceView, bool) {
+func (p *Policy) maintenanceView() (replicatedstate.MaintenanceView, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.node == nil {
 		return replicatedstate.MaintenanceView{}, false
 	}
-	return p.node.MaintenanceView(p.f.now()), true
+	return p.node.MaintenanceView(p.fleet.now()), true
 }
--- a/internal/lab/testbed/fleet/policy.go
+++ b/internal/lab/testbed/fleet/policy.go
@@ -90,8 +90,8 @@
 
 // upload hands a text over in pieces.
 func (s *Sidecar) upload(raw []byte) error {
-	for i := range program.UploadCount(raw) {
-		if err := s.operate("policy-text " + strings.Join(program.UploadPiece(raw, i), " ")); err != nil {
+	for i := range program.UploadChunks(raw) {
+		if err := s.operate("policy-text " + strings.Join(program.UploadChunkArgs(raw, i), " ")); err != nil {
 			return err
 		}
 	}
