--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -50,8 +50,7 @@
 	}
 }
 
-// host holds the instances of this process and what they share: the numbered
-// lists of the wire and the reply under way.
+// host holds the instances of this process and what they share: the numbered server lists and the reply under way.
 type host struct {
 	reply     wire.Reply
 	pages     map[uint16][]policy.Server
@@ -64,37 +63,50 @@
 
 // instance is one sidecar; it carries out its Balancer's decisions.
 type instance struct {
-	host   *host
-	number uint32
-	loads  wire.Columns
-	b      *policy.Balancer
-	logAt  time.Duration // when the counters are written next
+	host        *host
+	number      uint32
+	loadColumns wire.Columns
+	balancer    *policy.Balancer // nil: not started, or failed
+	nextLog     time.Duration    // when the counters are logged next
 }
 
-// logEvery is how often an instance's counters go to the log.
-const logEvery = 10 * time.Second
+// logInterval is the time between two lines of an instance's counters.
+const logInterval = 10 * time.Second
 
+// Send implements policy.Host, as do the methods below.
 func (i *instance) Send(id policy.RequestID, to policy.ServerID, timeout time.Duration) {
-	i.host.reply.CallOut(i.number, uint32(id), wire.Upstream(to), timeout)
+	i.host.reply.SendAttempt(i.number, uint32(id), wire.Upstream(to), timeout)
 }
 
-func (i *instance) Refuse(id policy.RequestID, pause time.Duration) {
-	i.host.reply.PushBack(i.number, uint32(id), pause)
+// Refuse refuses a request.
+func (i *instance) Refuse(id policy.RequestID, retryAfter time.Duration) {
+	i.host.reply.Refuse(i.number, uint32(id), retryAfter)
 }
 
-func (i *instance) Fail(id policy.RequestID) { i.host.reply.Lose(i.number, uint32(id)) }
+// Fail fails a request.
+func (i *instance) Fail(id policy.RequestID) { i.host.reply.Fail(i.number, uint32(id)) }
 
+// Cancel cancels an attempt.
 func (i *instance) Cancel(id policy.RequestID, attempt int) {
-	i.host.reply.Recall(i.number, uint32(id), uint8(attempt))
+	i.host.reply.CancelAttempt(i.number, uint32(id), uint8(attempt))
 }
 
-func (i *instance) Wake(d time.Duration)     { i.host.reply.SetAlarm(i.number, d, 0) }
-func (i *instance) Probe(to policy.ServerID) { i.host.reply.Inspect(i.number, wire.Upstream(to)) }
-func (i *instance) Close(to policy.ServerID) { i.host.reply.Release(i.number, wire.Upstream(to)) }
-func (i *instance) WatchList()               { i.host.reply.Tail(i.number, true) }
-func (i *instance) Log(line string)          { i.host.reply.WriteLog(i.number, line) }
+// Wake sets the timer.
+func (i *instance) Wake(after time.Duration) { i.host.reply.SetTimer(i.number, after, 0) }
 
-// batch hands the events of one batch to their instances, in order.
+// Probe probes a server.
+func (i *instance) Probe(to policy.ServerID) { i.host.reply.Probe(i.number, wire.Upstream(to)) }
+
+// Close closes the idle connections to a server.
+func (i *instance) Close(to policy.ServerID) { i.host.reply.CloseIdle(i.number, wire.Upstream(to)) }
+
+// WatchList subscribes to the server list.
+func (i *instance) WatchList() { i.host.reply.WatchList(i.number, true) }
+
+// Log writes a line for the simulator's report.
+func (i *instance) Log(line string) { i.host.reply.Log(i.number, line) }
+
+// batch passes the events of one batch to their instances, in order.
 func (h *host) batch(b wire.Batch) error {
 	body := b.Body
 	for range b.Records {
@@ -113,17 +125,18 @@
 	return nil
 }
 
+// record handles one event.
 func (h *host) record(now time.Duration, rec wire.Record) error {
 	switch rec.Code {
-	case wire.EvManifest:
-		page, entries, err := rec.Manifest()
+	case wire.EvServerList:
+		page, entries, err := rec.ServerList()
 		if err != nil {
 			return err
 		}
 		h.pages[page] = servers(entries)
 		return nil
-	case wire.EvOpenInstance, wire.EvCrashNow, wire.EvFleet, wire.EvAsk, wire.EvFinished, wire.EvWake,
-		wire.EvClientLeft, wire.EvHeaders, wire.EvCheckResult:
+	case wire.EvInstanceStart, wire.EvCrash, wire.EvListUpdate, wire.EvRequest, wire.EvAttemptEnded, wire.EvTimer,
+		wire.EvClientGone, wire.EvResponseHeaders, wire.EvProbeResult:
 	default:
 		return nil // a code of a later version, or one that the module has no use for
 	}
@@ -132,14 +145,14 @@
 		return err
 	}
 	switch rec.Code {
-	case wire.EvOpenInstance:
+	case wire.EvInstanceStart:
 		return h.open(now, number, rec)
-	case wire.EvCrashNow:
+	case wire.EvCrash:
 		delete(h.instances, number)
 		return nil
 	}
 	i := h.instances[number]
-	if i == nil || i.b == nil {
+	if i == nil || i.balancer == nil {
 		return nil // not running: nothing may be done for it
 	}
 	return i.event(now, rec)
@@ -147,11 +160,11 @@
 
 // open starts an instance anew.
 func (h *host) open(now time.Duration, number uint32, rec wire.Record) error {
-	seed, info, err := rec.OpenInstance()
+	seed, text, err := rec.InstanceStart()
 	if err != nil {
 		return err
 	}
-	s, err := wire.ParseSettings(info)
+	s, err := wire.ParseSettings(text)
 	if err != nil {
 		return fmt.Errorf("instance %d: %w", number, err)
 	}
@@ -159,14 +172,14 @@
 	if err != nil {
 		return fmt.Errorf("instance %d: %w", number, err)
 	}
-	i := &instance{host: h, number: number, loads: s.Columns()}
+	i := &instance{host: h, number: number, loadColumns: s.Columns()}
 	h.instances[number] = i
 	return i.guard(func() error {
 		b, err := policy.New(config, seed, i)
 		if err != nil {
 			return fmt.Errorf("instance %d: %w", number, err)
 		}
-		i.b = b
+		i.balancer = b
 		b.Start(now)
 		return nil
 	})
@@ -176,88 +189,84 @@
 func (i *instance) guard(f func() error) (err error) {
 	defer func() {
 		if p := recover(); p != nil {
-			i.host.reply.Die(i.number, fmt.Sprintf("panic: %v", p))
-			i.b = nil
+			i.host.reply.Crash(i.number, fmt.Sprintf("panic: %v", p))
+			i.balancer = nil
 		}
 	}()
 	return f()
 }
 
-// event hands one event to the instance's Balancer.
+// event passes one event to the instance's Balancer, and logs the counters from time to time.
 func (i *instance) event(now time.Duration, rec wire.Record) error {
-	if now >= i.logAt {
-		if i.logAt > 0 { // not at the first event: there is nothing to tell yet
-			i.Log(fmt.Sprintf("counters %+v", i.b.Counters()))
+	if now >= i.nextLog {
+		if i.nextLog > 0 { // not at the first event: there is nothing to tell yet
+			i.Log(fmt.Sprintf("counters %+v", i.balancer.Counters()))
 		}
-		i.logAt = now + logEvery
+		i.nextLog = now + logInterval
 	}
 	return i.guard(func() error { return i.dispatch(now, rec) })
 }
 
+// dispatch calls the Balancer's method for an event.
 func (i *instance) dispatch(now time.Duration, rec wire.Record) error {
 	switch rec.Code {
-	case wire.EvAsk:
-		a, err := rec.Ask()
+	case wire.EvRequest:
+		q, err := rec.Request()
 		if err != nil {
 			return err
 		}
-		r := policy.Request{ID: policy.RequestID(a.Job), Class: int(a.Kind), Tenant: int(a.Tenant), TimeLeft: a.Left}
-		r.Key = a.Key
-		r.IsRetry = a.Bits&wire.BitRepeat != 0
-		if a.Bits&wire.BitHint != 0 {
-			r.Work = a.Hint
-		}
-		i.b.Request(now, r)
-	case wire.EvFinished:
-		f, err := rec.Finished()
+		i.balancer.Request(now, request(q))
+	case wire.EvAttemptEnded:
+		result, err := rec.AttemptResult()
 		if err != nil {
 			return err
 		}
-		i.b.Outcome(now, policy.Outcome{
-			ID: policy.RequestID(f.Job), Attempt: int(f.Hop), Ending: ending(f.Ending), Finished: f.Settled,
-			Load: i.loads.Load(f.Pressure),
+		i.balancer.Outcome(now, policy.Outcome{
+			ID: policy.RequestID(result.RequestID), Attempt: int(result.Attempt), Ending: ending(result.Ending),
+			Finished: result.Finished, Load: i.loadColumns.Load(result.Load),
 		})
-	case wire.EvWake:
-		i.b.Wake(now)
-	case wire.EvClientLeft:
-		job, err := rec.Job()
+	case wire.EvTimer:
+		i.balancer.Wake(now)
+	case wire.EvClientGone:
+		id, err := rec.RequestID()
 		if err != nil {
 			return err
 		}
-		i.b.ClientGone(now, policy.RequestID(job))
-	case wire.EvHeaders:
-		job, err := rec.Job()
+		i.balancer.ClientGone(now, policy.RequestID(id))
+	case wire.EvResponseHeaders:
+		id, err := rec.RequestID()
 		if err != nil {
 			return err
 		}
-		i.b.StreamBegun(policy.RequestID(job))
-	case wire.EvCheckResult:
-		up, end, report, err := rec.CheckResult()
+		i.balancer.StreamBegun(policy.RequestID(id))
+	case wire.EvProbeResult:
+		upstream, end, report, err := rec.ProbeResult()
 		if err != nil {
 			return err
 		}
-		i.b.Probed(now, policy.ServerID(up), end == wire.EndServed, i.loads.Load(report))
-	case wire.EvFleet:
-		kind, _, page, err := rec.Fleet()
+		i.balancer.Probed(now, policy.ServerID(upstream), end == wire.EndServed, i.loadColumns.Load(report))
+	case wire.EvListUpdate:
+		kind, _, page, err := rec.ListUpdate()
 		if err != nil {
 			return err
 		}
-		return i.fleet(now, kind, page)
+		return i.listUpdate(now, kind, page)
 	}
 	return nil
 }
 
-func (i *instance) fleet(now time.Duration, kind uint8, page uint16) error {
+// listUpdate passes a server list to the Balancer.
+func (i *instance) listUpdate(now time.Duration, kind uint8, page uint16) error {
 	var k policy.ListKind
 	switch kind {
-	case wire.FleetFull:
+	case wire.ListFull:
 		k = policy.ListFull
-	case wire.FleetDelta:
+	case wire.ListDelta:
 		k = policy.ListDelta
-	case wire.FleetCached:
+	case wire.ListCached:
 		k = policy.ListCached
-	case wire.FleetFailed:
-		i.b.List(now, policy.ListFailed, nil)
+	case wire.ListFailed:
+		i.balancer.List(now, policy.ListFailed, nil)
 		return nil
 	default:
 		return nil // a kind of a later version
@@ -266,21 +275,34 @@
 	if !ok {
 		return fmt.Errorf("instance %d: list %d was never sent", i.number, page)
 	}
-	i.b.List(now, k, list)
+	i.balancer.List(now, k, list)
 	return nil
 }
 
+// request is a client's request in the module's terms.
+func request(q wire.Request) policy.Request {
+	r := policy.Request{
+		ID: policy.RequestID(q.ID), Class: int(q.Class), Tenant: int(q.Tenant), TimeLeft: q.TimeLeft,
+		Key: q.Key, IsRetry: q.Flags&wire.FlagRetry != 0,
+	}
+	if q.Flags&wire.FlagHasWork != 0 {
+		r.Work = q.Work
+	}
+	return r
+}
+
+// ending is how an attempt ended, in the module's terms.
 func ending(code uint16) policy.Ending {
 	switch code {
 	case wire.EndServed:
 		return policy.Served
-	case wire.EndTurnedAway:
+	case wire.EndRejected:
 		return policy.NotProcessed
 	case wire.EndTimedOut:
 		return policy.TimedOut
 	case wire.EndNoConnection:
 		return policy.NoConnection
-	case wire.EndBroken:
+	case wire.EndConnectionLost:
 		return policy.ConnectionLost
 	case wire.EndCancelled:
 		return policy.Cancelled
@@ -290,16 +312,17 @@
 	return policy.Errored // it may have run, as may whatever is not known
 }
 
+// servers is a server list in the module's terms.
 func servers(entries []wire.Entry) []policy.Server {
 	list := make([]policy.Server, len(entries))
 	for i, e := range entries {
 		list[i] = policy.Server{
-			ID: policy.ServerID(e.Upstream), Zone: int(e.Area), Cell: int(e.Cohort), Weight: e.Rating, Started: e.Boot,
+			ID: policy.ServerID(e.Upstream), Zone: int(e.Zone), Cell: int(e.Cell), Weight: e.Weight, Started: e.Started,
 		}
-		switch e.Status {
+		switch e.State {
 		case wire.StateReady:
 			list[i].State = policy.Ready
-		case wire.StateGone:
+		case wire.StateDeregistered:
 			list[i].State = policy.Deregistered
 		default:
 			list[i].State = policy.Draining // nothing new, whatever it is
--- a/cmd/simhost/main_test.go
+++ b/cmd/simhost/main_test.go
@@ -43,7 +43,7 @@
 }
 
 func open(inst uint32, seed uint64) []byte {
-	return record(wire.EvOpenInstance, inst, seed, uint32(len(settings)), settings)
+	return record(wire.EvInstanceStart, inst, seed, uint32(len(settings)), settings)
 }
 
 func manifest(page uint16, addrs ...byte) []byte {
@@ -52,15 +52,15 @@
 		fields = append(fields, []byte{10, 0, 0, a, 80, 0}, uint8(0), uint8(0), uint16(0), uint8(wire.StateReady),
 			float32(1), float64(0))
 	}
-	return record(wire.EvManifest, fields...)
+	return record(wire.EvServerList, fields...)
 }
 
 func fleet(inst uint32, kind uint8, page uint16) []byte {
-	return record(wire.EvFleet, inst, kind, uint32(1), page)
+	return record(wire.EvListUpdate, inst, kind, uint32(1), page)
 }
 
 func ask(inst, job uint32) []byte {
-	return record(wire.EvAsk, inst, job, uint16(0), uint64(0), uint32(0), float64(800), float64(0), uint8(0))
+	return record(wire.EvRequest, inst, job, uint16(0), uint64(0), uint32(0), float64(800), float64(0), uint8(0))
 }
 
 func batch(number uint32, clock float64, records ...[]byte) []byte {
@@ -118,19 +118,19 @@
 // Settings, list and keys reach the module: a drained server's connections are closed, and a key goes in turn.
 func TestFurtherRulesReachTheModule(t *testing.T) {
 	info := settings + "classes.0.fifo_by_key=true\nrules.order_settle_ms=0\nrules.let_go_in_ms=300\n"
-	inst := record(wire.EvOpenInstance, uint32(1), uint64(5), uint32(len(info)), info)
+	inst := record(wire.EvInstanceStart, uint32(1), uint64(5), uint32(len(info)), info)
 	drained := manifest(4, 77)
 	drained[6+2+4+6+1+1+2] = wire.StateDraining
 	keyed := func(job uint32) []byte {
-		return record(wire.EvAsk, uint32(1), job, uint16(0), uint64(9), uint32(0), float64(800), float64(0), uint8(0))
+		return record(wire.EvRequest, uint32(1), job, uint16(0), uint64(9), uint32(0), float64(800), float64(0), uint8(0))
 	}
 	all := actions(t, slices.Concat(
-		batch(1, 0, inst, manifest(3, 77, 78), fleet(1, wire.FleetCached, 3), keyed(100), keyed(101)),
-		batch(2, 5, drained, fleet(1, wire.FleetDelta, 4))))
-	if sends := only(all, wire.ActCallOut, 1); len(sends) != 1 {
+		batch(1, 0, inst, manifest(3, 77, 78), fleet(1, wire.ListCached, 3), keyed(100), keyed(101)),
+		batch(2, 5, drained, fleet(1, wire.ListDelta, 4))))
+	if sends := only(all, wire.ActSendAttempt, 1); len(sends) != 1 {
 		t.Errorf("%d sends for two requests of one key, want 1", len(sends))
 	}
-	if closed := only(all, wire.ActRelease, 1); len(closed) != 1 || closed[0].rest[3] != 77 {
+	if closed := only(all, wire.ActCloseIdle, 1); len(closed) != 1 || closed[0].rest[3] != 77 {
 		t.Errorf("closed %v, want .77", closed)
 	}
 }
@@ -145,7 +145,7 @@
 		"rules.cold_from=2\n":                                 "ColdFrom",
 	} {
 		info := settings + setting
-		err := serve(bytes.NewReader(batch(1, 0, record(wire.EvOpenInstance, uint32(1), uint64(5),
+		err := serve(bytes.NewReader(batch(1, 0, record(wire.EvInstanceStart, uint32(1), uint64(5),
 			uint32(len(info)), info))), io.Discard)
 		if err == nil || !strings.Contains(err.Error(), field) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%q: error %v, want one line that names %s", setting, err, field)
@@ -155,14 +155,14 @@
 
 func TestPageIsResolvedInEventOrder(t *testing.T) {
 	all := actions(t, batch(1, 0,
-		open(1, 5), manifest(3, 77), fleet(1, wire.FleetCached, 3), ask(1, 100),
-		open(2, 6), manifest(3, 88), fleet(2, wire.FleetCached, 3), ask(2, 200)))
+		open(1, 5), manifest(3, 77), fleet(1, wire.ListCached, 3), ask(1, 100),
+		open(2, 6), manifest(3, 88), fleet(2, wire.ListCached, 3), ask(2, 200)))
 	for inst, want := range map[uint32]byte{1: 77, 2: 88} {
-		sends := only(all, wire.ActCallOut, inst)
+		sends := only(all, wire.ActSendAttempt, inst)
 		if len(sends) != 1 || sends[0].rest[7] != want {
 			t.Errorf("instance %d: sends %v, want one to .%d", inst, sends, want)
 		}
-		if len(only(all, wire.ActTail, inst)) != 1 {
+		if len(only(all, wire.ActWatchList, inst)) != 1 {
 			t.Errorf("instance %d did not ask for its list", inst)
 		}
 	}
@@ -170,12 +170,12 @@
 
 func TestRestartInOneBatch(t *testing.T) {
 	all := actions(t, slices.Concat(
-		batch(1, 0, open(1, 5), manifest(0, 7), fleet(1, wire.FleetCached, 0), ask(1, 100)),
-		batch(2, 5, record(wire.EvCrashNow, uint32(1)), ask(1, 101), open(1, 6), fleet(1, wire.FleetCached, 0), ask(1, 102)),
-		batch(3, 10, record(wire.EvFinished, uint32(1), uint32(100), uint8(0), []byte{10, 0, 0, 7, 80, 0}, uint16(wire.EndServed),
+		batch(1, 0, open(1, 5), manifest(0, 7), fleet(1, wire.ListCached, 0), ask(1, 100)),
+		batch(2, 5, record(wire.EvCrash, uint32(1)), ask(1, 101), open(1, 6), fleet(1, wire.ListCached, 0), ask(1, 102)),
+		batch(3, 10, record(wire.EvAttemptEnded, uint32(1), uint32(100), uint8(0), []byte{10, 0, 0, 7, 80, 0}, uint16(wire.EndServed),
 			float64(5), uint8(1), uint8(0))),
-		batch(4, 15, record(wire.EvCrashNow, uint32(1)), ask(1, 103))))
-	sends := only(all, wire.ActCallOut, 1)
+		batch(4, 15, record(wire.EvCrash, uint32(1)), ask(1, 103))))
+	sends := only(all, wire.ActSendAttempt, 1)
 	if len(sends) != 2 {
 		t.Fatalf("%d sends, want one before and one after the restart, none while it was down", len(sends))
 	}
@@ -188,11 +188,11 @@
 			var recs [][]byte
 			for _, i := range insts {
 				if n == 0 {
-					recs = append(recs, open(i, uint64(i)), manifest(uint16(i), 1, 2, 3, 4), fleet(i, wire.FleetFull, uint16(i)))
+					recs = append(recs, open(i, uint64(i)), manifest(uint16(i), 1, 2, 3, 4), fleet(i, wire.ListFull, uint16(i)))
 				}
-				recs = append(recs, ask(i, 1000*i+n), record(wire.EvWake, i, uint64(0)))
+				recs = append(recs, ask(i, 1000*i+n), record(wire.EvTimer, i, uint64(0)))
 				if n > 4 {
-					recs = append(recs, record(wire.EvClientLeft, i, 1000*i+n-4))
+					recs = append(recs, record(wire.EvClientGone, i, 1000*i+n-4))
 				}
 			}
 			in = append(in, batch(n, float64(10*n), recs...)...)
@@ -211,8 +211,8 @@
 
 func TestUnknownRecordsArePassedOver(t *testing.T) {
 	all := actions(t, batch(1, 0, record(4711, uint32(9), "anything"), open(1, 5), record(wire.EvHeard, uint32(1), uint32(2), uint16(0)),
-		manifest(0, 7), fleet(1, 99, 0), fleet(1, wire.FleetCached, 0), ask(1, 100), ask(44, 100)))
-	if len(only(all, wire.ActCallOut, 1)) != 1 || slices.ContainsFunc(all, func(a action) bool { return a.inst == 44 }) {
+		manifest(0, 7), fleet(1, 99, 0), fleet(1, wire.ListCached, 0), ask(1, 100), ask(44, 100)))
+	if len(only(all, wire.ActSendAttempt, 1)) != 1 || slices.ContainsFunc(all, func(a action) bool { return a.inst == 44 }) {
 		t.Fatalf("actions %v", all)
 	}
 }
@@ -220,10 +220,10 @@
 func TestMalformedInputEndsWithAnError(t *testing.T) {
 	for name, in := range map[string][]byte{
 		"cut off":               batch(1, 0, open(1, 5))[:30],
-		"list never sent":       batch(1, 0, open(1, 5), fleet(1, wire.FleetFull, 9)),
-		"record shorter":        batch(1, 0, open(1, 5), record(wire.EvAsk, uint32(1), uint32(3))),
-		"unusable settings":     batch(1, 0, record(wire.EvOpenInstance, uint32(1), uint64(1), uint32(11), "balancers=0")),
-		"settings without sign": batch(1, 0, record(wire.EvOpenInstance, uint32(1), uint64(1), uint32(3), "abc")),
+		"list never sent":       batch(1, 0, open(1, 5), fleet(1, wire.ListFull, 9)),
+		"record shorter":        batch(1, 0, open(1, 5), record(wire.EvRequest, uint32(1), uint32(3))),
+		"unusable settings":     batch(1, 0, record(wire.EvInstanceStart, uint32(1), uint64(1), uint32(11), "balancers=0")),
+		"settings without sign": batch(1, 0, record(wire.EvInstanceStart, uint32(1), uint64(1), uint32(3), "abc")),
 		"bytes left over":       append(binary.LittleEndian.AppendUint64(binary.LittleEndian.AppendUint64(nil, 1), 3), 0, 0, 0, 0, 1, 2, 3),
 	} {
 		err := serve(bytes.NewReader(in), io.Discard)
@@ -241,15 +241,15 @@
 		t.Fatal(err)
 	}
 	rec, _, err := wire.Next(h.reply.Bytes()[12:])
-	if err != nil || rec.Code != wire.ActDie || !strings.Contains(string(rec.Fields), "index out of range") {
+	if err != nil || rec.Code != wire.ActCrash || !strings.Contains(string(rec.Fields), "index out of range") {
 		t.Fatalf("record %+v, error %v", rec, err)
 	}
 }
 
 func TestEndings(t *testing.T) {
 	for code, want := range map[uint16]policy.Ending{
-		wire.EndServed: policy.Served, wire.EndErrored: policy.Errored, wire.EndTurnedAway: policy.NotProcessed,
-		wire.EndTimedOut: policy.TimedOut, wire.EndNoConnection: policy.NoConnection, wire.EndBroken: policy.ConnectionLost,
+		wire.EndServed: policy.Served, wire.EndErrored: policy.Errored, wire.EndRejected: policy.NotProcessed,
+		wire.EndTimedOut: policy.TimedOut, wire.EndNoConnection: policy.NoConnection, wire.EndConnectionLost: policy.ConnectionLost,
 		wire.EndCancelled: policy.Cancelled, wire.EndNotSent: policy.NotSent, 999: policy.Errored,
 	} {
 		if got := ending(code); got != want {
@@ -260,8 +260,8 @@
 
 func TestServers(t *testing.T) {
 	got := servers([]wire.Entry{
-		{Upstream: 9, Area: 1, Cohort: 3, Status: wire.StateReady, Rating: 2.5, Boot: time.Second},
-		{Status: wire.StateGone}, {Status: wire.StateDraining}, {Status: 77},
+		{Upstream: 9, Zone: 1, Cell: 3, State: wire.StateReady, Weight: 2.5, Started: time.Second},
+		{State: wire.StateDeregistered}, {State: wire.StateDraining}, {State: 77},
 	})
 	if got[0] != (policy.Server{ID: 9, Zone: 1, Cell: 3, State: policy.Ready, Weight: 2.5, Started: time.Second}) ||
 		got[1].State != policy.Deregistered || got[2].State != policy.Draining || got[3].State != policy.Draining {
--- a/internal/proxy/wire/settings.go
+++ b/internal/proxy/wire/settings.go
@@ -39,7 +39,7 @@
 // their items under .0, .1 and so on. A null counts as absent.
 func SettingsFromJSON(raw []byte) (*Settings, error) {
 	d := json.NewDecoder(bytes.NewReader(raw))
-	d.UseNumber() // figures keep their own text
+	d.UseNumber() // numbers keep their own text
 	var root map[string]any
 	if err := d.Decode(&root); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
@@ -49,6 +49,7 @@
 	return s, nil
 }
 
+// flatten brings a JSON value at a path into the path=value form.
 func (s *Settings) flatten(path string, v any) {
 	switch v := v.(type) {
 	case map[string]any:
@@ -81,10 +82,10 @@
 // Count returns a whole number, or 0 where there is none; see Err.
 func (s *Settings) Count(key string) int { return s.count(key) }
 
-// Duration returns a figure in milliseconds, or 0 where there is none; see Err.
+// Duration returns a number of milliseconds, or 0 where there is none; see Err.
 func (s *Settings) Duration(key string) time.Duration { return Millis(s.number(key, 0)) }
 
-// Number returns a figure, or 0 where there is none; see Err.
+// Number returns a number, or 0 where there is none; see Err.
 func (s *Settings) Number(key string) float64 { return s.number(key, 0) }
 
 // Err returns the first value that could not be read so far.
@@ -107,9 +108,9 @@
 }
 
 func (s *Settings) count(key string) int {
-	const most = 1 << 16 // far above any real list; a guard against a broken figure
+	const limit = 1 << 16 // far above any real list; a guard against a broken value
 	n := s.number(key, 0)
-	if (n < 0 || n > most || n != float64(int(n))) && s.err == nil {
+	if (n < 0 || n > limit || n != float64(int(n))) && s.err == nil {
 		s.err = fmt.Errorf("settings: %s: %v is not a count", key, n)
 		return 0
 	}
@@ -177,7 +178,7 @@
 	l.Has |= field
 }
 
-// Config turns the settings into the module's own.
+// Config returns the decision module's configuration that the settings describe; see Err.
 func (s *Settings) Config() (policy.Config, error) {
 	c := policy.Config{
 		Balancers:          s.count("balancers"),
@@ -208,31 +209,7 @@
 		c.Reports = s.Columns().fields()
 	}
 	for i := range s.count("classes.count") {
-		p := fmt.Sprintf("classes.%d.", i)
-		k := policy.Class{
-			LatencyTarget: Millis(s.number(p+"aim_ms", 0)),
-			TargetPerWork: s.number(p+"aim_stretch", 0),
-			Deadline:      Millis(s.number(p+"hard_limit_ms", 0)),
-			LateValue:     s.number(p+"late_share", 0),
-			Value:         s.number(p+"worth", 0),
-			DedupWindow:   Millis(s.number(p+"window_ms", 0)),
-			Effect:        policy.NonIdempotent, // an unknown word is taken for the strictest
-			Scope:         policy.ScopeCell,
-			InOrder:       s.flag(p + "fifo_by_key"),
-		}
-		switch s.text(p + "semantics") {
-		case "free":
-			k.Effect = policy.Idempotent
-		case "guarded":
-			k.Effect = policy.Deduplicated
-		}
-		switch s.text(p + "dedup_scope") {
-		case "all":
-			k.Scope = policy.ScopeAll
-		case "zone":
-			k.Scope = policy.ScopeZone
-		}
-		c.Classes = append(c.Classes, k)
+		c.Classes = append(c.Classes, s.class(fmt.Sprintf("classes.%d.", i)))
 	}
 	for i := range s.count("orgs.count") {
 		p := fmt.Sprintf("orgs.%d.", i)
@@ -243,3 +220,31 @@
 	}
 	return c, s.err
 }
+
+// class reads the class whose settings begin with prefix.
+func (s *Settings) class(prefix string) policy.Class {
+	class := policy.Class{
+		LatencyTarget: Millis(s.number(prefix+"aim_ms", 0)),
+		TargetPerWork: s.number(prefix+"aim_stretch", 0),
+		Deadline:      Millis(s.number(prefix+"hard_limit_ms", 0)),
+		LateValue:     s.number(prefix+"late_share", 0),
+		Value:         s.number(prefix+"worth", 0),
+		DedupWindow:   Millis(s.number(prefix+"window_ms", 0)),
+		Effect:        policy.NonIdempotent, // an unknown word is taken for the strictest
+		Scope:         policy.ScopeCell,
+		InOrder:       s.flag(prefix + "fifo_by_key"),
+	}
+	switch s.text(prefix + "semantics") {
+	case "free":
+		class.Effect = policy.Idempotent
+	case "guarded":
+		class.Effect = policy.Deduplicated
+	}
+	switch s.text(prefix + "dedup_scope") {
+	case "all":
+		class.Scope = policy.ScopeAll
+	case "zone":
+		class.Scope = policy.ScopeZone
+	}
+	return class
+}
--- a/internal/proxy/wire/wire_test.go
+++ b/internal/proxy/wire/wire_test.go
@@ -40,17 +40,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	a, err := rec.Ask()
-	want := Ask{Job: 0x5d3a91c4, Bits: 1, Key: 0x91f03b7c55d20a64, Left: 240 * time.Millisecond, Hint: 12 * time.Millisecond}
+	a, err := rec.Request()
+	want := Request{ID: 0x5d3a91c4, Flags: 1, Key: 0x91f03b7c55d20a64, TimeLeft: 240 * time.Millisecond, Work: 12 * time.Millisecond}
 	if err != nil || a != want {
 		t.Fatalf("ask %+v, error %v, want %+v", a, err, want)
 	}
 	rec, rest, _ = Next(rest)
-	if c, err := rec.Cookie(); err != nil || c != 77 {
+	if c, err := rec.TimerID(); err != nil || c != 77 {
 		t.Fatalf("cookie %d, error %v", c, err)
 	}
 	rec, rest, _ = Next(rest)
-	job, err := rec.Job()
+	job, err := rec.RequestID()
 	if inst, _ := rec.Instance(); err != nil || job != 0x0e6f2b19 || inst != 5 || len(rest) != 0 {
 		t.Fatalf("job %x of instance %d, error %v, %d bytes left", job, inst, err, len(rest))
 	}
@@ -66,21 +66,21 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	page, entries, err := rec.Manifest()
+	page, entries, err := rec.ServerList()
 	if err != nil || page != 0 || len(entries) != 2 {
 		t.Fatalf("page %d, %d entries, error %v", page, len(entries), err)
 	}
-	if e := entries[1]; e.Status != StateReady || e.Rating != 1.5 || e.Boot != 6100*time.Millisecond {
+	if e := entries[1]; e.State != StateReady || e.Weight != 1.5 || e.Started != 6100*time.Millisecond {
 		t.Fatalf("entry %+v", e)
 	}
 	rec, _, _ = Next(unhex(t, "2404 1b000000 03000000 c4913a5d 00 0a124a07 931f 6400 0000000000803240 01 00"))
-	f, err := rec.Finished()
-	if err != nil || f.Ending != EndServed || !f.Settled || f.Took != 18500*time.Microsecond || f.Upstream != entries[0].Upstream {
+	f, err := rec.AttemptResult()
+	if err != nil || f.Ending != EndServed || !f.Finished || f.Duration != 18500*time.Microsecond || f.Upstream != entries[0].Upstream {
 		t.Fatalf("outcome %+v, error %v", f, err)
 	}
 	rec, _, _ = Next(unhex(t, `e803 25000000 03000000 0a9011f2 bc1f 6400 666666666666f63f
 		04 0000003f0000684100000c430000e040`))
-	up, end, report, err := rec.CheckResult()
+	up, end, report, err := rec.ProbeResult()
 	if err != nil || up != entries[1].Upstream || end != EndServed || report.N != 4 || report.Values[3] != 7 {
 		t.Fatalf("probe of %x: %d, report %+v, error %v", up, end, report, err)
 	}
@@ -100,7 +100,7 @@
 		t.Fatalf("absent load %+v, want it unknown", l)
 	}
 	rec, _, _ = Next(unhex(t, "1a04 0b000000 03000000 03 29000000 0700"))
-	if kind, version, page, err := rec.Fleet(); err != nil || kind != FleetCached || version != 41 || page != 7 {
+	if kind, version, page, err := rec.ListUpdate(); err != nil || kind != ListCached || version != 41 || page != 7 {
 		t.Fatalf("fleet: kind %d version %d page %d, error %v", kind, version, page, err)
 	}
 }
@@ -108,20 +108,20 @@
 func TestWritesActions(t *testing.T) {
 	var to Upstream
 	rec, _, _ := Next(unhex(t, "1a04 0a000000 03000000 0a124a07 931f"))
-	c := cursor{b: rec.Fields[4:]}
-	to = c.addr()
+	c := cursor{rest: rec.Fields[4:]}
+	to = c.upstream()
 	var p Reply
 	p.Begin(12)
-	p.CallOut(3, 0x5d3a91c4, to, 80*time.Millisecond)
-	p.SetAlarm(3, 500*time.Millisecond, 77)
-	p.WriteLog(3, "two servers known")
-	p.PushBack(3, 0x0e6f2b19, 250*time.Millisecond)
-	p.Lose(3, 0x0e6f2b19)
-	p.Recall(3, 0x5d3a91c4, 0)
-	p.Tail(3, true)
-	p.Inspect(3, to)
-	p.Release(3, to)
-	p.Die(3, "index out of range")
+	p.SendAttempt(3, 0x5d3a91c4, to, 80*time.Millisecond)
+	p.SetTimer(3, 500*time.Millisecond, 77)
+	p.Log(3, "two servers known")
+	p.Refuse(3, 0x0e6f2b19, 250*time.Millisecond)
+	p.Fail(3, 0x0e6f2b19)
+	p.CancelAttempt(3, 0x5d3a91c4, 0)
+	p.WatchList(3, true)
+	p.Probe(3, to)
+	p.CloseIdle(3, to)
+	p.Crash(3, "index out of range")
 	want := unhex(t, `0c000000 cf000000 0a000000
 		e803 16000000 03000000 c4913a5d 0a124a07 931f 0000000000005440
 		1004 14000000 03000000 0000000000407f40 4d00000000000000
@@ -171,16 +171,16 @@
 			t.Errorf("%s: no error", name)
 		}
 	}
-	short := Record{Code: EvAsk, Fields: []byte{1, 0, 0, 0, 9}}
-	if _, err := short.Ask(); err == nil {
+	short := Record{Code: EvRequest, Fields: []byte{1, 0, 0, 0, 9}}
+	if _, err := short.Request(); err == nil {
 		t.Error("fields cut off: no error")
 	}
-	huge := Record{Code: EvManifest, Fields: []byte{0, 0, 255, 255, 255, 255}}
-	if _, _, err := huge.Manifest(); err == nil {
+	huge := Record{Code: EvServerList, Fields: []byte{0, 0, 255, 255, 255, 255}}
+	if _, _, err := huge.ServerList(); err == nil {
 		t.Error("list of four thousand million lines: no error")
 	}
-	longer := Record{Code: EvWake, Fields: append(make([]byte, 12), "a field of a later version"...)}
-	if _, err := longer.Cookie(); err != nil {
+	longer := Record{Code: EvTimer, Fields: append(make([]byte, 12), "a field of a later version"...)}
+	if _, err := longer.TimerID(); err != nil {
 		t.Errorf("added fields: %v", err)
 	}
 }
@@ -288,14 +288,14 @@
 			}
 			body = rest
 			rec.Instance()
-			rec.Manifest()
-			rec.OpenInstance()
-			rec.Fleet()
-			rec.Ask()
-			rec.Finished()
-			rec.CheckResult()
-			rec.Job()
-			rec.Cookie()
+			rec.ServerList()
+			rec.InstanceStart()
+			rec.ListUpdate()
+			rec.Request()
+			rec.AttemptResult()
+			rec.ProbeResult()
+			rec.RequestID()
+			rec.TimerID()
 		}
 	})
 }
