--- a/cmd/demo/main.go
+++ b/cmd/demo/main.go
@@ -21,92 +21,114 @@
 )
 
 const (
-	length = 9 * time.Second
-	rate   = 150.0 // requests a second
+	duration          = 9 * time.Second
+	requestsPerSecond = 150.0
 
-	silentFrom, silentTo = 2 * time.Second, 5 * time.Second
-	drainAt              = 6 * time.Second
+	// After the start:
+	hangFrom, hangUntil = 2 * time.Second, 5 * time.Second // s-2
+	drainFrom           = 6 * time.Second                  // s-3
 )
 
-// world is a rig.TB for a program: what can't go on ends it.
-type world struct{ cleanups []func() }
+// program is a testbed.TB outside of a test: a fatal error ends the process.
+type program struct{ cleanups []func() }
 
-func (*world) Helper() {}
+// Helper does nothing: there is no test to attribute an error to.
+func (*program) Helper() {}
 
-func (w *world) Cleanup(f func()) { w.cleanups = append(w.cleanups, f) }
+// Cleanup registers what has to be done at the end, the last one first.
+func (p *program) Cleanup(f func()) { p.cleanups = append(p.cleanups, f) }
 
-func (w *world) Fatalf(format string, args ...any) {
+// Fatalf prints an error, cleans up and exits with status 1.
+func (p *program) Fatalf(format string, args ...any) {
 	fmt.Fprintf(os.Stderr, "demo: "+format+"\n", args...)
-	w.end()
+	p.cleanUp()
 	os.Exit(1)
 }
 
-func (w *world) end() {
-	for i := len(w.cleanups) - 1; i >= 0; i-- {
-		w.cleanups[i]()
+// cleanUp runs what Cleanup registered.
+func (p *program) cleanUp() {
+	for i := len(p.cleanups) - 1; i >= 0; i-- {
+		p.cleanups[i]()
 	}
-	w.cleanups = nil
+	p.cleanups = nil
 }
 
 func main() {
-	w := new(world)
-	defer w.end()
-	ledger := new(testbed.ArrivalLog)
+	p := new(program)
+	defer p.cleanUp()
+	arrivals := new(testbed.ArrivalLog)
 	var nodes []*testbed.Node
 	for i := range 4 {
-		n := testbed.NewHTTPNode(w, "s-"+strconv.Itoa(i), ledger)
+		n := testbed.NewHTTPNode(p, "s-"+strconv.Itoa(i), arrivals)
 		n.Delay.Store(int64(15 * time.Millisecond))
 		n.Do(testbed.Always(testbed.Slow))
 		nodes = append(nodes, n)
 	}
-	discovery := testbed.NewDiscovery(w, nodes...)
-	url := startDaemon(w, discovery, nodes)
+	discovery := testbed.NewDiscovery(p, nodes...)
+	url := startDaemon(p, discovery, nodes)
+	t := &table{nodes: nodes, arrivals: arrivals, states: make(map[string]string), started: time.Now()}
+	scheduleFaults(p, t, discovery)
+	sendLoad(t, url)
+	t.printSummary()
+}
 
-	begun := time.Now()
-	t := &table{nodes: nodes, ledger: ledger, states: make(map[string]string), begun: begun}
-	events := []struct {
+// scheduleFaults lets one node hang for a while and drains another one later.
+func scheduleFaults(p *program, t *table, discovery *testbed.Discovery) {
+	for _, fault := range []struct {
 		at   time.Duration
 		what string
 		do   func()
 	}{
-		{silentFrom, "s-2 goes silent: it takes requests and answers none", func() { nodes[2].Do(testbed.Always(testbed.Hang)); t.state("s-2", "silent") }},
-		{silentTo, "s-2 answers again", func() { nodes[2].Do(testbed.Always(testbed.Slow)); t.state("s-2", "ready") }},
-		{drainAt, "s-3 drains: nothing new goes there", func() { discovery.Set(nodes[3], "draining"); t.state("s-3", "draining") }},
-	}
-	for _, e := range events {
-		timer := time.AfterFunc(e.at, func() {
-			fmt.Printf("-- %s\n", e.what)
-			e.do()
+		{hangFrom, "s-2 goes silent: it takes requests and answers none", func() {
+			t.nodes[2].Do(testbed.Always(testbed.Hang))
+			t.setState("s-2", "silent")
+		}},
+		{hangUntil, "s-2 answers again", func() {
+			t.nodes[2].Do(testbed.Always(testbed.Slow))
+			t.setState("s-2", "ready")
+		}},
+		{drainFrom, "s-3 drains: nothing new goes there", func() {
+			discovery.Set(t.nodes[3], "draining")
+			t.setState("s-3", "draining")
+		}},
+	} {
+		timer := time.AfterFunc(fault.at, func() {
+			fmt.Printf("-- %s\n", fault.what)
+			fault.do()
 		})
-		w.Cleanup(func() { timer.Stop() })
+		p.Cleanup(func() { timer.Stop() })
 	}
+}
+
+// sendLoad sends requests at random times, prints a line of the table a second and waits for the last answer.
+func sendLoad(t *table, url string) {
 	var calls sync.WaitGroup
 	tick := time.NewTicker(time.Second)
 	defer tick.Stop()
 	client := http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 100}}
-	t.head()
-	for n, due := 0, time.Duration(0); due < length; n++ {
+	t.printHeader()
+	for n, due := 0, time.Duration(0); due < duration; n++ {
 		select {
 		case <-tick.C:
-			t.line()
+			t.printLine()
 		default:
 		}
-		time.Sleep(due - time.Since(begun))
-		calls.Go(func() { t.answered(call(&client, url, n)) })
-		due += time.Duration(rand.ExpFloat64() / rate * float64(time.Second))
+		time.Sleep(due - time.Since(t.started))
+		calls.Go(func() { t.countAnswer(call(&client, url, n)) })
+		due += time.Duration(rand.ExpFloat64() / requestsPerSecond * float64(time.Second))
 	}
 	calls.Wait()
-	t.line()
-	t.summary()
+	t.printLine()
 }
 
-// startDaemon builds and starts the daemon with an example configuration, which stays where it says.
-func startDaemon(w *world, d *testbed.Discovery, nodes []*testbed.Node) string {
+// startDaemon builds and starts the daemon with an example configuration, and returns its URL. The configuration file
+// is not removed, so that it can be read afterwards.
+func startDaemon(p *program, d *testbed.Discovery, nodes []*testbed.Node) string {
 	dir, err := os.MkdirTemp("", "caperarch-demo")
 	if err != nil {
-		w.Fatalf("%v", err)
+		p.Fatalf("%v", err)
 	}
-	text := testbed.ConfigText(w, testbed.Known(nodes...), func(file, settings map[string]any) {
+	text := testbed.ConfigText(p, testbed.Known(nodes...), func(file, settings map[string]any) {
 		file["discovery"] = d.Address
 		for i, times := range [][2]float64{{500, 1000}, {600, 2500}, {500, 1000}} {
 			class := settings["classes"].([]any)[i].(map[string]any)
@@ -115,39 +137,43 @@
 	})
 	config, binary := filepath.Join(dir, "config.json"), filepath.Join(dir, "caperarch")
 	if err := os.WriteFile(config, []byte(text), 0o600); err != nil {
-		w.Fatalf("%v", err)
+		p.Fatalf("%v", err)
 	}
 	if out, err := exec.Command("go", "build", "-o", binary, "caperarch/cmd/caperarch").CombinedOutput(); err != nil {
-		w.Fatalf("building the daemon: %v\n%s", err, out)
+		p.Fatalf("building the daemon: %v\n%s", err, out)
 	}
 	cmd := exec.Command(binary)
 	cmd.Env = append(os.Environ(), "EDGE_CONFIG="+config)
 	log, err := cmd.StderrPipe()
 	if err != nil {
-		w.Fatalf("%v", err)
+		p.Fatalf("%v", err)
 	}
 	if err := cmd.Start(); err != nil {
-		w.Fatalf("starting the daemon: %v", err)
+		p.Fatalf("starting the daemon: %v", err)
 	}
-	w.Cleanup(func() {
+	p.Cleanup(func() {
 		_ = cmd.Process.Signal(syscall.SIGTERM)
 		_ = cmd.Wait()
 		_ = os.Remove(binary)
 	})
 	address := make(chan string, 1)
-	go func() {
-		for lines := bufio.NewScanner(log); lines.Scan(); {
-			if _, rest, ok := strings.Cut(lines.Text(), " listen="); ok {
-				listen, _, _ := strings.Cut(rest, " ")
-				address <- listen
-			}
-		}
-	}()
-	at := testbed.Wait(w, "the daemon to serve", address)
-	fmt.Printf("configuration: %s\ndaemon: http://%s, discovery: http://%s/discovery/hosts, %d nodes\n\n", config, at, d.Address, len(nodes))
+	go findListenAddress(log, address)
+	at := testbed.Wait(p, "the daemon to serve", address)
+	fmt.Printf("configuration: %s\ndaemon: http://%s, discovery: http://%s/discovery/hosts, %d nodes\n\n",
+		config, at, d.Address, len(nodes))
 	return "http://" + at
 }
 
+// findListenAddress reads the daemon's log to its end, and sends the address that it listens on.
+func findListenAddress(log io.Reader, address chan<- string) {
+	for lines := bufio.NewScanner(log); lines.Scan(); {
+		if _, rest, ok := strings.Cut(lines.Text(), " listen="); ok {
+			listen, _, _ := strings.Cut(rest, " ")
+			address <- listen
+		}
+	}
+}
+
 // call makes one request of a mix and returns its answer: served, refused or failed.
 func call(client *http.Client, url string, n int) string {
 	class, method, body := "reading", http.MethodPost, io.Reader(strings.NewReader("41.5 kg"))
--- a/cmd/demo/table.go
+++ b/cmd/demo/table.go
@@ -8,26 +8,28 @@
 	"caperarch/internal/lab/testbed"
 )
 
-// table prints a line a second and the summary.
+// table counts answers, and prints a line a second and the summary.
 type table struct {
-	nodes  []*testbed.Node
-	ledger *testbed.ArrivalLog
-	begun  time.Time
+	nodes    []*testbed.Node
+	arrivals *testbed.ArrivalLog
+	started  time.Time
 
-	mu      sync.Mutex
-	states  map[string]string
-	answers map[string]int // since the last line
-	all     map[string]int
-	seen    int // arrivals in the lines so far
+	mu              sync.Mutex // guards the fields below
+	states          map[string]string
+	answers         map[string]int // since the last line
+	all             map[string]int
+	printedArrivals int // in the lines so far
 }
 
-func (t *table) state(node, state string) {
+// setState sets what the table shows as a node's state.
+func (t *table) setState(node, state string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.states[node] = state
 }
 
-func (t *table) answered(kind string) {
+// countAnswer counts a request's answer: served, refused, failed or no answer.
+func (t *table) countAnswer(kind string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.all == nil {
@@ -37,21 +39,23 @@
 	t.answers[kind]++
 }
 
-func (t *table) head() {
+// printHeader prints the names of the columns.
+func (t *table) printHeader() {
 	fmt.Printf("%4s %7s %8s %7s   attempts at\n", "s", "served", "refused", "failed")
 }
 
-// line is what happened since the last one.
-func (t *table) line() {
-	arrivals := t.ledger.All()
+// printLine prints what happened since the last line.
+func (t *table) printLine() {
+	arrivals := t.arrivals.All()
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	at := make(map[string]int)
-	for _, a := range arrivals[t.seen:] {
+	for _, a := range arrivals[t.printedArrivals:] {
 		at[a.Node]++
 	}
-	t.seen = len(arrivals)
-	fmt.Printf("%4.1f %7d %8d %7d  ", time.Since(t.begun).Seconds(), t.answers["served"], t.answers["refused"], t.answers["failed"])
+	t.printedArrivals = len(arrivals)
+	fmt.Printf("%4.1f %7d %8d %7d  ",
+		time.Since(t.started).Seconds(), t.answers["served"], t.answers["refused"], t.answers["failed"])
 	for _, n := range t.nodes {
 		state := t.states[n.ID]
 		if state == "" {
@@ -63,11 +67,11 @@
 	clear(t.answers)
 }
 
-// summary is the whole run, the rules included.
-func (t *table) summary() {
-	tries, ran, twice := make(map[string]int), make(map[string]bool), 0
-	for _, a := range t.ledger.All() {
-		tries[a.ID]++
+// printSummary prints the totals, and how many calls ran twice that must not.
+func (t *table) printSummary() {
+	attempts, ran, twice := make(map[string]int), make(map[string]bool), 0
+	for _, a := range t.arrivals.All() {
+		attempts[a.ID]++
 		if a.Class == "entry" && a.Ran {
 			if ran[a.ID] {
 				twice++
@@ -76,7 +80,7 @@
 		}
 	}
 	retries := 0
-	for _, n := range tries {
+	for _, n := range attempts {
 		retries += n - 1
 	}
 	fmt.Printf("\nserved %d, refused %d, failed %d, no answer %d; %d further attempts; %d entries run twice\n",
--- a/cmd/replay/main.go
+++ b/cmd/replay/main.go
@@ -1,6 +1,6 @@
-// Replay runs a recording of the daemon's (caperarch -record) through the present decision module.
+// Replay runs a recording of the daemon (caperarch -record) through the present decision module.
 //
-//	go run ./cmd/replay FILE [-most N]     where does it depart from what was done?
+//	go run ./cmd/replay [-most N] FILE     where does it depart from what was recorded?
 //	go run ./cmd/replay -estimate FILE     how would it have fared, second by second, beside what was recorded?
 //
 // It exits 1 where the module departs, or where the file can't be read.
@@ -20,10 +20,11 @@
 	os.Exit(run(os.Args[1:], os.Stdout, os.Stderr))
 }
 
+// run runs the command and returns its exit code.
 func run(args []string, out, log io.Writer) int {
 	flags := flag.NewFlagSet("replay", flag.ContinueOnError)
 	flags.SetOutput(log)
-	most := flags.Int("most", 10, "departures that are printed")
+	maxDepartures := flags.Int("most", 10, "departures that are printed")
 	estimate := flags.Bool("estimate", false, "estimate how the present module would have fared")
 	if flags.Parse(args) != nil {
 		return 2
@@ -39,27 +40,29 @@
 	}
 	defer in.Close()
 	if *estimate {
-		return estimated(in, out, log)
+		return printEstimate(in, out, log)
 	}
-	c, err := replay.Exact(record.NewReader(in), *most)
+	comparison, err := replay.Exact(record.NewReader(in), *maxDepartures)
 	if err != nil {
 		fmt.Fprintf(log, "replay: %s: %v\n", flags.Arg(0), err)
 		return 1
 	}
-	for _, d := range c.First {
+	for _, d := range comparison.First {
 		fmt.Fprintln(out, d)
 	}
-	if c.Ended != "" {
-		fmt.Fprintln(out, "the recording ended before its process:", c.Ended)
+	if comparison.Ended != "" {
+		fmt.Fprintln(out, "the recording ended before its process:", comparison.Ended)
 	}
-	fmt.Fprintf(out, "replay events=%d actions=%d departures=%d cut=%v\n", c.Events, c.Actions, c.Departures, c.Cut)
-	if c.Departures > 0 {
+	fmt.Fprintf(out, "replay events=%d actions=%d departures=%d cut=%v\n",
+		comparison.Events, comparison.Actions, comparison.Departures, comparison.Cut)
+	if comparison.Departures > 0 {
 		return 1
 	}
 	return 0
 }
 
-func estimated(in io.Reader, out, log io.Writer) int {
+// printEstimate prints how the module would have fared, and returns the exit code.
+func printEstimate(in io.Reader, out, log io.Writer) int {
 	e, err := replay.Estimate(record.NewReader(in))
 	if err != nil {
 		fmt.Fprintln(log, "replay:", err)
@@ -72,7 +75,8 @@
 			s.Recorded.Attempts, s.Present.Attempts)
 	}
 	r, p := e.Recorded, e.Present
-	fmt.Fprintf(out, "replay-estimate requests=%d in_time=%d in_time_present=%d refused=%d refused_present=%d failed=%d failed_present=%d attempts=%d attempts_present=%d\n",
+	fmt.Fprintf(out, "replay-estimate requests=%d in_time=%d in_time_present=%d refused=%d refused_present=%d "+
+		"failed=%d failed_present=%d attempts=%d attempts_present=%d\n",
 		e.Requests, r.InTime, p.InTime, r.Refused, p.Refused, r.Failed, p.Failed, r.Attempts, p.Attempts)
 	return 0
 }
