--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -15,7 +15,7 @@
 		for id := range RequestID(200) {
 			now := time.Duration(id) * 500 * ms
 			n := len(h.sends)
-			ask(b, now, id, unsafeClass)
+			submit(b, now, id, nonIdempotentClass)
 			if len(h.sends) > n {
 				end(b, now+took, id, 0, end1)
 			}
@@ -25,7 +25,7 @@
 	if n := sent(Served, 100*ms); n != 200 {
 		t.Errorf("%d of 200 sent while all are answered in time", n)
 	}
-	if n := sent(Served, 1500*ms); n > 150 { // incident id1dbbf: late answers are no sign of room
+	if n := sent(Served, 1500*ms); n > 150 { // incident id1dbbf: late answers are no sign of capacity
 		t.Errorf("%d of 200 sent while all are answered late", n)
 	}
 	if n := sent(TimedOut, time.Second); n > 120 || n < 20 {
@@ -38,7 +38,7 @@
 	b, h := start(t, testConfig(), ready(1, 2, 3, 4))
 	for id := range RequestID(300) {
 		now := time.Duration(id) * 100 * ms
-		ask(b, now, id, unsafeClass)
+		submit(b, now, id, nonIdempotentClass)
 		end(b, now+50*ms, id, 0, map[bool]Ending{true: Errored, false: Served}[id%10 == 9])
 	}
 	if len(h.sends) != 300 {
--- a/policy/arcs_test.go
+++ b/policy/arcs_test.go
@@ -46,7 +46,7 @@
 				const requests = 60
 				for id := range RequestID(requests) {
 					now := time.Duration(id) * 100 * ms
-					ask(b, now, id, safeClass)
+					submit(b, now, id, idempotentClass)
 					if len(h.sends) != int(id)+1 {
 						t.Fatalf("request %d of balancer %d was not sent", id, index)
 					}
@@ -85,7 +85,7 @@
 	}
 }
 
-// A place that is told moves the arc, keeps what is known of servers in both, and what is none counts for nothing.
+// Config.ArcStart moves the arc, and keeps what is known of servers in both arcs; an invalid value is ignored.
 func TestArcStartMovesTheArc(t *testing.T) {
 	cfg := testConfig()
 	place := 0.5
@@ -111,7 +111,7 @@
 		place = bad
 		b.Wake(600 * ms)
 		if first() != 17 {
-			t.Errorf("told %v the arc begins with %d", bad, first())
+			t.Errorf("with ArcStart %v the arc begins with %d", bad, first())
 		}
 	}
 }
--- a/policy/attempts_test.go
+++ b/policy/attempts_test.go
@@ -11,14 +11,14 @@
 	cfg := testConfig()
 	cfg.Classes[1].LateValue = 0.5
 	b, h := start(t, cfg, ready(1, 2))
-	ask(b, 0, 1, safeClass)
-	ask(b, 0, 2, keyedAll)
-	b.Request(0, Request{ID: 3, Class: keyedCell, TimeLeft: 300 * ms})
+	submit(b, 0, 1, idempotentClass)
+	submit(b, 0, 2, dedupAll)
+	b.Request(0, Request{ID: 3, Class: dedupCell, TimeLeft: 300 * ms})
 	if got := h.sends[0].timeout; got != time.Second {
-		t.Errorf("time-out %v, want the aim", got)
+		t.Errorf("time-out %v, want the latency target", got)
 	}
 	if got := h.sends[1].timeout; got != 2*time.Second {
-		t.Errorf("time-out %v where late answers are worth something, want all the time left", got)
+		t.Errorf("time-out %v where late answers have value, want all the time left", got)
 	}
 	if got := h.sends[2].timeout; got != 300*ms {
 		t.Errorf("time-out %v, want the client's time left", got)
@@ -33,19 +33,19 @@
 		again bool
 		fails bool // where it is not sent again
 	}{
-		{"safe after an error", safeClass, Errored, true, false},
-		{"keyed after a reset", keyedAll, ConnectionLost, true, false},
-		{"unsafe turned away", unsafeClass, NotProcessed, true, false},
-		{"unsafe without a connection", unsafeClass, NoConnection, true, false},
-		{"unsafe never sent", unsafeClass, NotSent, true, false},
-		{"unsafe after an error", unsafeClass, Errored, false, true},
-		{"unsafe after a reset", unsafeClass, ConnectionLost, false, true},
-		{"unsafe after a time-out", unsafeClass, TimedOut, false, true},
-		{"unsafe after an unknown end", unsafeClass, Ending(99), false, true},
+		{"safe after an error", idempotentClass, Errored, true, false},
+		{"keyed after a reset", dedupAll, ConnectionLost, true, false},
+		{"unsafe turned away", nonIdempotentClass, NotProcessed, true, false},
+		{"unsafe without a connection", nonIdempotentClass, NoConnection, true, false},
+		{"unsafe never sent", nonIdempotentClass, NotSent, true, false},
+		{"unsafe after an error", nonIdempotentClass, Errored, false, true},
+		{"unsafe after a reset", nonIdempotentClass, ConnectionLost, false, true},
+		{"unsafe after a time-out", nonIdempotentClass, TimedOut, false, true},
+		{"unsafe after an unknown end", nonIdempotentClass, Ending(99), false, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			b, h := start(t, testConfig(), ready(1, 2, 3))
-			ask(b, 0, 1, c.class)
+			submit(b, 0, 1, c.class)
 			end(b, 30*ms, 1, 0, c.ends)
 			if again := len(h.sends) == 2; again != c.again {
 				t.Fatalf("sent again: %v, want %v", again, c.again)
@@ -62,7 +62,7 @@
 
 func TestRequestIsRefusedAfterTheLastAttempt(t *testing.T) {
 	b, h := start(t, testConfig(), ready(1, 2, 3, 4, 5))
-	ask(b, 0, 1, unsafeClass)
+	submit(b, 0, 1, nonIdempotentClass)
 	for i := range 3 {
 		end(b, time.Duration(i+1)*ms, 1, i, NoConnection)
 	}
@@ -78,24 +78,24 @@
 	}
 	byID := func(id ServerID) Server { return list[id-1] }
 	for id := range RequestID(8) { // the turns make the first attempt meet every server
-		for _, class := range []int{keyedZone, keyedCell} {
+		for _, class := range []int{dedupZone, dedupCell} {
 			b, h := start(t, testConfig(), list)
 			for warm := range id {
-				ask(b, 0, 100+warm, safeClass)
+				submit(b, 0, 100+warm, idempotentClass)
 				end(b, ms, 100+warm, 0, Served)
 			}
 			h.sends = nil
-			ask(b, 2*ms, 1, class)
+			submit(b, 2*ms, 1, class)
 			first := byID(h.sends[0].to)
 			end(b, 30*ms, 1, 0, ConnectionLost)
 			if len(h.sends) < 2 {
-				if class == keyedZone || first.Zone == 1 {
+				if class == dedupZone || first.Zone == 1 {
 					t.Fatalf("class %d from server %d was not sent again", class, first.ID)
 				}
 				continue // alone in its cell
 			}
 			second := byID(h.sends[1].to)
-			if second.Zone != first.Zone || (class == keyedCell && second.Cell != first.Cell) {
+			if second.Zone != first.Zone || (class == dedupCell && second.Cell != first.Cell) {
 				t.Fatalf("class %d went from server %d to %d, outside its group", class, first.ID, second.ID)
 			}
 		}
@@ -108,12 +108,12 @@
 	b, h := start(t, testConfig(), list)
 	for h.sentTo(1) == 0 || len(h.sends) == 0 || h.sends[len(h.sends)-1].to != 1 {
 		id := RequestID(100 + len(h.sends))
-		ask(b, 0, id, safeClass)
+		submit(b, 0, id, idempotentClass)
 		end(b, ms, id, 0, Served)
 	}
 	b.List(ms, ListDelta, []Server{{ID: 3, State: Deregistered}})
 	h.sends = nil
-	ask(b, 2*ms, 1, keyedZone) // it is the turn of server 2, in zone 1
+	submit(b, 2*ms, 1, dedupZone) // it is the turn of server 2, in zone 1
 	if h.sends[0].to != 2 {
 		t.Fatalf("set-up: first attempt went to %d", h.sends[0].to)
 	}
@@ -129,13 +129,13 @@
 
 func TestDeduplicatedRequestIsNotRepeatedAfterItsWindow(t *testing.T) {
 	b, h := start(t, testConfig(), ready(1, 2, 3))
-	ask(b, 0, 1, keyedAll)
+	submit(b, 0, 1, dedupAll)
 	end(b, 700*ms, 1, 0, Errored) // the window of 700 ms since its send is over
 	if _, refused := h.refused[1]; len(h.sends) != 1 || !refused {
 		t.Fatalf("sends %d, refused %v; want 1 and a refusal, as all servers drop repeats", len(h.sends), refused)
 	}
 	b.compartments[0].gate = admission.NewRatio(b.rng)
-	ask(b, 800*ms, 2, keyedZone)
+	submit(b, 800*ms, 2, dedupZone)
 	end(b, 1500*ms, 2, 0, Errored)
 	if !h.failed[2] {
 		t.Fatal("a keyed request that may have run, with a group of one zone, must be failed and not refused")
@@ -145,19 +145,19 @@
 // Guards against 7.5 s in the queue for another server where there was none, and against clients whose bad
 // requests cost servers their turns.
 func TestRequestWithoutAServerLeftIsAnsweredAtOnce(t *testing.T) {
-	for _, class := range []int{safeClass, keyedCell, unsafeClass} {
+	for _, class := range []int{idempotentClass, dedupCell, nonIdempotentClass} {
 		b, h := start(t, testConfig(), ready(1))
-		ask(b, 0, 1, class)
+		submit(b, 0, 1, class)
 		end(b, 5*ms, 1, 0, NoConnection)
 		if _, refused := h.refused[1]; !refused {
 			t.Errorf("class %d: not refused though its one server refuses connections", class)
 		}
 	}
 	b, h := start(t, testConfig(), ready(1, 2))
-	ask(b, 0, 1, safeClass)
+	submit(b, 0, 1, idempotentClass)
 	end(b, 5*ms, 1, 0, InvalidRequest)
 	if !h.failed[1] || len(h.sends) != 1 || b.server(h.sends[0].to).slowness != 1 {
-		t.Errorf("failed %v, sends %v: want it failed at once, and nothing held against the server", h.failed, h.sends)
+		t.Errorf("failed %v, sends %v: want it failed at once, and nothing counted against the server", h.failed, h.sends)
 	}
 }
 
@@ -166,7 +166,7 @@
 func TestServerMayBeTriedAgainAfterABrokenConnection(t *testing.T) {
 	for end, want := range map[Ending]int{ConnectionLost: 2, Errored: 1} {
 		b, h := start(t, testConfig(), ready(1))
-		ask(b, 0, 1, keyedCell)
+		submit(b, 0, 1, dedupCell)
 		b.Outcome(5*ms, Outcome{ID: 1, Ending: end})
 		if len(h.sends) != want {
 			t.Errorf("ending %v: %d sends, want %d", end, len(h.sends), want)
@@ -182,24 +182,24 @@
 	try := func(now time.Duration, id RequestID, class int) int {
 		n := len(h.sends)
 		b.compartments[0].gate = admission.NewRatio(b.rng)
-		ask(b, now, id, class)
+		submit(b, now, id, class)
 		end(b, now, id, 0, NotProcessed)
 		if len(h.sends) > n+1 {
 			end(b, now, id, 1, Served)
 		}
 		return len(h.sends) - n
 	}
-	if try(0, 1, safeClass) != 2 || try(0, 2, unsafeClass) != 2 || try(0, 3, unsafeClass) != 1 {
+	if try(0, 1, idempotentClass) != 2 || try(0, 2, nonIdempotentClass) != 2 || try(0, 3, nonIdempotentClass) != 1 {
 		t.Fatalf("sends %+v: want one free further attempt and one for two requests", h.sends)
 	}
 	if _, ok := h.refused[3]; !ok {
 		t.Fatal("a request that never ran and met the end of the budget is not refused")
 	}
 	// A second later the requests no longer count, but the attempts made just then still do.
-	if n := try(time.Second, 4, safeClass); n != 1 {
+	if n := try(time.Second, 4, idempotentClass); n != 1 {
 		t.Fatalf("%d sends at the window's edge, want 1", n)
 	}
-	if n := try(time.Second+1, 5, safeClass); n != 2 {
+	if n := try(time.Second+1, 5, idempotentClass); n != 2 {
 		t.Fatalf("%d sends once the window has passed, want 2", n)
 	}
 }
@@ -213,7 +213,7 @@
 		cfg := testConfig()
 		cfg.Budget = c.budget
 		b, h := start(t, cfg, ready(1, 2, 3))
-		ask(b, 0, 1, safeClass)
+		submit(b, 0, 1, idempotentClass)
 		end(b, 0, 1, 0, NotProcessed)
 		if len(h.sends) != c.want {
 			t.Errorf("budget %+v: %d sends, want %d", c.budget, len(h.sends), c.want)
@@ -231,12 +231,12 @@
 		"out":     {deadline: time.Second, inFlight: 1},
 		"all out": {deadline: time.Second, attempts: make([]attempt, b.cfg.MaxAttempts)},
 	} {
-		r.class = &b.classes[safeClass]
+		r.class = &b.classes[idempotentClass]
 		if b.maySend(100*ms, r, b.servers[0]) {
 			t.Errorf("a request that is %s may go", name)
 		}
 	}
-	if !b.maySend(100*ms, &request{class: &b.classes[safeClass], deadline: time.Second}, b.servers[0]) {
+	if !b.maySend(100*ms, &request{class: &b.classes[idempotentClass], deadline: time.Second}, b.servers[0]) {
 		t.Error("an ordinary request may not go")
 	}
 }
--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -21,7 +21,7 @@
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				now := time.Duration(i) * 75 * ms
-				ask(x, now, RequestID(i), safeClass)
+				submit(x, now, RequestID(i), idempotentClass)
 				end(x, now+20*ms, RequestID(i), 0, Served)
 				x.Wake(now + 40*ms)
 			}
--- a/policy/events_test.go
+++ b/policy/events_test.go
@@ -17,8 +17,8 @@
 	if len(h.refused) != 5 || len(h.sends) != 0 {
 		t.Fatalf("refused %d, sent %d; want 5 and 0", len(h.refused), len(h.sends))
 	}
-	ask(b, 0, 6, safeClass)
-	ask(b, 0, 6, safeClass) // held already
+	submit(b, 0, 6, idempotentClass)
+	submit(b, 0, 6, idempotentClass) // open already
 	end(b, 0, 6, 3, Served)
 	end(b, 0, 6, -1, Served)
 	end(b, 0, 77, 0, Served)
@@ -36,20 +36,20 @@
 
 func TestClientGoneFreesItsSlotAndForgetsTheRequest(t *testing.T) {
 	b, h := start(t, testConfig(), ready(1))
-	ask(b, 0, 1, safeClass)
+	submit(b, 0, 1, idempotentClass)
 	b.ClientGone(ms, 1)
 	if len(h.cancelled) != 1 || b.SlotsFree(0) != 5 {
 		t.Fatal("the attempt was not called off, or its slot freed before it ended")
 	}
 	end(b, 2*ms, 1, 0, Cancelled)
 	if len(h.refused)+len(h.failed) != 0 || len(b.requests) != 0 || b.SlotsFree(0) != 6 {
-		t.Fatalf("answers %d, held %d", len(h.refused)+len(h.failed), len(b.requests))
+		t.Fatalf("answers %d, open %d", len(h.refused)+len(h.failed), len(b.requests))
 	}
 }
 
 func TestStreamedAnswerIsNotCancelled(t *testing.T) {
 	b, h := start(t, testConfig(), ready(1, 2))
-	ask(b, 0, 1, safeClass)
+	submit(b, 0, 1, idempotentClass)
 	b.StreamBegun(1)
 	for now := time.Duration(0); now < 10*time.Second; now += 10 * ms {
 		b.Wake(now)
@@ -59,7 +59,7 @@
 	}
 	b.Outcome(11*time.Second, Outcome{ID: 1, Ending: ConnectionLost, Finished: true})
 	if len(b.requests) != 0 {
-		t.Fatal("the ended stream is still held")
+		t.Fatal("the ended stream is still open")
 	}
 }
 
@@ -67,7 +67,7 @@
 	b, _ := start(t, testConfig(), ready(1, 2))
 	for id := range RequestID(20000) {
 		now := time.Duration(id) * 5 * ms
-		ask(b, now, id, safeClass)
+		submit(b, now, id, idempotentClass)
 		switch id % 3 {
 		case 0:
 			end(b, now+ms, id, 0, Served)
@@ -85,9 +85,9 @@
 		b.Wake(now + 3*ms)
 	}
 	b.Wake(time.Hour)
-	// A few had their second attempt after a pause, behind the end that this test told of.
+	// A few had a second attempt, which this test has not ended.
 	if len(b.requests) > 20 || len(b.openRequests) > 3 || len(b.servers) != 2 || cap(b.openRequests) > 100 {
-		t.Fatalf("held: %d requests, %d open (room for %d), %d servers",
+		t.Fatalf("left: %d requests, %d open (capacity %d), %d servers",
 			len(b.requests), len(b.openRequests), cap(b.openRequests), len(b.servers))
 	}
 }
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -20,7 +20,7 @@
 			list = append(list, Server{ID: id * 7, State: Ready, Weight: 1 + 2*float64(id%2)})
 		}
 		b, h := startSeeded(t, cfg, uint64(n), list)
-		ask(b, 0, 1, safeClass)
+		submit(b, 0, 1, idempotentClass)
 		sent[h.sends[0].to]++
 	}
 	light, heavy, most := 0, 0, 0
@@ -70,7 +70,7 @@
 	}
 	b, _ := start(t, cfg, ready(1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20))
 	for i := range 1200 { // ten times as much
-		ask(b, time.Duration(i)*10*ms, RequestID(i), safeClass)
+		submit(b, time.Duration(i)*10*ms, RequestID(i), idempotentClass)
 		end(b, time.Duration(i)*10*ms+5*ms, RequestID(i), 0, Served)
 	}
 	if got := len(b.arc); got != 20 {
@@ -95,7 +95,7 @@
 		b, h := startSeeded(t, cfg, uint64(n), list)
 		for id := range ServerID(servers) {
 			if id != 5 {
-				b.server(id).nextTurn = math.Inf(1) // the others are down: all would go to the cold one
+				b.server(id).nextTurn = math.Inf(1) // the others are down: all would be sent to the warming one
 			}
 		}
 		b.List(10*time.Second, ListDelta, []Server{{ID: 5, State: Ready, Weight: 1, Started: 10 * time.Second}})
@@ -103,7 +103,7 @@
 			now := 10*time.Second + time.Duration(i)*10*ms
 			before := h.sentTo(5)
 			if i%10 == n%10 {
-				ask(b, now, RequestID(i), unsafeClass)
+				submit(b, now, RequestID(i), nonIdempotentClass)
 				if last := h.sends[len(h.sends)-1]; last.to != 5 {
 					end(b, now, last.id, 0, Served)
 				}
@@ -125,7 +125,7 @@
 		}
 		warmth := 0.3 + 0.7*(from-10*time.Second).Seconds()/8
 		if most := 3 * 40 * warmth; float64(got) > most {
-			t.Fatalf("%d sends to the cold server in the second from %v, at most %.0f", got, from, most)
+			t.Fatalf("%d sends to the warming server in the second from %v, at most %.0f", got, from, most)
 		}
 	}
 	if len(times) < 20 {
@@ -179,10 +179,10 @@
 				b.Wake(now)
 				if now%(60*ms) == 0 && id < asked {
 					id++
-					ask(b, now, id, safeClass)
+					submit(b, now, id, idempotentClass)
 				}
 				probes += len(h.probes)
-				e := NoConnection // what is known from before is all gone
+				e := NoConnection // all servers known from before are down
 				if now >= 6*time.Second {
 					e = Served
 				}
@@ -190,15 +190,15 @@
 					answer(now, e)
 				}
 			}
-			if h.asks < 1 || h.asks > 8 || probes > 5*asked || len(h.sends) > asked*cfg.MaxAttempts || len(h.wakes) > 12*250 {
+			if h.listCalls < 1 || h.listCalls > 8 || probes > 5*asked || len(h.sends) > asked*cfg.MaxAttempts || len(h.wakes) > 12*250 {
 				t.Errorf("%d balancers, price %v: %d calls, %d probes, %d sends, %d timers",
-					balancers, price, h.asks, probes, len(h.sends), len(h.wakes))
+					balancers, price, h.listCalls, probes, len(h.sends), len(h.wakes))
 			}
 			if len(b.requests) > 0 {
 				t.Errorf("%d balancers, price %v: %d requests without an answer", balancers, price, len(b.requests))
 			}
 			if late := h.sends[len(h.sends)-1]; late.to <= 20_000 {
-				t.Errorf("%d balancers, price %v: still sends to what is gone", balancers, price)
+				t.Errorf("%d balancers, price %v: still sends to deregistered servers", balancers, price)
 			}
 		}
 	}
--- a/policy/health_test.go
+++ b/policy/health_test.go
@@ -19,13 +19,13 @@
 	b, h := start(t, testConfig(), ready(1, 2, 3))
 	now := time.Duration(0)
 	for id := range RequestID(300) {
-		ask(b, now, id, safeClass)
+		submit(b, now, id, idempotentClass)
 		if last := h.sends[len(h.sends)-1]; last.id == id && last.to != 1 {
 			end(b, now+5*ms, id, 0, Served)
 		}
 		now += 10 * ms
 		b.Wake(now)
-		for i := range h.sends { // server 1 answers nothing: time-outs after the aim
+		for i := range h.sends { // server 1 answers nothing: time-outs after the latency target
 			if s := h.sends[i]; s.to == 1 && b.requests[s.id] != nil && b.requests[s.id].attempts[0].sent+s.timeout <= now {
 				end(b, now, s.id, 0, TimedOut)
 			}
@@ -57,19 +57,19 @@
 	b, h := start(t, testConfig(), ready(1, 2, 3, 4, 5, 6))
 	answerWithin(b, 0.6)
 	for id := range RequestID(6) {
-		ask(b, 0, id, safeClass)
+		submit(b, 0, id, idempotentClass)
 	}
 	if len(h.sends) != 3 || b.Counters().Held != 3 {
-		t.Fatalf("%d attempts out of 8 slots, %d held, want 3 and 3 while every server is crowded",
+		t.Fatalf("%d attempts for 8 slots, %d congested, want 3 and 3 while every server is crowded",
 			len(h.sends), b.Counters().Held)
 	}
 	b, h = start(t, testConfig(), ready(1, 2, 3, 4, 5, 6))
 	answerWithin(b, 0.36) // over the measure of a server, not yet over that of all
 	for id := range RequestID(6) {
-		ask(b, 0, id, safeClass)
+		submit(b, 0, id, idempotentClass)
 	}
 	if len(h.sends) != 6 {
-		t.Fatalf("%d attempts out of 6 slots, want all while servers are a bit crowded", len(h.sends))
+		t.Fatalf("%d attempts for 6 slots, want all while servers are a bit crowded", len(h.sends))
 	}
 }
 
@@ -77,29 +77,29 @@
 // every measure while the others were full, and drew most requests, three times each.
 func TestServerThatRejectsAllIsLeftOut(t *testing.T) {
 	b, h := start(t, testConfig(), ready(1, 2))
-	away, taken := 0, 0
+	rejected, served := 0, 0
 	for id := range RequestID(200) {
 		now := time.Duration(id) * 10 * ms
-		ask(b, now, id, safeClass)
-		for n := 0; n < 3 && len(h.sends) > away+taken; n++ {
-			if h.sends[away+taken].to == 1 {
-				away++
+		submit(b, now, id, idempotentClass)
+		for n := 0; n < 3 && len(h.sends) > rejected+served; n++ {
+			if h.sends[rejected+served].to == 1 {
+				rejected++
 				end(b, now, id, n, NotProcessed)
 			} else {
-				taken++
+				served++
 				end(b, now, id, n, Served)
 			}
 		}
 	}
-	if away > 15 || taken != 200 {
-		t.Fatalf("%d attempts turned away in 2 s, %d of 200 served; want few and all", away, taken)
+	if rejected > 15 || served != 200 {
+		t.Fatalf("%d attempts rejected in 2 s, %d of 200 served; want few and all", rejected, served)
 	}
 	for id := RequestID(300); id < 400; id++ {
 		now := 3*time.Second + time.Duration(id)*10*ms
-		ask(b, now, id, safeClass)
+		submit(b, now, id, idempotentClass)
 		end(b, now, id, 0, Served)
 	}
-	if n := h.sentTo(1) - away; n < 4 {
+	if n := h.sentTo(1) - rejected; n < 4 {
 		t.Fatalf("%d of 100 to the server once it is well again", n)
 	}
 }
@@ -112,7 +112,7 @@
 	for over, want := range map[float64]int{1.5: 1, 2.5: 0} {
 		b, h := start(t, cfg, ready(1))
 		b.Probed(ms, 1, true, Load{Has: HasInFlight, InFlight: b.fleetSlots + over})
-		if ask(b, 2*ms, 1, safeClass); len(h.sends) != want {
+		if submit(b, 2*ms, 1, idempotentClass); len(h.sends) != want {
 			t.Errorf("%d sends at %v over its part, want %d", len(h.sends), over, want)
 		}
 	}
@@ -122,7 +122,7 @@
 // paused again, so that it served 10 of some 90 requests that it could have served.
 func TestServerWithARateLimitKeepsServing(t *testing.T) {
 	b, h := start(t, testConfig(), ready(1))
-	served, away, tokens, seen := 0, 0, 2.0, 0
+	served, rejected, tokens, seen := 0, 0, 2.0, 0
 	type due struct {
 		at time.Duration
 		id RequestID
@@ -130,7 +130,7 @@
 		e  Ending
 	}
 	var ends []due
-	tries := map[RequestID]int{}
+	attempts := map[RequestID]int{}
 	id := RequestID(0)
 	for now := time.Second; now < 11*time.Second; now += 5 * ms {
 		tokens = min(2, tokens+0.1) // 20 a second
@@ -138,26 +138,26 @@
 			end(b, now, ends[0].id, ends[0].n, ends[0].e)
 			ends = ends[1:]
 		}
-		if now%(10*ms) == 0 { // it is asked for 100 a second
+		if now%(10*ms) == 0 { // 100 requests a second
 			id++
-			b.Request(now, Request{ID: id, Class: safeClass, TimeLeft: 500 * ms})
+			b.Request(now, Request{ID: id, Class: idempotentClass, TimeLeft: 500 * ms})
 		}
 		b.Wake(now)
 		for ; seen < len(h.sends); seen++ {
 			s := h.sends[seen]
-			d := due{now + 40*ms, s.id, tries[s.id], NotProcessed}
-			tries[s.id]++
-			if away++; tokens >= 1 {
+			d := due{now + 40*ms, s.id, attempts[s.id], NotProcessed}
+			attempts[s.id]++
+			if rejected++; tokens >= 1 {
 				tokens--
-				away--
+				rejected--
 				served++
 				d.e = Served
 			}
 			ends = append(ends, d)
 		}
 	}
-	if served < 120 || away > served {
-		t.Fatalf("%d served of the 200 that it takes, %d turned away; want most, and fewer than that", served, away)
+	if served < 120 || rejected > served {
+		t.Fatalf("%d served of the 200 that it takes, %d rejected; want most, and fewer than that", served, rejected)
 	}
 }
 
@@ -169,10 +169,10 @@
 	b.List(ms, ListFull, ready(1))
 	b.Probed(ms, 1, true, Load{Has: HasInFlight, InFlight: 0})
 	for id := range RequestID(6) {
-		ask(b, ms, id, safeClass)
+		submit(b, ms, id, idempotentClass)
 	}
 	if h.sentTo(1) != 2 {
-		t.Fatalf("%d of 8 slots at the last of four servers, want its portion of 2", h.sentTo(1))
+		t.Fatalf("%d of 8 slots at the last of four servers, want its limit of 2", h.sentTo(1))
 	}
 	// All balancers hold 100/s x 1 s x 0.12 = 12 at the quotas, a fourth of it at one server.
 	b.Probed(2*ms, 1, true, Load{Has: HasInFlight, InFlight: 5})
@@ -192,7 +192,7 @@
 				now += 50 * ms
 				id++
 				b.compartments[0].gate = admission.NewRatio(b.rng) // admission is not at stake here
-				ask(b, now, id, unsafeClass)
+				submit(b, now, id, nonIdempotentClass)
 				for k := len(h.sends); k > 0 && h.sends[k-1].id == id; k = len(h.sends) {
 					n := len(b.requests[id].attempts)
 					end(b, now+5*ms, id, n-1, map[bool]Ending{true: bad, false: Served}[h.sends[k-1].to == 1])
@@ -216,16 +216,16 @@
 // Guards against a partitioned zone (delta-rounds): time-outs of servers known to be slow hold back requests
 // for all others.
 func TestTimeoutsOfSlowServersAreNoCongestion(t *testing.T) {
-	for _, strained := range []bool{false, true} {
+	for _, slow := range []bool{false, true} {
 		b, _ := start(t, testConfig(), ready(1))
-		if strained {
+		if slow {
 			b.server(1).slowness = failureSlowness
 		}
-		ask(b, 0, 1, unsafeClass)
+		submit(b, 0, 1, nonIdempotentClass)
 		before := b.bulkhead
 		end(b, time.Second, 1, 0, TimedOut)
-		if crowd := b.bulkhead != before; crowd == strained {
-			t.Errorf("strained %v: a time-out counts as crowding %v", strained, crowd)
+		if congested := b.bulkhead != before; congested == slow {
+			t.Errorf("slow %v: a time-out counts as congestion %v", slow, congested)
 		}
 	}
 }
--- a/policy/helpers_test.go
+++ b/policy/helpers_test.go
@@ -8,7 +8,7 @@
 
 const ms = time.Millisecond
 
-// sent is one attempt that a test host was asked to start.
+// sent is one attempt that the Balancer started.
 type sent struct {
 	id      RequestID
 	to      ServerID
@@ -24,7 +24,7 @@
 	wakes     []time.Duration
 	probes    []ServerID
 	closes    []ServerID
-	asks      int
+	listCalls int
 	log       []string
 	trace     []string
 }
@@ -73,7 +73,7 @@
 }
 
 func (h *fakeHost) WatchList() {
-	h.asks++
+	h.listCalls++
 	h.note("watch")
 }
 
@@ -95,13 +95,14 @@
 
 // The classes of testConfig.
 const (
-	safeClass = iota
-	keyedAll
-	keyedZone
-	keyedCell
-	unsafeClass
+	idempotentClass = iota
+	dedupAll
+	dedupZone
+	dedupCell
+	nonIdempotentClass
 )
 
+// testConfig returns a config of two balancers and two tenants, with a class of each effect and scope.
 func testConfig() Config {
 	class := func(e Effect, s Scope) Class {
 		return Class{
@@ -129,6 +130,7 @@
 	}
 }
 
+// ready returns a list of ready servers of weight 1.
 func ready(ids ...ServerID) []Server {
 	var list []Server
 	for _, id := range ids {
@@ -137,7 +139,7 @@
 	return list
 }
 
-// start makes a Balancer that holds a list of servers.
+// start makes a Balancer with a list of servers.
 func start(t testing.TB, cfg Config, list []Server) (*Balancer, *fakeHost) {
 	t.Helper()
 	return startSeeded(t, cfg, 1, list)
@@ -156,8 +158,8 @@
 	return b, h
 }
 
-// ask hands in a request of tenant 0.
-func ask(b *Balancer, now time.Duration, id RequestID, class int) {
+// submit sends a request of tenant 0.
+func submit(b *Balancer, now time.Duration, id RequestID, class int) {
 	b.Request(now, Request{ID: id, Class: class, TimeLeft: 2 * time.Second})
 }
 
@@ -166,7 +168,7 @@
 	b.Outcome(now, Outcome{ID: id, Attempt: attempt, Ending: e, Finished: e == Served})
 }
 
-// findFresh has a balancer find that reports are fresh.
+// findFresh has a balancer learn that reports change as fast as they are used.
 func findFresh(b *Balancer) {
 	for b.prober.Comparing() {
 		b.prober.Compare(true)
@@ -178,7 +180,7 @@
 	return b.compartments[tenant].slots - b.compartments[tenant].used
 }
 
-// QueueFree returns the free queue places in a tenant's compartment.
+// QueueFree returns the free queue slots in a tenant's compartment.
 func (b *Balancer) QueueFree(tenant int) int {
 	return b.compartments[tenant].queueSlots - len(b.compartments[tenant].queue)
 }
--- a/policy/list_test.go
+++ b/policy/list_test.go
@@ -11,7 +11,7 @@
 		b, h := start(t, testConfig(), ready(1, 2))
 		b.List(10*ms, ListDelta, []Server{{ID: 1, State: state, Weight: 1}})
 		for id := range RequestID(10) {
-			ask(b, 10*ms, id, safeClass)
+			submit(b, 10*ms, id, idempotentClass)
 			end(b, 20*ms, id, 0, Served)
 		}
 		if h.sentTo(1) != 0 || h.sentTo(2) != 10 {
@@ -21,7 +21,7 @@
 	b, h := start(t, testConfig(), ready(1, 2))
 	b.List(10*ms, ListFull, ready(2)) // absent from a full list
 	for id := range RequestID(4) {
-		ask(b, 10*ms, id, safeClass)
+		submit(b, 10*ms, id, idempotentClass)
 	}
 	if h.sentTo(1) != 0 {
 		t.Fatal("sent to a server that left the full list")
@@ -32,15 +32,15 @@
 	cfg := testConfig()
 	cfg.ListOnDemand = true
 	b, h := start(t, cfg, ready(1))
-	if h.asks != 1 {
-		t.Fatalf("asked %d times at the start", h.asks)
+	if h.listCalls != 1 {
+		t.Fatalf("%d calls for the list at the start", h.listCalls)
 	}
 	gaps, last, asked := []time.Duration{}, time.Duration(0), 1
 	b.List(0, ListFailed, nil)
 	for now := 10 * ms; now < 40*time.Second; now += 10 * ms {
 		b.Wake(now)
-		if h.asks > asked {
-			asked = h.asks
+		if h.listCalls > asked {
+			asked = h.listCalls
 			gaps = append(gaps, now-last)
 			last = now
 			b.List(now, ListFailed, nil)
@@ -56,7 +56,7 @@
 	for now := 40 * time.Second; now < 60*time.Second; now += 10 * ms {
 		b.Wake(now)
 	}
-	if h.asks != asked {
+	if h.listCalls != asked {
 		t.Fatal("asks again though it is subscribed")
 	}
 }
@@ -70,8 +70,8 @@
 	for now := time.Duration(0); now < cfg.ListMaxAge; now += 50 * ms {
 		b.Wake(now)
 	}
-	if h.asks < 2 {
-		t.Fatal("silence of the list service would have counted as being told")
+	if h.listCalls < 2 {
+		t.Fatal("the list would have counted as received")
 	}
 }
 
@@ -85,8 +85,8 @@
 	for now := time.Duration(0); now < 10*time.Second; now += 50 * ms {
 		b.Wake(now)
 	}
-	if h.asks != 3 {
-		t.Fatalf("asked %d times in 10 s, want at the start and every 4 s", h.asks)
+	if h.listCalls != 3 {
+		t.Fatalf("%d calls for the list in 10 s, want at the start and every 4 s", h.listCalls)
 	}
 }
 
@@ -95,7 +95,7 @@
 	cfg := testConfig()
 	cfg.IdleCloseTime = 300 * ms
 	b, h := start(t, cfg, ready(1))
-	ask(b, 0, 1, safeClass)
+	submit(b, 0, 1, idempotentClass)
 	b.List(10*ms, ListDelta, []Server{{ID: 1, State: Draining}})
 	if len(h.closes) != 1 {
 		t.Fatalf("%d closes at the notice", len(h.closes))
--- a/policy/probes_test.go
+++ b/policy/probes_test.go
@@ -13,7 +13,7 @@
 	b.Probed(ms, 1, true, Load{Has: HasInFlight, InFlight: 50})
 	b.Probed(ms, 2, true, Load{Has: HasInFlight, InFlight: 0})
 	for id := range RequestID(4) {
-		ask(b, 2*ms, id, safeClass)
+		submit(b, 2*ms, id, idempotentClass)
 	}
 	if h.sentTo(1) != 0 || h.sentTo(2) != 4 || len(h.probes) != 0 {
 		t.Fatalf("sent %d to the full server, %d probes while reports are fresh", h.sentTo(1), len(h.probes))
@@ -22,7 +22,7 @@
 	b.Probed(2*ms, 1, false, Load{Has: HasInFlight, InFlight: -1}) // a failed probe
 	b.Probed(2*time.Second, 1, true, Load{Has: HasInFlight, InFlight: 0})
 	for id := RequestID(10); id < 12; id++ {
-		ask(b, 2*time.Second, id, safeClass)
+		submit(b, 2*time.Second, id, idempotentClass)
 	}
 	if h.sentTo(1) == 0 {
 		t.Fatal("an old report still bars the server")
@@ -36,25 +36,25 @@
 	cfg.MayProbe, cfg.Reports = true, HasInFlight
 	b, h := start(t, cfg, ready(1, 2, 3, 4))
 	findFresh(b) // reports were found fresh
-	ask(b, 0, 1, safeClass)
+	submit(b, 0, 1, idempotentClass)
 	if len(h.probes) != 1 || len(h.sends) != 0 {
-		t.Fatalf("%d probes, %d sends; want the server whose turn it is asked first", len(h.probes), len(h.sends))
+		t.Fatalf("%d probes, %d sends; want the server whose turn it is probed first", len(h.probes), len(h.sends))
 	}
 	first := h.probes[0]
 	b.Probed(6*ms, first, true, Load{Has: HasInFlight, InFlight: 50})
 	if len(h.probes) != 2 || h.probes[1] == first || len(h.sends) != 0 {
-		t.Fatalf("probes %v: want the next one asked, as the first is full", h.probes)
+		t.Fatalf("probes %v: want the next one probed, as the first is full", h.probes)
 	}
 	b.Probed(12*ms, h.probes[1], true, Load{Has: HasInFlight, InFlight: 1})
 	if len(h.sends) != 1 || h.sends[0].to != h.probes[1] {
-		t.Fatalf("sends %v: want one to the server that has room", h.sends)
+		t.Fatalf("sends %v: want one to the server that has capacity", h.sends)
 	}
-	ask(b, time.Second, 2, safeClass)
+	submit(b, time.Second, 2, idempotentClass)
 	for now := time.Second; now < 1200*ms; now += 10 * ms {
 		b.Wake(now) // no report comes
 	}
 	if n := len(h.probes) - 2; n != maxProbes || len(h.sends) != 1 {
-		t.Fatalf("%d asked, %d sends; want %d and nothing sent to servers that do not answer or were not asked",
+		t.Fatalf("%d probes, %d sends; want %d and nothing sent to servers that do not answer or were not probed",
 			n, len(h.sends), maxProbes)
 	}
 	for now := 1200 * ms; now < 3*time.Second; now += 10 * ms {
@@ -72,15 +72,15 @@
 	cfg.MayProbe, cfg.Reports = true, HasInFlight
 	b, h := start(t, cfg, ready(1, 2, 3, 4))
 	findFresh(b) // reports were found fresh
-	ask(b, 0, 1, safeClass)
+	submit(b, 0, 1, idempotentClass)
 	drains := h.probes[0]
 	b.Probed(ms, drains, false, Load{})
 	if len(h.probes) != 2 || h.probes[1] == drains {
-		t.Fatalf("probes %v: want the next one asked, as the first can't tell", h.probes)
+		t.Fatalf("probes %v: want the next one probed, as the first can't report", h.probes)
 	}
 	b.Probed(2*ms, h.probes[1], true, Load{Has: HasInFlight, InFlight: 1})
 	if len(h.sends) != 1 || h.sends[0].to != h.probes[1] {
-		t.Fatalf("sends %v: want one to the server that has room", h.sends)
+		t.Fatalf("sends %v: want one to the server that has capacity", h.sends)
 	}
 }
 
@@ -91,12 +91,12 @@
 	cfg.MayProbe, cfg.Reports = true, HasInFlight
 	b, h := start(t, cfg, ready(1, 2))
 	findFresh(b)
-	ask(b, 0, 1, safeClass)
+	submit(b, 0, 1, idempotentClass)
 	for n := 0; n < len(h.probes); n++ {
 		b.Probed(ms, h.probes[n], false, Load{})
 	}
 	sends := len(h.sends)
-	ask(b, 60*ms, 2, safeClass)
+	submit(b, 60*ms, 2, idempotentClass)
 	b.Probed(61*ms, h.probes[len(h.probes)-1], true, Load{Has: HasInFlight})
 	if len(h.sends) == sends {
 		t.Fatalf("probes %v, sends %v: want the second request sent, as 50 ms later all is new", h.probes, h.sends)
@@ -121,9 +121,9 @@
 			}
 		}
 		n := len(h.probes)
-		ask(b, 4*time.Second, 1, safeClass)
+		submit(b, 4*time.Second, 1, idempotentClass)
 		if asked := len(h.probes) > n; asked == stale {
-			t.Errorf("stale %v: asked before sending %v", stale, asked)
+			t.Errorf("stale %v: probed before sending %v", stale, asked)
 		}
 	}
 }
@@ -153,7 +153,7 @@
 	cfg.MayProbe, cfg.Reports = true, HasInFlight|HasBusy
 	b, h := start(t, cfg, ready(1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20))
 	for id := range RequestID(12) { // so many a second
-		ask(b, time.Duration(id)*80*ms, 100+id, safeClass)
+		submit(b, time.Duration(id)*80*ms, 100+id, idempotentClass)
 		end(b, time.Duration(id)*80*ms, 100+id, 0, Served)
 	}
 	short := len(b.arc)
@@ -163,7 +163,7 @@
 			b.Probed(now, h.probes[seen], true, Load{Has: cfg.Reports, InFlight: 1, Busy: now.Seconds()})
 		}
 	}
-	ask(b, time.Second, 1, safeClass)
+	submit(b, time.Second, 1, idempotentClass)
 	if len(b.arc) < 2*short {
 		t.Fatalf("an arc of %d, %d before reports were found fresh", len(b.arc), short)
 	}
@@ -181,7 +181,7 @@
 		b, h := start(t, cfg, ready(1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20))
 		for now := time.Duration(0); now < time.Second; now += 20 * ms {
 			b.Wake(now)
-			ask(b, now, RequestID(now/ms)+1, safeClass)
+			submit(b, now, RequestID(now/ms)+1, idempotentClass)
 			end(b, now+10*ms, RequestID(now/ms)+1, 0, Served)
 		}
 		if sent := len(h.probes) > 0; sent != (price < 0.01) {
@@ -205,16 +205,16 @@
 			s.nextTurn = float64(s.ID)
 		}
 		b.server(1).slowness, b.server(1).nextTurn = 4, 0
-		ask(b, 10*ms, 1, safeClass)
+		submit(b, 10*ms, 1, idempotentClass)
 		if len(h.probes) != 1 || h.probes[0] != 1 || len(h.sends) != 0 {
-			t.Fatalf("probes %v, sends %v: want the one in doubt asked first", h.probes, h.sends)
+			t.Fatalf("probes %v, sends %v: want the suspect one probed first", h.probes, h.sends)
 		}
 		held := 0.0
 		if full {
 			held = 20
 		}
 		b.Probed(11*ms, 1, true, Load{Has: HasInFlight, InFlight: held})
-		ask(b, 12*ms, 2, safeClass)
+		submit(b, 12*ms, 2, idempotentClass)
 		if n := h.sentTo(1); len(h.sends) != 2 || (n > 0) == full || len(h.probes) != 1 {
 			t.Errorf("full %v: sends %v, probes %v", full, h.sends, h.probes)
 		}
@@ -234,11 +234,11 @@
 		list   []Server
 		sooner bool
 	}{
-		{safeClass, list, true}, {keyedCell, list[:2], true}, {unsafeClass, list, false},
-		{safeClass, list[:1], false}, {keyedCell, list[1:], false},
+		{idempotentClass, list, true}, {dedupCell, list[:2], true}, {nonIdempotentClass, list, false},
+		{idempotentClass, list[:1], false}, {dedupCell, list[1:], false},
 	} {
 		b, h := start(t, cfg, c.list)
-		ask(b, 0, 1, c.class)
+		submit(b, 0, 1, c.class)
 		if got := h.sends[0].timeout; (got < time.Second) != c.sooner || got < time.Second/2 {
 			t.Errorf("class %d of %d servers: called off after %v", c.class, len(c.list), got)
 		}
--- a/policy/queue_test.go
+++ b/policy/queue_test.go
@@ -9,23 +9,23 @@
 )
 
 func TestRequestsBeyondSlotsAndQueueAreRefused(t *testing.T) {
-	b, h := start(t, testConfig(), ready(1, 2, 3, 4, 5, 6, 7, 8)) // tenant 0: 6 slots and 1 place
+	b, h := start(t, testConfig(), ready(1, 2, 3, 4, 5, 6, 7, 8)) // tenant 0: 6 slots and 1 queue slot
 	if b.SlotsFree(0) != 6 || b.SlotsFree(1) != 2 || b.QueueFree(0) != 1 || b.QueueFree(1) != 1 {
-		t.Fatalf("walls: slots %d %d, places %d %d", b.SlotsFree(0), b.SlotsFree(1), b.QueueFree(0), b.QueueFree(1))
+		t.Fatalf("slots %d %d, queue slots %d %d", b.SlotsFree(0), b.SlotsFree(1), b.QueueFree(0), b.QueueFree(1))
 	}
 	for id := range RequestID(10) {
-		ask(b, 0, id, safeClass)
+		submit(b, 0, id, idempotentClass)
 	}
 	if len(h.sends) != 6 || b.QueueFree(0) != 0 {
-		t.Fatalf("sent %d, queue places free %d; want 6 and 0", len(h.sends), b.QueueFree(0))
+		t.Fatalf("sent %d, queue slots free %d; want 6 and 0", len(h.sends), b.QueueFree(0))
 	}
 	if pause, ok := h.refused[9]; !ok || pause <= 0 || pause > time.Second {
-		t.Fatalf("tenth request: refused %v with pause %v; want a prompt refusal with advice", ok, pause)
+		t.Fatalf("tenth request: refused %v with Retry-After %v; want a prompt refusal with one", ok, pause)
 	}
 	if b.SlotsFree(1) != 2 {
 		t.Fatalf("tenant 1 lost slots to tenant 0")
 	}
-	b.Request(0, Request{ID: 20, Class: safeClass, Tenant: 1, TimeLeft: 2 * time.Second})
+	b.Request(0, Request{ID: 20, Class: idempotentClass, Tenant: 1, TimeLeft: 2 * time.Second})
 	if len(h.sends) != 7 {
 		t.Fatalf("the other compartment did not send past the full one")
 	}
@@ -38,17 +38,19 @@
 // Guards against clients' retries that are served when their answers have no value any more.
 func TestLateRetriesGiveWay(t *testing.T) {
 	b, h := start(t, testConfig(), ready(1, 2))
-	left := func(id RequestID, d time.Duration) { b.Request(0, Request{ID: id, Class: safeClass, TimeLeft: d}) }
-	left(1, 2800*ms) // first tries come with this much of the class's 3 s
-	left(2, 2500*ms) // begun half a second ago
-	left(3, 1500*ms) // begun 1.5 s ago, late already, but answers are quick
+	left := func(id RequestID, d time.Duration) {
+		b.Request(0, Request{ID: id, Class: idempotentClass, TimeLeft: d})
+	}
+	left(1, 2800*ms) // first attempts have this much of the class's 3 s
+	left(2, 2500*ms) // its first attempt was half a second ago
+	left(3, 1500*ms) // 1.5 s ago: late already, but answers are quick
 	if len(h.sends) != 3 || h.sends[1].timeout != 500*ms || h.sends[2].timeout != 1500*ms {
-		t.Fatalf("sends %v: want the second cut to what is left of its aim, and the third served", h.sends)
+		t.Fatalf("sends %v: want the second limited to what is left of its target, and the third served", h.sends)
 	}
 	answerWithin(b, 0.5) // answers are slow
 	left(4, 1500*ms)
 	if _, refused := h.refused[4]; !refused {
-		t.Fatal("a late try took a slot while answers were slow")
+		t.Fatal("a late retry took a slot while answers were slow")
 	}
 }
 
@@ -61,11 +63,11 @@
 		if id >= 20 {
 			left = 2200 * ms
 		}
-		b.Request(now, Request{ID: id, Class: safeClass, TimeLeft: left})
+		b.Request(now, Request{ID: id, Class: idempotentClass, TimeLeft: left})
 		end(b, now+5*ms, id, 0, Served)
 	}
 	if last := h.sends[len(h.sends)-1]; last.timeout != time.Second {
-		t.Fatalf("time-out %v: the aim of a first try is still cut", last.timeout)
+		t.Fatalf("time-out %v: the target of a first attempt is still shortened", last.timeout)
 	}
 }
 
@@ -73,25 +75,25 @@
 	cfg := testConfig()
 	cfg.ClientsMarkRetries = true
 	b, h := start(t, cfg, ready(1, 2))
-	b.Request(0, Request{ID: 1, Class: safeClass, TimeLeft: 2800 * ms})
-	b.Request(0, Request{ID: 2, Class: safeClass, TimeLeft: 2500 * ms})
-	b.Request(0, Request{ID: 3, Class: safeClass, TimeLeft: 2500 * ms, IsRetry: true})
+	b.Request(0, Request{ID: 1, Class: idempotentClass, TimeLeft: 2800 * ms})
+	b.Request(0, Request{ID: 2, Class: idempotentClass, TimeLeft: 2500 * ms})
+	b.Request(0, Request{ID: 3, Class: idempotentClass, TimeLeft: 2500 * ms, IsRetry: true})
 	if h.sends[1].timeout != time.Second || h.sends[2].timeout != 500*ms {
-		t.Fatalf("sends %v: want only the marked one cut", h.sends)
+		t.Fatalf("sends %v: want only the marked one shortened", h.sends)
 	}
 }
 
 func TestQueuedRequestIsRefusedBeforeItsTargetIsMissed(t *testing.T) {
-	b, h := start(t, testConfig(), nil) // no server at all: held, then refused in time
-	ask(b, 0, 1, unsafeClass)
+	b, h := start(t, testConfig(), nil) // no server at all: queued, then refused in time
+	submit(b, 0, 1, nonIdempotentClass)
 	if len(h.refused) != 0 {
-		t.Fatal("refused at once, though the queue has room")
+		t.Fatal("refused at once, though the queue has capacity")
 	}
 	for now := time.Duration(0); now <= time.Second; now += 10 * ms {
 		b.Wake(now)
 	}
 	if _, ok := h.refused[1]; !ok {
-		t.Fatal("still held when its aim had passed")
+		t.Fatal("still queued when its target had passed")
 	}
 }
 
@@ -99,7 +101,7 @@
 // times out at servers that have lost capacity.
 func TestWaitEndsWhileAnAnswerCanStillCome(t *testing.T) {
 	b, h := start(t, testConfig(), nil)
-	ask(b, 0, 1, safeClass) // an aim of 1 s, answers usually take 125 ms
+	submit(b, 0, 1, idempotentClass) // a target of 1 s, answers usually take 125 ms
 	b.Wake(740 * ms)
 	if len(h.refused) != 0 {
 		t.Fatal("refused with over twice the usual time left")
--- a/policy/reconfigure_test.go
+++ b/policy/reconfigure_test.go
@@ -18,7 +18,7 @@
 	return cfg
 }
 
-// Equal limits change nothing, taken at any moment: the same events bring the same actions.
+// Equal limits change nothing, whenever they are set: the same events cause the same actions.
 func TestEqualLimitsChangeNothing(t *testing.T) {
 	play := func(seed uint64, again bool) []string {
 		cfg := twoTenants()
@@ -48,10 +48,10 @@
 		if !slices.Equal(a, b) {
 			for i := range min(len(a), len(b)) {
 				if a[i] != b[i] {
-					t.Fatalf("seed %d: at %d %q, with equal limits taken again %q", seed, i, a[i], b[i])
+					t.Fatalf("seed %d: at %d %q, with equal limits set again %q", seed, i, a[i], b[i])
 				}
 			}
-			t.Fatalf("seed %d: %d actions, %d with equal limits taken again", seed, len(a), len(b))
+			t.Fatalf("seed %d: %d actions, %d with equal limits set again", seed, len(a), len(b))
 		}
 	}
 }
@@ -80,12 +80,12 @@
 	if len(h.sends) != sends {
 		t.Errorf("%d sent for limits that are stricter", len(h.sends)-sends)
 	}
-	for i, s := range slices.Clone(h.sends) { // each that ends makes room only once few enough are out
+	for i, s := range slices.Clone(h.sends) { // an end frees a slot only once few enough are in flight
 		now += ms
 		b.Outcome(now, Outcome{ID: s.id, Ending: Served})
 		before, sent := first.used, len(h.sends) > sends && h.sends[len(h.sends)-1].id%2 == 1
 		if before > first.slots && sent && i < 3 {
-			t.Errorf("one more of a tenant with %d out of %d", before, b.compartments[0].slots)
+			t.Errorf("one more of a tenant with %d of %d in flight", before, b.compartments[0].slots)
 		}
 	}
 	if err := b.Reconfigure(now, limitsOf(cfg)); err != nil || b.compartments[0].slots != slots || slots < 10 {
@@ -125,7 +125,7 @@
 		l := limitsOf(cfg)
 		spoil(&l)
 		if b.Reconfigure(time.Second, l) == nil || b.cfg.MaxAttempts != 1 {
-			t.Errorf("%s: taken", name)
+			t.Errorf("%s: accepted", name)
 		}
 	}
 }
--- a/policy/servers_test.go
+++ b/policy/servers_test.go
@@ -12,7 +12,7 @@
 	b, h := start(t, testConfig(), list)
 	for id := range RequestID(40) {
 		now := time.Duration(id) * 20 * ms
-		ask(b, now, id, safeClass)
+		submit(b, now, id, idempotentClass)
 		end(b, now+10*ms, id, 0, Served)
 	}
 	if n := h.sentTo(3); n < 19 || n > 21 || h.sentTo(1)-h.sentTo(2) > 1 || h.sentTo(2)-h.sentTo(1) > 1 {
@@ -28,7 +28,7 @@
 	b, h := start(t, testConfig(), list)
 	for id := range RequestID(10) {
 		now := time.Duration(id) * 20 * ms
-		ask(b, now, id, safeClass)
+		submit(b, now, id, idempotentClass)
 		end(b, now+10*ms, id, 0, Served)
 	}
 	if n := h.sentTo(1); n < 4 || n > 6 {
@@ -45,7 +45,7 @@
 	list[2].Zone, list[3].Zone = 1, 1
 	b, h := start(t, cfg, list)
 	for id := range RequestID(300) {
-		ask(b, time.Duration(id)*20*ms, id, safeClass)
+		submit(b, time.Duration(id)*20*ms, id, idempotentClass)
 		end(b, time.Duration(id)*20*ms+5*ms, id, 0, Served)
 	}
 	if far := h.sentTo(1) + h.sentTo(2); far < 50 || far > 70 || b.Counters().Crossed != uint64(far) {
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -22,7 +22,7 @@
 	b.Start(10 * time.Second)
 	b.List(10*time.Second, ListCached, list)
 	for now, id := 10*time.Second, RequestID(0); now < 11*time.Second; now, id = now+2*ms, id+1 {
-		ask(b, now, id, safeClass)
+		submit(b, now, id, idempotentClass)
 		end(b, now+ms, id, 0, Served)
 	}
 	if n, budget := float64(h.sentTo(1)), 100.0/2*0.3*3; n < budget/4 || n > budget {
@@ -41,7 +41,7 @@
 		list[0].Started = 10 * time.Second
 		b.List(10*time.Second, ListDelta, list[:1])
 		for now, id := 10*time.Second, RequestID(0); now < 12*time.Second; now, id = now+2*ms, id+1 {
-			ask(b, now, id, safeClass)
+			submit(b, now, id, idempotentClass)
 			end(b, now+ms, id, 0, Served)
 		}
 		sends[parts] = h.sentTo(1)
@@ -63,14 +63,14 @@
 		sends := map[bool]int{} // by whether in the first window
 		for now := 10 * time.Second; now < 20*time.Second; now += 2 * ms {
 			before := h.sentTo(1)
-			ask(b, now, id, safeClass)
+			submit(b, now, id, idempotentClass)
 			end(b, now+ms, id, 0, Served)
 			id++
 			if h.sentTo(1) > before && now < 11*time.Second {
 				sends[true]++
 			}
 		}
-		// Capacity by the quotas: 100 a second over two servers; cold at 0.3, budget 3 times that.
+		// Capacity by the quotas: 100 a second over two servers; at 0.3 of it, budget 3 times that.
 		budget := 100.0 / 2 * 0.3 * 3 / float64(balancers)
 		if n := float64(sends[true]); n == 0 || n > budget {
 			t.Errorf("%d balancers: %v sends in the first second, budget of each %.1f", balancers, n, budget)
@@ -84,15 +84,15 @@
 // A server that answers again is taken for restarted before the list says so.
 func TestServerThatAnswersAgainIsTakenForWarming(t *testing.T) {
 	b, h := start(t, testConfig(), ready(1))
-	ask(b, 0, 1, unsafeClass)
+	submit(b, 0, 1, nonIdempotentClass)
 	end(b, time.Second, 1, 0, TimedOut)
 	b.compartments[0].gate = admission.NewRatio(b.rng)
-	ask(b, 1100*ms, 2, unsafeClass)
+	submit(b, 1100*ms, 2, nonIdempotentClass)
 	end(b, 2100*ms, 2, 0, TimedOut)
 	b.compartments[0].gate = admission.NewRatio(b.rng)
-	ask(b, 3*time.Second, 3, unsafeClass)
+	submit(b, 3*time.Second, 3, nonIdempotentClass)
 	end(b, 3100*ms, 3, 0, Served)
 	if b.server(1).warmAt != 3100*ms+8*time.Second || len(h.log) == 0 {
-		t.Fatalf("cold until %v, log %q", b.server(1).warmAt, h.log)
+		t.Fatalf("warming until %v, log %q", b.server(1).warmAt, h.log)
 	}
 }
