--- /dev/null
+++ b/conformance/subject_daemon_test.go
@@ -0,0 +1,162 @@
+package conformance
+
+import (
+	"bufio"
+	"bytes"
+	"context"
+	"errors"
+	"io"
+	"net/http"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"regexp"
+	"strconv"
+	"sync"
+	"syscall"
+	"testing"
+	"time"
+
+	"caperarch/internal/lab/testbed"
+)
+
+// build builds the daemon, once.
+func build(t *testing.T) string {
+	t.Helper()
+	path := filepath.Join(t.TempDir(), "caperarch")
+	out, err := exec.Command("go", "build", "-o", path, "caperarch/cmd/caperarch").CombinedOutput()
+	if err != nil {
+		t.Fatalf("building the daemon: %v\n%s", err, out)
+	}
+	return path
+}
+
+// daemon is the built program as a child process: with one pool, or with two, of which one has the case's calls.
+type daemon struct {
+	path string
+	pool string // by name; "": a daemon of one pool
+}
+
+// twoPools are two with the same configuration, by host.
+const twoPools = `[pools.first]
+config = "config.json"
+[pools.second]
+config = "config.json"
+[[routes]]
+host = "first.example.org"
+pool = "first"
+[[routes]]
+host = "second.example.org"
+pool = "second"
+`
+
+// files are a configuration and one of two pools that have it, in a folder of their own.
+func files(t *testing.T, config string) (path, pools string) {
+	t.Helper()
+	dir := t.TempDir()
+	path, pools = filepath.Join(dir, "config.json"), filepath.Join(dir, "pools.toml")
+	for name, text := range map[string]string{path: config, pools: twoPools} {
+		if err := os.WriteFile(name, []byte(text), 0o600); err != nil {
+			t.Fatal(err)
+		}
+	}
+	return path, pools
+}
+
+type daemonClient struct {
+	cmd    *exec.Cmd
+	url    string
+	host   string // "": the url's
+	http   http.Client
+	ended  chan error
+	closed sync.Once
+}
+
+func (d daemon) Node(t testbed.TB, id string, l *testbed.ArrivalLog) *testbed.Node {
+	return testbed.NewHTTPNode(t, id, l)
+}
+
+func (d daemon) Open(t *testing.T, config string) Client {
+	t.Helper()
+	path, pools := files(t, config)
+	c := &daemonClient{cmd: exec.Command(d.path), ended: make(chan error, 1)}
+	if d.pool != "" {
+		c.host = d.pool + ".example.org"
+		c.cmd = exec.Command(d.path, "-pools", pools)
+	}
+	c.cmd.Env = append(os.Environ(), "EDGE_CONFIG="+path)
+	log, err := c.cmd.StderrPipe()
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := c.cmd.Start(); err != nil {
+		t.Fatal(err)
+	}
+	address := make(chan string, 1)
+	servingLine := regexp.MustCompile(`msg=serving.* listen=(\S+)|serving.* listen=(\S+)`)
+	go func() {
+		for lines := bufio.NewScanner(log); lines.Scan(); {
+			if m := servingLine.FindStringSubmatch(lines.Text()); m != nil {
+				address <- m[1] + m[2]
+			}
+		}
+		c.ended <- c.cmd.Wait()
+	}()
+	t.Cleanup(func() { _ = c.cmd.Process.Kill() })
+	c.url = "http://" + testbed.Wait(t, "the daemon to serve", address)
+	c.http.Transport = &http.Transport{MaxIdleConnsPerHost: 100}
+	t.Cleanup(c.http.CloseIdleConnections)
+	testbed.Until(t, "the daemon to be up", func() bool {
+		res, err := c.http.Get(c.url + "/up")
+		if err != nil {
+			return false
+		}
+		res.Body.Close()
+		return res.StatusCode == http.StatusOK
+	})
+	return c
+}
+
+func (c *daemonClient) Call(ctx context.Context, call Call) Answer {
+	req := request(ctx, c.url, call)
+	if c.host != "" {
+		req.Host = c.host
+	}
+	res, err := c.http.Do(req)
+	if err != nil {
+		if ctx.Err() != nil {
+			return Answer{Kind: Gone}
+		}
+		return Answer{Detail: err.Error()}
+	}
+	defer res.Body.Close()
+	body, err := io.ReadAll(res.Body)
+	if err != nil {
+		return Answer{Detail: err.Error()}
+	}
+	switch {
+	case res.StatusCode == http.StatusOK:
+		return Answer{Kind: Served, Body: string(body)}
+	case res.StatusCode == http.StatusServiceUnavailable || res.StatusCode == http.StatusTooManyRequests:
+		after, _ := strconv.ParseFloat(res.Header.Get("Retry-After"), 64)
+		return Answer{Kind: Refused, RetryAfter: time.Duration(after * float64(time.Second))}
+	case res.StatusCode/100 == 4:
+		return Answer{Kind: Invalid, Detail: string(bytes.TrimSpace(body))}
+	}
+	return Answer{Kind: Failed, Detail: res.Status}
+}
+
+func (c *daemonClient) Close() (err error) {
+	c.closed.Do(func() {
+		if err = c.cmd.Process.Signal(syscall.SIGTERM); err != nil {
+			return
+		}
+		c.http.CloseIdleConnections()
+		select {
+		case err = <-c.ended:
+		case <-time.After(testbed.Generous):
+			err = errors.New("the daemon does not end")
+		}
+	})
+	return err
+}
