--- a/cmd/caperarch/even_test.go
+++ b/cmd/caperarch/even_test.go
@@ -33,7 +33,7 @@
 	for i := range weights {
 		weights[i] = 1
 	}
-	return loadspread.Of(f.Arrivals(from), weights, 0, d, d)
+	return loadspread.Measure(f.Arrivals(from), weights, 0, d, d)
 }
 
 func steadily(int, time.Duration) float64 { return evenEach }
@@ -43,7 +43,7 @@
 // numbers in the settings alone the upstreams in the gap would have half of the others' load.
 func TestSpreadIsEvenAmongThoseThatLive(t *testing.T) {
 	t.Parallel()
-	f := evenFleet(t, fleet.Faults{Loss: 0.1, Twice: 0.1, Delay: 100 * time.Millisecond})
+	f := evenFleet(t, fleet.Faults{Loss: 0.1, Duplicate: 0.1, Delay: 100 * time.Millisecond})
 	f.RequireAgreement(testbed.Generous)
 	stop := f.Streams(1, steadily)
 	for _, i := range []int{5, 2, 7} { // neighbours, as the golden ratio's multiples of 0, 5, 2, 7, 4, 1, 6, 3, 8 rise
--- a/cmd/caperarch/fleet_test.go
+++ b/cmd/caperarch/fleet_test.go
@@ -127,7 +127,7 @@
 	})
 
 	step("lost, doubled, out of order, then held", func(t *testing.T) {
-		f.Peers.Break(fleet.Faults{Loss: 0.3, Twice: 0.2, Delay: 50 * time.Millisecond}, 7)
+		f.Peers.Break(fleet.Faults{Loss: 0.3, Duplicate: 0.2, Delay: 50 * time.Millisecond}, 7)
 		time.Sleep(4 * time.Second)
 		f.Peers.Hold(3 * time.Second)
 		time.Sleep(3500 * time.Millisecond)
--- a/cmd/caperarch/fleetpolicy_test.go
+++ b/cmd/caperarch/fleetpolicy_test.go
@@ -179,7 +179,7 @@
 func TestPolicyLossAndNewBeginning(t *testing.T) {
 	t.Parallel()
 	p := startPolicies(t, nil)
-	p.Peers.Break(fleet.Faults{Loss: 0.2, Twice: 0.2, Delay: 50 * time.Millisecond}, 7)
+	p.Peers.Break(fleet.Faults{Loss: 0.2, Duplicate: 0.2, Delay: 50 * time.Millisecond}, 7)
 	p.next++
 	p.changes++
 	testbed.Until(t, "a proposal to be taken", func() bool { p.proposed++; return p.Sidecars[2].Propose(fleet.Marked(p.next)) == nil })
--- a/cmd/caperarch/work_test.go
+++ b/cmd/caperarch/work_test.go
@@ -64,7 +64,7 @@
 	testbed.Until(t, "the plan to be taken", func() bool { return f.Sidecars[1].Work(roundPlan) == nil })
 	awaits := func(turns int) {
 		t.Helper()
-		for end := time.Now().Add(time.Minute); len(round.Stays()) < turns && !round.Ended(); time.Sleep(20 * time.Millisecond) {
+		for end := time.Now().Add(time.Minute); len(round.Windows()) < turns && !round.Ended(); time.Sleep(20 * time.Millisecond) {
 			if time.Now().After(end) {
 				t.Fatalf("waited in vain for turn %d: %s", turns, round.Shown)
 			}
@@ -85,7 +85,7 @@
 	f.Sidecars[l].Continue()
 	awaits(3)
 	t.Log("messages lost, late and twice; then all held for 3 s")
-	f.Peers.Break(fleet.Faults{Loss: 0.2, Twice: 0.2, Delay: 50 * time.Millisecond}, 3)
+	f.Peers.Break(fleet.Faults{Loss: 0.2, Duplicate: 0.2, Delay: 50 * time.Millisecond}, 3)
 	awaits(4)
 	f.Peers.Hold(3 * time.Second)
 	time.Sleep(3500 * time.Millisecond)
@@ -105,7 +105,7 @@
 	}
 	t.Logf("six machines after %v; %+v, statuses other than 200: %v; %d requests at a free machine by sidecars that something had just happened to", took, tally, f.Status(), found.Astray)
 	seen := make(map[string]int)
-	for _, x := range round.Stays() {
+	for _, x := range round.Windows() {
 		seen[x.Node.ID]++
 	}
 	if len(seen) != 6 || tally.Served < 1000 {
--- a/cmd/measure/even.go
+++ b/cmd/measure/even.go
@@ -18,11 +18,11 @@
 // measureEven measures how evenly many sidecars of little traffic spread it, in virtual time.
 func measureEven(short bool) (string, []string, error) {
 	days, seeds := []emulator.EvenDay{
-		{Sidecars: 40, Servers: 40, Each: 4}, {Sidecars: 24, Servers: 12, Each: 5},
-		{Sidecars: 300, Servers: 60, Each: 1}, {Sidecars: 300, Servers: 60, Each: 4},
-		{Sidecars: 300, Servers: 60, Each: 10}, {Sidecars: 300, Servers: 200, Each: 4},
-		{Sidecars: 300, Servers: 60, Each: 4, Heavy: true}, {Sidecars: 1000, Servers: 60, Each: 1},
-		{Sidecars: 5000, Servers: 200, Each: 1},
+		{Sidecars: 40, Servers: 40, RatePerSidecar: 4}, {Sidecars: 24, Servers: 12, RatePerSidecar: 5},
+		{Sidecars: 300, Servers: 60, RatePerSidecar: 1}, {Sidecars: 300, Servers: 60, RatePerSidecar: 4},
+		{Sidecars: 300, Servers: 60, RatePerSidecar: 10}, {Sidecars: 300, Servers: 200, RatePerSidecar: 4},
+		{Sidecars: 300, Servers: 60, RatePerSidecar: 4, Heavy: true}, {Sidecars: 1000, Servers: 60, RatePerSidecar: 1},
+		{Sidecars: 5000, Servers: 200, RatePerSidecar: 1},
 	}, uint64(5)
 	if short {
 		days, seeds = days[:4], 2
@@ -38,26 +38,26 @@
 				return "", nil, err
 			}
 			from, window := 10*time.Second, 10*time.Second
-			brief.add(loadspread.Of(all, weights, from, d.Until, time.Second).Variance)
-			now := loadspread.Of(all, weights, from, d.Until, window)
+			brief.add(loadspread.Measure(all, weights, from, d.Until, time.Second).Variance)
+			now := loadspread.Measure(all, weights, from, d.Until, window)
 			long.add(now.Variance)
 			greatest.add(now.Greatest)
-			r := loadspread.Of(loadspread.Random(all, weights, seed), weights, from, d.Until, window)
+			r := loadspread.Measure(loadspread.Random(all, weights, seed), weights, from, d.Until, window)
 			chance.add(r.Variance)
 			chanceMost.add(r.Greatest)
-			limit.add(loadspread.Of(loadspread.Limit(all, weights), weights, from, d.Until, window).Variance)
+			limit.add(loadspread.Measure(loadspread.RoundRobin(all, weights), weights, from, d.Until, window).Variance)
 			if len(all) < 100_000 {
-				alike.add(loadspread.Alike(all, weights, 50*time.Millisecond))
+				alike.add(loadspread.Coincidence(all, weights, 50*time.Millisecond))
 			}
 		}
 		fmt.Printf("%d sidecars at %.0f/s before %d, heavy %v: variance over mean %v in 1 s, %v in 10 s "+
 			"(chance %v, one round robin %v); greatest over mean %v (chance %v); alike within 50 ms %v\n",
-			d.Sidecars, d.Each, d.Servers, d.Heavy, brief, long, chance, limit, greatest, chanceMost, alike)
+			d.Sidecars, d.RatePerSidecar, d.Servers, d.Heavy, brief, long, chance, limit, greatest, chanceMost, alike)
 		if d.Sidecars == 300 {
 			worst = max(worst, long.median())
 			if long.median() > evenVariance || greatest.median() > evenGreatest {
 				missed = append(missed, fmt.Sprintf("%d at %.0f/s before %d, heavy %v: variance %.2f, "+
-					"greatest %.2f; at most %v and %v", d.Sidecars, d.Each, d.Servers, d.Heavy, long.median(),
+					"greatest %.2f; at most %v and %v", d.Sidecars, d.RatePerSidecar, d.Servers, d.Heavy, long.median(),
 					greatest.median(), evenVariance, evenGreatest))
 			}
 		}
@@ -117,22 +117,22 @@
 // measureEvenEvents measures the spread behind what all sidecars notice at about the same moment:
 // in virtual time, and with real processes under faults.
 func measureEvenEvents(short bool) (string, []string, error) {
-	day, e, seeds := emulator.EvenDay{Sidecars: 300, Servers: 60, Each: 4, Until: 70 * time.Second},
+	day, e, seeds := emulator.EvenDay{Sidecars: 300, Servers: 60, RatePerSidecar: 4, Until: 70 * time.Second},
 		evenReal{sidecars: 60, nodes: 12, each: 6, peers: true}, uint64(5)
 	if short {
 		seeds = 1
 	}
 	var missed []string
 	worst, longest := 0.0, time.Duration(0)
-	say := func(where, name string, all []emulator.Behind) {
+	say := func(where, name string, all []emulator.EventResult) {
 		var herd, idle, back samples
 		for _, b := range all {
 			herd.add(b.Worst / b.Chance)
 			idle.add(b.Idle)
-			if b.Back < 0 {
+			if b.Recovery < 0 {
 				back.add(math.Inf(1))
 			} else {
-				back.add(b.Back.Seconds())
+				back.add(b.Recovery.Seconds())
 			}
 		}
 		fmt.Printf("%s, %s: greatest over mean in the worst second, over chance's %v; idle %v; back after %v s\n",
@@ -145,7 +145,7 @@
 		}
 	}
 	for _, event := range emulator.EvenEvents(day.Servers) {
-		var all []emulator.Behind
+		var all []emulator.EventResult
 		for seed := range seeds {
 			day.Event = &event
 			arrivals, _, err := day.Run(seed)
@@ -167,7 +167,7 @@
 			return "", nil, err
 		}
 		for _, event := range emulator.EvenEvents(e.nodes) {
-			say(fmt.Sprintf("real, %d processes", e.sidecars), event.Name, []emulator.Behind{seen[event.Name]})
+			say(fmt.Sprintf("real, %d processes", e.sidecars), event.Name, []emulator.EventResult{seen[event.Name]})
 		}
 	}
 	return fmt.Sprintf("seeds=%d herd=%.2f back=%.0f", seeds, worst, longest.Seconds()), missed, nil
--- a/cmd/measure/even_real.go
+++ b/cmd/measure/even_real.go
@@ -128,17 +128,17 @@
 		weights[i] = 1
 	}
 	window := 10 * time.Second
-	o.brief.add(loadspread.Of(all, weights, warm, warm+length, time.Second).Variance)
-	s := loadspread.Of(all, weights, warm, warm+length, window)
+	o.brief.add(loadspread.Measure(all, weights, warm, warm+length, time.Second).Variance)
+	s := loadspread.Measure(all, weights, warm, warm+length, window)
 	o.long.add(s.Variance)
 	o.greatest.add(s.Greatest)
-	r := loadspread.Of(loadspread.Random(all, weights, e.seed), weights, warm, warm+length, window)
+	r := loadspread.Measure(loadspread.Random(all, weights, e.seed), weights, warm, warm+length, window)
 	o.chance.add(r.Variance)
 	o.chanceGreatest.add(r.Greatest)
-	o.two.add(loadspread.Of(loadspread.Two(all, weights, 10*time.Millisecond, e.seed), weights, warm,
+	o.two.add(loadspread.Measure(loadspread.TwoChoices(all, weights, 10*time.Millisecond, e.seed), weights, warm,
 		warm+length, window).Variance)
-	o.limit.add(loadspread.Of(loadspread.Limit(all, weights), weights, warm, warm+length, window).Variance)
-	o.alike.add(loadspread.Alike(all[len(all)/2:min(len(all), len(all)/2+10_000)], weights, 50*time.Millisecond))
+	o.limit.add(loadspread.Measure(loadspread.RoundRobin(all, weights), weights, warm, warm+length, window).Variance)
+	o.alike.add(loadspread.Coincidence(all[len(all)/2:min(len(all), len(all)/2+10_000)], weights, 50*time.Millisecond))
 	o.requests += len(all)
 	o.refused += w.Refused(w.begun)
 	return nil
@@ -153,8 +153,8 @@
 // evenEvents has real processes live through each event, under faults: datagrams lost, late and
 // twice, a tenth of the processes killed and a tenth stopped for a while as it happens, half of
 // them told by discovery two seconds later.
-func evenEvents(binary string, e evenReal, side int) (map[string]emulator.Behind, error) {
-	seen := make(map[string]emulator.Behind)
+func evenEvents(binary string, e evenReal, side int) (map[string]emulator.EventResult, error) {
+	seen := make(map[string]emulator.EventResult)
 	var mu sync.Mutex
 	var failed error
 	places := make(chan bool, side)
@@ -176,7 +176,7 @@
 }
 
 // event has a fleet live through one.
-func (e evenReal) event(binary string, event *emulator.EvenEvent) (emulator.Behind, error) {
+func (e evenReal) event(binary string, event *emulator.EvenEvent) (emulator.EventResult, error) {
 	t := newCleanups()
 	defer t.end()
 	times := usual
@@ -184,14 +184,14 @@
 		times = event.Times
 	}
 	w := e.start(t, binary, times)
-	for i := range event.Came {
+	for i := range event.Added {
 		n := testbed.NewHTTPNode(t, fmt.Sprintf("s-%d", e.nodes+i), w.ArrivalLog)
 		n.Cell, n.ServiceTime = (e.nodes+i)/2, answers
 		n.Do(testbed.Always(testbed.Slow))
 		w.unlisted = append(w.unlisted, n)
 	}
-	w.Peers.Break(fleet.Faults{Loss: 0.1, Twice: 0.1, Delay: 200 * time.Millisecond}, e.seed)
-	until := event.Ends + 14*time.Second
+	w.Peers.Break(fleet.Faults{Loss: 0.1, Duplicate: 0.1, Delay: 200 * time.Millisecond}, e.seed)
+	until := event.End + 14*time.Second
 	var steps sync.WaitGroup
 	at := func(when time.Duration, do func()) {
 		steps.Go(func() {
@@ -218,7 +218,7 @@
 	steps.Wait()
 	w.stop()
 	if _, broken := w.Check(); len(broken) > 0 {
-		return emulator.Behind{}, fmt.Errorf("rules: %v", broken[:min(5, len(broken))])
+		return emulator.EventResult{}, fmt.Errorf("rules: %v", broken[:min(5, len(broken))])
 	}
 	return event.Judge(w.Arrivals(w.begun), e.nodes, until, e.seed), nil
 }
@@ -246,11 +246,11 @@
 			}
 		})
 	}
-	if event.Left > 0 {
-		list(event.At, touched[:event.Left], "draining")
+	if event.Removed > 0 {
+		list(event.At, touched[:event.Removed], "draining")
 	}
-	if event.Came > 0 {
-		came := event.Ends - emulator.EvenColdTime
+	if event.Added > 0 {
+		came := event.End - emulator.EvenColdTime
 		at(came, func() {
 			for _, n := range w.unlisted {
 				n.Started = time.Now()
@@ -259,16 +259,16 @@
 		list(came+10*time.Millisecond, w.unlisted, "ready")
 	}
 	switch {
-	case event.Acts.Silent:
+	case event.State.Silent:
 		each(event.At, func(n *testbed.Node) { n.Do(testbed.Always(testbed.Hang)) })
-		each(event.Ends, func(n *testbed.Node) { n.Do(testbed.Always(testbed.Slow)) })
-	case event.Acts.Slower > 0:
+		each(event.End, func(n *testbed.Node) { n.Do(testbed.Always(testbed.Slow)) })
+	case event.State.Slower > 0:
 		takes := func(by float64) func(*testbed.Node) {
 			return func(n *testbed.Node) { n.ServiceTimeScale.Store(int64(by * 1000)) }
 		}
-		each(event.At, takes(event.Acts.Slower))
-		if event.Ends > event.At {
-			each(event.Ends, takes(1))
+		each(event.At, takes(event.State.Slower))
+		if event.End > event.At {
+			each(event.End, takes(1))
 		}
 	}
 }
--- a/cmd/measure/fleet_work.go
+++ b/cmd/measure/fleet_work.go
@@ -149,7 +149,7 @@
 	time.Sleep(10 * time.Second)
 	from := time.Now()
 	r.calm, r.calmP99 = f.Served(from.Add(-8 * time.Second))
-	var round *fleet.Round
+	var round *fleet.MaintenanceRun
 	if byScript {
 		round = f.Script(realAtOnce, realTakes, realCold)
 	} else {
@@ -175,16 +175,16 @@
 
 // awaitRound waits until a round is over. A tenth of the processes are down from its second machine on
 // until two thirds of the machines have had their time.
-func awaitRound(f *fleet.Fleet, round *fleet.Round, size, nodes int) error {
+func awaitRound(f *fleet.Fleet, round *fleet.MaintenanceRun, size, nodes int) error {
 	var down []*fleet.Sidecar
 	for begun := time.Now(); !round.Ended(); time.Sleep(50 * time.Millisecond) {
-		if down == nil && len(round.Stays()) >= 2 {
+		if down == nil && len(round.Windows()) >= 2 {
 			for i := range max(1, size/10) {
 				down = append(down, f.Sidecars[2+i])
 				f.Sidecars[2+i].Crash()
 			}
 		}
-		if down != nil && len(round.Stays()) >= nodes*2/3 {
+		if down != nil && len(round.Windows()) >= nodes*2/3 {
 			for _, s := range down {
 				s.Start()
 			}
--- a/cmd/measure/virtual_strain.go
+++ b/cmd/measure/virtual_strain.go
@@ -61,7 +61,7 @@
 				f.add("earned", o.Earned)
 				f.add("after", o.After)
 				f.add("recovery", o.Recovery)
-				f.add("quiet", o.Quiet)
+				f.add("quiet", o.OtherTenant)
 				f.add("attempts", o.Attempts)
 				f.add("swing", o.Swing)
 				if seed == 0 {
--- a/cmd/measure/virtual_walls.go
+++ b/cmd/measure/virtual_walls.go
@@ -23,12 +23,12 @@
 	if short {
 		seeds, days = 2, days[:4]
 	}
-	played := make([][]emulator.Massed, len(days))
+	played := make([][]emulator.MassResult, len(days))
 	fails := make([][]error, len(days))
 	var all sync.WaitGroup
 	cores := make(chan bool, runtime.GOMAXPROCS(0))
 	for i := range days {
-		played[i], fails[i] = make([]emulator.Massed, seeds), make([]error, seeds)
+		played[i], fails[i] = make([]emulator.MassResult, seeds), make([]error, seeds)
 		for seed := range seeds {
 			all.Go(func() {
 				cores <- true
@@ -48,7 +48,7 @@
 		for _, o := range played[i] {
 			f.add("in time", o.InTime)
 			f.add("worst", o.Worst)
-			f.add("larger", o.Quiet)
+			f.add("larger", o.LargerTenant)
 			f.add("tipped", float64(o.Tipped)/float64(d.Servers))
 			f.add("recovery", o.Recovery)
 		}
@@ -69,7 +69,7 @@
 
 // plotWalls draws the second seed's day: what was in time, what was asked for, and how much of
 // their bounds servers held.
-func plotWalls(d emulator.MassDay, o emulator.Massed) error {
+func plotWalls(d emulator.MassDay, o emulator.MassResult) error {
 	inTime, load := series{"in time", 1, nil}, series{"work asked for, of what servers can do", 1, nil}
 	tipped, held := series{"servers tipped", 1, nil}, series{"requests held, of 10 at each server", 1, nil}
 	for _, s := range o.Seconds {
--- a/internal/fleet/raftlog/raftlog_test.go
+++ b/internal/fleet/raftlog/raftlog_test.go
@@ -141,12 +141,12 @@
 			}
 			oneWay := rng.IntN(2) == 0
 			n.After(at, func() {
-				n.Cut = func(from, to int) bool { return side[from] != side[to] && (!oneWay || side[from]) }
-				n.After(length, func() { n.Cut = nil })
+				n.Partitioned = func(from, to int) bool { return side[from] != side[to] && (!oneWay || side[from]) }
+				n.After(length, func() { n.Partitioned = nil })
 			})
 		case 2:
-			n.After(at, func() { n.Loss, n.Twice, n.Most = 0.3*rng.Float64(), 0.3, 300*time.Millisecond })
-			n.After(at+length, func() { n.Loss, n.Twice, n.Most = 0, 0, 10*time.Millisecond })
+			n.After(at, func() { n.Loss, n.Duplicate, n.MaxDelay = 0.3*rng.Float64(), 0.3, 300*time.Millisecond })
+			n.After(at+length, func() { n.Loss, n.Duplicate, n.MaxDelay = 0, 0, 10*time.Millisecond })
 		case 3:
 			i := who[0]
 			n.After(at, func() { n.Crash(i) })
@@ -181,7 +181,7 @@
 		})
 	}
 	n.Run(35 * time.Second)
-	n.Cut, n.Loss, n.Twice, n.Most = nil, 0, 0, 10*time.Millisecond
+	n.Partitioned, n.Loss, n.Duplicate, n.MaxDelay = nil, 0, 0, 10*time.Millisecond
 	settled := n.Until(30*time.Second, func() bool { return complete(n) })
 	lost := !settled && n.Lost()
 	if !settled && !lost {
@@ -276,7 +276,7 @@
 		}
 	}
 	lone := n.Leader()
-	n.Cut = func(from, to int) bool { return from == lone || to == lone }
+	n.Partitioned = func(from, to int) bool { return from == lone || to == lone }
 	n.Run(10 * time.Second)
 	if at, _ := leader.LastQuorumAck(); n.Now-at < 8*time.Second && at > 0 {
 		t.Errorf("cut off from all for 10 s it was confirmed %v ago", n.Now-at)
@@ -296,7 +296,7 @@
 	for n.Nodes[deaf].IsVoter() != votes || deaf == n.Leader() {
 		deaf++
 	}
-	n.Cut = func(_, to int) bool { return to == deaf }
+	n.Partitioned = func(_, to int) bool { return to == deaf }
 	before := n.Nodes[n.Leader()].LastIndex()
 	if err := n.Nodes[deaf].Propose(n.Now, []byte("again")); err != nil {
 		t.Fatal(err)
@@ -324,7 +324,7 @@
 	for i := range 3 {
 		n.Crash(i)
 	}
-	n.Cut = func(from, to int) bool { return from == 4 || to == 4 } // it stays with the old log for now
+	n.Partitioned = func(from, to int) bool { return from == 4 || to == 4 } // it stays with the old log for now
 	for i := range 3 {
 		n.Boot(i)
 	}
@@ -342,7 +342,7 @@
 		t.Fatal(err)
 	}
 	n.Run(10 * time.Second)
-	n.Cut = nil
+	n.Partitioned = nil
 	if !n.Until(20*time.Second, func() bool { return complete(n) && n.Nodes[4].Epoch() == 2 }) {
 		t.Fatalf("epochs %d and %d", n.Nodes[0].Epoch(), n.Nodes[4].Epoch())
 	}
@@ -426,11 +426,11 @@
 		first := n.Leader()
 		next := (first + 1 + int(s)%4) % 5
 		// what it sends arrives, what it is answered does not
-		n.Cut = func(_, to int) bool { return to == first }
+		n.Partitioned = func(_, to int) bool { return to == first }
 		n.Nodes[first].UpdateVoters(n.Now, func(seat raftlog.Voter) bool { return seat.Number == next }, nil)
 		n.Run(50 * time.Millisecond)
 		n.Crash(first)
-		n.Cut = nil
+		n.Partitioned = nil
 		if !n.Until(20*time.Second, func() bool { return n.Leader() >= 0 }) {
 			t.Fatalf("seed %d: nobody leads", s)
 		}
--- a/internal/fleet/replicatedstate/history_test.go
+++ b/internal/fleet/replicatedstate/history_test.go
@@ -44,17 +44,17 @@
 			}
 			oneWay := rng.IntN(3) == 0
 			n.After(at, func() {
-				n.Cut = func(from, to int) bool { return side[from] != side[to] && (!oneWay || side[from]) }
-				n.After(length, func() { n.Cut = nil })
+				n.Partitioned = func(from, to int) bool { return side[from] != side[to] && (!oneWay || side[from]) }
+				n.After(length, func() { n.Partitioned = nil })
 			})
 		case 3:
-			n.After(at, func() { n.Loss, n.Twice, n.Most = 0.3*rng.Float64(), 0.3, 300*time.Millisecond })
-			n.After(at+length, func() { n.Loss, n.Twice, n.Most = 0, 0, 10*time.Millisecond })
+			n.After(at, func() { n.Loss, n.Duplicate, n.MaxDelay = 0.3*rng.Float64(), 0.3, 300*time.Millisecond })
+			n.After(at+length, func() { n.Loss, n.Duplicate, n.MaxDelay = 0, 0, 10*time.Millisecond })
 		case 4:
 			n.After(at, func() { n.Crash(who[0]) })
 			n.After(at+length, func() { n.Boot(who[0]) })
 		case 5:
-			n.After(at, func() { n.Held = n.Now + 3*time.Second })
+			n.After(at, func() { n.HoldUntil = n.Now + 3*time.Second })
 		case 6: // most at once, the voters among them
 			for _, i := range who[:size*7/10] {
 				n.After(at, func() { n.Crash(i) })
@@ -89,7 +89,7 @@
 		})
 	}
 	n.Run(60 * time.Second)
-	n.Cut, n.Loss, n.Twice, n.Most = nil, 0, 0, 10*time.Millisecond
+	n.Partitioned, n.Loss, n.Duplicate, n.MaxDelay = nil, 0, 0, 10*time.Millisecond
 	for at := range n.Cannot { // its settings are mended, for which it starts anew
 		n.Crash(at[0])
 	}
--- a/internal/fleet/replicatedstate/replicatedstate_test.go
+++ b/internal/fleet/replicatedstate/replicatedstate_test.go
@@ -78,7 +78,7 @@
 	}
 	raw, _ := m.Text(m.View(m.Time()).State.Current)
 	refused("the same again", raw, 1, "holds already")
-	n.Cut = func(from, to int) bool { return from == 3 || to == 3 }
+	n.Partitioned = func(from, to int) bool { return from == 3 || to == 3 }
 	n.Run(4 * time.Second)
 	if _, err := m.Propose(m.Time(), replicatedstatesim.Text(3), 1); !errors.Is(err, replicatedstate.ErrNoContact) {
 		t.Errorf("out of contact: %v", err)
--- a/internal/lab/emulator/cases.go
+++ b/internal/lab/emulator/cases.go
@@ -42,16 +42,16 @@
 		}},
 	{Name: "two turn half away, look idle", Load: 0.6, Until: faultFrom + 20*time.Second,
 		set: func(f *Fleet, c *Config) {
-			f.At(faultFrom, func() { f.Set(2, State{TurnAway: 0.5, Idle: true}) })
+			f.At(faultFrom, func() { f.Set(2, State{RejectShare: 0.5, Idle: true}) })
 			f.At(faultFrom+20*time.Second, func() { f.Set(2, State{}) })
 		}},
 	{Name: "three of six throttle", Load: 0.45, Until: faultFrom + 10*time.Second, Small: true,
 		set: func(f *Fleet, c *Config) {
-			f.At(faultFrom, func() { f.SetFastest(3, State{Most: 40}) }) // of some 280 that each can do
+			f.At(faultFrom, func() { f.SetFastest(3, State{RateLimit: 40}) }) // of some 280 that each can do
 			f.At(faultFrom+10*time.Second, func() { f.SetFastest(3, State{}) })
 		}},
 	{Name: "all break 1 of 50", Load: 0.6, Until: faultFrom + 20*time.Second, set: func(f *Fleet, c *Config) {
-		f.At(faultFrom, func() { f.Set(0, State{Breaks: 0.02}) })
+		f.At(faultFrom, func() { f.Set(0, State{BreakShare: 0.02}) })
 		f.At(faultFrom+20*time.Second, func() { f.Set(0, State{}) })
 	}},
 	{Name: "all ids new every 2 s", Load: 0.5, Until: faultFrom + 20*time.Second, set: func(f *Fleet, c *Config) {
@@ -70,7 +70,7 @@
 // fleet is the site's, in small: 15 servers of three kinds, 60 sidecars.
 func fleet(s *Case, seed uint64) Config {
 	c := Config{
-		Seed: seed, Sidecars: 60, Trip: time.Millisecond,
+		Seed: seed, Sidecars: 60, RoundTrip: time.Millisecond,
 		Classes: []Class{{Share: 0.8, Work: 54 * time.Millisecond}, {Share: 0.2, Work: 70 * time.Millisecond}},
 		Clients: Clients{Retries: 2, Backoff: 50 * time.Millisecond},
 		Module: policy.Config{
@@ -99,7 +99,7 @@
 	}
 	for i := range servers {
 		speed := []float64{1.6, 0.6, 0.95, 0.6, 1.6}[i%5]
-		c.Servers = append(c.Servers, Server{Cores: 2, Speed: speed, Room: 24, Cell: i % 5})
+		c.Servers = append(c.Servers, Server{Cores: 2, Speed: speed, QueueSlots: 24, Cell: i % 5})
 		capacity += 2 * speed / work
 	}
 	c.Rate = s.Load * capacity
@@ -137,29 +137,29 @@
 	return f, err
 }
 
-// Strained is what came of one run.
-type Strained struct {
-	Earned   float64 // of the worth that came while it lasted
-	After    float64 // of the worth that came later
-	Recovery float64 // s from capacity's return until nothing is refused for a second
-	Quiet    float64 // of the other tenant's requests, in time
-	Attempts float64 // a request
-	Swing    float64 // autocorrelation of the refused share, at the lag where it is greatest
-	Series   []Bucket
+// CaseResult is what came of one run.
+type CaseResult struct {
+	Earned      float64 // of the worth that came while it lasted
+	After       float64 // of the worth that came later
+	Recovery    float64 // s from capacity's return until nothing is refused for a second
+	OtherTenant float64 // of the other tenant's requests, in time
+	Attempts    float64 // a request
+	Swing       float64 // autocorrelation of the refused share, at the lag where it is greatest
+	Series      []Bucket
 }
 
 // Run plays the case from a seed. gate: nil is the module's own admission. The error is the first rule that was broken.
-func (s *Case) Run(seed uint64, gate func(*rand.Rand) admission.Gate) (Strained, error) {
+func (s *Case) Run(seed uint64, gate func(*rand.Rand) admission.Gate) (CaseResult, error) {
 	f, err := s.Fleet(seed, func(c *Config) { c.Module.NewGate = gate })
 	if err != nil {
-		return Strained{}, err
+		return CaseResult{}, err
 	}
 	f.Start()
 	f.Run(strainEnds)
 	if err := f.Err(); err != nil {
-		return Strained{}, err
+		return CaseResult{}, err
 	}
-	var o Strained
+	var o CaseResult
 	o.Series = f.Buckets()[:strainEnds/time.Duration(100*time.Millisecond)]
 	from, until := int(faultFrom/(100*time.Millisecond)), int(s.Until/(100*time.Millisecond))
 	during, later, quiet, asked, sent := [2]float64{}, [2]float64{}, [2]int{}, 0, 0
@@ -167,14 +167,14 @@
 		asked, sent = asked+b.Requests, sent+b.Attempts
 		switch {
 		case i >= until:
-			later[0], later[1] = later[0]+b.Earned, later[1]+b.Worth
+			later[0], later[1] = later[0]+b.Earned, later[1]+b.Value
 		case i >= from:
-			during[0], during[1] = during[0]+b.Earned, during[1]+b.Worth
+			during[0], during[1] = during[0]+b.Earned, during[1]+b.Value
 			quiet[0], quiet[1] = quiet[0]+b.Tenant[0].InTime, quiet[1]+b.Tenant[0].Requests
 		}
 	}
 	o.Earned, o.After = during[0]/during[1], later[0]/later[1]
-	o.Quiet, o.Attempts = float64(quiet[0])/float64(quiet[1]), float64(sent)/float64(asked)
+	o.OtherTenant, o.Attempts = float64(quiet[0])/float64(quiet[1]), float64(sent)/float64(asked)
 	o.Recovery = recovery(o.Series, until)
 	o.Swing = swing(o.Series[from:until])
 	return o, nil
--- a/internal/lab/emulator/even.go
+++ b/internal/lab/emulator/even.go
@@ -14,7 +14,7 @@
 // traffic, servers that bear it with ease.
 type EvenDay struct {
 	Sidecars, Servers int
-	Each              float64 // requests a second of a sidecar, on average
+	RatePerSidecar    float64 // requests a second of a sidecar, on average
 	Heavy             bool    // a tenth of the sidecars, drawn, has half of the traffic
 	Dead              float64 // share of the sidecars, drawn, that is not there
 	Known             bool    // the others know who is not
@@ -33,18 +33,18 @@
 	d.rng = rand.New(rand.NewPCG(seed, 6))
 	d.number, d.gone = make(map[policy.ServerID]int), make(map[int]bool)
 	c := Config{
-		Seed: seed, Sidecars: d.Sidecars, Rate: d.Each * float64(d.Sidecars), Trip: time.Millisecond,
+		Seed: seed, Sidecars: d.Sidecars, Rate: d.RatePerSidecar * float64(d.Sidecars), RoundTrip: time.Millisecond,
 		Classes: []Class{{Share: 1, Work: 10 * time.Millisecond}}, Tenants: []Tenant{{Share: 1}},
 		Module: policy.Config{
 			Classes: []policy.Class{{LatencyTarget: 500 * time.Millisecond, Deadline: time.Second,
 				Value: 1, Effect: policy.Idempotent}},
-			Tenants:     []policy.Tenant{{Share: 1, Quota: 1.2 * d.Each * float64(d.Sidecars)}},
+			Tenants:     []policy.Tenant{{Share: 1, Quota: 1.2 * d.RatePerSidecar * float64(d.Sidecars)}},
 			MaxAttempts: 3, MayCancel: true, MaxRetryAfter: time.Second, Tick: time.Millisecond,
 			SlowStartShare: 0.3, SlowStartTime: EvenColdTime, SlowStartOverload: cmp.Or(d.Cold, 3),
 		},
 	}
 	for range d.Servers {
-		c.Servers = append(c.Servers, Server{Cores: 4, Speed: 1, Room: 100})
+		c.Servers = append(c.Servers, Server{Cores: 4, Speed: 1, QueueSlots: 100})
 	}
 	for range d.Sidecars {
 		c.Shares = append(c.Shares, 1)
@@ -58,10 +58,12 @@
 		d.gone[i], c.Shares[i] = true, 0
 	}
 	if d.Known {
-		c.Place = func(i int) float64 { return subset.ArcStart(i, d.Sidecars, func(j int) bool { return !d.gone[j] }) }
+		c.ArcStart = func(i int) float64 {
+			return subset.ArcStart(i, d.Sidecars, func(j int) bool { return !d.gone[j] })
+		}
 	}
 	if d.Wrong {
-		c.Place = func(i int) float64 {
+		c.ArcStart = func(i int) float64 {
 			return subset.ArcStart(i, d.Sidecars, func(j int) bool {
 				return rand.New(rand.NewPCG(seed+uint64(i), uint64(j))).IntN(5) > 0
 			})
--- a/internal/lab/emulator/even_test.go
+++ b/internal/lab/emulator/even_test.go
@@ -13,8 +13,8 @@
 // over ten seconds, with nothing wrong, though each sidecar's own turns are even.
 func TestEvenFromThinViews(t *testing.T) {
 	for _, d := range []EvenDay{
-		{Sidecars: 40, Servers: 40, Each: 4}, {Sidecars: 24, Servers: 12, Each: 5},
-		{Sidecars: 100, Servers: 20, Each: 4}, {Sidecars: 100, Servers: 66, Each: 4},
+		{Sidecars: 40, Servers: 40, RatePerSidecar: 4}, {Sidecars: 24, Servers: 12, RatePerSidecar: 5},
+		{Sidecars: 100, Servers: 20, RatePerSidecar: 4}, {Sidecars: 100, Servers: 66, RatePerSidecar: 4},
 	} {
 		d.Until = 70 * time.Second
 		const seeds = 3
@@ -25,9 +25,9 @@
 				t.Fatal(err)
 			}
 			from := 10 * time.Second
-			short += loadspread.Of(all, weights, from, d.Until, time.Second).Variance / seeds
-			long += loadspread.Of(all, weights, from, d.Until, 10*time.Second).Variance / seeds
-			chance += loadspread.Of(loadspread.Random(all, weights, seed), weights, from, d.Until,
+			short += loadspread.Measure(all, weights, from, d.Until, time.Second).Variance / seeds
+			long += loadspread.Measure(all, weights, from, d.Until, 10*time.Second).Variance / seeds
+			chance += loadspread.Measure(loadspread.Random(all, weights, seed), weights, from, d.Until,
 				10*time.Second).Variance / seeds
 		}
 		t.Logf("%d sidecars before %d: variance over mean %.2f in 1 s, %.2f in 10 s, by chance %.2f",
@@ -47,7 +47,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		s := loadspread.Of(all, weights, from, d.Until, 10*time.Second)
+		s := loadspread.Measure(all, weights, from, d.Until, 10*time.Second)
 		variance += s.Variance / float64(seeds)
 		greatest += s.Greatest / float64(seeds)
 	}
@@ -57,7 +57,7 @@
 // Guards against the few that have most of the traffic: each keeps to an arc of its own, and where
 // these lie side by side their servers have a third more than the others.
 func TestHeavySidecarsSpreadWide(t *testing.T) {
-	d := EvenDay{Sidecars: 300, Servers: 60, Each: 4, Heavy: true, Until: 60 * time.Second}
+	d := EvenDay{Sidecars: 300, Servers: 60, RatePerSidecar: 4, Heavy: true, Until: 60 * time.Second}
 	variance, greatest := meanVariance(t, d, 30*time.Second, 2)
 	t.Logf("a tenth has half of it: variance over mean %.2f, greatest %.2f", variance, greatest)
 	if variance > 1.1 || greatest > 1.25 {
@@ -68,7 +68,7 @@
 // Where those that live know who does not, they close the gaps; where they know it wrongly, each in
 // its own way, they are no worse than by chance.
 func TestEvenAmongThoseThatLive(t *testing.T) {
-	d := EvenDay{Sidecars: 100, Servers: 20, Each: 4, Dead: 0.2, Until: 50 * time.Second}
+	d := EvenDay{Sidecars: 100, Servers: 20, RatePerSidecar: 4, Dead: 0.2, Until: 50 * time.Second}
 	blind, _ := meanVariance(t, d, 10*time.Second, 3)
 	d.Known = true
 	known, _ := meanVariance(t, d, 10*time.Second, 3)
@@ -90,7 +90,8 @@
 	for _, event := range EvenEvents(20) {
 		t.Run(event.Name, func(t *testing.T) {
 			t.Parallel()
-			d := EvenDay{Sidecars: 100, Servers: 20, Each: 4, Until: event.Ends + 34*time.Second, Event: &event}
+			d := EvenDay{Sidecars: 100, Servers: 20, RatePerSidecar: 4, Until: event.End + 34*time.Second,
+				Event: &event}
 			worst, chance := 0.0, 0.0
 			for seed := range uint64(3) {
 				all, _, err := d.Run(seed)
@@ -100,8 +101,8 @@
 				b := event.Judge(all, d.Servers, d.Until, seed)
 				t.Logf("seed %d: %+v", seed, b)
 				worst, chance = worst+b.Worst, chance+b.Chance
-				if b.Idle > 0.01 || b.Back < 0 || b.Back > 26*time.Second {
-					t.Errorf("seed %d: idle %.3f, back after %v", seed, b.Idle, b.Back)
+				if b.Idle > 0.01 || b.Recovery < 0 || b.Recovery > 26*time.Second {
+					t.Errorf("seed %d: idle %.3f, back after %v", seed, b.Idle, b.Recovery)
 				}
 			}
 			if worst > 1.1*chance {
@@ -116,12 +117,13 @@
 // more.
 func TestColdBudgetGoesBeforeEvenness(t *testing.T) {
 	const servers = 20
-	event := EvenEvent{At: eventAt, Ends: eventAt + EvenColdTime, Left: servers - 1, Came: servers - 1,
+	event := EvenEvent{At: eventAt, End: eventAt + EvenColdTime, Removed: servers - 1, Added: servers - 1,
 		Play: func(f *Fleet) {
 			f.At(eventAt, func() { f.Add(f.Remove(servers - 1)) })
 		}}
 	for _, heavy := range []bool{false, true} {
-		d := EvenDay{Sidecars: 100, Servers: servers, Each: 8, Heavy: heavy, Cold: 1, Until: event.Ends, Event: &event}
+		d := EvenDay{Sidecars: 100, Servers: servers, RatePerSidecar: 8, Heavy: heavy, Cold: 1,
+			Until: event.End, Event: &event}
 		for seed := range uint64(3) {
 			all, _, err := d.Run(seed)
 			if err != nil {
@@ -132,7 +134,7 @@
 				from := event.At + time.Duration(second)*time.Second
 				warm := cold.SlowStartShare + (1-cold.SlowStartShare)*float64(second)/EvenColdTime.Seconds()
 				bears := cold.SlowStartOverload * warm * cold.Tenants[0].Quota / servers
-				got := make([]float64, servers+event.Came)
+				got := make([]float64, servers+event.Added)
 				for _, a := range all {
 					if a.At >= from && a.At < from+time.Second {
 						got[a.To]++
--- a/internal/lab/emulator/fleet.go
+++ b/internal/lab/emulator/fleet.go
@@ -34,9 +34,9 @@
 
 // Clients say what clients do with a refusal or a failure.
 type Clients struct {
-	Retries int           // further tries at most
-	Backoff time.Duration // before the first of them, doubled after each; a longer Retry-After is heeded
-	Part    float64       // of the deadline that one try is waited for; 0: all that is left of it
+	Retries      int           // further tries at most
+	Backoff      time.Duration // before the first of them, doubled after each; a longer Retry-After is heeded
+	AttemptShare float64       // of the deadline that one try is waited for; 0: all that is left of it
 }
 
 // Config is a fleet. The module is told none of it but what Module has.
@@ -51,14 +51,14 @@
 	Tenants  []Tenant
 	Clients  Clients
 	// from a sidecar to a server and back
-	Trip time.Duration
+	RoundTrip time.Duration
 	// Balancers, Index and Tick are set for each
 	Module policy.Config
 	New    func(cfg policy.Config, seed uint64, host policy.Host) (engine.Module, error) // nil: policy.New
 	Bucket time.Duration                                                                 // of the series; 0: 100 ms
 	// what each is told of its place; nil: nothing
-	Place   func(sidecar int) float64
-	Arrived func(sidecar int, to policy.ServerID) // hears of each attempt that arrives at a server; nil: nobody does
+	ArcStart func(sidecar int) float64
+	Arrived  func(sidecar int, to policy.ServerID) // hears of each attempt that arrives at a server; nil: nobody does
 }
 
 // Fleet is a fleet under way.
@@ -83,11 +83,11 @@
 	Probes                                            int // as they go out
 	// refused at once, as seen by the module's counters, in this stretch
 	Throttled     int
-	Worth, Earned float64
+	Value, Earned float64
 	Tenant        []Count
 	Capacity      float64 // work that the servers can do, in seconds of work a second
-	Held          int     // requests that the servers hold as it begins
-	Tipped        int     // servers that are slower as they were crowded
+	InFlight      int     // requests that the servers hold as it begins
+	Overloaded    int     // servers that are slower as they were crowded
 	Work          float64 // work asked for
 }
 
@@ -157,8 +157,8 @@
 	return entries
 }
 
-// Tell has all sidecars hear the list as it is now.
-func (f *Fleet) Tell() {
+// PublishList has all sidecars hear the list as it is now.
+func (f *Fleet) PublishList() {
 	for _, s := range f.sidecars {
 		s.m.List(f.clock.Now, policy.ListFull, f.list())
 	}
@@ -203,7 +203,7 @@
 		}
 	}
 	f.nodes = slices.DeleteFunc(f.nodes, func(n *node) bool { return n.gone && len(n.running)+len(n.waiting) == 0 })
-	f.Tell()
+	f.PublishList()
 }
 
 // leaves ends a server: what it holds ends as its process does.
@@ -211,7 +211,7 @@
 	n.gone = true
 	for _, j := range slices.Concat(n.running, n.waiting) {
 		if j.ends != nil {
-			j.ends.Off()
+			j.ends.Stop()
 		}
 		j.end(0, policy.ConnectionLost)
 	}
@@ -226,7 +226,7 @@
 			gone = append(gone, n.spec)
 		}
 	}
-	f.Tell()
+	f.PublishList()
 	return gone
 }
 
@@ -235,7 +235,7 @@
 	for _, s := range all {
 		f.add(s, f.clock.Now)
 	}
-	f.Tell()
+	f.PublishList()
 }
 
 // Run plays up to a time since the fleet was made.
@@ -244,9 +244,9 @@
 		b := f.bucket(t)
 		b.Capacity = f.capacity()
 		for _, n := range f.nodes {
-			b.Held += len(n.running) + len(n.waiting)
-			if n.tipped {
-				b.Tipped++
+			b.InFlight += len(n.running) + len(n.waiting)
+			if n.overloaded {
+				b.Overloaded++
 			}
 		}
 		t = min(until, t-t%f.cfg.Bucket+f.cfg.Bucket)
--- a/internal/lab/emulator/large_test.go
+++ b/internal/lab/emulator/large_test.go
@@ -33,7 +33,7 @@
 		asked, requests, earned, worth := 0, 0, 0.0, 0.0
 		for _, b := range f.Buckets()[50:150] {
 			asked, requests = asked+b.Probes, requests+b.Requests
-			earned, worth = earned+b.Earned, worth+b.Worth
+			earned, worth = earned+b.Earned, worth+b.Value
 		}
 		return float64(asked) / float64(requests), earned / worth
 	}
--- a/internal/lab/emulator/mass.go
+++ b/internal/lab/emulator/mass.go
@@ -36,7 +36,7 @@
 func (m *Mass) Config(seed uint64) Config {
 	rng := rand.New(rand.NewPCG(seed, 2))
 	c := Config{
-		Seed: seed, Sidecars: m.Sidecars, Trip: time.Millisecond,
+		Seed: seed, Sidecars: m.Sidecars, RoundTrip: time.Millisecond,
 		Classes: []Class{
 			{Share: 0.8, Work: time.Duration(between(rng, 39, 70) * float64(time.Millisecond)),
 				Tail: between(rng, 1.4, 2.6), Noise: between(rng, 0.07, 0.48)},
@@ -44,9 +44,9 @@
 				Tail: between(rng, 1.6, 2.8), Noise: between(rng, 0.06, 0.44)},
 		},
 		Clients: Clients{
-			Retries: 2,
-			Backoff: time.Duration(between(rng, 25, 200) * float64(time.Millisecond)),
-			Part:    between(rng, 0.5, 0.8),
+			Retries:      2,
+			Backoff:      time.Duration(between(rng, 25, 200) * float64(time.Millisecond)),
+			AttemptShare: between(rng, 0.5, 0.8),
 		},
 		Module: policy.Config{
 			Classes: []policy.Class{
@@ -69,9 +69,9 @@
 	for i := range m.Servers {
 		kind := []struct{ speed, cv float64 }{{1.6, 0.12}, {0.6, 0.15}, {0.95, 0.1}, {0.6, 0.15}, {1.6, 0.12}}[i%5]
 		s := Server{Cores: 2, Speed: kind.speed * math.Exp(kind.cv*rng.NormFloat64()),
-			Room: int(2 * between(rng, 11, 36)), Cell: i / 8, Weight: kind.speed}
-		s.Crowd = &Crowd{
-			Over: seconds(over), Most: min(0.7*float64(s.Cores+s.Room),
+			QueueSlots: int(2 * between(rng, 11, 36)), Cell: i / 8, Weight: kind.speed}
+		s.Overload = &Overload{
+			Over: seconds(over), Most: min(0.7*float64(s.Cores+s.QueueSlots),
 				float64(s.Cores)+at*math.Sqrt(float64(s.Cores))),
 			Slower: slower, Rest: seconds(rest), Below: below, Until: seconds(until),
 		}
@@ -119,16 +119,16 @@
 	return c
 }
 
-// Massed is what came of a day.
-type Massed struct {
-	InTime   float64 // share of the worth
-	Worst    float64 // in the worst 10 s
-	Tries    float64 // attempts a request
-	Probes   float64 // a request
-	Quiet    float64 // share of the larger tenant's requests that came while the burst lasted, in time
-	Tipped   int     // times that a server tipped
-	Recovery float64 // s from the end of the burst until 95% of the best second's share is in time
-	Seconds  []MassSecond
+// MassResult is what came of a day.
+type MassResult struct {
+	InTime       float64 // share of the worth
+	Worst        float64 // in the worst 10 s
+	Attempts     float64 // attempts a request
+	Probes       float64 // a request
+	LargerTenant float64 // share of the larger tenant's requests that came while the burst lasted, in time
+	Tipped       int     // times that a server tipped
+	Recovery     float64 // s from the end of the burst until 95% of the best second's share is in time
+	Seconds      []MassSecond
 }
 
 // MassSecond is a second of it.
@@ -155,10 +155,10 @@
 }
 
 // Run plays the day from a seed. The error is the first rule that was broken.
-func (m *Mass) Run(seed uint64) (Massed, error) {
+func (m *Mass) Run(seed uint64) (MassResult, error) {
 	f, err := New(m.Config(seed))
 	if err != nil {
-		return Massed{}, err
+		return MassResult{}, err
 	}
 	if m.Slow > 0 {
 		f.At(m.BurstFrom, func() { setSome(f.nodes, m.Slow, State{Slower: 3}) })
@@ -177,9 +177,9 @@
 	if m.Tipped > 0 {
 		f.At(m.BurstFrom, func() {
 			for _, n := range some(f.nodes, m.Tipped) {
-				if !n.tipped {
-					n.held = n.spec.Crowd.Most + 1e9
-					n.crowded()
+				if !n.overloaded {
+					n.meanInFlight = n.spec.Overload.Most + 1e9
+					n.updateOverload()
 				}
 			}
 		})
@@ -187,18 +187,18 @@
 	f.Start()
 	f.Run(m.Until + 3*time.Second)
 	if err := cmp.Or(err, f.Err()); err != nil {
-		return Massed{}, err
+		return MassResult{}, err
 	}
 	return m.sum(f), nil
 }
 
-func (m *Mass) sum(f *Fleet) (o Massed) {
+func (m *Mass) sum(f *Fleet) (o MassResult) {
 	each := int(time.Second / f.cfg.Bucket)
 	quiet := Count{}
 	for _, b := range f.Buckets()[m.BurstFrom/f.cfg.Bucket : (m.BurstFrom+m.BurstFor)/f.cfg.Bucket] {
 		quiet.Requests, quiet.InTime = quiet.Requests+b.Tenant[0].Requests, quiet.InTime+b.Tenant[0].InTime
 	}
-	o.Quiet = float64(quiet.InTime) / float64(max(1, quiet.Requests))
+	o.LargerTenant = float64(quiet.InTime) / float64(max(1, quiet.Requests))
 	buckets := f.Buckets()[:int(m.Until/f.cfg.Bucket)]
 	earned, worth, sent, probes, asked := 0.0, 0.0, 0, 0, 0
 	var shares []float64
@@ -206,8 +206,8 @@
 		var s MassSecond
 		e, w, refused, load := 0.0, 0.0, 0, 0.0
 		for _, b := range buckets[:each] {
-			s.Requests, s.Held, s.Tipped = s.Requests+b.Requests, s.Held+b.Held, max(s.Tipped, b.Tipped)
-			e, w, refused = e+b.Earned, w+b.Worth, refused+b.Refused
+			s.Requests, s.Held, s.Tipped = s.Requests+b.Requests, s.Held+b.InFlight, max(s.Tipped, b.Overloaded)
+			e, w, refused = e+b.Earned, w+b.Value, refused+b.Refused
 			sent, probes, load = sent+b.Attempts, probes+b.Probes, load+b.Work
 		}
 		s.Held /= each
@@ -216,7 +216,7 @@
 		asked, earned, worth = asked+s.Requests, earned+e, worth+w
 		o.Seconds, shares, buckets = append(o.Seconds, s), append(shares, s.InTime), buckets[each:]
 	}
-	o.InTime, o.Tries, o.Probes = earned/worth, float64(sent)/float64(asked), float64(probes)/float64(asked)
+	o.InTime, o.Attempts, o.Probes = earned/worth, float64(sent)/float64(asked), float64(probes)/float64(asked)
 	o.Worst = 1
 	for i := 0; i+10 <= len(shares); i++ {
 		sum := 0.0
--- a/internal/lab/emulator/mass_test.go
+++ b/internal/lab/emulator/mass_test.go
@@ -46,26 +46,26 @@
 	}
 	n := f.nodes[0]
 	speed := n.speed()
-	crowd := n.spec.Crowd
+	crowd := n.spec.Overload
 	for range int(crowd.Most) + 4 {
 		n.take(10, func(policy.Ending) {})
 	}
 	held := append(n.running[:len(n.running):len(n.running)], n.waiting...)
 	f.clock.To(f.clock.Now + 6*crowd.Over)
-	n.crowded()
-	if !n.tipped || n.speed() > 0.6*speed {
+	n.updateOverload()
+	if !n.overloaded || n.speed() > 0.6*speed {
 		t.Fatalf("holds %d where %.1f is the most: tipped %v, speed %.2f of %.2f", len(held), crowd.Most,
-			n.tipped, n.speed(), speed)
+			n.overloaded, n.speed(), speed)
 	}
 	f.clock.To(f.clock.Now + crowd.Rest)
-	if !n.tipped {
+	if !n.overloaded {
 		t.Fatal("is well though it never rested")
 	}
 	for _, j := range held {
 		j.giveUp()
 	}
 	f.clock.To(f.clock.Now + crowd.Rest + time.Second)
-	if n.tipped || n.speed() != speed {
+	if n.overloaded || n.speed() != speed {
 		t.Fatal("is not well though it rested")
 	}
 }
--- a/internal/lab/emulator/server.go
+++ b/internal/lab/emulator/server.go
@@ -11,16 +11,16 @@
 
 // Server is a server's build.
 type Server struct {
-	Cores  int
-	Speed  float64 // work done a second on each core
-	Room   int     // requests that may wait; beyond that it turns away
-	Cell   int
-	Weight float64 // in the list; 0: 1
-	Crowd  *Crowd  // what becomes of it where it holds too many; nil: nothing
+	Cores      int
+	Speed      float64 // work done a second on each core
+	QueueSlots int     // requests that may wait; beyond that it turns away
+	Cell       int
+	Weight     float64   // in the list; 0: 1
+	Overload   *Overload // what becomes of it where it holds too many; nil: nothing
 }
 
-// Crowd is how a server tips where it holds more than it bears, and how it comes back.
-type Crowd struct {
+// Overload is how a server tips where it holds more than it bears, and how it comes back.
+type Overload struct {
 	Over   time.Duration // the mean over so long
 	Most   float64       // of what it holds is above this:
 	Slower float64       // so many times slower,
@@ -31,14 +31,14 @@
 
 // State is how a server behaves for now; the zero value is well.
 type State struct {
-	Silent   bool    // takes requests and answers none
-	Refuses  bool    // refuses connections
-	Slower   float64 // its work takes so many times longer; 0: 1
-	TurnAway float64 // share of the requests that it turns away unseen
-	Idle     bool    // reports that it holds nothing
-	Breaks   float64 // share of the requests after which the connection breaks, run or not
+	Silent      bool    // takes requests and answers none
+	Refuses     bool    // refuses connections
+	Slower      float64 // its work takes so many times longer; 0: 1
+	RejectShare float64 // share of the requests that it turns away unseen
+	Idle        bool    // reports that it holds nothing
+	BreakShare  float64 // share of the requests after which the connection breaks, run or not
 	// requests that it takes a second; it turns away what comes beyond that, after a while; 0: no bound
-	Most float64
+	RateLimit float64
 }
 
 // node is a server at work.
@@ -57,7 +57,7 @@
 	at      time.Duration // when these were taken
 	tokens  float64       // of State.Most
 	tokenAt time.Duration
-	crowding
+	overloadState
 }
 
 // job is an attempt at a server.
@@ -65,7 +65,7 @@
 	node *node
 	work float64 // seconds on a core of speed 1
 	done func(policy.Ending)
-	ends *virtualtime.Alarm
+	ends *virtualtime.Timer
 	from time.Duration // when it began to run
 	over bool
 }
@@ -79,7 +79,7 @@
 // token says whether one more may be taken this second.
 func (n *node) token() bool {
 	now := n.f.clock.Now
-	n.tokens = min(n.state.Most/10+1, n.tokens+(now-n.tokenAt).Seconds()*n.state.Most)
+	n.tokens = min(n.state.RateLimit/10+1, n.tokens+(now-n.tokenAt).Seconds()*n.state.RateLimit)
 	if n.tokenAt = now; n.tokens < 1 {
 		return false
 	}
@@ -90,24 +90,24 @@
 // take takes an attempt on. done is called once, but for one that is given up.
 func (n *node) take(work float64, done func(policy.Ending)) *job {
 	j := &job{node: n, work: work, done: done}
-	n.crowded()
+	n.updateOverload()
 	switch {
 	case n.gone || n.state.Refuses:
 		j.end(turnAwayTime, policy.NoConnection)
 	case n.state.Silent:
-	case n.state.TurnAway > 0 && n.f.rng.Float64() < n.state.TurnAway:
+	case n.state.RejectShare > 0 && n.f.rng.Float64() < n.state.RejectShare:
 		n.fade()
 		n.errors++
 		j.end(turnAwayTime, policy.NotProcessed)
-	case n.state.Most > 0 && !n.token():
+	case n.state.RateLimit > 0 && !n.token():
 		n.fade()
 		n.errors++
 		j.end(throttleTime, policy.NotProcessed)
-	case n.state.Breaks > 0 && n.f.rng.Float64() < n.state.Breaks:
+	case n.state.BreakShare > 0 && n.f.rng.Float64() < n.state.BreakShare:
 		j.end(turnAwayTime, policy.ConnectionLost)
 	case len(n.running) < n.spec.Cores:
 		n.begin(j)
-	case len(n.waiting) < n.spec.Room:
+	case len(n.waiting) < n.spec.QueueSlots:
 		n.waiting = append(n.waiting, j)
 	default:
 		n.fade()
@@ -145,8 +145,8 @@
 	if n.state.Slower > 0 {
 		s /= n.state.Slower
 	}
-	if n.tipped {
-		s /= n.spec.Crowd.Slower
+	if n.overloaded {
+		s /= n.spec.Overload.Slower
 	}
 	return s
 }
@@ -162,7 +162,7 @@
 
 // leave takes a request off and begins the next.
 func (n *node) leave(j *job) {
-	n.crowded()
+	n.updateOverload()
 	if i := slices.Index(n.running, j); i >= 0 {
 		n.running = slices.Delete(n.running, i, i+1)
 	}
@@ -183,7 +183,7 @@
 	}
 	j.over = true
 	if j.ends != nil {
-		j.ends.Off()
+		j.ends.Stop()
 	}
 	j.node.leave(j)
 }
@@ -192,7 +192,7 @@
 func (n *node) set(s State) {
 	if s.Silent && !n.state.Silent {
 		for _, j := range n.running {
-			j.ends.Off()
+			j.ends.Stop()
 		}
 	}
 	back := n.state.Silent && !s.Silent
@@ -233,9 +233,9 @@
 	if n.gone || n.state.Silent || n.state.Refuses {
 		return 0
 	}
-	c := n.speed() * float64(n.spec.Cores) * (1 - n.state.TurnAway)
-	if n.state.Most > 0 {
-		c = min(c, n.state.Most*n.f.meanWork)
+	c := n.speed() * float64(n.spec.Cores) * (1 - n.state.RejectShare)
+	if n.state.RateLimit > 0 {
+		c = min(c, n.state.RateLimit*n.f.meanWork)
 	}
 	return c
 }
--- a/internal/lab/emulator/sidecar.go
+++ b/internal/lab/emulator/sidecar.go
@@ -20,18 +20,18 @@
 
 // sidecar is one module with its clients.
 type sidecar struct {
-	f      *Fleet
-	m      engine.Module
-	index  int
-	lastID policy.RequestID
-	open   map[policy.RequestID]*request
-	turned uint64 // away at once, as counted so far
+	f         *Fleet
+	m         engine.Module
+	index     int
+	lastID    policy.RequestID
+	open      map[policy.RequestID]*request
+	throttled uint64 // away at once, as counted so far
 }
 
 // request is one try of a client's request.
 type request struct {
 	id       policy.RequestID
-	first    *wish
+	first    *clientRequest
 	try      int
 	deadline time.Duration
 	attempts []*attempt
@@ -39,8 +39,8 @@
 	over     bool
 }
 
-// wish is what a client wants, over all its tries.
-type wish struct {
+// clientRequest is what a client wants, over all its tries.
+type clientRequest struct {
 	class, tenant int
 	at            time.Duration // on the fleet's clock
 	work          float64
@@ -49,7 +49,7 @@
 
 type attempt struct {
 	job   *job
-	limit *virtualtime.Alarm
+	limit *virtualtime.Timer
 	ended bool
 	ran   bool
 }
@@ -58,8 +58,8 @@
 func (s *sidecar) module() (err error) {
 	c := s.f.cfg.Module
 	c.Balancers, c.Index = s.f.cfg.Sidecars, s.index
-	if s.f.cfg.Place != nil {
-		c.ArcStart = func() float64 { return s.f.cfg.Place(s.index) }
+	if s.f.cfg.ArcStart != nil {
+		c.ArcStart = func() float64 { return s.f.cfg.ArcStart(s.index) }
 	}
 	s.m, err = s.f.cfg.New(c, s.f.rng.Uint64(), s)
 	return err
@@ -68,7 +68,7 @@
 // callOff ends an attempt that is out, and its work.
 func (a *attempt) callOff() {
 	a.ended = true
-	a.limit.Off()
+	a.limit.Stop()
 	if a.job != nil {
 		a.job.giveUp()
 	}
@@ -77,24 +77,24 @@
 // ask is a client's first try.
 func (s *sidecar) ask(class, tenant int) {
 	f := s.f
-	w := &wish{class: class, tenant: tenant, at: f.clock.Now, work: f.work(&f.cfg.Classes[class]),
+	w := &clientRequest{class: class, tenant: tenant, at: f.clock.Now, work: f.work(&f.cfg.Classes[class]),
 		bucket: int(f.Now() / f.cfg.Bucket)}
 	b := f.bucket(f.Now())
 	b.Requests++
 	b.Tenant[tenant].Requests++
-	b.Worth += f.cfg.Module.Classes[class].Value
+	b.Value += f.cfg.Module.Classes[class].Value
 	b.Work += w.work
 	s.try(w, 0)
 }
 
-func (s *sidecar) try(w *wish, n int) {
+func (s *sidecar) try(w *clientRequest, n int) {
 	f := s.f
 	deadline := w.at + f.cfg.Module.Classes[w.class].Deadline
 	if f.clock.Now >= deadline {
 		f.buckets[w.bucket].Failed++
 		return
 	}
-	if part := f.cfg.Clients.Part; part > 0 {
+	if part := f.cfg.Clients.AttemptShare; part > 0 {
 		deadline = min(deadline, f.clock.Now+time.Duration(part*float64(f.cfg.Module.Classes[w.class].Deadline)))
 	}
 	s.lastID++
@@ -114,9 +114,9 @@
 // event hands an event to the module, and counts whom it turned away at once.
 func (s *sidecar) event(do func()) {
 	do()
-	if t := s.m.Counters().Throttled; t != s.turned {
-		s.f.bucket(s.f.Now()).Throttled += int(t - s.turned)
-		s.turned = t
+	if t := s.m.Counters().Throttled; t != s.throttled {
+		s.f.bucket(s.f.Now()).Throttled += int(t - s.throttled)
+		s.throttled = t
 	}
 }
 
@@ -142,7 +142,7 @@
 		}
 		a.ended = true
 		a.ran = e != policy.NotProcessed && e != policy.NoConnection && e != policy.NotSent
-		a.limit.Off()
+		a.limit.Stop()
 		s.outcome(r, number, e)
 	}
 	a.limit = f.clock.After(min(timeout, r.deadline-f.clock.Now), func() {
@@ -151,7 +151,7 @@
 		}
 		end(policy.TimedOut)
 	})
-	f.clock.After(f.cfg.Trip/2, func() {
+	f.clock.After(f.cfg.RoundTrip/2, func() {
 		if a.ended {
 			return
 		}
@@ -163,7 +163,7 @@
 		if noise := f.cfg.Classes[r.first.class].Noise; noise > 0 {
 			work *= math.Exp(noise*f.rng.NormFloat64() - noise*noise/2)
 		}
-		a.job = n.take(work, func(e policy.Ending) { f.clock.After(f.cfg.Trip/2, func() { end(e) }) })
+		a.job = n.take(work, func(e policy.Ending) { f.clock.After(f.cfg.RoundTrip/2, func() { end(e) }) })
 	})
 }
 
@@ -240,7 +240,7 @@
 func (s *sidecar) Probe(to policy.ServerID) {
 	f := s.f
 	f.bucket(f.Now()).Probes++
-	f.clock.After(f.cfg.Trip, func() {
+	f.clock.After(f.cfg.RoundTrip, func() {
 		n, wait := f.byID[to], time.Duration(0)
 		ok, load := n.report()
 		if n.state.Silent { // it says nothing at all, not even no
@@ -268,7 +268,7 @@
 		return err
 	}
 	f, held := s.f, s.open
-	s.open, s.turned = make(map[policy.RequestID]*request), 0
+	s.open, s.throttled = make(map[policy.RequestID]*request), 0
 	s.m.Start(f.clock.Now)
 	s.m.List(f.clock.Now, policy.ListCached, f.list())
 	for _, id := range slices.Sorted(maps.Keys(held)) {
--- a/internal/lab/loadspread/loadspread.go
+++ b/internal/lab/loadspread/loadspread.go
@@ -28,9 +28,9 @@
 	Due      float64 // share of those in which so many were due
 }
 
-// Of measures windows of a length over all whole ones from a time on. weights are the upstreams',
+// Measure measures windows of a length over all whole ones from a time on. weights are the upstreams',
 // and say what was due; 0: it is not there.
-func Of(all []Arrival, weights []float64, from, until, window time.Duration) (s Spread) {
+func Measure(all []Arrival, weights []float64, from, until, window time.Duration) (s Spread) {
 	s.Window = window
 	windows := int((until - from) / window)
 	if windows == 0 {
@@ -100,9 +100,9 @@
 	return n
 }
 
-// Back is how long after a moment an upstream had at least half of its part again and kept it for
+// RecoveryTime is how long after a moment an upstream had at least half of its part again and kept it for
 // good, in windows of a length; negative: it had not, by the end.
-func Back(all []Arrival, weights []float64, to int, from, until, window time.Duration) time.Duration {
+func RecoveryTime(all []Arrival, weights []float64, to int, from, until, window time.Duration) time.Duration {
 	whole := 0.0
 	for _, w := range weights {
 		whole += w
@@ -125,9 +125,9 @@
 	return back
 }
 
-// Alike is how often two that different senders sent within a time of one another went to the same
+// Coincidence is how often two that different senders sent within a time of one another went to the same
 // upstream, over how often chance has it, by weight: 1 is chance.
-func Alike(all []Arrival, weights []float64, within time.Duration) float64 {
+func Coincidence(all []Arrival, weights []float64, within time.Duration) float64 {
 	whole, same := 0.0, 0.0
 	for _, w := range weights {
 		whole += w
@@ -171,9 +171,9 @@
 	return drawn
 }
 
-// Two is the same arrivals, each at the one of two drawn by weight at which its sender has less
+// TwoChoices is the same arrivals, each at the one of two drawn by weight at which its sender has less
 // out, by its own view alone; what is sent is out for so long.
-func Two(all []Arrival, weights []float64, out time.Duration, seed uint64) []Arrival {
+func TwoChoices(all []Arrival, weights []float64, out time.Duration, seed uint64) []Arrival {
 	first, second := Random(all, weights, seed), Random(all, weights, seed+1)
 	type sent struct {
 		to  int
@@ -199,8 +199,8 @@
 	return chosen
 }
 
-// Limit is the same arrivals as one round robin for all would have them: the most even there can be.
-func Limit(all []Arrival, weights []float64) []Arrival {
+// RoundRobin is the same arrivals as one round robin for all would have them: the most even there can be.
+func RoundRobin(all []Arrival, weights []float64) []Arrival {
 	due := make([]float64, len(weights))
 	for i, w := range weights {
 		due[i] = 0.5 / w
--- a/internal/lab/raftlogsim/net.go
+++ b/internal/lab/raftlogsim/net.go
@@ -49,7 +49,7 @@
 func New(size int, seed uint64) *Net {
 	n := &Net{
 		Size: size, Clock: virtualtime.Clock{Now: time.Hour},
-		Faults: virtualtime.Faults{Rng: rand.New(rand.NewPCG(seed, 5)), Most: 10 * time.Millisecond},
+		Faults: virtualtime.Faults{Rng: rand.New(rand.NewPCG(seed, 5)), MaxDelay: 10 * time.Millisecond},
 		agreed: make(map[[2]uint64]string),
 		ended:  make(map[raftlog.Voter]time.Duration),
 	}
@@ -69,7 +69,7 @@
 		return
 	}
 	n.life++
-	m.Begin()
+	m.Restart()
 	m.seat, m.last = raftlog.Voter{Number: i, Incarnation: n.life}, 0
 	cfg := raftlog.Config{Size: n.Size, Self: m.seat, ProcessIncarnation: n.life,
 		Rand: rand.New(rand.NewPCG(n.life, n.Rng.Uint64())), Host: m}
@@ -115,7 +115,7 @@
 }
 
 // Stop has a process stand still. What comes meanwhile waits in its socket.
-func (n *Net) Stop(i int, d time.Duration) { n.Nodes[i].StandStill(&n.Clock, d, nil) }
+func (n *Net) Stop(i int, d time.Duration) { n.Nodes[i].Pause(&n.Clock, d, nil) }
 
 func (n *Net) out(s raftlog.Voter) bool {
 	at, ended := n.ended[s]
@@ -155,7 +155,7 @@
 		}
 		n.Nodes[to].Receive(n.Now, from, c)
 	}
-	n.Carry(&n.Clock, from, to, func() { n.Nodes[to].Arrive(100, take) })
+	n.Deliver(&n.Clock, from, to, func() { n.Nodes[to].Arrive(100, take) })
 }
 
 // lead checks that what a leader takes for confirmed is of its own term.
--- a/internal/lab/replay/estimate.go
+++ b/internal/lab/replay/estimate.go
@@ -94,7 +94,7 @@
 	class int32
 	at    time.Duration
 	ends  time.Duration
-	tries []*virtualtime.Alarm
+	tries []*virtualtime.Timer
 	over  bool
 }
 
@@ -165,7 +165,7 @@
 
 func (r *run) Cancel(id policy.RequestID, attempt int) {
 	if e := r.open[id].tries[attempt]; e != nil {
-		e.Off()
+		e.Stop()
 		r.clock.After(0, func() { r.outcome(policy.Outcome{ID: id, Attempt: attempt, Ending: policy.Cancelled}) })
 	}
 }
--- a/internal/lab/replay/past.go
+++ b/internal/lab/replay/past.go
@@ -151,7 +151,8 @@
 		if sent := p.probing[what.Probed.Server]; len(sent) > 0 { // in the order of their sending, as good as
 			p.probing[what.Probed.Server] = sent[1:]
 			p.probes[what.Probed.Server] = append(p.probes[what.Probed.Server], &sample{
-				at: sent[0], took: now - sent[0], ok: what.Probed.Ok, load: record.DecodeLoad(what.Probed.Load), known: true,
+				at: sent[0], took: now - sent[0], ok: what.Probed.Ok,
+				load: record.DecodeLoad(what.Probed.Load), known: true,
 			})
 		}
 	}
--- a/internal/lab/replicatedstatesim/net.go
+++ b/internal/lab/replicatedstatesim/net.go
@@ -87,7 +87,7 @@
 func New(cfg Config) *Net {
 	n := &Net{
 		Config: cfg, Clock: virtualtime.Clock{Now: time.Hour},
-		Faults: virtualtime.Faults{Rng: rand.New(rand.NewPCG(cfg.Seed, 9)), Most: 10 * time.Millisecond},
+		Faults: virtualtime.Faults{Rng: rand.New(rand.NewPCG(cfg.Seed, 9)), MaxDelay: 10 * time.Millisecond},
 		Cannot: make(map[[2]int]bool), Counts: make(map[string]int), most: make(map[uint64]uint64),
 	}
 	for i := range cfg.Size {
@@ -123,8 +123,9 @@
 		return
 	}
 	n.life++
-	m.Begin()
-	m.Life, m.seat, m.own, m.born = n.life, raftlog.Voter{Number: i, Incarnation: n.life}, maintenance.LocalClearance{}, m.Time()
+	m.Restart()
+	m.Life, m.seat, m.own, m.born = n.life, raftlog.Voter{Number: i, Incarnation: n.life},
+		maintenance.LocalClearance{}, m.Time()
 	cfg := replicatedstate.Config{
 		Size: n.Size, ProcessIncarnation: n.life, Lease: n.Lease, MaxClockError: n.Rate,
 		Rand: rand.New(rand.NewPCG(n.life, n.Rng.Uint64())), Host: m,
@@ -172,7 +173,7 @@
 func (n *Net) Crash(i int) { n.Nodes[i].Down = true }
 
 // Stop has a process stand still. What comes meanwhile waits in its socket.
-func (n *Net) Stop(i int, d time.Duration) { n.Nodes[i].StandStill(&n.Clock, d, nil) }
+func (n *Net) Stop(i int, d time.Duration) { n.Nodes[i].Pause(&n.Clock, d, nil) }
 
 // Send is called by a node.
 func (m *Node) Send(to int, raw []byte, urgent bool) {
@@ -204,7 +205,7 @@
 			n.Broken = append(n.Broken, fmt.Sprintf("n%d can't read what n%d of life %d sent", to, from, life))
 		}
 	}
-	n.Carry(&n.Clock, from, to, func() { n.Nodes[to].Arrive(100, take) })
+	n.Deliver(&n.Clock, from, to, func() { n.Nodes[to].Arrive(100, take) })
 }
 
 // Changed is called by a node. What stands in the log is counted once.
--- a/internal/lab/testbed/fleet/answers.go
+++ b/internal/lab/testbed/fleet/answers.go
@@ -122,7 +122,8 @@
 
 // Add adds another run's.
 func (t *Tally) Add(o Tally) {
-	t.Served, t.Refused, t.Failed, t.Unstable = t.Served+o.Served, t.Refused+o.Refused, t.Failed+o.Failed, t.Unstable+o.Unstable
+	t.Served, t.Refused, t.Failed, t.Unstable = t.Served+o.Served, t.Refused+o.Refused, t.Failed+o.Failed,
+		t.Unstable+o.Unstable
 }
 
 const (
@@ -201,7 +202,8 @@
 				if known && !f.Sidecars[i].reachableThrough(notified, a.At) {
 					grace += notifiedLatest
 				}
-				if a.Node == n.ID && known && a.At.After(notified.Add(grace)) && f.Sidecars[i].stableThrough(notified, a.At) {
+				if a.Node == n.ID && known && a.At.After(notified.Add(grace)) &&
+					f.Sidecars[i].stableThrough(notified, a.At) {
 					broken = append(broken,
 						fmt.Sprintf("%s of sidecar %d went to the draining %s %v after that was announced", id,
 							i, n.ID, a.At.Sub(notified)))
--- a/internal/lab/testbed/fleet/fleet.go
+++ b/internal/lab/testbed/fleet/fleet.go
@@ -51,7 +51,8 @@
 	relayPort   = 7947
 )
 
-// reserveNetwork takes a part of the loopback network that no other fleet on this machine has, for as long as the test lasts.
+// reserveNetwork takes a part of the loopback network that no other fleet on this machine has, for
+// as long as the test lasts.
 func reserveNetwork(t testbed.TB) byte {
 	for second := 64; second < 127; second++ {
 		if reservation, err := net.Listen("tcp", fmt.Sprintf("127.%d.255.254:%d", second, relayPort)); err == nil {
@@ -74,7 +75,8 @@
 // New starts a fleet whose processes all serve.
 func New(t testbed.TB, cfg Config) *Fleet {
 	t.Helper()
-	f := &Fleet{Config: cfg, t: t, ArrivalLog: new(testbed.ArrivalLog), second: reserveNetwork(t), Answers: newAnswers()}
+	f := &Fleet{Config: cfg, t: t, ArrivalLog: new(testbed.ArrivalLog), second: reserveNetwork(t),
+		Answers: newAnswers()}
 	var err error
 	if f.dir, err = os.MkdirTemp("", "fleet"); err != nil {
 		t.Fatalf("fleet: %v", err)
--- a/internal/lab/testbed/fleet/maintenance.go
+++ b/internal/lab/testbed/fleet/maintenance.go
@@ -13,28 +13,28 @@
 	"caperarch/internal/lab/testbed"
 )
 
-// Stay is one machine's time with an operator: from when somebody was told that it is free to work
+// Window is one machine's time with an operator: from when somebody was told that it is free to work
 // on, until that one says that the work is done.
-type Stay struct {
+type Window struct {
 	Turn     int
 	Node     *testbed.Node
 	From, To time.Time // To is zero while it lasts
 	Warm     time.Time // when it is warm again, by the settings; zero: it was not restarted
 }
 
-// Round is operators who work on whatever machine is free, whoever of the sidecars tells them so.
+// MaintenanceRun is operators who work on whatever machine is free, whoever of the sidecars tells them so.
 // They don't know of each other.
-type Round struct {
+type MaintenanceRun struct {
 	f     *Fleet
 	Cold  time.Duration // a restarted machine is warm so long after
 	Takes time.Duration // somebody works on one
 
-	mu    sync.Mutex
-	stays map[int]*Stay
-	ended bool
-	Shown string // last
-	quit  chan struct{}
-	done  chan struct{}
+	mu      sync.Mutex
+	windows map[int]*Window
+	ended   bool
+	Shown   string // last
+	quit    chan struct{}
+	done    chan struct{}
 }
 
 // Work has the fleet go by a plan, by way of one process.
@@ -59,13 +59,13 @@
 	pausedPlan = regexp.MustCompile(`(?m)^plan (\d+) of sidecar .*: paused: `)
 )
 
-func (f *Fleet) round(takes, cold time.Duration) *Round {
-	return &Round{f: f, Cold: cold, Takes: takes, stays: make(map[int]*Stay), quit: make(chan struct{}),
+func (f *Fleet) round(takes, cold time.Duration) *MaintenanceRun {
+	return &MaintenanceRun{f: f, Cold: cold, Takes: takes, windows: make(map[int]*Window), quit: make(chan struct{}),
 		done: make(chan struct{})}
 }
 
 // Operators begin to work on what is free. Every other machine is restarted for it.
-func (f *Fleet) Operators(seed uint64, takes, cold time.Duration) *Round {
+func (f *Fleet) Operators(seed uint64, takes, cold time.Duration) *MaintenanceRun {
 	r := f.round(takes, cold)
 	go func() {
 		defer close(r.done)
@@ -104,23 +104,23 @@
 }
 
 // begin takes that somebody begins; nil: another has.
-func (r *Round) begin(turn int, name string) *Stay {
+func (r *MaintenanceRun) begin(turn int, name string) *Window {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.stays[turn] != nil {
+	if r.windows[turn] != nil {
 		return nil
 	}
 	for _, n := range r.f.Nodes {
 		if n.ID == name {
-			r.stays[turn] = &Stay{Turn: turn, Node: n, From: time.Now()}
-			return r.stays[turn]
+			r.windows[turn] = &Window{Turn: turn, Node: n, From: time.Now()}
+			return r.windows[turn]
 		}
 	}
 	return nil
 }
 
 // work works on a machine, and says that it is done until somebody has taken that.
-func (r *Round) work(x *Stay, rng *rand.Rand) {
+func (r *MaintenanceRun) work(x *Window, rng *rand.Rand) {
 	r.handle(x)
 	for {
 		s := r.f.Sidecars[rng.IntN(len(r.f.Sidecars))]
@@ -143,7 +143,7 @@
 }
 
 // handle is the work itself.
-func (r *Round) handle(x *Stay) {
+func (r *MaintenanceRun) handle(x *Window) {
 	time.Sleep(r.Takes)
 	restart := x.Turn%2 == 0
 	if restart {
@@ -163,23 +163,23 @@
 }
 
 // Ended says whether the plan is finished, as a process has said.
-func (r *Round) Ended() bool {
+func (r *MaintenanceRun) Ended() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.ended
 }
 
 // End sends the operators home.
-func (r *Round) End() {
+func (r *MaintenanceRun) End() {
 	close(r.quit)
 	<-r.done
 }
 
-// Stays are all so far.
-func (r *Round) Stays() (all []Stay) {
+// Windows are all so far.
+func (r *MaintenanceRun) Windows() (all []Window) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, x := range r.stays {
+	for _, x := range r.windows {
 		all = append(all, *x)
 	}
 	return all
@@ -188,7 +188,7 @@
 // Script is what operators do without a plan: in the list's order, so many at a time, each machine
 // is cordoned at each sidecar that answers, one after the other; what is out there is given its
 // time; then somebody works on it, has it used again at each, and waits until it is warm.
-func (f *Fleet) Script(atOnce int, takes, cold time.Duration) *Round {
+func (f *Fleet) Script(atOnce int, takes, cold time.Duration) *MaintenanceRun {
 	r := f.round(takes, cold)
 	go func() {
 		defer close(r.done)
--- a/internal/lab/testbed/fleet/maintenance_check.go
+++ b/internal/lab/testbed/fleet/maintenance_check.go
@@ -9,8 +9,8 @@
 	"caperarch/internal/lab/testbed"
 )
 
-// Found is what was broken in a round.
-type Found struct {
+// MaintenanceResult is what was broken in a round.
+type MaintenanceResult struct {
 	Bounds  []string // more machines out or cold at once than may be
 	Arrived []string // at a machine that somebody worked on, or still out there when it was said to be free
 	Astray  int      // the same, by sidecars that something had gone wrong with lately: they may have missed it
@@ -19,26 +19,27 @@
 
 // Check looks at the operators' and the upstreams' own records, for a plan that does not wait for
 // sidecars out of contact. An upstream takes delay for each request.
-func (r *Round) Check(bound int, delay, lease time.Duration) Found {
-	return r.check(bound, delay, func(s *Sidecar, x *Stay, at time.Time) bool {
+func (r *MaintenanceRun) Check(bound int, delay, lease time.Duration) MaintenanceResult {
+	return r.check(bound, delay, func(s *Sidecar, x *Window, at time.Time) bool {
 		return !s.stableThrough(at.Add(-2*lease), at)
 	})
 }
 
 // CheckAwaited is Check for a plan that waits for them: only a process that began since, or shortly
 // before, may have missed the turn.
-func (r *Round) CheckAwaited(bound int, delay, lease time.Duration) Found {
-	return r.check(bound, delay, func(s *Sidecar, x *Stay, at time.Time) bool {
+func (r *MaintenanceRun) CheckAwaited(bound int, delay, lease time.Duration) MaintenanceResult {
+	return r.check(bound, delay, func(s *Sidecar, x *Window, at time.Time) bool {
 		return s.startedWithin(x.From.Add(-2*lease), at)
 	})
 }
 
-func (r *Round) check(bound int, delay time.Duration, excused func(*Sidecar, *Stay, time.Time) bool) (found Found) {
+func (r *MaintenanceRun) check(bound int, delay time.Duration,
+	excused func(*Sidecar, *Window, time.Time) bool) (found MaintenanceResult) {
 	by := make(map[string]answer)
 	for _, x := range r.f.Answers.all() {
 		by[x.id] = x
 	}
-	all, arrivals := r.Stays(), r.f.ArrivalLog.All()
+	all, arrivals := r.Windows(), r.f.ArrivalLog.All()
 	for i := range all {
 		x := &all[i]
 		to := x.To
@@ -78,7 +79,7 @@
 // WorkTally is what became of a run in which machines were taken out.
 type WorkTally struct {
 	Tally
-	Found
+	MaintenanceResult
 	Turns int
 	Lost  bool          // the log was, and the plan with it
 	Ended time.Duration // after all was well again
@@ -120,7 +121,7 @@
 		}
 		round.End()
 	})
-	tally.Found, tally.Turns = round.CheckAwaited(bound, delay, lease), len(round.Stays())
+	tally.MaintenanceResult, tally.Turns = round.CheckAwaited(bound, delay, lease), len(round.Windows())
 	return tally, slices.Concat(broken, rules, tally.Bounds, tally.Arrived)
 }
 
--- a/internal/lab/testbed/fleet/plan.go
+++ b/internal/lab/testbed/fleet/plan.go
@@ -44,7 +44,7 @@
 
 func (p *Plan) String() string {
 	all := []string{fmt.Sprintf("seed %d, loss %.2f, twice %.2f, delay up to %v", p.Seed, p.Faults.Loss,
-		p.Faults.Twice, p.Faults.Delay)}
+		p.Faults.Duplicate, p.Faults.Delay)}
 	for _, s := range p.Steps {
 		all = append(all, fmt.Sprintf("%.1fs %s %v for %.1fs", s.At.Seconds(), s.What, s.Who, s.For.Seconds()))
 	}
@@ -56,7 +56,7 @@
 	rng := rand.New(rand.NewPCG(seed, 4))
 	p := &Plan{Seed: seed, Length: length}
 	if rng.IntN(2) == 0 {
-		p.Faults = Faults{Loss: 0.3 * rng.Float64(), Twice: 0.2 * rng.Float64(),
+		p.Faults = Faults{Loss: 0.3 * rng.Float64(), Duplicate: 0.2 * rng.Float64(),
 			Delay: time.Duration(rng.Int64N(int64(200 * time.Millisecond)))}
 	}
 	for range 1 + rng.IntN(4) {
--- a/internal/lab/testbed/fleet/policy.go
+++ b/internal/lab/testbed/fleet/policy.go
@@ -52,7 +52,8 @@
 	if err != nil || goes == nil || leader == nil {
 		return v, false
 	}
-	v = PolicyView{Mode: "cut off", InProgress: !strings.Contains(text, "under way: nothing"), Text: text, Committed: -1}
+	v = PolicyView{Mode: "cut off", InProgress: !strings.Contains(text, "under way: nothing"), Text: text,
+		Committed: -1}
 	if holds := holdsLine.FindStringSubmatch(text); holds != nil {
 		v.Committed, _ = strconv.Atoi(holds[1])
 	}
--- a/internal/lab/testbed/fleet/sidecar.go
+++ b/internal/lab/testbed/fleet/sidecar.go
@@ -138,7 +138,8 @@
 	_ = s.cmd.Process.Signal(which)
 }
 
-// Partition has nothing of the machine's reach upstreams and discovery any more, nor theirs the machine. Rejoin ends that.
+// Partition has nothing of the machine's reach upstreams and discovery any more, nor theirs the
+// machine. Heal ends that.
 func (s *Sidecar) Partition() {
 	s.f.tcp.partition(s.Number)
 	s.mu.Lock()
--- a/internal/lab/testbed/fleet/udp_relays.go
+++ b/internal/lab/testbed/fleet/udp_relays.go
@@ -12,8 +12,8 @@
 	"caperarch/internal/lab/testbed"
 )
 
-// udpRelays carries the datagrams between sidecars. Sidecar i sends to j's relay; j gets it from i's: so each finds the others at
-// addresses that are not their own.
+// udpRelays carries the datagrams between sidecars. Sidecar i sends to j's relay; j gets it from
+// i's: so each finds the others at addresses that are not their own.
 type udpRelays struct {
 	size    int
 	sockets []*net.UDPConn
@@ -31,9 +31,9 @@
 
 // Faults are what goes wrong between two sidecars.
 type Faults struct {
-	Loss, Twice float64
-	Delay       time.Duration           // at most; it differs, so that some overtake others
-	Cut         func(from, to int) bool // nil: none
+	Loss, Duplicate float64
+	Delay           time.Duration           // at most; it differs, so that some overtake others
+	Cut             func(from, to int) bool // nil: none
 }
 
 func newUDPRelays(t testbed.TB, ip func(i int) string, size int) *udpRelays {
@@ -93,7 +93,7 @@
 		d.Delayed.Add(1)
 	}
 	copies = append(copies, delay)
-	if f.Twice > 0 && d.rng.Float64() < f.Twice {
+	if f.Duplicate > 0 && d.rng.Float64() < f.Duplicate {
 		d.Doubled.Add(1)
 		copies = append(copies, delay+time.Duration(d.rng.Int64N(int64(time.Second))))
 	}
--- a/internal/lab/virtualtime/clock.go
+++ b/internal/lab/virtualtime/clock.go
@@ -14,24 +14,24 @@
 	order uint64
 }
 
-// Alarm is something that comes due.
-type Alarm struct {
+// Timer is something that comes due.
+type Timer struct {
 	at    time.Duration
 	order uint64
 	do    func() // nil: called off
 }
 
-// Off calls it off.
-func (a *Alarm) Off() { a.do = nil }
+// Stop calls it off.
+func (a *Timer) Stop() { a.do = nil }
 
-type queue []*Alarm
+type queue []*Timer
 
 func (q queue) Len() int { return len(q) }
 func (q queue) Less(i, j int) bool {
 	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].order < q[j].order
 }
 func (q queue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
-func (q *queue) Push(x any)   { *q = append(*q, x.(*Alarm)) }
+func (q *queue) Push(x any)   { *q = append(*q, x.(*Timer)) }
 func (q *queue) Pop() any {
 	old := *q
 	last := old[len(old)-1]
@@ -41,9 +41,9 @@
 }
 
 // After asks for a call after d; what is past comes at once.
-func (c *Clock) After(d time.Duration, do func()) *Alarm {
+func (c *Clock) After(d time.Duration, do func()) *Timer {
 	c.order++
-	a := &Alarm{at: c.Now + max(d, 0), order: c.order, do: do}
+	a := &Timer{at: c.Now + max(d, 0), order: c.order, do: do}
 	heap.Push(&c.due, a)
 	return a
 }
@@ -65,7 +65,7 @@
 // While plays up to a time as long as something holds, looked at after each call; it says whether it still does.
 func (c *Clock) While(t time.Duration, holds func() bool) bool {
 	for len(c.due) > 0 && c.due[0].at <= t {
-		a := heap.Pop(&c.due).(*Alarm)
+		a := heap.Pop(&c.due).(*Timer)
 		c.Now = a.at
 		if a.do == nil {
 			continue
--- a/internal/lab/virtualtime/process.go
+++ b/internal/lab/virtualtime/process.go
@@ -16,12 +16,12 @@
 // Lives says whether it runs now.
 func (p *Process) Lives() bool { return !p.Down && p.Stopped == 0 }
 
-// Begin has it run, as one to which nothing has come.
-func (p *Process) Begin() { *p = Process{} }
+// Restart has it run, as one to which nothing has come.
+func (p *Process) Restart() { *p = Process{} }
 
-// StandStill has it stand still for a while. on is called when it goes on, before what has come is
+// Pause has it stand still for a while. on is called when it goes on, before what has come is
 // taken; nil: nothing is.
-func (p *Process) StandStill(c *Clock, d time.Duration, on func()) {
+func (p *Process) Pause(c *Clock, d time.Duration, on func()) {
 	if p.Down {
 		return
 	}
@@ -56,28 +56,28 @@
 
 // Faults are what goes wrong with messages.
 type Faults struct {
-	Rng   *rand.Rand
-	Loss  float64
-	Twice float64                 // part that arrives twice, the second time up to 3 s late
-	Most  time.Duration           // a message takes at most this
-	Held  time.Duration           // what is sent before then arrives at that moment
-	Cut   func(from, to int) bool // nil: none
+	Rng         *rand.Rand
+	Loss        float64
+	Duplicate   float64                 // part that arrives twice, the second time up to 3 s late
+	MaxDelay    time.Duration           // a message takes at most this
+	HoldUntil   time.Duration           // what is sent before then arrives at that moment
+	Partitioned func(from, to int) bool // nil: none
 }
 
-// Carry has a message arrive, if and as often as it does.
-func (f *Faults) Carry(c *Clock, from, to int, arrive func()) {
-	cut := func() bool { return f.Cut != nil && f.Cut(from, to) }
+// Deliver has a message arrive, if and as often as it does.
+func (f *Faults) Deliver(c *Clock, from, to int, arrive func()) {
+	cut := func() bool { return f.Partitioned != nil && f.Partitioned(from, to) }
 	if f.Rng.Float64() < f.Loss || cut() {
 		return
 	}
 	copies := 1
-	if f.Rng.Float64() < f.Twice {
+	if f.Rng.Float64() < f.Duplicate {
 		copies = 2
 	}
 	for k := range copies {
-		delay := time.Duration(f.Rng.Int64N(int64(f.Most)))
+		delay := time.Duration(f.Rng.Int64N(int64(f.MaxDelay)))
 		delay += time.Duration(k) * time.Duration(f.Rng.Int64N(int64(3*time.Second)))
-		c.After(max(delay, f.Held-c.Now), func() {
+		c.After(max(delay, f.HoldUntil-c.Now), func() {
 			if !cut() {
 				arrive()
 			}
