--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -17,7 +17,10 @@
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 func settings(self, balancers int, peers ...string) *config.Config {
-	return &config.Config{PeersAllowed: true, PeerListen: "127.0.0.1:0", Peers: peers, Policy: policy.Config{Index: self, Balancers: balancers}, Seed: uint64(7 + self)}
+	return &config.Config{
+		PeersAllowed: true, PeerListen: "127.0.0.1:0", Peers: peers,
+		Policy: policy.Config{Index: self, Balancers: balancers}, Seed: uint64(7 + self),
+	}
 }
 
 func quiet() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
@@ -42,8 +45,8 @@
 	}
 }
 
-// Two of one number: who has the address that the others know is heard, the other one is not, and never comes into contact. Three sidecars where the settings tell
-// of two lower budgets.
+// Two of one number: who has the address that the others know is heard, the other one is not, and
+// never comes into contact. Three sidecars where the settings tell of two lower budgets.
 func TestTwoOfOneNumber(t *testing.T) {
 	var peers []string
 	for range 3 {
@@ -84,7 +87,8 @@
 	}
 	var text strings.Builder
 	v := all[0].View()
-	if err := v.Text(&text); err != nil || strings.Count(text.String(), "\nmember ") != 2 || !strings.HasPrefix(text.String(), "self 0: in contact") {
+	if err := v.Text(&text); err != nil || strings.Count(text.String(), "\nmember ") != 2 ||
+		!strings.HasPrefix(text.String(), "self 0: in contact") {
 		t.Errorf("%v: %s", err, text.String())
 	}
 	stop()
--- a/internal/fleet/peer/link.go
+++ b/internal/fleet/peer/link.go
@@ -126,7 +126,6 @@
 	return l.counters
 }
 
-// handleDatagram takes one datagram.
 // countRead counts a datagram, and why it is dropped.
 func (l *Link) countRead(err error) {
 	l.mu.Lock()
--- /dev/null
+++ b/internal/fleet/policy_host.go
@@ -0,0 +1,77 @@
+package fleet
+
+import (
+	"fmt"
+
+	"caperarch/internal/fleet/maintenance"
+	"caperarch/internal/fleet/peer"
+	"caperarch/internal/fleet/replicatedstate"
+)
+
+// policyHost carries out what the node decides (replicatedstate.Host). Its methods are called with
+// the lock held.
+type policyHost struct{ p *Policy }
+
+// Send sends a message of the node.
+func (h policyHost) Send(to int, raw []byte, urgent bool) {
+	if h.p.link == nil {
+		return
+	}
+	priority := peer.Decision
+	if urgent {
+		priority = peer.Urgent
+	}
+	h.p.link.SendDecision(to, raw, priority)
+}
+
+// Changed publishes and logs an event of the node.
+func (h policyHost) Changed(e replicatedstate.Event) {
+	log := h.p.fleet.log
+	switch e.Kind {
+	case "goes by":
+		h.p.publishActive()
+		log.Info(
+			"policy: goes by", "mode", e.Active.Mode.String(), "version", e.Active.New.Version,
+			"old", e.Active.Old.Version,
+		)
+	case "leads", "log":
+		if e.Kind == "log" {
+			h.p.maintenance.clearance, h.p.maintenance.logCount = maintenance.LocalClearance{}, h.p.maintenance.logCount+1
+		}
+		log.Info("policy: "+e.Kind, "number", e.By, "what", e.Why)
+	case "entry":
+		log.Error("policy: an entry of the log can't be read, this sidecar is cut off", "error", e.Why)
+	default:
+		if e.Kind == "taken" || e.Kind == "called off" || e.Kind == "refused" {
+			h.p.outcomes[e.Kind]++
+		}
+		log.Info(
+			"policy: "+e.Kind, "version", e.Version, "hash", fmt.Sprintf("%x", e.Hash[:6]), "by",
+			e.By, "why", e.Why,
+		)
+	}
+}
+
+// Worked publishes and logs an applied entry about maintenance.
+func (h policyHost) Worked(s maintenance.Step) {
+	p := h.p
+	if s.Kind == maintenance.Opened || s.Kind == maintenance.Withdrawn || s.Kind == maintenance.Done {
+		if p.node != nil {
+			p.publishMachinesOut()
+		}
+	}
+	if s.Kind == maintenance.LeaderStarted {
+		return
+	}
+	args := []any{"number", s.Number, "by", s.By}
+	if s.Machine != 0 {
+		args = append(args, "machine", p.machineName(s.Machine))
+	}
+	if s.Plan != 0 {
+		args = append(args, "plan", s.Plan)
+	}
+	if s.Why != "" {
+		args = append(args, "why", s.Why)
+	}
+	p.fleet.log.Info("work: "+s.Kind.String(), args...)
+}
--- a/internal/fleet/policy_test.go
+++ b/internal/fleet/policy_test.go
@@ -26,7 +26,11 @@
 	if edit != nil {
 		edit(c)
 	}
-	return New(c, &config.Fleet{Path: "fleet.toml", Name: "hives", Policy: &config.FleetPolicy{FallbackPolicy: []byte(cutOff)}}, quiet())
+	return New(
+		c,
+		&config.Fleet{Path: "fleet.toml", Name: "hives", Policy: &config.FleetPolicy{FallbackPolicy: []byte(cutOff)}},
+		quiet(),
+	)
 }
 
 func TestCutOffIsChecked(t *testing.T) {
@@ -46,14 +50,22 @@
 			t.Errorf("%q: %v, want an error that says %q", cutOff, err, says)
 		}
 	}
-	if _, err := withPolicy(t, "[retry]\nfree = 1.0\n", func(c *config.Config) { c.Policy.Budget = policy.RetryBudget{} }); err == nil || !strings.Contains(err.Error(), "no retry budget") {
+	if _, err := withPolicy(
+		t, "[retry]\nfree = 1.0\n",
+		func(c *config.Config) { c.Policy.Budget = policy.RetryBudget{} },
+	); err == nil || !strings.Contains(err.Error(), "no retry budget") {
 		t.Errorf("a retry budget where there is none: %v", err)
 	}
 }
 
-// One alone: cut off, then by its own log, then by what is proposed; a clock that went on while it stood still finds it cut off at the first question.
+// One alone: cut off, then by its own log, then by what is proposed; a clock that went on while it
+// stood still finds it cut off at the first question.
 func TestOneAlone(t *testing.T) {
-	f, err := withPolicy(t, "out = [\"s-1\"]\n[limits]\nopen = 10\nqueue = 0\n[tenants.north]\nshare = 0.1\nquota = 10.0\n[tenants.south]\nshare = 0.1\nquota = 10.0\n", nil)
+	f, err := withPolicy(
+		t,
+		"out = [\"s-1\"]\n[limits]\nopen = 10\nqueue = 0\n[tenants.north]\nshare = 0.1\nquota = 10.0\n[tenants.south]\nshare = 0.1\nquota = 10.0\n",
+		nil,
+	)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -91,14 +103,23 @@
 		t.Error("not cut off at the beginning")
 	}
 	pass(12 * time.Second)
-	if now := p.Active(); now.Mode != policyrollout.One || now.Limits.Open != 100 || len(now.Engine.Tenants) != 2 || now.Engine.Tenants[0].Share != 0.75 || now.Engine.Queue != unbounded {
+	if now := p.Active(); now.Mode != policyrollout.One || now.Limits.Open != 100 ||
+		len(now.Engine.Tenants) != 2 || now.Engine.Tenants[0].Share != 0.75 || now.Engine.Queue != unbounded {
 		t.Fatalf("by its log it goes by %+v", now)
 	}
-	text := []byte("out = [\"s-1\"]\n[limits]\nopen = 50\nqueue = 4\n[tenants.south]\nshare = 0.5\nquota = 20.0\n[tenants.north]\nquota = 30.0\n")
-	if got := call(func(b *bytes.Buffer) error { return p.Propose([]string{policyrollout.Hash(text), "0"}, b) }); !strings.Contains(got, "no text of this hash") {
+	text := []byte(
+		"out = [\"s-1\"]\n[limits]\nopen = 50\nqueue = 4\n[tenants.south]\nshare = 0.5\nquota = 20.0\n[tenants.north]\nquota = 30.0\n",
+	)
+	if got := call(
+		func(b *bytes.Buffer) error { return p.Propose([]string{policyrollout.Hash(text), "0"}, b) },
+	); !strings.Contains(got, "no text of this hash") {
 		t.Errorf("proposed without its text: %s", got)
 	}
-	for _, words := range [][]string{{"ab", "0", "1", "=YQ"}, {policyrollout.Hash(text), "1", "1", "=YQ"}, {policyrollout.Hash(text), "0", "1000000", "=YQ"}, {policyrollout.Hash(text), "0", "1", "=!"}, {"ab"}} {
+	for _, words := range [][]string{
+		{"ab", "0", "1", "=YQ"}, {policyrollout.Hash(text), "1", "1", "=YQ"},
+		{policyrollout.Hash(text), "0", "1000000", "=YQ"},
+		{policyrollout.Hash(text), "0", "1", "=!"}, {"ab"},
+	} {
 		if p.Upload(words) == nil {
 			t.Errorf("%v: taken", words)
 		}
@@ -108,21 +129,28 @@
 			t.Fatal(err)
 		}
 	}
-	if got := call(func(b *bytes.Buffer) error { return p.Propose([]string{policyrollout.Hash(text), "0"}, b) }); !strings.HasPrefix(got, "version 1 proposed, hash "+policyrollout.Hash(text)) {
+	if got := call(
+		func(b *bytes.Buffer) error { return p.Propose([]string{policyrollout.Hash(text), "0"}, b) },
+	); !strings.HasPrefix(got, "version 1 proposed, hash "+policyrollout.Hash(text)) {
 		t.Fatal(got)
 	}
 	pass(2 * time.Second)
 	now := p.Active()
-	if now.Mode != policyrollout.One || now.New.Version != 1 || now.Limits.Open != 50 || now.Engine.Queue != 4 || now.Engine.Tenants[1] != (policy.Tenant{Share: 0.5, Quota: 20}) || fmt.Sprint(now.Limits.Out) != "[s-1]" {
+	if now.Mode != policyrollout.One || now.New.Version != 1 || now.Limits.Open != 50 ||
+		now.Engine.Queue != 4 || now.Engine.Tenants[1] != (policy.Tenant{Share: 0.5, Quota: 20}) || fmt.Sprint(now.Limits.Out) != "[s-1]" {
 		t.Fatalf("it goes by %+v", now)
 	}
 	if p.Active() != now {
 		t.Error("the same limits have another pointer at each question")
 	}
-	if got := call(func(b *bytes.Buffer) error { return p.History(b) }); !strings.Contains(got, "version 1 of sidecar 0") || !strings.Contains(got, ": taken") {
+	if got := call(
+		func(b *bytes.Buffer) error { return p.History(b) },
+	); !strings.Contains(got, "version 1 of sidecar 0") || !strings.Contains(got, ": taken") {
 		t.Errorf("history: %s", got)
 	}
-	if got := call(func(b *bytes.Buffer) error { return p.Abort(b) }); !strings.Contains(got, "no change is under way") {
+	if got := call(
+		func(b *bytes.Buffer) error { return p.Abort(b) },
+	); !strings.Contains(got, "no change is under way") {
 		t.Errorf("abort: %s", got)
 	}
 	if g := f.Metrics().Policy; g.Holds != 1 || g.Goes != "one" || g.Changes["taken"] != 1 {
@@ -144,7 +172,12 @@
 // quietLink is a link of a fleet of one.
 func quietLink(t *testing.T, f *Fleet) *peer.Link {
 	t.Helper()
-	l, err := peer.Open(peer.Config{Listen: f.cfg.PeerListen, Peers: f.peers, Fleet: "hives", Incarnation: f.incarnation, BytesPerSecond: 4096, Now: f.now})
+	l, err := peer.Open(
+		peer.Config{
+			Listen: f.cfg.PeerListen, Peers: f.peers, Fleet: "hives", Incarnation: f.incarnation,
+			BytesPerSecond: 4096, Now: f.now,
+		},
+	)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/fleet/text.go
+++ b/internal/fleet/text.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// Text writes a view, a line for this sidecar, one for what went over the link and one for each other. Times are in seconds.
+// Text writes a view: a line for this sidecar, one for the link's counters and one for each other
+// sidecar. Times are in seconds.
 func (v *View) Text(to io.Writer) error {
 	contact := "out of contact"
 	if v.InContact {
@@ -19,11 +20,14 @@
 	s, l := v.Stats, v.Link
 	if _, err := fmt.Fprintf(to, "self %d: %s, lease %s, session %v, %d sidecars at least\n"+
 		"counts: probes %d, unanswered %d, suspicions %d, refuted %d, accused %d, lapses %d, stalls %d\n"+
-		"link: sent %d (%d bytes), read %d, dropped: length %d, spoilt %d, other fleet %d, newer form %d, address %d; spared %d, failed %d\n"+
+		"link: sent %d (%d bytes), read %d, "+
+		"dropped: length %d, spoilt %d, other fleet %d, newer form %d, address %d; spared %d, failed %d\n"+
 		"servers that do not answer here: %d, doubted by others: %d\n",
 		v.Self, contact, seconds(v.Lease), v.Session, v.Sidecars,
 		s.Probes, s.Unanswered, s.Suspicions, s.Refuted, s.Accused, s.Lapses, s.Stalls,
-		l.Sent, l.SentBytes, l.Read, l.Length, l.Malformed, l.OtherFleet, l.NewerFormat, l.Address, l.OverBudget, l.Failed, v.Unresponsive, v.Doubted); err != nil {
+		l.Sent, l.SentBytes, l.Read,
+		l.Length, l.Malformed, l.OtherFleet, l.NewerFormat, l.Address, l.OverBudget, l.Failed,
+		v.Unresponsive, v.Doubted); err != nil {
 		return err
 	}
 	for _, m := range v.Members {
@@ -38,7 +42,8 @@
 			why += ", over for good"
 		}
 		if _, err := fmt.Fprintf(to, "member %d: %s for %s%s, heard %s ago, answered %s ago, session %v\n",
-			m.Number, m.State, seconds(v.Now-m.Since), why, since(v.Now, m.LastReceived), since(v.Now, m.LastLeaseAck), m.Session); err != nil {
+			m.Number, m.State, seconds(v.Now-m.Since), why,
+			since(v.Now, m.LastReceived), since(v.Now, m.LastLeaseAck), m.Session); err != nil {
 			return err
 		}
 	}
