--- a/internal/proxy/h1/head_test.go
+++ b/internal/proxy/h1/head_test.go
@@ -54,28 +54,30 @@
 func TestAmbiguousHeadsAreRejected(t *testing.T) {
 	line, host := "POST / HTTP/1.1\r\n", "Host: a\r\n"
 	for text, status := range map[string]int{
-		"\r\n" + usable:                                                                            400, // an empty line first
-		"\n":                                                                                       400,
-		"\x00\x01 noise":                                                                           400, // before any line end
-		"GET / HTTP/1.1\nHost: a\n\n":                                                              400, // bare LF
-		"GET / HTTP/1.1\r\nHost: a\n\r\n":                                                          400,
-		"GET / HTTP/1.1\r\nX: a\rb\r\n\r\n":                                                        400, // bare CR
-		"GET  / HTTP/1.1\r\nHost: a\r\n\r\n":                                                       400,
-		"GET /a b HTTP/1.1\r\nHost: a\r\n\r\n":                                                     400,
-		"GET / HTTP/1.1 \r\nHost: a\r\n\r\n":                                                       400,
-		"G@T / HTTP/1.1\r\nHost: a\r\n\r\n":                                                        400,
-		"GET http://b/ HTTP/1.1\r\nHost: a\r\n\r\n":                                                400, // against Host
-		"GET http:///x HTTP/1.1\r\nHost: a\r\n\r\n":                                                400,
-		"GET http://u@a/x HTTP/1.1\r\nHost: u@a\r\n\r\n":                                           400,
-		"GET ftp://a/x HTTP/1.1\r\nHost: a\r\n\r\n":                                                400,
-		"GET * HTTP/1.1\r\nHost: a\r\n\r\n":                                                        400,
-		"GET /\x80 HTTP/1.1\r\nHost: a\r\n\r\n":                                                    400,
-		"GET /%4 HTTP/1.1\r\nHost: a\r\n\r\n":                                                      400,
-		"GET /#x HTTP/1.1\r\nHost: a\r\n\r\n":                                                      400,
-		"GET / HTTP/2.0\r\nHost: a\r\n\r\n":                                                        505,
-		"GET / HTTP/1.10\r\nHost: a\r\n\r\n":                                                       400,
-		"GET / http/1.1\r\nHost: a\r\n\r\n":                                                        400,
-		"GET / HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n":                                     505,
+		// an empty line first:
+		"\r\n" + usable: 400,
+		"\n":            400,
+		// before any line end:
+		"\x00\x01 noise":                                       400,
+		"GET / HTTP/1.1\nHost: a\n\n":                          400, // bare LF
+		"GET / HTTP/1.1\r\nHost: a\n\r\n":                      400,
+		"GET / HTTP/1.1\r\nX: a\rb\r\n\r\n":                    400, // bare CR
+		"GET  / HTTP/1.1\r\nHost: a\r\n\r\n":                   400,
+		"GET /a b HTTP/1.1\r\nHost: a\r\n\r\n":                 400,
+		"GET / HTTP/1.1 \r\nHost: a\r\n\r\n":                   400,
+		"G@T / HTTP/1.1\r\nHost: a\r\n\r\n":                    400,
+		"GET http://b/ HTTP/1.1\r\nHost: a\r\n\r\n":            400, // against Host
+		"GET http:///x HTTP/1.1\r\nHost: a\r\n\r\n":            400,
+		"GET http://u@a/x HTTP/1.1\r\nHost: u@a\r\n\r\n":       400,
+		"GET ftp://a/x HTTP/1.1\r\nHost: a\r\n\r\n":            400,
+		"GET * HTTP/1.1\r\nHost: a\r\n\r\n":                    400,
+		"GET /\x80 HTTP/1.1\r\nHost: a\r\n\r\n":                400,
+		"GET /%4 HTTP/1.1\r\nHost: a\r\n\r\n":                  400,
+		"GET /#x HTTP/1.1\r\nHost: a\r\n\r\n":                  400,
+		"GET / HTTP/2.0\r\nHost: a\r\n\r\n":                    505,
+		"GET / HTTP/1.10\r\nHost: a\r\n\r\n":                   400,
+		"GET / http/1.1\r\nHost: a\r\n\r\n":                    400,
+		"GET / HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n": 505,
 		line + "\r\n":                                                                              400, // no Host
 		line + host + host + "\r\n":                                                                400,
 		line + "Host: a/b\r\n\r\n":                                                                 400,
