--- a/cmd/caperarch/fleetpolicy_test.go
+++ b/cmd/caperarch/fleetpolicy_test.go
@@ -99,7 +99,7 @@
 	if turns > p.changes {
 		p.Errorf("requests turned from one upstream to the other %d times, by %d changes at most: two policies were gone by at once", turns, p.changes)
 	}
-	p.Logf("%+v, statuses other than 200: %v; %d proposals, %d changes at most, %d turns; the longest datagram %d bytes", tally, p.Status(), p.proposed, p.changes, turns, p.Peers.Longest.Load())
+	p.Logf("%+v, statuses other than 200: %v; %d proposals, %d changes at most, %d turns; the longest datagram %d bytes", tally, p.CountByStatus(), p.proposed, p.changes, turns, p.Peers.Longest.Load())
 	if tally.Served < 1000 || turns < least || p.Peers.Longest.Load() > 256 {
 		p.Error("it was not what it was to be")
 	}
--- a/cmd/caperarch/work_test.go
+++ b/cmd/caperarch/work_test.go
@@ -103,7 +103,7 @@
 	for _, b := range slices.Concat(broken, found.Bounds, found.Arrived) {
 		t.Error(b)
 	}
-	t.Logf("six machines after %v; %+v, statuses other than 200: %v; %d requests at a free machine by sidecars that something had just happened to", took, tally, f.Status(), found.Astray)
+	t.Logf("six machines after %v; %+v, statuses other than 200: %v; %d requests at a free machine by sidecars that something had just happened to", took, tally, f.CountByStatus(), found.Astray)
 	seen := make(map[string]int)
 	for _, x := range round.Windows() {
 		seen[x.Node.ID]++
--- a/cmd/measure/fleet_peers_virtual.go
+++ b/cmd/measure/fleet_peers_virtual.go
@@ -11,8 +11,8 @@
 
 // virtualFleet is a fleet in virtual time that has been in contact for a while.
 func virtualFleet(size int, seed uint64, loss float64) *swimsim.Net {
-	n := swimsim.New(swimsim.Config{Size: size, Seed: seed, Loss: loss, Bytes: peer.Size, Spend: 2048,
-		Least: time.Millisecond, Most: 20 * time.Millisecond})
+	n := swimsim.New(swimsim.Config{Size: size, Seed: seed, Loss: loss, Bytes: peer.Size, BytesPerSecond: 2048,
+		MinDelay: time.Millisecond, MaxDelay: 20 * time.Millisecond})
 	n.Run(2*swim.LeaseFor(size) + 20*time.Second)
 	return n
 }
@@ -83,7 +83,8 @@
 
 // contactAfterStart is how long after a start of all at once 95% are in contact.
 func contactAfterStart(size int, seed uint64) time.Duration {
-	n := swimsim.New(swimsim.Config{Size: size, Seed: seed, Least: time.Millisecond, Most: 20 * time.Millisecond})
+	n := swimsim.New(swimsim.Config{Size: size, Seed: seed, MinDelay: time.Millisecond,
+		MaxDelay: 20 * time.Millisecond})
 	in, need := 0, max(1, size*95/100)
 	n.Seen = func(node int, c swim.Change) {
 		if c.Member == node && c.Contact {
--- a/cmd/measure/fleet_policy_virtual.go
+++ b/cmd/measure/fleet_policy_virtual.go
@@ -12,7 +12,8 @@
 // virtualChange has so many change their policy in virtual time, each with the bytes that swim leaves of its budget.
 func virtualChange(size int) string {
 	lease := swim.LeaseFor(size)
-	n := replicatedstatesim.New(replicatedstatesim.Config{Size: size, Seed: 1, Lease: lease, Rate: 0.001, Spend: 2048})
+	n := replicatedstatesim.New(replicatedstatesim.Config{Size: size, Seed: 1, Lease: lease, Rate: 0.001,
+		BytesPerSecond: 2048})
 	n.Run(time.Second)
 	if err := n.Nodes[0].Bootstrap(n.Nodes[0].Time(), 1<<56); err != nil {
 		return err.Error()
--- a/cmd/measure/fleet_work_virtual.go
+++ b/cmd/measure/fleet_work_virtual.go
@@ -28,12 +28,12 @@
 				Weight: 1, State: maintenance.MachineReady, Warmth: 1})
 	}
 	n := replicatedstatesim.New(replicatedstatesim.Config{Size: size, Seed: seed,
-		Lease: swim.LeaseFor(size), Rate: 0.001, Spend: 2048, Site: site})
+		Lease: swim.LeaseFor(size), Rate: 0.001, BytesPerSecond: 2048, Site: site})
 	n.Run(time.Second)
 	if err := n.Nodes[0].Bootstrap(n.Nodes[0].Time(), 1<<56); err != nil {
 		return virtualWork{broken: []string{err.Error()}}
 	}
-	if !n.Until(3*time.Minute, n.Quiet) {
+	if !n.Until(3*time.Minute, n.Converged) {
 		return virtualWork{broken: []string{"not all go by the log"}}
 	}
 	n.Run(time.Minute)
@@ -74,6 +74,6 @@
 	r.took = (n.Now - begun).Seconds()
 	r.ideal = float64((machines+atOnce-1)/atOnce) * (workTakes + workCold).Seconds()
 	r.bytes = float64(n.Bytes-bytes) / r.took / float64(size)
-	r.given, r.over, r.astray = site.Given, site.Over, site.Astray
+	r.given, r.over, r.astray = site.Opened, site.Closed, site.Astray
 	return r
 }
--- a/internal/fleet/replicatedstate/history_test.go
+++ b/internal/fleet/replicatedstate/history_test.go
@@ -97,7 +97,7 @@
 	for i := range n.Nodes {
 		n.Boot(i)
 	}
-	whole := func() bool { return n.Broken != nil || n.Quiet() }
+	whole := func() bool { return n.Broken != nil || n.Converged() }
 	if lost = n.Lost(); lost && rng.IntN(2) == 0 {
 		n.Run(time.Duration(rng.Int64N(int64(10 * time.Second))))
 	}
--- a/internal/fleet/replicatedstate/maintenance_test.go
+++ b/internal/fleet/replicatedstate/maintenance_test.go
@@ -159,7 +159,7 @@
 		if n.Broken != nil {
 			t.Fatalf("seed %d: %s", s, strings.Join(n.Broken[:min(3, len(n.Broken))], "\n"))
 		}
-		given, freed, over, sent, astray, longest = given+n.Site.Given, freed+n.Site.Freed, over+n.Site.Over, sent+n.Site.Sent, astray+n.Site.Astray, max(longest, n.Longest)
+		given, freed, over, sent, astray, longest = given+n.Site.Opened, freed+n.Site.Released, over+n.Site.Closed, sent+n.Site.Sent, astray+n.Site.Astray, max(longest, n.Longest)
 	}
 	t.Logf(
 		"%d turns given, %d free, %d over; %d requests, %d to a free machine by one out of contact; the longest message %d bytes",
--- a/internal/fleet/replicatedstate/replicatedstate_test.go
+++ b/internal/fleet/replicatedstate/replicatedstate_test.go
@@ -26,7 +26,7 @@
 		t.Fatal(err)
 	}
 	n.Watch(20 * time.Millisecond)
-	if !n.Until(30*time.Second, n.Quiet) {
+	if !n.Until(30*time.Second, n.Converged) {
 		t.Fatalf("seed %d: not all go by the log: %s", seed, n.Text())
 	}
 	return n
@@ -65,7 +65,7 @@
 	if _, err := other.Propose(other.Time(), replicatedstatesim.Text(2), 0); err != nil {
 		t.Fatal(err)
 	}
-	if !n.Until(10*time.Second, func() bool { return n.Quiet() && holds(m) == 1 }) {
+	if !n.Until(10*time.Second, func() bool { return n.Converged() && holds(m) == 1 }) {
 		t.Fatal(n.Text())
 	}
 	a, b := m.View(m.Time()).Proposals[0].Outcome, other.View(other.Time()).Proposals[0].Outcome
@@ -231,7 +231,7 @@
 			t.Fatal(err)
 		}
 		n.Watch(20 * time.Millisecond)
-		n.Until(30*time.Second, n.Quiet)
+		n.Until(30*time.Second, n.Converged)
 		if _, err := n.Nodes[1].Propose(n.Nodes[1].Time(), replicatedstatesim.Text(1), 0); err != nil {
 			t.Fatal(err)
 		}
@@ -246,7 +246,7 @@
 				t.Errorf("n%d has just started and goes by %v", i, goes.Mode)
 			}
 		}
-		again := n.Until(30*time.Second, func() bool { return n.Quiet() && holds(n.Nodes[3]) == 1 })
+		again := n.Until(30*time.Second, func() bool { return n.Converged() && holds(n.Nodes[3]) == 1 })
 		if again != disks || n.Broken != nil {
 			t.Errorf("disks %v: by version 1 again %v; %v", disks, again, n.Broken)
 		}
--- a/internal/fleet/replicatedstate/size_test.go
+++ b/internal/fleet/replicatedstate/size_test.go
@@ -14,14 +14,14 @@
 func TestThreeHundred(t *testing.T) {
 	const size, budget = 300, 1200.0 // of 2,048 a second: what swim leaves
 	n := replicatedstatesim.New(
-		replicatedstatesim.Config{Size: size, Seed: 3, Lease: 15 * time.Second, Rate: 0.001, Spend: budget},
+		replicatedstatesim.Config{Size: size, Seed: 3, Lease: 15 * time.Second, Rate: 0.001, BytesPerSecond: budget},
 	)
 	n.Run(time.Second)
 	if err := n.Nodes[0].Bootstrap(n.Nodes[0].Time(), 1<<56); err != nil {
 		t.Fatal(err)
 	}
 	n.Watch(50 * time.Millisecond)
-	if !n.Until(2*time.Minute, n.Quiet) {
+	if !n.Until(2*time.Minute, n.Converged) {
 		t.Fatalf("not all go by the log: %s", n.Text())
 	}
 	t.Logf("all go by the log %v after it was founded", n.Now-time.Hour-time.Second)
@@ -81,7 +81,7 @@
 			t.Fatalf("%s: not within %v: %v %s", name, within, n.Broken, n.Text())
 		}
 		took := n.Now - begun
-		if !n.Until(time.Minute, n.Quiet) {
+		if !n.Until(time.Minute, n.Converged) {
 			t.Fatalf("%s: it does not settle: %s", name, n.Text())
 		}
 		t.Logf("%s: all by the new one after %v, %d cut off then; nothing under way and nobody cut off after %v; %d messages, %d KiB over the fleet", name, took, cut, n.Now-begun,
--- a/internal/fleet/swim/budget_test.go
+++ b/internal/fleet/swim/budget_test.go
@@ -15,7 +15,7 @@
 func TestHundredWithinTheirBudget(t *testing.T) {
 	for _, loss := range []float64{0, 0.1, 0.2, 0.3} {
 		n := swimsim.New(
-			swimsim.Config{Size: 100, Seed: 1, Loss: loss, Bytes: peer.Size, Spend: swim.DefaultBytesPerSecond},
+			swimsim.Config{Size: 100, Seed: 1, Loss: loss, Bytes: peer.Size, BytesPerSecond: swim.DefaultBytesPerSecond},
 		)
 		n.Run(30 * time.Second)
 		gone, lapsed := 0, 0
--- a/internal/fleet/swim/history_test.go
+++ b/internal/fleet/swim/history_test.go
@@ -73,7 +73,7 @@
 		all *= ways
 	}
 	for number := range all {
-		plan := &swimsim.Plan{Most: 10 * time.Millisecond}
+		plan := &swimsim.Plan{MaxDelay: 10 * time.Millisecond}
 		for k, rest := 0, number; k < *depth; k, rest = k+1, rest/ways {
 			if way := rest % ways; way > 0 {
 				s := swimsim.Step{
--- a/internal/lab/emulator/fleet.go
+++ b/internal/lab/emulator/fleet.go
@@ -105,7 +105,7 @@
 		}
 	}
 	if len(cfg.Tenants) != max(1, len(cfg.Module.Tenants)) || len(cfg.Classes) != len(cfg.Module.Classes) {
-		return nil, fmt.Errorf("emu: %d tenants and %d classes, the module has %d and %d",
+		return nil, fmt.Errorf("emulator: %d tenants and %d classes, the module has %d and %d",
 			len(cfg.Tenants), len(cfg.Classes), len(cfg.Module.Tenants), len(cfg.Module.Classes))
 	}
 	f := &Fleet{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 1)), byID: make(map[policy.ServerID]*node)}
--- a/internal/lab/emulator/mass.go
+++ b/internal/lab/emulator/mass.go
@@ -61,11 +61,31 @@
 			Reports: policy.HasInFlight | policy.HasService | policy.HasServed | policy.HasErrors,
 		},
 	}
+	capacity := m.servers(&c, rng)
+	c.Rate = m.Load * capacity
+	cv := between(rng, 0.3, 0.8)
+	sigma := math.Sqrt(math.Log(1 + cv*cv))
+	for i := range m.Sidecars {
+		share := math.Exp(sigma * rng.NormFloat64())
+		if m.Heavy && i%10 == 0 {
+			share *= 9
+		}
+		c.Shares = append(c.Shares, share)
+	}
+	m.traffic(&c)
+	quota := between(rng, 0.73, 0.92) * capacity
+	for _, t := range c.Tenants {
+		c.Module.Tenants = append(c.Module.Tenants, policy.Tenant{Share: t.Share, Quota: t.Share * quota})
+	}
+	return c
+}
+
+// servers draws the servers, and returns how many requests a second they can do.
+func (m *Mass) servers(c *Config, rng *rand.Rand) (capacity float64) {
 	at, over, slower := between(rng, 4, 7), between(rng, 1.5, 2.5), between(rng, 2.1, 3.3)
 	rest, below, until := between(rng, 2.3, 4.7), between(rng, 0.25, 0.4), between(rng, 21, 32)
 	seconds := func(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 	work := c.Classes[0].Share*c.Classes[0].Work.Seconds() + c.Classes[1].Share*c.Classes[1].Work.Seconds()
-	capacity := 0.0
 	for i := range m.Servers {
 		kind := []struct{ speed, cv float64 }{{1.6, 0.12}, {0.6, 0.15}, {0.95, 0.1}, {0.6, 0.15}, {1.6, 0.12}}[i%5]
 		s := Server{Cores: 2, Speed: kind.speed * math.Exp(kind.cv*rng.NormFloat64()),
@@ -78,16 +98,11 @@
 		c.Servers = append(c.Servers, s)
 		capacity += float64(s.Cores) * s.Speed / work
 	}
-	c.Rate = m.Load * capacity
-	cv := between(rng, 0.3, 0.8)
-	sigma := math.Sqrt(math.Log(1 + cv*cv))
-	for i := range m.Sidecars {
-		share := math.Exp(sigma * rng.NormFloat64())
-		if m.Heavy && i%10 == 0 {
-			share *= 9
-		}
-		c.Shares = append(c.Shares, share)
-	}
+	return capacity
+}
+
+// traffic sets how much of the usual rate each sidecar and tenant has at a time.
+func (m *Mass) traffic(c *Config) {
 	burst := func(now time.Duration) bool { return now >= m.BurstFrom && now < m.BurstFrom+m.BurstFor }
 	if m.Burst > 0 || m.Shift {
 		c.Times = func(sidecar int, now time.Duration) float64 {
@@ -112,11 +127,6 @@
 			return 1
 		}
 	}
-	quota := between(rng, 0.73, 0.92) * capacity
-	for _, t := range c.Tenants {
-		c.Module.Tenants = append(c.Module.Tenants, policy.Tenant{Share: t.Share, Quota: t.Share * quota})
-	}
-	return c
 }
 
 // MassResult is what came of a day.
--- a/internal/lab/emulator/overload.go
+++ b/internal/lab/emulator/overload.go
@@ -18,14 +18,16 @@
 // restStep is how often an overloaded server looks whether it has rested.
 const restStep = 50 * time.Millisecond
 
-// updateOverload moves the mean on to now, before what it holds changes, and has the server overloaded where that is too much.
+// updateOverload moves the mean on to now, before what it holds changes, and has the server
+// overloaded where that is too much.
 func (n *node) updateOverload() {
 	c := n.spec.Overload
 	if c == nil || n.gone {
 		return
 	}
 	now := n.f.clock.Now
-	n.meanInFlight += (float64(len(n.running)+len(n.waiting)) - n.meanInFlight) * (1 - math.Exp(-float64(now-n.heldAt)/float64(c.Over)))
+	inFlight := float64(len(n.running) + len(n.waiting))
+	n.meanInFlight += (inFlight - n.meanInFlight) * (1 - math.Exp(-float64(now-n.heldAt)/float64(c.Over)))
 	if n.heldAt = now; n.overloaded || n.meanInFlight <= c.Most {
 		return
 	}
--- a/internal/lab/emulator/server.go
+++ b/internal/lab/emulator/server.go
@@ -188,7 +188,7 @@
 	j.node.leave(j)
 }
 
-// silence stops what runs: a silent server answers nothing, not even what it had begun.
+// set changes how a server behaves. One that falls silent answers nothing, not even what it had begun.
 func (n *node) set(s State) {
 	if s.Silent && !n.state.Silent {
 		for _, j := range n.running {
--- a/internal/lab/emulator/sidecar.go
+++ b/internal/lab/emulator/sidecar.go
@@ -28,7 +28,7 @@
 	throttled uint64 // away at once, as counted so far
 }
 
-// request is one try of a client's request.
+// request is one attempt of a client's request.
 type request struct {
 	id       policy.RequestID
 	first    *clientRequest
@@ -39,7 +39,7 @@
 	over     bool
 }
 
-// clientRequest is what a client wants, over all its tries.
+// clientRequest is what a client wants, over all its attempts.
 type clientRequest struct {
 	class, tenant int
 	at            time.Duration // on the fleet's clock
@@ -74,7 +74,7 @@
 	}
 }
 
-// ask is a client's first try.
+// ask is a client's first attempt.
 func (s *sidecar) ask(class, tenant int) {
 	f := s.f
 	w := &clientRequest{class: class, tenant: tenant, at: f.clock.Now, work: f.work(&f.cfg.Classes[class]),
@@ -106,7 +106,7 @@
 	})
 	f.clock.After(deadline-f.clock.Now+answerSlack, func() {
 		if !r.over {
-			f.err = fmt.Errorf("emu: request %d had no answer by its deadline", r.id)
+			f.err = fmt.Errorf("emulator: request %d had no answer by its deadline", r.id)
 		}
 	})
 }
@@ -131,7 +131,7 @@
 	if f.cfg.Module.Classes[r.first.class].Effect == policy.NonIdempotent {
 		for _, before := range r.attempts[:number] {
 			if before.ran {
-				f.err = fmt.Errorf("emu: unsafe request %d was sent again, and may have run", id)
+				f.err = fmt.Errorf("emulator: unsafe request %d was sent again, and may have run", id)
 			}
 		}
 	}
@@ -198,7 +198,7 @@
 func (s *sidecar) answer(r *request, pause time.Duration, refused bool) {
 	f := s.f
 	if r.over {
-		f.err = fmt.Errorf("emu: request %d was answered twice", r.id)
+		f.err = fmt.Errorf("emulator: request %d was answered twice", r.id)
 		return
 	}
 	r.over = true
--- a/internal/lab/replay/estimate.go
+++ b/internal/lab/replay/estimate.go
@@ -128,6 +128,7 @@
 	return nil
 }
 
+// Send answers an attempt as the recorded one nearest to it went.
 func (r *run) Send(id policy.RequestID, to policy.ServerID, timeout time.Duration) {
 	q := r.open[id]
 	r.tally.at(q.at-r.begun).Present.Attempts++
@@ -154,8 +155,11 @@
 	r.b.Outcome(r.clock.Now, o)
 }
 
+// Refuse counts a request that was rejected.
 func (r *run) Refuse(id policy.RequestID, _ time.Duration) { r.end(id).Refused++ }
-func (r *run) Fail(id policy.RequestID)                    { r.end(id).Failed++ }
+
+// Fail counts a request that failed.
+func (r *run) Fail(id policy.RequestID) { r.end(id).Failed++ }
 
 func (r *run) end(id policy.RequestID) *Fate {
 	q := r.open[id]
@@ -163,6 +167,7 @@
 	return &r.tally.at(q.at - r.begun).Present
 }
 
+// Cancel calls an attempt off.
 func (r *run) Cancel(id policy.RequestID, attempt int) {
 	if e := r.open[id].tries[attempt]; e != nil {
 		e.Stop()
@@ -170,8 +175,10 @@
 	}
 }
 
+// Wake asks for a call after d.
 func (r *run) Wake(d time.Duration) { r.clock.After(max(0, d), func() { r.b.Wake(r.clock.Now) }) }
 
+// Probe answers as the recorded probe nearest in time.
 func (r *run) Probe(to policy.ServerID) {
 	s := nearest(r.p.probes[uint64(to)], r.clock.Now, func(*sample) bool { return true })
 	if s == nil {
@@ -181,6 +188,11 @@
 	r.clock.After(s.took, func() { r.b.Probed(r.clock.Now, to, s.ok, s.load) })
 }
 
+// Close does nothing: connections are not played.
 func (r *run) Close(policy.ServerID) {}
-func (r *run) WatchList()            {}
-func (r *run) Log(string)            {}
+
+// WatchList does nothing: lists come as they were recorded.
+func (r *run) WatchList() {}
+
+// Log says nothing.
+func (r *run) Log(string) {}
--- a/internal/lab/replicatedstatesim/net.go
+++ b/internal/lab/replicatedstatesim/net.go
@@ -26,7 +26,8 @@
 	Rate  float64 // clocks are off by up to so much
 	Disks bool    // machines have disks that last
 	Site  *Site   // what they send to; nil: nothing
-	Spend float64 // bytes a second that each may send, and two seconds' worth at a time; 0: as many as it likes
+	// bytes a second that each may send, and two seconds' worth at a time; 0: as many as it likes
+	BytesPerSecond float64
 }
 
 // Net is a fleet.
@@ -180,10 +181,10 @@
 	n, from, life := m.net, m.number, m.Life
 	bytes := len(raw) + Overhead
 	n.Longest = max(n.Longest, len(raw))
-	if n.Spend > 0 {
-		m.level = min(2*n.Spend, m.level+n.Spend*(n.Now-m.levelAt).Seconds())
+	if n.BytesPerSecond > 0 {
+		m.level = min(2*n.BytesPerSecond, m.level+n.BytesPerSecond*(n.Now-m.levelAt).Seconds())
 		m.levelAt = n.Now
-		kept := n.Spend / 2 // a quarter, for what is urgent
+		kept := n.BytesPerSecond / 2 // a quarter, for what is urgent
 		if urgent {
 			kept = 0
 		}
@@ -275,8 +276,8 @@
 	return text
 }
 
-// Quiet says whether all that run go by the one version that holds, and nothing is under way.
-func (n *Net) Quiet() bool {
+// Converged says whether all that run go by the one version that holds, and nothing is under way.
+func (n *Net) Converged() bool {
 	holds, first := policyrollout.Ref{}, true
 	for _, m := range n.Nodes {
 		if !m.Lives() {
--- a/internal/lab/replicatedstatesim/work.go
+++ b/internal/lab/replicatedstatesim/work.go
@@ -18,17 +18,17 @@
 	Bound    int           // machines that may be out at once
 	Returns  time.Duration // from when a machine's work is done until it is warm
 	Every    time.Duration // a sidecar sends so often, on average; 0: ten times a second
-	Given    int
-	Freed    int
-	Over     int
+	Opened   int
+	Released int
+	Closed   int
 	Sent     int
 	Astray   int // to a machine that is free, by one that was out of contact
 
-	last  map[maintenance.Step]bool // entries that were counted
-	free  map[uint64]uint32         // machines that may be worked on, by turn
-	turns map[uint32]uint64         // that are not over
-	cold  map[uint64]time.Duration
-	out   []sent
+	last      map[maintenance.Step]bool // entries that were counted
+	free      map[uint64]uint32         // machines that may be worked on, by window
+	windows   map[uint32]uint64         // that are not over
+	warmingUp map[uint64]time.Duration
+	out       []sent
 }
 
 // sent is a request that is out.
@@ -39,13 +39,13 @@
 	contact bool // its sidecar was in contact then
 }
 
-// Forget takes that the log is begun anew: it knows of no turn.
-func (s *Site) Forget() { clear(s.last); clear(s.free); clear(s.turns) }
+// Forget takes that the log is begun anew: it knows of no window.
+func (s *Site) Forget() { clear(s.last); clear(s.free); clear(s.windows) }
 
 // open has the sidecars send from now on.
 func (n *Net) open() {
 	s := n.Site
-	s.last, s.free, s.turns, s.cold = make(map[maintenance.Step]bool), make(map[uint64]uint32),
+	s.last, s.free, s.windows, s.warmingUp = make(map[maintenance.Step]bool), make(map[uint64]uint32),
 		make(map[uint32]uint64), make(map[uint64]time.Duration)
 	every := cmp.Or(s.Every, 100*time.Millisecond)
 	for i := range n.Nodes {
@@ -75,7 +75,7 @@
 	contact := m.Node.Active(m.Time()).Mode != policyrollout.CutOff
 	if turn, free := s.free[x.ID]; free {
 		if contact {
-			n.Broken = append(n.Broken, fmt.Sprintf("%.3fs: n%d is in contact and sends to %s, which turn %d has free",
+			n.Broken = append(n.Broken, fmt.Sprintf("%.3fs: n%d is in contact and sends to %s, which window %d has free",
 				(n.Now-time.Hour).Seconds(), i, x.Name, turn))
 		}
 		s.Astray++
@@ -87,7 +87,7 @@
 func (m *Node) Machines() (all []maintenance.Machine, current bool) {
 	s := m.net.Site
 	for _, x := range s.Machines {
-		if warm := s.cold[x.ID]; m.net.Now < warm {
+		if warm := s.warmingUp[x.ID]; m.net.Now < warm {
 			x.Warmth = 0.5
 		}
 		all = append(all, x)
@@ -95,7 +95,7 @@
 	return all, true
 }
 
-// Own is what a sidecar says of itself.
+// LocalReport is what a sidecar says of itself.
 func (m *Node) LocalReport(st *maintenance.State) maintenance.Report {
 	s := m.net.Site
 	asks := m.own.Unconfirmed(st)
@@ -124,38 +124,39 @@
 	}
 	switch e.Kind {
 	case maintenance.Opened:
-		if _, again := s.turns[e.Number]; again {
-			n.Broken = append(n.Broken, fmt.Sprintf("turn %d is told twice", e.Number))
+		if _, again := s.windows[e.Number]; again {
+			n.Broken = append(n.Broken, fmt.Sprintf("window %d is told twice", e.Number))
 		}
-		s.Given++
-		s.turns[e.Number] = e.Machine
-		out := len(s.turns)
-		for id, warm := range s.cold {
+		s.Opened++
+		s.windows[e.Number] = e.Machine
+		out := len(s.windows)
+		for id, warm := range s.warmingUp {
 			if n.Now < warm && !s.isOut(id) {
 				out++
 			}
 		}
 		if out > s.Bound {
-			n.Broken = append(n.Broken, fmt.Sprintf("%.3fs: turn %d, %d machines are out, %d may be",
+			n.Broken = append(n.Broken, fmt.Sprintf("%.3fs: window %d, %d machines are out, %d may be",
 				(n.Now-time.Hour).Seconds(), e.Number, out, s.Bound))
 		}
 	case maintenance.Released:
-		s.Freed++
+		s.Released++
 		s.free[e.Machine] = e.Number
 		for _, r := range s.out {
 			if r.machine == e.Machine && n.Now < r.until && r.contact {
 				n.Broken = append(n.Broken,
-					fmt.Sprintf("%.3fs: turn %d is free, and a request is out there that life %d sent while in contact",
+					fmt.Sprintf("%.3fs: window %d is free, and a request is out there that life %d sent "+
+						"while in contact",
 						(n.Now-time.Hour).Seconds(), e.Number, r.life))
 			}
 		}
 	case maintenance.Done:
 		delete(s.free, e.Machine)
-		s.cold[e.Machine] = n.Now + s.Returns
+		s.warmingUp[e.Machine] = n.Now + s.Returns
 	case maintenance.Withdrawn, maintenance.Closed:
-		delete(s.turns, e.Number)
+		delete(s.windows, e.Number)
 		if e.Kind == maintenance.Closed {
-			s.Over++
+			s.Closed++
 		}
 	}
 	if len(s.out) > 10_000 { // what has ended goes
@@ -170,7 +171,7 @@
 }
 
 func (s *Site) isOut(id uint64) bool {
-	for _, m := range s.turns {
+	for _, m := range s.windows {
 		if m == id {
 			return true
 		}
--- a/internal/lab/swimsim/net.go
+++ b/internal/lab/swimsim/net.go
@@ -15,19 +15,19 @@
 
 // Config is what a fleet is made of.
 type Config struct {
-	Size  int
-	Seed  uint64
-	Lease time.Duration // 0: as swim has it
-	Rate  float64       // clocks run by up to so much too fast or too slow
-	Start time.Duration // nodes start within this
-	Least time.Duration // a message takes at least this
-	Most  time.Duration // and at most this
-	Loss  float64       // part of the messages that never arrive
-	Twice float64       // part that arrive twice, the second time up to 4 s late
-	Bytes func(*swim.Message) int
+	Size      int
+	Seed      uint64
+	Lease     time.Duration // 0: as swim has it
+	Rate      float64       // clocks run by up to so much too fast or too slow
+	Start     time.Duration // nodes start within this
+	MinDelay  time.Duration // a message takes at least this
+	MaxDelay  time.Duration // and at most this
+	Loss      float64       // part of the messages that never arrive
+	Duplicate float64       // part that arrive twice, the second time up to 4 s late
+	Bytes     func(*swim.Message) int
 	// bytes a second that each may send, and two seconds' worth at a time; 0: as many as it likes
-	Spend float64
-	Alter func(swim.Config, swim.Host) swim.Host // stands between a node and the fleet; nil: nothing does
+	BytesPerSecond float64
+	Alter          func(swim.Config, swim.Host) swim.Host // stands between a node and the fleet; nil: nothing does
 }
 
 // Net is a fleet. Its time begins at one hour, so that a clock's rate shows.
@@ -35,10 +35,10 @@
 	Config
 	Rng *rand.Rand
 	virtualtime.Clock
-	Nodes []*Node
-	Cut   func(from, to int) bool // nil: none
-	Hold  time.Duration           // messages that are sent before this moment arrive behind it, all at once
-	Seen  func(node int, c swim.Change)
+	Nodes       []*Node
+	Partitioned func(from, to int) bool // nil: none
+	HoldUntil   time.Duration           // messages that are sent before this moment arrive behind it, all at once
+	Seen        func(node int, c swim.Change)
 
 	Sent, Lost, Doubled, Held, Spared int
 	broken                            []string
@@ -64,8 +64,8 @@
 
 // New makes a fleet whose processes start soon.
 func New(cfg Config) *Net {
-	if cfg.Most == 0 {
-		cfg.Least, cfg.Most = time.Millisecond, 10*time.Millisecond
+	if cfg.MaxDelay == 0 {
+		cfg.MinDelay, cfg.MaxDelay = time.Millisecond, 10*time.Millisecond
 	}
 	if cfg.Start == 0 {
 		cfg.Start = swim.Period
@@ -158,27 +158,27 @@
 	m.Sends++
 	if n.Bytes != nil {
 		bytes := n.Bytes(msg)
-		m.level = min(2*n.Spend, m.level+n.Spend*(n.Now-m.levelAt).Seconds())
+		m.level = min(2*n.BytesPerSecond, m.level+n.BytesPerSecond*(n.Now-m.levelAt).Seconds())
 		m.levelAt = n.Now
-		if n.Spend > 0 && m.level < float64(bytes) {
+		if n.BytesPerSecond > 0 && m.level < float64(bytes) {
 			n.Spared++
 			return
 		}
 		m.level -= float64(bytes)
 		m.Bytes += bytes
 	}
-	if n.Rng.Float64() < n.Loss || n.Cut != nil && n.Cut(m.number, to) {
+	if n.Rng.Float64() < n.Loss || n.Partitioned != nil && n.Partitioned(m.number, to) {
 		n.Lost++
 		return
 	}
 	c := m.carry(to, msg)
-	delay := n.within(n.Least, n.Most)
-	if n.Now < n.Hold {
+	delay := n.within(n.MinDelay, n.MaxDelay)
+	if n.Now < n.HoldUntil {
 		n.Held++
-		delay += n.Hold - n.Now
+		delay += n.HoldUntil - n.Now
 	}
 	n.After(delay, func() { n.arrive(to, c) })
-	if n.Twice > 0 && n.Rng.Float64() < n.Twice {
+	if n.Duplicate > 0 && n.Rng.Float64() < n.Duplicate {
 		n.Doubled++
 		n.After(delay+n.within(0, 4*time.Second), func() { n.arrive(to, c) })
 	}
@@ -187,7 +187,7 @@
 func (n *Net) arrive(to int, c carried) {
 	m := n.Nodes[to]
 	switch {
-	case m.Down || n.Cut != nil && n.Cut(c.From, to):
+	case m.Down || n.Partitioned != nil && n.Partitioned(c.From, to):
 	case m.Stopped > 0:
 		if len(m.held) < 200 {
 			m.held = append(m.held, c)
--- a/internal/lab/swimsim/plan.go
+++ b/internal/lab/swimsim/plan.go
@@ -9,11 +9,11 @@
 
 // Plan is what goes wrong in a history, drawn from a seed.
 type Plan struct {
-	Steps []Step
-	Loss  float64
-	Twice float64
-	Rate  float64
-	Most  time.Duration // a message takes at most this
+	Steps     []Step
+	Loss      float64
+	Duplicate float64
+	Rate      float64
+	MaxDelay  time.Duration // a message takes at most this
 }
 
 // Step is one fault.
@@ -29,8 +29,8 @@
 }
 
 func (p *Plan) String() string {
-	all := []string{fmt.Sprintf("loss %.2f, twice %.2f, clocks within %.4f, up to %v late", p.Loss, p.Twice,
-		p.Rate, p.Most)}
+	all := []string{fmt.Sprintf("loss %.2f, twice %.2f, clocks within %.4f, up to %v late", p.Loss, p.Duplicate,
+		p.Rate, p.MaxDelay)}
 	for _, s := range p.Steps {
 		all = append(all, s.String())
 	}
@@ -52,14 +52,14 @@
 // Draw draws a plan of some faults within a time for a fleet of some size.
 func Draw(seed uint64, size int, within time.Duration) *Plan {
 	rng := rand.New(rand.NewPCG(seed, 2))
-	p := &Plan{Rate: []float64{0, 0.001, 0.01}[rng.IntN(3)], Most: 10 * time.Millisecond}
+	p := &Plan{Rate: []float64{0, 0.001, 0.01}[rng.IntN(3)], MaxDelay: 10 * time.Millisecond}
 	switch rng.IntN(4) {
 	case 0:
-		p.Loss, p.Twice = 0.3*rng.Float64(), 0.2*rng.Float64()
+		p.Loss, p.Duplicate = 0.3*rng.Float64(), 0.2*rng.Float64()
 	case 1:
-		p.Twice = 0.5 * rng.Float64()
+		p.Duplicate = 0.5 * rng.Float64()
 	case 2:
-		p.Most = time.Duration(rng.Int64N(int64(3 * time.Second)))
+		p.MaxDelay = time.Duration(rng.Int64N(int64(3 * time.Second)))
 	}
 	for range 1 + rng.IntN(8) {
 		s := Step{At: time.Duration(rng.Int64N(int64(within))), What: whats[rng.IntN(len(whats))],
@@ -75,9 +75,9 @@
 
 // Play has a fleet live through a plan, which begins now.
 func (n *Net) Play(p *Plan) {
-	n.Loss, n.Twice, n.Most = p.Loss, p.Twice, max(p.Most, n.Least)
+	n.Loss, n.Duplicate, n.MaxDelay = p.Loss, p.Duplicate, max(p.MaxDelay, n.MinDelay)
 	cuts := make(map[int]func(from, to int) bool)
-	n.Cut = func(from, to int) bool {
+	n.Partitioned = func(from, to int) bool {
 		for _, cut := range cuts {
 			if cut(from, to) {
 				return true
@@ -109,7 +109,7 @@
 			case OneWay:
 				cuts[number] = func(from, _ int) bool { return in[from] }
 			case Held:
-				n.Hold = max(n.Hold, n.Now+s.For)
+				n.HoldUntil = max(n.HoldUntil, n.Now+s.For)
 			}
 			n.After(s.For, func() { delete(cuts, number) })
 		})
@@ -118,7 +118,7 @@
 
 // Heal ends what may still go wrong: all messages arrive in time.
 func (n *Net) Heal() {
-	n.Cut, n.Loss, n.Twice, n.Hold, n.Most = nil, 0, 0, 0, 10*time.Millisecond
+	n.Partitioned, n.Loss, n.Duplicate, n.HoldUntil, n.MaxDelay = nil, 0, 0, 0, 10*time.Millisecond
 	for i, m := range n.Nodes {
 		if m.Down {
 			n.Boot(i)
--- a/internal/lab/testbed/fleet/maintenance.go
+++ b/internal/lab/testbed/fleet/maintenance.go
@@ -16,7 +16,7 @@
 // Window is one machine's time with an operator: from when somebody was told that it is free to work
 // on, until that one says that the work is done.
 type Window struct {
-	Turn     int
+	Number   int
 	Node     *testbed.Node
 	From, To time.Time // To is zero while it lasts
 	Warm     time.Time // when it is warm again, by the settings; zero: it was not restarted
@@ -112,7 +112,7 @@
 	}
 	for _, n := range r.f.Nodes {
 		if n.ID == name {
-			r.windows[turn] = &Window{Turn: turn, Node: n, From: time.Now()}
+			r.windows[turn] = &Window{Number: turn, Node: n, From: time.Now()}
 			return r.windows[turn]
 		}
 	}
@@ -124,13 +124,13 @@
 	r.handle(x)
 	for {
 		s := r.f.Sidecars[rng.IntN(len(r.f.Sidecars))]
-		if err := s.WorkDo("done", x.Turn); s.Runs() &&
-			(err == nil || strings.Contains(err.Error(), fmt.Sprintf("turn %d is", x.Turn))) {
+		if err := s.WorkDo("done", x.Number); s.Runs() &&
+			(err == nil || strings.Contains(err.Error(), fmt.Sprintf("turn %d is", x.Number))) {
 			// Taken on, or in the log already. A leader that dies takes what it was told with it:
 			// so somebody looks again.
 			time.Sleep(2 * time.Second)
 			if text, err := s.WorkShow(); err == nil &&
-				!strings.Contains(text, fmt.Sprintf("turn %d of plan 1: %s: out, free", x.Turn, x.Node.ID)) {
+				!strings.Contains(text, fmt.Sprintf("turn %d of plan 1: %s: out, free", x.Number, x.Node.ID)) {
 				return
 			}
 		}
@@ -145,7 +145,7 @@
 // handle is the work itself.
 func (r *MaintenanceRun) handle(x *Window) {
 	time.Sleep(r.Takes)
-	restart := x.Turn%2 == 0
+	restart := x.Number%2 == 0
 	if restart {
 		x.Node.Vanish()
 		time.Sleep(100 * time.Millisecond)
--- a/internal/lab/testbed/fleet/maintenance_check.go
+++ b/internal/lab/testbed/fleet/maintenance_check.go
@@ -48,14 +48,14 @@
 		}
 		out := 1
 		for _, y := range all {
-			if y.Turn != x.Turn && y.From.Before(x.From) &&
+			if y.Number != x.Number && y.From.Before(x.From) &&
 				(y.To.IsZero() || y.To.After(x.From) || y.Warm.After(x.From)) {
 				out++
 			}
 		}
 		if found.Most = max(found.Most, out); out > bound {
 			found.Bounds = append(found.Bounds,
-				fmt.Sprintf("turn %d: %d machines are out or cold when %s is free, %d may be", x.Turn, out,
+				fmt.Sprintf("turn %d: %d machines are out or cold when %s is free, %d may be", x.Number, out,
 					x.Node.ID, bound))
 		}
 		for _, a := range arrivals {
@@ -69,7 +69,7 @@
 				continue
 			}
 			found.Arrived = append(found.Arrived,
-				fmt.Sprintf("turn %d: %s is free from %s on, %s of sidecar %d came %v behind that", x.Turn,
+				fmt.Sprintf("turn %d: %s is free from %s on, %s of sidecar %d came %v behind that", x.Number,
 					x.Node.ID, x.From.Format("05.000"), a.ID, by[a.ID].sidecar, a.At.Sub(x.From)))
 		}
 	}
--- a/internal/lab/testbed/fleet/policy.go
+++ b/internal/lab/testbed/fleet/policy.go
@@ -164,8 +164,8 @@
 	return turns
 }
 
-// Status is how many clients got each status.
-func (f *Fleet) Status() map[int]int {
+// CountByStatus is how many clients got each status.
+func (f *Fleet) CountByStatus() map[int]int {
 	all := make(map[int]int)
 	for _, x := range f.Answers.all() {
 		all[x.status]++
--- a/internal/lab/virtualtime/clock.go
+++ b/internal/lab/virtualtime/clock.go
@@ -31,7 +31,11 @@
 	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].order < q[j].order
 }
 func (q queue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
-func (q *queue) Push(x any)   { *q = append(*q, x.(*Timer)) }
+
+// Push is for container/heap.
+func (q *queue) Push(x any) { *q = append(*q, x.(*Timer)) }
+
+// Pop is for container/heap.
 func (q *queue) Pop() any {
 	old := *q
 	last := old[len(old)-1]
