--- a/cmd/measure/mutants.go
+++ b/cmd/measure/mutants.go
@@ -150,12 +150,12 @@
 	{"loghost.go", "\tn.participant.Reset()\n", "", "what another log said goes on"},
 	{"leader.go", "n.leader == nil || n.term != n.log.Term() || n.epoch != n.log.Epoch()", "n.leader == nil", "a leader goes on with what it knew in an earlier term"},
 	{"replicatedstate.go", "if m.Epoch != 0 && m.Epoch == n.log.Epoch() {", "if true {", "reports and grants of another log count"},
-	{"leader.go", "return incarnation != s.Incarnation", "return false", "a voter that has restarted is never replaced"},
+	{"leader.go", "return incarnation != s.Incarnation", "return false && incarnation != s.Incarnation", "a voter that has restarted is never replaced"},
 	{"change.go", "if n.Active(now).Mode == policyrollout.CutOff {", "if false {", "one that is cut off begins a change"},
 	{"change.go", "case base != s.Current.Version:", "case false:", "a proposal on an old base is begun"},
 	{"change.go", "if x.chunkCount() > maxPushedChunks {", "if false {", "a long text does not go round first"},
-	{"texts.go", "shortHash(sum) != x.name", "false", "a text that was spoilt on the way is taken"},
-	{"maintenance.go", "p.Clear, p.Rate, p.Served = r.ClearUpTo,", "p.ClearUpTo, p.Rate, p.Served = n.work.state.LastTurn,", "a sidecar tells that it is clear of all that it knows of"},
+	{"texts.go", "shortHash(sum) != x.name", "shortHash(sum) != x.name && false", "a text that was spoilt on the way is taken"},
+	{"maintenance.go", "p.Clear, p.Rate, p.Served = r.ClearUpTo,", "p.Clear, p.Rate, p.Served = n.maintenance.state.LastWindow,", "a sidecar tells that it is clear of all that it knows of"},
 }
 
 var (
