--- a/cmd/caperarch/even_test.go
+++ b/cmd/caperarch/even_test.go
@@ -62,7 +62,7 @@
 
 // What is known of others is no condition, and makes nothing worse: with the peers cut in two, each side goes
 // on as well as it knows, and those out of contact go by the settings.
-func TestSpreadOutOfContact(t *testing.T) {
+func TestSpreadWithoutContact(t *testing.T) {
 	t.Parallel()
 	f := evenFleet(t, fleet.Faults{})
 	f.RequireAgreement(testbed.Generous)
--- a/cmd/caperarch/fleet_test.go
+++ b/cmd/caperarch/fleet_test.go
@@ -171,7 +171,7 @@
 // A server that nobody reaches any more: sidecars tell each other, and none stops sending to those that answer.
 // Hints by liars are tested in internal/fleet/healthgossip; here it is that they go all the way from one
 // process to another.
-func TestHintsGoRound(t *testing.T) {
+func TestSuspicionsReachOtherProcesses(t *testing.T) {
 	t.Parallel()
 	f := startFleet(t, fleet.Config{Size: 5, Nodes: 3})
 	f.RequireAgreement(testbed.Generous)
--- a/cmd/caperarch/replace_test.go
+++ b/cmd/caperarch/replace_test.go
@@ -245,7 +245,7 @@
 
 // An old process that waits for its last answer has given its part up long before: its successor must not be
 // held to half for as long as that takes.
-func TestSuccessorHasAllWhileTheOldOneWaits(t *testing.T) {
+func TestSuccessorHasFullLimitsWhileTheOldProcessWaits(t *testing.T) {
 	var l testbed.ArrivalLog
 	n := testbed.NewHTTPNode(t, "s-0", &l)
 	n.Do(testbed.Always(testbed.Hang))
--- a/cmd/simhost/main_test.go
+++ b/cmd/simhost/main_test.go
@@ -116,7 +116,7 @@
 }
 
 // Settings, list and keys reach the module: a drained server's connections are closed, and a key goes in turn.
-func TestFurtherRulesReachTheModule(t *testing.T) {
+func TestSettingsListAndKeysReachTheModule(t *testing.T) {
 	info := settings + "classes.0.fifo_by_key=true\nrules.order_settle_ms=0\nrules.let_go_in_ms=300\n"
 	inst := record(wire.EvInstanceStart, uint32(1), uint64(5), uint32(len(info)), info)
 	drained := manifest(4, 77)
@@ -181,7 +181,7 @@
 	}
 }
 
-func TestInstancesTogetherAndApartActAlike(t *testing.T) {
+func TestInstancesDoNotInfluenceEachOther(t *testing.T) {
 	build := func(insts ...uint32) []byte {
 		var in []byte
 		for n := range uint32(60) {
--- a/internal/daemon/bodies_test.go
+++ b/internal/daemon/bodies_test.go
@@ -117,7 +117,7 @@
 }
 
 // An answer that its server cuts off is cut off for its client, in a way that it can tell; nothing is sent again.
-func TestCutAnswersShow(t *testing.T) {
+func TestTruncatedResponseIsTruncatedForTheClient(t *testing.T) {
 	var mu sync.Mutex
 	times := map[string]int{}
 	address := testbed.NewHandler(t, func(c net.Conn, req *http.Request) bool {
@@ -215,7 +215,7 @@
 
 // Slow clients and servers hold windows, not places: while more streams stand than there are slots, small
 // requests are answered at once.
-func TestStreamsHoldNoPlaces(t *testing.T) {
+func TestStreamsOccupyNoSlots(t *testing.T) {
 	release := make(chan struct{})
 	var once sync.Once
 	t.Cleanup(func() { once.Do(func() { close(release) }) })
--- a/internal/daemon/control/control_test.go
+++ b/internal/daemon/control/control_test.go
@@ -94,7 +94,7 @@
 }
 
 // Callers that say nothing, or half a line, hold up nobody: those that have for longest go.
-func TestSilentCallersMakeRoom(t *testing.T) {
+func TestIdleCallersAreEvicted(t *testing.T) {
 	address, _ := start(t, 3)
 	for i := range 100 {
 		c, err := net.Dial("tcp", address)
@@ -116,7 +116,7 @@
 }
 
 // Who says nothing is not even handed over, who speaks is at once.
-func TestSilentCallersAreNotAccepted(t *testing.T) {
+func TestIdleCallersAreNotAccepted(t *testing.T) {
 	l, err := Listen("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/daemon/control/server.go
+++ b/internal/daemon/control/server.go
@@ -18,7 +18,7 @@
 	socketsPerCaller = 32 // one caller for so many descriptors, and as many again that are being evicted
 
 	readTimeout      = 5 * time.Second        // for a complete call
-	writeTimeout     = time.Second            // for its answer
+	writeTimeout     = time.Second            // for carrying it out and writing its answer
 	drainTimeout     = 200 * time.Millisecond // for discarding what a caller sends after its call
 	maxDrainBytes    = 2 << 20                // discarded at most
 	evictionGrace    = 10 * time.Millisecond  // a caller is not evicted for so long after it connected
--- a/internal/daemon/cordon/overlay_test.go
+++ b/internal/daemon/cordon/overlay_test.go
@@ -34,7 +34,7 @@
 
 // A ban lasts through whole lists, a departure and a restart; lifted, the upstream is what the list says by
 // then, its start included.
-func TestBanLasts(t *testing.T) {
+func TestBanOutlastsDelistingAndRestart(t *testing.T) {
 	o := NewOverlay()
 	o.Update(list(true, server("a", policy.Ready, 0), server("b", policy.Ready, 0)))
 	if l := o.SetBanned([]string{"a"}); stateOf(l, "a") != policy.Draining || stateOf(l, "b") != policy.Ready || l.Addresses[call.ServerID("a")] == "" {
@@ -105,7 +105,7 @@
 
 // What left long ago is forgotten, so that ids that come and go without end don't fill the memory; what is
 // listed or banned is not.
-func TestEverIsBounded(t *testing.T) {
+func TestHistoryIsBounded(t *testing.T) {
 	o := NewOverlay()
 	o.Update(list(true, server("stays", policy.Ready, 0)))
 	for i := range 2 * maxHistory {
--- a/internal/daemon/cordonstore/cordonstore_test.go
+++ b/internal/daemon/cordonstore/cordonstore_test.go
@@ -61,7 +61,7 @@
 }
 
 // A ban is seen by the other process of a sidecar, by those that start later, and lifted by one call to either.
-func TestBanIsOneOverProcesses(t *testing.T) {
+func TestProcessesShareBans(t *testing.T) {
 	dir := t.TempDir()
 	a, ea := open(t, dir)
 	b, eb := open(t, dir)
@@ -95,7 +95,7 @@
 }
 
 // Without a folder, or with one that can't be written, a ban holds in this process.
-func TestNowhereToKeep(t *testing.T) {
+func TestBanHoldsInThisProcessWithoutAFolder(t *testing.T) {
 	for _, dir := range []string{"", filepath.Join(t.TempDir(), "none")} {
 		s, e := open(t, dir)
 		e.want(t, "start", policy.Ready)
@@ -111,7 +111,7 @@
 }
 
 // Half a file, noise, another form and a changed byte are put aside, and what is known holds.
-func TestDamagedFileIsPutAside(t *testing.T) {
+func TestCorruptFileIsQuarantined(t *testing.T) {
 	dir := t.TempDir()
 	s, _ := open(t, dir)
 	if err := s.Cordon("s-1"); err != nil {
@@ -175,7 +175,7 @@
 }
 
 // An engine that does not take a ban up gets its caller a no in time, not a yes that is not true.
-func TestNoWhereNotTakenUp(t *testing.T) {
+func TestCordonTimesOutIfAnEngineDoesNotApplyIt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, e := open(t, "")
 		e.deaf = true
@@ -188,7 +188,7 @@
 }
 
 // What the file's writing takes counts too: here another process has its lock for a while.
-func TestFilesTimeCounts(t *testing.T) {
+func TestWritingTheFileCountsAgainstTheTimeout(t *testing.T) {
 	const held = 600 * time.Millisecond
 	s, e := open(t, t.TempDir())
 	e.deaf = true
--- a/internal/daemon/front_test.go
+++ b/internal/daemon/front_test.go
@@ -277,7 +277,7 @@
 
 // Clients that connect and say nothing don't use up the descriptors: the connection that has been
 // without a request for longest makes room, and one with a request never does.
-func TestMostConnections(t *testing.T) {
+func TestIdleClientsAreEvictedAtTheConnectionLimit(t *testing.T) {
 	release := make(chan struct{})
 	s := testbed.NewStub(t, func(c net.Conn, r testbed.Received) bool {
 		if r.Header.Get("X-Request-ID") == "held" {
@@ -385,7 +385,7 @@
 }
 
 // Over caps.max_open requests are refused without an attempt.
-func TestMostOpen(t *testing.T) {
+func TestMaxOpenRequests(t *testing.T) {
 	s := testbed.NewStub(t, testbed.Silent)
 	side := start(t, func(_, settings map[string]any) { settings["caps"].(map[string]any)["max_open"] = 1 }, s.Address)
 	ctx, cancel := context.WithCancel(context.Background())
--- a/internal/daemon/handover/handover_test.go
+++ b/internal/daemon/handover/handover_test.go
@@ -17,7 +17,7 @@
 
 const damages = 10_000 // of a record, in memory
 
-func TestMachine(t *testing.T) {
+func TestDecisions(t *testing.T) {
 	m := &Machine{}
 	step := func(s Observation, want Action) {
 		t.Helper()
@@ -55,7 +55,7 @@
 
 // Three replacements in a row, and newcomers that die at every step: whoever lives ends up with the seat, and
 // what was told reaches the one it was meant for.
-func TestSeats(t *testing.T) {
+func TestThreeReplacementsInARow(t *testing.T) {
 	dir := t.TempDir()
 	old := open(t, dir)
 	for range 3 {
@@ -141,7 +141,7 @@
 
 // With steering all new connections go to the one that came last, and after its predecessor's end still;
 // without it both get some.
-func TestListen(t *testing.T) {
+func TestNewConnectionsGoToTheLatestProcess(t *testing.T) {
 	for _, steeringDisabled = range []bool{false, true} {
 		first, steered, err := Listen("127.0.0.1:0")
 		if err != nil {
--- a/internal/daemon/pools_test.go
+++ b/internal/daemon/pools_test.go
@@ -164,7 +164,7 @@
 }
 
 // Heads that two readers may take for different pools' are answered 400 or 404, and reach nobody.
-func TestNoTwoReadings(t *testing.T) {
+func TestAmbiguousHeadsAreRejected(t *testing.T) {
 	w := startPools(t, nil)
 	const rest = "X-Request-ID: r\r\nX-Priority-Class: entry\r\nX-Tenant-Id: north\r\nX-Timeout: 900m\r\nContent-Length: 1\r\n\r\n1"
 	const host = "Host: ledger.example.org\r\n"
--- a/internal/daemon/service_test.go
+++ b/internal/daemon/service_test.go
@@ -66,7 +66,7 @@
 
 // From the yes on nothing new goes to an upstream that is out by hand, whatever the next list says; from the
 // call back on it is used again.
-func TestOutByHand(t *testing.T) {
+func TestBannedUpstreamGetsNoRequests(t *testing.T) {
 	a, b := testbed.NewStub(t, testbed.Echo), testbed.NewStub(t, testbed.Echo)
 	side, o := operated(t, a.Address, b.Address)
 	o.want(t, "health", "200")
@@ -110,7 +110,7 @@
 
 // Whatever ends how: what was taken is what was passed, dropped, failed and what is in progress, and the
 // upstreams had as many attempts as were counted.
-func TestFiguresAddUp(t *testing.T) {
+func TestCountersAddUp(t *testing.T) {
 	var l testbed.ArrivalLog
 	var addresses []string
 	for i := range 4 {
--- a/internal/daemon/wayin_test.go
+++ b/internal/daemon/wayin_test.go
@@ -74,7 +74,7 @@
 }
 
 // A refusal at the head comes before the body does, and the connection goes on behind the body.
-func TestRefusedAtTheHead(t *testing.T) {
+func TestRefusedBeforeTheBody(t *testing.T) {
 	release := make(chan struct{})
 	s := testbed.NewStub(t, func(c net.Conn, r testbed.Received) bool {
 		if r.Header.Get("X-Request-ID") == "held" {
@@ -105,7 +105,7 @@
 }
 
 // Bodies that come a byte at a time take no place of requests that come whole; they are answered.
-func TestTricklesMakeRoom(t *testing.T) {
+func TestTricklingBodiesOccupyNoSlots(t *testing.T) {
 	s := testbed.NewStub(t, testbed.Echo)
 	side := start(t, func(file, _ map[string]any) { file["limits"].(map[string]any)["sockets"] = 32 }, s.Address) // 16 clients
 	var trickles []*bufio.Reader
@@ -138,7 +138,7 @@
 }
 
 // A long answer goes out whole, also to a client that takes its time.
-func TestLongAnswer(t *testing.T) {
+func TestLongResponse(t *testing.T) {
 	text := strings.Repeat("0123456789abcdef", call.MaxBufferedBody/16)
 	s := testbed.NewStub(t, func(c net.Conn, r testbed.Received) bool {
 		_, err := fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
@@ -208,7 +208,7 @@
 }
 
 // A connection at rest costs under 6 KiB, the client's own end in this process included.
-func TestRestingConnectionIsCheap(t *testing.T) {
+func TestIdleConnectionIsCheap(t *testing.T) {
 	side := start(t, func(file, _ map[string]any) { file["limits"].(map[string]any)["sockets"] = 24000 })
 	const resting = 1000
 	memory := func() int64 {
--- a/plugin/plugin_test.go
+++ b/plugin/plugin_test.go
@@ -160,7 +160,7 @@
 }
 
 // A guest: after Close all goroutines and connections are gone, and nothing of the process has changed.
-func TestGoodGuest(t *testing.T) {
+func TestCloseLeavesNothingBehind(t *testing.T) {
 	procs, logger, transport := runtime.GOMAXPROCS(0), slog.Default(), http.DefaultTransport
 	n := testbed.NewHTTPNode(t, "s-0", new(testbed.ArrivalLog))
 	d := testbed.NewDiscovery(t, n)
@@ -195,7 +195,7 @@
 
 // Two plug-ins of one process share one watch and see a drain both; one that closes under load leaves the
 // other alone.
-func TestTwoInOneProcess(t *testing.T) {
+func TestTwoClientsShareOneWatch(t *testing.T) {
 	l := new(testbed.ArrivalLog)
 	a, b := testbed.NewHTTPNode(t, "s-a", l), testbed.NewHTTPNode(t, "s-b", l)
 	d := testbed.NewDiscovery(t, a, b)
@@ -417,7 +417,7 @@
 }
 
 // The bounds on what is held refuse, with a pause, and give way again.
-func TestHeldBounds(t *testing.T) {
+func TestMaxCallsAndMaxBodyBytes(t *testing.T) {
 	l := new(testbed.ArrivalLog)
 	n := testbed.NewHTTPNode(t, "s-0", l)
 	release := make(chan struct{})
