--- a/cmd/caperarch/pause_test.go
+++ b/cmd/caperarch/pause_test.go
@@ -32,7 +32,7 @@
 	})
 }
 
-// The daemon is stopped with SIGSTOP for 1.5 s under load: see rig.Pause. Its clients have one answer each.
+// The daemon is stopped with SIGSTOP for 1.5 s under load: see testbed.Pause. Its clients have one answer each.
 func TestDaemonIsStoppedForAWhile(t *testing.T) {
 	l := new(testbed.ArrivalLog)
 	nodes := []*testbed.Node{testbed.NewHTTPNode(t, "s-0", l), testbed.NewHTTPNode(t, "s-1", l)}
--- a/cmd/measure/mesh.go
+++ b/cmd/measure/mesh.go
@@ -81,16 +81,10 @@
 	}
 	printMeshFits(points)
 	if !short {
-		for _, members := range []int{5, meshCoreMachines} {
-			if _, err := meshBySize(binary, meshShape{members: members, sidecars: 400}, windows, each); err != nil {
-				return "", nil, fmt.Errorf("%d members: %w", members, err)
-			}
-		}
-		large, more, err := measureMeshLarge(false)
+		more, err := measureMoreMembers(binary, windows, each)
 		if err != nil {
 			return "", nil, err
 		}
-		fmt.Println("meshlarge", large)
 		missed = append(missed, more...)
 	}
 	return fmt.Sprintf("sidecars=%d bytes_s=%.0f ask_bytes_s=%.0f cpu_core=%.5f ask_cpu_core=%.5f "+
@@ -99,6 +93,21 @@
 		added.median()), missed, nil
 }
 
+// measureMoreMembers measures meshes with more core members than three, and the large ones.
+func measureMoreMembers(binary string, windows int, each time.Duration) (missed []string, err error) {
+	for _, members := range []int{5, meshCoreMachines} {
+		if _, err := meshBySize(binary, meshShape{members: members, sidecars: 400}, windows, each); err != nil {
+			return nil, fmt.Errorf("%d members: %w", members, err)
+		}
+	}
+	large, missed, err := measureMeshLarge(false)
+	if err != nil {
+		return nil, err
+	}
+	fmt.Println("meshlarge", large)
+	return missed, nil
+}
+
 // missed names the bounds that a mesh of so many sidecars missed.
 func (s meshSized) missed(n int) (missed []string) {
 	miss := func(format string, args ...any) { missed = append(missed, fmt.Sprintf(format, args...)) }
--- a/conformance/rules.go
+++ b/conformance/rules.go
@@ -10,7 +10,7 @@
 // want of CPU where several cases run at once.
 const slack = 250 * time.Millisecond
 
-// window is how long a cell drops the repeats of a key, as rig.Settings has it.
+// window is how long a cell drops the repeats of a key, as testbed.Settings has it.
 const window = 600 * time.Millisecond
 
 // check holds everything that happened against the rules.
--- a/internal/lab/replicatedstatesim/work.go
+++ b/internal/lab/replicatedstatesim/work.go
@@ -73,10 +73,11 @@
 	}
 	s.Sent++
 	contact := m.Node.Active(m.Time()).Mode != policyrollout.CutOff
-	if turn, free := s.free[x.ID]; free {
+	if window, free := s.free[x.ID]; free {
 		if contact {
-			n.Broken = append(n.Broken, fmt.Sprintf("%.3fs: n%d is in contact and sends to %s, which window %d has free",
-				(n.Now-time.Hour).Seconds(), i, x.Name, turn))
+			n.Broken = append(n.Broken,
+				fmt.Sprintf("%.3fs: n%d is in contact and sends to %s, which window %d has free",
+					(n.Now-time.Hour).Seconds(), i, x.Name, window))
 		}
 		s.Astray++
 	}
@@ -99,13 +100,13 @@
 func (m *Node) LocalReport(st *maintenance.State) maintenance.Report {
 	s := m.net.Site
 	asks := m.own.Unconfirmed(st)
-	for turn, machine := range asks {
+	for window, machine := range asks {
 		quiet := true
 		for _, r := range s.out {
 			quiet = quiet && !(r.life == m.Life && r.machine == machine && m.net.Now < r.until)
 		}
 		if quiet {
-			m.own.MarkClear(turn, machine)
+			m.own.MarkClear(window, machine)
 		}
 	}
 	return maintenance.Report{ClearUpTo: m.own.ClearUpTo(m.Time()-m.born,
