--- a/cmd/measure/main.go
+++ b/cmd/measure/main.go
@@ -2,6 +2,11 @@
 // spread shown. Its last line is "NAME key=value ..."; it exits 1 if a stated bound is missed.
 //
 //	go run ./cmd/measure NAME [-short] [-plots DIR]
+//
+// A file's prefix says what it measures: proxy_ one proxy, virtual_ the decision module in virtual time, even
+// how evenly requests are spread, fleet_ fleets of proxies, mesh_ the mesh, control_ its core machines after a
+// fault, mutants whether the tests find planted faults. Subjects and callers are processes of their own
+// (process.go, child.go); what a measurement has started is ended by its cleanups (cleanup.go).
 package main
 
 import (
