--- a/internal/daemon/config/config_test.go
+++ b/internal/daemon/config/config_test.go
@@ -10,7 +10,8 @@
 )
 
 func TestConfig(t *testing.T) {
-	c, err := Parse([]byte(testbed.ConfigText(t, testbed.Listed(41, "ready", "127.0.0.1:80"), nil)), func(string) string { return "" })
+	text := testbed.ConfigText(t, testbed.Listed(41, "ready", "127.0.0.1:80"), nil)
+	c, err := Parse([]byte(text), func(string) string { return "" })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -27,7 +28,8 @@
 
 // A config that can't be used is told in one line that names the field.
 func TestUnusableConfig(t *testing.T) {
-	const settings = `{"balancers":1,"caps":{"most_tries":3,"conn_idle_ms":30000,"dial_timeout_ms":250},"classes":[{"name":"a","aim_ms":5,"hard_limit_ms":9}]}`
+	const settings = `{"balancers":1,"caps":{"most_tries":3,"conn_idle_ms":30000,"dial_timeout_ms":250},` +
+		`"classes":[{"name":"a","aim_ms":5,"hard_limit_ms":9}]}`
 	const usable = `{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1f","settings":` + settings + `}`
 	none := func(string) string { return "" }
 	if _, err := Parse([]byte(usable), none); err != nil {
--- a/internal/daemon/config/pools_test.go
+++ b/internal/daemon/config/pools_test.go
@@ -41,10 +41,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(p.List) != 2 || p.List[0].Name != "ledger" || p.List[0].Weight != 3 || p.List[1].Weight != 1 || len(p.List[1].Config.KnownServers.Servers) != 1 {
+	if len(p.List) != 2 || p.List[0].Name != "ledger" || p.List[0].Weight != 3 || p.List[1].Weight != 1 ||
+		len(p.List[1].Config.KnownServers.Servers) != 1 {
 		t.Errorf("pools %+v", p)
 	}
-	if again, _ := readPools(t, poolsText, config); !again.List[0].EqualExceptWeight(p.List[0]) || again.List[0].EqualExceptWeight(p.List[1]) {
+	if again, _ := readPools(t, poolsText, config); !again.List[0].EqualExceptWeight(p.List[0]) ||
+		again.List[0].EqualExceptWeight(p.List[1]) {
 		t.Error("the same pool is not the same, or another is")
 	}
 	for name, c := range map[string]struct{ old, new, says string }{
--- a/internal/daemon/control/control_test.go
+++ b/internal/daemon/control/control_test.go
@@ -16,15 +16,19 @@
 
 func TestParse(t *testing.T) {
 	for line, want := range map[string]Call{
-		"health": {Verb: Health}, "counters\r": {Verb: Counters}, " cordon  s-1 ": {Cordon, []string{"s-1"}}, "uncordon\ts-1": {Uncordon, []string{"s-1"}}, "peers": {Verb: Peers},
-		"policy-show": {Verb: PolicyShow}, "policy-propose ab 3": {PolicyPropose, []string{"ab", "3"}}, "policy-text ab 0 1 =YQ": {PolicyText, []string{"ab", "0", "1", "=YQ"}},
+		"health": {Verb: Health}, "counters\r": {Verb: Counters}, "peers": {Verb: Peers},
+		" cordon  s-1 ": {Cordon, []string{"s-1"}}, "uncordon\ts-1": {Uncordon, []string{"s-1"}},
+		"policy-show": {Verb: PolicyShow}, "policy-propose ab 3": {PolicyPropose, []string{"ab", "3"}},
+		"policy-text ab 0 1 =YQ": {PolicyText, []string{"ab", "0", "1", "=YQ"}},
 	} {
-		if got, err := Parse([]byte(line)); err != nil || got.Verb != want.Verb || !slices.Equal(got.Arguments, want.Arguments) {
+		got, err := Parse([]byte(line))
+		if err != nil || got.Verb != want.Verb || !slices.Equal(got.Arguments, want.Arguments) {
 			t.Errorf("%q: %+v, %v", line, got, err)
 		}
 	}
 	for _, line := range []string{
-		"", "\r", "HEALTH", "cordon", "cordon a b", "health now", "policy-show 1", "policy-propose ab", "policy-text a b c", "GET / HTTP/1.1", "\x16\x03\x01\x02\x00", "cordon a\x00b", "cordon \xff",
+		"", "\r", "HEALTH", "cordon", "cordon a b", "health now", "policy-show 1", "policy-propose ab", "policy-text a b c",
+		"GET / HTTP/1.1", "\x16\x03\x01\x02\x00", "cordon a\x00b", "cordon \xff",
 		strings.Repeat("x", MaxLineBytes+1), "cordon " + strings.Repeat("x", MaxLineBytes),
 	} {
 		if c, err := Parse([]byte(line)); err == nil || strings.ContainsAny(err.Error(), "\n\x00") {
@@ -79,7 +83,8 @@
 func TestAnswers(t *testing.T) {
 	address, d := start(t, 2)
 	for text, want := range map[string]string{
-		"health\n": "400 no; not yet\n", "counters\n": "a 1\nEOF\n", "cordon s-1\r\n": "200 ok\n", "uncordon s-1\nhealth\n": "200 ok\n",
+		"health\n": "400 no; not yet\n", "counters\n": "a 1\nEOF\n",
+		"cordon s-1\r\n": "200 ok\n", "uncordon s-1\nhealth\n": "200 ok\n",
 		"policy-propose ab 3\n":                    "200 ok\npolicy-propose [\"ab\" \"3\"]\nEOF\n",
 		"GET /metrics HTTP/1.1\r\nHost: a\r\n\r\n": "400 unknown call: one of " + callUsage + " is needed\n",
 		strings.Repeat("x", 1<<20) + "\n":          "400 a call has 512 bytes at most\n",
--- a/internal/daemon/cordon/overlay_test.go
+++ b/internal/daemon/cordon/overlay_test.go
@@ -37,11 +37,13 @@
 func TestBanOutlastsDelistingAndRestart(t *testing.T) {
 	o := NewOverlay()
 	o.Update(list(true, server("a", policy.Ready, 0), server("b", policy.Ready, 0)))
-	if l := o.SetBanned([]string{"a"}); stateOf(l, "a") != policy.Draining || stateOf(l, "b") != policy.Ready || l.Addresses[call.ServerID("a")] == "" {
+	if l := o.SetBanned([]string{"a"}); stateOf(l, "a") != policy.Draining || stateOf(l, "b") != policy.Ready ||
+		l.Addresses[call.ServerID("a")] == "" {
 		t.Fatalf("banned: %+v", l)
 	}
 	for name, l := range map[string]call.ServerList{
-		"whole": list(true, server("a", policy.Ready, 0), server("b", policy.Ready, 0)), "change": list(false, server("a", policy.Ready, 7)),
+		"whole":  list(true, server("a", policy.Ready, 0), server("b", policy.Ready, 0)),
+		"change": list(false, server("a", policy.Ready, 7)),
 	} {
 		if got := stateOf(o.Update(l), "a"); got != policy.Draining {
 			t.Errorf("%s: state %v", name, got)
--- a/internal/daemon/cordonstore/cordonstore_test.go
+++ b/internal/daemon/cordonstore/cordonstore_test.go
@@ -44,7 +44,10 @@
 	t.Helper()
 	s, e := New(dir, slog.Default()), &engine{last: make(chan policy.State, 100)}
 	l := s.NewList(e)
-	known := l.SetInitial(call.ServerList{Servers: []policy.Server{{ID: call.ServerID("s-1"), State: policy.Ready, Weight: 1}}, Addresses: map[policy.ServerID]string{}}, nil)
+	known := l.SetInitial(call.ServerList{
+		Servers:   []policy.Server{{ID: call.ServerID("s-1"), State: policy.Ready, Weight: 1}},
+		Addresses: map[policy.ServerID]string{},
+	}, nil)
 	e.last <- known.Servers[0].State
 	return s, e
 }
@@ -123,7 +126,9 @@
 	}
 	changed := append([]byte(nil), whole...)
 	changed[len(`{"form":1,"bans":["s-`)] = '2'
-	for name, raw := range map[string][]byte{"half": whole[:len(whole)/2], "noise": {0, 1, 2}, "empty": {}, "changed": changed, "form": []byte(`{"form":9}`)} {
+	for name, raw := range map[string][]byte{
+		"half": whole[:len(whole)/2], "noise": {0, 1, 2}, "empty": {}, "changed": changed, "form": []byte(`{"form":9}`),
+	} {
 		if err := os.WriteFile(s.file.path(), raw, 0o600); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/daemon/handover/handover_test.go
+++ b/internal/daemon/handover/handover_test.go
@@ -25,7 +25,8 @@
 			t.Errorf("%+v: %+v, want %+v", s, got, want)
 		}
 	}
-	step(Observation{HasSeat: true, Newcomer: true, LatestArrival: "x"}, Action{ProcessCount: 2}) // it does not serve yet: nothing to tell
+	// It does not serve yet, so it has nothing to tell.
+	step(Observation{HasSeat: true, Newcomer: true, LatestArrival: "x"}, Action{ProcessCount: 2})
 	m.Serving()
 	step(Observation{HasSeat: true}, Action{ProcessCount: 1})
 	step(Observation{HasSeat: true, Newcomer: true, LatestArrival: "a"}, Action{ProcessCount: 2, WriteRecordFor: "a"})
@@ -34,7 +35,8 @@
 	step(Observation{HasSeat: true, Newcomer: true, LatestArrival: "b"}, Action{ProcessCount: 2, WriteRecordFor: "b"}) // the next one
 	m.Leaving()
 	step(Observation{HasSeat: true, Newcomer: true, LatestArrival: "c"}, Action{ProcessCount: 2}) // the one that stays tells
-	step(Observation{HasSeat: true, Newcomer: true, HoldsFewConns: true}, Action{ProcessCount: LeavingDivisor, ReleaseSeat: true})
+	step(Observation{HasSeat: true, Newcomer: true, HoldsFewConns: true},
+		Action{ProcessCount: LeavingDivisor, ReleaseSeat: true})
 	step(Observation{}, Action{ProcessCount: LeavingDivisor, ReleaseSeat: true}) // for good
 	m = &Machine{ID: "b"}
 	m.Serving()
@@ -75,7 +77,8 @@
 		if err := old.WriteRecord(old.Observe().LatestArrival, r); err != nil {
 			t.Fatal(err)
 		}
-		if got, err := newcomer.AwaitRecord(testbed.Generous); err != nil || got.Pools[""].Version != 7 || got.Pools[""].Delisted[0] != 1<<63 {
+		got, err := newcomer.AwaitRecord(testbed.Generous)
+		if err != nil || got.Pools[""].Version != 7 || got.Pools[""].Delisted[0] != 1<<63 {
 			t.Fatalf("%+v, %v", got, err)
 		}
 		old.Close()
@@ -88,7 +91,8 @@
 
 func TestRecord(t *testing.T) {
 	l := call.ServerList{Version: 3, Full: true, Servers: []policy.Server{
-		{ID: 1<<64 - 1, State: policy.Ready, Weight: 1, Started: time.Duration(1<<62 + 1)}, {ID: 2, State: policy.Draining, Weight: 2, Zone: -1},
+		{ID: 1<<64 - 1, State: policy.Ready, Weight: 1, Started: time.Duration(1<<62 + 1)},
+		{ID: 2, State: policy.Draining, Weight: 2, Zone: -1},
 	}, Addresses: map[policy.ServerID]string{1<<64 - 1: "127.0.0.1:1", 2: "127.0.0.1:2"}}
 	raw, err := (&Record{Pools: map[string]Pool{"": NewPool(l, nil)}}).encode("m")
 	if err != nil {
@@ -98,7 +102,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got := r.Pools[""].ServerList(); got.Version != 3 || len(got.Servers) != 2 || got.Servers[0] != l.Servers[0] || got.Servers[1] != l.Servers[1] || got.Addresses[2] != "127.0.0.1:2" {
+	if got := r.Pools[""].ServerList(); got.Version != 3 || len(got.Servers) != 2 || got.Servers[0] != l.Servers[0] ||
+		got.Servers[1] != l.Servers[1] || got.Addresses[2] != "127.0.0.1:2" {
 		t.Errorf("%+v", got)
 	}
 	for n := range raw {
--- a/internal/proxy/wire/wire_test.go
+++ b/internal/proxy/wire/wire_test.go
@@ -41,7 +41,10 @@
 		t.Fatal(err)
 	}
 	a, err := rec.Request()
-	want := Request{ID: 0x5d3a91c4, Flags: 1, Key: 0x91f03b7c55d20a64, TimeLeft: 240 * time.Millisecond, Work: 12 * time.Millisecond}
+	want := Request{
+		ID: 0x5d3a91c4, Flags: 1, Key: 0x91f03b7c55d20a64,
+		TimeLeft: 240 * time.Millisecond, Work: 12 * time.Millisecond,
+	}
 	if err != nil || a != want {
 		t.Fatalf("ask %+v, error %v, want %+v", a, err, want)
 	}
@@ -75,7 +78,8 @@
 	}
 	rec, _, _ = Next(unhex(t, "2404 1b000000 03000000 c4913a5d 00 0a124a07 931f 6400 0000000000803240 01 00"))
 	f, err := rec.AttemptResult()
-	if err != nil || f.Ending != EndServed || !f.Finished || f.Duration != 18500*time.Microsecond || f.Upstream != entries[0].Upstream {
+	if err != nil || f.Ending != EndServed || !f.Finished || f.Duration != 18500*time.Microsecond ||
+		f.Upstream != entries[0].Upstream {
 		t.Fatalf("outcome %+v, error %v", f, err)
 	}
 	rec, _, _ = Next(unhex(t, `e803 25000000 03000000 0a9011f2 bc1f 6400 666666666666f63f
