--- a/cmd/measure/mutants.go
+++ b/cmd/measure/mutants.go
@@ -68,7 +68,7 @@
 // roundMutants are faults in what a leader is told of turns, found where whole fleets play.
 var roundMutants = []mutant{
 	{"reports.go", "case now < end && t.received && t.ClearUpTo >= turn:", "case now < end && t.received:", "who has told anything is clear"},
-	{"reports.go", "case now >= end+b.Deadline:", "case now >= end:", "what is out there is not given its time behind a lease"},
+	{"reports.go", "case now >= end+rs.Deadline:", "case now >= end:", "what is out there is not given its time behind a lease"},
 	{"reports.go", "!t.received || life > t.incarnation || life == t.incarnation && turn > t.sequence {", "t != nil {", "an overtaken report counts"},
 	{"reports.go", "s.Complete = false", "", "a new leader takes those it has not heard of for idle"},
 	{"clearance.go", "if age < deadline {", "if false {", "a process that has just begun is clear of what the one before it has out"},
--- a/internal/fleet/maintenance/reports.go
+++ b/internal/fleet/maintenance/reports.go
@@ -32,21 +32,21 @@
 // Receive records a report, by its process's incarnation and sequence number. One that arrives
 // after a later one is dropped: a process that is clear of a window stays so, and a process that
 // has come in its place has reported already.
-func (b *Reports) Receive(from int, life uint64, turn uint32, r Report) {
-	if from < 0 || from >= b.Size {
+func (rs *Reports) Receive(from int, life uint64, turn uint32, r Report) {
+	if from < 0 || from >= rs.Size {
 		return
 	}
-	if b.received == nil {
-		b.received = make([]receivedReport, b.Size)
+	if rs.received == nil {
+		rs.received = make([]receivedReport, rs.Size)
 	}
-	if t := &b.received[from]; !t.received || life > t.incarnation || life == t.incarnation && turn > t.sequence {
+	if t := &rs.received[from]; !t.received || life > t.incarnation || life == t.incarnation && turn > t.sequence {
 		*t = receivedReport{r, life, turn, true}
 	}
 }
 
-func (b *Reports) reportOf(i int) (t receivedReport) {
-	if i < len(b.received) {
-		t = b.received[i]
+func (rs *Reports) reportOf(i int) (t receivedReport) {
+	if i < len(rs.received) {
+		t = rs.received[i]
 	}
 	return t
 }
@@ -54,11 +54,11 @@
 // WaitingFor returns the sidecars that may still send to a window's machine, or have requests in
 // flight there. until returns when no grant of a sidecar can count any more: up to then the sidecar
 // has to report that it is clear; after that the longest deadline has to pass.
-func (b *Reports) WaitingFor(now time.Duration, turn uint32, until func(i int) time.Duration) (all []int) {
-	for i := range b.Size {
-		switch t, end := b.reportOf(i), until(i); {
+func (rs *Reports) WaitingFor(now time.Duration, turn uint32, until func(i int) time.Duration) (all []int) {
+	for i := range rs.Size {
+		switch t, end := rs.reportOf(i), until(i); {
 		case now < end && t.received && t.ClearUpTo >= turn:
-		case now >= end+b.Deadline:
+		case now >= end+rs.Deadline:
 		default:
 			all = append(all, i)
 		}
@@ -76,24 +76,24 @@
 
 // Summarize adds up the reports. A sidecar that is out of contact is assumed to have the average
 // traffic of the others: it goes on serving.
-func (b *Reports) Summarize(now time.Duration, until func(i int) time.Duration) Summary {
+func (rs *Reports) Summarize(now time.Duration, until func(i int) time.Duration) Summary {
 	s := Summary{InTime: 1, Complete: true}
-	good, heard := 0.0, 0
-	for i := range b.Size {
-		switch t := b.reportOf(i); {
+	good, reporting := 0.0, 0
+	for i := range rs.Size {
+		switch t := rs.reportOf(i); {
 		case now >= until(i):
 			s.Unreachable = append(s.Unreachable, i)
 		case !t.received:
 			s.Complete = false
 		default:
-			heard++
+			reporting++
 			s.Traffic += t.Rate
 			good += t.Rate * t.InTime
 		}
 	}
 	if s.Traffic > 0 {
 		s.InTime = good / s.Traffic
-		s.Traffic *= float64(heard+len(s.Unreachable)) / float64(heard)
+		s.Traffic *= float64(reporting+len(s.Unreachable)) / float64(reporting)
 	}
 	return s
 }
--- a/internal/fleet/policyrollout/leader.go
+++ b/internal/fleet/policyrollout/leader.go
@@ -79,7 +79,7 @@
 
 // VoterIncarnation returns the incarnation by which a sidecar last reported to vote, and whether
 // that was within LeaseExpiry.
-func (l *Leader) VoterIncarnation(now time.Duration, i int) (seat uint64, lately bool) {
+func (l *Leader) VoterIncarnation(now time.Duration, i int) (incarnation uint64, recent bool) {
 	m := &l.members[i]
 	return m.report.VoterIncarnation, m.received && now-m.receivedAt < l.LeaseExpiry
 }
--- a/internal/fleet/swim/node.go
+++ b/internal/fleet/swim/node.go
@@ -226,7 +226,7 @@
 	n.left = true // before anyone is told, as receivers may consider the session over at once
 	r := Rumour{Member: n.Self, Session: n.session, State: Left, Accuser: n.Self}
 	targets := n.Rand.Perm(n.Size)
-	told := 0
+	sent := 0
 	for _, i := range targets {
 		if s := n.members[i].state; i == n.Self || s != Alive && s != Suspect {
 			continue
@@ -234,7 +234,7 @@
 		n.newMessage(Gossip)
 		n.out.Rumours = append(n.out.Rumours, r)
 		n.send(i)
-		if told++; told == 2*burstFanout {
+		if sent++; sent == 2*burstFanout {
 			return
 		}
 	}
