--- a/cmd/measure/mesh_core.go
+++ b/cmd/measure/mesh_core.go
@@ -14,6 +14,7 @@
 	"strings"
 	"time"
 
+	"caperarch/internal/mesh/httpclient"
 	"caperarch/internal/mesh/rpc"
 	"caperarch/internal/mesh/settings"
 	"caperarch/meshapi"
@@ -83,7 +84,7 @@
 		return nil, err
 	}
 	c.Cleanup(func() { os.RemoveAll(dir) })
-	m := &meshCore{binary: binary, dir: dir, prefix: prefix, client: rpc.NewClient(time.Second)}
+	m := &meshCore{binary: binary, dir: dir, prefix: prefix, client: httpclient.New(time.Second)}
 	if m.control, err = meshPort(prefix, meshControlPorts); err != nil {
 		return nil, err
 	}
--- a/internal/lab/testbed/hollow/sidecar.go
+++ b/internal/lab/testbed/hollow/sidecar.go
@@ -12,8 +12,8 @@
 	"go.uber.org/zap"
 
 	"caperarch/internal/mesh/config"
+	"caperarch/internal/mesh/httpclient"
 	"caperarch/internal/mesh/registry"
-	"caperarch/internal/mesh/rpc"
 	"caperarch/internal/mesh/watch"
 )
 
@@ -39,7 +39,7 @@
 	zone := f.cfg.Zones[number%len(f.cfg.Zones)]
 	s := &hollowSidecar{
 		fleet: f, node: fmt.Sprintf("sidecar-%s-%d", zone, number), zone: zone,
-		client: rpc.NewClient(dialTimeout), upstreams: make(map[string]registry.Upstream),
+		client: httpclient.New(dialTimeout), upstreams: make(map[string]registry.Upstream),
 	}
 	s.config.Store(config.Empty())
 	host := fmt.Sprintf("10.%d.%d.%d", 1+number%len(f.cfg.Zones), number/250, 1+number%250)
--- a/internal/mesh/api/fixture_test.go
+++ b/internal/mesh/api/fixture_test.go
@@ -7,8 +7,8 @@
 	"strings"
 	"testing"
 
+	"caperarch/internal/mesh/httpclient"
 	"caperarch/internal/mesh/registry"
-	"caperarch/internal/mesh/rpc"
 	"caperarch/meshapi"
 )
 
@@ -65,7 +65,7 @@
 // newForwarder serves the routes of a Forwarder to the addresses.
 func newForwarder(t *testing.T, addresses ...string) http.Handler {
 	t.Helper()
-	client := rpc.NewClient(0)
+	client := httpclient.New(0)
 	t.Cleanup(client.CloseIdleConnections)
 	mux := http.NewServeMux()
 	RegisterOperatorRoutes(mux, Forwarder{Client: client, Addresses: func() []string { return addresses }})
--- a/internal/mesh/cli/cli_test.go
+++ b/internal/mesh/cli/cli_test.go
@@ -18,6 +18,7 @@
 	"go.uber.org/zap"
 
 	"caperarch/internal/mesh/controlplane"
+	"caperarch/internal/mesh/httpclient"
 	"caperarch/internal/mesh/registry"
 	"caperarch/internal/mesh/rpc"
 	"caperarch/internal/mesh/settings"
@@ -131,7 +132,7 @@
 		expect(ExitOK, "describe --output json", `"apiKeys"`, `"k-1"`)
 
 		// A sidecar with its upstream, and an upstream that reached the core alone.
-		client := rpc.NewClient(time.Second)
+		client := httpclient.New(time.Second)
 		defer client.CloseIdleConnections()
 		lease := &registry.Lease{
 			Node: "side-1", Incarnation: 1, Sequence: 1, Zone: "a", Applied: 5,
--- a/internal/mesh/controlplane/cluster_test.go
+++ b/internal/mesh/controlplane/cluster_test.go
@@ -12,6 +12,7 @@
 
 	"go.uber.org/zap"
 
+	"caperarch/internal/mesh/httpclient"
 	"caperarch/internal/mesh/rpc"
 	"caperarch/internal/mesh/settings"
 	"caperarch/meshapi"
@@ -82,7 +83,7 @@
 		t:            t,
 		controlPort:  freePort(t),
 		internalPort: freePort(t),
-		client:       rpc.NewClient(callTimeout),
+		client:       httpclient.New(callTimeout),
 		machines:     map[int]*testMachine{},
 	}
 	t.Cleanup(func() {
--- a/internal/mesh/controlplane/server.go
+++ b/internal/mesh/controlplane/server.go
@@ -15,10 +15,10 @@
 	"time"
 
 	"caperarch/internal/mesh/cluster"
+	"caperarch/internal/mesh/httpclient"
 	"caperarch/internal/mesh/quota"
 	"caperarch/internal/mesh/registry"
 	"caperarch/internal/mesh/replication"
-	"caperarch/internal/mesh/rpc"
 	"caperarch/internal/mesh/settings"
 	"caperarch/internal/mesh/watch"
 
@@ -68,7 +68,7 @@
 	s := &Server{
 		settings:   set,
 		log:        log,
-		client:     rpc.NewClient(dialTimeout),
+		client:     httpclient.New(dialTimeout),
 		startedAt:  time.Now(),
 		memberList: cluster.NewMemberList(local, set.SeedAddresses()),
 	}
--- a/internal/mesh/replication/member_test.go
+++ b/internal/mesh/replication/member_test.go
@@ -14,7 +14,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 	"go.uber.org/zap"
 
-	"caperarch/internal/mesh/rpc"
+	"caperarch/internal/mesh/httpclient"
 )
 
 // testMember is a member with its store, its transport and its server on loopback.
@@ -44,7 +44,7 @@
 	}
 	s := &testMember{app: &application{}}
 	deliver := func(from MemberID, messages []Message) { s.node.Deliver(from, messages) }
-	s.transport = NewTransport(state.ID, rpc.NewClient(time.Second), deliver, zap.NewNop())
+	s.transport = NewTransport(state.ID, httpclient.New(time.Second), deliver, zap.NewNop())
 	s.node, err = StartNode(NodeConfig{Storage: store, State: state, Logger: zap.NewNop(), AppliedIndex: s.app.applied,
 		Apply: s.app.apply, Restore: s.app.restore, Snapshot: s.app.snapshot, Send: s.transport.Send})
 	if err != nil {
--- a/internal/mesh/rpc/client.go
+++ b/internal/mesh/rpc/client.go
@@ -5,34 +5,12 @@
 	"context"
 	"encoding/json"
 	"io"
-	"net"
 	"net/http"
-	"syscall"
-	"time"
-
-	"golang.org/x/sys/unix"
 
 	"caperarch/internal/mesh/errs"
 )
 
 const (
-	// userTimeout is how long sent bytes or probes may stay unacknowledged before the connection is
-	// given up. It guards against peers without power or behind a network partition, which close no
-	// connection.
-	userTimeout = 1500 * time.Millisecond
-	// keepAliveIdle is how long a connection is idle before the first probe.
-	keepAliveIdle = time.Second
-	// keepAliveInterval is the time between probes. The kernel counts it in whole seconds, so Go
-	// makes this one second.
-	keepAliveInterval = 500 * time.Millisecond
-	// keepAliveCount is how many probes may go unanswered.
-	keepAliveCount = 3
-	// idleConnsPerPeer bounds the idle connections kept to one peer, so that a burst of calls does
-	// not keep file descriptors open.
-	idleConnsPerPeer = 4
-	// idleConnTimeout is how long an idle connection is kept. It guards against keeping connections
-	// to machines that no longer exist.
-	idleConnTimeout = 30 * time.Second
 	// maxResponseBytes bounds a response. It guards the caller's memory against a faulty peer, and
 	// leaves room for the largest configuration (64 MiB) with its envelope.
 	maxResponseBytes = 72 << 20
@@ -40,48 +18,6 @@
 	maxErrorBytes = 16 << 10
 )
 
-// NewClient returns a client for Call, Post and Get: HTTP/1.1, with kept connections on which a
-// peer without power is noticed within about two seconds. Opening a connection takes at most
-// dialTimeout; zero is no limit. It follows no redirects and uses no proxy. The caller closes its
-// idle connections in the end.
-func NewClient(dialTimeout time.Duration) *http.Client {
-	dialer := &net.Dialer{
-		Timeout: dialTimeout,
-		KeepAliveConfig: net.KeepAliveConfig{
-			Enable:   true,
-			Idle:     keepAliveIdle,
-			Interval: keepAliveInterval,
-			Count:    keepAliveCount,
-		},
-		Control: setUserTimeout,
-	}
-	protocols := new(http.Protocols)
-	protocols.SetHTTP1(true)
-	return &http.Client{
-		Transport: &http.Transport{
-			DialContext:         dialer.DialContext,
-			Protocols:           protocols,
-			DisableCompression:  true,
-			MaxIdleConnsPerHost: idleConnsPerPeer,
-			IdleConnTimeout:     idleConnTimeout,
-		},
-		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
-	}
-}
-
-// setUserTimeout sets TCP_USER_TIMEOUT on a connection that is about to be opened.
-func setUserTimeout(_, _ string, c syscall.RawConn) error {
-	var optionErr error
-	err := c.Control(func(fd uintptr) {
-		optionErr = unix.SetsockoptInt(
-			int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout.Milliseconds()))
-	})
-	if err != nil {
-		return err
-	}
-	return optionErr
-}
-
 // Call posts the request as JSON and returns the response. A response that is not 2xx is returned
 // as an error of the kind that the peer named, and of Internal if it named none. If there is no
 // response, if it breaks off, or if ctx ends first, the error is Unreachable: whether the peer did
--- a/internal/mesh/rpc/rpc_test.go
+++ b/internal/mesh/rpc/rpc_test.go
@@ -9,14 +9,13 @@
 	"net/http/httptest"
 	"strconv"
 	"strings"
-	"syscall"
 	"testing"
 	"time"
 
 	. "github.com/smartystreets/goconvey/convey"
-	"golang.org/x/sys/unix"
 
 	"caperarch/internal/mesh/errs"
+	"caperarch/internal/mesh/httpclient"
 )
 
 type echoRequest struct{ Kind, Fill string }
@@ -50,7 +49,7 @@
 	HandleGet(mux, "/get", func(*http.Request) (*echoResponse, error) { return &echoResponse{"got"}, nil })
 	server := httptest.NewServer(mux)
 	t.Cleanup(server.Close)
-	client := NewClient(time.Second)
+	client := httpclient.New(time.Second)
 	t.Cleanup(client.CloseIdleConnections)
 	return &fixture{handler: mux, url: server.URL, client: client}
 }
@@ -159,22 +158,3 @@
 		So(errs.KindOf(err), ShouldEqual, errs.Internal)
 	})
 }
-
-func TestConnectionsTimeOut(t *testing.T) {
-	f := newFixture(t)
-	Convey("A connection of the client gives up on an unresponsive peer after the user timeout", t, func() {
-		transport := f.client.Transport.(*http.Transport)
-		c, err := transport.DialContext(context.Background(), "tcp", f.address())
-		So(err, ShouldBeNil)
-		defer c.Close()
-		control, err := c.(syscall.Conn).SyscallConn()
-		So(err, ShouldBeNil)
-		var timeout, probes int
-		So(control.Control(func(fd uintptr) {
-			timeout, _ = unix.GetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT)
-			probes, _ = unix.GetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_KEEPCNT)
-		}), ShouldBeNil)
-		So(timeout, ShouldEqual, userTimeout.Milliseconds())
-		So(probes, ShouldEqual, keepAliveCount)
-	})
-}
--- a/internal/mesh/sidecar/sidecar.go
+++ b/internal/mesh/sidecar/sidecar.go
@@ -23,8 +23,8 @@
 
 	"caperarch/internal/mesh/balancer"
 	"caperarch/internal/mesh/config"
+	"caperarch/internal/mesh/httpclient"
 	"caperarch/internal/mesh/registry"
-	"caperarch/internal/mesh/rpc"
 	"caperarch/internal/mesh/settings"
 	"caperarch/internal/mesh/watch"
 	"caperarch/internal/proxy/call"
@@ -98,7 +98,7 @@
 // newSidecar makes a sidecar with an empty configuration; it has neither engines nor listeners yet.
 func newSidecar(current *settings.Settings, log *zap.Logger) (*Sidecar, error) {
 	s := &Sidecar{
-		settings: current, clock: clock.New(), log: log, client: rpc.NewClient(dialTimeout),
+		settings: current, clock: clock.New(), log: log, client: httpclient.New(dialTimeout),
 		endpoints: newEndpoints(zoneNames(current), current.Network.ListenAddresses.Inbound),
 	}
 	s.config.Store(config.Empty())
--- a/internal/mesh/watch/contact_test.go
+++ b/internal/mesh/watch/contact_test.go
@@ -11,6 +11,7 @@
 	"go.uber.org/zap"
 
 	"caperarch/internal/mesh/errs"
+	"caperarch/internal/mesh/httpclient"
 	"caperarch/internal/mesh/registry"
 	"caperarch/internal/mesh/rpc"
 )
@@ -61,7 +62,7 @@
 		defer newcomer.stop()
 		newcomer.change(func() { newcomer.up.Instance = "" }) // it has no upstream here
 		moved := moves{at: memberAddresses[0]}
-		raw := rpc.NewClient(time.Second)
+		raw := httpclient.New(time.Second)
 		defer raw.CloseIdleConnections()
 		old, _ := c[0].applied()
 		q.run(20*time.Second, true, func(now time.Duration) {
--- a/meshclient/client.go
+++ b/meshclient/client.go
@@ -8,7 +8,7 @@
 	"sync"
 	"time"
 
-	"caperarch/internal/mesh/rpc"
+	"caperarch/internal/mesh/httpclient"
 )
 
 const (
@@ -43,7 +43,7 @@
 func (c *Client) start() {
 	configured := c.HTTP
 	if configured == nil {
-		configured = rpc.NewClient(dialTimeout)
+		configured = httpclient.New(dialTimeout)
 	}
 	own := *configured
 	own.CheckRedirect = func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
--- a/meshclient/client_test.go
+++ b/meshclient/client_test.go
@@ -82,6 +82,28 @@
 	})
 }
 
+func TestErrorBodiesOfOtherServers(t *testing.T) {
+	Convey("The message is taken whatever the body has as kind; without a message the status stands for it", t, func(c C) {
+		for body, message := range map[string]string{
+			`{"errorMessage":"as said","kind":7}`:         "as said",
+			`{"kind":{"name":"x"},"errorMessage":"said"}`: "said",
+			`{"errorMessage":7,"kind":"Invalid"}`:         "400",
+			`{"errorMessage":"cut sh`:                     "400",
+			`["as said"]`:                                 "400",
+			`null`:                                        "400",
+			``:                                            "400",
+		} {
+			runScript(t, []response{{status: 400, body: body}},
+				func(ctx context.Context, _ *scriptedTransport, client *Client) {
+					_, err := client.NodeStatus(ctx)
+					var e *Error
+					c.So(errors.As(err, &e), ShouldBeTrue)
+					c.So(e.Message, ShouldEqual, message)
+				})
+		}
+	})
+}
+
 func TestKindsWithoutAnAnswer(t *testing.T) {
 	Convey("When the time runs out, the kind says whether anything may have been received", t, func(c C) {
 		for kind, responses := range map[Kind][]response{
