--- a/internal/lab/raftlogsim/disk.go
+++ b/internal/lab/raftlogsim/disk.go
@@ -11,9 +11,9 @@
 
 // Disk is a machine's, which outlives its processes.
 type Disk struct {
-	Life  uint64 // of the seat
-	Full  bool   // nothing can be written any more
-	saved raftlog.SavedState
+	Incarnation uint64 // of the seat
+	Full        bool   // nothing can be written any more
+	saved       raftlog.SavedState
 }
 
 // NewDisks gives each machine one, and a process that uses it.
--- a/internal/lab/raftlogsim/net.go
+++ b/internal/lab/raftlogsim/net.go
@@ -25,12 +25,12 @@
 	Nodes []*Node
 	Disks []*Disk // by number, where machines have some that last; nil: none has
 
-	Broken  []string
-	Sent    int
-	Longest int                  // bytes of a message, about
-	agreed  map[[2]uint64]string // by epoch and index: what somebody has
-	ended   map[raftlog.Voter]time.Duration
-	life    uint64
+	Broken          []string
+	Sent            int
+	Longest         int                  // bytes of a message, about
+	agreed          map[[2]uint64]string // by epoch and index: what somebody has
+	ended           map[raftlog.Voter]time.Duration
+	lastIncarnation uint64
 }
 
 // Node is one sidecar.
@@ -38,7 +38,7 @@
 	*raftlog.Node
 	virtualtime.Process
 	net   *Net
-	seat  raftlog.Voter
+	voter raftlog.Voter
 	last  uint64
 	term  uint64                // that it leads, or led last
 	led   time.Duration         // since when
@@ -68,18 +68,18 @@
 	if !m.Down {
 		return
 	}
-	n.life++
+	n.lastIncarnation++
 	m.Restart()
-	m.seat, m.last = raftlog.Voter{Number: i, Incarnation: n.life}, 0
-	cfg := raftlog.Config{Size: n.Size, Self: m.seat, ProcessIncarnation: n.life,
-		Rand: rand.New(rand.NewPCG(n.life, n.Rng.Uint64())), Host: m}
+	m.voter, m.last = raftlog.Voter{Number: i, Incarnation: n.lastIncarnation}, 0
+	cfg := raftlog.Config{Size: n.Size, Self: m.voter, ProcessIncarnation: n.lastIncarnation,
+		Rand: rand.New(rand.NewPCG(n.lastIncarnation, n.Rng.Uint64())), Host: m}
 	if n.Disks != nil {
 		d := n.Disks[i]
-		if d.Life == 0 {
-			d.Life = n.life
+		if d.Incarnation == 0 {
+			d.Incarnation = n.lastIncarnation
 		}
-		m.seat.Incarnation, cfg.Self.Incarnation, cfg.Storage = d.Life, d.Life, d
-		delete(n.ended, m.seat)
+		m.voter.Incarnation, cfg.Self.Incarnation, cfg.Storage = d.Incarnation, d.Incarnation, d
+		delete(n.ended, m.voter)
 	}
 	node, err := raftlog.New(cfg)
 	if err != nil {
@@ -110,7 +110,7 @@
 func (n *Net) Crash(i int) {
 	if m := n.Nodes[i]; !m.Down {
 		m.Down = true
-		n.ended[m.seat] = n.Now
+		n.ended[m.voter] = n.Now
 	}
 }
 
@@ -125,7 +125,7 @@
 func (n *Net) there() (all []raftlog.Voter) {
 	for _, m := range n.Nodes {
 		if !m.Down && m.Stopped == 0 {
-			all = append(all, m.seat)
+			all = append(all, m.voter)
 		}
 	}
 	slices.SortFunc(all, func(a, b raftlog.Voter) int {
@@ -139,7 +139,7 @@
 
 // Send is called by a node.
 func (m *Node) Send(to int, msg *raftlog.Message) {
-	n, from := m.net, m.seat.Number
+	n, from := m.net, m.voter.Number
 	n.Sent++
 	raw, err := msg.Encode()
 	if err != nil {
@@ -168,7 +168,7 @@
 	}
 	if at, _ := m.LastQuorumAck(); at > 0 && at < m.led {
 		m.net.Broken = append(m.net.Broken,
-			fmt.Sprintf("n%d leads since %v and takes a word of %v for a confirmation", m.seat.Number, m.led, at))
+			fmt.Sprintf("n%d leads since %v and takes a word of %v for a confirmation", m.voter.Number, m.led, at))
 	}
 }
 
@@ -179,9 +179,9 @@
 	switch had, known := n.agreed[key]; {
 	case known && had != string(e.Data):
 		n.Broken = append(n.Broken, fmt.Sprintf("n%d has %q at %d of epoch %d, another has %q",
-			m.seat.Number, e.Data, e.Index, m.Epoch(), had))
+			m.voter.Number, e.Data, e.Index, m.Epoch(), had))
 	case e.Index <= m.last:
-		n.Broken = append(n.Broken, fmt.Sprintf("n%d applies %d behind %d", m.seat.Number, e.Index, m.last))
+		n.Broken = append(n.Broken, fmt.Sprintf("n%d applies %d behind %d", m.voter.Number, e.Index, m.last))
 	}
 	n.agreed[key], m.last = string(e.Data), e.Index
 	if m.Heard != nil {
--- a/internal/lab/replicatedstatesim/net.go
+++ b/internal/lab/replicatedstatesim/net.go
@@ -53,17 +53,17 @@
 type Node struct {
 	*replicatedstate.Node
 	virtualtime.Process
-	net     *Net
-	number  int
-	Life    uint64
-	seat    raftlog.Voter
-	Disk    disk
-	rate    float64
-	Bytes   int
-	level   float64
-	levelAt time.Duration
-	own     maintenance.LocalClearance
-	born    time.Duration // of the process, by its clock
+	net         *Net
+	number      int
+	Incarnation uint64
+	voter       raftlog.Voter
+	Disk        disk
+	rate        float64
+	Bytes       int
+	level       float64
+	levelAt     time.Duration
+	own         maintenance.LocalClearance
+	born        time.Duration // of the process, by its clock
 }
 
 // disk is a machine's.
@@ -125,7 +125,7 @@
 	}
 	n.life++
 	m.Restart()
-	m.Life, m.seat, m.own, m.born = n.life, raftlog.Voter{Number: i, Incarnation: n.life},
+	m.Incarnation, m.voter, m.own, m.born = n.life, raftlog.Voter{Number: i, Incarnation: n.life},
 		maintenance.LocalClearance{}, m.Time()
 	cfg := replicatedstate.Config{
 		Size: n.Size, ProcessIncarnation: n.life, Lease: n.Lease, MaxClockError: n.Rate,
@@ -141,12 +141,12 @@
 		cfg.Work, cfg.Deadline = m, n.Site.Deadline
 	}
 	if n.Disks {
-		if m.Disk.Life == 0 {
-			m.Disk.Life = n.life
+		if m.Disk.Incarnation == 0 {
+			m.Disk.Incarnation = n.life
 		}
-		m.seat.Incarnation, cfg.Storage = m.Disk.Life, &m.Disk
+		m.voter.Incarnation, cfg.Storage = m.Disk.Incarnation, &m.Disk
 	}
-	cfg.Self = m.seat
+	cfg.Self = m.voter
 	node, err := replicatedstate.New(cfg)
 	if err != nil {
 		panic(err) // the test's own mistake
@@ -178,7 +178,7 @@
 
 // Send is called by a node.
 func (m *Node) Send(to int, raw []byte, urgent bool) {
-	n, from, life := m.net, m.number, m.Life
+	n, from, life := m.net, m.number, m.Incarnation
 	bytes := len(raw) + Overhead
 	n.Longest = max(n.Longest, len(raw))
 	if n.BytesPerSecond > 0 {
@@ -308,7 +308,7 @@
 	}
 	alive := 0
 	for _, s := range best.Voters {
-		if o := n.Nodes[s.Number]; !o.Down && o.seat == s {
+		if o := n.Nodes[s.Number]; !o.Down && o.voter == s {
 			alive++
 		}
 	}
--- a/internal/lab/replicatedstatesim/work.go
+++ b/internal/lab/replicatedstatesim/work.go
@@ -81,7 +81,7 @@
 		}
 		s.Astray++
 	}
-	s.out = append(s.out, sent{m.Life, x.ID, n.Now + time.Duration(n.Rng.Int64N(int64(s.Deadline))), contact})
+	s.out = append(s.out, sent{m.Incarnation, x.ID, n.Now + time.Duration(n.Rng.Int64N(int64(s.Deadline))), contact})
 }
 
 // Machines is what a sidecar knows of them: as they are, but cold ones.
@@ -103,7 +103,7 @@
 	for window, machine := range asks {
 		quiet := true
 		for _, r := range s.out {
-			quiet = quiet && !(r.life == m.Life && r.machine == machine && m.net.Now < r.until)
+			quiet = quiet && !(r.life == m.Incarnation && r.machine == machine && m.net.Now < r.until)
 		}
 		if quiet {
 			m.own.MarkClear(window, machine)
--- a/internal/lab/swimsim/net.go
+++ b/internal/lab/swimsim/net.go
@@ -48,17 +48,17 @@
 // Node is one sidecar.
 type Node struct {
 	*swim.Node
-	net     *Net
-	number  int
-	rate    float64
-	life    uint64
-	Down    bool          // its process does not live
-	Stopped time.Duration // until then; 0: it runs
-	held    []carried
-	Bytes   int
-	Sends   int
-	level   float64
-	levelAt time.Duration
+	net         *Net
+	number      int
+	rate        float64
+	incarnation uint64
+	Down        bool          // its process does not live
+	Stopped     time.Duration // until then; 0: it runs
+	held        []carried
+	Bytes       int
+	Sends       int
+	level       float64
+	levelAt     time.Duration
 	truth
 }
 
@@ -96,10 +96,11 @@
 	}
 	m.Down, m.Stopped, m.held = false, 0, nil
 	m.truth = truth{last: make([]time.Duration, n.Size), proved: make([]time.Duration, n.Size)}
-	m.life = max(m.life+1, uint64(n.Now/time.Millisecond)<<16|n.Rng.Uint64N(1<<16))
+	m.incarnation = max(m.incarnation+1, uint64(n.Now/time.Millisecond)<<16|n.Rng.Uint64N(1<<16))
 	cfg := swim.Config{
-		Size: n.Size, Self: i, Incarnation: m.life, Lease: n.Lease, MaxClockError: max(n.Rate, swim.DefaultClockError),
-		Rand: rand.New(rand.NewPCG(n.Seed, m.life)), Host: m,
+		Size: n.Size, Self: i, Incarnation: m.incarnation, Lease: n.Lease,
+		MaxClockError: max(n.Rate, swim.DefaultClockError),
+		Rand:          rand.New(rand.NewPCG(n.Seed, m.incarnation)), Host: m,
 	}
 	if n.Alter != nil {
 		cfg.Host = n.Alter(cfg, m)
--- a/internal/lab/swimsim/truth.go
+++ b/internal/lab/swimsim/truth.go
@@ -38,7 +38,7 @@
 
 // carry takes a message on. The stamps in it are the nodes' own business: what proves contact is noted beside them.
 func (m *Node) carry(to int, msg *swim.Message) carried {
-	c := carried{Message: *msg, sent: m.net.Now, heard: m.last[to], of: m.net.Nodes[to].life}
+	c := carried{Message: *msg, sent: m.net.Now, heard: m.last[to], of: m.net.Nodes[to].incarnation}
 	c.Rumours = slices.Clone(msg.Rumours)
 	for _, r := range c.Rumours {
 		if r.State == swim.Suspect || r.State == swim.Dead {
@@ -51,7 +51,7 @@
 // take hands a message over.
 func (m *Node) take(c carried) {
 	m.last[c.From] = max(m.last[c.From], c.sent)
-	if c.heard > 0 && c.of == m.life {
+	if c.heard > 0 && c.of == m.incarnation {
 		m.proved[c.From] = max(m.proved[c.From], c.heard)
 	}
 	m.Receive(m.Time(), &c.Message)
