--- a/internal/fleet/policy_host.go
+++ b/internal/fleet/policy_host.go
@@ -28,25 +28,26 @@
 func (h policyHost) Changed(e replicatedstate.Event) {
 	log := h.p.fleet.log
 	switch e.Kind {
-	case "goes by":
+	case replicatedstate.ActiveChanged:
 		h.p.publishActive()
 		log.Info(
 			"policy: goes by", "mode", e.Active.Mode.String(), "version", e.Active.New.Version,
 			"old", e.Active.Old.Version,
 		)
-	case "leads", "log":
-		if e.Kind == "log" {
+	case replicatedstate.LeaderStarted, replicatedstate.LogReset:
+		if e.Kind == replicatedstate.LogReset {
 			h.p.maintenance.clearance, h.p.maintenance.logCount = maintenance.LocalClearance{}, h.p.maintenance.logCount+1
 		}
-		log.Info("policy: "+e.Kind, "number", e.By, "what", e.Why)
-	case "entry":
+		log.Info("policy: "+string(e.Kind), "number", e.By, "what", e.Why)
+	case replicatedstate.EntryUnreadable:
 		log.Error("policy: an entry of the log can't be read, this sidecar is cut off", "error", e.Why)
 	default:
-		if e.Kind == "taken" || e.Kind == "called off" || e.Kind == "refused" {
-			h.p.outcomes[e.Kind]++
+		switch e.Kind {
+		case replicatedstate.ChangeCommitted, replicatedstate.ChangeAborted, replicatedstate.ChangeRejected:
+			h.p.outcomes[string(e.Kind)]++
 		}
 		log.Info(
-			"policy: "+e.Kind, "version", e.Version, "hash", fmt.Sprintf("%x", e.Hash[:6]), "by",
+			"policy: "+string(e.Kind), "version", e.Version, "hash", fmt.Sprintf("%x", e.Hash[:6]), "by",
 			e.By, "why", e.Why,
 		)
 	}
--- a/internal/fleet/replicatedstate/change.go
+++ b/internal/fleet/replicatedstate/change.go
@@ -149,12 +149,12 @@
 	step, _ := policyrollout.DecodeStep(e.Data)
 	switch {
 	case err != nil:
-		n.Host.Changed(Event{Kind: "entry", By: n.Self.Number, Why: err.Error()})
+		n.Host.Changed(Event{Kind: EntryUnreadable, By: n.Self.Number, Why: err.Error()})
 		return
 	case rejected != "":
 		if (step.Kind == policyrollout.Proposed || step.Kind == policyrollout.Offered) && !n.inLog(step.Ref) {
 			n.recordOutcome(step, "refused: "+rejected)
-			n.Host.Changed(Event{Kind: "refused", Ref: step.Ref, By: step.By, Why: rejected})
+			n.Host.Changed(Event{Kind: ChangeRejected, Ref: step.Ref, By: step.By, Why: rejected})
 		}
 		return
 	}
@@ -164,7 +164,7 @@
 	} else if step.Kind == policyrollout.Proposed || step.Kind == policyrollout.Offered {
 		n.recordOutcome(step, "under way")
 	}
-	n.Host.Changed(Event{Kind: step.Kind.String(), Ref: step.Ref, By: step.By, Why: step.Why})
+	n.Host.Changed(Event{Kind: EventKind(step.Kind.String()), Ref: step.Ref, By: step.By, Why: step.Why})
 }
 
 func outcomeText(step policyrollout.Step) string {
--- a/internal/fleet/replicatedstate/leader.go
+++ b/internal/fleet/replicatedstate/leader.go
@@ -21,7 +21,7 @@
 			quorumAckHeartbeats*raftlog.HeartbeatInterval(n.Size),
 		)
 		n.term, n.epoch = n.log.Term(), n.log.Epoch()
-		n.Host.Changed(Event{Kind: "leads", By: n.Self.Number})
+		n.Host.Changed(Event{Kind: LeaderStarted, By: n.Self.Number})
 	}
 	if step, due := n.leader.Decide(now, n.participant.State(), n.Self.Number); due {
 		n.proposeStep(now, step)
--- a/internal/fleet/replicatedstate/loghost.go
+++ b/internal/fleet/replicatedstate/loghost.go
@@ -29,7 +29,7 @@
 		pendingGrants: make(map[int][]*accordpb.Granted),
 	}, relay{pendingBatches: make(map[uint32]sentBatch)}
 	n.proposals, n.laggards, n.maintenance = nil, reportedLaggards{}, maintenanceState{}
-	n.Host.Changed(Event{Kind: "log", By: n.Self.Number, Why: fmt.Sprintf("epoch %x", epoch)})
+	n.Host.Changed(Event{Kind: LogReset, By: n.Self.Number, Why: fmt.Sprintf("epoch %x", epoch)})
 }
 
 // Applied applies a committed entry.
--- a/internal/fleet/replicatedstate/maintenance.go
+++ b/internal/fleet/replicatedstate/maintenance.go
@@ -88,7 +88,7 @@
 	n.participant.AdvanceIndex(e.Index)
 	if err != nil {
 		n.participant.MarkUnreadable()
-		n.Host.Changed(Event{Kind: "entry", By: n.Self.Number, Why: err.Error()})
+		n.Host.Changed(Event{Kind: EntryUnreadable, By: n.Self.Number, Why: err.Error()})
 		return
 	}
 	// before it is applied: the window may be over by it
--- a/internal/fleet/replicatedstate/replicatedstate.go
+++ b/internal/fleet/replicatedstate/replicatedstate.go
@@ -63,17 +63,6 @@
 	Worked(s maintenance.Step)
 }
 
-// Event is a change that is logged.
-type Event struct {
-	// "proposed", "taken", "called off", "settled", "begun", "offered", "refused", "entry", "goes
-	// by", "leads" or "log": the words of the log lines
-	Kind string
-	policyrollout.Ref
-	By     int
-	Why    string
-	Active policyrollout.Active
-}
-
 // Config configures a Node.
 type Config struct {
 	Size          int
@@ -237,6 +226,6 @@
 func (n *Node) announceActive(now time.Duration) {
 	if goes := n.Active(now); goes != n.announced {
 		n.announced = goes
-		n.Host.Changed(Event{Kind: "goes by", Ref: goes.New, Active: goes, By: n.Self.Number})
+		n.Host.Changed(Event{Kind: ActiveChanged, Ref: goes.New, Active: goes, By: n.Self.Number})
 	}
 }
--- a/internal/lab/replicatedstatesim/net.go
+++ b/internal/lab/replicatedstatesim/net.go
@@ -227,7 +227,7 @@
 	// Within an entry the view is of before it.
 	if v := m.View(m.Time()); v.LastIndex > n.most[v.Epoch] {
 		n.most[v.Epoch] = v.LastIndex
-		n.Counts[e.Kind]++
+		n.Counts[string(e.Kind)]++
 	}
 }
 
