--- a/internal/mesh/errs/kind.go
+++ b/internal/mesh/errs/kind.go
@@ -1,6 +1,10 @@
 package errs
 
-import "net/http"
+import (
+	"net/http"
+
+	"caperarch/meshapi"
+)
 
 // Kind says what went wrong. The zero Kind is not on the list and counts as Internal.
 type Kind uint8
@@ -38,8 +42,7 @@
 
 // kindInfo is what the table says of one kind.
 type kindInfo struct {
-	// wireName is known to other processes and to clients, so it stays when the Go name changes.
-	wireName string
+	wireName meshapi.ErrorKind
 	// status is 4xx where sending the same request again cannot help, and 5xx where it can.
 	status int
 	// retryAfter is the value of the Retry-After header in seconds, empty where none is sent.
@@ -48,19 +51,19 @@
 
 // kinds is the one place where kinds are turned into wire names, statuses and Retry-After values.
 var kinds = [...]kindInfo{
-	Invalid:          {"Invalid", http.StatusBadRequest, ""},
-	Malformed:        {"Unreadable", http.StatusBadRequest, ""},
-	TooLarge:         {"TooLarge", http.StatusRequestEntityTooLarge, ""},
-	Stale:            {"Stale", http.StatusPreconditionFailed, ""},
-	NotFound:         {"Unknown", http.StatusNotFound, ""},
-	Busy:             {"Busy", http.StatusServiceUnavailable, "0.2"},
-	NoQuorum:         {"NoQuorum", http.StatusServiceUnavailable, "0.3"},
-	NotLeader:        {"NotLeader", http.StatusServiceUnavailable, ""},
-	DeadlineExceeded: {"Late", http.StatusServiceUnavailable, ""},
-	Undetermined:     {"Undecided", http.StatusServiceUnavailable, ""},
-	DiskFailed:       {"DiskFailed", http.StatusServiceUnavailable, ""},
-	Unreachable:      {"Unreachable", http.StatusBadGateway, ""},
-	Internal:         {"Internal", http.StatusInternalServerError, ""},
+	Invalid:          {meshapi.KindInvalid, http.StatusBadRequest, ""},
+	Malformed:        {meshapi.KindMalformed, http.StatusBadRequest, ""},
+	TooLarge:         {meshapi.KindTooLarge, http.StatusRequestEntityTooLarge, ""},
+	Stale:            {meshapi.KindStale, http.StatusPreconditionFailed, ""},
+	NotFound:         {meshapi.KindNotFound, http.StatusNotFound, ""},
+	Busy:             {meshapi.KindBusy, http.StatusServiceUnavailable, "0.2"},
+	NoQuorum:         {meshapi.KindNoQuorum, http.StatusServiceUnavailable, "0.3"},
+	NotLeader:        {meshapi.KindNotLeader, http.StatusServiceUnavailable, ""},
+	DeadlineExceeded: {meshapi.KindDeadlineExceeded, http.StatusServiceUnavailable, ""},
+	Undetermined:     {meshapi.KindUndetermined, http.StatusServiceUnavailable, ""},
+	DiskFailed:       {meshapi.KindDiskFailed, http.StatusServiceUnavailable, ""},
+	Unreachable:      {meshapi.KindUnreachable, http.StatusBadGateway, ""},
+	Internal:         {meshapi.KindInternal, http.StatusInternalServerError, ""},
 }
 
 // info returns the kind's entry in the table, and that of Internal for a value that is not on the list.
@@ -72,7 +75,7 @@
 }
 
 // String returns the kind's name on the wire.
-func (k Kind) String() string { return k.info().wireName }
+func (k Kind) String() string { return string(k.WireName()) }
 
 // Status returns the HTTP status that the kind is answered with.
 func (k Kind) Status() int { return k.info().status }
@@ -80,10 +83,13 @@
 // RetryAfter returns the value of the Retry-After header in seconds, empty where none is sent.
 func (k Kind) RetryAfter() string { return k.info().retryAfter }
 
+// WireName returns the kind's name on the wire.
+func (k Kind) WireName() meshapi.ErrorKind { return k.info().wireName }
+
 // ParseKind returns the kind of that wire name, and Internal for a name that is not on the list.
 func ParseKind(wireName string) Kind {
 	for k := Invalid; k < Internal; k++ {
-		if kinds[k].wireName == wireName {
+		if string(kinds[k].wireName) == wireName {
 			return k
 		}
 	}
--- a/internal/mesh/rpc/client.go
+++ b/internal/mesh/rpc/client.go
@@ -8,6 +8,7 @@
 	"net/http"
 
 	"caperarch/internal/mesh/errs"
+	"caperarch/meshapi"
 )
 
 const (
@@ -73,7 +74,7 @@
 // readError turns a response that is not 2xx into an error of the kind that its header names. The
 // message is the peer's if there is one.
 func readError(url string, response *http.Response) error {
-	kind := errs.ParseKind(response.Header.Get(kindHeader))
+	kind := errs.ParseKind(response.Header.Get(meshapi.ErrorKindHeader))
 	// Of a body that breaks off the part that arrived is used; it only carries the message.
 	body, _ := io.ReadAll(io.LimitReader(response.Body, maxErrorBytes))
 	var peerError errorBody
--- a/internal/mesh/rpc/rpc.go
+++ b/internal/mesh/rpc/rpc.go
@@ -6,14 +6,9 @@
 // The package owns no goroutines. Its functions may be called from any goroutine.
 package rpc
 
-const (
-	// kindHeader carries the wire name of an error's kind, so that the caller gets the same kind back.
-	kindHeader  = "X-Mesh-Fault"
-	contentJSON = "application/json"
-)
+import "caperarch/meshapi"
+
+const contentJSON = "application/json"
 
 // errorBody is the body of a response that is an error.
-type errorBody struct {
-	ErrorMessage string `json:"errorMessage"`
-	Kind         string `json:"kind"`
-}
+type errorBody = meshapi.ErrorResponse
--- a/internal/mesh/rpc/rpc_test.go
+++ b/internal/mesh/rpc/rpc_test.go
@@ -16,6 +16,7 @@
 
 	"caperarch/internal/mesh/errs"
 	"caperarch/internal/mesh/httpclient"
+	"caperarch/meshapi"
 )
 
 type echoRequest struct{ Kind, Fill string }
@@ -128,7 +129,7 @@
 		} {
 			response, body := f.postRaw(t, "/echo", c.body, len(c.body)+len(c.missing))
 			So(response.StatusCode, ShouldEqual, 400)
-			So(response.Header.Get(kindHeader), ShouldEqual, c.kind)
+			So(response.Header.Get(meshapi.ErrorKindHeader), ShouldEqual, c.kind)
 			So(body, ShouldContainSubstring, `"kind":"`+c.kind+`"`)
 		}
 	})
--- a/internal/mesh/rpc/server.go
+++ b/internal/mesh/rpc/server.go
@@ -8,6 +8,7 @@
 	"strings"
 
 	"caperarch/internal/mesh/errs"
+	"caperarch/meshapi"
 )
 
 // Handle serves POST requests for the pattern: the JSON body of at most limit bytes is read in full
@@ -76,9 +77,9 @@
 	if wait := kind.RetryAfter(); wait != "" {
 		w.Header().Set("Retry-After", wait)
 	}
-	w.Header().Set(kindHeader, kind.String())
+	w.Header().Set(meshapi.ErrorKindHeader, kind.String())
 	// A struct of two strings always encodes.
-	body, _ := json.Marshal(errorBody{ErrorMessage: err.Error(), Kind: kind.String()})
+	body, _ := json.Marshal(errorBody{ErrorMessage: err.Error(), Kind: kind.WireName()})
 	writeJSON(w, kind.Status(), body)
 }
 
--- a/meshclient/attempt.go
+++ b/meshclient/attempt.go
@@ -10,6 +10,8 @@
 	"strconv"
 	"sync/atomic"
 	"time"
+
+	"caperarch/meshapi"
 )
 
 const (
@@ -22,8 +24,6 @@
 	maxRedirects = 2
 	// maxErrorBytes bounds what is read of a response that is an error, for its message.
 	maxErrorBytes = 16 << 10
-	// kindHeader carries the server's own kind of an error.
-	kindHeader = "X-Mesh-Fault"
 )
 
 // callRequest is what every attempt of a call sends.
@@ -122,16 +122,17 @@
 		err: Error{
 			Address:    address,
 			Status:     response.StatusCode,
-			ServerKind: response.Header.Get(kindHeader),
+			ServerKind: response.Header.Get(meshapi.ErrorKindHeader),
 			Message:    response.Status,
 		},
 		sent: true,
 	}
-	var body struct {
-		ErrorMessage string `json:"errorMessage"`
-	}
+	var body meshapi.ErrorResponse
 	text, _ := io.ReadAll(io.LimitReader(response.Body, maxErrorBytes))
-	if json.Unmarshal(text, &body) == nil && body.ErrorMessage != "" {
+	// A body that can't be decoded leaves no message. One that is wrong in its kind alone leaves the
+	// message, and the kind is that of the header.
+	_ = json.Unmarshal(text, &body)
+	if body.ErrorMessage != "" {
 		failure.err.Message = body.ErrorMessage
 	}
 	seconds, err := strconv.ParseFloat(response.Header.Get("Retry-After"), 64)
--- a/meshclient/errors.go
+++ b/meshclient/errors.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"net/http"
 
-	"caperarch/internal/mesh/errs"
+	"caperarch/meshapi"
 )
 
 // Kind says what became of a call that failed. Each Kind is an error itself, so that errors.Is(err,
@@ -60,8 +60,8 @@
 	Kind Kind
 	// Status is the HTTP status of the last response, 0 where none came.
 	Status int
-	// ServerKind is the server's own kind of the error, from the header X-Mesh-Fault of the last
-	// response; empty where it has none.
+	// ServerKind is the server's own kind of the error, from the header field
+	// meshapi.ErrorKindHeader of the last response; empty where it has none.
 	ServerKind string
 	// Address is the control plane address that was tried last, host:port; empty where none was.
 	Address string
@@ -106,20 +106,18 @@
 	return Unreachable
 }
 
-// kindOfRejection is the kind of a 4xx response: by the server's own kind where it names one, else
-// by the status.
+// kindOfRejection is the kind of a 4xx response: by the server's own kind where it names one that
+// tells of the request, else by the status.
 func kindOfRejection(status int, serverKind string) Kind {
-	if serverKind != "" {
-		switch errs.ParseKind(serverKind) {
-		case errs.Invalid, errs.Malformed:
-			return Invalid
-		case errs.TooLarge:
-			return TooLarge
-		case errs.Stale:
-			return Stale
-		case errs.NotFound:
-			return NotFound
-		}
+	switch meshapi.ErrorKind(serverKind) {
+	case meshapi.KindInvalid, meshapi.KindMalformed:
+		return Invalid
+	case meshapi.KindTooLarge:
+		return TooLarge
+	case meshapi.KindStale:
+		return Stale
+	case meshapi.KindNotFound:
+		return NotFound
 	}
 	switch status {
 	case http.StatusBadRequest, http.StatusConflict, http.StatusUnprocessableEntity:
