--- a/cmd/caperarch/main_test.go
+++ b/cmd/caperarch/main_test.go
@@ -78,7 +78,7 @@
 			t.Fatal(err)
 		}
 	}
-	for lines.Scan() && !strings.Contains(lines.Text(), "read again") {
+	for lines.Scan() && !strings.Contains(lines.Text(), "configuration reloaded") {
 	}
 	res, err := http.Get("http://" + address + "/up")
 	if err != nil || res.StatusCode != http.StatusOK {
