--- a/internal/mesh/rpc/client.go
+++ b/internal/mesh/rpc/client.go
@@ -77,7 +77,7 @@
 	kind := errs.ParseKind(response.Header.Get(meshapi.ErrorKindHeader))
 	// Of a body that breaks off the part that arrived is used; it only carries the message.
 	body, _ := io.ReadAll(io.LimitReader(response.Body, maxErrorBytes))
-	var peerError errorBody
+	var peerError meshapi.ErrorResponse
 	if json.Unmarshal(body, &peerError) != nil || peerError.ErrorMessage == "" {
 		return errs.New(kind, "%s answers %s", url, response.Status)
 	}
--- a/internal/mesh/rpc/golden_test.go
+++ b/internal/mesh/rpc/golden_test.go
@@ -6,11 +6,12 @@
 
 	"caperarch/internal/mesh/errs"
 	"caperarch/internal/mesh/goldentest"
+	"caperarch/meshapi"
 )
 
 // The JSON form is what the last release wrote: testdata holds it.
 func TestErrorBody(t *testing.T) {
-	goldentest.CheckJSON[errorBody](t, "error")
+	goldentest.CheckJSON[meshapi.ErrorResponse](t, "error")
 }
 
 // Callers of the release before go by the status, the kind's name and Retry-After of an error.
--- a/internal/mesh/rpc/rpc.go
+++ b/internal/mesh/rpc/rpc.go
@@ -6,9 +6,4 @@
 // The package owns no goroutines. Its functions may be called from any goroutine.
 package rpc
 
-import "caperarch/meshapi"
-
 const contentJSON = "application/json"
-
-// errorBody is the body of a response that is an error.
-type errorBody = meshapi.ErrorResponse
--- a/internal/mesh/rpc/server.go
+++ b/internal/mesh/rpc/server.go
@@ -79,7 +79,7 @@
 	}
 	w.Header().Set(meshapi.ErrorKindHeader, kind.String())
 	// A struct of two strings always encodes.
-	body, _ := json.Marshal(errorBody{ErrorMessage: err.Error(), Kind: kind.WireName()})
+	body, _ := json.Marshal(meshapi.ErrorResponse{ErrorMessage: err.Error(), Kind: kind.WireName()})
 	writeJSON(w, kind.Status(), body)
 }
 
--- a/meshclient/attempt.go
+++ b/meshclient/attempt.go
@@ -127,12 +127,12 @@
 		},
 		sent: true,
 	}
-	var body meshapi.ErrorResponse
+	// The kind is the header's, so that no other field of the body can spoil the message.
+	var body struct {
+		ErrorMessage string `json:"errorMessage"`
+	}
 	text, _ := io.ReadAll(io.LimitReader(response.Body, maxErrorBytes))
-	// A body that can't be decoded leaves no message. One that is wrong in its kind alone leaves the
-	// message, and the kind is that of the header.
-	_ = json.Unmarshal(text, &body)
-	if body.ErrorMessage != "" {
+	if json.Unmarshal(text, &body) == nil && body.ErrorMessage != "" {
 		failure.err.Message = body.ErrorMessage
 	}
 	seconds, err := strconv.ParseFloat(response.Header.Get("Retry-After"), 64)
