--- a/internal/mesh/sidecar/abandoned.go
+++ b/internal/mesh/sidecar/abandoned.go
@@ -9,12 +9,12 @@
 	"go.uber.org/zap"
 )
 
-// abandonedLogInterval is the time between two log entries of requests whose clients left. It guards
-// the log's ring against one entry for each request.
+// abandonedLogInterval is the minimum time between two log entries on abandoned requests. Logging each
+// request would displace all other entries from the log's ring buffer.
 const abandonedLogInterval = time.Second
 
-// logAbandoned logs what became of the requests whose clients left, until ctx ends: once an interval,
-// and only while there are more.
+// logAbandoned logs the requests whose clients disconnected before they had a response, until ctx ends. It
+// writes at most one entry per engine and abandonedLogInterval, and none if the counters have not changed.
 func (s *Sidecar) logAbandoned(ctx context.Context) {
 	ticker := time.NewTicker(abandonedLogInterval)
 	defer ticker.Stop()
@@ -30,16 +30,17 @@
 	}
 }
 
-// logNewlyAbandoned logs the counts of one engine if they differ from the last ones, and returns them.
+// logNewlyAbandoned logs by how much the counters of an engine have grown since last, and returns their
+// current values. It logs nothing if they are equal.
 func logNewlyAbandoned(
-	log *zap.Logger, side string, of *engine.Engine, last engine.Abandoned,
+	log *zap.Logger, side string, source *engine.Engine, last engine.Abandoned,
 ) engine.Abandoned {
-	now := of.Abandoned()
-	if now != last {
+	current := source.Abandoned()
+	if current != last {
 		log.Info("requests abandoned by their callers", zap.String("side", side),
-			zap.Int64("requests", now.Requests-last.Requests),
-			zap.Int64("attemptsInFlight", now.InFlight-last.InFlight),
-			zap.Int64("attemptsThatRanOn", now.RanOn-last.RanOn))
+			zap.Int64("requests", current.Requests-last.Requests),
+			zap.Int64("attemptsInFlight", current.InFlight-last.InFlight),
+			zap.Int64("attemptsThatRanOn", current.RanOn-last.RanOn))
 	}
-	return now
+	return current
 }
--- a/internal/mesh/sidecar/abandoned_test.go
+++ b/internal/mesh/sidecar/abandoned_test.go
@@ -15,7 +15,8 @@
 	"caperarch/internal/proxy/call"
 )
 
-// socketNetwork is the loopback interface: only on sockets a process is told that its peer has left.
+// socketNetwork is a network on loopback sockets. Unlike memoryNetwork, it lets a process notice that its peer has
+// disconnected without a read or write.
 type socketNetwork struct {
 	t         *testing.T
 	mu        sync.Mutex
@@ -51,36 +52,36 @@
 	}
 }
 
-// heldRequest is a request that an upstream works on until it is told to answer, or its connection ends.
+// heldRequest is a request that an upstream keeps pending until the test has it respond or its connection ends.
 type heldRequest struct {
-	id     string
-	answer chan struct{} // closed by the test: the upstream answers
-	ended  chan error    // receives how its connection ended: nil if it answered before
+	id      string
+	respond chan struct{} // closed by the test to make the upstream respond
+	result  chan error    // receives nil after the response, or the error that ended the connection before it
 }
 
 // socketMesh is a mesh on sockets whose upstreams hold all requests.
 type socketMesh struct {
 	*mesh
-	arrived chan *heldRequest
+	heldRequests chan *heldRequest
 }
 
-// patientConfig is onceConfig with time-outs that no test waits for.
-var patientConfig = strings.ReplaceAll(onceConfig, `"timeoutS":2`, `"timeoutS":60`)
+// longTimeoutConfig is onceConfig with timeouts that no test reaches.
+var longTimeoutConfig = strings.ReplaceAll(twoRouteConfig, `"timeoutS":2`, `"timeoutS":60`)
 
 func newSocketMesh(t *testing.T) *socketMesh {
 	t.Helper()
-	m := &socketMesh{arrived: make(chan *heldRequest, 64)}
+	m := &socketMesh{heldRequests: make(chan *heldRequest, 64)}
 	m.mesh = &mesh{
-		t: t, config: patientConfig,
+		t: t, config: longTimeoutConfig,
 		net: &socketNetwork{t: t, listeners: make(map[string]net.Listener)},
 	}
-	m.start(frontBodyBytes, m.hold)
+	m.start(frontBodyBytes, m.holdRequest)
 	t.Cleanup(m.close)
 	return m
 }
 
-// hold reads one request and holds it, and drops it once its connection ends.
-func (m *socketMesh) hold(_ string, c net.Conn) {
+// holdRequest reads one request and holds it until it is told to respond or the connection ends.
+func (m *socketMesh) holdRequest(_ string, c net.Conn) {
 	in := bufio.NewReader(c)
 	r, err := http.ReadRequest(in)
 	if err != nil {
@@ -90,26 +91,26 @@
 		return
 	}
 	held := &heldRequest{
-		id: r.Header.Get(headers.AttemptID), answer: make(chan struct{}), ended: make(chan error, 1),
+		id: r.Header.Get(headers.AttemptID), respond: make(chan struct{}), result: make(chan error, 1),
 	}
 	connectionEnd := make(chan error, 1)
 	go func() {
 		_, err := in.ReadByte()
 		connectionEnd <- err
 	}()
-	m.arrived <- held
+	m.heldRequests <- held
 	select {
 	case err := <-connectionEnd:
-		held.ended <- err
-	case <-held.answer:
+		held.result <- err
+	case <-held.respond:
 		_, err := io.WriteString(c, successOf(held.id))
-		held.ended <- err
-		<-connectionEnd // it is kept until its gate closes it
+		held.result <- err
+		<-connectionEnd // the connection stays open until its gate closes it
 	}
 }
 
-// dialCaller opens a client's connection.
-func (m *socketMesh) dialCaller() *net.TCPConn {
+// dialClient opens a client's connection to its sidecar.
+func (m *socketMesh) dialClient() *net.TCPConn {
 	m.t.Helper()
 	c, err := m.net.dial("client", "client", "caller")
 	if err != nil {
@@ -119,30 +120,30 @@
 	return c.(*net.TCPConn)
 }
 
-// sendRequests writes requests on a connection, and waits until upstreams hold them all.
+// sendRequests writes requests on a connection, waiting after each of them until an upstream holds it.
 func (m *socketMesh) sendRequests(c net.Conn, count int, format string) []*heldRequest {
 	m.t.Helper()
 	var all []*heldRequest
 	for i := range count {
 		fmt.Fprintf(c, format, idField(fmt.Sprint("id", i)))
-		all = append(all, testbed.Wait(m.t, "a request at an upstream", m.arrived))
+		all = append(all, testbed.Wait(m.t, "a request at an upstream", m.heldRequests))
 	}
 	return all
 }
 
-// readRequest is an idempotent request, where its id field is to be set.
+// readRequest is the format of an idempotent request; its argument is the id field.
 const readRequest = "GET /read/ HTTP/1.1\r\nHost: h\r\n%s\r\n"
 
-// postTo is a request with a body of a length, where its id field is to be set. Over call.MaxBufferedBody
-// bytes it is streamed.
+// postTo returns the format of a request with a body of the given length; its argument is the id field. A body of
+// more than call.MaxBufferedBody bytes is streamed.
 func postTo(path string, length int) string {
 	return fmt.Sprintf("POST %s HTTP/1.1\r\nHost: h\r\n%%sContent-Length: %d\r\n\r\n%s",
 		path, length, strings.Repeat("x", length))
 }
 
-// Upstreams are told when the client of an idempotent request leaves, however it does: their connection
-// ends, so that they can drop the request. Nobody is left to read its answer.
-func TestUpstreamIsToldThatClientLeft(t *testing.T) {
+// Guards against upstreams that go on working on an idempotent request whose client has disconnected. However the
+// client disconnects, the upstream's connection ends, so that it can drop the request.
+func TestUpstreamConnectionEndsWhenClientDisconnects(t *testing.T) {
 	closeConn := func(c *net.TCPConn) error { return c.Close() }
 	reset := func(c *net.TCPConn) error {
 		if err := c.SetLinger(0); err != nil {
@@ -151,9 +152,9 @@
 		return c.Close()
 	}
 	for name, test := range map[string]struct {
-		count   int
-		request string
-		leave   func(*net.TCPConn) error
+		count      int
+		request    string
+		disconnect func(*net.TCPConn) error
 	}{
 		"closes its connection":       {1, readRequest, closeConn},
 		"resets its connection":       {1, readRequest, reset},
@@ -165,34 +166,34 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			m := newSocketMesh(t)
-			c := m.dialCaller()
+			c := m.dialClient()
 			all := m.sendRequests(c, test.count, test.request)
-			if err := test.leave(c); err != nil {
+			if err := test.disconnect(c); err != nil {
 				t.Fatal(err)
 			}
 			for _, held := range all {
-				if err := testbed.Wait(t, held.id+" to be dropped", held.ended); err == nil {
-					t.Errorf("%s was answered", held.id)
+				if err := testbed.Wait(t, held.id+" to be dropped", held.result); err == nil {
+					t.Errorf("%s was answered after its client disconnected, want its connection to end", held.id)
 				}
 			}
 		})
 	}
 }
 
-// A request that must not run twice goes on when its client leaves: what it has begun is finished.
-func TestNonIdempotentRunOutlivesItsClient(t *testing.T) {
+// A non-idempotent request that has started must complete after its client has disconnected.
+func TestNonIdempotentRequestCompletesAfterClientDisconnects(t *testing.T) {
 	for name, length := range map[string]int{"short body": 2, "long body": 2 * call.MaxBufferedBody} {
 		t.Run(name, func(t *testing.T) {
 			m := newSocketMesh(t)
-			c := m.dialCaller()
+			c := m.dialClient()
 			held := m.sendRequests(c, 1, postTo("/write/", length))[0]
 			c.Close()
 			testbed.Until(t, "its gate knows that the caller has left", func() bool {
 				return m.engines[0].Abandoned().Requests+m.engines[1].Abandoned().Requests == 1
 			})
-			close(held.answer)
-			if err := testbed.Wait(t, "the answer", held.ended); err != nil {
-				t.Errorf("the upstream's connection ended while it worked: %v", err)
+			close(held.respond)
+			if err := testbed.Wait(t, "the answer", held.result); err != nil {
+				t.Errorf("the upstream's connection ended before the response: %v, want a response", err)
 			}
 		})
 	}
--- a/internal/mesh/sidecar/at_most_once_test.go
+++ b/internal/mesh/sidecar/at_most_once_test.go
@@ -12,7 +12,7 @@
 	"caperarch/internal/proxy/call"
 )
 
-// workload is what a client sends.
+// workload is the kind of requests that a client sends.
 type workload int
 
 const (
@@ -20,14 +20,15 @@
 	idempotentPipelined
 )
 
-// verify looks from outside at what clients got and what ran, once all is over.
+// verify compares the responses that clients received with the executions that upstreams logged, after all requests
+// have ended.
 func (m *mesh) verify(all []clientResult, w workload) error {
 	mayRepeat := w == idempotentPipelined
 	m.upstreamLog.Lock()
 	defer m.upstreamLog.Unlock()
 	for id, n := range m.upstreamLog.executions {
 		if n > 1 && !mayRepeat {
-			return fmt.Errorf("%s ran %d times", id, n)
+			return fmt.Errorf("non-idempotent request %s was executed %d times, want at most once", id, n)
 		}
 	}
 	for _, got := range all {
@@ -37,21 +38,21 @@
 		ownFailure := strings.Contains(m.upstreamLog.written[got.id], statusLine)
 		switch {
 		case got.status == 0:
-		case got.responseID == "" && got.status == http.StatusRequestTimeout: // the head was incomplete
+		case got.responseID == "" && got.status == http.StatusRequestTimeout: // the head was incomplete, so its id is unknown
 		case got.responseID != got.id:
-			return fmt.Errorf("%s got the response of %q", got.id, got.responseID)
+			return fmt.Errorf("request %s received the response to %q", got.id, got.responseID)
 		case got.status/100 == 2 && !ownSuccess:
-			return fmt.Errorf("%s got a success that is not its own, ran %d times: %+v", got.id, ran, got)
+			return fmt.Errorf("request %s received a success that its %d executions did not send: %+v", got.id, ran, got)
 		case got.status/100 != 2 && got.signature != "" && !ownFailure:
-			return fmt.Errorf("%s got a failure with the upstream's signature: %+v", got.id, got)
+			return fmt.Errorf("request %s received a signed failure that no upstream sent: %+v", got.id, got)
 		case promisesNotExecuted(got.status) && ran > 0 && !mayRepeat:
-			return fmt.Errorf("%s got %d, which says not executed, and ran", got.id, got.status)
+			return fmt.Errorf("request %s received status %d, which promises no execution, but was executed", got.id, got.status)
 		}
 	}
 	return nil
 }
 
-// promisesNotExecuted reports whether a status tells a client that its request did not run.
+// promisesNotExecuted reports whether a status tells a client that its request was not executed.
 func promisesNotExecuted(status int) bool {
 	switch status {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout,
@@ -61,9 +62,9 @@
 	return false
 }
 
-// playTrace sends requests to a mesh with a fault. It says what clients got, after all that was
-// delayed has arrived, and how many bytes passed on the first link of each kind.
-func playTrace(
+// sendWithFault sends requests through a mesh with a fault. It returns what clients received, after all delayed
+// deliveries, and how many bytes were sent in each direction on the first link of each kind.
+func sendWithFault(
 	t *testing.T, p faultPlan, upstreams upstreamBehavior, w workload, ids ...string,
 ) (all []clientResult, sizes map[string][2]int, err error) {
 	t.Helper()
@@ -91,13 +92,12 @@
 	"freeze of the gate": freezeGate, "freeze of the caller's sidecar": freezeCaller,
 }
 
-// faultAtEveryByte sends requests with a fault at every byte, or every few, of each link that they
-// take, in both directions.
+// faultAtEveryByte sends requests with a fault at every step-th byte of each link on their way, in both directions.
 func faultAtEveryByte(
 	t *testing.T, upstreams upstreamBehavior, w workload, step int, ids ...string,
 ) {
 	t.Helper()
-	_, withoutFault, err := playTrace(t, faultPlan{}, upstreams, w, ids[:1]...)
+	_, withoutFault, err := sendWithFault(t, faultPlan{}, upstreams, w, ids[:1]...)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -109,7 +109,7 @@
 				for direction, size := range sizes {
 					for at := 0; at <= size; at += step {
 						p := faultPlan{kind, direction, at, fault}
-						all, _, err := playTrace(t, p, upstreams, w, ids...)
+						all, _, err := sendWithFault(t, p, upstreams, w, ids...)
 						if err != nil {
 							t.Fatalf("%+v: %v", p, err)
 						}
@@ -122,7 +122,8 @@
 	}
 }
 
-// A non-idempotent request and its response meet a fault at every byte; another request follows.
+// A fault at any byte of a non-idempotent request or of its response, with another request following, must neither
+// run a request twice nor give it a wrong response.
 func TestNonIdempotentWithFaultAtEveryByte(t *testing.T) {
 	for _, c := range []struct {
 		name      string
@@ -141,90 +142,91 @@
 	}
 }
 
-// Four idempotent requests that are sent at once meet a fault: each has its own response, in its place.
+// A fault at any byte of four pipelined idempotent requests: each response belongs to the request at its position.
 func TestPipelinedWithFaultAtEveryByte(t *testing.T) {
 	faultAtEveryByte(t, nil, idempotentPipelined, 1, "a", "b", "c", "d")
 }
 
-// Upstreams write what belongs to no request, or is incomplete, on connections that are used again.
-func TestStrayResponsesReachNobody(t *testing.T) {
-	ran := func(out func(id string, n int) (string, bool)) upstreamBehavior {
+// Upstreams send responses to no or to another request, or incomplete ones, on connections that are reused. None of
+// them may be forwarded to a client.
+func TestMismatchedResponsesAreNotForwarded(t *testing.T) {
+	executing := func(respond func(id string, n int) (string, bool)) upstreamBehavior {
 		return func(_, id string, n int) (bool, string, bool) {
-			text, goesOn := out(id, n)
-			return true, text, goesOn
+			text, keepAlive := respond(id, n)
+			return true, text, keepAlive
 		}
 	}
 	large := strings.Repeat("x", call.MaxBufferedBody+1)
 	for _, c := range []struct {
 		name      string
 		upstreams upstreamBehavior
-		want      int // what each of three requests gets; 0: no complete response
+		want      int // status of each of the three requests; 0: no complete response
 	}{
-		{"twice", ran(func(id string, _ int) (string, bool) {
+		{"twice", executing(func(id string, _ int) (string, bool) {
 			return successOf(id) + successOf(id), true
 		}), 200},
-		{"an older one first", ran(func(id string, _ int) (string, bool) {
+		{"an older one first", executing(func(id string, _ int) (string, bool) {
 			return successOf("z") + successOf(id), true
 		}), 200},
-		{"an older rejection first", ran(func(id string, _ int) (string, bool) {
+		{"an older rejection first", executing(func(id string, _ int) (string, bool) {
 			return rejectionOf("z") + successOf(id), true
 		}), 200},
-		{"a rejection without an id first", ran(func(id string, _ int) (string, bool) {
+		{"a rejection without an id first", executing(func(id string, _ int) (string, bool) {
 			return strings.Replace(rejectionOf(id), idField(id), "", 1) + successOf(id), true
 		}), 200},
-		{"interim responses first", ran(func(id string, _ int) (string, bool) {
+		{"interim responses first", executing(func(id string, _ int) (string, bool) {
 			hints := "HTTP/1.1 103 Early Hints\r\n" + idField(id) + "\r\n"
 			return "HTTP/1.1 100 Continue\r\n\r\n" + hints + successOf(id), true
 		}), 200},
-		{"no id", ran(func(id string, _ int) (string, bool) {
+		{"no id", executing(func(id string, _ int) (string, bool) {
 			return strings.Replace(successOf(id), idField(id), "", 1), false
 		}), 502},
-		{"another id", ran(func(string, int) (string, bool) {
+		{"another id", executing(func(string, int) (string, bool) {
 			return successOf("z"), false
 		}), 502},
-		{"its id twice", ran(func(id string, _ int) (string, bool) {
+		{"its id twice", executing(func(id string, _ int) (string, bool) {
 			return successOf(id, idField(id)), false
 		}), 502},
-		{"another id beside its own", ran(func(id string, _ int) (string, bool) {
+		{"another id beside its own", executing(func(id string, _ int) (string, bool) {
 			return successOf(id, idField("z")), false
 		}), 502},
-		{"no response", ran(func(string, int) (string, bool) {
+		{"no response", executing(func(string, int) (string, bool) {
 			return "no answer\r\n", true
 		}), 502},
-		{"bytes after it", ran(func(id string, _ int) (string, bool) {
+		{"bytes after it", executing(func(id string, _ int) (string, bool) {
 			return successOf(id) + "more", true
 		}), 200},
-		{"cut in the body", ran(func(id string, _ int) (string, bool) {
+		{"cut in the body", executing(func(id string, _ int) (string, bool) {
 			return successOf(id)[:len(successOf(id))-1], false
 		}), 502},
-		{"no length, cut", ran(func(id string, _ int) (string, bool) {
+		{"no length, cut", executing(func(id string, _ int) (string, bool) {
 			return strings.Replace(strings.TrimSuffix(successOf(id), id), "Content-Length: 5\r\n", "", 1), false
 		}), 502},
-		{"chunks, cut", ran(func(id string, _ int) (string, bool) {
+		{"chunks, cut", executing(func(id string, _ int) (string, bool) {
 			head := strings.TrimSuffix(successOf(id), "ran "+id)
 			head = strings.Replace(head, "Content-Length: 5", "Transfer-Encoding: chunked", 1)
 			return head + "5\r\nran " + id + "\r\n", false
 		}), 0},
-		{"a failure, then a success", ran(func(id string, _ int) (string, bool) {
+		{"a failure, then a success", executing(func(id string, _ int) (string, bool) {
 			return strings.Replace(successOf(id), "200 OK", "500 Internal Server Error", 1) + successOf(id), true
 		}), 500},
-		{"a status of rejection without the field that proves it", ran(func(id string, _ int) (string, bool) {
+		{"a status of rejection without the field that proves it", executing(func(id string, _ int) (string, bool) {
 			return strings.Replace(successOf(id), "200 OK", "503 Service Unavailable", 1), true
 		}), 502},
-		{"created, with a long body that is cut", ran(func(id string, _ int) (string, bool) {
+		{"created, with a long body that is cut", executing(func(id string, _ int) (string, bool) {
 			signature := headers.Signature + ": " + signatureOf(id) + "\r\n"
 			length := fmt.Sprintf("Content-Length: %d\r\n", len(large))
 			return "HTTP/1.1 201 Created\r\n" + idField(id) + signature + length + "\r\n" + large[1:], false
 		}), 0},
 		{"a rejection twice, and then it runs", func(_, id string, n int) (bool, string, bool) {
-			if n < 2 { // once at each
+			if n < 2 { // the first attempt at each upstream
 				return false, rejectionOf(id) + pauseMark + rejectionOf(id), true
 			}
 			return true, successOf(id), true
 		}, 200},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			all, _, err := playTrace(t, faultPlan{}, c.upstreams, nonIdempotentOneByOne, "a", "b", "c")
+			all, _, err := sendWithFault(t, faultPlan{}, c.upstreams, nonIdempotentOneByOne, "a", "b", "c")
 			for _, got := range all {
 				if err != nil || got.status != c.want {
 					t.Fatalf("%+v: %v", all, err)
@@ -234,20 +236,21 @@
 	}
 }
 
-// What the front of a gate rejects by itself, without asking its engine, is in the gate's attempt log.
+// Guards against a request running later although its gate's front has rejected it without the engine: the rejection
+// must be recorded in the gate's attempt log.
 func TestFrontRejectionIsRecordedByTheGate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		m := newMesh(t, faultPlan{}, nil, 3) // less than a body
+		m := newMesh(t, faultPlan{}, nil, 3) // bytes, less than a request body
 		defer m.close()
 		all := m.sendOneByOne("a")
 		synctest.Wait()
 		err := m.verify(all, nonIdempotentOneByOne)
 		if err != nil || all[0].status != http.StatusServiceUnavailable {
-			t.Errorf("%+v: %v", all, err)
+			t.Errorf("responses %+v, want status 503: %v", all, err)
 		}
 		for i, in := range m.gates {
 			if n := in.gate.AttemptLog().Size(); n != 1 {
-				t.Errorf("the log of gate %d has %d requests", i, n)
+				t.Errorf("the attempt log of gate %d has %d requests, want 1", i, n)
 			}
 		}
 	})
--- a/internal/mesh/sidecar/config_update.go
+++ b/internal/mesh/sidecar/config_update.go
@@ -9,17 +9,18 @@
 	"go.uber.org/zap"
 )
 
-// ConfigUpdate is a step of the configuration as core machines push it: either the full
-// configuration or the changes that lead to a version, each in the form of package config.
+// ConfigUpdate is a configuration update that core machines push: either the full configuration, or the
+// changes that lead to a version. Both use the encoding of package config.
 type ConfigUpdate struct {
-	Version int64             `json:"version"` // that the configuration has afterwards
+	Version int64             `json:"version"` // of the configuration after the update
 	Changes []json.RawMessage `json:"changes,omitempty"`
 	Full    json.RawMessage   `json:"whole,omitempty"`
 }
 
-// ApplyUpdate returns the configuration after an update in its JSON form. An update that is not newer
-// gives current itself. The error is errs.Malformed for what can't be parsed, errs.Invalid for an
-// update that does not lead to its version, or what package config says of a change.
+// ApplyUpdate returns the configuration that results from applying an update in JSON form to current. It
+// returns current itself if the update is not newer. The error is errs.Malformed if the update can't be parsed,
+// errs.Invalid if applying it does not result in the version that it states, or the error that package config
+// returns for the full configuration or a change.
 func ApplyUpdate(current *config.Snapshot, raw json.RawMessage) (*config.Snapshot, error) {
 	var update ConfigUpdate
 	if err := json.Unmarshal(raw, &update); err != nil {
@@ -48,13 +49,13 @@
 	}
 	if next.Version() != update.Version {
 		return nil, errs.New(errs.Invalid,
-			"a frame of version %d leads to %d", update.Version, next.Version())
+			"configuration update for version %d results in version %d", update.Version, next.Version())
 	}
 	return next, nil
 }
 
-// applyConfig puts a pushed update in force. It returns false where the update can't be applied to
-// the version in force: the core has to send the full configuration. Versions never go back.
+// applyConfig applies a pushed update and returns whether it succeeded. On false the update can't be applied
+// to the current version, and the core machine has to send the full configuration. The version never decreases.
 func (s *Sidecar) applyConfig(update json.RawMessage) bool {
 	s.configMu.Lock()
 	defer s.configMu.Unlock()
@@ -64,7 +65,7 @@
 		return false
 	}
 	s.config.Store(next)
-	s.knownVersions.applied(next.Version())
+	s.knownVersions.recordApplied(next.Version())
 	s.quota.configure(next)
 	s.log.Info("configuration applied", zap.Int64("version", next.Version()))
 	s.watchClient.RenewNow()
--- a/internal/mesh/sidecar/confirmation.go
+++ b/internal/mesh/sidecar/confirmation.go
@@ -7,24 +7,27 @@
 	"go.uber.org/zap"
 )
 
-// confirmationCheckInterval is the time between two looks at how old the configuration's confirmation is.
+// confirmationCheckInterval is the time between two checks of whether the configuration is confirmed and up to
+// date.
 const confirmationCheckInterval = 500 * time.Millisecond
 
-// outdatedLog logs when the configuration here is known not to be the newest for longer than requests may go by it,
-// when it no longer is, and how many attempts the gate has rejected meanwhile: one entry each.
-type outdatedLog struct {
+// outdatedState is the last logged state of whether this sidecar's configuration is outdated: a newer version has been
+// known for longer than requests may be admitted by the older one. Each transition is logged once, as is each growth
+// of the number of rejected attempts.
+type outdatedState struct {
 	outdated bool
-	rejected int64 // as last logged
+	rejected int64 // attempts that the verifier had rejected at the last log entry
 }
 
-// confirmationLog logs when the configuration here has not been confirmed by a core machine in contact for
-// longer than it may be old, and when it is confirmed again: one entry each.
-type confirmationLog struct {
+// confirmationState is the last logged state of whether this sidecar's configuration is confirmed: a core machine in
+// contact with a majority has confirmed it within the configApplyS bound. Each transition is logged once.
+type confirmationState struct {
 	unconfirmed bool
-	since       time.Duration // of the sidecar's clock: the last confirmation, or the start
+	confirmedAt time.Duration // on the sidecar's clock: time of the last confirmation, or the start if there is none
 }
 
-// logConfirmation logs how old the configuration's confirmation is, until ctx ends.
+// logConfirmation checks at intervals whether the configuration is confirmed and up to date, and logs transitions,
+// until ctx ends. It returns at once if the settings have no configApplyS bound.
 func (s *Sidecar) logConfirmation(ctx context.Context) {
 	maxAge := s.settings.Guarantees.Bounds.ConfigApply
 	if maxAge <= 0 {
@@ -32,8 +35,8 @@
 	}
 	ticker := time.NewTicker(confirmationCheckInterval)
 	defer ticker.Stop()
-	state := confirmationLog{since: s.clock.Now()}
-	var outdated outdatedLog
+	state := confirmationState{confirmedAt: s.clock.Now()}
+	var outdated outdatedState
 	for {
 		select {
 		case <-ctx.Done():
@@ -46,9 +49,9 @@
 	}
 }
 
-// logOutdated logs a change of whether the configuration here is outdated. As long as it is, another core machine is
-// looked for.
-func (s *Sidecar) logOutdated(state *outdatedLog) {
+// logOutdated logs a transition between an outdated and an up-to-date configuration. While the configuration is
+// outdated, it makes the watch client search for another core machine.
+func (s *Sidecar) logOutdated(state *outdatedState) {
 	version, verifier := s.config.Load().Version(), s.inbound.verifier
 	now := s.clock.Now()
 	outdated := verifier.outdatedTooLong(now, version)
@@ -73,25 +76,28 @@
 		zap.String("member", status.Member), zap.Duration("frameAge", status.FrameAge))
 }
 
-// logConfirmationAge logs a change of whether the configuration counts as confirmed.
-func (s *Sidecar) logConfirmationAge(state *confirmationLog, age time.Duration, confirmed bool, maxAge time.Duration) {
+// logConfirmationAge logs a transition between a confirmed and an unconfirmed configuration. age is the time since
+// the last confirmation; it has no meaning unless confirmed is true.
+func (s *Sidecar) logConfirmationAge(
+	state *confirmationState, age time.Duration, confirmed bool, maxAge time.Duration,
+) {
 	now := s.clock.Now()
-	before := now - state.since
+	unconfirmedFor := now - state.confirmedAt
 	if confirmed {
-		state.since = now - age
+		state.confirmedAt = now - age
 	}
-	unconfirmed := now-state.since > maxAge
+	unconfirmed := now-state.confirmedAt > maxAge
 	if unconfirmed == state.unconfirmed {
 		return
 	}
 	state.unconfirmed = unconfirmed
 	version := zap.Int64("version", s.config.Load().Version())
 	if !unconfirmed {
-		s.log.Warn("configuration confirmed again", version, zap.Duration("unconfirmedFor", before))
+		s.log.Warn("configuration confirmed again", version, zap.Duration("unconfirmedFor", unconfirmedFor))
 		return
 	}
 	status := s.watchClient.Status()
-	s.log.Warn("configuration unconfirmed", version, zap.Duration("age", now-state.since),
+	s.log.Warn("configuration unconfirmed", version, zap.Duration("age", now-state.confirmedAt),
 		zap.String("member", status.Member), zap.Bool("connected", status.Connected),
 		zap.Duration("frameAge", status.FrameAge), zap.Duration("applyingFor", status.ApplyingFor),
 		zap.Int("failedSessions", status.FailedSessions), zap.Error(status.LastFailure))
--- a/internal/mesh/sidecar/confirmation_test.go
+++ b/internal/mesh/sidecar/confirmation_test.go
@@ -14,11 +14,11 @@
 )
 
 func TestUnconfirmedConfigurationIsLogged(t *testing.T) {
-	Convey("One entry when the confirmation is too old, and one when there is a new one", t, func() {
+	Convey("One entry is logged when the confirmation is too old, and one when there is a new one", t, func() {
 		core, entries := observer.New(zap.WarnLevel)
 		s := &Sidecar{clock: clock.NewAdjustable(), log: zap.New(core), watchClient: watch.NewClient(watch.ClientConfig{})}
 		s.config.Store(config.Empty())
-		state := confirmationLog{since: s.clock.Now()}
+		state := confirmationState{confirmedAt: s.clock.Now()}
 		after := func(d, age time.Duration, confirmed bool) (messages []string) {
 			s.clock.Advance(d)
 			s.logConfirmationAge(&state, age, confirmed, 3*time.Second)
--- a/internal/mesh/sidecar/control.go
+++ b/internal/mesh/sidecar/control.go
@@ -6,8 +6,8 @@
 	"caperarch/internal/mesh/api"
 )
 
-// controlHandler serves the upstream beside the sidecar, and operators: their calls are forwarded to
-// a core machine.
+// controlHandler serves the control listener: calls of the local upstream are handled here, operators' calls
+// are forwarded to a core machine.
 func (s *Sidecar) controlHandler() http.Handler {
 	mux := http.NewServeMux()
 	api.RegisterUpstreamRoutes(mux, s)
--- a/internal/mesh/sidecar/discovery.go
+++ b/internal/mesh/sidecar/discovery.go
@@ -10,21 +10,21 @@
 )
 
 const (
-	// minDiscoveryBackoff and maxDiscoveryBackoff bound the time between two health requests to the
-	// upstream. It doubles from one to the other.
+	// minDiscoveryBackoff and maxDiscoveryBackoff bound the time between two health requests to the local
+	// upstream. The backoff starts at the minimum and doubles up to the maximum.
 	minDiscoveryBackoff = 20 * time.Millisecond
 	maxDiscoveryBackoff = 2 * time.Second
-	// defaultHealthPath is used for a service whose configuration names none.
+	// defaultHealthPath is used for a service without a health path in the configuration.
 	defaultHealthPath = "/health"
 )
 
-// discoverUpstream asks the upstream beside the sidecar who it is, until it is known or ctx ends.
-// After a restart of the sidecar its next heartbeat may be more than a second away, and requests for
-// it would be rejected until then.
+// discoverUpstream sends health requests to the local upstream until a response or a heartbeat has identified
+// its instance, or until ctx ends. After a restart of the sidecar the next heartbeat may be more than a second
+// away, and requests for the upstream would be rejected until then.
 func (s *Sidecar) discoverUpstream(ctx context.Context) {
 	backoff := minDiscoveryBackoff
 	for s.endpoints.localUpstream() == nil {
-		if s.config.Load().Version() > 0 { // which names the path
+		if s.config.Load().Version() > 0 { // the configuration contains the health path
 			if u, ok := s.queryUpstream(ctx); ok && s.endpoints.adoptDiscovered(u) {
 				s.publishUpstream()
 				return
@@ -39,7 +39,8 @@
 	}
 }
 
-// queryUpstream makes one health request; false: there is no answer that names the instance.
+// queryUpstream sends one health request to the local upstream. It returns false unless the response has status
+// 200 and states the instance and a positive number of slots.
 func (s *Sidecar) queryUpstream(ctx context.Context) (registry.Upstream, bool) {
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
@@ -67,7 +68,7 @@
 	return u, res.StatusCode == http.StatusOK && u.Instance != "" && u.Slots > 0
 }
 
-// healthPath is the path of the local service's health requests.
+// healthPath returns the health path of the local upstream's service.
 func (s *Sidecar) healthPath() string {
 	service := s.config.Load().Service(s.settings.Self.ServiceName)
 	if service == nil || service.HealthPath == "" {
--- a/internal/mesh/sidecar/drain.go
+++ b/internal/mesh/sidecar/drain.go
@@ -12,68 +12,71 @@
 )
 
 const (
-	// lingerFraction and drainFraction divide the grace period: new clients are still accepted
-	// during the first, and requests in flight have the second to end.
+	// lingerFraction and drainFraction are fractions of the grace period. During the first part new client
+	// connections are still accepted; in-flight requests may take up to the second part after that.
 	lingerFraction = 0.37
 	drainFraction  = 0.38
-	// promisedFraction of the grace period has to pass before a request in flight is cut: whoever sent
-	// it before the stop, or within promisedAfter of it, counts on that and on no more.
-	promisedFraction = 5.0 / 6
-	promisedAfter    = 3 * time.Second
-	// cutSlack is how long before the cut a request's time has to be over for it to be accepted: its client's
-	// began before that which this process is told.
-	cutSlack = 50 * time.Millisecond
-	// drainRetryAfter is the Retry-After of requests that this process has too little time left for.
+	// guaranteedFraction of the grace period passes before an in-flight request is aborted. Clients rely on this
+	// for requests sent before the SIGTERM, or within guaranteeWindow after it; they have no longer guarantee.
+	guaranteedFraction = 5.0 / 6
+	guaranteeWindow    = 3 * time.Second
+	// cutoffMargin is the minimum time between a request's deadline and the drain's cutoff for the request to be
+	// accepted. The client started its timer before the remaining time that this process receives was determined.
+	cutoffMargin = 50 * time.Millisecond
+	// drainRetryAfter is the Retry-After value of requests whose deadline is too late for the drain.
 	drainRetryAfter = 100 * time.Millisecond
-	// leaveTimeout bounds giving up the lease.
+	// leaveTimeout bounds ending the lease at the core.
 	leaveTimeout = dialTimeout
-	// shutdownReserve is what remains of the grace period for the fronts' own close and for giving
-	// up the lease.
+	// shutdownReserve is the part of the grace period that is reserved for closing the fronts and ending the
+	// lease.
 	shutdownReserve = fronthttp1.DrainMargin + leaveTimeout
 )
 
-// drainTimes divides a grace period: for how long new clients are accepted after a SIGTERM, and how
-// long requests in flight have after that, so that the process ends by itself within the period.
-func drainTimes(grace time.Duration) (linger, longest time.Duration) {
+// drainTimes divides a grace period: new clients are accepted for linger after a SIGTERM, and in-flight requests
+// have drainTimeout after that. The two leave enough time for the process to exit within the grace period.
+func drainTimes(grace time.Duration) (linger, drainTimeout time.Duration) {
 	part := func(fraction float64) time.Duration { return time.Duration(fraction * float64(grace)) }
 	linger = part(lingerFraction)
-	longest = max(part(drainFraction), part(promisedFraction)-linger-fronthttp1.DrainMargin)
-	return linger, max(0, min(longest, grace-linger-shutdownReserve))
+	drainTimeout = max(part(drainFraction), part(guaranteedFraction)-linger-fronthttp1.DrainMargin)
+	return linger, max(0, min(drainTimeout, grace-linger-shutdownReserve))
 }
 
-// drainDeadline is when a drain cuts what is still in flight. Its zero value is that of a process that doesn't
-// drain. It is safe for concurrent use.
+// drainDeadline is the time at which a drain aborts in-flight requests. The zero value belongs to a process that
+// is not draining. It is safe for concurrent use.
 type drainDeadline struct {
-	begunAt atomic.Int64 // a time.Duration of the sidecar's clock
-	cutAt   atomic.Int64 // the same; 0: there is no drain
+	startedAt atomic.Int64 // time.Duration on the sidecar's clock
+	cutoffAt  atomic.Int64 // time.Duration on the sidecar's clock; 0: no drain has started
 }
 
-// begin records that a drain has begun, and when it cuts what is in flight.
-func (d *drainDeadline) begin(now, cutAt time.Duration) {
-	d.begunAt.Store(int64(now))
-	d.cutAt.Store(int64(cutAt))
+// begin records that a drain has started, and when it aborts in-flight requests.
+func (d *drainDeadline) begin(now, cutoffAt time.Duration) {
+	d.startedAt.Store(int64(now))
+	d.cutoffAt.Store(int64(cutoffAt))
 }
 
-// leavesTime reports whether a request that arrives now with so much time can use all of it before the cut.
-func (d *drainDeadline) leavesTime(now, remaining time.Duration) bool {
-	cutAt := time.Duration(d.cutAt.Load())
-	return cutAt == 0 || now+remaining+cutSlack <= cutAt
+// canFinish reports whether a request that arrives now with this remaining time reaches its deadline at least
+// cutoffMargin before the cutoff. It is always true while no drain has started.
+func (d *drainDeadline) canFinish(now, remaining time.Duration) bool {
+	cutoffAt := time.Duration(d.cutoffAt.Load())
+	return cutoffAt == 0 || now+remaining+cutoffMargin <= cutoffAt
 }
 
-// isLate reports whether a request that arrives now was sent too late to be cut.
-func (d *drainDeadline) isLate(now time.Duration) bool {
-	return d.cutAt.Load() != 0 && now > time.Duration(d.begunAt.Load())+promisedAfter
+// isPastGuarantee reports whether a request that arrives now was sent too late in a drain for its client to
+// expect that it may be aborted: only requests sent before the SIGTERM or within guaranteeWindow after it may be.
+func (d *drainDeadline) isPastGuarantee(now time.Duration) bool {
+	return d.cutoffAt.Load() != 0 && now > time.Duration(d.startedAt.Load())+guaranteeWindow
 }
 
-// drain ends without losing a request. Others learn of it first, clients are still accepted for a
-// while, and what was accepted is answered. What could be cut before its time is over, and counts on not being
-// cut, is rejected at once: others can still serve it.
+// drain stops the sidecar without losing a request. It announces the drain to the other sidecars, accepts new
+// clients during the linger time, and waits for accepted requests to be answered. A request that could be aborted
+// before its deadline, although its sender does not expect that, is rejected at once, so that another upstream or
+// sidecar can serve it. At the end it gives up the lease.
 func (s *Sidecar) drain(fronts fronts) error {
 	now := s.clock.Now()
-	linger, longest := drainTimes(s.settings.Guarantees.Bounds.GracePeriod)
-	cutAt := now + linger + longest + fronthttp1.DrainMargin
-	s.inbound.drain.begin(now, cutAt)
-	s.outbound.drain.begin(now, cutAt)
+	linger, drainTimeout := drainTimes(s.settings.Guarantees.Bounds.GracePeriod)
+	cutoffAt := now + linger + drainTimeout + fronthttp1.DrainMargin
+	s.inbound.drain.begin(now, cutoffAt)
+	s.outbound.drain.begin(now, cutoffAt)
 	s.draining.Store(true)
 	s.watchClient.RenewNow()
 	var drained sync.WaitGroup
--- a/internal/mesh/sidecar/endpoints.go
+++ b/internal/mesh/sidecar/endpoints.go
@@ -8,23 +8,23 @@
 	"caperarch/internal/mesh/registry"
 )
 
-// maxDeregistered bounds the ended local instances that are remembered.
+// maxDeregistered bounds the number of remembered local instances that have been deregistered or replaced.
 const maxDeregistered = 64
 
-// endpoints are the upstreams as this sidecar knows them: the registry, as core machines push it,
-// and the local upstream, which reports to it directly. Where the two differ about the local
-// upstream, the direct report has precedence.
+// endpoints stores the upstreams that this sidecar knows of: the registry's entries, which core machines push,
+// and the local upstream, which reports to this sidecar directly. If both have an entry for the local upstream,
+// the direct report takes precedence.
 type endpoints struct {
-	inboundAddress string         // of this sidecar
-	zones          map[string]int // numbers of the zones
-
-	mu              sync.Mutex                   // guards all below
-	upstreams       map[string]registry.Upstream // as pushed, by instance
-	local           *registry.Upstream           // nil: it is not known yet; never changed in place
-	warmAt          time.Time                    // when the local upstream has warmed up
-	deregistered    []string                     // local instances that have ended, newest last
+	inboundAddress string         // of this sidecar's inbound listener
+	zones          map[string]int // zone numbers by name
+
+	mu              sync.Mutex                   // guards the fields below
+	upstreams       map[string]registry.Upstream // entries that core machines pushed, by instance
+	local           *registry.Upstream           // nil until it is known; replaced on each change, never modified in place
+	warmedUpAt      time.Time                    // end of the local upstream's warm-up
+	deregistered    []string                     // former local instances, newest last
 	services        serviceNumbers
-	readySlots      map[string]int // of the ready upstreams, by service
+	readySlots      map[string]int // of ready upstreams, by service
 	totalReadySlots int
 }
 
@@ -40,21 +40,22 @@
 	return e
 }
 
-// serviceNumber is a service's number, the same for the life of the process.
+// serviceNumber returns a service's number, which is constant for the lifetime of the process.
 func (e *endpoints) serviceNumber(service string) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.services.number(service)
 }
 
-// serviceName is the service of a number that serviceNumber gave.
+// serviceName returns the service that serviceNumber has assigned a number to.
 func (e *endpoints) serviceName(number int) string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.services.names[number]
 }
 
-// slotShare is a service's share of all ready slots.
+// slotShare returns a service's share of all ready slots, counting at least one slot for the service. It is 1 if
+// no slot is ready.
 func (e *endpoints) slotShare(service string) float64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -64,14 +65,15 @@
 	return max(1, float64(e.readySlots[service])) / float64(e.totalReadySlots)
 }
 
-// hasReady reports whether there is an upstream that a request can go to.
+// hasReady reports whether any known upstream is ready to receive requests.
 func (e *endpoints) hasReady() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.totalReadySlots > 0
 }
 
-// localSlots is how many requests the local upstream runs at once; 1 where that is not known.
+// localSlots returns the number of requests that the local upstream runs concurrently, and 1 while that is
+// unknown.
 func (e *endpoints) localSlots() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -81,7 +83,8 @@
 	return max(1, e.local.Slots)
 }
 
-// localUpstream is a copy of the local upstream as a lease reports it; nil: it is not known yet.
+// localUpstream returns a copy of the local upstream with its current remaining warm-up time, or nil while the
+// upstream is unknown.
 func (e *endpoints) localUpstream() *registry.Upstream {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -89,12 +92,13 @@
 		return nil
 	}
 	u := *e.local
-	u.WarmupRemaining = max(0, time.Until(e.warmAt).Seconds())
+	u.WarmupRemaining = max(0, time.Until(e.warmedUpAt).Seconds())
 	return &u
 }
 
-// apply applies upstreams that the core pushed. It reports whether the local upstream has changed by
-// that: it drains or has ended, and sent that to a core machine while this sidecar did not run.
+// apply applies registry entries that a core machine pushed. If full is true, they replace all earlier ones. It
+// reports whether the local upstream's state has advanced: the upstream reported to a core machine, while this
+// sidecar was not running, that it drains or has ended.
 func (e *endpoints) apply(full bool, upserts []registry.Upstream, removals []string) (localChanged bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -117,17 +121,17 @@
 	return localChanged
 }
 
-// adoptDiscovered records the local upstream by its answer to a health request; false: a heartbeat
-// has arrived meanwhile.
+// adoptDiscovered records the local upstream that a health response has identified. It returns false if a
+// heartbeat has been recorded in the meantime.
 func (e *endpoints) adoptDiscovered(u registry.Upstream) bool {
 	e.mu.Lock()
-	known := e.local != nil
+	found := e.local != nil
 	e.mu.Unlock()
-	return !known && e.recordHeartbeat(u)
+	return !found && e.recordHeartbeat(u)
 }
 
-// recordHeartbeat records what the local upstream reports; false: it is out of date, as a later
-// heartbeat of it or of its successor was recorded before.
+// recordHeartbeat records a report of the local upstream. It returns false if the report is out of date: a later
+// heartbeat of the same instance or of its successor has been recorded already.
 func (e *endpoints) recordHeartbeat(u registry.Upstream) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -141,14 +145,14 @@
 	}
 	if e.local != nil && e.local.Instance != u.Instance {
 		if e.local.State == registry.Ready && u.State != registry.Ready {
-			e.rememberDeregistered(u.Instance) // a late heartbeat of the predecessor
+			e.rememberDeregistered(u.Instance) // late heartbeat of the current instance's predecessor
 			return false
 		}
 		e.rememberDeregistered(e.local.Instance)
 	}
 	u.Inbound = e.inboundAddress
 	e.local = &u
-	e.warmAt = time.Now().Add(time.Duration(u.WarmupRemaining * float64(time.Second)))
+	e.warmedUpAt = time.Now().Add(time.Duration(u.WarmupRemaining * float64(time.Second)))
 	e.countSlots()
 	return true
 }
@@ -163,15 +167,15 @@
 		local.State = registry.Deregistered
 		e.local = &local
 	}
-	if u, known := e.upstreams[instance]; known {
+	if u, found := e.upstreams[instance]; found {
 		u.State = registry.Deregistered
 		e.upstreams[instance] = u
 	}
 	e.countSlots()
 }
 
-// rememberDeregistered keeps late heartbeats of an ended local instance from reviving it. The caller
-// holds mu.
+// rememberDeregistered records a former local instance, so that recordHeartbeat ignores its late heartbeats. The
+// caller holds mu.
 func (e *endpoints) rememberDeregistered(instance string) {
 	if slices.Contains(e.deregistered, instance) {
 		return
@@ -182,7 +186,7 @@
 	}
 }
 
-// countSlots adds up the ready slots. The caller holds mu.
+// countSlots recomputes the numbers of ready slots. The caller holds mu.
 func (e *endpoints) countSlots() {
 	clear(e.readySlots)
 	e.totalReadySlots = 0
@@ -194,8 +198,8 @@
 	})
 }
 
-// forEach visits every upstream; of those beside this sidecar only the local one, if it is known.
-// The caller holds mu.
+// forEach calls visit for each upstream. Once the local upstream is known, it replaces all registry entries with
+// this sidecar's inbound address. The caller holds mu.
 func (e *endpoints) forEach(visit func(registry.Upstream)) {
 	for _, u := range e.upstreams {
 		if e.local == nil || u.Inbound != e.inboundAddress {
--- a/internal/mesh/sidecar/endpoints_test.go
+++ b/internal/mesh/sidecar/endpoints_test.go
@@ -13,13 +13,13 @@
 	"pgregory.net/rapid"
 )
 
-// localInbound is the address of the sidecar's own inbound listener, otherInbound another one's.
+// localInbound is the address of the sidecar's own inbound listener, otherInbound that of another sidecar's.
 const (
 	localInbound = "10.1.0.40:8109"
 	otherInbound = "10.1.0.41:8109"
 )
 
-// testUpstream is an upstream in the first zone, beside the sidecar of an inbound address.
+// testUpstream returns an upstream in zone hall-a beside the sidecar with the given inbound address.
 func testUpstream(
 	instance, inbound string, state registry.State, sequence int64,
 ) registry.Upstream {
@@ -29,7 +29,7 @@
 	}
 }
 
-// listedStates are the states of the upstreams that the balancer goes by, by address.
+// listedStates returns the states of the upstreams in the balancer's list, by address.
 func listedStates(e *endpoints) map[string]policy.State {
 	all := make(map[string]policy.State)
 	l := e.balancerListing()
@@ -40,15 +40,15 @@
 	return all
 }
 
-func TestEndpointsPreferLocalKnowledge(t *testing.T) {
+func TestEndpointsPreferDirectReports(t *testing.T) {
 	type states = map[string]policy.State
 	type upstreams = []registry.Upstream
 	local := func(instance string) string { return localInbound + " " + instance }
-	// beat is a heartbeat of a local instance.
+	// beat records a heartbeat of a local instance.
 	beat := func(e *endpoints, instance string, state registry.State, sequence int64) bool {
 		return e.recordHeartbeat(testUpstream(instance, "", state, sequence))
 	}
-	Convey("Heartbeats go before what the core pushes, and later ones before earlier ones", t, func() {
+	Convey("Heartbeats take precedence over pushed entries, and later heartbeats over earlier ones", t, func() {
 		e := newEndpoints([]string{"hall-a", "hall-b"}, localInbound)
 		e.apply(true, upstreams{
 			testUpstream("i-0", localInbound, registry.Ready, 8),
@@ -78,7 +78,7 @@
 		So(beat(e, "i-2", registry.Ready, 1), ShouldBeTrue)
 		So(listedStates(e), ShouldResemble, states{local("i-2"): policy.Ready})
 	})
-	Convey("A core machine knows better that the local upstream drains, but not that it is ready", t, func() {
+	Convey("A pushed entry can change the local upstream to draining, but not back to ready", t, func() {
 		e := newEndpoints(nil, localInbound)
 		beat(e, "i-1", registry.Ready, 4)
 		So(e.apply(false, upstreams{
@@ -102,24 +102,25 @@
 	})
 }
 
-// The last heartbeat of an instance that was never known does not replace the one that is known.
+// Guards against a late, first-received heartbeat of a former instance that replaces its ready successor.
 func TestLateHeartbeatOfFormerInstanceIsIgnored(t *testing.T) {
 	e := newEndpoints(nil, localInbound)
 	e.recordHeartbeat(testUpstream("i-2", "", registry.Ready, 1))
 	for range 2 {
 		recorded := e.recordHeartbeat(testUpstream("i-1", "", registry.Draining, 9))
 		if recorded || e.localUpstream().Instance != "i-2" {
-			t.Fatalf("recorded %v, the local upstream is %+v", recorded, e.localUpstream())
+			t.Fatalf("heartbeat of the former instance i-1 recorded: %v, the local upstream is %+v, want i-2",
+				recorded, e.localUpstream())
 		}
 	}
 	if !e.recordHeartbeat(testUpstream("i-2", "", registry.Draining, 2)) ||
 		!e.recordHeartbeat(testUpstream("i-3", "", registry.Ready, 1)) {
-		t.Errorf("a heartbeat was not recorded, the local upstream is %+v", e.localUpstream())
+		t.Errorf("a heartbeat of the current or next instance was not recorded, the local upstream is %+v", e.localUpstream())
 	}
 }
 
-// Only the upstream behind this sidecar's own gate is listed as one on the same machine.
-func TestListingTellsTheUpstreamOnThisMachine(t *testing.T) {
+// Only the upstream behind this sidecar's own gate is listed in zone balancer.SameMachine.
+func TestListingMarksTheUpstreamOnThisMachine(t *testing.T) {
 	e := newEndpoints([]string{"a", "b"}, localInbound)
 	e.apply(true, []registry.Upstream{
 		testUpstream("pushed", localInbound, registry.Ready, 1), testUpstream("other", otherInbound, registry.Ready, 1),
@@ -132,15 +133,15 @@
 		return zones
 	}
 	if got := zonesOf(); got["pushed"] != balancer.SameMachine || got["other"] != 0 {
-		t.Errorf("zones %v before the local upstream is known", got)
+		t.Errorf("zones by instance %v before the local upstream is known, want SameMachine for pushed and 0 for other", got)
 	}
 	e.recordHeartbeat(testUpstream("local", "", registry.Ready, 2))
 	if got := zonesOf(); len(got) != 2 || got["local"] != balancer.SameMachine || got["other"] != 0 {
-		t.Errorf("zones %v", got)
+		t.Errorf("zones by instance %v, want SameMachine for local, 0 for other and no more", got)
 	}
 }
 
-// There is an upstream that a request can go to exactly where the balancer's list has a ready one.
+// hasReady must be true exactly if the balancer's list has a ready upstream.
 func TestHasReadyAgreesWithBalancerListing(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		e := newEndpoints(nil, localInbound)
@@ -161,7 +162,7 @@
 			servers := e.balancerListing().Servers
 			ready := slices.ContainsFunc(servers, func(u policy.Server) bool { return u.State == policy.Ready })
 			if e.hasReady() != ready {
-				t.Fatalf("hasReady is %v, the list is %+v", e.hasReady(), servers)
+				t.Fatalf("hasReady is %v, but the balancer's list is %+v", e.hasReady(), servers)
 			}
 		}
 	})
--- a/internal/mesh/sidecar/golden_test.go
+++ b/internal/mesh/sidecar/golden_test.go
@@ -6,11 +6,11 @@
 	"caperarch/internal/mesh/goldentest"
 )
 
-// What other processes send and expect: testdata holds it as the release before wrote it.
+// The messages that other processes send and expect; testdata holds them as the previous release wrote them.
 func TestMessagesOnTheWire(t *testing.T) {
 	goldentest.CheckJSON[AllocateRequest](t, "quota_request")
 	goldentest.CheckJSON[AllocateResponse](t, "quota_response")
-	// Sidecars and leaders of the release before the floor lease.
+	// Messages of the last release without the floor lease.
 	goldentest.CheckStillRead[AllocateRequest](t, "quota_ask")
 	goldentest.CheckStillRead[AllocateResponse](t, "quota_answer")
 	goldentest.CheckJSON[ConfigUpdate](t, "config_frame")
@@ -18,6 +18,6 @@
 
 func TestQuotaPath(t *testing.T) {
 	if AllocatePath != "/mesh/deal" {
-		t.Errorf("sidecars ask for tokens at %q, want /mesh/deal", AllocatePath)
+		t.Errorf("sidecars request tokens at %q, want /mesh/deal", AllocatePath)
 	}
 }
--- a/internal/mesh/sidecar/heartbeat_test.go
+++ b/internal/mesh/sidecar/heartbeat_test.go
@@ -31,7 +31,7 @@
 
 const localAppAddress = "10.1.0.40:8103"
 
-// newTestSidecar is a sidecar without a core, whose engines don't run yet.
+// newTestSidecar returns a sidecar without a core, whose engines are not running yet.
 func newTestSidecar(t *testing.T) *Sidecar {
 	t.Helper()
 	s := &Sidecar{
@@ -65,14 +65,14 @@
 	return s
 }
 
-// post calls the control listener.
+// post sends a POST request to the control listener's handler.
 func post(s *Sidecar, path, body string) *httptest.ResponseRecorder {
 	w := httptest.NewRecorder()
 	s.controlHandler().ServeHTTP(w, httptest.NewRequest("POST", path, strings.NewReader(body)))
 	return w
 }
 
-// postHeartbeat sends a heartbeat of an instance beside the sidecar.
+// postHeartbeat sends a heartbeat of a local instance.
 func postHeartbeat(s *Sidecar, instance, state string, sequence int) *httptest.ResponseRecorder {
 	body := fmt.Sprintf(`{"address":"%s",
 		"nodeInfo":{"serviceName":"s","zone":"hall-a","capacitySlots":4},
@@ -80,9 +80,9 @@
 	return post(s, "/api/instances/"+instance+"/heartbeat", body)
 }
 
-// That an upstream drains is acknowledged once its gate goes by it and no sooner, also where the
-// heartbeat is repeated or out of order, and without a core.
-func TestDrainingIsAcknowledgedOnceTheGateHasIt(t *testing.T) {
+// Guards against acknowledging a draining heartbeat before the gate has applied it. The order must hold without a core
+// and for repeated and reordered heartbeats.
+func TestDrainingIsAcknowledgedAfterTheGateAppliedIt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newTestSidecar(t)
 		s.endpoints.recordHeartbeat(registry.Upstream{
@@ -94,7 +94,7 @@
 			acked.Go(func() { answers <- postHeartbeat(s, "i-1", "draining", sequence) })
 			synctest.Wait()
 			if len(answers) > 0 {
-				t.Errorf("sequence %d: acknowledged before the gate goes by it", sequence)
+				t.Errorf("heartbeat with sequence %d was acknowledged before the gate has applied it", sequence)
 			}
 		}
 		ctx, cancel := context.WithCancel(context.Background())
@@ -105,31 +105,33 @@
 			w := <-answers
 			isJSON := w.Header().Get("Content-Type") == "application/json"
 			if w.Code != 200 || !isJSON || w.Body.Len() > 4<<10 {
-				t.Errorf("%d %v %s", w.Code, w.Header(), w.Body)
+				t.Errorf("heartbeat response: status %d, header %v, body %s; want status 200 and at most 4 KiB of JSON",
+					w.Code, w.Header(), w.Body)
 			}
 		}
 		if state := s.endpoints.gateListing(localAppAddress).Servers[0].State; state != policy.Draining {
-			t.Errorf("the gate's list has state %v", state)
+			t.Errorf("the local upstream's state in the gate's list is %v, want draining", state)
 		}
 		w, local := postHeartbeat(s, "i-1", "ready", 2), s.endpoints.localUpstream()
 		if w.Code != 200 || local.State != registry.Draining {
-			t.Errorf("a late heartbeat: %d, then %+v", w.Code, local)
+			t.Errorf("late heartbeat: status %d, then the local upstream is %+v, want 200 and draining", w.Code, local)
 		}
 		w, local = post(s, "/api/instances/i-1/deregister", ""), s.endpoints.localUpstream()
 		if w.Code != 200 || local.State != registry.Deregistered {
-			t.Errorf("deregistered: %d, then %+v", w.Code, local)
+			t.Errorf("deregistration: status %d, then the local upstream is %+v, want 200 and deregistered", w.Code, local)
 		}
 		w, instance := postHeartbeat(s, "i-2", "ready", 1), *s.inbound.instance.Load()
 		if w.Code != 200 || instance != "i-2" {
-			t.Errorf("the next instance: %d, and the gate takes requests for %s", w.Code, instance)
+			t.Errorf("heartbeat of the next instance: status %d, then the gate accepts requests for %s, want 200 and i-2",
+				w.Code, instance)
 		}
 		cancel()
 		synctest.Wait()
 	})
 }
 
-// What a later heartbeat says is published after what an earlier one said, never before it: else the
-// gate and the list would name two instances for good.
+// Guards against publishing an earlier heartbeat's state after a later one's: the gate and the server list would then
+// name two different instances permanently.
 func TestHeartbeatsOfTwoInstancesArePublishedInOrder(t *testing.T) {
 	s := newTestSidecar(t)
 	published := func() string {
@@ -142,18 +144,19 @@
 		t.Helper()
 		for end := time.Now().Add(testbed.Generous); !holds(); runtime.Gosched() {
 			if time.Now().After(end) {
-				t.Fatalf("timed out, the gate takes requests for %q", published())
+				t.Fatalf("timed out, the gate accepts requests for %q", published())
 			}
 		}
 	}
 	var both sync.WaitGroup
 	both.Go(func() { postHeartbeat(s, "i-1", "ready", 1) })
-	waitUntil(func() bool { return published() == "i-1" }) // and waits for the engine, which doesn't run
+	// The first publishUpstream then waits for the gate's engine, which is not running.
+	waitUntil(func() bool { return published() == "i-1" })
 	both.Go(func() { postHeartbeat(s, "i-2", "ready", 1) })
 	waitUntil(func() bool { return s.endpoints.localUpstream().Instance == "i-2" })
-	for range 10000 { // it would need a moment only
+	for range 10000 { // publishing without the lock would need only a moment
 		if runtime.Gosched(); published() != "i-1" {
-			t.Fatal("a later heartbeat is published while an earlier one is")
+			t.Fatal("a later heartbeat was published while publishing an earlier one was in progress")
 		}
 	}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -161,7 +164,7 @@
 	go s.gateEngine.Run(ctx, call.ServerList{})
 	both.Wait()
 	if published() != "i-2" {
-		t.Errorf("the gate takes requests for %s", published())
+		t.Errorf("the gate accepts requests for %s, want i-2", published())
 	}
 }
 
@@ -169,9 +172,9 @@
 	s := newTestSidecar(t)
 	err := s.Heartbeat(registry.Upstream{Instance: "i-1", Address: "10.1.0.41:8103"})
 	if kind := errs.KindOf(err); kind != errs.Invalid {
-		t.Errorf("the error is %v", err)
+		t.Errorf("heartbeat of another address: error %v, want kind Invalid", err)
 	}
 	if local := s.endpoints.localUpstream(); local != nil {
-		t.Errorf("the local upstream is %+v", local)
+		t.Errorf("after a rejected heartbeat the local upstream is %+v, want none", local)
 	}
 }
--- a/internal/mesh/sidecar/inbound.go
+++ b/internal/mesh/sidecar/inbound.go
@@ -15,26 +15,26 @@
 	"caperarch/policy"
 )
 
-// inbound admits the requests that sidecars, this one included, send to the local upstream.
+// inbound admits the requests that sidecars, including this one, send to the local upstream.
 type inbound struct {
-	instance atomic.Pointer[string] // of the local upstream; nil: it is not known yet
+	instance atomic.Pointer[string] // of the local upstream; nil until it is known
 	gate     *gate.Gate
 	clock    clock.Clock
 	drain    drainDeadline
-	sendIDs  *headers.SendIDSource // of this sidecar's own attempts
-	verifier *verifier             // nil: what callers admit is not checked
+	sendIDs  *headers.SendIDSource // ids of this sidecar's own attempts
+	verifier *verifier             // nil: attempts are not checked against the configuration
 }
 
-// frontDialect is how the front for sidecars treats their requests.
+// frontDialect returns the dialect of the front that receives requests from sidecars.
 func (i *inbound) frontDialect() *fronthttp1.Dialect {
 	return &fronthttp1.Dialect{
 		ParseRequest:   i.admit,
 		RewriteHeaders: i.stripHeaders,
-		ProxyHeaders:   i.ownResponseFields,
+		ProxyHeaders:   i.proxyResponseFields,
 	}
 }
 
-// upstreamDialect is how requests are sent to the local upstream, and how its responses are read.
+// upstreamDialect returns the dialect of requests to the local upstream and of its responses.
 func (i *inbound) upstreamDialect() *http1.Dialect {
 	return &http1.Dialect{
 		TimeoutField:   headers.Timeout,
@@ -43,44 +43,45 @@
 	}
 }
 
-// admit admits a request of a sidecar. One for another instance than the local one is rejected: it
-// has not run, and the instance that it was for has ended.
+// admit admits a request from a sidecar. A request for an instance other than the local one is rejected: it has
+// not run, and the target instance has ended.
 func (i *inbound) admit(h *h1.Head) (policy.Request, time.Duration, *fronthttp1.Rejection) {
 	terms, remaining, ok := parseAttempt(h)
 	if !ok {
 		return policy.Request{}, 0, &fronthttp1.Rejection{
-			Status: http.StatusBadRequest, Reason: "no request of a sidecar",
+			Status: http.StatusBadRequest, Reason: "not a valid request from a sidecar",
 		}
 	}
 	instance := i.instance.Load()
 	if instance == nil || *instance != h.Get(headers.Target) {
 		return policy.Request{}, 0, &fronthttp1.Rejection{
-			Status: http.StatusServiceUnavailable, Reason: "another instance is here", KeepAlive: true,
+			Status: http.StatusServiceUnavailable, Reason: "the local instance is not the target instance", KeepAlive: true,
 		}
 	}
 	if rejection := i.verifier.check(h); rejection != nil {
 		return policy.Request{}, 0, rejection
 	}
-	if !i.drain.leavesTime(i.clock.Now(), remaining) && !i.isOwn(h) {
+	if !i.drain.canFinish(i.clock.Now(), remaining) && !i.isOwnAttempt(h) {
 		return policy.Request{}, 0, &fronthttp1.Rejection{
-			Status: http.StatusServiceUnavailable, Reason: "this sidecar ends before the request's time",
+			Status: http.StatusServiceUnavailable, Reason: "this sidecar drains and ends before the request's deadline",
 			KeepAlive: true, RetryAfter: drainRetryAfter,
 		}
 	}
 	return policy.Request{Terms: terms}, remaining, nil
 }
 
-// isOwn reports whether an attempt is this sidecar's own: its client is connected here, and the front for clients
-// has accepted the request.
-func (i *inbound) isOwn(h *h1.Head) bool {
+// isOwnAttempt reports whether this sidecar sent an attempt itself. The drain check doesn't apply to such an
+// attempt: its client is connected to this sidecar, whose outbound front has already accepted the request.
+func (i *inbound) isOwnAttempt(h *h1.Head) bool {
 	id, ok := headers.ParseSendID(h)
 	return ok && i.sendIDs.Issued(id)
 }
 
-// parseAttempt reads the fields that a sidecar sets; false: the request comes from none, or gives a
-// field twice that two readers could take differently.
+// parseAttempt parses the header fields that a caller's sidecar sets. It returns false if a field is missing or
+// malformed, so that the sender is no sidecar, or if a control field is duplicated, which two parsers could
+// interpret differently.
 func parseAttempt(h *h1.Head) (terms *gate.AttemptTerms, remaining time.Duration, ok bool) {
-	stated, hasTerms := headers.ParseAttemptTerms(h)
+	parsed, hasTerms := headers.ParseAttemptTerms(h)
 	sendID, hasSendID := headers.ParseSendID(h)
 	remaining, hasTimeout := headers.ParseTimeout(h.Get(headers.Timeout))
 	id := h.Get(headers.AttemptID)
@@ -88,7 +89,7 @@
 		return nil, 0, false
 	}
 	terms = &gate.AttemptTerms{
-		Priority: stated.Priority, Idempotent: stated.Idempotent, LatencyTarget: stated.LatencyTarget,
+		Priority: parsed.Priority, Idempotent: parsed.Idempotent, LatencyTarget: parsed.LatencyTarget,
 	}
 	if !terms.Idempotent {
 		terms.Key, terms.SendID = gate.KeyOf(id), gate.SendID(sendID)
@@ -101,39 +102,40 @@
 	headers.StripSidecarFields(fields)
 }
 
-// ownResponseFields are the fields of a response that the front or the gate itself makes.
-func (i *inbound) ownResponseFields(h *h1.Head, a *call.Answer) http.Header {
-	fields := headers.GateResponseFields(h.Get(headers.AttemptID), i.provablyNotExecuted(h, a), i.loadField())
-	i.verifier.setVersion(fields)
+// proxyResponseFields returns the header fields of a response that the front or the gate creates itself.
+func (i *inbound) proxyResponseFields(h *h1.Head, a *call.Answer) http.Header {
+	fields := headers.GateResponseFields(h.Get(headers.AttemptID), i.provablyNotExecuted(h, a), i.loadFieldValue())
+	i.verifier.setConfigVersion(fields)
 	return fields
 }
 
-// provablyNotExecuted reports whether a response of our own may promise that its request never ran
-// and never will. What the engine rejects is in the gate's attempt log. What the front rejects by itself
-// (a is nil or unasked) has to be recorded there now, so that no late copy of it runs.
+// provablyNotExecuted reports whether a response that this sidecar creates may promise that the request has not
+// run and never will. Requests that the engine rejects are in the gate's attempt log already. A request that the
+// front rejects without the engine (a is nil or a.RejectedByFront is set) has to be recorded there now, so that no
+// late copy of it runs.
 func (i *inbound) provablyNotExecuted(h *h1.Head, a *call.Answer) bool {
 	if a != nil && a.Kind != call.Refused {
 		return false
 	}
 	terms, remaining, ok := parseAttempt(h)
 	if !ok || terms.Idempotent || a != nil && !a.RejectedByFront {
-		return true // one that can't be parsed is run by no sidecar
+		return true // no sidecar runs a request that can't be parsed
 	}
 	return i.gate.AttemptLog().RecordRejection(i.clock.Now(), terms.Key, terms.SendID, remaining)
 }
 
-// classifyUpstreamResponse returns how an attempt ended, and adds the gate's load for the caller's
-// sidecar.
+// classifyUpstreamResponse returns how an attempt ended, and adds the gate's load to the response for the
+// caller's sidecar.
 func (i *inbound) classifyUpstreamResponse(res *http.Response) (policy.Ending, policy.Load) {
 	running, queued, slots := i.gate.Load()
-	running = max(0, running-1) // without this attempt, which has ended
+	running = max(0, running-1) // excludes this attempt, which has ended
 	headers.SetGateLoad(res.Header, headers.FormatLoad(running, queued, slots))
-	i.verifier.setVersion(res.Header)
+	i.verifier.setConfigVersion(res.Header)
 	return headers.ClassifyUpstreamResponse(res)
 }
 
-// loadField is the gate's load as its header field has it.
-func (i *inbound) loadField() string {
+// loadFieldValue returns the value of the gate's load field.
+func (i *inbound) loadFieldValue() string {
 	running, queued, slots := i.gate.Load()
 	return headers.FormatLoad(running, queued, slots)
 }
--- a/internal/mesh/sidecar/inbound_test.go
+++ b/internal/mesh/sidecar/inbound_test.go
@@ -16,7 +16,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// countingHost counts what a gate sends.
+// countingHost counts the attempts that a gate sends.
 type countingHost struct {
 	policy.Host
 	sent int
@@ -24,17 +24,17 @@
 
 func (h *countingHost) Send(policy.RequestID, policy.ServerID, time.Duration) { h.sent++ }
 
-// Fields that a caller's sidecar sets.
+// Header fields that a caller's sidecar sets.
 const (
-	termsField     = "X-Mesh-Visit: 2,250,1\r\n"
-	onceTermsField = "X-Mesh-Visit: 2,250,0\r\n"
-	sendField      = "X-Mesh-Send: a1.7\r\n"
-	timeoutField   = "X-Caperarch-Timeout-Remaining: 800\r\n"
-	targetField    = "X-Caperarch-Target-Instance: i-1\r\n"
-	sidecarFields  = termsField + sendField + timeoutField + targetField
+	termsField              = "X-Mesh-Visit: 2,250,1\r\n"
+	nonIdempotentTermsField = "X-Mesh-Visit: 2,250,0\r\n"
+	sendField               = "X-Mesh-Send: a1.7\r\n"
+	timeoutField            = "X-Caperarch-Timeout-Remaining: 800\r\n"
+	targetField             = "X-Caperarch-Target-Instance: i-1\r\n"
+	sidecarFields           = termsField + sendField + timeoutField + targetField
 )
 
-// newInbound is the inbound side of a sidecar; the local instance is i-1.
+// newInbound returns the inbound side of a sidecar whose local instance is i-1.
 func newInbound(host policy.Host) (*inbound, *http1.Dialect) {
 	i := &inbound{gate: gate.New(host), clock: clock.NewAdjustable()}
 	instance := "i-1"
@@ -42,7 +42,7 @@
 	return i, i.frontDialect()
 }
 
-// endingOf is how a caller's sidecar takes a response that the gate's side makes itself.
+// endingOf returns how a caller's sidecar classifies a response that the gate's sidecar creates itself.
 func endingOf(d *http1.Dialect, status int, h *h1.Head, a *call.Answer) policy.Ending {
 	ending, _ := headers.ClassifyGateResponse(&http.Response{StatusCode: status, Header: d.ProxyHeaders(h, a)})
 	return ending
@@ -56,13 +56,13 @@
 		So(rejection.Status, ShouldEqual, status)
 		So(endingOf(d, status, h, nil), ShouldEqual, policy.GateRejected)
 	}
-	Convey("Before the local instance is known all is rejected as not executed", t, func() {
+	Convey("Until the local instance is known every request is rejected as not executed", t, func() {
 		i := &inbound{gate: gate.New(nil), clock: clock.NewAdjustable()}
 		d := i.frontDialect()
 		shouldReject(d, attemptIDField+sidecarFields, 503)
 		shouldReject(d, attemptIDField+termsField+sendField+timeoutField, 503)
 	})
-	Convey("What is not from a sidecar, or is for another instance, is rejected as not executed", t, func() {
+	Convey("Requests from other senders than sidecars or for another instance are rejected as not executed", t, func() {
 		_, d := newInbound(nil)
 		shouldReject(d, attemptIDField+timeoutField+targetField, 400)
 		shouldReject(d, attemptIDField+termsField+sendField+targetField, 400)
@@ -74,32 +74,32 @@
 		otherTarget := "X-Caperarch-Target-Instance: i-2\r\n"
 		shouldReject(d, attemptIDField+termsField+sendField+timeoutField+otherTarget, 503)
 	})
-	once := attemptIDField + onceTermsField + sendField + timeoutField + targetField
-	Convey("A rejection by the front is recorded, and is promised as not executed", t, func() {
+	nonIdempotentFields := attemptIDField + nonIdempotentTermsField + sendField + timeoutField + targetField
+	Convey("A rejection by the front is recorded and promises that the request is not executed", t, func() {
 		i, d := newInbound(nil)
-		h := parseHead(idempotentLine, once)
+		h := parseHead(idempotentLine, nonIdempotentFields)
 		So(endingOf(d, 503, h, nil), ShouldEqual, policy.GateRejected)
 		So(i.gate.AttemptLog().Size(), ShouldEqual, 1)
-		unasked := &call.Answer{Kind: call.Refused, RejectedByFront: true}
-		So(endingOf(d, 503, h, unasked), ShouldEqual, policy.GateRejected)
+		frontRejection := &call.Answer{Kind: call.Refused, RejectedByFront: true}
+		So(endingOf(d, 503, h, frontRejection), ShouldEqual, policy.GateRejected)
 	})
-	Convey("It is not promised where another arrival of the request was sent", t, func() {
+	Convey("The front promises nothing if another copy of the request was sent to the upstream", t, func() {
 		host := new(countingHost)
 		i, d := newInbound(host)
 		i.gate.List(0, policy.ListFull, []policy.Server{{ID: 1, State: policy.Ready, Weight: 4}})
-		h := parseHead(idempotentLine, once)
+		h := parseHead(idempotentLine, nonIdempotentFields)
 		q, remaining, rejection := d.ParseRequest(h)
 		So(rejection, ShouldBeNil)
 		q.ID, q.TimeLeft = 1, remaining
 		i.gate.Request(0, q)
 		So(host.sent, ShouldEqual, 1)
-		unasked := &call.Answer{Kind: call.Refused, RejectedByFront: true}
-		So(endingOf(d, 503, h, unasked), ShouldEqual, policy.ConnectionLost)
+		frontRejection := &call.Answer{Kind: call.Refused, RejectedByFront: true}
+		So(endingOf(d, 503, h, frontRejection), ShouldEqual, policy.ConnectionLost)
 		So(endingOf(d, 503, h, nil), ShouldEqual, policy.ConnectionLost)
-		byGate := &call.Answer{Kind: call.Refused}
-		So(endingOf(d, 503, h, byGate), ShouldEqual, policy.GateRejected)
+		gateRejection := &call.Answer{Kind: call.Refused}
+		So(endingOf(d, 503, h, gateRejection), ShouldEqual, policy.GateRejected)
 	})
-	Convey("A request of a sidecar is admitted with its terms, without the sidecars' own fields", t, func() {
+	Convey("A request from a sidecar is admitted with its terms, without the sidecars' internal fields", t, func() {
 		_, d := newInbound(nil)
 		tenantField := "X-Caperarch-Tenant-Id: bozi300\r\n"
 		h := parseHead(idempotentLine, attemptIDField+sidecarFields+tenantField)
--- a/internal/mesh/sidecar/known_versions.go
+++ b/internal/mesh/sidecar/known_versions.go
@@ -6,26 +6,27 @@
 	"time"
 )
 
-// maxKnownVersions bounds the versions that are remembered; of more, those between the first and the newest are
-// dropped.
+// maxKnownVersions bounds the versions that are remembered. Once the list is full, a newer version replaces the
+// newest entry, so that the oldest entries and the newest version remain.
 const maxKnownVersions = 64
 
-// knownVersions are configuration versions that other sidecars go by, as their attempts and responses say: each is
-// in place, or was, as no sidecar goes by one that isn't committed. That is their word alone, so a confirmation by a
-// core machine refutes it. A nil pointer knows none. It is safe for concurrent use.
+// knownVersions records the configuration versions that other sidecars apply, as their attempts and responses state.
+// A sidecar applies only committed versions, so each of these is or was the committed configuration. The statements
+// are not verified, so a later confirmation by a core machine refutes them. A nil pointer knows no version. It is safe
+// for concurrent use.
 type knownVersions struct {
-	mu       sync.Mutex
-	versions []knownVersion // newer than what is in force here, in order; guarded by mu
-	inForce  int64          // guarded by mu
+	mu             sync.Mutex
+	versions       []knownVersion // newer than appliedVersion, in ascending order; guarded by mu
+	appliedVersion int64          // the version that this sidecar applies; guarded by mu
 }
 
-// knownVersion is a version and when it was heard of first.
+// knownVersion is a version and the time at which it was first observed.
 type knownVersion struct {
-	version int64
-	at      time.Duration
+	version    int64
+	observedAt time.Duration
 }
 
-// observe records that another sidecar goes by a version.
+// observe records that another sidecar applies a version.
 func (k *knownVersions) observe(now time.Duration, version int64) {
 	if k == nil {
 		return
@@ -41,39 +42,39 @@
 	k.versions = append(k.versions, knownVersion{version, now})
 }
 
-// applied records that a version is in force here.
-func (k *knownVersions) applied(version int64) {
+// recordApplied records that this sidecar applies a version.
+func (k *knownVersions) recordApplied(version int64) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.inForce = max(k.inForce, version)
-	for len(k.versions) > 0 && k.versions[0].version <= k.inForce {
+	k.appliedVersion = max(k.appliedVersion, version)
+	for len(k.versions) > 0 && k.versions[0].version <= k.appliedVersion {
 		k.versions = k.versions[1:]
 	}
 }
 
-// refute drops the versions that were heard of by a time: all that was committed by then is in force here, as a
-// core machine in contact with a majority has confirmed.
-func (k *knownVersions) refute(confirmedAt time.Duration) {
+// discardObservedUntil drops the versions first observed at or before confirmedAt. A core machine in contact with a
+// majority has confirmed that this sidecar had then applied all that was committed.
+func (k *knownVersions) discardObservedUntil(confirmedAt time.Duration) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.versions = slices.DeleteFunc(k.versions, func(known knownVersion) bool { return known.at <= confirmedAt })
+	k.versions = slices.DeleteFunc(k.versions, func(known knownVersion) bool { return known.observedAt <= confirmedAt })
 }
 
-// isOutdated reports whether a version has been known not to be the newest for longer than a time, and no confirmation
-// refutes that. contactAge is that of watch.Client.
+// isOutdated reports whether a newer version than the given one has been known for longer than tolerance and no
+// confirmation by a core machine refutes it. contactAge is watch.Client.ContactAge.
 func (k *knownVersions) isOutdated(
-	now time.Duration, version int64, longerThan time.Duration, contactAge func() (age time.Duration, ok bool),
+	now time.Duration, version int64, tolerance time.Duration, contactAge func() (age time.Duration, ok bool),
 ) bool {
-	if k.outdatedFor(now, version) <= longerThan {
+	if k.outdatedFor(now, version) <= tolerance {
 		return false
 	}
 	if age, ok := contactAge(); ok {
-		k.refute(now - age)
+		k.discardObservedUntil(now - age)
 	}
-	return k.outdatedFor(now, version) > longerThan
+	return k.outdatedFor(now, version) > tolerance
 }
 
-// newest is the newest version known to be in place, 0 if none is.
+// newest returns the newest version known to be committed, 0 if no version is known.
 func (k *knownVersions) newest() int64 {
 	if k == nil {
 		return 0
@@ -83,15 +84,15 @@
 	return k.newestLocked()
 }
 
-// newestLocked is newest. k.mu is held.
+// newestLocked is newest for callers that hold k.mu.
 func (k *knownVersions) newestLocked() int64 {
 	if n := len(k.versions); n > 0 {
 		return k.versions[n-1].version
 	}
-	return k.inForce
+	return k.appliedVersion
 }
 
-// outdatedFor is for how long a version has been known not to be the newest; 0: it is.
+// outdatedFor returns the time for which a newer version than the given one has been known, 0 if none is known.
 func (k *knownVersions) outdatedFor(now time.Duration, version int64) time.Duration {
 	if k == nil {
 		return 0
@@ -100,7 +101,7 @@
 	defer k.mu.Unlock()
 	for _, known := range k.versions {
 		if known.version > version {
-			return max(now-known.at, 1)
+			return max(now-known.observedAt, 1)
 		}
 	}
 	return 0
--- a/internal/mesh/sidecar/listings.go
+++ b/internal/mesh/sidecar/listings.go
@@ -10,8 +10,8 @@
 	"caperarch/policy"
 )
 
-// balancerListing is the balancer's list: all upstreams behind a gate, in the order
-// of their ids. The address of each is that of its gate and its instance, see gateTransport.
+// balancerListing returns the balancer's server list: all upstreams behind a gate, ordered by id. The address of
+// a server consists of its gate's address and its instance, see gateTransport.
 func (e *endpoints) balancerListing() call.ServerList {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -39,7 +39,7 @@
 	return listing
 }
 
-// gateListing is the gate's list: the local upstream at its address, if it is known.
+// gateListing returns the gate's server list: the local upstream at the given address, once it is known.
 func (e *endpoints) gateListing(address string) call.ServerList {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -54,7 +54,7 @@
 	return listing
 }
 
-// policyState is an upstream's state in the terms of decision modules.
+// policyState converts an upstream's registry state to the state that decision modules use.
 func policyState(s registry.State) policy.State {
 	switch s {
 	case registry.Ready:
--- a/internal/mesh/sidecar/mesh_test.go
+++ b/internal/mesh/sidecar/mesh_test.go
@@ -30,7 +30,7 @@
 )
 
 // onceConfig has a non-idempotent route (/write/) and an idempotent one (/read/).
-const onceConfig = `{"configVersion":1,"resources":[
+const twoRouteConfig = `{"configVersion":1,"resources":[
 	{"resourceType":"routes","metadata":{"name":"w"},"specification":{
 		"hostname":"h","pathPrefix":"/write/","routeType":"non_idempotent","timeoutS":2,
 		"targetLatencyS":1,"serviceName":"s","maxAttempts":2}},
@@ -84,7 +84,7 @@
 func newMesh(t *testing.T, p faultPlan, upstreams upstreamBehavior, bodyBytes int64) *mesh {
 	t.Helper()
 	memory := &memoryNetwork{plan: p}
-	m := &mesh{t: t, net: memory, memory: memory, config: onceConfig, upstreams: upstreams}
+	m := &mesh{t: t, net: memory, memory: memory, config: twoRouteConfig, upstreams: upstreams}
 	if m.upstreams == nil {
 		m.upstreams = func(_, id string, _ int) (bool, string, bool) { return true, successOf(id), true }
 	}
@@ -183,8 +183,8 @@
 	if err != nil {
 		m.t.Fatal(err)
 	}
-	toGates := m.transport("caller", "gate", gateTransportConfig(clock.New(), headers.NewSendIDSource()))
-	e := m.startEngine(ctx, balancerEngineConfig(toGates, balancer.Config{Members: one, RetryBudget: s.quota}))
+	transportToGates := m.transport("caller", "gate", gateTransportConfig(clock.New(), headers.NewSendIDSource()))
+	e := m.startEngine(ctx, balancerEngineConfig(transportToGates, balancer.Config{Members: one, RetryBudget: s.quota}))
 	s.endpoints.apply(true, []registry.Upstream{
 		{Instance: "i-1", Service: "s", Inbound: "gate1", Zone: "z", Slots: 4},
 		{Instance: "i-2", Service: "s", Inbound: "gate2", Zone: "z", Slots: 4},
@@ -199,8 +199,8 @@
 	in := &inbound{clock: clock.New()}
 	instance := "i-" + address[len("gate"):]
 	in.instance.Store(&instance)
-	toUpstream := m.transport(address, "upstream", in.upstreamTransportConfig())
-	e := m.startEngine(ctx, in.gateEngineConfig(toUpstream))
+	transportToUpstream := m.transport(address, "upstream", in.upstreamTransportConfig())
+	e := m.startEngine(ctx, in.gateEngineConfig(transportToUpstream))
 	id := call.ServerID(instance)
 	e.UpdateServers(call.ServerList{
 		Full:      true,
--- a/internal/mesh/sidecar/outbound.go
+++ b/internal/mesh/sidecar/outbound.go
@@ -17,60 +17,61 @@
 )
 
 const (
-	// configRetryAfter is the Retry-After of requests that arrive before the first configuration, and of
-	// those that the one here does not allow while a newer one may be in force.
+	// configRetryAfter is the Retry-After value of requests that arrive before the first configuration, and of
+	// requests that the current configuration does not allow although a newer one may be committed.
 	configRetryAfter = 300 * time.Millisecond
-	// defaultLatencyTarget is that of a route that names none.
+	// defaultLatencyTarget is used for a route without a latency target.
 	defaultLatencyTarget = time.Second
 )
 
-// outbound admits the requests that begin on this machine, by the configuration in force.
+// outbound admits the requests of clients on this machine according to the current configuration.
 type outbound struct {
-	config      *atomic.Pointer[config.Snapshot]
-	endpoints   *endpoints
-	quota       *quotaClient
-	routes      routeCache
-	callerField []string // the local service, as the header field has it
-	// contactAge is how old the configuration here may be; false: it was never confirmed. What is older
-	// than maxConfigAge, unless that is 0, may have been replaced for longer than the rules allow.
+	config           *atomic.Pointer[config.Snapshot]
+	endpoints        *endpoints
+	quota            *quotaClient
+	derived          derivedConfigCache
+	callerFieldValue []string // the local service as a header field value
+	// contactAge returns how old the current configuration may be, and false if no core machine has confirmed it
+	// yet. If the age exceeds maxConfigAge, the configuration may have been replaced for longer than configApplyS
+	// allows. A maxConfigAge of 0 disables that check.
 	contactAge   func() (age time.Duration, ok bool)
 	maxConfigAge time.Duration
 	clock        clock.Clock
-	known        *knownVersions
+	versions     *knownVersions
 	drain        drainDeadline
 }
 
 func (s *Sidecar) newOutbound() *outbound {
 	return &outbound{
 		config: &s.config, endpoints: s.endpoints, quota: s.quota,
-		callerField: []string{s.settings.Self.ServiceName},
-		contactAge:  s.watchClient.ContactAge, maxConfigAge: s.settings.Guarantees.Bounds.ConfigApply,
-		clock: s.clock, known: &s.knownVersions,
+		callerFieldValue: []string{s.settings.Self.ServiceName},
+		contactAge:       s.watchClient.ContactAge, maxConfigAge: s.settings.Guarantees.Bounds.ConfigApply,
+		clock: s.clock, versions: &s.knownVersions,
 	}
 }
 
-// frontDialect is how the front for clients treats their requests.
+// frontDialect returns the dialect of the front that receives requests from clients.
 func (o *outbound) frontDialect() *http1.Dialect {
 	return &http1.Dialect{
 		ParseRequest:   o.admit,
 		RewriteHeaders: o.rewriteHeaders,
 		CanPipeline:    canPipeline,
-		ProxyHeaders:   ownResponseFields,
+		ProxyHeaders:   proxyResponseFields,
 	}
 }
 
-// canPipeline reports whether a request may be in flight together with others of its connection.
+// canPipeline reports whether a request may be in flight together with others on its connection.
 func canPipeline(q *policy.Request) bool { return q.Terms.(*balancer.RequestClass).Idempotent }
 
-// ownResponseFields are the fields of a response that the front itself makes.
-func ownResponseFields(h *h1.Head, _ *call.Answer) http.Header {
+// proxyResponseFields returns the header fields of a response that the front creates itself.
+func proxyResponseFields(h *h1.Head, _ *call.Answer) http.Header {
 	if id := h.Get(headers.AttemptID); id != "" {
 		return http.Header{headers.AttemptID: {id}}
 	}
 	return nil
 }
 
-// clientLimits bound what clients send, by the configuration in force.
+// clientLimits returns the limits on what clients send, according to the current configuration.
 func (o *outbound) clientLimits() http1.RequestLimits {
 	limits := o.config.Load().Limits()
 	return http1.RequestLimits{
@@ -79,8 +80,8 @@
 	}
 }
 
-// admit finds a request's route, tenant and service, and how much time it has. It charges the
-// tenant's quota.
+// admit determines a request's route, tenant and service, and the time that remains for it. It charges the request
+// to the tenant's quota.
 func (o *outbound) admit(h *h1.Head) (policy.Request, time.Duration, *http1.Rejection) {
 	if rejection := checkHead(h); rejection != nil {
 		return policy.Request{}, 0, rejection
@@ -94,9 +95,9 @@
 	if rejection != nil {
 		return policy.Request{}, 0, rejection
 	}
-	if now := o.clock.Now(); o.drain.isLate(now) && !o.drain.leavesTime(now, remaining) {
-		return policy.Request{}, 0, rejectUntil(http.StatusServiceUnavailable,
-			"this sidecar ends before the request's time", drainRetryAfter)
+	if now := o.clock.Now(); o.drain.isPastGuarantee(now) && !o.drain.canFinish(now, remaining) {
+		return policy.Request{}, 0, rejectWithRetryAfter(http.StatusServiceUnavailable,
+			"this sidecar drains and ends before the request's deadline", drainRetryAfter)
 	}
 	tenant, rejection := o.admitTenant(snapshot, route, h)
 	if rejection != nil {
@@ -105,22 +106,22 @@
 	return policy.Request{Terms: o.classify(snapshot, route, tenant)}, remaining, nil
 }
 
-// rejectAndClose rejects a request whose head or body can't be trusted to end where it says.
+// rejectAndClose rejects a request whose head or body may not end where it claims to, and closes its connection.
 func rejectAndClose(status int, reason string) *http1.Rejection {
 	return &http1.Rejection{Status: status, Reason: reason}
 }
 
-// rejectAndKeep rejects a request whose connection can be used for the next one.
+// rejectAndKeep rejects a request and keeps its connection open for the next one.
 func rejectAndKeep(status int, reason string) *http1.Rejection {
 	return &http1.Rejection{Status: status, Reason: reason, KeepAlive: true}
 }
 
-// rejectUntil is rejectAndKeep with a Retry-After.
-func rejectUntil(status int, reason string, retryAfter time.Duration) *http1.Rejection {
+// rejectWithRetryAfter is rejectAndKeep with a Retry-After value.
+func rejectWithRetryAfter(status int, reason string, retryAfter time.Duration) *http1.Rejection {
 	return &http1.Rejection{Status: status, Reason: reason, KeepAlive: true, RetryAfter: retryAfter}
 }
 
-// checkHead rejects what no configuration admits.
+// checkHead rejects requests that are invalid under every configuration.
 func checkHead(h *h1.Head) *http1.Rejection {
 	if h.HTTP10 {
 		return rejectAndClose(http.StatusHTTPVersionNotSupported, "HTTP/1.1 is needed")
@@ -134,10 +135,11 @@
 	return nil
 }
 
-// findRoute matches a request's host and path, and bounds its body.
+// findRoute returns the route that matches a request's host and path. It rejects a request without a route, or
+// whose body is longer than the configuration allows.
 func (o *outbound) findRoute(snapshot *config.Snapshot, h *h1.Head) (*config.Route, *http1.Rejection) {
 	if snapshot.Version() == 0 {
-		return nil, rejectUntil(
+		return nil, rejectWithRetryAfter(
 			http.StatusServiceUnavailable, "no configuration yet", configRetryAfter)
 	}
 	path, _, _ := strings.Cut(h.Target, "?")
@@ -151,35 +153,36 @@
 	return route, nil
 }
 
-// rejectUnlessOutdated rejects a request that the configuration here does not allow. Where a newer one is known to
-// be in force, or may be for too long already, as no core machine in contact has confirmed this one lately, the
-// client is to ask again: the newer one may allow it.
+// rejectUnlessOutdated rejects a request that the current configuration does not allow. The status is 503 with a
+// Retry-After if a newer configuration, which may allow the request, is known to be committed. The same applies if no
+// core machine has confirmed the current configuration within maxConfigAge, so that a newer one may be committed.
 func (o *outbound) rejectUnlessOutdated(status int, reason string) *http1.Rejection {
-	if o.known.isOutdated(o.clock.Now(), o.config.Load().Version(), 0, o.contactAge) {
-		return rejectUntil(http.StatusServiceUnavailable, "the configuration is outdated: "+reason, configRetryAfter)
+	if o.versions.isOutdated(o.clock.Now(), o.config.Load().Version(), 0, o.contactAge) {
+		return rejectWithRetryAfter(http.StatusServiceUnavailable, "the configuration is outdated: "+reason, configRetryAfter)
 	}
 	if o.maxConfigAge > 0 {
 		if age, confirmed := o.contactAge(); !confirmed || age > o.maxConfigAge {
-			return rejectUntil(http.StatusServiceUnavailable, "the configuration may be outdated: "+reason, configRetryAfter)
+			return rejectWithRetryAfter(
+				http.StatusServiceUnavailable, "the configuration may be outdated: "+reason, configRetryAfter)
 		}
 	}
 	return rejectAndKeep(status, reason)
 }
 
-// remainingTime is how long a request may take: the lesser of its client's and its route's timeout, or
-// the default latency target where there is neither.
+// remainingTime returns how long a request may take: the shorter of the client's and the route's timeout, or
+// defaultLatencyTarget if neither is set.
 func remainingTime(h *h1.Head, route *config.Route) (time.Duration, *http1.Rejection) {
 	remaining := route.Timeout
 	if text := h.Get(headers.Timeout); text != "" {
-		stated, ok := headers.ParseTimeout(text)
-		if headers.IsExpired(text) { // a call made at its request's deadline: it is no client's fault
+		clientTimeout, ok := headers.ParseTimeout(text)
+		if headers.IsExpired(text) { // the client called at its own deadline, so its request is not malformed
 			return 0, rejectAndKeep(http.StatusServiceUnavailable, "no time is left")
 		}
 		if !ok {
 			return 0, rejectAndKeep(http.StatusBadRequest, headers.Timeout+" is malformed")
 		}
-		if remaining = stated; route.Timeout != 0 {
-			remaining = min(stated, route.Timeout)
+		if remaining = clientTimeout; route.Timeout != 0 {
+			remaining = min(clientTimeout, route.Timeout)
 		}
 	}
 	if remaining <= 0 {
@@ -188,7 +191,8 @@
 	return remaining, nil
 }
 
-// admitTenant finds the tenant of a request's key and charges its quota; nil: the route needs none.
+// admitTenant returns the tenant of a request's key and charges its quota. It returns nil if the route needs no
+// tenant.
 func (o *outbound) admitTenant(
 	snapshot *config.Snapshot, route *config.Route, h *h1.Head,
 ) (*config.Tenant, *http1.Rejection) {
@@ -200,19 +204,19 @@
 		return nil, o.rejectUnlessOutdated(http.StatusUnauthorized, "no such key")
 	}
 	if retryAfter, allowed := o.quota.allow(tenant.Name); !allowed {
-		return nil, rejectUntil(http.StatusTooManyRequests, "over the quota", retryAfter)
+		return nil, rejectWithRetryAfter(http.StatusTooManyRequests, "over the quota", retryAfter)
 	}
 	return tenant, nil
 }
 
-// rewriteHeaders prepares the fields that go to a gate: those that only sidecars may set are this
-// one's own, and the tenant's key goes no further.
+// rewriteHeaders prepares the header fields that are sent to a gate. Fields that only sidecars may set are replaced
+// by this sidecar's values, and the tenant's key is removed.
 func (o *outbound) rewriteHeaders(q *policy.Request, fields http.Header) {
 	key := fields[headers.Key]
 	headers.StripInternal(fields)
 	class := q.Terms.(*balancer.RequestClass)
 	o.attemptConfig(class, key).Set(fields)
-	fields[headers.Caller] = o.callerField
+	fields[headers.Caller] = o.callerFieldValue
 	if class.Tenant != "" {
 		fields[headers.Tenant] = []string{class.Tenant}
 	}
@@ -222,11 +226,12 @@
 	terms.Set(fields)
 }
 
-// attemptConfig is what gates are told of the configuration that a request was admitted by. The digest of its key is
-// part of that where the configuration is known to be outdated: the key may be another tenant's by now, or nobody's.
+// attemptConfig returns what a gate is told about the configuration that a request was admitted by. If that
+// configuration is known to be outdated, it includes the digest of the tenant's key, as a newer configuration may have
+// revoked the key or assigned it to another tenant.
 func (o *outbound) attemptConfig(class *balancer.RequestClass, key []string) headers.AttemptConfig {
 	attempt := headers.AttemptConfig{Admitted: class.ConfigVersion}
-	if o.known.newest() > class.ConfigVersion && class.Tenant != "" && len(key) > 0 {
+	if o.versions.newest() > class.ConfigVersion && class.Tenant != "" && len(key) > 0 {
 		attempt.Key = config.DigestKey(key[0])
 	}
 	return attempt
--- a/internal/mesh/sidecar/outbound_test.go
+++ b/internal/mesh/sidecar/outbound_test.go
@@ -89,12 +89,12 @@
 }
 
 const (
-	idempotentLine = "GET /lepu270/2f HTTP/1.1\r\nHost: jepu9.example"
-	onceLine       = "POST /xapu221/2f HTTP/1.1\r\nHost: hulo84.example"
-	openLine       = "GET /open/ HTTP/1.1\r\nHost: hulo84.example" // of a public route
-	attemptIDField = "X-Caperarch-Attempt-Id: 9c41\r\n"
-	apiKeyField    = "X-Api-Key: 89anu6ws\r\n" // of tenant bozi300
-	meagreKeyField = "X-Api-Key: kcuyj8pj\r\n" // of tenant meagre
+	idempotentLine    = "GET /lepu270/2f HTTP/1.1\r\nHost: jepu9.example"
+	nonIdempotentLine = "POST /xapu221/2f HTTP/1.1\r\nHost: hulo84.example"
+	publicRouteLine   = "GET /open/ HTTP/1.1\r\nHost: hulo84.example" // of a public route
+	attemptIDField    = "X-Caperarch-Attempt-Id: 9c41\r\n"
+	apiKeyField       = "X-Api-Key: 89anu6ws\r\n" // of tenant bozi300
+	lowRateKeyField   = "X-Api-Key: kcuyj8pj\r\n" // of tenant meagre
 )
 
 func TestOutboundAdmission(t *testing.T) {
@@ -104,7 +104,7 @@
 			"X-CAPERARCH-TARGET-INSTANCE: i-1\r\nX-Caperarch-Caller-Service: other\r\n" +
 			"X-Mesh-Load: 0,0,9\r\nX-Mesh-Verdict: turned\r\nX-Mesh-Config: 8,9\r\nX-Mesh-Key-Digest: 0\r\n"
 		sent := "X-Caperarch-Timeout-Remaining: 900\r\nX-Own: 1\r\n"
-		h := parseHead(onceLine, attemptIDField+apiKeyField+forged+sent)
+		h := parseHead(nonIdempotentLine, attemptIDField+apiKeyField+forged+sent)
 		q, remaining, rejection := d.ParseRequest(h)
 		So(rejection, ShouldBeNil)
 		So(remaining, ShouldEqual, 900*time.Millisecond)
@@ -156,7 +156,7 @@
 			{"GET /lepu270 HTTP/1.1\r\nHost: jepu9.example", both, 404},
 			{"GET /?/lepu270/ HTTP/1.1\r\nHost: jepu9.example", both, 404},
 			{"GET /lepu270/ HTTP/1.1\r\nHost: hulo84.example", both, 404},
-			{onceLine, both + "Content-Length: 101\r\n", 413},
+			{nonIdempotentLine, both + "Content-Length: 101\r\n", 413},
 			{"GET /lepu270/2f HTTP/1.0\r\nHost: jepu9.example", both, 505},
 		} {
 			_, d := newOutbound(tenantConfig)
@@ -205,17 +205,17 @@
 			return rejection
 		}
 		n := 0
-		for ; n < 20 && admit(idempotentLine, meagreKeyField) == nil; n++ {
+		for ; n < 20 && admit(idempotentLine, lowRateKeyField) == nil; n++ {
 		}
 		So(n, ShouldBeBetweenOrEqual, 1, 12) // its burst, a tenth of a window's rate, and half the slack
-		rejection := admit(idempotentLine, meagreKeyField)
+		rejection := admit(idempotentLine, lowRateKeyField)
 		So(rejection.Status, ShouldEqual, http.StatusTooManyRequests)
 		So(rejection.KeepAlive, ShouldBeTrue)
 		So(rejection.RetryAfter, ShouldBeBetween, 0, 10*time.Second)
 		So(admit(idempotentLine, apiKeyField), ShouldBeNil)
-		So(admit(openLine, meagreKeyField), ShouldBeNil)
+		So(admit(publicRouteLine, lowRateKeyField), ShouldBeNil)
 		o.quota.clock.Advance(time.Hour)
-		So(admit(idempotentLine, meagreKeyField), ShouldBeNil)
+		So(admit(idempotentLine, lowRateKeyField), ShouldBeNil)
 	})
 	Convey("Clients have the limits in force, and a gate admits what any sidecar has admitted", t, func() {
 		o, _ := newOutbound("")
--- a/internal/mesh/sidecar/quota_client.go
+++ b/internal/mesh/sidecar/quota_client.go
@@ -16,35 +16,37 @@
 )
 
 const (
-	// allocateTimeout bounds one request for tokens: they are valid for hardly longer.
+	// allocateTimeout bounds one request for tokens. Granted tokens expire quota.TokenTTL after the request is
+	// sent, so a response that takes longer brings no tokens, only throttling and lease data.
 	allocateTimeout = 500 * time.Millisecond
-	// allocateBackoff is the time between a failed request and the next one.
+	// allocateBackoff is the time between a failed request for tokens and the next one.
 	allocateBackoff = 100 * time.Millisecond
-	// minAllocateInterval is the least time between two requests.
+	// minAllocateInterval is the minimum time between two requests for tokens.
 	minAllocateInterval = 20 * time.Millisecond
-	// usageLogInterval is the time between two log entries of what tenants used. It guards the log's
-	// ring against one entry for each request.
+	// usageLogInterval is the minimum time between two logs of tenants' usage. Logging each request would
+	// displace all other entries from the log's ring buffer.
 	usageLogInterval = time.Second
-	// unusedQuotaWindow stands in for the window of settings without quotas: nothing asks for tokens.
+	// unusedQuotaWindow is the window if the settings have no quotas. The limiter needs a positive window,
+	// although no tokens are requested then.
 	unusedQuotaWindow = time.Second
 )
 
-// AllocatePath is where core machines receive requests for tokens.
+// AllocatePath is the path at which core machines receive requests for tokens.
 const AllocatePath = "/mesh/deal"
 
-// AllocateRequest asks for tokens for a sidecar's tenants.
+// AllocateRequest requests tokens for the tenants of a sidecar.
 type AllocateRequest struct {
 	Node string `json:"node"`
 	quota.Request
-	Forwarded bool `json:"passed,omitempty"` // by one member to another: it goes no further
+	Forwarded bool `json:"passed,omitempty"` // by another core machine; the recipient does not forward it again
 }
 
-// AllocateResponse is what the leader allocates; its epoch is the leader's term.
+// AllocateResponse is the leader's allocation. Its epoch is the leader's term.
 type AllocateResponse struct {
 	quota.Response
 }
 
-// TenantLimits are the limits of a configuration's tenants that have a rate.
+// TenantLimits returns the limits of a configuration's tenants by name. Tenants without a rate are left out.
 func TenantLimits(c *config.Snapshot) map[string]quota.Limit {
 	limits := make(map[string]quota.Limit)
 	for _, t := range c.Tenants() {
@@ -55,32 +57,32 @@
 	return limits
 }
 
-// quotaConfig is what a quotaClient is made of.
+// quotaConfig holds the dependencies of a quotaClient.
 type quotaConfig struct {
 	clock       clock.Clock
 	log         *zap.Logger
 	httpClient  *http.Client
 	node        string
-	peers       func() []string          // addresses of core machines, the one in use first
-	serviceName func(service int) string // by the service's number
-	// sidecarCount is how many share the limits, quota.UnknownMembers at first and when the core may have
-	// forgotten this sidecar.
+	peers       func() []string          // addresses of core machines, the current one first
+	serviceName func(service int) string // takes the service's number
+	// sidecarCount returns how many sidecars share the limits. It is quota.UnknownMembers until a number is known,
+	// and when the core may have forgotten this sidecar.
 	sidecarCount func() int
 }
 
-// quotaClient decides what this sidecar may admit for each tenant and may retry for each service. It
-// requests tokens from core machines as they are needed.
+// quotaClient decides which requests of each tenant this sidecar may admit, and which requests of each service it
+// may retry. It requests tokens from core machines as needed. It is safe for concurrent use.
 type quotaClient struct {
 	quotaConfig
-	wake chan struct{} // holds a signal for run to look again
+	wake chan struct{} // wakes run; capacity 1
 
-	mu          sync.Mutex // guards all below
-	limiter     *quota.LocalLimiter
-	retryBudget *quota.RetryBudget
-	limits      map[string]quota.Limit
-	divided     bool // limits and budget are divided by sidecars; else they have to be anew
-	sidecars    int
-	usageLogged time.Duration // when the usage was logged last
+	mu            sync.Mutex // guards the fields below
+	limiter       *quota.LocalLimiter
+	retryBudget   *quota.RetryBudget
+	limits        map[string]quota.Limit
+	sharesCurrent bool // limits and budget are divided by memberCount; false: they have to be divided again
+	memberCount   int
+	usageLoggedAt time.Duration // time of the last usage log
 }
 
 func newQuotaClient(bounds settings.Bounds, cfg quotaConfig) (*quotaClient, error) {
@@ -102,45 +104,46 @@
 	return q, err
 }
 
-// configure applies the limits of a configuration.
+// configure applies the tenant limits of a configuration.
 func (q *quotaClient) configure(c *config.Snapshot) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.limits, q.divided = TenantLimits(c), false
+	q.limits, q.sharesCurrent = TenantLimits(c), false
 	q.updateShares(q.clock.Now())
 	if len(q.limits) > 0 {
-		q.wakeUp()
+		q.signalRun()
 	}
 }
 
-// updateShares divides the limits and the retry budget by the sidecars that there are now. The
-// caller holds mu.
+// updateShares divides the limits and the retry budget by the current number of sidecars, if that number or the
+// limits have changed. The caller holds mu.
 func (q *quotaClient) updateShares(now time.Duration) {
-	sidecars := q.sidecarCount()
-	if q.divided && sidecars == q.sidecars {
+	memberCount := q.sidecarCount()
+	if q.sharesCurrent && memberCount == q.memberCount {
 		return
 	}
-	if q.sidecars != quota.UnknownMembers && sidecars == quota.UnknownMembers {
+	if q.memberCount != quota.UnknownMembers && memberCount == quota.UnknownMembers {
 		q.log.Warn("out of contact for too long, tenants with limits are rejected")
 	}
-	q.divided, q.sidecars = true, sidecars
-	if err := q.limiter.Configure(now, q.limits, sidecars); err != nil {
+	q.sharesCurrent, q.memberCount = true, memberCount
+	if err := q.limiter.Configure(now, q.limits, memberCount); err != nil {
 		q.log.Error("tenant limits rejected, the previous ones stay in force", zap.Error(err))
 	}
-	if err := q.retryBudget.Configure(now, countOrAssumed(sidecars)); err != nil {
+	if err := q.retryBudget.Configure(now, countOrAssumed(memberCount)); err != nil {
 		q.log.Error("number of sidecars rejected, the retry budget stays as it is", zap.Error(err))
 	}
 }
 
-// wakeUp signals run to look at what is needed.
-func (q *quotaClient) wakeUp() {
+// signalRun wakes run, so that it checks whether tokens are needed.
+func (q *quotaClient) signalRun() {
 	select {
 	case q.wake <- struct{}{}:
 	default:
 	}
 }
 
-// allow charges a tenant for one request; false: it is over its quota until retryAfter from now.
+// allow charges one request to a tenant's quota. If it returns false, the tenant is over its quota, and the client
+// may retry after retryAfter.
 func (q *quotaClient) allow(tenant string) (retryAfter time.Duration, allowed bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -148,7 +151,7 @@
 	q.updateShares(now)
 	allowed = q.limiter.Allow(now, tenant)
 	if q.limiter.NextRequest(now) <= now {
-		q.wakeUp()
+		q.signalRun()
 	}
 	if allowed {
 		return 0, true
@@ -156,7 +159,7 @@
 	return q.limiter.RetryAfter(now, tenant), false
 }
 
-// run requests tokens while there are tenants with limits, until ctx ends.
+// run requests tokens while the configuration has tenants with limits, until ctx ends.
 func (q *quotaClient) run(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -167,13 +170,13 @@
 		case <-timer.C:
 		case <-q.wake:
 		}
-		due := q.collectDemands()
+		plan := q.planRequest()
 		switch {
-		case !due.hasLimits:
-			continue // until there are limits again
-		case due.wait > 0:
-			timer.Reset(due.wait)
-		case q.requestTokens(ctx, due.request):
+		case !plan.hasLimits:
+			continue // wait for a configuration with limits
+		case plan.wait > 0:
+			timer.Reset(plan.wait)
+		case q.requestTokens(ctx, plan.request):
 			timer.Reset(minAllocateInterval)
 		default:
 			timer.Reset(allocateBackoff)
@@ -181,34 +184,34 @@
 	}
 }
 
-// dueDemands is what run has to do next.
-type dueDemands struct {
+// requestPlan is the next step of run: whether to request tokens, and when.
+type requestPlan struct {
 	hasLimits bool
-	wait      time.Duration // until the next request; 0: it is due
-	request   quota.Request // may demand nothing: it renews the lease of the floors
+	wait      time.Duration // until the next request; 0: request now
+	request   quota.Request // may contain no demands: it then only renews the lease of the floors
 }
 
-// collectDemands looks at what is needed now.
-func (q *quotaClient) collectDemands() dueDemands {
+// planRequest returns the next step of run and, if a request is due now, the request.
+func (q *quotaClient) planRequest() requestPlan {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	now := q.clock.Now()
 	q.logUsage(now)
-	due := dueDemands{hasLimits: len(q.limits) > 0, wait: max(0, q.limiter.NextRequest(now)-now)}
-	if due.hasLimits && due.wait == 0 {
-		due.request = q.limiter.Request(now)
+	plan := requestPlan{hasLimits: len(q.limits) > 0, wait: max(0, q.limiter.NextRequest(now)-now)}
+	if plan.hasLimits && plan.wait == 0 {
+		plan.request = q.limiter.Request(now)
 	}
-	return due
+	return plan
 }
 
-// logUsage logs, once in usageLogInterval, what tenants used here: those whose requests were rejected or
-// exceeded an even share of the limit. The caller holds mu.
+// logUsage logs the usage of tenants at this sidecar, at most once per usageLogInterval. It includes only tenants
+// that had requests rejected or used more than an even share of their limit. The caller holds mu.
 func (q *quotaClient) logUsage(now time.Duration) {
-	interval := now - q.usageLogged
+	interval := now - q.usageLoggedAt
 	if interval < usageLogInterval {
 		return
 	}
-	q.usageLogged = now
+	q.usageLoggedAt = now
 	for _, usage := range q.limiter.TakeUsage() {
 		evenShare := usage.Rate * min(interval, usageLogInterval).Seconds() / float64(usage.Members)
 		if usage.Rejected == 0 && float64(usage.Admitted()) <= evenShare {
@@ -221,7 +224,8 @@
 	}
 }
 
-// requestTokens asks the core machine in use; false: no answer came.
+// requestTokens requests tokens from the current core machine and applies the response. It returns false if there
+// is no response.
 func (q *quotaClient) requestTokens(ctx context.Context, tokens quota.Request) bool {
 	peers := q.peers()
 	if len(peers) == 0 {
@@ -244,7 +248,7 @@
 	return true
 }
 
-// RecordRequest counts a request of a service, by its number, towards its retry budget.
+// RecordRequest counts a request for the retry budget of a service, which is given by its number.
 func (q *quotaClient) RecordRequest(now time.Duration, service int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -252,14 +256,14 @@
 	q.retryBudget.RecordRequest(now, q.serviceName(service))
 }
 
-// Allowed reports whether a service's retry budget allows one more.
+// Allowed reports whether a service's retry budget has capacity for one more retry.
 func (q *quotaClient) Allowed(now time.Duration, service int) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.retryBudget.Allowed(now, q.serviceName(service))
 }
 
-// Charge charges one retry to a service's budget.
+// Charge charges one retry to a service's retry budget.
 func (q *quotaClient) Charge(now time.Duration, service int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/internal/mesh/sidecar/readiness.go
+++ b/internal/mesh/sidecar/readiness.go
@@ -2,8 +2,8 @@
 
 import "net/http"
 
-// readinessHandler serves the readiness check: 200 while clients may be sent here, which needs a
-// configuration, a ready upstream somewhere in the mesh, and that no drain has begun; else 503.
+// readinessHandler serves the readiness check. The status is 200 if the sidecar has a configuration, any upstream
+// of the mesh is ready and no drain has started, so that clients may send requests; otherwise it is 503.
 func (s *Sidecar) readinessHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /api/readiness", func(w http.ResponseWriter, _ *http.Request) {
--- a/internal/mesh/sidecar/request_class.go
+++ b/internal/mesh/sidecar/request_class.go
@@ -8,15 +8,15 @@
 )
 
 const (
-	// nestedCallsPerRequest is how many internal checks one request of the local upstream may have
-	// in flight; it sizes their compartment.
+	// nestedCallsPerRequest is the number of concurrent internal checks per request of the local upstream. It
+	// determines the minimum size of their compartment.
 	nestedCallsPerRequest = 3
-	// lowestPriority is the largest number of a priority.
+	// lowestPriority is the numerically largest priority.
 	lowestPriority = 9
 )
 
-// classify returns what the balancer decides by. Priority 0 is for internal checks alone, so that the
-// operators' priorities are shifted by one.
+// classify returns the request class that the balancer bases its decisions on. Priority 0 is reserved for internal
+// checks, so the priorities of routes and tenants are increased by one.
 func (o *outbound) classify(
 	snapshot *config.Snapshot, route *config.Route, tenant *config.Tenant,
 ) *balancer.RequestClass {
@@ -36,13 +36,13 @@
 		priority = tenant.Priority
 	}
 	class.Priority = min(max(0, priority+1), lowestPriority)
-	routes := o.routes.of(snapshot)
+	derived := o.derived.get(snapshot)
 	switch {
 	case tenant != nil:
 		class.Tenant = tenant.Name
 		class.Compartment.Name = "tenant " + tenant.Name
-		class.Compartment.Share = routes.tenantShares[tenant.Name]
-	case routes.internalChecks[route]:
+		class.Compartment.Share = derived.tenantShares[tenant.Name]
+	case derived.internalChecks[route]:
 		class.Priority = 0
 		class.Compartment.Name = "checks of " + service
 		class.Compartment.Share = o.endpoints.slotShare(service)
@@ -54,7 +54,7 @@
 	return class
 }
 
-// pickService draws one of a route's services by their weights.
+// pickService selects one of a route's services at random, by weight.
 func pickService(route *config.Route) string {
 	if len(route.Targets) == 1 {
 		return route.Targets[0].Service
@@ -63,9 +63,9 @@
 	for _, t := range route.Targets {
 		sum += t.Weight
 	}
-	at := rand.Float64() * sum
+	point := rand.Float64() * sum
 	for _, t := range route.Targets {
-		if at -= t.Weight; at < 0 {
+		if point -= t.Weight; point < 0 {
 			return t.Service
 		}
 	}
--- a/internal/mesh/sidecar/route_timeout_test.go
+++ b/internal/mesh/sidecar/route_timeout_test.go
@@ -38,7 +38,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				memory := new(memoryNetwork)
-				m := &mesh{t: t, net: memory, memory: memory, config: onceConfig}
+				m := &mesh{t: t, net: memory, memory: memory, config: twoRouteConfig}
 				m.start(frontBodyBytes, holdForLong)
 				c, _ := m.connect()
 				begun := time.Now()
--- a/internal/mesh/sidecar/routes.go
+++ b/internal/mesh/sidecar/routes.go
@@ -9,24 +9,24 @@
 	"caperarch/internal/mesh/config"
 )
 
-// maxTenantShare is the largest share of all slots that one tenant's compartment may have: well
-// under the total, whatever the tenant's rate.
+// maxTenantShare is the largest share of all slots that the compartment of one tenant may have. It keeps a tenant
+// with a high rate from occupying all slots.
 const maxTenantShare = 0.35
 
-// derivedRoutes is what a configuration means for requests beyond its routing table. It doesn't
-// change once it is made.
-type derivedRoutes struct {
+// derivedConfig holds values that are computed from a configuration for request classification. It is immutable.
+type derivedConfig struct {
 	config         *config.Snapshot
-	tenantShares   map[string]float64 // of all slots, by tenant
+	tenantShares   map[string]float64 // fraction of all slots, by tenant
 	internalChecks map[*config.Route]bool
 }
 
-// deriveRoutes works out what a configuration means.
-func deriveRoutes(c *config.Snapshot) *derivedRoutes {
-	return &derivedRoutes{config: c, tenantShares: tenantShares(c), internalChecks: internalChecks(c)}
+// deriveConfig computes the derived values of a configuration.
+func deriveConfig(c *config.Snapshot) *derivedConfig {
+	return &derivedConfig{config: c, tenantShares: tenantShares(c), internalChecks: internalChecks(c)}
 }
 
-// tenantShares divides the slots by the tenants' rates, or equally where none has a rate.
+// tenantShares divides the slots in proportion to the tenants' rates. A tenant without a rate gets an equal share,
+// as do all tenants if none has a rate.
 func tenantShares(c *config.Snapshot) map[string]float64 {
 	shares := make(map[string]float64)
 	tenants, totalRate := c.Tenants(), 0.0
@@ -43,46 +43,48 @@
 	return shares
 }
 
-// internalChecks finds the routes of internal checks: calls that a running request makes. They have
-// priority over all else, as the request that waits for them holds a slot meanwhile. Nothing in a request
-// marks them. A route is one if all the time that it may take fits into the latency target of every route
-// that may take longer and is none: else it could be no part of their requests.
+// internalChecks returns which routes are internal checks, that is, calls that an upstream makes while it runs another
+// request. They have the highest priority, because the request that waits for them occupies a slot. Requests are not
+// marked as internal checks, so routes are recognised by their timeouts: the timeout of an internal check is no longer
+// than the latency target of any route that has a longer timeout and is no internal check itself. With a longer
+// timeout it could not be a part of those routes' requests.
 func internalChecks(c *config.Snapshot) map[*config.Route]bool {
 	checks := make(map[*config.Route]bool)
 	longestFirst := func(a, b *config.Route) int { return cmp.Compare(b.Timeout, a.Timeout) }
 	routes := slices.SortedFunc(slices.Values(c.Routes()), longestFirst)
-	var minTarget time.Duration // of the longer routes that are no checks; 0: there is none
+	var minTarget time.Duration // of the routes with longer timeouts that are no checks; 0: there is none
 	for len(routes) > 0 {
-		alike := 1 // routes with the same timeout can't be part of each other
-		for alike < len(routes) && routes[alike].Timeout == routes[0].Timeout {
-			alike++
+		sameTimeout := 1 // routes with the same timeout can't be nested in each other
+		for sameTimeout < len(routes) && routes[sameTimeout].Timeout == routes[0].Timeout {
+			sameTimeout++
 		}
-		for _, r := range routes[:alike] {
+		for _, r := range routes[:sameTimeout] {
 			checks[r] = minTarget > 0 && r.Timeout > 0 && r.Timeout <= minTarget &&
 				r.Idempotent && (r.Public || !c.HasTenants())
 		}
-		for _, r := range routes[:alike] {
+		for _, r := range routes[:sameTimeout] {
 			if target := r.LatencyTarget; target > 0 && !checks[r] && (minTarget == 0 || target < minTarget) {
 				minTarget = target
 			}
 		}
-		routes = routes[alike:]
+		routes = routes[sameTimeout:]
 	}
 	return checks
 }
 
-// routeCache keeps the derived routes of the configuration in force.
-type routeCache struct {
+// derivedConfigCache caches the derived values of the current configuration.
+type derivedConfigCache struct {
 	mu      sync.Mutex
-	current *derivedRoutes // guarded by mu; nil: none were asked for yet
+	current *derivedConfig // guarded by mu; nil until the first get
 }
 
-// of returns what is derived from a configuration, which is worked out once for each.
-func (r *routeCache) of(c *config.Snapshot) *derivedRoutes {
+// get returns the derived values of a configuration. It computes them again only if c is not the configuration of
+// the last call.
+func (r *derivedConfigCache) get(c *config.Snapshot) *derivedConfig {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.current == nil || r.current.config != c {
-		r.current = deriveRoutes(c)
+		r.current = deriveConfig(c)
 	}
 	return r.current
 }
--- a/internal/mesh/sidecar/routes_test.go
+++ b/internal/mesh/sidecar/routes_test.go
@@ -52,7 +52,7 @@
 		So(check.Priority, ShouldEqual, 0)
 		So(check.Compartment.Name, ShouldEqual, "checks of kafi81c")
 		So(check.Compartment.MinSlots, ShouldEqual, 27)
-		other := classOf(openLine)
+		other := classOf(publicRouteLine)
 		So(other.Compartment.Name, ShouldEqual, "service kafi81c")
 		So(other.Priority, ShouldBeGreaterThan, 0)
 	})
--- a/internal/mesh/sidecar/service_numbers.go
+++ b/internal/mesh/sidecar/service_numbers.go
@@ -1,18 +1,18 @@
 package sidecar
 
-// serviceNumbers assigns each service a number for the life of the process: the decision modules know
+// serviceNumbers assigns a number to each service for the lifetime of the process, because decision modules identify
 // services by number. It is not safe for concurrent use.
 type serviceNumbers struct {
 	byName map[string]int
-	names  []string // by number
+	names  []string // indexed by number
 }
 
 func newServiceNumbers() serviceNumbers { return serviceNumbers{byName: make(map[string]int)} }
 
-// number is a service's number, a new one at its first use.
+// number returns a service's number, and assigns the next free number on first use.
 func (s *serviceNumbers) number(service string) int {
-	n, known := s.byName[service]
-	if !known {
+	n, found := s.byName[service]
+	if !found {
 		n = len(s.names)
 		s.byName[service] = n
 		s.names = append(s.names, service)
--- a/internal/mesh/sidecar/sidecar.go
+++ b/internal/mesh/sidecar/sidecar.go
@@ -1,16 +1,16 @@
-// Package sidecar runs the mesh's proxy beside one upstream.
+// Package sidecar runs the mesh's proxy on the machine of one upstream, the local upstream.
 //
-// It owns the listeners on its machine and two engines: the outbound one sends requests that begin
-// here to the gates of other sidecars (package balancer decides where), the inbound one admits what
-// sidecars send to the upstream beside it (package gate decides when). It also holds the
-// configuration and the endpoint list that core machines push, and reports its upstream to them.
+// It owns the machine's listeners and two engines. The outbound engine sends requests of clients on this machine to
+// the gates of sidecars; package balancer selects the gate. The inbound engine sends requests that sidecars forward
+// to the local upstream; package gate decides when. The sidecar also stores the configuration and the list of
+// upstreams that core machines push, and reports its upstream to them.
 //
-// Promises: a request whose answer says that it was not executed never runs; an upstream's
-// heartbeat is acknowledged only once the local gate has applied it; a configuration is never replaced
-// by an older one; and a stop answers what was accepted before the process ends.
+// Guarantees: a request whose response states that it was not executed never runs; an upstream's heartbeat is
+// acknowledged only after the local gate has applied it; a configuration is never replaced by an older one; and
+// requests that were accepted are answered before a stopping process exits.
 //
-// The package wires parts together and moves data between them. Run is the only entry point of a
-// process. The methods of Sidecar, and those of all types here, may be called from any goroutine.
+// The package wires components together and passes data between them. Run is the entry point of a process. Methods
+// of Sidecar and, unless their comment says otherwise, of the other types may be called from any goroutine.
 package sidecar
 
 import (
@@ -39,28 +39,28 @@
 	settings    *settings.Settings
 	clock       clock.Clock
 	log         *zap.Logger
-	client      *http.Client // for control calls
+	client      *http.Client // for calls to core machines and health requests
 	config      atomic.Pointer[config.Snapshot]
 	endpoints   *endpoints
 	quota       *quotaClient
 	watchClient *watch.Client
-	// knownVersions are the configuration versions that other sidecars go by.
+	// knownVersions are the configuration versions that other sidecars apply.
 	knownVersions knownVersions
 
 	inbound        *inbound
 	outbound       *outbound
 	gateEngine     *engine.Engine
 	balancerEngine *engine.Engine
-	draining       atomic.Bool // a stop was asked for
-	configMu       sync.Mutex  // serialises replacing the configuration
+	draining       atomic.Bool // set when a drain starts
+	configMu       sync.Mutex  // serialises configuration updates
 	publishMu      sync.Mutex  // serialises publishUpstream
 }
 
 var _ balancer.RetryBudget = (*quotaClient)(nil)
 
-// Run serves until ctx ends, then drains and returns nil. It returns an error if a part can't be set up
-// or a listener fails. Of settings that arrive on reload only the seeds are applied. Its goroutines are
-// cancelled when it returns, without waiting for them, as the process ends next.
+// Run serves until ctx ends, then drains and returns nil. It returns an error if a component can't be created or a
+// listener fails. Of the settings received from reload it applies only the seed addresses. On return it cancels its
+// goroutines without waiting for them, because the process exits next.
 func Run(
 	ctx context.Context, current *settings.Settings, reload <-chan *settings.Settings, log *zap.Logger,
 ) error {
@@ -77,7 +77,7 @@
 	defer stop()
 	go s.balancerEngine.Run(background, call.ServerList{})
 	go s.gateEngine.Run(background, call.ServerList{})
-	failed, err := s.listen(fronts)
+	serveErrors, err := s.listen(fronts)
 	if err != nil {
 		return err
 	}
@@ -90,17 +90,17 @@
 		zap.String("node", s.settings.Self.NodeName), zap.Strings("seeds", s.settings.SeedAddresses()))
 	for {
 		select {
-		case err := <-failed:
+		case err := <-serveErrors:
 			return err
-		case next := <-reload:
-			s.watchClient.SetSeeds(next.SeedAddresses())
+		case reloaded := <-reload:
+			s.watchClient.SetSeeds(reloaded.SeedAddresses())
 		case <-ctx.Done():
 			return s.drain(fronts)
 		}
 	}
 }
 
-// newSidecar makes a sidecar with an empty configuration; it has neither engines nor listeners yet.
+// newSidecar creates a sidecar with an empty configuration and without engines and listeners.
 func newSidecar(current *settings.Settings, log *zap.Logger) (*Sidecar, error) {
 	s := &Sidecar{
 		settings: current, clock: clock.New(), log: log, client: httpclient.New(dialTimeout),
@@ -127,7 +127,7 @@
 	return s, err
 }
 
-// zoneNames are the zones of the settings in order, so that all sidecars number them alike.
+// zoneNames returns the zone names of the settings in sorted order, so that all sidecars number zones alike.
 func zoneNames(current *settings.Settings) []string {
 	zones := make([]string, 0, len(current.Network.Zones))
 	for name := range current.Network.Zones {
--- a/internal/mesh/sidecar/verification.go
+++ b/internal/mesh/sidecar/verification.go
@@ -13,50 +13,52 @@
 	"caperarch/internal/proxy/h1"
 )
 
-// maxKnownOutdated is how long requests may be admitted by a configuration that is known not to be the newest, as a
-// part of configApplyS: that runs from the acknowledgement, and hearing of the version takes time, too.
-const maxKnownOutdated = 0.5
+// maxOutdatedFraction is the fraction of configApplyS for which requests may be admitted by a configuration that is
+// known to be outdated. It is below 1 because configApplyS starts at the change's acknowledgement, and it takes time
+// until a sidecar observes the new version.
+const maxOutdatedFraction = 0.5
 
-// verifier checks at the gate that the newest configuration allows what a caller's sidecar has admitted: that
-// sidecar may not have heard of it yet. A nil verifier lets everything pass.
+// verifier checks at the gate that the current configuration allows the attempts that other sidecars have admitted,
+// because those sidecars may not have received it yet. A nil verifier accepts every attempt.
 type verifier struct {
-	config *atomic.Pointer[config.Snapshot]
-	known  *knownVersions
-	// contactAge is that of watch.Client.
+	config   *atomic.Pointer[config.Snapshot]
+	versions *knownVersions
+	// contactAge is watch.Client.ContactAge.
 	contactAge func() (age time.Duration, ok bool)
-	service    string // of the upstream beside the gate
+	service    string // of the local upstream
 	clock      clock.Clock
-	// maxOutdated is how long requests pass that no version here shows to be allowed, after a newer one than
-	// theirs was heard of.
+	// maxOutdated is how long attempts are accepted after a version was observed that is newer than both the
+	// attempt's version and this sidecar's. 0: there is no limit.
 	maxOutdated time.Duration
-	rejected    atomic.Int64 // attempts
+	rejected    atomic.Int64 // number of attempts rejected so far
 }
 
 func (s *Sidecar) newVerifier() *verifier {
 	return &verifier{
-		config: &s.config, known: &s.knownVersions, contactAge: s.watchClient.ContactAge,
+		config: &s.config, versions: &s.knownVersions, contactAge: s.watchClient.ContactAge,
 		service: s.settings.Self.ServiceName, clock: s.clock,
-		maxOutdated: time.Duration(maxKnownOutdated * float64(s.settings.Guarantees.Bounds.ConfigApply)),
+		maxOutdated: time.Duration(maxOutdatedFraction * float64(s.settings.Guarantees.Bounds.ConfigApply)),
 	}
 }
 
-// check rejects an attempt that a newer configuration than its caller's doesn't allow, or whose configuration has been
-// known to be outdated for too long while nothing newer is in force here. It hasn't run then.
+// check rejects an attempt that a newer configuration than its caller's does not allow. It also rejects an attempt if
+// both its configuration and this sidecar's have been known to be outdated for longer than maxOutdated. A rejected
+// attempt has not been executed.
 func (v *verifier) check(h *h1.Head) *fronthttp1.Rejection {
 	if v == nil {
 		return nil
 	}
 	attempt, ok := headers.ParseAttemptConfig(h)
 	if !ok {
-		return nil // of an earlier release
+		return nil // the caller's sidecar runs a release without this field
 	}
 	now := v.clock.Now()
-	v.known.observe(now, attempt.Admitted)
+	v.versions.observe(now, attempt.Admitted)
 	current := v.config.Load()
 	if current.Version() > attempt.Admitted && !allows(current, v.service, h, attempt.Key) {
 		v.rejected.Add(1)
 		return &fronthttp1.Rejection{
-			Status: headers.StatusConfigOutdated, Reason: "a newer configuration does not allow it", KeepAlive: true,
+			Status: headers.StatusConfigOutdated, Reason: "a newer configuration does not allow the request", KeepAlive: true,
 		}
 	}
 	if v.outdatedTooLong(now, max(current.Version(), attempt.Admitted)) {
@@ -68,14 +70,14 @@
 	return nil
 }
 
-// outdatedTooLong reports whether a version has been known not to be the newest for so long that requests no longer
-// go by it.
+// outdatedTooLong reports whether a version has been known to be outdated for longer than maxOutdated, so that requests
+// must not be admitted by it any more.
 func (v *verifier) outdatedTooLong(now time.Duration, version int64) bool {
-	return v.maxOutdated > 0 && v.known.isOutdated(now, version, v.maxOutdated, v.contactAge)
+	return v.maxOutdated > 0 && v.versions.isOutdated(now, version, v.maxOutdated, v.contactAge)
 }
 
-// setVersion says in a response by which version this sidecar goes.
-func (v *verifier) setVersion(fields http.Header) {
+// setConfigVersion states in a response's header which configuration version this sidecar applies.
+func (v *verifier) setConfigVersion(fields http.Header) {
 	version := int64(0)
 	if v != nil {
 		version = v.config.Load().Version()
@@ -83,8 +85,8 @@
 	headers.SetConfigVersion(fields, version)
 }
 
-// allows reports whether a configuration lets a service run a request that another sidecar has admitted. The key is
-// checked where the attempt names it.
+// allows reports whether a configuration allows a service to run a request that another sidecar has admitted. If the
+// attempt includes a key digest, the key must belong to the attempt's tenant; otherwise the tenant must exist.
 func allows(c *config.Snapshot, service string, h *h1.Head, key config.KeyDigest) bool {
 	route := c.Match(h.Host, h.Target)
 	if route == nil || !slices.ContainsFunc(route.Targets, func(t config.Target) bool { return t.Service == service }) {
--- a/internal/mesh/sidecar/verification_test.go
+++ b/internal/mesh/sidecar/verification_test.go
@@ -27,7 +27,7 @@
 		next, _, err := config.Empty().Apply(change)
 		So(err, ShouldBeNil)
 		s.config.Store(next)
-		s.knownVersions.applied(next.Version())
+		s.knownVersions.recordApplied(next.Version())
 		return s.newVerifier()
 	}
 	passes := func(v *verifier, line, fields string) bool { return v.check(parseHead(line, fields)) == nil }
@@ -39,15 +39,15 @@
 		}{
 			{"huvo11a", idempotentLine, "X-Mesh-Config: 6\r\n" + tenantField, true},
 			{"kafi81c", idempotentLine, "X-Mesh-Config: 6\r\n" + tenantField, true}, // a route with two services
-			{"kafi81c", openLine, "X-Mesh-Config: 6\r\n", true},                     // public
-			{"huvo11a", openLine, "X-Mesh-Config: 6\r\n", false},                    // another service's route
+			{"kafi81c", publicRouteLine, "X-Mesh-Config: 6\r\n", true},              // public
+			{"huvo11a", publicRouteLine, "X-Mesh-Config: 6\r\n", false},             // another service's route
 			{"huvo11a", "GET /gone/ HTTP/1.1\r\nHost: jepu9.example", "X-Mesh-Config: 6\r\n" + tenantField, false},
 			{"huvo11a", idempotentLine, "X-Mesh-Config: 6\r\nX-Caperarch-Tenant-Id: dropped\r\n", false},
 			{"huvo11a", idempotentLine, "X-Mesh-Config: 6\r\n", false}, // it needs a tenant now
-			{"huvo11a", openLine, "X-Mesh-Config: 7\r\n", true},        // admitted by this version
-			{"huvo11a", openLine, "X-Mesh-Config: 9\r\n", true},        // by a newer one
-			{"huvo11a", openLine, "", true},                            // a sidecar of an earlier release
-			{"huvo11a", openLine, "X-Mesh-Config: old\r\n", true},
+			{"huvo11a", publicRouteLine, "X-Mesh-Config: 7\r\n", true}, // admitted by this version
+			{"huvo11a", publicRouteLine, "X-Mesh-Config: 9\r\n", true}, // by a newer one
+			{"huvo11a", publicRouteLine, "", true},                     // a sidecar of an earlier release
+			{"huvo11a", publicRouteLine, "X-Mesh-Config: old\r\n", true},
 		} {
 			SoMsg(fmt.Sprint(c), passes(newVerifier(c.service), c.line, c.fields), ShouldEqual, c.passes)
 		}
@@ -68,7 +68,7 @@
 		v.clock.Advance(time.Second)
 		So(passes(v, idempotentLine, attempt), ShouldBeFalse)
 		So(passes(v, idempotentLine, "X-Mesh-Config: 9\r\n"+tenantField), ShouldBeTrue)
-		v.known.applied(9)
+		v.versions.recordApplied(9)
 		So(passes(v, idempotentLine, attempt), ShouldBeTrue)
 	})
 	Convey("A version that no majority has committed is not believed once a core machine has confirmed the one in force", t, func() {
@@ -80,14 +80,14 @@
 		So(passes(v, idempotentLine, attempt), ShouldBeFalse)
 		v.contactAge = func() (time.Duration, bool) { return time.Second, true }
 		So(passes(v, idempotentLine, attempt), ShouldBeTrue)
-		So(v.known.newest(), ShouldEqual, 7)
+		So(v.versions.newest(), ShouldEqual, 7)
 	})
 }
 
 func TestKnownVersions(t *testing.T) {
 	Convey("A version is outdated since the first newer one was heard of, until that is in force", t, func() {
 		var known knownVersions
-		known.applied(5)
+		known.recordApplied(5)
 		known.observe(time.Second, 5)
 		So(known.outdatedFor(time.Minute, 5), ShouldEqual, 0)
 		known.observe(2*time.Second, 7)
@@ -97,7 +97,7 @@
 		So(known.outdatedFor(6*time.Second, 5), ShouldEqual, 4*time.Second)
 		So(known.outdatedFor(6*time.Second, 7), ShouldEqual, 2*time.Second)
 		So(known.outdatedFor(6*time.Second, 9), ShouldEqual, 0)
-		known.applied(8)
+		known.recordApplied(8)
 		So(known.outdatedFor(6*time.Second, 8), ShouldEqual, 2*time.Second)
 		for version := range int64(1000) {
 			known.observe(7*time.Second, 10+version)
@@ -121,7 +121,7 @@
 		const unknownLine = "GET /none/ HTTP/1.1\r\nHost: none.example"
 		So(status(unknownLine, apiKeyField), ShouldEqual, 404)
 		So(status(idempotentLine, "X-Api-Key: unknown\r\n"), ShouldEqual, 401)
-		o.known.observe(o.clock.Now(), 8)
+		o.versions.observe(o.clock.Now(), 8)
 		So(status(unknownLine, apiKeyField), ShouldEqual, 503)
 		So(status(idempotentLine, "X-Api-Key: unknown\r\n"), ShouldEqual, 503)
 	})
@@ -140,7 +140,7 @@
 			return fields.Get("X-Mesh-Config") + " " + fields.Get("X-Mesh-Key-Digest")
 		}
 		So(sent(), ShouldEqual, "7 ")
-		o.known.observe(o.clock.Now(), 8)
+		o.versions.observe(o.clock.Now(), 8)
 		So(sent(), ShouldEqual, "7 "+string(config.DigestKey("89anu6ws")))
 	})
 }
