--- a/internal/mesh/sidecar/abandoned_test.go
+++ b/internal/mesh/sidecar/abandoned_test.go
@@ -103,7 +103,7 @@
 	case err := <-connectionEnd:
 		held.result <- err
 	case <-held.respond:
-		_, err := io.WriteString(c, successOf(held.id))
+		_, err := io.WriteString(c, successResponse(held.id))
 		held.result <- err
 		<-connectionEnd // the connection stays open until its gate closes it
 	}
--- a/internal/mesh/sidecar/at_most_once_test.go
+++ b/internal/mesh/sidecar/at_most_once_test.go
@@ -163,55 +163,55 @@
 		want      int // status of each of the three requests; 0: no complete response
 	}{
 		{"twice", executing(func(id string, _ int) (string, bool) {
-			return successOf(id) + successOf(id), true
+			return successResponse(id) + successResponse(id), true
 		}), 200},
 		{"an older one first", executing(func(id string, _ int) (string, bool) {
-			return successOf("z") + successOf(id), true
+			return successResponse("z") + successResponse(id), true
 		}), 200},
 		{"an older rejection first", executing(func(id string, _ int) (string, bool) {
-			return rejectionOf("z") + successOf(id), true
+			return rejectionResponse("z") + successResponse(id), true
 		}), 200},
 		{"a rejection without an id first", executing(func(id string, _ int) (string, bool) {
-			return strings.Replace(rejectionOf(id), idField(id), "", 1) + successOf(id), true
+			return strings.Replace(rejectionResponse(id), idField(id), "", 1) + successResponse(id), true
 		}), 200},
 		{"interim responses first", executing(func(id string, _ int) (string, bool) {
 			hints := "HTTP/1.1 103 Early Hints\r\n" + idField(id) + "\r\n"
-			return "HTTP/1.1 100 Continue\r\n\r\n" + hints + successOf(id), true
+			return "HTTP/1.1 100 Continue\r\n\r\n" + hints + successResponse(id), true
 		}), 200},
 		{"no id", executing(func(id string, _ int) (string, bool) {
-			return strings.Replace(successOf(id), idField(id), "", 1), false
+			return strings.Replace(successResponse(id), idField(id), "", 1), false
 		}), 502},
 		{"another id", executing(func(string, int) (string, bool) {
-			return successOf("z"), false
+			return successResponse("z"), false
 		}), 502},
 		{"its id twice", executing(func(id string, _ int) (string, bool) {
-			return successOf(id, idField(id)), false
+			return successResponse(id, idField(id)), false
 		}), 502},
 		{"another id beside its own", executing(func(id string, _ int) (string, bool) {
-			return successOf(id, idField("z")), false
+			return successResponse(id, idField("z")), false
 		}), 502},
 		{"no response", executing(func(string, int) (string, bool) {
 			return "no answer\r\n", true
 		}), 502},
 		{"bytes after it", executing(func(id string, _ int) (string, bool) {
-			return successOf(id) + "more", true
+			return successResponse(id) + "more", true
 		}), 200},
 		{"cut in the body", executing(func(id string, _ int) (string, bool) {
-			return successOf(id)[:len(successOf(id))-1], false
+			return successResponse(id)[:len(successResponse(id))-1], false
 		}), 502},
 		{"no length, cut", executing(func(id string, _ int) (string, bool) {
-			return strings.Replace(strings.TrimSuffix(successOf(id), id), "Content-Length: 5\r\n", "", 1), false
+			return strings.Replace(strings.TrimSuffix(successResponse(id), id), "Content-Length: 5\r\n", "", 1), false
 		}), 502},
 		{"chunks, cut", executing(func(id string, _ int) (string, bool) {
-			head := strings.TrimSuffix(successOf(id), "ran "+id)
+			head := strings.TrimSuffix(successResponse(id), "ran "+id)
 			head = strings.Replace(head, "Content-Length: 5", "Transfer-Encoding: chunked", 1)
 			return head + "5\r\nran " + id + "\r\n", false
 		}), 0},
 		{"a failure, then a success", executing(func(id string, _ int) (string, bool) {
-			return strings.Replace(successOf(id), "200 OK", "500 Internal Server Error", 1) + successOf(id), true
+			return strings.Replace(successResponse(id), "200 OK", "500 Internal Server Error", 1) + successResponse(id), true
 		}), 500},
 		{"a status of rejection without the field that proves it", executing(func(id string, _ int) (string, bool) {
-			return strings.Replace(successOf(id), "200 OK", "503 Service Unavailable", 1), true
+			return strings.Replace(successResponse(id), "200 OK", "503 Service Unavailable", 1), true
 		}), 502},
 		{"created, with a long body that is cut", executing(func(id string, _ int) (string, bool) {
 			signature := headers.Signature + ": " + signatureOf(id) + "\r\n"
@@ -220,9 +220,9 @@
 		}), 0},
 		{"a rejection twice, and then it runs", func(_, id string, n int) (bool, string, bool) {
 			if n < 2 { // the first attempt at each upstream
-				return false, rejectionOf(id) + pauseMark + rejectionOf(id), true
+				return false, rejectionResponse(id) + pauseMark + rejectionResponse(id), true
 			}
-			return true, successOf(id), true
+			return true, successResponse(id), true
 		}, 200},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/mesh/sidecar/drain_test.go
+++ b/internal/mesh/sidecar/drain_test.go
@@ -21,7 +21,7 @@
 	} {
 		linger, drainTimeout := drainTimes(grace)
 		if sum := linger + drainTimeout + shutdownReserve; sum > grace || linger < grace/3 {
-			t.Errorf("grace period %v: linger %v, drain timeout %v, reserve %v; want a third to linger and the sum in the period",
+			t.Errorf("grace period %v: linger %v, drain timeout %v, reserve %v; want a third to linger, the sum in the period",
 				grace, linger, drainTimeout, shutdownReserve)
 		}
 	}
--- a/internal/mesh/sidecar/memory_network_test.go
+++ b/internal/mesh/sidecar/memory_network_test.go
@@ -9,50 +9,49 @@
 	"time"
 )
 
-// fault is what happens to a link at a byte.
+// fault is an injected failure of a link at a given byte.
 type fault int
 
 const (
 	noFault      fault = iota
-	resetLink          // both ends see a reset, after what was delivered
-	silentLink         // nothing passes any more, and neither end sees an error
-	freezeLink         // nothing passes for freezeTime, then all does
-	freezeGate         // the same for all links of the gate at one end of it
-	freezeCaller       // the same for all links of the caller's sidecar
+	resetLink          // both ends receive a reset, after the data delivered so far
+	silentLink         // later data is lost, and neither end sees an error
+	freezeLink         // later data is delayed by freezeTime
+	freezeGate         // all links of the gate at one end of the link are frozen
+	freezeCaller       // all links of the caller's sidecar are frozen
 )
 
 // freezeTime is longer than any request of the tests may take.
 const freezeTime = 5 * time.Second
 
-// faultPlan is a fault on the first connection of a kind, once so many bytes have passed in one
-// direction.
+// faultPlan is a fault on the first connection of a kind. It is injected after a number of bytes in one direction.
 type faultPlan struct {
-	kind      string // client, gate or upstream: what the connection leads from or to
-	direction int    // 0: requests, 1: responses
-	at        int
-	fault     fault
+	kind       string // the link's kind, see link.kind
+	direction  int    // 0: requests, 1: responses
+	afterBytes int
+	fault      fault
 }
 
-// memoryNetwork is a network in memory, in virtual time.
+// memoryNetwork is an in-memory network that runs in virtual time.
 type memoryNetwork struct {
-	mu        sync.Mutex
-	listeners map[string]*memoryListener
-	links     []*link
-	plan      faultPlan
-	planUsed  bool // a link has the plan
+	mu           sync.Mutex
+	listeners    map[string]*memoryListener
+	links        []*link
+	plan         faultPlan
+	planAssigned bool // whether a link has been assigned the plan
 }
 
-// link is a connection between the processes that its owners name. Its fields are guarded by the
-// network's lock, which the callers of its methods hold.
+// link is a connection between two processes. Its fields are guarded by the network's lock; callers of its methods
+// hold that lock.
 type link struct {
 	net         *memoryNetwork
 	owners      [2]string
-	ends        [2]*memoryConn // 0 dialled
+	ends        [2]*memoryConn // index 0 is the end that dialled
 	bytesPassed [2]int
-	plan        *faultPlan // nil: there is no fault to come
+	plan        *faultPlan // nil: no fault is pending
 	broken      bool
 	frozen      bool
-	delayed     [2][]func() // deliveries at the end of a freeze, by direction
+	delayed     [2][]func() // deliveries after the freeze, by direction
 }
 
 // listen opens a listener at an address.
@@ -67,7 +66,7 @@
 	return l
 }
 
-// dial opens a connection from a process to an address, of a kind.
+// dial opens a connection of a kind from a process to an address.
 func (m *memoryNetwork) dial(from, kind, address string) (net.Conn, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -75,36 +74,37 @@
 	if l == nil {
 		return nil, syscall.ECONNREFUSED
 	}
-	k := &link{net: m, owners: [2]string{from, address}}
-	for i := range k.ends {
-		k.ends[i] = &memoryConn{link: k, end: i}
-		k.ends[i].wake = sync.NewCond(&m.mu)
+	ln := &link{net: m, owners: [2]string{from, address}}
+	for i := range ln.ends {
+		ln.ends[i] = &memoryConn{link: ln, end: i}
+		ln.ends[i].wake = sync.NewCond(&m.mu)
 	}
-	if kind == m.plan.kind && m.plan.fault != noFault && !m.planUsed {
-		m.planUsed, k.plan = true, &m.plan
+	if kind == m.plan.kind && m.plan.fault != noFault && !m.planAssigned {
+		m.planAssigned, ln.plan = true, &m.plan
 	}
-	m.links = append(m.links, k)
-	l.ready <- k.ends[1]
-	return k.ends[0], nil
+	m.links = append(m.links, ln)
+	l.ready <- ln.ends[1]
+	return ln.ends[0], nil
 }
 
 func (m *memoryNetwork) inMemory() bool { return true }
 
-// bytesOfFirstLink is how many bytes passed on the first connection of a kind, by direction.
+// bytesOfFirstLink returns how many bytes were sent on the first connection of a kind, by direction.
 func (m *memoryNetwork) bytesOfFirstLink(kind string) [2]int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	for _, k := range m.links {
-		if k.kind() == kind {
-			return k.bytesPassed
+	for _, ln := range m.links {
+		if ln.kind() == kind {
+			return ln.bytesPassed
 		}
 	}
 	return [2]int{}
 }
 
-// kind is that of faultPlan.
-func (k *link) kind() string {
-	switch k.owners[0] {
+// kind returns which processes the link connects: "client" for a client and its sidecar, "gate" for the caller's
+// sidecar and a gate, and "upstream" for a gate and its upstream.
+func (ln *link) kind() string {
+	switch ln.owners[0] {
 	case "client":
 		return "client"
 	case "caller":
@@ -113,46 +113,46 @@
 	return "upstream"
 }
 
-// close ends all connections, so that all goroutines that wait on them end.
+// close resets all connections and closes all listeners, so that goroutines that wait on them end.
 func (m *memoryNetwork) close() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, l := range m.listeners {
 		l.end()
 	}
-	for _, k := range m.links {
-		k.reset()
+	for _, ln := range m.links {
+		ln.reset()
 	}
 }
 
-// send carries bytes in a direction. The fault strikes between those before and behind its place.
-func (k *link) send(direction int, p []byte) {
-	if k.plan != nil && k.plan.direction == direction && k.bytesPassed[direction]+len(p) >= k.plan.at {
-		before := k.plan.at - k.bytesPassed[direction]
-		k.sendBytes(direction, p[:before])
+// send sends bytes in a direction. If they reach the planned byte, the fault is injected before that byte.
+func (ln *link) send(direction int, p []byte) {
+	if ln.plan != nil && ln.plan.direction == direction && ln.bytesPassed[direction]+len(p) >= ln.plan.afterBytes {
+		before := ln.plan.afterBytes - ln.bytesPassed[direction]
+		ln.sendBytes(direction, p[:before])
 		p = p[before:]
-		k.strike()
+		ln.injectFault()
 	}
-	k.sendBytes(direction, p)
+	ln.sendBytes(direction, p)
 }
 
-// strike makes the planned fault happen.
-func (k *link) strike() {
-	planned := k.plan.fault
-	k.plan = nil
+// injectFault injects the planned fault.
+func (ln *link) injectFault() {
+	planned := ln.plan.fault
+	ln.plan = nil
 	switch planned {
 	case resetLink:
-		k.reset()
+		ln.reset()
 	case silentLink:
-		k.broken = true
+		ln.broken = true
 	case freezeLink:
-		k.freeze()
+		ln.freeze()
 	case freezeGate, freezeCaller:
 		process := "caller"
 		if planned == freezeGate {
-			process = k.gate()
+			process = ln.gate()
 		}
-		for _, other := range k.net.links {
+		for _, other := range ln.net.links {
 			if other.owners[0] == process || other.owners[1] == process {
 				other.freeze()
 			}
@@ -160,73 +160,73 @@
 	}
 }
 
-// gate is the gate at one end of a link.
-func (k *link) gate() string {
-	if k.kind() == "upstream" {
-		return k.owners[0]
+// gate returns the name of the gate at one end of the link.
+func (ln *link) gate() string {
+	if ln.kind() == "upstream" {
+		return ln.owners[0]
 	}
-	return k.owners[1]
+	return ln.owners[1]
 }
 
-// reset ends a link with an error at both ends.
-func (k *link) reset() {
-	k.broken = true
-	for _, c := range k.ends {
+// reset ends the link with an error at both ends.
+func (ln *link) reset() {
+	ln.broken = true
+	for _, c := range ln.ends {
 		c.broken = true
 		c.wake.Broadcast()
 	}
 }
 
-// freeze holds up a link for freezeTime.
-func (k *link) freeze() {
-	if k.frozen || k.broken {
+// freeze delays all deliveries on the link for freezeTime.
+func (ln *link) freeze() {
+	if ln.frozen || ln.broken {
 		return
 	}
-	k.frozen = true
+	ln.frozen = true
 	time.AfterFunc(freezeTime, func() {
-		k.net.mu.Lock()
-		defer k.net.mu.Unlock()
-		k.frozen = false
-		for direction := range k.delayed {
-			for _, deliver := range k.delayed[direction] {
+		ln.net.mu.Lock()
+		defer ln.net.mu.Unlock()
+		ln.frozen = false
+		for direction := range ln.delayed {
+			for _, deliver := range ln.delayed[direction] {
 				deliver()
 			}
-			k.delayed[direction] = nil
+			ln.delayed[direction] = nil
 		}
 	})
 }
 
-// sendBytes has bytes arrive at the other end.
-func (k *link) sendBytes(direction int, p []byte) {
-	if k.broken || len(p) == 0 {
+// sendBytes delivers bytes to the other end.
+func (ln *link) sendBytes(direction int, p []byte) {
+	if ln.broken || len(p) == 0 {
 		return
 	}
-	to, data := k.ends[1-direction], append([]byte(nil), p...)
-	k.bytesPassed[direction] += len(data)
-	k.deliverOrDelay(direction, func() { to.buffer = append(to.buffer, data...) })
+	to, data := ln.ends[1-direction], append([]byte(nil), p...)
+	ln.bytesPassed[direction] += len(data)
+	ln.deliverOrDelay(direction, func() { to.buffer = append(to.buffer, data...) })
 }
 
-// sendEnd has the end of a direction arrive.
-func (k *link) sendEnd(direction int) {
-	if to := k.ends[1-direction]; !k.broken {
-		k.deliverOrDelay(direction, func() { to.ended = true })
+// sendEnd delivers the end of a direction's stream to the other end.
+func (ln *link) sendEnd(direction int) {
+	if to := ln.ends[1-direction]; !ln.broken {
+		ln.deliverOrDelay(direction, func() { to.peerClosed = true })
 	}
 }
 
-// deliverOrDelay delivers now, or at the end of a freeze.
-func (k *link) deliverOrDelay(direction int, arrive func()) {
+// deliverOrDelay runs a delivery now, or after the freeze if the link is frozen.
+func (ln *link) deliverOrDelay(direction int, arrive func()) {
 	deliver := func() {
 		arrive()
-		k.ends[1-direction].wake.Broadcast()
+		ln.ends[1-direction].wake.Broadcast()
 	}
-	if k.frozen {
-		k.delayed[direction] = append(k.delayed[direction], deliver)
+	if ln.frozen {
+		ln.delayed[direction] = append(ln.delayed[direction], deliver)
 		return
 	}
 	deliver()
 }
 
-// memoryListener is a net.Listener.
+// memoryListener is a net.Listener on a memoryNetwork.
 type memoryListener struct {
 	address string
 	ready   chan net.Conn
@@ -252,19 +252,19 @@
 func (memoryAddr) Network() string  { return "memory" }
 func (a memoryAddr) String() string { return string(a) }
 
-// memoryConn is one end of a link. Its fields are guarded by the network's lock.
+// memoryConn is one end of a link; it implements net.Conn. Its fields are guarded by the network's lock.
 type memoryConn struct {
-	link     *link
-	end      int
-	wake     *sync.Cond
-	buffer   []byte
-	ended    bool // the other end will send nothing more
-	broken   bool
-	closed   bool
-	deadline [2]time.Time // by operation
+	link       *link
+	end        int
+	wake       *sync.Cond
+	buffer     []byte
+	peerClosed bool // the other end has closed its connection
+	broken     bool
+	closed     bool
+	deadline   [2]time.Time // by operation
 }
 
-// Operations of a connection that have deadlines.
+// Operations of a connection with a deadline of their own.
 const (
 	reading = iota
 	writing
@@ -285,7 +285,7 @@
 			return n, nil
 		case c.broken:
 			return 0, syscall.ECONNRESET
-		case c.ended:
+		case c.peerClosed:
 			return 0, io.EOF
 		}
 		c.wake.Wait()
@@ -323,7 +323,7 @@
 	return nil
 }
 
-// setDeadlines sets those of some operations, and wakes who waits once they have passed.
+// setDeadlines sets the deadlines of operations, and wakes waiting calls now and at the deadline.
 func (c *memoryConn) setDeadlines(t time.Time, operations ...int) error {
 	c.link.net.mu.Lock()
 	defer c.link.net.mu.Unlock()
--- a/internal/mesh/sidecar/mesh_test.go
+++ b/internal/mesh/sidecar/mesh_test.go
@@ -29,7 +29,7 @@
 	"go.uber.org/zap"
 )
 
-// onceConfig has a non-idempotent route (/write/) and an idempotent one (/read/).
+// twoRouteConfig is a configuration with a non-idempotent route (/write/) and an idempotent one (/read/).
 const twoRouteConfig = `{"configVersion":1,"resources":[
 	{"resourceType":"routes","metadata":{"name":"w"},"specification":{
 		"hostname":"h","pathPrefix":"/write/","routeType":"non_idempotent","timeoutS":2,
@@ -39,54 +39,54 @@
 		"targetLatencyS":1,"serviceName":"s","maxAttempts":2}},
 	{"resourceType":"services","metadata":{"name":"s"},"specification":{}}]}`
 
-// network is what a mesh's processes reach each other by. Addresses are names.
+// network connects the processes of a mesh. Addresses are the processes' names.
 type network interface {
 	listen(address string) net.Listener
 	dial(from, kind, address string) (net.Conn, error)
-	// inMemory says that connections are no sockets.
+	// inMemory reports whether connections are not sockets.
 	inMemory() bool
 	close()
 }
 
-// mesh is a caller's sidecar and two gates with an upstream each.
+// mesh consists of a caller's sidecar and two gates, each with an upstream.
 type mesh struct {
 	t           *testing.T
 	net         network
-	memory      *memoryNetwork // the same, where it is in memory
-	config      string         // that the caller's sidecar has
+	memory      *memoryNetwork // same as net if the network is in memory, else nil
+	config      string         // configuration of the caller's sidecar
 	stop        context.CancelFunc
 	transports  []*http1.Transport
 	gates       []*inbound
-	engines     []*engine.Engine // of the gates, and last the caller's
+	engines     []*engine.Engine // one per gate; the last one is the caller's
 	upstreamLog struct {
 		sync.Mutex
 		executions, arrivals map[string]int
 		written              map[string]string
 	}
-	upstreams upstreamBehavior // what both do with a request
+	upstreams upstreamBehavior // behavior of both upstreams
 }
 
-// upstreamBehavior is what an upstream does with the n-th request that arrives under an id: whether it
-// runs it, what it writes (see pauseMark), and whether the connection stays open after that.
+// upstreamBehavior returns how an upstream handles a request: whether it runs the request, what it writes (see
+// pauseMark), and whether the connection stays open afterwards. n counts earlier arrivals of the request's id.
 type upstreamBehavior func(address, id string, n int) (runs bool, output string, keepAlive bool)
 
-// clientResult is what a client got for a request.
+// clientResult is what a client received for a request.
 type clientResult struct {
 	id         string // of the request
-	status     int    // 0: no response, or an incomplete one
-	responseID string // the attempt id in the response
+	status     int    // 0: no response or an incomplete one
+	responseID string // attempt id in the response
 	signature  string
 	body       string
 }
 
-// newMesh starts a mesh with a fault. Upstreams whose behavior is nil run all requests; gates hold so
-// many bytes of request bodies.
+// newMesh starts a mesh with a fault. If upstreams is nil, they run all requests. The fronts of gates buffer up to
+// bodyBytes bytes of request bodies.
 func newMesh(t *testing.T, p faultPlan, upstreams upstreamBehavior, bodyBytes int64) *mesh {
 	t.Helper()
 	memory := &memoryNetwork{plan: p}
 	m := &mesh{t: t, net: memory, memory: memory, config: twoRouteConfig, upstreams: upstreams}
 	if m.upstreams == nil {
-		m.upstreams = func(_, id string, _ int) (bool, string, bool) { return true, successOf(id), true }
+		m.upstreams = func(_, id string, _ int) (bool, string, bool) { return true, successResponse(id), true }
 	}
 	m.upstreamLog.executions = make(map[string]int)
 	m.upstreamLog.arrivals = make(map[string]int)
@@ -95,8 +95,8 @@
 	return m
 }
 
-// start starts all processes. Upstreams serve their connections by a function; gates hold so many bytes of
-// request bodies.
+// start starts all processes. Upstreams handle their connections with serve. The fronts of gates buffer up to
+// bodyBytes bytes of request bodies.
 func (m *mesh) start(bodyBytes int64, serve func(address string, c net.Conn)) {
 	ctx, stop := context.WithCancel(context.Background())
 	m.stop = stop
@@ -115,7 +115,7 @@
 	}
 }
 
-// startEngine runs an engine until ctx ends.
+// startEngine starts an engine, which runs until ctx ends.
 func (m *mesh) startEngine(ctx context.Context, cfg engine.Config) *engine.Engine {
 	m.t.Helper()
 	cfg.Clock, cfg.Log = clock.New(), slog.New(slog.DiscardHandler)
@@ -128,10 +128,10 @@
 	return e
 }
 
-// frontBodyBytes is how many bytes of bodies a front holds, where a test doesn't say.
+// frontBodyBytes is the default number of body bytes that a front buffers.
 const frontBodyBytes = 1 << 20
 
-// startFront serves requests at an address.
+// startFront starts a front that serves requests at an address.
 func (m *mesh) startFront(
 	address string, e *engine.Engine, d *fronthttp1.Dialect, bodyBytes int64,
 ) {
@@ -144,7 +144,7 @@
 	go front.Serve(listener)
 }
 
-// transport connects a process to what a kind of connection leads to.
+// transport returns a transport from a process over connections of a kind.
 func (m *mesh) transport(from, kind string, cfg http1.Config) *http1.Transport {
 	cfg.MaxConns, cfg.IdleTimeout = 100, time.Minute
 	cfg.Dial = func(_ context.Context, address string) (net.Conn, error) {
@@ -155,7 +155,7 @@
 	return transport
 }
 
-// startCaller starts the sidecar that the clients' requests go through.
+// startCaller starts the sidecar that receives the clients' requests.
 func (m *mesh) startCaller(ctx context.Context) {
 	m.t.Helper()
 	s := &Sidecar{
@@ -172,19 +172,21 @@
 		m.t.Fatal(err)
 	}
 	s.config.Store(c)
-	one := func() int { return 1 }
+	oneSidecar := func() int { return 1 }
 	bounds := settings.Bounds{
 		QuotaWindow: 5 * time.Second,
 		RetryWindow: 10 * time.Second, RetryBudgetRatio: 0.2, RetryBudgetSlack: 100,
 	}
 	s.quota, err = newQuotaClient(bounds, quotaConfig{
-		clock: s.clock, log: s.log, node: "n", serviceName: s.endpoints.serviceName, sidecarCount: one,
+		clock: s.clock, log: s.log, node: "n", serviceName: s.endpoints.serviceName, sidecarCount: oneSidecar,
 	})
 	if err != nil {
 		m.t.Fatal(err)
 	}
 	transportToGates := m.transport("caller", "gate", gateTransportConfig(clock.New(), headers.NewSendIDSource()))
-	e := m.startEngine(ctx, balancerEngineConfig(transportToGates, balancer.Config{Members: one, RetryBudget: s.quota}))
+	e := m.startEngine(ctx, balancerEngineConfig(transportToGates, balancer.Config{
+		Members: oneSidecar, RetryBudget: s.quota,
+	}))
 	s.endpoints.apply(true, []registry.Upstream{
 		{Instance: "i-1", Service: "s", Inbound: "gate1", Zone: "z", Slots: 4},
 		{Instance: "i-2", Service: "s", Inbound: "gate2", Zone: "z", Slots: 4},
@@ -212,8 +214,8 @@
 	m.startFront(address, e, in.frontDialect(), bodyBytes)
 }
 
-// startUpstream serves the connections to an address, each on a goroutine of its own, and closes them
-// behind that.
+// startUpstream accepts connections at an address, runs serve for each of them on its own goroutine, and then closes
+// the connection.
 func (m *mesh) startUpstream(address string, serve func(address string, c net.Conn)) {
 	l := m.net.listen(address)
 	go func() {
@@ -230,7 +232,7 @@
 	}()
 }
 
-// serveConn answers the requests of a connection until it ends, one at a time, and keeps the log.
+// serveConn answers the requests on a connection one at a time until it ends, and records them in upstreamLog.
 func (m *mesh) serveConn(address string, c net.Conn) {
 	in := bufio.NewReader(c)
 	for {
@@ -245,7 +247,7 @@
 		}
 		runs, output, keepAlive := m.logArrival(address, id)
 		if runs {
-			time.Sleep(20 * time.Millisecond) // its work
+			time.Sleep(20 * time.Millisecond) // simulates the execution
 		}
 		if writeInParts(c, output) != nil || !keepAlive {
 			return
@@ -253,7 +255,7 @@
 	}
 }
 
-// logArrival logs a request and what the upstream does with it.
+// logArrival records a request in upstreamLog, and returns how the upstream handles it.
 func (m *mesh) logArrival(address, id string) (runs bool, output string, keepAlive bool) {
 	m.upstreamLog.Lock()
 	defer m.upstreamLog.Unlock()
@@ -266,7 +268,7 @@
 	return runs, output, keepAlive
 }
 
-// writeInParts writes an upstream's output with a pause at each mark.
+// writeInParts writes an upstream's output, with a pause at each pauseMark.
 func writeInParts(c net.Conn, output string) error {
 	for i, part := range strings.Split(output, pauseMark) {
 		if i > 0 {
@@ -279,8 +281,8 @@
 	return nil
 }
 
-// successOf is a complete response of success, with more fields, each ended by CR and LF.
-func successOf(id string, more ...string) string {
+// successResponse returns a complete success response. Each of the additional fields must end in CR and LF.
+func successResponse(id string, more ...string) string {
 	body := bodyOf(id)
 	signature := fmt.Sprintf("%s: %s\r\n", headers.Signature, signatureOf(id))
 	length := fmt.Sprintf("Content-Length: %d\r\n", len(body))
@@ -288,43 +290,42 @@
 	return "HTTP/1.1 200 OK\r\n" + fields + "\r\n" + body
 }
 
-// pauseMark divides what an upstream writes at once from what follows some milliseconds later.
+// pauseMark splits an upstream's output into parts that are written 5 ms apart.
 const pauseMark = "\x00"
 
-// longBody begins the ids of requests and responses whose bodies are longer than what is buffered.
-const longBody = "long"
+// longBodyPrefix begins the ids of requests and responses whose bodies exceed call.MaxBufferedBody.
+const longBodyPrefix = "long"
 
-// bodyOf is the body of a request, and of the response to it.
+// bodyOf returns the body of a request, which is also the body of its response.
 func bodyOf(id string) string {
-	if strings.HasPrefix(id, longBody) {
+	if strings.HasPrefix(id, longBodyPrefix) {
 		return "ran " + id + strings.Repeat("x", call.MaxBufferedBody)
 	}
 	return "ran " + id
 }
 
-// signatureOf is what an upstream signs a response with.
+// signatureOf returns the signature of an upstream's response.
 func signatureOf(id string) string { return "3e1b." + id }
 
 func idField(id string) string { return headers.AttemptID + ": " + id + "\r\n" }
 
-// rejectionOf is an upstream's response that it did not run a request.
-func rejectionOf(id string) string {
+// rejectionResponse returns an upstream's response that states that a request was not executed.
+func rejectionResponse(id string) string {
 	fields := idField(id) + headers.NotExecuted + ": 1\r\nContent-Length: 0\r\n"
 	return "HTTP/1.1 503 Service Unavailable\r\n" + fields + "\r\n"
 }
 
-// oneRejects and bothReject are upstreams that are full.
+// oneRejects and bothReject are behaviors where one or both upstreams reject all requests.
 func oneRejects(address, id string, _ int) (bool, string, bool) {
 	if address == "upstream1" {
-		return false, rejectionOf(id), true
+		return false, rejectionResponse(id), true
 	}
-	return true, successOf(id), true
+	return true, successResponse(id), true
 }
 
-func bothReject(_, id string, _ int) (bool, string, bool) { return false, rejectionOf(id), true }
+func bothReject(_, id string, _ int) (bool, string, bool) { return false, rejectionResponse(id), true }
 
-// sendOneByOne sends non-idempotent requests one after the other, on one connection while that stays
-// open.
+// sendOneByOne sends non-idempotent requests one after the other. It reuses a connection until that is closed.
 func (m *mesh) sendOneByOne(ids ...string) (all []clientResult) {
 	var c net.Conn
 	var in *bufio.Reader
@@ -366,8 +367,8 @@
 	return all
 }
 
-// connect opens a client's connection. Its deadline is far beyond that of its requests, so that what
-// comes too late is looked at as well.
+// connect opens a client's connection. Its deadline is much later than its requests' deadlines, so that late
+// responses are read as well.
 func (m *mesh) connect() (net.Conn, *bufio.Reader) {
 	m.t.Helper()
 	c, err := m.net.dial("client", "client", "caller")
@@ -378,7 +379,7 @@
 	return c, bufio.NewReader(c)
 }
 
-// receive reads the response to a request, and reports whether its connection stays open.
+// receive reads the response to a request, and returns whether the connection stays open.
 func receive(id string, in *bufio.Reader) (got clientResult, keepAlive bool) {
 	res, err := http.ReadResponse(in, &http.Request{Method: http.MethodPost})
 	if err != nil {
--- a/internal/mesh/sidecar/outbound_test.go
+++ b/internal/mesh/sidecar/outbound_test.go
@@ -43,11 +43,11 @@
 	{"resourceType":"services","metadata":{"name":"kafi81c"},"specification":{}},
 	{"resourceType":"tenants","metadata":{"name":"bozi300"},"specification":{
 		"apiKeys":["89anu6ws"],"priority":0,"ratePerS":172,"burstLimit":172}},
-	{"resourceType":"tenants","metadata":{"name":"meagre"},"specification":{
+	{"resourceType":"tenants","metadata":{"name":"lowrate"},"specification":{
 		"apiKeys":["kcuyj8pj"],"ratePerS":2,"burstLimit":2}},
 	{"resourceType":"limits","metadata":{},"specification":{"maxBodyBytes":100}}]}`
 
-// newOutbound is the outbound side of a sidecar beside service huvo11a with a configuration; "": none.
+// newOutbound returns the outbound side of a sidecar of service huvo11a. An empty snapshot means no configuration.
 func newOutbound(snapshot string) (*outbound, *http1.Dialect) {
 	s := &Sidecar{
 		settings: new(settings.Settings), clock: clock.NewAdjustable(), log: zap.NewNop(),
@@ -74,12 +74,12 @@
 	So(err, ShouldBeNil)
 	s.config.Store(c)
 	s.quota.configure(c)
-	s.clock.Advance(10 * time.Second) // its floors are full
+	s.clock.Advance(10 * time.Second) // the limiter's floors are full by then
 	o := s.newOutbound()
 	return o, o.frontDialect()
 }
 
-// parseHead parses a request's head; each line of fields ends in CR and LF.
+// parseHead parses a request's head. Each line in fields must end in CR and LF.
 func parseHead(line, fields string) *h1.Head {
 	h := new(h1.Head)
 	n, err := new(h1.Parser).Parse([]byte(line+"\r\n"+fields+"\r\n"), h)
@@ -91,14 +91,14 @@
 const (
 	idempotentLine    = "GET /lepu270/2f HTTP/1.1\r\nHost: jepu9.example"
 	nonIdempotentLine = "POST /xapu221/2f HTTP/1.1\r\nHost: hulo84.example"
-	publicRouteLine   = "GET /open/ HTTP/1.1\r\nHost: hulo84.example" // of a public route
+	publicRouteLine   = "GET /open/ HTTP/1.1\r\nHost: hulo84.example" // route that needs no key
 	attemptIDField    = "X-Caperarch-Attempt-Id: 9c41\r\n"
 	apiKeyField       = "X-Api-Key: 89anu6ws\r\n" // of tenant bozi300
-	lowRateKeyField   = "X-Api-Key: kcuyj8pj\r\n" // of tenant meagre
+	lowRateKeyField   = "X-Api-Key: kcuyj8pj\r\n" // of tenant lowrate
 )
 
 func TestOutboundAdmission(t *testing.T) {
-	Convey("Terms come from the route and the tenant, and forged fields reach nobody", t, func() {
+	Convey("Terms come from the route and the tenant, and forged fields are not forwarded", t, func() {
 		_, d := newOutbound(tenantConfig)
 		forged := "x-mesh-visit: 0,1,1\r\nX-Mesh-Visit: 0,1,1\r\nX-Caperarch-Tenant-Id: other\r\n" +
 			"X-CAPERARCH-TARGET-INSTANCE: i-1\r\nX-Caperarch-Caller-Service: other\r\n" +
@@ -123,7 +123,7 @@
 			headers.Tenant: {"bozi300"}, headers.Caller: {"huvo11a"}, "X-Mesh-Visit": {"1,300,0"}, "X-Mesh-Config": {"7"},
 		})
 
-		publicLine := "GET /open/ HTTP/1.1\r\nHost: HULO84.example:80" // needs no key
+		publicLine := "GET /open/ HTTP/1.1\r\nHost: HULO84.example:80" // a public route needs no key
 		h = parseHead(publicLine, attemptIDField+forged+"X-Caperarch-Timeout-Remaining: 5000\r\n")
 		q, remaining, rejection = d.ParseRequest(h)
 		So(rejection, ShouldBeNil)
@@ -135,7 +135,7 @@
 			"X-Mesh-Visit": {"4,250,1"}, "X-Mesh-Config": {"7"},
 		})
 	})
-	Convey("A request that can't be admitted gets the status that says why", t, func() {
+	Convey("A request that can't be admitted is rejected with the status of its reason", t, func() {
 		both, timeout := attemptIDField+apiKeyField, "X-Caperarch-Timeout-Remaining: "
 		for _, c := range []struct {
 			line, fields string
@@ -173,7 +173,7 @@
 		So(rejection.Status, ShouldEqual, http.StatusServiceUnavailable)
 		So(rejection.RetryAfter, ShouldBeGreaterThan, 0)
 	})
-	Convey("What an outdated configuration does not allow is asked for again, what it allows is served", t, func() {
+	Convey("Under an outdated configuration, requests that it does not allow get a 503, and others are served", t, func() {
 		o, d := newOutbound(tenantConfig)
 		age, confirmed := time.Duration(0), true
 		o.contactAge = func() (time.Duration, bool) { return age, confirmed }
@@ -195,10 +195,10 @@
 		check(503, 503)
 		age, confirmed = 0, false
 		check(503, 503)
-		o.maxConfigAge = 0 // settings without the bound
+		o.maxConfigAge = 0 // the settings have no configApplyS bound
 		check(404, 401)
 	})
-	Convey("Only a tenant over its quota is rejected, and told when to come back", t, func() {
+	Convey("Only a tenant over its quota is rejected, with a Retry-After", t, func() {
 		o, d := newOutbound(tenantConfig)
 		admit := func(line, key string) *http1.Rejection {
 			_, _, rejection := d.ParseRequest(parseHead(line, attemptIDField+key))
@@ -207,7 +207,7 @@
 		n := 0
 		for ; n < 20 && admit(idempotentLine, lowRateKeyField) == nil; n++ {
 		}
-		So(n, ShouldBeBetweenOrEqual, 1, 12) // its burst, a tenth of a window's rate, and half the slack
+		So(n, ShouldBeBetweenOrEqual, 1, 12) // its burst, a tenth of the rate in a window, and half the slack
 		rejection := admit(idempotentLine, lowRateKeyField)
 		So(rejection.Status, ShouldEqual, http.StatusTooManyRequests)
 		So(rejection.KeepAlive, ShouldBeTrue)
@@ -217,7 +217,7 @@
 		o.quota.clock.Advance(time.Hour)
 		So(admit(idempotentLine, lowRateKeyField), ShouldBeNil)
 	})
-	Convey("Clients have the limits in force, and a gate admits what any sidecar has admitted", t, func() {
+	Convey("Clients have the current limits, and a gate admits heads that any sidecar has admitted", t, func() {
 		o, _ := newOutbound("")
 		So(o.clientLimits(), ShouldResemble, http1.RequestLimits{
 			HeadBytes: 16 << 10, BodyBytes: 64 << 20, HeadTime: 3 * time.Second, IdleTime: 15 * time.Second,
@@ -236,14 +236,14 @@
 		So(inboundLimits(), ShouldResemble, http1.RequestLimits{HeadBytes: maxInboundHeadBytes})
 		So(inboundLimits().HeadBytes, ShouldBeGreaterThan, o.clientLimits().HeadBytes)
 	})
-	Convey("Services are drawn by weight", t, func() {
+	Convey("Services are selected by weight", t, func() {
 		o, _ := newOutbound(tenantConfig)
-		lighter := 0 // of weight 10 in 100
+		lightPicks := 0 // the service with weight 10 of 100
 		for range 4000 {
 			if pickService(o.config.Load().Match("jepu9.example", "/lepu270/")) == "kafi81c" {
-				lighter++
+				lightPicks++
 			}
 		}
-		So(lighter, ShouldBeBetween, 280, 520)
+		So(lightPicks, ShouldBeBetween, 280, 520)
 	})
 }
--- a/internal/mesh/sidecar/outdated_test.go
+++ b/internal/mesh/sidecar/outdated_test.go
@@ -24,17 +24,19 @@
 )
 
 const (
-	// outdatedConfigApply is configApplyS of the test's settings.
+	// outdatedConfigApply is configApplyS in the test's settings.
 	outdatedConfigApply = time.Second
 	// outdatedDeadline bounds each wait of the test.
 	outdatedDeadline = 15 * time.Second
 	outdatedPoll     = 20 * time.Millisecond
 )
 
-// loopbackNetwork is this process's own: a port that is free at one address of a shared one need not be at the others.
-var loopbackNetwork = fmt.Sprintf("127.%d.%d.", 192+os.Getpid()>>8%32, os.Getpid()%256)
+// loopbackPrefix begins the loopback addresses that only this process uses. On addresses shared with other processes
+// a port that is free at one address may be in use at another.
+var loopbackPrefix = fmt.Sprintf("127.%d.%d.", 192+os.Getpid()>>8%32, os.Getpid()%256)
 
-// movedConfig is a configuration of a version in which /moved/ goes to a service, and /old/ and /new/ to theirs.
+// movedConfig returns a configuration that routes /moved/ to a given service, /old/ to service old and /new/ to
+// service new.
 func movedConfig(version int, movedTo string) []byte {
 	route := func(name, service string) string {
 		return fmt.Sprintf(`{"resourceType":"routes","metadata":{"name":"%s"},"specification":{"hostname":"h",`+
@@ -47,20 +49,20 @@
 		version, version-1, route("moved", movedTo), route("old", "old"), route("new", "new"))
 }
 
-// coreStandIn is a core machine without a log: a watch server over a configuration that the test sets. Nothing of
-// what it sends reaches the nodes that are unheard, and they don't reach it.
-type coreStandIn struct {
+// fakeCore is a core machine without a replicated log: a watch server for a configuration that the test sets. It can
+// be partitioned from nodes: then nothing that it sends reaches them, nor the other way round.
+type fakeCore struct {
 	*watch.Server
-	mu      sync.Mutex
-	current *config.Snapshot
-	unheard map[string]bool
+	mu          sync.Mutex
+	current     *config.Snapshot
+	partitioned map[string]bool
 }
 
-func (c *coreStandIn) Current() int64 { return c.snapshot().Version() }
+func (c *fakeCore) Current() int64 { return c.snapshot().Version() }
 
-func (c *coreStandIn) Since(int64) ([]json.RawMessage, bool) { return nil, false }
+func (c *fakeCore) Since(int64) ([]json.RawMessage, bool) { return nil, false }
 
-func (c *coreStandIn) FullConfig() json.RawMessage {
+func (c *fakeCore) FullConfig() json.RawMessage {
 	current := c.snapshot()
 	if current.Version() == 0 {
 		return nil
@@ -70,20 +72,20 @@
 	return frame
 }
 
-func (c *coreStandIn) snapshot() *config.Snapshot {
+func (c *fakeCore) snapshot() *config.Snapshot {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.current
 }
 
-func (c *coreStandIn) isUnheard(node string) bool {
+func (c *fakeCore) isPartitioned(node string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.unheard[node]
+	return c.partitioned[node]
 }
 
-// replace puts the next configuration in force, which is pushed.
-func (c *coreStandIn) replace(t *testing.T, body []byte) {
+// replace replaces the configuration and pushes it.
+func (c *fakeCore) replace(t *testing.T, body []byte) {
 	t.Helper()
 	change, err := config.ParseReplace(body)
 	if err != nil {
@@ -99,51 +101,51 @@
 	c.Publish()
 }
 
-// handler passes a call on unless its node is unheard; then the call waits until its client gives it up.
-func (c *coreStandIn) handler(mux *http.ServeMux) http.Handler {
+// handler forwards calls to mux. A call from a partitioned node gets no response until its client gives up.
+func (c *fakeCore) handler(mux *http.ServeMux) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
 		var call struct{ Node string }
 		_ = json.Unmarshal(body, &call)
-		if c.isUnheard(call.Node) {
+		if c.isPartitioned(call.Node) {
 			<-r.Context().Done()
 			return
 		}
 		r.Body = io.NopCloser(bytes.NewReader(body))
-		mux.ServeHTTP(&unheardWriter{ResponseWriter: w, core: c, node: call.Node}, r)
+		mux.ServeHTTP(&partitionWriter{ResponseWriter: w, core: c, node: call.Node}, r)
 	})
 }
 
-// unheardWriter drops what is written to a node while it is unheard.
-type unheardWriter struct {
+// partitionWriter drops what is written to a node while the node is partitioned.
+type partitionWriter struct {
 	http.ResponseWriter
-	core *coreStandIn
+	core *fakeCore
 	node string
 }
 
-func (w *unheardWriter) Write(p []byte) (int, error) {
-	if w.core.isUnheard(w.node) {
+func (w *partitionWriter) Write(p []byte) (int, error) {
+	if w.core.isPartitioned(w.node) {
 		return len(p), nil
 	}
 	return w.ResponseWriter.Write(p)
 }
 
-// Unwrap is for http.ResponseController.
-func (w *unheardWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
+// Unwrap supports http.ResponseController.
+func (w *partitionWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
 
-// outdatedFleet is a core stand-in and sidecars with their upstreams, on loopback addresses.
+// outdatedFleet is a fakeCore and sidecars with their upstreams, on loopback addresses.
 type outdatedFleet struct {
 	t      *testing.T
-	core   *coreStandIn
-	ports  []int // inbound, outbound, readiness, control plane, internal, upstream
+	core   *fakeCore
+	ports  []int // of listeners: inbound, outbound, readiness, control plane, internal, upstream
 	nodes  map[string]string
 	lastID atomic.Int64
 
-	mu  sync.Mutex
-	ran map[string]string // the service that ran a request, by its id
+	mu         sync.Mutex
+	executedBy map[string]string // service that ran a request, by request id
 }
 
-// loopbackPorts are ports that are free at an address.
+// loopbackPorts returns ports that are free at an address.
 func loopbackPorts(t *testing.T, host string, count int) (ports []int) {
 	t.Helper()
 	for range count {
@@ -160,10 +162,11 @@
 func newOutdatedFleet(t *testing.T) *outdatedFleet {
 	t.Helper()
 	f := &outdatedFleet{
-		t: t, ports: loopbackPorts(t, loopbackNetwork+"1", 6), nodes: make(map[string]string), ran: make(map[string]string),
+		t: t, ports: loopbackPorts(t, loopbackPrefix+"1", 6), nodes: make(map[string]string),
+		executedBy: make(map[string]string),
 	}
-	f.core = &coreStandIn{current: config.Empty(), unheard: make(map[string]bool)}
-	self := f.address(loopbackNetwork+"1", 4)
+	f.core = &fakeCore{current: config.Empty(), partitioned: make(map[string]bool)}
+	self := f.address(loopbackPrefix+"1", 4)
 	f.core.Server = watch.NewServer(watch.ServerConfig{
 		Self: self, Zone: "z", Epoch: 1, Peers: func() []string { return []string{self} },
 		Contact:      func() (time.Duration, bool) { return 0, true },
@@ -183,7 +186,7 @@
 	return net.JoinHostPort(host, strconv.Itoa(f.ports[port]))
 }
 
-// serve serves at an address until the test ends.
+// serve serves a handler at an address until the test ends.
 func (f *outdatedFleet) serve(address string, handler http.Handler) {
 	f.t.Helper()
 	l, err := net.Listen("tcp", address)
@@ -195,10 +198,10 @@
 	go func() { _ = server.Serve(l) }()
 }
 
-// start starts a sidecar beside an upstream of a service, and waits until it serves.
+// start starts a sidecar with an upstream of a service, and waits until it serves requests.
 func (f *outdatedFleet) start(node, service string) {
 	f.t.Helper()
-	host := loopbackNetwork + strconv.Itoa(2+len(f.nodes))
+	host := loopbackPrefix + strconv.Itoa(2+len(f.nodes))
 	f.nodes[node] = host
 	f.serve(f.address(host, 5), f.upstream(node, service))
 	set := &settings.Settings{
@@ -212,7 +215,7 @@
 				Readiness: f.address(host, 2), ControlPlane: f.address(host, 3),
 			},
 			InternalPortRange: settings.PortRange{First: f.ports[4], Last: f.ports[4]},
-			SeedNodes:         []string{f.address(loopbackNetwork+"1", 4)}, Zones: map[string]string{"z": "r"},
+			SeedNodes:         []string{f.address(loopbackPrefix+"1", 4)}, Zones: map[string]string{"z": "r"},
 		},
 		Guarantees: settings.Guarantees{Bounds: settings.Bounds{
 			ConfigApply: outdatedConfigApply, GracePeriod: time.Second, RetryWindow: 10 * time.Second,
@@ -229,24 +232,24 @@
 	f.waitUntil(node+" serves", func() bool { status, _ := f.get(node, "/"+service+"/"); return status == http.StatusOK })
 }
 
-// upstream runs each request and records where.
+// upstream returns a handler that runs each request and records its service.
 func (f *outdatedFleet) upstream(node, service string) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		id := r.Header.Get(headers.AttemptID)
 		h := w.Header()
 		h[headers.Instance], h[headers.Load] = []string{"i-" + node}, []string{"0,0,8"}
-		if id == "" { // a health request
+		if id == "" { // health requests have no id
 			return
 		}
 		f.mu.Lock()
-		f.ran[id] = service
+		f.executedBy[id] = service
 		f.mu.Unlock()
 		h[headers.AttemptID], h[headers.Signature] = []string{id}, []string{"signed"}
 	})
 }
 
-// get sends a request through a sidecar, and returns the status and which service ran it, "" if none did.
-func (f *outdatedFleet) get(node, path string) (status int, ranAt string) {
+// get sends a request through a sidecar. It returns the status and the service that ran the request, "" if none did.
+func (f *outdatedFleet) get(node, path string) (status int, servedBy string) {
 	f.t.Helper()
 	id := fmt.Sprint("r", f.lastID.Add(1))
 	request, err := http.NewRequest(http.MethodGet, "http://"+f.address(f.nodes[node], 1)+path, nil)
@@ -261,7 +264,7 @@
 	response.Body.Close()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return response.StatusCode, f.ran[id]
+	return response.StatusCode, f.executedBy[id]
 }
 
 func (f *outdatedFleet) waitUntil(what string, done func() bool) {
@@ -270,27 +273,28 @@
 	defer poll.Stop()
 	for end := time.Now().Add(outdatedDeadline); !done(); <-poll.C {
 		if time.Now().After(end) {
-			f.t.Fatalf("not in %v: %s", outdatedDeadline, what)
+			f.t.Fatalf("timed out after %v waiting until %s", outdatedDeadline, what)
 		}
 	}
 }
 
-// Requests were run by the service that their route had left, through sidecars that had not heard of the change.
-func TestOutdatedSidecarRunsNothingAtTheOldService(t *testing.T) {
+// Guards against requests that are run by the service that their route no longer targets. They were sent through
+// sidecars that had not received the configuration change.
+func TestOutdatedSidecarSendsNothingToTheOldService(t *testing.T) {
 	f := newOutdatedFleet(t)
 	f.start("old-1", "old")
 	f.start("old-2", "old")
 	f.start("new-1", "new")
 	f.start("new-2", "new")
-	outdated := []string{"old-2", "new-2"} // one of them beside an upstream of the old service
+	outdated := []string{"old-2", "new-2"} // both are partitioned; only old-2's upstream belongs to the old service
 	f.core.mu.Lock()
 	for _, node := range outdated {
-		f.core.unheard[node] = true
+		f.core.partitioned[node] = true
 	}
 	f.core.mu.Unlock()
 	f.core.replace(t, movedConfig(2, "new"))
 	f.waitUntil("the change is in force", func() bool { _, at := f.get("old-1", "/moved/"); return at == "new" })
-	// Clients go on meanwhile, at all sidecars.
+	// Meanwhile clients continue to send through all sidecars, so that these observe each other's versions.
 	poll := time.NewTicker(outdatedPoll)
 	defer poll.Stop()
 	for end := time.Now().Add(outdatedConfigApply); time.Now().Before(end); <-poll.C {
@@ -303,14 +307,15 @@
 		served := 0
 		for range 20 {
 			if status, at := f.get(node, "/moved/"); at == "old" || status == http.StatusNotFound {
-				t.Errorf("%s: status %d, run by %q, over %v after the change", node, status, at, outdatedConfigApply)
+				t.Errorf("%s: request for /moved/ got status %d and was run by %q, %v or more after its route changed",
+					node, status, at, outdatedConfigApply)
 			}
 			if status, _ := f.get(node, "/new/"); status == http.StatusOK {
 				served++
 			}
 		}
 		if served < 19 {
-			t.Errorf("%s serves %d of 20 requests on a route that has not changed", node, served)
+			t.Errorf("%s served %d of 20 requests on a route that has not changed, want at least 19", node, served)
 		}
 	}
 }
--- a/internal/mesh/sidecar/quota_fleet_test.go
+++ b/internal/mesh/sidecar/quota_fleet_test.go
@@ -24,37 +24,37 @@
 
 const (
 	quotaFleetSize = 12
-	// quotaTenant sends surge times the rate of its limit.
+	// quotaTenant is the name of the tenant, which sends requests at quotaLoadFactor times its rate limit.
 	quotaTenant     = "surging"
-	quotaSurge      = 8
+	quotaLoadFactor = 8
 	allocateLatency = 3 * time.Millisecond
 	quotaStep       = time.Millisecond
 )
 
 var errNoLeader = errors.New("no leader")
 
-// quotaFleet is the quota clients of a fleet, with one allocator, in virtual time. The clients and their
-// loops are those of a sidecar; what a core machine does is the round tripper's.
+// quotaFleet simulates the quota clients of a fleet and one allocator in virtual time. The clients and their run
+// loops are a sidecar's own; RoundTrip simulates the core machine.
 type quotaFleet struct {
 	t      *testing.T
 	rng    *rand.Rand
 	limit  quota.Limit
 	bounds settings.Bounds
-	// countDelay is how long after its start a sidecar hears of a core machine how many there are.
+	// countDelay is the time from a sidecar's start until it learns the number of sidecars from a core machine.
 	countDelay time.Duration
-	clients    []*fleetClient // nil while a sidecar is down
+	clients    []*fleetClient // an entry is nil while its sidecar is down
 	admitted   []time.Time
 	began      time.Time
 
-	// loses reports whether responses to a node are lost now; nil: none is.
-	loses func(node string) bool
-	// silent reports whether a node is out of contact with the core now; nil: none is.
-	silent func(node string) bool
-	// members is how many sidecars a node, or the leader by the name "", takes part in the limits with. It
-	// is quotaFleetSize unless a test counts them.
+	// dropsResponse reports whether responses to a node are lost now. nil: no responses are lost.
+	dropsResponse func(node string) bool
+	// outOfContact reports whether a node is out of contact with the core now. nil: no node is.
+	outOfContact func(node string) bool
+	// members returns the number of sidecars that share the limits, as known by a node or, for the name "", by the
+	// leader. It returns quotaFleetSize unless a test replaces it.
 	members func(node string) int
 
-	allocatorMu sync.Mutex // guards the allocator
+	allocatorMu sync.Mutex // guards allocator
 	allocator   *quota.Allocator
 }
 
@@ -70,7 +70,7 @@
 	return f
 }
 
-// newStoppedQuotaFleet is a fleet of which no sidecar has started, so that what they call can be set.
+// newStoppedQuotaFleet returns a fleet whose sidecars have not started, so that a test can replace its functions.
 func newStoppedQuotaFleet(t *testing.T, countDelay time.Duration, limit quota.Limit) *quotaFleet {
 	t.Helper()
 	f := &quotaFleet{
@@ -97,8 +97,8 @@
 	}
 }
 
-// start starts a sidecar's client anew: it has the configuration at once, and hears the number of
-// sidecars countDelay later.
+// start starts a new client for a sidecar. The client has the configuration at once, and learns the number of
+// sidecars after countDelay.
 func (f *quotaFleet) start(i int) {
 	f.t.Helper()
 	startedAt, node := time.Now(), nodeName(i)
@@ -109,7 +109,7 @@
 		serviceName: func(int) string { return "s" },
 		sidecarCount: func() int {
 			if time.Since(startedAt) < f.countDelay {
-				return quota.UnknownMembers // as watch.Client says it
+				return quota.UnknownMembers // like watch.Client before it has received a number
 			}
 			return f.members(node)
 		},
@@ -123,10 +123,10 @@
 	f.clients[i] = &fleetClient{quotaClient: client, stop: stop}
 }
 
-// nodeName is the name of a sidecar by its number.
+// nodeName returns the name of the i-th sidecar.
 func nodeName(i int) string { return string(rune('a' + i)) }
 
-// kill ends a sidecar's client with all that it knows.
+// kill stops a sidecar's client and discards its state.
 func (f *quotaFleet) kill(i int) {
 	f.clients[i].stop()
 	f.clients[i] = nil
@@ -162,7 +162,7 @@
 	return snapshot
 }
 
-// RoundTrip is the leader: it allocates by the fleet's true size.
+// RoundTrip is the leader's handler of requests for tokens; it implements http.RoundTripper.
 func (f *quotaFleet) RoundTrip(r *http.Request) (*http.Response, error) {
 	var request AllocateRequest
 	if err := json.NewDecoder(r.Body).Decode(&request); err != nil {
@@ -171,7 +171,7 @@
 	if err := wait(r.Context(), allocateLatency); err != nil {
 		return nil, err
 	}
-	if f.silent != nil && f.silent(request.Node) {
+	if f.outOfContact != nil && f.outOfContact(request.Node) {
 		return nil, errNoLeader
 	}
 	response, err := f.allocate(&request)
@@ -182,8 +182,8 @@
 		return nil, err
 	}
 	latency := allocateLatency
-	if f.loses != nil && f.loses(request.Node) {
-		latency = time.Hour // the caller gives up before
+	if f.dropsResponse != nil && f.dropsResponse(request.Node) {
+		latency = time.Hour // longer than the caller's timeout
 	}
 	if err := wait(r.Context(), latency); err != nil {
 		return nil, err
@@ -195,7 +195,7 @@
 	}, err
 }
 
-// allocate has the leader allocate now.
+// allocate has the leader's allocator handle a request now.
 func (f *quotaFleet) allocate(request *AllocateRequest) (quota.Response, error) {
 	f.allocatorMu.Lock()
 	defer f.allocatorMu.Unlock()
@@ -207,7 +207,7 @@
 	return f.allocator.Allocate(now, 1, request.Node, &request.Request)
 }
 
-// wait waits in virtual time.
+// wait waits in virtual time, or until ctx ends.
 func wait(ctx context.Context, d time.Duration) error {
 	select {
 	case <-time.After(d):
@@ -217,9 +217,10 @@
 	}
 }
 
-// run has the tenant surge at all sidecars that are up.
+// run sends the tenant's requests at quotaLoadFactor times its rate to random sidecars for a duration. Requests to
+// sidecars that are down are dropped.
 func (f *quotaFleet) run(duration time.Duration) {
-	perStep := f.limit.Rate * quotaSurge * quotaStep.Seconds()
+	perStep := f.limit.Rate * quotaLoadFactor * quotaStep.Seconds()
 	for end := time.Now().Add(duration); time.Now().Before(end); {
 		for demand := perStep; demand > 0; demand-- {
 			client := f.clients[f.rng.IntN(len(f.clients))]
@@ -234,28 +235,29 @@
 	}
 }
 
-// checkWindows fails the test if any window holds more than the rule allows.
+// checkWindows fails the test if any sliding window has more admitted requests than the quota rule allows.
 func (f *quotaFleet) checkWindows() {
 	f.t.Helper()
 	window := f.bounds.QuotaWindow
 	allowed := (f.limit.Rate*window.Seconds()+f.limit.Burst)*(1+f.bounds.QuotaOverage) + f.bounds.QuotaSlack
-	fullest, from, first := 0, time.Duration(0), 0
+	maxAdmitted, windowStart, first := 0, time.Duration(0), 0
 	for last, at := range f.admitted {
 		for at.Sub(f.admitted[first]) > window {
 			first++
 		}
-		if held := last - first + 1; held > fullest {
-			fullest, from = held, f.admitted[first].Sub(f.began)
+		if count := last - first + 1; count > maxAdmitted {
+			maxAdmitted, windowStart = count, f.admitted[first].Sub(f.began)
 		}
 	}
-	if float64(fullest) > allowed {
-		f.t.Errorf("%d requests in %v from %v, allowed are %.0f", fullest, window, from, allowed)
+	if float64(maxAdmitted) > allowed {
+		f.t.Errorf("%d requests admitted in the %v window from %v, want at most %.0f",
+			maxAdmitted, window, windowStart, allowed)
 	}
-	f.t.Logf("fullest window: %d from %v, allowed are %.0f", fullest, from, allowed)
+	f.t.Logf("fullest window: %d requests admitted from %v on, at most %.0f allowed", maxAdmitted, windowStart, allowed)
 }
 
-// Sidecars that start one after the other while a tenant surges: each takes an assumed number of sidecars
-// for granted until it hears the number.
+// Guards against exceeding the quota while sidecars restart one after the other under overload. Each restarted
+// sidecar does not know the number of sidecars at first.
 func TestRestartedSidecarsKeepQuota(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newQuotaFleet(t, 200*time.Millisecond, quota.Limit{Rate: 56, Burst: 56})
@@ -272,8 +274,8 @@
 	})
 }
 
-// All sidecars end at once and start again, again and again. They know how many they are all along, so
-// that what is above the limit is what a new process takes for its own.
+// Guards against exceeding the quota when all sidecars restart at once repeatedly. They always know the number of
+// sidecars, so any excess would be tokens that new processes assume to have at their start.
 func TestRestartsOfAllSidecarsKeepQuota(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newQuotaFleet(t, 0, quota.Limit{Rate: 312, Burst: 312})
@@ -294,15 +296,16 @@
 	})
 }
 
-// The requests of most sidecars reach the leader, but its responses are lost, as in a partition in one
-// direction: the leader gives what these sidecars seem to leave to it to the others.
+// Guards against exceeding the quota while the leader receives the requests of most sidecars but its responses to
+// them are lost, as in a one-way partition. The leader then gives the floors that these sidecars lease to it to the
+// other sidecars.
 func TestLostResponsesKeepQuota(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newQuotaFleet(t, 0, quota.Limit{Rate: 312, Burst: 312})
 		defer f.close()
 		f.run(8 * time.Second)
 		lostFrom := time.Now()
-		f.loses = func(node string) bool { return node > "c" && time.Since(lostFrom) < 10*time.Second }
+		f.dropsResponse = func(node string) bool { return node > "c" && time.Since(lostFrom) < 10*time.Second }
 		f.run(20 * time.Second)
 		f.checkWindows()
 	})
--- a/internal/mesh/sidecar/route_timeout_test.go
+++ b/internal/mesh/sidecar/route_timeout_test.go
@@ -14,10 +14,10 @@
 	"caperarch/internal/proxy/call"
 )
 
-// routeTimeout is that of onceConfig's routes.
+// routeTimeout is the timeout of the routes in twoRouteConfig.
 const routeTimeout = 2 * time.Second
 
-// holdForLong reads one request and answers nothing for long.
+// holdForLong reads one request and sends no response for a minute.
 func holdForLong(_ string, c net.Conn) {
 	r, err := http.ReadRequest(bufio.NewReader(c))
 	if err != nil {
@@ -27,7 +27,8 @@
 	time.Sleep(time.Minute)
 }
 
-// A client has its response when its route's time is over, counted once, also where its body is streamed.
+// Guards against a route timeout that starts again on the way to the upstream, or when a body is streamed: the client
+// would receive its response too late.
 func TestResponseEndsAtRouteTimeout(t *testing.T) {
 	for name, request := range map[string]string{
 		"no answer":                          readRequest,
@@ -50,14 +51,14 @@
 				time.Sleep(2 * time.Minute)
 				m.close()
 				if took > routeTimeout+500*time.Millisecond {
-					t.Errorf("the response ends after %v, its route has %v", took, routeTimeout)
+					t.Errorf("the response ended after %v, want at most 500 ms more than the route's timeout %v", took, routeTimeout)
 				}
 			})
 		})
 	}
 }
 
-// timeToEnd is how long after a moment a response is complete or its connection ends.
+// timeToEnd returns how long after begun the response is complete or its connection ends.
 func timeToEnd(c net.Conn, begun time.Time) time.Duration {
 	if res, err := http.ReadResponse(bufio.NewReader(c), nil); err == nil {
 		_, _ = io.Copy(io.Discard, res.Body)
--- a/internal/mesh/sidecar/routes_test.go
+++ b/internal/mesh/sidecar/routes_test.go
@@ -28,8 +28,8 @@
 			"hostname":"a","pathPrefix":"/%s/","routeType":"idempotent","timeoutS":%g,
 			"targetLatencyS":%g,"serviceName":"s"}},`, name, name, timeout, latencyTarget)
 	}
-	// They also need no key and are idempotent.
-	Convey("Internal checks are routes whose timeout fits into each longer one's target", t, func() {
+	// Internal checks must also be idempotent and need no key, as all routes that this function makes are.
+	Convey("The timeout of an internal check is within the latency target of each route with a longer one", t, func() {
 		start := `{"configVersion":1,"resources":[`
 		end := `{"resourceType":"services","metadata":{"name":"s"},"specification":{}}]}`
 		four := route("a", 2.5, 0.4) + route("b", 3, 0.5) + route("c", 6, 1) + route("d", 10, 1.5)
@@ -40,7 +40,7 @@
 		So(checks(start+four+route("v", 0.41, 0.1)+end), ShouldBeEmpty)
 		So(checks(tenantConfig), ShouldResemble, []string{"check"})
 	})
-	Convey("They have the highest priority, and a compartment of their own", t, func() {
+	Convey("Internal checks have the highest priority and a compartment of their own", t, func() {
 		o, d := newOutbound(tenantConfig)
 		o.endpoints.recordHeartbeat(registry.Upstream{Instance: "i-1", Service: "huvo11a", Slots: 9})
 		classOf := func(line string) *balancer.RequestClass {
--- a/internal/mesh/sidecar/verification_test.go
+++ b/internal/mesh/sidecar/verification_test.go
@@ -14,7 +14,7 @@
 	"caperarch/internal/proxy/clock"
 )
 
-func TestVerifierGoesByTheNewestConfiguration(t *testing.T) {
+func TestVerifierUsesTheNewestConfiguration(t *testing.T) {
 	newVerifier := func(service string) *verifier {
 		s := &Sidecar{
 			settings: new(settings.Settings), clock: clock.NewAdjustable(),
@@ -32,34 +32,34 @@
 	}
 	passes := func(v *verifier, line, fields string) bool { return v.check(parseHead(line, fields)) == nil }
 	const tenantField = "X-Caperarch-Tenant-Id: bozi300\r\n"
-	Convey("What an older configuration has admitted passes where this one allows it", t, func() {
+	Convey("An attempt admitted by an older configuration passes if the current one allows it", t, func() {
 		for _, c := range []struct {
 			service, line, fields string
 			passes                bool
 		}{
 			{"huvo11a", idempotentLine, "X-Mesh-Config: 6\r\n" + tenantField, true},
 			{"kafi81c", idempotentLine, "X-Mesh-Config: 6\r\n" + tenantField, true}, // a route with two services
-			{"kafi81c", publicRouteLine, "X-Mesh-Config: 6\r\n", true},              // public
-			{"huvo11a", publicRouteLine, "X-Mesh-Config: 6\r\n", false},             // another service's route
+			{"kafi81c", publicRouteLine, "X-Mesh-Config: 6\r\n", true},              // a public route
+			{"huvo11a", publicRouteLine, "X-Mesh-Config: 6\r\n", false},             // the route's service is another one
 			{"huvo11a", "GET /gone/ HTTP/1.1\r\nHost: jepu9.example", "X-Mesh-Config: 6\r\n" + tenantField, false},
 			{"huvo11a", idempotentLine, "X-Mesh-Config: 6\r\nX-Caperarch-Tenant-Id: dropped\r\n", false},
-			{"huvo11a", idempotentLine, "X-Mesh-Config: 6\r\n", false}, // it needs a tenant now
-			{"huvo11a", publicRouteLine, "X-Mesh-Config: 7\r\n", true}, // admitted by this version
-			{"huvo11a", publicRouteLine, "X-Mesh-Config: 9\r\n", true}, // by a newer one
-			{"huvo11a", publicRouteLine, "", true},                     // a sidecar of an earlier release
+			{"huvo11a", idempotentLine, "X-Mesh-Config: 6\r\n", false}, // the current configuration requires a tenant
+			{"huvo11a", publicRouteLine, "X-Mesh-Config: 7\r\n", true}, // admitted by the same version
+			{"huvo11a", publicRouteLine, "X-Mesh-Config: 9\r\n", true}, // admitted by a newer version
+			{"huvo11a", publicRouteLine, "", true},                     // the caller's sidecar runs an earlier release
 			{"huvo11a", publicRouteLine, "X-Mesh-Config: old\r\n", true},
 		} {
 			SoMsg(fmt.Sprint(c), passes(newVerifier(c.service), c.line, c.fields), ShouldEqual, c.passes)
 		}
 	})
-	Convey("The key that a caller names by its digest has to be the tenant's still", t, func() {
+	Convey("A key digest in an attempt must belong to the attempt's tenant", t, func() {
 		v := newVerifier("huvo11a")
 		for key, want := range map[string]bool{"89anu6ws": true, "kcuyj8pj": false, "dropped": false} {
 			digest := "X-Mesh-Key-Digest: " + string(config.DigestKey(key)) + "\r\n"
 			So(passes(v, idempotentLine, "X-Mesh-Config: 6\r\n"+digest+tenantField), ShouldEqual, want)
 		}
 	})
-	Convey("What no version here shows to be allowed passes for a while after a newer one was heard of", t, func() {
+	Convey("Attempts pass for a limited time once a version newer than theirs and this sidecar's is known", t, func() {
 		v := newVerifier("huvo11a")
 		attempt := "X-Mesh-Config: 7\r\n" + tenantField
 		So(passes(v, idempotentLine, "X-Mesh-Config: 9\r\n"+tenantField), ShouldBeTrue)
@@ -71,12 +71,12 @@
 		v.versions.recordApplied(9)
 		So(passes(v, idempotentLine, attempt), ShouldBeTrue)
 	})
-	Convey("A version that no majority has committed is not believed once a core machine has confirmed the one in force", t, func() {
+	Convey("A confirmation by a core machine refutes an observed version that was never committed", t, func() {
 		v := newVerifier("huvo11a")
 		attempt := "X-Mesh-Config: 7\r\n" + tenantField
 		So(passes(v, idempotentLine, "X-Mesh-Config: 999\r\n"+tenantField), ShouldBeTrue)
 		v.clock.Advance(2 * time.Second)
-		v.contactAge = func() (time.Duration, bool) { return 3 * time.Second, true } // before it was heard of
+		v.contactAge = func() (time.Duration, bool) { return 3 * time.Second, true } // before the observation
 		So(passes(v, idempotentLine, attempt), ShouldBeFalse)
 		v.contactAge = func() (time.Duration, bool) { return time.Second, true }
 		So(passes(v, idempotentLine, attempt), ShouldBeTrue)
@@ -85,14 +85,14 @@
 }
 
 func TestKnownVersions(t *testing.T) {
-	Convey("A version is outdated since the first newer one was heard of, until that is in force", t, func() {
+	Convey("A version is outdated from the observation of the first newer version until that is applied", t, func() {
 		var known knownVersions
 		known.recordApplied(5)
 		known.observe(time.Second, 5)
 		So(known.outdatedFor(time.Minute, 5), ShouldEqual, 0)
 		known.observe(2*time.Second, 7)
 		known.observe(4*time.Second, 9)
-		known.observe(5*time.Second, 6) // heard of late
+		known.observe(5*time.Second, 6) // observed after a newer version
 		So(known.newest(), ShouldEqual, 9)
 		So(known.outdatedFor(6*time.Second, 5), ShouldEqual, 4*time.Second)
 		So(known.outdatedFor(6*time.Second, 7), ShouldEqual, 2*time.Second)
@@ -111,8 +111,8 @@
 	})
 }
 
-func TestUnknownRouteOfAnOutdatedConfigurationMayExist(t *testing.T) {
-	Convey("A sidecar that knows of a newer version answers 503 where its own has no route or key", t, func() {
+func TestOutdatedSidecarAnswers503ForUnknownRoute(t *testing.T) {
+	Convey("A sidecar that knows of a newer version answers 503 if its own has no matching route or key", t, func() {
 		o, d := newOutbound(tenantConfig)
 		status := func(line, fields string) int {
 			_, _, rejection := d.ParseRequest(parseHead(line, attemptIDField+fields))
@@ -127,8 +127,8 @@
 	})
 }
 
-func TestKeyDigestTravelsOnlyWhileOutdated(t *testing.T) {
-	Convey("Gates are told the digest of a key, never the key, and only where their configuration may differ", t, func() {
+func TestKeyDigestIsSentOnlyWhileOutdated(t *testing.T) {
+	Convey("Gates receive a key's digest, never the key, and only if their configuration may be newer", t, func() {
 		o, d := newOutbound(tenantConfig)
 		sent := func() string {
 			h := parseHead(idempotentLine, attemptIDField+apiKeyField)
