--- a/internal/mesh/sidecar/abandoned_test.go
+++ b/internal/mesh/sidecar/abandoned_test.go
@@ -65,7 +65,7 @@
 	heldRequests chan *heldRequest
 }
 
-// longTimeoutConfig is onceConfig with timeouts that no test reaches.
+// longTimeoutConfig is twoRouteConfig with timeouts that no test reaches.
 var longTimeoutConfig = strings.ReplaceAll(twoRouteConfig, `"timeoutS":2`, `"timeoutS":60`)
 
 func newSocketMesh(t *testing.T) *socketMesh {
@@ -158,7 +158,7 @@
 	}{
 		"closes its connection":       {1, readRequest, closeConn},
 		"resets its connection":       {1, readRequest, reset},
-		"ends its side":               {1, readRequest, (*net.TCPConn).CloseWrite},
+		"half-closes its connection":  {1, readRequest, (*net.TCPConn).CloseWrite},
 		"had sent a body":             {1, postTo("/read/", 2), closeConn},
 		"had sent a long body":        {1, postTo("/read/", 2*call.MaxBufferedBody), closeConn},
 		"had sent several at once":    {3, readRequest, closeConn},
@@ -188,11 +188,11 @@
 			c := m.dialClient()
 			held := m.sendRequests(c, 1, postTo("/write/", length))[0]
 			c.Close()
-			testbed.Until(t, "its gate knows that the caller has left", func() bool {
+			testbed.Until(t, "its gate knows that the client has disconnected", func() bool {
 				return m.engines[0].Abandoned().Requests+m.engines[1].Abandoned().Requests == 1
 			})
 			close(held.respond)
-			if err := testbed.Wait(t, "the answer", held.result); err != nil {
+			if err := testbed.Wait(t, "the response", held.result); err != nil {
 				t.Errorf("the upstream's connection ended before the response: %v, want a response", err)
 			}
 		})
--- a/internal/mesh/sidecar/at_most_once_test.go
+++ b/internal/mesh/sidecar/at_most_once_test.go
@@ -111,7 +111,7 @@
 						p := faultPlan{kind, direction, at, fault}
 						all, _, err := sendWithFault(t, p, upstreams, w, ids...)
 						if err != nil {
-							t.Fatalf("%+v: %v", p, err)
+							t.Fatalf("with fault %+v: %v", p, err)
 						}
 						statuses[all[0].status]++
 					}
@@ -132,7 +132,7 @@
 		ids       []string
 	}{
 		{"runs", nil, 1, []string{"a", "b"}},
-		{"one upstream rejects", oneRejects, 5, []string{"a", "b"}},
+		{"one upstream rejects requests", oneRejects, 5, []string{"a", "b"}},
 		{"long bodies", nil, 3989, []string{"long", "long b"}},
 		{"both reject", bothReject, 5, []string{"a", "b"}},
 	} {
@@ -165,7 +165,7 @@
 		{"twice", executing(func(id string, _ int) (string, bool) {
 			return successResponse(id) + successResponse(id), true
 		}), 200},
-		{"an older one first", executing(func(id string, _ int) (string, bool) {
+		{"an older success first", executing(func(id string, _ int) (string, bool) {
 			return successResponse("z") + successResponse(id), true
 		}), 200},
 		{"an older rejection first", executing(func(id string, _ int) (string, bool) {
@@ -184,25 +184,25 @@
 		{"another id", executing(func(string, int) (string, bool) {
 			return successResponse("z"), false
 		}), 502},
-		{"its id twice", executing(func(id string, _ int) (string, bool) {
+		{"a duplicate id", executing(func(id string, _ int) (string, bool) {
 			return successResponse(id, idField(id)), false
 		}), 502},
-		{"another id beside its own", executing(func(id string, _ int) (string, bool) {
+		{"another id besides its own", executing(func(id string, _ int) (string, bool) {
 			return successResponse(id, idField("z")), false
 		}), 502},
-		{"no response", executing(func(string, int) (string, bool) {
+		{"a malformed response", executing(func(string, int) (string, bool) {
 			return "no answer\r\n", true
 		}), 502},
-		{"bytes after it", executing(func(id string, _ int) (string, bool) {
+		{"extra bytes after the response", executing(func(id string, _ int) (string, bool) {
 			return successResponse(id) + "more", true
 		}), 200},
-		{"cut in the body", executing(func(id string, _ int) (string, bool) {
+		{"truncated body", executing(func(id string, _ int) (string, bool) {
 			return successResponse(id)[:len(successResponse(id))-1], false
 		}), 502},
-		{"no length, cut", executing(func(id string, _ int) (string, bool) {
+		{"truncated body without length", executing(func(id string, _ int) (string, bool) {
 			return strings.Replace(strings.TrimSuffix(successResponse(id), id), "Content-Length: 5\r\n", "", 1), false
 		}), 502},
-		{"chunks, cut", executing(func(id string, _ int) (string, bool) {
+		{"truncated chunked body", executing(func(id string, _ int) (string, bool) {
 			head := strings.TrimSuffix(successResponse(id), "ran "+id)
 			head = strings.Replace(head, "Content-Length: 5", "Transfer-Encoding: chunked", 1)
 			return head + "5\r\nran " + id + "\r\n", false
@@ -210,15 +210,15 @@
 		{"a failure, then a success", executing(func(id string, _ int) (string, bool) {
 			return strings.Replace(successResponse(id), "200 OK", "500 Internal Server Error", 1) + successResponse(id), true
 		}), 500},
-		{"a status of rejection without the field that proves it", executing(func(id string, _ int) (string, bool) {
+		{"a rejection status without the not-executed field", executing(func(id string, _ int) (string, bool) {
 			return strings.Replace(successResponse(id), "200 OK", "503 Service Unavailable", 1), true
 		}), 502},
-		{"created, with a long body that is cut", executing(func(id string, _ int) (string, bool) {
+		{"status 201 with a truncated long body", executing(func(id string, _ int) (string, bool) {
 			signature := headers.Signature + ": " + signatureOf(id) + "\r\n"
 			length := fmt.Sprintf("Content-Length: %d\r\n", len(large))
 			return "HTTP/1.1 201 Created\r\n" + idField(id) + signature + length + "\r\n" + large[1:], false
 		}), 0},
-		{"a rejection twice, and then it runs", func(_, id string, n int) (bool, string, bool) {
+		{"a duplicate rejection, then a success", func(_, id string, n int) (bool, string, bool) {
 			if n < 2 { // the first attempt at each upstream
 				return false, rejectionResponse(id) + pauseMark + rejectionResponse(id), true
 			}
@@ -229,7 +229,7 @@
 			all, _, err := sendWithFault(t, faultPlan{}, c.upstreams, nonIdempotentOneByOne, "a", "b", "c")
 			for _, got := range all {
 				if err != nil || got.status != c.want {
-					t.Fatalf("%+v: %v", all, err)
+					t.Fatalf("responses %+v, error %v; want the case's status for each and no error", all, err)
 				}
 			}
 		})
--- a/internal/mesh/sidecar/endpoints_test.go
+++ b/internal/mesh/sidecar/endpoints_test.go
@@ -102,7 +102,7 @@
 	})
 }
 
-// Guards against a late, first-received heartbeat of a former instance that replaces its ready successor.
+// Guards against a late heartbeat of a former instance that was not known before and replaces its ready successor.
 func TestLateHeartbeatOfFormerInstanceIsIgnored(t *testing.T) {
 	e := newEndpoints(nil, localInbound)
 	e.recordHeartbeat(testUpstream("i-2", "", registry.Ready, 1))
--- a/internal/mesh/sidecar/inbound.go
+++ b/internal/mesh/sidecar/inbound.go
@@ -43,8 +43,8 @@
 	}
 }
 
-// admit admits a request from a sidecar. A request for an instance other than the local one is rejected: it has
-// not run, and the target instance has ended.
+// admit admits a request from a sidecar. A request for an instance other than the local one is rejected without being
+// executed: its target has ended, or the local instance is not known yet.
 func (i *inbound) admit(h *h1.Head) (policy.Request, time.Duration, *fronthttp1.Rejection) {
 	terms, remaining, ok := parseAttempt(h)
 	if !ok {
@@ -119,7 +119,9 @@
 	}
 	terms, remaining, ok := parseAttempt(h)
 	if !ok || terms.Idempotent || a != nil && !a.RejectedByFront {
-		return true // no sidecar runs a request that can't be parsed
+		// No sidecar runs a request that can't be parsed, an idempotent one may run again, and the engine has recorded
+		// its rejection.
+		return true
 	}
 	return i.gate.AttemptLog().RecordRejection(i.clock.Now(), terms.Key, terms.SendID, remaining)
 }
--- a/internal/mesh/sidecar/memory_network_test.go
+++ b/internal/mesh/sidecar/memory_network_test.go
@@ -45,10 +45,10 @@
 // hold that lock.
 type link struct {
 	net         *memoryNetwork
-	owners      [2]string
+	owners      [2]string      // names of the dialling and the listening process
 	ends        [2]*memoryConn // index 0 is the end that dialled
-	bytesPassed [2]int
-	plan        *faultPlan // nil: no fault is pending
+	bytesPassed [2]int         // by direction
+	plan        *faultPlan     // nil: no fault is pending
 	broken      bool
 	frozen      bool
 	delayed     [2][]func() // deliveries after the freeze, by direction
--- a/internal/mesh/sidecar/mesh_test.go
+++ b/internal/mesh/sidecar/mesh_test.go
@@ -60,8 +60,8 @@
 	engines     []*engine.Engine // one per gate; the last one is the caller's
 	upstreamLog struct {
 		sync.Mutex
-		executions, arrivals map[string]int
-		written              map[string]string
+		executions, arrivals map[string]int    // by request id
+		written              map[string]string // output by request id
 	}
 	upstreams upstreamBehavior // behavior of both upstreams
 }
--- a/internal/mesh/sidecar/outbound.go
+++ b/internal/mesh/sidecar/outbound.go
@@ -204,7 +204,7 @@
 		return nil, o.rejectUnlessOutdated(http.StatusUnauthorized, "no such key")
 	}
 	if retryAfter, allowed := o.quota.allow(tenant.Name); !allowed {
-		return nil, rejectWithRetryAfter(http.StatusTooManyRequests, "over the quota", retryAfter)
+		return nil, rejectWithRetryAfter(http.StatusTooManyRequests, "the tenant is over its quota", retryAfter)
 	}
 	return tenant, nil
 }
--- a/internal/mesh/sidecar/outdated_test.go
+++ b/internal/mesh/sidecar/outdated_test.go
@@ -137,8 +137,8 @@
 type outdatedFleet struct {
 	t      *testing.T
 	core   *fakeCore
-	ports  []int // of listeners: inbound, outbound, readiness, control plane, internal, upstream
-	nodes  map[string]string
+	ports  []int             // of listeners: inbound, outbound, readiness, control plane, internal, upstream
+	nodes  map[string]string // loopback address by node name
 	lastID atomic.Int64
 
 	mu         sync.Mutex
@@ -293,7 +293,10 @@
 	}
 	f.core.mu.Unlock()
 	f.core.replace(t, movedConfig(2, "new"))
-	f.waitUntil("the change is in force", func() bool { _, at := f.get("old-1", "/moved/"); return at == "new" })
+	f.waitUntil("the change is applied", func() bool {
+		_, servedBy := f.get("old-1", "/moved/")
+		return servedBy == "new"
+	})
 	// Meanwhile clients continue to send through all sidecars, so that these observe each other's versions.
 	poll := time.NewTicker(outdatedPoll)
 	defer poll.Stop()
@@ -306,9 +309,9 @@
 	for _, node := range outdated {
 		served := 0
 		for range 20 {
-			if status, at := f.get(node, "/moved/"); at == "old" || status == http.StatusNotFound {
+			if status, servedBy := f.get(node, "/moved/"); servedBy == "old" || status == http.StatusNotFound {
 				t.Errorf("%s: request for /moved/ got status %d and was run by %q, %v or more after its route changed",
-					node, status, at, outdatedConfigApply)
+					node, status, servedBy, outdatedConfigApply)
 			}
 			if status, _ := f.get(node, "/new/"); status == http.StatusOK {
 				served++
--- a/internal/mesh/sidecar/quota_fleet_test.go
+++ b/internal/mesh/sidecar/quota_fleet_test.go
@@ -43,8 +43,8 @@
 	// countDelay is the time from a sidecar's start until it learns the number of sidecars from a core machine.
 	countDelay time.Duration
 	clients    []*fleetClient // an entry is nil while its sidecar is down
-	admitted   []time.Time
-	began      time.Time
+	admitted   []time.Time    // when requests were admitted
+	startedAt  time.Time
 
 	// dropsResponse reports whether responses to a node are lost now. nil: no responses are lost.
 	dropsResponse func(node string) bool
@@ -74,7 +74,7 @@
 func newStoppedQuotaFleet(t *testing.T, countDelay time.Duration, limit quota.Limit) *quotaFleet {
 	t.Helper()
 	f := &quotaFleet{
-		t: t, rng: rand.New(rand.NewPCG(1, 1)), limit: limit, began: time.Now(), countDelay: countDelay,
+		t: t, rng: rand.New(rand.NewPCG(1, 1)), limit: limit, startedAt: time.Now(), countDelay: countDelay,
 		bounds: settings.Bounds{
 			QuotaWindow: 5 * time.Second, QuotaOverage: 0.1, QuotaSlack: 20,
 			RetryWindow: 10 * time.Second, RetryBudgetRatio: 0.2, RetryBudgetSlack: 62,
@@ -199,7 +199,7 @@
 func (f *quotaFleet) allocate(request *AllocateRequest) (quota.Response, error) {
 	f.allocatorMu.Lock()
 	defer f.allocatorMu.Unlock()
-	now := time.Since(f.began)
+	now := time.Since(f.startedAt)
 	limits := map[string]quota.Limit{quotaTenant: f.limit}
 	if err := f.allocator.Configure(now, limits, f.members("")); err != nil {
 		return quota.Response{}, err
@@ -246,7 +246,7 @@
 			first++
 		}
 		if count := last - first + 1; count > maxAdmitted {
-			maxAdmitted, windowStart = count, f.admitted[first].Sub(f.began)
+			maxAdmitted, windowStart = count, f.admitted[first].Sub(f.startedAt)
 		}
 	}
 	if float64(maxAdmitted) > allowed {
--- a/internal/mesh/sidecar/quota_silence_test.go
+++ b/internal/mesh/sidecar/quota_silence_test.go
@@ -40,7 +40,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if node == "" {
-		return f.table.ShareHolders(time.Since(f.began))
+		return f.table.ShareHolders(time.Since(f.startedAt))
 	}
 	return f.reportedCounts[node]
 }
@@ -49,7 +49,7 @@
 func (f *countedFleet) renewAll(sequence registry.Sequence) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	now := time.Since(f.began)
+	now := time.Since(f.startedAt)
 	f.table.Expire(now)
 	for i := range f.clients {
 		if f.outOfContact(nodeName(i)) {
@@ -70,7 +70,7 @@
 func (f *countedFleet) idle(duration time.Duration) {
 	for end := time.Now().Add(duration); time.Now().Before(end); {
 		<-time.After(registry.LeaseTTL / 3)
-		f.renewAll(registry.Sequence(time.Since(f.began)))
+		f.renewAll(registry.Sequence(time.Since(f.startedAt)))
 	}
 }
 
--- a/internal/mesh/sidecar/route_timeout_test.go
+++ b/internal/mesh/sidecar/route_timeout_test.go
@@ -31,10 +31,10 @@
 // would receive its response too late.
 func TestResponseEndsAtRouteTimeout(t *testing.T) {
 	for name, request := range map[string]string{
-		"no answer":                          readRequest,
-		"no answer to a body":                postTo("/read/", 2),
-		"no answer to a streamed body":       postTo("/read/", 2*call.MaxBufferedBody),
-		"no answer to a streamed body, once": postTo("/write/", 2*call.MaxBufferedBody),
+		"no response":                                    readRequest,
+		"no response to a buffered body":                 postTo("/read/", 2),
+		"no response to a streamed body":                 postTo("/read/", 2*call.MaxBufferedBody),
+		"no response to a streamed body, non-idempotent": postTo("/write/", 2*call.MaxBufferedBody),
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
