--- a/internal/mesh/sidecar/heartbeat.go
+++ b/internal/mesh/sidecar/heartbeat.go
@@ -14,7 +14,7 @@
 	if u.Address != s.settings.Self.AppAddress {
 		s.log.Warn("heartbeat rejected: it names another address than the settings",
 			zap.String("instance", u.Instance), zap.String("address", u.Address))
-		return errs.New(errs.Invalid, "heartbeat address %s is not the appAddress of this sidecar's settings", u.Address)
+		return errs.New(errs.Invalid, "address %s is not beside this sidecar", u.Address)
 	}
 	u.Node, u.Zone, u.Region = s.settings.Self.NodeName, s.settings.Self.Zone, s.settings.Self.Region
 	before := s.endpoints.localUpstream()
--- a/internal/mesh/sidecar/inbound.go
+++ b/internal/mesh/sidecar/inbound.go
@@ -49,13 +49,13 @@
 	terms, remaining, ok := parseAttempt(h)
 	if !ok {
 		return policy.Request{}, 0, &fronthttp1.Rejection{
-			Status: http.StatusBadRequest, Reason: "not a valid request from a sidecar",
+			Status: http.StatusBadRequest, Reason: "no request of a sidecar",
 		}
 	}
 	instance := i.instance.Load()
 	if instance == nil || *instance != h.Get(headers.Target) {
 		return policy.Request{}, 0, &fronthttp1.Rejection{
-			Status: http.StatusServiceUnavailable, Reason: "the local instance is not the target instance", KeepAlive: true,
+			Status: http.StatusServiceUnavailable, Reason: "another instance is here", KeepAlive: true,
 		}
 	}
 	if rejection := i.verifier.check(h); rejection != nil {
@@ -63,7 +63,7 @@
 	}
 	if !i.drain.canFinish(i.clock.Now(), remaining) && !i.isOwnAttempt(h) {
 		return policy.Request{}, 0, &fronthttp1.Rejection{
-			Status: http.StatusServiceUnavailable, Reason: "this sidecar drains and ends before the request's deadline",
+			Status: http.StatusServiceUnavailable, Reason: "this sidecar ends before the request's time",
 			KeepAlive: true, RetryAfter: drainRetryAfter,
 		}
 	}
--- a/internal/mesh/sidecar/outbound.go
+++ b/internal/mesh/sidecar/outbound.go
@@ -97,7 +97,7 @@
 	}
 	if now := o.clock.Now(); o.drain.isPastGuarantee(now) && !o.drain.canFinish(now, remaining) {
 		return policy.Request{}, 0, rejectWithRetryAfter(http.StatusServiceUnavailable,
-			"this sidecar drains and ends before the request's deadline", drainRetryAfter)
+			"this sidecar ends before the request's time", drainRetryAfter)
 	}
 	tenant, rejection := o.admitTenant(snapshot, route, h)
 	if rejection != nil {
@@ -204,7 +204,7 @@
 		return nil, o.rejectUnlessOutdated(http.StatusUnauthorized, "no such key")
 	}
 	if retryAfter, allowed := o.quota.allow(tenant.Name); !allowed {
-		return nil, rejectWithRetryAfter(http.StatusTooManyRequests, "the tenant is over its quota", retryAfter)
+		return nil, rejectWithRetryAfter(http.StatusTooManyRequests, "over the quota", retryAfter)
 	}
 	return tenant, nil
 }
--- a/internal/mesh/sidecar/verification.go
+++ b/internal/mesh/sidecar/verification.go
@@ -58,7 +58,7 @@
 	if current.Version() > attempt.Admitted && !allows(current, v.service, h, attempt.Key) {
 		v.rejected.Add(1)
 		return &fronthttp1.Rejection{
-			Status: headers.StatusConfigOutdated, Reason: "a newer configuration does not allow the request", KeepAlive: true,
+			Status: headers.StatusConfigOutdated, Reason: "a newer configuration does not allow it", KeepAlive: true,
 		}
 	}
 	if v.outdatedTooLong(now, max(current.Version(), attempt.Admitted)) {
