--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -97,8 +97,10 @@
 // Probe probes a server.
 func (i *instance) Probe(to policy.ServerID) { i.host.reply.Probe(i.number, wire.Upstream(to)) }
 
-// Close closes the idle connections to a server.
-func (i *instance) Close(to policy.ServerID) { i.host.reply.CloseIdle(i.number, wire.Upstream(to)) }
+// CloseIdleConnections closes the idle connections to a server.
+func (i *instance) CloseIdleConnections(to policy.ServerID) {
+	i.host.reply.CloseIdle(i.number, wire.Upstream(to))
+}
 
 // WatchList subscribes to the server list.
 func (i *instance) WatchList() { i.host.reply.WatchList(i.number, true) }
@@ -238,7 +240,7 @@
 		if err != nil {
 			return err
 		}
-		i.balancer.StreamBegun(policy.RequestID(id))
+		i.balancer.StreamStarted(policy.RequestID(id))
 	case wire.EvProbeResult:
 		upstream, end, report, err := rec.ProbeResult()
 		if err != nil {
--- a/internal/lab/emulator/sidecar.go
+++ b/internal/lab/emulator/sidecar.go
@@ -250,8 +250,8 @@
 	})
 }
 
-// Close has no use here: connections are not played.
-func (s *sidecar) Close(policy.ServerID) {}
+// CloseIdleConnections has no use here: connections are not played.
+func (s *sidecar) CloseIdleConnections(policy.ServerID) {}
 
 // WatchList has none: the list comes by itself.
 func (s *sidecar) WatchList() {}
--- a/internal/lab/replay/estimate.go
+++ b/internal/lab/replay/estimate.go
@@ -188,8 +188,8 @@
 	r.clock.After(s.took, func() { r.b.Probed(r.clock.Now, to, s.ok, s.load) })
 }
 
-// Close does nothing: connections are not played.
-func (r *run) Close(policy.ServerID) {}
+// CloseIdleConnections does nothing: connections are not played.
+func (r *run) CloseIdleConnections(policy.ServerID) {}
 
 // WatchList does nothing: lists come as they were recorded.
 func (r *run) WatchList() {}
--- a/internal/lab/replay/exact.go
+++ b/internal/lab/replay/exact.go
@@ -212,7 +212,7 @@
 	case *recordpb.Record_Gone:
 		b.ClientGone(now, policy.RequestID(what.Gone.Id))
 	case *recordpb.Record_Begun:
-		b.StreamBegun(policy.RequestID(what.Begun.Id))
+		b.StreamStarted(policy.RequestID(what.Begun.Id))
 	case *recordpb.Record_Reconfigure:
 		var l policy.Limits
 		if err := json.Unmarshal(what.Reconfigure.Limits, &l); err != nil {
--- a/internal/mesh/balancer/balancer.go
+++ b/internal/mesh/balancer/balancer.go
@@ -78,7 +78,7 @@
 
 // Request receives a request: it is sent, queued or rejected at once. Its Terms are a *RequestClass.
 func (b *Balancer) Request(now time.Duration, q policy.Request) {
-	class, ok := q.Terms.(*RequestClass)
+	class, ok := q.Attributes.(*RequestClass)
 	if !ok || q.TimeLeft <= deadlineMargin || b.requests[q.ID] != nil {
 		b.counters.Refused++
 		b.host.Refuse(q.ID, 0)
@@ -144,8 +144,8 @@
 	b.dispatchQueued(now)
 }
 
-// StreamBegun records that a client has its answer while that still arrives.
-func (b *Balancer) StreamBegun(id policy.RequestID) {
+// StreamStarted records that a client has its answer while that still arrives.
+func (b *Balancer) StreamStarted(id policy.RequestID) {
 	if r := b.requests[id]; r != nil {
 		b.complete(r)
 	}
--- a/internal/mesh/balancer/compartment_test.go
+++ b/internal/mesh/balancer/compartment_test.go
@@ -56,13 +56,13 @@
 		h := newHarness(ready(1, 0, 1))
 		for remaining := ms; remaining <= deadlineMargin; remaining += ms {
 			h.balancer.Request(h.now, policy.Request{
-				ID: policy.RequestID(remaining), TimeLeft: remaining, Terms: newClass(),
+				ID: policy.RequestID(remaining), TimeLeft: remaining, Attributes: newClass(),
 			})
 			So(h.takeDecisions(), ShouldResemble, []string{fmt.Sprintf("refuse %d", remaining)})
 		}
 		h = newHarness()
 		check := newClass(func(c *RequestClass) { c.Priority = 0 })
-		h.balancer.Request(h.now, policy.Request{ID: 1, TimeLeft: deadlineMargin + ms, Terms: check})
+		h.balancer.Request(h.now, policy.Request{ID: 1, TimeLeft: deadlineMargin + ms, Attributes: check})
 		h.now += ms
 		h.balancer.List(h.now, policy.ListFull, []policy.Server{ready(1, 0, 1)})
 		So(h.takeDecisions(), ShouldResemble, []string{"refuse 1"})
--- a/internal/mesh/balancer/harness_test.go
+++ b/internal/mesh/balancer/harness_test.go
@@ -84,7 +84,7 @@
 
 // request has a request arrive that has a second.
 func (h *harness) request(id policy.RequestID, class *RequestClass) []string {
-	h.balancer.Request(h.now, policy.Request{ID: id, TimeLeft: time.Second, Terms: class})
+	h.balancer.Request(h.now, policy.Request{ID: id, TimeLeft: time.Second, Attributes: class})
 	return h.takeDecisions()
 }
 
--- a/internal/mesh/balancer/random_test.go
+++ b/internal/mesh/balancer/random_test.go
@@ -194,7 +194,7 @@
 	}
 	id := policy.RequestID(len(tr.requests) + 1)
 	tr.requests[id] = r
-	tr.h.balancer.Request(now, policy.Request{ID: id, TimeLeft: remaining, Terms: class})
+	tr.h.balancer.Request(now, policy.Request{ID: id, TimeLeft: remaining, Attributes: class})
 	c := tr.h.balancer.compartments[class.Compartment.Name]
 	if !r.answered && !r.inFlight && len(c.queue) > c.queueSlots {
 		t.Fatalf("request %d is queued as one of %d for %d queue slots", id, len(c.queue), c.queueSlots)
--- a/internal/mesh/balancer/request.go
+++ b/internal/mesh/balancer/request.go
@@ -14,7 +14,7 @@
 	highestPriorityWaitFraction = 0.4
 )
 
-// RequestClass is what the balancer decides by; policy.Request.Terms holds it.
+// RequestClass is what the balancer decides by; policy.Request.Attributes holds it.
 type RequestClass struct {
 	Service       int // number of its service, the policy.Server.Cell of its upstreams
 	Compartment   CompartmentSpec
--- a/internal/mesh/gate/gate.go
+++ b/internal/mesh/gate/gate.go
@@ -138,8 +138,8 @@
 // Probed does nothing: the gate asks for no health checks.
 func (g *Gate) Probed(time.Duration, policy.ServerID, bool, policy.Load) {}
 
-// StreamBegun does nothing: the slot stays in use until the Outcome.
-func (g *Gate) StreamBegun(policy.RequestID) {}
+// StreamStarted does nothing: the slot stays in use until the Outcome.
+func (g *Gate) StreamStarted(policy.RequestID) {}
 
 // Reconfigure does nothing: the gate depends on the list alone.
 func (g *Gate) Reconfigure(time.Duration, policy.Limits) error { return nil }
--- a/internal/mesh/gate/gate_test.go
+++ b/internal/mesh/gate/gate_test.go
@@ -23,7 +23,7 @@
 		So(h.request(3, 2, time.Second, 0), ShouldBeEmpty)
 		So(h.request(4, 2, time.Second, 0), ShouldResemble, []string{"refuse 4 10ms"})
 		So(h.request(5, 1, time.Second, 0), ShouldResemble, []string{"refuse 3 10ms"})
-		h.gate.Request(h.now, policy.Request{ID: 6, TimeLeft: time.Second}) // without Terms: priority 2
+		h.gate.Request(h.now, policy.Request{ID: 6, TimeLeft: time.Second}) // without Attributes: priority 2
 		So(h.takeDecisions(), ShouldResemble, []string{"refuse 6 10ms"})
 		So(h.endAttempt(ms, 1, policy.Served), ShouldResemble, []string{"send 5 to 1 for 0s"})
 		So(h.request(7, 0, time.Second, 0), ShouldBeEmpty) // has queue slots of its own
--- a/internal/mesh/gate/harness_test.go
+++ b/internal/mesh/gate/harness_test.go
@@ -85,7 +85,7 @@
 func (h *harness) requestWithTerms(
 	id policy.RequestID, terms *AttemptTerms, remaining time.Duration,
 ) []string {
-	h.gate.Request(h.now, policy.Request{ID: id, TimeLeft: remaining, Terms: terms})
+	h.gate.Request(h.now, policy.Request{ID: id, TimeLeft: remaining, Attributes: terms})
 	return h.takeDecisions()
 }
 
--- a/internal/mesh/gate/random_test.go
+++ b/internal/mesh/gate/random_test.go
@@ -270,7 +270,7 @@
 	}
 	tr.arrivals[tr.last] = a
 	tr.h.gate.Request(tr.h.now, policy.Request{
-		ID: tr.last, TimeLeft: time.Second, Terms: onceTerms(a.id, 7, a.send),
+		ID: tr.last, TimeLeft: time.Second, Attributes: onceTerms(a.id, 7, a.send),
 	})
 }
 
--- a/internal/mesh/gate/request.go
+++ b/internal/mesh/gate/request.go
@@ -20,7 +20,7 @@
 	maxRemaining = time.Hour
 )
 
-// AttemptTerms are what a caller's sidecar sends along with a request: policy.Request.Terms.
+// AttemptTerms are what a caller's sidecar sends along with a request: policy.Request.Attributes.
 type AttemptTerms struct {
 	Priority      int           // 0 is the highest: internal checks
 	Idempotent    bool          // it may run twice
@@ -49,7 +49,7 @@
 	remaining := min(q.TimeLeft, maxRemaining)
 	r := &request{id: q.ID, priority: defaultPriority, arrivedAt: now, deadline: now + remaining, mayCancel: MayCancel(q)}
 	latencyTarget := remaining
-	r.terms, _ = q.Terms.(*AttemptTerms)
+	r.terms, _ = q.Attributes.(*AttemptTerms)
 	if r.terms != nil {
 		r.priority = min(max(r.terms.Priority, 0), lowestPriority)
 		if r.terms.LatencyTarget > 0 {
@@ -70,6 +70,6 @@
 // one that is known to be idempotent. What must not run twice is finished once it has begun, or nobody
 // could tell what became of it.
 func MayCancel(q policy.Request) bool {
-	terms, _ := q.Terms.(*AttemptTerms)
+	terms, _ := q.Attributes.(*AttemptTerms)
 	return terms != nil && terms.Idempotent
 }
--- a/internal/mesh/sidecar/inbound.go
+++ b/internal/mesh/sidecar/inbound.go
@@ -67,7 +67,7 @@
 			KeepAlive: true, RetryAfter: drainRetryAfter,
 		}
 	}
-	return policy.Request{Terms: terms}, remaining, nil
+	return policy.Request{Attributes: terms}, remaining, nil
 }
 
 // isOwn reports whether an attempt is this sidecar's own: its client is connected here, and the front for clients
--- a/internal/mesh/sidecar/inbound_test.go
+++ b/internal/mesh/sidecar/inbound_test.go
@@ -106,7 +106,7 @@
 		q, remaining, rejection := d.ParseRequest(h)
 		So(rejection, ShouldBeNil)
 		So(remaining, ShouldEqual, 800*time.Millisecond)
-		So(*q.Terms.(*gate.AttemptTerms), ShouldResemble, gate.AttemptTerms{
+		So(*q.Attributes.(*gate.AttemptTerms), ShouldResemble, gate.AttemptTerms{
 			Priority: 2, Idempotent: true, LatencyTarget: 250 * time.Millisecond,
 		})
 		fields := h.EndToEnd()
--- a/internal/mesh/sidecar/outbound.go
+++ b/internal/mesh/sidecar/outbound.go
@@ -60,7 +60,7 @@
 }
 
 // canPipeline reports whether a request may be in flight together with others of its connection.
-func canPipeline(q *policy.Request) bool { return q.Terms.(*balancer.RequestClass).Idempotent }
+func canPipeline(q *policy.Request) bool { return q.Attributes.(*balancer.RequestClass).Idempotent }
 
 // ownResponseFields are the fields of a response that the front itself makes.
 func ownResponseFields(h *h1.Head, _ *call.Answer) http.Header {
@@ -102,7 +102,7 @@
 	if rejection != nil {
 		return policy.Request{}, 0, rejection
 	}
-	return policy.Request{Terms: o.classify(snapshot, route, tenant)}, remaining, nil
+	return policy.Request{Attributes: o.classify(snapshot, route, tenant)}, remaining, nil
 }
 
 // rejectAndClose rejects a request whose head or body can't be trusted to end where it says.
@@ -210,7 +210,7 @@
 func (o *outbound) rewriteHeaders(q *policy.Request, fields http.Header) {
 	key := fields[headers.Key]
 	headers.StripInternal(fields)
-	class := q.Terms.(*balancer.RequestClass)
+	class := q.Attributes.(*balancer.RequestClass)
 	o.attemptConfig(class, key).Set(fields)
 	fields[headers.Caller] = o.callerField
 	if class.Tenant != "" {
--- a/internal/mesh/sidecar/outbound_test.go
+++ b/internal/mesh/sidecar/outbound_test.go
@@ -108,7 +108,7 @@
 		q, remaining, rejection := d.ParseRequest(h)
 		So(rejection, ShouldBeNil)
 		So(remaining, ShouldEqual, 900*time.Millisecond)
-		class := *q.Terms.(*balancer.RequestClass)
+		class := *q.Attributes.(*balancer.RequestClass)
 		So(class.Compartment.Share, ShouldBeBetween, 0, 0.5)
 		class.Compartment.Share = 0
 		So(class, ShouldResemble, balancer.RequestClass{
--- a/internal/mesh/sidecar/routes_test.go
+++ b/internal/mesh/sidecar/routes_test.go
@@ -46,7 +46,7 @@
 		classOf := func(line string) *balancer.RequestClass {
 			q, _, rejection := d.ParseRequest(parseHead(line, attemptIDField))
 			So(rejection, ShouldBeNil)
-			return q.Terms.(*balancer.RequestClass)
+			return q.Attributes.(*balancer.RequestClass)
 		}
 		check := classOf("GET /check/ HTTP/1.1\r\nHost: hulo84.example")
 		So(check.Priority, ShouldEqual, 0)
--- a/internal/proxy/engine/engine.go
+++ b/internal/proxy/engine/engine.go
@@ -66,7 +66,7 @@
 	List(now time.Duration, kind policy.ListKind, entries []policy.Server)
 	Probed(now time.Duration, id policy.ServerID, ok bool, l policy.Load)
 	ClientGone(now time.Duration, id policy.RequestID)
-	StreamBegun(id policy.RequestID)
+	StreamStarted(id policy.RequestID)
 	Reconfigure(now time.Duration, l policy.Limits) error
 	Counters() policy.Counters
 }
--- a/internal/proxy/engine/host.go
+++ b/internal/proxy/engine/host.go
@@ -111,8 +111,8 @@
 	s.Probe(done)
 }
 
-// Close closes the idle connections to a server.
-func (h host) Close(to policy.ServerID) {
+// CloseIdleConnections closes the idle connections to a server.
+func (h host) CloseIdleConnections(to policy.ServerID) {
 	if s := h.engine.servers[to]; s != nil {
 		s.CloseIdle()
 	}
--- a/internal/proxy/engine/requests.go
+++ b/internal/proxy/engine/requests.go
@@ -152,5 +152,5 @@
 	e.finish(id, r, &call.Answer{
 		Kind: call.Served, Status: res.Status, Header: res.Header, Stream: res.Stream,
 	})
-	e.module.StreamBegun(id)
+	e.module.StreamStarted(id)
 }
--- a/internal/proxy/record/action_recorder.go
+++ b/internal/proxy/record/action_recorder.go
@@ -36,8 +36,8 @@
 	r(&recordpb.Record{What: &recordpb.Record_Alarm{Alarm: &recordpb.Alarm{After: int64(d)}}})
 }
 
-// Close records an action.
-func (r ActionRecorder) Close(to policy.ServerID) {
+// CloseIdleConnections records an action.
+func (r ActionRecorder) CloseIdleConnections(to policy.ServerID) {
 	r(&recordpb.Record{What: &recordpb.Record_Close{Close: &recordpb.Close{Server: uint64(to)}}})
 }
 
--- a/internal/proxy/record/golden_test.go
+++ b/internal/proxy/record/golden_test.go
@@ -55,7 +55,7 @@
 	actions.Fail(36)
 	actions.Cancel(37, 38)
 	actions.Wake(39)
-	actions.Close(40)
+	actions.CloseIdleConnections(40)
 	actions.Probe(41)
 	actions.WatchList()
 	actions.Log("a line")
--- a/internal/proxy/record/recorded_balancer.go
+++ b/internal/proxy/record/recorded_balancer.go
@@ -91,10 +91,10 @@
 	b.balancer.ClientGone(now, id)
 }
 
-// StreamBegun forwards an event.
-func (b *RecordedBalancer) StreamBegun(id policy.RequestID) {
+// StreamStarted forwards an event.
+func (b *RecordedBalancer) StreamStarted(id policy.RequestID) {
 	b.append(&recordpb.Record{What: &recordpb.Record_Begun{Begun: &recordpb.Begun{Id: uint64(id)}}})
-	b.balancer.StreamBegun(id)
+	b.balancer.StreamStarted(id)
 }
 
 // Reconfigure forwards an event.
@@ -146,10 +146,10 @@
 	h.balancer.host.Wake(d)
 }
 
-// Close records and forwards an action.
-func (h recordingHost) Close(to policy.ServerID) {
-	h.recorder().Close(to)
-	h.balancer.host.Close(to)
+// CloseIdleConnections records and forwards an action.
+func (h recordingHost) CloseIdleConnections(to policy.ServerID) {
+	h.recorder().CloseIdleConnections(to)
+	h.balancer.host.CloseIdleConnections(to)
 }
 
 // Probe records and forwards an action.
--- a/policy/api.go
+++ b/policy/api.go
@@ -1,21 +1,3 @@
-// Package policy decides, for one client-side load balancer (a sidecar), when and where each request is sent,
-// retried, refused or failed.
-//
-// A Balancer is single-threaded and deterministic: it has no goroutines, no clock and no I/O. The program that
-// embeds it calls one method per event and passes the time; the Balancer answers through the Host it was given.
-// This file is the interface. The decisions on requests are in policy.go, those on servers in servers.go, and sizes in
-// sizing.go.
-//
-// Times are durations since a fixed moment of the embedding program's choice; they must never go back, and all
-// calls for one Balancer come from one goroutine, in the order of what happened. The order of calls: New, Start,
-// List with the servers known so far, then Request, Outcome, Wake, List, Probed, ClientGone, StreamBegun and
-// Reconfigure as they occur. Each Host.Send brings exactly one Outcome, also after the request has been answered;
-// each Host.Wake one call of Wake, late rather than never. A request is answered once: by an Outcome with Finished
-// set, or by Host.Refuse or Host.Fail.
-//
-// Bad input does no harm: a request that names no class or tenant, or has no time left, is refused; an outcome,
-// probe or departure of something unknown is ignored, and so is a repeated one. New and Reconfigure return
-// an error that names the field for settings that cannot be used; it then changes nothing.
 package policy
 
 import (
@@ -26,21 +8,21 @@
 	"caperarch/internal/proxy/requestclass"
 )
 
-// RequestID names a request; the host picks it and never uses one twice.
+// RequestID identifies a request. The Host chooses it and never uses an ID twice.
 type RequestID uint64
 
-// ServerID names a server; it stays the same when the server restarts.
+// ServerID identifies a server. A server keeps its ID when it restarts.
 type ServerID uint64
 
-// What the settings say of classes of requests and of tenants: see internal/proxy/requestclass.
+// Settings of request classes and tenants, defined in internal/proxy/requestclass.
 type (
-	// Effect says what running a request of a class twice does.
+	// Effect tells what running a request of a class twice does.
 	Effect = requestclass.Effect
-	// Scope is the group of servers that drops repeats of a keyed request.
+	// Scope is the group of servers that drops repeats of a deduplicated request.
 	Scope = requestclass.Scope
-	// Class is a class of requests.
+	// Class holds the settings of one class of requests.
 	Class = requestclass.Class
-	// Tenant is a tenant with its share.
+	// Tenant is a customer with a share of the service.
 	Tenant = requestclass.Tenant
 )
 
@@ -51,79 +33,81 @@
 	NonIdempotent = requestclass.NonIdempotent
 )
 
-// The scopes of classes.
+// The scopes of deduplicated classes.
 const (
 	ScopeAll  = requestclass.ScopeAll
 	ScopeZone = requestclass.ScopeZone
 	ScopeCell = requestclass.ScopeCell
 )
 
-// RetryBudget limits attempts after each request's first; the zero value: no limit.
+// RetryBudget limits the attempts after each request's first. The zero value sets no limit.
 type RetryBudget = admission.RetryLimit
 
-// Config holds the settings a Balancer starts with; it does not change them. Recordings hold it as JSON,
-// under the keys of the tags.
+// Config holds the settings that a Balancer starts with. Recordings hold a Config as JSON, under the keys of the tags.
 type Config struct {
-	Balancers int // balancers that send to the same servers, this one included
-	Index     int // this balancer's number among them, from 0
-	Zone      int // the zone this balancer is in
+	Balancers int // balancers that send to the same servers, this balancer included
+	Index     int // number of this balancer among them, from 0
+	Zone      int // zone of this balancer
 	Classes   []Class
-	Tenants   []Tenant // may be empty: then there is one compartment
+	Tenants   []Tenant // if empty, all requests share one compartment
 
-	Slots int // slots of this balancer over all compartments; 0 derives them from the rest
+	Slots int // slots of this balancer in all compartments; 0: derived from the quotas or the first list
 
-	MaxAttempts        int           // attempts for one request at most
-	MayCancel          bool          // Host.Cancel may be used
-	MayProbe           bool          // Host.Probe may be used
-	MaxRetryAfter      time.Duration // the longest Retry-After that clients heed
+	MaxAttempts        int           // most attempts for one request
+	MayCancel          bool          // the Balancer may call Host.Cancel
+	MayProbe           bool          // the Balancer may call Host.Probe
+	MaxRetryAfter      time.Duration // the longest Retry-After that clients observe
 	ClientsMarkRetries bool          `json:"MarksRepeat"` // clients mark their own retries: Request.IsRetry
 
-	Budget RetryBudget // the zero value: no limit
-	// KeyBlockTime is how long a key's next request waits after an attempt that may still be running.
+	Budget RetryBudget // the zero value sets no limit
+	// KeyBlockTime is how long the next request of a key waits after an attempt that may still be running.
 	KeyBlockTime time.Duration `json:"OrderSettle"`
-	// IdleCloseTime is how soon idle connections to a draining server are closed; 0: they are left open.
+	// IdleCloseTime is the time within which idle connections to a draining server are closed; 0: they stay open.
 	IdleCloseTime time.Duration `json:"CloseWithin"`
 
-	Tick time.Duration // events come at most this often
+	Tick time.Duration // shortest time between two events: calls of Wake may be this late
 
-	ListOnDemand bool `json:"AskList"` // the server list must be asked for
-	// ListMaxAge is how long after it a change counts as received by one who did not ask; 0: not known.
+	ListOnDemand bool `json:"AskList"` // the server list is sent only to balancers that ask for it
+	// ListMaxAge is the time after which a balancer counts as informed of a change of the list, even if it has not
+	// asked for the list; 0: unknown.
 	ListMaxAge time.Duration `json:"AskWithin"`
 
-	// SlowStartShare is the least share of its capacity that a server starts with, and SlowStartTime the
-	// time after which it has all of it. Sent more than SlowStartOverload times its capacity of that moment,
-	// it fails.
+	// SlowStartShare is the fraction of its capacity that a server has at least when it starts, and SlowStartTime the
+	// time after which it has its full capacity. A server fails if it is sent more than SlowStartOverload times its
+	// capacity of that moment.
 	SlowStartShare    float64       `json:"ColdFrom"`
 	SlowStartTime     time.Duration `json:"ColdTime"`
 	SlowStartOverload float64       `json:"ColdMultiple"`
 
-	Reports LoadFields // what servers' load reports hold
+	Reports LoadFields // the fields that the servers' load reports have
 
-	ProbePrice     float64 // price of a probe, against a request's value of 1
-	CrossZonePrice float64 // price of an attempt that leaves the zone, against a request's value of 1
+	ProbePrice     float64 // price of a probe, relative to a request's value of 1
+	CrossZonePrice float64 // price of an attempt at a server of another zone, relative to a request's value of 1
 
-	// FleetSize is how many balancers were seen; nil: none. More than Balancers lower budgets, fewer raise none.
+	// FleetSize returns how many balancers are seen at present; nil: Balancers applies. More than Balancers lower the
+	// budgets of each, fewer do not raise them.
 	FleetSize func() int `json:"-"`
-	// ArcStart is where this balancer's arc of servers begins among those of the live balancers, from 0 to 1;
-	// nil: by Index and Balancers. A value outside that range is ignored.
+	// ArcStart returns where this balancer's arc of servers starts, as a fraction of the circle from 0 to below 1, by
+	// its place among the live balancers; nil: by Index and Balancers. A value outside the range is ignored.
 	ArcStart func() float64 `json:"-"`
-	// SuspectedDown says that other balancers get no answer from a server: then one failure is enough; nil: none.
+	// SuspectedDown reports whether other balancers get no answer from a server. Such a server is ejected after one
+	// failure instead of two; nil: no server is suspected.
 	SuspectedDown func(ServerID) bool `json:"-"`
-	// Processes is how many processes are this balancer for now, as one replaces the other; nil: one.
+	// Processes returns how many processes act as this balancer at present, as one process replaces another; nil: one.
 	Processes func() int `json:"-"`
-	// NewGate makes the admission control of a compartment; nil: admission.Recovering. For comparisons.
+	// NewGate makes the admission control of a compartment; nil: admission.Recovering. It serves comparisons of gates.
 	NewGate func(rng *rand.Rand) admission.Gate `json:"-"`
 }
 
-// Limits are what Reconfigure changes while a Balancer runs.
+// Limits are the settings that Reconfigure changes while a Balancer runs.
 type Limits struct {
-	Tenants     []Tenant // as many as before; their shares are fractions of 1
+	Tenants     []Tenant // as many as in the Config; a sum of shares below 1 leaves the rest unused
 	MaxAttempts int
-	Queue       int // requests that may wait over all compartments; negative: derived from the slots
+	Queue       int // most queued requests in all compartments; negative: derived from the slots
 	Budget      RetryBudget
 }
 
-// State is what the server list says of a server.
+// State is the state of a server in the server list.
 type State int
 
 // The states of a server.
@@ -137,67 +121,66 @@
 type Server struct {
 	ID      ServerID
 	Zone    int
-	Cell    int // servers of one cell share the keys they have seen
+	Cell    int // servers of one cell share the deduplication keys that they have seen
 	State   State
-	Weight  float64       // nominal size, set against the other servers' weights
-	Started time.Duration // time of its last start; 0 means long ago
+	Weight  float64       // nominal capacity, relative to the other servers' weights
+	Started time.Duration // time of the last start; 0: long ago
 }
 
-// ListKind says how the entries of a list event apply.
+// ListKind tells how the entries of a list event apply.
 type ListKind int
 
 // The kinds of list events.
 const (
-	ListFull   ListKind = iota // all servers; one that is absent is deregistered
-	ListDelta                  // only changed entries
-	ListCached                 // all servers as last known, maybe outdated
+	ListFull   ListKind = iota // all servers; a server without an entry is deregistered
+	ListDelta                  // changed entries only
+	ListCached                 // all servers by a stored list, which may be out of date
 	ListFailed                 // the call failed or the subscription broke; no entries
 )
 
 // Request is one client request.
 type Request struct {
-	ID       RequestID
-	Class    int
-	Tenant   int
-	Key      uint64        // what it is about; 0: nothing in particular
-	TimeLeft time.Duration // until the client gives up
-	Work     time.Duration // expected work; 0 where unknown
-	IsRetry  bool          // known to be a client's own retry
-	Terms    any           // for a module that knows more terms than this one, which ignores them
+	ID         RequestID
+	Class      int           // index in Config.Classes
+	Tenant     int           // index in Config.Tenants
+	Key        uint64        // the subject of the request, for Class.InOrder; 0: none
+	TimeLeft   time.Duration // until the client gives up
+	Work       time.Duration // expected work; 0: unknown
+	IsRetry    bool          // the client marked the request as its own retry
+	Attributes any           // further properties for other decision modules; Balancer ignores them
 }
 
-// Ending says how an attempt ended.
+// Ending tells how an attempt ended.
 type Ending int
 
-// The endings of an attempt. A Balancer takes NotProcessed, NoConnection and NotSent as proof that it never
-// ran; every other one but Served means that it may have run, and so does a value not listed here.
-// Recordings hold the numbers.
+// The endings of an attempt. A Balancer takes NotProcessed, NoConnection and NotSent as proof that the attempt never
+// ran. After any other ending, a value not listed here included, the attempt may have run. Recordings hold the numbers.
 const (
 	Served         Ending = iota
 	Errored               // the server answered with an error of its own
-	NotProcessed          // the server rejected it without running it
-	TimedOut              // no answer came in time
-	NoConnection          // no connection could be made
+	NotProcessed          // the server rejected the request without running it
+	TimedOut              // no answer arrived in time
+	NoConnection          // no connection was made
 	ConnectionLost        // the connection broke after the request was sent
-	Cancelled             // called off with Host.Cancel, or by the client
-	NotSent               // it never left the process
-	InvalidRequest        // the server says that the request is at fault: it would be rejected everywhere
-	GateRejected          // the gate beside the server rejected it: it never came to the server
+	Cancelled             // cancelled with Host.Cancel or by the client
+	NotSent               // the request never left the process
+	InvalidRequest        // the server rejected the request as invalid, as every other server would
+	GateRejected          // the sidecar beside the server rejected the request and did not pass it on
 )
 
-// NeverRan says whether an ending proves that the attempt never ran.
+// NeverRan reports whether an ending proves that the attempt never ran.
 func (e Ending) NeverRan() bool { return e == NotProcessed || e == NoConnection || e == NotSent }
 
 // Outcome is the end of one attempt.
 type Outcome struct {
 	ID       RequestID
-	Attempt  int // numbered from 0 in the order of Host.Send for this request
+	Attempt  int // numbered from 0 in the order of Host.Send for the request
 	Ending   Ending
-	Finished bool // the request has its answer, or needs none any more
-	Load     Load // the server's report, where one came along
+	Finished bool // the request has its answer, or needs none
+	Load     Load // the server's load report, if the answer carried one
 }
 
-// LoadFields is a set of the fields of a Load.
+// LoadFields is a set of fields of a Load.
 type LoadFields uint8
 
 // The fields of a Load.
@@ -210,51 +193,50 @@
 	HasErrors
 )
 
-// Load is what a server reports of itself. The zero value is no report at all.
+// Load is a server's load report. The zero value stands for no report.
 type Load struct {
-	Has      LoadFields    // the fields that are known
-	InFlight float64       // requests at the server, waiting ones included
-	Queued   float64       // of these, requests that wait
-	Busy     float64       // fraction of its cores that is busy
-	Service  time.Duration // its recent mean time for a request, without waiting
-	Served   float64       // requests served a second
-	Errors   float64       // errors a second
+	Has      LoadFields    // the known fields
+	InFlight float64       // requests at the server, queued requests included
+	Queued   float64       // requests queued at the server
+	Busy     float64       // fraction of the server's cores that is busy
+	Service  time.Duration // recent mean time to serve a request, without queueing
+	Served   float64       // requests served per second
+	Errors   float64       // errors per second
 }
 
-// Host carries out what the Balancer decides. Its methods must not call back
-// into the Balancer.
+// Host carries out the decisions of a Balancer. Its methods must not call the Balancer.
 type Host interface {
-	// Send starts the next attempt of a request, given up after timeout.
+	// Send starts the next attempt of a request. The attempt times out after timeout.
 	Send(id RequestID, to ServerID, timeout time.Duration)
-	// Refuse ends a request; a retry is harmless, best after retryAfter.
+	// Refuse ends a request. A retry by the client is harmless, preferably after retryAfter.
 	Refuse(id RequestID, retryAfter time.Duration)
-	// Fail ends a request with no promise about its effect.
+	// Fail ends a request without a promise about its effect.
 	Fail(id RequestID)
-	// Cancel calls off one attempt; its Outcome still comes.
+	// Cancel cancels one attempt. The attempt's Outcome still follows.
 	Cancel(id RequestID, attempt int)
-	// Wake asks for a call of Balancer.Wake after d.
+	// Wake requests a call of Balancer.Wake after d.
 	Wake(d time.Duration)
-	// Close closes the idle connections to a server.
-	Close(to ServerID)
-	// Probe asks a server for a load report; Balancer.Probed brings it.
+	// CloseIdleConnections closes the idle connections to a server.
+	CloseIdleConnections(to ServerID)
+	// Probe asks a server for a load report. Balancer.Probed delivers the report.
 	Probe(to ServerID)
-	// WatchList subscribes to the server list; Balancer.List brings changes.
+	// WatchList subscribes to the server list. Balancer.List delivers the list and its changes.
 	WatchList()
 	// Log writes a line for the on-call engineers.
 	Log(line string)
 }
 
-// Counters tell what a Balancer did since it was made. The log prints them under their names here.
+// Counters count what a Balancer did since New. The log prints the fields under their names.
 type Counters struct {
-	Ordinary  uint64 // first sends by the ordinary path: a slot, and the server whose turn it was
-	Walled    uint64 // sends that went to another server, as the one in turn was at its limit
-	Held      uint64 // times that a request with a free slot had to wait, as all servers were congested
-	Throttled uint64 // requests refused at once by admission control, as too few were answered in time
-	Crossed   uint64 // sends of any kind to another zone, where that has a price
-	Retries   uint64 // further attempts after one that failed
-	Late      uint64 // clients' retries refused as their latency target had passed
-	Queued    uint64 // requests that had to wait for a slot or a server
-	Refused   uint64
-	Failed    uint64
-	Avoided   int // ready servers that were ejected at the last Wake
+	Ordinary  uint64 // first attempts that got a slot and the server whose turn it was
+	Walled    uint64 // sends to a later server, as the server whose turn it was is ejected, paced or at its limit
+	Held      uint64 // dispatches put off by the bulkhead although the compartment had a free slot
+	Throttled uint64 // requests refused on arrival by admission control, as too few were answered in time
+	Crossed   uint64 // sends to another zone, if crossing zones has a price
+	Retries   uint64 // attempts after a request's first
+	Late      uint64 // requests, usually clients' retries, answered unsent as they would be served late
+	Queued    uint64 // requests that waited in a queue for a slot or a server
+	Refused   uint64 // requests answered with Host.Refuse
+	Failed    uint64 // requests answered with Host.Fail
+	Avoided   int    // ready servers that were ejected at the last Wake
 }
--- a/policy/arcs_test.go
+++ b/policy/arcs_test.go
@@ -6,26 +6,26 @@
 	"time"
 )
 
-// Whatever the list and the settings say, requests go out, and no ready server that should have turns is
-// passed over for good: weights that are no weights, few servers or very many, a number of balancers that is
-// far from true, a number outside it, two of one number.
-func TestArcsOfBadInputStillServe(t *testing.T) {
-	odd := func(i int) float64 { return []float64{0, 1e-9, 1e9, math.NaN(), math.Inf(1), -1, 1, 2}[i%8] }
-	plain := func(int) float64 { return 1 }
+// Guards against requests that are not sent, and against ready servers that never get a turn, when the list or the
+// settings are unusual: invalid weights, very few or very many servers, a configured number of balancers that is ten
+// times too large or too small, and an index outside that number.
+func TestArcsOfUnusualInputStillServe(t *testing.T) {
+	invalid := func(i int) float64 { return []float64{0, 1e-9, 1e9, math.NaN(), math.Inf(1), -1, 1, 2}[i%8] }
+	equal := func(int) float64 { return 1 }
 	for name, c := range map[string]struct {
 		balancers, index, servers int
 		weight                    func(int) float64
-		starved                   int // servers at most that all indices together leave without a request
+		starved                   int // most servers that may get no request from any of the tested indices
 	}{
-		"one server":                 {300, 7, 1, plain, 0},
-		"ten thousand":               {300, 7, 10_000, plain, 10_000},
-		"one balancer":               {1, 0, 20, plain, 0},
-		"a hundred thousand":         {100_000, 99_999, 20, plain, 20},
-		"ten times too many":         {400, 39, 20, plain, 0},
-		"ten times too few":          {4, 39, 20, plain, 0},
-		"a number outside":           {40, 1 << 30, 20, plain, 20},
-		"weights that are none":      {40, 3, 24, odd, 24},
-		"weights that are none, few": {40, 3, 3, odd, 3},
+		"one server":                       {300, 7, 1, equal, 0},
+		"ten thousand servers":             {300, 7, 10_000, equal, 10_000},
+		"one balancer":                     {1, 0, 20, equal, 0},
+		"a hundred thousand balancers":     {100_000, 99_999, 20, equal, 20},
+		"ten times too many balancers":     {400, 39, 20, equal, 0},
+		"ten times too few balancers":      {4, 39, 20, equal, 0},
+		"index outside the balancers":      {40, 1 << 30, 20, equal, 20},
+		"invalid weights":                  {40, 3, 24, invalid, 24},
+		"invalid weights, fewer than four": {40, 3, 3, invalid, 3},
 	} {
 		t.Run(name, func(t *testing.T) {
 			cfg := testConfig()
@@ -37,7 +37,7 @@
 			}
 			reached := make(map[ServerID]bool)
 			from := c.index
-			if c.starved == 0 { // all forty that there truly are
+			if c.starved == 0 { // the indices of all balancers that exist: forty in two of the cases
 				from = 0
 			}
 			for index := from; index <= c.index; index++ {
@@ -57,39 +57,40 @@
 				}
 			}
 			if c.servers-len(reached) > c.starved {
-				t.Errorf("%d of %d servers had a request", len(reached), c.servers)
+				t.Errorf("%d of %d servers received requests, want more", len(reached), c.servers)
 			}
 		})
 	}
 }
 
-// Two balancers of one number send to the same servers; a restart, or a list in another order, changes
-// nothing of the arc.
-func TestArcDependsOnTheNumberAlone(t *testing.T) {
+// Two balancers with the same index send to the same servers. Neither a restart nor another order of the list changes
+// the arc.
+func TestArcDependsOnTheIndexAlone(t *testing.T) {
 	cfg := testConfig()
 	cfg.Balancers, cfg.Index, cfg.Tenants = 40, 11, []Tenant{{Share: 1, Quota: 240}}
-	var list, turned []Server
+	var list, reversed []Server
 	for i := range 30 {
 		list = append(list, Server{ID: ServerID(i + 1), State: Ready, Weight: 1})
-		turned = append([]Server{list[i]}, turned...)
+		reversed = append([]Server{list[i]}, reversed...)
 	}
 	a, _ := start(t, cfg, list)
-	b, _ := start(t, cfg, turned)
+	b, _ := start(t, cfg, reversed)
 	if len(a.arc) != len(b.arc) || len(a.arc) < minArcServers {
-		t.Fatalf("arcs of %d and %d", len(a.arc), len(b.arc))
+		t.Fatalf("arcs of %d and %d servers, want equal lengths of at least 4", len(a.arc), len(b.arc))
 	}
 	for i := range a.arc {
 		if a.arc[i].ID != b.arc[i].ID || a.arc[i].arcShare != b.arc[i].arcShare {
-			t.Errorf("server %x, %v against %x, %v", a.arc[i].ID, a.arc[i].arcShare, b.arc[i].ID, b.arc[i].arcShare)
+			t.Errorf("server %x with arc share %v, and with the reversed list server %x with %v at the same position",
+				a.arc[i].ID, a.arc[i].arcShare, b.arc[i].ID, b.arc[i].arcShare)
 		}
 	}
 }
 
-// Config.ArcStart moves the arc, and keeps what is known of servers in both arcs; an invalid value is ignored.
+// Config.ArcStart moves the arc. Servers that stay in the arc keep their statistics; an invalid value is ignored.
 func TestArcStartMovesTheArc(t *testing.T) {
 	cfg := testConfig()
-	place := 0.5
-	cfg.Balancers, cfg.Tenants, cfg.ArcStart = 40, []Tenant{{Share: 1, Quota: 240}}, func() float64 { return place }
+	arcStart := 0.5
+	cfg.Balancers, cfg.Tenants, cfg.ArcStart = 40, []Tenant{{Share: 1, Quota: 240}}, func() float64 { return arcStart }
 	var list []Server
 	for i := range 30 {
 		list = append(list, Server{ID: ServerID(i + 1), State: Ready, Weight: 1})
@@ -98,20 +99,21 @@
 	first := func() ServerID { return b.arc[0].ID }
 	b.Wake(200 * ms)
 	if first() != 16 {
-		t.Fatalf("at half of the circle the arc begins with %d", first())
+		t.Fatalf("with ArcStart 0.5 the arc of 30 servers starts with server %d, want 16", first())
 	}
-	stays := b.server(18)
-	stays.slowness = 3
-	place = 0.55
+	kept := b.server(18)
+	kept.slowness = 3
+	arcStart = 0.55
 	b.Wake(400 * ms)
 	if first() != 17 || b.server(18).slowness != 3 || b.server(16).inArc {
-		t.Errorf("the arc begins with %d, strain %v", first(), b.server(18).slowness)
+		t.Errorf("with ArcStart 0.55 the arc starts with server %d, want 17; server 18 has slowness %v, want 3",
+			first(), b.server(18).slowness)
 	}
-	for _, bad := range []float64{math.NaN(), -0.1, 1, math.Inf(1)} {
-		place = bad
+	for _, invalid := range []float64{math.NaN(), -0.1, 1, math.Inf(1)} {
+		arcStart = invalid
 		b.Wake(600 * ms)
 		if first() != 17 {
-			t.Errorf("with ArcStart %v the arc begins with %d", bad, first())
+			t.Errorf("with the invalid ArcStart %v the arc starts with server %d, want 17", invalid, first())
 		}
 	}
 }
--- a/policy/attempts_test.go
+++ b/policy/attempts_test.go
@@ -7,82 +7,82 @@
 	"caperarch/internal/proxy/admission"
 )
 
-func TestAttemptTimesOutWhenItsAnswerHasNoValue(t *testing.T) {
+func TestAttemptTimesOutWhenItsAnswerLosesItsValue(t *testing.T) {
 	cfg := testConfig()
 	cfg.Classes[1].LateValue = 0.5
-	b, h := start(t, cfg, ready(1, 2))
+	b, h := start(t, cfg, readyList(1, 2))
 	submit(b, 0, 1, idempotentClass)
 	submit(b, 0, 2, dedupAll)
 	b.Request(0, Request{ID: 3, Class: dedupCell, TimeLeft: 300 * ms})
 	if got := h.sends[0].timeout; got != time.Second {
-		t.Errorf("time-out %v, want the latency target", got)
+		t.Errorf("attempt times out after %v, want the latency target of 1 s", got)
 	}
 	if got := h.sends[1].timeout; got != 2*time.Second {
-		t.Errorf("time-out %v where late answers have value, want all the time left", got)
+		t.Errorf("attempt times out after %v where late answers have value, want the client's 2 s", got)
 	}
 	if got := h.sends[2].timeout; got != 300*ms {
-		t.Errorf("time-out %v, want the client's time left", got)
+		t.Errorf("attempt times out after %v, want the client's 300 ms", got)
 	}
 }
 
-func TestRetryFollowsWhatTheEndingProves(t *testing.T) {
+func TestRetryDependsOnTheEnding(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		class int
-		ends  Ending
-		again bool
-		fails bool // where it is not sent again
+		name   string
+		class  int
+		ending Ending
+		retry  bool
+		fails  bool // if the request is not sent again
 	}{
-		{"safe after an error", idempotentClass, Errored, true, false},
-		{"keyed after a reset", dedupAll, ConnectionLost, true, false},
-		{"unsafe turned away", nonIdempotentClass, NotProcessed, true, false},
-		{"unsafe without a connection", nonIdempotentClass, NoConnection, true, false},
-		{"unsafe never sent", nonIdempotentClass, NotSent, true, false},
-		{"unsafe after an error", nonIdempotentClass, Errored, false, true},
-		{"unsafe after a reset", nonIdempotentClass, ConnectionLost, false, true},
-		{"unsafe after a time-out", nonIdempotentClass, TimedOut, false, true},
-		{"unsafe after an unknown end", nonIdempotentClass, Ending(99), false, true},
+		{"idempotent, error", idempotentClass, Errored, true, false},
+		{"deduplicated, connection lost", dedupAll, ConnectionLost, true, false},
+		{"not idempotent, rejected unprocessed", nonIdempotentClass, NotProcessed, true, false},
+		{"not idempotent, no connection", nonIdempotentClass, NoConnection, true, false},
+		{"not idempotent, not sent", nonIdempotentClass, NotSent, true, false},
+		{"not idempotent, error", nonIdempotentClass, Errored, false, true},
+		{"not idempotent, connection lost", nonIdempotentClass, ConnectionLost, false, true},
+		{"not idempotent, time-out", nonIdempotentClass, TimedOut, false, true},
+		{"not idempotent, unknown ending", nonIdempotentClass, Ending(99), false, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			b, h := start(t, testConfig(), ready(1, 2, 3))
+			b, h := start(t, testConfig(), readyList(1, 2, 3))
 			submit(b, 0, 1, c.class)
-			end(b, 30*ms, 1, 0, c.ends)
-			if again := len(h.sends) == 2; again != c.again {
-				t.Fatalf("sent again: %v, want %v", again, c.again)
+			end(b, 30*ms, 1, 0, c.ending)
+			if retry := len(h.sends) == 2; retry != c.retry {
+				t.Fatalf("request sent again: %v, want %v", retry, c.retry)
 			}
-			if !c.again && h.failed[1] != c.fails {
-				t.Fatalf("failed: %v, want %v (refused: %v)", h.failed[1], c.fails, h.refused)
+			if !c.retry && h.failed[1] != c.fails {
+				t.Fatalf("request failed: %v, want %v (refused: %v)", h.failed[1], c.fails, h.refused)
 			}
-			if c.again && h.sends[1].to == h.sends[0].to {
-				t.Fatal("sent again to the same server")
+			if c.retry && h.sends[1].to == h.sends[0].to {
+				t.Fatal("request sent again to the same server, want another server")
 			}
 		})
 	}
 }
 
 func TestRequestIsRefusedAfterTheLastAttempt(t *testing.T) {
-	b, h := start(t, testConfig(), ready(1, 2, 3, 4, 5))
+	b, h := start(t, testConfig(), readyList(1, 2, 3, 4, 5))
 	submit(b, 0, 1, nonIdempotentClass)
 	for i := range 3 {
 		end(b, time.Duration(i+1)*ms, 1, i, NoConnection)
 	}
 	if _, ok := h.refused[1]; len(h.sends) != 3 || !ok {
-		t.Fatalf("sends %d, refused %v; want 3 and a refusal: it provably never ran", len(h.sends), ok)
+		t.Fatalf("%d sends, refused %v; want 3 sends and a refusal, as no attempt ran", len(h.sends), ok)
 	}
 }
 
-func TestDeduplicatedRequestStaysInItsGroup(t *testing.T) {
+func TestDeduplicatedRequestStaysInItsScope(t *testing.T) {
 	list := []Server{
 		{ID: 1, State: Ready, Weight: 1, Zone: 0, Cell: 10}, {ID: 2, State: Ready, Weight: 1, Zone: 0, Cell: 11},
 		{ID: 3, State: Ready, Weight: 1, Zone: 1, Cell: 12}, {ID: 4, State: Ready, Weight: 1, Zone: 1, Cell: 12},
 	}
 	byID := func(id ServerID) Server { return list[id-1] }
-	for id := range RequestID(8) { // the turns make the first attempt meet every server
+	for id := range RequestID(8) { // other requests before make the first attempt go to each server
 		for _, class := range []int{dedupZone, dedupCell} {
 			b, h := start(t, testConfig(), list)
-			for warm := range id {
-				submit(b, 0, 100+warm, idempotentClass)
-				end(b, ms, 100+warm, 0, Served)
+			for earlier := range id {
+				submit(b, 0, 100+earlier, idempotentClass)
+				end(b, ms, 100+earlier, 0, Served)
 			}
 			h.sends = nil
 			submit(b, 2*ms, 1, class)
@@ -90,19 +90,19 @@
 			end(b, 30*ms, 1, 0, ConnectionLost)
 			if len(h.sends) < 2 {
 				if class == dedupZone || first.Zone == 1 {
-					t.Fatalf("class %d from server %d was not sent again", class, first.ID)
+					t.Fatalf("request of class %d at server %d was not sent again", class, first.ID)
 				}
-				continue // alone in its cell
+				continue // the first server is the only one of its cell
 			}
 			second := byID(h.sends[1].to)
 			if second.Zone != first.Zone || (class == dedupCell && second.Cell != first.Cell) {
-				t.Fatalf("class %d went from server %d to %d, outside its group", class, first.ID, second.ID)
+				t.Fatalf("request of class %d went from server %d to %d, outside its scope", class, first.ID, second.ID)
 			}
 		}
 	}
 }
 
-func TestGroupIsThatOfTheAttemptThatMayHaveRun(t *testing.T) {
+func TestScopeFollowsTheAttemptThatMayHaveRun(t *testing.T) {
 	list := []Server{{ID: 1, State: Ready, Weight: 1, Zone: 0}, {ID: 2, State: Ready, Weight: 1, Zone: 1},
 		{ID: 3, State: Ready, Weight: 1, Zone: 1}}
 	b, h := start(t, testConfig(), list)
@@ -113,130 +113,132 @@
 	}
 	b.List(ms, ListDelta, []Server{{ID: 3, State: Deregistered}})
 	h.sends = nil
-	submit(b, 2*ms, 1, dedupZone) // it is the turn of server 2, in zone 1
+	submit(b, 2*ms, 1, dedupZone) // the turn of server 2 in zone 1
 	if h.sends[0].to != 2 {
-		t.Fatalf("set-up: first attempt went to %d", h.sends[0].to)
+		t.Fatalf("set-up: the first attempt went to server %d, want 2", h.sends[0].to)
 	}
-	end(b, 3*ms, 1, 0, NotProcessed) // it never ran there, so zone 1 does not bind
+	end(b, 3*ms, 1, 0, NotProcessed) // the attempt never ran in zone 1, so any zone may follow
 	if len(h.sends) != 2 || h.sends[1].to != 1 {
 		t.Fatalf("sends %v, want a second attempt at server 1", h.sends)
 	}
-	end(b, 4*ms, 1, 1, Errored) // may have run in zone 0: server 2 is barred now
+	end(b, 4*ms, 1, 1, Errored) // the attempt may have run in zone 0, so server 2 in zone 1 is excluded
 	if len(h.sends) != 2 {
-		t.Fatalf("sent outside the group: %v", h.sends)
+		t.Fatalf("sends %v, want no send outside zone 0", h.sends)
 	}
 }
 
-func TestDeduplicatedRequestIsNotRepeatedAfterItsWindow(t *testing.T) {
-	b, h := start(t, testConfig(), ready(1, 2, 3))
+func TestDeduplicatedRequestIsNotRepeatedAfterItsDedupWindow(t *testing.T) {
+	b, h := start(t, testConfig(), readyList(1, 2, 3))
 	submit(b, 0, 1, dedupAll)
-	end(b, 700*ms, 1, 0, Errored) // the window of 700 ms since its send is over
+	end(b, 700*ms, 1, 0, Errored) // the end of the deduplication window of 700 ms
 	if _, refused := h.refused[1]; len(h.sends) != 1 || refused || !h.failed[1] {
-		t.Fatalf("sends %d, refused %v; want 1 and no refusal, as no server drops a retry now", len(h.sends), refused)
+		t.Fatalf("%d sends, refused %v; want 1 send and no refusal: servers drop no repeat now", len(h.sends), refused)
 	}
 	b.compartments[0].gate = admission.NewRatio(b.rng)
 	submit(b, 800*ms, 2, dedupZone)
 	end(b, 1500*ms, 2, 0, Errored)
 	if !h.failed[2] {
-		t.Fatal("a keyed request that may have run, with a group of one zone, must be failed and not refused")
+		t.Fatal("request of zone scope that may have run is not failed; a refusal would promise a harmless retry")
 	}
 }
 
-// A refusal says that a retry is harmless at the time that it is told. Where all servers drop a request's repeats, that is
-// so as long as the retry comes while they do, its way to them included.
-func TestDeduplicatedRequestIsRefusedOnlyWhileARetryIsDropped(t *testing.T) {
+// A refusal promises that a retry after Retry-After is harmless. For a deduplicated request whose repeats all servers
+// drop, the promise holds if the retry reaches a server, its transit included, before the deduplication window ends.
+func TestDeduplicatedRequestIsRefusedOnlyWhileRetriesAreDropped(t *testing.T) {
 	cfg := testConfig()
 	cfg.MaxAttempts = 1
 	for after, want := range map[time.Duration]bool{100 * ms: true, 524 * ms: false, 600 * ms: false} {
-		b, h := start(t, cfg, ready(1, 2, 3))
+		b, h := start(t, cfg, readyList(1, 2, 3))
 		submit(b, 0, 1, dedupAll)
 		end(b, after, 1, 0, Errored)
-		pause, refused := h.refused[1]
+		retryAfter, refused := h.refused[1]
 		if refused != want || h.failed[1] == want {
-			t.Errorf("after %v of a window of 700 ms: refused %v, failed %v, want refused %v", after, refused, h.failed[1], want)
+			t.Errorf("end after %v of a window of 700 ms: refused %v, failed %v, want refused %v",
+				after, refused, h.failed[1], want)
 		}
-		if refused && after+pause >= 525*ms {
-			t.Errorf("refused after %v with a pause of %v: the retry comes too late", after, pause)
+		if refused && after+retryAfter >= 525*ms {
+			t.Errorf("refused after %v with a Retry-After of %v, want a retry before 525 ms", after, retryAfter)
 		}
 	}
 }
 
-// A repeat takes its time to a server, which counts the window until it arrives. So it is not decided in the last quarter:
-// TestGRPC/among_failing_nodes had repeats decided 3 us and 0.7 ms before the window's end that arrived behind it, after
-// half a second in the queue for a server that was ejected. And nobody waits for a server that is back too late.
-func TestRepeatLeavesTimeForItsWay(t *testing.T) {
+// A server counts the deduplication window until a repeat arrives, so no repeat is sent in the window's last quarter.
+// In TestGRPC/among_failing_nodes repeats were sent 3 us and 0.7 ms before the end of the window, after half a second
+// in the queue for an ejected server, and arrived after the end. A request also does not wait for a server whose
+// ejection ends too late for a repeat.
+func TestRepeatLeavesTimeForTransit(t *testing.T) {
 	for ejected, want := range map[time.Duration]int{500 * ms: 2, 530 * ms: 1, 699 * ms: 1} {
-		b, h := start(t, testConfig(), ready(1, 2))
+		b, h := start(t, testConfig(), readyList(1, 2))
 		submit(b, 0, 1, dedupCell)
 		other := b.server(3 - h.sends[0].to)
 		other.ejectedUntil = ejected
 		end(b, 5*ms, 1, 0, Errored)
 		if waits := !h.failed[1]; waits != (want == 2) {
-			t.Errorf("the other server is back after %v: waits %v", ejected, waits)
+			t.Errorf("other server ejected until %v: request waits: %v", ejected, waits)
 		}
 		for now := 10 * ms; now < time.Second; now += 5 * ms {
 			b.Wake(now)
 		}
 		if len(h.sends) != want {
-			t.Errorf("the other server is back after %v: %d sends, want %d", ejected, len(h.sends), want)
+			t.Errorf("other server ejected until %v: %d sends, want %d", ejected, len(h.sends), want)
 		}
 	}
 }
 
-// An ejected server is back with its next answer, so one that owes an answer is waited for.
+// An answer ends a server's ejection, so a request waits for an ejected server that has an attempt in flight.
 func TestEjectedServerThatOwesAnAnswerIsWaitedFor(t *testing.T) {
-	b, h := start(t, testConfig(), ready(1, 2))
+	b, h := start(t, testConfig(), readyList(1, 2))
 	submit(b, 0, 1, idempotentClass)
 	submit(b, 0, 2, dedupCell)
 	if h.sends[0].to == h.sends[1].to {
-		t.Fatal("set-up: both went to one server")
+		t.Fatal("set-up: both requests went to one server, want two servers")
 	}
 	b.server(h.sends[0].to).ejectedUntil = 699 * ms
 	end(b, 5*ms, 2, 0, Errored)
 	end(b, 10*ms, 1, 0, Served)
 	if len(h.sends) != 3 || h.sends[2].to != h.sends[0].to {
-		t.Errorf("sends %+v, want a repeat at the server that answered", h.sends)
+		t.Errorf("sends %+v, want a repeat at the server that answered and is no longer ejected", h.sends)
 	}
 }
 
-// Guards against 7.5 s in the queue for another server where there was none, and against clients whose bad
-// requests cost servers their turns.
+// Guards against requests that waited 7.5 s in the queue for another server where there was none, and against servers
+// that lost turns because of clients' invalid requests.
 func TestRequestWithoutAServerLeftIsAnsweredAtOnce(t *testing.T) {
 	for _, class := range []int{idempotentClass, dedupCell, nonIdempotentClass} {
-		b, h := start(t, testConfig(), ready(1))
+		b, h := start(t, testConfig(), readyList(1))
 		submit(b, 0, 1, class)
 		end(b, 5*ms, 1, 0, NoConnection)
 		if _, refused := h.refused[1]; !refused {
-			t.Errorf("class %d: not refused though its one server refuses connections", class)
+			t.Errorf("request of class %d is not refused, although the only server refuses connections", class)
 		}
 	}
-	b, h := start(t, testConfig(), ready(1, 2))
+	b, h := start(t, testConfig(), readyList(1, 2))
 	submit(b, 0, 1, idempotentClass)
 	end(b, 5*ms, 1, 0, InvalidRequest)
 	if !h.failed[1] || len(h.sends) != 1 || b.server(h.sends[0].to).slowness != 1 {
-		t.Errorf("failed %v, sends %v: want it failed at once, and nothing counted against the server", h.failed, h.sends)
+		t.Errorf("failed %v, sends %v; want the request failed at once and the server's slowness 1", h.failed, h.sends)
 	}
 }
 
-// Guards against cells of two whose other server has no capacity: a deduplicated request whose connection
-// broke may be sent to the same server again, which drops repeats; one that timed out may not.
-func TestServerMayBeTriedAgainAfterABrokenConnection(t *testing.T) {
+// Guards against cells of two servers whose other server has no capacity: a deduplicated request may be sent again to
+// the server whose connection broke, as the server drops repeats, but not after an error or time-out.
+func TestServerMayBeTriedAgainAfterALostConnection(t *testing.T) {
 	for end, want := range map[Ending]int{ConnectionLost: 2, Errored: 1} {
-		b, h := start(t, testConfig(), ready(1))
+		b, h := start(t, testConfig(), readyList(1))
 		submit(b, 0, 1, dedupCell)
 		b.Outcome(5*ms, Outcome{ID: 1, Ending: end})
 		if len(h.sends) != want {
-			t.Errorf("ending %v: %d sends, want %d", end, len(h.sends), want)
+			t.Errorf("ending %v of the first attempt: %d sends, want %d", end, len(h.sends), want)
 		}
 	}
 }
 
-// Rule 6: retries stay within the budget of their window.
+// Rule 6: the retries within a span stay within the budget.
 func TestRetriesStayWithinTheBudget(t *testing.T) {
 	cfg := testConfig()
 	cfg.Budget = RetryBudget{Span: time.Second, Free: 1, Share: 0.5}
-	b, h := start(t, cfg, ready(1, 2, 3))
-	try := func(now time.Duration, id RequestID, class int) int {
+	b, h := start(t, cfg, readyList(1, 2, 3))
+	send := func(now time.Duration, id RequestID, class int) int {
 		n := len(h.sends)
 		b.compartments[0].gate = admission.NewRatio(b.rng)
 		submit(b, now, id, class)
@@ -246,30 +248,30 @@
 		}
 		return len(h.sends) - n
 	}
-	if try(0, 1, idempotentClass) != 2 || try(0, 2, nonIdempotentClass) != 2 || try(0, 3, nonIdempotentClass) != 1 {
-		t.Fatalf("sends %+v: want one free further attempt and one for two requests", h.sends)
+	if send(0, 1, idempotentClass) != 2 || send(0, 2, nonIdempotentClass) != 2 || send(0, 3, nonIdempotentClass) != 1 {
+		t.Fatalf("sends %+v: want one free retry, and one retry for two requests", h.sends)
 	}
 	if _, ok := h.refused[3]; !ok {
-		t.Fatal("a request that never ran and met the end of the budget is not refused")
+		t.Fatal("request that never ran is not refused when the retry budget is exhausted")
 	}
-	// A second later the requests no longer count, but the attempts made just then still do.
-	if n := try(time.Second, 4, idempotentClass); n != 1 {
-		t.Fatalf("%d sends at the window's edge, want 1", n)
+	// After 1 s, the span of the budget, the requests no longer count, but the retries of that time still count.
+	if n := send(time.Second, 4, idempotentClass); n != 1 {
+		t.Fatalf("%d sends at the end of the budget's span, want 1", n)
 	}
-	if n := try(time.Second+1, 5, idempotentClass); n != 2 {
-		t.Fatalf("%d sends once the window has passed, want 2", n)
+	if n := send(time.Second+1, 5, idempotentClass); n != 2 {
+		t.Fatalf("%d sends after the budget's span, want 2", n)
 	}
 }
 
-// A budget of zero is a limit; an absent budget is none.
-func TestRetryBudgetOfZeroIsALimitAndAnAbsentOneIsNot(t *testing.T) {
+// A retry budget with a span allows no retry if its other fields are zero; the zero value sets no limit.
+func TestRetryBudgetOfZeroIsALimitAndTheZeroValueIsNone(t *testing.T) {
 	for _, c := range []struct {
 		budget RetryBudget
 		want   int
 	}{{RetryBudget{Span: time.Second}, 1}, {RetryBudget{}, 2}} {
 		cfg := testConfig()
 		cfg.Budget = c.budget
-		b, h := start(t, cfg, ready(1, 2, 3))
+		b, h := start(t, cfg, readyList(1, 2, 3))
 		submit(b, 0, 1, idempotentClass)
 		end(b, 0, 1, 0, NotProcessed)
 		if len(h.sends) != c.want {
@@ -278,22 +280,23 @@
 	}
 }
 
-// Rule 1: nothing is sent for a request that is finished, streams, is past its deadline or has had its attempts.
+// Rule 1: nothing is sent for a request that is finished, streams its answer, is past its deadline or has had all its
+// attempts. Rule 2: nothing is sent while an attempt is in flight.
 func TestNothingIsSentForAFinishedRequest(t *testing.T) {
-	b, _ := start(t, testConfig(), ready(1))
+	b, _ := start(t, testConfig(), readyList(1))
 	for name, r := range map[string]*request{
-		"over":    {finished: true, deadline: time.Second},
-		"begun":   {streaming: true, deadline: time.Second},
-		"late":    {deadline: 100 * ms},
-		"out":     {deadline: time.Second, inFlight: 1},
-		"all out": {deadline: time.Second, attempts: make([]attempt, b.cfg.MaxAttempts)},
+		"finished":          {finished: true, deadline: time.Second},
+		"streaming":         {streaming: true, deadline: time.Second},
+		"past its deadline": {deadline: 100 * ms},
+		"in flight":         {deadline: time.Second, inFlight: 1},
+		"out of attempts":   {deadline: time.Second, attempts: make([]attempt, b.cfg.MaxAttempts)},
 	} {
 		r.class = &b.classes[idempotentClass]
 		if b.maySend(100*ms, r, b.servers[0]) {
-			t.Errorf("a request that is %s may go", name)
+			t.Errorf("request that is %s may be sent", name)
 		}
 	}
 	if !b.maySend(100*ms, &request{class: &b.classes[idempotentClass], deadline: time.Second}, b.servers[0]) {
-		t.Error("an ordinary request may not go")
+		t.Error("open request without attempts may not be sent")
 	}
 }
--- a/policy/helpers_test.go
+++ b/policy/helpers_test.go
@@ -15,7 +15,7 @@
 	timeout time.Duration
 }
 
-// fakeHost records the actions of a Balancer.
+// fakeHost is a Host that records the actions of a Balancer.
 type fakeHost struct {
 	sends     []sent
 	refused   map[RequestID]time.Duration
@@ -33,53 +33,53 @@
 	return &fakeHost{refused: map[RequestID]time.Duration{}, failed: map[RequestID]bool{}}
 }
 
-func (h *fakeHost) note(format string, args ...any) {
+func (h *fakeHost) recordAction(format string, args ...any) {
 	h.trace = append(h.trace, fmt.Sprintf(format, args...))
 }
 
 func (h *fakeHost) Send(id RequestID, to ServerID, timeout time.Duration) {
 	h.sends = append(h.sends, sent{id, to, timeout})
-	h.note("send %d %d %v", id, to, timeout)
+	h.recordAction("send %d %d %v", id, to, timeout)
 }
 
-func (h *fakeHost) Refuse(id RequestID, pause time.Duration) {
-	h.refused[id] = pause
-	h.note("refuse %d %v", id, pause)
+func (h *fakeHost) Refuse(id RequestID, retryAfter time.Duration) {
+	h.refused[id] = retryAfter
+	h.recordAction("refuse %d %v", id, retryAfter)
 }
 
 func (h *fakeHost) Fail(id RequestID) {
 	h.failed[id] = true
-	h.note("fail %d", id)
+	h.recordAction("fail %d", id)
 }
 
 func (h *fakeHost) Cancel(id RequestID, attempt int) {
 	h.cancelled = append(h.cancelled, id)
-	h.note("cancel %d %d", id, attempt)
+	h.recordAction("cancel %d %d", id, attempt)
 }
 
 func (h *fakeHost) Wake(d time.Duration) {
 	h.wakes = append(h.wakes, d)
-	h.note("wake %v", d)
+	h.recordAction("wake %v", d)
 }
 
 func (h *fakeHost) Probe(to ServerID) {
 	h.probes = append(h.probes, to)
-	h.note("probe %d", to)
+	h.recordAction("probe %d", to)
 }
 
-func (h *fakeHost) Close(to ServerID) {
+func (h *fakeHost) CloseIdleConnections(to ServerID) {
 	h.closes = append(h.closes, to)
-	h.note("close %d", to)
+	h.recordAction("close %d", to)
 }
 
 func (h *fakeHost) WatchList() {
 	h.listCalls++
-	h.note("watch")
+	h.recordAction("watch")
 }
 
 func (h *fakeHost) Log(line string) {
 	h.log = append(h.log, line)
-	h.note("log %s", line)
+	h.recordAction("log %s", line)
 }
 
 // sentTo counts the attempts sent to a server.
@@ -93,7 +93,7 @@
 	return n
 }
 
-// The classes of testConfig.
+// The classes of testConfig, as indices in Config.Classes.
 const (
 	idempotentClass = iota
 	dedupAll
@@ -102,7 +102,7 @@
 	nonIdempotentClass
 )
 
-// testConfig returns a config of two balancers and two tenants, with a class of each effect and scope.
+// testConfig returns a Config of two balancers and two tenants, with a class for each effect and scope.
 func testConfig() Config {
 	class := func(e Effect, s Scope) Class {
 		return Class{
@@ -130,8 +130,8 @@
 	}
 }
 
-// ready returns a list of ready servers of weight 1.
-func ready(ids ...ServerID) []Server {
+// readyList returns a list of ready servers of weight 1.
+func readyList(ids ...ServerID) []Server {
 	var list []Server
 	for _, id := range ids {
 		list = append(list, Server{ID: id, State: Ready, Weight: 1})
@@ -139,13 +139,13 @@
 	return list
 }
 
-// start makes a Balancer with a list of servers.
+// start makes a Balancer and hands it a full server list at time 0.
 func start(t testing.TB, cfg Config, list []Server) (*Balancer, *fakeHost) {
 	t.Helper()
 	return startSeeded(t, cfg, 1, list)
 }
 
-// startSeeded is start with a seed, for tests of many balancers.
+// startSeeded does the same as start, with a seed for the Balancer's random numbers.
 func startSeeded(t testing.TB, cfg Config, seed uint64, list []Server) (*Balancer, *fakeHost) {
 	t.Helper()
 	h := newFakeHost()
@@ -158,29 +158,29 @@
 	return b, h
 }
 
-// submit sends a request of tenant 0.
+// submit hands in a request of tenant 0 with 2 s left.
 func submit(b *Balancer, now time.Duration, id RequestID, class int) {
 	b.Request(now, Request{ID: id, Class: class, TimeLeft: 2 * time.Second})
 }
 
-// end ends an attempt of a request.
+// end reports the end of an attempt of a request.
 func end(b *Balancer, now time.Duration, id RequestID, attempt int, e Ending) {
 	b.Outcome(now, Outcome{ID: id, Attempt: attempt, Ending: e, Finished: e == Served})
 }
 
-// findFresh has a balancer learn that reports change as fast as they are used.
-func findFresh(b *Balancer) {
+// markReportsFresh makes a balancer conclude that load reports change as fast as they are used.
+func markReportsFresh(b *Balancer) {
 	for b.prober.Comparing() {
 		b.prober.Compare(true)
 	}
 }
 
-// SlotsFree returns the free slots in a tenant's compartment.
-func (b *Balancer) SlotsFree(tenant int) int {
+// freeSlots returns the free slots in a tenant's compartment.
+func (b *Balancer) freeSlots(tenant int) int {
 	return b.compartments[tenant].slots - b.compartments[tenant].used
 }
 
-// QueueFree returns the free queue slots in a tenant's compartment.
-func (b *Balancer) QueueFree(tenant int) int {
+// freeQueueSlots returns the free queue slots in a tenant's compartment.
+func (b *Balancer) freeQueueSlots(tenant int) int {
 	return b.compartments[tenant].queueSlots - len(b.compartments[tenant].queue)
 }
--- a/policy/limits_test.go
+++ b/policy/limits_test.go
@@ -7,7 +7,7 @@
 	"unicode/utf8"
 )
 
-// The decisions are short enough to be read at once by an on-call engineer: policy.go and servers.go together.
+// policy.go and servers.go together hold the decisions; they stay short enough for an on-call engineer to read at once.
 func TestDecisionsStayWithinTheirLimits(t *testing.T) {
 	const maxLines, maxColumns = 640, 110
 	lines := 0
@@ -26,7 +26,7 @@
 		}
 	}
 	if lines > maxLines {
-		t.Errorf("%d lines that are not blank, at most %d", lines, maxLines)
+		t.Errorf("policy.go and servers.go have %d lines that are not blank, want at most %d", lines, maxLines)
 	}
 	text, err := os.ReadFile("policy.go")
 	if err != nil {
--- a/policy/random_test.go
+++ b/policy/random_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// simulation is the Host of a Balancer, to which it sends legal events in random order. It checks the rules at
-// every action. It models no timing of servers.
+// simulation is the Host of a Balancer, which it sends valid events in random order. It checks the rules in doc.go at
+// every action. It does not model the time that servers take.
 type simulation struct {
 	t                 testing.TB
 	cfg               Config
@@ -18,19 +18,19 @@
 	now               time.Duration
 	lastID            RequestID
 	requests          map[RequestID]*simRequest
-	ids               []RequestID // of requests, in order of arrival, so that a run can be repeated
-	listed            map[ServerID]Server
-	trace             []string
+	ids               []RequestID         // requests in order of arrival, so that a run can be repeated
+	listed            map[ServerID]Server // the server list
+	trace             []string            // the Balancer's actions
 	watches           int
-	requestTimes      []time.Duration // for the retry budget
-	retryTimes        []time.Duration // of attempts after a request's first
+	requestTimes      []time.Duration // when requests arrived, for the retry budget
+	retryTimes        []time.Duration // when attempts after a request's first were sent
 	listRarelyChanges bool
-	keyBlockedUntil   map[uint64]time.Duration
-	slowStartSends    map[ServerID][]time.Duration // to a warming server, since it was listed as such
-	closing           map[ServerID]time.Duration   // when idle connections must be closed, by server
+	keyBlockedUntil   map[uint64]time.Duration     // when the next request of a key may be sent
+	slowStartSends    map[ServerID][]time.Duration // sends to a server in slow start, since its start was listed
+	closeDeadlines    map[ServerID]time.Duration   // when the idle connections to a draining server must be closed
 }
 
-// simRequest is what the simulation knows of one request.
+// simRequest is the simulation's state of one request.
 type simRequest struct {
 	q        Request
 	deadline time.Duration
@@ -39,7 +39,7 @@
 	arrival  int // position among all requests
 }
 
-// simAttempt is one attempt of a request.
+// simAttempt is the simulation's state of one attempt.
 type simAttempt struct {
 	to       Server
 	sent     time.Duration
@@ -47,11 +47,11 @@
 	inFlight bool
 }
 
-func (sim *simulation) note(format string, args ...any) {
+func (sim *simulation) recordAction(format string, args ...any) {
 	sim.trace = append(sim.trace, fmt.Sprintf(format, args...))
 }
 
-// simulate runs a simulation and returns its trace; pick(n) chooses among n possibilities.
+// simulate runs a simulation of random events and returns the Balancer's actions; pick(n) returns a number below n.
 func simulate(t testing.TB, steps int, pick func(n int) int) []string {
 	cfg := testConfig()
 	cfg.ListOnDemand, cfg.MayProbe = true, true
@@ -67,10 +67,12 @@
 		cfg.Classes[i].InOrder = pick(2) == 0
 	}
 	cfg.CrossZonePrice = float64(pick(2)) * 0.02
-	sim := &simulation{t: t, cfg: cfg, requests: map[RequestID]*simRequest{}, listed: map[ServerID]Server{}, now: time.Hour}
+	sim := &simulation{
+		t: t, cfg: cfg, requests: map[RequestID]*simRequest{}, listed: map[ServerID]Server{}, now: time.Hour,
+	}
 	sim.slowStartSends = map[ServerID][]time.Duration{}
 	sim.listRarelyChanges = pick(2) == 0
-	sim.keyBlockedUntil, sim.closing = map[uint64]time.Duration{}, map[ServerID]time.Duration{}
+	sim.keyBlockedUntil, sim.closeDeadlines = map[uint64]time.Duration{}, map[ServerID]time.Duration{}
 	b, err := New(cfg, uint64(pick(1000)), sim)
 	if err != nil {
 		t.Fatal(err)
@@ -82,25 +84,25 @@
 		sim.checkIdleCloses()
 		sim.checkAccounting()
 	}
-	for range 600 { // everything left is answered in time
+	for range 600 { // 3 s, longer than any request has left
 		sim.now += 5 * ms
 		sim.endTimedOut()
 		b.Wake(sim.now)
 		sim.checkAccounting()
 		sim.checkIdleCloses()
 	}
-	for id, a := range sim.requests {
-		if !a.answered {
+	for id, r := range sim.requests {
+		if !r.answered {
 			t.Fatalf("rule 1: request %d was never answered", id)
 		}
 	}
 	if len(b.requests) != 0 || b.inFlight != 0 {
-		t.Fatalf("%d requests and %d attempts are left", len(b.requests), b.inFlight)
+		t.Fatalf("%d requests and %d attempts in flight are left at the end, want none", len(b.requests), b.inFlight)
 	}
 	return sim.trace
 }
 
-// step sends one random event.
+// step advances the time by up to 7 ms and sends one random event.
 func (sim *simulation) step(pick func(int) int) {
 	sim.now += time.Duration(pick(8)) * ms
 	sim.endTimedOut()
@@ -151,32 +153,32 @@
 	}
 }
 
-// endAttempt ends an attempt.
+// endAttempt ends attempt i of a request, which is answered if the attempt was served.
 func (sim *simulation) endAttempt(id RequestID, i int, e Ending) {
-	a := sim.requests[id]
-	a.attempts[i].inFlight, a.attempts[i].ending = false, e
-	finished := a.answered || e == Served
-	a.answered = finished
-	if sim.cfg.Classes[a.q.Class].InOrder && (e == TimedOut || e == ConnectionLost || e == Cancelled) {
-		sim.keyBlockedUntil[a.q.Key] = sim.now + sim.cfg.KeyBlockTime
+	r := sim.requests[id]
+	r.attempts[i].inFlight, r.attempts[i].ending = false, e
+	finished := r.answered || e == Served
+	r.answered = finished
+	if sim.cfg.Classes[r.q.Class].InOrder && (e == TimedOut || e == ConnectionLost || e == Cancelled) {
+		sim.keyBlockedUntil[r.q.Key] = sim.now + sim.cfg.KeyBlockTime
 	}
-	sim.expectClose(a.attempts[i].to.ID)
+	sim.setCloseDeadline(r.attempts[i].to.ID)
 	sim.balancer.Outcome(sim.now, Outcome{ID: id, Attempt: i, Ending: e, Finished: finished, Load: sim.report(int(id))})
 }
 
-// endTimedOut ends the attempts whose request's deadline has come, and calls Wake as the timers would.
+// endTimedOut calls Wake as the timers would, and ends the attempts of requests whose deadline has passed.
 func (sim *simulation) endTimedOut() {
 	sim.balancer.Wake(sim.now)
 	for _, id := range sim.ids {
 		for i := range sim.requests[id].attempts {
-			if a := sim.requests[id]; a.attempts[i].inFlight && sim.now >= a.deadline {
+			if r := sim.requests[id]; r.attempts[i].inFlight && sim.now >= r.deadline {
 				sim.endAttempt(id, i, TimedOut)
 			}
 		}
 	}
 }
 
-// sendRandomList sends a random event of the server list.
+// sendRandomList sends a random event of the server list: a failure, or up to 7 entries.
 func (sim *simulation) sendRandomList(pick func(int) int) {
 	entry := func() Server {
 		id := ServerID(pick(8))
@@ -209,16 +211,16 @@
 		sim.listed[s.ID] = s
 	}
 	if kind != ListDelta {
-		clear(sim.closing)
+		clear(sim.closeDeadlines)
 	}
 	for _, s := range entries {
-		delete(sim.closing, s.ID)
-		sim.expectClose(s.ID)
+		delete(sim.closeDeadlines, s.ID)
+		sim.setCloseDeadline(s.ID)
 	}
 	sim.balancer.List(sim.now, kind, entries)
 }
 
-// report returns a load report with the fields of the settings, or one of three times none.
+// report returns a load report with the configured fields, or no report for every third n.
 func (sim *simulation) report(n int) Load {
 	if n%3 == 0 {
 		return Load{}
@@ -239,7 +241,7 @@
 		a := simulate(t, 800, rand.New(rand.NewPCG(seed, 3)).IntN)
 		b := simulate(t, 800, rand.New(rand.NewPCG(seed, 3)).IntN)
 		if !slices.Equal(a, b) {
-			t.Fatalf("seed %d: two runs over the same events differ", seed)
+			t.Fatalf("seed %d: two runs with the same events caused different actions", seed)
 		}
 	}
 }
--- a/policy/sizing.go
+++ b/policy/sizing.go
@@ -1,4 +1,4 @@
-// Sizes: the slots of the compartments, the limits of the servers, the arc that turns are taken among.
+// Sizes: the slots of compartments, the in-flight limits of servers, and the arc of servers that get turns.
 
 package policy
 
@@ -12,14 +12,14 @@
 	"caperarch/internal/proxy/subset"
 )
 
-// setBalancers sets how many balancers there are now.
+// setBalancers sets the number of balancers in the fleet, and derives the sizes that depend on it.
 func (b *Balancer) setBalancers(n int) {
 	b.balancers = n
 	b.deriveSlots()
 	b.discovery.SetBalancers(n)
 }
 
-// deriveSlots sizes the compartments by Little's law: slots are a quota times slotTargetShare of the latency target.
+// deriveSlots sizes compartments by Little's law: the quotas times slotHoldFraction of the mean latency target.
 func (b *Balancer) deriveSlots() {
 	var shares []float64
 	b.quota = 0
@@ -28,8 +28,8 @@
 		b.quota += t.Quota
 	}
 	n := float64(b.balancers)
-	b.fleetSlots = cmp.Or(b.quota*b.meanTarget*slotTargetShare, serverSlots*float64(len(b.servers)))
-	b.evenRate = b.quota / n
+	b.fleetSlots = cmp.Or(b.quota*b.meanTargetSeconds*slotHoldFraction, slotsPerServer*float64(len(b.servers)))
+	b.perBalancerRate = b.quota / n
 	b.bulkhead.EvenShare = cmp.Or(float64(b.cfg.Slots), b.fleetSlots/n)
 	all, slots := sizing.Compartments(b.fleetSlots, b.balancers, b.cfg.Slots, b.maxQueued, b.minShareSum, shares)
 	b.slots = slots
@@ -39,15 +39,15 @@
 	}
 }
 
-// maxInFlight is how many of our attempts a server may have: its share of our slots, less if it is crowded. It grows by
-// little (shortageFactor) when others are deregistered or fail, or the last ones would be overloaded.
+// maxInFlight limits this balancer's attempts in flight at a server: the server's share of the slots, less if it is
+// congested. It grows little (shortageFactor) while others fail or leave: more would overload the remaining servers.
 func (b *Balancer) maxInFlight(s *server) float64 {
 	share := b.weightShare(float64(b.slots), s) * b.readyWeight / b.arcWeight
-	return max(1, share*crowdingFactor(s.squareLatency)*b.shortageFactor)
+	return max(1, share*congestionFactor(s.squareLatency)*b.shortageFactor)
 }
 
-// shortage is the factor for the limits of servers while others of the arc fail or reject requests.
-func (b *Balancer) shortage() float64 {
+// computeShortageFactor returns the factor on server limits while other servers of the arc fail or reject requests.
+func (b *Balancer) computeShortageFactor() float64 {
 	healthy := 0.0
 	for _, s := range b.arc {
 		if s.State == Ready && s.failures < 2 && len(s.spacing) == 0 {
@@ -57,33 +57,34 @@
 	return min(maxShortageFactor, b.arcWeight/max(healthy, b.arcWeight/maxShortageFactor))
 }
 
-// crowdingFactor is the fraction of its limit that a server keeps, by the mean square of its latency: long tails count.
-func crowdingFactor(square float64) float64 { return min(1, crowdedAt*crowdedAt/max(square, 1e-4)) }
+// congestionFactor returns the fraction of its limit that a server keeps. The square makes a long latency tail count.
+func congestionFactor(meanSquareLatency float64) float64 {
+	return min(1, congestedLatency*congestedLatency/max(meanSquareLatency, 1e-4))
+}
 
-// wantedArcLength is how many servers our own traffic can feed, and no less than have all arcs together cover all.
-func (b *Balancer) wantedArcLength(now time.Duration) float64 {
+// targetArcLength returns how many servers this balancer's traffic can feed, but enough for all arcs to cover the list.
+func (b *Balancer) targetArcLength(now time.Duration) float64 {
 	interval := b.prober.TurnInterval()
 	count, seconds := b.arrivals.Recent(now)
-	fewest := max(minArcServers-1, float64(len(b.servers))/float64(b.balancers)) // its ends lie in one more
-	rate := (count + b.evenRate*ratePrior) / (seconds + ratePrior)
-	return subset.ArcLength(b.arcLength, rate*interval, b.evenRate*interval, fewest)
+	minLength := max(minArcServers-1, float64(len(b.servers))/float64(b.balancers)) // an arc of n touches n+1 servers
+	rate := (count + b.perBalancerRate*ratePriorSeconds) / (seconds + ratePriorSeconds)
+	return subset.ArcLength(b.arcLength, rate*interval, b.perBalancerRate*interval, minLength)
 }
 
-// chooseArc picks the servers to take turns among. A thousand balancers of few requests each would learn too little of
-// all servers, so each keeps to an arc that its own traffic can feed. The beginnings of the arcs are evenly spread.
+// chooseArc picks the arc: as many servers as the balancer's own traffic can feed. doc.go gives the reasons.
 func (b *Balancer) chooseArc(now time.Duration) {
-	all, weights := b.ready(), []float64(nil)
+	all, weights := b.readyServers(), []float64(nil)
 	for _, s := range all {
 		weights = append(weights, s.Weight)
 	}
-	b.arcLength, b.arcWeight, b.arc = b.wantedArcLength(now), 0, nil
+	b.arcLength, b.arcWeight, b.arc = b.targetArcLength(now), 0, nil
 	for i, share := range subset.ArcShares(b.arcStart, b.arcLength, weights, minArcServers) {
 		s := all[i]
 		if share == 0 {
 			s.inArc, s.arcShare = false, 1
 			continue
 		}
-		if s.arcShare = share; !s.inArc { // a random first turn: balancers must not begin in step
+		if s.arcShare = share; !s.inArc { // a random first turn, so that balancers do not start in step
 			s.inArc, s.nextTurn = true, b.lastTurn+b.rng.Float64()*b.turnGap(now, s)
 		}
 		b.arcWeight += s.Weight * share
@@ -91,13 +92,12 @@
 	}
 }
 
-// turnGap is the virtual time between a server's turns. It is bounded, so that some turns are left to show recovery.
-// Servers of other zones have turns too, if fewer: a zone may have more traffic than its own servers can bear.
+// turnGap returns the virtual time between a server's turns. Slow and remote servers keep some turns; see doc.go.
 func (b *Balancer) turnGap(now time.Duration, s *server) float64 {
-	warmth := slowstart.Warmth(s.warmAt-now, b.cfg.SlowStartTime, b.cfg.SlowStartShare)
+	warmth := slowstart.Warmth(s.slowStartUntil-now, b.cfg.SlowStartTime, b.cfg.SlowStartShare)
 	gap := max(0.5, min(s.slowness, failureSlowness/2)) / (s.Weight * s.arcShare * warmth)
 	if b.crossesZone(s) {
-		gap /= crossZoneTurns
+		gap /= crossZoneTurnFraction
 	}
 	return gap
 }
--- a/policy/state.go
+++ b/policy/state.go
@@ -14,31 +14,32 @@
 	"caperarch/internal/proxy/ratemeter"
 )
 
-// server is a listed server with what is known of it.
+// server is a listed server and the statistics of this balancer's attempts at it.
 type server struct {
 	Server
-	inFlight       int                          // this balancer's attempts there
-	inArc          bool                         // turns are taken among the servers of the arc
-	arcShare       float64                      // fraction of it that lies in the arc; 1 outside the arc
-	nextTurn       float64                      // smooth weighted round robin: virtual time of its next turn
-	slowness       float64                      // smoothed latency as a multiple of the usual; failures add to it
-	squareLatency  float64                      // smoothed square of its latency as a fraction of the target
-	reportedAt     time.Duration                // of its last load report; 0: none
-	probedAt       time.Duration                // of the last probe
-	load           Load                         // its last report
-	othersInFlight float64                      // requests of other balancers by that report
-	silentSince    time.Duration                // it has not answered since; 0: it does
-	failures       int                          // in a row
-	ejectedUntil   time.Duration                // after failures: no turns before this
-	spacing        map[*compartment]sendSpacing // of the tenants whose requests it rejected
-	warmAt         time.Duration                // slow start until then, by the list or by our own guess
-	nextPacedSend  time.Duration                // during slow start: nothing is sent before this
+	inFlight          int                          // this balancer's attempts in flight at the server
+	inArc             bool                         // the server is in this balancer's arc
+	arcShare          float64                      // fraction of the server that lies in the arc; 1 outside the arc
+	nextTurn          float64                      // virtual time of the server's next turn (weighted round robin)
+	slowness          float64                      // smoothed latency as a multiple of the class's mean, with failures
+	squareLatency     float64                      // smoothed square of the latency as a fraction of its target
+	reportedAt        time.Duration                // when the last load report was received; 0: never
+	probedAt          time.Duration                // when the server was last probed before a request
+	load              Load                         // the last load report
+	othersInFlight    float64                      // requests of other balancers, by the last load report
+	unresponsiveSince time.Duration                // when the server stopped answering; 0: the server answers
+	failures          int                          // failed attempts in a row
+	ejectedUntil      time.Duration                // the server has no turns before this time
+	spacing           map[*compartment]sendSpacing // for compartments whose requests the server rejected
+	slowStartUntil    time.Duration                // end of slow start, by the list or assumed after a long silence
+	nextSlowStartSend time.Duration                // earliest next send during slow start; negative: to be drawn
 }
 
-// sendSpacing spaces a tenant's sends to a server that rejects a higher rate. widenedAt is when the gap last grew.
+// sendSpacing spaces a compartment's sends to a server that rejects a higher rate. The gap last grew at widenedAt; the
+// next send is not before nextAt.
 type sendSpacing struct{ gap, widenedAt, nextAt time.Duration }
 
-// attemptState says what is known of an attempt.
+// attemptState tells whether an attempt is in flight, may have run, or never ran.
 type attemptState int
 
 const (
@@ -47,95 +48,95 @@
 	neverRan
 )
 
-// attempt is one send of a request.
+// attempt is one send of a request to a server.
 type attempt struct {
 	to             *server
-	sent           time.Duration
+	sent           time.Duration // when the attempt was sent
 	state          attemptState
-	connectionLost bool
+	connectionLost bool // the attempt ended as ConnectionLost
 }
 
-// request is an open request, or a finished one with attempts in flight.
+// request is an open request, or a finished request with attempts in flight.
 type request struct {
 	id            RequestID
 	class         *class
 	compartment   *compartment
-	deadline      time.Duration // the client's
-	usefulUntil   time.Duration // an answer after this has no value
-	targetAt      time.Duration // an answer before this has full value
+	deadline      time.Duration // when the client gives up
+	usefulUntil   time.Duration // a later answer has no value
+	targetAt      time.Duration // the latency target; earlier answers have the full value
 	attempts      []attempt
-	inFlight      int
-	probing       *server // whose load report it waits for; nil: none
-	probeDeadline time.Duration
-	probes        int                         // made for it
-	keyQueue      *keyedqueue.Queue[*request] // of its key; nil: its class is not in order
-	streaming     bool                        // the client receives its answer
-	finished      bool                        // answered, or its client has gone
+	inFlight      int                         // attempts in flight
+	probedServer  *server                     // the server whose load report the request waits for, or nil
+	probeDeadline time.Duration               // when the request stops waiting for that report
+	probes        int                         // probes made for the request
+	keyQueue      *keyedqueue.Queue[*request] // the queue of the request's key; nil: the request needs no order
+	streaming     bool                        // the client is receiving the answer
+	finished      bool                        // the request is answered, or the client has disconnected
 }
 
-// compartment is the bulkhead of one tenant: its slots and its queue.
+// compartment is the bulkhead of one tenant: its slots, its queue and its admission control.
 type compartment struct {
-	slots, used, queueSlots int
-	share                   float64 // of the service
-	queue                   []*request
-	gate                    admission.Gate
+	slots, used, queueSlots int            // most attempts in flight, attempts in flight, most requests in queue
+	share                   float64        // the tenant's fraction of the service
+	queue                   []*request     // requests that wait for a slot or a server
+	gate                    admission.Gate // the tenant's admission control
 }
 
-// class is a Class with what is known of its requests.
+// class is a Class and the statistics of its requests.
 type class struct {
 	Class
-	meanLatency     time.Duration // smoothed
-	longestTimeLeft time.Duration // of first attempts: the longest seen, which decays
+	meanLatency     time.Duration // smoothed latency of served attempts
+	longestTimeLeft time.Duration // decaying maximum of Request.TimeLeft: the TimeLeft of a client's first attempt
 }
 
 // Balancer makes the decisions of one sidecar. It is used from one goroutine.
 type Balancer struct {
-	cfg             Config
-	host            Host
-	rng             *rand.Rand
-	classes         []class
-	compartments    []compartment
-	requests        map[RequestID]*request
-	openRequests    []*request    // in order of arrival; Wake removes the finished ones
-	servers         []*server     // in order of their ids
-	slots           int           // of all compartments
-	maxQueued       int           // requests that may wait in all of them; negative: derived from the slots
-	minShareSum     float64       // of the tenants' shares: where they add up to less, the rest is unused
-	fleetSlots      float64       // mean attempts in flight of all balancers, with traffic at the quotas
-	quota           float64       // of all tenants together
-	balancers       int           // in the fleet
-	readyWeight     float64       // of all ready servers
-	peakWeight      float64       // the recent maximum of readyWeight
-	peakAt          time.Duration // of that maximum
-	shortageFactor  float64       // of the servers' limits, while some servers fail
-	inFlight        int
-	lastTurn        float64         // virtual time of the last turn
-	arc             []*server       // the servers that turns are taken among
-	arcStart        float64         // on the circle of all servers, from 0 to 1
-	arcWeight       float64         // weight in the arc
-	arrivals        ratemeter.Meter // requests
-	evenRate        float64         // requests a second of a balancer, where all have the same
-	arcLength       float64         // servers in the arc, by weight
-	meanLatency     time.Duration   // smoothed, over all classes
-	meanTarget      float64         // mean latency target of the classes, in seconds
-	meanValue       float64         // mean value of the classes
-	wakeAt          time.Duration
-	discovery       discoverypace.Pace // when to ask for the list
-	nextCompartment int
-	keyQueues       keyedqueue.Queues[*request] // by key
-	budget          admission.RetryBudget       // of attempts after a request's first
-	comparedServer  *server                     // whose reports are compared
-	compareAt       time.Duration               // when it is probed next
-	prober          loadquery.Prober            // decides whether servers are probed
-	closeAt         time.Duration               // when idle connections to draining servers are closed again; 0: not due
-	bulkhead        bulkhead.Bulkhead           // over all compartments
-	counters        Counters
+	cfg               Config
+	host              Host
+	rng               *rand.Rand
+	classes           []class
+	compartments      []compartment
+	requests          map[RequestID]*request
+	openRequests      []*request                  // in order of arrival; Wake removes finished requests
+	servers           []*server                   // in order of their IDs
+	slots             int                         // slots of all compartments
+	maxQueued         int                         // most queued requests in all compartments; negative: by the slots
+	minShareSum       float64                     // if the tenants' shares add up to less than this, the rest stays unused
+	fleetSlots        float64                     // mean attempts in flight of all balancers, with traffic at the quotas
+	quota             float64                     // requests per second of all tenants
+	balancers         int                         // balancers in the fleet
+	readyWeight       float64                     // total weight of the ready servers
+	peakWeight        float64                     // recent maximum of readyWeight
+	peakWeightAt      time.Duration               // when readyWeight was at that maximum
+	shortageFactor    float64                     // factor on the servers' limits, above 1 while other servers fail
+	inFlight          int                         // attempts in flight
+	lastTurn          float64                     // virtual time of the last turn
+	arc               []*server                   // the servers that get turns
+	arcStart          float64                     // start of the arc on the circle of ready servers, from 0 to 1
+	arcWeight         float64                     // total weight of the parts of servers that lie in the arc
+	arrivals          ratemeter.Meter             // rate of requests
+	perBalancerRate   float64                     // requests per second of each balancer, with traffic at the quotas
+	arcLength         float64                     // length of the arc in servers of mean weight
+	meanLatency       time.Duration               // smoothed latency of served attempts of all classes
+	meanTargetSeconds float64                     // mean latency target of the classes
+	meanValue         float64                     // mean value of the classes
+	wakeAt            time.Duration               // when the next call of Wake is due; 0: none was requested
+	discovery         discoverypace.Pace          // when to ask for the server list
+	nextCompartment   int                         // the compartment whose queue was dispatched first in the last round
+	keyQueues         keyedqueue.Queues[*request] // by key, for classes with InOrder
+	budget            admission.RetryBudget       // for attempts after a request's first
+	comparedServer    *server                     // the server whose load reports are compared
+	compareAt         time.Duration               // when comparedServer is probed next
+	prober            loadquery.Prober            // decides whether servers are probed
+	closeIdleAt       time.Duration               // when idle connections to draining servers are closed again; 0: not due
+	bulkhead          bulkhead.Bulkhead           // limits the attempts in flight of all compartments together
+	counters          Counters
 }
 
 // Counters returns the counts since New.
 func (b *Balancer) Counters() Counters { return b.counters }
 
-// firstMayHaveRun returns the first attempt that may have run or may still run, or nil.
+// firstMayHaveRun returns the request's first attempt that may have run or may still run, or nil.
 func (r *request) firstMayHaveRun() *attempt {
 	for i := range r.attempts {
 		if r.attempts[i].state != neverRan {
@@ -145,42 +146,44 @@
 	return nil
 }
 
-// wasSentTo says whether the request was sent to a server before; with again set, attempts whose connection
-// broke don't count.
-func (r *request) wasSentTo(s *server, again bool) bool {
+// wasSentTo reports whether the request was sent to a server before. With retryLost, attempts whose connection was lost
+// do not count.
+func (r *request) wasSentTo(s *server, retryLost bool) bool {
 	for i := range r.attempts {
-		if a := &r.attempts[i]; a.to == s && !(again && a.connectionLost) {
+		if a := &r.attempts[i]; a.to == s && !(retryLost && a.connectionLost) {
 			return true
 		}
 	}
 	return false
 }
 
-// backAt is when a server may have turns again: behind its ejection, or with an answer to what it has in flight.
-func (s *server) backAt(now time.Duration) time.Duration {
+// availableAt returns when a server may have turns again: after its ejection, or now if it owes an answer, as an answer
+// ends the ejection.
+func (s *server) availableAt(now time.Duration) time.Duration {
 	if s.inFlight > 0 {
 		return now
 	}
 	return max(now, s.ejectedUntil)
 }
 
-// find returns the position of a server in the list, or where it would be inserted.
-func (b *Balancer) find(id ServerID) (int, bool) {
+// findServer returns the position of a server in the list, or the position to insert it at and false.
+func (b *Balancer) findServer(id ServerID) (int, bool) {
 	return slices.BinarySearchFunc(b.servers, id, func(s *server, id ServerID) int { return cmp.Compare(s.ID, id) })
 }
 
-// server returns a listed server, or nil.
+// server returns the listed server with an ID, or nil.
 func (b *Balancer) server(id ServerID) *server {
-	if i, ok := b.find(id); ok {
+	if i, ok := b.findServer(id); ok {
 		return b.servers[i]
 	}
 	return nil
 }
 
-// peakWeightTime is how long the peak weight counts: servers that are gone for good must not keep shares small.
-const peakWeightTime = 30 * time.Second
+// peakWeightMaxAge bounds how long the peak weight counts: servers that have left for good must not keep the shares of
+// the remaining servers small.
+const peakWeightMaxAge = 30 * time.Second
 
-// updateWeights adds up the weights of the ready servers.
+// updateWeights adds up the weights of the ready servers, updates the peak weight and chooses the arc.
 func (b *Balancer) updateWeights(now time.Duration) {
 	b.readyWeight = 0
 	for _, s := range b.servers {
@@ -188,31 +191,31 @@
 			b.readyWeight += s.Weight
 		}
 	}
-	if b.readyWeight >= b.peakWeight || now-b.peakAt > peakWeightTime {
-		b.peakWeight, b.peakAt = b.readyWeight, now
+	if b.readyWeight >= b.peakWeight || now-b.peakWeightAt > peakWeightMaxAge {
+		b.peakWeight, b.peakWeightAt = b.readyWeight, now
 	}
 	b.chooseArc(now)
 }
 
-// weightShare is a server's share of a total, by its weight relative to the peak weight.
+// weightShare returns a server's share of a total, by its weight relative to the peak weight.
 func (b *Balancer) weightShare(total float64, s *server) float64 {
 	return total * s.Weight / max(b.peakWeight, s.Weight)
 }
 
-// wake has Wake called after d at the latest.
-func (b *Balancer) wake(now, d time.Duration) {
+// requestWake asks the Host for a call of Wake after d, unless an earlier call is due.
+func (b *Balancer) requestWake(now, d time.Duration) {
 	if b.wakeAt == 0 || now+d < b.wakeAt {
 		b.wakeAt = now + d
 		b.host.Wake(d)
 	}
 }
 
-// ready returns the ready servers, in order of their ids.
-func (b *Balancer) ready() []*server {
+// readyServers returns the ready servers in order of their IDs.
+func (b *Balancer) readyServers() []*server {
 	return slices.DeleteFunc(slices.Clone(b.servers), func(s *server) bool { return s.State != Ready })
 }
 
-// countInFlight counts an attempt that begins (1) or ends (-1).
+// countInFlight counts an attempt that starts (n is 1) or ends (n is -1).
 func (b *Balancer) countInFlight(r *request, s *server, n int) {
 	r.inFlight += n
 	s.inFlight += n
@@ -220,44 +223,44 @@
 	b.inFlight += n
 }
 
-// crossesZone says whether a server is in another zone and that has a price.
+// crossesZone reports whether a server is in another zone and crossing zones has a price.
 func (b *Balancer) crossesZone(s *server) bool {
 	return b.cfg.CrossZonePrice > 0 && s.Zone != b.cfg.Zone
 }
 
-// StreamBegun handles that a client receives the answer to its request from now on.
-func (b *Balancer) StreamBegun(id RequestID) {
+// StreamStarted handles that the client begins to receive the answer: the request is not retried or answered otherwise.
+func (b *Balancer) StreamStarted(id RequestID) {
 	if r := b.requests[id]; r != nil {
 		r.streaming = true
 	}
 }
 
-// forget drops a finished request without attempts in flight; the next one of its key may be sent.
-func (b *Balancer) forget(r *request) {
+// removeRequest removes a finished request without attempts in flight, so that the next request of its key may be sent.
+func (b *Balancer) removeRequest(r *request) {
 	delete(b.requests, r.id)
 	r.keyQueue.Remove(r)
 }
 
-// entryOf returns the server with an id, and adds it to the list where it is new.
-func (b *Balancer) entryOf(id ServerID) *server {
-	i, ok := b.find(id)
+// findOrAddServer returns the server with an ID. It adds a new server to the list.
+func (b *Balancer) findOrAddServer(id ServerID) *server {
+	i, ok := b.findServer(id)
 	if !ok {
 		b.servers = slices.Insert(b.servers, i, &server{slowness: 1, arcShare: 1})
 	}
 	return b.servers[i]
 }
 
-// markAllDeregistered marks all servers as deregistered.
+// markAllDeregistered sets the state of all servers to Deregistered.
 func (b *Balancer) markAllDeregistered() {
 	for _, s := range b.servers {
 		s.State = Deregistered
 	}
 }
 
-// ClientGone handles that a client has gone: its request needs no answer any more.
+// ClientGone handles that a client has disconnected: its request needs no answer.
 func (b *Balancer) ClientGone(now time.Duration, id RequestID) {
 	if r := b.requests[id]; r != nil && !r.finished {
-		b.complete(r)
+		b.endRequest(r)
 		b.dispatchQueued(now)
 	}
 }
