--- a/internal/mesh/sidecar/inbound.go
+++ b/internal/mesh/sidecar/inbound.go
@@ -67,7 +67,7 @@
 			KeepAlive: true, RetryAfter: drainRetryAfter,
 		}
 	}
-	return policy.Request{Terms: terms}, remaining, nil
+	return policy.Request{Attributes: terms}, remaining, nil
 }
 
 // isOwnAttempt reports whether this sidecar sent an attempt itself. The drain check doesn't apply to such an
