--- a/internal/mesh/gate/attempt_log.go
+++ b/internal/mesh/gate/attempt_log.go
@@ -7,102 +7,104 @@
 )
 
 const (
-	// maxRecords bounds the requests that are remembered, some 100 bytes each: those of 64 s at 1,000
-	// a second. With that many remembered no other request that must not run twice is begun: it is
-	// answered as unknown, which promises nothing.
+	// maxRecords bounds the memory of the attempt log: a record takes some 100 bytes, and the log holds the
+	// requests of 64 s at 1,000 requests/s. While the log is full, it admits no further non-idempotent request:
+	// the gate answers that such a request may have run, which promises nothing.
 	maxRecords = 1 << 16
-	// retentionMargin is how much longer than its own time a request is remembered: longer than bytes
-	// stay in flight between two machines that the system still counts as connected.
+	// retentionMargin is how long a record is kept after the request's own time has ended. It exceeds the time
+	// for which bytes can stay in flight between two machines that the system still considers connected.
 	retentionMargin = time.Minute
-	// maxClockStep is the longest time between two events that counts as elapsed. A process that was
-	// suspended finds bytes in its sockets that are as old as they were when it stopped, so records
-	// must not age meanwhile.
+	// maxClockStep is the longest time between two events that counts as elapsed. A process that was suspended
+	// still finds the bytes that its socket buffers held when it stopped, so records must not age during a
+	// suspension.
 	maxClockStep = time.Second
-	// sweepInterval is the time between two sweeps for expired records. It bounds their cost.
+	// sweepInterval is the time between two sweeps for expired records. It bounds the cost of sweeping.
 	sweepInterval = 5 * time.Second
 )
 
-// Key identifies a request's attempt id by 16 bytes of its hash, so that long ids cost no memory.
-type Key [16]byte
+// AttemptIDHash is the truncated SHA-256 hash of a request's attempt id. All hashes have 16 bytes, so that long ids
+// take no more memory than short ones.
+type AttemptIDHash [16]byte
 
-// KeyOf is the key of an attempt id.
-func KeyOf(attemptID string) Key {
+// HashAttemptID returns the hash under which the attempt log stores an attempt id.
+func HashAttemptID(attemptID string) AttemptIDHash {
 	sum := sha256.Sum256([]byte(attemptID))
-	return Key(sum[:len(Key{})])
+	return AttemptIDHash(sum[:len(AttemptIDHash{})])
 }
 
-// SendID names one send of a request by its caller's sidecar. A later send of the same request has a
-// higher number; a late copy of a send has the same one.
+// SendID identifies one send of a request by its caller's sidecar. A later send of the same request has a higher
+// Number; a delayed duplicate of a send has the same Number.
 type SendID struct {
-	Sender uint64 // drawn anew at each start of a sidecar
+	Sender uint64 // drawn at random at each start of a sidecar
 	Number uint64
 }
 
-// after reports whether a send is a later one of the same sidecar.
+// after reports whether s was issued later than before, by the same run of the same sidecar.
 func (s SendID) after(before SendID) bool {
 	return s.Sender == before.Sender && s.Number > before.Number
 }
 
-// admission is the log's decision on a request that arrives.
-type admission int
+// admitResult is the attempt log's decision on an arriving request.
+type admitResult int
 
 const (
-	// admitted: it may go on.
-	admitted admission = iota
-	// notExecuted: it was rejected before, with the promise that it never runs.
+	// admitted means that the request may be queued or sent to the upstream.
+	admitted admitResult = iota
+	// notExecuted means that this send was rejected before, with the promise that it never runs.
 	notExecuted
-	// mayHaveExecuted: another arrival of it is queued or was sent to the upstream, or the log is full.
+	// mayHaveExecuted means that another arrival of the request is queued or was sent to the upstream, or that the
+	// log is full.
 	mayHaveExecuted
 )
 
-// phase is how far a remembered request has got.
+// phase is the progress of a recorded request.
 type phase int8
 
 const (
-	// started: it is queued, or was sent to the upstream, whatever became of it there.
+	// started means that the request is queued or was sent to the upstream, whatever the outcome was.
 	started phase = iota
-	// rejected: it never reached the upstream, or the upstream rejected it; a later send may run.
+	// rejected means that the request never reached the upstream, or that the upstream rejected the request. A
+	// later send of the request may run.
 	rejected
 )
 
-// AttemptLog remembers requests that must not run twice, so that no two arrivals of one are sent to
-// the upstream, and none runs that was promised never to. Until a request has expired it keeps these
-// promises:
+// AttemptLog records non-idempotent requests, so that no request is sent to the upstream by two of its arrivals, and no
+// send runs that was rejected before. Until a record has expired, the log guarantees:
 //
-//   - a request that has started is not started by another arrival, which is answered that it may have
-//     run;
-//   - a send that was rejected is not started by a late copy of it, which is rejected too. Only a
-//     later send of the same sidecar may be.
+//   - Once a request has started, no other arrival of the request starts. The other arrivals are answered that the
+//     request may have run.
+//   - Once a send was rejected, no delayed duplicate of the send starts. The duplicates are rejected, too; only a later
+//     send by the same sidecar can start.
 //
 // Its methods may be called from any goroutine. The zero value is ready for use.
 type AttemptLog struct {
-	mu      sync.Mutex // guards all below
-	records map[Key]record
-	lastNow time.Duration // of the last event
-	elapsed time.Duration // while this process ran
-	sweepAt time.Duration // of elapsed
+	mu      sync.Mutex // guards the fields below
+	records map[AttemptIDHash]record
+	lastNow time.Duration // time of the last event, by the caller's clock
+	elapsed time.Duration // time for which this process has run, without suspensions
+	sweepAt time.Duration // time of the next sweep, in terms of elapsed
 }
 
 type record struct {
 	sendID    SendID
-	expiresAt time.Duration // of elapsed
+	expiresAt time.Duration // in terms of AttemptLog.elapsed
 	phase     phase
 }
 
-// admit records a request that has arrived completely, with the time that it has, and reports whether
-// it may go on.
+// admit decides whether a completely received request may start, and records the request as started if so. remaining is
+// the time until the request's deadline.
 func (l *AttemptLog) admit(
-	now time.Duration, key Key, sendID SendID, remaining time.Duration,
-) admission {
+	now time.Duration, hash AttemptIDHash, sendID SendID, remaining time.Duration,
+) admitResult {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.tick(now)
-	before, known := l.records[key]
+	l.advanceClock(now)
+	before, known := l.records[hash]
 	switch {
 	case !known && !l.hasCapacity():
 		return mayHaveExecuted
 	case !known, before.phase == rejected && sendID.after(before.sendID):
-		l.store(key, sendID, remaining, started)
+		l.store(hash, sendID, remaining, started)
 		return admitted
 	case before.phase == rejected:
 		return notExecuted
@@ -110,75 +112,75 @@
 	return mayHaveExecuted
 }
 
-// RecordRejection records that a send is about to be rejected before it reaches the gate, and reports
-// whether "not executed" may be promised: not where another arrival of the request has started, nor
-// where the log is full.
+// RecordRejection records that a send is about to be rejected before it reaches the gate. It reports whether the
+// rejection may promise that the request was not executed: it may not if another arrival of the request has started, or
+// if the log is full.
 func (l *AttemptLog) RecordRejection(
-	now time.Duration, key Key, sendID SendID, remaining time.Duration,
+	now time.Duration, hash AttemptIDHash, sendID SendID, remaining time.Duration,
 ) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.tick(now)
-	before, known := l.records[key]
+	l.advanceClock(now)
+	before, known := l.records[hash]
 	switch {
 	case !known && !l.hasCapacity(), known && before.phase == started:
 		return false
 	case !known, before.phase == rejected && sendID.after(before.sendID):
-		l.store(key, sendID, remaining, rejected)
+		l.store(hash, sendID, remaining, rejected)
 	}
 	return true
 }
 
-// setPhase records how far an admitted request has got.
-func (l *AttemptLog) setPhase(key Key, to phase) {
+// setPhase updates the phase of an admitted request. A request without a record is ignored.
+func (l *AttemptLog) setPhase(hash AttemptIDHash, to phase) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if r, known := l.records[key]; known {
+	if r, known := l.records[hash]; known {
 		r.phase = to
-		l.records[key] = r
+		l.records[hash] = r
 	}
 }
 
-// Size is how many requests are remembered.
+// Size returns the number of records, including expired records that no sweep has removed yet.
 func (l *AttemptLog) Size() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.records)
 }
 
-func (l *AttemptLog) store(key Key, sendID SendID, remaining time.Duration, phase phase) {
+func (l *AttemptLog) store(hash AttemptIDHash, sendID SendID, remaining time.Duration, phase phase) {
 	if l.records == nil {
-		l.records = make(map[Key]record)
+		l.records = make(map[AttemptIDHash]record)
 	}
-	l.records[key] = record{
+	l.records[hash] = record{
 		sendID: sendID, expiresAt: l.elapsed + remaining + retentionMargin, phase: phase,
 	}
 }
 
-// tick lets time pass, and sweeps at intervals.
-func (l *AttemptLog) tick(now time.Duration) {
+// advanceClock adds the time since the last event to elapsed, at most maxClockStep, and sweeps every sweepInterval.
+func (l *AttemptLog) advanceClock(now time.Duration) {
 	l.elapsed += min(max(0, now-l.lastNow), maxClockStep)
 	l.lastNow = now
 	if l.elapsed >= l.sweepAt {
 		l.sweepAt = l.elapsed + sweepInterval
-		l.expire()
+		l.removeExpired()
 	}
 }
 
-// hasCapacity reports whether one more can be remembered.
+// hasCapacity reports whether one more record fits into the log.
 func (l *AttemptLog) hasCapacity() bool {
 	if len(l.records) >= maxRecords {
-		l.expire()
+		l.removeExpired()
 	}
 	return len(l.records) < maxRecords
 }
 
-// expire drops expired records. That of a queued request does not expire before it is rejected or
-// sent.
-func (l *AttemptLog) expire() {
-	for key, r := range l.records {
+// removeExpired removes expired records. The record of a queued request never expires: the request is sent or rejected
+// before its deadline.
+func (l *AttemptLog) removeExpired() {
+	for hash, r := range l.records {
 		if l.elapsed >= r.expiresAt {
-			delete(l.records, key)
+			delete(l.records, hash)
 		}
 	}
 }
--- a/internal/mesh/gate/gate.go
+++ b/internal/mesh/gate/gate.go
@@ -1,18 +1,19 @@
-// Package gate is the admission control in front of one upstream: a decision module that all
-// requests for the upstream on this machine pass through, from all sidecars of the mesh. As nothing
-// else reaches the upstream, the gate knows how many of its slots are in use.
+// Package gate implements the admission control in front of one upstream instance. A Gate is a decision module: every
+// request for the upstream on this machine passes through the gate, from all sidecars of the mesh. No request reaches
+// the upstream in another way, so the gate knows how many of the upstream's slots are in use. A slot is the capacity to
+// process one request.
 //
-// It owns the queue of requests that wait for a slot, what it has learnt of the upstream, and the
-// AttemptLog of requests that must not run twice. Promises:
+// The gate owns the queue of requests that wait for a slot, the statistics of the upstream's past attempts, and the
+// AttemptLog of non-idempotent requests. It guarantees:
 //
-//   - there are never more attempts in flight than the upstream has slots;
-//   - nothing is sent to an upstream that drains or is deregistered;
-//   - each request has one attempt at most and one answer;
-//   - a request that can't start in time is rejected while its caller can still go elsewhere;
-//   - no attempt of an idempotent request goes on once its caller has left.
+//   - It sends an attempt only while fewer attempts are in flight than the upstream has slots.
+//   - It sends nothing to an upstream that is draining or deregistered.
+//   - Each request has at most one attempt, and exactly one answer unless its caller has left.
+//   - It rejects a request that cannot start in time while the caller still has time to try another upstream.
+//   - It cancels the attempt of an idempotent request once the caller has left.
 //
-// A Gate has no goroutines, no clock and no I/O. One goroutine drives it, as policy.Balancer says;
-// only Load, MeanServiceTime and the AttemptLog may be used from others.
+// A Gate has no goroutines, no clock and no I/O. All its methods are called from one goroutine, under the rules of
+// policy.Balancer, except for Load, MeanServiceTime and the methods of AttemptLog, which any goroutine may call.
 package gate
 
 import (
@@ -21,39 +22,40 @@
 	"caperarch/policy"
 )
 
-// Gate is the decision module.
+// Gate decides which requests are sent to the upstream, and when.
 type Gate struct {
 	host     policy.Host
 	attempts AttemptLog
-	requests map[policy.RequestID]*request // in the queue, or with their attempt in flight
+	requests map[policy.RequestID]*request // requests that are queued or have their attempt in flight
 	queue    queue
-	// lowPriorityCredit is the slots' time that lower priorities have waited for, see nextToRun.
+	// lowPriorityCredit is the slot time that went to the highest waiting priority while requests of lower
+	// priorities were queued as well, less the slot time that went to lower priorities in return. See nextToRun.
 	lowPriorityCredit time.Duration
 
 	upstream policy.ServerID
-	state    policy.State // of the upstream
+	state    policy.State // state of the upstream
 	slots    int
-	inFlight int               // attempts at the upstream
+	inFlight int               // number of attempts in flight at the upstream
 	retired  []policy.ServerID // former upstreams, newest last: later updates of them are ignored
 
 	health   health
-	wakeAt   time.Duration // when Wake is due next; 0: nothing was asked for
+	wakeAt   time.Duration // time of the requested Wake; 0: no Wake was requested
 	counters policy.Counters
 	load     publishedLoad
 }
 
-// New makes a gate without an upstream: requests are rejected until a list names one.
+// New returns a gate without an upstream. The gate rejects all requests until List names an upstream.
 func New(host policy.Host) *Gate {
 	return &Gate{host: host, requests: make(map[policy.RequestID]*request)}
 }
 
-// AttemptLog is what the gate remembers of requests that must not run twice.
+// AttemptLog returns the gate's record of non-idempotent requests.
 func (g *Gate) AttemptLog() *AttemptLog { return &g.attempts }
 
-// Start does nothing: a gate has nothing to do before its first list.
+// Start does nothing: a gate has no work before its first List.
 func (g *Gate) Start(time.Duration) {}
 
-// Request receives a request: it is sent, queued or rejected at once.
+// Request sends, queues or rejects an arriving request. A request whose ID is in use already is ignored.
 func (g *Gate) Request(now time.Duration, q policy.Request) {
 	if g.requests[q.ID] != nil {
 		return
@@ -61,13 +63,13 @@
 	g.advance(now)
 	defer g.endEvent(now)
 	r := newRequest(now, q)
-	if r.runsOnce() && !g.checkAttemptLog(now, r) {
+	if r.atMostOnce() && !g.checkAttemptLog(now, r) {
 		return
 	}
 	switch {
 	case r.deadline <= now || !g.accepting(now):
 		g.reject(now, r)
-	case g.inFlight < g.concurrencyLimit(now): // so the queue is empty
+	case g.inFlight < g.concurrencyLimit(now): // advance has left the queue empty in this case
 		g.requests[r.id] = r
 		g.send(now, r)
 	case now+g.expectedWait(now, r.priority) >= g.latestStart(r):
@@ -81,7 +83,8 @@
 	}
 }
 
-// Outcome records the end of an attempt: its slot is free, and its request has its answer.
+// Outcome records the end of an attempt: it frees the attempt's slot, and answers the request unless the request has
+// its answer already.
 func (g *Gate) Outcome(now time.Duration, o policy.Outcome) {
 	r := g.requests[o.ID]
 	if r == nil || !r.sent || o.Attempt != 0 {
@@ -99,18 +102,18 @@
 	g.endEvent(now)
 }
 
-// answer ends a request whose attempt gave its client nothing.
+// answer answers a request whose attempt has ended without a response for its client.
 func (g *Gate) answer(now time.Duration, r *request, ending policy.Ending) {
 	switch {
 	case ending == policy.Served:
 	case ending.NeverRan(), ending == policy.GateRejected:
 		g.reject(now, r)
-	default: // it may have run
+	default: // the attempt may have run
 		g.fail(r)
 	}
 }
 
-// Wake rejects what can't start in time any more, and assigns slots that count again.
+// Wake rejects queued requests that can no longer start in time, and assigns slots that are available again.
 func (g *Gate) Wake(now time.Duration) {
 	if now >= g.wakeAt {
 		g.wakeAt = 0
@@ -119,9 +122,9 @@
 	g.endEvent(now)
 }
 
-// ClientGone handles that the caller of a request has left: nobody is left to read its answer. One that
-// is queued is removed, and an attempt that may be cancelled is. It keeps its slot until its Outcome, as
-// the upstream may still work on it.
+// ClientGone handles that the caller of a request has left, so that nobody receives the answer. A queued request is
+// removed from the queue. An attempt in flight is cancelled if MayCancel allows that; the attempt keeps its slot until
+// its Outcome, as the upstream may still process the request.
 func (g *Gate) ClientGone(now time.Duration, id policy.RequestID) {
 	switch r := g.requests[id]; {
 	case r == nil:
@@ -135,20 +138,20 @@
 	g.endEvent(now)
 }
 
-// Probed does nothing: the gate asks for no health checks.
+// Probed does nothing: the gate requests no health checks.
 func (g *Gate) Probed(time.Duration, policy.ServerID, bool, policy.Load) {}
 
 // StreamBegun does nothing: the slot stays in use until the Outcome.
 func (g *Gate) StreamBegun(policy.RequestID) {}
 
-// Reconfigure does nothing: the gate depends on the list alone.
+// Reconfigure does nothing: the gate's limits depend on the server list only.
 func (g *Gate) Reconfigure(time.Duration, policy.Limits) error { return nil }
 
-// Counters returns counts of what the gate did since it was made.
+// Counters returns the totals since the gate was created.
 func (g *Gate) Counters() policy.Counters { return g.counters }
 
-// send starts a request's one attempt. It has no timeout of its own, as it may last until its
-// caller's deadline.
+// send starts the only attempt of a request. The attempt has no timeout of its own: it may last until the caller's
+// deadline.
 func (g *Gate) send(now time.Duration, r *request) {
 	r.sent, r.sentAt, r.upstream = true, now, g.upstream
 	g.inFlight++
--- a/internal/mesh/gate/gate_test.go
+++ b/internal/mesh/gate/gate_test.go
@@ -16,27 +16,27 @@
 var _ engine.Module = (*Gate)(nil)
 
 func TestQueueOrderByPriority(t *testing.T) {
-	Convey("Slots go by priority and then by arrival, and a full queue drops its lowest", t, func() {
+	Convey("Slots are assigned by priority and then by arrival, and a full queue drops its lowest priority", t, func() {
 		h := newHarness(1)
 		So(h.request(1, 2, time.Second, 0), ShouldResemble, []string{"send 1 to 1 for 0s"})
 		So(h.request(2, 2, time.Second, 0), ShouldBeEmpty)
 		So(h.request(3, 2, time.Second, 0), ShouldBeEmpty)
 		So(h.request(4, 2, time.Second, 0), ShouldResemble, []string{"refuse 4 10ms"})
 		So(h.request(5, 1, time.Second, 0), ShouldResemble, []string{"refuse 3 10ms"})
-		h.gate.Request(h.now, policy.Request{ID: 6, TimeLeft: time.Second}) // without Terms: priority 2
+		h.gate.Request(h.now, policy.Request{ID: 6, TimeLeft: time.Second}) // without AttemptTerms: defaultPriority
 		So(h.takeDecisions(), ShouldResemble, []string{"refuse 6 10ms"})
 		So(h.endAttempt(ms, 1, policy.Served), ShouldResemble, []string{"send 5 to 1 for 0s"})
-		So(h.request(7, 0, time.Second, 0), ShouldBeEmpty) // has queue slots of its own
+		So(h.request(7, 0, time.Second, 0), ShouldBeEmpty) // priority 0 has a queue capacity of its own
 		So(h.endAttempt(ms, 5, policy.Served), ShouldResemble, []string{"send 7 to 1 for 0s"})
 		So(h.endAttempt(ms, 7, policy.Served), ShouldResemble, []string{"send 2 to 1 for 0s"})
 		So(h.endAttempt(ms, 2, policy.Served), ShouldBeEmpty)
 	})
-	// All hold their slots equally long.
-	Convey("Of lowPriorityInterval slots one goes to who has waited longest below", t, func() {
+	// All requests have the same service time.
+	Convey("One of lowPriorityInterval slots goes to the request of a lower priority that has waited longest", t, func() {
 		h := newHarness(3)
 		var order []policy.RequestID
 		h.request(2000, 0, time.Minute, 0)
-		h.endAttempt(3*ms, 2000, policy.Served) // as long as all others
+		h.endAttempt(3*ms, 2000, policy.Served) // the service time of all other requests as well
 		h.onSend = func(id policy.RequestID) { order = append(order, id) }
 		for id := policy.RequestID(1); id <= 3; id++ {
 			h.request(id, 0, time.Minute, 0)
@@ -45,7 +45,7 @@
 		h.now -= ms
 		h.request(1000, 7, time.Minute, 0)
 		for id := policy.RequestID(4); len(order) < 3+2*lowPriorityInterval; id++ {
-			h.request(id, 0, time.Minute, 0) // priority 0 waits at every hand-out
+			h.request(id, 0, time.Minute, 0) // so a request of priority 0 waits whenever a slot is assigned
 			h.endAttempt(ms, order[len(order)-3], policy.Served)
 			if id == 4 {
 				h.request(1001, 5, time.Minute, 0)
@@ -54,7 +54,7 @@
 		So(slices.Index(order, 1000), ShouldEqual, 3+lowPriorityInterval-1)
 		So(slices.Index(order, 1001), ShouldEqual, 3+2*lowPriorityInterval-1)
 	})
-	Convey("A request that holds its slot four times as long has its turn a quarter as often", t, func() {
+	Convey("Requests of a lower priority with four times the service time get a slot a quarter as often", t, func() {
 		h := newHarness(1)
 		h.request(1, 0, time.Minute, 0)
 		h.endAttempt(ms, 1, policy.Served)
@@ -72,14 +72,14 @@
 	})
 }
 
-func TestNothingIsQueuedThatCannotStartInTime(t *testing.T) {
-	Convey("With a mean of 100 ms, nothing is queued that can't start in time", t, func() {
+func TestRequestsThatCannotStartInTimeAreRejected(t *testing.T) {
+	Convey("With a mean service time of 100 ms, no request is queued that can't start in time", t, func() {
 		h := newHarness(1)
 		h.request(1, 2, time.Second, 0)
 		h.endAttempt(100*ms, 1, policy.Served)
 		So(h.gate.MeanServiceTime(), ShouldEqual, 100*ms)
 		h.request(2, 2, time.Second, 0)
-		// A quarter of its latency target is no more than the mean.
+		// A quarter of the latency target is not more than the expected wait of 100 ms.
 		So(h.request(3, 2, time.Second, 400*ms), ShouldResemble, []string{"refuse 3 100ms"})
 		So(h.request(4, 2, 190*ms, 0), ShouldResemble, []string{"refuse 4 100ms"})
 		So(h.wakes, ShouldBeEmpty)
@@ -100,14 +100,14 @@
 		for id := policy.RequestID(2); id <= 5; id++ {
 			h.request(id, 2, time.Second, 0)
 		}
-		// It would start in time, and end too late.
+		// The request could start in time, but would end after its deadline.
 		So(h.request(6, 2, 120*ms, 0), ShouldResemble, []string{"refuse 6 25ms"})
 	})
 }
 
 func TestDrainingUpstreamIsSentNothing(t *testing.T) {
 	for _, state := range []policy.State{policy.Draining, policy.Deregistered} {
-		Convey(fmt.Sprintf("An upstream in state %d is sent nothing more, its successor is", state), t, func() {
+		Convey(fmt.Sprintf("An upstream in state %d is sent no further request, its successor is", state), t, func() {
 			h := newHarness(1)
 			h.request(1, 2, time.Second, 0)
 			h.request(2, 2, time.Second, 0)
@@ -116,7 +116,7 @@
 			h.list(policy.ListFull, 1, policy.Ready, 1)
 			So(h.request(3, 0, time.Second, 0), ShouldResemble, []string{"refuse 3 200ms"})
 			So(h.list(policy.ListFull, 2, policy.Ready, math.NaN()), ShouldResemble, []string{
-				"the upstream has no usable number of slots (NaN): it stays at 1",
+				"the server list gives the upstream NaN slots, want at least 1 and finite: keeping 1",
 			})
 			So(h.request(4, 2, time.Second, 0), ShouldResemble, []string{"send 4 to 2 for 0s"})
 			h.request(5, 2, time.Second, 0)
@@ -126,8 +126,8 @@
 	}
 }
 
-func TestAnswerByOutcomeOfAttempt(t *testing.T) {
-	Convey("What has not run is rejected, what may have run fails, and each has one attempt", t, func() {
+func TestAnswerByEndingOfAttempt(t *testing.T) {
+	Convey("A request is rejected if it has not run and fails if it may have run, without a second attempt", t, func() {
 		h := newHarness(1)
 		for ending, want := range map[policy.Ending]string{
 			policy.NotProcessed: "refuse", policy.NoConnection: "refuse",
@@ -147,7 +147,7 @@
 			So(h.endAttempt(ms, id, ending), ShouldBeEmpty)
 		}
 	})
-	Convey("An upstream that sheds has one slot fewer for 200 ms", t, func() {
+	Convey("An upstream that rejects a request has one slot fewer for 200 ms", t, func() {
 		h := newHarness(2)
 		h.request(1, 2, time.Minute, 0)
 		h.request(2, 2, time.Minute, 0)
@@ -156,7 +156,7 @@
 		So(h.wakes[len(h.wakes)-1], ShouldEqual, 201*ms)
 		So(h.wake(201*ms), ShouldResemble, []string{"send 3 to 1 for 0s"})
 	})
-	Convey("An upstream without connections is left alone longer and longer, until one succeeds", t, func() {
+	Convey("An unreachable upstream is sent nothing for a time that doubles until a connection succeeds", t, func() {
 		h := newHarness(4)
 		for id := policy.RequestID(1); id <= 5; id++ {
 			h.request(id, 2, time.Minute, 0)
@@ -170,7 +170,7 @@
 		So(h.endAttempt(0, 3, policy.NoConnection), ShouldResemble, []string{
 			"refuse 3 100ms", "refuse 7 100ms",
 		})
-		// Sent before the upstream was unreachable: nothing new.
+		// The attempt was sent before the upstream became unreachable, so the time is not extended.
 		So(h.endAttempt(0, 4, policy.NoConnection), ShouldResemble, []string{"refuse 4 100ms"})
 		id := policy.RequestID(10)
 		for _, unreachable := range []time.Duration{100 * ms, 200 * ms, 400 * ms, 800 * ms, 800 * ms} {
--- a/internal/mesh/gate/harness_test.go
+++ b/internal/mesh/gate/harness_test.go
@@ -9,9 +9,9 @@
 
 const ms = time.Millisecond
 
-// harness drives a gate, and is the host that records what it decides.
+// harness drives a gate, and is the policy.Host that records the gate's decisions as text.
 type harness struct {
-	policy.Host // what the gate has no use for
+	policy.Host // nil: methods that the gate does not call
 	gate        *Gate
 	now         time.Duration
 	lastSend    uint64
@@ -21,7 +21,7 @@
 	onAnswer    func(policy.RequestID)
 }
 
-// newHarness has an upstream 1 with so many slots.
+// newHarness returns a harness with upstream 1, which has the given number of slots.
 func newHarness(slots float64) *harness {
 	h := &harness{onSend: func(policy.RequestID) {}, onAnswer: func(policy.RequestID) {}}
 	h.gate = New(h)
@@ -51,7 +51,7 @@
 func (h *harness) Wake(d time.Duration) { h.wakes = append(h.wakes, h.now+d) }
 func (h *harness) Log(line string)      { h.decisions = append(h.decisions, line) }
 
-// list updates an upstream.
+// list applies an update of one upstream, and returns the decisions.
 func (h *harness) list(
 	kind policy.ListKind, id policy.ServerID, state policy.State, slots float64,
 ) []string {
@@ -59,29 +59,29 @@
 	return h.takeDecisions()
 }
 
-// request has a non-idempotent request arrive that was never sent before.
+// request delivers a non-idempotent request that was not sent before, and returns the decisions.
 func (h *harness) request(
 	id policy.RequestID, priority int, remaining, latencyTarget time.Duration,
 ) []string {
 	h.lastSend++
 	return h.requestWithTerms(id, &AttemptTerms{
 		Priority: priority, LatencyTarget: latencyTarget,
-		Key: KeyOf(fmt.Sprint(id)), SendID: SendID{Number: h.lastSend},
+		AttemptIDHash: HashAttemptID(fmt.Sprint(id)), SendID: SendID{Number: h.lastSend},
 	}, remaining)
 }
 
-// idempotentRequest has an idempotent request arrive.
+// idempotentRequest delivers an idempotent request of the default priority, and returns the decisions.
 func (h *harness) idempotentRequest(id policy.RequestID, remaining time.Duration) []string {
 	return h.requestWithTerms(id, &AttemptTerms{Priority: defaultPriority, Idempotent: true}, remaining)
 }
 
-// leave has the caller of a request leave.
-func (h *harness) leave(id policy.RequestID) []string {
+// disconnect reports that the caller of a request has left, and returns the decisions.
+func (h *harness) disconnect(id policy.RequestID) []string {
 	h.gate.ClientGone(h.now, id)
 	return h.takeDecisions()
 }
 
-// requestWithTerms has a request arrive.
+// requestWithTerms delivers a request with the given terms, and returns the decisions.
 func (h *harness) requestWithTerms(
 	id policy.RequestID, terms *AttemptTerms, remaining time.Duration,
 ) []string {
@@ -89,7 +89,7 @@
 	return h.takeDecisions()
 }
 
-// endAttempt ends an attempt after some more time.
+// endAttempt advances the time and ends the attempt of a request, and returns the decisions.
 func (h *harness) endAttempt(
 	after time.Duration, id policy.RequestID, ending policy.Ending,
 ) []string {
@@ -98,14 +98,14 @@
 	return h.takeDecisions()
 }
 
-// wake moves the time on and calls Wake.
+// wake sets the time and calls Wake, and returns the decisions.
 func (h *harness) wake(at time.Duration) []string {
 	h.now = at
 	h.gate.Wake(at)
 	return h.takeDecisions()
 }
 
-// takeDecisions returns what was decided since the last call.
+// takeDecisions returns the decisions since its last call.
 func (h *harness) takeDecisions() (decisions []string) {
 	decisions, h.decisions = h.decisions, nil
 	return decisions
--- a/internal/mesh/gate/health.go
+++ b/internal/mesh/gate/health.go
@@ -9,37 +9,38 @@
 )
 
 const (
-	// meanWeight is the weight of the past in the mean service time: high enough that one slow
-	// request does not have all others rejected, low enough that a change shows within some dozens
-	// of requests.
-	meanWeight = 16
-	// assumedServiceTime is the service time while nothing is known, the same for all priorities.
+	// meanSmoothing is the divisor of the moving mean service time: a new sample changes the mean by 1/meanSmoothing
+	// of the difference. The value is large enough that one slow request does not cause all others to be rejected,
+	// and small enough that a change shows within some dozens of requests.
+	meanSmoothing = 16
+	// assumedServiceTime is the expected service time before any attempt has ended, for all priorities.
 	assumedServiceTime = time.Millisecond
-	// shedDuration is for how long an upstream that rejected a request counts one slot fewer.
+	// shedDuration is how long the concurrency limit is lower by one slot after the upstream has rejected a request.
 	shedDuration = 200 * time.Millisecond
-	// maxConnectFailures is how many connections in a row have to fail before the upstream counts as
+	// maxConnectFailures is the number of consecutive connection failures after which the upstream is considered
 	// unreachable.
 	maxConnectFailures = 3
-	// minUnreachable and maxUnreachable bound the time for which it does. It doubles from one to the
-	// other while connections fail, so that a dead upstream costs little and a new one is found soon.
+	// minUnreachable and maxUnreachable bound the time for which the upstream is considered unreachable. The time
+	// doubles from the minimum to the maximum while connections fail, so that a dead upstream costs few attempts and
+	// a restarted upstream is detected soon.
 	minUnreachable = 100 * time.Millisecond
 	maxUnreachable = 800 * time.Millisecond
 )
 
-// health is what the endings of attempts show of an upstream.
+// health holds what the gate derives from the endings of attempts at the current upstream.
 type health struct {
-	meanService      time.Duration                     // 0: not known
-	meanByPriority   [lowestPriority + 1]time.Duration // 0: not known
-	shedUntil        []time.Duration                   // when each slot that was shed counts again, in order
-	connectFailures  int                               // in a row
+	meanService      time.Duration                     // 0: unknown
+	meanByPriority   [lowestPriority + 1]time.Duration // 0: unknown
+	shedUntil        []time.Duration                   // times at which shed slots become available again, ascending
+	connectFailures  int                               // consecutive connection failures
 	unreachableFor   time.Duration
 	unreachableUntil time.Duration
 }
 
-// record records the end of an attempt at an upstream with so many slots.
+// record updates the state by the end of an attempt at an upstream with the given number of slots.
 func (h *health) record(now time.Duration, r *request, ending policy.Ending, slots int) {
 	switch ending {
-	case policy.Served, policy.Errored, policy.InvalidRequest, policy.NotProcessed: // it answered
+	case policy.Served, policy.Errored, policy.InvalidRequest, policy.NotProcessed: // the upstream answered
 		h.connectFailures, h.unreachableFor, h.unreachableUntil = 0, 0, 0
 	}
 	switch ending {
@@ -53,14 +54,15 @@
 		h.recordConnectFailure(now, r)
 	case policy.Cancelled:
 		h.recordCancelled(r.priority, now-r.sentAt)
-	default: // it was in a slot that long
+	default: // the attempt occupied its slot for this time
 		updateMean(&h.meanService, now-r.sentAt)
 		updateMean(&h.meanByPriority[r.priority], now-r.sentAt)
 	}
 }
 
-// recordCancelled records an attempt that was cancelled after a time. It would have taken longer, so it
-// only counts where it raises a mean: callers that leave early must not make the upstream look fast.
+// recordCancelled records an attempt that was cancelled after the given time. Without the cancellation the attempt
+// would have taken longer, so the time is counted only where it raises a mean: callers that leave early must not make
+// the upstream look faster than it is.
 func (h *health) recordCancelled(priority int, after time.Duration) {
 	if after > h.meanService {
 		updateMean(&h.meanService, after)
@@ -70,21 +72,21 @@
 	}
 }
 
-// updateMean adds a service time to a moving mean.
+// updateMean adds a service time to an exponential moving mean.
 func updateMean(mean *time.Duration, took time.Duration) {
 	if *mean == 0 {
 		*mean = took
 		return
 	}
-	*mean += (took - *mean) / meanWeight
+	*mean += (took - *mean) / meanSmoothing
 }
 
-// recordConnectFailure counts a failed connection. After some in a row the upstream is unreachable
-// for a while. Requests then go to it again, and the first of them that fails alike makes it
-// unreachable for longer.
+// recordConnectFailure counts a failed connection. After maxConnectFailures consecutive failures the upstream is
+// considered unreachable for unreachableFor. Requests are sent to the upstream again afterwards; the first further
+// connection failure makes the upstream unreachable for twice as long.
 func (h *health) recordConnectFailure(now time.Duration, r *request) {
 	if r.sentAt < h.unreachableUntil {
-		return // sent before it became unreachable: nothing new
+		return // the attempt was sent before the upstream became unreachable
 	}
 	h.connectFailures++
 	if h.connectFailures >= maxConnectFailures {
@@ -93,13 +95,14 @@
 	}
 }
 
-// shedSlots is how many slots the upstream has shed recently.
+// shedSlots returns the number of slots that are unavailable because the upstream has rejected requests within the last
+// shedDuration.
 func (h *health) shedSlots(now time.Duration) int {
 	h.shedUntil = slices.DeleteFunc(h.shedUntil, func(until time.Duration) bool { return now >= until })
 	return len(h.shedUntil)
 }
 
-// expectedServiceTime is how long a request of a priority is expected to run.
+// expectedServiceTime returns how long a request of a priority is expected to run.
 func (h *health) expectedServiceTime(priority int) time.Duration {
 	return cmp.Or(h.meanByPriority[priority], h.meanService, assumedServiceTime)
 }
--- a/internal/mesh/gate/load.go
+++ b/internal/mesh/gate/load.go
@@ -8,34 +8,34 @@
 	"caperarch/policy"
 )
 
-// publishedLoad is the load after the last event, for other goroutines.
+// publishedLoad is the load after the last event, readable from other goroutines.
 type publishedLoad struct{ inFlight, queued, slots, meanService atomic.Int64 }
 
-// Load is how many attempts are in flight, how many requests are queued and how many slots the
-// upstream has. It may be called from any goroutine; each of the figures is the latest one.
+// Load returns the number of attempts in flight, the number of queued requests and the number of the upstream's slots.
+// It may be called from any goroutine. Each value is the latest; the three are not a consistent snapshot.
 func (g *Gate) Load() (inFlight, queued, slots int) {
 	return int(g.load.inFlight.Load()), int(g.load.queued.Load()), int(g.load.slots.Load())
 }
 
-// MeanServiceTime is the recent mean time of an attempt; 0: none has ended yet. It may be called
-// from any goroutine.
+// MeanServiceTime returns the moving mean of the service time of attempts, 0 before the first attempt has ended. It may
+// be called from any goroutine.
 func (g *Gate) MeanServiceTime() time.Duration { return time.Duration(g.load.meanService.Load()) }
 
-// endEvent is the last step of each event.
+// endEvent is the last step of the handling of each event.
 func (g *Gate) endEvent(now time.Duration) {
 	g.updateTimers(now)
 	g.publishLoad(now)
 }
 
-// updateTimers asks for the next Wake, only if something is queued: when the first request is late,
-// or when a slot counts again.
+// updateTimers requests the next Wake while requests are queued: at the first latest start of a queued request, or when
+// the next shed slot becomes available again.
 func (g *Gate) updateTimers(now time.Duration) {
 	if g.queue.length == 0 {
 		return
 	}
 	due := time.Duration(math.MaxInt64)
-	for _, same := range g.queue.byPriority {
-		for _, r := range same {
+	for _, requests := range g.queue.byPriority {
+		for _, r := range requests {
 			due = min(due, g.latestStart(r))
 		}
 	}
@@ -48,7 +48,7 @@
 	}
 }
 
-// publishLoad shows the load to other goroutines.
+// publishLoad makes the current load visible to other goroutines, and updates the counter of unreachable upstreams.
 func (g *Gate) publishLoad(now time.Duration) {
 	g.counters.Avoided = 0
 	if g.state == policy.Ready && now < g.health.unreachableUntil {
--- a/internal/mesh/gate/queue.go
+++ b/internal/mesh/gate/queue.go
@@ -2,10 +2,10 @@
 
 import "slices"
 
-// queue holds requests that wait for a slot, by priority and then in the order of arrival.
+// queue holds requests that wait for a slot, ordered by priority and then by arrival.
 type queue struct {
 	byPriority [lowestPriority + 1][]*request
-	length     int
+	length     int // total over all priorities
 }
 
 func (q *queue) add(r *request) {
@@ -14,46 +14,46 @@
 }
 
 func (q *queue) remove(r *request) {
-	same := q.byPriority[r.priority]
-	i := slices.Index(same, r)
-	q.byPriority[r.priority] = slices.Delete(same, i, i+1)
+	requests := q.byPriority[r.priority]
+	i := slices.Index(requests, r)
+	q.byPriority[r.priority] = slices.Delete(requests, i, i+1)
 	q.length--
 }
 
-// lengthOfHighest is how many requests of the highest priority wait.
+// lengthOfHighest returns the number of queued requests of priority 0.
 func (q *queue) lengthOfHighest() int { return len(q.byPriority[0]) }
 
-// lengthBelowHighest is how many others wait.
+// lengthBelowHighest returns the number of queued requests of all priorities below priority 0.
 func (q *queue) lengthBelowHighest() int { return q.length - len(q.byPriority[0]) }
 
-// lengthDownTo is how many requests of a priority and higher ones wait.
+// lengthDownTo returns the number of queued requests of the given priority and of higher priorities.
 func (q *queue) lengthDownTo(priority int) (n int) {
-	for _, same := range q.byPriority[:priority+1] {
-		n += len(same)
+	for _, requests := range q.byPriority[:priority+1] {
+		n += len(requests)
 	}
 	return n
 }
 
-// first is the first request of the highest priority that waits, and longest the one among the
-// first ones of lower priorities that arrived first. Either is nil where there is none.
-func (q *queue) first() (first, longest *request) {
-	for _, same := range q.byPriority {
+// first returns the oldest request of the highest priority in the queue and, among the requests of lower priorities,
+// the request that arrived first. Either is nil if there is no such request.
+func (q *queue) first() (first, oldestLower *request) {
+	for _, requests := range q.byPriority {
 		switch {
-		case len(same) == 0:
+		case len(requests) == 0:
 		case first == nil:
-			first = same[0]
-		case longest == nil || same[0].arrivedAt < longest.arrivedAt:
-			longest = same[0]
+			first = requests[0]
+		case oldestLower == nil || requests[0].arrivedAt < oldestLower.arrivedAt:
+			oldestLower = requests[0]
 		}
 	}
-	return first, longest
+	return first, oldestLower
 }
 
-// last is the newest request of the lowest priority that waits; nil: the queue is empty.
+// last returns the newest request of the lowest priority in the queue, nil if the queue is empty.
 func (q *queue) last() *request {
 	for priority := lowestPriority; priority >= 0; priority-- {
-		if same := q.byPriority[priority]; len(same) > 0 {
-			return same[len(same)-1]
+		if requests := q.byPriority[priority]; len(requests) > 0 {
+			return requests[len(requests)-1]
 		}
 	}
 	return nil
--- a/internal/mesh/gate/random_test.go
+++ b/internal/mesh/gate/random_test.go
@@ -12,20 +12,20 @@
 	"pgregory.net/rapid"
 )
 
-// gateTrace is a random trace of events, with what the test knows of the requests.
+// gateTrace is a random sequence of events, with the expected state of the requests.
 type gateTrace struct {
 	t *rapid.T
 	h *harness
 
 	slots    int
 	upstream policy.ServerID
-	ready    bool // the upstream
+	ready    bool // whether the upstream is ready
 
 	last           policy.RequestID
-	inFlight       []policy.RequestID // at the upstream
-	inFlightBefore []policy.RequestID // at the upstreams before it
-	waitDeadlines  map[policy.RequestID]time.Duration
-	highest        map[policy.RequestID]bool // of the highest priority
+	inFlight       []policy.RequestID                 // attempts at the current upstream
+	inFlightBefore []policy.RequestID                 // attempts at former upstreams
+	waitDeadlines  map[policy.RequestID]time.Duration // of the queued requests
+	highest        map[policy.RequestID]bool          // requests of priority 0
 	idempotent     map[policy.RequestID]bool
 	answered       map[policy.RequestID]bool
 }
@@ -48,23 +48,23 @@
 
 func (tr *gateTrace) recordAnswer(id policy.RequestID) {
 	if tr.answered[id] {
-		tr.t.Fatalf("request %d has a second answer", id)
+		tr.t.Fatalf("request %d was answered a second time, want one answer", id)
 	}
 	tr.answered[id] = true
 	delete(tr.waitDeadlines, id)
 }
 
 func (tr *gateTrace) recordSend(id policy.RequestID) {
-	_, waits := tr.waitDeadlines[id]
-	if !waits || !tr.ready || len(tr.inFlight) >= tr.slots {
-		tr.t.Fatalf("request %d sent, waits %v, ready %v, %d in flight for %d slots",
-			id, waits, tr.ready, len(tr.inFlight), tr.slots)
+	_, waiting := tr.waitDeadlines[id]
+	if !waiting || !tr.ready || len(tr.inFlight) >= tr.slots {
+		tr.t.Fatalf("request %d sent: waiting %v, upstream ready %v, %d attempts in flight for %d slots",
+			id, waiting, tr.ready, len(tr.inFlight), tr.slots)
 	}
 	delete(tr.waitDeadlines, id)
 	tr.inFlight = append(tr.inFlight, id)
 }
 
-// advance lets time pass with all wakes on the way.
+// advance moves the time forward, with all wakes that become due, and checks that no request waiting too long.
 func (tr *gateTrace) advance(d time.Duration) {
 	h, to := tr.h, tr.h.now+d
 	for slices.Sort(h.wakes); len(h.wakes) > 0 && h.wakes[0] <= to; slices.Sort(h.wakes) {
@@ -75,22 +75,22 @@
 	h.now = to
 	for id, until := range tr.waitDeadlines {
 		if h.now >= until {
-			tr.t.Fatalf("request %d still waits at %v, for longer than until %v", id, h.now, until)
+			tr.t.Fatalf("request %d is still queued at %v, want it sent or answered before %v", id, h.now, until)
 		}
 	}
 }
 
-// end ends one of the attempts in flight.
+// end ends attempt i of a list of attempts in flight.
 func (tr *gateTrace) end(inFlight *[]policy.RequestID, i int, ending policy.Ending) {
 	id := (*inFlight)[i]
 	*inFlight = slices.Delete(*inFlight, i, i+1)
 	if ending == policy.Served && !tr.answered[id] {
-		tr.recordAnswer(id) // as the engine does
+		tr.recordAnswer(id) // the engine answers the client before it reports the outcome
 	}
 	tr.h.gate.Outcome(tr.h.now, policy.Outcome{ID: id, Ending: ending, Finished: tr.answered[id]})
 }
 
-// step is a random event.
+// step generates and delivers a random event.
 func (tr *gateTrace) step() {
 	t := tr.t
 	ending := policy.Ending(rapid.IntRange(int(policy.Served), int(policy.GateRejected)).Draw(t, "ending"))
@@ -105,7 +105,7 @@
 	case what == 1:
 		tr.replaceUpstream()
 	case what == 2 && tr.last > 0:
-		tr.leave()
+		tr.disconnect()
 	case what == 3 && len(tr.inFlightBefore) > 0:
 		tr.end(&tr.inFlightBefore, 0, ending)
 	case what <= 7 && len(tr.inFlight) > 0:
@@ -117,7 +117,7 @@
 	}
 }
 
-// replaceUpstream has another instance take the place of one that is not ready.
+// replaceUpstream lists a new, ready instance in place of an upstream that is not ready.
 func (tr *gateTrace) replaceUpstream() {
 	tr.inFlightBefore = append(tr.inFlightBefore, tr.inFlight...)
 	tr.inFlight = nil
@@ -126,25 +126,26 @@
 	tr.h.list(policy.ListDelta, tr.upstream, policy.Ready, float64(tr.slots))
 }
 
-// leave has the caller of one of the last requests leave. Its attempt is cancelled if it is idempotent and
-// in flight, and no other is.
-func (tr *gateTrace) leave() {
+// disconnect reports that the caller of one of the last ten requests has left. The attempt must be cancelled if and
+// only if the request is idempotent and in flight.
+func (tr *gateTrace) disconnect() {
 	back := policy.RequestID(rapid.IntRange(0, 9).Draw(tr.t, "back"))
 	id := tr.last - min(tr.last-1, back)
 	inFlight := slices.Contains(tr.inFlight, id) || slices.Contains(tr.inFlightBefore, id)
 	tr.answered[id] = true
 	delete(tr.waitDeadlines, id)
 	tr.h.takeDecisions()
-	cancelled := slices.ContainsFunc(tr.h.leave(id), func(decision string) bool {
+	cancelled := slices.ContainsFunc(tr.h.disconnect(id), func(decision string) bool {
 		return strings.HasPrefix(decision, "cancel")
 	})
 	if cancelled != (inFlight && tr.idempotent[id]) {
-		tr.t.Fatalf("request %d, in flight %v, idempotent %v: cancelled %v",
+		tr.t.Fatalf("request %d, in flight %v, idempotent %v: cancelled %v, want a cancellation only if both hold",
 			id, inFlight, tr.idempotent[id], cancelled)
 	}
 }
 
-// request has a request arrive. It may wait for a quarter of its time, an internal check for half.
+// request delivers a request with random attributes. The request may wait for a quarter of its remaining time, a
+// request of priority 0 for half.
 func (tr *gateTrace) request() {
 	tr.last++
 	remaining := time.Duration(rapid.IntRange(-10, 1000).Draw(tr.t, "remaining")) * ms
@@ -162,25 +163,26 @@
 	tr.h.request(tr.last, priority, remaining, 0)
 }
 
-// checkLoad compares the load that the gate publishes with the trace's own, and bounds the queue.
+// checkLoad compares the published load with the expected load, and checks the bounds of the queue.
 func (tr *gateTrace) checkLoad() {
 	inFlight, queued, _ := tr.h.gate.Load()
-	checks := 0
+	highestQueued := 0
 	for id := range tr.waitDeadlines {
 		if tr.highest[id] {
-			checks++
+			highestQueued++
 		}
 	}
 	if inFlight != len(tr.inFlight) || queued != len(tr.waitDeadlines) {
-		tr.t.Fatalf("load %d, %d; %d are in flight and %d wait",
+		tr.t.Fatalf("published load: %d in flight, %d queued; want %d in flight, %d queued",
 			inFlight, queued, len(tr.inFlight), len(tr.waitDeadlines))
 	}
-	if queued-checks > max(2, tr.slots) || checks > highPriorityQueueSlots*maxTraceSlots {
-		tr.t.Fatalf("%d wait for %d slots, %d of them internal checks", queued, tr.slots, checks)
+	if queued-highestQueued > max(2, tr.slots) || highestQueued > highPriorityQueueFactor*maxTraceSlots {
+		tr.t.Fatalf("%d requests queued for %d slots, %d of them of priority 0: too many", queued, tr.slots, highestQueued)
 	}
 }
 
-// finish ends all attempts, and all that is queued by Wake alone.
+// finish advances the time until Wake has emptied the queue, ends all attempts, and checks that each request has an
+// answer.
 func (tr *gateTrace) finish() {
 	tr.advance(time.Minute)
 	for len(tr.inFlight) > 0 {
@@ -190,13 +192,12 @@
 		tr.end(&tr.inFlightBefore, 0, policy.Served)
 	}
 	if len(tr.answered) != int(tr.last) {
-		tr.t.Fatalf("%d of %d requests have an answer", len(tr.answered), tr.last)
+		tr.t.Fatalf("%d of %d requests have an answer, want all", len(tr.answered), tr.last)
 	}
 }
 
-// In random traces there are never more attempts in flight than slots, nothing goes to an upstream
-// that drains or is gone, nothing waits longer than its share of its time, and each request has
-// exactly one answer.
+// In random traces, no attempt is sent beyond the number of slots or to an upstream that is draining or deregistered,
+// no request waiting longer than its share of its remaining time, and each request has exactly one answer.
 func TestGateRandomTraces(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tr := newGateTrace(t)
@@ -209,13 +210,13 @@
 	})
 }
 
-// arrival is a send of a request that must not run twice.
+// arrival identifies a send of a non-idempotent request.
 type arrival struct {
 	id   string
 	send uint64
 }
 
-// attemptTrace is a random trace of arrivals, copies and ends.
+// attemptTrace is a random sequence of first arrivals, repeated arrivals and ends of attempts.
 type attemptTrace struct {
 	t *rapid.T
 	h *harness
@@ -223,14 +224,14 @@
 	last     policy.RequestID
 	arrivals map[policy.RequestID]arrival
 	inFlight []policy.RequestID
-	executed map[string]bool  // by id; false again where the attempt provably did not reach the upstream
-	promised map[arrival]bool // rejected: it must never run
+	executed map[string]bool  // by id; reset to false if the attempt provably did not run
+	rejected map[arrival]bool // sends that were rejected and must never run
 }
 
 func newAttemptTrace(t *rapid.T) *attemptTrace {
 	tr := &attemptTrace{
 		t: t, h: newHarness(2), arrivals: map[policy.RequestID]arrival{},
-		executed: map[string]bool{}, promised: map[arrival]bool{},
+		executed: map[string]bool{}, rejected: map[arrival]bool{},
 	}
 	tr.h.onSend = tr.recordSend
 	tr.h.onAnswer = tr.recordAnswer
@@ -240,28 +241,28 @@
 func (tr *attemptTrace) recordSend(id policy.RequestID) {
 	a := tr.arrivals[id]
 	if tr.executed[a.id] {
-		tr.t.Fatalf("%s runs twice", a.id)
+		tr.t.Fatalf("request %s was sent a second time after an attempt that may have run", a.id)
 	}
-	if tr.promised[a] {
-		tr.t.Fatalf("%s runs after its send %d was rejected", a.id, a.send)
+	if tr.rejected[a] {
+		tr.t.Fatalf("request %s was sent to the upstream after its send %d was rejected", a.id, a.send)
 	}
 	tr.executed[a.id] = true
 	tr.inFlight = append(tr.inFlight, id)
 }
 
-// recordAnswer is called as the answer is given: what it promises has to hold from then on.
+// recordAnswer checks the gate's last answer. From then on, the promise of a rejection must hold.
 func (tr *attemptTrace) recordAnswer(id policy.RequestID) {
 	a := tr.arrivals[id]
 	if !strings.HasPrefix(tr.h.decisions[len(tr.h.decisions)-1], "refuse") {
 		return
 	}
 	if tr.executed[a.id] {
-		tr.t.Fatalf("%s is rejected and has run", a.id)
+		tr.t.Fatalf("request %s was rejected as not executed after an attempt that may have run", a.id)
 	}
-	tr.promised[a] = true
+	tr.rejected[a] = true
 }
 
-// arrive has a send of one of a few requests arrive, for the first time or again.
+// arrive delivers a random send of one of five requests, for the first time or again.
 func (tr *attemptTrace) arrive() {
 	tr.last++
 	a := arrival{
@@ -270,11 +271,11 @@
 	}
 	tr.arrivals[tr.last] = a
 	tr.h.gate.Request(tr.h.now, policy.Request{
-		ID: tr.last, TimeLeft: time.Second, Terms: onceTerms(a.id, 7, a.send),
+		ID: tr.last, TimeLeft: time.Second, Terms: nonIdempotentTerms(a.id, 7, a.send),
 	})
 }
 
-// endOne ends one of the attempts in flight.
+// endOne ends a random attempt in flight.
 func (tr *attemptTrace) endOne() {
 	i := rapid.IntRange(0, len(tr.inFlight)-1).Draw(tr.t, "which")
 	id := tr.inFlight[i]
@@ -288,8 +289,8 @@
 	tr.h.gate.Outcome(tr.h.now, policy.Outcome{ID: id, Ending: ending})
 }
 
-// In random traces no id is sent to an upstream twice but for one whose attempt provably did not reach
-// it, none runs that was rejected under the same send, and none that has run is rejected afterwards.
+// In random traces, no request is sent to the upstream a second time unless its attempt provably did not run, no send
+// reaches the upstream after it was rejected, and no request is rejected as not executed after it may have run.
 func TestAttemptLogRandomTraces(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tr := newAttemptTrace(t)
--- a/internal/mesh/gate/rejection.go
+++ b/internal/mesh/gate/rejection.go
@@ -7,19 +7,19 @@
 )
 
 const (
-	// minRetryAfter guards against callers that retry before anything can have changed.
+	// minRetryAfter keeps callers from retrying before the load can have changed.
 	minRetryAfter = 10 * time.Millisecond
-	// maxRetryAfter guards against a few very slow requests keeping callers away for long.
+	// maxRetryAfter keeps a few very slow requests from delaying the retries of other callers for long.
 	maxRetryAfter = time.Second
-	// closedRetryAfter is for callers of an upstream that drains or is deregistered.
+	// closedRetryAfter is the Retry-After for callers of an upstream that is draining or deregistered.
 	closedRetryAfter = 200 * time.Millisecond
 )
 
-// checkAttemptLog asks the attempt log for a request that must not run twice. It answers one that
-// may not go on, and returns false.
+// checkAttemptLog reports whether the attempt log admits a non-idempotent request. It answers a request that the log
+// does not admit.
 func (g *Gate) checkAttemptLog(now time.Duration, r *request) bool {
 	remaining := max(0, r.deadline-now)
-	switch g.attempts.admit(now, r.terms.Key, r.terms.SendID, remaining) {
+	switch g.attempts.admit(now, r.terms.AttemptIDHash, r.terms.SendID, remaining) {
 	case notExecuted:
 		g.sendRejection(now, r)
 		return false
@@ -30,13 +30,14 @@
 	return true
 }
 
-// reject answers a request that has not run. A later send of it may.
+// reject answers that a request has not run, and records the rejection: a later send of the request may run.
 func (g *Gate) reject(now time.Duration, r *request) {
 	g.recordPhase(r, rejected)
 	g.sendRejection(now, r)
 }
 
-// sendRejection answers that a request has not run, and when a slot is expected to be free for it.
+// sendRejection answers that a request has not run. The Retry-After is the time until a slot is expected to be free for
+// the request.
 func (g *Gate) sendRejection(now time.Duration, r *request) {
 	retryAfter := closedRetryAfter
 	switch {
@@ -49,15 +50,15 @@
 	g.host.Refuse(r.id, min(max(retryAfter, minRetryAfter), maxRetryAfter))
 }
 
-// fail answers a request that may have run.
+// fail answers that a request may have run.
 func (g *Gate) fail(r *request) {
 	g.counters.Failed++
 	g.host.Fail(r.id)
 }
 
-// recordPhase records in the attempt log how far a request has got.
+// recordPhase updates the phase of a non-idempotent request in the attempt log. Other requests are not recorded.
 func (g *Gate) recordPhase(r *request, to phase) {
-	if r.runsOnce() {
-		g.attempts.setPhase(r.terms.Key, to)
+	if r.atMostOnce() {
+		g.attempts.setPhase(r.terms.AttemptIDHash, to)
 	}
 }
--- a/internal/mesh/gate/request.go
+++ b/internal/mesh/gate/request.go
@@ -7,44 +7,47 @@
 )
 
 const (
-	// defaultPriority is that of a request without AttemptTerms.
+	// defaultPriority is the priority of a request without AttemptTerms.
 	defaultPriority = 2
-	// lowestPriority bounds the number of queues; what has a lower one joins it.
+	// lowestPriority is the largest priority number, and bounds the number of queues. A request with a larger number
+	// is treated as a request of lowestPriority.
 	lowestPriority = 15
-	// waitDivisor is the part of its latency target that a request may wait for, one in so many: the
-	// rest is for its work.
+	// waitDivisor limits the time that a request may wait to 1/waitDivisor of its latency target. The rest is for
+	// its execution.
 	waitDivisor = 4
-	// highPriorityWaitDivisor is the same of all its time for the highest priority.
+	// highPriorityWaitDivisor limits the time that a request of priority 0 may wait to 1/highPriorityWaitDivisor of
+	// its remaining time.
 	highPriorityWaitDivisor = 2
-	// maxRemaining guards against sums that overflow.
+	// maxRemaining caps the remaining time of a request, so that sums of times do not overflow.
 	maxRemaining = time.Hour
 )
 
-// AttemptTerms are what a caller's sidecar sends along with a request: policy.Request.Terms.
+// AttemptTerms are the attributes of an attempt that the caller's sidecar sends along with a request. They are passed
+// in policy.Request.Terms.
 type AttemptTerms struct {
-	Priority      int           // 0 is the highest: internal checks
-	Idempotent    bool          // it may run twice
-	LatencyTarget time.Duration // the time that its caller would like it answered in; 0: none
-	Key           Key           // of its attempt id, unless it is idempotent
-	SendID        SendID        // unless it is idempotent
+	Priority      int           // 0 is the highest priority: internal checks
+	Idempotent    bool          // the request may run more than once
+	LatencyTarget time.Duration // time within which the caller would like the answer; 0: none
+	AttemptIDHash AttemptIDHash // hash of the attempt id; unused if Idempotent
+	SendID        SendID        // unused if Idempotent
 }
 
-// request is one that is queued or whose attempt is in flight.
+// request is a request that is queued or has its attempt in flight.
 type request struct {
 	id        policy.RequestID
 	priority  int
 	arrivedAt time.Duration
-	startBy   time.Duration // rejected if it is still queued then
+	startBy   time.Duration // the request is rejected if it is still queued at this time
 	deadline  time.Duration
-	terms     *AttemptTerms // nil: it brought none
+	terms     *AttemptTerms // nil: the request came without AttemptTerms
 	mayCancel bool          // see MayCancel
 
 	sent     bool
-	sentAt   time.Duration   // if sent
-	upstream policy.ServerID // if sent
+	sentAt   time.Duration   // set if sent
+	upstream policy.ServerID // set if sent
 }
 
-// newRequest is a request that arrives now.
+// newRequest returns the state of a request that arrives at the time now.
 func newRequest(now time.Duration, q policy.Request) *request {
 	remaining := min(q.TimeLeft, maxRemaining)
 	r := &request{id: q.ID, priority: defaultPriority, arrivedAt: now, deadline: now + remaining, mayCancel: MayCancel(q)}
@@ -57,18 +60,17 @@
 		}
 	}
 	r.startBy = now + latencyTarget/waitDivisor
-	if r.priority == 0 { // if it fails, so does the request that made it
+	if r.priority == 0 { // if an internal check fails, the request that made the check fails, too
 		r.startBy = now + remaining/highPriorityWaitDivisor
 	}
 	return r
 }
 
-// runsOnce reports whether a request must not run twice.
-func (r *request) runsOnce() bool { return r.terms != nil && !r.terms.Idempotent }
+// atMostOnce reports whether a request must not run more than once.
+func (r *request) atMostOnce() bool { return r.terms != nil && !r.terms.Idempotent }
 
-// MayCancel reports whether the attempt of a request may be cancelled once its caller has left: that of
-// one that is known to be idempotent. What must not run twice is finished once it has begun, or nobody
-// could tell what became of it.
+// MayCancel reports whether the attempt of a request may be cancelled once its caller has left. Only an attempt that is
+// known to be idempotent may: after the cancellation of any other attempt nobody could tell whether the request ran.
 func MayCancel(q policy.Request) bool {
 	terms, _ := q.Terms.(*AttemptTerms)
 	return terms != nil && terms.Idempotent
--- a/internal/mesh/gate/upstream.go
+++ b/internal/mesh/gate/upstream.go
@@ -10,14 +10,14 @@
 )
 
 const (
-	// maxSlots guards against a weight that no upstream can mean.
+	// maxSlots caps the number of slots. A larger number in an update is implausible.
 	maxSlots = 1 << 16
-	// maxRetired bounds the former upstreams that are remembered.
+	// maxRetired is the largest number of former upstreams whose late updates are recognised and ignored.
 	maxRetired = 64
 )
 
-// List applies an update of the upstream. One that drains or is deregistered is sent nothing more,
-// whatever later updates say; another one in its place is.
+// List applies an update of the server list. An upstream that is draining or deregistered is sent no further request,
+// whatever later updates state; its successor, another instance, is.
 func (g *Gate) List(now time.Duration, kind policy.ListKind, entries []policy.Server) {
 	if kind == policy.ListFailed {
 		return
@@ -34,15 +34,16 @@
 		case e.State != policy.Ready:
 			g.rememberRetired(e.ID)
 		default:
-			g.adopt(e)
+			g.setUpstream(e)
 		}
 	}
 	g.advance(now)
 	g.endEvent(now)
 }
 
-// adopt makes the entry the upstream, with its slots. The former one is sent nothing more.
-func (g *Gate) adopt(e policy.Server) {
+// setUpstream makes a ready server the upstream and applies its number of slots. If another server was the upstream,
+// the other server is retired.
+func (g *Gate) setUpstream(e policy.Server) {
 	if g.state == policy.Ready && e.ID != g.upstream {
 		g.retire(policy.Deregistered)
 	}
@@ -51,15 +52,15 @@
 		g.health = health{}
 		g.inFlight = g.countInFlight(e.ID)
 	}
-	if !(e.Weight >= 1) || math.IsInf(e.Weight, 0) { // so NaN is none either
+	if !(e.Weight >= 1) || math.IsInf(e.Weight, 0) { // the negated comparison covers NaN
 		g.host.Log(fmt.Sprintf(
-			"the upstream has no usable number of slots (%v): it stays at %d", e.Weight, g.slots))
+			"the server list gives the upstream %v slots, want at least 1 and finite: keeping %d", e.Weight, g.slots))
 		return
 	}
 	g.slots = int(min(e.Weight, maxSlots))
 }
 
-// countInFlight is how many attempts are in flight at an upstream.
+// countInFlight returns the number of attempts in flight at an upstream.
 func (g *Gate) countInFlight(id policy.ServerID) (n int) {
 	for _, r := range g.requests {
 		if r.sent && r.upstream == id {
@@ -69,13 +70,13 @@
 	return n
 }
 
-// retire ends all sending to the upstream: its late updates are ignored from now on.
+// retire stops sending to the current upstream, and makes List ignore later updates of it.
 func (g *Gate) retire(state policy.State) {
 	g.state = state
 	g.rememberRetired(g.upstream)
 }
 
-// rememberRetired keeps later updates from reviving an upstream.
+// rememberRetired makes List ignore later updates of an upstream. At most maxRetired upstreams are remembered.
 func (g *Gate) rememberRetired(id policy.ServerID) {
 	g.retired = append(g.retired, id)
 	if len(g.retired) > maxRetired {
@@ -83,13 +84,13 @@
 	}
 }
 
-// accepting reports whether the upstream may be sent anything.
+// accepting reports whether requests may be sent to the upstream.
 func (g *Gate) accepting(now time.Duration) bool {
 	return g.state == policy.Ready && now >= g.health.unreachableUntil
 }
 
-// concurrencyLimit is how many attempts may be in flight now: one at least, so that an upstream that
-// sheds all is tried again.
+// concurrencyLimit returns how many attempts may be in flight now. The limit is at least 1, so that an upstream that
+// has rejected requests in all its slots is tried again.
 func (g *Gate) concurrencyLimit(now time.Duration) int {
 	return max(1, g.slots-g.health.shedSlots(now))
 }
--- a/internal/mesh/sidecar/inbound.go
+++ b/internal/mesh/sidecar/inbound.go
@@ -91,7 +91,7 @@
 		Priority: stated.Priority, Idempotent: stated.Idempotent, LatencyTarget: stated.LatencyTarget,
 	}
 	if !terms.Idempotent {
-		terms.Key, terms.SendID = gate.KeyOf(id), gate.SendID(sendID)
+		terms.AttemptIDHash, terms.SendID = gate.HashAttemptID(id), gate.SendID(sendID)
 	}
 	return terms, remaining, true
 }
@@ -119,7 +119,7 @@
 	if !ok || terms.Idempotent || a != nil && !a.RejectedByFront {
 		return true // one that can't be parsed is run by no sidecar
 	}
-	return i.gate.AttemptLog().RecordRejection(i.clock.Now(), terms.Key, terms.SendID, remaining)
+	return i.gate.AttemptLog().RecordRejection(i.clock.Now(), terms.AttemptIDHash, terms.SendID, remaining)
 }
 
 // classifyUpstreamResponse returns how an attempt ended, and adds the gate's load for the caller's
