--- a/internal/mesh/balancer/balancer.go
+++ b/internal/mesh/balancer/balancer.go
@@ -1,18 +1,22 @@
-// Package balancer decides, at the sidecar beside a caller, when and where each request goes: it is
-// a decision module, with neither I/O nor a clock of its own.
+// Package balancer implements the load balancer of the sidecar beside a caller. A Balancer is a decision module,
+// without I/O and without a clock of its own: it decides when and to which upstream instance each request is sent.
 //
-// Its design is the bulkhead: each tenant, and each service for requests without a tenant, has a
-// compartment, that is a number of slots and a short queue. A request that finds both full is
-// rejected at once. A request occupies a slot while it has an attempt in flight. The upstream is
-// selected by smooth weighted round robin over those that are ready, weighted by the slots that they
-// report. What this sidecar knows of their load is what their gates report with each response: a full
-// one is passed over.
+// The design follows the bulkhead pattern. Each tenant has a compartment, which is a number of slots and a short queue;
+// requests without a tenant are grouped into compartments by service. A request occupies a slot while it has an attempt
+// in flight. A request that finds the slots and the queue of its compartment full is rejected at once.
 //
-// Promises: each request gets one answer; one that may have run is sent again only if it is
-// idempotent; a request is rejected only where it has not run; attempts after the first that reached
-// an upstream are charged to the retry budget.
+// Upstreams are selected by smooth weighted round robin over the ready instances, weighted by their numbers of slots.
+// The gate beside each upstream reports the upstream's load with each response; an upstream that is known
+// to be full is selected only if all upstreams are full.
 //
-// A Balancer has no goroutines. One goroutine drives it, as policy.Balancer says.
+// A Balancer guarantees:
+//
+//   - Each request gets exactly one answer.
+//   - A request that may have run is sent again only if it is idempotent.
+//   - A request is rejected only if it has not run.
+//   - A request that reached an upstream is retried only within the retry budget.
+//
+// A Balancer has no goroutines. All its methods are called from one goroutine, under the rules of policy.Balancer.
 package balancer
 
 import (
@@ -21,51 +25,52 @@
 	"caperarch/policy"
 )
 
-// deadlineMargin before its deadline a request is given up: a later answer would be too late.
+// deadlineMargin is how long before the client's deadline a request ends: a later answer would reach the client too
+// late.
 const deadlineMargin = 5 * time.Millisecond
 
-// RetryBudget bounds the attempts of a service's requests that reach an upstream after the first one
-// that did. The service is given by its number.
+// RetryBudget limits the retries of each service. A retry is an attempt that follows an attempt that reached an
+// upstream. Services are identified by their numbers.
 type RetryBudget interface {
-	// RecordRequest counts a request.
+	// RecordRequest counts a new request.
 	RecordRequest(now time.Duration, service int)
-	// Allowed reports whether one more retry may be sent.
+	// Allowed reports whether the budget allows one more retry.
 	Allowed(now time.Duration, service int) bool
-	// Charge charges a retry that is sent to the budget.
+	// Charge charges a retry to the budget, when the retry is sent.
 	Charge(now time.Duration, service int)
 }
 
-// Config is what a Balancer is made of.
+// Config holds the settings of a Balancer.
 type Config struct {
-	Zone        int        // policy.Server.Zone of the upstreams in this sidecar's zone
-	Members     func() int // sidecars that share the upstreams, at least 1
-	RetryBudget RetryBudget
+	Zone         int        // policy.Server.Zone of the upstreams in this sidecar's zone
+	SidecarCount func() int // number of sidecars that share the upstreams, at least 1
+	RetryBudget  RetryBudget
 }
 
-// Balancer is the decision module.
+// Balancer decides when and to which upstream each request of one sidecar is sent.
 type Balancer struct {
 	cfg      Config
 	host     policy.Host
 	requests map[policy.RequestID]*request
 
-	upstreams        []*upstream     // in the order of their ids, so that all sidecars pick alike
-	totalSlots       float64         // of the ready upstreams
-	virtualTime      map[int]float64 // of the round robin, by service number
-	errorRetryCredit map[int]float64 // retries after failures of the upstream, by service number
+	upstreams        []*upstream     // in the order of their ids, so that all sidecars break ties alike
+	totalSlots       float64         // slots of all ready upstreams
+	virtualTime      map[int]float64 // virtual time of the round robin, by service number
+	errorRetryCredit map[int]float64 // allowed retries after policy.Errored, by service number
 
 	compartments map[string]*compartment
-	queued       int // in all compartments
-	members      int // that compartments are sized for
+	queued       int // requests queued in all compartments
+	sidecarCount int // number of sidecars for which the compartments are sized
 
-	wakeAt   time.Duration // when Wake is due next; 0: nothing was asked for
-	sweepAt  time.Duration // when idle compartments are looked for next
+	wakeAt   time.Duration // time of the requested Wake; 0: no Wake was requested
+	sweepAt  time.Duration // time of the next removal of idle compartments
 	counters policy.Counters
 }
 
-// New makes a balancer without upstreams.
+// New returns a balancer without upstreams.
 func New(cfg Config, host policy.Host) *Balancer {
 	return &Balancer{
-		cfg: cfg, host: host, members: 1,
+		cfg: cfg, host: host, sidecarCount: 1,
 		requests:         make(map[policy.RequestID]*request),
 		compartments:     make(map[string]*compartment),
 		virtualTime:      make(map[int]float64),
@@ -73,10 +78,11 @@
 	}
 }
 
-// Start does nothing: a balancer has nothing to do before its first list.
+// Start does nothing: a balancer has no work before its first List.
 func (b *Balancer) Start(time.Duration) {}
 
-// Request receives a request: it is sent, queued or rejected at once. Its Terms are a *RequestClass.
+// Request sends, queues or rejects an arriving request. The request's Terms are a *RequestClass; a request with other
+// Terms is rejected.
 func (b *Balancer) Request(now time.Duration, q policy.Request) {
 	class, ok := q.Terms.(*RequestClass)
 	if !ok || q.TimeLeft <= deadlineMargin || b.requests[q.ID] != nil {
@@ -85,11 +91,11 @@
 		return
 	}
 	b.cfg.RetryBudget.RecordRequest(now, class.Service)
-	b.earnErrorRetry(class.Service)
+	b.addErrorRetryCredit(class.Service)
 	r := newRequest(now, q, class, b.compartmentFor(now, class.Compartment))
 	b.requests[q.ID] = r
-	b.dispatchQueued(now) // those that wait go first
-	if !r.compartment.hasWaiting(class.Service) && b.dispatch(now, r) {
+	b.dispatchQueued(now) // queued requests take precedence over the new request
+	if !r.compartment.hasQueued(class.Service) && b.dispatch(now, r) {
 		return
 	}
 	if len(r.compartment.queue) >= r.compartment.queueSlots {
@@ -99,7 +105,7 @@
 	b.enqueue(now, r)
 }
 
-// Outcome records the end of an attempt.
+// Outcome records the end of an attempt. A request without an answer is then retried or answered.
 func (b *Balancer) Outcome(now time.Duration, o policy.Outcome) {
 	r := b.requests[o.ID]
 	if r == nil || o.Attempt < 0 || o.Attempt >= len(r.attempts) || r.attempts[o.Attempt].done {
@@ -122,7 +128,8 @@
 	b.dispatchQueued(now)
 }
 
-// Wake sends what may be sent by now, rejects what has waited too long and drops idle compartments.
+// Wake sends queued requests for which a slot and an upstream are available, rejects queued requests whose wait has
+// expired, and removes idle compartments.
 func (b *Balancer) Wake(now time.Duration) {
 	if b.wakeAt > 0 && now >= b.wakeAt {
 		b.wakeAt = 0
@@ -131,7 +138,7 @@
 	b.removeIdleCompartments(now)
 }
 
-// ClientGone ends a request whose client has left; its attempt is cancelled.
+// ClientGone ends a request whose client has left, and cancels the attempt in flight.
 func (b *Balancer) ClientGone(now time.Duration, id policy.RequestID) {
 	r := b.requests[id]
 	if r == nil || r.answered {
@@ -144,24 +151,23 @@
 	b.dispatchQueued(now)
 }
 
-// StreamBegun records that a client has its answer while that still arrives.
+// StreamBegun records that the client is receiving the answer, while the attempt is still in flight.
 func (b *Balancer) StreamBegun(id policy.RequestID) {
 	if r := b.requests[id]; r != nil {
 		b.complete(r)
 	}
 }
 
-// Probed does nothing: gates report with every response, and no health checks are made.
+// Probed does nothing: gates report the load with every response, and the balancer requests no health checks.
 func (b *Balancer) Probed(time.Duration, policy.ServerID, bool, policy.Load) {}
 
-// Reconfigure does nothing: compartments are sized by the shares that requests bring.
+// Reconfigure does nothing: each request states the share of its compartment, see CompartmentSpec.
 func (b *Balancer) Reconfigure(time.Duration, policy.Limits) error { return nil }
 
-// Counters returns counts of what the balancer did since it was made.
+// Counters returns the totals since the balancer was created.
 func (b *Balancer) Counters() policy.Counters { return b.counters }
 
-// complete closes a request that has its answer. It is dropped once none of its attempts is in
-// flight.
+// complete marks a request as answered. The request is removed, and its slot released, once no attempt is in flight.
 func (b *Balancer) complete(r *request) {
 	r.answered = true
 	b.dequeue(r)
@@ -172,7 +178,7 @@
 	delete(b.requests, r.id)
 }
 
-// scheduleWake asks for a Wake after d, unless an earlier one is due.
+// scheduleWake requests a Wake after d, at least 1 ms, unless an earlier Wake was requested.
 func (b *Balancer) scheduleWake(now, d time.Duration) {
 	d = max(d, time.Millisecond)
 	if b.wakeAt == 0 || now+d < b.wakeAt {
--- a/internal/mesh/balancer/harness_test.go
+++ b/internal/mesh/balancer/harness_test.go
@@ -13,10 +13,10 @@
 
 const ms = time.Millisecond
 
-// harness drives a balancer in zone 0, and is the host and the retry budget that record what it
-// decides.
+// harness drives a balancer in zone 0. It is the policy.Host that records the balancer's decisions as text, and the
+// RetryBudget that counts charged retries.
 type harness struct {
-	policy.Host    // what the balancer has no use for
+	policy.Host    // nil: methods that the balancer does not call
 	balancer       *Balancer
 	now            time.Duration
 	decisions      []string
@@ -33,7 +33,7 @@
 		onSend:   func(policy.RequestID, policy.ServerID, time.Duration) {},
 		onAnswer: func(policy.RequestID, bool) {},
 	}
-	h.balancer = New(Config{Zone: 0, Members: func() int { return 1 }, RetryBudget: h}, h)
+	h.balancer = New(Config{Zone: 0, SidecarCount: func() int { return 1 }, RetryBudget: h}, h)
 	h.balancer.Start(h.now)
 	h.balancer.List(h.now, policy.ListFull, servers)
 	return h
@@ -64,13 +64,12 @@
 func (h *harness) Allowed(_ time.Duration, _ int) bool { return h.allowedRetries > h.chargedRetries }
 func (h *harness) Charge(time.Duration, int)           { h.chargedRetries++ }
 
-// ready is a ready server of service 0.
+// ready returns a ready server of service 0.
 func ready(id policy.ServerID, zone int, slots float64) policy.Server {
 	return policy.Server{ID: id, Zone: zone, State: policy.Ready, Weight: slots}
 }
 
-// newClass is that of an idempotent request for service 0, in a compartment of all slots, with two
-// attempts.
+// newClass returns the class of an idempotent request for service 0 with two attempts, in a compartment of all slots.
 func newClass(change ...func(*RequestClass)) *RequestClass {
 	class := &RequestClass{
 		Compartment: CompartmentSpec{Name: "all", Share: 1}, Priority: 1, Idempotent: true,
@@ -82,13 +81,13 @@
 	return class
 }
 
-// request has a request arrive that has a second.
+// request delivers a request with a remaining time of 1 s, and returns the decisions.
 func (h *harness) request(id policy.RequestID, class *RequestClass) []string {
 	h.balancer.Request(h.now, policy.Request{ID: id, TimeLeft: time.Second, Terms: class})
 	return h.takeDecisions()
 }
 
-// endAttempt ends an attempt, with the load that its gate reports, if it does.
+// endAttempt ends an attempt, optionally with the load that the gate reports, and returns the decisions.
 func (h *harness) endAttempt(
 	id policy.RequestID, attempt int, ending policy.Ending, load ...float64,
 ) []string {
@@ -100,7 +99,7 @@
 	return h.takeDecisions()
 }
 
-// serveEach has so many requests arrive, each one served before the next, and says where they went.
+// serveOneByOne delivers n requests, each of which is served before the next arrives. It returns their upstreams.
 func (h *harness) serveOneByOne(from policy.RequestID, n int) (to []policy.ServerID) {
 	h.onSend = func(_ policy.RequestID, server policy.ServerID, _ time.Duration) {
 		to = append(to, server)
@@ -113,7 +112,7 @@
 	return to
 }
 
-// advance lets time pass with all wakes on the way.
+// advance moves the time forward, with all wakes that become due, and returns the decisions.
 func (h *harness) advance(d time.Duration) []string {
 	to := h.now + d
 	for slices.Sort(h.wakes); len(h.wakes) > 0 && h.wakes[0] <= to; slices.Sort(h.wakes) {
@@ -124,15 +123,15 @@
 	return h.takeDecisions()
 }
 
-// takeDecisions returns what was decided since the last call.
+// takeDecisions returns the decisions since its last call.
 func (h *harness) takeDecisions() (decisions []string) {
 	decisions, h.decisions = h.decisions, nil
 	return decisions
 }
 
-func countOf(all []policy.ServerID, id policy.ServerID) (n int) {
-	for _, one := range all {
-		if one == id {
+func countOf(ids []policy.ServerID, id policy.ServerID) (n int) {
+	for _, got := range ids {
+		if got == id {
 			n++
 		}
 	}
--- a/internal/mesh/balancer/random_test.go
+++ b/internal/mesh/balancer/random_test.go
@@ -10,39 +10,40 @@
 	"pgregory.net/rapid"
 )
 
-// endings are those of attempts in a trace, some more often than others; 42 is an unknown one.
+// endings are the endings of attempts in a trace. Endings that occur twice are drawn more often; 42 is not a defined
+// ending.
 var endings = []policy.Ending{
 	policy.Served, policy.Served, policy.Errored, policy.NotProcessed, policy.TimedOut,
 	policy.NoConnection, policy.ConnectionLost, policy.Cancelled, policy.NotSent, policy.InvalidRequest,
 	policy.GateRejected, policy.GateRejected, 42,
 }
 
-// tracedRequest is a request of a trace, as the test keeps account of it.
+// tracedRequest is the expected state of a request.
 type tracedRequest struct {
-	class                            *RequestClass
-	deadline, waitDeadline           time.Duration
-	sends, arrivals, chargedArrivals int
-	mayHaveRun, inFlight, answered   bool
+	class                                   *RequestClass
+	deadline, waitDeadline                  time.Duration
+	sends, reachedAttempts, chargedAttempts int
+	mayHaveRun, inFlight, answered          bool
 }
 
-// mayBeSent reports whether another attempt is right.
+// mayBeSent reports whether the balancer may send another attempt.
 func (r *tracedRequest) mayBeSent() bool {
 	if r.answered || r.inFlight || r.mayHaveRun && !r.class.Idempotent {
 		return false
 	}
-	return r.arrivals < max(1, r.class.MaxAttempts)
+	return r.reachedAttempts < max(1, r.class.MaxAttempts)
 }
 
-// trace is a random trace of events, with what the test knows of requests and upstreams.
+// trace is a random sequence of events, with the expected state of requests and upstreams.
 type trace struct {
 	t        *rapid.T
 	h        *harness
 	servers  map[policy.ServerID]policy.Server
-	requests map[policy.RequestID]*tracedRequest // numbered from 1 on
-	inFlight map[string]int                      // by compartment
-	charged  int
-	// ending is the request whose attempt ends now: it goes on with its own slot, also where its
-	// compartment has become smaller.
+	requests map[policy.RequestID]*tracedRequest // ids ascend from 1
+	inFlight map[string]int                      // number of attempts, by compartment
+	charged  int                                 // number of retries that should have been charged
+	// ending is the request whose attempt is ending, 0 if none. The request keeps its slot for a retry, even if its
+	// compartment has become smaller than the number of slots in use.
 	ending policy.RequestID
 }
 
@@ -62,17 +63,17 @@
 	c := tr.h.balancer.compartments[r.class.Compartment.Name]
 	switch {
 	case !r.mayBeSent():
-		tr.t.Fatalf("request %d sent as %+v", id, r)
+		tr.t.Fatalf("request %d sent in state %+v, which allows no further attempt", id, r)
 	case server.State != policy.Ready || server.Cell != r.class.Service:
-		tr.t.Fatalf("request %d for service %d sent to %+v", id, r.class.Service, server)
+		tr.t.Fatalf("request %d for service %d sent to %+v, want a ready server of the service", id, r.class.Service, server)
 	case timeout <= 0 || tr.h.now+timeout > r.deadline:
-		tr.t.Fatalf("request %d sent for %v, its deadline is in %v", id, timeout, r.deadline-tr.h.now)
+		tr.t.Fatalf("request %d sent with a timeout of %v, want at most %v and above 0", id, timeout, r.deadline-tr.h.now)
 	case tr.inFlight[c.name] >= c.slots && id != tr.ending:
-		tr.t.Fatalf("compartment %s has %d in flight already, and %d slots",
+		tr.t.Fatalf("compartment %s has %d attempts in flight for %d slots, want no further attempt",
 			c.name, tr.inFlight[c.name], c.slots)
 	}
-	if r.arrivals > r.chargedArrivals {
-		r.chargedArrivals = r.arrivals
+	if r.reachedAttempts > r.chargedAttempts {
+		r.chargedAttempts = r.reachedAttempts
 		tr.charged++
 	}
 	if tr.h.chargedRetries != tr.charged {
@@ -86,12 +87,12 @@
 func (tr *trace) checkAnswer(id policy.RequestID, failed bool) {
 	r := tr.requests[id]
 	if r.answered || failed != r.mayHaveRun {
-		tr.t.Fatalf("request %d answered, failed %v, as %+v", id, failed, r)
+		tr.t.Fatalf("request %d answered, failed %v, in state %+v; want one answer, failed if it may have run", id, failed, r)
 	}
 	r.answered = true
 }
 
-// end ends the attempt of a request.
+// end ends the last attempt of a request.
 func (tr *trace) end(id policy.RequestID, ending policy.Ending, load policy.Load) {
 	r := tr.requests[id]
 	r.inFlight = false
@@ -99,11 +100,11 @@
 	switch ending {
 	case policy.GateRejected, policy.NoConnection, policy.NotSent:
 	case policy.NotProcessed:
-		r.arrivals++
+		r.reachedAttempts++
 	case policy.Served:
-		r.answered = true // as the engine does
+		r.answered = true // the engine answers the client before it reports the outcome
 	default:
-		r.arrivals++
+		r.reachedAttempts++
 		r.mayHaveRun = true
 	}
 	tr.ending = id
@@ -113,7 +114,7 @@
 	tr.ending = 0
 }
 
-// pick draws one of the requests for which a condition holds; false: there is none.
+// pick draws one of the requests that satisfy a condition, and returns false if there is none.
 func (tr *trace) pick(holds func(*tracedRequest) bool) (policy.RequestID, bool) {
 	var ids []policy.RequestID
 	for id := policy.RequestID(1); int(id) <= len(tr.requests); id++ {
@@ -127,16 +128,16 @@
 	return rapid.SampledFrom(ids).Draw(tr.t, "id"), true
 }
 
-func isInFlight(r *tracedRequest) bool { return r.inFlight }
-func isOpen(r *tracedRequest) bool     { return !r.answered }
+func isInFlight(r *tracedRequest) bool   { return r.inFlight }
+func isUnanswered(r *tracedRequest) bool { return !r.answered }
 
-// step is a random event.
+// step generates and delivers a random event.
 func (tr *trace) step() {
 	switch what := rapid.IntRange(0, 12).Draw(tr.t, "what"); {
 	case what == 0:
 		tr.update()
 	case what == 1:
-		if id, ok := tr.pick(isOpen); ok {
+		if id, ok := tr.pick(isUnanswered); ok {
 			tr.requests[id].answered = true
 			tr.h.balancer.ClientGone(tr.h.now, id)
 		}
@@ -155,7 +156,7 @@
 	}
 }
 
-// update lists an upstream anew, alone or beside the others.
+// update delivers a list event with one random server: a full or cached list of this server alone, or a delta.
 func (tr *trace) update() {
 	server := policy.Server{
 		ID:     policy.ServerID(rapid.IntRange(1, 5).Draw(tr.t, "server")),
@@ -173,7 +174,7 @@
 	tr.h.balancer.List(tr.h.now, kind, []policy.Server{server})
 }
 
-// request has a request arrive.
+// request delivers a request with random attributes.
 func (tr *trace) request() {
 	t, now := tr.t, tr.h.now
 	class := newClass(func(c *RequestClass) {
@@ -197,26 +198,26 @@
 	tr.h.balancer.Request(now, policy.Request{ID: id, TimeLeft: remaining, Terms: class})
 	c := tr.h.balancer.compartments[class.Compartment.Name]
 	if !r.answered && !r.inFlight && len(c.queue) > c.queueSlots {
-		t.Fatalf("request %d is queued as one of %d for %d queue slots", id, len(c.queue), c.queueSlots)
+		t.Fatalf("request %d is queued among %d requests, want at most %d", id, len(c.queue), c.queueSlots)
 	}
 }
 
-// check compares the slots in use with the trace's own count, and looks for who waits too long.
+// check compares the slots in use with the attempts in flight, and checks that no request waits too long.
 func (tr *trace) check() {
 	for name, c := range tr.h.balancer.compartments {
-		if c.used != tr.inFlight[name] {
-			tr.t.Fatalf("compartment %s has %d slots in use for %d in flight",
-				name, c.used, tr.inFlight[name])
+		if c.usedSlots != tr.inFlight[name] {
+			tr.t.Fatalf("compartment %s has %d slots in use, want %d, the number of attempts in flight",
+				name, c.usedSlots, tr.inFlight[name])
 		}
 	}
 	for id, r := range tr.requests {
 		if !r.answered && !r.inFlight && tr.h.now > r.waitDeadline+ms {
-			tr.t.Fatalf("request %d waits at %v, for longer than until %v", id, tr.h.now, r.waitDeadline)
+			tr.t.Fatalf("request %d is still queued at %v, want it sent or answered by %v", id, tr.h.now, r.waitDeadline)
 		}
 	}
 }
 
-// finish ends all attempts: each request has an answer then, and none is kept.
+// finish ends all attempts, and checks that each request has an answer and that the balancer keeps no request.
 func (tr *trace) finish() {
 	tr.h.advance(time.Minute)
 	for id, ok := tr.pick(isInFlight); ok; id, ok = tr.pick(isInFlight) {
@@ -224,17 +225,17 @@
 	}
 	for id, r := range tr.requests {
 		if !r.answered {
-			tr.t.Fatalf("request %d has no answer", id)
+			tr.t.Fatalf("request %d has no answer after the end of all attempts, want one", id)
 		}
 	}
 	if b := tr.h.balancer; len(b.requests) > 0 || b.queued > 0 {
-		tr.t.Fatalf("%d requests are kept, %d are queued", len(b.requests), b.queued)
+		tr.t.Fatalf("the balancer keeps %d requests and counts %d as queued, want none", len(b.requests), b.queued)
 	}
 }
 
-// In random traces each request has one answer, none runs a second time that is not idempotent, there
-// are never more in flight than slots, nothing goes to an upstream that is not ready, nothing waits
-// longer than its time, a request is rejected only where it has not run, and each retry is charged.
+// In random traces, each request has exactly one answer, a request that may have run is sent again only if it is
+// idempotent, no compartment has more attempts in flight than slots, requests are sent to ready upstreams only, no
+// request waits past its wait deadline, a request is rejected only if it has not run, and each retry is charged.
 func TestBalancerRandomTraces(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tr := newTrace(t)
--- a/internal/mesh/balancer/request.go
+++ b/internal/mesh/balancer/request.go
@@ -7,62 +7,63 @@
 )
 
 const (
-	// maxWaitFraction of its latency target is the longest that a request may wait here and still be
-	// rejected in time to be served later.
+	// maxWaitFraction is the fraction of its latency target for which a request may be queued. After a rejection, the
+	// client still has time for a retry within the target.
 	maxWaitFraction = 0.2
-	// highestPriorityWaitFraction of all its time is the same for a request of the highest priority.
+	// highestPriorityWaitFraction is the fraction of its remaining time for which a request of priority 0 may be
+	// queued, if that is longer.
 	highestPriorityWaitFraction = 0.4
 )
 
-// RequestClass is what the balancer decides by; policy.Request.Terms holds it.
+// RequestClass holds the attributes of a request by which the balancer decides. It is passed in policy.Request.Terms.
 type RequestClass struct {
-	Service       int // number of its service, the policy.Server.Cell of its upstreams
+	Service       int // number of the service, equal to policy.Server.Cell of the service's upstreams
 	Compartment   CompartmentSpec
 	Tenant        string        // "": none
-	Priority      int           // 0 is the highest
-	Idempotent    bool          // it may run more than once
-	MaxAttempts   int           // upstreams that it may reach
-	LatencyTarget time.Duration // an answer within this earns its full value
-	ConfigVersion int64         // of the configuration that the rest is from
+	Priority      int           // 0 is the highest priority
+	Idempotent    bool          // the request may run more than once
+	MaxAttempts   int           // largest number of attempts that reach an upstream
+	LatencyTarget time.Duration // an answer within this time has its full value to the client
+	ConfigVersion int64         // version of the configuration from which the other fields are derived
 }
 
-// request is one that has no answer yet, or whose attempt is still in flight.
+// request is a request that has no answer yet or has an attempt in flight.
 type request struct {
 	id           policy.RequestID
 	class        *RequestClass
 	compartment  *compartment
 	deadline     time.Duration
-	waitDeadline time.Duration // it is queued no longer than this
+	waitDeadline time.Duration // the request is rejected if it is still queued at this time
 
 	attempts        []attempt
-	arrivals        int // attempts that reached an upstream, or may have
-	chargedArrivals int // arrivals when the retry budget was charged last
+	reachedAttempts int // number of attempts that reached an upstream, or may have
+	chargedAttempts int // value of reachedAttempts when the retry budget was last charged
 
-	inFlight   bool // its last attempt
-	holdsSlot  bool // of its compartment
+	inFlight   bool // the last attempt is in flight
+	holdsSlot  bool // the request holds a slot of its compartment
 	answered   bool
-	mayHaveRun bool // an attempt that failed may have run
+	mayHaveRun bool // a failed attempt may have run
 }
 
 // attempt is one send of a request.
 type attempt struct {
-	upstream       *upstream // nil: it may be selected once more, see clearGateRejections
+	upstream       *upstream // nil: the upstream may be selected again, see clearGateRejections
 	rejectedByGate bool
 	done           bool
 }
 
-// newRequest is a request that arrives now.
+// newRequest returns the state of a request that arrives at the time now.
 func newRequest(now time.Duration, q policy.Request, class *RequestClass, c *compartment) *request {
 	r := &request{id: q.ID, class: class, compartment: c, deadline: now + q.TimeLeft - deadlineMargin}
 	wait := time.Duration(maxWaitFraction * float64(class.LatencyTarget))
-	if class.Priority == 0 { // if it fails, so does the request that made it
+	if class.Priority == 0 { // if an internal check fails, the request that made the check fails, too
 		wait = max(wait, time.Duration(highestPriorityWaitFraction*float64(q.TimeLeft)))
 	}
 	r.waitDeadline = min(r.deadline, now+wait)
 	return r
 }
 
-// attempted reports whether a request was sent to an upstream.
+// attempted reports whether the request has an attempt at an upstream that excludes the upstream from selection.
 func (r *request) attempted(u *upstream) bool {
 	for i := range r.attempts {
 		if r.attempts[i].upstream == u {
@@ -72,7 +73,7 @@
 	return false
 }
 
-// clearGateRejections lets upstreams whose gates rejected a request be selected once more.
+// clearGateRejections allows upstreams whose gates rejected the request to be selected again.
 func (r *request) clearGateRejections() {
 	for i := range r.attempts {
 		if r.attempts[i].rejectedByGate {
--- a/internal/mesh/balancer/retry.go
+++ b/internal/mesh/balancer/retry.go
@@ -8,20 +8,21 @@
 )
 
 const (
-	// errorRetryFraction of a service's requests may be retried after a failure that the upstream
-	// itself reports: so many are chance, more are a fault that retries amplify, as they repeat the
-	// nested calls too. Up to maxErrorRetries accumulate.
+	// errorRetryFraction is the fraction of a service's requests that may be retried after policy.Errored. Up to this
+	// fraction, such failures are likely to be isolated. A higher fraction indicates a fault, which retries would
+	// amplify, as each retry repeats the nested calls of the request as well.
 	errorRetryFraction = 0.02
-	maxErrorRetries    = 4
+	// maxErrorRetries is the largest credit for such retries that a service accumulates.
+	maxErrorRetries = 4
 	// minRetryAfter and maxRetryAfter bound the Retry-After of a rejected request.
 	minRetryAfter = 20 * time.Millisecond
 	maxRetryAfter = time.Second
-	// retryAfterDivisor is the part of the latency target that it is between them, one in so many:
+	// retryAfterDivisor sets the Retry-After to 1/retryAfterDivisor of the latency target within these bounds, so that
 	// the client's own retry can still meet the target.
 	retryAfterDivisor = 8
 )
 
-// retry gives a request another attempt after its last one failed, or answers it.
+// retry sends or queues a request again after its last attempt failed, or answers the request.
 func (b *Balancer) retry(now time.Duration, r *request, ending policy.Ending) {
 	reached := true
 	switch ending {
@@ -29,36 +30,37 @@
 		b.giveUp(r)
 		return
 	case policy.GateRejected, policy.NoConnection, policy.NotSent:
-		reached = false // another upstream costs nothing
+		reached = false // no upstream was reached, so the next attempt is not charged
 	case policy.NotProcessed:
-		r.arrivals++
+		r.reachedAttempts++
 	default:
-		r.arrivals++
+		r.reachedAttempts++
 		r.mayHaveRun = true
 	}
-	if r.mayHaveRun && !r.class.Idempotent || r.arrivals >= max(1, r.class.MaxAttempts) || now >= r.deadline {
+	if r.mayHaveRun && !r.class.Idempotent || r.reachedAttempts >= max(1, r.class.MaxAttempts) || now >= r.deadline {
 		b.giveUp(r)
 		return
 	}
-	if reached && !b.mayRetry(now, r, ending) {
+	if reached && !b.allowRetry(now, r, ending) {
 		b.giveUp(r)
 		return
 	}
 	if b.dispatch(now, r) {
 		return
 	}
-	// No upstream is left. Those whose gates rejected the request may have capacity soon.
+	// No upstream is available now. An upstream whose gate rejected the request may have capacity soon.
 	r.clearGateRejections()
 	if now >= r.waitDeadline || r.mayHaveRun {
 		b.giveUp(r)
 		return
 	}
 	b.releaseSlot(r)
-	b.enqueueFirst(now, r)
+	b.enqueueFront(now, r)
 }
 
-// mayRetry reports whether a request that reached an upstream may go to another.
-func (b *Balancer) mayRetry(now time.Duration, r *request, ending policy.Ending) bool {
+// allowRetry reports whether a request whose last attempt reached an upstream may be sent again. After policy.Errored,
+// an allowed retry uses up credit of the service.
+func (b *Balancer) allowRetry(now time.Duration, r *request, ending policy.Ending) bool {
 	if !b.cfg.RetryBudget.Allowed(now, r.class.Service) {
 		return false
 	}
@@ -72,13 +74,13 @@
 	return true
 }
 
-// earnErrorRetry adds a request's fraction of a retry to its service's credit.
-func (b *Balancer) earnErrorRetry(service int) {
+// addErrorRetryCredit adds the errorRetryFraction of one request to the credit of its service.
+func (b *Balancer) addErrorRetryCredit(service int) {
 	credit := b.errorRetryCredit[service] + errorRetryFraction
 	b.errorRetryCredit[service] = min(maxErrorRetries, credit)
 }
 
-// giveUp answers a request that has no further attempt: rejected if it has not run, else failed.
+// giveUp answers a request that gets no further attempt: it fails a request that may have run, and rejects any other.
 func (b *Balancer) giveUp(r *request) {
 	if !r.mayHaveRun {
 		b.reject(r)
@@ -89,7 +91,7 @@
 	b.complete(r)
 }
 
-// reject answers a request that has not run, with a Retry-After.
+// reject answers that a request has not run, with a Retry-After.
 func (b *Balancer) reject(r *request) {
 	b.counters.Refused++
 	retryAfter := r.class.LatencyTarget / retryAfterDivisor
--- a/internal/mesh/balancer/selection.go
+++ b/internal/mesh/balancer/selection.go
@@ -7,30 +7,32 @@
 	"caperarch/policy"
 )
 
-// SameMachine is the policy.Server.Zone of the upstream beside this sidecar, where there is one. No zone
-// has this number.
+// SameMachine is the policy.Server.Zone of the upstream on the sidecar's own machine, if there is one. No zone has this
+// number.
 const SameMachine = -1
 
 const (
-	// sameMachineLoadLimit is the share of its slots up to which the upstream on this machine is
-	// preferred to all others: a request to it crosses no link, and a machine's link may be its narrowest
-	// resource. It is low, as the sidecars of other machines send there as well.
+	// sameMachineLoadLimit is the fraction of its slots in use up to which the upstream on the same machine is preferred
+	// to all others: a request to it crosses no network link, and a machine's link may be its scarcest resource. The
+	// limit is low because the sidecars of other machines send to the same upstream.
 	sameMachineLoadLimit = 0.6
-	// localZoneLoadLimit is the share of an upstream's slots up to which one in the own zone is
-	// preferred: crossing zones has a price, waiting in a queue a higher one.
+	// localZoneLoadLimit is the fraction of its slots in use up to which an upstream in the local zone is preferred to
+	// upstreams in other zones: a request to another zone has a price, but waiting in a queue has a higher price.
 	localZoneLoadLimit = 0.75
-	// overloadAllowance is how far beyond its slots, as a share of them, an upstream is sent to where
-	// all are full: its gate's queue is short.
+	// overloadAllowance is the fraction of its slots by which an upstream may be overloaded when all upstreams are full.
+	// It is limited because the gate's queue is short.
 	overloadAllowance = 0.5
 )
 
-// selectUpstream is smooth weighted round robin over the ready upstreams of a request's service that
-// have capacity, as a scheduler by earliest deadline in virtual time (Envoy has the same): the
-// deadlines of an upstream with n slots are 1/n apart. First comes the one on this machine, then those of
-// the own zone, each while they have capacity to spare, then all. Where all are full it selects the one
-// with the least load for its slots. It returns nil where there is none.
+// selectUpstream selects one of the ready and available upstreams of the request's service by smooth weighted round
+// robin. The round robin is an earliest-deadline-first scheduler in virtual time, as in Envoy: the deadlines of an
+// upstream with n slots are 1/n apart.
+//
+// The upstream on the same machine takes precedence, then upstreams in the local zone, each while its load is below the
+// limit; then all upstreams with a free slot. If all upstreams are full, the upstream with the smallest load per slot
+// is selected. The result is nil if no upstream is available.
 func (b *Balancer) selectUpstream(now time.Duration, r *request) *upstream {
-	var onMachine, inZone, withCapacity, leastLoaded *upstream
+	var sameMachine, inZone, withCapacity, leastLoaded *upstream
 	for _, u := range b.upstreams {
 		if u.Cell != r.class.Service || u.State != policy.Ready || now < u.availableAt || r.attempted(u) {
 			continue
@@ -42,46 +44,49 @@
 		}
 		withCapacity = earlierDeadline(withCapacity, u)
 		if u.Zone == SameMachine && load < sameMachineLoadLimit {
-			onMachine = u
+			sameMachine = u
 		}
-		if b.inOwnZone(u) && load < localZoneLoadLimit {
+		if b.inLocalZone(u) && load < localZoneLoadLimit {
 			inZone = earlierDeadline(inZone, u)
 		}
 	}
-	selected := cmp.Or(onMachine, inZone, withCapacity, leastLoaded)
+	selected := cmp.Or(sameMachine, inZone, withCapacity, leastLoaded)
 	if selected != nil {
 		b.advanceVirtualTime(selected)
 	}
 	return selected
 }
 
-// inOwnZone reports whether an upstream is in this sidecar's zone.
-func (b *Balancer) inOwnZone(u *upstream) bool { return u.Zone == b.cfg.Zone || u.Zone == SameMachine }
+// inLocalZone reports whether an upstream is in this sidecar's zone.
+func (b *Balancer) inLocalZone(u *upstream) bool {
+	return u.Zone == b.cfg.Zone || u.Zone == SameMachine
+}
 
-// earlierDeadline is the upstream with the earlier deadline, a where they are equal; a may be nil.
-func earlierDeadline(a, u *upstream) *upstream {
-	if a == nil || u.virtualDeadline < a.virtualDeadline {
+// earlierDeadline returns the upstream with the earlier virtual deadline, best if the deadlines are equal. best may be
+// nil.
+func earlierDeadline(best, u *upstream) *upstream {
+	if best == nil || u.virtualDeadline < best.virtualDeadline {
 		return u
 	}
-	return a
+	return best
 }
 
-// lessLoaded is the upstream with less load for its slots, a where they are equal or u is beyond the
-// overload allowance; a may be nil.
-func lessLoaded(now time.Duration, a, u *upstream) *upstream {
+// lessLoaded returns the upstream with the smaller load per slot, best if the loads are equal or the load of u exceeds
+// the overloadAllowance. best may be nil.
+func lessLoaded(now time.Duration, best, u *upstream) *upstream {
 	load := u.loadAt(now) / u.Weight
 	if load >= 1+overloadAllowance {
-		return a
+		return best
 	}
-	if a == nil || load < a.loadAt(now)/a.Weight {
+	if best == nil || load < best.loadAt(now)/best.Weight {
 		return u
 	}
-	return a
+	return best
 }
 
-// advanceVirtualTime moves the virtual time to the deadline of a selected upstream, and sets its next
-// one. An upstream that was not selected for a while is first once, and is not compensated for all that
-// it missed.
+// advanceVirtualTime moves the virtual time of a service to the deadline of the selected upstream, and sets the next
+// deadline of the upstream. Virtual time never goes back, so an upstream that was not selected for a while is selected
+// first only once, without compensation for the requests that it missed.
 func (b *Balancer) advanceVirtualTime(u *upstream) {
 	service := u.Cell
 	b.virtualTime[service] = max(b.virtualTime[service], u.virtualDeadline)
--- a/internal/mesh/balancer/selection_test.go
+++ b/internal/mesh/balancer/selection_test.go
@@ -10,32 +10,32 @@
 )
 
 func TestUpstreamSelection(t *testing.T) {
-	Convey("Turns go by slots, and smoothly: each has had its share at any moment", t, func() {
+	Convey("Upstreams are selected in proportion to their slots, at any time in the sequence", t, func() {
 		slots := map[policy.ServerID]float64{1: 2, 2: 4, 3: 8}
 		h := newHarness(ready(1, 0, 2), ready(2, 0, 4), ready(3, 0, 8))
 		to := h.serveOneByOne(1, 140)
 		for n := range to {
-			for id, w := range slots {
-				So(float64(countOf(to[:n+1], id)), ShouldAlmostEqual, float64(n+1)*w/14, 1.5)
+			for id, share := range slots {
+				So(float64(countOf(to[:n+1], id)), ShouldAlmostEqual, float64(n+1)*share/14, 1.5)
 			}
 		}
 	})
-	Convey("A new upstream, or one that had no turns for a while, gets no more than its share", t, func() {
+	Convey("A new upstream, or an upstream that was not selected for a while, gets no more than its share", t, func() {
 		h := newHarness(ready(1, 0, 8))
 		h.serveOneByOne(1, 40)
 		h.balancer.List(h.now, policy.ListDelta, []policy.Server{ready(2, 0, 8)})
 		So(countOf(h.serveOneByOne(100, 20), 2), ShouldBeBetweenOrEqual, 9, 11)
 		h.request(200, newClass())
 		h.request(201, newClass())
-		h.endAttempt(200, 0, policy.NoConnection) // one of the two
+		h.endAttempt(200, 0, policy.NoConnection) // makes one of the two upstreams unavailable
 		h.endAttempt(201, 0, policy.Served)
 		h.endAttempt(200, 1, policy.Served)
-		h.serveOneByOne(300, 40) // all to the other
+		h.serveOneByOne(300, 40) // all sent to the other upstream
 		h.now += failureBackoff
 		to := h.serveOneByOne(400, 20)
 		So(countOf(to, 1), ShouldBeBetweenOrEqual, 8, 12)
 	})
-	Convey("An upstream that its gate reports full loses its turns until the report is old", t, func() {
+	Convey("An upstream that its gate reports as full is not selected until the report has expired", t, func() {
 		h := newHarness(ready(1, 0, 4), ready(2, 0, 4))
 		h.request(1, newClass())
 		h.endAttempt(1, 0, policy.Served, 4)
@@ -43,7 +43,7 @@
 		h.now += loadReportTTL + ms
 		So(countOf(h.serveOneByOne(30, 20), 1), ShouldBeGreaterThan, 5)
 	})
-	Convey("The upstream on the same machine is preferred up to a load, and counts as of the own zone", t, func() {
+	Convey("The upstream on the same machine is preferred up to a load limit, and counts as in the local zone", t, func() {
 		h := newHarness(ready(1, 0, 8), ready(2, SameMachine, 5), ready(3, 1, 8))
 		So(countOf(h.serveOneByOne(1, 20), 2), ShouldEqual, 20)
 		for id := policy.RequestID(101); id <= 103; id++ {
@@ -57,10 +57,10 @@
 		So(h.request(106, newClass()), ShouldResemble, []string{"send 106 to 1"})
 		full := newHarness(ready(1, 0, 4), ready(2, SameMachine, 4))
 		full.request(1, newClass())
-		full.endAttempt(1, 0, policy.Served, 3) // others' requests, by its gate's report
+		full.endAttempt(1, 0, policy.Served, 3) // the gate reports requests of other sidecars
 		So(countOf(full.serveOneByOne(10, 8), 2), ShouldEqual, 0)
 	})
-	Convey("The own zone is preferred up to a load, and what drains or is gone gets nothing", t, func() {
+	Convey("The local zone is preferred up to a load limit, and only ready upstreams are selected", t, func() {
 		h := newHarness(ready(1, 0, 4), ready(2, 1, 8))
 		So(countOf(h.serveOneByOne(1, 20), 1), ShouldEqual, 20)
 		for id := policy.RequestID(101); id <= 103; id++ {
--- a/internal/mesh/balancer/upstream.go
+++ b/internal/mesh/balancer/upstream.go
@@ -9,31 +9,33 @@
 )
 
 const (
-	// failureBackoff is how long an upstream is not selected after a failure to reach it, doubled up
-	// to maxBackoffDoublings times.
+	// failureBackoff is how long an upstream is not selected after the first of consecutive failures to reach the
+	// upstream. Each further failure doubles the time, up to maxBackoffDoublings times.
 	failureBackoff      = 40 * time.Millisecond
 	maxBackoffDoublings = 4
-	// gateRejectionBackoff is the same after its gate rejected a request.
+	// gateRejectionBackoff is how long an upstream is not selected after its gate rejected a request.
 	gateRejectionBackoff = 15 * time.Millisecond
-	// loadReportTTL is how long a gate's report of its load is believed.
+	// loadReportTTL is how long a gate's load report is valid.
 	loadReportTTL = 400 * time.Millisecond
-	// noTimeKnown stands for an unknown time: a long one, as no Wake is needed for it.
-	noTimeKnown = time.Hour
+	// maxWakeDelay is the delay of a Wake if no earlier event is expected. It only has to be long.
+	maxWakeDelay = time.Hour
 )
 
-// upstream is one instance and what is known of it.
+// upstream is one instance of a service, with the balancer's view of its load and reachability.
 type upstream struct {
 	policy.Server
-	virtualDeadline float64 // of its next request, see selectUpstream
-	inFlight        int     // this sidecar's attempts
-	reportedLoad    float64 // in flight and queued there as its gate reported, corrected by what was sent since
-	reportedAt      time.Duration
-	availableAt     time.Duration // not selected until then
-	failures        int           // to reach it, in a row
+	virtualDeadline float64 // virtual time of the next request to the upstream, see selectUpstream
+	inFlight        int     // attempts of this sidecar
+	// reportedLoad is the number of requests in flight and queued in the gate's last report, corrected by this
+	// sidecar's sends and outcomes since then.
+	reportedLoad float64
+	reportedAt   time.Duration
+	availableAt  time.Duration // the upstream is not selected before this time
+	failures     int           // consecutive failures to reach the upstream
 }
 
-// loadAt is how many requests an upstream has, as far as is known. An old report does not count, but
-// this sidecar's own attempts do.
+// loadAt returns the estimated number of requests at an upstream: the reported load or the number of this sidecar's own
+// attempts, whichever is larger. An expired report is not counted.
 func (u *upstream) loadAt(now time.Duration) float64 {
 	if now-u.reportedAt > loadReportTTL {
 		return float64(u.inFlight)
@@ -41,7 +43,7 @@
 	return max(u.reportedLoad, float64(u.inFlight))
 }
 
-// List applies an update of the upstreams.
+// List applies an update of the server list.
 func (b *Balancer) List(now time.Duration, kind policy.ListKind, entries []policy.Server) {
 	if kind == policy.ListFailed {
 		return
@@ -66,7 +68,7 @@
 	b.dispatchQueued(now)
 }
 
-// applyEntry updates an upstream or adds it.
+// applyEntry updates the upstream of a list entry, or adds an upstream.
 func (b *Balancer) applyEntry(e policy.Server) {
 	e.Weight = max(1, e.Weight)
 	at, known := slices.BinarySearchFunc(b.upstreams, e.ID, compareID)
@@ -80,7 +82,7 @@
 // compareID orders upstreams by their ids.
 func compareID(u *upstream, id policy.ServerID) int { return cmp.Compare(u.ID, id) }
 
-// recordOutcome learns from the end of an attempt whether its upstream can be reached.
+// recordOutcome updates the availability of an attempt's upstream by the ending of the attempt.
 func (b *Balancer) recordOutcome(now time.Duration, a *attempt, ending policy.Ending) {
 	u := a.upstream
 	switch ending {
@@ -98,10 +100,10 @@
 	}
 }
 
-// nextAvailable is the earliest time at which an upstream of a request's service becomes available
-// again or the report of its gate expires; noTimeKnown from now where there is no such time.
+// nextAvailable returns the earliest time at which an upstream of the request's service becomes available again or the
+// load report of its gate expires, and now+maxWakeDelay if there is no such time.
 func (b *Balancer) nextAvailable(now time.Duration, r *request) time.Duration {
-	next := now + noTimeKnown
+	next := now + maxWakeDelay
 	for _, u := range b.upstreams {
 		if u.Cell != r.class.Service {
 			continue
@@ -109,8 +111,8 @@
 		if u.availableAt > now {
 			next = min(next, u.availableAt)
 		}
-		if reportOld := u.reportedAt + loadReportTTL + 1; reportOld > now {
-			next = min(next, reportOld)
+		if reportExpiry := u.reportedAt + loadReportTTL + 1; reportExpiry > now {
+			next = min(next, reportExpiry)
 		}
 	}
 	return next
--- a/internal/mesh/sidecar/engines.go
+++ b/internal/mesh/sidecar/engines.go
@@ -56,7 +56,7 @@
 	transport.MaxConns = s.connectionFiles() / 4
 	transport.Dialect.Classify = s.classifyGateResponse
 	return engine.New(s.withIdentity(balancerEngineConfig(http1.New(transport), balancer.Config{
-		Zone: s.endpoints.zones[s.settings.Self.Zone], Members: s.sidecarCount, RetryBudget: s.quota,
+		Zone: s.endpoints.zones[s.settings.Self.Zone], SidecarCount: s.sidecarCount, RetryBudget: s.quota,
 	})))
 }
 
--- a/internal/mesh/sidecar/heartbeat_test.go
+++ b/internal/mesh/sidecar/heartbeat_test.go
@@ -49,7 +49,7 @@
 		Log:       logring.NewSlog(s.log), NoCounterLog: true, SleepsWhenIdle: true,
 	}
 	cfg.Module = func(_ policy.Config, _ uint64, _ policy.Host) (engine.Module, error) {
-		return balancer.New(balancer.Config{Members: func() int { return 1 }}, nil), nil
+		return balancer.New(balancer.Config{SidecarCount: func() int { return 1 }}, nil), nil
 	}
 	var err error
 	if s.balancerEngine, err = engine.New(cfg); err != nil {
--- a/internal/mesh/sidecar/mesh_test.go
+++ b/internal/mesh/sidecar/mesh_test.go
@@ -184,7 +184,7 @@
 		m.t.Fatal(err)
 	}
 	toGates := m.transport("caller", "gate", gateTransportConfig(clock.New(), headers.NewSendIDSource()))
-	e := m.startEngine(ctx, balancerEngineConfig(toGates, balancer.Config{Members: one, RetryBudget: s.quota}))
+	e := m.startEngine(ctx, balancerEngineConfig(toGates, balancer.Config{SidecarCount: one, RetryBudget: s.quota}))
 	s.endpoints.apply(true, []registry.Upstream{
 		{Instance: "i-1", Service: "s", Inbound: "gate1", Zone: "z", Slots: 4},
 		{Instance: "i-2", Service: "s", Inbound: "gate2", Zone: "z", Slots: 4},
