--- a/cmd/measure/mutants_config.go
+++ b/cmd/measure/mutants_config.go
@@ -17,9 +17,9 @@
 
 // verificationMutants are faults in what a gate does with attempts of an outdated sidecar.
 var verificationMutants = []mutant{
-	{"verification.go", "current.Version() > attempt.Admitted && !allows(", "false && !allows(",
+	{"verification.go", "current.Version() > attempt.AdmittedVersion && !allows(", "false && !allows(",
 		"a gate runs what its newer configuration does not allow"},
-	{"verification.go", "\tv.known.observe(now, attempt.Admitted)\n", "", "a gate does not learn from attempts"},
+	{"verification.go", "\tv.known.observe(now, attempt.AdmittedVersion)\n", "", "a gate does not learn from attempts"},
 	{"known_versions.go", "\tif age, ok := contactAge(); ok {\n\t\tk.refute(now - age)\n\t}\n", "",
 		"one sidecar's word shuts others out, whatever the core says"},
 	{"verification.go", "return tenant != nil && tenant.Name == name", "return tenant != nil || name != \"\"",
--- a/cmd/measure/quota_rig.go
+++ b/cmd/measure/quota_rig.go
@@ -172,7 +172,7 @@
 	}
 	request.Host = "quota.example"
 	request.Header[headers.AttemptID] = []string{fmt.Sprintf("%d-%d", number, n)}
-	request.Header[headers.Key] = []string{quotaKey}
+	request.Header[headers.APIKey] = []string{quotaKey}
 	request.Header[quotaSentField] = []string{strconv.FormatInt(time.Now().UnixNano(), 10)}
 	r.sent.Add(1)
 	response, err := client.Do(request)
--- a/internal/mesh/headers/attempt_terms.go
+++ b/internal/mesh/headers/attempt_terms.go
@@ -9,14 +9,14 @@
 	"caperarch/internal/proxy/h1"
 )
 
-// AttemptTerms are what a caller's sidecar sends to the gate beside an upstream about an attempt.
+// AttemptTerms are the attributes of an attempt that a caller's sidecar sends to the gate of the upstream.
 type AttemptTerms struct {
-	Priority      int           // 0 goes first
-	LatencyTarget time.Duration // travels in whole milliseconds
+	Priority      int           // 0 is the highest priority
+	LatencyTarget time.Duration // encoded in whole milliseconds
 	Idempotent    bool          // the request may run more than once
 }
 
-// Set replaces the terms in a request's fields.
+// Set encodes the terms into a request's fields, and replaces the terms that the fields contained.
 func (t AttemptTerms) Set(fields http.Header) {
 	idempotent := byte('0')
 	if t.Idempotent {
@@ -28,8 +28,8 @@
 	fields[attemptTermsField] = []string{string(append(b, ',', idempotent))}
 }
 
-// ParseAttemptTerms reads the terms of a request. It returns false if they are missing or malformed:
-// then the sender is no sidecar.
+// ParseAttemptTerms decodes the terms of a request. It returns false if the terms are missing or malformed, in which
+// case the sender is not a sidecar.
 func ParseAttemptTerms(h *h1.Head) (AttemptTerms, bool) {
 	parts := strings.SplitN(h.Get(attemptTermsField), ",", 3)
 	if len(parts) != 3 {
@@ -40,7 +40,7 @@
 	if errPriority != nil || errTarget != nil || target < 0 || priority < 0 {
 		return AttemptTerms{}, false
 	}
-	target = min(target, maxTimeout.Milliseconds()) // guards time.Duration against overflow
+	target = min(target, maxTimeout.Milliseconds()) // prevents an overflow of time.Duration
 	return AttemptTerms{
 		Priority:      priority,
 		LatencyTarget: time.Duration(target) * time.Millisecond,
--- a/internal/mesh/headers/golden_test.go
+++ b/internal/mesh/headers/golden_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Clients, upstreams and sidecars of the release before know the fields by these names.
+// Clients, upstreams and sidecars of the previous release use the fields under these names.
 func TestFieldNames(t *testing.T) {
 	for want, got := range map[string]string{
 		"X-Caperarch-Attempt-Id":        AttemptID,
@@ -19,16 +19,16 @@
 		"X-Caperarch-Not-Executed":      NotExecuted,
 		"X-Caperarch-Instance-Load":     Load,
 		"X-Caperarch-Instance-Id":       Instance,
-		"X-Api-Key":                     Key,
+		"X-Api-Key":                     APIKey,
 		"X-Mesh-Send":                   SendIDField,
 	} {
 		if got != want {
-			t.Errorf("the field is named %q, want %q", got, want)
+			t.Errorf("the field has the name %q, want %q", got, want)
 		}
 	}
 }
 
-func TestFieldsOfAGatesOwnResponse(t *testing.T) {
+func TestGateResponseFields(t *testing.T) {
 	for notExecuted, want := range map[bool]http.Header{
 		true: {
 			"X-Caperarch-Attempt-Id": {"9c41"}, "X-Mesh-Verdict": {"turned"}, "X-Mesh-Load": {"5,2,9"},
@@ -37,17 +37,17 @@
 		false: {"X-Caperarch-Attempt-Id": {"9c41"}, "X-Mesh-Verdict": {"unknown"}, "X-Mesh-Load": {"5,2,9"}},
 	} {
 		if got := GateResponseFields("9c41", notExecuted, FormatLoad(5, 2, 9)); !reflect.DeepEqual(got, want) {
-			t.Errorf("not executed %v: %v, want %v", notExecuted, got, want)
+			t.Errorf("gate response with not executed %v: got fields %v, want %v", notExecuted, got, want)
 		}
 	}
 	fields := http.Header{"X-Mesh-Verdict": {"turned"}}
 	SetGateLoad(fields, FormatLoad(5, 2, 9))
 	if want := (http.Header{"X-Mesh-Load": {"5,2,9"}}); !reflect.DeepEqual(fields, want) {
-		t.Errorf("an upstream's response has %v, want %v", fields, want)
+		t.Errorf("forwarded response: got fields %v, want %v", fields, want)
 	}
 }
 
-func TestTermsOfAnAttemptOnTheWire(t *testing.T) {
+func TestAttemptTermsFormat(t *testing.T) {
 	for want, terms := range map[string]AttemptTerms{
 		"2,1500,1": {Priority: 2, LatencyTarget: 1500 * time.Millisecond, Idempotent: true},
 		"0,0,0":    {},
@@ -55,25 +55,25 @@
 		fields := http.Header{}
 		terms.Set(fields)
 		if wantFields := (http.Header{"X-Mesh-Visit": {want}}); !reflect.DeepEqual(fields, wantFields) {
-			t.Errorf("%+v is written as %v, want %v", terms, fields, wantFields)
+			t.Errorf("%+v is encoded as %v, want %v", terms, fields, wantFields)
 		}
-		if got, ok := ParseAttemptTerms(head("X-Mesh-Visit", want)); !ok || got != terms {
-			t.Errorf("%q is read as %+v, %v, want %+v", want, got, ok, terms)
+		if got, ok := ParseAttemptTerms(requestHead("X-Mesh-Visit", want)); !ok || got != terms {
+			t.Errorf("%q is decoded as %+v, %v, want %+v", want, got, ok, terms)
 		}
 	}
 }
 
-func TestSendIDOnTheWire(t *testing.T) {
+func TestSendIDFormat(t *testing.T) {
 	id := SendID{Sender: 0xabc123, Number: 12}
 	if got := id.String(); got != "abc123.12" {
-		t.Errorf("the id is written as %q, want abc123.12", got)
+		t.Errorf("the id is encoded as %q, want abc123.12", got)
 	}
-	if got, ok := ParseSendID(head("X-Mesh-Send", "abc123.12")); !ok || got != id {
-		t.Errorf("the id is read as %+v, %v, want %+v", got, ok, id)
+	if got, ok := ParseSendID(requestHead("X-Mesh-Send", "abc123.12")); !ok || got != id {
+		t.Errorf("the id is decoded as %+v, %v, want %+v", got, ok, id)
 	}
 }
 
-// Neither clients nor upstreams may set or see what sidecars tell each other.
+// The fields that sidecars exchange are removed from a client's request.
 func TestInternalFieldsAreRemoved(t *testing.T) {
 	internal := []string{
 		"X-Mesh-Visit", "X-Mesh-Send", "X-Mesh-Load", "X-Mesh-Verdict",
@@ -85,6 +85,6 @@
 		fields[name] = []string{"1"}
 	}
 	if StripInternal(fields); !reflect.DeepEqual(fields, want) {
-		t.Errorf("left are %v, want %v", fields, want)
+		t.Errorf("remaining fields %v, want %v", fields, want)
 	}
 }
--- a/internal/mesh/headers/load.go
+++ b/internal/mesh/headers/load.go
@@ -8,11 +8,11 @@
 	"caperarch/policy"
 )
 
-// maxLoad is the largest number of requests in a load that is read. It guards against sums that
-// overflow.
+// maxLoad is the largest number of requests that ParseLoad accepts. It prevents overflows of sums.
 const maxLoad = 1 << 20
 
-// FormatLoad returns a gate's load as it travels: numbers of requests and slots.
+// FormatLoad encodes a load as the number of running requests, the number of waiting requests and the number of slots,
+// separated by commas.
 func FormatLoad(running, waiting, slots int) string {
 	b := strconv.AppendInt(nil, int64(running), 10)
 	b = append(b, ',')
@@ -21,8 +21,8 @@
 	return string(strconv.AppendInt(b, int64(slots), 10))
 }
 
-// ParseLoad reads a load as FormatLoad or an upstream writes it: running and waiting together are in
-// flight. A load that is malformed or out of bounds is the zero Load, which has neither.
+// ParseLoad decodes a load that FormatLoad or an upstream has encoded. Load.InFlight is the sum of the running and the
+// waiting requests. For a load that is malformed or out of range, the result is the zero Load, without known fields.
 func ParseLoad(text string) policy.Load {
 	parts := strings.SplitN(text, ",", 3)
 	if len(parts) != 3 {
@@ -38,8 +38,8 @@
 	}
 }
 
-// ParseSlots reads from a load how many requests an upstream works on at once. It returns 0 if the load
-// doesn't say.
+// ParseSlots decodes the number of slots from a load: the number of requests that an upstream processes concurrently.
+// It returns 0 if the load contains no valid number of slots.
 func ParseSlots(text string) int {
 	_, slots, _ := strings.Cut(text, ",")
 	if _, last, ok := strings.Cut(slots, ","); ok {
@@ -51,12 +51,12 @@
 
 // SetGateLoad sets the gate's load in an upstream's response, for the caller's sidecar.
 func SetGateLoad(fields http.Header, load string) {
-	delete(fields, outcomeField) // only a gate may say
+	delete(fields, outcomeField) // an upstream's response may contain the field, but only gates may set it
 	fields[gateLoadField] = []string{load}
 }
 
-// StripGateFields removes the gate's load and what it says of configurations before a response leaves the caller's
-// sidecar.
+// StripGateFields removes the gate's load and configuration version before the caller's sidecar forwards a response to
+// the client.
 func StripGateFields(fields http.Header) {
 	delete(fields, gateLoadField)
 	delete(fields, configField)
--- a/internal/mesh/headers/outcome.go
+++ b/internal/mesh/headers/outcome.go
@@ -8,16 +8,17 @@
 )
 
 const (
-	// StatusConfigOutdated is the status of a gate that rejects an attempt because a newer configuration than
-	// its caller's does not allow it.
+	// StatusConfigOutdated is the status with which a gate rejects an attempt that a newer configuration than the
+	// caller's does not allow.
 	StatusConfigOutdated = http.StatusConflict
-	// ConfigOutdated is the ending of such an attempt: it never came to the upstream, and no other gate would
-	// let it. It is the mesh's own, beside those of package policy.
+	// ConfigOutdated is the ending of an attempt that a gate rejected with StatusConfigOutdated. The attempt did not
+	// reach the upstream, and every other gate with that configuration would reject it as well. The value extends the
+	// endings of package policy.
 	ConfigOutdated policy.Ending = 64
 )
 
-// GateResponseFields returns the fields of a gate's own response to an attempt: whether it proves that
-// the request was not executed and never will be, or leaves that open.
+// GateResponseFields returns the fields of a response that the gate itself makes for an attempt. notExecuted states
+// whether the response guarantees that the request was not executed and never will be, or that this is unknown.
 func GateResponseFields(attemptID string, notExecuted bool, load string) http.Header {
 	outcome := outcomeUnknown
 	if notExecuted {
@@ -30,14 +31,15 @@
 	return fields
 }
 
-// MatchesAttempt reports whether a response belongs to a request: upstreams and gates return its id.
+// MatchesAttempt reports whether a response belongs to a request. Upstreams and gates return the request's AttemptID.
 func MatchesAttempt(m *call.Message, res *http.Response) bool {
 	ids := res.Header[AttemptID]
 	return len(ids) == 1 && len(m.Header[AttemptID]) == 1 && ids[0] == m.Header[AttemptID][0]
 }
 
-// ClassifyUpstreamResponse returns what the head of an upstream's response proves, and the load that it
-// reports. A success without a signature, or in an encoding that wasn't requested, isn't one.
+// ClassifyUpstreamResponse returns the ending of an attempt that the head of an upstream's response proves, and the
+// load that the response reports. A 2xx response without a signature, or with a Content-Encoding, which was not
+// requested, does not prove that the request was served.
 func ClassifyUpstreamResponse(res *http.Response) (policy.Ending, policy.Load) {
 	load := ParseLoad(res.Header.Get(Load))
 	switch {
@@ -46,15 +48,15 @@
 	case res.StatusCode/100 == 2 && (res.Header[Signature] == nil || res.Header["Content-Encoding"] != nil):
 		return policy.ConnectionLost, load
 	case impliesNotExecuted(res.StatusCode):
-		return policy.ConnectionLost, load // our client would take it for a proof, which the upstream didn't give
+		return policy.ConnectionLost, load // clients would take the status as a proof, which the upstream did not give
 	case res.StatusCode/100 == 5:
 		return policy.Errored, load
 	}
 	return policy.Served, load
 }
 
-// ClassifyGateResponse returns what the head of a response from a gate proves, be it the gate's own or
-// forwarded from the upstream, and the gate's load.
+// ClassifyGateResponse returns the ending of an attempt that the head of a response from a gate proves, and the gate's
+// load. The response is either made by the gate or forwarded from the upstream.
 func ClassifyGateResponse(res *http.Response) (policy.Ending, policy.Load) {
 	load := ParseLoad(res.Header.Get(gateLoadField))
 	switch res.Header.Get(outcomeField) {
@@ -71,7 +73,7 @@
 	return ending, load
 }
 
-// impliesNotExecuted reports whether our clients take a status as proof that their request was not executed
+// impliesNotExecuted reports whether the mesh's clients take a status as a proof that their request was not executed
 // and never will be.
 func impliesNotExecuted(status int) bool {
 	switch status {
--- a/internal/mesh/headers/send_id.go
+++ b/internal/mesh/headers/send_id.go
@@ -9,22 +9,22 @@
 	"caperarch/internal/proxy/h1"
 )
 
-// SendID identifies one send of an attempt: no two of them are equal, and later ones of a sender have
-// higher numbers.
+// SendID identifies one send of an attempt. No two sends have the same SendID, and later sends of a sender have higher
+// numbers.
 type SendID struct {
 	Sender uint64 // drawn at random at each start of a sidecar
 	Number uint64
 }
 
-// String is the id as it travels.
+// String encodes the id as in SendIDField: the sender in hexadecimal, a dot, and the number in decimal.
 func (id SendID) String() string {
 	b := strconv.AppendUint(nil, id.Sender, 16)
 	b = append(b, '.')
 	return string(strconv.AppendUint(b, id.Number, 10))
 }
 
-// ParseSendID reads the id of a request's send. It returns false if it is missing or malformed: then
-// the sender is no sidecar.
+// ParseSendID decodes the SendID of a request. It returns false if the id is missing or malformed, in which case the
+// sender is not a sidecar.
 func ParseSendID(h *h1.Head) (SendID, bool) {
 	senderText, numberText, _ := strings.Cut(h.Get(SendIDField), ".")
 	sender, errSender := strconv.ParseUint(senderText, 16, 64)
@@ -32,19 +32,19 @@
 	return SendID{Sender: sender, Number: number}, errSender == nil && errNumber == nil
 }
 
-// SendIDSource numbers the sends of a process. Its methods may be called from any goroutine.
+// SendIDSource issues the SendIDs of a process. Its methods may be called from any goroutine.
 type SendIDSource struct {
 	sender uint64
 	last   atomic.Uint64
 }
 
-// NewSendIDSource returns a source under a random sender, which no other process shares.
+// NewSendIDSource returns a source with a random sender, which distinguishes its ids from the ids of other processes.
 func NewSendIDSource() *SendIDSource { return &SendIDSource{sender: rand.Uint64()} }
 
-// Next returns the next id as it travels.
+// Next returns the next id in its encoded form.
 func (s *SendIDSource) Next() string {
 	return SendID{Sender: s.sender, Number: s.last.Add(1)}.String()
 }
 
-// Issued reports whether an id is of this source.
+// Issued reports whether an id is from this source, by the sender of the id.
 func (s *SendIDSource) Issued(id SendID) bool { return id.Sender == s.sender }
--- a/internal/mesh/sidecar/outbound.go
+++ b/internal/mesh/sidecar/outbound.go
@@ -125,7 +125,7 @@
 	if h.HTTP10 {
 		return rejectAndClose(http.StatusHTTPVersionNotSupported, "HTTP/1.1 is needed")
 	}
-	if name := headers.DuplicateField(h, headers.AttemptID, headers.Timeout, headers.Key); name != "" {
+	if name := headers.DuplicateField(h, headers.AttemptID, headers.Timeout, headers.APIKey); name != "" {
 		return rejectAndClose(http.StatusBadRequest, name+" is given twice")
 	}
 	if h.Get(headers.AttemptID) == "" {
@@ -195,7 +195,7 @@
 	if !snapshot.HasTenants() || route.Public {
 		return nil, nil
 	}
-	tenant := snapshot.Tenant(h.Get(headers.Key))
+	tenant := snapshot.Tenant(h.Get(headers.APIKey))
 	if tenant == nil {
 		return nil, o.rejectUnlessOutdated(http.StatusUnauthorized, "no such key")
 	}
@@ -208,7 +208,7 @@
 // rewriteHeaders prepares the fields that go to a gate: those that only sidecars may set are this
 // one's own, and the tenant's key goes no further.
 func (o *outbound) rewriteHeaders(q *policy.Request, fields http.Header) {
-	key := fields[headers.Key]
+	key := fields[headers.APIKey]
 	headers.StripInternal(fields)
 	class := q.Terms.(*balancer.RequestClass)
 	o.attemptConfig(class, key).Set(fields)
@@ -225,9 +225,9 @@
 // attemptConfig is what gates are told of the configuration that a request was admitted by. The digest of its key is
 // part of that where the configuration is known to be outdated: the key may be another tenant's by now, or nobody's.
 func (o *outbound) attemptConfig(class *balancer.RequestClass, key []string) headers.AttemptConfig {
-	attempt := headers.AttemptConfig{Admitted: class.ConfigVersion}
+	attempt := headers.AttemptConfig{AdmittedVersion: class.ConfigVersion}
 	if o.known.newest() > class.ConfigVersion && class.Tenant != "" && len(key) > 0 {
-		attempt.Key = config.DigestKey(key[0])
+		attempt.APIKeyDigest = config.DigestKey(key[0])
 	}
 	return attempt
 }
--- a/internal/mesh/sidecar/verification.go
+++ b/internal/mesh/sidecar/verification.go
@@ -51,15 +51,15 @@
 		return nil // of an earlier release
 	}
 	now := v.clock.Now()
-	v.known.observe(now, attempt.Admitted)
+	v.known.observe(now, attempt.AdmittedVersion)
 	current := v.config.Load()
-	if current.Version() > attempt.Admitted && !allows(current, v.service, h, attempt.Key) {
+	if current.Version() > attempt.AdmittedVersion && !allows(current, v.service, h, attempt.APIKeyDigest) {
 		v.rejected.Add(1)
 		return &fronthttp1.Rejection{
 			Status: headers.StatusConfigOutdated, Reason: "a newer configuration does not allow it", KeepAlive: true,
 		}
 	}
-	if v.outdatedTooLong(now, max(current.Version(), attempt.Admitted)) {
+	if v.outdatedTooLong(now, max(current.Version(), attempt.AdmittedVersion)) {
 		v.rejected.Add(1)
 		return &fronthttp1.Rejection{
 			Status: http.StatusServiceUnavailable, Reason: "the configuration is outdated", KeepAlive: true,
--- a/internal/mesh/sidecar/verification_test.go
+++ b/internal/mesh/sidecar/verification_test.go
@@ -136,7 +136,7 @@
 			So(rejection, ShouldBeNil)
 			fields := h.EndToEnd()
 			d.RewriteHeaders(&q, fields)
-			So(fields[headers.Key], ShouldBeNil)
+			So(fields[headers.APIKey], ShouldBeNil)
 			return fields.Get("X-Mesh-Config") + " " + fields.Get("X-Mesh-Key-Digest")
 		}
 		So(sent(), ShouldEqual, "7 ")
