--- a/internal/mesh/sidecar/inbound.go
+++ b/internal/mesh/sidecar/inbound.go
@@ -92,7 +92,7 @@
 		Priority: parsed.Priority, Idempotent: parsed.Idempotent, LatencyTarget: parsed.LatencyTarget,
 	}
 	if !terms.Idempotent {
-		terms.Key, terms.SendID = gate.KeyOf(id), gate.SendID(sendID)
+		terms.AttemptIDHash, terms.SendID = gate.HashAttemptID(id), gate.SendID(sendID)
 	}
 	return terms, remaining, true
 }
@@ -123,7 +123,7 @@
 		// its rejection.
 		return true
 	}
-	return i.gate.AttemptLog().RecordRejection(i.clock.Now(), terms.Key, terms.SendID, remaining)
+	return i.gate.AttemptLog().RecordRejection(i.clock.Now(), terms.AttemptIDHash, terms.SendID, remaining)
 }
 
 // classifyUpstreamResponse returns how an attempt ended, and adds the gate's load to the response for the
--- a/internal/mesh/sidecar/mesh_test.go
+++ b/internal/mesh/sidecar/mesh_test.go
@@ -185,7 +185,7 @@
 	}
 	transportToGates := m.transport("caller", "gate", gateTransportConfig(clock.New(), headers.NewSendIDSource()))
 	e := m.startEngine(ctx, balancerEngineConfig(transportToGates, balancer.Config{
-		Members: oneSidecar, RetryBudget: s.quota,
+		SidecarCount: oneSidecar, RetryBudget: s.quota,
 	}))
 	s.endpoints.apply(true, []registry.Upstream{
 		{Instance: "i-1", Service: "s", Inbound: "gate1", Zone: "z", Slots: 4},
--- a/internal/mesh/sidecar/outbound.go
+++ b/internal/mesh/sidecar/outbound.go
@@ -126,7 +126,7 @@
 	if h.HTTP10 {
 		return rejectAndClose(http.StatusHTTPVersionNotSupported, "HTTP/1.1 is needed")
 	}
-	if name := headers.DuplicateField(h, headers.AttemptID, headers.Timeout, headers.Key); name != "" {
+	if name := headers.DuplicateField(h, headers.AttemptID, headers.Timeout, headers.APIKey); name != "" {
 		return rejectAndClose(http.StatusBadRequest, name+" is given twice")
 	}
 	if h.Get(headers.AttemptID) == "" {
@@ -199,7 +199,7 @@
 	if !snapshot.HasTenants() || route.Public {
 		return nil, nil
 	}
-	tenant := snapshot.Tenant(h.Get(headers.Key))
+	tenant := snapshot.Tenant(h.Get(headers.APIKey))
 	if tenant == nil {
 		return nil, o.rejectUnlessOutdated(http.StatusUnauthorized, "no such key")
 	}
@@ -212,7 +212,7 @@
 // rewriteHeaders prepares the header fields that are sent to a gate. Fields that only sidecars may set are replaced
 // by this sidecar's values, and the tenant's key is removed.
 func (o *outbound) rewriteHeaders(q *policy.Request, fields http.Header) {
-	key := fields[headers.Key]
+	key := fields[headers.APIKey]
 	headers.StripInternal(fields)
 	class := q.Attributes.(*balancer.RequestClass)
 	o.attemptConfig(class, key).Set(fields)
@@ -230,9 +230,9 @@
 // configuration is known to be outdated, it includes the digest of the tenant's key, as a newer configuration may have
 // revoked the key or assigned it to another tenant.
 func (o *outbound) attemptConfig(class *balancer.RequestClass, key []string) headers.AttemptConfig {
-	attempt := headers.AttemptConfig{Admitted: class.ConfigVersion}
+	attempt := headers.AttemptConfig{AdmittedVersion: class.ConfigVersion}
 	if o.versions.newest() > class.ConfigVersion && class.Tenant != "" && len(key) > 0 {
-		attempt.Key = config.DigestKey(key[0])
+		attempt.APIKeyDigest = config.DigestKey(key[0])
 	}
 	return attempt
 }
