--- a/internal/lab/testbed/hollow/tokens.go
+++ b/internal/lab/testbed/hollow/tokens.go
@@ -42,7 +42,7 @@
 func (s *hollowSidecar) requestTokens(ctx context.Context, interval time.Duration) {
 	demands := make([]quota.Demand, 0, len(s.fleet.cfg.Tenants))
 	for _, tenant := range s.fleet.cfg.Tenants {
-		demands = append(demands, quota.Demand{Tenant: tenant, Want: 1.5})
+		demands = append(demands, quota.Demand{Tenant: tenant, Requested: 1.5})
 	}
 	timer := time.NewTimer(rand.N(interval))
 	defer timer.Stop()
--- a/internal/mesh/controlplane/quota_test.go
+++ b/internal/mesh/controlplane/quota_test.go
@@ -23,7 +23,7 @@
 	Convey("A partitioned leader and the next one never allocate tokens that are valid at the same time", t, func() {
 		rules := quota.Rules{Window: 5 * time.Second, Overage: 0.1, Slack: 20}
 		limits := map[string]quota.Limit{"a": {Rate: 172, Burst: 172}}
-		demands := []quota.Demand{{Tenant: "a", Want: 1}}
+		demands := []quota.Demand{{Tenant: "a", Requested: 1}}
 		var allocators []*quota.Allocator
 		for range 2 {
 			allocator, err := quota.NewAllocator(rules)
--- a/internal/mesh/quota/adversary_test.go
+++ b/internal/mesh/quota/adversary_test.go
@@ -8,66 +8,70 @@
 	"time"
 )
 
-// The adversary's histories. Its clients send wherever a token can be spent, and faults come at random: the
-// rule must hold in every window of every history.
+// Tests against random histories of an adversary: clients send as many requests as the limiters admit, faults occur
+// at random, and no window of any history may exceed the limit.
 const (
-	adversaryStep   = 5 * ms
-	adversaryLength = 25 * second
-	adversaryTenant = "a"
-	giveUpAfter     = 500 * ms // a sidecar waits no longer for a response
-	backoffAfter    = 100 * ms
+	historyStep             = 5 * ms
+	historyDuration         = 25 * second
+	adversaryTenant         = "a"
+	adversaryRequestTimeout = 500 * ms // how long a sidecar waits for a response
+	adversaryBackoff        = 100 * ms // between a request that timed out and the next request
 )
 
 var (
-	histories = flag.Int("histories", 150, "how many histories an adversary plays")
-	onlySeed  = flag.Uint64("seed", 0, "play the history of this seed alone")
+	histories = flag.Int("histories", 150, "number of random histories to run per test")
+	onlySeed  = flag.Uint64("seed", 0, "if above 0, run only the history of this seed")
 )
 
-// adversary is one history: a fleet, its leader, and what is on its way between them.
+// adversary is the state of one history: a fleet of sidecars, the leader, and the messages in flight between them.
 type adversary struct {
 	*rand.Rand
-	now     time.Duration
-	limit   Limit
-	limits  []limitChange
-	nodes   []*adversaryNode
-	leader  *Allocator
-	epoch   Epoch
-	stalled time.Duration // the leader handles nothing before
-	mail    []delivery
-	ran     []time.Duration // each request that was admitted
-
-	// Which faults the history has, and how often.
-	kills, freezes, stalls, leaders, limitChanges, partitions time.Duration // 0: none
-	slowMessages, lostMessages                                float64
-	greedy                                                    bool // clients are quiet for a while, and come all at once
-
-	// The partition of the moment.
-	partitionUntil               time.Duration
-	partitioned                  []bool
-	requestsPass, responsesReach bool
+	now                time.Duration
+	limit              Limit
+	limits             []limitChange
+	nodes              []*adversaryNode
+	leader             *Allocator
+	epoch              Epoch
+	leaderStalledUntil time.Duration // until then the leader handles no requests
+	messages           []delivery
+	admitted           []time.Duration // the time of each admitted request
+
+	// Mean time between faults of each kind, 0 if the history has no such faults.
+	killInterval, freezeInterval, stallInterval,
+	leaderChangeInterval, limitChangeInterval, partitionInterval time.Duration
+
+	slowMessageFraction, lostMessageFraction float64
+	burstyClients                            bool // clients send nothing for 3 s, then as much as possible for 3 s
+
+	// The current partition.
+	partitionUntil                        time.Duration
+	partitioned                           []bool // by node
+	requestsDelivered, responsesDelivered bool   // whether this direction still works for partitioned nodes
 }
 
+// limitChange is a limit and the time from which it is configured.
 type limitChange struct {
 	from  time.Duration
 	limit Limit
 }
 
-// delivery is a message under way.
+// delivery is a message in flight.
 type delivery struct {
 	at  time.Duration
 	run func()
 }
 
-// adversaryNode is a sidecar. Its incarnation tells messages to an earlier process from its own.
+// adversaryNode is a sidecar. The incarnation identifies its process, so that messages to an earlier process of the
+// sidecar are dropped.
 type adversaryNode struct {
-	number      int
-	name        string
-	incarnation int
-	limiter     *LocalLimiter
-	upFrom      time.Duration // it is down before
-	frozenUntil time.Duration
-	waitsUntil  time.Duration // for the response to the request in flight
-	nextAllowed time.Duration // no request before
+	number              int
+	name                string
+	incarnation         int
+	limiter             *LocalLimiter
+	runningFrom         time.Duration // start of the current process
+	frozenUntil         time.Duration
+	awaitsResponseUntil time.Duration // for the request in flight
+	nextRequestAt       time.Duration // earliest time of the next request
 }
 
 func newAdversary(t *testing.T, seed uint64, members int) *adversary {
@@ -76,9 +80,9 @@
 		Rand:  rand.New(rand.NewPCG(seed, 7)),
 		nodes: make([]*adversaryNode, members), partitioned: make([]bool, members),
 	}
-	a.limit = a.drawLimit()
+	a.limit = a.randomLimit()
 	a.limits = []limitChange{{0, a.limit}}
-	a.drawFaults()
+	a.chooseFaults()
 	a.changeLeader(t)
 	for i := range a.nodes {
 		a.nodes[i] = &adversaryNode{number: i, name: fmt.Sprint("n", i)}
@@ -87,53 +91,54 @@
 	return a
 }
 
-// drawFaults draws one to three kinds of fault: with all of them at once little gets through, and nothing
-// adds up.
-func (a *adversary) drawFaults() {
+// chooseFaults chooses one to three kinds of faults. With all kinds at once, few messages are delivered, so few tokens
+// are granted and no excess accumulates.
+func (a *adversary) chooseFaults() {
 	for range 1 + a.IntN(3) {
 		switch a.IntN(8) {
 		case 0:
-			a.kills = a.interval(300 * ms)
+			a.killInterval = a.interval(300 * ms)
 		case 1:
-			a.freezes = a.interval(300 * ms)
+			a.freezeInterval = a.interval(300 * ms)
 		case 2:
-			a.stalls = a.interval(second)
+			a.stallInterval = a.interval(second)
 		case 3:
-			a.leaders = a.interval(2 * second)
+			a.leaderChangeInterval = a.interval(2 * second)
 		case 4:
-			a.limitChanges = a.interval(4 * second)
+			a.limitChangeInterval = a.interval(4 * second)
 		case 5:
-			a.partitions = a.interval(second)
+			a.partitionInterval = a.interval(second)
 		case 6:
-			a.slowMessages = a.Float64() / 2
+			a.slowMessageFraction = a.Float64() / 2
 		case 7:
-			a.lostMessages = a.Float64() / 2
+			a.lostMessageFraction = a.Float64() / 2
 		}
 	}
-	a.greedy = a.IntN(2) == 0
+	a.burstyClients = a.IntN(2) == 0
 }
 
-// drawLimit draws a limit; some have less burst than rate.
-func (a *adversary) drawLimit() Limit {
+// randomLimit returns a random limit; some limits have a burst below the rate.
+func (a *adversary) randomLimit() Limit {
 	rate := []float64{8, 56, 130, 312, 312}[a.IntN(5)]
 	return Limit{Rate: rate, Burst: rate * []float64{1, 1, 0.5, 0}[a.IntN(4)]}
 }
 
-// interval is a mean time between faults of a kind.
-func (a *adversary) interval(least time.Duration) time.Duration {
-	return least + time.Duration(a.Int64N(int64(5*least)))
+// interval returns a random mean time between faults of one kind, from shortest to six times shortest.
+func (a *adversary) interval(shortest time.Duration) time.Duration {
+	return shortest + time.Duration(a.Int64N(int64(5*shortest)))
 }
 
-func (a *adversary) happens(each time.Duration) bool {
-	return each > 0 && a.Int64N(int64(each)) < int64(adversaryStep)
+// occurs reports whether a fault with this mean interval occurs in the current step.
+func (a *adversary) occurs(meanInterval time.Duration) bool {
+	return meanInterval > 0 && a.Int64N(int64(meanInterval)) < int64(historyStep)
 }
 
-// changeLeader has another leader begin: the old one handles nothing any more.
+// changeLeader starts a new epoch. With equal probability, a new process or the previous one is the leader.
 func (a *adversary) changeLeader(t *testing.T) {
 	t.Helper()
 	a.epoch++
 	if a.leader != nil && a.IntN(2) == 0 {
-		return // the same process leads again
+		return // the same process is elected again
 	}
 	var err error
 	if a.leader, err = NewAllocator(rules); err != nil {
@@ -141,24 +146,24 @@
 	}
 }
 
-// start starts a sidecar's process. It learns the number of sidecars a little later, and its configuration
-// as well.
+// start starts a sidecar's process. The process receives the limits immediately, and the number of sidecars up to
+// 400 ms later.
 func (a *adversary) start(t *testing.T, node *adversaryNode) {
 	t.Helper()
 	node.incarnation++
-	node.waitsUntil, node.nextAllowed, node.frozenUntil = 0, 0, 0
-	node.upFrom = max(a.now, node.upFrom)
-	limiter, err := NewLocalLimiter(node.upFrom, rules)
+	node.awaitsResponseUntil, node.nextRequestAt, node.frozenUntil = 0, 0, 0
+	node.runningFrom = max(a.now, node.runningFrom)
+	limiter, err := NewLocalLimiter(node.runningFrom, rules)
 	if err != nil {
 		t.Fatal(err)
 	}
-	limiter.random = a.Rand // so that a seed plays the same history again
+	limiter.random = a.Rand // makes the history reproducible from its seed
 	node.limiter = limiter
-	a.configure(t, node, UnknownMembers, node.upFrom)
-	a.configure(t, node, len(a.nodes), node.upFrom+time.Duration(a.IntN(400))*ms)
+	a.configure(t, node, UnknownMembers, node.runningFrom)
+	a.configure(t, node, len(a.nodes), node.runningFrom+time.Duration(a.IntN(400))*ms)
 }
 
-// configure has the limits of the moment reach a process at a time.
+// configure schedules a configuration of the sidecar's current process, with the limits at that time.
 func (a *adversary) configure(t *testing.T, node *adversaryNode, members int, at time.Duration) {
 	incarnation := node.incarnation
 	a.deliver(at, func() {
@@ -174,108 +179,109 @@
 func (a *adversary) limitsNow() map[string]Limit { return map[string]Limit{adversaryTenant: a.limit} }
 
 func (a *adversary) deliver(at time.Duration, run func()) {
-	a.mail = append(a.mail, delivery{at, run})
+	a.messages = append(a.messages, delivery{at, run})
 }
 
-// latency is that of one message.
+// latency returns the random latency of one message.
 func (a *adversary) latency() time.Duration {
-	if a.Float64() < a.slowMessages {
+	if a.Float64() < a.slowMessageFraction {
 		return time.Duration(a.IntN(2500)) * ms
 	}
 	return time.Duration(a.IntN(20)) * ms
 }
 
-// request has a sidecar send its request. A request that it has given up may still reach the leader.
+// request sends a sidecar's request. A request may reach the leader after the sidecar's timeout.
 func (a *adversary) request(node *adversaryNode) {
 	incarnation, request := node.incarnation, node.limiter.Request(a.now)
-	node.waitsUntil, node.nextAllowed = a.now+giveUpAfter, a.now+giveUpAfter+backoffAfter
-	if a.Float64() < a.lostMessages/2 || a.cutOff(node) && !a.requestsPass {
+	node.awaitsResponseUntil, node.nextRequestAt =
+		a.now+adversaryRequestTimeout, a.now+adversaryRequestTimeout+adversaryBackoff
+	if a.Float64() < a.lostMessageFraction/2 || a.isolated(node) && !a.requestsDelivered {
 		return
 	}
 	a.deliver(a.now+a.latency(), func() { a.handle(node, incarnation, request) })
 }
 
-// handle has the leader handle a request: at once, or when it wakes.
+// handle handles a request at the leader, after the leader's stall if there is one.
 func (a *adversary) handle(node *adversaryNode, incarnation int, request Request) {
-	if a.now < a.stalled {
-		a.deliver(a.stalled, func() { a.handle(node, incarnation, request) })
+	if a.now < a.leaderStalledUntil {
+		a.deliver(a.leaderStalledUntil, func() { a.handle(node, incarnation, request) })
 		return
 	}
 	if err := a.leader.Configure(a.now, a.limitsNow(), len(a.nodes)); err != nil {
 		return
 	}
 	response, err := a.leader.Allocate(a.now, a.epoch, node.name, &request)
-	if err != nil || a.Float64() < a.lostMessages || a.cutOff(node) && !a.responsesReach {
+	if err != nil || a.Float64() < a.lostMessageFraction || a.isolated(node) && !a.responsesDelivered {
 		return
 	}
 	a.deliver(a.now+a.latency(), func() { a.respond(node, incarnation, response) })
 }
 
-// cutOff reports whether a sidecar is partitioned from the leader now, in one direction at least.
-func (a *adversary) cutOff(node *adversaryNode) bool {
+// isolated reports whether a sidecar is partitioned from the leader now, in at least one direction.
+func (a *adversary) isolated(node *adversaryNode) bool {
 	return a.now < a.partitionUntil && a.partitioned[node.number]
 }
 
-// respond has a response arrive: at a frozen process when it wakes, whatever it has given up.
+// respond delivers a response. A frozen process receives it when it resumes, even after the request has timed out.
 func (a *adversary) respond(node *adversaryNode, incarnation int, response Response) {
 	if a.now < node.frozenUntil {
 		a.deliver(node.frozenUntil, func() { a.respond(node, incarnation, response) })
 		return
 	}
-	if node.incarnation != incarnation || a.now > node.waitsUntil && node.frozenUntil == 0 {
+	if node.incarnation != incarnation || a.now > node.awaitsResponseUntil && node.frozenUntil == 0 {
 		return
 	}
-	node.waitsUntil, node.nextAllowed = 0, a.now+20*ms
-	_ = node.limiter.ApplyResponse(a.now, response) // a stale one changes nothing
+	node.awaitsResponseUntil, node.nextRequestAt = 0, a.now+20*ms
+	_ = node.limiter.ApplyResponse(a.now, response) // a stale response changes nothing
 }
 
-// step is one moment: faults, messages, requests for tokens, clients.
+// step runs one time step: faults, deliveries, requests for tokens and client requests.
 func (a *adversary) step(t *testing.T) {
 	t.Helper()
-	a.faults(t)
-	due := a.mail
-	a.mail = nil
+	a.injectFaults(t)
+	due := a.messages
+	a.messages = nil
 	for _, message := range due {
 		if message.at <= a.now {
 			message.run()
 		} else {
-			a.mail = append(a.mail, message)
+			a.messages = append(a.messages, message)
 		}
 	}
-	quiet := a.greedy && a.now/(3*second)%2 == 0
+	quiet := a.burstyClients && a.now/(3*second)%2 == 0
 	for _, node := range a.nodes {
-		if a.now < node.upFrom || a.now < node.frozenUntil {
+		if a.now < node.runningFrom || a.now < node.frozenUntil {
 			continue
 		}
-		if node.waitsUntil <= a.now && node.nextAllowed <= a.now && node.limiter.NextRequest(a.now) <= a.now {
+		if node.awaitsResponseUntil <= a.now && node.nextRequestAt <= a.now && node.limiter.NextRequest(a.now) <= a.now {
 			a.request(node)
 		}
 		for !quiet && node.limiter.Allow(a.now, adversaryTenant) {
-			a.ran = append(a.ran, a.now)
+			a.admitted = append(a.admitted, a.now)
 		}
 	}
 }
 
-// faults has what may happen now happen.
-func (a *adversary) faults(t *testing.T) {
+// injectFaults draws the faults that occur in this step.
+func (a *adversary) injectFaults(t *testing.T) {
 	t.Helper()
-	if a.happens(a.kills) {
+	if a.occurs(a.killInterval) {
 		a.kill(t)
 	}
-	if a.happens(a.freezes) {
+	if a.occurs(a.freezeInterval) {
 		a.nodes[a.IntN(len(a.nodes))].frozenUntil = a.now + time.Duration(a.IntN(6000))*ms
 	}
-	if a.happens(a.stalls) {
-		a.stalled = a.now + time.Duration(a.IntN(3000))*ms
+	if a.occurs(a.stallInterval) {
+		a.leaderStalledUntil = a.now + time.Duration(a.IntN(3000))*ms
 	}
-	if a.happens(a.leaders) {
+	if a.occurs(a.leaderChangeInterval) {
 		a.changeLeader(t)
 	}
-	if a.happens(a.partitions) && a.now >= a.partitionUntil {
+	if a.occurs(a.partitionInterval) && a.now >= a.partitionUntil {
 		a.partition()
 	}
-	if a.happens(a.limitChanges) {
-		a.limit = a.drawLimit()
+	if a.occurs(a.limitChangeInterval) {
+		a.limit = a.randomLimit()
 		a.limits = append(a.limits, limitChange{a.now, a.limit})
 		for _, node := range a.nodes {
 			a.configure(t, node, len(a.nodes), a.now+time.Duration(a.IntN(300))*ms)
@@ -283,32 +289,33 @@
 	}
 }
 
-// kill ends one process or all, which start again within a moment.
+// kill ends one process or all processes. Each process restarts within 200 ms.
 func (a *adversary) kill(t *testing.T) {
 	t.Helper()
 	all, one := a.IntN(2) == 0, a.IntN(len(a.nodes))
 	for i, node := range a.nodes {
 		if all || i == one {
-			node.upFrom = a.now + time.Duration(a.IntN(200))*ms
+			node.runningFrom = a.now + time.Duration(a.IntN(200))*ms
 			a.start(t, node)
 		}
 	}
 }
 
-// partition cuts some sidecars off for a while, in one direction or both.
+// partition isolates some sidecars for 1 s to 13 s, in one or both directions.
 func (a *adversary) partition() {
 	a.partitionUntil = a.now + second + time.Duration(a.IntN(12000))*ms
 	direction := a.IntN(3)
-	a.requestsPass, a.responsesReach = direction == 1, direction == 2
+	a.requestsDelivered, a.responsesDelivered = direction == 1, direction == 2
 	share := a.Float64()
 	for i := range a.partitioned {
 		a.partitioned[i] = a.Float64() < share
 	}
 }
 
-// allowedIn is what the rule allows in the window that ends at a time: by the largest limit from a window
-// before it on, as a lower limit holds one window after all have it.
-func (a *adversary) allowedIn(end time.Duration) float64 {
+// allowedInWindow returns the number of requests allowed in the window that ends at end, by the largest limit that
+// applies to the window. A limit applies until two windows and 1 s after its replacement: within 1 s the new limit
+// reaches all sidecars, and it holds for every window that starts one window later.
+func (a *adversary) allowedInWindow(end time.Duration) float64 {
 	allowed := 0.0
 	for i, change := range a.limits {
 		replaced := i+1 < len(a.limits) && a.limits[i+1].from+second < end-2*rules.Window
@@ -320,61 +327,63 @@
 	return allowed
 }
 
-// fullest is the largest part of what the rule allows that a window holds, and the window's end. The rule
-// is broken above 1.
-func (a *adversary) fullest() (part float64, at time.Duration) {
+// maxUsage returns the largest number of requests in any window as a multiple of the allowed number, and the end of
+// that window. A multiple above 1 exceeds the limit.
+func (a *adversary) maxUsage() (largest float64, at time.Duration) {
 	first := 0
-	for last, end := range a.ran {
-		for end-a.ran[first] > rules.Window {
+	for last, end := range a.admitted {
+		for end-a.admitted[first] > rules.Window {
 			first++
 		}
-		if held := float64(last-first+1) / a.allowedIn(end); held > part {
-			part, at = held, end
+		if usage := float64(last-first+1) / a.allowedInWindow(end); usage > largest {
+			largest, at = usage, end
 		}
 	}
-	return part, at
+	return largest, at
 }
 
-func playHistory(t *testing.T, seed uint64, members int) (fullest float64) {
+// runHistory runs the history of a seed, fails the test if a window exceeds the limit, and returns the maxUsage.
+func runHistory(t *testing.T, seed uint64, members int) (maxUsage float64) {
 	t.Helper()
 	a := newAdversary(t, seed, members)
-	for ; a.now < adversaryLength; a.now += adversaryStep {
+	for ; a.now < historyDuration; a.now += historyStep {
 		a.step(t)
 	}
-	fullest, at := a.fullest()
-	if fullest > 1 {
-		t.Errorf("seed %d: the window up to %v holds %.3f of what is allowed", seed, at, fullest)
+	maxUsage, at := a.maxUsage()
+	if maxUsage > 1 {
+		t.Errorf("seed %d: requests in the window ending at %v are %.3f times the allowed number, want at most 1",
+			seed, at, maxUsage)
 	}
-	return fullest
+	return maxUsage
 }
 
-// playHistories plays as many histories as were asked for, or that of one seed.
-func playHistories(t *testing.T, members int) {
+// runHistories runs the number of histories given by a flag, or the history of one seed.
+func runHistories(t *testing.T, members int) {
 	t.Helper()
 	if *onlySeed > 0 {
-		t.Logf("the fullest window holds %.3f of what is allowed", playHistory(t, *onlySeed, members))
+		t.Logf("largest window: %.3f times the allowed requests", runHistory(t, *onlySeed, members))
 		return
 	}
-	fullest, fullestSeed := 0.0, uint64(0)
+	maxUsage, maxUsageSeed := 0.0, uint64(0)
 	for seed := uint64(1); seed <= uint64(*histories); seed++ {
-		if part := playHistory(t, seed, members); part > fullest {
-			fullest, fullestSeed = part, seed
+		if usage := runHistory(t, seed, members); usage > maxUsage {
+			maxUsage, maxUsageSeed = usage, seed
 		}
 	}
-	t.Logf("%d histories, the fullest window, of seed %d, holds %.3f of what is allowed",
-		*histories, fullestSeed, fullest)
+	t.Logf("%d histories, largest window (seed %d): %.3f times the allowed requests",
+		*histories, maxUsageSeed, maxUsage)
 }
 
-func TestPrepaidLimitsHoldInEveryHistory(t *testing.T) { playHistories(t, 12) }
+// With 12 sidecars, all limits are prepaid.
+func TestPrepaidLimitsHoldInEveryHistory(t *testing.T) { runHistories(t, 12) }
 
-// The same with more sidecars than were granted tokens, whatever their limit. Each had a local bucket of three tokens
-// or more, which it spent before it reported: 24 of them that clients reach in one moment run 72 requests, and as many
-// again with each response, of a tenant whose rule allows 64 in five seconds. 22 of 150 histories were over, 1.415 of
-// what is allowed at most (seed 146). Since then a tenant is granted tokens here as well where the rule leaves one for
-// each sidecar.
-func TestDeferredLimitsHoldInEveryHistory(t *testing.T) { playHistories(t, maxPrepaidMembers+8) }
+// With 24 sidecars, more than maxPrepaidMembers, all limits used to be deferred. Each sidecar then spent a local bucket
+// of at least three tokens before it reported: clients that reached all sidecars at once ran 72 requests, and as many
+// again after each response, of a tenant with 64 allowed requests in 5 s. 22 of 150 histories exceeded the limit, by a
+// factor of up to 1.415 (seed 146). Such a tenant is now prepaid if the limit leaves one token for each sidecar.
+func TestDeferredLimitsHoldInEveryHistory(t *testing.T) { runHistories(t, maxPrepaidMembers+8) }
 
-// The same with as many sidecars as the grown deployments have, where the rule leaves no token for each of them. It
-// fails: a limit of 8 a second allows 64 requests in a window, and 82 sidecars run 246 in the first moment that clients
-// reach them all, before any of them has reported one (KNOWN-RED.txt).
-func TestLargeFleetLimitsHoldInEveryHistory(t *testing.T) { playHistories(t, 82) }
+// With 82 sidecars, as in large deployments, all limits are deferred, because a low limit leaves no token for each
+// sidecar. This test fails (KNOWN-RED.txt): a limit of 8 requests/s without burst allows 64 requests in a window, but 82
+// sidecars admit 246 requests when clients reach all of them at once, before any sidecar has reported a request.
+func TestLargeFleetLimitsHoldInEveryHistory(t *testing.T) { runHistories(t, 82) }
--- a/internal/mesh/quota/allocator.go
+++ b/internal/mesh/quota/allocator.go
@@ -7,37 +7,37 @@
 )
 
 const (
-	// warnLevel is the fraction of the depth below which a tenant is named as throttled though all of
-	// its requests may run. It guards against learning of a rising demand by idle requests only.
-	warnLevel = 0.5
-	// maxDemands is the largest number of demands of one call. It guards against a call that holds the
-	// Allocator up.
+	// throttleWarningFraction is the fraction of the depth below which a tenant is listed as throttled even if
+	// all its requests may run. Members report a throttled tenant every renewInterval, so the Allocator learns
+	// of a rising demand earlier than from reports every idleInterval.
+	throttleWarningFraction = 0.5
+	// maxDemands is the largest number of demands in a request. It bounds the time that the Allocator spends
+	// on one request.
 	maxDemands = 4096
-	// maxNodes is the largest number of nodes that are remembered. It guards against names that use up
-	// the memory.
+	// maxNodes is the largest number of nodes that the Allocator tracks. It bounds the memory for node names.
 	maxNodes = 4096
-	// maxNodeName is the longest name of a node, in bytes. It guards the same.
-	maxNodeName = 256
+	// maxNodeNameBytes is the largest length of a node name. It bounds the memory for node names as well.
+	maxNodeNameBytes = 256
 )
 
-// Allocator grants the tokens of all prepaid tenants, and throttles deferred ones that are near their
-// limit, for the sidecars that ask. It belongs to the leader; the epoch is the term in which it leads.
+// Allocator grants tokens of prepaid tenants to sidecars, and throttles the deferred tenants that are near
+// their limit. It runs at the leader; the epoch is the term of the leader.
 type Allocator struct {
 	planner planner
 	tenants map[string]*tenantAccount
 
 	epoch              Epoch
 	hasEpoch           bool
-	allocatesFrom      time.Duration       // nothing is granted before
-	assumeContactUntil time.Duration       // for deferred tenants all floors are leased until then
+	grantsFrom         time.Duration       // start of the grants in this epoch
+	assumeContactUntil time.Duration       // until then all floors of deferred tenants count as leased to this epoch
 	contacts           map[string]*contact // by node
 
-	updatedAt    time.Duration // up to when the flows are counted
-	prepaidFlow  float64       // seconds of full flow since the start, less those of floors that aren't leased
-	deferredFlow float64       // the same for deferred tenants
+	updatedAt           time.Duration // the time up to which the fill seconds are counted
+	prepaidFillSeconds  float64       // seconds of filling at the full rate; floors that aren't leased are excluded
+	deferredFillSeconds float64       // the same for deferred tenants
 }
 
-// NewAllocator returns an Allocator that knows no tenant yet. Rules that can't be used are errs.Invalid.
+// NewAllocator returns an Allocator without tenants. It returns errs.Invalid for invalid rules.
 func NewAllocator(rules Rules) (*Allocator, error) {
 	planner, err := newPlanner(rules)
 	if err != nil {
@@ -48,9 +48,8 @@
 	}, nil
 }
 
-// Configure sets the limits of all tenants and the number of sidecars. A lower limit holds at once; a
-// tenant that is new starts with an empty bucket. Limits that can't be used are errs.Invalid and change
-// nothing.
+// Configure sets the limits of all tenants and the number of sidecars. A lower limit takes effect immediately;
+// a new tenant starts with an empty bucket. Invalid limits or numbers return errs.Invalid and change nothing.
 func (a *Allocator) Configure(now time.Duration, limits map[string]Limit, members int) error {
 	if err := validateLimits(limits); err != nil {
 		return err
@@ -64,13 +63,13 @@
 	return nil
 }
 
-// Allocate responds to the request of a node in the given epoch; the response goes to the node. The first
-// call of a later epoch starts anew with empty buckets and no leases. Tenants without a limit are skipped.
-// The throttled tenants are all of them, whatever was asked; every other deferred tenant isn't throttled.
+// Allocate returns the response to a node's request in the given epoch. The first call in a later epoch empties
+// all buckets and discards all leases. Tenants without a limit are skipped. The response lists all throttled
+// tenants, including tenants that the request doesn't name; no other deferred tenant is throttled.
 //
-// An epoch before the newest is errs.Stale. Within TokenTTL of the epoch's start everything is
-// errs.Busy, and nothing is granted to the node; so is a node beyond maxNodes. A
-// request that can't be used is errs.Invalid or errs.TooLarge.
+// An epoch before the newest one returns errs.Stale. Requests within TokenTTL of the start of the epoch, and
+// requests of new nodes beyond maxNodes, return errs.Busy and are granted nothing. Invalid requests return
+// errs.Invalid or errs.TooLarge.
 func (a *Allocator) Allocate(
 	now time.Duration, epoch Epoch, node string, request *Request,
 ) (Response, error) {
@@ -78,34 +77,34 @@
 		return Response{}, err
 	}
 	if a.hasEpoch && epoch < a.epoch {
-		return Response{}, errs.New(errs.Stale, "epoch %d is over, this is %d", epoch, a.epoch)
+		return Response{}, errs.New(errs.Stale, "request in epoch %d is stale, the current epoch is %d", epoch, a.epoch)
 	}
 	a.advance(now)
 	if !a.hasEpoch || epoch > a.epoch {
 		a.beginEpoch(now, epoch)
 	}
-	if now < a.allocatesFrom {
-		return Response{}, errs.New(errs.Busy, "epoch %d deals in %v", epoch, a.allocatesFrom-now)
+	if now < a.grantsFrom {
+		return Response{}, errs.New(errs.Busy, "epoch %d grants tokens only after another %v", epoch, a.grantsFrom-now)
 	}
-	known := a.contacts[node]
-	if known == nil && len(a.contacts) >= maxNodes {
-		return Response{}, errs.New(errs.Busy, "%d nodes are asking, no more are taken", maxNodes)
+	nodeContact := a.contacts[node]
+	if nodeContact == nil && len(a.contacts) >= maxNodes {
+		return Response{}, errs.New(errs.Busy, "%d nodes are tracked, which is the maximum", maxNodes)
 	}
-	// Of a node's first report in the epoch, the share that ran before the epoch belonged to the
-	// Allocator before this one.
-	reportedShare := 1.0
-	if known == nil && now < a.assumeContactUntil {
-		reportedShare = 1 - (a.assumeContactUntil-now).Seconds()/contactTTL.Seconds()
+	// The first report of a node in the epoch may include requests that ran before the epoch and count at the
+	// preceding Allocator. The charged fraction is the part of contactTTL that lies within the epoch.
+	chargedFraction := 1.0
+	if nodeContact == nil && now < a.assumeContactUntil {
+		chargedFraction = 1 - (a.assumeContactUntil-now).Seconds()/contactTTL.Seconds()
 	}
-	if known == nil {
-		known = &contact{}
-		a.contacts[node] = known
+	if nodeContact == nil {
+		nodeContact = &contact{}
+		a.contacts[node] = nodeContact
 	}
-	known.record(now, epoch, request)
+	nodeContact.record(now, epoch, request)
 	a.updateMembers(now)
 	return Response{
 		Epoch:     epoch,
-		Grants:    a.grant(now, node, request.Demands, reportedShare),
+		Grants:    a.grant(now, node, request.Demands, chargedFraction),
 		Throttled: a.throttled(now),
 		Members:   a.planner.plannedMembers,
 		Clock:     now,
@@ -113,103 +112,105 @@
 }
 
 func validateRequest(node string, request *Request) error {
-	if node == "" || len(node) > maxNodeName {
-		return errs.New(errs.Invalid, "a node's name has 1 to %d bytes, this one %d", maxNodeName, len(node))
+	if node == "" || len(node) > maxNodeNameBytes {
+		return errs.New(errs.Invalid, "node name must have 1 to %d bytes, got %d", maxNodeNameBytes, len(node))
 	}
 	if len(request.Demands) > maxDemands {
-		return errs.New(errs.TooLarge, "%d asks, at most %d are taken", len(request.Demands), maxDemands)
+		return errs.New(errs.TooLarge, "request has %d demands, the maximum is %d", len(request.Demands), maxDemands)
 	}
 	if request.Members < 0 || request.Members > maxMembers {
-		return errs.New(errs.Invalid, "%d members, want 0 to %d", request.Members, maxMembers)
+		return errs.New(errs.Invalid, "member count %d must be between 0 and %d", request.Members, maxMembers)
 	}
 	if lease := request.Lease; lease != nil {
 		if !(lease.Share > 0 && lease.Share <= 1) || lease.Clock < 0 || lease.Elapsed < 0 {
-			return errs.New(errs.Invalid, "floor lease of share %v, %v after clock %v",
+			return errs.New(errs.Invalid,
+				"floor lease: share %v must be above 0 and at most 1, elapsed time %v and clock %v must not be negative",
 				lease.Share, lease.Elapsed, lease.Clock)
 		}
 	}
 	for _, demand := range request.Demands {
-		if !validAmount(demand.Want) || !validAmount(demand.Used) {
-			return errs.New(errs.Invalid, "tenant %q: %v tokens can't be wanted and %v used",
-				demand.Tenant, demand.Want, demand.Used)
+		if !validAmount(demand.Requested) || !validAmount(demand.Admitted) {
+			return errs.New(errs.Invalid,
+				"tenant %q: %v requested tokens and %v admitted requests must be between 0 and 1e12",
+				demand.Tenant, demand.Requested, demand.Admitted)
 		}
 	}
 	return nil
 }
 
-// grant charges what a node reports, and returns what it is granted of prepaid tenants. Of the reports only
-// reportedShare counts.
-func (a *Allocator) grant(now time.Duration, node string, demands []Demand, reportedShare float64) []Grant {
+// grant charges the admitted requests that a node reports, and returns the tokens granted to the node for
+// prepaid tenants. Only chargedFraction of the reported requests is charged.
+func (a *Allocator) grant(now time.Duration, node string, demands []Demand, chargedFraction float64) []Grant {
 	grants := make([]Grant, 0, len(demands))
 	for _, demand := range demands {
 		t := a.tenants[demand.Tenant]
 		if t == nil {
 			continue
 		}
-		t.fill(a.flow(t))
-		t.balance -= reportedShare * demand.Used
+		t.fill(a.fillSeconds(t))
+		t.balance -= chargedFraction * demand.Admitted
 		if t.deferred {
-			t.demand.add(now, demandAverage, demand.Want)
+			t.demand.add(now, demandTimeConstant, demand.Requested)
 		} else if demand.Deferred {
-			continue // the node can't use a grant until it has learned the number of members
-		} else if tokens := t.grant(now, node, demand.Want); tokens > 0 {
+			continue // the node can't use a grant until it has the Allocator's number of members
+		} else if tokens := t.grant(now, node, demand.Requested); tokens > 0 {
 			grants = append(grants, Grant{demand.Tenant, tokens})
 		}
 	}
 	return grants
 }
 
-// throttled are the deferred tenants near their limit.
+// throttled returns the deferred tenants that are near their limit.
 func (a *Allocator) throttled(now time.Duration) []Throttled {
 	var throttled []Throttled
 	for name, t := range a.tenants {
 		if !t.deferred {
 			continue
 		}
-		t.fill(a.flow(t))
-		if fraction := t.admittedFraction(now); fraction < 1 || t.balance < warnLevel*t.depth {
+		t.fill(a.fillSeconds(t))
+		if fraction := t.admittedFraction(now); fraction < 1 || t.balance < throttleWarningFraction*t.depth {
 			throttled = append(throttled, Throttled{name, fraction})
 		}
 	}
 	return throttled
 }
 
-// beginEpoch starts a new epoch: buckets are empty, and nothing is granted until the tokens of the last
-// epoch have expired.
+// beginEpoch starts a new epoch: all buckets are empty, and nothing is granted until the tokens of the last epoch
+// have expired.
 func (a *Allocator) beginEpoch(now time.Duration, epoch Epoch) {
-	a.epoch, a.hasEpoch, a.allocatesFrom = epoch, true, now+TokenTTL
+	a.epoch, a.hasEpoch, a.grantsFrom = epoch, true, now+TokenTTL
 	a.assumeContactUntil = now + contactTTL
 	clear(a.contacts)
 	for _, t := range a.tenants {
-		t.reset(a.flow(t))
+		t.reset(a.fillSeconds(t))
 	}
 }
 
-// advance counts the flows up to now: what the Allocator has of its own, and the floors that are leased to
-// it.
+// advance adds the fill seconds up to now: the Allocator's own fraction of the rate, and the floors that are
+// leased to the Allocator.
 func (a *Allocator) advance(now time.Duration) {
 	if now <= a.updatedAt {
 		return
 	}
-	var prepaid, deferred float64 // seconds in which all floors would have been leased
+	var prepaidLeased, deferredLeased float64 // seconds of filling of all floors together, as far as they are leased
 	for node, c := range a.contacts {
-		prepaid += c.share * overlap(a.updatedAt, min(now, c.leasedUntil))
-		deferred += c.share * overlap(a.updatedAt, min(now, c.deferredLeasedUntil))
+		prepaidLeased += c.share * secondsBetween(a.updatedAt, min(now, c.leasedUntil))
+		deferredLeased += c.share * secondsBetween(a.updatedAt, min(now, c.deferredLeasedUntil))
 		if c.expired(now) {
 			delete(a.contacts, node)
 		}
 	}
-	elapsed := overlap(a.updatedAt, now)
+	elapsed := secondsBetween(a.updatedAt, now)
 	if now < a.assumeContactUntil {
-		deferred = elapsed
+		deferredLeased = elapsed
 	}
-	a.prepaidFlow += flowSeconds(elapsed, prepaid)
-	a.deferredFlow += flowSeconds(elapsed, deferred)
+	a.prepaidFillSeconds += fullRateSeconds(elapsed, prepaidLeased)
+	a.deferredFillSeconds += fullRateSeconds(elapsed, deferredLeased)
 	a.updatedAt = now
 	a.updateMembers(now)
 }
 
-// updateMembers counts the members that the nodes have heard of, and brings the plans in line with them.
+// updateMembers updates the largest number of members reported by the nodes, and the plans if they are outdated.
 func (a *Allocator) updateMembers(now time.Duration) {
 	a.planner.peerMembers = 0
 	for _, c := range a.contacts {
@@ -220,30 +221,31 @@
 	}
 }
 
-// overlap is the seconds from one moment to a later one, 0 to an earlier one.
-func overlap(from, to time.Duration) float64 { return max(0, to-from).Seconds() }
+// secondsBetween returns the seconds from one time to another, 0 if the other time is earlier.
+func secondsBetween(from, to time.Duration) float64 { return max(0, to-from).Seconds() }
 
-// flowSeconds is the time in which a bucket fills at its full rate: all floors together flow at
-// floorRateFraction of it, and what of that isn't leased to the Allocator is left out.
-func flowSeconds(elapsed, leased float64) float64 {
+// fullRateSeconds converts the elapsed seconds to seconds of filling at the full rate, if all floors together were
+// leased for the given number of seconds. All floors together fill at floorRateFraction of the rate; the Allocator's
+// bucket gets this fraction only while the floors are leased.
+func fullRateSeconds(elapsed, leased float64) float64 {
 	return elapsed*(1-floorRateFraction) + min(elapsed, leased)*floorRateFraction
 }
 
-// flow is what fills the tenant's bucket.
-func (a *Allocator) flow(t *tenantAccount) float64 {
+// fillSeconds returns the fill seconds that apply to the tenant's bucket.
+func (a *Allocator) fillSeconds(t *tenantAccount) float64 {
 	if t.deferred {
-		return a.deferredFlow
+		return a.deferredFillSeconds
 	}
-	return a.prepaidFlow
+	return a.prepaidFillSeconds
 }
 
-// replan brings the tenants in line with limits and members. Buckets are filled first under the plans
-// that held so far.
+// replan updates the plans of all tenants to the limits and the number of members. Buckets are first filled under
+// the previous plans.
 func (a *Allocator) replan(now time.Duration) {
 	a.planner.update(now)
 	removeUnlimited(a.tenants, a.planner.limits)
 	for _, t := range a.tenants {
-		t.fill(a.flow(t))
+		t.fill(a.fillSeconds(t))
 	}
 	for name, limit := range a.planner.limits {
 		t := a.tenants[name]
@@ -252,7 +254,7 @@
 			a.tenants[name] = t
 		}
 		t.plan = a.planner.plan(limit)
-		t.filledTo = a.flow(t)
+		t.filledTo = a.fillSeconds(t)
 		t.clamp()
 	}
 }
--- a/internal/mesh/quota/allocator_test.go
+++ b/internal/mesh/quota/allocator_test.go
@@ -9,20 +9,20 @@
 	"caperarch/internal/mesh/errs"
 )
 
-// wants is a request of these demands, without a lease.
-func wants(demands ...Demand) *Request { return &Request{Demands: demands} }
+// requestFor returns a request with the given demands and without a lease.
+func requestFor(demands ...Demand) *Request { return &Request{Demands: demands} }
 
 func TestAllocator(t *testing.T) {
-	Convey("Scarce tokens are shared max-min fairly; none at first, twice or for an old epoch", t, func() {
+	Convey("Scarce tokens are shared max-min fairly; an epoch's start, an old epoch and bad numbers get none", t, func() {
 		a, err := NewAllocator(rules)
 		So(err, ShouldBeNil)
 		So(a.Configure(0, map[string]Limit{"a": {100, 0}}, 3), ShouldBeNil)
-		_, err = a.Allocate(0, 4, "x", wants(Demand{Tenant: "a", Want: 1}))
+		_, err = a.Allocate(0, 4, "x", requestFor(Demand{Tenant: "a", Requested: 1}))
 		So(errs.KindOf(err), ShouldEqual, errs.Busy)
 		granted := map[string]float64{}
 		for now := TokenTTL; now < 20*second; now += 100 * ms {
 			for node, want := range map[string]float64{"x": 1, "y": 50, "z": 500} {
-				request := wants(Demand{Tenant: "a", Want: want}, Demand{Tenant: "none", Want: 1})
+				request := requestFor(Demand{Tenant: "a", Requested: want}, Demand{Tenant: "none", Requested: 1})
 				request.Lease = &FloorLease{Share: 1. / 3, Epoch: 4, Clock: now}
 				response, err := a.Allocate(now, 4, node, request)
 				So(err, ShouldBeNil)
@@ -34,16 +34,16 @@
 		So(granted["x"], ShouldBeGreaterThan, 190)
 		So(granted["y"], ShouldAlmostEqual, granted["z"], granted["z"]/20)
 		So(granted["x"]+granted["y"]+granted["z"], ShouldBeBetween, 1750, 1950)
-		_, err = a.Allocate(20*second, 3, "x", wants())
+		_, err = a.Allocate(20*second, 3, "x", requestFor())
 		So(errs.KindOf(err), ShouldEqual, errs.Stale)
-		_, err = a.Allocate(20*second, 4, "x", wants(Demand{Tenant: "a", Want: math.NaN()}))
+		_, err = a.Allocate(20*second, 4, "x", requestFor(Demand{Tenant: "a", Requested: math.NaN()}))
 		So(errs.KindOf(err), ShouldEqual, errs.Invalid)
 		So(errs.KindOf(a.Configure(0, map[string]Limit{"a": {-1, 0}}, 3)), ShouldEqual, errs.Invalid)
 	})
 }
 
-func TestLimiterTakesOnlyResponsesItWaitsFor(t *testing.T) {
-	Convey("A response is Stale without a request in flight or in an older epoch; no limit, no rejection", t, func() {
+func TestLimiterRejectsUnexpectedResponses(t *testing.T) {
+	Convey("A response without a request in flight or of an older epoch is stale; no limit, no rejection", t, func() {
 		l, err := NewLocalLimiter(0, rules)
 		So(err, ShouldBeNil)
 		So(l.Configure(0, map[string]Limit{"a": {100, 0}}, 3), ShouldBeNil)
--- a/internal/mesh/quota/contact.go
+++ b/internal/mesh/quota/contact.go
@@ -2,31 +2,31 @@
 
 import "time"
 
-// contact is what the Allocator knows of one node that asks it.
+// contact is the Allocator's record of a node that sends requests.
 type contact struct {
-	requestedAt time.Duration // the last request
-	members     int           // that the node has heard of, 0 if of none
+	requestedAt time.Duration // when the last request was received
+	members     int           // the number of members known to the node, or UnknownMembers
 
 	// The lease of the node's floors.
-	share               float64       // of all floors
-	leasedUntil         time.Duration // floors of prepaid tenants
-	deferredLeasedUntil time.Duration // floors of deferred tenants
+	share               float64       // fraction of all floors
+	leasedUntil         time.Duration // end of the lease of prepaid tenants' floors
+	deferredLeasedUntil time.Duration // end of the lease of deferred tenants' floors
 }
 
-// record records a request. The flows must have been counted up to now, as the lease counts from now on.
+// record records a request. The caller has added the fill seconds up to now, because the lease counts from now.
 func (c *contact) record(now time.Duration, epoch Epoch, request *Request) {
 	c.requestedAt, c.members = now, request.Members
 	lease := request.Lease
 	if lease == nil || lease.Epoch != epoch {
 		return
 	}
-	// The request was sent no earlier than this, as the response that it repeats the clock of was on
-	// its way for some time.
+	// The earliest time at which the request can have been sent: the limiter adds its elapsed time to the
+	// clock of a response that spent some time in transit.
 	sentAt := min(lease.Clock+lease.Elapsed, now)
 	c.share = lease.Share
-	c.leasedUntil = max(c.leasedUntil, sentAt+limiterFloorLease)
+	c.leasedUntil = max(c.leasedUntil, sentAt+floorLeaseTTL)
 	c.deferredLeasedUntil = max(c.deferredLeasedUntil, sentAt+contactTTL)
 }
 
-// expired reports whether nothing of the node counts any longer.
+// expired reports whether neither the leases nor the reported number of members count any longer.
 func (c *contact) expired(now time.Duration) bool { return now-c.requestedAt > contactTTL }
--- a/internal/mesh/quota/fair_share.go
+++ b/internal/mesh/quota/fair_share.go
@@ -2,31 +2,32 @@
 
 import "time"
 
-// claimTTL is how long a node's last demand counts when tokens are divided. It guards against a node
-// that asks often taking what another that asked just before it needs.
+// claimTTL is how long the last demand of a node counts when tokens are divided. It prevents a node that sends
+// requests often from taking the tokens that a node with an earlier request needs.
 const claimTTL = 350 * time.Millisecond
 
-// claim is what a node wanted last, and what is kept for its next request.
+// claim is the last demand of a node, and the tokens reserved for the node's next request.
 type claim struct {
-	want, reserved float64 // tokens
-	at             time.Duration
+	requested, reserved float64 // tokens
+	requestedAt         time.Duration
 }
 
-func (c *claim) lack() float64 { return c.want - c.reserved }
+// shortfall returns the requested tokens that aren't reserved.
+func (c *claim) shortfall() float64 { return c.requested - c.reserved }
 
-// grant gives the node what it wants if that leaves enough for the others that asked lately. Otherwise
-// the balance is reserved for all of them max-min fairly, and the node gets what has been reserved for
-// it.
-func (t *tenantAccount) grant(now time.Duration, node string, want float64) float64 {
+// grant returns the tokens granted to the node: all requested tokens if the balance covers all recent claims.
+// Otherwise the balance is divided among all claims with max-min fairness, and the node is granted the tokens
+// reserved for it.
+func (t *tenantAccount) grant(now time.Duration, node string, requested float64) float64 {
 	own := t.claims[node]
 	if own == nil {
 		own = &claim{}
 		t.claims[node] = own
 	}
-	own.want, own.at = want, now
-	granted := want
-	if t.releaseUnwanted(now) <= t.balance {
-		t.balance -= own.lack()
+	own.requested, own.requestedAt = requested, now
+	granted := requested
+	if t.releaseExcess(now) <= t.balance {
+		t.balance -= own.shortfall()
 	} else {
 		t.reserveFairly()
 		granted = own.reserved
@@ -35,65 +36,65 @@
 	return granted
 }
 
-// releaseUnwanted returns to the balance what is reserved for old claims or beyond a claim, and returns
-// how much all claims lack.
-func (t *tenantAccount) releaseUnwanted(now time.Duration) float64 {
-	lacking := 0.0
+// releaseExcess returns to the balance the tokens that are reserved for expired claims or in excess of a claim.
+// The result is the sum of all shortfalls.
+func (t *tenantAccount) releaseExcess(now time.Duration) float64 {
+	total := 0.0
 	for node, c := range t.claims {
-		if now-c.at > claimTTL {
+		if now-c.requestedAt > claimTTL {
 			t.balance += c.reserved
 			delete(t.claims, node)
 			continue
 		}
-		if excess := c.reserved - c.want; excess > 0 {
+		if excess := c.reserved - c.requested; excess > 0 {
 			t.balance += excess
-			c.reserved = c.want
+			c.reserved = c.requested
 		}
-		lacking += c.lack()
+		total += c.shortfall()
 	}
-	return lacking
+	return total
 }
 
-// reserveFairly divides the balance among the claims: each gets an equal share, or all that it lacks
-// where that is less.
+// reserveFairly divides the balance among the claims: each claim is reserved an equal share, or its shortfall
+// if that is smaller.
 func (t *tenantAccount) reserveFairly() {
 	for t.balance > 0 {
-		unmet, minLack := t.unmetClaims()
+		unmet, minShortfall := t.unmetClaims()
 		if unmet == 0 {
 			return
 		}
 		share := t.balance / float64(unmet)
-		last := share <= minLack
+		finalRound := share <= minShortfall
 		for _, c := range t.claims {
-			switch lack := c.lack(); {
-			case lack <= 0:
-			case last:
+			switch shortfall := c.shortfall(); {
+			case shortfall <= 0:
+			case finalRound:
 				c.reserved += share
-			case lack <= minLack:
-				c.reserved = c.want
+			case shortfall <= minShortfall:
+				c.reserved = c.requested
 			default:
-				c.reserved += minLack
+				c.reserved += minShortfall
 			}
 		}
-		if last {
+		if finalRound {
 			t.balance = 0
 			return
 		}
-		t.balance -= minLack * float64(unmet)
+		t.balance -= minShortfall * float64(unmet)
 	}
 }
 
-// unmetClaims counts the claims that lack something, and returns the least that one of them lacks.
-func (t *tenantAccount) unmetClaims() (unmet int, minLack float64) {
+// unmetClaims returns the number of claims with a shortfall, and the smallest shortfall of these claims.
+func (t *tenantAccount) unmetClaims() (unmet int, minShortfall float64) {
 	for _, c := range t.claims {
-		lack := c.lack()
-		if lack <= 0 {
+		shortfall := c.shortfall()
+		if shortfall <= 0 {
 			continue
 		}
-		if unmet == 0 || lack < minLack {
-			minLack = lack
+		if unmet == 0 || shortfall < minShortfall {
+			minShortfall = shortfall
 		}
 		unmet++
 	}
-	return unmet, minLack
+	return unmet, minShortfall
 }
--- a/internal/mesh/quota/fleet_test.go
+++ b/internal/mesh/quota/fleet_test.go
@@ -9,48 +9,48 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// smallFleetLimits are of a large tenant, a middling one, one without a burst, a small one, and one whose
-// requests all arrive at a single sidecar.
+// smallFleetLimits are the limits of a large tenant, a medium-sized tenant, a tenant without a burst, a small tenant,
+// and a tenant whose requests all arrive at a single sidecar.
 var smallFleetLimits = map[string]Limit{
-	"large": {172, 172}, "middling": {40, 20}, "plain": {100, 0}, "small": {8, 8}, loneTenant: {60, 60},
+	"large": {172, 172}, "middling": {40, 20}, "plain": {100, 0}, "small": {8, 8}, singleSidecarTenant: {60, 60},
 }
 
-// smallFleetScenarios are simulated with twelve sidecars for 30 s. A tenant that stays below its limit
-// has less than 0.5 % of its requests rejected, unless maxRejected says otherwise: of a small tenant, or
-// of one with little burst, a floor holds two to five tokens, which chance empties where there is no
-// allocator, and the lone tenant's one sidecar then has a twelfth of its rate.
+// smallFleetScenarios run with twelve sidecars for 30 s. A tenant with its usual demand has at most 0.5 % of its
+// requests rejected, unless maxRejected sets another bound. The bound is higher where floors are used without an
+// Allocator: a floor of a small tenant, or of a tenant with a small burst, holds two to five tokens, which random
+// fluctuations empty, and the sidecar of singleSidecarTenant then has a twelfth of the tenant's rate.
 var smallFleetScenarios = []struct {
 	name        string
 	prepare     func(s *simulation)
 	maxRejected map[string]float64 // fraction of the requests, by tenant
 }{
 	{"usual demand", func(*simulation) {}, nil},
-	{"a tenant's surge costs the others nothing", func(s *simulation) {
+	{"a surge of one tenant doesn't affect the others", func(s *simulation) {
 		s.demandFactor = surgeFrom(5*second, "large")
 	}, map[string]float64{"large": 1}},
 	{
-		"the allocator is gone for two seconds, and another begins", replaceAllocator,
-		map[string]float64{loneTenant: 1, "middling": 0.01, "plain": 0.02, "small": 0.03},
+		"the allocator is down for two seconds, and another one starts", replaceAllocator,
+		map[string]float64{singleSidecarTenant: 1, "middling": 0.01, "plain": 0.02, "small": 0.03},
 	},
 	{
 		"a third of the sidecars is out of contact for twelve seconds",
 		disconnect(8*second, 20*second, func(sidecar int) bool { return sidecar < 4 }),
-		map[string]float64{loneTenant: 1, "middling": 0.01, "plain": 0.02, "small": 0.06},
+		map[string]float64{singleSidecarTenant: 1, "middling": 0.01, "plain": 0.02, "small": 0.06},
 	},
 	{
-		"all tenants surge while sidecars join, leave, restart and lose contact, and the leader changes", disturb,
-		map[string]float64{"large": 1, "middling": 1, "plain": 1, "small": 1, loneTenant: 1},
+		"all tenants surge while sidecars join, leave, restart and lose contact, and the leader changes", randomFaults,
+		map[string]float64{"large": 1, "middling": 1, "plain": 1, "small": 1, singleSidecarTenant: 1},
 	},
 }
 
-// disturb has a new epoch begin every 4 s; for a second each sidecar then finds the new allocator, the
-// old one or none.
-func disturb(s *simulation) {
+// randomFaults starts a new epoch every 4 s. In the first second of an epoch each sidecar reaches the new allocator,
+// the previous one or none. Sidecars restart, and the number of sidecars changes.
+func randomFaults(s *simulation) {
 	s.demandFactor = surgeFrom(4*second, "")
 	s.extraLatency = time.Duration(s.rng.IntN(60)) * ms
 	epochOf := make([]Epoch, 20)
 	s.reachableEpoch = func(_ time.Duration, sidecar int) Epoch { return epochOf[sidecar] }
-	s.eachMillisecond = func(now time.Duration) {
+	s.onTick = func(now time.Duration) {
 		if now%(50*ms) == 0 {
 			epoch := 1 + Epoch(now/(4*second))
 			sidecar := s.rng.IntN(20)
@@ -72,7 +72,7 @@
 
 func TestSmallFleetKeepsLimits(t *testing.T) {
 	for _, scenario := range smallFleetScenarios {
-		Convey("No window is over the limit and few requests are rejected below it: "+scenario.name, t, func() {
+		Convey("No window exceeds the limit and few requests are rejected below the limit: "+scenario.name, t, func() {
 			arrivals, rejections := map[string]int{}, map[string]int{}
 			for seed := uint64(1); seed <= 6; seed++ {
 				s := newSimulation(seed, 12)
@@ -93,7 +93,7 @@
 			}
 		})
 	}
-	Convey("A tenant in a surge gets its rate, and a lower limit holds within a window", t, func() {
+	Convey("A tenant in a surge gets its rate, and a lower limit holds one window after the change", t, func() {
 		s := newSimulation(9, 12)
 		s.demandFactor = surgeFrom(0, "large")
 		s.run(0, 20*second)
@@ -108,30 +108,31 @@
 	})
 }
 
-// largeFleetScenarios are of the large fleet, 30 s each. Out of contact, a floor of one or two tokens is
-// emptied by chance.
+// largeFleetScenarios run with the large fleet for 30 s. Bounds on rejections are higher for sidecars out of contact,
+// because random fluctuations empty their floors of one or two tokens.
 var largeFleetScenarios = []struct {
-	name         string
-	surging      []int // ranks of the tenants that surge, one in each run; below 0 for none
-	prepare      func(s *simulation)
-	maxRejected  float64 // fraction of all requests of tenants that don't surge, in one run
-	maxMean      float64 // the same over all runs, if that is less
-	minOfOwnRate float64 // admitted of the surging one, as a fraction of its rate
+	name            string
+	surging         []int // ranks of the surging tenants, one in each run; below 0 for none
+	prepare         func(s *simulation)
+	maxRejected     float64 // in each run, as a fraction of all requests of tenants that don't surge
+	maxMean         float64 // the same as the mean of all runs
+	minRateFraction float64 // lower bound of the surging tenant's admitted rate, as a fraction of its limit
 }{
 	{"usual demand", []int{-1, -2, -3, -4, -5, -6, -7, -8}, func(*simulation) {}, 0.004, 0.0025, 0},
 	{"one tenant surges", []int{0, 1, 3, 8, 20, 40, 60, 86}, func(*simulation) {}, 0.005, 0.005, 0.9},
-	{"another allocator begins", []int{-1, 0, 20, 86}, replaceAllocator, 0.015, 0.015, 0.9},
+	{"another allocator starts", []int{-1, 0, 20, 86}, replaceAllocator, 0.015, 0.015, 0.9},
 	{
 		"a third of the sidecars is out of contact for twelve seconds", []int{-1, 0, 20, 86},
 		disconnect(8*second, 20*second, func(sidecar int) bool { return sidecar%3 == 0 }), 0.055, 0.055, 0.85,
 	},
 	{
-		"all are out of contact for long", []int{-1},
+		"all sidecars are out of contact for 22 s", []int{-1},
 		disconnect(8*second, 30*second, func(int) bool { return true }), 0.5, 0.5, 0,
 	},
 }
 
-// newLargeFleet has 82 sidecars with 87 tenants, whose rates are a Zipf from 100 down to 3 a second.
+// newLargeFleet returns a simulation of 82 sidecars and 87 tenants, whose rates follow a Zipf distribution from 100
+// down to 3 requests/s.
 func newLargeFleet(seed uint64) *simulation {
 	s := newSimulation(seed, 82)
 	s.limits = map[string]Limit{}
@@ -148,7 +149,7 @@
 func TestLargeFleetKeepsLimits(t *testing.T) {
 	for _, scenario := range largeFleetScenarios {
 		Convey("82 sidecars keep the limits of 87 tenants: "+scenario.name, t, func() {
-			rejectedInAll := 0.0
+			rejectedSum := 0.0
 			for _, rank := range scenario.surging {
 				s, surging := newLargeFleet(uint64(rank+9)), tenantOfRank(rank)
 				scenario.prepare(s)
@@ -162,23 +163,23 @@
 						arrivals, rejections = arrivals+s.arrivals[name], rejections+s.rejections[name]
 					}
 				}
-				inSurge := 0
+				admittedInSurge := 0
 				for _, at := range s.admitted[surging] {
 					if at >= trafficStart+5*second {
-						inSurge++
+						admittedInSurge++
 					}
 				}
-				rejected, rate := float64(rejections)/float64(arrivals), float64(inSurge)/25
-				t.Logf("%s, %s surges: %.1f of %.0f/s admitted, %.2f%% of others rejected, %d calls/s",
+				rejected, rate := float64(rejections)/float64(arrivals), float64(admittedInSurge)/25
+				t.Logf("%s, tenant %s surges: %.1f of %.0f requests/s admitted, %.2f%% of others rejected, %d calls/s",
 					scenario.name, surging, rate, s.limits[surging].Rate, 100*rejected, s.allocatorCalls/27)
 				So(rejected, ShouldBeLessThanOrEqualTo, scenario.maxRejected)
-				So(rate, ShouldBeGreaterThanOrEqualTo, scenario.minOfOwnRate*s.limits[surging].Rate)
-				rejectedInAll += rejected
+				So(rate, ShouldBeGreaterThanOrEqualTo, scenario.minRateFraction*s.limits[surging].Rate)
+				rejectedSum += rejected
 				if rank < 0 {
 					So(s.allocatorCalls, ShouldBeLessThan, 27*82*3/2)
 				}
 			}
-			So(rejectedInAll/float64(len(scenario.surging)), ShouldBeLessThanOrEqualTo, scenario.maxMean)
+			So(rejectedSum/float64(len(scenario.surging)), ShouldBeLessThanOrEqualTo, scenario.maxMean)
 		})
 	}
 }
--- a/internal/mesh/quota/floor_lease.go
+++ b/internal/mesh/quota/floor_lease.go
@@ -2,35 +2,37 @@
 
 import "time"
 
-// legacyFloorLease is for how long an Allocator that names no clock, of an earlier release, counts on the
-// floors of a limiter that it has answered, with the time that a request may take to it.
-const legacyFloorLease = 600 * time.Millisecond
+// legacyFloorLeaseTTL is how long the floors of a limiter count as leased at an Allocator of an earlier release, which
+// sends no clock, after a request that was answered. It includes the time that the request may be in transit.
+const legacyFloorLeaseTTL = 600 * time.Millisecond
 
-// leaseState is the lease by which a LocalLimiter leaves its floors to the Allocator.
+// leaseState is the state of the lease by which a LocalLimiter lends the fill of its floors to the Allocator.
 type leaseState struct {
-	until         time.Duration // floors don't fill before
-	deferredUntil time.Duration // nor do those of deferred tenants
-	requested     bool          // the last request carried a lease
+	leasedUntil         time.Duration // floors of prepaid tenants don't fill before
+	deferredLeasedUntil time.Duration // floors of deferred tenants don't fill before
+	leaseSent           bool          // the last request carried a lease
 
-	// The last response that named a clock: a lease repeats it.
+	// The last response with a clock, which the next lease repeats.
 	epoch       Epoch
 	clock       time.Duration
 	respondedAt time.Duration
 	hasClock    bool
 }
 
-// newLeaseState is that of a process that has started by now. The process before it, of any release, may
-// have left its floors to the Allocator just before it ended; they don't fill until that is over.
+// newLeaseState returns the state of a process that has started by now. The preceding process, of any release,
+// may have leased its floors to the Allocator just before it ended; the floors don't fill until that lease has
+// expired.
 func newLeaseState(now time.Duration) leaseState {
-	return leaseState{until: now + legacyFloorLease, deferredUntil: now + contactTTL}
+	return leaseState{leasedUntil: now + legacyFloorLeaseTTL, deferredLeasedUntil: now + contactTTL}
 }
 
-// renew leases the floors from now on, for a request that is sent at once. It returns nil if the last
-// request wasn't answered, so that floors fill where no response arrives, if the Allocator couldn't know how
-// old the lease is, and while the number of members isn't known.
-func (s *leaseState) renew(now time.Duration, unanswered bool, members int) *FloorLease {
-	s.requested = !unanswered && s.hasClock && members != UnknownMembers
-	if !s.requested {
+// renew leases the floors from now on, and returns the lease for a request that is sent immediately. It returns
+// nil in three cases: if the last request was not answered, so that the floors fill where no response arrives;
+// if no clock of the Allocator is known, as the Allocator couldn't determine the age of the lease; and if the
+// number of members is unknown.
+func (s *leaseState) renew(now time.Duration, lastUnanswered bool, members int) *FloorLease {
+	s.leaseSent = !lastUnanswered && s.hasClock && members != UnknownMembers
+	if !s.leaseSent {
 		return nil
 	}
 	s.extend(now)
@@ -39,13 +41,13 @@
 	}
 }
 
-// responded records the response to a request. Floors are held back after it as if that request had carried
-// a lease, as an Allocator of an earlier release counts on it. It reports whether a lease is due that this
-// Allocator doesn't have.
-func (s *leaseState) responded(now, requestedAt time.Duration, response *Response) (due bool) {
-	due = !s.requested || s.epoch != response.Epoch
+// recordResponse records the response to the request that was sent at requestedAt. The floors don't fill after
+// that time even if the request carried no lease, because an Allocator of an earlier release assumes a lease.
+// The result reports whether a lease should be sent that this Allocator doesn't have.
+func (s *leaseState) recordResponse(now, requestedAt time.Duration, response *Response) (due bool) {
+	due = !s.leaseSent || s.epoch != response.Epoch
 	if response.Clock == 0 {
-		s.until = max(s.until, requestedAt+legacyFloorLease)
+		s.leasedUntil = max(s.leasedUntil, requestedAt+legacyFloorLeaseTTL)
 	}
 	s.extend(requestedAt)
 	s.epoch, s.clock, s.respondedAt = response.Epoch, response.Clock, now
@@ -53,7 +55,8 @@
 	return due && s.hasClock
 }
 
+// extend extends the leases to their full duration after from.
 func (s *leaseState) extend(from time.Duration) {
-	s.until = max(s.until, from+limiterFloorLease)
-	s.deferredUntil = max(s.deferredUntil, from+contactTTL)
+	s.leasedUntil = max(s.leasedUntil, from+floorLeaseTTL)
+	s.deferredLeasedUntil = max(s.deferredLeasedUntil, from+contactTTL)
 }
--- a/internal/mesh/quota/limiter.go
+++ b/internal/mesh/quota/limiter.go
@@ -8,41 +8,42 @@
 )
 
 const (
-	// responseTimeout is how long a response may be missing before the local buckets of deferred tenants
-	// are no larger than their floors and stop filling. It guards against a sidecar out of contact that
-	// admits as if it were in contact.
+	// responseTimeout is how long a response may be outstanding before the local buckets of deferred tenants
+	// stop filling and are capped at the depth of the floors. It prevents a sidecar without contact from
+	// admitting requests at the rate of a sidecar in contact.
 	responseTimeout = 600 * time.Millisecond
-	// throttleCarryOver is how long after the first response of a new epoch the tenants stay throttled
-	// that the last epoch throttled. It guards against a tenant with much demand of which the new
-	// Allocator hasn't learned from all sidecars.
+	// throttleCarryOver is how long, after the first response of a new epoch, the tenants that were throttled
+	// in the last epoch stay throttled. It covers tenants with a high demand that not all sidecars have yet
+	// reported to the new Allocator.
 	throttleCarryOver = idleInterval
-	// minRetryAfter and maxRetryAfter bound the Retry-After of rejected clients. They guard against a herd
-	// that retries at once and against clients that stay away when there is capacity again.
+	// minRetryAfter and maxRetryAfter bound the Retry-After of rejected clients. The minimum prevents many
+	// clients from retrying at once; the maximum prevents clients from waiting when there is capacity again.
 	minRetryAfter, maxRetryAfter = 100 * time.Millisecond, 2 * time.Second
 )
 
-// LocalLimiter is what one sidecar may spend for each tenant: granted tokens and a floor of its own, or,
-// of deferred tenants, what it admits and reports. Which requests of a throttled tenant run is random.
+// LocalLimiter decides which requests one sidecar admits. A request of a prepaid tenant spends a granted token or
+// a token of the sidecar's floor. Requests of a deferred tenant are admitted from a local bucket and reported
+// afterwards; while the tenant is throttled, requests are admitted at random.
 //
-// A cycle is: NextRequest returns when to ask, NextRequest's caller sends what Request returns, and
-// ApplyResponse applies the response.
+// The caller calls NextRequest for the time of the next request, then sends the result of Request to the Allocator,
+// and passes the response to ApplyResponse.
 type LocalLimiter struct {
 	planner  planner
 	tenants  map[string]*tenantBucket
 	schedule requestSchedule
-	random   *rand.Rand // which requests of a throttled tenant run
+	random   *rand.Rand // decides which requests of a throttled tenant run
 
-	updatedAt    time.Duration // up to when floorSeconds is counted
-	floorSeconds float64       // seconds in which floors have filled since the start
+	updatedAt        time.Duration // the time up to which floorFillSeconds is counted
+	floorFillSeconds float64       // seconds in which floors have filled since the start
 
-	epoch          Epoch         // the newest seen
-	epochStart     time.Duration // the first response of the epoch
-	inContactUntil time.Duration // the last response counts until then
+	epoch          Epoch         // the newest epoch seen
+	epochStart     time.Duration // when the first response of the epoch arrived
+	inContactUntil time.Duration // end of the contact that the last response established
 	lease          leaseState
 }
 
-// NewLocalLimiter returns a limiter that knows no tenant yet; now is when the process has started, or
-// later. Rules that can't be used are errs.Invalid.
+// NewLocalLimiter returns a limiter without tenants; now is the start of the process, or later. It returns
+// errs.Invalid for invalid rules.
 func NewLocalLimiter(now time.Duration, rules Rules) (*LocalLimiter, error) {
 	planner, err := newPlanner(rules)
 	if err != nil {
@@ -55,9 +56,9 @@
 	}, nil
 }
 
-// Configure sets the limits of all tenants and the number of sidecars, UnknownMembers until one is known.
-// A lower limit holds at once for the floor, and within TokenTTL for what was granted before. A tenant
-// that is new starts with an empty floor. Limits that can't be used are errs.Invalid and change nothing.
+// Configure sets the limits of all tenants and the number of sidecars, UnknownMembers until the number is known. A
+// lower limit takes effect immediately for the floor, and within TokenTTL for tokens that were granted before. A
+// new tenant starts with an empty floor. Invalid limits or numbers return errs.Invalid and change nothing.
 func (l *LocalLimiter) Configure(now time.Duration, limits map[string]Limit, members int) error {
 	if err := validateLimits(limits); err != nil {
 		return err
@@ -73,26 +74,26 @@
 	return nil
 }
 
-// Allow reports whether a request of the tenant may run now, and spends a token on it if so. It belongs
-// right before the send, as the limit counts executions. A tenant that the limits don't name, or whose
-// rate is 0, has no limit.
+// Allow reports whether a request of the tenant may run now, and spends a token if so. The caller calls Allow
+// immediately before it sends the request, because the limit counts executions. A tenant that isn't in the limits,
+// or whose rate is 0, has no limit.
 func (l *LocalLimiter) Allow(now time.Duration, tenant string) bool {
 	l.advance(now)
 	t := l.tenants[tenant]
 	if t == nil {
 		return true
 	}
-	t.advance(now, l.floorSeconds)
-	t.demand.add(now, shortAverage, 1)
+	t.advance(now, l.floorFillSeconds)
+	t.demand.add(now, shortTimeConstant, 1)
 	if t.deferred {
 		return l.allowDeferred(now, t)
 	}
 	return l.allowPrepaid(now, t)
 }
 
-// allowPrepaid is Allow for a prepaid tenant.
+// allowPrepaid implements Allow for a prepaid tenant.
 func (l *LocalLimiter) allowPrepaid(now time.Duration, t *tenantBucket) bool {
-	t.longDemand.add(now, longAverage, 1)
+	t.longDemand.add(now, longTimeConstant, 1)
 	tokens := t.tokens()
 	allowed := tokens >= oneToken
 	if allowed {
@@ -101,7 +102,7 @@
 		} else {
 			t.usage.FromGrants++
 		}
-		t.served.add(now, shortAverage, 1)
+		t.admittedRate.add(now, shortTimeConstant, 1)
 		tokens--
 	} else {
 		t.usage.Rejected++
@@ -116,17 +117,17 @@
 	return allowed
 }
 
-// allowDeferred is Allow for a deferred tenant. In contact, the admitted fraction of the requests runs,
-// up to the local bucket; out of contact the floor alone decides, and what it admits isn't reported, as
-// the Allocator leaves this member its share.
+// allowDeferred implements Allow for a deferred tenant. In contact, the admitted fraction of the requests runs, as
+// long as the local bucket has tokens. Out of contact, requests run on the floor alone and are not reported, because
+// the Allocator leaves this member its share of the rate.
 func (l *LocalLimiter) allowDeferred(now time.Duration, t *tenantBucket) bool {
 	b := &t.local
 	l.fillLocal(now, t)
-	inContact := t.peerDefersToo && now <= l.inContactUntil
-	allowed := b.tokens >= oneToken && (!inContact || b.drawn(l.random))
+	inContact := t.bothDefer && now <= l.inContactUntil
+	allowed := b.tokens >= oneToken && (!inContact || b.sampled(l.random))
 	if allowed {
 		b.tokens = max(0, b.tokens-1)
-		t.served.add(now, shortAverage, 1)
+		t.admittedRate.add(now, shortTimeConstant, 1)
 		t.usage.Deferred++
 	} else {
 		t.usage.Rejected++
@@ -137,62 +138,62 @@
 	switch {
 	case b.throttled:
 		l.schedule.throttled = true
-	case b.tokens < oneToken || b.admitted-b.reported.Used >= t.reportThreshold:
+	case b.tokens < oneToken || b.admitted-b.reported.Admitted >= t.reportThreshold:
 		l.schedule.urgent = true
 	}
 	return allowed
 }
 
-// RetryAfter returns when a rejected client of the tenant should retry: the longer, the further the
-// demand here is above what was served here lately.
+// RetryAfter returns after what time a rejected client of the tenant should retry: the time increases with the ratio
+// of the recent demand to the recently admitted requests at this sidecar.
 func (l *LocalLimiter) RetryAfter(now time.Duration, tenant string) time.Duration {
 	t := l.tenants[tenant]
 	if t == nil {
 		return minRetryAfter
 	}
-	served := max(t.served.value(now, shortAverage), t.rate/float64(max(1, l.planner.plannedMembers)))
-	if served <= 0 {
+	admittedRate := max(t.admittedRate.value(now, shortTimeConstant), t.rate/float64(max(1, l.planner.plannedMembers)))
+	if admittedRate <= 0 {
 		return maxRetryAfter
 	}
-	excess := t.demand.value(now, shortAverage) / served
-	wait := shortAverage.Seconds() * min(excess, maxRetryAfter.Seconds()/shortAverage.Seconds())
+	excess := t.demand.value(now, shortTimeConstant) / admittedRate
+	wait := shortTimeConstant.Seconds() * min(excess, maxRetryAfter.Seconds()/shortTimeConstant.Seconds())
 	return max(minRetryAfter, time.Duration(wait*float64(time.Second)))
 }
 
-// NextRequest returns when to ask the Allocator again: soon if something runs short, in time for the
-// lease otherwise. Each Allow may bring it forward.
+// NextRequest returns the time of the next request to the Allocator: early if a tenant is short of tokens, otherwise
+// in time to renew the lease. Each call of Allow may move it to an earlier time.
 func (l *LocalLimiter) NextRequest(now time.Duration) time.Duration {
 	return l.schedule.next(now)
 }
 
-// Request returns the request to send to the Allocator now. It is to be sent even if nothing is wanted, as
-// it renews the lease of the floors. One request is in flight at a time; the tokens that it brings live
-// from here.
+// Request returns the request to send to the Allocator now. The request must be sent even if it has no demands,
+// because it renews the lease of the floors. Only one request is in flight at a time; tokens that are granted in the
+// response expire TokenTTL after now.
 func (l *LocalLimiter) Request(now time.Duration) Request {
 	l.advance(now)
 	request := Request{
-		Members: l.planner.members.at(now),
+		Members: l.planner.members.value(now),
 		Lease:   l.lease.renew(now, l.schedule.awaitingResponse, l.planner.plannedMembers),
 	}
 	l.schedule.request(now)
 	for name, t := range l.tenants {
-		if demand, some := t.nextDemand(now, name, l.floorSeconds); some {
+		if demand, hasDemand := t.nextDemand(now, name, l.floorFillSeconds); hasDemand {
 			request.Demands = append(request.Demands, demand)
 		}
 	}
 	return request
 }
 
-// ApplyResponse applies the response to the last Request; a deferred tenant that isn't among the throttled
-// ones is no longer throttled. Tokens that have expired on their way are lost. A response of an older
-// epoch than one seen before is errs.Stale and changes nothing, as is one while no request is in flight;
-// one with impossible numbers is errs.Invalid.
+// ApplyResponse applies the response to the last Request. A deferred tenant that isn't listed as throttled is no
+// longer throttled, except within throttleCarryOver of the first response of an epoch. Tokens that have expired in
+// transit are lost. A response of an epoch before the newest one seen, or while no request is in flight, returns
+// errs.Stale and changes nothing; a response with invalid numbers returns errs.Invalid and changes nothing.
 func (l *LocalLimiter) ApplyResponse(now time.Duration, response Response) error {
 	if !l.schedule.awaitingResponse {
-		return errs.New(errs.Stale, "response of epoch %d, no request is in flight", response.Epoch)
+		return errs.New(errs.Stale, "response of epoch %d received while no request is in flight", response.Epoch)
 	}
 	if response.Epoch < l.epoch {
-		return errs.New(errs.Stale, "response of epoch %d, the newest seen is %d", response.Epoch, l.epoch)
+		return errs.New(errs.Stale, "response of epoch %d is stale, the newest epoch seen is %d", response.Epoch, l.epoch)
 	}
 	if err := validateResponse(&response); err != nil {
 		return err
@@ -202,20 +203,20 @@
 		l.epoch, l.epochStart = response.Epoch, now
 	}
 	l.recordPeerMembers(now, response.Members)
-	l.endReports(now)
+	l.acknowledgeReports(now)
 	l.schedule.awaitingResponse = false
-	l.schedule.leaseDue = l.lease.responded(now, l.schedule.requestedAt, &response)
+	l.schedule.leaseDue = l.lease.recordResponse(now, l.schedule.requestedAt, &response)
 	l.inContactUntil = max(l.inContactUntil, l.schedule.requestedAt+contactTTL)
 	l.applyThrottling(now, response.Throttled)
 	l.applyGrants(now, response.Grants)
 	return nil
 }
 
-// recordPeerMembers records by how many members the Allocator divides. One of an earlier release doesn't
-// say; it sees what this sidecar sees.
+// recordPeerMembers records the number of members by which the Allocator divides. An Allocator of an earlier release
+// sends no number; it is assumed to divide by the number known to this sidecar.
 func (l *LocalLimiter) recordPeerMembers(now time.Duration, members int) {
 	if members == UnknownMembers {
-		members = l.planner.members.at(now)
+		members = l.planner.members.value(now)
 	}
 	if members != l.planner.peerMembers {
 		l.planner.peerMembers = members
@@ -223,22 +224,24 @@
 	}
 }
 
-// endReports ends the reports of deferred tenants that the Allocator now knows, and refills their buckets if
-// it took them for reports.
-func (l *LocalLimiter) endReports(now time.Duration) {
+// acknowledgeReports completes the reports of deferred tenants that the Allocator has received, and refills the local
+// buckets of tenants that the Allocator treats as deferred as well.
+func (l *LocalLimiter) acknowledgeReports(now time.Duration) {
 	for _, t := range l.tenants {
 		t.underGranted = t.requestedTokens > 0
 		if t.deferred {
 			l.fillLocal(now, t)
-			if t.peerDefersToo {
+			if t.bothDefer {
 				t.local.refill(&t.plan)
 			}
-			t.local.endReport()
+			t.local.acknowledgeReport()
 		}
 	}
 }
 
-// applyThrottling sets which deferred tenants are throttled.
+// applyThrottling sets which deferred tenants are throttled, and the admitted fractions. Within throttleCarryOver of
+// the first response of an epoch, tenants that were throttled before stay throttled.
+// applyThrottling sets which deferred tenants are throttled, and the admitted fractions.
 func (l *LocalLimiter) applyThrottling(now time.Duration, throttled []Throttled) {
 	if now-l.epochStart >= throttleCarryOver {
 		for _, t := range l.tenants {
@@ -247,12 +250,12 @@
 	}
 	for _, throttle := range throttled {
 		if t := l.tenants[throttle.Tenant]; t != nil {
-			t.local.setThrottle(true, throttle.Share)
+			t.local.setThrottle(true, throttle.AdmittedFraction)
 		}
 	}
 }
 
-// applyGrants adds granted tokens, unless they have expired on their way.
+// applyGrants adds granted tokens, unless the tokens have expired in transit.
 func (l *LocalLimiter) applyGrants(now time.Duration, grants []Grant) {
 	expires := l.schedule.requestedAt + TokenTTL
 	if now >= expires {
@@ -264,51 +267,52 @@
 			continue
 		}
 		t.underGranted = grant.Tokens < t.requestedTokens*oneToken
-		t.advance(now, l.floorSeconds)
+		t.advance(now, l.floorFillSeconds)
 		t.grants = append(t.grants, grantedTokens{grant.Tokens, expires})
 	}
 }
 
 func validateResponse(response *Response) error {
 	if response.Members < 0 || response.Members > maxMembers {
-		return errs.New(errs.Invalid, "response of %d members", response.Members)
+		return errs.New(errs.Invalid, "response member count %d must be between 0 and 16384", response.Members)
 	}
 	for _, grant := range response.Grants {
 		if !validAmount(grant.Tokens) {
-			return errs.New(errs.Invalid, "tenant %q: invalid grant of %v tokens", grant.Tenant, grant.Tokens)
+			return errs.New(errs.Invalid, "tenant %q: grant of %v tokens must be between 0 and 1e12",
+				grant.Tenant, grant.Tokens)
 		}
 	}
 	for _, throttle := range response.Throttled {
-		if !(throttle.Share >= 0 && throttle.Share <= 1) {
-			return errs.New(errs.Invalid, "tenant %q: share %v must lie between 0 and 1",
-				throttle.Tenant, throttle.Share)
+		if !(throttle.AdmittedFraction >= 0 && throttle.AdmittedFraction <= 1) {
+			return errs.New(errs.Invalid, "tenant %q: admitted fraction %v must be between 0 and 1",
+				throttle.Tenant, throttle.AdmittedFraction)
 		}
 	}
 	return nil
 }
 
-// fillLocal fills the local bucket of a deferred tenant: by reports while the Allocator knows of them, and
-// as a floor once the lease of the floors is over.
+// fillLocal fills the local bucket of a deferred tenant: at the local rate while the Allocator receives the tenant's
+// reports, and at the rate of the floor after the lease of the floors has expired.
 func (l *LocalLimiter) fillLocal(now time.Duration, t *tenantBucket) {
-	refilledUntil := time.Duration(0)
-	if t.peerDefersToo {
-		refilledUntil = l.refillUntil()
+	fillUntil := time.Duration(0)
+	if t.bothDefer {
+		fillUntil = l.localFillEnd()
 	}
-	t.local.fill(now, refilledUntil, l.lease.deferredUntil, &t.plan)
+	t.local.fill(now, fillUntil, l.lease.deferredLeasedUntil, &t.plan)
 }
 
-// refillUntil is until when the local buckets of deferred tenants fill.
-func (l *LocalLimiter) refillUntil() time.Duration {
+// localFillEnd returns the time at which the local buckets of deferred tenants stop filling at the local rate.
+func (l *LocalLimiter) localFillEnd() time.Duration {
 	if l.schedule.awaitingResponse {
 		return min(l.inContactUntil, l.schedule.unansweredSince+responseTimeout)
 	}
 	return l.inContactUntil
 }
 
-// advance counts the time in which floors fill, up to now.
+// advance adds the time up to now in which floors fill.
 func (l *LocalLimiter) advance(now time.Duration) {
-	if from := max(l.updatedAt, l.lease.until); now > from {
-		l.floorSeconds += (now - from).Seconds()
+	if from := max(l.updatedAt, l.lease.leasedUntil); now > from {
+		l.floorFillSeconds += (now - from).Seconds()
 	}
 	l.updatedAt = max(l.updatedAt, now)
 	if l.planner.outdated(now) {
@@ -316,13 +320,13 @@
 	}
 }
 
-// replan brings the tenants in line with limits and members. Floors are filled first under the plans
-// that held so far.
+// replan updates the plans of all tenants to the limits and the number of members. Floors are first filled under the
+// previous plans.
 func (l *LocalLimiter) replan(now time.Duration) {
 	l.planner.update(now)
 	removeUnlimited(l.tenants, l.planner.limits)
 	for _, t := range l.tenants {
-		t.advance(now, l.floorSeconds)
+		t.advance(now, l.floorFillSeconds)
 		if t.deferred {
 			l.fillLocal(now, t)
 		}
@@ -331,11 +335,11 @@
 	for name, limit := range l.planner.limits {
 		t := l.tenants[name]
 		if t == nil {
-			t = newTenantBucket(now, l.floorSeconds, l.random.Float64())
+			t = newTenantBucket(now, l.floorFillSeconds, l.random.Float64())
 			l.tenants[name] = t
 		}
 		t.setPlan(now, l.planner.plan(limit))
-		t.peerDefersToo = t.deferred && l.planner.peerDefers(limit)
+		t.bothDefer = t.deferred && l.planner.peerDefers(limit)
 		l.schedule.hasPrepaid = l.schedule.hasPrepaid || !t.deferred
 	}
 }
--- a/internal/mesh/quota/moving_average.go
+++ b/internal/mesh/quota/moving_average.go
@@ -5,23 +5,23 @@
 	"time"
 )
 
-// movingAverage is an exponentially weighted average of events a second. Its time constant is passed to
-// each call and is always the same for one average.
+// movingAverage is an exponentially weighted moving average of events per second. The caller passes the time
+// constant with each call, and passes the same time constant in all calls of one average.
 type movingAverage struct {
-	rate float64
-	at   time.Duration
+	rate      float64
+	updatedAt time.Duration
 }
 
-// value is the average at now, which becomes the time that it is counted up to.
+// value returns the average at now.
 func (a *movingAverage) value(now, timeConstant time.Duration) float64 {
-	if now > a.at {
-		a.rate *= math.Exp(-(now - a.at).Seconds() / timeConstant.Seconds())
-		a.at = now
+	if now > a.updatedAt {
+		a.rate *= math.Exp(-(now - a.updatedAt).Seconds() / timeConstant.Seconds())
+		a.updatedAt = now
 	}
 	return a.rate
 }
 
-// add counts so many events at now.
+// add counts a number of events at now.
 func (a *movingAverage) add(now, timeConstant time.Duration, events float64) {
 	a.rate = a.value(now, timeConstant) + events/timeConstant.Seconds()
 }
--- a/internal/mesh/quota/request_schedule.go
+++ b/internal/mesh/quota/request_schedule.go
@@ -3,38 +3,38 @@
 import "time"
 
 const (
-	// minRequestInterval is the shortest time between two requests for tokens. It guards the leader
-	// against a request of its own for each client's request.
+	// minRequestInterval is the shortest time between two requests to the Allocator. It prevents a request to
+	// the leader for each client request.
 	minRequestInterval = 60 * time.Millisecond
-	// scarceRequestInterval is the time between two requests when only tenants run short whose last
-	// demand wasn't granted in full. It guards the leader against many sidecars under pressure, where
-	// asking sooner brings no more.
+	// scarceRequestInterval is the time between two requests if the only tenants short of tokens are tenants
+	// whose last demand was not granted in full. It reduces the load on the leader from many sidecars of an
+	// overloaded tenant, where earlier requests bring no more tokens.
 	scarceRequestInterval = 120 * time.Millisecond
-	// renewInterval is the longest time between two requests. It is about half of limiterFloorLease,
-	// so that one late request doesn't cost a sidecar's share.
+	// renewInterval is the longest time between two requests if a tenant is prepaid. It is about half of
+	// floorLeaseTTL, so a single late request doesn't interrupt the lease of a sidecar's floors.
 	renewInterval = 250 * time.Millisecond
-	// idleInterval is the longest time between two requests where all tenants are deferred and no demand
-	// is throttled. It guards the leader against many sidecars.
+	// idleInterval is the longest time between two requests if all tenants are deferred and none of them is
+	// throttled. It reduces the load on the leader from many sidecars.
 	idleInterval = time.Second
 )
 
-// requestSchedule decides when a LocalLimiter requests tokens, and knows whether a request is in flight.
+// requestSchedule determines when a LocalLimiter sends its requests, and tracks whether a request is in flight.
 type requestSchedule struct {
-	hasPrepaid bool // some tenant is granted tokens: the floors' lease is renewed
+	hasPrepaid bool // at least one tenant is prepaid, so the lease of the floors is renewed
 
-	requestedAt      time.Duration // the last request
+	requestedAt      time.Duration // when the last request was sent
 	hasRequested     bool
 	awaitingResponse bool          // the last request has no response yet
-	unansweredSince  time.Duration // when the first unanswered request was made, if awaitingResponse
+	unansweredSince  time.Duration // when the first unanswered request was sent, if awaitingResponse
 
-	// Since the last request:
-	urgent    bool // a tenant runs short, or has much to report
-	scarce    bool // a tenant runs short whose last demand wasn't granted in full
-	throttled bool // a throttled tenant has something to report
-	leaseDue  bool // the Allocator can take a floor lease, and has none
+	// Conditions since the last request:
+	urgent    bool // a tenant is short of tokens, or has reached its report threshold
+	scarce    bool // a tenant is short of tokens whose last demand was not granted in full
+	throttled bool // a throttled tenant has requests to report
+	leaseDue  bool // the Allocator supports floor leases but has none from this limiter
 }
 
-// request begins a request.
+// request records that a request is sent at now.
 func (s *requestSchedule) request(now time.Duration) {
 	if !s.awaitingResponse {
 		s.unansweredSince = now
@@ -43,7 +43,7 @@
 	s.urgent, s.scarce, s.throttled, s.leaseDue = false, false, false, false
 }
 
-// next is when the next request is due.
+// next returns when the next request is due.
 func (s *requestSchedule) next(now time.Duration) time.Duration {
 	switch {
 	case !s.hasRequested:
--- a/internal/mesh/quota/restarts_test.go
+++ b/internal/mesh/quota/restarts_test.go
@@ -8,32 +8,32 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// restartsOfLargeFleet say which sidecars start anew at a time of the scenario.
-var restartsOfLargeFleet = []struct {
+// largeFleetRestarts define which sidecars restart at a time of the scenario.
+var largeFleetRestarts = []struct {
 	name     string
 	restarts func(s *simulation, at time.Duration, sidecar int) bool
 }{
-	{"all, three times within four seconds", func(_ *simulation, at time.Duration, _ int) bool {
+	{"all sidecars, three times within four seconds", func(_ *simulation, at time.Duration, _ int) bool {
 		return at == 12*second || at == 14*second || at == 16*second
 	}},
-	{"one each 100 ms", func(s *simulation, at time.Duration, sidecar int) bool {
+	{"one sidecar every 100 ms", func(s *simulation, at time.Duration, sidecar int) bool {
 		return at > 6*second && at%(100*ms) == 0 && int(at/(100*ms))%len(s.limiters) == sidecar
 	}},
-	{"a third each second", func(s *simulation, at time.Duration, _ int) bool {
+	{"a third of the sidecars every second", func(s *simulation, at time.Duration, _ int) bool {
 		return at > 6*second && at%second == 0 && s.rng.IntN(3) == 0
 	}},
 }
 
 func TestLargeFleetKeepsLimitsThroughRestarts(t *testing.T) {
-	for _, c := range restartsOfLargeFleet {
-		Convey("A surging tenant of 82 sidecars keeps its limit while sidecars restart: "+c.name, t, func() {
+	for _, c := range largeFleetRestarts {
+		Convey("A surging tenant keeps its limit while some of 82 sidecars restart: "+c.name, t, func() {
 			for _, rank := range []int{0, 20, 60} {
 				s, surging := newLargeFleet(uint64(rank+1)), tenantOfRank(rank)
 				limit := s.limits[surging]
 				s.limits = map[string]Limit{surging: limit}
 				s.configure(0)
 				s.demandFactor = surgeFrom(5*second, surging)
-				s.eachMillisecond = func(now time.Duration) {
+				s.onTick = func(now time.Duration) {
 					for i := range s.limiters {
 						if c.restarts(s, now-trafficStart, i) {
 							s.restart(now, i)
--- a/internal/mesh/quota/retry_budget_test.go
+++ b/internal/mesh/quota/retry_budget_test.go
@@ -11,7 +11,7 @@
 )
 
 func TestRetryBudget(t *testing.T) {
-	Convey("Retries stay in every sliding window's budget, and those without permission are worked off", t, func() {
+	Convey("Retries stay within the budget of any window, and retries without permission count as well", t, func() {
 		rng := rand.New(rand.NewPCG(7, 7))
 		var requests, retries []time.Duration
 		budgets := make([]*RetryBudget, 12)
@@ -25,7 +25,7 @@
 				budget.RecordRequest(now, "s")
 				requests = append(requests, now)
 			}
-			if rng.IntN(100) == 0 { // without permission
+			if rng.IntN(100) == 0 { // without asking Allowed
 				budget.Charge(now, "s")
 				retries = append(retries, now)
 			}
--- a/internal/mesh/quota/simulation_test.go
+++ b/internal/mesh/quota/simulation_test.go
@@ -16,40 +16,39 @@
 	second = time.Second
 	// usualDemand is the demand of a tenant that stays below its limit, as a fraction of its rate.
 	usualDemand = 1 / 1.6
-	// trafficStart is when clients come: the fleet has started before, and its floors are full. The times
-	// of scenarios count from here.
+	// trafficStart is when client requests start. The fleet has started earlier, so its floors are full. The times
+	// of scenarios are relative to trafficStart.
 	trafficStart = 8 * second
-	// warmedUp is when the averages of the clients' demand have come up.
+	// warmedUp is when the averages of the demand have reached their usual values.
 	warmedUp = trafficStart + 3*second
 	// requestTimeout is how long a sidecar waits for a response.
 	requestTimeout = 400 * ms
-	// countDelay is how long after its start a sidecar hears how many there are.
-	countDelay = 100 * ms
-	// surgeFactor is how many times its usual demand a tenant has in a surge.
+	// memberCountDelay is how long after its start a sidecar learns the number of sidecars.
+	memberCountDelay = 100 * ms
+	// surgeFactor is the demand of a tenant in a surge, as a multiple of its usual demand.
 	surgeFactor = 8
-	// loneTenant is the tenant whose requests all arrive at the first sidecar.
-	loneTenant = "lone"
+	// singleSidecarTenant is the tenant whose requests all arrive at the first sidecar.
+	singleSidecarTenant = "lone"
 )
 
 var rules = Rules{Window: 5 * second, Overage: 0.1, Slack: 20}
 
-// simulation is a fleet of sidecars simulated millisecond by millisecond; the hooks say what happens to
-// it.
+// simulation simulates a fleet of sidecars in steps of 1 ms. Hooks inject faults and change the demand.
 type simulation struct {
 	rng           *rand.Rand
 	limits        map[string]Limit
 	allocators    map[Epoch]*Allocator // by epoch
 	limiters      []*LocalLimiter      // by sidecar
-	inFlightUntil []time.Duration      // until when a request of each sidecar is in flight
+	inFlightUntil []time.Duration      // by sidecar, when its request in flight times out
 	deliveries    map[time.Duration][]func(now time.Duration)
-	extraLatency  time.Duration
+	extraLatency  time.Duration // of each message
 
 	// Hooks.
-	reachableEpoch  func(now time.Duration, sidecar int) Epoch // whose allocator it reaches, 0 for none
-	demandFactor    func(now time.Duration, tenant string) float64
-	eachMillisecond func(now time.Duration)
+	reachableEpoch func(now time.Duration, sidecar int) Epoch // epoch of the allocator that the sidecar reaches, or 0
+	demandFactor   func(now time.Duration, tenant string) float64
+	onTick         func(now time.Duration)
 
-	// Results by tenant; all but admitted count from warmedUp on.
+	// Results by tenant; all results except admitted count only requests from warmedUp on.
 	admitted       map[string][]time.Duration
 	arrivals       map[string]int
 	rejections     map[string]int
@@ -58,24 +57,24 @@
 
 func newSimulation(seed uint64, sidecars int) *simulation {
 	s := &simulation{
-		rng:             rand.New(rand.NewPCG(seed, 1)),
-		limits:          smallFleetLimits,
-		allocators:      map[Epoch]*Allocator{},
-		deliveries:      map[time.Duration][]func(time.Duration){},
-		reachableEpoch:  func(time.Duration, int) Epoch { return 1 },
-		demandFactor:    func(time.Duration, string) float64 { return 1 },
-		eachMillisecond: func(time.Duration) {},
-		admitted:        map[string][]time.Duration{},
-		arrivals:        map[string]int{},
-		rejections:      map[string]int{},
+		rng:            rand.New(rand.NewPCG(seed, 1)),
+		limits:         smallFleetLimits,
+		allocators:     map[Epoch]*Allocator{},
+		deliveries:     map[time.Duration][]func(time.Duration){},
+		reachableEpoch: func(time.Duration, int) Epoch { return 1 },
+		demandFactor:   func(time.Duration, string) float64 { return 1 },
+		onTick:         func(time.Duration) {},
+		admitted:       map[string][]time.Duration{},
+		arrivals:       map[string]int{},
+		rejections:     map[string]int{},
 	}
 	s.resize(0, sidecars)
 	s.configure(0)
 	return s
 }
 
-// resize has sidecars join or leave; those that stay, and the allocators, learn of it half a second
-// later.
+// resize sets the number of sidecars; the last sidecars leave or new ones join. All other processes learn the new
+// number 500 ms later.
 func (s *simulation) resize(now time.Duration, sidecars int) {
 	for len(s.limiters) < sidecars {
 		s.limiters, s.inFlightUntil = append(s.limiters, nil), append(s.inFlightUntil, 0)
@@ -99,7 +98,7 @@
 	So(err, ShouldBeNil)
 	limiter.random = s.rng
 	So(limiter.Configure(now, s.limits, UnknownMembers), ShouldBeNil)
-	s.deliver(now+countDelay, func(now time.Duration) {
+	s.deliver(now+memberCountDelay, func(now time.Duration) {
 		So(limiter.Configure(now, s.limits, len(s.limiters)), ShouldBeNil)
 	})
 	s.limiters[sidecar] = limiter
@@ -113,7 +112,7 @@
 	return time.Duration(2+s.rng.IntN(30))*ms + s.extraLatency
 }
 
-// allocator is the one of the epoch, which begins with its first request.
+// allocator returns the allocator of the epoch, and creates it for the first request.
 func (s *simulation) allocator(now time.Duration, epoch Epoch) *Allocator {
 	allocator := s.allocators[epoch]
 	if allocator == nil {
@@ -126,8 +125,8 @@
 	return allocator
 }
 
-// requestTokens has a sidecar send a request, whose response is lost where the sidecar restarted, left,
-// gave up or went to another allocator meanwhile.
+// requestTokens sends a sidecar's request. The response is lost if the sidecar has meanwhile restarted, left or timed
+// out, or reaches another allocator.
 func (s *simulation) requestTokens(now time.Duration, sidecar int) {
 	limiter, node, epoch := s.limiters[sidecar], fmt.Sprint("sidecar-", sidecar), s.reachableEpoch(now, sidecar)
 	request := limiter.Request(now)
@@ -153,7 +152,7 @@
 	})
 }
 
-// run simulates from one time of the scenario to another.
+// run simulates a period of the scenario. The first run includes the time before trafficStart.
 func (s *simulation) run(from, to time.Duration) {
 	if from > 0 {
 		from += trafficStart
@@ -161,7 +160,7 @@
 	tenants := slices.Sorted(maps.Keys(s.limits))
 	for now := from; now < trafficStart+to; now += ms {
 		if now >= trafficStart {
-			s.eachMillisecond(now)
+			s.onTick(now)
 		}
 		for _, event := range s.deliveries[now] {
 			event(now)
@@ -172,7 +171,7 @@
 				break
 			}
 			for range s.poisson(s.limits[tenant].Rate * usualDemand * s.demandFactor(now, tenant) / 1000) {
-				s.arrive(now, tenant)
+				s.handleArrival(now, tenant)
 			}
 		}
 		for sidecar, limiter := range s.limiters {
@@ -183,8 +182,8 @@
 	}
 }
 
-// poisson yields as often as a Poisson distribution of this mean says. It draws as it goes, so that
-// what happens in between draws from the same numbers.
+// poisson yields as many times as a random number of a Poisson distribution. It draws random numbers between the
+// iterations, so the random numbers drawn by the loop body are part of the same reproducible sequence.
 func (s *simulation) poisson(mean float64) func(yield func() bool) {
 	return func(yield func() bool) {
 		for remaining := math.Exp(-mean); ; {
@@ -200,10 +199,10 @@
 	}
 }
 
-// arrive has a request of the tenant arrive at a sidecar.
-func (s *simulation) arrive(now time.Duration, tenant string) {
+// handleArrival simulates a client request of the tenant at a random sidecar.
+func (s *simulation) handleArrival(now time.Duration, tenant string) {
 	sidecar := s.rng.IntN(len(s.limiters))
-	if tenant == loneTenant {
+	if tenant == singleSidecarTenant {
 		sidecar = 0
 	}
 	allowed := s.limiters[sidecar].Allow(now, tenant)
@@ -218,8 +217,8 @@
 	}
 }
 
-// excess is how far the fullest window is above what the rule allows of the tenant; the rule is broken
-// above 0.
+// excess returns the largest number of the tenant's requests in any window, minus the allowed number. A positive result
+// exceeds the limit.
 func (s *simulation) excess(tenant string, limit Limit) float64 {
 	largest, first, admitted := 0, 0, s.admitted[tenant]
 	for last := range admitted {
@@ -231,7 +230,7 @@
 	return float64(largest) - (limit.Rate*5+limit.Burst)*1.1 - 20
 }
 
-// surgeFrom is the demand factor of a surge of the tenant, or of all where it is "".
+// surgeFrom returns the demand factor of a surge of one tenant, or of all tenants if tenant is "".
 func surgeFrom(start time.Duration, tenant string) func(time.Duration, string) float64 {
 	return func(now time.Duration, name string) float64 {
 		if now >= trafficStart+start && (name == tenant || tenant == "") {
@@ -241,7 +240,7 @@
 	}
 }
 
-// replaceAllocator has the first allocator gone after ten seconds, and another begin two seconds later.
+// replaceAllocator makes the first allocator unreachable after 10 s, and another one reachable 2 s later.
 func replaceAllocator(s *simulation) {
 	s.reachableEpoch = func(now time.Duration, _ int) Epoch {
 		switch {
@@ -254,7 +253,7 @@
 	}
 }
 
-// disconnect has the chosen sidecars out of contact for a while.
+// disconnect returns a scenario in which the chosen sidecars are out of contact for a period.
 func disconnect(from, to time.Duration, chosen func(sidecar int) bool) func(*simulation) {
 	return func(s *simulation) {
 		s.reachableEpoch = func(now time.Duration, sidecar int) Epoch {
--- a/internal/mesh/quota/tenant_account.go
+++ b/internal/mesh/quota/tenant_account.go
@@ -3,38 +3,39 @@
 import "time"
 
 const (
-	// demandAverage is the time constant of the demand that admitted fractions are worked out from. It
-	// guards against a fraction that follows single reports.
-	demandAverage = time.Second
-	// surplusTime is the time in which a deferred bucket's level is spent, and deficitTime that in which
-	// its deficit is made good. They guard against a window over the limit after a tenant's demand rose,
-	// while its demand is still underestimated.
-	surplusTime, deficitTime = time.Second, 200 * time.Millisecond
+	// demandTimeConstant is the time constant of the average demand from which admitted fractions are
+	// calculated. It prevents the fraction from following single reports.
+	demandTimeConstant = time.Second
+	// surplusDrainTime is the time in which the positive level of a deferred tenant's bucket is spent, and
+	// deficitRecoveryTime the time in which a negative level returns to zero. They keep windows within the
+	// limit after the tenant's demand has risen, while the average demand is still too low.
+	surplusDrainTime, deficitRecoveryTime = time.Second, 200 * time.Millisecond
 )
 
-// tenantAccount is one tenant's bucket at the Allocator. What is reserved for nodes is part of it.
+// tenantAccount is one tenant's bucket at the Allocator. The level of the bucket is the balance plus the tokens
+// that are reserved for nodes.
 type tenantAccount struct {
 	plan
-	balance  float64           // tokens that nobody has reserved; below zero in a deficit
-	filledTo float64           // the flow up to which balance is filled
-	claims   map[string]*claim // by node, of a prepaid tenant
-	demand   movingAverage     // of a deferred tenant, as reported
+	balance  float64           // tokens that aren't reserved; negative after more requests were charged than tokens filled
+	filledTo float64           // the fill seconds up to which balance is filled
+	claims   map[string]*claim // by node, for a prepaid tenant
+	demand   movingAverage     // for a deferred tenant, the reported requests per second
 }
 
-// reset empties the bucket, which is filled up to the flow.
-func (t *tenantAccount) reset(flow float64) {
-	t.balance, t.filledTo, t.demand = 0, flow, movingAverage{}
+// reset empties the bucket, and sets the fill seconds from which it fills again.
+func (t *tenantAccount) reset(fillSeconds float64) {
+	t.balance, t.filledTo, t.demand = 0, fillSeconds, movingAverage{}
 	clear(t.claims)
 }
 
-// fill adds what has flowed since the last time, up to the depth.
-func (t *tenantAccount) fill(flow float64) {
-	t.balance += t.rate * (flow - t.filledTo)
-	t.filledTo = flow
+// fill adds the tokens of the fill seconds since the last call, up to the depth.
+func (t *tenantAccount) fill(fillSeconds float64) {
+	t.balance += t.rate * (fillSeconds - t.filledTo)
+	t.filledTo = fillSeconds
 	t.clamp()
 }
 
-// clamp keeps the bucket, with what is reserved in it, within its depth.
+// clamp limits the level of the bucket, including reserved tokens, to the depth.
 func (t *tenantAccount) clamp() {
 	total := t.balance
 	for _, c := range t.claims {
@@ -45,7 +46,7 @@
 	}
 	t.balance -= total - t.depth
 	if t.balance < 0 {
-		// What was reserved under a higher limit is void.
+		// Tokens that were reserved under a higher limit are void.
 		for _, c := range t.claims {
 			c.reserved = 0
 		}
@@ -53,14 +54,15 @@
 	}
 }
 
-// admittedFraction is the fraction of a deferred tenant's demand that may run: what flows, with the
-// bucket's level spent within surplusTime or its deficit made good within deficitTime.
+// admittedFraction returns the fraction of a deferred tenant's demand that may run: the fill rate plus the rate at
+// which a positive level is spent within surplusDrainTime, or minus the rate at which a negative level recovers
+// within deficitRecoveryTime, divided by the demand.
 func (t *tenantAccount) admittedFraction(now time.Duration) float64 {
-	within := surplusTime
+	within := surplusDrainTime
 	if t.balance < 0 {
-		within = deficitTime
+		within = deficitRecoveryTime
 	}
-	demand := t.demand.value(now, demandAverage)
+	demand := t.demand.value(now, demandTimeConstant)
 	admissible := t.rate + t.balance/within.Seconds()
 	switch {
 	case admissible >= demand:
--- a/internal/mesh/quota/usage.go
+++ b/internal/mesh/quota/usage.go
@@ -5,22 +5,21 @@
 	"strings"
 )
 
-// Usage is what a LocalLimiter did with one tenant's requests, by the source of the tokens, since it was
-// last taken.
+// Usage counts one tenant's requests at a LocalLimiter since the last call of TakeUsage.
 type Usage struct {
 	Tenant     string  `json:"tenant"`
-	FromGrants int     `json:"granted"`  // admitted on tokens that the Allocator granted
+	FromGrants int     `json:"granted"`  // admitted on tokens granted by the Allocator
 	FromFloor  int     `json:"floor"`    // admitted on tokens of the local floor
-	Deferred   int     `json:"deferred"` // admitted first and reported afterwards
+	Deferred   int     `json:"deferred"` // admitted first and charged afterwards
 	Rejected   int     `json:"rejected"`
-	Rate       float64 `json:"rate"`    // of the limit in force, in requests a second
-	Members    int     `json:"members"` // that the limit is divided by
+	Rate       float64 `json:"rate"`    // of the tenant's limit, in requests per second
+	Members    int     `json:"members"` // the number of members that share the limit
 }
 
-// Admitted is the number of requests admitted, whatever their tokens' source.
+// Admitted returns the number of admitted requests, whatever the source of their tokens.
 func (u Usage) Admitted() int { return u.FromGrants + u.FromFloor + u.Deferred }
 
-// TakeUsage returns the usage of the tenants that sent requests since it was last called, by name.
+// TakeUsage returns the usage of all tenants with requests since the last call, sorted by tenant, and resets it.
 func (l *LocalLimiter) TakeUsage() []Usage {
 	var all []Usage
 	for name, t := range l.tenants {
--- a/internal/mesh/quota/usage_test.go
+++ b/internal/mesh/quota/usage_test.go
@@ -6,8 +6,8 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-func TestUsageNamesTheSourceOfTokens(t *testing.T) {
-	Convey("Usage counts granted, floor and rejected requests once, and names rate and members", t, func() {
+func TestUsageCountsAdmissionsByTokenSource(t *testing.T) {
+	Convey("Usage counts granted, floor and rejected requests once, and has the rate and the members", t, func() {
 		l, err := NewLocalLimiter(0, rules)
 		So(err, ShouldBeNil)
 		So(l.Configure(0, map[string]Limit{"a": {172, 172}, "idle": {8, 8}}, 12), ShouldBeNil)
