--- a/internal/mesh/quota/adversary_test.go
+++ b/internal/mesh/quota/adversary_test.go
@@ -384,6 +384,6 @@
 func TestDeferredLimitsHoldInEveryHistory(t *testing.T) { runHistories(t, maxPrepaidMembers+8) }
 
 // With 82 sidecars, as in large deployments, all limits are deferred, because a low limit leaves no token for each
-// sidecar. This test fails (KNOWN-RED.txt): a limit of 8 requests/s without burst allows 64 requests in a window, but 82
-// sidecars admit 246 requests when clients reach all of them at once, before any sidecar has reported a request.
+// sidecar. This test fails (KNOWN-RED.txt): a limit of 8 requests/s without burst allows 64 requests in a window, but
+// 82 sidecars admit 246 requests when clients reach all of them at once, before any sidecar has reported a request.
 func TestLargeFleetLimitsHoldInEveryHistory(t *testing.T) { runHistories(t, 82) }
--- a/internal/mesh/quota/allocator.go
+++ b/internal/mesh/quota/allocator.go
@@ -111,6 +111,8 @@
 	}, nil
 }
 
+// validateRequest returns errs.TooLarge for too many demands, and errs.Invalid if the node name or a number of the
+// request is out of its range.
 func validateRequest(node string, request *Request) error {
 	if node == "" || len(node) > maxNodeNameBytes {
 		return errs.New(errs.Invalid, "node name must have 1 to %d bytes, got %d", maxNodeNameBytes, len(node))
--- a/internal/mesh/quota/limiter.go
+++ b/internal/mesh/quota/limiter.go
@@ -272,6 +272,7 @@
 	}
 }
 
+// validateResponse returns errs.Invalid if a number of the response is out of its range.
 func validateResponse(response *Response) error {
 	if response.Members < 0 || response.Members > maxMembers {
 		return errs.New(errs.Invalid, "response member count %d must be between 0 and 16384", response.Members)
--- a/internal/mesh/quota/planner.go
+++ b/internal/mesh/quota/planner.go
@@ -82,6 +82,7 @@
 	return enforced
 }
 
+// validateLimits returns errs.Invalid if a rate or a burst is not between 0 and maxAmount.
 func validateLimits(limits map[string]Limit) error {
 	for name, limit := range limits {
 		if !validAmount(limit.Rate) || !validAmount(limit.Burst) {
--- a/internal/mesh/quota/quota.go
+++ b/internal/mesh/quota/quota.go
@@ -1,6 +1,7 @@
 // Package quota enforces the rate limits of tenants and the retry budgets of services across all sidecars
 // of a deployment. The number of requests of a tenant in any sliding window stays within the tenant's limit,
-// whichever sidecars receive the requests and whichever sidecars can reach the leader.
+// whichever sidecars receive the requests and whichever sidecars can reach the leader. Cases for which this is
+// not proven or doesn't hold are stated below.
 //
 // The package has three state machines: the Allocator of the leader, and the LocalLimiter and RetryBudget of
 // each sidecar. The state machines have no clock, I/O, goroutines or locks: the caller passes the monotonic
@@ -9,7 +10,7 @@
 // The members are the sidecars that share the limits. A tenant is prepaid or deferred. The requests of a
 // prepaid tenant run on tokens that a member holds beforehand. The requests of a deferred tenant are admitted
 // first and charged afterwards. A tenant is prepaid if the limit leaves at least one token for each member:
-// with up to maxPrepaidMembers members at a rate that is lowered by about maxRateReduction, with up to
+// with up to maxPrepaidMembers members at a rate that is lowered by at most about maxRateReduction, with up to
 // maxSingleTokenMembers members at a rate that is lowered by at most maxSingleTokenRateReduction. All other
 // tenants are deferred.
 //
@@ -25,14 +26,14 @@
 //     floorRateFraction*T*R/m. Granted tokens that expire in a limiter's bucket move to the floor, up to the
 //     depth of the floor; granted tokens that expire in transit are lost.
 //
-// A limiter in contact with the leader lends the fill of its floor to the Allocator: it sends a FloorLease with
-// each request, and its floor doesn't fill for floorLeaseTTL after the request was sent, whether or not a
+// A limiter in contact with the leader lends the fill of its floor to the Allocator: it sends a FloorLease
+// with each request, and its floor doesn't fill for floorLeaseTTL after the request was sent, whether or not a
 // response arrives. The Allocator's bucket fills at (1-floorRateFraction)*T*R and, for every valid lease, at
-// the share named by the lease. The Allocator counts a lease until at most floorLeaseTTL after the earliest
-// time at which the request can have been sent. The Allocator derives this time from its own clock, which the
-// limiter repeats in the request. So each share fills one bucket at a time, even if messages are late or lost,
-// and both sources together fill at T*R if the shares add up to 1. The number of requests in a window is then
-// at most
+// the share of floorRateFraction*T*R that the lease names. The Allocator counts a lease until at most
+// floorLeaseTTL after the earliest time at which the request can have been sent. The Allocator derives this
+// time from its own clock, which the limiter repeats in the request. So each share fills one bucket at a time,
+// even if messages are late or lost, and both sources together fill at T*R if the shares add up to 1. The
+// number of requests in a window is then at most
 //
 //	T*R*(W+TokenTTL) + b + F.
 //
