--- a/internal/proxy/admission/admission.go
+++ b/internal/proxy/admission/admission.go
@@ -1,5 +1,3 @@
-// Package admission decides which requests may try for a slot, where a fleet has too little capacity. It does no I/O:
-// time and the ends of attempts are passed in.
 package admission
 
 import (
@@ -8,31 +6,32 @@
 	"time"
 )
 
-// Gate is one method of admission control. It is used by one balancer, from one goroutine.
+// Gate is an admission-control algorithm. Each Gate belongs to one balancer and is used from one goroutine.
 type Gate interface {
-	// Admit says whether a request may try for a slot. value is its class's, relative to the mean of all, above 0.
+	// Admit reports whether a request may be sent or queued. value is the value of the request's class relative to
+	// the mean value of all classes; it is above 0.
 	Admit(now time.Duration, value float64) bool
-	// AttemptStarted counts an attempt that is sent.
+	// AttemptStarted records that an attempt was sent.
 	AttemptStarted(now time.Duration)
-	// AttemptEnded counts the end of an attempt, once for each that started.
+	// AttemptEnded records the end of an attempt. It is called once for each attempt that started.
 	AttemptEnded(now time.Duration, e AttemptEnd)
 }
 
-// AttemptEnd is the end of an attempt.
+// AttemptEnd describes the end of an attempt.
 type AttemptEnd struct {
-	Score         float64       // 1: answered in time, falling to 0 near the latency target; 0: not answered in time
-	Ignored       bool          // it says nothing of capacity: cancelled, not sent, or its request was finished
-	Duration      time.Duration // since it was sent
-	LatencyTarget time.Duration // of its class
+	Score         float64       // 1: answered well in time, falling to 0 near the latency target; 0: not answered in time
+	Ignored       bool          // the end says nothing about capacity: cancelled, not sent, or the request was finished
+	Duration      time.Duration // time since the attempt was sent
+	LatencyTarget time.Duration // latency target of the request's class
 }
 
 const (
-	freeRequests = 1.5             // admitted beyond the measured share, or one failure would shut a light balancer
-	fadeTime     = 2 * time.Second // counts fade over it: about as long as queues take to build up
-	minValue     = 1.0 / 8         // the least value of a class, relative to the mean, or it would never be admitted
+	priorRequests    = 1.5             // admitted in addition to the measured share, or one failure would stop low traffic
+	decayTime        = 2 * time.Second // time constant of decaying counts: about the time that queues take to build up
+	minRelativeValue = 1.0 / 8         // lower bound of a class's relative value, or some classes would never be admitted
 )
 
-// Draw admits by chance, where share of all requests may pass, those of high value rather. It draws only if share < 1.
-func Draw(rng *rand.Rand, share, value float64) bool {
-	return share >= 1 || rng.Float64() < math.Pow(max(0, share), 1/max(value, minValue))
+// AdmitAtRandom admits a request with probability share^(1/value). It uses rng only if share is below 1.
+func AdmitAtRandom(rng *rand.Rand, share, value float64) bool {
+	return share >= 1 || rng.Float64() < math.Pow(max(0, share), 1/max(value, minRelativeValue))
 }
--- a/internal/proxy/admission/admission_test.go
+++ b/internal/proxy/admission/admission_test.go
@@ -10,9 +10,9 @@
 
 const ms = time.Millisecond
 
-// play has a gate admit a request every 10 ms; the attempt of an admitted one ends 50 ms later with score(now). It
-// returns the admitted share.
-func play(g Gate, from, until time.Duration, score func(now time.Duration) float64) float64 {
+// simulate passes a request to a gate every 10 ms. The attempt of an admitted request ends 50 ms later, with the score
+// that score returns for that time. simulate returns the fraction of the requests that the gate admitted.
+func simulate(g Gate, from, until time.Duration, score func(now time.Duration) float64) float64 {
 	requests, admitted := 0, 0
 	var ends []time.Duration
 	for now := from; now < until; now += 10 * ms {
@@ -30,11 +30,12 @@
 	return float64(admitted) / float64(requests)
 }
 
-// Guards against 10 s of rejections after a shortage of 3 s: Ratio counts its own rejections as failures.
-func TestRecoveringRejectsNobodyAfterAShortage(t *testing.T) {
-	back := 3 * time.Second
-	good := func(now time.Duration) float64 {
-		if now < back {
+// Guards against rejections that go on for 10 s after a shortage of 3 s, as with Ratio, which counts its own rejections
+// as failures. Recovering must admit nearly all requests in the third second after the shortage.
+func TestRecoveringAdmitsRequestsAfterAShortage(t *testing.T) {
+	shortageEnd := 3 * time.Second
+	score := func(now time.Duration) float64 {
+		if now < shortageEnd {
 			return 0
 		}
 		return 1
@@ -43,18 +44,19 @@
 		"recovering": NewRecovering(rand.New(rand.NewPCG(1, 2)), NewHealth()),
 		"ratio":      NewRatio(rand.New(rand.NewPCG(1, 2))),
 	} {
-		if during := play(g, 0, back, good); during > 0.5 {
-			t.Errorf("%s: admits %.2f where nothing is answered", name, during)
+		if during := simulate(g, 0, shortageEnd, score); during > 0.5 {
+			t.Errorf("%s: admits a share of %.2f while no request is answered in time, want at most 0.5", name, during)
 		}
-		play(g, back+100*ms, back+2000*ms, good)
-		soon := play(g, back+2000*ms, back+3000*ms, good)
-		if recovered := soon > 0.9; recovered != (name == "recovering") {
-			t.Errorf("%s: admits %.2f in the third second after the shortage", name, soon)
+		simulate(g, shortageEnd+100*ms, shortageEnd+2000*ms, score)
+		later := simulate(g, shortageEnd+2000*ms, shortageEnd+3000*ms, score)
+		if recovered := later > 0.9; recovered != (name == "recovering") {
+			t.Errorf("%s: admits a share of %.2f in the third second after the shortage, want above 0.9 if recovering",
+				name, later)
 		}
 	}
 }
 
-// After any sequence of events the share stays within its bounds, and good answers bring it back to 1.
+// After any sequence of events the share is within its bounds, and 4 s of answers in time return it to 1.
 func TestRecoveringRecoversFromAnyHistory(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := NewRecovering(rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0)), NewHealth())
@@ -68,18 +70,18 @@
 				g.AttemptEnded(now, AttemptEnd{Score: score, Ignored: ignored})
 			}
 			if !(g.share >= minShare && g.share <= 1) {
-				t.Fatalf("share %v", g.share)
+				t.Fatalf("share %v, want minShare to 1", g.share)
 			}
 		}
-		well := func(time.Duration) float64 { return 1 }
-		play(g, now, now+4*time.Second, well)
-		if share := play(g, now+4*time.Second, now+5*time.Second, well); share < 1 {
-			t.Fatalf("admits %v after 4 s of good answers", share)
+		alwaysInTime := func(time.Duration) float64 { return 1 }
+		simulate(g, now, now+4*time.Second, alwaysInTime)
+		if share := simulate(g, now+4*time.Second, now+5*time.Second, alwaysInTime); share < 1 {
+			t.Fatalf("admits a share of %v after 4 s of answers in time, want 1", share)
 		}
 	})
 }
 
-// A budget is kept within any span; what is older than the span no longer counts.
+// The number of retries within any Span stays within the limit; events older than the Span do not count.
 func TestRetryBudgetHoldsWithinAnySpan(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := RetryBudget{RetryLimit: RetryLimit{
@@ -89,8 +91,8 @@
 		}}
 		var requests, retries []time.Duration
 		now := time.Hour
-		since := func(list []time.Duration, from time.Duration) (n int) {
-			for _, at := range list {
+		countSince := func(times []time.Duration, from time.Duration) (n int) {
+			for _, at := range times {
 				if at >= from {
 					n++
 				}
@@ -105,9 +107,9 @@
 			} else if !b.Exhausted(now) {
 				b.RecordRetry(now)
 				retries = append(retries, now)
-				n, allowed := since(retries, now-b.Span), b.Free+b.Share*float64(since(requests, now-b.Span+1))
+				n, allowed := countSince(retries, now-b.Span), b.Free+b.Share*float64(countSince(requests, now-b.Span+1))
 				if float64(n) > allowed {
-					t.Fatalf("%d retries, %v allowed", n, allowed)
+					t.Fatalf("%d retries, want at most %v", n, allowed)
 				}
 			}
 		}
--- a/internal/proxy/admission/budget.go
+++ b/internal/proxy/admission/budget.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// ProcessCount is how many processes a budget is divided among, at least one; a nil function means one.
+// ProcessCount returns the number of processes that share a budget, at least 1. A nil count stands for one process.
 func ProcessCount(count func() int) float64 {
 	if count == nil {
 		return 1
@@ -10,21 +10,21 @@
 	return float64(max(1, count()))
 }
 
-// RetryBudget counts the requests and retries that a RetryLimit allows. It is used from one goroutine.
+// RetryBudget enforces a RetryLimit over a sliding window of its Span. It is used from one goroutine.
 type RetryBudget struct {
 	RetryLimit
-	Processes         func() int // processes that Free is divided among; nil: one
-	requests, retries window
+	Processes         func() int // returns the number of processes that Free is divided among; nil: one process
+	requests, retries eventTimes
 }
 
-// RecordRequest counts a request.
+// RecordRequest records a request.
 func (b *RetryBudget) RecordRequest(now time.Duration) {
 	b.requests.since(now - b.Span)
 	b.retries.since(now - b.Span)
 	b.requests = append(b.requests, now)
 }
 
-// Exhausted says whether no retry is left. A request exactly one span ago no longer counts, a retry of then still does.
+// Exhausted reports whether the limit allows no retry. Exactly one Span ago, a request is outside, a retry inside.
 func (b *RetryBudget) Exhausted(now time.Duration) bool {
 	if b.Span == 0 {
 		return false
@@ -33,18 +33,18 @@
 	return float64(b.retries.since(from)+1) > b.Free/ProcessCount(b.Processes)+b.Share*float64(b.requests.since(from+1))
 }
 
-// RecordRetry counts an attempt after a request's first.
+// RecordRetry records an attempt after a request's first.
 func (b *RetryBudget) RecordRetry(now time.Duration) { b.retries = append(b.retries, now) }
 
-// window holds the times of recent events, in order.
-type window []time.Duration
+// eventTimes holds the times of recent events, oldest first.
+type eventTimes []time.Duration
 
-// since drops the events before t and counts the others.
-func (w *window) since(t time.Duration) int {
+// since removes the events before t and returns the number of events left.
+func (e *eventTimes) since(t time.Duration) int {
 	n := 0
-	for n < len(*w) && (*w)[n] < t {
+	for n < len(*e) && (*e)[n] < t {
 		n++
 	}
-	*w = (*w)[n:]
-	return len(*w)
+	*e = (*e)[n:]
+	return len(*e)
 }
--- a/internal/proxy/admission/limit.go
+++ b/internal/proxy/admission/limit.go
@@ -6,22 +6,23 @@
 	"time"
 )
 
-// RetryLimit bounds the attempts after each request's first: within any Span there are at most Free of them, plus
-// Share for each request of that Span.
+// RetryLimit bounds the retries, which are the attempts after the first attempt of each request. Within any period of
+// length Span, at most Free retries are allowed, plus Share retries for each request of that period.
 type RetryLimit struct {
-	Span  time.Duration // 0: no limit
+	Span  time.Duration // 0: retries are not limited
 	Free  float64
 	Share float64
 }
 
-// Check returns an error that says why the limit is unusable.
+// Check returns an error if the limit is unusable.
 func (l RetryLimit) Check() error {
-	bad := func(f float64) bool { return math.IsNaN(f) || math.IsInf(f, 0) || f < 0 }
+	invalid := func(f float64) bool { return math.IsNaN(f) || math.IsInf(f, 0) || f < 0 }
 	switch {
-	case l.Span < 0 || bad(l.Free) || bad(l.Share):
-		return fmt.Errorf("negative or no number: Span %v, Free %v or Share %v", l.Span, l.Free, l.Share)
+	case l.Span < 0 || invalid(l.Free) || invalid(l.Share):
+		return fmt.Errorf("retry limit: Span %v, Free %v or Share %v is negative, infinite or not a number",
+			l.Span, l.Free, l.Share)
 	case l.Span == 0 && l != (RetryLimit{}):
-		return fmt.Errorf("without a Span, Free %v and Share %v mean nothing", l.Free, l.Share)
+		return fmt.Errorf("retry limit: Free is %v and Share is %v, want 0 for both since Span is 0", l.Free, l.Share)
 	}
 	return nil
 }
--- a/internal/proxy/admission/weighed/weighed.go
+++ b/internal/proxy/admission/weighed/weighed.go
@@ -1,5 +1,5 @@
-// Package weighed holds the methods of admission control that were compared with admission.Recovering and not chosen,
-// for measurements. docs/design/strain.md has the figures.
+// Package weighed holds admission-control algorithms that admission.Recovering is compared with in measurements.
+// Balancers do not use them. docs/design/strain.md has the figures of the comparison.
 package weighed
 
 import (
@@ -10,8 +10,8 @@
 	"caperarch/internal/proxy/admission"
 )
 
-// SRE is client-side throttling as in Google's SRE book, chapter 21, "Handling Overload": it rejects with probability
-// (requests - K x accepts) / (requests + 1), both counted over a window that fades.
+// SRE is the client-side throttling of Google's SRE book, chapter 21, "Handling Overload". It rejects a request with
+// probability (requests - K x accepts) / (requests + 1). Both counts decay exponentially, with window as time constant.
 type SRE struct {
 	rng               *rand.Rand
 	k                 float64
@@ -20,77 +20,77 @@
 	requests, accepts float64
 }
 
-// NewSRE makes a gate; the book has a K of 2 and a window of two minutes.
+// NewSRE returns a gate with K = k. The book uses a K of 2 and a window of two minutes.
 func NewSRE(rng *rand.Rand, k float64, window time.Duration) *SRE {
 	return &SRE{rng: rng, k: k, window: window}
 }
 
-// Admit counts each request, admitted or not.
+// Admit counts each request, whether it is admitted or rejected.
 func (g *SRE) Admit(now time.Duration, value float64) bool {
-	fade := math.Exp(-float64(now-g.at) / float64(g.window))
-	g.at, g.requests, g.accepts = now, g.requests*fade, g.accepts*fade
+	decay := math.Exp(-float64(now-g.at) / float64(g.window))
+	g.at, g.requests, g.accepts = now, g.requests*decay, g.accepts*decay
 	reject := (g.requests - g.k*g.accepts) / (g.requests + 1)
 	g.requests++
-	return admission.Draw(g.rng, 1-reject, value)
+	return admission.AdmitAtRandom(g.rng, 1-reject, value)
 }
 
-// AttemptStarted does nothing.
+// AttemptStarted does nothing: SRE counts an attempt when it ends.
 func (g *SRE) AttemptStarted(time.Duration) {}
 
-// AttemptEnded counts an answer in time.
+// AttemptEnded counts an attempt that was answered in time.
 func (g *SRE) AttemptEnded(_ time.Duration, e admission.AttemptEnd) {
 	if !e.Ignored && e.Score > 0 {
 		g.accepts++
 	}
 }
 
-// AIMD bounds attempts in flight: by one more for each limit's number of answers in time, a tenth less for a late
-// one.
+// AIMD limits the attempts in flight by additive increase and multiplicative decrease: the limit grows by one for as
+// many answers in time as the limit allows attempts, and shrinks by a tenth for a late answer.
 type AIMD struct {
 	limit     float64
 	inFlight  int
 	reducedAt time.Duration
 }
 
-// NewAIMD makes a gate with a limit of 20.
+// NewAIMD returns a gate with an initial limit of 20 attempts in flight.
 func NewAIMD() *AIMD { return &AIMD{limit: 20} }
 
-// Admit admits a request while the limit is not reached.
+// Admit admits a request while the attempts in flight are below the limit.
 func (g *AIMD) Admit(time.Duration, float64) bool { return float64(g.inFlight) < g.limit }
 
 // AttemptStarted counts an attempt in flight.
 func (g *AIMD) AttemptStarted(time.Duration) { g.inFlight++ }
 
-// AttemptEnded gives it back.
+// AttemptEnded adjusts the limit and counts an attempt that is no longer in flight.
 func (g *AIMD) AttemptEnded(now time.Duration, e admission.AttemptEnd) {
 	g.inFlight--
 	switch {
 	case e.Ignored:
 	case e.Score >= 0.5:
 		g.limit = min(200, g.limit+1/g.limit)
-	case now-g.reducedAt > 50*time.Millisecond: // once for what went out together
+	case now-g.reducedAt > 50*time.Millisecond: // one decrease for attempts that were sent together
 		g.limit, g.reducedAt = max(1, g.limit*0.9), now
 	}
 }
 
-// Gradient bounds attempts in flight by how much longer they take than without load, as Netflix's concurrency-limits
-// (Gradient2) do: limit = limit x long/now + the root of limit, smoothed.
+// Gradient limits the attempts in flight by how much longer recent attempts take than earlier ones, as Gradient2 of
+// Netflix's concurrency-limits does: limit = limit x longMean/shortMean + the square root of limit, smoothed.
 type Gradient struct {
-	limit     float64
-	inFlight  int
-	long, now float64 // smoothed durations over many and over few attempts, in seconds
+	limit               float64
+	inFlight            int
+	longMean, shortMean float64 // durations smoothed over many and over few attempts, in seconds
 }
 
-// NewGradient makes a gate with a limit of 20.
+// NewGradient returns a gate with an initial limit of 20 attempts in flight.
 func NewGradient() *Gradient { return &Gradient{limit: 20} }
 
-// Admit admits a request while the limit is not reached.
+// Admit admits a request while the attempts in flight are below the limit.
 func (g *Gradient) Admit(time.Duration, float64) bool { return float64(g.inFlight) < g.limit }
 
 // AttemptStarted counts an attempt in flight.
 func (g *Gradient) AttemptStarted(time.Duration) { g.inFlight++ }
 
-// AttemptEnded gives it back.
+// AttemptEnded adjusts the limit and counts an attempt that is no longer in flight.
 func (g *Gradient) AttemptEnded(_ time.Duration, e admission.AttemptEnd) {
 	g.inFlight--
 	if e.Ignored {
@@ -100,56 +100,58 @@
 	if e.Score == 0 {
 		took = max(took, e.LatencyTarget.Seconds())
 	}
-	if g.long == 0 {
-		g.long, g.now = took, took
+	if g.longMean == 0 {
+		g.longMean, g.shortMean = took, took
 	}
-	g.long += (took - g.long) / 600
-	g.now += (took - g.now) / 10
-	if g.long > 2*g.now { // attempts were slow for long
-		g.long *= 0.95
+	g.longMean += (took - g.longMean) / 600
+	g.shortMean += (took - g.shortMean) / 10
+	if g.longMean > 2*g.shortMean { // attempts were slow for a long time and are fast again
+		g.longMean *= 0.95
 	}
-	gradient := max(0.5, min(1, 1.5*g.long/g.now))
+	gradient := max(0.5, min(1, 1.5*g.longMean/g.shortMean))
 	g.limit = max(1, min(200, 0.8*g.limit+0.2*(gradient*g.limit+math.Sqrt(g.limit))))
 }
 
-// CoDel rejects while no answer of the last interval had the full score, ever more often (RFC 8289, 5.2). The queues
-// are the servers', so half of the latency target stands in for the time in a queue.
+// CoDel rejects requests at an increasing rate while no answer of the last interval had the full score (RFC 8289, 5.2).
+// The queues are in the servers, so CoDel cannot see the time that a request spends in a queue. Instead it takes an
+// answer with less than the full score, that is later than half of the latency target, for one of a long queue.
 type CoDel struct {
-	lateSince time.Duration // since when all answers were late; 0: not
-	dropping  bool
-	next      time.Duration
-	count     float64
+	lateSince       time.Duration // since when all answers have been late; 0: the last answer was not late
+	rejecting       bool
+	nextRejectionAt time.Duration
+	rejections      float64 // the time between rejections is codelInterval / sqrt(rejections)
 }
 
+// codelInterval is the time for which all answers must be late before CoDel rejects requests.
 const codelInterval = 100 * time.Millisecond
 
-// NewCoDel makes a gate.
+// NewCoDel returns a gate that rejects no request yet.
 func NewCoDel() *CoDel { return new(CoDel) }
 
-// Admit rejects a request when the control law says so.
+// Admit rejects a request when the next rejection is due by CoDel's control law.
 func (g *CoDel) Admit(now time.Duration, _ float64) bool {
-	if !g.dropping || now < g.next {
+	if !g.rejecting || now < g.nextRejectionAt {
 		return true
 	}
-	g.count++
-	g.next += time.Duration(float64(codelInterval) / math.Sqrt(g.count))
+	g.rejections++
+	g.nextRejectionAt += time.Duration(float64(codelInterval) / math.Sqrt(g.rejections))
 	return false
 }
 
-// AttemptStarted does nothing.
+// AttemptStarted does nothing: CoDel looks at an attempt when it ends.
 func (g *CoDel) AttemptStarted(time.Duration) {}
 
-// AttemptEnded looks how late an answer was.
+// AttemptEnded starts or stops the rejections according to an answer's lateness.
 func (g *CoDel) AttemptEnded(now time.Duration, e admission.AttemptEnd) {
 	switch {
 	case e.Ignored:
 	case e.Score >= 1:
-		g.lateSince, g.dropping = 0, false
+		g.lateSince, g.rejecting = 0, false
 	case g.lateSince == 0:
 		g.lateSince = now
-	case !g.dropping && now-g.lateSince >= codelInterval:
-		g.dropping = true
-		g.count = max(1, g.count-2)
-		g.next = now
+	case !g.rejecting && now-g.lateSince >= codelInterval:
+		g.rejecting = true
+		g.rejections = max(1, g.rejections-2)
+		g.nextRejectionAt = now
 	}
 }
