--- a/internal/proxy/bulkhead/bulkhead_test.go
+++ b/internal/proxy/bulkhead/bulkhead_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// In any order of events, and with a clock that stands still or jumps, the limit is finite and at least one, and
-// slower answers never raise it.
+// In any order of events, also with a clock that stands still, jumps ahead or goes back, the limit is finite and at
+// least 1, and a slower answer never raises it.
 func TestLimitStaysWithinBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := New(rapid.Float64Range(0, 600).Draw(t, "hold"))
@@ -24,19 +24,19 @@
 			}
 			limit := b.Limit(now, 1, 1<<20)
 			if !(limit >= 1) || math.IsInf(limit, 0) {
-				t.Fatalf("limit %v", limit)
+				t.Fatalf("limit %v, want it finite and at least 1", limit)
 			}
 			slower := b
 			slower.RecordLatency(now, math.Exp(b.congestion)*10+1)
-			if more := slower.Limit(now, 1, 1<<20); more > limit {
-				t.Fatalf("limit %v, after a slower answer %v", limit, more)
+			if lower := slower.Limit(now, 1, 1<<20); lower > limit {
+				t.Fatalf("limit %v, after a slower answer %v, want no increase", limit, lower)
 			}
 		}
 	})
 }
 
-// Under congestion the limit of a balancer follows its own traffic: that of a heavy one is higher than that of a
-// light one, and both fall below two fifths where answers take twice as long.
+// Under congestion the limit of a balancer follows the balancer's own traffic: with heavy traffic the limit is at least
+// twice as high as with light traffic. Both limits fall to two fifths or less if answers take twice as long.
 func TestLimitFollowsTheBalancersOwnTraffic(t *testing.T) {
 	limit := func(rate, latency float64) float64 {
 		b := New(0.06)
@@ -51,15 +51,15 @@
 	}
 	light, heavy := limit(4, 0.2), limit(100, 0.2)
 	if light > 6 || heavy < 2*light || heavy > 24 {
-		t.Errorf("limit %.1f at 4 requests a second, %.1f at 100", light, heavy)
+		t.Errorf("limit %.1f at 4 requests a second, %.1f at 100; want at most 6, and twice as much up to 24", light, heavy)
 	}
 	if l, h := limit(4, 0.4), limit(100, 0.4); l > 0.4*light || h > 0.4*heavy {
-		t.Errorf("limits %.1f and %.1f, where answers take twice as long %.1f and %.1f", light, heavy, l, h)
+		t.Errorf("limits %.1f and %.1f, with twice the latency %.1f and %.1f, want at most 0.4 of each", light, heavy, l, h)
 	}
 }
 
-// One long answer in ten is no congestion, slow answers are.
-func TestFewLongAnswersAreNoCongestion(t *testing.T) {
+// One long answer in ten does not count as congestion; 16 slow answers in a row do.
+func TestFewLongAnswersAreNotCongestion(t *testing.T) {
 	b := New(0.06)
 	now := time.Hour
 	for i := range 100 {
@@ -70,7 +70,7 @@
 		}
 		b.RecordLatency(now, latency)
 		if b.Congested() && i > 20 {
-			t.Fatalf("congested at answer %d, nine of ten are quick", i)
+			t.Fatalf("congested at answer %d although nine of ten answers are fast", i)
 		}
 	}
 	for range 16 {
@@ -78,35 +78,37 @@
 		b.RecordLatency(now, 0.4)
 	}
 	if !b.Congested() {
-		t.Fatal("not congested after 16 slow answers")
+		t.Fatal("not congested after 16 slow answers in a row")
 	}
 }
 
-// Guards against ten seconds in which a new balancer takes its traffic for the mean one: a release replaces most
-// processes, and heavy ones refused a fifth of their requests for that time.
-func TestNewBalancerLearnsItsTrafficSoon(t *testing.T) {
-	old, young := New(0.06), New(0.06)
-	old.EvenShare, young.EvenShare = 0.3, 0.3
+// Guards against a new balancer that assumes the even traffic for its first ten seconds. A release replaces most
+// processes, and new balancers with heavy traffic refused a fifth of their requests for that time.
+func TestNewBalancerMeasuresItsTrafficWithinTwoSeconds(t *testing.T) {
+	established, started := New(0.06), New(0.06)
+	established.EvenShare, started.EvenShare = 0.3, 0.3
 	now := time.Hour
 	for i := range 4000 {
 		now += 10 * time.Millisecond
-		old.RecordRequest(now)
-		if i >= 3800 { // two seconds before
-			young.RecordRequest(now)
+		established.RecordRequest(now)
+		if i >= 3800 { // the last two seconds
+			started.RecordRequest(now)
 		}
 	}
-	if y, o := young.Limit(now, 1, 1<<20), old.Limit(now, 1, 1<<20); y < 0.7*o {
-		t.Errorf("limit %.1f two seconds after the start, %.1f long after", y, o)
+	if s, e := started.Limit(now, 1, 1<<20), established.Limit(now, 1, 1<<20); s < 0.7*e {
+		t.Errorf("limit %.1f two seconds after the start, %.1f after 40 s, want at least 0.7 of that", s, e)
 	}
 }
 
-// Guards against a tenant that floods and uses up the limit: the other has attempts up to its share.
+// Guards against a tenant whose flood of requests uses up the limit: another tenant may still send attempts up to its
+// share.
 func TestTenantFloodLeavesOthersTheirShare(t *testing.T) {
 	b := New(0.06)
 	b.EvenShare = 3
 	limit := b.Limit(time.Hour, 0.2, 1<<20)
-	inFlight := int(limit) + 1 // of the flood
+	inFlight := int(limit) + 1 // attempts of the flooding tenant
 	if float64(inFlight) < b.Limit(time.Hour, 0.2, inFlight) || float64(inFlight) >= b.Limit(time.Hour, 0.8, 0) {
-		t.Errorf("%d in flight: limit %.1f, for the other tenant %.1f", inFlight, limit, b.Limit(time.Hour, 0.8, 0))
+		t.Errorf("%d attempts in flight: limit %.1f, want it reached; for the other tenant %.1f, want it not reached",
+			inFlight, limit, b.Limit(time.Hour, 0.8, 0))
 	}
 }
