--- a/internal/proxy/share/capacity.go
+++ b/internal/proxy/share/capacity.go
@@ -1,5 +1,5 @@
-// Package share divides what the pools of one process have in common: a Capacity of like things, and a Queue of
-// work for a few permits. It does no I/O; time is passed in.
+// Package share divides resources that the pools of one process have in common: Capacity divides a countable resource,
+// and Queue schedules work items that need one of a few permits. The package performs no I/O; callers pass in the time.
 package share
 
 import (
@@ -8,33 +8,34 @@
 )
 
 const (
-	// reserveFraction is the fraction of a pool's unused share that is never lent, so that a pool which was idle
-	// can begin at once.
+	// reserveFraction is the fraction of a pool's unused share that is never lent to other pools, so that an idle pool
+	// can acquire something at once.
 	reserveFraction = 0.1
-	// reclaimTime is how long after its last refusal a pool whose own share is lent keeps others from borrowing.
+	// reclaimTime is how long other pools may not borrow after a pool was last refused a part of its own share.
 	reclaimTime = 3 * time.Second
 )
 
-// Capacity divides a number of like things (connections, calls, bytes) among pools by weight. Each pool is
-// guaranteed its share and may borrow what others leave unused, except for a tenth of that. What is lent is
-// never revoked: it returns when it is released. From the moment that a pool is refused a part of its own share,
-// nothing more is lent until it has what it asked for, or has not asked for 3 s. Safe for concurrent use.
+// Capacity divides units of a resource (connections, calls, bytes) among pools by weight. Each pool is guaranteed its
+// share, and may borrow the units that other pools leave unused, except for a tenth of them. Borrowed units are not
+// revoked: their owner has them back when they are released. After a pool was refused a part of its own share, no units
+// are lent until the pool has acquired what it asked for, or has not asked for 3 s. A Capacity is safe for concurrent
+// use.
 type Capacity struct {
-	mu    sync.Mutex // guards what follows
+	mu    sync.Mutex // guards the fields below
 	size  int64
-	used  int64
+	used  int64 // by all pools
 	pools []poolUsage
 }
 
-// poolUsage is what a pool has of a Capacity.
+// poolUsage is the guaranteed share of one pool, and the units that the pool has acquired.
 type poolUsage struct {
 	guaranteed, used int64
-	reclaiming       bool          // it was refused a part of its own share
-	refusedAt        time.Duration // last, while reclaiming
+	reclaiming       bool          // the pool was refused a part of its own share
+	refusedAt        time.Duration // time of the last such refusal; valid if reclaiming is set
 }
 
-// NewCapacity divides size by weights, which must be above 0. The remainder of the rounding goes to the first
-// pool.
+// NewCapacity divides size among pools by their weights, which must be above 0. The remainder of the rounding goes to
+// the first pool.
 func NewCapacity(size int64, weights []float64) *Capacity {
 	c := &Capacity{size: size, pools: make([]poolUsage, len(weights))}
 	sum, remainder := 0.0, size
@@ -51,8 +52,8 @@
 	return c
 }
 
-// Acquire takes n for a pool, or says that there is no capacity for it; n must not be below 0. What it took has
-// to be given back with Release.
+// Acquire takes n units for a pool, or returns false if they are not available. n must not be negative. The caller
+// gives the units back with Release.
 func (c *Capacity) Acquire(now time.Duration, pool int, n int64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -64,18 +65,20 @@
 	return true
 }
 
-// CanAcquire says whether Acquire would take n now. A pool that is refused reclaims its share, as with Acquire.
+// CanAcquire reports whether Acquire would take n units now. Like a failed Acquire, a result of false within the pool's
+// own share stops other pools from borrowing.
 func (c *Capacity) CanAcquire(now time.Duration, pool int, n int64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.available(now, pool, n)
 }
 
-// available says whether a pool may take n, and notes a refusal of its own share. The caller holds mu.
+// available reports whether a pool may take n units, and records a refusal within the pool's own share. The caller
+// holds mu.
 func (c *Capacity) available(now time.Duration, pool int, n int64) bool {
 	p := &c.pools[pool]
 	if p.used+n <= p.guaranteed {
-		p.reclaiming = c.used+n > c.size // its own share is lent
+		p.reclaiming = c.used+n > c.size // other pools have borrowed its share
 		if p.reclaiming {
 			p.refusedAt = now
 		}
@@ -97,7 +100,7 @@
 	return n <= free
 }
 
-// Release gives n of a pool back.
+// Release gives back n units of a pool.
 func (c *Capacity) Release(pool int, n int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -105,7 +108,7 @@
 	c.used -= n
 }
 
-// Usage returns what a pool is guaranteed and what it has.
+// Usage returns the number of units that a pool is guaranteed, and the number that it has acquired.
 func (c *Capacity) Usage(pool int) (guaranteed, used int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/proxy/share/capacity_test.go
+++ b/internal/proxy/share/capacity_test.go
@@ -10,19 +10,19 @@
 	c := NewCapacity(100, []float64{3, 1})
 	for i, want := range []int64{75, 25} {
 		if guaranteed, _ := c.Usage(i); guaranteed != want {
-			t.Errorf("pool %d is guaranteed %d, want %d", i, guaranteed, want)
+			t.Errorf("pool %d is guaranteed %d units, want %d", i, guaranteed, want)
 		}
 		if !c.Acquire(0, i, want) {
-			t.Errorf("pool %d can't have its share", i)
+			t.Errorf("pool %d is refused its own share", i)
 		}
 	}
 	if c.Acquire(0, 0, 1) || c.Acquire(0, 1, 1) {
-		t.Error("more than the capacity was given")
+		t.Error("a pool acquired a unit although the capacity is used up")
 	}
 }
 
-// An unused share is lent, except for a tenth. Its owner has that tenth at once when it needs it, and nothing more
-// is lent until it has what it asks for.
+// An unused share is lent, except for a tenth. The owner can acquire that tenth at once, and nothing more is lent until
+// the owner has acquired what it asks for.
 func TestUnusedSharesAreLentUntilTheOwnerNeedsThem(t *testing.T) {
 	c := NewCapacity(100, []float64{1, 1})
 	lent := int64(0)
@@ -30,33 +30,33 @@
 		lent++
 	}
 	if lent != 95 {
-		t.Fatalf("pool 0 got %d of 100, want its 50 and all but a tenth of the other 50", lent)
+		t.Fatalf("pool 0 acquired %d of 100 units, want 95: its 50 and all but a tenth of the other 50", lent)
 	}
-	mine := int64(0)
+	acquired := int64(0)
 	for c.Acquire(0, 1, 1) {
-		mine++
+		acquired++
 	}
-	if mine != 5 {
-		t.Errorf("the owner got %d at once, want 5", mine)
+	if acquired != 5 {
+		t.Errorf("the owner acquired %d units at once, want 5", acquired)
 	}
-	for range 20 { // what the other gives back is the owner's, whatever the other asks for
+	for range 20 { // units that the borrower releases go to the owner, also if the borrower asks first
 		c.Release(0, 1)
 		if c.Acquire(time.Second, 0, 1) {
-			t.Fatal("lent again while its owner asks")
+			t.Fatal("the borrower acquired a unit while the owner waits for its share")
 		}
 		if !c.Acquire(time.Second, 1, 1) {
-			t.Fatal("the owner can't have what came back")
+			t.Fatal("the owner is refused a unit that the borrower has released")
 		}
 	}
-	c.Release(1, 25) // it is idle, except for one refusal
+	c.Release(1, 25) // the owner becomes idle, except for one refused call
 	c.Acquire(2*time.Second, 1, 60)
 	if !c.Acquire(2*time.Second+reclaimTime, 0, 1) {
-		t.Error("nothing is lent although its owner has long not asked")
+		t.Error("nothing is lent although the owner has not asked for reclaimTime")
 	}
 }
 
-// In any order of calls no more than the capacity is in use, and a pool within its share is refused only where
-// that is lent.
+// In any order of calls the units in use never exceed the capacity, and a pool is refused units of its own share only
+// while other pools have borrowed them.
 func TestCapacityIsNeverExceeded(t *testing.T) {
 	for seed := range uint64(50) {
 		rng := rand.New(rand.NewPCG(seed, 0))
@@ -82,16 +82,16 @@
 				_, u := c.Usage(i)
 				free -= u
 			}
-			took := c.Acquire(time.Duration(step)*time.Millisecond, pool, n)
-			if took {
+			granted := c.Acquire(time.Duration(step)*time.Millisecond, pool, n)
+			if granted {
 				held[pool] = append(held[pool], n)
 			}
-			if used+n <= guaranteed && took != (n <= free) {
-				t.Fatalf("seed %d: within its share: %d of %d used, %d more, %d free: %v",
-					seed, used, guaranteed, n, free, took)
+			if used+n <= guaranteed && granted != (n <= free) {
+				t.Fatalf("seed %d: pool uses %d of its %d units: Acquire(%d) with %d units free is %v",
+					seed, used, guaranteed, n, free, granted)
 			}
-			if took && n > free {
-				t.Fatalf("seed %d: took %d of %d free", seed, n, free)
+			if granted && n > free {
+				t.Fatalf("seed %d: acquired %d units with %d free", seed, n, free)
 			}
 		}
 	}
--- a/internal/proxy/share/queue.go
+++ b/internal/proxy/share/queue.go
@@ -1,43 +1,43 @@
 package share
 
-// Queue gives out a few permits for work among flows by start-time fair queueing with a depth (Goyal, Vin, Cheng
-// 1996; SFQ(D): Jin, Chase, Kaur 2004). Waiting work is served in the order of its start tags, and charged its
-// cost once that is known. So a flow that rarely has work waits for what holds the permits and for little else,
-// however much work of others waits; a flow that wants more than its share waits behind those that want less;
-// and no permit is free while work waits.
+// Queue schedules the work items of several flows on a few permits by start-time fair queueing with a depth (Goyal,
+// Vin, Cheng 1996; SFQ(D): Jin, Chase, Kaur 2004). Work items start in the order of their start tags, and each is
+// charged its cost once the cost is known. A flow that rarely has work waits for the work items that hold the permits
+// and for few others, however many work items of other flows are queued. A flow that asks for more than its share
+// waits behind flows that ask for less. No permit is free while work items are queued.
 //
-// It does no I/O and is not safe for concurrent use. Costs are in nanoseconds of a core, or an equivalent.
+// A Queue is not safe for concurrent use. Costs are in nanoseconds of CPU time, or an equivalent unit.
 type Queue[T any] struct {
-	free     int     // permits
+	free     int     // free permits, without the reserved ones
 	reserved int     // free permits that only an underserved flow may take
-	now      float64 // virtual time: the start tag of the work begun last
+	now      float64 // virtual time: the start tag of the work item that started last
 	flows    []flow[T]
-	waiting  int // over all flows
+	waiting  int // queued work items of all flows
 }
 
-// flow is the work of one client, or of one kind.
+// flow holds the work items of one client, or of one kind.
 type flow[T any] struct {
 	weight     float64
-	nextStart  float64 // the earliest start tag of the flow's next work
-	recentCost float64 // over the last recentWindow of all flows' cost
-	meanCost   float64 // smoothed; work in progress counts with it until its own cost is known
-	queue      []T     // from head on, the work that waits
+	nextStart  float64 // the earliest start tag of the flow's next work item
+	recentCost float64 // the flow's part of the last recentCostWindow of cost of all flows
+	meanCost   float64 // smoothed cost of a work item; a running work item is charged it until its own cost is known
+	queue      []T     // the queued work items are queue[head:]
 	head       int
 }
 
 // meanCostGain is the weight of the newest cost in a flow's mean cost.
 const meanCostGain = 1.0 / 8
 
-// A flow is underserved while its recent cost, by weight, is below underservedBelow of that of all flows. Start
-// tags can't tell that: what starts next is always near the virtual time. recentWindow is in units of cost.
+// A flow is underserved while its recent cost divided by its weight is below underservedFraction of the same quotient
+// of all flows together. Start tags do not show this, as the next start tag is always near the virtual time.
 const (
-	underservedBelow = 0.5
-	recentWindow     = 50e6
+	underservedFraction = 0.5
+	recentCostWindow    = 50e6 // in units of cost
 )
 
-// NewQueue makes a queue with permits, at least one, among flows by weight; weights must be above 0. Beside the
-// permits there are reserved ones for underserved flows, which so don't wait for work that holds a permit for
-// long.
+// NewQueue returns a queue for flows with the given weights, which must be above 0. The queue has at least one permit.
+// In addition it has reserved permits for underserved flows, so that these flows do not wait for work items that hold a
+// permit for a long time.
 func NewQueue[T any](permits, reserved int, weights []float64) *Queue[T] {
 	q := &Queue[T]{free: max(1, permits), reserved: reserved, flows: make([]flow[T], len(weights))}
 	for i, w := range weights {
@@ -46,18 +46,19 @@
 	return q
 }
 
-// Acquire takes a permit for a flow's work, or queues the work: then Release returns it when it may begin.
-// Whoever got a permit has to give it back with Release, and to say whether it was a reserved one.
+// Acquire takes a permit for a work item of flow f, or queues the work item; in the second case a later Release
+// returns the work item when it may start. Each granted permit is given back with Release, which is also told whether
+// the permit was a reserved one.
 func (q *Queue[T]) Acquire(f int, work T) (granted, reserved bool) {
 	w := &q.flows[f]
-	if q.free > 0 { // then no work waits
+	if q.free > 0 { // which implies that no work item is queued
 		q.free--
-		q.begin(w)
+		q.start(w)
 		return true, false
 	}
 	if q.reserved > 0 && q.IsUnderserved(f) && w.head == len(w.queue) {
 		q.reserved--
-		q.begin(w)
+		q.start(w)
 		return true, true
 	}
 	w.queue = append(w.queue, work)
@@ -65,22 +66,23 @@
 	return false, false
 }
 
-// begin counts the flow's work that starts now.
-func (q *Queue[T]) begin(w *flow[T]) {
+// start advances the virtual time and the flow's next start tag for a work item that starts now.
+func (q *Queue[T]) start(w *flow[T]) {
 	q.now = max(q.now, w.nextStart)
-	// A flow that had no work starts at the current time: it saved nothing up.
+	// A flow that had no work items starts at the current virtual time: it does not accumulate unused permits.
 	w.nextStart = max(w.nextStart, q.now) + w.meanCost/w.weight
 }
 
-// Release gives a permit back. asked is the flow that it was acquired for; cost is charged to the flow of, which
-// the work turned out to belong to. Release returns the work that may begin now with the permit, if any. A
-// reserved permit only goes to the work of an underserved flow, and stays a reserved one.
-func (q *Queue[T]) Release(asked, of int, reserved bool, cost float64) (next T, ok bool) {
-	a, w := &q.flows[asked], &q.flows[of]
-	a.nextStart -= a.meanCost / a.weight
-	q.charge(w, cost)
-	if asked != of { // it was admitted as its own
-		q.charge(a, cost)
+// Release gives back the permit of a work item that has ended. requester is the flow that acquired the permit; owner is
+// the flow that the work item turned out to belong to, which is charged the cost. If they differ, both are charged.
+// Release returns the work item that may start now with the permit, if there is one. A reserved permit goes only to a
+// work item of an underserved flow, and stays a reserved one.
+func (q *Queue[T]) Release(requester, owner int, reserved bool, cost float64) (next T, ok bool) {
+	requesterFlow, ownerFlow := &q.flows[requester], &q.flows[owner]
+	requesterFlow.nextStart -= requesterFlow.meanCost / requesterFlow.weight
+	q.charge(ownerFlow, cost)
+	if requester != owner { // the work item was admitted as the requester's own
+		q.charge(requesterFlow, cost)
 	}
 	best := q.earliest()
 	if reserved && best != nil && !q.underserved(best) {
@@ -96,22 +98,22 @@
 	}
 	next = best.dequeue()
 	q.waiting--
-	q.begin(best)
+	q.start(best)
 	return next, true
 }
 
-// charge charges a flow the cost of its work.
+// charge charges a flow the cost of a work item.
 func (q *Queue[T]) charge(w *flow[T], cost float64) {
 	w.nextStart = max(w.nextStart, q.now) + cost/w.weight
 	w.meanCost += (cost - w.meanCost) * meanCostGain
-	kept := max(0, 1-cost/recentWindow)
+	decay := max(0, 1-cost/recentCostWindow)
 	for i := range q.flows {
-		q.flows[i].recentCost *= kept
+		q.flows[i].recentCost *= decay
 	}
 	w.recentCost += cost
 }
 
-// earliest returns the flow whose waiting work starts first, or nil.
+// earliest returns the flow whose queued work item has the earliest start tag, or nil if none is queued.
 func (q *Queue[T]) earliest() (best *flow[T]) {
 	if q.waiting == 0 {
 		return nil
@@ -124,14 +126,14 @@
 	return best
 }
 
-// dequeue takes the flow's next work out of its queue.
+// dequeue removes the flow's first queued work item and returns it.
 func (w *flow[T]) dequeue() T {
 	work := w.queue[w.head]
 	var none T
 	w.queue[w.head] = none
 	if w.head++; w.head == len(w.queue) {
 		w.queue, w.head = w.queue[:0], 0
-	} else if w.head > 64 && w.head > len(w.queue)/2 { // a queue that is never empty must not grow without bound
+	} else if w.head > 64 && w.head > len(w.queue)/2 { // bounds the slice of a flow that always has queued work items
 		n := copy(w.queue, w.queue[w.head:])
 		clear(w.queue[n:])
 		w.queue, w.head = w.queue[:n], 0
@@ -139,18 +141,18 @@
 	return work
 }
 
-// IsUnderserved says whether a flow recently had less than half of its share.
+// IsUnderserved reports whether flow f recently had less than half of its share.
 func (q *Queue[T]) IsUnderserved(f int) bool { return q.underserved(&q.flows[f]) }
 
-// underserved is IsUnderserved for a flow itself.
+// underserved is IsUnderserved by the flow instead of its number.
 func (q *Queue[T]) underserved(w *flow[T]) bool {
 	used, weights := 0.0, 0.0
 	for i := range q.flows {
 		used += q.flows[i].recentCost
 		weights += q.flows[i].weight
 	}
-	return w.recentCost/w.weight < underservedBelow*used/weights
+	return w.recentCost/w.weight < underservedFraction*used/weights
 }
 
-// Waiting returns how much work waits.
+// Waiting returns the number of queued work items.
 func (q *Queue[T]) Waiting() int { return q.waiting }
--- a/internal/proxy/share/queue_test.go
+++ b/internal/proxy/share/queue_test.go
@@ -6,8 +6,9 @@
 	"pgregory.net/rapid"
 )
 
-// Of flows that always have work waiting, none is further below its fair share than the largest work of each
-// flow and permit; no permit is free while work waits; and a flow's work begins in the order of Acquire.
+// Among flows that always have queued work items, the service by weight of any two flows differs by at most a bound
+// that follows from the largest cost and the number of permits. No permit is free while work items are queued, and the
+// work items of a flow start in the order of Acquire.
 func TestQueueIsFair(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const largest = 10.0
@@ -15,20 +16,20 @@
 		weights := rapid.SliceOfN(rapid.Float64Range(0.5, 4), 2, 5).Draw(t, "weights")
 		type work struct{ flow, number int }
 		q := NewQueue[work](permits, 0, weights)
-		asked, begun := make([]int, len(weights)), make([]int, len(weights))
-		done := make([]float64, len(weights)) // over weight
+		requested, started := make([]int, len(weights)), make([]int, len(weights))
+		service := make([]float64, len(weights)) // cost of the ended work items, divided by the flow's weight
 		var running []work
-		ask := func(f int) {
-			w := work{f, asked[f]}
-			asked[f]++
+		acquire := func(f int) {
+			w := work{f, requested[f]}
+			requested[f]++
 			if granted, _ := q.Acquire(f, w); granted {
 				running = append(running, w)
-				begun[f]++
+				started[f]++
 			}
 		}
 		for f := range weights {
 			for range permits + 1 {
-				ask(f)
+				acquire(f)
 			}
 		}
 		steps := rapid.IntRange(50, 400).Draw(t, "steps")
@@ -37,19 +38,19 @@
 			w := running[i]
 			running = append(running[:i], running[i+1:]...)
 			cost := rapid.Float64Range(0.1, largest).Draw(t, "cost")
-			done[w.flow] += cost / weights[w.flow]
+			service[w.flow] += cost / weights[w.flow]
 			next, ok := q.Release(w.flow, w.flow, false, cost)
 			if !ok {
-				t.Fatal("a permit is free while something waits")
+				t.Fatal("Release returns no work item although some are queued")
 			}
-			if next.number != begun[next.flow] {
-				t.Fatalf("work %d of flow %d begins, %d is next", next.number, next.flow, begun[next.flow])
+			if next.number != started[next.flow] {
+				t.Fatalf("work item %d of flow %d starts, want item %d", next.number, next.flow, started[next.flow])
 			}
-			begun[next.flow]++
+			started[next.flow]++
 			running = append(running, next)
-			ask(w.flow)
+			acquire(w.flow)
 			if len(running) != permits {
-				t.Fatalf("%d run with %d permits", len(running), permits)
+				t.Fatalf("%d work items run with %d permits", len(running), permits)
 			}
 			bound := 0.0
 			for _, weight := range weights {
@@ -58,9 +59,9 @@
 			bound *= float64(2*permits + 2)
 			for f := range weights {
 				for g := range weights {
-					if done[g]-done[f] > bound {
-						t.Fatalf("flow %d had %.1f by weight and flow %d had %.1f, more than %.1f apart",
-							g, done[g], f, done[f], bound)
+					if service[g]-service[f] > bound {
+						t.Fatalf("service by weight: flow %d has %.1f and flow %d has %.1f, want at most %.1f apart",
+							g, service[g], f, service[f], bound)
 					}
 				}
 			}
@@ -68,8 +69,8 @@
 	})
 }
 
-// A flow that rarely has work has the next permit, however much work of others waits.
-func TestFlowThatRarelyHasWorkGoesFirst(t *testing.T) {
+// A flow that rarely has work gets the next permit, however many work items of another flow are queued.
+func TestFlowThatRarelyHasWorkStartsFirst(t *testing.T) {
 	q := NewQueue[string](1, 0, []float64{1, 1})
 	q.Acquire(0, "first")
 	for range 400 {
@@ -80,26 +81,26 @@
 	}
 	q.Acquire(1, "quiet")
 	if next, ok := q.Release(0, 0, false, 5); !ok || next != "quiet" {
-		t.Errorf("%q begins before the quiet one", next)
+		t.Errorf("Release returns %q, want the work item of the flow that rarely has work", next)
 	}
 	if next, ok := q.Release(1, 1, false, 5); !ok || next != "flood" {
-		t.Errorf("%q, %v after the quiet one", next, ok)
+		t.Errorf("Release returns %q, %v after that, want a work item of the other flow", next, ok)
 	}
 }
 
-// Work that turns out to be another flow's is charged to that one.
-func TestCostIsChargedToTheFlowOfTheWork(t *testing.T) {
+// The cost of a work item that turns out to belong to another flow is charged to that flow.
+func TestCostIsChargedToTheOwnerOfTheWorkItem(t *testing.T) {
 	q := NewQueue[string](1, 0, []float64{1, 1, 1})
 	q.Acquire(0, "new")
 	q.Acquire(1, "known")
 	q.Acquire(2, "other")
 	if next, _ := q.Release(0, 1, false, 50); next != "other" {
-		t.Errorf("%q begins, the flow that was charged waits", next)
+		t.Errorf("Release returns %q, want the work item of the flow that was not charged", next)
 	}
 }
 
-// A reserved permit is for an underserved flow, goes on to its next work, and is kept from a flow that has had
-// its share.
+// A reserved permit is granted to an underserved flow, passes on to that flow's next work item, and is not granted to a
+// flow that has had its share.
 func TestReservedPermitsAreForUnderservedFlows(t *testing.T) {
 	q := NewQueue[string](1, 1, []float64{1, 1})
 	q.Acquire(0, "holds on")
@@ -109,25 +110,25 @@
 		t.Error("a flow that has had its share took the reserved permit")
 	}
 	if granted, reserved := q.Acquire(1, "quiet"); !granted || !reserved {
-		t.Fatalf("the underserved flow waits: %v, %v", granted, reserved)
+		t.Fatalf("Acquire of the underserved flow is %v, %v, want the reserved permit", granted, reserved)
 	}
 	if granted, _ := q.Acquire(1, "quiet too"); granted {
-		t.Error("there is one reserved permit")
+		t.Error("a second reserved permit was granted, want one")
 	}
 	if next, ok := q.Release(1, 1, true, 1e3); !ok || next != "quiet too" {
-		t.Errorf("%q, %v: the reserved permit goes on to waiting work of an underserved flow", next, ok)
+		t.Errorf("Release returns %q, %v, want the queued work item of the underserved flow", next, ok)
 	}
 	q.Acquire(1, "no longer")
 	if next, ok := q.Release(1, 1, true, 5e6); !ok || next != "more" {
-		t.Errorf("%q, %v: the other flow is the underserved one now", next, ok)
+		t.Errorf("Release returns %q, %v, want the work item of the other flow, which is underserved now", next, ok)
 	}
 	if _, ok := q.Release(0, 0, true, 1e7); ok {
-		t.Error("the reserved permit went on to a flow that has had its share")
+		t.Error("the reserved permit was passed on to a flow that has had its share")
 	}
-	q.Release(0, 0, false, 1e3) // "no longer" begins
+	q.Release(0, 0, false, 1e3) // "no longer" starts
 	q.Acquire(1, "last")
 	q.Release(1, 1, false, 1e9)
 	if q.IsUnderserved(1) || !q.IsUnderserved(0) {
-		t.Errorf("underserved: %v and %v, want the one with little recent cost", q.IsUnderserved(0), q.IsUnderserved(1))
+		t.Errorf("underserved: %v and %v, want only the flow with little recent cost", q.IsUnderserved(0), q.IsUnderserved(1))
 	}
 }
