--- a/internal/proxy/slowstart/slowstart.go
+++ b/internal/proxy/slowstart/slowstart.go
@@ -1,22 +1,21 @@
-// Package slowstart computes how much a server that has just started may be sent, and each balancer's part of that.
 package slowstart
 
 import "time"
 
 const (
-	budgetFraction = 0.5  // of a starting server's capacity that is used; the rest is a margin for chance
-	minWarmth      = 0.05 // the least capacity assumed, whatever the settings say
-	minRate        = 0.01 // sends a second at least: one in 100 s
+	budgetFraction = 0.5  // fraction of a starting server's capacity that is used: arrivals vary at random
+	minWarmth      = 0.05 // lower bound of the fraction of its capacity that a starting server has, for any settings
+	minRate        = 0.01 // least sends per second: one in 100 s
 )
 
-// Warmth is the least fraction of its capacity that a server has: it rises evenly from a fraction to 1 over whole, of
-// which left remains.
-func Warmth(left, whole time.Duration, from float64) float64 {
-	return max(minWarmth, 1-float64(max(0, left))/float64(max(1, whole))*(1-from))
+// Warmth returns the least fraction of its full capacity that a starting server has. It rises linearly from initial
+// to 1 over the warm-up time, of which remaining is left.
+func Warmth(remaining, warmup time.Duration, initial float64) float64 {
+	return max(minWarmth, 1-float64(max(0, remaining))/float64(max(1, warmup))*(1-initial))
 }
 
-// Gap is the time between one balancer's sends to a starting server, where rate a second is its even part of the
-// server's capacity now, so that all balancers together stay well within multiple times the capacity.
+// Gap returns the time between one balancer's sends to a starting server. rate, per second, is the balancer's even part
+// of the server's present capacity. All balancers together stay well below multiple times that capacity.
 func Gap(rate, multiple float64) time.Duration {
 	return time.Duration(float64(time.Second) / max(rate*budgetFraction*max(multiple, 1), minRate))
 }
--- a/internal/proxy/slowstart/slowstart_test.go
+++ b/internal/proxy/slowstart/slowstart_test.go
@@ -7,8 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// However many balancers share a starting server, their sends together stay within its budget, except for the first
-// send of each.
+// The sends of all balancers together, except for the first send of each, stay within the capacity of a starting
+// server, for any number of balancers.
 func TestBalancersTogetherStayWithinTheCapacity(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 1000).Draw(t, "balancers")
@@ -18,11 +18,11 @@
 		left := time.Duration(rapid.Int64Range(0, int64(10*time.Second)).Draw(t, "left"))
 		rate := capacity * Warmth(left, 10*time.Second, from) / float64(n)
 		if rate < minRate/budgetFraction {
-			return // the least rate applies
+			return // minRate applies
 		}
 		budget := multiple * capacity * Warmth(left, 10*time.Second, from)
 		if sent := float64(n) / Gap(rate, multiple).Seconds(); sent > budget {
-			t.Fatalf("%v a second together", sent)
+			t.Fatalf("all balancers send %v requests a second, above the budget", sent)
 		}
 	})
 }
