--- a/internal/proxy/discoverypace/discoverypace_test.go
+++ b/internal/proxy/discoverypace/discoverypace_test.go
@@ -11,14 +11,14 @@
 	step = 5 * ms
 )
 
-// service is a discovery that handles one call at a time, including calls that have timed out meanwhile.
+// service is a discovery service that handles one call at a time, including calls that have timed out at the caller.
 type service struct {
 	timePerCall time.Duration
-	idleAt      time.Duration // when it has handled all calls so far
+	idleAt      time.Duration // when the calls accepted so far have been handled
 }
 
-// call accepts a call and returns when it ends, and whether it failed.
-func (s *service) call(now, limit time.Duration) (ends time.Duration, failed bool) {
+// call accepts a call that times out after limit. It returns when the call ends, and whether it failed.
+func (s *service) call(now, limit time.Duration) (endsAt time.Duration, failed bool) {
 	s.idleAt = max(s.idleAt, now) + s.timePerCall
 	if s.idleAt > now+limit {
 		return now + limit, true
@@ -26,13 +26,13 @@
 	return s.idleAt, false
 }
 
-// fleet has n balancers start at once with a service that takes seven seconds for a call from each. Each balancer has
-// the pace of a fleet of assumed. It returns the most calls in a second, and how many balancers are subscribed after
-// twelve seconds.
-func fleet(n, assumed int, seed uint64) (peak, subscribed int) {
+// simulateFleet starts n balancers at the same time, with a service that needs seven seconds for one call from each of
+// them. Each balancer uses the pace of a fleet of assumed balancers. simulateFleet returns the largest number of calls
+// in one second, and the number of balancers that are subscribed after twelve seconds.
+func simulateFleet(n, assumed int, seed uint64) (peak, subscribed int) {
 	type balancer struct {
 		pace   Pace
-		ends   time.Duration // of the call in flight; 0: none
+		endsAt time.Duration // when the call in flight ends; 0: no call is in flight
 		failed bool
 	}
 	discovery := &service{timePerCall: 7 * time.Second / time.Duration(n)}
@@ -45,17 +45,17 @@
 	calls := make(map[time.Duration]int)
 	for now := time.Duration(0); now < 12*time.Second; now += step {
 		for _, b := range all {
-			if b.ends > 0 && now >= b.ends {
-				if b.ends = 0; b.failed {
+			if b.endsAt > 0 && now >= b.endsAt {
+				if b.endsAt = 0; b.failed {
 					b.pace.Failed(now)
 				} else {
 					b.pace.Subscribed()
 					subscribed++
 				}
 			}
-			if b.ends == 0 && b.pace.Due(now) {
+			if b.endsAt == 0 && b.pace.Due(now) {
 				calls[now/time.Second]++
-				b.ends, b.failed = discovery.call(now, 2*time.Second)
+				b.endsAt, b.failed = discovery.call(now, 2*time.Second)
 			}
 		}
 	}
@@ -65,65 +65,68 @@
 	return peak, subscribed
 }
 
-// Guards against a whole fleet that asks at the same moment, fails together, and keeps discovery busy with calls that
-// have timed out: not one list came through in 25 s.
+// Guards against a fleet whose balancers all call at the same time: the calls time out together, and their retries keep
+// the discovery service busy with calls that have timed out. In 25 s no balancer received a list.
 func TestFleetThatRestartsAtOnceIsSubscribed(t *testing.T) {
 	for _, n := range []int{80, 1000} {
 		for seed := range uint64(5) {
-			if peak, subscribed := fleet(n, n, seed); peak > n/3 || subscribed < n*19/20 {
-				t.Errorf("seed %d: of %d at most %d called in a second, %d are subscribed", seed, n, peak, subscribed)
+			if peak, subscribed := simulateFleet(n, n, seed); peak > n/3 || subscribed < n*19/20 {
+				t.Errorf("seed %d: of %d balancers %d called in one second, want at most a third; %d are subscribed, want 19 of 20",
+					seed, n, peak, subscribed)
 			}
-			if _, subscribed := fleet(n, 1, seed); subscribed > n*3/4 {
-				t.Errorf("seed %d: of %d that ask at once %d are subscribed: the test shows nothing", seed, n, subscribed)
+			if _, subscribed := simulateFleet(n, 1, seed); subscribed > n*3/4 {
+				t.Errorf("seed %d: of %d balancers that call at once %d are subscribed, so the simulated service is not overloaded",
+					seed, n, subscribed)
 			}
 		}
 	}
 }
 
-// A small fleet asks at once, and soon again after a failure.
-func TestSmallFleetAsksAtOnce(t *testing.T) {
+// In a small fleet the first call is due at once, and the next call soon after a failure.
+func TestSmallFleetCallsAtOnce(t *testing.T) {
 	p := New(rand.New(rand.NewPCG(1, 2)), 3, 10*time.Second)
 	p.Start(time.Hour)
 	if !p.Due(time.Hour) {
-		t.Fatal("three balancers wait")
+		t.Fatal("the first call of a fleet of three is not due at once")
 	}
 	p.Failed(time.Hour)
 	if !p.Due(time.Hour + minBackoff*2) {
-		t.Fatal("does not ask again soon")
+		t.Fatal("no call is due after twice minBackoff")
 	}
 }
 
-// A change counts as received by a balancer that has not asked for the maximum age, or four times that after a failed
-// call: it asks before that.
+// A change of the list counts as received by a balancer that has not called for the maximum age, or for four times that
+// after a failed call. The next call is due before that time.
 func TestCallsComeBeforeTheMaximumAge(t *testing.T) {
 	for _, n := range []int{9, 80, 100_000} {
 		for seed := range uint64(20) {
 			p := New(rand.New(rand.NewPCG(seed, 1)), n, 10*time.Second)
 			p.Start(0)
-			last, answer, within := time.Duration(0), time.Duration(-1), 10*time.Second
-			for now := time.Duration(0); now < 5*time.Minute; now += 100 * ms { // an idle balancer is woken no more often
-				if answer >= 0 && now >= answer {
-					answer, within = -1, 40*time.Second
+			lastCall, answerAt, within := time.Duration(0), time.Duration(-1), 10*time.Second
+			for now := time.Duration(0); now < 5*time.Minute; now += 100 * ms { // idle balancers are woken every 100 ms
+				if answerAt >= 0 && now >= answerAt {
+					answerAt, within = -1, 40*time.Second
 					p.Failed(now)
 				}
 				if p.Due(now) {
-					last, answer = now, now+900*ms
+					lastCall, answerAt = now, now+900*ms
 				}
-				if now-last > within {
-					t.Fatalf("%d balancers, seed %d: none asked from %v to %v", n, seed, last, now)
+				if now-lastCall > within {
+					t.Fatalf("%d balancers, seed %d: no call from %v to %v", n, seed, lastCall, now)
 				}
 			}
 		}
 	}
 }
 
-// A balancer that knows no server asks at once; a service that fails sees fewer and fewer calls, but some.
+// After AskNow a call is due at once. A service that fails receives calls at a falling rate, which does not fall to
+// zero.
 func TestAskNowIsDueAtOnceAndFailuresSpaceCalls(t *testing.T) {
 	p := New(rand.New(rand.NewPCG(1, 2)), 80, 0)
 	p.Start(time.Hour)
 	p.AskNow(time.Hour)
 	if !p.Due(time.Hour) {
-		t.Fatal("does not ask although no server is known")
+		t.Fatal("no call is due after AskNow")
 	}
 	calls := 0
 	for now := time.Hour; now < time.Hour+10*time.Minute; now += step {
@@ -133,6 +136,6 @@
 		}
 	}
 	if calls < 10 || calls > 60 {
-		t.Fatalf("%d calls in ten minutes of failures", calls)
+		t.Fatalf("%d calls in ten minutes of failures, want 10 to 60", calls)
 	}
 }
