--- a/internal/proxy/keyedqueue/keyedqueue.go
+++ b/internal/proxy/keyedqueue/keyedqueue.go
@@ -1,5 +1,3 @@
-// Package keyedqueue has the requests of one key run one at a time, in order of arrival: each begins when the previous
-// one has ended and none of its attempts may still be running.
 package keyedqueue
 
 import (
@@ -8,19 +6,20 @@
 	"time"
 )
 
-// Queue holds the requests of one key. A nil Queue is that of a request without a key, which is always first.
+// Queue holds the open requests of one key, in order of arrival. A request without a key has a nil Queue, whose methods
+// treat the request as the first and never blocked.
 type Queue[R comparable] struct {
-	waiting      []R
-	blockedUntil time.Duration // until then an attempt may still be running
+	open         []R
+	blockedUntil time.Duration // an attempt may still be running before this time
 }
 
-// IsFirst says whether a request is the first of its key.
-func (q *Queue[R]) IsFirst(r R) bool { return q == nil || q.waiting[0] == r }
+// IsFirst reports whether a request is the first of its key.
+func (q *Queue[R]) IsFirst(r R) bool { return q == nil || q.open[0] == r }
 
-// IsBlocked says whether an attempt of an earlier request may still be running.
+// IsBlocked reports whether an attempt of an earlier request of the key may still be running.
 func (q *Queue[R]) IsBlocked(now time.Duration) bool { return q != nil && now < q.blockedUntil }
 
-// BlockUntil notes that an attempt may be running until then.
+// BlockUntil records that an attempt may be running until the given time.
 func (q *Queue[R]) BlockUntil(until time.Duration) {
 	if q != nil {
 		q.blockedUntil = max(q.blockedUntil, until)
@@ -30,24 +29,25 @@
 // Remove removes a request that has ended.
 func (q *Queue[R]) Remove(r R) {
 	if q != nil {
-		i := slices.Index(q.waiting, r)
-		q.waiting = slices.Delete(q.waiting, i, i+1)
+		i := slices.Index(q.open, r)
+		q.open = slices.Delete(q.open, i, i+1)
 	}
 }
 
-// Queues are the queues by key.
+// Queues holds the queue of each key.
 type Queues[R comparable] map[uint64]*Queue[R]
 
-// Add appends a request to its key's queue. Now and then it drops empty queues; open is the number of open requests.
-func (all Queues[R]) Add(now time.Duration, key uint64, r R, open int) *Queue[R] {
-	if len(all) > 64+2*open {
-		maps.DeleteFunc(all, func(_ uint64, q *Queue[R]) bool { return len(q.waiting) == 0 && now >= q.blockedUntil })
+// Add appends a request to its key's queue and returns the queue. openRequests is the number of open requests of all
+// keys: if there are many more queues than that, Add first removes the queues that are empty and not blocked.
+func (all Queues[R]) Add(now time.Duration, key uint64, r R, openRequests int) *Queue[R] {
+	if len(all) > 64+2*openRequests {
+		maps.DeleteFunc(all, func(_ uint64, q *Queue[R]) bool { return len(q.open) == 0 && now >= q.blockedUntil })
 	}
 	q := all[key]
 	if q == nil {
 		q = new(Queue[R])
 		all[key] = q
 	}
-	q.waiting = append(q.waiting, r)
+	q.open = append(q.open, r)
 	return q
 }
