--- a/internal/proxy/sizing/sizing.go
+++ b/internal/proxy/sizing/sizing.go
@@ -1,23 +1,23 @@
-// Package sizing computes how many attempts each balancer of a fleet, and each tenant in it, may have in flight.
+// Package sizing computes the limits on the attempts in flight of each balancer of a fleet, and of each of its tenants.
 package sizing
 
 import "math"
 
 const (
-	// Spread is how many standard deviations of a count a compartment is larger than its mean.
+	// Spread is the margin of a compartment above its mean number of attempts, in standard deviations of that number.
 	Spread         = 2.0
-	queueSlotShare = 0.15 // queue slots for each slot: just enough to keep the slots in use
+	queueSlotShare = 0.15 // queue slots for each slot: enough that a slot which becomes free is used at once
 )
 
-// Compartment is how many attempts one tenant may have in flight at a balancer, and how many requests may wait.
+// Compartment limits the attempts of one tenant in flight at a balancer (Slots), and its waiting requests (QueueSlots).
 type Compartment struct {
 	Share             float64
 	Slots, QueueSlots int
 }
 
-// Compartments divides by shares the mean attempts in flight of n balancers. Each balancer gets the largest of n random
-// parts (ln n + 0.58 even ones), and Spread standard deviations. fixed slots replace that unless 0. queue is how many
-// requests may wait; negative: derived from the slots. Where the shares add up to less than whole, the rest is unused.
+// Compartments divides the mean attempts in flight of n balancers by shares. Each balancer gets the largest of n random
+// parts (ln n + 0.58 even parts) and Spread standard deviations; fixed slots, unless 0, replace both. queue is how many
+// requests may wait; if negative, the slots determine that. Shares that add up to less than whole leave a rest.
 func Compartments(mean float64, n, fixed, queue int, whole float64, shares []float64) (all []Compartment, slots int) {
 	total, spread := mean*min(1, (math.Log(float64(n))+0.58)/float64(n)), Spread
 	if fixed > 0 {
