--- a/internal/proxy/ratemeter/ratemeter.go
+++ b/internal/proxy/ratemeter/ratemeter.go
@@ -1,4 +1,4 @@
-// Package ratemeter measures the recent rate of events. It does no I/O; time is passed in.
+// Package ratemeter measures the recent rate of events. It performs no I/O; callers pass in the time.
 package ratemeter
 
 import (
@@ -6,12 +6,13 @@
 	"time"
 )
 
-// Meter counts events, which fade over Window. It is used from one goroutine. Recent tells for how long it has
-// counted, as no event in no time is not the same as no event in ten seconds.
+// Meter counts events. The count decays exponentially, with Window as time constant. Recent also returns the time over
+// which events were counted, because no event in a very short time says less than no event in ten seconds. A Meter is
+// used from one goroutine.
 type Meter struct {
 	Window time.Duration
 
-	count, seconds float64 // events, and the time in which they were counted; both fade
+	count, seconds float64 // events, and the time over which they were counted; both decay
 	updatedAt      time.Duration
 }
 
@@ -21,20 +22,21 @@
 	m.count++
 }
 
-// Recent returns the number of recent events, and the seconds in which they were counted.
+// Recent returns the decayed number of events, and the time over which they were counted, at most Window. The rate is
+// the quotient of the two.
 func (m *Meter) Recent(now time.Duration) (count, seconds float64) {
 	m.decay(now)
 	return m.count, m.seconds
 }
 
-// decay has the counts fade up to now. The first call begins the measurement.
+// decay updates count and seconds for the time since the last update. The first call starts the measurement.
 func (m *Meter) decay(now time.Duration) {
 	if m.updatedAt == 0 {
 		m.updatedAt = now
 	}
 	window := m.Window.Seconds()
-	kept := math.Exp(-max(0, now-m.updatedAt).Seconds() / window)
-	m.count *= kept
-	m.seconds = window - (window-m.seconds)*kept
+	factor := math.Exp(-max(0, now-m.updatedAt).Seconds() / window)
+	m.count *= factor
+	m.seconds = window - (window-m.seconds)*factor
 	m.updatedAt = now
 }
