--- a/internal/proxy/route/route_test.go
+++ b/internal/proxy/route/route_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-var twoPools = Pools{"ledger": {"reading", "entry"}, "meters": {"reading", "meter"}}
+var testPools = Pools{"ledger": {"reading", "entry"}, "meters": {"reading", "meter"}}
 
 func TestHostIsNormalizedOrRejected(t *testing.T) {
 	for value, want := range map[string]string{
@@ -16,16 +16,16 @@
 		"[::1]": "::1", "[0:0::0:1]:80": "::1", "127.0.0.1:9": "127.0.0.1", "a:": "a",
 	} {
 		if got, err := Host(value); err != nil || got != want {
-			t.Errorf("%q is %q, %v, want %q", value, got, err, want)
+			t.Errorf("host %q is normalized to %q, error %v, want %q", value, got, err, want)
 		}
 	}
 	for _, value := range []string{
 		"", ".", ":80", "a..b", ".a", "a b", "a/b", "a:b", "a:123456", "::1", "[::1", "[::1]x", "[fe80::1%25eth0]",
 		"[127.0.0.1]", "a@b", "a,b",
-		"a\x00", "é.example.org", strings.Repeat("a", maxHost+1), "a:80:80", "[::1]:x",
+		"a\x00", "é.example.org", strings.Repeat("a", maxHostLength+1), "a:80:80", "[::1]:x",
 	} {
 		if got, err := Host(value); err == nil {
-			t.Errorf("%q was read as %q", value, got)
+			t.Errorf("host %q is normalized to %q, want an error", value, got)
 		}
 	}
 }
@@ -36,22 +36,22 @@
 		"/a%c3%A9": "/a%C3%A9", "/...": "/...", "/.a": "/.a", "/a%3fb": "/a%3Fb",
 	} {
 		if got, err := Path(raw); err != nil || got != want {
-			t.Errorf("%q is %q, %v, want %q", raw, got, err, want)
+			t.Errorf("path %q is normalized to %q, error %v, want %q", raw, got, err, want)
 		}
 	}
 	for _, raw := range []string{
 		"", "a", "//", "//a", "/a//b", "/a//", "/.", "/..", "/a/./b", "/a/../b", "/a/..", "/a/.", "/%2e%2E/b",
 		"/.%2e", "/a%2fb", "/a%5cb", "/a\\b", "/a%00",
-		"/%", "/%2", "/%zz", "/%252e", "/" + strings.Repeat("a", maxPath),
+		"/%", "/%2", "/%zz", "/%252e", "/" + strings.Repeat("a", maxPathLength),
 	} {
 		if got, err := Path(raw); err == nil {
-			t.Errorf("%q was read as %q", raw, got)
+			t.Errorf("path %q is normalized to %q, want an error", raw, got)
 		}
 	}
 }
 
-// The most specific rule wins, whatever the order of the rules.
-func TestMostSpecificRuleWins(t *testing.T) {
+// The most specific rule applies, regardless of the order of the rules.
+func TestMostSpecificRuleApplies(t *testing.T) {
 	rules := []Rule{
 		{Pool: "ledger"},
 		{Pool: "meters", Host: "meters.example.org"},
@@ -87,26 +87,26 @@
 	} {
 		for range 5 {
 			rand.Shuffle(len(rules), func(i, j int) { rules[i], rules[j] = rules[j], rules[i] })
-			table, err := Compile(rules, twoPools)
+			table, err := Compile(rules, testPools)
 			if err != nil {
 				t.Fatal(err)
 			}
 			if r := table.Match(c.q); r == nil || r.Line != c.line {
-				t.Errorf("%+v takes %v, want line %d", c.q, r, c.line)
+				t.Errorf("%+v matches rule %v, want the rule of line %d", c.q, r, c.line)
 			}
 		}
 	}
-	table, err := Compile(rules[:0], twoPools)
+	table, err := Compile(rules[:0], testPools)
 	if err != nil || table.Match(Request{"a", "/entry", "GET", "entry"}) != nil {
-		t.Errorf("a table of no rules: %v", err)
+		t.Errorf("Compile of no rules returns error %v, or the empty table matches a request", err)
 	}
 }
 
-// Rules that can't be used are errors that name their line.
+// Compile rejects unusable rules with errors that name the line of the rule.
 func TestUnusableRulesAreErrorsWithTheirLine(t *testing.T) {
 	for name, c := range map[string]struct {
-		rules []Rule
-		says  string
+		rules    []Rule
+		wantText string
 	}{
 		"unknown pool": {[]Rule{{Line: 3, Pool: "no"}}, "no pool"},
 		"tie": {[]Rule{
@@ -120,25 +120,25 @@
 		"method":            {[]Rule{{Line: 3, Pool: "ledger", Method: "PUT"}}, "never match"},
 		"class":             {[]Rule{{Line: 3, Pool: "ledger", Class: "meter"}}, "never match"},
 		"class and path":    {[]Rule{{Line: 3, Pool: "ledger", Class: "reading", Prefix: "/entry"}}, "never match"},
-		"path of no class":  {[]Rule{{Line: 3, Pool: "ledger", Prefix: "/meter"}}, "never match"},
+		"class not in pool": {[]Rule{{Line: 3, Pool: "ledger", Prefix: "/meter"}}, "never match"},
 		"host with port":    {[]Rule{{Line: 3, Pool: "ledger", Host: "a.org:80"}}, "no port"},
-		"host of no form":   {[]Rule{{Line: 3, Pool: "ledger", Host: "a b"}}, "host"},
-		"star in the midst": {[]Rule{{Line: 3, Pool: "ledger", Host: "a.*.org"}}, "host"},
+		"malformed host":    {[]Rule{{Line: 3, Pool: "ledger", Host: "a b"}}, "host"},
+		"inner wildcard":    {[]Rule{{Line: 3, Pool: "ledger", Host: "a.*.org"}}, "host"},
 		"deep":              {[]Rule{{Line: 3, Pool: "ledger", Path: "/entry" + strings.Repeat("/a", maxDepth)}}, "segments"},
 		"all methods taken": {[]Rule{
 			{Line: 1, Pool: "ledger", Method: "GET"}, {Line: 2, Pool: "ledger", Method: "POST"},
 			{Line: 3, Pool: "meters"},
 		}, "more specific"},
 	} {
-		_, err := Compile(c.rules, twoPools)
-		if err == nil || !strings.Contains(err.Error(), c.says) || !strings.Contains(err.Error(), "line 3") {
-			t.Errorf("%s: error %v, want one that says %q and names line 3", name, err, c.says)
+		_, err := Compile(c.rules, testPools)
+		if err == nil || !strings.Contains(err.Error(), c.wantText) || !strings.Contains(err.Error(), "line 3") {
+			t.Errorf("%s: error %v, want an error that contains %q and names line 3", name, err, c.wantText)
 		}
 	}
 }
 
-// oracle is the simplest implementation of Match: of all rules that match, the best in the documented order.
-func oracle(rules []Rule, q Request) *Rule {
+// referenceMatch is the simplest implementation of Match: it compares all rules that match, in the documented order.
+func referenceMatch(rules []Rule, q Request) *Rule {
 	var best *Rule
 	var bestKey []int
 	for i := range rules {
@@ -179,14 +179,15 @@
 			}
 			key[3] = 1
 		}
-		if best == nil || less(bestKey, key) {
+		if best == nil || isLess(bestKey, key) {
 			best, bestKey = r, key
 		}
 	}
 	return best
 }
 
-func less(a, b []int) bool {
+// isLess reports whether a precedes b in lexicographic order.
+func isLess(a, b []int) bool {
 	for i := range a {
 		if a[i] != b[i] {
 			return a[i] < b[i]
@@ -195,8 +196,8 @@
 	return false
 }
 
-// FuzzMatch draws a table and requests from a seed, and a host and path from the fuzzer, and holds Match against the
-// plain second implementation.
+// FuzzMatch compares Match with referenceMatch. The fuzzer provides a seed, from which the test generates a table and
+// requests, and one more host and path.
 func FuzzMatch(f *testing.F) {
 	for seed := range uint64(20) {
 		f.Add(seed, "a.b.org", "/reading/a/b")
@@ -205,30 +206,30 @@
 	f.Add(uint64(8), "A.B.ORG.", "/reading/%2e%2e/x")
 	f.Fuzz(func(t *testing.T, seed uint64, hostText, pathText string) {
 		rng := rand.New(rand.NewPCG(seed, 0))
-		pick := func(of ...string) string { return of[rng.IntN(len(of))] }
+		pickOne := func(of ...string) string { return of[rng.IntN(len(of))] }
 		var rules []Rule
 		for line := range 1 + rng.IntN(30) {
 			r := Rule{
-				Line: line, Pool: pick("ledger", "meters"),
-				Host: pick("", "a.org", "b.org", "*.org", "*.b.org", "a.b.org", "*.a.b.org"),
+				Line: line, Pool: pickOne("ledger", "meters"),
+				Host: pickOne("", "a.org", "b.org", "*.org", "*.b.org", "a.b.org", "*.a.b.org"),
 			}
-			first := pick("reading", pick(twoPools[r.Pool]...))
-			path := "/" + first + pick("", "/a", "/a/b", "/a/b/c", "/b")
+			first := pickOne("reading", pickOne(testPools[r.Pool]...))
+			path := "/" + first + pickOne("", "/a", "/a/b", "/a/b/c", "/b")
 			switch rng.IntN(3) {
 			case 0:
-				r.Path = path + pick("", "/")
+				r.Path = path + pickOne("", "/")
 			case 1:
 				r.Prefix = path
 			}
-			r.Method = pick("", "", "GET", "POST")
+			r.Method = pickOne("", "", "GET", "POST")
 			if rng.IntN(3) == 0 {
 				r.Class = first
 			}
-			if _, err := Compile(append(rules[:len(rules):len(rules)], r), twoPools); err == nil {
+			if _, err := Compile(append(rules[:len(rules):len(rules)], r), testPools); err == nil {
 				rules = append(rules, r)
 			}
 		}
-		table, err := Compile(rules, twoPools)
+		table, err := Compile(rules, testPools)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -240,11 +241,11 @@
 		if p, err := Path(pathText); err == nil {
 			paths = append(paths, p)
 			if again, err := Path(p); err != nil || again != p {
-				t.Errorf("%q is %q, and that is %q, %v", pathText, p, again, err)
+				t.Errorf("path %q is normalized to %q, and that to %q, error %v; want no further change", pathText, p, again, err)
 			}
 			for _, part := range strings.Split(strings.TrimSuffix(p[1:], "/"), "/") {
 				if part == "." || part == ".." || strings.Contains(part, "\\") || part == "" && p != "/" {
-					t.Errorf("%q passed as %q", pathText, p)
+					t.Errorf("path %q is normalized to %q, want an error", pathText, p)
 				}
 			}
 		}
@@ -253,9 +254,9 @@
 				for _, method := range Methods {
 					class, _, _ := strings.Cut(path[1:], "/")
 					q := Request{host, path, method, class}
-					got, want := table.Match(q), oracle(rules, q)
+					got, want := table.Match(q), referenceMatch(rules, q)
 					if (got == nil) != (want == nil) || got != nil && got.Line != want.Line {
-						t.Errorf("seed %d: %+v takes %v, want %v", seed, q, got, want)
+						t.Errorf("seed %d: %+v matches rule %v, want %v", seed, q, got, want)
 					}
 				}
 			}
@@ -270,7 +271,7 @@
 			for i := range n {
 				rules = append(rules, Rule{Line: i, Pool: "ledger", Host: fmt.Sprintf("h%d.example.org", i), Prefix: "/reading"})
 			}
-			table, err := Compile(rules, twoPools)
+			table, err := Compile(rules, testPools)
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -278,7 +279,7 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				if table.Match(q) == nil {
-					b.Fatal("no rule")
+					b.Fatal("no rule matches the request")
 				}
 			}
 		})
--- a/internal/proxy/route/rule.go
+++ b/internal/proxy/route/rule.go
@@ -6,19 +6,20 @@
 	"strings"
 )
 
-// Rule says which requests go to a pool. An empty field matches everything. Of all rules that match a request
-// the most specific one applies, whatever their order in the file; see Compile.
+// Rule is a routing rule: requests that match all its conditions go to a pool. An empty condition matches every
+// request. Of all rules that match a request the most specific rule applies, regardless of their order in the file;
+// see Compile.
 type Rule struct {
-	Line   int    // in the operator's file, for errors
-	Host   string // a name, or "*." and a name for all that end in it (not that name itself)
-	Path   string // exactly this path
-	Prefix string // this path and all below it: whole segments
+	Line   int    // line of the rule in the operator's file, for errors
+	Host   string // host name, or "*." and a name: all hosts that end in "." and that name
+	Path   string // the whole path
+	Prefix string // first segments of the path, or all of them
 	Method string
 	Class  string
 	Pool   string
 }
 
-// String returns the conditions of a rule, for errors.
+// String returns the conditions of a rule, for errors and explanations.
 func (r *Rule) String() string {
 	var conditions []string
 	for _, field := range []struct{ name, value string }{
@@ -34,13 +35,14 @@
 	return strings.Join(conditions, ", ")
 }
 
-// Methods are the methods that requests may have.
+// Methods lists the methods that requests may have.
 var Methods = []string{"GET", "POST"}
 
-// Pools maps the name of each pool to the classes that its requests can have.
+// Pools maps the name of each pool to the classes that its requests may have.
 type Pools map[string][]string
 
-// precedence orders the rules of one host and path: those with a method first, then those with a class.
+// precedence returns the sort key of a rule among the rules of one host and path. Rules with a method come first; among
+// rules that are equal in that, rules with a class come first.
 func precedence(r *Rule) int {
 	n := 0
 	if r.Method == "" {
@@ -52,14 +54,14 @@
 	return n
 }
 
-// normalize brings a rule into the normal form, or returns why it is unusable or can never match.
+// normalize converts a rule to the normal form. It returns an error if the rule is unusable or can never match.
 func (r *Rule) normalize(pools Pools) error {
 	classes, known := pools[r.Pool]
 	if !known {
 		return fmt.Errorf("there is no pool of that name")
 	}
 	if r.Path != "" && r.Prefix != "" {
-		return fmt.Errorf("it has both path and prefix")
+		return fmt.Errorf("the rule has both path and prefix, want at most one")
 	}
 	if err := r.normalizeHost(); err != nil {
 		return err
@@ -71,19 +73,19 @@
 	}
 	r.Prefix = strings.TrimSuffix(r.Prefix, "/")
 	if r.Method != "" && !slices.Contains(Methods, r.Method) {
-		return fmt.Errorf("method %q can never match: requests come with %s", r.Method, strings.Join(Methods, " or "))
+		return fmt.Errorf("method %q can never match: requests have the method %s", r.Method, strings.Join(Methods, " or "))
 	}
 	return r.checkClass(classes)
 }
 
-// normalizeHost brings the rule's host, with or without a wildcard, into the normal form.
+// normalizeHost converts the rule's host, with or without a wildcard, to the normal form.
 func (r *Rule) normalizeHost() error {
 	if r.Host == "" {
 		return nil
 	}
 	name, wildcard := strings.CutPrefix(r.Host, "*.")
 	if strings.Contains(name, ":") && !strings.HasPrefix(name, "[") {
-		return fmt.Errorf("host %q: rules have no port, and an IPv6 literal stands in brackets", r.Host)
+		return fmt.Errorf("host %q: want no port, and an IPv6 literal in brackets", r.Host)
 	}
 	host, err := Host(name)
 	if err != nil {
@@ -96,7 +98,7 @@
 	return nil
 }
 
-// normalizePath brings a rule's path or prefix into the normal form; "" stays.
+// normalizePath converts a rule's path or prefix to the normal form. An empty path stays empty.
 func normalizePath(path *string) error {
 	if *path == "" {
 		return nil
@@ -112,11 +114,11 @@
 	return nil
 }
 
-// checkClass returns an error if the rule's class and path can't belong to a request of its pool, whose classes
-// these are. The first segment of a request's path is its class.
+// checkClass returns an error if no request of the rule's pool can have the rule's class and path. classes are the
+// classes of that pool. The first segment of a request's path is the request's class.
 func (r *Rule) checkClass(classes []string) error {
 	if r.Class != "" && !slices.Contains(classes, r.Class) {
-		return fmt.Errorf("class %q can never match: it is none of that pool's (%s)", r.Class, strings.Join(classes, ", "))
+		return fmt.Errorf("class %q can never match: the classes of the pool are %s", r.Class, strings.Join(classes, ", "))
 	}
 	path := r.Path + r.Prefix
 	first := FirstSegment(path)
@@ -124,17 +126,17 @@
 		return nil
 	}
 	if r.Class != "" && r.Class != first {
-		return fmt.Errorf("it can never match: paths of class %q begin with /%s, not /%s", r.Class, r.Class, first)
+		return fmt.Errorf("the rule can never match: paths of class %q begin with /%s, not /%s", r.Class, r.Class, first)
 	}
 	if !slices.Contains(classes, first) {
-		return fmt.Errorf("path %q can never match: %q, its first part, is no class of that pool (%s)",
+		return fmt.Errorf("path %q can never match: its first segment %q is not one of the pool's classes, %s",
 			path, first, strings.Join(classes, ", "))
 	}
 	return nil
 }
 
-// checkReachable returns an error if one of the rules of a host and path, in order of precedence, can never match
-// since those before it match all of its requests.
+// checkReachable returns an error if one of the rules of a host and path can never match, because the rules before it
+// match all requests that it matches. The rules are in order of precedence.
 func checkReachable(rules []*Rule) error {
 	for i, r := range rules {
 		covered := 0
@@ -150,7 +152,7 @@
 			}
 		}
 		if covered == len(Methods) {
-			return fmt.Errorf("line %d: route to %q: it can never match: more specific rules take all of %v",
+			return fmt.Errorf("line %d: route to %q: it can never match: more specific rules match all requests for %v",
 				r.Line, r.Pool, r)
 		}
 	}
--- a/internal/proxy/route/table.go
+++ b/internal/proxy/route/table.go
@@ -6,44 +6,47 @@
 	"strings"
 )
 
-// Bounds of a table.
+// Limits on a table.
 const (
 	maxRules = 10_000
-	maxDepth = 32 // segments of a rule's path: bounds the look-ups for a request
+	maxDepth = 32 // segments of a rule's path or prefix; it limits the look-ups for a request
 )
 
-// Table is a compiled set of rules. It is immutable and safe for concurrent use.
+// Table is a compiled set of routing rules. It is immutable and safe for concurrent use.
 type Table struct {
-	exact           map[string]*pathRules // by host
-	suffix          map[string]*pathRules // of wildcards, by the text after "*."
-	anyHost         *pathRules            // nil: no rule is without a host
-	maxSuffixLabels int                   // labels of the longest key of suffix
+	exact           map[string]*pathRules // by host name
+	suffix          map[string]*pathRules // wildcards, by the text after "*."
+	anyHost         *pathRules            // rules without a host; nil: there are none
+	maxSuffixLabels int                   // number of labels of the longest key of suffix
 }
 
 // pathRules are the rules of one host pattern.
 type pathRules struct {
 	exact             map[string][]*Rule
-	prefix            map[string][]*Rule // "" matches every path
-	maxPrefixSegments int                // segments of the longest prefix
+	prefix            map[string][]*Rule // the key "" matches every path
+	maxPrefixSegments int                // number of segments of the longest prefix
 	hasExact          bool
 }
 
-// Compile checks rules and returns a table of them. The most specific rule wins, by the first of these that
-// two rules differ in: an exact host over a wildcard, a longer wildcard over a shorter one, any wildcard
-// over no host; an exact path over a prefix, a longer prefix over a shorter one, any prefix over no path;
-// a method over none; a class over none. Errors name the line: two rules that tie, a rule that can never
-// match, an unknown pool.
+// Compile validates rules and returns a table of them. Of all rules that match a request the most specific rule
+// applies. The first difference of two rules in this order decides which is more specific:
+//   - host: an exact host before a wildcard, a longer wildcard before a shorter one, a wildcard before no host;
+//   - path: an exact path before a prefix, a longer prefix before a shorter one, a prefix before no path;
+//   - method: a method before no method;
+//   - class: a class before no class.
+//
+// Two rules that tie, a rule that can never match and an unknown pool are errors, which name the rule's line.
 func Compile(rules []Rule, pools Pools) (*Table, error) {
 	if len(rules) > maxRules {
-		return nil, fmt.Errorf("routes: %d rules, %d at most", len(rules), maxRules)
+		return nil, fmt.Errorf("routes: %d rules, want at most %d", len(rules), maxRules)
 	}
 	t := &Table{exact: make(map[string]*pathRules), suffix: make(map[string]*pathRules)}
 	for i := range rules {
-		r := rules[i] // a copy, to be normalized
+		r := rules[i] // normalize changes the copy
 		if err := r.normalize(pools); err != nil {
 			return nil, fmt.Errorf("line %d: route to %q: %w", r.Line, r.Pool, err)
 		}
-		p := t.rulesOf(r.Host)
+		p := t.rulesFor(r.Host)
 		list, key := p.exact, r.Path
 		if r.Path == "" {
 			list, key = p.prefix, r.Prefix
@@ -53,7 +56,7 @@
 		}
 		for _, other := range list[key] {
 			if other.Method == r.Method && other.Class == r.Class {
-				return nil, fmt.Errorf("line %d: route to %q: it ties with line %d, to %q: both are for %v",
+				return nil, fmt.Errorf("line %d: route to %q: it ties with line %d, to %q: both match %v",
 					r.Line, r.Pool, other.Line, other.Pool, &r)
 			}
 		}
@@ -70,34 +73,34 @@
 	return t, nil
 }
 
-// newPathRules makes an empty set.
+// newPathRules returns an empty set of rules.
 func newPathRules() *pathRules {
 	return &pathRules{exact: make(map[string][]*Rule), prefix: make(map[string][]*Rule)}
 }
 
-// rulesOf returns the rules of a host pattern, a new set where there is none yet.
-func (t *Table) rulesOf(pattern string) *pathRules {
+// rulesFor returns the rules of a host pattern, which it adds to the table if needed.
+func (t *Table) rulesFor(pattern string) *pathRules {
 	if pattern == "" {
 		if t.anyHost == nil {
 			t.anyHost = newPathRules()
 		}
 		return t.anyHost
 	}
-	in := t.exact
+	byHost := t.exact
 	if name, wild := strings.CutPrefix(pattern, "*."); wild {
-		in, pattern = t.suffix, name
+		byHost, pattern = t.suffix, name
 		t.maxSuffixLabels = max(t.maxSuffixLabels, strings.Count(name, ".")+1)
 	}
-	if in[pattern] == nil {
-		in[pattern] = newPathRules()
+	if byHost[pattern] == nil {
+		byHost[pattern] = newPathRules()
 	}
-	return in[pattern]
+	return byHost[pattern]
 }
 
-// allHosts returns the rules of all host patterns, in no order.
+// allHosts returns the rules of all host patterns, in no particular order.
 func (t *Table) allHosts() (all []*pathRules) {
-	for _, in := range []map[string]*pathRules{t.exact, t.suffix} {
-		for _, p := range in {
+	for _, byHost := range []map[string]*pathRules{t.exact, t.suffix} {
+		for _, p := range byHost {
 			all = append(all, p)
 		}
 	}
@@ -107,10 +110,10 @@
 	return all
 }
 
-// ruleLists returns the rules of each path and prefix, in no order of these.
+// ruleLists returns one list of rules for each path and prefix, in no particular order.
 func (p *pathRules) ruleLists() (lists [][]*Rule) {
-	for _, in := range []map[string][]*Rule{p.exact, p.prefix} {
-		for _, list := range in {
+	for _, byPath := range []map[string][]*Rule{p.exact, p.prefix} {
+		for _, list := range byPath {
 			lists = append(lists, list)
 		}
 	}
--- a/internal/proxy/route/target.go
+++ b/internal/proxy/route/target.go
@@ -1,5 +1,6 @@
-// Package route finds the pool of a request by rules on its host, path, method and class. Rules are compiled once
-// into an immutable Table; a request then costs a bounded number of look-ups. The package does no I/O.
+// Package route selects the pool of a request by rules on the request's host, path, method and class. Rules are
+// compiled once into an immutable Table, which needs a bounded number of look-ups for a request. The package performs
+// no I/O.
 package route
 
 import (
@@ -8,18 +9,18 @@
 	"strings"
 )
 
-// Bounds of hosts (RFC 1035, 2.3.4) and paths, in bytes; longer ones are errors.
+// Maximum lengths of hosts (RFC 1035, 2.3.4) and paths, in bytes. Longer hosts and paths are rejected.
 const (
-	maxHost = 253
-	maxPath = 8 << 10
+	maxHostLength = 253
+	maxPathLength = 8 << 10
 )
 
-// NewRequest returns the fields of a request that its route depends on, or an error that says why they are
+// NewRequest returns the fields of a request that rules match, in normal form. It returns an error if one of them is
 // ambiguous or malformed.
 func NewRequest(hostField, target, method, class string) (Request, error) {
-	// A target with a scheme and host may disagree with the Host field, and servers differ in which they use.
+	// The host of an absolute-form target may differ from the Host header, and servers differ in which host they use.
 	if !strings.HasPrefix(target, "/") {
-		return Request{}, errors.New("the target is no path")
+		return Request{}, errors.New("request target does not begin with a slash")
 	}
 	host, err := Host(hostField)
 	if err != nil {
@@ -33,33 +34,33 @@
 	return Request{Host: host, Path: path, Method: method, Class: class}, nil
 }
 
-// FirstSegment returns the first segment of a path, where the protocol has a request's class.
+// FirstSegment returns the first segment of a path. In the protocol it is the request's class.
 func FirstSegment(path string) string {
 	first, _, _ := strings.Cut(strings.TrimPrefix(path, "/"), "/")
 	return first
 }
 
-// Host brings a Host header's value into the normal form that rules use: lower case, without port and trailing
-// dot; an IPv6 literal without its brackets, in its canonical text (RFC 9110, 7.2; RFC 3986, 3.2.2).
+// Host converts the value of a Host header to the normal form that rules use: in lower case, without port and trailing
+// dot; an IPv6 literal in its canonical form, without brackets (RFC 9110, 7.2; RFC 3986, 3.2.2).
 func Host(value string) (string, error) {
 	host := value
 	if rest, bracketed := strings.CutPrefix(host, "["); bracketed {
 		literal, port, closed := strings.Cut(rest, "]")
 		address, err := netip.ParseAddr(literal)
 		if !closed || err != nil || !address.Is6() || address.Zone() != "" || !isPort(port) {
-			return "", errors.New("the host is no IPv6 literal with a port or none")
+			return "", errors.New("host begins with a bracket but is not an IPv6 literal with an optional port")
 		}
 		return address.String(), nil
 	}
 	if i := strings.IndexByte(host, ':'); i >= 0 {
 		if !isPort(host[i:]) {
-			return "", errors.New("the host's port is no number")
+			return "", errors.New("port of the host is not a number of at most 5 digits")
 		}
 		host = host[:i]
 	}
 	host = strings.TrimSuffix(host, ".")
-	if host == "" || len(host) > maxHost {
-		return "", errors.New("the host is empty or too long")
+	if host == "" || len(host) > maxHostLength {
+		return "", errors.New("host is empty or longer than 253 bytes")
 	}
 	lower := false
 	for i := range len(host) {
@@ -69,7 +70,7 @@
 			lower = true
 		case c == '.' && i > 0 && host[i-1] != '.':
 		default:
-			return "", errors.New("the host holds what no name does")
+			return "", errors.New("host contains a character that is not allowed in a host name, or an empty label")
 		}
 	}
 	if lower {
@@ -78,7 +79,7 @@
 	return host, nil
 }
 
-// isPort says whether text is empty, or a colon and the digits of a port, which may be missing (RFC 3986, 3.2.3).
+// isPort reports whether text is empty, or a colon and at most 5 digits. There may be no digits (RFC 3986, 3.2.3).
 func isPort(text string) bool {
 	if text == "" {
 		return true
@@ -86,16 +87,16 @@
 	return text[0] == ':' && len(text) <= 6 && strings.Trim(text[1:], "0123456789") == ""
 }
 
-var errAmbiguousPath = errors.New("the path can be read in more than one way: a dot segment, an empty segment, " +
-	"a backslash, or an encoded slash, backslash or NUL")
+var errAmbiguousPath = errors.New("path is ambiguous: it contains a dot segment, an empty segment, a backslash, " +
+	"or an encoded slash, backslash, percent sign or NUL")
 
-// Path brings a request target's path, without the query, into the normal form that rules use: bytes that are
-// percent-encoded without need are decoded, once (RFC 3986, 6.2.2.2). A path that two parsers may read
-// differently is an error, so that no rule can be evaded: dot segments, empty segments before the last,
-// backslashes, and encoded slashes, backslashes, percent signs and NULs.
+// Path converts the path of a request target, without the query, to the normal form that rules use: unreserved bytes
+// that are percent-encoded are decoded, once (RFC 3986, 6.2.2.2). To prevent requests from evading a rule, Path rejects
+// paths that two parsers may read differently: dot segments, empty segments before the last segment, backslashes, and
+// encoded slashes, backslashes, percent signs and NULs.
 func Path(raw string) (string, error) {
-	if raw == "" || raw[0] != '/' || len(raw) > maxPath {
-		return "", errors.New("the path doesn't begin with a slash, or is too long")
+	if raw == "" || raw[0] != '/' || len(raw) > maxPathLength {
+		return "", errors.New("path does not begin with a slash, or is longer than 8192 bytes")
 	}
 	path := raw
 	if strings.IndexByte(raw, '%') >= 0 {
@@ -111,8 +112,8 @@
 	return path, nil
 }
 
-// decodeUnreserved decodes the percent-encoded bytes of a path that need no encoding, and writes the others in
-// upper case.
+// decodeUnreserved decodes the percent-encoded bytes of a path that are unreserved, and converts the hexadecimal
+// digits of the other encoded bytes to upper case.
 func decodeUnreserved(raw string) (string, error) {
 	var b strings.Builder
 	b.Grow(len(raw))
@@ -122,16 +123,16 @@
 			continue
 		}
 		if i+2 >= len(raw) {
-			return "", errors.New("the path ends in half an encoded byte")
+			return "", errors.New("path ends with an incomplete percent-encoded byte")
 		}
-		hi, lo := hex(raw[i+1]), hex(raw[i+2])
+		hi, lo := hexValue(raw[i+1]), hexValue(raw[i+2])
 		if hi < 0 || lo < 0 {
-			return "", errors.New("the path has a percent sign with no byte behind it")
+			return "", errors.New("path contains a percent sign that two hexadecimal digits do not follow")
 		}
 		switch c := byte(hi<<4 | lo); {
 		case c == '/' || c == '\\' || c == 0 || c == '%':
 			return "", errAmbiguousPath
-		case unreserved(c):
+		case isUnreserved(c):
 			b.WriteByte(c)
 		default:
 			b.WriteString("%" + strings.ToUpper(raw[i+1:i+3]))
@@ -141,7 +142,7 @@
 	return b.String(), nil
 }
 
-// checkSegments returns an error if a path has dot segments, empty segments before the last, or backslashes.
+// checkSegments returns an error if a path has dot segments, empty segments before the last segment, or backslashes.
 func checkSegments(path string) error {
 	for i := 0; i < len(path); {
 		end := strings.IndexByte(path[i+1:], '/')
@@ -158,8 +159,8 @@
 	return nil
 }
 
-// hex returns the value of a hexadecimal digit, or -1.
-func hex(c byte) int {
+// hexValue returns the value of a hexadecimal digit, or -1 for other bytes.
+func hexValue(c byte) int {
 	switch {
 	case '0' <= c && c <= '9':
 		return int(c - '0')
@@ -171,7 +172,7 @@
 	return -1
 }
 
-// unreserved says whether a byte never needs encoding (RFC 3986, 2.3).
-func unreserved(c byte) bool {
+// isUnreserved reports whether a byte is unreserved, so that it needs no encoding (RFC 3986, 2.3).
+func isUnreserved(c byte) bool {
 	return 'a' <= c && c <= 'z' || 'A' <= c && c <= 'Z' || '0' <= c && c <= '9' || strings.IndexByte("-._~", c) >= 0
 }
