--- a/internal/proxy/engine/abandoned.go
+++ b/internal/proxy/engine/abandoned.go
@@ -5,34 +5,34 @@
 	"time"
 )
 
-// AbandonGrace is how long after its client has left an attempt may take to end before it counts as
-// one that ran on. The operators' rule on work for clients that have left allows the same.
+// AbandonGrace is the time within which an attempt should end after its client has disconnected. Attempts that end
+// later are counted in Abandoned.RanOn. The operators' alert on work for disconnected clients allows the same time.
 const AbandonGrace = 500 * time.Millisecond
 
-// Abandoned counts the requests whose clients left before they had an answer, since the engine was made.
+// Abandoned counts the requests whose clients disconnected before the answer, since the engine was created.
 type Abandoned struct {
-	Requests int64 // all of them
-	InFlight int64 // attempts that were in flight when their client left
-	RanOn    int64 // of these attempts, those that ended later than AbandonGrace
+	Requests int64 // all such requests
+	InFlight int64 // attempts that were in flight when their client disconnected
+	RanOn    int64 // attempts of InFlight that ended more than AbandonGrace after that
 }
 
-// abandonedCounters are the counters behind Abandoned. Run's goroutine counts, any may read.
+// abandonedCounters holds the counters of Abandoned. The goroutine of Run updates them, any goroutine may read them.
 type abandonedCounters struct{ requests, inFlight, ranOn atomic.Int64 }
 
-// clientLeft counts a request whose client leaves while so many of its attempts are in flight.
-func (c *abandonedCounters) clientLeft(attempts int) {
+// clientDisconnected counts a request whose client disconnects while the given number of its attempts is in flight.
+func (c *abandonedCounters) clientDisconnected(attempts int) {
 	c.requests.Add(1)
 	c.inFlight.Add(int64(attempts))
 }
 
-// attemptEnded counts the end of an attempt, so long after its client has left.
+// attemptEnded counts an attempt that ends the given time after its client has disconnected.
 func (c *abandonedCounters) attemptEnded(after time.Duration) {
 	if after > AbandonGrace {
 		c.ranOn.Add(1)
 	}
 }
 
-// Abandoned returns the counts. It never blocks.
+// Abandoned returns the counts of abandoned requests. It does not block.
 func (e *Engine) Abandoned() Abandoned {
 	return Abandoned{
 		Requests: e.abandoned.requests.Load(),
--- a/internal/proxy/engine/engine.go
+++ b/internal/proxy/engine/engine.go
@@ -1,8 +1,8 @@
-// Package engine runs a policy.Balancer. It calls the Balancer from one goroutine, carries out what the
-// Balancer decides, and guarantees that each request gets exactly one final answer and the Balancer exactly
-// one Outcome for each attempt. It is independent of the protocol.
+// Package engine runs a decision module, usually a policy.Balancer. It calls the module from one goroutine and carries
+// out the module's decisions. It guarantees that each request gets exactly one final answer, and that the module gets
+// exactly one Outcome for each attempt. The package is independent of the protocol.
 //
-// Run is called once; all other exported methods of Engine may be called from any goroutine.
+// Run is called once. All other exported methods of Engine may be called from any goroutine.
 package engine
 
 import (
@@ -21,39 +21,39 @@
 
 const (
 	counterLogInterval = 10 * time.Second
-	eventQueue         = 256 // events that wait for Run before those who post them wait
+	eventQueueSize     = 256 // events that wait for Run before post blocks
 
-	// uploadRetryAfter is how long a client is told to wait before it sends a streamed body again.
+	// uploadRetryAfter is the delay that a client is told before it retries a request with a streamed body.
 	uploadRetryAfter = 200 * time.Millisecond
 )
 
-// Config is what an engine is made of.
+// Config holds the settings and dependencies of an engine.
 type Config struct {
 	Policy       policy.Config
 	Seed         uint64
 	Clock        clock.Clock
-	Transport    call.Transport // on the same clock
+	Transport    call.Transport // uses the same clock
 	Log          *slog.Logger
-	Watch        func() // subscribes to the server list; nil: it is pushed
-	NoCounterLog bool   // the counters are not logged
-	// SleepsWhenIdle says that the module sets no timers while no request is open, so that a long time
-	// between two events does not show that the process was stopped.
+	Watch        func() // subscribes to the server list; nil: the list is pushed without a subscription
+	NoCounterLog bool   // disables the periodic log line with the counters
+	// SleepsWhenIdle says that the module sets no timers while no request is open. A long time between two events then
+	// does not indicate that the process was suspended.
 	SleepsWhenIdle bool
 
-	// AttemptEnded is called with the end of each attempt, and must not block; nil: not called.
+	// AttemptEnded, if not nil, is called at the end of each attempt. It must not block.
 	AttemptEnded func(to policy.ServerID, end policy.Ending)
 
-	// CancelAbandonedUpload says whether the attempt that streams a request's body is cancelled when the
-	// request's client goes: the module has no say in it any more. nil: it is not.
+	// CancelAbandonedUpload reports whether the attempt that streams a request's body is cancelled when the request's
+	// client disconnects. The module cannot decide that, as the request has ended for it. nil: it is not cancelled.
 	CancelAbandonedUpload func(q policy.Request) bool
 
-	// Limits returns the limits that apply now; nil: those of Policy, for good. It is called before each
-	// event, so that a process that was stopped learns of a change before it decides anything, and must
-	// first hand over whatever else has to be applied by then. The value it returns must not change: the
-	// limits are applied again when the pointer is another.
+	// Limits returns the limits that apply now; nil: the limits of Policy apply permanently. It is called before each
+	// event, so that a process that was suspended applies a change before it decides anything. Before it returns, Limits
+	// must hand over everything else that has to be applied by then, such as a server list. The value that the returned
+	// pointer refers to must not change: the limits are applied again when the pointer changes.
 	Limits func() *policy.Limits
 
-	// Module makes the decision module; nil: policy.New. Recordings wrap it, for example.
+	// Module creates the decision module; nil: policy.New. Recordings, for example, wrap the module.
 	Module func(cfg policy.Config, seed uint64, host policy.Host) (Module, error)
 }
 
@@ -75,49 +75,48 @@
 	return policy.New(cfg, seed, host)
 }
 
-// Engine owns a decision module. All events pass through the goroutine of Run, in order; the methods hand
-// them over.
+// Engine owns a decision module. The goroutine of Run handles all events in order; the other methods hand events over
+// to it.
 type Engine struct {
 	Config
 	module      Module
-	maxAttempts int // for one request
+	maxAttempts int // of one request
 
 	lastID    atomic.Uint64
 	avoided   atomic.Int64 // policy.Counters.Avoided
 	abandoned abandonedCounters
-	running   atomic.Bool // Run has applied the first list, and has not returned
+	running   atomic.Bool // Run has applied the first server list and has not returned
 	events    chan func(now time.Duration)
 	done      chan struct{} // closed when Run returns
 
 	repeatsHeldBack atomic.Int64
 
-	// The fields below belong to Run's goroutine.
-	appliedLimits *policy.Limits // as the module has them; nil: those of Policy
-	now           time.Duration  // the time of the current event
+	// The fields up to timer are used by the goroutine of Run only.
+	appliedLimits *policy.Limits // the limits that the module uses; nil: the limits of Policy
+	now           time.Duration  // time of the current event
 	requests      map[policy.RequestID]*request
-	servers       map[policy.ServerID]*server // the listed ones
-	inFlight      map[policy.ServerID]int     // attempts whose end has not come
-	unsent        []policy.Outcome            // to be reported after the current event
-	wakes         []time.Duration             // when Module.Wake is due, in order
-	timer         *time.Timer                 // set for the first of wakes
+	servers       map[policy.ServerID]*server // the listed servers
+	inFlight      map[policy.ServerID]int     // attempts that have not ended, by server
+	unsent        []policy.Outcome            // outcomes to report to the module after the current event
+	wakes         []time.Duration             // times at which Module.Wake is due, in order
+	timer         *time.Timer                 // set to the first of wakes
 
-	pendingReady chan struct{} // holds an item if there are pending updates
+	pendingReady chan struct{} // holds an element if there are pending updates
 	mu           sync.Mutex    // guards pending
 	pending      pendingUpdates
 }
 
-// server is a listed server and the address that it was reached at when it was listed.
+// server is a listed server with its address in the list.
 type server struct {
 	call.Server
 	address string
 }
 
-// New makes an engine, or returns an error that names the unusable field of Config.Policy. It starts no
-// goroutine.
+// New returns an engine, or an error that names the unusable field of Config.Policy. It starts no goroutine.
 func New(cfg Config) (*Engine, error) {
 	e := &Engine{
 		Config: cfg, maxAttempts: cfg.Policy.MaxAttempts,
-		events:       make(chan func(time.Duration), eventQueue),
+		events:       make(chan func(time.Duration), eventQueueSize),
 		done:         make(chan struct{}),
 		requests:     make(map[policy.RequestID]*request),
 		servers:      make(map[policy.ServerID]*server),
@@ -139,8 +138,8 @@
 	return e, nil
 }
 
-// post hands an event over to Run. It blocks while the queue is full; the engine itself never waits for those
-// who post. Once Run has returned events are dropped.
+// post hands an event over to Run. It blocks while the event queue is full; Run never waits for a goroutine that posts.
+// After Run has returned, events are dropped.
 func (e *Engine) post(event func(now time.Duration)) {
 	select {
 	case e.events <- event:
@@ -148,8 +147,8 @@
 	}
 }
 
-// Run starts the module, applies the list of servers known so far and then handles events until ctx ends. It
-// is called once. The requests that are open then are answered: refused where nothing was sent, else failed.
+// Run starts the module, applies the list of known servers and then handles events until ctx is done. It is called
+// once. Requests that are open when ctx is done are answered: refused if no attempt was sent, failed otherwise.
 func (e *Engine) Run(ctx context.Context, known call.ServerList) {
 	defer close(e.done)
 	defer e.timer.Stop()
@@ -188,8 +187,8 @@
 	}
 }
 
-// shutdown handles the events handed over so far, cancels the attempts in flight and answers the open
-// requests, so that each submitted request has its one answer.
+// shutdown handles the events handed over so far, cancels the attempts in flight and answers the open requests, so that
+// each submitted request gets its answer.
 func (e *Engine) shutdown() {
 	e.drainEvents()
 	for id, r := range e.requests {
@@ -209,7 +208,7 @@
 	}
 }
 
-// drainEvents handles the events that were handed over by now.
+// drainEvents handles the events in the queue.
 func (e *Engine) drainEvents() {
 	for {
 		select {
@@ -223,21 +222,20 @@
 	}
 }
 
-// Avoided returns how many ready servers are ejected, as of the last 100 ms. It never blocks.
+// Avoided returns the number of ready servers that are ejected. It is up to 100 ms old. Avoided does not block.
 func (e *Engine) Avoided() int { return int(e.avoided.Load()) }
 
-// Running says whether Run handles events.
+// Running reports whether Run handles events.
 func (e *Engine) Running() bool { return e.running.Load() }
 
-// Done returns a channel that is closed when Run has returned. Events handed over from then on are dropped.
+// Done returns a channel that is closed when Run has returned. Events that are handed over later are dropped.
 func (e *Engine) Done() <-chan struct{} { return e.done }
 
-// Flush waits until everything that was handed over before has been handled, server lists included, or Run
-// has returned.
+// Flush waits until all events and server lists that were handed over before have been handled, or Run has returned.
 func (e *Engine) Flush() {
 	handled := make(chan struct{})
 	e.post(func(time.Duration) {
-		e.catchUp() // server lists don't pass through the event queue
+		e.applyPendingIfAny() // server lists do not pass through the event queue
 		close(handled)
 	})
 	select {
@@ -246,29 +244,30 @@
 	}
 }
 
-// ReportIdle has report called with those of the servers that have no attempt in flight, once the lists
-// handed over before are applied. It does not block, and report must not.
+// ReportIdle calls report with the servers of ids that have no attempt in flight, after the server lists that were
+// handed over before have been applied. It does not block; report is called from the goroutine of Run and must not
+// block.
 func (e *Engine) ReportIdle(ids []policy.ServerID, report func(idle []policy.ServerID)) {
 	go e.post(func(time.Duration) {
-		e.catchUp()
+		e.applyPendingIfAny()
 		report(slices.DeleteFunc(slices.Clone(ids), func(id policy.ServerID) bool { return e.inFlight[id] > 0 }))
 	})
 }
 
-// attemptReturned counts an attempt at a server that has ended.
+// attemptReturned counts an attempt at a server that has ended, including its streamed answer.
 func (e *Engine) attemptReturned(at policy.ServerID) {
 	if e.inFlight[at]--; e.inFlight[at] <= 0 {
 		delete(e.inFlight, at)
 	}
 }
 
-// applyLimits has the module go by the limits that apply now.
+// applyLimits reconfigures the module if Config.Limits returns other limits than before.
 func (e *Engine) applyLimits() {
 	if e.Config.Limits == nil {
 		return
 	}
 	l := e.Config.Limits()
-	e.catchUp() // Limits may have handed over a list without some servers
+	e.applyPendingIfAny() // Limits may have handed over a server list
 	if l == nil || l == e.appliedLimits {
 		return
 	}
@@ -278,8 +277,8 @@
 	}
 }
 
-// reportUnsent reports the sends that were not carried out to the module. It runs after the event that asked
-// for them, as Host's methods must not call back into the module.
+// reportUnsent reports the sends that were not carried out to the module. It is called after the event in which the
+// module requested them, as the methods of policy.Host must not call back into the module.
 func (e *Engine) reportUnsent() {
 	for len(e.unsent) > 0 {
 		o := e.unsent[0]
--- a/internal/proxy/engine/engine_test.go
+++ b/internal/proxy/engine/engine_test.go
@@ -17,7 +17,7 @@
 	"caperarch/policy"
 )
 
-// newTestEngine makes an engine with one server in its list. The test takes the place of Run.
+// newTestEngine returns an engine with one server in its list. The test handles the events instead of Run.
 func newTestEngine(t *testing.T, address string) *Engine {
 	t.Helper()
 	text := testbed.ConfigText(t, testbed.Listed(1, "ready", address), nil)
@@ -37,8 +37,8 @@
 	return e
 }
 
-// next handles the next event.
-func (e *Engine) next(t *testing.T) {
+// handleNextEvent waits for an event and handles it as Run does.
+func (e *Engine) handleNextEvent(t *testing.T) {
 	t.Helper()
 	event := testbed.Wait(t, "an event", e.events)
 	e.now = e.Clock.Now()
@@ -46,7 +46,7 @@
 	e.reportUnsent()
 }
 
-// openRequest adds a request that the module does not know, so that the test decides for it.
+// openRequest adds a request that the module does not know, so that the test makes the decisions for it.
 func (e *Engine) openRequest(id policy.RequestID) (*request, chan call.Answer) {
 	reply := make(chan call.Answer, 1)
 	r := &request{message: testMessage("1"), reply: reply, deadline: e.now + testbed.Generous}
@@ -54,8 +54,8 @@
 	return r, reply
 }
 
-// The first served attempt answers at once; what the module decides for the request after that, and the
-// results of other attempts, change nothing. Each attempt has one Outcome, then the request is forgotten.
+// The first served attempt answers the request at once. Later decisions of the module for the request, and the results
+// of other attempts, have no effect. Each attempt has one Outcome; after the last the request is removed.
 func TestRequestHasOneAnswer(t *testing.T) {
 	release := make(chan struct{})
 	s := testbed.NewStub(t, func(c net.Conn, r testbed.Received) bool {
@@ -68,29 +68,29 @@
 	r, reply := e.openRequest(7)
 	to := call.ServerID("s-0")
 	host{e}.Send(7, to, 0)
-	e.next(t)
+	e.handleNextEvent(t)
 	if a := testbed.Wait(t, "the answer", reply); a.Kind != call.Served || string(a.Body) != "first" {
 		t.Fatalf("answer %+v", a)
 	}
 	if len(e.requests) != 0 {
-		t.Fatal("the request is still in the table")
+		t.Fatal("the request is still in the table, want it removed")
 	}
-	e.requests[7] = r // as if another attempt were out
+	e.requests[7] = r // as if another attempt were in flight
 	host{e}.Refuse(7, time.Second)
 	host{e}.Fail(7)
 	host{e}.Send(7, to, 0)
 	unsent := policy.Outcome{ID: 7, Attempt: 1, Ending: policy.NotSent}
 	if len(reply) != 0 || len(e.unsent) != 1 || e.unsent[0] != unsent {
-		t.Errorf("%d more answers, not sent %+v, want none and attempt 1", len(reply), e.unsent)
+		t.Errorf("%d more answers, sends not carried out %+v, want no answer and attempt 1", len(reply), e.unsent)
 	}
 	e.reportUnsent()
 	if len(e.requests) != 0 || r.inFlight != 0 {
-		t.Errorf("%d requests in the table, %d attempts out, want none", len(e.requests), r.inFlight)
+		t.Errorf("%d requests in the table, %d attempts in flight, want none", len(e.requests), r.inFlight)
 	}
 	close(release)
 }
 
-// An attempt that is cancelled has its Outcome after the request's answer too.
+// An attempt that is cancelled after the request's answer still has its Outcome.
 func TestCancelledAttemptHasAnOutcomeAfterTheAnswer(t *testing.T) {
 	s := testbed.NewStub(t, testbed.Silent)
 	e := newTestEngine(t, s.Address)
@@ -102,18 +102,18 @@
 		t.Errorf("answer %+v, want failed, timed out", a)
 	}
 	if e.requests[7] != r {
-		t.Fatal("the request has left the table with an attempt out")
+		t.Fatal("the request was removed from the table while an attempt is in flight")
 	}
 	host{e}.Cancel(7, 0)
 	host{e}.Cancel(7, 5)
-	e.next(t)
+	e.handleNextEvent(t)
 	if len(e.requests) != 0 {
-		t.Error("the request is still in the table")
+		t.Error("the request is still in the table, want it removed")
 	}
 }
 
-// Sends beyond the maximum number of attempts, past the deadline or to a server that is not listed are not
-// carried out.
+// Sends above the maximum number of attempts, after the deadline or to a server that is not listed are not carried out,
+// and are reported as NotSent.
 func TestSendsThatAreNotAllowedAreReportedAsNotSent(t *testing.T) {
 	s := testbed.NewStub(t, testbed.Silent)
 	e := newTestEngine(t, s.Address)
@@ -133,11 +133,11 @@
 		{ID: 8, Attempt: 1, Ending: policy.NotSent}, {ID: 8, Attempt: 2, Ending: policy.NotSent},
 	}
 	if len(e.unsent) != len(want) {
-		t.Fatalf("not sent %+v, want %+v", e.unsent, want)
+		t.Fatalf("reported as not sent: %+v, want %+v", e.unsent, want)
 	}
 	for i := range want {
 		if e.unsent[i] != want[i] {
-			t.Errorf("not sent %+v, want %+v", e.unsent[i], want[i])
+			t.Errorf("reported as not sent: %+v, want %+v", e.unsent[i], want[i])
 		}
 	}
 	for range 3 {
@@ -145,29 +145,29 @@
 	}
 	for i := range 3 {
 		host{e}.Cancel(7, i)
-		e.next(t)
+		e.handleNextEvent(t)
 	}
 }
 
-// A client that closes its connection gets no answer any more; its attempts are cancelled.
+// A request whose client closes its connection gets no answer, and its attempts are cancelled.
 func TestClientGoneCancelsTheAttempts(t *testing.T) {
 	s := testbed.NewStub(t, testbed.Silent)
 	e := newTestEngine(t, s.Address)
 	reply := make(chan call.Answer, 1)
 	id := e.Submit(policy.Request{Class: 0}, testMessage("1"), e.now+testbed.Generous, reply)
-	e.next(t)
+	e.handleNextEvent(t)
 	testbed.Wait(t, "the request", s.Seen)
 	e.ClientGone(id)
-	e.next(t)
-	e.next(t) // the end of its attempt
+	e.handleNextEvent(t)
+	e.handleNextEvent(t) // the end of the attempt
 	testbed.Wait(t, "the connection to close", s.Closed)
 	if len(e.requests) != 0 || len(reply) != 0 {
 		t.Errorf("%d requests in the table, %d answers, want none", len(e.requests), len(reply))
 	}
 }
 
-// Timers due at the same moment share one call, the others wait for theirs.
-func TestTimersDueAtTheSameMomentShareACall(t *testing.T) {
+// Timers that are due at the same time share one call of Wake; timers due later stay scheduled.
+func TestTimersDueAtTheSameTimeShareACall(t *testing.T) {
 	e := newTestEngine(t, "127.0.0.1:1")
 	e.wakes = nil
 	now := e.now
@@ -175,33 +175,33 @@
 		host{e}.Wake(d * time.Millisecond)
 	}
 	if len(e.wakes) != 4 || e.wakes[0] != now || e.wakes[1] != now+10*time.Millisecond {
-		t.Fatalf("due in %v from %v", e.wakes, now)
+		t.Fatalf("wakes scheduled at %v, now %v, want 4: the first now, the second 10 ms later", e.wakes, now)
 	}
 	e.now = now + 15*time.Millisecond
 	e.fireTimers()
 	if first := e.wakes[0]; first > now+20*time.Millisecond {
-		t.Errorf("first due in %v, want 20ms at most", first-now)
+		t.Errorf("first wake due in %v, want at most 20ms", first-now)
 	}
 }
 
-// A new server at the address of a deregistered one is another: it inherits no connection.
+// A new server at the address of a deregistered server does not use that server's connections.
 func TestNewServerAtAnOldAddressHasItsOwnConnections(t *testing.T) {
 	s := testbed.NewStub(t, testbed.Echo)
 	e := newTestEngine(t, s.Address)
 	old := e.servers[call.ServerID("s-0")]
-	attempt(t, e, old, "1")
+	sendAndWait(t, e, old, "1")
 	e.applyList(call.ServerList{
 		Servers:   []policy.Server{{ID: 7, State: policy.Ready}},
 		Addresses: map[policy.ServerID]string{7: s.Address},
 	}, policy.ListDelta)
-	attempt(t, e, e.servers[7], "2")
+	sendAndWait(t, e, e.servers[7], "2")
 	if first, second := testbed.Wait(t, "1", s.Seen), testbed.Wait(t, "2", s.Seen); first.Conn == second.Conn {
-		t.Error("the new server's request was sent on the old one's connection")
+		t.Error("the request to the new server was sent on a connection of the deregistered server")
 	}
 }
 
-// A server that moved is reached at its new address, a deregistered one is not reached at all, and a change
-// of the list leaves the other servers alone.
+// A list update changes the address of a server that moved and removes a deregistered server. Servers that the update
+// does not contain stay as they are.
 func TestListUpdatesAddresses(t *testing.T) {
 	e := newTestEngine(t, "127.0.0.1:81")
 	id := call.ServerID("s-0")
@@ -212,20 +212,20 @@
 	}
 	e.applyList(moved, policy.ListDelta)
 	if e.servers[id].address != "127.0.0.1:82" {
-		t.Errorf("address %q after the move", e.servers[id].address)
+		t.Errorf("address %q after the move, want 127.0.0.1:82", e.servers[id].address)
 	}
 	e.applyList(call.ServerList{}, policy.ListDelta)
 	if len(e.servers) != 1 {
-		t.Errorf("addresses %v after no change", e.servers)
+		t.Errorf("servers %v after an empty change, want one", e.servers)
 	}
 	e.applyList(call.ServerList{Servers: []policy.Server{{ID: id, State: policy.Deregistered}}}, policy.ListDelta)
 	if len(e.servers) != 0 {
-		t.Errorf("addresses %v, the server is deregistered", e.servers)
+		t.Errorf("servers %v after the deregistration, want none", e.servers)
 	}
 	e.applyList(moved, policy.ListDelta)
 	e.applyList(call.ServerList{Full: true}, policy.ListFull)
 	if len(e.servers) != 0 {
-		t.Errorf("addresses %v after a full list of none", e.servers)
+		t.Errorf("servers %v after a full list without servers, want none", e.servers)
 	}
 }
 
@@ -236,17 +236,18 @@
 	}
 }
 
-// attempt sends a request to a server and waits for the result.
-func attempt(t *testing.T, e *Engine, to call.Server, id string) {
+// sendAndWait sends a request to a server and waits until it is served.
+func sendAndWait(t *testing.T, e *Engine, to call.Server, id string) {
 	t.Helper()
 	done := make(chan call.Result, 2)
 	to.Send(testMessage(id), call.Within(e.Clock.Now()+testbed.Generous), func(r call.Result) { done <- r })
 	if r := testbed.Wait(t, "the end of an attempt", done); r.Ending != policy.Served {
-		t.Fatalf("attempt %+v", r)
+		t.Fatalf("attempt ended with %+v, want it served", r)
 	}
 }
 
-// Pending updates are one list: a full list replaces what came before, a change its servers' entries.
+// Pending updates are merged into one list: a full list replaces the earlier updates, a change the entries of its
+// servers.
 func TestPendingUpdatesAreMergedIntoOneList(t *testing.T) {
 	list := func(full bool, entries ...policy.Server) call.ServerList {
 		l := call.ServerList{Full: full, Servers: entries, Addresses: make(map[policy.ServerID]string)}
--- a/internal/proxy/engine/host.go
+++ b/internal/proxy/engine/host.go
@@ -8,16 +8,17 @@
 	"caperarch/policy"
 )
 
-// host is the policy.Host of an engine's module: it carries out what the module decides.
+// host is the policy.Host of an engine's module: it carries out the module's decisions.
 type host struct{ engine *Engine }
 
-// Send starts an attempt, which times out after timeout or at the client's deadline. Nothing is sent where the
-// request is finished, has no attempts or time left, might have another effect, or the server is not listed.
+// Send starts an attempt, which times out after timeout or at the client's deadline, whichever is earlier. Nothing is
+// sent if the request is finished or has no attempts or time left, if a repeat could have an effect of its own, or if
+// the server is not listed.
 func (h host) Send(id policy.RequestID, to policy.ServerID, timeout time.Duration) {
 	e := h.engine
 	r := e.requests[id]
 	if r == nil {
-		return // finished, with all attempts ended: the module has forgotten it too
+		return // finished with all attempts ended, so the module has removed the request too
 	}
 	number, timeLeft, repeatBy := len(r.attempts), r.deadline-e.now, e.repeatBy(r)
 	r.inFlight++
@@ -37,36 +38,36 @@
 	r.attempts = append(r.attempts, sentAttempt{handle: handle, sentAt: e.now, repeatBy: repeatBy})
 }
 
-// maySend says whether a request may have one more attempt.
+// maySend reports whether a request may have one more attempt.
 func (e *Engine) maySend(r *request) bool {
 	upload := r.message.Upload
 	return !r.finished && len(r.attempts) < e.maxAttempts && (upload == nil || !upload.Claimed())
 }
 
-// postResult hands the result of an attempt over to Run. Any goroutine may call it.
+// postResult hands the result of an attempt over to Run. It may be called from any goroutine.
 func (e *Engine) postResult(id policy.RequestID, number int, to policy.ServerID, res call.Result) {
-	if res.OnStreamEnd != nil { // the attempt has ended, and the server still sends
+	if res.OnStreamEnd != nil { // the attempt has ended, but the server still sends its answer
 		res.OnStreamEnd(func() { e.post(func(time.Duration) { e.attemptReturned(to) }) })
 	}
 	e.post(func(time.Duration) {
 		if e.AttemptEnded != nil {
 			e.AttemptEnded(to, res.Ending)
 		}
-		if res.Stream == nil || res.Detached && res.OnStreamEnd == nil { // else the server still sends
+		if res.Stream == nil || res.Detached && res.OnStreamEnd == nil { // otherwise the server still sends its answer
 			e.attemptReturned(to)
 		}
 		e.attemptEnded(id, number, res)
 	})
 }
 
-// Refuse ends a request; a retry is harmless.
+// Refuse answers a request with Refused: the client may retry it safely.
 func (h host) Refuse(id policy.RequestID, retryAfter time.Duration) {
 	if r := h.engine.requests[id]; r != nil && !r.finished {
 		h.engine.finish(id, r, &call.Answer{Kind: call.Refused, RetryAfter: retryAfter})
 	}
 }
 
-// Fail ends a request with no promise about its effect.
+// Fail answers a request with Failed: the request may have had an effect.
 func (h host) Fail(id policy.RequestID) {
 	if r := h.engine.requests[id]; r != nil && !r.finished {
 		h.engine.finish(id, r, &call.Answer{
@@ -75,7 +76,7 @@
 	}
 }
 
-// Cancel cancels an attempt; its Outcome still follows.
+// Cancel cancels an attempt. The module still gets its Outcome.
 func (h host) Cancel(id policy.RequestID, attempt int) {
 	r := h.engine.requests[id]
 	if r != nil && attempt >= 0 && attempt < len(r.attempts) {
@@ -83,7 +84,7 @@
 	}
 }
 
-// Wake sees to a call of Module.Wake after d. Timers due at the same moment share that call.
+// Wake schedules a call of Module.Wake after d. Timers that are due at the same time share one call.
 func (h host) Wake(d time.Duration) {
 	e := h.engine
 	due := e.now + max(d, 0)
@@ -97,7 +98,7 @@
 	}
 }
 
-// Probe asks a server for a load report.
+// Probe requests a load report from a server.
 func (h host) Probe(to policy.ServerID) {
 	e := h.engine
 	done := func(ok bool, load policy.Load) {
@@ -105,7 +106,7 @@
 	}
 	s := e.servers[to]
 	if s == nil {
-		go done(false, policy.Load{}) // in a goroutine: post may block, and this is the one that handles events
+		go done(false, policy.Load{}) // a new goroutine, as post may block and this is the goroutine of Run
 		return
 	}
 	s.Probe(done)
@@ -121,5 +122,5 @@
 // WatchList subscribes to the server list.
 func (h host) WatchList() { h.engine.Watch() }
 
-// Log writes a line for the on-call engineers.
+// Log writes a line of the module to the log, for operators.
 func (h host) Log(line string) { h.engine.Log.Info("module", "says", line) }
--- a/internal/proxy/engine/idle_test.go
+++ b/internal/proxy/engine/idle_test.go
@@ -14,17 +14,17 @@
 	"caperarch/policy"
 )
 
-// isIdle asks the engine whether no attempt is in flight at a server.
+// isIdle reports whether the engine has no attempt in flight at a server.
 func isIdle(t *testing.T, e *Engine, id policy.ServerID) bool {
 	t.Helper()
 	reported := make(chan []policy.ServerID, 1)
 	e.ReportIdle([]policy.ServerID{id}, func(idle []policy.ServerID) { reported <- idle })
-	e.next(t)
+	e.handleNextEvent(t)
 	return len(testbed.Wait(t, "the report", reported)) == 1
 }
 
-// A server is idle once its last attempt has ended, a cancelled one too. An attempt whose answer is streamed
-// ends with the answer's last byte.
+// A server is idle when its last attempt has ended, also by cancellation. An attempt whose answer is streamed ends when
+// the stream ends.
 func TestServerIsIdleOnceItsLastAttemptHasEnded(t *testing.T) {
 	rest := make(chan struct{})
 	long := strings.Repeat("x", 1<<20)
@@ -41,7 +41,7 @@
 	e := newTestEngine(t, s.Address)
 	to := call.ServerID("s-0")
 	if !isIdle(t, e, to) {
-		t.Fatal("a server that got nothing is not idle")
+		t.Fatal("a server without attempts is not idle")
 	}
 	e.openRequest(7)
 	host{e}.Send(7, to, 0)
@@ -49,12 +49,12 @@
 	if isIdle(t, e, to) {
 		t.Error("idle with an attempt in flight")
 	}
-	host{e}.Fail(7) // its client has an answer, the server still works on it
+	host{e}.Fail(7) // the client has its answer, the attempt is still in flight
 	if isIdle(t, e, to) {
 		t.Error("idle after the client's answer")
 	}
 	host{e}.Cancel(7, 0)
-	e.next(t)
+	e.handleNextEvent(t)
 	if !isIdle(t, e, to) {
 		t.Error("not idle after the end of its last attempt")
 	}
@@ -63,43 +63,43 @@
 	m.Stream = true
 	r.message = m
 	host{e}.Send(8, to, 0)
-	e.next(t)
-	a := testbed.Wait(t, "the answer's beginning", reply)
+	e.handleNextEvent(t)
+	a := testbed.Wait(t, "the start of the answer", reply)
 	if a.Stream == nil {
-		t.Fatalf("%+v, want an answer that is streamed", a)
+		t.Fatalf("answer %+v, want a streamed answer", a)
 	}
 	if len(e.requests) != 0 || isIdle(t, e, to) {
-		t.Error("idle while its answer is streamed")
+		t.Error("idle while the answer is streamed")
 	}
 	close(rest)
 	a.Stream.Close()
-	e.next(t)
+	e.handleNextEvent(t)
 	if !isIdle(t, e, to) || len(e.inFlight) != 0 {
-		t.Errorf("not idle after the answer's end: %v", e.inFlight)
+		t.Errorf("not idle after the end of the answer: attempts in flight %v", e.inFlight)
 	}
 }
 
-// Once Flush has returned the module has the list that was handed over before, so that a server which announced
-// that it drains may be told that it gets no further requests.
+// When Flush returns, the module has received the server list that was handed over before. A server that announced that
+// it drains may then be told that it gets no further requests.
 func TestFlushAppliesTheList(t *testing.T) {
-	runStallable(t, func(e *Engine, _ *recorder) {
-		for round := range 64 { // both wait while the engine is busy; without a rule either comes first
+	runSuspendable(t, func(e *Engine, _ *recordingTransport) {
+		for round := range 64 { // list and Flush wait for the busy engine, which may handle either first
 			busy, after := make(chan struct{}), make(chan struct{})
 			applied, flushed := make(chan struct{}, 1), make(chan bool)
 			e.post(func(time.Duration) { <-busy })
 			synctest.Wait()
-			e.ReplaceServers(list(policy.Draining), func() { applied <- struct{}{} })
+			e.ReplaceServers(oneServerList(policy.Draining), func() { applied <- struct{}{} })
 			go func() {
 				e.Flush()
 				flushed <- len(applied) > 0
 			}()
 			synctest.Wait()
-			go e.post(func(time.Duration) { <-after }) // what is applied by now was applied by Flush
+			go e.post(func(time.Duration) { <-after }) // keeps the engine from applying the list after Flush
 			synctest.Wait()
 			close(busy)
 			ok := <-flushed
 			if close(after); !ok {
-				t.Errorf("round %d: the list is not applied yet", round)
+				t.Errorf("round %d: the list is not applied when Flush returns", round)
 				return
 			}
 		}
--- a/internal/proxy/engine/repeat.go
+++ b/internal/proxy/engine/repeat.go
@@ -8,31 +8,32 @@
 	"caperarch/policy"
 )
 
-// noRepeatLimit is the repeatBy of an attempt that may be written for as long as it may last.
+// noRepeatLimit is the repeatBy of an attempt that may be written at any time before its time-out.
 const noRepeatLimit = time.Duration(math.MaxInt64)
 
-// sentAttempt is one send of a request that the module has asked for.
+// sentAttempt is an attempt that the module requested, whether or not it was sent.
 type sentAttempt struct {
-	handle   call.Attempt  // nil: it was not sent
-	sentAt   time.Duration // when it was handed to the transport
-	repeatBy time.Duration // the transport writes nothing later than this
-	neverRan bool          // its ending proves that
+	handle   call.Attempt  // nil: the attempt was not sent
+	sentAt   time.Duration // when the attempt was handed to the transport
+	repeatBy time.Duration // time after which the transport must not write the request
+	neverRan bool          // the ending proves that the request did not run at the server
 }
 
-// cancel abandons the attempt.
+// cancel cancels the attempt if it was sent.
 func (a *sentAttempt) cancel() {
 	if a.handle != nil {
 		a.handle.Cancel()
 	}
 }
 
-// repeatBy is until when a request's next attempt may be written. Servers drop the repeats of a deduplicated request
-// only for a while, and the module decides by its own clock: between its decision and the write lie a connection that
-// opens, queues, and any pause of this process. So the transport gets the time and looks at it again.
+// repeatBy returns the time until which a request's next attempt may be written. Servers drop repeats of a deduplicated
+// request only within its deduplication window. Between the module's decision to repeat and the write, time passes: the
+// connection must open, the request may wait in queues, and the process may be suspended. Therefore the transport gets
+// this time and compares it with its clock right before it writes.
 func (e *Engine) repeatBy(r *request) time.Duration {
 	classes := e.Config.Policy.Classes
 	if r.policy.Class < 0 || r.policy.Class >= len(classes) {
-		return noRepeatLimit // a module without classes
+		return noRepeatLimit // the module's configuration has no classes
 	}
 	class := classes[r.policy.Class]
 	if class.Effect != policy.Deduplicated {
@@ -46,7 +47,8 @@
 	return noRepeatLimit
 }
 
-// recordEnding records what an attempt's ending proves, and counts a repeat whose write would have come too late.
+// recordEnding records whether an attempt's ending proves that the request did not run, and counts a repeat that was
+// not written because its time had passed.
 func (e *Engine) recordEnding(a *sentAttempt, ending policy.Ending) {
 	a.neverRan = ending.NeverRan()
 	if (ending == policy.NotSent || ending == policy.NoConnection) && e.now >= a.repeatBy {
@@ -54,6 +56,7 @@
 	}
 }
 
-// RepeatsHeldBack returns how many repeats of deduplicated requests were not written since the engine was made because
-// their time had passed, as a connection was slow to open or the process was stopped. It never blocks.
+// RepeatsHeldBack returns the number of repeats of deduplicated requests that were not written because their time had
+// passed, for example as a connection was slow to open or the process was suspended. It counts since the engine was
+// created, and does not block.
 func (e *Engine) RepeatsHeldBack() int64 { return e.repeatsHeldBack.Load() }
--- a/internal/proxy/engine/requests.go
+++ b/internal/proxy/engine/requests.go
@@ -7,24 +7,24 @@
 	"caperarch/policy"
 )
 
-// request is one that has no answer yet, or whose answered attempts have not all ended.
+// request is a request that has no answer yet, or has attempts that have not ended.
 type request struct {
-	policy       policy.Request // as the module has it
+	policy       policy.Request // the request as the module knows it
 	message      *call.Message
 	reply        chan<- call.Answer
 	deadline     time.Duration
-	attempts     []sentAttempt // by number
-	inFlight     int           // attempts without an Outcome
-	bodyClaimed  bool          // an attempt streams the body, so there is no other attempt
-	finished     bool          // it has its final answer, or its client has gone
-	clientGone   bool          // its client has gone, at clientGoneAt
+	attempts     []sentAttempt // by attempt number
+	inFlight     int           // attempts whose Outcome has not been reported
+	bodyClaimed  bool          // an attempt streams the body, so there can be no other attempt
+	finished     bool          // it has its final answer, or its client has disconnected
+	clientGone   bool          // its client disconnected, at clientGoneAt
 	clientGoneAt time.Duration
-	timedOut     bool         // its last attempt timed out: Answer.TimedOut of a failure
-	lastResult   *call.Result // the last answer of a server that was an error
+	timedOut     bool         // its last attempt timed out; becomes Answer.TimedOut if it fails
+	lastResult   *call.Result // the last error answer of a server; nil: none
 }
 
-// Submit accepts a request and gives it its ID, which it returns. The final answer goes to reply, which must
-// have room for it. m must not change any more; deadline is on the engine's clock.
+// Submit accepts a request and returns the ID that it assigns to it. The final answer is sent to reply, which must have
+// buffer space for it. The caller must not change m afterwards. deadline is a time of the engine's clock.
 func (e *Engine) Submit(
 	q policy.Request, m *call.Message, deadline time.Duration, reply chan<- call.Answer,
 ) policy.RequestID {
@@ -40,28 +40,28 @@
 	return q.ID
 }
 
-// bodyClaimed handles that an attempt streams a request's body: the module has no further say in the request,
-// whose answer is what the attempt's end proves.
+// bodyClaimed is called when an attempt starts to stream a request's body. No other attempt can send that body, so the
+// request ends for the module, and the result of this attempt determines the answer.
 func (e *Engine) bodyClaimed(id policy.RequestID) {
 	r := e.requests[id]
 	if r == nil || r.finished || r.bodyClaimed {
 		return
 	}
 	r.bodyClaimed = true
-	// The outcome says nothing of the server. It comes now, as a client that sends slowly must not occupy a
-	// slot that others need.
+	// NotSent is an outcome that says nothing about the server. It is reported before the attempt ends, so that a
+	// client that sends slowly does not occupy a slot that other requests need.
 	e.module.Outcome(e.now, policy.Outcome{
 		ID: id, Attempt: len(r.attempts) - 1, Ending: policy.NotSent, Finished: true,
 	})
 }
 
-// ClientGone tells that a request's client has gone: it gets no answer any more, and its attempts are
-// cancelled. A request that is answered already is ignored.
+// ClientGone reports that a request's client has disconnected: the request gets no answer, and the module cancels its
+// attempts. It has no effect on a request that has its answer.
 func (e *Engine) ClientGone(id policy.RequestID) {
 	e.post(func(now time.Duration) {
 		if r := e.requests[id]; r != nil && !r.finished {
 			r.clientGone, r.clientGoneAt = true, now
-			e.abandoned.clientLeft(r.inFlight)
+			e.abandoned.clientDisconnected(r.inFlight)
 			e.finish(id, r, nil)
 			e.module.ClientGone(now, id)
 			e.cancelAbandonedUpload(r)
@@ -69,8 +69,8 @@
 	})
 }
 
-// cancelAbandonedUpload cancels the attempt that streams a request's body, if the configuration says so. Its
-// client has gone.
+// cancelAbandonedUpload cancels the attempt that streams the body of a request whose client has disconnected, if
+// Config.CancelAbandonedUpload says so.
 func (e *Engine) cancelAbandonedUpload(r *request) {
 	if !r.bodyClaimed || e.CancelAbandonedUpload == nil || !e.CancelAbandonedUpload(r.policy) {
 		return
@@ -78,7 +78,7 @@
 	r.attempts[len(r.attempts)-1].cancel()
 }
 
-// finish ends a request with its one answer, or with none (nil) where the client has gone.
+// finish ends a request with its answer; a is nil if the client has disconnected.
 func (e *Engine) finish(id policy.RequestID, r *request, a *call.Answer) {
 	r.finished = true
 	if a != nil {
@@ -89,7 +89,7 @@
 	}
 }
 
-// reportOutcome tells the module how an attempt ended, once for each.
+// reportOutcome reports the end of an attempt to the module. It is called once for each attempt.
 func (e *Engine) reportOutcome(o policy.Outcome) {
 	r := e.requests[o.ID]
 	r.inFlight--
@@ -97,7 +97,7 @@
 		e.abandoned.attemptEnded(e.now - r.clientGoneAt)
 	}
 	o.Finished = r.finished
-	if !r.bodyClaimed { // else bodyClaimed has reported it
+	if !r.bodyClaimed { // otherwise bodyClaimed has reported the outcome
 		e.module.Outcome(e.now, o)
 	}
 	if r.finished && r.inFlight == 0 {
@@ -105,8 +105,8 @@
 	}
 }
 
-// attemptEnded handles the result of an attempt. The first answer of a server goes to the client at once and
-// finishes the request.
+// attemptEnded handles the result of an attempt. The first served answer is passed on to the client and finishes the
+// request.
 func (e *Engine) attemptEnded(id policy.RequestID, number int, res call.Result) {
 	r := e.requests[id]
 	if res.Stream != nil && !res.Detached {
@@ -117,7 +117,7 @@
 	e.recordEnding(&r.attempts[number], res.Ending)
 	switch {
 	case r.finished:
-		if res.Stream != nil { // too late, nobody reads it
+		if res.Stream != nil { // the request has another answer, so no client reads this stream
 			go res.Stream.Close()
 		}
 	case res.Ending == policy.Served:
@@ -133,7 +133,8 @@
 	e.reportOutcome(policy.Outcome{ID: id, Attempt: number, Ending: res.Ending, Load: res.Load})
 }
 
-// finishUpload answers a request whose body only this attempt could send, by what the attempt's end proves.
+// finishUpload answers a request whose body was streamed to this attempt: refused if the ending proves that the request
+// did not run, failed otherwise.
 func (e *Engine) finishUpload(id policy.RequestID, r *request, res *call.Result) {
 	if res.Ending.NeverRan() || res.Ending == policy.GateRejected {
 		e.finish(id, r, &call.Answer{Kind: call.Refused, RetryAfter: uploadRetryAfter})
@@ -142,11 +143,11 @@
 	e.finish(id, r, &call.Answer{Kind: call.Failed, TimedOut: r.timedOut, LastResult: r.lastResult})
 }
 
-// streamBegun handles that an attempt's answer is streamed. It finishes the request: the client reads the
-// answer from the stream, and the attempt's end only frees its slot.
+// streamBegun is called when an attempt's answer starts as a stream. It finishes the request: the client reads the
+// answer from the stream, and the end of the attempt only frees the attempt's slot.
 func (e *Engine) streamBegun(id policy.RequestID, r *request, res call.Result) {
-	if r.finished { // too late, nobody reads it
-		go res.Stream.Close() // in a goroutine, as its end is posted to the one that this is
+	if r.finished { // the request has another answer, so no client reads this stream
+		go res.Stream.Close() // a new goroutine, as Close posts the stream's end and this is the goroutine of Run
 		return
 	}
 	e.finish(id, r, &call.Answer{
--- a/internal/proxy/engine/serverlist.go
+++ b/internal/proxy/engine/serverlist.go
@@ -7,17 +7,17 @@
 	"caperarch/policy"
 )
 
-// pendingUpdates are the updates of the server list that the engine has not applied yet, merged into one
-// list. So those who hand them over never wait for an engine that is behind.
+// pendingUpdates holds the updates of the server list that the engine has not applied yet, merged into one list. The
+// methods that hand updates over therefore never wait for a slow engine.
 type pendingUpdates struct {
 	list            call.ServerList
 	hasList         bool
-	fromDiscovery   bool // at least a part of the list
+	fromDiscovery   bool // at least a part of the list came from discovery
 	discoveryFailed bool
 	onApplied       []func() // called when the updates are applied
 }
 
-// UpdateServers hands over a list, or a change to it, that came from discovery. It never blocks.
+// UpdateServers hands over a server list from discovery, or a change to the list. It does not block.
 func (e *Engine) UpdateServers(l call.ServerList) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -26,9 +26,9 @@
 	e.signalPending()
 }
 
-// ReplaceServers hands over the complete list as it applies from now on, for a reason other than an update
-// from discovery; a list without servers is ignored. applied is called once the module has the list, and must
-// not block; nil: nobody waits for that. ReplaceServers never blocks.
+// ReplaceServers hands over a complete server list that does not come from discovery. A list without servers is
+// ignored. applied, if not nil, is called after the module has received the list, and must not block. ReplaceServers
+// does not block.
 func (e *Engine) ReplaceServers(l call.ServerList, applied func()) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -42,7 +42,7 @@
 	e.signalPending()
 }
 
-// DiscoveryFailed tells that a call to discovery failed. It never blocks.
+// DiscoveryFailed reports that a call to discovery failed. It does not block.
 func (e *Engine) DiscoveryFailed() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -50,7 +50,7 @@
 	e.signalPending()
 }
 
-// signalPending has Run apply the pending updates. The caller holds mu.
+// signalPending notifies Run that there are pending updates. The caller holds mu.
 func (e *Engine) signalPending() {
 	select {
 	case e.pendingReady <- struct{}{}:
@@ -58,7 +58,8 @@
 	}
 }
 
-// merge adds a list to the pending one: a full list replaces it, a change replaces its servers' entries.
+// merge merges a list into the pending list: a full list replaces the pending list, a change replaces the entries of
+// the servers that it contains.
 func (n *pendingUpdates) merge(l call.ServerList) {
 	if l.Full || !n.hasList {
 		n.list, n.hasList = l, true
@@ -85,8 +86,8 @@
 	n.list = merged
 }
 
-// catchUp applies the pending updates, if there are any.
-func (e *Engine) catchUp() {
+// applyPendingIfAny applies the pending updates, if there are any. Run applies them otherwise at its next event.
+func (e *Engine) applyPendingIfAny() {
 	select {
 	case <-e.pendingReady:
 		e.applyPending()
@@ -94,7 +95,7 @@
 	}
 }
 
-// applyPending applies the pending updates: first the list, then a failure, after which the list still applies.
+// applyPending applies the pending updates. It reports a failure of discovery after the list, which stays in use.
 func (e *Engine) applyPending() {
 	e.mu.Lock()
 	updates := e.pending
@@ -104,7 +105,7 @@
 		kind := policy.ListDelta
 		switch {
 		case !updates.fromDiscovery:
-			kind = policy.ListCached // the module must not take it for an answer from discovery
+			kind = policy.ListCached // so that the module does not take the list for an answer of discovery
 		case updates.list.Full:
 			kind = policy.ListFull
 		}
@@ -118,8 +119,8 @@
 	}
 }
 
-// applyList replaces or changes the servers by a list and hands it to the module. A server with a new address
-// is another call.Server, so that no connection is reused for it.
+// applyList updates the listed servers from a list, and passes the list to the module. A server whose address has
+// changed gets a new call.Server, so that no connection to the old address is used for it.
 func (e *Engine) applyList(list call.ServerList, kind policy.ListKind) {
 	before := maps.Clone(e.servers)
 	if list.Full {
--- a/internal/proxy/engine/stall_test.go
+++ b/internal/proxy/engine/stall_test.go
@@ -13,62 +13,64 @@
 	"caperarch/policy"
 )
 
-// recorder is a transport that records what is sent. The test ends the attempts.
-type recorder struct {
+// recordingTransport is a transport that records the sends. The test ends the attempts.
+type recordingTransport struct {
 	mu    sync.Mutex
-	sends []sent
+	sends []recordedSend
 }
 
-type sent struct {
+type recordedSend struct {
 	to     string
 	limits call.Limits
 	done   func(call.Result)
 }
 
-type recorded struct {
-	r       *recorder
+type recordingServer struct {
+	r       *recordingTransport
 	address string
 }
 
-type recordedAttempt struct{ done func(call.Result) }
+type recordingAttempt struct{ done func(call.Result) }
 
-func (a recordedAttempt) Cancel() { go a.done(call.Result{Ending: policy.Cancelled}) }
+func (a recordingAttempt) Cancel() { go a.done(call.Result{Ending: policy.Cancelled}) }
 
-func (r *recorder) Server(address string) call.Server { return recorded{r, address} }
-func (r *recorder) Counters() map[string]int          { return nil }
+func (r *recordingTransport) Server(address string) call.Server { return recordingServer{r, address} }
+func (r *recordingTransport) Counters() map[string]int          { return nil }
 
-func (s recorded) Send(_ *call.Message, limits call.Limits, done func(call.Result)) call.Attempt {
+func (s recordingServer) Send(_ *call.Message, limits call.Limits, done func(call.Result)) call.Attempt {
 	s.r.mu.Lock()
 	defer s.r.mu.Unlock()
 	var once sync.Once
 	end := func(res call.Result) { once.Do(func() { done(res) }) }
-	s.r.sends = append(s.r.sends, sent{s.address, limits, end})
-	return recordedAttempt{end}
+	s.r.sends = append(s.r.sends, recordedSend{s.address, limits, end})
+	return recordingAttempt{end}
 }
 
-func (recorded) Probe(done func(bool, policy.Load)) { go done(false, policy.Load{}) }
-func (recorded) CloseIdle()                         {}
-func (recorded) Deregister()                        {}
+func (recordingServer) Probe(done func(bool, policy.Load)) { go done(false, policy.Load{}) }
+func (recordingServer) CloseIdle()                         {}
+func (recordingServer) Deregister()                        {}
 
-func (r *recorder) all() []sent {
+func (r *recordingTransport) all() []recordedSend {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return append([]sent(nil), r.sends...)
+	return append([]recordedSend(nil), r.sends...)
 }
 
-// runStallable runs a test in a synctest bubble, with a running engine whose clock can be set ahead: that is
-// what a process finds that was stopped.
-func runStallable(t *testing.T, run func(e *Engine, r *recorder)) {
+// runSuspendable runs a test in a synctest bubble, with a running engine whose clock the test can advance. A process
+// that was suspended observes such a jump of the clock.
+func runSuspendable(t *testing.T, run func(e *Engine, r *recordingTransport)) {
 	t.Helper()
-	runStallableClass(t, policy.Class{Effect: policy.NonIdempotent}, list(policy.Ready), run)
+	runSuspendableWithClass(t, policy.Class{Effect: policy.NonIdempotent}, oneServerList(policy.Ready), run)
 }
 
-// runStallableClass is runStallable for a class with some effect, and a list of servers.
-func runStallableClass(t *testing.T, class policy.Class, servers call.ServerList, run func(e *Engine, r *recorder)) {
+// runSuspendableWithClass is runSuspendable with a given class and server list.
+func runSuspendableWithClass(
+	t *testing.T, class policy.Class, servers call.ServerList, run func(e *Engine, r *recordingTransport),
+) {
 	t.Helper()
 	class.LatencyTarget, class.Deadline, class.Value = 500*time.Millisecond, 2500*time.Millisecond, 1
 	synctest.Test(t, func(t *testing.T) {
-		r := new(recorder)
+		r := new(recordingTransport)
 		e, err := New(Config{
 			Policy: policy.Config{
 				Balancers: 1, MaxAttempts: 3, MayCancel: true, MaxRetryAfter: time.Second,
@@ -93,7 +95,7 @@
 	})
 }
 
-func list(state policy.State) call.ServerList {
+func oneServerList(state policy.State) call.ServerList {
 	return call.ServerList{
 		Full:      true,
 		Servers:   []policy.Server{{ID: 1, State: state, Weight: 1}},
@@ -101,52 +103,52 @@
 	}
 }
 
-// The process is stopped for 1.5 s. In that time discovery says that a server drains, and a request
-// arrives: both are pending when it goes on, the request first. It must not be sent to that server.
-func TestListIsAppliedBeforeRequestsAfterAStop(t *testing.T) {
-	runStallable(t, func(e *Engine, r *recorder) {
+// Guards against a request that is sent to a draining server after the process was suspended for 1.5 s. When the
+// process resumes, a request and then a list in which the server drains arrive. The list must be applied first.
+func TestListIsAppliedBeforeRequestsAfterSuspension(t *testing.T) {
+	runSuspendable(t, func(e *Engine, r *recordingTransport) {
 		e.Clock.Advance(1500 * time.Millisecond)
 		reply := make(chan call.Answer, 2)
 		e.Submit(policy.Request{}, &call.Message{}, e.Clock.Now()+2*time.Second, reply)
-		time.Sleep(10 * time.Millisecond) // the follower of discovery's list takes a moment
-		e.UpdateServers(list(policy.Draining))
+		time.Sleep(10 * time.Millisecond) // discovery's answer arrives shortly after the request
+		e.UpdateServers(oneServerList(policy.Draining))
 		if a := <-reply; a.Kind != call.Refused {
-			t.Errorf("answer %+v, want refused: the only server drains", a)
+			t.Errorf("answer %+v, want refused, as the only server drains", a)
 		}
 		if sends := r.all(); len(sends) > 0 {
-			t.Errorf("sent %+v to a server that drains", sends)
+			t.Errorf("sent %+v to a draining server", sends)
 		}
 	})
 }
 
-// A request whose deadline passed while the process was stopped is not sent, and is answered once.
-func TestNothingIsSentPastItsDeadlineAfterAStop(t *testing.T) {
-	runStallable(t, func(e *Engine, r *recorder) {
+// A request whose deadline passed while the process was suspended is not sent, and is answered once.
+func TestNothingIsSentPastItsDeadlineAfterSuspension(t *testing.T) {
+	runSuspendable(t, func(e *Engine, r *recordingTransport) {
 		reply := make(chan call.Answer, 2)
 		deadline := e.Clock.Now() + time.Second
 		e.Clock.Advance(1500 * time.Millisecond)
 		e.Submit(policy.Request{}, &call.Message{}, deadline, reply)
 		if a := <-reply; a.Kind != call.Refused {
-			t.Errorf("answer %+v, want refused: nothing was sent", a)
+			t.Errorf("answer %+v, want refused, as nothing was sent", a)
 		}
 		time.Sleep(3 * time.Second)
 		if sends := r.all(); len(sends) > 0 || len(reply) > 0 {
-			t.Errorf("sent %+v, %d more answers", sends, len(reply))
+			t.Errorf("sent %+v, %d more answers, want none", sends, len(reply))
 		}
 	})
 }
 
-// Attempts are in flight while the process is stopped: each request has one answer, none that is not idempotent
-// a second attempt, and the timers that are overdue by then share a call of the module.
-func TestAttemptsInFlightOverAStopAreNotRepeated(t *testing.T) {
-	runStallable(t, func(e *Engine, r *recorder) {
+// With attempts in flight while the process is suspended, each request gets one answer, no non-idempotent request gets
+// a second attempt, and the timers that are overdue afterwards share a call of the module.
+func TestAttemptsInFlightDuringSuspensionAreNotRepeated(t *testing.T) {
+	runSuspendable(t, func(e *Engine, r *recordingTransport) {
 		replies := make(chan call.Answer, 100)
 		for range 20 {
 			e.Submit(policy.Request{}, &call.Message{}, e.Clock.Now()+time.Second, replies)
 		}
 		synctest.Wait()
-		out := len(r.all())
-		if out == 0 {
+		inFlight := len(r.all())
+		if inFlight == 0 {
 			t.Fatal("nothing was sent")
 		}
 		e.Clock.Advance(1500 * time.Millisecond)
@@ -157,22 +159,23 @@
 			<-replies
 		}
 		time.Sleep(3 * time.Second)
-		if n := len(r.all()); n != out || len(replies) > 0 {
-			t.Errorf("%d attempts after the stop, %d before; %d answers too many", n, out, len(replies))
+		if n := len(r.all()); n != inFlight || len(replies) > 0 {
+			t.Errorf("%d attempts sent after the suspension, %d before, want no more; %d answers too many",
+				n, inFlight, len(replies))
 		}
 		flushed := make(chan int, 1)
 		e.post(func(time.Duration) { flushed <- len(e.wakes) })
 		if n := <-flushed; n > 4 {
-			t.Errorf("%d timers are still set", n)
+			t.Errorf("%d timers are still set, want at most 4", n)
 		}
 	})
 }
 
-// Requests that are open when Run ends are answered: refused where nothing was sent, failed where something was.
+// Requests that are open when Run ends are answered: failed if an attempt was sent, refused otherwise.
 func TestEndOfRunAnswersOpenRequests(t *testing.T) {
 	for state, want := range map[policy.State]call.Kind{policy.Ready: call.Failed, policy.Draining: call.Refused} {
 		synctest.Test(t, func(t *testing.T) {
-			r := new(recorder)
+			r := new(recordingTransport)
 			e, err := New(Config{
 				Policy: policy.Config{
 					Balancers: 1, MaxAttempts: 3, MayCancel: true,
@@ -186,7 +189,7 @@
 				t.Fatal(err)
 			}
 			ctx, cancel := context.WithCancel(context.Background())
-			go e.Run(ctx, list(state))
+			go e.Run(ctx, oneServerList(state))
 			reply := make(chan call.Answer, 2)
 			e.Submit(policy.Request{}, &call.Message{}, e.Clock.Now()+2*time.Second, reply)
 			synctest.Wait()
@@ -194,7 +197,7 @@
 			if a := <-reply; a.Kind != want {
 				t.Errorf("answer %+v, want %v", a, want)
 			}
-			e.Flush() // does not block after the end
+			e.Flush() // must not block after Run has returned
 			e.Submit(policy.Request{}, &call.Message{}, 0, reply)
 			synctest.Wait()
 		})
--- a/internal/proxy/engine/timers.go
+++ b/internal/proxy/engine/timers.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// The module sets a timer every 100 ms at least. Where more than stalledAfter has passed between two events, the
-// process was stopped. Then, for catchUpTime, the server lists that came in meanwhile are applied before
-// anything is sent: requests that waited would else go to servers that are draining or deregistered by now.
+// The module sets a timer at least every 100 ms, so if more than stalledAfter passes between two events, the process
+// was suspended. For catchUpTime the engine then applies the server lists that arrive, before it sends anything.
+// Otherwise waiting requests would be sent to servers that have started to drain or were deregistered in the meantime.
 const (
 	stalledAfter = 500 * time.Millisecond
 	catchUpTime  = 50 * time.Millisecond
 )
 
-// advance sets the time of the next event, applies the server lists that came while the process was stopped,
-// and then the limits.
+// advance sets the time of the next event. If the process was suspended, it applies the server lists that arrived in
+// the meantime. Then it applies the limits.
 func (e *Engine) advance() {
 	defer e.applyLimits()
 	before := e.now
@@ -23,21 +23,21 @@
 		return
 	}
 	e.Log.Warn("stopped for a while", "time", e.now-before)
-	within := time.NewTimer(catchUpTime)
-	defer within.Stop()
+	timeout := time.NewTimer(catchUpTime)
+	defer timeout.Stop()
 	for {
 		select {
 		case <-e.pendingReady:
 			e.now = e.Clock.Now()
 			e.applyPending()
-		case <-within.C:
+		case <-timeout.C:
 			e.now = e.Clock.Now()
 			return
 		}
 	}
 }
 
-// fireTimers calls Module.Wake once for all timers that are due.
+// fireTimers calls Module.Wake once if any timers are due, and removes those timers.
 func (e *Engine) fireTimers() {
 	due := 0
 	for due < len(e.wakes) && e.wakes[due] <= e.now {
@@ -50,7 +50,7 @@
 	e.setTimer()
 }
 
-// setTimer sets the timer for the first wake that is due.
+// setTimer sets the timer to the first of the scheduled wakes.
 func (e *Engine) setTimer() {
 	if len(e.wakes) > 0 {
 		e.timer.Reset(e.wakes[0] - e.now)
