--- a/internal/proxy/call/body.go
+++ b/internal/proxy/call/body.go
@@ -5,23 +5,24 @@
 	"sync/atomic"
 )
 
-// Upload is the rest of a request's body, beyond what Message.Body holds. It is streamed to one attempt
-// alone. Its methods may be called from any goroutine.
+// Upload is the part of a request's body that follows Message.Body. It is streamed, and only one attempt can send it.
+// Its methods may be called from any goroutine.
 type Upload struct {
-	// Length is that of the whole body in bytes, what Message.Body holds included; -1: unknown until it ends.
+	// Length is the length of the whole body in bytes, including Message.Body; -1: unknown until the body ends.
 	Length int64
-	// Read is as io.Reader's. One goroutine at a time may call it.
+	// Read reads the next bytes, as io.Reader does. Only one goroutine at a time may call it.
 	Read func(p []byte) (int, error)
 
 	claimed atomic.Bool
 	onClaim func()
 }
 
-// OnClaim has a function called when an attempt claims the upload. It is set before the message is handed
-// over.
+// OnClaim sets a function that is called when an attempt claims the upload. It must be called before the message is
+// handed over.
 func (u *Upload) OnClaim(f func()) { u.onClaim = f }
 
-// Claim gives the upload to one attempt; false: another attempt has it, so this one has nothing to send.
+// Claim reserves the upload for the calling attempt. It returns false if another attempt has claimed the upload, so
+// that the calling attempt cannot send the body.
 func (u *Upload) Claim() bool {
 	if !u.claimed.CompareAndSwap(false, true) {
 		return false
@@ -32,15 +33,14 @@
 	return true
 }
 
-// Claimed says whether an attempt has claimed the upload.
+// Claimed reports whether an attempt has claimed the upload.
 func (u *Upload) Claimed() bool { return u.claimed.Load() }
 
-// Body is a Stream of an answer's body over HTTP, read from the server. Read returns io.EOF after the last
-// byte of a complete body; any other error says that it is truncated. A Body that was not read to its end
-// has to be closed.
+// Body is a Stream of the body of an HTTP answer, read from the server. Read returns io.EOF after the last byte of a
+// complete body; any other error means that the body is truncated. A Body that was not read to its end must be closed.
 type Body interface {
 	Stream
 	io.Reader
-	// Length is the body's length in bytes; -1: unknown until it ends.
+	// Length returns the length of the body in bytes; -1: unknown until the body ends.
 	Length() int64
 }
--- a/internal/proxy/call/duration.go
+++ b/internal/proxy/call/duration.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// MaxDuration is what ParseDuration returns for longer times.
+// MaxDuration is the longest duration that ParseDuration returns. It replaces longer durations.
 const MaxDuration = time.Hour
 
-// ParseDuration parses a number with the unit m (milliseconds) or u (microseconds), as in X-Timeout; false:
-// the text is malformed.
+// ParseDuration parses a duration as in X-Timeout: a decimal number with the unit m (milliseconds) or u
+// (microseconds). It returns false if the text is malformed.
 func ParseDuration(text string) (time.Duration, bool) {
 	unit := time.Millisecond
 	number, ok := strings.CutSuffix(text, "m")
--- a/internal/proxy/call/duration_test.go
+++ b/internal/proxy/call/duration_test.go
@@ -11,14 +11,14 @@
 		"99999999999999999999m": MaxDuration,
 	} {
 		if got, ok := ParseDuration(text); !ok || got != want {
-			t.Errorf("%q is %v, %v, want %v", text, got, ok, want)
+			t.Errorf("duration %q is parsed as %v, %v, want %v", text, got, ok, want)
 		}
 	}
 	for _, text := range []string{
 		"", "m", "480", "480s", "1e3m", "0x5m", "1_0m", "Infm", " 5m", "5 m", "1.2.3m", "-1m", "+1m",
 	} {
 		if got, ok := ParseDuration(text); ok {
-			t.Errorf("%q was taken for %v", text, got)
+			t.Errorf("duration %q is parsed as %v, want it rejected", text, got)
 		}
 	}
 }
