--- a/internal/proxy/clock/boot.go
+++ b/internal/proxy/clock/boot.go
@@ -4,6 +4,6 @@
 
 var processStart = time.Now()
 
-// sinceStart returns the time since the process started, and an hour more so that it is never 0. It is used where
-// the time since the machine started is not known.
+// sinceStart returns the time since the process started plus one hour, so that it is never 0. SinceBoot uses it if the
+// time since the machine started is not available.
 func sinceStart() time.Duration { return time.Hour + time.Since(processStart) }
--- a/internal/proxy/clock/boot_linux.go
+++ b/internal/proxy/clock/boot_linux.go
@@ -6,9 +6,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// SinceBoot returns the time since the machine started. It never goes back, it does not depend on the machine's date,
-// and it goes on while this process or the machine is suspended, as leases need. Go's monotonic clock stops while a
-// machine sleeps.
+// SinceBoot returns the time since the machine started. It never goes back and does not depend on the machine's date.
+// As leases require, it also advances while the process or the machine is suspended; Go's monotonic clock does not
+// advance while the machine sleeps.
 func SinceBoot() time.Duration {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
--- a/internal/proxy/clock/every.go
+++ b/internal/proxy/clock/every.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Every calls do every d until ctx ends. It returns when the last call has.
+// Every calls do at intervals of d until ctx is done. It returns after the last call has returned.
 func Every(ctx context.Context, d time.Duration, do func()) {
 	ticker := time.NewTicker(d)
 	defer ticker.Stop()
