--- a/internal/proxy/admission/admission.go
+++ b/internal/proxy/admission/admission.go
@@ -26,7 +26,8 @@
 }
 
 const (
-	priorRequests    = 1.5             // admitted in addition to the measured share, or one failure would stop low traffic
+	// Requests admitted in addition to the measured share. Without them, a single failure could stop low traffic.
+	priorRequests    = 1.5
 	decayTime        = 2 * time.Second // time constant of decaying counts: about the time that queues take to build up
 	minRelativeValue = 1.0 / 8         // lower bound of a class's relative value, or some classes would never be admitted
 )
--- a/internal/proxy/admission/budget.go
+++ b/internal/proxy/admission/budget.go
@@ -24,7 +24,7 @@
 	b.requests = append(b.requests, now)
 }
 
-// Exhausted reports whether the limit allows no retry. Exactly one Span ago, a request is outside, a retry inside.
+// Exhausted reports whether no retry is allowed. A retry exactly one Span ago counts, a request of that time does not.
 func (b *RetryBudget) Exhausted(now time.Duration) bool {
 	if b.Span == 0 {
 		return false
--- a/internal/proxy/admission/weighed/weighed.go
+++ b/internal/proxy/admission/weighed/weighed.go
@@ -16,7 +16,7 @@
 	rng               *rand.Rand
 	k                 float64
 	window            time.Duration
-	at                time.Duration
+	updatedAt         time.Duration
 	requests, accepts float64
 }
 
@@ -27,8 +27,8 @@
 
 // Admit counts each request, whether it is admitted or rejected.
 func (g *SRE) Admit(now time.Duration, value float64) bool {
-	decay := math.Exp(-float64(now-g.at) / float64(g.window))
-	g.at, g.requests, g.accepts = now, g.requests*decay, g.accepts*decay
+	decay := math.Exp(-float64(now-g.updatedAt) / float64(g.window))
+	g.updatedAt, g.requests, g.accepts = now, g.requests*decay, g.accepts*decay
 	reject := (g.requests - g.k*g.accepts) / (g.requests + 1)
 	g.requests++
 	return admission.AdmitAtRandom(g.rng, 1-reject, value)
@@ -45,7 +45,7 @@
 }
 
 // AIMD limits the attempts in flight by additive increase and multiplicative decrease: the limit grows by one for as
-// many answers in time as the limit allows attempts, and shrinks by a tenth for a late answer.
+// many answers in time (score at least 0.5) as it allows attempts, and shrinks by a tenth for a late answer.
 type AIMD struct {
 	limit     float64
 	inFlight  int
@@ -113,8 +113,8 @@
 }
 
 // CoDel rejects requests at an increasing rate while no answer of the last interval had the full score (RFC 8289, 5.2).
-// The queues are in the servers, so CoDel cannot see the time that a request spends in a queue. Instead it takes an
-// answer with less than the full score, that is later than half of the latency target, for one of a long queue.
+// The queues are in the servers, so CoDel cannot see the time that a request spends in a queue. Instead it takes
+// answers that are later than half of the latency target, which have less than the full score, as evidence of a queue.
 type CoDel struct {
 	lateSince       time.Duration // since when all answers have been late; 0: the last answer was not late
 	rejecting       bool
--- a/internal/proxy/bulkhead/bulkhead.go
+++ b/internal/proxy/bulkhead/bulkhead.go
@@ -18,7 +18,7 @@
 	rateWindow      = 10 * time.Second // time over which the balancer's own traffic is measured
 	priorSeconds    = 1.0              // seconds of even traffic that are assumed before the measurement
 	averagedAnswers = 8.0              // the latency is a mean over about this many answers, fewer where they are rare:
-	answerSeconds   = 0.06             // an answer weighs as much as one answer in each of these periods since the last
+	answerSeconds   = 0.06             // after a gap, an answer has the weight of one answer per answerSeconds of the gap
 	initialLatency  = 0.1              // latency assumed at first, as a fraction of the latency target
 )
 
--- a/internal/proxy/engine/engine.go
+++ b/internal/proxy/engine/engine.go
@@ -23,7 +23,7 @@
 	counterLogInterval = 10 * time.Second
 	eventQueueSize     = 256 // events that wait for Run before post blocks
 
-	// uploadRetryAfter is the delay that a client is told before it retries a request with a streamed body.
+	// uploadRetryAfter is the Retry-After of a refused request whose body was streamed.
 	uploadRetryAfter = 200 * time.Millisecond
 )
 
@@ -57,7 +57,7 @@
 	Module func(cfg policy.Config, seed uint64, host policy.Host) (Module, error)
 }
 
-// Module is a decision module: a policy.Balancer, or a wrapper that passes every call on to one.
+// Module is a decision module: a policy.Balancer, or a wrapper that passes every call on to a policy.Balancer.
 type Module interface {
 	Start(now time.Duration)
 	Request(now time.Duration, q policy.Request)
--- a/internal/proxy/engine/engine_test.go
+++ b/internal/proxy/engine/engine_test.go
@@ -55,7 +55,7 @@
 }
 
 // The first served attempt answers the request at once. Later decisions of the module for the request, and the results
-// of other attempts, have no effect. Each attempt has one Outcome; after the last the request is removed.
+// of other attempts, have no effect. Each attempt has one Outcome; after the last Outcome the request is removed.
 func TestRequestHasOneAnswer(t *testing.T) {
 	release := make(chan struct{})
 	s := testbed.NewStub(t, func(c net.Conn, r testbed.Received) bool {
--- a/internal/proxy/loadquery/loadquery.go
+++ b/internal/proxy/loadquery/loadquery.go
@@ -8,14 +8,14 @@
 
 	maxProbePrice = 0.02 // highest price of a probe, as a fraction of a request's value; doc.go has the reason
 
-	suspectSlowness = 2.2 // latency, as a multiple of the usual, from which a server is suspect
+	suspectSlowness = 2.2 // latency, as a multiple of the usual latency, from which a server is suspect
 
-	defaultTurnInterval  = 1.0 // seconds in which each server of the arc gets a turn,
-	probedTurnInterval   = 3.0 // the same if all servers are probed: probes find the best of many servers,
-	unprobedTurnInterval = 0.4 // and if probes are too expensive: fewer servers, whose state is learned often
+	defaultTurnInterval  = 1.0 // seconds in which each server of the arc gets a turn
+	probedTurnInterval   = 3.0 // if all servers are probed: probes find the best of many servers
+	unprobedTurnInterval = 0.4 // if probes are too expensive: fewer servers, whose state is learned often
 )
 
-// Prober makes these decisions for one balancer. It is used from one goroutine.
+// Prober decides for one balancer which servers it probes. It is used from one goroutine.
 type Prober struct {
 	enabled, expensive  bool
 	compared, differing int // pairs of reports
@@ -43,8 +43,8 @@
 	return p.enabled && !p.expensive && p.differing >= minDifferingReports
 }
 
-// AttemptTimeout returns the time-out of an attempt that may be retried: whole, the time for which an answer is of use,
-// or part, the time after which a retry could still succeed, where servers are not probed and may be unresponsive.
+// AttemptTimeout returns the time-out of an attempt that may be retried. It is whole, the time for which an answer is
+// of use, or, where servers are not probed and may be unresponsive, part, which leaves time for a successful retry.
 func (p *Prober) AttemptTimeout(whole, part time.Duration) time.Duration {
 	if !p.expensive || part < whole/2 {
 		return whole
@@ -58,12 +58,12 @@
 	return p.enabled && p.expensive && slowness >= suspectSlowness
 }
 
-// ShouldProbe reports whether a server is probed at its turn.
+// ShouldProbe reports whether a server is probed at its turn in the round robin. slowness is as for ProbesSuspect.
 func (p *Prober) ShouldProbe(slowness float64) bool {
 	return p.ProbesAll() || p.ProbesSuspect(slowness)
 }
 
-// TurnInterval returns the time, in seconds, in which each server of the arc gets a turn.
+// TurnInterval returns the time, in seconds, in which each server of the arc, the balancer's subset, gets a turn.
 func (p *Prober) TurnInterval() float64 {
 	switch {
 	case p.ProbesAll():
--- a/internal/proxy/requestclass/requestclass.go
+++ b/internal/proxy/requestclass/requestclass.go
@@ -55,7 +55,7 @@
 	return c.Effect == Idempotent || c.Effect == Deduplicated && c.Scope == ScopeAll
 }
 
-// Tenant is one customer with a share of the service.
+// Tenant is a customer with a share of the service.
 type Tenant struct {
 	Share float64 // share of the service, relative to the sum of all tenants' shares
 	Quota float64 // requests per second within its share, over all balancers; 0: unknown
--- a/internal/proxy/share/capacity.go
+++ b/internal/proxy/share/capacity.go
@@ -17,9 +17,9 @@
 
 // Capacity divides units of a resource (connections, calls, bytes) among pools by weight. Each pool is guaranteed its
 // share, and may borrow the units that other pools leave unused, except for a tenth of them. Borrowed units are not
-// revoked: their owner has them back when they are released. After a pool was refused a part of its own share, no units
-// are lent until the pool has acquired what it asked for, or has not asked for 3 s. A Capacity is safe for concurrent
-// use.
+// revoked: their owner has them back when they are released. After a pool was refused a part of its own share, no
+// units are lent until the pool has acquired the units that it asked for, or was not refused any for 3 s. A Capacity
+// is safe for concurrent use.
 type Capacity struct {
 	mu    sync.Mutex // guards the fields below
 	size  int64
--- a/internal/proxy/sizing/sizing.go
+++ b/internal/proxy/sizing/sizing.go
@@ -17,7 +17,7 @@
 
 // Compartments divides the mean attempts in flight of n balancers by shares. Each balancer gets the largest of n random
 // parts (ln n + 0.58 even parts) and Spread standard deviations; fixed slots, unless 0, replace both. queue is how many
-// requests may wait; if negative, the slots determine that. Shares that add up to less than whole leave a rest.
+// requests may wait; if negative, the slots determine that. If shares add up to less than whole, the rest is unused.
 func Compartments(mean float64, n, fixed, queue int, whole float64, shares []float64) (all []Compartment, slots int) {
 	total, spread := mean*min(1, (math.Log(float64(n))+0.58)/float64(n)), Spread
 	if fixed > 0 {
--- a/internal/proxy/slowstart/slowstart.go
+++ b/internal/proxy/slowstart/slowstart.go
@@ -5,7 +5,7 @@
 const (
 	budgetFraction = 0.5  // fraction of a starting server's capacity that is used: arrivals vary at random
 	minWarmth      = 0.05 // lower bound of the fraction of its capacity that a starting server has, for any settings
-	minRate        = 0.01 // least sends per second: one in 100 s
+	minRate        = 0.01 // lower bound of the send rate, per second: one send in 100 s
 )
 
 // Warmth returns the least fraction of its full capacity that a starting server has. It rises linearly from initial
