--- a/internal/proxy/subset/subset_test.go
+++ b/internal/proxy/subset/subset_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// The arcs of n balancers start at equal distances. If the number of live balancers differs from n, no gap between two
-// starts is larger than 2.2 times the even gap. A balancer whose number is n or above has a start too.
+// The arcs of n balancers start at equal distances. If the actual number of balancers differs from n, no gap between
+// two starts is larger than 2.2 times the even gap. A balancer whose number is n or above has a start too.
 func TestArcStartsAreEvenlySpread(t *testing.T) {
 	for n := 1; n <= 700; n++ {
 		taken := make([]bool, n)
@@ -38,7 +38,7 @@
 			widest = max(widest, starts[i+1]-starts[i])
 		}
 		if even := 1 / float64(min(c[0], c[1])); widest > 2.2*even {
-			t.Errorf("n = %d, of which the first %d are live: widest gap %.4f, want at most 2.2 times the even gap of %.4f",
+			t.Errorf("n = %d, starts of the first %d balancers: widest gap %.4f, want at most 2.2 times the even gap of %.4f",
 				c[0], c[1], widest, even)
 		}
 	}
@@ -104,7 +104,7 @@
 		weights := rapid.SliceOfN(rapid.SampledFrom(like), 12, 100).Draw(t, "weights")
 		n := rapid.IntRange(4*len(weights), 600).Draw(t, "n")
 		length := ArcLength(0, rapid.Float64Range(0, 40).Draw(t, "feeds"), 0, 6)
-		load, totalWeight, sent := make([]float64, len(weights)), 0.0, 0.0
+		load, totalWeight, balancerCount := make([]float64, len(weights)), 0.0, 0.0
 		for i := range n {
 			shares, arcWeight := ArcShares(ArcStart(i, n, nil), length, weights, 4), 0.0
 			for k, p := range shares {
@@ -113,13 +113,13 @@
 			for k, p := range shares {
 				load[k] += p * weights[k] / arcWeight
 			}
-			sent++
+			balancerCount++
 		}
 		for _, w := range weights {
 			totalWeight += w
 		}
 		for k, l := range load {
-			if even := sent * weights[k] / totalWeight; math.Abs(l-even) > 0.06*even+1 {
+			if even := balancerCount * weights[k] / totalWeight; math.Abs(l-even) > 0.06*even+1 {
 				t.Fatalf("server %d of weight %v gets the traffic of %.2f of %v balancers, want %.2f", k, weights[k], l, n, even)
 			}
 		}
