--- a/internal/mesh/balancer/balancer.go
+++ b/internal/mesh/balancer/balancer.go
@@ -81,8 +81,8 @@
 // Start does nothing: a balancer has no work before its first List.
 func (b *Balancer) Start(time.Duration) {}
 
-// Request sends, queues or rejects an arriving request. The request's Terms are a *RequestClass; a request with other
-// Terms is rejected.
+// Request sends, queues or rejects an arriving request. The request's Attributes are a *RequestClass; a request with
+// other Attributes is rejected.
 func (b *Balancer) Request(now time.Duration, q policy.Request) {
 	class, ok := q.Attributes.(*RequestClass)
 	if !ok || q.TimeLeft <= deadlineMargin || b.requests[q.ID] != nil {
