--- a/internal/mesh/quota/allocator.go
+++ b/internal/mesh/quota/allocator.go
@@ -77,18 +77,18 @@
 		return Response{}, err
 	}
 	if a.hasEpoch && epoch < a.epoch {
-		return Response{}, errs.New(errs.Stale, "request in epoch %d is stale, the current epoch is %d", epoch, a.epoch)
+		return Response{}, errs.New(errs.Stale, "epoch %d is over, this is %d", epoch, a.epoch)
 	}
 	a.advance(now)
 	if !a.hasEpoch || epoch > a.epoch {
 		a.beginEpoch(now, epoch)
 	}
 	if now < a.grantsFrom {
-		return Response{}, errs.New(errs.Busy, "epoch %d grants tokens only after another %v", epoch, a.grantsFrom-now)
+		return Response{}, errs.New(errs.Busy, "epoch %d deals in %v", epoch, a.grantsFrom-now)
 	}
 	nodeContact := a.contacts[node]
 	if nodeContact == nil && len(a.contacts) >= maxNodes {
-		return Response{}, errs.New(errs.Busy, "%d nodes are tracked, which is the maximum", maxNodes)
+		return Response{}, errs.New(errs.Busy, "%d nodes are asking, no more are taken", maxNodes)
 	}
 	// The first report of a node in the epoch may include requests that ran before the epoch and count at the
 	// preceding Allocator. The charged fraction is the part of contactTTL that lies within the epoch.
@@ -115,25 +115,25 @@
 // request is out of its range.
 func validateRequest(node string, request *Request) error {
 	if node == "" || len(node) > maxNodeNameBytes {
-		return errs.New(errs.Invalid, "node name must have 1 to %d bytes, got %d", maxNodeNameBytes, len(node))
+		return errs.New(errs.Invalid, "a node's name has 1 to %d bytes, this one %d", maxNodeNameBytes, len(node))
 	}
 	if len(request.Demands) > maxDemands {
-		return errs.New(errs.TooLarge, "request has %d demands, the maximum is %d", len(request.Demands), maxDemands)
+		return errs.New(errs.TooLarge, "%d asks, at most %d are taken", len(request.Demands), maxDemands)
 	}
 	if request.Members < 0 || request.Members > maxMembers {
-		return errs.New(errs.Invalid, "member count %d must be between 0 and %d", request.Members, maxMembers)
+		return errs.New(errs.Invalid, "%d members, want 0 to %d", request.Members, maxMembers)
 	}
 	if lease := request.Lease; lease != nil {
 		if !(lease.Share > 0 && lease.Share <= 1) || lease.Clock < 0 || lease.Elapsed < 0 {
 			return errs.New(errs.Invalid,
-				"floor lease: share %v must be above 0 and at most 1, elapsed time %v and clock %v must not be negative",
+				"floor lease of share %v, %v after clock %v",
 				lease.Share, lease.Elapsed, lease.Clock)
 		}
 	}
 	for _, demand := range request.Demands {
 		if !validAmount(demand.Requested) || !validAmount(demand.Admitted) {
 			return errs.New(errs.Invalid,
-				"tenant %q: %v requested tokens and %v admitted requests must be between 0 and 1e12",
+				"tenant %q: %v tokens can't be wanted and %v used",
 				demand.Tenant, demand.Requested, demand.Admitted)
 		}
 	}
--- a/internal/proxy/route/target.go
+++ b/internal/proxy/route/target.go
@@ -20,7 +20,7 @@
 func NewRequest(hostField, target, method, class string) (Request, error) {
 	// The host of an absolute-form target may differ from the Host header, and servers differ in which host they use.
 	if !strings.HasPrefix(target, "/") {
-		return Request{}, errors.New("request target does not begin with a slash")
+		return Request{}, errors.New("the target is no path")
 	}
 	host, err := Host(hostField)
 	if err != nil {
@@ -48,19 +48,19 @@
 		literal, port, closed := strings.Cut(rest, "]")
 		address, err := netip.ParseAddr(literal)
 		if !closed || err != nil || !address.Is6() || address.Zone() != "" || !isPort(port) {
-			return "", errors.New("host begins with a bracket but is not an IPv6 literal with an optional port")
+			return "", errors.New("the host is no IPv6 literal with a port or none")
 		}
 		return address.String(), nil
 	}
 	if i := strings.IndexByte(host, ':'); i >= 0 {
 		if !isPort(host[i:]) {
-			return "", errors.New("port of the host is not a number of at most 5 digits")
+			return "", errors.New("the host's port is no number")
 		}
 		host = host[:i]
 	}
 	host = strings.TrimSuffix(host, ".")
 	if host == "" || len(host) > maxHostLength {
-		return "", errors.New("host is empty or longer than 253 bytes")
+		return "", errors.New("the host is empty or too long")
 	}
 	lower := false
 	for i := range len(host) {
@@ -70,7 +70,7 @@
 			lower = true
 		case c == '.' && i > 0 && host[i-1] != '.':
 		default:
-			return "", errors.New("host contains a character that is not allowed in a host name, or an empty label")
+			return "", errors.New("the host holds what no name does")
 		}
 	}
 	if lower {
@@ -87,8 +87,8 @@
 	return text[0] == ':' && len(text) <= 6 && strings.Trim(text[1:], "0123456789") == ""
 }
 
-var errAmbiguousPath = errors.New("path is ambiguous: it contains a dot segment, an empty segment, a backslash, " +
-	"or an encoded slash, backslash, percent sign or NUL")
+var errAmbiguousPath = errors.New("the path can be read in more than one way: a dot segment, an empty segment, " +
+	"a backslash, or an encoded slash, backslash or NUL")
 
 // Path converts the path of a request target, without the query, to the normal form that rules use: unreserved bytes
 // that are percent-encoded are decoded, once (RFC 3986, 6.2.2.2). To prevent requests from evading a rule, Path rejects
@@ -96,7 +96,7 @@
 // encoded slashes, backslashes, percent signs and NULs.
 func Path(raw string) (string, error) {
 	if raw == "" || raw[0] != '/' || len(raw) > maxPathLength {
-		return "", errors.New("path does not begin with a slash, or is longer than 8192 bytes")
+		return "", errors.New("the path doesn't begin with a slash, or is too long")
 	}
 	path := raw
 	if strings.IndexByte(raw, '%') >= 0 {
@@ -123,11 +123,11 @@
 			continue
 		}
 		if i+2 >= len(raw) {
-			return "", errors.New("path ends with an incomplete percent-encoded byte")
+			return "", errors.New("the path ends in half an encoded byte")
 		}
 		hi, lo := hexValue(raw[i+1]), hexValue(raw[i+2])
 		if hi < 0 || lo < 0 {
-			return "", errors.New("path contains a percent sign that two hexadecimal digits do not follow")
+			return "", errors.New("the path has a percent sign with no byte behind it")
 		}
 		switch c := byte(hi<<4 | lo); {
 		case c == '/' || c == '\\' || c == 0 || c == '%':
