--- a/cmd/measure/mutants_config.go
+++ b/cmd/measure/mutants_config.go
@@ -4,8 +4,8 @@
 var watchMutants = []mutant{
 	{"wire.go", "slowLinkTimeout = 4 * time.Second", "slowLinkTimeout = time.Second",
 		"a link on which a round trip takes a second ends every session"},
-	{"client_watchdog.go", "\t\td.lookElsewhere()\n", "", "a member that falls silent is waited for"},
-	{"client_lease.go", "\t\tcase <-late.C:\n\t\t\tlate.Reset(lateRenewal)\n", "",
+	{"client_watchdog.go", "\t\td.onSilence()\n", "", "a member that falls silent is waited for"},
+	{"client_lease.go", "\t\tcase <-lateTimer.C:\n\t\t\tlateTimer.Reset(lateRenewalThreshold)\n", "",
 		"a member that does not hear the sidecar keeps it"},
 	{"client_contact.go", "response.CaughtUp || response.Version > 0 && applied >= response.Version",
 		"response.CaughtUp", "a change that comes before the answer unconfirms the one applied"},
--- a/internal/mesh/controlplane/propagation.go
+++ b/internal/mesh/controlplane/propagation.go
@@ -90,7 +90,7 @@
 		}
 		fmt.Fprintf(&text, " %s:%d", l.Node, l.Applied)
 		if l.Watching {
-			fmt.Fprintf(&text, "(sent %d)", l.Sent)
+			fmt.Fprintf(&text, "(sent %d)", l.SentVersion)
 		}
 	}
 	return strings.TrimPrefix(text.String(), " ")
--- a/internal/mesh/controlplane/propagation_test.go
+++ b/internal/mesh/controlplane/propagation_test.go
@@ -28,7 +28,7 @@
 	Convey("An entry names who lags, by which version, and what was sent", t, func() {
 		all := []watch.LaggingSidecar{
 			{Lagging: registry.Lagging{Node: "a", Applied: 3}},
-			{Lagging: registry.Lagging{Node: "b", Applied: 2}, Watching: true, Sent: 4},
+			{Lagging: registry.Lagging{Node: "b", Applied: 2}, Watching: true, SentVersion: 4},
 		}
 		So(describeLagging(all), ShouldEqual, "a:3 b:2(sent 4)")
 		So(describeLagging(make([]watch.LaggingSidecar, maxLoggedLagging+1)), ShouldEndWith, "...")
--- a/internal/mesh/sidecar/confirmation.go
+++ b/internal/mesh/sidecar/confirmation.go
@@ -56,7 +56,7 @@
 	now := s.clock.Now()
 	outdated := verifier.outdatedTooLong(now, version)
 	if outdated {
-		s.watchClient.LookElsewhere()
+		s.watchClient.SearchNow()
 	}
 	if rejected := verifier.rejected.Load(); rejected != state.rejected {
 		s.log.Info("attempts rejected, as their configuration is outdated", zap.Int64("attempts", rejected-state.rejected))
--- a/internal/mesh/watch/client.go
+++ b/internal/mesh/watch/client.go
@@ -15,106 +15,112 @@
 	"caperarch/internal/mesh/registry"
 )
 
-// ClientConfig is what a Client is made of. All fields but Zone, Seeds and
-// Services are required. The callbacks OnConfig and OnRegistry are called one at
-// a time, from Run.
+// ClientConfig configures a Client. All fields but Zone, Seeds and Services are required. Run calls OnConfig
+// and OnRegistry, one at a time.
 type ClientConfig struct {
 	Node string
-	// Incarnation is likely to grow with each run of the process, for example its
-	// start in nanoseconds. Where it did not, as the machine's clock went back, the
-	// Client goes by a larger one.
+	// Incarnation identifies this run of the process and should grow with each run, for example the start
+	// time in nanoseconds. If it did not grow because the machine's clock went back, the Client uses a larger
+	// incarnation instead.
 	Incarnation registry.Incarnation
 	Zone        string
-	// Seeds are internal addresses of core machines to begin with.
+	// Seeds are the internal addresses of the core machines to try first.
 	Seeds []string
-	// HTTP must have no Timeout of its own, since watches last: see NewHTTPClient.
+	// HTTP must have no Timeout set, since a watch stays open indefinitely. NewHTTPClient returns a suitable
+	// client.
 	HTTP *http.Client
-	// State returns the Upstream, Applied and Leaving of this sidecar's lease,
-	// with the warm-up that remains now.
+	// State returns a lease with Upstream, Applied and Leaving set, and with the remaining warm-up time as of
+	// now.
 	State func() registry.Lease
-	// ConfigVersion is the configuration version applied. OnConfig applies a
-	// change or a full configuration, skips versions that are applied already,
-	// and returns false to be sent the full configuration.
+	// ConfigVersion returns the configuration version that is applied. OnConfig applies a configuration
+	// change or a full configuration, and skips versions that are already applied. It returns false to
+	// request the full configuration.
 	ConfigVersion func() int64
 	OnConfig      func(frame json.RawMessage) (ok bool)
-	// OnRegistry applies upserts and removals; if full, the upserts replace all.
+	// OnRegistry applies upserts and removals. If full is true, upserts replaces all known upstreams.
 	OnRegistry func(full bool, upserts []registry.Upstream, removals []string)
-	// Services names the services this sidecar calls; nil or none means all.
+	// Services returns the services that this sidecar calls. It may be nil; nil or an empty result stands for
+	// all services.
 	Services func() []string
 	Log      *zap.Logger
 }
 
-// NewHTTPClient returns the HTTP client that a Client needs: its connections bear a
-// slow link, as the Client itself notices a member that is silent.
+// NewHTTPClient returns an HTTP client for a Client. Its connections tolerate a slow link, since the Client
+// itself detects a core machine that has become silent.
 func NewHTTPClient() *http.Client {
 	return httpclient.NewWithTimeouts(httpclient.Timeouts{Dial: slowLinkTimeout, User: slowLinkTimeout})
 }
 
-// Client is the sidecar's side: it keeps a lease and a watch at one core machine,
-// and goes to another when that one fails.
+// Client keeps a sidecar's lease and watch at one core machine, and moves to another one when that machine
+// fails.
 type Client struct {
 	cfg ClientConfig
 
-	// These channels of capacity one wake the goroutine that renews the lease.
+	// These channels have capacity one and wake the goroutine that renews the lease.
 	renewNow    chan struct{}
 	resubscribe chan struct{}
-	// The current member says that it has no contact, or says nothing.
-	lookElsewhere chan struct{}
+	// searchNow requests a search for another core machine: the current one has lost contact, is silent, or
+	// has sent a configuration that is outdated.
+	searchNow chan struct{}
 
 	// mu guards the fields below.
-	mu            sync.Mutex
-	incarnation   registry.Incarnation
-	outgrew       bool // incarnation was raised once
-	leaseSequence registry.Sequence
-	left          bool // Leave was called
-	connected     bool
-	counts        registry.Counts // as last received
-	renewedAt     time.Time       // when the last lease was sent that a member in contact answered, or the start
-	seeds         []string
-	discovered    []Peer
-	peersDigest   PeersDigest // of the list that discovered was replaced with, 0 if it was changed since
-	current       string      // the member that the session is with, or was last with
-	moveTarget    string      // the member to go to from one without contact
-	// confirmedAt is the latest time at which what is applied is known to have
-	// been the newest.
+	mu                sync.Mutex
+	incarnation       registry.Incarnation
+	incarnationRaised bool // true once incarnation was raised
+	leaseSequence     registry.Sequence
+	left              bool // true once Leave was called
+	connected         bool
+	counts            registry.Counts // as received last
+	// renewedAt is when the last lease was sent that a core machine in contact answered, or when the Client was
+	// created if there is none.
+	renewedAt  time.Time
+	seeds      []string
+	discovered []Peer
+	// peersDigest is the digest of the list that discovered was replaced with, 0 if discovered has changed
+	// since.
+	peersDigest PeersDigest
+	// current is the core machine of the current session or chosen for the next one. It is empty after a
+	// failure.
+	current    string
+	moveTarget string // core machine of the next session, chosen in place of one without contact
+	// confirmedAt is the latest time at which the applied configuration is known to have been the newest.
 	confirmedAt time.Time
-	record      sessionRecord
+	sessions    sessionStats
 
-	// The rest belongs to the goroutine of Run.
+	// Only the goroutine of Run accesses the fields below.
 
-	attempted map[string]bool // the members tried in this round
-	// registryEpoch and registryNumber are the registry state that is complete
-	// here; an epoch of 0 means that none is.
+	attempted map[string]bool // core machines tried in the current round
+	// registryEpoch and registryNumber identify the complete registry state that this Client holds;
+	// registryEpoch is 0 if it holds none.
 	registryEpoch   registry.Epoch
 	registryNumber  registry.ChangeNumber
-	services        []string // those that the registry state is limited to
+	services        []string // services that the registry state is limited to
 	needsFullConfig bool
 }
 
-// The reasons for which a Client leaves a member that did not fail.
+// Reasons for ending a session with a core machine that has not failed.
 var (
-	errResubscribe  = errs.New(errs.Internal, "the watch is opened anew")
-	errCloserMember = errs.New(errs.Internal, "a member of the same zone is available")
-	// errMoved is for leaving a member that has lost its contact.
-	errMoved = errs.New(errs.NoQuorum, "another member is in contact with a majority")
+	errResubscribe  = errs.New(errs.Internal, "the watch is reopened for a full configuration or other services")
+	errCloserMember = errs.New(errs.Internal, "a core machine of the sidecar's own zone is available")
+	// errMoved ends a session with a core machine that has lost contact or does not respond in time.
+	errMoved = errs.New(errs.NoQuorum, "another core machine is in contact with a majority")
 )
 
-// NewClient makes a Client; Run starts it.
+// NewClient returns a Client, which Run starts.
 func NewClient(cfg ClientConfig) *Client {
 	return &Client{
-		cfg:           cfg,
-		incarnation:   cfg.Incarnation,
-		renewedAt:     time.Now(),
-		renewNow:      make(chan struct{}, 1),
-		resubscribe:   make(chan struct{}, 1),
-		lookElsewhere: make(chan struct{}, 1),
-		seeds:         slices.Clone(cfg.Seeds),
-		attempted:     map[string]bool{},
+		cfg:         cfg,
+		incarnation: cfg.Incarnation,
+		renewedAt:   time.Now(),
+		renewNow:    make(chan struct{}, 1),
+		resubscribe: make(chan struct{}, 1),
+		searchNow:   make(chan struct{}, 1),
+		seeds:       slices.Clone(cfg.Seeds),
+		attempted:   map[string]bool{},
 	}
 }
 
-// Run keeps a lease and a watch at a core machine until ctx ends. It is called
-// once.
+// Run keeps a lease and a watch at a core machine until ctx ends. It must be called only once.
 func (c *Client) Run(ctx context.Context) {
 	failures := 0
 	for ctx.Err() == nil {
@@ -138,35 +144,35 @@
 	c.disconnect()
 }
 
-// Connected reports whether updates arrive: a member serves the watch now.
+// Connected reports whether a core machine currently serves the watch, so that updates arrive.
 func (c *Client) Connected() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.connected
 }
 
-// Counts are the numbers of sidecars, as last received. A member that may not know
-// all sidecars only raises them.
+// Counts returns the numbers of sidecars as received last. Counts from a core machine that has no contact or
+// may not know all sidecars only raise them.
 func (c *Client) Counts() registry.Counts {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.counts
 }
 
-// ShareHolders is how many sidecars may hold a share of the tenants' limits, this one
-// among them. It is 0 while no number was heard, and once the core may have forgotten
-// this sidecar: it holds no share then.
+// ShareHolders returns how many sidecars, this one included, may hold a share of the tenants' limits. It
+// returns 0 until a count has been received, and again once the core machines may have forgotten this
+// sidecar, which then holds no share.
 func (c *Client) ShareHolders() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if time.Since(c.renewedAt) >= registry.SilentRetention-forgottenMargin {
+	if time.Since(c.renewedAt) >= registry.SilentRetention-retentionMargin {
 		return 0
 	}
 	return max(c.counts.ShareHolders, c.counts.Peak)
 }
 
-// Peers returns the internal addresses of the core machines known, the current
-// one first, then in the order in which they would be tried.
+// Peers returns the internal addresses of the known core machines: the current one first, then the others in
+// the order in which the Client would try them.
 func (c *Client) Peers() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -177,24 +183,24 @@
 	return order
 }
 
-// SetSeeds replaces the seeds. Members discovered since are kept.
+// SetSeeds replaces the seeds. Core machines that were discovered in the meantime are kept.
 func (c *Client) SetSeeds(seeds []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.seeds = slices.Clone(seeds)
 }
 
-// RenewNow renews the lease at once, since what State returns has changed.
+// RenewNow renews the lease at once. It is called after a change of the result of ClientConfig.State.
 func (c *Client) RenewNow() { signal(c.renewNow) }
 
-// LookElsewhere has another member looked for: there is something newer than what the
-// current one has sent.
-func (c *Client) LookElsewhere() { signal(c.lookElsewhere) }
+// SearchNow makes the Client search for another core machine. It is called when a newer configuration exists
+// than the current core machine has sent.
+func (c *Client) SearchNow() { signal(c.searchNow) }
 
-// Resubscribe opens the watch anew, since what Services returns has changed.
+// Resubscribe reopens the watch. It is called after a change of the result of ClientConfig.Services.
 func (c *Client) Resubscribe() { signal(c.resubscribe) }
 
-// sleep waits for d, or until ctx ends.
+// sleep waits until d has passed or ctx ends.
 func sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/internal/mesh/watch/client_contact.go
+++ b/internal/mesh/watch/client_contact.go
@@ -10,19 +10,20 @@
 )
 
 const (
-	// lostContactRenewInterval is the longest time between renewals at a member
-	// that has lost its contact, and so between two rounds of asking the others.
-	// It bounds the requests of all sidecars together while there is no majority.
+	// lostContactRenewInterval is the longest time between two renewals at a core machine that has lost
+	// contact, and so between two searches for another one. It limits the total request rate of all sidecars
+	// while there is no majority.
 	lostContactRenewInterval = 400 * time.Millisecond
-	// probeTimeout bounds the search for another member meanwhile, against members
-	// that no longer run; it spans a round trip between zones.
+	// probeTimeout bounds a search for another core machine while a session is open, against machines that no
+	// longer run. It spans a round trip between zones. It is also how long a new watch may be without its
+	// first byte before the search begins.
 	probeTimeout = 400 * time.Millisecond
 )
 
-// ContactAge returns how old what this Client has applied may be: that long ago,
-// it had applied all that a majority had committed by then. The ages in responses
-// are counted from when the request was sent, so that no delay on the way makes
-// them too small. ok is false until a member in contact has confirmed it once.
+// ContactAge returns an upper bound of the age of the applied configuration: that long ago, this Client had
+// applied everything that a majority had committed by then. The contact ages in responses are counted from
+// the time at which the request was sent, so that network delay never makes the result too small. ok is false
+// until a core machine in contact has confirmed the configuration for the first time.
 func (c *Client) ContactAge() (age time.Duration, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -32,27 +33,27 @@
 	return time.Since(c.confirmedAt), true
 }
 
-// recordConfirmation records what a response proves of the configuration
-// applied, which has the version given by now. c.mu is held.
-func (c *Client) recordConfirmation(askedAt time.Time, response *LeaseResponse, applied int64) {
+// recordConfirmation updates confirmedAt from a response. sentAt is when the request was sent, and applied
+// the configuration version that is applied now. c.mu is held.
+func (c *Client) recordConfirmation(sentAt time.Time, response *LeaseResponse, applied int64) {
 	contact := response.Contact
 	caughtUp := response.CaughtUp || response.Version > 0 && applied >= response.Version
 	if !contact.OK || !caughtUp || contact.Age < 0 {
 		return
 	}
-	if at := askedAt.Add(-contact.Age); at.After(c.confirmedAt) {
+	if at := sentAt.Add(-contact.Age); at.After(c.confirmedAt) {
 		c.confirmedAt = at
-		c.record.failedSessions, c.record.lastFailure = 0, nil
+		c.sessions.failedSessions, c.sessions.lastFailure = 0, nil
 	}
 }
 
-// findMemberInContact asks all other members known, the seeds among them, for
-// one with fresh contact, and makes the first of them in order the move target. It
-// waits no longer than the time given.
+// findMemberInContact asks all other known core machines, seeds included, whether they have fresh contact. It
+// sets the first such machine in order as the move target and reports whether there is one. It waits for at
+// most timeout.
 func (c *Client) findMemberInContact(
-	ctx context.Context, current string, lease *registry.Lease, longest time.Duration,
+	ctx context.Context, current string, lease *registry.Lease, timeout time.Duration,
 ) (found bool) {
-	ctx, cancel := context.WithTimeout(ctx, longest)
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	var others []string
 	for _, address := range c.Peers() {
@@ -71,15 +72,15 @@
 	return false
 }
 
-// findMemberAfterFailure asks all others at once after a member has failed, so
-// that members that no longer run or have no contact cost one timeout together.
-// If none has fresh contact, the members are tried one after the other.
+// findMemberAfterFailure asks all other core machines at once after one has failed, so that machines that do
+// not run or have no contact cost one timeout in total. If none has fresh contact, Run tries the core
+// machines one after the other.
 func (c *Client) findMemberAfterFailure(ctx context.Context, failed string) {
 	lease := c.nextLease()
 	if lease == nil || !c.findMemberInContact(ctx, failed, lease, slowLinkTimeout) {
 		return
 	}
-	c.move()
+	c.switchMember()
 }
 
 func (c *Client) setMoveTarget(address string) {
@@ -88,17 +89,16 @@
 	c.moveTarget = address
 }
 
-// lostContactBackoff is the jittered time between renewals at a member without
-// contact.
+// lostContactBackoff returns the jittered time until the next renewal at a core machine without contact.
 func lostContactBackoff() time.Duration {
 	return lostContactRenewInterval/2 + rand.N(lostContactRenewInterval/2)
 }
 
-// recheckContact asks again whether the member is in contact, for a Client that
-// has no configuration yet, if the first one took long since the watch was
-// requested: a member that was frozen meanwhile may have written it.
-func (c *Client) recheckContact(ctx context.Context, address string, askedAt time.Time) error {
-	if c.cfg.ConfigVersion() > 0 || time.Since(askedAt) <= maxContactAge {
+// recheckContact verifies that a core machine is still in contact before a Client without a configuration
+// applies its first one. It does so only if more than maxContactAge has passed since the watch was requested:
+// the core machine may have been frozen before it sent the configuration, which may then be outdated.
+func (c *Client) recheckContact(ctx context.Context, address string, sentAt time.Time) error {
+	if c.cfg.ConfigVersion() > 0 || time.Since(sentAt) <= maxContactAge {
 		return nil
 	}
 	lease := c.nextLease()
@@ -112,7 +112,8 @@
 		return err
 	}
 	if !response.Contact.OK {
-		return errs.New(errs.NoQuorum, "%s sent a configuration and has no contact", address)
+		return errs.New(errs.NoQuorum,
+			"core machine %s sent a configuration but is not in contact with a majority", address)
 	}
 	return nil
 }
--- a/internal/mesh/watch/client_lease.go
+++ b/internal/mesh/watch/client_lease.go
@@ -10,16 +10,15 @@
 	"caperarch/internal/mesh/rpc"
 )
 
-// forgottenMargin is how long before the core may forget a silent sidecar the sidecar
-// takes itself for forgotten. It guards against clocks that run at different rates, by
-// 0.8 % here.
-const forgottenMargin = time.Minute
+// retentionMargin is how long before the end of registry.SilentRetention a sidecar without renewals assumes
+// that the core machines have forgotten it. It covers clocks whose rates differ by up to 0.8 %.
+const retentionMargin = time.Minute
 
-// Leave ends the lease, so that this sidecar's upstream is removed from the
-// registry, and renews no more. It notifies each member known until one answers
-// that is in contact, as one without may be unable to notify the others; if there
-// is none, the answer of any other counts. The error is that of the last member,
-// Unreachable if none is known.
+// Leave ends the lease, so that this sidecar's upstream is removed from the registry, and stops all further
+// renewals. It notifies the known core machines one by one until one in contact with a majority acknowledges,
+// since one without contact may be unable to notify the others. If none is in contact, the acknowledgement of
+// any other suffices. Otherwise the error is that of the last call; its kind is Unreachable if no core
+// machine is known.
 func (c *Client) Leave(ctx context.Context) error {
 	lease := c.finalLease()
 	failure := errs.New(errs.Unreachable, "no core member is known")
@@ -41,13 +40,13 @@
 	return failure
 }
 
-// runLease renews until ctx ends, and cancels it with the reason when the member
-// fails, when another one is better, or when the watch is to be opened anew.
+// runLease renews the lease until ctx ends. It cancels ctx, stating the reason, if the core machine fails, if
+// another core machine should be used instead, or if the watch has to be reopened.
 func (c *Client) runLease(ctx context.Context, cancel context.CancelCauseFunc, address string) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
-		contactLost := false
+		searchRequested := false
 		select {
 		case <-ctx.Done():
 			return
@@ -55,11 +54,11 @@
 			cancel(errResubscribe)
 			return
 		case <-c.renewNow:
-		case <-c.lookElsewhere:
-			contactLost = true
+		case <-c.searchNow:
+			searchRequested = true
 		case <-timer.C:
 		}
-		next, err := c.renewOrMove(ctx, address, contactLost)
+		next, err := c.renewOrMove(ctx, address, searchRequested)
 		if err != nil {
 			cancel(err)
 			return
@@ -68,18 +67,17 @@
 	}
 }
 
-// renewOrMove renews the lease at the member, and returns the time until the
-// next renewal; an error says why to leave the member. At a member without
-// contact it looks for another one: before the renewal if the watch has reported
-// the loss, else after it.
+// renewOrMove renews the lease at a core machine and returns the time until the next renewal. An error states
+// why to end the session. It searches for another core machine before the renewal if a search was requested,
+// or after the renewal if the response reports that contact was lost.
 func (c *Client) renewOrMove(
-	ctx context.Context, address string, contactLost bool,
+	ctx context.Context, address string, searchRequested bool,
 ) (next time.Duration, err error) {
 	lease := c.nextLease()
 	if lease == nil {
 		return renewInterval, nil
 	}
-	if contactLost && c.findMemberInContact(ctx, address, lease, probeTimeout) {
+	if searchRequested && c.findMemberInContact(ctx, address, lease, probeTimeout) {
 		return 0, errMoved
 	}
 	response, err := c.renewLease(ctx, address, lease)
@@ -92,15 +90,15 @@
 	if response.Contact.OK {
 		return renewInterval, nil
 	}
-	if !contactLost && c.findMemberInContact(ctx, address, lease, probeTimeout) {
+	if !searchRequested && c.findMemberInContact(ctx, address, lease, probeTimeout) {
 		return 0, errMoved
 	}
 	return lostContactBackoff(), nil
 }
 
-// renewLease sends the lease to the member and waits for its response. While that is
-// late it looks for another member, and returns errMoved once there is one: where no
-// other answers sooner, the sidecar's own link is slow and the response still comes.
+// renewLease sends the lease to a core machine and waits for its response. While the response is late it
+// searches for another core machine, and returns errMoved if one responds. If no other responds sooner, the
+// sidecar's own link is slow and renewLease keeps waiting for the response.
 func (c *Client) renewLease(
 	ctx context.Context, address string, lease *registry.Lease,
 ) (*LeaseResponse, error) {
@@ -115,15 +113,15 @@
 		response, err := c.sendLease(ctx, address, lease)
 		done <- result{response, err}
 	}()
-	late := time.NewTimer(lateRenewal)
-	defer late.Stop()
+	lateTimer := time.NewTimer(lateRenewalThreshold)
+	defer lateTimer.Stop()
 	for {
 		select {
 		case r := <-done:
 			return r.response, r.err
-		case <-c.lookElsewhere:
-		case <-late.C:
-			late.Reset(lateRenewal)
+		case <-c.searchNow:
+		case <-lateTimer.C:
+			lateTimer.Reset(lateRenewalThreshold)
 		}
 		if c.findMemberInContact(ctx, address, lease, probeTimeout) {
 			cancel()
@@ -133,7 +131,7 @@
 	}
 }
 
-// nextLease makes the next lease to send. It is nil once the sidecar has left.
+// nextLease returns the next lease to send, or nil after Leave was called.
 func (c *Client) nextLease() *registry.Lease {
 	state := c.cfg.State()
 	c.mu.Lock()
@@ -141,20 +139,21 @@
 	if c.left {
 		return nil
 	}
-	return c.numberLease(state)
+	return c.completeLease(state)
 }
 
-// finalLease makes the lease that says that the sidecar has left.
+// finalLease returns the lease that reports that the sidecar has left, and stops further renewals.
 func (c *Client) finalLease() *registry.Lease {
 	state := c.cfg.State()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.left = true
-	return c.numberLease(state)
+	return c.completeLease(state)
 }
 
-// numberLease completes a lease, with a sequence number of its own. c.mu is held.
-func (c *Client) numberLease(state registry.Lease) *registry.Lease {
+// completeLease adds the node, the incarnation, the zone and the next sequence number to a lease. c.mu is
+// held.
+func (c *Client) completeLease(state registry.Lease) *registry.Lease {
 	c.leaseSequence++
 	lease := &state
 	lease.Node = c.cfg.Node
@@ -165,14 +164,13 @@
 	return lease
 }
 
-// sendLease sends a lease to a member, and records what its response proves. The
-// caller bounds ctx.
+// sendLease sends a lease to a core machine and evaluates its response. The caller sets a deadline on ctx.
 func (c *Client) sendLease(
 	ctx context.Context, address string, lease *registry.Lease,
 ) (*LeaseResponse, error) {
-	askedAt := time.Now()
+	sentAt := time.Now()
 	url := "http://" + address + leasePath
-	request := &leaseRequest{Lease: *lease, KnownPeers: c.knownPeersDigest()}
+	request := &leaseRequest{Lease: *lease, KnownPeersDigest: c.knownPeersDigest()}
 	response, err := rpc.Call[leaseRequest, LeaseResponse](ctx, c.cfg.HTTP, url, request)
 	if err != nil {
 		return nil, err
@@ -180,37 +178,38 @@
 	applied := c.cfg.ConfigVersion()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.recordRenewal(askedAt, response)
-	c.recordConfirmation(askedAt, response, applied)
-	c.outgrow(response.NewerIncarnation)
+	c.recordRenewal(sentAt, response)
+	c.recordConfirmation(sentAt, response, applied)
+	c.raiseIncarnation(response.NewerIncarnation)
 	return response, nil
 }
 
-// recordRenewal records that a lease was answered. Only a member in contact with a
-// majority counts: what one without contact knows of, the leader may not. c.mu is held.
-func (c *Client) recordRenewal(askedAt time.Time, response *LeaseResponse) {
-	if response.Contact.OK && askedAt.After(c.renewedAt) {
-		c.renewedAt = askedAt
+// recordRenewal records the time of a renewal that was answered. Only a response of a core machine in contact
+// with a majority counts: the leader may not know of a lease that a machine without contact holds. c.mu is
+// held.
+func (c *Client) recordRenewal(sentAt time.Time, response *LeaseResponse) {
+	if response.Contact.OK && sentAt.After(c.renewedAt) {
+		c.renewedAt = sentAt
 	}
 }
 
-// outgrow has this process count as newer than an earlier one of the same node,
-// whose incarnation is the larger because the machine's clock went back between
-// them. The first time it renews at once. If two processes of one node live, which
-// no machine does, they outgrow each other no faster than they renew. c.mu is held.
-func (c *Client) outgrow(newer registry.Incarnation) {
+// raiseIncarnation makes this process count as newer than an earlier process of the same node, whose
+// incarnation is larger because the machine's clock went back between the two starts. The first time, the
+// lease is renewed at once. If two processes of one node ran at a time, which should not happen, they would
+// raise their incarnations in turn, but no faster than they renew. c.mu is held.
+func (c *Client) raiseIncarnation(newer registry.Incarnation) {
 	if newer <= c.incarnation || newer == math.MaxUint64 {
 		return
 	}
 	c.incarnation = newer + 1
 	c.cfg.Log.Warn("incarnation raised, the clock went back before this process started")
-	if !c.outgrew {
-		c.outgrew = true
+	if !c.incarnationRaised {
+		c.incarnationRaised = true
 		signal(c.renewNow)
 	}
 }
 
-// currentIncarnation is what this process counts as now.
+// currentIncarnation returns the incarnation that this process uses now.
 func (c *Client) currentIncarnation() registry.Incarnation {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/mesh/watch/client_members.go
+++ b/internal/mesh/watch/client_members.go
@@ -2,12 +2,13 @@
 
 import "slices"
 
-// maxKnownMembers bounds the members remembered, against a faulty member.
+// maxKnownMembers is the maximum number of core machines remembered; it bounds the memory that responses of a
+// faulty core machine take.
 const maxKnownMembers = 64
 
-// recordMembers records what a response says of the members. It reports whether
-// to go to a member of the own zone: the response is from another zone, and no
-// member of the own zone was known before.
+// recordMembers records the counts and the core machines that a response lists. closerMember is true if the
+// sidecar should move to a core machine of its own zone: the response came from another zone, and the list
+// names core machines of the sidecar's zone for the first time.
 func (c *Client) recordMembers(response *LeaseResponse) (closerMember bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -24,21 +25,22 @@
 		return false
 	}
 	inOwnZone := func(p Peer) bool { return c.sameZone(p.Zone) }
-	knewOne := slices.ContainsFunc(c.discovered, inOwnZone)
+	knewOwnZone := slices.ContainsFunc(c.discovered, inOwnZone)
 	c.replaceMembers(response.Peers)
 	c.peersDigest = response.PeersDigest
-	return !knewOne && response.Zone != c.cfg.Zone && slices.ContainsFunc(c.discovered, inOwnZone)
+	return !knewOwnZone && response.Zone != c.cfg.Zone && slices.ContainsFunc(c.discovered, inOwnZone)
 }
 
-// knownPeersDigest is the digest of the list of members that is in place.
+// knownPeersDigest returns the digest of the list of core machines in use, 0 if the list was changed since it
+// was received.
 func (c *Client) knownPeersDigest() PeersDigest {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.peersDigest
 }
 
-// replaceMembers replaces the members discovered. A zone known
-// before is kept if the new list names none. c.mu is held.
+// replaceMembers replaces the discovered core machines. The known zone of a core machine is kept if the new
+// list states none. c.mu is held.
 func (c *Client) replaceMembers(peers []Peer) {
 	zones := map[string]string{}
 	for _, p := range c.discovered {
@@ -52,8 +54,8 @@
 	}
 }
 
-// addMembers adds the members that one without contact knows of: its list may be
-// outdated, so it removes none. c.mu is held.
+// addMembers adds the core machines that a response without contact lists. Its list may be outdated, so no
+// core machine is removed. c.mu is held.
 func (c *Client) addMembers(peers []Peer) {
 	for _, p := range peers {
 		known := slices.ContainsFunc(c.discovered, func(other Peer) bool { return other.Address == p.Address })
--- a/internal/mesh/watch/client_select.go
+++ b/internal/mesh/watch/client_select.go
@@ -9,20 +9,21 @@
 )
 
 const (
-	// minBackoff and maxBackoff bound the backoff between members that fail one
-	// after the other, against many sidecars that all retry without a break.
+	// minBackoff and maxBackoff bound the time between attempts at core machines that fail one after the
+	// other, to limit the load of many sidecars that retry at the same time.
 	minBackoff = 50 * time.Millisecond
 	maxBackoff = 800 * time.Millisecond
-	// maxBackoffDoublings keeps the shift of minBackoff from overflowing.
+	// maxBackoffDoublings bounds the shift of minBackoff, which would overflow otherwise.
 	maxBackoffDoublings = 10
-	// stableAfter is how long a member must have served for its failure to
-	// count as a first one, against rapid changes between members that all fail.
+	// stableAfter is how long a core machine must have served before its failure counts as a first one, which
+	// is retried without backoff. It prevents rapid switching between core machines that all fail. Run adds
+	// idleTimeout, after which a silent core machine is detected.
 	stableAfter = time.Second
 )
 
-// backoff is the jittered time before the next member is tried: none after the
-// first failure, short within a round of the members, and growing between
-// rounds, so that a single member that runs is found soon.
+// backoff returns the jittered time before the next core machine is tried: none after the first failure,
+// minBackoff within a round of all core machines, and longer between rounds. A single core machine that runs
+// is thus found soon.
 func (c *Client) backoff(failures int) time.Duration {
 	if failures == 1 {
 		return 0
@@ -37,8 +38,8 @@
 	return wait/2 + rand.N(wait/2+1)
 }
 
-// nextMember is the member to try: the current one, or else the first in order
-// that was not tried in this round. It is empty if no member is known.
+// nextMember returns the core machine to try: the current one, or else the first in order that was not tried
+// in this round. It returns an empty address if no core machine is known.
 func (c *Client) nextMember() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -59,23 +60,24 @@
 	return order[0]
 }
 
-// candidate is a member and what its position in the order depends on.
+// candidate is a core machine with the properties that determine its rank.
 type candidate struct {
 	address  string
 	sameZone bool
 	hash     uint64
 }
 
-// before reports whether the candidate is tried before another.
-func (a candidate) before(b candidate) bool {
+// ranksBefore reports whether candidate a is tried before candidate b.
+func (a candidate) ranksBefore(b candidate) bool {
 	if a.sameZone != b.sameZone {
 		return a.sameZone
 	}
 	return a.hash < b.hash
 }
 
-// memberOrder lists the members known: those of the own zone first, and within a
-// zone by a hash with the node's name, which spreads the sidecars. c.mu is held.
+// memberOrder lists the addresses of the known core machines in the order in which they are tried: those of
+// the sidecar's own zone first, and within each group by a hash of the address and the node's name, which
+// spreads the sidecars over the core machines. c.mu is held.
 func (c *Client) memberOrder() []string {
 	zones := map[string]string{}
 	for _, address := range c.seeds {
@@ -91,7 +93,7 @@
 		candidates = append(candidates, candidate{address, c.sameZone(zone), sum.Sum64()})
 	}
 	slices.SortFunc(candidates, func(a, b candidate) int {
-		if a.before(b) {
+		if a.ranksBefore(b) {
 			return -1
 		}
 		return 1
@@ -103,5 +105,5 @@
 	return order
 }
 
-// sameZone reports whether a member of that zone is in the sidecar's own.
+// sameZone reports whether zone is known and equal to the sidecar's own zone.
 func (c *Client) sameZone(zone string) bool { return zone != "" && zone == c.cfg.Zone }
--- a/internal/mesh/watch/client_session.go
+++ b/internal/mesh/watch/client_session.go
@@ -8,14 +8,14 @@
 	"caperarch/internal/mesh/errs"
 )
 
-// runSession keeps the lease and the watch at one member until either ends, and
-// returns why. An empty address is that of no member, and Unreachable.
+// runSession keeps the lease and the watch at one core machine until either fails or ctx ends, and returns
+// the reason. An empty address stands for no known core machine; the error is then of kind Unreachable.
 func (c *Client) runSession(ctx context.Context, address string) error {
 	if address == "" {
 		return errs.New(errs.Unreachable, "no core member is known")
 	}
 	select {
-	case <-c.lookElsewhere: // of an earlier session
+	case <-c.searchNow: // discard a request from an earlier session
 	default:
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
@@ -30,37 +30,37 @@
 	return err
 }
 
-// chooseNextMember chooses the member of the next session if the last one ended
-// for another reason than a failure of its member, and says whether it did.
+// chooseNextMember chooses the core machine of the next session if the last session ended for a reason other
+// than a failure of its core machine, and reports whether it did.
 func (c *Client) chooseNextMember(address string, sessionErr error) (chosen bool) {
 	switch {
 	case errors.Is(sessionErr, errResubscribe):
-		c.stay(address)
+		c.keepMember(address)
 	case errors.Is(sessionErr, errCloserMember), errors.Is(sessionErr, errMoved):
-		c.move()
+		c.switchMember()
 	default:
 		return false
 	}
 	return true
 }
 
-// stay keeps the same member for the next session. The Client counts as
-// connected until that one fails.
-func (c *Client) stay(address string) {
+// keepMember uses the same core machine for the next session. The Client counts as connected until that
+// session fails.
+func (c *Client) keepMember(address string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.current, c.moveTarget = address, ""
 }
 
-// move makes the move target the member of the next session, or the first member
-// in order if there is none. The Client counts as connected until that fails.
-func (c *Client) move() {
+// switchMember uses the move target for the next session. If there is no move target, nextMember chooses the
+// core machine. The Client counts as connected until that session fails.
+func (c *Client) switchMember() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.current, c.moveTarget = c.moveTarget, ""
 }
 
-// disconnect records that the session's member failed.
+// disconnect records that the session's core machine has failed. The Client no longer counts as connected.
 func (c *Client) disconnect() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/mesh/watch/client_status.go
+++ b/internal/mesh/watch/client_status.go
@@ -2,65 +2,64 @@
 
 import "time"
 
-// Status is what a Client knows of its sessions with core machines, for the log.
+// Status describes a Client's sessions with core machines, for log entries.
 type Status struct {
-	// Member is the address of the member that the session is with, empty while
-	// there is none. Connected says that it serves the watch.
+	// Member is the address of the core machine that the session is with, empty if there is no session.
+	// Connected is true while that core machine serves the watch.
 	Member    string
 	Connected bool
-	// FrameAge is the time since the last frame was complete, ApplyingFor the time
-	// for which one is being applied, 0 while none is.
+	// FrameAge is the time since the last complete frame was received, 0 before the first one. ApplyingFor is
+	// the time since the start of applying a frame, 0 while no frame is being applied.
 	FrameAge    time.Duration
 	ApplyingFor time.Duration
-	// FailedSessions is how many sessions have failed since the configuration was
-	// confirmed last, LastFailure why the last of them did, nil if none has.
+	// FailedSessions is the number of sessions that have failed since the configuration was last confirmed.
+	// LastFailure is the reason of the last of these failures, nil if there is none.
 	FailedSessions int
 	LastFailure    error
 }
 
-// sessionRecord is what Status is made of. The Client's mu guards it.
-type sessionRecord struct {
+// sessionStats holds the data of Status. The Client's mu guards it.
+type sessionStats struct {
 	frameAt        time.Time
-	applyingSince  time.Time // zero: no frame is being applied
+	applyingSince  time.Time // zero while no frame is being applied
 	failedSessions int
 	lastFailure    error
 }
 
-// Status returns what is known of the sessions.
+// Status returns the current state of the sessions.
 func (c *Client) Status() Status {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	status := Status{
 		Member: c.current, Connected: c.connected,
-		FailedSessions: c.record.failedSessions, LastFailure: c.record.lastFailure,
+		FailedSessions: c.sessions.failedSessions, LastFailure: c.sessions.lastFailure,
 	}
-	if !c.record.frameAt.IsZero() {
-		status.FrameAge = time.Since(c.record.frameAt)
+	if !c.sessions.frameAt.IsZero() {
+		status.FrameAge = time.Since(c.sessions.frameAt)
 	}
-	if !c.record.applyingSince.IsZero() {
-		status.ApplyingFor = time.Since(c.record.applyingSince)
+	if !c.sessions.applyingSince.IsZero() {
+		status.ApplyingFor = time.Since(c.sessions.applyingSince)
 	}
 	return status
 }
 
-// recordFailure records that a session failed.
 func (c *Client) recordFailure(err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.record.failedSessions++
-	c.record.lastFailure = err
+	c.sessions.failedSessions++
+	c.sessions.lastFailure = err
 }
 
-// recordFrame records that a frame is complete and being applied, until applied is
-// called.
-func (c *Client) recordFrame() (applied func()) {
+// startFrame records that a complete frame was received and is being applied. The caller calls finishFrame
+// once the frame is applied.
+func (c *Client) startFrame() (finishFrame func()) {
 	now := time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.record.frameAt, c.record.applyingSince = now, now
+	c.sessions.frameAt, c.sessions.applyingSince = now, now
 	return func() {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		c.record.applyingSince = time.Time{}
+		c.sessions.applyingSince = time.Time{}
 	}
 }
--- a/internal/mesh/watch/client_watch.go
+++ b/internal/mesh/watch/client_watch.go
@@ -13,22 +13,22 @@
 )
 
 const (
-	// maxRetainedFrame is the size in bytes above which a frame's buffer is
-	// released, so that one large configuration does not keep its memory.
+	// maxRetainedFrame is the size in bytes of a configuration above which the decoder and its buffer are
+	// replaced, so that a large configuration does not occupy memory after it was applied.
 	maxRetainedFrame = 256 << 10
-	// maxErrorBody bounds what is read of the response to a rejected watch.
+	// maxErrorBody is the maximum number of bytes read from the response to a rejected watch.
 	maxErrorBody = 4 << 10
 )
 
-// errIdleTimeout is why a watch on which nothing arrives is given up.
-var errIdleTimeout = errs.New(errs.Unreachable, "no data from the member within the time-out of a slow link")
+// errIdleTimeout ends a watch on which no byte has arrived for slowLinkTimeout.
+var errIdleTimeout = errs.New(errs.Unreachable, "no data from the core machine within the timeout for a slow link")
 
-// runWatch opens a watch and applies its frames until it fails.
+// runWatch opens a watch and applies its frames until the watch fails.
 func (c *Client) runWatch(ctx context.Context, cancel context.CancelCauseFunc, address string) error {
-	watchdog := newWatchdog(func() { signal(c.lookElsewhere) }, func() { cancel(errIdleTimeout) })
+	watchdog := newWatchdog(func() { signal(c.searchNow) }, func() { cancel(errIdleTimeout) })
 	defer watchdog.stop()
 	request := c.newWatchRequest()
-	askedAt := time.Now()
+	sentAt := time.Now()
 	stream, err := c.openWatch(ctx, address, &request)
 	if err != nil {
 		return err
@@ -39,20 +39,20 @@
 	for {
 		var f frame
 		if err := frames.Decode(&f); err != nil {
-			return errs.Wrap(err, errs.Unreachable, "the watch at %s broke off", address)
+			return errs.Wrap(err, errs.Unreachable, "the watch at core machine %s was interrupted", address)
 		}
-		watchdog.stop() // while the frame is applied
+		watchdog.stop() // the watchdog is off while the frame is applied
 		if ctx.Err() != nil {
 			return ctx.Err()
 		}
 		if len(f.Config) > 0 {
-			if err := c.recheckContact(ctx, address, askedAt); err != nil {
+			if err := c.recheckContact(ctx, address, sentAt); err != nil {
 				return err
 			}
 		}
-		applied := c.recordFrame()
+		finishFrame := c.startFrame()
 		err := c.applyFrame(&f, address, request.FullConfig)
-		applied()
+		finishFrame()
 		if err != nil {
 			return err
 		}
@@ -67,8 +67,7 @@
 	}
 }
 
-// newWatchRequest makes a request that states what is complete here and what is
-// wanted.
+// newWatchRequest returns a request that names the state that this Client holds and the services to include.
 func (c *Client) newWatchRequest() watchRequest {
 	var services []string
 	if c.cfg.Services != nil {
@@ -88,8 +87,7 @@
 	}
 }
 
-// openWatch asks a member for a watch and returns its stream of frames, which
-// the caller closes.
+// openWatch sends a watch request to a core machine and returns the stream of frames. The caller closes it.
 func (c *Client) openWatch(
 	ctx context.Context, address string, request *watchRequest,
 ) (io.ReadCloser, error) {
@@ -105,24 +103,25 @@
 	r.Header.Set("Content-Type", "application/json")
 	response, err := c.cfg.HTTP.Do(r)
 	if err != nil {
-		return nil, errs.Wrap(err, errs.Unreachable, "no watch at %s", address)
+		return nil, errs.Wrap(err, errs.Unreachable, "open a watch at core machine %s", address)
 	}
 	if response.StatusCode != http.StatusOK {
-		// Of a body that breaks off the part that arrived is used; it only explains.
+		// The body only explains the rejection, so a part of it is used if reading it fails.
 		message, _ := io.ReadAll(io.LimitReader(response.Body, maxErrorBody))
 		response.Body.Close()
-		return nil, errs.New(errs.Unreachable, "%s rejects the watch: %s %s", address, response.Status, message)
+		return nil, errs.New(errs.Unreachable,
+			"core machine %s rejected the watch: %s %s", address, response.Status, message)
 	}
 	return response.Body, nil
 }
 
-// applyFrame applies a frame. A full configuration that was requested and is
-// rejected here counts as the member's failure.
+// applyFrame applies a frame. If OnConfig rejects a full configuration that was requested, the core machine
+// counts as failed; after any other rejection the watch is reopened to request the full configuration.
 func (c *Client) applyFrame(f *frame, address string, requestedFull bool) error {
 	if len(f.Config) > 0 {
 		c.needsFullConfig = !c.cfg.OnConfig(f.Config)
 		if c.needsFullConfig && requestedFull {
-			return errs.New(errs.Internal, "the full configuration of %s does not apply", address)
+			return errs.New(errs.Internal, "the full configuration from core machine %s was rejected", address)
 		}
 		if c.needsFullConfig {
 			return errResubscribe
@@ -142,9 +141,10 @@
 	return nil
 }
 
-// applyRegistry replaces the registry state by a full frame, and amends it by a
-// change. A full frame of a syncing member only amends: what it does not list
-// may well exist. It will send another, so this one does not count as complete.
+// applyRegistry replaces the registry state with a full frame, or updates it with a change. A full frame from
+// a core machine that is syncing only adds upstreams, since an upstream that it does not list may still
+// exist. The state does not count as complete after it: the core machine sends another full frame once it has
+// synced.
 func (c *Client) applyRegistry(update *registryFrame, address string) error {
 	complete := c.registryEpoch != 0
 	switch {
@@ -154,7 +154,8 @@
 		c.registryEpoch, c.registryNumber = update.Epoch, update.Number
 	case complete && update.Epoch != c.registryEpoch:
 		c.registryEpoch = 0
-		return errs.New(errs.Internal, "%s sends a change to a registry that is not complete here", address)
+		return errs.New(errs.Internal,
+			"core machine %s sent a registry change of another epoch than the state held here", address)
 	case complete && update.Number <= c.registryNumber:
 		return nil
 	case complete:
@@ -164,12 +165,12 @@
 	return nil
 }
 
-// applyHeartbeat records the counts of a heartbeat, or signals the lease's
-// goroutine to look for another member if there is no contact. c.mu is held.
+// applyHeartbeat records the counts of a heartbeat, or requests a search for another core machine if the
+// sender has no contact. c.mu is held.
 func (c *Client) applyHeartbeat(heartbeat *heartbeatFrame) {
 	switch {
 	case !heartbeat.Contact.OK:
-		signal(c.lookElsewhere)
+		signal(c.searchNow)
 	case heartbeat.Syncing:
 		c.counts = c.counts.Raised(heartbeat.Counts)
 	default:
@@ -177,19 +178,18 @@
 	}
 }
 
-// guardedReader reads a watch: every byte resets the watchdog, and no frame
-// takes more memory than maxFrame.
+// guardedReader reads the stream of a watch: every byte resets the watchdog, and no frame takes more than
+// maxFrame bytes.
 type guardedReader struct {
 	stream    io.Reader
 	watchdog  *watchdog
-	remaining int // bytes that the current frame may still take
+	remaining int // number of bytes that the current frame may still take
 }
 
-// Read reads from the stream, and returns TooLarge once the frame is over its
-// limit.
+// Read reads from the stream. It returns an error of kind TooLarge if the frame exceeds its limit.
 func (g *guardedReader) Read(p []byte) (int, error) {
 	if g.remaining <= 0 {
-		return 0, errs.New(errs.TooLarge, "a frame is larger than %d bytes", maxFrame)
+		return 0, errs.New(errs.TooLarge, "a watch frame exceeds %d bytes", maxFrame)
 	}
 	n, err := g.stream.Read(p[:min(len(p), g.remaining)])
 	g.remaining -= n
--- a/internal/mesh/watch/client_watchdog.go
+++ b/internal/mesh/watch/client_watchdog.go
@@ -5,26 +5,27 @@
 	"time"
 )
 
-// watchdog notices that a watch is silent. It has the Client look for another member
-// at once, and gives the watch up only after slowLinkTimeout: if no other member
-// answers sooner, the sidecar's own link is slow. It is safe for concurrent use.
+// watchdog detects that a watch receives no bytes. It calls onSilence after the limit, so that the Client
+// searches for another core machine at once, and onTimeout only after slowLinkTimeout: if no other core
+// machine responds sooner, the sidecar's own link is slow. It is safe for concurrent use.
 type watchdog struct {
-	lookElsewhere func()
-	giveUp        func()
+	onSilence func()
+	onTimeout func()
 
 	// mu guards the fields below.
 	mu       sync.Mutex
 	timer    *time.Timer
 	lastByte time.Time
-	limit    time.Duration // of silence, before another member is looked for
+	limit    time.Duration // time without a byte until onSilence is called
 	stopped  bool
 }
 
-// newWatchdog starts a watchdog of a watch that is about to be opened: a member that
-// does not answer at all is noticed sooner than one that falls silent.
-func newWatchdog(lookElsewhere, giveUp func()) *watchdog {
+// newWatchdog starts the watchdog of a watch that is about to be opened. Its first limit is shorter than
+// idleTimeout, so a core machine that does not respond at all is detected sooner than one that falls silent
+// later.
+func newWatchdog(onSilence, onTimeout func()) *watchdog {
 	d := &watchdog{
-		lookElsewhere: lookElsewhere, giveUp: giveUp, lastByte: time.Now(), limit: probeTimeout,
+		onSilence: onSilence, onTimeout: onTimeout, lastByte: time.Now(), limit: probeTimeout,
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -32,24 +33,25 @@
 	return d
 }
 
-// expire is called when the limit may be over.
+// expire runs when the timer fires. It calls onSilence or onTimeout if the limit has passed without a byte,
+// and starts the timer again unless the watchdog is stopped or the watch has timed out.
 func (d *watchdog) expire() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	silence := time.Since(d.lastByte)
 	switch {
 	case d.stopped:
-	case silence < d.limit: // a byte has arrived meanwhile
+	case silence < d.limit: // a byte arrived after the timer was set
 		d.timer.Reset(d.limit - silence)
 	case silence >= slowLinkTimeout:
-		d.giveUp()
+		d.onTimeout()
 	default:
-		d.lookElsewhere()
+		d.onSilence()
 		d.timer.Reset(min(d.limit, slowLinkTimeout-silence))
 	}
 }
 
-// reset records that a byte has arrived, or that waiting for the next one begins.
+// reset restarts the watchdog after a byte has arrived, or when the wait for the next frame begins.
 func (d *watchdog) reset() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -57,7 +59,7 @@
 	d.timer.Reset(d.limit)
 }
 
-// stop ends the watch over silence until the next reset.
+// stop turns the watchdog off until the next reset.
 func (d *watchdog) stop() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/mesh/watch/contact.go
+++ b/internal/mesh/watch/contact.go
@@ -3,52 +3,51 @@
 import "time"
 
 const (
-	// maxContactAge is how old a core machine's contact with a majority may be
-	// when it hands out configuration or registry. It guards against a member
-	// that is partitioned and does not know it. It spans ten heartbeats of the
-	// leader, and with the time that a sidecar needs to change members it stays
-	// under two seconds: docs/design/control-contact.md adds it up.
+	// maxContactAge is the maximum age of a core machine's contact with a majority at which it sends
+	// configuration or registry. It covers a machine that is partitioned and has not detected it. It spans
+	// ten heartbeats of the leader; together with the time that a sidecar needs to move to another core
+	// machine it stays under two seconds, as docs/design/control-contact.md derives.
 	maxContactAge = 1200 * time.Millisecond
-	// freshContactAge is how old the contact of another member may be for a
-	// sidecar to move to it. It guards against sidecars that move back and forth
-	// while the leader is replaced and all members' contacts age alike.
+	// freshContactAge is the maximum age of the contact of a core machine to which a sidecar moves. The
+	// stricter bound keeps sidecars from moving back and forth while the leader is replaced and the contact
+	// of all core machines ages alike.
 	freshContactAge = maxContactAge / 2
-	// maxUnobserved is how long a member may go without checking its contact
-	// before it counts as lost. It guards against a process that was frozen, and
-	// whose contact was renewed before it checked.
-	maxUnobserved = time.Second
-	// maxRegistryDelay is how long, after contact was regained, registry changes
-	// may wait for the other members' responses. It guards against reporting old
-	// instances as new; it is bounded so that a member that answers nobody delays
-	// no start.
+	// maxContactCheckGap is the longest time between two checks of the contact; after a longer gap the
+	// contact counts as lost. It covers a process that was frozen and whose contact was renewed before its
+	// first check.
+	maxContactCheckGap = time.Second
+	// maxRegistryDelay is how long registry changes are held back after contact was regained, to wait for the
+	// responses of the other core machines. Without the wait, the core machine would report outdated
+	// instances as current. The wait is bounded so that a core machine that responds to nobody delays no
+	// start.
 	maxRegistryDelay = time.Second
 )
 
-// Contact is what a core machine knows of its contact with a majority: how long
-// ago the majority is known to have confirmed the leader that the member
-// follows, with everything applied that was committed then.
+// Contact describes a core machine's contact with a majority of the core machines. Age is the time since a
+// majority is known to have confirmed the leader that the machine follows, with everything applied that was
+// committed at that time.
 type Contact struct {
-	// OK is false if there is none, or if Age was over the bound.
+	// OK is false if there is no contact, or if Age exceeded maxContactAge.
 	OK  bool          `json:"ok"`
 	Age time.Duration `json:"age"`
 }
 
-// fresh reports whether a sidecar may move to the member.
+// fresh reports whether the contact is recent enough for a sidecar to move to the core machine.
 func (c Contact) fresh() bool { return c.OK && c.Age <= freshContactAge }
 
-// contactState is a Server's contact when it was last checked.
+// contactState is the result of a Server's last check of its contact with a majority.
 type contactState uint8
 
 const (
-	// contactNever means that this process has not been in contact yet, so its
-	// registry holds nothing from before a loss of contact.
+	// contactNever means that this process has never been in contact, so its registry holds nothing from
+	// before a loss of contact.
 	contactNever contactState = iota
 	contactOK
 	contactLost
 )
 
-// checkContact reads the current contact, and records its loss or return. It is
-// called right before each act that needs contact, without s.mu held.
+// checkContact reads the current contact and records whether it was lost or regained. It must be called right
+// before each act that needs contact, without s.mu held.
 func (s *Server) checkContact() Contact {
 	age, ok := s.cfg.Contact()
 	s.mu.Lock()
@@ -58,20 +57,20 @@
 	return contact
 }
 
-// observeContact records whether there is contact. s.mu is held.
+// observeContact updates the contact state: ok is whether there is contact now. s.mu is held.
 func (s *Server) observeContact(now time.Duration, ok bool) {
-	if s.contact == contactOK && (!ok || now-s.observedAt > maxUnobserved) {
+	if s.contact == contactOK && (!ok || now-s.contactCheckedAt > maxContactCheckGap) {
 		s.contact = contactLost
-		s.wakeAll() // so that the sidecars learn of it and go to other members
+		s.wakeAll() // wake the watches, so that the sidecars learn of the loss and move to other core machines
 	}
-	s.observedAt = now
+	s.contactCheckedAt = now
 	if ok && s.contact != contactOK {
 		s.gainContact(now)
 	}
 }
 
-// gainContact starts syncing with all peers, since there is contact for the
-// first time or again. s.mu is held.
+// gainContact starts syncing with all peers after contact was gained for the first time or regained. s.mu is
+// held.
 func (s *Server) gainContact(now time.Duration) {
 	s.syncingUntil = now + syncingPeriod
 	if s.contact == contactLost {
@@ -84,9 +83,9 @@
 	}
 }
 
-// delaysRegistry reports whether registry changes wait for the responses of the
-// other members, since the table may be from before the contact was lost: until
-// each member has answered or failed, and one has answered. s.mu is held.
+// delaysRegistry reports whether registry changes are held back because the table may date from before
+// contact was lost. They are held back until each peer has responded or failed and at least one has
+// responded, or until registryDelayedUntil. s.mu is held.
 func (s *Server) delaysRegistry(now time.Duration) bool {
 	if now >= s.registryDelayedUntil || len(s.peers) == 0 {
 		return false
--- a/internal/mesh/watch/frame_writer.go
+++ b/internal/mesh/watch/frame_writer.go
@@ -9,21 +9,21 @@
 )
 
 const (
-	// writeTimeout bounds a write to a sidecar, so that one that has gone holds nothing.
+	// writeTimeout bounds one write to a sidecar, so that a sidecar that no longer reads does not occupy a
+	// watch indefinitely.
 	writeTimeout = slowLinkTimeout
-	// writeChunk is how many bytes of a frame get a write deadline of their own,
-	// so that a large frame may take longer as long as it progresses.
+	// writeChunk is the number of bytes of a frame that are written under one deadline, so that a large frame
+	// may take longer than writeTimeout as long as the write makes progress.
 	writeChunk = 256 << 10
 )
 
-// frameWriter writes a watch's stream, with a deadline for each chunk.
+// frameWriter writes the frames of a watch to its HTTP response, with a write deadline for each chunk.
 type frameWriter struct {
 	w       http.ResponseWriter
 	control *http.ResponseController
 }
 
-// write writes the parts one after the other. They may stay buffered until
-// flush.
+// write writes the parts in order. They may stay buffered until flush is called.
 func (fw *frameWriter) write(parts ...[]byte) error {
 	for _, part := range parts {
 		for len(part) > 0 {
@@ -40,7 +40,7 @@
 	return nil
 }
 
-// flush sends what was written so far.
+// flush sends all buffered bytes.
 func (fw *frameWriter) flush() error {
 	if err := fw.setDeadline(); err != nil {
 		return err
@@ -48,11 +48,11 @@
 	return fw.control.Flush()
 }
 
-// writeFrame writes a frame and sends what was written so far.
+// writeFrame writes a frame as one line of JSON and sends all buffered bytes.
 func (fw *frameWriter) writeFrame(f *frame) error {
 	line, err := json.Marshal(f)
 	if err != nil {
-		return errs.Wrap(err, errs.Internal, "encode a frame")
+		return errs.Wrap(err, errs.Internal, "encode a watch frame")
 	}
 	if err := fw.write(line, []byte("\n")); err != nil {
 		return err
--- a/internal/mesh/watch/gossip_peer.go
+++ b/internal/mesh/watch/gossip_peer.go
@@ -7,24 +7,23 @@
 	"caperarch/internal/mesh/registry"
 )
 
-// maxQueuedReports bounds the direct heartbeats that wait for a peer, against
-// memory taken while it is away. Upstreams repeat their heartbeats.
+// maxQueuedReports is the maximum number of heartbeats and deregistrations queued for one peer; it bounds the
+// memory used while the peer is unreachable. Upstreams repeat their heartbeats.
 const maxQueuedReports = 1024
 
-// syncState says how far this member is with fetching all that a peer knows.
+// syncState is the state of fetching a peer's complete member list.
 type syncState uint8
 
 const (
-	// syncPending means that the peer has neither answered nor failed since the
-	// sync was requested.
+	// syncPending means that the peer has neither responded nor failed since the sync was requested.
 	syncPending syncState = iota
-	// syncFailed means that the peer was not reached; it is asked again.
+	// syncFailed means that the last fetch failed. The next gossip exchange with the peer repeats it.
 	syncFailed
-	// syncDone means that its answer has been merged.
+	// syncDone means that the peer's response has been merged into the table.
 	syncDone
 )
 
-// leaseUpdate is what of a node's lease has to be sent to a peer.
+// leaseUpdate states which form of a node's lease a peer needs.
 type leaseUpdate uint8
 
 const (
@@ -32,36 +31,35 @@
 	fullLease
 )
 
-// queuedReport is a direct heartbeat, or a deregistration, that waits for a peer.
+// queuedReport is a heartbeat or a deregistration of an upstream that is queued for a peer.
 type queuedReport struct {
-	up registry.Upstream
-	at time.Duration // when it arrived here
+	upstream registry.Upstream
+	queuedAt time.Duration // when the report was queued, by the Server's clock
 }
 
-// ttl is how long the report is worth sending: a deregistration as long as it
-// is remembered, a heartbeat as long as it keeps the upstream from going stale.
+// ttl returns how long the report is worth sending: a deregistration as long as tables remember it, a
+// heartbeat as long as it keeps the upstream from becoming stale.
 func (r queuedReport) ttl() time.Duration {
-	if r.up.State == registry.Deregistered {
+	if r.upstream.State == registry.Deregistered {
 		return registry.TombstoneTTL
 	}
 	return registry.LeaseTTL
 }
 
-// gossipPeer is another core machine and what has not been sent to it yet. Of
-// each changed lease only the node's name is queued, so that the queue is
-// bounded by the number of leases. The Server's lock guards it, but for
-// address, cancel and wake, which do not change.
+// gossipPeer is another core machine, with the updates that have not been sent to it yet. For a changed lease
+// only the node's name is queued, so that the queue is bounded by the number of leases. address, cancel and
+// wake do not change; the Server's mu guards the other fields.
 type gossipPeer struct {
 	address string
-	cancel  context.CancelFunc // ends the goroutine that gossips with it
+	cancel  context.CancelFunc // stops the goroutine that gossips with this peer
 	wake    chan struct{}
 
 	zone       string
-	clock      clockReading  // its clock in its last response
-	answeredAt time.Duration // when that response arrived
+	clock      clockReading  // the peer's clock as its last response stated it
+	answeredAt time.Duration // when the last response arrived
 	leases     map[string]leaseUpdate
-	reports    map[string]queuedReport // by instance
-	failing    bool                    // the last call failed
+	reports    map[string]queuedReport // keyed by instance
+	failing    bool                    // true if the last call to this peer failed
 	sync       syncState
 }
 
@@ -77,18 +75,18 @@
 	return p
 }
 
-// recordResponse records the clock of a response that arrived now.
+// recordResponse records the zone and the clock that a response stated; the response arrived at now.
 func (p *gossipPeer) recordResponse(zone string, clock clockReading, now time.Duration) {
 	p.zone, p.clock, p.answeredAt = zone, clock, now
 }
 
-// requestSync schedules a fetch of all that the peer knows, at once.
+// requestSync requests a fetch of the peer's complete member list and wakes the goroutine that performs it.
 func (p *gossipPeer) requestSync() {
 	p.sync = syncPending
 	signal(p.wake)
 }
 
-// queueLease queues a node's lease. A full lease is sent at once, a renewal
+// queueLease queues a node's lease for the peer. A full lease wakes the gossip goroutine, a renewal is sent
 // with the next message.
 func (p *gossipPeer) queueLease(node string, update leaseUpdate) {
 	p.leases[node] = max(p.leases[node], update)
@@ -97,12 +95,13 @@
 	}
 }
 
-// queueReport queues a direct heartbeat or a deregistration, to be sent at once.
-func (p *gossipPeer) queueReport(up registry.Upstream, now time.Duration) {
-	_, queued := p.reports[up.Instance]
+// queueReport queues a heartbeat or a deregistration of an upstream and wakes the gossip goroutine. A report
+// of another instance is dropped if the queue is full.
+func (p *gossipPeer) queueReport(upstream registry.Upstream, now time.Duration) {
+	_, queued := p.reports[upstream.Instance]
 	if !queued && len(p.reports) >= maxQueuedReports {
 		return
 	}
-	p.reports[up.Instance] = queuedReport{up: up, at: now}
+	p.reports[upstream.Instance] = queuedReport{upstream: upstream, queuedAt: now}
 	signal(p.wake)
 }
--- a/internal/mesh/watch/gossip_receive.go
+++ b/internal/mesh/watch/gossip_receive.go
@@ -8,20 +8,20 @@
 	"caperarch/internal/mesh/registry"
 )
 
-// receiveGossip applies another member's changes. It forwards what is new here to
-// the members that the sender does not reach, so that a failed link between two
-// members hides nothing as long as a third reaches both.
+// receiveGossip applies another core machine's changes to the table. It forwards those that were new here to
+// the peers that the sender cannot reach, so that every change passes a failed link between two core machines
+// as long as a third one reaches both.
 func (s *Server) receiveGossip(_ *http.Request, request *gossipRequest) (*gossipResponse, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.now()
 	age := s.messageAge(now, request)
-	newLeases := s.table.Merge(now, aged(request.Leases, age))
+	newLeases := s.table.Merge(now, subtractAge(request.Leases, age))
 	for i := range request.Renewals {
 		request.Renewals[i].Remaining -= age
 	}
 	renewed, unknown := s.table.Extend(now, request.Renewals)
-	unreached := s.unreachedBy(request)
+	unreached := s.peersUnreachedBy(request)
 	for _, r := range request.Reports {
 		if !s.table.RelayedHeartbeat(now, r.Upstream, r.Remaining-age) {
 			continue
@@ -42,7 +42,7 @@
 	return &gossipResponse{Clock: s.clock(now), Zone: s.cfg.Zone, UnknownNodes: unknown}, nil
 }
 
-// serveMemberList answers with all that is known here of sidecars and upstreams.
+// serveMemberList responds with everything that this core machine knows about sidecars and upstreams.
 func (s *Server) serveMemberList(*http.Request, *struct{}) (*memberListResponse, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -56,13 +56,13 @@
 	}, nil
 }
 
-// clock is this member's monotonic clock for the others to echo.
+// clock returns now as a reading of this core machine's monotonic clock, which the other core machines echo.
 func (s *Server) clock(now time.Duration) clockReading {
 	return clockReading{Epoch: s.cfg.Epoch, At: now}
 }
 
-// messageAge is how old the message may be. One that echoes no clock reading of
-// this incarnation may be of any age, so what it reports counts as expired.
+// messageAge returns an upper bound of the request's age. A request that does not echo a clock reading of
+// this process may be of any age, so the reports in it count as expired.
 func (s *Server) messageAge(now time.Duration, request *gossipRequest) time.Duration {
 	if request.Echo.Epoch != s.cfg.Epoch {
 		return registry.LeaseTTL
@@ -70,17 +70,16 @@
 	return max(now-request.Echo.At-max(request.SinceEcho, 0), 0)
 }
 
-// aged subtracts a message's age from the remaining time of its leases.
-func aged(leases []registry.RemoteLease, age time.Duration) []registry.RemoteLease {
+// subtractAge subtracts a message's age from the remaining validity of its leases.
+func subtractAge(leases []registry.RemoteLease, age time.Duration) []registry.RemoteLease {
 	for i := range leases {
 		leases[i].Remaining -= age
 	}
 	return leases
 }
 
-// unreachedBy returns the peers that the sender of the request does not reach.
-// s.mu is held.
-func (s *Server) unreachedBy(request *gossipRequest) []*gossipPeer {
+// peersUnreachedBy returns the peers that the sender of the request cannot reach. s.mu is held.
+func (s *Server) peersUnreachedBy(request *gossipRequest) []*gossipPeer {
 	var unreached []*gossipPeer
 	for address, p := range s.peers {
 		if address != request.From && slices.Contains(request.UnreachedPeers, address) {
--- a/internal/mesh/watch/gossip_send.go
+++ b/internal/mesh/watch/gossip_send.go
@@ -11,21 +11,20 @@
 )
 
 const (
-	// gossipInterval is the time between renewals sent to another member. With
-	// renewInterval it stays well under a lease.
+	// gossipInterval is the time between two messages with renewals to one peer. Its sum with renewInterval
+	// is well under the duration of a lease.
 	gossipInterval = 500 * time.Millisecond
-	// minGossipInterval is the least time between two messages to one member, so
-	// that a burst of changes makes few.
+	// minGossipInterval is the minimum time between two messages to one peer, so that a burst of changes is
+	// sent in few messages.
 	minGossipInterval = 10 * time.Millisecond
-	// maxLeasesPerMessage bounds the leases of one message, against large bodies;
-	// the rest follows in the next.
+	// maxLeasesPerMessage is the maximum number of leases in one message, which bounds the size of its body.
+	// The remaining leases are sent with the next message.
 	maxLeasesPerMessage = 1024
-	// memberListTimeout bounds the call for all leases, which may have a large
-	// response.
+	// memberListTimeout bounds the call that fetches a peer's member list, whose response may be large.
 	memberListTimeout = 2 * time.Second
 )
 
-// gossipWith sends one member what has not been sent to it yet, until ctx ends.
+// gossipWith sends queued updates to one peer until ctx ends.
 func (s *Server) gossipWith(ctx context.Context, p *gossipPeer) {
 	timer := time.NewTimer(gossipInterval)
 	defer timer.Stop()
@@ -51,8 +50,7 @@
 	}
 }
 
-// syncAndSend fetches all that the peer knows if that is due, and sends it what
-// is queued.
+// syncAndSend fetches the peer's member list if a sync is due, and then sends the peer the queued updates.
 func (s *Server) syncAndSend(ctx context.Context, p *gossipPeer) error {
 	s.mu.Lock()
 	syncDue := p.sync != syncDone
@@ -65,18 +63,18 @@
 	return s.sendQueued(ctx, p)
 }
 
-// fetchMemberList asks a peer for all that it knows, and merges it.
+// fetchMemberList fetches the complete member list of a peer and merges it into the table.
 func (s *Server) fetchMemberList(ctx context.Context, p *gossipPeer) error {
 	ctx, cancel := context.WithTimeout(ctx, memberListTimeout)
 	defer cancel()
-	askedAt := s.now()
+	requestedAt := s.now()
 	url := "http://" + p.address + memberListPath
 	response, err := rpc.Call[struct{}, memberListResponse](ctx, s.cfg.HTTP, url, &struct{}{})
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delayed := s.delaysRegistry(s.now())
 	p.failing = err != nil
-	p.sync = syncFailed // unless there is an answer to merge
+	p.sync = syncFailed // until the response is merged below
 	if delayed && !s.delaysRegistry(s.now()) {
 		defer s.push()
 	}
@@ -86,8 +84,8 @@
 	p.sync = syncDone
 	now := s.now()
 	p.recordResponse(response.Zone, response.Clock, now)
-	age := now - askedAt // the response is no older than the request
-	s.table.Merge(now, aged(response.Leases, age))
+	age := now - requestedAt // the response was created after the request was sent, so it is no older
+	s.table.Merge(now, subtractAge(response.Leases, age))
 	s.table.MergeSilent(now, response.Silent)
 	for _, r := range response.Reports {
 		s.table.RelayedHeartbeat(now, r.Upstream, r.Remaining-age)
@@ -97,8 +95,7 @@
 	return nil
 }
 
-// sendQueued sends a peer what is queued for it. What could not be sent is
-// queued again.
+// sendQueued sends a peer its queued updates. If the call fails, the updates are queued again.
 func (s *Server) sendQueued(ctx context.Context, p *gossipPeer) error {
 	request, sent := s.nextMessage(p)
 	if len(request.Leases)+len(request.Renewals)+len(request.Reports) == 0 {
@@ -124,13 +121,13 @@
 	return nil
 }
 
-// gossipBatch is what one message removed from a peer's queue.
+// gossipBatch holds the updates that one message removed from a peer's queue.
 type gossipBatch struct {
 	leases  map[string]leaseUpdate
 	reports map[string]queuedReport
 }
 
-// nextMessage removes the next message from a peer's queue.
+// nextMessage removes queued updates from a peer's queue and returns a request with them.
 func (s *Server) nextMessage(p *gossipPeer) (*gossipRequest, gossipBatch) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -139,7 +136,7 @@
 	batch := gossipBatch{leases: s.dequeueLeases(p, request, now), reports: p.reports}
 	for _, r := range p.reports {
 		request.Reports = append(request.Reports, registry.UpstreamReport{
-			Upstream: r.up, Remaining: max(r.at+registry.LeaseTTL-now, 0),
+			Upstream: r.upstream, Remaining: max(r.queuedAt+registry.LeaseTTL-now, 0),
 		})
 	}
 	p.reports = map[string]queuedReport{}
@@ -151,8 +148,8 @@
 	return request, batch
 }
 
-// dequeueLeases moves queued leases into the request, at most maxLeasesPerMessage
-// of them, and returns what it moved. s.mu is held.
+// dequeueLeases moves at most maxLeasesPerMessage queued leases into the request and returns which ones it
+// moved. s.mu is held.
 func (s *Server) dequeueLeases(p *gossipPeer, request *gossipRequest, now time.Duration) map[string]leaseUpdate {
 	dequeued := map[string]leaseUpdate{}
 	for node, update := range p.leases {
@@ -173,8 +170,8 @@
 	return dequeued
 }
 
-// requeue puts back what a message that failed had removed, as far as it is still
-// valid. s.mu is held.
+// requeue returns the updates of a failed message to the peer's queue if they are still valid and the queue
+// holds nothing newer. s.mu is held.
 func (s *Server) requeue(p *gossipPeer, sent gossipBatch) {
 	now := s.now()
 	for node, update := range sent.leases {
@@ -184,7 +181,7 @@
 	}
 	for instance, r := range sent.reports {
 		_, newer := p.reports[instance]
-		if !newer && len(p.reports) < maxQueuedReports && now-r.at < r.ttl() {
+		if !newer && len(p.reports) < maxQueuedReports && now-r.queuedAt < r.ttl() {
 			p.reports[instance] = r
 		}
 	}
--- a/internal/mesh/watch/peers_digest_test.go
+++ b/internal/mesh/watch/peers_digest_test.go
@@ -36,9 +36,9 @@
 				if err := json.NewDecoder(r.Body).Decode(&request); err != nil {
 					t.Error(err)
 				}
-				known = append(known, request.KnownPeers)
+				known = append(known, request.KnownPeersDigest)
 				response := &LeaseResponse{Contact: contact, PeersDigest: digestPeers(peers)}
-				if request.KnownPeers != response.PeersDigest {
+				if request.KnownPeersDigest != response.PeersDigest {
 					response.Peers = peers
 				}
 				_ = json.NewEncoder(w).Encode(response)
--- a/internal/mesh/watch/server.go
+++ b/internal/mesh/watch/server.go
@@ -14,86 +14,81 @@
 )
 
 const (
-	// tickInterval is the time between checks for expired leases and for changes
-	// of the member list.
+	// tickInterval is the time between two checks of the contact, of expired leases and of the list of core
+	// machines.
 	tickInterval = 200 * time.Millisecond
-	// syncingPeriod is how long after its start, or after it regained contact, a
-	// member says that it may not know all sidecars yet.
+	// syncingPeriod is how long a core machine reports, after its start or after it regained contact, that it
+	// may not know all sidecars yet.
 	syncingPeriod = 3 * time.Second
 )
 
-// ConfigSource is the configuration that the Server distributes. Its methods are
-// called from many goroutines. A change may reach a sidecar twice, so whoever
-// applies frames skips versions that it already has.
+// ConfigSource provides the configuration that a Server distributes. Its methods are called concurrently. A
+// sidecar may receive a change twice, so it must skip versions that it has already applied.
 type ConfigSource interface {
-	// Current is the newest version here.
+	// Current returns the newest version that this core machine knows.
 	Current() (version int64)
-	// Since returns the changes after a version, or false if it is too old.
+	// Since returns the changes after a version. ok is false if the changes since that version are no longer
+	// available.
 	Since(version int64) (frames []json.RawMessage, ok bool)
-	// FullConfig returns the full configuration, nil while there is none.
+	// FullConfig returns the full configuration, nil if there is none.
 	FullConfig() json.RawMessage
 }
 
-// ServerConfig is what a Server is made of. All fields but Leader and Zone are
-// required.
+// ServerConfig configures a Server. All fields but Leader, Zone and ShareHolders are required.
 type ServerConfig struct {
-	// Self is this member's internal address, Zone its zone.
+	// Self is the internal address of this core machine, Zone its zone.
 	Self string
 	Zone string
-	// Epoch differs in each incarnation of the process, for example its start in
-	// nanoseconds.
+	// Epoch must differ in each run of the process, for example the start time in nanoseconds.
 	Epoch registry.Epoch
-	// ShareHolders are the sidecars that an earlier process of this member knew last,
-	// by name.
+	// ShareHolders are the names of the sidecars that held a share when an earlier process of this core
+	// machine recorded them last.
 	ShareHolders []string
-	// Peers returns the internal addresses of the core machines; Self may be among
-	// them.
+	// Peers returns the internal addresses of the core machines. The result may include Self.
 	Peers func() []string
-	// Contact says how long ago a majority is known to have confirmed the leader
-	// that this member follows, counted only once all that was committed then is
-	// in ConfigSource; ok is false while that is unknown. It is called often, and
-	// from many goroutines.
+	// Contact returns the time since a majority is known to have confirmed the leader that this core machine
+	// follows. A confirmation counts only once everything that was committed at its time is in ConfigSource.
+	// ok is false while there is none. Contact is called often and concurrently.
 	Contact func() (age time.Duration, ok bool)
-	// Leader returns a hint where the leader is.
+	// Leader returns the probable address of the leader.
 	Leader       func() string
 	ConfigSource ConfigSource
 	HTTP         *http.Client
 	Log          *zap.Logger
 }
 
-// Server is the core machine's side: it owns the registry table, pushes updates
-// to the sidecars that watch, and gossips with the other members.
+// Server runs on a core machine: it owns the registry table, pushes updates to the sidecars that have a watch
+// open, and gossips with the other core machines.
 type Server struct {
-	cfg   ServerConfig
-	start time.Time
-	done  chan struct{} // closed when Run ends
+	cfg       ServerConfig
+	createdAt time.Time
+	done      chan struct{} // closed when Run ends
 
-	// mu guards the fields below. No call to another process is made under it.
+	// mu guards the fields below. It is never held during a call to another process.
 	mu       sync.Mutex
 	table    *registry.Table
-	sessions map[string]*session    // open watches by node
-	peers    map[string]*gossipPeer // other core machines by address
+	sessions map[string]*session    // open watches, keyed by node
+	peers    map[string]*gossipPeer // other core machines, keyed by address
 	waiters  map[*waiter]struct{}
 
-	// All times are readings of now().
+	// All times below are readings of now().
 	contact              contactState
-	observedAt           time.Duration // when the contact was checked last
+	contactCheckedAt     time.Duration // time of the last contact check
 	registryDelayedUntil time.Duration // see delaysRegistry
 	syncingUntil         time.Duration
 
-	lastPushed    registry.ChangeNumber // the table's number at the last push
-	lastPushedAt  time.Duration
-	pushScheduled bool
+	lastPushedNumber registry.ChangeNumber // the table's change number at the last push
+	lastPushedAt     time.Duration
+	pushScheduled    bool
 }
 
-// NewServer makes a Server. It answers once registered, and gossips while Run
-// runs.
+// NewServer returns a Server. It serves requests once its routes are registered, and gossips while Run runs.
 func NewServer(cfg ServerConfig) *Server {
 	table := registry.New(cfg.Epoch)
 	table.RestoreHolders(0, cfg.ShareHolders)
 	return &Server{
 		cfg:          cfg,
-		start:        time.Now(),
+		createdAt:    time.Now(),
 		done:         make(chan struct{}),
 		table:        table,
 		sessions:     map[string]*session{},
@@ -104,7 +99,7 @@
 	}
 }
 
-// Register puts the Server's routes on the mux.
+// Register registers the Server's routes on a mux.
 func (s *Server) Register(mux *http.ServeMux) {
 	rpc.Handle(mux, leasePath, maxLeaseBody, s.renewLease)
 	rpc.Handle(mux, gossipPath, maxGossipBody, s.receiveGossip)
@@ -112,8 +107,8 @@
 	mux.HandleFunc("POST "+watchPath, s.serveWatch)
 }
 
-// Run lets leases expire and gossips with the other members until ctx ends;
-// then it ends the watches. It is called once.
+// Run expires leases and gossips with the other core machines until ctx ends; then it ends all watches. It
+// must be called only once.
 func (s *Server) Run(ctx context.Context) {
 	var gossiping sync.WaitGroup
 	defer gossiping.Wait()
@@ -130,7 +125,7 @@
 	}
 }
 
-// tick checks the contact, the leases and the member list.
+// tick checks the contact, expires leases and applies changes of the list of core machines.
 func (s *Server) tick(ctx context.Context, gossiping *sync.WaitGroup) {
 	s.checkContact()
 	addresses := s.cfg.Peers()
@@ -141,8 +136,8 @@
 	s.updatePeers(ctx, gossiping, addresses)
 }
 
-// updatePeers starts to gossip with the members that are new, and ends it with
-// those no longer listed. s.mu is held.
+// updatePeers starts gossip with core machines that were added to the list and stops it with those that were
+// removed. s.mu is held.
 func (s *Server) updatePeers(ctx context.Context, gossiping *sync.WaitGroup, addresses []string) {
 	listed := make(map[string]bool, len(addresses))
 	for _, address := range addresses {
@@ -165,5 +160,5 @@
 	}
 }
 
-// now is the Server's monotonic clock: the time since it was made.
-func (s *Server) now() time.Duration { return time.Since(s.start) }
+// now returns the Server's monotonic clock: the time since the Server was created.
+func (s *Server) now() time.Duration { return time.Since(s.createdAt) }
--- a/internal/mesh/watch/server_lease.go
+++ b/internal/mesh/watch/server_lease.go
@@ -6,29 +6,30 @@
 	"caperarch/internal/mesh/registry"
 )
 
-// Heartbeat applies a heartbeat of an upstream that reached this member directly,
-// and forwards it to the other members. A State of Deregistered is a
-// deregistration. The error is the registry's, of kind Invalid.
-func (s *Server) Heartbeat(up registry.Upstream) error {
+// Heartbeat applies an upstream's heartbeat that reached this core machine directly and queues it for the
+// other core machines. A heartbeat with State Deregistered deregisters the upstream. An invalid heartbeat
+// returns the registry's error, of kind Invalid.
+func (s *Server) Heartbeat(upstream registry.Upstream) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.now()
-	applied, err := s.table.Heartbeat(now, up)
+	applied, err := s.table.Heartbeat(now, upstream)
 	if err != nil || !applied {
 		return err
 	}
 	for _, p := range s.peers {
-		p.queueReport(up, now)
+		p.queueReport(upstream, now)
 	}
 	s.notifyChanged()
 	return nil
 }
 
-// renewLease applies a sidecar's renewal, and answers with what is known here.
+// renewLease applies a sidecar's lease renewal and returns this core machine's view of the mesh.
 func (s *Server) renewLease(_ *http.Request, request *leaseRequest) (*LeaseResponse, error) {
 	lease := &request.Lease
 	contact := s.checkContact()
-	// Read after the contact, which proves that it is the newest.
+	// The version is read after the contact check: contact means that ConfigSource holds everything that a
+	// majority had committed Contact.Age ago.
 	version := s.cfg.ConfigSource.Current()
 	response := &LeaseResponse{
 		TTL:      registry.LeaseTTL.Seconds(),
@@ -64,7 +65,7 @@
 	response.Syncing = now < s.syncingUntil
 	peers := s.listPeers()
 	response.PeersDigest = digestPeers(peers)
-	if request.KnownPeers != response.PeersDigest {
+	if request.KnownPeersDigest != response.PeersDigest {
 		response.Peers = peers
 	}
 	return response, nil
--- a/internal/mesh/watch/server_push.go
+++ b/internal/mesh/watch/server_push.go
@@ -2,31 +2,29 @@
 
 import "time"
 
-// minPushInterval is the least time between two pushes, so that a burst of
-// changes makes few frames. A change that is made later than that after the last
-// push is pushed at once.
+// minPushInterval is the minimum time between two pushes, so that a burst of changes is sent in few frames. A
+// change that follows the last push by more than this time is pushed at once.
 const minPushInterval = 5 * time.Millisecond
 
-// Publish pushes the configuration to the sidecars. The caller calls it when
-// ConfigSource has a new version.
+// Publish pushes the configuration to the sidecars. It must be called when ConfigSource has a new version.
 func (s *Server) Publish() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.push()
 }
 
-// notifyChanged wakes whom a change of the table concerns. It is called after
-// each change, with s.mu held.
+// notifyChanged pushes a change of the table to the watches and wakes the waiters whose condition is met. It
+// is called after each operation that may have changed the table. s.mu is held.
 func (s *Server) notifyChanged() {
-	if s.table.Number() != s.lastPushed {
+	if s.table.Number() != s.lastPushedNumber {
 		s.push()
 	}
 	s.wakeWaiters()
 }
 
-// push wakes the watches now, or when minPushInterval is over. s.mu is held.
+// push wakes the watches, at once or when minPushInterval has passed since the last push. s.mu is held.
 func (s *Server) push() {
-	s.lastPushed = s.table.Number()
+	s.lastPushedNumber = s.table.Number()
 	if s.pushScheduled {
 		return
 	}
@@ -44,11 +42,10 @@
 	})
 }
 
-// wakeAll wakes all watches, each of which then sends what it has not sent yet.
-// s.mu is held.
+// wakeAll wakes all watches; each of them then sends its outstanding updates. s.mu is held.
 func (s *Server) wakeAll() {
 	s.lastPushedAt = s.now()
-	for _, open := range s.sessions {
-		signal(open.wake)
+	for _, active := range s.sessions {
+		signal(active.wake)
 	}
 }
--- a/internal/mesh/watch/server_updates.go
+++ b/internal/mesh/watch/server_updates.go
@@ -7,82 +7,82 @@
 	"caperarch/internal/mesh/errs"
 )
 
-// sendUpdates writes what has not been sent on the watch yet. A member without
-// contact sends only that it has none, so that its sidecars go to other members.
-func (s *Server) sendUpdates(out *frameWriter, to *session, heartbeatDue bool) error {
+// sendUpdates writes all outstanding updates of a watch. Without contact, it sends only a heartbeat that
+// reports the loss, so that the sidecar moves to another core machine.
+func (s *Server) sendUpdates(writer *frameWriter, target *session, heartbeatDue bool) error {
 	contact := s.checkContact()
 	if !contact.OK {
-		return s.sendContactLost(out, to, contact, heartbeatDue)
+		return s.sendContactLost(writer, target, contact, heartbeatDue)
 	}
-	to.contactLossSent = false
-	version, err := s.sendConfig(out, to)
+	target.contactLossSent = false
+	version, err := s.sendConfig(writer, target)
 	if err != nil {
 		return err
 	}
-	f := s.nextFrame(to, contact, version, heartbeatDue)
+	f := s.nextFrame(target, contact, version, heartbeatDue)
 	if f.Registry == nil && f.Heartbeat == nil {
-		return out.flush()
+		return writer.flush()
 	}
-	return out.writeFrame(f)
+	return writer.writeFrame(f)
 }
 
-// sendContactLost writes once, and then with each heartbeat, that there is no
-// contact.
-func (s *Server) sendContactLost(out *frameWriter, to *session, contact Contact, heartbeatDue bool) error {
-	if to.contactLossSent && !heartbeatDue {
+// sendContactLost writes a heartbeat that reports the loss of contact: once at the loss, and then whenever a
+// heartbeat is due.
+func (s *Server) sendContactLost(writer *frameWriter, target *session, contact Contact, heartbeatDue bool) error {
+	if target.contactLossSent && !heartbeatDue {
 		return nil
 	}
-	to.contactLossSent = true
-	return out.writeFrame(&frame{Heartbeat: &heartbeatFrame{Contact: contact}})
+	target.contactLossSent = true
+	return writer.writeFrame(&frame{Heartbeat: &heartbeatFrame{Contact: contact}})
 }
 
-// sendConfig writes the configuration that has not been sent on the watch yet,
-// and returns the newest version. The contact was checked right before.
-func (s *Server) sendConfig(out *frameWriter, to *session) (version int64, err error) {
+// sendConfig writes the configuration changes that have not been sent on the watch and returns the newest
+// version. The caller has checked the contact right before the call.
+func (s *Server) sendConfig(writer *frameWriter, target *session) (version int64, err error) {
 	version = s.cfg.ConfigSource.Current()
-	if !to.needsFullConfig && version <= to.configVersion.Load() {
+	if !target.needsFullConfig && version <= target.configVersion.Load() {
 		return version, nil
 	}
-	for _, config := range s.configFrames(to) {
+	for _, config := range s.configFrames(target) {
 		if len(config) == 0 {
 			continue
 		}
-		if err := s.sendConfigFrame(out, config); err != nil {
+		if err := s.sendConfigFrame(writer, config); err != nil {
 			return version, err
 		}
 	}
-	to.configVersion.Store(max(version, to.configVersion.Load()))
-	to.needsFullConfig = false
+	target.configVersion.Store(max(version, target.configVersion.Load()))
+	target.needsFullConfig = false
 	return version, nil
 }
 
-// configFrames returns the changes since the version sent, or the full
-// configuration if it is asked for or that version is too old.
-func (s *Server) configFrames(to *session) []json.RawMessage {
-	if !to.needsFullConfig {
-		if changes, ok := s.cfg.ConfigSource.Since(to.configVersion.Load()); ok {
+// configFrames returns the changes since the version that was sent last, or the full configuration if it was
+// requested or if that version is too old.
+func (s *Server) configFrames(target *session) []json.RawMessage {
+	if !target.needsFullConfig {
+		if changes, ok := s.cfg.ConfigSource.Since(target.configVersion.Load()); ok {
 			return changes
 		}
 	}
 	return []json.RawMessage{s.cfg.ConfigSource.FullConfig()}
 }
 
-// sendConfigFrame writes one frame of configuration. Reading and writing it may
-// have taken long, so the frame's end, without which no sidecar can decode it,
-// is only written if there is still contact.
-func (s *Server) sendConfigFrame(out *frameWriter, config json.RawMessage) error {
-	if err := out.write([]byte(`{"charter":`), config); err != nil {
+// sendConfigFrame writes one configuration frame. Reading and writing the configuration may have taken long,
+// so the end of the frame is written only if there is still contact. A sidecar cannot decode the frame
+// without its end.
+func (s *Server) sendConfigFrame(writer *frameWriter, config json.RawMessage) error {
+	if err := writer.write([]byte(`{"charter":`), config); err != nil {
 		return err
 	}
 	if !s.checkContact().OK {
-		return errs.New(errs.NoQuorum, "contact was lost within a frame")
+		return errs.New(errs.NoQuorum, "contact with a majority was lost while a configuration frame was written")
 	}
-	return out.write([]byte("}\n"))
+	return writer.write([]byte("}\n"))
 }
 
-// nextFrame returns what changed in the registry for the watch, and the
-// heartbeat if one is due.
-func (s *Server) nextFrame(to *session, contact Contact, version int64, heartbeatDue bool) *frame {
+// nextFrame returns a frame with the outstanding registry changes of the watch, and with a heartbeat if one
+// is due.
+func (s *Server) nextFrame(target *session, contact Contact, version int64, heartbeatDue bool) *frame {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.now()
@@ -96,22 +96,22 @@
 		}
 	}
 	if !s.delaysRegistry(now) {
-		f.Registry = s.nextRegistryFrame(to, now)
+		f.Registry = s.nextRegistryFrame(target, now)
 	}
 	return f
 }
 
-// nextRegistryFrame returns what changed in the registry since it was sent on
-// the watch, nil if nothing did, and records it as sent. s.mu is held.
-func (s *Server) nextRegistryFrame(to *session, now time.Duration) *registryFrame {
+// nextRegistryFrame returns the registry changes that have not been sent on the watch, nil if there are none,
+// and records them as sent. s.mu is held.
+func (s *Server) nextRegistryFrame(target *session, now time.Duration) *registryFrame {
 	syncing := now < s.syncingUntil
-	if to.fullWhileSyncing && !syncing {
-		to.registryEpoch = 0 // the full registry is due again
+	if target.fullWhileSyncing && !syncing {
+		target.registryEpoch = 0 // makes the table return the full registry
 	}
-	changes := s.table.Since(now, to.registryEpoch, to.registryNumber, to.wantsService)
-	to.registryEpoch, to.registryNumber = changes.Epoch, changes.Number
+	changes := s.table.Since(now, target.registryEpoch, target.registryNumber, target.wantsService)
+	target.registryEpoch, target.registryNumber = changes.Epoch, changes.Number
 	if changes.Full {
-		to.fullWhileSyncing = syncing
+		target.fullWhileSyncing = syncing
 	}
 	if !changes.Full && len(changes.Upserts)+len(changes.Removals) == 0 {
 		return nil
--- a/internal/mesh/watch/server_wait.go
+++ b/internal/mesh/watch/server_wait.go
@@ -2,16 +2,15 @@
 
 import "context"
 
-// waiter is a call of WaitApplied that waits.
+// waiter is a pending call of WaitApplied.
 type waiter struct {
 	version int64
-	done    chan struct{} // closed once the version is applied everywhere
+	done    chan struct{} // closed once every live lease has applied the version
 }
 
-// WaitApplied returns 0 as soon as every live lease known here has applied the
-// version, or the number of those that have not when ctx ends. A sidecar whose
-// lease expires is no longer waited for. While Syncing, some leases may not be
-// known here yet.
+// WaitApplied waits until every live lease known to this core machine has applied the configuration version,
+// and returns 0; if ctx ends before, it returns the number of leases that have not. A lease that expires
+// during the wait is no longer waited for. While Syncing returns true, some leases may not be known here yet.
 func (s *Server) WaitApplied(ctx context.Context, version int64) (behind int) {
 	w := &waiter{version: version, done: make(chan struct{})}
 	s.mu.Lock()
@@ -32,8 +31,7 @@
 	return s.table.MembersBehind(version)
 }
 
-// wakeWaiters ends the calls of WaitApplied whose version is applied. s.mu is
-// held.
+// wakeWaiters ends the calls of WaitApplied whose version has been applied by all live leases. s.mu is held.
 func (s *Server) wakeWaiters() {
 	for w := range s.waiters {
 		if s.table.MembersBehind(w.version) == 0 {
--- a/internal/mesh/watch/server_watch.go
+++ b/internal/mesh/watch/server_watch.go
@@ -13,35 +13,37 @@
 	"caperarch/internal/mesh/rpc"
 )
 
-// maxSessions bounds the open watches, against running out of file descriptors.
+// maxSessions is the maximum number of open watches; it keeps the process from running out of file
+// descriptors.
 const maxSessions = 3000
 
-// session is a sidecar's open watch: what has been sent on it, and how to wake
-// it.
+// session is the state of a sidecar's open watch: what has been sent on it, and how to wake the goroutine
+// that serves it.
 type session struct {
 	wake     chan struct{}
-	replaced chan struct{} // closed when a newer watch of the node takes over
-	// configVersion is the newest version sent. Only the goroutine that serves the
-	// watch writes it.
+	replaced chan struct{} // closed when a newer watch of the same node replaces this one
+	// configVersion is the newest configuration version sent. Only the goroutine that serves the watch writes
+	// it.
 	configVersion atomic.Int64
 
-	// The rest belongs to the goroutine that serves the watch.
+	// Only the goroutine that serves the watch accesses the fields below.
 
-	// wantsService reports whether the sidecar calls a service; nil means all.
+	// wantsService reports whether the watch includes the upstreams of a service. If it is nil, the watch
+	// includes all services.
 	wantsService func(service string) bool
-	// needsFullConfig has the full configuration sent whatever version was sent.
+	// needsFullConfig is true if the full configuration has to be sent regardless of configVersion.
 	needsFullConfig bool
-	// registryEpoch and registryNumber are the registry state sent.
+	// registryEpoch and registryNumber identify the registry state that was sent last.
 	registryEpoch  registry.Epoch
 	registryNumber registry.ChangeNumber
-	// fullWhileSyncing means that the last full registry was sent while this
-	// member was syncing, so another has to follow.
+	// fullWhileSyncing is true if the last full registry was sent while this core machine was syncing.
+	// Another full registry is then due after the sync.
 	fullWhileSyncing bool
-	// contactLossSent means that the loss of contact was sent to the sidecar.
+	// contactLossSent is true if the sidecar has been notified of the current loss of contact.
 	contactLossSent bool
 }
 
-// newSession makes the session that a request asks for.
+// newSession returns the session for a watch request.
 func newSession(request *watchRequest) *session {
 	opened := &session{
 		wake:            make(chan struct{}, 1),
@@ -61,8 +63,8 @@
 	return opened
 }
 
-// serveWatch answers with a stream of frames until the sidecar or this member
-// ends it.
+// serveWatch responds to a watch request with a stream of frames until the sidecar or this core machine ends
+// the stream.
 func (s *Server) serveWatch(w http.ResponseWriter, r *http.Request) {
 	node, opened, err := s.openSession(r)
 	if err != nil {
@@ -72,7 +74,7 @@
 	defer s.closeSession(node, opened)
 	out := &frameWriter{w: w, control: http.NewResponseController(w)}
 	w.Header().Set("Content-Type", "application/x-ndjson")
-	// A watch outlives the server's time for reading a request.
+	// A watch stays open for longer than the server's read timeout of a request.
 	if err := out.control.SetReadDeadline(time.Time{}); err != nil {
 		rpc.WriteError(w, errs.Wrap(err, errs.Internal, "read deadline"))
 		return
@@ -100,9 +102,8 @@
 	}
 }
 
-// openSession enters the watch that the request asks for. Another one that the
-// node has open ends. The error is of kind Malformed, TooLarge, Invalid,
-// NoQuorum or Busy.
+// openSession reads a watch request and adds its session. A session that the node already has open ends. The
+// error is of kind Malformed, TooLarge, Invalid, NoQuorum or Busy.
 func (s *Server) openSession(r *http.Request) (node string, opened *session, err error) {
 	body, err := rpc.ReadBody(r, maxWatchBody)
 	if err != nil {
@@ -130,7 +131,7 @@
 	return request.Node, opened, nil
 }
 
-// closeSession forgets a watch, unless a newer one has replaced it already.
+// closeSession removes a session, unless a newer session of the same node has replaced it.
 func (s *Server) closeSession(node string, ended *session) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/mesh/watch/share_holders_test.go
+++ b/internal/mesh/watch/share_holders_test.go
@@ -19,7 +19,7 @@
 			client.recordMembers(&LeaseResponse{
 				Contact: Contact{OK: true}, Counts: registry.Counts{Live: 2, Peak: 2, ShareHolders: 12},
 			})
-			lost := registry.SilentRetention - forgottenMargin
+			lost := registry.SilentRetention - retentionMargin
 			<-time.After(lost - time.Second)
 			So(client.ShareHolders(), ShouldEqual, 12)
 			client.recordRenewal(time.Now(), &LeaseResponse{})
--- a/internal/mesh/watch/signal.go
+++ b/internal/mesh/watch/signal.go
@@ -1,7 +1,7 @@
 package watch
 
-// signal wakes the receiver of a channel of capacity one, now or when it next
-// receives. It never blocks.
+// signal wakes the goroutine that receives from a channel of capacity one, at once or at its next receive. It
+// never blocks: if a signal is already pending, the two are merged.
 func signal(channel chan struct{}) {
 	select {
 	case channel <- struct{}{}:
--- a/internal/mesh/watch/slow_link_test.go
+++ b/internal/mesh/watch/slow_link_test.go
@@ -149,7 +149,7 @@
 		bound    time.Duration
 	}{
 		"One that sends nothing more is left within a silence and a question":   {true, idleTimeout + probeTimeout},
-		"One that does not hear the sidecar is left before the lease has ended": {false, renewInterval + lateRenewal + probeTimeout},
+		"One that does not hear the sidecar is left before the lease has ended": {false, renewInterval + lateRenewalThreshold + probeTimeout},
 	} {
 		runMesh(t, what, func(n *network, m []*member, _ []*sidecar) {
 			var mute atomic.Bool
--- a/internal/mesh/watch/watch_test.go
+++ b/internal/mesh/watch/watch_test.go
@@ -21,7 +21,7 @@
 		advance(15 * ms)
 		So(c[0].upstreams()+","+c[1].upstreams(), ShouldEqual, "i-c1 i-c2 i-c3!,i-c1 i-c2 i-c3!")
 
-		So(m[0].Behind(7), ShouldEqual, 3)
+		So(m[0].CountBehind(7), ShouldEqual, 3)
 		for _, one := range m {
 			one.publish(7)
 		}
@@ -41,7 +41,7 @@
 		m[2].publish(9)
 		advance(30 * ms)
 		So(c[2].configFrames(), ShouldResemble, []string{"[7]", "8", "[9]"})
-		So(m[1].Behind(9), ShouldEqual, 0)
+		So(m[1].CountBehind(9), ShouldEqual, 0)
 		c[2].change(func() { c[2].rejectNext = true })
 		m[2].publish(10)
 		advance(30 * ms)
@@ -76,7 +76,7 @@
 		So(c[0].cfg.ConfigVersion(), ShouldEqual, 5)
 		So(c[0].configFrames(), ShouldResemble, []string{"[5]"})
 		So(c[0].fullUpdates(), ShouldEqual, fulls+1)
-		So(m[1].Behind(5)*10+m[2].Behind(4), ShouldEqual, 20)
+		So(m[1].CountBehind(5)*10+m[2].CountBehind(4), ShouldEqual, 20)
 
 		// Partitioned from the others, a member keeps no sidecar and sends no configuration.
 		was := c[1].Peers()[0]
