--- a/internal/mesh/watch/contact_test.go
+++ b/internal/mesh/watch/contact_test.go
@@ -16,242 +16,251 @@
 	"caperarch/internal/mesh/rpc"
 )
 
-// moves counts how often a sidecar goes to another member, and records when it last did.
-type moves struct {
-	at    string
-	count int
-	last  time.Duration
+// memberChanges records the core machine that a sidecar uses, how often it changed, and when it changed last.
+type memberChanges struct {
+	current string
+	count   int
+	last    time.Duration
 }
 
-func (m *moves) observe(s *sidecar, now time.Duration) {
-	if at := s.Peers()[0]; at != m.at {
-		m.at, m.count, m.last = at, m.count+1, now
+// observe records a change if the sidecar's current core machine differs from the one recorded last.
+func (c *memberChanges) observe(s *testSidecar, now time.Duration) {
+	if current := s.Peers()[0]; current != c.current {
+		c.current, c.count, c.last = current, c.count+1, now
 	}
 }
 
-// maxMoveTime is how long after a member's last contact its sidecars have moved: the contact expires, the
-// member checks it, the sidecar asks the others, and opens a watch.
+// maxMoveTime is the longest time from the last contact of a core machine until its sidecars have moved: the
+// contact expires, the core machine checks it, and the sidecar asks the other core machines and opens a
+// watch.
 const maxMoveTime = maxContactAge + tickInterval + probeTimeout + 50*ms
 
-// isolate partitions the first member from the two others, in the log and between the members.
-func isolate(n *network, q *majority) {
+// partitionFirstMember partitions the first core machine from the two others, both in the simulated log and
+// for gossip.
+func partitionFirstMember(network *testNetwork, quorum *quorumSimulator) {
 	for _, i := range []int{1, 2} {
-		q.sever(0, i)
-		q.sever(i, 0)
-		n.sever(memberAddresses[0], memberAddresses[i])
-		n.sever(memberAddresses[i], memberAddresses[0])
+		quorum.blockLink(0, i)
+		quorum.blockLink(i, 0)
+		network.blockLink(memberAddresses[0], memberAddresses[i])
+		network.blockLink(memberAddresses[i], memberAddresses[0])
 	}
 }
 
 func TestPartitionedMember(t *testing.T) {
-	title := "A member that is partitioned for 20 s sends nothing old, and its sidecars move in time"
-	runMesh(t, title, func(n *network, m []*member, c []*sidecar) {
-		q := newMajority(m)
-		defer close(q.done)
+	title := "A core machine that is partitioned for 20 s sends nothing outdated, and its sidecars move in time"
+	runMesh(t, title, func(network *testNetwork, members []*testMember, sidecars []*testSidecar) {
+		quorum := newQuorumSimulator(members)
+		defer close(quorum.done)
 		advance(time.Second)
-		isolate(n, q)
-		for _, to := range memberAddresses[1:] {
-			n.sever("new", to)
+		partitionFirstMember(network, quorum)
+		for _, address := range memberAddresses[1:] {
+			network.blockLink("new", address)
 		}
-		q.change(func() { q.leader = 1 })
-		// The others do not learn what its own sidecar reports, and it does not learn what theirs do.
-		c[1].change(func() { c[1].up.State, c[1].up.Sequence = registry.Draining, 2 })
-		c[1].RenewNow()
-		So(m[1].Heartbeat(registry.Upstream{Instance: "i-c3", State: registry.Deregistered}), ShouldBeNil)
-		newcomer := n.sidecar("new", "zone-m1:1", memberAddresses[0])
-		defer newcomer.stop()
-		newcomer.change(func() { newcomer.up.Instance = "" }) // it has no upstream here
-		moved := moves{at: memberAddresses[0]}
-		raw := httpclient.New(time.Second)
-		defer raw.CloseIdleConnections()
-		old, _ := c[0].applied()
-		q.run(20*time.Second, true, func(now time.Duration) {
-			moved.observe(c[0], now)
+		quorum.update(func() { quorum.leader = 1 })
+		// The partitioned core machine does not learn that sidecar c2 is draining, nor that the upstream of
+		// c3 was deregistered.
+		sidecars[1].update(func() { sidecars[1].upstream.State, sidecars[1].upstream.Sequence = registry.Draining, 2 })
+		sidecars[1].RenewNow()
+		So(members[1].Heartbeat(registry.Upstream{Instance: "i-c3", State: registry.Deregistered}), ShouldBeNil)
+		newSidecar := network.testSidecar("new", "zone-m1:1", memberAddresses[0])
+		defer newSidecar.stop()
+		newSidecar.update(func() { newSidecar.upstream.Instance = "" }) // the new sidecar has no upstream
+		changes := memberChanges{current: memberAddresses[0]}
+		unusedClient := httpclient.New(time.Second)
+		defer unusedClient.CloseIdleConnections()
+		initialVersion, _ := sidecars[0].appliedVersion()
+		quorum.run(20*time.Second, true, func(now time.Duration) {
+			changes.observe(sidecars[0], now)
 			if now > maxMoveTime {
-				version, _ := c[0].applied()
-				if version < q.committed {
-					t.Fatalf("after %v the sidecar has version %d, not %d", now, version, q.committed)
+				version, _ := sidecars[0].appliedVersion()
+				if version < quorum.committed {
+					t.Fatalf("after %v sidecar c1 has applied version %d, want %d", now, version, quorum.committed)
 				}
 			}
 			if now < maxContactAge {
-				return // its contact has not expired yet
+				return // the contact of the partitioned core machine has not expired yet
 			}
-			if version, _ := newcomer.applied(); version > old {
-				t.Fatalf("after %v the newcomer got version %d of a partitioned member", now, version)
+			if version, _ := newSidecar.appliedVersion(); version > initialVersion {
+				t.Fatalf("after %v the new sidecar received version %d from the partitioned core machine, want none", now, version)
 			}
 		})
-		So(moved.count, ShouldEqual, 1)
-		So(moved.last, ShouldBeBetween, time.Duration(0), maxMoveTime)
-		err := c[0].requestWatch(context.Background(), memberAddresses[0], "x")
+		So(changes.count, ShouldEqual, 1)
+		So(changes.last, ShouldBeBetween, time.Duration(0), maxMoveTime)
+		err := sidecars[0].requestWatch(context.Background(), memberAddresses[0], "x")
 		So(errs.KindOf(err), ShouldEqual, errs.NoQuorum)
 		lease := &registry.Lease{Node: "x", Incarnation: 1, Sequence: 1}
 		url := "http://" + memberAddresses[0] + leasePath
-		answer, err := rpc.Call[registry.Lease, LeaseResponse](context.Background(), c[0].cfg.HTTP, url, lease)
+		response, err := rpc.Call[registry.Lease, LeaseResponse](context.Background(), sidecars[0].cfg.HTTP, url, lease)
 		So(err, ShouldBeNil)
-		So(answer.Contact.OK || answer.CaughtUp, ShouldBeFalse)
+		So(response.Contact.OK || response.CaughtUp, ShouldBeFalse)
 
-		// Back in contact it lists no deregistered upstream, and none as ready that is draining.
-		q.heal()
+		// After contact is regained, the core machine must not list the deregistered upstream, nor the
+		// draining one as ready.
+		quorum.heal()
 		advance(2 * leaderInterval)
-		n.heal()
-		for _, to := range memberAddresses[1:] {
-			n.sever("new", to)
-			n.sever("later", to)
+		network.heal()
+		for _, address := range memberAddresses[1:] {
+			network.blockLink("new", address)
+			network.blockLink("later", address)
 		}
-		later := n.sidecar("later", "zone-m1:1", memberAddresses[0])
-		defer later.stop()
-		q.run(5*time.Second, true, func(now time.Duration) {
-			for _, s := range []*sidecar{later, newcomer} {
-				sees := s.upstreams()
-				if s == newcomer && now < maxRegistryDelay {
-					continue // it connected before the contact expired
+		laterSidecar := network.testSidecar("later", "zone-m1:1", memberAddresses[0])
+		defer laterSidecar.stop()
+		quorum.run(5*time.Second, true, func(now time.Duration) {
+			for _, s := range []*testSidecar{laterSidecar, newSidecar} {
+				listed := s.upstreams()
+				if s == newSidecar && now < maxRegistryDelay {
+					continue // the new sidecar connected before the contact expired, so it still holds the old registry
 				}
-				if strings.Contains(sees, "i-c3") || strings.Contains(sees+" ", "i-c2 ") {
-					t.Fatalf("%v after its return the member lists %s", now, sees)
+				if strings.Contains(listed, "i-c3") || strings.Contains(listed+" ", "i-c2 ") {
+					t.Fatalf("%v after contact was regained the core machine lists %s, want no i-c3 and i-c2 draining", now, listed)
 				}
 			}
-			moved.observe(c[0], now)
+			changes.observe(sidecars[0], now)
 		})
-		So(newcomer.upstreams(), ShouldContainSubstring, "i-c2!")
-		So(later.upstreams(), ShouldContainSubstring, "i-c2!")
-		version, _ := newcomer.applied()
-		So(version, ShouldEqual, q.committed)
-		So(moved.count, ShouldEqual, 1)
-		for _, s := range append(c, newcomer) {
-			_, back := s.applied()
-			So(back, ShouldBeFalse)
+		So(newSidecar.upstreams(), ShouldContainSubstring, "i-c2!")
+		So(laterSidecar.upstreams(), ShouldContainSubstring, "i-c2!")
+		version, _ := newSidecar.appliedVersion()
+		So(version, ShouldEqual, quorum.committed)
+		So(changes.count, ShouldEqual, 1)
+		for _, s := range append(sidecars, newSidecar) {
+			_, regressed := s.appliedVersion()
+			So(regressed, ShouldBeFalse)
 		}
 	})
 }
 
 func TestSidecarsLeavePartitionedMemberInTime(t *testing.T) {
 	for offset := time.Duration(0); offset < renewInterval; offset += 100 * ms {
-		title := "A sidecar moves in time, whenever between two renewals the partition begins"
-		runMesh(t, title, func(n *network, m []*member, c []*sidecar) {
-			q := newMajority(m)
-			defer close(q.done)
+		title := "A sidecar moves in time, at whatever time between two renewals the partition begins"
+		runMesh(t, title, func(network *testNetwork, members []*testMember, sidecars []*testSidecar) {
+			quorum := newQuorumSimulator(members)
+			defer close(quorum.done)
 			advance(time.Second + offset)
-			isolate(n, q)
-			q.change(func() { q.leader = 1 })
-			q.run(maxMoveTime, true, nil)
-			So(c[0].Peers()[0], ShouldNotEqual, memberAddresses[0])
-			So(c[0].Connected(), ShouldBeTrue)
-			version, _ := c[0].applied()
-			So(version, ShouldEqual, q.committed)
+			partitionFirstMember(network, quorum)
+			quorum.update(func() { quorum.leader = 1 })
+			quorum.run(maxMoveTime, true, nil)
+			So(sidecars[0].Peers()[0], ShouldNotEqual, memberAddresses[0])
+			So(sidecars[0].Connected(), ShouldBeTrue)
+			version, _ := sidecars[0].appliedVersion()
+			So(version, ShouldEqual, quorum.committed)
 		})
 	}
 }
 
 func TestOneWayPartitions(t *testing.T) {
-	title := "A leader that receives no responses ages everywhere alike, and no sidecar moves"
-	runMesh(t, title, func(n *network, m []*member, c []*sidecar) {
-		q := newMajority(m)
-		defer close(q.done)
+	title := "If the leader receives no responses, the contact of all core machines ages alike and no sidecar moves"
+	runMesh(t, title, func(network *testNetwork, members []*testMember, sidecars []*testSidecar) {
+		quorum := newQuorumSimulator(members)
+		defer close(quorum.done)
 		advance(time.Second)
-		q.change(func() { q.lag = []time.Duration{0, 200 * ms, 400 * ms} })
+		quorum.update(func() { quorum.lag = []time.Duration{0, 200 * ms, 400 * ms} })
 		advance(time.Second)
-		// The leader sends and receives nothing. What it commits then may reach no sidecar.
-		q.sever(1, 0)
-		q.sever(2, 0)
-		where := []moves{{at: memberAddresses[0]}, {at: memberAddresses[1]}, {at: memberAddresses[2]}}
-		q.run(maxContactAge+tickInterval, false, func(now time.Duration) {
-			for i, s := range c {
-				where[i].observe(s, now)
+		// The leader receives no responses, so no confirmation is renewed. What it commits then must reach no
+		// sidecar.
+		quorum.blockLink(1, 0)
+		quorum.blockLink(2, 0)
+		changes := []memberChanges{
+			{current: memberAddresses[0]}, {current: memberAddresses[1]}, {current: memberAddresses[2]},
+		}
+		quorum.run(maxContactAge+tickInterval, false, func(now time.Duration) {
+			for i, s := range sidecars {
+				changes[i].observe(s, now)
 			}
 		})
-		for _, one := range m {
-			one.publish(99)
+		for _, member := range members {
+			member.publish(99)
 		}
-		q.run(10*time.Second, false, func(now time.Duration) {
-			for i, s := range c {
-				where[i].observe(s, now)
+		quorum.run(10*time.Second, false, func(now time.Duration) {
+			for i, s := range sidecars {
+				changes[i].observe(s, now)
 				if !s.Connected() {
-					t.Fatalf("after %v a sidecar has left its member, with no other one to go to", now)
+					t.Fatalf("after %v a sidecar is disconnected, want it to stay since no core machine is in contact", now)
 				}
-				if version, _ := s.applied(); version == 99 {
-					t.Fatalf("after %v a version was sent without contact", now)
+				if version, _ := s.appliedVersion(); version == 99 {
+					t.Fatalf("after %v a sidecar has applied version 99, want it held back without contact", now)
 				}
 			}
 		})
-		q.heal()
-		q.run(time.Second, false, nil)
-		for i, s := range c {
-			So(where[i].count, ShouldEqual, 0)
+		quorum.heal()
+		quorum.run(time.Second, false, nil)
+		for i, s := range sidecars {
+			So(changes[i].count, ShouldEqual, 0)
 			So(s.Connected(), ShouldBeTrue)
-			version, _ := s.applied()
+			version, _ := s.appliedVersion()
 			So(version, ShouldEqual, 99)
 		}
-		// A member whose responses are lost is in contact: others confirm the leader, and it receives that.
-		q.change(func() { q.committed = 100 })
-		q.sever(2, 0)
-		q.run(5*time.Second, true, nil)
-		version, _ := c[2].applied()
-		So(version, ShouldEqual, q.committed)
-		So(c[2].Peers()[0], ShouldEqual, memberAddresses[2])
+		// A core machine whose responses to the leader are lost stays in contact: the others confirm the
+		// leader, and the core machine receives the confirmation in heartbeats.
+		quorum.update(func() { quorum.committed = 100 })
+		quorum.blockLink(2, 0)
+		quorum.run(5*time.Second, true, nil)
+		version, _ := sidecars[2].appliedVersion()
+		So(version, ShouldEqual, quorum.committed)
+		So(sidecars[2].Peers()[0], ShouldEqual, memberAddresses[2])
 	})
 }
 
 func TestMemberThatHasNotApplied(t *testing.T) {
-	title := "A member that has not applied what the leader says is committed serves nobody"
-	runMesh(t, title, func(n *network, m []*member, c []*sidecar) {
-		q := newMajority(m)
-		defer close(q.done)
-		q.change(func() { q.notApplied[2] = true })
-		q.run(5*time.Second, true, nil)
-		So(c[2].Peers()[0], ShouldNotEqual, memberAddresses[2])
-		version, back := c[2].applied()
-		So(version, ShouldEqual, q.committed)
-		So(back, ShouldBeFalse)
-		n.sever("new", memberAddresses[0])
-		n.sever("new", memberAddresses[1])
-		newcomer := n.sidecar("new", "zone-m3:1", memberAddresses[2])
-		defer newcomer.stop()
-		q.run(5*time.Second, true, nil)
-		So(newcomer.configFrames(), ShouldBeEmpty)
-		q.change(func() { q.notApplied[2] = false })
-		q.run(2*time.Second, true, nil)
-		version, _ = newcomer.applied()
-		So(version, ShouldEqual, q.committed)
+	title := "A core machine that has not applied the committed versions serves no sidecar"
+	runMesh(t, title, func(network *testNetwork, members []*testMember, sidecars []*testSidecar) {
+		quorum := newQuorumSimulator(members)
+		defer close(quorum.done)
+		quorum.update(func() { quorum.notApplied[2] = true })
+		quorum.run(5*time.Second, true, nil)
+		So(sidecars[2].Peers()[0], ShouldNotEqual, memberAddresses[2])
+		version, regressed := sidecars[2].appliedVersion()
+		So(version, ShouldEqual, quorum.committed)
+		So(regressed, ShouldBeFalse)
+		network.blockLink("new", memberAddresses[0])
+		network.blockLink("new", memberAddresses[1])
+		newSidecar := network.testSidecar("new", "zone-m3:1", memberAddresses[2])
+		defer newSidecar.stop()
+		quorum.run(5*time.Second, true, nil)
+		So(newSidecar.configFrames(), ShouldBeEmpty)
+		quorum.update(func() { quorum.notApplied[2] = false })
+		quorum.run(2*time.Second, true, nil)
+		version, _ = newSidecar.appliedVersion()
+		So(version, ShouldEqual, quorum.committed)
 	})
 }
 
 func TestFrozenMember(t *testing.T) {
-	title := "A member that is frozen within a frame never completes it, and syncs when it wakes"
-	runMesh(t, title, func(n *network, m []*member, c []*sidecar) {
-		q := newMajority(m)
-		defer close(q.done)
+	title := "A core machine that is frozen within a frame never completes the frame, and syncs when it resumes"
+	runMesh(t, title, func(network *testNetwork, members []*testMember, sidecars []*testSidecar) {
+		quorum := newQuorumSimulator(members)
+		defer close(quorum.done)
 		advance(time.Second)
-		// It has checked its contact, reads the configuration, and is frozen until after the next
-		// two changes.
-		m[0].configs.mu.Lock()
-		m[0].configs.stall = time.Second
-		m[0].configs.mu.Unlock()
-		for _, to := range memberAddresses[1:] {
-			n.sever("new", to)
+		// The core machine has checked its contact and is frozen while it reads the configuration, until
+		// contact has expired and the leader has changed.
+		members[0].configSource.mu.Lock()
+		members[0].configSource.fullConfigDelay = time.Second
+		members[0].configSource.mu.Unlock()
+		for _, address := range memberAddresses[1:] {
+			network.blockLink("new", address)
 		}
-		newcomer := n.sidecar("new", "zone-m1:1", memberAddresses[0])
-		defer newcomer.stop()
+		newSidecar := network.testSidecar("new", "zone-m1:1", memberAddresses[0])
+		defer newSidecar.stop()
 		synctest.Wait()
-		q.change(func() { q.known[0] = q.known[0].Add(-maxContactAge) })
-		q.sever(1, 0)
-		q.change(func() { q.leader = 1 })
-		q.run(3*time.Second, true, nil)
-		So(newcomer.configFrames(), ShouldBeEmpty)
+		quorum.update(func() { quorum.observed[0] = quorum.observed[0].Add(-maxContactAge) })
+		quorum.blockLink(1, 0)
+		quorum.update(func() { quorum.leader = 1 })
+		quorum.run(3*time.Second, true, nil)
+		So(newSidecar.configFrames(), ShouldBeEmpty)
 
-		still := NewServer(ServerConfig{
-			Self: "x", Epoch: 1, ConfigSource: &configs{}, Log: zap.NewNop(), Peers: func() []string { return nil },
+		server := NewServer(ServerConfig{
+			Self: "x", Epoch: 1, ConfigSource: &configSource{}, Log: zap.NewNop(), Peers: func() []string { return nil },
 			Contact: func() (time.Duration, bool) { return 0, true },
 		})
-		So(still.checkContact().OK, ShouldBeTrue)
-		So(still.registryDelayedUntil, ShouldEqual, 0) // nothing is from before the first contact
+		So(server.checkContact().OK, ShouldBeTrue)
+		So(server.registryDelayedUntil, ShouldEqual, 0) // the registry holds nothing from before a loss of contact
 		for range 20 {
 			advance(syncingPeriod / 10)
-			still.checkContact()
+			server.checkContact()
 		}
-		So(still.Syncing(), ShouldBeFalse)
-		advance(10 * time.Second) // frozen, and its contact renewed before it checked
-		So(still.checkContact().OK, ShouldBeTrue)
-		So(still.Syncing(), ShouldBeTrue)
-		So(still.registryDelayedUntil, ShouldBeGreaterThan, still.now())
+		So(server.Syncing(), ShouldBeFalse)
+		advance(10 * time.Second) // the process is frozen, and its contact is renewed before its next check
+		So(server.checkContact().OK, ShouldBeTrue)
+		So(server.Syncing(), ShouldBeTrue)
+		So(server.registryDelayedUntil, ShouldBeGreaterThan, server.now())
 	})
 }
--- a/internal/mesh/watch/golden_test.go
+++ b/internal/mesh/watch/golden_test.go
@@ -6,21 +6,23 @@
 	"caperarch/internal/mesh/goldentest"
 )
 
-// What other processes send and expect: testdata holds it as the release before wrote it.
+// The messages must keep the JSON encoding that processes of the previous release send and expect, which
+// testdata holds.
 func TestMessagesOnTheWire(t *testing.T) {
 	goldentest.CheckJSON[leaseRequest](t, "lease_request")
 	goldentest.CheckJSON[LeaseResponse](t, "lease_response_version")
-	// Core machines of the releases before responses had a version, lists a digest, and incarnations were raised.
+	// Responses of core machines of earlier releases: without a version, without a digest of the list, and
+	// without the newer incarnation.
 	goldentest.CheckStillRead[LeaseResponse](t, "lease_response_digest")
 	goldentest.CheckStillRead[LeaseResponse](t, "lease_response")
 	goldentest.CheckStillRead[LeaseResponse](t, "lease_answer")
 	goldentest.CheckJSON[watchRequest](t, "watch_request")
 	goldentest.CheckJSON[frame](t, "frame_holders")
-	goldentest.CheckStillRead[frame](t, "frame") // before share holders were counted
+	goldentest.CheckStillRead[frame](t, "frame") // written before counts included share holders
 	goldentest.CheckJSON[gossipRequest](t, "gossip")
 	goldentest.CheckJSON[gossipResponse](t, "gossip_answer")
 	goldentest.CheckJSON[memberListResponse](t, "roll_answer_silent")
-	goldentest.CheckStillRead[memberListResponse](t, "roll_answer") // before silent sidecars were remembered
+	goldentest.CheckStillRead[memberListResponse](t, "roll_answer") // written before member lists included silent sidecars
 }
 
 func TestPaths(t *testing.T) {
@@ -31,7 +33,7 @@
 		"/mesh/roll":   memberListPath,
 	} {
 		if got != want {
-			t.Errorf("a path is %q, want %q", got, want)
+			t.Errorf("path of an endpoint is %q, want %q", got, want)
 		}
 	}
 }
--- a/internal/mesh/watch/gossip_receive.go
+++ b/internal/mesh/watch/gossip_receive.go
@@ -8,9 +8,9 @@
 	"caperarch/internal/mesh/registry"
 )
 
-// receiveGossip applies another core machine's changes to the table. It forwards those that were new here to
-// the peers that the sender cannot reach, so that every change passes a failed link between two core machines
-// as long as a third one reaches both.
+// receiveGossip applies another core machine's changes to the table. It forwards the changes that were new
+// here to the peers that the sender cannot reach, so that every change passes a failed link between two core
+// machines as long as a third one reaches both.
 func (s *Server) receiveGossip(_ *http.Request, request *gossipRequest) (*gossipResponse, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/mesh/watch/incarnation_test.go
+++ b/internal/mesh/watch/incarnation_test.go
@@ -9,20 +9,20 @@
 	"caperarch/internal/mesh/registry"
 )
 
-func TestIncarnationGrowsThoughTheClockWentBack(t *testing.T) {
-	title := "A process whose machine's clock went back before it started renews its lease all the same"
-	runMesh(t, title, func(n *network, m []*member, c []*sidecar) {
-		c[2].stop()
-		n.clockStep = -8 * time.Second
-		restarted := n.sidecar("c3", "zone-m3:1", memberAddresses...)
+func TestIncarnationGrowsAfterClockWentBack(t *testing.T) {
+	title := "A sidecar renews its lease even if its machine's clock went back before the process started"
+	runMesh(t, title, func(network *testNetwork, members []*testMember, sidecars []*testSidecar) {
+		sidecars[2].stop()
+		network.clockStep = -8 * time.Second
+		restarted := network.testSidecar("c3", "zone-m3:1", memberAddresses...)
 		defer restarted.stop()
-		restarted.change(func() { restarted.up.Instance, restarted.up.Sequence = "i-c3-next", 1 })
+		restarted.update(func() { restarted.upstream.Instance, restarted.upstream.Sequence = "i-c3-next", 1 })
 		advance(2 * renewInterval)
-		So(c[0].upstreams(), ShouldEqual, "i-c1 i-c2 i-c3-next")
-		// Nor does it expire, also after its own clock is right again.
-		n.clockStep = 0
+		So(sidecars[0].upstreams(), ShouldEqual, "i-c1 i-c2 i-c3-next")
+		// The lease must not expire, and must still be renewed after the machine's clock is right again.
+		network.clockStep = 0
 		advance(registry.LeaseTTL + registry.StaleTTL + time.Second)
-		So(c[0].upstreams(), ShouldEqual, "i-c1 i-c2 i-c3-next")
-		So(m[1].Counts().Live, ShouldEqual, 3)
+		So(sidecars[0].upstreams(), ShouldEqual, "i-c1 i-c2 i-c3-next")
+		So(members[1].Counts().Live, ShouldEqual, 3)
 	})
 }
--- a/internal/mesh/watch/network_test.go
+++ b/internal/mesh/watch/network_test.go
@@ -9,25 +9,26 @@
 	"time"
 )
 
-// network connects hosts by pipes within a synctest bubble, so that time is virtual.
-type network struct {
-	mu      sync.Mutex
-	ports   map[string]*port
-	severed map[string]bool
-	links   map[string][]net.Conn
-	delays  map[string]time.Duration // one way, of all links of a host; set by setDelay
-	// clockStep is how far the machines' clocks are off while sidecars start.
+// testNetwork connects hosts by pipes within a synctest bubble, where time is virtual. blocked and
+// connections are keyed by the sender's name followed by the receiver's.
+type testNetwork struct {
+	mu          sync.Mutex
+	listeners   map[string]*pipeListener
+	blocked     map[string]bool
+	connections map[string][]net.Conn
+	delays      map[string]time.Duration // one-way delay of all connections of a host, set by setDelay
+	// clockStep is the offset of the machines' clocks that new sidecars see when they start.
 	clockStep time.Duration
 }
 
-// port is a host's listener.
-type port struct {
+// pipeListener accepts the connections to a host.
+type pipeListener struct {
 	address string
 	conns   chan net.Conn
 	closed  chan struct{}
 }
 
-func (p *port) Accept() (net.Conn, error) {
+func (p *pipeListener) Accept() (net.Conn, error) {
 	select {
 	case c := <-p.conns:
 		return c, nil
@@ -36,25 +37,27 @@
 	}
 }
 
-func (p *port) Close() error { close(p.closed); return nil }
+func (p *pipeListener) Close() error { close(p.closed); return nil }
 
-func (p *port) Addr() net.Addr { return &net.UnixAddr{Name: p.address} }
+func (p *pipeListener) Addr() net.Addr { return &net.UnixAddr{Name: p.address} }
 
-func newNetwork() *network {
-	return &network{ports: map[string]*port{}, severed: map[string]bool{}, links: map[string][]net.Conn{},
-		delays: map[string]time.Duration{}}
+func newNetwork() *testNetwork {
+	return &testNetwork{
+		listeners: map[string]*pipeListener{}, blocked: map[string]bool{},
+		connections: map[string][]net.Conn{}, delays: map[string]time.Duration{},
+	}
 }
 
-// setDelay has all that a host sends and receives from now on arrive so much later, on the connections that it has
-// opened since its first delay was set.
-func (n *network) setDelay(host string, oneWay time.Duration) {
+// setDelay delays all bytes that a host sends and receives from now on. It affects the connections that the
+// host opens after the first call.
+func (n *testNetwork) setDelay(host string, oneWay time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.delays[host] = oneWay
 }
 
-// longestDelay is the longest of all hosts' delays.
-func (n *network) longestDelay() (longest time.Duration) {
+// longestDelay returns the longest one-way delay of all hosts.
+func (n *testNetwork) longestDelay() (longest time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, d := range n.delays {
@@ -63,8 +66,8 @@
 	return longest
 }
 
-// delayOf is a host's delay, as slowLink asks for it.
-func (n *network) delayOf(host string) func() time.Duration {
+// hostDelay returns a function that returns a host's current one-way delay, as newSlowLink needs it.
+func (n *testNetwork) hostDelay(host string) func() time.Duration {
 	return func() time.Duration {
 		n.mu.Lock()
 		defer n.mu.Unlock()
@@ -72,11 +75,11 @@
 	}
 }
 
-// client is an HTTP client on a host.
-func (n *network) client(from string) *http.Client {
+// client returns an HTTP client on a host.
+func (n *testNetwork) client(from string) *http.Client {
 	dial := func(ctx context.Context, _, to string) (net.Conn, error) {
-		select { // a connection is open once an answer has come from the other side
-		case <-time.After(2 * n.delayOf(from)()):
+		select { // opening a connection takes a round trip
+		case <-time.After(2 * n.hostDelay(from)()):
 			return n.dial(from, to)
 		case <-ctx.Done():
 			return nil, ctx.Err()
@@ -85,35 +88,37 @@
 	return &http.Client{Transport: &http.Transport{DialContext: dial}}
 }
 
-// dial opens a connection between two hosts.
-func (n *network) dial(from, to string) (net.Conn, error) {
+// dial opens a connection from one host to another.
+func (n *testNetwork) dial(from, to string) (net.Conn, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	p := n.ports[to]
-	if p == nil || n.severed[from+to] {
+	p := n.listeners[to]
+	if p == nil || n.blocked[from+to] {
 		return nil, io.ErrClosedPipe
 	}
-	here, there := net.Pipe()
+	local, remote := net.Pipe()
 	if _, delayed := n.delays[from]; delayed {
-		here, there = slowLink(n.delayOf(from))
+		local, remote = newSlowLink(n.hostDelay(from))
 	}
-	n.links[from+to] = append(n.links[from+to], here)
-	p.conns <- there
-	return here, nil
+	n.connections[from+to] = append(n.connections[from+to], local)
+	p.conns <- remote
+	return local, nil
 }
 
-// sever breaks the connections from one host to another, and refuses new ones until heal.
-func (n *network) sever(from, to string) {
+// blockLink closes the connections that one host has opened to another and rejects new ones until heal is
+// called.
+func (n *testNetwork) blockLink(from, to string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.severed[from+to] = true
-	for _, c := range n.links[from+to] {
+	n.blocked[from+to] = true
+	for _, c := range n.connections[from+to] {
 		_ = c.Close()
 	}
 }
 
-func (n *network) heal() {
+// heal removes all blocks.
+func (n *testNetwork) heal() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	clear(n.severed)
+	clear(n.blocked)
 }
--- a/internal/mesh/watch/peers_digest_test.go
+++ b/internal/mesh/watch/peers_digest_test.go
@@ -13,8 +13,8 @@
 	"caperarch/internal/mesh/registry"
 )
 
-func TestDigestOfPeers(t *testing.T) {
-	Convey("The digest goes by machines and zones, not by their order, and is never that of no list", t, func() {
+func TestPeersDigest(t *testing.T) {
+	Convey("The digest depends on the machines and their zones but not on their order, and is never 0", t, func() {
 		a, b := Peer{"a:1", "x"}, Peer{"b:1", "y"}
 		So(digestPeers([]Peer{a, b}), ShouldEqual, digestPeers([]Peer{b, a}))
 		for _, other := range [][]Peer{nil, {a}, {a, {"b:1", ""}}, {a, {"b:2", "y"}}, {a, b, {"c:1", "y"}}} {
@@ -24,19 +24,19 @@
 	})
 }
 
-func TestListOfPeersIsSentWhenItChanged(t *testing.T) {
+func TestPeerListSentOnlyAfterChange(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		Convey("A sidecar gets the list of core machines once, and again when either side's has changed", t, func() {
-			n := newNetwork()
+		Convey("A sidecar receives the list of core machines once, and again after a change on either side", t, func() {
+			network := newNetwork()
 			peers := []Peer{{"m1:1", "x"}, {"m2:1", "y"}}
 			contact := Contact{OK: true}
-			var known []PeersDigest
-			stop := n.scripted("m1:1", func(w http.ResponseWriter, r *http.Request) {
+			var receivedDigests []PeersDigest
+			stop := network.startScriptedMember("m1:1", func(w http.ResponseWriter, r *http.Request) {
 				var request leaseRequest
 				if err := json.NewDecoder(r.Body).Decode(&request); err != nil {
 					t.Error(err)
 				}
-				known = append(known, request.KnownPeersDigest)
+				receivedDigests = append(receivedDigests, request.KnownPeersDigest)
 				response := &LeaseResponse{Contact: contact, PeersDigest: digestPeers(peers)}
 				if request.KnownPeersDigest != response.PeersDigest {
 					response.Peers = peers
@@ -45,7 +45,7 @@
 			}, http.NotFound)
 			defer stop()
 			client := NewClient(ClientConfig{
-				Node: "s", Incarnation: 1, HTTP: n.client("s"), Log: zap.NewNop(),
+				Node: "s", Incarnation: 1, HTTP: network.client("s"), Log: zap.NewNop(),
 				State: func() registry.Lease { return registry.Lease{} }, ConfigVersion: func() int64 { return 0 },
 			})
 			renew := func() {
@@ -61,7 +61,8 @@
 			renew()
 			renew()
 			So(client.Peers(), ShouldHaveLength, 3)
-			// One without contact adds what it knows, so the list is none that a member has sent.
+			// The list of a core machine without contact is added to the known list, so the result has no
+			// digest.
 			contact, peers = Contact{}, []Peer{{"m4:1", "x"}}
 			second := client.knownPeersDigest()
 			renew()
@@ -70,7 +71,7 @@
 			renew()
 			renew()
 			So(client.Peers(), ShouldHaveLength, 3)
-			So(known, ShouldResemble, []PeersDigest{0, first, first, second, second, 0, second})
+			So(receivedDigests, ShouldResemble, []PeersDigest{0, first, first, second, second, 0, second})
 		})
 	})
 }
--- a/internal/mesh/watch/server.go
+++ b/internal/mesh/watch/server.go
@@ -136,8 +136,8 @@
 	s.updatePeers(ctx, gossiping, addresses)
 }
 
-// updatePeers starts gossip with core machines that were added to the list and stops it with those that were
-// removed. s.mu is held.
+// updatePeers starts gossip with core machines that were added to the list and stops gossip with removed
+// ones. s.mu is held.
 func (s *Server) updatePeers(ctx context.Context, gossiping *sync.WaitGroup, addresses []string) {
 	listed := make(map[string]bool, len(addresses))
 	for _, address := range addresses {
--- a/internal/mesh/watch/share_holders_test.go
+++ b/internal/mesh/watch/share_holders_test.go
@@ -10,17 +10,17 @@
 	"caperarch/internal/mesh/registry"
 )
 
-func TestSidecarThatMayBeForgottenHoldsNoShare(t *testing.T) {
+func TestShareExpiresWithoutConfirmedRenewal(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		Convey("A sidecar holds its share until the core may forget it, by members in contact alone", t, func() {
+		Convey("A sidecar holds its share until it may be forgotten; only core machines in contact confirm it", t, func() {
 			client := NewClient(ClientConfig{})
 			So(client.ShareHolders(), ShouldEqual, 0)
 			client.recordRenewal(time.Now(), &LeaseResponse{Contact: Contact{OK: true}})
 			client.recordMembers(&LeaseResponse{
 				Contact: Contact{OK: true}, Counts: registry.Counts{Live: 2, Peak: 2, ShareHolders: 12},
 			})
-			lost := registry.SilentRetention - retentionMargin
-			<-time.After(lost - time.Second)
+			retention := registry.SilentRetention - retentionMargin
+			<-time.After(retention - time.Second)
 			So(client.ShareHolders(), ShouldEqual, 12)
 			client.recordRenewal(time.Now(), &LeaseResponse{})
 			<-time.After(time.Second)
@@ -28,7 +28,7 @@
 			client.recordRenewal(time.Now(), &LeaseResponse{Contact: Contact{OK: true}})
 			So(client.ShareHolders(), ShouldEqual, 12)
 		})
-		Convey("A member of an earlier release names no share holders: its largest recent number counts", t, func() {
+		Convey("If an earlier release sends no number of share holders, the peak number of sidecars counts", t, func() {
 			client := NewClient(ClientConfig{})
 			client.recordMembers(&LeaseResponse{Contact: Contact{OK: true}, Counts: registry.Counts{Live: 2, Peak: 7}})
 			So(client.ShareHolders(), ShouldEqual, 7)
@@ -36,16 +36,16 @@
 	})
 }
 
-func TestMemberThatStartsHearsOfSilentSidecars(t *testing.T) {
-	title := "A core machine that starts anew counts the sidecars that only the others remember"
-	runMesh(t, title, func(n *network, m []*member, c []*sidecar) {
-		c[2].stop()
-		m[1].stop()
+func TestRestartedMemberLearnsSilentSidecars(t *testing.T) {
+	title := "A restarted core machine counts the silent sidecars that only the other core machines remember"
+	runMesh(t, title, func(network *testNetwork, members []*testMember, sidecars []*testSidecar) {
+		sidecars[2].stop()
+		members[1].stop()
 		advance(registry.LeaseTTL + registry.PeakWindow + time.Second)
-		fresh := n.member(memberAddresses[1], 99)
-		defer fresh.stop()
+		restarted := network.testMember(memberAddresses[1], 99)
+		defer restarted.stop()
 		advance(syncingPeriod)
-		So(fresh.Counts(), ShouldResemble, registry.Counts{Live: 2, Peak: 2, ShareHolders: 3})
-		So(c[0].ShareHolders(), ShouldEqual, 3)
+		So(restarted.Counts(), ShouldResemble, registry.Counts{Live: 2, Peak: 2, ShareHolders: 3})
+		So(sidecars[0].ShareHolders(), ShouldEqual, 3)
 	})
 }
--- a/internal/mesh/watch/slow_link_test.go
+++ b/internal/mesh/watch/slow_link_test.go
@@ -13,29 +13,32 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// The stated bounds of the deployment of issue 85.
+// Bounds that the deployment of issue 85 requires: configApplyTime is the longest time until a sidecar has
+// applied a configuration change, and contactWindow the time after a loss of connections within which the
+// bound need not hold.
 const (
 	configApplyTime = 3 * time.Second
 	contactWindow   = 5 * time.Second
 )
 
-// slowLink returns both ends of a connection on which every byte arrives after a delay, which is asked for each
-// time. There is no loss, and no bound on what is under way.
-func slowLink(delay func() time.Duration) (here, there net.Conn) {
-	here, hereFar := net.Pipe()
-	there, thereFar := net.Pipe()
-	go carry(hereFar, thereFar, delay)
-	go carry(thereFar, hereFar, delay)
-	return here, there
+// newSlowLink returns both ends of a connection on which every byte arrives after a delay; delay is called
+// for each packet. No byte is lost, and up to 16384 packets can be in transit in each
+// direction.
+func newSlowLink(delay func() time.Duration) (local, remote net.Conn) {
+	local, localFar := net.Pipe()
+	remote, remoteFar := net.Pipe()
+	go copyDelayed(localFar, remoteFar, delay)
+	go copyDelayed(remoteFar, localFar, delay)
+	return local, remote
 }
 
-// carry passes on what it reads, each piece after the delay.
-func carry(from io.ReadCloser, to io.WriteCloser, delay func() time.Duration) {
-	type piece struct {
+// copyDelayed reads packets from one connection and writes each of them to the other after the delay.
+func copyDelayed(from io.ReadCloser, to io.WriteCloser, delay func() time.Duration) {
+	type packet struct {
 		due  time.Time
 		data []byte
 	}
-	queue := make(chan piece, 1<<14)
+	queue := make(chan packet, 1<<14)
 	go func() {
 		defer to.Close()
 		for p := range queue {
@@ -49,7 +52,7 @@
 	for {
 		n, err := from.Read(buffer)
 		if n > 0 {
-			queue <- piece{time.Now().Add(delay()), append([]byte(nil), buffer[:n]...)}
+			queue <- packet{time.Now().Add(delay()), append([]byte(nil), buffer[:n]...)}
 		}
 		if err != nil {
 			close(queue)
@@ -58,23 +61,23 @@
 	}
 }
 
-// changesInTime publishes a change each second, and returns the longest time that one took to reach the sidecar. One
-// that is under way counts with its age.
-func changesInTime(m []*member, s *sidecar, from, to int64) (longest time.Duration) {
+// longestApplyTime publishes the versions from..to, one per second, and returns the longest time until the
+// sidecar has applied a version. A version not yet applied at the end counts with its age.
+func longestApplyTime(members []*testMember, s *testSidecar, from, to int64) (longest time.Duration) {
 	published := map[int64]time.Time{}
 	version := from
 	check := func() {
-		applied, _ := s.applied()
+		appliedVersion, _ := s.appliedVersion()
 		for v, at := range published {
 			longest = max(longest, time.Since(at))
-			if v <= applied {
+			if v <= appliedVersion {
 				delete(published, v)
 			}
 		}
 	}
 	for ; version <= to; version++ {
-		for _, one := range m {
-			one.publish(version)
+		for _, member := range members {
+			member.publish(version)
 		}
 		published[version] = time.Now()
 		for range 100 {
@@ -89,49 +92,51 @@
 	return longest
 }
 
-// startConfigured starts a sidecar on the host "slow", whose link is quick yet, with a configuration in force.
-func startConfigured(n *network, m []*member) *sidecar {
-	n.setDelay("slow", 0)
-	s := n.sidecar("slow", "zone-m1:1", memberAddresses[0])
-	So(changesInTime(m, s, 1, 1), ShouldBeLessThan, time.Second)
+// startConfiguredSidecar starts a sidecar on the host "slow", whose link has no delay yet, and waits until
+// the sidecar has applied a first version.
+func startConfiguredSidecar(network *testNetwork, members []*testMember) *testSidecar {
+	network.setDelay("slow", 0)
+	s := network.testSidecar("slow", "zone-m1:1", memberAddresses[0])
+	So(longestApplyTime(members, s, 1, 1), ShouldBeLessThan, time.Second)
 	return s
 }
 
-func TestSidecarBehindFullLinkHearsOfChanges(t *testing.T) {
+func TestSidecarOnSlowLinkAppliesChangesInTime(t *testing.T) {
 	const oneWay = 600 * ms
-	title := "A sidecar whose link has become slow, each way by what a queue of requests takes, has each change in time"
-	runMesh(t, title, func(n *network, m []*member, _ []*sidecar) {
-		s := startConfigured(n, m)
+	title := "A sidecar whose link has become slow in both directions applies each change in time"
+	runMesh(t, title, func(network *testNetwork, members []*testMember, _ []*testSidecar) {
+		s := startConfiguredSidecar(network, members)
 		defer s.stop()
-		n.setDelay("slow", oneWay)
-		So(changesInTime(m, s, 2, 20), ShouldBeLessThan, configApplyTime)
+		network.setDelay("slow", oneWay)
+		So(longestApplyTime(members, s, 2, 20), ShouldBeLessThan, configApplyTime)
 	})
-	title = "So has one whose connections were all reset meanwhile, from the end of the contact window on"
-	runMesh(t, title, func(n *network, m []*member, _ []*sidecar) {
-		s := startConfigured(n, m)
+	title = "After all connections on a slow link were reset, changes are applied in time after the contact window"
+	runMesh(t, title, func(network *testNetwork, members []*testMember, _ []*testSidecar) {
+		s := startConfiguredSidecar(network, members)
 		defer s.stop()
-		n.setDelay("slow", oneWay)
+		network.setDelay("slow", oneWay)
 		advance(2 * time.Second)
-		for _, to := range memberAddresses {
-			n.sever("slow", to)
+		for _, address := range memberAddresses {
+			network.blockLink("slow", address)
 		}
-		n.heal()
+		network.heal()
 		advance(contactWindow)
-		So(changesInTime(m, s, 2, 20), ShouldBeLessThan, configApplyTime)
+		So(longestApplyTime(members, s, 2, 20), ShouldBeLessThan, configApplyTime)
 	})
 }
 
-// A sidecar that had every change as soon as its link let it counted as unconfirmed, and answered 503 for 404.
-func TestQuickChangesLeaveNoSidecarUnconfirmed(t *testing.T) {
-	title := "A sidecar on a slow link is confirmed again and again while the changes come faster than its answers"
-	runMesh(t, title, func(n *network, m []*member, _ []*sidecar) {
-		s := startConfigured(n, m)
+// Guards against a sidecar on a slow link that counts as unconfirmed although it applies every change as soon
+// as the link delivers it: such a sidecar responded with 503 in place of 404.
+func TestFrequentChangesKeepSidecarConfirmed(t *testing.T) {
+	title := "A sidecar on a slow link stays confirmed while changes follow faster than its round trip"
+	runMesh(t, title, func(network *testNetwork, members []*testMember, _ []*testSidecar) {
+		s := startConfiguredSidecar(network, members)
 		defer s.stop()
-		n.setDelay("slow", 400*ms)
+		network.setDelay("slow", 400*ms)
 		oldest := time.Duration(0)
 		for version := int64(2); version < 100; version++ {
-			for _, one := range m {
-				one.publish(version)
+			for _, member := range members {
+				member.publish(version)
 			}
 			advance(100 * ms)
 			age, ok := s.ContactAge()
@@ -142,21 +147,24 @@
 	})
 }
 
-// A member that answers nothing more is told from a slow link by the others' answers, as soon as before.
-func TestMuteMemberIsLeftInTime(t *testing.T) {
-	for what, c := range map[string]struct {
-		watchToo bool
-		bound    time.Duration
+// A sidecar distinguishes an unresponsive core machine from a slow link by the responses of other core
+// machines, and leaves it within the same time as without tolerance of slow links.
+func TestSidecarLeavesUnresponsiveMemberInTime(t *testing.T) {
+	for title, test := range map[string]struct {
+		watchSilent bool
+		bound       time.Duration
 	}{
-		"One that sends nothing more is left within a silence and a question":   {true, idleTimeout + probeTimeout},
-		"One that does not hear the sidecar is left before the lease has ended": {false, renewInterval + lateRenewalThreshold + probeTimeout},
+		"A sidecar leaves a silent core machine after idleTimeout and one search": {true, idleTimeout + probeTimeout},
+		"A sidecar leaves a core machine that receives no renewals before the lease has expired": {
+			false, renewInterval + lateRenewalThreshold + probeTimeout,
+		},
 	} {
-		runMesh(t, what, func(n *network, m []*member, _ []*sidecar) {
-			var mute atomic.Bool
+		runMesh(t, title, func(network *testNetwork, members []*testMember, _ []*testSidecar) {
+			var unresponsive atomic.Bool
 			renewed := make(chan struct{}, 1)
-			stop := n.scripted("mute:1", func(w http.ResponseWriter, r *http.Request) {
-				_, _ = io.Copy(io.Discard, r.Body) // else the server does not notice that the client has gone
-				if mute.Load() {
+			stop := network.startScriptedMember("mute:1", func(w http.ResponseWriter, r *http.Request) {
+				_, _ = io.Copy(io.Discard, r.Body) // without it the server does not notice a disconnect
+				if unresponsive.Load() {
 					<-r.Context().Done()
 					return
 				}
@@ -165,7 +173,7 @@
 				_ = json.NewEncoder(w).Encode(LeaseResponse{Contact: Contact{OK: true}, CaughtUp: true, Zone: "z", Peers: peers})
 			}, func(w http.ResponseWriter, r *http.Request) {
 				for r.Context().Err() == nil {
-					if !mute.Load() || !c.watchToo {
+					if !unresponsive.Load() || !test.watchSilent {
 						fmt.Fprintln(w, `{"beat":{"contact":{"ok":true}}}`)
 						_ = http.NewResponseController(w).Flush()
 					}
@@ -173,15 +181,15 @@
 				}
 			})
 			defer stop()
-			s := n.sidecar("new", "z", "mute:1")
+			s := network.testSidecar("new", "z", "mute:1")
 			defer s.stop()
 			advance(2 * time.Second)
 			So(s.Peers()[0], ShouldEqual, "mute:1")
 			<-renewed
-			<-renewed // so that the next renewal is as far as can be
+			<-renewed // the next renewal is now as far away as possible
 			advance(ms)
-			mute.Store(true)
-			advance(c.bound + probeGrace)
+			unresponsive.Store(true)
+			advance(test.bound + probeGrace)
 			So(s.Peers()[0], ShouldEqual, memberAddresses[0])
 		})
 	}
