--- a/internal/mesh/balancer/balancer.go
+++ b/internal/mesh/balancer/balancer.go
@@ -6,8 +6,8 @@
 // in flight. A request that finds the slots and the queue of its compartment full is rejected at once.
 //
 // Upstreams are selected by smooth weighted round robin over the ready instances, weighted by their numbers of slots.
-// The gate beside each upstream reports the upstream's load with each response; an upstream that is known
-// to be full is selected only if all upstreams are full.
+// The gate, which is the admission control of the sidecar beside an upstream, reports the upstream's load with each
+// response. An upstream that is known to be full is selected only if all upstreams are full.
 //
 // A Balancer guarantees:
 //
