--- a/internal/mesh/errs/errs_test.go
+++ b/internal/mesh/errs/errs_test.go
@@ -8,8 +8,8 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-func TestKindsOnTheWire(t *testing.T) {
-	Convey("Names, statuses and Retry-After values are those that other processes and clients know", t, func() {
+func TestWireFormatOfKinds(t *testing.T) {
+	Convey("Wire names, statuses and Retry-After values are as other processes and clients expect", t, func() {
 		for _, want := range []struct {
 			kind       Kind
 			wireName   string
@@ -36,7 +36,7 @@
 			So(ParseKind(want.wireName), ShouldEqual, want.kind)
 		}
 	})
-	Convey("A kind or name that is not on the list counts as Internal", t, func() {
+	Convey("A kind or name that is not on the list is treated as Internal", t, func() {
 		So(Kind(0).String(), ShouldEqual, "Internal")
 		So((Internal + 1).Status(), ShouldEqual, 500)
 		So(ParseKind("Malformed"), ShouldEqual, Internal)
@@ -45,7 +45,7 @@
 }
 
 func TestKindOfWrappedErrors(t *testing.T) {
-	Convey("The outermost kind counts, also below errors that state none", t, func() {
+	Convey("KindOf returns the outermost kind, also if errors without a kind wrap it", t, func() {
 		inner := New(Busy, "inner %d", 1)
 		So(KindOf(inner), ShouldEqual, Busy)
 		outer := Wrap(inner, Stale, "outer")
--- a/internal/mesh/errs/kind.go
+++ b/internal/mesh/errs/kind.go
@@ -6,50 +6,50 @@
 	"caperarch/meshapi"
 )
 
-// Kind says what went wrong. The zero Kind is not on the list and counts as Internal.
+// Kind classifies an error. The zero Kind is not on the list and is treated as Internal.
 type Kind uint8
 
 // The closed list of kinds.
 const (
-	// Invalid means that the request was read and breaks a rule. Sending it again is of no use.
+	// Invalid means that the request was parsed and violates a rule. A retry of the same request fails as well.
 	Invalid Kind = iota + 1
-	// Malformed means that the request was cut short or is not of its format.
+	// Malformed means that the request was truncated or does not have the expected format.
 	Malformed
-	// TooLarge means that the request exceeds its limit of bytes.
+	// TooLarge means that the request exceeds its size limit in bytes.
 	TooLarge
-	// Stale means that the version in force is not the one that the request is based on.
+	// Stale means that the request is based on another version than the version in force.
 	Stale
-	// NotFound means that nothing of that name exists.
+	// NotFound means that the resource that the request names does not exist.
 	NotFound
-	// Busy means that the request was shed before anything was done.
+	// Busy means that the request was shed before it had any effect.
 	Busy
-	// NoQuorum means that no majority was in contact. Whether a change was made is unknown.
+	// NoQuorum means that no majority of the members was in contact. It is unknown whether a change was made.
 	NoQuorum
-	// NotLeader means that this member is not the leader. Nothing was done.
+	// NotLeader means that this member is not the leader. The request had no effect.
 	NotLeader
-	// DeadlineExceeded means that the time ran out. Whether a change was made is unknown.
+	// DeadlineExceeded means that the deadline has expired. It is unknown whether a change was made.
 	DeadlineExceeded
-	// Undetermined means that whether the change was made can no longer be determined: the log of applied
-	// requests does not reach back that far.
+	// Undetermined means that it can no longer be determined whether a change was made: the log of applied requests
+	// does not reach back to the request.
 	Undetermined
-	// DiskFailed means that the disk rejected or lost a write.
+	// DiskFailed means that an operation on the disk failed, as when the disk rejects or loses a write.
 	DiskFailed
-	// Unreachable means that a peer gave no answer. Whether it did what was asked is unknown.
+	// Unreachable means that a peer did not answer. It is unknown whether the peer executed the request.
 	Unreachable
-	// Internal means a fault of the program, and is the kind of every error that states none.
+	// Internal means a fault in the program. It is also the kind of every error without a kind.
 	Internal
 )
 
-// kindInfo is what the table says of one kind.
+// kindInfo is the entry of a kind in the table of kinds.
 type kindInfo struct {
 	wireName meshapi.ErrorKind
-	// status is 4xx where sending the same request again cannot help, and 5xx where it can.
+	// status is 4xx if a retry of the same request cannot succeed, and 5xx if a retry can.
 	status int
-	// retryAfter is the value of the Retry-After header in seconds, empty where none is sent.
+	// retryAfter is the value of the Retry-After header in seconds, empty if the header is not sent.
 	retryAfter string
 }
 
-// kinds is the one place where kinds are turned into wire names, statuses and Retry-After values.
+// kinds is the only mapping from kinds to wire names, HTTP statuses and Retry-After values.
 var kinds = [...]kindInfo{
 	Invalid:          {meshapi.KindInvalid, http.StatusBadRequest, ""},
 	Malformed:        {meshapi.KindMalformed, http.StatusBadRequest, ""},
@@ -66,7 +66,7 @@
 	Internal:         {meshapi.KindInternal, http.StatusInternalServerError, ""},
 }
 
-// info returns the kind's entry in the table, and that of Internal for a value that is not on the list.
+// info returns the table entry of the kind, and the entry of Internal for a value that is not on the list.
 func (k Kind) info() kindInfo {
 	if k < Invalid || k > Internal {
 		return kinds[Internal]
@@ -77,16 +77,16 @@
 // String returns the kind's name on the wire.
 func (k Kind) String() string { return string(k.WireName()) }
 
-// Status returns the HTTP status that the kind is answered with.
+// Status returns the HTTP status of responses with an error of the kind.
 func (k Kind) Status() int { return k.info().status }
 
-// RetryAfter returns the value of the Retry-After header in seconds, empty where none is sent.
+// RetryAfter returns the value of the Retry-After header in seconds, empty if the header is not sent.
 func (k Kind) RetryAfter() string { return k.info().retryAfter }
 
 // WireName returns the kind's name on the wire.
 func (k Kind) WireName() meshapi.ErrorKind { return k.info().wireName }
 
-// ParseKind returns the kind of that wire name, and Internal for a name that is not on the list.
+// ParseKind returns the kind with a wire name, and Internal for a name that is not on the list.
 func ParseKind(wireName string) Kind {
 	for k := Invalid; k < Internal; k++ {
 		if string(kinds[k].wireName) == wireName {
