--- a/internal/mesh/balancer/balancer.go
+++ b/internal/mesh/balancer/balancer.go
@@ -16,7 +16,8 @@
 //   - A request is rejected only if it has not run.
 //   - A request that reached an upstream is retried only within the retry budget.
 //
-// A Balancer has no goroutines. All its methods are called from one goroutine, under the rules of policy.Balancer.
+// A Balancer has no goroutines: package engine reports events to it, and executes its decisions as the policy.Host. All
+// its methods are called from one goroutine, under the rules of policy.Balancer.
 package balancer
 
 import (
--- a/internal/mesh/balancer/dispatch.go
+++ b/internal/mesh/balancer/dispatch.go
@@ -11,7 +11,7 @@
 	if !r.holdsSlot && r.compartment.usedSlots >= r.compartment.slots || now >= r.deadline {
 		return false
 	}
-	// retry has checked the budget already, but other requests may have exhausted it while this one was queued.
+	// retry has checked the budget already, but other requests may have exhausted it while the request was queued.
 	isRetry := r.reachedAttempts > r.chargedAttempts
 	if isRetry && !b.cfg.RetryBudget.Allowed(now, r.class.Service) {
 		return false
--- a/internal/mesh/gate/attempt_log_test.go
+++ b/internal/mesh/gate/attempt_log_test.go
@@ -95,7 +95,7 @@
 	Convey("A record lasts for the request's remaining time and a margin, without the time of a suspension", t, func() {
 		var l AttemptLog
 		So(l.admit(0, hashOf(1), SendID{7, 1}, 10*time.Minute), ShouldEqual, admitted)
-		now := 24 * time.Hour // the process was suspended
+		now := 24 * time.Hour // the process was suspended for 24 h
 		So(l.admit(now, hashOf(1), SendID{7, 1}, time.Second), ShouldEqual, mayHaveExecuted)
 		for range 658 {
 			now += time.Second
--- a/internal/mesh/gate/gate.go
+++ b/internal/mesh/gate/gate.go
@@ -12,8 +12,9 @@
 //   - It rejects a request that cannot start in time while the caller still has time to try another upstream.
 //   - It cancels the attempt of an idempotent request once the caller has left.
 //
-// A Gate has no goroutines, no clock and no I/O. All its methods are called from one goroutine, under the rules of
-// policy.Balancer, except for Load, MeanServiceTime and the methods of AttemptLog, which any goroutine may call.
+// A Gate has no goroutines, no clock and no I/O: package engine reports events to it, and executes its decisions as the
+// policy.Host. All its methods are called from one goroutine, under the rules of policy.Balancer, except for Load,
+// MeanServiceTime and the methods of AttemptLog, which any goroutine may call.
 package gate
 
 import (
--- a/internal/mesh/gate/random_test.go
+++ b/internal/mesh/gate/random_test.go
@@ -64,7 +64,7 @@
 	tr.inFlight = append(tr.inFlight, id)
 }
 
-// advance moves the time forward, with all wakes that become due, and checks that no request waiting too long.
+// advance moves the time forward, with all wakes that become due, and checks that no request waits too long.
 func (tr *gateTrace) advance(d time.Duration) {
 	h, to := tr.h, tr.h.now+d
 	for slices.Sort(h.wakes); len(h.wakes) > 0 && h.wakes[0] <= to; slices.Sort(h.wakes) {
@@ -197,7 +197,7 @@
 }
 
 // In random traces, no attempt is sent beyond the number of slots or to an upstream that is draining or deregistered,
-// no request waiting longer than its share of its remaining time, and each request has exactly one answer.
+// no request waits longer than its share of its remaining time, and each request has exactly one answer.
 func TestGateRandomTraces(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tr := newGateTrace(t)
