--- a/internal/mesh/balancer/balancer.go
+++ b/internal/mesh/balancer/balancer.go
@@ -6,8 +6,8 @@
 // in flight. A request that finds the slots and the queue of its compartment full is rejected at once.
 //
 // Upstreams are selected by smooth weighted round robin over the ready instances, weighted by their numbers of slots.
-// The gate beside each upstream reports the upstream's load with each response; an upstream that is known
-// to be full is selected only if all upstreams are full.
+// The gate, which is the admission control of the sidecar beside an upstream, reports the upstream's load with each
+// response. An upstream that is known to be full is selected only if all upstreams are full.
 //
 // A Balancer guarantees:
 //
@@ -16,7 +16,8 @@
 //   - A request is rejected only if it has not run.
 //   - A request that reached an upstream is retried only within the retry budget.
 //
-// A Balancer has no goroutines. All its methods are called from one goroutine, under the rules of policy.Balancer.
+// A Balancer has no goroutines: package engine reports events to it, and executes its decisions as the policy.Host. All
+// its methods are called from one goroutine, under the rules of policy.Balancer.
 package balancer
 
 import (
