--- a/internal/mesh/controlplane/announce.go
+++ b/internal/mesh/controlplane/announce.go
@@ -16,15 +16,17 @@
 )
 
 const (
-	// announcePath is where a core machine announces itself to another and learns who the others are.
+	// announcePath is the path at which a core machine receives announcements of other core machines and
+	// answers with the machines that it knows.
 	announcePath = "/mesh/members"
-	// maxAnnounceBytes bounds the body of an announcement.
+	// maxAnnounceBytes bounds the body of an announcement request.
 	maxAnnounceBytes = 64 << 10
-	// announceTimeout bounds the wait for the answer to one.
+	// announceTimeout bounds the wait for the responses to an announcement.
 	announceTimeout = 300 * time.Millisecond
 )
 
-// announcePeriodically keeps the other core machines and this one known to each other, until ctx ends.
+// announcePeriodically announces this machine to the other core machines every cluster.AnnounceInterval,
+// until ctx ends.
 func (s *Server) announcePeriodically(ctx context.Context, node *replication.Node) {
 	for {
 		s.memberList.SetMembership(node.Status().Membership)
@@ -35,8 +37,8 @@
 	}
 }
 
-// announce announces this machine to others, all at once, and merges what they answer. It returns the
-// answers of those that belong to no other cluster.
+// announce announces this machine to the addresses concurrently and merges the responses into the member
+// list. It returns the responses, without those of machines that belong to another cluster.
 func (s *Server) announce(ctx context.Context, addresses []string) []*cluster.AnnounceResponse {
 	ctx, cancel := context.WithTimeout(ctx, announceTimeout)
 	defer cancel()
@@ -57,8 +59,8 @@
 	return responses
 }
 
-// announceTo announces this machine to one other, and returns nil for no answer and for that of
-// another cluster.
+// announceTo announces this machine to one address. It returns nil if there is no response, or if the
+// responding machine belongs to another cluster.
 func (s *Server) announceTo(
 	ctx context.Context, address string, request *cluster.AnnounceRequest,
 ) *cluster.AnnounceResponse {
@@ -75,12 +77,12 @@
 	return response
 }
 
-// isOtherCluster reports whether two clusters are known and differ.
+// isOtherCluster reports whether both cluster IDs are known (not 0) and differ.
 func isOtherCluster(own, other replication.ClusterID) bool {
 	return own != 0 && other != 0 && own != other
 }
 
-// serveAnnouncements answers who the core machines are.
+// serveAnnouncements registers the route that receives other machines' announcements.
 func (s *Server) serveAnnouncements(mux *http.ServeMux) {
 	rpc.Handle(mux, announcePath, maxAnnounceBytes, s.receiveAnnouncement)
 }
@@ -98,7 +100,8 @@
 	return s.announceResponse(request), nil
 }
 
-// announceResponse is what this machine knows of the core machines, as far as the other one may not.
+// announceResponse returns the core machines that this machine knows, the membership and the leader. It
+// omits the machines if the request's digest shows that the sender knows the same ones.
 func (s *Server) announceResponse(request *cluster.AnnounceRequest) *cluster.AnnounceResponse {
 	response := &cluster.AnnounceResponse{Cluster: s.memberList.Local().Cluster}
 	machines := s.memberList.LiveMembers(s.now())
--- a/internal/mesh/controlplane/announce_test.go
+++ b/internal/mesh/controlplane/announce_test.go
@@ -10,11 +10,15 @@
 	"caperarch/internal/mesh/settings"
 )
 
-func TestAnnouncementsListMachinesThatMayBeUnknown(t *testing.T) {
-	Convey("The machines are listed unless the other one knows just the same", t, func() {
+func TestAnnounceResponseOmitsKnownMachines(t *testing.T) {
+	Convey("A response lists the live machines unless the sender knows the same machines", t, func() {
 		local := cluster.Announcement{ID: "10.1.0.1:7000#a", Zone: "x"}
 		other := cluster.Announcement{ID: "10.1.0.2:7000#b", Zone: "y"}
-		s := &Server{settings: &settings.Settings{}, memberList: cluster.NewMemberList(local, nil), startedAt: time.Now()}
+		s := &Server{
+			settings:   &settings.Settings{},
+			memberList: cluster.NewMemberList(local, nil),
+			startedAt:  time.Now(),
+		}
 		receive := func(known ...cluster.Announcement) []cluster.Announcement {
 			request := &cluster.AnnounceRequest{Announcement: other}
 			if known != nil {
--- a/internal/mesh/controlplane/cluster_test.go
+++ b/internal/mesh/controlplane/cluster_test.go
@@ -20,20 +20,22 @@
 )
 
 const (
-	// callTimeout bounds each call to a machine.
+	// callTimeout bounds each request to a core machine.
 	callTimeout = time.Second
-	// eventuallyTimeout and eventuallyInterval bound and space the checks of a condition.
+	// eventuallyTimeout is the time within which a condition has to hold, and eventuallyInterval the
+	// time between two checks of the condition.
 	eventuallyTimeout  = 20 * time.Second
 	eventuallyInterval = 20 * time.Millisecond
 )
 
-// testCluster is core machines on loopback addresses of their own, with real sockets and disks.
+// testCluster is a cluster of core machines that run in this process, with real sockets and disks. Each
+// machine has a loopback address of its own.
 type testCluster struct {
 	t            *testing.T
-	controlPort  string // of operators and upstreams
+	controlPort  string // serves operators and upstreams
 	internalPort string
 	client       *http.Client
-	machines     map[int]*testMachine // by number
+	machines     map[int]*testMachine // running machines by number
 }
 
 // testMachine is a running core machine.
@@ -43,13 +45,14 @@
 	reload chan *settings.Settings
 }
 
-// machineConfig is what distinguishes a core machine from others of its cluster.
+// machineConfig is the part of the settings in which a core machine differs from the others of its
+// cluster.
 type machineConfig struct {
-	number       int // the last part of its address
+	number       int // the last byte of its IP address
 	firstStart   bool
-	disk         string
-	seeds        []int   // numbers
-	gracePeriodS float64 // in seconds
+	disk         string // data directory
+	seeds        []int  // numbers of the seed machines
+	gracePeriodS float64
 }
 
 const machineSettings = `
@@ -77,12 +80,14 @@
   bounds: {gracePeriodS: %[7]g}
 `
 
-// testNetwork is the network of this process's machines, as %s.NUMBER. Each process has one of its own: copies of the
-// tests that run at the same time took each other's ports, since a port that is free at one address of a shared network
-// need not be at the others (2 of 384 plays of TestCoreMachinesReplaced, 32 at once: "address already in use").
+// testNetwork is the first three bytes of the machines' IP addresses, in the form 127.A.B. It differs
+// from process to process: a port that is free at one address of a shared network need not be free at
+// the others, so concurrent runs of the tests took each other's ports (2 of 384 runs of
+// TestCoreMachinesReplaced, 32 at a time, failed with "address already in use").
 var testNetwork = fmt.Sprintf("127.%d.%d", 64+os.Getpid()>>8%64, os.Getpid()%256)
 
-// newTestCluster makes a cluster without machines. Those that run when the test ends are stopped then.
+// newTestCluster returns a cluster without machines. Machines that still run at the end of the test are
+// stopped then.
 func newTestCluster(t *testing.T) *testCluster {
 	t.Helper()
 	ports := freePorts(t)
@@ -101,7 +106,7 @@
 	return c
 }
 
-// freePorts are two ports, which differ.
+// freePorts returns two different ports that are free at the first address of testNetwork.
 func freePorts(t *testing.T) (ports [2]string) {
 	t.Helper()
 	for i := range ports {
@@ -142,7 +147,7 @@
 	c.machines[config.number] = m
 }
 
-// stop ends a machine as SIGTERM does, and waits for its end.
+// stop ends a machine as SIGTERM does, and waits until the machine has stopped.
 func (c *testCluster) stop(number int) {
 	c.t.Helper()
 	m := c.machines[number]
@@ -153,7 +158,7 @@
 	}
 }
 
-// status is a machine's own status, the zero value when it doesn't answer.
+// status returns a machine's own status, or the zero value if the machine does not answer.
 func (c *testCluster) status(number int) *meshapi.NodeStatus {
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
@@ -172,22 +177,22 @@
 	return fmt.Sprintf("%s.%d:%s", testNetwork, number, c.internalPort)
 }
 
-// eventually waits until a condition holds. It is checked repeatedly, because what brings it about
-// happens in other machines.
-func (c *testCluster) eventually(what string, holds func() bool) {
+// eventually waits until a condition holds. It checks the condition repeatedly, because the condition
+// depends on other machines.
+func (c *testCluster) eventually(description string, condition func() bool) {
 	c.t.Helper()
-	for end := time.Now().Add(eventuallyTimeout); !holds(); time.Sleep(eventuallyInterval) {
+	for end := time.Now().Add(eventuallyTimeout); !condition(); time.Sleep(eventuallyInterval) {
 		if time.Now().After(end) {
-			c.t.Fatalf("waited in vain for %s; machine 1 says %+v", what, c.status(1))
+			c.t.Fatalf("condition not met in time: %s; status of machine 1: %+v", description, c.status(1))
 		}
 	}
 }
 
-// hasVoters is the condition that a machine in contact knows of just these voters, with no change in
-// progress.
-func (c *testCluster) hasVoters(asked int, voters ...int) func() bool {
+// hasVoters returns a condition: the observing machine is in contact and knows exactly these voters,
+// with no membership change in progress.
+func (c *testCluster) hasVoters(observer int, voters ...int) func() bool {
 	return func() bool {
-		status := c.status(asked)
+		status := c.status(observer)
 		var want []string
 		for _, number := range voters {
 			want = append(want, c.internalAddress(number))
@@ -197,12 +202,13 @@
 	}
 }
 
-// change puts a version of the configuration in force by way of a machine, on top of the base.
+// change applies a configuration version on top of the base version through a machine, and retries until
+// the machine acknowledges the version.
 func (c *testCluster) change(number int, version, base int64) {
 	c.t.Helper()
 	body := fmt.Appendf(nil, `{"configVersion":%d,"baseVersion":%d,"resources":[`+
 		`{"resourceType":"services","metadata":{"name":"tea"},"specification":{}}]}`, version, base)
-	c.eventually(fmt.Sprintf("version %d", version), func() bool {
+	c.eventually(fmt.Sprintf("version %d is acknowledged", version), func() bool {
 		ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 		defer cancel()
 		url := c.url(number, meshapi.ReplacePath)
@@ -211,7 +217,8 @@
 	})
 }
 
-// version is the version that a machine describes, 0 when it doesn't answer.
+// version returns the configuration version that a machine describes, or 0 if the machine does not
+// answer.
 func (c *testCluster) version(number int) int64 {
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
--- a/internal/mesh/controlplane/helpers_test.go
+++ b/internal/mesh/controlplane/helpers_test.go
@@ -9,8 +9,8 @@
 	"caperarch/internal/mesh/errs"
 )
 
-// replaceChange is a change to a version that builds on another, with services of these names in place
-// of all.
+// replaceChange returns a change that replaces all services by services with the given names, on top of
+// the base version.
 func replaceChange(version, base int64, services ...string) *config.Change {
 	resources := make([]string, len(services))
 	for i, name := range services {
@@ -26,7 +26,7 @@
 	return change
 }
 
-// removeChange is a change that removes a service.
+// removeChange returns a change that removes a service, on top of the base version.
 func removeChange(version, base int64, service string) *config.Change {
 	body := fmt.Appendf(nil, `{"configVersion":%d,"baseVersion":%d,"remove":{"services":["%s"]}}`,
 		version, base, service)
@@ -37,7 +37,7 @@
 	return change
 }
 
-// encoded is all that a snapshot holds, with its request log.
+// encoded returns the encoded form of a configuration, which includes its request log.
 func encoded(c *config.Snapshot) string {
 	data, err := c.Encode()
 	if err != nil {
@@ -46,15 +46,15 @@
 	return string(data)
 }
 
-// finishQueue waits until everything is applied.
+// finishQueue waits until the state machine has processed all queued log items.
 func finishQueue(m *stateMachine) {
 	if err := m.waitProcessed(context.Background()); err != nil {
 		panic(err)
 	}
 }
 
-// resultOf returns the version and the kind of error of a result, 0 without an error, and whether there
-// is a result by now.
+// resultOf returns the version and the error kind (0 without an error) of a proposal's result. ok is
+// false if there is no result yet.
 func resultOf(results <-chan proposalResult) (version int64, kind errs.Kind, ok bool) {
 	select {
 	case result := <-results:
--- a/internal/mesh/controlplane/identity.go
+++ b/internal/mesh/controlplane/identity.go
@@ -14,23 +14,25 @@
 )
 
 const (
-	// openRetryInterval is between attempts to open a disk that fails.
+	// openRetryInterval is the time between attempts to open or initialise the log storage.
 	openRetryInterval = 300 * time.Millisecond
-	// joinRetryInterval is between attempts of a machine that belongs to no cluster yet.
+	// joinRetryInterval is the time between attempts to learn the cluster ID from other core machines.
 	joinRetryInterval = 100 * time.Millisecond
-	// incarnationBytes is how many random bytes distinguish a new disk from all others.
+	// incarnationBytes is the number of random bytes in a member ID that distinguish a new disk from all
+	// earlier disks at the same address.
 	incarnationBytes = 8
 )
 
-// openIdentity opens the disk and makes it belong to the cluster. An empty one becomes a first voter's
-// when the whole system starts for the first time and the settings name this machine as a seed; else
-// that of a new member, under an id that no disk had before.
-func (s *Server) openIdentity(ctx context.Context) (*replication.Store, replication.State, error) {
+// openInitializedStore opens the log storage. If the storage is empty, openInitializedStore initialises it for one of
+// two kinds of member. During the first start of the whole system, a machine that its settings name as a
+// seed becomes one of the first voters. Any other machine becomes a new member whose ID no disk had
+// before.
+func (s *Server) openInitializedStore(ctx context.Context) (*replication.Store, replication.State, error) {
 	store, state, err := s.openStore(ctx)
 	if err != nil || state.ID != "" {
 		return store, state, err
 	}
-	if state, err = s.newIdentity(ctx); err != nil {
+	if state, err = s.newMemberState(ctx); err != nil {
 		_ = store.Close()
 		return nil, state, err
 	}
@@ -46,7 +48,7 @@
 	}
 }
 
-// openStore opens the disk, and retries until it succeeds or ctx ends.
+// openStore opens the log storage, and retries until it succeeds or ctx ends.
 func (s *Server) openStore(ctx context.Context) (*replication.Store, replication.State, error) {
 	for {
 		store, state, err := replication.OpenOrReset(s.settings.Self.DataDirectory, s.ownAddress(), s.log)
@@ -60,9 +62,9 @@
 	}
 }
 
-// newIdentity is the state of an empty disk. Unless it bootstraps the cluster it waits until another
-// core machine says which cluster this is.
-func (s *Server) newIdentity(ctx context.Context) (replication.State, error) {
+// newMemberState returns the state with which an empty log storage is initialised. Unless this machine
+// bootstraps the cluster, newMemberState waits until another core machine reports the cluster ID.
+func (s *Server) newMemberState(ctx context.Context) (replication.State, error) {
 	var state replication.State
 	seeds := s.settings.SeedAddresses()
 	if s.settings.Self.FirstStart && slices.Contains(seeds, s.ownAddress()) {
@@ -72,7 +74,7 @@
 	}
 	var incarnation [incarnationBytes]byte
 	if _, err := crand.Read(incarnation[:]); err != nil {
-		return state, errs.Wrap(err, errs.Internal, "a random incarnation")
+		return state, errs.Wrap(err, errs.Internal, "read random bytes for the incarnation of a new member ID")
 	}
 	state.ID = replication.NewMemberID(s.ownAddress(), hex.EncodeToString(incarnation[:]))
 	local := s.memberList.Local()
@@ -83,13 +85,13 @@
 			return state, nil
 		}
 		if !sleep(ctx, joinRetryInterval) {
-			return state, errs.New(errs.NoQuorum, "no core machine said which cluster this is")
+			return state, errs.New(errs.NoQuorum, "no core machine reported a cluster ID before the stop")
 		}
 	}
 }
 
-// discoverCluster asks all that may be core machines which cluster they belong to, and returns 0 if none
-// answers.
+// discoverCluster announces this machine to every address at which a core machine may be found, and
+// returns the first cluster ID that a response contains, or 0 if there is none.
 func (s *Server) discoverCluster(ctx context.Context) replication.ClusterID {
 	for _, response := range s.announce(ctx, s.memberList.AnnounceTargets(s.now())) {
 		if response.Cluster != 0 {
--- a/internal/mesh/controlplane/inspect.go
+++ b/internal/mesh/controlplane/inspect.go
@@ -15,18 +15,18 @@
 )
 
 const (
-	// inspectTimeout bounds the call to each core machine for its status, so that one that has ended
-	// holds up no answer.
+	// inspectTimeout bounds the status requests to the other core machines, so that an unavailable
+	// machine does not delay the answer to the operator.
 	inspectTimeout = 400 * time.Millisecond
-	// memberListPath is where the watch server lists all leases.
+	// memberListPath is the path at which the watch server lists all leases.
 	memberListPath = "/mesh/roll"
 )
 
-// serveInspection serves what operators look at. Every answer is what this machine knows, and names
-// it.
+// serveInspection registers the routes for operators' read-only requests. Each answer contains this
+// machine's own knowledge and its node name (ReportedBy).
 func (s *Server) serveInspection(mux *http.ServeMux) {
 	rpc.HandleGet(mux, meshapi.NodeStatusPath, func(*http.Request) (*meshapi.NodeStatus, error) {
-		return s.view(), nil
+		return s.nodeStatus(), nil
 	})
 	rpc.HandleGet(mux, meshapi.MembersPath, func(r *http.Request) (*meshapi.Members, error) {
 		return s.members(r.Context(), s.memberList.Addresses(s.now()))
@@ -36,10 +36,10 @@
 	})
 }
 
-// view is this machine's own status.
-func (s *Server) view() *meshapi.NodeStatus {
+// nodeStatus returns this machine's own status.
+func (s *Server) nodeStatus() *meshapi.NodeStatus {
 	leader, term := s.leader()
-	view := &meshapi.NodeStatus{
+	nodeStatus := &meshapi.NodeStatus{
 		ReportedBy:    s.settings.Self.NodeName,
 		Term:          uint64(term),
 		Leader:        leader,
@@ -48,13 +48,13 @@
 	}
 	if node := s.node.Load(); node != nil {
 		status := node.Status()
-		view.AppliedIndex, view.StorageFailed = uint64(status.Applied), status.StorageFailed
-		view.MemberID = string(node.ID())
-		view.Voter = status.Membership.IsVoter(node.ID())
-		view.Voters = addresses(status.Membership.Voters)
-		view.MembershipChanging = !status.MembershipStable
+		nodeStatus.AppliedIndex, nodeStatus.StorageFailed = uint64(status.Applied), status.StorageFailed
+		nodeStatus.MemberID = string(node.ID())
+		nodeStatus.Voter = status.Membership.IsVoter(node.ID())
+		nodeStatus.Voters = addresses(status.Membership.Voters)
+		nodeStatus.MembershipChanging = !status.MembershipStable
 	}
-	return view
+	return nodeStatus
 }
 
 func addresses(ids []replication.MemberID) []string {
@@ -65,22 +65,22 @@
 	return all
 }
 
-// members is the core machines, each with its own status where it answers, and the sidecars whose
-// leases this machine holds.
-func (s *Server) members(ctx context.Context, core []string) (*meshapi.Members, error) {
-	own := s.view()
+// members returns the core machines, each with its own status if it answers in time, and the sidecars
+// whose leases this machine holds.
+func (s *Server) members(ctx context.Context, coreAddresses []string) (*meshapi.Members, error) {
+	own := s.nodeStatus()
 	members := &meshapi.Members{
 		ReportedBy: own.ReportedBy,
 		Term:       own.Term,
 		Leader:     own.Leader,
 		Syncing:    s.watchServer.Syncing(),
-		Core:       make([]meshapi.CoreMember, len(core)),
+		Core:       make([]meshapi.CoreMember, len(coreAddresses)),
 		Sidecars:   []meshapi.Sidecar{},
 	}
 	ctx, cancel := context.WithTimeout(ctx, inspectTimeout)
 	defer cancel()
 	var calls sync.WaitGroup
-	for i, address := range core {
+	for i, address := range coreAddresses {
 		member := &members.Core[i]
 		member.Address, member.Leader = address, address == own.Leader
 		if address == s.ownAddress() {
@@ -110,7 +110,7 @@
 	return members, nil
 }
 
-// listLeases asks this machine's own watch server for all leases.
+// listLeases requests all leases from this machine's own watch server over HTTP.
 func (s *Server) listLeases(ctx context.Context) ([]registry.RemoteLease, error) {
 	type memberList struct {
 		Leases []registry.RemoteLease `json:"leases"`
@@ -125,7 +125,7 @@
 
 func sidecarView(remote registry.RemoteLease) meshapi.Sidecar {
 	lease := remote.Lease
-	view := meshapi.Sidecar{
+	sidecar := meshapi.Sidecar{
 		Node:            lease.Node,
 		Zone:            lease.Zone,
 		ConfigVersion:   lease.Applied,
@@ -133,28 +133,28 @@
 		LeaseRemainingS: remote.Remaining.Seconds(),
 	}
 	if lease.Upstream != nil {
-		view.Instance = lease.Upstream.Instance
+		sidecar.Instance = lease.Upstream.Instance
 	}
-	return view
+	return sidecar
 }
 
-// upstreams is the upstreams that are known here.
+// upstreams returns the upstreams that this machine knows.
 func (s *Server) upstreams() *meshapi.UpstreamList {
 	list := &meshapi.UpstreamList{
 		ReportedBy: s.settings.Self.NodeName,
 		Syncing:    s.watchServer.Syncing(),
 		Upstreams:  []meshapi.Upstream{},
 	}
-	for _, u := range s.watchServer.Upstreams() {
+	for _, upstream := range s.watchServer.Upstreams() {
 		list.Upstreams = append(list.Upstreams, meshapi.Upstream{
-			Instance: u.Instance,
-			Service:  u.Service,
-			Address:  u.Address,
-			Node:     u.Node,
-			Zone:     u.Zone,
-			State:    u.State.String(),
-			Slots:    u.Slots,
-			Stale:    u.Stale,
+			Instance: upstream.Instance,
+			Service:  upstream.Service,
+			Address:  upstream.Address,
+			Node:     upstream.Node,
+			Zone:     upstream.Zone,
+			State:    upstream.State.String(),
+			Slots:    upstream.Slots,
+			Stale:    upstream.Stale,
 		})
 	}
 	return list
--- a/internal/mesh/controlplane/leave.go
+++ b/internal/mesh/controlplane/leave.go
@@ -10,22 +10,25 @@
 )
 
 const (
-	// leaveGraceFraction is the fraction of the grace period for which a leaving machine waits to be
-	// replaced.
+	// leaveGraceFraction is the fraction of the grace period for which a leaving machine waits for its
+	// replacement.
 	leaveGraceFraction = 0.5
-	// leaveCheckInterval is between two checks of a leaving machine: longer than a leader takes from
-	// its view of the machines to the change that it decides on.
+	// leaveCheckInterval is the time between two checks of a leaving machine. It is longer than a leader
+	// takes from reading its view of the machines to starting the membership change that it bases on
+	// this view.
 	leaveCheckInterval = 60 * time.Millisecond
-	// requiredSafeAnswers is how often in a row the leader has to say that a machine may leave:
-	// between the two it has carried out what it had decided before it knew of the leaving.
+	// requiredSafeAnswers is the number of consecutive answers in which the leader has to say that the
+	// machine may leave. Between two answers the leader starts any membership change that it had decided
+	// on before it learned that the machine is leaving.
 	requiredSafeAnswers = 2
 )
 
-// leave transfers what others need of this machine before it ends: leadership, and its vote to a
-// replacement if there is one. It is bounded by a fraction of the grace period.
+// leave prepares this machine's shutdown: it transfers leadership to another member, and waits until
+// this machine's vote has passed to a replacement if there is one. It takes at most leaveGraceFraction
+// of the grace period.
 func (s *Server) leave(node *replication.Node) {
-	bound := time.Duration(leaveGraceFraction * float64(s.settings.Guarantees.Bounds.GracePeriod))
-	ctx, cancel := context.WithTimeout(context.Background(), bound)
+	timeout := time.Duration(leaveGraceFraction * float64(s.settings.Guarantees.Bounds.GracePeriod))
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	local := s.memberList.Local()
 	local.Leaving = true
@@ -35,7 +38,7 @@
 		case node.Status().IsLeader:
 			err := node.TransferLeadership(ctx, s.leavingMembers()...)
 			if err != nil && len(node.Status().Progress) == 0 {
-				return // there is no other member
+				return // this machine is the only member
 			}
 		case s.safeToLeave(ctx, node):
 			safeAnswers++
@@ -48,8 +51,8 @@
 	}
 }
 
-// leavingMembers are the machines that are about to end: none of them is to take leadership, else two
-// would transfer it to each other.
+// leavingMembers returns the machines that are shutting down. Leadership is transferred to none of them,
+// since two leaving machines would otherwise transfer it to each other.
 func (s *Server) leavingMembers() []replication.MemberID {
 	var leaving []replication.MemberID
 	for _, member := range s.memberList.LiveMembers(s.now()) {
@@ -60,8 +63,8 @@
 	return leaving
 }
 
-// safeToLeave asks the leader whether nothing waits for this machine any more: a membership here that
-// doesn't include this machine may be older than one that does.
+// safeToLeave asks the leader whether this machine may leave. The membership known to this machine is
+// not sufficient: it may be outdated, and a newer membership may include this machine.
 func (s *Server) safeToLeave(ctx context.Context, node *replication.Node) bool {
 	leader := node.Status().Leader
 	if leader == "" {
--- a/internal/mesh/controlplane/listen.go
+++ b/internal/mesh/controlplane/listen.go
@@ -14,15 +14,16 @@
 )
 
 const (
-	// readHeaderTimeout, idleTimeout and maxHeaderBytes guard the listeners against clients that are
-	// slow, have ended or send too much.
+	// readHeaderTimeout, idleTimeout and maxHeaderBytes protect the listeners from clients that are
+	// slow, have stopped or send oversized headers.
 	readHeaderTimeout = 2 * time.Second
 	idleTimeout       = 60 * time.Second
 	maxHeaderBytes    = 16 << 10
 )
 
-// listen serves at the machine's two addresses: one for the mesh itself, one for operators and
-// upstreams. Failed receives the error of a listener that ends, also when closeAll ended it.
+// listen starts serving at the machine's two addresses: the internal address for the mesh, and the
+// control-plane address for operators and upstreams. The channel failed receives the error of each
+// listener that ends, also after closeAll has closed the listeners.
 func (s *Server) listen() (failed <-chan error, closeAll func(), err error) {
 	internal, external := s.routes()
 	var servers []*http.Server
@@ -31,7 +32,7 @@
 			_ = server.Close()
 		}
 	}
-	ended := make(chan error, 2) // one for each listener, so that none waits for a reader
+	serveErrors := make(chan error, 2) // one slot for each listener, so that a send never blocks
 	for address, mux := range map[string]*http.ServeMux{
 		s.ownAddress(): internal,
 		s.settings.Network.ListenAddresses.ControlPlane: external,
@@ -39,7 +40,7 @@
 		listener, err := net.Listen("tcp", address)
 		if err != nil {
 			closeAll()
-			return nil, nil, errs.Wrap(err, errs.Internal, "listen at %s", address)
+			return nil, nil, errs.Wrap(err, errs.Internal, "listen on %s", address)
 		}
 		server := &http.Server{
 			Handler:           mux,
@@ -48,13 +49,13 @@
 			MaxHeaderBytes:    maxHeaderBytes,
 		}
 		servers = append(servers, server)
-		go func() { ended <- server.Serve(listener) }()
+		go func() { serveErrors <- server.Serve(listener) }()
 	}
-	return ended, closeAll, nil
+	return serveErrors, closeAll, nil
 }
 
-// routes are what is served to the mesh and to operators and upstreams. The operators' routes are in
-// both, because sidecars forward calls to the internal address.
+// routes returns the handlers of the internal and the external address. The operators' and upstreams'
+// routes are on both, because sidecars forward such requests to the internal address.
 func (s *Server) routes() (internal, external *http.ServeMux) {
 	internal, external = http.NewServeMux(), http.NewServeMux()
 	s.serveAnnouncements(internal)
@@ -70,20 +71,21 @@
 	return internal, external
 }
 
-// Heartbeat applies an upstream's heartbeat that reached a core machine because the sidecar beside the
-// upstream did not accept it. Another upstream on the same host shows which sidecar that is.
-func (s *Server) Heartbeat(u registry.Upstream) error {
-	if host, _, err := net.SplitHostPort(u.Address); err == nil {
+// Heartbeat applies a heartbeat that an upstream sent to a core machine because the sidecar on the
+// upstream's host did not accept it. To find that sidecar, Heartbeat looks for a known upstream whose
+// inbound address is on the same host.
+func (s *Server) Heartbeat(upstream registry.Upstream) error {
+	if host, _, err := net.SplitHostPort(upstream.Address); err == nil {
 		for _, known := range s.watchServer.Upstreams() {
-			if h, _, err := net.SplitHostPort(known.Inbound); err == nil && h == host {
-				u.Node, u.Inbound = known.Node, known.Inbound
+			if inboundHost, _, err := net.SplitHostPort(known.Inbound); err == nil && inboundHost == host {
+				upstream.Node, upstream.Inbound = known.Node, known.Inbound
 			}
 		}
 	}
-	return s.watchServer.Heartbeat(u)
+	return s.watchServer.Heartbeat(upstream)
 }
 
-// Deregister removes an instance that has ended.
+// Deregister removes an upstream instance that has ended.
 func (s *Server) Deregister(instance string) error {
 	return s.watchServer.Heartbeat(registry.Upstream{Instance: instance, State: registry.Deregistered})
 }
--- a/internal/mesh/controlplane/propagation.go
+++ b/internal/mesh/controlplane/propagation.go
@@ -12,29 +12,31 @@
 )
 
 const (
-	// propagationCheckInterval is the time between two looks at who lags behind an acknowledged change.
+	// propagationCheckInterval is the time between checks for sidecars that lag behind an acknowledged
+	// change.
 	propagationCheckInterval = time.Second
-	// maxLoggedLagging bounds the sidecars that one entry names.
+	// maxLoggedLagging bounds the number of sidecars previous in one log entry.
 	maxLoggedLagging = 8
-	// maxPendingAcknowledgements bounds the acknowledgements that are not due yet; the oldest make way.
+	// maxPendingAcknowledgements bounds the acknowledgements whose apply time has not passed. If there
+	// are more, the oldest are dropped.
 	maxPendingAcknowledgements = 256
 )
 
-// acknowledgement is a version that an operator was told to be in place.
+// acknowledgement is a configuration version that was acknowledged to an operator.
 type acknowledgement struct {
 	version int64
-	at      time.Duration
+	at      time.Duration // since the start of the server
 }
 
-// propagation knows which acknowledged version has to be in force everywhere. It is not safe for concurrent
-// use.
+// propagation tracks the newest acknowledged version that every sidecar should have applied by now. It
+// is not safe for concurrent use.
 type propagation struct {
-	applyTime time.Duration // within which an acknowledged version has to be in force
+	applyTime time.Duration // time limit for all sidecars to apply an acknowledged version
 	pending   []acknowledgement
-	due       int64 // the newest version whose time is over, 0: there is none
+	due       int64 // the newest version whose time limit has passed, 0 if there is none
 }
 
-// acknowledge records an acknowledgement.
+// acknowledge records that a version was acknowledged at the time now.
 func (p *propagation) acknowledge(now time.Duration, version int64) {
 	if len(p.pending) == maxPendingAcknowledgements {
 		p.pending = p.pending[1:]
@@ -42,7 +44,7 @@
 	p.pending = append(p.pending, acknowledgement{version, now})
 }
 
-// dueVersion is the newest version that has to be in force everywhere by now.
+// dueVersion returns the newest acknowledged version whose time limit has passed, or 0 if there is none.
 func (p *propagation) dueVersion(now time.Duration) int64 {
 	for len(p.pending) > 0 && p.pending[0].at+p.applyTime <= now {
 		p.due = max(p.due, p.pending[0].version)
@@ -51,47 +53,48 @@
 	return p.due
 }
 
-// recordAcknowledgement records that an operator is about to be told that a version is in place.
+// recordAcknowledgement records that a version is about to be acknowledged to an operator.
 func (s *Server) recordAcknowledgement(version int64) {
 	s.propagationMu.Lock()
 	defer s.propagationMu.Unlock()
 	s.propagation.acknowledge(s.now(), version)
 }
 
-// logLagging names the sidecars that go by an older configuration than they may, until ctx ends: by a change
-// that was acknowledged here. Those that it has named are not named again for the same version.
+// logLagging logs, until ctx ends, the sidecars that have not applied a change within the time limit
+// after this machine acknowledged it. A log entry is written only when the list of these sidecars and
+// their versions has changed since the last check.
 func (s *Server) logLagging(ctx context.Context) {
 	if s.propagation.applyTime <= 0 {
-		return // the settings name no bound
+		return // the settings contain no time limit
 	}
-	named := "" // the last entry's sidecars
+	previous := "" // the lagging sidecars at the last check
 	for sleep(ctx, propagationCheckInterval) {
 		s.propagationMu.Lock()
 		version := s.propagation.dueVersion(s.now())
 		s.propagationMu.Unlock()
 		lagging := s.watchServer.Lagging(version)
-		text := describeLagging(lagging)
-		if len(lagging) > 0 && text != named {
+		description := describeLagging(lagging)
+		if len(lagging) > 0 && description != previous {
 			s.log.Warn("sidecars lag behind an acknowledged change", zap.Int64("version", version),
-				zap.Int("count", len(lagging)), zap.String("sidecars", text))
+				zap.Int("count", len(lagging)), zap.String("sidecars", description))
 		}
-		named = text
+		previous = description
 	}
 }
 
-// describeLagging names sidecars, each with the version that it goes by, and with what was sent to it where its
-// watch is open here.
+// describeLagging returns the sidecars as "NODE:VERSION" with the version that each has applied,
+// followed by the newest version sent to the sidecar if this machine serves its watch.
 func describeLagging(lagging []watch.LaggingSidecar) string {
-	var text strings.Builder
+	var description strings.Builder
 	for i, l := range lagging {
 		if i == maxLoggedLagging {
-			text.WriteString(" ...")
+			description.WriteString(" ...")
 			break
 		}
-		fmt.Fprintf(&text, " %s:%d", l.Node, l.Applied)
+		fmt.Fprintf(&description, " %s:%d", l.Node, l.Applied)
 		if l.Watching {
-			fmt.Fprintf(&text, "(sent %d)", l.Sent)
+			fmt.Fprintf(&description, "(sent %d)", l.Sent)
 		}
 	}
-	return strings.TrimPrefix(text.String(), " ")
+	return strings.TrimPrefix(description.String(), " ")
 }
--- a/internal/mesh/controlplane/propagation_test.go
+++ b/internal/mesh/controlplane/propagation_test.go
@@ -11,12 +11,12 @@
 )
 
 func TestPropagationIsDueAfterApplyTime(t *testing.T) {
-	Convey("An acknowledged version is due once its time is over, the newest of those that are", t, func() {
+	Convey("dueVersion is the newest acknowledged version whose apply time has passed", t, func() {
 		p := propagation{applyTime: 3 * time.Second}
 		So(p.dueVersion(time.Hour), ShouldEqual, 0)
 		p.acknowledge(10*time.Second, 4)
 		p.acknowledge(11*time.Second, 7)
-		p.acknowledge(12*time.Second, 5) // an answer that waited
+		p.acknowledge(12*time.Second, 5) // acknowledged after the newer version 7
 		So(p.dueVersion(12999*time.Millisecond), ShouldEqual, 0)
 		So(p.dueVersion(13*time.Second), ShouldEqual, 4)
 		So(p.dueVersion(20*time.Second), ShouldEqual, 7)
@@ -25,12 +25,12 @@
 		}
 		So(len(p.pending), ShouldEqual, maxPendingAcknowledgements)
 	})
-	Convey("An entry names who lags, by which version, and what was sent", t, func() {
-		all := []watch.LaggingSidecar{
+	Convey("A description lists each lagging sidecar with its applied and its sent version", t, func() {
+		lagging := []watch.LaggingSidecar{
 			{Lagging: registry.Lagging{Node: "a", Applied: 3}},
 			{Lagging: registry.Lagging{Node: "b", Applied: 2}, Watching: true, Sent: 4},
 		}
-		So(describeLagging(all), ShouldEqual, "a:3 b:2(sent 4)")
+		So(describeLagging(lagging), ShouldEqual, "a:3 b:2(sent 4)")
 		So(describeLagging(make([]watch.LaggingSidecar, maxLoggedLagging+1)), ShouldEndWith, "...")
 		So(describeLagging(nil), ShouldEqual, "")
 	})
--- a/internal/mesh/controlplane/proposals.go
+++ b/internal/mesh/controlplane/proposals.go
@@ -9,14 +9,15 @@
 	"caperarch/internal/mesh/errs"
 )
 
-// proposalID identifies one proposal of a change, so that the member that made it recognises its
-// command in the log.
+// proposalID identifies one proposal of a change. The member that made the proposal finds its command in
+// the log by this ID.
 type proposalID uint64
 
-// proposalIDSize is the size in bytes of the id with which each command begins.
+// proposalIDSize is the size in bytes of the proposal ID at the start of each command.
 const proposalIDSize = 8
 
-// proposalResult is what became of a proposal: the version in force with it, or why it was rejected.
+// proposalResult is the result of a proposal: the version of the change if it was applied, or the error
+// with which the state machine rejected it.
 type proposalResult struct {
 	version int64
 	err     error
@@ -24,24 +25,24 @@
 
 func newProposalID() proposalID { return proposalID(rand.Uint64()) }
 
-// encodeCommand is a change in its form in the log.
+// encodeCommand returns the log command for a change: the proposal ID followed by the encoded change.
 func encodeCommand(id proposalID, change *config.Change) []byte {
 	return append(binary.BigEndian.AppendUint64(nil, uint64(id)), change.Encode()...)
 }
 
-// decodeCommand undoes encodeCommand. With an error the id is valid, too.
+// decodeCommand decodes a command made by encodeCommand. The ID is valid even if the error is not nil.
 func decodeCommand(command []byte) (proposalID, *config.Change, error) {
 	id := proposalID(binary.BigEndian.Uint64(command))
 	change, err := config.DecodeChange(command[proposalIDSize:])
 	return id, change, err
 }
 
-// expectResult returns a channel that receives the result of a proposal once its command has been
-// applied here; forgetResult ends that.
+// expectResult returns a channel that receives the result of a proposal once this member has applied its
+// command. forgetResult cancels the expectation.
 func (m *stateMachine) expectResult(id proposalID) <-chan proposalResult {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	result := make(chan proposalResult, 1) // whoever sends doesn't wait for the receiver
+	result := make(chan proposalResult, 1) // buffered, so that sending the result never blocks
 	m.proposals[id] = result
 	return result
 }
@@ -52,7 +53,7 @@
 	delete(m.proposals, id)
 }
 
-// awaitResult waits for the result of a proposal that the log has committed.
+// awaitResult waits for the result of a proposal whose command has been committed.
 func awaitResult(ctx context.Context, result <-chan proposalResult) (version int64, err error) {
 	select {
 	case r := <-result:
@@ -62,7 +63,8 @@
 	}
 }
 
-// completeProposal sends the result of a proposal to whoever waits for it here.
+// completeProposal sends the result of a proposal to the goroutine on this member that waits for the
+// result, if there is one.
 func (m *stateMachine) completeProposal(id proposalID, r proposalResult) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -72,8 +74,8 @@
 	}
 }
 
-// failProposals ends the wait for all results: their commands may be among those that a snapshot
-// includes, which are never applied one by one. The caller holds the lock.
+// failProposals sends an error to all goroutines that wait for a result. A restored snapshot may include
+// the commands of their proposals, and such commands are never applied one by one. The caller holds mu.
 func (m *stateMachine) failProposals() {
 	for id, result := range m.proposals {
 		result <- proposalResult{
--- a/internal/mesh/controlplane/push.go
+++ b/internal/mesh/controlplane/push.go
@@ -9,17 +9,19 @@
 	"go.uber.org/zap"
 )
 
-// maxRetainedChanges is how many changes are retained for sidecars that have an older version: one
-// that is further behind gets the full configuration.
+// maxRetainedChanges is the number of changes retained to update sidecars that have an older version. A
+// sidecar whose version is older than the retained changes receives the full configuration.
 const maxRetainedChanges = 64
 
-// retainChange retains a change for sidecars that have an older version. The caller holds the lock.
+// retainChange adds a change to the retained changes and drops the oldest if there are too many. The
+// caller holds mu.
 func (m *stateMachine) retainChange(change *config.Change) {
 	all := append(m.retained, change)
 	m.retained = append([]*config.Change(nil), all[max(0, len(all)-maxRetainedChanges):]...)
 }
 
-// Since is the changes that lead on from a version, or false if they are no longer retained.
+// Since returns an update with the changes that lead from the given version to the one in force, or
+// nothing if the given version is in force. It returns false if the changes are no longer retained.
 func (m *stateMachine) Since(version int64) ([]json.RawMessage, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -43,7 +45,8 @@
 	return nil, false
 }
 
-// FullConfig is the full configuration, or nil while there is none.
+// FullConfig returns an update with the full configuration, or nil while no configuration has been set
+// (version 0).
 func (m *stateMachine) FullConfig() json.RawMessage {
 	configuration := m.currentConfig()
 	if configuration.Version() == 0 {
@@ -57,7 +60,7 @@
 	return m.encodeUpdate(sidecar.ConfigUpdate{Version: configuration.Version(), Full: full})
 }
 
-// encodeUpdate returns an update in its JSON form, nil if it has none.
+// encodeUpdate returns the JSON form of an update, or nil if the update can't be encoded.
 func (m *stateMachine) encodeUpdate(update sidecar.ConfigUpdate) json.RawMessage {
 	encoded, err := json.Marshal(update)
 	if err != nil {
--- a/internal/mesh/controlplane/push_test.go
+++ b/internal/mesh/controlplane/push_test.go
@@ -15,8 +15,8 @@
 	"caperarch/internal/mesh/sidecar"
 )
 
-func TestUpdateLeadsToItsVersionOrAnError(t *testing.T) {
-	Convey("An update leads to its version or to an error, and never back", t, func() {
+func TestUpdateResultsInItsVersionOrAnError(t *testing.T) {
+	Convey("An update results in the version that it states or in an error, and never in an older version", t, func() {
 		m := newStateMachine(zap.NewNop(), func() {})
 		m.apply(1, encodeCommand(1, replaceChange(3, 0, "a")))
 		finishQueue(m)
@@ -41,14 +41,16 @@
 		} {
 			next, err := sidecar.ApplyUpdate(held, json.RawMessage(update))
 			if err == nil && next.Version() != 9 {
-				wrong = append(wrong, fmt.Sprintf("%s led from 5 to %d", update, next.Version()))
+				wrong = append(wrong, fmt.Sprintf("update %s to version 5 resulted in version %d, want 9 or an error",
+					update, next.Version()))
 			}
 		}
 		So(wrong, ShouldBeEmpty)
 	})
 }
 
-// drawChange draws a change, a valid one or another, on top of the newest snapshot or the one before.
+// drawChange returns a random change, valid or invalid, on top of the newest configuration or of the
+// version before it.
 func drawChange(t *rapid.T, newest *config.Snapshot) *config.Change {
 	names := []string{"a", "b", "c", "d"}
 	current := newest.Version()
@@ -63,7 +65,8 @@
 	return replaceChange(version, base, slices.Compact(services)...)
 }
 
-// updatesFrom are the updates that a sidecar with a version is sent, and whether they are changes.
+// updatesFrom returns the updates that a sidecar with the given version is sent, and whether they are
+// changes rather than the full configuration.
 func updatesFrom(m *stateMachine, version int64) (updates []json.RawMessage, areChanges bool) {
 	if updates, ok := m.Since(version); ok {
 		return updates, true
@@ -71,14 +74,15 @@
 	return []json.RawMessage{m.FullConfig()}, false
 }
 
-// TestUpdatesFromAnyVersion plays random changes, valid ones and others: a sidecar with any earlier
-// version gets to the very same configuration by what Since or FullConfig gives, and so does a machine
-// that was given a snapshot at any time and the commands after it.
+// TestUpdatesFromAnyVersion applies random changes, valid and invalid ones. A sidecar with any earlier
+// version has to reach exactly the same configuration through the updates that Since or FullConfig
+// returns. A state machine that restores a snapshot at any point and applies the commands after it has
+// to reach the same configuration, too.
 func TestUpdatesFromAnyVersion(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newStateMachine(zap.NewNop(), func() {})
-		late := newStateMachine(zap.NewNop(), func() {}) // is given a snapshot
-		history := []*config.Snapshot{config.Empty()}    // as the changes have it, by themselves
+		follower := newStateMachine(zap.NewNop(), func() {}) // restores a snapshot
+		history := []*config.Snapshot{config.Empty()}        // computed from the changes alone
 		restored := false
 		for step := range rapid.IntRange(1, 130).Draw(t, "changes") {
 			newest := history[len(history)-1]
@@ -91,22 +95,24 @@
 			result := m.expectResult(id)
 			m.apply(index, encodeCommand(id, change))
 			if restored {
-				late.apply(index, encodeCommand(id, change))
+				follower.apply(index, encodeCommand(id, change))
 			}
 			finishQueue(m)
 			if _, kind, ok := resultOf(result); !ok || (err != nil) != (kind != 0) {
-				t.Fatalf("change %d on %d: result %v, %v, not %v", change.Version(), change.Base(), ok, kind, err)
+				t.Fatalf("change to version %d on base %d: has result %v, error kind %v, want error %v",
+					change.Version(), change.Base(), ok, kind, err)
 			}
 			if !restored && rapid.IntRange(0, 9).Draw(t, "restart") == 0 {
 				restored = true
-				late.restore(index, m.snapshot())
+				follower.restore(index, m.snapshot())
 			}
 		}
 		want := encoded(history[len(history)-1])
-		finishQueue(late)
-		got, gotLate := encoded(m.currentConfig()), encoded(late.currentConfig())
-		if got != want || restored && gotLate != want {
-			t.Fatalf("the configurations differ: %s, %s and %s", want, got, gotLate)
+		finishQueue(follower)
+		got, gotFollower := encoded(m.currentConfig()), encoded(follower.currentConfig())
+		if got != want || restored && gotFollower != want {
+			t.Fatalf("configurations differ: want %s, state machine has %s, restored state machine has %s",
+				want, got, gotFollower)
 		}
 		last := len(history) - 1
 		for _, i := range []int{
@@ -116,16 +122,16 @@
 			held := history[i]
 			updates, areChanges := updatesFrom(m, held.Version())
 			if areChanges != (last-i <= maxRetainedChanges) {
-				t.Fatalf("%d changes behind: %v", last-i, areChanges)
+				t.Fatalf("sidecar is %d changes behind: updated by changes is %v", last-i, areChanges)
 			}
-			for _, update := range append(updates, updates...) { // twice does no harm
+			for _, update := range append(updates, updates...) { // a repeated update has no effect
 				var err error
 				if held, err = sidecar.ApplyUpdate(held, update); err != nil {
-					t.Fatalf("from %d on: %v", history[i].Version(), err)
+					t.Fatalf("update from version %d: %v", history[i].Version(), err)
 				}
 			}
 			if encoded(held) != want {
-				t.Fatalf("from %d on it is %s, not %s", history[i].Version(), encoded(held), want)
+				t.Fatalf("updates from version %d result in %s, want %s", history[i].Version(), encoded(held), want)
 			}
 		}
 	})
--- a/internal/mesh/controlplane/quota.go
+++ b/internal/mesh/controlplane/quota.go
@@ -12,17 +12,17 @@
 )
 
 const (
-	// maxAllocateBytes bounds the body of a request for tokens.
+	// maxAllocateBytes bounds the body of a request for quota tokens.
 	maxAllocateBytes = 256 << 10
-	// maxAllocateContactAge is how old the leader's contact with a majority may be for it to
-	// allocate tokens. It guards against two allocators at once: it is shorter than the minimum
-	// election timeout (0.5 s), and no voter that confirmed the leader votes for another one within
-	// that time, so no other leader exists while this one still allocates.
+	// maxAllocateContactAge is the maximum age of the leader's contact with a majority at which the
+	// leader may still allocate tokens. It prevents two members from allocating at once: it is shorter
+	// than the minimum election timeout (0.5 s). A voter that has confirmed the leader votes for no
+	// other member within that timeout, so no other leader exists while this one still allocates.
 	maxAllocateContactAge = 400 * time.Millisecond
 )
 
-// allocate answers a sidecar's request for tokens. Only the leader allocates; any other member
-// forwards the request to the leader that it knows.
+// allocate answers a sidecar's request for quota tokens. Only the leader allocates tokens; any other
+// member forwards the request to the leader that it knows.
 func (s *Server) allocate(
 	r *http.Request, request *sidecar.AllocateRequest,
 ) (*sidecar.AllocateResponse, error) {
@@ -49,8 +49,8 @@
 	return &sidecar.AllocateResponse{Response: response}, nil
 }
 
-// forwardToLeader forwards a request to the leader, once: a member that isn't the leader rejects one
-// that was forwarded.
+// forwardToLeader forwards a sidecar's request to the leader. A request is forwarded once only: a member
+// that receives a forwarded request and isn't the leader rejects it.
 func (s *Server) forwardToLeader(
 	r *http.Request, leader string, request *sidecar.AllocateRequest,
 ) (*sidecar.AllocateResponse, error) {
@@ -62,18 +62,19 @@
 	return rpc.Call[sidecar.AllocateRequest, sidecar.AllocateResponse](r.Context(), s.client, url, request)
 }
 
-// checkMayAllocate returns an error unless this member may allocate in the term, at this moment. The
-// contact is read first and the term after it, so that a contact of a later term confirms no earlier
-// one.
+// checkMayAllocate returns an error unless this member is allowed to allocate tokens in the term at this
+// moment. It reads the contact before the term, so that a contact confirmed in a later term is never
+// taken as confirmation of an earlier term.
 func (s *Server) checkMayAllocate(term replication.Term) error {
 	age, ok := s.contact()
 	leader, current := s.leader()
 	return checkAllocator(age, ok, leader == s.ownAddress() && current == term)
 }
 
-// checkAllocator rejects the allocation without a recent contact, or when the term is over.
-func checkAllocator(contactAge time.Duration, contactKnown, leads bool) error {
-	if !leads {
+// checkAllocator returns an error of kind NotLeader if this member no longer leads in the term, and of
+// kind NoQuorum if its contact with a majority is unknown or older than maxAllocateContactAge.
+func checkAllocator(contactAge time.Duration, contactKnown, isLeader bool) error {
+	if !isLeader {
 		return errs.New(errs.NotLeader, "the term is over")
 	}
 	if !contactKnown || contactAge > maxAllocateContactAge {
--- a/internal/mesh/controlplane/replica.go
+++ b/internal/mesh/controlplane/replica.go
@@ -8,8 +8,8 @@
 	"caperarch/internal/mesh/replication"
 )
 
-// startReplica joins the replicated log until closeReplica is called. The loops that it starts end
-// with ctx.
+// startReplica starts this machine's replica of the log. The replica runs until closeReplica is called;
+// the goroutines that announce the machine and manage the voters run until ctx ends.
 func (s *Server) startReplica(
 	ctx context.Context, store *replication.Store, state replication.State,
 ) (node *replication.Node, closeReplica func(), err error) {
@@ -41,14 +41,15 @@
 	}, nil
 }
 
-// deliver passes on what the transport received in answer to its own messages.
+// deliver passes messages that a peer sent in a response to the running node. Messages that arrive
+// before the node runs are dropped.
 func (s *Server) deliver(from replication.MemberID, messages []replication.Message) {
 	if node := s.node.Load(); node != nil {
 		node.Deliver(from, messages)
 	}
 }
 
-// runningNode is this machine's node, or an error of kind NotLeader while there is none.
+// runningNode returns this machine's node, or an error of kind NotLeader while the node has not started.
 func (s *Server) runningNode() (*replication.Node, error) {
 	node := s.node.Load()
 	if node == nil {
@@ -57,7 +58,8 @@
 	return node, nil
 }
 
-// leader is the address of the leader, "" while none is known here, and its term.
+// leader returns the leader's address, "" while this machine knows no leader, and this machine's current
+// term.
 func (s *Server) leader() (address string, term replication.Term) {
 	node := s.node.Load()
 	if node == nil {
@@ -67,9 +69,9 @@
 	return status.Leader.Address(), status.Term
 }
 
-// leaderForRequest is the address of the leader and whether it is this machine's, or an error of kind
-// NoQuorum while none is known.
-func (s *Server) leaderForRequest() (address string, isOwn bool, err error) {
+// leaderForRequest returns the leader's address and whether this machine is the leader, or an error of
+// kind NoQuorum while this machine knows no leader.
+func (s *Server) leaderForRequest() (address string, isLocal bool, err error) {
 	address, _ = s.leader()
 	if address == "" {
 		return "", false, errs.New(errs.NoQuorum, "no leader is known")
@@ -77,8 +79,9 @@
 	return address, address == s.ownAddress(), nil
 }
 
-// contact is how long ago a majority of the voters is known to have confirmed the leader that this
-// machine follows, with all applied here that was committed then. Ok is false while that is unknown.
+// contact returns how long ago a majority of the voters is known to have confirmed the leader that this
+// machine follows, provided that this machine has applied all entries that were committed at that time.
+// ok is false while there is no such confirmation.
 func (s *Server) contact() (age time.Duration, ok bool) {
 	node := s.node.Load()
 	if node == nil {
@@ -87,7 +90,8 @@
 	return node.Contact()
 }
 
-// inContact reports whether a majority has lately confirmed what is known here.
+// inContact reports whether a majority of the voters has recently confirmed the state that this machine
+// serves.
 func (s *Server) inContact() bool {
 	node := s.node.Load()
 	return node != nil && node.InContact()
--- a/internal/mesh/controlplane/request_history_test.go
+++ b/internal/mesh/controlplane/request_history_test.go
@@ -9,41 +9,42 @@
 )
 
 var (
-	seed      = flag.Uint64("seed", 0, "play the history of this seed alone")
-	histories = flag.Int("histories", 200, "how many are played")
+	seed      = flag.Uint64("seed", 0, "run only the history with this seed")
+	histories = flag.Int("histories", 200, "number of histories to run")
 )
 
 const (
-	// steps are those of one history.
-	steps = 90
-	// checkTimeout bounds the check of one history against the model.
+	// stepsPerHistory is the number of simulation steps in one history.
+	stepsPerHistory = 90
+	// checkTimeout bounds the linearizability check of one history.
 	checkTimeout = 20 * time.Second
 )
 
-// TestRequestHistories plays operators that send change requests, and send them again, over a log whose
-// leaders change and whose replicas lag, restart and catch up by snapshots, while answers are lost and
-// copies arrive late. What the operators got must be what a single copy of the model could have
-// answered.
+// TestRequestHistories simulates operators that send and resend change requests to a replicated log. The
+// leader changes, replicas lag behind, restart and catch up from snapshots, answers are lost, and copies
+// of requests arrive late. The answers have to be linearizable: a single copy of the model could have
+// given them.
 func TestRequestHistories(t *testing.T) {
-	first, n := uint64(1), *histories
+	first, count := uint64(1), *histories
 	if *seed != 0 {
-		first, n = *seed, 1
+		first, count = *seed, 1
 	}
 	counts := new(answerCounts)
-	for s := first; s < first+uint64(n) && !t.Failed(); s++ {
+	for s := first; s < first+uint64(count) && !t.Failed(); s++ {
 		t.Logf("seed %d", s)
 		sim := newSimulation(t, s, counts)
-		for range steps {
+		for range stepsPerHistory {
 			sim.step()
 		}
 		sim.finish()
 		model := requestModel(sim.requests, sim.start)
-		if got := porcupine.CheckOperationsTimeout(model, sim.done, checkTimeout); got != porcupine.Ok {
-			for _, op := range sim.done {
-				t.Logf("%+v %+v", op, sim.requests[max(0, op.Input.(call).request)])
+		if got := porcupine.CheckOperationsTimeout(model, sim.operations, checkTimeout); got != porcupine.Ok {
+			for _, op := range sim.operations {
+				t.Logf("%+v %+v", op, sim.requests[max(0, op.Input.(operationInput).request)])
 			}
-			t.Fatalf("seed %d: %s", s, got)
+			t.Fatalf("seed %d: linearizability check returned %s", s, got)
 		}
 	}
-	t.Logf("%d unclear, %d confirmed, %d rejected", counts[unclear], counts[confirmed], counts[rejected])
+	t.Logf("answers: %d undetermined, %d acknowledged, %d rejected",
+		counts[undetermined], counts[acknowledged], counts[rejected])
 }
--- a/internal/mesh/controlplane/request_model_test.go
+++ b/internal/mesh/controlplane/request_model_test.go
@@ -7,21 +7,22 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// testRequest is a change request as the model has it.
+// testRequest is a change request as the model represents it. It replaces the whole configuration by one
+// service.
 type testRequest struct {
 	version, base int64
-	service       string // that it puts in place of all
-	broken        bool   // it has a route to a service that doesn't exist
+	service       string // name of the only service in the new configuration
+	invalid       bool   // contains a route to a service that doesn't exist
 }
 
-// body is the request's body, in one of three spellings of the same content.
-func (r testRequest) body(spelling int) string {
+// body returns the request's body, in one of three JSON encodings of the same content.
+func (r testRequest) body(encoding int) string {
 	resources := fmt.Sprintf(`{"resourceType":"services","metadata":{"name":"%s"},"specification":{}}`, r.service)
-	if r.broken {
+	if r.invalid {
 		resources += `,{"resourceType":"routes","metadata":{"name":"r"},"specification":{"hostname":"h",` +
 			`"pathPrefix":"/","routeType":"idempotent","timeoutS":1,"serviceName":"none"}}`
 	}
-	switch spelling {
+	switch encoding {
 	case 1:
 		return fmt.Sprintf(" {\n\"resources\" : [%s], \"baseVersion\": %d, \"configVersion\": %d}",
 			resources, r.base, r.version)
@@ -31,51 +32,54 @@
 	return fmt.Sprintf(`{"configVersion":%d,"baseVersion":%d,"resources":[%s]}`, r.version, r.base, resources)
 }
 
-// answer is what an operator got.
+// answer is the result of a request as its operator sees it.
 type answer int
 
 const (
-	unclear answer = iota
-	confirmed
+	undetermined answer = iota
+	acknowledged
 	rejected
 )
 
-// call is a request that is sent, by its position, or one of the two below.
-type call struct{ request int }
+// operationInput is the input of an operation: the position of the request that is sent, or one of the
+// two constants below.
+type operationInput struct{ request int }
 
 const (
-	reading      = -1
-	endOfHistory = -2 // after everything that has an answer
+	readOperation = -1
+	endOfHistory  = -2 // follows all requests whose answer is known
 )
 
-// reply is a request's answer, or the document that was read.
-type reply struct {
+// operationOutput is the output of an operation: the answer to a request, or the document that was read.
+type operationOutput struct {
 	answer   answer
 	document string
 }
 
-// modelState is what the system must look like from outside: the newest request that was applied and,
-// as sets of positions, which were applied and which were rejected.
+// modelState is the state of the system as operators observe it: the request that was applied last, and
+// the sets of applied and rejected requests, as bit sets of request positions.
 type modelState struct {
-	newest            int // -1: none
+	newest            int // position of the request applied last, -1 if there is none
 	applied, rejected uint64
-	// ended has requests without a clear answer that had no effect come last, in any order, which
-	// keeps the search for an order of all small.
-	ended bool
+	// historyEnded is set by the endOfHistory operation. Requests with an undetermined answer that had
+	// no effect are ordered after this operation, in any order, which keeps the linearizability search
+	// small.
+	historyEnded bool
 }
 
-// requestModel is what operators were promised: of the requests under one version, or on one base, one
-// is applied at most; one that was applied is never rejected, and one that was rejected never applied.
+// requestModel returns the guarantees to operators as a model. Of the requests with the same version, or
+// with the same base, at most one is applied. An applied request is never rejected later, and a rejected
+// request is never applied later.
 func requestModel(requests []testRequest, start modelState) porcupine.Model {
 	model := porcupine.NondeterministicModel{
 		Init: func() []any { return []any{start} },
 		Step: func(state, input, output any) []any {
-			s, in, out := state.(modelState), input.(call), output.(reply)
+			s, in, out := state.(modelState), input.(operationInput), output.(operationOutput)
 			if in.request == endOfHistory {
-				s.ended = true
+				s.historyEnded = true
 				return []any{s}
 			}
-			if in.request == reading {
+			if in.request == readOperation {
 				if out.document == s.document(requests) {
 					return []any{s}
 				}
@@ -95,7 +99,8 @@
 	return requests[s.newest].body(0)
 }
 
-// step returns the states that an answer to a request may lead to, none if it contradicts the state.
+// step returns the states that may follow an answer to a request, or none if the answer contradicts the
+// state.
 func (s modelState) step(requests []testRequest, i int, a answer) []any {
 	request, bit, current := requests[i], uint64(1)<<i, int64(0)
 	if s.newest >= 0 {
@@ -104,10 +109,10 @@
 	afterApplied, afterRejected := s, s
 	afterApplied.newest, afterApplied.applied = i, s.applied|bit
 	afterRejected.rejected |= bit
-	applicable := s.applied&bit == 0 && s.rejected&bit == 0 && !request.broken &&
+	applicable := s.applied&bit == 0 && s.rejected&bit == 0 && !request.invalid &&
 		request.base == current && request.version > current
 	switch a {
-	case confirmed:
+	case acknowledged:
 		if s.applied&bit != 0 {
 			return []any{s}
 		}
@@ -118,13 +123,13 @@
 		if s.applied&bit == 0 && !applicable {
 			return []any{afterRejected}
 		}
-	case unclear:
+	case undetermined:
 		switch {
-		case s.ended:
+		case s.historyEnded:
 			return []any{s}
 		case applicable:
 			return []any{afterApplied}
-		case request.base > current && s.rejected&bit == 0: // it may have been rejected, and stays so
+		case request.base > current && s.rejected&bit == 0: // the request may have been rejected permanently
 			return []any{afterRejected}
 		}
 	}
--- a/internal/mesh/controlplane/request_simulation_test.go
+++ b/internal/mesh/controlplane/request_simulation_test.go
@@ -17,24 +17,26 @@
 
 const (
 	replicas = 3
-	// earlierRequests are known to the model when a history begins with a full request log: the
-	// first half of them is forgotten.
-	earlierRequests = 4
+	// priorRequests is the number of requests that the model knows from before a history that begins
+	// with a full request log. The request log no longer contains the first half of them.
+	priorRequests = 4
 )
 
-// answerCounts are how many requests got each answer.
+// answerCounts is the number of requests for each answer, indexed by answer.
 type answerCounts [3]int
 
-// fullLog is a snapshot whose request log is full, with some of the requests that led there.
+// fullLog is a snapshot whose request log is full, with the first and last of the requests that led to
+// the snapshot.
 type fullLog struct {
 	snapshot []byte
-	requests []testRequest // the newest last
+	requests []testRequest // in the order in which they were applied
 }
 
-// fullRequestLog is computed once, for all histories that begin with it.
+// fullRequestLog returns the full request log, which is computed once for all histories that begin with
+// it.
 var fullRequestLog = sync.OnceValue(func() (full fullLog) {
-	const remembered = 4096 // by the request log
-	const last = remembered + 3
+	const logCapacity = 4096 // changes that the request log holds
+	const last = logCapacity + 3
 	configuration := config.Empty()
 	for base := range int64(last) {
 		request := testRequest{version: base + 1, base: base, service: "a"}
@@ -43,7 +45,7 @@
 			panic(err)
 		}
 		configuration, _, _ = configuration.Apply(change)
-		if base < earlierRequests/2 || base >= last-earlierRequests/2 {
+		if base < priorRequests/2 || base >= last-priorRequests/2 {
 			full.requests = append(full.requests, request)
 		}
 	}
@@ -51,7 +53,7 @@
 	return full
 })
 
-// replica is a state machine with how much of the log was delivered to it, and the snapshot on its
+// replica is a state machine with the number of log entries delivered to it and the snapshot on its
 // disk.
 type replica struct {
 	machine    *stateMachine
@@ -60,29 +62,30 @@
 	snapshotAt int
 }
 
-// pendingRequest is a request that was sent and has no answer yet.
+// pendingRequest is a request that was sent and has not been answered yet.
 type pendingRequest struct {
-	request  int   // position in simulation.requests
-	called   int64 // by the simulation's clock
-	result   <-chan proposalResult
-	proposal proposalID
+	request   int   // position in simulation.requests
+	invokedAt int64 // on the simulation's clock
+	result    <-chan proposalResult
+	proposal  proposalID
 }
 
-// simulation is a replicated log with its replicas, and operators that send change requests to it.
+// simulation is a replicated log with its replicas, and operators that send change requests to the
+// leader.
 type simulation struct {
 	t            *testing.T
 	rng          *rand.Rand
 	requests     []testRequest
 	start        modelState
 	committed    [][]byte
-	pending      [][]byte // proposed by the leader, not committed
-	delayed      []int    // requests of which a copy is still on its way
+	uncommitted  [][]byte // commands proposed by the leader and not yet committed
+	delayed      []int    // requests of which a copy arrives later
 	replicas     [replicas]*replica
 	leader       int
 	waiting      []pendingRequest
 	clock        int64
 	lastProposal proposalID
-	done         []porcupine.Operation
+	operations   []porcupine.Operation
 	counts       *answerCounts
 }
 
@@ -97,9 +100,9 @@
 	for i := range sim.replicas {
 		sim.replicas[i] = &replica{}
 	}
-	if seed%4 == 0 { // a quarter of the histories begins with a full request log
+	if seed%4 == 0 { // a quarter of the histories begin with a full request log
 		sim.requests = append(sim.requests, fullRequestLog().requests...)
-		sim.start = modelState{newest: earlierRequests - 1, applied: 1<<earlierRequests - 1}
+		sim.start = modelState{newest: priorRequests - 1, applied: 1<<priorRequests - 1}
 		for _, r := range sim.replicas {
 			r.snapshot = fullRequestLog().snapshot
 		}
@@ -115,7 +118,7 @@
 	return sim.clock
 }
 
-// restart has a replica start again from the snapshot on its disk.
+// restart restarts a replica from the snapshot on its disk.
 func (sim *simulation) restart(r *replica) {
 	r.machine, r.delivered = newStateMachine(zap.NewNop(), func() {}), r.snapshotAt
 	if r.snapshot != nil {
@@ -124,7 +127,7 @@
 	}
 }
 
-// catchUp delivers up to n entries to a replica.
+// catchUp delivers up to n committed entries to a replica and checks that the replica applies them.
 func (sim *simulation) catchUp(r *replica, n int) {
 	for ; n > 0 && r.delivered < len(sim.committed); n-- {
 		r.machine.apply(replication.Index(r.delivered+1), sim.committed[r.delivered])
@@ -132,12 +135,12 @@
 	}
 	finishQueue(r.machine)
 	if got := r.machine.appliedIndex(); got != replication.Index(r.delivered) {
-		sim.t.Fatalf("applied %d of %d", got, r.delivered)
+		sim.t.Fatalf("replica applied entries up to %d, want %d", got, r.delivered)
 	}
 }
 
-// drawRequest draws a request on the version that is in force, on one before or on one to come. It may
-// be one that was drawn before.
+// drawRequest returns a random request on the version in force, an earlier one or a later one. If the
+// same request was sent before, drawRequest returns that request.
 func (sim *simulation) drawRequest() int {
 	base := sim.replicas[sim.leader].machine.Current()
 	if sim.rng.IntN(4) == 0 {
@@ -147,7 +150,7 @@
 		version: base + 1 + int64(sim.rng.IntN(3)),
 		base:    base,
 		service: string(rune('a' + sim.rng.IntN(3))),
-		broken:  sim.rng.IntN(8) == 0,
+		invalid: sim.rng.IntN(8) == 0,
 	}
 	if sim.rng.IntN(10) == 0 {
 		request.version = base
@@ -161,20 +164,20 @@
 	return len(sim.requests) - 1
 }
 
-// send sends a request, a new one or any of those before, to whoever leads.
+// send sends a new or an earlier request to the leader.
 func (sim *simulation) send() {
 	i := sim.rng.IntN(len(sim.requests) + 1)
 	if sim.rng.IntN(2) == 0 || i == len(sim.requests) {
 		i = sim.drawRequest()
 	}
-	sent := pendingRequest{request: i, called: sim.now()}
+	sent := pendingRequest{request: i, invokedAt: sim.now()}
 	switch sim.rng.IntN(12) {
-	case 0: // lost on its way, or so it seems: a copy may arrive much later
+	case 0: // the request seems to be lost, but a copy may arrive much later
 		sim.delayed = append(sim.delayed, i)
-		sim.recordAnswer(sent, unclear)
+		sim.recordAnswer(sent, undetermined)
 		return
-	case 1: // it reaches one that led before
-		sim.recordAnswer(sent, unclear)
+	case 1: // the request reaches a former leader
+		sim.recordAnswer(sent, undetermined)
 		return
 	}
 	sent.proposal = sim.propose(i)
@@ -182,88 +185,91 @@
 	sim.waiting = append(sim.waiting, sent)
 }
 
-// propose proposes a request in a drawn spelling.
+// propose proposes a request in a random JSON encoding.
 func (sim *simulation) propose(i int) proposalID {
 	sim.lastProposal++
 	change, err := config.ParseReplace([]byte(sim.requests[i].body(sim.rng.IntN(3))))
 	if err != nil {
 		sim.t.Fatal(err)
 	}
-	sim.pending = append(sim.pending, encodeCommand(sim.lastProposal, change))
+	sim.uncommitted = append(sim.uncommitted, encodeCommand(sim.lastProposal, change))
 	return sim.lastProposal
 }
 
-// recordAnswer records what an operator got. Without a clear answer the request may take effect later.
+// recordAnswer records the answer that an operator received. A request with an undetermined answer may
+// take effect at any later time, so its operation never returns.
 func (sim *simulation) recordAnswer(sent pendingRequest, a answer) {
 	sim.counts[a]++
-	returned := sim.now()
-	if a == unclear {
-		returned = math.MaxInt64
+	returnedAt := sim.now()
+	if a == undetermined {
+		returnedAt = math.MaxInt64
 	}
-	sim.record(call{sent.request}, sent.called, reply{answer: a}, returned)
+	sim.record(operationInput{sent.request}, sent.invokedAt, operationOutput{answer: a}, returnedAt)
 }
 
-func (sim *simulation) record(input call, called int64, output reply, returned int64) {
-	sim.done = append(sim.done, porcupine.Operation{
-		ClientId: len(sim.done),
+func (sim *simulation) record(input operationInput, invokedAt int64, output operationOutput, returnedAt int64) {
+	sim.operations = append(sim.operations, porcupine.Operation{
+		ClientId: len(sim.operations),
 		Input:    input,
-		Call:     called,
+		Call:     invokedAt,
 		Output:   output,
-		Return:   returned,
+		Return:   returnedAt,
 	})
 }
 
-// collect receives the results that are there; some answers are lost.
+// collect receives the results that have arrived.
 func (sim *simulation) collect() {
-	var still []pendingRequest
+	var unanswered []pendingRequest
 	for _, sent := range sim.waiting {
 		select {
 		case result := <-sent.result:
 			sim.recordAnswer(sent, sim.answerOf(result))
 		default:
-			still = append(still, sent)
+			unanswered = append(unanswered, sent)
 		}
 	}
-	sim.waiting = still
+	sim.waiting = unanswered
 }
 
-// answerOf is what reaches the operator of a result.
+// answerOf returns the answer that the operator sees for a result. Some answers are lost on their way.
 func (sim *simulation) answerOf(result proposalResult) answer {
 	switch {
 	case sim.rng.IntN(6) == 0 || result.err != nil && errs.KindOf(result.err).Status() >= 500:
-		return unclear
+		return undetermined
 	case result.err != nil:
 		return rejected
 	}
-	return confirmed
+	return acknowledged
 }
 
-// abandon leaves all who wait without a clear answer.
-func (sim *simulation) abandon(r *replica) {
+// abandonWaiting gives an undetermined answer to all requests that wait for a result from the replica.
+func (sim *simulation) abandonWaiting(r *replica) {
 	for _, sent := range sim.waiting {
 		r.machine.forgetResult(sent.proposal)
-		sim.recordAnswer(sent, unclear)
+		sim.recordAnswer(sent, undetermined)
 	}
 	sim.waiting = nil
 }
 
-// changeLeader makes a drawn replica the leader, which has some of what was not committed.
+// changeLeader makes a random replica the leader. The new leader has a random prefix of the uncommitted
+// commands.
 func (sim *simulation) changeLeader() {
-	sim.abandon(sim.replicas[sim.leader])
+	sim.abandonWaiting(sim.replicas[sim.leader])
 	sim.leader = sim.rng.IntN(replicas)
-	sim.pending = sim.pending[:sim.rng.IntN(len(sim.pending)+1)]
+	sim.uncommitted = sim.uncommitted[:sim.rng.IntN(len(sim.uncommitted)+1)]
 }
 
-// read describes the configuration at the leader, which has first applied all that is committed.
+// read records a read of the configuration at the leader, after the leader has applied all committed
+// entries.
 func (sim *simulation) read() {
-	called, r := sim.now(), sim.replicas[sim.leader]
+	invokedAt, r := sim.now(), sim.replicas[sim.leader]
 	sim.catchUp(r, len(sim.committed))
 	sim.collect()
 	document := ""
 	if r.machine.Current() > 0 {
 		document = strings.ReplaceAll(string(r.machine.currentConfig().Document()), `\u0065`, "e")
 	}
-	sim.record(call{reading}, called, reply{document: document}, sim.now())
+	sim.record(operationInput{readOperation}, invokedAt, operationOutput{document: document}, sim.now())
 }
 
 func (sim *simulation) step() {
@@ -272,8 +278,8 @@
 	case 0, 1, 2, 3, 4:
 		sim.send()
 	case 5, 6, 7, 8:
-		n := sim.rng.IntN(len(sim.pending) + 1)
-		sim.committed, sim.pending = append(sim.committed, sim.pending[:n]...), sim.pending[n:]
+		n := sim.rng.IntN(len(sim.uncommitted) + 1)
+		sim.committed, sim.uncommitted = append(sim.committed, sim.uncommitted[:n]...), sim.uncommitted[n:]
 		sim.catchUp(sim.replicas[sim.leader], sim.rng.IntN(4))
 		sim.collect()
 	case 9, 10:
@@ -305,7 +311,8 @@
 	}
 }
 
-// installSnapshot has a replica take another's snapshot, if that is ahead.
+// installSnapshot restores another replica's snapshot on a replica, if the snapshot is ahead of the
+// replica.
 func (sim *simulation) installSnapshot(r, from *replica) {
 	if from.snapshotAt <= r.delivered {
 		return
@@ -315,27 +322,28 @@
 	sim.catchUp(r, 0)
 	sim.collect()
 	if r == sim.replicas[sim.leader] && len(sim.waiting) > 0 {
-		sim.t.Fatal("a result is awaited that a snapshot includes")
+		sim.t.Fatal("a request still waits for a result after its leader has restored a snapshot")
 	}
 }
 
-// finish has everything arrive that is on its way, and checks that all replicas agree.
+// finish delivers all delayed requests, commits all commands, and checks that all replicas have the same
+// configuration.
 func (sim *simulation) finish() {
 	for _, i := range sim.delayed {
 		sim.propose(i)
 	}
-	sim.committed = append(sim.committed, sim.pending...)
+	sim.committed = append(sim.committed, sim.uncommitted...)
 	sim.read()
-	called := sim.now()
-	sim.record(call{endOfHistory}, called, reply{}, sim.now())
+	invokedAt := sim.now()
+	sim.record(operationInput{endOfHistory}, invokedAt, operationOutput{}, sim.now())
 	if len(sim.waiting) > 0 {
-		sim.t.Fatalf("%d results never arrived", len(sim.waiting))
+		sim.t.Fatalf("%d requests have no result after all commands were applied", len(sim.waiting))
 	}
 	want := encoded(sim.replicas[sim.leader].machine.currentConfig())
 	for _, r := range sim.replicas {
 		sim.catchUp(r, len(sim.committed))
 		if got := encoded(r.machine.currentConfig()); got != want {
-			sim.t.Fatalf("the replicas differ:\n%s\n%s", got, want)
+			sim.t.Fatalf("configurations of the replicas differ:\ngot  %s\nwant %s", got, want)
 		}
 	}
 }
--- a/internal/mesh/controlplane/requests.go
+++ b/internal/mesh/controlplane/requests.go
@@ -15,28 +15,30 @@
 )
 
 const (
-	// changeTimeout bounds a change request: operators' clients go on to another machine after a
-	// second without an answer, longer for large bodies.
+	// changeTimeout bounds a change request. Operators' clients try another machine after one second
+	// without an answer, and later than that if the request body is large.
 	changeTimeout = 900 * time.Millisecond
-	// changeTimePerByte is added to that for each byte of its body.
-	changeTimePerByte = time.Microsecond
-	// appliedTimeout is how long an operator's answer waits for sidecars that have not applied the
-	// change: it is complete without them, and pushes to them go on.
-	appliedTimeout = 350 * time.Millisecond
+	// changeTimeoutPerByte is added to changeTimeout for each byte of the request body.
+	changeTimeoutPerByte = time.Microsecond
+	// waitAppliedTimeout bounds how long the answer to an operator waits for sidecars that have not applied
+	// the change. The change is committed by then, and pushes to these sidecars continue after the
+	// answer.
+	waitAppliedTimeout = 350 * time.Millisecond
 )
 
-// The paths at which the leader receives what reached another core machine: the two forms of a
-// change request, and the request for the configuration, which it answers once it has confirmed
-// that it leads.
+// Paths at which the leader serves requests that other core machines forward: the two forms of a change
+// request, and the request for the configuration. The leader answers the latter once a majority has
+// confirmed its leadership.
 const (
 	proposeReplacePath = "/mesh/propose/whole"
 	proposeUpdatePath  = "/mesh/propose/part"
 	describePath       = "/mesh/describe"
 )
 
-// changeForm is one of the two forms of a change request.
+// changeForm is a form of change request: a replacement of the whole configuration or an update of some
+// items.
 type changeForm struct {
-	// path is where the leader receives it from other core machines.
+	// path is the path at which the leader serves this form for other core machines.
 	path  string
 	parse func(body []byte) (*config.Change, error)
 }
@@ -46,7 +48,8 @@
 	updateForm  = changeForm{path: proposeUpdatePath, parse: config.ParseUpdate}
 )
 
-// serveForwardedRequests serves what other core machines forward to the leader.
+// serveForwardedRequests registers the routes for requests that other core machines forward to the
+// leader.
 func (s *Server) serveForwardedRequests(mux *http.ServeMux) {
 	for _, form := range []changeForm{replaceForm, updateForm} {
 		rpc.HandleRaw(mux, form.path, api.MaxChangeBytes,
@@ -73,31 +76,32 @@
 	return s.change(r, updateForm, body)
 }
 
-// change applies an operator's change request. It rejects only what is invalid by the body alone: no
-// such request can have been applied before. All else is decided by the state machine, in the order
-// of the log.
+// change applies an operator's change request. Before the proposal it rejects only a request whose body
+// is invalid by itself, since such a request can't have been applied earlier. The state machine decides
+// on all other requests, in log order.
 func (s *Server) change(r *http.Request, form changeForm, body []byte) (*meshapi.ChangeResponse, error) {
 	change, err := form.parse(body)
 	if err != nil {
 		return nil, err
 	}
-	timeout := changeTimeout + time.Duration(len(body))*changeTimePerByte
+	timeout := changeTimeout + time.Duration(len(body))*changeTimeoutPerByte
 	ctx, cancel := context.WithTimeout(r.Context(), timeout)
 	defer cancel()
-	leader, isOwn, err := s.leaderForRequest()
+	leader, isLocal, err := s.leaderForRequest()
 	switch {
 	case err != nil:
 		return nil, err
-	case isOwn:
+	case isLocal:
 		return s.propose(ctx, change)
 	}
 	response, err := rpc.Post[meshapi.ChangeResponse](ctx, s.client, "http://"+leader+form.path, body)
 	return api.CheckForwarded(change.Version(), response, err)
 }
 
-// propose puts a change into the log and waits until the state machine here has decided on it, and,
-// for a while, until sidecars have applied it. It answers only once the command is committed, so no
-// answer, 200 and 412 alike, rests on an entry that may be lost.
+// propose appends a change to the log and waits until the state machine of this machine has applied or
+// rejected it. If the change was applied, propose also waits, for at most waitAppliedTimeout, until the
+// sidecars have applied it. propose answers only after the command is committed, so neither a success
+// (200) nor a rejection (412) depends on a log entry that may still be lost.
 func (s *Server) propose(ctx context.Context, change *config.Change) (*meshapi.ChangeResponse, error) {
 	node, err := s.runningNode()
 	if err != nil {
@@ -113,7 +117,7 @@
 	if err != nil {
 		return nil, err
 	}
-	waitCtx, cancel := context.WithTimeout(ctx, appliedTimeout)
+	waitCtx, cancel := context.WithTimeout(ctx, waitAppliedTimeout)
 	defer cancel()
 	if behind := s.watchServer.WaitApplied(waitCtx, version); behind > 0 {
 		s.log.Info("change acknowledged before all sidecars applied it",
@@ -123,22 +127,22 @@
 	return &meshapi.ChangeResponse{ConfigVersion: version}, nil
 }
 
-// Describe is the configuration, as the leader has it once it knows that no other member leads.
+// Describe returns the configuration of the leader, read after a majority has confirmed the leadership.
 func (s *Server) Describe(r *http.Request) (*json.RawMessage, error) {
 	ctx, cancel := context.WithTimeout(r.Context(), changeTimeout)
 	defer cancel()
-	leader, isOwn, err := s.leaderForRequest()
+	leader, isLocal, err := s.leaderForRequest()
 	switch {
 	case err != nil:
 		return nil, err
-	case isOwn:
+	case isLocal:
 		return s.describeAsLeader(ctx)
 	}
 	return api.FetchDocument(ctx, s.client, "http://"+leader+describePath)
 }
 
-// describeAsLeader returns the configuration once a majority has confirmed that this member leads, and
-// once all that was committed by then is applied.
+// describeAsLeader returns this member's configuration once a majority has confirmed that this member is
+// the leader and all entries committed by then have been applied.
 func (s *Server) describeAsLeader(ctx context.Context) (*json.RawMessage, error) {
 	node, err := s.runningNode()
 	if err != nil {
--- a/internal/mesh/controlplane/server.go
+++ b/internal/mesh/controlplane/server.go
@@ -1,10 +1,11 @@
-// Package controlplane is a core machine of the mesh. It stores the configuration as one replica of
-// those that agree on it, applies operators' change requests to it, pushes it to the sidecars and
-// keeps their leases. While it leads it also allocates the tenants' quotas and chooses the voters.
+// Package controlplane implements a core machine of the mesh. A core machine holds a replica of the
+// configuration, applies operators' change requests to it, pushes it to the sidecars and keeps the
+// sidecars' leases. The leader also allocates the tenants' quota tokens and chooses the voters.
 //
-// Run owns everything that it starts. When it returns the replica with its disk and the listeners are
-// closed, and the watch server and the loops that announce this machine and manage the voters have been
-// cancelled. All other functions are called by those, from any goroutine.
+// Run owns all resources that it starts. When Run returns, the replica, its storage and the listeners
+// are closed, and the watch server and the goroutines that announce this machine and manage the voters
+// have been cancelled. Run, these goroutines and the HTTP
+// handlers call all other functions, concurrently.
 package controlplane
 
 import (
@@ -27,20 +28,20 @@
 )
 
 const (
-	// dialTimeout is how long a connection to another machine may take to open.
+	// dialTimeout bounds the time to open a connection to another machine.
 	dialTimeout = 300 * time.Millisecond
-	// defaultQuotaWindow holds where the settings name none.
+	// defaultQuotaWindow is the quota window if the settings contain none.
 	defaultQuotaWindow = time.Second
 )
 
-// Server is a running core machine.
+// Server is a core machine of the control plane.
 type Server struct {
 	settings     *settings.Settings
 	log          *zap.Logger
 	client       *http.Client
 	startedAt    time.Time
 	memberList   *cluster.MemberList
-	node         atomic.Pointer[replication.Node] // nil until this machine belongs to a cluster
+	node         atomic.Pointer[replication.Node] // nil until the replica has started
 	watchServer  *watch.Server
 	stateMachine *stateMachine
 
@@ -53,8 +54,8 @@
 	propagation   propagation
 }
 
-// Run runs a core machine until ctx ends and this machine has left in order, or until it fails. Settings
-// that are read again arrive by reload. Errors are of the kinds of package errs.
+// Run runs a core machine until ctx ends and the machine has left the cluster in order, or until it
+// fails. Reloaded settings are received on reload. Errors are of the kinds of package errs.
 func Run(
 	ctx context.Context, set *settings.Settings, reload <-chan *settings.Settings, log *zap.Logger,
 ) error {
@@ -99,7 +100,8 @@
 	})
 }
 
-// configurationChanged pushes another version in force to the sidecars.
+// configurationChanged pushes the new configuration to the sidecars after a different version has taken
+// effect.
 func (s *Server) configurationChanged() {
 	if s.watchServer != nil {
 		s.watchServer.Publish()
@@ -107,18 +109,19 @@
 }
 
 func (s *Server) run(ctx context.Context, reload <-chan *settings.Settings) error {
-	// The machine keeps serving while it transfers leadership, so its loops outlast ctx.
+	// The machine keeps serving while it transfers leadership, so its goroutines run until after ctx has
+	// ended.
 	running, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
 	go s.watchSettings(running, reload)
-	shareHolders := s.restoredShareHolders()
+	shareHolders := s.restoreShareHolders()
 	s.watchServer = s.newWatchServer(shareHolders)
 	failed, closeListeners, err := s.listen()
 	if err != nil {
 		return err
 	}
 	defer closeListeners()
-	store, state, err := s.openIdentity(ctx)
+	store, state, err := s.openInitializedStore(ctx)
 	if err != nil {
 		return err
 	}
@@ -129,7 +132,7 @@
 	defer closeReplica()
 	go s.watchServer.Run(running)
 	go s.logLagging(running)
-	go s.keepShareHolders(running, slices.Clone(shareHolders))
+	go s.persistShareHolders(running, slices.Clone(shareHolders))
 	s.log.Info("serving",
 		zap.String("member", string(state.ID)), zap.Any("voters", node.Status().Membership.Voters))
 	select {
@@ -156,8 +159,8 @@
 	})
 }
 
-// watchSettings applies reloaded settings until ctx ends: of them only the seeds, the addresses at
-// which other machines may be found, can change.
+// watchSettings applies reloaded settings until ctx ends. Only the seed addresses, at which other core
+// machines may be found, can change without a restart.
 func (s *Server) watchSettings(ctx context.Context, reload <-chan *settings.Settings) {
 	for {
 		select {
@@ -172,13 +175,13 @@
 	}
 }
 
-// ownAddress is this machine's internal address.
+// ownAddress returns this machine's internal address.
 func (s *Server) ownAddress() string { return s.settings.OwnInternalAddress() }
 
-// now is the time since the start, by a steady clock.
+// now returns the time since the start of the server, by a monotonic clock.
 func (s *Server) now() time.Duration { return time.Since(s.startedAt) }
 
-// sleep waits and says whether it did, false when ctx ended first.
+// sleep waits for d. It returns false if ctx ended first.
 func sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-time.After(d):
--- a/internal/mesh/controlplane/share_holders.go
+++ b/internal/mesh/controlplane/share_holders.go
@@ -17,31 +17,35 @@
 )
 
 const (
-	// shareHoldersName is the file in the data directory that holds a shareHoldersFile.
-	shareHoldersName = "sidecars.json"
-	// shareHoldersInterval is the time between two looks at the sidecars. It guards the disk against a write
-	// for each sidecar that comes.
-	shareHoldersInterval = time.Second
-	// maxShareHoldersBytes bounds the file. It guards the memory against one that is no such file, and spans
-	// as many sidecars as a registry holds.
+	// shareHoldersFileName is the name of the file in the data directory that contains the share holders as
+	// JSON.
+	shareHoldersFileName = "sidecars.json"
+	// shareHoldersCheckInterval is the time between checks for changed share holders. It limits the writes to
+	// the disk while many sidecars start one after another.
+	shareHoldersCheckInterval = time.Second
+	// maxShareHoldersBytes bounds the size of the file that is read, to protect the memory against a
+	// file of other content. It is large enough for as many sidecars as a registry holds.
 	maxShareHoldersBytes = 4 << 20
 )
 
-// shareHoldersFile is what a core machine remembers of the sidecars across its restarts. Tenants' limits are
-// divided by their number, and the leases that it is counted from are in memory alone: while a machine that
-// has just started hears from them one by one, a sidecar that hears a part of the number would take too
-// large a share, and so it would where silent ones are forgotten.
+// shareHoldersFile is the content of the file in which a core machine keeps the names of the share
+// holders, the sidecars that may hold a share of the tenants' limits, across restarts.
+//
+// Each sidecar's share is a limit divided by the number of share holders, which is counted from leases
+// in memory. A core machine that has just started receives these leases one by one. Without the file it
+// would report too small a number to the sidecars, and each of them would take too large a share. The
+// same would happen if sidecars that have stopped renewing their leases were left out.
 type shareHoldersFile struct {
-	Sidecars []string `json:"sidecars"` // that have not left in order, by name
+	Sidecars []string `json:"sidecars"` // names of the sidecars that have not shut down in order
 }
 
-// loadShareHolders reads the sidecars in a data directory, none if there is no file, and removes what writers
-// that were killed have left. An error is DiskFailed if the file can't be read and Malformed if it makes no
-// sense; there are none then.
+// loadShareHolders reads the share holders' names from a data directory, and removes temporary files
+// that interrupted writes have left there. It returns no names if there is no file. The error is
+// DiskFailed if the file can't be read, and Malformed if its content is invalid.
 func loadShareHolders(directory string) ([]string, error) {
-	path := filepath.Join(directory, shareHoldersName)
+	path := filepath.Join(directory, shareHoldersFileName)
 	if err := durable.RemoveTemporary(path); err != nil {
-		return nil, errs.Wrap(err, errs.DiskFailed, "remove what was left beside %s", path)
+		return nil, errs.Wrap(err, errs.DiskFailed, "remove temporary files of interrupted writes of %s", path)
 	}
 	data, err := durable.ReadBounded(path, maxShareHoldersBytes)
 	switch {
@@ -57,27 +61,29 @@
 		return nil, errs.Wrap(err, errs.Malformed, "read %s", path)
 	}
 	if len(file.Sidecars) > registry.MaxLeases || slices.Contains(file.Sidecars, "") {
-		return nil, errs.New(errs.Malformed, "read %s: %d sidecars, or one without a name", path, len(file.Sidecars))
+		return nil, errs.New(errs.Malformed, "read %s: got %d sidecar names: too many, or one is empty",
+			path, len(file.Sidecars))
 	}
 	return file.Sidecars, nil
 }
 
-// saveShareHolders replaces the sidecars in a data directory, so that after a loss of power the file holds
-// either those before or these. An error is of kind DiskFailed.
+// saveShareHolders atomically replaces the file of share holders in a data directory: after a power
+// failure the file contains either the previous names or the new ones. The error is of kind DiskFailed.
 func saveShareHolders(directory string, names []string) error {
 	data, err := json.Marshal(shareHoldersFile{Sidecars: names})
 	if err != nil {
-		return errs.Wrap(err, errs.Internal, "encode the sidecars")
+		return errs.Wrap(err, errs.Internal, "encode the names of the share holders")
 	}
-	path := filepath.Join(directory, shareHoldersName)
+	path := filepath.Join(directory, shareHoldersFileName)
 	if err := durable.Replace(path, data); err != nil {
 		return errs.Wrap(err, errs.DiskFailed, "replace %s", path)
 	}
 	return nil
 }
 
-// restoredShareHolders is loadShareHolders, and none with a log line where that fails.
-func (s *Server) restoredShareHolders() []string {
+// restoreShareHolders returns the names from loadShareHolders. If loading fails, it logs the error and
+// returns no names.
+func (s *Server) restoreShareHolders() []string {
 	names, err := loadShareHolders(s.settings.Self.DataDirectory)
 	if err != nil {
 		s.log.Warn("sidecars not read, counting anew", zap.Error(err))
@@ -85,10 +91,11 @@
 	return names
 }
 
-// keepShareHolders saves the sidecars when they change, until ctx ends. A failed write is tried again.
-func (s *Server) keepShareHolders(ctx context.Context, saved []string) {
+// persistShareHolders saves the share holders whenever they have changed, until ctx ends. A failed write is
+// retried after shareHoldersCheckInterval.
+func (s *Server) persistShareHolders(ctx context.Context, saved []string) {
 	slices.Sort(saved)
-	for sleep(ctx, shareHoldersInterval) {
+	for sleep(ctx, shareHoldersCheckInterval) {
 		names := s.watchServer.ShareHolders()
 		slices.Sort(names)
 		if slices.Equal(names, saved) {
--- a/internal/mesh/controlplane/share_holders_test.go
+++ b/internal/mesh/controlplane/share_holders_test.go
@@ -14,8 +14,8 @@
 	"caperarch/internal/mesh/registry"
 )
 
-func TestShareHoldersOutliveRestart(t *testing.T) {
-	Convey("The sidecars are read as they were saved; a file that makes no sense counts as none", t, func() {
+func TestShareHoldersSurviveRestart(t *testing.T) {
+	Convey("Share holders are loaded as they were saved; a malformed file yields an error and no names", t, func() {
 		directory := t.TempDir()
 		names, err := loadShareHolders(directory)
 		So(err, ShouldBeNil)
@@ -30,16 +30,16 @@
 		So(err, ShouldBeNil)
 		for _, content := range []string{"", "{", `{"sidecars":-1}`, `{"sidecars":12}`, `{"sidecars":[""]}`,
 			string(tooMany), strings.Repeat(" ", maxShareHoldersBytes+1)} {
-			path := filepath.Join(directory, shareHoldersName)
+			path := filepath.Join(directory, shareHoldersFileName)
 			So(os.WriteFile(path, []byte(content), 0o600), ShouldBeNil)
 			names, err = loadShareHolders(directory)
 			So(errs.KindOf(err), ShouldEqual, errs.Malformed)
 			So(names, ShouldBeEmpty)
 		}
-		abandoned := filepath.Join(directory, shareHoldersName+".1.tmp")
-		So(os.WriteFile(abandoned, nil, 0o600), ShouldBeNil)
+		temporaryFile := filepath.Join(directory, shareHoldersFileName+".1.tmp")
+		So(os.WriteFile(temporaryFile, nil, 0o600), ShouldBeNil)
 		_, _ = loadShareHolders(directory)
-		_, err = os.Stat(abandoned)
+		_, err = os.Stat(temporaryFile)
 		So(os.IsNotExist(err), ShouldBeTrue)
 		So(errs.KindOf(saveShareHolders(filepath.Join(directory, "none"), nil)), ShouldEqual, errs.DiskFailed)
 	})
--- a/internal/mesh/controlplane/statemachine.go
+++ b/internal/mesh/controlplane/statemachine.go
@@ -11,33 +11,37 @@
 	"go.uber.org/zap"
 )
 
-// stateMachine is the replicated state machine of the log: the configuration after the commands so
-// far. Each command is an operator's change behind the id of its proposal, and is applied in the log's
-// order on every replica. Decoding one may take long (10,000 routes: a third of a second and more), so
-// the replica's loop only queues it, and a goroutine that lives while the queue isn't empty applies
-// it. All methods may be called from any goroutine.
+// stateMachine is the replicated state machine of this core machine. It holds the configuration that
+// results from the commands applied so far. Each command is an operator's change preceded by the ID of
+// its proposal, and every replica applies the commands in log order.
+//
+// Decoding a command may take a third of a second or more (10,000 routes). The replica's loop therefore
+// only queues log items, and a separate goroutine, which runs while the queue isn't empty, applies them.
+// All methods are safe for concurrent use.
 type stateMachine struct {
 	log *zap.Logger
-	// configurationChanged is called, without the lock, when another version is in force.
+	// configurationChanged is called, without mu held, when a different configuration version takes
+	// effect.
 	configurationChanged func()
 
 	// mu guards the fields below.
 	mu            sync.Mutex
 	configuration *config.Snapshot
-	retained      []*config.Change // that led to it, the newest last
+	retained      []*config.Change // the last changes applied to configuration, the newest last
 	proposals     map[proposalID]chan proposalResult
 	queue         []logItem
-	running       bool          // a goroutine processes the queue
-	enqueued      uint64        // items so far
-	processed     uint64        // of these, items that are complete
-	progress      chan struct{} // closed, and made anew, whenever processed grows
-	applied       replication.Index
-	// corrupted is set from a snapshot that can't be decoded to the next one that can: entries in
-	// between would be applied to the wrong state.
+	running       bool          // processQueue is running
+	enqueued      uint64        // number of log items queued since the start
+	processed     uint64        // number of log items fully processed since the start
+	progress      chan struct{} // closed and replaced whenever processed increases
+	// applied is the index returned by appliedIndex.
+	applied replication.Index
+	// corrupted is set when a snapshot can't be decoded and cleared when a later snapshot can. While it
+	// is set, commands are not applied, since they would change the wrong state.
 	corrupted bool
 }
 
-// logItem is an entry of the log, or a snapshot in place of all entries up to its index.
+// logItem is either a log entry or a snapshot that replaces all entries up to and including index.
 type logItem struct {
 	index      replication.Index
 	data       []byte
@@ -54,31 +58,32 @@
 	}
 }
 
-// currentConfig is the configuration in force.
+// currentConfig returns the configuration in force.
 func (m *stateMachine) currentConfig() *config.Snapshot {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.configuration
 }
 
-// Current is the version in force.
+// Current returns the configuration version in force.
 func (m *stateMachine) Current() int64 { return m.currentConfig().Version() }
 
-// appliedIndex is the index up to which everything that the log handed over has been applied. After a
-// snapshot that could not be decoded it does not advance until one arrives that can.
+// appliedIndex returns the index up to which all log items have been applied. After a snapshot that
+// could not be decoded, the index does not advance until a snapshot that can be decoded has been
+// restored.
 func (m *stateMachine) appliedIndex() replication.Index {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.applied
 }
 
-// apply queues the command of an entry. An entry without a change, such as a new leader's first one,
-// only advances the applied index.
+// apply queues the command of a log entry. An entry without a command, such as the first entry of a new
+// leader, only advances the applied index.
 func (m *stateMachine) apply(index replication.Index, command []byte) {
 	m.enqueue(logItem{index: index, data: command})
 }
 
-// restore queues a snapshot in place of all entries up to its index.
+// restore queues a snapshot that replaces all entries up to and including index.
 func (m *stateMachine) restore(index replication.Index, data []byte) {
 	m.enqueue(logItem{index: index, data: data, isSnapshot: true})
 }
@@ -94,7 +99,7 @@
 	}
 }
 
-// processQueue processes the queue in order until it is empty.
+// processQueue processes the queued log items in order and returns when the queue is empty.
 func (m *stateMachine) processQueue() {
 	for {
 		item, ok := m.dequeue()
@@ -111,7 +116,8 @@
 	}
 }
 
-// dequeue removes the first item from the queue. If there is none the calling goroutine has to end.
+// dequeue removes and returns the first item of the queue. If the queue is empty, ok is false and
+// running is cleared, so the calling goroutine must end.
 func (m *stateMachine) dequeue() (item logItem, ok bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -137,7 +143,7 @@
 	m.advance(index)
 }
 
-// advance counts an item as processed and wakes those who wait for that. The caller holds the lock.
+// advance counts a log item as processed and wakes the waitProcessed calls. The caller holds mu.
 func (m *stateMachine) advance(index replication.Index) {
 	m.processed++
 	if !m.corrupted {
@@ -147,8 +153,9 @@
 	m.progress = make(chan struct{})
 }
 
-// waitProcessed waits until all is applied that the log has handed over so far. An error of kind
-// Internal says that the configuration could not be decoded from its snapshot.
+// waitProcessed waits until all log items queued before the call have been processed. It returns an
+// error of kind Internal if the newest snapshot could not be decoded, and DeadlineExceeded if ctx ends
+// first.
 func (m *stateMachine) waitProcessed(ctx context.Context) error {
 	m.mu.Lock()
 	target := m.enqueued
@@ -171,14 +178,16 @@
 	}
 }
 
-// applyCommand applies a command of the log and completes its proposal if it was made here.
+// applyCommand applies the command of a log entry. If this member proposed the command, applyCommand
+// also delivers the result of the proposal.
 func (m *stateMachine) applyCommand(index replication.Index, command []byte) {
 	if len(command) <= proposalIDSize {
 		return
 	}
 	id, change, err := decodeCommand(command)
 	if err != nil {
-		// The operator's body was parsed before it was proposed, so this is no rejection of it.
+		// The proposer parsed the operator's request before proposing it, so a decoding error does not
+		// mean that the change is rejected.
 		m.completeProposal(id, proposalResult{
 			err: errs.Wrap(err, errs.Internal, "a command of the log can't be read"),
 		})
@@ -196,8 +205,8 @@
 	}
 }
 
-// applyChange puts the configuration after a change in force, and returns the version that the change
-// brought or had brought before, else the one in force.
+// applyChange applies a change to the configuration. If the change is applied now or was applied earlier
+// (a duplicate), it returns the version of the change; otherwise it returns the version in force.
 func (m *stateMachine) applyChange(change *config.Change) (int64, config.Outcome, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -216,8 +225,8 @@
 	return next.Version(), outcome, err
 }
 
-// restoreSnapshot puts the configuration of a snapshot in force, and reports whether it could be
-// decoded.
+// restoreSnapshot replaces the configuration by that of a snapshot, and reports whether the snapshot
+// could be decoded.
 func (m *stateMachine) restoreSnapshot(data []byte) (restored bool) {
 	next, err := config.Decode(data)
 	m.mu.Lock()
@@ -233,7 +242,8 @@
 	return true
 }
 
-// snapshot is the state where all that the log has handed over is applied, and nil while it isn't.
+// snapshot returns the encoded configuration, or nil while queued log items are unprocessed or the state
+// is corrupted.
 func (m *stateMachine) snapshot() []byte {
 	m.mu.Lock()
 	configuration, ready := m.configuration, m.processed == m.enqueued && !m.corrupted
--- a/internal/mesh/controlplane/statemachine_test.go
+++ b/internal/mesh/controlplane/statemachine_test.go
@@ -13,7 +13,7 @@
 
 func TestStateMachine(t *testing.T) {
 	ctx := context.Background()
-	Convey("Commands are applied in order, a rejected one changes nothing, and each proposer gets its result", t, func() {
+	Convey("Commands are applied in order, rejected ones change nothing, and each proposer gets its result", t, func() {
 		changes := 0
 		m := newStateMachine(zap.NewNop(), func() { changes++ })
 		So(m.FullConfig(), ShouldBeNil)
@@ -21,11 +21,11 @@
 		third, fourth := m.expectResult(3), m.expectResult(4)
 		forgotten, truncated := m.expectResult(6), m.expectResult(7)
 		m.forgetResult(6)
-		m.apply(1, []byte("a view"))
+		m.apply(1, []byte("no op"))
 		m.apply(2, encodeCommand(1, replaceChange(3, 0, "a", "b")))
-		m.apply(3, encodeCommand(2, removeChange(5, 0, "a"))) // builds on an old version
+		m.apply(3, encodeCommand(2, removeChange(5, 0, "a"))) // rejected: its base is not the version in force
 		m.apply(4, encodeCommand(3, removeChange(5, 3, "a")))
-		m.apply(5, encodeCommand(4, replaceChange(3, 0, "a", "b"))) // the first once more
+		m.apply(5, encodeCommand(4, replaceChange(3, 0, "a", "b"))) // a duplicate of the first change
 		m.apply(6, encodeCommand(5, removeChange(6, 5, "b")))
 		m.apply(7, encodeCommand(6, replaceChange(7, 6)))
 		m.apply(8, append(encodeCommand(7, replaceChange(8, 7))[:20], "cut"...))
@@ -41,17 +41,17 @@
 		_, _, ok := resultOf(forgotten)
 		So(ok, ShouldBeFalse)
 		_, kind, ok := resultOf(truncated)
-		So([]any{kind, ok}, ShouldResemble, []any{errs.Internal, true}) // no rejection: it was parsed before
+		So([]any{kind, ok}, ShouldResemble, []any{errs.Internal, true}) // not a rejection of the change
 		So(m.Current(), ShouldEqual, 7)
 		document := string(m.currentConfig().Document())
 		So(document, ShouldEqual, `{"configVersion":7,"baseVersion":6,"resources":[]}`)
 		So(changes, ShouldEqual, 4)
-		ended, cancel := context.WithCancel(ctx)
+		cancelled, cancel := context.WithCancel(ctx)
 		cancel()
-		_, err := awaitResult(ended, m.expectResult(9))
+		_, err := awaitResult(cancelled, m.expectResult(9))
 		So(errs.KindOf(err), ShouldEqual, errs.DeadlineExceeded)
 	})
-	Convey("A snapshot takes the place of all before, and a change from before it is a duplicate", t, func() {
+	Convey("A snapshot replaces all earlier state, and a change in it is a duplicate", t, func() {
 		m, other := newStateMachine(zap.NewNop(), func() {}), newStateMachine(zap.NewNop(), func() {})
 		m.apply(1, encodeCommand(1, replaceChange(3, 0, "a")))
 		m.apply(2, encodeCommand(2, replaceChange(4, 3, "b")))
@@ -63,7 +63,7 @@
 		finishQueue(other)
 		So(other.appliedIndex(), ShouldEqual, 2)
 		_, kind, ok := resultOf(duplicate)
-		// The snapshot may include its command.
+		// The snapshot may include the command of this proposal.
 		So([]any{kind, ok}, ShouldResemble, []any{errs.DeadlineExceeded, true})
 		duplicate = other.expectResult(77)
 		other.apply(3, encodeCommand(77, replaceChange(3, 0, "a")))
@@ -81,7 +81,7 @@
 		So(ok, ShouldBeTrue)
 		So(none, ShouldBeEmpty)
 	})
-	Convey("After a corrupted snapshot nothing is applied or stored, until one arrives that can be decoded", t, func() {
+	Convey("After a corrupted snapshot no command is applied until an intact snapshot is restored", t, func() {
 		m := newStateMachine(zap.NewNop(), func() {})
 		m.apply(1, encodeCommand(1, replaceChange(3, 0, "a")))
 		finishQueue(m)
@@ -104,7 +104,7 @@
 		finishQueue(m)
 		So([]any{m.Current(), m.appliedIndex()}, ShouldResemble, []any{int64(5), replication.Index(7)})
 	})
-	Convey("While a command is being applied it doesn't count as applied, and there is no snapshot", t, func() {
+	Convey("While a command is applied, the applied index excludes it and no snapshot is made", t, func() {
 		started, proceed := make(chan struct{}), make(chan struct{})
 		m := newStateMachine(zap.NewNop(), func() {
 			started <- struct{}{}
@@ -112,9 +112,9 @@
 		})
 		m.apply(1, encodeCommand(1, replaceChange(3, 0, "a")))
 		<-started
-		ended, cancel := context.WithCancel(ctx)
+		cancelled, cancel := context.WithCancel(ctx)
 		cancel()
-		So(errs.KindOf(m.waitProcessed(ended)), ShouldEqual, errs.DeadlineExceeded)
+		So(errs.KindOf(m.waitProcessed(cancelled)), ShouldEqual, errs.DeadlineExceeded)
 		So(m.snapshot(), ShouldBeNil)
 		So(m.appliedIndex(), ShouldEqual, 0)
 		proceed <- struct{}{}
--- a/internal/mesh/controlplane/voters.go
+++ b/internal/mesh/controlplane/voters.go
@@ -10,10 +10,11 @@
 	"go.uber.org/zap"
 )
 
-// planInterval is how often a leader checks whether the voters are to be changed.
+// planInterval is the time between checks of whether the voters have to change.
 const planInterval = 50 * time.Millisecond
 
-// manageVoters updates the learners and changes the voters while this machine leads, until ctx ends.
+// manageVoters updates the learners and changes the voters while this machine is the leader, until ctx
+// ends.
 func (s *Server) manageVoters(ctx context.Context, node *replication.Node) {
 	tolerance := s.settings.Guarantees.FaultTolerance
 	target := cluster.TargetVoters(tolerance.Machines, tolerance.Zones, tolerance.Regions)
@@ -39,7 +40,7 @@
 	}
 }
 
-// clusterView is what a leader decides on the voters by.
+// clusterView returns the state on which a leader bases its decisions about the voters.
 func (s *Server) clusterView(node *replication.Node) cluster.View {
 	return cluster.View{
 		Self:       node.ID(),
