--- a/internal/mesh/api/fixture_test.go
+++ b/internal/mesh/api/fixture_test.go
@@ -12,7 +12,7 @@
 	"caperarch/meshapi"
 )
 
-// fakeUpstreams is an UpstreamHandler that records what it was given, and answers with its error.
+// fakeUpstreams is an UpstreamHandler that records its calls and returns err.
 type fakeUpstreams struct {
 	heartbeats   []registry.Upstream
 	deregistered []string
@@ -29,8 +29,8 @@
 	return f.err
 }
 
-// fakeOperators is an OperatorHandler that records the requests it was given, and answers with its
-// error or with version 7.
+// fakeOperators is an OperatorHandler that records its requests. It returns err, or version 7 if err is
+// nil.
 type fakeOperators struct {
 	err      error
 	requests []string
@@ -52,7 +52,7 @@
 	return &document, f.err
 }
 
-// startOperators serves a handler's routes on an address of its own.
+// startOperators starts an HTTP server with the operators' routes and returns its address.
 func startOperators(t *testing.T, handler OperatorHandler) (address string) {
 	t.Helper()
 	mux := http.NewServeMux()
@@ -62,7 +62,7 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-// newForwarder serves the routes of a Forwarder to the addresses.
+// newForwarder returns the operators' routes, processed by a Forwarder to the addresses.
 func newForwarder(t *testing.T, addresses ...string) http.Handler {
 	t.Helper()
 	client := httpclient.New(0)
@@ -72,14 +72,14 @@
 	return mux
 }
 
-// call returns the status and body of a response.
+// call sends a request to the handler and returns the status and body of the response.
 func call(h http.Handler, method, path, body string) (int, string) {
 	w := httptest.NewRecorder()
 	h.ServeHTTP(w, httptest.NewRequest(method, path, strings.NewReader(body)))
 	return w.Code, w.Body.String()
 }
 
-// replace posts a body to the route that replaces the configuration.
+// replace sends a request to replace the configuration to the handler.
 func replace(h http.Handler, body string) (int, string) {
 	return call(h, "POST", "/api/configuration/replace", body)
 }
--- a/internal/mesh/api/forward_test.go
+++ b/internal/mesh/api/forward_test.go
@@ -12,37 +12,38 @@
 	"time"
 )
 
-// memberFunc is a core machine's response to a request.
+// memberFunc processes a request as a core machine does.
 type memberFunc func(r *http.Request) (*http.Response, error)
 
-// members are core machines by address, in virtual time.
-type members map[string]memberFunc
+// memberTransport is an HTTP transport that passes each request to the core machine with the request's
+// address. It opens no sockets, so tests can use virtual time.
+type memberTransport map[string]memberFunc
 
-func (m members) RoundTrip(r *http.Request) (*http.Response, error) { return m[r.URL.Host](r) }
+func (m memberTransport) RoundTrip(r *http.Request) (*http.Response, error) { return m[r.URL.Host](r) }
 
-// frozen never answers.
+// frozen is a core machine that accepts a request and never answers.
 func frozen(r *http.Request) (*http.Response, error) {
 	<-r.Context().Done()
 	return nil, r.Context().Err()
 }
 
-// breaksOff accepts a request and breaks off.
-func breaksOff(*http.Request) (*http.Response, error) {
+// disconnects is a core machine that accepts a request and closes the connection after 100 ms.
+func disconnects(*http.Request) (*http.Response, error) {
 	time.Sleep(100 * time.Millisecond)
 	return nil, io.ErrUnexpectedEOF
 }
 
-// unreachable is behind a partition: no connection can be opened.
+// unreachable is a core machine behind a network partition: opening a connection fails after 300 ms.
 func unreachable(*http.Request) (*http.Response, error) {
 	time.Sleep(300 * time.Millisecond)
 	return nil, io.ErrUnexpectedEOF
 }
 
-// answers returns a member that answers after a while.
-func answers(status int, after time.Duration) memberFunc {
+// answers returns a core machine that answers with the status after a delay.
+func answers(status int, delay time.Duration) memberFunc {
 	return func(r *http.Request) (*http.Response, error) {
 		_, _ = io.Copy(io.Discard, r.Body)
-		time.Sleep(after)
+		time.Sleep(delay)
 		w := httptest.NewRecorder()
 		w.Header().Set("X-Mesh-Fault", map[int]string{400: "Invalid", 412: "Stale", 503: "NoQuorum"}[status])
 		w.WriteHeader(status)
@@ -51,9 +52,10 @@
 	}
 }
 
-// forwardTo serves the routes of a Forwarder to the members, in that order.
+// forwardTo returns the operators' routes, processed by a Forwarder to the core machines in the given
+// order.
 func forwardTo(inOrder ...memberFunc) http.Handler {
-	byAddress, addresses := make(members), []string(nil)
+	byAddress, addresses := make(memberTransport), []string(nil)
 	for i, member := range inOrder {
 		address := "10.0.0." + string(rune('1'+i)) + ":1"
 		byAddress[address], addresses = member, append(addresses, address)
@@ -64,11 +66,12 @@
 	return mux
 }
 
-// A caller has an answer within the second, whatever core machines do with its request: the one that
-// decides, or a 5xx that has it try another machine. What may have been applied is not rejected.
+// TestForwardInTime checks that a caller has an answer within one second, whatever the core machines do
+// with its request: either the final result, or a 5xx status after which the caller tries another
+// machine. A request that may have been applied must not be rejected.
 func TestForwardInTime(t *testing.T) {
 	const quick = 100 * time.Millisecond
-	for _, c := range []struct {
+	for _, tt := range []struct {
 		name    string
 		members []memberFunc
 		status  int
@@ -76,56 +79,57 @@
 	}{
 		{"the first is frozen", []memberFunc{frozen, answers(200, quick)}, 200, hedgeDelay + quick},
 		{"all are frozen", []memberFunc{frozen, frozen, frozen}, 503, forwardTimeout},
-		{"the first breaks off", []memberFunc{breaksOff, answers(200, quick)}, 200, 2 * quick},
-		{"all break off", []memberFunc{breaksOff, breaksOff, breaksOff}, 502, 3 * quick},
+		{"the first disconnects", []memberFunc{disconnects, answers(200, quick)}, 200, 2 * quick},
+		{"all disconnect", []memberFunc{disconnects, disconnects, disconnects}, 502, 3 * quick},
 		{
 			"partitioned from all",
 			[]memberFunc{unreachable, unreachable, unreachable, unreachable, unreachable, unreachable},
 			503, forwardTimeout,
 		},
-		{"rejected after a frozen one", []memberFunc{frozen, answers(412, quick)}, 412, hedgeDelay + quick},
+		{"frozen, then rejected", []memberFunc{frozen, answers(412, quick)}, 412, hedgeDelay + quick},
 		{
-			"the first decides",
+			"the first answers after the hedge",
 			[]memberFunc{answers(200, hedgeDelay+quick), answers(503, quick)},
 			200, hedgeDelay + quick,
 		},
-		{"no majority", []memberFunc{answers(503, quick), answers(503, quick)}, 503, 2 * quick},
-		{"invalid", []memberFunc{answers(400, quick), breaksOff}, 400, quick},
+		{"no majority reachable", []memberFunc{answers(503, quick), answers(503, quick)}, 503, 2 * quick},
+		{"invalid", []memberFunc{answers(400, quick), disconnects}, 400, quick},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				front := forwardTo(c.members...)
+				forwarder := forwardTo(tt.members...)
 				var requests sync.WaitGroup
-				for range 8 { // at once
+				for range 8 { // concurrently
 					requests.Go(func() {
 						began := time.Now()
-						status, _ := replace(front, `{"configVersion":7}`)
-						if took := time.Since(began); status != c.status || took > c.within+time.Millisecond {
-							t.Errorf("%d after %v, want %d within %v", status, took, c.status, c.within)
+						status, _ := replace(forwarder, `{"configVersion":7}`)
+						if took := time.Since(began); status != tt.status || took > tt.within+time.Millisecond {
+							t.Errorf("status %d after %v, want %d within %v", status, took, tt.status, tt.within)
 						}
 					})
 				}
 				requests.Wait()
-				time.Sleep(time.Minute) // until all members have ended
+				time.Sleep(time.Minute) // until all sends have ended
 			})
 		})
 	}
 }
 
-// A large body has more time, as its caller waits longer behind it.
+// For a large request body the hedge delay and the time limit are longer, since the caller waits longer,
+// too.
 func TestForwardLargeBody(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		front := forwardTo(answers(200, 3*time.Second), func(*http.Request) (*http.Response, error) {
-			t.Error("the second member was asked as well")
+		forwarder := forwardTo(answers(200, 3*time.Second), func(*http.Request) (*http.Response, error) {
+			t.Error("the request was also sent to the second core machine")
 			return nil, io.ErrUnexpectedEOF
 		})
-		if status, _ := replace(front, `{"configVersion":7`+strings.Repeat(" ", 3<<20)+"}"); status != 200 {
-			t.Errorf("%d", status)
+		if status, _ := replace(forwarder, `{"configVersion":7`+strings.Repeat(" ", 3<<20)+"}"); status != 200 {
+			t.Errorf("status %d, want 200", status)
 		}
 	})
 }
 
-// slowBody is a response body that takes a second to read.
+// slowBody is a response body of which each read takes one second.
 type slowBody struct{ *strings.Reader }
 
 func (s slowBody) Read(p []byte) (int, error) {
@@ -133,17 +137,18 @@
 	return s.Reader.Read(p)
 }
 
-// A response that has begun within the second is waited for: a large configuration takes longer than that.
+// A response that has begun within the time limit is received in full, since a large configuration takes
+// longer to receive than that limit.
 func TestForwardLargeResponse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		front := forwardTo(func(r *http.Request) (*http.Response, error) {
+		forwarder := forwardTo(func(r *http.Request) (*http.Response, error) {
 			httptrace.ContextClientTrace(r.Context()).GotFirstResponseByte()
 			body := io.NopCloser(slowBody{strings.NewReader(`{"configVersion":7}`)})
 			return &http.Response{StatusCode: 200, Body: body, ContentLength: -1}, nil
 		})
-		status, answer := call(front, "GET", "/api/configuration/describe", "")
+		status, answer := call(forwarder, "GET", "/api/configuration/describe", "")
 		if status != 200 || answer != `{"configVersion":7}` {
-			t.Errorf("%d %s", status, answer)
+			t.Errorf("status %d with body %s, want 200 with version 7", status, answer)
 		}
 	})
 }
--- a/internal/mesh/api/forwarder.go
+++ b/internal/mesh/api/forwarder.go
@@ -11,28 +11,29 @@
 	"caperarch/meshapi"
 )
 
-// Forwarder is an OperatorHandler that forwards requests to core machines until one of them decides.
-// A member that fails or does not answer may have applied the change; forwarding it again is safe,
-// since a change that is applied already is acknowledged again, and one that the log has rejected
-// is rejected by every member.
+// Forwarder is an OperatorHandler that forwards requests to core machines until one of them returns a
+// final result. A core machine that fails or does not answer may have applied the change. Sending the
+// change to another core machine is safe: a change that has been applied is acknowledged again, and a
+// change that the log has rejected is rejected by every core machine.
 type Forwarder struct {
 	Client *http.Client
-	// Addresses returns the internal addresses of the core machines, in the order in which they are tried.
+	// Addresses returns the internal addresses of the core machines, in the order in which the requests
+	// are sent to them.
 	Addresses func() []string
 }
 
 // Replace forwards a request to replace the configuration. A body that can't be parsed is rejected
-// here, as Malformed or Invalid.
+// without forwarding, with an error of kind Malformed or Invalid.
 func (f Forwarder) Replace(r *http.Request, body []byte) (*meshapi.ChangeResponse, error) {
 	return f.change(r, meshapi.ReplacePath, body)
 }
 
-// Update forwards a request to update the configuration, as Replace does.
+// Update forwards a request to update the configuration. It rejects the same bodies as Replace.
 func (f Forwarder) Update(r *http.Request, body []byte) (*meshapi.ChangeResponse, error) {
 	return f.change(r, meshapi.UpdatePath, body)
 }
 
-// change forwards a change request to that path.
+// change forwards a change request to the path on the core machines.
 func (f Forwarder) change(r *http.Request, path string, body []byte) (*meshapi.ChangeResponse, error) {
 	version, err := config.ParseVersion(body)
 	if err != nil {
@@ -42,7 +43,7 @@
 		response, err := rpc.Post[meshapi.ChangeResponse](ctx, f.Client, "http://"+address+path, body)
 		return CheckForwarded(version, response, err)
 	}
-	return forward(r.Context(), f.Addresses(), time.Duration(len(body))*timePerByte, send)
+	return forward(r.Context(), f.Addresses(), time.Duration(len(body))*timeoutPerByte, send)
 }
 
 // Describe forwards a request for the configuration.
--- a/internal/mesh/api/forwarder_test.go
+++ b/internal/mesh/api/forwarder_test.go
@@ -14,50 +14,51 @@
 )
 
 func TestForwarderTriesMembersInOrder(t *testing.T) {
-	Convey("A request goes from a member that can't decide to the next, and a rejection is final", t, func() {
-		var members []*fakeOperators
+	Convey("A request that one core machine can't decide is sent to the next, and a rejection is final", t, func() {
+		var machines []*fakeOperators
 		closed := httptest.NewServer(nil)
 		closed.Close()
 		addresses := []string{strings.TrimPrefix(closed.URL, "http://")}
 		for range 3 {
-			member := new(fakeOperators)
-			members = append(members, member)
-			addresses = append(addresses, startOperators(t, member))
+			machine := new(fakeOperators)
+			machines = append(machines, machine)
+			addresses = append(addresses, startOperators(t, machine))
 		}
-		front := newForwarder(t, addresses...)
-		members[0].err = errs.New(errs.NotLeader, "another leads")
+		forwarder := newForwarder(t, addresses...)
+		machines[0].err = errs.New(errs.NotLeader, "another member leads")
 		body := `{"configVersion": 7,  "x":"<&>"}`
-		status, answer := replace(front, body)
+		status, answer := replace(forwarder, body)
 		So([]any{status, answer}, ShouldResemble, []any{200, `{"configVersion":7}`})
-		status, answer = call(front, "POST", "/api/configuration/update", body)
+		status, answer = call(forwarder, "POST", "/api/configuration/update", body)
 		So([]any{status, answer}, ShouldResemble, []any{200, `{"configVersion":7}`})
-		status, answer = call(front, "GET", "/api/configuration/describe", "")
+		status, answer = call(forwarder, "GET", "/api/configuration/describe", "")
 		So([]any{status, answer}, ShouldResemble, []any{200, `{"configVersion":7}`})
-		So(members[1].requests, ShouldResemble, []string{"replace " + body, "update " + body, "describe"})
-		So(members[2].requests, ShouldBeEmpty)
+		So(machines[1].requests, ShouldResemble, []string{"replace " + body, "update " + body, "describe"})
+		So(machines[2].requests, ShouldBeEmpty)
 
 		for _, kind := range []errs.Kind{errs.Stale, errs.Invalid} {
-			members[1].err = errs.New(kind, "no")
-			status, _ = replace(front, body)
+			machines[1].err = errs.New(kind, "no")
+			status, _ = replace(forwarder, body)
 			So(status, ShouldEqual, kind.Status())
 		}
-		So(members[2].requests, ShouldBeEmpty)
-		for _, member := range members {
-			member.err = errs.New(errs.NoQuorum, "no")
+		So(machines[2].requests, ShouldBeEmpty)
+		for _, machine := range machines {
+			machine.err = errs.New(errs.NoQuorum, "no")
 		}
-		status, _ = replace(front, body)
+		status, _ = replace(forwarder, body)
 		So(status, ShouldEqual, 503)
-		So(members[2].requests, ShouldHaveLength, 1)
-		status, _ = replace(front, strings.Repeat(" ", MaxChangeBytes+1))
+		So(machines[2].requests, ShouldHaveLength, 1)
+		status, _ = replace(forwarder, strings.Repeat(" ", MaxChangeBytes+1))
 		So(status, ShouldEqual, 413)
 		status, _ = call(newForwarder(t), "GET", "/api/configuration/describe", "")
 		So(status, ShouldEqual, 503)
 	})
 }
 
-func TestForwarderPassesOnOnlyVerdicts(t *testing.T) {
-	Convey("What is no verdict on the request neither rejects nor acknowledges it, and the next is asked", t, func() {
-		// The first member answers with status and answer, or with an error if answer names a kind.
+func TestForwarderIgnoresInconclusiveResponses(t *testing.T) {
+	Convey("An inconclusive response settles nothing, and the request goes to the next machine", t, func() {
+		// The first core machine answers with status and answer, or with an error if answer is the name
+		// of an error kind.
 		var status int
 		var answer string
 		first := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -69,8 +70,8 @@
 			_, _ = io.WriteString(w, answer)
 		}))
 		defer first.Close()
-		next := new(fakeOperators)
-		front := newForwarder(t, strings.TrimPrefix(first.URL, "http://"), startOperators(t, next))
+		second := new(fakeOperators)
+		forwarder := newForwarder(t, strings.TrimPrefix(first.URL, "http://"), startOperators(t, second))
 
 		for _, row := range []struct {
 			status int
@@ -95,42 +96,42 @@
 			{0, "Busy"},
 		} {
 			status, answer = row.status, row.answer
-			next.err = nil
-			got, _ := replace(front, `{"configVersion":7}`)
-			So([]any{row, got}, ShouldResemble, []any{row, 200}) // by the next
-			next.err = errs.New(errs.Malformed, "cut short on its way")
-			got, _ = replace(front, `{"configVersion":7}`)
+			second.err = nil
+			got, _ := replace(forwarder, `{"configVersion":7}`)
+			So([]any{row, got}, ShouldResemble, []any{row, 200}) // from the second core machine
+			second.err = errs.New(errs.Malformed, "body truncated on its way")
+			got, _ = replace(forwarder, `{"configVersion":7}`)
 			So([]any{row, got}, ShouldResemble, []any{row, 502})
 		}
-		next.err = nil
-		for _, noDocument := range []string{"", "{}", "[]", `{"status":"ok"}`} {
-			status, answer = 200, noDocument
-			got, document := call(front, "GET", "/api/configuration/describe", "")
-			So([]any{noDocument, got, document}, ShouldResemble, []any{noDocument, 200, `{"configVersion":7}`})
+		second.err = nil
+		for _, invalid := range []string{"", "{}", "[]", `{"status":"ok"}`} {
+			status, answer = 200, invalid
+			got, document := call(forwarder, "GET", "/api/configuration/describe", "")
+			So([]any{invalid, got, document}, ShouldResemble, []any{invalid, 200, `{"configVersion":7}`})
 		}
-		before := len(next.requests)
+		before := len(second.requests)
 		for _, body := range []string{"", "{", "\xff", "[]", "{}", `{"configVersion":"7"}`} {
-			got, _ := replace(front, body)
+			got, _ := replace(forwarder, body)
 			So([]any{body, got}, ShouldResemble, []any{body, 400})
 		}
-		So(next.requests, ShouldHaveLength, before)
+		So(second.requests, ShouldHaveLength, before)
 	})
 }
 
-func TestBodyIsReadInFullFirst(t *testing.T) {
-	Convey("A body that is cut short reaches no handler", t, func() {
+func TestBodyIsReadInFullBeforeHandling(t *testing.T) {
+	Convey("A truncated body reaches no handler", t, func() {
 		mux := http.NewServeMux()
 		handler := new(fakeOperators)
 		RegisterOperatorRoutes(mux, handler)
 		w := httptest.NewRecorder()
-		body := io.MultiReader(strings.NewReader("{"), cutShort{})
+		body := io.MultiReader(strings.NewReader("{"), truncated{})
 		mux.ServeHTTP(w, httptest.NewRequest("POST", "/api/configuration/replace", body))
 		So(w.Code, ShouldEqual, 400)
 		So(handler.requests, ShouldBeEmpty)
 	})
 }
 
-// cutShort is the end of a body that is cut short.
-type cutShort struct{}
+// truncated is a reader that fails as at the end of a truncated body.
+type truncated struct{}
 
-func (cutShort) Read([]byte) (int, error) { return 0, io.ErrUnexpectedEOF }
+func (truncated) Read([]byte) (int, error) { return 0, io.ErrUnexpectedEOF }
--- a/internal/mesh/api/operators.go
+++ b/internal/mesh/api/operators.go
@@ -11,34 +11,40 @@
 	"caperarch/meshapi"
 )
 
-// MaxChangeBytes bounds the body of a change request: what the log takes as one command, less its envelope.
-// 10,000 routes are some 3 MiB.
+// MaxChangeBytes bounds the body of a change request. It is the size limit of a log command minus the
+// envelope that the command adds to the body. A configuration with 10,000 routes takes some 3 MiB.
 const MaxChangeBytes = 7 << 20
 
-// OperatorHandler handles the requests of operators. Its methods are called from many goroutines,
-// and their errors are of the kinds of package errs.
+// OperatorHandler processes the requests of operators. Its methods are called concurrently, and their
+// errors are of the kinds of package errs.
 type OperatorHandler interface {
-	// Replace replaces the whole configuration by the body, which is unparsed. The response names
-	// the version in force with it.
+	// Replace replaces the whole configuration by the unparsed body. The response contains the
+	// configuration version that the body has set.
 	Replace(r *http.Request, body []byte) (*meshapi.ChangeResponse, error)
-	// Update applies the body, which is unparsed, to the items that it names, and answers as Replace does.
+	// Update applies the unparsed body to the items that the body names. Its response is like that of
+	// Replace.
 	Update(r *http.Request, body []byte) (*meshapi.ChangeResponse, error)
-	// Describe returns the configuration in force, no older than any that was acknowledged before.
+	// Describe returns the configuration in force. It is at least as new as any change that was
+	// acknowledged before the call.
 	Describe(r *http.Request) (*json.RawMessage, error)
 }
 
-// RegisterOperatorRoutes registers the routes of operators' requests, served by the handler.
+// RegisterOperatorRoutes registers the routes of operators' requests, which the handler processes.
 func RegisterOperatorRoutes(mux *http.ServeMux, handler OperatorHandler) {
 	rpc.HandleRaw(mux, "POST "+meshapi.ReplacePath, MaxChangeBytes, handler.Replace)
 	rpc.HandleRaw(mux, "POST "+meshapi.UpdatePath, MaxChangeBytes, handler.Update)
 	rpc.HandleGet(mux, meshapi.DescribePath, handler.Describe)
 }
 
-// CheckForwarded returns what an operator is answered when another machine answered a change
-// request of that version, whose body was read in full here. Only a response that names the version
-// acknowledges it, and only a verdict on the request itself rejects it: another process may have
-// got the address, and a body may be cut short on its way. All else is Unreachable, which leaves
-// open whether the change was made.
+// CheckForwarded checks the response of another machine to a change request of the given version, and
+// returns the response or error for the operator. The request's body must have been read in full on this
+// machine.
+//
+// The change counts as acknowledged only if the response names its version, and as rejected only if the
+// error is a decision on the request itself: the response may come from another process that now has the
+// address, and the body may have been truncated on its way to the other machine. Of the other errors,
+// those with a 5xx status are returned as they are. All else becomes an error of kind Unreachable, which
+// leaves open whether the change was made.
 func CheckForwarded(
 	version int64, response *meshapi.ChangeResponse, err error,
 ) (*meshapi.ChangeResponse, error) {
@@ -54,8 +60,8 @@
 	return nil, errs.Wrap(err, errs.Unreachable, "the order was not judged")
 }
 
-// isRejection reports whether an error is the verdict on a change request: that it breaks a rule by
-// itself, or that the log has rejected it.
+// isRejection reports whether an error is a decision on a change request: the request is invalid by
+// itself (Invalid, TooLarge), or the log has rejected it (Stale).
 func isRejection(err error) bool {
 	switch errs.KindOf(err) {
 	case errs.Invalid, errs.TooLarge, errs.Stale:
@@ -64,8 +70,8 @@
 	return false
 }
 
-// FetchDocument reads the configuration from another machine. If the response is none, as from
-// another process that has got the address, the error is Unreachable.
+// FetchDocument requests the configuration from another machine. If the response is not a configuration,
+// such as that of another process that now has the address, the error is of kind Unreachable.
 func FetchDocument(ctx context.Context, client *http.Client, url string) (*json.RawMessage, error) {
 	document, err := rpc.Get[json.RawMessage](ctx, client, url)
 	if err != nil {
--- a/internal/mesh/api/upstreams.go
+++ b/internal/mesh/api/upstreams.go
@@ -9,26 +9,27 @@
 	"caperarch/meshapi"
 )
 
-// maxHeartbeatBytes bounds the body of a heartbeat.
+// maxHeartbeatBytes bounds the body of a heartbeat or deregistration.
 const maxHeartbeatBytes = 16 << 10
 
-// UpstreamHandler handles the requests of upstreams. Its methods are called from many goroutines,
-// and their errors are of the kinds of package errs.
+// UpstreamHandler processes the requests of upstreams. Its methods are called concurrently, and their
+// errors are of the kinds of package errs.
 type UpstreamHandler interface {
-	// Heartbeat applies a heartbeat. Without an error it is acknowledged, and in force from now on.
+	// Heartbeat applies a heartbeat. If the error is nil, the heartbeat is acknowledged and takes effect
+	// immediately.
 	Heartbeat(u registry.Upstream) error
-	// Deregister removes an instance that has ended.
+	// Deregister removes an upstream instance that has ended.
 	Deregister(instance string) error
 }
 
-// RegisterUpstreamRoutes registers the routes of upstreams' requests, served by the handler.
+// RegisterUpstreamRoutes registers the routes of upstreams' requests, which the handler processes.
 func RegisterUpstreamRoutes(mux *http.ServeMux, handler UpstreamHandler) {
 	heartbeat := func(r *http.Request, request *meshapi.HeartbeatRequest) (*meshapi.HeartbeatResponse, error) {
-		up, err := upstreamOf(r.PathValue("id"), request)
+		upstream, err := parseUpstream(r.PathValue("id"), request)
 		if err != nil {
 			return nil, err
 		}
-		return &meshapi.HeartbeatResponse{}, handler.Heartbeat(up)
+		return &meshapi.HeartbeatResponse{}, handler.Heartbeat(upstream)
 	}
 	deregister := func(r *http.Request, _ []byte) (*meshapi.HeartbeatResponse, error) {
 		return &meshapi.HeartbeatResponse{}, handler.Deregister(r.PathValue("id"))
@@ -37,9 +38,10 @@
 	rpc.HandleRaw(mux, "POST "+meshapi.DeregisterPattern, maxHeartbeatBytes, deregister)
 }
 
-// upstreamOf returns what a heartbeat says of its instance. The error is Invalid.
-func upstreamOf(instance string, heartbeat *meshapi.HeartbeatRequest) (registry.Upstream, error) {
-	up := registry.Upstream{
+// parseUpstream returns the state of the instance that a heartbeat reports. The error is of kind
+// Invalid.
+func parseUpstream(instance string, heartbeat *meshapi.HeartbeatRequest) (registry.Upstream, error) {
+	upstream := registry.Upstream{
 		Instance:        instance,
 		Service:         heartbeat.NodeInfo.ServiceName,
 		Address:         heartbeat.Address,
@@ -51,15 +53,15 @@
 	}
 	switch heartbeat.Status.State {
 	case meshapi.StateReady:
-		up.State = registry.Ready
+		upstream.State = registry.Ready
 	case meshapi.StateDraining:
-		up.State = registry.Draining
+		upstream.State = registry.Draining
 	default:
-		return up, errs.New(errs.Invalid,
+		return upstream, errs.New(errs.Invalid,
 			"status.state: %.32q is neither ready nor draining", heartbeat.Status.State)
 	}
 	if heartbeat.Address == "" {
-		return up, errs.New(errs.Invalid, "address: missing")
+		return upstream, errs.New(errs.Invalid, "address: missing")
 	}
-	return up, up.Check()
+	return upstream, upstream.Check()
 }
--- a/internal/mesh/api/upstreams_test.go
+++ b/internal/mesh/api/upstreams_test.go
@@ -16,7 +16,7 @@
 	`"status":{"state":"ready","callSequence":4,"warmupRemainingS":0.5}}`
 
 func TestUpstreamRoutes(t *testing.T) {
-	Convey("A heartbeat is handled as it says, and acknowledged only if the handler has taken it", t, func() {
+	Convey("A heartbeat is decoded in full, and acknowledged only if the handler accepts it", t, func() {
 		handler, mux := new(fakeUpstreams), http.NewServeMux()
 		RegisterUpstreamRoutes(mux, handler)
 		path := "/api/instances/i-7f3a91c2/heartbeat"
@@ -51,7 +51,7 @@
 		status, _ = call(mux, "GET", path, "")
 		So(status, ShouldEqual, 405)
 		So(handler.heartbeats, ShouldHaveLength, 2)
-		handler.err = errs.New(errs.NoQuorum, "nobody is there")
+		handler.err = errs.New(errs.NoQuorum, "no core member is reachable")
 		for _, verb := range []string{"heartbeat", "deregister"} {
 			status, _ = call(mux, "POST", "/api/instances/i-7f3a91c2/"+verb, heartbeat)
 			So(status, ShouldEqual, 503)
@@ -59,7 +59,7 @@
 	})
 }
 
-// invalidHeartbeats are bodies that are answered with 400.
+// invalidHeartbeats returns bodies that are answered with status 400.
 func invalidHeartbeats() []string {
 	bodies := []string{"", "null", "{}", "[]", heartbeat[:90]}
 	for _, replaced := range [][2]string{
