--- a/internal/mesh/api/forward.go
+++ b/internal/mesh/api/forward.go
@@ -95,8 +95,8 @@
 	addresses []string, delay time.Duration, send sendFunc[Resp],
 ) *hedgedSends[Resp] {
 	return &hedgedSends[Resp]{
-		send:       send,
-		remaining:  addresses,
+		send:      send,
+		remaining: addresses,
 		// One slot for each send, so that no send blocks after forward has returned.
 		results:    make(chan result[Resp], len(addresses)),
 		delay:      delay,
