--- a/internal/mesh/cluster/announcement.go
+++ b/internal/mesh/cluster/announcement.go
@@ -12,37 +12,38 @@
 )
 
 const (
-	// AnnounceInterval is how often a core machine announces itself to the others.
+	// AnnounceInterval is the time between two announcements of a core machine.
 	AnnounceInterval = 500 * time.Millisecond
-	// announcementTTL is how long a machine counts as live after its last announcement: four of
-	// them may be lost.
+	// announcementTTL is how long a machine counts as live after its last announcement. At
+	// AnnounceInterval, four announcements in a row may be lost.
 	announcementTTL = 2500 * time.Millisecond
-	// maxNameBytes bounds the names in an announcement.
+	// maxNameBytes bounds the size of the member ID and of the zone in an announcement.
 	maxNameBytes = 512
 )
 
-// Announcement is what a core machine reports of itself to the others.
+// Announcement is the state that a core machine reports about itself to the other core machines.
 type Announcement struct {
 	ID   replication.MemberID `json:"id"`
 	Zone string               `json:"zone"`
-	// Leaving says that the machine is shutting down and waits to be replaced.
+	// Leaving is set while the machine is shutting down and waits for its replacement.
 	Leaving bool `json:"leaving,omitempty"`
-	// Cluster is the cluster that the machine's disk belongs to; 0 where the disk is empty.
+	// Cluster is the ID of the cluster to which the machine's disk belongs, or 0 if the disk is empty.
 	Cluster replication.ClusterID `json:"cluster,omitempty"`
 }
 
-// AnnounceRequest is an announcement with what its sender knows of the others.
+// AnnounceRequest is an announcement, with a digest of the machines that its sender knows.
 type AnnounceRequest struct {
 	Announcement
-	// KnownMachines is the digest of the machines that are live by the sender's own list, 0 from one that
-	// doesn't say. One that receives it and knows the same machines leaves them out of its response.
+	// KnownMachines is the digest of the machines that are live according to the sender's member list,
+	// or 0 if the sender reports no digest. If the receiver knows the same machines, it omits them from
+	// its response.
 	KnownMachines MachinesDigest `json:"knownMachines,omitempty"`
 }
 
 // MachinesDigest is a hash of a list of live machines. Equal lists have equal digests.
 type MachinesDigest uint64
 
-// DigestMachines returns the digest of machines that are sorted by id. It is never 0.
+// DigestMachines returns the digest of a list of machines sorted by ID. The digest is never 0.
 func DigestMachines(machines []Announcement) MachinesDigest {
 	hash := xxhash.New()
 	for _, m := range machines {
@@ -51,8 +52,8 @@
 	return MachinesDigest(max(1, hash.Sum64()))
 }
 
-// Validate returns an error of kind Invalid for an announcement without an address, or with names
-// that are too long.
+// Validate returns an error of kind Invalid if the member ID contains no address, or if the ID or the
+// zone is too long.
 func (a *Announcement) Validate() error {
 	if _, _, err := net.SplitHostPort(a.ID.Address()); err != nil {
 		return errs.New(errs.Invalid, "cluster: the member %.64q has no address", a.ID)
@@ -63,16 +64,19 @@
 	return nil
 }
 
-// AnnounceResponse answers an announcement with the core machines that are known.
+// AnnounceResponse is the response to an announcement. It contains what the responding machine knows
+// about the cluster and its core machines.
 type AnnounceResponse struct {
-	// Cluster is 0 while the answering machine itself belongs to none.
+	// Cluster is the ID of the responding machine's cluster, or 0 if the machine belongs to no cluster
+	// yet.
 	Cluster    replication.ClusterID  `json:"cluster,omitempty"`
 	Membership replication.Membership `json:"membership"`
-	// Machines are those whose announcements are live, and the answering machine itself. There are none
-	// where the request's KnownMachines are the same.
+	// Machines are the responding machine and the machines whose announcements it has received within
+	// announcementTTL. The list is empty if it has the digest in the request's KnownMachines.
 	Machines []Announcement       `json:"machines,omitempty"`
 	Leader   replication.MemberID `json:"leader,omitempty"`
 	Term     replication.Term     `json:"term,omitempty"`
-	// SafeToLeave says, to a machine that is leaving, that it needn't wait for a replacement.
+	// SafeToLeave tells a leaving machine that it needn't wait for a replacement. Only the leader sets
+	// it.
 	SafeToLeave bool `json:"released,omitempty"`
 }
--- a/internal/mesh/cluster/member_list.go
+++ b/internal/mesh/cluster/member_list.go
@@ -10,34 +10,37 @@
 	"caperarch/internal/mesh/replication"
 )
 
-// maxMachines bounds the machines that are remembered, against false announcements.
+// maxMachines bounds the number of machines in a MemberList, so that false announcements can't exhaust
+// the memory.
 const maxMachines = 256
 
-// knownMachine is a machine's newest announcement, and when its first and its newest arrived.
+// knownMachine is the newest announcement of a machine. lastSeen is the time at which the announcement
+// was received. firstSeen is the time at which the machine joined: it is reset when the member ID at the
+// address changes, or when an announcement is received after the previous one has expired.
 type knownMachine struct {
 	Announcement
 	firstSeen, lastSeen time.Duration
 }
 
-// MemberList is the core machines as they announce themselves. It is soft state: it is rebuilt from
-// the announcements of those that are live.
+// MemberList is the list of core machines, according to their own announcements. It is soft state that
+// is rebuilt from the announcements of live machines after a restart.
 type MemberList struct {
 	// mu guards all fields below.
 	mu       sync.Mutex
 	local    Announcement
 	machines map[string]*knownMachine // by address
-	// membership is the newest one known.
+	// membership is the newest known membership of the log.
 	membership replication.Membership
-	// seeds are addresses to announce to besides those of known machines.
+	// seeds are additional addresses to which the local machine announces itself.
 	seeds []string
 }
 
-// NewMemberList returns a list that knows of the local machine alone.
+// NewMemberList returns a list that contains only the local machine.
 func NewMemberList(local Announcement, seeds []string) *MemberList {
 	return &MemberList{local: local, machines: map[string]*knownMachine{}, seeds: slices.Clone(seeds)}
 }
 
-// SetLocal changes the local machine's announcement.
+// SetLocal replaces the local machine's announcement.
 func (l *MemberList) SetLocal(local Announcement) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -51,14 +54,15 @@
 	return l.local
 }
 
-// SetSeeds sets the addresses, from the settings, to announce to besides those of known machines.
+// SetSeeds replaces the seed addresses by those from the settings. The local machine announces itself to
+// them as well as to the known machines.
 func (l *MemberList) SetSeeds(seeds []string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.seeds = slices.Clone(seeds)
 }
 
-// SetMembership records the newest membership that is known; one without voters is ignored.
+// SetMembership records the newest known membership. A membership without voters is ignored.
 func (l *MemberList) SetMembership(m replication.Membership) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -67,8 +71,8 @@
 	}
 }
 
-// Receive records an announcement that arrived at the time now. An error is of kind Invalid, or
-// Busy when too many machines are known.
+// Receive records an announcement that was received at the time now. The error is of kind Invalid if the
+// announcement is invalid, and Busy if too many machines are known.
 func (l *MemberList) Receive(now time.Duration, a Announcement) error {
 	if err := a.Validate(); err != nil {
 		return err
@@ -95,7 +99,7 @@
 	return nil
 }
 
-// removeExpired drops machines whose announcements have expired. The caller holds mu.
+// removeExpired removes the machines whose announcements have expired. The caller holds mu.
 func (l *MemberList) removeExpired(now time.Duration) {
 	for address, m := range l.machines {
 		if now-m.lastSeen > announcementTTL {
@@ -104,8 +108,9 @@
 	}
 }
 
-// Merge adopts what another machine knows. The machines that it names are announced to, but are
-// live only once they have announced themselves.
+// Merge adds the content of another machine's response to the list. The membership is adopted if none is
+// known yet. The machines in the response become announcement targets, but count as live only once their
+// own announcements have been received.
 func (l *MemberList) Merge(response *AnnounceResponse) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -120,8 +125,8 @@
 	}
 }
 
-// LiveMembers returns the machines whose announcements haven't expired, and the local one, sorted
-// by id.
+// LiveMembers returns the announcements of the local machine and of all machines whose announcements
+// haven't expired, sorted by member ID.
 func (l *MemberList) LiveMembers(now time.Duration) []Announcement {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -135,7 +140,7 @@
 	return live
 }
 
-// NewestJoin is when the machine that joined last was first seen.
+// NewestJoin returns the time at which the machine that joined last was first seen.
 func (l *MemberList) NewestJoin() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -146,29 +151,29 @@
 	return newest
 }
 
-// Addresses returns where core machines receive requests, sorted: the voters' addresses and those
-// of the live machines.
+// Addresses returns the addresses at which core machines receive requests, sorted: the addresses of the
+// voters and of the live machines.
 func (l *MemberList) Addresses(now time.Duration) []string {
 	live := l.LiveMembers(now)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	var all []string
+	var addresses []string
 	for _, id := range l.membership.Voters {
-		all = append(all, id.Address())
+		addresses = append(addresses, id.Address())
 	}
 	for _, m := range live {
-		all = append(all, m.ID.Address())
+		addresses = append(addresses, m.ID.Address())
 	}
-	return slices.Compact(slices.Sorted(slices.Values(all)))
+	return slices.Compact(slices.Sorted(slices.Values(addresses)))
 }
 
-// AnnounceTargets returns every address at which a core machine may be found, sorted, without the
-// local one.
+// AnnounceTargets returns all addresses at which a core machine may be found, sorted and without the
+// local machine's address.
 func (l *MemberList) AnnounceTargets(now time.Duration) []string {
-	all := l.Addresses(now)
+	addresses := l.Addresses(now)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	all = append(all, l.seeds...)
-	all = slices.Compact(slices.Sorted(slices.Values(all)))
-	return slices.DeleteFunc(all, func(address string) bool { return address == l.local.ID.Address() })
+	addresses = append(addresses, l.seeds...)
+	addresses = slices.Compact(slices.Sorted(slices.Values(addresses)))
+	return slices.DeleteFunc(addresses, func(address string) bool { return address == l.local.ID.Address() })
 }
--- a/internal/mesh/cluster/member_list_test.go
+++ b/internal/mesh/cluster/member_list_test.go
@@ -11,7 +11,7 @@
 
 func TestMemberList(t *testing.T) {
 	local := Announcement{ID: "10.1.0.1:1", Zone: "a"}
-	Convey("A member list knows the live machines, and announces to all that were ever named", t, func() {
+	Convey("A member list contains the live machines, and all machines ever named are announcement targets", t, func() {
 		list := NewMemberList(local, []string{"10.9.0.1:1"})
 		So(list.Receive(0, Announcement{ID: "10.2.0.1:1", Zone: "b"}), ShouldBeNil)
 		So(list.Receive(0, Announcement{ID: "nowhere"}), ShouldNotBeNil)
@@ -22,14 +22,14 @@
 		list.Merge(&AnnounceResponse{Machines: []Announcement{{ID: "10.4.0.1:1#x"}, {ID: "nowhere"}}})
 		So(list.AnnounceTargets(announcementTTL+1), ShouldResemble, []string{"10.3.0.1:1", "10.4.0.1:1", "10.9.0.1:1"})
 	})
-	Convey("A new disk at a known address counts as a new machine", t, func() {
+	Convey("A new disk at a known address counts as a newly joined machine", t, func() {
 		list := NewMemberList(local, nil)
 		So(list.Receive(0, Announcement{ID: "10.2.0.1:1"}), ShouldBeNil)
 		So(list.Receive(time.Second, Announcement{ID: "10.2.0.1:1#new"}), ShouldBeNil)
 		So(list.NewestJoin(), ShouldEqual, time.Second)
 		So(list.LiveMembers(time.Second)[1].ID, ShouldEqual, replication.MemberID("10.2.0.1:1#new"))
 	})
-	Convey("False announcements can't fill the memory", t, func() {
+	Convey("The number of machines is bounded, so that false announcements can't exhaust the memory", t, func() {
 		list := NewMemberList(local, nil)
 		var rejected int
 		for i := range 2 * maxMachines {
--- a/internal/mesh/cluster/planner.go
+++ b/internal/mesh/cluster/planner.go
@@ -8,40 +8,44 @@
 )
 
 const (
-	// LastContactThreshold is how long a voter is without contact before a learner may replace it.
-	// It is above any election and any late heartbeat, and so far below catchUpS that a replacement
-	// votes in time. Replacing a voter that was wrongly taken for lost costs one change: its
-	// replacement stores everything that it stored.
+	// LastContactThreshold is how long a voter may be without contact to the leader before a learner
+	// replaces it. The threshold is longer than any election and any heartbeat delay, and so much
+	// shorter than the bound catchUpS that the replacement votes in time. If a voter is wrongly taken
+	// for lost, the cost is one membership change: the replacement stores all entries that the replaced
+	// voter stored.
 	LastContactThreshold = 2 * time.Second
-	// neverContactedThreshold is the same for a voter that the leader has never had contact with:
-	// it was without contact before the election, too, and an election and the wait after it would
-	// take most of catchUpS.
+	// neverContactedThreshold is the threshold for a voter that the leader has never had contact with.
+	// Such a voter was already without contact before the leader's election, and the election together
+	// with LastContactThreshold would take most of catchUpS.
 	neverContactedThreshold = time.Second
-	// minChangeInterval is the shortest time between two changes, so that flapping machines can't
-	// keep the log busy with memberships.
+	// minChangeInterval is the minimum time between two membership changes, so that machines that
+	// repeatedly fail and recover can't keep the log busy with membership changes.
 	minChangeInterval = 300 * time.Millisecond
-	// minJoinAge is how long ago the newest machine must have joined before voters are added, so that
-	// they are spread over the zones of all machines and not of the first to join.
+	// minJoinAge is the minimum time since the newest machine joined before voters are added. It lets
+	// the voters be spread over the zones of all machines instead of the zones of the first machines to
+	// join.
 	minJoinAge = 500 * time.Millisecond
 )
 
-// TargetVoters is how many voters tolerate the loss of so many machines, zones or regions at once.
+// TargetVoters returns the number of voters that tolerates the simultaneous loss of the given number of
+// machines, zones or regions. It is at least 3.
 func TargetVoters(machines, zones, regions int) int {
 	return max(3, 2*max(machines, zones, regions)+1)
 }
 
-// Planner decides on changes of the voters, one at a time.
+// Planner plans the changes of the voters, one change at a time.
 type Planner struct {
 	target int
-	// lastChange is when the last change was planned; hasChanged says that there was one.
+	// lastChange is the time at which the last change was planned. It is valid only if hasChanged is
+	// set.
 	lastChange time.Duration
 	hasChanged bool
 }
 
-// NewPlanner returns a planner for a number of voters.
+// NewPlanner returns a planner whose target is the given number of voters.
 func NewPlanner(target int) *Planner { return &Planner{target: target} }
 
-// Plan returns the voters to change to; ok is false when nothing is to be changed now.
+// Plan returns the new voters if the voters have to change now; otherwise ok is false.
 func (p *Planner) Plan(now time.Duration, v View) (voters []replication.MemberID, ok bool) {
 	if !v.Status.IsLeader || !v.Status.MembershipStable || p.hasChanged && now-p.lastChange < minChangeInterval {
 		return nil, false
@@ -49,7 +53,7 @@
 	learners := v.promotable()
 	voters, ok = replaceLostVoter(v, learners)
 	if !ok {
-		voters, ok = p.grow(now, v, learners)
+		voters, ok = p.addVoters(now, v, learners)
 	}
 	if ok {
 		p.lastChange, p.hasChanged = now, true
@@ -57,7 +61,8 @@
 	return voters, ok
 }
 
-// replaceLostVoter puts a learner in the place of a lost voter.
+// replaceLostVoter returns the voters with a lost or leaving voter replaced by a learner, or false if
+// there is no such voter or no suitable learner.
 func replaceLostVoter(v View, learners []replication.MemberID) ([]replication.MemberID, bool) {
 	lost, ok := v.voterToReplace()
 	if !ok {
@@ -69,7 +74,8 @@
 		return nil, false
 	}
 	successor := v.bestCandidate(remaining, candidates)
-	// The new disk at the lost one's address is in the same zone, and can replace no other voter.
+	// The new disk at the lost voter's address is preferred. It is in the same zone as the lost voter,
+	// and it can replace no other voter.
 	sameAddress := func(id replication.MemberID) bool { return id.Address() == lost.Address() }
 	if i := slices.IndexFunc(candidates, sameAddress); i >= 0 {
 		successor = candidates[i]
@@ -77,9 +83,10 @@
 	return append(remaining, successor), true
 }
 
-// grow adds learners until the target is reached, to an odd number: an even one tolerates no more
-// losses than the odd one below it.
-func (p *Planner) grow(
+// addVoters adds learners to the voters until their number reaches the target or the learners are used
+// up. The resulting number is odd, since an even number of voters tolerates no more losses than the odd
+// number below it.
+func (p *Planner) addVoters(
 	now time.Duration, v View, learners []replication.MemberID,
 ) ([]replication.MemberID, bool) {
 	voters := slices.Clone(v.Status.Membership.Voters)
@@ -99,12 +106,12 @@
 	return voters, true
 }
 
-// without returns the members but one.
+// without returns the members except the excluded one.
 func without(members []replication.MemberID, excluded replication.MemberID) []replication.MemberID {
 	return slices.DeleteFunc(slices.Clone(members), func(id replication.MemberID) bool { return id == excluded })
 }
 
-// withoutAddressesOf returns the members at whose address no voter is.
+// withoutAddressesOf returns the members whose address is not the address of a voter.
 func withoutAddressesOf(voters, members []replication.MemberID) []replication.MemberID {
 	return slices.DeleteFunc(slices.Clone(members), func(id replication.MemberID) bool {
 		return slices.ContainsFunc(voters, func(voter replication.MemberID) bool {
--- a/internal/mesh/cluster/planner_test.go
+++ b/internal/mesh/cluster/planner_test.go
@@ -9,11 +9,11 @@
 	"caperarch/internal/mesh/replication"
 )
 
-// afterJoins is a time at which no machine has joined for long.
+// afterJoins is a time long after the last machine has joined.
 const afterJoins = time.Minute
 
-// view is a leader's view of voters and learners, all of them in contact and caught up. Their zones
-// are the first two parts of their addresses.
+// view returns a leader's view of voters and learners, all in contact and caught up. The leader is the
+// first voter. The zone of a machine is the first four characters of its address.
 func view(voters, learners []replication.MemberID) View {
 	v := View{Self: voters[0], Status: &replication.Status{
 		IsLeader: true, MembershipStable: true, Leader: voters[0], Membership: replication.Membership{Voters: voters},
@@ -22,7 +22,8 @@
 		v.Live = append(v.Live, Announcement{ID: id, Zone: string(id[:4])})
 	}
 	for _, id := range voters[1:] {
-		v.Status.Progress = append(v.Status.Progress, replication.Progress{ID: id, IsVoter: true, Match: 9, CaughtUp: true})
+		v.Status.Progress = append(v.Status.Progress,
+			replication.Progress{ID: id, IsVoter: true, Match: 9, CaughtUp: true})
 	}
 	for _, id := range learners {
 		v.Status.Progress = append(v.Status.Progress, replication.Progress{ID: id, Match: 9, CaughtUp: true})
@@ -44,23 +45,23 @@
 	plan := func(target int, v View) ([]replication.MemberID, bool) {
 		return NewPlanner(target).Plan(afterJoins, v)
 	}
-	Convey("Nothing is changed while all voters are in contact, whichever learners there are", t, func() {
+	Convey("No change is planned while all voters are in contact, even if there are learners", t, func() {
 		_, ok := plan(3, view(three, []replication.MemberID{"10.4.0.1:1"}))
 		So(ok, ShouldBeFalse)
 	})
-	Convey("Voters are added up to the target in odd numbers, over the zones, once no machine joins", t, func() {
+	Convey("Voters are added up to the target, to an odd number and over the zones, once no machine joins", t, func() {
 		v := view(three, []replication.MemberID{"10.1.0.2:1", "10.1.0.3:1", "10.4.0.1:1", "10.2.0.2:1"})
 		voters, ok := plan(5, v)
 		So(ok, ShouldBeTrue)
 		So(voters, ShouldHaveLength, 5)
 		So(voters, ShouldContain, replication.MemberID("10.4.0.1:1"))
 		_, ok = plan(5, view(three, []replication.MemberID{"10.4.0.1:1"}))
-		So(ok, ShouldBeFalse) // four tolerate no more losses than three
+		So(ok, ShouldBeFalse) // four voters tolerate no more losses than three
 		v.NewestJoin = afterJoins - minJoinAge/2
 		_, ok = plan(5, v)
 		So(ok, ShouldBeFalse)
 	})
-	Convey("A voter out of contact is replaced by a learner in contact and caught up, one at a time", t, func() {
+	Convey("One voter out of contact at a time is replaced by a learner in contact and caught up", t, func() {
 		v := view(three, []replication.MemberID{"10.3.0.2:1"})
 		v.progressOf(three[1]).SinceLastContact = LastContactThreshold
 		_, ok := plan(3, v)
@@ -84,7 +85,7 @@
 			So(ok, ShouldBeFalse)
 		}
 	})
-	Convey("A voter that the leader never had contact with is replaced sooner", t, func() {
+	Convey("A voter that the leader never had contact with is replaced sooner than other voters", t, func() {
 		v := view(three, []replication.MemberID{"10.3.0.2:1"})
 		v.progressOf(three[1]).SinceLastContact = neverContactedThreshold + 1
 		_, ok := plan(3, v)
@@ -96,9 +97,9 @@
 		_, ok = plan(3, v)
 		So(ok, ShouldBeFalse)
 	})
-	Convey("A voter whose disk is certainly lost is replaced at once, first by the disk at its address", t, func() {
+	Convey("A voter whose disk is certainly lost is replaced at once, preferably by a disk at its address", t, func() {
 		v := view(three, []replication.MemberID{"10.1.0.9:1", "10.2.0.1:1#new"})
-		v.Live = append(v.Live[:1], v.Live[2:]...) // the old disk is no longer announced
+		v.Live = append(v.Live[:1], v.Live[2:]...) // the old disk's announcement has expired
 		voters, ok := plan(3, v)
 		So(ok, ShouldBeTrue)
 		So(voters, ShouldResemble, []replication.MemberID{three[0], three[2], "10.2.0.1:1#new"})
@@ -115,7 +116,7 @@
 		So(ok, ShouldBeTrue)
 		So(voters, ShouldResemble, []replication.MemberID{three[0], three[2], "10.2.0.1:1#new"})
 	})
-	Convey("A voter that is leaving is replaced; the leader isn't, it transfers leadership first", t, func() {
+	Convey("A leaving voter is replaced; a leaving leader is not, since it transfers leadership first", t, func() {
 		v := view(three, []replication.MemberID{"10.4.0.1:1"})
 		v.Live[0].Leaving = true
 		_, ok := plan(3, v)
@@ -128,7 +129,7 @@
 		v.progressOf("10.4.0.1:1").CaughtUp = false
 		So(HasReplacement(v, three[1]), ShouldBeFalse)
 	})
-	Convey("A second change waits for the shortest interval between two", t, func() {
+	Convey("A second change is planned only after minChangeInterval", t, func() {
 		v := view(three, []replication.MemberID{"10.4.0.1:1"})
 		v.Live[1].Leaving = true
 		p := NewPlanner(3)
--- a/internal/mesh/cluster/view.go
+++ b/internal/mesh/cluster/view.go
@@ -7,17 +7,17 @@
 	"caperarch/internal/mesh/replication"
 )
 
-// View is what a leader knows when it decides on the voters.
+// View is the state on which a leader bases its decisions about the voters.
 type View struct {
 	Self   replication.MemberID
 	Status *replication.Status
-	// Live are the machines whose announcements haven't expired, the leader's own among them.
+	// Live are the machines whose announcements haven't expired, including the leader's own.
 	Live []Announcement
-	// NewestJoin is when the machine that joined last was first seen.
+	// NewestJoin is the time at which the machine that joined last was first seen.
 	NewestJoin time.Duration
 }
 
-// Learners returns the live machines that follow the log without a vote.
+// Learners returns the live machines that are not voters. They follow the log without voting.
 func Learners(v View) []replication.MemberID {
 	var learners []replication.MemberID
 	for _, m := range v.Live {
@@ -28,12 +28,14 @@
 	return learners
 }
 
-// HasReplacement reports whether a voter that is leaving has a learner to wait for.
+// HasReplacement reports whether the member is a voter and a learner is ready to replace it, so that a
+// leaving member should wait for the replacement.
 func HasReplacement(v View, id replication.MemberID) bool {
 	return v.Status.Membership.IsVoter(id) && len(v.promotable()) > 0
 }
 
-// promotable returns the learners that may become voters: in contact, caught up and not leaving.
+// promotable returns the learners that may become voters: in contact with the leader, caught up with the
+// log and not leaving.
 func (v View) promotable() []replication.MemberID {
 	var learners []replication.MemberID
 	for _, m := range v.Live {
@@ -53,7 +55,7 @@
 	return v.Status.Progress[i], true
 }
 
-// zone is a member's zone, "" where it has announced none.
+// zone returns a member's zone, or "" if no live machine announces itself from the member's address.
 func (v View) zone(id replication.MemberID) string {
 	for _, m := range v.Live {
 		if m.ID.Address() == id.Address() {
@@ -63,8 +65,8 @@
 	return ""
 }
 
-// voterToReplace returns the voter to be replaced next: first one whose disk is certainly lost,
-// then one that is leaving, then one without contact.
+// voterToReplace returns the voter to be replaced next: first a voter whose disk is certainly lost, then
+// a leaving voter, then a voter out of contact.
 func (v View) voterToReplace() (replication.MemberID, bool) {
 	voters := v.Status.Membership.Voters
 	for _, isLost := range []func(replication.MemberID) bool{v.hasNewDisk, v.isLeaving, v.isOutOfContact} {
@@ -75,15 +77,16 @@
 	return "", false
 }
 
-// hasNewDisk reports whether another disk announces itself from the voter's address: its own is lost.
+// hasNewDisk reports whether a member with another disk announces itself from the voter's address. The
+// voter's own disk is lost in this case.
 func (v View) hasNewDisk(id replication.MemberID) bool {
 	return slices.ContainsFunc(v.Live, func(m Announcement) bool {
 		return m.ID.Address() == id.Address() && m.ID != id
 	})
 }
 
-// isLeaving reports whether a voter other than the leader waits to be replaced. The leader transfers its
-// leadership first.
+// isLeaving reports whether a voter other than the leader is leaving. The leader transfers its
+// leadership before it is replaced.
 func (v View) isLeaving(id replication.MemberID) bool {
 	return id != v.Self && slices.ContainsFunc(v.Live, func(m Announcement) bool {
 		return m.ID == id && m.Leaving
@@ -100,7 +103,7 @@
 		neverContacted && p.SinceLastContact > neverContactedThreshold
 }
 
-// bestCandidate returns the learner in the zone with the fewest voters.
+// bestCandidate returns the learner whose zone has the fewest voters.
 func (v View) bestCandidate(voters, learners []replication.MemberID) replication.MemberID {
 	votersInZone := map[string]int{}
 	for _, id := range voters {
