--- a/internal/mesh/api/operators.go
+++ b/internal/mesh/api/operators.go
@@ -11,8 +11,9 @@
 	"caperarch/meshapi"
 )
 
-// MaxChangeBytes bounds the body of a change request. It is the size limit of a log command minus the
-// envelope that the command adds to the body. A configuration with 10,000 routes takes some 3 MiB.
+// MaxChangeBytes bounds the body of a change request. It is less than the size limit of a log command (8
+// MiB), which leaves room for the envelope around the body. A configuration with 10,000 routes takes
+// some 3 MiB.
 const MaxChangeBytes = 7 << 20
 
 // OperatorHandler processes the requests of operators. Its methods are called concurrently, and their
@@ -43,8 +44,8 @@
 // The change counts as acknowledged only if the response names its version, and as rejected only if the
 // error is a decision on the request itself: the response may come from another process that now has the
 // address, and the body may have been truncated on its way to the other machine. Of the other errors,
-// those with a 5xx status are returned as they are. All else becomes an error of kind Unreachable, which
-// leaves open whether the change was made.
+// those with a 5xx status are returned as they are. All other outcomes become an error of kind
+// Unreachable, which leaves open whether the change was made.
 func CheckForwarded(
 	version int64, response *meshapi.ChangeResponse, err error,
 ) (*meshapi.ChangeResponse, error) {
--- a/internal/mesh/controlplane/identity.go
+++ b/internal/mesh/controlplane/identity.go
@@ -23,8 +23,8 @@
 	incarnationBytes = 8
 )
 
-// openInitializedStore opens the log storage. If the storage is empty, openInitializedStore initialises it for one of
-// two kinds of member. During the first start of the whole system, a machine that its settings name as a
+// openInitializedStore opens the log storage and initialises the storage if it is empty, for one of two
+// kinds of member. During the first start of the whole system, a machine that its settings name as a
 // seed becomes one of the first voters. Any other machine becomes a new member whose ID no disk had
 // before.
 func (s *Server) openInitializedStore(ctx context.Context) (*replication.Store, replication.State, error) {
--- a/internal/mesh/controlplane/propagation.go
+++ b/internal/mesh/controlplane/propagation.go
@@ -15,7 +15,7 @@
 	// propagationCheckInterval is the time between checks for sidecars that lag behind an acknowledged
 	// change.
 	propagationCheckInterval = time.Second
-	// maxLoggedLagging bounds the number of sidecars previous in one log entry.
+	// maxLoggedLagging bounds the number of sidecars that one log entry lists.
 	maxLoggedLagging = 8
 	// maxPendingAcknowledgements bounds the acknowledgements whose apply time has not passed. If there
 	// are more, the oldest are dropped.
--- a/internal/mesh/controlplane/proposals.go
+++ b/internal/mesh/controlplane/proposals.go
@@ -38,7 +38,7 @@
 }
 
 // expectResult returns a channel that receives the result of a proposal once this member has applied its
-// command. forgetResult cancels the expectation.
+// command. The caller calls forgetResult when it no longer waits for the result.
 func (m *stateMachine) expectResult(id proposalID) <-chan proposalResult {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -53,7 +53,8 @@
 	delete(m.proposals, id)
 }
 
-// awaitResult waits for the result of a proposal whose command has been committed.
+// awaitResult waits for the result of a proposal whose command has been committed. The error is of kind
+// DeadlineExceeded if ctx ends first.
 func awaitResult(ctx context.Context, result <-chan proposalResult) (version int64, err error) {
 	select {
 	case r := <-result:
--- a/internal/mesh/controlplane/request_simulation_test.go
+++ b/internal/mesh/controlplane/request_simulation_test.go
@@ -32,8 +32,8 @@
 	requests []testRequest // in the order in which they were applied
 }
 
-// fullRequestLog returns the full request log, which is computed once for all histories that begin with
-// it.
+// fullRequestLog returns a snapshot with a full request log. It is computed once for all histories that
+// begin with the snapshot.
 var fullRequestLog = sync.OnceValue(func() (full fullLog) {
 	const logCapacity = 4096 // changes that the request log holds
 	const last = logCapacity + 3
@@ -139,8 +139,8 @@
 	}
 }
 
-// drawRequest returns a random request on the version in force, an earlier one or a later one. If the
-// same request was sent before, drawRequest returns that request.
+// drawRequest returns the position of a random request on the version in force, an earlier version or a
+// later version. If an equal request already has a position, drawRequest returns that position.
 func (sim *simulation) drawRequest() int {
 	base := sim.replicas[sim.leader].machine.Current()
 	if sim.rng.IntN(4) == 0 {
@@ -277,22 +277,22 @@
 	switch sim.rng.IntN(20) {
 	case 0, 1, 2, 3, 4:
 		sim.send()
-	case 5, 6, 7, 8:
+	case 5, 6, 7, 8: // the leader commits some commands and applies some entries
 		n := sim.rng.IntN(len(sim.uncommitted) + 1)
 		sim.committed, sim.uncommitted = append(sim.committed, sim.uncommitted[:n]...), sim.uncommitted[n:]
 		sim.catchUp(sim.replicas[sim.leader], sim.rng.IntN(4))
 		sim.collect()
-	case 9, 10:
+	case 9, 10: // the leader applies entries
 		sim.catchUp(sim.replicas[sim.leader], 1+sim.rng.IntN(4))
 		sim.collect()
-	case 11, 12:
+	case 11, 12: // a random replica applies entries
 		sim.catchUp(r, 1+sim.rng.IntN(4))
 		sim.collect()
 	case 13:
 		if sim.rng.IntN(2) == 0 {
 			sim.changeLeader()
 		}
-	case 14, 15:
+	case 14, 15: // a random replica writes a snapshot to its disk
 		r.snapshot, r.snapshotAt = r.machine.snapshot(), r.delivered
 	case 16:
 		if r == sim.replicas[sim.leader] {
@@ -301,7 +301,7 @@
 		sim.restart(r)
 	case 17:
 		sim.installSnapshot(r, sim.replicas[sim.rng.IntN(replicas)])
-	case 18:
+	case 18: // the oldest delayed copy of a request arrives
 		if len(sim.delayed) > 0 {
 			sim.propose(sim.delayed[0])
 			sim.delayed = sim.delayed[1:]
--- a/internal/mesh/controlplane/server.go
+++ b/internal/mesh/controlplane/server.go
@@ -4,8 +4,8 @@
 //
 // Run owns all resources that it starts. When Run returns, the replica, its storage and the listeners
 // are closed, and the watch server and the goroutines that announce this machine and manage the voters
-// have been cancelled. Run, these goroutines and the HTTP
-// handlers call all other functions, concurrently.
+// have been cancelled. Run, these goroutines and the HTTP handlers call all other functions,
+// concurrently.
 package controlplane
 
 import (
--- a/internal/mesh/controlplane/share_holders.go
+++ b/internal/mesh/controlplane/share_holders.go
@@ -17,11 +17,11 @@
 )
 
 const (
-	// shareHoldersFileName is the name of the file in the data directory that contains the share holders as
-	// JSON.
+	// shareHoldersFileName is the name of the file in the data directory that contains the share holders
+	// as JSON.
 	shareHoldersFileName = "sidecars.json"
-	// shareHoldersCheckInterval is the time between checks for changed share holders. It limits the writes to
-	// the disk while many sidecars start one after another.
+	// shareHoldersCheckInterval is the time between checks for changed share holders. It limits the
+	// writes to the disk while many sidecars start one after another.
 	shareHoldersCheckInterval = time.Second
 	// maxShareHoldersBytes bounds the size of the file that is read, to protect the memory against a
 	// file of other content. It is large enough for as many sidecars as a registry holds.
@@ -91,8 +91,8 @@
 	return names
 }
 
-// persistShareHolders saves the share holders whenever they have changed, until ctx ends. A failed write is
-// retried after shareHoldersCheckInterval.
+// persistShareHolders saves the share holders whenever they have changed, until ctx ends. A failed write
+// is retried after shareHoldersCheckInterval.
 func (s *Server) persistShareHolders(ctx context.Context, saved []string) {
 	slices.Sort(saved)
 	for sleep(ctx, shareHoldersCheckInterval) {
