--- a/internal/mesh/registry/changes.go
+++ b/internal/mesh/registry/changes.go
@@ -5,24 +5,24 @@
 	"time"
 )
 
-// change is one numbered change; the entries hold the result.
+// change is an entry of the change log. It names the instance that changed; the table holds the result.
 type change struct {
 	instance, service string
 }
 
-// Removal names an upstream that is no longer listed.
+// Removal names an upstream that the table no longer lists under the service.
 type Removal struct {
 	Instance, Service string
 }
 
-// Epoch identifies the numbering of one table: numbers of one epoch mean nothing in another.
+// Epoch identifies the change numbering of one table. Change numbers of different epochs are not comparable.
 type Epoch uint64
 
-// ChangeNumber is the number of a change within an epoch, from 1 on.
+// ChangeNumber is the number of a change within an epoch, starting at 1.
 type ChangeNumber uint64
 
-// Changes is what changed in a table since a number of its epoch. If Full, the Upserts are the full
-// state and replace what the reader held.
+// Changes are the changes of a table after a change number of its epoch. If Full is set, Upserts are the full state,
+// which replaces all that the reader holds.
 type Changes struct {
 	Epoch    Epoch
 	Number   ChangeNumber
@@ -31,7 +31,7 @@
 	Removals []Removal
 }
 
-// recordChange gives the next number to a change of an instance that readers of the service see.
+// recordChange assigns the next number to a change of an instance that readers of the service see.
 func (t *Table) recordChange(instance, service string) {
 	t.number++
 	if len(t.changeLog) >= 2*maxChangeLog {
@@ -40,14 +40,15 @@
 	t.changeLog = append(t.changeLog, change{instance, service})
 }
 
-// Epoch identifies this table's numbering.
+// Epoch returns the epoch of the table's change numbers.
 func (t *Table) Epoch() Epoch { return t.epoch }
 
-// Number is the number of the last change of this epoch, 0 before the first.
+// Number returns the number of the last change, or 0 before the first change.
 func (t *Table) Number() ChangeNumber { return t.number }
 
-// Since returns what changed after a number of an epoch, and the full state when the epoch is another
-// one or the number is too old. Keep says which services the reader wants; nil keeps all.
+// Since returns the changes after a change number of an epoch. It returns the full state if the epoch is not the
+// table's, or if the log no longer reaches back to the number. Keep selects the services that the reader wants; a nil
+// keep selects all services.
 func (t *Table) Since(
 	now time.Duration, epoch Epoch, number ChangeNumber, keep func(service string) bool,
 ) Changes {
@@ -77,7 +78,7 @@
 	return changes
 }
 
-// logReachesBackTo reports whether the log holds every change after a number of an epoch.
+// logReachesBackTo reports whether the change log holds every change after a number of an epoch.
 func (t *Table) logReachesBackTo(epoch Epoch, number ChangeNumber) bool {
 	return epoch == t.epoch && number <= t.number &&
 		t.number-number <= ChangeNumber(min(len(t.changeLog), maxChangeLog))
--- a/internal/mesh/registry/changes_test.go
+++ b/internal/mesh/registry/changes_test.go
@@ -9,15 +9,15 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// reader follows a table by its changes.
+// reader replicates a table by reading its changes.
 type reader struct {
-	keep   func(service string) bool // nil: all services
+	keep   func(service string) bool // nil selects all services
 	epoch  Epoch
 	number ChangeNumber
 	known  map[string]Upstream
 }
 
-// read applies what changed since the last time, and reports whether it was the full state.
+// read applies the changes since the last read. It reports whether the table returned its full state.
 func (r *reader) read(table *Table, now time.Duration) (full bool) {
 	changes := table.Since(now, r.epoch, r.number, r.keep)
 	if changes.Full {
@@ -33,8 +33,7 @@
 	return changes.Full
 }
 
-// check fails the test unless the reader holds the table's upstreams of the services it wants, and no
-// others.
+// check fails the test unless the reader holds exactly the table's upstreams of the services that the reader wants.
 func (r *reader) check(t *testing.T, table *Table, now time.Duration) {
 	t.Helper()
 	wanted := 0
@@ -45,15 +44,15 @@
 		wanted++
 		current := r.known[u.Instance]
 		if !sameExceptWarmup(&current, &u) {
-			t.Fatalf("at number %d the reader holds %+v, not %+v", r.number, current, u)
+			t.Fatalf("after change %d the reader holds %+v, want %+v", r.number, current, u)
 		}
 	}
 	if wanted != len(r.known) {
-		t.Fatalf("at number %d the reader holds %d upstreams, not %d", r.number, len(r.known), wanted)
+		t.Fatalf("after change %d the reader holds %d upstreams, want %d", r.number, len(r.known), wanted)
 	}
 }
 
-// drawStep makes one drawn change to the table and gives the time after it.
+// drawStep applies a random change to the table and returns the time after the change.
 func drawStep(random *rand.Rand, table *Table, now time.Duration, step int) time.Duration {
 	now += time.Duration(random.IntN(150)) * time.Millisecond
 	node := fmt.Sprint("n", random.IntN(12))
@@ -80,11 +79,11 @@
 }
 
 func TestReaderOfChangesHoldsWhatTheTableHolds(t *testing.T) {
-	Convey("A reader holds what the table holds, however far behind it was, and only what it wants", t, func() {
+	Convey("A reader holds exactly the upstreams it wants, however many changes it had missed", t, func() {
 		random := rand.New(rand.NewPCG(7, 11))
 		table, now := New(9), time.Duration(0)
 		readers := []*reader{{}, {}, {keep: func(s string) bool { return s == "s1" }}}
-		readEvery := []int{1, 1500, 4} // steps on average, by reader
+		readEvery := []int{1, 1500, 4} // mean number of steps between two reads, by reader
 		fulls := 0
 		for step := range 6000 {
 			now = drawStep(random, table, now, step)
--- a/internal/mesh/registry/counts.go
+++ b/internal/mesh/registry/counts.go
@@ -6,30 +6,30 @@
 	"time"
 )
 
-// Counts are the numbers of sidecars that a member tells the others and the sidecars.
+// Counts are the numbers of sidecars that a member sends to other members and to sidecars.
 type Counts struct {
-	// Live is the number of live leases, Peak the largest recent one.
+	// Live is the number of live leases. Peak is the largest number of live leases within PeakWindow.
 	Live int `json:"members"`
 	Peak int `json:"largest"`
-	// ShareHolders is how many sidecars may hold a share of the tenants' limits. It is 0 from a member of an
-	// earlier release, which remembers nobody for longer than Peak does.
+	// ShareHolders is the number of sidecars that may hold a share of the tenants' limits. It is 0 in a message from
+	// a member of an earlier release, which forgets a sidecar as soon as Peak no longer includes the sidecar.
 	ShareHolders int `json:"holders,omitempty"`
 }
 
-// Raised is the larger of each of the numbers.
-func (c Counts) Raised(other Counts) Counts {
+// Max returns the larger value of each number.
+func (c Counts) Max(other Counts) Counts {
 	return Counts{
 		Live: max(c.Live, other.Live), Peak: max(c.Peak, other.Peak),
 		ShareHolders: max(c.ShareHolders, other.ShareHolders),
 	}
 }
 
-// Counts are this table's numbers.
+// Counts returns the table's numbers as of now.
 func (t *Table) Counts(now time.Duration) Counts {
-	return Counts{Live: t.liveLeases, Peak: t.PeakMembers(now), ShareHolders: t.ShareHolders(now)}
+	return Counts{Live: t.liveLeases, Peak: t.PeakLiveLeases(now), ShareHolders: t.ShareHolders(now)}
 }
 
-// markLive counts a lease that is not live yet.
+// markLive marks a lease that is not live as live, and counts it.
 func (t *Table) markLive(now time.Duration, l *lease) {
 	t.markNotSilent(l)
 	l.live = true
@@ -38,7 +38,7 @@
 	t.recordPeaks(now)
 }
 
-// markEnded removes a lease from the counts of live ones, if it is counted.
+// markEnded marks a lease as no longer live and removes it from the counts of live leases, if it was live.
 func (t *Table) markEnded(l *lease) {
 	if !l.live {
 		return
@@ -50,7 +50,7 @@
 	}
 }
 
-// markSilent counts a lease that has expired.
+// markSilent marks a lease that has expired as silent, and counts it.
 func (t *Table) markSilent(l *lease) {
 	if !l.silent {
 		l.silent = true
@@ -58,7 +58,7 @@
 	}
 }
 
-// markNotSilent removes a lease from the count of silent ones, if it is counted.
+// markNotSilent marks a lease as not silent and removes it from the count of silent leases, if it was silent.
 func (t *Table) markNotSilent(l *lease) {
 	if l.silent {
 		l.silent = false
@@ -66,29 +66,28 @@
 	}
 }
 
-// recordPeaks samples the numbers of which the recent maximum counts.
+// recordPeaks records the current numbers for the maxima over PeakWindow and LeaveWindow.
 func (t *Table) recordPeaks(now time.Duration) {
 	t.recentLive.record(now, t.liveLeases)
 	t.recentHolders.record(now, t.liveLeases+t.silentLeases)
 }
 
-// Members is the number of live leases.
-func (t *Table) Members() int { return t.liveLeases }
+// LiveLeases returns the number of live leases.
+func (t *Table) LiveLeases() int { return t.liveLeases }
 
-// PeakMembers is the largest number of live leases within the last PeakWindow.
-func (t *Table) PeakMembers(now time.Duration) int {
+// PeakLiveLeases returns the largest number of live leases within the last PeakWindow.
+func (t *Table) PeakLiveLeases(now time.Duration) int {
 	return max(t.liveLeases, t.recentLive.at(now))
 }
 
-// ShareHolders is how many sidecars may hold a share of the tenants' limits: those with a live lease, those
-// that have been silent for less than SilentRetention, and those that left in order within LeaveWindow.
+// ShareHolders returns the number of sidecars that may hold a share of the tenants' limits: sidecars with a live lease,
+// sidecars that have been silent for less than SilentRetention, and sidecars that left in order within LeaveWindow.
 func (t *Table) ShareHolders(now time.Duration) int {
 	return max(t.liveLeases+t.silentLeases, t.recentHolders.at(now))
 }
 
-// MembersBehind is the number of live leases whose sidecar has not applied the given configuration
-// version yet.
-func (t *Table) MembersBehind(version int64) int {
+// LaggingCount returns the number of live leases whose sidecar has not applied the given configuration version yet.
+func (t *Table) LaggingCount(version int64) int {
 	behind := 0
 	for applied, n := range t.liveByVersion {
 		if applied < version {
@@ -98,15 +97,16 @@
 	return behind
 }
 
-// Lagging is a sidecar with a live lease that has not applied a configuration version.
+// Lagging is a sidecar with a live lease that has not applied a given configuration version. Applied is the version
+// that the sidecar has applied.
 type Lagging struct {
 	Node    string
 	Applied int64
 }
 
-// Lagging lists the sidecars of MembersBehind, by node.
+// Lagging returns the sidecars that LaggingCount counts, ordered by node.
 func (t *Table) Lagging(version int64) []Lagging {
-	if t.MembersBehind(version) == 0 {
+	if t.LaggingCount(version) == 0 {
 		return nil
 	}
 	var all []Lagging
--- a/internal/mesh/registry/counts_test.go
+++ b/internal/mesh/registry/counts_test.go
@@ -9,7 +9,7 @@
 )
 
 func TestEarlierPeakCountsForTheWindow(t *testing.T) {
-	Convey("A number that an earlier process has seen is a recent peak, and only for PeakWindow", t, func() {
+	Convey("The number of sidecars that an earlier process stored counts as a peak for PeakWindow only", t, func() {
 		var names []string
 		for i := range 12 {
 			names = append(names, fmt.Sprint("earlier-", i))
@@ -18,9 +18,9 @@
 		table.RestoreHolders(0, names)
 		_, err := table.Renew(time.Second, Lease{Node: "n", Incarnation: 1, Sequence: 1})
 		So(err, ShouldBeNil)
-		So(table.Members(), ShouldEqual, 1)
-		So(table.PeakMembers(time.Second), ShouldEqual, 12)
-		So(table.PeakMembers(PeakWindow-time.Second), ShouldEqual, 12)
-		So(table.PeakMembers(PeakWindow+time.Second), ShouldEqual, 1)
+		So(table.LiveLeases(), ShouldEqual, 1)
+		So(table.PeakLiveLeases(time.Second), ShouldEqual, 12)
+		So(table.PeakLiveLeases(PeakWindow-time.Second), ShouldEqual, 12)
+		So(table.PeakLiveLeases(PeakWindow+time.Second), ShouldEqual, 1)
 	})
 }
--- a/internal/mesh/registry/golden_test.go
+++ b/internal/mesh/registry/golden_test.go
@@ -6,7 +6,8 @@
 	"caperarch/internal/mesh/goldentest"
 )
 
-// What other processes send and expect: testdata holds it as the release before wrote it.
+// Running processes of an earlier release send and expect these messages. The files in testdata were written by that
+// release.
 func TestMessagesOnTheWire(t *testing.T) {
 	goldentest.CheckJSON[Lease](t, "lease")
 	goldentest.CheckJSON[RemoteLease](t, "remote")
--- a/internal/mesh/registry/lease.go
+++ b/internal/mesh/registry/lease.go
@@ -6,36 +6,39 @@
 	"caperarch/internal/mesh/errs"
 )
 
-// Incarnation identifies one run of a sidecar's process and grows from run to run.
+// Incarnation identifies one run of a sidecar's process. A later run of the same sidecar has a higher incarnation.
 type Incarnation uint64
 
-// Sequence numbers the leases of one incarnation, from 1 on.
+// Sequence numbers the leases of one incarnation, starting at 1.
 type Sequence uint64
 
-// Lease is a sidecar's claim that it is alive. Leases of one node are ordered by (Incarnation,
-// Sequence); a table ignores one that isn't newer than the one it holds.
+// Lease is a sidecar's claim that it is alive. The leases of one node are ordered by (Incarnation, Sequence). A table
+// ignores a lease that is not newer than the lease it holds for the node.
 type Lease struct {
+	// Node is the name of the sidecar that issued the lease.
 	Node        string      `json:"node"`
 	Incarnation Incarnation `json:"life"`
 	Sequence    Sequence    `json:"sequence"`
 	Zone        string      `json:"zone,omitempty"`
-	// Upstream is nil while the sidecar has received no heartbeat.
+	// Upstream is the application server beside the sidecar, as its last heartbeat reported it. It is nil while the
+	// sidecar has received no heartbeat.
 	Upstream *Upstream `json:"upstream,omitempty"`
-	// Applied is the configuration version in force at the sidecar.
+	// Applied is the configuration version that the sidecar has applied.
 	Applied int64 `json:"applied"`
-	// Leaving says that the sidecar is draining; Left that it has ended in order.
+	// Leaving is set while the sidecar drains.
 	Leaving bool `json:"leaving,omitempty"`
-	Left    bool `json:"left,omitempty"`
+	// Left is set once the sidecar has shut down in order.
+	Left bool `json:"left,omitempty"`
 }
 
-// RemoteLease is a lease held by another member, with the time for which it is still valid there.
+// RemoteLease is a lease that another member holds. Remaining is the time until the lease expires at that member.
 type RemoteLease struct {
 	Lease     Lease         `json:"lease"`
 	Remaining time.Duration `json:"remaining"`
 }
 
-// Renewal extends a lease whose content has not changed. ContentSequence is the Sequence at which the
-// content changed last, so that a reader knows whether the content it holds is still right.
+// Renewal extends a lease whose content has not changed. ContentSequence is the sequence of the lease that changed the
+// content last: a receiver whose lease has a lower sequence holds outdated content and needs the full lease.
 type Renewal struct {
 	Node            string        `json:"n"`
 	Incarnation     Incarnation   `json:"l"`
@@ -44,7 +47,7 @@
 	Remaining       time.Duration `json:"r"`
 }
 
-// Check returns an error of kind Invalid for a lease that no table may hold.
+// Check returns an error of kind Invalid if the lease has no valid node, zone, incarnation, sequence or upstream.
 func (l *Lease) Check() error {
 	if l.Node == "" || len(l.Node) > maxName || len(l.Zone) > maxName {
 		return errs.New(errs.Invalid,
@@ -59,21 +62,22 @@
 	return nil
 }
 
-// lease is a lease as a table holds it. It is live until it expires, and the sidecar is silent then, or until
-// the sidecar leaves. Then only its incarnation and sequence are of use, against messages that arrive late.
+// lease is a lease in a table. It is live until it expires or the sidecar leaves. A lease that expires without the
+// sidecar having left becomes silent. A lease that is no longer live serves only to reject messages that arrive late,
+// by its incarnation and sequence.
 type lease struct {
 	Lease
-	warmupEnd       time.Duration
-	contentSequence Sequence
+	warmupEnd       time.Duration // end of the upstream's slow start
+	contentSequence Sequence      // sequence of the lease that changed the content last
 	expiresAt       time.Duration
-	forgetAt        time.Duration
-	live, silent    bool // never both
+	forgetAt        time.Duration // when a lease that is not live is deleted
+	live, silent    bool          // never both
 }
 
-// isLive reports whether the lease is live at this moment, whenever Expire was called last.
+// isLive reports whether the lease is live at now. It does not depend on when Table.Expire was called last.
 func (l *lease) isLive(now time.Duration) bool { return l.live && now < l.expiresAt }
 
-// at returns the lease with its upstream's warm-up counted from now.
+// at returns the lease with the upstream's remaining warm-up as of now.
 func (l *lease) at(now time.Duration) Lease {
 	current := l.Lease
 	if current.Upstream != nil {
@@ -84,7 +88,7 @@
 	return current
 }
 
-// isOlderThan reports whether next replaces this lease. Nothing of an incarnation that has left does.
+// isOlderThan reports whether next replaces this lease. A sidecar that has left never renews the same incarnation.
 func (l *lease) isOlderThan(next *Lease) bool {
 	if next.Incarnation != l.Incarnation {
 		return next.Incarnation > l.Incarnation
@@ -92,7 +96,7 @@
 	return next.Sequence > l.Sequence && !l.Left
 }
 
-// lacksContentOf reports whether the content that a renewal extends is newer than the one held.
+// lacksContentOf reports whether a renewal extends content that is newer than the content of this lease.
 func (l *lease) lacksContentOf(r Renewal) bool {
 	if l.Incarnation != r.Incarnation {
 		return l.Incarnation < r.Incarnation
@@ -100,13 +104,13 @@
 	return l.Sequence < r.ContentSequence
 }
 
-// isExtendedBy reports whether a renewal, whose content is held, is newer than the lease.
+// isExtendedBy reports whether a renewal is newer than the lease. The lease must hold the content of the renewal.
 func (l *lease) isExtendedBy(r Renewal) bool {
 	return l.Incarnation == r.Incarnation && l.Sequence < r.Sequence && !l.Left
 }
 
-// warmupEndWith returns the end of a reported upstream's warm-up. A report that was seen before doesn't
-// move it.
+// warmupEndWith returns the end of the warm-up that an upstream reports at now. A report that repeats the sequence of
+// the known report keeps the known end of the warm-up.
 func (l *lease) warmupEndWith(now time.Duration, up *Upstream) time.Duration {
 	if l.Upstream != nil && l.Upstream.Instance == up.Instance && l.Upstream.Sequence == up.Sequence {
 		return l.warmupEnd
@@ -114,7 +118,7 @@
 	return now + seconds(up.WarmupRemaining)
 }
 
-// contentChanges reports whether next differs in more than the sequence: not a mere renewal.
+// contentChanges reports whether next differs from the lease in more than its sequence, that is, is no mere renewal.
 func (l *lease) contentChanges(now time.Duration, next *Lease, warmupEnd time.Duration) bool {
 	if !l.live || l.Incarnation != next.Incarnation || l.Zone != next.Zone ||
 		l.Applied != next.Applied || l.Leaving != next.Leaving || l.Left != next.Left {
--- a/internal/mesh/registry/lease_table.go
+++ b/internal/mesh/registry/lease_table.go
@@ -6,10 +6,10 @@
 	"caperarch/internal/mesh/errs"
 )
 
-// Renew applies a lease that this member received from its sidecar. It reports whether the content
-// changed, that is, whether other members need to see it now. A lease that isn't newer than the one
-// held is ignored. An invalid lease is an error of kind Invalid, and one of a new node is Busy when
-// the table is full.
+// Renew applies a lease that this member received from the sidecar itself. It reports whether the content changed, that
+// is, whether the lease must be forwarded to other members now. A lease that is not newer than the lease held is
+// ignored. Renew returns an error of kind Invalid for an invalid lease, and an error of kind Busy for the lease of a
+// new node when the table is full.
 func (t *Table) Renew(now time.Duration, l Lease) (changed bool, err error) {
 	if err := l.Check(); err != nil {
 		return false, err
@@ -20,7 +20,7 @@
 	return t.applyLease(now, l, LeaseTTL), nil
 }
 
-// Incarnation is the newest incarnation of a node that is known, 0 if none is.
+// Incarnation returns the newest known incarnation of a node, or 0 if none is known.
 func (t *Table) Incarnation(node string) Incarnation {
 	if l := t.leases[node]; l != nil {
 		return l.Incarnation
@@ -28,9 +28,9 @@
 	return 0
 }
 
-// Merge applies leases that other members hold. It returns the nodes whose lease was newer than the one
-// held here. Leases that Check rejects, that expired on their way, or for which the table has no capacity
-// are ignored.
+// Merge applies leases that other members hold. It returns the nodes whose lease was newer than the lease held here. It
+// ignores a lease that Check rejects, a lease that expired in transit (unless it reports that the sidecar left), and a
+// lease for which the table has no capacity.
 func (t *Table) Merge(now time.Duration, leases []RemoteLease) (newer []string) {
 	for _, r := range leases {
 		if r.Lease.Check() != nil || !t.hasCapacityFor(r.Lease.Node) {
@@ -45,14 +45,14 @@
 	return newer
 }
 
-// Extend applies renewals of leases that another member holds. It returns the nodes whose renewal was
-// newer than the lease held here, and those whose lease must be sent in full because the content held
-// here is older than what was renewed.
+// Extend applies renewals of leases that another member holds. It returns in newer the nodes whose renewal was newer
+// than the lease held here, and in unknown the nodes whose lease must be sent in full, because the content held here is
+// older than the content that was renewed.
 func (t *Table) Extend(now time.Duration, renewals []Renewal) (newer, unknown []string) {
 	for _, r := range renewals {
 		current := t.leases[r.Node]
 		switch {
-		case r.Remaining <= 0: // it has expired on its way
+		case r.Remaining <= 0: // the renewal expired in transit
 		case current == nil || current.lacksContentOf(r):
 			unknown = append(unknown, r.Node)
 		case current.isExtendedBy(r):
@@ -65,13 +65,14 @@
 	return newer, unknown
 }
 
+// isNewer reports whether a lease is newer than the lease held for its node.
 func (t *Table) isNewer(l *Lease) bool {
 	current := t.leases[l.Node]
 	return current == nil || current.isOlderThan(l)
 }
 
-// applyLease puts a lease in place of an older one, with what it says of its upstream. It reports
-// whether the content changed.
+// applyLease replaces the lease held for a node by a newer lease, and applies what the newer lease reports of its
+// upstream. It reports whether the content changed.
 func (t *Table) applyLease(now time.Duration, l Lease, validFor time.Duration) (changed bool) {
 	if !t.isNewer(&l) {
 		return false
@@ -111,8 +112,8 @@
 	return changed
 }
 
-// RemoteLease returns a node's lease for another member, or false if none is held. A sidecar that left
-// is included, so that other members learn of it.
+// RemoteLease returns a node's lease to be sent to another member. It returns false if the node has no live lease and
+// has not left. The lease of a sidecar that left is returned, so that other members learn that the sidecar left.
 func (t *Table) RemoteLease(now time.Duration, node string) (RemoteLease, bool) {
 	l := t.leases[node]
 	if l == nil || !l.Left && !l.isLive(now) {
@@ -121,7 +122,7 @@
 	return RemoteLease{Lease: l.at(now), Remaining: max(l.expiresAt-now, 0)}, true
 }
 
-// Renewal returns a node's lease as a renewal, or false if none is live.
+// Renewal returns the renewal of a node's lease, or false if the node has no live lease.
 func (t *Table) Renewal(now time.Duration, node string) (Renewal, bool) {
 	l := t.leases[node]
 	if l == nil || !l.isLive(now) {
@@ -136,7 +137,8 @@
 	}, true
 }
 
-// Leases lists all leases for a member that starts, in no particular order.
+// Leases returns all leases for a member that starts, in no particular order: those that are live, and those of
+// sidecars that left.
 func (t *Table) Leases(now time.Duration) []RemoteLease {
 	all := make([]RemoteLease, 0, len(t.leases))
 	for node := range t.leases {
--- a/internal/mesh/registry/silent.go
+++ b/internal/mesh/registry/silent.go
@@ -2,16 +2,17 @@
 
 import "time"
 
-// SilentSidecar is a sidecar whose lease has expired and that has not left in order, as one member tells
-// another. Remaining is the time for which it is still remembered. The incarnation is 0 if it isn't known.
+// SilentSidecar is a sidecar whose lease expired without the sidecar having left in order, as one member reports it to
+// another. Remaining is the time for which the reporting member still remembers the sidecar. Incarnation is 0 if it is
+// not known.
 type SilentSidecar struct {
 	Node        string        `json:"node"`
 	Incarnation Incarnation   `json:"life,omitempty"`
 	Remaining   time.Duration `json:"remaining"`
 }
 
-// Holders lists by name the sidecars that have not left in order, in no particular order: a member keeps them
-// for its next process.
+// Holders returns the nodes of the sidecars that have not left in order, in no particular order. A member stores the
+// list for its next process.
 func (t *Table) Holders() []string {
 	var names []string
 	for node, l := range t.leases {
@@ -22,8 +23,8 @@
 	return names
 }
 
-// RestoreHolders counts as silent those that an earlier process of this member kept, and their number as a
-// recent one of live leases, as these arrive one by one.
+// RestoreHolders restores the sidecars that an earlier process of this member stored. It marks them as silent, and
+// records their number as a recent number of live leases, because after a restart the leases arrive one by one.
 func (t *Table) RestoreHolders(now time.Duration, names []string) {
 	t.recentLive.record(now, len(names))
 	for _, name := range names {
@@ -31,7 +32,7 @@
 	}
 }
 
-// Silent lists the silent sidecars for a member that starts, in no particular order.
+// Silent returns the silent sidecars for a member that starts, in no particular order.
 func (t *Table) Silent(now time.Duration) []SilentSidecar {
 	var all []SilentSidecar
 	for node, l := range t.leases {
@@ -42,15 +43,15 @@
 	return all
 }
 
-// MergeSilent counts silent sidecars that another member remembers. One that is invalid, whose lease is live
-// here, that has left, or for which the table has no capacity is ignored.
+// MergeSilent adds silent sidecars that another member remembers. It ignores a sidecar that is invalid, that has a live
+// lease here, that has left, or for which the table has no capacity.
 func (t *Table) MergeSilent(now time.Duration, sidecars []SilentSidecar) {
 	for _, s := range sidecars {
 		if s.Node == "" || len(s.Node) > maxName || s.Remaining <= 0 || !t.hasCapacityFor(s.Node) {
 			continue
 		}
 		current := t.leases[s.Node]
-		if current == nil { // any lease of this incarnation is newer than one without a sequence
+		if current == nil { // sequence 0, so that every lease of the incarnation is newer
 			current = &lease{Lease: Lease{Node: s.Node, Incarnation: s.Incarnation}, expiresAt: now}
 			t.leases[s.Node] = current
 		} else if !current.silent {
@@ -61,8 +62,8 @@
 	}
 }
 
-// hasCapacityFor reports whether a node's lease may be held. Where the table is full of them, the sidecar
-// that has been silent for longest makes way for a new one.
+// hasCapacityFor reports whether the table can hold a lease of the node. If the table is full, the sidecar that has
+// been silent for longest is removed to make room for a new node.
 func (t *Table) hasCapacityFor(node string) bool {
 	if t.leases[node] != nil || len(t.leases) < MaxLeases {
 		return true
@@ -80,7 +81,7 @@
 	return true
 }
 
-// forget removes a lease that isn't live.
+// forget deletes a lease that is not live.
 func (t *Table) forget(node string) {
 	t.markNotSilent(t.leases[node])
 	delete(t.leases, node)
--- a/internal/mesh/registry/table_test.go
+++ b/internal/mesh/registry/table_test.go
@@ -8,7 +8,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// upstream is one beside the sidecar n1.
+// upstream returns a report of an instance of service s1 beside the sidecar n1.
 func upstream(instance string, sequence int64) Upstream {
 	return Upstream{
 		Instance: instance,
@@ -21,24 +21,24 @@
 	}
 }
 
-func at(ms int) time.Duration { return time.Duration(ms) * time.Millisecond }
+func millis(ms int) time.Duration { return time.Duration(ms) * time.Millisecond }
 
-// renew applies a valid lease and reports whether its content changed.
+// renew applies a valid lease and reports whether the content changed.
 func renew(table *Table, now time.Duration, l Lease) bool {
 	changed, err := table.Renew(now, l)
 	So(err, ShouldBeNil)
 	return changed
 }
 
-// heartbeat applies a valid heartbeat and reports whether it was applied.
+// heartbeat applies a valid heartbeat and reports whether the table applied it.
 func heartbeat(table *Table, now time.Duration, up Upstream) bool {
-	taken, err := table.Heartbeat(now, up)
+	applied, err := table.Heartbeat(now, up)
 	So(err, ShouldBeNil)
-	return taken
+	return applied
 }
 
-// show returns the table's upstreams as "instance@inbound state", stale ones with a question mark.
-func show(table *Table, now time.Duration) string {
+// describeUpstreams returns the table's upstreams as "instance@inbound state". A question mark marks a stale upstream.
+func describeUpstreams(table *Table, now time.Duration) string {
 	var all []string
 	for _, u := range table.Upstreams(now) {
 		stale := ""
--- a/internal/mesh/registry/tombstones.go
+++ b/internal/mesh/registry/tombstones.go
@@ -2,37 +2,38 @@
 
 import "time"
 
-// tombstone remembers an instance that was removed, against messages that arrive late.
+// tombstone records that an instance was removed, so that a late message about the instance does not restore it.
 type tombstone struct {
-	sequence     int64 // the last one that was known
-	deregistered bool  // no report brings it back
-	expired      bool  // it went stale, and its last report may be repeated
-	forgetAt     time.Duration
+	sequence     int64         // sequence of the last report before the removal
+	deregistered bool          // no report restores the instance
+	expired      bool          // the instance was not refreshed; a lease that repeats its last report restores it
+	forgetAt     time.Duration // when the tombstone is deleted
 }
 
-// rejects reports whether a report is too old to bring the instance back. A sidecar's lease may repeat
-// the last report of an instance that only expired; a heartbeat that arrives twice may not.
-func (d tombstone) rejects(sequence int64, from source) bool {
+// rejects reports whether a report of the given sequence is too old to restore the instance. The last report of an
+// instance that merely expired restores it when a sidecar's lease repeats the report, but not when the heartbeat
+// arrives a second time.
+func (d tombstone) rejects(sequence int64, from reportSource) bool {
 	if d.deregistered || sequence < d.sequence {
 		return true
 	}
 	return sequence == d.sequence && (from == fromHeartbeat || !d.expired)
 }
 
-// removal says why an instance is removed, which decides what may bring it back.
-type removal uint8
+// removalCause is the reason for which an instance is removed. It decides which reports restore the instance.
+type removalCause uint8
 
 const (
-	// replaced instances made way for another one, or their sidecar has left: a later report brings
-	// them back.
-	replaced removal = iota
-	// expired instances were not refreshed: a lease that repeats their last report brings them back.
+	// replaced: another instance took over the node or the address, or the sidecar left. A later report restores the
+	// instance.
+	replaced removalCause = iota
+	// expired: the instance was not refreshed in time. A lease that repeats its last report restores it.
 	expired
-	// deregistered instances never come back.
+	// deregistered: no report restores the instance.
 	deregistered
 )
 
-// deregister removes an instance permanently. It reports whether that is new.
+// deregister removes an instance permanently. It reports whether the instance had not been deregistered before.
 func (t *Table) deregister(now time.Duration, instance string) (applied bool) {
 	if t.tombstones[instance].deregistered {
 		return false
@@ -41,8 +42,8 @@
 	return true
 }
 
-// remove removes an instance from the table and leaves a tombstone.
-func (t *Table) remove(now time.Duration, instance string, cause removal) {
+// remove removes an instance from the table, if the table holds it, and records a tombstone.
+func (t *Table) remove(now time.Duration, instance string, cause removalCause) {
 	removed, known := t.tombstones[instance]
 	removed.deregistered = removed.deregistered || cause == deregistered
 	removed.expired = cause == expired
@@ -57,6 +58,7 @@
 	t.tombstones[instance] = removed
 }
 
+// forgetOldestTombstone deletes the tombstone that would be deleted next.
 func (t *Table) forgetOldestTombstone() {
 	oldest := ""
 	for instance, removed := range t.tombstones {
--- a/internal/mesh/registry/upstream.go
+++ b/internal/mesh/registry/upstream.go
@@ -6,20 +6,20 @@
 	"caperarch/internal/mesh/errs"
 )
 
-// State is an upstream's own statement on whether it takes requests.
+// State is an upstream's own report of whether it accepts requests.
 type State uint8
 
-// The states of an upstream. Deregistered is final: for TombstoneTTL later reports of it are rejected.
+// The states of an upstream. Deregistered is final: later reports of the instance are rejected for TombstoneTTL.
 const (
 	Ready State = iota
 	Draining
 	Deregistered
 )
 
-// stateNames are the names on the wire.
+// stateNames are the names of the states in messages.
 var stateNames = [...]string{Ready: "ready", Draining: "draining", Deregistered: "gone"}
 
-// String returns the state's name on the wire, and "unknown" for a number that is no state's.
+// String returns the state's name in messages, or "unknown" for an undefined state.
 func (s State) String() string {
 	if int(s) < len(stateNames) {
 		return stateNames[s]
@@ -27,7 +27,7 @@
 	return "unknown"
 }
 
-// MarshalText writes the state by name. A number that is no state's is an error of kind Invalid.
+// MarshalText returns the state's name. It returns an error of kind Invalid for an undefined state.
 func (s State) MarshalText() ([]byte, error) {
 	if int(s) >= len(stateNames) {
 		return nil, errs.New(errs.Invalid, "no upstream state has the number %d", s)
@@ -35,7 +35,7 @@
 	return []byte(stateNames[s]), nil
 }
 
-// UnmarshalText reads the state by name. Any other text is an error of kind Invalid.
+// UnmarshalText parses the state's name. It returns an error of kind Invalid for any other text.
 func (s *State) UnmarshalText(b []byte) error {
 	for i, name := range stateNames {
 		if name == string(b) {
@@ -46,14 +46,14 @@
 	return errs.New(errs.Invalid, "unknown upstream state %q", b)
 }
 
-// Upstream is one application server as the other sidecars need to know it.
+// Upstream is one application server, as sidecars and core members report it to each other.
 type Upstream struct {
 	Instance string `json:"instance"`
 	Service  string `json:"service"`
-	// Address is where the application itself listens.
+	// Address is the address on which the application itself listens.
 	Address string `json:"address"`
-	// Node names the sidecar beside the application, and Inbound is where that sidecar receives
-	// requests for it.
+	// Node is the name of the sidecar beside the application. Inbound is the address on which that sidecar receives
+	// the application's requests.
 	Node    string `json:"node,omitempty"`
 	Inbound string `json:"inbound,omitempty"`
 	Zone    string `json:"zone,omitempty"`
@@ -61,36 +61,36 @@
 	Version string `json:"version,omitempty"`
 	Slots   int    `json:"slots"`
 	State   State  `json:"state"`
-	// WarmupRemaining is the rest of the slow start in seconds, counted from the moment the message
-	// was made; the reader adds its own clock.
+	// WarmupRemaining is the remaining time of the slow start in seconds, as of the moment when the message was
+	// created. The receiver adds it to its own clock.
 	WarmupRemaining float64 `json:"warmupRemaining,omitempty"`
-	// Sequence numbers the heartbeats of one instance: the later one wins.
+	// Sequence numbers the heartbeats of one instance. The heartbeat with the higher sequence wins.
 	Sequence int64 `json:"sequence"`
-	// Stale says that no lease or heartbeat has refreshed the upstream recently. It may be alive: its
-	// sidecar may only be partitioned from the core machines.
+	// Stale is set when no lease or heartbeat has refreshed the upstream in time. The upstream may still be alive:
+	// its sidecar may merely be partitioned from the core machines.
 	Stale bool `json:"stale,omitempty"`
 }
 
-// UpstreamReport is an upstream that no lease includes, with the time for which it is still fresh;
-// below zero it is the time since it went stale.
+// UpstreamReport is an upstream that no live lease includes. Remaining is the time until the upstream becomes stale.
+// A negative Remaining is the time for which the upstream has been stale.
 type UpstreamReport struct {
 	Upstream  Upstream      `json:"upstream"`
 	Remaining time.Duration `json:"remaining"`
 }
 
 const (
-	// maxName bounds every string of a lease in bytes, against memory taken by invalid reports.
+	// maxName is the maximum length in bytes of each string of a lease. It bounds the memory that invalid reports use.
 	maxName = 512
-	// maxSlots bounds an upstream's slots, against sums that overflow.
+	// maxSlots is the maximum number of an upstream's slots. It keeps sums of slots from overflowing.
 	maxSlots = 1 << 20
-	// maxWarmup bounds a slow start in seconds, against durations that overflow.
+	// maxWarmup is the maximum slow start in seconds. It keeps the conversion to a duration from overflowing.
 	maxWarmup = 24 * 3600
-	// warmupTolerance is how far the end of a slow start must move to count as a change; a smaller
-	// move is the delay of messages.
+	// warmupTolerance is how far the end of a slow start must move to count as a change. Message delays account for
+	// smaller moves.
 	warmupTolerance = time.Second
 )
 
-// Check returns an error of kind Invalid for an upstream that no table may hold.
+// Check returns an error of kind Invalid if a field of the upstream is missing or out of bounds.
 func (u *Upstream) Check() error {
 	if u.Instance == "" {
 		return errs.New(errs.Invalid, "the upstream names no instance")
@@ -112,21 +112,21 @@
 		return errs.New(errs.Invalid,
 			"upstream %.64q has %d slots, not 0 to %d", u.Instance, u.Slots, maxSlots)
 	}
-	if !(u.WarmupRemaining >= 0 && u.WarmupRemaining <= maxWarmup) { // NaN is out of bounds, too
+	if !(u.WarmupRemaining >= 0 && u.WarmupRemaining <= maxWarmup) { // also rejects NaN
 		return errs.New(errs.Invalid,
 			"upstream %.64q warms up for %g s, not 0 to %d", u.Instance, u.WarmupRemaining, maxWarmup)
 	}
 	return nil
 }
 
-// sameExceptWarmup reports whether two upstreams look the same to others, their slow start aside.
+// sameExceptWarmup reports whether two reports are equal except for their sequence and their remaining slow start.
 func sameExceptWarmup(a, b *Upstream) bool {
 	x, y := *a, *b
 	x.Sequence, x.WarmupRemaining = y.Sequence, y.WarmupRemaining
 	return x == y
 }
 
-// warmupMoved reports whether the end of a slow start moved by more than message delays explain.
+// warmupMoved reports whether the end of a slow start moved by more than warmupTolerance. Ends before now are equal.
 func warmupMoved(now, before, after time.Duration) bool {
 	before, after = max(before, now), max(after, now)
 	return max(before-after, after-before) > warmupTolerance
--- a/internal/mesh/registry/upstream_table.go
+++ b/internal/mesh/registry/upstream_table.go
@@ -10,24 +10,24 @@
 // entry is an upstream in a table.
 type entry struct {
 	Upstream
-	warmupEnd time.Duration
-	// freshUntil is when the upstream goes stale unless it is refreshed.
+	warmupEnd time.Duration // end of the slow start
+	// freshUntil is when the upstream becomes stale unless it is refreshed before.
 	freshUntil time.Duration
 }
 
-// source says how a report of an upstream reached the table.
-type source uint8
+// reportSource is the kind of message in which a report of an upstream reached the table.
+type reportSource uint8
 
 const (
-	// fromLease is a sidecar's lease, which may repeat an upstream's last heartbeat.
-	fromLease source = iota
-	// fromHeartbeat is an upstream's own heartbeat, which counts once.
+	// fromLease marks a report in a sidecar's lease. A lease may repeat the upstream's last heartbeat.
+	fromLease reportSource = iota
+	// fromHeartbeat marks the upstream's own heartbeat. Each heartbeat is applied at most once.
 	fromHeartbeat
 )
 
-// Heartbeat applies an upstream's heartbeat that reached a core machine directly. It reports whether the
-// heartbeat was applied; one that isn't newer than the last is not. An invalid one is an error of kind
-// Invalid.
+// Heartbeat applies an upstream's heartbeat that a core machine received directly. It reports whether the heartbeat was
+// applied: a heartbeat that is not newer than the last known report is ignored. Heartbeat returns an error of kind
+// Invalid for an invalid heartbeat.
 func (t *Table) Heartbeat(now time.Duration, up Upstream) (applied bool, err error) {
 	if err := up.Check(); err != nil {
 		return false, err
@@ -35,10 +35,10 @@
 	return t.RelayedHeartbeat(now, up, LeaseTTL), nil
 }
 
-// RelayedHeartbeat is Heartbeat for one that another member received. Remaining is the time for which
-// it still refreshes the upstream; below zero it is the time since it no longer does. A heartbeat that
-// Check rejects is not applied, nor one whose upstream would have been dropped by now. One whose time is
-// over replaces no other instance.
+// RelayedHeartbeat applies a heartbeat that another member received. Remaining is the time for which the heartbeat
+// still keeps the upstream fresh; if it is negative, it is the time since the heartbeat stopped doing so.
+// RelayedHeartbeat ignores a heartbeat that Check rejects, and a heartbeat so old that its upstream would have been
+// removed by now. A heartbeat that no longer keeps its upstream fresh replaces no other instance.
 func (t *Table) RelayedHeartbeat(now time.Duration, up Upstream, remaining time.Duration) (applied bool) {
 	if up.Check() != nil {
 		return false
@@ -52,8 +52,8 @@
 		}
 		up = up.withPlacementOf(&current.Upstream)
 	} else if atAddress := t.upstreams[t.instanceByAddress[up.Address]]; atAddress != nil && up.Address != "" {
-		// A new instance at a known address runs beside the same sidecar. An instance that was
-		// replaced there comes back only if its successor is stale.
+		// A new instance at a known address runs beside the same sidecar. An instance that was removed is
+		// restored at that address only if the instance that is now there is stale.
 		if _, removed := t.tombstones[up.Instance]; removed && !atAddress.Stale {
 			return false
 		}
@@ -68,16 +68,16 @@
 	return t.upsert(now, up, now+min(remaining, LeaseTTL), fromHeartbeat)
 }
 
-// withPlacementOf fills in where the upstream runs from what is known of another.
+// withPlacementOf returns the upstream with its empty node, inbound address, zone and region taken from another one.
 func (u Upstream) withPlacementOf(known *Upstream) Upstream {
 	u.Node, u.Inbound = cmp.Or(u.Node, known.Node), cmp.Or(u.Inbound, known.Inbound)
 	u.Zone, u.Region = cmp.Or(u.Zone, known.Zone), cmp.Or(u.Region, known.Region)
 	return u
 }
 
-// upsert applies a report of an upstream that is fresh until the given time, and records a change if
-// readers see one. It reports whether the report was newer than the entry.
-func (t *Table) upsert(now time.Duration, up Upstream, freshUntil time.Duration, from source) (applied bool) {
+// upsert applies a report of an upstream that is fresh until the given time, and records a change if readers see a
+// difference. It reports whether the report was newer than the entry.
+func (t *Table) upsert(now time.Duration, up Upstream, freshUntil time.Duration, from reportSource) (applied bool) {
 	if up.State == Deregistered {
 		return t.deregister(now, up.Instance)
 	}
@@ -112,8 +112,8 @@
 	return true
 }
 
-// isReplacedBy reports whether a report of the same instance is newer. One of the same sequence is, if
-// it comes from another sidecar and the upstream has gone stale at the one before.
+// isReplacedBy reports whether a report of the same instance replaces the entry. A report of the same sequence replaces
+// the entry if it comes from the same sidecar, or if the entry is stale.
 func (e *entry) isReplacedBy(up *Upstream) bool {
 	if up.Sequence == e.Sequence {
 		return up.Node == e.Node || e.Stale
@@ -121,7 +121,7 @@
 	return up.Sequence > e.Sequence
 }
 
-// colocated returns the instances known at the upstream's node and address; "" stands for none.
+// colocated returns the instances known at the upstream's node and at its address. An empty string stands for none.
 func (t *Table) colocated(up *Upstream) [2]string {
 	return [...]string{t.instanceByNode[up.Node], t.instanceByAddress[up.Address]}
 }
@@ -136,8 +136,8 @@
 	return false
 }
 
-// store puts an entry in place of the one before of the same instance, nil if there is none, and
-// records what others see of that.
+// store replaces the entry before, which is nil for a new instance, by the entry fresh of the same instance. It records
+// the changes that readers see.
 func (t *Table) store(now time.Duration, fresh, before *entry) {
 	if before != nil {
 		t.unindex(before)
@@ -158,7 +158,7 @@
 	}
 }
 
-// refresh keeps an entry from going stale, or brings it back from there.
+// refresh extends the time for which an entry is fresh, and makes a stale entry fresh again.
 func (t *Table) refresh(e *entry, freshUntil time.Duration) {
 	e.freshUntil = max(e.freshUntil, freshUntil)
 	if e.Stale {
@@ -167,12 +167,14 @@
 	}
 }
 
+// deleteEntry deletes an entry and records the change.
 func (t *Table) deleteEntry(e *entry) {
 	t.unindex(e)
 	delete(t.upstreams, e.Instance)
 	t.recordChange(e.Instance, e.Service)
 }
 
+// unindex removes an entry from the indexes by node and by address.
 func (t *Table) unindex(e *entry) {
 	if t.instanceByNode[e.Node] == e.Instance {
 		delete(t.instanceByNode, e.Node)
@@ -182,7 +184,7 @@
 	}
 }
 
-// Upstreams lists all upstreams as of now, ordered by instance.
+// Upstreams returns all upstreams as of now, ordered by instance.
 func (t *Table) Upstreams(now time.Duration) []Upstream {
 	ups := make([]Upstream, 0, len(t.upstreams))
 	for _, e := range t.upstreams {
@@ -192,8 +194,8 @@
 	return ups
 }
 
-// Unleased lists what Leases leaves out, in no particular order: the upstreams that no live lease
-// refreshes, and the instances that were deregistered.
+// Unleased returns what Leases does not include, in no particular order: the upstreams that no live lease includes, and
+// the instances that were deregistered.
 func (t *Table) Unleased(now time.Duration) []UpstreamReport {
 	var all []UpstreamReport
 	for _, e := range t.upstreams {
@@ -213,13 +215,13 @@
 	return all
 }
 
-// isLeased reports whether the live lease of an upstream's sidecar includes it.
+// isLeased reports whether the sidecar of an entry's upstream has a live lease that includes the upstream.
 func (t *Table) isLeased(now time.Duration, e *entry) bool {
 	l := t.leases[e.Node]
 	return l != nil && l.isLive(now) && l.Upstream != nil && l.Upstream.Instance == e.Instance
 }
 
-// at returns the upstream with its warm-up counted from now.
+// at returns the upstream with its remaining warm-up as of now.
 func (e *entry) at(now time.Duration) Upstream {
 	up := e.Upstream
 	up.WarmupRemaining = remainingSeconds(e.warmupEnd, now)
--- a/internal/mesh/watch/client_members.go
+++ b/internal/mesh/watch/client_members.go
@@ -12,7 +12,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if response.Syncing || !response.Contact.OK {
-		c.counts = c.counts.Raised(response.Counts)
+		c.counts = c.counts.Max(response.Counts)
 	} else {
 		c.counts = response.Counts
 	}
--- a/internal/mesh/watch/client_watch.go
+++ b/internal/mesh/watch/client_watch.go
@@ -171,7 +171,7 @@
 	case !heartbeat.Contact.OK:
 		signal(c.lookElsewhere)
 	case heartbeat.Syncing:
-		c.counts = c.counts.Raised(heartbeat.Counts)
+		c.counts = c.counts.Max(heartbeat.Counts)
 	default:
 		c.counts = heartbeat.Counts
 	}
--- a/internal/mesh/watch/server_query.go
+++ b/internal/mesh/watch/server_query.go
@@ -36,7 +36,7 @@
 func (s *Server) Behind(version int64) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.table.MembersBehind(version)
+	return s.table.LaggingCount(version)
 }
 
 // LaggingSidecar is a sidecar that has not applied a configuration version, as this
--- a/internal/mesh/watch/server_wait.go
+++ b/internal/mesh/watch/server_wait.go
@@ -15,7 +15,7 @@
 func (s *Server) WaitApplied(ctx context.Context, version int64) (behind int) {
 	w := &waiter{version: version, done: make(chan struct{})}
 	s.mu.Lock()
-	if s.table.MembersBehind(version) == 0 {
+	if s.table.LaggingCount(version) == 0 {
 		s.mu.Unlock()
 		return 0
 	}
@@ -29,14 +29,14 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.waiters, w)
-	return s.table.MembersBehind(version)
+	return s.table.LaggingCount(version)
 }
 
 // wakeWaiters ends the calls of WaitApplied whose version is applied. s.mu is
 // held.
 func (s *Server) wakeWaiters() {
 	for w := range s.waiters {
-		if s.table.MembersBehind(w.version) == 0 {
+		if s.table.LaggingCount(w.version) == 0 {
 			delete(s.waiters, w)
 			close(w.done)
 		}
