--- a/internal/mesh/config/change.go
+++ b/internal/mesh/config/change.go
@@ -8,42 +8,42 @@
 	"caperarch/internal/mesh/errs"
 )
 
-// The two forms of a change, as Change.Encode names them.
+// The two forms of a change, as Change.Encode writes them.
 const (
 	formReplace = "replace"
 	formUpdate  = "update"
 )
 
-// MaxVersion is the largest version: the largest integer that every reader of JSON holds exactly.
-// It guards against a mistyped version after which no higher one could be written.
+// MaxVersion is the largest configuration version. It is the largest integer that every JSON reader represents exactly.
+// After a mistyped version above it no higher version could be written.
 const MaxVersion = 1<<53 - 1
 
-// Change is an operator's change request, parsed and checked as far as it can be without the
-// snapshot that it builds on. It is immutable.
+// Change is a parsed change request of an operator. It is checked as far as possible without the snapshot that the
+// change is based on. A Change is immutable.
 type Change struct {
 	form      string
-	body      []byte // canonical
+	body      []byte // the request body as canonical returns it
 	digest    digest
 	version   int64
 	base      int64
-	resources []*resource // to put in place of all, or to upsert
+	resources []*resource // of a replace: all resources; of an update: the resources to upsert
 	removed   []resourceID
 }
 
-// Version is the configVersion that the change puts in force.
+// Version returns the configVersion of the configuration that results from the change.
 func (c *Change) Version() int64 { return c.version }
 
-// Base is the version that the change builds on.
+// Base returns the configuration version that the change is based on.
 func (c *Change) Base() int64 { return c.base }
 
-// envelope is a change on its way between processes. Its body may be re-spaced and HTML-escaped on
-// the way, as encoding/json does to raw messages: neither alters the change's digest.
+// envelope is the encoding of a change in messages between processes. encoding/json may change the spacing and the HTML
+// escapes of the body; neither changes the digest of the change.
 type envelope struct {
 	Form string          `json:"form"`
 	Body json.RawMessage `json:"body"`
 }
 
-// Encode returns the change with its form as one JSON value, for DecodeChange.
+// Encode returns the change and its form as one JSON value. DecodeChange decodes it.
 func (c *Change) Encode() []byte {
 	out := make([]byte, 0, len(c.body)+len(`{"form":"","body":}`)+len(c.form))
 	out = append(out, `{"form":"`...)
@@ -53,8 +53,8 @@
 	return append(out, '}')
 }
 
-// DecodeChange reads what Encode gave, on any process. The change has the digest it had where it
-// was parsed. Errors are those of ParseReplace; a form that is neither of the two is Invalid.
+// DecodeChange decodes what Encode returned, in any process. The decoded change has the same digest as the encoded one.
+// The errors are those of ParseReplace; an unknown form is an error of kind Invalid.
 func DecodeChange(text []byte) (*Change, error) {
 	var e envelope
 	if err := unmarshal(text, &e); err != nil {
@@ -70,14 +70,15 @@
 		e.Form, formReplace, formUpdate)
 }
 
-// versions are the two numbers that every change names. Without a baseVersion it is 0.
+// versions are the two version numbers of a change. A missing baseVersion is 0. The type name is part of encoding/json
+// error messages, which operators receive.
 type versions struct {
 	ConfigVersion *int64 `json:"configVersion"`
 	BaseVersion   int64  `json:"baseVersion"`
 }
 
-// ParseVersion reads only the version that a request's body names. A body that is no JSON value is
-// Malformed and one without a version is Invalid; no other fault is looked for.
+// ParseVersion reads only the configVersion of a request body. It returns an error of kind Malformed for a body that is
+// not one JSON value in UTF-8, and of kind Invalid for a missing version. It checks nothing else.
 func ParseVersion(body []byte) (int64, error) {
 	if !utf8.Valid(body) {
 		return 0, errs.New(errs.Malformed, "the body is no UTF-8")
@@ -92,14 +93,14 @@
 	return *v.ConfigVersion, nil
 }
 
-// whole is the body of a replace, and the layout of the document. Its name is part of the error
-// texts of encoding/json, which operators get.
+// whole is the body of a replace request and the layout of Snapshot.Document. The type name is part of encoding/json
+// error messages, which operators receive.
 type whole struct {
 	versions
 	Resources *[]json.RawMessage `json:"resources"`
 }
 
-// partial is the body of an update. Its name is part of error texts, too.
+// partial is the body of an update request. The type name is part of encoding/json error messages, too.
 type partial struct {
 	versions
 	Upsert struct {
@@ -113,8 +114,9 @@
 	} `json:"remove"`
 }
 
-// ParseReplace reads the body of a request that replaces the configuration. What is truncated or is
-// no JSON is Malformed; what the schemas don't allow is Invalid. The body isn't retained.
+// ParseReplace parses the body of a request that replaces the configuration. It returns an error of kind Malformed for
+// a body that is truncated or not JSON, and of kind Invalid for a body that violates a schema. It does not retain the
+// body.
 func ParseReplace(body []byte) (*Change, error) {
 	var parsed whole
 	c, err := parseBody(formReplace, body, &parsed)
@@ -127,7 +129,7 @@
 	return c.withContent(parsed.versions, *parsed.Resources)
 }
 
-// ParseUpdate reads the body of a request that changes single resources, with the errors of
+// ParseUpdate parses the body of a request that upserts and removes single resources. The errors are those of
 // ParseReplace.
 func ParseUpdate(body []byte) (*Change, error) {
 	var parsed partial
@@ -142,13 +144,14 @@
 	return c.withContent(parsed.versions, parsed.Upsert.Resources)
 }
 
+// remove adds the resources of a kind with the given names to the resources that the change removes.
 func (c *Change) remove(k kind, names []string) {
 	for _, name := range names {
 		c.removed = append(c.removed, resourceID{k, name})
 	}
 }
 
-// parseBody reads a body into a value and begins its change with the canonical body and its digest.
+// parseBody parses a body into a value, and returns a change with the form, the canonical body and the digest.
 func parseBody(form string, body []byte, into any) (*Change, error) {
 	canonical, err := canonical(body)
 	if err != nil {
@@ -164,9 +167,9 @@
 	return &Change{form: form, body: canonical, digest: digest}, nil
 }
 
-// withContent completes a change with its versions and its resources. Two resources of one kind and
-// name are Invalid.
-func (c *Change) withContent(v versions, raws []json.RawMessage) (*Change, error) {
+// withContent sets the versions and the resources of a change. Two resources with the same id are an error of kind
+// Invalid.
+func (c *Change) withContent(v versions, rawResources []json.RawMessage) (*Change, error) {
 	if v.ConfigVersion == nil {
 		return nil, errs.New(errs.Invalid, "configVersion: the number is missing")
 	}
@@ -175,9 +178,9 @@
 			*v.ConfigVersion, v.BaseVersion, int64(MaxVersion))
 	}
 	c.version, c.base = *v.ConfigVersion, v.BaseVersion
-	c.resources = make([]*resource, 0, len(raws))
-	seen := make(map[resourceID]bool, len(raws))
-	for i, raw := range raws {
+	c.resources = make([]*resource, 0, len(rawResources))
+	seen := make(map[resourceID]bool, len(rawResources))
+	for i, raw := range rawResources {
 		r, err := parseResource(i, raw)
 		if err != nil {
 			return nil, err
@@ -191,7 +194,8 @@
 	return c, nil
 }
 
-// unmarshal reads JSON: a value of the wrong type is Invalid, what is no JSON is Malformed.
+// unmarshal decodes JSON. It returns an error of kind Invalid for a value of the wrong type, and of kind Malformed for
+// text that is not one JSON value.
 func unmarshal(text []byte, into any) error {
 	err := json.Unmarshal(text, into)
 	var wrongType *json.UnmarshalTypeError
--- a/internal/mesh/config/digest.go
+++ b/internal/mesh/config/digest.go
@@ -15,22 +15,21 @@
 )
 
 const (
-	// digestSize is the number of bytes of SHA-256 that are kept of a change request. Two different
-	// requests under one version share a digest with a probability of 2^-96, and the request log
-	// stays small.
+	// digestSize is the number of bytes that a digest keeps of the SHA-256 hash. Two different requests with the
+	// same version have the same digest with a probability of 2^-96. A longer digest would enlarge the request log.
 	digestSize = 12
-	// maxNesting bounds how deep objects and lists of a body may lie in one another. It guards the
-	// recursion that reads them; the schemas need 6.
+	// maxNesting is the maximum nesting depth of objects and lists in a body. It bounds the recursion of the
+	// normalizer. The schemas need a depth of 6.
 	maxNesting = 64
 )
 
-// digest identifies the content of a change request, its form and its two versions included. Bodies
-// that differ only in space, in escapes of characters or in the order of the keys of an object have
-// the same digest. Numbers count as they are written: 1 and 1.0 are different content.
+// digest identifies the content of a change request, including its form and its two versions. Bodies that differ only
+// in white space, in character escapes or in the order of an object's keys have the same digest. Numbers are compared
+// as they are written: 1 and 1.0 are different content.
 type digest [digestSize]byte
 
-// digestOf returns the digest of a change request from its canonical body. A key that stands twice in
-// one object is Invalid, because readers of JSON disagree on which of the two holds.
+// digestOf returns the digest of a change request with a canonical body. A duplicate key in an object is an error of
+// kind Invalid, because JSON readers disagree on which of the two values applies.
 func digestOf(form string, body []byte) (digest, error) {
 	n := normalizer{text: body, out: make([]byte, 0, len(body)+len(body)/2)}
 	n.frame('f', []byte(form))
@@ -41,17 +40,17 @@
 	return digest(sum[:digestSize]), nil
 }
 
-// normalizer writes a valid JSON text without spaces in a form of its own in which equal content is
-// equal bytes. Each value is framed by its kind and length, so that unequal content is not.
+// normalizer rewrites a valid JSON text without white space so that equal content results in equal bytes. Each value is
+// prefixed by its kind and length, so that different content results in different bytes.
 type normalizer struct {
-	text     []byte
-	position int
-	out      []byte
-	// scratch holds the members of an object while they are put in order.
+	text     []byte // the JSON text
+	position int    // offset of the next unread byte of text
+	out      []byte // the normalized text
+	// scratch holds the members of an object while sortMembers reorders them.
 	scratch []byte
 }
 
-// value writes the value that begins here.
+// value normalizes the value at the current position.
 func (n *normalizer) value(depth int) error {
 	if depth > maxNesting {
 		return errs.New(errs.Invalid, "the body nests more than %d levels deep", maxNesting)
@@ -73,13 +72,14 @@
 	return nil
 }
 
-// next steps over a bracket, brace, comma or colon and says whether the value ends with it.
+// next skips a bracket, brace, comma or colon, and reports whether it ends a list or an object.
 func (n *normalizer) next() (ended bool) {
 	n.position++
 	return n.text[n.position-1] == '}' || n.text[n.position-1] == ']'
 }
 
-// begin steps into a list or an object and says whether it is empty.
+// begin skips the opening bracket or brace of a list or an object. If the list or object is empty, begin skips the
+// closing one, too, and returns true.
 func (n *normalizer) begin() (empty bool) {
 	n.position++
 	if n.text[n.position] != '}' && n.text[n.position] != ']' {
@@ -89,7 +89,7 @@
 	return true
 }
 
-// list writes a list.
+// list normalizes the list at the current position.
 func (n *normalizer) list(depth int) error {
 	n.out = append(n.out, '[')
 	for ended := n.begin(); !ended; ended = n.next() {
@@ -101,14 +101,14 @@
 	return nil
 }
 
-// member is a key of an object with the position of its key and value in what was written. Folded
-// is the key as encoding/json compares it.
+// member is a member of an object. Its normalized key and value are out[start:end]. The field folded is the key in the
+// form in which encoding/json compares keys.
 type member struct {
 	key, folded string
 	start, end  int
 }
 
-// object writes an object, its members in the order of their keys.
+// object normalizes the object at the current position, with its members ordered by key.
 func (n *normalizer) object(depth int) error {
 	n.out = append(n.out, '{')
 	var members []member
@@ -133,9 +133,8 @@
 	return nil
 }
 
-// sortMembers sorts the members that were written last by their keys. Keys that differ by case
-// alone stay in the order of the body, since encoding/json reads both as the same field and
-// the later one holds.
+// sortMembers sorts the members at the end of out by key. Keys that differ only in case keep the order that they have
+// in the body: encoding/json decodes both into the same field, and the later value applies.
 func (n *normalizer) sortMembers(members []member) error {
 	slices.SortFunc(members, func(a, b member) int { return strings.Compare(a.key, b.key) })
 	for i := 1; i < len(members); i++ {
@@ -154,7 +153,7 @@
 	return nil
 }
 
-// string steps over a string and gives its characters without escapes.
+// string skips the string at the current position, and returns its value without escapes.
 func (n *normalizer) string() ([]byte, error) {
 	start, escaped := n.position, false
 	for n.position++; n.text[n.position] != '"'; n.position++ {
@@ -174,7 +173,7 @@
 	return []byte(plain), nil
 }
 
-// literal steps over a number, true, false or null and gives its text.
+// literal skips the number, true, false or null at the current position, and returns its text.
 func (n *normalizer) literal() []byte {
 	start := n.position
 	for n.position < len(n.text) && !strings.ContainsRune(",]}", rune(n.text[n.position])) {
@@ -183,14 +182,14 @@
 	return n.text[start:n.position]
 }
 
-// frame writes a text behind its kind and length.
+// frame appends a text to the output, prefixed by its kind and length.
 func (n *normalizer) frame(kind byte, text []byte) {
 	n.out = append(n.out, kind)
 	n.out = binary.AppendUvarint(n.out, uint64(len(text)))
 	n.out = append(n.out, text...)
 }
 
-// fold maps keys that encoding/json reads as the same field to the same text.
+// fold maps all keys that encoding/json decodes into the same field to the same text.
 func fold(key string) string {
 	return strings.Map(func(r rune) rune {
 		for next := unicode.SimpleFold(r); next > r; next = unicode.SimpleFold(r) {
@@ -200,18 +199,18 @@
 	}, key)
 }
 
-// canonical returns a body without spaces between its tokens and with the escapes that encoding/json
-// puts into raw messages, so that its items read the same however often it is passed on.
+// canonical returns a body without white space between its tokens and with the HTML escapes that encoding/json adds to
+// raw messages. Encoding the canonical body in further messages does not change its resources.
 func canonical(body []byte) ([]byte, error) {
 	if !utf8.Valid(body) {
 		return nil, errs.New(errs.Malformed, "the body is no UTF-8")
 	}
-	var tight, escaped bytes.Buffer
-	tight.Grow(len(body))
-	if err := json.Compact(&tight, body); err != nil {
+	var compacted, escaped bytes.Buffer
+	compacted.Grow(len(body))
+	if err := json.Compact(&compacted, body); err != nil {
 		return nil, errs.Wrap(err, errs.Malformed, "the body is no whole JSON value")
 	}
-	escaped.Grow(tight.Len())
-	json.HTMLEscape(&escaped, tight.Bytes())
+	escaped.Grow(compacted.Len())
+	json.HTMLEscape(&escaped, compacted.Bytes())
 	return escaped.Bytes(), nil
 }
--- a/internal/mesh/config/digest_test.go
+++ b/internal/mesh/config/digest_test.go
@@ -9,7 +9,7 @@
 	"caperarch/internal/mesh/errs"
 )
 
-// digestsOf returns the digests of updates, which must stay the same on their way to another process.
+// digestsOf returns the digests of updates. It fails the test if encoding and decoding an update changes its digest.
 func digestsOf(t *testing.T, bodies ...string) map[digest]bool {
 	t.Helper()
 	found := make(map[digest]bool)
@@ -20,7 +20,7 @@
 		}
 		received, err := DecodeChange(change.Encode())
 		if err != nil || received.digest != change.digest {
-			t.Fatal("the digest changes on its way:", body, err)
+			t.Fatal("the decoded change has another digest, want the same digest:", body, err)
 		}
 		found[change.digest] = true
 	}
@@ -28,14 +28,14 @@
 }
 
 func TestDigestIsOfTheContent(t *testing.T) {
-	Convey("Space, escapes and the order of keys make no other request", t, func() {
+	Convey("White space, escapes and the order of keys do not change the digest", t, func() {
 		So(digestsOf(t,
 			`{"configVersion":3,"note":{"a":["<é","kK"],"b":[{},[],null,true,1e2]}}`,
 			" {\n\"note\" : {\"b\":[ { } ,[ ],null, true,1e2], \"a\":[\"\\u003c\\u00e9\" ,\"kK\"]},\"configVersion\":3 }\t",
 			`{"note":{"a":["\u003cé","\u006bK"],"b":[{},[],null,true,1e2]},"configVersion":3}`,
 		), ShouldHaveLength, 1)
 	})
-	Convey("Other content makes another request, and so do the form and keys of another case", t, func() {
+	Convey("Different content, another form and keys of another case change the digest", t, func() {
 		bodies := []string{
 			`{"configVersion":3}`, `{"configVersion":4}`,
 			`{"configVersion":3,"baseVersion":0}`, `{"configVersion":3,"n":1}`,
@@ -51,7 +51,7 @@
 		update, _ := ParseUpdate([]byte(`{"configVersion":3,"resources":[]}`))
 		So(replace.digest, ShouldNotEqual, update.digest)
 	})
-	Convey("Bad bodies are rejected with their kind", t, func() {
+	Convey("An invalid body is rejected with an error of the right kind", t, func() {
 		nested := func(depth int) string {
 			return `{"configVersion":3,"n":` + strings.Repeat("[", depth) + strings.Repeat("]", depth) + `}`
 		}
--- a/internal/mesh/config/encoding.go
+++ b/internal/mesh/config/encoding.go
@@ -7,9 +7,8 @@
 	"caperarch/internal/mesh/errs"
 )
 
-// Document returns the full configuration in the layout of a replace: every resource as it was sent,
-// fields that are unknown here included. A resource keeps its position when an update replaces it;
-// new ones are at the end.
+// Document returns the full configuration in the layout of a replace request. Every resource is included as it was
+// received, with its unknown fields. A resource that an update replaces keeps its position; new resources are appended.
 func (s *Snapshot) Document() json.RawMessage {
 	size := len(`{"configVersion":,"baseVersion":,"resources":[]}`) + 2*len("9223372036854775807")
 	for _, r := range s.resources {
@@ -29,24 +28,23 @@
 	return append(out, `]}`...)
 }
 
-// encodedSnapshot is a snapshot as JSON.
+// encodedSnapshot is the JSON encoding of a snapshot.
 type encodedSnapshot struct {
 	Document json.RawMessage    `json:"document"`
 	Requests *encodedRequestLog `json:"orders,omitempty"`
 }
 
-// Encode returns the snapshot with its request log as one JSON value, for Decode. An error is of kind
-// Internal.
+// Encode returns the snapshot and its request log as one JSON value. Decode decodes it. An error is of kind Internal.
 func (s *Snapshot) Encode() ([]byte, error) {
 	out, err := json.Marshal(encodedSnapshot{s.Document(), s.requests.encode()})
 	if err != nil {
-		return nil, errs.Wrap(err, errs.Internal, "encode snapshot %d", s.version)
+		return nil, errs.Wrap(err, errs.Internal, "encode configuration version %d", s.version)
 	}
 	return out, nil
 }
 
-// Decode reads what Encode gave. Text that is no complete and valid snapshot is Malformed or
-// Invalid. A document without a request log is read as one whose requests are all forgotten.
+// Decode decodes what Encode returned. It returns an error of kind Malformed or Invalid for text that is not a complete
+// and valid snapshot. If there is no request log, the requests up to the document's version are forgotten.
 func Decode(text []byte) (*Snapshot, error) {
 	var e encodedSnapshot
 	if err := unmarshal(text, &e); err != nil {
--- a/internal/mesh/config/fuzz_test.go
+++ b/internal/mesh/config/fuzz_test.go
@@ -6,20 +6,21 @@
 	"caperarch/internal/mesh/errs"
 )
 
-// checkChange checks what holds for any bytes: an error is of a kind that says that the body is at
-// fault, and a change that was parsed keeps its digest and content on its way and in a snapshot.
+// checkChange checks the result of parsing arbitrary bytes. An error must be of kind Invalid or Malformed. A parsed
+// change must keep its versions and its digest when it is encoded and decoded, and must be recognised as a duplicate
+// after the snapshot that contains it was encoded and decoded.
 func checkChange(t *testing.T, change *Change, err error) {
 	t.Helper()
 	if err != nil {
 		if kind := errs.KindOf(err); kind != errs.Invalid && kind != errs.Malformed {
-			t.Fatalf("an error of kind %v: %v", kind, err)
+			t.Fatalf("error of kind %v, want Invalid or Malformed: %v", kind, err)
 		}
 		return
 	}
 	received, err := DecodeChange(change.Encode())
 	if err != nil || received.digest != change.digest ||
 		received.Version() != change.Version() || received.Base() != change.Base() {
-		t.Fatalf("%q is another change on its way: %v", change.Encode(), err)
+		t.Fatalf("%q: the decoded change has other versions or another digest: %v", change.Encode(), err)
 	}
 	base := &Snapshot{
 		version:  change.base,
@@ -36,13 +37,14 @@
 	}
 	decoded, err := Decode(text)
 	if err != nil {
-		t.Fatalf("a snapshot that can't be read back: %v", err)
+		t.Fatalf("an encoded snapshot can't be decoded: %v", err)
 	}
 	if _, outcome, _ := decoded.Apply(received); outcome != Duplicate {
-		t.Fatalf("an applied change is not recognised again: %d", outcome)
+		t.Fatalf("an applied change that is sent again has the outcome %d, want Duplicate", outcome)
 	}
 }
 
+// addSeeds adds bodies and encoded changes to the corpus, each in full and cut in half.
 func addSeeds(f *testing.F) {
 	for _, body := range []string{
 		example, `{}`, `null`, `[]`, `"`, `{"configVersion":1}`, `{"configVersion":1,"configVersion":1}`,
@@ -74,7 +76,7 @@
 		change, err := ParseUpdate(body)
 		checkChange(t, change, err)
 		if version, versionErr := ParseVersion(body); err == nil && (versionErr != nil || version != change.Version()) {
-			t.Fatalf("version %d, %v instead of %d", version, versionErr, change.Version())
+			t.Fatalf("ParseVersion returns %d, %v, want %d", version, versionErr, change.Version())
 		}
 	})
 }
@@ -100,16 +102,16 @@
 		decoded, err := Decode(text)
 		if err != nil {
 			if kind := errs.KindOf(err); kind != errs.Invalid && kind != errs.Malformed {
-				t.Fatalf("an error of kind %v: %v", kind, err)
+				t.Fatalf("error of kind %v, want Invalid or Malformed: %v", kind, err)
 			}
 			return
 		}
-		again, err := decoded.Encode()
+		encoded, err := decoded.Encode()
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, err := Decode(again); err != nil {
-			t.Fatalf("a snapshot that can't be read back: %v", err)
+		if _, err := Decode(encoded); err != nil {
+			t.Fatalf("an encoded snapshot can't be decoded: %v", err)
 		}
 	})
 }
--- a/internal/mesh/config/golden_test.go
+++ b/internal/mesh/config/golden_test.go
@@ -6,7 +6,8 @@
 	"caperarch/internal/mesh/goldentest"
 )
 
-// What other processes send and expect: testdata holds it as the release before wrote it.
+// Running processes and stored snapshots of an earlier release use these encodings. The files in testdata were written
+// by that release.
 func TestStoredForms(t *testing.T) {
 	goldentest.CheckJSON[encodedSnapshot](t, "encoded_snapshot")
 	goldentest.CheckJSON[encodedRequestLog](t, "encoded_request_log")
--- a/internal/mesh/config/key_digest.go
+++ b/internal/mesh/config/key_digest.go
@@ -5,11 +5,11 @@
 	"encoding/hex"
 )
 
-// keyDigestBytes is how much of a key's hash its digest has.
+// keyDigestBytes is the number of bytes that a key digest keeps of the SHA-256 hash.
 const keyDigestBytes = 16
 
-// KeyDigest stands for a tenant's key where sidecars name it to each other: the key itself goes no further than
-// the sidecar that its client sent it to.
+// KeyDigest identifies a tenant's key in messages between sidecars. The key itself is not sent on by the sidecar that
+// received it from the client.
 type KeyDigest string
 
 // DigestKey returns the digest of a key.
@@ -18,7 +18,8 @@
 	return KeyDigest(hex.EncodeToString(sum[:keyDigestBytes]))
 }
 
-// TenantOfDigest returns the tenant that holds the key of a digest, or nil. It hashes keys until it has found it.
+// TenantOfDigest returns the tenant whose key has the given digest, or nil if there is none. It hashes the keys of all
+// tenants until one matches.
 func (s *Snapshot) TenantOfDigest(d KeyDigest) *Tenant {
 	for key, tenant := range s.table.tenantByKey {
 		if DigestKey(key) == d {
--- a/internal/mesh/config/resource.go
+++ b/internal/mesh/config/resource.go
@@ -20,21 +20,21 @@
 	kindLimits   kind = "limits"
 )
 
-// resourceID identifies a resource: no snapshot holds two with one id.
+// resourceID identifies a resource. A snapshot holds at most one resource of each id.
 type resourceID struct {
 	kind kind
 	name string
 }
 
-// resource is one entry of a configuration, as it was sent and as it was parsed. It is immutable.
+// resource is one resource of a configuration, both as it was received and as it was parsed. It is immutable.
 type resource struct {
 	kind   kind
 	name   string
 	raw    json.RawMessage
-	parsed any // *Route, *Service, *Tenant or *Limits, by the kind
+	parsed any // *Route, *Service, *Tenant or *Limits, depending on the kind
 }
 
-// id returns the resource's id. A snapshot has one set of limits, whatever its name.
+// id returns the resource's id. A snapshot has at most one resource of limits, whatever its name.
 func (r *resource) id() resourceID {
 	if r.kind == kindLimits {
 		return resourceID{kind: kindLimits}
@@ -42,11 +42,11 @@
 	return resourceID{r.kind, r.name}
 }
 
-// specification is a resource's specification as it is sent, with its schema.
+// specification is the specification of a resource as it is received, with its schema. The names of the implementing
+// types are part of encoding/json error messages, which operators receive.
 type specification interface {
 	validation.Validatable
-	// parsed converts a valid specification to the type of its kind: *Route, *Service, *Tenant or
-	// *Limits.
+	// parsed converts a valid specification to the type of its kind: *Route, *Service, *Tenant or *Limits.
 	parsed(name string) any
 }
 
@@ -65,8 +65,8 @@
 	return nil
 }
 
-// parseResource reads an entry of the resources and checks it against the schema of its kind. The
-// position is that in the list, for errors.
+// parseResource parses one resource and checks it against the schema of its kind. The position is the index in the list
+// of resources; it appears in errors.
 func parseResource(position int, raw json.RawMessage) (*resource, error) {
 	var header struct {
 		ResourceType kind `json:"resourceType"`
--- a/internal/mesh/config/routing.go
+++ b/internal/mesh/config/routing.go
@@ -8,27 +8,27 @@
 	"caperarch/internal/mesh/errs"
 )
 
-// routingTable is the parsed resources of a snapshot, indexed for look-ups. It is immutable.
+// routingTable holds the parsed resources of a snapshot, indexed for lookups. It is immutable.
 type routingTable struct {
 	routesByHost   map[string][]hostRoute
 	serviceByName  map[string]*Service
-	servicesByName []*Service // sorted
+	servicesByName []*Service // sorted by name
 	tenantByKey    map[string]*Tenant
-	tenantsByName  []*Tenant // sorted
+	tenantsByName  []*Tenant // sorted by name
 	limits         Limits
 }
 
-// hostRoute is a route in the list of its host, which is sorted by prefix. Enclosing is the
-// position of the longest other prefix of the host that begins this one, or -1.
+// hostRoute is a route in the list of its host's routes, which is sorted by prefix. The field enclosing is the index of
+// the route with the longest other prefix that is a prefix of this route's prefix, or -1 if there is none.
 type hostRoute struct {
 	route     *Route
 	enclosing int32
 }
 
-// newRoutingTable indexes resources whose ids differ. Together they must be valid: every service
-// that a route names exists, no two routes have the same host and prefix, and no two tenants share
-// a key. The first fault in the order of the resources, or of hosts and prefixes, is returned as
-// Invalid, so that every replica returns the same.
+// newRoutingTable indexes resources with distinct ids. It returns an error of kind Invalid unless every service that a
+// route names exists, no two routes have the same host and prefix, and no two tenants have the same key. The error is
+// that of the first fault in the order of the resources, or in the order of hosts and prefixes, so that every replica
+// returns the same error.
 func newRoutingTable(resources []*resource) (*routingTable, error) {
 	t := &routingTable{
 		routesByHost:  make(map[string][]hostRoute),
@@ -62,6 +62,7 @@
 	return t, t.indexRoutes(routes)
 }
 
+// addTenant indexes a tenant by its keys. A key of another tenant is an error of kind Invalid.
 func (t *routingTable) addTenant(tenant *Tenant) error {
 	t.tenantsByName = append(t.tenantsByName, tenant)
 	for _, key := range tenant.keys {
@@ -73,6 +74,7 @@
 	return nil
 }
 
+// checkServices returns an error of kind Invalid if the route names a service that does not exist.
 func (t *routingTable) checkServices(r *Route) error {
 	for _, target := range r.Targets {
 		if t.serviceByName[target.Service] == nil {
@@ -87,7 +89,7 @@
 	return nil
 }
 
-// indexRoutes sorts the routes by host and prefix and gives each host its section of them.
+// indexRoutes sorts the routes by host and prefix, and stores for each host the section with its routes.
 func (t *routingTable) indexRoutes(routes []*Route) error {
 	slices.SortFunc(routes, func(a, b *Route) int {
 		return cmp.Or(
@@ -102,52 +104,53 @@
 		if i > 0 && routes[i-1].Host != r.Host {
 			first = i
 		}
-		ofHost := all[first : i+1 : i+1]
+		hostRoutes := all[first : i+1 : i+1]
 		enclosing := int32(i-first) - 1
-		for enclosing >= 0 && !strings.HasPrefix(r.Prefix, ofHost[enclosing].route.Prefix) {
-			enclosing = ofHost[enclosing].enclosing
+		for enclosing >= 0 && !strings.HasPrefix(r.Prefix, hostRoutes[enclosing].route.Prefix) {
+			enclosing = hostRoutes[enclosing].enclosing
 		}
-		if enclosing >= 0 && ofHost[enclosing].route.Prefix == r.Prefix {
+		if enclosing >= 0 && hostRoutes[enclosing].route.Prefix == r.Prefix {
 			return errs.New(errs.Invalid, "routes %q: has the host and prefix of %q",
-				r.Name, ofHost[enclosing].route.Name)
+				r.Name, hostRoutes[enclosing].route.Name)
 		}
-		ofHost[i-first] = hostRoute{route: r, enclosing: enclosing}
-		t.routesByHost[r.Host] = ofHost
+		hostRoutes[i-first] = hostRoute{route: r, enclosing: enclosing}
+		t.routesByHost[r.Host] = hostRoutes
 	}
 	return nil
 }
 
-// maxHostLength is the longest host name that is looked up without allocating: none in the DNS is
-// longer.
+// maxHostLength is the maximum length in bytes of a host name that Match looks up without an allocation. DNS names are
+// not longer.
 const maxHostLength = 255
 
-// Match returns the route for a Host header and a path, or nil if there is none: among the routes of
-// the host, the one with the longest prefix that begins the path. A port, the case of the host's
-// letters and a query make no difference. It doesn't allocate.
+// Match returns the route for a Host header and a path, or nil if there is none. It selects the route of the host with
+// the longest prefix of the path. It ignores the port and the case of the host, and the query of the path. It does not
+// allocate.
 func (s *Snapshot) Match(host, path string) *Route {
 	var buffer [maxHostLength]byte
-	ofHost := s.table.routesByHost[string(appendNormalizedHost(buffer[:0], host))]
+	hostRoutes := s.table.routesByHost[string(appendNormalizedHost(buffer[:0], host))]
 	if end := strings.IndexByte(path, '?'); end >= 0 {
 		path = path[:end]
 	}
-	position, found := slices.BinarySearchFunc(ofHost, path, func(r hostRoute, path string) int {
+	position, found := slices.BinarySearchFunc(hostRoutes, path, func(r hostRoute, path string) int {
 		return strings.Compare(r.route.Prefix, path)
 	})
-	// Every prefix that sorts between the longest one that begins the path and the path itself
-	// begins with that one, so it is found on the way outwards from the last that sorts before.
+	// Every prefix that sorts between the path and the longest prefix of the path begins with that longest prefix.
+	// The search for the longest prefix therefore starts at the last route that sorts before the path, and follows
+	// the enclosing routes.
 	if !found {
 		position--
 	}
 	for position >= 0 {
-		if strings.HasPrefix(path, ofHost[position].route.Prefix) {
-			return ofHost[position].route
+		if strings.HasPrefix(path, hostRoutes[position].route.Prefix) {
+			return hostRoutes[position].route
 		}
-		position = int(ofHost[position].enclosing)
+		position = int(hostRoutes[position].enclosing)
 	}
 	return nil
 }
 
-// appendNormalizedHost appends a host in lower case and without its port.
+// appendNormalizedHost appends a host to a buffer, in lower case and without its port.
 func appendNormalizedHost(to []byte, host string) []byte {
 	if colon := strings.LastIndexByte(host, ':'); colon > strings.LastIndexByte(host, ']') {
 		host = host[:colon]
@@ -161,31 +164,31 @@
 	return to
 }
 
-// Routes are all routes, in no particular order.
+// Routes returns all routes in no particular order.
 func (s *Snapshot) Routes() []*Route {
 	var all []*Route
-	for _, ofHost := range s.table.routesByHost {
-		for _, r := range ofHost {
+	for _, hostRoutes := range s.table.routesByHost {
+		for _, r := range hostRoutes {
 			all = append(all, r.route)
 		}
 	}
 	return all
 }
 
-// Tenant returns the tenant that holds a key, or nil.
+// Tenant returns the tenant with the given key, or nil if there is none.
 func (s *Snapshot) Tenant(key string) *Tenant { return s.table.tenantByKey[key] }
 
-// HasTenants reports whether requests need the key of a tenant.
+// HasTenants reports whether any tenant is configured. If so, requests need the key of a tenant.
 func (s *Snapshot) HasTenants() bool { return len(s.table.tenantsByName) > 0 }
 
 // Tenants returns the tenants ordered by name. The slice is shared and must not be changed.
 func (s *Snapshot) Tenants() []*Tenant { return s.table.tenantsByName }
 
-// Service returns the service of a name, or nil.
+// Service returns the service with the given name, or nil if there is none.
 func (s *Snapshot) Service(name string) *Service { return s.table.serviceByName[name] }
 
 // Services returns the services ordered by name. The slice is shared and must not be changed.
 func (s *Snapshot) Services() []*Service { return s.table.servicesByName }
 
-// Limits returns the limits in force.
+// Limits returns the limits of the configuration.
 func (s *Snapshot) Limits() Limits { return s.table.limits }
--- a/internal/mesh/config/routing_test.go
+++ b/internal/mesh/config/routing_test.go
@@ -10,51 +10,52 @@
 )
 
 func TestMatchFindsTheLongestPrefix(t *testing.T) {
-	Convey("Match finds what a scan over all routes finds", t, func() {
+	Convey("Match returns the route that a scan over all routes finds", t, func() {
 		path := rapid.StringMatching(`/([ab]{0,2}/){0,5}[ab]?`)
 		rapid.Check(t, func(t *rapid.T) {
 			prefixes := rapid.SliceOfNDistinct(path, 0, 20, rapid.ID).Draw(t, "prefixes")
-			var items []*resource
+			var resources []*resource
 			for _, p := range prefixes {
-				items = append(items, &resource{kind: kindRoutes, name: p, parsed: &Route{Name: p, Host: "h", Prefix: p}})
+				resources = append(resources, &resource{kind: kindRoutes, name: p, parsed: &Route{Name: p, Host: "h", Prefix: p}})
 			}
-			table, err := newRoutingTable(items)
+			table, err := newRoutingTable(resources)
 			if err != nil {
 				t.Fatal(err)
 			}
-			asked, want := path.Draw(t, "asked"), ""
+			requested, want := path.Draw(t, "asked"), ""
 			for _, p := range prefixes {
-				if strings.HasPrefix(asked, p) && len(p) > len(want) {
+				if strings.HasPrefix(requested, p) && len(p) > len(want) {
 					want = p
 				}
 			}
-			got := (&Snapshot{table: table}).Match("H:1", asked)
+			got := (&Snapshot{table: table}).Match("H:1", requested)
 			if (got == nil) != (want == "") || got != nil && got.Prefix != want {
-				t.Fatalf("%q: want %q, got %+v", asked, want, got)
+				t.Fatalf("path %q: want the route with prefix %q, Match returns %+v", requested, want, got)
 			}
 		})
 	})
-	Convey("Among 10,000 routes Match allocates nothing", t, func() {
-		c := largeSnapshot(t)
-		So(c.Match("H7.example:80", "/p/199/x").Name, ShouldEqual, "r-7-199")
-		So(testing.AllocsPerRun(100, func() { c.Match("H7.example:80", "/p/199/x") }), ShouldEqual, 0)
+	Convey("Match does not allocate in a table of 10,000 routes", t, func() {
+		snapshot := largeSnapshot(t)
+		So(snapshot.Match("H7.example:80", "/p/199/x").Name, ShouldEqual, "r-7-199")
+		So(testing.AllocsPerRun(100, func() { snapshot.Match("H7.example:80", "/p/199/x") }), ShouldEqual, 0)
 	})
 }
 
-// largeSnapshot returns a snapshot of 50 hosts with 200 prefixes each.
+// largeSnapshot returns a snapshot of 50 hosts with 200 routes each.
 func largeSnapshot(t testing.TB) *Snapshot {
 	t.Helper()
 	change, err := ParseReplace(largeBody())
 	if err != nil {
 		t.Fatal(err)
 	}
-	c, _, err := Empty().Apply(change)
+	snapshot, _, err := Empty().Apply(change)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return c
+	return snapshot
 }
 
+// largeBody returns the body of the replace request for largeSnapshot.
 func largeBody() []byte {
 	body := []byte(`{"configVersion":1,"resources":[` +
 		`{"resourceType":"services","metadata":{"name":"s"},"specification":{}}`)
@@ -81,8 +82,8 @@
 }
 
 func BenchmarkMatch(b *testing.B) {
-	c := largeSnapshot(b)
+	snapshot := largeSnapshot(b)
 	for b.Loop() {
-		c.Match("h7.example", "/p/199/x")
+		snapshot.Match("h7.example", "/p/199/x")
 	}
 }
--- a/internal/mesh/config/schema.go
+++ b/internal/mesh/config/schema.go
@@ -10,11 +10,10 @@
 )
 
 const (
-	// MaxTimeoutS is the longest timeoutS, in seconds, that a route may have: a request that took
-	// longer would outlive every client.
+	// MaxTimeoutS is the maximum timeoutS of a route in seconds. A request that took longer would outlive every
+	// client.
 	MaxTimeoutS = 600.0
-	// maxDuration caps the times that have no bound of their own: it guards the conversion from
-	// seconds against overflow.
+	// maxDuration is the maximum of all other durations. It keeps the conversion from seconds from overflowing.
 	maxDuration = 24 * time.Hour
 )
 
@@ -24,12 +23,13 @@
 	routeNonIdempotent = "non_idempotent"
 )
 
+// targetSpecification is a weighted target of a route as it is received.
 type targetSpecification struct {
 	ServiceName string   `json:"serviceName"`
 	Weight      *float64 `json:"weight"`
 }
 
-// Validate returns an error that names what is wrong with a weighted target.
+// Validate returns an error that describes what is wrong with a weighted target.
 func (s targetSpecification) Validate() error {
 	return validation.ValidateStruct(&s,
 		validation.Field(&s.ServiceName, validation.Required),
@@ -37,6 +37,7 @@
 	)
 }
 
+// routeSpecification is the specification of a route as it is received.
 type routeSpecification struct {
 	Hostname        string                `json:"hostname"`
 	PathPrefix      string                `json:"pathPrefix"`
@@ -50,7 +51,8 @@
 	Public          bool                  `json:"public"`
 }
 
-// Validate returns an error that names what is wrong with a route, other services and routes apart.
+// Validate returns an error that describes what is wrong with the route itself. newRoutingTable checks the route
+// against services and other routes.
 func (s *routeSpecification) Validate() error {
 	if err := validation.ValidateStruct(s,
 		validation.Field(&s.Hostname, validation.Required, validation.By(hasHostName)),
@@ -80,6 +82,7 @@
 	return nil
 }
 
+// hasHostName returns an error if a value has no host name before its port.
 func hasHostName(value any) error {
 	if len(appendNormalizedHost(nil, value.(string))) == 0 {
 		return errors.New("names no host")
@@ -87,6 +90,7 @@
 	return nil
 }
 
+// startsWithSlash returns an error if a value does not start with a slash.
 func startsWithSlash(value any) error {
 	if !strings.HasPrefix(value.(string), "/") {
 		return errors.New("must begin with a slash")
@@ -94,6 +98,7 @@
 	return nil
 }
 
+// parsed returns the specification as a *Route. Targets of weight 0 become unweighted services.
 func (s *routeSpecification) parsed(name string) any {
 	r := &Route{
 		Name:          name,
@@ -123,12 +128,13 @@
 	return r
 }
 
+// serviceSpecification is the specification of a service as it is received.
 type serviceSpecification struct {
 	HealthCheckPath string `json:"healthCheckPath"`
 	MaxConnections  int    `json:"maxConnections"`
 }
 
-// Validate returns an error that names what is wrong with a service.
+// Validate returns an error that describes what is wrong with a service.
 func (s *serviceSpecification) Validate() error {
 	return validation.ValidateStruct(s,
 		validation.Field(&s.HealthCheckPath,
@@ -137,10 +143,12 @@
 	)
 }
 
+// parsed returns the specification as a *Service.
 func (s *serviceSpecification) parsed(name string) any {
 	return &Service{Name: name, HealthPath: s.HealthCheckPath, MaxConnections: s.MaxConnections}
 }
 
+// tenantSpecification is the specification of a tenant as it is received.
 type tenantSpecification struct {
 	APIKeys    []string `json:"apiKeys"`
 	Priority   *int     `json:"priority"`
@@ -148,8 +156,8 @@
 	BurstLimit float64  `json:"burstLimit"`
 }
 
-// Validate returns an error that names what is wrong with a tenant, other tenants apart. A tenant may
-// have no key at present, but the list must be there.
+// Validate returns an error that describes what is wrong with the tenant itself. newRoutingTable checks the tenant
+// against other tenants. The list of keys is required but may be empty.
 func (s *tenantSpecification) Validate() error {
 	return validation.ValidateStruct(s,
 		validation.Field(&s.APIKeys, validation.NotNil, validation.Each(validation.Required)),
@@ -159,6 +167,7 @@
 	)
 }
 
+// parsed returns the specification as a *Tenant.
 func (s *tenantSpecification) parsed(name string) any {
 	t := &Tenant{
 		Name:     name,
@@ -173,6 +182,7 @@
 	return t
 }
 
+// limitsSpecification is the specification of the limits as it is received.
 type limitsSpecification struct {
 	MaxHeaderBytes int64   `json:"maxHeaderBytes"`
 	MaxBodyBytes   int64   `json:"maxBodyBytes"`
@@ -180,7 +190,7 @@
 	IdleTimeoutS   float64 `json:"idleTimeoutS"`
 }
 
-// Validate returns an error that names what is wrong with the limits.
+// Validate returns an error that describes what is wrong with the limits.
 func (s *limitsSpecification) Validate() error {
 	return validation.ValidateStruct(s,
 		validation.Field(&s.MaxHeaderBytes, validation.Min(0)),
@@ -190,7 +200,7 @@
 	)
 }
 
-// parsed puts the default in place of every limit that is 0 or left out.
+// parsed returns the specification as *Limits. A limit that is 0 or missing gets its default.
 func (s *limitsSpecification) parsed(string) any {
 	l := defaultLimits
 	if s.MaxHeaderBytes > 0 {
@@ -208,7 +218,7 @@
 	return &l
 }
 
-// seconds turns a number of seconds that is not negative into a time of maxDuration at most.
+// seconds converts a non-negative number of seconds to a duration of at most maxDuration.
 func seconds(s float64) time.Duration {
 	if s >= maxDuration.Seconds() {
 		return maxDuration
--- a/internal/mesh/config/snapshot.go
+++ b/internal/mesh/config/snapshot.go
@@ -1,7 +1,7 @@
-// Package config holds the configuration: an immutable Snapshot, the change requests that lead from
-// one to the next, and the routing table of a snapshot. It has no I/O, goroutines or clocks, so
-// every replica that applies the same changes in the same order holds the same snapshot. All
-// functions and methods may be called from any goroutine.
+// Package config holds the configuration: an immutable Snapshot, the change requests that lead from one snapshot to the
+// next, and the routing table of a snapshot. The package has no I/O, goroutines or clocks, so that every replica that
+// applies the same changes in the same order holds the same snapshot. All functions and methods are safe for concurrent
+// use.
 package config
 
 import (
@@ -15,40 +15,40 @@
 type Snapshot struct {
 	version   int64
 	base      int64
-	resources []*resource // in the document's order; their ids differ
+	resources []*resource // in the order of the document; their ids are distinct
 	requests  requestLog
 	table     *routingTable
 }
 
 var empty = &Snapshot{table: &routingTable{limits: defaultLimits}}
 
-// Empty returns the snapshot of version 0, which holds nothing.
+// Empty returns the snapshot of version 0, which has no resources.
 func Empty() *Snapshot { return empty }
 
-// Version is the configVersion in force, 0 before the first.
+// Version returns the snapshot's configVersion, or 0 for the empty snapshot.
 func (s *Snapshot) Version() int64 { return s.version }
 
-// Outcome is what became of a change.
+// Outcome is the result of applying a change.
 type Outcome uint8
 
 const (
-	// Rejected changes have not been applied and never will be: an error says why.
+	// Rejected means that the change was not applied and never will be. An error states the reason.
 	Rejected Outcome = iota
-	// Applied changes led to the snapshot that was returned.
+	// Applied means that the change was applied and resulted in the returned snapshot.
 	Applied
-	// Duplicate changes had been applied before with the very same content: the configuration stays
-	// as it is and the operator gets the success of the first.
+	// Duplicate means that a change with the same content was applied before. The configuration is unchanged, and the
+	// operator gets the same successful response as before.
 	Duplicate
-	// Undetermined changes are not applied now, and the request log doesn't show what became of
-	// them or would become of them later: the operator must not get a rejection.
+	// Undetermined means that the change is not applied now, and that the request log does not show whether it was
+	// applied before or may be applied later. The operator must not get a rejection.
 	Undetermined
 )
 
-// Apply returns the snapshot after a change, in the order of the replicated log. Whether the very
-// same change was applied before is checked first, so that no other check rejects it. Then one that
-// builds on another version is Stale and one that is invalid on top of this one is Invalid. An
-// error of kind Undetermined goes with that outcome. With every outcome the caller continues with
-// the snapshot that is returned: a rejected change may be in its request log.
+// Apply returns the snapshot that results from a change. Replicas apply changes in the order of the replicated log.
+// Apply first checks whether the same change was applied before, so that no other check rejects a repeated change. A
+// change that is based on another version is an error of kind Stale, and a change that is not valid on top of this
+// snapshot is an error of kind Invalid. The outcome Undetermined comes with an error of kind Undetermined. Whatever the
+// outcome, the caller must continue with the returned snapshot: its request log may record a rejected change.
 func (s *Snapshot) Apply(change *Change) (*Snapshot, Outcome, error) {
 	switch {
 	case s.requests.hasApplied(change):
@@ -81,9 +81,9 @@
 	}, Applied, nil
 }
 
-// rejectAhead rejects a change whose base may still be applied, and remembers it, so that a copy of the
-// request that arrives after its base is rejected too. Where it can't be remembered the outcome is
-// Undetermined.
+// rejectAhead rejects a change whose base version may still be applied. It records the change in the request log, so
+// that a copy of the request that arrives after the base version is rejected, too. The outcome is Undetermined if the
+// log is full.
 func (s *Snapshot) rejectAhead(change *Change) (*Snapshot, Outcome, error) {
 	requests, ok := s.requests.withRejected(change)
 	if !ok {
@@ -95,13 +95,13 @@
 	return &next, Rejected, s.stale(change)
 }
 
+// stale returns the error for a change that is based on another version than the snapshot's.
 func (s *Snapshot) stale(change *Change) error {
 	return errs.New(errs.Stale,
 		"version %d builds on %d, but %d is in place", change.version, change.base, s.version)
 }
 
-// merge returns the resources after a change. A resource that is sent unchanged stays the same one,
-// with its pointer.
+// merge returns the resources after a change. A resource whose text is unchanged keeps its pointer.
 func (s *Snapshot) merge(change *Change) []*resource {
 	positions := make(map[resourceID]int, len(s.resources))
 	for i, r := range s.resources {
@@ -120,8 +120,8 @@
 	return s.update(sent, change.removed, positions)
 }
 
-// update returns the resources after an update. Upserts take the place of the resources they replace
-// or go to the end; removals come after upserts, and removing what doesn't exist changes nothing.
+// update returns the resources after an update. An upserted resource takes the position of the resource that it
+// replaces, or is appended. Removals are applied after upserts. Removing a resource that does not exist has no effect.
 func (s *Snapshot) update(
 	upserts []*resource, removed []resourceID, positions map[resourceID]int,
 ) []*resource {
--- a/internal/mesh/config/snapshot_test.go
+++ b/internal/mesh/config/snapshot_test.go
@@ -11,7 +11,7 @@
 	"caperarch/internal/mesh/errs"
 )
 
-// example is the configuration of the operators' documentation, on top of version 0.
+// example is the example configuration of the operators' documentation, based on version 0.
 const example = `{"configVersion":7,"baseVersion":0,"resources":[` +
 	`{"resourceType":"routes","metadata":{"name":"r-6sz9frg"},` +
 	`"specification":{"hostname":"jepu9.example","pathPrefix":"/lepu270/","routeType":"idempotent",` +
@@ -37,27 +37,27 @@
 	`"specification":{"maxHeaderBytes":16384,"maxBodyBytes":67108864,"headerTimeoutS":3,` +
 	`"idleTimeoutS":15}}]}`
 
-// applyBody applies a body: the updates of these tests hold no resources, so what holds any is a
-// replace.
-func applyBody(c *Snapshot, body string) (*Snapshot, Outcome, error) {
+// applyBody parses and applies a request body. A body with a resource is parsed as a replace, any other as an update:
+// the updates in these tests contain no resources.
+func applyBody(snapshot *Snapshot, body string) (*Snapshot, Outcome, error) {
 	parse := ParseUpdate
 	if strings.Contains(body, `"resourceType"`) {
 		parse = ParseReplace
 	}
 	change, err := parse([]byte(body))
 	if err != nil {
-		return c, Rejected, err
+		return snapshot, Rejected, err
 	}
-	return c.Apply(change)
+	return snapshot.Apply(change)
 }
 
 func TestParsedConfiguration(t *testing.T) {
-	Convey("The example configuration is parsed as documented, and described as it was put", t, func() {
-		c, outcome, err := applyBody(Empty(), example)
+	Convey("The example configuration is parsed as documented, and Document returns it unchanged", t, func() {
+		snapshot, outcome, err := applyBody(Empty(), example)
 		So(err, ShouldBeNil)
 		So(outcome, ShouldEqual, Applied)
-		So(string(c.Document()), ShouldEqual, example)
-		r := c.Match("JEPU9.example:80", "/lepu270/2f?x=/")
+		So(string(snapshot.Document()), ShouldEqual, example)
+		r := snapshot.Match("JEPU9.example:80", "/lepu270/2f?x=/")
 		So(*r, ShouldResemble, Route{
 			Name:          "r-6sz9frg",
 			Host:          "jepu9.example",
@@ -69,18 +69,18 @@
 			MaxAttempts:   2,
 			Targets:       []Target{{"huvo11a", 90}, {"kafi81c", 10}},
 		})
-		So(c.Match("hulo84.example", "/xapu221/ny95/2f").Idempotent, ShouldBeFalse)
-		So(c.Match("hulo84.example", "/xapu221/?/xapu221/ny95/"), ShouldBeNil)
-		So(c.Tenant("kcuyj8pjbvk9m68k7b2e"), ShouldEqual, c.Tenants()[0])
+		So(snapshot.Match("hulo84.example", "/xapu221/ny95/2f").Idempotent, ShouldBeFalse)
+		So(snapshot.Match("hulo84.example", "/xapu221/?/xapu221/ny95/"), ShouldBeNil)
+		So(snapshot.Tenant("kcuyj8pjbvk9m68k7b2e"), ShouldEqual, snapshot.Tenants()[0])
 		keys := []string{"89anu6wsjnbanfqasnmg", "kcuyj8pjbvk9m68k7b2e"}
-		So(*c.Tenants()[0], ShouldResemble, Tenant{"bozi300", 1, 172, 172, keys})
-		So(*c.Service("wuno96b"), ShouldResemble, Service{"wuno96b", "/health", 130})
-		So(c.Services(), ShouldHaveLength, 3)
-		So(c.Limits(), ShouldResemble, Limits{16384, 67108864, 3 * time.Second, 15 * time.Second})
+		So(*snapshot.Tenants()[0], ShouldResemble, Tenant{"bozi300", 1, 172, 172, keys})
+		So(*snapshot.Service("wuno96b"), ShouldResemble, Service{"wuno96b", "/health", 130})
+		So(snapshot.Services(), ShouldHaveLength, 3)
+		So(snapshot.Limits(), ShouldResemble, Limits{16384, 67108864, 3 * time.Second, 15 * time.Second})
 		So(Empty().Limits(), ShouldResemble, defaultLimits)
 		So(Empty().HasTenants(), ShouldBeFalse)
 	})
-	Convey("A truncated body is Malformed, and nothing panics on a body with a corrupted byte", t, func() {
+	Convey("A truncated body is Malformed, and parsing a body with a corrupted byte does not panic", t, func() {
 		for end := range len(example) {
 			_, err := ParseReplace([]byte(example[:end]))
 			So(errs.KindOf(err), ShouldEqual, errs.Malformed)
@@ -108,8 +108,8 @@
 		},
 		{"a weight below 0", `"weight":10`, `"weight":-1`, `routes "r-6sz9frg"`},
 		{"no weight", `,"weight":10`, ``, `routes "r-6sz9frg"`},
-		{"a weight that is no number", `"weight":10`, `"weight":"10"`, `routes "r-6sz9frg"`},
-		{"a weight beyond numbers", `"weight":10`, `"weight":1e999`, `routes "r-6sz9frg"`},
+		{"a weight of the wrong type", `"weight":10`, `"weight":"10"`, `routes "r-6sz9frg"`},
+		{"a weight that overflows", `"weight":10`, `"weight":1e999`, `routes "r-6sz9frg"`},
 		{"a time-out over ten minutes", `"timeoutS":1.2`, `"timeoutS":600.001`, `routes "r-e9itfrz"`},
 		{"a time-out below 0", `"timeoutS":1.2`, `"timeoutS":-0.1`, `routes "r-e9itfrz"`},
 		{"no time-out", `"timeoutS":1.2,`, ``, `routes "r-e9itfrz"`},
@@ -119,12 +119,12 @@
 		{"a host that is a port", `"jepu9.example"`, `":80"`, `routes "r-6sz9frg"`},
 		{"an unknown routeType", `"non_idempotent"`, `"twice"`, `routes "r-e9itfrz"`},
 		{
-			"one host and prefix twice",
+			"two routes with the same host and prefix",
 			`"hulo84.example","pathPrefix":"/xapu221/ny95/"`,
 			`"JEPU9.example","pathPrefix":"/lepu270/"`,
 			`routes "r-e9itfrz"`,
 		},
-		{"one name twice", `"kafi81c"},"spec`, `"wuno96b"},"spec`, `services "wuno96b"`},
+		{"two services with the same name", `"kafi81c"},"spec`, `"wuno96b"},"spec`, `services "wuno96b"`},
 		{
 			"two sets of limits",
 			`{"resourceType":"limits"`,
@@ -132,7 +132,7 @@
 			`limits`,
 		},
 		{
-			"a key of two tenants",
+			"two tenants with the same key",
 			`{"resourceType":"limits"`,
 			`{"resourceType":"tenants","metadata":{"name":"other"},"specification":{"apiKeys":["89anu6wsjnbanfqasnmg"]}},` +
 				`{"resourceType":"limits"`,
@@ -142,48 +142,48 @@
 		{"no keys", `"apiKeys":`, `"keys":`, `tenants "bozi300"`},
 		{"a rate below 0", `"ratePerS":172`, `"ratePerS":-1`, `tenants "bozi300"`},
 		{"limits below 0", `"idleTimeoutS":15`, `"idleTimeoutS":-15`, `limits`},
-		{"a name that breaks a header", `"bozi300"`, `"bozi\r\n300"`, `tenants`},
+		{"a name with control characters", `"bozi300"`, `"bozi\r\n300"`, `tenants`},
 		{"no name", `"name":"huvo11a"`, `"title":"huvo11a"`, `services`},
 		{"no specification", `"specification":{"maxHeaderBytes"`, `"spec":{"maxHeaderBytes"`, `limits`},
 		{"an unknown resourceType", `"limits","metadata"`, `"limit","metadata"`, `"limit"`},
 		{"no resources", `"resources"`, `"items"`, `resources`},
-		{"a version that is no whole number", `"configVersion":7`, `"configVersion":7.5`, `configVersion`},
+		{"a version that is not an integer", `"configVersion":7`, `"configVersion":7.5`, `configVersion`},
 		{"no version", `"configVersion":7`, `"version":7`, `configVersion`},
-		{"a version that isn't above", `"configVersion":7`, `"configVersion":0`, `configVersion`},
+		{"a version not above the current one", `"configVersion":7`, `"configVersion":0`, `configVersion`},
 	}
-	Convey("Each invalid configuration is rejected with the name of its fault", t, func() {
+	Convey("Each invalid configuration is rejected with an error that names the faulty resource or field", t, func() {
 		for _, row := range table {
 			So(example, ShouldContainSubstring, row.from)
-			c, outcome, err := applyBody(Empty(), strings.Replace(example, row.from, row.to, 1))
+			snapshot, outcome, err := applyBody(Empty(), strings.Replace(example, row.from, row.to, 1))
 			SoMsg(row.fault, errs.KindOf(err), ShouldEqual, errs.Invalid)
 			SoMsg(row.fault, err.Error(), ShouldContainSubstring, row.named)
 			SoMsg(row.fault, outcome, ShouldEqual, Rejected)
-			So(c, ShouldEqual, Empty())
+			So(snapshot, ShouldEqual, Empty())
 		}
 	})
 }
 
 func TestChangesAreAppliedOnce(t *testing.T) {
-	Convey("Of two changes on one version the first wins, in both orders; a resend gets its success", t, func() {
+	Convey("Of two changes based on one version the first is applied, and a repeated change is a Duplicate", t, func() {
 		base, _, err := applyBody(Empty(), example)
 		So(err, ShouldBeNil)
 		a := `{"configVersion":9,"baseVersion":7,"remove":{"routes":["r-6sz9frg","never"]}}`
 		b := `{"configVersion":8,"baseVersion":7,"remove":{"tenants":["bozi300"]}}`
 		for _, order := range [][2]string{{a, b}, {b, a}} {
-			won, outcome, err := applyBody(base, order[0])
+			winner, outcome, err := applyBody(base, order[0])
 			So(err, ShouldBeNil)
 			So(outcome, ShouldEqual, Applied)
-			same, outcome, err := applyBody(won, order[1])
+			next, outcome, err := applyBody(winner, order[1])
 			So(errs.KindOf(err), ShouldEqual, errs.Stale)
 			So(outcome, ShouldEqual, Rejected)
-			So(same, ShouldEqual, won)
+			So(next, ShouldEqual, winner)
 			for _, resent := range []string{example, order[0], strings.ReplaceAll(order[0], ",", " ,\n")} {
-				same, outcome, err = applyBody(won, resent)
+				next, outcome, err = applyBody(winner, resent)
 				So(err, ShouldBeNil)
 				So(outcome, ShouldEqual, Duplicate)
-				So(same, ShouldEqual, won)
+				So(next, ShouldEqual, winner)
 			}
-			_, _, err = applyBody(won, strings.Replace(order[0], "remove", "removed", 1))
+			_, _, err = applyBody(winner, strings.Replace(order[0], "remove", "removed", 1))
 			So(errs.KindOf(err), ShouldEqual, errs.Stale)
 		}
 		_, _, err = applyBody(base, `{"configVersion":7,"baseVersion":7}`)
@@ -193,27 +193,27 @@
 		_, _, err = applyBody(base, `{"configVersion":8}`)
 		So(errs.KindOf(err), ShouldEqual, errs.Stale)
 	})
-	Convey("The newest requests are remembered, also through a snapshot, and no more than those", t, func() {
-		c := Empty()
+	Convey("Exactly the newest maxApplied requests are remembered, also after Decode", t, func() {
+		snapshot := Empty()
 		body := func(v int) string { return fmt.Sprintf(`{"configVersion":%d,"baseVersion":%d,"note":"<&>"}`, v, v-1) }
 		for v := 1; v <= maxApplied+1; v++ {
-			c, _, _ = applyBody(c, body(v))
+			snapshot, _, _ = applyBody(snapshot, body(v))
 		}
-		So(c.requests.applied, ShouldHaveLength, maxApplied)
-		text, err := c.Encode()
+		So(snapshot.requests.applied, ShouldHaveLength, maxApplied)
+		text, err := snapshot.Encode()
 		So(err, ShouldBeNil)
-		c, err = Decode(text)
+		snapshot, err = Decode(text)
 		So(err, ShouldBeNil)
-		_, outcome, _ := applyBody(c, body(2))
+		_, outcome, _ := applyBody(snapshot, body(2))
 		So(outcome, ShouldEqual, Duplicate)
-		// A forgotten one gets no clear answer, and no 4xx.
+		// A forgotten request gets an undetermined outcome and a status other than 4xx.
 		for _, forgotten := range []string{body(1), `{"configVersion":1,"baseVersion":4097}`} {
-			_, outcome, err = applyBody(c, forgotten)
+			_, outcome, err = applyBody(snapshot, forgotten)
 			So(outcome, ShouldEqual, Undetermined)
 			So(errs.KindOf(err), ShouldEqual, errs.Undetermined)
 			So(errs.KindOf(err).Status(), ShouldEqual, 503)
 		}
-		_, _, err = applyBody(c, strings.Replace(body(2), "note", "memo", 1))
+		_, _, err = applyBody(snapshot, strings.Replace(body(2), "note", "memo", 1))
 		So(errs.KindOf(err), ShouldEqual, errs.Stale)
 		So(len(text), ShouldBeLessThan, 25*maxApplied)
 		_, err = Decode(text[:len(text)-1])
--- a/internal/mesh/config/stored_test.go
+++ b/internal/mesh/config/stored_test.go
@@ -8,11 +8,11 @@
 	"time"
 )
 
-// testdata/snapshot.json is what the release before stored after it had applied request_replace and
-// request_update, and had refused request_ahead, whose base version had not come.
+// testdata/snapshot.json was stored by an earlier release after it had applied request_replace and request_update, and
+// had rejected request_ahead because the base version of that request had not been applied.
 const storedSnapshot = "snapshot"
 
-// golden returns a file that the release before wrote.
+// golden returns a file that an earlier release wrote.
 func golden(t *testing.T, name string) []byte {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join("testdata", name+".json"))
@@ -22,18 +22,18 @@
 	return text
 }
 
-// requests are the bodies that operators sent, in order, and what became of them.
+// requests are the bodies that operators sent, in order, with the outcome of the first and of a repeated request.
 var requests = []struct {
-	name           string
-	read           func(body []byte) (*Change, error)
-	outcome, again Outcome
+	name              string
+	read              func(body []byte) (*Change, error)
+	outcome, repeated Outcome
 }{
 	{"request_replace", ParseReplace, Applied, Duplicate},
 	{"request_update", ParseUpdate, Applied, Duplicate},
 	{"request_ahead", ParseUpdate, Rejected, Rejected},
 }
 
-func TestChangesAreEncodedAsBefore(t *testing.T) {
+func TestChangeEncodingIsUnchanged(t *testing.T) {
 	for _, request := range requests {
 		change, err := request.read(golden(t, request.name))
 		if err != nil {
@@ -41,16 +41,16 @@
 		}
 		sent := golden(t, request.name+"_sent")
 		if got := change.Encode(); string(got) != string(sent) {
-			t.Errorf("%s is sent as\n%s, want\n%s", request.name, got, sent)
+			t.Errorf("%s is encoded as\n%s, want\n%s", request.name, got, sent)
 		}
 		received, err := DecodeChange(sent)
 		if err != nil || !reflect.DeepEqual(received, change) {
-			t.Errorf("%s is received as %+v, %v, want %+v", request.name, received, err, change)
+			t.Errorf("%s is decoded as %+v, %v, want %+v", request.name, received, err, change)
 		}
 	}
 }
 
-func TestSnapshotIsEncodedAsBefore(t *testing.T) {
+func TestSnapshotEncodingIsUnchanged(t *testing.T) {
 	snapshot := Empty()
 	for _, request := range requests {
 		change, err := request.read(golden(t, request.name))
@@ -65,11 +65,11 @@
 	}
 	got, err := snapshot.Encode()
 	if want := golden(t, storedSnapshot); err != nil || string(got) != string(want) {
-		t.Errorf("stored is %v\n%s, want\n%s", err, got, want)
+		t.Errorf("Encode returns error %v and\n%s, want\n%s", err, got, want)
 	}
 }
 
-// A request that is sent again after an upgrade gets the answer that it had before.
+// A request that is sent again after an upgrade gets the same outcome as before the upgrade.
 func TestStoredSnapshotKnowsItsRequests(t *testing.T) {
 	snapshot, err := Decode(golden(t, storedSnapshot))
 	if err != nil {
@@ -80,16 +80,16 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, outcome, _ := snapshot.Apply(change); outcome != request.again {
-			t.Errorf("%s again: outcome %v, want %v", request.name, outcome, request.again)
+		if _, outcome, _ := snapshot.Apply(change); outcome != request.repeated {
+			t.Errorf("repeated %s: outcome %v, want %v", request.name, outcome, request.repeated)
 		}
 	}
 	if got, err := snapshot.Encode(); err != nil || string(got) != string(golden(t, storedSnapshot)) {
-		t.Errorf("stored again it is %v\n%s", err, got)
+		t.Errorf("encoding the decoded snapshot returns error %v and\n%s, want the stored bytes", err, got)
 	}
 }
 
-func TestStoredSnapshotIsReadInFull(t *testing.T) {
+func TestStoredSnapshotIsDecodedInFull(t *testing.T) {
 	snapshot, err := Decode(golden(t, storedSnapshot))
 	if err != nil {
 		t.Fatal(err)
@@ -115,12 +115,12 @@
 		}
 	}
 	if got := snapshot.Service("meters-d"); got != nil {
-		t.Errorf("the service that was removed is %+v", got)
+		t.Errorf("service meters-d was removed, but Service returns %+v", got)
 	}
 	for _, key := range []string{"key-1", "key-2"} {
 		got := snapshot.Tenant(key)
 		if got == nil || got.Name != "grid <&> é" || got.Priority != 1 || got.RatePerS != 30.5 || got.Burst != 61 {
-			t.Errorf("the tenant of %s is %+v", key, got)
+			t.Errorf("the tenant with key %s is %+v", key, got)
 		}
 	}
 	if got, want := snapshot.Limits(), (Limits{
@@ -130,7 +130,7 @@
 	}
 }
 
-// An update names what it removes by kind, under the keys that operators use.
+// An update lists the resources to remove by kind.
 func TestUpdateRemovesEachKind(t *testing.T) {
 	for remove, removed := range map[string]func(s *Snapshot) bool{
 		`{"routes":["meters"]}`:      func(s *Snapshot) bool { return s.Match("meters.example", "/read/1") == nil },
@@ -147,10 +147,10 @@
 			t.Fatal(err)
 		}
 		if removed(snapshot) {
-			t.Errorf("%s: it isn't there before", remove)
+			t.Errorf("remove %s: the resource is missing before the update", remove)
 		}
 		if next, outcome, err := snapshot.Apply(change); outcome != Applied || !removed(next) {
-			t.Errorf("%s: outcome %v, %v; is it still there?", remove, outcome, err)
+			t.Errorf("remove %s: outcome %v, %v, want Applied and the resource removed", remove, outcome, err)
 		}
 	}
 }
--- a/internal/mesh/config/update_model_test.go
+++ b/internal/mesh/config/update_model_test.go
@@ -14,8 +14,8 @@
 	"caperarch/internal/mesh/errs"
 )
 
-// drawResource draws a resource. Services are services<&0 to services<&3; their names and the
-// tenants' hold characters that encoding/json escapes.
+// drawResource draws a resource. The names of services are services<&0 to services<&3. The names contain characters
+// that encoding/json escapes.
 func drawResource(t *rapid.T) map[string]any {
 	kind := rapid.SampledFrom([]string{"routes", "routes", "services", "tenants", "limits"}).Draw(t, "kind")
 	n := rapid.IntRange(0, 3).Draw(t, "n")
@@ -40,20 +40,21 @@
 	}
 }
 
-// modelID identifies a resource of the model as kind/name.
+// modelID returns the id of a resource in the model, as kind/name.
 func modelID(resource any) string {
 	r := resource.(map[string]any)
 	name, _ := r["metadata"].(map[string]any)["name"].(string)
 	return r["resourceType"].(string) + "/" + name
 }
 
-// modelUpdate is a drawn update on top of a version.
+// modelUpdate is a drawn update that is based on the version base.
 type modelUpdate struct {
 	version, base int64
 	upserts       []map[string]any
 	removedRoutes []string
 }
 
+// drawUpdate draws an update with the given versions.
 func drawUpdate(t *rapid.T, version, base int64) modelUpdate {
 	return modelUpdate{
 		version: version,
@@ -65,7 +66,7 @@
 	}
 }
 
-// change parses the update as a client would write it, without escapes for HTML.
+// change parses the body of the update as a client writes it, without HTML escapes.
 func (u modelUpdate) change(t *rapid.T) *Change {
 	t.Helper()
 	body, _ := json.Marshal(map[string]any{
@@ -82,7 +83,7 @@
 	return change
 }
 
-// applyTo does to a list of resources what a client expects of the update.
+// applyTo applies the update to a list of resources the way a client expects.
 func (u modelUpdate) applyTo(resources []any) []any {
 	for _, upsert := range u.upserts {
 		position := slices.IndexFunc(resources, func(r any) bool { return modelID(r) == modelID(upsert) })
@@ -97,18 +98,18 @@
 	})
 }
 
-// received is a change as another process decodes it.
+// received returns a change as another process decodes it.
 func received(t *rapid.T, change *Change) *Change {
 	t.Helper()
 	message, _ := json.Marshal(json.RawMessage(change.Encode()))
-	pushed, err := DecodeChange(message)
+	decoded, err := DecodeChange(message)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return pushed
+	return decoded
 }
 
-// checkDocument fails the test unless the snapshot's document holds the model's resources.
+// checkDocument fails the test unless the snapshot's document has the update's versions and the model's resources.
 func checkDocument(t *rapid.T, s *Snapshot, update modelUpdate, resources []any) {
 	t.Helper()
 	var document struct {
@@ -117,7 +118,7 @@
 	}
 	err := json.Unmarshal(s.Document(), &document)
 	if err != nil || document.ConfigVersion != update.version || document.BaseVersion != update.base {
-		t.Fatal("the document's numbers", err, string(s.Document()))
+		t.Fatal("the document has other versions than the update:", err, string(s.Document()))
 	}
 	want, _ := json.Marshal(resources)
 	got, _ := json.Marshal(document.Resources)
@@ -126,7 +127,7 @@
 	}
 }
 
-// checkPointers fails the test unless resources that did not change are the same ones.
+// checkPointers fails the test unless unchanged resources keep their pointers.
 func checkPointers(t *rapid.T, before, after *Snapshot) {
 	t.Helper()
 	for _, old := range before.resources {
@@ -134,13 +135,13 @@
 		if position < 0 {
 			continue
 		}
-		if same := after.resources[position]; string(same.raw) == string(old.raw) && same != old {
-			t.Fatal("an unchanged resource lost its pointer")
+		if kept := after.resources[position]; string(kept.raw) == string(old.raw) && kept != old {
+			t.Fatal("an unchanged resource has another pointer")
 		}
 	}
 }
 
-// checkStored fails the test unless the snapshot is decoded as it was encoded.
+// checkStored fails the test unless encoding and decoding the snapshot returns an equal snapshot.
 func checkStored(t *rapid.T, s *Snapshot) {
 	t.Helper()
 	text, err := s.Encode()
@@ -153,12 +154,12 @@
 	}
 	if string(decoded.Document()) != string(s.Document()) ||
 		!reflect.DeepEqual(decoded.requests, s.requests) || !reflect.DeepEqual(decoded.table, s.table) {
-		t.Fatal("the decoded snapshot differs")
+		t.Fatal("the decoded snapshot differs from the encoded one")
 	}
 }
 
 func TestUpdatesAgainstModel(t *testing.T) {
-	Convey("Updates do to the document what a client expects, and every replica agrees", t, func() {
+	Convey("Updates change the document the way a client expects, and every replica has the same snapshot", t, func() {
 		rapid.Check(t, func(t *rapid.T) {
 			current, replica := Empty(), Empty()
 			var resources []any
@@ -169,7 +170,7 @@
 				var replicaErr error
 				replica, _, replicaErr = replica.Apply(received(t, change))
 				if !reflect.DeepEqual(replica, next) || errs.KindOf(err) != errs.KindOf(replicaErr) {
-					t.Fatal("the replica differs")
+					t.Fatal("the replica's snapshot or error kind differs from the first one")
 				}
 				if err != nil {
 					continue
