--- a/internal/mesh/registry/lease_table.go
+++ b/internal/mesh/registry/lease_table.go
@@ -137,8 +137,8 @@
 	}, true
 }
 
-// Leases returns all leases for a member that starts, in no particular order: those that are live, and those of
-// sidecars that left.
+// Leases returns the live leases and the leases of sidecars that left, in no particular order. The result is sent to a
+// member that starts.
 func (t *Table) Leases(now time.Duration) []RemoteLease {
 	all := make([]RemoteLease, 0, len(t.leases))
 	for node := range t.leases {
--- a/internal/mesh/registry/silent.go
+++ b/internal/mesh/registry/silent.go
@@ -32,7 +32,7 @@
 	}
 }
 
-// Silent returns the silent sidecars for a member that starts, in no particular order.
+// Silent returns the silent sidecars in no particular order. The result is sent to a member that starts.
 func (t *Table) Silent(now time.Duration) []SilentSidecar {
 	var all []SilentSidecar
 	for node, l := range t.leases {
--- a/internal/mesh/registry/table_test.go
+++ b/internal/mesh/registry/table_test.go
@@ -21,6 +21,7 @@
 	}
 }
 
+// millis returns a time in milliseconds on the clock of a table.
 func millis(ms int) time.Duration { return time.Duration(ms) * time.Millisecond }
 
 // renew applies a valid lease and reports whether the content changed.
--- a/internal/mesh/registry/upstream.go
+++ b/internal/mesh/registry/upstream.go
@@ -132,6 +132,8 @@
 	return max(before-after, after-before) > warmupTolerance
 }
 
+// seconds converts a number of seconds to a duration.
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
+// remainingSeconds returns the seconds from now until end, or 0 if end has passed.
 func remainingSeconds(end, now time.Duration) float64 { return max(end-now, 0).Seconds() }
--- a/internal/mesh/registry/upstream_table.go
+++ b/internal/mesh/registry/upstream_table.go
@@ -68,7 +68,7 @@
 	return t.upsert(now, up, now+min(remaining, LeaseTTL), fromHeartbeat)
 }
 
-// withPlacementOf returns the upstream with its empty node, inbound address, zone and region taken from another one.
+// withPlacementOf returns the upstream with its missing node, inbound address, zone and region taken from known.
 func (u Upstream) withPlacementOf(known *Upstream) Upstream {
 	u.Node, u.Inbound = cmp.Or(u.Node, known.Node), cmp.Or(u.Inbound, known.Inbound)
 	u.Zone, u.Region = cmp.Or(u.Zone, known.Zone), cmp.Or(u.Region, known.Region)
