--- a/internal/mesh/config/change.go
+++ b/internal/mesh/config/change.go
@@ -54,7 +54,7 @@
 }
 
 // DecodeChange decodes what Encode returned, in any process. The decoded change has the same digest as the encoded one.
-// The errors are those of ParseReplace; an unknown form is an error of kind Invalid.
+// DecodeChange returns the same errors as ParseReplace, and an error of kind Invalid for an unknown form.
 func DecodeChange(text []byte) (*Change, error) {
 	var e envelope
 	if err := unmarshal(text, &e); err != nil {
@@ -129,8 +129,8 @@
 	return c.withContent(parsed.versions, *parsed.Resources)
 }
 
-// ParseUpdate parses the body of a request that upserts and removes single resources. The errors are those of
-// ParseReplace.
+// ParseUpdate parses the body of a request that upserts and removes single resources. It returns the same
+// errors as ParseReplace.
 func ParseUpdate(body []byte) (*Change, error) {
 	var parsed partial
 	c, err := parseBody(formUpdate, body, &parsed)
--- a/internal/mesh/config/requests_test.go
+++ b/internal/mesh/config/requests_test.go
@@ -14,7 +14,7 @@
 	body := func(version, base int64) string {
 		return fmt.Sprintf(`{"configVersion":%d,"baseVersion":%d}`, version, base)
 	}
-	Convey("A request rejected ahead of its base stays rejected once the base is applied, also after Decode", t, func() {
+	Convey("A request rejected ahead of its base stays rejected after the base is applied, also after Decode", t, func() {
 		snapshot, outcome, err := applyBody(Empty(), body(9, 7))
 		So([]any{outcome, errs.KindOf(err)}, ShouldResemble, []any{Rejected, errs.Stale})
 		snapshot, outcome, _ = applyBody(snapshot, body(7, 0))
--- a/internal/mesh/config/routing.go
+++ b/internal/mesh/config/routing.go
@@ -26,8 +26,8 @@
 }
 
 // newRoutingTable indexes resources with distinct ids. It returns an error of kind Invalid unless every service that a
-// route names exists, no two routes have the same host and prefix, and no two tenants have the same key. The error is
-// that of the first fault in the order of the resources, or in the order of hosts and prefixes, so that every replica
+// route names exists, no two routes have the same host and prefix, and no two tenants have the same key. The error
+// describes the first fault in the order of the resources, or in the order of hosts and prefixes, so that every replica
 // returns the same error.
 func newRoutingTable(resources []*resource) (*routingTable, error) {
 	t := &routingTable{
--- a/internal/mesh/config/routing_test.go
+++ b/internal/mesh/config/routing_test.go
@@ -16,7 +16,9 @@
 			prefixes := rapid.SliceOfNDistinct(path, 0, 20, rapid.ID).Draw(t, "prefixes")
 			var resources []*resource
 			for _, p := range prefixes {
-				resources = append(resources, &resource{kind: kindRoutes, name: p, parsed: &Route{Name: p, Host: "h", Prefix: p}})
+				resources = append(resources, &resource{
+					kind: kindRoutes, name: p, parsed: &Route{Name: p, Host: "h", Prefix: p},
+				})
 			}
 			table, err := newRoutingTable(resources)
 			if err != nil {
--- a/internal/mesh/config/snapshot.go
+++ b/internal/mesh/config/snapshot.go
@@ -20,6 +20,7 @@
 	table     *routingTable
 }
 
+// empty is the snapshot that Empty returns.
 var empty = &Snapshot{table: &routingTable{limits: defaultLimits}}
 
 // Empty returns the snapshot of version 0, which has no resources.
