--- a/internal/mesh/rpc/body.go
+++ b/internal/mesh/rpc/body.go
@@ -6,41 +6,41 @@
 )
 
 const (
-	// announcedBuffer bounds the memory taken because of a Content-Length alone. It guards against
-	// senders that announce a large body and never send it; once so much has arrived, the rest is
-	// allocated at once.
-	announcedBuffer = 256 << 10
-	// unannouncedBuffer is the first buffer for a body without an announced length.
-	unannouncedBuffer = 4 << 10
+	// maxAnnouncedBuffer is the maximum size in bytes of the first buffer for a body with a Content-Length. It limits
+	// the memory that a sender can occupy by announcing a large body without sending it. Once that many bytes have
+	// been received, the announced rest is allocated at once.
+	maxAnnouncedBuffer = 256 << 10
+	// initialBuffer is the size in bytes of the first buffer for a body without a Content-Length.
+	initialBuffer = 4 << 10
 )
 
-// errOverLimit is why readBody gave up on a body.
-var errOverLimit = errors.New("over the limit")
+// errBodyTooLarge is the error of readBody for a body that exceeds the limit.
+var errBodyTooLarge = errors.New("over the limit")
 
-// readBody reads to the end of r, at most limit bytes; length is the announced one, negative if
-// there is none. Its memory grows with what has arrived: see announcedBuffer. With an error that is
-// not errOverLimit it returns what was read until then.
+// readBody reads r up to its end. Length is the announced number of bytes, or negative if none is announced. A body of
+// more than limit bytes is errBodyTooLarge. With any other error, readBody returns the bytes read until then. It
+// allocates memory as bytes are received, see maxAnnouncedBuffer.
 func readBody(r io.Reader, length, limit int64) ([]byte, error) {
-	first, next := int64(unannouncedBuffer), int64(0)
+	initial, announced := int64(initialBuffer), int64(0)
 	if length >= 0 {
-		// One byte beyond the length lets the end be seen without growing the buffer.
-		next = min(length, limit) + 1
-		first = min(next, announcedBuffer)
+		// One byte beyond the length allows the end to be read without growing the buffer.
+		announced = min(length, limit) + 1
+		initial = min(announced, maxAnnouncedBuffer)
 	}
-	data := make([]byte, 0, first)
+	data := make([]byte, 0, initial)
 	for {
 		n, err := r.Read(data[len(data):cap(data)])
 		data = data[:len(data)+n]
 		switch {
 		case int64(len(data)) > limit:
-			return nil, errOverLimit
+			return nil, errBodyTooLarge
 		case err == io.EOF:
 			return data, nil
 		case err != nil:
 			return data, err
 		}
 		if len(data) == cap(data) {
-			grown := make([]byte, len(data), max(next, 2*int64(cap(data))))
+			grown := make([]byte, len(data), max(announced, 2*int64(cap(data))))
 			copy(grown, data)
 			data = grown
 		}
--- a/internal/mesh/rpc/client.go
+++ b/internal/mesh/rpc/client.go
@@ -12,17 +12,17 @@
 )
 
 const (
-	// maxResponseBytes bounds a response. It guards the caller's memory against a faulty peer, and
-	// leaves room for the largest configuration (64 MiB) with its envelope.
+	// maxResponseBytes is the maximum size of a successful response. It protects the caller's memory from a faulty
+	// peer, and fits the largest configuration (64 MiB) with its envelope.
 	maxResponseBytes = 72 << 20
-	// maxErrorBytes bounds what is read of a response that is an error.
+	// maxErrorBytes is the maximum number of bytes that are read of an error response.
 	maxErrorBytes = 16 << 10
 )
 
-// Call posts the request as JSON and returns the response. A response that is not 2xx is returned
-// as an error of the kind that the peer named, and of Internal if it named none. If there is no
-// response, if it breaks off, or if ctx ends first, the error is Unreachable: whether the peer did
-// what was asked is then unknown.
+// Call posts a request as JSON and returns the decoded response. A response with a status other than 2xx is returned as
+// an error of the kind that the peer named, or of kind Internal if the peer named none. The error is of kind
+// Unreachable if no response is received, if the response is truncated, or if ctx ends first. Whether the peer executed
+// the request is then unknown.
 func Call[Req, Resp any](ctx context.Context, c *http.Client, url string, request *Req) (*Resp, error) {
 	body, err := json.Marshal(request)
 	if err != nil {
@@ -31,17 +31,17 @@
 	return Post[Resp](ctx, c, url, body)
 }
 
-// Post is Call with a body that is encoded already, and need not be JSON.
+// Post is like Call, but takes an encoded body. The body need not be JSON.
 func Post[Resp any](ctx context.Context, c *http.Client, url string, body []byte) (*Resp, error) {
 	return exchange[Resp](ctx, c, http.MethodPost, url, bytes.NewReader(body))
 }
 
-// Get is Call without a body, for what is served by HandleGet.
+// Get is like Call, but sends a GET request without a body. HandleGet serves such requests.
 func Get[Resp any](ctx context.Context, c *http.Client, url string) (*Resp, error) {
 	return exchange[Resp](ctx, c, http.MethodGet, url, nil)
 }
 
-// exchange sends a request, whose body is nil if it has none, and decodes the response.
+// exchange sends a request and decodes the response. A nil requestBody sends no body.
 func exchange[Resp any](
 	ctx context.Context, c *http.Client, method, url string, requestBody io.Reader,
 ) (*Resp, error) {
@@ -50,7 +50,7 @@
 		return nil, errs.Wrap(err, errs.Internal, "request to %s", url)
 	}
 	if requestBody != nil {
-		request.Header.Set("Content-Type", contentJSON)
+		request.Header.Set("Content-Type", contentTypeJSON)
 	}
 	response, err := c.Do(request)
 	if err != nil {
@@ -71,11 +71,11 @@
 	return decoded, nil
 }
 
-// readError turns a response that is not 2xx into an error of the kind that its header names. The
-// message is the peer's if there is one.
+// readError returns the error for a response with a status other than 2xx. Its kind is the kind that the
+// response's header names. Its message contains the peer's message, if the response has one.
 func readError(url string, response *http.Response) error {
 	kind := errs.ParseKind(response.Header.Get(meshapi.ErrorKindHeader))
-	// Of a body that breaks off the part that arrived is used; it only carries the message.
+	// A truncated body is used as far as it was received, because it only carries the message.
 	body, _ := io.ReadAll(io.LimitReader(response.Body, maxErrorBytes))
 	var peerError meshapi.ErrorResponse
 	if json.Unmarshal(body, &peerError) != nil || peerError.ErrorMessage == "" {
--- a/internal/mesh/rpc/golden_test.go
+++ b/internal/mesh/rpc/golden_test.go
@@ -9,18 +9,18 @@
 	"caperarch/meshapi"
 )
 
-// The JSON form is what the last release wrote: testdata holds it.
+// The file in testdata was written by an earlier release, whose processes send and expect this encoding.
 func TestErrorBody(t *testing.T) {
 	goldentest.CheckJSON[meshapi.ErrorResponse](t, "error")
 }
 
-// Callers of the release before go by the status, the kind's name and Retry-After of an error.
-func TestErrorAnswerOfEachKind(t *testing.T) {
-	type answer struct {
+// Callers of an earlier release rely on the status, the kind's name and the Retry-After header of an error response.
+func TestErrorResponseOfEachKind(t *testing.T) {
+	type errorResponse struct {
 		status           int
 		kind, retryAfter string
 	}
-	want := []answer{
+	want := []errorResponse{
 		{400, "Invalid", ""},
 		{400, "Unreadable", ""},
 		{413, "TooLarge", ""},
@@ -41,16 +41,16 @@
 	for i, want := range want {
 		w := httptest.NewRecorder()
 		WriteError(w, errs.New(errs.Kind(i+1), "what went wrong"))
-		got := answer{w.Code, w.Header().Get("X-Mesh-Fault"), w.Header().Get("Retry-After")}
+		got := errorResponse{w.Code, w.Header().Get("X-Mesh-Fault"), w.Header().Get("Retry-After")}
 		if got != want {
-			t.Errorf("kind %d is answered as %+v, want %+v", i+1, got, want)
+			t.Errorf("the response to an error of kind %d is %+v, want %+v", i+1, got, want)
 		}
 		body := `{"errorMessage":"what went wrong","kind":"` + want.kind + `"}`
 		if got := w.Body.String(); got != body {
-			t.Errorf("%s: the body is %s, want %s", want.kind, got, body)
+			t.Errorf("kind %s: the body is %s, want %s", want.kind, got, body)
 		}
 		if got := w.Header().Get("Content-Type"); got != "application/json" {
-			t.Errorf("%s: the body is of the type %q", want.kind, got)
+			t.Errorf("kind %s: the Content-Type is %q, want application/json", want.kind, got)
 		}
 	}
 }
--- a/internal/mesh/rpc/rpc.go
+++ b/internal/mesh/rpc/rpc.go
@@ -1,9 +1,10 @@
-// Package rpc carries requests as JSON over HTTP/1.1 between the mesh's processes and from its
-// users. Handle, HandleGet and HandleRaw serve them; Call, Post and Get send them by a client of
-// package httpclient. An error keeps its errs.Kind on the way: the caller gets the kind and the
-// message that the handler returned.
+// Package rpc carries JSON requests over HTTP/1.1 between the processes of the mesh and from the users of the mesh.
+// Handle, HandleGet and HandleRaw serve requests. Call, Post and Get send requests with an http.Client of package
+// httpclient. Errors keep their errs.Kind in transit: the caller gets the kind and the message that the handler
+// returned.
 //
-// The package owns no goroutines. Its functions may be called from any goroutine.
+// The package starts no goroutines. Its functions are safe for concurrent use.
 package rpc
 
-const contentJSON = "application/json"
+// contentTypeJSON is the Content-Type of all bodies.
+const contentTypeJSON = "application/json"
--- a/internal/mesh/rpc/rpc_test.go
+++ b/internal/mesh/rpc/rpc_test.go
@@ -19,30 +19,32 @@
 	"caperarch/meshapi"
 )
 
+// echoRequest is the request of /echo: the kind of the error to return, or the text to return.
 type echoRequest struct{ Kind, Fill string }
 
+// echoResponse is the response of all handlers of the test server.
 type echoResponse struct{ Fill string }
 
-// maxTestBody is the limit of the test server's bodies.
+// maxTestBody is the body limit of the test server in bytes.
 const maxTestBody = 600 << 10
 
-// fixture is a server of three handlers, and a client.
+// fixture is a running test server with a client.
 type fixture struct {
 	handler http.Handler
 	url     string
 	client  *http.Client
 }
 
-// newFixture starts the server: /echo answers with the request's Fill, or with an error of its
-// Kind; /ignore takes any body; /get takes none.
+// newFixture starts a test server with three handlers. /echo returns the request's Fill, or an error of the request's
+// Kind. /ignore accepts any body. /get serves GET requests.
 func newFixture(t *testing.T) *fixture {
 	t.Helper()
 	mux := http.NewServeMux()
-	Handle(mux, "/echo", maxTestBody, func(_ *http.Request, q *echoRequest) (*echoResponse, error) {
-		if q.Kind != "" {
-			return nil, errs.Wrap(errs.New(errs.Busy, "below"), errs.ParseKind(q.Kind), "above")
+	Handle(mux, "/echo", maxTestBody, func(_ *http.Request, request *echoRequest) (*echoResponse, error) {
+		if request.Kind != "" {
+			return nil, errs.Wrap(errs.New(errs.Busy, "below"), errs.ParseKind(request.Kind), "above")
 		}
-		return &echoResponse{q.Fill}, nil
+		return &echoResponse{request.Fill}, nil
 	})
 	Handle(mux, "/ignore", maxTestBody, func(*http.Request, *struct{}) (*echoResponse, error) {
 		return &echoResponse{"ignored"}, nil
@@ -55,15 +57,15 @@
 	return &fixture{handler: mux, url: server.URL, client: client}
 }
 
-// address is the server's host and port.
+// address returns the server's host and port.
 func (f *fixture) address() string { return strings.TrimPrefix(f.url, "http://") }
 
-// call sends a request to a path of the server.
+// call posts a request to a path of the server.
 func (f *fixture) call(path string, request *echoRequest) (*echoResponse, error) {
 	return Call[echoRequest, echoResponse](context.Background(), f.client, f.url+path, request)
 }
 
-// sendRaw sends bytes as they are, closes its side of the connection and returns the response.
+// sendRaw sends the bytes of text, closes the sending side of the connection, and returns the response.
 func (f *fixture) sendRaw(t *testing.T, text string) (*http.Response, string) {
 	t.Helper()
 	c, err := net.Dial("tcp", f.address())
@@ -80,7 +82,7 @@
 	return response, string(body)
 }
 
-// postRaw posts a body under an announced length of its own.
+// postRaw posts a body with the given Content-Length, which may differ from the length of the body.
 func (f *fixture) postRaw(t *testing.T, path, body string, length int) (*http.Response, string) {
 	t.Helper()
 	return f.sendRaw(t, "POST "+path+" HTTP/1.1\r\nHost: x\r\nConnection: close\r\nContent-Length: "+
@@ -89,7 +91,7 @@
 
 func TestErrorsKeepTheirKind(t *testing.T) {
 	f := newFixture(t)
-	Convey("Every kind comes back through Call as the outermost one, with its message", t, func() {
+	Convey("Call returns an error of the outermost kind that the handler returned, with its message", t, func() {
 		for k := errs.Invalid; k <= errs.Internal; k++ {
 			_, err := f.call("/echo", &echoRequest{Kind: k.String()})
 			So(errs.KindOf(err), ShouldEqual, k)
@@ -100,7 +102,7 @@
 
 func TestLargeBodies(t *testing.T) {
 	f := newFixture(t)
-	Convey("A body larger than the first buffer passes in full both ways; one over the limit is TooLarge", t, func() {
+	Convey("A body larger than the first buffer is received in full, a body over the limit is TooLarge", t, func() {
 		fill := strings.Repeat("caperarch ", 50<<10)
 		response, err := f.call("/echo", &echoRequest{Fill: fill})
 		So(err, ShouldBeNil)
@@ -119,9 +121,9 @@
 
 func TestMalformedAndInvalidBodies(t *testing.T) {
 	f := newFixture(t)
-	Convey("Bodies that are cut short, followed by more or of the wrong type are told apart", t, func() {
+	Convey("A truncated body or one with trailing text is Malformed, a value of the wrong type is Invalid", t, func() {
 		for _, c := range []struct{ body, missing, kind string }{
-			{`{"Fill":"a"}`, "rest", "Unreadable"}, // The length promises four bytes that never come.
+			{`{"Fill":"a"}`, "rest", "Unreadable"}, // the Content-Length includes four bytes that are never sent
 			{`{"Fill":"a"} x`, "", "Unreadable"},
 			{`{"Fill":`, "", "Unreadable"},
 			{``, "", "Unreadable"},
@@ -133,7 +135,7 @@
 			So(body, ShouldContainSubstring, `"kind":"`+c.kind+`"`)
 		}
 	})
-	Convey("A handler without a request type takes an empty body, HandleGet takes GET, and Handle only POST", t, func() {
+	Convey("Without a request type an empty body is accepted; HandleGet serves GET, Handle only POST", t, func() {
 		response, body := f.postRaw(t, "/ignore", "", 0)
 		So(response.StatusCode, ShouldEqual, 200)
 		So(body, ShouldEqual, `{"Fill":"ignored"}`)
@@ -146,7 +148,7 @@
 
 func TestCallsWithoutResponse(t *testing.T) {
 	f := newFixture(t)
-	Convey("A closed port and a call past its context are Unreachable; a peer that names no kind is Internal", t, func() {
+	Convey("A closed port or an ended context is Unreachable, an error response without a kind is Internal", t, func() {
 		closed := httptest.NewServer(f.handler)
 		closed.Close()
 		_, err := Call[echoRequest, echoResponse](context.Background(), f.client, closed.URL+"/echo", &echoRequest{})
--- a/internal/mesh/rpc/server.go
+++ b/internal/mesh/rpc/server.go
@@ -11,10 +11,9 @@
 	"caperarch/meshapi"
 )
 
-// Handle serves POST requests for the pattern: the JSON body of at most limit bytes is read in full
-// into a Req, and the Resp that serve returns is the response, as JSON with status 200. An error is
-// answered as by WriteError. If Req is struct{}, the body may be empty or anything else within the
-// limit, and is ignored. The pattern may name another method.
+// Handle serves POST requests for the pattern. It decodes the JSON body of at most limit bytes into a Req, calls serve,
+// and sends the returned Resp as JSON with status 200. It sends an error with WriteError. If Req is struct{}, the body
+// is read within the limit and ignored; it may be empty. A pattern that contains a method replaces POST.
 func Handle[Req, Resp any](
 	mux *http.ServeMux, pattern string, limit int64, serve func(r *http.Request, request *Req) (*Resp, error),
 ) {
@@ -29,8 +28,8 @@
 	})
 }
 
-// HandleGet serves GET requests for the pattern: the response is what serve returns, as JSON with
-// status 200. An error is answered as by WriteError.
+// HandleGet serves GET requests for the pattern. It sends the Resp that serve returns as JSON with status 200, and an
+// error with WriteError.
 func HandleGet[Resp any](mux *http.ServeMux, pattern string, serve func(r *http.Request) (*Resp, error)) {
 	mux.HandleFunc(withMethod(http.MethodGet, pattern), func(w http.ResponseWriter, r *http.Request) {
 		response, err := serve(r)
@@ -38,8 +37,7 @@
 	})
 }
 
-// HandleRaw is Handle for handlers that parse the body themselves: serve gets all its bytes, at
-// most limit of them.
+// HandleRaw is like Handle, but passes the undecoded body of at most limit bytes to serve.
 func HandleRaw[Resp any](
 	mux *http.ServeMux, pattern string, limit int64, serve func(r *http.Request, body []byte) (*Resp, error),
 ) {
@@ -54,15 +52,15 @@
 	})
 }
 
-// ReadBody reads the whole body of the request. A body of more than limit bytes is TooLarge, and is
-// not read if its Content-Length already says so; a body that is cut short is Malformed.
+// ReadBody reads the body of a request. A body of more than limit bytes is an error of kind TooLarge, and is not read
+// if its Content-Length exceeds the limit. A truncated body is an error of kind Malformed.
 func ReadBody(r *http.Request, limit int64) ([]byte, error) {
 	if r.ContentLength > limit {
 		return nil, errs.New(errs.TooLarge, "body: %d bytes, at most %d are taken", r.ContentLength, limit)
 	}
 	body, err := readBody(r.Body, r.ContentLength, limit)
 	switch {
-	case errors.Is(err, errOverLimit):
+	case errors.Is(err, errBodyTooLarge):
 		return nil, errs.New(errs.TooLarge, "body: at most %d bytes are taken", limit)
 	case err != nil:
 		return nil, errs.Wrap(err, errs.Malformed, "body cut short after %d bytes", len(body))
@@ -70,20 +68,20 @@
 	return body, nil
 }
 
-// WriteError responds with the status and Retry-After of the error's kind, the kind in a header,
-// and a JSON body of message and kind. The error must not be nil.
+// WriteError sends an error with the status and the Retry-After header of its kind, the kind in the header
+// meshapi.ErrorKindHeader, and a JSON body with the message and the kind. The error must not be nil.
 func WriteError(w http.ResponseWriter, err error) {
 	kind := errs.KindOf(err)
 	if wait := kind.RetryAfter(); wait != "" {
 		w.Header().Set("Retry-After", wait)
 	}
 	w.Header().Set(meshapi.ErrorKindHeader, kind.String())
-	// A struct of two strings always encodes.
+	// Encoding a struct of two strings cannot fail.
 	body, _ := json.Marshal(meshapi.ErrorResponse{ErrorMessage: err.Error(), Kind: kind.WireName()})
 	writeJSON(w, kind.Status(), body)
 }
 
-// writeResponse responds with the response as JSON, or with the error if it is not nil.
+// writeResponse sends the response as JSON, or the error if it is not nil.
 func writeResponse[Resp any](w http.ResponseWriter, response *Resp, err error) {
 	if err != nil {
 		WriteError(w, err)
@@ -97,18 +95,18 @@
 	writeJSON(w, http.StatusOK, body)
 }
 
-// writeJSON writes a response with its length. If the caller is no longer there, nobody could use
-// the error.
+// writeJSON sends a JSON body with its Content-Length. It ignores write errors, because they mean that the caller has
+// disconnected.
 func writeJSON(w http.ResponseWriter, status int, body []byte) {
-	w.Header().Set("Content-Type", contentJSON)
+	w.Header().Set("Content-Type", contentTypeJSON)
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	w.WriteHeader(status)
 	_, _ = w.Write(body)
 }
 
-// decode reads all of body as one JSON value: a body that is no JSON, or has more after the value,
-// is Malformed. A value of the wrong type is Invalid, and so is what a type's own UnmarshalJSON
-// rejects without stating a kind.
+// decode decodes a body that consists of one JSON value. A body that is not JSON, or that continues after the value, is
+// an error of kind Malformed. A value of the wrong type is an error of kind Invalid, and so is an error of a type's
+// UnmarshalJSON method that has no kind.
 func decode(body []byte, into any) error {
 	err := json.Unmarshal(body, into)
 	if err == nil {
@@ -123,7 +121,7 @@
 	return errs.Wrap(err, errs.Invalid, "JSON")
 }
 
-// withMethod puts the method before a pattern that names none.
+// withMethod prepends the method to a pattern that contains no method.
 func withMethod(method, pattern string) string {
 	if strings.ContainsAny(pattern, " \t") {
 		return pattern
