--- a/internal/mesh/settings/golden_test.go
+++ b/internal/mesh/settings/golden_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// everyKey returns what a file with every key of its machine class holds. The bounds are numbered
-// from first on, so that no two fields can stand in for each other.
+// everyKey returns the settings in the testdata file with every key of a machine class, except for the fields that
+// depend on the class. The values of the bounds are numbered from first, so that two fields cannot be confused.
 func everyKey(class string, first int) *Settings {
 	second := func(n int) time.Duration { return time.Duration(first+n) * time.Second }
 	number := func(n int) float64 { return float64(first + n) }
@@ -62,16 +62,16 @@
 			t.Fatalf("%s: %v", class, err)
 		}
 		if !reflect.DeepEqual(got, want) {
-			t.Errorf("%s: read is\n%+v, want\n%+v", class, got, want)
+			t.Errorf("%s: the settings are\n%+v, want\n%+v", class, got, want)
 		}
 	}
-	// A key that is added later has to be added here, too.
+	// A new key must be added to this test and its testdata files.
 	if field := firstZero(reflect.ValueOf(*sidecar), "Settings"); field != "" {
-		t.Errorf("%s is in no file with every key", field)
+		t.Errorf("field %s is zero, want a value for every field in the settings files of this test", field)
 	}
 }
 
-// firstZero returns the path of a field that is not set, or "".
+// firstZero returns the path of the first field with a zero value, or "" if there is none.
 func firstZero(v reflect.Value, path string) string {
 	if v.IsZero() {
 		return path
--- a/internal/mesh/settings/parse.go
+++ b/internal/mesh/settings/parse.go
@@ -11,28 +11,28 @@
 	"caperarch/internal/mesh/errs"
 )
 
-// Parse reads the text of a settings file. Fields that it doesn't know are ignored. What is missing or
-// wrong is errs.Invalid, on one line that starts with the field's path; text that is no YAML is
-// errs.Malformed.
+// Parse parses a settings file and ignores unknown fields. It returns an error of kind Invalid for a missing or invalid
+// field, with a message of one line that starts with the field's path. It returns an error of kind Malformed for text
+// that is not YAML.
 func Parse(data []byte) (*Settings, error) {
 	var document map[string]any
 	if err := yaml.Unmarshal(data, &document); err != nil {
-		return nil, malformed(err)
+		return nil, malformedError(err)
 	}
 	s := new(Settings)
-	// The machine class decides which fields the rest has.
+	// The machine class determines which other fields the schema requires.
 	if err := machineClassSchema(&s.Self).Validate(document); err != nil {
-		return nil, invalid(err)
+		return nil, invalidError(err)
 	}
 	if err := s.schema().Validate(document); err != nil {
-		return nil, invalid(err)
+		return nil, invalidError(err)
 	}
 	return s, nil
 }
 
-// invalid turns the schema's errors into one line: the path of the first field by name, and what is
-// wrong with it.
-func invalid(err error) error {
+// invalidError converts errors of the schema to an error of one line: the path of the alphabetically first invalid
+// field, and what is wrong with the field.
+func invalidError(err error) error {
 	var path []string
 	for {
 		var fields validation.Errors
@@ -52,9 +52,9 @@
 	return errs.New(errs.Invalid, "%s: %s", strings.Join(path, "."), err)
 }
 
-// malformed turns an error of the YAML parser, which quotes the source over several lines, into one
+// malformedError converts an error of the YAML parser, which quotes several lines of the source, to an error of one
 // line.
-func malformed(err error) error {
+func malformedError(err error) error {
 	var yamlError yaml.Error
 	if !errors.As(err, &yamlError) {
 		line, _, _ := strings.Cut(err.Error(), "\n")
--- a/internal/mesh/settings/reload.go
+++ b/internal/mesh/settings/reload.go
@@ -7,23 +7,23 @@
 	"time"
 )
 
-// pollInterval is the time between two looks at the settings file, which may change without a signal.
+// pollInterval is the time between two checks of the settings file for a change without a signal.
 const pollInterval = time.Second
 
-// ReloadSignals forwards signals, and adds a SIGHUP for each change of the settings file that came
-// without one. The channel is closed once ctx ends; until then the caller receives from it.
+// ReloadSignals forwards signals, and adds a SIGHUP for each change of the settings file for which no SIGHUP was
+// received. The caller must receive from the returned channel until ctx ends. The channel is closed then.
 func ReloadSignals(ctx context.Context, signals <-chan os.Signal) <-chan os.Signal {
 	out := make(chan os.Signal)
 	go forwardSignals(ctx, signals, out)
 	return out
 }
 
-// forwardSignals runs until ctx ends, and then closes out.
+// forwardSignals sends the signals of ReloadSignals to out until ctx ends, and then closes out.
 func forwardSignals(ctx context.Context, signals <-chan os.Signal, out chan<- os.Signal) {
 	defer close(out)
 	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
-	announced := modTime()
+	lastReported := modTime()
 	for {
 		var s os.Signal
 		select {
@@ -31,7 +31,7 @@
 			return
 		case s = <-signals:
 		case <-ticker.C:
-			if modTime() != announced {
+			if modTime() != lastReported {
 				s = syscall.SIGHUP
 			}
 		}
@@ -39,7 +39,7 @@
 			continue
 		}
 		if s == syscall.SIGHUP {
-			announced = modTime()
+			lastReported = modTime()
 		}
 		select {
 		case out <- s:
@@ -49,7 +49,7 @@
 	}
 }
 
-// modTime is when the settings file was last written; zero if it can't be looked at.
+// modTime returns the modification time of the settings file, or the zero time if the file cannot be accessed.
 func modTime() time.Time {
 	info, err := os.Stat(os.Getenv(BootVariable))
 	if err != nil {
--- a/internal/mesh/settings/reload_test.go
+++ b/internal/mesh/settings/reload_test.go
@@ -19,7 +19,7 @@
 	}
 	t.Setenv(BootVariable, path)
 	synctest.Test(t, func(t *testing.T) {
-		Convey("A change of the file is announced once, with or without a signal; others are forwarded", t, func() {
+		Convey("A file change is reported once, with or without a signal; other signals are forwarded", t, func() {
 			ctx, cancel := context.WithCancel(context.Background())
 			signals := make(chan os.Signal, 1)
 			out := ReloadSignals(ctx, signals)
@@ -31,10 +31,10 @@
 			So(os.Chtimes(path, time.Time{}, time.Unix(2, 0)), ShouldBeNil)
 			signals <- syscall.SIGHUP
 			So(<-out, ShouldEqual, syscall.SIGHUP)
-			time.Sleep(3 * pollInterval) // virtual
+			time.Sleep(3 * pollInterval) // in virtual time
 			select {
 			case s := <-out:
-				So(s, ShouldBeNil) // announced twice
+				So(s, ShouldBeNil) // the change must not be reported twice
 			default:
 			}
 			cancel()
--- a/internal/mesh/settings/rules.go
+++ b/internal/mesh/settings/rules.go
@@ -8,14 +8,15 @@
 	validation "github.com/go-ozzo/ozzo-validation/v4"
 )
 
-// maxShownValue bounds how many characters of a wrong value an error shows, so that it stays one short
-// line.
+// maxShownValue is the maximum number of characters that an error shows of an invalid value.
 const maxShownValue = 60
 
-// key declares a field that has to be there.
-func key(name string, rule validation.Rule) *validation.KeyRules { return validation.Key(name, rule) }
+// required declares a field that must be present.
+func required(name string, rule validation.Rule) *validation.KeyRules {
+	return validation.Key(name, rule)
+}
 
-// optional declares a field that may be absent or null.
+// optional declares a field that may be missing or null.
 func optional(name string, rule validation.Rule) *validation.KeyRules {
 	return validation.Key(name, validation.By(func(v any) error {
 		if v == nil {
@@ -25,15 +26,15 @@
 	})).Optional()
 }
 
-// table declares a table with these fields and any others.
-func table(keys ...*validation.KeyRules) validation.Rule {
+// mapping declares a mapping with the given fields. Other fields are allowed.
+func mapping(keys ...*validation.KeyRules) validation.Rule {
 	fields := validation.Map(keys...).AllowExtraKeys()
 	return validation.By(func(v any) error {
 		m, ok := v.(map[string]any)
 		if !ok {
-			return mustBe("a table", v)
+			return valueError("a table", v)
 		}
-		// A nil map passes the library's rule whatever it lacks, so an empty one is checked instead.
+		// The library's rule accepts a nil map even if required fields are missing. An empty map is checked instead.
 		if m == nil {
 			m = map[string]any{}
 		}
@@ -41,36 +42,41 @@
 	})
 }
 
-// value declares a value that parse accepts; only then it is stored. The description says in errors what
-// it has to be.
+// value declares a value that parse accepts. The parsed value is stored only if parse accepts it. The description
+// completes the error message "must be ...", which the command check prints.
 func value[T any](description string, into *T, parse func(v any) (T, bool)) validation.Rule {
 	return validation.By(func(v any) error {
 		parsed, ok := parse(v)
 		if !ok {
-			return mustBe(description, v)
+			return valueError(description, v)
 		}
 		*into = parsed
 		return nil
 	})
 }
 
-func mustBe(description string, v any) error {
+// valueError returns the error for a value that does not match the description.
+func valueError(description string, v any) error {
 	if v == nil {
 		return fmt.Errorf("must be %s, is null", description)
 	}
 	return fmt.Errorf("must be %s, is %.*q", description, maxShownValue, fmt.Sprint(v))
 }
 
-func text(into *string) validation.Rule { return value("a text", into, parseText) }
+// nonEmptyString declares a string that is not empty.
+func nonEmptyString(into *string) validation.Rule { return value("a text", into, parseNonEmptyString) }
 
-func textList(into *[]string) validation.Rule {
-	return value("a list of texts", into, listOf(parseText))
+// stringList declares a list of strings that are not empty.
+func stringList(into *[]string) validation.Rule {
+	return value("a list of texts", into, listOf(parseNonEmptyString))
 }
 
-func textMap(into *map[string]string) validation.Rule {
-	return value("a table of texts", into, parseTextMap)
+// stringMap declares a mapping to strings that are not empty.
+func stringMap(into *map[string]string) validation.Rule {
+	return value("a table of texts", into, parseStringMap)
 }
 
+// machineClass declares a machine class: Core or Sidecar.
 func machineClass(into *string) validation.Rule {
 	return value("core or sidecar", into, func(v any) (string, bool) {
 		s, _ := v.(string)
@@ -78,6 +84,7 @@
 	})
 }
 
+// ipAddress declares an IP address without a port.
 func ipAddress(into *string) validation.Rule {
 	return value("an IP address", into, func(v any) (string, bool) {
 		s, _ := v.(string)
@@ -86,18 +93,22 @@
 	})
 }
 
+// hostPort declares an IP address with a port.
 func hostPort(into *string) validation.Rule {
 	return value("an IP address with a port", into, parseHostPort)
 }
 
+// hostPortList declares a list of IP addresses with ports.
 func hostPortList(into *[]string) validation.Rule {
 	return value("a list of IP addresses with ports", into, listOf(parseHostPort))
 }
 
+// portRange declares a list of two ports in ascending order.
 func portRange(into *PortRange) validation.Rule {
 	return value("two ports in order", into, parsePortRange)
 }
 
+// boolean declares a Boolean value.
 func boolean(into *bool) validation.Rule {
 	return value("true or false", into, func(v any) (bool, bool) {
 		b, ok := v.(bool)
@@ -105,6 +116,7 @@
 	})
 }
 
+// nonNegative declares a number that is at least 0.
 func nonNegative(into *float64) validation.Rule {
 	return value("a number from 0 on", into, func(v any) (float64, bool) {
 		n, ok := parseNumber(v)
@@ -112,6 +124,7 @@
 	})
 }
 
+// positive declares a number above 0.
 func positive(into *float64) validation.Rule {
 	return value("a number over 0", into, func(v any) (float64, bool) {
 		n, ok := parseNumber(v)
@@ -119,14 +132,17 @@
 	})
 }
 
+// integer declares an integer that is at least 0.
 func integer(into *int) validation.Rule {
 	return value("a whole number from 0 on", into, parseInteger)
 }
 
+// seconds declares a duration in seconds that is at least 0.
 func seconds(into *time.Duration) validation.Rule {
 	return value("seconds from 0 on", into, parseSeconds)
 }
 
+// positiveSeconds declares a duration in seconds above 0.
 func positiveSeconds(into *time.Duration) validation.Rule {
 	return value("seconds over 0", into, func(v any) (time.Duration, bool) {
 		d, ok := parseSeconds(v)
--- a/internal/mesh/settings/schema.go
+++ b/internal/mesh/settings/schema.go
@@ -4,99 +4,105 @@
 	validation "github.com/go-ozzo/ozzo-validation/v4"
 )
 
-// machineClassSchema declares the one field that decides on the others.
+// machineClassSchema declares the machine class, which determines the other fields of the file.
 func machineClassSchema(self *Self) validation.Rule {
-	return table(key("self", table(key("machineClass", machineClass(&self.MachineClass)))))
+	return mapping(required("self", mapping(required("machineClass", machineClass(&self.MachineClass)))))
 }
 
-// schema declares the whole file for the machine class. Each rule checks a value and stores it in its
-// place in s.
+// schema declares all fields of the file for the machine class. Each rule validates a value and stores it in s.
 func (s *Settings) schema() validation.Rule {
-	return table(
-		key("self", s.Self.schema()),
-		key("network", s.Network.schema(s.Self.MachineClass)),
-		key("provider", s.Provider.schema()),
-		key("guarantees", s.Guarantees.schema()),
+	return mapping(
+		required("self", s.Self.schema()),
+		required("network", s.Network.schema(s.Self.MachineClass)),
+		required("provider", s.Provider.schema()),
+		required("guarantees", s.Guarantees.schema()),
 	)
 }
 
+// schema declares the fields of the key self for the machine class in s.
 func (s *Self) schema() validation.Rule {
 	keys := []*validation.KeyRules{
-		key("nodeName", text(&s.NodeName)),
-		key("role", text(&s.Role)),
-		key("servedRoles", textList(&s.ServedRoles)),
-		key("ipAddress", ipAddress(&s.IPAddress)),
-		key("zone", text(&s.Zone)),
-		key("region", text(&s.Region)),
-		key("countedInQuorum", boolean(&s.CountedInQuorum)),
-		key("firstStart", boolean(&s.FirstStart)),
-		key("limits", s.Limits.schema()),
+		required("nodeName", nonEmptyString(&s.NodeName)),
+		required("role", nonEmptyString(&s.Role)),
+		required("servedRoles", stringList(&s.ServedRoles)),
+		required("ipAddress", ipAddress(&s.IPAddress)),
+		required("zone", nonEmptyString(&s.Zone)),
+		required("region", nonEmptyString(&s.Region)),
+		required("countedInQuorum", boolean(&s.CountedInQuorum)),
+		required("firstStart", boolean(&s.FirstStart)),
+		required("limits", s.Limits.schema()),
 	}
 	switch s.MachineClass {
 	case Core:
-		keys = append(keys, key("dataDirectory", text(&s.DataDirectory)))
+		keys = append(keys, required("dataDirectory", nonEmptyString(&s.DataDirectory)))
 	case Sidecar:
 		keys = append(keys,
-			optional("dataDirectory", text(&s.DataDirectory)),
-			key("appAddress", hostPort(&s.AppAddress)),
-			key("serviceName", text(&s.ServiceName)))
+			optional("dataDirectory", nonEmptyString(&s.DataDirectory)),
+			required("appAddress", hostPort(&s.AppAddress)),
+			required("serviceName", nonEmptyString(&s.ServiceName)))
 	}
-	return table(keys...)
+	return mapping(keys...)
 }
 
+// schema declares the fields of the key self.limits.
 func (l *Limits) schema() validation.Rule {
-	return table(
-		key("cpuShare", positive(&l.CPUShare)),
-		key("cpuCores", positive(&l.CPUCores)),
-		key("memoryMb", integer(&l.MemoryMB)),
-		key("maxOpenFiles", integer(&l.MaxOpenFiles)),
-		key("bandwidthMbps", positive(&l.BandwidthMbps)),
-		key("diskMb", integer(&l.DiskMB)),
+	return mapping(
+		required("cpuShare", positive(&l.CPUShare)),
+		required("cpuCores", positive(&l.CPUCores)),
+		required("memoryMb", integer(&l.MemoryMB)),
+		required("maxOpenFiles", integer(&l.MaxOpenFiles)),
+		required("bandwidthMbps", positive(&l.BandwidthMbps)),
+		required("diskMb", integer(&l.DiskMB)),
 	)
 }
 
+// schema declares the fields of the key network for a machine class.
 func (n *Network) schema(machineClass string) validation.Rule {
-	return table(
-		key("listenAddresses", n.ListenAddresses.schema(machineClass)),
-		key("internalPortRange", portRange(&n.InternalPortRange)),
-		key("seedNodes", hostPortList(&n.SeedNodes)),
-		key("zones", textMap(&n.Zones)),
+	return mapping(
+		required("listenAddresses", n.ListenAddresses.schema(machineClass)),
+		required("internalPortRange", portRange(&n.InternalPortRange)),
+		required("seedNodes", hostPortList(&n.SeedNodes)),
+		required("zones", stringMap(&n.Zones)),
 	)
 }
 
+// schema declares the fields of the key network.listenAddresses for a machine class.
 func (a *ListenAddresses) schema(machineClass string) validation.Rule {
-	keys := []*validation.KeyRules{key("controlPlane", hostPort(&a.ControlPlane))}
+	keys := []*validation.KeyRules{required("controlPlane", hostPort(&a.ControlPlane))}
 	if machineClass == Sidecar {
 		keys = append(keys,
-			key("inbound", hostPort(&a.Inbound)),
-			key("outbound", hostPort(&a.Outbound)),
-			key("readiness", hostPort(&a.Readiness)))
+			required("inbound", hostPort(&a.Inbound)),
+			required("outbound", hostPort(&a.Outbound)),
+			required("readiness", hostPort(&a.Readiness)))
 	}
-	return table(keys...)
+	return mapping(keys...)
 }
 
+// schema declares the fields of the key provider.
 func (p *Provider) schema() validation.Rule {
-	return table(
-		key("discoverySource", text(&p.DiscoverySource)),
-		key("entryType", text(&p.EntryType)),
-		key("heartbeatIntervalS", positiveSeconds(&p.HeartbeatInterval)),
+	return mapping(
+		required("discoverySource", nonEmptyString(&p.DiscoverySource)),
+		required("entryType", nonEmptyString(&p.EntryType)),
+		required("heartbeatIntervalS", positiveSeconds(&p.HeartbeatInterval)),
 	)
 }
 
+// schema declares the fields of the key guarantees.
 func (g *Guarantees) schema() validation.Rule {
-	return table(
-		key("contracts", textList((*[]string)(&g.Contracts))),
-		key("faultTolerance", table(
-			key("machines", integer(&g.FaultTolerance.Machines)),
-			key("zones", integer(&g.FaultTolerance.Zones)),
-			key("regions", integer(&g.FaultTolerance.Regions)),
+	return mapping(
+		required("contracts", stringList((*[]string)(&g.Contracts))),
+		required("faultTolerance", mapping(
+			required("machines", integer(&g.FaultTolerance.Machines)),
+			required("zones", integer(&g.FaultTolerance.Zones)),
+			required("regions", integer(&g.FaultTolerance.Regions)),
 		)),
-		key("bounds", g.Bounds.schema()),
+		required("bounds", g.Bounds.schema()),
 	)
 }
 
+// schema declares the fields of the key guarantees.bounds. All of them are optional.
 func (b *Bounds) schema() validation.Rule {
-	return table(
+	return mapping(
 		optional("seedLagS", seconds(&b.SeedLag)),
 		optional("addressReuseS", seconds(&b.AddressReuse)),
 		optional("contactWindowS", seconds(&b.ContactWindow)),
--- a/internal/mesh/settings/settings.go
+++ b/internal/mesh/settings/settings.go
@@ -1,6 +1,6 @@
-// Package settings owns the settings file of a process: the YAML file that CAPERARCH_BOOT names. A value
-// of Settings is complete and well formed, or there is none; nothing changes it after it was read, so any
-// goroutine may use it. The keys of the file are a contract with its writers.
+// Package settings reads the settings file of a process, the YAML file whose path is in the environment variable
+// CAPERARCH_BOOT. A Settings value is complete and valid. It must not be modified, so that it is safe for concurrent
+// use. The keys of the file are a stable interface for the tools that write the file.
 package settings
 
 import (
@@ -13,17 +13,16 @@
 	"caperarch/internal/mesh/errs"
 )
 
-// BootVariable is the environment variable that holds the path of the settings file.
+// BootVariable is the environment variable with the path of the settings file.
 const BootVariable = "CAPERARCH_BOOT"
 
-// The machine classes. They decide which fields a settings file has.
+// The machine classes. The machine class determines which fields a settings file has.
 const (
 	Core    = "core"
 	Sidecar = "sidecar"
 )
 
-// Settings is a settings file that was checked: every field that its machine class needs is there and
-// well formed.
+// Settings is a validated settings file: every field that its machine class requires is present and valid.
 type Settings struct {
 	Self       Self
 	Network    Network
@@ -31,7 +30,7 @@
 	Guarantees Guarantees
 }
 
-// Self describes the process and its machine.
+// Self describes the process and the machine that it runs on.
 type Self struct {
 	NodeName        string
 	Role            string
@@ -41,7 +40,7 @@
 	Zone            string
 	Region          string
 	CountedInQuorum bool
-	FirstStart      bool   // only at the first start of the whole system, with empty disks
+	FirstStart      bool   // true only at the first start of the whole system, with empty disks
 	DataDirectory   string // empty on machines without a disk
 	Limits          Limits
 	AppAddress      string // empty on core machines
@@ -62,11 +61,11 @@
 type Network struct {
 	ListenAddresses   ListenAddresses
 	InternalPortRange PortRange
-	SeedNodes         []string          // control plane addresses
-	Zones             map[string]string // the region of each zone
+	SeedNodes         []string          // control plane addresses of core machines
+	Zones             map[string]string // region by zone
 }
 
-// ListenAddresses are those that the process serves at. All but ControlPlane are empty on core machines.
+// ListenAddresses are the addresses on which the process listens. All but ControlPlane are empty on core machines.
 type ListenAddresses struct {
 	Inbound      string
 	Outbound     string
@@ -74,40 +73,41 @@
 	ControlPlane string
 }
 
-// PortRange is the range of ports for the mesh's own protocols, both ends included.
+// PortRange is the range of ports for the internal protocols of the mesh, including First and Last.
 type PortRange struct {
 	First int
 	Last  int
 }
 
-// Provider says how upstream instances register.
+// Provider describes how upstream instances register.
 type Provider struct {
 	DiscoverySource   string
 	EntryType         string
 	HeartbeatInterval time.Duration
 }
 
-// Guarantees holds the rules in force and their parameters.
+// Guarantees holds the guarantees that apply, and their parameters.
 type Guarantees struct {
 	Contracts      Contracts
 	FaultTolerance FaultTolerance
 	Bounds         Bounds
 }
 
-// Contracts names the groups of rules in force.
+// Contracts are the names of the contracts that apply. A contract is a group of guarantees.
 type Contracts []string
 
-// Has reports whether the group is in force.
+// Has reports whether a contract applies.
 func (c Contracts) Has(contract string) bool { return slices.Contains(c, contract) }
 
-// FaultTolerance says how many of each may fail at the same time while every rule is kept.
+// FaultTolerance is the number of machines, zones and regions that may fail at the same time without violating a
+// guarantee.
 type FaultTolerance struct {
 	Machines int
 	Zones    int
 	Regions  int
 }
 
-// Bounds holds the parameters of the rules. Those that the file doesn't name are zero.
+// Bounds holds the parameters of the guarantees. A parameter that is missing from the file is zero.
 type Bounds struct {
 	SeedLag          time.Duration
 	AddressReuse     time.Duration
@@ -131,8 +131,8 @@
 	Recovery         time.Duration
 }
 
-// Load reads the file that CAPERARCH_BOOT names. It is errs.Invalid if that is not set, and otherwise fails
-// as ReadFile does.
+// Load reads the settings file whose path is in BootVariable. It returns an error of kind Invalid if the variable is
+// not set, and the errors of ReadFile.
 func Load() (*Settings, error) {
 	path := os.Getenv(BootVariable)
 	if path == "" {
@@ -141,8 +141,8 @@
 	return ReadFile(path)
 }
 
-// ReadFile reads the file at path. It is errs.Malformed if the file cannot be read, and otherwise fails as
-// Parse does.
+// ReadFile reads the settings file at path. It returns an error of kind Malformed if the file cannot be read. Its other
+// errors are returned by Parse.
 func ReadFile(path string) (*Settings, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -151,8 +151,8 @@
 	return Parse(data)
 }
 
-// InternalAddress returns the address for the mesh's own protocol on the host's machine: the ports are the
-// same on all machines. If the host has a port, as seed nodes have, it is replaced.
+// InternalAddress returns the address for the internal protocols on the machine of the host. The port is the same on
+// all machines. A port in host, as seed nodes have it, is replaced.
 func (s *Settings) InternalAddress(host string) string {
 	if name, _, err := net.SplitHostPort(host); err == nil {
 		host = name
@@ -160,7 +160,7 @@
 	return net.JoinHostPort(host, strconv.Itoa(s.Network.InternalPortRange.First))
 }
 
-// SeedAddresses returns the internal addresses of the core machines that the settings name.
+// SeedAddresses returns the internal addresses of the seed nodes.
 func (s *Settings) SeedAddresses() []string {
 	var addresses []string
 	for _, node := range s.Network.SeedNodes {
@@ -169,5 +169,5 @@
 	return addresses
 }
 
-// OwnInternalAddress returns the process's own address for the mesh's own protocol.
+// OwnInternalAddress returns the internal address of this process.
 func (s *Settings) OwnInternalAddress() string { return s.InternalAddress(s.Self.IPAddress) }
--- a/internal/mesh/settings/settings_test.go
+++ b/internal/mesh/settings/settings_test.go
@@ -13,7 +13,7 @@
 )
 
 func TestReadAndParse(t *testing.T) {
-	Convey("The examples are read completely", t, func() {
+	Convey("The example files are read completely", t, func() {
 		s, err := ReadFile(filepath.Join("testdata", "sidecar.yaml"))
 		So(err, ShouldBeNil)
 		So(*s, ShouldResemble, Settings{
@@ -59,7 +59,7 @@
 		So(s.Network.ListenAddresses, ShouldResemble, ListenAddresses{ControlPlane: "10.1.0.45:8105"})
 	})
 
-	Convey("Optional fields may be absent, and a wrong one is named by its path on one line", t, func() {
+	Convey("Optional fields may be missing, and the error for an invalid field is one line with its path", t, func() {
 		for _, c := range []struct{ class, old, new, message string }{
 			{"core", "cpuShare: 0.24", "cpuShare: 0.24\n    newLimit: {a: [1]}", ""},
 			{"core", "    quotaSlack: 20\n", "", ""},
@@ -126,7 +126,7 @@
 		}
 	})
 
-	Convey("A file that is no YAML, or truncated at any byte, is a one-line error or complete", t, func() {
+	Convey("A file that is not YAML or is truncated gives a one-line error or complete settings", t, func() {
 		data, err := os.ReadFile(filepath.Join("testdata", "core.yaml"))
 		So(err, ShouldBeNil)
 		texts := []string{"", "[1]", "self: [", "\x00\xff", "self:\n\t- a", "a: 1\na: 2"}
--- a/internal/mesh/settings/values.go
+++ b/internal/mesh/settings/values.go
@@ -7,42 +7,44 @@
 )
 
 const (
-	// maxSeconds is the longest time taken from the file. It guards time.Duration against overflow.
+	// maxSeconds is the maximum duration in seconds. It keeps the conversion to time.Duration from overflowing.
 	maxSeconds = 1e9
-	// maxInteger is the largest whole number taken from the file. It guards the conversion of floats to
-	// ints.
+	// maxInteger is the maximum integer. It keeps the conversion from float64 to int from overflowing.
 	maxInteger = 1 << 31
 )
 
-// The parse functions take a value as the YAML parser returns it. They return false for a value that
-// isn't what their name says.
+// The parse functions below convert a value as the YAML parser returns it. They return false for a value of another
+// type or outside the allowed range.
 
-// parseText accepts any string but the empty one.
-func parseText(v any) (string, bool) {
+// parseNonEmptyString accepts any string that is not empty.
+func parseNonEmptyString(v any) (string, bool) {
 	s, _ := v.(string)
 	return s, s != ""
 }
 
-func parseTextMap(v any) (map[string]string, bool) {
+// parseStringMap accepts a mapping to strings that are not empty.
+func parseStringMap(v any) (map[string]string, bool) {
 	m, ok := v.(map[string]any)
 	if !ok {
 		return nil, false
 	}
-	texts := make(map[string]string, len(m))
+	result := make(map[string]string, len(m))
 	for k, v := range m {
-		if texts[k], ok = parseText(v); !ok {
+		if result[k], ok = parseNonEmptyString(v); !ok {
 			return nil, false
 		}
 	}
-	return texts, true
+	return result, true
 }
 
+// parseHostPort accepts an IP address with a port above 0.
 func parseHostPort(v any) (string, bool) {
 	s, _ := v.(string)
 	address, err := netip.ParseAddrPort(s)
 	return s, err == nil && address.Port() != 0
 }
 
+// parsePortRange accepts a list of two ports in ascending order, which may be equal.
 func parsePortRange(v any) (PortRange, bool) {
 	ports, ok := listOf(parseInteger)(v)
 	if !ok || len(ports) != 2 {
@@ -68,7 +70,7 @@
 	return n, !math.IsNaN(n) && !math.IsInf(n, 0)
 }
 
-// parseInteger accepts integers from 0 on.
+// parseInteger accepts an integer from 0 to maxInteger.
 func parseInteger(v any) (int, bool) {
 	n, ok := parseNumber(v)
 	if !ok || n < 0 || n > maxInteger || n != math.Trunc(n) {
@@ -77,7 +79,7 @@
 	return int(n), true
 }
 
-// parseSeconds accepts seconds from 0 on, and rounds them to nanoseconds.
+// parseSeconds accepts a number of seconds from 0 to maxSeconds, and rounds it to nanoseconds.
 func parseSeconds(v any) (time.Duration, bool) {
 	n, ok := parseNumber(v)
 	if !ok || n < 0 || n > maxSeconds {
@@ -86,7 +88,7 @@
 	return time.Duration(math.Round(n * float64(time.Second))), true
 }
 
-// listOf returns a function that parses a list, each item by parse.
+// listOf returns a function that parses a list, and each of its items with parse.
 func listOf[T any](parse func(v any) (T, bool)) func(v any) ([]T, bool) {
 	return func(v any) ([]T, bool) {
 		items, ok := v.([]any)
