--- a/internal/mesh/logring/logring.go
+++ b/internal/mesh/logring/logring.go
@@ -1,7 +1,7 @@
-// Package logring is the log of a process: the last entries are kept in memory, and written out
-// only when something goes wrong, because writing costs processor time.
+// Package logring provides the log of a process. It keeps the last entries in memory and writes them out only after an
+// error, because writing every entry would cost too much processor time.
 //
-// It starts no goroutines. Loggers and the Ring may be used from any goroutine.
+// The package starts no goroutines. Loggers and rings are safe for concurrent use.
 package logring
 
 import (
@@ -12,9 +12,9 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// New returns a logger that writes entries at Warn and above to out at once, and the ring in which
-// it keeps all entries, of at most capacity bytes (DefaultBytes if that is not above zero). An
-// entry at Error or above dumps the ring.
+// New returns a logger and its ring. The ring keeps the last entries of all levels, in at most capacity bytes, or
+// DefaultBytes if capacity is not positive. The logger writes an entry at level Warn or above to out immediately. An
+// entry at level Error or above dumps the ring to out.
 func New(out io.Writer, capacity int) (*zap.Logger, *Ring) {
 	if capacity <= 0 {
 		capacity = DefaultBytes
@@ -38,22 +38,21 @@
 	return zap.New(&core{encoder: encoder, ring: ring}), ring
 }
 
-// encodeTime writes the time of day in UTC, so that the logs of machines in different places can be
-// compared.
+// encodeTime writes the time of day in UTC, so that the logs of machines in different time zones can be compared.
 func encodeTime(t time.Time, line zapcore.PrimitiveArrayEncoder) {
 	line.AppendString(t.UTC().Format("15:04:05.000"))
 }
 
-// core is the zapcore.Core of one logger: it puts its entries into the ring.
+// core is the zapcore.Core of a logger. It appends the logger's entries to the ring.
 type core struct {
 	encoder zapcore.Encoder
 	ring    *Ring
 }
 
-// Enabled returns true: entries of every level are kept.
+// Enabled returns true, because the ring keeps entries of every level.
 func (c *core) Enabled(zapcore.Level) bool { return true }
 
-// With returns a core whose entries carry the fields too, with the same ring.
+// With returns a core that adds the fields to its entries and uses the same ring.
 func (c *core) With(fields []zapcore.Field) zapcore.Core {
 	encoder := c.encoder.Clone()
 	for _, f := range fields {
@@ -62,13 +61,13 @@
 	return &core{encoder: encoder, ring: c.ring}
 }
 
-// Check adds the core to the entry's, whatever its level.
+// Check adds the core to the cores of the entry, whatever the entry's level.
 func (c *core) Check(e zapcore.Entry, checked *zapcore.CheckedEntry) *zapcore.CheckedEntry {
 	return checked.AddCore(e, c)
 }
 
-// Write keeps the entry. One at Error or above is dumped with all before it, or written alone if
-// the last dump was less than dumpInterval ago; one at the ring's WriteLevel is written alone.
+// Write appends an entry to the ring. An entry at level Error or above dumps the ring, unless the last dump was less
+// than dumpInterval ago. Any other entry at the ring's WriteLevel or above is written out alone.
 func (c *core) Write(e zapcore.Entry, fields []zapcore.Field) error {
 	line, err := c.encoder.EncodeEntry(e, fields)
 	if err != nil {
@@ -88,5 +87,5 @@
 	return err
 }
 
-// Sync does nothing: what is to be written out has been, and the ring is not.
+// Sync does nothing: Write does not buffer what it writes out, and the entries in the ring stay in memory.
 func (c *core) Sync() error { return nil }
--- a/internal/mesh/logring/logring_test.go
+++ b/internal/mesh/logring/logring_test.go
@@ -14,9 +14,9 @@
 
 func TestDumpOnError(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		Convey("Entries stay in memory until something goes wrong, and are written out once a second at most", t, func() {
+		Convey("Entries stay in memory until an error is logged, and are dumped at most once a second", t, func() {
 			var out bytes.Buffer
-			// written returns what was written since the last call.
+			// written returns the output since its last call.
 			written := func() string {
 				defer out.Reset()
 				return out.String()
@@ -45,14 +45,14 @@
 }
 
 func TestRingKeepsLastEntries(t *testing.T) {
-	Convey("The ring keeps just the last entries that fit, whatever their lengths", t, func() {
+	Convey("The ring keeps exactly the last entries that fit, whatever their lengths", t, func() {
 		random := rand.New(rand.NewSource(1))
 		for _, size := range []int{1, 50, 3000, 8 * maxEntryBytes} {
 			_, ring := New(&bytes.Buffer{}, size)
 			var want []string
 			for i := range 5000 {
-				// The first half of the entries are tiny, so that their number is what bounds the
-				// ring; in the second half, some are truncated.
+				// The entries of the first half are so short that maxEntries bounds the ring. In the second
+				// half, some entries are truncated.
 				maxLength := []int{4, maxEntryBytes + 100}[random.Intn(2)*(i/2500)]
 				line := strings.Repeat(string(rune('a'+i%26)), random.Intn(maxLength)) + "\n"
 				ring.append([]byte(line))
--- a/internal/mesh/logring/ring.go
+++ b/internal/mesh/logring/ring.go
@@ -9,48 +9,47 @@
 )
 
 const (
-	// DefaultBytes is the capacity of a ring for which none is given.
+	// DefaultBytes is the default capacity of a ring.
 	DefaultBytes = 64 << 10
-	// maxEntryBytes bounds one entry, so that a single long one does not evict all others. Its end
-	// is dropped.
+	// maxEntryBytes is the maximum size of an entry. A longer entry is truncated, so that it does not evict all others.
 	maxEntryBytes = 2 << 10
-	// maxEntries bounds the entries kept, and so the memory for their lengths.
+	// maxEntries is the maximum number of entries. It bounds the memory for their lengths.
 	maxEntries = 1024
-	// dumpInterval is the least time between two dumps. It guards the processor against many errors in a row.
+	// dumpInterval is the minimum time between two dumps. It limits the processor time that a series of errors uses.
 	dumpInterval = time.Second
-	// dumpHeader begins a dump, with the number of entries and the reason. Its words stay: scripts
-	// may look for them.
+	// dumpHeader is the first line of a dump, with the number of entries and the reason. Operators' scripts may search
+	// for its text.
 	dumpHeader = "== daybook: %d entries up to: %s\n"
 )
 
-// Ring is the last entries of a log, oldest first, as they were encoded. It keeps as many as fit
-// into its capacity, and at most maxEntries.
+// Ring holds the last encoded entries of a log, the oldest first. It keeps as many entries as fit into its capacity,
+// but at most maxEntries.
 type Ring struct {
-	// WriteLevel is the level from which on entries are written out at once. It is set before the
-	// first entry.
+	// WriteLevel is the lowest level at which entries are written out immediately. It must be set before the first
+	// entry.
 	WriteLevel zapcore.Level
-	out        zapcore.WriteSyncer // locks by itself
+	out        zapcore.WriteSyncer // safe for concurrent use
 
-	mu       sync.Mutex // guards the fields below; nothing is written out under it
-	data     []byte     // the entries' bytes, from start on, wrapping at the end
-	start    int
-	used     int
-	lengths  [maxEntries]uint16 // the entries' lengths, from first on, wrapping at the end
-	first    int
-	entries  int
+	mu       sync.Mutex         // guards the fields below; it is not held while writing to out
+	data     []byte             // circular buffer with the bytes of the entries
+	start    int                // index in data of the oldest entry
+	used     int                // number of bytes in use
+	lengths  [maxEntries]uint16 // circular buffer with the lengths of the entries in bytes
+	first    int                // index in lengths of the oldest entry
+	entries  int                // number of entries
 	lastDump time.Time
 }
 
-// Dump writes the entries out and empties the ring, under a line that gives the reason. Within
-// dumpInterval of the last dump it does nothing, and the entries stay for the next.
+// Dump writes the entries to the output, after a header line with the reason, and empties the ring. If the last dump
+// was less than dumpInterval ago, Dump does nothing, and the entries are kept for the next dump.
 func (r *Ring) Dump(reason string) {
 	if text := r.drain(reason, time.Now()); text != nil {
-		// There is nowhere to report that the log itself can't be written.
+		// A write error is ignored, because the log is where it would be reported.
 		_, _ = r.out.Write(text)
 	}
 }
 
-// append adds an entry, and evicts the oldest ones to make space.
+// append adds an entry, and evicts the oldest entries if there is not enough space.
 func (r *Ring) append(line []byte) {
 	limit := min(maxEntryBytes, len(r.data))
 	truncated := len(line) > limit
@@ -73,7 +72,7 @@
 	r.entries++
 }
 
-// evictOldest drops the oldest entry. r.mu is held.
+// evictOldest removes the oldest entry. The caller must hold r.mu.
 func (r *Ring) evictOldest() {
 	length := int(r.lengths[r.first])
 	r.start = (r.start + length) % len(r.data)
@@ -82,7 +81,8 @@
 	r.entries--
 }
 
-// drain empties the ring and returns the text of a dump, nil within dumpInterval of the last one.
+// drain empties the ring and returns the text of a dump. It returns nil if the last dump was less than dumpInterval
+// ago.
 func (r *Ring) drain(reason string, now time.Time) []byte {
 	r.mu.Lock()
 	defer r.mu.Unlock()
