--- a/internal/mesh/httpclient/httpclient_test.go
+++ b/internal/mesh/httpclient/httpclient_test.go
@@ -18,7 +18,7 @@
 	t.Cleanup(server.Close)
 	client := New(time.Second)
 	t.Cleanup(client.CloseIdleConnections)
-	Convey("A connection of the client gives up on an unresponsive peer after the user timeout", t, func() {
+	Convey("A connection of the client has the configured TCP_USER_TIMEOUT and keep-alive probe count", t, func() {
 		transport := client.Transport.(*http.Transport)
 		address := strings.TrimPrefix(server.URL, "http://")
 		c, err := transport.DialContext(context.Background(), "tcp", address)
