--- a/internal/mesh/watch/client_watch.go
+++ b/internal/mesh/watch/client_watch.go
@@ -172,7 +172,7 @@
 	case !heartbeat.Contact.OK:
 		signal(c.searchNow)
 	case heartbeat.Syncing:
-		c.counts = c.counts.Raised(heartbeat.Counts)
+		c.counts = c.counts.Max(heartbeat.Counts)
 	default:
 		c.counts = heartbeat.Counts
 	}
--- a/internal/mesh/watch/server_query.go
+++ b/internal/mesh/watch/server_query.go
@@ -35,7 +35,7 @@
 func (s *Server) CountBehind(version int64) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.table.MembersBehind(version)
+	return s.table.LaggingCount(version)
 }
 
 // LaggingSidecar is a sidecar that has not applied a configuration version, as this core machine knows it.
