--- a/internal/mesh/replication/compaction.go
+++ b/internal/mesh/replication/compaction.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// ShouldCompact reports whether the log is long enough to be replaced by a snapshot. A leader retains
-// more of it for peers that lag behind: they would need the snapshot for entries that were dropped.
+// ShouldCompact reports whether the log is long enough to be replaced by a snapshot. While a peer lags
+// behind, a leader retains a longer log, because a peer that needs a compacted entry has to receive the
+// complete snapshot.
 func (r *Replica) ShouldCompact() bool {
 	n := int(r.applied - r.log.snapshot.Index)
 	if r.storageFailed || n == 0 || r.pendingRestore != nil {
@@ -19,7 +20,7 @@
 	return n >= maxRetainedEntries || r.log.bytes >= maxRetainedBytes+2*limit || !r.hasLaggingPeer()
 }
 
-// hasLaggingPeer reports whether a peer in contact lacks entries that are applied here.
+// hasLaggingPeer reports whether a peer in contact lacks entries that this leader has applied.
 func (r *Replica) hasLaggingPeer() bool {
 	if r.role != leader {
 		return false
@@ -36,8 +37,9 @@
 	return false
 }
 
-// Compact replaces the log up to Applied by data, the application's state there. It does nothing
-// while no membership is known, because a snapshot without voters would be rejected by any replica.
+// Compact replaces the log up to Applied with a snapshot that holds data, the application's state at
+// Applied. It has no effect while no membership is known, because every replica would reject a
+// snapshot without voters.
 func (r *Replica) Compact(data []byte) {
 	term, ok := r.log.term(r.applied)
 	membership := r.memberships.at(r.applied)
--- a/internal/mesh/replication/contact_test.go
+++ b/internal/mesh/replication/contact_test.go
@@ -16,7 +16,7 @@
 			msg.Append.EchoedClock, msg.Append.QuorumAckAge = ClockReading{Incarnation: h.replica.incarnation, At: echo}, age
 			return msg
 		}
-		h.step(memberB, heartbeat(9*time.Second, forever))
+		h.step(memberB, heartbeat(9*time.Second, maxDuration))
 		at, _, _ := h.replica.LastQuorumAck()
 		So(at, ShouldBeLessThan, 0)
 		h.step(memberB, heartbeat(8*time.Second, time.Second))
@@ -32,7 +32,7 @@
 		lead.elect(false, memberB)
 		_, _, ok = lead.replica.LastQuorumAck()
 		So(ok, ShouldBeFalse)
-		So(lead.replica.heartbeat(lead.now, lead.replica.peers[memberB]).QuorumAckAge, ShouldEqual, forever)
+		So(lead.replica.heartbeat(lead.now, lead.replica.peers[memberB]).QuorumAckAge, ShouldEqual, maxDuration)
 	})
 	Convey("A confirmation whose entries aren't applied yet doesn't count", t, func() {
 		var c contactTracker
--- a/internal/mesh/replication/election.go
+++ b/internal/mesh/replication/election.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// startPreVote asks the voters whether they would grant a vote, without raising the term.
+// startPreVote asks the voters whether they would grant a vote. It does not increment the term.
 func (r *Replica) startPreVote(now time.Duration) {
 	r.role, r.leader = preCandidate, ""
 	r.votes = map[MemberID]bool{}
@@ -11,7 +11,7 @@
 	r.countVotes(now)
 }
 
-// startElection raises the term and asks for votes in it.
+// startElection increments the term and requests votes in the new term.
 func (r *Replica) startElection(now time.Duration, request VoteRequest) {
 	r.role, r.leader = candidate, ""
 	r.hardState.Term++
@@ -32,8 +32,9 @@
 	}
 }
 
-// countVotes ends a pre-vote or an election that a majority has granted. Only voters of the
-// membership in force count. The replica's own vote counts once it is synced.
+// countVotes starts the election after a successful pre-vote, and makes the replica the leader after
+// a successful election. It counts only votes of voters in the membership in force. The replica's
+// own vote in an election counts once it is synced to disk.
 func (r *Replica) countVotes(now time.Duration) {
 	if r.role != preCandidate && r.role != candidate {
 		return
@@ -50,15 +51,17 @@
 	r.startElection(now, VoteRequest{})
 }
 
-// isLogUpToDate reports whether a candidate's log lacks nothing that this replica may have acknowledged:
-// it ends in a higher term, or in the same one and no earlier.
+// isLogUpToDate reports whether a candidate's log is at least as up-to-date as this replica's log, so
+// that it has every entry that may be committed. The candidate's last entry must have a higher term,
+// or the same term and an index that is not lower.
 func (r *Replica) isLogUpToDate(request *VoteRequest) bool {
 	last := r.log.lastTerm()
 	return request.LastTerm > last || request.LastTerm == last && request.LastIndex >= r.log.lastIndex()
 }
 
-// stepVoteRequest answers a request for a vote or a pre-vote. A learner answers, too: the candidate
-// may know of a membership in which it is a voter, and counts its vote only then.
+// stepVoteRequest answers a request for a vote or a pre-vote. A learner answers too, because the
+// candidate may know a membership in which this replica is a voter. The candidate ignores votes of
+// members that are not voters in its membership.
 func (r *Replica) stepVoteRequest(now time.Duration, from MemberID, term Term, request *VoteRequest) {
 	switch {
 	case r.storageFailed:
@@ -112,7 +115,7 @@
 	}
 }
 
-// stepTimeoutNow starts an election at once, because the leader transfers leadership.
+// stepTimeoutNow starts an election immediately, because the leader transfers leadership.
 func (r *Replica) stepTimeoutNow(now time.Duration, from MemberID, term Term) {
 	if term != r.hardState.Term || r.leader != from || r.role != follower || r.storageFailed || !r.IsVoter() {
 		return
--- a/internal/mesh/replication/follower.go
+++ b/internal/mesh/replication/follower.go
@@ -2,11 +2,12 @@
 
 import "time"
 
-// acceptLeader processes what every message of a leader carries. It returns false where the message
-// isn't from the leader of this replica's term, or can't be stored.
+// acceptLeader processes the heartbeat of a leader's message and makes the replica a follower of the
+// sender. It returns false if the message must not be processed further: the sender is not the leader
+// of the current or a later term, or the replica's storage fails.
 func (r *Replica) acceptLeader(now time.Duration, from MemberID, term Term, h *Heartbeat) bool {
 	if term < r.hardState.Term {
-		// The term is over: answer the old leader, so that it steps down.
+		// The sender's term has ended. The response makes the former leader step down.
 		r.send(from, Message{AppendResponse: &AppendResponse{Rejected: true}})
 		return false
 	}
@@ -15,7 +16,7 @@
 		return false
 	}
 	if r.leader != from || term > r.hardState.Term {
-		r.lastQuorumAck = now - longAgo
+		r.lastQuorumAck = now - noContactAge
 	}
 	r.becomeFollower(term, from)
 	r.lastContact = now
@@ -24,11 +25,11 @@
 	return !r.storageFailed
 }
 
-// recordQuorumAck adopts the time at which a majority last confirmed the leader. The arrival of a
-// message doesn't show how long it was in flight; the clock reading that it echoes shows that it was
-// made after this replica sent the response with that reading.
+// recordQuorumAck updates the time at which a majority last confirmed the leader. The time of receipt
+// is no basis for this, because the message may have been in flight for any time. The echoed clock
+// reading proves that the leader created the message after this replica sent that reading.
 func (r *Replica) recordQuorumAck(now time.Duration, h *Heartbeat) {
-	if h.QuorumAckAge < 0 || h.QuorumAckAge >= longAgo {
+	if h.QuorumAckAge < 0 || h.QuorumAckAge >= noContactAge {
 		return
 	}
 	r.leaderCommit = max(r.leaderCommit, h.Commit)
@@ -37,12 +38,12 @@
 	}
 }
 
-// clockReading is what responses carry for the leader to echo.
+// clockReading returns the clock reading for a response, which the leader echoes in later messages.
 func (r *Replica) clockReading(now time.Duration) ClockReading {
 	return ClockReading{Incarnation: r.incarnation, At: now}
 }
 
-// stepAppend processes entries or a plain heartbeat.
+// stepAppend processes an AppendEntries message, with entries or as a plain heartbeat.
 func (r *Replica) stepAppend(now time.Duration, from MemberID, term Term, msg *AppendEntries) {
 	if !r.acceptLeader(now, from, term, &msg.Heartbeat) {
 		return
@@ -59,8 +60,8 @@
 	r.send(from, Message{AppendResponse: &response})
 }
 
-// lastPossibleMatch is the last index at which the log may still agree with that of a leader whose
-// entry at PrevIndex differs.
+// lastPossibleMatch returns the last index up to which the log may equal the leader's log, given that
+// the logs differ at msg.PrevIndex.
 func (r *Replica) lastPossibleMatch(msg *AppendEntries) Index {
 	index := min(msg.PrevIndex, r.log.lastIndex())
 	for index > r.commit {
@@ -72,11 +73,12 @@
 	return index
 }
 
-// appendFromLeader appends the entries that the log lacks, if the one before them is the same in
-// both logs. Other entries at their indexes were never acknowledged by a quorum and are dropped.
+// appendFromLeader appends the entries that the log lacks. It returns false if the entry that precedes
+// them differs from the leader's or is missing. Conflicting entries were never acknowledged by a
+// quorum and are deleted.
 func (r *Replica) appendFromLeader(msg *AppendEntries) bool {
 	entries, prev, prevTerm := msg.Entries, msg.PrevIndex, msg.PrevTerm
-	// What is committed is the same in every log, also where it is compacted here.
+	// Committed entries are the same in every log, even if this replica has compacted them.
 	for len(entries) > 0 && prev < r.commit {
 		prev, prevTerm = entries[0].Index, entries[0].Term
 		entries = entries[1:]
@@ -102,7 +104,7 @@
 	return true
 }
 
-// truncateLog drops the log from index on, with the memberships in it.
+// truncateLog deletes the log's entries from index on, and the memberships that they hold.
 func (r *Replica) truncateLog(index Index) {
 	if index > r.log.lastIndex() {
 		return
--- a/internal/mesh/replication/leadership_transfer.go
+++ b/internal/mesh/replication/leadership_transfer.go
@@ -5,40 +5,43 @@
 	"time"
 )
 
-// TransferLeadership asks the voter with the longest log to start an election at once. Voters in
-// leaving aren't asked. It returns false where no voter could take over.
+// TransferLeadership asks a voter to start an election immediately. It selects the voter with the
+// longest log among the voters that are caught up and not in leaving. It returns false if this replica
+// is not the leader or if there is no such voter.
 func (r *Replica) TransferLeadership(now time.Duration, leaving ...MemberID) bool {
 	r.checkQuorum(now)
 	if r.role != leader {
 		return false
 	}
 	current := r.memberships.current()
-	var best MemberID
+	var transferee MemberID
 	for _, id := range r.peerIDs {
 		if !slices.Contains(current.Voters, id) || slices.Contains(leaving, id) || !r.isCaughtUp(now, id) {
 			continue
 		}
-		if best == "" || r.peers[id].match > r.peers[best].match {
-			best = id
+		if transferee == "" || r.peers[id].match > r.peers[transferee].match {
+			transferee = id
 		}
 	}
-	if best == "" {
+	if transferee == "" {
 		return false
 	}
-	r.send(best, Message{TimeoutNow: &TimeoutNow{}})
+	r.send(transferee, Message{TimeoutNow: &TimeoutNow{}})
 	if !r.transferring {
 		r.transferring, r.transferStartedAt = true, now
 	}
 	return true
 }
 
-// transferTimedOut reports whether this leader has asked a peer to take over and has waited long enough.
+// transferTimedOut reports whether a leadership transfer has not completed within
+// leadershipTransferTimeout.
 func (r *Replica) transferTimedOut(now time.Duration) bool {
 	return r.transferring && now-r.transferStartedAt > leadershipTransferTimeout
 }
 
-// transferIfOutgoing makes a leader that was elected in the middle of a change, and isn't among the
-// new voters, ask one of them to take over and end the change: no membership excludes its leader.
+// transferIfOutgoing transfers leadership away from a leader that was elected during a membership
+// change and is not among the new voters. The next leader completes the change, so that the leader is
+// always a voter of the membership in force.
 func (r *Replica) transferIfOutgoing(now time.Duration) {
 	current := r.memberships.current()
 	switch {
--- a/internal/mesh/replication/log.go
+++ b/internal/mesh/replication/log.go
@@ -1,14 +1,15 @@
 package replication
 
-// entryLog is the log in memory: a snapshot and the entries after it, without gaps.
+// entryLog is the in-memory log. It consists of a snapshot and the entries after the snapshot,
+// without gaps.
 type entryLog struct {
 	snapshot Snapshot
 	entries  []Entry
-	// bytes is the total size of the entries' commands.
+	// bytes is the total size of the commands in entries.
 	bytes int
 }
 
-// commandBytes is the total size of the entries' commands.
+// commandBytes returns the total size of the commands in entries.
 func commandBytes(entries []Entry) int {
 	n := 0
 	for i := range entries {
@@ -19,7 +20,7 @@
 
 func (l *entryLog) lastIndex() Index { return l.snapshot.Index + Index(len(l.entries)) }
 
-// term returns the term of the entry at index; ok is false when the log doesn't hold it.
+// term returns the term of the entry at index. ok is false if the log does not contain the index.
 func (l *entryLog) term(index Index) (term Term, ok bool) {
 	switch {
 	case index == l.snapshot.Index:
@@ -35,14 +36,14 @@
 	return term
 }
 
-// matches reports whether the log holds an entry at index that was numbered in term.
+// matches reports whether the log contains an entry with the given index and term.
 func (l *entryLog) matches(index Index, term Term) bool {
 	found, ok := l.term(index)
 	return ok && found == term
 }
 
-// entriesFrom returns the entries from index on, as many as fit into limit bytes, and at least one
-// if there is one.
+// entriesFrom returns the entries from index on whose commands fit into limit bytes. It returns at
+// least one entry if the log has an entry at index.
 func (l *entryLog) entriesFrom(index Index, limit int) []Entry {
 	if index <= l.snapshot.Index || index > l.lastIndex() {
 		return nil
@@ -56,7 +57,7 @@
 	return rest[:n:n]
 }
 
-// entriesBetween returns the entries after index after, up to and including end.
+// entriesBetween returns the entries with indexes above after, up to and including end.
 func (l *entryLog) entriesBetween(after, end Index) []Entry {
 	if end <= after || after < l.snapshot.Index {
 		return nil
@@ -69,24 +70,24 @@
 	l.entries = append(l.entries, entries...)
 }
 
-// truncate drops the entries from index on. The rest is copied, because entries that were returned
-// before may still be in flight.
+// truncate deletes the entries from index on. It copies the remaining entries, because slices
+// returned by entriesFrom and entriesBetween may still be in use.
 func (l *entryLog) truncate(index Index) {
 	l.replaceEntries(l.entries[:index-l.snapshot.Index-1])
 }
 
-// installSnapshot replaces everything by a snapshot.
+// installSnapshot replaces the entire log with a snapshot.
 func (l *entryLog) installSnapshot(s Snapshot) {
 	*l = entryLog{snapshot: s}
 }
 
-// compact replaces the entries up to the snapshot's index by the snapshot.
+// compact replaces the entries up to and including the snapshot's index with the snapshot.
 func (l *entryLog) compact(s Snapshot) {
 	l.replaceEntries(l.entries[s.Index-l.snapshot.Index:])
 	l.snapshot = s
 }
 
-// replaceEntries makes a copy of entries the log's.
+// replaceEntries sets the log's entries to a copy of entries.
 func (l *entryLog) replaceEntries(entries []Entry) {
 	l.entries = append(make([]Entry, 0, len(entries)), entries...)
 	l.bytes = commandBytes(l.entries)
--- a/internal/mesh/replication/membership.go
+++ b/internal/mesh/replication/membership.go
@@ -11,30 +11,31 @@
 	"caperarch/internal/mesh/errs"
 )
 
-// maxVoters bounds a membership, so that a malformed message can't make a replica keep thousands.
+// maxVoters bounds the number of voters in a membership, so that a malformed message cannot make a
+// replica store thousands of voters.
 const maxVoters = 15
 
-// Membership is the set of voters. While it is joint, Outgoing are the voters before the change,
-// and every decision takes a majority of both sets.
+// Membership is the set of voters. During a membership change it is a joint membership: Outgoing
+// holds the voters before the change, and every decision needs a majority of both sets.
 type Membership struct {
 	Voters   []MemberID `json:"v"`
 	Outgoing []MemberID `json:"o,omitempty"`
 }
 
-// IsJoint reports whether a change is under way.
+// IsJoint reports whether a membership change is in progress.
 func (m Membership) IsJoint() bool { return len(m.Outgoing) > 0 }
 
-// IsVoter reports whether a member votes, in either set.
+// IsVoter reports whether a member is a voter in either set.
 func (m Membership) IsVoter(id MemberID) bool {
 	return slices.Contains(m.Voters, id) || slices.Contains(m.Outgoing, id)
 }
 
-// AllVoters returns the members of both sets, sorted, each once.
+// AllVoters returns the members of both sets, sorted and without duplicates.
 func (m Membership) AllVoters() []MemberID {
 	return slices.Compact(slices.Sorted(slices.Values(slices.Concat(m.Voters, m.Outgoing))))
 }
 
-// hasQuorum reports whether the members that agree are a majority of each set.
+// hasQuorum reports whether the members for which agrees returns true form a majority of each set.
 func (m Membership) hasQuorum(agrees func(MemberID) bool) bool {
 	return hasMajority(m.Voters, agrees) && (!m.IsJoint() || hasMajority(m.Outgoing, agrees))
 }
@@ -49,7 +50,7 @@
 	return n > len(voters)/2
 }
 
-// quorumValue is the largest value that a majority of each set has reached.
+// quorumValue returns the largest value that a majority of each set has reached or exceeded.
 func quorumValue[T ~int64 | ~uint64](m Membership, valueOf func(MemberID) T) T {
 	value := majorityValue(m.Voters, valueOf)
 	if m.IsJoint() {
@@ -70,11 +71,11 @@
 	return values[(len(voters)-1)/2]
 }
 
-// validate returns an error of kind Invalid for a membership without voters, or in which a voter
-// has no address or the address of another one.
+// validate returns an error of kind Invalid if the membership has no voters or too many voters, if a
+// voter's id has no valid address, or if two voters of a set have the same address.
 func (m Membership) validate() error {
 	if len(m.Voters) == 0 {
-		return errs.New(errs.Invalid, "replication: a membership without voters")
+		return errs.New(errs.Invalid, "replication: membership has no voters")
 	}
 	for _, set := range [][]MemberID{m.Voters, m.Outgoing} {
 		if err := validateVoters(set); err != nil {
@@ -86,15 +87,15 @@
 
 func validateVoters(voters []MemberID) error {
 	if len(voters) > maxVoters {
-		return errs.New(errs.Invalid, "replication: %d voters, at most %d may be", len(voters), maxVoters)
+		return errs.New(errs.Invalid, "replication: membership has %d voters, the maximum is %d", len(voters), maxVoters)
 	}
 	seen := make(map[string]bool, len(voters))
 	for _, id := range voters {
 		if _, _, err := net.SplitHostPort(id.Address()); err != nil {
-			return errs.New(errs.Invalid, "replication: the voter %.64q has no address", id)
+			return errs.New(errs.Invalid, "replication: voter id %.64q has no valid host:port address", id)
 		}
 		if seen[id.Address()] {
-			return errs.New(errs.Invalid, "replication: two voters at %s", id.Address())
+			return errs.New(errs.Invalid, "replication: membership has two voters with the address %s", id.Address())
 		}
 		seen[id.Address()] = true
 	}
@@ -103,7 +104,7 @@
 
 func (m Membership) encode() []byte {
 	data, err := json.Marshal(m)
-	if err != nil { // slices of strings can always be encoded
+	if err != nil { // unreachable: slices of strings can always be encoded
 		panic(err)
 	}
 	return data
@@ -112,13 +113,14 @@
 func decodeMembership(data []byte) (Membership, error) {
 	var m Membership
 	if err := json.Unmarshal(data, &m); err != nil {
-		return Membership{}, errs.Wrap(err, errs.Invalid, "replication: a membership that can't be read")
+		return Membership{}, errs.Wrap(err, errs.Invalid, "replication: membership cannot be decoded")
 	}
 	return m, m.validate()
 }
 
-// Bootstrap returns the cluster's id and the membership of the very first start. Both depend on the
-// seeds' addresses alone, so that all first voters start alike without exchanging messages.
+// Bootstrap returns the id and the initial membership of a new cluster. Both depend only on the
+// addresses of the seeds, so that all initial voters start with the same values without exchanging
+// messages.
 func Bootstrap(seeds []string) (ClusterID, Membership) {
 	seeds = slices.Compact(slices.Sorted(slices.Values(seeds)))
 	var m Membership
--- a/internal/mesh/replication/membership_change.go
+++ b/internal/mesh/replication/membership_change.go
@@ -7,16 +7,18 @@
 	"caperarch/internal/mesh/errs"
 )
 
-// ChangeMembership begins a change of the voters. The entry that it appends puts the joint
-// membership of old and new voters in force; once that is committed by a majority of both, the
-// leader appends the new one alone. An error means that nothing was done; it is of kind NotLeader,
-// Busy, Invalid or NoQuorum. The change begins only when all of this holds:
-//   - an entry of the leader's own term is committed, so that it knows of every earlier change;
-//   - no change is under way;
-//   - the leader remains a voter;
-//   - a majority of the old and of the new voters are in contact and have synced everything that is
-//     committed, so that the change can be committed, and the new voters need no disk of the old;
-//   - so has every voter that is new.
+// ChangeMembership starts a change of the voters. It appends an entry with the joint membership of
+// the old and the new voters, which is in force immediately. Once this entry is committed by a majority
+// of each set, the leader appends an entry with the new voters alone. If ChangeMembership returns an
+// error, the membership is unchanged. The error is of kind NotLeader, Busy, Invalid or NoQuorum. The
+// change starts only under these conditions:
+//   - An entry of the leader's own term is committed, so that the leader knows of every earlier change.
+//   - No other change is in progress.
+//   - The leader is among the new voters.
+//   - A majority of the old voters and a majority of the new voters are in contact and have synced all
+//     committed entries. The change can then be committed, and the new voters alone store all
+//     committed entries on a majority of their disks.
+//   - Every added voter is in contact and has synced all committed entries.
 func (r *Replica) ChangeMembership(now time.Duration, voters []MemberID) error {
 	r.checkQuorum(now)
 	current := r.memberships.current()
@@ -25,24 +27,24 @@
 	case r.role != leader || r.storageFailed:
 		return errs.New(errs.NotLeader, "replication: %s isn't the leader", r.id)
 	case !r.hasCommittedInTerm():
-		return errs.New(errs.Busy, "replication: the term has no committed entry yet")
+		return errs.New(errs.Busy, "replication: current term has no committed entry")
 	case current.IsJoint() || current.index > r.commit:
-		return errs.New(errs.Busy, "replication: a change of membership is under way")
+		return errs.New(errs.Busy, "replication: another membership change is in progress")
 	case !slices.Contains(next.Voters, r.id):
-		return errs.New(errs.Invalid, "replication: the leader can't leave; it hands over first")
+		return errs.New(errs.Invalid, "replication: new voters exclude the leader, which must transfer leadership first")
 	case slices.Equal(next.Voters, slices.Sorted(slices.Values(current.Voters))):
-		return errs.New(errs.Invalid, "replication: these are the voters already")
+		return errs.New(errs.Invalid, "replication: new voters equal the current voters")
 	}
 	if err := next.validate(); err != nil {
 		return err
 	}
 	if !next.hasQuorum(func(id MemberID) bool { return r.isCaughtUp(now, id) }) {
 		return errs.New(errs.NoQuorum,
-			"replication: too few of the old or the new voters hold all that is committed")
+			"replication: no majority of the old or of the new voters is in contact with all committed entries")
 	}
 	for _, id := range next.Voters {
 		if !current.IsVoter(id) && !r.isCaughtUp(now, id) {
-			return errs.New(errs.Busy, "replication: %s has not caught up", id)
+			return errs.New(errs.Busy, "replication: new voter %s has not synced all committed entries", id)
 		}
 	}
 	r.appendMembership(now, next)
@@ -61,8 +63,9 @@
 	r.updatePeers(now)
 }
 
-// leaveJoint ends a change whose joint membership is committed, also one that an earlier leader
-// began. A leader that isn't among the new voters transfers leadership instead.
+// leaveJoint completes a membership change, including a change started by an earlier leader, once the
+// joint membership is committed. A leader that is not among the new voters does not complete the
+// change. It transfers leadership instead.
 func (r *Replica) leaveJoint(now time.Duration) {
 	current := r.memberships.current()
 	if current.IsJoint() && current.index <= r.commit && slices.Contains(current.Voters, r.id) {
--- a/internal/mesh/replication/membership_history.go
+++ b/internal/mesh/replication/membership_history.go
@@ -1,18 +1,19 @@
 package replication
 
-// indexedMembership is a membership and the index of the entry that holds it.
+// indexedMembership is a membership with the index of its entry.
 type indexedMembership struct {
 	index Index
 	Membership
 }
 
-// membershipHistory is every membership that the log holds, the oldest first: the snapshot's, then
-// one for each membership entry. The newest is in force, whether it is committed or not.
+// membershipHistory holds the memberships of the log, oldest first: the membership of the snapshot,
+// followed by the membership of each EntryMembership entry. The newest membership is in force, even
+// if its entry is not committed.
 type membershipHistory []indexedMembership
 
 func (h membershipHistory) current() indexedMembership { return h[len(h)-1] }
 
-// appendFrom adds the memberships among entries that were appended to the log.
+// appendFrom adds the memberships in entries that have been appended to the log.
 func (h *membershipHistory) appendFrom(entries []Entry) {
 	for i := range entries {
 		if entries[i].Kind != EntryMembership {
@@ -24,14 +25,14 @@
 	}
 }
 
-// truncate drops the memberships of the entries from index on.
+// truncate deletes the memberships of the entries from index on. The oldest membership always remains.
 func (h *membershipHistory) truncate(index Index) {
 	for len(*h) > 1 && h.current().index >= index {
 		*h = (*h)[:len(*h)-1]
 	}
 }
 
-// at returns the membership in force at index.
+// at returns the newest membership whose entry is at index or before it.
 func (h membershipHistory) at(index Index) Membership {
 	found := h[0].Membership
 	for _, m := range h {
@@ -42,7 +43,7 @@
 	return found
 }
 
-// compact drops the memberships before the one in force at index.
+// compact deletes the memberships that are older than the membership in force at index.
 func (h *membershipHistory) compact(index Index) {
 	for len(*h) > 1 && (*h)[1].index <= index {
 		*h = (*h)[1:]
--- a/internal/mesh/replication/message.go
+++ b/internal/mesh/replication/message.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Message is what replicas send to each other: exactly one of its pointers is set.
+// Message is a message from one replica to another. Exactly one of the payload pointers is set.
 type Message struct {
 	Cluster ClusterID `json:"u"`
 	Term    Term      `json:"t"`
@@ -16,46 +16,52 @@
 	TimeoutNow       *TimeoutNow       `json:"tn,omitempty"`
 }
 
-// VoteRequest asks for a vote in the message's term. A pre-vote asks whether the vote would be
-// granted, and changes nothing.
+// VoteRequest asks for the receiver's vote in the message's term. A pre-vote asks whether the
+// receiver would grant the vote, and leaves the receiver's state unchanged. LastIndex and LastTerm
+// describe the last entry of the candidate's log.
 type VoteRequest struct {
 	PreVote   bool  `json:"p,omitempty"`
 	LastIndex Index `json:"i"`
 	LastTerm  Term  `json:"w"`
-	// Transfer says that the leader itself asked for this election, so its lease doesn't forbid
-	// the vote.
+	// Transfer marks an election that the leader requested in order to transfer leadership. The
+	// leader's lease does not prevent a vote in this election.
 	Transfer bool `json:"x,omitempty"`
 }
 
-// VoteResponse answers a VoteRequest.
+// VoteResponse answers a VoteRequest. Its message carries the requested term if the vote is granted.
+// A rejection carries the responder's term.
 type VoteResponse struct {
 	PreVote  bool `json:"p,omitempty"`
 	Rejected bool `json:"x,omitempty"`
 }
 
-// Heartbeat is what every message of a leader to a peer carries.
+// Heartbeat is included in every AppendEntries and SnapshotChunk message of a leader.
 type Heartbeat struct {
-	// Commit is the last entry that the leader knows to be committed.
+	// Commit is the leader's commit index.
 	Commit Index `json:"c,omitempty"`
-	// SentAt is the leader's clock; responses repeat it, so that contact is counted from when the
-	// request was sent and not from when the response was read.
+	// SentAt is the leader's clock when it sent the message. The response echoes it, so that the
+	// leader measures contact from the time of the request instead of the time at which it
+	// processed the response.
 	SentAt time.Duration `json:"s,omitempty"`
-	// ReadRound is the leader's newest read round; responses repeat it.
+	// ReadRound is the leader's newest read round. The response echoes it.
 	ReadRound ReadRound `json:"r,omitempty"`
-	// QuorumAckAge is how long before the message was made a majority last confirmed the leader.
+	// QuorumAckAge is the time from the last confirmation of the leader by a majority to the
+	// creation of the message, or maxDuration if the leader has committed no entry of its own term.
 	QuorumAckAge time.Duration `json:"g,omitempty"`
-	// EchoedClock is the receiver's clock from its newest response: the message was made after
-	// that time, however long it has been in flight.
+	// EchoedClock is the receiver's clock as reported in its newest response. The leader created the
+	// message after that time, however long the message has been in flight.
 	EchoedClock ClockReading `json:"e,omitzero"`
 }
 
-// ClockReading is the clock of a replica at a moment of one of its incarnations.
+// ClockReading is the reading At of a replica's clock in one of its incarnations. Readings of
+// different incarnations are not comparable.
 type ClockReading struct {
 	Incarnation Incarnation   `json:"l,omitempty"`
 	At          time.Duration `json:"a,omitempty"`
 }
 
-// AppendEntries carries the entries after PrevIndex, or none: then it is a plain heartbeat.
+// AppendEntries carries the entries that follow PrevIndex. Without entries the message is a plain
+// heartbeat.
 type AppendEntries struct {
 	Heartbeat
 	PrevIndex Index   `json:"i"`
@@ -63,41 +69,41 @@
 	Entries   []Entry `json:"l,omitempty"`
 }
 
-// AppendResponse answers AppendEntries and the last SnapshotChunk.
+// AppendResponse answers AppendEntries, and the SnapshotChunk that completes a snapshot.
 type AppendResponse struct {
-	// Match is the last entry up to which the log is synced and equals the leader's; in a
-	// rejection, the last one up to which it may.
+	// Match is the last index up to which the sender's log is synced and equals the leader's log. In
+	// a rejection, Match is the last index up to which the logs may still be equal.
 	Match    Index `json:"i"`
 	Rejected bool  `json:"x,omitempty"`
-	// RejectedIndex is, in a rejection, the PrevIndex of the rejected message.
+	// RejectedIndex is the PrevIndex of the rejected message, if Rejected is set.
 	RejectedIndex Index         `json:"p,omitempty"`
 	SentAt        time.Duration `json:"s,omitempty"`
 	ReadRound     ReadRound     `json:"r,omitempty"`
 	Clock         ClockReading  `json:"k,omitzero"`
 }
 
-// SnapshotHeader identifies a snapshot: chunks under the same header belong together, whichever
-// leader sends them.
+// SnapshotHeader identifies a snapshot. Chunks with the same header belong to the same snapshot,
+// regardless of the leader that sends them.
 type SnapshotHeader struct {
 	Index      Index      `json:"i"`
 	Term       Term       `json:"w"`
 	Membership Membership `json:"m"`
-	// Size is the length of the snapshot's data in bytes.
+	// Size is the length of the snapshot data in bytes.
 	Size int `json:"z"`
-	// Checksum is the xxhash of the snapshot's data.
+	// Checksum is the xxHash64 of the snapshot data.
 	Checksum uint64 `json:"h"`
 }
 
-// SnapshotChunk carries a part of a snapshot's data.
+// SnapshotChunk carries a part of the snapshot data.
 type SnapshotChunk struct {
 	Heartbeat
 	Header SnapshotHeader `json:"n"`
-	// Offset is the position of Data in the snapshot's data, in bytes.
+	// Offset is the position of Data within the snapshot data, in bytes.
 	Offset int    `json:"o"`
 	Data   []byte `json:"d,omitempty"`
 }
 
-// SnapshotResponse names the offset of the next chunk that the receiver lacks.
+// SnapshotResponse requests the chunk at Offset, in bytes, of the snapshot at Index.
 type SnapshotResponse struct {
 	Index     Index         `json:"i"`
 	Offset    int           `json:"o"`
@@ -106,10 +112,11 @@
 	Clock     ClockReading  `json:"k,omitzero"`
 }
 
-// TimeoutNow asks a voter to start an election at once, because the leader transfers leadership.
+// TimeoutNow is sent by a leader that transfers leadership. The receiving voter starts an election
+// immediately.
 type TimeoutNow struct{}
 
-// payloadBytes is the approximate size of the message in memory and on the link.
+// payloadBytes returns the approximate size of the message in memory and on the network.
 func (msg *Message) payloadBytes() int {
 	n := 0
 	if msg.SnapshotChunk != nil {
@@ -121,7 +128,7 @@
 	return n
 }
 
-// payloadCount counts the payloads of a message; a well-formed one has one.
+// payloadCount returns the number of payload pointers that are set. A well-formed message has one.
 func (msg *Message) payloadCount() int {
 	n := 0
 	for _, set := range []bool{
@@ -135,7 +142,8 @@
 	return n
 }
 
-// isWellFormed reports whether the replica may process a message at all.
+// isWellFormed reports whether the message belongs to the replica's cluster, has exactly one payload,
+// and has a payload that is valid by itself.
 func (r *Replica) isWellFormed(msg *Message) bool {
 	if msg.Cluster != r.cluster || msg.payloadCount() != 1 {
 		return false
@@ -146,8 +154,8 @@
 	return msg.SnapshotChunk == nil || msg.SnapshotChunk.isWellFormed()
 }
 
-// isWellFormed reports whether the entries follow PrevIndex without gaps, belong to no term after the
-// message's, and hold memberships that can be decoded.
+// isWellFormed reports whether the entries follow PrevIndex without gaps, have terms no higher than
+// the message's term, and hold only memberships that are valid.
 func (msg *AppendEntries) isWellFormed(term Term) bool {
 	for i := range msg.Entries {
 		e := &msg.Entries[i]
@@ -164,7 +172,7 @@
 	return true
 }
 
-// isWellFormed reports whether the header can be that of a snapshot and the chunk lies within it.
+// isWellFormed reports whether the header is valid and the chunk lies within the snapshot.
 func (chunk *SnapshotChunk) isWellFormed() bool {
 	h := &chunk.Header
 	return h.Index > 0 && h.Size >= 0 && h.Size <= maxSnapshotBytes && h.Membership.validate() == nil &&
--- a/internal/mesh/replication/progress.go
+++ b/internal/mesh/replication/progress.go
@@ -5,43 +5,47 @@
 	"time"
 )
 
-// Progress is what a leader knows of another replica.
+// Progress is the replication status of a peer as seen by the leader.
 type Progress struct {
 	ID      MemberID
 	IsVoter bool
-	// Match is the last entry known to be synced there.
+	// Match is the index of the last entry known to be synced on the peer.
 	Match Index
-	// SinceLastContact is how long ago the newest message was sent that the replica has answered.
+	// SinceLastContact is the time since the leader sent the newest message that the peer has
+	// answered.
 	SinceLastContact time.Duration
-	// CaughtUp says that it stores everything that is committed.
+	// CaughtUp reports whether the peer has synced all committed entries.
 	CaughtUp bool
 }
 
-// progress is what a leader keeps of a peer.
+// progress is a leader's replication state for a peer.
 type progress struct {
-	// match is the last entry known to be synced there; next is the first to send.
+	// match is the index of the last entry known to be synced on the peer. next is the index of the
+	// first entry to send.
 	match, next Index
-	// resendAt is when unanswered entries or chunks are sent again; 0 when none are in flight.
+	// resendAt is the time at which unacknowledged entries or chunks are sent again. It is 0 if none
+	// are in flight.
 	resendAt time.Duration
-	// lastContact is the time at which the newest answered message was sent.
+	// lastContact is the time at which the newest message that the peer has answered was sent.
 	lastContact time.Duration
-	// clock is the peer's own, from its newest response.
+	// clock is the peer's clock reading from its newest response.
 	clock ClockReading
-	// sentAt is when the last message was sent; readRoundSent and commitSent are what it carried.
+	// sentAt is the time at which the last message was sent. readRoundSent and commitSent are the
+	// newest read round and the commit index, limited to match, that the peer was sent.
 	sentAt        time.Duration
 	readRoundSent ReadRound
 	commitSent    Index
 	// readRound is the newest read round that the peer has answered.
 	readRound ReadRound
-	// snapshot is the one that is being sent in chunks, nil for none; snapshotOffset is where the
-	// next chunk begins.
+	// snapshot is the snapshot that is being sent in chunks, or nil. checksum is the xxHash64 of its
+	// data, and snapshotOffset is the offset of the next chunk.
 	snapshot       *Snapshot
 	checksum       uint64
 	snapshotOffset int
 }
 
-// SetLearners names the replicas that a leader replicates to besides the voters. The ids must be
-// sorted.
+// SetLearners sets the replicas that a leader replicates to in addition to the voters. The ids must
+// be sorted. SetLearners has no effect on a replica that is not the leader.
 func (r *Replica) SetLearners(now time.Duration, learners []MemberID) {
 	if r.role != leader || slices.Equal(r.learners, learners) {
 		return
@@ -50,7 +54,8 @@
 	r.updatePeers(now)
 }
 
-// updatePeers keeps one progress for every voter and learner but this replica.
+// updatePeers adds and deletes progress entries, so that there is one for every voter and learner
+// other than this replica.
 func (r *Replica) updatePeers(now time.Duration) {
 	wanted := r.memberships.current().AllVoters()
 	wanted = append(wanted, r.learners...)
@@ -71,7 +76,8 @@
 	}
 }
 
-// Progress returns what the leader knows of its peers; nil where this replica doesn't lead.
+// Progress returns the replication status of the leader's peers. It returns nil if this replica is
+// not the leader.
 func (r *Replica) Progress(now time.Duration) []Progress {
 	if r.role != leader {
 		return nil
@@ -91,10 +97,10 @@
 	return all
 }
 
-// storesCommitted reports whether a peer has synced everything that is committed.
+// storesCommitted reports whether a peer has synced all committed entries.
 func (r *Replica) storesCommitted(p *progress) bool { return p.match > 0 && p.match >= r.commit }
 
-// isCaughtUp reports whether a member is in contact and has synced everything that is committed.
+// isCaughtUp reports whether a member is in contact and has synced all committed entries.
 func (r *Replica) isCaughtUp(now time.Duration, id MemberID) bool {
 	if id == r.id {
 		return r.stable >= r.commit
@@ -103,8 +109,9 @@
 	return p != nil && r.storesCommitted(p) && now-p.lastContact <= ContactTimeout
 }
 
-// recordResponse updates the progress of a member that has answered this leader. It returns nil
-// where the response isn't for this leader's term, or answers a message that was never sent.
+// recordResponse updates the progress of a member that has answered this leader, and returns that
+// progress. It returns nil if the response must be ignored: this replica is not the leader of the
+// response's term, the sender is not a peer, or no message that was sent can have had this answer.
 func (r *Replica) recordResponse(
 	now time.Duration, from MemberID, term Term, sentAt time.Duration, round ReadRound, clock ClockReading,
 ) *progress {
--- a/internal/mesh/replication/propose.go
+++ b/internal/mesh/replication/propose.go
@@ -6,15 +6,16 @@
 	"caperarch/internal/mesh/errs"
 )
 
-// pendingProposal is a proposal that isn't committed yet.
+// pendingProposal is a proposal whose entry is not committed yet.
 type pendingProposal struct {
 	token Token
 	index Index
 	bytes int
 }
 
-// Propose appends a command to the log and returns a token that a later Ready completes. An error
-// means that nothing was done; it is of kind Invalid, TooLarge, DiskFailed, NotLeader or Busy.
+// Propose appends a command to the log and returns a token. A later Ready reports the completion of
+// the token. If Propose returns an error, the log is unchanged. The error is of kind Invalid,
+// TooLarge, DiskFailed, NotLeader or Busy.
 func (r *Replica) Propose(now time.Duration, command []byte) (Token, error) {
 	r.checkQuorum(now)
 	switch size := len(command); {
--- a/internal/mesh/replication/read_index.go
+++ b/internal/mesh/replication/read_index.go
@@ -6,18 +6,20 @@
 	"caperarch/internal/mesh/errs"
 )
 
-// pendingRead is a read that isn't completed yet.
+// pendingRead is a read that is not complete yet.
 type pendingRead struct {
 	token Token
 	// readRound is the round of heartbeats that confirms the leader for this read.
 	readRound ReadRound
-	// index is what must be applied first; 0 until the round is confirmed.
+	// index is the index that must be applied before the read is complete. It is 0 until a majority
+	// has answered the read round.
 	index Index
 }
 
-// Read begins a linearizable read and returns a token. It is completed once a majority has
-// confirmed the term in a round that began after this call, and everything committed by then is
-// applied here. An error is of kind NotLeader or Busy.
+// Read starts a linearizable read and returns a token. A later Ready reports the completion of the
+// token, after a majority has confirmed the leader in a round whose heartbeats were sent after this
+// call, and this replica has applied all entries that were committed by then. An error is of kind
+// NotLeader or Busy.
 func (r *Replica) Read(now time.Duration) (Token, error) {
 	r.checkQuorum(now)
 	if r.role != leader {
@@ -36,8 +38,9 @@
 	return r.lastToken, nil
 }
 
-// confirmReads sets the index of each read whose round a majority has answered, once the leader
-// knows everything that earlier terms committed.
+// confirmReads sets the index of each pending read whose read round a majority has answered. It waits
+// until an entry of the leader's own term is committed, because only then does the commit index
+// include all entries committed in earlier terms.
 func (r *Replica) confirmReads() {
 	if r.role != leader || !r.hasCommittedInTerm() {
 		return
@@ -49,8 +52,8 @@
 		return r.peers[id].readRound
 	})
 	for i := range r.pendingReads {
-		if q := &r.pendingReads[i]; q.index == 0 && q.readRound <= confirmed {
-			q.index = r.commit
+		if read := &r.pendingReads[i]; read.index == 0 && read.readRound <= confirmed {
+			read.index = r.commit
 		}
 	}
 }
--- a/internal/mesh/replication/ready.go
+++ b/internal/mesh/replication/ready.go
@@ -2,22 +2,23 @@
 
 import "time"
 
-// Envelope is a message and its receiver.
+// Envelope is a message with its recipient.
 type Envelope struct {
 	To      MemberID
 	Message Message
 }
 
-// Completion says how a proposal or a read ended. Aborted means that a proposal may be committed
-// later or never, and that a read was not done.
+// Completion is the outcome of a proposal or a read. An aborted proposal may or may not be committed
+// later. An aborted read was not served.
 type Completion struct {
 	Token   Token
 	Index   Index
 	Aborted bool
 }
 
-// Ready is what a replica wants done, in this order: sync Persist, send Messages, restore the
-// application from Restore, apply CommittedEntries, complete proposals and reads.
+// Ready is the work that a replica requests from its caller. The caller must do the work in this
+// order: sync Persist to disk, send Messages, restore the application from Restore, apply
+// CommittedEntries, and report CompletedProposals and CompletedReads to the callers that wait.
 type Ready struct {
 	Persist            *WriteBatch
 	Messages           []Envelope
@@ -27,8 +28,8 @@
 	CompletedReads     []Completion
 }
 
-// Ready returns what is to be done at the time now; ok is false when there is nothing. It must be
-// followed by Advance, or by PersistFailed if Persist couldn't be synced.
+// Ready returns the work to be done at the time now. ok is false if there is none. After the work the
+// caller must call Advance, or PersistFailed if Persist could not be synced.
 func (r *Replica) Ready(now time.Duration) (ready Ready, ok bool) {
 	r.checkQuorum(now)
 	if r.role == leader {
@@ -52,8 +53,8 @@
 		len(ready.CommittedEntries) > 0 || len(ready.CompletedProposals) > 0 || len(ready.CompletedReads) > 0
 }
 
-// addCommitted adds the snapshot and the committed entries for the application, as far as they are
-// on disk once the Ready is done: up to stable.
+// addCommitted adds the snapshot and the committed entries for the application to ready. It is limited
+// to entries up to stable, which are on disk once the caller has synced ready.Persist.
 func (r *Replica) addCommitted(ready *Ready, stable Index) {
 	if r.snapshotDirty && ready.Persist == nil {
 		r.applying = r.applied
@@ -68,7 +69,7 @@
 	ready.CommittedEntries = r.log.entriesBetween(from, r.applying)
 }
 
-// unsavedState is everything that isn't synced yet.
+// unsavedState returns all changes that are not synced to disk yet.
 func (r *Replica) unsavedState() *WriteBatch {
 	batch := &WriteBatch{
 		TruncateFrom: r.truncateFrom,
@@ -85,7 +86,8 @@
 	return batch
 }
 
-// completeRequests adds the proposals and reads that are completed once this Ready is done.
+// completeRequests adds the proposals and reads that are complete once the application has applied the
+// entries of this Ready.
 func (r *Replica) completeRequests(ready *Ready) {
 	for len(r.pendingProposals) > 0 && r.pendingProposals[0].index <= r.applying {
 		p := r.pendingProposals[0]
@@ -94,8 +96,8 @@
 		r.pendingBytes -= p.bytes
 	}
 	for len(r.pendingReads) > 0 && r.pendingReads[0].index > 0 && r.pendingReads[0].index <= r.applying {
-		q := r.pendingReads[0]
-		ready.CompletedReads = append(ready.CompletedReads, Completion{Token: q.token, Index: q.index})
+		read := r.pendingReads[0]
+		ready.CompletedReads = append(ready.CompletedReads, Completion{Token: read.token, Index: read.index})
 		r.pendingReads = r.pendingReads[1:]
 	}
 }
@@ -104,7 +106,7 @@
 	return r.hardStateDirty || r.snapshotDirty || r.truncateFrom > 0 || r.stable < r.log.lastIndex()
 }
 
-// Advance confirms that everything in the last Ready has been done.
+// Advance confirms that the caller has done all work of the last Ready.
 func (r *Replica) Advance(now time.Duration, ready *Ready) {
 	if ready.Persist != nil {
 		r.hardStateDirty, r.snapshotDirty, r.truncateFrom = false, false, 0
@@ -120,16 +122,17 @@
 	r.advanceCommit(now)
 }
 
-// PersistFailed says that the last Ready's Persist couldn't be synced. Nothing of that Ready has
-// been done: its messages are lost, which the protocol tolerates, and its proposals and reads are
-// aborted. Until a write succeeds the replica neither votes nor leads nor sends anything.
+// PersistFailed reports that Persist of the last Ready could not be synced and that the caller has
+// done no other work of that Ready. The Ready's messages are lost, which the protocol tolerates. Its
+// proposals and reads are aborted. Until a write succeeds, the replica does not vote, does not become
+// leader and sends no messages.
 func (r *Replica) PersistFailed(now time.Duration, ready *Ready) {
 	r.becomeFollower(r.hardState.Term, "")
 	for _, p := range ready.CompletedProposals {
 		r.abortedProposals = append(r.abortedProposals, Completion{Token: p.Token, Index: p.Index, Aborted: true})
 	}
-	for _, q := range ready.CompletedReads {
-		r.abortedReads = append(r.abortedReads, Completion{Token: q.Token, Aborted: true})
+	for _, read := range ready.CompletedReads {
+		r.abortedReads = append(r.abortedReads, Completion{Token: read.Token, Aborted: true})
 	}
 	r.outbox = nil
 	r.storageFailed, r.hardStateDirty = true, true
--- a/internal/mesh/replication/replicate.go
+++ b/internal/mesh/replication/replicate.go
@@ -2,15 +2,17 @@
 
 import "time"
 
-// sendToPeers queues what each peer is due: entries or a snapshot that it lacks, or a heartbeat
-// when nothing was sent for HeartbeatInterval, a read waits or more is committed.
+// sendToPeers queues the messages that are due to each peer: missing entries, a chunk of a snapshot,
+// or a heartbeat. A heartbeat is due if no message was sent for HeartbeatInterval, if a read round has
+// started, or if the commit index has advanced within the entries that the peer has synced.
 func (r *Replica) sendToPeers(now time.Duration) {
 	for _, id := range r.peerIDs {
 		p := r.peers[id]
 		if p.resendAt > 0 && now >= p.resendAt {
 			p.resendAt = 0
 		}
-		// A peer without contact gets heartbeats only; more would cost the link for nothing.
+		// A peer that does not respond receives only heartbeats, because entries would use
+		// bandwidth without effect.
 		inContact := now-p.lastContact <= ContactTimeout
 		if p.resendAt == 0 && inContact && (p.snapshot != nil || p.next <= r.log.lastIndex()) {
 			r.replicateTo(now, id, p)
@@ -24,9 +26,9 @@
 	r.readRoundSent = true
 }
 
-// nextSend is when a leader's next heartbeat or resend is due.
-func (r *Replica) nextSend() time.Duration {
-	next := forever
+// nextSendTime returns the time at which the leader's next heartbeat or resend is due.
+func (r *Replica) nextSendTime() time.Duration {
+	next := maxDuration
 	for _, id := range r.peerIDs {
 		p := r.peers[id]
 		next = min(next, p.sentAt+HeartbeatInterval)
@@ -37,19 +39,21 @@
 	return next
 }
 
-// replicateTo sends what a peer lacks. One such message at a time is in flight to each.
+// replicateTo sends entries or a snapshot chunk that a peer lacks. Only one such message to each peer
+// is in flight at a time.
 func (r *Replica) replicateTo(now time.Duration, id MemberID, p *progress) {
 	if p.snapshot != nil || p.next <= r.log.snapshot.Index {
-		r.sendSnapshot(now, id, p)
+		r.sendSnapshotChunk(now, id, p)
 		return
 	}
 	entries := r.log.entriesFrom(p.next, maxAppendBytes)
 	r.sendAppend(now, id, p, p.next-1, entries)
-	p.resendAt = now + resendAfter(commandBytes(entries))
+	p.resendAt = now + resendDelay(commandBytes(entries))
 }
 
-// resendAfter is how long a message of so many bytes may remain unanswered.
-func resendAfter(bytes int) time.Duration {
+// resendDelay returns the time after which an unacknowledged message with a payload of the given
+// bytes is sent again.
+func resendDelay(bytes int) time.Duration {
 	return resendTimeout + resendTimeoutPerMiB*time.Duration(bytes>>10)/(1<<10)
 }
 
@@ -61,11 +65,11 @@
 	p.sentAt, p.readRoundSent, p.commitSent = now, r.readRound, min(r.commit, p.match)
 }
 
-// heartbeat is what every message to a peer carries. Until an entry of the leader's own term is
-// committed it names no confirmation by a quorum, because the leader doesn't know yet how far
-// earlier leaders committed.
+// heartbeat returns the Heartbeat of a message to a peer. Until an entry of the leader's own term is
+// committed, it reports no confirmation by a quorum, because the leader does not know yet which
+// entries the earlier leaders committed.
 func (r *Replica) heartbeat(now time.Duration, p *progress) Heartbeat {
-	age := forever
+	age := maxDuration
 	if r.hasCommittedInTerm() {
 		age = max(0, now-r.leaderQuorumAck())
 	}
@@ -78,7 +82,7 @@
 	}
 }
 
-// stepAppendResponse updates a peer's progress, and commits what a majority has synced by now.
+// stepAppendResponse updates the peer's progress, advances the commit index and confirms reads.
 func (r *Replica) stepAppendResponse(now time.Duration, from MemberID, term Term, response *AppendResponse) {
 	p := r.recordResponse(now, from, term, response.SentAt, response.ReadRound, response.Clock)
 	if p == nil {
@@ -86,7 +90,7 @@
 	}
 	switch {
 	case response.Rejected && p.snapshot != nil:
-		// Heartbeats are rejected until the snapshot is installed; its chunks are in flight.
+		// The peer rejects heartbeats until it has installed the snapshot whose chunks are in flight.
 	case response.Rejected:
 		if response.RejectedIndex == max(p.next-1, r.log.snapshot.Index) {
 			p.next = max(p.match, min(response.Match, r.log.lastIndex())) + 1
@@ -99,7 +103,7 @@
 	r.confirmReads()
 }
 
-// advance records that a peer has synced everything up to match.
+// advance records that the peer has synced its log up to match.
 func (p *progress) advance(match Index) {
 	p.match = match
 	p.next = max(p.next, match+1)
--- a/internal/mesh/replication/simulation_machine_test.go
+++ b/internal/mesh/replication/simulation_machine_test.go
@@ -156,7 +156,7 @@
 	n.wakeups++
 	wakes, life := n.wakeups, n.incarnation
 	wake := n.replica.NextWake()
-	if wake == forever {
+	if wake == maxDuration {
 		return
 	}
 	sim.schedule(max(0, wake+n.startedAt-sim.now), func() {
--- a/internal/mesh/replication/snapshot.go
+++ b/internal/mesh/replication/snapshot.go
@@ -7,27 +7,28 @@
 )
 
 const (
-	// snapshotChunkBytes is how much of a snapshot one message carries: small enough that
-	// heartbeats on the same link aren't delayed for long, also on links of a few megabits a second.
+	// snapshotChunkBytes is the maximum size of the snapshot data in one message. It is small enough
+	// not to delay heartbeats for long, even on links of a few megabits per second.
 	snapshotChunkBytes = 128 << 10
-	// maxSnapshotBytes bounds the memory that a snapshot takes while it is received.
+	// maxSnapshotBytes bounds the memory used by a snapshot that is being received.
 	maxSnapshotBytes = 64 << 20
 )
 
-// incomingSnapshot is a snapshot of which some chunks have been received.
+// incomingSnapshot is a partially received snapshot. data holds the received prefix of its data.
 type incomingSnapshot struct {
 	header SnapshotHeader
 	data   []byte
 }
 
-// isSame reports whether chunks under both headers belong to the same snapshot.
+// isSame reports whether chunks with the two headers belong to the same snapshot.
 func (h *SnapshotHeader) isSame(other *SnapshotHeader) bool {
 	return h.Index == other.Index && h.Term == other.Term && h.Size == other.Size && h.Checksum == other.Checksum
 }
 
-// sendSnapshot sends the next chunk of a snapshot. A snapshot that was begun is continued even when
-// the leader has a later one by now: else a member on a narrow link would begin again with each.
-func (r *Replica) sendSnapshot(now time.Duration, id MemberID, p *progress) {
+// sendSnapshotChunk sends the next chunk of a snapshot. It continues a started snapshot even if the
+// leader has taken a newer one. Otherwise a member on a slow link would start over with every new
+// snapshot and might never finish.
+func (r *Replica) sendSnapshotChunk(now time.Duration, id MemberID, p *progress) {
 	if p.snapshot == nil {
 		s := r.log.snapshot
 		p.snapshot, p.checksum, p.snapshotOffset = &s, xxhash.Sum64(s.Data), 0
@@ -44,10 +45,10 @@
 		Data:   data,
 	}})
 	p.sentAt, p.readRoundSent = now, r.readRound
-	p.resendAt = now + resendAfter(len(data))
+	p.resendAt = now + resendDelay(len(data))
 }
 
-// stepSnapshotResponse continues at the offset that the member names.
+// stepSnapshotResponse continues the snapshot at the offset that the member requests.
 func (r *Replica) stepSnapshotResponse(
 	now time.Duration, from MemberID, term Term, response *SnapshotResponse,
 ) {
@@ -62,8 +63,9 @@
 	r.confirmReads()
 }
 
-// stepSnapshot processes a chunk. Once all have been received the snapshot replaces the log.
-func (r *Replica) stepSnapshot(now time.Duration, from MemberID, term Term, chunk *SnapshotChunk) {
+// stepSnapshotChunk processes a chunk. When all chunks have been received and the checksum is correct,
+// the snapshot replaces the log.
+func (r *Replica) stepSnapshotChunk(now time.Duration, from MemberID, term Term, chunk *SnapshotChunk) {
 	if !r.acceptLeader(now, from, term, &chunk.Heartbeat) {
 		return
 	}
@@ -72,26 +74,27 @@
 		r.incoming = nil
 		r.commit = max(r.commit, h.Index)
 		r.matchedIndex = max(r.matchedIndex, r.commit)
-		r.confirmSnapshot(now, from, chunk)
+		r.acknowledgeSnapshot(now, from, chunk)
 		return
 	}
-	in := r.receiveChunk(chunk)
-	if len(in.data) < h.Size {
-		r.requestChunk(now, from, chunk, len(in.data))
+	received := r.receiveChunk(chunk)
+	if len(received.data) < h.Size {
+		r.requestChunk(now, from, chunk, len(received.data))
 		return
 	}
 	r.incoming = nil
-	if xxhash.Sum64(in.data) != h.Checksum {
+	if xxhash.Sum64(received.data) != h.Checksum {
 		r.rejectedMessages++
 		r.requestChunk(now, from, chunk, 0)
 		return
 	}
-	r.installSnapshot(Snapshot{Index: h.Index, Term: h.Term, Membership: h.Membership, Data: in.data})
-	r.confirmSnapshot(now, from, chunk)
+	r.installSnapshot(Snapshot{Index: h.Index, Term: h.Term, Membership: h.Membership, Data: received.data})
+	r.acknowledgeSnapshot(now, from, chunk)
 }
 
-// receiveChunk adds a chunk to the incoming snapshot, and begins another one where the chunk
-// doesn't belong to it. A chunk that isn't the next one is dropped.
+// receiveChunk appends a chunk to the incoming snapshot and returns the incoming snapshot. A chunk of
+// a different snapshot replaces the incoming snapshot. A chunk at any other offset than the next one
+// is dropped.
 func (r *Replica) receiveChunk(chunk *SnapshotChunk) *incomingSnapshot {
 	if r.incoming == nil || !r.incoming.header.isSame(&chunk.Header) {
 		r.incoming = &incomingSnapshot{header: chunk.Header}
@@ -102,7 +105,7 @@
 	return r.incoming
 }
 
-// requestChunk answers a chunk with the offset of the next one that is needed.
+// requestChunk answers a chunk with a request for the chunk at offset.
 func (r *Replica) requestChunk(now time.Duration, from MemberID, chunk *SnapshotChunk, offset int) {
 	r.send(from, Message{SnapshotResponse: &SnapshotResponse{
 		Index: chunk.Header.Index, Offset: offset,
@@ -110,14 +113,15 @@
 	}})
 }
 
-// confirmSnapshot answers a chunk of a snapshot that isn't needed any more.
-func (r *Replica) confirmSnapshot(now time.Duration, from MemberID, chunk *SnapshotChunk) {
+// acknowledgeSnapshot answers a chunk of a snapshot that is installed or that the log already covers.
+func (r *Replica) acknowledgeSnapshot(now time.Duration, from MemberID, chunk *SnapshotChunk) {
 	r.send(from, Message{AppendResponse: &AppendResponse{
 		Match: r.matchedIndex, SentAt: chunk.SentAt, ReadRound: chunk.ReadRound, Clock: r.clockReading(now),
 	}})
 }
 
-// installSnapshot replaces a log that ends before the snapshot, or differs at its index.
+// installSnapshot replaces the log, which does not contain the entry at the snapshot's index and term,
+// with the snapshot.
 func (r *Replica) installSnapshot(s Snapshot) {
 	r.truncateLog(r.log.snapshot.Index + 1)
 	r.log.installSnapshot(s)
--- a/internal/mesh/replication/state.go
+++ b/internal/mesh/replication/state.go
@@ -1,16 +1,17 @@
 package replication
 
-// EntryKind says what an entry holds.
+// EntryKind is the type of an entry's content.
 type EntryKind uint8
 
 const (
-	// EntryCommand holds a command of the application, or none at all.
+	// EntryCommand marks an entry that holds a command of the application, or no command.
 	EntryCommand EntryKind = iota
-	// EntryMembership holds a Membership, which is in force as soon as the entry is appended.
+	// EntryMembership marks an entry that holds an encoded Membership. A replica uses the membership
+	// as soon as it has appended the entry, before the entry is committed.
 	EntryMembership
 )
 
-// Entry is one position of the log.
+// Entry is one entry of the log.
 type Entry struct {
 	Index   Index     `json:"i"`
 	Term    Term      `json:"v"`
@@ -18,7 +19,8 @@
 	Command []byte    `json:"c,omitempty"`
 }
 
-// Snapshot is the application's state after every entry up to Index, and the membership there.
+// Snapshot is the application's state after all entries up to and including Index were applied,
+// together with the membership at Index. Term is the term of the entry at Index.
 type Snapshot struct {
 	Index      Index
 	Term       Term
@@ -26,15 +28,17 @@
 	Data       []byte
 }
 
-// HardState must be synced to disk before a message goes out that depends on it.
+// HardState is the part of a replica's state that must be synced to disk before the replica sends a
+// message that depends on it.
 type HardState struct {
-	// Term is the highest term that the replica has seen; messages of a lower one are rejected.
+	// Term is the highest term that the replica has seen. The replica rejects messages of a lower
+	// term.
 	Term Term `json:"view"`
-	// Vote is the candidate that the replica voted for in Term, "" for none.
+	// Vote is the candidate that the replica voted for in Term, or "" if it has not voted.
 	Vote MemberID `json:"vote"`
 }
 
-// State is everything that a replica keeps on disk.
+// State is the complete state that a replica keeps on disk.
 type State struct {
 	ID        MemberID
 	Cluster   ClusterID
@@ -43,9 +47,10 @@
 	Entries   []Entry
 }
 
-// WriteBatch is what must be synced atomically before the messages of the same Ready are sent.
-// First everything from TruncateFrom on is dropped (when it isn't 0), then everything up to
-// Snapshot.Index, then Entries are written.
+// WriteBatch is a set of changes to a State that must be synced atomically before the messages of
+// the same Ready are sent. The changes apply in this order: the entries from TruncateFrom on are
+// deleted (unless TruncateFrom is 0), the snapshot is replaced and the entries up to Snapshot.Index
+// are deleted, and Entries are appended. A nil HardState or Snapshot remains unchanged on disk.
 type WriteBatch struct {
 	HardState    *HardState
 	Snapshot     *Snapshot
--- a/internal/mesh/replication/storage.go
+++ b/internal/mesh/replication/storage.go
@@ -1,10 +1,10 @@
 package replication
 
-// Storage is where a node keeps its state. The node's loop is the only caller, and Close is called
-// after it has ended.
+// Storage persists the state of a node. Only the node's loop calls Save. Node.Close calls Close
+// after the loop has ended.
 type Storage interface {
-	// Save syncs a batch to disk. After an error all of it or nothing may be stored, and the same
-	// or a later state is to be saved again.
+	// Save syncs a batch to disk. A batch whose Save returned an error may have been stored
+	// completely or not at all. The replica then saves the same state or a later one again.
 	Save(batch *WriteBatch) error
 	Close() error
 }
