--- a/internal/mesh/replication/data_directory_test.go
+++ b/internal/mesh/replication/data_directory_test.go
@@ -9,10 +9,10 @@
 	"github.com/syndtr/goleveldb/leveldb"
 )
 
-// dataDirectory is a copy of a data directory that the release before wrote: it holds a table and a
-// journal with a snapshot, a vote, entries of which some took the place of others, and a change of
-// membership under way.
-func dataDirectory(t *testing.T) string {
+// copyDataDirectory copies a data directory that the previous release wrote, and returns the path of the
+// copy. The directory contains a goleveldb table and a journal, with a snapshot, a vote, entries that
+// replaced earlier entries, and a membership change in progress.
+func copyDataDirectory(t *testing.T) string {
 	t.Helper()
 	dir := t.TempDir()
 	if err := os.CopyFS(dir, os.DirFS(filepath.Join("testdata", "data_directory"))); err != nil {
@@ -21,8 +21,8 @@
 	return dir
 }
 
-// stateOfDataDirectory is what its writer saved.
-func stateOfDataDirectory() State {
+// expectedState returns the state that the previous release saved in the data directory.
+func expectedState() State {
 	const a, b, c, d MemberID = "10.1.0.45:7640#71", "10.2.0.35:7640", "10.3.0.41:7640", "10.3.0.42:7640#5"
 	return State{
 		ID:        a,
@@ -42,20 +42,23 @@
 	}
 }
 
-func TestDataDirectoryOfTheReleaseBeforeIsReadWhole(t *testing.T) {
-	store, state, err := OpenStore(dataDirectory(t), "10.9.9.9:7640")
+// TestStoreReadsPreviousDataDirectory checks that a data directory of the previous release is read
+// completely.
+func TestStoreReadsPreviousDataDirectory(t *testing.T) {
+	store, state, err := OpenStore(copyDataDirectory(t), "10.9.9.9:7640")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer store.Close()
-	if want := stateOfDataDirectory(); !reflect.DeepEqual(state, want) {
-		t.Errorf("state %+v, want %+v", state, want)
+	if want := expectedState(); !reflect.DeepEqual(state, want) {
+		t.Errorf("loaded state is %+v, want %+v", state, want)
 	}
 }
 
-// The release before must be able to read what this one writes.
-func TestStoreWritesWhatTheReleaseBeforeWrote(t *testing.T) {
-	want, dir := stateOfDataDirectory(), t.TempDir()
+// TestStoreWritesPreviousFormat checks that the store writes the same keys and values as the
+// previous release, so that the previous release can read them.
+func TestStoreWritesPreviousFormat(t *testing.T) {
+	want, dir := expectedState(), t.TempDir()
 	store, _, err := OpenStore(dir, "10.9.9.9:7640")
 	if err != nil {
 		t.Fatal(err)
@@ -72,13 +75,13 @@
 		t.Fatal(err)
 	}
 	got := readAllPairs(t, filepath.Join(dir, "archive"))
-	golden := readAllPairs(t, filepath.Join(dataDirectory(t), "archive"))
+	golden := readAllPairs(t, filepath.Join(copyDataDirectory(t), "archive"))
 	if !reflect.DeepEqual(got, golden) {
-		t.Errorf("written: %q, want %q", got, golden)
+		t.Errorf("store wrote the keys and values %q, want %q", got, golden)
 	}
 }
 
-// pairs returns every key of a database with its value.
+// readAllPairs returns all keys of a database with their values.
 func readAllPairs(t *testing.T, path string) map[string]string {
 	t.Helper()
 	db, err := leveldb.OpenFile(path, leveldbOptions(true))
--- a/internal/mesh/replication/store.go
+++ b/internal/mesh/replication/store.go
@@ -15,29 +15,32 @@
 )
 
 const (
-	// writeBufferBytes bounds the memory of goleveldb's table in memory; larger batches go straight
-	// to a table on disk.
+	// writeBufferBytes is the size of goleveldb's in-memory table. goleveldb writes a larger batch
+	// directly to a table on disk.
 	writeBufferBytes = 256 << 10
-	// maxOpenTables bounds the file descriptors that are held for tables.
+	// maxOpenTables bounds the file descriptors that goleveldb keeps open for tables.
 	maxOpenTables = 16
-	// databaseDirectory holds the database inside the data directory, and corruptDirectory a
-	// corrupt one while it is removed. Data directories in use have these names.
+	// databaseDirectory is the name of the database directory in the data directory. corruptDirectory
+	// is the name of a corrupt database while it is being removed. The names cannot change, because
+	// existing data directories use them.
 	databaseDirectory = "archive"
 	corruptDirectory  = "archive.damaged"
 )
 
-// errCorrupt marks a store that was read and makes no sense.
+// errCorrupt is the cause of errors that report invalid or missing values in a readable store.
 var errCorrupt = eris.New("damaged")
 
-// Store is a Storage on goleveldb: each WriteBatch is one synced batch, so it is stored completely
-// or not at all. It isn't safe for concurrent use.
+// Store is a Storage that uses goleveldb. It writes each WriteBatch as one synced database batch, so
+// that a WriteBatch is stored completely or not at all. It is not safe for concurrent use.
 type Store struct {
 	path string
-	// db is nil after a write has failed, until the next one opens it again.
+	// db is nil after a failed write, until the next write reopens the database.
 	db *leveldb.DB
-	// first and last bound the entries that may be stored; there are none when last < first.
+	// first and last are the indexes of the first and the last stored entry. If last < first, no
+	// entries are stored.
 	first, last Index
-	// lastAttempted is the last entry of a batch that failed: it may be stored all the same.
+	// lastAttempted is the index of the last entry in the failed batches since the last successful
+	// Save, or 0. These entries may be stored in spite of the failure.
 	lastAttempted Index
 }
 
@@ -47,41 +50,41 @@
 		DisableBlockCache:      true,
 		OpenFilesCacheCapacity: maxOpenTables,
 		Compression:            opt.NoCompression,
-		// The pool has a goroutine that wakes every two seconds for nothing.
+		// The buffer pool has a goroutine that wakes every two seconds without any benefit here.
 		DisableBufferPool: true,
 		ErrorIfMissing:    mustExist,
 	}
 }
 
-// OpenStore opens the store in a data directory and reads its state; the state of an empty store
-// has no id, and Initialize gives it one. The address is the machine's own, which becomes the id of
-// a disk that an earlier version initialised. Every error is of kind DiskFailed; IsCorrupt says
-// whether the store is unreadable rather than unavailable.
+// OpenStore opens the store in a data directory and loads its state. The state of an empty store has
+// no ID, and Initialize must be called before Save. The address is that of the local machine. It
+// becomes the member id of a disk that was initialized by an earlier version without member ids.
+// Every error is of kind DiskFailed. IsCorrupt distinguishes a corrupt store from an unavailable disk.
 func OpenStore(dir, address string) (*Store, State, error) {
 	s := &Store{path: filepath.Join(dir, databaseDirectory), first: 1}
 	if err := s.open(false); err != nil {
-		return nil, State{}, errs.Wrap(err, errs.DiskFailed, "replication: open %s", s.path)
+		return nil, State{}, errs.Wrap(err, errs.DiskFailed, "replication: open store %s", s.path)
 	}
 	state, err := s.load(address)
 	if err != nil {
 		_ = s.Close()
-		return nil, State{}, errs.Wrap(err, errs.DiskFailed, "replication: read %s", s.path)
+		return nil, State{}, errs.Wrap(err, errs.DiskFailed, "replication: load store %s", s.path)
 	}
 	return s, state, nil
 }
 
-// IsCorrupt reports whether an error of OpenStore means that the store can't be read any more, in
-// contrast to a disk that is unavailable for now.
+// IsCorrupt reports whether an error of OpenStore means that the store is permanently unreadable. It
+// returns false if the disk may only be temporarily unavailable.
 func IsCorrupt(err error) bool {
 	return eris.Is(err, errCorrupt) || leveldberrors.IsCorrupted(eris.Cause(err))
 }
 
-// OpenOrReset is OpenStore, and replaces a corrupt store by an empty one, as if the disk were new.
-// A disk that is merely unavailable remains an error, and the caller retries later.
+// OpenOrReset calls OpenStore and replaces a corrupt store with an empty store, as if the disk were
+// new. It returns an error if the disk is unavailable. The caller is expected to retry later.
 func OpenOrReset(dir, address string, log *zap.Logger) (*Store, State, error) {
-	// A removal that was interrupted is finished first.
+	// Complete a removal that was interrupted by a previous exit.
 	if err := os.RemoveAll(filepath.Join(dir, corruptDirectory)); err != nil {
-		return nil, State{}, errs.Wrap(err, errs.DiskFailed, "replication: remove what was damaged")
+		return nil, State{}, errs.Wrap(err, errs.DiskFailed, "replication: remove remains of a corrupt store")
 	}
 	s, state, err := OpenStore(dir, address)
 	if err == nil || !IsCorrupt(err) {
@@ -94,17 +97,17 @@
 	return OpenStore(dir, address)
 }
 
-// removeCorrupt removes a corrupt database. The directory is renamed before it is removed, because
-// half of it might read as a complete store.
+// removeCorrupt removes a corrupt database. It renames the directory first, because a partially
+// removed database might be read as a valid store.
 func removeCorrupt(dir string, log *zap.Logger) error {
-	aside := filepath.Join(dir, corruptDirectory)
-	if err := os.Rename(filepath.Join(dir, databaseDirectory), aside); err != nil {
-		return errs.Wrap(err, errs.DiskFailed, "replication: move the damaged store aside")
+	corruptPath := filepath.Join(dir, corruptDirectory)
+	if err := os.Rename(filepath.Join(dir, databaseDirectory), corruptPath); err != nil {
+		return errs.Wrap(err, errs.DiskFailed, "replication: rename the corrupt store")
 	}
-	if err := durable.SyncName(aside); err != nil {
-		return errs.Wrap(err, errs.DiskFailed, "replication: sync %s", dir)
+	if err := durable.SyncName(corruptPath); err != nil {
+		return errs.Wrap(err, errs.DiskFailed, "replication: sync data directory %s", dir)
 	}
-	if err := os.RemoveAll(aside); err != nil {
+	if err := os.RemoveAll(corruptPath); err != nil {
 		log.Warn("corrupt log storage not removed", zap.Error(err))
 	}
 	return nil
@@ -115,7 +118,7 @@
 	if err != nil {
 		return err
 	}
-	// The directory's name is durable once the one that holds it is synced.
+	// The directory entry is durable only after the parent directory is synced.
 	if err := durable.SyncName(s.path); err != nil {
 		_ = db.Close()
 		return err
@@ -124,8 +127,8 @@
 	return nil
 }
 
-// Initialize gives an empty store its identity, synced before it returns: the id, the cluster and
-// the membership that the replica starts from. An error is of kind DiskFailed.
+// Initialize writes the identity of an empty store and syncs it to disk. The identity consists of the
+// member id, the cluster id and the initial membership. An error is of kind DiskFailed.
 func (s *Store) Initialize(state State) error {
 	batch := new(leveldb.Batch)
 	if err := putIdentity(batch, state); err != nil {
@@ -137,8 +140,8 @@
 	return s.write(batch)
 }
 
-// Save writes and syncs a batch. An error is of kind DiskFailed, or Internal for a batch that
-// doesn't fit to what is stored.
+// Save writes a batch and syncs it to disk. An error is of kind DiskFailed, or of kind Internal if the
+// batch's entries do not follow the stored entries.
 func (s *Store) Save(update *WriteBatch) error {
 	batch, first, last, err := s.encodeBatch(update)
 	if err != nil {
@@ -152,22 +155,22 @@
 	return nil
 }
 
-// write writes and syncs a batch. After a failure the database is closed, and opened again by the
-// next write, because goleveldb writes nothing more to a journal that failed once.
+// write writes a batch and syncs it to disk. After a failure it closes the database, and the next
+// write reopens it, because goleveldb rejects all writes after a journal write has failed.
 func (s *Store) write(batch *leveldb.Batch) error {
 	if s.db == nil {
 		if err := s.open(true); err != nil {
-			return errs.Wrap(err, errs.DiskFailed, "replication: open %s again", s.path)
+			return errs.Wrap(err, errs.DiskFailed, "replication: reopen store %s", s.path)
 		}
 	}
 	if err := s.db.Write(batch, &opt.WriteOptions{Sync: true}); err != nil {
 		_ = s.Close()
-		return errs.Wrap(err, errs.DiskFailed, "replication: write to %s", s.path)
+		return errs.Wrap(err, errs.DiskFailed, "replication: write to store %s", s.path)
 	}
 	return nil
 }
 
-// Close closes the database; what was saved is synced already.
+// Close closes the database. Saved batches are already synced to disk.
 func (s *Store) Close() error {
 	if s.db == nil {
 		return nil
--- a/internal/mesh/replication/store_encoding.go
+++ b/internal/mesh/replication/store_encoding.go
@@ -11,30 +11,32 @@
 	"caperarch/internal/mesh/errs"
 )
 
-// The keys of the store.
+// Keys of the store.
 var (
-	// keyMembers was written by an earlier version: the addresses of a fixed set of members.
-	keyMembers    = []byte("members")
-	keyIdentity   = []byte("identity")
-	keyMembership = []byte("membership")
-	keyHardState  = []byte("hard")
-	keySnapshot   = []byte("snapshot")
-	// entryPrefix is followed by the index, big-endian, so that entries are sorted by it.
+	// keyFixedMembers holds the addresses of a fixed set of members. An earlier version wrote it.
+	keyFixedMembers = []byte("members")
+	keyIdentity     = []byte("identity")
+	keyMembership   = []byte("membership")
+	keyHardState    = []byte("hard")
+	keySnapshot     = []byte("snapshot")
+	// entryPrefix starts the key of an entry. The rest of the key is the index in big-endian byte
+	// order, so that entries are sorted by index.
 	entryPrefix = byte('e')
 )
 
 const (
 	// entryKeyBytes is the length of an entry's key.
 	entryKeyBytes = 1 + 8
-	// entryHeaderBytes and snapshotHeaderBytes are the lengths of what precedes an entry's command
-	// and a snapshot's data: the term; the index and the term.
+	// entryHeaderBytes is the length of the header that precedes an entry's command: the term.
+	// snapshotHeaderBytes is the length of the header that precedes the snapshot data: the index and
+	// the term.
 	entryHeaderBytes    = 8
 	snapshotHeaderBytes = 16
-	// membershipBit marks, in the stored term, an entry that holds a membership.
+	// membershipBit is set in the stored term of an entry of kind EntryMembership.
 	membershipBit = 1 << 63
 )
 
-// identity is the stored id of a disk, which never changes.
+// identity is the stored identity of a disk. It never changes.
 type identity struct {
 	ID      MemberID  `json:"id"`
 	Cluster ClusterID `json:"cluster"`
@@ -48,32 +50,32 @@
 }
 
 func encodeEntry(e *Entry) []byte {
-	head := uint64(e.Term)
+	header := uint64(e.Term)
 	if e.Kind == EntryMembership {
-		head |= membershipBit
+		header |= membershipBit
 	}
 	value := make([]byte, entryHeaderBytes, entryHeaderBytes+len(e.Command))
-	binary.BigEndian.PutUint64(value, head)
+	binary.BigEndian.PutUint64(value, header)
 	return append(value, e.Command...)
 }
 
 func decodeEntry(index Index, value []byte) (Entry, error) {
-	head := binary.BigEndian.Uint64(value)
-	e := Entry{Index: index, Term: Term(head &^ membershipBit)}
+	header := binary.BigEndian.Uint64(value)
+	e := Entry{Index: index, Term: Term(header &^ membershipBit)}
 	if len(value) > entryHeaderBytes {
 		e.Command = slices.Clone(value[entryHeaderBytes:])
 	}
-	if head&membershipBit == 0 {
+	if header&membershipBit == 0 {
 		return e, nil
 	}
 	e.Kind = EntryMembership
 	if _, err := decodeMembership(e.Command); err != nil {
-		return e, eris.Wrapf(errCorrupt, "the membership at %d", index)
+		return e, eris.Wrapf(errCorrupt, "stored entry %d holds an invalid membership", index)
 	}
 	return e, nil
 }
 
-// encodeSnapshot encodes a snapshot without its membership, which has a key of its own.
+// encodeSnapshot encodes a snapshot without its membership, which is stored under a separate key.
 func encodeSnapshot(s *Snapshot) []byte {
 	value := make([]byte, snapshotHeaderBytes, snapshotHeaderBytes+len(s.Data))
 	binary.BigEndian.PutUint64(value, uint64(s.Index))
@@ -81,10 +83,10 @@
 	return append(value, s.Data...)
 }
 
-// decodeSnapshot sets a snapshot's fields but for its membership. Data shares value's memory.
+// decodeSnapshot sets all fields of s except Membership. s.Data aliases value.
 func decodeSnapshot(value []byte, s *Snapshot) error {
 	if len(value) < snapshotHeaderBytes {
-		return eris.Wrapf(errCorrupt, "a snapshot of %d bytes", len(value))
+		return eris.Wrapf(errCorrupt, "stored snapshot of %d bytes is shorter than its header", len(value))
 	}
 	s.Index = Index(binary.BigEndian.Uint64(value))
 	s.Term = Term(binary.BigEndian.Uint64(value[8:]))
@@ -102,13 +104,14 @@
 func putJSON(batch *leveldb.Batch, key []byte, value any) error {
 	data, err := json.Marshal(value)
 	if err != nil {
-		return errs.Wrap(err, errs.Internal, "replication: write %s", key)
+		return errs.Wrap(err, errs.Internal, "replication: encode the value of key %s", key)
 	}
 	batch.Put(key, data)
 	return nil
 }
 
-// encodeBatch encodes an update, and returns the bounds of the stored entries after it.
+// encodeBatch encodes update as a database batch. It also returns the indexes of the first and the last
+// stored entry after the batch is written.
 func (s *Store) encodeBatch(update *WriteBatch) (batch *leveldb.Batch, first, last Index, err error) {
 	batch = new(leveldb.Batch)
 	first, last = s.first, s.last
@@ -132,7 +135,7 @@
 	for i := range update.Entries {
 		e := &update.Entries[i]
 		if e.Index != last+1 {
-			return nil, 0, 0, errs.New(errs.Internal, "replication: entry %d would follow %d on disk", e.Index, last)
+			return nil, 0, 0, errs.New(errs.Internal, "replication: batch has entry %d after entry %d", e.Index, last)
 		}
 		batch.Put(entryKey(e.Index), encodeEntry(e))
 		last = e.Index
--- a/internal/mesh/replication/store_load.go
+++ b/internal/mesh/replication/store_load.go
@@ -11,7 +11,7 @@
 	"github.com/syndtr/goleveldb/leveldb/util"
 )
 
-// load reads the state; that of an empty store has no id.
+// load reads the stored state. The state of an empty store has no ID.
 func (s *Store) load(address string) (State, error) {
 	var state State
 	found, err := s.loadIdentity(&state)
@@ -33,7 +33,7 @@
 	return state, s.loadEntries(&state)
 }
 
-// loadIdentity reads the disk's id, and the membership at its snapshot.
+// loadIdentity reads the member id, the cluster id and the membership of the snapshot.
 func (s *Store) loadIdentity(state *State) (found bool, err error) {
 	data, found, err := s.get(keyIdentity)
 	if err != nil || !found {
@@ -41,34 +41,34 @@
 	}
 	var stored identity
 	if err := json.Unmarshal(data, &stored); err != nil || stored.ID == "" {
-		return false, eris.Wrapf(errCorrupt, "the identity %q", data)
+		return false, eris.Wrapf(errCorrupt, "stored identity %q is malformed or has no id", data)
 	}
 	state.ID, state.Cluster = stored.ID, stored.Cluster
 	return true, s.getJSON(keyMembership, &state.Snapshot.Membership)
 }
 
-// migrateFixedMembers adopts the disk of an earlier version, which had a fixed set of members: they
-// are the voters, and the disk has the id of the first start. A disk that had lost its state under
-// that version is corrupt: it voted and acknowledged entries that it no longer knows of, so the
-// machine starts again under another id.
+// migrateFixedMembers migrates the store of an earlier version, which had a fixed set of members. The
+// fixed members become the voters, and the disk becomes that of an initial voter at address. A disk
+// that lost its state under the earlier version is treated as corrupt, because it may have voted and
+// acknowledged entries that it no longer stores. The machine then rejoins under a new member id.
 func (s *Store) migrateFixedMembers(state *State, address string) (found bool, err error) {
-	data, found, err := s.get(keyMembers)
+	data, found, err := s.get(keyFixedMembers)
 	if err != nil || !found {
 		return false, err
 	}
 	var members []string
 	if err := json.Unmarshal(data, &members); err != nil || len(members) == 0 {
-		return false, eris.Wrapf(errCorrupt, "the members %q", data)
+		return false, eris.Wrapf(errCorrupt, "stored list of fixed members %q is malformed or empty", data)
 	}
-	var earlier struct {
+	var legacyHardState struct {
 		Remembers bool                       `json:"remembers"`
 		Known     map[string]json.RawMessage `json:"known"`
 	}
-	if err := s.getJSON(keyHardState, &earlier); err != nil {
+	if err := s.getJSON(keyHardState, &legacyHardState); err != nil {
 		return false, err
 	}
-	if !earlier.Remembers {
-		return false, eris.Wrap(errCorrupt, "a member that had forgotten")
+	if !legacyHardState.Remembers {
+		return false, eris.Wrap(errCorrupt, "disk lost its state under an earlier version")
 	}
 	state.ID = NewMemberID(address, "")
 	state.Cluster, state.Snapshot.Membership = Bootstrap(members)
@@ -96,7 +96,7 @@
 		key, value := entries.Key(), entries.Value()
 		if len(key) != entryKeyBytes || len(value) < entryHeaderBytes ||
 			Index(binary.BigEndian.Uint64(key[1:])) != s.last+1 {
-			return eris.Wrapf(errCorrupt, "the entry %x after %d", key, s.last)
+			return eris.Wrapf(errCorrupt, "entry with key %x, after entry %d, is out of sequence or truncated", key, s.last)
 		}
 		s.last++
 		e, err := decodeEntry(s.last, value)
@@ -108,14 +108,14 @@
 	return entries.Error()
 }
 
-// checkEmpty returns an error where a store without an identity holds anything else.
+// checkEmpty returns an error if a store without an identity contains any other key.
 func (s *Store) checkEmpty() error {
-	all := s.db.NewIterator(nil, nil)
-	defer all.Release()
-	if all.Next() {
-		return eris.Wrap(errCorrupt, "the founding mark is missing")
+	iterator := s.db.NewIterator(nil, nil)
+	defer iterator.Release()
+	if iterator.Next() {
+		return eris.Wrap(errCorrupt, "store has data but no identity")
 	}
-	return all.Error()
+	return iterator.Error()
 }
 
 func (s *Store) get(key []byte) (value []byte, found bool, err error) {
@@ -126,17 +126,17 @@
 	return value, err == nil, err
 }
 
-// getJSON reads a value that must exist.
-func (s *Store) getJSON(key []byte, into any) error {
+// getJSON decodes the value of a key that must exist.
+func (s *Store) getJSON(key []byte, target any) error {
 	data, found, err := s.get(key)
 	if err != nil {
 		return err
 	}
 	if !found {
-		return eris.Wrapf(errCorrupt, "%s is missing", key)
+		return eris.Wrapf(errCorrupt, "key %s is missing", key)
 	}
-	if err := json.Unmarshal(data, into); err != nil {
-		return eris.Wrapf(errCorrupt, "%s is %.64q", key, data)
+	if err := json.Unmarshal(data, target); err != nil {
+		return eris.Wrapf(errCorrupt, "key %s has the malformed value %.64q", key, data)
 	}
 	return nil
 }
--- a/internal/mesh/replication/store_test.go
+++ b/internal/mesh/replication/store_test.go
@@ -15,34 +15,36 @@
 )
 
 func TestStore(t *testing.T) {
-	Convey("Given a store that was initialised and written to", t, func() {
+	Convey("Given an initialized store with saved batches", t, func() {
 		dir := t.TempDir()
 		address := memberA.Address()
 		s, state, err := OpenStore(dir, address)
 		So(err, ShouldBeNil)
 		So(state, ShouldResemble, State{})
-		three := Membership{Voters: allMembers[:3]}
-		So(s.Initialize(State{ID: memberA + "#7", Cluster: testCluster, Snapshot: Snapshot{Membership: three}}), ShouldBeNil)
-		hard := HardState{Term: 3, Vote: memberB}
-		four := Membership{Voters: allMembers[:4], Outgoing: allMembers[:3]}
+		initialMembership := Membership{Voters: allMembers[:3]}
+		So(s.Initialize(State{
+			ID: memberA + "#7", Cluster: testCluster, Snapshot: Snapshot{Membership: initialMembership},
+		}), ShouldBeNil)
+		hardState := HardState{Term: 3, Vote: memberB}
+		jointMembership := Membership{Voters: allMembers[:4], Outgoing: allMembers[:3]}
 		entries := []Entry{
 			{Index: 1, Term: 1},
 			{Index: 2, Term: 1, Command: []byte("x")},
 			{Index: 3, Term: 2, Command: make([]byte, 2*writeBufferBytes)},
 			{Index: 4, Term: 2, Command: []byte("y")},
-			{Index: 5, Term: 2, Kind: EntryMembership, Command: four.encode()},
+			{Index: 5, Term: 2, Kind: EntryMembership, Command: jointMembership.encode()},
 		}
-		So(s.Save(&WriteBatch{HardState: &hard, Entries: entries}), ShouldBeNil)
-		replaced := []Entry{
+		So(s.Save(&WriteBatch{HardState: &hardState, Entries: entries}), ShouldBeNil)
+		replacements := []Entry{
 			{Index: 4, Term: 3, Command: []byte("z")},
-			{Index: 5, Term: 3, Kind: EntryMembership, Command: four.encode()},
+			{Index: 5, Term: 3, Kind: EntryMembership, Command: jointMembership.encode()},
 		}
-		So(s.Save(&WriteBatch{TruncateFrom: 4, Entries: replaced}), ShouldBeNil)
-		snapshot := Snapshot{Index: 2, Term: 1, Membership: three, Data: []byte("s")}
+		So(s.Save(&WriteBatch{TruncateFrom: 4, Entries: replacements}), ShouldBeNil)
+		snapshot := Snapshot{Index: 2, Term: 1, Membership: initialMembership, Data: []byte("s")}
 		So(s.Save(&WriteBatch{Snapshot: &snapshot}), ShouldBeNil)
 		want := State{
-			ID: memberA + "#7", Cluster: testCluster, HardState: hard, Snapshot: snapshot,
-			Entries: append(entries[2:3:3], replaced...),
+			ID: memberA + "#7", Cluster: testCluster, HardState: hardState, Snapshot: snapshot,
+			Entries: append(entries[2:3:3], replacements...),
 		}
 		reopened := func() State {
 			So(s.Close(), ShouldBeNil)
@@ -52,23 +54,23 @@
 			return state
 		}
 
-		Convey("it reads back what was saved, and the identity is the one on disk", func() {
+		Convey("a reopened store returns the saved state, and its identity does not depend on the address", func() {
 			So(reopened(), ShouldResemble, want)
 		})
-		Convey("a failed write that was stored all the same leaves no entries after those that replace it", func() {
+		Convey("entries of a failed Save that reached the disk are deleted by the next truncation", func() {
 			failed := &WriteBatch{Entries: []Entry{
 				{Index: 6, Term: 3, Command: []byte("6")}, {Index: 7, Term: 3, Command: []byte("7")},
 			}}
 			batch, _, last, err := s.encodeBatch(failed)
 			So(err, ShouldBeNil)
 			So(s.db.Write(batch, &opt.WriteOptions{Sync: true}), ShouldBeNil)
-			s.lastAttempted = last // as Save notes it when the sync fails
+			s.lastAttempted = last // as Save sets it when the sync fails
 			newer := Entry{Index: 6, Term: 4, Command: []byte("newer")}
 			So(s.Save(&WriteBatch{TruncateFrom: 6, Entries: []Entry{newer}}), ShouldBeNil)
 			want.Entries = append(want.Entries, newer)
 			So(reopened(), ShouldResemble, want)
 		})
-		Convey("a torn write at the end of the journal loses nothing but that write", func() {
+		Convey("a torn write at the end of the journal loses only that write", func() {
 			journals, err := filepath.Glob(filepath.Join(dir, databaseDirectory, "*.log"))
 			So(err, ShouldBeNil)
 			journal := journals[len(journals)-1]
@@ -81,7 +83,7 @@
 			So(os.Truncate(journal, (before.Size()+after.Size())/2), ShouldBeNil)
 			So(reopened(), ShouldResemble, want)
 		})
-		Convey("a corrupt store is replaced by an empty one", func() {
+		Convey("OpenOrReset replaces a corrupt store with an empty store", func() {
 			So(s.Close(), ShouldBeNil)
 			manifests, err := filepath.Glob(filepath.Join(dir, databaseDirectory, "MANIFEST-*"))
 			So(err, ShouldBeNil)
@@ -99,8 +101,8 @@
 	})
 }
 
-// writeFixedMembersStore writes a data directory of an earlier version, which had a fixed set of
-// members.
+// writeFixedMembersStore writes a store in the format of an earlier version, which had a fixed set of
+// members. The store holds the given keys and values, and one entry.
 func writeFixedMembersStore(dir string, values map[string]any) {
 	db, err := leveldb.OpenFile(filepath.Join(dir, databaseDirectory), leveldbOptions(false))
 	So(err, ShouldBeNil)
@@ -116,12 +118,12 @@
 
 func TestStoreMigratesFixedMembers(t *testing.T) {
 	seeds := []string{memberA.Address(), memberB.Address(), memberC.Address()}
-	hard := func(remembers bool) map[string]any {
+	hardState := func(remembers bool) map[string]any {
 		return map[string]any{"view": 4, "vote": memberB, "remembers": remembers, "known": map[string]any{}}
 	}
-	Convey("A complete disk is migrated, as that of a first voter", t, func() {
+	Convey("A complete store becomes the store of an initial voter", t, func() {
 		dir := t.TempDir()
-		writeFixedMembersStore(dir, map[string]any{"members": seeds, "hard": hard(true)})
+		writeFixedMembersStore(dir, map[string]any{"members": seeds, "hard": hardState(true)})
 		for range 2 {
 			s, state, err := OpenStore(dir, seeds[0])
 			So(err, ShouldBeNil)
@@ -133,11 +135,12 @@
 			})
 		}
 	})
-	Convey("A disk that had lost its state, or lacks a key, is corrupt: the machine starts as another member", t, func() {
+	Convey("A store that lost its state, or has a missing or malformed key, is corrupt and is reset", t, func() {
 		for _, values := range []map[string]any{
-			{"members": seeds, "hard": hard(false)}, {"members": seeds}, {"hard": hard(true)},
-			{"members": []string{}, "hard": hard(true)}, {"members": 7, "hard": hard(true)},
-			{"identity": map[string]any{"id": ""}, "hard": hard(true)}, {"identity": identity{ID: memberA}, "hard": hard(true)},
+			{"members": seeds, "hard": hardState(false)}, {"members": seeds}, {"hard": hardState(true)},
+			{"members": []string{}, "hard": hardState(true)}, {"members": 7, "hard": hardState(true)},
+			{"identity": map[string]any{"id": ""}, "hard": hardState(true)},
+			{"identity": identity{ID: memberA}, "hard": hardState(true)},
 		} {
 			dir := t.TempDir()
 			writeFixedMembersStore(dir, values)
@@ -150,7 +153,7 @@
 			So(s.Close(), ShouldBeNil)
 		}
 	})
-	Convey("A disk of another cluster keeps its identity", t, func() {
+	Convey("A store of another cluster keeps its cluster id", t, func() {
 		dir := t.TempDir()
 		s, _, err := OpenStore(dir, seeds[0])
 		So(err, ShouldBeNil)
@@ -164,11 +167,12 @@
 }
 
 func TestStoreRetriesAfterFailedWrite(t *testing.T) {
-	Convey("A store that failed to be initialised, or to save, succeeds at the next attempt", t, func() {
+	Convey("After a failed Initialize or Save, the next attempt succeeds", t, func() {
 		dir := t.TempDir()
 		s, _, err := OpenStore(dir, memberA.Address())
 		So(err, ShouldBeNil)
-		failNextWrite := func() { So(s.db.Close(), ShouldBeNil) } // as a journal does that failed once
+		// A closed database rejects writes, as goleveldb does after a journal write has failed.
+		failNextWrite := func() { So(s.db.Close(), ShouldBeNil) }
 		state := State{ID: memberA, Cluster: testCluster, Snapshot: Snapshot{Membership: Membership{Voters: allMembers[:3]}}}
 		failNextWrite()
 		So(errs.KindOf(s.Initialize(state)), ShouldEqual, errs.DiskFailed)
