--- a/internal/mesh/replication/application_test.go
+++ b/internal/mesh/replication/application_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// memoryStorage is a Storage in memory that can be full.
+// memoryStorage is an in-memory Storage whose writes fail while full is set.
 type memoryStorage struct {
 	mu    sync.Mutex
 	state State
@@ -34,14 +34,14 @@
 
 func (d *memoryStorage) Close() error { return nil }
 
-// application is a list of applied commands.
+// application is a test application whose state is the list of applied commands.
 type application struct {
 	mu    sync.Mutex
 	list  []string
 	index Index
 }
 
-// applied returns the index of the last entry that was applied.
+// applied returns the index of the last applied entry.
 func (a *application) applied() Index {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -77,9 +77,9 @@
 	return slices.Clone(a.list)
 }
 
-// proposeAnywhere proposes a command to whichever node leads, until one has committed it. It returns
-// the node's number, or -1 when none has within ten seconds.
-func proposeAnywhere(nodes []*Node, cmd string) int {
+// proposeToLeader proposes a command to the current leader until a node has committed the command. It
+// returns the index of that node in nodes, or -1 if the command is not committed within 10 s.
+func proposeToLeader(nodes []*Node, cmd string) int {
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
 	for ctx.Err() == nil {
--- a/internal/mesh/replication/calls.go
+++ b/internal/mesh/replication/calls.go
@@ -8,15 +8,16 @@
 	"caperarch/internal/mesh/errs"
 )
 
-// maxQueuedCalls bounds the calls that wait while the disk stalls.
+// maxQueuedCalls bounds the calls that wait for the loop while a disk write stalls.
 const maxQueuedCalls = 1024
 
-// call is a proposal, a read (without a command), or an operation on the replica itself.
+// call is a request to the loop: a proposal if command is set, a function to run on the replica if
+// operation is set, and a read otherwise.
 type call struct {
 	ctx       context.Context
 	command   []byte
 	operation func(now time.Duration, r *Replica) error
-	// done receives the result. It has capacity one, so that the loop never waits for the caller.
+	// done receives the result. It has capacity one, so that the loop never blocks on the caller.
 	done chan callResult
 }
 
@@ -25,9 +26,10 @@
 	err   error
 }
 
-// Propose returns the index of a command once it is committed and applied here. Errors of kind
-// NotLeader, Invalid, TooLarge, Busy and DiskFailed mean that nothing was done; NoQuorum and
-// DeadlineExceeded mean that the command may be committed or not.
+// Propose appends a command to the log. It returns the command's index after the command is committed
+// and passed to the local application. After an error of kind NotLeader, Invalid, TooLarge, Busy or
+// DiskFailed, the command was not appended. After an error of kind NoQuorum or DeadlineExceeded, the
+// command may or may not be committed.
 func (n *Node) Propose(ctx context.Context, command []byte) (index Index, err error) {
 	if len(command) == 0 {
 		return 0, errs.New(errs.Invalid, "replication: a command is empty")
@@ -35,20 +37,21 @@
 	return n.submit(call{ctx: ctx, command: command})
 }
 
-// Read returns once this replica, being the leader, has confirmed that it still is, and has applied
-// everything that was committed before the call. An error is of kind NotLeader, Busy or
-// DeadlineExceeded.
+// Read returns nil after a majority has confirmed that this replica is the leader, and all entries that
+// were committed before the call have been passed to the local application. An error is of kind
+// NotLeader, Busy or DeadlineExceeded.
 func (n *Node) Read(ctx context.Context) error {
 	_, err := n.submit(call{ctx: ctx})
 	return err
 }
 
-// ChangeMembership begins a change of the voters; see Replica.ChangeMembership.
+// ChangeMembership starts a change of the voters. See Replica.ChangeMembership.
 func (n *Node) ChangeMembership(ctx context.Context, voters []MemberID) error {
 	return n.runInLoop(ctx, func(now time.Duration, r *Replica) error { return r.ChangeMembership(now, voters) })
 }
 
-// SetLearners names the replicas that this node replicates to besides the voters while it leads.
+// SetLearners sets the replicas that this node, while it is the leader, replicates to in addition to
+// the voters.
 func (n *Node) SetLearners(ctx context.Context, learners []MemberID) error {
 	learners = slices.Sorted(slices.Values(learners))
 	return n.runInLoop(ctx, func(now time.Duration, r *Replica) error {
@@ -57,24 +60,24 @@
 	})
 }
 
-// TransferLeadership asks another voter, but none in leaving, to take over. An error of kind
-// NoQuorum means that no voter could.
+// TransferLeadership asks a voter that is not in leaving to become the leader. It returns an error of
+// kind NoQuorum if this node is not the leader or if no such voter is caught up.
 func (n *Node) TransferLeadership(ctx context.Context, leaving ...MemberID) error {
 	return n.runInLoop(ctx, func(now time.Duration, r *Replica) error {
 		if !r.TransferLeadership(now, leaving...) {
-			return errs.New(errs.NoQuorum, "replication: nobody can take over")
+			return errs.New(errs.NoQuorum, "replication: no caught-up voter is available for a leadership transfer")
 		}
 		return nil
 	})
 }
 
-// runInLoop runs an operation on the replica in the node's loop and returns its error.
+// runInLoop runs an operation on the replica in the loop and returns the operation's error.
 func (n *Node) runInLoop(ctx context.Context, operation func(now time.Duration, r *Replica) error) error {
 	_, err := n.submit(call{ctx: ctx, operation: operation})
 	return err
 }
 
-// submit hands a call to the loop and waits for its result.
+// submit queues a call for the loop and waits for its result.
 func (n *Node) submit(c call) (Index, error) {
 	c.done = make(chan callResult, 1)
 	n.mu.Lock()
@@ -93,7 +96,7 @@
 	}
 }
 
-// startCall begins a call in the loop. One whose caller has given up by now is dropped.
+// startCall starts a call in the loop. It drops a call whose context is already done.
 func (n *Node) startCall(now time.Duration, c call) {
 	if c.ctx.Err() != nil {
 		return
@@ -117,7 +120,7 @@
 	return n.replica.Read(now)
 }
 
-// completeCalls returns the results of proposals or reads to their callers.
+// completeCalls sends the results of completed proposals or reads to their callers.
 func (n *Node) completeCalls(completed []Completion) {
 	for _, completion := range completed {
 		c, ok := n.pendingCalls[completion.Token]
--- a/internal/mesh/replication/deliveries.go
+++ b/internal/mesh/replication/deliveries.go
@@ -6,32 +6,33 @@
 )
 
 const (
-	// maxQueuedDeliveries bounds the deliveries that wait while the disk stalls; the oldest are
-	// dropped.
+	// maxQueuedDeliveries bounds the deliveries that wait for the loop while a disk write stalls. The
+	// oldest deliveries are dropped.
 	maxQueuedDeliveries = 256
-	// maxMessageAge is the age at which a message that waited for the loop is dropped: other
-	// replicas may have elected a new leader since.
+	// maxMessageAge is the maximum time that a message may wait for the loop. Older messages are
+	// dropped, because other replicas may have elected a new leader in the meantime.
 	maxMessageAge = MinElectionTimeout
 )
 
-// delivery is messages that arrived from a member.
+// delivery is a set of messages received from a member.
 type delivery struct {
 	from      MemberID
 	messages  []Message
 	arrivedAt time.Duration
-	// response, when not nil, receives the messages for the sender.
+	// response receives the messages for the sender if the delivery comes from Exchange. It is nil
+	// otherwise.
 	response chan []Message
 }
 
-// Deliver processes messages from a member in the loop. It never blocks; when too many wait, the
-// oldest are dropped.
+// Deliver queues messages from a member for processing in the loop. It never blocks. If the queue is
+// full, the oldest delivery is dropped.
 func (n *Node) Deliver(from MemberID, messages []Message) {
 	n.enqueue(delivery{from: from, messages: messages})
 }
 
-// Exchange is Deliver, and returns the messages that are ready for the sender right away, so that a
-// response needs no connection of its own. It returns nil where there are none, and when ctx or the
-// node ends.
+// Exchange delivers messages from a member and returns the messages that the replica has for that
+// member after processing them, so that an answer needs no separate request. It returns nil if there
+// are none, if ctx is done or if the node is closed.
 func (n *Node) Exchange(ctx context.Context, from MemberID, messages []Message) []Message {
 	d := delivery{from: from, messages: messages, response: make(chan []Message, 1)}
 	n.enqueue(d)
@@ -58,7 +59,8 @@
 	n.wakeLoop()
 }
 
-// receive passes a delivery to the replica, unless it is too old.
+// receive passes the messages of a delivery to the replica, unless the delivery is older than
+// maxMessageAge.
 func (n *Node) receive(now time.Duration, d *delivery) {
 	if d.response != nil {
 		n.openExchange(d.from, d.response)
@@ -71,7 +73,8 @@
 	}
 }
 
-// openExchange keeps the newest exchange of a sender; an older one ends without a response.
+// openExchange registers the response channel of a sender's exchange. An earlier open exchange of the
+// same sender ends without messages.
 func (n *Node) openExchange(from MemberID, response chan []Message) {
 	if older := n.openExchanges[from]; older != nil {
 		close(older)
@@ -79,7 +82,7 @@
 	n.openExchanges[from] = response
 }
 
-// closeExchanges ends the exchanges for whose senders there are no messages.
+// closeExchanges ends the remaining open exchanges without messages.
 func (n *Node) closeExchanges() {
 	for from, response := range n.openExchanges {
 		close(response)
@@ -87,8 +90,9 @@
 	}
 }
 
-// sendMessages sends messages grouped by receiver, in their order. Those for a member whose exchange
-// is open are returned by it.
+// sendMessages groups messages by recipient, in their original order, and sends them. Messages for a
+// member with an open exchange are returned by that exchange. sendMessages clears the recipients in
+// out.
 func (n *Node) sendMessages(out []Envelope) {
 	for i := 0; i < len(out); i++ {
 		to := out[i].To
@@ -99,7 +103,7 @@
 		for j := i; j < len(out); j++ {
 			if out[j].To == to {
 				messages = append(messages, out[j].Message)
-				out[j].To = "" // sent
+				out[j].To = "" // mark as sent
 			}
 		}
 		if response := n.openExchanges[to]; response != nil {
--- a/internal/mesh/replication/golden_test.go
+++ b/internal/mesh/replication/golden_test.go
@@ -8,7 +8,8 @@
 	"caperarch/internal/mesh/goldentest"
 )
 
-// What other processes send and expect: testdata holds it as the release before wrote it.
+// TestMessagesOnTheWire checks that the encodings of messages and stored values equal those in testdata,
+// which the previous release wrote.
 func TestMessagesOnTheWire(t *testing.T) {
 	goldentest.CheckJSON[messageBatch](t, "post")
 	goldentest.CheckJSON[Message](t, "message")
@@ -18,13 +19,15 @@
 	goldentest.CheckJSON[Entry](t, "entry")
 }
 
-func TestPathOfPosts(t *testing.T) {
+// TestMessagePath checks that the HTTP path for messages between members is the same as in the previous
+// releases.
+func TestMessagePath(t *testing.T) {
 	mux := http.NewServeMux()
 	RegisterRoutes(mux, func() *Node { return nil })
 	if _, pattern := mux.Handler(httptest.NewRequest("POST", "/mesh/archive", nil)); pattern != "POST /mesh/archive" {
-		t.Errorf("members post to %q, want /mesh/archive", pattern)
+		t.Errorf("POST /mesh/archive is handled by the pattern %q, want \"POST /mesh/archive\"", pattern)
 	}
-	if Path != "/mesh/archive" {
-		t.Errorf("members post to %q, want /mesh/archive", Path)
+	if MessagePath != "/mesh/archive" {
+		t.Errorf("MessagePath is %q, want /mesh/archive", MessagePath)
 	}
 }
--- a/internal/mesh/replication/loop.go
+++ b/internal/mesh/replication/loop.go
@@ -8,10 +8,10 @@
 	"caperarch/internal/mesh/errs"
 )
 
-// maxLoopWait is how long the loop sleeps when nothing at all is due.
+// maxLoopWait is the maximum time that the loop sleeps if no action is due earlier.
 const maxLoopWait = time.Minute
 
-// run is the node's goroutine.
+// run is the loop of the node. It ends when Close is called.
 func (n *Node) run() {
 	defer close(n.done)
 	timer := time.NewTimer(0)
@@ -29,11 +29,12 @@
 	}
 }
 
-// runOnce processes everything that waits and does everything that is due.
+// runOnce runs one iteration of the loop. It processes the queued messages and calls, and performs all
+// actions that are due.
 func (n *Node) runOnce() {
 	inbox, calls := n.drainQueues()
-	// The time is read once before anything is acted on, so that after a freeze the replica sees
-	// how late it is before it does anything.
+	// The time is read before any message or call is processed, so that after a pause of the process
+	// the replica notices the elapsed time before it acts.
 	now := n.now()
 	n.replica.Tick(now)
 	for i := range inbox {
@@ -53,7 +54,7 @@
 	n.publishStatus(n.now())
 }
 
-// drainQueues empties the inbox and the queue of calls, and returns what was in them.
+// drainQueues removes and returns all queued deliveries and calls.
 func (n *Node) drainQueues() ([]delivery, []call) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -62,7 +63,7 @@
 	return inbox, calls
 }
 
-// process does what a Ready asks for, in its order.
+// process does the work of a Ready in the required order. It then compacts the log if necessary.
 func (n *Node) process(ready *Ready) {
 	if ready.Persist != nil && !n.save(ready) {
 		return
@@ -84,7 +85,8 @@
 	}
 }
 
-// save syncs what a Ready wants persisted, and notifies the replica when that fails.
+// save syncs the Persist batch of a Ready to disk. If that fails, save notifies the replica and returns
+// false.
 func (n *Node) save(ready *Ready) bool {
 	if err := n.config.Storage.Save(ready.Persist); err != nil {
 		if !n.storageFailed {
@@ -101,7 +103,7 @@
 	return true
 }
 
-// apply hands an entry to the application, which needs only the index of a membership.
+// apply passes a committed entry to the application. For a membership entry it passes only the index.
 func (n *Node) apply(e *Entry) {
 	if e.Kind == EntryMembership {
 		n.config.Apply(e.Index, nil)
@@ -110,7 +112,7 @@
 	n.config.Apply(e.Index, e.Command)
 }
 
-// publishStatus makes the replica's state visible to other goroutines.
+// publishStatus updates the status and the contact information that other goroutines read.
 func (n *Node) publishStatus(now time.Duration) {
 	next := &Status{
 		IsLeader:         n.replica.IsLeader(now),
@@ -134,7 +136,7 @@
 	}
 }
 
-// abortAll ends the exchanges and calls that still wait.
+// abortAll ends all waiting exchanges and calls.
 func (n *Node) abortAll() {
 	inbox, calls := n.drainQueues()
 	for _, d := range inbox {
--- a/internal/mesh/replication/member_test.go
+++ b/internal/mesh/replication/member_test.go
@@ -17,7 +17,7 @@
 	"caperarch/internal/mesh/httpclient"
 )
 
-// testMember is a member with its store, its transport and its server on loopback.
+// testMember is a member with a Store, a Transport and an HTTP server on the loopback interface.
 type testMember struct {
 	node      *Node
 	transport *Transport
@@ -25,45 +25,45 @@
 	app       *application
 }
 
-// startTestMember starts a member on the store in dir. An empty store is initialised: without an
-// incarnation as that of a first voter, with one as that of a machine that joins.
-func startTestMember(dir, address, incarnation string, seeds []string, l net.Listener) (*testMember, error) {
+// startTestMember starts a member on the store in dir. It initializes an empty store as that of an
+// initial voter if diskSuffix is empty, and as that of a joining machine otherwise.
+func startTestMember(dir, address, diskSuffix string, seeds []string, l net.Listener) (*testMember, error) {
 	store, state, err := OpenOrReset(dir, address, zap.NewNop())
 	if err != nil {
 		return nil, err
 	}
 	if state.ID == "" {
 		cluster, membership := Bootstrap(seeds)
-		state = State{ID: NewMemberID(address, incarnation), Cluster: cluster}
-		if incarnation == "" {
+		state = State{ID: NewMemberID(address, diskSuffix), Cluster: cluster}
+		if diskSuffix == "" {
 			state.Snapshot.Membership = membership
 		}
 		if err := store.Initialize(state); err != nil {
 			return nil, err
 		}
 	}
-	s := &testMember{app: &application{}}
-	deliver := func(from MemberID, messages []Message) { s.node.Deliver(from, messages) }
-	s.transport = NewTransport(state.ID, httpclient.New(time.Second), deliver, zap.NewNop())
-	s.node, err = StartNode(NodeConfig{Storage: store, State: state, Logger: zap.NewNop(), AppliedIndex: s.app.applied,
-		Apply: s.app.apply, Restore: s.app.restore, Snapshot: s.app.snapshot, Send: s.transport.Send})
+	m := &testMember{app: &application{}}
+	deliver := func(from MemberID, messages []Message) { m.node.Deliver(from, messages) }
+	m.transport = NewTransport(state.ID, httpclient.New(time.Second), deliver, zap.NewNop())
+	m.node, err = StartNode(NodeConfig{Storage: store, State: state, Logger: zap.NewNop(), AppliedIndex: m.app.applied,
+		Apply: m.app.apply, Restore: m.app.restore, Snapshot: m.app.snapshot, Send: m.transport.Send})
 	if err != nil {
 		return nil, err
 	}
 	mux := http.NewServeMux()
-	RegisterRoutes(mux, func() *Node { return s.node })
-	s.server = &http.Server{Handler: mux}
-	go s.server.Serve(l)
-	return s, nil
+	RegisterRoutes(mux, func() *Node { return m.node })
+	m.server = &http.Server{Handler: mux}
+	go m.server.Serve(l)
+	return m, nil
 }
 
-func (s *testMember) close() error {
-	s.transport.Close()
-	return errors.Join(s.server.Close(), s.node.Close())
+func (m *testMember) close() error {
+	m.transport.Close()
+	return errors.Join(m.server.Close(), m.node.Close())
 }
 
-// replaceVoter makes whichever node leads replace a voter by another member, and waits until the
-// change has ended.
+// replaceVoter makes the current leader replace a voter with successor, and waits up to 10 s until the
+// membership change is complete. It reports whether the voter has been replaced.
 func replaceVoter(nodes []*Node, successor, replaced MemberID) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
@@ -89,7 +89,7 @@
 }
 
 func TestMembersOverHTTP(t *testing.T) {
-	Convey("Commands survive a member that loses its disk and joins as another, and a restart of all three", t, func() {
+	Convey("Commands survive the loss of a member's disk, its replacement, and a restart of all members", t, func() {
 		seeds, dirs, members := make([]string, 3), make([]string, 3), make([]*testMember, 3)
 		listeners := make([]net.Listener, 3)
 		for i := range seeds {
@@ -97,20 +97,20 @@
 			So(err, ShouldBeNil)
 			listeners[i], seeds[i], dirs[i] = l, l.Addr().String(), t.TempDir()
 		}
-		start := func(i int, incarnation string) {
+		start := func(i int, diskSuffix string) {
 			var err error
 			if listeners[i] == nil {
 				listeners[i], err = net.Listen("tcp", seeds[i])
 				So(err, ShouldBeNil)
 			}
-			members[i], err = startTestMember(dirs[i], seeds[i], incarnation, seeds, listeners[i])
+			members[i], err = startTestMember(dirs[i], seeds[i], diskSuffix, seeds, listeners[i])
 			listeners[i] = nil
 			So(err, ShouldBeNil)
 		}
 		nodes := func() []*Node {
 			var list []*Node
-			for _, s := range members {
-				list = append(list, s.node)
+			for _, m := range members {
+				list = append(list, m.node)
 			}
 			return list
 		}
@@ -118,25 +118,25 @@
 			start(i, "")
 		}
 		large := strings.Repeat("l", 2<<20)
-		lead := proposeAnywhere(nodes(), "one")
-		So(lead, ShouldBeGreaterThanOrEqualTo, 0)
-		So(proposeAnywhere(nodes(), large), ShouldBeGreaterThanOrEqualTo, 0)
+		leaderIndex := proposeToLeader(nodes(), "one")
+		So(leaderIndex, ShouldBeGreaterThanOrEqualTo, 0)
+		So(proposeToLeader(nodes(), large), ShouldBeGreaterThanOrEqualTo, 0)
 
-		So(members[lead].close(), ShouldBeNil)
-		So(os.RemoveAll(dirs[lead]), ShouldBeNil)
-		So(os.MkdirAll(dirs[lead], 0o700), ShouldBeNil)
-		start(lead, "1")
-		So(members[lead].node.Status().Membership.Voters, ShouldBeEmpty)
-		So(proposeAnywhere(nodes(), "two"), ShouldBeGreaterThanOrEqualTo, 0)
-		So(replaceVoter(nodes(), members[lead].node.ID(), NewMemberID(seeds[lead], "")), ShouldBeTrue)
+		So(members[leaderIndex].close(), ShouldBeNil)
+		So(os.RemoveAll(dirs[leaderIndex]), ShouldBeNil)
+		So(os.MkdirAll(dirs[leaderIndex], 0o700), ShouldBeNil)
+		start(leaderIndex, "1")
+		So(members[leaderIndex].node.Status().Membership.Voters, ShouldBeEmpty)
+		So(proposeToLeader(nodes(), "two"), ShouldBeGreaterThanOrEqualTo, 0)
+		So(replaceVoter(nodes(), members[leaderIndex].node.ID(), NewMemberID(seeds[leaderIndex], "")), ShouldBeTrue)
 		for i := range members {
 			So(members[i].close(), ShouldBeNil)
 		}
 		for i := range members {
 			start(i, "never used")
 		}
-		So(members[lead].node.ID(), ShouldEqual, NewMemberID(seeds[lead], "1"))
-		i := proposeAnywhere(nodes(), "three")
+		So(members[leaderIndex].node.ID(), ShouldEqual, NewMemberID(seeds[leaderIndex], "1"))
+		i := proposeToLeader(nodes(), "three")
 		So(i, ShouldBeGreaterThanOrEqualTo, 0)
 		So(members[i].node.Read(context.Background()), ShouldBeNil)
 		list := members[i].app.commands()
--- a/internal/mesh/replication/node.go
+++ b/internal/mesh/replication/node.go
@@ -12,33 +12,34 @@
 	"caperarch/internal/mesh/errs"
 )
 
-// maxContactAge is how old a majority's confirmation may be for a replica to be in contact.
+// maxContactAge is the maximum age of a majority's confirmation at which a node counts as in contact.
 const maxContactAge = time.Second
 
-// NodeConfig is what a node is made of. Apply, Restore and Snapshot are called from the node's loop
-// alone, one at a time.
+// NodeConfig configures a Node. StartNode calls Restore before it returns. Otherwise only the node's
+// loop calls Apply, Restore and Snapshot, one at a time.
 type NodeConfig struct {
-	// Storage is closed by Node.Close; State is what it holds.
+	// Storage persists the node's state. Node.Close closes it. State is the state that it holds.
 	Storage Storage
 	State   State
-	// Send carries messages to a member. It must not block, and may lose them.
+	// Send sends messages to a member. It must not block, and it may lose messages.
 	Send func(to MemberID, messages []Message)
-	// Apply receives every committed entry after the restored snapshot in order, once in the life
-	// of the node. An entry that holds no command of the application comes without one.
+	// Apply applies a committed entry. It is called in log order, once in the life of the node for each
+	// committed entry that the newest restored snapshot does not include. The command of an entry
+	// without an application command is empty.
 	Apply func(index Index, command []byte)
-	// Restore replaces the application's state by that of an earlier Snapshot, which includes
-	// everything up to index.
+	// Restore replaces the application's state with data, which an earlier call of Snapshot returned,
+	// possibly on another member. The data includes all entries up to index.
 	Restore func(index Index, data []byte)
-	// Snapshot returns the application's state; nil means that it isn't available now, and is asked
-	// for again.
+	// Snapshot returns the application's state. It returns nil if the state is currently unavailable.
+	// The node then calls Snapshot again later.
 	Snapshot func() []byte
-	// AppliedIndex is the index up to which the application has finished applying. It is called
-	// from any goroutine.
+	// AppliedIndex returns the index up to which the application has finished applying entries. It
+	// must be safe for concurrent use.
 	AppliedIndex func() Index
 	Logger       *zap.Logger
 }
 
-// Status is what a replica was at the end of the loop's last iteration.
+// Status is the status of a node's replica at the end of the last iteration of the loop.
 type Status struct {
 	Leader        MemberID
 	Term          Term
@@ -46,22 +47,23 @@
 	StorageFailed bool
 	Applied       Index
 	Membership    Membership
-	// MembershipStable says that the membership is committed and no change is under way.
+	// MembershipStable reports whether the membership is committed and no change is in progress.
 	MembershipStable bool
-	// Progress is what a leader knows of its peers.
+	// Progress is the replication status of the leader's peers. It is nil unless IsLeader is set.
 	Progress []Progress
-	// RejectedMessages counts messages that were dropped as malformed or impossible.
+	// RejectedMessages counts the messages that were dropped because they were malformed or
+	// contradicted the protocol.
 	RejectedMessages uint64
 }
 
-// Node runs a Replica over its Storage in one goroutine, which StartNode starts and Close ends. Its
-// methods may be called from any goroutine.
+// Node runs a Replica on a Storage in one goroutine, called the loop. StartNode starts the loop and
+// Close stops it. Node is safe for concurrent use.
 type Node struct {
 	config    NodeConfig
 	replica   *Replica
 	startedAt time.Time
-	// wake has an element when the queues below aren't empty; stop is closed by Close, and done by
-	// the loop when it ends.
+	// wake has capacity one. It receives an element whenever inbox or calls grow. Close closes stop.
+	// The loop closes done when it ends.
 	wake chan struct{}
 	stop chan struct{}
 	done chan struct{}
@@ -72,7 +74,7 @@
 	inbox  []delivery
 	calls  []call
 
-	// The loop alone uses these.
+	// Only the loop uses the following fields.
 	pendingCalls  map[Token]call
 	openExchanges map[MemberID]chan []Message
 	storageFailed bool
@@ -81,12 +83,12 @@
 	contact contactTracker
 }
 
-// StartNode restores the application from the state and starts the loop. An error is one of
-// NewReplica, or of kind Internal.
+// StartNode restores the application from the snapshot in config.State and starts the loop. It returns
+// the errors of NewReplica, and an error of kind Internal if no random seed is available.
 func StartNode(config NodeConfig) (*Node, error) {
 	var seed [8]byte
 	if _, err := crand.Read(seed[:]); err != nil {
-		return nil, errs.Wrap(err, errs.Internal, "replication: a random seed")
+		return nil, errs.Wrap(err, errs.Internal, "replication: read a random seed")
 	}
 	replica, err := NewReplica(ReplicaConfig{State: config.State, Seed: binary.BigEndian.Uint64(seed[:])}, 0)
 	if err != nil {
@@ -95,7 +97,7 @@
 	if config.State.Snapshot.Index > 0 {
 		config.Restore(config.State.Snapshot.Index, config.State.Snapshot.Data)
 	}
-	config.State = State{} // the replica has it; this copy would keep its memory
+	config.State = State{} // the replica owns the state; a reference here would keep it in memory
 	n := &Node{
 		config:        config,
 		replica:       replica,
@@ -111,8 +113,8 @@
 	return n, nil
 }
 
-// Close ends the loop, waits for it and closes the storage. Calls that wait get an error of kind
-// Busy when they weren't begun, and DeadlineExceeded when their end isn't known.
+// Close stops the loop, waits for it to end and closes the storage. A waiting call gets an error of
+// kind Busy if the loop has not started it, and of kind DeadlineExceeded if its outcome is unknown.
 func (n *Node) Close() error {
 	n.mu.Lock()
 	if !n.closed {
@@ -124,30 +126,31 @@
 	return n.config.Storage.Close()
 }
 
-// now is the time since the node's start.
+// now returns the time since the node's start.
 func (n *Node) now() time.Duration { return time.Since(n.startedAt) }
 
-// ID is the replica's own id.
+// ID returns the member id of the node's replica.
 func (n *Node) ID() MemberID { return n.replica.ID() }
 
-// Status returns what the replica was at the end of the loop's last iteration. It must not be
-// changed.
+// Status returns the replica's status at the end of the last iteration of the loop. The caller must
+// not modify it.
 func (n *Node) Status() *Status { return n.status.Load() }
 
-// Contact returns how long ago a majority of the voters is known to have confirmed the leader that
-// this node follows. It counts only once the application has applied everything that was committed
-// then, so what the node serves is at most that old. ok is false while there is no confirmation.
+// Contact returns the time since a majority of the voters last confirmed the leader that this node
+// follows. A confirmation counts only after the application has applied all entries that were
+// committed at that time, so age bounds the staleness of the application's state. ok is false if there
+// is no such confirmation of the current leader.
 func (n *Node) Contact() (age time.Duration, ok bool) {
 	return n.contact.age(n.now(), n.config.AppliedIndex())
 }
 
-// InContact reports whether a majority has lately confirmed what this node serves.
+// InContact reports whether the age returned by Contact is at most maxContactAge.
 func (n *Node) InContact() bool {
 	age, ok := n.Contact()
 	return ok && age <= maxContactAge
 }
 
-// wakeLoop makes the loop run once more; it never blocks.
+// wakeLoop makes the loop run another iteration. It never blocks.
 func (n *Node) wakeLoop() {
 	select {
 	case n.wake <- struct{}{}:
--- a/internal/mesh/replication/node_test.go
+++ b/internal/mesh/replication/node_test.go
@@ -16,7 +16,7 @@
 
 func TestNodeWithFullDisk(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		Convey("A leader whose disk is full steps down, sends nothing, and comes back", t, func() {
+		Convey("A leader whose disk is full steps down, and follows the next leader after the disk recovers", t, func() {
 			ids := allMembers[:3]
 			nodes, disks, apps := make([]*Node, 3), make([]*memoryStorage, 3), make([]*application, 3)
 			var mu sync.Mutex
@@ -40,7 +40,7 @@
 				nodes[i] = n
 			}
 			mu.Unlock()
-			first := proposeAnywhere(nodes, "one")
+			first := proposeToLeader(nodes, "one")
 			So(first, ShouldBeGreaterThanOrEqualTo, 0)
 			ctx := context.Background()
 			So(nodes[first].Read(ctx), ShouldBeNil)
@@ -49,12 +49,12 @@
 			disks[first].setFull(true)
 			_, err := nodes[first].Propose(ctx, []byte("refused"))
 			So(errs.KindOf(err), ShouldEqual, errs.NoQuorum)
-			// A caller gets its result before the loop publishes the status of the same step.
+			// A caller receives its result before the same iteration of the loop publishes the status.
 			synctest.Wait()
 			So(nodes[first].Status().StorageFailed, ShouldBeTrue)
 			_, err = nodes[first].Propose(ctx, []byte("refused"))
 			So(errs.KindOf(err), ShouldEqual, errs.DiskFailed)
-			second := proposeAnywhere(nodes, "two")
+			second := proposeToLeader(nodes, "two")
 			So(second, ShouldNotEqual, first)
 
 			disks[first].setFull(false)
--- a/internal/mesh/replication/transport.go
+++ b/internal/mesh/replication/transport.go
@@ -13,74 +13,77 @@
 )
 
 const (
-	// Path is where members receive messages.
-	Path = "/mesh/archive"
-	// postTimeout is how long a post may take: after it, the next heartbeats are of more use.
+	// MessagePath is the HTTP path at which members receive messages.
+	MessagePath = "/mesh/archive"
+	// postTimeout is the timeout of a POST request. After that time, newer heartbeats are more useful
+	// than the messages in the request.
 	postTimeout = 600 * time.Millisecond
-	// postTimeoutPerMiB is added for large posts, so that they get through a narrow link at all.
+	// postTimeoutPerMiB is added to postTimeout per MiB of payload, so that large requests can be
+	// transmitted over a slow link.
 	postTimeoutPerMiB = time.Second
-	// maxQueuedMessages bounds the messages that wait for a peer that doesn't answer; the oldest
-	// are dropped.
+	// maxQueuedMessages bounds the messages queued for a peer that does not answer. The oldest
+	// messages are dropped.
 	maxQueuedMessages = 64
-	// largeMessageBytes is the size from which a message goes on the peer's second lane, so that
-	// heartbeats don't wait behind it.
+	// largeMessageBytes is the payload size from which a message uses the peer's queue for large
+	// messages, so that heartbeats do not wait behind it.
 	largeMessageBytes = 64 << 10
-	// maxBodyBytes bounds the body of a post on the link, where it is a third larger than in
-	// memory: one large entry or snapshot chunk, and the messages beside it.
+	// maxBodyBytes bounds the body of a POST request. The body holds one large entry or snapshot
+	// chunk and some small messages. It is a third larger than the messages in memory, because JSON
+	// encodes bytes as base64.
 	maxBodyBytes = 64 << 20
 )
 
-// messageBatch is the body of a post and of its response.
+// messageBatch is the body of a POST request and of its response.
 type messageBatch struct {
 	From     MemberID  `json:"f"`
 	Messages []Message `json:"m"`
 }
 
-// Transport carries messages to the other members by HTTP. Each peer has two lanes, for small and
-// for large messages; each lane has a goroutine while there is something to send, which ends with
-// the queue or with Close. The methods may be called from any goroutine.
+// Transport sends messages to the other members over HTTP. Each peer has two queues, one for small and
+// one for large messages. A goroutine per queue runs while the queue has messages, and ends when the
+// queue is empty or the Transport is closed. Transport is safe for concurrent use.
 type Transport struct {
 	self    MemberID
 	client  *http.Client
 	deliver func(from MemberID, messages []Message)
 	log     *zap.Logger
-	// ctx ends with Close.
+	// ctx is canceled by Close.
 	ctx    context.Context
 	cancel context.CancelFunc
 
-	// mu guards lanes, and queue and running of each.
-	mu    sync.Mutex
-	lanes map[laneKey]*lane
-	// running counts the lanes' goroutines.
+	// mu guards queues, and the fields pending and running of each queue.
+	mu     sync.Mutex
+	queues map[sendQueueKey]*sendQueue
+	// running counts the goroutines that send the queues' messages.
 	running sync.WaitGroup
 }
 
-type laneKey struct {
+type sendQueueKey struct {
 	peer  MemberID
 	large bool
 }
 
-// lane is a queue of messages to a peer.
-type lane struct {
-	queue   []Message
+// sendQueue is a queue of small or of large messages to a peer.
+type sendQueue struct {
+	pending []Message
 	running bool
-	// failed says that the last post failed; the lane's goroutine alone uses it.
+	// failed is set if the last POST request failed. Only the queue's goroutine uses it.
 	failed bool
 }
 
-// NewTransport returns a Transport for the member self. Messages in the peers' responses go to
-// deliver.
+// NewTransport returns a Transport for the member self. It passes the messages in the peers' responses
+// to deliver.
 func NewTransport(
 	self MemberID, client *http.Client, deliver func(from MemberID, messages []Message), log *zap.Logger,
 ) *Transport {
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Transport{
 		self: self, client: client, deliver: deliver, log: log,
-		ctx: ctx, cancel: cancel, lanes: map[laneKey]*lane{},
+		ctx: ctx, cancel: cancel, queues: map[sendQueueKey]*sendQueue{},
 	}
 }
 
-// Close drops the queues, cancels posts in flight and waits for the lanes' goroutines.
+// Close drops all queued messages, cancels requests in flight and waits for the queues' goroutines.
 func (t *Transport) Close() {
 	t.mu.Lock()
 	t.cancel()
@@ -88,7 +91,7 @@
 	t.running.Wait()
 }
 
-// Send queues messages for a peer and returns at once.
+// Send queues messages for a peer. It does not wait for their transmission.
 func (t *Transport) Send(to MemberID, messages []Message) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -96,57 +99,57 @@
 		return
 	}
 	for i := range messages {
-		t.enqueue(laneKey{peer: to, large: messages[i].payloadBytes() >= largeMessageBytes}, messages[i])
+		t.enqueue(sendQueueKey{peer: to, large: messages[i].payloadBytes() >= largeMessageBytes}, messages[i])
 	}
 }
 
-// enqueue adds a message to a lane, and starts the lane's goroutine where none runs. The caller
-// holds mu.
-func (t *Transport) enqueue(key laneKey, msg Message) {
-	l := t.lanes[key]
-	if l == nil {
-		l = &lane{}
-		t.lanes[key] = l
+// enqueue adds a message to a queue and starts the queue's goroutine unless it is running. The caller
+// must hold mu.
+func (t *Transport) enqueue(key sendQueueKey, msg Message) {
+	q := t.queues[key]
+	if q == nil {
+		q = &sendQueue{}
+		t.queues[key] = q
 	}
 	if key.large {
-		// One large message is in flight at a time; a newer one replaces one that waits.
-		l.queue = l.queue[:0]
-	} else if len(l.queue) >= maxQueuedMessages {
-		l.queue = l.queue[1:]
+		// At most one large message waits while another is in flight. A newer message replaces it.
+		q.pending = q.pending[:0]
+	} else if len(q.pending) >= maxQueuedMessages {
+		q.pending = q.pending[1:]
 	}
-	l.queue = append(l.queue, msg)
-	if !l.running {
-		l.running = true
+	q.pending = append(q.pending, msg)
+	if !q.running {
+		q.running = true
 		t.running.Add(1)
-		go t.runLane(key, l)
+		go t.runQueue(key, q)
 	}
 }
 
-// runLane posts what waits on a lane until nothing does.
-func (t *Transport) runLane(key laneKey, l *lane) {
+// runQueue sends the messages of a queue until the queue is empty or the Transport is closed.
+func (t *Transport) runQueue(key sendQueueKey, q *sendQueue) {
 	defer t.running.Done()
 	for {
-		batch := t.nextBatch(l)
+		batch := t.nextBatch(q)
 		if batch == nil {
 			return
 		}
 		err := t.post(key.peer, batch)
-		if (err != nil) != l.failed {
-			l.failed = err != nil
+		if (err != nil) != q.failed {
+			q.failed = err != nil
 			t.logReachability(key.peer, err)
 		}
 	}
 }
 
-// nextBatch removes and returns what waits on a lane. It returns nil, and the lane's goroutine must
-// end, when nothing does or the transport is closed.
-func (t *Transport) nextBatch(l *lane) []Message {
+// nextBatch removes and returns all messages of a queue. If the queue is empty or the Transport is
+// closed, nextBatch returns nil, and the queue's goroutine must end.
+func (t *Transport) nextBatch(q *sendQueue) []Message {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	batch := l.queue
-	l.queue = nil
+	batch := q.pending
+	q.pending = nil
 	if len(batch) == 0 || t.ctx.Err() != nil {
-		l.running = false
+		q.running = false
 		return nil
 	}
 	return batch
@@ -160,7 +163,7 @@
 	t.log.Info("peer reachable again", zap.String("peer", string(peer)))
 }
 
-// post sends messages to a peer and delivers those in its response.
+// post sends messages to a peer in one POST request and delivers the messages in the response.
 func (t *Transport) post(peer MemberID, messages []Message) error {
 	size := 0
 	for i := range messages {
@@ -169,23 +172,24 @@
 	timeout := postTimeout + postTimeoutPerMiB*time.Duration(size>>10)/(1<<10)
 	ctx, cancel := context.WithTimeout(t.ctx, timeout)
 	defer cancel()
-	url := "http://" + peer.Address() + Path
+	url := "http://" + peer.Address() + MessagePath
 	request := messageBatch{From: t.self, Messages: messages}
 	response, err := rpc.Call[messageBatch, messageBatch](ctx, t.client, url, &request)
 	if err != nil {
 		return err
 	}
-	// Another replica may be at the address by now, and answers in its own name.
+	// The response may come from a different member than the peer, if the machine at the address has
+	// a new disk.
 	if response.From != "" && len(response.Messages) > 0 {
 		t.deliver(response.From, response.Messages)
 	}
 	return nil
 }
 
-// RegisterRoutes serves messages from the other members. While currentNode returns nil, they get an
-// error of kind Busy.
+// RegisterRoutes registers the handler for messages from other members. While currentNode returns nil,
+// the handler responds with an error of kind Busy.
 func RegisterRoutes(mux *http.ServeMux, currentNode func() *Node) {
-	rpc.Handle(mux, Path, maxBodyBytes, func(r *http.Request, request *messageBatch) (*messageBatch, error) {
+	rpc.Handle(mux, MessagePath, maxBodyBytes, func(r *http.Request, request *messageBatch) (*messageBatch, error) {
 		node := currentNode()
 		if node == nil {
 			return nil, errs.New(errs.Busy, "replication: no log is held here yet")
