--- a/internal/mesh/replication/catchup_test.go
+++ b/internal/mesh/replication/catchup_test.go
@@ -9,20 +9,20 @@
 )
 
 const (
-	// missedChanges is how many changes a member misses while it is down.
-	missedChanges = 5000
-	// changeInterval is how often changes are proposed meanwhile: four a second.
-	changeInterval = 250 * time.Millisecond
-	// farBehindSeeds is how many histories are played of each size.
-	farBehindSeeds = 2
-	// narrowLink is the rate of a slow link, in bits a second.
-	narrowLink = 3_000_000
+	// missedCommands is the number of commands that a member misses while it is down.
+	missedCommands = 5000
+	// commandInterval is the interval between commands while the member catches up: four per second.
+	commandInterval = 250 * time.Millisecond
+	// seedsPerSize is the number of simulations for each size of the state and of the commands.
+	seedsPerSize = 2
+	// slowLinkBitsPerSecond is the bandwidth of a slow link.
+	slowLinkBitsPerSecond = 3_000_000
 )
 
-// timeToCatchUp makes one of three members miss missedChanges. It returns how long the member takes,
-// from its restart on a narrow link, to apply everything that is committed, and the largest size of
-// the leader's log in memory.
-func timeToCatchUp(seed uint64, stateBytes, commandBytes int) (took time.Duration, memory int) {
+// timeToCatchUp makes one of three members miss missedCommands commands, and restarts it on a slow link.
+// It returns the time from the restart until the member has applied all committed entries, and the
+// maximum size in bytes of the leader's log and snapshot in memory.
+func timeToCatchUp(seed uint64, stateBytes, commandBytes int) (elapsed time.Duration, memory int) {
 	sim := newSimulation(seed, 1)
 	sim.snapshotPadding, sim.commandPadding = stateBytes, commandBytes
 	sim.run(10*time.Second, sim.isHealthy)
@@ -32,44 +32,44 @@
 		n = sim.machines[1]
 	}
 	sim.powerOff(n)
-	sim.membershipFrozen = true
-	for missed := len(sim.appliedOrder); len(sim.appliedOrder)-missed < missedChanges && len(sim.violations) == 0; {
-		sim.proposeEverywhere()
+	sim.membershipChangesDisabled = true
+	for missed := len(sim.appliedOrder); len(sim.appliedOrder)-missed < missedCommands && len(sim.violations) == 0; {
+		sim.issueClientRequests()
 		sim.run(sim.now+10*time.Millisecond, nil)
 	}
-	sim.bitsPerSecond = narrowLink
-	var change func()
-	change = func() {
-		sim.proposeEverywhere()
-		sim.schedule(changeInterval, change)
+	sim.bitsPerSecond = slowLinkBitsPerSecond
+	var proposePeriodically func()
+	proposePeriodically = func() {
+		sim.issueClientRequests()
+		sim.schedule(commandInterval, proposePeriodically)
 	}
-	change()
+	proposePeriodically()
 	began := sim.now
 	sim.powerOn(n)
 	sim.run(began+time.Minute, func() bool {
-		lead := sim.leader()
-		if lead == nil {
+		leadingMachine := sim.leader()
+		if leadingMachine == nil {
 			return false
 		}
-		memory = max(memory, lead.replica.log.bytes+len(lead.replica.log.snapshot.Data))
-		p := lead.replica.peers[n.id]
-		return p != nil && p.match > 0 && p.match >= lead.replica.commit && n.replica.Applied() >= p.match
+		memory = max(memory, leadingMachine.replica.log.bytes+len(leadingMachine.replica.log.snapshot.Data))
+		p := leadingMachine.replica.peers[n.id]
+		return p != nil && p.match > 0 && p.match >= leadingMachine.replica.commit && n.replica.Applied() >= p.match
 	})
 	So(sim.violations, ShouldBeEmpty)
 	return sim.now - began, memory
 }
 
 func TestFarBehindMemberCatchesUp(t *testing.T) {
-	Convey("A member 5,000 changes behind catches up in time over 3 Mbit/s, with four changes a second", t, func() {
+	Convey("A member that missed 5,000 commands catches up over 3 Mbit/s at four new commands per second", t, func() {
 		for _, size := range []struct{ state, command int }{{64 << 10, 200}, {400 << 10, 1 << 10}, {800 << 10, 2 << 10}} {
-			worst, most := time.Duration(0), 0
-			for seed := range uint64(farBehindSeeds) {
-				took, memory := timeToCatchUp(seed+1, size.state, size.command)
-				worst, most = max(worst, took), max(most, memory)
+			maxElapsed, maxMemory := time.Duration(0), 0
+			for seed := range uint64(seedsPerSize) {
+				elapsed, memory := timeToCatchUp(seed+1, size.state, size.command)
+				maxElapsed, maxMemory = max(maxElapsed, elapsed), max(maxMemory, memory)
 			}
-			t.Logf("state of %d KiB, commands of %d bytes: caught up within %v, the leader's log and snapshot %d KiB",
-				size.state>>10, size.command, worst, most>>10)
-			So(fmt.Sprint(worst, worst < recoveryTime), ShouldEqual, fmt.Sprint(worst, true))
+			t.Logf("state of %d KiB, commands of %d bytes: caught up within %v, leader's log and snapshot at most %d KiB",
+				size.state>>10, size.command, maxElapsed, maxMemory>>10)
+			So(fmt.Sprint(maxElapsed, maxElapsed < recoveryTime), ShouldEqual, fmt.Sprint(maxElapsed, true))
 		}
 	})
 }
--- a/internal/mesh/replication/contact_test.go
+++ b/internal/mesh/replication/contact_test.go
@@ -8,11 +8,11 @@
 )
 
 func TestContact(t *testing.T) {
-	Convey("A confirmation is as old as the echoed clock, and needs a committed entry of the leader's term", t, func() {
+	Convey("A quorum's confirmation is dated by the echoed clock and needs a committed entry of the term", t, func() {
 		h := newHarness(3, State{})
 		h.now = 10 * time.Second
 		heartbeat := func(echo, age time.Duration) Message {
-			msg := entriesFrom(1, 0, 0, 0)
+			msg := appendMessage(1, 0, 0, 0)
 			msg.Append.EchoedClock, msg.Append.QuorumAckAge = ClockReading{Incarnation: h.replica.incarnation, At: echo}, age
 			return msg
 		}
@@ -23,18 +23,18 @@
 		at, _, ok := h.replica.LastQuorumAck()
 		So(ok, ShouldBeTrue)
 		So(at, ShouldEqual, 7*time.Second)
-		other := heartbeat(9*time.Second, 0)
-		other.Append.EchoedClock.Incarnation++
-		h.step(memberB, other)
+		otherIncarnation := heartbeat(9*time.Second, 0)
+		otherIncarnation.Append.EchoedClock.Incarnation++
+		h.step(memberB, otherIncarnation)
 		at, _, _ = h.replica.LastQuorumAck()
 		So(at, ShouldEqual, 7*time.Second)
-		lead := newHarness(3, State{})
-		lead.elect(false, memberB)
-		_, _, ok = lead.replica.LastQuorumAck()
+		leading := newHarness(3, State{})
+		leading.elect(false, memberB)
+		_, _, ok = leading.replica.LastQuorumAck()
 		So(ok, ShouldBeFalse)
-		So(lead.replica.heartbeat(lead.now, lead.replica.peers[memberB]).QuorumAckAge, ShouldEqual, maxDuration)
+		So(leading.replica.heartbeat(leading.now, leading.replica.peers[memberB]).QuorumAckAge, ShouldEqual, maxDuration)
 	})
-	Convey("A confirmation whose entries aren't applied yet doesn't count", t, func() {
+	Convey("A quorum's confirmation counts only after its entries are applied", t, func() {
 		var c contactTracker
 		c.record(time.Second, 5)
 		_, ok := c.age(2*time.Second, 4)
--- a/internal/mesh/replication/election_test.go
+++ b/internal/mesh/replication/election_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestVotes(t *testing.T) {
-	Convey("A vote survives a loss of power, and a second one in its term is rejected", t, func() {
+	Convey("A vote survives a power loss, and a request for a second vote in the same term is rejected", t, func() {
 		h := newHarness(3, State{})
 		sent := h.step(memberB, voteRequest(4))
 		So(sent[memberB][0].VoteResponse.Rejected, ShouldBeFalse)
@@ -17,7 +17,7 @@
 		sent = h.step(memberC, voteRequest(4))
 		So(sent[memberC][0].VoteResponse.Rejected, ShouldBeTrue)
 	})
-	Convey("A vote is sent in the Ready that syncs it and not before, and so is the replica's own counted", t, func() {
+	Convey("A vote is sent, and the replica's own vote is counted, only with the Ready that syncs the vote", t, func() {
 		h := newHarness(1, State{})
 		h.now = time.Second
 		h.replica.Tick(h.now)
@@ -36,10 +36,10 @@
 		So(ready.Persist, ShouldNotBeNil)
 		So(ready.Persist.HardState, ShouldResemble, &HardState{Term: 4, Vote: memberB})
 	})
-	Convey("A vote in a term that is synced already is sent in the Ready that syncs it, too", t, func() {
+	Convey("A vote in a term that is already synced is sent in the Ready that syncs the vote", t, func() {
 		h := newHarness(3, State{Entries: []Entry{{Index: 1, Term: 1}}})
-		behind := Message{Term: 4, VoteRequest: &VoteRequest{}}
-		So(h.step(memberC, behind)[memberC][0].VoteResponse.Rejected, ShouldBeTrue)
+		outdated := Message{Term: 4, VoteRequest: &VoteRequest{}}
+		So(h.step(memberC, outdated)[memberC][0].VoteResponse.Rejected, ShouldBeTrue)
 		msg := voteRequest(4)
 		msg.Cluster = testCluster
 		h.replica.Step(h.now, memberB, msg)
@@ -48,9 +48,9 @@
 		So(ready.Persist, ShouldNotBeNil)
 		So(ready.Persist.HardState, ShouldResemble, &HardState{Term: 4, Vote: memberB})
 	})
-	Convey("The replica's own vote doesn't count before it is synced, whoever else votes", t, func() {
+	Convey("The replica's own vote does not count before it is synced, even if another vote arrives", t, func() {
 		h := newHarness(3, State{})
-		h.step(memberB, entriesFrom(1, 0, 0, 0))
+		h.step(memberB, appendMessage(1, 0, 0, 0))
 		h.replica.Step(h.now, memberB, Message{Cluster: testCluster, Term: 1, TimeoutNow: &TimeoutNow{}})
 		h.replica.Step(h.now, memberC, Message{Cluster: testCluster, Term: 2, VoteResponse: &VoteResponse{}})
 		So(h.replica.role, ShouldEqual, candidate)
@@ -58,30 +58,36 @@
 		So(h.replica.role, ShouldEqual, leader)
 		So(h.disk.HardState, ShouldResemble, HardState{Term: 2, Vote: memberA})
 	})
-	Convey("A candidate counts no vote of a learner or of another disk at a voter's address", t, func() {
+	Convey("A candidate ignores votes of a learner and of another disk at a voter's address", t, func() {
 		h := newHarness(3, State{})
 		term := h.campaign(memberB)
-		h.step(memberD, voteFor(term))
-		h.step(memberB+"#1", voteFor(term))
+		h.step(memberD, grantedVote(term))
+		h.step(memberB+"#1", grantedVote(term))
 		So(h.replica.role, ShouldEqual, candidate)
-		h.step(memberB, voteFor(term))
+		h.step(memberB, grantedVote(term))
 		So(h.replica.role, ShouldEqual, leader)
 	})
-	Convey("While the membership is joint, votes of both sets are needed", t, func() {
-		joint := Membership{Voters: []MemberID{memberA, memberD, memberE}, Outgoing: []MemberID{memberA, memberB, memberC}}
-		for _, half := range []MemberID{memberB, memberD} {
-			h := newHarness(3, State{Snapshot: Snapshot{Index: 1, Term: 1, Membership: joint}, HardState: HardState{Term: 1}})
+	Convey("With a joint membership, a candidate needs majorities of both sets", t, func() {
+		jointMembership := Membership{
+			Voters:   []MemberID{memberA, memberD, memberE},
+			Outgoing: []MemberID{memberA, memberB, memberC},
+		}
+		for _, firstVoter := range []MemberID{memberB, memberD} {
+			h := newHarness(3, State{
+				Snapshot:  Snapshot{Index: 1, Term: 1, Membership: jointMembership},
+				HardState: HardState{Term: 1},
+			})
 			term := h.campaign(memberB, memberD)
-			h.step(half, voteFor(term))
+			h.step(firstVoter, grantedVote(term))
 			So(h.replica.role, ShouldEqual, candidate)
-			h.step(memberB, voteFor(term))
-			h.step(memberD, voteFor(term))
+			h.step(memberB, grantedVote(term))
+			h.step(memberD, grantedVote(term))
 			So(h.replica.role, ShouldEqual, leader)
 		}
 	})
-	Convey("During a leader's lease no vote is granted, unless that leader asked for the election", t, func() {
+	Convey("During a leader's lease, a vote is granted only in a leadership transfer", t, func() {
 		h := newHarness(3, State{})
-		h.step(memberB, entriesFrom(1, 0, 0, 0))
+		h.step(memberB, appendMessage(1, 0, 0, 0))
 		h.now += MinElectionTimeout / 2
 		So(h.step(memberC, voteRequest(5)), ShouldBeEmpty)
 		So(h.replica.hardState.Term, ShouldEqual, 1)
--- a/internal/mesh/replication/harness_test.go
+++ b/internal/mesh/replication/harness_test.go
@@ -7,28 +7,31 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// Members of the tests that step messages by hand.
 const (
+	// memberA to memberE are the members in tests that pass messages to a replica directly.
 	memberA MemberID = "10.0.0.1:1"
 	memberB MemberID = "10.0.0.2:1"
 	memberC MemberID = "10.0.0.3:1"
 	memberD MemberID = "10.0.0.4:1"
 	memberE MemberID = "10.0.0.5:1"
-	// testCluster is the cluster of these tests.
+	// testCluster is the id of the cluster in these tests.
 	testCluster ClusterID = 77
 )
 
 var allMembers = []MemberID{memberA, memberB, memberC, memberD, memberE}
 
-// harness steps messages by hand through one replica, memberA, whose disk never fails.
+// harness runs a single replica, memberA, on a disk that never fails. Tests pass messages to the
+// replica directly and control its clock.
 type harness struct {
 	replica *Replica
 	disk    State
 	now     time.Duration
-	// committed are the entries that were handed out as committed.
+	// committed holds the committed entries that Ready has returned.
 	committed []Entry
 }
 
+// newHarness starts a replica on disk. Unless the disk has a snapshot, the membership consists of the
+// first size members. With size 0 the replica starts without a membership, as a learner.
 func newHarness(size int, disk State) *harness {
 	disk.ID, disk.Cluster = memberA, testCluster
 	if size > 0 && disk.Snapshot.Index == 0 {
@@ -39,12 +42,12 @@
 	return &harness{replica: r, disk: disk}
 }
 
-// processReady does everything that is ready and returns the messages for each member.
+// processReady does the work of Ready until there is none left, and returns the messages by recipient.
 func (h *harness) processReady() map[MemberID][]Message {
 	sent := map[MemberID][]Message{}
 	for {
-		ready, some := h.replica.Ready(h.now)
-		if !some {
+		ready, ok := h.replica.Ready(h.now)
+		if !ok {
 			return sent
 		}
 		if ready.Persist != nil {
@@ -58,6 +61,7 @@
 	}
 }
 
+// step passes a message to the replica and returns the messages that the replica sends as a result.
 func (h *harness) step(from MemberID, msg Message) map[MemberID][]Message {
 	if msg.Cluster == 0 {
 		msg.Cluster = testCluster
@@ -70,21 +74,23 @@
 	return Message{Term: term, VoteRequest: &VoteRequest{LastIndex: 100, LastTerm: term}}
 }
 
-func voteFor(term Term) Message { return Message{Term: term, VoteResponse: &VoteResponse{}} }
+func grantedVote(term Term) Message { return Message{Term: term, VoteResponse: &VoteResponse{}} }
 
-// appendResponse answers the newest message of the leader.
+// appendResponse returns a response to the newest message of the replica, which is the leader, with
+// the given match index.
 func (h *harness) appendResponse(term Term, index Index) Message {
 	response := AppendResponse{Match: index, SentAt: h.now, ReadRound: h.replica.readRound}
 	return Message{Term: term, AppendResponse: &response}
 }
 
-func entriesFrom(term Term, prev Index, prevTerm Term, commit Index, entries ...Entry) Message {
+func appendMessage(term Term, prev Index, prevTerm Term, commit Index, entries ...Entry) Message {
 	return Message{Term: term, Append: &AppendEntries{
 		Heartbeat: Heartbeat{Commit: commit}, PrevIndex: prev, PrevTerm: prevTerm, Entries: entries,
 	}}
 }
 
-// campaign makes the replica a candidate in the next term, with the pre-votes of granted.
+// campaign makes the replica a candidate in the next term, by means of pre-votes from granted. It
+// returns the term.
 func (h *harness) campaign(granted ...MemberID) Term {
 	h.now += time.Second
 	h.replica.Tick(h.now)
@@ -97,11 +103,12 @@
 	return term
 }
 
-// elect makes the replica the leader, with its first entry committed where commit says so.
+// elect makes the replica the leader with the votes of voters. If commit is set, voters also
+// acknowledge the leader's first entry, so that it is committed. elect returns the term.
 func (h *harness) elect(commit bool, voters ...MemberID) Term {
 	term := h.campaign(voters...)
 	for _, id := range voters {
-		h.step(id, voteFor(term))
+		h.step(id, grantedVote(term))
 	}
 	So(h.replica.role, ShouldEqual, leader)
 	if commit {
@@ -113,7 +120,7 @@
 	return term
 }
 
-// describeState formats everything that a message could change.
+// describeState formats all state of the replica that a message could change.
 func (h *harness) describeState() string {
 	r := h.replica
 	return fmt.Sprint(r.role, r.leader, r.hardState, r.log, r.memberships, r.commit, r.matchedIndex, r.incoming,
--- a/internal/mesh/replication/histories_test.go
+++ b/internal/mesh/replication/histories_test.go
@@ -15,22 +15,22 @@
 )
 
 var (
-	historiesFlag = flag.Int("histories", 300, "how many random histories are played")
-	seedFlag      = flag.Uint64("seed", 0, "play the history of this seed alone")
-	goOnFlag      = flag.Bool("go-on", false, "go on after a history that fails")
-	firstFlag     = flag.Uint64("first", 1, "the seed of the first history")
+	historiesFlag = flag.Int("histories", 300, "number of random histories to simulate")
+	seedFlag      = flag.Uint64("seed", 0, "simulate only the history with this seed")
+	continueFlag  = flag.Bool("go-on", false, "continue after a history fails")
+	firstSeedFlag = flag.Uint64("first", 1, "seed of the first history")
 )
 
-// faultDuration is how long faults are injected in a history.
+// faultDuration is the time for which faults are injected in a history.
 const faultDuration = 7 * time.Second
 
-// playHistory plays one history: its seed decides how many machines there are and which faults occur.
-func playHistory(seed uint64) *simulation {
+// simulateHistory simulates one history. The seed determines the number of machines and the faults.
+func simulateHistory(seed uint64) *simulation {
 	sim := newSimulation(seed, 1+int(seed%2))
 	sim.unboundedFaults = seed%3 == 0
 	sim.targetedFaults = seed%4 < 3
-	oneAtATime := seed%6 == 1 || seed%6 == 2 // so that each replacement is observed to its end
-	if oneAtATime {
+	sequentialFaults := seed%6 == 1 || seed%6 == 2 // each replacement can complete before the next fault
+	if sequentialFaults {
 		sim.targetedFaults = false
 	}
 	if seed%5 == 0 {
@@ -45,15 +45,15 @@
 		}
 	}
 	sim.runClients(40 * time.Millisecond)
-	paces := []time.Duration{250 * time.Millisecond, 800 * time.Millisecond, 2 * time.Second}
-	pace := paces[sim.rng.IntN(len(paces))]
-	if oneAtATime {
+	faultIntervals := []time.Duration{250 * time.Millisecond, 800 * time.Millisecond, 2 * time.Second}
+	faultInterval := faultIntervals[sim.rng.IntN(len(faultIntervals))]
+	if sequentialFaults {
 		sim.run(recoveryTime, sim.isHealthy)
 	}
 	for sim.now < faultDuration && len(sim.violations) == 0 {
-		sim.run(sim.now+sim.randomUpTo(pace), nil)
+		sim.run(sim.now+sim.randomUpTo(faultInterval), nil)
 		sim.injectRandomFault()
-		if oneAtATime {
+		if sequentialFaults {
 			sim.run(sim.now+6*time.Second, nil)
 		}
 		if sim.unboundedFaults && sim.rng.IntN(2) == 0 {
@@ -66,7 +66,7 @@
 	if len(sim.violations) > 0 {
 		return sim
 	}
-	// Faults end by themselves; after the last one everything is healed.
+	// All faults end on their own. After the end of the last fault, the remaining partitions are healed.
 	sim.targetedFaults = false
 	sim.run(max(sim.now, sim.lastFault)+time.Second, nil)
 	sim.healAll()
@@ -77,39 +77,42 @@
 	return sim
 }
 
-// TestHistories plays random histories, 3 and 5 voters in turn.
+// TestHistories simulates random histories with faults, alternately with 3 and 5 voters, and checks the
+// guarantees of the log in each.
 func TestHistories(t *testing.T) {
-	first, last := *firstFlag, *firstFlag+uint64(*historiesFlag)-1
+	first, last := *firstSeedFlag, *firstSeedFlag+uint64(*historiesFlag)-1
 	if *seedFlag != 0 {
 		first, last = *seedFlag, *seedFlag
 	}
 	counts := map[string]int{}
 	for seed := first; seed <= last; seed++ {
-		sim := playHistory(seed)
-		for what, n := range sim.counts {
-			counts[what] += n
+		sim := simulateHistory(seed)
+		for name, n := range sim.counts {
+			counts[name] += n
 		}
-		counts["~ acknowledged"] += len(sim.acknowledged)
-		counts["~ reads"] += sim.completedReads
-		counts["~ terms"] += len(sim.leaders)
+		// "~" sorts the totals after the counters of single events.
+		counts["~ acknowledged commands"] += len(sim.acknowledged)
+		counts["~ completed reads"] += sim.completedReads
+		counts["~ terms with a leader"] += len(sim.leaders)
 		counts["~ contact checks"] += sim.contactChecks
-		counts["~ histories undecided by porcupine"] += sim.undecidedHistories
+		counts["~ histories with unknown linearizability"] += sim.undecidedHistories
 		if len(sim.violations) > 0 {
 			t.Errorf("seed %d: %s", seed, strings.Join(sim.violations, "; "))
-			if !*goOnFlag {
+			if !*continueFlag {
 				break
 			}
 		}
 	}
-	for _, what := range slices.Sorted(maps.Keys(counts)) {
-		t.Logf("%9d %s", counts[what], what)
+	for _, name := range slices.Sorted(maps.Keys(counts)) {
+		t.Logf("%9d %s", counts[name], name)
 	}
 }
 
-// Right after an acknowledgement some machines lose their disks while all others lose power: each
-// machine in turn, and each two of five.
+// TestDiskLostAfterAcknowledgement checks that an acknowledged command survives if, immediately after the
+// acknowledgement, faultTolerance machines or fewer lose their disks and all others lose power. It covers
+// each machine of three, and each machine and each pair of five.
 func TestDiskLostAfterAcknowledgement(t *testing.T) {
-	Convey("Acknowledged commands survive the loss of any tolerated disks while all other machines lose power", t, func() {
+	Convey("Acknowledged commands survive the loss of tolerated disks and a power loss of all others", t, func() {
 		for _, faultTolerance := range []int{1, 2} {
 			size := 2*faultTolerance + 1
 			for a := range size {
@@ -121,7 +124,10 @@
 						sim := newSimulation(seed, faultTolerance)
 						sim.run(5*time.Second, sim.isHealthy)
 						So(sim.isHealthy(), ShouldBeTrue)
-						sim.run(sim.now+2*time.Second, func() bool { sim.proposeEverywhere(); return len(sim.acknowledged) > 0 })
+						sim.run(sim.now+2*time.Second, func() bool {
+							sim.issueClientRequests()
+							return len(sim.acknowledged) > 0
+						})
 						acked := len(sim.acknowledged)
 						lost := []MemberID{sim.machines[a].id, sim.machines[b].id}
 						for i, n := range sim.machines {
@@ -145,11 +151,12 @@
 	})
 }
 
-// The same where machines without a vote are there, which lose power in the same moment as all others: as many disks
-// as tolerated are lost, of voters or of them.
+// TestDiskLostWhileLearnersLosePower checks that an acknowledged command survives if, in a cluster with
+// learners, faultTolerance voters or learners lose their disks and all other machines lose power at the
+// same time.
 func TestDiskLostWhileLearnersLosePower(t *testing.T) {
 	const learners = 3
-	Convey("Acknowledged commands survive, though no machine that kept its disk kept its power", t, func() {
+	Convey("Acknowledged commands survive disk losses while all other voters and learners lose power", t, func() {
 		for _, faultTolerance := range []int{1, 2} {
 			size := 2*faultTolerance + 1 + learners
 			for seed := range uint64(3 * size) {
@@ -161,7 +168,10 @@
 				}
 				sim.run(5*time.Second, nil)
 				So(sim.isHealthy(), ShouldBeTrue)
-				sim.run(sim.now+2*time.Second, func() bool { sim.proposeEverywhere(); return len(sim.acknowledged) > 0 })
+				sim.run(sim.now+2*time.Second, func() bool {
+					sim.issueClientRequests()
+					return len(sim.acknowledged) > 0
+				})
 				So(len(sim.acknowledged), ShouldBeGreaterThan, 0)
 				lost := sim.rng.Perm(size)[:faultTolerance]
 				for i, n := range sim.machines {
@@ -179,25 +189,26 @@
 	})
 }
 
-// A member that was partitioned or frozen raises no term when it returns, and a leader that loses
-// its majority steps down and aborts its callers' requests.
-func TestReturningMemberDisturbsNothing(t *testing.T) {
-	Convey("Given three members with a leader", t, func() {
+// TestReturningMemberIsNotDisruptive checks that a follower does not increment the term when it returns
+// after a pause or a partition, and that a paused leader steps down and aborts its pending requests
+// before any other action.
+func TestReturningMemberIsNotDisruptive(t *testing.T) {
+	Convey("Given a leader and two followers", t, func() {
 		sim := newSimulation(7, 1)
 		sim.run(2*time.Second, nil)
 		id, term := sim.machines[0].replica.Leader()
 		So(id, ShouldNotBeEmpty)
-		lead := sim.machineAt[id.Address()]
-		other := sim.machines[0]
-		if other == lead {
-			other = sim.machines[1]
+		leadingMachine := sim.machineByAddress[id.Address()]
+		followerMachine := sim.machines[0]
+		if followerMachine == leadingMachine {
+			followerMachine = sim.machines[1]
 		}
-		Convey("a follower that was frozen, or doesn't receive the leader's messages, leaves the term as it is", func() {
-			other.frozen = true
+		Convey("a follower that was paused, or does not receive the leader's messages, keeps the term", func() {
+			followerMachine.frozen = true
 			sim.run(sim.now+1900*time.Millisecond, nil)
-			other.frozen = false
-			sim.runMachine(other)
-			sim.cutLink(lead.address, other.address, dropping)
+			followerMachine.frozen = false
+			sim.runMachine(followerMachine)
+			sim.cutLink(leadingMachine.address, followerMachine.address, dropMessages)
 			sim.run(sim.now+3*time.Second, nil)
 			sim.healAllLinks()
 			sim.run(sim.now+2*time.Second, nil)
@@ -207,22 +218,22 @@
 				So(now, ShouldEqual, term)
 			}
 		})
-		Convey("a leader that was frozen steps down before it does anything, and another is elected in time", func() {
-			token, err := sim.proposeTo(lead)
+		Convey("a paused leader steps down before any other action, and is replaced within 1.3 s", func() {
+			token, err := sim.proposeTo(leadingMachine)
 			So(err, ShouldBeNil)
-			index := lead.replica.log.lastIndex()
-			lead.frozen = true
-			since := sim.now
-			sim.run(since+3*time.Second, func() bool {
-				leader, _ := other.replica.Leader()
+			index := leadingMachine.replica.log.lastIndex()
+			leadingMachine.frozen = true
+			frozenAt := sim.now
+			sim.run(frozenAt+3*time.Second, func() bool {
+				leader, _ := followerMachine.replica.Leader()
 				return leader != "" && leader != id
 			})
-			So(sim.now-since, ShouldBeLessThan, 1300*time.Millisecond)
-			now := sim.localTime(lead) + time.Second
-			So(lead.replica.IsLeader(now), ShouldBeFalse)
-			_, err = lead.replica.Read(now)
+			So(sim.now-frozenAt, ShouldBeLessThan, 1300*time.Millisecond)
+			now := sim.localTime(leadingMachine) + time.Second
+			So(leadingMachine.replica.IsLeader(now), ShouldBeFalse)
+			_, err = leadingMachine.replica.Read(now)
 			So(errs.KindOf(err), ShouldEqual, errs.NotLeader)
-			r, _ := lead.replica.Ready(now)
+			r, _ := leadingMachine.replica.Ready(now)
 			So(r.CompletedProposals, ShouldResemble, []Completion{{Token: token, Index: index, Aborted: true}})
 			So(r.Messages, ShouldBeEmpty)
 		})
--- a/internal/mesh/replication/malformed_messages_test.go
+++ b/internal/mesh/replication/malformed_messages_test.go
@@ -9,39 +9,39 @@
 )
 
 func TestMalformedMessagesChangeNothing(t *testing.T) {
-	three := Membership{Voters: allMembers[:3]}
-	chunk := func(change func(*SnapshotChunk)) Message {
-		p := &SnapshotChunk{Header: SnapshotHeader{Index: 9, Term: 1, Membership: three, Size: 4}, Data: []byte("ab")}
-		change(p)
+	threeVoters := Membership{Voters: allMembers[:3]}
+	chunk := func(modify func(*SnapshotChunk)) Message {
+		p := &SnapshotChunk{Header: SnapshotHeader{Index: 9, Term: 1, Membership: threeVoters, Size: 4}, Data: []byte("ab")}
+		modify(p)
 		return Message{Term: 2, SnapshotChunk: p}
 	}
 	encodedMembership := func(data []byte) Message {
-		return entriesFrom(2, 0, 0, 0, Entry{Index: 1, Term: 1, Kind: EntryMembership, Command: data})
+		return appendMessage(2, 0, 0, 0, Entry{Index: 1, Term: 1, Kind: EntryMembership, Command: data})
 	}
 	membership := func(m Membership) Message { return encodedMembership(m.encode()) }
 	cases := map[string]Message{
-		"of another cluster": {
+		"from another cluster": {
 			Cluster: testCluster + 1, Term: 2, VoteRequest: &VoteRequest{LastIndex: 9, LastTerm: 9},
 		},
-		"without a payload":           {Term: 2},
-		"with two payloads":           {Term: 2, VoteRequest: &VoteRequest{}, Append: &AppendEntries{}},
-		"entries with a gap":          entriesFrom(2, 0, 0, 0, Entry{Index: 2, Term: 1}),
-		"entries of a later term":     entriesFrom(2, 0, 0, 0, Entry{Index: 1, Term: 3}),
-		"a truncated membership":      encodedMembership(three.encode()[:9]),
-		"a membership without voters": membership(Membership{}),
-		"one voter twice":             membership(Membership{Voters: []MemberID{memberA, memberB, memberB}}),
-		"two disks at one address":    membership(Membership{Voters: []MemberID{memberA, memberB, memberB + "#2"}}),
-		"a voter without an address":  membership(Membership{Voters: []MemberID{memberA, "10.0.0.2"}}),
-		"one voter twice in the outgoing set": membership(Membership{
+		"without a payload":                {Term: 2},
+		"with two payloads":                {Term: 2, VoteRequest: &VoteRequest{}, Append: &AppendEntries{}},
+		"with a gap in the entries":        appendMessage(2, 0, 0, 0, Entry{Index: 2, Term: 1}),
+		"with entries of a later term":     appendMessage(2, 0, 0, 0, Entry{Index: 1, Term: 3}),
+		"with a truncated membership":      encodedMembership(threeVoters.encode()[:9]),
+		"with a membership without voters": membership(Membership{}),
+		"with a duplicate voter":           membership(Membership{Voters: []MemberID{memberA, memberB, memberB}}),
+		"with two disks at one address":    membership(Membership{Voters: []MemberID{memberA, memberB, memberB + "#2"}}),
+		"with a voter without a port":      membership(Membership{Voters: []MemberID{memberA, "10.0.0.2"}}),
+		"with a duplicate outgoing voter": membership(Membership{
 			Voters: allMembers[:3], Outgoing: []MemberID{memberA, memberA},
 		}),
-		"too many voters":              membership(Membership{Voters: make([]MemberID, maxVoters+1)}),
-		"a snapshot at index 0":        chunk(func(p *SnapshotChunk) { p.Header.Index = 0 }),
-		"a snapshot that is too large": chunk(func(p *SnapshotChunk) { p.Header.Size = maxSnapshotBytes + 1 }),
-		"a snapshot of negative size":  chunk(func(p *SnapshotChunk) { p.Header.Size = -1 }),
-		"a chunk before the beginning": chunk(func(p *SnapshotChunk) { p.Offset = -1 }),
-		"a chunk beyond the end":       chunk(func(p *SnapshotChunk) { p.Offset = 3 }),
-		"a snapshot without voters":    chunk(func(p *SnapshotChunk) { p.Header.Membership = Membership{} }),
+		"with too many voters":              membership(Membership{Voters: make([]MemberID, maxVoters+1)}),
+		"with a snapshot at index 0":        chunk(func(p *SnapshotChunk) { p.Header.Index = 0 }),
+		"with a snapshot that is too large": chunk(func(p *SnapshotChunk) { p.Header.Size = maxSnapshotBytes + 1 }),
+		"with a snapshot of negative size":  chunk(func(p *SnapshotChunk) { p.Header.Size = -1 }),
+		"with a negative chunk offset":      chunk(func(p *SnapshotChunk) { p.Offset = -1 }),
+		"with a chunk beyond the end":       chunk(func(p *SnapshotChunk) { p.Offset = 3 }),
+		"with a snapshot without voters":    chunk(func(p *SnapshotChunk) { p.Header.Membership = Membership{} }),
 	}
 	for name, msg := range cases {
 		Convey("A message "+name+" is counted and changes nothing", t, func() {
@@ -63,8 +63,8 @@
 
 func TestImpossibleResponsesConfirmNothing(t *testing.T) {
 	for name, response := range map[string]AppendResponse{
-		"from the future":                 {Match: 1, SentAt: time.Hour},
-		"to a round that was never begun": {Match: 1, ReadRound: 9},
+		"to a message sent in the future":      {Match: 1, SentAt: time.Hour},
+		"to a read round that has not started": {Match: 1, ReadRound: 9},
 	} {
 		Convey("A response "+name+" is counted and confirms nothing", t, func() {
 			h := newHarness(3, State{})
@@ -82,11 +82,11 @@
 	}
 }
 
-// FuzzStep steps arbitrary messages through a follower, a learner and a leader: none of them panics,
-// nor lowers its term or its commit index.
+// FuzzStep checks that no message makes a follower, a learner or a leader panic, or decreases its term
+// or its commit index.
 func FuzzStep(f *testing.F) {
 	seeds := []Message{
-		voteRequest(3), voteFor(2), entriesFrom(2, 0, 0, 1, Entry{Index: 1, Term: 1, Command: []byte("x")}),
+		voteRequest(3), grantedVote(2), appendMessage(2, 0, 0, 1, Entry{Index: 1, Term: 1, Command: []byte("x")}),
 		{Term: 2, AppendResponse: &AppendResponse{Match: 1 << 60, Rejected: true}},
 		{Term: 2, AppendResponse: &AppendResponse{Match: 1 << 60, ReadRound: 1 << 60}},
 		{Term: 2, SnapshotResponse: &SnapshotResponse{Index: 1, Offset: -1}},
@@ -110,9 +110,9 @@
 			return
 		}
 		msg.Cluster = testCluster
-		for _, votes := range []bool{true, false} {
+		for _, isVoter := range []bool{true, false} {
 			state := State{ID: memberA, Cluster: testCluster, HardState: HardState{Term: 1}}
-			if votes {
+			if isVoter {
 				state.Snapshot.Membership = Membership{Voters: allMembers[:3]}
 			}
 			r, err := NewReplica(ReplicaConfig{State: state}, 0)
@@ -125,9 +125,10 @@
 				r.Step(h.now, memberB, msg)
 				h.processReady()
 				if r.hardState.Term < term || r.commit < commit {
-					t.Fatalf("term %d after %d, commit %d after %d", r.hardState.Term, term, r.commit, commit)
+					t.Fatalf("term is %d after it was %d, commit index is %d after it was %d",
+						r.hardState.Term, term, r.commit, commit)
 				}
-				if i == 1 && votes && r.role != leader {
+				if i == 1 && isVoter && r.role != leader {
 					h.now += time.Second
 					r.startElection(h.now, VoteRequest{})
 					h.processReady()
--- a/internal/mesh/replication/membership_change_test.go
+++ b/internal/mesh/replication/membership_change_test.go
@@ -9,19 +9,19 @@
 )
 
 func TestMembershipChange(t *testing.T) {
-	Convey("Given a leader of three with a learner", t, func() {
+	Convey("Given a leader of three voters with a learner", t, func() {
 		h := newHarness(3, State{})
 		term := h.elect(false, memberB)
-		swapped := []MemberID{memberA, memberB, memberD}
+		newVoters := []MemberID{memberA, memberB, memberD}
 		h.replica.SetLearners(h.now, []MemberID{memberD})
 		h.processReady()
-		Convey("no change begins before an entry of its own term is committed", func() {
-			So(errs.KindOf(h.replica.ChangeMembership(h.now, swapped)), ShouldEqual, errs.Busy)
+		Convey("a change is rejected before an entry of the leader's own term is committed", func() {
+			So(errs.KindOf(h.replica.ChangeMembership(h.now, newVoters)), ShouldEqual, errs.Busy)
 		})
 		h.step(memberB, h.appendResponse(term, 1))
 		h.step(memberC, h.appendResponse(term, 1))
-		Convey("none begins with a learner that isn't caught up, invalid voters, or without the leader", func() {
-			So(errs.KindOf(h.replica.ChangeMembership(h.now, swapped)), ShouldEqual, errs.Busy)
+		Convey("a change is rejected if a new voter lags, voters are invalid, or the leader is excluded", func() {
+			So(errs.KindOf(h.replica.ChangeMembership(h.now, newVoters)), ShouldEqual, errs.Busy)
 			h.step(memberD, h.appendResponse(term, 1))
 			for _, voters := range [][]MemberID{
 				{memberA, memberB, memberB}, {}, {memberA, "nowhere"}, {memberB, memberC, memberD},
@@ -29,14 +29,14 @@
 			} {
 				So(errs.KindOf(h.replica.ChangeMembership(h.now, voters)), ShouldEqual, errs.Invalid)
 			}
-			So(h.replica.ChangeMembership(h.now, swapped), ShouldBeNil)
+			So(h.replica.ChangeMembership(h.now, newVoters), ShouldBeNil)
 		})
-		Convey("a change is committed by both sets, and a second one waits for its end", func() {
+		Convey("a change needs majorities of both sets, and a second change is rejected until its end", func() {
 			h.step(memberD, h.appendResponse(term, 1))
-			So(h.replica.ChangeMembership(h.now, swapped), ShouldBeNil)
-			So(errs.KindOf(h.replica.ChangeMembership(h.now, swapped)), ShouldEqual, errs.Busy)
+			So(h.replica.ChangeMembership(h.now, newVoters), ShouldBeNil)
+			So(errs.KindOf(h.replica.ChangeMembership(h.now, newVoters)), ShouldEqual, errs.Busy)
 			h.processReady()
-			h.step(memberC, h.appendResponse(term, 2)) // a majority of the old set alone
+			h.step(memberC, h.appendResponse(term, 2)) // a majority of the old set only
 			So(h.replica.commit, ShouldEqual, 1)
 			current, committed := h.replica.Membership()
 			So(current.IsJoint(), ShouldBeTrue)
@@ -47,13 +47,13 @@
 			h.step(memberD, h.appendResponse(term, 3))
 			current, committed = h.replica.Membership()
 			So(committed, ShouldBeTrue)
-			So(current.Voters, ShouldResemble, swapped)
+			So(current.Voters, ShouldResemble, newVoters)
 		})
-		Convey("a change doesn't end while only earlier entries are committed", func() {
+		Convey("a change does not end before its joint membership is committed", func() {
 			h.step(memberD, h.appendResponse(term, 1))
 			_, err := h.replica.Propose(h.now, []byte("x"))
 			So(err, ShouldBeNil)
-			So(h.replica.ChangeMembership(h.now, swapped), ShouldBeNil)
+			So(h.replica.ChangeMembership(h.now, newVoters), ShouldBeNil)
 			h.processReady()
 			h.step(memberB, h.appendResponse(term, 2))
 			h.step(memberD, h.appendResponse(term, 2))
@@ -65,9 +65,9 @@
 			current, _ = h.replica.Membership()
 			So(current.IsJoint(), ShouldBeFalse)
 		})
-		Convey("the new set alone commits nothing", func() {
+		Convey("a majority of the new set only does not commit an entry", func() {
 			h.step(memberD, h.appendResponse(term, 1))
-			So(h.replica.ChangeMembership(h.now, swapped), ShouldBeNil)
+			So(h.replica.ChangeMembership(h.now, newVoters), ShouldBeNil)
 			h.processReady()
 			h.step(memberD, h.appendResponse(term, 2))
 			So(h.replica.commit, ShouldEqual, 1)
--- a/internal/mesh/replication/quorum_test.go
+++ b/internal/mesh/replication/quorum_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestQuorum(t *testing.T) {
-	Convey("A majority is more than half, also of an even number", t, func() {
+	Convey("A majority is more than half of the voters, also of an even number of voters", t, func() {
 		for size, need := range []int{0, 1, 2, 2, 3, 3} {
 			m := Membership{Voters: allMembers[:size]}
 			for have := range size + 1 {
@@ -27,7 +27,7 @@
 }
 
 func TestCommit(t *testing.T) {
-	Convey("A leader doesn't commit an entry of an earlier term by counting replicas", t, func() {
+	Convey("A leader commits an entry of an earlier term only together with an entry of its own term", t, func() {
 		old := Entry{Index: 1, Term: 1, Command: []byte("old")}
 		h := newHarness(3, State{HardState: HardState{Term: 1}, Entries: []Entry{old}})
 		term := h.elect(false, memberB)
@@ -36,7 +36,7 @@
 		h.step(memberB, h.appendResponse(term, 2))
 		So(h.replica.commit, ShouldEqual, 2)
 	})
-	Convey("It counts neither learners, nor other disks at a voter's address, nor an earlier term's responses", t, func() {
+	Convey("Responses of learners, of other disks at a voter's address and of earlier terms commit nothing", t, func() {
 		h := newHarness(3, State{})
 		term := h.elect(false, memberB)
 		h.step(memberB+"#1", h.appendResponse(term, 1))
@@ -50,15 +50,15 @@
 		h.step(memberB, h.appendResponse(term, 1))
 		So(h.replica.commit, ShouldEqual, 1)
 	})
-	Convey("A follower applies only entries that are known to equal the leader's", t, func() {
+	Convey("A follower commits only entries that are known to equal the leader's entries", t, func() {
 		entries := []Entry{{Index: 1, Term: 1}, {Index: 2, Term: 1, Command: []byte("other")}}
 		h := newHarness(3, State{HardState: HardState{Term: 1}, Entries: entries})
-		h.step(memberB, entriesFrom(2, 1, 1, 2))
+		h.step(memberB, appendMessage(2, 1, 1, 2))
 		So(h.replica.commit, ShouldEqual, 1)
-		h.step(memberB, entriesFrom(2, 1, 1, 2, Entry{Index: 2, Term: 2, Command: []byte("x")}))
+		h.step(memberB, appendMessage(2, 1, 1, 2, Entry{Index: 2, Term: 2, Command: []byte("x")}))
 		So(string(h.committed[1].Command), ShouldEqual, "x")
 	})
-	Convey("The leader's own disk counts once it is synced", t, func() {
+	Convey("An entry on the leader's own disk counts toward the quorum only after it is synced", t, func() {
 		h := newHarness(3, State{})
 		term := h.elect(true, memberB)
 		_, err := h.replica.Propose(h.now, []byte("x"))
--- a/internal/mesh/replication/simulation_application_test.go
+++ b/internal/mesh/replication/simulation_application_test.go
@@ -5,40 +5,41 @@
 	"time"
 )
 
-// applied is a command and its index.
+// applied is the id of an applied command with its index.
 type applied struct {
 	index Index
 	id    int
 }
 
-// appState is a machine's application: the applied commands, and a register that each of them
-// compares and sets. finished follows lastApplied after applyDelay, as a queue would.
+// appState is the state of a machine's application: the applied commands, and a register that each
+// command compares and sets. finishedIndex follows lastApplied after applyDelay, as if the application
+// processed entries through a queue.
 type appState struct {
-	applied     []applied
-	register    int
-	lastApplied Index
-	finished    Index
-	applyDelay  time.Duration
+	applied       []applied
+	register      int
+	lastApplied   Index
+	finishedIndex Index
+	applyDelay    time.Duration
 }
 
-// trackApplied sets finished to what was applied, after the machine's delay.
+// trackApplied sets finishedIndex to the replica's applied index after the machine's applyDelay.
 func (sim *simulation) trackApplied(n *machine) {
-	index, life := n.replica.Applied(), n.incarnation
+	index, savedIncarnation := n.replica.Applied(), n.incarnation
 	if n.applyDelay == 0 {
-		n.finished = index
+		n.finishedIndex = index
 		return
 	}
 	sim.schedule(n.applyDelay, func() {
-		if n.incarnation == life {
-			n.finished = max(n.finished, index)
+		if n.incarnation == savedIncarnation {
+			n.finishedIndex = max(n.finishedIndex, index)
 		}
 	})
 }
 
-// apply applies an entry as the application would.
+// apply applies a committed entry to a machine's application, and checks the order of the entries.
 func (sim *simulation) apply(n *machine, e Entry) {
 	if n.lastApplied >= e.Index {
-		sim.violation("%s applies %d after %d", n.id, e.Index, n.lastApplied)
+		sim.violation("%s applied index %d after index %d", n.id, e.Index, n.lastApplied)
 	}
 	n.lastApplied = e.Index
 	if e.Kind == EntryMembership {
@@ -54,10 +55,11 @@
 	n.register = sim.commands[a.id].apply(n.register)
 }
 
+// appliedBytes is the size of an encoded applied command: its index and its id.
 const appliedBytes = 16
 
-// snapshot encodes the application's state: the applied commands, and padding that no snapshot at
-// another index has.
+// snapshot encodes the application's state as the number of applied commands, the commands, and padding.
+// The padding repeats the snapshot's index, so that a mix of two snapshots can be detected.
 func (sim *simulation) snapshot(n *machine) []byte {
 	data := make([]byte, 8, 8+len(n.applied)*appliedBytes+sim.snapshotPadding)
 	binary.BigEndian.PutUint64(data, uint64(len(n.applied)))
@@ -71,12 +73,14 @@
 	return data
 }
 
+// restore replaces a machine's application state with that of a snapshot, and checks the snapshot's
+// content.
 func (sim *simulation) restore(n *machine, s *Snapshot) {
-	lag, done := n.applyDelay, n.finished
-	n.appState = appState{applyDelay: lag, finished: done, lastApplied: s.Index}
+	delay, finishedBefore := n.applyDelay, n.finishedIndex
+	n.appState = appState{applyDelay: delay, finishedIndex: finishedBefore, lastApplied: s.Index}
 	data := s.Data
 	if len(data) < 8 || (len(data)-8)/appliedBytes < int(binary.BigEndian.Uint64(data)) {
-		sim.violation("%s: a malformed snapshot of %d bytes", n.id, len(data))
+		sim.violation("%s received a malformed snapshot of %d bytes", n.id, len(data))
 		return
 	}
 	entries := int(binary.BigEndian.Uint64(data))
@@ -90,7 +94,7 @@
 	}
 	for ; len(data) >= 8; data = data[8:] {
 		if got := Index(binary.BigEndian.Uint64(data)); got != s.Index {
-			sim.violation("%s: the snapshot at %d holds a chunk of the one at %d", n.id, s.Index, got)
+			sim.violation("%s: the snapshot at index %d contains data of the snapshot at index %d", n.id, s.Index, got)
 			return
 		}
 	}
--- a/internal/mesh/replication/simulation_checker_test.go
+++ b/internal/mesh/replication/simulation_checker_test.go
@@ -7,30 +7,31 @@
 	"time"
 )
 
-// caughtUpBound is how long after an acknowledgement a healthy voter may lack the entry.
+// caughtUpBound is the maximum time after an acknowledgement in which a healthy voter may lack the
+// entry.
 const caughtUpBound = 500 * time.Millisecond
 
-// acknowledgement says that no entry after index was acknowledged before the time at.
+// acknowledgement records the highest acknowledged index at a time.
 type acknowledgement struct {
 	at    time.Duration
 	index Index
 }
 
-// checker observes what clients and applications see, and records violations of what the log
-// promises.
+// checker records the results that clients receive and the entries that applications apply, and records
+// violations of the log's guarantees.
 type checker struct {
 	commands           []command
 	operations         []*operation
-	acknowledged       map[Index]int // index -> acknowledged command
+	acknowledged       map[Index]int // acknowledged command ids by index
 	acknowledgements   []acknowledgement
-	appliedOrder       []applied             // every applied command, in order
-	foundValues        map[int]int           // command -> the register's value that it found
-	appliedAt          map[int]time.Duration // command -> when it was applied first
+	appliedOrder       []applied             // all applied commands in log order
+	observedValues     map[int]int           // register values before the command, by command id
+	appliedAt          map[int]time.Duration // times of the first application, by command id
 	leaders            map[Term]string
-	memberships        map[Index]Membership // index -> membership that was committed
-	newestMembership   Index                // index of the newest of memberships
+	memberships        map[Index]Membership // committed memberships by index
+	newestMembership   Index                // highest index in memberships
 	diskLost           map[MemberID]bool
-	diskLostAt         time.Duration // the last one
+	diskLostAt         time.Duration // time of the newest disk loss
 	lastAck            time.Duration
 	lastFault          time.Duration
 	lastHealthy        time.Duration
@@ -42,12 +43,13 @@
 
 func newChecker() checker {
 	return checker{
-		acknowledged: map[Index]int{}, foundValues: map[int]int{}, appliedAt: map[int]time.Duration{},
+		acknowledged: map[Index]int{}, observedValues: map[int]int{}, appliedAt: map[int]time.Duration{},
 		leaders:     map[Term]string{},
 		memberships: map[Index]Membership{}, diskLost: map[MemberID]bool{},
 	}
 }
 
+// violation records a violation of the log's guarantees. The simulation ends with the first violation.
 func (sim *simulation) violation(format string, args ...any) {
 	sim.violations = append(sim.violations, fmt.Sprintf("%v: ", sim.now)+fmt.Sprintf(format, args...))
 }
@@ -58,44 +60,47 @@
 	return op
 }
 
-// dropCalls drops the calls of a machine that goes down: their callers never get a result.
+// dropCalls drops the pending calls of a machine that stops. Their callers never receive a result.
 func (sim *simulation) dropCalls(n *machine) {
-	for _, op := range n.reading {
+	for _, op := range n.pendingReads {
 		op.dropped = true
 	}
-	n.proposed, n.reading = nil, nil
+	n.pendingProposals, n.pendingReads = nil, nil
 }
 
-// checkOrder checks that every machine applies a command after the same others.
+// checkOrder checks that all machines apply the same commands in the same order, and no command twice.
 func (sim *simulation) checkOrder(n *machine, a applied) {
 	at := len(n.applied)
 	if at < len(sim.appliedOrder) {
 		if want := sim.appliedOrder[at]; want != a {
-			sim.violation("%s applies command %d at %d instead of command %d at %d", n.id, a.id, a.index, want.id, want.index)
+			sim.violation("%s applied command %d at index %d, expected command %d at index %d",
+				n.id, a.id, a.index, want.id, want.index)
 		}
 		return
 	}
-	if _, twice := sim.foundValues[a.id]; twice {
-		sim.violation("%s applies command %d twice", n.id, a.id)
+	if _, duplicate := sim.observedValues[a.id]; duplicate {
+		sim.violation("%s applied command %d a second time", n.id, a.id)
 	}
 	sim.appliedOrder = append(sim.appliedOrder, a)
-	sim.foundValues[a.id] = n.register
+	sim.observedValues[a.id] = n.register
 	sim.appliedAt[a.id] = sim.now
 }
 
+// recordMembership records a committed membership and checks that all machines apply the same membership
+// at its index.
 func (sim *simulation) recordMembership(n *machine, e *Entry) {
 	m, err := decodeMembership(e.Command)
 	if err != nil {
-		sim.violation("%s applies a malformed membership: %v", n.id, err)
+		sim.violation("%s applied a malformed membership: %v", n.id, err)
 	}
-	if was, ok := sim.memberships[e.Index]; ok && fmt.Sprint(was) != fmt.Sprint(m) {
-		sim.violation("%s applies %v at %d, where another machine applied %v", n.id, m, e.Index, was)
+	if previous, ok := sim.memberships[e.Index]; ok && fmt.Sprint(previous) != fmt.Sprint(m) {
+		sim.violation("%s applied membership %v at index %d, but another machine applied %v", n.id, m, e.Index, previous)
 	}
 	sim.memberships[e.Index] = m
 	sim.newestMembership = max(sim.newestMembership, e.Index)
 }
 
-// acknowledgedBefore returns the last index that was acknowledged before a time.
+// acknowledgedBefore returns the highest index that was acknowledged before a time, or 0.
 func (sim *simulation) acknowledgedBefore(at time.Duration) Index {
 	i := sort.Search(len(sim.acknowledgements), func(i int) bool { return sim.acknowledgements[i].at >= at })
 	if i == 0 {
@@ -104,6 +109,7 @@
 	return sim.acknowledgements[i-1].index
 }
 
+// acknowledge records that a client received the acknowledgement of the command at index.
 func (sim *simulation) acknowledge(index Index, id int) {
 	sim.acknowledged[index] = id
 	sim.lastAck = sim.now
@@ -113,53 +119,55 @@
 	sim.acknowledgements = append(sim.acknowledgements, acknowledgement{sim.now, index})
 }
 
-// completeCalls records the results that callers get.
+// completeCalls records and checks the results that the callers of proposals and reads receive.
 func (sim *simulation) completeCalls(n *machine, r *Ready) {
-	for _, s := range r.CompletedProposals {
-		op := n.proposed[s.Token]
-		delete(n.proposed, s.Token)
-		if s.Aborted || op == nil {
-			sim.count("proposal unclear")
+	for _, completion := range r.CompletedProposals {
+		op := n.pendingProposals[completion.Token]
+		delete(n.pendingProposals, completion.Token)
+		if completion.Aborted || op == nil {
+			sim.count("proposal with unknown outcome")
 			continue
 		}
-		op.completed, op.endedAt, op.value = true, sim.now, sim.foundValues[op.id]
-		at := slices.IndexFunc(n.applied, func(a applied) bool { return a.index == s.Index })
+		op.completed, op.endedAt, op.value = true, sim.now, sim.observedValues[op.id]
+		at := slices.IndexFunc(n.applied, func(a applied) bool { return a.index == completion.Index })
 		if at < 0 || n.applied[at].id != op.id {
-			sim.violation("%s acknowledges command %d at %d, where another command was applied", n.id, op.id, s.Index)
+			sim.violation("%s acknowledged command %d at index %d, but applied another command there",
+				n.id, op.id, completion.Index)
 		}
-		sim.acknowledge(s.Index, op.id)
+		sim.acknowledge(completion.Index, op.id)
 	}
-	for _, s := range r.CompletedReads {
-		op := n.reading[s.Token]
-		delete(n.reading, s.Token)
-		if s.Aborted || op == nil {
+	for _, completion := range r.CompletedReads {
+		op := n.pendingReads[completion.Token]
+		delete(n.pendingReads, completion.Token)
+		if completion.Aborted || op == nil {
 			op.dropped = true
 			continue
 		}
 		sim.completedReads++
 		op.completed, op.endedAt, op.value = true, sim.now, n.register
 		if n.lastApplied < op.minIndex {
-			sim.violation("a read at %s lacks %d, acknowledged before it began", n.id, op.minIndex)
+			sim.violation("read at %s does not include index %d, acknowledged before the read", n.id, op.minIndex)
 		}
 	}
 }
 
-// checkReplica checks a replica's role, id and contact.
+// checkReplica checks that a term has one leader, that a leader is a voter, that no member returns
+// without its disk, and that the replica's contact information is valid.
 func (sim *simulation) checkReplica(n *machine) {
 	r := n.replica
 	now := sim.localTime(n)
 	if r.role == leader {
-		leads := fmt.Sprintf("%s incarnation %d", n.id, n.incarnation)
-		if was, ok := sim.leaders[r.hardState.Term]; ok && was != leads {
-			sim.violation("term %d has two leaders: %s and %s", r.hardState.Term, was, leads)
+		leaderRun := fmt.Sprintf("%s incarnation %d", n.id, n.incarnation)
+		if previous, ok := sim.leaders[r.hardState.Term]; ok && previous != leaderRun {
+			sim.violation("term %d has two leaders: %s and %s", r.hardState.Term, previous, leaderRun)
 		}
-		sim.leaders[r.hardState.Term] = leads
+		sim.leaders[r.hardState.Term] = leaderRun
 		if !r.IsVoter() {
-			sim.violation("%s leads a membership that it isn't in: %v", n.id, r.memberships.current().Membership)
+			sim.violation("leader %s is not a voter of the membership %v", n.id, r.memberships.current().Membership)
 		}
 	}
 	if sim.diskLost[r.id] {
-		sim.violation("%s is back without its disk", r.id)
+		sim.violation("member %s is running after the loss of its disk", r.id)
 	}
 	sim.checkQuorumAck(n)
 	if r.leader != n.contactLeader || r.hardState.Term != n.contactTerm {
@@ -172,37 +180,38 @@
 	sim.checkContact(n)
 }
 
-// checkQuorumAck checks a replica's LastQuorumAck: everything that was acknowledged before that
-// time is applied once the index that goes with it is.
+// checkQuorumAck checks that the index returned by LastQuorumAck includes all entries that were
+// acknowledged before the returned time.
 func (sim *simulation) checkQuorumAck(n *machine) {
 	at, index, ok := n.replica.LastQuorumAck()
 	if !ok {
 		return
 	}
 	at = min(at, sim.localTime(n)) + n.startedAt
-	if needs := sim.acknowledgedBefore(at); needs > index {
-		sim.violation("%s reports index %d for a quorum's confirmation at %v, before which %d was acknowledged",
-			n.id, index, at, needs)
+	if required := sim.acknowledgedBefore(at); required > index {
+		sim.violation("%s reports index %d for a quorum's confirmation at %v, but index %d was acknowledged before",
+			n.id, index, at, required)
 	}
 }
 
-// checkContact checks the same of a node's contact and of what its application has finished.
+// checkContact checks that the application has finished all entries that were acknowledged before the
+// time of the newest contact.
 func (sim *simulation) checkContact(n *machine) {
-	age, ok := n.contact.age(sim.localTime(n), n.finished)
+	age, ok := n.contact.age(sim.localTime(n), n.finishedIndex)
 	if !ok {
 		return
 	}
 	if age < maxContactAge {
 		sim.contactChecks++
 	}
-	if needs := sim.acknowledgedBefore(sim.now - age); needs > n.finished {
-		sim.violation("%s serves as of %v with %d applied, but %d was acknowledged by then",
-			n.id, sim.now-age, n.finished, needs)
+	if required := sim.acknowledgedBefore(sim.now - age); required > n.finishedIndex {
+		sim.violation("%s reports contact as of %v with entries up to %d applied, but %d was acknowledged before",
+			n.id, sim.now-age, n.finishedIndex, required)
 	}
 }
 
-// watch checks at intervals what changes without an event.
-func (sim *simulation) watch() {
+// checkPeriodically checks, every 20 ms, conditions that change with the time alone.
+func (sim *simulation) checkPeriodically() {
 	for _, n := range sim.machines {
 		if n.replica != nil && !n.frozen {
 			sim.checkContact(n)
@@ -211,25 +220,26 @@
 	if sim.isHealthy() {
 		sim.lastHealthy = sim.now
 	}
-	sim.schedule(20*time.Millisecond, sim.watch)
+	sim.schedule(20*time.Millisecond, sim.checkPeriodically)
 }
 
-// isHealthy says that the membership is stable at its full size, with every voter up and caught up.
+// isHealthy reports whether the membership is committed, is not joint and has its target size, and all
+// voters are running and caught up.
 func (sim *simulation) isHealthy() bool {
 	n := sim.leader()
 	if n == nil || n.frozen {
 		return false
 	}
 	membership, committed := n.replica.Membership()
-	if !committed || membership.IsJoint() || len(membership.Voters) != sim.target {
+	if !committed || membership.IsJoint() || len(membership.Voters) != sim.targetSize {
 		return false
 	}
 	for _, id := range membership.Voters {
-		voter := sim.machineAt[id.Address()]
+		voter := sim.machineByAddress[id.Address()]
 		if voter == nil || voter.id != id || voter.replica == nil || voter.frozen || voter.leaving {
 			return false
 		}
-		// While commands are proposed, hardly all voters have the newest entry at the same moment.
+		// While clients propose commands, voters rarely all have the newest entry at the same time.
 		if id != n.id && n.replica.peers[id].match < max(1, sim.acknowledgedBefore(sim.now-caughtUpBound)) {
 			return false
 		}
@@ -237,30 +247,31 @@
 	return true
 }
 
-// checkLiveness checks that commands are committed while no more machines are lost than is tolerated.
+// checkLiveness checks that commands are committed while no more than faultTolerance machines are lost.
 func (sim *simulation) checkLiveness() {
 	if since := max(sim.lastAck, sim.lastFault); sim.now-since > livenessBound {
-		sim.violation("nothing was committed since %v, and the last fault was at %v", sim.lastAck, sim.lastFault)
+		sim.violation("no command was committed since %v, and the last fault ended at %v", sim.lastAck, sim.lastFault)
 	}
 }
 
-// checkRecovery checks, once all faults have ended, that commands are committed, that the membership
-// is healthy again within recoveryTime, and that the machines agree on everything acknowledged.
+// checkRecovery checks, after all faults have ended, that commands are committed within livenessBound,
+// that the membership becomes healthy within recoveryTime after that, and that the final state is
+// consistent.
 func (sim *simulation) checkRecovery() {
 	acked, since := len(sim.acknowledged), sim.now
 	sim.runClients(50 * time.Millisecond)
 	sim.run(since+livenessBound, func() bool { return len(sim.acknowledged) > acked })
 	if len(sim.acknowledged) == acked {
-		sim.violation("nothing was committed within %v of the last fault", livenessBound)
+		sim.violation("no command was committed within %v after the last fault", livenessBound)
 	}
 	bound := livenessBound + recoveryTime
 	if sim.unboundedFaults {
-		// More voters may be lost or leaving than is tolerated: they are replaced one after the other.
+		// More than faultTolerance voters may be lost or leaving. They are replaced one after the other.
 		bound += recoveryTime
 	}
 	sim.run(since+bound, sim.isHealthy)
 	if !sim.isHealthy() {
-		sim.violation("the membership isn't healthy %v after the last fault", bound)
+		sim.violation("the membership is not healthy %v after the last fault", bound)
 	}
 	sim.clientsStopped = true
 	sim.run(sim.now+time.Second, nil)
@@ -269,6 +280,8 @@
 	}
 }
 
+// checkFinalState checks that all voters have applied all commands, that the applied commands include
+// every acknowledged command at its index, and that the history is linearizable.
 func (sim *simulation) checkFinalState() {
 	lead := sim.leader()
 	for _, n := range sim.presentMachines() {
@@ -276,19 +289,19 @@
 			continue
 		}
 		if len(n.applied) != len(sim.appliedOrder) {
-			sim.violation("%s has applied %d of %d commands", n.id, len(n.applied), len(sim.appliedOrder))
+			sim.violation("voter %s has applied %d of %d commands", n.id, len(n.applied), len(sim.appliedOrder))
 		}
 	}
-	placed := map[Index]int{}
+	commandAt := map[Index]int{}
 	for i, a := range sim.appliedOrder {
-		placed[a.index] = a.id
+		commandAt[a.index] = a.id
 		if i > 0 && sim.appliedOrder[i-1].index >= a.index {
-			sim.violation("%d was applied after %d", a.index, sim.appliedOrder[i-1].index)
+			sim.violation("index %d was applied after index %d", a.index, sim.appliedOrder[i-1].index)
 		}
 	}
 	for index, id := range sim.acknowledged {
-		if was, ok := placed[index]; !ok || was != id {
-			sim.violation("command %d was acknowledged at %d, where command %d is", id, index, was)
+		if previous, ok := commandAt[index]; !ok || previous != id {
+			sim.violation("command %d was acknowledged at index %d, but command %d was applied there", id, index, previous)
 		}
 	}
 	if len(sim.violations) == 0 {
--- a/internal/mesh/replication/simulation_faults_test.go
+++ b/internal/mesh/replication/simulation_faults_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// injectTargetedFault sometimes injects a fault right after a message that decides something.
+// injectTargetedFault injects a fault at the sender within 10 ms of an important message, with a
+// probability that depends on the type of the message.
 func (sim *simulation) injectTargetedFault(n *machine, msg *Message) {
 	odds := 0
 	switch {
@@ -19,16 +20,16 @@
 		odds = 6
 	}
 	if odds > 0 && sim.rng.IntN(odds) == 0 {
-		life := n.incarnation
+		savedIncarnation := n.incarnation
 		sim.schedule(sim.randomUpTo(10*time.Millisecond), func() {
-			if n.incarnation == life && sim.targetedFaults {
+			if n.incarnation == savedIncarnation && sim.targetedFaults {
 				sim.injectFaultAt(n)
 			}
 		})
 	}
 }
 
-// injectFaultAt power-cycles a machine, with its disk or without, or changes the partition.
+// injectFaultAt power-cycles a machine, replaces its disk, splits the network or heals all links.
 func (sim *simulation) injectFaultAt(n *machine) {
 	switch sim.rng.IntN(6) {
 	case 0, 1:
@@ -44,16 +45,17 @@
 	}
 }
 
-// recordFault counts a fault, and counts the machine as lost until recoveryTime after the fault's end.
-func (sim *simulation) recordFault(n *machine, what string, duration time.Duration) {
-	sim.count(what)
+// recordFault counts a fault of the given duration. The machine counts as lost until recoveryTime after
+// the end of the fault.
+func (sim *simulation) recordFault(n *machine, name string, duration time.Duration) {
+	sim.count(name)
 	sim.lastFault = max(sim.lastFault, sim.now+duration)
 	if n != nil {
 		n.recoveredAt = max(n.recoveredAt, sim.now+duration+recoveryTime)
 	}
 }
 
-// tolerates says that one more machine may be lost.
+// tolerates reports whether the machine n may be lost in addition to the machines that count as lost.
 func (sim *simulation) tolerates(n *machine) bool {
 	if sim.unboundedFaults {
 		return true
@@ -64,13 +66,13 @@
 			lost++
 		}
 	}
-	size := min(sim.target, len(sim.memberships[sim.newestMembership].Voters))
+	size := min(sim.targetSize, len(sim.memberships[sim.newestMembership].Voters))
 	return lost+1 <= min(sim.faultTolerance, (size-1)/2)
 }
 
-// toleratesDiskLoss says that no membership that may be in force would lose a majority of its disks
-// if this one were a voter's, too. A learner that was lost just now may still be made a voter, so
-// another loss has to wait.
+// toleratesDiskLoss reports whether every membership that may be in force keeps a majority of its disks
+// if the disk of n is lost, assuming that n is a voter. Within 2 s of a disk loss it returns false,
+// because a leader may still make the lost learner a voter.
 func (sim *simulation) toleratesDiskLoss(n *machine) bool {
 	if sim.now < sim.diskLostAt+2*time.Second && sim.diskLostAt > 0 {
 		return false
@@ -91,8 +93,8 @@
 	return true
 }
 
-// membershipsInForce returns those that may be in force on some machine: the newest committed one and
-// all that follow it in a log.
+// membershipsInForce returns the memberships that may be in force on a machine: the newest committed
+// membership, and all memberships after it in the log of any machine, on disk or in memory.
 func (sim *simulation) membershipsInForce() []Membership {
 	inForce := []Membership{sim.memberships[sim.newestMembership]}
 	for _, other := range sim.machines {
@@ -115,7 +117,7 @@
 	return inForce
 }
 
-// powerCycle takes a machine's power away for a while.
+// powerCycle powers a machine off and restarts it after the duration down.
 func (sim *simulation) powerCycle(n *machine, down time.Duration) {
 	if !sim.tolerates(n) || n.removed {
 		return
@@ -125,7 +127,8 @@
 	sim.schedule(down, func() { sim.powerOn(n) })
 }
 
-// loseDisk restarts a machine with an empty disk, as another member.
+// loseDisk restarts a machine with an empty disk under a new member id. In one of three cases all other
+// machines are power-cycled at the same time.
 func (sim *simulation) loseDisk(n *machine) {
 	if !sim.tolerates(n) || !sim.toleratesDiskLoss(n) || n.removed {
 		return
@@ -140,8 +143,8 @@
 	}
 }
 
-// extendRecovery makes lost machines count as lost for longer, because a new leader measures the time
-// without contact from its election.
+// extendRecovery extends the time for which lost machines count as lost. After a fault of all machines
+// a new leader starts anew to measure the time without contact to a voter.
 func (sim *simulation) extendRecovery(duration time.Duration) {
 	sim.lastFault = max(sim.lastFault, sim.now+duration)
 	for _, n := range sim.machines {
@@ -151,24 +154,24 @@
 	}
 }
 
-// powerCycleOthers takes the power of all machines but one away at once.
-func (sim *simulation) powerCycleOthers(but *machine) {
-	sim.count("power lost at once")
+// powerCycleOthers power-cycles all machines except one at the same time.
+func (sim *simulation) powerCycleOthers(except *machine) {
+	sim.count("power lost on all other machines")
 	sim.extendRecovery(600 * time.Millisecond)
 	for _, n := range sim.presentMachines() {
-		if n != but {
+		if n != except {
 			sim.powerOff(n)
 			sim.schedule(sim.randomUpTo(600*time.Millisecond), func() { sim.powerOn(n) })
 		}
 	}
 }
 
-// replaceMachine removes a machine for good and starts a successor after a second.
+// replaceMachine removes a machine permanently and starts a successor after one second.
 func (sim *simulation) replaceMachine(n *machine) {
 	if !sim.tolerates(n) || !sim.toleratesDiskLoss(n) || n.removed {
 		return
 	}
-	sim.recordFault(n, "replaced for good", time.Second)
+	sim.recordFault(n, "machine replaced", time.Second)
 	sim.removeMachine(n)
 	successor := sim.addMachine()
 	sim.emptyDisk(successor)
@@ -176,23 +179,24 @@
 	sim.expectHealthy(sim.now + time.Second)
 }
 
-// removeMachine removes a machine for good.
+// removeMachine removes a machine and its disk permanently.
 func (sim *simulation) removeMachine(n *machine) {
 	sim.powerOff(n)
 	n.removed = true
-	sim.loseID(n.id)
+	sim.recordDiskLoss(n.id)
 }
 
-func (sim *simulation) loseID(id MemberID) {
+// recordDiskLoss records that the disk of a member is lost.
+func (sim *simulation) recordDiskLoss(id MemberID) {
 	sim.diskLost[id] = true
 	sim.diskLostAt = sim.now
 }
 
-// leaveCheckInterval is how often a leaving machine checks whether it has been replaced.
+// leaveCheckInterval is the interval at which a leaving machine checks whether it has been replaced.
 const leaveCheckInterval = 100 * time.Millisecond
 
-// leaveGracefully starts a successor and announces a machine as leaving. The machine stops once it
-// isn't a voter any more, or at the end of its grace period.
+// leaveGracefully starts a successor and announces a machine as leaving. The machine is removed when it
+// is no longer a voter, or at the end of its grace period.
 func (sim *simulation) leaveGracefully(n *machine) {
 	if !sim.tolerates(n) || n.removed || n.leaving {
 		return
@@ -207,12 +211,14 @@
 	sim.schedule(leaveCheckInterval, func() { sim.stopWhenReplaced(n, since) })
 }
 
-// stopWhenReplaced stops a machine that has been leaving since a time, or checks again later.
+// stopWhenReplaced removes a machine that has been leaving since the given time, if it has been replaced
+// or its grace period has ended. Otherwise it schedules the next check.
 func (sim *simulation) stopWhenReplaced(n *machine, since time.Duration) {
 	if n.removed {
 		return
 	}
-	// A leader may act for a while on an earlier announcement and make the leaving learner a voter.
+	// Until the earlier announcement of the machine expires, a leader that has not received the leaving
+	// announcement may make the machine a voter.
 	mayVote := slices.ContainsFunc(sim.membershipsInForce(), func(m Membership) bool { return m.IsVoter(n.id) })
 	replaced := sim.now >= since+announcementTTL && !mayVote
 	inGracePeriod := sim.now < since+recoveryTime
@@ -221,16 +227,16 @@
 		return
 	}
 	if replaced {
-		sim.count("left after its replacement")
+		sim.count("left after replacement")
 	} else {
-		sim.count("left at the end of its grace period")
+		sim.count("left at the end of the grace period")
 	}
 	n.recoveredAt = max(n.recoveredAt, sim.now+recoveryTime)
 	sim.removeMachine(n)
 }
 
-// expectHealthy checks that the membership is healthy within recoveryTime of a successor's start,
-// unless another fault occurs meanwhile.
+// expectHealthy schedules a check that the membership has become healthy within recoveryTime of a
+// successor's start. The check is void if another fault occurs in the meantime.
 func (sim *simulation) expectHealthy(start time.Duration) {
 	if sim.unboundedFaults {
 		return
@@ -239,28 +245,29 @@
 	sim.schedule(start+recoveryTime-sim.now, func() {
 		switch {
 		case sim.disruptiveFaults() != faults || sim.clientsStopped:
-			sim.count("replacement disturbed")
+			sim.count("replacement disrupted by another fault")
 		case sim.lastHealthy <= start:
-			sim.violation("a replacement isn't complete %v after its start at %v", recoveryTime, start)
+			sim.violation("a replacement is not complete %v after the successor's start at %v", recoveryTime, start)
 		default:
 			sim.count("replacement completed in time")
 		}
 	})
 }
 
-// disruptiveFaults counts the faults that disturb a replacement.
+// disruptiveFaults returns the number of faults so far that may delay a replacement.
 func (sim *simulation) disruptiveFaults() int {
 	n := 0
-	for _, what := range []string{
-		"power lost", "disk lost", "power lost at once", "killed at once", "replaced for good", "left gracefully",
-		"frozen", "cut one way", "cut both ways", "split", "disk full", "disk slow", "links degraded",
+	for _, name := range []string{
+		"power lost", "disk lost", "power lost on all other machines", "all processes killed", "machine replaced",
+		"left gracefully", "frozen", "partitioned in one direction", "partitioned in both directions", "split",
+		"disk full", "disk slow", "links degraded",
 	} {
-		n += sim.counts[what]
+		n += sim.counts[name]
 	}
 	return n
 }
 
-// freeze stops a machine's process for a while.
+// freeze pauses a machine's process for the duration d.
 func (sim *simulation) freeze(n *machine, d time.Duration) {
 	if !sim.tolerates(n) || n.replica == nil {
 		return
@@ -273,7 +280,8 @@
 	sim.schedule(d, func() { n.frozen = false; sim.runMachine(n) })
 }
 
-// injectRandomFault injects one fault, half of the time at the leader.
+// injectRandomFault injects one random fault. In half of the cases it affects the leader, if there is
+// one. A fault has no effect if it is not tolerated.
 func (sim *simulation) injectRandomFault() {
 	n := sim.randomMachine()
 	if lead := sim.leader(); lead != nil && sim.rng.IntN(2) == 0 {
@@ -324,21 +332,22 @@
 	}
 }
 
-// partitionFor partitions a machine from all others for a while.
+// partitionFor partitions a machine from all other machines for the duration d.
 func (sim *simulation) partitionFor(n *machine, d time.Duration) {
 	if !sim.tolerates(n) {
 		return
 	}
-	sim.recordFault(n, "links cut", d)
+	sim.recordFault(n, "partitioned from all machines", d)
 	sim.partition(n)
 	sim.schedule(d, func() {
 		sim.healLinks(func(l link) bool { return l.from == n.address || l.to == n.address })
 	})
 }
 
-// killAll ends every process at once; the disks keep their state, and all are back within a second.
+// killAll stops the processes of all machines at the same time. The disks keep their state, and each
+// machine restarts within one second.
 func (sim *simulation) killAll() {
-	sim.count("killed at once")
+	sim.count("all processes killed")
 	sim.extendRecovery(time.Second)
 	for _, n := range sim.presentMachines() {
 		sim.powerOff(n)
@@ -346,7 +355,7 @@
 	}
 }
 
-// healAll ends all faults.
+// healAll ends all faults and prevents further faults.
 func (sim *simulation) healAll() {
 	sim.loss, sim.delay, sim.targetedFaults, sim.healed = 0, 5*time.Millisecond, false, true
 	sim.healAllLinks()
--- a/internal/mesh/replication/simulation_linearizability_test.go
+++ b/internal/mesh/replication/simulation_linearizability_test.go
@@ -6,19 +6,20 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// linearizabilityTimeout bounds porcupine's search in one history.
+// linearizabilityTimeout bounds the time of porcupine's search for one history.
 const linearizabilityTimeout = 10 * time.Second
 
-// command compares a register with a value and sets it.
+// command is a compare-and-set operation: it sets the register to set if the register equals expect.
 type command struct{ expect, set int }
 
-func (c command) apply(register int) int {
-	if register == c.expect {
+func (c command) apply(current int) int {
+	if current == c.expect {
 		return c.set
 	}
-	return register
+	return current
 }
 
+// inputKind is the type of a client's operation.
 type inputKind uint8
 
 const (
@@ -26,27 +27,29 @@
 	readRegister
 )
 
+// input is a client's request. command and id are used only for compareAndSet.
 type input struct {
 	kind inputKind
 	command
 	id int
 }
 
-// operation is what a client did and saw.
+// operation is a client's request with its result.
 type operation struct {
 	input
 	startedAt, endedAt time.Duration
-	// completed says that the client got a result; value is what the read or the command found.
+	// completed is set if the client received a result. value is the register's value that the read
+	// returned, or that the command compared with.
 	completed bool
 	value     int
-	// dropped says that a read got no result.
+	// dropped is set if a read ended without a result.
 	dropped bool
-	// minIndex is the last entry that was acknowledged before a read began.
+	// minIndex is the highest index that was acknowledged before the read started.
 	minIndex Index
 }
 
-// register is the model of what clients see.
-var register = porcupine.Model{
+// registerModel is the sequential specification of the register for porcupine.
+var registerModel = porcupine.Model{
 	Init: func() any { return 0 },
 	Step: func(state, in, out any) (bool, any) {
 		op, value := out.(*operation), state.(int)
@@ -60,28 +63,28 @@
 	},
 }
 
-// checkLinearizable makes porcupine search an order of all operations that explains their results. A
-// command whose client got no result either never happened, and is in no log at the end, or found
-// the value on which the machines agree, between its start and when it was first applied.
+// checkLinearizable checks with porcupine that the history of all operations is linearizable. A command
+// whose client received no result is omitted if no machine has applied it. Otherwise it observed the
+// value recorded at its first application, at some time between its start and that application.
 func (sim *simulation) checkLinearizable() {
 	var history []porcupine.Operation
 	for client, op := range sim.operations {
-		_, happened := sim.foundValues[op.id]
+		_, happened := sim.observedValues[op.id]
 		if op.kind == readRegister && !op.completed || op.kind == compareAndSet && !op.completed && !happened {
 			continue
 		}
 		end := int64(op.endedAt)
 		if !op.completed {
-			op.completed, op.value = true, sim.foundValues[op.id]
+			op.completed, op.value = true, sim.observedValues[op.id]
 			end = int64(max(op.startedAt, sim.appliedAt[op.id]))
 		}
 		history = append(history, porcupine.Operation{
 			ClientId: client, Input: op.input, Call: int64(op.startedAt), Output: op, Return: end,
 		})
 	}
-	switch porcupine.CheckOperationsTimeout(register, history, linearizabilityTimeout) {
+	switch porcupine.CheckOperationsTimeout(registerModel, history, linearizabilityTimeout) {
 	case porcupine.Illegal:
-		sim.violation("the results of %d operations are not linearizable", len(history))
+		sim.violation("the history of %d operations is not linearizable", len(history))
 	case porcupine.Unknown:
 		sim.undecidedHistories++
 	}
--- a/internal/mesh/replication/simulation_machine_test.go
+++ b/internal/mesh/replication/simulation_machine_test.go
@@ -6,60 +6,66 @@
 	"time"
 )
 
-// machine is one core machine, its disk and its application.
+// machine is a simulated core machine with its disk, its replica and its application.
 type machine struct {
 	address string
 	id      MemberID
-	// founder says that the machine is one of the first voters and has its first disk.
-	founder      bool
-	incarnation  int
-	replica      *Replica
-	startedAt    time.Duration
-	frozen       bool
-	waitsForDisk bool
-	saving       *WriteBatch
-	diskFull     bool
-	diskDelay    time.Duration
-	disk         State
-	inbox        []delivery
-	wakeups      int
-	// removed says that the machine never comes back; leaving, that it waits to be replaced.
+	// initialVoter is set if the machine is an initial voter and still has its first disk.
+	initialVoter bool
+	// incarnation counts the starts and stops of the machine's process.
+	incarnation int
+	// replica is nil while the machine has no power.
+	replica        *Replica
+	startedAt      time.Duration
+	frozen         bool
+	waitingForDisk bool
+	batchInFlight  *WriteBatch
+	diskFull       bool
+	diskDelay      time.Duration
+	disk           State
+	inbox          []delivery
+	wakeups        int
+	// removed is set if the machine has been removed permanently. leaving is set while the machine waits
+	// for its replacement before it leaves.
 	removed, leaving bool
-	// recoveredAt is until when the machine counts as lost.
+	// recoveredAt is the time until which the machine counts as lost.
 	recoveredAt time.Duration
 	manageDue   bool
 	announced   map[MemberID]announcement
 	appState
-	contact       contactTracker
-	contactLeader MemberID
-	contactTerm   Term
-	proposed      map[Token]*operation
-	reading       map[Token]*operation
+	contact          contactTracker
+	contactLeader    MemberID
+	contactTerm      Term
+	pendingProposals map[Token]*operation
+	pendingReads     map[Token]*operation
 }
 
-// emptyDisk gives a machine a disk that holds nothing but a new identity.
+// emptyDisk gives a machine an empty disk with a new member id.
 func (sim *simulation) emptyDisk(n *machine) {
 	n.id = NewMemberID(n.address, fmt.Sprintf("%x", sim.rng.Uint32()))
 	n.disk = State{ID: n.id, Cluster: sim.cluster}
 }
 
+// localTime returns the time since the start of the machine's process.
 func (sim *simulation) localTime(n *machine) time.Duration { return sim.now - n.startedAt }
 
-// powerOff loses everything that isn't synced; a write in flight is stored completely or not at all.
+// powerOff stops a machine. Its state that is not synced to disk is lost. A disk write in flight is
+// stored either completely or not at all.
 func (sim *simulation) powerOff(n *machine) {
-	if n.saving != nil {
+	if n.batchInFlight != nil {
 		if sim.rng.IntN(2) == 0 {
-			n.disk.applyBatch(n.saving)
-			sim.count("write in flight kept")
+			n.disk.applyBatch(n.batchInFlight)
+			sim.count("write in flight stored at power loss")
 		} else {
-			sim.count("write in flight dropped")
+			sim.count("write in flight lost at power loss")
 		}
 	}
 	sim.dropCalls(n)
 	n.incarnation++
-	n.replica, n.waitsForDisk, n.saving, n.frozen, n.inbox = nil, false, nil, false, nil
+	n.replica, n.waitingForDisk, n.batchInFlight, n.frozen, n.inbox = nil, false, nil, false, nil
 }
 
+// powerOn starts a machine from its disk, unless it is running or has been removed.
 func (sim *simulation) powerOn(n *machine) {
 	if n.replica != nil || n.removed {
 		return
@@ -67,7 +73,7 @@
 	n.startedAt = sim.now
 	n.incarnation++
 	n.appState = appState{applyDelay: n.applyDelay}
-	n.proposed, n.reading = map[Token]*operation{}, map[Token]*operation{}
+	n.pendingProposals, n.pendingReads = map[Token]*operation{}, map[Token]*operation{}
 	n.announced = map[MemberID]announcement{}
 	n.contact = contactTracker{}
 	n.contactLeader, n.contactTerm = "", 0
@@ -75,26 +81,27 @@
 	state.Entries = slices.Clone(state.Entries)
 	replica, err := NewReplica(ReplicaConfig{State: state, Seed: sim.rng.Uint64()}, 0)
 	if err != nil {
-		sim.violation("%s doesn't start: %v", n.id, err)
+		sim.violation("replica of %s failed to start from its disk: %v", n.id, err)
 		return
 	}
 	n.replica = replica
 	if state.Snapshot.Index > 0 {
 		sim.restore(n, &state.Snapshot)
-		n.finished = state.Snapshot.Index
+		n.finishedIndex = state.Snapshot.Index
 	}
 	sim.runMachine(n)
 }
 
-// replaceDisk gives a machine an empty disk; it comes back as another member.
+// replaceDisk stops a machine and replaces its disk with an empty disk. The machine restarts under a
+// new member id.
 func (sim *simulation) replaceDisk(n *machine) {
 	sim.powerOff(n)
-	n.founder = false
-	sim.loseID(n.id)
+	n.initialVoter = false
+	sim.recordDiskLoss(n.id)
 	sim.emptyDisk(n)
 }
 
-// applyBatch changes the state as saving a batch does.
+// applyBatch applies a batch to the state, as Storage.Save must do.
 func (s *State) applyBatch(p *WriteBatch) {
 	if p.HardState != nil {
 		s.HardState = *p.HardState
@@ -115,9 +122,10 @@
 	}
 }
 
-// runMachine does everything that is due on a machine, unless it is frozen or waits for its disk.
+// runMachine performs all actions that are due on a machine. It has no effect if the machine is powered
+// off, is frozen or waits for a disk write.
 func (sim *simulation) runMachine(n *machine) {
-	if n.replica == nil || n.frozen || n.waitsForDisk {
+	if n.replica == nil || n.frozen || n.waitingForDisk {
 		return
 	}
 	now := sim.localTime(n)
@@ -131,54 +139,58 @@
 	}
 	if n.manageDue {
 		n.manageDue = false
-		sim.manageMembers(n)
+		sim.manageMembership(n)
 	}
 	sim.processReady(n)
 }
 
+// processReady does the work of Ready until there is none left, or until a disk write starts. In the
+// first case it schedules the next call of runMachine.
 func (sim *simulation) processReady(n *machine) {
 	for {
 		now := sim.localTime(n)
-		r, some := n.replica.Ready(now)
-		if !some {
+		r, ok := n.replica.Ready(now)
+		if !ok {
 			break
 		}
 		if r.Persist != nil {
-			n.waitsForDisk, n.saving = true, r.Persist
-			life := n.incarnation
+			n.waitingForDisk, n.batchInFlight = true, r.Persist
+			savedIncarnation := n.incarnation
 			delay := 200*time.Microsecond + sim.randomUpTo(n.diskDelay+4*time.Millisecond)
-			sim.schedule(delay, func() { sim.saveEnded(n, life, r) })
+			sim.schedule(delay, func() { sim.finishSave(n, savedIncarnation, r) })
 			return
 		}
 		sim.finishReady(n, &r)
 	}
 	sim.checkReplica(n)
 	n.wakeups++
-	wakes, life := n.wakeups, n.incarnation
+	scheduledWakeups, savedIncarnation := n.wakeups, n.incarnation
 	wake := n.replica.NextWake()
 	if wake == maxDuration {
 		return
 	}
 	sim.schedule(max(0, wake+n.startedAt-sim.now), func() {
-		if n.wakeups == wakes && n.incarnation == life {
+		if n.wakeups == scheduledWakeups && n.incarnation == savedIncarnation {
 			sim.runMachine(n)
 		}
 	})
 }
 
-func (sim *simulation) saveEnded(n *machine, life int, r Ready) {
-	if n.incarnation != life {
+// finishSave completes a disk write that was started for a Ready, successfully unless the disk is full,
+// and continues the work of the machine.
+func (sim *simulation) finishSave(n *machine, savedIncarnation int, r Ready) {
+	if n.incarnation != savedIncarnation {
 		return
 	}
 	if n.frozen {
-		sim.schedule(20*time.Millisecond, func() { sim.saveEnded(n, life, r) })
+		sim.schedule(20*time.Millisecond, func() { sim.finishSave(n, savedIncarnation, r) })
 		return
 	}
-	n.waitsForDisk, n.saving = false, nil
+	n.waitingForDisk, n.batchInFlight = false, nil
 	if n.diskFull {
-		sim.count("write failed")
+		sim.count("disk write failed")
 		if sim.rng.IntN(2) == 0 {
-			// A failed write may be stored all the same.
+			// A write that reports an error may nevertheless be stored.
 			n.disk.applyBatch(r.Persist)
 		}
 		n.replica.PersistFailed(sim.localTime(n), &r)
@@ -190,7 +202,7 @@
 	sim.runMachine(n)
 }
 
-// finishReady does the rest of a Ready and checks the replica.
+// finishReady does the work of a Ready that follows the disk write, and checks the replica.
 func (sim *simulation) finishReady(n *machine, r *Ready) {
 	for _, e := range r.Messages {
 		sim.send(n, e.To, e.Message)
--- a/internal/mesh/replication/simulation_manager_test.go
+++ b/internal/mesh/replication/simulation_manager_test.go
@@ -6,24 +6,26 @@
 )
 
 const (
-	// manageInterval is how often a leader checks its membership.
+	// manageInterval is the interval at which a leader checks its membership.
 	manageInterval = 100 * time.Millisecond
 	// lastContactThreshold is the time without contact after which a voter is replaced.
 	lastContactThreshold = 2 * time.Second
-	// neverContactedThreshold is the same for a voter that the leader never had contact with.
+	// neverContactedThreshold is the time without contact after which a voter is replaced that has never
+	// answered the leader.
 	neverContactedThreshold = time.Second
-	// announcementTTL is how long an announcement counts.
+	// announcementTTL is the time for which an announcement is valid.
 	announcementTTL = 2 * time.Second
 )
 
-// announcement is the newest one of a machine that a leader has received.
+// announcement is the newest announcement of a member that a machine has received.
 type announcement struct {
 	at      time.Duration
 	leaving bool
 }
 
-// manageEverywhere makes every leader check its membership, as the control plane does.
-func (sim *simulation) manageEverywhere() {
+// manageAllMachines distributes the announcements of all machines and makes every leader check its
+// membership, as the control plane does.
+func (sim *simulation) manageAllMachines() {
 	for _, n := range sim.machines {
 		if n.replica == nil || n.frozen {
 			continue
@@ -36,15 +38,16 @@
 		n.manageDue = true
 		sim.runMachine(n)
 	}
-	sim.schedule(manageInterval, sim.manageEverywhere)
+	sim.schedule(manageInterval, sim.manageAllMachines)
 }
 
-// manageMembers is a simple Planner: learners are all announced machines; below the target size
-// caught-up learners are added so that the number of voters becomes odd; a voter that has a new disk
-// at its address, is leaving or out of contact is replaced by a learner, one at a time.
-func (sim *simulation) manageMembers(n *machine) {
+// manageMembership is a simple model of the Planner in package cluster. All announced members that are
+// neither voters nor leaving become learners. A voter that is leaving, is out of contact or has a new
+// disk at its address is replaced with a caught-up learner, one voter at a time. A membership below its
+// target size is grown with caught-up learners to an odd number of voters.
+func (sim *simulation) manageMembership(n *machine) {
 	r, now := n.replica, sim.localTime(n)
-	if !r.IsLeader(now) || sim.membershipFrozen {
+	if !r.IsLeader(now) || sim.membershipChangesDisabled {
 		return
 	}
 	membership, committed := r.Membership()
@@ -52,26 +55,27 @@
 	if !committed || membership.IsJoint() {
 		return
 	}
-	ready := sim.caughtUpLearners(n)
-	if out := sim.voterToReplace(n, membership); out != "" && len(ready) > 0 {
+	caughtUp := sim.caughtUpLearners(n)
+	if outgoingVoter := sim.voterToReplace(n, membership); outgoingVoter != "" && len(caughtUp) > 0 {
 		voters := slices.Clone(membership.Voters)
-		voters[slices.Index(voters, out)] = successor(ready, membership, out)
+		voters[slices.Index(voters, outgoingVoter)] = successor(caughtUp, membership, outgoingVoter)
 		if r.ChangeMembership(now, voters) == nil {
 			sim.count("voter replaced")
 		}
 		return
 	}
-	// A leader leaves last, so that it transfers leadership to a voter that remains.
-	if n.leaving && len(ready) > 0 && r.TransferLeadership(now) {
+	// A leaving leader transfers leadership only after all other leaving voters are replaced, so that the
+	// next leader is a voter that remains.
+	if n.leaving && len(caughtUp) > 0 && r.TransferLeadership(now) {
 		sim.count("leadership transferred")
 		return
 	}
-	missing := sim.target - len(membership.Voters)
-	grow := min(missing, len(ready))
-	if (len(membership.Voters)+grow)%2 == 0 {
-		grow--
+	missing := sim.targetSize - len(membership.Voters)
+	added := min(missing, len(caughtUp))
+	if (len(membership.Voters)+added)%2 == 0 {
+		added--
 	}
-	if grow > 0 && r.ChangeMembership(now, append(slices.Clone(membership.Voters), ready[:grow]...)) == nil {
+	if added > 0 && r.ChangeMembership(now, append(slices.Clone(membership.Voters), caughtUp[:added]...)) == nil {
 		sim.count("membership grown")
 	}
 }
@@ -89,25 +93,25 @@
 }
 
 func (sim *simulation) caughtUpLearners(n *machine) []MemberID {
-	var ready []MemberID
+	var caughtUp []MemberID
 	for _, p := range n.replica.Progress(sim.localTime(n)) {
 		if !p.IsVoter && p.CaughtUp && p.SinceLastContact <= ContactTimeout {
-			ready = append(ready, p.ID)
+			caughtUp = append(caughtUp, p.ID)
 		}
 	}
-	return ready
+	return caughtUp
 }
 
-// successor returns the learner that replaces a voter: the one at its address, or one at an address
-// that no voter has.
-func successor(ready []MemberID, m Membership, out MemberID) MemberID {
+// successor returns the caught-up learner that replaces outgoingVoter. It prefers a learner at the same
+// address, and then a learner at an address without a voter.
+func successor(caughtUp []MemberID, m Membership, outgoingVoter MemberID) MemberID {
 	taken := map[string]bool{}
 	for _, id := range m.Voters {
 		taken[id.Address()] = true
 	}
-	best := ready[0]
-	for _, id := range ready {
-		if id.Address() == out.Address() {
+	best := caughtUp[0]
+	for _, id := range caughtUp {
+		if id.Address() == outgoingVoter.Address() {
 			return id
 		}
 		if taken[best.Address()] && !taken[id.Address()] {
@@ -117,8 +121,8 @@
 	return best
 }
 
-// voterToReplace returns the next voter to replace, "" for none: first one with a new disk at its
-// address, because that disk can replace no other voter.
+// voterToReplace returns the next voter to replace, or "". A voter with a new disk at its address comes
+// first, because the new disk cannot replace any other voter.
 func (sim *simulation) voterToReplace(n *machine, m Membership) MemberID {
 	sinceContact := map[MemberID]time.Duration{}
 	for _, p := range n.replica.Progress(sim.localTime(n)) {
@@ -140,7 +144,8 @@
 	return ""
 }
 
-// hasNewDisk says that another disk was announced at a member's address since.
+// hasNewDisk reports whether another disk at the member's address was announced more recently than the
+// member.
 func (sim *simulation) hasNewDisk(n *machine, id MemberID) bool {
 	for other, a := range n.announced {
 		if other != id && other.Address() == id.Address() && a.at > n.announced[id].at {
--- a/internal/mesh/replication/simulation_network_test.go
+++ b/internal/mesh/replication/simulation_network_test.go
@@ -2,29 +2,34 @@
 
 import "time"
 
-// link is a direction between two addresses.
+// link is the connection from one address to another, in one direction.
 type link struct{ from, to string }
 
-// partitionKind says what happens to messages on a link that is cut.
+// partitionKind is the treatment of messages on a cut link.
 type partitionKind uint8
 
 const (
-	// dropping loses them.
-	dropping partitionKind = iota + 1
-	// holding keeps them until the link is healed, as connections do that survive.
-	holding
+	// dropMessages loses the messages.
+	dropMessages partitionKind = iota + 1
+	// holdMessages delivers the messages after the link is healed, like a TCP connection that survives
+	// the partition.
+	holdMessages
 )
 
-// maxHeldMessages bounds what a link holds, as a connection's buffers do.
+// maxHeldMessages bounds the messages that a cut link holds, like the buffers of a TCP connection.
 const maxHeldMessages = 64
 
-// network is the links between the machines.
+// network is the state of the links between the machines.
 type network struct {
-	cut   map[link]partitionKind
-	held  map[link][]func()
-	loss  float64
+	cut map[link]partitionKind
+	// held contains the delivery functions of the messages that cut links hold.
+	held map[link][]func()
+	// loss is the probability that a message is lost or duplicated.
+	loss float64
+	// delay is the maximum random latency of a message, in addition to 1 ms.
 	delay time.Duration
-	// bitsPerSecond is a link's rate, 0 for no bound; freeAt is when a link has sent everything.
+	// bitsPerSecond is the bandwidth of a link, or 0 if it is unlimited. freeAt is the time at which a
+	// link has transmitted all its messages.
 	bitsPerSecond int
 	freeAt        map[link]time.Duration
 }
@@ -36,8 +41,8 @@
 	}
 }
 
-// send carries a message: late, twice, out of order, or not at all. Whichever member is at the
-// receiver's address on arrival gets it, as with the transport.
+// send sends a message. The message may be delayed, duplicated, reordered or lost. It is delivered to
+// the member that runs at the recipient's address at the time of arrival, as with Transport.
 func (sim *simulation) send(n *machine, to MemberID, msg Message) {
 	copies := 1
 	if sim.loss > 0 && sim.rng.Float64() < sim.loss {
@@ -47,41 +52,44 @@
 	if sim.targetedFaults {
 		sim.injectTargetedFault(n, &msg)
 	}
-	from, way := n.id, link{n.address, to.Address()}
+	from, route := n.id, link{n.address, to.Address()}
 	for range copies {
-		late := time.Millisecond + sim.randomUpTo(sim.delay)
+		latency := time.Millisecond + sim.randomUpTo(sim.delay)
 		if sim.targetedFaults && sim.rng.IntN(30) == 0 {
-			late += sim.randomUpTo(1500 * time.Millisecond)
-			sim.count("message late")
+			latency += sim.randomUpTo(1500 * time.Millisecond)
+			sim.count("message delayed")
 		}
 		if sim.bitsPerSecond > 0 {
 			transmission := time.Duration(linkBytes(&msg)) * 8 * time.Second / time.Duration(sim.bitsPerSecond)
-			sim.freeAt[way] = max(sim.freeAt[way], sim.now) + transmission
-			late += sim.freeAt[way] - sim.now
+			sim.freeAt[route] = max(sim.freeAt[route], sim.now) + transmission
+			latency += sim.freeAt[route] - sim.now
 		}
-		sim.schedule(late, func() { sim.arriveOn(way, func() { sim.deliver(from, way.to, msg) }) })
+		sim.schedule(latency, func() { sim.arriveOn(route, func() { sim.deliver(from, route.to, msg) }) })
 	}
 }
 
-// linkBytes is about how many bytes a message takes on a link: a third more than in memory, and
-// headers.
+// linkBytes returns the approximate size of a message on a link. The encoded payload is a third larger
+// than in memory, and the headers have about 300 bytes.
 func linkBytes(msg *Message) int { return msg.payloadBytes()*4/3 + 300 }
 
-// arriveOn delivers a message through a link, unless the link is cut by now.
-func (sim *simulation) arriveOn(way link, deliver func()) {
-	switch sim.cut[way] {
-	case dropping:
-	case holding:
-		if len(sim.held[way]) < maxHeldMessages {
-			sim.held[way] = append(sim.held[way], deliver)
+// arriveOn delivers a message at the end of its transmission over a link. If the link is cut, the
+// message is lost or held instead.
+func (sim *simulation) arriveOn(route link, deliver func()) {
+	switch sim.cut[route] {
+	case dropMessages:
+	case holdMessages:
+		if len(sim.held[route]) < maxHeldMessages {
+			sim.held[route] = append(sim.held[route], deliver)
 		}
 	default:
 		deliver()
 	}
 }
 
+// deliver adds a message to the inbox of the machine at an address. The message is lost if the machine
+// has no power.
 func (sim *simulation) deliver(from MemberID, to string, msg Message) {
-	n := sim.machineAt[to]
+	n := sim.machineByAddress[to]
 	if n == nil || n.replica == nil {
 		return
 	}
@@ -99,20 +107,21 @@
 	}
 }
 
-// healLinks heals the cut links for which ends is true; held messages are delivered in any order.
+// healLinks heals the cut links for which ends returns true. The messages that they hold are delivered
+// in random order.
 func (sim *simulation) healLinks(ends func(link) bool) {
 	for _, from := range sim.machines {
 		for _, to := range sim.machines {
-			way := link{from.address, to.address}
-			if sim.cut[way] == 0 || !ends(way) {
+			route := link{from.address, to.address}
+			if sim.cut[route] == 0 || !ends(route) {
 				continue
 			}
-			delete(sim.cut, way)
-			for _, deliver := range sim.held[way] {
-				sim.count("message held")
-				sim.schedule(sim.randomUpTo(30*time.Millisecond), func() { sim.arriveOn(way, deliver) })
+			delete(sim.cut, route)
+			for _, deliver := range sim.held[route] {
+				sim.count("held message delivered")
+				sim.schedule(sim.randomUpTo(30*time.Millisecond), func() { sim.arriveOn(route, deliver) })
 			}
-			delete(sim.held, way)
+			delete(sim.held, route)
 		}
 	}
 }
@@ -125,30 +134,31 @@
 
 func (sim *simulation) randomPartitionKind() partitionKind {
 	if sim.rng.IntN(2) == 0 {
-		return dropping
+		return dropMessages
 	}
-	return holding
+	return holdMessages
 }
 
-// partition cuts the links between a machine and all others, in both directions or in one.
+// partition cuts the links between a machine and all other machines, in one or in both directions.
 func (sim *simulation) partition(n *machine) {
-	kind, ways := sim.randomPartitionKind(), sim.rng.IntN(4)
-	if ways < 2 {
-		sim.count("cut one way")
+	kind, directions := sim.randomPartitionKind(), sim.rng.IntN(4)
+	if directions < 2 {
+		sim.count("partitioned in one direction")
 	} else {
-		sim.count("cut both ways")
+		sim.count("partitioned in both directions")
 	}
 	for _, other := range sim.machines {
-		if ways != 0 {
+		if directions != 0 {
 			sim.cutLink(n.address, other.address, kind)
 		}
-		if ways != 1 {
+		if directions != 1 {
 			sim.cutLink(other.address, n.address, kind)
 		}
 	}
 }
 
-// splitNetwork partitions the machines into two random sides.
+// splitNetwork replaces all current partitions with one that divides the machines into two random
+// sides.
 func (sim *simulation) splitNetwork() {
 	sim.count("split")
 	side, kind := map[string]bool{}, sim.randomPartitionKind()
--- a/internal/mesh/replication/snapshot_test.go
+++ b/internal/mesh/replication/snapshot_test.go
@@ -16,7 +16,7 @@
 			Offset: offset, Data: []byte(data),
 		}}
 	}
-	Convey("Chunks of two snapshots are never combined, even where the checksum would be right", t, func() {
+	Convey("Chunks of two snapshots are never combined, even if the checksum of the result is correct", t, func() {
 		h := newHarness(0, State{})
 		sent := h.step(memberB, chunk(5, 1, 0, "aa", 4))
 		So(sent[memberB][0].SnapshotResponse.Offset, ShouldEqual, 2)
@@ -25,7 +25,7 @@
 		So(sent[memberB][0].SnapshotResponse.Offset, ShouldEqual, 0)
 		So(h.disk.Snapshot.Index, ShouldEqual, 0)
 	})
-	Convey("A snapshot with a wrong checksum isn't installed, and is requested from its beginning", t, func() {
+	Convey("A snapshot with a wrong checksum is dropped and requested again from offset 0", t, func() {
 		h := newHarness(0, State{})
 		h.step(memberB, chunk(5, xxhash.Sum64String("aabb"), 0, "aa", 4))
 		sent := h.step(memberB, chunk(5, xxhash.Sum64String("aabb"), 2, "bc", 4))
