--- a/internal/mesh/replication/deliveries.go
+++ b/internal/mesh/replication/deliveries.go
@@ -45,6 +45,8 @@
 	return nil
 }
 
+// enqueue adds a delivery to the inbox and wakes the loop. If the inbox is full, enqueue drops the oldest
+// delivery and ends its exchange without messages.
 func (n *Node) enqueue(d delivery) {
 	d.arrivedAt = n.now()
 	n.mu.Lock()
--- a/internal/mesh/replication/election.go
+++ b/internal/mesh/replication/election.go
@@ -23,6 +23,7 @@
 	r.requestVotes(r.hardState.Term, request)
 }
 
+// requestVotes sends a vote request or a pre-vote request for term to all other voters.
 func (r *Replica) requestVotes(term Term, request VoteRequest) {
 	request.LastIndex, request.LastTerm = r.log.lastIndex(), r.log.lastTerm()
 	for _, id := range r.memberships.current().AllVoters() {
@@ -72,6 +73,8 @@
 	}
 }
 
+// answerPreVote grants a pre-vote if the term is new, no leader lease is valid and the candidate's log is
+// up-to-date.
 func (r *Replica) answerPreVote(now time.Duration, from MemberID, term Term, request *VoteRequest) {
 	if term > r.hardState.Term && !r.hasLeaderLease(now) && r.isLogUpToDate(request) {
 		r.send(from, Message{Term: term, VoteResponse: &VoteResponse{PreVote: true}})
@@ -80,6 +83,8 @@
 	r.send(from, Message{VoteResponse: &VoteResponse{PreVote: true, Rejected: true}})
 }
 
+// answerVote grants or rejects a vote. A request for a later term is ignored while a leader lease is
+// valid, unless the leader requested the election in order to transfer leadership.
 func (r *Replica) answerVote(now time.Duration, from MemberID, term Term, request *VoteRequest) {
 	if term > r.hardState.Term {
 		if r.hasLeaderLease(now) && !request.Transfer {
@@ -98,6 +103,8 @@
 	r.send(from, Message{VoteResponse: &VoteResponse{Rejected: !granted}})
 }
 
+// stepVoteResponse counts a granted vote or pre-vote of the current election. A rejection with a higher
+// term makes the replica a follower in that term.
 func (r *Replica) stepVoteResponse(now time.Duration, from MemberID, term Term, response *VoteResponse) {
 	if response.Rejected {
 		if term > r.hardState.Term {
--- a/internal/mesh/replication/histories_test.go
+++ b/internal/mesh/replication/histories_test.go
@@ -66,7 +66,8 @@
 	if len(sim.violations) > 0 {
 		return sim
 	}
-	// All faults end on their own. After the end of the last fault, the remaining partitions are healed.
+	// Each fault ends after its duration. One second after the last fault, healAll ends what remains, such
+	// as partitions without a duration.
 	sim.targetedFaults = false
 	sim.run(max(sim.now, sim.lastFault)+time.Second, nil)
 	sim.healAll()
--- a/internal/mesh/replication/membership_change.go
+++ b/internal/mesh/replication/membership_change.go
@@ -25,7 +25,7 @@
 	next := Membership{Voters: slices.Sorted(slices.Values(voters)), Outgoing: current.Voters}
 	switch {
 	case r.role != leader || r.storageFailed:
-		return errs.New(errs.NotLeader, "replication: %s isn't the leader", r.id)
+		return errs.New(errs.NotLeader, "replication: %s is not the leader or cannot write to its disk", r.id)
 	case !r.hasCommittedInTerm():
 		return errs.New(errs.Busy, "replication: current term has no committed entry")
 	case current.IsJoint() || current.index > r.commit:
@@ -51,6 +51,8 @@
 	return nil
 }
 
+// appendMembership appends an entry with a membership to the leader's log and puts the membership in
+// force.
 func (r *Replica) appendMembership(now time.Duration, m Membership) {
 	entry := Entry{
 		Index:   r.log.lastIndex() + 1,
--- a/internal/mesh/replication/progress.go
+++ b/internal/mesh/replication/progress.go
@@ -12,7 +12,7 @@
 	// Match is the index of the last entry known to be synced on the peer.
 	Match Index
 	// SinceLastContact is the time since the leader sent the newest message that the peer has
-	// answered.
+	// answered. If the peer has answered none, it is the time since the leader added the peer.
 	SinceLastContact time.Duration
 	// CaughtUp reports whether the peer has synced all committed entries.
 	CaughtUp bool
@@ -26,7 +26,8 @@
 	// resendAt is the time at which unacknowledged entries or chunks are sent again. It is 0 if none
 	// are in flight.
 	resendAt time.Duration
-	// lastContact is the time at which the newest message that the peer has answered was sent.
+	// lastContact is the time at which the newest message that the peer has answered was sent. Until
+	// the first answer it is the time at which the peer was added.
 	lastContact time.Duration
 	// clock is the peer's clock reading from its newest response.
 	clock ClockReading
@@ -111,7 +112,8 @@
 
 // recordResponse updates the progress of a member that has answered this leader, and returns that
 // progress. It returns nil if the response must be ignored: this replica is not the leader of the
-// response's term, the sender is not a peer, or no message that was sent can have had this answer.
+// response's term, the sender is not a peer, or the response answers a message that this leader cannot
+// have sent. A response of a higher term makes the replica a follower in that term.
 func (r *Replica) recordResponse(
 	now time.Duration, from MemberID, term Term, sentAt time.Duration, round ReadRound, clock ClockReading,
 ) *progress {
--- a/internal/mesh/replication/replicate.go
+++ b/internal/mesh/replication/replicate.go
@@ -57,6 +57,7 @@
 	return resendTimeout + resendTimeoutPerMiB*time.Duration(bytes>>10)/(1<<10)
 }
 
+// sendAppend sends the entries that follow prev, or a heartbeat if there are none.
 func (r *Replica) sendAppend(now time.Duration, id MemberID, p *progress, prev Index, entries []Entry) {
 	term, _ := r.log.term(prev)
 	r.send(id, Message{Append: &AppendEntries{
--- a/internal/mesh/replication/simulation_checker_test.go
+++ b/internal/mesh/replication/simulation_checker_test.go
@@ -32,12 +32,12 @@
 	newestMembership   Index                // highest index in memberships
 	diskLost           map[MemberID]bool
 	diskLostAt         time.Duration // time of the newest disk loss
-	lastAck            time.Duration
-	lastFault          time.Duration
-	lastHealthy        time.Duration
+	lastAck            time.Duration // time of the newest acknowledgement
+	lastFault          time.Duration // end of the fault that ends last
+	lastHealthy        time.Duration // newest time at which isHealthy returned true
 	completedReads     int
-	contactChecks      int
-	undecidedHistories int
+	contactChecks      int // checks of a contact age below maxContactAge
+	undecidedHistories int // histories on which porcupine timed out
 	violations         []string
 }
 
@@ -54,6 +54,7 @@
 	sim.violations = append(sim.violations, fmt.Sprintf("%v: ", sim.now)+fmt.Sprintf(format, args...))
 }
 
+// beginOperation adds a client's request to the history and returns its operation.
 func (sim *simulation) beginOperation(in input) *operation {
 	op := &operation{input: in, startedAt: sim.now}
 	sim.operations = append(sim.operations, op)
--- a/internal/mesh/replication/simulation_faults_test.go
+++ b/internal/mesh/replication/simulation_faults_test.go
@@ -8,6 +8,7 @@
 // injectTargetedFault injects a fault at the sender within 10 ms of an important message, with a
 // probability that depends on the type of the message.
 func (sim *simulation) injectTargetedFault(n *machine, msg *Message) {
+	// The probability of a fault is 1/odds.
 	odds := 0
 	switch {
 	case msg.VoteRequest != nil && !msg.VoteRequest.PreVote:
--- a/internal/mesh/replication/simulation_machine_test.go
+++ b/internal/mesh/replication/simulation_machine_test.go
@@ -15,24 +15,31 @@
 	// incarnation counts the starts and stops of the machine's process.
 	incarnation int
 	// replica is nil while the machine has no power.
-	replica        *Replica
-	startedAt      time.Duration
-	frozen         bool
+	replica   *Replica
+	startedAt time.Duration
+	// frozen is set while the machine's process is paused.
+	frozen bool
+	// waitingForDisk is set while the disk write of batchInFlight is in progress.
 	waitingForDisk bool
 	batchInFlight  *WriteBatch
-	diskFull       bool
-	diskDelay      time.Duration
-	disk           State
-	inbox          []delivery
-	wakeups        int
+	// diskFull makes all disk writes fail. diskDelay is the maximum additional time of a disk write.
+	diskFull  bool
+	diskDelay time.Duration
+	disk      State
+	inbox     []delivery
+	// wakeups counts the scheduled calls of runMachine. Only the newest one takes effect.
+	wakeups int
 	// removed is set if the machine has been removed permanently. leaving is set while the machine waits
 	// for its replacement before it leaves.
 	removed, leaving bool
 	// recoveredAt is the time until which the machine counts as lost.
 	recoveredAt time.Duration
-	manageDue   bool
-	announced   map[MemberID]announcement
+	// manageDue is set when the machine must check its membership in the next runMachine.
+	manageDue bool
+	// announced holds the newest announcement of each member that this machine has received.
+	announced map[MemberID]announcement
 	appState
+	// contact tracks the confirmations of contactLeader in contactTerm.
 	contact          contactTracker
 	contactLeader    MemberID
 	contactTerm      Term
