--- a/internal/fleet/maintenance.go
+++ b/internal/fleet/maintenance.go
@@ -59,7 +59,7 @@
 	}
 	if w.load.Due(p.now) {
 		all, passed := w.site.Handled()
-		w.load.Count(p.now, all, passed)
+		w.load.Record(p.now, all, passed)
 	}
 	unconfirmed := w.clearance.Unconfirmed(p.node.MaintenanceState())
 	if len(unconfirmed) == 0 || w.idleCheckPending {
--- a/internal/fleet/maintenance/bounds.go
+++ b/internal/fleet/maintenance/bounds.go
@@ -8,14 +8,14 @@
 	"time"
 )
 
-// Bounds are how many machines may be out at once. Those left out don't bind.
+// Bounds limits how many machines may be out of service at the same time. A nil Bound imposes no limit.
 type Bounds struct {
 	Fleet *Bound `toml:"fleet"`
-	Zone  *Bound `toml:"zone"` // in each
-	Cell  *Bound `toml:"cell"`
+	Zone  *Bound `toml:"zone"` // applied to each zone separately
+	Cell  *Bound `toml:"cell"` // applied to each cell separately
 }
 
-// Bound is a number of machines, or a share of them in percent, rounded down.
+// Bound is either a number of machines (Count > 0) or a percentage of the machines in its scope, rounded down.
 type Bound struct {
 	Count   int
 	Percent float64
@@ -23,40 +23,40 @@
 
 // UnmarshalText parses "2" or "10%".
 func (b *Bound) UnmarshalText(text []byte) error {
-	s := string(text)
-	if share, is := strings.CutSuffix(s, "%"); is {
-		p, err := strconv.ParseFloat(share, 64)
-		if err != nil || !(p > 0 && p <= 100) {
-			return fmt.Errorf("%q is no share: above 0%% and at most 100%%", s)
+	value := string(text)
+	if number, isPercentage := strings.CutSuffix(value, "%"); isPercentage {
+		percent, err := strconv.ParseFloat(number, 64)
+		if err != nil || !(percent > 0 && percent <= 100) {
+			return fmt.Errorf("%q is no share: above 0%% and at most 100%%", value)
 		}
-		*b = Bound{Percent: p}
+		*b = Bound{Percent: percent}
 		return nil
 	}
-	n, err := strconv.Atoi(s)
-	if err != nil || n < 1 || n > maxMachines {
-		return fmt.Errorf("%q is no bound: a number from 1 to %d, or a share such as \"10%%\"", s, maxMachines)
+	count, err := strconv.Atoi(value)
+	if err != nil || count < 1 || count > maxMachines {
+		return fmt.Errorf("%q is no bound: a number from 1 to %d, or a share such as \"10%%\"", value, maxMachines)
 	}
-	*b = Bound{Count: n}
+	*b = Bound{Count: count}
 	return nil
 }
 
-// limit returns the bound for n machines; a nil Bound does not bind.
-func (b *Bound) limit(n int) int {
+// limit returns how many of total machines may be out; a nil Bound allows any number.
+func (b *Bound) limit(total int) int {
 	switch {
 	case b == nil:
 		return math.MaxInt
 	case b.Count > 0:
 		return b.Count
 	}
-	return int(b.Percent / 100 * float64(n))
+	return int(b.Percent / 100 * float64(total))
 }
 
-// Duration is a duration as operators write it, such as "30m".
+// Duration is a time.Duration that is written in plans as text, such as "30m".
 type Duration time.Duration
 
-// UnmarshalText parses a duration.
+// UnmarshalText parses text in the format of time.ParseDuration.
 func (d *Duration) UnmarshalText(text []byte) error {
-	t, err := time.ParseDuration(string(text))
-	*d = Duration(t)
+	parsed, err := time.ParseDuration(string(text))
+	*d = Duration(parsed)
 	return err
 }
--- a/internal/fleet/maintenance/history_test.go
+++ b/internal/fleet/maintenance/history_test.go
@@ -10,35 +10,38 @@
 )
 
 var (
-	seed      = flag.Uint64("seed", 0, "play the history of this seed alone")
-	histories = flag.Int("histories", 150, "how many are played")
+	seed      = flag.Uint64("seed", 0, "run only the history of this seed")
+	histories = flag.Int("histories", 150, "number of histories to run")
 )
 
-// history is a fleet's log, and those who write to it: leaders of rising terms, of which the
-// earlier ones may go on thinking that they lead, and operators. What they propose comes late,
-// twice or never, as the log has it where a leader is lost on the way.
+// history is a random run of a fleet's log and of those that propose entries to it: operators, and leaders of
+// rising terms, of which former ones may still believe that they lead. Proposals are delayed, duplicated or lost,
+// as happens when a leader fails on the way.
 type history struct {
-	rng       *rand.Rand
-	now       time.Duration
-	log       []Step
-	late      []proposal
-	leaders   []*reader
-	machines  []Machine
-	plans     map[[32]byte]*Plan
-	bounds    map[uint32]*Plan // by number
-	state     State            // of the whole log
-	broken    []string
-	counts    map[string]int
-	downUntil []time.Duration
-	working   map[uint32]time.Duration // turns that somebody works on, until when
-	calm      bool
-	term      uint64          // the highest that has begun, by the entries alone
-	phase     map[uint32]Kind // of each turn, by the entries alone
-	paused    map[uint32]bool // plans
-	lastTurn  uint32
-	turns     map[[2]uint64]int // by plan and machine: ones that were not withdrawn
-	given     map[uint32]Step
-	traffic   float64
+	rng          *rand.Rand
+	now          time.Duration
+	log          []Step
+	inFlight     []proposal
+	leaders      []*replica
+	machines     []Machine
+	plans        map[[32]byte]*Plan
+	planByNumber map[uint32]*Plan
+	state        State // after the whole log
+	violations   []string
+	counts       map[string]int
+	downUntil    []time.Duration          // by machine index
+	workUntil    map[uint32]time.Duration // by number of a window on whose machine an operator works
+	calm         bool                     // no faults are injected any more
+
+	// The fields below follow from the accepted entries alone, without State.
+	term        uint64          // the highest term that has begun
+	lastKind    map[uint32]Kind // last entry about each window
+	paused      map[uint32]bool // by plan number
+	lastWindow  uint32
+	windowCount map[[2]uint64]int // windows that were not withdrawn, by plan and machine
+	opened      map[uint32]Step   // the Opened entry of each window
+
+	traffic float64
 }
 
 type proposal struct {
@@ -46,256 +49,259 @@
 	Step
 }
 
-// reader is a leader, and how much of the log it has.
-type reader struct {
+// replica is a leader with its copy of the log.
+type replica struct {
 	*Leader
-	have    int
-	state   State
-	stopped time.Duration
-	deaf    bool // it hears no more of the log, and goes on
+	applied      int // number of entries of the log that this replica has applied
+	state        State
+	stoppedUntil time.Duration
+	partitioned  bool // receives no more entries, but continues to lead
 }
 
-func (h *history) say(format string, args ...any) {
-	h.broken = append(h.broken, fmt.Sprintf("%v: ", h.now)+fmt.Sprintf(format, args...))
+func (h *history) addViolation(format string, args ...any) {
+	h.violations = append(h.violations, fmt.Sprintf("%v: ", h.now)+fmt.Sprintf(format, args...))
 }
 
-// propose has an entry come into the log, some time.
-func (h *history) propose(s Step) {
-	raw, err := s.Encode()
+// propose schedules an entry to be appended to the log, after a delay, once, twice or never.
+func (h *history) propose(step Step) {
+	raw, err := step.Encode()
 	if err != nil {
-		h.say("%+v: %v", s, err)
+		h.addViolation("encoding %+v: %v", step, err)
 	}
-	back, err := Decode(raw)
+	decoded, err := Decode(raw)
 	if err != nil {
-		h.say("%+v: %v", s, err)
+		h.addViolation("decoding the encoded %+v: %v", step, err)
 	}
 	copies := 1
 	if !h.calm {
 		copies = []int{0, 1, 1, 1, 1, 2}[h.rng.IntN(6)]
 	}
 	for range copies {
-		late := time.Duration(h.rng.Int64N(int64(200 * time.Millisecond)))
+		delay := time.Duration(h.rng.Int64N(int64(200 * time.Millisecond)))
 		if !h.calm && h.rng.IntN(10) == 0 {
-			late = time.Duration(h.rng.Int64N(int64(2 * time.Minute)))
+			delay = time.Duration(h.rng.Int64N(int64(2 * time.Minute)))
 		}
-		h.late = append(h.late, proposal{h.now + late, back})
+		h.inFlight = append(h.inFlight, proposal{h.now + delay, decoded})
 	}
 }
 
-// enter puts an entry into the log, and looks at what has become of the machines from outside: by
-// the entries that were accepted alone.
-func (h *history) enter(s Step) {
-	h.log = append(h.log, s)
-	before := len(h.state.Windows)
-	refused := h.state.Apply(s)
-	if refused != "" {
+// appendEntry appends an entry to the log. If the entry is accepted, it checks the bounds of all active plans
+// against the machines.
+func (h *history) appendEntry(step Step) {
+	h.log = append(h.log, step)
+	windowsBefore := len(h.state.Windows)
+	rejected := h.state.Apply(step)
+	if rejected != "" {
 		h.counts["refused"]++
 		return
 	}
-	h.counts[s.Kind.String()]++
-	h.follow(s)
-	switch s.Kind {
+	h.counts[step.Kind.String()]++
+	h.checkAccepted(step)
+	switch step.Kind {
 	case Planned:
-		h.bounds[s.Number] = h.plans[s.Hash]
+		h.planByNumber[step.Number] = h.plans[step.Hash]
 	case Opened:
-		if before == len(h.state.Windows) {
-			h.say("turn %d was taken and is not there", s.Number)
+		if windowsBefore == len(h.state.Windows) {
+			h.addViolation("the Opened entry of window %d was accepted, but the window is not open", step.Number)
 		}
 		out, cells, zones := 0, make(map[int]int), make(map[string]int)
 		seen := make(map[uint64]bool)
-		for _, t := range h.state.Windows {
-			m := find(h.machines, t.Machine)
-			if seen[t.Machine] {
-				h.say("%s is out twice", m.Name)
+		for _, window := range h.state.Windows {
+			machine := findMachine(h.machines, window.Machine)
+			if seen[window.Machine] {
+				h.addViolation("machine %s has two open windows", machine.Name)
 			}
-			seen[t.Machine] = true
+			seen[window.Machine] = true
 			out++
-			cells[m.Cell]++
-			zones[m.Zone]++
+			cells[machine.Cell]++
+			zones[machine.Zone]++
 		}
-		m := find(h.machines, s.Machine)
+		machine := findMachine(h.machines, step.Machine)
 		allCells, allZones := map[int]int{}, map[string]int{}
 		for i := range h.machines {
 			allCells[h.machines[i].Cell]++
 			allZones[h.machines[i].Zone]++
 		}
-		for _, w := range h.state.Plans {
-			b := h.bounds[w.Number].Out
-			if out > b.Fleet.limit(len(h.machines)) ||
-				cells[m.Cell] > b.Cell.limit(allCells[m.Cell]) || zones[m.Zone] > b.Zone.limit(allZones[m.Zone]) {
-				h.say(
-					"turn %d: %d out, %d in its cell, %d in its zone, plan %d allows %+v", s.Number,
-					out, cells[m.Cell], zones[m.Zone], w.Number, b,
+		for _, plan := range h.state.Plans {
+			bounds := h.planByNumber[plan.Number].Out
+			if out > bounds.Fleet.limit(len(h.machines)) ||
+				cells[machine.Cell] > bounds.Cell.limit(allCells[machine.Cell]) ||
+				zones[machine.Zone] > bounds.Zone.limit(allZones[machine.Zone]) {
+				h.addViolation(
+					"window %d opened: %d machines are out, %d in its cell, %d in its zone; plan %d allows %+v",
+					step.Number, out, cells[machine.Cell], zones[machine.Zone], plan.Number, bounds,
 				)
 			}
 		}
 	case Released:
-		h.working[s.Number] = h.now + time.Duration(h.rng.Int64N(int64(20*time.Second)))
+		h.workUntil[step.Number] = h.now + time.Duration(h.rng.Int64N(int64(20*time.Second)))
 	}
 }
 
-// follow holds an entry that was accepted against those before it.
-func (h *history) follow(s Step) {
-	after := map[Kind]Kind{Released: Opened, Withdrawn: Opened, Done: Released, Closed: Done}
+// checkAccepted checks an accepted entry against the accepted entries before it.
+func (h *history) checkAccepted(step Step) {
+	predecessor := map[Kind]Kind{Released: Opened, Withdrawn: Opened, Done: Released, Closed: Done}
 	switch {
-	case s.Kind == LeaderStarted:
-		if s.Term <= h.term {
-			h.say("the leader of term %d begins behind that of %d", s.Term, h.term)
+	case step.Kind == LeaderStarted:
+		if step.Term <= h.term {
+			h.addViolation("the leader of term %d started after the leader of term %d", step.Term, h.term)
 		}
-		h.term = s.Term
-	case s.Kind.leaderOnly() && s.Term != h.term:
-		h.say("%s of term %d, %d has begun", s.Kind, s.Term, h.term)
-	case s.Kind == Paused || s.Kind == Resumed:
-		h.paused[s.Number] = s.Kind == Paused
-	case s.Kind == Opened:
-		if s.Number <= h.lastTurn {
-			h.say("turn %d is given behind turn %d", s.Number, h.lastTurn)
+		h.term = step.Term
+	case step.Kind.leaderOnly() && step.Term != h.term:
+		h.addViolation("%s of term %d was accepted after term %d had begun", step.Kind, step.Term, h.term)
+	case step.Kind == Paused || step.Kind == Resumed:
+		h.paused[step.Number] = step.Kind == Paused
+	case step.Kind == Opened:
+		if step.Number <= h.lastWindow {
+			h.addViolation("window %d opened after window %d", step.Number, h.lastWindow)
 		}
-		if h.lastTurn = max(h.lastTurn, s.Number); h.paused[s.Plan] {
-			h.say("turn %d of a plan that is paused", s.Number)
+		if h.lastWindow = max(h.lastWindow, step.Number); h.paused[step.Plan] {
+			h.addViolation("window %d opened while its plan is paused", step.Number)
 		}
-		if key := [2]uint64{uint64(s.Plan), s.Machine}; h.turns[key] > 0 {
-			h.say("a second turn of machine %d in plan %d", s.Machine, s.Plan)
+		if key := [2]uint64{uint64(step.Plan), step.Machine}; h.windowCount[key] > 0 {
+			h.addViolation("machine %d got a second window in plan %d", step.Machine, step.Plan)
 		} else {
-			h.turns[key]++
+			h.windowCount[key]++
 		}
-		h.phase[s.Number], h.given[s.Number] = Opened, s
-	case after[s.Kind] != 0:
-		if h.phase[s.Number] != after[s.Kind] {
-			h.say("turn %d is %s, and was %s", s.Number, s.Kind, h.phase[s.Number])
+		h.lastKind[step.Number], h.opened[step.Number] = Opened, step
+	case predecessor[step.Kind] != 0:
+		if h.lastKind[step.Number] != predecessor[step.Kind] {
+			h.addViolation("window %d: %s was accepted after %s", step.Number, step.Kind, h.lastKind[step.Number])
 		}
-		if h.phase[s.Number] = s.Kind; s.Kind == Withdrawn {
-			h.turns[[2]uint64{uint64(h.given[s.Number].Plan), h.given[s.Number].Machine}]--
+		if h.lastKind[step.Number] = step.Kind; step.Kind == Withdrawn {
+			h.windowCount[[2]uint64{uint64(h.opened[step.Number].Plan), h.opened[step.Number].Machine}]--
 		}
-	case s.Kind == Finished:
+	case step.Kind == Finished:
 		for i := range h.machines {
-			if h.turns[[2]uint64{uint64(s.Number), h.machines[i].ID}] == 0 {
-				h.say("plan %d is finished, %s has had no turn", s.Number, h.machines[i].Name)
+			if h.windowCount[[2]uint64{uint64(step.Number), h.machines[i].ID}] == 0 {
+				h.addViolation("plan %d finished, but machine %s had no window", step.Number, h.machines[i].Name)
 			}
 		}
 	}
 }
 
-// world is what a leader sees: true but for what it can't know.
-func (h *history) world(l *reader) *Snapshot {
-	w := &Snapshot{
+// snapshotFor returns the snapshot by which a leader decides. Injected faults make it out of date or uncertain.
+func (h *history) snapshotFor(leader *replica) *Snapshot {
+	snapshot := &Snapshot{
 		Now: h.now, Current: h.calm || h.rng.IntN(20) > 0, Traffic: h.traffic, InTime: 1,
-		Plan: func(hash [32]byte) (*Plan, bool) { p, ok := h.plans[hash]; return p, ok },
+		Plan: func(hash [32]byte) (*Plan, bool) { plan, known := h.plans[hash]; return plan, known },
 	}
 	if !h.calm && h.rng.IntN(8) == 0 {
-		w.Unreachable = 1
+		snapshot.Unreachable = 1
 	}
 	if !h.calm && h.rng.IntN(10) == 0 {
-		w.InTime = 0.5
+		snapshot.InTime = 0.5
 	}
-	w.Machines = slices.Clone(h.machines)
-	for i := range w.Machines {
-		if m := &w.Machines[i]; h.now < h.downUntil[i] {
-			m.State = MachineDown
+	snapshot.Machines = slices.Clone(h.machines)
+	for i := range snapshot.Machines {
+		if machine := &snapshot.Machines[i]; h.now < h.downUntil[i] {
+			machine.State = MachineDown
 		} else if since := h.now - h.downUntil[i]; h.downUntil[i] > 0 && since < 8*time.Second {
-			m.Warmth = 0.3 + 0.7*float64(since)/float64(8*time.Second)
+			machine.Warmth = 0.3 + 0.7*float64(since)/float64(8*time.Second)
 		}
 	}
-	clear := h.rng.IntN(4) == 0 // the last of the attempts out there have ended
-	w.Clear = func(uint32) bool { return clear }
-	return w
+	clear := h.rng.IntN(4) == 0 // whether the last requests in flight to draining machines have ended
+	snapshot.Clear = func(uint32) bool { return clear }
+	return snapshot
 }
 
-// step lets a quarter of a second pass.
+// step advances the history by 250 ms.
 func (h *history) step() {
 	h.now += 250 * time.Millisecond
-	due := slices.DeleteFunc(slices.Clone(h.late), func(p proposal) bool { return p.at > h.now })
-	h.late = slices.DeleteFunc(h.late, func(p proposal) bool { return p.at <= h.now })
+	due := slices.DeleteFunc(slices.Clone(h.inFlight), func(p proposal) bool { return p.at > h.now })
+	h.inFlight = slices.DeleteFunc(h.inFlight, func(p proposal) bool { return p.at <= h.now })
 	h.rng.Shuffle(len(due), func(i, k int) { due[i], due[k] = due[k], due[i] })
 	for _, p := range due {
-		h.enter(p.Step)
+		h.appendEntry(p.Step)
 	}
-	for _, l := range h.leaders {
-		if h.now < l.stopped {
+	for _, leader := range h.leaders {
+		if h.now < leader.stoppedUntil {
 			continue
 		}
-		for ; l.have < len(h.log) && !l.deaf; l.have++ {
-			l.state.Apply(h.log[l.have])
+		for ; leader.applied < len(h.log) && !leader.partitioned; leader.applied++ {
+			leader.state.Apply(h.log[leader.applied])
 		}
-		if step, due := l.Decide(h.world(l), &l.state); due {
+		if step, due := leader.Decide(h.snapshotFor(leader), &leader.state); due {
 			h.propose(step)
 		}
 	}
-	for turn, until := range h.working {
+	for number, until := range h.workUntil {
 		if h.now >= until {
-			delete(h.working, turn)
-			if t := h.state.Window(turn); t != nil {
+			delete(h.workUntil, number)
+			if window := h.state.Window(number); window != nil {
 				for i := range h.machines {
-					if h.machines[i].ID == t.Machine {
+					if h.machines[i].ID == window.Machine {
 						h.downUntil[i] = h.now + time.Second
 						h.machines[i].Started = h.now + time.Second
 					}
 				}
-				h.propose(Step{Kind: Done, Number: turn, By: 1})
+				h.propose(Step{Kind: Done, Number: number, By: 1})
 			}
 		}
 	}
 }
 
-func play(seed uint64) *history {
+// runHistory runs the history of a seed: 60 s with faults, then up to one hour without, in which all plans and
+// windows have to end.
+func runHistory(seed uint64) *history {
 	h := &history{
-		rng:      rand.New(rand.NewPCG(seed, 5)),
-		plans:    make(map[[32]byte]*Plan),
-		bounds:   make(map[uint32]*Plan),
-		counts:   make(map[string]int),
-		working:  make(map[uint32]time.Duration),
-		phase:    make(map[uint32]Kind),
-		paused:   make(map[uint32]bool),
-		turns:    make(map[[2]uint64]int),
-		given:    make(map[uint32]Step),
-		machines: machines(6 + int(seed%9)),
+		rng:          rand.New(rand.NewPCG(seed, 5)),
+		plans:        make(map[[32]byte]*Plan),
+		planByNumber: make(map[uint32]*Plan),
+		counts:       make(map[string]int),
+		workUntil:    make(map[uint32]time.Duration),
+		lastKind:     make(map[uint32]Kind),
+		paused:       make(map[uint32]bool),
+		windowCount:  make(map[[2]uint64]int),
+		opened:       make(map[uint32]Step),
+		machines:     machines(6 + int(seed%9)),
 	}
 	h.downUntil = make([]time.Duration, len(h.machines))
 	h.traffic = 4 * float64(len(h.machines))
 	term := uint64(0)
-	lead := func() {
+	electLeader := func() {
 		term++
-		l := &reader{Leader: NewLeader(term, int(term))}
-		for l.have = 0; l.have < len(h.log); l.have++ {
-			l.state.Apply(h.log[l.have])
+		leader := &replica{Leader: NewLeader(term, int(term))}
+		for leader.applied = 0; leader.applied < len(h.log); leader.applied++ {
+			leader.state.Apply(h.log[leader.applied])
 		}
-		h.leaders = append(h.leaders, l)
+		h.leaders = append(h.leaders, leader)
 		if len(h.leaders) > 3 {
 			h.leaders = h.leaders[1:]
 		}
 	}
-	lead()
-	plan := func() {
+	electLeader()
+	proposePlan := func() {
 		text := fmt.Sprintf(
 			"all = true\nbears = 10.0\ncut_off = %q\nlongest = \"%ds\"\n[out]\nfleet = \"%d\"\ncell = \"%d\"\n",
 			[]string{ByOperator, AwaitExpiry}[h.rng.IntN(2)], 20+h.rng.IntN(60), 1+h.rng.IntN(3),
 			1+h.rng.IntN(2),
 		)
-		p, err := Parse([]byte(text))
+		plan, err := Parse([]byte(text))
 		if err != nil {
-			h.say("%v", err)
+			h.addViolation("parsing a plan: %v", err)
 			return
 		}
 		hash := [32]byte{byte(len(h.plans) + 1)}
-		h.plans[hash] = p
+		h.plans[hash] = plan
 		h.propose(Step{Kind: Planned, Number: h.state.LastPlan + 1, Hash: hash, By: 1})
 	}
-	plan()
+	proposePlan()
 	for range 240 {
 		h.step()
 		switch h.rng.IntN(60) {
 		case 0:
-			lead()
+			electLeader()
 		case 1:
-			h.leaders[0].stopped = h.now + 10*time.Second
+			h.leaders[0].stoppedUntil = h.now + 10*time.Second
 		case 2:
-			h.leaders[0].deaf = len(h.leaders) > 1
+			h.leaders[0].partitioned = len(h.leaders) > 1
 		case 3, 4:
 			i := h.rng.IntN(len(h.machines))
 			h.downUntil[i] = h.now + time.Duration(h.rng.Int64N(int64(10*time.Second)))
 		case 5:
 			if h.state.LastPlan < 4 {
-				plan()
+				proposePlan()
 			}
 		case 6, 9, 10, 11:
 			h.propose(
@@ -305,68 +311,68 @@
 				},
 			)
 		case 7:
-			// for a turn that may be over: its number tells
+			// The window may have ended already, in which case the entry has to be rejected by its number.
 			h.propose(Step{Kind: Done, Number: 1 + h.rng.Uint32N(h.state.LastWindow+1), By: 2})
 		case 8:
 			h.traffic = float64(len(h.machines)) * (2 + 10*h.rng.Float64())
 		}
 	}
-	// All is well again: one leader, operators who see to it.
+	// No more faults from here on: there is one leader, and operators resume plans and complete work.
 	h.calm, h.traffic = true, 4*float64(len(h.machines))
 	h.leaders = nil
-	lead()
+	electLeader()
 	for range 4 * 60 * 60 {
 		h.step()
-		for _, w := range h.state.Plans {
-			if w.Paused != "" && h.rng.IntN(20) == 0 {
-				h.propose(Step{Kind: Resumed, Number: w.Number, By: 1})
+		for _, plan := range h.state.Plans {
+			if plan.Paused != "" && h.rng.IntN(20) == 0 {
+				h.propose(Step{Kind: Resumed, Number: plan.Number, By: 1})
 			}
 		}
-		for _, t := range h.state.Windows {
-			if _, worked := h.working[t.Number]; t.Phase == Free && !worked && h.rng.IntN(20) == 0 {
-				h.propose(Step{Kind: Done, Number: t.Number, By: 1})
+		for _, window := range h.state.Windows {
+			if _, working := h.workUntil[window.Number]; window.Phase == Free && !working && h.rng.IntN(20) == 0 {
+				h.propose(Step{Kind: Done, Number: window.Number, By: 1})
 			}
 		}
 		if len(h.state.Plans) == 0 && len(h.state.Windows) == 0 {
 			return h
 		}
 	}
-	h.say("an hour after all is well: %+v", h.state)
+	h.addViolation("plans or windows are still open one hour after the last fault: %+v", h.state)
 	return h
 }
 
-// Whatever comes late, twice or never, and whoever thinks that it leads: no machine is out twice,
-// never more are out than every plan under way allows, turns' numbers grow, and in the end all
-// plans end.
+// Whichever proposals are delayed, duplicated or lost, and however many leaders believe that they lead: no machine
+// has two open windows, the machines that are out stay within the bounds of every active plan, window numbers
+// increase, and all plans end once the faults stop.
 func TestHistories(t *testing.T) {
 	first, last := uint64(1), uint64(*histories)
 	if *seed != 0 {
 		first, last = *seed, *seed
 	}
-	sum := make(map[string]int)
+	total := make(map[string]int)
 	for s := first; s <= last; s++ {
-		h := play(s)
-		if h.broken != nil {
-			t.Fatalf("seed %d: %q", s, h.broken[:min(len(h.broken), 5)])
+		h := runHistory(s)
+		if h.violations != nil {
+			t.Fatalf("seed %d: violations %q", s, h.violations[:min(len(h.violations), 5)])
 		}
-		var again State
-		for _, e := range h.log {
-			again.Apply(e)
+		var replayed State
+		for _, step := range h.log {
+			replayed.Apply(step)
 		}
-		if fmt.Sprint(again) != fmt.Sprint(h.state) {
-			t.Fatalf("seed %d: the same entries make another state", s)
+		if fmt.Sprint(replayed) != fmt.Sprint(h.state) {
+			t.Fatalf("seed %d: replaying the log gives another state than the run had", s)
 		}
-		for what, n := range h.counts {
-			sum[what] += n
+		for kind, n := range h.counts {
+			total[kind] += n
 		}
 	}
-	t.Logf("%d histories: %v", last-first+1, sum)
-	for _, what := range []string{
+	t.Logf("%d histories: %v", last-first+1, total)
+	for _, kind := range []string{
 		"given", "free", "withdrawn", "done", "over", "paused", "resumed", "cancelled", "finished",
 		"leads", "refused",
 	} {
-		if *seed == 0 && sum[what] == 0 {
-			t.Errorf("nothing was ever %s", what)
+		if *seed == 0 && total[kind] == 0 {
+			t.Errorf("no history had an entry that was counted as %q", kind)
 		}
 	}
 }
--- a/internal/fleet/maintenance/leader.go
+++ b/internal/fleet/maintenance/leader.go
@@ -4,141 +4,143 @@
 	"time"
 )
 
-// MachineState is the state of a machine by the list.
+// MachineState is a machine's state according to service discovery and operators.
 type MachineState int
 
 // The states of a machine.
 const (
-	MachineDown     MachineState = iota // it was listed recently and is not now
-	MachineDraining                     // by the list, or by an operator
+	MachineDown     MachineState = iota // the machine was listed by discovery recently and is not listed now
+	MachineDraining                     // discovery or an operator drains the machine
 	MachineReady
 )
 
-// Machine is what the leader knows of a machine now.
+// Machine is the leader's current knowledge of a machine.
 type Machine struct {
 	ID         uint64
 	Name       string
 	Zone       string
 	Cell       int
 	Weight     float64
-	State      MachineState  // by the list and operators, the log's windows left aside
-	Warmth     float64       // share of its full capacity; 1: warm
-	Started    time.Duration // of its process, on a clock of its own; 0: long ago
+	State      MachineState  // from discovery and operators; the log's maintenance windows don't change it
+	Warmth     float64       // share of its full capacity that the machine has reached since its start; 1: all
+	Started    time.Duration // when the machine's process started, by that machine's clock; 0: long ago
 	Overloaded bool
 }
 
-// Snapshot is what the leader knows at a moment. Windows are decided by it, and nothing of it is
-// kept in the log.
+// Snapshot is the leader's knowledge at one moment. The leader decides by it; no part of it is stored in the log.
 type Snapshot struct {
 	Now         time.Duration
-	Current     bool // the list is up to date
+	Current     bool // the list of machines is up to date
 	Machines    []Machine
-	Traffic     float64 // requests per second, over all sidecars
-	InTime      float64 // share of them that is served in time
-	Unreachable int     // sidecars without a grant: what they send is not known
-	// leases and the longest deadline: a window may wait for as long to be released
+	Traffic     float64 // requests per second, summed over all sidecars
+	InTime      float64 // share of the requests that is served within the deadline
+	Unreachable int     // number of sidecars without a valid grant; what they send is unknown
+	// Slack is how long a window may have to wait for its release in normal operation: leases and the longest
+	// request deadline have to run out first.
 	Slack time.Duration
-	// all sidecars in contact are clear of it; the others' leases, and the longest deadline after
-	// them, are over
-	Clear func(turn uint32) bool
+	// Clear reports whether no sidecar sends to the machine of a window any more: each reachable sidecar has
+	// reported that it is clear, and for each unreachable one its lease and, after it, the longest request
+	// deadline have expired.
+	Clear func(window uint32) bool
 	Plan  func(hash [32]byte) (*Plan, bool)
 }
 
 const (
-	pauseAfter = 10 * time.Second // requests not served in time for so long pause a plan
-	// a window that is not released after so long, and Snapshot.Slack, is withdrawn
+	// pauseAfter is how long the share of requests served in time may stay too low before a plan is paused.
+	pauseAfter = 10 * time.Second
+	// drainTimeout plus Snapshot.Slack is how long a window may drain before it is withdrawn.
 	drainTimeout = time.Minute
 )
 
-// Leader is the part of the sidecar that leads the log. What it remembers is of its own term: a new
-// leader observes anew, so that times run longer rather than shorter.
+// Leader decides the next steps of plans and windows while this sidecar leads the log. Its observations cover
+// its own term only: a new leader observes anew, which makes time-outs longer, never shorter.
 type Leader struct {
 	Term uint64
 	Self int
 
-	phases      map[uint32]phaseStart // of the windows
-	lateSince   time.Duration         // since when requests are not served in time; 0: they are
-	waitReasons map[uint32]string     // by plan
+	phases      map[uint32]phaseStart // by window number
+	lateSince   time.Duration         // since when too few requests are served in time; 0: enough are
+	waitReasons map[uint32]string     // by plan number
 }
 
-// phaseStart is since when a window is in a phase, as this leader observed it, and when its
-// machine's process had started then.
+// phaseStart records when this leader first observed a window in its phase, and which start time the machine's
+// process had then.
 type phaseStart struct {
-	phase   Phase
-	at      time.Duration
-	started time.Duration
+	phase          Phase
+	start          time.Duration
+	processStarted time.Duration
 }
 
-// NewLeader returns the leader's part for a term.
+// NewLeader returns the leader of a term; self is this sidecar's number.
 func NewLeader(term uint64, self int) *Leader {
 	return &Leader{Term: term, Self: self, phases: make(map[uint32]phaseStart), waitReasons: make(map[uint32]string)}
 }
 
-// WaitReason returns what a plan waits for, as this leader last saw it; "": nothing.
+// WaitReason returns what a plan waited for when Decide last examined it; "" if the plan waited for nothing.
 func (l *Leader) WaitReason(plan uint32) string { return l.waitReasons[plan] }
 
-// Decide returns what the log needs next; false: nothing now. It is to be called again once the
-// entry is applied, and as time passes.
-func (l *Leader) Decide(w *Snapshot, s *State) (Step, bool) {
-	if s.Term != l.Term {
-		return Step{Kind: LeaderStarted, Term: l.Term, By: l.Self}, s.Term < l.Term
+// Decide returns the step that is to be appended to the log next, or false if there is none now. The caller
+// calls Decide again after the step has been applied, and periodically, as decisions depend on the time.
+func (l *Leader) Decide(snapshot *Snapshot, state *State) (Step, bool) {
+	if state.Term != l.Term {
+		return Step{Kind: LeaderStarted, Term: l.Term, By: l.Self}, state.Term < l.Term
 	}
-	l.observe(w, s)
-	for i := range s.Windows {
-		if step, due := l.advanceWindow(w, s, &s.Windows[i]); due {
+	l.observe(snapshot, state)
+	for i := range state.Windows {
+		if step, due := l.advanceWindow(snapshot, state, &state.Windows[i]); due {
 			return step, true
 		}
 	}
-	for i := range s.Plans {
-		if step, due := l.advancePlan(w, s, &s.Plans[i]); due {
+	for i := range state.Plans {
+		if step, due := l.advancePlan(snapshot, state, &state.Plans[i]); due {
 			return step, true
 		}
 	}
 	return Step{}, false
 }
 
-// observe records since when things have been as they are.
-func (l *Leader) observe(w *Snapshot, s *State) {
-	for n := range l.phases {
-		if s.Window(n) == nil {
-			delete(l.phases, n)
+// observe records since when each window has been in its phase, and since when requests have been late.
+func (l *Leader) observe(snapshot *Snapshot, state *State) {
+	for number := range l.phases {
+		if state.Window(number) == nil {
+			delete(l.phases, number)
 		}
 	}
-	least := 0.0
-	for i := range s.Plans {
-		if p, here := w.Plan(s.Plans[i].Hash); here {
-			least = max(least, p.InTime)
+	required := 0.0
+	for i := range state.Plans {
+		if plan, available := snapshot.Plan(state.Plans[i].Hash); available {
+			required = max(required, plan.InTime)
 		}
 	}
-	if w.InTime >= least {
+	if snapshot.InTime >= required {
 		l.lateSince = 0
 	} else if l.lateSince == 0 {
-		l.lateSince = w.Now
+		l.lateSince = snapshot.Now
 	}
-	for _, t := range s.Windows {
-		if was, known := l.phases[t.Number]; !known || was.phase != t.Phase {
-			at := phaseStart{phase: t.Phase, at: w.Now}
-			if m := find(w.Machines, t.Machine); m != nil {
-				at.started = m.Started
+	for _, window := range state.Windows {
+		if previous, known := l.phases[window.Number]; !known || previous.phase != window.Phase {
+			start := phaseStart{phase: window.Phase, start: snapshot.Now}
+			if machine := findMachine(snapshot.Machines, window.Machine); machine != nil {
+				start.processStarted = machine.Started
 			}
-			if t.Phase == Returning && known { // it may have started during the work
-				at.started = was.started
+			if window.Phase == Returning && known { // the machine may have restarted during the work
+				start.processStarted = previous.processStarted
 			}
-			l.phases[t.Number] = at
+			l.phases[window.Number] = start
 		}
 	}
 }
 
-func find(all []Machine, id uint64) *Machine {
-	for i := range all {
-		if all[i].ID == id {
-			return &all[i]
+func findMachine(machines []Machine, id uint64) *Machine {
+	for i := range machines {
+		if machines[i].ID == id {
+			return &machines[i]
 		}
 	}
 	return nil
 }
 
-// step returns a step of this leader's.
-func (l *Leader) step(kind Kind, number uint32, why string) (Step, bool) {
-	return Step{Kind: kind, Number: number, Term: l.Term, By: l.Self, Why: why}, true
+// newStep returns a step that carries this leader's term and number.
+func (l *Leader) newStep(kind Kind, number uint32, reason string) (Step, bool) {
+	return Step{Kind: kind, Number: number, Term: l.Term, By: l.Self, Why: reason}, true
 }
--- a/internal/fleet/maintenance/leader_test.go
+++ b/internal/fleet/maintenance/leader_test.go
@@ -6,331 +6,364 @@
 	"time"
 )
 
-const planText = "all = true\nbears = 10.0\ncut_off = \"awaited\"\nlongest = \"1m\"\nback = \"started\"\n[out]\nfleet = \"2\"\nzone = \"2\"\ncell = \"1\"\n"
+const planText = `all = true
+bears = 10.0
+cut_off = "awaited"
+longest = "1m"
+back = "started"
+[out]
+fleet = "2"
+zone = "2"
+cell = "1"
+`
 
-// stage is a leader of eight machines with a plan under way.
-type stage struct {
-	t     *testing.T
-	l     *Leader
-	s     State
-	w     Snapshot
-	plan  *Plan
-	clear bool
+// leaderTest is a leader with an active plan for eight machines of capacity 10 requests per second each. The
+// fields of snapshot, plan and clear are what the leader is told.
+type leaderTest struct {
+	t        *testing.T
+	leader   *Leader
+	state    State
+	snapshot Snapshot
+	plan     *Plan // nil: the leader does not have the plan's text
+	clear    bool  // whether all sidecars are clear of all windows
 }
 
-func newStage(t *testing.T) *stage {
+func newLeaderTest(t *testing.T) *leaderTest {
 	t.Helper()
-	p, err := Parse([]byte(planText))
+	parsed, err := Parse([]byte(planText))
 	if err != nil {
 		t.Fatal(err)
 	}
-	g := &stage{t: t, l: NewLeader(1, 0), plan: p}
-	g.w = Snapshot{
+	lt := &leaderTest{t: t, leader: NewLeader(1, 0), plan: parsed}
+	lt.snapshot = Snapshot{
 		Now: time.Hour, Current: true, Machines: machines(8), Traffic: 40, InTime: 1,
-		Clear: func(uint32) bool { return g.clear },
-		Plan:  func([32]byte) (*Plan, bool) { return g.plan, g.plan != nil },
+		Clear: func(uint32) bool { return lt.clear },
+		Plan:  func([32]byte) (*Plan, bool) { return lt.plan, lt.plan != nil },
 	}
-	g.enter(Step{Kind: Planned, Number: 1, Hash: [32]byte{1}, By: 1})
-	g.next(LeaderStarted)
-	return g
+	lt.apply(Step{Kind: Planned, Number: 1, Hash: [32]byte{1}, By: 1})
+	lt.expect(LeaderStarted)
+	return lt
 }
 
-func (g *stage) enter(s Step) {
-	g.t.Helper()
-	if refused := g.s.Apply(s); refused != "" {
-		g.t.Fatalf("%s: %s", s.Kind, refused)
+// apply applies a step that has to be accepted.
+func (lt *leaderTest) apply(step Step) {
+	lt.t.Helper()
+	if rejected := lt.state.Apply(step); rejected != "" {
+		lt.t.Fatalf("%s was rejected: %s", step.Kind, rejected)
 	}
 }
 
-// next wants the leader's next decision to be of a kind, and enters it.
-func (g *stage) next(want Kind) Step {
-	g.t.Helper()
-	s, due := g.l.Decide(&g.w, &g.s)
-	if !due || s.Kind != want {
-		g.t.Fatalf("decided %v %s, want %s; it waits for %q", due, s.Kind, want, g.l.WaitReason(1))
+// expect checks that the leader decides on a step of this kind next, and applies the step.
+func (lt *leaderTest) expect(want Kind) Step {
+	lt.t.Helper()
+	step, due := lt.leader.Decide(&lt.snapshot, &lt.state)
+	if !due || step.Kind != want {
+		lt.t.Fatalf(
+			"leader decided (due %v) on %s, want %s; plan 1 waits for %q", due, step.Kind, want,
+			lt.leader.WaitReason(1),
+		)
 	}
-	g.enter(s)
-	return s
+	lt.apply(step)
+	return step
 }
 
-// nothing wants it to decide nothing, and to say why.
-func (g *stage) nothing(why string) {
-	g.t.Helper()
-	if s, due := g.l.Decide(&g.w, &g.s); due {
-		g.t.Fatalf("decided %s %d", s.Kind, s.Number)
+// expectWait checks that the leader decides on nothing, and that the plan's wait reason contains a text.
+func (lt *leaderTest) expectWait(reason string) {
+	lt.t.Helper()
+	if step, due := lt.leader.Decide(&lt.snapshot, &lt.state); due {
+		lt.t.Fatalf("leader decided on %s of number %d, want no step", step.Kind, step.Number)
 	}
-	if got := g.l.WaitReason(1); !strings.Contains(got, why) {
-		g.t.Fatalf("it waits for %q, want something about %q", got, why)
+	if got := lt.leader.WaitReason(1); !strings.Contains(got, reason) {
+		lt.t.Fatalf("plan 1 waits for %q, want a reason that contains %q", got, reason)
 	}
 }
 
-func (g *stage) after(d time.Duration) { g.w.Now += d }
+func (lt *leaderTest) advance(d time.Duration) { lt.snapshot.Now += d }
 
-// One turn from its beginning to its end, and what has to be there for each step.
-func TestTurn(t *testing.T) {
-	g := newStage(t)
-	turn := g.next(Opened)
-	g.nothing("just been given")
-	g.after(10 * time.Second)
-	g.nothing("") // somebody may still have something out there
-	g.clear = true
-	g.next(Released)
-	m := find(g.w.Machines, turn.Machine)
+// A window goes through all phases from Opened to Closed, and each step waits for its condition.
+func TestWindowPhases(t *testing.T) {
+	lt := newLeaderTest(t)
+	window := lt.expect(Opened)
+	lt.expectWait("just been given")
+	lt.advance(10 * time.Second)
+	lt.expectWait("") // a sidecar may still have requests in flight to the machine
+	lt.clear = true
+	lt.expect(Released)
+	m := findMachine(lt.snapshot.Machines, window.Machine)
 	m.State = MachineDown
-	g.next(Opened) // a second one may be out
-	g.next(Released)
-	g.nothing("would be out")
-	m.State, m.Started, m.Warmth = MachineReady, g.w.Now+time.Minute, 0.3
-	if done := g.next(Done); done.Number != turn.Number {
-		t.Fatalf("turn %d is done, %d has started", done.Number, turn.Number)
+	lt.expect(Opened) // the plan allows two machines to be out
+	lt.expect(Released)
+	lt.expectWait("would be out")
+	m.State, m.Started, m.Warmth = MachineReady, lt.snapshot.Now+time.Minute, 0.3
+	if done := lt.expect(Done); done.Number != window.Number {
+		t.Fatalf("window %d became done, but the machine of window %d has restarted", done.Number, window.Number)
 	}
-	g.nothing("would be out") // it is cold
+	lt.expectWait("would be out") // the restarted machine is not warm yet and still counts as out
 	m.Warmth = 1
-	g.w.InTime = 0.9
-	g.nothing("in time")
-	g.w.InTime = 1
-	if over := g.next(Closed); over.Number != turn.Number {
-		t.Fatalf("turn %d is over", over.Number)
+	lt.snapshot.InTime = 0.9
+	lt.expectWait("in time")
+	lt.snapshot.InTime = 1
+	if closed := lt.expect(Closed); closed.Number != window.Number {
+		t.Fatalf("window %d was closed, want the first window", closed.Number)
 	}
-	if third := g.next(Opened); third.Machine == turn.Machine {
-		t.Fatal("it has had its turn")
+	if third := lt.expect(Opened); third.Machine == window.Machine {
+		t.Fatal("the plan opened a second window for the same machine")
 	}
 }
 
-// When in doubt nobody goes next; a turn already given goes on.
-func TestDoubt(t *testing.T) {
+// While the state of the fleet is uncertain or bad, no window opens; a window that was released already goes on.
+func TestNoWindowOpensInDoubt(t *testing.T) {
 	for name, c := range map[string]struct {
-		doubt func(g *stage)
-		why   string
+		change func(lt *leaderTest)
+		reason string
 	}{
-		"an old list":             {func(g *stage) { g.w.Current = false }, "old"},
-		"sidecars out of contact": {func(g *stage) { g.w.Unreachable = 1 }, "out of contact"},
-		"late answers":            {func(g *stage) { g.w.InTime = 0.94 }, "in time"},
-		"no text":                 {func(g *stage) { g.plan = nil }, "text"},
-		"three are down":          {func(g *stage) { g.downBut(&g.w.Machines[5], 3) }, "would be out"},
-		"three are cold": {
-			func(g *stage) { g.w.Machines[0].Warmth, g.w.Machines[4].Warmth, g.w.Machines[7].Warmth = 0.9, 0.9, 0.9 },
+		"list of machines may be old": {func(lt *leaderTest) { lt.snapshot.Current = false }, "old"},
+		"sidecar unreachable":         {func(lt *leaderTest) { lt.snapshot.Unreachable = 1 }, "out of contact"},
+		"requests late":               {func(lt *leaderTest) { lt.snapshot.InTime = 0.94 }, "in time"},
+		"text of the plan missing":    {func(lt *leaderTest) { lt.plan = nil }, "text"},
+		"three machines down": {
+			func(lt *leaderTest) { lt.markDownExcept(&lt.snapshot.Machines[5], 3) }, "would be out",
+		},
+		"three machines warming up": {
+			func(lt *leaderTest) {
+				lt.snapshot.Machines[0].Warmth, lt.snapshot.Machines[4].Warmth,
+					lt.snapshot.Machines[7].Warmth = 0.9, 0.9, 0.9
+			},
 			"would be out",
 		},
-		"some drain, or are out by hand": {func(g *stage) {
-			g.w.Machines[0].State, g.w.Machines[4].State, g.w.Machines[7].State = MachineDraining, MachineDraining, MachineDraining
+		"three machines draining": {func(lt *leaderTest) {
+			lt.snapshot.Machines[0].State, lt.snapshot.Machines[4].State,
+				lt.snapshot.Machines[7].State = MachineDraining, MachineDraining, MachineDraining
 		}, "would be out"},
-		"too much traffic": {func(g *stage) { g.w.Traffic = 64 }, "the others carry 63"},
+		"more traffic than the reserve allows": {func(lt *leaderTest) { lt.snapshot.Traffic = 64 }, "the others carry 63"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			g := newStage(t)
-			c.doubt(g)
-			g.nothing(c.why)
-			g = newStage(t)
-			g.next(Opened)
-			g.clear = true
-			g.next(Released)
-			c.doubt(g)
-			g.after(time.Second)
-			if s, due := g.l.Decide(&g.w, &g.s); due && s.Kind != Opened {
-				t.Errorf("a turn that was free is %s", s.Kind)
+			lt := newLeaderTest(t)
+			c.change(lt)
+			lt.expectWait(c.reason)
+			lt = newLeaderTest(t)
+			lt.expect(Opened)
+			lt.clear = true
+			lt.expect(Released)
+			c.change(lt)
+			lt.advance(time.Second)
+			if step, due := lt.leader.Decide(&lt.snapshot, &lt.state); due && step.Kind != Opened {
+				t.Errorf("leader decided on %s for a released window, want no step or Opened", step.Kind)
 			}
 		})
 	}
 }
 
-// Up to the moment at which somebody is told that it may be worked on, what has become of the
-// others counts.
-func TestWithdrawn(t *testing.T) {
-	for name, change := range map[string]func(g *stage, m *Machine){
-		"two others went down":     func(g *stage, m *Machine) { g.downBut(m, 2) },
-		"traffic doubled":          func(g *stage, _ *Machine) { g.w.Traffic = 80 },
-		"somebody sends on and on": func(g *stage, _ *Machine) { g.clear = false; g.after(61 * time.Second) },
-		"its plan was cancelled":   func(g *stage, _ *Machine) { g.enter(Step{Kind: Cancelled, Number: 1, By: 1}) },
-		"its cell's other went down": func(g *stage, m *Machine) {
-			find(g.w.Machines, (m.ID-1)^1+1).State = MachineDown
+// A window is withdrawn if, before its release, the remaining machines can't do without the machine any more, the
+// plan ends, or the draining takes too long.
+func TestWindowIsWithdrawnBeforeRelease(t *testing.T) {
+	for name, change := range map[string]func(lt *leaderTest, m *Machine){
+		"two other machines went down": func(lt *leaderTest, m *Machine) { lt.markDownExcept(m, 2) },
+		"traffic doubled":              func(lt *leaderTest, _ *Machine) { lt.snapshot.Traffic = 80 },
+		"a sidecar never becomes clear": func(lt *leaderTest, _ *Machine) {
+			lt.clear = false
+			lt.advance(61 * time.Second)
+		},
+		"plan cancelled": func(lt *leaderTest, _ *Machine) {
+			lt.apply(Step{Kind: Cancelled, Number: 1, By: 1})
+		},
+		"other machine of its cell went down": func(lt *leaderTest, m *Machine) {
+			findMachine(lt.snapshot.Machines, (m.ID-1)^1+1).State = MachineDown
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			g := newStage(t)
-			turn := g.next(Opened)
-			g.clear = false
-			if _, due := g.l.Decide(&g.w, &g.s); due {
-				t.Fatal("it is not clear yet")
+			lt := newLeaderTest(t)
+			window := lt.expect(Opened)
+			lt.clear = false
+			if _, due := lt.leader.Decide(&lt.snapshot, &lt.state); due {
+				t.Fatal("leader decided on a step while sidecars are not clear of the window")
 			}
-			g.clear = true
-			change(g, find(g.w.Machines, turn.Machine))
-			if w := g.next(Withdrawn); w.Number != turn.Number {
-				t.Errorf("turn %d was withdrawn", w.Number)
+			lt.clear = true
+			change(lt, findMachine(lt.snapshot.Machines, window.Machine))
+			if withdrawn := lt.expect(Withdrawn); withdrawn.Number != window.Number {
+				t.Errorf("window %d was withdrawn, want the first window", withdrawn.Number)
 			}
-			if len(g.s.MachinesOut()) != 0 {
-				t.Errorf("out: %v", g.s.MachinesOut())
+			if len(lt.state.MachinesOut()) != 0 {
+				t.Errorf("machines %v are out after the withdrawal, want none", lt.state.MachinesOut())
 			}
 		})
 	}
 }
 
-func (g *stage) downBut(m *Machine, n int) {
-	for i := range g.w.Machines {
-		if o := &g.w.Machines[i]; o.ID != m.ID && n > 0 {
-			o.State = MachineDown
-			n--
+// markDownExcept marks machines as down, as many as count says and never the one given.
+func (lt *leaderTest) markDownExcept(machine *Machine, count int) {
+	for i := range lt.snapshot.Machines {
+		if other := &lt.snapshot.Machines[i]; other.ID != machine.ID && count > 0 {
+			other.State = MachineDown
+			count--
 		}
 	}
 }
 
-// A plan stops, and says why, where a turn takes too long, a machine never comes back, or service
-// gets worse; resumed, it goes on.
-func TestPlanStops(t *testing.T) {
-	for why, spoil := range map[string]func(g *stage, turn Step){
-		"takes too long": func(g *stage, _ Step) { g.after(61 * time.Second) },
-		"never came back": func(g *stage, turn Step) {
-			g.enter(Step{Kind: Done, Number: turn.Number, By: 1})
-			find(g.w.Machines, turn.Machine).State = MachineDown
-			g.look()
-			g.after(61 * time.Second)
+// A plan is paused with a reason if a window takes too long, a machine does not return to service, or too few
+// requests are served in time. A paused plan can be resumed.
+func TestPlanIsPaused(t *testing.T) {
+	for reason, change := range map[string]func(lt *leaderTest, window Step){
+		"takes too long": func(lt *leaderTest, _ Step) { lt.advance(61 * time.Second) },
+		"never came back": func(lt *leaderTest, window Step) {
+			lt.apply(Step{Kind: Done, Number: window.Number, By: 1})
+			findMachine(lt.snapshot.Machines, window.Machine).State = MachineDown
+			lt.expectNoStep()
+			lt.advance(61 * time.Second)
 		},
-		"service got worse": func(g *stage, _ Step) {
-			g.w.InTime = 0.5
-			g.look()
-			g.after(9 * time.Second)
-			g.look()
-			g.after(time.Second)
+		"service got worse": func(lt *leaderTest, _ Step) {
+			lt.snapshot.InTime = 0.5
+			lt.expectNoStep()
+			lt.advance(9 * time.Second)
+			lt.expectNoStep()
+			lt.advance(time.Second)
 		},
 	} {
-		t.Run(why, func(t *testing.T) {
-			g := newStage(t)
-			turn := g.next(Opened)
-			g.clear = true
-			g.next(Released)
-			g.w.Unreachable = 1 // nobody goes next
-			g.look()
-			spoil(g, turn)
-			if s := g.next(Paused); !strings.Contains(s.Why, why) {
-				t.Errorf("paused: %q", s.Why)
+		t.Run(reason, func(t *testing.T) {
+			lt := newLeaderTest(t)
+			window := lt.expect(Opened)
+			lt.clear = true
+			lt.expect(Released)
+			lt.snapshot.Unreachable = 1 // keeps a second window from opening
+			lt.expectNoStep()
+			change(lt, window)
+			if step := lt.expect(Paused); !strings.Contains(step.Why, reason) {
+				t.Errorf("plan was paused with reason %q, want the reason in the subtest's name", step.Why)
 			}
-			g.w.Unreachable, g.w.InTime = 0, 1
-			g.nothing("paused")
-			g.enter(Step{Kind: Resumed, Number: 1, By: 1})
+			lt.snapshot.Unreachable, lt.snapshot.InTime = 0, 1
+			lt.expectWait("paused")
+			lt.apply(Step{Kind: Resumed, Number: 1, By: 1})
 		})
 	}
 }
 
-// look has the leader look, and wants it to decide nothing.
-func (g *stage) look() {
-	g.t.Helper()
-	if s, due := g.l.Decide(&g.w, &g.s); due {
-		g.t.Fatalf("decided %s", s.Kind)
+// expectNoStep lets the leader observe the snapshot, and checks that it decides on nothing.
+func (lt *leaderTest) expectNoStep() {
+	lt.t.Helper()
+	if step, due := lt.leader.Decide(&lt.snapshot, &lt.state); due {
+		lt.t.Fatalf("leader decided on %s, want no step", step.Kind)
 	}
 }
 
-// Cells are spread, strained machines go first, then those that carry most; the same inputs give
-// the same order.
+// Consecutive windows are in different cells; among the machines of one cell, overloaded ones come first, then
+// those of the highest weight. The same inputs give the same order.
 func TestOrder(t *testing.T) {
 	order := func() (ids []uint64) {
-		g := newStage(t)
-		g.clear = true
-		g.w.Machines[6].Overloaded, g.w.Machines[2].Weight = true, 2
+		lt := newLeaderTest(t)
+		lt.clear = true
+		lt.snapshot.Machines[6].Overloaded, lt.snapshot.Machines[2].Weight = true, 2
 		for len(ids) < 8 {
-			turn := g.next(Opened)
-			ids = append(ids, turn.Machine)
-			g.next(Released)
-			g.enter(Step{Kind: Done, Number: turn.Number, By: 1})
-			g.next(Closed)
+			window := lt.expect(Opened)
+			ids = append(ids, window.Machine)
+			lt.expect(Released)
+			lt.apply(Step{Kind: Done, Number: window.Number, By: 1})
+			lt.expect(Closed)
 		}
-		g.next(Finished)
+		lt.expect(Finished)
 		return ids
 	}
 	ids := order()
 	if ids[0] != 7 || ids[1] != 3 {
-		t.Errorf("order %v: the strained one first, then the heaviest of the other cell", ids)
+		t.Errorf("order %v, want machine 7 (overloaded) first, then machine 3 (the other cell's heaviest)", ids)
 	}
 	for i := range ids[1:] {
 		if (ids[i]-1)/4 == (ids[i+1]-1)/4 {
-			t.Errorf("order %v: two of one cell, one behind the other", ids)
+			t.Errorf("order %v has two consecutive machines of the same cell", ids)
 		}
 	}
-	if again := order(); len(again) != len(ids) || again[5] != ids[5] {
-		t.Errorf("another order: %v", again)
+	if repeated := order(); len(repeated) != len(ids) || repeated[5] != ids[5] {
+		t.Errorf("the same inputs gave another order the second time: %v", repeated)
 	}
 }
 
-// A plan that waits for sidecars out of contact has no turn become free while there are any, and
-// one that waits too long is withdrawn; what leases and deadlines take is not too long.
-func TestAwaitedBeforeFree(t *testing.T) {
-	g := newStage(t)
-	g.w.Slack = 30 * time.Second
-	g.next(Opened)
-	g.clear, g.w.Unreachable = true, 1
-	g.nothing("out of contact")
-	g.after(drainTimeout + g.w.Slack)
-	g.nothing("out of contact")
-	g.after(time.Second)
-	if s := g.next(Withdrawn); s.Why == "" {
-		t.Error("withdrawn with no word on why")
+// With cut_off = "awaited", a window is not released while a sidecar is unreachable. It is withdrawn after
+// drainTimeout plus Slack, the time that leases and request deadlines may take in normal operation.
+func TestReleaseAwaitsUnreachableSidecars(t *testing.T) {
+	lt := newLeaderTest(t)
+	lt.snapshot.Slack = 30 * time.Second
+	lt.expect(Opened)
+	lt.clear, lt.snapshot.Unreachable = true, 1
+	lt.expectWait("out of contact")
+	lt.advance(drainTimeout + lt.snapshot.Slack)
+	lt.expectWait("out of contact")
+	lt.advance(time.Second)
+	if step := lt.expect(Withdrawn); step.Why == "" {
+		t.Error("the window was withdrawn without a reason")
 	}
-	g.nothing("out of contact")
-	g.w.Unreachable = 0
-	g.next(Opened)
-	g.w.Unreachable = 1
-	g.nothing("out of contact")
-	g.w.Unreachable = 0
-	g.next(Released)
+	lt.expectWait("out of contact")
+	lt.snapshot.Unreachable = 0
+	lt.expect(Opened)
+	lt.snapshot.Unreachable = 1
+	lt.expectWait("out of contact")
+	lt.snapshot.Unreachable = 0
+	lt.expect(Released)
 }
 
-// A turn's entries fit one phase each, whoever puts them into the log and however late.
-func TestEntriesFitPhases(t *testing.T) {
-	g := newStage(t)
-	turn := g.next(Opened)
-	step := func(k Kind) Step { return Step{Kind: k, Number: turn.Number, Term: g.l.Term, By: 0} }
-	refused := func(k Kind) {
+// A window's entries are accepted in one phase each and rejected in all others, so that delayed and duplicated
+// entries change nothing.
+func TestEntriesAreRejectedInOtherPhases(t *testing.T) {
+	lt := newLeaderTest(t)
+	window := lt.expect(Opened)
+	step := func(kind Kind) Step {
+		return Step{Kind: kind, Number: window.Number, Term: lt.leader.Term, By: 0}
+	}
+	expectRejected := func(kind Kind) {
 		t.Helper()
-		if g.s.Apply(step(k)) == "" {
-			t.Errorf("%s was taken", k)
+		if lt.state.Apply(step(kind)) == "" {
+			t.Errorf("entry %s was accepted, want it rejected", kind)
 		}
 	}
-	for _, k := range []Kind{Done, Closed} {
-		refused(k)
+	for _, kind := range []Kind{Done, Closed} {
+		expectRejected(kind)
 	}
-	g.enter(step(Released))
-	for _, k := range []Kind{Released, Withdrawn, Closed} { // somebody works on it
-		refused(k)
+	lt.apply(step(Released))
+	for _, kind := range []Kind{Released, Withdrawn, Closed} { // an operator may be working on the machine
+		expectRejected(kind)
 	}
-	if len(g.s.MachinesOut()) != 1 {
-		t.Errorf("out: %v", g.s.MachinesOut())
+	if len(lt.state.MachinesOut()) != 1 {
+		t.Errorf("machines %v are out, want the window's machine", lt.state.MachinesOut())
 	}
-	// one that came late, one that overtook another
-	for _, number := range []uint32{turn.Number, turn.Number + 2} {
-		other := Step{Kind: Opened, Number: number, Plan: 1, LastPlan: 1, Machine: g.w.Machines[7].ID, Term: g.l.Term}
-		if g.s.Apply(other) == "" {
-			t.Errorf("turn %d was taken behind turn %d", number, turn.Number)
+	// a duplicate of the Opened entry, and an Opened entry that overtook the one before it
+	for _, number := range []uint32{window.Number, window.Number + 2} {
+		other := Step{
+			Kind: Opened, Number: number, Plan: 1, LastPlan: 1, Machine: lt.snapshot.Machines[7].ID,
+			Term: lt.leader.Term,
+		}
+		if lt.state.Apply(other) == "" {
+			t.Errorf("window %d opened after window %d, want the entry rejected", number, window.Number)
 		}
 	}
-	g.enter(step(Done))
-	for _, k := range []Kind{Released, Withdrawn, Done} {
-		refused(k)
+	lt.apply(step(Done))
+	for _, kind := range []Kind{Released, Withdrawn, Done} {
+		expectRejected(kind)
 	}
-	g.enter(step(Closed))
-	for _, k := range []Kind{Released, Withdrawn, Done, Closed} {
-		refused(k)
+	lt.apply(step(Closed))
+	for _, kind := range []Kind{Released, Withdrawn, Done, Closed} {
+		expectRejected(kind)
 	}
 }
 
-// A bound by zone holds where the fleet's would allow more: with one out in each zone nobody goes.
-func TestBoundByZone(t *testing.T) {
-	g := newStage(t)
-	p, err := Parse([]byte("all = true\n[out]\nfleet = 8\nzone = 1\n"))
+// The bound by zone is enforced even where the fleet's bound allows more machines out: with one machine out in each
+// zone no further window opens.
+func TestZoneBoundIsEnforced(t *testing.T) {
+	lt := newLeaderTest(t)
+	plan, err := Parse([]byte("all = true\n[out]\nfleet = 8\nzone = 1\n"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	g.plan, g.clear = p, true
+	lt.plan, lt.clear = plan, true
 	zones := make(map[string]bool)
-	for _, m := range g.w.Machines {
-		zones[m.Zone] = true
+	for _, machine := range lt.snapshot.Machines {
+		zones[machine.Zone] = true
 	}
 	for range zones {
-		turn := g.next(Opened)
-		zone := find(g.w.Machines, turn.Machine).Zone
+		window := lt.expect(Opened)
+		zone := findMachine(lt.snapshot.Machines, window.Machine).Zone
 		if !zones[zone] {
-			t.Fatalf("a second one of zone %s", zone)
+			t.Fatalf("a second window opened in zone %s", zone)
 		}
 		zones[zone] = false
-		g.next(Released)
+		lt.expect(Released)
 	}
-	g.nothing("would be out in zone")
+	lt.expectWait("would be out in zone")
 }
--- a/internal/fleet/maintenance/load.go
+++ b/internal/fleet/maintenance/load.go
@@ -6,37 +6,39 @@
 
 const (
 	sampleInterval = time.Second
-	sampleCount    = 6 // one more than the seconds over which the load is measured
+	// sampleCount is one more than the number of intervals over which the load is measured.
+	sampleCount = 6
 )
 
-// Load is the recent rate of requests that a sidecar answers, from counters that only grow. The
-// zero value is ready.
+// Load measures the recent request rate of a sidecar from samples of monotonic counters. The zero value is
+// ready to use.
 type Load struct {
-	at           [sampleCount]time.Duration
-	all, passed  [sampleCount]uint64
-	next, filled int
+	at               [sampleCount]time.Duration
+	answered, served [sampleCount]uint64
+	next, filled     int
 }
 
-// Due reports whether the counters are to be read.
+// Due reports whether the next sample is to be taken.
 func (l *Load) Due(now time.Duration) bool {
 	return l.filled == 0 || now >= l.at[(l.next+sampleCount-1)%sampleCount]+sampleInterval
 }
 
-// Count records how many requests were answered since the start, and how many of them were served.
-func (l *Load) Count(now time.Duration, all, passed uint64) {
-	l.at[l.next], l.all[l.next], l.passed[l.next] = now, all, passed
+// Record adds a sample: how many requests have been answered since the process started, and how many of them
+// were served successfully.
+func (l *Load) Record(now time.Duration, answered, served uint64) {
+	l.at[l.next], l.answered[l.next], l.served[l.next] = now, answered, served
 	l.next, l.filled = (l.next+1)%sampleCount, min(l.filled+1, sampleCount)
 }
 
-// Recent returns how many requests were answered per second, and which share of them was served; 1
-// if there were none.
-func (l *Load) Recent() (rate, served float64) {
+// Recent returns how many requests were answered per second, and which share of them was served. The share is 1
+// if no request was answered.
+func (l *Load) Recent() (rate, servedShare float64) {
 	last := (l.next + sampleCount - 1) % sampleCount
 	first := (l.next + sampleCount - l.filled) % sampleCount
-	span := (l.at[last] - l.at[first]).Seconds()
-	all, passed := l.all[last]-l.all[first], l.passed[last]-l.passed[first]
-	if span <= 0 || all == 0 {
+	seconds := (l.at[last] - l.at[first]).Seconds()
+	answered, served := l.answered[last]-l.answered[first], l.served[last]-l.served[first]
+	if seconds <= 0 || answered == 0 {
 		return 0, 1
 	}
-	return float64(all) / span, float64(passed) / float64(all)
+	return float64(answered) / seconds, float64(served) / float64(answered)
 }
--- a/internal/fleet/maintenance/order.go
+++ b/internal/fleet/maintenance/order.go
@@ -6,76 +6,85 @@
 	"slices"
 )
 
-// advancePlan ends a plan, pauses it, or opens the next window.
-func (l *Leader) advancePlan(w *Snapshot, s *State, work *ActivePlan) (Step, bool) {
-	p, here := w.Plan(work.Hash)
-	l.waitReasons[work.Number] = l.whyBlocked(w, s, work, p, here)
-	if !here || work.Paused != "" {
+// advancePlan finishes a plan, pauses it, or opens its next window.
+func (l *Leader) advancePlan(snapshot *Snapshot, state *State, active *ActivePlan) (Step, bool) {
+	plan, known := snapshot.Plan(active.Hash)
+	l.waitReasons[active.Number] = l.blockReason(snapshot, state, active, plan, known)
+	if !known || active.Paused != "" {
 		return Step{}, false
 	}
-	mine, left := 0, 0
-	for _, t := range s.Windows {
-		if t.Plan == work.Number {
-			mine++
+	openWindows, remaining := 0, 0
+	for _, window := range state.Windows {
+		if window.Plan == active.Number {
+			openWindows++
 		}
 	}
-	for i := range w.Machines {
-		if m := &w.Machines[i]; p.matches(m) && !work.Visited[m.ID] {
-			left++
+	for i := range snapshot.Machines {
+		if machine := &snapshot.Machines[i]; plan.matches(machine) && !active.Visited[machine.ID] {
+			remaining++
 		}
 	}
 	switch {
-	case !w.Current:
-	case mine == 0 && left == 0:
-		return l.step(Finished, work.Number, "")
-	case mine > 0 && l.lateSince > 0 && w.Now-l.lateSince >= pauseAfter:
-		return Step{Kind: Paused, Number: work.Number, By: l.Self, Why: "service got worse"}, true
+	case !snapshot.Current:
+	case openWindows == 0 && remaining == 0:
+		return l.newStep(Finished, active.Number, "")
+	case openWindows > 0 && l.lateSince > 0 && snapshot.Now-l.lateSince >= pauseAfter:
+		return Step{Kind: Paused, Number: active.Number, By: l.Self, Why: "service got worse"}, true
 	}
-	if l.waitReasons[work.Number] != "" {
+	if l.waitReasons[active.Number] != "" {
 		return Step{}, false
 	}
-	next, why := l.nextMachine(w, s, work, p)
-	if l.waitReasons[work.Number] = why; next == nil {
+	next, reason := l.nextMachine(snapshot, state, active, plan)
+	if l.waitReasons[active.Number] = reason; next == nil {
 		return Step{}, false
 	}
 	return Step{
-		Kind: Opened, Number: s.LastWindow + 1, Plan: work.Number, LastPlan: s.LastPlan,
+		Kind: Opened, Number: state.LastWindow + 1, Plan: active.Number, LastPlan: state.LastPlan,
 		Machine: next.ID, Term: l.Term, By: l.Self,
 	}, true
 }
 
-// whyBlocked returns why no machine goes next, whichever it would be; "": one may. In doubt none
-// does.
-func (l *Leader) whyBlocked(w *Snapshot, s *State, work *ActivePlan, p *Plan, here bool) string {
+// blockReason returns why a plan may not open a window now, regardless of the machine; "" if it may. The plan
+// waits whenever the fleet's state is uncertain.
+func (l *Leader) blockReason(snapshot *Snapshot, state *State, active *ActivePlan, plan *Plan, known bool) string {
 	switch {
-	case !here:
+	case !known:
 		return "its text is not here yet"
-	case work.Paused != "":
-		return "paused: " + work.Paused
-	case !w.Current:
+	case active.Paused != "":
+		return "paused: " + active.Paused
+	case !snapshot.Current:
 		return "the list of machines may be old"
-	case w.Unreachable > 0 && p.CutOff == AwaitExpiry:
-		return fmt.Sprintf("%d sidecars are out of contact", w.Unreachable)
-	case w.InTime < p.InTime:
-		return fmt.Sprintf("%.0f%% of the requests are in time, %.0f%% are asked for", 100*w.InTime, 100*p.InTime)
-	case slices.ContainsFunc(s.Windows, func(t Window) bool { return t.Phase == Draining }):
-		return "a turn has just been given" // one after the other: else two are decided by the same snapshot
+	case snapshot.Unreachable > 0 && plan.CutOff == AwaitExpiry:
+		return fmt.Sprintf("%d sidecars are out of contact", snapshot.Unreachable)
+	case snapshot.InTime < plan.InTime:
+		return fmt.Sprintf(
+			"%.0f%% of the requests are in time, %.0f%% are asked for", 100*snapshot.InTime, 100*plan.InTime,
+		)
+	case slices.ContainsFunc(state.Windows, func(window Window) bool { return window.Phase == Draining }):
+		// Windows open one at a time: two windows must not be decided by the same snapshot.
+		return "a turn has just been given"
 	}
 	return ""
 }
 
-// nextMachine returns the machine that goes next, or why there is none. Compared to a search over
-// all orders: with bounds by cell and a reserve, the greedy order below comes within one window of
-// it (TestOrder), as windows take about the same time. Machines of cells that were touched last
-// come last, so that the windows of repeated keyed requests are over and the cell's other machines
-// warm; then overloaded machines first, as they serve worst; then those of the highest weight,
-// while the reserve is there; then by id, for one order everywhere.
-func (l *Leader) nextMachine(w *Snapshot, s *State, work *ActivePlan, p *Plan) (best *Machine, why string) {
-	touched := cellsByLastWindow(w, s)
+// nextMachine returns the machine whose window opens next, or the reason why there is none. The order is greedy:
+//
+//  1. Machines of the cells whose last window opened longest ago come first. This gives the
+//     deduplication windows of repeated keyed requests time to end, and the cell's other machines time to warm up.
+//  2. Overloaded machines come next, because they serve worst.
+//  3. Machines of the highest weight come next, while the reserve is still available.
+//  4. Ties are broken by id, so that every leader chooses the same order.
+//
+// Compared to a search over all orders, with bounds by cell and a reserve, this order needs at most one window
+// more, as all windows take about the same time; TestOrder checks the rules.
+func (l *Leader) nextMachine(
+	snapshot *Snapshot, state *State, active *ActivePlan, plan *Plan,
+) (best *Machine, reason string) {
+	lastWindow := cellsByLastWindow(snapshot, state)
 	before := func(a, b *Machine) bool {
 		switch {
-		case touched[a.Cell] != touched[b.Cell]:
-			return touched[a.Cell] < touched[b.Cell]
+		case lastWindow[a.Cell] != lastWindow[b.Cell]:
+			return lastWindow[a.Cell] < lastWindow[b.Cell]
 		case a.Overloaded != b.Overloaded:
 			return a.Overloaded
 		case a.Weight != b.Weight:
@@ -83,91 +92,92 @@
 		}
 		return a.ID < b.ID
 	}
-	for i := range w.Machines {
-		m := &w.Machines[i]
-		if !p.matches(m) || work.Visited[m.ID] ||
-			slices.ContainsFunc(s.Windows, func(t Window) bool { return t.Machine == m.ID }) {
+	for i := range snapshot.Machines {
+		machine := &snapshot.Machines[i]
+		if !plan.matches(machine) || active.Visited[machine.ID] ||
+			slices.ContainsFunc(state.Windows, func(window Window) bool { return window.Machine == machine.ID }) {
 			continue
 		}
-		if no := l.whyNotOut(w, s, m); no != "" {
-			why = no
-		} else if best == nil || before(m, best) {
-			best = m
+		if obstacle := l.exclusionReason(snapshot, state, machine); obstacle != "" {
+			reason = obstacle
+		} else if best == nil || before(machine, best) {
+			best = machine
 		}
 	}
 	if best != nil {
 		return best, ""
 	}
-	return nil, why
+	return nil, reason
 }
 
-// cellsByLastWindow orders cells by their last window, those with an open one last.
-func cellsByLastWindow(w *Snapshot, s *State) map[int]int {
-	touched := make(map[int]int)
-	for i, t := range s.Past {
-		if m := find(w.Machines, t.Machine); m != nil {
-			touched[m.Cell] = i + 1
+// cellsByLastWindow returns, by cell, a rank that grows with the time of the cell's last window; cells with an
+// open window have the highest rank, cells without any window have rank 0.
+func cellsByLastWindow(snapshot *Snapshot, state *State) map[int]int {
+	rank := make(map[int]int)
+	for i, window := range state.Past {
+		if machine := findMachine(snapshot.Machines, window.Machine); machine != nil {
+			rank[machine.Cell] = i + 1
 		}
 	}
-	for _, t := range s.Windows {
-		if m := find(w.Machines, t.Machine); m != nil {
-			touched[m.Cell] = math.MaxInt
+	for _, window := range state.Windows {
+		if machine := findMachine(snapshot.Machines, window.Machine); machine != nil {
+			rank[machine.Cell] = math.MaxInt
 		}
 	}
-	return touched
+	return rank
 }
 
-// whyNotOut returns why a machine can't go out now: by the bounds of all plans, not only of its
-// own.
-func (l *Leader) whyNotOut(w *Snapshot, s *State, m *Machine) string {
-	if m.State == MachineDown {
-		return m.Name + " is not listed now"
-	}
-	without := machinesOutSet(s)
-	without[m.ID] = true
-	for i := range s.Plans {
-		p, here := w.Plan(s.Plans[i].Hash)
-		if !here {
-			return fmt.Sprintf("the text of plan %d is not here yet", s.Plans[i].Number)
+// exclusionReason returns why a machine may not be taken out now, by the bounds and the reserve of all active
+// plans; "" if it may.
+func (l *Leader) exclusionReason(snapshot *Snapshot, state *State, machine *Machine) string {
+	if machine.State == MachineDown {
+		return machine.Name + " is not listed now"
+	}
+	out := machinesOutSet(state)
+	out[machine.ID] = true
+	for i := range state.Plans {
+		plan, known := snapshot.Plan(state.Plans[i].Hash)
+		if !known {
+			return fmt.Sprintf("the text of plan %d is not here yet", state.Plans[i].Number)
 		}
-		if why := l.whyTooMany(w, s, p, m.ID); why != "" {
-			return why
+		if reason := l.boundViolation(snapshot, state, plan, machine.ID); reason != "" {
+			return reason
 		}
-		if why := p.whyOverloaded(w.Machines, without, w.Traffic); why != "" {
-			return why
+		if reason := plan.capacityShortfall(snapshot.Machines, out, snapshot.Traffic); reason != "" {
+			return reason
 		}
 	}
 	return ""
 }
 
-// whyTooMany returns which bound of a plan would be broken with one more machine out, beside those
-// that are out by the log, down, draining, or warming up, for whatever reason.
-func (l *Leader) whyTooMany(w *Snapshot, s *State, p *Plan, with uint64) string {
-	turns := make(map[uint64]bool, len(s.Windows)+1)
-	for _, t := range s.Windows {
-		turns[t.Machine] = true
-	}
-	turns[with] = true
-	all, zones, cells := 0, make(map[string]int), make(map[int]int)
-	for i := range w.Machines {
-		if m := &w.Machines[i]; turns[m.ID] || m.State != MachineReady || m.Warmth < 1 {
-			all++
+// boundViolation returns which bound of a plan would be exceeded if a machine were out; "" if none would. Besides
+// this machine, machines count as out if they have an open window, are down or draining, or are warming up.
+func (l *Leader) boundViolation(snapshot *Snapshot, state *State, plan *Plan, id uint64) string {
+	haveWindow := make(map[uint64]bool, len(state.Windows)+1)
+	for _, window := range state.Windows {
+		haveWindow[window.Machine] = true
+	}
+	haveWindow[id] = true
+	total, zones, cells := 0, make(map[string]int), make(map[int]int)
+	for i := range snapshot.Machines {
+		if m := &snapshot.Machines[i]; haveWindow[m.ID] || m.State != MachineReady || m.Warmth < 1 {
+			total++
 			zones[m.Zone]++
 			cells[m.Cell]++
 		}
 	}
-	it := find(w.Machines, with)
-	if it == nil {
-		return "" // it is not known
+	machine := findMachine(snapshot.Machines, id)
+	if machine == nil {
+		return "" // the machine's zone and cell are unknown
 	}
-	byZone, byCell := countByZoneAndCell(w.Machines)
+	byZone, byCell := countByZoneAndCell(snapshot.Machines)
 	switch {
-	case all > p.Out.Fleet.limit(len(w.Machines)):
-		return fmt.Sprintf("%d would be out, %d may be", all, p.Out.Fleet.limit(len(w.Machines)))
-	case zones[it.Zone] > p.Out.Zone.limit(byZone[it.Zone]):
-		return fmt.Sprintf("%d would be out in zone %s", zones[it.Zone], it.Zone)
-	case cells[it.Cell] > p.Out.Cell.limit(byCell[it.Cell]):
-		return fmt.Sprintf("%d would be out in cell %d", cells[it.Cell], it.Cell)
+	case total > plan.Out.Fleet.limit(len(snapshot.Machines)):
+		return fmt.Sprintf("%d would be out, %d may be", total, plan.Out.Fleet.limit(len(snapshot.Machines)))
+	case zones[machine.Zone] > plan.Out.Zone.limit(byZone[machine.Zone]):
+		return fmt.Sprintf("%d would be out in zone %s", zones[machine.Zone], machine.Zone)
+	case cells[machine.Cell] > plan.Out.Cell.limit(byCell[machine.Cell]):
+		return fmt.Sprintf("%d would be out in cell %d", cells[machine.Cell], machine.Cell)
 	}
 	return ""
 }
--- a/internal/fleet/maintenance/plan.go
+++ b/internal/fleet/maintenance/plan.go
@@ -1,12 +1,12 @@
-// Package maintenance takes a fleet's machines out for work, one maintenance window after the
-// other: the operator's plan, the bounds on how many machines may be out, the order, and the
+// Package maintenance takes a fleet's machines out of service for maintenance, one window after the other. It
+// holds the operator's plan, the bounds on how many machines may be out, the order of the machines, and the
 // windows as entries of the replicated log.
 //
-// It owns the state that the log makes of plans and windows (State), the leader's decisions
-// (Leader) and what sidecars report for them (Reports, LocalClearance, Load). It does no I/O,
-// starts no goroutines and reads no clock; its types are not safe for concurrent use. Equal entries
-// give an equal State everywhere; only the log's leader decides, by what it knows of the machines
-// at that moment.
+// The package owns the state that results from the log's entries about plans and windows (State), the leader's
+// decisions (Leader) and the sidecars' reports that the leader needs for them (Reports, LocalClearance, Load). It
+// does no I/O, starts no goroutines and reads no clock; its types are not safe for concurrent use. The same
+// entries give the same State on every sidecar. Only the log's leader decides on windows, by its current
+// knowledge of the machines.
 package maintenance
 
 import (
@@ -20,179 +20,186 @@
 )
 
 const (
-	maxMachines  = 10_000
-	maxNameBytes = 128
-	maxLongest   = 7 * 24 * time.Hour
+	maxMachines       = 10_000
+	maxNameBytes      = 128
+	maxWindowDuration = 7 * 24 * time.Hour
 )
 
-// Plan is an operator's text: what needs work, and within which bounds.
+// Plan is an operator's maintenance plan: which machines need work, and within which bounds. Exactly one of
+// Machines, Cells, Zones and All selects the machines.
 type Plan struct {
-	Machines []string `toml:"machines"` // ids,
-	Cells    []int    `toml:"cells"`    // or all of these,
-	Zones    []string `toml:"zones"`    // or of these,
-	All      bool     `toml:"all"`      // or all that are listed
+	Machines []string `toml:"machines"` // machine names
+	Cells    []int    `toml:"cells"`
+	Zones    []string `toml:"zones"`
+	All      bool     `toml:"all"` // all machines that discovery lists
 
-	Out     Bounds  `toml:"out"`     // machines that may be out at once, for whatever reason
-	Reserve float64 `toml:"reserve"` // share of the others' capacity that must stay free
-	// requests per second of a machine of weight 1; 0: unknown, and no reserve is kept
+	Out     Bounds  `toml:"out"`     // how many machines may be out at the same time, for whatever reason
+	Reserve float64 `toml:"reserve"` // share of the remaining machines' capacity that must stay unused
+	// CapacityPerMachine is how many requests per second a machine of weight 1 can serve; 0: unknown, in which
+	// case Reserve is not enforced.
 	CapacityPerMachine float64 `toml:"bears"`
-	// share of requests that has to be served in time before the next window
+	// InTime is the share of requests that has to be served in time before the next window opens.
 	InTime      float64  `toml:"in_time"`
-	MaxDuration Duration `toml:"longest"` // of a window; the plan is paused after it
-	// the work is done when "told" by the operator, or when the machine has "started" anew
+	MaxDuration Duration `toml:"longest"` // of a window's Free and Returning phases; a longer phase pauses the plan
+	// DoneWhen says when the work on a machine is done: ByOperator or Restarted.
 	DoneWhen string `toml:"back"`
-	// sidecars out of contact, which may send to a machine that is out: "told" to the operator, or
-	// "awaited"
+	// CutOff says how to treat unreachable sidecars, which may still send requests to a machine that is out:
+	// ByOperator or AwaitExpiry.
 	CutOff string `toml:"cut_off"`
 }
 
-// What ends the work on a machine (Plan.DoneWhen), and what becomes of sidecars out of contact
-// (Plan.CutOff).
+// The values of Plan.DoneWhen and Plan.CutOff.
 const (
-	ByOperator  = "told"
-	Restarted   = "started"
+	// ByOperator as DoneWhen: an operator says that the work is done. As CutOff: windows go on, and the operator
+	// is told how many sidecars are unreachable.
+	ByOperator = "told"
+	// Restarted as DoneWhen: the work is done when the machine's process has restarted.
+	Restarted = "started"
+	// AwaitExpiry as CutOff: no window opens or is released while a sidecar is unreachable.
 	AwaitExpiry = "awaited"
 )
 
-// Parse parses a plan. An error names the line or the field.
+// Parse parses and checks a plan in TOML. An error names the line or the field.
 func Parse(text []byte) (*Plan, error) {
-	p := &Plan{InTime: 0.95, MaxDuration: Duration(time.Hour), DoneWhen: ByOperator, CutOff: ByOperator, Reserve: 0.1}
-	if err := strictconfig.DecodeTOML(text, p); err != nil {
+	plan := &Plan{InTime: 0.95, MaxDuration: Duration(time.Hour), DoneWhen: ByOperator, CutOff: ByOperator, Reserve: 0.1}
+	if err := strictconfig.DecodeTOML(text, plan); err != nil {
 		return nil, err
 	}
-	return p, p.check()
+	return plan, plan.check()
 }
 
+// check returns an error if the plan contradicts itself or a value is out of range.
 func (p *Plan) check() error {
-	ways := 0
-	for _, is := range []bool{len(p.Machines) > 0, len(p.Cells) > 0, len(p.Zones) > 0, p.All} {
-		if is {
-			ways++
+	selectors := 0
+	for _, used := range []bool{len(p.Machines) > 0, len(p.Cells) > 0, len(p.Zones) > 0, p.All} {
+		if used {
+			selectors++
 		}
 	}
-	share := func(f float64) bool { return f >= 0 && f <= 1 }
+	isShare := func(value float64) bool { return value >= 0 && value <= 1 }
 	switch {
-	case ways != 1:
+	case selectors != 1:
 		return errors.New("one of machines, cells, zones and all = true says what needs work")
 	case len(p.Machines) > maxMachines:
 		return fmt.Errorf("machines: %d of them, %d are possible", len(p.Machines), maxMachines)
 	case p.Out.Fleet == nil:
 		return errors.New("out.fleet is missing: how many may be out at once")
-	case !share(p.Reserve) || p.Reserve == 1:
+	case !isShare(p.Reserve) || p.Reserve == 1:
 		return fmt.Errorf("reserve: %v is no share below 1", p.Reserve)
 	case !(p.CapacityPerMachine >= 0) || math.IsInf(p.CapacityPerMachine, 0):
 		return fmt.Errorf("bears: %v is no number of requests a second", p.CapacityPerMachine)
-	case !share(p.InTime):
+	case !isShare(p.InTime):
 		return fmt.Errorf("in_time: %v is no share", p.InTime)
-	case p.MaxDuration <= 0 || time.Duration(p.MaxDuration) > maxLongest:
-		return fmt.Errorf("longest: %v is not within 0 and %v", time.Duration(p.MaxDuration), maxLongest)
+	case p.MaxDuration <= 0 || time.Duration(p.MaxDuration) > maxWindowDuration:
+		return fmt.Errorf("longest: %v is not within 0 and %v", time.Duration(p.MaxDuration), maxWindowDuration)
 	case p.DoneWhen != ByOperator && p.DoneWhen != Restarted:
 		return fmt.Errorf("back: %q is neither %q nor %q", p.DoneWhen, ByOperator, Restarted)
 	case p.CutOff != ByOperator && p.CutOff != AwaitExpiry:
 		return fmt.Errorf("cut_off: %q is neither %q nor %q", p.CutOff, ByOperator, AwaitExpiry)
 	}
 	seen := make(map[string]bool, len(p.Machines))
-	for i, id := range p.Machines {
-		if id == "" || len(id) > maxNameBytes {
-			return fmt.Errorf("machines[%d]: an id of %d bytes, 1 to %d are possible", i, len(id), maxNameBytes)
+	for i, name := range p.Machines {
+		if name == "" || len(name) > maxNameBytes {
+			return fmt.Errorf("machines[%d]: an id of %d bytes, 1 to %d are possible", i, len(name), maxNameBytes)
 		}
-		if seen[id] {
-			return fmt.Errorf("machines[%d]: %s stands there twice", i, id)
+		if seen[name] {
+			return fmt.Errorf("machines[%d]: %s stands there twice", i, name)
 		}
-		seen[id] = true
+		seen[name] = true
 	}
 	return nil
 }
 
-// matches reports whether a plan is about a machine.
-func (p *Plan) matches(m *Machine) bool {
+// matches reports whether the plan selects a machine.
+func (p *Plan) matches(machine *Machine) bool {
 	switch {
 	case p.All:
 		return true
 	case len(p.Cells) > 0:
-		return slices.Contains(p.Cells, m.Cell)
+		return slices.Contains(p.Cells, machine.Cell)
 	case len(p.Zones) > 0:
-		return slices.Contains(p.Zones, m.Zone)
+		return slices.Contains(p.Zones, machine.Zone)
 	}
-	return slices.Contains(p.Machines, m.Name)
+	return slices.Contains(p.Machines, machine.Name)
 }
 
-// CheckMachines returns why a plan can't begin with the machines that there are, so that its
-// operator learns so at once.
-func (p *Plan) CheckMachines(all []Machine) error {
-	listed, named := make(map[string]bool, len(all)), 0
-	for i := range all {
-		listed[all[i].Name] = true
-		if p.matches(&all[i]) {
-			named++
+// CheckMachines returns an error if the plan can't be carried out with the current machines, so that the operator
+// who proposes the plan is told at once.
+func (p *Plan) CheckMachines(machines []Machine) error {
+	listed, selected := make(map[string]bool, len(machines)), 0
+	for i := range machines {
+		listed[machines[i].Name] = true
+		if p.matches(&machines[i]) {
+			selected++
 		}
 	}
-	for i, id := range p.Machines {
-		if !listed[id] {
-			return fmt.Errorf("machines[%d]: %s is not listed", i, id)
+	for i, name := range p.Machines {
+		if !listed[name] {
+			return fmt.Errorf("machines[%d]: %s is not listed", i, name)
 		}
 	}
-	if named == 0 {
+	if selected == 0 {
 		return errors.New("no machine that is listed is meant")
 	}
-	return p.checkBounds(all)
+	return p.checkBounds(machines)
 }
 
-// checkBounds returns an error if a bound lets no machine go out, or if one machine is all there
-// is.
-func (p *Plan) checkBounds(all []Machine) error {
-	zones, cells := countByZoneAndCell(all)
-	for i := range all {
-		m := &all[i]
-		if !p.matches(m) {
+// checkBounds returns an error if a bound never lets a selected machine go out, or if no capacity remains without
+// that machine.
+func (p *Plan) checkBounds(machines []Machine) error {
+	zones, cells := countByZoneAndCell(machines)
+	for i := range machines {
+		machine := &machines[i]
+		if !p.matches(machine) {
 			continue
 		}
-		for _, b := range []struct {
+		for _, scope := range []struct {
 			field string
 			bound *Bound
-			there int
+			total int
 		}{
-			{"fleet", p.Out.Fleet, len(all)}, {"zone", p.Out.Zone, zones[m.Zone]},
-			{"cell", p.Out.Cell, cells[m.Cell]},
+			{"fleet", p.Out.Fleet, len(machines)}, {"zone", p.Out.Zone, zones[machine.Zone]},
+			{"cell", p.Out.Cell, cells[machine.Cell]},
 		} {
-			if b.bound.limit(b.there) < 1 {
+			if scope.bound.limit(scope.total) < 1 {
 				return fmt.Errorf(
-					"out.%s: %v%% of %d machines is less than one, so %s could never go", b.field,
-					b.bound.Percent, b.there, m.Name,
+					"out.%s: %v%% of %d machines is less than one, so %s could never go", scope.field,
+					scope.bound.Percent, scope.total, machine.Name,
 				)
 			}
 		}
-		if why := p.whyOverloaded(all, map[uint64]bool{m.ID: true}, 0); p.CapacityPerMachine > 0 && why != "" {
-			return fmt.Errorf("without %s nothing is left to carry anything", m.Name)
+		if reason := p.capacityShortfall(machines, map[uint64]bool{machine.ID: true}, 0); p.CapacityPerMachine > 0 &&
+			reason != "" {
+			return fmt.Errorf("without %s nothing is left to carry anything", machine.Name)
 		}
 	}
 	return nil
 }
 
-// countByZoneAndCell counts machines, down ones included.
-func countByZoneAndCell(all []Machine) (zones map[string]int, cells map[int]int) {
+// countByZoneAndCell counts the machines of each zone and cell, those that are down included.
+func countByZoneAndCell(machines []Machine) (zones map[string]int, cells map[int]int) {
 	zones, cells = make(map[string]int), make(map[int]int)
-	for i := range all {
-		zones[all[i].Zone]++
-		cells[all[i].Cell]++
+	for i := range machines {
+		zones[machines[i].Zone]++
+		cells[machines[i].Cell]++
 	}
 	return zones, cells
 }
 
-// whyOverloaded returns why the machines that are left can't carry the traffic with the plan's
-// reserve; "" if they can, or if their capacity is not known.
-func (p *Plan) whyOverloaded(all []Machine, out map[uint64]bool, traffic float64) string {
+// capacityShortfall returns why the machines that are not out can't serve the traffic with the plan's reserve; ""
+// if they can, or if CapacityPerMachine is unknown. Traffic is in requests per second.
+func (p *Plan) capacityShortfall(machines []Machine, out map[uint64]bool, traffic float64) string {
 	if p.CapacityPerMachine == 0 {
 		return ""
 	}
-	bears := 0.0
-	for i := range all {
-		if m := &all[i]; m.State == MachineReady && !out[m.ID] {
-			bears += p.CapacityPerMachine * m.Weight * m.Warmth
+	capacity := 0.0
+	for i := range machines {
+		if machine := &machines[i]; machine.State == MachineReady && !out[machine.ID] {
+			capacity += p.CapacityPerMachine * machine.Weight * machine.Warmth
 		}
 	}
-	if free := bears * (1 - p.Reserve); bears == 0 || traffic > free {
-		return fmt.Sprintf("the others carry %.0f requests a second with the reserve, there are %.0f", free, traffic)
+	if usable := capacity * (1 - p.Reserve); capacity == 0 || traffic > usable {
+		return fmt.Sprintf("the others carry %.0f requests a second with the reserve, there are %.0f", usable, traffic)
 	}
 	return ""
 }
--- a/internal/fleet/maintenance/plan_keys_test.go
+++ b/internal/fleet/maintenance/plan_keys_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Operators keep files with these keys.
-func TestEveryKeyOfAPlan(t *testing.T) {
+// Every key of a plan is read into its field. Operators keep files with these keys, so none may be renamed.
+func TestEveryPlanKeyIsRead(t *testing.T) {
 	const common = `
 reserve = 0.25
 bears = 120.5
@@ -20,7 +20,7 @@
 zone = 2
 cell = "3"
 `
-	for machines, want := range map[string]Plan{
+	for selector, want := range map[string]Plan{
 		`machines = ["s-1", "s-2"]`: {Machines: []string{"s-1", "s-2"}},
 		`cells = [3, 4]`:            {Cells: []int{3, 4}},
 		`zones = ["b", "c"]`:        {Zones: []string{"b", "c"}},
@@ -29,13 +29,13 @@
 		want.Reserve, want.CapacityPerMachine, want.InTime, want.MaxDuration = 0.25, 120.5, 0.75, Duration(2*time.Hour)
 		want.DoneWhen, want.CutOff = "started", "awaited"
 		want.Out = Bounds{Fleet: &Bound{Percent: 10}, Zone: &Bound{Count: 2}, Cell: &Bound{Count: 3}}
-		got, err := Parse([]byte(machines + common))
+		got, err := Parse([]byte(selector + common))
 		if err != nil {
-			t.Errorf("%s: %v", machines, err)
+			t.Errorf("parsing a plan with %s: %v", selector, err)
 			continue
 		}
 		if !reflect.DeepEqual(*got, want) {
-			t.Errorf("%s: read is %+v, want %+v", machines, *got, want)
+			t.Errorf("plan with %s was read as %+v, want %+v", selector, *got, want)
 		}
 	}
 }
--- a/internal/fleet/maintenance/plan_test.go
+++ b/internal/fleet/maintenance/plan_test.go
@@ -6,6 +6,8 @@
 	"testing"
 )
 
+// machines returns n machines that are ready: the first four in cell 0, the next four in cell 1 and so on, with
+// alternating zones.
 func machines(n int) (all []Machine) {
 	for i := range n {
 		all = append(
@@ -19,9 +21,9 @@
 	return all
 }
 
-// What can't be used is an error that names its field or line; what no bound ever allows is told at
-// once.
-func TestPlansThatCantBeUsed(t *testing.T) {
+// An invalid plan is rejected with an error that names the field or the line, and so is a plan with a bound that
+// never lets a machine go out.
+func TestInvalidPlansAreRejected(t *testing.T) {
 	for text, want := range map[string]string{
 		"all = true\n": "out.fleet",
 		"all = true\ncells = [1]\nout.fleet = \"1\"":           "one of machines",
@@ -49,25 +51,25 @@
 		"all = true\nout.fleet = \"5%\"":                       "out.fleet",
 		"all = true\nout.fleet = \"1\"\n[out]\nrack = \"1\"":   "line",
 	} {
-		p, err := Parse([]byte(text))
+		plan, err := Parse([]byte(text))
 		if err == nil {
-			err = p.CheckMachines(machines(8))
+			err = plan.CheckMachines(machines(8))
 		}
 		if err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%q: %v, want something about %q", text, err, want)
+			t.Errorf("plan %q: error %v, want one that contains %q", text, err, want)
 		}
 	}
-	p, err := Parse(
+	plan, err := Parse(
 		[]byte("zones = [\"a\"]\nbears = 10.0\nback = \"started\"\n[out]\nfleet = \"25%\"\ncell = \"1\"\n"),
 	)
 	if err == nil {
-		err = p.CheckMachines(machines(8))
+		err = plan.CheckMachines(machines(8))
 	}
 	if err != nil {
-		t.Error(err)
+		t.Errorf("a valid plan was rejected: %v", err)
 	}
-	if err := p.CheckMachines(machines(1)); err == nil || !strings.Contains(err.Error(), "less than one") {
-		t.Errorf("a quarter of one: %v", err)
+	if err := plan.CheckMachines(machines(1)); err == nil || !strings.Contains(err.Error(), "less than one") {
+		t.Errorf("25%% of one machine: error %v, want one that contains \"less than one\"", err)
 	}
 	long := "machines = ["
 	for i := range maxMachines + 1 {
@@ -75,12 +77,12 @@
 	}
 	if _, err := Parse([]byte(long + "]\nout.fleet = \"1\"")); err == nil ||
 		!strings.Contains(err.Error(), "10001 of them") {
-		t.Errorf("ten thousand and one: %v", err)
+		t.Errorf("plan with 10001 machines: error %v, want one that contains \"10001 of them\"", err)
 	}
 }
 
-// An entry fits into the log whatever it says, comes back as it was, and what is none is refused.
-func TestEntries(t *testing.T) {
+// Every step fits into a log entry and is decoded as it was encoded; invalid data is rejected.
+func TestStepEncoding(t *testing.T) {
 	for _, s := range []Step{
 		{Kind: LeaderStarted, Term: 7, By: 299},
 		{Kind: Planned, Number: 1 << 30, By: 4999, Hash: [32]byte{1, 2, 3}},
@@ -92,27 +94,27 @@
 		{Kind: Paused, Number: 3, Why: "too long"},
 	} {
 		raw, err := s.Encode()
-		// an entry of the log has 96, what tells it from a policy's takes some
+		// A log entry has at most 96 bytes, and the wrapper that tells the step from a policy entry takes some.
 		if err != nil || len(raw) > 84 {
-			t.Fatalf("%+v: %d bytes, %v", s, len(raw), err)
+			t.Fatalf("%+v was encoded in %d bytes, error %v; want at most 84 bytes", s, len(raw), err)
 		}
-		if back, err := Decode(raw); err != nil || back != s {
-			t.Errorf("%+v came back as %+v, %v", s, back, err)
+		if decoded, err := Decode(raw); err != nil || decoded != s {
+			t.Errorf("%+v was decoded as %+v, error %v", s, decoded, err)
 		}
 	}
 	raw, _ := Step{Kind: Withdrawn, Number: 3, Term: 1, Why: strings.Repeat("ä", 40)}.Encode()
 	if _, err := Decode(raw); err != nil {
-		t.Error(err)
+		t.Errorf("decoding a step whose reason was truncated inside a character: %v", err)
 	}
 	for name, s := range map[string]Step{
-		"a turn of nobody":          {Kind: Opened, Number: 1, Plan: 1, Machine: 1},
-		"a kind of a newer version": {Kind: kinds, Number: 1},
-		"no number":                 {Kind: Done},
-		"a machine that is none":    {Kind: Opened, Number: 1, Plan: 1, Term: 1},
+		"a window opened by no leader": {Kind: Opened, Number: 1, Plan: 1, Machine: 1},
+		"a kind of a newer version":    {Kind: kindEnd, Number: 1},
+		"no number":                    {Kind: Done},
+		"a window without a machine":   {Kind: Opened, Number: 1, Plan: 1, Term: 1},
 	} {
 		raw, _ := s.Encode()
 		if _, err := Decode(raw); err == nil {
-			t.Errorf("%s was read", name)
+			t.Errorf("%s was decoded, want an error", name)
 		}
 	}
 }
@@ -122,12 +124,12 @@
 	f.Add(raw)
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		if s, err := Decode(raw); err == nil {
-			again, err := s.Encode()
+			encoded, err := s.Encode()
 			if err != nil {
 				t.Fatal(err)
 			}
-			if back, err := Decode(again); err != nil || back != s && len(s.Why) <= maxReasonBytes {
-				t.Fatalf("%+v came back as %+v, %v", s, back, err)
+			if decoded, err := Decode(encoded); err != nil || decoded != s && len(s.Why) <= maxReasonBytes {
+				t.Fatalf("%+v was decoded as %+v after encoding it again, error %v", s, decoded, err)
 			}
 		}
 	})
@@ -136,8 +138,8 @@
 func FuzzParse(f *testing.F) {
 	f.Add("all = true\nout.fleet = \"10%\"\n")
 	f.Fuzz(func(t *testing.T, text string) {
-		if p, err := Parse([]byte(text)); err == nil {
-			_ = p.CheckMachines(machines(5))
+		if plan, err := Parse([]byte(text)); err == nil {
+			_ = plan.CheckMachines(machines(5))
 		}
 	})
 }
--- a/internal/fleet/maintenance/reports.go
+++ b/internal/fleet/maintenance/reports.go
@@ -4,96 +4,100 @@
 	"time"
 )
 
-// Report is what a sidecar tells the log's leader while there is a plan or a window.
+// Report is what a sidecar reports to the log's leader while a plan is active or a window is open.
 type Report struct {
-	// it sends nothing, and has nothing in flight, to the machines of all windows up to this one
+	// ClearUpTo is the number of a window: the sidecar is clear of this window and of all earlier ones, see
+	// LocalClearance.
 	ClearUpTo uint32
-	Rate      float64 // requests per second that it answered recently
-	InTime    float64 // share of them that it served in time
+	Rate      float64 // requests per second that the sidecar answered recently
+	InTime    float64 // share of these requests that was served in time
 }
 
-// Reports is what the log's leader has been told in its term. The zero value knows nothing; Size
-// and Deadline are to be set.
+// Reports holds the latest report of each sidecar in the current leader's term. The zero value holds no report;
+// Size and Deadline have to be set.
 type Reports struct {
-	Size     int
-	Deadline time.Duration // the longest that a request may be in flight
+	Size     int           // number of sidecars
+	Deadline time.Duration // the longest time that a request may be in flight
 
-	received []receivedReport
+	received []receivedReport // by sidecar number
 }
 
-// receivedReport is the last report of a sidecar.
+// receivedReport is the latest report of a sidecar.
 type receivedReport struct {
 	Report
-	incarnation uint64
-	sequence    uint32 // of the report
+	incarnation uint64 // of the process that sent the report
+	sequence    uint32 // of the report, within the incarnation
 	received    bool
 }
 
-// Receive records a report, by its process's incarnation and sequence number. One that arrives
-// after a later one is dropped: a process that is clear of a window stays so, and a process that
-// has come in its place has reported already.
-func (rs *Reports) Receive(from int, life uint64, turn uint32, r Report) {
+// Receive records a report. A report that arrives after a later one (by incarnation, then by sequence number) is
+// dropped. Dropping it is safe: a process that is clear of a window stays clear of it, and a process that has
+// replaced the sender has already reported.
+func (rs *Reports) Receive(from int, incarnation uint64, sequence uint32, report Report) {
 	if from < 0 || from >= rs.Size {
 		return
 	}
 	if rs.received == nil {
 		rs.received = make([]receivedReport, rs.Size)
 	}
-	if t := &rs.received[from]; !t.received || life > t.incarnation || life == t.incarnation && turn > t.sequence {
-		*t = receivedReport{r, life, turn, true}
+	if last := &rs.received[from]; !last.received || incarnation > last.incarnation ||
+		incarnation == last.incarnation && sequence > last.sequence {
+		*last = receivedReport{report, incarnation, sequence, true}
 	}
 }
 
-func (rs *Reports) reportOf(i int) (t receivedReport) {
-	if i < len(rs.received) {
-		t = rs.received[i]
+func (rs *Reports) latest(sidecar int) (report receivedReport) {
+	if sidecar < len(rs.received) {
+		report = rs.received[sidecar]
 	}
-	return t
+	return report
 }
 
-// WaitingFor returns the sidecars that may still send to a window's machine, or have requests in
-// flight there. until returns when no grant of a sidecar can count any more: up to then the sidecar
-// has to report that it is clear; after that the longest deadline has to pass.
-func (rs *Reports) WaitingFor(now time.Duration, turn uint32, until func(i int) time.Duration) (all []int) {
-	for i := range rs.Size {
-		switch t, end := rs.reportOf(i), until(i); {
-		case now < end && t.received && t.ClearUpTo >= turn:
-		case now >= end+rs.Deadline:
+// WaitingFor returns the sidecars that may still send requests to a window's machine or have requests in flight
+// there. grantExpiry returns when the last grant that a sidecar may hold expires. Until then the sidecar has to
+// report that it is clear of the window; after that the longest request deadline has to pass.
+func (rs *Reports) WaitingFor(
+	now time.Duration, window uint32, grantExpiry func(sidecar int) time.Duration,
+) (waitingFor []int) {
+	for sidecar := range rs.Size {
+		switch last, expiry := rs.latest(sidecar), grantExpiry(sidecar); {
+		case now < expiry && last.received && last.ClearUpTo >= window:
+		case now >= expiry+rs.Deadline:
 		default:
-			all = append(all, i)
+			waitingFor = append(waitingFor, sidecar)
 		}
 	}
-	return all
+	return waitingFor
 }
 
-// Summary is the sum of all sidecars' reports.
+// Summary combines the reports of all sidecars.
 type Summary struct {
 	Traffic     float64 // requests per second
-	InTime      float64 // share of them
-	Unreachable []int   // sidecars without a grant: what they send, and to whom, is not known
-	Complete    bool    // each of the others has reported
+	InTime      float64 // share of the requests that was served in time
+	Unreachable []int   // sidecars without a valid grant: what they send, and to which machines, is unknown
+	Complete    bool    // every sidecar with a valid grant has reported
 }
 
-// Summarize adds up the reports. A sidecar that is out of contact is assumed to have the average
-// traffic of the others: it goes on serving.
-func (rs *Reports) Summarize(now time.Duration, until func(i int) time.Duration) Summary {
-	s := Summary{InTime: 1, Complete: true}
-	good, reporting := 0.0, 0
-	for i := range rs.Size {
-		switch t := rs.reportOf(i); {
-		case now >= until(i):
-			s.Unreachable = append(s.Unreachable, i)
-		case !t.received:
-			s.Complete = false
+// Summarize combines the reports. An unreachable sidecar is assumed to have the average traffic of the sidecars
+// that report, because it continues to serve requests.
+func (rs *Reports) Summarize(now time.Duration, grantExpiry func(sidecar int) time.Duration) Summary {
+	summary := Summary{InTime: 1, Complete: true}
+	inTimeRate, reporting := 0.0, 0
+	for sidecar := range rs.Size {
+		switch last := rs.latest(sidecar); {
+		case now >= grantExpiry(sidecar):
+			summary.Unreachable = append(summary.Unreachable, sidecar)
+		case !last.received:
+			summary.Complete = false
 		default:
 			reporting++
-			s.Traffic += t.Rate
-			good += t.Rate * t.InTime
+			summary.Traffic += last.Rate
+			inTimeRate += last.Rate * last.InTime
 		}
 	}
-	if s.Traffic > 0 {
-		s.InTime = good / s.Traffic
-		s.Traffic *= float64(reporting+len(s.Unreachable)) / float64(reporting)
+	if summary.Traffic > 0 {
+		summary.InTime = inTimeRate / summary.Traffic
+		summary.Traffic *= float64(reporting+len(summary.Unreachable)) / float64(reporting)
 	}
-	return s
+	return summary
 }
--- a/internal/fleet/maintenance/reports_test.go
+++ b/internal/fleet/maintenance/reports_test.go
@@ -6,103 +6,110 @@
 	"time"
 )
 
-// Who has a grant has to tell; behind its end the longest deadline has to be over.
-func TestBookWaits(t *testing.T) {
-	b := Reports{Size: 3, Deadline: 10 * time.Second}
-	until := func(i int) time.Duration {
+// The leader waits for each sidecar's report while the sidecar may hold a grant, and after the grant's expiry until
+// the longest request deadline has passed.
+func TestWaitingFor(t *testing.T) {
+	reports := Reports{Size: 3, Deadline: 10 * time.Second}
+	grantExpiry := func(i int) time.Duration {
 		return []time.Duration{100 * time.Second, 100 * time.Second, 95 * time.Second}[i]
 	}
-	want := func(now time.Duration, all ...int) {
+	expect := func(now time.Duration, want ...int) {
 		t.Helper()
-		if got := b.WaitingFor(now, 4, until); !slices.Equal(got, all) {
-			t.Errorf("at %v it waits for %v, want %v", now, got, all)
+		if got := reports.WaitingFor(now, 4, grantExpiry); !slices.Equal(got, want) {
+			t.Errorf("at %v the leader waits for sidecars %v, want %v", now, got, want)
 		}
 	}
-	want(99*time.Second, 0, 1, 2)
-	b.Receive(0, 7, 2, Report{ClearUpTo: 4})
-	b.Receive(0, 7, 1, Report{ClearUpTo: 3}) // overtaken on the way
-	b.Receive(1, 7, 1, Report{ClearUpTo: 3})
-	want(99*time.Second, 1, 2)
-	b.Receive(1, 8, 1, Report{ClearUpTo: 0}) // another process, which has forgotten
-	b.Receive(1, 7, 9, Report{ClearUpTo: 9}) // and the last word of the one before it
-	want(99*time.Second, 1, 2)
-	want(101*time.Second, 0, 1, 2) // its word does not count without a grant
-	want(106*time.Second, 0, 1)
-	want(110 * time.Second)
-	b.Receive(9, 1, 1, Report{}) // nobody
+	expect(99*time.Second, 0, 1, 2)
+	reports.Receive(0, 7, 2, Report{ClearUpTo: 4})
+	reports.Receive(0, 7, 1, Report{ClearUpTo: 3}) // arrives after the later report of sequence 2
+	reports.Receive(1, 7, 1, Report{ClearUpTo: 3})
+	expect(99*time.Second, 1, 2)
+	reports.Receive(1, 8, 1, Report{ClearUpTo: 0}) // a new process, which is clear of no window yet
+	reports.Receive(1, 7, 9, Report{ClearUpTo: 9}) // a delayed report of the previous process
+	expect(99*time.Second, 1, 2)
+	expect(101*time.Second, 0, 1, 2) // reports don't count once the grant has expired
+	expect(106*time.Second, 0, 1)
+	expect(110 * time.Second)
+	reports.Receive(9, 1, 1, Report{}) // a number that no sidecar has
 }
 
-// Who is away is taken to have as much traffic as the others; nobody's word is waited for who may
-// have none.
-func TestBookSum(t *testing.T) {
-	b := Reports{Size: 4}
-	until := func(i int) time.Duration { return []time.Duration{100, 100, 100, 50}[i] }
-	b.Receive(0, 1, 1, Report{Rate: 30, InTime: 1})
-	b.Receive(1, 1, 1, Report{Rate: 10, InTime: 0.5})
-	if s := b.Summarize(60, until); s.Complete || !slices.Equal(s.Unreachable, []int{3}) {
-		t.Errorf("%+v", s)
+// An unreachable sidecar is assumed to have the average traffic of the others, and its report is not required for a
+// complete summary.
+func TestSummarize(t *testing.T) {
+	reports := Reports{Size: 4}
+	grantExpiry := func(i int) time.Duration { return []time.Duration{100, 100, 100, 50}[i] }
+	reports.Receive(0, 1, 1, Report{Rate: 30, InTime: 1})
+	reports.Receive(1, 1, 1, Report{Rate: 10, InTime: 0.5})
+	if summary := reports.Summarize(60, grantExpiry); summary.Complete || !slices.Equal(summary.Unreachable, []int{3}) {
+		t.Errorf("summary without sidecar 2's report: %+v, want it incomplete and sidecar 3 unreachable", summary)
 	}
-	b.Receive(2, 1, 1, Report{Rate: 20, InTime: 1})
-	if s := b.Summarize(60, until); !s.Complete || s.Traffic != 80 || s.InTime != 55.0/60 {
-		t.Errorf("%+v", s)
+	reports.Receive(2, 1, 1, Report{Rate: 20, InTime: 1})
+	if summary := reports.Summarize(60, grantExpiry); !summary.Complete || summary.Traffic != 80 ||
+		summary.InTime != 55.0/60 {
+		t.Errorf("summary %+v, want it complete with traffic 80 and 55/60 in time", summary)
 	}
-	if s := b.Summarize(200, until); len(s.Unreachable) != 4 || s.Traffic != 0 || s.InTime != 1 {
-		t.Errorf("%+v", s)
+	if summary := reports.Summarize(200, grantExpiry); len(summary.Unreachable) != 4 || summary.Traffic != 0 ||
+		summary.InTime != 1 {
+		t.Errorf("summary after all grants expired: %+v, want 4 unreachable, no traffic, all in time", summary)
 	}
 }
 
-// A machine that leaves the list is down for a while, then gone for good; the counters' rate is of
+// A machine that discovery stops listing is down for downTime and then removed. The load is the counters' rate over
 // the last seconds.
-func TestRollAndLoad(t *testing.T) {
-	var r MachineList
+func TestMachineListAndLoad(t *testing.T) {
+	var list MachineList
 	two := machines(2)
-	r.Update(time.Hour, two)
-	r.Update(time.Hour, two[:1])
-	if all := r.All(time.Hour + downTime/2); len(all) != 2 || all[1].State != MachineDown {
-		t.Errorf("%+v", all)
+	list.Update(time.Hour, two)
+	list.Update(time.Hour, two[:1])
+	if all := list.All(time.Hour + downTime/2); len(all) != 2 || all[1].State != MachineDown {
+		t.Errorf("machines within downTime: %+v, want two, the second one down", all)
 	}
-	if all := r.All(time.Hour + downTime); len(all) != 1 {
-		t.Errorf("%+v", all)
+	if all := list.All(time.Hour + downTime); len(all) != 1 {
+		t.Errorf("machines after downTime: %+v, want one", all)
 	}
-	var l Load
-	if rate, served := l.Recent(); rate != 0 || served != 1 || !l.Due(0) {
-		t.Errorf("%v %v", rate, served)
+	var load Load
+	if rate, served := load.Recent(); rate != 0 || served != 1 || !load.Due(0) {
+		t.Errorf("new load: rate %v, share served %v, want 0 and 1, and a sample due", rate, served)
 	}
 	for i := range 20 {
 		now := time.Duration(i) * time.Second
-		if !l.Due(now) || i > 0 && l.Due(now-time.Millisecond) {
-			t.Errorf("due at %v", now)
+		if !load.Due(now) || i > 0 && load.Due(now-time.Millisecond) {
+			t.Errorf("a sample is not due at %v, or is due 1 ms earlier", now)
 		}
-		l.Count(now, uint64(100*i), uint64(90*i))
+		load.Record(now, uint64(100*i), uint64(90*i))
 	}
-	if rate, served := l.Recent(); rate != 100 || served != 0.9 {
-		t.Errorf("%v %v", rate, served)
+	if rate, served := load.Recent(); rate != 100 || served != 0.9 {
+		t.Errorf("rate %v, share served %v, want 100 and 0.9", rate, served)
 	}
 }
 
-// A sidecar is clear up to the first turn of whose machine it is not known that nothing is out
-// there; a process younger than the longest deadline is clear of nothing; another log's turn of the
-// same number is another one.
-func TestOwn(t *testing.T) {
-	var o LocalClearance
-	s := &State{LastWindow: 5, Windows: []Window{{Number: 3, Machine: 30}, {Number: 5, Machine: 50}}}
-	const old, deadline = time.Hour, time.Minute
-	want := func(clear uint32, asks int) {
+// A sidecar is clear up to the first window to whose machine it may still have requests in flight. A process younger
+// than the longest deadline is clear of no window. After a change of the log, a window of the same number with
+// another machine is another window.
+func TestLocalClearance(t *testing.T) {
+	var clearance LocalClearance
+	state := &State{LastWindow: 5, Windows: []Window{{Number: 3, Machine: 30}, {Number: 5, Machine: 50}}}
+	const age, deadline = time.Hour, time.Minute
+	expect := func(clearUpTo uint32, unconfirmed int) {
 		t.Helper()
-		if got := o.ClearUpTo(old, deadline, s); got != clear || len(o.Unconfirmed(s)) != asks {
-			t.Errorf("clear up to %d, %d asked of; want %d and %d", got, len(o.Unconfirmed(s)), clear, asks)
+		if got := clearance.ClearUpTo(age, deadline, state); got != clearUpTo ||
+			len(clearance.Unconfirmed(state)) != unconfirmed {
+			t.Errorf(
+				"clear up to window %d, %d windows unconfirmed; want %d and %d",
+				got, len(clearance.Unconfirmed(state)), clearUpTo, unconfirmed,
+			)
 		}
 	}
-	want(2, 2)
-	o.MarkClear(5, 50)
-	want(2, 1)
-	o.MarkClear(3, 30)
-	want(5, 0)
-	if got := o.ClearUpTo(deadline-1, deadline, s); got != 0 {
-		t.Errorf("a process that has just begun is clear up to %d", got)
+	expect(2, 2)
+	clearance.MarkClear(5, 50)
+	expect(2, 1)
+	clearance.MarkClear(3, 30)
+	expect(5, 0)
+	if got := clearance.ClearUpTo(deadline-1, deadline, state); got != 0 {
+		t.Errorf("a process younger than the longest deadline is clear up to window %d, want 0", got)
 	}
-	s.Windows[0].Phase = Returning
-	want(5, 0)
-	s.Windows = []Window{{Number: 5, Machine: 51}}
-	want(4, 1)
+	state.Windows[0].Phase = Returning
+	expect(5, 0)
+	state.Windows = []Window{{Number: 5, Machine: 51}}
+	expect(4, 1)
 }
--- a/internal/fleet/maintenance/state.go
+++ b/internal/fleet/maintenance/state.go
@@ -6,22 +6,23 @@
 	"slices"
 )
 
-// Phase is the phase of a window.
+// Phase is the phase of an open window.
 type Phase int
 
-// The phases of a window that is not over.
+// The phases of an open window, in their order.
 const (
-	Draining  Phase = iota // nothing new is sent to the machine
-	Free                   // it may be worked on
-	Returning              // the work is done: the machine comes back and warms up
+	Draining  Phase = iota // no new requests are sent to the machine
+	Free                   // the machine may be worked on
+	Returning              // the work is done; the machine returns to service and warms up
 )
 
-// String returns the phase as logs, metrics and operators' output show it.
+// String returns the phase as it is written in logs, metrics and the output for operators.
 func (p Phase) String() string { return [...]string{"leaving", "free", "returning"}[p] }
 
-// Window is the maintenance window of one machine: from when it gets nothing new until it is back.
+// Window is the maintenance window of one machine. It lasts from the moment at which the machine gets no new
+// requests until the machine is back in service.
 type Window struct {
-	Number  uint32 // grows from window to window, over all plans
+	Number  uint32 // increases from window to window, over all plans
 	Plan    uint32
 	Machine uint64
 	Phase   Phase
@@ -30,11 +31,11 @@
 // ActivePlan is a plan that has not ended.
 type ActivePlan struct {
 	Number    uint32
-	Hash      [32]byte
-	By        int
-	Paused    string          // the reason; "": not paused
-	Visited   map[uint64]bool // machines that have had a window
-	Withdrawn int             // windows that were withdrawn
+	Hash      [32]byte        // SHA-256 of the plan's text
+	By        int             // number of the sidecar at which the plan was proposed
+	Paused    string          // why the plan is paused; "": it is not paused
+	Visited   map[uint64]bool // machines that have or had a window; a withdrawn window does not count
+	Withdrawn int             // number of windows that were withdrawn
 }
 
 // Past is a window that has ended.
@@ -45,41 +46,43 @@
 }
 
 const (
-	maxPast  = 256
+	// maxPast bounds how many ended windows are remembered.
+	maxPast = 256
+	// maxPlans bounds how many plans are active, and how many ended plans are remembered.
 	maxPlans = 8
 )
 
-// State is what the log makes of plans and windows: the same at all sidecars that have the same
-// entries.
+// State is the result of applying the log's entries about plans and windows. It is the same on all sidecars that
+// have applied the same entries.
 type State struct {
-	Term       uint64 // of the leader whose decisions count
+	Term       uint64 // of the leader whose steps are accepted
 	LastPlan   uint32
 	LastWindow uint32
-	Plans      []ActivePlan // that have not ended, the oldest first
-	Windows    []Window     // that are not over, the oldest first
-	Past       []Past       // the last maxPast
-	Ended      []EndedPlan
+	Plans      []ActivePlan // oldest first
+	Windows    []Window     // open windows, oldest first
+	Past       []Past       // the last maxPast windows that have ended, oldest first
+	Ended      []EndedPlan  // the last maxPlans plans that have ended, oldest first
 }
 
 // EndedPlan is a plan that has ended.
 type EndedPlan struct {
 	Number  uint32
 	Outcome Kind // Finished or Cancelled
-	Visited int
+	Visited int  // number of machines that had a window
 }
 
-// Clone returns a copy that shares nothing.
+// Clone returns a deep copy.
 func (s *State) Clone() State {
-	c := *s
-	c.Plans, c.Windows = slices.Clone(s.Plans), slices.Clone(s.Windows)
-	c.Past, c.Ended = slices.Clone(s.Past), slices.Clone(s.Ended)
-	for i := range c.Plans {
-		c.Plans[i].Visited = maps.Clone(c.Plans[i].Visited)
+	clone := *s
+	clone.Plans, clone.Windows = slices.Clone(s.Plans), slices.Clone(s.Windows)
+	clone.Past, clone.Ended = slices.Clone(s.Past), slices.Clone(s.Ended)
+	for i := range clone.Plans {
+		clone.Plans[i].Visited = maps.Clone(clone.Plans[i].Visited)
 	}
-	return c
+	return clone
 }
 
-// Plan returns a plan that has not ended, or nil.
+// Plan returns an active plan, or nil if there is none of this number.
 func (s *State) Plan(number uint32) *ActivePlan {
 	for i := range s.Plans {
 		if s.Plans[i].Number == number {
@@ -89,7 +92,7 @@
 	return nil
 }
 
-// Window returns a window that is not over, or nil.
+// Window returns an open window, or nil if there is none of this number.
 func (s *State) Window(number uint32) *Window {
 	for i := range s.Windows {
 		if s.Windows[i].Number == number {
@@ -99,129 +102,130 @@
 	return nil
 }
 
-// MachinesOut returns the machines to which nothing new may be sent.
-func (s *State) MachinesOut() (all []uint64) {
-	for _, t := range s.Windows {
-		if t.Phase != Returning {
-			all = append(all, t.Machine)
+// MachinesOut returns the machines to which no new requests may be sent.
+func (s *State) MachinesOut() (out []uint64) {
+	for _, window := range s.Windows {
+		if window.Phase != Returning {
+			out = append(out, window.Machine)
 		}
 	}
-	return all
+	return out
 }
 
-// Apply applies the next entry. rejected says why it changes nothing: an entry may be in the log
-// twice, or come long after what it was decided by.
-func (s *State) Apply(e Step) (rejected string) {
-	if e.Kind == LeaderStarted {
-		if e.Term <= s.Term {
+// Apply applies the log's next entry. If the entry is rejected, the state stays unchanged and rejected is the
+// reason. Rejections are normal, because an entry may be in the log twice, or long after it was proposed.
+func (s *State) Apply(step Step) (rejected string) {
+	if step.Kind == LeaderStarted {
+		if step.Term <= s.Term {
 			return "a later leader has begun"
 		}
-		s.Term = e.Term
+		s.Term = step.Term
 		return ""
 	}
-	// A leader that was stopped and still believes to lead must not open a window beside those of
-	// the present one: it decided by what it knew then.
-	if e.Kind.leaderOnly() && e.Term != s.Term {
+	// A former leader that resumes after a pause and still believes that it leads must not open a window beside
+	// those of the current leader, because it decided by an outdated state.
+	if step.Kind.leaderOnly() && step.Term != s.Term {
 		return "it is of a leader that leads no more"
 	}
-	switch e.Kind {
+	switch step.Kind {
 	case Planned, Paused, Resumed, Cancelled, Finished:
-		return s.applyPlan(e)
+		return s.applyPlan(step)
 	case Opened:
-		return s.applyOpened(e)
+		return s.applyOpened(step)
 	}
-	return s.applyWindow(e)
+	return s.applyWindow(step)
 }
 
-// applyOpened opens a window.
-func (s *State) applyOpened(e Step) string {
-	w := s.Plan(e.Plan)
+// applyOpened opens a window, or returns why the step is rejected.
+func (s *State) applyOpened(step Step) string {
+	plan := s.Plan(step.Plan)
 	switch {
-	case e.Number != s.LastWindow+1:
+	case step.Number != s.LastWindow+1:
 		return fmt.Sprintf("turn %d is the next one", s.LastWindow+1)
-	case e.LastPlan != s.LastPlan: // the machine was not checked against that plan's bounds
+	case step.LastPlan != s.LastPlan: // the leader did not check the machine against the newest plan's bounds
 		return fmt.Sprintf("plan %d was not known where it was decided", s.LastPlan)
-	case w == nil:
-		return fmt.Sprintf("plan %d has ended", e.Plan)
-	case w.Paused != "":
-		return fmt.Sprintf("plan %d is paused", e.Plan)
-	case w.Visited[e.Machine]:
+	case plan == nil:
+		return fmt.Sprintf("plan %d has ended", step.Plan)
+	case plan.Paused != "":
+		return fmt.Sprintf("plan %d is paused", step.Plan)
+	case plan.Visited[step.Machine]:
 		return "it has had its turn"
-	case slices.ContainsFunc(s.Windows, func(t Window) bool { return t.Machine == e.Machine }):
+	case slices.ContainsFunc(s.Windows, func(window Window) bool { return window.Machine == step.Machine }):
 		return "it is out already"
 	}
-	s.LastWindow, w.Visited[e.Machine] = e.Number, true
-	s.Windows = append(s.Windows, Window{Number: e.Number, Plan: e.Plan, Machine: e.Machine})
+	s.LastWindow, plan.Visited[step.Machine] = step.Number, true
+	s.Windows = append(s.Windows, Window{Number: step.Number, Plan: step.Plan, Machine: step.Machine})
 	return ""
 }
 
-// applyWindow applies an entry about a window that is not over.
-func (s *State) applyWindow(e Step) string {
-	t := s.Window(e.Number)
+// applyWindow applies a step of an open window, or returns why the step is rejected.
+func (s *State) applyWindow(step Step) string {
+	window := s.Window(step.Number)
 	switch {
-	case t == nil:
-		return fmt.Sprintf("turn %d is over, or never was", e.Number)
-	case e.Kind == Released && t.Phase == Draining:
-		t.Phase = Free
-	case e.Kind == Done && t.Phase == Free:
-		t.Phase = Returning
-	case e.Kind == Withdrawn && t.Phase == Draining:
-		if w := s.Plan(t.Plan); w != nil { // the machine still needs its window
-			delete(w.Visited, t.Machine)
-			w.Withdrawn++
+	case window == nil:
+		return fmt.Sprintf("turn %d is over, or never was", step.Number)
+	case step.Kind == Released && window.Phase == Draining:
+		window.Phase = Free
+	case step.Kind == Done && window.Phase == Free:
+		window.Phase = Returning
+	case step.Kind == Withdrawn && window.Phase == Draining:
+		if plan := s.Plan(window.Plan); plan != nil { // the machine still needs a window
+			delete(plan.Visited, window.Machine)
+			plan.Withdrawn++
 		}
-		s.endWindow(e)
-	case e.Kind == Closed && t.Phase == Returning:
-		s.endWindow(e)
+		s.endWindow(step)
+	case step.Kind == Closed && window.Phase == Returning:
+		s.endWindow(step)
 	default:
-		return fmt.Sprintf("turn %d is %s", e.Number, t.Phase)
+		return fmt.Sprintf("turn %d is %s", step.Number, window.Phase)
 	}
 	return ""
 }
 
-// endWindow removes a window from those that are not over.
-func (s *State) endWindow(e Step) {
-	i := slices.IndexFunc(s.Windows, func(t Window) bool { return t.Number == e.Number })
-	s.Past = append(s.Past, Past{s.Windows[i], e.Kind, e.Why})
+// endWindow moves a window from the open windows to the past ones.
+func (s *State) endWindow(step Step) {
+	i := slices.IndexFunc(s.Windows, func(window Window) bool { return window.Number == step.Number })
+	s.Past = append(s.Past, Past{s.Windows[i], step.Kind, step.Why})
 	s.Past = s.Past[max(0, len(s.Past)-maxPast):]
 	s.Windows = slices.Delete(s.Windows, i, i+1)
 }
 
-// applyPlan applies an entry about a plan.
-func (s *State) applyPlan(e Step) string {
-	if e.Kind == Planned {
+// applyPlan applies a step of a plan, or returns why the step is rejected.
+func (s *State) applyPlan(step Step) string {
+	if step.Kind == Planned {
 		switch {
-		case e.Number != s.LastPlan+1:
+		case step.Number != s.LastPlan+1:
 			return fmt.Sprintf("plan %d is the next one", s.LastPlan+1)
 		case len(s.Plans) >= maxPlans:
 			return fmt.Sprintf("%d plans are under way, no more are possible", maxPlans)
 		}
-		s.LastPlan = e.Number
+		s.LastPlan = step.Number
 		s.Plans = append(
 			s.Plans,
-			ActivePlan{Number: e.Number, Hash: e.Hash, By: e.By, Visited: make(map[uint64]bool)},
+			ActivePlan{Number: step.Number, Hash: step.Hash, By: step.By, Visited: make(map[uint64]bool)},
 		)
 		return ""
 	}
-	w := s.Plan(e.Number)
+	plan := s.Plan(step.Number)
 	switch {
-	case w == nil:
-		return fmt.Sprintf("plan %d has ended, or never was", e.Number)
-	case e.Kind == Paused && w.Paused == "":
-		if w.Paused = e.Why; w.Paused == "" {
-			w.Paused = "by hand"
+	case plan == nil:
+		return fmt.Sprintf("plan %d has ended, or never was", step.Number)
+	case step.Kind == Paused && plan.Paused == "":
+		if plan.Paused = step.Why; plan.Paused == "" {
+			plan.Paused = "by hand"
 		}
-	case e.Kind == Resumed && w.Paused != "":
-		w.Paused = ""
-	case e.Kind == Paused || e.Kind == Resumed:
-		return fmt.Sprintf("plan %d is that already", e.Number)
-	case e.Kind == Finished && slices.ContainsFunc(s.Windows, func(t Window) bool { return t.Plan == e.Number }):
+	case step.Kind == Resumed && plan.Paused != "":
+		plan.Paused = ""
+	case step.Kind == Paused || step.Kind == Resumed:
+		return fmt.Sprintf("plan %d is that already", step.Number)
+	case step.Kind == Finished &&
+		slices.ContainsFunc(s.Windows, func(window Window) bool { return window.Plan == step.Number }):
 		return "a turn of it is not over"
 	default:
-		// An open window goes on: somebody may be working on the machine.
-		s.Ended = append(s.Ended, EndedPlan{w.Number, e.Kind, len(w.Visited)})
+		// Open windows of the plan continue, because somebody may be working on their machines.
+		s.Ended = append(s.Ended, EndedPlan{plan.Number, step.Kind, len(plan.Visited)})
 		s.Ended = s.Ended[max(0, len(s.Ended)-maxPlans):]
-		s.Plans = slices.DeleteFunc(s.Plans, func(w ActivePlan) bool { return w.Number == e.Number })
+		s.Plans = slices.DeleteFunc(s.Plans, func(plan ActivePlan) bool { return plan.Number == step.Number })
 	}
 	return ""
 }
--- a/internal/fleet/maintenance/step.go
+++ b/internal/fleet/maintenance/step.go
@@ -10,28 +10,28 @@
 	"caperarch/internal/fleet/maintenance/outagepb"
 )
 
-// Kind is the kind of an entry of the log.
+// Kind is the kind of a log entry about maintenance.
 type Kind uint32
 
-// The kinds of entries.
+// The kinds of log entries.
 const (
-	LeaderStarted Kind = iota + 1 // a leader's term begins: decisions of lower terms don't count any more
-	Planned                       // a plan, by an operator
-	Opened                        // a window: nothing new is to be sent to the machine
-	Released                      // nobody sends to it and nothing is in flight there: it may be worked on
-	Withdrawn                     // a window that was not released yet
-	Done                          // the work is done
-	Closed                        // the machine is back and warm, requests are served in time
-	Paused                        // a plan: no further window
-	Resumed
-	Cancelled
-	Finished // a plan: no machine of it is left
-	kinds    // one more than the last
+	LeaderStarted Kind = iota + 1 // a leader's term begins; steps of earlier leaders are rejected from now on
+	Planned                       // an operator has proposed a plan
+	Opened                        // a window opens: no new requests are sent to its machine
+	Released                      // no sidecar sends to the window's machine any more, so it may be worked on
+	Withdrawn                     // a window ends before it was released
+	Done                          // the work on the window's machine is done
+	Closed                        // a window ends: its machine is warm, and enough requests are served in time
+	Paused                        // a plan opens no further windows
+	Resumed                       // a paused plan continues
+	Cancelled                     // an operator has ended a plan
+	Finished                      // a plan ends because all of its machines have had a window
+	kindEnd                       // one more than the last kind
 )
 
-// String returns the kind as logs and operators' output show it.
+// String returns the kind as it is written in logs and the output for operators.
 func (k Kind) String() string {
-	if k < LeaderStarted || k >= kinds {
+	if k < LeaderStarted || k >= kindEnd {
 		return "unknown"
 	}
 	return [...]string{
@@ -40,33 +40,34 @@
 	}[k-1]
 }
 
-// leaderOnly reports whether only a leader puts such an entry into the log.
+// leaderOnly reports whether only a leader proposes entries of this kind.
 func (k Kind) leaderOnly() bool {
 	return k == LeaderStarted || k == Opened || k == Released || k == Withdrawn || k == Closed || k == Finished
 }
 
-// OfWindow reports whether such an entry's number is a window's; else it is a plan's.
+// OfWindow reports whether Step.Number is the number of a window for this kind; otherwise it is a plan's number.
 func (k Kind) OfWindow() bool {
 	return k == Opened || k == Released || k == Withdrawn || k == Done || k == Closed
 }
 
-// Step is an entry of the log.
+// Step is a log entry about maintenance.
 type Step struct {
 	Kind     Kind
-	Number   uint32 // of the window, or of the plan (see OfWindow)
-	Plan     uint32 // of Opened
-	Machine  uint64 // of Opened
-	Term     uint64 // of the leader, where only a leader decides
-	By       int
-	LastPlan uint32            // of Opened: the newest plan that the leader knew
-	Hash     [sha256.Size]byte // of Planned
+	Number   uint32            // of the window or of the plan, see Kind.OfWindow
+	Plan     uint32            // Opened only
+	Machine  uint64            // Opened only
+	Term     uint64            // of the leader that decided the step; 0 for kinds that anybody may propose
+	By       int               // number of the sidecar that proposed the step
+	LastPlan uint32            // Opened only: the newest plan that the leader knew
+	Hash     [sha256.Size]byte // Planned only: hash of the plan's text
 	Why      string
 }
 
-// maxReasonBytes bounds Step.Why: an entry has 96 bytes, and the other fields take some.
+// maxReasonBytes bounds Step.Why in an encoded step. A log entry has at most 96 bytes, which the other fields
+// share.
 const maxReasonBytes = 24
 
-// Encode returns the step as an entry of the log.
+// Encode returns the step as the data of a log entry. Step.Why is truncated to maxReasonBytes.
 func (s Step) Encode() ([]byte, error) {
 	p := &outagepb.Step{
 		Kind:    uint32(s.Kind),
@@ -84,16 +85,17 @@
 	return proto.Marshal(p)
 }
 
-var errEntry = errors.New(
-	"an entry about machines out for work that can't be read: of a newer version of the program, maybe",
+var errUndecodable = errors.New(
+	"log entry about maintenance can't be decoded; a newer version of the program may have written it",
 )
 
-// Decode parses an entry. What can't be understood is an error: it must not be ignored.
+// Decode parses the data of a log entry. Unknown fields and kinds are errors, because a sidecar that ignored them
+// would diverge from the others.
 func Decode(raw []byte) (s Step, err error) {
 	p := new(outagepb.Step)
 	if proto.Unmarshal(raw, p) != nil || len(p.ProtoReflect().GetUnknown()) > 0 ||
-		p.Kind < uint32(LeaderStarted) || p.Kind >= uint32(kinds) || p.By == 0 {
-		return s, errEntry
+		p.Kind < uint32(LeaderStarted) || p.Kind >= uint32(kindEnd) || p.By == 0 {
+		return s, errUndecodable
 	}
 	s = Step{
 		Kind: Kind(p.Kind), Number: p.Number, Plan: p.Plan, Machine: p.Machine, LastPlan: p.Plans,
@@ -101,13 +103,13 @@
 	}
 	if s.Kind == Planned {
 		if len(p.Hash) != sha256.Size {
-			return s, errEntry
+			return s, errUndecodable
 		}
 		copy(s.Hash[:], p.Hash)
 	}
 	if (s.Kind == LeaderStarted) != (s.Number == 0) || (s.Kind == Opened) != (s.Machine != 0) ||
 		s.Kind.leaderOnly() != (s.Term != 0) {
-		return s, errEntry
+		return s, errUndecodable
 	}
 	return s, nil
 }
--- a/internal/fleet/maintenance/windows.go
+++ b/internal/fleet/maintenance/windows.go
@@ -5,74 +5,76 @@
 	"time"
 )
 
-// advanceWindow decides the next step of a window.
-func (l *Leader) advanceWindow(w *Snapshot, s *State, t *Window) (Step, bool) {
-	seen, m := l.phases[t.Number], find(w.Machines, t.Machine)
-	long := w.Now - seen.at
-	work := s.Plan(t.Plan)
-	var p *Plan
-	if work != nil {
-		p, _ = w.Plan(work.Hash)
+// advanceWindow returns the next step of a window, if one is due.
+func (l *Leader) advanceWindow(snapshot *Snapshot, state *State, window *Window) (Step, bool) {
+	observed, machine := l.phases[window.Number], findMachine(snapshot.Machines, window.Machine)
+	elapsed := snapshot.Now - observed.start
+	active := state.Plan(window.Plan)
+	var plan *Plan
+	if active != nil {
+		plan, _ = snapshot.Plan(active.Hash)
 	}
-	switch t.Phase {
+	switch window.Phase {
 	case Draining:
-		// Nobody has been told yet that the machine may be worked on, so the others' state counts.
-		switch why := l.whyWithdraw(w, s, t, p); {
-		case why != "":
-			return l.step(Withdrawn, t.Number, why)
-		// sidecars out of contact may still send to the machine
-		case w.Clear(t.Number) && (p.CutOff != AwaitExpiry || w.Unreachable == 0):
-			return l.step(Released, t.Number, "")
-		case long > drainTimeout+w.Slack:
-			return l.step(Withdrawn, t.Number, "somebody still sends")
+		// No operator has been told yet that the machine is free to work on, so the window may still be withdrawn
+		// if the remaining machines can't do without it.
+		switch reason := l.withdrawReason(snapshot, state, window, plan); {
+		case reason != "":
+			return l.newStep(Withdrawn, window.Number, reason)
+		// Unreachable sidecars may still send requests to the machine.
+		case snapshot.Clear(window.Number) && (plan.CutOff != AwaitExpiry || snapshot.Unreachable == 0):
+			return l.newStep(Released, window.Number, "")
+		case elapsed > drainTimeout+snapshot.Slack:
+			return l.newStep(Withdrawn, window.Number, "somebody still sends")
 		}
 	case Free:
-		if p != nil && p.DoneWhen == Restarted && m != nil && m.State == MachineReady && m.Started > seen.started {
-			return Step{Kind: Done, Number: t.Number, By: l.Self}, true
+		if plan != nil && plan.DoneWhen == Restarted && machine != nil && machine.State == MachineReady &&
+			machine.Started > observed.processStarted {
+			return Step{Kind: Done, Number: window.Number, By: l.Self}, true
 		}
-		if p != nil && work.Paused == "" && long > time.Duration(p.MaxDuration) {
+		if plan != nil && active.Paused == "" && elapsed > time.Duration(plan.MaxDuration) {
 			return Step{
-				Kind: Paused, Number: t.Plan, By: l.Self,
-				Why: fmt.Sprintf("turn %d takes too long", t.Number),
+				Kind: Paused, Number: window.Plan, By: l.Self,
+				Why: fmt.Sprintf("turn %d takes too long", window.Number),
 			}, true
 		}
 	case Returning:
-		back := m != nil && m.State == MachineReady && m.Warmth >= 1
+		ready := machine != nil && machine.State == MachineReady && machine.Warmth >= 1
 		switch {
-		case back && (p == nil || w.InTime >= p.InTime && w.Current):
-			return l.step(Closed, t.Number, "")
-		case p != nil && work.Paused == "" && long > time.Duration(p.MaxDuration):
+		case ready && (plan == nil || snapshot.InTime >= plan.InTime && snapshot.Current):
+			return l.newStep(Closed, window.Number, "")
+		case plan != nil && active.Paused == "" && elapsed > time.Duration(plan.MaxDuration):
 			return Step{
-				Kind: Paused, Number: t.Plan, By: l.Self,
-				Why: fmt.Sprintf("turn %d never came back", t.Number),
+				Kind: Paused, Number: window.Plan, By: l.Self,
+				Why: fmt.Sprintf("turn %d never came back", window.Number),
 			}, true
 		}
 	}
 	return Step{}, false
 }
 
-// whyWithdraw returns why a window that is not released yet must not be; "": it may.
-func (l *Leader) whyWithdraw(w *Snapshot, s *State, t *Window, p *Plan) string {
+// withdrawReason returns why a draining window has to be withdrawn; "" if it may go on.
+func (l *Leader) withdrawReason(snapshot *Snapshot, state *State, window *Window, plan *Plan) string {
 	switch {
-	case p == nil:
+	case plan == nil:
 		return "its plan has ended"
-	case !w.Current:
-		return "" // in doubt it goes on, and is not released
+	case !snapshot.Current:
+		return "" // an outdated list of machines is no reason to withdraw the window
 	}
-	if why := l.whyTooMany(w, s, p, t.Machine); why != "" {
+	if violation := l.boundViolation(snapshot, state, plan, window.Machine); violation != "" {
 		return "too many are out by now"
 	}
-	if p.whyOverloaded(w.Machines, machinesOutSet(s), w.Traffic) != "" {
+	if plan.capacityShortfall(snapshot.Machines, machinesOutSet(state), snapshot.Traffic) != "" {
 		return "the others are short"
 	}
 	return ""
 }
 
-// machinesOutSet returns the machines that the log has out, as whyOverloaded wants them.
-func machinesOutSet(s *State) map[uint64]bool {
-	all := make(map[uint64]bool)
-	for _, id := range s.MachinesOut() {
-		all[id] = true
+// machinesOutSet returns the machines that get no new requests because of their windows, as a set.
+func machinesOutSet(state *State) map[uint64]bool {
+	out := make(map[uint64]bool)
+	for _, id := range state.MachinesOut() {
+		out[id] = true
 	}
-	return all
+	return out
 }
