--- a/internal/fleet/policy.go
+++ b/internal/fleet/policy.go
@@ -105,7 +105,7 @@
 		if saved, texts, err = p.store.Saved(); err != nil {
 			return err
 		}
-		cfg.Self.Incarnation, cfg.Storage = p.store.Seat(), p.store
+		cfg.Self.Incarnation, cfg.Storage = p.store.VoterIncarnation(), p.store
 	}
 	node, err := replicatedstate.New(cfg)
 	if err != nil {
--- a/internal/fleet/state/bolt.go
+++ b/internal/fleet/state/bolt.go
@@ -7,8 +7,8 @@
 	"hash/fnv"
 )
 
-// The layout of a bbolt database, version 2. Sizes are in bytes. Numbers are little-endian here: they are
-// those of the machine that wrote the file, which for this program is one of amd64 and arm64.
+// The file layout of bbolt databases, version 2. Sizes are in bytes. bbolt writes numbers in the byte order of the
+// machine; they are read as little-endian, because this program runs on amd64 and arm64 only.
 const (
 	boltMagic   = 0xED0CDAED
 	boltVersion = 2
@@ -20,40 +20,42 @@
 
 	boltBucketElement = 0x01
 
-	boltPageHeader    = 16     // id, flags, count, overflow
-	boltElement       = 16     // of a branch page or of a leaf page
-	boltBucketHeader  = 16     // root, sequence
-	boltMetaSize      = 64     // the last 8 bytes are the checksum of those before
-	boltLargeFreeList = 0xFFFF // as a count: the count is in front of the list
-	boltMinPageSize   = 1 << 9 // no system has smaller pages
+	boltPageHeaderSize   = 16 // page id, flags, element count, number of overflow pages
+	boltElementSize      = 16 // header of an element in a branch or leaf page
+	boltBucketHeaderSize = 16 // root page, sequence
+	boltMetaSize         = 64 // the last 8 bytes are the checksum of the bytes before them
+	// boltLargeFreeList as a free list's element count means that the first entry of the list is the count.
+	boltLargeFreeList = 0xFFFF
+	boltMinPageSize   = 1 << 9 // no supported system has smaller pages
 	boltMetaPages     = 2
-	boltFirstTxID     = 1 // of a database in which nothing was stored yet
+	boltFirstTxID     = 1 // transaction of a database in which nothing has been stored yet
 )
 
-var errInvalidBolt = errors.New("not an intact bbolt database")
+var errInvalidBolt = errors.New("invalid bbolt database")
 
-// boltFile is a database as plain bytes: it isn't mapped into memory, and no number in it is trusted.
+// boltFile is a database that was read into memory instead of being mapped, so that corruption can't crash the
+// process. Every number in it is validated before use.
 type boltFile struct {
 	raw  []byte
 	meta boltMeta
-	used []bool // by page: it was visited, each at most once
+	used []bool // by page number; a page may be referred to once only
 }
 
-// boltMeta describes a transaction's state of the database.
+// boltMeta is the content of a meta page: where the database of one transaction begins.
 type boltMeta struct {
 	pageSize                    uint64
 	root, freeList, pages, txID uint64
 }
 
-// boltPage is a page of elements, by itself or inside a value.
+// boltPage is a page with elements, either a page of the file or one inside a bucket's value.
 type boltPage struct {
-	raw   []byte // with the pages that it overflows into
+	raw   []byte // including the page's overflow pages
 	flags uint16
-	count int // of elements
+	count int // number of elements
 }
 
-// readBolt returns a database's buckets by name. Buckets inside buckets are an error, as is everything
-// that contradicts the layout.
+// readBolt returns a database's buckets by name. Nested buckets are an error, because this program never wrote any,
+// and so is every violation of the layout.
 func readBolt(raw []byte) (map[string]boltBucket, error) {
 	f := &boltFile{raw: raw}
 	if err := f.readMetas(); err != nil {
@@ -67,7 +69,7 @@
 		return nil, err
 	}
 	if len(root) == 0 && f.meta.txID > boltFirstTxID {
-		return nil, fmt.Errorf("%w: its buckets are missing", errInvalidBolt)
+		return nil, fmt.Errorf("%w: all buckets are missing", errInvalidBolt)
 	}
 	buckets := make(map[string]boltBucket, len(root))
 	for _, pair := range root {
@@ -77,14 +79,14 @@
 	}
 	for id, used := range f.used {
 		if !used {
-			return nil, fmt.Errorf("%w: page %d is neither in use nor free", errInvalidBolt, id)
+			return nil, fmt.Errorf("%w: page %d is neither referred to nor in the free list", errInvalidBolt, id)
 		}
 	}
 	return buckets, nil
 }
 
-// readMetas takes the later of the two last transactions. Both have to be intact: where one is not, it
-// isn't known whether that transaction was acknowledged.
+// readMetas reads both meta pages, which describe the last two transactions, and selects the later one. Both have to
+// be intact: if one is not, its transaction may be the last one that was acknowledged.
 func (f *boltFile) readMetas() error {
 	first, err := f.readMeta(0, 0)
 	if err != nil {
@@ -101,9 +103,9 @@
 	low, high := min(first.txID, second.txID), max(first.txID, second.txID)
 	switch {
 	case first.pageSize != second.pageSize || high != low+1:
-		return fmt.Errorf("%w: its meta pages don't match", errInvalidBolt)
+		return fmt.Errorf("%w: the two meta pages have different page sizes or no consecutive transactions", errInvalidBolt)
 	case f.meta.pages > uint64(len(f.raw))/f.meta.pageSize:
-		return fmt.Errorf("%w: it has %d bytes and should have %d pages", errInvalidBolt, len(f.raw), f.meta.pages)
+		return fmt.Errorf("%w: the file has %d bytes, too few for %d pages", errInvalidBolt, len(f.raw), f.meta.pages)
 	}
 	f.used = make([]bool, f.meta.pages)
 	for id := range min(boltMetaPages, len(f.used)) {
@@ -113,11 +115,11 @@
 }
 
 func (f *boltFile) readMeta(offset, id uint64) (boltMeta, error) {
-	if uint64(len(f.raw)) < offset+boltPageHeader+boltMetaSize {
-		return boltMeta{}, fmt.Errorf("%w: %d bytes", errInvalidBolt, len(f.raw))
+	if uint64(len(f.raw)) < offset+boltPageHeaderSize+boltMetaSize {
+		return boltMeta{}, fmt.Errorf("%w: the file has %d bytes, too few for its meta pages", errInvalidBolt, len(f.raw))
 	}
 	page := f.raw[offset:]
-	raw := page[boltPageHeader : boltPageHeader+boltMetaSize]
+	raw := page[boltPageHeaderSize : boltPageHeaderSize+boltMetaSize]
 	meta := boltMeta{
 		pageSize: uint64(binary.LittleEndian.Uint32(raw[8:])),
 		root:     binary.LittleEndian.Uint64(raw[16:]),
@@ -132,23 +134,23 @@
 		binary.LittleEndian.Uint32(raw) != boltMagic || binary.LittleEndian.Uint32(raw[4:]) != boltVersion,
 		binary.LittleEndian.Uint64(raw[boltMetaSize-8:]) != checksum.Sum64(),
 		meta.pageSize < boltMinPageSize:
-		return meta, fmt.Errorf("%w: meta page %d", errInvalidBolt, id)
+		return meta, fmt.Errorf("%w: meta page %d has an invalid header, format or checksum", errInvalidBolt, id)
 	}
 	return meta, nil
 }
 
-// readFreeList marks the free pages as used, so that nothing else may refer to them.
+// readFreeList marks the free pages as used, so that a reference to one of them is detected.
 func (f *boltFile) readFreeList() error {
 	page, err := f.page(f.meta.freeList)
 	if err != nil {
 		return err
 	}
-	list, count := page.raw[boltPageHeader:], uint64(page.count)
+	list, count := page.raw[boltPageHeaderSize:], uint64(page.count)
 	if count == boltLargeFreeList {
 		count, list = binary.LittleEndian.Uint64(list), list[8:]
 	}
 	if page.flags != boltFreeListPage || count > uint64(len(list))/8 {
-		return fmt.Errorf("%w: its list of free pages", errInvalidBolt)
+		return fmt.Errorf("%w: the free list has an invalid page type or length", errInvalidBolt)
 	}
 	for i := range count {
 		if err := f.markUsed(binary.LittleEndian.Uint64(list[8*i:])); err != nil {
@@ -158,15 +160,15 @@
 	return nil
 }
 
-// page returns a page with those that it overflows into, and marks them as used.
+// page returns a page including its overflow pages, and marks them as used.
 func (f *boltFile) page(id uint64) (boltPage, error) {
 	if id >= f.meta.pages {
-		return boltPage{}, fmt.Errorf("%w: page %d of %d", errInvalidBolt, id, f.meta.pages)
+		return boltPage{}, fmt.Errorf("%w: reference to page %d, the database has %d pages", errInvalidBolt, id, f.meta.pages)
 	}
 	raw := f.raw[id*f.meta.pageSize:]
 	end := id + uint64(binary.LittleEndian.Uint32(raw[12:])) + 1
 	if binary.LittleEndian.Uint64(raw) != id {
-		return boltPage{}, fmt.Errorf("%w: the header of page %d", errInvalidBolt, id)
+		return boltPage{}, fmt.Errorf("%w: the header of page %d has another page number", errInvalidBolt, id)
 	}
 	for used := id; used < end; used++ {
 		if err := f.markUsed(used); err != nil {
@@ -180,9 +182,10 @@
 	return boltPage{raw, binary.LittleEndian.Uint16(raw[8:]), int(binary.LittleEndian.Uint16(raw[10:]))}
 }
 
+// markUsed returns an error if a page is out of range or already in use.
 func (f *boltFile) markUsed(id uint64) error {
 	if id >= uint64(len(f.used)) || f.used[id] {
-		return fmt.Errorf("%w: page %d is used twice, or doesn't exist", errInvalidBolt, id)
+		return fmt.Errorf("%w: page %d is referred to twice or does not exist", errInvalidBolt, id)
 	}
 	f.used[id] = true
 	return nil
--- a/internal/fleet/state/bolt_bucket.go
+++ b/internal/fleet/state/bolt_bucket.go
@@ -6,13 +6,13 @@
 	"fmt"
 )
 
-// boltPair is a key of a bucket and its value.
+// boltPair is a key-value pair of a bucket.
 type boltPair struct{ key, value []byte }
 
-// boltBucket is the content of a bucket, in the order of the keys.
+// boltBucket is the content of a bucket, sorted by key.
 type boltBucket []boltPair
 
-// value is that of the key, or nil.
+// value returns the value of a key, or nil if the bucket does not have the key.
 func (b boltBucket) value(key string) []byte {
 	for _, pair := range b {
 		if string(pair.key) == key {
@@ -22,52 +22,53 @@
 	return nil
 }
 
-// boltCollector collects elements of one kind, in the order of their keys.
+// boltCollector collects elements that all have the same flags, and checks that their keys are sorted.
 type boltCollector struct {
-	flags  uint32 // of every element
+	flags  uint32 // expected of every element
 	bucket boltBucket
 }
 
 func (c *boltCollector) add(flags uint32, pair boltPair) error {
 	if flags != c.flags {
-		return fmt.Errorf("%w: an element of kind %x", errInvalidBolt, flags)
+		return fmt.Errorf("%w: an element has unexpected flags %#x", errInvalidBolt, flags)
 	}
 	if n := len(c.bucket); n > 0 && bytes.Compare(c.bucket[n-1].key, pair.key) >= 0 {
-		return fmt.Errorf("%w: keys out of order", errInvalidBolt)
+		return fmt.Errorf("%w: keys are not sorted or not unique", errInvalidBolt)
 	}
 	c.bucket = append(c.bucket, pair)
 	return nil
 }
 
-// bucket reads a bucket, whose page is in the value itself if it is small.
+// bucket reads a bucket from its value in the root bucket. A small bucket has its only page inline, in that value.
 func (f *boltFile) bucket(value []byte) (boltBucket, error) {
-	if len(value) < boltBucketHeader {
-		return nil, fmt.Errorf("%w: a bucket of %d bytes", errInvalidBolt, len(value))
+	if len(value) < boltBucketHeaderSize {
+		return nil, fmt.Errorf("%w: a bucket's value of %d bytes is shorter than its header", errInvalidBolt, len(value))
 	}
 	if root := binary.LittleEndian.Uint64(value); root != 0 {
 		return f.collect(root, 0)
 	}
-	inline := value[boltBucketHeader:]
-	if len(inline) < boltPageHeader {
-		return nil, fmt.Errorf("%w: a bucket of %d bytes", errInvalidBolt, len(value))
+	inline := value[boltBucketHeaderSize:]
+	if len(inline) < boltPageHeaderSize {
+		return nil, fmt.Errorf("%w: a bucket's value of %d bytes is too short for an inline page", errInvalidBolt, len(value))
 	}
 	page := newBoltPage(inline)
 	if page.flags != boltLeafPage {
-		return nil, fmt.Errorf("%w: a bucket without a page", errInvalidBolt)
+		return nil, fmt.Errorf("%w: the inline page of a bucket is no leaf page", errInvalidBolt)
 	}
 	var collector boltCollector
 	err := page.collect(&collector)
 	return collector.bucket, err
 }
 
-// collect returns everything under a page, all of it elements of one kind.
+// collect returns all elements of the subtree under a page; each of them must have the given flags.
 func (f *boltFile) collect(id uint64, flags uint32) (boltBucket, error) {
 	collector := boltCollector{flags: flags}
 	err := f.collectUnder(id, &collector)
 	return collector.bucket, err
 }
 
-// collectUnder adds what is under a page, in order. It ends, as no page is read twice.
+// collectUnder adds the elements of the subtree under a page, in order. The recursion ends even in a corrupt file,
+// because every page may be read once only.
 func (f *boltFile) collectUnder(id uint64, collector *boltCollector) error {
 	page, err := f.page(id)
 	if err != nil {
@@ -79,9 +80,10 @@
 	case boltBranchPage:
 		return f.collectChildren(page, collector)
 	}
-	return fmt.Errorf("%w: page %d is of kind %x", errInvalidBolt, id, page.flags)
+	return fmt.Errorf("%w: page %d has flags %#x, want a leaf or branch page", errInvalidBolt, id, page.flags)
 }
 
+// collectChildren adds the elements of the subtrees under a branch page.
 func (f *boltFile) collectChildren(branch boltPage, collector *boltCollector) error {
 	for i := range branch.count {
 		element, err := branch.element(i)
@@ -114,21 +116,22 @@
 	return nil
 }
 
+// element returns the header of an element.
 func (p boltPage) element(i int) ([]byte, error) {
-	from := boltPageHeader + i*boltElement
-	if from+boltElement > len(p.raw) {
-		return nil, fmt.Errorf("%w: element %d of a page", errInvalidBolt, i)
+	start := boltPageHeaderSize + i*boltElementSize
+	if start+boltElementSize > len(p.raw) {
+		return nil, fmt.Errorf("%w: element %d lies beyond the end of its page", errInvalidBolt, i)
 	}
-	return p.raw[from : from+boltElement], nil
+	return p.raw[start : start+boltElementSize], nil
 }
 
-// pair returns a copy of a leaf element's key and value, whose offset is counted from the element itself.
+// pair returns a copy of a leaf element's key and value. Their offset in the page is relative to the element's header.
 func (p boltPage) pair(i int, element []byte) (boltPair, error) {
-	key := uint64(boltPageHeader+i*boltElement) + uint64(binary.LittleEndian.Uint32(element[4:]))
-	value := key + uint64(binary.LittleEndian.Uint32(element[8:]))
-	end := value + uint64(binary.LittleEndian.Uint32(element[12:]))
+	keyStart := uint64(boltPageHeaderSize+i*boltElementSize) + uint64(binary.LittleEndian.Uint32(element[4:]))
+	valueStart := keyStart + uint64(binary.LittleEndian.Uint32(element[8:]))
+	end := valueStart + uint64(binary.LittleEndian.Uint32(element[12:]))
 	if end > uint64(len(p.raw)) {
-		return boltPair{}, fmt.Errorf("%w: element %d of a page leads out of it", errInvalidBolt, i)
+		return boltPair{}, fmt.Errorf("%w: the key or value of element %d lies beyond the end of its page", errInvalidBolt, i)
 	}
-	return boltPair{key: bytes.Clone(p.raw[key:value]), value: bytes.Clone(p.raw[value:end])}, nil
+	return boltPair{key: bytes.Clone(p.raw[keyStart:valueStart]), value: bytes.Clone(p.raw[valueStart:end])}, nil
 }
--- a/internal/fleet/state/corruption_test.go
+++ b/internal/fleet/state/corruption_test.go
@@ -16,12 +16,12 @@
 )
 
 const (
-	corruptionBlock = 512 // the file has no pages: its parts that are zeroed or swapped
-	openRounds      = 100 // each syncs some files
-	decodeRounds    = 500 // in memory
+	corruptionBlock = 512 // bytes of the blocks that are zeroed or swapped; the file itself has no pages
+	openRounds      = 100 // corruptions that are opened from disk, which syncs several files each time
+	decodeRounds    = 500 // corruptions that are decoded in memory
 )
 
-// sampleFile is the file of a sidecar that has stored something of everything.
+// sampleFile returns a file with log entries, a hard state and a policy text.
 func sampleFile(t *testing.T) []byte {
 	t.Helper()
 	dir := t.TempDir()
@@ -31,7 +31,7 @@
 		entries = append(entries, entry(i+1, 1))
 	}
 	text := bytes.Repeat([]byte("open = 3\n"), 100)
-	if err := errors.Join(s.Begin(5), s.Save(vote(1, 100), entries), s.Text([32]byte{1}, text)); err != nil {
+	if err := errors.Join(s.Begin(5), s.Save(hardState(1, 100), entries), s.Text([32]byte{1}, text)); err != nil {
 		t.Fatal(err)
 	}
 	s.Close()
@@ -42,8 +42,8 @@
 	return raw
 }
 
-// checkQuarantined opens a directory with a corrupt file: it has to be renamed, byte for byte, and the
-// sidecar to begin anew.
+// checkQuarantined opens a directory with a corrupt file. Open has to rename the file without changing it, and to
+// create a new state. how describes the corruption.
 func checkQuarantined(t *testing.T, name string, raw []byte, how string) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), name)
@@ -52,18 +52,25 @@
 	}
 	s, err := Open(filepath.Dir(path), "hives", 3, 1)
 	if err != nil {
-		t.Fatalf("%s: %v", how, err)
+		t.Fatalf("%s: opening the state: %v", how, err)
 	}
 	defer s.Close()
 	saved, texts, err := s.Saved()
-	if err != nil || s.Seat() != 1 || saved.Epoch != 0 || saved.HardState != nil || len(saved.Entries)+len(texts) != 0 {
-		t.Errorf("%s: accepted: seat %d, %+v, %d texts, %v", how, s.Seat(), saved, len(texts), err)
+	if err != nil || s.VoterIncarnation() != 1 || saved.Epoch != 0 || saved.HardState != nil ||
+		len(saved.Entries)+len(texts) != 0 {
+		t.Errorf(
+			"%s: voter incarnation %d, log %+v, %d texts, error %v; want a new state with incarnation 1", how,
+			s.VoterIncarnation(), saved, len(texts), err,
+		)
 	}
 	if s.Corruption() == nil || !strings.Contains(s.Corruption().Error(), path) {
-		t.Errorf("%s: %v does not name the file", how, s.Corruption())
+		t.Errorf("%s: Corruption returned %v, want an error that names the file", how, s.Corruption())
 	}
 	if quarantined, err := os.ReadFile(path + ".damaged"); err != nil || !bytes.Equal(quarantined, raw) {
-		t.Errorf("%s: quarantined: %d bytes, %v", how, len(quarantined), err)
+		t.Errorf(
+			"%s: the quarantined file has %d bytes, error %v; want the corrupt file unchanged", how,
+			len(quarantined), err,
+		)
 	}
 }
 
@@ -72,17 +79,17 @@
 	zeroed := bytes.Clone(intact)
 	clear(zeroed[corruptionBlock : 2*corruptionBlock])
 	for how, raw := range map[string][]byte{
-		"noise":                []byte(strings.Repeat("noise", 4000)),
-		"empty":                {},
-		"half":                 intact[:len(intact)/2],
-		"one block":            intact[:corruptionBlock],
-		"a block of zeroes":    zeroed,
-		"too long":             append(bytes.Clone(intact), make([]byte, maxFileSize)...),
-		"no seat":              sealed(`{"format":2,"fleet":"hives","number":3}`),
-		"entries, no state":    sealed(`{"format":2,"fleet":"hives","number":3,"seat":7,"entries":["IAE="]}`),
-		"no protobuf":          sealed(`{"format":2,"fleet":"hives","number":3,"seat":7,"vote":"/w=="}`),
-		"no JSON":              sealed(`{`),
-		"another kind of file": durable.Seal("caperarch-other", []byte(`{}`)),
+		"noise":                        []byte(strings.Repeat("noise", 4000)),
+		"empty":                        {},
+		"truncated to half":            intact[:len(intact)/2],
+		"truncated to one block":       intact[:corruptionBlock],
+		"one block zeroed":             zeroed,
+		"longer than maxFileSize":      append(bytes.Clone(intact), make([]byte, maxFileSize)...),
+		"no voter incarnation":         sealed(`{"format":2,"fleet":"hives","number":3}`),
+		"entries without a hard state": sealed(`{"format":2,"fleet":"hives","number":3,"seat":7,"entries":["IAE="]}`),
+		"hard state is no protobuf":    sealed(`{"format":2,"fleet":"hives","number":3,"seat":7,"vote":"/w=="}`),
+		"no JSON":                      sealed(`{`),
+		"another kind of file":         durable.Seal("caperarch-other", []byte(`{}`)),
 	} {
 		checkQuarantined(t, fileName, raw, how)
 	}
@@ -93,13 +100,13 @@
 	}
 }
 
-// No corruption passes for an intact file: random ones, every single bit, every truncation.
+// Every corruption is detected: random ones, each single changed bit, and each truncation.
 func TestCorruptionIsDetected(t *testing.T) {
 	intact := sampleFile(t)
-	checkCorrupt := func(raw []byte, how string) {
+	expectCorrupt := func(raw []byte, how string) {
 		t.Helper()
 		if _, err := decode(raw); !errors.Is(err, durable.ErrCorrupt) {
-			t.Errorf("%s: %v", how, err)
+			t.Errorf("%s: error %v, want durable.ErrCorrupt", how, err)
 		}
 	}
 	if _, err := decode(intact); err != nil {
@@ -108,15 +115,15 @@
 	source := damage.NewSource(t, corruptionBlock)
 	for range damage.Rounds(decodeRounds) {
 		raw, how := source.Of(intact)
-		checkCorrupt(raw, how)
+		expectCorrupt(raw, how)
 	}
 	small := sealed(`{"format":2,"fleet":"hives","number":3,"seat":7}`)
 	for i := range small {
-		checkCorrupt(small[:i], fmt.Sprintf("truncated at %d", i))
+		expectCorrupt(small[:i], fmt.Sprintf("truncated to %d bytes", i))
 		for bit := range 8 {
 			raw := bytes.Clone(small)
 			raw[i] ^= 1 << bit
-			checkCorrupt(raw, fmt.Sprintf("bit %d of byte %d", bit, i))
+			expectCorrupt(raw, fmt.Sprintf("bit %d of byte %d changed", bit, i))
 		}
 	}
 }
--- a/internal/fleet/state/golden_test.go
+++ b/internal/fleet/state/golden_test.go
@@ -11,20 +11,20 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// goldenFile is what an earlier release wrote in the steps that saveGolden takes.
+// goldenFile is a file of testdata that an earlier release wrote with the calls of saveGolden.
 const goldenFile = "caperarch-fleet.state"
 
 func saveGolden(s *Store) error {
 	return errors.Join(
 		s.Begin(5),
-		s.Save(vote(1, 0), []*raftpb.Entry{entry(1, 1), entry(2, 1), entry(3, 1)}),
-		s.Save(vote(2, 2), []*raftpb.Entry{entry(2, 2)}),
+		s.Save(hardState(1, 0), []*raftpb.Entry{entry(1, 1), entry(2, 1), entry(3, 1)}),
+		s.Save(hardState(2, 2), []*raftpb.Entry{entry(2, 2)}),
 		s.Text([32]byte{1}, []byte("open = 3")),
 		s.Text([32]byte{2}, []byte("open = 4")),
 	)
 }
 
-func TestFileOfAnEarlierReleaseIsReadWhole(t *testing.T) {
+func TestFileOfEarlierReleaseIsRead(t *testing.T) {
 	dir := t.TempDir()
 	if err := os.CopyFS(dir, os.DirFS("testdata")); err != nil {
 		t.Fatal(err)
@@ -38,14 +38,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.Seat() != 99 || saved.Epoch != 5 {
-		t.Errorf("seat %d, epoch %d, want 99 and 5", s.Seat(), saved.Epoch)
+	if s.VoterIncarnation() != 99 || saved.Epoch != 5 {
+		t.Errorf("voter incarnation %d, epoch %d, want 99 and 5", s.VoterIncarnation(), saved.Epoch)
 	}
-	if !proto.Equal(saved.HardState, vote(2, 2)) {
-		t.Errorf("vote %v, want %v", saved.HardState, vote(2, 2))
+	if !proto.Equal(saved.HardState, hardState(2, 2)) {
+		t.Errorf("hard state %v, want %v", saved.HardState, hardState(2, 2))
 	}
 	want := []*raftpb.Entry{entry(1, 1), entry(2, 2)}
-	if len(saved.Entries) != len(want) || !proto.Equal(saved.Entries[0], want[0]) || !proto.Equal(saved.Entries[1], want[1]) {
+	if len(saved.Entries) != len(want) || !proto.Equal(saved.Entries[0], want[0]) ||
+		!proto.Equal(saved.Entries[1], want[1]) {
 		t.Errorf("entries %v, want %v", saved.Entries, want)
 	}
 	if want := [][]byte{[]byte("open = 3"), []byte("open = 4")}; !reflect.DeepEqual(texts, want) {
@@ -53,17 +54,17 @@
 	}
 }
 
-func TestFileIsWrittenAsBefore(t *testing.T) {
+func TestFileIsWrittenAsByEarlierRelease(t *testing.T) {
 	dir := t.TempDir()
 	s := open(t, dir)
-	checkFile(t, dir, "new.state") // nothing was saved yet
+	checkFile(t, dir, "new.state") // only Open has written so far
 	if err := saveGolden(s); err != nil {
 		t.Fatal(err)
 	}
 	checkFile(t, dir, goldenFile)
 }
 
-// checkFile compares the file in a folder with one in testdata.
+// checkFile compares the state file in a directory with a golden file of testdata.
 func checkFile(t *testing.T, dir, golden string) {
 	t.Helper()
 	got, err := os.ReadFile(filepath.Join(dir, goldenFile))
@@ -75,6 +76,6 @@
 		t.Fatal(err)
 	}
 	if string(got) != string(want) {
-		t.Errorf("written is\n%s, want %s\n%s", got, golden, want)
+		t.Errorf("the state file is\n%s, want the content of %s\n%s", got, golden, want)
 	}
 }
--- a/internal/fleet/state/lock.go
+++ b/internal/fleet/state/lock.go
@@ -8,17 +8,17 @@
 )
 
 const (
-	// lockTimeout is how long to wait for a lock: a process that is about to end releases it sooner, and
-	// any other doesn't release it.
+	// lockTimeout is how long to wait for a lock. A process that is terminating releases its lock sooner; a process
+	// that continues to run does not release it at all.
 	lockTimeout       = 200 * time.Millisecond
 	lockRetryInterval = 10 * time.Millisecond
 )
 
-// ErrInUse says that another process has the state open.
-var ErrInUse = errors.New("another process has it open")
+// ErrInUse is returned while another process has the state open.
+var ErrInUse = errors.New("another process holds the lock")
 
-// lockFile opens a file and locks it, against other processes and other opens of this one, until it is
-// closed. It is ErrInUse if the lock isn't released within lockTimeout.
+// lockFile opens a file and holds an exclusive lock on it until the file is closed. The lock excludes other processes
+// and other opens by this process. The error is ErrInUse if the lock can't be acquired within lockTimeout.
 func lockFile(path string, flags int) (*os.File, error) {
 	f, err := os.OpenFile(path, flags|os.O_RDWR, 0o600)
 	if err != nil {
@@ -30,6 +30,7 @@
 	return f, nil
 }
 
+// lock acquires an exclusive lock on an open file, and retries until lockTimeout.
 func lock(f *os.File) error {
 	deadline := time.Now().Add(lockTimeout)
 	for ; ; time.Sleep(lockRetryInterval) {
--- a/internal/fleet/state/state.go
+++ b/internal/fleet/state/state.go
@@ -1,17 +1,19 @@
-// Package state stores what a sidecar must not forget of the log that its fleet agrees on, in a directory
-// that outlives the process: its seat, its hard state, entries, policies' texts. Each is on the disk
-// before the sidecar acknowledges it.
+// Package state persists a sidecar's part of the fleet's replicated log in a directory: the incarnation under which
+// the sidecar votes, the Raft hard state, the log entries, and the texts of policies. Every change is on disk before
+// the sidecar acknowledges it.
 //
-// All of it is one small file with a length and a checksum, replaced at each change. So a crash leaves
-// the state before the change or the one after it, and corruption of any kind is noticed before anything
-// is believed: the file is then quarantined, and the sidecar begins with a new seat, as one without a
-// directory does at each start. A database that writes in place has no checksum over its values, and one
-// that is mapped into memory ends the process at some corruption; what is stored here is written only
-// when operators decide something or a voter is elected, and is usually a few kilobytes.
+// The state is one small file with a length and a checksum, which is replaced at each change. A crash therefore
+// leaves either the state before the change or the state after it, and corruption is detected before any of the
+// content is used. A corrupt file is quarantined, and the sidecar starts with a new voter incarnation, as a sidecar
+// without a state directory does at each start.
 //
-// Files of the first format, a bbolt database, are read once and replaced.
+// An embedded database is not used: one that writes in place has no checksum over its values, and one that is mapped
+// into memory may crash the process when a file is corrupt. A plain file is fast enough, because it is written only
+// when operators change something, a leader is elected or the voters change, and usually has a few kilobytes.
 //
-// A Store belongs to one goroutine at a time; a lock keeps other processes out while it is open.
+// Files of the legacy format, a bbolt database, are converted when they are opened for the first time.
+//
+// A Store may be used by one goroutine at a time. A lock file excludes other processes while the Store is open.
 package state
 
 import (
@@ -30,18 +32,19 @@
 const (
 	fileName       = "caperarch-fleet.state"
 	lockName       = "caperarch-fleet.lock"
-	legacyFileName = "caperarch-fleet.db" // of the first format
+	legacyFileName = "caperarch-fleet.db" // bbolt database of format 1
 )
 
-// Store is one sidecar's state, open until Close.
+// Store is the persistent state of one sidecar. It holds a lock on the directory until Close.
 type Store struct {
 	path       string
-	lock       *os.File // locked while the state is open
-	contents   contents // as on the disk
-	corruption error    // why a file was quarantined
+	lock       *os.File // lock file, locked while the Store is open
+	contents   contents // same as in the file
+	corruption error    // why Open quarantined a file; nil if it did not
 }
 
-// CheckWritable is an error if a directory can't be used, before anything is opened in it.
+// CheckWritable returns an error if no file can be created in a directory. It allows checking the settings before
+// the state is opened.
 func CheckWritable(dir string) error {
 	f, err := os.CreateTemp(dir, "caperarch-*.tmp")
 	if err != nil {
@@ -50,9 +53,9 @@
 	return errors.Join(f.Close(), os.Remove(f.Name()))
 }
 
-// Open opens the state of a fleet's sidecar in a directory, or begins one, whose seat is the incarnation
-// given. One that is corrupt is quarantined, see Corruption; one of another sidecar or of an unknown
-// format is an error, and stays as it is. ErrInUse: another process has it open.
+// Open opens the state of a sidecar in a directory, or creates it with the given voter incarnation. A corrupt state
+// is quarantined and replaced by a new one, see Corruption. A state of another sidecar or of an unknown format is an
+// error and is left unchanged. The error is ErrInUse if another process has the state open.
 func Open(dir, fleet string, number int, incarnation uint64) (*Store, error) {
 	lock, err := lockFile(filepath.Join(dir, lockName), os.O_CREATE)
 	if err != nil {
@@ -65,7 +68,7 @@
 	return s, nil
 }
 
-// load reads what the directory holds, or begins anew.
+// load reads the state from the directory, or creates a new one if there is none or it was quarantined.
 func (s *Store) load(fleet string, number int, incarnation uint64) error {
 	if err := durable.RemoveTemporary(s.path); err != nil {
 		return err
@@ -78,7 +81,7 @@
 		return err
 	}
 	if stored == nil {
-		return s.write(contents{Format: formatVersion, Fleet: fleet, Number: number, Seat: incarnation})
+		return s.write(contents{Format: formatVersion, Fleet: fleet, Number: number, VoterIncarnation: incarnation})
 	}
 	if err := stored.checkOwner(fleet, number); err != nil {
 		return fmt.Errorf("%s: %w", s.path, err)
@@ -87,14 +90,15 @@
 	return nil
 }
 
-// readCurrent reads the file. It returns nil without an error if there is none, or it was quarantined.
+// readCurrent reads the file of the current format. It returns nil without an error if there is no such file or it
+// was quarantined.
 func (s *Store) readCurrent() (*contents, error) {
 	raw, err := durable.ReadBounded(s.path, maxFileSize)
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil, nil
 	}
-	// A conversion that was interrupted before its last step left the legacy file, which must not be read
-	// again.
+	// The legacy file still exists if a conversion was interrupted before its last step. It is outdated then and must
+	// not be read again.
 	if err := durable.Remove(s.legacyPath()); err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return nil, err
 	}
@@ -105,11 +109,11 @@
 	return stored, s.quarantineIfCorrupt(s.path, err)
 }
 
-// convertLegacy reads a file of the first format and replaces it. It returns nil without an error if
-// there is none, or it holds nothing or was quarantined.
+// convertLegacy reads a legacy file and replaces it by a file of the current format. It returns nil without an error
+// if there is no legacy file, nothing has been stored in it, or it was quarantined.
 func (s *Store) convertLegacy(fleet string, number int) (*contents, error) {
 	path := s.legacyPath()
-	lock, err := lockFile(path, 0) // a process of an earlier release may have it open
+	lock, err := lockFile(path, 0) // a process of an earlier release may have the database open
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil, nil
 	}
@@ -134,7 +138,8 @@
 	return stored, durable.Remove(path)
 }
 
-// quarantineIfCorrupt quarantines a corrupt file; any other error is returned with the file's name.
+// quarantineIfCorrupt quarantines the file if err says that it is corrupt or too large. Any other error is returned
+// with the file's path.
 func (s *Store) quarantineIfCorrupt(path string, err error) error {
 	if err == nil {
 		return nil
@@ -149,52 +154,54 @@
 
 func (s *Store) legacyPath() string { return filepath.Join(filepath.Dir(s.path), legacyFileName) }
 
-// write replaces the file. The contents change only if that succeeds.
-func (s *Store) write(c contents) error {
-	raw, err := c.encode()
+// write replaces the file. The contents in memory change only if that succeeds.
+func (s *Store) write(changed contents) error {
+	raw, err := changed.encode()
 	if err != nil {
 		return err
 	}
 	if err := durable.Replace(s.path, raw); err != nil {
 		return err
 	}
-	s.contents = c
+	s.contents = changed
 	return nil
 }
 
-// Close releases the state for other processes. Nothing may be called afterwards.
+// Close releases the lock. No method may be called afterwards.
 func (s *Store) Close() error { return s.lock.Close() }
 
-// Corruption is why Open quarantined a file; nil: it didn't.
+// Corruption returns why Open quarantined a file, or nil if it did not.
 func (s *Store) Corruption() error { return s.corruption }
 
-// Seat is the incarnation under which this sidecar votes.
-func (s *Store) Seat() uint64 { return s.contents.Seat }
+// VoterIncarnation returns the incarnation under which this sidecar votes. It stays the same across restarts, so that
+// the sidecar remains the same voter, and changes when the state was lost.
+func (s *Store) VoterIncarnation() uint64 { return s.contents.VoterIncarnation }
 
-// Saved returns what is stored: a part of the log, and texts, the oldest first.
+// Saved returns the stored log and the stored policy texts, oldest first.
 func (s *Store) Saved() (*raftlog.SavedState, [][]byte, error) {
 	log, err := s.contents.log()
 	return log, s.contents.Texts, err
 }
 
-// Begin replaces an earlier log, with all that belongs to it, by an empty one of this epoch.
+// Begin replaces the stored log by an empty log of this epoch, and removes all stored texts.
 func (s *Store) Begin(epoch uint64) error {
-	c := s.contents
-	c.Epoch, c.HardState, c.Entries, c.Texts = epoch, nil, nil, nil
-	return s.write(c)
+	changed := s.contents
+	changed.Epoch, changed.HardState, changed.Entries, changed.Texts = epoch, nil, nil, nil
+	return s.write(changed)
 }
 
-// Save stores a hard state, unless it is nil, and entries, which replace those from their first index on.
+// Save stores a hard state, unless it is nil, and log entries. The entries replace the stored entries from the first
+// new index on.
 func (s *Store) Save(hardState *raftpb.HardState, entries []*raftpb.Entry) error {
-	c, err := s.contents.withHardState(hardState)
+	changed, err := s.contents.withHardState(hardState)
 	if err == nil {
-		c, err = c.withEntries(entries)
+		changed, err = changed.withEntries(entries)
 	}
 	if err != nil {
 		return err
 	}
-	return s.write(c)
+	return s.write(changed)
 }
 
-// Text stores the text of a policy's version; of too many the oldest is dropped.
+// Text stores the text of a policy version; of more than maxTexts the oldest is dropped.
 func (s *Store) Text(_ [32]byte, text []byte) error { return s.write(s.contents.withText(text)) }
--- a/internal/fleet/state/state_test.go
+++ b/internal/fleet/state/state_test.go
@@ -14,14 +14,17 @@
 	"caperarch/internal/proxy/durable"
 )
 
+// entry returns a log entry with fixed data.
 func entry(index, term uint64) *raftpb.Entry {
 	return &raftpb.Entry{Index: proto.Uint64(index), Term: proto.Uint64(term), Data: []byte("data")}
 }
 
-func vote(term, commit uint64) *raftpb.HardState {
+// hardState returns a hard state with a vote for voter 7.
+func hardState(term, commit uint64) *raftpb.HardState {
 	return &raftpb.HardState{Term: proto.Uint64(term), Vote: proto.Uint64(7), Commit: proto.Uint64(commit)}
 }
 
+// open opens the state of sidecar 3 of fleet "hives" with voter incarnation 99, and closes it after the test.
 func open(t *testing.T, dir string) *Store {
 	t.Helper()
 	s, err := Open(dir, "hives", 3, 99)
@@ -32,10 +35,10 @@
 	return s
 }
 
-// sealed is a file of the current kind with this content.
+// sealed returns a file of the current format with the given content.
 func sealed(content string) []byte { return durable.Seal(fileKind, []byte(content)) }
 
-// reopen closes a state and opens it in another incarnation.
+// reopen closes a state and opens it again from a process with incarnation 100.
 func reopen(t *testing.T, s *Store, dir string) *Store {
 	t.Helper()
 	s.Close()
@@ -47,39 +50,39 @@
 	return s
 }
 
-// What was stored is there after a restart, with the seat of the first start; entries that were overwritten
-// are gone with all behind them; another log begins empty.
-func TestStateOutlivesTheProcess(t *testing.T) {
+// The stored state and the voter incarnation of the first start survive a restart. An overwritten entry is gone
+// together with all entries after it. Begin starts an empty log.
+func TestStateSurvivesRestart(t *testing.T) {
 	dir := t.TempDir()
 	s := open(t, dir)
 	if err := errors.Join(
 		s.Begin(5),
-		s.Save(vote(1, 0), []*raftpb.Entry{entry(1, 1), entry(2, 1), entry(3, 1)}),
-		s.Save(vote(2, 2), []*raftpb.Entry{entry(2, 2)}),
+		s.Save(hardState(1, 0), []*raftpb.Entry{entry(1, 1), entry(2, 1), entry(3, 1)}),
+		s.Save(hardState(2, 2), []*raftpb.Entry{entry(2, 2)}),
 		s.Text([32]byte{1}, []byte("open = 3")),
 	); err != nil {
 		t.Fatal(err)
 	}
 	s = reopen(t, s, dir)
-	if s.Seat() != 99 {
-		t.Errorf("seat %d, want 99", s.Seat())
+	if s.VoterIncarnation() != 99 {
+		t.Errorf("voter incarnation %d, want 99", s.VoterIncarnation())
 	}
 	saved, texts, err := s.Saved()
 	if err != nil || saved.Epoch != 5 || saved.HardState.GetCommit() != 2 {
-		t.Errorf("%+v, %v, want epoch 5 and 2 committed", saved, err)
+		t.Errorf("log %+v, error %v, want epoch 5 and 2 committed entries", saved, err)
 	}
 	if len(saved.Entries) != 2 || saved.Entries[1].GetTerm() != 2 {
-		t.Errorf("entries %v, want 2, the last of term 2", saved.Entries)
+		t.Errorf("entries %v, want 2, the last one of term 2", saved.Entries)
 	}
 	if len(texts) != 1 || string(texts[0]) != "open = 3" {
-		t.Errorf("texts %q", texts)
+		t.Errorf("texts %q, want the stored one", texts)
 	}
 	if err := s.Begin(6); err != nil {
 		t.Fatal(err)
 	}
 	saved, texts, err = s.Saved()
 	if err != nil || saved.Epoch != 6 || saved.HardState != nil || len(saved.Entries) != 0 || len(texts) != 0 {
-		t.Errorf("another log: %+v, %q, %v", saved, texts, err)
+		t.Errorf("after Begin(6): log %+v, texts %q, error %v; want an empty log of epoch 6", saved, texts, err)
 	}
 }
 
@@ -91,20 +94,20 @@
 		}
 	}
 	if _, texts, err := s.Saved(); err != nil || len(texts) != maxTexts || texts[0][0] != 5 {
-		t.Errorf("%d texts, %v, want the newest %d", len(texts), err, maxTexts)
+		t.Errorf("%d texts, error %v, want the newest %d", len(texts), err, maxTexts)
 	}
 }
 
-func TestStateIsOpenedOnce(t *testing.T) {
+func TestStateInUseIsNotOpened(t *testing.T) {
 	dir := t.TempDir()
 	open(t, dir)
 	if _, err := Open(dir, "hives", 3, 100); !errors.Is(err, ErrInUse) {
-		t.Errorf("opened twice: %v", err)
+		t.Errorf("opening the state a second time: error %v, want ErrInUse", err)
 	}
 }
 
-// The temporary file of a process that was killed as it wrote is removed.
-func TestAbandonedFileIsRemoved(t *testing.T) {
+// Open removes the temporary file that a process left when it was killed during a write.
+func TestAbandonedTemporaryFileIsRemoved(t *testing.T) {
 	dir := t.TempDir()
 	open(t, dir).Close()
 	abandoned := filepath.Join(dir, fileName+".17.tmp")
@@ -113,7 +116,7 @@
 	}
 	open(t, dir).Close()
 	if _, err := os.Stat(abandoned); !errors.Is(err, os.ErrNotExist) {
-		t.Errorf("the abandoned file: %v", err)
+		t.Errorf("the abandoned temporary file still exists: %v", err)
 	}
 }
 
@@ -122,35 +125,38 @@
 	open(t, dir).Close()
 	_, otherFleet := Open(dir, "bees", 3, 1)
 	_, otherNumber := Open(dir, "hives", 4, 1)
-	for want, err := range map[string]error{"sidecar 3's of fleet \"hives\"": otherFleet, "this is 4 of": otherNumber} {
+	for want, err := range map[string]error{
+		"sidecar 3 of fleet \"hives\"": otherFleet, "this process is sidecar 4 of": otherNumber,
+	} {
 		if err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%v, want an error that says %s", err, want)
+			t.Errorf("error %v, want one that contains %s", err, want)
 		}
 	}
 }
 
-// A Save that fails changes nothing of what is stored; entries that leave a gap are rejected.
+// A failed Save, Begin or Text leaves the state in memory unchanged, and Save rejects entries that leave a gap.
 func TestFailedSaveChangesNothing(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "state")
 	if err := os.Mkdir(dir, 0o700); err != nil {
 		t.Fatal(err)
 	}
 	s := open(t, dir)
-	if err := s.Save(vote(1, 1), []*raftpb.Entry{entry(1, 1)}); err != nil {
+	if err := s.Save(hardState(1, 1), []*raftpb.Entry{entry(1, 1)}); err != nil {
 		t.Fatal(err)
 	}
 	if err := s.Save(nil, []*raftpb.Entry{entry(3, 1)}); !errors.Is(err, errEntryGap) {
-		t.Errorf("a gap: %v", err)
+		t.Errorf("saving entry 3 after entry 1: error %v, want errEntryGap", err)
 	}
 	if err := os.RemoveAll(dir); err != nil {
 		t.Fatal(err)
 	}
-	if s.Save(vote(2, 1), []*raftpb.Entry{entry(1, 2)}) == nil || s.Begin(9) == nil || s.Text([32]byte{}, nil) == nil {
-		t.Error("stored in a directory that is gone")
+	if s.Save(hardState(2, 1), []*raftpb.Entry{entry(1, 2)}) == nil || s.Begin(9) == nil ||
+		s.Text([32]byte{}, nil) == nil {
+		t.Error("a write to a removed directory succeeded, want an error")
 	}
 	saved, _, err := s.Saved()
 	if err != nil || saved.Epoch != 0 || saved.HardState.GetTerm() != 1 {
-		t.Errorf("%+v, %v, want the first hard state", saved, err)
+		t.Errorf("log %+v, error %v, want the first hard state", saved, err)
 	}
 	if len(saved.Entries) != 1 || saved.Entries[0].GetTerm() != 1 {
 		t.Errorf("entries %v, want the first one", saved.Entries)
@@ -159,15 +165,15 @@
 
 func TestCheckWritable(t *testing.T) {
 	if CheckWritable(filepath.Join(t.TempDir(), "none")) == nil {
-		t.Error("a missing directory is writable")
+		t.Error("CheckWritable accepted a missing directory")
 	}
 	if err := CheckWritable(t.TempDir()); err != nil {
-		t.Error(err)
+		t.Errorf("CheckWritable of an empty directory: %v", err)
 	}
 }
 
-// A file of another format or another fleet is rejected with its name, and stays as it is.
-func TestFileOfOthersStays(t *testing.T) {
+// A file of another format or another fleet is rejected with an error that names the file, and is left unchanged.
+func TestFileOfOthersIsKept(t *testing.T) {
 	for name, content := range map[string][]byte{
 		"a later format": sealed(`{"format":3,"fleet":"hives","number":3,"seat":7}`),
 		"another fleet":  sealed(`{"format":2,"fleet":"bees","number":3,"seat":7}`),
@@ -177,10 +183,10 @@
 			t.Fatal(err)
 		}
 		if _, err := Open(filepath.Dir(path), "hives", 3, 1); err == nil || !strings.Contains(err.Error(), path) {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("opening a file of %s: error %v, want one that names the file", name, err)
 		}
 		if raw, err := os.ReadFile(path); err != nil || !bytes.Equal(raw, content) {
-			t.Errorf("%s: %q, %v", name, raw, err)
+			t.Errorf("file of %s after Open: %q, error %v, want it unchanged", name, raw, err)
 		}
 	}
 }
