--- a/internal/daemon/maintenance.go
+++ b/internal/daemon/maintenance.go
@@ -10,7 +10,7 @@
 )
 
 // maintenanceSite is what this process knows and does about the machines that maintenance plans take out.
-// It implements fleet.Site.
+// It implements fleet.MachinePool.
 type maintenanceSite struct {
 	pool    *pool
 	cfg     *config.Config
@@ -52,8 +52,8 @@
 	return all, site.pool.discoveryCurrent.Load()
 }
 
-// Quiet reports those of some machines that get no more requests and have none in flight. It does not wait.
-func (site *maintenanceSite) Quiet(ids []uint64, report func(idle []uint64)) {
+// ReportIdle reports those of some machines that get no more requests and have none in flight. It does not wait.
+func (site *maintenanceSite) ReportIdle(ids []uint64, report func(idle []uint64)) {
 	servers := make([]policy.ServerID, len(ids))
 	for i, id := range ids {
 		servers[i] = policy.ServerID(id)
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,10 +1,10 @@
-// Package fleet runs this sidecar's part in a fleet: it gives the state machines of swim and
-// replicatedstate their socket, clock, disk and log, and publishes what they decide to the engine.
-// It decides nothing itself.
+// Package fleet connects this sidecar to the other sidecars of its fleet. It provides the state machines of the
+// packages swim (membership) and replicatedstate (replicated log of the fleet's policy) with a socket, a clock,
+// storage and a logger, and publishes their decisions to the proxy engine. The decisions themselves are made in those
+// packages.
 //
-// A Fleet and its Policy are safe for concurrent use. Run owns the link, the goroutine that reads
-// it, and the ticks; when its context ends it leaves the fleet, closes the link and waits for the
-// goroutine.
+// A Fleet and its Policy are safe for concurrent use. Run owns the link, the goroutine that reads from it, and the
+// periodic ticks. When its context ends, Run leaves the fleet, closes the link and waits for the goroutine.
 package fleet
 
 import (
@@ -27,14 +27,14 @@
 	"caperarch/internal/proxy/clock"
 )
 
-// bindRetryInterval is how often the address is tried again while the previous process still has
-// it.
+// bindRetryInterval is how long to wait between attempts to bind the peer address while the previous process of this
+// sidecar still uses it.
 const bindRetryInterval = 250 * time.Millisecond
 
-// minBytesPerSecond is the least that keeps a sidecar in contact. peer.Open requires as much.
+// minBytesPerSecond is the smallest send budget with which a sidecar stays in contact. peer.Open requires the same.
 const minBytesPerSecond = 512
 
-// Fleet is this sidecar's part in a fleet. It is safe for concurrent use.
+// Fleet is this sidecar's membership in a fleet. It is safe for concurrent use.
 type Fleet struct {
 	cfg         *config.Config
 	file        *config.Fleet
@@ -43,29 +43,30 @@
 	log         *slog.Logger
 	now         func() time.Duration
 
-	policy *Policy // nil: this sidecar takes no part in a policy of the fleet
+	policy *Policy // nil: the fleet has no policy
 
-	sidecars       atomic.Int64  // how many there are at least
-	position       atomic.Uint64 // math.Float64bits of Position
-	positionStates []swim.State  // contact and members' states of which position was computed; guarded by mu
+	sidecars atomic.Int64  // result of Sidecars
+	position atomic.Uint64 // math.Float64bits of the result of Position
+	// positionStates are the states from which position was computed: this sidecar's contact, then the members'.
+	positionStates []swim.State // guarded by mu
 
 	mu   sync.Mutex // guards node, link, positionStates, nextHint and hintRand
 	node *swim.Node
-	link *peer.Link // nil: the address is not this process's yet
+	link *peer.Link // nil: the peer address is not bound yet
 
-	hintsMu  sync.Mutex // guards hints; not mu, as the engine calls in the middle of its work
+	hintsMu  sync.Mutex // guards hints; separate from mu, so that the engine never waits for mu
 	hints    *healthgossip.Hints
-	nextHint time.Duration // when hints are sent next
+	nextHint time.Duration // when the next hints are due
 	hintRand *rand.Rand
 }
 
-// New checks the settings of a fleet and returns this sidecar's part. Nothing is opened until Run.
+// New checks the settings and returns a Fleet, which opens its socket and state in Run only.
 func New(cfg *config.Config, file *config.Fleet, log *slog.Logger) (*Fleet, error) {
 	f := &Fleet{cfg: cfg, file: file, log: log, now: clock.SinceBoot}
 	switch {
 	case !cfg.PeersAllowed:
 		return nil, errors.New(
-			"settings.caps.peers: sidecars may not send one another anything here, so there can be no -fleet",
+			"settings.caps.peers: messages between sidecars are forbidden by the settings, so -fleet can't be used",
 		)
 	case cfg.PeerListen == "":
 		return nil, errors.New("peer_listen is missing")
@@ -79,16 +80,16 @@
 	}
 	if len(f.peers) < cfg.Policy.Balancers {
 		return nil, fmt.Errorf(
-			"peers: %d addresses, settings.balancers is %d: each sidecar needs one", len(f.peers),
+			"peers: %d addresses are fewer than settings.balancers, %d; each sidecar needs an address", len(f.peers),
 			cfg.Policy.Balancers,
 		)
 	}
-	share := file.BytesPerSidecar(len(f.peers))
-	contact := share // budget of swim's own messages
+	sendBudget := file.BytesPerSidecar(len(f.peers))
+	contactBudget := sendBudget // for the messages of swim
 	if file.Policy != nil {
-		contact = share / 2
+		contactBudget = sendBudget / 2
 	}
-	// Later starts have higher incarnations; two within a millisecond differ by the seed.
+	// A process that starts later has a higher incarnation; two that start in the same millisecond differ in the seed.
 	f.incarnation = uint64(time.Now().UnixMilli())<<16 | cfg.Seed&0xffff
 	f.node, err = swim.New(swim.Config{
 		Size:           len(f.peers),
@@ -96,17 +97,17 @@
 		Incarnation:    f.incarnation,
 		Lease:          file.Lease,
 		MaxClockError:  file.ClockError,
-		BytesPerSecond: contact,
+		BytesPerSecond: contactBudget,
 		Rand:           rand.New(rand.NewPCG(cfg.Seed, 1)),
-		Host:           host{f},
+		Host:           swimHost{f},
 	})
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", file.Path, err)
 	}
-	if share < minBytesPerSecond {
+	if sendBudget < minBytesPerSecond {
 		return nil, fmt.Errorf(
-			"%s: fleet_bytes_per_second: each of %d sidecars would have %.0f, at least %d are needed",
-			file.Path, len(f.peers), share, minBytesPerSecond,
+			"%s: fleet_bytes_per_second: each of %d sidecars would get %.0f bytes per second, at least %d are required",
+			file.Path, len(f.peers), sendBudget, minBytesPerSecond,
 		)
 	}
 	if file.Policy != nil {
@@ -120,10 +121,10 @@
 	return f, nil
 }
 
-// Run takes part until ctx ends, and then announces that this sidecar leaves. The address may still
-// belong to the process that this one replaces.
+// Run participates in the fleet until ctx ends, and then announces that this sidecar leaves. It waits for the peer
+// address while the process that this one replaces still uses it.
 func (f *Fleet) Run(ctx context.Context) {
-	for waited := false; ; {
+	for warned := false; ; {
 		link, err := peer.Open(peer.Config{
 			Listen:         f.cfg.PeerListen,
 			Peers:          f.peers,
@@ -137,10 +138,10 @@
 			f.serve(ctx, link)
 			return
 		}
-		if !waited {
+		if !warned {
 			f.log.Warn("peers: the address can't be had yet", "error", err,
 				"again every", bindRetryInterval, "in use", errors.Is(err, syscall.EADDRINUSE))
-			waited = true
+			warned = true
 		}
 		select {
 		case <-time.After(bindRetryInterval):
@@ -150,7 +151,7 @@
 	}
 }
 
-// serve takes part over an open link until ctx ends.
+// serve participates over an open link until ctx ends.
 func (f *Fleet) serve(ctx context.Context, link *peer.Link) {
 	f.mu.Lock()
 	f.link = link
@@ -165,10 +166,10 @@
 	}
 	f.log.Info("peers", "listen", link.Address(), "fleet", f.file.Name, "sidecars", len(f.peers),
 		"number", f.cfg.Policy.Index, "session", f.incarnation)
-	read := make(chan struct{})
+	readDone := make(chan struct{})
 	go func() {
-		defer close(read)
-		link.Read(handler{f})
+		defer close(readDone)
+		link.Read(linkHandler{f})
 	}()
 	clock.Every(ctx, swim.Period, func() {
 		f.tick()
@@ -180,9 +181,10 @@
 	f.node.Leave(f.now())
 	f.mu.Unlock()
 	link.Close()
-	<-read
+	<-readDone
 }
 
+// tick advances the membership protocol and publishes its results.
 func (f *Fleet) tick() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -196,15 +198,15 @@
 	}
 }
 
-// Policy returns this sidecar's part in the policy that the fleet agrees on; nil: it has none.
+// Policy returns the fleet's policy as seen by this sidecar, or nil if the fleet has no policy.
 func (f *Fleet) Policy() *Policy { return f.policy }
 
-// Sidecars returns how many sidecars there are at least, by the settings or by what was seen. It
-// never waits.
+// Sidecars returns the least number of sidecars in the fleet: the configured number, or the number observed if that
+// is greater. It never blocks.
 func (f *Fleet) Sidecars() int { return int(f.sidecars.Load()) }
 
-// InContact reports whether this sidecar is in contact at this moment. Ask it where something
-// depends on it.
+// InContact reports whether this sidecar is in contact with the fleet at this moment. The result must not be cached,
+// because contact ends when a lease expires.
 func (f *Fleet) InContact() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -16,6 +16,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
+// settings returns the settings of the sidecar with the number self. balancers is the configured number of sidecars.
 func settings(self, balancers int, peers ...string) *config.Config {
 	return &config.Config{
 		PeersAllowed: true, PeerListen: "127.0.0.1:0", Peers: peers,
@@ -23,11 +24,12 @@
 	}
 }
 
-func quiet() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
+// discardLog returns a logger without output.
+func discardLog() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
 
-func TestUnusable(t *testing.T) {
+func TestInvalidSettingsAreRejected(t *testing.T) {
 	file := &config.Fleet{Path: "fleet.toml", Name: "hives"}
-	for says, edit := range map[string]func(c *config.Config, f *config.Fleet){
+	for want, edit := range map[string]func(c *config.Config, f *config.Fleet){
 		"settings.caps.peers":    func(c *config.Config, _ *config.Fleet) { c.PeersAllowed = false },
 		"peer_listen is missing": func(c *config.Config, _ *config.Fleet) { c.PeerListen = "" },
 		"peer_listen":            func(c *config.Config, _ *config.Fleet) { c.PeerListen = "here:1" },
@@ -37,98 +39,99 @@
 		"fleet_bytes_per_second": func(_ *config.Config, f *config.Fleet) { f.BytesPerSecond = 600 },
 		"clock_error":            func(_ *config.Config, f *config.Fleet) { f.ClockError = 0.5 },
 	} {
-		c, f := settings(0, 3, "127.0.0.1:1", "127.0.0.2:1", "127.0.0.3:1"), *file
-		edit(c, &f)
-		if _, err := New(c, &f, quiet()); err == nil || !strings.Contains(err.Error(), says) {
-			t.Errorf("%v, want an error that names %s", err, says)
+		cfg, edited := settings(0, 3, "127.0.0.1:1", "127.0.0.2:1", "127.0.0.3:1"), *file
+		edit(cfg, &edited)
+		if _, err := New(cfg, &edited, discardLog()); err == nil || !strings.Contains(err.Error(), want) {
+			t.Errorf("New returned error %v, want one that contains %s", err, want)
 		}
 	}
 }
 
-// Two of one number: who has the address that the others know is heard, the other one is not, and
-// never comes into contact. Three sidecars where the settings tell of two lower budgets.
-func TestTwoOfOneNumber(t *testing.T) {
+// Of two sidecars with the same number, the one that has the configured address takes part, and the other one never
+// gets into contact, because its datagrams are dropped. The three sidecars that run also replace the configured number
+// of two in Sidecars, from which budgets are computed.
+func TestDuplicateNumberIsIgnored(t *testing.T) {
 	var peers []string
 	for range 3 {
 		peers = append(peers, testbed.FreeAddress(t))
 	}
-	running, stop := context.WithCancel(context.Background())
+	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan struct{}, 4)
-	var all []*Fleet
+	var fleets []*Fleet
 	for i, self := range []int{0, 1, 2, 2} {
-		c := settings(self, 2, peers...)
+		cfg := settings(self, 2, peers...)
 		if i < 3 {
-			c.PeerListen = peers[self]
+			cfg.PeerListen = peers[self]
 		}
-		f, err := New(c, &config.Fleet{Name: "hives"}, quiet())
+		f, err := New(cfg, &config.Fleet{Name: "hives"}, discardLog())
 		if err != nil {
 			t.Fatal(err)
 		}
-		all = append(all, f)
+		fleets = append(fleets, f)
 		if f.InContact() || f.Sidecars() != 2 {
-			t.Errorf("before it runs: in contact %v, %d sidecars", f.InContact(), f.Sidecars())
+			t.Errorf("before Run: in contact %v, %d sidecars, want false and 2", f.InContact(), f.Sidecars())
 		}
 		go func() {
-			f.Run(running)
+			f.Run(ctx)
 			done <- struct{}{}
 		}()
 	}
-	testbed.Until(t, "the three to be in contact", func() bool {
-		return all[0].InContact() && all[1].InContact() && all[2].InContact() && all[0].Sidecars() == 3
+	testbed.Until(t, "the first three sidecars to be in contact", func() bool {
+		return fleets[0].InContact() && fleets[1].InContact() && fleets[2].InContact() && fleets[0].Sidecars() == 3
 	})
-	if all[3].InContact() {
-		t.Error("the fourth, which has a number twice, is in contact")
+	if fleets[3].InContact() {
+		t.Error("the fourth sidecar, whose number is used by the third, is in contact")
 	}
-	if v := all[0].View(); v.Link.Address == 0 {
-		t.Errorf("its datagrams were not dropped: %+v", v.Link)
+	if view := fleets[0].View(); view.Link.Address == 0 {
+		t.Errorf("no datagram was dropped for its address: %+v", view.Link)
 	}
-	if p := all[0].Metrics(); p.Members["alive"] != 2 || !p.Contact || p.Dropped == 0 {
-		t.Errorf("%+v", p)
+	if peers := fleets[0].Metrics(); peers.Members["alive"] != 2 || !peers.Contact || peers.Dropped == 0 {
+		t.Errorf("metrics %+v, want two alive members, contact, and dropped datagrams", peers)
 	}
 	var text strings.Builder
-	v := all[0].View()
-	if err := v.Text(&text); err != nil || strings.Count(text.String(), "\nmember ") != 2 ||
+	view := fleets[0].View()
+	if err := view.Text(&text); err != nil || strings.Count(text.String(), "\nmember ") != 2 ||
 		!strings.HasPrefix(text.String(), "self 0: in contact") {
-		t.Errorf("%v: %s", err, text.String())
+		t.Errorf("error %v; the view is\n%s\nwant this sidecar in contact and two members", err, text.String())
 	}
 	stop()
-	for range all {
-		testbed.Wait(t, "an end", done)
+	for range fleets {
+		testbed.Wait(t, "a sidecar to stop", done)
 	}
-	if all[0].InContact() {
-		t.Error("in contact behind its end")
+	if fleets[0].InContact() {
+		t.Error("the first sidecar is in contact after Run has returned")
 	}
 }
 
-// While another process has the address, it waits, and takes no part.
-func TestWaitsForItsAddress(t *testing.T) {
+// While another process uses its peer address, a sidecar waits and does not take part.
+func TestWaitsForPeerAddress(t *testing.T) {
 	address := testbed.FreeAddress(t)
-	var runs []context.CancelFunc
-	var all []*Fleet
+	var stops []context.CancelFunc
+	var fleets []*Fleet
 	done := make(chan int, 2)
 	for i := range 2 {
-		c := settings(0, 1, "127.0.0.1:1")
-		c.PeerListen = address
-		f, err := New(c, &config.Fleet{Name: "hives"}, quiet())
+		cfg := settings(0, 1, "127.0.0.1:1")
+		cfg.PeerListen = address
+		f, err := New(cfg, &config.Fleet{Name: "hives"}, discardLog())
 		if err != nil {
 			t.Fatal(err)
 		}
-		running, stop := context.WithCancel(context.Background())
-		all, runs = append(all, f), append(runs, stop)
+		ctx, stop := context.WithCancel(context.Background())
+		fleets, stops = append(fleets, f), append(stops, stop)
 		go func() {
-			f.Run(running)
+			f.Run(ctx)
 			done <- i
 		}()
 		if i == 0 {
-			testbed.Until(t, "one alone to be in contact", f.InContact)
+			testbed.Until(t, "the first process, alone in its fleet, to be in contact", f.InContact)
 		}
 	}
-	if all[1].InContact() {
-		t.Error("the second is in contact without its address")
+	if fleets[1].InContact() {
+		t.Error("the second process is in contact although the first one has the address")
 	}
-	runs[0]()
-	testbed.Wait(t, "the first to end", done)
-	testbed.Until(t, "the second to have the address", all[1].InContact)
-	runs[1]()
-	testbed.Wait(t, "the second to end", done)
+	stops[0]()
+	testbed.Wait(t, "the first process to stop", done)
+	testbed.Until(t, "the second process to be in contact", fleets[1].InContact)
+	stops[1]()
+	testbed.Wait(t, "the second process to stop", done)
 }
--- a/internal/fleet/hints.go
+++ b/internal/fleet/hints.go
@@ -10,44 +10,44 @@
 
 const (
 	hintInterval = 500 * time.Millisecond
-	hintFanout   = 3 // other sidecars that are told each time
+	hintFanout   = 3 // number of sidecars to which hints are sent in each interval
 )
 
-// sendHints tells some others of the servers that don't answer this sidecar. The caller holds mu.
+// sendHints tells randomly chosen sidecars which servers don't answer this sidecar. The caller holds mu.
 func (f *Fleet) sendHints(now time.Duration) {
 	f.hintsMu.Lock()
-	silent := f.hints.Unresponsive(now)
+	unresponsive := f.hints.Unresponsive(now)
 	f.hintsMu.Unlock()
-	if len(silent) == 0 {
+	if len(unresponsive) == 0 {
 		return
 	}
-	ids := make([]uint64, len(silent))
-	for i, s := range silent {
-		ids[i] = uint64(s)
+	ids := make([]uint64, len(unresponsive))
+	for i, server := range unresponsive {
+		ids[i] = uint64(server)
 	}
-	for told, tries := 0, 0; told < hintFanout && tries < 4*hintFanout; tries++ {
+	for sent, tries := 0, 0; sent < hintFanout && tries < 4*hintFanout; tries++ {
 		i := f.hintRand.IntN(len(f.peers))
 		if state, _ := f.node.State(i); i != f.cfg.Policy.Index && state == swim.Alive {
 			f.link.SendHint(i, ids)
-			told++
+			sent++
 		}
 	}
 }
 
-// Ended records how an attempt ended, for the hints to others.
-func (f *Fleet) Ended(to policy.ServerID, end policy.Ending) {
-	answered := end != policy.TimedOut && end != policy.NoConnection
-	if end == policy.Cancelled || end == policy.NotSent {
-		return // says nothing of the server
+// Ended records how an attempt to send a request to a server ended, for the hints to other sidecars.
+func (f *Fleet) Ended(server policy.ServerID, ending policy.Ending) {
+	answered := ending != policy.TimedOut && ending != policy.NoConnection
+	if ending == policy.Cancelled || ending == policy.NotSent {
+		return // such an attempt does not show whether the server answers
 	}
 	f.hintsMu.Lock()
 	defer f.hintsMu.Unlock()
-	f.hints.RecordAttempt(f.now(), healthgossip.Server(to), answered)
+	f.hints.RecordAttempt(f.now(), healthgossip.Server(server), answered)
 }
 
-// Doubted reports whether enough others say that a server does not answer them.
-func (f *Fleet) Doubted(s policy.ServerID) bool {
+// Doubted reports whether enough other sidecars have reported that a server does not answer them.
+func (f *Fleet) Doubted(server policy.ServerID) bool {
 	f.hintsMu.Lock()
 	defer f.hintsMu.Unlock()
-	return f.hints.Doubted(f.now(), healthgossip.Server(s))
+	return f.hints.Doubted(f.now(), healthgossip.Server(server))
 }
--- a/internal/fleet/host.go
+++ b/internal/fleet/host.go
@@ -5,58 +5,59 @@
 	"caperarch/internal/fleet/swim"
 )
 
-// host carries out what the node decides (swim.Host). Its methods are called with the lock held.
-type host struct{ f *Fleet }
+// swimHost implements swim.Host: it sends the membership protocol's messages and logs its state changes. Its methods
+// are called with Fleet.mu held.
+type swimHost struct{ f *Fleet }
 
-// Send sends a message of the node.
-func (h host) Send(to int, m *swim.Message) { h.f.link.SendContact(to, m) }
+// Send sends a message to a member.
+func (h swimHost) Send(to int, m *swim.Message) { h.f.link.SendContact(to, m) }
 
 // Changed logs a change of a member's state or of this sidecar's contact.
-func (h host) Changed(c swim.Change) {
+func (h swimHost) Changed(change swim.Change) {
 	log := h.f.log
 	switch {
-	case c.Member == h.f.cfg.Policy.Index && c.Contact:
-		log.Info("peers: in contact", "why", c.Why)
-	case c.Member == h.f.cfg.Policy.Index:
-		log.Warn("peers: out of contact", "why", c.Why)
-	case c.Accuser >= 0:
+	case change.Member == h.f.cfg.Policy.Index && change.Contact:
+		log.Info("peers: in contact", "why", change.Why)
+	case change.Member == h.f.cfg.Policy.Index:
+		log.Warn("peers: out of contact", "why", change.Why)
+	case change.Accuser >= 0:
 		log.Info(
-			"peers: member", "number", c.Member, "state", c.State.String(), "was", c.Was.String(),
-			"by", c.Accuser, "session", c.Session,
+			"peers: member", "number", change.Member, "state", change.State.String(), "was", change.Was.String(),
+			"by", change.Accuser, "session", change.Session,
 		)
 	default:
 		log.Info(
-			"peers: member", "number", c.Member, "state", c.State.String(), "was", c.Was.String(),
-			"session", c.Session,
+			"peers: member", "number", change.Member, "state", change.State.String(), "was", change.Was.String(),
+			"session", change.Session,
 		)
 	}
 }
 
-// handler handles what the link reads (peer.Handler).
-type handler struct{ f *Fleet }
+// linkHandler implements peer.Handler: it dispatches the messages that the link receives.
+type linkHandler struct{ f *Fleet }
 
-// Contact passes a message to the node.
-func (t handler) Contact(_ int, m *swim.Message) {
-	t.f.mu.Lock()
-	defer t.f.mu.Unlock()
-	t.f.node.Receive(t.f.now(), m)
+// Contact passes a message to the membership protocol.
+func (h linkHandler) Contact(_ int, m *swim.Message) {
+	h.f.mu.Lock()
+	defer h.f.mu.Unlock()
+	h.f.node.Receive(h.f.now(), m)
 }
 
-// Hint records which servers don't answer another sidecar.
-func (t handler) Hint(from int, silent []uint64) {
-	all := make([]healthgossip.Server, len(silent))
-	for i, s := range silent {
-		all[i] = healthgossip.Server(s)
+// Hint records that servers don't answer another sidecar.
+func (h linkHandler) Hint(from int, unresponsive []uint64) {
+	servers := make([]healthgossip.Server, len(unresponsive))
+	for i, id := range unresponsive {
+		servers[i] = healthgossip.Server(id)
 	}
-	t.f.hintsMu.Lock()
-	defer t.f.hintsMu.Unlock()
-	t.f.hints.Receive(t.f.now(), from, all)
+	h.f.hintsMu.Lock()
+	defer h.f.hintsMu.Unlock()
+	h.f.hints.Receive(h.f.now(), from, servers)
 }
 
-// Decision passes a message to the policy's node, if there is one.
-func (t handler) Decision(from int, message []byte) error {
-	if t.f.policy == nil {
-		return nil // this sidecar takes no part in it
+// Decision passes a message to the policy's replicated state. It is ignored if the fleet has no policy here.
+func (h linkHandler) Decision(from int, message []byte) error {
+	if h.f.policy == nil {
+		return nil
 	}
-	return t.f.policy.receive(from, message)
+	return h.f.policy.receive(from, message)
 }
--- a/internal/fleet/limits.go
+++ b/internal/fleet/limits.go
@@ -12,41 +12,44 @@
 	"caperarch/policy"
 )
 
-// unbounded stands for a bound that the settings don't have.
+// unbounded is the value of a limit that the settings don't set.
 const unbounded = 1_000_000
 
-// ActiveLimits is what a sidecar applies for a while. It is immutable: another one replaces it.
+// ActiveLimits are the limits that a sidecar applies at some time. They are immutable; a change of the limits replaces
+// the whole value.
 type ActiveLimits struct {
 	policyrollout.Active
 	Limits *policyrollout.Limits
-	Engine policy.Limits
+	Engine policy.Limits // the limits in the form that the decision module takes
 }
 
-// policySettings returns this sidecar's own settings, as a policy sees them.
+// policySettings returns this sidecar's own settings, which complete and bound the fleet's policy.
 func policySettings(cfg *config.Config) *policyrollout.Settings {
-	s := &policyrollout.Settings{Tenants: cfg.Tenants, NoRetryBudget: cfg.Policy.Budget.Span == 0}
-	sum := 0.0
-	for _, t := range cfg.Policy.Tenants {
-		sum += t.Share
+	settings := &policyrollout.Settings{Tenants: cfg.Tenants, NoRetryBudget: cfg.Policy.Budget.Span == 0}
+	totalShare := 0.0
+	for _, tenant := range cfg.Policy.Tenants {
+		totalShare += tenant.Share
 	}
-	for _, t := range cfg.Policy.Tenants {
-		quota := t.Quota
+	for _, tenant := range cfg.Policy.Tenants {
+		quota := tenant.Quota
 		if quota == 0 {
 			quota = math.Inf(1)
 		}
-		s.Limits.Share, s.Limits.Quota = append(s.Limits.Share, t.Share/sum), append(s.Limits.Quota, quota)
-	}
-	s.Limits.Attempts, s.Limits.Open, s.Limits.Queue = cfg.Policy.MaxAttempts, cfg.MaxOpenRequests, unbounded
-	if s.Limits.Open == 0 {
-		s.Limits.Open = unbounded
-	}
-	s.Limits.RetryFree, s.Limits.RetryShare = cfg.Policy.Budget.Free, cfg.Policy.Budget.Share
-	// A policy can't raise what the platform allows a sidecar.
-	s.Max.Attempts, s.Max.Open = cfg.Policy.MaxAttempts, cfg.MaxOpenRequests
-	return s
+		settings.Limits.Share, settings.Limits.Quota = append(settings.Limits.Share, tenant.Share/totalShare),
+			append(settings.Limits.Quota, quota)
+	}
+	settings.Limits.Attempts, settings.Limits.Open, settings.Limits.Queue = cfg.Policy.MaxAttempts,
+		cfg.MaxOpenRequests, unbounded
+	if settings.Limits.Open == 0 {
+		settings.Limits.Open = unbounded
+	}
+	settings.Limits.RetryFree, settings.Limits.RetryShare = cfg.Policy.Budget.Free, cfg.Policy.Budget.Share
+	// A policy can't raise the limits that the sidecar's own settings impose.
+	settings.Max.Attempts, settings.Max.Open = cfg.Policy.MaxAttempts, cfg.MaxOpenRequests
+	return settings
 }
 
-// resolvePolicy completes a text by this sidecar's settings.
+// resolvePolicy parses a policy's text and completes it with this sidecar's settings.
 func (p *Policy) resolvePolicy(text []byte) (*policyrollout.Limits, error) {
 	parsed, err := policyrollout.Parse(text)
 	if err != nil {
@@ -55,36 +58,42 @@
 	return parsed.Resolve(p.settings)
 }
 
-// checkPolicy returns why a policy can't be applied here.
+// checkPolicy returns an error if a policy can't be applied by this sidecar. In particular, cut_off must not be looser
+// than the policy, because it replaces the policy while this sidecar is cut off.
 func (p *Policy) checkPolicy(text []byte) error {
-	l, err := p.resolvePolicy(text)
+	limits, err := p.resolvePolicy(text)
 	if err != nil {
 		return err
 	}
-	if looser := policyrollout.Looser(p.cutOff.Limits, l); looser != nil {
+	if looser := policyrollout.Looser(p.cutOff.Limits, limits); looser != nil {
 		return fmt.Errorf("cut_off is looser: %s", strings.Join(looser, "; "))
 	}
 	return nil
 }
 
-// newActiveLimits returns limits in the form that the engine takes.
-func (p *Policy) newActiveLimits(now policyrollout.Active, l *policyrollout.Limits) *ActiveLimits {
-	in := &ActiveLimits{Active: now, Limits: l, Engine: policy.Limits{MaxAttempts: l.Attempts, Queue: l.Queue}}
-	for i, share := range l.Share {
-		t := policy.Tenant{Share: share}
-		if !math.IsInf(l.Quota[i], 1) {
-			t.Quota = l.Quota[i]
+// newActiveLimits returns limits together with their form for the decision module.
+func (p *Policy) newActiveLimits(active policyrollout.Active, limits *policyrollout.Limits) *ActiveLimits {
+	result := &ActiveLimits{
+		Active: active, Limits: limits,
+		Engine: policy.Limits{MaxAttempts: limits.Attempts, Queue: limits.Queue},
+	}
+	for i, share := range limits.Share {
+		tenant := policy.Tenant{Share: share}
+		if !math.IsInf(limits.Quota[i], 1) {
+			tenant.Quota = limits.Quota[i]
 		}
-		in.Engine.Tenants = append(in.Engine.Tenants, t)
+		result.Engine.Tenants = append(result.Engine.Tenants, tenant)
 	}
 	if p.retrySpan > 0 {
-		in.Engine.Budget = policy.RetryBudget{Span: p.retrySpan, Free: l.RetryFree, Share: l.RetryShare}
+		result.Engine.Budget = policy.RetryBudget{
+			Span: p.retrySpan, Free: limits.RetryFree, Share: limits.RetryShare,
+		}
 	}
-	return in
+	return result
 }
 
-// Active returns what applies at this moment. Ask it wherever something depends on it: a process
-// that was stopped finds itself cut off.
+// Active returns the limits that apply at this moment. The result must not be cached: a process that was suspended has
+// to find that its grant has expired, and to apply cut_off.
 func (p *Policy) Active() *ActiveLimits {
 	if p.fleet.now() >= time.Duration(p.activeUntil.Load()) {
 		return p.cutOff
@@ -92,8 +101,8 @@
 	return p.active.Load()
 }
 
-// publishActive has Active return what the node applies. The caller holds the lock; the node itself
-// causes the call before it tells the fleet what it applies.
+// publishActive makes Active return what the replicated state says. The caller holds the lock. The node causes this
+// call before it reports to the fleet which policy it applies.
 func (p *Policy) publishActive() {
 	p.publishMachinesOut()
 	active := p.node.Active(p.now)
@@ -102,50 +111,50 @@
 		p.setActive(p.cutOff, math.MaxInt64)
 		return
 	}
-	if in := p.active.Load(); in.Active == active {
+	if published := p.active.Load(); published.Active == active {
 		p.activeUntil.Store(int64(until))
 		return
 	}
-	l, err := p.limitsOf(active)
-	if err != nil { // its text was checked when it arrived
-		p.fleet.log.Error("policy: what the fleet goes by can't be applied, this sidecar is cut off", "error", err)
+	limits, err := p.limitsOf(active)
+	if err != nil { // not expected, as the policy's text was checked when it was received
+		p.fleet.log.Error("policy: active version can't be applied, this sidecar applies cut_off", "error", err)
 		p.setActive(p.cutOff, math.MaxInt64)
 		return
 	}
-	p.setActive(p.newActiveLimits(active, l), int64(until))
+	p.setActive(p.newActiveLimits(active, limits), int64(until))
 }
 
-// setActive replaces what applies. A caller of Active between the two stores gets cutOff, which is
-// no looser than either.
-func (p *Policy) setActive(in *ActiveLimits, until int64) {
-	if p.active.Load() == in && p.activeUntil.Load() == until {
+// setActive replaces the active limits. A call of Active during the replacement returns cutOff, which is at least as
+// strict as the old and the new limits.
+func (p *Policy) setActive(limits *ActiveLimits, until int64) {
+	if p.active.Load() == limits && p.activeUntil.Load() == until {
 		return
 	}
 	p.activeUntil.Store(0)
-	p.active.Store(in)
+	p.active.Store(limits)
 	p.activeUntil.Store(until)
 }
 
-// limitsOf returns the limits of one version, or the stricter of two.
+// limitsOf returns the limits of the active version, or the stricter limits of both versions during a change.
 func (p *Policy) limitsOf(active policyrollout.Active) (*policyrollout.Limits, error) {
-	l, err := p.versionLimits(active.New)
+	limits, err := p.versionLimits(active.New)
 	if err != nil || active.Mode != policyrollout.Both {
-		return l, err
+		return limits, err
 	}
 	old, err := p.versionLimits(active.Old)
 	if err != nil {
 		return nil, err
 	}
-	return policyrollout.Stricter(old, l), nil
+	return policyrollout.Stricter(old, limits), nil
 }
 
-// versionLimits returns the limits of one version.
-func (p *Policy) versionLimits(r policyrollout.Ref) (*policyrollout.Limits, error) {
-	if r.Version == 0 {
+// versionLimits returns the limits of a version; version 0 is this sidecar's own settings.
+func (p *Policy) versionLimits(version policyrollout.Ref) (*policyrollout.Limits, error) {
+	if version.Version == 0 {
 		return &p.settings.Limits, nil
 	}
-	text, here := p.node.Text(r)
-	if !here {
+	text, available := p.node.Text(version)
+	if !available {
 		return nil, errors.New(policyrollout.Waiting)
 	}
 	return p.resolvePolicy(text)
--- a/internal/fleet/maintenance.go
+++ b/internal/fleet/maintenance.go
@@ -10,117 +10,117 @@
 	"caperarch/internal/proxy/metrics"
 )
 
-// Site is what this process knows and does about the machines that maintenance plans are about.
-type Site interface {
-	// Machines returns the listed machines, plans left aside; current: discovery has answered
-	// recently.
-	Machines() (all []maintenance.Machine, current bool)
-	// Quiet calls told with those of some machines to which nothing is sent any more, and at which
-	// nothing is in flight. It does not wait.
-	Quiet(ids []uint64, told func(quiet []uint64))
-	// Handled returns how many requests were answered since the start, and how many of them were
-	// served.
-	Handled() (all, passed uint64)
+// MachinePool is this process's access to the machines that maintenance plans take out of service.
+type MachinePool interface {
+	// Machines returns the machines that discovery lists, without the effect of maintenance windows. current
+	// reports whether the list is up to date.
+	Machines() (machines []maintenance.Machine, current bool)
+	// ReportIdle calls report with those of the given machines that get no more requests from this process and have
+	// none of its requests in flight. It does not block.
+	ReportIdle(ids []uint64, report func(idle []uint64))
+	// Handled returns how many requests have been answered since the process started, and how many of them were
+	// served successfully.
+	Handled() (answered, served uint64)
 }
 
-// maintenanceState is this process's part in maintenance. The policy's lock guards it.
+// maintenanceState is the state of this process that maintenance windows need. Policy.mu guards it.
 type maintenanceState struct {
-	site             Site
+	pool             MachinePool
 	attachedAt       time.Duration
 	machines         maintenance.MachineList
 	clearance        maintenance.LocalClearance
 	load             maintenance.Load
-	idleCheckPending bool // Site.Quiet has not called back yet
-	logCount         int  // logs so far: an answer about an earlier log's windows is dropped
+	idleCheckPending bool // MachinePool.ReportIdle has not called back yet
+	logCount         int  // number of logs so far, by which a report on windows of an earlier log is recognised
 }
 
-// Attach sets the machines. It is to be called before the fleet runs; without it this sidecar is
-// never clear of a machine, and leads no plan.
-func (p *Policy) Attach(site Site) {
+// Attach sets the pool of machines. It has to be called before Fleet.Run. Without a pool this sidecar never reports
+// that it is clear of a maintenance window, and carries out no plan as leader.
+func (p *Policy) Attach(pool MachinePool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.maintenance.site, p.maintenance.attachedAt = site, p.fleet.now()
+	p.maintenance.pool, p.maintenance.attachedAt = pool, p.fleet.now()
 	p.cfg.Work, p.cfg.Deadline = machineSource{p}, p.fleet.cfg.MaxDeadline+deadlineOverrun
 }
 
-// deadlineOverrun is how long a request may take beyond its deadline until its end is known here.
+// deadlineOverrun is how long after its deadline a request may still be in flight before this process has noticed its
+// end.
 const deadlineOverrun = 700 * time.Millisecond
 
-// MachinesOut returns the machines to which nothing new may be sent, by maintenance windows. It
-// never waits; a changed list is another slice, and none may be modified.
+// MachinesOut returns the machines to which no new requests may be sent because of maintenance windows. It never
+// blocks. The slice must not be modified; a changed list is another slice, so that callers can compare pointers.
 func (p *Policy) MachinesOut() *[]uint64 { return p.machinesOut.Load() }
 
-// updateMaintenance updates what is known of machines and of this sidecar's load. The caller holds
-// the lock.
+// updateMaintenance samples this sidecar's load, and checks of which windows it is clear. The caller holds the lock.
 func (p *Policy) updateMaintenance() {
-	w := &p.maintenance
-	if w.site == nil {
+	m := &p.maintenance
+	if m.pool == nil {
 		return
 	}
-	if w.load.Due(p.now) {
-		all, passed := w.site.Handled()
-		w.load.Record(p.now, all, passed)
+	if m.load.Due(p.now) {
+		answered, served := m.pool.Handled()
+		m.load.Record(p.now, answered, served)
 	}
-	unconfirmed := w.clearance.Unconfirmed(p.node.MaintenanceState())
-	if len(unconfirmed) == 0 || w.idleCheckPending {
+	unconfirmed := m.clearance.Unconfirmed(p.node.MaintenanceState())
+	if len(unconfirmed) == 0 || m.idleCheckPending {
 		return
 	}
-	w.idleCheckPending = true
+	m.idleCheckPending = true
 	var ids []uint64
-	log := w.logCount
+	currentLog := m.logCount
 	for _, id := range unconfirmed {
 		ids = append(ids, id)
 	}
-	w.site.Quiet(ids, func(quiet []uint64) {
-		go func() { // the caller must not wait for the lock
+	m.pool.ReportIdle(ids, func(idle []uint64) {
+		go func() { // the callback must not wait for the lock
 			p.mu.Lock()
 			defer p.mu.Unlock()
-			w.idleCheckPending = false
+			m.idleCheckPending = false
 			for window, id := range unconfirmed {
-				if w.logCount == log && slices.Contains(quiet, id) {
-					w.clearance.MarkClear(window, id)
+				if m.logCount == currentLog && slices.Contains(idle, id) {
+					m.clearance.MarkClear(window, id)
 				}
 			}
 		}()
 	})
 }
 
-// publishMachinesOut has MachinesOut return what the log says now. The caller holds the lock.
+// publishMachinesOut makes MachinesOut return the current state of the log. The caller holds the lock.
 func (p *Policy) publishMachinesOut() {
-	if now := p.node.MachinesOut(); !slices.Equal(now, *p.machinesOut.Load()) {
-		p.machinesOut.Store(&now)
+	if current := p.node.MachinesOut(); !slices.Equal(current, *p.machinesOut.Load()) {
+		p.machinesOut.Store(&current)
 	}
 }
 
-// machineSource is what the node unconfirmed (replicatedstate.Machines). Its methods are called with the
-// lock held.
+// machineSource implements replicatedstate.Machines. Its methods are called with the lock held.
 type machineSource struct{ p *Policy }
 
-// Machines returns the machines, and whether the list is up to date.
-func (w machineSource) Machines() (all []maintenance.Machine, current bool) {
-	p := w.p
-	listed, current := p.maintenance.site.Machines()
+// Machines returns the machines, including those that discovery has stopped listing recently, and whether the list is
+// up to date.
+func (source machineSource) Machines() (machines []maintenance.Machine, current bool) {
+	p := source.p
+	listed, current := p.maintenance.pool.Machines()
 	p.maintenance.machines.Update(p.now, listed)
 	return p.maintenance.machines.All(p.now), current
 }
 
-// LocalReport returns what this sidecar reports of itself.
-func (w machineSource) LocalReport(s *maintenance.State) maintenance.Report {
-	p := w.p
+// LocalReport returns the report of this sidecar to the log's leader.
+func (source machineSource) LocalReport(state *maintenance.State) maintenance.Report {
+	p := source.p
 	rate, served := p.maintenance.load.Recent()
 	return maintenance.Report{
 		ClearUpTo: p.maintenance.clearance.ClearUpTo(
 			p.now-p.maintenance.attachedAt,
-			replicatedstate.LeaseExpiry(p.cfg.Deadline, p.cfg.MaxClockError), s,
+			replicatedstate.LeaseExpiry(p.cfg.Deadline, p.cfg.MaxClockError), state,
 		),
 		Rate: rate, InTime: served,
 	}
 }
 
-// machineName returns a machine's name for operators. The caller holds the lock.
+// machineName returns a machine's name, or its id in hexadecimal if the machine is unknown. The caller holds the lock.
 func (p *Policy) machineName(id uint64) string {
 	name, known := p.maintenance.machines.Name(p.now, id)
-	if !known && p.maintenance.site != nil { // perhaps listed since the last update
+	if !known && p.maintenance.pool != nil { // discovery may have listed the machine since the last update
 		machineSource{p}.Machines()
 		name, known = p.maintenance.machines.Name(p.now, id)
 	}
@@ -130,26 +130,26 @@
 	return name
 }
 
-// maintenanceMetrics returns the current state as metrics. The caller holds the lock.
+// maintenanceMetrics returns the state of plans and windows as metrics. The caller holds the lock.
 func (p *Policy) maintenanceMetrics() metrics.Work {
-	w := metrics.Work{
+	work := metrics.Work{
 		Machines: map[string]int{
 			maintenance.Draining.String(): 0, maintenance.Free.String(): 0,
 			maintenance.Returning.String(): 0,
 		},
 	}
 	if p.node == nil {
-		return w
+		return work
 	}
-	s := p.node.MaintenanceState()
-	for _, t := range s.Windows {
-		w.Machines[t.Phase.String()]++
+	state := p.node.MaintenanceState()
+	for _, window := range state.Windows {
+		work.Machines[window.Phase.String()]++
 	}
-	for i := range s.Plans {
-		if s.Plans[i].Paused != "" {
-			w.Paused++
+	for i := range state.Plans {
+		if state.Plans[i].Paused != "" {
+			work.Paused++
 		}
 	}
-	w.Plans, w.Turn = len(s.Plans), s.LastWindow
-	return w
+	work.Plans, work.Turn = len(state.Plans), state.LastWindow
+	return work
 }
--- a/internal/fleet/maintenance_operate.go
+++ b/internal/fleet/maintenance_operate.go
@@ -12,11 +12,11 @@
 
 var errNumber = errors.New("a number is needed, of a turn (done) or of a plan")
 
-// Plan proposes a plan of maintenance by an uploaded text, whose hash is the argument.
-func (p *Policy) Plan(words []string, to io.Writer) error {
+// Plan proposes a maintenance plan. Its argument is the hash of the plan's text, which was uploaded before.
+func (p *Policy) Plan(args []string, out io.Writer) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	text, err := p.uploaded(words[0])
+	text, err := p.uploaded(args[0])
 	if err != nil {
 		return err
 	}
@@ -29,14 +29,14 @@
 		return err
 	}
 	p.publishActive()
-	_, err = fmt.Fprintf(to, "plan %d is to begin, hash %s\n", number, policyrollout.Hash(text))
+	_, err = fmt.Fprintf(out, "plan %d is to begin, hash %s\n", number, policyrollout.Hash(text))
 	return err
 }
 
-// Operate proposes an operator's decision on a window (done) or a plan (paused, resumed,
-// cancelled).
-func (p *Policy) Operate(kind maintenance.Kind, words []string, to io.Writer) error {
-	number, err := strconv.ParseUint(words[0], 10, 32)
+// Operate proposes an operator's step: Done for a window, or Paused, Resumed or Cancelled for a plan. Its argument is
+// the number of the window or the plan.
+func (p *Policy) Operate(kind maintenance.Kind, args []string, out io.Writer) error {
+	number, err := strconv.ParseUint(args[0], 10, 32)
 	if err != nil || number == 0 {
 		return errNumber
 	}
@@ -50,10 +50,10 @@
 		return err
 	}
 	p.publishActive()
-	what := "plan"
+	subject := "plan"
 	if kind == maintenance.Done {
-		what = "turn"
+		subject = "turn"
 	}
-	_, err = fmt.Fprintf(to, "%s %d is to be %s\n", what, number, kind)
+	_, err = fmt.Fprintf(out, "%s %d is to be %s\n", subject, number, kind)
 	return err
 }
--- a/internal/fleet/policy.go
+++ b/internal/fleet/policy.go
@@ -21,50 +21,50 @@
 	"caperarch/internal/proxy/metrics"
 )
 
-// Policy is this sidecar's part in the policy that the fleet agrees on. It is safe for concurrent
-// use.
+// Policy holds the policy that the fleet agrees on by a replicated log, and determines the limits that this sidecar
+// applies. It is safe for concurrent use.
 type Policy struct {
 	fleet     *Fleet
 	settings  *policyrollout.Settings
-	retrySpan time.Duration // span of the retry budget; 0: there is none
-	cutOff    *ActiveLimits
+	retrySpan time.Duration // time span of the retry budget; 0: there is no retry budget
+	cutOff    *ActiveLimits // applied while this sidecar has no valid grant
 
 	active      atomic.Pointer[ActiveLimits]
-	activeUntil atomic.Int64 // when cutOff replaces active if nothing more is received
+	activeUntil atomic.Int64 // when cutOff replaces active unless another grant is received; a time.Duration
 
 	cfg replicatedstate.Config
 
-	mu    sync.Mutex            // guards what follows, but for machinesOut
-	node  *replicatedstate.Node // nil: it takes no part, or not yet
-	link  *peer.Link            // nil: the address is not this process's yet
-	store *state.Store          // nil: nothing outlives the process
-	now   time.Duration         // of the current call
+	mu    sync.Mutex            // guards the fields below, except machinesOut
+	node  *replicatedstate.Node // nil: not started, or start failed
+	link  *peer.Link            // nil: the peer address is not bound yet
+	store *state.Store          // nil: no state directory is configured
+	now   time.Duration         // time of the current call
 
-	machinesOut atomic.Pointer[[]uint64] // by maintenance windows
+	machinesOut atomic.Pointer[[]uint64] // see MachinesOut
 	maintenance maintenanceState
 
-	storageErrorLogged bool              // so that it is logged once
-	uploads            []*upload         // of operators
-	outcomes           map[string]uint64 // changes that were taken, called off, refused, for metrics
+	storageErrorLogged bool              // the storage error was logged and is not logged again
+	uploads            []*upload         // texts that operators are transferring
+	outcomes           map[string]uint64 // number of changes by outcome, for metrics
 }
 
-// newPolicy checks the settings and returns a part that applies cut_off.
+// newPolicy checks the settings and returns a Policy that applies cut_off until start.
 func newPolicy(f *Fleet) (*Policy, error) {
 	p := &Policy{
 		fleet: f, settings: policySettings(f.cfg), retrySpan: f.cfg.Policy.Budget.Span,
 		outcomes: map[string]uint64{"taken": 0, "called off": 0, "refused": 0},
 	}
-	l, err := p.resolvePolicy(f.file.Policy.FallbackPolicy)
+	limits, err := p.resolvePolicy(f.file.Policy.FallbackPolicy)
 	if err != nil {
 		return nil, fmt.Errorf("cut_off: %w", err)
 	}
-	if looser := policyrollout.Looser(l, &p.settings.Limits); looser != nil {
+	if looser := policyrollout.Looser(limits, &p.settings.Limits); looser != nil {
 		return nil, fmt.Errorf(
-			"cut_off: it is looser than the settings, which may hold: %s",
+			"cut_off: looser than the settings, which are the policy of version 0: %s",
 			strings.Join(looser, "; "),
 		)
 	}
-	p.cutOff = p.newActiveLimits(policyrollout.Active{}, l)
+	p.cutOff = p.newActiveLimits(policyrollout.Active{}, limits)
 	p.active.Store(p.cutOff)
 	p.activeUntil.Store(math.MaxInt64)
 	p.machinesOut.Store(new([]uint64))
@@ -83,8 +83,8 @@
 	return p, nil
 }
 
-// start takes part over a link. The saved state belongs to the process that has the address: the
-// process before this one may have used it until now.
+// start participates in the replicated log over a link. The saved state is opened only now that this process has bound
+// the peer address: until then the previous process of this sidecar may have used the state.
 func (p *Policy) start(link *peer.Link) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -96,10 +96,10 @@
 		if p.store, err = openState(dir, p.fleet.file.Name, cfg.Self); err != nil {
 			return err
 		}
-		if damage := p.store.Corruption(); damage != nil {
+		if corruption := p.store.Corruption(); corruption != nil {
 			p.fleet.log.Error(
 				"policy: the state was damaged and is put aside, this sidecar votes with a new seat",
-				"error", damage,
+				"error", corruption,
 			)
 		}
 		if saved, texts, err = p.store.Saved(); err != nil {
@@ -118,30 +118,32 @@
 	return err
 }
 
-// openState opens the saved state. The process before this one may be about to close it.
-func openState(dir, fleet string, seat raftlog.Voter) (s *state.Store, err error) {
+// openState opens the saved state. It retries while the state is in use, because the previous process of this sidecar
+// may be about to close it.
+func openState(dir, fleet string, voter raftlog.Voter) (store *state.Store, err error) {
 	for range 20 {
-		if s, err = state.Open(dir, fleet, seat.Number, seat.Incarnation); !errors.Is(err, state.ErrInUse) {
+		if store, err = state.Open(dir, fleet, voter.Number, voter.Incarnation); !errors.Is(err, state.ErrInUse) {
 			break
 		}
 	}
-	return s, err
+	return store, err
 }
 
-// stop closes the saved state; nothing is sent from then on.
+// stop closes the saved state and stops participating: no messages are sent from then on, and cut_off applies.
 func (p *Policy) stop() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.node, p.link = nil, nil
 	if p.store != nil {
 		if err := p.store.Close(); err != nil {
-			p.fleet.log.Error("policy: state", "error", err)
+			p.fleet.log.Error("policy: closing the saved state failed", "error", err)
 		}
 		p.store = nil
 	}
 	p.setActive(p.cutOff, math.MaxInt64)
 }
 
+// tick advances the replicated state and publishes its results.
 func (p *Policy) tick() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -155,12 +157,13 @@
 	if err := p.node.StorageError(); err != nil && !p.storageErrorLogged {
 		p.storageErrorLogged = true
 		p.fleet.log.Error(
-			"policy: what must not be forgotten can't be kept, this sidecar votes no more", "error",
+			"policy: writing the saved state failed, this sidecar does not vote any more", "error",
 			err,
 		)
 	}
 }
 
+// receive passes a message from another sidecar to the replicated state.
 func (p *Policy) receive(from int, message []byte) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -173,14 +176,14 @@
 	return err
 }
 
-// metrics returns the current state as metrics.
+// metrics returns the state of the policy as metrics.
 func (p *Policy) metrics() *metrics.Policy {
-	v := p.View()
+	view := p.View()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return &metrics.Policy{
-		Holds: v.State.Current.Version, Goes: v.Active.Mode.String(),
-		UnderWay: v.State.InProgress(), Changes: maps.Clone(p.outcomes),
+		Holds: view.State.Current.Version, Goes: view.Active.Mode.String(),
+		UnderWay: view.State.InProgress(), Changes: maps.Clone(p.outcomes),
 		Work: p.maintenanceMetrics(),
 	}
 }
--- a/internal/fleet/policy_host.go
+++ b/internal/fleet/policy_host.go
@@ -8,11 +8,11 @@
 	"caperarch/internal/fleet/replicatedstate"
 )
 
-// policyHost carries out what the node decides (replicatedstate.Host). Its methods are called with
-// the lock held.
+// policyHost implements replicatedstate.Host: it sends the node's messages, and publishes and logs its events. Its
+// methods are called with Policy.mu held.
 type policyHost struct{ p *Policy }
 
-// Send sends a message of the node.
+// Send sends a message to another sidecar; an urgent one has priority when the send budget is short.
 func (h policyHost) Send(to int, raw []byte, urgent bool) {
 	if h.p.link == nil {
 		return
@@ -24,55 +24,56 @@
 	h.p.link.SendDecision(to, raw, priority)
 }
 
-// Changed publishes and logs an event of the node.
-func (h policyHost) Changed(e replicatedstate.Event) {
+// Changed publishes and logs an event of the replicated state.
+func (h policyHost) Changed(event replicatedstate.Event) {
 	log := h.p.fleet.log
-	switch e.Kind {
+	switch event.Kind {
 	case replicatedstate.ActiveChanged:
 		h.p.publishActive()
 		log.Info(
-			"policy: goes by", "mode", e.Active.Mode.String(), "version", e.Active.New.Version,
-			"old", e.Active.Old.Version,
+			"policy: goes by", "mode", event.Active.Mode.String(), "version", event.Active.New.Version,
+			"old", event.Active.Old.Version,
 		)
 	case replicatedstate.LeaderStarted, replicatedstate.LogReset:
-		if e.Kind == replicatedstate.LogReset {
-			h.p.maintenance.clearance, h.p.maintenance.logCount = maintenance.LocalClearance{}, h.p.maintenance.logCount+1
+		if event.Kind == replicatedstate.LogReset {
+			h.p.maintenance.clearance, h.p.maintenance.logCount = maintenance.LocalClearance{},
+				h.p.maintenance.logCount+1
 		}
-		log.Info("policy: "+string(e.Kind), "number", e.By, "what", e.Why)
+		log.Info("policy: "+string(event.Kind), "number", event.By, "what", event.Why)
 	case replicatedstate.EntryUnreadable:
-		log.Error("policy: an entry of the log can't be read, this sidecar is cut off", "error", e.Why)
+		log.Error("policy: log entry can't be decoded, this sidecar applies cut_off", "error", event.Why)
 	default:
-		switch e.Kind {
+		switch event.Kind {
 		case replicatedstate.ChangeCommitted, replicatedstate.ChangeAborted, replicatedstate.ChangeRejected:
-			h.p.outcomes[string(e.Kind)]++
+			h.p.outcomes[string(event.Kind)]++
 		}
 		log.Info(
-			"policy: "+string(e.Kind), "version", e.Version, "hash", fmt.Sprintf("%x", e.Hash[:6]), "by",
-			e.By, "why", e.Why,
+			"policy: "+string(event.Kind), "version", event.Version, "hash",
+			fmt.Sprintf("%x", event.Hash[:6]), "by", event.By, "why", event.Why,
 		)
 	}
 }
 
-// Worked publishes and logs an applied entry about maintenance.
-func (h policyHost) Worked(s maintenance.Step) {
+// Worked publishes and logs an applied step of a maintenance plan or window.
+func (h policyHost) Worked(step maintenance.Step) {
 	p := h.p
-	if s.Kind == maintenance.Opened || s.Kind == maintenance.Withdrawn || s.Kind == maintenance.Done {
+	if step.Kind == maintenance.Opened || step.Kind == maintenance.Withdrawn || step.Kind == maintenance.Done {
 		if p.node != nil {
 			p.publishMachinesOut()
 		}
 	}
-	if s.Kind == maintenance.LeaderStarted {
+	if step.Kind == maintenance.LeaderStarted {
 		return
 	}
-	args := []any{"number", s.Number, "by", s.By}
-	if s.Machine != 0 {
-		args = append(args, "machine", p.machineName(s.Machine))
+	args := []any{"number", step.Number, "by", step.By}
+	if step.Machine != 0 {
+		args = append(args, "machine", p.machineName(step.Machine))
 	}
-	if s.Plan != 0 {
-		args = append(args, "plan", s.Plan)
+	if step.Plan != 0 {
+		args = append(args, "plan", step.Plan)
 	}
-	if s.Why != "" {
-		args = append(args, "why", s.Why)
+	if step.Why != "" {
+		args = append(args, "why", step.Why)
 	}
-	p.fleet.log.Info("work: "+s.Kind.String(), args...)
+	p.fleet.log.Info("work: "+step.Kind.String(), args...)
 }
--- a/internal/fleet/policy_show.go
+++ b/internal/fleet/policy_show.go
@@ -10,7 +10,10 @@
 	"caperarch/internal/fleet/replicatedstate"
 )
 
-// View returns what this sidecar knows of the policy.
+// laggardsTimeout is how long an operator's call waits for the leader's answer.
+const laggardsTimeout = 400 * time.Millisecond
+
+// View returns this sidecar's view of the policy and its log.
 func (p *Policy) View() replicatedstate.View {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -20,18 +23,15 @@
 	return p.node.View(p.fleet.now())
 }
 
-// laggardsTimeout is how long an operator's call waits for the leader's answer.
-const laggardsTimeout = 400 * time.Millisecond
-
-// askLeader asks the leader whom a change or a plan waits for, and waits until the answer is there
-// or laggardsTimeout has passed.
+// askLeader asks the leader for which sidecars a change or a plan waits. It returns when answered reports true or
+// laggardsTimeout has passed.
 func (p *Policy) askLeader(answered func() bool) {
 	p.mu.Lock()
 	if p.node != nil {
 		p.node.RequestLaggards(p.fleet.now())
 	}
 	p.mu.Unlock()
-	for end := time.Now().Add(laggardsTimeout); time.Now().Before(end); {
+	for deadline := time.Now().Add(laggardsTimeout); time.Now().Before(deadline); {
 		time.Sleep(10 * time.Millisecond)
 		if answered() {
 			return
@@ -39,113 +39,113 @@
 	}
 }
 
-// Show writes the current policy, the change in progress and whom it waits for; the leader is asked
+// Show writes the current policy, the change in progress, and for which sidecars the change waits. The leader is asked
 // for the last.
-func (p *Policy) Show(to io.Writer) error {
-	v := p.View()
-	if v.State.InProgress() != 0 && v.LaggardCount < 0 {
+func (p *Policy) Show(out io.Writer) error {
+	view := p.View()
+	if view.State.InProgress() != 0 && view.LaggardCount < 0 {
 		p.askLeader(func() bool {
-			v = p.View()
-			return v.LaggardCount >= 0
+			view = p.View()
+			return view.LaggardCount >= 0
 		})
 	}
 	b := new(strings.Builder)
-	writePolicy(b, &v)
-	writeChange(b, &v)
-	writeLog(b, &v)
-	_, err := io.WriteString(to, b.String())
+	writePolicy(b, &view)
+	writeChange(b, &view)
+	writeLog(b, &view)
+	_, err := io.WriteString(out, b.String())
 	return err
 }
 
-// writePolicy writes the current policy, and what this sidecar applies.
-func writePolicy(b *strings.Builder, v *replicatedstate.View) {
-	s := &v.State
+// writePolicy writes the fleet's current policy version, and which versions this sidecar applies.
+func writePolicy(b *strings.Builder, view *replicatedstate.View) {
+	state := &view.State
 	switch {
-	case v.Epoch == 0:
+	case view.Epoch == 0:
 		fmt.Fprintln(
 			b,
 			"no log is known here: it was never begun (policy found), or this process has not heard of it yet",
 		)
-	case !s.Started:
+	case !state.Started:
 		fmt.Fprintln(b, "the log has begun, and waits until nobody can go by an earlier one")
-	case s.Current.Version == 0:
+	case state.Current.Version == 0:
 		fmt.Fprintln(b, "version 0 holds: the settings")
 	default:
-		fmt.Fprintf(b, "version %d holds, hash %x\n", s.Current.Version, s.Current.Hash)
+		fmt.Fprintf(b, "version %d holds, hash %x\n", state.Current.Version, state.Current.Hash)
 	}
-	switch v.Active.Mode {
+	switch view.Active.Mode {
 	case policyrollout.CutOff:
 		fmt.Fprintln(b, "this sidecar is cut off: it goes by cut_off")
 	case policyrollout.One:
 		fmt.Fprintf(
-			b, "this sidecar goes by version %d, for %s at least\n", v.Active.New.Version,
-			seconds(v.ActiveUntil-v.Now),
+			b, "this sidecar goes by version %d, for %s at least\n", view.Active.New.Version,
+			seconds(view.ActiveUntil-view.Now),
 		)
 	default:
 		fmt.Fprintf(
 			b, "this sidecar goes by the stricter of versions %d and %d, for %s at least\n",
-			v.Active.Old.Version, v.Active.New.Version, seconds(v.ActiveUntil-v.Now),
+			view.Active.Old.Version, view.Active.New.Version, seconds(view.ActiveUntil-view.Now),
 		)
 	}
 }
 
-// writeChange writes the change in progress, and whom it waits for.
-func writeChange(b *strings.Builder, v *replicatedstate.View) {
-	s := &v.State
+// writeChange writes the change in progress, and for which sidecars it waits.
+func writeChange(b *strings.Builder, view *replicatedstate.View) {
+	state := &view.State
 	switch {
-	case s.Offered.Version != 0:
+	case state.Offered.Version != 0:
 		fmt.Fprintf(
 			b, "under way: version %d of sidecar %d, hash %x: its text goes round\n",
-			s.Offered.Version, s.ProposedBy, s.Offered.Hash,
+			state.Offered.Version, state.ProposedBy, state.Offered.Hash,
 		)
-	case s.Pending.Version != 0:
+	case state.Pending.Version != 0:
 		fmt.Fprintf(
 			b,
 			"under way: version %d of sidecar %d, hash %x: all are to go by the stricter of both\n",
-			s.Pending.Version, s.ProposedBy, s.Pending.Hash,
+			state.Pending.Version, state.ProposedBy, state.Pending.Hash,
 		)
-	case s.Completing != 0:
-		fmt.Fprintf(b, "under way: version %d has its outcome, all are to go by that\n", s.Completing)
+	case state.Completing != 0:
+		fmt.Fprintf(b, "under way: version %d has its outcome, all are to go by that\n", state.Completing)
 	default:
 		fmt.Fprintln(b, "under way: nothing")
 	}
-	if s.InProgress() != 0 {
-		if v.LaggardCount < 0 {
+	if state.InProgress() != 0 {
+		if view.LaggardCount < 0 {
 			fmt.Fprintln(b, "behind: the leader does not say")
 		} else {
-			fmt.Fprintf(b, "behind: %d\n", v.LaggardCount)
+			fmt.Fprintf(b, "behind: %d\n", view.LaggardCount)
 		}
-		for _, x := range v.Laggards[:min(len(v.Laggards), 20)] {
-			fmt.Fprintf(b, "behind: sidecar %d: %s\n", x.Number, x.Why)
+		for _, sidecar := range view.Laggards[:min(len(view.Laggards), 20)] {
+			fmt.Fprintf(b, "behind: sidecar %d: %s\n", sidecar.Number, sidecar.Why)
 		}
 	}
 }
 
-// writeLog writes the log's state, and the changes that were proposed at this sidecar.
-func writeLog(b *strings.Builder, v *replicatedstate.View) {
-	fmt.Fprintf(b, "log: epoch %x, %d entries, leader %d, voters", v.Epoch, v.LastIndex, v.Leader)
-	for _, seat := range v.Voters {
-		fmt.Fprintf(b, " %d", seat.Number)
+// writeLog writes the state of the replicated log, and the changes that were proposed at this sidecar.
+func writeLog(b *strings.Builder, view *replicatedstate.View) {
+	fmt.Fprintf(b, "log: epoch %x, %d entries, leader %d, voters", view.Epoch, view.LastIndex, view.Leader)
+	for _, voter := range view.Voters {
+		fmt.Fprintf(b, " %d", voter.Number)
 	}
 	fmt.Fprintln(b)
-	for _, m := range v.Proposals {
-		outcome := m.Outcome
+	for _, proposal := range view.Proposals {
+		outcome := proposal.Outcome
 		if outcome == "" {
 			outcome = "not in the log yet"
 		}
-		fmt.Fprintf(b, "proposed here: version %d, hash %x: %s\n", m.Version, m.Hash, outcome)
+		fmt.Fprintf(b, "proposed here: version %d, hash %x: %s\n", proposal.Version, proposal.Hash, outcome)
 	}
 }
 
-// History writes the changes that have their outcome, the newest last.
-func (p *Policy) History(to io.Writer) error {
-	v := p.View()
-	for _, h := range v.State.History {
-		line := fmt.Sprintf("version %d of sidecar %d, hash %x: %s", h.Version, h.By, h.Hash, h.Outcome)
-		if h.Why != "" {
-			line += fmt.Sprintf(", by sidecar %d: %s", h.EndedBy, h.Why)
+// History writes the changes that have ended, newest last.
+func (p *Policy) History(out io.Writer) error {
+	view := p.View()
+	for _, change := range view.State.History {
+		line := fmt.Sprintf("version %d of sidecar %d, hash %x: %s", change.Version, change.By, change.Hash, change.Outcome)
+		if change.Why != "" {
+			line += fmt.Sprintf(", by sidecar %d: %s", change.EndedBy, change.Why)
 		}
-		if _, err := fmt.Fprintln(to, line); err != nil {
+		if _, err := fmt.Fprintln(out, line); err != nil {
 			return err
 		}
 	}
--- a/internal/fleet/policy_test.go
+++ b/internal/fleet/policy_test.go
@@ -15,26 +15,28 @@
 	"caperarch/policy"
 )
 
-func withPolicy(t *testing.T, cutOff string, edit func(c *config.Config)) (*Fleet, error) {
+// newFleetOfOne returns a fleet of one sidecar with a policy. edit changes the settings and may be nil.
+func newFleetOfOne(t *testing.T, cutOff string, edit func(c *config.Config)) (*Fleet, error) {
 	t.Helper()
-	c := settings(0, 1, testbed.FreeAddress(t))
-	c.PeerListen = c.Peers[0]
-	c.MaxOpenRequests, c.Policy.MaxAttempts = 100, 3
-	c.Tenants = map[string]int{"north": 0, "south": 1}
-	c.Policy.Tenants = []policy.Tenant{{Share: 3}, {Share: 1}}
-	c.Policy.Budget = policy.RetryBudget{Span: time.Second, Free: 5, Share: 0.1}
+	cfg := settings(0, 1, testbed.FreeAddress(t))
+	cfg.PeerListen = cfg.Peers[0]
+	cfg.MaxOpenRequests, cfg.Policy.MaxAttempts = 100, 3
+	cfg.Tenants = map[string]int{"north": 0, "south": 1}
+	cfg.Policy.Tenants = []policy.Tenant{{Share: 3}, {Share: 1}}
+	cfg.Policy.Budget = policy.RetryBudget{Span: time.Second, Free: 5, Share: 0.1}
 	if edit != nil {
-		edit(c)
+		edit(cfg)
 	}
 	return New(
-		c,
+		cfg,
 		&config.Fleet{Path: "fleet.toml", Name: "hives", Policy: &config.FleetPolicy{FallbackPolicy: []byte(cutOff)}},
-		quiet(),
+		discardLog(),
 	)
 }
 
+// cut_off must not exceed this sidecar's own settings.
 func TestCutOffIsChecked(t *testing.T) {
-	for cutOff, says := range map[string]string{
+	for cutOff, want := range map[string]string{
 		"[limits]\nopen = 101\n":                                  "over what this sidecar bears",
 		"[tenants.east]\nshare = 0.1\n":                           "no such tenant",
 		"[tenants.north]\nshare = 0.9\n":                          "looser than the settings",
@@ -42,86 +44,105 @@
 		"[tenants.north]\nquota = 5.0\n":                          "all are to have one, or none",
 		"[limits]\nopen = 10\n[tenants.north]\nshare = 0.70000\n": "",
 	} {
-		f, err := withPolicy(t, cutOff, nil)
+		f, err := newFleetOfOne(t, cutOff, nil)
 		switch {
-		case says == "" && (err != nil || f.Policy().Active().Limits.Open != 10):
-			t.Errorf("%q: %v", cutOff, err)
-		case says != "" && (err == nil || !strings.Contains(err.Error(), says)):
-			t.Errorf("%q: %v, want an error that says %q", cutOff, err, says)
+		case want == "" && (err != nil || f.Policy().Active().Limits.Open != 10):
+			t.Errorf("cut_off %q: error %v, or it is not the active policy", cutOff, err)
+		case want != "" && (err == nil || !strings.Contains(err.Error(), want)):
+			t.Errorf("cut_off %q: error %v, want one that contains %q", cutOff, err, want)
 		}
 	}
-	if _, err := withPolicy(
+	if _, err := newFleetOfOne(
 		t, "[retry]\nfree = 1.0\n",
 		func(c *config.Config) { c.Policy.Budget = policy.RetryBudget{} },
 	); err == nil || !strings.Contains(err.Error(), "no retry budget") {
-		t.Errorf("a retry budget where there is none: %v", err)
+		t.Errorf("cut_off with a retry budget, settings without: error %v, want one with \"no retry budget\"", err)
 	}
 }
 
-// One alone: cut off, then by its own log, then by what is proposed; a clock that went on while it
-// stood still finds it cut off at the first question.
-func TestOneAlone(t *testing.T) {
-	f, err := withPolicy(
+// A fleet of one sidecar applies cut_off at first, then its settings after Bootstrap, then a proposed policy. After the
+// process was suspended for longer than its grant, Active returns cut_off at the first call.
+func TestPolicyOfSingleSidecar(t *testing.T) {
+	f, err := newFleetOfOne(
 		t,
-		"out = [\"s-1\"]\n[limits]\nopen = 10\nqueue = 0\n[tenants.north]\nshare = 0.1\nquota = 10.0\n[tenants.south]\nshare = 0.1\nquota = 10.0\n",
+		`out = ["s-1"]
+[limits]
+open = 10
+queue = 0
+[tenants.north]
+share = 0.1
+quota = 10.0
+[tenants.south]
+share = 0.1
+quota = 10.0
+`,
 		nil,
 	)
 	if err != nil {
 		t.Fatal(err)
 	}
 	p := f.Policy()
-	var ahead time.Duration
-	boot := f.now
-	f.now = func() time.Duration { return boot() + ahead }
-	call := func(do func(to *bytes.Buffer) error) string {
-		var b bytes.Buffer
-		if err := do(&b); err != nil {
+	var advanced time.Duration
+	realTime := f.now
+	f.now = func() time.Duration { return realTime() + advanced }
+	call := func(do func(out *bytes.Buffer) error) string {
+		var out bytes.Buffer
+		if err := do(&out); err != nil {
 			return "no: " + err.Error()
 		}
-		return b.String()
+		return out.String()
 	}
-	found := func(b *bytes.Buffer) error { return p.Bootstrap(b) }
-	show := func(b *bytes.Buffer) error { return p.Show(b) }
-	if got := call(found); !strings.Contains(got, "takes no part") {
-		t.Errorf("found without a link: %s", got)
+	bootstrap := func(out *bytes.Buffer) error { return p.Bootstrap(out) }
+	show := func(out *bytes.Buffer) error { return p.Show(out) }
+	if got := call(bootstrap); !strings.Contains(got, "takes no part") {
+		t.Errorf("Bootstrap before start returned %q, want an error", got)
 	}
 	if got := call(show); !strings.Contains(got, "no log is known here") || !strings.Contains(got, "is cut off") {
-		t.Errorf("show: %s", got)
+		t.Errorf("Show before start returned %q, want no log and cut_off", got)
 	}
-	if err := p.start(quietLink(t, f)); err != nil {
+	if err := p.start(openLink(t, f)); err != nil {
 		t.Fatal(err)
 	}
-	if got := call(found); !strings.Contains(got, "a log is begun") {
+	if got := call(bootstrap); !strings.Contains(got, "a log is begun") {
 		t.Fatal(got)
 	}
-	pass := func(d time.Duration) {
-		for end := ahead + d; ahead < end; ahead += 125 * time.Millisecond {
+	advance := func(d time.Duration) {
+		for end := advanced + d; advanced < end; advanced += 125 * time.Millisecond {
 			p.tick()
 		}
 	}
 	if p.Active().Mode != policyrollout.CutOff {
-		t.Error("not cut off at the beginning")
+		t.Error("cut_off does not apply right after Bootstrap")
 	}
-	pass(12 * time.Second)
-	if now := p.Active(); now.Mode != policyrollout.One || now.Limits.Open != 100 ||
-		len(now.Engine.Tenants) != 2 || now.Engine.Tenants[0].Share != 0.75 || now.Engine.Queue != unbounded {
-		t.Fatalf("by its log it goes by %+v", now)
+	advance(12 * time.Second)
+	if active := p.Active(); active.Mode != policyrollout.One || active.Limits.Open != 100 ||
+		len(active.Engine.Tenants) != 2 || active.Engine.Tenants[0].Share != 0.75 || active.Engine.Queue != unbounded {
+		t.Fatalf("12 s after Bootstrap the limits are %+v, want the settings", active)
 	}
 	text := []byte(
-		"out = [\"s-1\"]\n[limits]\nopen = 50\nqueue = 4\n[tenants.south]\nshare = 0.5\nquota = 20.0\n[tenants.north]\nquota = 30.0\n",
+		`out = ["s-1"]
+[limits]
+open = 50
+queue = 4
+[tenants.south]
+share = 0.5
+quota = 20.0
+[tenants.north]
+quota = 30.0
+`,
 	)
 	if got := call(
-		func(b *bytes.Buffer) error { return p.Propose([]string{policyrollout.Hash(text), "0"}, b) },
+		func(out *bytes.Buffer) error { return p.Propose([]string{policyrollout.Hash(text), "0"}, out) },
 	); !strings.Contains(got, "no text of this hash") {
-		t.Errorf("proposed without its text: %s", got)
+		t.Errorf("Propose before the upload returned %q, want an error", got)
 	}
-	for _, words := range [][]string{
+	for _, args := range [][]string{
 		{"ab", "0", "1", "=YQ"}, {policyrollout.Hash(text), "1", "1", "=YQ"},
 		{policyrollout.Hash(text), "0", "1000000", "=YQ"},
 		{policyrollout.Hash(text), "0", "1", "=!"}, {"ab"},
 	} {
-		if p.Upload(words) == nil {
-			t.Errorf("%v: taken", words)
+		if p.Upload(args) == nil {
+			t.Errorf("Upload(%v) succeeded, want an error", args)
 		}
 	}
 	for i := range UploadChunks(text) {
@@ -130,49 +151,50 @@
 		}
 	}
 	if got := call(
-		func(b *bytes.Buffer) error { return p.Propose([]string{policyrollout.Hash(text), "0"}, b) },
+		func(out *bytes.Buffer) error { return p.Propose([]string{policyrollout.Hash(text), "0"}, out) },
 	); !strings.HasPrefix(got, "version 1 proposed, hash "+policyrollout.Hash(text)) {
 		t.Fatal(got)
 	}
-	pass(2 * time.Second)
-	now := p.Active()
-	if now.Mode != policyrollout.One || now.New.Version != 1 || now.Limits.Open != 50 ||
-		now.Engine.Queue != 4 || now.Engine.Tenants[1] != (policy.Tenant{Share: 0.5, Quota: 20}) || fmt.Sprint(now.Limits.Out) != "[s-1]" {
-		t.Fatalf("it goes by %+v", now)
+	advance(2 * time.Second)
+	active := p.Active()
+	if active.Mode != policyrollout.One || active.New.Version != 1 || active.Limits.Open != 50 ||
+		active.Engine.Queue != 4 || active.Engine.Tenants[1] != (policy.Tenant{Share: 0.5, Quota: 20}) ||
+		fmt.Sprint(active.Limits.Out) != "[s-1]" {
+		t.Fatalf("2 s after Propose the limits are %+v, want the proposed ones", active)
 	}
-	if p.Active() != now {
-		t.Error("the same limits have another pointer at each question")
+	if p.Active() != active {
+		t.Error("Active returned another pointer although the limits did not change")
 	}
 	if got := call(
-		func(b *bytes.Buffer) error { return p.History(b) },
+		func(out *bytes.Buffer) error { return p.History(out) },
 	); !strings.Contains(got, "version 1 of sidecar 0") || !strings.Contains(got, ": taken") {
-		t.Errorf("history: %s", got)
+		t.Errorf("History returned %q, want version 1 taken", got)
 	}
 	if got := call(
-		func(b *bytes.Buffer) error { return p.Abort(b) },
+		func(out *bytes.Buffer) error { return p.Abort(out) },
 	); !strings.Contains(got, "no change is under way") {
-		t.Errorf("abort: %s", got)
+		t.Errorf("Abort without a change in progress returned %q, want an error", got)
 	}
-	if g := f.Metrics().Policy; g.Holds != 1 || g.Goes != "one" || g.Changes["taken"] != 1 {
-		t.Errorf("%+v", g)
+	if metrics := f.Metrics().Policy; metrics.Holds != 1 || metrics.Goes != "one" || metrics.Changes["taken"] != 1 {
+		t.Errorf("metrics %+v, want version 1 and one change taken", metrics)
 	}
-	ahead += time.Minute // it stood still
-	if now := p.Active(); now.Mode != policyrollout.CutOff || now.Limits.Open != 10 {
-		t.Errorf("going on it goes by %+v", now)
+	advanced += time.Minute // without ticks, as if the process had been suspended
+	if active := p.Active(); active.Mode != policyrollout.CutOff || active.Limits.Open != 10 {
+		t.Errorf("after the suspension the limits are %+v, want cut_off", active)
 	}
-	pass(2 * time.Second)
-	if now := p.Active(); now.Mode != policyrollout.One || now.New.Version != 1 {
-		t.Errorf("a while later it goes by %+v", now)
+	advance(2 * time.Second)
+	if active := p.Active(); active.Mode != policyrollout.One || active.New.Version != 1 {
+		t.Errorf("2 s after the suspension the limits are %+v, want version 1", active)
 	}
-	if math.IsInf(now.Limits.Quota[0], 1) {
-		t.Error("no quota")
+	if math.IsInf(active.Limits.Quota[0], 1) {
+		t.Error("version 1 has no quota for tenant north, want 30")
 	}
 }
 
-// quietLink is a link of a fleet of one.
-func quietLink(t *testing.T, f *Fleet) *peer.Link {
+// openLink opens the link of a fleet of one sidecar; nothing reads from it.
+func openLink(t *testing.T, f *Fleet) *peer.Link {
 	t.Helper()
-	l, err := peer.Open(
+	link, err := peer.Open(
 		peer.Config{
 			Listen: f.cfg.PeerListen, Peers: f.peers, Fleet: "hives", Incarnation: f.incarnation,
 			BytesPerSecond: 4096, Now: f.now,
@@ -181,6 +203,6 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(l.Close)
-	return l
+	t.Cleanup(link.Close)
+	return link
 }
--- a/internal/fleet/view.go
+++ b/internal/fleet/view.go
@@ -8,20 +8,20 @@
 	"caperarch/internal/proxy/metrics"
 )
 
-// View is what this sidecar knows of the fleet, for operators.
+// View is this sidecar's view of the fleet, for operators and metrics.
 type View struct {
 	Now          time.Duration
 	Self         int
 	InContact    bool
-	ContactUntil time.Duration // when the lease expires if no further ack arrives
+	ContactUntil time.Duration // when contact ends if no further acknowledgement is received
 	Lease        time.Duration
 	Session      swim.Session
 	Members      []swim.Member
 	Stats        swim.Stats
 	Link         peer.Counters
 	Sidecars     int
-	Unresponsive int // servers that don't answer this sidecar
-	Doubted      int // servers that enough others report
+	Unresponsive int // number of servers that don't answer this sidecar
+	Doubted      int // number of servers that enough other sidecars report as unresponsive
 }
 
 // View returns the current view.
@@ -30,42 +30,42 @@
 	defer f.mu.Unlock()
 	now := f.now()
 	f.hintsMu.Lock()
-	silent, doubted := len(f.hints.Unresponsive(now)), f.hints.DoubtedCount(now)
+	unresponsive, doubted := len(f.hints.Unresponsive(now)), f.hints.DoubtedCount(now)
 	f.hintsMu.Unlock()
-	v := View{
-		Unresponsive: silent, Doubted: doubted, Now: now, Self: f.cfg.Policy.Index,
+	view := View{
+		Unresponsive: unresponsive, Doubted: doubted, Now: now, Self: f.cfg.Policy.Index,
 		Sidecars: f.Sidecars(), Lease: f.node.Lease,
 	}
 	if f.link == nil {
-		return v
+		return view
 	}
-	v.Members = f.node.Members(v.Now)
-	v.ContactUntil, v.InContact = f.node.ContactUntil(v.Now)
-	v.Session, v.Stats, v.Link = f.node.Session(), f.node.Stats, f.link.Counters()
-	return v
+	view.Members = f.node.Members(view.Now)
+	view.ContactUntil, view.InContact = f.node.ContactUntil(view.Now)
+	view.Session, view.Stats, view.Link = f.node.Session(), f.node.Stats, f.link.Counters()
+	return view
 }
 
 // Metrics returns the current view as metrics.
 func (f *Fleet) Metrics() metrics.Peers {
-	v := f.View()
-	l := v.Link
-	p := metrics.Peers{
-		Contact:   v.InContact,
-		Sidecars:  v.Sidecars,
-		SentBytes: l.SentBytes,
-		Dropped:   l.Length + l.Malformed + l.OtherFleet + l.NewerFormat + l.Address,
+	view := f.View()
+	link := view.Link
+	peers := metrics.Peers{
+		Contact:   view.InContact,
+		Sidecars:  view.Sidecars,
+		SentBytes: link.SentBytes,
+		Dropped:   link.Length + link.Malformed + link.OtherFleet + link.NewerFormat + link.Address,
 		Members:   make(map[string]int),
 	}
 	if f.policy != nil {
-		p.Policy = f.policy.metrics()
+		peers.Policy = f.policy.metrics()
 	}
 	for state := swim.Unknown; state <= swim.Left; state++ {
-		p.Members[state.String()] = 0
+		peers.Members[state.String()] = 0
 	}
-	for _, m := range v.Members {
-		if m.Number != v.Self {
-			p.Members[m.State.String()]++
+	for _, member := range view.Members {
+		if member.Number != view.Self {
+			peers.Members[member.State.String()]++
 		}
 	}
-	return p
+	return peers
 }
