--- a/internal/fleet/peer/budget.go
+++ b/internal/fleet/peer/budget.go
@@ -4,41 +4,41 @@
 	"time"
 )
 
-// Priority decides what is sent first when the budget is short.
+// Priority determines which datagrams are still sent when the send budget is nearly exhausted.
 type Priority int
 
-// The priorities, the highest first.
+// The priorities, highest first.
 const (
-	Contact  Priority = iota
-	Urgent            // messages of replicatedstate that others wait for
-	Decision          // other messages of replicatedstate
-	Hint              // servers that don't answer
+	Contact  Priority = iota // messages of swim
+	Urgent                   // messages of replicatedstate for which other sidecars wait
+	Decision                 // other messages of replicatedstate
+	Hint                     // hints on servers that don't answer
 )
 
-// reserved is the fraction of a full budget that is kept for higher priorities.
+// reserved is, by priority, the fraction of a full budget that datagrams of that priority must leave for higher ones.
 var reserved = [...]float64{Contact: 0, Urgent: 0.1, Decision: 0.25, Hint: 0.5}
 
-// budget is a token bucket of bytes. It is not safe for concurrent use.
+// budget is a token bucket whose tokens are bytes. It starts full. It is not safe for concurrent use.
 type budget struct {
-	rate  float64 // bytes per second
-	level float64
-	at    time.Duration
+	rate     float64       // bytes per second
+	tokens   float64       // bytes available at lastTake
+	lastTake time.Duration // 0: take has not been called
 }
 
-// full returns the bucket's size: two seconds' worth.
-func (b *budget) full() float64 { return 2 * b.rate }
+// capacity returns the bucket's size in bytes: the rate of two seconds.
+func (b *budget) capacity() float64 { return 2 * b.rate }
 
-// take takes bytes from the bucket; false: there are too few.
-func (b *budget) take(now time.Duration, bytes int, p Priority) bool {
-	if b.at == 0 {
-		b.level = b.full()
+// take takes bytes from the bucket, or returns false if too few are available for the priority.
+func (b *budget) take(now time.Duration, bytes int, priority Priority) bool {
+	if b.lastTake == 0 {
+		b.tokens = b.capacity()
 	} else {
-		b.level = min(b.full(), b.level+b.rate*(now-b.at).Seconds())
+		b.tokens = min(b.capacity(), b.tokens+b.rate*(now-b.lastTake).Seconds())
 	}
-	b.at = now
-	if b.level-float64(bytes) < reserved[p]*b.full() {
+	b.lastTake = now
+	if b.tokens-float64(bytes) < reserved[priority]*b.capacity() {
 		return false
 	}
-	b.level -= float64(bytes)
+	b.tokens -= float64(bytes)
 	return true
 }
--- a/internal/fleet/peer/code.go
+++ b/internal/fleet/peer/code.go
@@ -11,27 +11,27 @@
 	"caperarch/internal/fleet/swim"
 )
 
-// MaxDatagramBytes is the longest datagram that is allowed between sidecars.
+// MaxDatagramBytes is the maximum size of a datagram between sidecars.
 const MaxDatagramBytes = 256
 
-// formatVersion is the newest version of the datagram format that is read.
+// formatVersion is the version of the datagram format. Datagrams of newer versions are dropped.
 const formatVersion = 0
 
-// FleetTag returns the number that stands for a fleet's name in datagrams.
+// FleetTag returns the number that identifies a fleet, by its name, in datagrams.
 func FleetTag(name string) uint32 { return uint32(xxhash.Sum64String(name)) }
 
-// Why a datagram is dropped.
+// The reasons for which a received datagram is dropped.
 var (
-	errLength    = errors.New("no datagram of 1 to 256 bytes")
-	errMalformed = errors.New("it can't be read")
-	errFleet     = errors.New("another fleet's")
-	errFormat    = errors.New("a newer form")
-	errAddress   = errors.New("the sender's number is not that of its address")
+	errLength      = errors.New("datagram is empty or longer than 256 bytes")
+	errMalformed   = errors.New("datagram is malformed")
+	errOtherFleet  = errors.New("datagram belongs to another fleet")
+	errNewerFormat = errors.New("datagram has a newer format version")
+	errAddress     = errors.New("datagram's sender number does not match its source address")
 )
 
-// encode returns a message of swim in its wire format.
+// encode converts a message of swim to its wire format.
 func encode(m *swim.Message) *peerpb.Contact {
-	c := &peerpb.Contact{
+	encoded := &peerpb.Contact{
 		Turn:   m.Session.Sequence,
 		Kind:   uint32(m.Kind),
 		Stamp:  m.Stamp,
@@ -43,47 +43,48 @@
 		Count:  uint32(m.MemberCount),
 	}
 	if m.Echo != 0 {
-		c.EchoOf = m.EchoTag
+		encoded.EchoOf = m.EchoTag
 	}
-	for _, r := range m.Rumours {
-		c.Rumour = append(c.Rumour, &peerpb.Rumour{
-			Member: uint32(r.Member),
-			Life:   r.Session.Incarnation,
-			Turn:   r.Session.Sequence,
-			State:  uint32(r.State),
-			By:     uint32(r.Accuser),
+	for _, rumour := range m.Rumours {
+		encoded.Rumour = append(encoded.Rumour, &peerpb.Rumour{
+			Member: uint32(rumour.Member),
+			Life:   rumour.Session.Incarnation,
+			Turn:   rumour.Session.Sequence,
+			State:  uint32(rumour.State),
+			By:     uint32(rumour.Accuser),
 		})
 	}
-	return c
+	return encoded
 }
 
-// decode parses such a message. Numbers that no member can have become ones that swim drops.
-func decode(from int, life uint64, c *peerpb.Contact) *swim.Message {
+// decode converts a message from its wire format. A kind or state that is out of range becomes a value that swim
+// drops; the member count is limited to swim.MaxMembers.
+func decode(from int, incarnation uint64, encoded *peerpb.Contact) *swim.Message {
 	m := &swim.Message{
 		From:        from,
-		Session:     swim.Session{Incarnation: life, Sequence: c.Turn},
-		Kind:        swim.Kind(min(c.Kind, 255)),
-		Stamp:       c.Stamp,
-		Echo:        c.Echo,
-		EchoTag:     c.EchoOf,
-		NoLease:     c.Mute,
-		Target:      int(c.About),
-		Cookie:      c.Mark,
-		Digest:      c.Digest,
-		MemberCount: int(min(c.Count, swim.MaxMembers)),
+		Session:     swim.Session{Incarnation: incarnation, Sequence: encoded.Turn},
+		Kind:        swim.Kind(min(encoded.Kind, 255)),
+		Stamp:       encoded.Stamp,
+		Echo:        encoded.Echo,
+		EchoTag:     encoded.EchoOf,
+		NoLease:     encoded.Mute,
+		Target:      int(encoded.About),
+		Cookie:      encoded.Mark,
+		Digest:      encoded.Digest,
+		MemberCount: int(min(encoded.Count, swim.MaxMembers)),
 	}
-	for _, r := range c.Rumour {
+	for _, rumour := range encoded.Rumour {
 		m.Rumours = append(m.Rumours, swim.Rumour{
-			Member:  int(r.Member),
-			Session: swim.Session{Incarnation: r.Life, Sequence: r.Turn},
-			State:   swim.State(min(r.State, 255)),
-			Accuser: int(r.By),
+			Member:  int(rumour.Member),
+			Session: swim.Session{Incarnation: rumour.Life, Sequence: rumour.Turn},
+			State:   swim.State(min(rumour.State, 255)),
+			Accuser: int(rumour.By),
 		})
 	}
 	return m
 }
 
-// Size returns how many bytes a message takes as a datagram.
+// Size returns the size in bytes of a datagram that contains only this message.
 func Size(m *swim.Message) int {
 	return proto.Size(
 		&peerpb.Datagram{
@@ -93,36 +94,37 @@
 	)
 }
 
-// fit encodes a message with as many of its rumours as fit into a datagram.
-func fit(d *peerpb.Datagram, c *peerpb.Contact) ([]byte, error) {
-	d.Contact = []*peerpb.Contact{c}
+// marshalFitting marshals a datagram with a message, and drops as many of the message's last rumours as necessary to
+// keep the datagram within MaxDatagramBytes.
+func marshalFitting(datagram *peerpb.Datagram, contact *peerpb.Contact) ([]byte, error) {
+	datagram.Contact = []*peerpb.Contact{contact}
 	for {
-		raw, err := proto.Marshal(d)
+		raw, err := proto.Marshal(datagram)
 		switch {
 		case err != nil:
 			return nil, err
 		case len(raw) <= MaxDatagramBytes:
 			return raw, nil
-		case len(c.Rumour) == 0:
-			return nil, fmt.Errorf("a message of %d bytes", len(raw))
+		case len(contact.Rumour) == 0:
+			return nil, fmt.Errorf("message without rumours does not fit into a datagram: %d bytes", len(raw))
 		}
-		c.Rumour = c.Rumour[:len(c.Rumour)-1]
+		contact.Rumour = contact.Rumour[:len(contact.Rumour)-1]
 	}
 }
 
-// read parses a datagram.
-func read(raw []byte, fleet uint32) (*peerpb.Datagram, error) {
+// unmarshal parses and checks a datagram; fleet is the FleetTag that it has to have.
+func unmarshal(raw []byte, fleet uint32) (*peerpb.Datagram, error) {
 	if len(raw) == 0 || len(raw) > MaxDatagramBytes {
 		return nil, errLength
 	}
-	d := new(peerpb.Datagram)
-	switch err := proto.Unmarshal(raw, d); {
-	case err != nil || d.From == 0 || d.Life == 0:
+	datagram := new(peerpb.Datagram)
+	switch err := proto.Unmarshal(raw, datagram); {
+	case err != nil || datagram.From == 0 || datagram.Life == 0:
 		return nil, errMalformed
-	case d.Fleet != fleet:
-		return nil, errFleet
-	case d.Form > formatVersion:
-		return nil, errFormat
+	case datagram.Fleet != fleet:
+		return nil, errOtherFleet
+	case datagram.Form > formatVersion:
+		return nil, errNewerFormat
 	}
-	return d, nil
+	return datagram, nil
 }
--- a/internal/fleet/peer/link_test.go
+++ b/internal/fleet/peer/link_test.go
@@ -22,29 +22,30 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// inbox keeps what a link hands over.
-type inbox struct {
+// recorder is a Handler that records the messages of a link.
+type recorder struct {
 	messages  chan swim.Message
 	decisions chan []byte
 }
 
-func (i inbox) Contact(_ int, m *swim.Message)   { i.messages <- *m }
-func (i inbox) Hint(int, []uint64)               {}
-func (i inbox) Decision(_ int, raw []byte) error { i.decisions <- raw; return nil }
+func (r recorder) Contact(_ int, m *swim.Message)   { r.messages <- *m }
+func (r recorder) Hint(int, []uint64)               {}
+func (r recorder) Decision(_ int, raw []byte) error { r.decisions <- raw; return nil }
 
-// socket is one that stands for another sidecar, or for a stranger.
-func socket(t *testing.T) (*net.UDPConn, netip.AddrPort) {
+// openSocket opens a socket that plays another sidecar, or a sender that is not in the fleet.
+func openSocket(t *testing.T) (*net.UDPConn, netip.AddrPort) {
 	t.Helper()
-	c, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
+	conn, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { c.Close() })
-	return c, c.LocalAddr().(*net.UDPAddr).AddrPort()
+	t.Cleanup(func() { conn.Close() })
+	return conn, conn.LocalAddr().(*net.UDPAddr).AddrPort()
 }
 
-// open opens a link that is member 0 of a fleet, unless edit says another.
-func open(t *testing.T, rate float64, edit func(c *Config), others ...netip.AddrPort) (*Link, inbox) {
+// open opens and reads a link that is member 0 of fleet "hives". rate is the send budget in bytes per second, edit
+// changes the configuration and may be nil, and others are the addresses of the members from 1 on.
+func open(t *testing.T, rate float64, edit func(c *Config), others ...netip.AddrPort) (*Link, recorder) {
 	t.Helper()
 	cfg := Config{
 		Listen:         "127.0.0.1:0",
@@ -57,23 +58,24 @@
 	if edit != nil {
 		edit(&cfg)
 	}
-	l, err := Open(cfg)
+	link, err := Open(cfg)
 	if err != nil {
 		t.Fatal(err)
 	}
-	in := inbox{make(chan swim.Message, 1000), make(chan []byte, 10)}
+	received := recorder{make(chan swim.Message, 1000), make(chan []byte, 10)}
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		l.Read(in)
+		link.Read(received)
 	}()
 	t.Cleanup(func() {
-		l.Close()
+		link.Close()
 		<-done
 	})
-	return l, in
+	return link, received
 }
 
+// datagram returns a valid datagram from member 1; edit changes it and may be nil.
 func datagram(t *testing.T, edit func(d *peerpb.Datagram)) []byte {
 	t.Helper()
 	m := &swim.Message{From: 1, Session: swim.Session{Incarnation: 7, Sequence: 2}, Kind: swim.Ping, Stamp: 12}
@@ -88,47 +90,50 @@
 	return raw
 }
 
-// What can't be read is counted by its cause, and what comes behind it is taken.
-func TestDropsWhatItCannotRead(t *testing.T) {
-	one, address := socket(t)
-	_, other := socket(t)
-	stranger, _ := socket(t)
-	l, in := open(t, 1e4, nil, address, other)
-	to := net.UDPAddrFromAddrPort(l.Address())
-	whole := datagram(t, nil)
+// Invalid datagrams are dropped and counted by cause; a valid datagram after them is received.
+func TestInvalidDatagramsAreDropped(t *testing.T) {
+	member, address := openSocket(t)
+	_, other := openSocket(t)
+	unknown, _ := openSocket(t)
+	link, received := open(t, 1e4, nil, address, other)
+	to := net.UDPAddrFromAddrPort(link.Address())
+	valid := datagram(t, nil)
 	long := datagram(t, func(d *peerpb.Datagram) { d.Decision = make([]byte, 200) })
 	for _, b := range [][]byte{
-		{}, make([]byte, 256), make([]byte, 257), make([]byte, 65507), whole[:len(whole)-1], append(slices.Clone(whole), 0xff), long[:100], append(long, make([]byte, 60)...),
+		{}, make([]byte, 256), make([]byte, 257), make([]byte, 65507), valid[:len(valid)-1],
+		append(slices.Clone(valid), 0xff), long[:100], append(long, make([]byte, 60)...),
 		datagram(t, func(d *peerpb.Datagram) { d.Fleet++ }),
 		datagram(t, func(d *peerpb.Datagram) { d.Form = formatVersion + 1 }),
 		datagram(t, func(d *peerpb.Datagram) { d.From = 3 }),
 		datagram(t, func(d *peerpb.Datagram) { d.From = 1 << 31 }),
 		datagram(t, func(d *peerpb.Datagram) { d.From = 0 }),
 	} {
-		if _, err := one.WriteToUDP(b, to); err != nil {
+		if _, err := member.WriteToUDP(b, to); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if _, err := stranger.WriteToUDP(whole, to); err != nil {
+	if _, err := unknown.WriteToUDP(valid, to); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := one.WriteToUDP(whole, to); err != nil {
+	if _, err := member.WriteToUDP(valid, to); err != nil {
 		t.Fatal(err)
 	}
-	testbed.Until(t, "all to be read", func() bool { return l.Counters().Read == 15 })
-	if m := testbed.Wait(t, "what can be read", in.messages); m.From != 1 ||
+	testbed.Until(t, "all datagrams to be read", func() bool { return link.Counters().Read == 15 })
+	if m := testbed.Wait(t, "the valid datagram", received.messages); m.From != 1 ||
 		m.Session != (swim.Session{Incarnation: 7, Sequence: 2}) || m.Stamp != 12 || m.Kind != swim.Ping {
-		t.Errorf("%+v", m)
+		t.Errorf("received %+v, want the message of the valid datagram", m)
 	}
-	c := l.Counters()
-	if len(in.messages) != 0 || c.Length != 4 || c.OtherFleet != 1 || c.NewerFormat != 1 ||
-		c.Address != 3 || c.Malformed != 5 {
-		t.Errorf("%d more were taken; %+v", len(in.messages), c)
+	counters := link.Counters()
+	if len(received.messages) != 0 || counters.Length != 4 || counters.OtherFleet != 1 ||
+		counters.NewerFormat != 1 || counters.Address != 3 || counters.Malformed != 5 {
+		t.Errorf(
+			"%d more messages were received, want none; counters %+v", len(received.messages), counters,
+		)
 	}
 }
 
-// What is sent can be read by the other side, whatever is in it, and is never too long.
-func TestMessagesFit(t *testing.T) {
+// Any message of swim fits into a datagram, with as many of its rumours as possible, and is decoded as it was encoded.
+func TestMessagesFitIntoDatagrams(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &swim.Message{
 			From: rapid.IntRange(0, swim.MaxMembers-1).Draw(t, "from"),
@@ -155,37 +160,40 @@
 				Accuser: rapid.IntRange(0, swim.MaxMembers-1).Draw(t, "by"),
 			})
 		}
-		raw, err := fit(&peerpb.Datagram{Fleet: 1, From: uint32(m.From) + 1, Life: m.Session.Incarnation}, encode(m))
+		raw, err := marshalFitting(
+			&peerpb.Datagram{Fleet: 1, From: uint32(m.From) + 1, Life: m.Session.Incarnation}, encode(m),
+		)
 		if err != nil {
 			t.Fatal(err)
 		}
-		d, err := read(raw, 1)
+		d, err := unmarshal(raw, 1)
 		if err != nil {
-			t.Fatalf("%d bytes: %v", len(raw), err)
+			t.Fatalf("unmarshalling a datagram of %d bytes: %v", len(raw), err)
 		}
 		got := decode(m.From, d.Life, d.Contact[0])
 		if n := len(got.Rumours); n > len(m.Rumours) || n < min(5, len(m.Rumours)) ||
 			!slices.Equal(got.Rumours, m.Rumours[:n]) {
-			t.Fatalf("%d rumours of %d", n, len(m.Rumours))
+			t.Fatalf("%d of %d rumours were decoded, or they differ; want at least 5 if there are as many", n, len(m.Rumours))
 		}
 		if got.Session != m.Session || got.Stamp != m.Stamp || got.Echo != m.Echo ||
 			got.Cookie != m.Cookie || got.Target != m.Target || got.NoLease != m.NoLease {
-			t.Fatalf("%+v became %+v", m, got)
+			t.Fatalf("%+v was decoded as %+v", m, got)
 		}
 	})
 }
 
-// Hints stop first, then decisions; contact may use all there is, and no more.
+// When the budget runs out, hints stop first, then decisions; messages of swim may use the whole budget, but no more.
 func TestBudget(t *testing.T) {
-	sent := func(p Priority) (n int) {
+	sent := func(priority Priority) (count int) {
 		b := budget{rate: 1000}
-		for b.take(time.Second, 100, p) {
-			n++
+		for b.take(time.Second, 100, priority) {
+			count++
 		}
-		return n
+		return count
 	}
-	if c, d, h := sent(Contact), sent(Decision), sent(Hint); c != 20 || d != 15 || h != 10 {
-		t.Errorf("%d, %d, %d", c, d, h)
+	if contacts, decisions, hints := sent(Contact), sent(Decision), sent(Hint); contacts != 20 || decisions != 15 ||
+		hints != 10 {
+		t.Errorf("a full budget sends %d contacts, %d decisions, %d hints; want 20, 15, 10", contacts, decisions, hints)
 	}
 	b, total := budget{rate: 1000}, 0
 	for now := time.Second; now < 61*time.Second; now += time.Millisecond {
@@ -194,27 +202,27 @@
 		}
 	}
 	if total > 62_000 || total < 61_000 {
-		t.Errorf("%d bytes in a minute", total)
+		t.Errorf("%d bytes were sent in 60 s at 1000 bytes per second, want 61000 to 62000", total)
 	}
 }
 
-// A decision goes over a link whole; one that does not fit into a datagram is not sent.
-func TestDecision(t *testing.T) {
-	first, address := socket(t)
-	first.Close()
-	b, in := open(t, 1e6, nil, address)
-	a, _ := open(t, 1e6, func(c *Config) {
-		c.Listen, c.Self, c.Peers = address.String(), 1, []netip.AddrPort{b.Address(), address}
+// A decision is received as it was sent; one that does not fit into a datagram is not sent.
+func TestDecisionIsReceivedUnchanged(t *testing.T) {
+	reserved, address := openSocket(t)
+	reserved.Close()
+	receiver, received := open(t, 1e6, nil, address)
+	sender, _ := open(t, 1e6, func(c *Config) {
+		c.Listen, c.Self, c.Peers = address.String(), 1, []netip.AddrPort{receiver.Address(), address}
 	})
-	if a.SendDecision(0, make([]byte, MaxDatagramBytes), Urgent) {
-		t.Error("one that does not fit was sent")
+	if sender.SendDecision(0, make([]byte, MaxDatagramBytes), Urgent) {
+		t.Error("a decision that does not fit into a datagram was sent")
 	}
 	text := []byte(strings.Repeat("policy ", 30))
-	if !a.SendDecision(0, text, Urgent) {
-		t.Fatal("not sent")
+	if !sender.SendDecision(0, text, Urgent) {
+		t.Fatal("the decision was not sent")
 	}
-	if got := testbed.Wait(t, "the decision", in.decisions); !bytes.Equal(got, text) {
-		t.Errorf("%d bytes came, of %d", len(got), len(text))
+	if got := testbed.Wait(t, "the decision", received.decisions); !bytes.Equal(got, text) {
+		t.Errorf("a decision of %d bytes was received, want the %d bytes that were sent", len(got), len(text))
 	}
 }
 
@@ -222,7 +230,7 @@
 	for _, c := range []struct {
 		peers []string
 		self  int
-		says  string
+		want  string
 	}{
 		{nil, 0, "peers"},
 		{[]string{"127.0.0.1:1"}, 1, "settings.me"},
@@ -231,45 +239,49 @@
 		{[]string{"127.0.0.1:1", "127.0.0.2:1", "[::ffff:127.0.0.1]:1"}, 0, "peers[2]"},
 		{make([]string, swim.MaxMembers+1), 0, "peers"},
 	} {
-		if _, err := Addresses(c.peers, c.self); err == nil || !strings.Contains(err.Error(), c.says) {
-			t.Errorf("%v: %v, want an error that names %s", c.peers[:min(3, len(c.peers))], err, c.says)
+		if _, err := Addresses(c.peers, c.self); err == nil || !strings.Contains(err.Error(), c.want) {
+			t.Errorf(
+				"Addresses(%v, ...) returned error %v, want one that contains %s",
+				c.peers[:min(3, len(c.peers))], err, c.want,
+			)
 		}
 	}
-	if all, err := Addresses([]string{"127.0.0.1:1"}, 0); err != nil || len(all) != 1 {
-		t.Errorf("one alone: %v, %v", all, err)
+	if addresses, err := Addresses([]string{"127.0.0.1:1"}, 0); err != nil || len(addresses) != 1 {
+		t.Errorf("Addresses of a fleet of one returned %v, error %v", addresses, err)
 	}
 }
 
-// A flood costs what readsMost allows, no more.
-func TestFlood(t *testing.T) {
-	one, address := socket(t)
-	l, in := open(t, 1e4, nil, address)
+// During a flood, no more than maxReads datagrams are read in each readInterval.
+func TestFloodIsLimited(t *testing.T) {
+	flooder, address := openSocket(t)
+	link, received := open(t, 1e4, nil, address)
 	stop, done := make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(done)
 		for {
 			select {
-			case <-in.messages:
+			case <-received.messages:
 			case <-stop:
 				return
 			}
 		}
 	}()
-	to, raw := net.UDPAddrFromAddrPort(l.Address()), datagram(t, nil)
-	begun := time.Now()
+	to, raw := net.UDPAddrFromAddrPort(link.Address()), datagram(t, nil)
+	start := time.Now()
 	for sent := 0; sent < 25_000; sent++ {
-		_, _ = one.WriteToUDP(raw, to)
+		_, _ = flooder.WriteToUDP(raw, to)
 	}
-	took := time.Since(begun)
-	if read, most := l.Counters().Read, uint64(float64(took)/float64(readInterval)+2)*maxReads; read > most {
-		t.Errorf("%d read in %v, at most %d are allowed", read, took, most)
+	elapsed := time.Since(start)
+	if read, limit := link.Counters().Read, uint64(float64(elapsed)/float64(readInterval)+2)*maxReads; read > limit {
+		t.Errorf("%d datagrams were read in %v, want at most %d", read, elapsed, limit)
 	}
-	l.Close()
+	link.Close()
 	close(stop)
 	<-done
 }
 
-func FuzzRead(f *testing.F) {
+// Any datagram that unmarshal accepts can be processed by swim without a panic.
+func FuzzUnmarshal(f *testing.F) {
 	m := &swim.Message{
 		From: 1, Session: swim.Session{Incarnation: 7}, Kind: swim.Ack, Echo: 9,
 		Rumours: []swim.Rumour{{Member: 3, State: swim.Dead}},
@@ -279,25 +291,26 @@
 	)
 	f.Add(raw)
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		d, err := read(raw, 1)
+		d, err := unmarshal(raw, 1)
 		if err != nil {
 			return
 		}
-		host := quiet{}
-		n, err := swim.New(swim.Config{Size: 4, Incarnation: 1, Rand: rand.New(rand.NewPCG(1, 1)), Host: host})
+		host := discardHost{}
+		node, err := swim.New(swim.Config{Size: 4, Incarnation: 1, Rand: rand.New(rand.NewPCG(1, 1)), Host: host})
 		if err != nil {
 			t.Fatal(err)
 		}
-		n.Start(time.Hour)
+		node.Start(time.Hour)
 		for _, c := range d.Contact {
-			n.Receive(time.Hour, decode(int(d.From)-1, d.Life, c))
+			node.Receive(time.Hour, decode(int(d.From)-1, d.Life, c))
 		}
-		n.Tick(time.Hour + swim.Period)
-		n.Members(time.Hour + swim.Period)
+		node.Tick(time.Hour + swim.Period)
+		node.Members(time.Hour + swim.Period)
 	})
 }
 
-type quiet struct{}
+// discardHost is a swim.Host that ignores everything.
+type discardHost struct{}
 
-func (quiet) Send(int, *swim.Message) {}
-func (quiet) Changed(swim.Change)     {}
+func (discardHost) Send(int, *swim.Message) {}
+func (discardHost) Changed(swim.Change)     {}
--- a/internal/fleet/peer/receive.go
+++ b/internal/fleet/peer/receive.go
@@ -10,43 +10,45 @@
 	"caperarch/internal/fleet/swim"
 )
 
-// Handler handles what arrives from a member.
+// Handler handles the messages that a link receives; from is the sender's number.
 type Handler interface {
+	// Contact handles a message of swim.
 	Contact(from int, m *swim.Message)
-	// Decision returns an error if the message is malformed.
+	// Decision handles a message of replicatedstate. It returns an error if the message is malformed.
 	Decision(from int, message []byte) error
-	Hint(from int, silent []uint64)
+	// Hint handles the ids of servers that don't answer the sender.
+	Hint(from int, unresponsive []uint64)
 }
 
-// Read passes what arrives to a handler until the link is closed.
-func (l *Link) Read(to Handler) {
-	b := make([]byte, MaxDatagramBytes+1) // one byte more, to recognise longer ones
-	begun, reads := time.Now(), 0
+// Read passes the received messages to a handler until the link is closed.
+func (l *Link) Read(handler Handler) {
+	buffer := make([]byte, MaxDatagramBytes+1) // one byte more than allowed, so that longer datagrams are detected
+	intervalStart, reads := time.Now(), 0
 	for {
 		if reads++; reads > maxReads {
-			if rest := readInterval - time.Since(begun); rest > 0 {
-				time.Sleep(rest)
+			if remaining := readInterval - time.Since(intervalStart); remaining > 0 {
+				time.Sleep(remaining)
 			}
-			begun, reads = time.Now(), 1
+			intervalStart, reads = time.Now(), 1
 		}
-		n, from, err := l.conn.ReadFromUDPAddrPort(b)
+		n, from, err := l.conn.ReadFromUDPAddrPort(buffer)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err != nil { // some systems report a peer's ICMP errors here
+		if err != nil { // some operating systems report ICMP errors of earlier sends here
 			continue
 		}
-		l.handleDatagram(b[:n], netip.AddrPortFrom(from.Addr().Unmap(), from.Port()), to)
+		l.handleDatagram(buffer[:n], netip.AddrPortFrom(from.Addr().Unmap(), from.Port()), handler)
 	}
 }
 
-// handleDatagram handles one datagram.
-func (l *Link) handleDatagram(raw []byte, from netip.AddrPort, to Handler) {
+// handleDatagram checks a received datagram, counts it, and passes its messages to a handler.
+func (l *Link) handleDatagram(raw []byte, from netip.AddrPort, handler Handler) {
 	number, known := l.numbers[from]
-	var d *peerpb.Datagram
+	var datagram *peerpb.Datagram
 	err := errAddress
-	if known && number != l.cfg.Self { // first of all: an unknown sender costs a map lookup
-		if d, err = read(raw, l.fleet); err == nil && int(d.From)-1 != number {
+	if known && number != l.cfg.Self { // checked first, so that an unknown sender costs a map lookup only
+		if datagram, err = unmarshal(raw, l.fleet); err == nil && int(datagram.From)-1 != number {
 			err = errAddress
 		}
 	}
@@ -54,13 +56,13 @@
 	if err != nil {
 		return
 	}
-	for _, c := range d.Contact {
-		to.Contact(number, decode(number, d.Life, c))
+	for _, contact := range datagram.Contact {
+		handler.Contact(number, decode(number, datagram.Life, contact))
 	}
-	if d.Hint != nil {
-		to.Hint(number, d.Hint.Silent)
+	if datagram.Hint != nil {
+		handler.Hint(number, datagram.Hint.Silent)
 	}
-	if len(d.Decision) > 0 && to.Decision(number, d.Decision) != nil {
+	if len(datagram.Decision) > 0 && handler.Decision(number, datagram.Decision) != nil {
 		l.mu.Lock()
 		l.counters.Malformed++
 		l.mu.Unlock()
