--- a/internal/fleet/policy.go
+++ b/internal/fleet/policy.go
@@ -35,7 +35,7 @@
 	cfg replicatedstate.Config
 
 	mu    sync.Mutex            // guards the fields below, except machinesOut
-	node  *replicatedstate.Node // nil: not started, or start failed
+	node  *replicatedstate.Node // nil: not started, stopped, or start failed
 	link  *peer.Link            // nil: the peer address is not bound yet
 	store *state.Store          // nil: no state directory is configured
 	now   time.Duration         // time of the current call
