--- a/internal/proxy/front/http1/acceptor.go
+++ b/internal/proxy/front/http1/acceptor.go
@@ -11,25 +11,27 @@
 )
 
 const (
-	acceptBackoff    = 5 * time.Millisecond   // before the next attempt where the system is short of descriptors
-	maxSweepInterval = 500 * time.Millisecond // between two sweeps, while any connection is idle
+	acceptBackoff    = 5 * time.Millisecond   // wait before the next accept when the system is short of resources
+	maxSweepInterval = 500 * time.Millisecond // longest time between two sweeps while any connection is idle
 )
 
-// acceptor limits how many connections clients have open: they would take the descriptors that upstreams need, and
-// accepting would end in "too many open files". Its connTable decides which of them makes room. Below the limits none
-// is closed: that would only cross requests.
+// acceptor accepts client connections and limits how many are open. Without a limit the client connections would use
+// up the file descriptors that upstream connections need, and accept would fail with "too many open files". When the
+// limit is reached, the connTable decides which connection is closed. Below the limits no connection is closed,
+// because the close could cross a request that the client is just sending.
 //
-// A connection's state changes under the acceptor's lock, so that making room never closes it under a request: what is
-// read after its removal is discarded, and its client finds the connection closed and sends the request again.
+// A connection's state changes under the acceptor's lock, so eviction never closes a connection that has a complete
+// request open. Bytes read from a connection after its removal from the table are discarded: the client finds the
+// connection closed and sends the request again.
 type acceptor struct {
 	listener net.Listener
 	clock    clock.Clock
 
-	mu          sync.Mutex // guards listener, table, the connections' entries and sweepTimer
+	mu          sync.Mutex // guards listener, table, sweepTimer and the entry of each connection
 	table       connTable
 	sweepTimer  *time.Timer   // set while any connection is idle
-	mayHaveRoom chan struct{} // has an item if a connection may have closed or become idle
-	closed      chan struct{} // closed by close
+	mayHaveRoom chan struct{} // receives an item when a connection may have closed or become idle
+	closed      chan struct{} // closed by acceptor.close
 	closeOnce   sync.Once
 }
 
@@ -46,7 +48,8 @@
 	}
 }
 
-// accept waits for a client, and then for room if there is none. After close it returns net.ErrClosed.
+// accept waits for a client to connect, and then until the limits allow one more connection. It returns net.ErrClosed
+// after close.
 func (a *acceptor) accept() (*conn, error) {
 	raw, err := a.listener.Accept()
 	for ; err != nil; raw, err = a.listener.Accept() {
@@ -80,13 +83,15 @@
 	return c, nil
 }
 
-// isTemporary returns whether accepting may succeed later: the system is short of something, or a client has left.
+// isTemporary returns whether a later accept may succeed: the system is short of descriptors or memory, or the client
+// aborted its connection before it was accepted.
 func isTemporary(err error) bool {
 	return errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) || errors.Is(err, syscall.ECONNABORTED) ||
 		errors.Is(err, syscall.ENOBUFS) || errors.Is(err, syscall.ENOMEM)
 }
 
-// evictForNew makes room for one more connection, or returns how long to wait before another attempt.
+// evictForNew closes connections until the limits allow one more. If no connection may be closed yet, ok is false and
+// wait is the time until the next attempt.
 func (a *acceptor) evictForNew() (wait time.Duration, ok bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -95,11 +100,12 @@
 	return wait, ok
 }
 
-// sweep closes the connections that are idle beyond the limits, now and as long as any is idle: clients at a limit of
-// their own open no new ones that would cause a sweep. The caller holds the lock.
+// sweep closes the connections that have been idle for longer than the limits allow, and schedules the next sweep
+// while any connection is idle. The timer is needed because clients that have reached their own connection limit open
+// no new connection that would cause a sweep. The caller holds the lock.
 func (a *acceptor) sweep() {
 	if a.sweepTimer != nil {
-		return // one is due
+		return // the next sweep is already scheduled
 	}
 	removed, again := a.table.sweep(a.clock.Now())
 	closeConns(removed)
@@ -113,7 +119,9 @@
 	}
 }
 
-// closeConns closes connections that were removed from the table. One that is being read is only woken: it responds.
+// closeConns closes connections that were removed from the table. If a connection's goroutine is reading a request or
+// discarding input, only its read is interrupted: the goroutine sends the response of an unfinished request and
+// closes the connection itself.
 func closeConns(entries []*entry) {
 	for _, e := range entries {
 		if e.state == stateReading || e.state == stateLingering {
@@ -124,7 +132,7 @@
 	}
 }
 
-// setLimits replaces the limits on connections.
+// setLimits replaces the limits on client connections.
 func (a *acceptor) setLimits(limits ConnLimits) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -133,8 +141,8 @@
 	a.signalRoom()
 }
 
-// setListener sets where connections come from. It returns false if the acceptor was closed before, and has closed the
-// listener then.
+// setListener sets the listener that connections are accepted from. If the acceptor is already closed, it closes the
+// listener and returns false.
 func (a *acceptor) setListener(l net.Listener) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -148,7 +156,7 @@
 	}
 }
 
-// close ends accepting. Open connections stay open.
+// close closes the listener. Open connections stay open.
 func (a *acceptor) close() error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -159,21 +167,21 @@
 	return a.listener.Close()
 }
 
-// closeIdle closes the connections that have had no open request for minIdle.
+// closeIdle closes the connections that have had no open request for at least minIdle.
 func (a *acceptor) closeIdle(minIdle time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	closeConns(a.table.removeIdle(a.clock.Now(), minIdle))
 }
 
-// counters count the connections.
+// counters returns the current connection counts.
 func (a *acceptor) counters() Counters {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.table.counters()
 }
 
-// signalRoom wakes accept, and a drain.
+// signalRoom wakes accept, and Drain, which waits for the number of open connections to fall.
 func (a *acceptor) signalRoom() {
 	select {
 	case a.mayHaveRoom <- struct{}{}:
@@ -181,8 +189,8 @@
 	}
 }
 
-// markBusy records that a request has begun to come on a connection, or is complete. It returns false if the connection
-// was removed.
+// markBusy records that the first bytes of a request were received on a connection, or that its request is complete.
+// It returns false if the connection was removed from the table.
 func (a *acceptor) markBusy(c *conn) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -190,7 +198,7 @@
 	return !c.entry.removed
 }
 
-// markReading records that a part of a connection's request is still to come.
+// markReading records that a request was received in part and the connection waits for the rest.
 func (a *acceptor) markReading(c *conn) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -199,14 +207,14 @@
 	a.signalRoom()
 }
 
-// markProgress records that progressBytes of a connection's request came.
+// markProgress records that progressBytes more of a connection's request were received.
 func (a *acceptor) markProgress(c *conn) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.table.markProgress(a.clock.Now(), &c.entry)
 }
 
-// markLingering records that a connection has its last response while its client may still send.
+// markLingering records that the last response was sent on a connection whose client may still be sending.
 func (a *acceptor) markLingering(c *conn) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -216,7 +224,8 @@
 	a.signalRoom()
 }
 
-// markRequest records that a request of a connection can be accepted, and whose it is.
+// markRequest records that a connection has sent a request that passed its checks, and the owner (the target) of the
+// request.
 func (a *acceptor) markRequest(c *conn, o *owner) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -224,21 +233,21 @@
 	a.table.setOwner(&c.entry, o)
 }
 
-// overShare returns whether a connection ought to close with its next response: see connTable.overShare.
+// overShare returns whether a connection should close with its next response: see connTable.overShare.
 func (a *acceptor) overShare(c *conn) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.table.overShare(&c.entry)
 }
 
-// setShares divides the connections among owners by weight.
+// setShares divides the connections among the owners in proportion to their weights.
 func (a *acceptor) setShares(owners []*owner, weights []float64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.table.setShares(owners, weights)
 }
 
-// markIdle records that a connection's request has its response.
+// markIdle records that the request on a connection has its response, and that no other request is open on it.
 func (a *acceptor) markIdle(c *conn) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -247,7 +256,7 @@
 	a.signalRoom()
 }
 
-// remove records that a connection has closed.
+// remove removes a closed connection from the table.
 func (a *acceptor) remove(c *conn) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -255,7 +264,7 @@
 	a.signalRoom()
 }
 
-// isRemoved returns whether a connection was removed, be it to make room.
+// isRemoved returns whether a connection was removed from the table: it was evicted, or it has closed.
 func (a *acceptor) isRemoved(c *conn) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/proxy/front/http1/acceptor_test.go
+++ b/internal/proxy/front/http1/acceptor_test.go
@@ -7,8 +7,8 @@
 	"caperarch/internal/proxy/clock"
 )
 
-// At the limit a new connection waits for room; an idle connection makes it, one whose request has just been
-// read does not, and what comes on one that is closing is discarded.
+// At the connection limit, a new connection is accepted in place of an idle one. A connection whose request has just
+// been read stays open, and a request that is read on an evicted connection is not accepted.
 func TestAcceptorKeepsOpenRequests(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -30,16 +30,16 @@
 		}
 		return c
 	}
-	open, quiet := accept(), accept()
+	open, idle := accept(), accept()
 	if !a.markBusy(open) {
-		t.Fatal("a new connection is not in the table")
+		t.Fatal("markBusy returned false for a newly accepted connection, want true")
 	}
 	accept()
-	if open.entry.removed || !quiet.entry.removed || a.table.open != 2 {
-		t.Errorf("the open one closed: %v, the idle one: %v, %d open; want false, true, 2",
-			open.entry.removed, quiet.entry.removed, a.table.open)
+	if open.entry.removed || !idle.entry.removed || a.table.open != 2 {
+		t.Errorf("busy connection removed: %v, idle connection removed: %v, %d connections open; want false, true, 2",
+			open.entry.removed, idle.entry.removed, a.table.open)
 	}
-	if a.markBusy(quiet) {
-		t.Error("input of a closing connection is accepted")
+	if a.markBusy(idle) {
+		t.Error("markBusy returned true for an evicted connection, want false")
 	}
 }
--- a/internal/proxy/front/http1/body_reader.go
+++ b/internal/proxy/front/http1/body_reader.go
@@ -14,32 +14,35 @@
 	"caperarch/internal/proxy/stream"
 )
 
-// progressBytes is what a slow client that keeps to the rules sends in a quarter of a second. A connection on which
-// less comes in twice that is one of those that make room.
+// progressBytes is the number of received bytes after which a request counts as progressing. An acceptably slow
+// client sends this much in 250 ms. A connection that receives less than this within minIdleOverLimit[stateReading]
+// (500 ms) may be closed when too many requests are being read.
 const progressBytes = 16 << 10
 
-// bodyReader reads the body of one request from its client, in whatever form it comes. While it is read on another
-// goroutine (see call.Upload) the connection's own must not read: stop ends that.
+// bodyReader reads the body of one request from its client, in either framing: Content-Length or chunked. While
+// another goroutine reads the body (see call.Upload), the connection's own goroutine must not read from the
+// connection; stop ends the other goroutine's reads.
 type bodyReader struct {
 	conn        *conn
-	remaining   int64            // bytes of a body of known length that are still to come
-	decoder     *h1.ChunkDecoder // nil: the length is known
-	chunkBudget int64            // bytes that chunks may still bring; below 0: no limit
+	remaining   int64            // bytes still to be received of a body with Content-Length
+	decoder     *h1.ChunkDecoder // nil: the body has a Content-Length
+	chunkBudget int64            // bytes that the chunked body may still have; negative: no limit
 	stopped     atomic.Bool
 
-	mu       sync.Mutex // held while reading; guards the fields below
-	buffered []byte     // was read from the connection and not consumed yet
-	buffer   []byte     // that buffered is a part of; nil: none is needed now
-	done     bool       // the last byte was consumed
-	err      error      // why the body ended before that
+	mu       sync.Mutex // held during a read; guards the fields below
+	buffered []byte     // read from the connection but not consumed yet
+	buffer   []byte     // backing array of buffered; nil: not allocated
+	done     bool       // the last byte of the body was consumed
+	err      error      // why the body ended early
 }
 
 var (
-	errStopped     = errors.New("the request has its answer")
+	errStopped     = errors.New("request body read stopped: the reply was received before the end of the body")
 	errBodyTooLong = &h1.Error{Status: http.StatusRequestEntityTooLarge, Reason: "the body is too long"}
 )
 
-// newBodyReader makes a reader that goes on from what came with the head.
+// newBodyReader returns a reader of the body that follows a head. It takes over the bytes of the body that were read
+// together with the head.
 func (c *conn) newBodyReader(h *h1.Head) *bodyReader {
 	b := &bodyReader{conn: c, remaining: h.Length, chunkBudget: -1}
 	if h.Chunked {
@@ -56,11 +59,11 @@
 	return b
 }
 
-// Read reads the next bytes of the body, and waits for stream.StallTimeout at most.
+// Read reads the next bytes of the body. It waits at most stream.StallTimeout for them.
 func (b *bodyReader) Read(p []byte) (int, error) { return b.read(p, true) }
 
-// read reads the next bytes of the body. If stallTimeout is set it waits for stream.StallTimeout at most, otherwise
-// until the deadline that the connection has.
+// read reads the next bytes of the body. With stallTimeout it waits at most stream.StallTimeout for them, otherwise
+// until the read deadline that is set on the connection.
 func (b *bodyReader) read(p []byte, stallTimeout bool) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -92,7 +95,7 @@
 	}
 }
 
-// ended is why nothing more can be read, or nil.
+// ended returns the reason why no more bytes can be read, or nil.
 func (b *bodyReader) ended() error {
 	switch {
 	case b.done:
@@ -105,17 +108,17 @@
 	return nil
 }
 
-// setStallTimeout sets the deadline for the next bytes. It returns false if the reader was stopped.
+// setStallTimeout sets the read deadline for the next bytes. It returns false if the reader was stopped.
 func (b *bodyReader) setStallTimeout() bool {
-	if b.decoder != nil && len(b.buffer) < stream.WindowSize/2 { // more is to come than what is buffered
+	if b.decoder != nil && len(b.buffer) < stream.WindowSize/2 { // a long chunked body: use fewer, larger reads
 		b.buffer = make([]byte, stream.WindowSize/2)
 	}
 	_ = b.conn.netConn.SetReadDeadline(time.Now().Add(stream.StallTimeout))
-	return !b.stopped.Load() // or this deadline may have replaced the one that stop has set
+	return !b.stopped.Load() // the deadline set here may have replaced the expired deadline set by stop
 }
 
-// readDirectly reads from the connection into p, never more than the body's own bytes. It returns io.EOF with the last
-// ones.
+// readDirectly reads bytes of a body with Content-Length from the connection into p, and never reads past the end of
+// the body. It returns io.EOF together with the last bytes.
 func (b *bodyReader) readDirectly(p []byte) (int, error) {
 	n, err := b.conn.read(p[:min(int64(len(p)), b.remaining)])
 	if b.remaining -= int64(n); b.remaining == 0 {
@@ -128,7 +131,7 @@
 	return n, nil
 }
 
-// fillBuffer reads more bytes of chunks from the connection.
+// fillBuffer reads more bytes of a chunked body from the connection into the buffer.
 func (b *bodyReader) fillBuffer() {
 	if b.buffer == nil {
 		b.buffer = make([]byte, bufferSize)
@@ -139,14 +142,14 @@
 	}
 }
 
-// fail records why no more bytes come.
+// fail records the error that ended the body early. The end of the stream is recorded as io.ErrUnexpectedEOF.
 func (b *bodyReader) fail(err error) {
 	if b.err = err; errors.Is(err, io.EOF) || err == nil {
 		b.err = io.ErrUnexpectedEOF
 	}
 }
 
-// consume copies what is buffered of the body.
+// consume copies body bytes from the buffer to p, and decodes chunks on the way.
 func (b *bodyReader) consume(p []byte) (int, error) {
 	if b.decoder == nil {
 		n := copy(p[:min(int64(len(p)), b.remaining)], b.buffered)
@@ -158,7 +161,7 @@
 	n := 0
 	for n < len(p) && len(b.buffered) > 0 && !b.done {
 		window := b.buffered
-		if len(window) > len(p)-n { // never more than p has space for
+		if len(window) > len(p)-n { // decode no more than p has space for
 			window = window[:len(p)-n]
 		}
 		used, data, err := b.decoder.Next(window)
@@ -177,8 +180,8 @@
 	return n, nil
 }
 
-// readPrefix reads up to call.MaxBufferedBody bytes within the connection's deadline, and returns whether they are the
-// complete body.
+// readPrefix reads up to call.MaxBufferedBody bytes of the body before the connection's read deadline, and returns
+// whether these bytes are the complete body.
 func (b *bodyReader) readPrefix() (body []byte, complete bool, err error) {
 	body = make([]byte, 0, 2*bufferSize)
 	reported := 0
@@ -203,7 +206,8 @@
 	return body, b.done, nil
 }
 
-// stop ends reading on other goroutines and returns, once nobody reads, whether the complete body was read by then.
+// stop ends reads on other goroutines. When it returns, no goroutine reads the body any more; complete says whether
+// the body was read to its end by then.
 func (b *bodyReader) stop() (complete bool) {
 	b.stopped.Store(true)
 	_ = b.conn.netConn.SetReadDeadline(time.Unix(1, 0))
@@ -212,7 +216,8 @@
 	return b.done
 }
 
-// returnUnread gives what was read beyond the body's last byte back to the connection.
+// returnUnread gives the bytes that were read past the end of the body back to the connection: they are the beginning
+// of the next request.
 func (b *bodyReader) returnUnread() {
 	c := b.conn
 	_ = c.netConn.SetReadDeadline(time.Time{})
@@ -223,7 +228,7 @@
 	b.buffered, b.buffer = nil, nil
 }
 
-// discardRest reads and discards the rest of the body. It returns false if the rest did not come.
+// discardRest reads the rest of the body and discards it. It returns false if the body ended early.
 func (b *bodyReader) discardRest() bool {
 	p := stream.AcquireWindow()
 	defer stream.ReleaseWindow(p)
@@ -234,8 +239,8 @@
 	}
 }
 
-// rejectionFor is the rejection of a request whose body can't be read; nil: its client left, and there is nobody to
-// respond to.
+// rejectionFor returns the rejection of a request whose body can't be read. It returns nil if the client has left,
+// because there is nobody to respond to.
 func (b *bodyReader) rejectionFor(err error) *Rejection {
 	if malformed := (*h1.Error)(nil); errors.As(err, &malformed) {
 		return &Rejection{Status: malformed.Status, Reason: malformed.Reason}
--- a/internal/proxy/front/http1/buffers.go
+++ b/internal/proxy/front/http1/buffers.go
@@ -6,10 +6,11 @@
 	"caperarch/internal/proxy/h1"
 )
 
-// bufferSize holds the head and body of nearly all requests. Longer heads get a larger buffer.
+// bufferSize is the size of an input buffer in bytes. Nearly all requests fit with head and body; a longer head gets
+// a larger buffer.
 const bufferSize = 4 << 10
 
-// buffers are what a connection needs while a request is open. An idle one has none.
+// buffers is the memory that a connection needs while a request is open. An idle connection holds no buffers.
 type buffers struct {
 	in     []byte
 	out    []byte
@@ -17,16 +18,16 @@
 	parser h1.Parser
 }
 
-// buffersPool has those that no connection uses. There are never more in use than connections.
+// buffersPool holds the buffers that no connection uses. At most one set of buffers per connection is in use.
 var buffersPool = sync.Pool{New: func() any {
 	return &buffers{in: make([]byte, bufferSize), out: make([]byte, 0, bufferSize)}
 }}
 
-func takeBuffers() *buffers { return buffersPool.Get().(*buffers) }
+func acquireBuffers() *buffers { return buffersPool.Get().(*buffers) }
 
 func (b *buffers) release() {
 	if len(b.in) > bufferSize {
-		b.in = make([]byte, bufferSize) // one long head must not keep its memory for good
+		b.in = make([]byte, bufferSize) // the pool keeps no memory of a single long head
 	}
 	if cap(b.out) > 2*bufferSize {
 		b.out = make([]byte, 0, bufferSize)
--- a/internal/proxy/front/http1/conn.go
+++ b/internal/proxy/front/http1/conn.go
@@ -13,46 +13,47 @@
 	"caperarch/internal/proxy/stream"
 )
 
-// conn is one connection of a client. One goroutine serves it (see Front.serve) and owns all fields but those that say
-// otherwise. While it is idle it has no buffers: it waits in the poller and takes some with the first byte.
+// conn is one client connection. One goroutine serves it (see Front.serve) and owns all fields, except where a
+// field's comment names a lock or other goroutines. An idle connection holds no buffers: its goroutine waits in the
+// runtime's network poller and acquires buffers when the first bytes of a request are received.
 type conn struct {
 	netConn  net.Conn
-	rawConn  syscall.RawConn // nil: not a socket
-	fd       int32           // set once by the watcher
+	rawConn  syscall.RawConn // nil: the connection is not a socket
+	fd       int32           // file descriptor, set once by the watcher
 	front    *Front
 	acceptor *acceptor
-	entry    entry // guarded by the acceptor's lock
+	entry    entry // the connection's entry in the connTable; guarded by the acceptor's lock
 
-	buffers      *buffers // nil: idle
-	unreadStart  int      // buffers.in[unreadStart:unreadEnd] has been read from the client but not parsed
+	buffers      *buffers // nil: the connection is idle
+	unreadStart  int      // buffers.in[unreadStart:unreadEnd] is read from the client but not parsed yet
 	unreadEnd    int
-	firstReadErr error                 // error of the last read of a request's first bytes
-	receivedAt   time.Duration         // when the last part of a request that came in parts arrived; 0: it came at once
-	tryFirstRead func(fd uintptr) bool // readFirstNonblocking, bound once so that a read does not allocate
+	firstReadErr error                 // error of the last read for the first bytes of a request
+	receivedAt   time.Duration         // when the last part of a request was received; 0: it came in one part
+	tryFirstRead func(fd uintptr) bool // readFirstNonblocking, bound once to avoid an allocation per read
 
-	// Where several targets share the front, see readPermits:
-	target           *Target      // target of the last request; nil: none yet
-	permitGranted    chan bool    // receives one item when a permit is granted: whether it is a spare one
-	permits          *readPermits // where the permit held now comes from; nil: none is held
-	permitFlow       int          // flow that asked for it
-	sparePermit      bool         // it is a spare one
-	bytesUnderPermit int          // bytes read under it
-	permitSince      time.Duration
+	// Used where several targets share the front, see readPermits:
+	target           *Target       // target of the last request; nil: no request yet
+	permitGranted    chan bool     // receives an item when a permit is granted: true for a spare permit
+	permits          *readPermits  // source of the permit that is held; nil: no permit is held
+	permitFlow       int           // flow that the permit was requested for
+	sparePermit      bool          // the permit is a spare one
+	bytesUnderPermit int           // bytes read while the permit is held
+	permitSince      time.Duration // when the permit was acquired
 
-	metrics *metrics.Class // what the current response counts for; nil: nothing
+	metrics *metrics.Class // metrics that count the outcome of the current response; nil: not counted
 
 	// Pipelining, see pipelining.go:
-	pipeline             *pipeline     // nil: nothing was read ahead since the connection was idle
-	pipelinable          bool          // the current request may be open together with others
-	dataArrived          chan struct{} // has an item if notifyOnData and bytes may have come; nil: never pipelines
-	notifyOnData         bool          // the watcher reports bytes, not only a hangup
-	mayHaveUnread        bool          // bytes may be in the kernel's buffer
-	sawReset             bool          // a look for such bytes found a reset, which the system reports once
-	firstReadWaited      bool          // the first bytes of a request were not there yet when they were looked for
-	unpipelinedResponses int           // responses in a row that no request had come behind
-
-	hasUnrecordedRead atomic.Bool   // bytes were read that the connTable may not know of; any goroutine may look
-	hangup            chan struct{} // closed by the watcher when the client may have gone
+	pipeline             *pipeline     // nil: no request was read ahead since the connection was last idle
+	pipelinable          bool          // the current request may be open together with other requests of this connection
+	dataArrived          chan struct{} // receives an item when bytes may have arrived; nil: no pipelining
+	notifyOnData         bool          // the watcher reports arrived bytes in addition to hangups
+	mayHaveUnread        bool          // the kernel's receive buffer may hold unread bytes
+	sawReset             bool          // readAvailable found a connection reset, which the system reports only once
+	firstReadWaited      bool          // the goroutine had to wait for the first bytes of the request
+	unpipelinedResponses int           // consecutive responses with no further request received behind them
+
+	hasUnrecordedRead atomic.Bool   // bytes were read that the connTable may not know of yet; any goroutine may read it
+	hangup            chan struct{} // closed by the watcher when the client may have left
 	hangupOnce        sync.Once
 }
 
@@ -67,7 +68,7 @@
 	return c
 }
 
-// serve answers a connection's requests, one after the other, until one side closes it.
+// serve serves the requests of a connection one after the other, until the client or the proxy closes it.
 func (f *Front) serve(c *conn) {
 	c.front = f
 	if d := f.cfg.Dialect; d != nil && d.CanPipeline != nil && c.rawConn != nil {
@@ -75,7 +76,7 @@
 	}
 	f.watcher.add(c)
 	defer func() {
-		if r := recover(); r != nil { // a fault in one request must not end all others
+		if r := recover(); r != nil { // a panic in one request must not end the process and all other requests
 			f.logPanic(r)
 		}
 		f.watcher.remove(c)
@@ -84,7 +85,7 @@
 		if c.buffers != nil {
 			c.buffers.release()
 		}
-		c.netConn.Close() // before it leaves the table, which says how many descriptors are free
+		c.netConn.Close() // before remove, so that a free place in the table means a free descriptor
 		c.acceptor.remove(c)
 	}()
 	for c.serveNext() {
@@ -95,7 +96,7 @@
 	f.cfg.Log.Error("connection goroutine panicked", "panic", r, "stack", string(debug.Stack()))
 }
 
-// serveNext reads one request and answers it. It returns false if the connection has to be closed.
+// serveNext reads one request and responds to it. It returns false if the connection has to be closed.
 func (c *conn) serveNext() bool {
 	defer c.releasePermit()
 	c.metrics, c.receivedAt, c.pipelinable = nil, 0, false
@@ -103,18 +104,18 @@
 		return c.finishRequest(c.serveOldestPipelined())
 	}
 	c.resumePipeline()
-	if c.unreadStart == c.unreadEnd { // otherwise the next request's bytes came with the last one's
+	if c.unreadStart == c.unreadEnd { // otherwise bytes of this request were read together with the previous request
 		c.unreadStart, c.unreadEnd = 0, 0
 		if !c.readFirst() {
 			return false
 		}
 	}
-	c.acquirePermit()              // a request that came behind another waits for a permit too
+	c.acquirePermit()              // bytes that came with the previous request skipped readFirst and its permit
 	arrived := c.front.clock.Now() // the client's timeout began when it sent the request
 	listed := c.acceptor.markBusy(c)
 	c.hasUnrecordedRead.Store(false)
 	if !listed {
-		return false // closed to make room: its client finds the request unread and sends it again
+		return false // the connection was evicted; the client sees its request unread and sends it again
 	}
 	size, ok := c.readHead()
 	if !ok {
@@ -128,13 +129,13 @@
 	return c.finishRequest(c.serveRequest(h, arrived))
 }
 
-// finishRequest ends a request and returns whether its connection stays open.
+// finishRequest ends a request, and returns whether its connection stays open.
 func (c *conn) finishRequest(answered bool) bool {
 	switch {
 	case !answered:
 		return false
 	case c.buffers.head.Close && c.hasPipelined():
-		// Its client is likely to go on sending, and a reset would cost it the response.
+		// The client is likely to send more, and a connection reset would make it lose the response.
 		c.cancelPipelined()
 		c.lingeringClose(rejectLinger, maxLingerBytes)
 		return false
@@ -150,19 +151,19 @@
 	return true
 }
 
-// signalHangup reports that the client may have ended its side. The watcher calls it.
+// signalHangup reports that the client may have closed its side of the connection. The watcher calls it.
 func (c *conn) signalHangup() { c.hangupOnce.Do(func() { close(c.hangup) }) }
 
-// clientState is what a connection shows of its client.
+// clientState is the state of a client as far as its connection shows it.
 type clientState int
 
 const (
-	clientPresent   clientState = iota // or it has sent what is not read yet
-	clientEndedSide                    // it sends nothing more, and may still read
-	clientReset                        // it neither sends nor reads any more
+	clientPresent   clientState = iota // the client has not closed its side, or bytes that it sent are still unread
+	clientEndedSide                    // the client closed its sending side; it may still read responses
+	clientReset                        // the client reset the connection; it neither sends nor reads any more
 )
 
-// clientState returns the state of a client that may have gone.
+// clientState returns the state of a client that the watcher reported as possibly gone.
 func (c *conn) clientState() clientState {
 	if c.sawReset {
 		return clientReset
@@ -183,8 +184,9 @@
 	return state
 }
 
-// clientGone returns whether a client that may have gone has: it reset the connection, or ended its side with all that
-// it sent read. Where a further request, or a part of one, is unread it still waits for the responses before that.
+// clientGone returns whether the client has left: it reset the connection, or it closed its sending side and all that
+// it sent is read. A client with an unread request, or an unread part of one, still waits for the responses to the
+// requests before it.
 func (c *conn) clientGone() bool {
 	switch c.clientState() {
 	case clientReset:
@@ -195,9 +197,9 @@
 	return false
 }
 
-// leftAlready returns whether the client of a request that was not forwarded yet has gone. It costs nothing while the
-// watcher has told of no hangup.
-func (c *conn) leftAlready() bool {
+// clientAlreadyGone returns whether the client left before its request was forwarded. It makes no system call unless
+// the watcher has reported a hangup.
+func (c *conn) clientAlreadyGone() bool {
 	select {
 	case <-c.hangup:
 		return c.clientGone()
--- a/internal/proxy/front/http1/conn_limits.go
+++ b/internal/proxy/front/http1/conn_limits.go
@@ -2,35 +2,36 @@
 
 import "time"
 
-// connState is what a connection is doing or, while it is idle, what it has been used for so far. The order matters:
-// where there is no room, connections are closed in this order.
+// connState is what a connection is doing or, while it is idle, what it was used for so far. The order matters: when
+// a new connection needs room, connections are closed in this order.
 type connState int
 
 const (
-	stateLingering   connState = iota // it has its last response; what its client still sends is discarded
-	stateNew                          // nothing was requested yet
-	stateReading                      // a part of its request is here, the rest is still to come
-	stateHealthCheck                  // idle; nothing but GET /up was requested
+	stateLingering   connState = iota // the last response was sent; further input of the client is discarded
+	stateNew                          // no request was received yet
+	stateReading                      // a request was received in part, the rest is still to come
+	stateHealthCheck                  // idle; only GET /up was requested
 	stateUsedOnce                     // idle after one request
-	stateReused                       // idle after more than one: its client comes back to it
+	stateReused                       // idle after two or more requests: the client reuses the connection
 	stateCount
 )
 
-// minIdleTime is how long a connection with no open request is left alone where room is short. Were it longer, clients
-// that open a connection for each request and keep the old ones would hold up all others.
+// minIdleTime is how long a connection without an open request stays open when room is short. A longer time would let
+// clients that open a connection per request and keep the old ones delay all other clients.
 const minIdleTime = 100 * time.Millisecond
 
-// newConnGrace is how long a drain leaves a connection alone on which nothing was requested: its request, or its
-// client's look at /up, is on its way.
+// newConnGrace is how long a drain keeps a connection on which no request was received: the first request, or a GET
+// /up, may be in transit.
 const newConnGrace = 500 * time.Millisecond
 
-// maxIdleOverShare is how long a connection is left idle at most where a limit is met and its owner has more than its
-// share.
+// maxIdleOverShare is the longest time that a connection may be idle when a limit is reached and the connection's
+// owner has more than its share.
 const maxIdleOverShare = 50 * time.Millisecond
 
 var (
-	// minIdleOverLimit is how long a connection has to be in a state before it may be closed because too many are in
-	// that state. One that is being read is given longer: what comes late may be late for our own lack of CPU.
+	// minIdleOverLimit is how long a connection must have been in a state before it may be closed because too many
+	// connections are in that state. A connection that is being read gets longer, because late input may be caused by
+	// the proxy's own lack of CPU.
 	minIdleOverLimit = [stateCount]time.Duration{
 		stateLingering:   minIdleTime,
 		stateNew:         minIdleTime,
@@ -39,7 +40,8 @@
 		stateUsedOnce:    minIdleTime,
 		stateReused:      time.Second,
 	}
-	// minIdleWhenFull is the same where there is no room for a new connection.
+	// minIdleWhenFull is how long a connection must have been in a state before it may be closed because a new
+	// connection needs its place.
 	minIdleWhenFull = [stateCount]time.Duration{
 		stateLingering:   20 * time.Millisecond,
 		stateNew:         minIdleTime,
@@ -48,8 +50,8 @@
 		stateUsedOnce:    minIdleTime,
 		stateReused:      minIdleTime,
 	}
-	// defaultMaxIdle is how long a connection is left in a state where there is room. (Reading and lingering have
-	// deadlines of their own.)
+	// defaultMaxIdle is how long a connection may stay in a state while there is room. Reading and lingering
+	// connections also have read deadlines.
 	defaultMaxIdle = [stateCount]time.Duration{
 		stateLingering:   time.Minute,
 		stateNew:         2200 * time.Millisecond,
@@ -60,15 +62,16 @@
 	}
 )
 
-// ConnLimits bound the number of clients' connections.
+// ConnLimits are the limits on the number of client connections.
 type ConnLimits struct {
-	Max         int             // in all; a further one waits
-	MaxIdle     [stateCount]int // with no complete request open, by state; beyond that those longest so are closed
-	maxUpstream int             // connections that the application may open on its side; 0: unknown
+	Max         int             // of all connections; a further connection waits until one closes
+	MaxIdle     [stateCount]int // without a complete open request, by state; the longest in a state are closed first
+	maxUpstream int             // connections that the application may open to the proxy; 0: unknown
 }
 
-// NewConnLimits are the limits for maxConns connections in all, of which the application may open so many on its own
-// side. Idle ones are left no more than half of the application's, so that half is always free for what it opens.
+// NewConnLimits returns limits of maxConns connections in all, for an application that may open the given number of
+// connections to the proxy. Idle connections take at most half of the application's connections, so the other half is
+// always available for new ones.
 func NewConnLimits(maxConns, application int) ConnLimits {
 	fraction := func(divisor int) int { return max(2, application/divisor) }
 	return ConnLimits{Max: maxConns, maxUpstream: application, MaxIdle: [stateCount]int{
@@ -81,9 +84,10 @@
 	}}
 }
 
-// KeepAliveConnLimits are the limits for maxConns connections in all whose clients are free to keep them idle as long
-// as RequestLimits say: an idle one is closed sooner only where a new one needs its place. Reading and lingering have
-// limits all the same: bodies that come a byte at a time must not occupy all connections.
+// KeepAliveConnLimits returns limits of maxConns connections in all, for clients that may keep connections idle for
+// as long as RequestLimits allow: an idle connection is closed sooner only if a new connection needs its place.
+// Reading and lingering connections are limited as well, so that bodies sent one byte at a time can't occupy all
+// connections.
 func KeepAliveConnLimits(maxConns int) ConnLimits {
 	return ConnLimits{Max: maxConns, MaxIdle: [stateCount]int{
 		stateLingering:   max(2, maxConns/8),
@@ -95,19 +99,20 @@
 	}}
 }
 
-// perProcess are the limits of one of several processes that serve the same clients. There is one application, whatever
-// process it connects to: each process must have room for all that the application may open, and idle connections are
-// limited as ever. With only half of all, what an application in need opens to the new process beyond that would stand
-// unaccepted until the old process has sent its last responses.
+// perProcess returns the limits for one of several processes that serve the same clients. All processes serve the
+// same application, which may open all of its connections to any of them, so each process must have room for all of
+// these; the limits on idle connections don't change. With an equal part of Max only, connections that the
+// application opens to a new process beyond that part would stay unaccepted until the old process has sent its last
+// responses.
 func (l ConnLimits) perProcess(processes int) ConnLimits {
 	l.Max = max(1, l.Max/max(1, processes), min(l.Max, l.maxUpstream))
 	return l
 }
 
-// Counters count the clients' connections, for the log: the fields' names are keys there. Rest and Closed count by
-// state, in the order of connState.
+// Counters are counts of client connections for the log. The field names are log keys. Rest and Closed are indexed by
+// connState.
 type Counters struct {
-	Open, Most int                // open now, and at once so far
-	Rest       [stateCount]int    // with no complete request open
-	Closed     [stateCount]uint64 // closed to make room
+	Open, Most int                // connections open now, and the most open at once so far
+	Rest       [stateCount]int    // connections without a complete open request
+	Closed     [stateCount]uint64 // connections closed to make room
 }
--- a/internal/proxy/front/http1/conn_read.go
+++ b/internal/proxy/front/http1/conn_read.go
@@ -12,7 +12,8 @@
 	"caperarch/internal/proxy/stream"
 )
 
-// readFirst waits for the first bytes of a request. The connection holds no buffers until they are here.
+// readFirst waits for the first bytes of a request and reads them. Until bytes are received, the connection holds no
+// buffers.
 func (c *conn) readFirst() bool {
 	if c.buffers != nil {
 		c.buffers.release()
@@ -20,13 +21,13 @@
 	}
 	c.releasePipeline()
 	if c.rawConn == nil {
-		c.buffers = takeBuffers()
+		c.buffers = acquireBuffers()
 		n, err := c.netConn.Read(c.buffers.in)
 		c.unreadStart, c.unreadEnd = 0, n
 		return err == nil && n > 0
 	}
 	c.firstReadWaited = false
-	if c.front.readPermits.Load() != nil { // it waits for a permit with the bytes in the kernel's buffer
+	if c.front.readPermits.Load() != nil { // the bytes stay in the kernel's buffer until the connection has a permit
 		if c.rawConn.Read(c.hasInput) != nil {
 			return false
 		}
@@ -41,9 +42,10 @@
 	return c.firstReadErr == nil && c.unreadEnd > 0
 }
 
-// readFirstNonblocking reads what is there into buffers that it takes for that. It returns false if there is nothing.
+// readFirstNonblocking reads the available bytes into newly acquired buffers. It returns false, and holds no buffers,
+// if no bytes are available.
 func (c *conn) readFirstNonblocking(fd uintptr) bool {
-	b := takeBuffers()
+	b := acquireBuffers()
 	c.hasUnrecordedRead.Store(true)
 	for {
 		n, err := syscall.Read(int(fd), b.in)
@@ -61,25 +63,26 @@
 	}
 }
 
-// hasInput returns whether there is something to read, the end of the stream included.
+// hasInput returns whether a read would not block: bytes, the end of the stream or an error can be read.
 func (c *conn) hasInput(fd uintptr) bool {
 	_, err := stream.Peek(fd)
 	return !errors.Is(err, syscall.EAGAIN)
 }
 
-// hasUnrecordedInput returns whether bytes are here that the connTable does not know of. Any goroutine may call it.
+// hasUnrecordedInput returns whether bytes were received that the connTable does not know of. Any goroutine may call
+// it.
 func (c *conn) hasUnrecordedInput() bool {
 	if c.rawConn == nil {
 		return false
 	}
 	n := 0
 	err := c.rawConn.Control(func(fd uintptr) { n, _ = stream.Peek(fd) })
-	// In this order: whoever takes the bytes out of the kernel's buffer has set hasUnrecordedRead before.
+	// The order of the two checks matters: hasUnrecordedRead is set before bytes are read from the kernel's buffer.
 	return err == nil && (n > 0 || c.hasUnrecordedRead.Load())
 }
 
-// read reads what comes next. What is already there is read under the permit, if one is held; the permit is given
-// back while there is nothing.
+// read reads the next bytes. Bytes that are already available are read under the permit, if the connection holds one.
+// If none are available, the permit is released during the wait.
 func (c *conn) read(p []byte) (int, error) {
 	if c.permits == nil || c.rawConn == nil {
 		return c.netConn.Read(p)
@@ -104,11 +107,11 @@
 	return n, err
 }
 
-// readHead reads a request's head and returns its size in bytes. A head that can't be read is rejected.
+// readHead reads the head of a request and returns its size in bytes. It rejects a malformed or oversized head.
 func (c *conn) readHead() (size int, ok bool) {
 	b, limits := c.buffers, c.front.requestLimits()
 	b.parser.SetLimit(limits.headBytes())
-	b.head = h1.Head{Fields: b.head.Fields[:0]} // a rejection must not go by the last request's head
+	b.head = h1.Head{Fields: b.head.Fields[:0]} // a rejection must not use the previous request's head
 	inParts := false
 	for {
 		n, err := b.parser.Parse(b.in[c.unreadStart:c.unreadEnd], &b.head)
@@ -122,7 +125,7 @@
 			}
 			return n, true
 		}
-		if !inParts { // what doesn't come at once must not occupy a connection for ever
+		if !inParts { // a head that is not complete at once must not occupy the connection forever
 			inParts = true
 			_ = c.netConn.SetReadDeadline(time.Now().Add(cmp.Or(limits.HeadTime, headTimeout)))
 			c.acceptor.markReading(c)
@@ -139,12 +142,12 @@
 	}
 }
 
-// growInput ensures that there is space in the input buffer behind the unread bytes, which are fewer than the maxBytes
-// of the longest head.
+// growInput ensures free space in the input buffer behind the unread bytes. There are fewer unread bytes than
+// maxBytes, the size of the longest head.
 func (c *conn) growInput(maxBytes int) {
 	b := c.buffers
 	switch {
-	case c.unreadStart > 0: // pipelined bytes move to the front
+	case c.unreadStart > 0: // pipelined bytes move to the start of the buffer
 		c.unreadEnd = copy(b.in, b.in[c.unreadStart:c.unreadEnd])
 		c.unreadStart = 0
 	case c.unreadEnd == len(b.in):
@@ -153,8 +156,8 @@
 	}
 }
 
-// timeoutRejection is why a request that did not come in time is rejected: its own fault, unless its connection had to
-// make room for others.
+// timeoutRejection returns the rejection of a request that was not received in time: tooManyReads if the connection
+// was evicted to make room, the given rejection otherwise.
 func (c *conn) timeoutRejection(otherwise *Rejection) *Rejection {
 	if c.acceptor.isRemoved(c) {
 		return tooManyReads()
@@ -162,8 +165,9 @@
 	return otherwise
 }
 
-// finishSlowRead ends reading a request, or its head, that came in parts. It returns false if the connection had to
-// make room meanwhile: then the request is rejected, as the client may have sent its last byte by now.
+// finishSlowRead ends reading a request, or its head, that was received in parts. If the connection was evicted
+// meanwhile, it rejects the request and returns false: the client may have sent the last byte by now and expects a
+// response.
 func (c *conn) finishSlowRead() bool {
 	c.receivedAt = c.front.clock.Now()
 	_ = c.netConn.SetReadDeadline(time.Time{})
@@ -174,6 +178,7 @@
 	return false
 }
 
+// tooManyReads returns the rejection of a request whose connection was evicted while the request was being read.
 func tooManyReads() *Rejection {
 	return &Rejection{Status: http.StatusServiceUnavailable, Reason: "too many requests are being read"}
 }
--- a/internal/proxy/front/http1/conn_table.go
+++ b/internal/proxy/front/http1/conn_table.go
@@ -6,52 +6,55 @@
 	"time"
 )
 
-// newConnReserve is the fraction of all connections that owners' shares leave for connections on which nothing was
-// requested yet.
+// newConnReserve is the fraction of all connections that the owners' shares leave for connections on which no request
+// was received yet.
 const newConnReserve = 1.0 / 8
 
-// connTable decides which connection of a client is closed where room is short. It does no I/O, time is passed in, and
-// its caller ensures that one goroutine uses it at a time.
+// connTable decides which client connection is closed when room is short. It does no I/O; its caller passes the time
+// in and ensures that one goroutine uses it at a time.
 //
-// Our descriptors are one limit. The other is the application's own: it may open only so many connections to us, and
-// those that are idle, never used or used once and never again, take the places of requests on its side of the wire,
-// where nothing of ours shows it (incident r44c533: 128 idle, no request open, half of the requests never sent).
-// Therefore each state of idle connections has a limit of its own, far below that of all. So have those that are being
-// read: bodies that come a byte at a time must not take the places of requests that could be served.
+// The proxy's file descriptors are one limit. The other limit is the application's own: the application may open only
+// a fixed number of connections to the proxy. Its idle connections (never used, or used once and never again) take
+// the places of new requests on the application's side, where the proxy can't see it. In incident r44c533, 128
+// connections were idle, no request was open, and half of the requests were never sent. Therefore each idle state has
+// a limit of its own, far below the limit on all connections. The reading state has one too: bodies sent one byte at
+// a time must not take the places of requests that could be served.
 type connTable struct {
 	limits    ConnLimits
 	open      int
-	idle      [stateCount]list.List // of *entry with no complete request open, by state, longest first
+	idle      [stateCount]list.List // of *entry without a complete open request, by state, longest in the state first
 	counts    Counters
-	hasShares bool // owners have shares
+	hasShares bool // setShares has divided the connections among owners
 
-	// hasUnrecordedInput returns whether something has come on an idle connection that the table does not know of yet:
-	// unread in the kernel's buffer, or read and on its way to markBusy. It is not idle then, we are late. nil: nothing
-	// ever has.
+	// hasUnrecordedInput returns whether bytes were received on an idle connection that the table does not know of
+	// yet: unread in the kernel's buffer, or read but not recorded by markBusy yet. Such a connection is not idle,
+	// the proxy is late. nil: no connection ever has such bytes.
 	hasUnrecordedInput func(*entry) bool
-	// requestLimits are the current ones. nil: defaultMaxIdle holds.
+	// requestLimits returns the current limits. nil: defaultMaxIdle applies.
 	requestLimits func() RequestLimits
 }
 
 // entry is a connection in the table.
 type entry struct {
 	conn        *conn
-	use         connState     // state it takes when it is idle: by what was requested on it so far
-	owner       *owner        // of its last request; nil: none
-	state       connState     // the list that element is in
-	element     *list.Element // nil: a complete request is open, or it was removed
-	since       time.Duration // when it came into that list
-	idleTimeout time.Duration // the limit that was current then; 0: none
+	use         connState     // state that the connection takes when it becomes idle, by the requests on it so far
+	owner       *owner        // owner of the last request; nil: none
+	state       connState     // index in connTable.idle of the list that holds element
+	element     *list.Element // nil: a complete request is open, or the connection was removed
+	since       time.Duration // when the connection was put into that list
+	idleTimeout time.Duration // limit in force at that time; 0: none
 	removed     bool
 }
 
-// owner is what connections belong to: a target whose requests come on them. The table's lock guards it.
+// owner counts the connections of one target. A connection belongs to the target of its last request. The lock of the
+// table guards owners.
 type owner struct {
-	count int // of its connections
-	share int // that it may have where room is short; it may also use what others leave
+	count int // connections of the owner
+	share int // connections the owner is entitled to when room is short; it may use those that others leave
 }
 
-// setShares divides the connections among owners by weight. Without owners there are no shares.
+// setShares divides the connections among the owners in proportion to their weights. Without owners there are no
+// shares.
 func (t *connTable) setShares(owners []*owner, weights []float64) {
 	t.hasShares = len(owners) > 0
 	sum := 0.0
@@ -63,7 +66,7 @@
 	}
 }
 
-// setOwner records whose request came last on a connection.
+// setOwner records the owner of the last request on a connection.
 func (t *connTable) setOwner(e *entry, o *owner) {
 	if e.owner == o || e.removed {
 		return
@@ -75,8 +78,8 @@
 	e.owner = o
 }
 
-// overShare returns whether a connection's owner has more than its share while room is short: the connection ought to
-// close with its next response, so that the reserve is free when new connections come. That loses no request.
+// overShare returns whether a connection's owner has more than its share while room is short. Such a connection
+// should close with its next response, which loses no request and keeps the reserve free for new connections.
 func (t *connTable) overShare(e *entry) bool {
 	if !t.hasShares || e.owner == nil || e.owner.count <= e.owner.share {
 		return false
@@ -84,7 +87,7 @@
 	return float64(t.open) > float64(t.limits.Max)*(1-newConnReserve)
 }
 
-// idleTimeout is how long a connection may be idle by the current limits; 0: they do not say.
+// idleTimeout returns how long a connection may be idle by the current RequestLimits; 0: they set no limit.
 func (t *connTable) idleTimeout() time.Duration {
 	if t.requestLimits == nil {
 		return 0
@@ -92,7 +95,7 @@
 	return t.requestLimits().IdleTime
 }
 
-// maxIdle is how long a connection is left in a state where there is room.
+// maxIdle returns how long a connection may stay in a state while there is room.
 func (t *connTable) maxIdle(e *entry, s connState) time.Duration {
 	switch {
 	case t.requestLimits == nil || s == stateLingering:
@@ -103,8 +106,8 @@
 	return cmp.Or(max(e.idleTimeout, t.idleTimeout()), defaultMaxIdle[s])
 }
 
-// sweep removes the connections that are idle beyond the limits and returns them; the caller closes them. If some stay
-// idle, again is when the next sweep is due at the latest; 0: none do.
+// sweep removes the connections that have been idle for longer than the limits allow and returns them; the caller
+// closes them. again is the time until the next sweep is due, or 0 if no connection is idle.
 func (t *connTable) sweep(now time.Duration) (removed []*entry, again time.Duration) {
 	for s := range stateCount {
 		for t.idle[s].Len() > 0 {
@@ -125,8 +128,8 @@
 	return removed, again
 }
 
-// evictForNew makes room for one more connection: it removes the ones to close for that, or, if there are none, returns
-// how long to wait before another attempt.
+// evictForNew makes room for one more connection. It returns the removed connections for the caller to close. If no
+// connection may be removed yet, ok is false and wait is the time until the next attempt.
 func (t *connTable) evictForNew(now time.Duration) (removed []*entry, wait time.Duration, ok bool) {
 	removed, _ = t.sweep(now)
 	if t.open < t.limits.Max {
@@ -145,8 +148,8 @@
 	return removed, wait, false
 }
 
-// removeIdle removes the connections that have had no open request for minIdle. One whose first request may be on its
-// way is left for newConnGrace.
+// removeIdle removes the connections that have had no open request for minIdle, and returns them. A new connection
+// stays for at least newConnGrace, because its first request may be in transit.
 func (t *connTable) removeIdle(now, minIdle time.Duration) (removed []*entry) {
 	for s := range stateCount {
 		if s == stateReading || s == stateLingering {
@@ -170,10 +173,11 @@
 	return t.hasUnrecordedInput != nil && t.hasUnrecordedInput(e)
 }
 
-// removeLongestIdle removes the connection that has been in a state for longest, if that is minIdle at least or, with a
-// minIdle of 0, all the time that it may be; otherwise it returns how long to wait for that. Where owners have shares,
-// one whose owner is within its share is left alone: the longest idle ones would be the spare connections of a quiet
-// pool, closed for those that a flooded one uses all the time.
+// removeLongestIdle removes the connection that has been in a state for the longest time, if that time is at least
+// minIdle or, with a minIdle of 0, the maximum for the state. Otherwise it returns how long to wait until then. If
+// owners have shares, a connection of an owner within its share is closed only after the maximum for the state: the
+// longest idle connections are the spare ones of an owner with little traffic, and would be closed in favour of an
+// overloaded owner that uses its connections all the time.
 func (t *connTable) removeLongestIdle(now time.Duration, s connState, minIdle time.Duration) (*entry, time.Duration) {
 	wait := time.Duration(0)
 	for element := t.idle[s].Front(); element != nil; {
@@ -185,13 +189,13 @@
 				wait = remaining
 			}
 			if t.hasShares {
-				element = next // one of another owner may have to wait for less
+				element = next // a connection of another owner may be due sooner
 				continue
 			}
 			return nil, wait
 		}
 		if s != stateLingering && s != stateReading && t.hasInput(e) {
-			e.since = now // it counts as newly idle until its input is recorded
+			e.since = now // the connection counts as newly idle until its input is recorded
 			t.idle[s].MoveToBack(element)
 			if element = next; next == nil {
 				return nil, need
@@ -205,7 +209,7 @@
 	return nil, wait
 }
 
-// requiredIdle is how long a connection has to be in a state before removeLongestIdle removes it.
+// requiredIdle returns how long a connection has to be in a state before removeLongestIdle may remove it.
 func (t *connTable) requiredIdle(e *entry, s connState, minIdle time.Duration) time.Duration {
 	allowed := t.maxIdle(e, s)
 	need := allowed
@@ -237,11 +241,11 @@
 	t.pushIdle(now, e, e.use)
 }
 
-// markReading records that a part of the request on a connection is still to come.
+// markReading records that a request was received in part and the connection waits for the rest.
 func (t *connTable) markReading(now time.Duration, e *entry) { t.pushIdle(now, e, stateReading) }
 
-// markProgress records that progressBytes of the request on a connection came: it is slow, not stuck, and others have
-// been without progress for longer.
+// markProgress records that progressBytes more of a request were received. The connection moves to the end of its
+// list: it is slow but not stuck, and others have made no progress for longer.
 func (t *connTable) markProgress(now time.Duration, e *entry) {
 	if e.element != nil && e.state == stateReading {
 		e.since = now
@@ -249,9 +253,10 @@
 	}
 }
 
-// markLingering records that a connection has its last response, while its client may still send.
+// markLingering records that the last response was sent on a connection whose client may still be sending.
 func (t *connTable) markLingering(now time.Duration, e *entry) { t.pushIdle(now, e, stateLingering) }
 
+// pushIdle appends a connection to the list of a state, unless it is in a list already or was removed.
 func (t *connTable) pushIdle(now time.Duration, e *entry, s connState) {
 	if e.removed || e.element != nil {
 		return
@@ -260,7 +265,7 @@
 	e.element = t.idle[s].PushBack(e)
 }
 
-// markBusy records that something has come on an idle connection, or all of a request on one that is being read.
+// markBusy records that bytes were received on an idle connection, or that a request is complete.
 func (t *connTable) markBusy(e *entry) {
 	if e.element == nil {
 		return
@@ -269,13 +274,13 @@
 	e.element = nil
 }
 
-// markRequest records that a connection has sent a request that can be accepted.
+// markRequest records that a connection has sent a request that passed its checks.
 func (t *connTable) markRequest(e *entry) {
 	t.markBusy(e)
 	e.use = min(max(e.use+1, stateUsedOnce), stateReused)
 }
 
-// remove removes a connection. A second call does nothing.
+// remove removes a connection. A second call has no effect.
 func (t *connTable) remove(e *entry) {
 	if e.removed {
 		return
@@ -288,6 +293,7 @@
 	t.open--
 }
 
+// counters returns the current connection counts.
 func (t *connTable) counters() Counters {
 	c := t.counts
 	c.Open = t.open
--- a/internal/proxy/front/http1/conn_table_test.go
+++ b/internal/proxy/front/http1/conn_table_test.go
@@ -5,208 +5,219 @@
 	"time"
 )
 
-// addIdleConn adds a connection that has sent so many requests and is idle.
-func addIdleConn(b *connTable, now time.Duration, times int) *entry {
+// addIdleConn adds a connection that has sent the given number of requests and is idle.
+func addIdleConn(table *connTable, now time.Duration, requests int) *entry {
 	e := &entry{}
-	b.add(now, e)
-	b.markBusy(e)
-	for range times {
-		b.markRequest(e)
+	table.add(now, e)
+	table.markBusy(e)
+	for range requests {
+		table.markRequest(e)
 	}
-	b.markIdle(now, e)
+	table.markIdle(now, e)
 	return e
 }
 
-// Crowds that connect and send nothing, send GET /up or one request and stay have no more connections than the limits
-// and what came within minIdleTime. None of those that come back is closed for them.
-func TestIdleCrowdsMakeRoom(t *testing.T) {
-	b := connTable{limits: NewConnLimits(192, 128)}
+// Many clients connect, send nothing or one request, and keep their connections. No more of these connections are
+// open than the limits allow plus those accepted within the last minIdleTime, and no connection of a client that
+// sends further requests is closed for them.
+func TestIdleConnectionsAreEvictedForNewOnes(t *testing.T) {
+	table := connTable{limits: NewConnLimits(192, 128)}
 	var clients []*entry
 	for range 24 {
-		clients = append(clients, addIdleConn(&b, 0, 2))
+		clients = append(clients, addIdleConn(&table, 0, 2))
 	}
-	for i := range 10000 { // 500 a second
+	for i := range 10000 { // 500 connections per second
 		now := time.Second + time.Duration(i)*2*time.Millisecond
-		if _, _, ok := b.evictForNew(now); !ok {
-			t.Fatalf("no room for connection %d, %d open", i, b.open)
+		if _, _, ok := table.evictForNew(now); !ok {
+			t.Fatalf("connection %d was not accepted with %d connections open, want room made for it", i, table.open)
 		}
-		addIdleConn(&b, now, i%2)
+		addIdleConn(&table, now, i%2)
 	}
-	// Those that are not idle for minIdleTime yet are 50, more than the limits removed.
-	c := b.counters()
+	// 50 connections are accepted within minIdleTime; these are open in addition to what the limits allow.
+	c := table.counters()
 	if c.Most > len(clients)+50+2 || c.Closed[stateReused] != 0 || c.Closed[stateHealthCheck] < 4900 ||
 		c.Closed[stateUsedOnce] < 4900 {
-		t.Errorf("counters %+v, at most %d open", c, len(clients)+52)
+		t.Errorf("counters are %+v, want at most %d open and only single-use connections closed", c, len(clients)+52)
 	}
 	for i, e := range clients {
 		if e.removed {
-			t.Errorf("client %d was closed for a crowd", i)
+			t.Errorf("reused connection %d was closed in favour of connections used at most once", i)
 		}
 	}
 }
 
-// Where nobody connects any more, idle connections over a limit are closed all the same.
+// Idle connections over a limit are closed by later sweeps even if no client connects any more.
 func TestSweepIsDueAgain(t *testing.T) {
-	b := connTable{limits: NewConnLimits(192, 128)}
+	table := connTable{limits: NewConnLimits(192, 128)}
 	for range 128 {
-		addIdleConn(&b, time.Second, 1)
+		addIdleConn(&table, time.Second, 1)
 	}
-	removed, again := b.sweep(time.Second)
+	removed, again := table.sweep(time.Second)
 	if len(removed) != 0 || again != minIdleTime {
-		t.Fatalf("%d removed at once, another sweep after %v", len(removed), again)
+		t.Fatalf("first sweep removed %d connections and the next is due after %v, want 0 after minIdleTime",
+			len(removed), again)
 	}
-	removed, again = b.sweep(time.Second + again)
+	removed, again = table.sweep(time.Second + again)
 	if len(removed) != 112 || again != defaultMaxIdle[stateUsedOnce]-minIdleTime {
-		t.Errorf("%d removed, another sweep after %v, want all over the limit of 16 and one for the rest",
+		t.Errorf("second sweep removed %d, next due after %v; want 112 removed (over the limit of 16) and a later sweep",
 			len(removed), again)
 	}
 }
 
-// At the limit on all, unused connections are closed before used ones, and then the longest idle; never one with an
-// open request or one of this moment.
+// At the limit on all connections, a connection on which no request was received is closed before used ones, then the
+// one that has been idle for the longest time. A connection with an open request, or one that became idle just now,
+// stays open.
 func TestLongestIdleIsClosed(t *testing.T) {
-	b := connTable{limits: ConnLimits{Max: 3, MaxIdle: [stateCount]int{3, 3, 3, 3, 3, 3}}}
-	first, second := addIdleConn(&b, 0, 2), addIdleConn(&b, time.Second, 2)
-	unused := addIdleConn(&b, 2*time.Second, 0)
-	if _, _, ok := b.evictForNew(2 * time.Second); !ok || !first.removed || unused.removed {
-		t.Errorf("a new connection has to be left alone: ok %v, first gone %v", ok, first.removed)
-	}
-	third := addIdleConn(&b, 2*time.Second, 2)
-	if _, _, ok := b.evictForNew(3 * time.Second); !ok || !unused.removed || second.removed {
-		t.Error("an unused connection has to be closed first")
-	}
-	b.markBusy(second)
-	b.markBusy(third)
-	addIdleConn(&b, 3*time.Second, 2)
-	if removed, wait, ok := b.evictForNew(3 * time.Second); ok || removed != nil || wait != minIdleWhenFull[stateReused] {
-		t.Errorf("those with an open request and one of this moment must stay: wait %v, ok %v", wait, ok)
+	table := connTable{limits: ConnLimits{Max: 3, MaxIdle: [stateCount]int{3, 3, 3, 3, 3, 3}}}
+	first, second := addIdleConn(&table, 0, 2), addIdleConn(&table, time.Second, 2)
+	unused := addIdleConn(&table, 2*time.Second, 0)
+	if _, _, ok := table.evictForNew(2 * time.Second); !ok || !first.removed || unused.removed {
+		t.Errorf("room made: %v, longest idle connection removed: %v; want true, true, and the new connection kept",
+			ok, first.removed)
+	}
+	third := addIdleConn(&table, 2*time.Second, 2)
+	if _, _, ok := table.evictForNew(3 * time.Second); !ok || !unused.removed || second.removed {
+		t.Error("the unused connection was not closed before the used ones")
+	}
+	table.markBusy(second)
+	table.markBusy(third)
+	addIdleConn(&table, 3*time.Second, 2)
+	if removed, wait, ok := table.evictForNew(3 * time.Second); ok ||
+		removed != nil || wait != minIdleWhenFull[stateReused] {
+		t.Errorf("no connection may be evicted: wait %v, ok %v; want wait minIdleWhenFull[stateReused], ok false", wait, ok)
 	}
 }
 
-// An owner with more than its share closes connections with its responses once the reserve for new ones is used, and
-// not before.
+// An owner with more than its share closes connections with its responses once the reserve for new connections is in
+// use, and not before.
 func TestOwnerOverItsShareClosesWithResponses(t *testing.T) {
-	b := connTable{limits: ConnLimits{Max: 16, MaxIdle: [stateCount]int{16, 16, 16, 16, 16, 16}}}
-	flooded, quiet := new(owner), new(owner)
-	b.setShares([]*owner{flooded, quiet}, []float64{1, 1}) // 7 each
-	var theirs []*entry
+	table := connTable{limits: ConnLimits{Max: 16, MaxIdle: [stateCount]int{16, 16, 16, 16, 16, 16}}}
+	overloaded, lowTraffic := new(owner), new(owner)
+	table.setShares([]*owner{overloaded, lowTraffic}, []float64{1, 1}) // 7 connections each
+	var overloadedConns []*entry
 	for range 10 {
 		e := &entry{}
-		b.add(0, e)
-		b.markRequest(e)
-		b.setOwner(e, flooded)
-		theirs = append(theirs, e)
+		table.add(0, e)
+		table.markRequest(e)
+		table.setOwner(e, overloaded)
+		overloadedConns = append(overloadedConns, e)
 	}
-	if b.overShare(theirs[0]) {
-		t.Error("over its share while there is room")
+	if table.overShare(overloadedConns[0]) {
+		t.Error("overShare returned true while the reserve is free, want false")
 	}
-	one := &entry{}
+	lowTrafficConn := &entry{}
 	for range 5 {
-		one = &entry{}
-		b.add(0, one)
-		b.markRequest(one)
-		b.setOwner(one, quiet)
+		lowTrafficConn = &entry{}
+		table.add(0, lowTrafficConn)
+		table.markRequest(lowTrafficConn)
+		table.setOwner(lowTrafficConn, lowTraffic)
 	}
-	if !b.overShare(theirs[0]) || b.overShare(one) {
-		t.Errorf("the one over its share: %v, the one within: %v; want true, false", b.overShare(theirs[0]), b.overShare(one))
+	if !table.overShare(overloadedConns[0]) || table.overShare(lowTrafficConn) {
+		t.Errorf("overShare is %v for the overloaded owner and %v for the other one, want true and false",
+			table.overShare(overloadedConns[0]), table.overShare(lowTrafficConn))
 	}
 	for range 3 {
-		b.remove(theirs[flooded.count-1])
+		table.remove(overloadedConns[overloaded.count-1])
 	}
-	if b.overShare(theirs[0]) || flooded.count != 7 {
-		t.Errorf("%d connections left of a share of %d, still over its share", flooded.count, flooded.share)
+	if table.overShare(overloadedConns[0]) || overloaded.count != 7 {
+		t.Errorf("%d connections open with a share of %d, want 7 connections and overShare false",
+			overloaded.count, overloaded.share)
 	}
-	b.setOwner(theirs[0], quiet) // its next request is another's
-	if flooded.count != 6 || quiet.count != 6 {
-		t.Errorf("%d and %d after one changed hands", flooded.count, quiet.count)
+	table.setOwner(overloadedConns[0], lowTraffic) // the next request on the connection is for the other target
+	if overloaded.count != 6 || lowTraffic.count != 6 {
+		t.Errorf("after a connection changed its owner the owners have %d and %d connections, want 6 and 6",
+			overloaded.count, lowTraffic.count)
 	}
 }
 
-// A new connection whose bytes are here and not read is not idle: we are late.
+// A new connection with received but unread bytes does not count as idle, because the proxy is late.
 func TestUnreadInputIsNotIdle(t *testing.T) {
 	hasInput := map[*entry]bool{}
-	b := connTable{
+	table := connTable{
 		limits:             ConnLimits{Max: 2, MaxIdle: [stateCount]int{2, 2, 2, 2, 2, 2}},
 		hasUnrecordedInput: func(e *entry) bool { return hasInput[e] },
 	}
 	late, silent := &entry{}, &entry{}
-	b.add(0, late)
-	b.add(0, silent)
+	table.add(0, late)
+	table.add(0, silent)
 	hasInput[late] = true
-	if removed, _, ok := b.evictForNew(minIdleWhenFull[stateNew]); !ok || len(removed) != 1 || removed[0] != silent {
-		t.Errorf("%d removed, ok %v, want the silent one alone", len(removed), ok)
+	if removed, _, ok := table.evictForNew(minIdleWhenFull[stateNew]); !ok || len(removed) != 1 || removed[0] != silent {
+		t.Errorf("%d connections removed, ok %v; want only the connection without input removed", len(removed), ok)
 	}
 }
 
-// The spare connections of an owner within its share, idle for long, are not closed for those that a flooded one
-// comes back on.
+// Long idle connections of an owner within its share are not closed in favour of an overloaded owner that keeps using
+// its connections.
 func TestOwnerWithinItsShareKeepsIdleConnections(t *testing.T) {
-	b := connTable{limits: ConnLimits{Max: 16, MaxIdle: [stateCount]int{16, 16, 16, 16, 16, 2}}}
-	flooded, quiet := new(owner), new(owner)
-	b.setShares([]*owner{flooded, quiet}, []float64{1, 1})
-	own := func(now time.Duration, o *owner) *entry {
+	table := connTable{limits: ConnLimits{Max: 16, MaxIdle: [stateCount]int{16, 16, 16, 16, 16, 2}}}
+	overloaded, lowTraffic := new(owner), new(owner)
+	table.setShares([]*owner{overloaded, lowTraffic}, []float64{1, 1})
+	addOwned := func(now time.Duration, o *owner) *entry {
 		e := &entry{}
-		b.add(now, e)
-		b.markBusy(e)
-		b.markRequest(e)
-		b.markRequest(e)
-		b.setOwner(e, o)
-		b.markIdle(now, e)
+		table.add(now, e)
+		table.markBusy(e)
+		table.markRequest(e)
+		table.markRequest(e)
+		table.setOwner(e, o)
+		table.markIdle(now, e)
 		return e
 	}
-	spare := []*entry{own(0, quiet), own(0, quiet)}
+	spare := []*entry{addOwned(0, lowTraffic), addOwned(0, lowTraffic)}
 	for range 14 {
-		own(10*time.Second, flooded)
+		addOwned(10*time.Second, overloaded)
 	}
-	if removed, _, ok := b.evictForNew(10*time.Second + maxIdleOverShare); !ok || len(removed) != 7 {
-		t.Errorf("%d removed, ok %v, want all seven over the share", len(removed), ok)
+	if removed, _, ok := table.evictForNew(10*time.Second + maxIdleOverShare); !ok || len(removed) != 7 {
+		t.Errorf("%d connections removed, ok %v; want the 7 connections over the share removed", len(removed), ok)
 	}
 	if spare[0].removed || spare[1].removed {
-		t.Error("a spare connection of the quiet owner was closed")
+		t.Error("an idle connection of the owner within its share was closed")
 	}
-	if removed, _ := b.sweep(defaultMaxIdle[stateReused]); len(removed) < 2 || !spare[0].removed {
-		t.Errorf("%d removed once they are idle for too long", len(removed))
+	if removed, _ := table.sweep(defaultMaxIdle[stateReused]); len(removed) < 2 || !spare[0].removed {
+		t.Errorf("sweep removed %d connections after defaultMaxIdle, want at least 2 including those within the share",
+			len(removed))
 	}
 }
 
-// Where too many requests are being read, those without progress make room, not those that come slowly.
+// When too many requests are being read, connections without progress are closed, and slow connections that make
+// progress stay open.
 func TestSlowRequestsStayWhileStuckOnesAreClosed(t *testing.T) {
-	b := connTable{limits: NewConnLimits(128, 85)}
+	table := connTable{limits: NewConnLimits(128, 85)}
 	add := func() *entry {
 		e := &entry{}
-		b.add(0, e)
-		b.markBusy(e)
-		b.markReading(0, e)
+		table.add(0, e)
+		table.markBusy(e)
+		table.markReading(0, e)
 		return e
 	}
-	slow := add() // the first: it would go first
+	slow := add() // the first in its list, so it would be removed first without progress
 	for range 40 {
 		add()
 	}
 	for now := time.Duration(0); now <= 2*time.Second; now += 250 * time.Millisecond {
-		b.markProgress(now, slow)
-		b.sweep(now)
+		table.markProgress(now, slow)
+		table.sweep(now)
 	}
-	if slow.removed || b.open > b.limits.MaxIdle[stateReading] {
-		t.Errorf("the slow one is gone: %v; %d open, %d may be read", slow.removed, b.open, b.limits.MaxIdle[stateReading])
+	if slow.removed || table.open > table.limits.MaxIdle[stateReading] {
+		t.Errorf("slow connection removed: %v; %d connections open, at most %d may be in the reading state",
+			slow.removed, table.open, table.limits.MaxIdle[stateReading])
 	}
 }
 
-// While two processes live the one that came last takes all that the application may open, each with a request that
-// waits: the application is one, and what it opens beyond a bound of ours stands unaccepted for as long as the other
-// process needs for its last answers.
+// While an old and a new process run, the new one accepts all connections that the application may open, each with an
+// open request. With an equal part of the limit only, connections beyond that part would stay unaccepted until the
+// old process has sent its last responses.
 func TestLimitsPerProcessLeaveRoomForTheApplication(t *testing.T) {
-	const most, application = 128, 85
-	b := connTable{limits: NewConnLimits(most, application).perProcess(2)}
+	const maxConns, application = 128, 85
+	table := connTable{limits: NewConnLimits(maxConns, application).perProcess(2)}
 	for i := range application {
-		if _, _, ok := b.evictForNew(0); !ok {
-			t.Fatalf("no room for connection %d of the application's %d", i+1, application)
+		if _, _, ok := table.evictForNew(0); !ok {
+			t.Fatalf("connection %d of the application's %d was not accepted", i+1, application)
 		}
 		e := &entry{}
-		b.add(0, e)
-		b.markBusy(e)
+		table.add(0, e)
+		table.markBusy(e)
 	}
-	if whole := NewConnLimits(most, application).perProcess(1); whole.Max != most {
-		t.Errorf("undivided: %d of %d", whole.Max, most)
+	if undivided := NewConnLimits(maxConns, application).perProcess(1); undivided.Max != maxConns {
+		t.Errorf("with one process the limit is %d connections, want %d", undivided.Max, maxConns)
 	}
 }
--- a/internal/proxy/front/http1/date.go
+++ b/internal/proxy/front/http1/date.go
@@ -6,15 +6,16 @@
 	"time"
 )
 
-// cachedDate is a Date field's value and the second that it is for.
+// cachedDate is the value of a Date field for one second.
 type cachedDate struct {
 	second int64
 	text   string
 }
 
+// currentDate is the most recently formatted value.
 var currentDate atomic.Pointer[cachedDate]
 
-// dateNow is the value of Date (RFC 9110, 6.6.1), made once a second.
+// dateNow returns the value of the Date field (RFC 9110, 6.6.1). The value is formatted once per second.
 func dateNow(now time.Duration) string {
 	second := int64(now / time.Second)
 	if d := currentDate.Load(); d != nil && d.second == second {
--- a/internal/proxy/front/http1/drain.go
+++ b/internal/proxy/front/http1/drain.go
@@ -7,25 +7,25 @@
 )
 
 const (
-	defaultDrainLinger = 500 * time.Millisecond // connections are still accepted for so long
-	drainMinIdle       = 250 * time.Millisecond // a connection used so lately is likely to be used again meanwhile
-	drainPollInterval  = 50 * time.Millisecond  // between two looks at idle connections
+	defaultDrainLinger = 500 * time.Millisecond // how long connections are still accepted
+	drainMinIdle       = 250 * time.Millisecond // a more recently used connection is likely to be used again meanwhile
+	drainPollInterval  = 50 * time.Millisecond  // time between two checks for idle connections
 )
 
-// DrainMargin is how much longer than Config.Linger and Config.MaxDeadline a drain may take.
+// DrainMargin is how much longer a drain may take than Config.Linger and Config.MaxDeadline together.
 const DrainMargin = 600 * time.Millisecond
 
-// Drain ends the service without losing a request. Clients still connect for a while, and send on the connections that
-// they have: so the listener stays open at first, and every connection closes with its next response, or at once if it
-// is idle (a request that crosses this is sent again on a new one). It returns context.DeadlineExceeded if requests are
-// open when its time is over.
+// Drain stops the front without losing a request. For Config.Linger the listener stays open, because clients still
+// connect and still send on open connections. Each connection closes with its next response, or at once if it is
+// idle; a client whose request crosses such a close sends the request again on a new connection. Drain returns
+// context.DeadlineExceeded if requests are still open when its time is over.
 func (f *Front) Drain() error {
 	f.cfg.Log.Info("stopping", "held", f.openRequests.Load())
 	f.ready.Store(false)
 	f.draining.Store(true)
 	a := f.acceptor
-	// Connections that are used often close with their next response, which crosses no request; only idle ones are closed
-	// under their clients at first.
+	// A connection in frequent use closes with its next response, which crosses no request. So until the listener
+	// closes, only connections idle for drainMinIdle are closed without a response.
 	linger := cmp.Or(f.cfg.Linger, defaultDrainLinger)
 	for begun := a.clock.Now(); a.clock.Now()-begun < linger; time.Sleep(drainPollInterval) {
 		a.closeIdle(drainMinIdle)
@@ -42,7 +42,7 @@
 		case <-time.After(drainPollInterval):
 			continue
 		case <-end:
-			if f.openRequests.Load() > 0 { // otherwise no complete request came on those that are left
+			if f.openRequests.Load() > 0 { // otherwise the connections that are left never sent a complete request
 				err = context.DeadlineExceeded
 			}
 		}
--- a/internal/proxy/front/http1/fake_engine_test.go
+++ b/internal/proxy/front/http1/fake_engine_test.go
@@ -22,60 +22,63 @@
 	"caperarch/policy"
 )
 
-// submittedRequest is a request that a fakeEngine has, to be replied to or reported gone.
+// submittedRequest is a request that was submitted to a fakeEngine. The test replies to it, or expects that its
+// client is reported gone.
 type submittedRequest struct {
 	uri, body string
 	id        policy.RequestID
 	replies   chan<- call.Answer
 }
 
-// reply replies to it.
-func (a submittedRequest) reply() {
-	a.replies <- call.Answer{Kind: call.Served, Status: http.StatusOK, Body: []byte("done " + a.uri)}
+// reply sends the reply "done URI" with status 200.
+func (r submittedRequest) reply() {
+	r.replies <- call.Answer{Kind: call.Served, Status: http.StatusOK, Body: []byte("done " + r.uri)}
 }
 
-// fakeEngine is an engine whose replies the test gives, and its one target's front.
+// fakeEngine is an engine whose replies the test gives, together with a front that has this engine's target as its
+// only target.
 type fakeEngine struct {
 	front     *Front
 	target    *Target
 	address   string
-	drain     func() error // once; a second call waits for the first
+	drain     func() error // runs Front.Drain once; a second call waits for the first
 	submitted chan submittedRequest
 	gone      chan policy.RequestID
 	served    chan error
-	onGone    func() // called when a request is reported gone; nil: nothing is
+	onGone    func() // called when a request's client is reported gone; may be nil
 
 	mu            sync.Mutex
 	last          policy.RequestID
-	parsedTargets []string // what the dialect was asked to read
+	parsedTargets []string // request targets that the dialect has parsed
 }
 
-func (d *fakeEngine) Submit(
+func (e *fakeEngine) Submit(
 	_ policy.Request, m *call.Message, _ time.Duration, reply chan<- call.Answer,
 ) policy.RequestID {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.last++
-	d.submitted <- submittedRequest{m.URI, string(m.Body), d.last, reply}
-	return d.last
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.last++
+	e.submitted <- submittedRequest{m.URI, string(m.Body), e.last, reply}
+	return e.last
 }
 
-func (d *fakeEngine) ClientGone(id policy.RequestID) {
-	if d.onGone != nil {
-		d.onGone()
+func (e *fakeEngine) ClientGone(id policy.RequestID) {
+	if e.onGone != nil {
+		e.onGone()
 	}
-	d.gone <- id
+	e.gone <- id
 }
 
-func (d *fakeEngine) Done() <-chan struct{} { return nil }
+func (e *fakeEngine) Done() <-chan struct{} { return nil }
 
-// dialect has /safe/... be idempotent and /over/... be over a quota.
-func (d *fakeEngine) dialect() *Dialect {
+// dialect returns a Dialect in which /safe/... is idempotent and can be pipelined, and /over/... is rejected as over
+// a quota.
+func (e *fakeEngine) dialect() *Dialect {
 	return &Dialect{
 		ParseRequest: func(h *h1.Head) (policy.Request, time.Duration, *Rejection) {
-			d.mu.Lock()
-			defer d.mu.Unlock()
-			d.parsedTargets = append(d.parsedTargets, h.Target)
+			e.mu.Lock()
+			defer e.mu.Unlock()
+			e.parsedTargets = append(e.parsedTargets, h.Target)
 			if strings.HasPrefix(h.Target, "/over") {
 				return policy.Request{}, 0, &Rejection{Status: http.StatusTooManyRequests, KeepAlive: true}
 			}
@@ -87,60 +90,61 @@
 	}
 }
 
-// newFakeEngine serves on loopback. At the end of the test the front drains, and all capacity must have been released.
+// newFakeEngine serves on a loopback address. At the end of the test the front drains, and all reserved capacity must
+// have been released.
 func newFakeEngine(t *testing.T, maxOpen int, dialect bool, change ...func(*Config)) *fakeEngine {
 	t.Helper()
-	d := &fakeEngine{
+	e := &fakeEngine{
 		submitted: make(chan submittedRequest, 64), gone: make(chan policy.RequestID, 64), served: make(chan error, 1),
 	}
-	d.target = &Target{
-		Engine: d, MaxOpen: maxOpen, MaxBodyBytes: 1 << 20,
+	e.target = &Target{
+		Engine: e, MaxOpen: maxOpen, MaxBodyBytes: 1 << 20,
 		Classes: map[string]int{"look": 0}, ClassOf: []policy.Class{{Effect: policy.Idempotent, Deadline: time.Minute}},
 	}
 	cfg := Config{
-		Route: RouteTo(d.target), ConnLimits: NewConnLimits(64, 64),
+		Route: RouteTo(e.target), ConnLimits: NewConnLimits(64, 64),
 		Linger: time.Millisecond, MaxDeadline: testbed.Generous, Log: slog.New(slog.DiscardHandler),
 	}
 	if dialect {
-		cfg.Dialect = d.dialect()
+		cfg.Dialect = e.dialect()
 	}
 	for _, c := range change {
 		c(&cfg)
 	}
-	d.front = New(cfg, clock.New())
-	d.drain = sync.OnceValue(d.front.Drain)
+	e.front = New(cfg, clock.New())
+	e.drain = sync.OnceValue(e.front.Drain)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	d.address = l.Addr().String()
-	go func() { d.served <- d.front.Serve(l) }()
+	e.address = l.Addr().String()
+	go func() { e.served <- e.front.Serve(l) }()
 	t.Cleanup(func() {
-		if err := d.drain(); err != nil {
+		if err := e.drain(); err != nil {
 			t.Errorf("drain: %v", err)
 		}
-		if err := testbed.Wait(t, "the end", d.served); !errors.Is(err, net.ErrClosed) {
+		if err := testbed.Wait(t, "Front.Serve to return", e.served); !errors.Is(err, net.ErrClosed) {
 			t.Error(err)
 		}
-		ofFront, ofTarget := d.front.openRequests.Load(), d.target.OpenRequests()
-		if ofFront != 0 || ofTarget != 0 || len(d.submitted) != 0 || len(d.gone) != 0 {
-			t.Errorf("at the end %d open requests, %d of the target, %d not looked at, %d gone",
-				ofFront, ofTarget, len(d.submitted), len(d.gone))
+		frontOpen, targetOpen := e.front.openRequests.Load(), e.target.OpenRequests()
+		if frontOpen != 0 || targetOpen != 0 || len(e.submitted) != 0 || len(e.gone) != 0 {
+			t.Errorf("open requests after the drain: front %d, target %d; unread: %d submissions, %d ClientGone; want 0",
+				frontOpen, targetOpen, len(e.submitted), len(e.gone))
 		}
 	})
-	return d
+	return e
 }
 
-// testClient is a client's connection.
+// testClient is the client side of a connection.
 type testClient struct {
 	*net.TCPConn
 	t *testing.T
 	r *bufio.Reader
 }
 
-func (d *fakeEngine) dial(t *testing.T) *testClient {
+func (e *fakeEngine) dial(t *testing.T) *testClient {
 	t.Helper()
-	c, err := net.Dial("tcp", d.address)
+	c, err := net.Dial("tcp", e.address)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -149,7 +153,7 @@
 	return &testClient{c.(*net.TCPConn), t, bufio.NewReader(c)}
 }
 
-// get is the bytes of requests without a body.
+// get returns the bytes of GET requests for the targets.
 func get(targets ...string) string {
 	var b strings.Builder
 	for _, target := range targets {
@@ -165,92 +169,94 @@
 	}
 }
 
-// expectResponse reads one response.
+// expectResponse reads one response and checks its status and body.
 func (c *testClient) expectResponse(status int, body string) *http.Response {
 	c.t.Helper()
 	res, err := http.ReadResponse(c.r, nil)
 	if err != nil {
-		c.t.Fatalf("instead of %q: %v", body, err)
+		c.t.Fatalf("want a response with body %q, got error %v", body, err)
 	}
 	got, err := io.ReadAll(res.Body)
 	if err != nil || res.StatusCode != status || string(got) != body {
-		c.t.Fatalf("%s %q (%v), want %d %q", res.Status, got, err, status, body)
+		c.t.Fatalf("response is %s %q (error %v), want %d %q", res.Status, got, err, status, body)
 	}
 	return res
 }
 
-// expectEnd reads that the connection ends with nothing more on it.
+// expectEnd checks that the connection ends without further bytes.
 func (c *testClient) expectEnd() {
 	c.t.Helper()
 	if b, err := io.ReadAll(c.r); err != nil || len(b) > 0 {
-		c.t.Fatalf("the connection ends with %q, %v", b, err)
+		c.t.Fatalf("read %q, error %v, want the end of the connection", b, err)
 	}
 	c.Close()
 }
 
-// serveUnpipelined has a client send so many requests one by one that it is taken for one that does not pipeline.
-func (d *fakeEngine) serveUnpipelined(t *testing.T, c *testClient) {
+// serveUnpipelined has a client send requests one at a time until the front takes it for a client that does not
+// pipeline.
+func (e *fakeEngine) serveUnpipelined(t *testing.T, c *testClient) {
 	t.Helper()
 	for i := range 2 * maxUnpipelinedResponses {
 		uri := fmt.Sprint("/safe/", i)
 		c.send(get(uri))
-		d.expectSubmitted(t, uri)[0].reply()
+		e.expectSubmitted(t, uri)[0].reply()
 		c.expectResponse(200, "done "+uri)
 	}
 }
 
-// expectSubmitted waits for requests, in this order.
-func (d *fakeEngine) expectSubmitted(t *testing.T, uris ...string) (all []submittedRequest) {
+// expectSubmitted waits until the requests are submitted to the engine, in this order.
+func (e *fakeEngine) expectSubmitted(t *testing.T, uris ...string) (all []submittedRequest) {
 	t.Helper()
 	for _, uri := range uris {
-		a := testbed.Wait(t, uri, d.submitted)
-		if a.uri != uri {
-			t.Fatalf("%s was asked, want %s", a.uri, uri)
+		r := testbed.Wait(t, uri, e.submitted)
+		if r.uri != uri {
+			t.Fatalf("%s was submitted, want %s", r.uri, uri)
 		}
-		all = append(all, a)
+		all = append(all, r)
 	}
 	return all
 }
 
-// expectNoneAsked checks that nothing else was asked while so many are open: the dialect has read this target, if one
-// is named, and another connection had a whole request since.
-func (d *fakeEngine) expectNoneSubmitted(t *testing.T, openRequests int64, parsedTarget string) {
+// expectNoneSubmitted checks that no other request is submitted while openRequests are open. If parsedTarget is
+// named, the dialect must have parsed it first. A request on another connection is then completed, so that the front
+// had time to submit more.
+func (e *fakeEngine) expectNoneSubmitted(t *testing.T, openRequests int64, parsedTarget string) {
 	t.Helper()
-	waitUntil(t, parsedTarget+" is read", func() bool {
-		d.mu.Lock()
-		defer d.mu.Unlock()
-		return parsedTarget == "" || slices.Contains(d.parsedTargets, parsedTarget)
+	waitUntil(t, parsedTarget+" was parsed by the dialect", func() bool {
+		e.mu.Lock()
+		defer e.mu.Unlock()
+		return parsedTarget == "" || slices.Contains(e.parsedTargets, parsedTarget)
 	})
-	c := d.dial(t)
+	c := e.dial(t)
 	c.send(get("/safe/between"))
-	d.expectSubmitted(t, "/safe/between")[0].reply()
+	e.expectSubmitted(t, "/safe/between")[0].reply()
 	c.expectResponse(200, "done /safe/between")
 	c.Close()
-	// Each request is released behind its response.
-	waitUntil(t, "all others are released", func() bool { return d.target.OpenRequests() == openRequests })
+	// A request's capacity is released after its response is written.
+	waitUntil(t, "all other requests are released", func() bool { return e.target.OpenRequests() == openRequests })
 }
 
-// waitUntil waits until something is so.
-func waitUntil(t *testing.T, what string, is func() bool) {
+// waitUntil polls a condition until it is true. what describes the condition.
+func waitUntil(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(testbed.Generous); !is(); runtime.Gosched() {
+	for end := time.Now().Add(testbed.Generous); !condition(); runtime.Gosched() {
 		if time.Now().After(end) {
-			t.Fatalf("waited in vain until %s", what)
+			t.Fatalf("timed out waiting until %s", what)
 		}
 	}
 }
 
-// expectGone waits until requests are reported gone.
-func (d *fakeEngine) expectGone(t *testing.T, all ...submittedRequest) {
+// expectGone waits until the clients of the requests are reported gone, in this order.
+func (e *fakeEngine) expectGone(t *testing.T, all ...submittedRequest) {
 	t.Helper()
-	for _, a := range all {
-		if id := testbed.Wait(t, "that one is gone", d.gone); id != a.id {
-			t.Errorf("%d is reported gone, want %d, %s", id, a.id, a.uri)
+	for _, r := range all {
+		if id := testbed.Wait(t, "a ClientGone report", e.gone); id != r.id {
+			t.Errorf("request %d is reported gone, want request %d, %s", id, r.id, r.uri)
 		}
 	}
 }
 
-// testBody is a response's body that the test writes.
+// testBody is the body of a streamed response. The test writes it.
 type testBody struct {
 	*io.PipeReader
 	closed chan struct{}
--- a/internal/proxy/front/http1/front.go
+++ b/internal/proxy/front/http1/front.go
@@ -1,8 +1,9 @@
-// Package http1 is the server side of the proxy: it accepts clients' connections, reads their HTTP/1.1 requests, hands
-// each to the engine of its target and writes the responses in the requests' order.
+// Package http1 is the server side of the proxy. It accepts client connections, reads HTTP/1.1 requests, hands each
+// request to the engine of its target, and writes the responses in the order of the requests.
 //
-// A Front owns its listener from Serve on, the goroutine of each connection, and the watcher that notices clients that
-// leave. Drain ends them without losing a request. All that a Front and its Targets export is safe for concurrent use.
+// From Serve on, a Front owns its listener, one goroutine per connection, and the watcher that detects clients that
+// leave. Drain stops all of them without losing a request. The exported methods of Front and Target are safe for
+// concurrent use.
 package http1
 
 import (
@@ -16,52 +17,54 @@
 )
 
 const (
-	// A client beside us sends a request at once. These leave room for one that is short of CPU and
-	// end those that never finish within 3 s of connecting.
-	headTimeout = 2200 * time.Millisecond // over the head, from its first byte
-	bodyTimeout = 2 * time.Second         // over the body, once the head is here
+	// A client on the same machine sends its request at once. These limits allow for a client that is short of CPU,
+	// and end a request that is still incomplete 3 s after its client connected.
+	headTimeout = 2200 * time.Millisecond // for the head, from its first byte
+	bodyTimeout = 2 * time.Second         // for the body, from the end of the head
 
-	responseWriteTimeout = 3 * time.Second // a client that doesn't take its response for so long is gone
+	responseWriteTimeout = 3 * time.Second // for a response: a client that accepts no bytes in this time has left
 	counterLogInterval   = 10 * time.Second
 )
 
-// Config says where requests go and how many clients there may be.
+// Config configures a Front: where requests go, and the limits on clients.
 type Config struct {
-	// Route returns a request's target by its head, or why there is none. It is called from many goroutines.
+	// Route returns the target of a request by its head, or the reason why the request has no target. It is called
+	// from many goroutines.
 	Route       func(h *h1.Head) (*Target, *Rejection)
-	Dialect     *Dialect      // nil: the daemon's own
-	Linger      time.Duration // a drain goes on accepting connections for so long; 0: defaultDrainLinger
-	ConnLimits  ConnLimits    // on clients' connections
-	MaxDeadline time.Duration // the longest deadline of any class: what a drain waits for
-	// RequestLimits are the current limits on what clients send. It is called for each request and for each look at
-	// idle connections. nil: none but the front's own.
+	Dialect     *Dialect      // nil: requests are parsed in the daemon's own way
+	Linger      time.Duration // how long a drain keeps accepting connections; 0: defaultDrainLinger
+	ConnLimits  ConnLimits    // limits on client connections
+	MaxDeadline time.Duration // the longest deadline of any request class; a drain waits this long
+	// RequestLimits returns the current limits on what clients send. It is called for each request and for each check
+	// of idle connections. nil: only the front's own limits apply.
 	RequestLimits func() RequestLimits
 	Log           *slog.Logger
 
-	// InMemory says that the listener's connections are no sockets: the system tells nothing of them, so that a client
-	// that leaves is noticed by the next write, and only what comes with a head is read ahead.
+	// InMemory says that the listener's connections are not sockets, so the system reports no events on them: a
+	// client that leaves is detected by the next write, and only bytes received together with a head are read ahead.
 	InMemory bool
 }
 
-// Front accepts clients' connections and serves the requests on them.
+// Front accepts client connections and serves the requests on them.
 type Front struct {
 	cfg          Config
 	clock        clock.Clock
-	openRequests atomic.Int64 // requests without a response yet, of all targets
-	ready        atomic.Bool  // what GET /up reports
+	openRequests atomic.Int64 // requests without a response yet, for all targets
+	ready        atomic.Bool  // reported by GET /up
 	draining     atomic.Bool  // each connection closes with its next response
 	watcher      *watcher
 	acceptor     *acceptor
 	pollWaits    pollWaits
-	readPermits  atomic.Pointer[readPermits] // nil: there is one target, nothing is shared
+	readPermits  atomic.Pointer[readPermits] // nil: the front has one target, so reads need no permits
 }
 
-// New makes a front.
+// New returns a front that does not serve yet.
 func New(cfg Config, c clock.Clock) *Front {
 	return &Front{cfg: cfg, clock: c, acceptor: newAcceptor(c, cfg.ConnLimits, cfg.RequestLimits)}
 }
 
-// Serve accepts connections on a listener until Drain is called, and returns why it ended: net.ErrClosed after a drain.
+// Serve accepts connections from a listener until Drain is called, and returns the reason why it ended: net.ErrClosed
+// after a drain.
 func (f *Front) Serve(l net.Listener) error {
 	if f.cfg.InMemory {
 		f.watcher = new(watcher)
@@ -87,13 +90,13 @@
 		}
 		go f.serve(c)
 		if f.readPermits.Load() != nil {
-			f.pollWaits.wait() // a crowd that connects waits in the listener's queue, not in ours
+			f.pollWaits.wait() // while many clients connect at once, they wait in the listener's backlog
 		}
 	}
 }
 
-// SetProcessCount limits clients' connections to this process' share where so many processes serve them. Open
-// connections beyond that are closed as they become idle.
+// SetProcessCount limits client connections to this process's part of the limits when several processes serve the
+// same clients. Open connections beyond it are closed as they become idle.
 func (f *Front) SetProcessCount(processes int) {
 	f.acceptor.setLimits(f.cfg.ConnLimits.perProcess(processes))
 }
@@ -101,9 +104,10 @@
 // Ready returns whether the listener accepts connections and no drain has begun.
 func (f *Front) Ready() bool { return f.ready.Load() }
 
-// Counters count the clients' connections.
+// Counters returns the current counts of client connections.
 func (f *Front) Counters() Counters { return f.acceptor.counters() }
 
+// logCounters logs the counts every counterLogInterval until ended is closed.
 func (f *Front) logCounters(ended <-chan struct{}) {
 	ticker := time.NewTicker(counterLogInterval)
 	defer ticker.Stop()
--- a/internal/proxy/front/http1/front_bench_test.go
+++ b/internal/proxy/front/http1/front_bench_test.go
@@ -26,7 +26,7 @@
 func (e *instantEngine) ClientGone(policy.RequestID) {}
 func (e *instantEngine) Done() <-chan struct{}       { return nil }
 
-// benchmarkRequests sends the same batch of requests over one kept connection and reads the responses.
+// benchmarkRequests repeatedly sends the same batch of requests on one kept connection and reads the responses.
 func benchmarkRequests(b *testing.B, batch string, perBatch int) {
 	b.Helper()
 	target := &Target{Engine: &instantEngine{call.Answer{Kind: call.Served, Body: []byte("done")}}, MaxBodyBytes: 1 << 20}
@@ -57,7 +57,7 @@
 		b.Fatal(err)
 	}
 	defer client.Close()
-	// Every response has the same length: its Date does not vary in width.
+	// All responses have the same length, because the Date value has a fixed width.
 	const response = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\nDate: Wed, 02 Dec 2026 08:00:00 GMT\r\n\r\ndone"
 	request, responses := []byte(batch), make([]byte, perBatch*len(response))
 	b.ReportAllocs()
@@ -70,7 +70,7 @@
 		}
 	}
 	if end := string(responses[len(responses)-4:]); end != "done" {
-		b.Fatalf("the last response ends with %q", end)
+		b.Fatalf("the last response ends with %q, want the body \"done\"", end)
 	}
 }
 
--- a/internal/proxy/front/http1/hangup_test.go
+++ b/internal/proxy/front/http1/hangup_test.go
@@ -10,42 +10,43 @@
 	"caperarch/policy"
 )
 
-// A client that was taken for one that does not pipeline sends a request behind an open one and leaves: the open one is
-// not worked on any longer, and the one behind it is not begun.
+// A client that does not pipeline at first sends a second request while the first is open, and closes the connection.
+// The first request must be cancelled, and the second one must not be processed.
 func TestHangupBehindUnreadRequest(t *testing.T) {
-	d := newFakeEngine(t, 0, true)
-	c := d.dial(t)
-	d.serveUnpipelined(t, c)
+	engine := newFakeEngine(t, 0, true)
+	c := engine.dial(t)
+	engine.serveUnpipelined(t, c)
 	c.send(get("/safe/a"))
-	all := d.expectSubmitted(t, "/safe/a")
+	all := engine.expectSubmitted(t, "/safe/a")
 	c.send(get("/safe/b"))
 	c.Close()
-	for id := testbed.Wait(t, "the end of /safe/a", d.gone); id != all[0].id; {
-		id = testbed.Wait(t, "the end of /safe/a", d.gone)
+	for id := testbed.Wait(t, "ClientGone for /safe/a", engine.gone); id != all[0].id; {
+		id = testbed.Wait(t, "ClientGone for /safe/a", engine.gone)
 	}
-	waitUntil(t, "nothing is open", func() bool { return d.target.OpenRequests() == 0 })
-	for len(d.submitted) > 0 { // it may have been read ahead, and has to be gone then
-		d.expectGone(t, d.expectSubmitted(t, "/safe/b")...)
+	waitUntil(t, "no request is open", func() bool { return engine.target.OpenRequests() == 0 })
+	for len(engine.submitted) > 0 { // /safe/b may have been read ahead, and must be cancelled then
+		engine.expectGone(t, engine.expectSubmitted(t, "/safe/b")...)
 	}
 }
 
-// A client that resets its connection reads no response, whatever it had begun to send.
+// A client that resets its connection reads no responses, so its open requests are cancelled even if a part of a
+// further request is unread.
 func TestResetBehindPartOfRequest(t *testing.T) {
-	d := newFakeEngine(t, 0, true)
-	c := d.dial(t)
+	engine := newFakeEngine(t, 0, true)
+	c := engine.dial(t)
 	c.send(get("/safe/a", "/safe/b") + "GET /safe/c")
-	all := d.expectSubmitted(t, "/safe/a", "/safe/b")
+	all := engine.expectSubmitted(t, "/safe/a", "/safe/b")
 	if err := c.SetLinger(0); err != nil {
 		t.Fatal(err)
 	}
 	c.Close()
-	d.expectGone(t, all...)
+	engine.expectGone(t, all...)
 }
 
-// A request whose client has left before it is forwarded is not forwarded.
+// A request is not forwarded if its client leaves while the request is being parsed.
 func TestRequestOfClientThatLeftIsNotForwarded(t *testing.T) {
 	parsing, proceed := make(chan struct{}), make(chan struct{})
-	d := newFakeEngine(t, 0, true, func(cfg *Config) {
+	engine := newFakeEngine(t, 0, true, func(cfg *Config) {
 		parse := cfg.Dialect.ParseRequest
 		cfg.Dialect.ParseRequest = func(h *h1.Head) (policy.Request, time.Duration, *Rejection) {
 			if h.Target == "/run/late" {
@@ -55,14 +56,14 @@
 			return parse(h)
 		}
 	})
-	c := d.dial(t)
+	c := engine.dial(t)
 	c.send(get("/run/late"))
-	testbed.Wait(t, "the request to be read", parsing)
+	testbed.Wait(t, "ParseRequest to be called", parsing)
 	c.Close()
-	waitUntil(t, "the watcher has told of the end", func() bool {
-		d.front.watcher.mu.Lock()
-		defer d.front.watcher.mu.Unlock()
-		for _, served := range d.front.watcher.conns {
+	waitUntil(t, "the watcher has reported the hangup", func() bool {
+		engine.front.watcher.mu.Lock()
+		defer engine.front.watcher.mu.Unlock()
+		for _, served := range engine.front.watcher.conns {
 			select {
 			case <-served.hangup:
 				return true
@@ -72,11 +73,12 @@
 		return false
 	})
 	close(proceed)
-	waitUntil(t, "its connection is closed", func() bool { return d.front.Counters().Open == 0 })
-	d.expectNoneSubmitted(t, 0, "")
+	waitUntil(t, "the connection is closed", func() bool { return engine.front.Counters().Open == 0 })
+	engine.expectNoneSubmitted(t, 0, "")
 }
 
-// A streamed reply that comes as its client leaves is closed, or its server's connection would stay in use for good.
+// A streamed reply that arrives while its client leaves must be closed. Otherwise the server's connection would stay
+// in use permanently.
 func TestStreamedReplyCrossingHangupIsClosed(t *testing.T) {
 	for name, request := range map[string]string{
 		"head only":      get("/safe/a"),
@@ -84,17 +86,17 @@
 		"with a body":    "POST /safe/a HTTP/1.1\r\nHost: a\r\nContent-Length: 2\r\n\r\n42",
 	} {
 		t.Run(name, func(t *testing.T) {
-			d := newFakeEngine(t, 0, true)
-			crossing, _ := newTestBody()
+			engine := newFakeEngine(t, 0, true)
+			body, _ := newTestBody()
 			replies := make(chan chan<- call.Answer, 1)
-			d.onGone = func() { (<-replies) <- call.Answer{Kind: call.Served, Stream: crossing} }
-			c := d.dial(t)
+			engine.onGone = func() { (<-replies) <- call.Answer{Kind: call.Served, Stream: body} }
+			c := engine.dial(t)
 			c.send(request)
-			submitted := testbed.Wait(t, "the request", d.submitted)
+			submitted := testbed.Wait(t, "the submitted request", engine.submitted)
 			replies <- submitted.replies
 			c.Close()
-			d.expectGone(t, submitted)
-			testbed.Wait(t, "the reply to be closed", crossing.closed)
+			engine.expectGone(t, submitted)
+			testbed.Wait(t, "the body of the reply to be closed", body.closed)
 		})
 	}
 }
--- a/internal/proxy/front/http1/linger.go
+++ b/internal/proxy/front/http1/linger.go
@@ -8,22 +8,22 @@
 )
 
 const (
-	// rejectLinger is how long the rest of a rejected request is discarded.
+	// rejectLinger is how long further input is discarded after a request was rejected.
 	rejectLinger = 500 * time.Millisecond
-	// maxLingerBytes bounds what is discarded behind a rejected request: several complete ones.
+	// maxLingerBytes limits the bytes discarded after a rejected request. It is enough for several complete requests.
 	maxLingerBytes = 512 << 10
 
-	// earlyResponseLinger is how long the rest of a body is discarded whose request has its response: its client may
-	// look for that only once it has sent all.
+	// earlyResponseLinger is how long the rest of a body is discarded after the response was sent early. A client may
+	// read the response only after it has sent the complete body.
 	earlyResponseLinger = 2 * time.Second
-	// maxEarlyResponseLingerBytes bounds the same: a client that sends so much within earlyResponseLinger looks for its
-	// response soon enough.
+	// maxEarlyResponseLingerBytes limits the bytes discarded after an early response. A client that sends this much
+	// within earlyResponseLinger reads its response soon enough.
 	maxEarlyResponseLingerBytes = 64 << 20
 )
 
-// lingeringClose ends our side and discards what the client still sends, for a time and up to maxBytes: closed with
-// unread bytes a connection is reset, and the client finds that instead of its response (RFC 9112, 9.6). Such a
-// connection is the first to be closed where there is no room for new ones.
+// lingeringClose closes the sending side of the connection and discards further input for a limited time, up to
+// maxBytes. A connection closed with unread bytes is reset, and the client would see the reset instead of its
+// response (RFC 9112, 9.6). When a new connection needs room, lingering connections are closed first.
 func (c *conn) lingeringClose(within time.Duration, maxBytes int64) {
 	tcp, ok := c.netConn.(*net.TCPConn)
 	if !ok || tcp.CloseWrite() != nil || tcp.SetReadDeadline(time.Now().Add(within)) != nil {
@@ -33,11 +33,11 @@
 	c.discardInput(maxBytes)
 }
 
-// discardInput reads and discards up to remaining bytes, until the client sends no more.
+// discardInput reads and discards input until the client sends no more, up to the given number of bytes.
 func (c *conn) discardInput(remaining int64) {
 	b := stream.AcquireWindow()
 	defer stream.ReleaseWindow(b)
-	c.unreadStart, c.unreadEnd = 0, 0 // what was here is discarded too
+	c.unreadStart, c.unreadEnd = 0, 0 // bytes that were read but not parsed are discarded too
 	for remaining > 0 {
 		n, err := c.read(b[:min(remaining, stream.WindowSize)])
 		if remaining -= int64(n); err != nil || n == 0 {
--- a/internal/proxy/front/http1/parse_request.go
+++ b/internal/proxy/front/http1/parse_request.go
@@ -11,22 +11,25 @@
 	"caperarch/policy"
 )
 
-// maxTimeoutFactor bounds an X-Timeout: one of more than so many deadlines of its class is malformed.
+// maxTimeoutFactor limits X-Timeout: a timeout of more than this many times the deadline of the request's class is
+// malformed.
 const maxTimeoutFactor = 10
 
-// uniqueFields lists the header fields that control a request. Sent twice, two readers may heed different ones.
+// uniqueFields lists the header fields that control a request. If one of them is sent twice, two readers of the
+// request may use different values.
 var uniqueFields = [...]string{
 	"X-Request-Id", "X-Priority-Class", "X-Tenant-Id", "X-Route-Key", "X-Timeout", "X-Retried", "X-Cost",
 	"X-Attrs", "Idempotency-Key", "Content-Length",
 }
 
-// methodByEffect is the method that each effect's requests are sent with.
+// methodByEffect is the method required for the requests of each effect.
 var methodByEffect = map[policy.Effect]string{
 	policy.Idempotent: http.MethodGet, policy.Deduplicated: http.MethodPost, policy.NonIdempotent: http.MethodPost,
 }
 
-// parseRequest parses a request's head, by the dialect if there is one. What is missing or malformed is rejected:
-// nothing of it may reach the policy or an upstream, whose 400 would count as the upstream's failure.
+// parseRequest parses the head of a request, with the dialect if there is one. A request with a missing or malformed
+// field is rejected: it must reach neither the policy nor an upstream, because an upstream's 400 response would count
+// as a failure of the upstream.
 func (t *Target) parseRequest(dialect *Dialect, head *h1.Head) (policy.Request, time.Duration, *Rejection) {
 	if dialect != nil {
 		return dialect.ParseRequest(head)
@@ -46,9 +49,9 @@
 	return q, timeout, nil
 }
 
-// parseClass returns the index of a request's class.
+// parseClass returns the index of a request's class in Target.ClassOf.
 func (t *Target) parseClass(head *h1.Head) (int, *Rejection) {
-	if head.HTTP10 { // others ignore Transfer-Encoding there
+	if head.HTTP10 { // other HTTP/1.0 implementations ignore Transfer-Encoding
 		return 0, &Rejection{Status: http.StatusHTTPVersionNotSupported, Reason: "HTTP/1.1 is needed"}
 	}
 	if name := duplicateField(head); name != "" {
@@ -68,7 +71,7 @@
 	return class, nil
 }
 
-// checkEffect checks what a request's method, key and body have to be for the effect of its class.
+// checkEffect checks that a request's method, Idempotency-Key and body fit the effect of its class.
 func checkEffect(effect policy.Effect, head *h1.Head) *Rejection {
 	if want := methodByEffect[effect]; head.Method != want {
 		return &Rejection{Status: http.StatusMethodNotAllowed, Reason: "requests of this class are sent with " + want}
@@ -89,7 +92,8 @@
 	return nil
 }
 
-// parseFields parses the other fields that control a request into q, whose class is set, and returns its timeout.
+// parseFields parses the other fields that control a request into q, whose class is already set, and returns the
+// timeout of the request.
 func (t *Target) parseFields(head *h1.Head, q *policy.Request) (timeout time.Duration, rejection *Rejection) {
 	var ok bool
 	if len(t.Tenants) > 0 {
@@ -115,7 +119,7 @@
 	return &Rejection{Status: http.StatusBadRequest, Reason: reason}
 }
 
-// duplicateField is the name of a field that controls a request and is given twice, or "".
+// duplicateField returns the name of one of the uniqueFields that is given twice, or "".
 func duplicateField(r *h1.Head) string {
 	var have [len(uniqueFields)]bool
 	for i := range r.Fields {
@@ -131,7 +135,8 @@
 	return ""
 }
 
-// firstPathSegment is the first segment of a request target's path, decoded; "" if it can't be decoded.
+// firstPathSegment returns the first segment of a request target's path, percent-decoded, or "" if it can't be
+// decoded.
 func firstPathSegment(target string) string {
 	path, _, _ := strings.Cut(target[1:], "?")
 	first, _, _ := strings.Cut(path, "/")
--- a/internal/proxy/front/http1/pending.go
+++ b/internal/proxy/front/http1/pending.go
@@ -8,29 +8,29 @@
 	"caperarch/policy"
 )
 
-// lateReplyDelay is when the replies to cancelled requests are looked at once more: one that crossed the cancellation
-// may hold a server's connection. The engine learns of the cancellation in far less.
+// lateReplyDelay is the delay of the second check for replies to cancelled requests. A reply that crossed the
+// cancellation may hold a connection to a server. The engine processes a cancellation in far less time.
 const lateReplyDelay = 5 * time.Second
 
-// pendingRequest is a request that is accepted and has no response yet.
+// pendingRequest is a request that passed its checks and has no response yet.
 type pendingRequest struct {
 	target       *Target
 	metrics      *metrics.Class
-	sharedLimits *SharedLimits // nil: there are none
-	bodyBytes    int64         // of its body, as far as it is buffered
+	sharedLimits *SharedLimits // nil: no shared limits
+	bodyBytes    int64         // buffered bytes of the body
 	id           policy.RequestID
 	reply        chan call.Answer
 
-	reservedAtTarget bool
-	reserved         bool // at the target and in the shared limits
+	reservedAtTarget bool // capacity is reserved at the target
+	reserved         bool // capacity is reserved at the target and in the shared limits
 }
 
-// beginRead reserves a place for reading its body, and returns whether there was one.
+// beginRead reserves a place in the shared limits for reading the body, and returns whether a place was free.
 func (p *pendingRequest) beginRead() bool {
 	return p.sharedLimits == nil || (*p.sharedLimits).BeginRead()
 }
 
-// endRead releases that place.
+// endRead releases the place that beginRead reserved.
 func (p *pendingRequest) endRead() {
 	if p.sharedLimits != nil {
 		(*p.sharedLimits).EndRead()
@@ -43,7 +43,7 @@
 }
 
 // reserve reserves capacity for the request at its target and in the shared limits, and returns whether there was
-// enough. release has to be called either way.
+// enough. The caller must call release in both cases.
 func (p *pendingRequest) reserve(f *Front) bool {
 	p.reservedAtTarget = p.target.reserve(p.bodyBytes)
 	if !p.reservedAtTarget || p.sharedLimits != nil && !(*p.sharedLimits).Reserve(p.bodyBytes) {
@@ -55,7 +55,7 @@
 	return true
 }
 
-// release releases what reserve has reserved.
+// release releases the capacity that reserve reserved.
 func (p *pendingRequest) release(f *Front) {
 	if p.reserved {
 		p.metrics.RequestFinished()
@@ -69,12 +69,14 @@
 	}
 }
 
-// discardReplies closes what has come for cancelled requests, and what comes within lateReplyDelay.
+// discardReplies closes the streamed replies to cancelled requests: those that are here now, and those that arrive
+// within lateReplyDelay.
 func discardReplies(replies []chan call.Answer) {
 	discardPendingReplies(replies)
 	time.AfterFunc(lateReplyDelay, func() { discardPendingReplies(replies) })
 }
 
+// discardPendingReplies closes the streamed replies that are here now.
 func discardPendingReplies(replies []chan call.Answer) {
 	for _, reply := range replies {
 		select {
--- a/internal/proxy/front/http1/pipelining.go
+++ b/internal/proxy/front/http1/pipelining.go
@@ -10,26 +10,26 @@
 	"caperarch/policy"
 )
 
-// Where a Dialect allows it, requests that come behind one that is still open (RFC 9112, 9.3.2) are worked on at the
-// same time, and answered in their order.
+// Pipelining (RFC 9112, 9.3.2): if the Dialect allows it, requests that are received while an earlier request of the
+// connection is still open are processed concurrently, and their responses are sent in the order of the requests.
 //
-// It is still the connection's one goroutine that reads, asks the engine and responds: while it waits for the current
-// request's reply it also waits for dataArrived, on which the watcher reports that bytes have come, and reads those
-// without waiting. So the connection's fields have one user, and it needs no second goroutine. Only while a response
-// is streamed the goroutine is busy with that; then the one that streamResponse starts to notice the client's leaving
-// reads ahead, and is waited for.
+// The connection's single goroutine reads requests, submits them to the engine and writes responses. While it waits
+// for the reply to the current request, it also waits for dataArrived, on which the watcher reports received bytes, and
+// reads these without blocking. So one goroutine uses the connection's fields, and no second goroutine is needed. The
+// exception is a streamed response, which keeps the goroutine busy: the goroutine that streamResponse starts to detect
+// a client that leaves then reads ahead, and streamResponse waits for its end.
 //
-// Each report of the watcher costs a wake-up, so it is asked for only where it is of use: on a new connection, and on
-// one whose client was seen to pipeline (bytes of the next request came with a head, or were there when its response
-// had been written). After maxUnpipelinedResponses responses with no request behind them the connection costs nothing
-// beyond a look at a nil channel again.
+// Each report of the watcher costs a wake-up, so reports are enabled only where they are useful: on a new connection,
+// and on a connection whose client was seen to pipeline (bytes of the next request were received together with a head,
+// or were available when the response had been written). After maxUnpipelinedResponses responses with no request
+// behind them, reports are disabled again.
 
 const (
-	// maxPipelined bounds how many requests are open on a connection behind the current one: one client must not use up
-	// the capacity of all, and replies that wait for their turn are held in memory.
+	// maxPipelined limits how many requests are open on a connection behind the current one. One client must not use
+	// up the capacity for all clients, and replies that wait for their turn are held in memory.
 	maxPipelined = 8
-	// maxUnpipelinedResponses is how many responses in a row have no request behind them before a client is taken for
-	// one that does not pipeline: the watcher must not be woken for all requests for good.
+	// maxUnpipelinedResponses is how many consecutive responses without a request behind them make a client count as
+	// one that does not pipeline. Without this limit the watcher would wake up for every request.
 	maxUnpipelinedResponses = 4
 )
 
@@ -39,22 +39,22 @@
 	head h1.Head
 }
 
-// pipeline is the queue of requests that are open on a connection behind the current one. A connection has one only
-// from the first such request until it is idle.
+// pipeline is the queue of requests that are open on a connection behind the current one. A connection holds a
+// pipeline from the first such request until the connection is idle.
 type pipeline struct {
 	requests  [maxPipelined]pipelinedRequest // a ring buffer
-	first     int                            // index of the oldest
+	first     int                            // index of the oldest request
 	count     int
 	parser    h1.Parser
-	blocked   bool          // the next request waits until all open ones have their response, and is served alone
-	hasParsed bool          // that request was parsed already: a second time would count it twice, at a quota for one
-	parsed    parsedRequest // the result of that
+	blocked   bool          // the next request is served alone, after all open requests have their responses
+	hasParsed bool          // the next request is already parsed: parsing it again would count it twice in a quota
+	parsed    parsedRequest // the parsed next request, if hasParsed
 }
 
-// pipelinePool has the pipelines that no connection uses.
+// pipelinePool holds the pipelines that no connection uses.
 var pipelinePool = sync.Pool{New: func() any { return new(pipeline) }}
 
-// popOldest removes the oldest request. It is valid until the next one is read ahead.
+// popOldest removes and returns the oldest request. The result is valid until the next request is read ahead.
 func (p *pipeline) popOldest() *pipelinedRequest {
 	r := &p.requests[p.first]
 	p.first = (p.first + 1) % maxPipelined
@@ -62,23 +62,24 @@
 	return r
 }
 
-// nextFree is where the next request is read to.
+// nextFree returns the slot for the next request.
 func (p *pipeline) nextFree() *pipelinedRequest { return &p.requests[(p.first+p.count)%maxPipelined] }
 
+// release clears the pipeline and returns it to the pool.
 func (p *pipeline) release() {
 	for i := range p.requests {
 		r := &p.requests[i]
 		clear(r.head.Fields)
 		*r = pipelinedRequest{head: h1.Head{Fields: r.head.Fields[:0]}}
 	}
-	*p = pipeline{requests: p.requests} // the next connection sets its own limit
+	*p = pipeline{requests: p.requests} // the next connection sets its own head size limit
 	pipelinePool.Put(p)
 }
 
 // hasPipelined returns whether requests are open behind the current one.
 func (c *conn) hasPipelined() bool { return c.pipeline != nil && c.pipeline.count > 0 }
 
-// releasePipeline gives the pipeline back. No request is open in it.
+// releasePipeline releases the connection's pipeline, in which no request is open.
 func (c *conn) releasePipeline() {
 	if c.pipeline != nil {
 		c.pipeline.release()
@@ -86,7 +87,7 @@
 	}
 }
 
-// resumePipeline unblocks the pipeline: the request that it waits with is served next.
+// resumePipeline unblocks the pipeline: the request that blocked it is served next.
 func (c *conn) resumePipeline() {
 	if c.pipeline != nil {
 		c.pipeline.blocked = false
@@ -97,8 +98,8 @@
 // isHeadOnly returns whether a request has no body and leaves its connection open.
 func isHeadOnly(h *h1.Head) bool { return h.Length <= 0 && !h.Chunked && !h.ExpectContinue && !h.Close }
 
-// canPipeline returns whether a request may be open together with others of its connection. A front that several
-// targets share reads nothing ahead: what it reads waits for its permit.
+// canPipeline returns whether a request may be open together with other requests of its connection. A front shared by
+// several targets never reads ahead, because each read has to wait for a permit.
 func (c *conn) canPipeline(head *h1.Head, request *policy.Request) bool {
 	dialect := c.front.cfg.Dialect
 	if dialect == nil || dialect.CanPipeline == nil || c.front.readPermits.Load() != nil || !isHeadOnly(head) {
@@ -107,7 +108,7 @@
 	return dialect.CanPipeline(request)
 }
 
-// mayReadAhead returns whether a further request may be started behind the open ones.
+// mayReadAhead returns whether another request may be started behind the open ones.
 func (c *conn) mayReadAhead() bool {
 	if !c.pipelinable || c.buffers.head.Close || c.front.draining.Load() {
 		return false
@@ -115,8 +116,9 @@
 	return c.pipeline == nil || !c.pipeline.blocked && c.pipeline.count < maxPipelined
 }
 
-// readPipelined starts the requests that have come behind the open ones, and returns whether there were any. It never
-// waits. It is called from one goroutine at a time, while the connection's own waits for a reply or streams a response.
+// readPipelined starts the requests that were received behind the open ones, without blocking, and returns whether
+// there were any. One goroutine at a time calls it: the connection's own while it waits for a reply, or the goroutine
+// that watches the client while a response is streamed.
 func (c *conn) readPipelined() (started bool) {
 	for c.mayReadAhead() {
 		if c.unreadStart == c.unreadEnd && !c.readAvailable() {
@@ -131,7 +133,7 @@
 		next := p.nextFree()
 		size, err := p.parser.Parse(c.buffers.in[c.unreadStart:c.unreadEnd], &next.head)
 		switch {
-		case err != nil: // it is rejected in its turn
+		case err != nil: // the request is rejected when its turn comes
 			p.blocked = true
 		case size == 0:
 			if !c.readAvailable() {
@@ -149,7 +151,7 @@
 	return started
 }
 
-// readAvailable reads what is there, without waiting. It returns false if there is nothing.
+// readAvailable reads the available bytes without blocking. It returns false if there are none.
 func (c *conn) readAvailable() bool {
 	if !c.mayHaveUnread {
 		return false
@@ -167,12 +169,12 @@
 		}
 		c.sawReset = c.sawReset || errors.Is(err, syscall.ECONNRESET)
 	})
-	c.mayHaveUnread = n == len(free) // otherwise that was all, and the watcher reports what comes later
+	c.mayHaveUnread = n == len(free) // a shorter read took all bytes; the watcher reports later ones
 	c.unreadEnd += max(n, 0)
 	return n > 0
 }
 
-// startPipelined hands a request whose head has been read to its engine, and returns whether that could be done now.
+// startPipelined submits a request whose head has been read to its engine, and returns whether that was possible now.
 func (c *conn) startPipelined(next *pipelinedRequest) bool {
 	if !isHeadOnly(&next.head) || next.head.Target == "*" {
 		return false
@@ -206,10 +208,10 @@
 	return true
 }
 
-// serveOldestPipelined answers the request that was read ahead first. It is the current one from now on.
+// serveOldestPipelined makes the oldest request that was read ahead the current one, and responds to it.
 func (c *conn) serveOldestPipelined() bool {
 	oldest := c.pipeline.popOldest()
-	c.buffers.head, oldest.head = oldest.head, c.buffers.head // its response goes by its own head
+	c.buffers.head, oldest.head = oldest.head, c.buffers.head // the response depends on the head of its own request
 	pending := oldest.pendingRequest
 	oldest.pendingRequest = pendingRequest{}
 	defer pending.endRead()
@@ -218,8 +220,8 @@
 	return c.awaitReply(&pending, nil)
 }
 
-// cancelPipelined cancels the requests that were read ahead: their connection ends, and their client takes them for not
-// read.
+// cancelPipelined cancels the requests that were read ahead. Their connection closes, so their client treats them as
+// not processed and may send them again.
 func (c *conn) cancelPipelined() {
 	if !c.hasPipelined() {
 		return
@@ -236,7 +238,8 @@
 	discardReplies(replies)
 }
 
-// onPipelinedRequest records that a client was seen to send a request before it had the last one's response.
+// onPipelinedRequest records that the client sent a request before it had the response to the previous one, and
+// enables reports of received bytes.
 func (c *conn) onPipelinedRequest() {
 	c.unpipelinedResponses = 0
 	if c.dataArrived != nil && !c.notifyOnData {
@@ -245,7 +248,7 @@
 	}
 }
 
-// onUnpipelinedResponse records that a request was answered and that none had come behind it.
+// onUnpipelinedResponse records a response with no further request behind it.
 func (c *conn) onUnpipelinedResponse() {
 	if !c.notifyOnData {
 		return
@@ -256,10 +259,10 @@
 	}
 }
 
-// notifyData reports that bytes may have come. The watcher calls it.
+// notifyData reports that bytes may have been received. The watcher calls it.
 func (c *conn) notifyData() {
 	select {
 	case c.dataArrived <- struct{}{}:
-	default: // it has been told already, or does not pipeline
+	default: // already notified, or the connection does not pipeline
 	}
 }
--- a/internal/proxy/front/http1/poll_wait.go
+++ b/internal/proxy/front/http1/poll_wait.go
@@ -7,16 +7,17 @@
 	"syscall"
 )
 
-// pollWaits waits for the runtime's poller to look at the network once more. It does when no goroutine is runnable
-// any more, or after 10 ms. One that waits for that lets all go first that others have begun, and all that has come
-// in over the network. Yielding does the opposite: whoever yields is runnable, and as long as somebody is, the
-// network is looked at every 10 ms only, which all responses then wait for.
+// pollWaits waits for the next time that the Go runtime polls the network. The runtime polls when no goroutine is
+// runnable, or after 10 ms at the latest. So a goroutine that waits lets all other runnable goroutines proceed first,
+// and lets input that has arrived be noticed. runtime.Gosched would have the opposite effect: a goroutine that yields
+// stays runnable, and while any goroutine is runnable the network is polled only every 10 ms, which would delay all
+// responses.
 type pollWaits struct {
 	mu   sync.Mutex
-	free []*pollPipe // that nobody waits on; guarded by mu
+	free []*pollPipe // pipes that no goroutine waits on; guarded by mu
 }
 
-// pollPipe is a pipe: a byte that is written to it is seen by the poller.
+// pollPipe is a pipe that the runtime polls: a byte written to it wakes its reader at the next poll.
 type pollPipe struct {
 	r, w *os.File
 	raw  syscall.RawConn
@@ -40,7 +41,7 @@
 	p.w.Close()
 }
 
-// wait returns after one look of the poller at the network, or at once where the system has no pipe left.
+// wait returns after the next network poll of the runtime, or at once if the system can create no pipe.
 func (w *pollWaits) wait() {
 	w.mu.Lock()
 	var p *pollPipe
@@ -56,7 +57,7 @@
 	}
 	written := false
 	err := p.raw.Read(func(fd uintptr) bool {
-		if !written { // only now that the poller's memory of the pipe is cleared, see internal/poll's prepareRead
+		if !written { // write only after internal/poll's prepareRead has cleared the pipe's readiness
 			written = true
 			_, err := p.w.Write([]byte{1})
 			return err != nil
@@ -74,7 +75,7 @@
 	w.free = append(w.free, p)
 }
 
-// close closes the pipes that nobody waits on.
+// close closes the pipes that no goroutine waits on.
 func (w *pollWaits) close() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/proxy/front/http1/read_permits.go
+++ b/internal/proxy/front/http1/read_permits.go
@@ -9,21 +9,22 @@
 )
 
 const (
-	// permitCount bounds how many connections read, parse and hand requests over at a time; all others stay parked. One
-	// core has no use for more: the second one keeps it busy while the first is in the middle of a system call.
+	// permitCount is how many connections may read, parse and submit requests at a time; the goroutines of all others
+	// stay parked. One CPU core needs no more than two: the second connection keeps the core busy while the first one
+	// is in a system call.
 	permitCount = 2
-	// sparePermitCount is how many further permits there are for pools that have had less than their share.
+	// sparePermitCount is how many additional permits there are for pools that received less than their share.
 	sparePermitCount = 2
-	// costPerByte is what a byte of a body is charged with beside the time that it took to read it: it is copied once
-	// more on its way to a server.
+	// costPerByte is the cost of a body byte in addition to the time to read it: each byte is copied once more on its
+	// way to a server.
 	costPerByte = 1 * time.Nanosecond
-	// newConnsFlow is the flow of connections on which nothing was requested yet. Nobody knows whose they are.
+	// newConnsFlow is the flow of connections on which no request was received yet, so that their target is unknown.
 	newConnsFlow = 0
 )
 
-// readPermits shares permits to read among the connections of several targets, which are a flow each: see share.Queue.
-// Without permits hundreds of connections of one pool are runnable at once, and each step of another pool's request
-// waits behind them.
+// readPermits shares read permits among the connections of several targets, with one flow per target: see
+// share.Queue. Without permits, hundreds of connections of one pool may be runnable at once, and each step of another
+// pool's request waits behind all of them.
 type readPermits struct {
 	clock clock.Clock
 	flows int
@@ -31,7 +32,7 @@
 	queue *share.Queue[*conn]
 }
 
-// acquirePermit waits for a permit, if the front has several targets and the connection holds none yet.
+// acquirePermit waits for a permit, if several targets share the front and the connection holds no permit yet.
 func (c *conn) acquirePermit() {
 	permits := c.front.readPermits.Load()
 	if permits == nil || c.permits != nil {
@@ -41,30 +42,30 @@
 	if c.target != nil {
 		flow = int(c.target.permitFlow.Load())
 	}
-	if flow >= permits.flows { // its target was shared among others
+	if flow >= permits.flows { // the target's flow number is from another call of ShareAmong
 		flow = newConnsFlow
 	}
 	if c.permitGranted == nil {
 		c.permitGranted = make(chan bool, 1)
 	}
 	permits.mu.Lock()
-	behind := permits.queue.IsUnderserved(flow)
+	underserved := permits.queue.IsUnderserved(flow)
 	granted, spare := permits.queue.Acquire(flow, c)
 	permits.mu.Unlock()
 	if !granted {
 		spare = <-c.permitGranted
 	}
-	if !behind {
-		// What others have begun goes first, down to the responses that are being streamed, and what has come in
-		// meanwhile. So no more is begun than the core gets done, and it is the pool that wants most whose work waits,
-		// outside the process.
+	if !underserved {
+		// Goroutines that are already runnable proceed first, including those that stream responses, and input that
+		// has arrived is noticed. So the process begins no more work than the core can finish, and the work of the
+		// pool with the highest demand waits outside the process.
 		c.front.pollWaits.wait()
 	}
 	c.permits, c.permitFlow, c.sparePermit = permits, flow, spare
 	c.bytesUnderPermit, c.permitSince = 0, permits.clock.Now()
 }
 
-// releasePermit gives the permit back, if one is held. It is called before everything that may wait.
+// releasePermit releases the permit, if the connection holds one. It is called before every operation that may block.
 func (c *conn) releasePermit() {
 	permits := c.permits
 	if permits == nil {
@@ -86,9 +87,9 @@
 	}
 }
 
-// ShareAmong has several targets share the front from now on: the permits to read and the connections are divided by
-// weight, where targets[i] has weights[i]. Connections on which nothing was requested yet have a share as large as the
-// smallest. nil: one target has it all, and nothing waits for a permit.
+// ShareAmong makes several targets share the front: read permits and connections are divided by weight, where
+// targets[i] has weights[i]. Connections on which no request was received yet get a share as large as the smallest.
+// With no targets the front is not shared, and no read needs a permit.
 func (f *Front) ShareAmong(targets []*Target, weights []float64) {
 	if len(targets) == 0 {
 		f.readPermits.Store(nil)
--- a/internal/proxy/front/http1/read_permits_test.go
+++ b/internal/proxy/front/http1/read_permits_test.go
@@ -9,17 +9,17 @@
 	"caperarch/internal/proxy/clock"
 )
 
-// However many connections of a flooded pool want to be read, one of a quiet pool's is read next; all permits come
-// back.
+// A connection of a pool with little traffic gets the next permit however many connections of an overloaded pool wait
+// for one, and all permits are released in the end.
 func TestReadPermitsAreFair(t *testing.T) {
 	f := New(Config{ConnLimits: NewConnLimits(192, 128)}, clock.New())
-	flooded, quiet := new(Target), new(Target)
-	f.ShareAmong([]*Target{flooded, quiet}, []float64{1, 1})
+	overloaded, lowTraffic := new(Target), new(Target)
+	f.ShareAmong([]*Target{overloaded, lowTraffic}, []float64{1, 1})
 	stop := make(chan struct{})
-	var flood sync.WaitGroup
+	var load sync.WaitGroup
 	for range 200 {
-		flood.Go(func() {
-			c := &conn{front: f, target: flooded}
+		load.Go(func() {
+			c := &conn{front: f, target: overloaded}
 			for {
 				select {
 				case <-stop:
@@ -33,7 +33,7 @@
 			}
 		})
 	}
-	c := &conn{front: f, target: quiet}
+	c := &conn{front: f, target: lowTraffic}
 	var waits []time.Duration
 	for range 50 {
 		time.Sleep(time.Millisecond)
@@ -43,18 +43,18 @@
 		c.releasePermit()
 	}
 	close(stop)
-	flood.Wait()
-	g := f.readPermits.Load()
-	if n := g.queue.Waiting(); n != 0 {
-		t.Errorf("%d still wait", n)
+	load.Wait()
+	permits := f.readPermits.Load()
+	if n := permits.queue.Waiting(); n != 0 {
+		t.Errorf("%d connections still wait for a permit, want 0", n)
 	}
-	// In the order of asking it would be 200 x 50 µs = 10 ms each time.
+	// In arrival order each wait would take 200 x 50 µs = 10 ms.
 	slices.Sort(waits)
 	if median := waits[len(waits)/2]; median > 3*time.Millisecond {
-		t.Errorf("the quiet one waited %v in the median", median)
+		t.Errorf("the pool with little traffic waited %v for a permit in the median, want at most 3ms", median)
 	}
 	c.acquirePermit()
-	c.acquirePermit() // a second one passes: it has its permit
+	c.acquirePermit() // a second call returns at once: the connection holds a permit
 	c.releasePermit()
 	c.releasePermit()
 }
--- a/internal/proxy/front/http1/request.go
+++ b/internal/proxy/front/http1/request.go
@@ -11,16 +11,16 @@
 	"caperarch/policy"
 )
 
-// parsedRequest is what a request's head says about how to handle it.
+// parsedRequest is the result of parsing a request's head: how to handle the request.
 type parsedRequest struct {
-	target    *Target // nil: it goes nowhere, rejection says why
+	target    *Target // nil: the request has no target, see rejection
 	request   policy.Request
 	timeout   time.Duration
-	rejection *Rejection // nil: it can be accepted
+	rejection *Rejection // nil: the request can be accepted
 }
 
-// parseRequest parses a request's head by the Dialect, once: a second call for the same request returns what the first
-// one found.
+// parseRequest routes a request and parses its head. A request that startPipelined has parsed already is not parsed
+// again: its stored result is returned.
 func (c *conn) parseRequest(head *h1.Head) parsedRequest {
 	if c.pipeline != nil && c.pipeline.hasParsed {
 		parsed := c.pipeline.parsed
@@ -37,8 +37,8 @@
 	return parsed
 }
 
-// newMessage is a request as it is forwarded, without its body. It keeps the head's strings but not the head, which is
-// used again for the next request.
+// newMessage returns the request in the form in which it is forwarded, without its body. The message keeps strings of
+// the head but not the head itself, which is reused for the next request.
 func (c *conn) newMessage(head *h1.Head, request *policy.Request) *call.Message {
 	message := &call.Message{Method: head.Method, URI: head.Target, Host: head.Host, Header: head.EndToEnd(), Stream: true}
 	if dialect := c.front.cfg.Dialect; dialect != nil {
@@ -47,8 +47,8 @@
 	return message
 }
 
-// serveRequest answers a request whose head has been read, and returns whether the connection can stay open. What can
-// be rejected is rejected before its body is read.
+// serveRequest responds to a request whose head has been read, and returns whether the connection can stay open.
+// Requests are rejected before their body is read where possible.
 func (c *conn) serveRequest(head *h1.Head, arrived time.Duration) bool {
 	if c.front.cfg.Dialect == nil && isReadinessCheck(head) {
 		return c.serveReadiness()
@@ -80,15 +80,15 @@
 	return c.forwardRequest(head, &parsed, arrived)
 }
 
-// forwardRequest reads a request's body, hands the request to the target's engine and answers it.
+// forwardRequest reads a request's body, submits the request to the target's engine and writes the response.
 func (c *conn) forwardRequest(head *h1.Head, parsed *parsedRequest, arrived time.Duration) bool {
-	// What is buffered of the body at a time; of one in chunks nothing is known yet.
+	// The bytes of the body that are buffered at a time. The size of a chunked body is unknown yet and counts as 0.
 	length := min(max(head.Length, 0), call.MaxBufferedBody+stream.WindowSize)
 	target, request := parsed.target, parsed.request
 	pending := pendingRequest{
 		target: target, metrics: c.metrics, sharedLimits: target.sharedLimits.Load(), bodyBytes: length,
 	}
-	if !pending.beginRead() { // bodies that come a byte at a time would occupy all connections otherwise
+	if !pending.beginRead() { // bodies sent one byte at a time would occupy all connections otherwise
 		return c.rejectOverloadByHead(head)
 	}
 	defer pending.endRead()
@@ -96,7 +96,7 @@
 		return c.rejectOverloadByHead(head)
 	}
 	message := c.newMessage(head, &request)
-	var body *bodyReader // of a body that is forwarded as it comes
+	var body *bodyReader // reads the rest of a body that is streamed to the server
 	var ok bool
 	if !head.Chunked && head.Length <= call.MaxBufferedBody {
 		message.Body, ok = c.readBody(head, int(length), parsed.timeout)
@@ -109,15 +109,15 @@
 	if !ok {
 		return false
 	}
-	// Its timeout counts from its last byte, or for a body that is forwarded as it comes from here on.
+	// The timeout counts from the last byte of the request or, for a streamed body, from this point on.
 	arrived = max(arrived, c.receivedAt)
-	// Counted only now: clients that announce a body and don't send it must not use up the capacity of others. Until
-	// here the limits on connections hold for them.
+	// Capacity is reserved only now, so that clients that announce a body and don't send it can't use up the capacity
+	// for others. Until here only the limits on connections apply to such clients.
 	defer pending.release(c.front)
 	if !pending.reserve(c.front) {
 		return c.rejectOverload(body)
 	}
-	if body == nil && c.leftAlready() {
+	if body == nil && c.clientAlreadyGone() {
 		return false
 	}
 	pending.reply = make(chan call.Answer, 1)
@@ -127,44 +127,45 @@
 	return c.awaitReply(&pending, body)
 }
 
-// awaitReply waits for the reply to the current request, reads pipelined requests meanwhile, and responds.
+// awaitReply waits for the reply to the current request and responds. Meanwhile it reads pipelined requests.
 func (c *conn) awaitReply(pending *pendingRequest, body *bodyReader) bool {
-	c.readPipelined() // what came with its head, or found no capacity before
+	c.readPipelined() // requests received together with the head, or that found no capacity before
 	for hangup := c.hangup; ; {
 		select {
 		case reply := <-pending.reply:
 			return c.respond(&reply, body)
 		case <-c.dataArrived:
 			if c.mayHaveUnread = true; c.readPipelined() {
-				hangup = c.hangup // the input that kept it from being taken for gone may have been read by now
+				hangup = c.hangup // the unread input that kept clientGone from returning true may be read by now
 			}
 		case <-hangup:
-			c.mayHaveUnread = true // what came before the end may not have been reported
+			c.mayHaveUnread = true // bytes received before the hangup may not have been reported
 			c.readPipelined()
-			if c.clientGone() { // nobody is left to respond to
+			if c.clientGone() { // there is no client left to respond to
 				pending.target.Engine.ClientGone(pending.id)
-				// Its reply may have been here before its turn, or cross this.
+				// The reply may have been received already, or may cross the cancellation.
 				discardReplies([]chan call.Answer{pending.reply})
 				return false
 			}
-			hangup = nil // more requests came before the end: the client still waits for their responses
-		case <-pending.target.Engine.Done(): // its pool was removed: what the engine had accepted has its reply by then
+			hangup = nil // unread requests precede the hangup: the client still waits for responses
+		case <-pending.target.Engine.Done(): // the pool was removed; all accepted requests have replies by now
 			select {
 			case reply := <-pending.reply:
 				return c.respond(&reply, body)
-			default: // the engine never accepted it
+			default: // the engine did not accept the request
 				return c.rejectOverload(body)
 			}
 		}
 	}
 }
 
-// isReadinessCheck returns whether a request is GET /up, which the front answers itself where it has no Dialect.
+// isReadinessCheck returns whether a request is GET /up, to which a front without a Dialect responds itself.
 func isReadinessCheck(head *h1.Head) bool {
 	path, _, _ := strings.Cut(head.Target, "?")
 	return path == "/up" && head.Method == http.MethodGet && head.Length <= 0
 }
 
+// serveReadiness responds to GET /up: 200 if the front is ready, 503 otherwise.
 func (c *conn) serveReadiness() bool {
 	status := http.StatusOK
 	if !c.front.ready.Load() {
@@ -173,14 +174,14 @@
 	return c.writeResponse(&h1.Response{Status: status}, nil)
 }
 
-// serveServerOptions answers OPTIONS *, which asks about the server itself (RFC 9110, 9.3.7).
+// serveServerOptions responds to OPTIONS *, which applies to the server itself (RFC 9110, 9.3.7).
 func (c *conn) serveServerOptions(head *h1.Head) bool {
 	response := h1.Response{Status: http.StatusOK, Header: http.Header{"Allow": {"GET, POST, OPTIONS"}}}
 	return c.writeResponse(&response, nil) && head.Length <= 0 && !head.Chunked
 }
 
-// isOverShare returns whether the connection belongs to a target that has more than its share of the connections and
-// has to make room for others.
+// isOverShare returns whether the connection should close because its target has more than its share of the
+// connections and others need room.
 func (c *conn) isOverShare() bool {
 	return c.front.readPermits.Load() != nil && c.acceptor.overShare(c)
 }
--- a/internal/proxy/front/http1/request_body.go
+++ b/internal/proxy/front/http1/request_body.go
@@ -11,8 +11,8 @@
 	"caperarch/internal/proxy/h1"
 )
 
-// bodyTimeout is how long a body, or the part of it that is buffered, may take once its head is here. Where the front
-// has RequestLimits, that is at least the request's own timeout: as long as its client waits for it.
+// bodyTimeout returns how long a body, or its buffered prefix, may take from the end of the head. With RequestLimits
+// it is at least the timeout of the request, because the client waits that long for the response.
 func (c *conn) bodyTimeout(timeout time.Duration) time.Duration {
 	if c.front.cfg.RequestLimits == nil {
 		return bodyTimeout
@@ -20,8 +20,8 @@
 	return max(bodyTimeout, timeout)
 }
 
-// readBody reads a body of length bytes within bodyTimeout. It returns false if the body did not come, and has
-// rejected the request then.
+// readBody reads a body of length bytes within bodyTimeout. If the body is not received, it rejects the request and
+// returns false.
 func (c *conn) readBody(head *h1.Head, length int, timeout time.Duration) ([]byte, bool) {
 	if length == 0 {
 		return nil, true
@@ -60,17 +60,17 @@
 	return body, c.finishSlowRead()
 }
 
-// growBody returns a full buffer with twice the capacity, maxBytes at most: a body takes no more memory than twice what
-// has come of it, whatever its head announces.
+// growBody returns a copy of a full buffer with twice the capacity, at most maxBytes. So a body takes at most twice
+// the memory of the bytes received, whatever length its head announces.
 func growBody(body []byte, maxBytes int) []byte {
 	grown := make([]byte, len(body), min(maxBytes, 2*cap(body)))
 	copy(grown, body)
 	return grown
 }
 
-// readBodyPrefix reads the part that is buffered of a body that comes in chunks or is longer than
-// call.MaxBufferedBody. The reader is nil if that was all of the body; otherwise the message's rest comes from it. It
-// returns false if the prefix did not come, and has rejected the request then.
+// readBodyPrefix reads the buffered prefix of a chunked body, or of a body longer than call.MaxBufferedBody, into
+// message.Body. If the prefix is the complete body, the returned reader is nil; otherwise message.Upload reads the
+// rest from the reader. If the prefix is not received, readBodyPrefix rejects the request and returns false.
 func (c *conn) readBodyPrefix(head *h1.Head, message *call.Message, timeout time.Duration) (*bodyReader, bool) {
 	nothingYet := c.unreadStart == c.unreadEnd
 	reader := c.newBodyReader(head)
--- a/internal/proxy/front/http1/request_limits.go
+++ b/internal/proxy/front/http1/request_limits.go
@@ -3,24 +3,26 @@
 import "time"
 
 const (
-	// maxHeadBytes bounds HeadBytes, whatever is configured: a head is held in memory for each connection that is being
-	// read.
+	// maxHeadBytes is the upper limit of HeadBytes, whatever is configured: the head of each request being read is
+	// held in memory.
 	maxHeadBytes = 1 << 20
-	// minHeadBytes is the smallest HeadBytes that takes effect: less fits no request.
+	// minHeadBytes is the lower limit of HeadBytes: no request fits into less.
 	minHeadBytes = 256
 )
 
-// RequestLimits bound what clients may send, and how long they may take. A field of 0 is the front's own bound.
+// RequestLimits are limits on the size of requests and on the time that clients may take. For a field of 0 the
+// front's own limit applies.
 type RequestLimits struct {
-	HeadBytes int64         // of a head's fields; its request line may have as many
-	BodyBytes int64         // of a body in chunks; one of a known length is for the Dialect to reject by its head
-	HeadTime  time.Duration // from the first byte of a head to its last
-	// IdleTime is how long a connection may be idle between two requests, or before the first one. A shorter one takes
-	// effect when a connection becomes idle the next time, a longer one at once: its client may know either.
+	HeadBytes int64         // size of a head's fields; the request line may have the same size again
+	BodyBytes int64         // size of a chunked body; the Dialect rejects long bodies with Content-Length by their head
+	HeadTime  time.Duration // time from the first byte of a head to its last
+	// IdleTime is how long a connection may be idle between two requests, or before the first one. A shorter value
+	// takes effect when a connection next becomes idle, a longer one at once: a client may rely on the old value or
+	// on the new one.
 	IdleTime time.Duration
 }
 
-// headBytes is the limit that heads are parsed with.
+// headBytes returns the limit for the parser of heads; 0: the parser's own limit.
 func (l RequestLimits) headBytes() int {
 	if l.HeadBytes <= 0 {
 		return 0
@@ -28,7 +30,7 @@
 	return int(min(max(l.HeadBytes, minHeadBytes), maxHeadBytes))
 }
 
-// requestLimits are the current limits.
+// requestLimits returns the current limits.
 func (f *Front) requestLimits() RequestLimits {
 	if f.cfg.RequestLimits == nil {
 		return RequestLimits{}
--- a/internal/proxy/front/http1/request_limits_test.go
+++ b/internal/proxy/front/http1/request_limits_test.go
@@ -18,14 +18,14 @@
 	"caperarch/policy"
 )
 
-// pipeListener is a listener of connections within a bubble of synctest.
+// pipeListener is a listener for in-memory connections, which work within a synctest bubble.
 type pipeListener chan net.Conn
 
 func (p pipeListener) Accept() (net.Conn, error) { return <-p, nil }
 func (p pipeListener) Close() error              { return nil }
 func (p pipeListener) Addr() net.Addr            { return nil }
 
-// limitedFront is a front under limits whose requests are answered at once, in virtual time.
+// limitedFront is a front with RequestLimits and an engine that replies at once, used in virtual time.
 type limitedFront struct {
 	t        *testing.T
 	front    *Front
@@ -33,13 +33,13 @@
 	limits   atomic.Pointer[RequestLimits]
 }
 
-func newLimitedFront(t *testing.T, of RequestLimits) *limitedFront {
+func newLimitedFront(t *testing.T, initial RequestLimits) *limitedFront {
 	l := &limitedFront{t: t, listener: make(pipeListener, 1)}
-	l.limits.Store(&of)
-	d := &fakeEngine{submitted: make(chan submittedRequest), gone: make(chan policy.RequestID, 1)}
-	target := &Target{Engine: d, MaxOpen: 64, MaxBodyBytes: 1 << 20}
+	l.limits.Store(&initial)
+	engine := &fakeEngine{submitted: make(chan submittedRequest), gone: make(chan policy.RequestID, 1)}
+	target := &Target{Engine: engine, MaxOpen: 64, MaxBodyBytes: 1 << 20}
 	l.front = New(Config{
-		Route: RouteTo(target), Dialect: d.dialect(), ConnLimits: KeepAliveConnLimits(256),
+		Route: RouteTo(target), Dialect: engine.dialect(), ConnLimits: KeepAliveConnLimits(256),
 		RequestLimits: func() RequestLimits { return *l.limits.Load() }, Log: slog.New(slog.DiscardHandler),
 	}, clock.New())
 	l.front.acceptor.listener = l.listener
@@ -48,8 +48,8 @@
 	go func() {
 		for {
 			select {
-			case a := <-d.submitted:
-				a.reply()
+			case r := <-engine.submitted:
+				r.reply()
 			case <-ended:
 				return
 			}
@@ -59,25 +59,26 @@
 	return l
 }
 
-// dial is a client's side of a new connection.
+// dial opens a connection and returns its client side.
 func (l *limitedFront) dial() *pipeClient {
-	here, there := net.Pipe()
-	l.listener <- there
+	clientSide, serverSide := net.Pipe()
+	l.listener <- serverSide
 	c, err := l.front.acceptor.accept()
 	if err != nil {
 		l.t.Fatal(err)
 	}
 	go l.front.serve(c)
-	l.t.Cleanup(func() { here.Close() })
-	return &pipeClient{Conn: here, r: bufio.NewReader(here)}
+	l.t.Cleanup(func() { clientSide.Close() })
+	return &pipeClient{Conn: clientSide, r: bufio.NewReader(clientSide)}
 }
 
+// pipeClient is the client side of an in-memory connection.
 type pipeClient struct {
 	net.Conn
 	r *bufio.Reader
 }
 
-// request sends bytes and returns the status of the response; 0: the connection ended.
+// request sends bytes and returns the status of the response, or 0 if the connection ended.
 func (c *pipeClient) request(bytes string) int {
 	if _, err := io.WriteString(c, bytes); err != nil {
 		return 0
@@ -85,6 +86,7 @@
 	return c.responseStatus()
 }
 
+// responseStatus reads a response and returns its status, or 0 if the connection ended.
 func (c *pipeClient) responseStatus() int {
 	res, err := http.ReadResponse(c.r, nil)
 	if err != nil {
@@ -94,26 +96,26 @@
 	return res.StatusCode
 }
 
-// A head has the time of the limits from its first byte on, longer than the front's own bound or shorter, and a body
-// the time that its client waits for it.
+// A head may take as long as RequestLimits.HeadTime from its first byte, whether that is longer or shorter than the
+// front's own limit, and a body as long as the timeout of its request.
 func TestHeadTimeout(t *testing.T) {
 	for _, limit := range []time.Duration{3 * time.Second, 300 * time.Millisecond} {
 		synctest.Test(t, func(t *testing.T) {
 			l := newLimitedFront(t, RequestLimits{HeadTime: limit, IdleTime: 15 * time.Second})
 			begun, rest := "GET /one HTT", "P/1.1\r\nHost: a\r\n\r\n"
 			c := l.dial()
-			time.Sleep(5 * time.Second) // the time does not run before the first byte
+			time.Sleep(5 * time.Second) // HeadTime does not begin before the first byte
 			for range 2 {
 				_, _ = io.WriteString(c, begun)
 				time.Sleep(limit - time.Millisecond)
 				if status := c.request(rest); status != 200 {
-					t.Errorf("a head within %v: %d", limit, status)
+					t.Errorf("head completed within the limit of %v: status %d, want 200", limit, status)
 				}
 			}
 			_, _ = io.WriteString(c, begun)
 			before := time.Now()
 			if status := c.responseStatus(); status != 408 || time.Since(before) != limit {
-				t.Errorf("a head that does not end has %d after %v, want 408 after %v", status, time.Since(before), limit)
+				t.Errorf("incomplete head: status %d after %v, want 408 after %v", status, time.Since(before), limit)
 			}
 			c = l.dial()
 			_, _ = io.WriteString(c, "POST /slow HTTP/1.1\r\nHost: a\r\nContent-Length: 10\r\n\r\n")
@@ -122,14 +124,14 @@
 				_, _ = io.WriteString(c, ".")
 			}
 			if status := c.request("."); status != 200 {
-				t.Errorf("a body within the minute that its client waits: %d", status)
+				t.Errorf("body completed within the request's timeout of 1 min: status %d, want 200", status)
 			}
 		})
 	}
 }
 
-// Connections stay idle as long as the limits say, however many there are: to the moment, not a fraction of it. What
-// changes meanwhile never shortens a rest that has begun.
+// Connections stay idle for exactly RequestLimits.IdleTime, however many there are. A change of the limit never
+// shortens an idle period that has begun.
 func TestIdleTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const idle, late = 15 * time.Second, maxSweepInterval + time.Millisecond
@@ -137,11 +139,11 @@
 		var all []*pipeClient
 		for i := range 120 {
 			all = append(all, l.dial())
-			for range i % 3 { // some have said nothing, others come back
+			for range i % 3 { // a third each: no request, one request, two requests
 				if status := all[i].request(get("/one")); status != 200 {
-					t.Fatalf("%d", status)
+					t.Fatalf("status %d, want 200", status)
 				}
-				synctest.Wait() // a request counts as open until its goroutine goes on behind the response
+				synctest.Wait() // a request counts as open until its goroutine continues after the response
 			}
 		}
 		open := func() int { synctest.Wait(); return l.front.Counters().Open }
@@ -149,7 +151,7 @@
 			time.Sleep(idle - time.Millisecond)
 			for i, c := range all {
 				if status := c.request(get("/one")); status != 200 {
-					t.Fatalf("connection %d was closed within its time: %d", i, status)
+					t.Fatalf("connection %d was closed before IdleTime: status %d, want 200", i, status)
 				}
 				synctest.Wait()
 			}
@@ -157,34 +159,34 @@
 		l.limits.Store(&RequestLimits{IdleTime: idle / 5})
 		time.Sleep(idle - time.Millisecond)
 		if n := open(); n != len(all) {
-			t.Errorf("%d of %d are left that began to rest under the longer limit", n, len(all))
+			t.Errorf("%d of %d connections are open that became idle under the longer limit, want all", n, len(all))
 		}
 		for _, c := range all[:60] {
 			c.request(get("/one"))
 		}
 		time.Sleep(late)
 		if n := open(); n != 60 {
-			t.Errorf("%d are left behind their time, want the 60 that were used", n)
+			t.Errorf("%d connections are open after IdleTime, want the 60 that were used", n)
 		}
 		l.limits.Store(&RequestLimits{IdleTime: 2 * idle})
 		time.Sleep(2*idle - late - time.Millisecond)
 		if n := open(); n != 60 {
-			t.Errorf("%d of 60 are left under a longer limit", n)
+			t.Errorf("%d of 60 connections are open under a longer limit, want all", n)
 		}
 		time.Sleep(late)
 		if n := open(); n != 0 {
-			t.Errorf("%d are left behind the longer limit", n)
+			t.Errorf("%d connections are open after the longer limit, want 0", n)
 		}
 	})
 }
 
-// A head may be as long as the limits say, whether it comes alone, in parts or behind another request, and a body in
-// chunks too.
+// A head may be as long as HeadBytes, whether it is received alone, in parts or behind another request, and a chunked
+// body as long as BodyBytes.
 func TestRequestSizeLimits(t *testing.T) {
 	for _, limit := range []int{1000, 16 << 10, 40000} {
 		synctest.Test(t, func(t *testing.T) {
 			l := newLimitedFront(t, RequestLimits{HeadBytes: int64(limit), BodyBytes: 1000})
-			head := func(size int) string { // 150 fields, and so many bytes of them
+			head := func(size int) string { // 150 fields, with size bytes in all
 				fields := "Host: a\r\n"
 				if size > 4000 {
 					fields += strings.Repeat("F: 1\r\n", 150)
@@ -200,18 +202,18 @@
 					bytes = bytes[n:]
 				}
 				if status := c.responseStatus(); status != 200 {
-					t.Errorf("a head of the limit of %d in %d parts: %d", limit, parts, status)
+					t.Errorf("head of exactly %d bytes in %d parts: status %d, want 200", limit, parts, status)
 				}
 			}
 			go func() { _, _ = io.WriteString(c, head(limit)+head(limit)) }()
 			for range 2 {
 				if status := c.responseStatus(); status != 200 {
-					t.Errorf("a pipelined head of the limit of %d: %d", limit, status)
+					t.Errorf("pipelined head of exactly %d bytes: status %d, want 200", limit, status)
 				}
 			}
 			go func() { _, _ = io.WriteString(c, head(limit+1)) }()
 			if status := c.responseStatus(); status != 431 {
-				t.Errorf("a head over the limit of %d: %d", limit, status)
+				t.Errorf("head one byte over the limit of %d bytes: status %d, want 431", limit, status)
 			}
 			for size, status := range map[int]int{1000: 200, 1001: 413} {
 				c = l.dial()
@@ -220,23 +222,23 @@
 					fmt.Fprintf(c, format, size, strings.Repeat("b", size))
 				}()
 				if got := c.responseStatus(); got != status {
-					t.Errorf("%d bytes in chunks: %d, want %d", size, got, status)
+					t.Errorf("chunked body of %d bytes: status %d, want %d", size, got, status)
 				}
 			}
 		})
 	}
 }
 
-// Read ahead from a socket, heads have the same limit.
+// HeadBytes applies to heads that are read ahead from a socket, too.
 func TestPipelinedHeadSizeLimit(t *testing.T) {
-	d := newFakeEngine(t, 10, true, func(cfg *Config) {
+	engine := newFakeEngine(t, 10, true, func(cfg *Config) {
 		cfg.RequestLimits = func() RequestLimits { return RequestLimits{HeadBytes: 40000} }
 	})
-	c := d.dial(t)
+	c := engine.dial(t)
 	c.send(get("/safe/1"))
-	first := d.expectSubmitted(t, "/safe/1")[0]
+	first := engine.expectSubmitted(t, "/safe/1")[0]
 	c.send("GET /safe/2 HTTP/1.1\r\nHost: a\r\nX: " + strings.Repeat("x", 39000) + "\r\n\r\n")
-	second := d.expectSubmitted(t, "/safe/2")[0]
+	second := engine.expectSubmitted(t, "/safe/2")[0]
 	second.reply()
 	first.reply()
 	c.expectResponse(200, "done /safe/1")
@@ -246,19 +248,19 @@
 	c.expectEnd()
 }
 
-// A front without RequestLimits keeps its own limits.
+// Without RequestLimits a front uses its own limits.
 func TestDefaultLimits(t *testing.T) {
 	f := New(Config{ConnLimits: NewConnLimits(64, 64)}, clock.New())
-	if of := f.requestLimits(); of != (RequestLimits{}) || of.headBytes() != 0 {
-		t.Errorf("%+v", of)
+	if limits := f.requestLimits(); limits != (RequestLimits{}) || limits.headBytes() != 0 {
+		t.Errorf("limits are %+v, want none", limits)
 	}
 	var p h1.Parser
 	if p.SetLimit(f.requestLimits().headBytes()); p.MaxBytes() != h1.DefaultMaxHeadBytes {
-		t.Errorf("heads have %d bytes", p.MaxBytes())
+		t.Errorf("heads may have %d bytes, want h1.DefaultMaxHeadBytes", p.MaxBytes())
 	}
-	for k := range stateCount {
-		if left := f.acceptor.table.maxIdle(new(entry), k); left != defaultMaxIdle[k] {
-			t.Errorf("kind %d is left %v at rest, want %v", k, left, defaultMaxIdle[k])
+	for state := range stateCount {
+		if maxIdle := f.acceptor.table.maxIdle(new(entry), state); maxIdle != defaultMaxIdle[state] {
+			t.Errorf("in state %d a connection may stay %v, want %v", state, maxIdle, defaultMaxIdle[state])
 		}
 	}
 }
--- a/internal/proxy/front/http1/response.go
+++ b/internal/proxy/front/http1/response.go
@@ -14,11 +14,11 @@
 	"caperarch/internal/proxy/metrics"
 )
 
-// overloadRetryAfter is what a client is told to wait where the front itself has no capacity for its request.
+// overloadRetryAfter is the Retry-After value of a response to a request for which the front has no capacity.
 const overloadRetryAfter = time.Second
 
-// respond sends the response to a request whose body may still be coming; reader is nil if it is not. It returns
-// whether the connection can stay open, as all that respond do.
+// respond writes the response to a request whose body may still be incomplete; reader is nil if it is complete. Like
+// all functions here that write a response, it returns whether the connection can stay open.
 func (c *conn) respond(reply *call.Answer, reader *bodyReader) bool {
 	if reader == nil {
 		return c.writeReply(reply)
@@ -27,7 +27,7 @@
 		reader.returnUnread()
 		return c.writeReply(reply)
 	}
-	c.buffers.head.Close = true // nobody knows where its next request begins
+	c.buffers.head.Close = true // the start of the next request is unknown
 	_ = c.netConn.SetReadDeadline(time.Time{})
 	if !c.writeReply(reply) {
 		return false
@@ -36,14 +36,14 @@
 	return false
 }
 
-// rejectOverload rejects a request whose body may still be coming.
+// rejectOverload rejects a request whose body may still be incomplete.
 func (c *conn) rejectOverload(reader *bodyReader) bool {
 	return c.respond(&call.Answer{Kind: call.Refused, RetryAfter: overloadRetryAfter, RejectedByFront: true}, reader)
 }
 
-// rejectOverloadByHead rejects a request by its head, at once. A body that is still to come is discarded, so that the
-// connection stays open; meanwhile it counts as one that is being read. A body that would take long ends the
-// connection.
+// rejectOverloadByHead rejects a request at once, before its body is read. The body is then discarded so that the
+// connection can stay open; until its end the connection is in the reading state. If the body would take long, the
+// connection closes instead.
 func (c *conn) rejectOverloadByHead(head *h1.Head) bool {
 	reply := call.Answer{Kind: call.Refused, RetryAfter: overloadRetryAfter, RejectedByFront: true}
 	return c.respondByHead(head, &h1.Response{
@@ -53,9 +53,9 @@
 
 // respondByHead responds to a request before its body is read; see rejectOverloadByHead.
 func (c *conn) respondByHead(head *h1.Head, response *h1.Response) bool {
-	toCome := head.Length - int64(c.unreadEnd-c.unreadStart)
-	tooLong := !head.Chunked && toCome > call.MaxBufferedBody
-	closesBeforeEnd := c.buffers.head.Close && (head.Chunked || toCome > 0)
+	remaining := head.Length - int64(c.unreadEnd-c.unreadStart)
+	tooLong := !head.Chunked && remaining > call.MaxBufferedBody
+	closesBeforeEnd := c.buffers.head.Close && (head.Chunked || remaining > 0)
 	if tooLong || closesBeforeEnd {
 		c.buffers.head.Close = true
 		if c.writeResponse(response, nil) {
@@ -79,14 +79,14 @@
 	return c.acceptor.markBusy(c)
 }
 
-// reject responds to a request that can't be accepted and closes its connection: where the request ends is not to be
-// trusted.
+// reject responds to a request that can't be accepted and closes its connection, because the end of the request is
+// not reliably known.
 func (c *conn) reject(rejection *Rejection) bool {
 	response := h1.Response{
 		Status: rejection.Status, Length: int64(len(rejection.Reason) + 1), PlainText: true, Close: true,
 		Header: c.proxyHeaders(nil),
 	}
-	if rejection.Status == http.StatusServiceUnavailable { // nothing of it was forwarded: harmless to retry
+	if rejection.Status == http.StatusServiceUnavailable { // nothing was forwarded, so a retry is safe
 		response.RetryAfter = overloadRetryAfter
 	}
 	if c.writeResponse(&response, []byte(rejection.Reason+"\n")) {
@@ -95,20 +95,20 @@
 	return false
 }
 
-// writeReply sends an engine's reply as a response.
+// writeReply writes an engine's reply as a response.
 func (c *conn) writeReply(reply *call.Answer) bool {
 	switch {
 	case reply.Kind == call.Served && reply.Stream != nil:
 		if body, ok := reply.Stream.(call.Body); ok {
 			return c.streamResponse(reply, body)
 		}
-		reply.Stream.Close() // of another protocol's transport: an internal fault
+		reply.Stream.Close() // internal error: the stream is from a transport of another protocol
 		return c.writeResponse(&h1.Response{Status: http.StatusBadGateway}, nil)
 	case reply.Kind == call.Served:
 		return c.writeResponse(&h1.Response{
 			Status: cmp.Or(reply.Status, http.StatusOK), Header: reply.Header, Length: int64(len(reply.Body)),
 		}, reply.Body)
-	case reply.Kind == call.Refused: // a retry is harmless, best after the pause
+	case reply.Kind == call.Refused: // a retry is safe, after the Retry-After time
 		return c.writeResponse(&h1.Response{
 			Status: http.StatusServiceUnavailable, RetryAfter: reply.RetryAfter, Header: c.proxyHeaders(reply),
 		}, nil)
@@ -122,7 +122,7 @@
 	return c.writeResponse(&h1.Response{Status: http.StatusBadGateway, Header: c.proxyHeaders(reply)}, nil)
 }
 
-// proxyHeaders are the fields of a response that is not a server's; reply is nil for a rejection.
+// proxyHeaders returns the header fields of a response that the proxy generates itself. reply is nil for a rejection.
 func (c *conn) proxyHeaders(reply *call.Answer) http.Header {
 	if c.front.cfg.Dialect == nil {
 		return nil
@@ -130,10 +130,10 @@
 	return c.front.cfg.Dialect.ProxyHeaders(&c.buffers.head, reply)
 }
 
-// writeResponse sends a response and counts it. It returns false if the client did not take it.
+// writeResponse writes a response and counts its outcome. It returns false if the client did not accept it.
 func (c *conn) writeResponse(response *h1.Response, body []byte) bool {
 	if c.front.draining.Load() || c.isOverShare() {
-		c.buffers.head.Close = true // with this response
+		c.buffers.head.Close = true // the connection closes with this response
 	}
 	response.Close = response.Close || c.buffers.head.Close
 	response.Date = dateNow(c.front.clock.Now())
@@ -147,7 +147,7 @@
 	return true
 }
 
-// outcomeOf is the outcome that a response's status is counted as.
+// outcomeOf returns the outcome as which a response's status is counted.
 func outcomeOf(status int) metrics.Outcome {
 	switch status {
 	case http.StatusOK:
@@ -158,13 +158,13 @@
 	return metrics.BadGateway
 }
 
-// write sends head and body in one system call if the client takes that at once, and waits for responseWriteTimeout at
-// most.
+// write writes head and body in one system call if the socket accepts them at once. Otherwise it waits at most
+// responseWriteTimeout.
 func (c *conn) write(head, body []byte) error {
 	if len(head)+len(body) <= 2*bufferSize {
 		head, body = append(head, body...), nil
 	}
-	if c.rawConn != nil && body == nil { // with no deadline to set and take back
+	if c.rawConn != nil && body == nil { // no write deadline has to be set and cleared here
 		n, err := c.writeNonblocking(head)
 		if n == len(head) {
 			return nil
@@ -172,9 +172,9 @@
 		if err != nil {
 			return err
 		}
-		head = head[max(n, 0):] // an error of the socket comes again
+		head = head[max(n, 0):] // after a socket error (n < 0) the write below returns the error again
 	}
-	c.releasePermit() // the client takes its time
+	c.releasePermit() // the write may block
 	if err := c.netConn.SetWriteDeadline(time.Now().Add(responseWriteTimeout)); err != nil {
 		return err
 	}
@@ -187,8 +187,8 @@
 	return err
 }
 
-// writeNonblocking writes what the socket takes at once. n is negative if that failed; an error says that the
-// connection is closed.
+// writeNonblocking writes the bytes that the socket accepts at once. n is negative if the write failed. An error
+// means that the connection is closed.
 func (c *conn) writeNonblocking(b []byte) (n int, err error) {
 	err = c.rawConn.Write(func(fd uintptr) bool {
 		for {
--- a/internal/proxy/front/http1/stream_response.go
+++ b/internal/proxy/front/http1/stream_response.go
@@ -12,19 +12,19 @@
 	"caperarch/internal/proxy/stream"
 )
 
-// streamResponse forwards a response as it comes, and returns whether the connection can stay open.
+// streamResponse forwards a response body while it is received, and returns whether the connection can stay open.
 func (c *conn) streamResponse(reply *call.Answer, body call.Body) bool {
 	defer body.Close()
 	response := h1.Response{Status: cmp.Or(reply.Status, http.StatusOK), Header: reply.Header, Length: body.Length()}
 	classMetrics := c.metrics
-	c.metrics = nil // the head alone is no outcome
+	c.metrics = nil // the outcome is known only at the end of the body
 	if !c.writeResponse(&response, nil) {
 		return false
 	}
 	finished, joined := make(chan struct{}), make(chan struct{})
 	defer func() {
 		close(finished)
-		<-joined // until then the other goroutine reads ahead
+		<-joined // the other goroutine may read ahead until it ends
 	}()
 	go func() {
 		defer close(joined)
@@ -32,7 +32,7 @@
 	}()
 	chunked := response.Length < 0
 	complete, err := c.copyBody(body, chunked)
-	if err != nil { // its client sees that by the missing end
+	if err != nil { // the client detects the failure by the missing end of the body
 		classMetrics.CountOutcome(outcomeOf(http.StatusBadGateway))
 	}
 	if !complete {
@@ -48,8 +48,8 @@
 	return true
 }
 
-// copyBody copies a body to the client and returns whether that was all of it. An error is the server's: without one
-// the client did not take the body.
+// copyBody copies a body to the client and returns whether it was copied completely. An error is a failure of the
+// server; complete is false without an error if the client did not accept the body.
 func (c *conn) copyBody(body call.Body, chunked bool) (complete bool, err error) {
 	window := stream.AcquireWindow()
 	defer stream.ReleaseWindow(window)
@@ -73,11 +73,11 @@
 	}
 }
 
-// watchClient watches a connection while a response is streamed, until finished is closed: a client that leaves must
-// not occupy its server's connection, and what it sends is read ahead.
+// watchClient watches a connection while a response is streamed, until finished is closed. If the client leaves, it
+// closes the body, so that the connection to the server is freed. It also reads pipelined requests ahead.
 func (c *conn) watchClient(body call.Body, finished <-chan struct{}) {
 	defer func() {
-		if r := recover(); r != nil { // as in serve
+		if r := recover(); r != nil { // see Front.serve
 			c.front.logPanic(r)
 			body.Close()
 		}
@@ -85,7 +85,7 @@
 	for hangup := c.hangup; ; {
 		select {
 		case <-hangup:
-			c.mayHaveUnread = true // what came before the end may not have been reported
+			c.mayHaveUnread = true // bytes received before the hangup may not have been reported
 			c.readPipelined()
 			if c.clientState() != clientPresent {
 				body.Close()
--- a/internal/proxy/front/http1/target.go
+++ b/internal/proxy/front/http1/target.go
@@ -15,42 +15,43 @@
 
 // Engine replies to the requests that the front accepts: see engine.Engine. Its methods are safe for concurrent use.
 type Engine interface {
-	// Submit hands a request over; the reply comes on the channel, which has space for it.
+	// Submit submits a request. The reply is sent on the channel, which must have buffer space for it.
 	Submit(q policy.Request, m *call.Message, deadline time.Duration, reply chan<- call.Answer) policy.RequestID
-	// ClientGone reports that a request's client has left. A reply that crosses this is discarded.
+	// ClientGone reports that the client of a request has left. A reply that crosses this call is discarded.
 	ClientGone(id policy.RequestID)
-	// Done is closed once the engine accepts no more requests and has replied to all it had accepted.
+	// Done returns a channel that is closed once the engine accepts no more requests and has replied to all that it
+	// accepted.
 	Done() <-chan struct{}
 }
 
-// Target is where requests go: an engine, which requests it takes and how many at once. Its counts are its own, and so
-// are the ids of open requests: the same X-Request-ID at two targets is two requests. The exported fields are set
-// before it is used; its methods are safe for concurrent use.
+// Target is a destination of requests: an engine, the requests that it accepts, and how many may be open at once.
+// Each target has its own counts and its own set of open request ids: the same X-Request-ID at two targets means two
+// different requests. The exported fields must be set before the first use; the methods are safe for concurrent use.
 type Target struct {
 	Engine       Engine
 	Classes      map[string]int // index in ClassOf by class name
 	ClassOf      []policy.Class
-	Tenants      map[string]int   // tenant by name; empty where there are none
-	MaxOpen      int              // open requests at most; 0: no limit but that on connections
-	MaxBodyBytes int64            // bytes of their bodies at most
-	Metrics      []*metrics.Class // by class; nil: nobody counts
+	Tenants      map[string]int   // tenant by name; empty: there are no tenants
+	MaxOpen      int              // limit on open requests; 0: only the limits on connections apply
+	MaxBodyBytes int64            // limit on the buffered body bytes of open requests
+	Metrics      []*metrics.Class // by class; nil: requests are not counted
 
 	sharedLimits    atomic.Pointer[SharedLimits]
-	owner           owner        // of connections, under the acceptor's lock
-	maxOpenOverride atomic.Int64 // limit on open requests in place of MaxOpen; 0: MaxOpen holds
-	processes       atomic.Int64 // processes that MaxBodyBytes is divided among; 0: one
-	permitFlow      atomic.Int64 // its flow in readPermits
+	owner           owner        // of connections; guarded by the acceptor's lock
+	maxOpenOverride atomic.Int64 // limit on open requests that replaces MaxOpen; 0: MaxOpen applies
+	processes       atomic.Int64 // number of processes that share MaxBodyBytes; 0: one
+	permitFlow      atomic.Int64 // the target's flow in readPermits
 	openRequests    atomic.Int64 // requests without a response yet
-	openBodyBytes   atomic.Int64 // bytes of their bodies
+	openBodyBytes   atomic.Int64 // reserved body bytes of these requests
 
 	mu      sync.Mutex
 	openIDs map[string]bool // ids of the requests without a response yet; guarded by mu
 }
 
-// SharedLimits are limits that several targets share. They are safe for concurrent use.
+// SharedLimits are limits that several targets share. The methods are safe for concurrent use.
 type SharedLimits interface {
-	// BeginRead reserves a place for a connection on which a request's body is to be read, and returns whether there
-	// was one.
+	// BeginRead reserves a place for a connection whose request body is to be read, and returns whether a place was
+	// free.
 	BeginRead() bool
 	// EndRead releases that place.
 	EndRead()
@@ -58,16 +59,17 @@
 	Reserve(size int64) bool
 	// HasCapacity returns whether Reserve would succeed now. It reserves nothing.
 	HasCapacity(size int64) bool
-	// Release releases what Reserve has reserved.
+	// Release releases what Reserve reserved.
 	Release(size int64)
 }
 
-// RouteTo routes all requests to one target.
+// RouteTo returns a Config.Route function that routes all requests to one target.
 func RouteTo(t *Target) func(*h1.Head) (*Target, *Rejection) {
 	return func(*h1.Head) (*Target, *Rejection) { return t, nil }
 }
 
-// SetSharedLimits has requests that are accepted from now on count against these limits too; nil: no longer.
+// SetSharedLimits sets limits that apply, in addition to the target's own, to all requests accepted from now on. nil
+// removes them.
 func (t *Target) SetSharedLimits(l SharedLimits) {
 	if l == nil {
 		t.sharedLimits.Store(nil)
@@ -76,7 +78,7 @@
 	t.sharedLimits.Store(&l)
 }
 
-// classMetrics are the metrics of a class; nil: nobody counts.
+// classMetrics returns the metrics of a class; nil: requests are not counted.
 func (t *Target) classMetrics(class int) *metrics.Class {
 	if class < len(t.Metrics) {
 		return t.Metrics[class]
@@ -84,16 +86,17 @@
 	return nil
 }
 
-// OpenRequests is how many requests have no response yet.
+// OpenRequests returns how many requests have no response yet.
 func (t *Target) OpenRequests() int64 { return t.openRequests.Load() }
 
-// SetMaxOpen limits open requests in place of MaxOpen; 0: MaxOpen holds again. Open requests beyond it stay.
+// SetMaxOpen sets a limit on open requests that replaces MaxOpen; 0 restores MaxOpen. Requests that are already open
+// beyond the limit stay open.
 func (t *Target) SetMaxOpen(limit int) { t.maxOpenOverride.Store(int64(limit)) }
 
-// SetProcessCount divides MaxBodyBytes among so many processes; this one has one share of it.
+// SetProcessCount divides MaxBodyBytes equally among the given number of processes.
 func (t *Target) SetProcessCount(processes int) { t.processes.Store(int64(processes)) }
 
-// maxOpen is how many requests may be open now.
+// maxOpen returns how many requests may be open now.
 func (t *Target) maxOpen() int64 {
 	if limit := t.maxOpenOverride.Load(); limit > 0 {
 		return limit
@@ -101,16 +104,16 @@
 	return int64(cmp.Or(max(0, t.MaxOpen), math.MaxInt64))
 }
 
-// maxBodyBytes is how many bytes of bodies the open requests may have now.
+// maxBodyBytes returns how many body bytes the open requests may have reserved now.
 func (t *Target) maxBodyBytes() int64 { return t.MaxBodyBytes / max(1, t.processes.Load()) }
 
-// hasCapacity returns whether so many more requests could be open now, with so many more bytes of bodies. It reserves
-// nothing.
+// hasCapacity returns whether the given number of additional requests, with the given body bytes in all, could be
+// open now. It reserves nothing.
 func (t *Target) hasCapacity(requests, bodyBytes int64) bool {
 	return t.openRequests.Load()+requests <= t.maxOpen() && t.openBodyBytes.Load()+bodyBytes <= t.maxBodyBytes()
 }
 
-// reserve reserves a place for a request with a body of so many bytes, and returns whether there was one.
+// reserve reserves capacity for a request with the given number of body bytes, and returns whether there was enough.
 func (t *Target) reserve(bodyBytes int64) bool {
 	requests, bytes := t.openRequests.Add(1), t.openBodyBytes.Add(bodyBytes)
 	if requests > t.maxOpen() || bytes > t.maxBodyBytes() {
@@ -120,14 +123,14 @@
 	return true
 }
 
-// release releases what reserve has reserved.
+// release releases what reserve reserved.
 func (t *Target) release(bodyBytes int64) {
 	t.openRequests.Add(-1)
 	t.openBodyBytes.Add(-bodyBytes)
 }
 
-// registerID registers an open request's id, and returns false if another request is open under it: upstreams would
-// take the second one for a copy of the first.
+// registerID registers the id of an open request. It returns false if another open request has the same id: an
+// upstream would take the second request for a duplicate of the first.
 func (t *Target) registerID(id string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/proxy/front/http1/watcher_linux.go
+++ b/internal/proxy/front/http1/watcher_linux.go
@@ -7,18 +7,18 @@
 	"syscall"
 )
 
-// epollET is EPOLLET: syscall's own constant is negative and doesn't fit the field.
+// epollET is EPOLLET. The constant syscall.EPOLLET is negative and does not fit into EpollEvent.Events.
 const epollET = 1 << 31
 
-// watcher notices clients that leave while their requests are open, for all connections at once. Each connection is
-// added when it is accepted and removed by the system when it closes, so a request costs no system call for that and
-// no goroutine of its own. The watcher's goroutine ends with close.
+// watcher detects clients that leave while their requests are open, for all connections together. Each connection is
+// added when it is accepted, and the system removes it from the epoll set when it closes. So a request needs neither
+// a system call nor a goroutine of its own for the detection. The watcher's goroutine ends with close.
 type watcher struct {
-	file *os.File // of epoll(7): the runtime's poller waits for it, no thread does
+	file *os.File // an epoll(7) instance; the runtime's poller waits for it, so no thread blocks
 	raw  syscall.RawConn
 
 	mu    sync.Mutex
-	conns map[int32]*conn // by descriptor; guarded by mu
+	conns map[int32]*conn // by file descriptor; guarded by mu
 }
 
 func newWatcher() (*watcher, error) {
@@ -26,7 +26,7 @@
 	if err != nil {
 		return nil, os.NewSyscallError("epoll_create1", err)
 	}
-	if err := syscall.SetNonblock(fd, true); err != nil { // so that os.NewFile hands it to the runtime's poller
+	if err := syscall.SetNonblock(fd, true); err != nil { // otherwise os.NewFile would not use the runtime poller
 		syscall.Close(fd)
 		return nil, os.NewSyscallError("fcntl", err)
 	}
@@ -41,8 +41,8 @@
 
 func (w *watcher) close() { w.file.Close() }
 
-// add has a connection told once when its client ends its side or resets it, and each time that bytes come if
-// notifyOnData is set.
+// add begins to report events of a connection: once when its client closes its side or resets the connection and,
+// with notifyOnData, each time that bytes are received.
 func (w *watcher) add(c *conn) {
 	if c.rawConn == nil {
 		return
@@ -56,13 +56,13 @@
 	})
 }
 
-// update has a connection told of bytes as well, or no longer, by c.notifyOnData. Bytes that have come already count
-// too.
+// update enables or disables reports of received bytes, by c.notifyOnData. Bytes that are already available when
+// reports are enabled are reported, too.
 func (w *watcher) update(c *conn) {
 	_ = c.rawConn.Control(func(uintptr) { w.control(syscall.EPOLL_CTL_MOD, c) })
 }
 
-// control is called while the connection's descriptor is sure to be its own.
+// control changes the epoll set. It must be called only while the connection's descriptor is certainly open.
 func (w *watcher) control(op int, c *conn) {
 	event := syscall.EpollEvent{Events: syscall.EPOLLRDHUP | epollET, Fd: c.fd}
 	if c.notifyOnData {
@@ -93,11 +93,12 @@
 			return n > 0 || err != nil && !errors.Is(err, syscall.EINTR)
 		})
 		if err != nil {
-			return // closed
+			return // the watcher was closed
 		}
 		w.mu.Lock()
 		for _, e := range events[:max(n, 0)] {
-			// The descriptor may be another connection's by now: who is told checks, see conn.clientGone.
+			// The descriptor may belong to another connection by now. The notified connection checks its own state,
+			// see conn.clientGone.
 			if c := w.conns[e.Fd]; c != nil {
 				if e.Events&^syscall.EPOLLIN != 0 {
 					c.signalHangup()
--- a/internal/proxy/front/http1/watcher_other.go
+++ b/internal/proxy/front/http1/watcher_other.go
@@ -2,8 +2,8 @@
 
 package http1
 
-// watcher works on Linux only. Elsewhere a client that leaves is noticed when its response is written, and only what
-// comes with a request's head is read ahead.
+// watcher works on Linux only. On other systems a client that leaves is detected when its response is written, and
+// only requests received together with the head of another are read ahead.
 type watcher struct{}
 
 func newWatcher() (*watcher, error) { return new(watcher), nil }
