--- a/internal/proxy/h1/charsets.go
+++ b/internal/proxy/h1/charsets.go
@@ -4,7 +4,8 @@
 	"strings"
 )
 
-// isHost returns whether all bytes of a Host may stand in one (RFC 3986, 3.2.2: reg-name, IP-literal, port).
+// isHost returns whether a Host value has only bytes that are allowed in one (RFC 3986, 3.2.2: reg-name, IP-literal
+// and port).
 func isHost(host string) bool {
 	for i := range len(host) {
 		switch c := host[i]; {
@@ -17,7 +18,7 @@
 	return true
 }
 
-// tokenBytes are the bytes of a token: tchar in RFC 9110, 5.6.2.
+// tokenBytes says which bytes are allowed in a token: tchar in RFC 9110, 5.6.2.
 var tokenBytes = func() (t [256]bool) {
 	for c := range 256 {
 		b := byte(c)
@@ -27,6 +28,7 @@
 	return t
 }()
 
+// isToken returns whether a text is a token, which is never empty.
 func isToken(text string) bool {
 	for i := range len(text) {
 		if !tokenBytes[text[i]] {
--- a/internal/proxy/h1/chunk_decoder.go
+++ b/internal/proxy/h1/chunk_decoder.go
@@ -3,9 +3,9 @@
 import "net/http"
 
 const (
-	maxChunkLineBytes = 1 << 10 // bytes of a chunk's line, extensions included: endless ones must not be read for ever
-	maxTrailerBytes   = 8 << 10 // bytes of all trailers
-	maxSizeDigits     = 15      // of a chunk's size; more are no size that anybody sends
+	maxChunkLineBytes = 1 << 10 // length of a chunk's size line in bytes, so that endless extensions end in an error
+	maxTrailerBytes   = 8 << 10 // length of all trailer lines in bytes
+	maxSizeDigits     = 15      // hexadecimal digits of a size; real sizes are shorter, and 15 digits fit into an int64
 )
 
 var (
@@ -15,41 +15,42 @@
 	errTrailer        = &Error{http.StatusBadRequest, "the trailers are malformed or too long"}
 )
 
+// chunkState is the part of a chunked body that the next byte belongs to.
 type chunkState int
 
 const (
-	chunkSize      chunkState = iota // its digits
-	chunkSpace                       // white space behind them, before an extension or the line's end
-	chunkExtension                   // what follows them
-	chunkLF                          // the LF of its line
-	chunkData                        // what it holds
-	chunkCR                          // CR LF behind that
-	chunkDataLF
-	trailerStart // the beginning of a line of trailers
-	trailerName
-	trailerValue
-	trailerLF
-	finalLF
-	chunksDone
+	chunkSize      chunkState = iota // digits of a chunk's size
+	chunkSpace                       // white space after the size, before an extension or the end of the line
+	chunkExtension                   // extensions after the size
+	chunkLF                          // LF at the end of the size line
+	chunkData                        // data of the chunk
+	chunkCR                          // CR after the data
+	chunkDataLF                      // LF after the data
+	trailerStart                     // first byte of a trailer line, or CR of the final empty line
+	trailerName                      // name of a trailer
+	trailerValue                     // value of a trailer
+	trailerLF                        // LF of a trailer line
+	finalLF                          // LF of the final empty line
+	chunksDone                       // the body is complete
 )
 
-// ChunkDecoder decodes a body in chunks (RFC 9112, 7.1) that comes in parts cut anywhere. Trailers and extensions are
-// discarded: nobody here has a use for them. It is as strict as the Parser: what two readers may understand differently
-// is an error. The zero value is ready.
+// ChunkDecoder decodes a chunked body (RFC 9112, 7.1) that is received in parts of any size. It discards trailers and
+// extensions, which the proxy does not use. It is as strict as the Parser: input that two readers may interpret
+// differently is an error. The zero value is ready for use.
 type ChunkDecoder struct {
 	state        chunkState
-	remaining    int64 // of the chunk's data, or of its size so far
+	remaining    int64 // bytes left of the chunk's data or, while its size is read, the size so far
 	sizeDigits   int
-	lineBytes    int // bytes of the line under way
-	trailerBytes int // bytes of trailers
+	lineBytes    int // bytes of the current size line after its digits
+	trailerBytes int // bytes of the trailer lines so far
 }
 
 // Done returns whether the complete body was decoded.
 func (d *ChunkDecoder) Done() bool { return d.state == chunksDone }
 
-// Next decodes the next bytes, b: it returns how many of them it has used, and the last of those that are the body's.
-// It returns when some are, when b is used up, and at the body's end, behind which it uses nothing. An error is an
-// *Error.
+// Next decodes the next bytes, b. It returns how many bytes of b it used, and the body data that ends at b[used]. It
+// returns as soon as it has found body data, has used all of b, or has reached the end of the body; bytes after the
+// end are not used. An error is an *Error.
 func (d *ChunkDecoder) Next(b []byte) (used int, data []byte, err error) {
 	for used < len(b) && d.state != chunksDone {
 		if d.state == chunkData {
@@ -68,7 +69,7 @@
 	return used, nil, nil
 }
 
-// step decodes one byte that is not the body's own.
+// step decodes one byte that is not body data.
 func (d *ChunkDecoder) step(c byte) error {
 	switch d.state {
 	case chunkSize:
@@ -79,7 +80,7 @@
 			d.state = chunkExtension
 		case c == '\r':
 			d.state = chunkLF
-		case c != ' ' && c != '\t': // some readers take it for a second size
+		case c != ' ' && c != '\t': // some readers take such a byte for a second size
 			return errChunkSize
 		}
 		if d.lineBytes++; d.lineBytes > maxChunkLineBytes {
@@ -116,7 +117,7 @@
 	return nil
 }
 
-// stepSize decodes one byte of a chunk's size, or the one behind it.
+// stepSize decodes one byte of a chunk's size, or the byte after the size.
 func (d *ChunkDecoder) stepSize(c byte) error {
 	v := int64(0)
 	switch {
@@ -134,7 +135,7 @@
 	case c == ';':
 		d.state = chunkExtension
 		return nil
-	case c == ' ' || c == '\t': // RFC 9112, 7.1.1: to be ignored
+	case c == ' ' || c == '\t': // RFC 9112, 7.1.1: white space before an extension is ignored
 		d.state = chunkSpace
 		return nil
 	default:
@@ -147,7 +148,7 @@
 	return nil
 }
 
-// stepTrailer decodes one byte behind the last chunk.
+// stepTrailer decodes one byte after the last chunk.
 func (d *ChunkDecoder) stepTrailer(c byte) error {
 	if d.trailerBytes++; d.trailerBytes > maxTrailerBytes {
 		return errTrailer
--- a/internal/proxy/h1/chunk_decoder_test.go
+++ b/internal/proxy/h1/chunk_decoder_test.go
@@ -11,7 +11,7 @@
 	"testing"
 )
 
-// decodeChunks reads a body that comes in pieces of a size.
+// decodeChunks decodes a body that is received in pieces of the given size.
 func decodeChunks(b []byte, piece int) (body []byte, done bool, err error) {
 	var d ChunkDecoder
 	for len(b) > 0 && !d.Done() {
@@ -26,31 +26,34 @@
 	return body, d.Done(), nil
 }
 
+// chunked is the chunked encoding of "hello, world" with extensions, white space and trailers.
 const chunked = "5\r\nhello\r\n1;a=\"b;c\" \r\n,\r\n0006 ;x\r\n world\r\n0\r\nTrailer-A: 1\r\nB:\r\n\r\n"
 
-// Every cut position of a small body, and random ones of a large one: the same bytes, and nothing read behind the end.
+// A small body is decoded to the same bytes for every pair of cut positions, and a large one for random piece sizes.
+// Nothing is read past the end of the body.
 func TestChunksInParts(t *testing.T) {
-	whole := chunked + "GET / next"
-	for i := range len(whole) {
-		for j := i; j <= len(whole); j++ {
+	input := chunked + "GET / next"
+	for i := range len(input) {
+		for j := i; j <= len(input); j++ {
 			var d ChunkDecoder
 			var got []byte
-			rest := 0
-			for _, part := range []string{whole[:i], whole[i:j], whole[j:]} {
+			unread := 0
+			for _, part := range []string{input[:i], input[i:j], input[j:]} {
 				for b := []byte(part); len(b) > 0; {
 					used, data, err := d.Next(b)
 					if err != nil {
-						t.Fatalf("cut at %d and %d: %v", i, j, err)
+						t.Fatalf("cut at %d and %d: decoding failed: %v", i, j, err)
 					}
 					got = append(got, data...)
 					if b = b[used:]; d.Done() {
-						rest += len(b)
+						unread += len(b)
 						break
 					}
 				}
 			}
-			if string(got) != "hello, world" || !d.Done() || rest != len("GET / next") {
-				t.Fatalf("cut at %d and %d: %q, done %v, %d left", i, j, got, d.Done(), rest)
+			if string(got) != "hello, world" || !d.Done() || unread != len("GET / next") {
+				t.Fatalf("cut at %d and %d: body %q, done %v, %d bytes unread; want \"hello, world\", true, 10",
+					i, j, got, d.Done(), unread)
 			}
 		}
 	}
@@ -68,11 +71,13 @@
 	for range 20 {
 		got, done, err := decodeChunks(wire.Bytes(), 1+rng.IntN(3000))
 		if !done || err != nil || !bytes.Equal(got, plain.Bytes()) {
-			t.Fatalf("seed %d: %d bytes of %d, done %v, %v", seed, len(got), plain.Len(), done, err)
+			t.Fatalf("seed %d: decoded %d bytes of %d, done %v, error %v; want the same bytes and done",
+				seed, len(got), plain.Len(), done, err)
 		}
 	}
 }
 
+// Malformed or oversized chunks and trailers are rejected with status 400.
 func TestChunksMalformed(t *testing.T) {
 	for _, text := range []string{
 		"\r\n", "g\r\n", "-1\r\n", "+1\r\n", "0x1\r\n", " 1\r\n", "1\n", "1\rx", "1\r\nab", "1\r\na\n", "1\r\na\rx",
@@ -81,14 +86,14 @@
 		"0\r\nX : 1\r\n", "0\r\nX\r\n", "0\r\n\n", "0\r\n\rx", "0\r\nX: \x01\r\n",
 		"0\r\nX: " + strings.Repeat("x", maxTrailerBytes),
 	} {
-		var bad *Error
-		if body, done, err := decodeChunks([]byte(text), 3); !errors.As(err, &bad) || bad.Status != 400 {
-			t.Errorf("%.30q: %q, done %v, %v", text, body, done, err)
+		var malformed *Error
+		if body, done, err := decodeChunks([]byte(text), 3); !errors.As(err, &malformed) || malformed.Status != 400 {
+			t.Errorf("%.30q: body %q, done %v, error %v; want an Error with status 400", text, body, done, err)
 		}
 	}
 }
 
-// What we take as a whole body an independent reader takes as the same one.
+// A body that the decoder accepts is decoded to the same bytes by net/http/httputil, and in one piece as in several.
 func FuzzChunks(f *testing.F) {
 	for _, seed := range []string{
 		chunked, "0\r\n\r\n", "1\r\na\r\n0\r\n\r\n", "1;;\r\na\r\n0 \r\n\r\n", "a\r\n0123456789\r\n0\r\n\r\nrest",
@@ -97,19 +102,20 @@
 	}
 	f.Fuzz(func(t *testing.T, b []byte, piece int) {
 		body, done, err := decodeChunks(b, piece)
-		whole, again, err2 := decodeChunks(b, len(b))
-		if again != done || (err == nil) != (err2 == nil) || string(whole) != string(body) {
-			t.Fatalf("%q: in pieces of %d %q %v %v, at once %q %v %v", b, piece, body, done, err, whole, again, err2)
+		whole, wholeDone, wholeErr := decodeChunks(b, len(b))
+		if wholeDone != done || (err == nil) != (wholeErr == nil) || string(whole) != string(body) {
+			t.Fatalf("%q: in pieces of %d: body %q, done %v, error %v; at once: body %q, done %v, error %v; want the same",
+				b, piece, body, done, err, whole, wholeDone, wholeErr)
 		}
 		if !done {
 			return
 		}
 		if bytes.Contains(b, []byte(" ;")) || bytes.Contains(b, []byte("\t;")) {
-			return // net/http does not take white space before an extension; RFC 9112, 7.1.1 has it read
+			return // net/http rejects white space before an extension; RFC 9112, 7.1.1 requires it to be accepted
 		}
 		oracle, err := io.ReadAll(httputil.NewChunkedReader(bytes.NewReader(b)))
 		if err != nil || string(oracle) != string(body) {
-			t.Fatalf("%q: %q, net/http/httputil has %q, %v", b, body, oracle, err)
+			t.Fatalf("%q: body %q, net/http/httputil decodes %q, error %v", b, body, oracle, err)
 		}
 	})
 }
@@ -124,7 +130,7 @@
 	}
 }
 
-// What is framed is read back as the same.
+// A chunk written by FrameChunk is decoded to the same data.
 func TestFrameChunk(t *testing.T) {
 	for _, n := range []int{1, 9, 15, 16, 255, 4096, 32 << 10} {
 		b := make([]byte, ChunkPrefixBytes+n+ChunkSuffixBytes)
@@ -132,7 +138,8 @@
 		text := string(FrameChunk(b, n)) + LastChunk
 		body, done, err := decodeChunks([]byte(text), 7)
 		if !done || err != nil || len(body) != n || strings.Trim(string(body), "x") != "" {
-			t.Errorf("%d bytes: %d, done %v, %v", n, len(body), done, err)
+			t.Errorf("framed %d bytes: decoded %d bytes, done %v, error %v; want the same data and done",
+				n, len(body), done, err)
 		}
 	}
 }
--- a/internal/proxy/h1/chunk_frame.go
+++ b/internal/proxy/h1/chunk_frame.go
@@ -1,16 +1,16 @@
 package h1
 
 const (
-	// ChunkPrefixBytes is the space that FrameChunk needs before a chunk's data, for its size.
+	// ChunkPrefixBytes is the space that FrameChunk needs before a chunk's data for the size line.
 	ChunkPrefixBytes = 10
-	// ChunkSuffixBytes is the space that it needs behind them.
+	// ChunkSuffixBytes is the space that FrameChunk needs after a chunk's data for CR LF.
 	ChunkSuffixBytes = 2
-	// LastChunk ends a body in chunks.
+	// LastChunk ends a chunked body.
 	LastChunk = "0\r\n\r\n"
 )
 
-// FrameChunk makes the n bytes at b[ChunkPrefixBytes:] a chunk and returns it. b has ChunkSuffixBytes behind them,
-// and n is above 0 and below 1<<32.
+// FrameChunk frames the n bytes at b[ChunkPrefixBytes:] as a chunk and returns the chunk, which is a part of b. b
+// must have ChunkSuffixBytes after the data, and n must be above 0 and below 1<<32.
 func FrameChunk(b []byte, n int) []byte {
 	const digits = "0123456789abcdef"
 	at := ChunkPrefixBytes
--- a/internal/proxy/h1/framing.go
+++ b/internal/proxy/h1/framing.go
@@ -4,7 +4,7 @@
 	"strings"
 )
 
-// parseFraming parses the fields that say where the request ends and what becomes of its connection.
+// parseFraming parses the fields that determine where the request ends and whether its connection stays open.
 func (h *Head) parseFraming() error {
 	hosts := 0
 	transfer := ""
@@ -19,7 +19,7 @@
 				return err
 			}
 		case "Transfer-Encoding":
-			if transfer != "" { // two readers may heed different ones of several fields
+			if transfer != "" { // of several fields, two readers may use different ones
 				return errTransferEncoding
 			}
 			if transfer = strings.ToLower(value); transfer == "" {
@@ -39,7 +39,7 @@
 	return h.checkFraming(hosts, transfer)
 }
 
-// parseContentLength parses a Content-Length, which no other one may have preceded.
+// parseContentLength parses a Content-Length field, which may be given only once.
 func (h *Head) parseContentLength(value string) error {
 	if h.Length >= 0 || value == "" || strings.Trim(value, "0123456789") != "" {
 		return errLength
@@ -66,10 +66,10 @@
 	return nil
 }
 
-// checkFraming checks the fields of the framing together: how many Host fields there are, and the Transfer-Encoding, ""
-// where there is none.
+// checkFraming checks the framing fields in combination. hosts is the number of Host fields; transfer is the
+// Transfer-Encoding, or "" if there is none.
 func (h *Head) checkFraming(hosts int, transfer string) error {
-	if h.HTTP10 { // Host is not needed there, and readers differ on whether Transfer-Encoding means anything
+	if h.HTTP10 { // HTTP/1.0 needs no Host, and readers differ on whether Transfer-Encoding applies
 		h.Close = true
 		if transfer != "" {
 			return errVersion
@@ -87,7 +87,7 @@
 		return errHost
 	}
 	if h.authority != "" && !strings.EqualFold(h.authority, h.Host) {
-		return errHost // RFC 9112, 3.2.2 prefers the target's; a reader that goes by Host takes it for another service's
+		return errHost // RFC 9112, 3.2.2 prefers the target's host, other readers may use the Host field
 	}
 	return nil
 }
--- a/internal/proxy/h1/head.go
+++ b/internal/proxy/h1/head.go
@@ -1,7 +1,8 @@
-// Package h1 parses the heads of HTTP/1.1 requests, writes the heads of responses, and decodes and frames bodies in
-// chunks, over the caller's buffers and without I/O. It is strict: what RFC 9112 lets two readers understand
-// differently is an error here, as a request may be read by others behind us. Whatever it accepts, net/http's reader
-// accepts too, as the same request (a fuzz test shows that). Nothing in it may be used by two goroutines at a time.
+// Package h1 parses the heads of HTTP/1.1 requests, writes the heads of responses, and decodes and frames chunked
+// bodies. It works on buffers of the caller and does no I/O. It is strict: where RFC 9112 allows two readers to
+// interpret a request differently, the request is an error, because servers behind the proxy read it too. Every
+// request that the package accepts is accepted by net/http as the same request; a fuzz test checks this. No value of
+// the package may be used by two goroutines at once.
 package h1
 
 import (
@@ -11,25 +12,27 @@
 )
 
 const (
-	// DefaultMaxHeadBytes bounds a head in bytes, its last empty line included: an endless one must not hold memory.
+	// DefaultMaxHeadBytes is the maximum size of a head in bytes, including its final empty line, so that an endless
+	// head can't exhaust memory.
 	DefaultMaxHeadBytes = 16 << 10
-	// MaxFields bounds the count of a head's fields: looking one up walks over them.
+	// MaxFields is the maximum number of fields in a head, because each lookup of a field is a linear search.
 	MaxFields = 100
-	// MaxFieldsBySize is the same for a parser with a limit of its own, which bounds bytes and no count: an ordinary head
-	// of any size has fewer, and one made of empty fields is still rejected.
+	// MaxFieldsBySize replaces MaxFields for a parser with a limit set by SetLimit, which limits bytes instead of
+	// fields. An ordinary head of any size has fewer fields; a head of many empty fields is still rejected.
 	MaxFieldsBySize = 1000
-	// maxLengthDigits bounds a Content-Length's digits; more are no length that anybody sends.
+	// maxLengthDigits is the maximum number of digits in a Content-Length. Real lengths are shorter, and 18 digits
+	// fit into an int64.
 	maxLengthDigits = 18
 )
 
-// Error is why a head or a body can't be read: the status that its client gets (RFC 9110, 15.5 and 15.6), and the
-// reason. Where the request ends is not known then: its connection has to be closed.
+// Error is the reason why a head or a body can't be read, and the status of the response for it (RFC 9110, 15.5 and
+// 15.6). After an Error the end of the request is unknown, so its connection has to be closed.
 type Error struct {
 	Status int
 	Reason string
 }
 
-// Error is the reason.
+// Error returns the reason.
 func (e *Error) Error() string { return e.Reason }
 
 var (
@@ -57,25 +60,27 @@
 	errConnection = &Error{http.StatusBadRequest, "Connection is malformed"}
 )
 
-// Field is one header field; its name is in canonical form (X-Request-Id), its value has no white space around it.
+// Field is one header field. Its name is in canonical form (X-Request-Id), its value has no leading or trailing white
+// space.
 type Field struct{ Name, Value string }
 
-// Head is the head of a request. A parser fills it in; its strings share one copy of the head, not the caller's buffer.
+// Head is the head of a request. Parser.Parse fills it in; its strings share one copy of the head's bytes and don't
+// refer to the caller's buffer.
 type Head struct {
 	Method         string
-	Target         string // origin form (RFC 9112, 3.2.1): it begins with a slash, or is * for OPTIONS
+	Target         string // origin form (RFC 9112, 3.2.1): begins with a slash, or is * for OPTIONS
 	Host           string
-	HTTP10         bool  // HTTP/1.0: no kept connection, and nothing but GET without a body is to be trusted
-	Length         int64 // of the body in bytes; -1: none is given
-	Chunked        bool  // the body comes in chunks; Length is -1 then
-	Close          bool  // the client wants the connection closed behind the response
+	HTTP10         bool  // HTTP/1.0: the connection closes, and only a GET without a body can be trusted
+	Length         int64 // of the body in bytes; -1: not given
+	Chunked        bool  // the body is chunked; Length is -1
+	Close          bool  // the connection closes after the response
 	ExpectContinue bool  // the client waits for 100 (Continue) before it sends the body
 	Fields         []Field
 
-	authority string // of a target in absolute form
+	authority string // host of a target in absolute form; "": the target is in another form
 }
 
-// Get is the first value of a field by its canonical name, "" where there is none.
+// Get returns the first value of a field by its canonical name, or "" if there is none.
 func (h *Head) Get(name string) string {
 	for i := range h.Fields {
 		if h.Fields[i].Name == name {
@@ -85,8 +90,8 @@
 	return ""
 }
 
-// EndToEnd copies the fields that are meant for the other end, not for this connection (RFC 9110, 7.6.1), nor Host. It
-// takes three allocations, whatever the count of fields.
+// EndToEnd returns a copy of the end-to-end fields: without Host and without the fields that belong to the connection
+// (RFC 9110, 7.6.1). It takes three allocations, whatever the number of fields.
 func (h *Head) EndToEnd() http.Header {
 	to := make(http.Header, len(h.Fields)+2)
 	values := make([]string, len(h.Fields))
--- a/internal/proxy/h1/head_test.go
+++ b/internal/proxy/h1/head_test.go
@@ -11,53 +11,56 @@
 	"testing"
 )
 
-const usable = "POST /entry/7?x=%41&y HTTP/1.1\r\nHost: a.example:80\r\nX-Request-ID: r1\r\n" +
+// validHead is a valid head with names in different letter cases and white space around a value.
+const validHead = "POST /entry/7?x=%41&y HTTP/1.1\r\nHost: a.example:80\r\nX-Request-ID: r1\r\n" +
 	"x-timeout:\t480m \r\nContent-Length: 3\r\n\r\n"
 
-func read(b string) (Head, int, error) {
+// parseHead parses a head that is received in one part.
+func parseHead(b string) (Head, int, error) {
 	var p Parser
 	var h Head
 	n, err := p.Parse([]byte(b), &h)
 	return h, n, err
 }
 
+// A valid head is parsed up to its end; the bytes after it are not used.
 func TestHead(t *testing.T) {
-	h, n, err := read(usable + "abcGET /next")
-	if err != nil || n != len(usable) {
-		t.Fatalf("%d bytes, error %v, want %d", n, err, len(usable))
+	h, n, err := parseHead(validHead + "abcGET /next")
+	if err != nil || n != len(validHead) {
+		t.Fatalf("parsed %d bytes, error %v; want %d bytes", n, err, len(validHead))
 	}
 	want := Head{
 		Method: "POST", Target: "/entry/7?x=%41&y", Host: "a.example:80", Length: 3,
 		Fields: []Field{{"Host", "a.example:80"}, {"X-Request-Id", "r1"}, {"X-Timeout", "480m"}, {"Content-Length", "3"}},
 	}
 	if !reflect.DeepEqual(h, want) {
-		t.Errorf("%+v, want %+v", h, want)
+		t.Errorf("head is %+v, want %+v", h, want)
 	}
 }
 
-// In parts of any size a head is the same, and nothing is said before its last byte.
+// A head received byte by byte is parsed to the same result, and no result is returned before its last byte.
 func TestHeadInParts(t *testing.T) {
 	var p Parser
 	var h Head
-	for i := range usable {
-		n, err := p.Parse([]byte(usable[:i+1]), &h)
-		if err != nil || (n != 0) != (i+1 == len(usable)) {
-			t.Fatalf("after %d of %d bytes: %d, error %v", i+1, len(usable), n, err)
+	for i := range validHead {
+		n, err := p.Parse([]byte(validHead[:i+1]), &h)
+		if err != nil || (n != 0) != (i+1 == len(validHead)) {
+			t.Fatalf("after %d of %d bytes Parse returned %d, error %v; want 0 until the last byte", i+1, len(validHead), n, err)
 		}
 	}
-	if whole, _, _ := read(usable); !reflect.DeepEqual(h, whole) {
-		t.Errorf("%+v, in one part %+v", h, whole)
+	if whole, _, _ := parseHead(validHead); !reflect.DeepEqual(h, whole) {
+		t.Errorf("head received in parts is %+v, in one part %+v", h, whole)
 	}
 }
 
-// What two readers may take differently has its fixed status.
+// Heads that two readers may interpret differently are rejected with a fixed status.
 func TestAmbiguousHeadsAreRejected(t *testing.T) {
 	line, host := "POST / HTTP/1.1\r\n", "Host: a\r\n"
 	for text, status := range map[string]int{
-		// an empty line first:
-		"\r\n" + usable: 400,
-		"\n":            400,
-		// before any line end:
+		// an empty line before the request line:
+		"\r\n" + validHead: 400,
+		"\n":               400,
+		// malformed bytes before the first line end:
 		"\x00\x01 noise":                                       400,
 		"GET / HTTP/1.1\nHost: a\n\n":                          400, // bare LF
 		"GET / HTTP/1.1\r\nHost: a\n\r\n":                      400,
@@ -66,7 +69,7 @@
 		"GET /a b HTTP/1.1\r\nHost: a\r\n\r\n":                 400,
 		"GET / HTTP/1.1 \r\nHost: a\r\n\r\n":                   400,
 		"G@T / HTTP/1.1\r\nHost: a\r\n\r\n":                    400,
-		"GET http://b/ HTTP/1.1\r\nHost: a\r\n\r\n":            400, // against Host
+		"GET http://b/ HTTP/1.1\r\nHost: a\r\n\r\n":            400, // differs from Host
 		"GET http:///x HTTP/1.1\r\nHost: a\r\n\r\n":            400,
 		"GET http://u@a/x HTTP/1.1\r\nHost: u@a\r\n\r\n":       400,
 		"GET ftp://a/x HTTP/1.1\r\nHost: a\r\n\r\n":            400,
@@ -104,34 +107,37 @@
 		line + host + "X: " + strings.Repeat("x", DefaultMaxHeadBytes):                             431,
 		line + host + "X: " + strings.Repeat("x", DefaultMaxHeadBytes-len(line+host)) + "\r\n\r\n": 431,
 	} {
-		var bad *Error
-		if _, n, err := read(text); !errors.As(err, &bad) || bad.Status != status {
-			t.Errorf("%.70q: %d bytes, error %v, want %d", text, n, err, status)
+		var malformed *Error
+		if _, n, err := parseHead(text); !errors.As(err, &malformed) || malformed.Status != status {
+			t.Errorf("%.70q: parsed %d bytes, error %v, want status %d", text, n, err, status)
 		}
 	}
 }
 
-// whyStricter are the reasons for which we reject what net/http's reader takes.
-var whyStricter = map[*Error]string{
-	errLineEnd: "it takes a bare LF as a line's end, and others do not (RFC 9112, 2.2)",
-	errControl: "it waits for the line's end", errHeadTooLong: "its bound is its server's",
-	errTooManyFields: "it has no bound on the count",
-	errRequestLine:   "it takes any spaces and versions that its server rejects",
-	errTarget:        "only the origin form, without a fragment, names a class",
-	errVersion:       "it takes 1.0 with Transfer-Encoding and drops that",
-	errFoldedField:   "it joins folded lines (RFC 9112, 5.2)",
-	errHost:          "its server checks Host, its reader does not",
-	errLength:        "it takes the same length given twice", errBodyTooLong: "the body's bound comes later there",
-	errTransferEncoding: "it passes over Content-Length beside chunks (RFC 9112, 6.1: an attack, maybe)",
-	errExpect:           "its server checks that",
-	errConnection:       "it passes over what is no token", errMethod: "",
-	errFieldName: "it takes white space before the colon (RFC 9112, 5.1)", errFieldValue: "its server checks that",
+// strictnessReasons are the reasons why the parser rejects requests that net/http's request reader accepts, by error.
+// Errors with an empty reason are not accepted by net/http either.
+var strictnessReasons = map[*Error]string{
+	errLineEnd: "net/http accepts a bare LF as the end of a line, other readers do not (RFC 9112, 2.2)",
+	errControl: "net/http waits for the end of the line", errHeadTooLong: "net/http checks the size in its server",
+	errTooManyFields: "net/http does not limit the number of fields",
+	errRequestLine:   "net/http accepts other spaces, and versions that only its server rejects",
+	errTarget:        "only a target in origin form without a fragment names a class",
+	errVersion:       "net/http accepts HTTP/1.0 with Transfer-Encoding and ignores the field",
+	errFoldedField:   "net/http joins folded lines (RFC 9112, 5.2)",
+	errHost:          "net/http checks Host in its server, not in its reader",
+	errLength:        "net/http accepts the same length given twice", errBodyTooLong: "net/http limits the body later",
+	errTransferEncoding: "net/http ignores Content-Length with chunks (RFC 9112, 6.1: possibly an attack)",
+	errExpect:           "net/http checks Expect in its server",
+	errConnection:       "net/http ignores an element that is not a token", errMethod: "",
+	errFieldName:  "net/http accepts white space before the colon (RFC 9112, 5.1)",
+	errFieldValue: "net/http checks the value in its server",
 }
 
-// What we accept net/http accepts, as the same request; where it accepts and we don't, the reason is in the list.
+// Each request that the parser accepts is accepted by net/http as the same request. If only net/http accepts a
+// request, strictnessReasons must have a reason for the parser's error.
 func FuzzAgainstNetHTTP(f *testing.F) {
 	for _, seed := range []string{
-		usable, "GET /up HTTP/1.1\r\nHost: a\r\n\r\n", "GET / HTTP/1.0\r\n\r\n",
+		validHead, "GET /up HTTP/1.1\r\nHost: a\r\n\r\n", "GET / HTTP/1.0\r\n\r\n",
 		"GET /%2F?%zz HTTP/1.1\r\nHost: [::1]:80\r\nConnection: close, x\r\n\r\n",
 		"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 1\r\nContent-Length: 1\r\n\r\nx",
 		"POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
@@ -147,31 +153,31 @@
 		var p Parser
 		var h Head
 		n, err := p.Parse(b, &h)
-		oracle, refused := http.ReadRequest(bufio.NewReaderSize(strings.NewReader(string(b)), 64<<10))
+		oracle, oracleErr := http.ReadRequest(bufio.NewReaderSize(strings.NewReader(string(b)), 64<<10))
 		if err != nil {
-			var bad *Error
-			if !errors.As(err, &bad) || refused == nil && whyStricter[bad] == "" {
-				t.Errorf("%q: %v, net/http takes it and no reason is listed", b, err)
+			var malformed *Error
+			if !errors.As(err, &malformed) || oracleErr == nil && strictnessReasons[malformed] == "" {
+				t.Errorf("%q: parser error %v, but net/http accepts the request and strictnessReasons has no reason", b, err)
 			}
 			return
 		}
 		if n == 0 {
 			return
 		}
-		if refused != nil {
-			t.Fatalf("%q: accepted, net/http says %v", b, refused)
+		if oracleErr != nil {
+			t.Fatalf("%q: the parser accepts the request, net/http rejects it: %v", b, oracleErr)
 		}
 		target := oracle.RequestURI
-		if h.authority != "" { // it leaves that to whoever asks
+		if h.authority != "" { // net/http leaves the split of an absolute target to its caller
 			target = oracle.URL.RequestURI()
 		}
 		if oracle.Method != h.Method || target != h.Target && h.authority == "" ||
 			oracle.Host != h.Host || oracle.Close && !h.Close {
-			t.Errorf("%q: %+v, net/http has %s %s of %q, close %v",
+			t.Errorf("%q: parsed %+v, net/http parsed %s %s for host %q, close %v",
 				b, h, oracle.Method, oracle.RequestURI, oracle.Host, oracle.Close)
 		}
 		if length := max(h.Length, 0); oracle.ContentLength != length && !(h.Chunked && oracle.ContentLength == -1) {
-			t.Errorf("%q: length %d, net/http has %d", b, h.Length, oracle.ContentLength)
+			t.Errorf("%q: body length is %d, net/http has %d", b, h.Length, oracle.ContentLength)
 		}
 		header := h.EndToEnd()
 		for _, name := range []string{
@@ -180,30 +186,33 @@
 		} {
 			delete(oracle.Header, name)
 		}
-		if h.Get("Connection") != "" || h.Get("Pragma") != "" { // net/http edits the one, and the other names fields
+		// net/http adds a Cache-Control field for Pragma, and EndToEnd omits the fields that Connection names.
+		if h.Get("Connection") != "" || h.Get("Pragma") != "" {
 			return
 		}
 		if !reflect.DeepEqual(header, oracle.Header) {
-			t.Errorf("%q: fields %v, net/http has %v", b, header, oracle.Header)
+			t.Errorf("%q: end-to-end fields are %v, net/http has %v", b, header, oracle.Header)
 		}
 		body, err := io.ReadAll(oracle.Body)
 		if h.Chunked {
-			ours, done, failed := decodeChunks(b[n:], len(b))
-			if done && (err != nil || string(ours) != string(body)) {
-				t.Errorf("%q: chunks hold %q, net/http has %q, %v", b, ours, body, err)
+			decoded, done, decodeErr := decodeChunks(b[n:], len(b))
+			if done && (err != nil || string(decoded) != string(body)) {
+				t.Errorf("%q: decoded chunked body %q, net/http has %q, error %v", b, decoded, body, err)
 			}
-			if !done && failed == nil && err == nil {
-				t.Errorf("%q: unfinished, net/http has the whole", b)
+			if !done && decodeErr == nil && err == nil {
+				t.Errorf("%q: the decoder has not reached the end of the body, net/http has", b)
 			}
 			return
 		}
-		if told := max(h.Length, 0); int64(len(b)-n) >= told && (err != nil || string(body) != string(b[n:int64(n)+told])) {
-			t.Errorf("%q: body %q, error %v, net/http's differs", b, body, err)
+		if declared := max(h.Length, 0); int64(len(b)-n) >= declared &&
+			(err != nil || string(body) != string(b[n:int64(n)+declared])) {
+			t.Errorf("%q: net/http reads the body as %q, error %v, which differs from the bytes after the head", b, body, err)
 		}
 	})
 }
 
-// What is written net/http reads back; fields of the connection and values that would end a field are left out.
+// net/http reads a written response back as the same. Hop-by-hop fields, and values with bytes that would end a
+// field, are left out.
 func TestResponse(t *testing.T) {
 	a := Response{
 		Status: 200, Length: 2, Close: true, Date: "Tue, 01 Dec 2026 11:00:00 GMT",
@@ -219,17 +228,18 @@
 	body, err := io.ReadAll(res.Body)
 	want := http.Header{"X-Kept": {"1", "2"}, "Content-Length": {"2"}, "Date": {a.Date}, "Content-Type": {"text/hive"}}
 	if err != nil || string(body) != "ok" || !res.Close || !reflect.DeepEqual(res.Header, want) {
-		t.Errorf("body %q, error %v, header %v, want %v", body, err, res.Header, want)
+		t.Errorf("body is %q, error %v, header %v; want body ok, Connection: close and header %v",
+			body, err, res.Header, want)
 	}
 	rejection := Response{Status: 503, RetryAfter: 1250e6}
 	const wantRejection = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nRetry-After: 1.250\r\n\r\n"
 	if got := string(rejection.Append(nil)); got != wantRejection {
-		t.Errorf("%q", got)
+		t.Errorf("the head of the rejection is %q, want status 503 and Retry-After: 1.250", got)
 	}
 }
 
 func BenchmarkHead(b *testing.B) {
-	head := []byte(usable)
+	head := []byte(validHead)
 	for i := range 8 {
 		head = append(head[:len(head)-2], fmt.Sprintf("X-Field-%d: some value\r\n\r\n", i)...)
 	}
@@ -244,8 +254,8 @@
 	b.ReportAllocs()
 }
 
-// Under a limit of its own a parser takes fields and request line up to that, in parts of any size, and never waits
-// for more than MaxBytes.
+// A parser with a limit set by SetLimit accepts fields and a request line up to that size each, received in parts of
+// any size, and never waits for more than MaxBytes.
 func TestParserLimit(t *testing.T) {
 	const limit = 700
 	head := func(line, fields int) string {
@@ -263,18 +273,18 @@
 			var err error
 			for n == 0 && err == nil {
 				if at == len(b) || at >= p.MaxBytes() && at > part {
-					t.Fatalf("%+v in parts of %d: %d bytes and nothing said", c, part, at)
+					t.Fatalf("%+v in parts of %d: no result after %d bytes, want a head or an error", c, part, at)
 				}
 				at = min(at+part, len(b))
 				n, err = p.Parse(b[:at], new(Head))
 			}
-			bad := (*Error)(nil)
+			malformed := (*Error)(nil)
 			accepted := err == nil && n == len(b)
-			if c.status == 0 && !accepted || c.status != 0 && (!errors.As(err, &bad) || bad.Status != c.status) {
-				t.Errorf("%+v in parts of %d: %d bytes, %v", c, part, n, err)
+			if c.status == 0 && !accepted || c.status != 0 && (!errors.As(err, &malformed) || malformed.Status != c.status) {
+				t.Errorf("%+v in parts of %d: parsed %d bytes, error %v; want the status given (0: accepted)", c, part, n, err)
 			}
 			if p.Reset(); p.MaxBytes() != 2*limit {
-				t.Error("the limit is gone with the head")
+				t.Error("Reset changed the limit of the parser, want it kept")
 			}
 		}
 	}
--- a/internal/proxy/h1/parse_head.go
+++ b/internal/proxy/h1/parse_head.go
@@ -6,9 +6,9 @@
 	"strings"
 )
 
-// parse parses a complete head, whose lines all end in CR LF.
+// parse parses a complete head, in which each line ends in CR LF.
 func (h *Head) parse(b []byte) error {
-	text := string(b) // the one copy
+	text := string(b) // the only copy of the head's bytes
 	*h = Head{Length: -1, Fields: h.Fields[:0]}
 	line, rest, _ := strings.Cut(text, "\r\n")
 	if err := h.parseRequestLine(line); err != nil {
@@ -26,7 +26,7 @@
 	return h.parseFraming()
 }
 
-// parseRequestLine parses a request line (RFC 9112, 3), with exactly one space on either side of the target.
+// parseRequestLine parses a request line (RFC 9112, 3) with exactly one space before and after the target.
 func (h *Head) parseRequestLine(line string) error {
 	method, rest, ok := strings.Cut(line, " ")
 	target, version, ok2 := strings.Cut(rest, " ")
@@ -51,7 +51,7 @@
 		return nil
 	case target != "" && target[0] != '/':
 		var ok bool
-		if target, h.authority, ok = splitAbsolute(target); !ok {
+		if target, h.authority, ok = splitAbsoluteForm(target); !ok {
 			return errTarget
 		}
 	case target == "":
@@ -64,13 +64,14 @@
 	return nil
 }
 
-// isVersion returns whether a text has the form of a version of HTTP (RFC 9112, 2.3).
+// isVersion returns whether a text has the form of an HTTP version (RFC 9112, 2.3).
 func isVersion(text string) bool {
 	return len(text) == len("HTTP/1.1") && strings.HasPrefix(text, "HTTP/") &&
 		isDigit(text[5]) && text[6] == '.' && isDigit(text[7])
 }
 
-// isPathAndQuery returns whether all bytes of a target may stand there; a path's percent-encoding must be well-formed.
+// isPathAndQuery returns whether a target has only allowed bytes. The percent-encoding of its path must be
+// well-formed.
 func isPathAndQuery(target string) bool {
 	for i := 0; i < len(target); i++ {
 		switch c := target[i]; {
@@ -85,8 +86,8 @@
 	return true
 }
 
-// splitAbsolute splits a target in absolute form (RFC 9112, 3.2.2), which every server must accept.
-func splitAbsolute(target string) (path, authority string, ok bool) {
+// splitAbsoluteForm splits a target in absolute form (RFC 9112, 3.2.2), which every server must accept.
+func splitAbsoluteForm(target string) (path, authority string, ok bool) {
 	const scheme = "http://"
 	if len(target) < len(scheme) || !strings.EqualFold(target[:len(scheme)], scheme) {
 		return "", "", false
@@ -127,7 +128,8 @@
 	return nil
 }
 
-// canonicalNames saves an allocation for names that clients commonly write in another form than the canonical one.
+// canonicalNames maps names in other forms that clients commonly send to the canonical form, which saves an
+// allocation.
 var canonicalNames = map[string]string{
 	"X-Request-ID":     "X-Request-Id",
 	"X-Tenant-ID":      "X-Tenant-Id",
--- a/internal/proxy/h1/parser.go
+++ b/internal/proxy/h1/parser.go
@@ -4,25 +4,25 @@
 	"bytes"
 )
 
-// Parser parses one head that comes in parts. The zero value is ready and goes by DefaultMaxHeadBytes and MaxFields;
-// Reset and SetLimit begin a new head.
+// Parser parses one head that is received in parts. The zero value is ready for use with the limits
+// DefaultMaxHeadBytes and MaxFields. Reset and SetLimit prepare the parser for another head.
 type Parser struct {
-	limit         int // bytes of the fields, and of the request line; 0: DefaultMaxHeadBytes for both together
-	scanned       int // bytes searched for line ends
-	lineStart     int // of the incomplete line
-	fieldsStart   int // 0: the request line is incomplete
+	limit         int // of the fields and of the request line, in bytes each; 0: DefaultMaxHeadBytes for both together
+	scanned       int // bytes that were searched for line ends
+	lineStart     int // offset of the incomplete line
+	fieldsStart   int // offset of the fields; 0: the request line is incomplete
 	completeLines int
 }
 
-// Reset begins a new head under the same limit.
+// Reset prepares the parser for another head with the same limit.
 func (p *Parser) Reset() { *p = Parser{limit: p.limit} }
 
-// SetLimit begins a new head whose fields, the empty line behind them included, may have so many bytes, and its request
-// line as many again; 0: both together
-// have DefaultMaxHeadBytes.
+// SetLimit prepares the parser for another head. The fields, including the final empty line, may have the given
+// number of bytes, and the request line the same number again. 0: both together may have DefaultMaxHeadBytes.
 func (p *Parser) SetLimit(bytes int) { *p = Parser{limit: bytes} }
 
-// MaxBytes is how many bytes a head may have: a buffer of that size is never full without a head or an error.
+// MaxBytes returns the maximum size of a head in bytes. When a buffer of this size is full, Parse returns a head or
+// an error.
 func (p *Parser) MaxBytes() int {
 	if p.limit == 0 {
 		return DefaultMaxHeadBytes
@@ -30,7 +30,7 @@
 	return 2 * p.limit
 }
 
-// exceedsLimit returns whether a head of so many bytes is over the limit.
+// exceedsLimit returns whether a head of the given size in bytes exceeds the limit.
 func (p *Parser) exceedsLimit(size int) bool {
 	if p.limit == 0 {
 		return size > DefaultMaxHeadBytes
@@ -38,7 +38,7 @@
 	return size-p.fieldsStart > p.limit
 }
 
-// maxFields is how many fields a head may have.
+// maxFields returns the maximum number of fields in a head.
 func (p *Parser) maxFields() int {
 	if p.limit == 0 {
 		return MaxFields
@@ -46,13 +46,14 @@
 	return MaxFieldsBySize
 }
 
-// Parse parses all that has come of a head so far, which must begin with what it was given before. It returns the
-// head's size in bytes, 0 where more have to come. An error is an *Error.
+// Parse parses all bytes received of a head so far; b must begin with the bytes of the previous call. It returns the
+// size of the head in bytes, or 0 if the head is incomplete. An error is an *Error.
 func (p *Parser) Parse(b []byte, h *Head) (int, error) {
 	for p.scanned < len(b) {
 		i := bytes.IndexByte(b[p.scanned:], '\n')
 		if i < 0 {
-			// Noise without a line end is an error now, not once it is too long or its time is over.
+			// Input that can't be a request line is rejected at once, before it reaches the size limit or its
+			// client's time-out.
 			if p.completeLines == 0 && !isPlausibleLine(b[p.lineStart:]) {
 				return 0, errControl
 			}
@@ -83,7 +84,7 @@
 			}
 		}
 	}
-	switch { // a complete head of the largest size would have ended
+	switch { // a complete head of the maximum size would have ended by now
 	case p.limit > 0 && p.completeLines == 0 && len(b) >= p.limit:
 		return 0, errLineTooLong
 	case p.exceedsLimit(len(b) + 1):
@@ -92,7 +93,7 @@
 	return 0, nil
 }
 
-// isPlausibleLine returns whether the beginning of a request line may become one.
+// isPlausibleLine returns whether the bytes can be the beginning of a request line.
 func isPlausibleLine(line []byte) bool {
 	for _, c := range line {
 		if c < ' ' && c != '\r' || c >= 0x7f {
--- a/internal/proxy/h1/response.go
+++ b/internal/proxy/h1/response.go
@@ -8,21 +8,21 @@
 	"time"
 )
 
-// Continue is the interim response to Expect: 100-continue (RFC 9110, 15.2.1).
+// Continue is the interim response to a request with Expect: 100-continue (RFC 9110, 15.2.1).
 const Continue = "HTTP/1.1 100 Continue\r\n\r\n"
 
 // Response is the head of a response.
 type Response struct {
 	Status     int
-	Header     http.Header   // of the server's response; its hop-by-hop fields are left out. nil: none
-	RetryAfter time.Duration // Retry-After, in decimal seconds; 0: none
-	Length     int64         // of the body in bytes; -1: it comes in chunks
-	PlainText  bool          // the body is a plain text of the proxy itself
-	Close      bool          // the connection closes behind it
-	Date       string        // the value of Date where the server gave none (RFC 9110, 6.6.1); "": left out
+	Header     http.Header   // header of the server's response, whose hop-by-hop fields are left out; nil: none
+	RetryAfter time.Duration // value of Retry-After, written in decimal seconds; 0: no such field
+	Length     int64         // of the body in bytes; -1: the body is chunked
+	PlainText  bool          // the body is a plain text that the proxy generated
+	Close      bool          // the connection closes after the response
+	Date       string        // value of Date if the server sent none (RFC 9110, 6.6.1); "": no such field
 }
 
-// Append appends the head's bytes to a slice.
+// Append appends the bytes of the head to a slice and returns the extended slice.
 func (r *Response) Append(to []byte) []byte {
 	to = append(to, "HTTP/1.1 "...)
 	to = strconv.AppendInt(to, int64(r.Status), 10)
@@ -41,7 +41,7 @@
 		}
 		for _, value := range values {
 			if !isSendable(value) {
-				continue // it would end the field, and what follows would be taken for another one
+				continue // the value would end the field, and the bytes after it would form another field
 			}
 			to = append(to, name...)
 			to = append(to, ": "...)
@@ -68,7 +68,8 @@
 	return append(to, "\r\n"...)
 }
 
-// isHopByHop returns whether a field belongs to a connection, not to the message (RFC 9110, 7.6.1), or to the framing.
+// isHopByHop returns whether a field belongs to a connection instead of the message (RFC 9110, 7.6.1), to the framing
+// of the message or, like X-Server-Load, to the exchange between a server and the proxy.
 func isHopByHop(name string) bool {
 	switch name {
 	case "Connection", "Keep-Alive", "Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect",
@@ -78,7 +79,7 @@
 	return false
 }
 
-// isListedInConnection returns whether the header's Connection names a field.
+// isListedInConnection returns whether the Connection field of the header names a field.
 func (r *Response) isListedInConnection(name string) bool {
 	for _, list := range r.Header["Connection"] {
 		for listed := range strings.SplitSeq(list, ",") {
@@ -90,7 +91,7 @@
 	return false
 }
 
-// isSendable returns whether a field's value has no bytes that could end the field.
+// isSendable returns whether a value has no bytes that could end a field.
 func isSendable(value string) bool {
 	for i := range len(value) {
 		if c := value[i]; c < ' ' && c != '\t' || c == 0x7f {
