--- a/internal/proxy/front/http1/conn.go
+++ b/internal/proxy/front/http1/conn.go
@@ -112,9 +112,9 @@
 	}
 	c.acquirePermit()              // bytes that came with the previous request skipped readFirst and its permit
 	arrived := c.front.clock.Now() // the client's timeout began when it sent the request
-	listed := c.acceptor.markBusy(c)
+	inTable := c.acceptor.markBusy(c)
 	c.hasUnrecordedRead.Store(false)
-	if !listed {
+	if !inTable {
 		return false // the connection was evicted; the client sees its request unread and sends it again
 	}
 	size, ok := c.readHead()
@@ -130,9 +130,9 @@
 }
 
 // finishRequest ends a request, and returns whether its connection stays open.
-func (c *conn) finishRequest(answered bool) bool {
+func (c *conn) finishRequest(canStayOpen bool) bool {
 	switch {
-	case !answered:
+	case !canStayOpen:
 		return false
 	case c.buffers.head.Close && c.hasPipelined():
 		// The client is likely to send more, and a connection reset would make it lose the response.
--- a/internal/proxy/front/http1/conn_limits.go
+++ b/internal/proxy/front/http1/conn_limits.go
@@ -64,17 +64,17 @@
 
 // ConnLimits are the limits on the number of client connections.
 type ConnLimits struct {
-	Max         int             // of all connections; a further connection waits until one closes
-	MaxIdle     [stateCount]int // without a complete open request, by state; the longest in a state are closed first
-	maxUpstream int             // connections that the application may open to the proxy; 0: unknown
+	Max            int             // of all connections; a further connection waits until one closes
+	MaxIdle        [stateCount]int // without a complete open request, by state; the longest in a state are closed first
+	maxApplication int             // connections that the application may open to the proxy; 0: unknown
 }
 
-// NewConnLimits returns limits of maxConns connections in all, for an application that may open the given number of
-// connections to the proxy. Idle connections take at most half of the application's connections, so the other half is
-// always available for new ones.
-func NewConnLimits(maxConns, application int) ConnLimits {
-	fraction := func(divisor int) int { return max(2, application/divisor) }
-	return ConnLimits{Max: maxConns, maxUpstream: application, MaxIdle: [stateCount]int{
+// NewConnLimits returns limits of maxConns connections in all, for an application that may open applicationConns
+// connections to the proxy. Idle connections take about half of the application's connections at most, so that the
+// other half is available for new ones.
+func NewConnLimits(maxConns, applicationConns int) ConnLimits {
+	fraction := func(divisor int) int { return max(2, applicationConns/divisor) }
+	return ConnLimits{Max: maxConns, maxApplication: applicationConns, MaxIdle: [stateCount]int{
 		stateLingering:   fraction(4),
 		stateNew:         fraction(8),
 		stateReading:     fraction(3),
@@ -105,7 +105,7 @@
 // application opens to a new process beyond that part would stay unaccepted until the old process has sent its last
 // responses.
 func (l ConnLimits) perProcess(processes int) ConnLimits {
-	l.Max = max(1, l.Max/max(1, processes), min(l.Max, l.maxUpstream))
+	l.Max = max(1, l.Max/max(1, processes), min(l.Max, l.maxApplication))
 	return l
 }
 
--- a/internal/proxy/front/http1/conn_table.go
+++ b/internal/proxy/front/http1/conn_table.go
@@ -27,8 +27,8 @@
 	hasShares bool // setShares has divided the connections among owners
 
 	// hasUnrecordedInput returns whether bytes were received on an idle connection that the table does not know of
-	// yet: unread in the kernel's buffer, or read but not recorded by markBusy yet. Such a connection is not idle,
-	// the proxy is late. nil: no connection ever has such bytes.
+	// yet: unread in the kernel's buffer, or read but not recorded by markBusy yet. Such a connection is not idle;
+	// only the proxy has not read the bytes yet. nil: no connection ever has such bytes.
 	hasUnrecordedInput func(*entry) bool
 	// requestLimits returns the current limits. nil: defaultMaxIdle applies.
 	requestLimits func() RequestLimits
@@ -37,7 +37,7 @@
 // entry is a connection in the table.
 type entry struct {
 	conn        *conn
-	use         connState     // state that the connection takes when it becomes idle, by the requests on it so far
+	idleState   connState     // state that the connection takes when it becomes idle, by the requests on it so far
 	owner       *owner        // owner of the last request; nil: none
 	state       connState     // index in connTable.idle of the list that holds element
 	element     *list.Element // nil: a complete request is open, or the connection was removed
@@ -107,7 +107,8 @@
 }
 
 // sweep removes the connections that have been idle for longer than the limits allow and returns them; the caller
-// closes them. again is the time until the next sweep is due, or 0 if no connection is idle.
+// closes them. again is the time until the next sweep is due, or 0 if each connection has a complete request
+// open.
 func (t *connTable) sweep(now time.Duration) (removed []*entry, again time.Duration) {
 	for s := range stateCount {
 		for t.idle[s].Len() > 0 {
@@ -237,8 +238,8 @@
 
 // markIdle records that a connection has no open request.
 func (t *connTable) markIdle(now time.Duration, e *entry) {
-	e.use = max(e.use, stateHealthCheck)
-	t.pushIdle(now, e, e.use)
+	e.idleState = max(e.idleState, stateHealthCheck)
+	t.pushIdle(now, e, e.idleState)
 }
 
 // markReading records that a request was received in part and the connection waits for the rest.
@@ -277,7 +278,7 @@
 // markRequest records that a connection has sent a request that passed its checks.
 func (t *connTable) markRequest(e *entry) {
 	t.markBusy(e)
-	e.use = min(max(e.use+1, stateUsedOnce), stateReused)
+	e.idleState = min(max(e.idleState+1, stateUsedOnce), stateReused)
 }
 
 // remove removes a connection. A second call has no effect.
--- a/internal/proxy/front/http1/conn_table_test.go
+++ b/internal/proxy/front/http1/conn_table_test.go
@@ -37,7 +37,8 @@
 	c := table.counters()
 	if c.Most > len(clients)+50+2 || c.Closed[stateReused] != 0 || c.Closed[stateHealthCheck] < 4900 ||
 		c.Closed[stateUsedOnce] < 4900 {
-		t.Errorf("counters are %+v, want at most %d open and only single-use connections closed", c, len(clients)+52)
+		t.Errorf("counters are %+v, want at most %d open, no reused connection closed and 4900 closed of each other kind",
+			c, len(clients)+52)
 	}
 	for i, e := range clients {
 		if e.removed {
@@ -130,7 +131,7 @@
 	}
 }
 
-// A new connection with received but unread bytes does not count as idle, because the proxy is late.
+// A new connection with received but unread bytes does not count as idle: only the proxy has not read the bytes yet.
 func TestUnreadInputIsNotIdle(t *testing.T) {
 	hasInput := map[*entry]bool{}
 	table := connTable{
--- a/internal/proxy/front/http1/hangup_test.go
+++ b/internal/proxy/front/http1/hangup_test.go
@@ -11,7 +11,7 @@
 )
 
 // A client that does not pipeline at first sends a second request while the first is open, and closes the connection.
-// The first request must be cancelled, and the second one must not be processed.
+// The first request must be cancelled. The second one must not be submitted, or must be cancelled as well.
 func TestHangupBehindUnreadRequest(t *testing.T) {
 	engine := newFakeEngine(t, 0, true)
 	c := engine.dial(t)
--- a/internal/proxy/front/http1/pending.go
+++ b/internal/proxy/front/http1/pending.go
@@ -69,14 +69,14 @@
 	}
 }
 
-// discardReplies closes the streamed replies to cancelled requests: those that are here now, and those that arrive
-// within lateReplyDelay.
+// discardReplies closes the streamed replies to cancelled requests: those already received, and those received within
+// lateReplyDelay.
 func discardReplies(replies []chan call.Answer) {
 	discardPendingReplies(replies)
 	time.AfterFunc(lateReplyDelay, func() { discardPendingReplies(replies) })
 }
 
-// discardPendingReplies closes the streamed replies that are here now.
+// discardPendingReplies closes the streamed replies that are already received.
 func discardPendingReplies(replies []chan call.Answer) {
 	for _, reply := range replies {
 		select {
--- a/internal/proxy/front/http1/read_permits.go
+++ b/internal/proxy/front/http1/read_permits.go
@@ -13,7 +13,7 @@
 	// stay parked. One CPU core needs no more than two: the second connection keeps the core busy while the first one
 	// is in a system call.
 	permitCount = 2
-	// sparePermitCount is how many additional permits there are for pools that received less than their share.
+	// sparePermitCount is how many additional permits there are for targets that received less than their share.
 	sparePermitCount = 2
 	// costPerByte is the cost of a body byte in addition to the time to read it: each byte is copied once more on its
 	// way to a server.
@@ -23,8 +23,8 @@
 )
 
 // readPermits shares read permits among the connections of several targets, with one flow per target: see
-// share.Queue. Without permits, hundreds of connections of one pool may be runnable at once, and each step of another
-// pool's request waits behind all of them.
+// share.Queue. Without permits, hundreds of connections of one target may be runnable at once, and each step of another
+// target's request waits behind all of them.
 type readPermits struct {
 	clock clock.Clock
 	flows int
@@ -58,7 +58,7 @@
 	if !underserved {
 		// Goroutines that are already runnable proceed first, including those that stream responses, and input that
 		// has arrived is noticed. So the process begins no more work than the core can finish, and the work of the
-		// pool with the highest demand waits outside the process.
+		// target with the highest demand waits outside the process.
 		c.front.pollWaits.wait()
 	}
 	c.permits, c.permitFlow, c.sparePermit = permits, flow, spare
--- a/internal/proxy/front/http1/read_permits_test.go
+++ b/internal/proxy/front/http1/read_permits_test.go
@@ -9,8 +9,8 @@
 	"caperarch/internal/proxy/clock"
 )
 
-// A connection of a pool with little traffic gets the next permit however many connections of an overloaded pool wait
-// for one, and all permits are released in the end.
+// A connection of a target with little traffic gets the next permit however many connections of an overloaded target
+// wait for one, and all permits are released in the end.
 func TestReadPermitsAreFair(t *testing.T) {
 	f := New(Config{ConnLimits: NewConnLimits(192, 128)}, clock.New())
 	overloaded, lowTraffic := new(Target), new(Target)
@@ -51,7 +51,7 @@
 	// In arrival order each wait would take 200 x 50 µs = 10 ms.
 	slices.Sort(waits)
 	if median := waits[len(waits)/2]; median > 3*time.Millisecond {
-		t.Errorf("the pool with little traffic waited %v for a permit in the median, want at most 3ms", median)
+		t.Errorf("the target with little traffic waited %v for a permit in the median, want at most 3ms", median)
 	}
 	c.acquirePermit()
 	c.acquirePermit() // a second call returns at once: the connection holds a permit
--- a/internal/proxy/front/http1/request.go
+++ b/internal/proxy/front/http1/request.go
@@ -148,7 +148,7 @@
 				return false
 			}
 			hangup = nil // unread requests precede the hangup: the client still waits for responses
-		case <-pending.target.Engine.Done(): // the pool was removed; all accepted requests have replies by now
+		case <-pending.target.Engine.Done(): // the pool was removed; the engine has replied to all that it accepted
 			select {
 			case reply := <-pending.reply:
 				return c.respond(&reply, body)
--- a/internal/proxy/h1/chunk_frame.go
+++ b/internal/proxy/h1/chunk_frame.go
@@ -13,8 +13,8 @@
 // must have ChunkSuffixBytes after the data, and n must be above 0 and below 1<<32.
 func FrameChunk(b []byte, n int) []byte {
 	const digits = "0123456789abcdef"
-	at := ChunkPrefixBytes
-	put := func(c byte) { at--; b[at] = c }
+	start := ChunkPrefixBytes
+	put := func(c byte) { start--; b[start] = c }
 	put('\n')
 	put('\r')
 	for size := n; size > 0; size >>= 4 {
@@ -22,5 +22,5 @@
 	}
 	end := ChunkPrefixBytes + n
 	b[end], b[end+1] = '\r', '\n'
-	return b[at : end+ChunkSuffixBytes]
+	return b[start : end+ChunkSuffixBytes]
 }
--- a/internal/proxy/h1/framing.go
+++ b/internal/proxy/h1/framing.go
@@ -6,23 +6,23 @@
 
 // parseFraming parses the fields that determine where the request ends and whether its connection stays open.
 func (h *Head) parseFraming() error {
-	hosts := 0
-	transfer := ""
+	hostCount := 0
+	transferEncoding := ""
 	for i := range h.Fields {
 		value := h.Fields[i].Value
 		switch h.Fields[i].Name {
 		case "Host":
-			hosts++
+			hostCount++
 			h.Host = value
 		case "Content-Length":
 			if err := h.parseContentLength(value); err != nil {
 				return err
 			}
 		case "Transfer-Encoding":
-			if transfer != "" { // of several fields, two readers may use different ones
+			if transferEncoding != "" { // of several fields, two readers may use different ones
 				return errTransferEncoding
 			}
-			if transfer = strings.ToLower(value); transfer == "" {
+			if transferEncoding = strings.ToLower(value); transferEncoding == "" {
 				return errTransferEncoding
 			}
 		case "Expect":
@@ -36,7 +36,7 @@
 			}
 		}
 	}
-	return h.checkFraming(hosts, transfer)
+	return h.checkFraming(hostCount, transferEncoding)
 }
 
 // parseContentLength parses a Content-Length field, which may be given only once.
@@ -66,24 +66,24 @@
 	return nil
 }
 
-// checkFraming checks the framing fields in combination. hosts is the number of Host fields; transfer is the
-// Transfer-Encoding, or "" if there is none.
-func (h *Head) checkFraming(hosts int, transfer string) error {
+// checkFraming checks the framing fields in combination. hostCount is the number of Host fields; transferEncoding is
+// the value of Transfer-Encoding, or "" if there is none.
+func (h *Head) checkFraming(hostCount int, transferEncoding string) error {
 	if h.HTTP10 { // HTTP/1.0 needs no Host, and readers differ on whether Transfer-Encoding applies
 		h.Close = true
-		if transfer != "" {
+		if transferEncoding != "" {
 			return errVersion
 		}
-	} else if hosts == 0 {
+	} else if hostCount == 0 {
 		return errHost
 	}
-	if transfer != "" {
-		if transfer != "chunked" || h.Length >= 0 {
+	if transferEncoding != "" {
+		if transferEncoding != "chunked" || h.Length >= 0 {
 			return errTransferEncoding
 		}
 		h.Chunked = true
 	}
-	if hosts > 1 || !isHost(h.Host) {
+	if hostCount > 1 || !isHost(h.Host) {
 		return errHost
 	}
 	if h.authority != "" && !strings.EqualFold(h.authority, h.Host) {
--- a/internal/proxy/h1/parse_head.go
+++ b/internal/proxy/h1/parse_head.go
@@ -29,8 +29,8 @@
 // parseRequestLine parses a request line (RFC 9112, 3) with exactly one space before and after the target.
 func (h *Head) parseRequestLine(line string) error {
 	method, rest, ok := strings.Cut(line, " ")
-	target, version, ok2 := strings.Cut(rest, " ")
-	if !ok || !ok2 {
+	target, version, hasVersion := strings.Cut(rest, " ")
+	if !ok || !hasVersion {
 		return errRequestLine
 	}
 	if !isToken(method) {
