--- a/internal/proxy/h1/framing.go
+++ b/internal/proxy/h1/framing.go
@@ -4,25 +4,25 @@
 	"strings"
 )
 
-// parseFraming parses the fields that say where the request ends and what becomes of its connection.
+// parseFraming parses the fields that determine where the request ends and whether its connection stays open.
 func (h *Head) parseFraming() error {
-	hosts := 0
-	transfer := ""
+	hostCount := 0
+	transferEncoding := ""
 	for i := range h.Fields {
 		value := h.Fields[i].Value
 		switch h.Fields[i].Name {
 		case "Host":
-			hosts++
+			hostCount++
 			h.Host = value
 		case "Content-Length":
 			if err := h.parseContentLength(value); err != nil {
 				return err
 			}
 		case "Transfer-Encoding":
-			if transfer != "" { // two readers may heed different ones of several fields
+			if transferEncoding != "" { // of several fields, two readers may use different ones
 				return errTransferEncoding
 			}
-			if transfer = strings.ToLower(value); transfer == "" {
+			if transferEncoding = strings.ToLower(value); transferEncoding == "" {
 				return errTransferEncoding
 			}
 		case "Expect":
@@ -36,10 +36,10 @@
 			}
 		}
 	}
-	return h.checkFraming(hosts, transfer)
+	return h.checkFraming(hostCount, transferEncoding)
 }
 
-// parseContentLength parses a Content-Length, which no other one may have preceded.
+// parseContentLength parses a Content-Length field, which may be given only once.
 func (h *Head) parseContentLength(value string) error {
 	if h.Length >= 0 || value == "" || strings.Trim(value, "0123456789") != "" {
 		return errLength
@@ -66,28 +66,28 @@
 	return nil
 }
 
-// checkFraming checks the fields of the framing together: how many Host fields there are, and the Transfer-Encoding, ""
-// where there is none.
-func (h *Head) checkFraming(hosts int, transfer string) error {
-	if h.HTTP10 { // Host is not needed there, and readers differ on whether Transfer-Encoding means anything
+// checkFraming checks the framing fields in combination. hostCount is the number of Host fields; transferEncoding is
+// the value of Transfer-Encoding, or "" if there is none.
+func (h *Head) checkFraming(hostCount int, transferEncoding string) error {
+	if h.HTTP10 { // HTTP/1.0 needs no Host, and readers differ on whether Transfer-Encoding applies
 		h.Close = true
-		if transfer != "" {
+		if transferEncoding != "" {
 			return errVersion
 		}
-	} else if hosts == 0 {
+	} else if hostCount == 0 {
 		return errHost
 	}
-	if transfer != "" {
-		if transfer != "chunked" || h.Length >= 0 {
+	if transferEncoding != "" {
+		if transferEncoding != "chunked" || h.Length >= 0 {
 			return errTransferEncoding
 		}
 		h.Chunked = true
 	}
-	if hosts > 1 || !isHost(h.Host) {
+	if hostCount > 1 || !isHost(h.Host) {
 		return errHost
 	}
 	if h.authority != "" && !strings.EqualFold(h.authority, h.Host) {
-		return errHost // RFC 9112, 3.2.2 prefers the target's; a reader that goes by Host takes it for another service's
+		return errHost // RFC 9112, 3.2.2 prefers the target's host, other readers may use the Host field
 	}
 	return nil
 }
