--- a/cmd/measure/fleet_policy_virtual.go
+++ b/cmd/measure/fleet_policy_virtual.go
@@ -20,7 +20,7 @@
 	}
 	one := func(version uint32) func(policyrollout.Active) bool {
 		return func(goes policyrollout.Active) bool {
-			return goes.Mode == policyrollout.One && goes.New.Version == version
+			return goes.Mode == policyrollout.OneVersion && goes.New.Version == version
 		}
 	}
 	began, out := untilPolicy(n, 3*lease+time.Minute, one(0))
--- a/internal/daemon/fleet.go
+++ b/internal/daemon/fleet.go
@@ -141,7 +141,7 @@
 	now := l.policy.Active()
 	if now != l.applied {
 		l.applied = now
-		l.pool.list.SetPolicyBanned(now.Limits.Out)
+		l.pool.list.SetPolicyBanned(now.Limits.DisabledUpstreams)
 		l.pool.target.SetMaxOpen(now.Limits.Open)
 	}
 	return &now.Engine
--- a/internal/fleet/limits.go
+++ b/internal/fleet/limits.go
@@ -129,7 +129,7 @@
 // limitsOf returns the limits of one version, or the stricter of two.
 func (p *Policy) limitsOf(active policyrollout.Active) (*policyrollout.Limits, error) {
 	l, err := p.versionLimits(active.New)
-	if err != nil || active.Mode != policyrollout.Both {
+	if err != nil || active.Mode != policyrollout.BothVersions {
 		return l, err
 	}
 	old, err := p.versionLimits(active.Old)
@@ -146,7 +146,7 @@
 	}
 	text, here := p.node.Text(r)
 	if !here {
-		return nil, errors.New(policyrollout.Waiting)
+		return nil, errors.New(policyrollout.TextMissing)
 	}
 	return p.resolvePolicy(text)
 }
--- a/internal/fleet/maintenance.go
+++ b/internal/fleet/maintenance.go
@@ -40,7 +40,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.maintenance.site, p.maintenance.attachedAt = site, p.fleet.now()
-	p.cfg.Work, p.cfg.Deadline = machineSource{p}, p.fleet.cfg.MaxDeadline+deadlineOverrun
+	p.cfg.MachineSource, p.cfg.Deadline = machineSource{p}, p.fleet.cfg.MaxDeadline+deadlineOverrun
 }
 
 // deadlineOverrun is how long a request may take beyond its deadline until its end is known here.
--- a/internal/fleet/maintenance_show.go
+++ b/internal/fleet/maintenance_show.go
@@ -76,7 +76,7 @@
 		}
 		fmt.Fprintf(b, "out of contact: %d sidecars, which may send to machines that are out\n", v.UnreachableCount)
 		for _, a := range v.Unreachable {
-			fmt.Fprintf(b, "out of contact: sidecar %d, %s\n", a.Number, a.Why)
+			fmt.Fprintf(b, "out of contact: sidecar %d, %s\n", a.Number, a.Reason)
 		}
 	}
 }
--- a/internal/fleet/policy.go
+++ b/internal/fleet/policy.go
@@ -73,7 +73,7 @@
 		ProcessIncarnation: f.incarnation,
 		Lease:              cmp.Or(f.file.Lease, swim.LeaseFor(len(f.peers))),
 		MaxClockError:      cmp.Or(f.file.ClockError, swim.DefaultClockError),
-		Rand:               rand.New(rand.NewPCG(f.cfg.Seed, 3)), Host: policyHost{p}, Check: p.checkPolicy,
+		Rand:               rand.New(rand.NewPCG(f.cfg.Seed, 3)), Host: policyHost{p}, CheckPolicy: p.checkPolicy,
 	}
 	if dir := f.file.Policy.StateDir; dir != "" {
 		if err := state.CheckWritable(dir); err != nil {
--- a/internal/fleet/policy_host.go
+++ b/internal/fleet/policy_host.go
@@ -24,8 +24,8 @@
 	h.p.link.SendDecision(to, raw, priority)
 }
 
-// Changed publishes and logs an event of the node.
-func (h policyHost) Changed(e replicatedstate.Event) {
+// HandleEvent publishes and logs an event of the node.
+func (h policyHost) HandleEvent(e replicatedstate.Event) {
 	log := h.p.fleet.log
 	switch e.Kind {
 	case replicatedstate.ActiveChanged:
@@ -38,9 +38,9 @@
 		if e.Kind == replicatedstate.LogReset {
 			h.p.maintenance.clearance, h.p.maintenance.logCount = maintenance.LocalClearance{}, h.p.maintenance.logCount+1
 		}
-		log.Info("policy: "+string(e.Kind), "number", e.By, "what", e.Why)
+		log.Info("policy: "+string(e.Kind), "number", e.Sidecar, "what", e.Reason)
 	case replicatedstate.EntryUnreadable:
-		log.Error("policy: an entry of the log can't be read, this sidecar is cut off", "error", e.Why)
+		log.Error("policy: an entry of the log can't be read, this sidecar is cut off", "error", e.Reason)
 	default:
 		switch e.Kind {
 		case replicatedstate.ChangeCommitted, replicatedstate.ChangeAborted, replicatedstate.ChangeRejected:
@@ -48,13 +48,13 @@
 		}
 		log.Info(
 			"policy: "+string(e.Kind), "version", e.Version, "hash", fmt.Sprintf("%x", e.Hash[:6]), "by",
-			e.By, "why", e.Why,
+			e.Sidecar, "why", e.Reason,
 		)
 	}
 }
 
-// Worked publishes and logs an applied entry about maintenance.
-func (h policyHost) Worked(s maintenance.Step) {
+// MaintenanceApplied publishes and logs an applied entry about maintenance.
+func (h policyHost) MaintenanceApplied(s maintenance.Step) {
 	p := h.p
 	if s.Kind == maintenance.Opened || s.Kind == maintenance.Withdrawn || s.Kind == maintenance.Done {
 		if p.node != nil {
--- a/internal/fleet/policy_show.go
+++ b/internal/fleet/policy_show.go
@@ -76,7 +76,7 @@
 	switch v.Active.Mode {
 	case policyrollout.CutOff:
 		fmt.Fprintln(b, "this sidecar is cut off: it goes by cut_off")
-	case policyrollout.One:
+	case policyrollout.OneVersion:
 		fmt.Fprintf(
 			b, "this sidecar goes by version %d, for %s at least\n", v.Active.New.Version,
 			seconds(v.ActiveUntil-v.Now),
@@ -116,7 +116,7 @@
 			fmt.Fprintf(b, "behind: %d\n", v.LaggardCount)
 		}
 		for _, x := range v.Laggards[:min(len(v.Laggards), 20)] {
-			fmt.Fprintf(b, "behind: sidecar %d: %s\n", x.Number, x.Why)
+			fmt.Fprintf(b, "behind: sidecar %d: %s\n", x.Number, x.Reason)
 		}
 	}
 }
@@ -141,9 +141,9 @@
 func (p *Policy) History(to io.Writer) error {
 	v := p.View()
 	for _, h := range v.State.History {
-		line := fmt.Sprintf("version %d of sidecar %d, hash %x: %s", h.Version, h.By, h.Hash, h.Outcome)
-		if h.Why != "" {
-			line += fmt.Sprintf(", by sidecar %d: %s", h.EndedBy, h.Why)
+		line := fmt.Sprintf("version %d of sidecar %d, hash %x: %s", h.Version, h.ProposedBy, h.Hash, h.Outcome)
+		if h.Reason != "" {
+			line += fmt.Sprintf(", by sidecar %d: %s", h.EndedBy, h.Reason)
 		}
 		if _, err := fmt.Fprintln(to, line); err != nil {
 			return err
--- a/internal/fleet/policy_test.go
+++ b/internal/fleet/policy_test.go
@@ -103,7 +103,7 @@
 		t.Error("not cut off at the beginning")
 	}
 	pass(12 * time.Second)
-	if now := p.Active(); now.Mode != policyrollout.One || now.Limits.Open != 100 ||
+	if now := p.Active(); now.Mode != policyrollout.OneVersion || now.Limits.Open != 100 ||
 		len(now.Engine.Tenants) != 2 || now.Engine.Tenants[0].Share != 0.75 || now.Engine.Queue != unbounded {
 		t.Fatalf("by its log it goes by %+v", now)
 	}
@@ -136,8 +136,8 @@
 	}
 	pass(2 * time.Second)
 	now := p.Active()
-	if now.Mode != policyrollout.One || now.New.Version != 1 || now.Limits.Open != 50 ||
-		now.Engine.Queue != 4 || now.Engine.Tenants[1] != (policy.Tenant{Share: 0.5, Quota: 20}) || fmt.Sprint(now.Limits.Out) != "[s-1]" {
+	if now.Mode != policyrollout.OneVersion || now.New.Version != 1 || now.Limits.Open != 50 ||
+		now.Engine.Queue != 4 || now.Engine.Tenants[1] != (policy.Tenant{Share: 0.5, Quota: 20}) || fmt.Sprint(now.Limits.DisabledUpstreams) != "[s-1]" {
 		t.Fatalf("it goes by %+v", now)
 	}
 	if p.Active() != now {
@@ -161,7 +161,7 @@
 		t.Errorf("going on it goes by %+v", now)
 	}
 	pass(2 * time.Second)
-	if now := p.Active(); now.Mode != policyrollout.One || now.New.Version != 1 {
+	if now := p.Active(); now.Mode != policyrollout.OneVersion || now.New.Version != 1 {
 		t.Errorf("a while later it goes by %+v", now)
 	}
 	if math.IsInf(now.Limits.Quota[0], 1) {
--- a/internal/fleet/policyrollout/diff.go
+++ b/internal/fleet/policyrollout/diff.go
@@ -49,7 +49,7 @@
 	count("limits.queue", p.Limits.Queue)
 	number("retry.free", p.Retry.Free)
 	number("retry.share", p.Retry.Share)
-	for _, id := range p.Out {
+	for _, id := range p.DisabledUpstreams {
 		all["out "+id] = "out"
 	}
 	return all
--- a/internal/fleet/policyrollout/leader.go
+++ b/internal/fleet/policyrollout/leader.go
@@ -20,10 +20,10 @@
 	LeaseExpiry      time.Duration // of a grant: a lease, and the errors of both clocks
 	QuorumAckTimeout time.Duration // a leader that no majority has confirmed for so long grants nothing
 
-	termStart   time.Duration
-	members     []memberReport
-	changeStart time.Duration // when the change in progress was first seen; 0: none
-	version     uint32
+	termStart     time.Duration
+	members       []memberReport
+	changeStart   time.Duration // when the change in progress was first seen; 0: none
+	changeVersion uint32
 }
 
 // memberReport is what a leader knows of a sidecar.
@@ -75,7 +75,9 @@
 	return true
 }
 
-func appliesBoth(r Report, s *State) bool { return r.Active == Active{Both, s.Current, s.Pending} }
+func appliesBoth(r Report, s *State) bool {
+	return r.Active == Active{BothVersions, s.Current, s.Pending}
+}
 
 // VoterIncarnation returns the incarnation by which a sidecar last reported to vote, and whether
 // that was within LeaseExpiry.
@@ -104,19 +106,19 @@
 // Decide returns what the log needs next; false: nothing now.
 func (l *Leader) Decide(now time.Duration, s *State, self int) (Step, bool) {
 	if !s.Started {
-		return Step{Kind: Started, By: self}, now >= l.earlierGrantsExpired()
+		return Step{Kind: Started, Sidecar: self}, now >= l.earlierGrantsExpired()
 	}
 	if s.Offered.Version != 0 {
 		return l.decideOffered(now, s, self)
 	}
 	if s.Pending.Version == 0 {
-		l.changeStart, l.version = 0, 0
+		l.changeStart, l.changeVersion = 0, 0
 		// A report from before the outcome may be from before the change, and looks the same (seed
 		// 551).
 		if s.Completing != 0 && l.allGranted(now, func(r Report) bool {
-			return r.LastIndex >= s.OutcomeIndex && r.Active == Active{Mode: One, New: s.Current}
+			return r.LastIndex >= s.OutcomeIndex && r.Active == Active{Mode: OneVersion, New: s.Current}
 		}) {
-			return Step{Kind: Completed, Ref: Ref{Version: s.Completing}, By: self}, true
+			return Step{Kind: Completed, Ref: Ref{Version: s.Completing}, Sidecar: self}, true
 		}
 		return Step{}, false
 	}
@@ -126,8 +128,8 @@
 // decidePending commits the pending change once all sidecars with grants apply both versions, and
 // aborts it if one can't or if it takes too long.
 func (l *Leader) decidePending(now time.Duration, s *State, self int) (Step, bool) {
-	if l.version != s.Pending.Version {
-		l.changeStart, l.version = now, s.Pending.Version
+	if l.changeVersion != s.Pending.Version {
+		l.changeStart, l.changeVersion = now, s.Pending.Version
 	}
 	if step, no := l.abortIfRejected(now, s.Pending.Version); no {
 		return step, true
@@ -140,12 +142,12 @@
 		}
 	}
 	if l.allGranted(now, func(r Report) bool { return appliesBoth(r, s) }) && 2*granted > l.Size {
-		return Step{Kind: Committed, Ref: Ref{Version: s.Pending.Version}, By: self}, true
+		return Step{Kind: Committed, Ref: Ref{Version: s.Pending.Version}, Sidecar: self}, true
 	}
 	if now >= max(l.changeStart, l.earlierGrantsExpired())+changeTimeoutHalves*l.LeaseExpiry/2 {
 		return Step{
-			Kind: Aborted, Ref: Ref{Version: s.Pending.Version}, By: self,
-			Why: fmt.Sprintf("%d of %d came to it in time", granted, l.Size),
+			Kind: Aborted, Ref: Ref{Version: s.Pending.Version}, Sidecar: self,
+			Reason: fmt.Sprintf("%d of %d came to it in time", granted, l.Size),
 		}, true
 	}
 	return Step{}, false
@@ -155,7 +157,7 @@
 func (l *Leader) abortIfRejected(now time.Duration, version uint32) (Step, bool) {
 	for i := range l.members {
 		if m := &l.members[i]; m.received && m.report.Rejection != "" && now-m.receivedAt < l.LeaseExpiry {
-			return Step{Kind: Aborted, Ref: Ref{Version: version}, By: i, Why: m.report.Rejection}, true
+			return Step{Kind: Aborted, Ref: Ref{Version: version}, Sidecar: i, Reason: m.report.Rejection}, true
 		}
 	}
 	return Step{}, false
@@ -164,8 +166,8 @@
 // decideOffered proposes a change once its text is with all who have grants, or with most after a
 // while.
 func (l *Leader) decideOffered(now time.Duration, s *State, self int) (Step, bool) {
-	if l.version != s.Offered.Version {
-		l.changeStart, l.version = now, s.Offered.Version
+	if l.changeVersion != s.Offered.Version {
+		l.changeStart, l.changeVersion = now, s.Offered.Version
 	}
 	if step, no := l.abortIfRejected(now, s.Offered.Version); no {
 		return step, true
@@ -180,12 +182,12 @@
 	switch {
 	case 2*ready > l.Size &&
 		(late || l.allGranted(now, func(r Report) bool { return r.ReadyVersion == s.Offered.Version })):
-		l.version = 0 // the change's time-out starts with its entry
-		return Step{Kind: Proposed, Ref: s.Offered, Base: s.Current.Version, By: s.ProposedBy}, true
+		l.changeVersion = 0 // the change's time-out starts with its entry
+		return Step{Kind: Proposed, Ref: s.Offered, Base: s.Current.Version, Sidecar: s.ProposedBy}, true
 	case late:
 		return Step{
-			Kind: Aborted, Ref: Ref{Version: s.Offered.Version}, By: self,
-			Why: fmt.Sprintf("%d of %d had its text in time", ready, l.Size),
+			Kind: Aborted, Ref: Ref{Version: s.Offered.Version}, Sidecar: self,
+			Reason: fmt.Sprintf("%d of %d had its text in time", ready, l.Size),
 		}, true
 	}
 	return Step{}, false
@@ -206,11 +208,11 @@
 		case l.hasNoGrant(now, i):
 		case s.Offered.Version != 0 && m.received && r.ReadyVersion == s.Offered.Version:
 		case s.Offered.Version != 0 && m.received && r.Rejection == "":
-			all = append(all, Laggard{i, Waiting})
+			all = append(all, Laggard{i, TextMissing})
 		case !m.received:
 			all = append(all, Laggard{i, "not heard of yet"})
 		case s.Pending.Version != 0 && appliesBoth(r, s), s.Pending.Version == 0 &&
-			r.LastIndex >= s.OutcomeIndex && r.Active == Active{Mode: One, New: s.Current}:
+			r.LastIndex >= s.OutcomeIndex && r.Active == Active{Mode: OneVersion, New: s.Current}:
 		case r.Rejection != "":
 			all = append(all, Laggard{i, r.Rejection})
 		default:
@@ -226,7 +228,7 @@
 // Laggard is a sidecar that a change waits for.
 type Laggard struct {
 	Number int
-	Why    string
+	Reason string
 }
 
 // allGranted reports whether holds is true of the reports of all sidecars that may have a grant.
--- a/internal/fleet/policyrollout/limits.go
+++ b/internal/fleet/policyrollout/limits.go
@@ -10,14 +10,14 @@
 
 // Limits is a policy with all fields: what a sidecar applies.
 type Limits struct {
-	Share      []float64 // by tenant, fractions
-	Quota      []float64 // by tenant, requests per second over the fleet; math.Inf(1): none
-	Attempts   int
-	Open       int
-	Queue      int
-	RetryFree  float64
-	RetryShare float64
-	Out        []string // sorted
+	Share             []float64 // by tenant, fractions
+	Quota             []float64 // by tenant, requests per second over the fleet; math.Inf(1): none
+	Attempts          int
+	Open              int
+	Queue             int
+	RetryFree         float64
+	RetryShare        float64
+	DisabledUpstreams []string // sorted
 }
 
 // Settings are a sidecar's own settings, by which a policy is resolved.
@@ -57,9 +57,9 @@
 	if p.Retry.Share != nil {
 		l.RetryShare = *p.Retry.Share
 	}
-	l.Out = append(l.Out, p.Out...)
-	slices.Sort(l.Out)
-	l.Out = slices.Compact(l.Out)
+	l.DisabledUpstreams = append(l.DisabledUpstreams, p.DisabledUpstreams...)
+	slices.Sort(l.DisabledUpstreams)
+	l.DisabledUpstreams = slices.Compact(l.DisabledUpstreams)
 	return l, nil
 }
 
@@ -144,7 +144,7 @@
 
 func (l *Limits) clone() *Limits {
 	c := *l
-	c.Share, c.Quota, c.Out = slices.Clone(l.Share), slices.Clone(l.Quota), slices.Clone(l.Out)
+	c.Share, c.Quota, c.DisabledUpstreams = slices.Clone(l.Share), slices.Clone(l.Quota), slices.Clone(l.DisabledUpstreams)
 	return &c
 }
 
--- a/internal/fleet/policyrollout/participant.go
+++ b/internal/fleet/policyrollout/participant.go
@@ -9,9 +9,9 @@
 
 // The modes.
 const (
-	CutOff Mode = iota // the limits that the settings have for a sidecar that may have missed something
-	One                // one version alone
-	Both               // the stricter of the current version and the pending one
+	CutOff       Mode = iota // the limits that the settings have for a sidecar that may have missed something
+	OneVersion               // one version alone
+	BothVersions             // the stricter of the current version and the pending one
 )
 
 // String returns the mode as logs and operators' output show it.
@@ -41,10 +41,10 @@
 type Participant struct {
 	Lease time.Duration
 
-	state            State
-	lastIndex        uint64
-	whyNotApplicable func(Ref) string // "": the version's text is here and can be applied
-	grants           []grant          // the newest last
+	state           State
+	lastIndex       uint64
+	rejectionReason func(Ref) string // "": the version's text is here and can be applied
+	grants          []grant          // the newest last
 	// the pending version that was last reported as applied with the old one
 	reportedBoth   Ref
 	reportSequence uint32 // of the last report
@@ -60,11 +60,11 @@
 // NewParticipant returns a participant without grants. whyNotApplicable returns why a version can't
 // be applied here, "" if it can, and Waiting if its text is not here yet.
 func NewParticipant(lease time.Duration, apply func(Ref) string) *Participant {
-	return &Participant{Lease: lease, whyNotApplicable: apply}
+	return &Participant{Lease: lease, rejectionReason: apply}
 }
 
-// Waiting is the reason for a text that is not here yet: it may still arrive.
-const Waiting = "its text is not here yet"
+// TextMissing is the reason for a text that is not here yet: it may still arrive.
+const TextMissing = "its text is not here yet"
 
 // ApplyEntry applies the next entry of the log.
 func (h *Participant) ApplyEntry(index uint64, raw []byte) (rejected string, err error) {
@@ -135,21 +135,21 @@
 // activeIfGranted returns what this sidecar applies if it has a grant.
 func (h *Participant) activeIfGranted() Active {
 	s := &h.state
-	if s.Pending.Version != 0 && h.whyNotApplicable(s.Pending) == "" && h.whyNotApplicable(s.Current) == "" {
-		return Active{Both, s.Current, s.Pending}
+	if s.Pending.Version != 0 && h.rejectionReason(s.Pending) == "" && h.rejectionReason(s.Current) == "" {
+		return Active{BothVersions, s.Current, s.Pending}
 	}
 	if s.Pending.Version != 0 && h.reportedBoth == s.Pending {
 		// It was reported to apply both, and others may apply the new version alone by now: a text
 		// that it can't apply any more must not return it to the old version.
 		return Active{Mode: CutOff}
 	}
-	return Active{Mode: One, New: s.Current}
+	return Active{Mode: OneVersion, New: s.Current}
 }
 
 // Active returns the policy that this sidecar applies. Ask it wherever something depends on it, at
 // that moment: a process that was stopped finds its grant expired at its first call.
 func (h *Participant) Active(now time.Duration) Active {
-	if h.unreadable || !h.HasGrant(now) || h.whyNotApplicable(h.state.Current) != "" {
+	if h.unreadable || !h.HasGrant(now) || h.rejectionReason(h.state.Current) != "" {
 		return Active{Mode: CutOff}
 	}
 	return h.activeIfGranted()
@@ -159,26 +159,26 @@
 func (h *Participant) NextReport(now time.Duration) Report {
 	h.reportSequence++
 	r := Report{SentAt: now, Sequence: h.reportSequence, Active: h.activeIfGranted(), LastIndex: h.lastIndex}
-	if r.Active.Mode == Both {
+	if r.Active.Mode == BothVersions {
 		h.reportedBoth = r.Active.New
 	}
-	switch why := h.whyNotApplicable(h.state.Current); {
+	switch why := h.rejectionReason(h.state.Current); {
 	case h.unreadable:
-		r.Rejection = errEntry.Error()
+		r.Rejection = errUnreadableEntry.Error()
 	case why != "":
 		r.Active.Mode = CutOff // it could not apply the current version, granted or not
 	}
 	if o := h.state.Offered; o.Version != 0 && r.Rejection == "" {
-		switch why := h.whyNotApplicable(o); why {
+		switch why := h.rejectionReason(o); why {
 		case "":
 			r.ReadyVersion = o.Version
-		case Waiting:
+		case TextMissing:
 		default:
 			r.Rejection = why
 		}
 	}
 	if p := h.state.Pending; p.Version != 0 && r.Rejection == "" {
-		if why := h.whyNotApplicable(p); why != "" && why != Waiting {
+		if why := h.rejectionReason(p); why != "" && why != TextMissing {
 			r.Rejection = why
 		}
 	}
--- a/internal/fleet/policyrollout/participant_test.go
+++ b/internal/fleet/policyrollout/participant_test.go
@@ -30,7 +30,7 @@
 		if here[r.Version] {
 			return ""
 		}
-		return Waiting
+		return TextMissing
 	})
 	want := func(now time.Duration, n Active, why string) {
 		t.Helper()
@@ -41,11 +41,11 @@
 	now := begin
 	want(now, Active{}, "a process that has just begun")
 	h.RecordGrant(now, now-2*time.Second, 0)
-	want(now, Active{Mode: One}, "granted")
-	want(now+999*time.Millisecond, Active{Mode: One}, "a grant counts from when it was asked for")
+	want(now, Active{Mode: OneVersion}, "granted")
+	want(now+999*time.Millisecond, Active{Mode: OneVersion}, "a grant counts from when it was asked for")
 	want(now+time.Second, Active{}, "a lease behind that")
 	h.RecordGrant(now, now-lease, 0)
-	want(now, Active{Mode: One}, "still the first one")
+	want(now, Active{Mode: OneVersion}, "still the first one")
 	h.RecordGrant(now+time.Second, now+2*time.Second, 0)
 	want(now+time.Second, Active{}, "an answer to what was not asked yet")
 
@@ -56,28 +56,28 @@
 		t.Fatal(err)
 	}
 	want(now, Active{}, "nor is it yet")
-	if _, err := h.ApplyEntry(3, entry(t, Step{Kind: Proposed, Ref: ref(1), By: 2})); err != nil {
+	if _, err := h.ApplyEntry(3, entry(t, Step{Kind: Proposed, Ref: ref(1), Sidecar: 2})); err != nil {
 		t.Fatal(err)
 	}
-	want(now, Active{Mode: One}, "its text is not here")
-	if r := h.NextReport(now); r.Active != (Active{Mode: One}) || r.Rejection != "" || r.LastIndex != 3 {
+	want(now, Active{Mode: OneVersion}, "its text is not here")
+	if r := h.NextReport(now); r.Active != (Active{Mode: OneVersion}) || r.Rejection != "" || r.LastIndex != 3 {
 		t.Errorf("%+v", r)
 	}
 	here[1] = true
-	want(now, Active{Both, Ref{}, ref(1)}, "a change is under way")
+	want(now, Active{BothVersions, Ref{}, ref(1)}, "a change is under way")
 	here[1] = false
-	want(now, Active{Mode: One}, "its text is gone again, and nobody was told that it goes by both")
+	want(now, Active{Mode: OneVersion}, "its text is gone again, and nobody was told that it goes by both")
 	here[1] = true
-	if r := h.NextReport(now); r.Active.Mode != Both {
+	if r := h.NextReport(now); r.Active.Mode != BothVersions {
 		t.Errorf("%+v", r)
 	}
 	here[1] = false
 	want(now, Active{}, "its text is gone, but it was told that it goes by both")
 	here[1] = true
-	if _, err := h.ApplyEntry(4, entry(t, Step{Kind: Committed, Ref: ref(1), By: 2})); err != nil {
+	if _, err := h.ApplyEntry(4, entry(t, Step{Kind: Committed, Ref: ref(1), Sidecar: 2})); err != nil {
 		t.Fatal(err)
 	}
-	want(now, Active{Mode: One, New: ref(1)}, "it was taken")
+	want(now, Active{Mode: OneVersion, New: ref(1)}, "it was taken")
 	here[1] = false
 	want(now, Active{}, "the text of what holds is gone")
 	here[1] = true
@@ -90,7 +90,7 @@
 	}
 	h.Reset()
 	h.RecordGrant(now, now, 0)
-	want(now, Active{Mode: One}, "another log")
+	want(now, Active{Mode: OneVersion}, "another log")
 }
 
 func TestState(t *testing.T) {
@@ -99,31 +99,31 @@
 		step Step
 		ok   bool
 	}{
-		{Step{Kind: Proposed, Ref: ref(1), By: 1}, false}, {Step{Kind: Started}, true}, {Step{Kind: Started}, false},
-		{Step{Kind: Proposed, Ref: ref(2), By: 1}, false},
-		{Step{Kind: Proposed, Ref: ref(1), Base: 1, By: 1}, false},
+		{Step{Kind: Proposed, Ref: ref(1), Sidecar: 1}, false}, {Step{Kind: Started}, true}, {Step{Kind: Started}, false},
+		{Step{Kind: Proposed, Ref: ref(2), Sidecar: 1}, false},
+		{Step{Kind: Proposed, Ref: ref(1), Base: 1, Sidecar: 1}, false},
 		{Step{Kind: Committed, Ref: ref(1)}, false},
-		{Step{Kind: Proposed, Ref: ref(1), By: 1}, true},
-		{Step{Kind: Proposed, Ref: ref(2), By: 1}, false},
+		{Step{Kind: Proposed, Ref: ref(1), Sidecar: 1}, true},
+		{Step{Kind: Proposed, Ref: ref(2), Sidecar: 1}, false},
 		{Step{Kind: Committed, Ref: ref(2)}, false},
 		{Step{Kind: Completed, Ref: ref(1)}, false},
 		{Step{Kind: Committed, Ref: ref(1)}, true},
 		{Step{Kind: Aborted, Ref: ref(1)}, false},
-		{Step{Kind: Proposed, Ref: ref(2), Base: 1, By: 1}, false},
+		{Step{Kind: Proposed, Ref: ref(2), Base: 1, Sidecar: 1}, false},
 		{Step{Kind: Completed, Ref: ref(1)}, true},
-		{Step{Kind: Proposed, Ref: ref(2), Base: 0, By: 1}, false},
-		{Step{Kind: Proposed, Ref: ref(2), Base: 1, By: 1}, true},
-		{Step{Kind: Aborted, Ref: ref(2), Why: "no such tenant"}, true},
+		{Step{Kind: Proposed, Ref: ref(2), Base: 0, Sidecar: 1}, false},
+		{Step{Kind: Proposed, Ref: ref(2), Base: 1, Sidecar: 1}, true},
+		{Step{Kind: Aborted, Ref: ref(2), Reason: "no such tenant"}, true},
 		{Step{Kind: Committed, Ref: ref(2)}, false},
 		{Step{Kind: Completed, Ref: ref(2)}, true},
-		{Step{Kind: Proposed, Ref: ref(3), Base: 1, By: 1}, true},
+		{Step{Kind: Proposed, Ref: ref(3), Base: 1, Sidecar: 1}, true},
 	} {
 		if refused := s.Apply(uint64(i+1), c.step); (refused == "") != c.ok {
 			t.Errorf("%d: %v %d: refused %q", i, c.step.Kind, c.step.Version, refused)
 		}
 	}
 	if s.Current != ref(1) || s.Pending != ref(3) || len(s.History) != 2 ||
-		s.History[1].Outcome != Aborted || s.History[1].Why != "no such tenant" {
+		s.History[1].Outcome != Aborted || s.History[1].Reason != "no such tenant" {
 		t.Errorf("%+v", s)
 	}
 }
@@ -138,7 +138,7 @@
 		for i, h := range have {
 			if !l.ReceiveReport(
 				now, now, i,
-				Report{Incarnation: 1, Sequence: uint32(h), LastIndex: h, Active: Active{Mode: One}},
+				Report{Incarnation: 1, Sequence: uint32(h), LastIndex: h, Active: Active{Mode: OneVersion}},
 				s,
 			) {
 				t.Fatal("no grant")
@@ -160,7 +160,7 @@
 	now := time.Hour
 	l := NewLeader(now, 3, patience, confirm)
 	s := &State{Started: true, Pending: ref(1)}
-	both, one := Active{Both, Ref{}, ref(1)}, Active{Mode: One}
+	both, one := Active{BothVersions, Ref{}, ref(1)}, Active{Mode: OneVersion}
 	for _, c := range []struct {
 		r  Report
 		ok bool
@@ -187,7 +187,7 @@
 	now := time.Hour
 	l := NewLeader(now, 1, patience, confirm)
 	var s State
-	if l.ReceiveReport(now, now, 0, Report{Incarnation: 1, Sequence: 1, Active: Active{Mode: One}}, &s) {
+	if l.ReceiveReport(now, now, 0, Report{Incarnation: 1, Sequence: 1, Active: Active{Mode: OneVersion}}, &s) {
 		t.Error("a grant")
 	}
 	if _, due := l.Decide(now+patience+confirm*5/4-1, &s, 0); due {
--- a/internal/fleet/policyrollout/policy.go
+++ b/internal/fleet/policyrollout/policy.go
@@ -37,10 +37,10 @@
 
 // Policy is an operator's text. A nil field is not in it: the sidecar's own settings apply.
 type Policy struct {
-	Tenants map[string]Tenant `toml:"tenants"`
-	Limits  Bounds            `toml:"limits"`
-	Retry   Retry             `toml:"retry"`
-	Out     []string          `toml:"out"` // ids of upstreams that are taken out by hand
+	Tenants           map[string]Tenant `toml:"tenants"`
+	Limits            Bounds            `toml:"limits"`
+	Retry             Retry             `toml:"retry"`
+	DisabledUpstreams []string          `toml:"out"` // ids of upstreams that are taken out by hand
 }
 
 // Tenant is the part of a policy about one tenant.
@@ -137,14 +137,14 @@
 
 func (p *Policy) checkOut() error {
 	seen := make(map[string]bool)
-	for i, id := range p.Out {
+	for i, id := range p.DisabledUpstreams {
 		switch {
 		case id == "" || len(id) > maxNameBytes:
 			return fmt.Errorf("out[%d]: an id of %d bytes, 1 to %d are possible", i, len(id), maxNameBytes)
 		case seen[id]:
 			return fmt.Errorf("out[%d]: %s stands there twice", i, id)
 		case i >= maxOut:
-			return fmt.Errorf("out: %d ids, %d are possible", len(p.Out), maxOut)
+			return fmt.Errorf("out: %d ids, %d are possible", len(p.DisabledUpstreams), maxOut)
 		}
 		seen[id] = true
 	}
--- a/internal/fleet/policyrollout/policy_keys_test.go
+++ b/internal/fleet/policyrollout/policy_keys_test.go
@@ -26,10 +26,10 @@
 	attempts, open, queue := 2, 20, 5
 	free, retryShare, share, quota := 1.5, 0.25, 0.75, 10.5
 	want := &Policy{
-		Out:     []string{"s-1", "s-2"},
-		Limits:  Bounds{Attempts: &attempts, Open: &open, Queue: &queue},
-		Retry:   Retry{Free: &free, Share: &retryShare},
-		Tenants: map[string]Tenant{"north": {Share: &share, Quota: &quota}},
+		DisabledUpstreams: []string{"s-1", "s-2"},
+		Limits:            Bounds{Attempts: &attempts, Open: &open, Queue: &queue},
+		Retry:             Retry{Free: &free, Share: &retryShare},
+		Tenants:           map[string]Tenant{"north": {Share: &share, Quota: &quota}},
 	}
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("read is %+v, want %+v", got, want)
--- a/internal/fleet/policyrollout/policy_test.go
+++ b/internal/fleet/policyrollout/policy_test.go
@@ -24,14 +24,14 @@
 	return &Settings{
 		Tenants: map[string]int{"north": 0, "south": 1, "west": 2},
 		Limits: Limits{
-			Share:      []float64{0.6, 0.3, 0.1},
-			Quota:      []float64{100, 50, math.Inf(1)},
-			Attempts:   3,
-			Open:       100,
-			Queue:      20,
-			RetryFree:  10,
-			RetryShare: 0.1,
-			Out:        []string{"s-5"},
+			Share:             []float64{0.6, 0.3, 0.1},
+			Quota:             []float64{100, 50, math.Inf(1)},
+			Attempts:          3,
+			Open:              100,
+			Queue:             20,
+			RetryFree:         10,
+			RetryShare:        0.1,
+			DisabledUpstreams: []string{"s-5"},
 		},
 		Max: Limits{Open: 200},
 	}
@@ -45,14 +45,14 @@
 	s := settings()
 	got, err := p.Resolve(s)
 	want := &Limits{
-		Share:      []float64{0.5, 0.3, 0.1},
-		Quota:      []float64{80, 50, math.Inf(1)},
-		Attempts:   2,
-		Open:       100,
-		Queue:      20,
-		RetryFree:  5,
-		RetryShare: 0.1,
-		Out:        []string{"s-1", "s-5", "s-9"},
+		Share:             []float64{0.5, 0.3, 0.1},
+		Quota:             []float64{80, 50, math.Inf(1)},
+		Attempts:          2,
+		Open:              100,
+		Queue:             20,
+		RetryFree:         5,
+		RetryShare:        0.1,
+		DisabledUpstreams: []string{"s-1", "s-5", "s-9"},
 	}
 	if err != nil || !reflect.DeepEqual(got, want) {
 		t.Errorf("%+v, %v; want %+v", got, err, want)
@@ -127,7 +127,7 @@
 		rapid.SampledFrom([]string{"a", "b", "c"}), 0, 3, rapid.ID,
 	).Draw(t, name+" out"); len(out) > 0 {
 		slices.Sort(out)
-		l.Out = out
+		l.DisabledUpstreams = out
 	}
 	return l
 }
@@ -205,8 +205,8 @@
 // What stands in a log is read as it was written, or not at all.
 func FuzzStep(f *testing.F) {
 	for _, s := range []Step{
-		{Kind: Started}, {Kind: Proposed, Ref: Ref{Version: 3}, Base: 2, By: 7},
-		{Kind: Aborted, Ref: Ref{Version: 1}, Why: strings.Repeat("é", 40)},
+		{Kind: Started}, {Kind: Proposed, Ref: Ref{Version: 3}, Base: 2, Sidecar: 7},
+		{Kind: Aborted, Ref: Ref{Version: 1}, Reason: strings.Repeat("é", 40)},
 		{Kind: Offered, Ref: Ref{Version: 9}},
 	} {
 		raw, err := s.Encode()
@@ -224,7 +224,7 @@
 		if err != nil {
 			t.Fatalf("%+v can't be written: %v", s, err)
 		}
-		if x, err := DecodeStep(again); err != nil || x.Kind != s.Kind || x.Ref != s.Ref || x.By != s.By {
+		if x, err := DecodeStep(again); err != nil || x.Kind != s.Kind || x.Ref != s.Ref || x.Sidecar != s.Sidecar {
 			t.Fatalf("%+v became %+v, %v", s, x, err)
 		}
 		var state State
--- a/internal/fleet/policyrollout/state.go
+++ b/internal/fleet/policyrollout/state.go
@@ -48,9 +48,9 @@
 type Step struct {
 	Kind Kind
 	Ref
-	Base uint32 // of Proposed and Offered: the version that it was made from
-	By   int
-	Why  string // of Aborted
+	Base    uint32 // of Proposed and Offered: the version that it was made from
+	Sidecar int
+	Reason  string // of Aborted
 }
 
 const (
@@ -61,8 +61,8 @@
 // Encode returns the step as an entry of the log.
 func (s Step) Encode() ([]byte, error) {
 	p := &policypb.Step{
-		Kind: uint32(s.Kind), Version: s.Version, Base: s.Base, By: uint32(s.By) + 1,
-		Why: strings.ToValidUTF8(s.Why[:min(len(s.Why), maxReasonBytes)], ""),
+		Kind: uint32(s.Kind), Version: s.Version, Base: s.Base, By: uint32(s.Sidecar) + 1,
+		Why: strings.ToValidUTF8(s.Reason[:min(len(s.Reason), maxReasonBytes)], ""),
 	}
 	if s.Kind == Proposed || s.Kind == Offered {
 		p.Hash = s.Hash[:]
@@ -70,45 +70,45 @@
 	return proto.Marshal(p)
 }
 
-var errEntry = errors.New("an entry that can't be read: of a newer version of the program, maybe")
+var errUnreadableEntry = errors.New("an entry that can't be read: of a newer version of the program, maybe")
 
 // DecodeStep parses an entry. What can't be understood is an error: it must not be ignored.
 func DecodeStep(raw []byte) (s Step, err error) {
 	p := new(policypb.Step)
 	if proto.Unmarshal(raw, p) != nil || p.Kind < uint32(Proposed) || p.Kind > uint32(Offered) ||
 		(p.Version == 0) != (p.Kind == uint32(Started)) || p.By == 0 {
-		return s, errEntry
+		return s, errUnreadableEntry
 	}
-	s = Step{Kind: Kind(p.Kind), Ref: Ref{Version: p.Version}, Base: p.Base, By: int(p.By) - 1, Why: p.Why}
+	s = Step{Kind: Kind(p.Kind), Ref: Ref{Version: p.Version}, Base: p.Base, Sidecar: int(p.By) - 1, Reason: p.Why}
 	if s.Kind == Proposed || s.Kind == Offered {
 		if len(p.Hash) != sha256.Size {
-			return s, errEntry
+			return s, errUnreadableEntry
 		}
 		copy(s.Hash[:], p.Hash)
 	}
 	return s, nil
 }
 
-// Past is a change that has its outcome.
-type Past struct {
+// PastChange is a change that has its outcome.
+type PastChange struct {
 	Ref
-	By      int
-	Outcome Kind // Committed or Aborted
-	EndedBy int  // who proposed the outcome, or can't apply the version
-	Why     string
+	ProposedBy int
+	Outcome    Kind // Committed or Aborted
+	EndedBy    int  // who proposed the outcome, or can't apply the version
+	Reason     string
 }
 
 // State is what the log makes of the policy: the same at all sidecars that have the same entries.
 type State struct {
 	Started      bool
 	Current      Ref
-	Offered      Ref    // its text is being distributed; Version 0: none
-	Pending      Ref    // its change is in progress; Version 0: none
-	ProposedBy   int    // of Offered or Pending
-	LastVersion  uint32 // the highest version so far
-	Completing   uint32 // has its outcome, but some may still apply the policy before; 0: none
-	OutcomeIndex uint64 // log index of the outcome of Completing
-	History      []Past // the last maxHistory
+	Offered      Ref          // its text is being distributed; Version 0: none
+	Pending      Ref          // its change is in progress; Version 0: none
+	ProposedBy   int          // of Offered or Pending
+	LastVersion  uint32       // the highest version so far
+	Completing   uint32       // has its outcome, but some may still apply the policy before; 0: none
+	OutcomeIndex uint64       // log index of the outcome of Completing
+	History      []PastChange // the last maxHistory
 }
 
 // Apply applies the next entry, by its index. rejected says why it changes nothing, so that the
@@ -134,7 +134,7 @@
 		case e.Version != s.LastVersion+1 && !offer:
 			return fmt.Sprintf("version %d is the next one", s.LastVersion+1)
 		}
-		if s.ProposedBy, s.LastVersion, s.Offered = e.By, e.Version, e.Ref; e.Kind == Proposed {
+		if s.ProposedBy, s.LastVersion, s.Offered = e.Sidecar, e.Version, e.Ref; e.Kind == Proposed {
 			s.Pending, s.Offered = e.Ref, Ref{}
 		}
 	case Committed, Aborted:
@@ -162,7 +162,7 @@
 
 // addHistory records what became of a version.
 func (s *State) addHistory(r Ref, e Step) {
-	s.History = append(s.History, Past{r, s.ProposedBy, e.Kind, e.By, e.Why})
+	s.History = append(s.History, PastChange{r, s.ProposedBy, e.Kind, e.Sidecar, e.Reason})
 	s.History = s.History[max(0, len(s.History)-maxHistory):]
 }
 
--- a/internal/fleet/policyrollout/stricter.go
+++ b/internal/fleet/policyrollout/stricter.go
@@ -12,7 +12,7 @@
 		Share: lower(a.Share, b.Share, 0), Quota: lower(a.Quota, b.Quota, noQuota),
 		Attempts: min(a.Attempts, b.Attempts), Open: min(a.Open, b.Open), Queue: min(a.Queue, b.Queue),
 		RetryFree: min(a.RetryFree, b.RetryFree), RetryShare: min(a.RetryShare, b.RetryShare),
-		Out: union(a.Out, b.Out),
+		DisabledUpstreams: union(a.DisabledUpstreams, b.DisabledUpstreams),
 	}
 }
 
@@ -53,8 +53,8 @@
 	say(a.Queue > b.Queue, "queue", a.Queue, b.Queue)
 	say(a.RetryFree > b.RetryFree, "retry.free", a.RetryFree, b.RetryFree)
 	say(a.RetryShare > b.RetryShare, "retry.share", a.RetryShare, b.RetryShare)
-	for _, id := range b.Out {
-		say(!slices.Contains(a.Out, id), "out", "without "+id, "with it")
+	for _, id := range b.DisabledUpstreams {
+		say(!slices.Contains(a.DisabledUpstreams, id), "out", "without "+id, "with it")
 	}
 	return fields
 }
--- a/internal/fleet/replicatedstate/change.go
+++ b/internal/fleet/replicatedstate/change.go
@@ -10,44 +10,45 @@
 	"caperarch/internal/fleet/raftlog"
 )
 
-// Errors of operators' calls. Their texts are shown to operators.
+// Errors of calls by operators. Their texts are shown to operators.
 var (
 	ErrNoContact = errors.New(
 		"this sidecar has no grant of a leader now: it may have missed something, nothing is begun",
 	)
-	errUnderWay = errors.New("a proposal of this sidecar has no outcome yet")
-	errSame     = errors.New("this very policy holds already")
-	errNothing  = errors.New("no change is under way")
+	errProposalPending = errors.New("a proposal of this sidecar has no outcome yet")
+	errAlreadyCurrent  = errors.New("this very policy holds already")
+	errNoChange        = errors.New("no change is under way")
 )
 
 const (
-	maxProposals = 16
-	// after which a proposal that is not in the log no longer blocks the next one
+	maxProposals = 16 // remembered proposals of this sidecar
+	// proposalTimeout is the time after which a proposal that is not in the log stops blocking the next
+	// proposal.
 	proposalTimeout  = 30 * time.Second
-	maxLaggardsSent  = 4  // per message: they have to fit
-	maxLaggardReason = 30 // bytes
-	laggardsLifetime = 2 * time.Second
+	maxLaggardsSent  = 4               // per message, so that the message fits into a datagram
+	maxLaggardReason = 30              // bytes
+	laggardsLifetime = 2 * time.Second // how long the leader's answer is shown
 )
 
-// Proposal is a change of policy that was proposed at this sidecar.
+// Proposal is a policy change that an operator proposed at this sidecar.
 type Proposal struct {
 	policyrollout.Ref
-	At      time.Duration
-	Outcome string // "": not in the log yet
+	At      time.Duration // time of the proposal
+	Outcome string        // "": no entry of the proposal was applied yet
 }
 
-// reportedLaggards are the sidecars that a change waits for, as its leader told.
+// reportedLaggards is the leader's latest answer about the sidecars that a change waits for.
 type reportedLaggards struct {
-	at    time.Duration
-	count int
-	list  []policyrollout.Laggard
+	at    time.Duration           // when the answer was received
+	count int                     // all laggards
+	list  []policyrollout.Laggard // those that fit into the answer
 }
 
-// Propose proposes a change of the fleet's policy to a text that was made from version base.
-// Nothing has happened yet when it returns: the version that it returns identifies the change.
+// Propose proposes a change of the fleet's policy to a text that was edited from version base. The change has
+// not been committed when Propose returns; the returned version identifies the change.
 func (n *Node) Propose(now time.Duration, raw []byte, base uint32) (policyrollout.Ref, error) {
 	n.now = now
-	if err := n.whyNotProposable(now, base); err != nil {
+	if err := n.checkProposable(now, base); err != nil {
 		return policyrollout.Ref{}, err
 	}
 	if len(raw) > policyrollout.MaxTextBytes {
@@ -62,17 +63,17 @@
 	case x.rejection != "":
 		return policyrollout.Ref{}, errors.New(x.rejection)
 	case s.Current.Version != 0 && s.Current.Hash == ref.Hash:
-		return policyrollout.Ref{}, errSame
+		return policyrollout.Ref{}, errAlreadyCurrent
 	}
 	kind := policyrollout.Proposed
-	if x.chunkCount() > maxPushedChunks { // too long to be pushed at once
+	if x.chunkCount() > maxPushedChunks { // too long to push: distribute the text before the change
 		kind = policyrollout.Offered
 	}
-	entry, err := policyrollout.Step{Kind: kind, Ref: ref, Base: base, By: n.Self.Number}.Encode()
+	entry, err := policyrollout.Step{Kind: kind, Ref: ref, Base: base, Sidecar: n.Self.Number}.Encode()
 	if err != nil {
 		return policyrollout.Ref{}, err
 	}
-	n.pushText(x) // the text first, so that most have it when they receive the change
+	n.pushText(x) // before the entry, so that most sidecars have the text when they receive the entry
 	n.sendText(n.log.Leader(), x)
 	if err := n.log.Propose(now, entry); err != nil {
 		return policyrollout.Ref{}, err
@@ -82,8 +83,8 @@
 	return ref, nil
 }
 
-// whyNotProposable returns why no change that was made from version base can be proposed now.
-func (n *Node) whyNotProposable(now time.Duration, base uint32) error {
+// checkProposable returns why a change that was edited from version base can't be proposed now; nil: it can.
+func (n *Node) checkProposable(now time.Duration, base uint32) error {
 	s := n.participant.State()
 	if n.Active(now).Mode == policyrollout.CutOff {
 		return ErrNoContact
@@ -101,25 +102,26 @@
 	}
 	for _, m := range n.proposals {
 		if m.Outcome == "" && now-m.At < proposalTimeout {
-			return errUnderWay
+			return errProposalPending
 		}
 	}
 	return nil
 }
 
-// Abort proposes to abort the change in progress, if it has no outcome by then.
+// Abort proposes to abort the change in progress. The entry has no effect if the change has its outcome
+// before the entry is applied.
 func (n *Node) Abort(now time.Duration) (version uint32, err error) {
 	n.now = now
 	p := max(n.participant.State().Pending.Version, n.participant.State().Offered.Version)
 	switch {
 	case p == 0:
-		return 0, errNothing
+		return 0, errNoChange
 	case n.Active(now).Mode == policyrollout.CutOff:
 		return 0, ErrNoContact
 	}
 	entry, err := policyrollout.Step{
-		Kind: policyrollout.Aborted, Ref: policyrollout.Ref{Version: p}, By: n.Self.Number,
-		Why: "by hand",
+		Kind: policyrollout.Aborted, Ref: policyrollout.Ref{Version: p}, Sidecar: n.Self.Number,
+		Reason: "by hand",
 	}.Encode()
 	if err != nil {
 		return 0, err
@@ -127,16 +129,16 @@
 	return p, n.log.Propose(now, entry)
 }
 
-// Bootstrap starts a log with this sidecar as its first voter. Only an operator starts it: an older
-// log ends with it, and the policy is that of the settings again.
+// Bootstrap starts a new log with this sidecar as its first voter. Only an operator may start a log: the
+// previous log ends, and the policy falls back to the settings.
 func (n *Node) Bootstrap(now time.Duration, epoch uint64) error {
 	n.now = now
 	return n.log.Bootstrap(now, epoch)
 }
 
-// applyEntry applies an entry of the log.
+// applyEntry applies a committed entry of the log.
 func (n *Node) applyEntry(e raftlog.Entry) {
-	if step, is, err := decodeWork(e.Data); is {
+	if step, isMaintenance, err := decodeMaintenanceStep(e.Data); isMaintenance {
 		n.applyMaintenance(e, step, err)
 		return
 	}
@@ -149,44 +151,47 @@
 	step, _ := policyrollout.DecodeStep(e.Data)
 	switch {
 	case err != nil:
-		n.Host.Changed(Event{Kind: EntryUnreadable, By: n.Self.Number, Why: err.Error()})
+		n.Host.HandleEvent(Event{Kind: EntryUnreadable, Sidecar: n.Self.Number, Reason: err.Error()})
 		return
 	case rejected != "":
 		if (step.Kind == policyrollout.Proposed || step.Kind == policyrollout.Offered) && !n.inLog(step.Ref) {
 			n.recordOutcome(step, "refused: "+rejected)
-			n.Host.Changed(Event{Kind: ChangeRejected, Ref: step.Ref, By: step.By, Why: rejected})
+			n.Host.HandleEvent(Event{Kind: ChangeRejected, Ref: step.Ref, Sidecar: step.Sidecar, Reason: rejected})
 		}
 		return
 	}
 	if step.Kind == policyrollout.Committed || step.Kind == policyrollout.Aborted {
 		step.Ref = pending
-		n.recordOutcome(policyrollout.Step{Ref: pending, By: by}, outcomeText(step))
+		n.recordOutcome(policyrollout.Step{Ref: pending, Sidecar: by}, outcomeText(step))
 	} else if step.Kind == policyrollout.Proposed || step.Kind == policyrollout.Offered {
 		n.recordOutcome(step, "under way")
 	}
-	n.Host.Changed(Event{Kind: EventKind(step.Kind.String()), Ref: step.Ref, By: step.By, Why: step.Why})
+	n.Host.HandleEvent(
+		Event{Kind: EventKind(step.Kind.String()), Ref: step.Ref, Sidecar: step.Sidecar, Reason: step.Reason},
+	)
 }
 
+// outcomeText returns the outcome of a proposal as operators' output shows it.
 func outcomeText(step policyrollout.Step) string {
 	if step.Kind == policyrollout.Aborted {
-		return fmt.Sprintf("called off by %d: %s", step.By, step.Why)
+		return fmt.Sprintf("called off by %d: %s", step.Sidecar, step.Reason)
 	}
 	return "taken"
 }
 
-// inLog reports whether a version is in the log already: an entry may stand there twice after a
-// leader was lost.
+// inLog reports whether the log already contains a version. An entry may occur twice in the log after the
+// loss of a leader.
 func (n *Node) inLog(r policyrollout.Ref) bool {
 	s := n.participant.State()
 	return s.Pending == r || s.Offered == r || s.Current == r ||
-		slices.ContainsFunc(s.History, func(p policyrollout.Past) bool { return p.Ref == r })
+		slices.ContainsFunc(s.History, func(p policyrollout.PastChange) bool { return p.Ref == r })
 }
 
-// recordOutcome records what became of a proposal of this sidecar.
-func (n *Node) recordOutcome(step policyrollout.Step, what string) {
+// recordOutcome records the outcome of a proposal of this sidecar.
+func (n *Node) recordOutcome(step policyrollout.Step, outcome string) {
 	for i := range n.proposals {
-		if step.By == n.Self.Number && n.proposals[i].Ref == step.Ref {
-			n.proposals[i].Outcome = what
+		if step.Sidecar == n.Self.Number && n.proposals[i].Ref == step.Ref {
+			n.proposals[i].Outcome = outcome
 		}
 	}
 }
--- a/internal/fleet/replicatedstate/event.go
+++ b/internal/fleet/replicatedstate/event.go
@@ -2,25 +2,25 @@
 
 import "caperarch/internal/fleet/policyrollout"
 
-// Event is a change that is logged.
+// Event reports a change of the replicated state to the host.
 type Event struct {
 	Kind EventKind
 	policyrollout.Ref
-	By     int
-	Why    string
-	Active policyrollout.Active
+	Sidecar int                  // number of the sidecar that caused the event
+	Reason  string               // why the change was aborted or rejected, or details of the event
+	Active  policyrollout.Active // of ActiveChanged
 }
 
-// EventKind is the kind of an Event, in the words of the log lines.
+// EventKind is the kind of an Event, spelled as in log lines.
 type EventKind string
 
-// The kinds of events. A change of policy that the log applied has the words of policyrollout.Kind.
+// The kinds of events. An applied step of a policy change has the text of its policyrollout.Kind.
 const (
 	ChangeCommitted EventKind = "taken"
 	ChangeAborted   EventKind = "called off"
-	ChangeRejected  EventKind = "refused" // a proposal that the log does not accept
+	ChangeRejected  EventKind = "refused" // a proposal that was invalid when its entry was applied
 	ActiveChanged   EventKind = "goes by"
 	LeaderStarted   EventKind = "leads"
-	LogReset        EventKind = "log"   // another log replaces the last one
-	EntryUnreadable EventKind = "entry" // of a newer version of the program: this sidecar is cut off
+	LogReset        EventKind = "log"   // the log was replaced by a log of another epoch
+	EntryUnreadable EventKind = "entry" // an entry of a newer version of the program: this sidecar applies CutOff
 )
--- a/internal/fleet/replicatedstate/exchange.go
+++ b/internal/fleet/replicatedstate/exchange.go
@@ -8,7 +8,8 @@
 	"caperarch/internal/fleet/replicatedstate/accordpb"
 )
 
-// neededTexts returns the texts that this sidecar needs.
+// neededTexts returns the hashes of the texts that this sidecar needs: of the current, pending and offered
+// policies and of the maintenance plans.
 func (n *Node) neededTexts() (all []hash) {
 	s := n.participant.State()
 	for _, r := range []policyrollout.Ref{s.Current, s.Pending, s.Offered} {
@@ -22,7 +23,8 @@
 	return all
 }
 
-// fetchTexts asks another sidecar for chunks of a text that is needed and not here.
+// fetchTexts requests chunks of a missing text from the sidecar that sent the last chunk, or from a random
+// one.
 func (n *Node) fetchTexts(now time.Duration) {
 	if now < n.texts.nextFetch {
 		return
@@ -40,7 +42,7 @@
 	}
 }
 
-// handleText answers a sidecar that lacks a text, and adds a chunk of one.
+// handleText answers a request for chunks of a text, and stores a received chunk.
 func (n *Node) handleText(now time.Duration, from int, m *accordpb.Message) {
 	if len(m.Want) == sha256.Size {
 		if x := n.texts.find(hash(m.Want)); x != nil {
@@ -55,13 +57,14 @@
 		if raw := n.texts.receiveChunk(now, p); raw != nil {
 			n.pushText(n.texts.add(raw, n.neededTexts()...))
 		} else {
-			// chunks are arriving: fetch on soon
+			// the sender answers: request the next chunks from it soon
 			n.texts.nextFetch, n.texts.lastSender = min(n.texts.nextFetch, now+Period/2), from+1
 		}
 	}
 }
 
-// pushText sends a text that is new here to some others, if it is short.
+// pushText sends a text that this sidecar has just received or created to pushFanout random sidecars, if the
+// text is short.
 func (n *Node) pushText(x *text) {
 	if n.Size < 2 {
 		return
@@ -71,7 +74,7 @@
 	}
 }
 
-// sendText sends a short text to a sidecar.
+// sendText sends a text of at most maxPushedChunks chunks to a sidecar.
 func (n *Node) sendText(to int, x *text) {
 	for i := range x.chunkCount() {
 		if x.chunkCount() <= maxPushedChunks {
--- a/internal/fleet/replicatedstate/grants.go
+++ b/internal/fleet/replicatedstate/grants.go
@@ -10,11 +10,12 @@
 	"caperarch/internal/fleet/replicatedstate/accordpb"
 )
 
-// handleReports handles others' reports: as a relay, or as the leader.
+// handleReports handles received reports: single reports as a relay or as the leader, batches of a relay as
+// the leader.
 func (n *Node) handleReports(now time.Duration, from int, m *accordpb.Message) {
 	if m.Batch == 0 {
 		for _, p := range m.Report {
-			if int(p.Number) == from { // nobody reports for another
+			if int(p.Number) == from { // a single report must come from the sidecar that it describes
 				n.handleReport(now, queuedReport{p, from, p.Stamp})
 			}
 		}
@@ -36,9 +37,10 @@
 	}
 }
 
-// sendGrants sends the leader's grants to the relays. A grant counts from when its report was sent,
-// so it may wait for more. Few relays are served at a time: all at once were more than the budget
-// had room for at five thousand sidecars, and the same relays got nothing each time.
+// sendGrants sends the leader's pending grants to the relays. A grant is valid from the time its report was
+// sent, so grants can wait to be batched. Only maxGrantsPerTick relays are served at a time: in a fleet of
+// five thousand sidecars, serving all relays at once exceeded the bandwidth budget, and the same relays were
+// starved each time.
 func (n *Node) sendGrants(now time.Duration) {
 	wait := n.Lease * grantPercent / 100
 	if n.Size < largeFleet && n.participant.State().InProgress() != 0 {
@@ -63,23 +65,25 @@
 	}
 }
 
-// pollLaggards has the leader ask some of the sidecars that a change waits for to report: most that
-// were heard of recently have reported, and the report was lost.
+// pollLaggards requests reports from some of the sidecars that a change waits for, if this sidecar leads:
+// most laggards that are in contact have sent a report that was lost.
 func (n *Node) pollLaggards(now time.Duration) {
 	s := n.participant.State()
 	if n.leader == nil || now < n.nextPoll || s.InProgress() == 0 {
 		return
 	}
 	n.nextPoll = now + pollInterval
-	late := n.leader.Laggards(now, s)
-	for k := range min(len(late), maxPolled) {
-		i := k + n.Rand.IntN(len(late)-k)
-		late[k], late[i] = late[i], late[k]
-		n.send(late[k].Number, &accordpb.Message{Epoch: n.log.Epoch(), Index: n.log.LastIndex(), Ask: true})
+	laggards := n.leader.Laggards(now, s)
+	for k := range min(len(laggards), maxPolled) {
+		i := k + n.Rand.IntN(len(laggards)-k)
+		laggards[k], laggards[i] = laggards[i], laggards[k]
+		n.send(laggards[k].Number, &accordpb.Message{Epoch: n.log.Epoch(), Index: n.log.LastIndex(), Ask: true})
 	}
 }
 
-// acceptReport is the leader's part: it records a report and says whether it is granted.
+// acceptReport records a report as the leader, and reports whether it is granted. A leader grants nothing
+// until a majority of the voters has confirmed it in its term and its log is complete up to that
+// confirmation.
 func (n *Node) acceptReport(now time.Duration, p *accordpb.Report) bool {
 	at, index := n.log.LastQuorumAck()
 	if n.leader == nil || n.term != n.log.Term() || n.epoch != n.log.Epoch() || at == 0 || n.log.LastIndex() < index {
@@ -87,7 +91,7 @@
 	}
 	n.recordMaintenanceReport(p)
 	s := n.participant.State()
-	ref := func(version uint32) policyrollout.Ref { // within an epoch a version is one text
+	ref := func(version uint32) policyrollout.Ref { // within an epoch a version number identifies one text
 		switch version {
 		case s.Current.Version:
 			return s.Current
@@ -104,15 +108,15 @@
 	return n.leader.ReceiveReport(now, at, int(p.Number), r, s)
 }
 
-// handleGrants handles the leader's grants of a batch, and a relay's grant of this sidecar's
-// report.
+// handleGrants handles the leader's grants of a batch that this sidecar sent as a relay, the leader's request
+// for a report, and a grant of this sidecar's own report.
 func (n *Node) handleGrants(now time.Duration, from int, m *accordpb.Message) {
 	for _, g := range m.Granted {
-		batch, waits := n.pendingBatches[g.Batch]
-		if waits && from == n.log.Leader() && now-batch.at < n.Lease {
-			for i, h := range batch.reports {
+		batch, pending := n.pendingBatches[g.Batch]
+		if pending && from == n.log.Leader() && now-batch.at < n.Lease {
+			for i, queued := range batch.reports {
 				if g.Which&(1<<i) != 0 {
-					n.deliverGrant(now, h, m.Index)
+					n.deliverGrant(now, queued, m.Index)
 				}
 			}
 			delete(n.pendingBatches, g.Batch)
@@ -127,22 +131,23 @@
 	}
 }
 
-// deliverGrant tells a sidecar that its report is granted.
-func (n *Node) deliverGrant(now time.Duration, h queuedReport, index uint64) {
-	if h.from == n.Self.Number {
-		n.applyGrant(now, h.stamp, index)
+// deliverGrant passes the grant of a report on to the sidecar that sent the report.
+func (n *Node) deliverGrant(now time.Duration, queued queuedReport, index uint64) {
+	if queued.from == n.Self.Number {
+		n.applyGrant(now, queued.stamp, index)
 		return
 	}
 	n.send(
-		h.from,
+		queued.from,
 		&accordpb.Message{
 			Epoch: n.log.Epoch(), Index: index,
-			Grant: &accordpb.Grant{Stamp: h.stamp, Life: h.report.Life},
+			Grant: &accordpb.Grant{Stamp: queued.stamp, Life: queued.report.Life},
 		},
 	)
 }
 
-// applyGrant records a grant of this sidecar's own report.
+// applyGrant records the grant of the report that this sidecar sent at the time stamp sent. The grant takes
+// effect once the log is present up to index.
 func (n *Node) applyGrant(now time.Duration, sent, index uint64) {
 	if sent == toStamp(n.lastReportAt) {
 		n.granted, n.attempts = true, 0
--- a/internal/fleet/replicatedstate/history_test.go
+++ b/internal/fleet/replicatedstate/history_test.go
@@ -13,12 +13,14 @@
 )
 
 var (
-	seed      = flag.Uint64("seed", 0, "play the history of this seed alone")
-	histories = flag.Int("histories", 150, "how many are played")
+	seed      = flag.Uint64("seed", 0, "run only the history with this seed")
+	histories = flag.Int("histories", 150, "number of histories to run")
 )
 
-// change has a fleet of five to nine live through faults while its operators propose, and call off.
-func change(seed uint64) (n *replicatedstatesim.Net, lost bool) {
+// runPolicyHistory runs a fleet of five to nine sidecars through random faults while operators propose and
+// abort policy changes. It reports whether the faults destroyed a majority of the voters, so that the log was
+// lost.
+func runPolicyHistory(seed uint64) (n *replicatedstatesim.Net, lost bool) {
 	size := 5 + int(seed%5)
 	n = replicatedstatesim.New(
 		replicatedstatesim.Config{Size: size, Seed: seed, Lease: 3 * time.Second, Rate: 0.01, Disks: seed%3 == 0},
@@ -55,7 +57,7 @@
 			n.After(at+length, func() { n.Boot(who[0]) })
 		case 5:
 			n.After(at, func() { n.HoldUntil = n.Now + 3*time.Second })
-		case 6: // most at once, the voters among them
+		case 6: // 70 % of the sidecars at once, so that a majority of the voters may be lost
 			for _, i := range who[:size*7/10] {
 				n.After(at, func() { n.Crash(i) })
 				n.After(at+length, func() { n.Boot(i) })
@@ -72,13 +74,13 @@
 				n.Cannot[[2]int{rng.IntN(size), k}] = true
 			}
 			text := replicatedstatesim.Text(k)
-			if rng.IntN(4) == 0 { // a long one: it goes round first
+			if rng.IntN(4) == 0 { // a long text, which is distributed before the change is proposed
 				for len(text) < 2000 {
 					text = append(text, fmt.Sprintf("# %x\n", rng.Uint64())...)
 				}
 			}
 			if _, err := m.Propose(m.Time(), text, m.View(m.Time()).State.Current.Version); err != nil {
-				n.Counts["told no"]++
+				n.Counts["not proposable"]++
 			} else if rng.IntN(5) == 0 {
 				n.After(time.Duration(rng.Int64N(int64(time.Second))), func() {
 					if m.Lives() {
@@ -90,25 +92,25 @@
 	}
 	n.Run(60 * time.Second)
 	n.Partitioned, n.Loss, n.Duplicate, n.MaxDelay = nil, 0, 0, 10*time.Millisecond
-	for at := range n.Cannot { // its settings are mended, for which it starts anew
+	for at := range n.Cannot { // restart the sidecars that could not apply a policy, with corrected settings
 		n.Crash(at[0])
 	}
 	n.Cannot = make(map[[2]int]bool)
 	for i := range n.Nodes {
 		n.Boot(i)
 	}
-	whole := func() bool { return n.Broken != nil || n.Converged() }
+	brokenOrConverged := func() bool { return n.Broken != nil || n.Converged() }
 	if lost = n.Lost(); lost && rng.IntN(2) == 0 {
 		n.Run(time.Duration(rng.Int64N(int64(10 * time.Second))))
 	}
 	if lost && n.Disks {
-		n.Broken = append(n.Broken, "the log is lost, though all have kept their votes:"+n.Text())
+		n.Broken = append(n.Broken, "the log is lost although all disks are intact:"+n.Text())
 	}
 	if lost {
-		// An operator begins anew, by way of any of them; whoever goes by the last log's policy
-		// still does not do so beside the new one's.
+		// An operator bootstraps a new log at any sidecar. No sidecar may apply the old log's policy alone
+		// while another applies the new log's policy alone.
 		m := n.Nodes[rng.IntN(size)]
-		// some hold on to a leader that is none for a moment
+		// for a short time some sidecars still believe in the lost leader
 		if err := m.Bootstrap(m.Time(), 1<<40); err != nil && !errors.Is(err, raftlog.ErrLogExists) {
 			n.Broken = append(n.Broken, err.Error())
 		} else if err != nil {
@@ -116,45 +118,47 @@
 			_ = m.Bootstrap(m.Time(), 1<<40)
 		}
 	}
-	// a text on offer whose only holder was lost is given up behind a minute
-	if !n.Until(110*time.Second, whole) {
-		n.Broken = append(n.Broken, "110 s after all is well:"+n.Text())
+	// the offer of a text that no live sidecar has is aborted after a minute
+	if !n.Until(110*time.Second, brokenOrConverged) {
+		n.Broken = append(n.Broken, "not converged 110 s after the last fault:"+n.Text())
 	}
 	for _, m := range n.Nodes {
-		if m.TooLong > 0 {
-			n.Broken = append(n.Broken, fmt.Sprintf("%d messages that were too long", m.TooLong))
+		if m.OversizedMessages > 0 {
+			n.Broken = append(n.Broken, fmt.Sprintf("%d oversized messages, want none", m.OversizedMessages))
 		}
 	}
 	return n, lost
 }
 
-// Whatever is cut, stopped, crashed, held and lost while policies change: nobody goes by one policy
-// alone while another goes by another alone, and in the end all go by the same.
-func TestChanges(t *testing.T) {
+// Guards against sidecars that apply different policies alone at the same time, and against a fleet that does
+// not converge on one policy after partitions, pauses, crashes, delays and message loss during policy
+// changes.
+func TestPolicyChangesUnderFaults(t *testing.T) {
 	first, last := uint64(1), uint64(*histories)
 	if *seed != 0 {
 		first, last = *seed, *seed
 	}
 	sum, lost, both, cut, longest := make(map[string]int), 0, 0, 0, 0
 	for s := first; s <= last; s++ {
-		n, gone := change(s)
+		n, logLost := runPolicyHistory(s)
 		if n.Broken != nil {
 			t.Fatalf("seed %d: %s", s, strings.Join(n.Broken, "\n"))
 		}
-		if gone {
+		if logLost {
 			lost++
 		}
-		for what, times := range n.Counts {
-			sum[what] += times
+		for event, times := range n.Counts {
+			sum[event] += times
 		}
 		both, cut, longest = both+n.Both, cut+n.CutOff, max(longest, n.Longest)
 	}
 	t.Logf(
-		"%v; looks at one that goes by both %d, cut off %d; the log lost and begun anew %d times; the longest message %d bytes",
+		"events %v; samples: %d apply both versions, %d cut off; logs lost: %d; longest message: %d bytes",
 		sum, both, cut, lost, longest,
 	)
 	if *seed == 0 &&
-		(sum["taken"] < *histories || sum["called off"] < *histories/10 || sum["told no"] < *histories/10 || both == 0 || cut == 0) {
-		t.Error("hardly anything happened")
+		(sum["taken"] < *histories || sum["called off"] < *histories/10 ||
+			sum["not proposable"] < *histories/10 || both == 0 || cut == 0) {
+		t.Error("too few changes committed, aborted or rejected, or no sidecar applied both versions or was cut off")
 	}
 }
--- a/internal/fleet/replicatedstate/leader.go
+++ b/internal/fleet/replicatedstate/leader.go
@@ -9,7 +9,8 @@
 	"caperarch/internal/fleet/raftlog"
 )
 
-// actAsLeader does the leader's part, if this sidecar leads.
+// actAsLeader creates or drops the leader's state as leadership changes, and proposes the leader's next
+// decision.
 func (n *Node) actAsLeader(now time.Duration) {
 	n.participant.AdvanceIndex(n.log.LastIndex())
 	switch {
@@ -22,14 +23,15 @@
 			quorumAckHeartbeats*raftlog.HeartbeatInterval(n.Size),
 		)
 		n.term, n.epoch = n.log.Term(), n.log.Epoch()
-		n.Host.Changed(Event{Kind: LeaderStarted, By: n.Self.Number})
+		n.Host.HandleEvent(Event{Kind: LeaderStarted, Sidecar: n.Self.Number})
 	}
 	if step, due := n.leader.Decide(now, n.participant.State(), n.Self.Number); due {
 		n.proposeStep(now, step)
 	}
 }
 
-// proposeStep proposes a decision of the leader, once: the log itself repeats it.
+// proposeStep proposes a decision of the leader unless the same decision was proposed within decisionRetry:
+// the log itself retries a proposal.
 func (n *Node) proposeStep(now time.Duration, step policyrollout.Step) {
 	if n.lastDecision == step && now < n.decidedAt+decisionRetry {
 		return
@@ -40,11 +42,11 @@
 	}
 }
 
-// decisionRetry is when a decision that is not in the log yet is proposed anew: the log itself
-// repeats it after a second, with growing delays.
+// decisionRetry is the delay after which a decision that is not in the log yet is proposed as a new proposal.
+// The log itself retries a proposal after 1 s, with growing delays.
 const decisionRetry = 5 * time.Second
 
-// updateVoters has the log replace voters that are lost, if this sidecar leads.
+// updateVoters replaces voters that are permanently lost, if this sidecar leads.
 func (n *Node) updateVoters(now time.Duration) {
 	if n.leader == nil {
 		return
@@ -54,9 +56,9 @@
 	n.log.UpdateVoters(now, func(voter raftlog.Voter) bool { return slices.Contains(removable, voter) }, candidates)
 }
 
-// removableVoters returns the voters that are lost, but for one where the candidates are too few to replace all of
-// them and the voters would become an even number: its removal would make the quorum no smaller, and were it only
-// slow its vote would be missing.
+// removableVoters returns the lost voters. If there are too few candidates to replace all of them and the
+// number of voters would become even, one lost voter is kept: removing it would not make the quorum smaller,
+// and if that voter is only slow, its vote would be missing.
 func (n *Node) removableVoters(now time.Duration, candidates []raftlog.Voter) (removable []raftlog.Voter) {
 	voters := n.log.Voters()
 	for _, voter := range voters {
@@ -87,25 +89,25 @@
 	return removable
 }
 
-// voterLost reports whether a voter's process can't take part any more, as far as is known. Reports alone don't
-// tell: they go by way of relays, which may be down or on the other side of a partition while the voter itself
-// answers its leader.
+// voterLost reports whether a voter's process seems to be unable to take part any more. Missing reports are
+// not sufficient: reports are sent by way of relays, which may be down or on the other side of a partition
+// while the voter itself answers its leader.
 func (n *Node) voterLost(now time.Duration, voter raftlog.Voter) bool {
 	incarnation, recent := n.leader.VoterIncarnation(now, voter.Number)
 	if recent {
-		// another process of that number reports, which has forgotten this vote
+		// a later process of that sidecar reports, which does not have the voter's saved vote
 		return incarnation != voter.Incarnation
 	}
 	return now >= n.leader.TermStart()+LeaseExpiry(n.Lease, n.MaxClockError) && !n.log.InContact(now, voter)
 }
 
-// voterCandidates returns the processes that could vote, in an order that is the same for each
-// leader.
+// voterCandidates returns the processes that can become voters, in an order that does not depend on which
+// sidecar leads. It returns nil if no voter has to be replaced or added.
 func (n *Node) voterCandidates(now time.Duration) (all []raftlog.Voter) {
 	voters := n.log.Voters()
 	if len(voters) >= raftlog.VotersFor(n.Size) &&
-		!slices.ContainsFunc(voters, func(s raftlog.Voter) bool { return n.voterLost(now, s) }) {
-		return nil // no vacancy
+		!slices.ContainsFunc(voters, func(voter raftlog.Voter) bool { return n.voterLost(now, voter) }) {
+		return nil // all voters are present
 	}
 	for i := range n.Size {
 		if incarnation, recent := n.leader.VoterIncarnation(now, i); recent && incarnation != noVote {
--- a/internal/fleet/replicatedstate/loghost.go
+++ b/internal/fleet/replicatedstate/loghost.go
@@ -9,10 +9,10 @@
 	"caperarch/internal/fleet/replicatedstate/accordpb"
 )
 
-// logHost carries out what the log decides (raftlog.Host).
+// logHost implements raftlog.Host for the node's log.
 type logHost struct{ n *Node }
 
-// Send sends a message of the log to a sidecar.
+// Send sends a message of the log to a sidecar. Messages between voters and gossip of new entries are urgent.
 func (h logHost) Send(to int, m *raftlog.Message) {
 	raw, err := m.Encode()
 	if err != nil {
@@ -21,7 +21,7 @@
 	h.n.sendUrgent(to, &accordpb.Message{Log: raw}, m.Raft != nil || m.Gossip)
 }
 
-// Reset forgets everything that rests on the last log.
+// Reset discards all state that was derived from the previous log.
 func (h logHost) Reset(epoch uint64) {
 	n := h.n
 	n.participant.Reset()
@@ -29,28 +29,29 @@
 		pendingGrants: make(map[int][]*accordpb.Granted),
 	}, relay{pendingBatches: make(map[uint32]sentBatch)}
 	n.proposals, n.laggards, n.maintenance = nil, reportedLaggards{}, maintenanceState{}
-	n.Host.Changed(Event{Kind: LogReset, By: n.Self.Number, Why: fmt.Sprintf("epoch %x", epoch)})
+	n.Host.HandleEvent(Event{Kind: LogReset, Sidecar: n.Self.Number, Reason: fmt.Sprintf("epoch %x", epoch)})
 }
 
-// Applied applies a committed entry.
+// Applied applies a committed entry of the log.
 func (h logHost) Applied(e raftlog.Entry) { h.n.applyEntry(e) }
 
 func (n *Node) send(to int, m *accordpb.Message) { n.sendUrgent(to, m, false) }
 
-// sendUrgent sends a message, which has to fit into a datagram; urgent ones go first.
+// sendUrgent sends a message with the given urgency. A message of more than MaxMessageBytes is counted and
+// dropped.
 func (n *Node) sendUrgent(to int, m *accordpb.Message, urgent bool) {
 	if to == n.Self.Number || to < 0 || to >= n.Size {
 		return
 	}
 	raw, err := proto.Marshal(m)
 	if err != nil || len(raw) > MaxMessageBytes {
-		n.TooLong++
+		n.OversizedMessages++
 		return
 	}
 	n.Host.Send(to, raw, urgent)
 }
 
-// randomPeer returns another sidecar at random.
+// randomPeer returns the number of another sidecar, chosen at random.
 func (n *Node) randomPeer() int {
 	if i := n.Rand.IntN(max(1, n.Size-1)); i < n.Self.Number {
 		return i
--- a/internal/fleet/replicatedstate/maintenance.go
+++ b/internal/fleet/replicatedstate/maintenance.go
@@ -15,54 +15,55 @@
 	"caperarch/internal/fleet/replicatedstate/accordpb"
 )
 
-// Machines is what a Node asks its process about machines and its own traffic. Its methods must not
-// call back into the Node.
+// Machines gives a Node access to its process's list of machines and traffic figures. Its methods must
+// not call back into the Node.
 type Machines interface {
-	// Machines returns the list of machines as it is known here; current: it is up to date.
+	// Machines returns the list of machines known to this process, and whether the list is up to date.
 	Machines() (all []maintenance.Machine, current bool)
-	// LocalReport returns what this sidecar reports of itself.
+	// LocalReport returns this sidecar's report on maintenance.
 	LocalReport(s *maintenance.State) maintenance.Report
 }
 
 const (
-	maxUnreachableSent = 4  // sidecars out of contact per message: they have to fit
+	maxUnreachableSent = 4  // sidecars out of contact per message, so that the message fits into a datagram
 	maxWaitReason      = 80 // bytes of MaintenanceView.WaitReason
 )
 
-// Errors of operators' calls about maintenance. Their texts are shown to operators.
+// Errors of calls by operators about maintenance, whose texts are shown to operators, and of unreadable log
+// entries.
 var (
-	errNoMachines  = errors.New("this process knows of no machines: it has no part in work on them")
-	errEntry       = errors.New("an entry about work that can't be read: of a newer version of the program, maybe")
-	errPlanTooLong = fmt.Errorf("a plan has %d bytes at most", policyrollout.MaxTextBytes)
+	errNoMachines      = errors.New("this process knows of no machines: it has no part in work on them")
+	errUnreadableEntry = errors.New("maintenance entry not decoded, it may be of a newer version of the program")
+	errPlanTooLong     = fmt.Errorf("a plan has %d bytes at most", policyrollout.MaxTextBytes)
 )
 
-// maintenanceState is a node's part in maintenance: what the log makes of it, and the leader's
-// part.
+// maintenanceState is a node's maintenance state: the state that results from the log's entries, the leader's
+// own state, and the leader's latest status answer.
 type maintenanceState struct {
-	state   maintenance.State
-	leader  *maintenance.Leader // nil: this sidecar does not lead, or there is no plan
-	reports maintenance.Reports
-	plans   map[hash]*maintenance.Plan // parsed texts
-
-	lastDecision maintenance.Step // of this leader
-	decidedAt    time.Duration
-
-	waitReason       string // what the oldest plan waits for, as the leader told
-	unreachable      []policyrollout.Laggard
-	unreachableCount int
-	reportedAt       time.Duration
+	state   maintenance.State          // result of the log's entries
+	leader  *maintenance.Leader        // nil: this sidecar does not lead, or there is no plan and no window
+	reports maintenance.Reports        // sidecars' reports to this leader
+	plans   map[hash]*maintenance.Plan // parsed plans by the hash of their text
+
+	lastDecision maintenance.Step // last decision that was proposed as the leader
+	decidedAt    time.Duration    // time of lastDecision
+
+	waitReason       string                  // what the oldest plan waits for, as the leader last reported
+	unreachable      []policyrollout.Laggard // some of the sidecars out of contact, as the leader last reported
+	unreachableCount int                     // all sidecars out of contact
+	reportedAt       time.Duration           // when the leader's answer was received
 }
 
-// maintenanceActive reports whether there is any plan or window: only then maintenance costs
-// traffic.
+// maintenanceActive reports whether any plan or window exists. Otherwise reports contain no maintenance data,
+// which saves traffic.
 func (n *Node) maintenanceActive() bool {
 	return len(n.maintenance.state.Plans)+len(n.maintenance.state.Windows) > 0
 }
 
-// encodeWork returns a step of maintenance as an entry of the log. A program that knows of policies
-// only can't read it and is cut off: a sidecar that knows nothing of windows must not be counted
-// on.
-func encodeWork(s maintenance.Step) ([]byte, error) {
+// encodeMaintenanceStep encodes a maintenance step as a log entry. A version of the program that knows only
+// policy entries can't decode the entry and applies policyrollout.CutOff from then on: the leader must not
+// rely on a sidecar that does not know maintenance windows.
+func encodeMaintenanceStep(s maintenance.Step) ([]byte, error) {
 	raw, err := s.Encode()
 	if err != nil {
 		return nil, err
@@ -70,40 +71,41 @@
 	return proto.Marshal(&accordpb.Entry{Work: raw})
 }
 
-// decodeWork returns the step of such an entry; is: it is one.
-func decodeWork(raw []byte) (s maintenance.Step, is bool, err error) {
+// decodeMaintenanceStep decodes a log entry. isMaintenance reports whether it is a maintenance entry at all.
+func decodeMaintenanceStep(raw []byte) (s maintenance.Step, isMaintenance bool, err error) {
 	e := new(accordpb.Entry)
 	if proto.Unmarshal(raw, e) != nil || len(e.Work) == 0 {
 		return s, false, nil
 	}
 	if len(e.ProtoReflect().GetUnknown()) > 0 {
-		return s, true, errEntry
+		return s, true, errUnreadableEntry
 	}
 	s, err = maintenance.Decode(e.Work)
 	return s, true, err
 }
 
-// applyMaintenance applies an entry about maintenance.
+// applyMaintenance applies a maintenance entry. If the entry could not be decoded, this sidecar applies
+// policyrollout.CutOff from then on.
 func (n *Node) applyMaintenance(e raftlog.Entry, s maintenance.Step, err error) {
 	n.participant.AdvanceIndex(e.Index)
 	if err != nil {
 		n.participant.MarkUnreadable()
-		n.Host.Changed(Event{Kind: EntryUnreadable, By: n.Self.Number, Why: err.Error()})
+		n.Host.HandleEvent(Event{Kind: EntryUnreadable, Sidecar: n.Self.Number, Reason: err.Error()})
 		return
 	}
-	// before it is applied: the window may be over by it
+	// looked up before the step is applied, because the step may end the window
 	if t := n.maintenance.state.Window(s.Number); s.Kind.OfWindow() && t != nil {
 		s.Machine = t.Machine
 	}
 	if rejected := n.maintenance.state.Apply(s); rejected == "" {
-		n.Host.Worked(s)
+		n.Host.MaintenanceApplied(s)
 	}
 }
 
-// leadMaintenance does the leader's part in maintenance, if there is any.
+// leadMaintenance proposes the next maintenance decision, if this sidecar leads and maintenance is active.
 func (n *Node) leadMaintenance(now time.Duration) {
 	w := &n.maintenance
-	if n.leader == nil || n.Work == nil || !n.maintenanceActive() {
+	if n.leader == nil || n.MachineSource == nil || !n.maintenanceActive() {
 		w.leader = nil
 		return
 	}
@@ -112,7 +114,7 @@
 			Size: n.Size, Deadline: LeaseExpiry(n.Deadline, n.MaxClockError),
 		}
 	}
-	// A leader that is no longer confirmed may lack entries of a later leader.
+	// A leader without recent confirmation by a majority may lack entries of a later leader.
 	if at, index := n.log.LastQuorumAck(); at == 0 || now-at >= n.leader.QuorumAckTimeout ||
 		n.log.LastIndex() < index {
 		return
@@ -122,32 +124,32 @@
 		return
 	}
 	w.lastDecision, w.decidedAt = step, now
-	if raw, err := encodeWork(step); err == nil {
+	if raw, err := encodeMaintenanceStep(step); err == nil {
 		_ = n.log.Propose(now, raw)
 	}
 }
 
-// leadsMaintenance reports whether this sidecar does the leader's part.
+// leadsMaintenance reports whether this sidecar has the maintenance leader's state of the current term.
 func (n *Node) leadsMaintenance() bool {
 	return n.leader != nil && n.maintenance.leader != nil && n.maintenance.leader.Term == n.term
 }
 
-// fleetSnapshot returns what this leader knows now.
+// fleetSnapshot returns the leader's current knowledge of machines, traffic and sidecars.
 func (n *Node) fleetSnapshot(now time.Duration) *maintenance.Snapshot {
-	machines, current := n.Work.Machines()
+	machines, current := n.MachineSource.Machines()
 	sum := n.maintenance.reports.Summarize(now, n.leader.GrantExpiry)
 	return &maintenance.Snapshot{
 		Now: now, Machines: machines, Traffic: sum.Traffic, InTime: sum.InTime, Unreachable: len(sum.Unreachable),
-		Current: current && sum.Complete, // a new leader lacks reports at first
+		Current: current && sum.Complete, // a new leader lacks the reports of some sidecars at first
 		Slack:   2*n.leader.LeaseExpiry + n.Deadline,
-		Clear: func(turn uint32) bool {
-			return len(n.maintenance.reports.WaitingFor(now, turn, n.leader.GrantExpiry)) == 0
+		Clear: func(window uint32) bool {
+			return len(n.maintenance.reports.WaitingFor(now, window, n.leader.GrantExpiry)) == 0
 		},
 		Plan: n.plan,
 	}
 }
 
-// plan returns a plan by its hash, once its text is here.
+// plan returns the plan with the given hash; false: its text is missing or invalid.
 func (n *Node) plan(h [sha256.Size]byte) (*maintenance.Plan, bool) {
 	if p := n.maintenance.plans[h]; p != nil {
 		return p, true
@@ -167,33 +169,34 @@
 	return p, true
 }
 
-// addMaintenanceReport adds to a report what this sidecar reports on maintenance.
+// addMaintenanceReport adds this sidecar's maintenance report to a report, if maintenance is active.
 func (n *Node) addMaintenanceReport(p *accordpb.Report) {
-	if n.Work == nil || !n.maintenanceActive() {
+	if n.MachineSource == nil || !n.maintenanceActive() {
 		return
 	}
-	r := n.Work.LocalReport(&n.maintenance.state)
+	r := n.MachineSource.LocalReport(&n.maintenance.state)
 	p.Clear, p.Rate, p.Served = r.ClearUpTo, uint32(
 		min(math.Round(10*r.Rate), math.MaxUint32),
 	), 1+uint32(math.Floor(1000*r.InTime))
 }
 
-// clearedWindow returns up to which window this sidecar is clear; a change of it is reported at
-// once.
+// clearedWindow returns the number of the window up to which this sidecar has no requests in flight to
+// machines that are out. A change of this number is reported immediately.
 func (n *Node) clearedWindow() uint32 {
-	if n.Work == nil || !n.maintenanceActive() {
+	if n.MachineSource == nil || !n.maintenanceActive() {
 		return 0
 	}
-	return n.Work.LocalReport(&n.maintenance.state).ClearUpTo
+	return n.MachineSource.LocalReport(&n.maintenance.state).ClearUpTo
 }
 
-// windowDraining reports whether a window waits for all sidecars to report that they are clear.
+// windowDraining reports whether a window waits for all sidecars to report that they have no requests in
+// flight to its machine.
 func (n *Node) windowDraining() bool {
 	windows := n.maintenance.state.Windows
-	return len(windows) > 0 && windows[len(windows)-1].Phase == maintenance.Draining // only the last can be
+	return len(windows) > 0 && windows[len(windows)-1].Phase == maintenance.Draining // no earlier one can be
 }
 
-// recordMaintenanceReport records the maintenance part of a report.
+// recordMaintenanceReport records the maintenance part of a sidecar's report, if this sidecar leads.
 func (n *Node) recordMaintenanceReport(p *accordpb.Report) {
 	if n.leadsMaintenance() && p.Served > 0 {
 		n.maintenance.reports.Receive(
--- a/internal/fleet/replicatedstate/maintenance_operate.go
+++ b/internal/fleet/replicatedstate/maintenance_operate.go
@@ -9,11 +9,10 @@
 	"caperarch/internal/fleet/policyrollout"
 )
 
-// Plan proposes a plan of maintenance, and returns its number. Nothing has happened yet when it
-// returns.
+// Plan proposes a maintenance plan and returns its number. The plan has not been committed when Plan returns.
 func (n *Node) Plan(now time.Duration, raw []byte) (number uint32, err error) {
 	n.now = now
-	if n.Work == nil {
+	if n.MachineSource == nil {
 		return 0, errNoMachines
 	}
 	if len(raw) > policyrollout.MaxTextBytes {
@@ -23,7 +22,7 @@
 	if err != nil {
 		return 0, err
 	}
-	machines, _ := n.Work.Machines()
+	machines, _ := n.MachineSource.Machines()
 	if err := p.CheckMachines(machines); err != nil {
 		return 0, err
 	}
@@ -35,7 +34,7 @@
 		Kind: maintenance.Planned, Number: n.maintenance.state.LastPlan + 1, Hash: x.hash,
 		By: n.Self.Number,
 	}
-	if rejected := n.whyRejected(step); rejected != "" {
+	if rejected := n.maintenanceRejection(step); rejected != "" {
 		return 0, errors.New(rejected)
 	}
 	n.pushText(x)
@@ -43,8 +42,8 @@
 	return step.Number, n.proposeMaintenance(now, step)
 }
 
-// Operate proposes an operator's decision on a plan or a window: it is done, or the plan is to
-// pause, to resume, or to be cancelled.
+// Operate proposes an operator's decision: to mark the work in a window as done, or to pause, resume or
+// cancel a plan.
 func (n *Node) Operate(now time.Duration, kind maintenance.Kind, number uint32) error {
 	n.now = now
 	if !n.logStarted(now) {
@@ -54,26 +53,27 @@
 	if kind == maintenance.Paused {
 		step.Why = "by hand"
 	}
-	if rejected := n.whyRejected(step); rejected != "" {
+	if rejected := n.maintenanceRejection(step); rejected != "" {
 		return errors.New(rejected)
 	}
 	return n.proposeMaintenance(now, step)
 }
 
-// logStarted reports whether this sidecar is in contact with a log that has started.
+// logStarted reports whether the log has started and this sidecar holds a grant of its leader.
 func (n *Node) logStarted(now time.Duration) bool {
 	return n.participant.State().Started && n.Active(now).Mode != policyrollout.CutOff
 }
 
-// whyRejected returns why an entry would change nothing now; "": it would. The log decides in the
-// end.
-func (n *Node) whyRejected(s maintenance.Step) string {
+// maintenanceRejection returns why a step would be rejected in the present state; "": it would be accepted.
+// The state at the time when the log applies the step decides.
+func (n *Node) maintenanceRejection(s maintenance.Step) string {
 	copied := n.maintenance.state.Clone()
 	return copied.Apply(s)
 }
 
+// proposeMaintenance proposes a maintenance step as a log entry.
 func (n *Node) proposeMaintenance(now time.Duration, s maintenance.Step) error {
-	raw, err := encodeWork(s)
+	raw, err := encodeMaintenanceStep(s)
 	if err != nil {
 		return err
 	}
--- a/internal/fleet/replicatedstate/maintenance_test.go
+++ b/internal/fleet/replicatedstate/maintenance_test.go
@@ -10,8 +10,8 @@
 	"caperarch/internal/lab/replicatedstatesim"
 )
 
-// machinesOf are some in cells of two.
-func machinesOf(n int) (all []maintenance.Machine) {
+// newMachines returns n ready machines in cells of two.
+func newMachines(n int) (all []maintenance.Machine) {
 	for i := range n {
 		all = append(
 			all,
@@ -24,14 +24,14 @@
 	return all
 }
 
-const roundText = "all = true\nlongest = \"10m\"\ncut_off = %q\n[out]\nfleet = \"2\"\ncell = \"1\"\n"
+const planText = "all = true\nlongest = \"10m\"\ncut_off = %q\n[out]\nfleet = \"2\"\ncell = \"1\"\n"
 
-// round has a fleet take all machines out, one plan, through faults; somebody works on each that is
-// free and says that it is done.
-func round(seed uint64) *replicatedstatesim.Net {
+// runMaintenanceHistory runs a fleet of five to nine sidecars through random faults while one plan takes all
+// machines out of service, and marks the work on each released machine as done.
+func runMaintenanceHistory(seed uint64) *replicatedstatesim.Net {
 	size := 5 + int(seed%5)
 	site := &replicatedstatesim.Site{
-		Machines: machinesOf(6), Deadline: time.Duration(2+4*(seed%2)) * time.Second, Bound: 2,
+		Machines: newMachines(6), Deadline: time.Duration(2+4*(seed%2)) * time.Second, Bound: 2,
 		Returns: 2 * time.Second,
 	}
 	n := replicatedstatesim.New(
@@ -52,7 +52,7 @@
 		m := n.Nodes[rng.IntN(size)]
 		if m.Lives() {
 			if !planned {
-				_, err := m.Plan(m.Time(), fmt.Appendf(nil, roundText, []string{"told", "awaited"}[seed/2%2]))
+				_, err := m.Plan(m.Time(), fmt.Appendf(nil, planText, []string{"told", "awaited"}[seed/2%2]))
 				planned = err == nil
 			}
 			for _, t := range m.MaintenanceView(m.Time()).State.Windows {
@@ -69,7 +69,8 @@
 		n.After(500*time.Millisecond, operate)
 	}
 	operate()
-	for range 20 * (seed % 2) { // processes that come back at once, having forgotten what they have out there
+	// processes that restart within 100 ms and do not know their predecessor's requests in flight
+	for range 20 * (seed % 2) {
 		n.After(time.Duration(rng.Int64N(int64(50*time.Second))), func() {
 			i := rng.IntN(size)
 			n.Crash(i)
@@ -81,7 +82,7 @@
 		length := time.Duration(rng.Int64N(int64(12 * time.Second)))
 		who := rng.Perm(size)
 		switch rng.IntN(6) {
-		case 0, 1: // the leader among them, often: it goes on thinking that it leads
+		case 0, 1: // pause the leader: it still believes that it leads when it resumes
 			n.After(at, func() { n.Stop(max(0, n.Nodes[who[0]].View(0).Leader), length) })
 		case 2:
 			side := make(map[int]bool)
@@ -108,10 +109,10 @@
 	for i := range n.Nodes {
 		n.Boot(i)
 	}
-	if n.Lost() { // an operator begins anew, and plans anew
+	if n.Lost() { // an operator bootstraps a new log and proposes a new plan
 		planned = false
 		site.Forget()
-		// some hold on to a leader that is none for a moment
+		// for a short time some sidecars still believe in the lost leader
 		if err := n.Nodes[0].Bootstrap(n.Nodes[0].Time(), 1<<40); err != nil {
 			n.Run(10 * time.Second)
 			if err := n.Nodes[0].Bootstrap(n.Nodes[0].Time(), 1<<40); err != nil {
@@ -119,7 +120,7 @@
 			}
 		}
 	}
-	over := func() bool {
+	planEnded := func() bool {
 		if n.Broken != nil {
 			return true
 		}
@@ -130,51 +131,52 @@
 		}
 		return true
 	}
-	if !n.Until(5*time.Minute, over) {
+	if !n.Until(5*time.Minute, planEnded) {
 		m := n.Nodes[0]
 		n.Broken = append(
 			n.Broken,
-			fmt.Sprintf("5 minutes after all is well: %+v %s", m.MaintenanceView(m.Time()), n.Text()),
+			fmt.Sprintf("plan not ended 5 minutes after the last fault: %+v %s", m.MaintenanceView(m.Time()), n.Text()),
 		)
 	}
 	for _, m := range n.Nodes {
-		if m.TooLong > 0 {
-			n.Broken = append(n.Broken, fmt.Sprintf("%d messages that were too long", m.TooLong))
+		if m.OversizedMessages > 0 {
+			n.Broken = append(n.Broken, fmt.Sprintf("%d oversized messages, want none", m.OversizedMessages))
 		}
 	}
 	return n
 }
 
-// Whatever is cut, stopped, crashed, held and lost while machines take their turns: never more are
-// out than may be, nobody in contact sends to one that is free or has anything out there, and the
-// plan ends.
-func TestRounds(t *testing.T) {
+// Guards against more machines out of service than the plan allows, against requests of a sidecar in contact
+// to a machine that is released for work, and against a plan that does not end, under partitions, pauses,
+// crashes, delays and message loss.
+func TestMaintenanceUnderFaults(t *testing.T) {
 	first, last := uint64(1), uint64(*histories/3)
 	if *seed != 0 {
 		first, last = *seed, *seed
 	}
-	given, freed, over, sent, astray, longest := 0, 0, 0, 0, 0, 0
+	opened, released, closed, sent, astray, longest := 0, 0, 0, 0, 0, 0
 	for s := first; s <= last; s++ {
-		n := round(s)
+		n := runMaintenanceHistory(s)
 		if n.Broken != nil {
 			t.Fatalf("seed %d: %s", s, strings.Join(n.Broken[:min(3, len(n.Broken))], "\n"))
 		}
-		given, freed, over, sent, astray, longest = given+n.Site.Opened, freed+n.Site.Released, over+n.Site.Closed, sent+n.Site.Sent, astray+n.Site.Astray, max(longest, n.Longest)
+		opened, released, closed, sent, astray, longest = opened+n.Site.Opened, released+n.Site.Released,
+			closed+n.Site.Closed, sent+n.Site.Sent, astray+n.Site.Astray, max(longest, n.Longest)
 	}
 	t.Logf(
-		"%d turns given, %d free, %d over; %d requests, %d to a free machine by one out of contact; the longest message %d bytes",
-		given, freed, over, sent, astray, longest,
+		"windows: %d opened, %d released, %d closed; requests: %d, stray: %d; longest message: %d bytes",
+		opened, released, closed, sent, astray, longest,
 	)
-	if *seed == 0 && (over < 6*int(last) || astray == 0) {
-		t.Error("hardly anything happened")
+	if *seed == 0 && (closed < 6*int(last) || astray == 0) {
+		t.Error("fewer than six closed windows per history, or no request by a sidecar out of contact")
 	}
 }
 
-// A plan that is paused while the turn of the same number is out: what is told of the plan names no
-// machine (the site looks for that), the turn goes on, and nobody goes next.
-func TestPausedInATurn(t *testing.T) {
+// Guards against mistaking a plan for the open window of the same number when the plan is paused: the pause
+// event must not name a machine (checked by the site), the window continues, and no other window opens.
+func TestPauseWithOpenWindow(t *testing.T) {
 	site := &replicatedstatesim.Site{
-		Machines: machinesOf(4), Deadline: 2 * time.Second, Bound: 2, Returns: time.Second,
+		Machines: newMachines(4), Deadline: 2 * time.Second, Bound: 2, Returns: time.Second,
 	}
 	n := replicatedstatesim.New(
 		replicatedstatesim.Config{Size: 5, Seed: 1, Lease: 3 * time.Second, Rate: 0.01, Site: site},
@@ -185,11 +187,11 @@
 		t.Fatal(err)
 	}
 	n.Run(15 * time.Second)
-	if _, err := m.Plan(m.Time(), fmt.Appendf(nil, roundText, "told")); err != nil {
+	if _, err := m.Plan(m.Time(), fmt.Appendf(nil, planText, "told")); err != nil {
 		t.Fatal(err)
 	}
 	if !n.Until(20*time.Second, func() bool { return m.MaintenanceState().Window(1) != nil }) {
-		t.Fatalf("no turn: %+v", m.MaintenanceView(m.Time()))
+		t.Fatalf("no window opened within 20 s: %+v", m.MaintenanceView(m.Time()))
 	}
 	if err := m.Operate(m.Time(), maintenance.Paused, 1); err != nil {
 		t.Fatal(err)
@@ -198,6 +200,6 @@
 	s := m.MaintenanceState()
 	if n.Broken != nil || len(s.Plans) != 1 || s.Plans[0].Paused == "" || s.LastWindow != 1 ||
 		s.Window(1).Phase != maintenance.Free {
-		t.Errorf("%v, %+v", n.Broken, s)
+		t.Errorf("violations %v; state %+v, want one paused plan and window 1 released", n.Broken, s)
 	}
 }
--- a/internal/fleet/replicatedstate/maintenance_view.go
+++ b/internal/fleet/replicatedstate/maintenance_view.go
@@ -9,50 +9,51 @@
 	"caperarch/internal/fleet/replicatedstate/accordpb"
 )
 
-// addMaintenanceStatus adds to an answer what the oldest plan waits for, and who is out of contact.
+// addMaintenanceStatus adds to an answer what the oldest plan waits for and which sidecars are out of
+// contact, if this sidecar leads.
 func (n *Node) addMaintenanceStatus(now time.Duration, m *accordpb.Message) {
 	if !n.leadsMaintenance() {
 		return
 	}
-	waits, away := n.maintenanceStatus(now)
-	m.WorkWaits, m.AwayCount = truncateText(waits, maxWaitReason), uint32(len(away))+1
-	for _, a := range away[:min(len(away), maxUnreachableSent)] {
-		m.Away = append(m.Away, &accordpb.Behind{Number: uint32(a.Number), Why: a.Why})
+	waitReason, unreachable := n.maintenanceStatus(now)
+	m.WorkWaits, m.AwayCount = truncateText(waitReason, maxWaitReason), uint32(len(unreachable))+1
+	for _, a := range unreachable[:min(len(unreachable), maxUnreachableSent)] {
+		m.Away = append(m.Away, &accordpb.Behind{Number: uint32(a.Number), Why: a.Reason})
 	}
 	if len(m.Away) > 0 || m.WorkWaits != "" {
-		m.Behind = m.Behind[:min(len(m.Behind), 1)] // it all has to fit
+		m.Behind = m.Behind[:min(len(m.Behind), 1)] // the whole message has to fit into a datagram
 	}
 }
 
-// maintenanceStatus returns what the oldest plan waits for, and who is out of contact and for how
-// long, as this leader knows it.
-func (n *Node) maintenanceStatus(now time.Duration) (waits string, away []policyrollout.Laggard) {
+// maintenanceStatus returns what the oldest plan waits for, and which sidecars are out of contact and for how
+// long, as known to this leader.
+func (n *Node) maintenanceStatus(now time.Duration) (waitReason string, unreachable []policyrollout.Laggard) {
 	s := &n.maintenance.state
 	for _, i := range n.maintenance.reports.Summarize(now, n.leader.GrantExpiry).Unreachable {
-		away = append(
-			away,
+		unreachable = append(
+			unreachable,
 			policyrollout.Laggard{
-				Number: i, Why: fmt.Sprintf("for %.0fs", (now - n.leader.GrantExpiry(i)).Seconds()),
+				Number: i, Reason: fmt.Sprintf("for %.0fs", (now - n.leader.GrantExpiry(i)).Seconds()),
 			},
 		)
 	}
 	for _, t := range s.Windows {
 		if t.Phase == maintenance.Draining {
-			if late := n.maintenance.reports.WaitingFor(now, t.Number, n.leader.GrantExpiry); len(late) > 0 {
+			if waiting := n.maintenance.reports.WaitingFor(now, t.Number, n.leader.GrantExpiry); len(waiting) > 0 {
 				return fmt.Sprintf(
-					"turn %d: %d sidecars may still send, %v", t.Number, len(late),
-					late[:min(len(late), maxUnreachableSent)],
-				), away
+					"turn %d: %d sidecars may still send, %v", t.Number, len(waiting),
+					waiting[:min(len(waiting), maxUnreachableSent)],
+				), unreachable
 			}
 		}
 	}
 	if len(s.Plans) > 0 {
-		waits = n.maintenance.leader.WaitReason(s.Plans[0].Number)
+		waitReason = n.maintenance.leader.WaitReason(s.Plans[0].Number)
 	}
-	return waits, away
+	return waitReason, unreachable
 }
 
-// handleMaintenanceStatus records such an answer.
+// handleMaintenanceStatus records the maintenance status in an answer of the leader.
 func (n *Node) handleMaintenanceStatus(now time.Duration, from int, m *accordpb.Message) {
 	if m.AwayCount == 0 || from != n.log.Leader() {
 		return
@@ -60,19 +61,19 @@
 	w := &n.maintenance
 	w.reportedAt, w.waitReason, w.unreachableCount, w.unreachable = now, m.WorkWaits, int(m.AwayCount)-1, nil
 	for _, a := range m.Away {
-		w.unreachable = append(w.unreachable, policyrollout.Laggard{Number: int(a.Number), Why: a.Why})
+		w.unreachable = append(w.unreachable, policyrollout.Laggard{Number: int(a.Number), Reason: a.Why})
 	}
 }
 
-// MaintenanceView is what a sidecar knows of maintenance, for operators.
+// MaintenanceView is a snapshot of the maintenance state for operators.
 type MaintenanceView struct {
 	State            maintenance.State
 	WaitReason       string                  // what the oldest plan waits for
-	Unreachable      []policyrollout.Laggard // some of the sidecars out of contact
-	UnreachableCount int                     // in all; -1: the leader has not told
+	Unreachable      []policyrollout.Laggard // some or all of the sidecars out of contact
+	UnreachableCount int                     // all sidecars out of contact; -1: no recent answer of the leader
 }
 
-// MaintenanceView returns the current view.
+// MaintenanceView returns a snapshot of the maintenance state.
 func (n *Node) MaintenanceView(now time.Duration) MaintenanceView {
 	v := MaintenanceView{State: n.maintenance.state.Clone(), UnreachableCount: -1}
 	switch {
@@ -86,9 +87,9 @@
 	return v
 }
 
-// MaintenanceState returns what the log makes of plans and windows. It may only be read, and only
-// until the node is used again.
+// MaintenanceState returns the plans and windows that result from the log's entries. The result is read-only
+// and valid until the next call of a method of the node.
 func (n *Node) MaintenanceState() *maintenance.State { return &n.maintenance.state }
 
-// MachinesOut returns the machines to which nothing new may be sent.
+// MachinesOut returns the ids of the machines to which no new requests may be sent.
 func (n *Node) MachinesOut() []uint64 { return n.maintenance.state.MachinesOut() }
--- a/internal/fleet/replicatedstate/partition_test.go
+++ b/internal/fleet/replicatedstate/partition_test.go
@@ -7,11 +7,12 @@
 	"caperarch/internal/lab/replicatedstatesim"
 )
 
-// Guards against a leader that takes a live voter of its own side out of the voters, as the voter's reports go by
-// way of relays on the other side: three of five have no quorum then.
+// Guards against a leader that removes a live voter on its own side of a partition because the voter's
+// reports are sent by way of relays on the other side: the three of five sidecars on the leader's side then
+// have no quorum.
 func TestPartitionLeavesLargerSideItsQuorum(t *testing.T) {
 	for seed := range uint64(60) {
-		n := founded(t, 5, seed)
+		n := bootstrapped(t, 5, seed)
 		leader := n.Nodes[0].View(n.Nodes[0].Time()).Leader
 		smaller := map[int]bool{(leader + 1) % 5: true, (leader + 2) % 5: true}
 		n.Loss, n.MaxDelay = 0.1, 200*time.Millisecond
@@ -25,22 +26,23 @@
 		}
 		committed := func() bool { return m.View(m.Time()).LastIndex > before }
 		if !n.Until(15*time.Second, proposed) || !n.Until(15*time.Second, committed) || n.Broken != nil {
-			t.Errorf("seed %d: three of five commit nothing, %v%s", seed, n.Broken, n.Text())
+			t.Errorf("seed %d: three of five sidecars commit nothing, violations %v%s", seed, n.Broken, n.Text())
 		}
 	}
 }
 
-// Guards against taking a voter out that nobody can replace yet: four voters bear the loss of no more than five do
-// without one, and a partition behind it can leave three of five processes with two of four voters.
+// Guards against removing a voter before a replacement exists: four voters tolerate no more losses than five
+// voters of which one is silent, and a later partition can leave three of five processes with two of four
+// voters.
 func TestSilentVoterStaysUntilReplaced(t *testing.T) {
 	for seed := range uint64(30) {
-		n := founded(t, 5, seed)
+		n := bootstrapped(t, 5, seed)
 		silent := int(seed % 5)
 		n.Stop(silent, 5*time.Second)
 		n.Run(5 * time.Second)
 		other := n.Nodes[(silent+1)%5]
 		if voters := other.View(other.Time()).Voters; len(voters) != 5 {
-			t.Errorf("seed %d: with %d silent the voters became %v", seed, silent, voters)
+			t.Errorf("seed %d: while sidecar %d was silent the voters became %v, want all five", seed, silent, voters)
 		}
 	}
 }
--- a/internal/fleet/replicatedstate/replicatedstate.go
+++ b/internal/fleet/replicatedstate/replicatedstate.go
@@ -1,16 +1,18 @@
-// Package replicatedstate is one sidecar's part in the state that a fleet replicates: the log
-// (internal/fleet/raftlog), the policy in force here (policyrollout.Participant), the leader's
-// decisions while this sidecar leads, the reports and grants between the two, the texts of policies
-// and plans, and the machines that are out for maintenance (internal/fleet/maintenance).
+// Package replicatedstate implements one sidecar's replica of the state that a fleet of sidecars replicates.
+// A Node combines the replicated log (internal/fleet/raftlog), the policy that this sidecar applies
+// (policyrollout.Participant), the leader's decisions while this sidecar leads the log, the exchange of
+// reports and grants between sidecars and leader, the texts of policies and maintenance plans, and the
+// machines that are out for maintenance (internal/fleet/maintenance).
 //
-// A Node does no I/O, starts no goroutines and reads no clock; a random source is passed in, so one
-// seed gives one history. It must be used by one goroutine at a time. All times are of one clock
-// that counts on while the process is stopped.
+// A Node does no I/O, starts no goroutines and reads no clock. The random source is passed in, so one seed
+// gives one history. A Node must be used by one goroutine at a time. All times are readings of one clock that
+// keeps counting while the process is stopped.
 //
-// A sidecar that applies an agreed policy has a grant of the log's leader, for a lease. At three
-// hundred sidecars, reports and grants are more than a leader may send. They go by way of relays,
-// about as many as the square root of the fleet's size: each batches the reports of its share of
-// the fleet into one datagram, and the leader's grants come back as a bit for each report.
+// A sidecar applies an agreed policy only while it holds a grant of the log's leader; a grant lasts for a
+// lease. In a fleet of three hundred sidecars, direct reports and grants would exceed the leader's bandwidth,
+// so they are sent by way of relays, whose number is about the square root of the fleet's size. Each relay
+// batches the reports of its share of the fleet into one datagram, and the leader answers a batch with one
+// bit per report.
 package replicatedstate
 
 import (
@@ -28,39 +30,41 @@
 )
 
 const (
-	// Period is how often Tick is due.
+	// Period is the interval at which Tick must be called.
 	Period = raftlog.Period
 
-	// Times in percent of a lease:
-	reportPercent = 40 // between reports while nothing changes
-	// retryPercent is when a report that was not granted is repeated, by way of another relay; a
-	// grant takes up to batchPercent and grantPercent.
+	// The following delays are in percent of a lease.
+
+	reportPercent = 40 // interval between reports while the reported state does not change
+	// retryPercent is the delay before a report that was not granted is repeated by way of another relay. A
+	// grant may take up to batchPercent + grantPercent.
 	retryPercent       = 30
-	batchPercent       = 13 // that a relay waits for more reports, unless a datagram is full
-	grantPercent       = 13 // that the leader's grants to a relay wait for more
-	urgentRetryPercent = 7  // as retryPercent, with less than half of the lease remaining
+	batchPercent       = 13 // how long a relay collects reports, unless a datagram is full
+	grantPercent       = 13 // how long the leader collects grants for a relay
+	urgentRetryPercent = 7  // replaces retryPercent when less than half of the lease remains
 
-	cutOffRetry      = 500 * time.Millisecond // first retry of a sidecar that is cut off; it doubles
+	cutOffRetry      = 500 * time.Millisecond // first retry delay of a sidecar without a grant; doubles per attempt
 	changeRetry      = time.Second            // the same during a change, which waits for all reports
-	changeBatchDelay = 250 * time.Millisecond // that a relay waits for more reports during a change
-	pollInterval     = 500 * time.Millisecond // between polls of sidecars that a change waits for,
-	maxPolled        = 4                      // so many at a time
-	// quorumAckHeartbeats: a leader that no majority has confirmed for so many heartbeats grants
-	// nothing.
+	changeBatchDelay = 250 * time.Millisecond // how long a relay collects reports during a change
+	pollInterval     = 500 * time.Millisecond // interval between polls of sidecars that a change waits for
+	maxPolled        = 4                      // sidecars polled per interval
+	// quorumAckHeartbeats is the number of heartbeat intervals without confirmation by a majority of the
+	// voters after which a leader grants nothing.
 	quorumAckHeartbeats = 3
-	// MaxMessageBytes is the longest message, in bytes: the envelope in a datagram of 256 takes up
-	// to 40.
+	// MaxMessageBytes is the maximum length of a message in bytes: a datagram has 256 bytes, of which the
+	// envelope takes up to 40.
 	MaxMessageBytes = 216
 )
 
-// Host carries out what a Node decides. Its methods must not call back into the Node, except that
-// Changed may call Active, ActiveUntil and Text.
+// Host sends a Node's messages and handles its events. Its methods must not call back into the Node, except
+// that HandleEvent may call Active, ActiveUntil and Text.
 type Host interface {
-	// Send sends a message; if the budget is short, urgent ones go first.
+	// Send sends a message to a sidecar. Urgent messages take precedence when the bandwidth budget is short.
 	Send(to int, raw []byte, urgent bool)
-	Changed(e Event)
-	// Worked is called for each entry about maintenance that changed something.
-	Worked(s maintenance.Step)
+	// HandleEvent is called for each event that the host has to log or act on.
+	HandleEvent(e Event)
+	// MaintenanceApplied is called for each log entry that changed the maintenance state.
+	MaintenanceApplied(s maintenance.Step)
 }
 
 // Config configures a Node.
@@ -68,32 +72,33 @@
 	Size          int
 	Self          raftlog.Voter
 	Lease         time.Duration
-	MaxClockError float64 // greatest error of a clock's rate, to either side
+	MaxClockError float64 // largest relative error of a clock's rate, in either direction
 	Rand          *rand.Rand
 	Host          Host
-	Check         func(text []byte) error // returns why a policy can't be applied here
-	// where Self is the voter of an earlier process that saved its vote; 0: Self.Incarnation
+	CheckPolicy   func(text []byte) error // returns why this sidecar can't apply a policy; nil: it can
+	// ProcessIncarnation is the incarnation of this process if Self is the voter of an earlier process that
+	// saved its vote; 0: Self.Incarnation.
 	ProcessIncarnation uint64
-	Storage            Storage // nil: nothing outlives the process
+	Storage            Storage // nil: no state is persisted
 
-	Work     Machines      // nil: no machines are known here
-	Deadline time.Duration // the longest that a request may be in flight
+	MachineSource Machines      // nil: this process knows of no machines
+	Deadline      time.Duration // longest time that a request may be in flight
 }
 
-// Storage persists what must outlive the process.
+// Storage persists the state that must survive a restart of the process.
 type Storage interface {
 	raftlog.Storage
-	// Text persists the text of a version.
-	Text(hash [32]byte, text []byte) error
+	// SaveText persists the text of a version.
+	SaveText(hash [32]byte, text []byte) error
 }
 
-// LeaseExpiry returns after what time a lease has expired by anybody's clock: it adds the errors of
-// both clocks, rate each, and what rounding may add.
+// LeaseExpiry returns the time after which a lease has expired on the clock of every sidecar. It adds the
+// rate errors of both clocks, rate each, and 2 ms for rounding.
 func LeaseExpiry(lease time.Duration, rate float64) time.Duration {
 	return lease + time.Duration(2.5*rate*float64(lease)) + 2*time.Millisecond
 }
 
-// Node is one sidecar's part. It is not safe for concurrent use.
+// Node is one sidecar's replica of the fleet's state. It is not safe for concurrent use.
 type Node struct {
 	Config
 	log         *raftlog.Node
@@ -102,19 +107,19 @@
 	incarnation uint64
 	now         time.Duration // time of the current event
 
-	leader *policyrollout.Leader // nil: this sidecar does not lead
-	epoch  uint64                // of the log that it leads
-	term   uint64
+	leader *policyrollout.Leader // nil: this sidecar is not the leader
+	epoch  uint64                // epoch of the log that this sidecar leads
+	term   uint64                // raft term in which this sidecar leads
 
 	reports
 	relay
 	proposals   []Proposal
-	announced   policyrollout.Active // last reported to the host
+	announced   policyrollout.Active // value of Active that was last reported to the host
 	laggards    reportedLaggards
 	maintenance maintenanceState
 }
 
-// New returns a node that knows of no log yet, and applies CutOff.
+// New returns a node that knows of no log yet and applies policyrollout.CutOff.
 func New(cfg Config) (*Node, error) {
 	n := &Node{Config: cfg, incarnation: cmp.Or(cfg.ProcessIncarnation, cfg.Self.Incarnation)}
 	log := raftlog.Config{
@@ -129,20 +134,20 @@
 		return nil, err
 	}
 	if cfg.Lease <= 0 {
-		return nil, fmt.Errorf("accord: a lease of %v", cfg.Lease)
+		return nil, fmt.Errorf("replicatedstate: lease is %v, want a positive duration", cfg.Lease)
 	}
-	n.texts.init(cfg.Check)
+	n.texts.init(cfg.CheckPolicy)
 	if cfg.Storage != nil {
-		n.texts.persist = cfg.Storage.Text
+		n.texts.persist = cfg.Storage.SaveText
 	}
-	n.participant = policyrollout.NewParticipant(cfg.Lease, n.whyNotApplicable)
+	n.participant = policyrollout.NewParticipant(cfg.Lease, n.rejectionReason)
 	n.pendingGrants = make(map[int][]*accordpb.Granted)
 	n.relay.pendingBatches = make(map[uint32]sentBatch)
 	return n, nil
 }
 
-// Restore makes a new node continue with the state that an earlier process of its voter saved. It
-// stays cut off until a leader grants it more.
+// Restore loads into a new node the state that an earlier process of its voter saved. The node stays in
+// policyrollout.CutOff until a leader grants one of its reports.
 func (n *Node) Restore(now time.Duration, s *raftlog.SavedState, texts [][]byte) error {
 	n.now = now
 	for _, raw := range texts {
@@ -151,38 +156,39 @@
 	return n.log.Restore(now, s)
 }
 
-// StorageError returns why this process, which was a voter, votes no more; nil if nothing failed.
+// StorageError returns the storage failure that permanently stopped this process from voting; nil if there
+// was none.
 func (n *Node) StorageError() error { return n.log.StorageError() }
 
-// whyNotApplicable returns why a version can't be applied here; "": it can.
-func (n *Node) whyNotApplicable(r policyrollout.Ref) string {
+// rejectionReason returns why this sidecar can't apply a version; "": it can.
+func (n *Node) rejectionReason(r policyrollout.Ref) string {
 	if r.Version == 0 {
-		return "" // the settings
+		return "" // version 0 is the sidecar's own settings
 	}
-	return n.texts.whyNotApplicable(r.Hash)
+	return n.texts.rejectionReason(r.Hash)
 }
 
-// Active returns the policy that this sidecar applies. Ask it wherever something depends on it, at
-// that moment.
+// Active returns the policy that this sidecar applies at the time now. Callers must not cache the result: it
+// changes when the lease expires.
 func (n *Node) Active(now time.Duration) policyrollout.Active {
 	n.participant.AdvanceIndex(n.log.LastIndex())
 	return n.participant.Active(now)
 }
 
-// ActiveUntil returns when Active changes to CutOff if nothing more is received.
+// ActiveUntil returns when Active changes to CutOff if no further message is received.
 func (n *Node) ActiveUntil() time.Duration { return n.participant.GrantedUntil() }
 
-// Text returns the text of a version; false: it is not here.
+// Text returns the text of a version, and false if this sidecar does not have the text.
 func (n *Node) Text(r policyrollout.Ref) ([]byte, bool) { return n.texts.get(r.Hash) }
 
-// Tick advances time. It is due every Period.
+// Tick runs the time-driven work of the node. It must be called every Period.
 func (n *Node) Tick(now time.Duration) {
 	n.now = now
 	n.log.Tick(now)
 	n.actAsLeader(now)
 	n.updateVoters(now)
 	n.leadMaintenance(now)
-	n.announceActive(now) // before the report: its receivers rely on the policy that it states
+	n.announceActive(now) // before sendReport: the leader relies on the policy that a report states
 	n.sendReport(now)
 	n.flushBatch(now)
 	n.sendGrants(now)
@@ -190,7 +196,8 @@
 	n.fetchTexts(now)
 }
 
-// Receive handles a message of the sidecar from. A malformed one is an error, and changes nothing.
+// Receive handles a message that the sidecar with the number from has sent. It returns an error for a
+// malformed message, and does not apply it.
 func (n *Node) Receive(now time.Duration, from int, raw []byte) error {
 	if from < 0 || from >= n.Size || from == n.Self.Number {
 		return errMalformed
@@ -207,7 +214,7 @@
 		}
 		n.log.Receive(now, from, l)
 	}
-	if m.Epoch != 0 && m.Epoch == n.log.Epoch() { // else it is about another log
+	if m.Epoch != 0 && m.Epoch == n.log.Epoch() { // otherwise the message refers to another log
 		n.handleReports(now, from, m)
 		n.handleGrants(now, from, m)
 		n.handleLaggards(now, from, m)
@@ -220,10 +227,10 @@
 	return nil
 }
 
-// announceActive reports a change of Active to the host.
+// announceActive reports a change of the applied policy to the host.
 func (n *Node) announceActive(now time.Duration) {
-	if goes := n.Active(now); goes != n.announced {
-		n.announced = goes
-		n.Host.Changed(Event{Kind: ActiveChanged, Ref: goes.New, Active: goes, By: n.Self.Number})
+	if active := n.Active(now); active != n.announced {
+		n.announced = active
+		n.Host.HandleEvent(Event{Kind: ActiveChanged, Ref: active.New, Active: active, Sidecar: n.Self.Number})
 	}
 }
--- a/internal/fleet/replicatedstate/replicatedstate_test.go
+++ b/internal/fleet/replicatedstate/replicatedstate_test.go
@@ -17,8 +17,8 @@
 	"caperarch/internal/lab/replicatedstatesim"
 )
 
-// founded is a fleet in which all go by a log that has just begun.
-func founded(t *testing.T, size int, seed uint64) *replicatedstatesim.Net {
+// bootstrapped returns a fleet in which all sidecars apply the policy of a log that has just started.
+func bootstrapped(t *testing.T, size int, seed uint64) *replicatedstatesim.Net {
 	t.Helper()
 	n := replicatedstatesim.New(replicatedstatesim.Config{Size: size, Seed: seed, Lease: 3 * time.Second, Rate: 0.01})
 	n.Run(time.Second)
@@ -27,93 +27,95 @@
 	}
 	n.Watch(20 * time.Millisecond)
 	if !n.Until(30*time.Second, n.Converged) {
-		t.Fatalf("seed %d: not all go by the log: %s", seed, n.Text())
+		t.Fatalf("seed %d: the fleet has not converged within 30 s: %s", seed, n.Text())
 	}
 	return n
 }
 
-func holds(m *replicatedstatesim.Node) uint32 { return m.View(m.Time()).State.Current.Version }
+func currentVersion(m *replicatedstatesim.Node) uint32 { return m.View(m.Time()).State.Current.Version }
 
-// What is wrong with a proposal is told at once, and nothing is begun.
-func TestRefused(t *testing.T) {
-	n := founded(t, 5, 1)
+// Guards against invalid proposals that are accepted or that add entries to the log: the caller gets the
+// reason at once.
+func TestInvalidProposalsAreRejected(t *testing.T) {
+	n := bootstrapped(t, 5, 1)
 	m, other := n.Nodes[3], n.Nodes[4]
-	refused := func(name string, raw []byte, base uint32, want string) {
+	wantRejected := func(name string, raw []byte, base uint32, want string) {
 		t.Helper()
 		if _, err := m.Propose(m.Time(), raw, base); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: %v, %q is wanted", name, err, want)
+			t.Errorf("%s: got error %v, want an error that contains %q", name, err, want)
 		}
 	}
-	refused("65 KiB", bytes.Repeat([]byte("#"), 65<<10), 0, "65536 are possible")
-	refused("an old base", replicatedstatesim.Text(1), 7, "it was made from version 7, version 0 holds")
+	wantRejected("text of 65 KiB", bytes.Repeat([]byte("#"), 65<<10), 0, "65536 are possible")
+	wantRejected("outdated base version", replicatedstatesim.Text(1), 7, "it was made from version 7, version 0 holds")
 	n.Cannot[[2]int{3, 9}] = true
-	refused("it can't apply it itself", replicatedstatesim.Text(9), 0, "no such tenant")
+	wantRejected("policy that the proposer can't apply", replicatedstatesim.Text(9), 0, "no such tenant")
 	if _, err := m.Abort(m.Time()); err == nil {
-		t.Error("nothing was called off")
+		t.Error("Abort without a change in progress succeeded, want an error")
 	}
 	if err := m.Bootstrap(m.Time(), 2); err == nil {
-		t.Error("a new beginning while the log answers")
+		t.Error("Bootstrap while the log has a leader succeeded, want an error")
 	}
 	have := m.View(m.Time()).LastIndex
 	if _, err := m.Propose(m.Time(), replicatedstatesim.Text(1), 0); err != nil {
 		t.Fatal(err)
 	}
 	for range 1000 {
-		refused("a thousand more", replicatedstatesim.Text(2), 0, "a proposal of this sidecar has no outcome yet")
+		wantRejected("further proposal", replicatedstatesim.Text(2), 0, "a proposal of this sidecar has no outcome yet")
 	}
-	// Another's at the same moment: one is first, the other hears so.
+	// Another sidecar proposes at the same time: one proposal is committed, the other is rejected.
 	if _, err := other.Propose(other.Time(), replicatedstatesim.Text(2), 0); err != nil {
 		t.Fatal(err)
 	}
-	if !n.Until(10*time.Second, func() bool { return n.Converged() && holds(m) == 1 }) {
+	if !n.Until(10*time.Second, func() bool { return n.Converged() && currentVersion(m) == 1 }) {
 		t.Fatal(n.Text())
 	}
 	a, b := m.View(m.Time()).Proposals[0].Outcome, other.View(other.Time()).Proposals[0].Outcome
 	if (a == "taken") == (b == "taken") ||
 		!strings.HasPrefix(a+b, "refused: ") && !strings.HasPrefix(b+a, "refused: ") {
-		t.Errorf("outcomes %q and %q", a, b)
+		t.Errorf("outcomes are %q and %q, want one \"taken\" and one \"refused: ...\"", a, b)
 	}
 	if grown := m.View(m.Time()).LastIndex - have; grown > 6 {
-		t.Errorf("the log has grown by %d entries", grown)
+		t.Errorf("the log has grown by %d entries, want at most 6", grown)
 	}
 	raw, _ := m.Text(m.View(m.Time()).State.Current)
-	refused("the same again", raw, 1, "holds already")
+	wantRejected("text of the current version", raw, 1, "holds already")
 	n.Partitioned = func(from, to int) bool { return from == 3 || to == 3 }
 	n.Run(4 * time.Second)
 	if _, err := m.Propose(m.Time(), replicatedstatesim.Text(3), 1); !errors.Is(err, replicatedstate.ErrNoContact) {
-		t.Errorf("out of contact: %v", err)
+		t.Errorf("Propose without a grant: got error %v, want ErrNoContact", err)
 	}
 	if n.Broken != nil {
 		t.Error(n.Broken)
 	}
 }
 
-// One that is down does not hold a change up for longer than a lease; one that most never come to
-// is called off; one that somebody can't apply is at once, and says by whom and why.
-func TestOutcomes(t *testing.T) {
+// Checks the outcome of a change: a sidecar that is down delays the change by at most a lease, a change that
+// a majority does not reach is aborted, and a change that a sidecar can't apply is aborted at once with that
+// sidecar's number and reason.
+func TestChangeOutcomes(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		begin   func(n *replicatedstatesim.Net, leader int)
 		outcome string
 		within  time.Duration
 	}{
-		{"calm", func(*replicatedstatesim.Net, int) {}, "taken", time.Second},
+		{"no fault", func(*replicatedstatesim.Net, int) {}, "taken", time.Second},
 		{
-			"one down", func(n *replicatedstatesim.Net, leader int) { n.Crash((leader + 1) % 5) },
+			"one sidecar down", func(n *replicatedstatesim.Net, leader int) { n.Crash((leader + 1) % 5) },
 			"taken", 5 * time.Second,
 		},
 		{
-			"one can't",
+			"one sidecar can't apply the policy",
 			func(n *replicatedstatesim.Net, leader int) { n.Cannot[[2]int{(leader + 1) % 5, 1}] = true },
 			"called off by %d: tenants.x: no such tenant", time.Second,
 		},
-		{"late", func(n *replicatedstatesim.Net, leader int) { // three of five never have the text
+		{"three of five sidecars without the text", func(n *replicatedstatesim.Net, leader int) {
 			n.Drop = func(to int, raw []byte) bool {
 				m := new(accordpb.Message)
 				return proto.Unmarshal(raw, m) == nil && m.Piece != nil && to != leader && to != (leader+4)%5
 			}
 		}, "called off by", 10 * time.Second},
-		{"called off by hand", func(n *replicatedstatesim.Net, leader int) {
+		{"aborted by an operator", func(n *replicatedstatesim.Net, leader int) {
 			n.Drop = func(to int, raw []byte) bool {
 				m := new(accordpb.Message)
 				return proto.Unmarshal(raw, m) == nil && m.Piece != nil && to != leader
@@ -125,9 +127,9 @@
 			})
 		}, "by hand", time.Second},
 	} {
-		n := founded(t, 5, 11)
+		n := bootstrapped(t, 5, 11)
 		leader := n.Nodes[0].View(n.Nodes[0].Time()).Leader
-		m, begun := n.Nodes[leader], n.Now
+		m, start := n.Nodes[leader], n.Now
 		c.begin(n, leader)
 		if _, err := m.Propose(m.Time(), replicatedstatesim.Text(1), 0); err != nil {
 			t.Fatalf("%s: %v", c.name, err)
@@ -136,57 +138,62 @@
 		n.Until(c.within, func() bool { return got() != "" && got() != "under way" })
 		want := strings.ReplaceAll(c.outcome, "%d", fmt.Sprint((leader+1)%5))
 		if !strings.Contains(got(), want) || n.Broken != nil {
-			t.Errorf("%s: %q after %v, %q is wanted; %v", c.name, got(), n.Now-begun, want, n.Broken)
+			t.Errorf("%s: outcome %q after %v, want %q; violations %v", c.name, got(), n.Now-start, want, n.Broken)
 		}
 	}
 }
 
+// textOf returns the text of the current version at a sidecar.
 func textOf(m *replicatedstatesim.Node) []byte {
 	raw, _ := m.Text(m.View(m.Time()).State.Current)
 	return raw
 }
 
-// A text of 64 KiB that can't be made smaller reaches all, also where much is lost; one that is
-// spoilt on the way is not taken.
-func TestLongTexts(t *testing.T) {
-	n := founded(t, 5, 3)
+// Guards against an incompressible text of 64 KiB, the largest allowed, that does not reach all sidecars, and
+// against accepting a text with corrupted chunks.
+func TestLongTextReachesAllSidecars(t *testing.T) {
+	n := bootstrapped(t, 5, 3)
 	rng := rand.New(rand.NewPCG(1, 1))
 	raw := []byte("# ")
 	for len(raw) < policyrollout.MaxTextBytes {
 		raw = append(raw, byte('!'+rng.IntN(90)))
 	}
 	m := n.Nodes[2]
-	spoilt := 0
+	corrupted := 0
 
 	n.Drop = func(to int, raw []byte) bool {
 		p := new(accordpb.Message)
-		if proto.Unmarshal(raw, p) != nil || p.Piece == nil || p.Piece.Index != 7 || spoilt > 2 || to == 2 {
+		if proto.Unmarshal(raw, p) != nil || p.Piece == nil || p.Piece.Index != 7 || corrupted > 2 || to == 2 {
 			return false
 		}
-		spoilt++
-		raw[len(raw)-1]++ // of its data
+		corrupted++
+		raw[len(raw)-1]++ // last byte of the chunk's data
 		return false
 	}
-	begun, cut := n.Now, n.CutOff
+	start, cut := n.Now, n.CutOff
 	if _, err := m.Propose(m.Time(), raw, 0); err != nil {
 		t.Fatal(err)
 	}
 	for _, o := range n.Nodes {
 		if !n.Until(2*time.Minute, func() bool {
 			v := o.View(o.Time())
-			return v.Active.Mode == policyrollout.One && v.State.Current.Version == 1 && bytes.Equal(textOf(o), raw)
+			return v.Active.Mode == policyrollout.OneVersion && v.State.Current.Version == 1 &&
+				bytes.Equal(textOf(o), raw)
 		}) {
-			t.Fatalf("it is not there: %s", n.Text())
+			t.Fatalf("a sidecar does not apply the text within 2 minutes: %s", n.Text())
 		}
 	}
-	t.Logf("there after %v, %d looks at one that was cut off meanwhile", n.Now-begun, n.CutOff-cut)
-	if spoilt == 0 || n.Broken != nil || n.CutOff > cut {
-		t.Errorf("spoilt %d, cut off %d, %v", spoilt, n.CutOff-cut, n.Broken)
+	t.Logf("text applied by all after %v; samples of a cut-off sidecar: %d", n.Now-start, n.CutOff-cut)
+	if corrupted == 0 || n.Broken != nil || n.CutOff > cut {
+		t.Errorf(
+			"corrupted chunks %d, want some; samples of a cut-off sidecar %d, want 0; violations %v",
+			corrupted, n.CutOff-cut, n.Broken,
+		)
 	}
 }
 
-// What another sends can't make a sidecar stumble, nor speak for a third.
-func FuzzTake(f *testing.F) {
+// Guards against a panic on any message of another sidecar.
+func FuzzReceive(f *testing.F) {
 	for _, m := range []*accordpb.Message{
 		{Log: []byte{1, 2}},
 		{Epoch: 1, Report: []*accordpb.Report{{Number: 1, Life: 2, Stamp: 3, Mode: 1, Have: 9}}},
@@ -219,9 +226,9 @@
 	})
 }
 
-// With disks that last the fleet goes by its policy again after a stop of all at once, without an
-// operator; without them it does not.
-func TestAllStoppedAtOnce(t *testing.T) {
+// Guards against losing the policy when all sidecars restart at once: with persistent disks the fleet applies
+// its policy again without an operator; without disks it must not.
+func TestRestartOfAllSidecars(t *testing.T) {
 	for _, disks := range []bool{true, false} {
 		n := replicatedstatesim.New(
 			replicatedstatesim.Config{Size: 5, Seed: 2, Lease: 3 * time.Second, Rate: 0.01, Disks: disks},
@@ -242,13 +249,13 @@
 		n.Run(time.Minute)
 		for i, m := range n.Nodes {
 			n.Boot(i)
-			if goes := m.Node.Active(m.Time()); goes.Mode != policyrollout.CutOff {
-				t.Errorf("n%d has just started and goes by %v", i, goes.Mode)
+			if active := m.Node.Active(m.Time()); active.Mode != policyrollout.CutOff {
+				t.Errorf("n%d has just started and applies %v, want cut off", i, active.Mode)
 			}
 		}
-		again := n.Until(30*time.Second, func() bool { return n.Converged() && holds(n.Nodes[3]) == 1 })
+		again := n.Until(30*time.Second, func() bool { return n.Converged() && currentVersion(n.Nodes[3]) == 1 })
 		if again != disks || n.Broken != nil {
-			t.Errorf("disks %v: by version 1 again %v; %v", disks, again, n.Broken)
+			t.Errorf("with disks: %v; the fleet applies version 1 again: %v; violations %v", disks, again, n.Broken)
 		}
 	}
 }
--- a/internal/fleet/replicatedstate/reports.go
+++ b/internal/fleet/replicatedstate/reports.go
@@ -10,56 +10,57 @@
 	"caperarch/internal/fleet/replicatedstate/accordpb"
 )
 
-var errMalformed = errors.New("accord: a message that can't be read")
+var errMalformed = errors.New("replicatedstate: malformed message of a sidecar")
 
 const (
-	largeFleet       = 100 // sidecars from which on grants are not sent sooner during a change
-	maxGrantsPerTick = 3   // relays that are sent grants at a time
+	largeFleet       = 100 // sidecars; from this size on, grants are not sent earlier during a change
+	maxGrantsPerTick = 3   // relays that the leader sends grants to per tick
 
-	maxBatchReports   = 64 // reports in a batch: Granted has a bit for each
-	maxPendingBatches = 32 // batches of a relay that wait for grants
-	maxQueuedReports  = 4 * maxBatchReports
-	fullBatch         = 7 // reports that fill a datagram, roughly
+	maxBatchReports   = 64                  // per batch: accordpb.Granted has one bit per report
+	maxPendingBatches = 32                  // batches of a relay that the leader has not answered
+	maxQueuedReports  = 4 * maxBatchReports // in a relay's queue
+	fullBatch         = 7                   // approximate number of reports that fill a datagram
 )
 
-// reports is what this sidecar reports of itself, and, as the leader, answers.
+// reports is the state of this sidecar's own reports and, if it leads, of the grants that it owes to relays.
 type reports struct {
-	lastReported reportState   // of the last report
-	lastReportAt time.Duration // its stamp, by this sidecar's clock
-	granted      bool          // the last report was
-	polled       bool          // the leader has asked for a report
-	attempts     int           // since the last grant or change
-	relayShift   int           // offset among the relays
-
-	lastDecision  policyrollout.Step // of this leader
-	decidedAt     time.Duration
-	pendingGrants map[int][]*accordpb.Granted // by relay, as the leader
-	grantQueue    []queuedRelay               // relays with pending grants, the longest waiting first
-	nextPoll      time.Duration
-
-	TooLong int // messages that did not fit into a datagram: there should be none
+	lastReported reportState   // state in the last report
+	lastReportAt time.Duration // send time of the last report
+	granted      bool          // the leader has granted the last report
+	polled       bool          // the leader has requested a report
+	attempts     int           // retries since the last grant or change of state
+	relayShift   int           // offset by which chooseRelay skips relays that did not answer
+
+	lastDecision  policyrollout.Step          // last decision that was proposed as the leader
+	decidedAt     time.Duration               // time of lastDecision
+	pendingGrants map[int][]*accordpb.Granted // grants that the leader has not sent yet, by relay
+	grantQueue    []queuedRelay               // relays with pending grants, in the order of their waiting time
+	nextPoll      time.Duration               // earliest time of the next poll of laggards
+
+	OversizedMessages int // messages that were dropped because they exceed MaxMessageBytes; always 0 without a bug
 }
 
-// queuedRelay is a relay that the leader owes grants, since when.
+// queuedRelay is a relay that the leader has to send grants to.
 type queuedRelay struct {
 	to    int
-	since time.Duration
+	since time.Duration // time of the relay's first pending grant
 }
 
-// reportState is the part of a report whose change is reported at once.
+// reportState is the part of a report whose changes are reported immediately.
 type reportState struct {
-	active     policyrollout.Active
-	cannot     string
-	ready      uint32
-	begun      bool
-	openAt     uint64
-	voters     int
-	clear      uint32 // window up to which this sidecar is clear
-	lastWindow uint32 // the last window that is known
+	active       policyrollout.Active
+	rejection    string // why this sidecar can't apply the change in progress
+	readyVersion uint32 // offered version whose text is present; 0: none
+	started      bool   // the log has started
+	outcomeIndex uint64 // log index of the last outcome
+	voters       int    // number of voters; 2 stands for two or more
+	clearUpTo    uint32 // highest window up to which this sidecar has no requests in flight to machines that are out
+	lastWindow   uint32 // number of the last maintenance window in the log
 }
 
-// sendReport reports to the leader by way of a relay: when something has changed, when the last
-// report was not granted, or as a lease passes.
+// sendReport sends a report to the leader by way of a relay if the reported state has changed, if the last
+// report was not granted in time, or if reportPercent of a lease has passed. It answers a poll of the leader
+// directly.
 func (n *Node) sendReport(now time.Duration) {
 	voters := n.log.Voters()
 	if n.log.Epoch() == 0 || len(voters) == 0 {
@@ -67,7 +68,7 @@
 	}
 	n.participant.AdvanceIndex(n.log.LastIndex())
 	if leader := n.log.Leader(); n.polled && leader >= 0 && leader != n.Self.Number {
-		// In addition to the reports by way of relays, as only those are granted.
+		// Sent in addition to the reports by way of relays: during a change the leader grants only those.
 		n.send(
 			leader,
 			&accordpb.Message{
@@ -84,12 +85,12 @@
 		n.clearedWindow(), n.maintenance.state.LastWindow,
 	}
 	switch due := n.lastReportAt + n.Lease*reportPercent/100; {
-	case state != n.lastReported: // at once
+	case state != n.lastReported: // report a change of state immediately
 		n.attempts = 0
 	case !n.granted && now >= min(due, n.retryReportAt(now)):
 		n.relayShift++ // the relay may be down
-		// With growing delays: before a log has started, or while a text is distributed, nobody is
-		// granted, and three hundred sidecars that report twice a second overload the voters.
+		// The delays grow with each attempt: before a log has started, or while a text is distributed, no
+		// report is granted, and three hundred sidecars that report twice a second would overload the voters.
 		n.attempts++
 	case now >= due:
 	default:
@@ -104,9 +105,9 @@
 	n.send(to, &accordpb.Message{Epoch: n.log.Epoch(), Report: []*accordpb.Report{p}})
 }
 
-// encodeReport returns a report in its wire format.
+// encodeReport returns a report of this sidecar in its wire format.
 func (n *Node) encodeReport(r policyrollout.Report) *accordpb.Report {
-	voter := uint64(0) // 0: the process's own incarnation
+	voter := uint64(0) // 0: same as the incarnation of the process
 	switch {
 	case n.log.StorageError() != nil:
 		voter = noVote
@@ -130,7 +131,7 @@
 	return p
 }
 
-// retryReportAt returns when a report that was not granted is sent again.
+// retryReportAt returns the time at which a report that was not granted is repeated.
 func (n *Node) retryReportAt(now time.Duration) time.Duration {
 	s, left, wait := n.participant.State(), n.participant.GrantedUntil()-now, n.Lease*retryPercent/100
 	switch {
@@ -144,8 +145,8 @@
 	return n.lastReportAt + wait
 }
 
-// chooseRelay returns the sidecar by way of which this one reports: it need not be a voter. After
-// all relays, the sidecars beside them are tried.
+// chooseRelay returns the sidecar that forwards this sidecar's reports; it need not be a voter. Once all
+// relays were tried without success, the sidecars with the next numbers are tried.
 func (n *Node) chooseRelay() int {
 	if n.log.IsLeader() {
 		return n.Self.Number
@@ -154,22 +155,25 @@
 	slot := (n.Self.Number + n.relayShift) % relays
 	to := (slot*n.Size/relays + n.relayShift/relays) % n.Size
 	if to == n.log.Leader() && n.Size > relays {
-		to = (to + 1) % n.Size // the leader has the most to send anyway
+		to = (to + 1) % n.Size // the leader sends more than any other sidecar already
 	}
 	return to
 }
 
-// noVote is the voter incarnation that a process reports which had a vote and votes no more.
+// noVote is the voter incarnation that a process reports after a storage failure has permanently stopped it
+// from voting.
 const noVote = 1
 
-// maxRejectionBytes bounds a report's rejection: it has to fit into a datagram with the rest.
+// maxRejectionBytes bounds the rejection in a report, so that the report fits into a datagram.
 const maxRejectionBytes = 96
 
-// truncateText returns the beginning of a text, in whole characters.
-func truncateText(text string, most int) string {
-	return strings.ToValidUTF8(text[:min(len(text), most)], "")
+// truncateText returns the first bytes of a text, at most the given number, without invalid UTF-8 at the end.
+func truncateText(text string, maxBytes int) string {
+	return strings.ToValidUTF8(text[:min(len(text), maxBytes)], "")
 }
 
+// toStamp converts a time of this sidecar's clock to the wire format, in µs.
 func toStamp(now time.Duration) uint64 { return uint64(now / time.Microsecond) }
 
+// fromStamp is the inverse of toStamp.
 func fromStamp(stamp uint64) time.Duration { return time.Duration(stamp) * time.Microsecond }
--- a/internal/fleet/replicatedstate/size_test.go
+++ b/internal/fleet/replicatedstate/size_test.go
@@ -9,10 +9,11 @@
 	"caperarch/internal/lab/replicatedstatesim"
 )
 
-// Three hundred, each with the bytes that the link lets it send: what a change takes, calm, with
-// loss, and with a tenth down; and what all cost at rest.
-func TestThreeHundred(t *testing.T) {
-	const size, budget = 300, 1200.0 // of 2,048 a second: what swim leaves
+// Checks the traffic and the duration of policy changes in a fleet of three hundred sidecars with a bandwidth
+// budget: bytes per second without a change, and changes without faults, with 10 % message loss and with a
+// tenth of the sidecars down.
+func TestThreeHundredSidecars(t *testing.T) {
+	const size, budget = 300, 1200.0 // bytes per second: what swim leaves of 2,048
 	n := replicatedstatesim.New(
 		replicatedstatesim.Config{Size: size, Seed: 3, Lease: 15 * time.Second, Rate: 0.001, BytesPerSecond: budget},
 	)
@@ -22,9 +23,9 @@
 	}
 	n.Watch(50 * time.Millisecond)
 	if !n.Until(2*time.Minute, n.Converged) {
-		t.Fatalf("not all go by the log: %s", n.Text())
+		t.Fatalf("the fleet has not converged within 2 minutes: %s", n.Text())
 	}
-	t.Logf("all go by the log %v after it was founded", n.Now-time.Hour-time.Second)
+	t.Logf("all sidecars apply the log's policy %v after Bootstrap", n.Now-time.Hour-time.Second)
 	n.Run(time.Minute)
 	before := make([]int, size)
 	for i, m := range n.Nodes {
@@ -47,15 +48,15 @@
 		}
 	}
 	t.Logf(
-		"at rest, bytes a second: %.0f on average, the leader %.0f, a voter up to %.0f; spared %d",
+		"at rest, bytes per second: %.0f on average, leader %.0f, other voters up to %.0f; unsent messages: %d",
 		sum, leader, voter, n.Spared,
 	)
 	if most > budget*0.9 || len(v.Voters) != raftlog.VotersFor(size) {
-		t.Errorf("%.0f bytes a second, voters %v", most, v.Voters)
+		t.Errorf("up to %.0f bytes/s, want 90 %% of the budget at most; voters %v, want VotersFor", most, v.Voters)
 	}
-	change := func(name string, number int, within time.Duration, cutMost int) {
+	change := func(name string, number int, within time.Duration, maxCutOff int) {
 		t.Helper()
-		m, begun, bytes, messages := n.Nodes[n.Rng.IntN(size)], n.Now, n.Bytes, n.Messages
+		m, start, bytes, messages := n.Nodes[n.Rng.IntN(size)], n.Now, n.Bytes, n.Messages
 		for !m.Lives() {
 			m = n.Nodes[n.Rng.IntN(size)]
 		}
@@ -64,35 +65,37 @@
 			t.Fatalf("%s: %v", name, err)
 		}
 		cut := 0
-		by := func() bool {
+		applied := func() bool {
 			cut = 0
 			for _, m := range n.Nodes {
-				switch goes := m.Node.Active(m.Time()); {
+				switch active := m.Node.Active(m.Time()); {
 				case !m.Lives():
-				case goes.Mode == policyrollout.CutOff:
+				case active.Mode == policyrollout.CutOff:
 					cut++
-				case goes.Mode != policyrollout.One || goes.New != ref:
+				case active.Mode != policyrollout.OneVersion || active.New != ref:
 					return false
 				}
 			}
-			return cut <= cutMost
+			return cut <= maxCutOff
 		}
-		if !n.Until(within, func() bool { return n.Broken != nil || by() }) || n.Broken != nil {
-			t.Fatalf("%s: not within %v: %v %s", name, within, n.Broken, n.Text())
+		if !n.Until(within, func() bool { return n.Broken != nil || applied() }) || n.Broken != nil {
+			t.Fatalf("%s: new version not applied within %v, violations %v: %s", name, within, n.Broken, n.Text())
 		}
-		took := n.Now - begun
+		took := n.Now - start
 		if !n.Until(time.Minute, n.Converged) {
-			t.Fatalf("%s: it does not settle: %s", name, n.Text())
+			t.Fatalf("%s: the fleet has not converged a minute after the change: %s", name, n.Text())
 		}
-		t.Logf("%s: all by the new one after %v, %d cut off then; nothing under way and nobody cut off after %v; %d messages, %d KiB over the fleet", name, took, cut, n.Now-begun,
-			n.Messages-messages, (n.Bytes-bytes)>>10)
+		t.Logf(
+			"%s: new version applied after %v, %d cut off then; converged after %v; sent %d messages, %d KiB",
+			name, took, cut, n.Now-start, n.Messages-messages, (n.Bytes-bytes)>>10,
+		)
 	}
-	change("calm", 1, 3*time.Second, 0)
+	change("no fault", 1, 3*time.Second, 0)
 	n.Loss = 0.1
-	change("a tenth lost", 2, 15*time.Second, size/20)
+	change("10 % loss", 2, 15*time.Second, size/20)
 	n.Loss = 0
 	for i := range size / 10 {
 		n.Crash(10*i + 5)
 	}
-	change("a tenth down", 3, 18*time.Second, 0)
+	change("a tenth of the sidecars down", 3, 18*time.Second, 0)
 }
--- a/internal/fleet/replicatedstate/view.go
+++ b/internal/fleet/replicatedstate/view.go
@@ -9,8 +9,8 @@
 	"caperarch/internal/fleet/replicatedstate/accordpb"
 )
 
-// RequestLaggards asks the leader which sidecars a change waits for; View shows them a moment
-// later.
+// RequestLaggards asks the leader which sidecars a change waits for. View includes them once the leader's
+// answer has arrived.
 func (n *Node) RequestLaggards(now time.Duration) {
 	n.now = now
 	if n.leader == nil {
@@ -18,7 +18,8 @@
 	}
 }
 
-// handleLaggards answers such a request as the leader, and records an answer.
+// handleLaggards answers a request for laggards if this sidecar leads, and records the laggards that the
+// leader reports in an answer.
 func (n *Node) handleLaggards(now time.Duration, from int, m *accordpb.Message) {
 	if m.Who && n.leader != nil {
 		all := n.leader.Laggards(now, n.participant.State())
@@ -26,7 +27,7 @@
 		for _, b := range all[:min(len(all), maxLaggardsSent)] {
 			answer.Behind = append(
 				answer.Behind,
-				&accordpb.Behind{Number: uint32(b.Number), Why: truncateText(b.Why, maxLaggardReason)},
+				&accordpb.Behind{Number: uint32(b.Number), Why: truncateText(b.Reason, maxLaggardReason)},
 			)
 		}
 		n.addMaintenanceStatus(now, answer)
@@ -35,28 +36,28 @@
 	if m.Count > 0 && from == n.log.Leader() {
 		n.laggards = reportedLaggards{at: now, count: int(m.Count) - 1}
 		for _, b := range m.Behind {
-			n.laggards.list = append(n.laggards.list, policyrollout.Laggard{Number: int(b.Number), Why: b.Why})
+			n.laggards.list = append(n.laggards.list, policyrollout.Laggard{Number: int(b.Number), Reason: b.Why})
 		}
 	}
 }
 
-// View is what this sidecar knows, for operators.
+// View is a snapshot of this sidecar's replica, for operators.
 type View struct {
 	Now          time.Duration
 	Self         int
 	Epoch        uint64
 	LastIndex    uint64
-	Leader       int // -1: none is known
+	Leader       int // number of the leading sidecar; -1: unknown
 	Voters       []raftlog.Voter
 	State        policyrollout.State
 	Active       policyrollout.Active
-	ActiveUntil  time.Duration // of Active, unless that is CutOff
-	Laggards     []policyrollout.Laggard
-	LaggardCount int // in all; -1: the leader has not told
+	ActiveUntil  time.Duration           // when Active ends without a further grant; not valid if Active is CutOff
+	Laggards     []policyrollout.Laggard // some or all of the sidecars that a change waits for
+	LaggardCount int                     // all sidecars that a change waits for; -1: no recent answer of the leader
 	Proposals    []Proposal
 }
 
-// View returns the current view.
+// View returns a snapshot of this sidecar's replica.
 func (n *Node) View(now time.Duration) View {
 	v := View{
 		Now:         now,
--- a/internal/fleet/state/corruption_test.go
+++ b/internal/fleet/state/corruption_test.go
@@ -31,7 +31,7 @@
 		entries = append(entries, entry(i+1, 1))
 	}
 	text := bytes.Repeat([]byte("open = 3\n"), 100)
-	if err := errors.Join(s.Begin(5), s.Save(vote(1, 100), entries), s.Text([32]byte{1}, text)); err != nil {
+	if err := errors.Join(s.Begin(5), s.Save(vote(1, 100), entries), s.SaveText([32]byte{1}, text)); err != nil {
 		t.Fatal(err)
 	}
 	s.Close()
--- a/internal/fleet/state/golden_test.go
+++ b/internal/fleet/state/golden_test.go
@@ -19,8 +19,8 @@
 		s.Begin(5),
 		s.Save(vote(1, 0), []*raftpb.Entry{entry(1, 1), entry(2, 1), entry(3, 1)}),
 		s.Save(vote(2, 2), []*raftpb.Entry{entry(2, 2)}),
-		s.Text([32]byte{1}, []byte("open = 3")),
-		s.Text([32]byte{2}, []byte("open = 4")),
+		s.SaveText([32]byte{1}, []byte("open = 3")),
+		s.SaveText([32]byte{2}, []byte("open = 4")),
 	)
 }
 
--- a/internal/fleet/state/state.go
+++ b/internal/fleet/state/state.go
@@ -196,5 +196,5 @@
 	return s.write(c)
 }
 
-// Text stores the text of a policy's version; of too many the oldest is dropped.
-func (s *Store) Text(_ [32]byte, text []byte) error { return s.write(s.contents.withText(text)) }
+// SaveText stores the text of a policy's version; of too many the oldest is dropped.
+func (s *Store) SaveText(_ [32]byte, text []byte) error { return s.write(s.contents.withText(text)) }
--- a/internal/fleet/state/state_test.go
+++ b/internal/fleet/state/state_test.go
@@ -56,7 +56,7 @@
 		s.Begin(5),
 		s.Save(vote(1, 0), []*raftpb.Entry{entry(1, 1), entry(2, 1), entry(3, 1)}),
 		s.Save(vote(2, 2), []*raftpb.Entry{entry(2, 2)}),
-		s.Text([32]byte{1}, []byte("open = 3")),
+		s.SaveText([32]byte{1}, []byte("open = 3")),
 	); err != nil {
 		t.Fatal(err)
 	}
@@ -86,7 +86,7 @@
 func TestTextsAreBounded(t *testing.T) {
 	s := open(t, t.TempDir())
 	for i := range maxTexts + 5 {
-		if err := s.Text([32]byte{byte(i)}, []byte{byte(i)}); err != nil {
+		if err := s.SaveText([32]byte{byte(i)}, []byte{byte(i)}); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -145,7 +145,8 @@
 	if err := os.RemoveAll(dir); err != nil {
 		t.Fatal(err)
 	}
-	if s.Save(vote(2, 1), []*raftpb.Entry{entry(1, 2)}) == nil || s.Begin(9) == nil || s.Text([32]byte{}, nil) == nil {
+	if s.Save(vote(2, 1), []*raftpb.Entry{entry(1, 2)}) == nil || s.Begin(9) == nil ||
+		s.SaveText([32]byte{}, nil) == nil {
 		t.Error("stored in a directory that is gone")
 	}
 	saved, _, err := s.Saved()
--- a/internal/lab/replicatedstatesim/net.go
+++ b/internal/lab/replicatedstatesim/net.go
@@ -72,8 +72,8 @@
 	texts [][]byte
 }
 
-// Text keeps a text.
-func (d *disk) Text(_ [32]byte, text []byte) error {
+// SaveText keeps a text.
+func (d *disk) SaveText(_ [32]byte, text []byte) error {
 	if d.Full {
 		return errors.New("no space left on device")
 	}
@@ -130,7 +130,7 @@
 	cfg := replicatedstate.Config{
 		Size: n.Size, ProcessIncarnation: n.life, Lease: n.Lease, MaxClockError: n.Rate,
 		Rand: rand.New(rand.NewPCG(n.life, n.Rng.Uint64())), Host: m,
-		Check: func(text []byte) error {
+		CheckPolicy: func(text []byte) error {
 			if n.Cannot[[2]int{i, number(text)}] {
 				return errors.New("tenants.x: no such tenant")
 			}
@@ -138,7 +138,7 @@
 		},
 	}
 	if n.Site != nil {
-		cfg.Work, cfg.Deadline = m, n.Site.Deadline
+		cfg.MachineSource, cfg.Deadline = m, n.Site.Deadline
 	}
 	if n.Disks {
 		if m.Disk.Incarnation == 0 {
@@ -209,8 +209,8 @@
 	n.Deliver(&n.Clock, from, to, func() { n.Nodes[to].Arrive(100, take) })
 }
 
-// Changed is called by a node. What stands in the log is counted once.
-func (m *Node) Changed(e replicatedstate.Event) {
+// HandleEvent is called by a node. What stands in the log is counted once.
+func (m *Node) HandleEvent(e replicatedstate.Event) {
 	n := m.net
 	if m.Node == nil {
 		return
@@ -222,7 +222,7 @@
 	case "goes by", "leads":
 		return
 	case "entry":
-		n.Broken = append(n.Broken, e.Why)
+		n.Broken = append(n.Broken, e.Reason)
 	}
 	// Within an entry the view is of before it.
 	if v := m.View(m.Time()); v.LastIndex > n.most[v.Epoch] {
@@ -246,9 +246,9 @@
 			continue
 		}
 		switch goes := m.Node.Active(m.Time()); goes.Mode {
-		case policyrollout.One:
+		case policyrollout.OneVersion:
 			alone[goes.New.Hash], live[goes.New.Hash] = true, true
-		case policyrollout.Both:
+		case policyrollout.BothVersions:
 			live[goes.Old.Hash], live[goes.New.Hash] = true, true
 			n.Both++
 		default:
@@ -287,7 +287,7 @@
 		if first {
 			holds, first = v.State.Current, false
 		}
-		if v.Active != (policyrollout.Active{Mode: policyrollout.One, New: holds}) || v.State.InProgress() != 0 {
+		if v.Active != (policyrollout.Active{Mode: policyrollout.OneVersion, New: holds}) || v.State.InProgress() != 0 {
 			return false
 		}
 	}
--- a/internal/lab/replicatedstatesim/work.go
+++ b/internal/lab/replicatedstatesim/work.go
@@ -113,8 +113,8 @@
 		replicatedstate.LeaseExpiry(s.Deadline, m.net.Rate), st), Rate: 10, InTime: 1}
 }
 
-// Worked is called by a node, for what stands in the log: it is counted once.
-func (m *Node) Worked(e maintenance.Step) {
+// MaintenanceApplied is called by a node, for what stands in the log: it is counted once.
+func (m *Node) MaintenanceApplied(e maintenance.Step) {
 	n, s := m.net, m.net.Site
 	if s == nil || s.last[e] {
 		return
