--- a/cmd/measure/mutants.go
+++ b/cmd/measure/mutants.go
@@ -197,7 +197,7 @@
 	{"voters.go", "b[i], b[8+i] = byte(s.Incarnation>>(8*i)), byte(s.Number>>(8*i))",
 		"b[8+i] = byte(s.Number>>(8*i))", "a vote is a number's, not a process's"},
 	{"receive.go",
-		"case m.Epoch < n.epoch:\n\t\tn.send(from, &Message{}) // tells it of the newer epoch\n\t\treturn",
+		"case m.Epoch < n.epoch:\n\t\tn.send(from, &Message{}) // announces the newer epoch to the sender\n\t\treturn",
 		"case m.Epoch < n.epoch:", "an older epoch's log goes on in the new one"},
 	{"log.go", "if e.Index != n.LastIndex()+1 {\n\t\tif", "if e.Index > n.LastIndex()+1 {\n\t\tif",
 		"an entry is added twice"},
--- a/internal/fleet/raftlog/confirm.go
+++ b/internal/fleet/raftlog/confirm.go
@@ -7,14 +7,15 @@
 	"go.etcd.io/raft/v3"
 )
 
-// Leader returns the leader's number; -1: none is known.
+// Leader returns the number of the sidecar that leads the log, and -1 if no leader is known.
 func (n *Node) Leader() int {
 	lead, _ := n.leader()
 	return lead
 }
 
-// leader returns the number and term of the leader of the latest known term. A process that was a
-// voter earlier may know an old leader from raft.
+// leader returns the number and term of the leader of the latest known term. A process that is no longer a
+// voter may still have an old leader in its raft state, so the leader that other sidecars report is used if
+// its term is later.
 func (n *Node) leader() (number int, term uint64) {
 	if n.raft != nil {
 		if s := n.raft.BasicStatus(); s.Lead != raft.None && s.GetTerm() >= n.reportedTerm {
@@ -29,7 +30,7 @@
 	return n.reportedLeader - 1, n.reportedTerm
 }
 
-// Term returns the voters' current term; 0: this process is no voter.
+// Term returns the current raft term, and 0 if this process has no raft state because it is no voter.
 func (n *Node) Term() uint64 {
 	if n.raft == nil {
 		return 0
@@ -37,17 +38,18 @@
 	return n.raft.BasicStatus().GetTerm()
 }
 
-// LastQuorumAck returns when a majority of the voters last confirmed this process as the leader,
-// and the index that was committed then: a leader of another term was elected after that moment. 0:
-// never.
+// LastQuorumAck returns the send time of the last request by which a majority of the voters confirmed that
+// this process leads, and the commit index at that time. Any leader of a later term was elected after that
+// time. Both are 0 if this process was not confirmed in its term.
 func (n *Node) LastQuorumAck() (at time.Duration, index uint64) {
-	if !n.IsLeader() || n.confirmTerm != n.Term() { // an earlier term's index may be outdated
+	if !n.IsLeader() || n.confirmTerm != n.Term() { // the index of an earlier term may be outdated
 		return 0, 0
 	}
 	return n.lastQuorumAck, n.quorumAckIndex
 }
 
-// requestQuorumAck asks a majority to confirm that this process still leads (ReadIndex).
+// requestQuorumAck asks the voters to confirm that this process still leads, by raft's ReadIndex, once per
+// heartbeat interval.
 func (n *Node) requestQuorumAck(now time.Duration) {
 	if now < n.nextConfirm {
 		return
@@ -58,23 +60,23 @@
 		clear(n.pendingConfirms)
 	}
 	if len(n.pendingConfirms) >= maxPendingConfirms {
-		clear(n.pendingConfirms) // lost on the way
+		clear(n.pendingConfirms) // the requests or their answers were lost
 	}
 	n.confirmSeq++
 	n.pendingConfirms[n.confirmSeq] = now
 	n.raft.ReadIndex(binary.BigEndian.AppendUint64(nil, n.confirmSeq))
 }
 
-// recordQuorumAck records the confirmation of a majority.
+// recordQuorumAck records that a majority of the voters has confirmed a request of requestQuorumAck.
 func (n *Node) recordQuorumAck(s raft.ReadState) {
 	if len(s.RequestCtx) != 8 {
 		return
 	}
 	seq := binary.BigEndian.Uint64(s.RequestCtx)
-	if asked, known := n.pendingConfirms[seq]; known {
+	if requestedAt, known := n.pendingConfirms[seq]; known {
 		delete(n.pendingConfirms, seq)
-		if asked > n.lastQuorumAck {
-			n.lastQuorumAck, n.quorumAckIndex, n.lastLeaderAck = asked, s.Index, asked
+		if requestedAt > n.lastQuorumAck {
+			n.lastQuorumAck, n.quorumAckIndex, n.lastLeaderAck = requestedAt, s.Index, requestedAt
 		}
 	}
 }
--- a/internal/fleet/raftlog/epoch.go
+++ b/internal/fleet/raftlog/epoch.go
@@ -9,9 +9,9 @@
 	"go.etcd.io/raft/v3"
 )
 
-// Bootstrap starts a log under a higher epoch with this process as its first voter; UpdateVoters
-// adds others. Only an operator starts it: an older log ends with it. It returns ErrLogExists while
-// a leader of the current log is heard of.
+// Bootstrap starts a new log under a higher epoch with this process as its first voter; UpdateVoters adds the
+// other voters. Only an operator may start a log, because it ends the previous one. Bootstrap returns
+// ErrLogExists if a majority of the voters has recently confirmed a leader of the current log.
 func (n *Node) Bootstrap(now time.Duration, epoch uint64) error {
 	switch {
 	case n.lastLeaderAck > 0 && now-n.lastLeaderAck < 2*(electionHeartbeats+electionJitter)*n.heartbeat:
@@ -36,7 +36,8 @@
 	return n.storageError
 }
 
-// Restore makes a new node continue with the state that an earlier process of its voter saved.
+// Restore loads into a new node the state that an earlier process of its voter saved. It does nothing if no
+// state was saved.
 func (n *Node) Restore(now time.Duration, s *SavedState) error {
 	if s.Epoch == 0 {
 		return nil
@@ -56,13 +57,15 @@
 	return nil
 }
 
-// StorageError returns why this process, which was a voter, votes no more; nil if nothing failed.
+// StorageError returns the storage failure that permanently stopped this process from voting; nil if there
+// was none.
 func (n *Node) StorageError() error { return n.storageError }
 
-// disableVoting stops this process from voting: it must not send what it could not persist.
+// disableVoting permanently stops this process from voting after a storage failure: a voter must not send
+// messages that depend on state it could not persist.
 func (n *Node) disableVoting(err error) { n.storageError, n.raft, n.raftStorage = err, nil, nil }
 
-// startEpoch abandons the log for that of another epoch, here and in Storage.
+// startEpoch replaces the current log by the empty log of another epoch, in memory and in Storage.
 func (n *Node) startEpoch(now time.Duration, epoch uint64) {
 	n.resetLog(now, epoch)
 	if n.Storage != nil && n.storageError == nil {
@@ -72,7 +75,7 @@
 	}
 }
 
-// resetLog forgets everything about the current log.
+// resetLog discards all state of the current log and sets the epoch of the next log.
 func (n *Node) resetLog(now time.Duration, epoch uint64) {
 	n.epoch, n.log, n.raft, n.raftStorage = epoch, nil, nil, nil
 	n.voters, n.senders = make(map[uint64]Voter), make(map[uint64]int)
@@ -84,7 +87,7 @@
 	n.Host.Reset(epoch)
 }
 
-// startVoting creates the raft instance: from here on this process can vote.
+// startVoting creates the raft instance, after which this process can vote.
 func (n *Node) startVoting(now time.Duration) error {
 	if n.storageError != nil {
 		return n.storageError
@@ -95,8 +98,8 @@
 	var err error
 	n.raft, err = raft.NewRawNode(&raft.Config{
 		ID: n.id,
-		// Elections are timed by this package with the given random source: raft's own is the
-		// system's.
+		// raft's own election timer would use the system's random source, so this package times elections
+		// with Config.Rand and raft's timer never fires.
 		ElectionTick:             1 << 30,
 		HeartbeatTick:            heartbeatTicks,
 		Storage:                  n.raftStorage,
@@ -104,7 +107,8 @@
 		MaxCommittedSizePerReady: math.MaxUint64,
 		MaxInflightMsgs:          8,
 		PreVote:                  true,
-		// A removed leader can commit nothing, and while it is heard of nobody starts an election.
+		// A leader that was removed from the voters can't commit entries, but its heartbeats would prevent
+		// elections.
 		StepDownOnRemoval: true,
 		Logger:            discardLogger{},
 	})
@@ -112,7 +116,7 @@
 	return err
 }
 
-// resetElectionTimeout restarts the election timeout, as a leader was heard of.
+// resetElectionTimeout restarts the election timeout with a new random length.
 func (n *Node) resetElectionTimeout(now time.Duration) {
 	n.electionDeadline = now + electionHeartbeats*n.heartbeat + time.Duration(
 		n.Rand.Int64N(int64(electionJitter*n.heartbeat)),
--- a/internal/fleet/raftlog/epoch_test.go
+++ b/internal/fleet/raftlog/epoch_test.go
@@ -9,18 +9,18 @@
 	"caperarch/internal/lab/raftlogsim"
 )
 
-// A majority of the voters is lost at once: nothing can be agreed on any more, and a new beginning
-// is refused while the log answers, taken when it does not, and yielded to by those of the old one.
-func TestNewBeginning(t *testing.T) {
-	n := founded(t, 5, 3)
+// Guards against commits without a quorum after a majority of the voters was lost at once, against a
+// Bootstrap while the log still has a leader, and against sidecars that keep the log of an older epoch.
+func TestBootstrapAfterLostMajority(t *testing.T) {
+	n := bootstrapped(t, 5, 3)
 	if err := n.Nodes[1].Bootstrap(n.Now, 2); err == nil && !n.Nodes[1].IsVoter() {
-		t.Error("a new beginning while the log answers")
+		t.Error("Bootstrap while the log has a leader succeeded, want an error")
 	}
-	n = founded(t, 5, 3)
+	n = bootstrapped(t, 5, 3)
 	for i := range 3 {
 		n.Crash(i)
 	}
-	n.Partitioned = func(from, to int) bool { return from == 4 || to == 4 } // it stays with the old log for now
+	n.Partitioned = func(from, to int) bool { return from == 4 || to == 4 } // keeps sidecar 4 on the old log for now
 	for i := range 3 {
 		n.Boot(i)
 	}
@@ -29,18 +29,18 @@
 	_ = n.Nodes[3].Propose(n.Now, []byte("lost"))
 	n.Run(10 * time.Second)
 	if len(n.Agreed(1)) != before {
-		t.Error("two of five agreed on something")
+		t.Error("two of five voters committed an entry, want no commit without a quorum")
 	}
 	if err := n.Nodes[0].Bootstrap(n.Now, 1); err == nil {
-		t.Error("the same epoch again")
+		t.Error("Bootstrap with the current epoch succeeded, want an error")
 	}
 	if err := n.Nodes[0].Bootstrap(n.Now, 2); err != nil {
 		t.Fatal(err)
 	}
 	n.Run(10 * time.Second)
 	n.Partitioned = nil
-	if !n.Until(20*time.Second, func() bool { return complete(n) && n.Nodes[4].Epoch() == 2 }) {
-		t.Fatalf("epochs %d and %d", n.Nodes[0].Epoch(), n.Nodes[4].Epoch())
+	if !n.Until(20*time.Second, func() bool { return converged(n) && n.Nodes[4].Epoch() == 2 }) {
+		t.Fatalf("sidecars 0 and 4 have epochs %d and %d after 20 s, want 2", n.Nodes[0].Epoch(), n.Nodes[4].Epoch())
 	}
 	if err := n.Nodes[4].Propose(n.Now, []byte("new")); err != nil {
 		t.Fatal(err)
@@ -48,7 +48,7 @@
 	n.Run(5 * time.Second)
 	all := n.Agreed(2)
 	if len(all) == 0 || all[len(all)-1] != "new" || n.Broken != nil {
-		t.Errorf("%q, %v", all, n.Broken)
+		t.Errorf("entries of epoch 2 are %q, want \"new\" as the last; violations %v", all, n.Broken)
 	}
 	have := n.Nodes[2].LastIndex()
 	n.Nodes[2].Receive(
@@ -59,16 +59,16 @@
 		},
 	)
 	if n.Nodes[2].LastIndex() != have {
-		t.Error("an entry of the old log is in the new one")
+		t.Error("an entry of epoch 1 was added to the log of epoch 2")
 	}
 }
 
-// With disks that last the log outlives a stop of all at once; a voter whose disk fails votes no
-// more, and says why.
-func TestDisks(t *testing.T) {
+// Guards against losing a log with persistent disks when all sidecars stop at once, and against a voter that
+// keeps voting after its disk has failed.
+func TestPersistentDisks(t *testing.T) {
 	n := raftlogsim.New(5, 4)
 	n.NewDisks()
-	foundedOn(t, n, 4)
+	bootstrap(t, n, 4)
 	if err := n.Nodes[3].Propose(n.Now, []byte("kept")); err != nil {
 		t.Fatal(err)
 	}
@@ -80,8 +80,8 @@
 	for i := range n.Nodes {
 		n.Boot(i)
 	}
-	if !n.Until(20*time.Second, func() bool { return complete(n) }) {
-		t.Fatalf("leader %d, epoch %d", n.Leader(), n.Nodes[0].Epoch())
+	if !n.Until(20*time.Second, func() bool { return converged(n) }) {
+		t.Fatalf("leader %d, epoch %d; not converged 20 s after the restart", n.Leader(), n.Nodes[0].Epoch())
 	}
 	if err := n.Nodes[2].Propose(n.Now, []byte("later")); err != nil {
 		t.Fatal(err)
@@ -89,25 +89,29 @@
 	n.Run(2 * time.Second)
 	all := n.Agreed(1)
 	if !slices.Contains(all, "kept") || all[len(all)-1] != "later" || n.Broken != nil {
-		t.Errorf("the log: %q; %v", all, n.Broken)
+		t.Errorf("log entries are %q, want \"kept\" and, as the last, \"later\"; violations %v", all, n.Broken)
 	}
-	lame := n.Leader()
-	n.Disks[lame].Full = true
-	if err := n.Nodes[(lame+1)%5].Propose(n.Now, []byte("beyond")); err != nil {
+	failed := n.Leader()
+	n.Disks[failed].Full = true
+	if err := n.Nodes[(failed+1)%5].Propose(n.Now, []byte("beyond")); err != nil {
 		t.Fatal(err)
 	}
 	n.Run(20 * time.Second)
-	if n.Nodes[lame].StorageError() == nil || n.Nodes[lame].IsVoter() || n.Leader() == lame {
+	if n.Nodes[failed].StorageError() == nil || n.Nodes[failed].IsVoter() || n.Leader() == failed {
 		t.Errorf(
-			"with a full disk: %v, votes %v, leader %d of %d", n.Nodes[lame].StorageError(),
-			n.Nodes[lame].IsVoter(), n.Leader(), lame,
+			"voter with a full disk: error %v, votes %v; leader %d, want another than %d",
+			n.Nodes[failed].StorageError(),
+			n.Nodes[failed].IsVoter(), n.Leader(), failed,
 		)
 	}
 	if all := n.Agreed(1); all[len(all)-1] != "beyond" ||
-		n.Nodes[lame].LastIndex() != n.Nodes[n.Leader()].LastIndex() {
-		t.Errorf("the log: %q, %d entries at the one that votes no more", all, n.Nodes[lame].LastIndex())
+		n.Nodes[failed].LastIndex() != n.Nodes[n.Leader()].LastIndex() {
+		t.Errorf(
+			"log entries are %q, want \"beyond\" as the last; %d entries at the former voter, want all",
+			all, n.Nodes[failed].LastIndex(),
+		)
 	}
-	if err := n.Nodes[lame].Bootstrap(n.Now, 9); err == nil {
-		t.Error("one that can't vote began a log")
+	if err := n.Nodes[failed].Bootstrap(n.Now, 9); err == nil {
+		t.Error("Bootstrap after a storage failure succeeded, want an error")
 	}
 }
--- a/internal/fleet/raftlog/log.go
+++ b/internal/fleet/raftlog/log.go
@@ -22,15 +22,15 @@
 	n.appendEntry(x)
 }
 
-// appendEntries appends committed entries that another sidecar has sent.
+// appendEntries appends committed entries that were received from another sidecar.
 func (n *Node) appendEntries(all []Entry) {
 	for _, e := range all {
 		n.appendEntry(e)
 	}
 }
 
-// appendEntry adds the log's next entry. An entry that is known already is dropped; one that leaves
-// a gap is buffered until the gap is filled.
+// appendEntry appends a committed entry if it is the next one. An entry that the log already contains is
+// dropped. An entry with a later index is buffered until the entries before it have arrived.
 func (n *Node) appendEntry(e Entry) {
 	if e.Index != n.LastIndex()+1 {
 		if e.Index > n.LastIndex() && len(n.buffered) < maxBufferedEntries {
@@ -39,13 +39,13 @@
 		return
 	}
 	n.applyEntry(e)
-	for next, here := n.buffered[n.LastIndex()+1]; here; next, here = n.buffered[n.LastIndex()+1] {
+	for next, found := n.buffered[n.LastIndex()+1]; found; next, found = n.buffered[n.LastIndex()+1] {
 		delete(n.buffered, next.Index)
 		n.applyEntry(next)
 	}
 }
 
-// applyEntry appends the next entry and applies it.
+// applyEntry appends the next entry to the log and applies it.
 func (n *Node) applyEntry(e Entry) {
 	n.log = append(n.log, e)
 	delete(n.buffered, e.Index)
@@ -55,32 +55,34 @@
 	}
 	token, data, ok := decodeEntry(e.Data)
 	if !ok {
-		return // the empty entry with which a leader's term begins
+		return // the empty entry that raft appends at the start of a leader's term
 	}
 	n.loggedTokens[token] = true
-	n.pending = slices.DeleteFunc(n.pending, func(w *pendingProposal) bool { return w.token == token })
+	n.pending = slices.DeleteFunc(n.pending, func(proposal *pendingProposal) bool { return proposal.token == token })
 	n.Host.Applied(Entry{Index: e.Index, Data: data})
 }
 
-// sendEntries answers a sidecar that has the log up to index have with what it lacks.
+// sendEntries sends the entries after the index have to a sidecar that lacks them, at most maxSentEntries. If
+// there are none, the answer is an empty message.
 func (n *Node) sendEntries(to int, have uint64) {
 	if have >= n.LastIndex() {
 		n.send(to, &Message{})
 		return
 	}
-	// Several messages of one entry each, so that a lagging sidecar catches up in one exchange.
+	// Each message holds entriesPerMessage entries; several messages let a lagging sidecar catch up in one
+	// exchange.
 	for i := have; i < min(n.LastIndex(), have+maxSentEntries); i += entriesPerMessage {
 		n.send(to, &Message{Entries: slices.Clone(n.log[i:min(n.LastIndex(), i+entriesPerMessage)])})
 	}
 }
 
-// gossipEntries sends the entries behind index had to some sidecars at random. Each sidecar does so
-// once with what is new to it: nearly all receive it that way within a few messages' time, the rest
-// poll.
+// gossipEntries sends the entries after the index had to pushFanout random sidecars. Each sidecar gossips an
+// entry once, when it receives the entry: nearly all sidecars receive it this way after a few message delays,
+// the others by polling.
 func (n *Node) gossipEntries(had uint64) {
 	if n.Size <= n.VoterCount || n.LastIndex() > had+maxPushedEntries || n.IsLeader() && len(n.voters) > 2 {
-		// All are voters; or the entries are old and this node catches up; or this is the leader,
-		// whose voters gossip the entries.
+		// No gossip is needed if all sidecars are voters, if this node receives old entries because it lags
+		// behind, or if this node is a leader whose voters gossip the entries.
 		return
 	}
 	for range pushFanout {
@@ -91,8 +93,8 @@
 	}
 }
 
-// maxPushedEntries is how many new entries are gossiped at a time.
+// maxPushedEntries is the maximum number of new entries that are gossiped at a time.
 const maxPushedEntries = 4
 
-// maxSentEntries is how many entries one answer sends.
+// maxSentEntries is the maximum number of entries in the answer to a request.
 const maxSentEntries = 8
--- a/internal/fleet/raftlog/logger.go
+++ b/internal/fleet/raftlog/logger.go
@@ -24,17 +24,18 @@
 // Warningf implements raft.Logger.
 func (discardLogger) Warningf(string, ...any) {}
 
-// Fatal implements raft.Logger; raft calls it where it can't go on.
+// Fatal implements raft.Logger. raft calls it when it can't continue.
 func (discardLogger) Fatal(v ...any) { panic(v) }
 
-// Fatalf implements raft.Logger; raft calls it where it can't go on.
+// Fatalf implements raft.Logger. raft calls it when it can't continue.
 func (discardLogger) Fatalf(f string, _ ...any) { panic(f) }
 
-// Panic implements raft.Logger; raft calls it where it can't go on.
+// Panic implements raft.Logger. raft calls it when it can't continue.
 func (discardLogger) Panic(v ...any) { panic(v) }
 
-// Panicf implements raft.Logger; raft calls it where it can't go on.
+// Panicf implements raft.Logger. raft calls it when it can't continue.
 func (discardLogger) Panicf(f string, _ ...any) { panic(f) }
 
-// discardLogger drops raft's log lines: the Host reports what matters.
+// discardLogger is a raft.Logger that drops log lines and panics on fatal errors. The Host logs the relevant
+// events.
 type discardLogger struct{}
--- a/internal/fleet/raftlog/raftlog_test.go
+++ b/internal/fleet/raftlog/raftlog_test.go
@@ -14,30 +14,32 @@
 )
 
 var (
-	seed      = flag.Uint64("seed", 0, "play the history of this seed alone")
-	histories = flag.Int("histories", 150, "how many are played")
+	seed      = flag.Uint64("seed", 0, "run only the history with this seed")
+	histories = flag.Int("histories", 150, "number of histories to run")
 )
 
-// founded is a fleet whose log has all its voters.
-func founded(t *testing.T, size int, seed uint64) *raftlogsim.Net {
+// bootstrapped returns a fleet with a log that has all its voters.
+func bootstrapped(t *testing.T, size int, seed uint64) *raftlogsim.Net {
 	t.Helper()
-	return foundedOn(t, raftlogsim.New(size, seed), seed)
+	return bootstrap(t, raftlogsim.New(size, seed), seed)
 }
 
-func foundedOn(t *testing.T, n *raftlogsim.Net, seed uint64) *raftlogsim.Net {
+// bootstrap starts a log in a fleet, and returns the fleet once the log has all its voters.
+func bootstrap(t *testing.T, n *raftlogsim.Net, seed uint64) *raftlogsim.Net {
 	t.Helper()
 	n.Run(time.Second)
 	if err := n.Nodes[0].Bootstrap(n.Now, 1); err != nil {
 		t.Fatal(err)
 	}
-	if !n.Until(20*time.Second, func() bool { return complete(n) }) {
-		t.Fatalf("seed %d: after 20 s %d seats, leader %d", seed, len(n.Nodes[0].Voters()), n.Leader())
+	if !n.Until(20*time.Second, func() bool { return converged(n) }) {
+		t.Fatalf("seed %d: not converged after 20 s: %d voters, leader %d", seed, len(n.Nodes[0].Voters()), n.Leader())
 	}
 	return n
 }
 
-// complete says whether all that run have the same log with all its voters, which run.
-func complete(n *raftlogsim.Net) bool {
+// converged reports whether all live sidecars have logs of the same length with the full number of voters,
+// and one of them leads.
+func converged(n *raftlogsim.Net) bool {
 	have := uint64(0)
 	for _, m := range n.Nodes {
 		if !m.Lives() {
@@ -53,79 +55,83 @@
 	return n.Leader() >= 0
 }
 
-func TestFoundedAndFollowed(t *testing.T) {
+// Guards against a committed entry that does not reach all sidecars, and against messages that are too long
+// for a datagram.
+func TestEntryReachesAllSidecars(t *testing.T) {
 	for _, size := range []int{1, 2, 3, 5, 9, 30} {
-		n := founded(t, size, uint64(size))
-		heard := 0
+		n := bootstrapped(t, size, uint64(size))
+		applied := 0
 		for _, m := range n.Nodes {
-			m.Heard = func(raftlog.Entry) { heard++ }
+			m.Heard = func(raftlog.Entry) { applied++ }
 		}
 		if err := n.Nodes[size-1].Propose(n.Now, []byte("first")); err != nil {
 			t.Fatal(err)
 		}
-		begun := n.Now
-		if !n.Until(20*time.Second, func() bool { return heard == size }) {
-			t.Fatalf("%d of %d have it", heard, size)
+		start := n.Now
+		if !n.Until(20*time.Second, func() bool { return applied == size }) {
+			t.Fatalf("%d of %d sidecars applied the entry within 20 s", applied, size)
 		}
 		t.Logf(
-			"%d sidecars: known to all after %v, %d messages in all, the longest of some %d bytes",
-			size, n.Now-begun, n.Sent, n.Longest,
+			"%d sidecars: applied by all after %v, %d messages in total, the longest about %d bytes",
+			size, n.Now-start, n.Sent, n.Longest,
 		)
-		if n.Longest > 215 { // of 256, less what stands round it
-			t.Errorf("a message of %d bytes", n.Longest)
+		if n.Longest > 215 { // a datagram of 256 bytes without its envelope
+			t.Errorf("a message has %d bytes, want at most 215", n.Longest)
 		}
 	}
 }
 
-// operation is a sidecar's compare and set: a new value where the last one is as it says.
+// operation is a compare-and-set operation of a sidecar: it sets the register to value if the register holds
+// base.
 type operation struct{ base, value int }
 
-// register is what the log makes of them: of entries in their order, those whose base is the last
-// one's value hold.
+// register models the log as a compare-and-set register: an operation succeeds if the register holds its
+// base.
 var register = porcupine.Model{
 	Init: func() any { return 0 },
 	Step: func(state, in, out any) (bool, any) {
-		op, held := in.(operation), out.(bool)
+		op, succeeded := in.(operation), out.(bool)
 		if state.(int) == op.base {
-			return held, op.value
+			return succeeded, op.value
 		}
-		return !held, state
+		return !succeeded, state
 	},
 	Equal: func(a, b any) bool { return a == b },
 }
 
-// history has a fleet of five to nine live through faults while its sidecars set a register, each
-// by what it has itself; the whole is checked by porcupine.
-func history(t *testing.T, seed uint64) (broken []string, sum sums) {
+// runHistory runs a fleet of five to nine sidecars through random faults while sidecars propose
+// compare-and-set operations based on their local value of the register. porcupine checks that the history is
+// linearizable.
+func runHistory(t *testing.T, seed uint64) (broken []string, sum tally) {
 	size := 5 + int(seed%5)
 	n := raftlogsim.New(size, seed)
-	if seed%3 == 0 { // machines have disks that last
+	if seed%3 == 0 { // the sidecars have persistent disks
 		n.NewDisks()
 	}
-	foundedOn(t, n, seed)
+	bootstrap(t, n, seed)
 	rng := rand.New(rand.NewPCG(seed, 6))
 	value := make([]int, size)
 	var ops []porcupine.Operation
 	last := 0
-	watch := func(i int, mine *operation, done func(held bool)) func(raftlog.Entry) {
+	watch := func(i int, own *operation, done func(succeeded bool)) func(raftlog.Entry) {
 		return func(e raftlog.Entry) {
 			var op operation
 			_, _ = fmt.Sscanf(string(e.Data), "%d %d", &op.base, &op.value)
-			held := op.base == value[i]
-			if held {
+			succeeded := op.base == value[i]
+			if succeeded {
 				value[i] = op.value
 			}
-			if mine != nil && op == *mine {
-				done(held)
-				mine = nil
+			if own != nil && op == *own {
+				done(succeeded)
+				own = nil
 			}
 		}
 	}
 	for i, m := range n.Nodes {
 		m.Heard = watch(i, nil, nil)
 	}
-	// Faults: at most a minority of the voters is lost within the time that it takes to replace
-	// them, else the log is lost by its own promise.
+	// Random faults. If they destroy a majority of the voters before these are replaced, the log is lost,
+	// which its guarantees allow.
 	for range 1 + rng.IntN(5) {
 		at := time.Duration(rng.Int64N(int64(20 * time.Second)))
 		length := time.Duration(rng.Int64N(int64(8 * time.Second)))
@@ -151,9 +157,9 @@
 			n.After(at, func() { n.Crash(i) })
 			n.After(at+length, func() {
 				if !n.Nodes[i].Down {
-					return // another fault's end came first
+					return // the end of another fault has already restarted it
 				}
-				value[i] = 0 // it has forgotten all, and hears the log from its beginning
+				value[i] = 0 // the process starts with no state and applies the log from its beginning
 				n.Boot(i)
 				n.Nodes[i].Heard = watch(i, nil, nil)
 			})
@@ -167,7 +173,7 @@
 				return
 			}
 			last++
-			op := operation{value[i], 100*seed2(seed) + last}
+			op := operation{value[i], 100*valueOffset(seed) + last}
 			if m.Propose(n.Now, fmt.Appendf(nil, "%d %d", op.base, op.value)) != nil {
 				return
 			}
@@ -176,22 +182,22 @@
 				ops,
 				porcupine.Operation{ClientId: k, Input: op, Call: int64(n.Now), Output: true, Return: -1},
 			)
-			m.Heard = watch(i, &op, func(held bool) { ops[at].Output, ops[at].Return = held, int64(n.Now) })
+			m.Heard = watch(i, &op, func(succeeded bool) { ops[at].Output, ops[at].Return = succeeded, int64(n.Now) })
 		})
 	}
 	n.Run(35 * time.Second)
 	n.Partitioned, n.Loss, n.Duplicate, n.MaxDelay = nil, 0, 0, 10*time.Millisecond
-	settled := n.Until(30*time.Second, func() bool { return complete(n) })
-	lost := !settled && n.Lost()
-	if !settled && !lost {
+	hasConverged := n.Until(30*time.Second, func() bool { return converged(n) })
+	lost := !hasConverged && n.Lost()
+	if !hasConverged && !lost {
 		text := ""
 		for i, m := range n.Nodes {
 			text += fmt.Sprintf(
-				" n%d lives %v has %d of epoch %d, leads %v, votes %v, seats %v;", i, m.Lives(),
+				" n%d alive %v, last index %d of epoch %d, leads %v, votes %v, voters %v;", i, m.Lives(),
 				m.LastIndex(), m.Epoch(), m.IsLeader(), m.IsVoter(), m.Voters(),
 			)
 		}
-		broken = append(broken, "30 s after all is well logs or voters differ:"+text)
+		broken = append(broken, "logs or voters differ 30 s after the last fault:"+text)
 	}
 	var known []porcupine.Operation
 	for _, op := range ops {
@@ -199,10 +205,10 @@
 			known = append(known, op)
 		}
 	}
-	// What has not come back may hold at any time, or never: both are tried with porcupine's
-	// partial histories by leaving it open to the end.
+	// An operation without an answer may have taken effect at any time or not at all. Those that the final
+	// log applies are included with an open end.
 	for _, op := range ops {
-		if op.Return < 0 && taken(n, op.Input.(operation)) {
+		if op.Return < 0 && committed(n, op.Input.(operation)) {
 			op.Return, op.Output = int64(n.Now)+1, true
 			known = append(known, op)
 		}
@@ -213,9 +219,9 @@
 	sum.proposed = len(ops)
 	for _, op := range ops {
 		if op.Return >= 0 && op.Output.(bool) {
-			sum.held++
+			sum.succeeded++
 		} else if op.Return >= 0 {
-			sum.refused++
+			sum.rejected++
 		}
 	}
 	if lost {
@@ -224,13 +230,14 @@
 	return append(broken, n.Broken...), sum
 }
 
-// sums say whether histories were worth looking at.
-type sums struct{ proposed, held, refused, lost int }
+// tally counts the outcomes of operations, to check that the histories exercise the log.
+type tally struct{ proposed, succeeded, rejected, lost int }
 
-func seed2(seed uint64) int { return int(seed % 1000) }
+// valueOffset keeps the values of different seeds apart.
+func valueOffset(seed uint64) int { return int(seed % 1000) }
 
-// taken replays the log as the register that it is, and says whether an operation held in it.
-func taken(n *raftlogsim.Net, op operation) bool {
+// committed replays the log on the register model, and reports whether an operation succeeded.
+func committed(n *raftlogsim.Net, op operation) bool {
 	value := 0
 	for _, e := range n.Agreed(1) {
 		var x operation
@@ -243,71 +250,80 @@
 	return false
 }
 
+// Guards against histories that are not linearizable, and against logs that do not converge after the last
+// fault.
 func TestHistories(t *testing.T) {
 	first, last := uint64(1), uint64(*histories)
 	if *seed != 0 {
 		first, last = *seed, *seed
 	}
-	var all sums
+	var all tally
 	for s := first; s <= last; s++ {
-		broken, sum := history(t, s)
+		broken, sum := runHistory(t, s)
 		if broken != nil {
 			t.Fatalf("seed %d: %v", s, broken)
 		}
-		all = sums{all.proposed + sum.proposed, all.held + sum.held, all.refused + sum.refused, all.lost + sum.lost}
+		all = tally{
+			all.proposed + sum.proposed, all.succeeded + sum.succeeded, all.rejected + sum.rejected,
+			all.lost + sum.lost,
+		}
 	}
-	if t.Logf("%+v", all); *seed == 0 && (all.held < *histories || all.refused < *histories/4) {
-		t.Error("hardly anything was agreed on")
+	if t.Logf("%+v", all); *seed == 0 && (all.succeeded < *histories || all.rejected < *histories/4) {
+		t.Error("too few operations succeeded or were rejected to exercise the log")
 	}
 }
 
-// A leader is confirmed within a second and a half, and every second sidecar knows who leads.
-func TestConfirmed(t *testing.T) {
-	n := founded(t, 9, 4)
+// Guards against a leader that is not confirmed within 1.5 s, against sidecars that do not learn who leads,
+// and against confirmations of a leader without a quorum.
+func TestLeaderConfirmation(t *testing.T) {
+	n := bootstrapped(t, 9, 4)
 	n.Run(1500 * time.Millisecond)
 	leader := n.Nodes[n.Leader()]
 	if at, index := leader.LastQuorumAck(); at < n.Now-1500*time.Millisecond || index == 0 {
-		t.Errorf("confirmed %v ago, %d entries", n.Now-at, index)
+		t.Errorf("leader confirmed %v ago at index %d, want at most 1.5 s and an index above 0", n.Now-at, index)
 	}
 	for i, m := range n.Nodes {
 		if m.Leader() != n.Leader() {
-			t.Errorf("n%d takes %d for the leader, it is %d", i, m.Leader(), n.Leader())
+			t.Errorf("n%d reports %d as the leader, want %d", i, m.Leader(), n.Leader())
 		}
 	}
-	lone := n.Leader()
-	n.Partitioned = func(from, to int) bool { return from == lone || to == lone }
+	isolated := n.Leader()
+	n.Partitioned = func(from, to int) bool { return from == isolated || to == isolated }
 	n.Run(10 * time.Second)
 	if at, _ := leader.LastQuorumAck(); n.Now-at < 8*time.Second && at > 0 {
-		t.Errorf("cut off from all for 10 s it was confirmed %v ago", n.Now-at)
+		t.Errorf("a leader without contact for 10 s was confirmed %v ago, want at least 8 s", n.Now-at)
 	}
 }
 
-// One who hears nothing proposes: it stands in the log once, however often it is proposed again.
-func TestProposedAgainStandsOnce(t *testing.T) {
+// Guards against duplicate entries: the proposal of a sidecar that receives nothing is repeated, but must be
+// in the log once.
+func TestRepeatedProposalIsCommittedOnce(t *testing.T) {
 	for _, votes := range []bool{true, false} {
-		proposedAgain(t, votes)
+		checkRepeatedProposal(t, votes)
 	}
 }
 
-func proposedAgain(t *testing.T, votes bool) {
-	n := founded(t, 9, 2)
-	deaf := 0
-	for n.Nodes[deaf].IsVoter() != votes || deaf == n.Leader() {
-		deaf++
+// checkRepeatedProposal cuts off the messages to a sidecar, a voter or not, and has the sidecar propose an
+// entry.
+func checkRepeatedProposal(t *testing.T, votes bool) {
+	n := bootstrapped(t, 9, 2)
+	proposer := 0
+	for n.Nodes[proposer].IsVoter() != votes || proposer == n.Leader() {
+		proposer++
 	}
-	n.Partitioned = func(_, to int) bool { return to == deaf }
+	n.Partitioned = func(_, to int) bool { return to == proposer }
 	before := n.Nodes[n.Leader()].LastIndex()
-	if err := n.Nodes[deaf].Propose(n.Now, []byte("again")); err != nil {
+	if err := n.Nodes[proposer].Propose(n.Now, []byte("again")); err != nil {
 		t.Fatal(err)
 	}
 	n.Run(40 * time.Second)
-	again := 0
+	times := 0
 	for _, e := range n.Agreed(1) {
 		if e == "again" {
-			again++
+			times++
 		}
 	}
-	if grown := n.Nodes[n.Leader()].LastIndex() - before; again != 1 || grown > 8 {
-		t.Errorf("it stands there %d times, the log has grown by %d", again, grown)
+	if grown := n.Nodes[n.Leader()].LastIndex() - before; times != 1 || grown > 8 {
+		t.Errorf("entry committed %d times, want once; the log has grown by %d, want at most 8", times, grown)
 	}
 }
--- a/internal/fleet/raftlog/receive.go
+++ b/internal/fleet/raftlog/receive.go
@@ -8,23 +8,24 @@
 	"go.etcd.io/raft/v3/raftpb"
 )
 
-// Receive handles a message of the sidecar from.
+// Receive handles a message that the sidecar with the number from has sent. A message of a newer epoch
+// replaces the current log.
 func (n *Node) Receive(now time.Duration, from int, m *Message) {
 	switch {
 	case from < 0 || from >= n.Size || from == n.Self.Number || m.Epoch == 0:
 		return
 	case m.Epoch < n.epoch:
-		n.send(from, &Message{}) // tells it of the newer epoch
+		n.send(from, &Message{}) // announces the newer epoch to the sender
 		return
 	case m.Epoch > n.epoch:
 		n.startEpoch(now, m.Epoch)
 	}
 	n.now = now
-	if m.LeaderAge > 0 { // an age, so that sidecars don't keep the information alive among themselves
+	if m.LeaderAge > 0 { // an age, so that sidecars can't keep outdated information alive by repeating it
 		n.lastLeaderAck = max(n.lastLeaderAck, now-m.LeaderAge)
 	}
-	// The later term wins: without it, sidecars passed an old leader around for ever and sent it
-	// reports (100 processes).
+	// Only a leader of a later term replaces the reported leader: otherwise sidecars kept repeating an old
+	// leader to each other and sent it reports (seen with 100 processes).
 	if m.LeaderNumber > 0 && m.LeaderNumber <= n.Size && m.LeaderTerm > n.reportedTerm {
 		n.reportedLeader, n.reportedTerm = m.LeaderNumber, m.LeaderTerm
 	}
@@ -38,7 +39,7 @@
 	}
 	if n.highestIndex = max(n.highestIndex, m.LastIndex); n.highestIndex > n.LastIndex() {
 		n.nextPoll = min(n.nextPoll, now+n.heartbeat/4)
-		if n.LastIndex() > had { // entries are arriving: poll on at once
+		if n.LastIndex() > had { // the received entries were new: poll again immediately
 			n.nextPoll = now
 		}
 	}
@@ -52,10 +53,10 @@
 	n.processReady(now)
 }
 
-// stepRaft passes a voter's message to raft.
+// stepRaft passes a raft message of a voter to the raft instance, which is created if necessary.
 func (n *Node) stepRaft(now time.Duration, from int, m *raftpb.Message) {
 	if m.GetTo() != n.id {
-		return // addressed to the process before this one
+		return // addressed to an earlier process of this sidecar
 	}
 	n.senders[m.GetFrom()], n.heardAt[m.GetFrom()] = from, now
 	if n.raft == nil {
@@ -66,12 +67,12 @@
 	switch m.GetType() {
 	case raftpb.MessageType_MsgHeartbeat, raftpb.MessageType_MsgApp:
 		if m.GetTerm() >= n.raft.BasicStatus().GetTerm() {
-			// This resets the election timeout only. A leader that lost its majority goes on
-			// sending these, and must not keep Bootstrap from beginning anew: when a majority
-			// last confirmed the leader is in LeaderAge.
+			// This resets only the election timeout. A leader that has lost its majority keeps sending these
+			// messages, and they must not block Bootstrap, which depends on the last confirmation by a
+			// majority (LeaderAge).
 			n.resetElectionTimeout(now)
 		}
-	case raftpb.MessageType_MsgProp: // of another voter: drop what is in the log already
+	case raftpb.MessageType_MsgProp: // from another voter: drop proposals that the log already contains
 		m.Entries = slices.DeleteFunc(m.Entries, func(e *raftpb.Entry) bool {
 			token, _, ok := decodeEntry(e.GetData())
 			return ok && e.GetType() == raftpb.EntryType_EntryNormal && n.loggedTokens[token]
@@ -80,10 +81,10 @@
 			return
 		}
 	}
-	_ = n.raft.Step(m) // raft drops what it does not accept
+	_ = n.raft.Step(m) // raft ignores messages that it can't accept
 }
 
-// processReady carries out what raft has decided, in raft's order: persist, send, apply.
+// processReady processes raft's pending output in the order that raft requires: persist, send, apply.
 func (n *Node) processReady(now time.Duration) {
 	for n.raft != nil && n.raft.HasReady() {
 		r := n.raft.Ready()
@@ -116,7 +117,7 @@
 	}
 }
 
-// send adds what this node knows of the log and its leader to a message, and sends it.
+// send adds this node's epoch, last index and known leader to a message, and sends the message.
 func (n *Node) send(to int, m *Message) {
 	if to == n.Self.Number {
 		return
--- a/internal/fleet/raftlog/voters.go
+++ b/internal/fleet/raftlog/voters.go
@@ -12,13 +12,13 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Voter identifies a process that may vote.
+// Voter identifies a process that may vote by its sidecar's number and its own incarnation.
 type Voter struct {
 	Number      int
 	Incarnation uint64
 }
 
-// ID returns the voter's id in raft. It is never 0.
+// ID returns the voter's raft id, a hash of number and incarnation. It is never 0, which raft reserves.
 func (s Voter) ID() uint64 {
 	var b [16]byte
 	for i := range 8 {
@@ -27,13 +27,14 @@
 	return xxhash.Sum64(b[:]) | 1
 }
 
-// IsVoter reports whether this process votes.
+// IsVoter reports whether this process is a voter of the log and can vote.
 func (n *Node) IsVoter() bool {
 	_, votes := n.voters[n.id]
 	return votes && n.raft != nil
 }
 
-// IsLeader reports whether this process is the leader, as far as it knows.
+// IsLeader reports whether this process believes that it leads the log. LastQuorumAck tells when a majority
+// last confirmed it.
 func (n *Node) IsLeader() bool {
 	return n.raft != nil && n.raft.BasicStatus().RaftState == raft.StateLeader
 }
@@ -44,16 +45,17 @@
 }
 
 const (
-	// voterChangeInterval is the least time between two changes of the voters.
+	// voterChangeInterval is the minimum time between two changes of the voters.
 	voterChangeInterval = time.Second
 	// maxVotersAdded bounds how many voters one change adds.
 	maxVotersAdded = 2
-	// contactHeartbeats is for how many heartbeat intervals after its last message a voter is in contact.
+	// contactHeartbeats is the number of heartbeat intervals after its last message for which a voter counts
+	// as in contact.
 	contactHeartbeats = 4
 )
 
-// InContact reports whether a voter is this process, or has sent it a message of the voters' protocol lately.
-// All voters answer their leader once each HeartbeatInterval.
+// InContact reports whether a voter is this process or has sent it a raft message within contactHeartbeats
+// heartbeat intervals. All voters answer their leader once per HeartbeatInterval.
 func (n *Node) InContact(now time.Duration, voter Voter) bool {
 	if voter == n.Self {
 		return true
@@ -62,12 +64,12 @@
 	return heard && now-heardAt <= contactHeartbeats*n.heartbeat
 }
 
-// UpdateVoters has the leader replace voters that are lost for good and fill up their number; on
-// other nodes it does nothing. lost reports whether a voter's process can't take part any more;
-// candidates are the processes that can, the preferred one first.
+// UpdateVoters makes the leader replace permanently lost voters and add voters up to VoterCount; on other
+// nodes it does nothing. lost reports whether a voter's process can't take part any more. candidates are the
+// processes that can vote, in order of preference.
 //
-// The voters stay as they are while too few of the new ones are in contact: a change that left the
-// leader's side of a partition without a quorum could not be taken back there.
+// The voters are not changed while a majority of the new voters is not in contact: if a change left the
+// leader's side of a partition without a quorum, the change could not be undone there.
 func (n *Node) UpdateVoters(now time.Duration, lost func(Voter) bool, candidates []Voter) {
 	if !n.IsLeader() || now < n.nextVoterChange {
 		return
@@ -87,7 +89,8 @@
 	n.proposeVoterChange(now, removed, added)
 }
 
-// chooseNewVoters returns the candidates that fill up the number of voters beside those that are kept.
+// chooseNewVoters returns the candidates to add to the voters that are kept, up to VoterCount and at most
+// maxVotersAdded.
 func (n *Node) chooseNewVoters(kept, candidates []Voter) (added []Voter) {
 	for _, candidate := range candidates {
 		if len(kept)+len(added) >= n.VoterCount || len(added) >= maxVotersAdded {
@@ -102,8 +105,8 @@
 	return added
 }
 
-// hasQuorumInContact reports whether a majority of the voters after a change can take part. Those that are
-// added can: they are candidates.
+// hasQuorumInContact reports whether a majority of the voters after a change can take part. Added voters
+// always count as in contact, because candidates are processes that can take part.
 func (n *Node) hasQuorumInContact(now time.Duration, kept, added []Voter) bool {
 	inContact := len(added)
 	for _, voter := range kept {
@@ -114,9 +117,9 @@
 	return 2*inContact > len(kept)+len(added)
 }
 
-// proposeVoterChange proposes to remove and to add voters. There is one change at a time: raft rejects a second
-// one by appending an empty entry, so that a change that can't commit, proposed with each event, would grow the
-// log by a thousand entries a second.
+// proposeVoterChange proposes to remove and to add voters. Changes are at least voterChangeInterval apart:
+// raft rejects a second change in progress by appending an empty entry, so a change that can't commit and was
+// proposed at every event would grow the log by a thousand entries a second.
 func (n *Node) proposeVoterChange(now time.Duration, removed, added []Voter) {
 	change := &raftpb.ConfChangeV2{Context: encodeVoters(added...)}
 	for _, voter := range removed {
@@ -130,12 +133,13 @@
 	n.processReady(now)
 }
 
+// newVoterChange returns a raft configuration change that adds or removes a voter.
 func newVoterChange(kind raftpb.ConfChangeType, s Voter) *raftpb.ConfChangeSingle {
 	return &raftpb.ConfChangeSingle{Type: &kind, NodeId: proto.Uint64(s.ID())}
 }
 
-// parseVoterChange returns the change of voters that a raft entry holds, in either of raft's
-// encodings; nil if it can't be decoded. isChange reports whether the entry is one at all.
+// parseVoterChange decodes the change of voters in a raft entry, in either of raft's encodings. isChange
+// reports whether the entry is a change of voters; c is nil if the change can't be decoded.
 func parseVoterChange(e *raftpb.Entry) (c *raftpb.ConfChangeV2, isChange bool) {
 	switch e.GetType() {
 	case raftpb.EntryType_EntryConfChange:
@@ -152,10 +156,11 @@
 	return c, true
 }
 
-// applyVoterChange applies a committed change of the voters.
-func (n *Node) applyVoterChange(text []byte) {
+// applyVoterChange applies a committed change of the voters to the set of voters. A change that can't be
+// decoded is ignored.
+func (n *Node) applyVoterChange(raw []byte) {
 	c := new(raftpb.ConfChangeV2)
-	if proto.Unmarshal(text, c) != nil {
+	if proto.Unmarshal(raw, c) != nil {
 		return
 	}
 	joined := decodeVoters(c.GetContext())
@@ -173,7 +178,8 @@
 	}
 }
 
-// encodeVoters encodes the processes of the voters that a change adds.
+// encodeVoters encodes the voters that a change adds, as 4 bytes of number and 8 bytes of incarnation each.
+// raft itself transmits only their ids.
 func encodeVoters(all ...Voter) (raw []byte) {
 	for _, s := range all {
 		raw = binary.BigEndian.AppendUint32(raw, uint32(s.Number))
@@ -190,7 +196,8 @@
 	return all
 }
 
-// voterNumber returns the sidecar's number of a raft id.
+// voterNumber returns the number of the sidecar with a raft id, from the voters or from received messages;
+// false: unknown.
 func (n *Node) voterNumber(id uint64) (int, bool) {
 	if s, votes := n.voters[id]; votes {
 		return s.Number, true
--- a/internal/fleet/raftlog/wire.go
+++ b/internal/fleet/raftlog/wire.go
@@ -10,15 +10,15 @@
 	"caperarch/internal/fleet/raftlog/agreepb"
 )
 
-var errMalformed = errors.New("agree: a message that can't be read")
+var errMalformed = errors.New("raftlog: malformed message of a sidecar")
 
-// Encode returns the message in its wire format (agreepb).
+// Encode returns the message in its wire format, agreepb.Message.
 func (m *Message) Encode() ([]byte, error) {
 	p := &agreepb.Message{
 		Epoch: m.Epoch, Have: m.LastIndex, Lead: uint32(m.LeaderNumber), LeadTerm: m.LeaderTerm,
 		Ask: m.WantEntries, News: m.Gossip, Propose: m.Proposal, Token: m.ProposalToken,
 	}
-	if m.LeaderAge > 0 { // rounded up: it must not seem more recent than it is
+	if m.LeaderAge > 0 { // rounded up, so that the confirmation does not seem more recent than it is
 		p.Age = uint64((m.LeaderAge + time.Millisecond - 1) / time.Millisecond)
 	}
 	for _, e := range m.Entries {
@@ -37,7 +37,8 @@
 	return proto.Marshal(p)
 }
 
-// Decode parses a message in its wire format.
+// Decode parses a message in its wire format. It returns an error if the message is malformed or its leader
+// age or leader number is out of range.
 func Decode(raw []byte) (*Message, error) {
 	p := new(agreepb.Message)
 	if proto.Unmarshal(raw, p) != nil || p.Epoch == 0 || p.Age > maxLeaderAgeMillis || p.Lead > maxFleetSize {
@@ -71,6 +72,6 @@
 }
 
 const (
-	maxLeaderAgeMillis = 1 << 40 // more is invalid
-	maxFleetSize       = 1 << 16
+	maxLeaderAgeMillis = 1 << 40 // larger values are malformed
+	maxFleetSize       = 1 << 16 // bounds the leader's number
 )
