--- a/internal/fleet/policyrollout/diff.go
+++ b/internal/fleet/policyrollout/diff.go
@@ -6,19 +6,19 @@
 	"slices"
 )
 
-// Diff lists what changes from one policy to another, for operators: a line for each field, "+" for
-// a new one, "-" for one that goes, "~" for another value.
+// Diff lists the differences of two policies for operators, one line per field: "+" for a field that only new
+// sets, "-" for a field that only old sets, "~" for a changed value.
 func Diff(old, new *Policy) (lines []string) {
 	was, is := old.fields(), new.fields()
 	names := maps.Clone(was)
 	maps.Copy(names, is)
 	for _, field := range slices.Sorted(maps.Keys(names)) {
-		before, had := was[field]
-		after, has := is[field]
+		before, inOld := was[field]
+		after, inNew := is[field]
 		switch {
-		case !had:
+		case !inOld:
 			lines = append(lines, fmt.Sprintf("+ %s = %s", field, after))
-		case !has:
+		case !inNew:
 			lines = append(lines, fmt.Sprintf("- %s = %s, the settings hold again", field, before))
 		case before != after:
 			lines = append(lines, fmt.Sprintf("~ %s: %s to %s", field, before, after))
@@ -27,7 +27,7 @@
 	return lines
 }
 
-// fields returns all that a policy sets, by field name.
+// fields returns the values that a policy sets, by field name.
 func (p *Policy) fields() map[string]string {
 	all := make(map[string]string)
 	number := func(field string, v *float64) {
--- a/internal/fleet/policyrollout/leader.go
+++ b/internal/fleet/policyrollout/leader.go
@@ -5,61 +5,63 @@
 	"time"
 )
 
-// Leader is the part of the sidecar that leads the log: it grants, and decides when a change goes
-// on. What it knows is of one term: a new leader knows nothing, and waits until no grant of another
-// leader can count any more.
+// Leader is the state of the sidecar that leads the log: it grants reports and decides the next step of a
+// policy change. Its knowledge belongs to one term: a new leader starts without any, and waits until no grant
+// of an earlier leader can be valid any more.
 //
-// It promises that no sidecar applies a new version alone while another applies the old one alone.
-// A version is committed only when each sidecar has told this leader that it applies both, or has
-// no grant that counts. Who applies both never returns to the old one alone, except by an entry
-// that aborts the change; who has no grant applies CutOff, and gets a grant during the change only
-// by telling that it applies both. So what made the decision right stays so until the log has its
-// outcome, however late that comes.
+// Leader guarantees that no sidecar applies a new version alone while another sidecar applies the old version
+// alone. A version is committed only when each sidecar either has reported to this leader that it applies
+// both versions or has no valid grant. A sidecar that applies both versions returns to the old version alone
+// only when an entry aborts the change. A sidecar without a grant applies CutOff, and during the change it
+// gets a grant only by reporting that it applies both versions. The condition for the commit therefore
+// remains true until the log contains the outcome, however late that is.
 type Leader struct {
 	Size             int
-	LeaseExpiry      time.Duration // of a grant: a lease, and the errors of both clocks
-	QuorumAckTimeout time.Duration // a leader that no majority has confirmed for so long grants nothing
+	LeaseExpiry      time.Duration // after which a grant has expired on every clock: a lease plus clock errors
+	QuorumAckTimeout time.Duration // without confirmation by a majority, after which a leader grants nothing
 
-	termStart     time.Duration
-	members       []memberReport
-	changeStart   time.Duration // when the change in progress was first seen; 0: none
-	changeVersion uint32
+	termStart     time.Duration  // when this sidecar became the leader
+	members       []memberReport // by number of the sidecar
+	changeStart   time.Duration  // when this leader first saw the change in progress; 0: none
+	changeVersion uint32         // version of the change that changeStart belongs to
 }
 
-// memberReport is what a leader knows of a sidecar.
+// memberReport is a leader's knowledge of a sidecar.
 type memberReport struct {
-	grantedAt  time.Duration // when it was granted last; 0: never by this leader
-	report     Report
-	received   bool
+	grantedAt  time.Duration // when this leader last granted a report; 0: never
+	report     Report        // the last report
+	received   bool          // a report was received
 	receivedAt time.Duration
 }
 
-// NewLeader returns the leader's part for a term that begins now.
-func NewLeader(now time.Duration, size int, patience, confirm time.Duration) *Leader {
+// NewLeader returns the leader's state for a term that starts now.
+func NewLeader(now time.Duration, size int, leaseExpiry, quorumAckTimeout time.Duration) *Leader {
 	return &Leader{
-		Size: size, LeaseExpiry: patience, QuorumAckTimeout: confirm, termStart: now,
+		Size: size, LeaseExpiry: leaseExpiry, QuorumAckTimeout: quorumAckTimeout, termStart: now,
 		members: make([]memberReport, size),
 	}
 }
 
-// earlierGrantsExpired returns when no grant of an earlier leader can count any more. That leader
-// was last confirmed before this one was elected, granted for QuorumAckTimeout after that at most,
-// by its own clock, and a grant counts from when its report was sent.
+// earlierGrantsExpired returns the time from which no grant of an earlier leader can be valid. That leader
+// was last confirmed before this one was elected and granted reports for at most QuorumAckTimeout after that,
+// by its own clock. A grant is valid from the time its report was sent.
 func (l *Leader) earlierGrantsExpired() time.Duration {
 	return l.termStart + l.LeaseExpiry + l.QuorumAckTimeout + l.QuorumAckTimeout/4
 }
 
-// ReceiveReport records a report, and says whether it is granted. s is what the log makes of the
-// policy here, up to where this leader was confirmed; confirmed is when it was confirmed last.
+// ReceiveReport records a report of the sidecar from, and reports whether the report is granted. confirmed is
+// the time at which a majority of the voters last confirmed this leader. s is the policy state that results
+// from the local log, which must include all entries committed up to that confirmation.
 func (l *Leader) ReceiveReport(now, confirmed time.Duration, from int, r Report, s *State) bool {
 	if from < 0 || from >= l.Size {
 		return false
 	}
 	m := &l.members[from]
-	// An older report that arrives late is dropped: a sidecar that applies both would count as one that
-	// applies the old version alone, which blocks the change.
+	// A report that arrives after a newer one is dropped: otherwise a sidecar that applies both versions
+	// would be recorded as applying the old version alone, which blocks the change.
 	if m.received &&
-		(r.Incarnation < m.report.Incarnation || r.Incarnation == m.report.Incarnation && r.Sequence <= m.report.Sequence) {
+		(r.Incarnation < m.report.Incarnation ||
+			r.Incarnation == m.report.Incarnation && r.Sequence <= m.report.Sequence) {
 		return false
 	}
 	m.report, m.received, m.receivedAt = r, true, now
@@ -67,7 +69,7 @@
 	case now-confirmed >= l.QuorumAckTimeout || !s.Started:
 		return false
 	case s.Pending.Version != 0 && !appliesBoth(r, s):
-		return false // not during the change: it would wait for this sidecar, which may never apply both
+		return false // with a grant, the change would wait for this sidecar, which may never apply both versions
 	case r.Active.Mode == CutOff:
 		return false
 	}
@@ -75,21 +77,22 @@
 	return true
 }
 
+// appliesBoth reports whether the sender of a report applies the current and the pending version.
 func appliesBoth(r Report, s *State) bool {
 	return r.Active == Active{BothVersions, s.Current, s.Pending}
 }
 
-// VoterIncarnation returns the incarnation by which a sidecar last reported to vote, and whether
-// that was within LeaseExpiry.
+// VoterIncarnation returns the voter incarnation in the last report of sidecar i, and whether that report was
+// received within LeaseExpiry.
 func (l *Leader) VoterIncarnation(now time.Duration, i int) (incarnation uint64, recent bool) {
 	m := &l.members[i]
 	return m.report.VoterIncarnation, m.received && now-m.receivedAt < l.LeaseExpiry
 }
 
-// TermStart returns when the term began.
+// TermStart returns the time at which this sidecar became the leader.
 func (l *Leader) TermStart() time.Duration { return l.termStart }
 
-// GrantExpiry returns when no grant of a sidecar can count any more, by this leader's clock.
+// GrantExpiry returns the time, on this leader's clock, from which no grant of sidecar i can be valid.
 func (l *Leader) GrantExpiry(i int) time.Duration {
 	if granted := l.members[i].grantedAt; granted != 0 {
 		return max(l.earlierGrantsExpired(), granted+l.LeaseExpiry)
@@ -97,13 +100,14 @@
 	return l.earlierGrantsExpired()
 }
 
-// hasNoGrant reports whether a sidecar certainly applies CutOff: it has no grant that counts, of
-// this leader or an earlier one.
+// hasNoGrant reports whether sidecar i certainly applies CutOff, because no grant of this or an earlier
+// leader can be valid.
 func (l *Leader) hasNoGrant(now time.Duration, i int) bool {
 	return now >= l.GrantExpiry(i)
 }
 
-// Decide returns what the log needs next; false: nothing now.
+// Decide returns the step that the leader has to propose next, and false if there is none at present. self is
+// the number of the leading sidecar.
 func (l *Leader) Decide(now time.Duration, s *State, self int) (Step, bool) {
 	if !s.Started {
 		return Step{Kind: Started, Sidecar: self}, now >= l.earlierGrantsExpired()
@@ -113,8 +117,8 @@
 	}
 	if s.Pending.Version == 0 {
 		l.changeStart, l.changeVersion = 0, 0
-		// A report from before the outcome may be from before the change, and looks the same (seed
-		// 551).
+		// Only reports sent after the outcome was applied count: after an aborted change, a report from
+		// before the change states the same active version (seed 551).
 		if s.Completing != 0 && l.allGranted(now, func(r Report) bool {
 			return r.LastIndex >= s.OutcomeIndex && r.Active == Active{Mode: OneVersion, New: s.Current}
 		}) {
@@ -125,13 +129,14 @@
 	return l.decidePending(now, s, self)
 }
 
-// decidePending commits the pending change once all sidecars with grants apply both versions, and
-// aborts it if one can't or if it takes too long.
+// decidePending commits the pending change once all sidecars that may have a grant, and a majority of the
+// fleet, apply both versions. It aborts the change if a sidecar can't apply the version or the change times
+// out.
 func (l *Leader) decidePending(now time.Duration, s *State, self int) (Step, bool) {
 	if l.changeVersion != s.Pending.Version {
 		l.changeStart, l.changeVersion = now, s.Pending.Version
 	}
-	if step, no := l.abortIfRejected(now, s.Pending.Version); no {
+	if step, rejected := l.abortIfRejected(now, s.Pending.Version); rejected {
 		return step, true
 	}
 	granted := 0
@@ -153,7 +158,8 @@
 	return Step{}, false
 }
 
-// abortIfRejected aborts a version that somebody heard of recently can't apply.
+// abortIfRejected returns a step that aborts a version if a sidecar has reported within LeaseExpiry that it
+// can't apply the version.
 func (l *Leader) abortIfRejected(now time.Duration, version uint32) (Step, bool) {
 	for i := range l.members {
 		if m := &l.members[i]; m.received && m.report.Rejection != "" && now-m.receivedAt < l.LeaseExpiry {
@@ -163,13 +169,13 @@
 	return Step{}, false
 }
 
-// decideOffered proposes a change once its text is with all who have grants, or with most after a
-// while.
+// decideOffered proposes the offered change once all sidecars that may have a grant have its text, or once
+// offerTimeout has passed and a majority has it. Without a majority the offer is aborted.
 func (l *Leader) decideOffered(now time.Duration, s *State, self int) (Step, bool) {
 	if l.changeVersion != s.Offered.Version {
 		l.changeStart, l.changeVersion = now, s.Offered.Version
 	}
-	if step, no := l.abortIfRejected(now, s.Offered.Version); no {
+	if step, rejected := l.abortIfRejected(now, s.Offered.Version); rejected {
 		return step, true
 	}
 	ready := 0
@@ -178,13 +184,13 @@
 			ready++
 		}
 	}
-	late := now >= max(l.changeStart, l.earlierGrantsExpired())+offerTimeout
+	timedOut := now >= max(l.changeStart, l.earlierGrantsExpired())+offerTimeout
 	switch {
 	case 2*ready > l.Size &&
-		(late || l.allGranted(now, func(r Report) bool { return r.ReadyVersion == s.Offered.Version })):
-		l.changeVersion = 0 // the change's time-out starts with its entry
+		(timedOut || l.allGranted(now, func(r Report) bool { return r.ReadyVersion == s.Offered.Version })):
+		l.changeVersion = 0 // the timeout of the change starts when its entry is applied
 		return Step{Kind: Proposed, Ref: s.Offered, Base: s.Current.Version, Sidecar: s.ProposedBy}, true
-	case late:
+	case timedOut:
 		return Step{
 			Kind: Aborted, Ref: Ref{Version: s.Offered.Version}, Sidecar: self,
 			Reason: fmt.Sprintf("%d of %d had its text in time", ready, l.Size),
@@ -193,14 +199,14 @@
 	return Step{}, false
 }
 
-// offerTimeout is how long the distribution of a text may take.
+// offerTimeout is the time after which the leader stops waiting for sidecars without the text.
 const offerTimeout = time.Minute
 
-// changeTimeoutHalves is how many halves of LeaseExpiry a change may take before it is aborted: two
-// for sidecars that are cut off, and as much again for late texts.
+// changeTimeoutHalves is the time, in halves of LeaseExpiry, after which a pending change is aborted: two
+// halves until the grants of unreachable sidecars have expired, and two more for texts that arrive late.
 const changeTimeoutHalves = 4
 
-// Laggards returns the sidecars that a change waits for, and why.
+// Laggards returns the sidecars that the change in progress waits for, with the reason for each.
 func (l *Leader) Laggards(now time.Duration, s *State) (all []Laggard) {
 	for i := range l.members {
 		m := &l.members[i]
@@ -225,13 +231,13 @@
 	return all
 }
 
-// Laggard is a sidecar that a change waits for.
+// Laggard identifies a sidecar that a change waits for.
 type Laggard struct {
-	Number int
-	Reason string
+	Number int    // of the sidecar
+	Reason string // why the change waits for the sidecar
 }
 
-// allGranted reports whether holds is true of the reports of all sidecars that may have a grant.
+// allGranted reports whether holds returns true for the reports of all sidecars that may have a grant.
 func (l *Leader) allGranted(now time.Duration, holds func(Report) bool) bool {
 	for i := range l.members {
 		if !l.hasNoGrant(now, i) && !(l.members[i].received && holds(l.members[i].report)) {
--- a/internal/fleet/policyrollout/limits.go
+++ b/internal/fleet/policyrollout/limits.go
@@ -8,29 +8,30 @@
 	"slices"
 )
 
-// Limits is a policy with all fields: what a sidecar applies.
+// Limits is a resolved policy, in which all fields are set. Sidecars apply Limits.
 type Limits struct {
-	Share             []float64 // by tenant, fractions
-	Quota             []float64 // by tenant, requests per second over the fleet; math.Inf(1): none
-	Attempts          int
-	Open              int
-	Queue             int
-	RetryFree         float64
-	RetryShare        float64
-	DisabledUpstreams []string // sorted
+	Share             []float64 // by tenant: fraction of the sidecar's requests in flight
+	Quota             []float64 // by tenant: requests per second over the whole fleet; math.Inf(1): no quota
+	Attempts          int       // per request, including the first
+	Open              int       // requests in flight at the same time
+	Queue             int       // the part of these requests that may wait
+	RetryFree         float64   // retries per budget period, independent of the traffic
+	RetryShare        float64   // additional retries per request in the period
+	DisabledUpstreams []string  // sorted ids
 }
 
-// Settings are a sidecar's own settings, by which a policy is resolved.
+// Settings holds a sidecar's own settings, which supply the fields that a policy leaves out.
 type Settings struct {
-	Tenants       map[string]int // number by name
+	Tenants       map[string]int // numbers of the tenants, by name
 	Limits        Limits
-	Max           Limits // what its own memory and descriptors allow: Attempts, Open and Queue; 0: no bound
-	NoRetryBudget bool   // there is no retry budget here that could be changed
+	Max           Limits // Attempts, Open and Queue that the sidecar's memory and descriptors allow; 0: no bound
+	NoRetryBudget bool   // this sidecar has no retry budget that a policy could change
 }
 
-// Resolve fills in from the settings what a policy leaves out. A tenant that the settings don't
-// have, or a bound above what this sidecar supports, can't be applied here: the error names the
-// field.
+// Resolve returns the limits of a policy, with fields that the policy leaves out filled in from the settings.
+// It returns an error that names the field if this sidecar can't apply the policy: because the settings lack
+// a tenant, because a bound exceeds what the sidecar supports, or because the settings lack a retry budget or
+// quotas.
 func (p *Policy) Resolve(s *Settings) (*Limits, error) {
 	l := s.Limits.clone()
 	if err := l.setTenants(p, s); err != nil {
@@ -43,7 +44,8 @@
 		return nil, errors.New("retry: the settings here have no retry budget, and so no span that it could be over")
 	}
 	if s.Limits.quotaCount() == 0 {
-		// Quotas of all tenants add up to the fleet's capacity.
+		// The quotas of all tenants add up to the fleet's capacity, so either all tenants have a quota or
+		// none.
 		if with := l.quotaCount(); with != 0 && with != len(l.Quota) {
 			return nil, fmt.Errorf(
 				"tenants: the settings here have no quotas, the policy has them for %d of %d: all are to have one, or none",
@@ -63,7 +65,7 @@
 	return l, nil
 }
 
-// setTenants sets the shares and quotas of a policy.
+// setTenants sets the shares and quotas that a policy has for its tenants.
 func (l *Limits) setTenants(p *Policy, s *Settings) error {
 	for _, name := range slices.Sorted(maps.Keys(p.Tenants)) {
 		i, known := s.Tenants[name]
@@ -78,12 +80,12 @@
 			l.Quota[i] = *t.Quota
 		}
 	}
-	// Tenants that are not named share the rest, in the proportions of the settings.
+	// the tenants that the policy does not name share the rest in the proportions of the settings
 	l.fitShares(p, s)
 	return nil
 }
 
-// setBounds sets the bounds of a policy.
+// setBounds sets the bounds that a policy has for each sidecar.
 func (l *Limits) setBounds(p *Policy, s *Settings) error {
 	for _, f := range []struct {
 		name string
@@ -106,7 +108,7 @@
 	return nil
 }
 
-// quotaCount returns how many tenants have a quota.
+// quotaCount returns the number of tenants with a quota.
 func (l *Limits) quotaCount() (n int) {
 	for _, q := range l.Quota {
 		if q < noQuota {
@@ -116,8 +118,8 @@
 	return n
 }
 
-// fitShares keeps the sum of all shares at 1 at most: those that the policy does not name are
-// reduced.
+// fitShares reduces the shares of tenants without a share in the policy, so that the sum of all shares is at
+// most 1.
 func (l *Limits) fitShares(p *Policy, s *Settings) {
 	named := make([]bool, len(l.Share))
 	namedSum := 0.0
@@ -142,11 +144,13 @@
 	}
 }
 
+// clone returns a deep copy.
 func (l *Limits) clone() *Limits {
 	c := *l
-	c.Share, c.Quota, c.DisabledUpstreams = slices.Clone(l.Share), slices.Clone(l.Quota), slices.Clone(l.DisabledUpstreams)
+	c.Share, c.Quota, c.DisabledUpstreams =
+		slices.Clone(l.Share), slices.Clone(l.Quota), slices.Clone(l.DisabledUpstreams)
 	return &c
 }
 
-// noQuota is a quota that bounds nothing.
+// noQuota is the quota of a tenant without a limit.
 var noQuota = math.Inf(1)
--- a/internal/fleet/policyrollout/participant.go
+++ b/internal/fleet/policyrollout/participant.go
@@ -4,182 +4,189 @@
 	"time"
 )
 
-// Mode is which versions of the policy a sidecar applies.
+// Mode tells which versions of the policy a sidecar applies.
 type Mode int
 
 // The modes.
 const (
-	CutOff       Mode = iota // the limits that the settings have for a sidecar that may have missed something
+	CutOff       Mode = iota // no version: the fallback limits (cut_off) of the settings apply
 	OneVersion               // one version alone
-	BothVersions             // the stricter of the current version and the pending one
+	BothVersions             // the stricter limits of the current and the pending version
 )
 
-// String returns the mode as logs and operators' output show it.
+// String returns the mode as in log lines and operators' output.
 func (m Mode) String() string { return [...]string{"cut off", "one", "both"}[m] }
 
-// Active is the policy that a sidecar applies at a moment.
+// Active is the policy that a sidecar applies at a given time.
 type Active struct {
 	Mode     Mode
-	Old, New Ref // of Both; of One: New alone
+	Old, New Ref // the versions of BothVersions; in OneVersion only New is set
 }
 
-// Report is what a sidecar reports to the leader.
+// Report is a sidecar's report to the leader.
 type Report struct {
 	Incarnation      uint64        // of its process
-	VoterIncarnation uint64        // by which it votes, or might: its own, or a saved one
+	VoterIncarnation uint64        // of the voter that the process is or can be: its own, or a saved one
 	Sequence         uint32        // grows with each report of a process
-	SentAt           time.Duration // by its own clock: the grant counts from here
-	Active           Active        // what it applies, or would with a grant
-	LastIndex        uint64        // of its log
-	ReadyVersion     uint32        // the offered version, if its text is here and can be applied; 0: none
-	Rejection        string        // why it can't apply the change in progress; "": it can
+	SentAt           time.Duration // send time on the sidecar's clock: a grant is valid from this time
+	Active           Active        // what the sidecar applies, or would apply if it had a grant
+	LastIndex        uint64        // last index of the sidecar's log
+	ReadyVersion     uint32        // the offered version, if the sidecar has its text and can apply it; 0: none
+	Rejection        string        // why the sidecar can't apply the change in progress; "": it can
 }
 
-// Participant is one sidecar's part: what it knows of the log, and its grants. It decides nothing
-// for others. A process that has just started has no grant and applies CutOff. It is not safe for
+// Participant is the state of one sidecar in the rollout: the policy state that results from its log, and its
+// grants. A process that has just started has no grant and applies CutOff. A Participant is not safe for
 // concurrent use.
 type Participant struct {
-	Lease time.Duration
+	Lease time.Duration // validity of a grant, from the time its report was sent
 
 	state           State
-	lastIndex       uint64
-	rejectionReason func(Ref) string // "": the version's text is here and can be applied
-	grants          []grant          // the newest last
-	// the pending version that was last reported as applied with the old one
+	lastIndex       uint64           // last index of the local log
+	rejectionReason func(Ref) string // why a version can't be applied; "": it can
+	grants          []grant          // in the order in which they were received
+	// reportedBoth is the last pending version that this sidecar reported to apply together with the current
+	// one.
 	reportedBoth   Ref
-	reportSequence uint32 // of the last report
-	unreadable     bool   // an entry could not be read, so the current policy is unknown
+	reportSequence uint32 // sequence number of the last report
+	unreadable     bool   // an entry could not be decoded, so the current policy is unknown
 }
 
-// grant is the leader's statement that it counts this sidecar in.
+// grant is the leader's permission for this sidecar to apply the policy of the log for a lease.
 type grant struct {
-	sent  time.Duration // send time of its report
-	index uint64        // up to which the log has to be here
+	sent  time.Duration // send time of the granted report
+	index uint64        // last log index that must be applied before the grant is valid
 }
 
-// NewParticipant returns a participant without grants. whyNotApplicable returns why a version can't
-// be applied here, "" if it can, and Waiting if its text is not here yet.
-func NewParticipant(lease time.Duration, apply func(Ref) string) *Participant {
-	return &Participant{Lease: lease, rejectionReason: apply}
+// NewParticipant returns a participant without grants. checkVersion returns why this sidecar can't apply a
+// version, "" if it can, and TextMissing if it does not have the text yet.
+func NewParticipant(lease time.Duration, checkVersion func(Ref) string) *Participant {
+	return &Participant{Lease: lease, rejectionReason: checkVersion}
 }
 
-// TextMissing is the reason for a text that is not here yet: it may still arrive.
+// TextMissing is the rejection reason for a version whose text this sidecar does not have. It is not
+// permanent, because the text may still arrive.
 const TextMissing = "its text is not here yet"
 
-// ApplyEntry applies the next entry of the log.
-func (h *Participant) ApplyEntry(index uint64, raw []byte) (rejected string, err error) {
-	h.lastIndex = index
-	e, err := DecodeStep(raw)
+// ApplyEntry applies the next entry of the log. rejected tells why a decodable entry has no effect; err, that
+// the entry can't be decoded, after which the sidecar applies CutOff.
+func (pt *Participant) ApplyEntry(index uint64, raw []byte) (rejected string, err error) {
+	pt.lastIndex = index
+	step, err := DecodeStep(raw)
 	if err != nil {
-		h.unreadable = true
+		pt.unreadable = true
 		return "", err
 	}
-	return h.state.Apply(index, e), nil
+	return pt.state.Apply(index, step), nil
 }
 
-// MarkUnreadable records that an entry of another kind could not be read: its meaning may matter.
-func (h *Participant) MarkUnreadable() { h.unreadable = true }
+// MarkUnreadable records that an entry other than a policy step could not be decoded. Because the entry may
+// matter, the sidecar applies CutOff until Reset.
+func (pt *Participant) MarkUnreadable() { pt.unreadable = true }
 
-// AdvanceIndex records that the log is here up to an index, whatever its last entries are about.
-func (h *Participant) AdvanceIndex(index uint64) { h.lastIndex = max(h.lastIndex, index) }
+// AdvanceIndex records the last index of the local log, which may have entries that are not policy steps.
+func (pt *Participant) AdvanceIndex(index uint64) { pt.lastIndex = max(pt.lastIndex, index) }
 
-// Reset forgets everything about the last log.
-func (h *Participant) Reset() {
-	h.state, h.lastIndex, h.grants, h.reportedBoth, h.unreadable = State{}, 0, nil, Ref{}, false
+// Reset discards all state of the previous log.
+func (pt *Participant) Reset() {
+	pt.state, pt.lastIndex, pt.grants, pt.reportedBoth, pt.unreadable = State{}, 0, nil, Ref{}, false
 }
 
-// State returns what the log makes of the policy, as far as it is here.
-func (h *Participant) State() *State { return &h.state }
+// State returns the policy state that results from the local log.
+func (pt *Participant) State() *State { return &pt.state }
 
-// RecordGrant records the leader's grant of a report that was sent at a moment. It counts once the
-// log is here up to index.
-func (h *Participant) RecordGrant(now, sent time.Duration, index uint64) {
-	if sent > now || now-sent >= h.Lease {
+// RecordGrant records the leader's grant of the report that was sent at the time sent. The grant becomes
+// valid once the local log has the entry at index. A grant for a report in the future or older than a lease
+// is ignored.
+func (pt *Participant) RecordGrant(now, sent time.Duration, index uint64) {
+	if sent > now || now-sent >= pt.Lease {
 		return
 	}
-	for _, g := range h.grants {
+	for _, g := range pt.grants {
 		if g.sent >= sent && g.index <= index {
-			return // no later than a grant that is known
+			return // a known grant lasts at least as long and needs no later entry
 		}
 	}
-	h.grants = append(h.grants, grant{sent, index})
-	if len(h.grants) > maxGrants {
-		h.grants = h.grants[1:]
+	pt.grants = append(pt.grants, grant{sent, index})
+	if len(pt.grants) > maxGrants {
+		pt.grants = pt.grants[1:]
 	}
 }
 
-// maxGrants bounds the grants that are kept, as the newest may wait for its entries.
+// maxGrants bounds the number of grants kept. More than one is kept because the newest may need entries that
+// have not arrived yet.
 const maxGrants = 8
 
-// HasGrant reports whether a grant counts now.
-func (h *Participant) HasGrant(now time.Duration) bool {
-	for _, g := range h.grants {
-		if g.index <= h.lastIndex && now-g.sent < h.Lease && now >= g.sent {
+// HasGrant reports whether this sidecar has a valid grant.
+func (pt *Participant) HasGrant(now time.Duration) bool {
+	for _, g := range pt.grants {
+		if g.index <= pt.lastIndex && now-g.sent < pt.Lease && now >= g.sent {
 			return true
 		}
 	}
 	return false
 }
 
-// GrantedUntil returns when this sidecar changes to CutOff if nothing more is received; it is in
-// the past if it is cut off now.
-func (h *Participant) GrantedUntil() (until time.Duration) {
-	for _, g := range h.grants {
-		if g.index <= h.lastIndex {
-			until = max(until, g.sent+h.Lease)
+// GrantedUntil returns the time at which the last grant expires, after which this sidecar applies CutOff. The
+// time is in the past if no grant is valid.
+func (pt *Participant) GrantedUntil() (until time.Duration) {
+	for _, g := range pt.grants {
+		if g.index <= pt.lastIndex {
+			until = max(until, g.sent+pt.Lease)
 		}
 	}
 	return until
 }
 
-// activeIfGranted returns what this sidecar applies if it has a grant.
-func (h *Participant) activeIfGranted() Active {
-	s := &h.state
-	if s.Pending.Version != 0 && h.rejectionReason(s.Pending) == "" && h.rejectionReason(s.Current) == "" {
+// activeIfGranted returns what this sidecar applies while it has a valid grant.
+func (pt *Participant) activeIfGranted() Active {
+	s := &pt.state
+	if s.Pending.Version != 0 && pt.rejectionReason(s.Pending) == "" && pt.rejectionReason(s.Current) == "" {
 		return Active{BothVersions, s.Current, s.Pending}
 	}
-	if s.Pending.Version != 0 && h.reportedBoth == s.Pending {
-		// It was reported to apply both, and others may apply the new version alone by now: a text
-		// that it can't apply any more must not return it to the old version.
+	if s.Pending.Version != 0 && pt.reportedBoth == s.Pending {
+		// This sidecar has reported that it applies both versions, so other sidecars may already apply the
+		// new version alone. If it can't apply the new version any more, it must not return to the old
+		// version alone.
 		return Active{Mode: CutOff}
 	}
 	return Active{Mode: OneVersion, New: s.Current}
 }
 
-// Active returns the policy that this sidecar applies. Ask it wherever something depends on it, at
-// that moment: a process that was stopped finds its grant expired at its first call.
-func (h *Participant) Active(now time.Duration) Active {
-	if h.unreadable || !h.HasGrant(now) || h.rejectionReason(h.state.Current) != "" {
+// Active returns the policy that this sidecar applies at the time now. Callers must not cache the result:
+// after a pause of the process, the first call finds that the grant has expired.
+func (pt *Participant) Active(now time.Duration) Active {
+	if pt.unreadable || !pt.HasGrant(now) || pt.rejectionReason(pt.state.Current) != "" {
 		return Active{Mode: CutOff}
 	}
-	return h.activeIfGranted()
+	return pt.activeIfGranted()
 }
 
-// NextReport returns what the leader is to be told.
-func (h *Participant) NextReport(now time.Duration) Report {
-	h.reportSequence++
-	r := Report{SentAt: now, Sequence: h.reportSequence, Active: h.activeIfGranted(), LastIndex: h.lastIndex}
+// NextReport returns the next report to the leader.
+func (pt *Participant) NextReport(now time.Duration) Report {
+	pt.reportSequence++
+	r := Report{SentAt: now, Sequence: pt.reportSequence, Active: pt.activeIfGranted(), LastIndex: pt.lastIndex}
 	if r.Active.Mode == BothVersions {
-		h.reportedBoth = r.Active.New
+		pt.reportedBoth = r.Active.New
 	}
-	switch why := h.rejectionReason(h.state.Current); {
-	case h.unreadable:
+	switch reason := pt.rejectionReason(pt.state.Current); {
+	case pt.unreadable:
 		r.Rejection = errUnreadableEntry.Error()
-	case why != "":
-		r.Active.Mode = CutOff // it could not apply the current version, granted or not
+	case reason != "":
+		r.Active.Mode = CutOff // the sidecar can't apply the current version, even with a grant
 	}
-	if o := h.state.Offered; o.Version != 0 && r.Rejection == "" {
-		switch why := h.rejectionReason(o); why {
+	if offered := pt.state.Offered; offered.Version != 0 && r.Rejection == "" {
+		switch reason := pt.rejectionReason(offered); reason {
 		case "":
-			r.ReadyVersion = o.Version
+			r.ReadyVersion = offered.Version
 		case TextMissing:
 		default:
-			r.Rejection = why
+			r.Rejection = reason
 		}
 	}
-	if p := h.state.Pending; p.Version != 0 && r.Rejection == "" {
-		if why := h.rejectionReason(p); why != "" && why != TextMissing {
-			r.Rejection = why
+	if pending := pt.state.Pending; pending.Version != 0 && r.Rejection == "" {
+		if reason := pt.rejectionReason(pending); reason != "" && reason != TextMissing {
+			r.Rejection = reason
 		}
 	}
 	return r
--- a/internal/fleet/policyrollout/participant_test.go
+++ b/internal/fleet/policyrollout/participant_test.go
@@ -6,13 +6,15 @@
 )
 
 const (
-	lease    = 3 * time.Second
-	confirm  = 2 * time.Second
-	patience = lease + 100*time.Millisecond
+	lease            = 3 * time.Second
+	quorumAckTimeout = 2 * time.Second
+	leaseExpiry      = lease + 100*time.Millisecond
 )
 
+// ref returns a version whose hash is derived from its number.
 func ref(version uint32) Ref { return Ref{Version: version, Hash: [32]byte{byte(version)}} }
 
+// entry returns the encoded log entry of a step.
 func entry(t *testing.T, s Step) []byte {
 	t.Helper()
 	raw, err := s.Encode()
@@ -22,84 +24,88 @@
 	return raw
 }
 
-// By what a sidecar goes, as grants, entries and texts come and go.
-func TestHolder(t *testing.T) {
-	const begin = time.Hour
-	here := map[uint32]bool{0: true}
-	h := NewParticipant(lease, func(r Ref) string {
-		if here[r.Version] {
+// Checks the policy that a sidecar applies as grants expire, entries arrive and texts appear and disappear.
+func TestParticipantActive(t *testing.T) {
+	const start = time.Hour
+	available := map[uint32]bool{0: true}
+	participant := NewParticipant(lease, func(r Ref) string {
+		if available[r.Version] {
 			return ""
 		}
 		return TextMissing
 	})
 	want := func(now time.Duration, n Active, why string) {
 		t.Helper()
-		if got := h.Active(now); got != n {
-			t.Errorf("%s: %+v, want %+v", why, got, n)
+		if got := participant.Active(now); got != n {
+			t.Errorf("%s: active is %+v, want %+v", why, got, n)
 		}
 	}
-	now := begin
-	want(now, Active{}, "a process that has just begun")
-	h.RecordGrant(now, now-2*time.Second, 0)
+	now := start
+	want(now, Active{}, "a process that has just started")
+	participant.RecordGrant(now, now-2*time.Second, 0)
 	want(now, Active{Mode: OneVersion}, "granted")
-	want(now+999*time.Millisecond, Active{Mode: OneVersion}, "a grant counts from when it was asked for")
-	want(now+time.Second, Active{}, "a lease behind that")
-	h.RecordGrant(now, now-lease, 0)
-	want(now, Active{Mode: OneVersion}, "still the first one")
-	h.RecordGrant(now+time.Second, now+2*time.Second, 0)
-	want(now+time.Second, Active{}, "an answer to what was not asked yet")
+	want(now+999*time.Millisecond, Active{Mode: OneVersion}, "just before a lease after the report was sent")
+	want(now+time.Second, Active{}, "a lease after the report was sent")
+	participant.RecordGrant(now, now-lease, 0)
+	want(now, Active{Mode: OneVersion}, "a grant that has expired on arrival does not replace the first one")
+	participant.RecordGrant(now+time.Second, now+2*time.Second, 0)
+	want(now+time.Second, Active{}, "a grant of a report that was not sent yet")
 
 	now += time.Minute
-	h.RecordGrant(now, now, 3)
-	want(now, Active{}, "the log is not here up to where it has to be")
-	if _, err := h.ApplyEntry(2, entry(t, Step{Kind: Started})); err != nil {
+	participant.RecordGrant(now, now, 3)
+	want(now, Active{}, "a grant up to index 3 with an empty log")
+	if _, err := participant.ApplyEntry(2, entry(t, Step{Kind: Started})); err != nil {
 		t.Fatal(err)
 	}
-	want(now, Active{}, "nor is it yet")
-	if _, err := h.ApplyEntry(3, entry(t, Step{Kind: Proposed, Ref: ref(1), Sidecar: 2})); err != nil {
+	want(now, Active{}, "a grant up to index 3 with the log up to index 2")
+	if _, err := participant.ApplyEntry(3, entry(t, Step{Kind: Proposed, Ref: ref(1), Sidecar: 2})); err != nil {
 		t.Fatal(err)
 	}
-	want(now, Active{Mode: OneVersion}, "its text is not here")
-	if r := h.NextReport(now); r.Active != (Active{Mode: OneVersion}) || r.Rejection != "" || r.LastIndex != 3 {
-		t.Errorf("%+v", r)
-	}
-	here[1] = true
-	want(now, Active{BothVersions, Ref{}, ref(1)}, "a change is under way")
-	here[1] = false
-	want(now, Active{Mode: OneVersion}, "its text is gone again, and nobody was told that it goes by both")
-	here[1] = true
-	if r := h.NextReport(now); r.Active.Mode != BothVersions {
-		t.Errorf("%+v", r)
-	}
-	here[1] = false
-	want(now, Active{}, "its text is gone, but it was told that it goes by both")
-	here[1] = true
-	if _, err := h.ApplyEntry(4, entry(t, Step{Kind: Committed, Ref: ref(1), Sidecar: 2})); err != nil {
+	want(now, Active{Mode: OneVersion}, "a change whose text is missing")
+	if r := participant.NextReport(now); r.Active != (Active{Mode: OneVersion}) ||
+		r.Rejection != "" || r.LastIndex != 3 {
+		t.Errorf("report is %+v, want one version, no rejection and last index 3", r)
+	}
+	available[1] = true
+	want(now, Active{BothVersions, Ref{}, ref(1)}, "a change in progress whose text is present")
+	available[1] = false
+	want(now, Active{Mode: OneVersion}, "the text was lost before a report of both versions")
+	available[1] = true
+	if r := participant.NextReport(now); r.Active.Mode != BothVersions {
+		t.Errorf("report is %+v, want both versions", r)
+	}
+	available[1] = false
+	want(now, Active{}, "the text was lost after a report of both versions")
+	available[1] = true
+	if _, err := participant.ApplyEntry(4, entry(t, Step{Kind: Committed, Ref: ref(1), Sidecar: 2})); err != nil {
 		t.Fatal(err)
 	}
-	want(now, Active{Mode: OneVersion, New: ref(1)}, "it was taken")
-	here[1] = false
-	want(now, Active{}, "the text of what holds is gone")
-	here[1] = true
-	if _, err := h.ApplyEntry(5, []byte{0xff}); err == nil {
-		t.Error("an entry that can't be read was passed over")
+	want(now, Active{Mode: OneVersion, New: ref(1)}, "the change was committed")
+	available[1] = false
+	want(now, Active{}, "the text of the current version was lost")
+	available[1] = true
+	if _, err := participant.ApplyEntry(5, []byte{0xff}); err == nil {
+		t.Error("ApplyEntry of a malformed entry succeeded, want an error")
 	}
-	want(now, Active{}, "it can't know what holds")
-	if r := h.NextReport(now); r.Rejection == "" {
-		t.Errorf("%+v", r)
+	want(now, Active{}, "after an entry that can't be decoded")
+	if r := participant.NextReport(now); r.Rejection == "" {
+		t.Errorf("report is %+v, want a rejection", r)
 	}
-	h.Reset()
-	h.RecordGrant(now, now, 0)
-	want(now, Active{Mode: OneVersion}, "another log")
+	participant.Reset()
+	participant.RecordGrant(now, now, 0)
+	want(now, Active{Mode: OneVersion}, "a grant of a new log")
 }
 
+// Checks which steps State accepts in which order, and the state that results.
 func TestState(t *testing.T) {
 	var s State
 	for i, c := range []struct {
 		step Step
 		ok   bool
 	}{
-		{Step{Kind: Proposed, Ref: ref(1), Sidecar: 1}, false}, {Step{Kind: Started}, true}, {Step{Kind: Started}, false},
+		{Step{Kind: Proposed, Ref: ref(1), Sidecar: 1}, false},
+		{Step{Kind: Started}, true},
+		{Step{Kind: Started}, false},
 		{Step{Kind: Proposed, Ref: ref(2), Sidecar: 1}, false},
 		{Step{Kind: Proposed, Ref: ref(1), Base: 1, Sidecar: 1}, false},
 		{Step{Kind: Committed, Ref: ref(1)}, false},
@@ -118,47 +124,51 @@
 		{Step{Kind: Completed, Ref: ref(2)}, true},
 		{Step{Kind: Proposed, Ref: ref(3), Base: 1, Sidecar: 1}, true},
 	} {
-		if refused := s.Apply(uint64(i+1), c.step); (refused == "") != c.ok {
-			t.Errorf("%d: %v %d: refused %q", i, c.step.Kind, c.step.Version, refused)
+		if rejected := s.Apply(uint64(i+1), c.step); (rejected == "") != c.ok {
+			t.Errorf("step %d, %v of version %d: rejection is %q", i, c.step.Kind, c.step.Version, rejected)
 		}
 	}
 	if s.Current != ref(1) || s.Pending != ref(3) || len(s.History) != 2 ||
 		s.History[1].Outcome != Aborted || s.History[1].Reason != "no such tenant" {
-		t.Errorf("%+v", s)
+		t.Errorf("state is %+v, want current 1, pending 3 and the abort of 2 in the history", s)
 	}
 }
 
-// A change settles by what sidecars report of behind its outcome: what they went by before it looks
-// the same where it was called off.
-func TestSettlesByLaterReports(t *testing.T) {
+// Guards against completing a change by a report that was sent before the change's outcome was applied: after
+// an abort, the report from before the change states the same active version.
+func TestCompletedByReportsAfterOutcome(t *testing.T) {
 	now := time.Hour
-	l := NewLeader(now, 3, patience, confirm)
+	l := NewLeader(now, 3, leaseExpiry, quorumAckTimeout)
 	s := &State{Started: true, LastVersion: 1, Completing: 1, OutcomeIndex: 7}
-	settles := func(have ...uint64) bool {
-		for i, h := range have {
+	completes := func(lastIndexes ...uint64) bool {
+		for i, lastIndex := range lastIndexes {
 			if !l.ReceiveReport(
 				now, now, i,
-				Report{Incarnation: 1, Sequence: uint32(h), LastIndex: h, Active: Active{Mode: OneVersion}},
+				Report{
+					Incarnation: 1, Sequence: uint32(lastIndex), LastIndex: lastIndex,
+					Active: Active{Mode: OneVersion},
+				},
 				s,
 			) {
-				t.Fatal("no grant")
+				t.Fatal("the report was not granted")
 			}
 		}
 		step, ok := l.Decide(now, s, 0)
 		return ok && step.Kind == Completed && step.Version == 1
 	}
-	if settles(7, 7, 6) {
-		t.Error("it settles by a report of before the outcome")
+	if completes(7, 7, 6) {
+		t.Error("the change is completed by a report from before the outcome")
 	}
-	if !settles(8, 9, 7) {
-		t.Error("it does not settle")
+	if !completes(8, 9, 7) {
+		t.Error("the change is not completed although all reports are from after the outcome")
 	}
 }
 
-// A report that was overtaken on the way changes nothing, nor does one of a process that is over.
-func TestOvertaken(t *testing.T) {
+// Guards against grants and records of a report that arrives after a newer report, or that an earlier process
+// of the sidecar has sent.
+func TestOutdatedReportsAreDropped(t *testing.T) {
 	now := time.Hour
-	l := NewLeader(now, 3, patience, confirm)
+	l := NewLeader(now, 3, leaseExpiry, quorumAckTimeout)
 	s := &State{Started: true, Pending: ref(1)}
 	both, one := Active{BothVersions, Ref{}, ref(1)}, Active{Mode: OneVersion}
 	for _, c := range []struct {
@@ -173,27 +183,26 @@
 		{Report{Incarnation: 6, Sequence: 2, Active: both}, true},
 	} {
 		if ok := l.ReceiveReport(now, now, 1, c.r, s); ok != c.ok {
-			t.Errorf("%+v: granted %v", c.r, ok)
+			t.Errorf("report %+v: granted is %v", c.r, ok)
 		}
 	}
-	if late := l.Laggards(now, s); len(late) != 2 || late[0].Number != 0 || late[1].Number != 2 {
-		t.Errorf("behind: %v", late)
+	if laggards := l.Laggards(now, s); len(laggards) != 2 || laggards[0].Number != 0 || laggards[1].Number != 2 {
+		t.Errorf("laggards are %v, want sidecars 0 and 2", laggards)
 	}
 }
 
-// A log that has just begun grants nobody anything and takes no change, until no grant of another
-// log can count any more.
-func TestBegins(t *testing.T) {
+// Guards against a new log that grants reports or starts before all grants of the previous log have expired.
+func TestNewLogWaitsForEarlierGrants(t *testing.T) {
 	now := time.Hour
-	l := NewLeader(now, 1, patience, confirm)
+	l := NewLeader(now, 1, leaseExpiry, quorumAckTimeout)
 	var s State
 	if l.ReceiveReport(now, now, 0, Report{Incarnation: 1, Sequence: 1, Active: Active{Mode: OneVersion}}, &s) {
-		t.Error("a grant")
+		t.Error("a report was granted before the log has started")
 	}
-	if _, due := l.Decide(now+patience+confirm*5/4-1, &s, 0); due {
-		t.Error("begun too early")
+	if _, due := l.Decide(now+leaseExpiry+quorumAckTimeout*5/4-1, &s, 0); due {
+		t.Error("the log starts before the grants of earlier leaders have expired")
 	}
-	if step, due := l.Decide(now+patience+confirm*5/4, &s, 0); !due || step.Kind != Started {
-		t.Errorf("%+v", step)
+	if step, due := l.Decide(now+leaseExpiry+quorumAckTimeout*5/4, &s, 0); !due || step.Kind != Started {
+		t.Errorf("step is %+v, want Started", step)
 	}
 }
--- a/internal/fleet/policyrollout/policy.go
+++ b/internal/fleet/policyrollout/policy.go
@@ -1,13 +1,13 @@
-// Package policyrollout is the policy that the sidecars of a fleet agree on, and how a change of it
-// is rolled out: to all or to none. It owns the policy's text and its resolution, the state that
-// the log's entries make of it (State), each sidecar's part (Participant) and the leader's
-// (Leader). It does no I/O, starts no goroutines and reads no clock; its types are not safe for
-// concurrent use.
+// Package policyrollout implements the policy that the sidecars of a fleet agree on, and the rollout of a
+// policy change to all sidecars or to none. The package owns the policy's text and its resolution against a
+// sidecar's settings, the state that results from the log's entries (State), each sidecar's state
+// (Participant) and the leader's state (Leader). It does no I/O, starts no goroutines and reads no clock. Its
+// types are not safe for concurrent use.
 //
-// A Policy is the operator's text, which may leave fields out; Resolve fills those in from the
-// sidecar's own settings, and Stricter combines two such Limits. Between an old policy and a new
-// one each sidecar applies the stricter of both, field by field, so that no request is let in by
-// one of them alone.
+// A Policy is an operator's text, which may leave fields out. Resolve fills these fields in from the
+// sidecar's own settings and returns Limits; Stricter combines two Limits. During the change from an old
+// policy to a new one, each sidecar applies the stricter of both, field by field, so that every request it
+// admits is admitted by both policies.
 package policyrollout
 
 import (
@@ -24,45 +24,46 @@
 )
 
 const (
-	// MaxTextBytes bounds a policy's text.
+	// MaxTextBytes bounds a policy's text, in bytes.
 	MaxTextBytes = 64 << 10
 
-	maxTenants   = 1000
-	maxOut       = 10_000
-	maxNameBytes = 128
-	maxAttempts  = 100
-	maxQuota     = 1e6
-	maxCount     = 1e6
+	maxTenants   = 1000   // tenants in a policy
+	maxOut       = 10_000 // disabled upstreams in a policy
+	maxNameBytes = 128    // bytes of an upstream's id
+	maxAttempts  = 100    // attempts per request
+	maxQuota     = 1e6    // requests per second
+	maxCount     = 1e6    // requests in flight or waiting, or retries
 )
 
-// Policy is an operator's text. A nil field is not in it: the sidecar's own settings apply.
+// Policy is the decoded text of an operator. A nil field is not in the text: the sidecar's own settings
+// apply.
 type Policy struct {
 	Tenants           map[string]Tenant `toml:"tenants"`
 	Limits            Bounds            `toml:"limits"`
 	Retry             Retry             `toml:"retry"`
-	DisabledUpstreams []string          `toml:"out"` // ids of upstreams that are taken out by hand
+	DisabledUpstreams []string          `toml:"out"` // ids of upstreams that the operator has disabled
 }
 
-// Tenant is the part of a policy about one tenant.
+// Tenant holds a policy's limits of one tenant.
 type Tenant struct {
-	Share *float64 `toml:"share"` // fraction of the requests in flight here; all together at most 1
-	Quota *float64 `toml:"quota"` // requests per second over the fleet
+	Share *float64 `toml:"share"` // fraction of a sidecar's requests in flight; the sum over all tenants is at most 1
+	Quota *float64 `toml:"quota"` // requests per second over the whole fleet
 }
 
-// Bounds limits a sidecar.
+// Bounds holds a policy's limits of each sidecar.
 type Bounds struct {
-	Attempts *int `toml:"attempts"` // per request
-	Open     *int `toml:"open"`     // requests in flight at once
-	Queue    *int `toml:"queue"`    // of these, requests that wait, over all tenants
+	Attempts *int `toml:"attempts"` // attempts per request, including the first
+	Open     *int `toml:"open"`     // requests in flight at the same time
+	Queue    *int `toml:"queue"`    // the part of these requests that may wait, over all tenants
 }
 
-// Retry is the budget of attempts after each request's first.
+// Retry is the budget of retries, which are attempts after the first attempt of a request.
 type Retry struct {
-	Free  *float64 `toml:"free"`  // retries in the settings' span, whatever the traffic
-	Share *float64 `toml:"share"` // and retries per request in it
+	Free  *float64 `toml:"free"`  // retries per budget period of the settings, independent of the traffic
+	Share *float64 `toml:"share"` // additional retries per request in that period
 }
 
-// Parse parses an operator's text. An error names the line or the field.
+// Parse parses and checks an operator's text. An error names the line or the field.
 func Parse(text []byte) (*Policy, error) {
 	switch {
 	case len(text) > MaxTextBytes:
@@ -77,7 +78,7 @@
 	return p, p.check()
 }
 
-// firstInvalid returns the offset at which a text stops being UTF-8.
+// firstInvalid returns the offset of the first byte that is not valid UTF-8.
 func firstInvalid(text []byte) int {
 	for i := 0; i < len(text); {
 		r, size := utf8.DecodeRune(text[i:])
@@ -89,12 +90,13 @@
 	return len(text)
 }
 
-// Hash returns the SHA-256 of a text in hexadecimal, by which the text is known.
+// Hash returns the SHA-256 of a text in hexadecimal, which identifies the text to operators.
 func Hash(text []byte) string {
 	sum := sha256.Sum256(text)
 	return hex.EncodeToString(sum[:])
 }
 
+// check checks all fields of a policy against their bounds.
 func (p *Policy) check() error {
 	if len(p.Tenants) > maxTenants {
 		return fmt.Errorf("tenants: %d of them, %d are possible", len(p.Tenants), maxTenants)
@@ -114,6 +116,7 @@
 	)
 }
 
+// checkTenants checks the shares and quotas of tenants, and that the shares add up to at most 1.
 func (p *Policy) checkTenants() error {
 	sum := 0.0
 	for _, name := range slices.Sorted(maps.Keys(p.Tenants)) {
@@ -135,6 +138,7 @@
 	return nil
 }
 
+// checkOut checks the ids of disabled upstreams.
 func (p *Policy) checkOut() error {
 	seen := make(map[string]bool)
 	for i, id := range p.DisabledUpstreams {
@@ -151,15 +155,15 @@
 	return nil
 }
 
-// checkNumber checks that a field that is set is between least and most.
+// checkNumber checks that a field, if set, is between least and most.
 func checkNumber(field string, v *float64, least, most float64) error {
-	if v != nil && !(*v >= least && *v <= most) { // not a number too
+	if v != nil && !(*v >= least && *v <= most) { // also true for NaN
 		return fmt.Errorf("%s: %v is not within %v and %v", field, *v, least, most)
 	}
 	return nil
 }
 
-// checkCount is checkNumber for whole numbers.
+// checkCount checks that an integer field, if set, is between least and most.
 func checkCount(field string, v *int, least, most int) error {
 	if v != nil && (*v < least || *v > most) {
 		return fmt.Errorf("%s: %d is not within %d and %d", field, *v, least, most)
--- a/internal/fleet/policyrollout/policy_keys_test.go
+++ b/internal/fleet/policyrollout/policy_keys_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// Operators keep files with these keys.
-func TestEveryKeyOfAPolicy(t *testing.T) {
+// Guards against a changed key: operators keep policy files with these keys.
+func TestPolicyKeys(t *testing.T) {
 	got, err := Parse([]byte(`
 out = ["s-1", "s-2"]
 [limits]
@@ -32,6 +32,6 @@
 		Tenants:           map[string]Tenant{"north": {Share: &share, Quota: &quota}},
 	}
 	if !reflect.DeepEqual(got, want) {
-		t.Errorf("read is %+v, want %+v", got, want)
+		t.Errorf("parsed policy is %+v, want %+v", got, want)
 	}
 }
--- a/internal/fleet/policyrollout/policy_test.go
+++ b/internal/fleet/policyrollout/policy_test.go
@@ -20,6 +20,7 @@
 free = 5.0
 `
 
+// settings returns the settings of a sidecar with three tenants.
 func settings() *Settings {
 	return &Settings{
 		Tenants: map[string]int{"north": 0, "south": 1, "west": 2},
@@ -37,6 +38,8 @@
 	}
 }
 
+// Checks that a policy overrides the settings field by field, and that a policy which the sidecar can't apply
+// is rejected with the name of the field.
 func TestResolve(t *testing.T) {
 	p, err := Parse([]byte(text))
 	if err != nil {
@@ -55,35 +58,36 @@
 		DisabledUpstreams: []string{"s-1", "s-5", "s-9"},
 	}
 	if err != nil || !reflect.DeepEqual(got, want) {
-		t.Errorf("%+v, %v; want %+v", got, err, want)
+		t.Errorf("limits are %+v, error %v; want %+v", got, err, want)
 	}
 	if !reflect.DeepEqual(s, settings()) {
-		t.Error("the settings were changed")
+		t.Error("Resolve has changed the settings")
 	}
-	for change, says := range map[string]string{
+	for policyText, wantText := range map[string]string{
 		"[tenants.east]\nshare = 0.1": "tenants.east", "[limits]\nopen = 201": "limits.open",
 	} {
-		p, err := Parse([]byte(change))
+		p, err := Parse([]byte(policyText))
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, err := p.Resolve(settings()); err == nil || !strings.Contains(err.Error(), says) {
-			t.Errorf("%q: %v, want an error that names %s", change, err, says)
+		if _, err := p.Resolve(settings()); err == nil || !strings.Contains(err.Error(), wantText) {
+			t.Errorf("policy %q: error %v, want an error that contains %s", policyText, err, wantText)
 		}
 	}
-	// A tenant that is given more takes it from those that are not named.
+	// a larger share of one tenant reduces the shares of the tenants that the policy does not name
 	p, err = Parse([]byte("[tenants.north]\nshare = 0.9"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if got, err = p.Resolve(settings()); err != nil || math.Abs(got.Share[1]-0.075) > 1e-9 ||
 		math.Abs(got.Share[2]-0.025) > 1e-9 {
-		t.Errorf("%+v, %v", got, err)
+		t.Errorf("limits are %+v, error %v; want shares 0.075 and 0.025 of tenants 1 and 2", got, err)
 	}
 }
 
-func TestBadPolicies(t *testing.T) {
-	for bad, says := range map[string]string{
+// Guards against accepting an invalid policy, and against errors that don't name the field or line.
+func TestInvalidPolicies(t *testing.T) {
+	for invalid, wantText := range map[string]string{
 		"[tenants.north]\nshare = 1.5":                               "tenants.north.share",
 		"[tenants.north]\nshare = 0.7\n[tenants.south]\nshare = 0.7": "add up",
 		"[tenants.north]\nquota = -1.0":                              "tenants.north.quota",
@@ -101,15 +105,16 @@
 		strings.Repeat("#", MaxTextBytes+1):                          "65537 bytes",
 		"[limits]\nattempts = 2\n[limits]\nattempts = 3":             "line 3",
 	} {
-		if p, err := Parse([]byte(bad)); err == nil || !strings.Contains(err.Error(), says) {
-			t.Errorf("%.60q: %+v, %v; want an error that names %s", bad, p, err, says)
+		if p, err := Parse([]byte(invalid)); err == nil || !strings.Contains(err.Error(), wantText) {
+			t.Errorf("policy %.60q: parsed as %+v, error %v; want an error that contains %s", invalid, p, err, wantText)
 		}
 	}
 	if _, err := Parse(nil); err != nil {
-		t.Errorf("an empty policy leaves all to the settings: %v", err)
+		t.Errorf("Parse of an empty policy: %v, want no error", err)
 	}
 }
 
+// drawLimits draws random limits.
 func drawLimits(t *rapid.T, name string) *Limits {
 	n := rapid.IntRange(0, 4).Draw(t, name+" tenants")
 	l := &Limits{
@@ -132,11 +137,11 @@
 	return l
 }
 
-// equal takes what has no figure for what it stands for.
+// equal reports whether two limits admit the same requests: a missing share or quota equals its default.
 func equal(a, b *Limits) bool { return len(Looser(a, b)) == 0 && len(Looser(b, a)) == 0 }
 
-// Stricter is idempotent, commutative and associative, never looser than either, and no stricter
-// than it has to be.
+// Checks that Stricter is a meet: idempotent, commutative, associative, never looser than either argument,
+// and no stricter than necessary.
 func TestStricterIsAMeet(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b, c := drawLimits(t, "a"), drawLimits(t, "b"), drawLimits(t, "c")
@@ -149,44 +154,55 @@
 		case !equal(Stricter(ab, c), Stricter(a, Stricter(b, c))):
 			t.Fatal("not associative")
 		case Looser(ab, a) != nil || Looser(ab, b) != nil:
-			t.Fatalf("looser than one of both: %v, %v", Looser(ab, a), Looser(ab, b))
+			t.Fatalf("Stricter is looser than an argument: %v, %v", Looser(ab, a), Looser(ab, b))
 		case Looser(c, a) == nil && Looser(c, b) == nil && Looser(c, ab) != nil:
-			t.Fatalf("what keeps to both is looser than it: %v", Looser(c, ab))
+			t.Fatalf("limits that are as strict as both arguments are looser than Stricter: %v", Looser(c, ab))
 		}
 	})
 }
 
+// Checks the lines that operators see for added, removed and changed fields.
 func TestDiff(t *testing.T) {
 	old, err := Parse([]byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
-	new, err := Parse(
-		[]byte(
-			"out = [\"s-1\"]\n[tenants.north]\nshare = 0.4\n[tenants.south]\nshare = 0.2\n[limits]\nattempts = 2\n[retry]\nfree = 5.0\n",
-		),
-	)
+	new, err := Parse([]byte(`out = ["s-1"]
+[tenants.north]
+share = 0.4
+[tenants.south]
+share = 0.2
+[limits]
+attempts = 2
+[retry]
+free = 5.0
+`))
 	if err != nil {
 		t.Fatal(err)
 	}
 	want := []string{
-		"- out s-9 = out, the settings hold again", "- tenants.north.quota = 80, the settings hold again", "~ tenants.north.share: 0.5 to 0.4", "+ tenants.south.share = 0.2",
+		"- out s-9 = out, the settings hold again",
+		"- tenants.north.quota = 80, the settings hold again",
+		"~ tenants.north.share: 0.5 to 0.4",
+		"+ tenants.south.share = 0.2",
 	}
 	if got := Diff(old, new); !slices.Equal(got, want) {
-		t.Errorf("%q", got)
+		t.Errorf("unexpected Diff lines: %q", got)
 	}
 	if got := Diff(old, old); got != nil {
-		t.Errorf("of one: %q", got)
+		t.Errorf("lines for equal policies are %q, want none", got)
 	}
 }
 
+// Guards against panics, against errors without a text, and against limits whose shares add up to more than
+// 1.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(text))
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		p, err := Parse(raw)
 		if err != nil {
 			if strings.TrimSpace(err.Error()) == "" {
-				t.Fatal("an error without a word")
+				t.Fatal("Parse returned an error without a text")
 			}
 			return
 		}
@@ -196,13 +212,14 @@
 				sum += v
 			}
 			if sum > 1+1e-6 || !equal(Stricter(l, l), l) {
-				t.Fatalf("%+v", l)
+				t.Fatalf("limits are %+v, want a sum of shares of at most 1 and Stricter(l, l) equal to l", l)
 			}
 		}
 	})
 }
 
-// What stands in a log is read as it was written, or not at all.
+// Guards against a step that changes when it is decoded, encoded and decoded again, and against panics of
+// Apply.
 func FuzzStep(f *testing.F) {
 	for _, s := range []Step{
 		{Kind: Started}, {Kind: Proposed, Ref: Ref{Version: 3}, Base: 2, Sidecar: 7},
@@ -222,10 +239,10 @@
 		}
 		again, err := s.Encode()
 		if err != nil {
-			t.Fatalf("%+v can't be written: %v", s, err)
+			t.Fatalf("decoded step %+v can't be encoded: %v", s, err)
 		}
 		if x, err := DecodeStep(again); err != nil || x.Kind != s.Kind || x.Ref != s.Ref || x.Sidecar != s.Sidecar {
-			t.Fatalf("%+v became %+v, %v", s, x, err)
+			t.Fatalf("step %+v became %+v after encoding and decoding, error %v", s, x, err)
 		}
 		var state State
 		for i := range uint64(3) {
--- a/internal/fleet/policyrollout/state.go
+++ b/internal/fleet/policyrollout/state.go
@@ -14,22 +14,22 @@
 // Kind is the kind of an entry of the log.
 type Kind uint32
 
-// The kinds of entries. A change is proposed, then committed or aborted, and completed once nobody
-// applies the policy before it. Started comes first, once no grant of an earlier log can count any
-// more: when an operator bootstraps a new log, nobody may apply its policy while others still apply
-// the last log's.
+// The kinds of entries. A change is proposed, then committed or aborted, and completed once no sidecar
+// applies the previous policy any more. The first entry is Started, which the leader proposes when no grant
+// of an earlier log can be valid: after an operator has bootstrapped a new log, no sidecar may apply the new
+// log's policy while others still apply the previous log's.
 const (
 	Proposed Kind = iota + 1
 	Committed
 	Aborted
 	Completed
 	Started
-	// Offered announces a long text: the change to it is proposed once the text is distributed, so
-	// that nobody is cut off for lack of it.
+	// Offered announces a long text. The change to that text is proposed once the text is distributed, so
+	// that no sidecar changes to CutOff because it lacks the text.
 	Offered
 )
 
-// String returns the kind as logs and operators' output show it.
+// String returns the kind as in log lines and operators' output.
 func (k Kind) String() string {
 	if k < Proposed || k > Offered {
 		return "unknown"
@@ -37,28 +37,28 @@
 	return [...]string{"proposed", "taken", "called off", "settled", "begun", "offered"}[k-1]
 }
 
-// Ref identifies a version of the policy by its number and its text's hash. The zero Ref is the
-// policy before any was agreed on: the settings.
+// Ref identifies a version of the policy by its number and the SHA-256 of its text. The zero Ref stands for
+// the sidecars' own settings, which apply before the first change is committed.
 type Ref struct {
 	Version uint32
 	Hash    [sha256.Size]byte
 }
 
-// Step is an entry of the log.
+// Step is a log entry about a policy change.
 type Step struct {
 	Kind Kind
 	Ref
-	Base    uint32 // of Proposed and Offered: the version that it was made from
-	Sidecar int
-	Reason  string // of Aborted
+	Base    uint32 // of Proposed and Offered: the version that the text was edited from
+	Sidecar int    // number of the sidecar that proposed the step, or whose rejection aborted the change
+	Reason  string // of Aborted: why the change is aborted
 }
 
 const (
-	maxReasonBytes = 32 // of Step.Why: an entry has 96
-	maxHistory     = 64
+	maxReasonBytes = 32 // of Step.Reason: a log entry has room for 96 bytes
+	maxHistory     = 64 // past changes in State
 )
 
-// Encode returns the step as an entry of the log.
+// Encode encodes the step as the data of a log entry.
 func (s Step) Encode() ([]byte, error) {
 	p := &policypb.Step{
 		Kind: uint32(s.Kind), Version: s.Version, Base: s.Base, By: uint32(s.Sidecar) + 1,
@@ -70,9 +70,11 @@
 	return proto.Marshal(p)
 }
 
+// errUnreadableEntry is reported to the leader as a rejection, so its text is part of the protocol.
 var errUnreadableEntry = errors.New("an entry that can't be read: of a newer version of the program, maybe")
 
-// DecodeStep parses an entry. What can't be understood is an error: it must not be ignored.
+// DecodeStep parses the data of a log entry. An entry that it does not understand is an error, because
+// ignoring the entry could make sidecars apply different policies.
 func DecodeStep(raw []byte) (s Step, err error) {
 	p := new(policypb.Step)
 	if proto.Unmarshal(raw, p) != nil || p.Kind < uint32(Proposed) || p.Kind > uint32(Offered) ||
@@ -89,30 +91,31 @@
 	return s, nil
 }
 
-// PastChange is a change that has its outcome.
+// PastChange is a change that was committed or aborted.
 type PastChange struct {
 	Ref
-	ProposedBy int
-	Outcome    Kind // Committed or Aborted
-	EndedBy    int  // who proposed the outcome, or can't apply the version
-	Reason     string
+	ProposedBy int    // sidecar that proposed the change
+	Outcome    Kind   // Committed or Aborted
+	EndedBy    int    // sidecar that proposed the outcome, or that can't apply the version
+	Reason     string // of Aborted: why the change was aborted
 }
 
-// State is what the log makes of the policy: the same at all sidecars that have the same entries.
+// State is the policy state that results from the log's entries. Sidecars that have applied the same entries
+// have the same State.
 type State struct {
-	Started      bool
-	Current      Ref
-	Offered      Ref          // its text is being distributed; Version 0: none
-	Pending      Ref          // its change is in progress; Version 0: none
-	ProposedBy   int          // of Offered or Pending
+	Started      bool         // the Started entry was applied
+	Current      Ref          // the last committed version
+	Offered      Ref          // version whose text is being distributed; Version 0: none
+	Pending      Ref          // version whose change is in progress; Version 0: none
+	ProposedBy   int          // sidecar that proposed Offered or Pending
 	LastVersion  uint32       // the highest version so far
-	Completing   uint32       // has its outcome, but some may still apply the policy before; 0: none
+	Completing   uint32       // version that has its outcome, but is not completed; 0: none
 	OutcomeIndex uint64       // log index of the outcome of Completing
-	History      []PastChange // the last maxHistory
+	History      []PastChange // the last maxHistory changes, the newest last
 }
 
-// Apply applies the next entry, by its index. rejected says why it changes nothing, so that the
-// second of two concurrent proposals learns so.
+// Apply applies the step of the log entry at an index. rejected tells why the step has no effect, "" if it
+// has one; the second of two concurrent proposals is rejected this way.
 func (s *State) Apply(index uint64, e Step) (rejected string) {
 	switch e.Kind {
 	case Started:
@@ -138,7 +141,7 @@
 			s.Pending, s.Offered = e.Ref, Ref{}
 		}
 	case Committed, Aborted:
-		if e.Kind == Aborted && e.Version == s.Offered.Version && e.Version != 0 { // nobody has applied it
+		if e.Kind == Aborted && e.Version == s.Offered.Version && e.Version != 0 { // no sidecar applies it yet
 			s.addHistory(s.Offered, e)
 			s.Offered = Ref{}
 			return ""
@@ -160,12 +163,12 @@
 	return ""
 }
 
-// addHistory records what became of a version.
+// addHistory records the outcome of a version.
 func (s *State) addHistory(r Ref, e Step) {
 	s.History = append(s.History, PastChange{r, s.ProposedBy, e.Kind, e.Sidecar, e.Reason})
 	s.History = s.History[max(0, len(s.History)-maxHistory):]
 }
 
-// InProgress returns the version whose change is in progress or not completed; 0: none, so another
+// InProgress returns the version that is offered, pending or not completed; 0: there is none, and a change
 // may be proposed.
 func (s *State) InProgress() uint32 { return max(s.Offered.Version, s.Pending.Version, s.Completing) }
