--- a/cmd/measure/mutants.go
+++ b/cmd/measure/mutants.go
@@ -231,7 +231,7 @@
 	{"change.go", "if n.Active(now).Mode == policyrollout.CutOff {", "if false {",
 		"one that is cut off begins a change"},
 	{"change.go", "case base != s.Current.Version:", "case false:", "a proposal on an old base is begun"},
-	{"change.go", "if x.chunkCount() > maxPushedChunks {", "if false {", "a long text does not go round first"},
+	{"change.go", "if stored.chunkCount() > maxPushedChunks {", "if false {", "a long text does not go round first"},
 	{"texts.go", "shortHash(sum) != x.id", "shortHash(sum) != x.id && false",
 		"a text that was spoilt on the way is taken"},
 	{"maintenance.go", "p.Clear, p.Rate, p.Served = r.ClearUpTo,",
--- a/internal/fleet/raftlog/log.go
+++ b/internal/fleet/raftlog/log.go
@@ -9,17 +9,17 @@
 
 // commitEntry appends an entry that raft has committed.
 func (n *Node) commitEntry(e *raftpb.Entry) {
-	c, isChange := parseVoterChange(e)
+	change, isChange := parseVoterChange(e)
 	if !isChange {
 		n.appendEntry(Entry{Index: e.GetIndex(), Data: e.GetData()})
 		return
 	}
-	x := Entry{Index: e.GetIndex(), isVoterChange: true}
-	if c != nil {
-		n.raft.ApplyConfChange(c)
-		x.voterChange, _ = proto.Marshal(c)
+	entry := Entry{Index: e.GetIndex(), isVoterChange: true}
+	if change != nil {
+		n.raft.ApplyConfChange(change)
+		entry.voterChange, _ = proto.Marshal(change)
 	}
-	n.appendEntry(x)
+	n.appendEntry(entry)
 }
 
 // appendEntries appends committed entries that were received from another sidecar.
--- a/internal/fleet/replicatedstate/change.go
+++ b/internal/fleet/replicatedstate/change.go
@@ -57,24 +57,24 @@
 		)
 	}
 	s := n.participant.State()
-	x := n.texts.add(slices.Clone(raw), n.neededTexts()...)
-	ref := policyrollout.Ref{Version: s.LastVersion + 1, Hash: x.hash}
+	stored := n.texts.add(slices.Clone(raw), n.neededTexts()...)
+	ref := policyrollout.Ref{Version: s.LastVersion + 1, Hash: stored.hash}
 	switch {
-	case x.rejection != "":
-		return policyrollout.Ref{}, errors.New(x.rejection)
+	case stored.rejection != "":
+		return policyrollout.Ref{}, errors.New(stored.rejection)
 	case s.Current.Version != 0 && s.Current.Hash == ref.Hash:
 		return policyrollout.Ref{}, errAlreadyCurrent
 	}
 	kind := policyrollout.Proposed
-	if x.chunkCount() > maxPushedChunks { // too long to push: distribute the text before the change
+	if stored.chunkCount() > maxPushedChunks { // too long to push: distribute the text before the change
 		kind = policyrollout.Offered
 	}
 	entry, err := policyrollout.Step{Kind: kind, Ref: ref, Base: base, Sidecar: n.Self.Number}.Encode()
 	if err != nil {
 		return policyrollout.Ref{}, err
 	}
-	n.pushText(x) // before the entry, so that most sidecars have the text when they receive the entry
-	n.sendText(n.log.Leader(), x)
+	n.pushText(stored) // before the entry, so that most sidecars have the text when they receive the entry
+	n.sendText(n.log.Leader(), stored)
 	if err := n.log.Propose(now, entry); err != nil {
 		return policyrollout.Ref{}, err
 	}
@@ -100,8 +100,8 @@
 			s.Current.Version,
 		)
 	}
-	for _, m := range n.proposals {
-		if m.Outcome == "" && now-m.At < proposalTimeout {
+	for _, proposal := range n.proposals {
+		if proposal.Outcome == "" && now-proposal.At < proposalTimeout {
 			return errProposalPending
 		}
 	}
--- a/internal/fleet/replicatedstate/exchange.go
+++ b/internal/fleet/replicatedstate/exchange.go
@@ -17,8 +17,8 @@
 			all = append(all, r.Hash)
 		}
 	}
-	for _, w := range n.maintenance.state.Plans {
-		all = append(all, w.Hash)
+	for _, plan := range n.maintenance.state.Plans {
+		all = append(all, plan.Hash)
 	}
 	return all
 }
@@ -45,10 +45,10 @@
 // handleText answers a request for chunks of a text, and stores a received chunk.
 func (n *Node) handleText(now time.Duration, from int, m *accordpb.Message) {
 	if len(m.Want) == sha256.Size {
-		if x := n.texts.find(hash(m.Want)); x != nil {
+		if stored := n.texts.find(hash(m.Want)); stored != nil {
 			for _, i := range m.Pieces[:min(len(m.Pieces), maxWantedChunks)] {
-				if int(i) < x.chunkCount() {
-					n.send(from, &accordpb.Message{Piece: x.chunk(int(i))})
+				if int(i) < stored.chunkCount() {
+					n.send(from, &accordpb.Message{Piece: stored.chunk(int(i))})
 				}
 			}
 		}
@@ -65,20 +65,20 @@
 
 // pushText sends a text that this sidecar has just received or created to pushFanout random sidecars, if the
 // text is short.
-func (n *Node) pushText(x *text) {
+func (n *Node) pushText(stored *text) {
 	if n.Size < 2 {
 		return
 	}
 	for range pushFanout {
-		n.sendText(n.randomPeer(), x)
+		n.sendText(n.randomPeer(), stored)
 	}
 }
 
 // sendText sends a text of at most maxPushedChunks chunks to a sidecar.
-func (n *Node) sendText(to int, x *text) {
-	for i := range x.chunkCount() {
-		if x.chunkCount() <= maxPushedChunks {
-			n.send(to, &accordpb.Message{Piece: x.chunk(i)})
+func (n *Node) sendText(to int, stored *text) {
+	for i := range stored.chunkCount() {
+		if stored.chunkCount() <= maxPushedChunks {
+			n.send(to, &accordpb.Message{Piece: stored.chunk(i)})
 		}
 	}
 }
--- a/internal/fleet/replicatedstate/maintenance.go
+++ b/internal/fleet/replicatedstate/maintenance.go
@@ -94,8 +94,8 @@
 		return
 	}
 	// looked up before the step is applied, because the step may end the window
-	if t := n.maintenance.state.Window(s.Number); s.Kind.OfWindow() && t != nil {
-		s.Machine = t.Machine
+	if window := n.maintenance.state.Window(s.Number); s.Kind.OfWindow() && window != nil {
+		s.Machine = window.Machine
 	}
 	if rejected := n.maintenance.state.Apply(s); rejected == "" {
 		n.Host.MaintenanceApplied(s)
@@ -104,13 +104,13 @@
 
 // leadMaintenance proposes the next maintenance decision, if this sidecar leads and maintenance is active.
 func (n *Node) leadMaintenance(now time.Duration) {
-	w := &n.maintenance
+	maint := &n.maintenance
 	if n.leader == nil || n.MachineSource == nil || !n.maintenanceActive() {
-		w.leader = nil
+		maint.leader = nil
 		return
 	}
-	if w.leader == nil || w.leader.Term != n.term {
-		w.leader, w.reports = maintenance.NewLeader(n.term, n.Self.Number), maintenance.Reports{
+	if maint.leader == nil || maint.leader.Term != n.term {
+		maint.leader, maint.reports = maintenance.NewLeader(n.term, n.Self.Number), maintenance.Reports{
 			Size: n.Size, Deadline: LeaseExpiry(n.Deadline, n.MaxClockError),
 		}
 	}
@@ -119,11 +119,11 @@
 		n.log.LastIndex() < index {
 		return
 	}
-	step, due := w.leader.Decide(n.fleetSnapshot(now), &w.state)
-	if !due || step == w.lastDecision && now < w.decidedAt+decisionRetry {
+	step, due := maint.leader.Decide(n.fleetSnapshot(now), &maint.state)
+	if !due || step == maint.lastDecision && now < maint.decidedAt+decisionRetry {
 		return
 	}
-	w.lastDecision, w.decidedAt = step, now
+	maint.lastDecision, maint.decidedAt = step, now
 	if raw, err := encodeMaintenanceStep(step); err == nil {
 		_ = n.log.Propose(now, raw)
 	}
--- a/internal/fleet/replicatedstate/maintenance_operate.go
+++ b/internal/fleet/replicatedstate/maintenance_operate.go
@@ -29,16 +29,16 @@
 	if !n.logStarted(now) {
 		return 0, ErrNoContact
 	}
-	x := n.texts.add(slices.Clone(raw), n.neededTexts()...)
+	stored := n.texts.add(slices.Clone(raw), n.neededTexts()...)
 	step := maintenance.Step{
-		Kind: maintenance.Planned, Number: n.maintenance.state.LastPlan + 1, Hash: x.hash,
+		Kind: maintenance.Planned, Number: n.maintenance.state.LastPlan + 1, Hash: stored.hash,
 		By: n.Self.Number,
 	}
 	if rejected := n.maintenanceRejection(step); rejected != "" {
 		return 0, errors.New(rejected)
 	}
-	n.pushText(x)
-	n.sendText(n.log.Leader(), x)
+	n.pushText(stored)
+	n.sendText(n.log.Leader(), stored)
 	return step.Number, n.proposeMaintenance(now, step)
 }
 
--- a/internal/fleet/replicatedstate/maintenance_view.go
+++ b/internal/fleet/replicatedstate/maintenance_view.go
@@ -17,8 +17,8 @@
 	}
 	waitReason, unreachable := n.maintenanceStatus(now)
 	m.WorkWaits, m.AwayCount = truncateText(waitReason, maxWaitReason), uint32(len(unreachable))+1
-	for _, a := range unreachable[:min(len(unreachable), maxUnreachableSent)] {
-		m.Away = append(m.Away, &accordpb.Behind{Number: uint32(a.Number), Why: a.Reason})
+	for _, sidecar := range unreachable[:min(len(unreachable), maxUnreachableSent)] {
+		m.Away = append(m.Away, &accordpb.Behind{Number: uint32(sidecar.Number), Why: sidecar.Reason})
 	}
 	if len(m.Away) > 0 || m.WorkWaits != "" {
 		m.Behind = m.Behind[:min(len(m.Behind), 1)] // the whole message has to fit into a datagram
@@ -37,11 +37,11 @@
 			},
 		)
 	}
-	for _, t := range s.Windows {
-		if t.Phase == maintenance.Draining {
-			if waiting := n.maintenance.reports.WaitingFor(now, t.Number, n.leader.GrantExpiry); len(waiting) > 0 {
+	for _, window := range s.Windows {
+		if window.Phase == maintenance.Draining {
+			if waiting := n.maintenance.reports.WaitingFor(now, window.Number, n.leader.GrantExpiry); len(waiting) > 0 {
 				return fmt.Sprintf(
-					"turn %d: %d sidecars may still send, %v", t.Number, len(waiting),
+					"turn %d: %d sidecars may still send, %v", window.Number, len(waiting),
 					waiting[:min(len(waiting), maxUnreachableSent)],
 				), unreachable
 			}
@@ -58,10 +58,13 @@
 	if m.AwayCount == 0 || from != n.log.Leader() {
 		return
 	}
-	w := &n.maintenance
-	w.reportedAt, w.waitReason, w.unreachableCount, w.unreachable = now, m.WorkWaits, int(m.AwayCount)-1, nil
-	for _, a := range m.Away {
-		w.unreachable = append(w.unreachable, policyrollout.Laggard{Number: int(a.Number), Reason: a.Why})
+	maint := &n.maintenance
+	maint.reportedAt, maint.waitReason, maint.unreachableCount, maint.unreachable =
+		now, m.WorkWaits, int(m.AwayCount)-1, nil
+	for _, sidecar := range m.Away {
+		maint.unreachable = append(
+			maint.unreachable, policyrollout.Laggard{Number: int(sidecar.Number), Reason: sidecar.Why},
+		)
 	}
 }
 
--- a/internal/fleet/replicatedstate/view.go
+++ b/internal/fleet/replicatedstate/view.go
@@ -24,10 +24,10 @@
 	if m.Who && n.leader != nil {
 		all := n.leader.Laggards(now, n.participant.State())
 		answer := &accordpb.Message{Epoch: n.log.Epoch(), Count: uint32(len(all)) + 1}
-		for _, b := range all[:min(len(all), maxLaggardsSent)] {
+		for _, laggard := range all[:min(len(all), maxLaggardsSent)] {
 			answer.Behind = append(
 				answer.Behind,
-				&accordpb.Behind{Number: uint32(b.Number), Why: truncateText(b.Reason, maxLaggardReason)},
+				&accordpb.Behind{Number: uint32(laggard.Number), Why: truncateText(laggard.Reason, maxLaggardReason)},
 			)
 		}
 		n.addMaintenanceStatus(now, answer)
@@ -35,8 +35,10 @@
 	}
 	if m.Count > 0 && from == n.log.Leader() {
 		n.laggards = reportedLaggards{at: now, count: int(m.Count) - 1}
-		for _, b := range m.Behind {
-			n.laggards.list = append(n.laggards.list, policyrollout.Laggard{Number: int(b.Number), Reason: b.Why})
+		for _, laggard := range m.Behind {
+			n.laggards.list = append(
+				n.laggards.list, policyrollout.Laggard{Number: int(laggard.Number), Reason: laggard.Why},
+			)
 		}
 	}
 }
