--- a/internal/fleet/limits.go
+++ b/internal/fleet/limits.go
@@ -138,7 +138,7 @@
 // limitsOf returns the limits of the active version, or the stricter limits of both versions during a change.
 func (p *Policy) limitsOf(active policyrollout.Active) (*policyrollout.Limits, error) {
 	limits, err := p.versionLimits(active.New)
-	if err != nil || active.Mode != policyrollout.Both {
+	if err != nil || active.Mode != policyrollout.BothVersions {
 		return limits, err
 	}
 	old, err := p.versionLimits(active.Old)
@@ -155,7 +155,7 @@
 	}
 	text, available := p.node.Text(version)
 	if !available {
-		return nil, errors.New(policyrollout.Waiting)
+		return nil, errors.New(policyrollout.TextMissing)
 	}
 	return p.resolvePolicy(text)
 }
--- a/internal/fleet/maintenance.go
+++ b/internal/fleet/maintenance.go
@@ -40,7 +40,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.maintenance.pool, p.maintenance.attachedAt = pool, p.fleet.now()
-	p.cfg.Work, p.cfg.Deadline = machineSource{p}, p.fleet.cfg.MaxDeadline+deadlineOverrun
+	p.cfg.MachineSource, p.cfg.Deadline = machineSource{p}, p.fleet.cfg.MaxDeadline+deadlineOverrun
 }
 
 // deadlineOverrun is how long after its deadline a request may still be in flight before this process has noticed its
--- a/internal/fleet/maintenance_show.go
+++ b/internal/fleet/maintenance_show.go
@@ -83,7 +83,7 @@
 		fmt.Fprintf(b, "out of contact: %d sidecars, which may send to machines that are out\n",
 			view.UnreachableCount)
 		for _, sidecar := range view.Unreachable {
-			fmt.Fprintf(b, "out of contact: sidecar %d, %s\n", sidecar.Number, sidecar.Why)
+			fmt.Fprintf(b, "out of contact: sidecar %d, %s\n", sidecar.Number, sidecar.Reason)
 		}
 	}
 }
--- a/internal/fleet/policy_host.go
+++ b/internal/fleet/policy_host.go
@@ -24,8 +24,8 @@
 	h.p.link.SendDecision(to, raw, priority)
 }
 
-// Changed publishes and logs an event of the replicated state.
-func (h policyHost) Changed(event replicatedstate.Event) {
+// HandleEvent publishes and logs an event of the replicated state.
+func (h policyHost) HandleEvent(event replicatedstate.Event) {
 	log := h.p.fleet.log
 	switch event.Kind {
 	case replicatedstate.ActiveChanged:
@@ -39,9 +39,9 @@
 			h.p.maintenance.clearance, h.p.maintenance.logCount = maintenance.LocalClearance{},
 				h.p.maintenance.logCount+1
 		}
-		log.Info("policy: "+string(event.Kind), "number", event.By, "what", event.Why)
+		log.Info("policy: "+string(event.Kind), "number", event.Sidecar, "what", event.Reason)
 	case replicatedstate.EntryUnreadable:
-		log.Error("policy: log entry can't be decoded, this sidecar applies cut_off", "error", event.Why)
+		log.Error("policy: log entry can't be decoded, this sidecar applies cut_off", "error", event.Reason)
 	default:
 		switch event.Kind {
 		case replicatedstate.ChangeCommitted, replicatedstate.ChangeAborted, replicatedstate.ChangeRejected:
@@ -49,13 +49,13 @@
 		}
 		log.Info(
 			"policy: "+string(event.Kind), "version", event.Version, "hash",
-			fmt.Sprintf("%x", event.Hash[:6]), "by", event.By, "why", event.Why,
+			fmt.Sprintf("%x", event.Hash[:6]), "by", event.Sidecar, "why", event.Reason,
 		)
 	}
 }
 
-// Worked publishes and logs an applied step of a maintenance plan or window.
-func (h policyHost) Worked(step maintenance.Step) {
+// MaintenanceApplied publishes and logs an applied step of a maintenance plan or window.
+func (h policyHost) MaintenanceApplied(step maintenance.Step) {
 	p := h.p
 	if step.Kind == maintenance.Opened || step.Kind == maintenance.Withdrawn || step.Kind == maintenance.Done {
 		if p.node != nil {
--- a/internal/fleet/policy_show.go
+++ b/internal/fleet/policy_show.go
@@ -76,7 +76,7 @@
 	switch view.Active.Mode {
 	case policyrollout.CutOff:
 		fmt.Fprintln(b, "this sidecar is cut off: it goes by cut_off")
-	case policyrollout.One:
+	case policyrollout.OneVersion:
 		fmt.Fprintf(
 			b, "this sidecar goes by version %d, for %s at least\n", view.Active.New.Version,
 			seconds(view.ActiveUntil-view.Now),
@@ -116,7 +116,7 @@
 			fmt.Fprintf(b, "behind: %d\n", view.LaggardCount)
 		}
 		for _, sidecar := range view.Laggards[:min(len(view.Laggards), 20)] {
-			fmt.Fprintf(b, "behind: sidecar %d: %s\n", sidecar.Number, sidecar.Why)
+			fmt.Fprintf(b, "behind: sidecar %d: %s\n", sidecar.Number, sidecar.Reason)
 		}
 	}
 }
@@ -141,9 +141,10 @@
 func (p *Policy) History(out io.Writer) error {
 	view := p.View()
 	for _, change := range view.State.History {
-		line := fmt.Sprintf("version %d of sidecar %d, hash %x: %s", change.Version, change.By, change.Hash, change.Outcome)
-		if change.Why != "" {
-			line += fmt.Sprintf(", by sidecar %d: %s", change.EndedBy, change.Why)
+		line := fmt.Sprintf("version %d of sidecar %d, hash %x: %s", change.Version, change.ProposedBy, change.Hash,
+			change.Outcome)
+		if change.Reason != "" {
+			line += fmt.Sprintf(", by sidecar %d: %s", change.EndedBy, change.Reason)
 		}
 		if _, err := fmt.Fprintln(out, line); err != nil {
 			return err
--- a/internal/fleet/policy_test.go
+++ b/internal/fleet/policy_test.go
@@ -115,7 +115,7 @@
 		t.Error("cut_off does not apply right after Bootstrap")
 	}
 	advance(12 * time.Second)
-	if active := p.Active(); active.Mode != policyrollout.One || active.Limits.Open != 100 ||
+	if active := p.Active(); active.Mode != policyrollout.OneVersion || active.Limits.Open != 100 ||
 		len(active.Engine.Tenants) != 2 || active.Engine.Tenants[0].Share != 0.75 || active.Engine.Queue != unbounded {
 		t.Fatalf("12 s after Bootstrap the limits are %+v, want the settings", active)
 	}
@@ -157,9 +157,9 @@
 	}
 	advance(2 * time.Second)
 	active := p.Active()
-	if active.Mode != policyrollout.One || active.New.Version != 1 || active.Limits.Open != 50 ||
+	if active.Mode != policyrollout.OneVersion || active.New.Version != 1 || active.Limits.Open != 50 ||
 		active.Engine.Queue != 4 || active.Engine.Tenants[1] != (policy.Tenant{Share: 0.5, Quota: 20}) ||
-		fmt.Sprint(active.Limits.Out) != "[s-1]" {
+		fmt.Sprint(active.Limits.DisabledUpstreams) != "[s-1]" {
 		t.Fatalf("2 s after Propose the limits are %+v, want the proposed ones", active)
 	}
 	if p.Active() != active {
@@ -183,7 +183,7 @@
 		t.Errorf("after the suspension the limits are %+v, want cut_off", active)
 	}
 	advance(2 * time.Second)
-	if active := p.Active(); active.Mode != policyrollout.One || active.New.Version != 1 {
+	if active := p.Active(); active.Mode != policyrollout.OneVersion || active.New.Version != 1 {
 		t.Errorf("2 s after the suspension the limits are %+v, want version 1", active)
 	}
 	if math.IsInf(active.Limits.Quota[0], 1) {
--- a/internal/fleet/policyrollout/policy_keys_test.go
+++ b/internal/fleet/policyrollout/policy_keys_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// Operators keep files with these keys.
-func TestEveryKeyOfAPolicy(t *testing.T) {
+// Guards against a changed key: operators keep policy files with these keys.
+func TestPolicyKeys(t *testing.T) {
 	got, err := Parse([]byte(`
 out = ["s-1", "s-2"]
 [limits]
@@ -26,12 +26,12 @@
 	attempts, open, queue := 2, 20, 5
 	free, retryShare, share, quota := 1.5, 0.25, 0.75, 10.5
 	want := &Policy{
-		Out:     []string{"s-1", "s-2"},
-		Limits:  Bounds{Attempts: &attempts, Open: &open, Queue: &queue},
-		Retry:   Retry{Free: &free, Share: &retryShare},
-		Tenants: map[string]Tenant{"north": {Share: &share, Quota: &quota}},
+		DisabledUpstreams: []string{"s-1", "s-2"},
+		Limits:            Bounds{Attempts: &attempts, Open: &open, Queue: &queue},
+		Retry:             Retry{Free: &free, Share: &retryShare},
+		Tenants:           map[string]Tenant{"north": {Share: &share, Quota: &quota}},
 	}
 	if !reflect.DeepEqual(got, want) {
-		t.Errorf("read is %+v, want %+v", got, want)
+		t.Errorf("parsed policy is %+v, want %+v", got, want)
 	}
 }
--- a/internal/fleet/replicatedstate/exchange.go
+++ b/internal/fleet/replicatedstate/exchange.go
@@ -8,7 +8,8 @@
 	"caperarch/internal/fleet/replicatedstate/accordpb"
 )
 
-// neededTexts returns the texts that this sidecar needs.
+// neededTexts returns the hashes of the texts that this sidecar needs: of the current, pending and offered
+// policies and of the maintenance plans.
 func (n *Node) neededTexts() (all []hash) {
 	s := n.participant.State()
 	for _, r := range []policyrollout.Ref{s.Current, s.Pending, s.Offered} {
@@ -16,13 +17,14 @@
 			all = append(all, r.Hash)
 		}
 	}
-	for _, w := range n.maintenance.state.Plans {
-		all = append(all, w.Hash)
+	for _, plan := range n.maintenance.state.Plans {
+		all = append(all, plan.Hash)
 	}
 	return all
 }
 
-// fetchTexts asks another sidecar for chunks of a text that is needed and not here.
+// fetchTexts requests chunks of a missing text from the sidecar that sent the last chunk, or from a random
+// one.
 func (n *Node) fetchTexts(now time.Duration) {
 	if now < n.texts.nextFetch {
 		return
@@ -40,13 +42,13 @@
 	}
 }
 
-// handleText answers a sidecar that lacks a text, and adds a chunk of one.
+// handleText answers a request for chunks of a text, and stores a received chunk.
 func (n *Node) handleText(now time.Duration, from int, m *accordpb.Message) {
 	if len(m.Want) == sha256.Size {
-		if x := n.texts.find(hash(m.Want)); x != nil {
+		if stored := n.texts.find(hash(m.Want)); stored != nil {
 			for _, i := range m.Pieces[:min(len(m.Pieces), maxWantedChunks)] {
-				if int(i) < x.chunkCount() {
-					n.send(from, &accordpb.Message{Piece: x.chunk(int(i))})
+				if int(i) < stored.chunkCount() {
+					n.send(from, &accordpb.Message{Piece: stored.chunk(int(i))})
 				}
 			}
 		}
@@ -55,27 +57,28 @@
 		if raw := n.texts.receiveChunk(now, p); raw != nil {
 			n.pushText(n.texts.add(raw, n.neededTexts()...))
 		} else {
-			// chunks are arriving: fetch on soon
+			// the sender answers: request the next chunks from it soon
 			n.texts.nextFetch, n.texts.lastSender = min(n.texts.nextFetch, now+Period/2), from+1
 		}
 	}
 }
 
-// pushText sends a text that is new here to some others, if it is short.
-func (n *Node) pushText(x *text) {
+// pushText sends a text that this sidecar has just received or created to pushFanout random sidecars, if the
+// text is short.
+func (n *Node) pushText(stored *text) {
 	if n.Size < 2 {
 		return
 	}
 	for range pushFanout {
-		n.sendText(n.randomPeer(), x)
+		n.sendText(n.randomPeer(), stored)
 	}
 }
 
-// sendText sends a short text to a sidecar.
-func (n *Node) sendText(to int, x *text) {
-	for i := range x.chunkCount() {
-		if x.chunkCount() <= maxPushedChunks {
-			n.send(to, &accordpb.Message{Piece: x.chunk(i)})
+// sendText sends a text of at most maxPushedChunks chunks to a sidecar.
+func (n *Node) sendText(to int, stored *text) {
+	for i := range stored.chunkCount() {
+		if stored.chunkCount() <= maxPushedChunks {
+			n.send(to, &accordpb.Message{Piece: stored.chunk(i)})
 		}
 	}
 }
--- a/internal/fleet/state/state.go
+++ b/internal/fleet/state/state.go
@@ -203,5 +203,5 @@
 	return s.write(changed)
 }
 
-// Text stores the text of a policy version; of more than maxTexts the oldest is dropped.
-func (s *Store) Text(_ [32]byte, text []byte) error { return s.write(s.contents.withText(text)) }
+// SaveText stores the text of a policy version; of more than maxTexts the oldest is dropped.
+func (s *Store) SaveText(_ [32]byte, text []byte) error { return s.write(s.contents.withText(text)) }
--- a/internal/fleet/state/state_test.go
+++ b/internal/fleet/state/state_test.go
@@ -59,7 +59,7 @@
 		s.Begin(5),
 		s.Save(hardState(1, 0), []*raftpb.Entry{entry(1, 1), entry(2, 1), entry(3, 1)}),
 		s.Save(hardState(2, 2), []*raftpb.Entry{entry(2, 2)}),
-		s.Text([32]byte{1}, []byte("open = 3")),
+		s.SaveText([32]byte{1}, []byte("open = 3")),
 	); err != nil {
 		t.Fatal(err)
 	}
@@ -89,7 +89,7 @@
 func TestTextsAreBounded(t *testing.T) {
 	s := open(t, t.TempDir())
 	for i := range maxTexts + 5 {
-		if err := s.Text([32]byte{byte(i)}, []byte{byte(i)}); err != nil {
+		if err := s.SaveText([32]byte{byte(i)}, []byte{byte(i)}); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -151,7 +151,7 @@
 		t.Fatal(err)
 	}
 	if s.Save(hardState(2, 1), []*raftpb.Entry{entry(1, 2)}) == nil || s.Begin(9) == nil ||
-		s.Text([32]byte{}, nil) == nil {
+		s.SaveText([32]byte{}, nil) == nil {
 		t.Error("a write to a removed directory succeeded, want an error")
 	}
 	saved, _, err := s.Saved()
