--- a/internal/mesh/cli/apply.go
+++ b/internal/mesh/cli/apply.go
@@ -6,12 +6,12 @@
 	"io"
 )
 
-// applyResult is what apply writes.
+// applyResult is the output of the verb apply.
 type applyResult struct {
 	ConfigVersion int64 `json:"configVersion"`
 	BaseVersion   int64 `json:"baseVersion"`
 
-	// outcome is how text output says that the version is in force.
+	// outcome is the predicate of the line of text output, such as "is in force". JSON output omits it.
 	outcome string
 }
 
@@ -20,15 +20,16 @@
 	return err
 }
 
-// apply puts the configuration of a file in force. Without --base it builds on the version in
-// force, whatever that is, and a file that is in force already is not sent.
+// apply replaces the configuration in force with the configuration of a file. Without --base, the change is based on
+// the version that is in force at the time of the call, and a file whose version and content are already in force is
+// not sent.
 func apply(ctx context.Context, inv *invocation) error {
 	doc, err := inv.readDocument(inv.args[0])
 	if err != nil {
 		return err
 	}
 	doc.BaseVersion = inv.baseVersion
-	if inv.baseVersion == noBase {
+	if inv.baseVersion == baseVersionNotGiven {
 		current, err := inv.client.Describe(ctx)
 		if err != nil {
 			return fmt.Errorf("nothing was sent, as the version in place is not known: %w", err)
--- a/internal/mesh/cli/arguments.go
+++ b/internal/mesh/cli/arguments.go
@@ -14,54 +14,54 @@
 	"caperarch/meshclient"
 )
 
-// AddressesVariable is the environment variable that holds the control plane addresses where --at
+// AddressesVariable is the environment variable that holds the control plane addresses. It is read if the flag --at
 // is not given.
 const AddressesVariable = "MESHD_AT"
 
 const (
-	// defaultTimeout is how long a verb tries where --timeout is not given.
+	// defaultTimeout limits the run time of a verb if the flag --timeout is not given.
 	defaultTimeout = 10 * time.Second
-	// noBase is the base version where --base is not given.
-	noBase = -1
-	// endOfFlags ends the flags: all that follows it is arguments.
+	// baseVersionNotGiven is the value of invocation.baseVersion if the flag --base is not given.
+	baseVersionNotGiven = -1
+	// endOfFlags is the argument after which all arguments are positional.
 	endOfFlags = "--"
 )
 
-// The values of --output.
+// The values of the flag --output.
 const (
 	outputText = "text"
 	outputJSON = "json"
 )
 
-// usageError is an error of the operator or of a file: it ends with ExitUsage.
+// usageError is an error in the command line or in the input file. A verb that returns it exits with ExitUsage.
 type usageError struct{ err error }
 
 // Error implements error.
 func (e *usageError) Error() string { return e.err.Error() }
 
-// Unwrap returns the error itself.
+// Unwrap returns the wrapped error.
 func (e *usageError) Unwrap() error { return e.err }
 
-// usageErrorf makes a usageError.
+// usageErrorf returns a usageError with a formatted message.
 func usageErrorf(format string, args ...any) error { return &usageError{eris.Errorf(format, args...)} }
 
-// invocation is a verb's arguments and flags, and what it reads from and writes to.
+// invocation is one call of a verb: its positional arguments, its flags, its client and its input and output streams.
 type invocation struct {
 	args    []string
-	client  *meshclient.Client // nil for an offline verb
+	client  *meshclient.Client // nil if the verb is offline
 	output  string             // outputText or outputJSON
 	timeout time.Duration
 
-	baseVersion int64 // of apply; noBase: not given
-	key         string
-	keyGiven    bool // --key of why, which may be empty
+	baseVersion int64  // flag --base of apply, or baseVersionNotGiven
+	key         string // flag --key of why
+	keyGiven    bool   // whether --key was given; the given key may be empty
 
 	stdin  io.Reader
 	stdout io.Writer
 }
 
-// defineBase adds apply's flag --base.
-func defineBase(flags *flag.FlagSet, inv *invocation) {
+// defineBaseFlag adds the flag --base of the verb apply.
+func defineBaseFlag(flags *flag.FlagSet, inv *invocation) {
 	flags.Func("base", "", func(s string) error {
 		version, err := strconv.ParseInt(s, 10, 64)
 		if err != nil || version < 0 {
@@ -72,20 +72,21 @@
 	})
 }
 
-// defineKey adds why's flag --key.
-func defineKey(flags *flag.FlagSet, inv *invocation) {
+// defineKeyFlag adds the flag --key of the verb why.
+func defineKeyFlag(flags *flag.FlagSet, inv *invocation) {
 	flags.Func("key", "", func(s string) error {
 		inv.key, inv.keyGiven = s, true
 		return nil
 	})
 }
 
-// parseArguments reads what follows the verb's name in args. Its error is a usageError, or flag.ErrHelp.
+// parseArguments parses the command line of a verb. The first of args is the verb's name. The error is a usageError,
+// or flag.ErrHelp if help was requested.
 func parseArguments(v verb, args []string, getenv func(string) string) (*invocation, error) {
-	inv := &invocation{baseVersion: noBase}
+	inv := &invocation{baseVersion: baseVersionNotGiven}
 	flags := flag.NewFlagSet(args[0], flag.ContinueOnError)
 	flags.SetOutput(io.Discard)
-	at := flags.String("at", getenv(AddressesVariable), "")
+	addressList := flags.String("at", getenv(AddressesVariable), "")
 	flags.StringVar(&inv.output, "output", outputText, "")
 	flags.DurationVar(&inv.timeout, "timeout", defaultTimeout, "")
 	if v.defineFlag != nil {
@@ -106,7 +107,7 @@
 	if v.offline {
 		return inv, nil
 	}
-	addresses, err := parseAddresses(*at)
+	addresses, err := parseAddresses(*addressList)
 	if err != nil {
 		return nil, err
 	}
@@ -114,8 +115,8 @@
 	return inv, nil
 }
 
-// parseInterspersed parses flags and arguments in any order and returns the arguments; after
-// endOfFlags all are arguments. Its error is a usageError, or flag.ErrHelp.
+// parseInterspersed parses flags and positional arguments in any order and returns the positional arguments. All
+// arguments after endOfFlags are positional. The error is a usageError, or flag.ErrHelp if help was requested.
 func parseInterspersed(flags *flag.FlagSet, args []string) ([]string, error) {
 	var arguments []string
 	for {
@@ -137,7 +138,7 @@
 	}
 }
 
-// parseAddresses parses a list of addresses, each host:port, with commas between them.
+// parseAddresses parses a comma-separated list of addresses of the form host:port.
 func parseAddresses(list string) ([]string, error) {
 	if list == "" {
 		return nil, usageErrorf("no address: give --at or set %s", AddressesVariable)
--- a/internal/mesh/cli/check.go
+++ b/internal/mesh/cli/check.go
@@ -12,25 +12,26 @@
 	"caperarch/meshclient"
 )
 
-// The kinds of files that check knows, as JSON output has them.
+// The kinds of files that the verb check accepts, as they are written in JSON output.
 const (
 	kindConfiguration = "configuration"
 	kindSettings      = "settings"
 )
 
-// checkResult is what check writes.
+// checkResult is the output of the verb check.
 type checkResult struct {
 	Kind   string   `json:"kind"`
 	Faults []string `json:"faults"`
 }
 
-// check writes the faults of a settings file or a configuration. With faults it returns a usageError.
+// check writes the faults of a settings file or of a configuration file. If the file has faults, check returns a
+// usageError after it has written them.
 func check(_ context.Context, inv *invocation) error {
 	text, err := inv.readFile(inv.args[0])
 	if err != nil {
 		return err
 	}
-	kind, err := kindOfFile(text)
+	kind, err := fileKind(text)
 	if err != nil {
 		return err
 	}
@@ -44,11 +45,11 @@
 		if err != nil {
 			return err
 		}
-		if faults, err = faultsOf(doc); err != nil {
+		if faults, err = configurationFaults(doc); err != nil {
 			return err
 		}
 	}
-	result := &checkResult{Kind: kind, Faults: append([]string{}, faults...)} // JSON has an empty list, not null
+	result := &checkResult{Kind: kind, Faults: append([]string{}, faults...)} // encodes as an empty list instead of null
 	if err := inv.write(result, result.writeText); err != nil {
 		return err
 	}
@@ -68,15 +69,16 @@
 	return nil
 }
 
-// kindOfFile distinguishes settings from a configuration by their top-level fields.
-func kindOfFile(text []byte) (string, error) {
+// fileKind determines from the top-level fields whether a file holds settings or a configuration. Only settings have
+// a field "self" or "network".
+func fileKind(text []byte) (string, error) {
 	encoded, err := toJSON(text)
 	if err != nil {
 		return "", err
 	}
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(encoded, &fields); err != nil {
-		return "", usageErrorf("neither settings nor a configuration: %v", err)
+		return "", usageErrorf("file is neither a settings file nor a configuration: %v", err)
 	}
 	if _, ok := fields["self"]; ok || fields["network"] != nil {
 		return kindSettings, nil
@@ -84,9 +86,10 @@
 	return kindConfiguration, nil
 }
 
-// faultsOf returns the faults of a configuration: of each resource its first one; and where no
-// resource has one, the first one between them.
-func faultsOf(doc *meshclient.Document) ([]string, error) {
+// configurationFaults returns the faults of a configuration: an invalid version and the first fault of each resource.
+// If there are none, it returns the first fault that involves several resources, such as an API key that two
+// tenants share.
+func configurationFaults(doc *meshclient.Document) ([]string, error) {
 	if doc.Resources == nil {
 		return []string{"resources: the list is missing"}, nil
 	}
@@ -99,21 +102,22 @@
 		faults = append(faults, fmt.Sprintf("configVersion: %d is not above 0", doc.ConfigVersion))
 	}
 	for _, r := range doc.Resources {
-		if _, err := snapshotOf(documentOf(r, stubs)); err != nil {
-			message := trimName(err.Error(), r)
+		if _, err := decodeSnapshot(singleResourceDocument(r, stubs)); err != nil {
+			message := trimResourceName(err.Error(), r)
 			faults = append(faults, fmt.Sprintf("%s %q: %s", r.ResourceType, r.Metadata.Name, message))
 		}
 	}
 	if len(faults) > 0 {
 		return faults, nil
 	}
-	if _, err := snapshotOf(doc); err != nil {
+	if _, err := decodeSnapshot(doc); err != nil {
 		faults = append(faults, err.Error())
 	}
 	return faults, nil
 }
 
-// serviceStubs returns a valid service for each name of a service in the configuration.
+// serviceStubs returns a valid placeholder for each service in the configuration, by the service's name. With the
+// placeholders, a route can be checked without the faults of the services that it names.
 func serviceStubs(doc *meshclient.Document) (map[string]meshclient.Resource, error) {
 	stubs := make(map[string]meshclient.Resource)
 	for _, r := range doc.Resources {
@@ -129,10 +133,11 @@
 	return stubs, nil
 }
 
-// documentOf is a configuration of one resource, with the stubs of just those services that it names.
-func documentOf(r meshclient.Resource, stubs map[string]meshclient.Resource) *meshclient.Document {
+// singleResourceDocument returns a configuration that consists of one resource and the stubs of the services that the
+// resource names.
+func singleResourceDocument(r meshclient.Resource, stubs map[string]meshclient.Resource) *meshclient.Document {
 	doc := &meshclient.Document{ConfigVersion: 1, Resources: []meshclient.Resource{r}}
-	for _, name := range serviceNames(r) {
+	for _, name := range referencedServices(r) {
 		if stub, ok := stubs[name]; ok {
 			doc.Resources = append(doc.Resources, stub)
 		}
@@ -140,14 +145,15 @@
 	return doc
 }
 
-// serviceNames returns the services that a route names, each once.
-func serviceNames(r meshclient.Resource) []string {
+// referencedServices returns the names of the services that a route sends requests to, without duplicates. Other
+// resources name no services.
+func referencedServices(r meshclient.Resource) []string {
 	var route struct {
 		ServiceName     string
 		WeightedTargets []struct{ ServiceName string }
 	}
 	if r.ResourceType != meshclient.Routes || json.Unmarshal(r.Specification, &route) != nil {
-		return nil // what is wrong with it is found when it is read as the mesh does
+		return nil // decodeSnapshot reports the error in the specification
 	}
 	names := []string{route.ServiceName}
 	for _, t := range route.WeightedTargets {
@@ -157,9 +163,10 @@
 	return slices.Compact(names)
 }
 
-// trimName removes from the start of a message what names the resource, as its line does so
-// already: its name, or its position, which is not the one in the file.
-func trimName(message string, r meshclient.Resource) string {
+// trimResourceName removes the prefix of a message that identifies the resource, because check writes the resource's
+// type and name in front of each message. The prefix is the type and name, or the position in the list of resources.
+// The position is that in the single-resource document and differs from the position in the file.
+func trimResourceName(message string, r meshclient.Resource) string {
 	if strings.HasPrefix(message, "resource 0 (") {
 		if _, rest, ok := strings.Cut(message, "): "); ok {
 			return rest
--- a/internal/mesh/cli/cli.go
+++ b/internal/mesh/cli/cli.go
@@ -1,8 +1,8 @@
-// Package cli is the operators' verbs of the program meshd: each calls the mesh through package
-// meshclient, or reads a file, and writes the result as text or JSON.
+// Package cli implements the verbs of meshd, which are its subcommands for operators. A verb calls the mesh through
+// package meshclient or reads a file, and writes the result as text or JSON.
 //
-// Verbs, flags, exit codes and what is written on standard output are known to operators' scripts
-// and do not change. The package keeps no state; Run may be called from any goroutine.
+// Operators' scripts depend on the verbs, the flags, the exit codes and the standard output, so these must not
+// change. The package has no mutable state. Run is safe for concurrent use.
 package cli
 
 import (
@@ -15,20 +15,20 @@
 	"caperarch/meshclient"
 )
 
-// The exit codes.
+// The exit codes of the verbs.
 const (
-	// ExitOK means that the verb did what it says.
+	// ExitOK means that the verb succeeded.
 	ExitOK = 0
-	// ExitRejected means that the mesh rejected the call: nothing was changed.
+	// ExitRejected means that the mesh rejected the request and changed nothing.
 	ExitRejected = 1
-	// ExitUsage means that the verb was used wrongly, or that its file can't be read or has faults.
+	// ExitUsage means that the command line is invalid, or that the input file is unreadable or has faults.
 	ExitUsage = 2
-	// ExitUndetermined means that no conclusive answer came in time: a change may be in force or
-	// not, and may be sent again unchanged.
+	// ExitUndetermined means that no conclusive response was received before the timeout. It is unknown whether a
+	// change is in force. The same change can be sent again.
 	ExitUndetermined = 3
 )
 
-// Usage lists the verbs.
+// Usage is the help text of the verbs.
 const Usage = `verbs:
   apply FILE [--base VERSION]    put the configuration of the file in force, on the version in place or ` +
 	`on the one that --base names
@@ -51,32 +51,32 @@
 
 // verb is one of the operators' commands.
 type verb struct {
-	// argumentCount is how many arguments it takes besides flags.
+	// argumentCount is the number of positional arguments.
 	argumentCount int
-	// defineFlag adds the flag that this verb alone has; nil: it has none.
+	// defineFlag adds the flag that only this verb has. It is nil if the verb has only the common flags.
 	defineFlag func(flags *flag.FlagSet, inv *invocation)
-	// offline says that it makes no call, and needs no address.
+	// offline is true if the verb does not call the mesh and therefore needs no address.
 	offline bool
-	// run runs the verb; ctx ends with the time of --timeout.
+	// run executes the verb. ctx expires after the time given with --timeout.
 	run func(ctx context.Context, inv *invocation) error
 }
 
 var verbs = map[string]verb{
-	"apply":     {argumentCount: 1, defineFlag: defineBase, run: apply},
+	"apply":     {argumentCount: 1, defineFlag: defineBaseFlag, run: apply},
 	"diff":      {argumentCount: 1, run: diff},
 	"describe":  {run: describe},
 	"members":   {run: members},
 	"upstreams": {run: upstreams},
 	"view":      {run: view},
-	"why":       {argumentCount: 2, defineFlag: defineKey, run: why},
+	"why":       {argumentCount: 2, defineFlag: defineKeyFlag, run: why},
 	"check":     {argumentCount: 1, offline: true, run: check},
 }
 
-// IsVerb reports whether name is one of the verbs.
+// IsVerb reports whether name is the name of a verb.
 func IsVerb(name string) bool { return verbs[name].run != nil }
 
-// Run runs the verb that is the first of args and returns the exit code. It looks AddressesVariable
-// up with getenv.
+// Run executes the verb that the first of args names and returns the exit code. The other args are the flags and the
+// positional arguments of the verb. Run reads AddressesVariable through getenv.
 func Run(
 	ctx context.Context, args []string, stdin io.Reader, stdout, stderr io.Writer, getenv func(string) string,
 ) int {
@@ -100,14 +100,14 @@
 	return exitCode(err)
 }
 
-// run runs the verb within the time of --timeout.
+// run executes the verb with the timeout of the invocation.
 func (inv *invocation) run(ctx context.Context, v verb) error {
 	ctx, cancel := context.WithTimeout(ctx, inv.timeout)
 	defer cancel()
 	return v.run(ctx, inv)
 }
 
-// exitCode is the exit code of a verb that ended with err.
+// exitCode returns the exit code of a verb that returned err.
 func exitCode(err error) int {
 	var usage *usageError
 	switch {
--- a/internal/mesh/cli/cli_test.go
+++ b/internal/mesh/cli/cli_test.go
@@ -25,8 +25,8 @@
 	"caperarch/internal/mesh/watch"
 )
 
-// coreSettings are of a core machine that is alone: its address, the mesh's port and the data
-// directory are filled in.
+// coreSettings is the format string of the settings of the only core machine of a mesh. Its arguments are the control
+// plane address, the internal port and the data directory.
 const coreSettings = `
 self: {nodeName: core-1, role: controlplane, machineClass: core, servedRoles: [control_plane], ipAddress: 127.0.0.1,
   zone: a, region: r, countedInQuorum: true, firstStart: true, dataDirectory: %[3]q,
@@ -37,7 +37,7 @@
 guarantees: {contracts: [base], faultTolerance: {machines: 0, zones: 0, regions: 0}, bounds: {}}
 `
 
-// firstConfiguration is what the verbs put in force.
+// firstConfiguration is the first configuration that the test applies. It is also the standard input of all verbs.
 const firstConfiguration = `
 configVersion: 3
 resources:
@@ -47,24 +47,25 @@
       hostname: tea.example, pathPrefix: /cup/, routeType: idempotent, timeoutS: 1.5, priority: 2, maxAttempts: 2,
       weightedTargets: [{serviceName: tea, weight: 3}, {serviceName: milk, weight: 1}]}}
   - {resourceType: routes, metadata: {name: open}, specification: {
-      hostname: tea.example, pathPrefix: /open/, routeType: non_idempotent, timeoutS: 1, serviceName: milk, public: true}}
+      hostname: tea.example, pathPrefix: /open/, routeType: non_idempotent, timeoutS: 1,
+      serviceName: milk, public: true}}
   - {resourceType: tenants, metadata: {name: house}, specification: {apiKeys: [k-1, k-2], priority: 0, ratePerS: 50}}
 `
 
-// freeAddress returns a loopback address at which nothing listens.
+// freeAddress returns a loopback address on which no socket listens.
 func freeAddress(t *testing.T) string {
 	t.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = l.Close() }()
-	return l.Addr().String()
+	defer func() { _ = listener.Close() }()
+	return listener.Addr().String()
 }
 
-// refusingAddress returns an address that is bound but accepts no connections until the test ends. One
-// that is merely free may be met by a connection to itself: the kernel may give the caller the very
-// port that it calls.
+// refusingAddress returns a loopback address that is bound until the test ends, but refuses connections. An unbound
+// address is not sufficient: the kernel may choose the destination port as the caller's source port, and the socket
+// then connects to itself.
 func refusingAddress(t *testing.T) string {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
@@ -75,44 +76,45 @@
 	if err := syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}); err != nil {
 		t.Fatal(err)
 	}
-	name, err := syscall.Getsockname(fd)
+	bound, err := syscall.Getsockname(fd)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return fmt.Sprintf("127.0.0.1:%d", name.(*syscall.SockaddrInet4).Port)
+	return fmt.Sprintf("127.0.0.1:%d", bound.(*syscall.SockaddrInet4).Port)
 }
 
-// runWithOutput runs a verb and returns the exit code and what it wrote on both outputs.
-func runWithOutput(at string, args ...string) (int, string) {
+// runWithOutput runs a verb and returns its exit code, and its standard output and standard error in one string. The
+// environment variable AddressesVariable is set to addressList.
+func runWithOutput(addressList string, args ...string) (int, string) {
 	var out bytes.Buffer
-	getenv := func(name string) string { return map[string]string{AddressesVariable: at}[name] }
+	getenv := func(name string) string { return map[string]string{AddressesVariable: addressList}[name] }
 	code := Run(context.Background(), args, strings.NewReader(firstConfiguration), &out, &out, getenv)
 	return code, out.String()
 }
 
 func TestVerbsAgainstACoreMachine(t *testing.T) {
-	Convey("Every verb against a core machine", t, func() {
-		at, inside := freeAddress(t), freeAddress(t)
-		_, port, _ := net.SplitHostPort(inside)
-		set, err := settings.Parse(fmt.Appendf(nil, coreSettings, at, port, t.TempDir()))
+	Convey("Verbs change and show the state of a running core machine", t, func() {
+		publicAddress, internalAddress := freeAddress(t), freeAddress(t)
+		_, port, _ := net.SplitHostPort(internalAddress)
+		parsed, err := settings.Parse(fmt.Appendf(nil, coreSettings, publicAddress, port, t.TempDir()))
 		So(err, ShouldBeNil)
 		ctx, cancel := context.WithCancel(t.Context())
-		ended := make(chan error, 1)
-		go func() { ended <- controlplane.Run(ctx, set, nil, zap.NewNop()) }()
+		runResult := make(chan error, 1)
+		go func() { runResult <- controlplane.Run(ctx, parsed, nil, zap.NewNop()) }()
 		Reset(func() {
 			cancel()
-			So(<-ended, ShouldBeNil)
+			So(<-runResult, ShouldBeNil)
 		})
-		// expect runs a verb and looks for its exit code and for parts of what it writes.
+		// expect runs a verb and checks its exit code and that its output contains all parts.
 		expect := func(code int, args string, parts ...string) {
-			got, text := runWithOutput(at, strings.Fields(args)...)
+			got, text := runWithOutput(publicAddress, strings.Fields(args)...)
 			So(got, ShouldEqual, code)
 			for _, part := range parts {
 				So(text, ShouldContainSubstring, part)
 			}
 		}
 
-		// The core is still choosing itself: the library asks until there is an answer.
+		// The core machine may not have elected itself leader yet. The client library retries until it succeeds.
 		expect(ExitOK, "why tea.example /cup/1", "No configuration is in force yet: the answer is 503.")
 		expect(ExitOK, "apply -", "version 3 is in force, built on version 0")
 		expect(ExitOK, "apply - --output json", `"configVersion": 3`, `"baseVersion": 0`)
@@ -123,15 +125,16 @@
 		expect(ExitOK, "diff "+next,
 			"from version 3, which is in force, to version 5 of the file: 3 differences\n"+
 				"~ routes cups\n- routes open\n+ routes wide\n")
-		expect(ExitRejected, "apply "+next+" --base 2", "stale: "+at, "builds on 2, but 3 is in place")
+		expect(ExitRejected, "apply "+next+" --base 2", "stale: "+publicAddress, "builds on 2, but 3 is in place")
 		expect(ExitOK, "apply "+next+" --base 3", "version 5 is in force, built on version 3")
-		expect(ExitOK, "apply "+next+" --base 3", "version 5 is in force") // the very same again
+		expect(ExitOK, "apply "+next+" --base 3", "version 5 is in force") // a retry of the same change succeeds
 		expect(ExitRejected, "apply -", "invalid: ", "configVersion: 3 is not above 5")
 		expect(ExitOK, "describe", "version 5 is in force, built on version 3, with 5 items",
 			"tea.example/cup/ idempotent to tea:3,milk:1", "2 keys, 50 a second")
 		expect(ExitOK, "describe --output json", `"apiKeys"`, `"k-1"`)
 
-		// A sidecar with its upstream, and an upstream that reached the core alone.
+		// A sidecar registers upstream i-1 with its lease. Upstream i-2 sends its heartbeat directly to the core
+		// machine and has no sidecar.
 		client := httpclient.New(time.Second)
 		defer client.CloseIdleConnections()
 		lease := &registry.Lease{
@@ -141,21 +144,21 @@
 				Zone: "a", Slots: 4, Sequence: 1,
 			},
 		}
-		_, err = rpc.Call[registry.Lease, watch.LeaseResponse](ctx, client, "http://"+inside+"/mesh/lease", lease)
+		_, err = rpc.Call[registry.Lease, watch.LeaseResponse](ctx, client, "http://"+internalAddress+"/mesh/lease", lease)
 		So(err, ShouldBeNil)
-		res, err := client.Post("http://"+at+"/api/instances/i-2/heartbeat", "", strings.NewReader(
+		response, err := client.Post("http://"+publicAddress+"/api/instances/i-2/heartbeat", "", strings.NewReader(
 			`{"address":"10.0.0.2:80","nodeInfo":{"serviceName":"tea","zone":"b","capacitySlots":7},`+
 				`"status":{"state":"ready","callSequence":1}}`))
 		So(err, ShouldBeNil)
-		So(res.StatusCode, ShouldEqual, http.StatusOK)
-		So(res.Body.Close(), ShouldBeNil)
+		So(response.StatusCode, ShouldEqual, http.StatusOK)
+		So(response.Body.Close(), ShouldBeNil)
 		expect(ExitOK, "members", "as core-1 knows it",
-			inside+"  core-1  5        leader,voter,in contact", "side-1   a     5        i-1       here")
+			internalAddress+"  core-1  5        leader,voter,in contact", "side-1   a     5        i-1       here")
 		expect(ExitOK, "members --output json", `"asOf": "core-1"`, `"node": "side-1"`, `"leader": true`)
 		expect(ExitOK, "upstreams",
 			"i-1       tea      a     side-1  4      ready", "i-2       tea      b     -       7      ready")
-		expect(ExitOK, "view", "node core-1", "leader "+inside, "version 5", "in contact true",
-			"voter true", "voters "+inside, "changing false", "sick false")
+		expect(ExitOK, "view", "node core-1", "leader "+internalAddress, "version 5", "in contact true",
+			"voter true", "voters "+internalAddress, "changing false", "sick false")
 
 		expect(ExitOK, "why TEA.example:80 /cup/1?x --key k-2",
 			"Route cups takes it",
@@ -175,23 +178,24 @@
 	})
 }
 
-func TestUsageErrorsAreNamed(t *testing.T) {
-	Convey("What is used wrongly, faulty files and silence have their codes and are named", t, func() {
-		file := func(text string) string {
+func TestExitCodesAndErrorMessages(t *testing.T) {
+	Convey("Invalid command lines, faulty files and unreachable machines have their exit codes and messages", t, func() {
+		writeFile := func(text string) string {
 			path := filepath.Join(t.TempDir(), "file")
 			So(os.WriteFile(path, []byte(text), 0o600), ShouldBeNil)
 			return path
 		}
-		core := fmt.Sprintf(coreSettings, "127.0.0.1:1", "2", "/data")
+		validSettings := fmt.Sprintf(coreSettings, "127.0.0.1:1", "2", "/data")
 		faulty := strings.NewReplacer(
 			"timeoutS: 1.5", "timeoutS: 700",
 			"serviceName: milk, public", "serviceName: mlik, public",
 			"ratePerS: 50", "ratePerS: -1",
 		).Replace(firstConfiguration)
-		badAddress := strings.Replace(core, "ipAddress: 127.0.0.1", "ipAddress: here", 1)
+		badAddress := strings.Replace(validSettings, "ipAddress: 127.0.0.1", "ipAddress: here", 1)
 		badType := strings.Replace(firstConfiguration, "resourceType: tenants", "resourceType: guests", 1)
-		shared := firstConfiguration + "  - {resourceType: tenants, metadata: {name: guest}, specification: {apiKeys: [k-2]}}\n"
-		for _, x := range []struct {
+		sharedKey := firstConfiguration +
+			"  - {resourceType: tenants, metadata: {name: guest}, specification: {apiKeys: [k-2]}}\n"
+		for _, testCase := range []struct {
 			code  int
 			args  []string
 			parts []string
@@ -205,27 +209,30 @@
 			{ExitUsage, []string{"apply", "-", "--base", "x", "--at", "a:1"}, []string{"not a version"}},
 			{ExitUsage, []string{"why", "--at", "a:1", "host"}, []string{"1 arguments are given, 2 are needed"}},
 			{ExitUsage, []string{"why", "--at", "a:1", "--", "host", "-path"}, []string{"does not begin with a slash"}},
-			{ExitUsage, []string{"apply", "--at", "a:1", file("")}, []string{"not a configuration"}},
-			{ExitUsage, []string{"apply", "--at", "a:1", file("{\"configVersion\":1,\"resorces\":[]}")}, []string{"resorces"}},
+			{ExitUsage, []string{"apply", "--at", "a:1", writeFile("")}, []string{"not a configuration"}},
+			{ExitUsage, []string{"apply", "--at", "a:1", writeFile("{\"configVersion\":1,\"resorces\":[]}")},
+				[]string{"resorces"}},
 			{ExitUsage, []string{"diff", "--at", "a:1", filepath.Join(t.TempDir(), "none")}, []string{"no such file"}},
 			{ExitUndetermined, []string{"view", "--at", refusingAddress(t), "--timeout", "100ms"}, []string{"unreached: "}},
 			{ExitOK, []string{"check", "-"}, []string{"configuration: no fault was found"}},
-			{ExitOK, []string{"check", file(core)}, []string{"settings: no fault was found"}},
-			{ExitUsage, []string{"check", file(badAddress)}, []string{"self.ipAddress: must be an IP address"}},
-			{ExitUsage, []string{"check", file(faulty)}, []string{
+			{ExitOK, []string{"check", writeFile(validSettings)}, []string{"settings: no fault was found"}},
+			{ExitUsage, []string{"check", writeFile(badAddress)}, []string{"self.ipAddress: must be an IP address"}},
+			{ExitUsage, []string{"check", writeFile(faulty)}, []string{
 				"routes \"cups\": timeoutS: must be no greater than 600.\n",
 				"routes \"open\": there is no service \"mlik\"\n",
 				"tenants \"house\": ratePerS: ", "faults in the configuration: 3",
 			}},
-			{ExitUsage, []string{"check", file(badType)}, []string{"guests \"house\": there is no resourceType \"guests\"\n"}},
-			{ExitUsage, []string{"check", file(shared), "--output", "json"}, []string{`shares a key with`, `"kind": "configuration"`}},
-			{ExitUsage, []string{"check", file("- a\n: b")}, []string{"neither"}},
+			{ExitUsage, []string{"check", writeFile(badType)},
+				[]string{"guests \"house\": there is no resourceType \"guests\"\n"}},
+			{ExitUsage, []string{"check", writeFile(sharedKey), "--output", "json"},
+				[]string{`shares a key with`, `"kind": "configuration"`}},
+			{ExitUsage, []string{"check", writeFile("- a\n: b")}, []string{"neither"}},
 		} {
-			code, text := runWithOutput("", x.args...)
-			missing := slices.DeleteFunc(x.parts, func(part string) bool {
+			code, text := runWithOutput("", testCase.args...)
+			missing := slices.DeleteFunc(testCase.parts, func(part string) bool {
 				return strings.Contains(strings.ToLower(text), strings.ToLower(part))
 			})
-			So(fmt.Sprintln(x.args, code, missing), ShouldEqual, fmt.Sprintln(x.args, x.code, []string{}))
+			So(fmt.Sprintln(testCase.args, code, missing), ShouldEqual, fmt.Sprintln(testCase.args, testCase.code, []string{}))
 		}
 	})
 }
--- a/internal/mesh/cli/describe.go
+++ b/internal/mesh/cli/describe.go
@@ -10,7 +10,8 @@
 	"caperarch/meshclient"
 )
 
-// describe writes the configuration in force: as text a summary without keys, as JSON all of it.
+// describe writes the configuration in force. Text output is a summary without API keys, JSON output is the full
+// configuration.
 func describe(ctx context.Context, inv *invocation) error {
 	doc, err := inv.client.Describe(ctx)
 	if err != nil {
@@ -29,21 +30,21 @@
 	return t.write(w)
 }
 
-// specificationFields are the fields of all types of resources that a summary shows.
+// specificationFields has the fields that summaries show, for all types of resources.
 type specificationFields struct {
-	// Of routes.
+	// Fields of routes.
 	Hostname        string
 	PathPrefix      string
 	RouteType       string
 	ServiceName     string
 	WeightedTargets []weightedTarget
-	// Of services.
+	// Fields of services.
 	HealthCheckPath string
 	MaxConnections  int
-	// Of tenants.
+	// Fields of tenants.
 	APIKeys  []string `json:"apiKeys"`
 	RatePerS float64
-	// Of limits.
+	// Fields of limits.
 	MaxHeaderBytes int64
 	MaxBodyBytes   int64
 }
@@ -54,7 +55,7 @@
 	Weight      float64
 }
 
-// summary describes a resource in a few words. It shows no key.
+// summary returns a one-line summary of a resource. It contains no API keys.
 func summary(r meshclient.Resource) string {
 	var s specificationFields
 	if json.Unmarshal(r.Specification, &s) != nil {
@@ -71,7 +72,8 @@
 	return fmt.Sprintf("%d bytes of header, %d of body", s.MaxHeaderBytes, s.MaxBodyBytes)
 }
 
-// targets is the services of a route, with their weights where it has them.
+// targets returns the services of a route, separated by commas. If the route has weighted targets, each service is
+// followed by its weight.
 func (s *specificationFields) targets() string {
 	if len(s.WeightedTargets) == 0 {
 		return s.ServiceName
--- a/internal/mesh/cli/diff.go
+++ b/internal/mesh/cli/diff.go
@@ -12,7 +12,7 @@
 	"caperarch/meshclient"
 )
 
-// changeKind says how a resource differs, as JSON output has it.
+// changeKind is the way in which a resource differs between two configurations, as it is written in JSON output.
 type changeKind string
 
 const (
@@ -21,24 +21,24 @@
 	changed changeKind = "changed"
 )
 
-// signs are the kinds of changes in text output.
-var signs = map[changeKind]string{added: "+", removed: "-", changed: "~"}
+// changeSymbols maps each kind of change to its symbol in text output.
+var changeSymbols = map[changeKind]string{added: "+", removed: "-", changed: "~"}
 
-// difference is a resource that two configurations do not have alike.
+// difference is a resource that differs between two configurations.
 type difference struct {
 	Change       changeKind `json:"change"`
 	ResourceType string     `json:"resourceType"`
 	Name         string     `json:"name,omitempty"`
 }
 
-// diffResult is what diff writes.
+// diffResult is the output of the verb diff.
 type diffResult struct {
 	VersionInForce int64        `json:"inForce"`
 	VersionOfFile  int64        `json:"file"`
 	Differences    []difference `json:"differences"`
 }
 
-// diff writes what a file would change in the configuration in force.
+// diff writes the differences between the configuration in force and the configuration of a file.
 func diff(ctx context.Context, inv *invocation) error {
 	doc, err := inv.readDocument(inv.args[0])
 	if err != nil {
@@ -56,13 +56,13 @@
 	fmt.Fprintf(w, "from version %d, which is in force, to version %d of the file: %d differences\n",
 		r.VersionInForce, r.VersionOfFile, len(r.Differences))
 	for _, d := range r.Differences {
-		fmt.Fprintf(w, "%s %s %s\n", signs[d.Change], d.ResourceType, d.Name)
+		fmt.Fprintf(w, "%s %s %s\n", changeSymbols[d.Change], d.ResourceType, d.Name)
 	}
 	return nil
 }
 
-// resourceID identifies a resource in a configuration. The limits have no name, as there is one set
-// of them.
+// resourceID identifies a resource in a configuration. The name is empty for Limits, because a configuration has at
+// most one resource of this type.
 type resourceID struct{ resourceType, name string }
 
 func idOf(r meshclient.Resource) resourceID {
@@ -72,14 +72,14 @@
 	return resourceID{r.ResourceType, r.Metadata.Name}
 }
 
-// differences returns what leads from one configuration to another, by type and name. White space
-// and the order of fields make none.
+// differences returns the changes that turn one configuration into another, sorted by type and name. White space and
+// the order of fields in a specification are not compared.
 func differences(from, to *meshclient.Document) []difference {
 	remaining := make(map[resourceID]meshclient.Resource, len(from.Resources))
 	for _, r := range from.Resources {
 		remaining[idOf(r)] = r
 	}
-	result := []difference{} // JSON has an empty list, not null
+	result := []difference{} // encodes as an empty list instead of null
 	for _, r := range to.Resources {
 		old, known := remaining[idOf(r)]
 		delete(remaining, idOf(r))
@@ -102,7 +102,8 @@
 	return result
 }
 
-// equalJSON reports whether two texts hold the same JSON value, or are the same where one holds none.
+// equalJSON reports whether two texts encode the same JSON value. If a text is not valid JSON, it reports whether the
+// texts are equal.
 func equalJSON(a, b json.RawMessage) bool {
 	var x, y any
 	if json.Unmarshal(a, &x) != nil || json.Unmarshal(b, &y) != nil {
--- a/internal/mesh/cli/golden_test.go
+++ b/internal/mesh/cli/golden_test.go
@@ -2,19 +2,19 @@
 
 import "testing"
 
-// Scripts go by these exit codes and set this variable.
+// Operators' scripts evaluate the exit codes and set the environment variable, so neither may change.
 func TestExitCodesAndVariable(t *testing.T) {
-	for name, code := range map[string]struct{ got, want int }{
-		"done":                 {ExitOK, 0},
-		"refused":              {ExitRejected, 1},
-		"used wrongly":         {ExitUsage, 2},
-		"no answer that tells": {ExitUndetermined, 3},
+	for name, exitCode := range map[string]struct{ got, want int }{
+		"done":                   {ExitOK, 0},
+		"refused":                {ExitRejected, 1},
+		"invalid command line":   {ExitUsage, 2},
+		"no conclusive response": {ExitUndetermined, 3},
 	} {
-		if code.got != code.want {
-			t.Errorf("%s: exit code %d, want %d", name, code.got, code.want)
+		if exitCode.got != exitCode.want {
+			t.Errorf("%s: exit code is %d, want %d", name, exitCode.got, exitCode.want)
 		}
 	}
 	if AddressesVariable != "MESHD_AT" {
-		t.Errorf("the variable is %s, want MESHD_AT", AddressesVariable)
+		t.Errorf("the environment variable with the addresses is %s, want MESHD_AT", AddressesVariable)
 	}
 }
--- a/internal/mesh/cli/members.go
+++ b/internal/mesh/cli/members.go
@@ -8,19 +8,19 @@
 	"caperarch/meshapi"
 )
 
-// members writes the core machines and sidecars that one core machine knows.
+// members writes the core machines and the sidecars that the responding core machine knows.
 func members(ctx context.Context, inv *invocation) error {
-	known, err := inv.client.Members(ctx)
+	list, err := inv.client.Members(ctx)
 	if err != nil {
 		return err
 	}
-	return inv.write(known, func(w io.Writer) error { return writeMembers(w, known) })
+	return inv.write(list, func(w io.Writer) error { return writeMembers(w, list) })
 }
 
-func writeMembers(w io.Writer, known *meshapi.Members) error {
-	fmt.Fprintf(w, "as %s knows it, in term %d%s\n", known.ReportedBy, known.Term, syncingNote(known.Syncing))
+func writeMembers(w io.Writer, list *meshapi.Members) error {
+	fmt.Fprintf(w, "as %s knows it, in term %d%s\n", list.ReportedBy, list.Term, syncingNote(list.Syncing))
 	core := table{header: []string{"CORE", "NODE", "VERSION", "STATE"}}
-	for _, c := range known.Core {
+	for _, c := range list.Core {
 		node, version := any(""), any("")
 		if c.Status != nil {
 			node, version = c.Status.ReportedBy, c.Status.ConfigVersion
@@ -31,7 +31,7 @@
 		return err
 	}
 	sidecars := table{header: []string{"SIDECAR", "ZONE", "VERSION", "UPSTREAM", "STATE"}}
-	for _, s := range known.Sidecars {
+	for _, s := range list.Sidecars {
 		var state labels
 		state.addEither(s.Leaving, "leaving", "here")
 		sidecars.add(s.Node, s.Zone, s.ConfigVersion, s.Instance, state.String())
@@ -39,7 +39,7 @@
 	return sidecars.write(w)
 }
 
-// coreState is a core machine's state as the answering machine knows it.
+// coreState returns the state of a core machine as the responding core machine knows it.
 func coreState(c meshapi.CoreMember) labels {
 	var state labels
 	state.addIf(c.Leader, "leader")
--- a/internal/mesh/cli/output.go
+++ b/internal/mesh/cli/output.go
@@ -8,27 +8,27 @@
 	"text/tabwriter"
 )
 
-// write writes a verb's result: value as JSON, or what writeText writes, as --output says.
+// write writes the result of a verb in the format of the flag --output: value as JSON, or the output of writeText.
 func (inv *invocation) write(value any, writeText func(w io.Writer) error) error {
 	if inv.output != outputJSON {
 		return writeText(inv.stdout)
 	}
-	e := json.NewEncoder(inv.stdout)
-	e.SetEscapeHTML(false)
-	e.SetIndent("", "  ")
-	return e.Encode(value)
+	encoder := json.NewEncoder(inv.stdout)
+	encoder.SetEscapeHTML(false)
+	encoder.SetIndent("", "  ")
+	return encoder.Encode(value)
 }
 
-// table is rows of cells under a header.
+// table is a table of text output.
 type table struct {
 	header []string
 	rows   [][]any
 }
 
-// add adds a row.
+// add appends a row.
 func (t *table) add(cells ...any) { t.rows = append(t.rows, cells) }
 
-// write writes the table in aligned columns, an empty cell as "-".
+// write writes the table in aligned columns. An empty cell is written as "-".
 func (t *table) write(w io.Writer) error {
 	columns := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(columns, strings.Join(t.header, "\t"))
@@ -47,17 +47,17 @@
 	return columns.Flush()
 }
 
-// labels are the words that describe the state of something.
+// labels describe the state of a machine or an upstream in text output.
 type labels []string
 
-// addIf adds a label where the condition holds.
+// addIf appends a label if the condition is true.
 func (l *labels) addIf(condition bool, label string) {
 	if condition {
 		*l = append(*l, label)
 	}
 }
 
-// addEither adds the first label where the condition holds, else the second.
+// addEither appends label if the condition is true, and otherwise the second label.
 func (l *labels) addEither(condition bool, label, otherwise string) {
 	if !condition {
 		label = otherwise
@@ -65,10 +65,11 @@
 	*l = append(*l, label)
 }
 
-// String joins the labels with commas.
+// String returns the labels, separated by commas.
 func (l labels) String() string { return strings.Join(l, ",") }
 
-// syncingNote follows the name of a machine that may not know all sidecars yet.
+// syncingNote returns a note that is written after the name of a core machine if the machine is syncing and may not
+// know all sidecars yet. Otherwise, it returns an empty string.
 func syncingNote(syncing bool) string {
 	if !syncing {
 		return ""
--- a/internal/mesh/cli/upstreams.go
+++ b/internal/mesh/cli/upstreams.go
@@ -8,7 +8,7 @@
 	"caperarch/meshapi"
 )
 
-// upstreams writes the upstreams that one core machine knows.
+// upstreams writes the upstreams that the responding core machine knows.
 func upstreams(ctx context.Context, inv *invocation) error {
 	list, err := inv.client.Upstreams(ctx)
 	if err != nil {
--- a/internal/mesh/cli/verbs_golden_test.go
+++ b/internal/mesh/cli/verbs_golden_test.go
@@ -13,26 +13,26 @@
 	"testing"
 )
 
-// The files that the verbs read in these tests.
+// The files and directories of these tests.
 const (
-	goldenFile    = "testdata/configuration.yaml"
-	sameFile      = "testdata/same.yaml" // what the stand-in describes
-	faultyFile    = "testdata/faulty.yaml"
-	settingsFile  = "testdata/settings.yaml"
-	badYAMLFile   = "testdata/neither.yaml"
-	unknownField  = "testdata/unknown_field.json"
-	noFile        = "testdata/none.yaml"
-	placeholder   = "ADDRESS"
-	goldenFolder  = "testdata/golden"
-	describedFile = "testdata/described.json"
+	configurationFile  = "testdata/configuration.yaml"
+	unchangedFile      = "testdata/same.yaml" // equal to the configuration in force, describedFile
+	faultyFile         = "testdata/faulty.yaml"
+	settingsFile       = "testdata/settings.yaml"
+	badYAMLFile        = "testdata/neither.yaml"
+	unknownFieldFile   = "testdata/unknown_field.json"
+	missingFile        = "testdata/none.yaml"
+	addressPlaceholder = "ADDRESS"
+	goldenDirectory    = "testdata/golden"
+	describedFile      = "testdata/described.json" // the configuration in force
 )
 
-// coreStub answers as a core machine with fixed state. A change is answered with changeStatus and
-// changeBody.
+// coreStub is an HTTP handler that responds like a core machine with a fixed state. It responds to a change with
+// changeStatus and changeBody.
 type coreStub struct {
-	described    string // the answer to describe
+	described    string // the response body of the describe path
 	changeStatus int
-	changeKind   string // the X-Mesh-Fault of a rejection
+	changeKind   string // the X-Mesh-Fault header of a rejection, empty if the header is not sent
 	changeBody   string
 }
 
@@ -56,21 +56,22 @@
 	}
 }
 
-// checkGolden compares with a file of testdata/golden. Golden files are never rewritten: scripts of
-// operators know what they hold.
+// checkGolden compares the result of runVerb with a file in testdata/golden. Existing golden files must not be
+// rewritten, because operators' scripts depend on the output in them.
 func checkGolden(t *testing.T, name, got string) {
 	t.Helper()
-	want, err := os.ReadFile(filepath.Join(goldenFolder, name+".txt"))
+	want, err := os.ReadFile(filepath.Join(goldenDirectory, name+".txt"))
 	if err != nil {
-		t.Fatalf("%v; a new case needs a file with\n%s", err, got)
+		t.Fatalf("%v; a new test case needs a golden file with this content:\n%s", err, got)
 	}
 	if got != string(want) {
-		t.Errorf("the verb's exit code or output has changed\n got %s\nwant %s", got, want)
+		t.Errorf("exit code or output of the verb differs from the golden file\n got %s\nwant %s", got, want)
 	}
 }
 
-// runVerb returns a verb's exit code, standard output and standard error as a golden file holds them.
-// The address of the stand-in is replaced, as it differs from run to run.
+// runVerb runs a verb and returns its exit code, standard output and standard error in the format of the golden
+// files. It replaces the address of the core machine with addressPlaceholder, because the address differs between
+// runs.
 func runVerb(address, stdin string, args []string) string {
 	var out, errs bytes.Buffer
 	code := Run(context.Background(), args, strings.NewReader(stdin), &out, &errs, func(name string) string {
@@ -80,11 +81,11 @@
 	if address == "" {
 		return text
 	}
-	return strings.ReplaceAll(text, address, placeholder)
+	return strings.ReplaceAll(text, address, addressPlaceholder)
 }
 
-// Exit codes and what is written are what operators' scripts go by.
-func TestVerbsWriteWhatScriptsKnow(t *testing.T) {
+// Operators' scripts depend on the exit codes and on the output, so neither may change.
+func TestVerbsAgainstGoldenFiles(t *testing.T) {
 	described, err := os.ReadFile(describedFile)
 	if err != nil {
 		t.Fatal(err)
@@ -92,31 +93,33 @@
 	inForce := coreStub{described: string(described), changeStatus: http.StatusOK, changeBody: `{"configVersion":5}`}
 	empty := inForce
 	empty.described = `{"configVersion":0,"baseVersion":0,"resources":[]}`
-	rejects := func(status int, kind string) coreStub {
+	rejecting := func(status int, kind string) coreStub {
 		return coreStub{string(described), status, kind, `{"errorMessage":"the core's <own> words","kind":"` + kind + `"}`}
 	}
-	for _, x := range []struct {
+	for _, testCase := range []struct {
 		name string
 		core coreStub
 		args string
 	}{
-		{"apply", inForce, "apply " + goldenFile},
-		{"apply_json", inForce, "apply --output json " + goldenFile},
-		{"apply_base", inForce, "apply --base 4 " + goldenFile},
-		{"apply_same", inForce, "apply " + sameFile},
-		{"apply_same_json", inForce, "apply " + sameFile + " --output=json"},
+		{"apply", inForce, "apply " + configurationFile},
+		{"apply_json", inForce, "apply --output json " + configurationFile},
+		{"apply_base", inForce, "apply --base 4 " + configurationFile},
+		{"apply_same", inForce, "apply " + unchangedFile},
+		{"apply_same_json", inForce, "apply " + unchangedFile + " --output=json"},
 		{"apply_stdin", empty, "apply -"},
-		{"apply_stale", rejects(http.StatusPreconditionFailed, "Stale"), "apply --base 2 " + goldenFile},
-		{"apply_stale_json", rejects(http.StatusPreconditionFailed, "Stale"), "apply --base 2 --output json " + goldenFile},
-		{"apply_invalid", rejects(http.StatusBadRequest, "Invalid"), "apply " + goldenFile},
-		{"apply_malformed", rejects(http.StatusBadRequest, "Unreadable"), "apply " + goldenFile},
-		{"apply_too_large", rejects(http.StatusRequestEntityTooLarge, "TooLarge"), "apply " + goldenFile},
-		{"apply_not_found", rejects(http.StatusNotFound, "Unknown"), "apply " + goldenFile},
-		{"apply_rejected", rejects(http.StatusForbidden, ""), "apply " + goldenFile},
-		{"apply_undetermined", rejects(http.StatusServiceUnavailable, "NoQuorum"), "apply --timeout 500ms " + goldenFile},
-		{"diff", inForce, "diff " + goldenFile},
-		{"diff_json", inForce, "diff " + goldenFile + " --output json"},
-		{"diff_same_json", inForce, "diff " + sameFile + " --output json"},
+		{"apply_stale", rejecting(http.StatusPreconditionFailed, "Stale"), "apply --base 2 " + configurationFile},
+		{"apply_stale_json", rejecting(http.StatusPreconditionFailed, "Stale"),
+			"apply --base 2 --output json " + configurationFile},
+		{"apply_invalid", rejecting(http.StatusBadRequest, "Invalid"), "apply " + configurationFile},
+		{"apply_malformed", rejecting(http.StatusBadRequest, "Unreadable"), "apply " + configurationFile},
+		{"apply_too_large", rejecting(http.StatusRequestEntityTooLarge, "TooLarge"), "apply " + configurationFile},
+		{"apply_not_found", rejecting(http.StatusNotFound, "Unknown"), "apply " + configurationFile},
+		{"apply_rejected", rejecting(http.StatusForbidden, ""), "apply " + configurationFile},
+		{"apply_undetermined", rejecting(http.StatusServiceUnavailable, "NoQuorum"),
+			"apply --timeout 500ms " + configurationFile},
+		{"diff", inForce, "diff " + configurationFile},
+		{"diff_json", inForce, "diff " + configurationFile + " --output json"},
+		{"diff_same_json", inForce, "diff " + unchangedFile + " --output json"},
 		{"describe", inForce, "describe"},
 		{"describe_json", inForce, "describe --output json"},
 		{"members", inForce, "members"},
@@ -133,25 +136,25 @@
 		{"why_wrong_key", inForce, "why tea.example /cup/1 --key k"},
 		{"why_no_route_json", inForce, "why tea.example /none --output json"},
 		{"why_no_configuration_json", empty, "why tea.example /cup/1 --output json"},
-		{"check", inForce, "check " + goldenFile},
-		{"check_json", inForce, "check --output json " + goldenFile},
+		{"check", inForce, "check " + configurationFile},
+		{"check_json", inForce, "check --output json " + configurationFile},
 		{"check_faulty", inForce, "check " + faultyFile},
 		{"check_faulty_json", inForce, "check --output json " + faultyFile},
 		{"check_settings_json", inForce, "check --output json " + settingsFile},
 	} {
-		t.Run(x.name, func(t *testing.T) {
-			core := httptest.NewServer(x.core)
+		t.Run(testCase.name, func(t *testing.T) {
+			core := httptest.NewServer(testCase.core)
 			defer core.Close()
-			stdin, err := os.ReadFile(goldenFile)
+			stdin, err := os.ReadFile(configurationFile)
 			if err != nil {
 				t.Fatal(err)
 			}
-			checkGolden(t, x.name, runVerb(core.Listener.Addr().String(), string(stdin), strings.Fields(x.args)))
+			checkGolden(t, testCase.name, runVerb(core.Listener.Addr().String(), string(stdin), strings.Fields(testCase.args)))
 		})
 	}
 }
 
-// What is used wrongly is answered without a call to the mesh.
+// An invalid command line or input file is reported without a call to the mesh.
 func TestUsageErrors(t *testing.T) {
 	for name, args := range map[string][]string{
 		"usage_no_verb":             nil,
@@ -166,17 +169,17 @@
 		"usage_bad_timeout":         {"view", "--timeout", "0s", "--at", "a:1"},
 		"usage_arguments":           {"why", "--at", "a:1", "host"},
 		"usage_arguments_after_end": {"why", "--at", "a:1", "--", "host", "-path"},
-		"usage_no_file":             {"diff", "--at", "a:1", noFile},
-		"usage_unknown_field":       {"apply", "--at", "a:1", unknownField},
+		"usage_no_file":             {"diff", "--at", "a:1", missingFile},
+		"usage_unknown_field":       {"apply", "--at", "a:1", unknownFieldFile},
 		"usage_bad_yaml":            {"check", badYAMLFile},
 	} {
 		t.Run(name, func(t *testing.T) { checkGolden(t, name, runVerb("", "", args)) })
 	}
 }
 
-// An address at which nothing listens means that nothing was sent: code 3.
+// If all addresses refuse connections, the verb exits with ExitUndetermined after its timeout.
 func TestUnreachable(t *testing.T) {
 	address := refusingAddress(t)
 	checkGolden(t, "view_unreachable", runVerb(address, "", []string{"view", "--timeout", "500ms"}))
-	checkGolden(t, "apply_unreachable", runVerb(address, "", []string{"apply", "--timeout", "500ms", goldenFile}))
+	checkGolden(t, "apply_unreachable", runVerb(address, "", []string{"apply", "--timeout", "500ms", configurationFile}))
 }
--- a/internal/mesh/cli/view.go
+++ b/internal/mesh/cli/view.go
@@ -9,7 +9,7 @@
 	"caperarch/meshapi"
 )
 
-// view writes what one core machine reports of itself.
+// view writes the status of the responding core machine.
 func view(ctx context.Context, inv *invocation) error {
 	status, err := inv.client.NodeStatus(ctx)
 	if err != nil {
--- a/internal/mesh/cli/why.go
+++ b/internal/mesh/cli/why.go
@@ -11,32 +11,32 @@
 	"caperarch/meshapi"
 )
 
-// explanation is what becomes of a request, by the configuration in force and the upstreams that a
-// core machine knows.
+// explanation describes how the mesh would handle a request under the configuration in force, with the upstreams that
+// the responding core machine knows.
 type explanation struct {
 	ConfigVersion int64 `json:"configVersion"`
-	// RejectionStatus is the status with which a sidecar rejects the request; 0: it forwards it.
+	// RejectionStatus is the HTTP status with which a sidecar rejects the request, 0 if the sidecar forwards it.
 	RejectionStatus int    `json:"refusal,omitempty"`
 	Route           string `json:"route,omitempty"`
 	Tenant          string `json:"tenant,omitempty"`
 	Compartment     string `json:"compartment,omitempty"`
-	// Priority is 0 for the highest.
+	// Priority is the priority of the request. The highest priority is 0.
 	Priority int `json:"priority"`
-	// ReportedBy is the node name of the core machine that knows the upstreams.
+	// ReportedBy is the node name of the core machine that listed the upstreams.
 	ReportedBy string             `json:"upstreamsAsOf,omitempty"`
 	Services   []candidateService `json:"services,omitempty"`
 	Sentences  []string           `json:"words"`
 }
 
-// candidateService is a service that the request may go to, with its upstreams.
+// candidateService is a service that the request may be sent to, with its upstreams.
 type candidateService struct {
 	Service string `json:"service"`
-	// Share is the fraction of the route's requests that go to the service.
+	// Share is the fraction of the route's requests that is sent to the service, from 0 to 1.
 	Share     float64            `json:"share"`
 	Upstreams []meshapi.Upstream `json:"upstreams"`
 }
 
-// why writes what becomes of a request.
+// why writes how the mesh would handle a request.
 func why(ctx context.Context, inv *invocation) error {
 	host, path := inv.args[0], inv.args[1]
 	if !strings.HasPrefix(path, "/") {
@@ -54,8 +54,8 @@
 	return err
 }
 
-// explain follows a request as a sidecar does: to its route, its compartment, and the upstreams it
-// may go to.
+// explain determines the route, the compartment and the candidate upstreams of a request in the same way as a sidecar
+// does.
 func explain(ctx context.Context, inv *invocation, host, path string) (*explanation, error) {
 	doc, err := inv.client.Describe(ctx)
 	if err != nil {
@@ -66,9 +66,9 @@
 		e.reject(http.StatusServiceUnavailable, "No configuration is in force yet: the answer is 503.")
 		return e, nil
 	}
-	snapshot, err := snapshotOf(doc)
+	snapshot, err := decodeSnapshot(doc)
 	if err != nil {
-		return nil, fmt.Errorf("the configuration in force can't be read here: %w", err)
+		return nil, fmt.Errorf("this version of meshd cannot decode the configuration in force: %w", err)
 	}
 	e.addf("Version %d of the configuration is in force.", e.ConfigVersion)
 	route := e.matchRoute(snapshot, host, path)
@@ -87,18 +87,18 @@
 	return e, nil
 }
 
-// addf adds a sentence.
+// addf appends a formatted sentence.
 func (e *explanation) addf(format string, args ...any) {
 	e.Sentences = append(e.Sentences, fmt.Sprintf(format, args...))
 }
 
-// reject adds that the request is rejected with a status.
+// reject records that the request is rejected with an HTTP status, and appends a sentence with the reason.
 func (e *explanation) reject(status int, format string, args ...any) {
 	e.RejectionStatus = status
 	e.addf(format, args...)
 }
 
-// matchRoute finds the route of the request; nil: it is rejected.
+// matchRoute returns the route of the request, or nil if no route matches and the request is rejected.
 func (e *explanation) matchRoute(snapshot *config.Snapshot, host, path string) *config.Route {
 	route := snapshot.Match(host, path)
 	if route == nil {
@@ -108,17 +108,18 @@
 	e.Route, e.Priority = route.Name, route.Priority
 	e.addf("Route %s takes it: of host %s, prefix %s, the longest that begins the path.",
 		route.Name, route.Host, route.Prefix)
-	runs := "at most once, so that it is sent to a second upstream only when the first has proved not to have run it"
+	executions := "at most once, so that it is sent to a second upstream only when the first has proved not to have run it"
 	if route.Idempotent {
-		runs = "more than once"
+		executions = "more than once"
 	}
 	e.addf("It may run %s. One try is sent to %d upstreams at most and held for %v at most.",
-		runs, route.MaxAttempts, route.Timeout)
+		executions, route.MaxAttempts, route.Timeout)
 	return route
 }
 
-// assignCompartment finds the compartment and the priority of the request: the tenant's where the
-// route asks for a key. Without a valid key it is rejected.
+// assignCompartment sets the compartment and the priority of the request. If the route requires an API key, they are
+// those of the key's tenant, and a request without a valid key is rejected. A tenant without a priority leaves the
+// route's priority.
 func (e *explanation) assignCompartment(snapshot *config.Snapshot, route *config.Route, inv *invocation) {
 	switch {
 	case !snapshot.HasTenants():
@@ -133,7 +134,8 @@
 	e.addf("Its priority is %d, the route's, in the compartment of the service that it goes to.", e.Priority)
 }
 
-// assignTenant puts the request into the compartment of the tenant with its key; nil: there is none.
+// assignTenant assigns the request to the compartment of the tenant that owns its API key. If tenant is nil, the key
+// is missing or unknown and the request is rejected.
 func (e *explanation) assignTenant(tenant *config.Tenant, keyGiven bool) {
 	if tenant == nil {
 		message := "No tenant has this key: the answer is 401."
@@ -145,14 +147,14 @@
 	}
 	e.Tenant, e.Compartment = tenant.Name, "tenant "+tenant.Name
 	e.addQuota(tenant)
-	owner := "route"
+	prioritySource := "route"
 	if tenant.Priority >= 0 {
-		e.Priority, owner = tenant.Priority, "tenant"
+		e.Priority, prioritySource = tenant.Priority, "tenant"
 	}
-	e.addf("Its priority is %d, the %s's, in the compartment of the tenant.", e.Priority, owner)
+	e.addf("Its priority is %d, the %s's, in the compartment of the tenant.", e.Priority, prioritySource)
 }
 
-// addQuota adds what the tenant may send.
+// addQuota appends the request quota of the tenant.
 func (e *explanation) addQuota(t *config.Tenant) {
 	if t.RatePerS == 0 {
 		e.addf("The key is tenant %s's, which has no quota.", t.Name)
@@ -162,7 +164,7 @@
 		t.Name, t.RatePerS, t.Burst)
 }
 
-// listUpstreams lists the upstreams among which a sidecar chooses, by the services of the route.
+// listUpstreams appends the upstreams that a sidecar chooses from, grouped by the services of the route.
 func (e *explanation) listUpstreams(route *config.Route, list *meshapi.UpstreamList) {
 	e.ReportedBy = list.ReportedBy
 	totalWeight := 0.0
@@ -176,32 +178,33 @@
 		"it leaves out for a moment those that failed or turned it away.")
 }
 
-// addService adds a service with its share of the route's requests and its upstreams.
+// addService appends a service with its share of the route's requests and its upstreams.
 func (e *explanation) addService(service string, share float64, list *meshapi.UpstreamList) {
 	candidate := candidateService{Service: service, Share: share, Upstreams: []meshapi.Upstream{}}
-	ready := 0
+	eligible := 0
 	for _, u := range list.Upstreams {
 		if u.Service != service {
 			continue
 		}
 		candidate.Upstreams = append(candidate.Upstreams, u)
-		if reasonNotSent(u) == "" {
-			ready++
+		if exclusionReason(u) == "" {
+			eligible++
 		}
 	}
 	e.Services = append(e.Services, candidate)
 	e.addf("Service %s gets %.3g%% of the route's requests; %s knows %d upstreams of it, %d of which are sent requests%s:",
-		service, 100*share, list.ReportedBy, len(candidate.Upstreams), ready, syncingNote(list.Syncing))
+		service, 100*share, list.ReportedBy, len(candidate.Upstreams), eligible, syncingNote(list.Syncing))
 	for _, u := range candidate.Upstreams {
-		e.addf("  %s in zone %s, %d slots: %s", u.Instance, u.Zone, u.Slots, condition(u))
+		e.addf("  %s in zone %s, %d slots: %s", u.Instance, u.Zone, u.Slots, describeEligibility(u))
 	}
-	if ready == 0 {
+	if eligible == 0 {
 		e.addf("  Nothing can run it there: it waits for an upstream while it has time, and is then turned away.")
 	}
 }
 
-// reasonNotSent returns why an upstream is sent nothing; empty: it is sent requests.
-func reasonNotSent(u meshapi.Upstream) string {
+// exclusionReason returns the reason why an upstream receives no requests, or an empty string if the upstream
+// receives requests.
+func exclusionReason(u meshapi.Upstream) string {
 	switch {
 	case u.State != meshapi.StateReady:
 		return u.State + ", nothing new is sent to it"
@@ -211,9 +214,9 @@
 	return ""
 }
 
-// condition reports whether an upstream is sent requests, and why not.
-func condition(u meshapi.Upstream) string {
-	if reason := reasonNotSent(u); reason != "" {
+// describeEligibility returns whether an upstream receives requests, and if not, the reason.
+func describeEligibility(u meshapi.Upstream) string {
+	if reason := exclusionReason(u); reason != "" {
 		return reason
 	}
 	if u.Stale {
