--- a/cmd/meshd/deploy_test.go
+++ b/cmd/meshd/deploy_test.go
@@ -8,7 +8,8 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Machines are set up by these files: their keys, paths and command lines are known there.
+// The machines are provisioned from the files in deploy, so the keys, paths and command lines in them must not
+// change.
 func TestDeployFiles(t *testing.T) {
 	type table = map[string]any
 	for path, want := range map[string]table{
@@ -37,18 +38,19 @@
 		if err := toml.Unmarshal(text, &got); err != nil {
 			t.Fatalf("%s: %v", path, err)
 		}
-		// The lists of sources change as files do; each has to name what is there.
-		for _, sources := range []string{"policy", "node"} {
-			list, _ := got[sources].([]any)
+		// The lists of source files change with the source tree, so they are not compared. Each listed file must
+		// exist.
+		for _, listName := range []string{"policy", "node"} {
+			list, _ := got[listName].([]any)
 			for _, source := range list {
 				if _, err := os.Stat("../../" + source.(string)); err != nil {
-					t.Errorf("%s: %s: %v", path, sources, err)
+					t.Errorf("%s: entry of list %s: %v", path, listName, err)
 				}
 			}
-			delete(got, sources)
+			delete(got, listName)
 		}
 		if !reflect.DeepEqual(got, want) {
-			t.Errorf("%s holds\n%v, want\n%v", path, got, want)
+			t.Errorf("%s: content is\n%v, want\n%v", path, got, want)
 		}
 	}
 }
--- a/cmd/meshd/main.go
+++ b/cmd/meshd/main.go
@@ -1,9 +1,10 @@
-// Meshd is the mesh's one program for all machines. "meshd sidecar" is the proxy beside an upstream, "meshd
-// controlplane" a core machine that holds the configuration; the operators' verbs are those of package cli.
+// Meshd is the program that runs on all machines of the mesh. It runs one of two roles: "meshd sidecar" runs the
+// proxy beside an upstream, and "meshd controlplane" runs a core machine, which holds the configuration. Package cli
+// implements the verbs, which are the subcommands for operators.
 //
-// A role runs until SIGTERM or SIGINT. SIGHUP reloads the settings, SIGUSR1 writes the log in
-// memory out. Exit codes of a role are 0 after a signal, 1 when it failed, 2 when it was used
-// wrongly or its settings can't be used.
+// A role runs until it receives SIGTERM or SIGINT. SIGHUP or a change of the settings file reloads the settings, and
+// SIGUSR1 writes the log entries that are kept in memory to standard error. A role exits with code 0 after SIGTERM or
+// SIGINT, with code 1 if it failed, and with code 2 if the command line is invalid or the settings cannot be loaded.
 package main
 
 import (
@@ -32,7 +33,7 @@
 func main() {
 	flag.Usage = func() { fmt.Fprint(os.Stderr, usage) }
 	writeLevel := zapcore.WarnLevel
-	const levelUsage = "level from which on log entries of a role are written out at once: debug, info, warn, error"
+	const levelUsage = "minimum level of the log entries that a role writes immediately: debug, info, warn or error"
 	flag.Var(&writeLevel, "say", levelUsage)
 	flag.Parse()
 	if cli.IsVerb(flag.Arg(0)) {
--- a/cmd/meshd/main_test.go
+++ b/cmd/meshd/main_test.go
@@ -13,7 +13,7 @@
 	"testing"
 )
 
-// runMainVariable has the test binary run the program in place of the tests.
+// runMainVariable is the environment variable that makes the test binary run meshd instead of the tests.
 const runMainVariable = "MESHD_TEST_RUN_MAIN"
 
 func TestMain(m *testing.M) {
@@ -24,8 +24,8 @@
 	os.Exit(m.Run())
 }
 
-// runProgram returns the exit code, standard output and standard error of the program as a golden
-// file holds them.
+// runProgram runs meshd and returns its exit code, standard output and standard error in the format of the golden
+// files.
 func runProgram(t *testing.T, args, environment []string) string {
 	t.Helper()
 	executable, err := os.Executable()
@@ -36,16 +36,17 @@
 	program.Env = append(environment, runMainVariable+"=1")
 	var out, errs bytes.Buffer
 	program.Stdout, program.Stderr = &out, &errs
-	var failed *exec.ExitError
-	if err := program.Run(); err != nil && !errors.As(err, &failed) {
+	var exitError *exec.ExitError
+	if err := program.Run(); err != nil && !errors.As(err, &exitError) {
 		t.Fatal(err)
 	}
-	return fmt.Sprintf("exit code %d\n--- standard output\n%s--- standard error\n%s", program.ProcessState.ExitCode(), &out, &errs)
+	return fmt.Sprintf("exit code %d\n--- standard output\n%s--- standard error\n%s",
+		program.ProcessState.ExitCode(), &out, &errs)
 }
 
-// Exit codes and usage texts are what operators' scripts go by: golden files are never rewritten.
+// Operators' scripts depend on the exit codes and usage texts, so existing golden files must not be rewritten.
 func TestExitCodesAndUsage(t *testing.T) {
-	for name, x := range map[string]struct{ args, environment []string }{
+	for name, testCase := range map[string]struct{ args, environment []string }{
 		"help":             {args: []string{"-h"}},
 		"no_role":          {},
 		"unknown_role":     {args: []string{"gateway"}},
@@ -59,30 +60,32 @@
 		"verb_environment": {args: []string{"view"}, environment: []string{"MESHD_AT=core"}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			got := runProgram(t, x.args, x.environment)
+			got := runProgram(t, testCase.args, testCase.environment)
 			want, err := os.ReadFile(filepath.Join("testdata", name+".txt"))
 			if err != nil {
-				t.Fatalf("%v; a new case needs a file with\n%s", err, got)
+				t.Fatalf("%v; a new test case needs a golden file with this content:\n%s", err, got)
 			}
 			if got != string(want) {
-				t.Errorf("the exit code or the output has changed\n got %s\nwant %s", got, want)
+				t.Errorf("exit code or output of meshd differs from the golden file\n got %s\nwant %s", got, want)
 			}
 		})
 	}
 }
 
-// coreSettings are of a core machine that is alone: its address, data directory and internal port
-// are filled in.
+// coreSettings is the format string of the settings of the only core machine of a mesh. Its arguments are the control
+// plane address, the data directory and the internal port.
 const coreSettings = `
-self: {nodeName: core-1, role: controlplane, machineClass: core, servedRoles: [control_plane], ipAddress: 127.0.0.1, zone: a, region: r,
-  countedInQuorum: true, firstStart: true, dataDirectory: %[2]q,
+self: {nodeName: core-1, role: controlplane, machineClass: core, servedRoles: [control_plane], ipAddress: 127.0.0.1,
+  zone: a, region: r, countedInQuorum: true, firstStart: true, dataDirectory: %[2]q,
   limits: {cpuShare: 1, cpuCores: 1, memoryMb: 256, maxOpenFiles: 1024, bandwidthMbps: 100, diskMb: 64}}
 network: {listenAddresses: {controlPlane: %[1]q}, internalPortRange: [%[3]d, %[3]d], seedNodes: [%[1]q], zones: {a: r}}
 provider: {discoverySource: static, entryType: static, heartbeatIntervalS: 1}
 guarantees: {contracts: [base], faultTolerance: {machines: 0, zones: 0, regions: 0}, bounds: {}}
 `
 
-// Guards against a SIGHUP that ends a process which still reads its settings, as no handler was installed before.
+// A SIGHUP that is received while the settings file is still being read must not terminate the process. It did so
+// when the signal handler was installed after the settings had been read. The settings file is a FIFO, so the test
+// controls how long the read takes.
 func TestReloadSignalWhileSettingsAreRead(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "settings.yaml")
 	if err := syscall.Mkfifo(path, 0o600); err != nil {
@@ -97,7 +100,7 @@
 	if err := program.Start(); err != nil {
 		t.Fatal(err)
 	}
-	settings, err := os.OpenFile(path, os.O_WRONLY, 0) // waits until the program reads
+	settings, err := os.OpenFile(path, os.O_WRONLY, 0) // blocks until meshd opens the FIFO for reading
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -112,29 +115,29 @@
 	}
 	_ = program.Wait()
 	if code := program.ProcessState.ExitCode(); code != exitUsage {
-		t.Errorf("the program ended with %v, exit code %d is wanted", program.ProcessState, exitUsage)
+		t.Errorf("meshd ended with %v, want exit code %d", program.ProcessState, exitUsage)
 	}
 }
 
-// A role that can't listen ends with code 1 and says why.
+// A role that cannot listen on its address exits with code 1 and logs the reason.
 func TestRoleThatFails(t *testing.T) {
-	taken, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = taken.Close() }()
+	defer func() { _ = listener.Close() }()
 	path := filepath.Join(t.TempDir(), "settings.yaml")
-	text := fmt.Sprintf(coreSettings, taken.Addr(), t.TempDir(), taken.Addr().(*net.TCPAddr).Port)
+	text := fmt.Sprintf(coreSettings, listener.Addr(), t.TempDir(), listener.Addr().(*net.TCPAddr).Port)
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	got := runProgram(t, []string{"controlplane"}, []string{"CAPERARCH_BOOT=" + path})
 	if !strings.HasPrefix(got, "exit code 1\n") {
-		t.Errorf("got %s", got)
+		t.Errorf("exit code is not 1, got %s", got)
 	}
 	for _, part := range []string{"ERROR process failed", "address already in use"} {
 		if !strings.Contains(got, part) {
-			t.Errorf("no %q in %s", part, got)
+			t.Errorf("output does not contain %q, got %s", part, got)
 		}
 	}
 }
--- a/cmd/meshd/role.go
+++ b/cmd/meshd/role.go
@@ -17,7 +17,7 @@
 	"caperarch/internal/mesh/sidecar"
 )
 
-// The exit codes of a role.
+// The exit codes of a role. They are described in the package documentation.
 const (
 	exitOK     = 0
 	exitFailed = 1
@@ -25,30 +25,32 @@
 )
 
 const (
-	// gcPercent is by how many per cent the heap grows between two garbage collections: memory is
-	// scarce on these machines, and the heap small.
+	// gcPercent is the heap growth in per cent that triggers a garbage collection. It is below Go's default of 100
+	// because the machines have little memory and the heap is small.
 	gcPercent = 50
-	// signalBacklog is how many signals may wait while one is handled.
-	signalBacklog = 4
+	// signalBufferSize is the number of signals that are buffered while another signal is handled.
+	signalBufferSize = 4
 )
 
-// role runs until ctx ends, which is no error. Reloaded settings arrive on reload.
+// role is the main function of a role. It runs until ctx ends and then returns nil. It receives reloaded settings
+// from the channel reload.
 type role func(
 	ctx context.Context, current *settings.Settings, reload <-chan *settings.Settings, log *zap.Logger,
 ) error
 
-// roles are what a process can be, by the names of the command line.
+// roles maps the role names of the command line to the roles.
 var roles = map[string]role{
 	"sidecar":      sidecar.Run,
 	"controlplane": controlplane.Run,
 }
 
-// runRole runs a role until a signal ends it, and returns the exit code.
+// runRole runs a role until it fails or SIGTERM or SIGINT is received, and returns the exit code.
 func runRole(run role, writeLevel zapcore.Level) int {
-	// Before anything else: until then a signal ends the process, also one that only asks it to reload.
+	// The signal handlers are installed before the settings are read. Until then, SIGHUP and SIGUSR1 terminate the
+	// process, too.
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	signals := make(chan os.Signal, signalBacklog)
+	signals := make(chan os.Signal, signalBufferSize)
 	signal.Notify(signals, syscall.SIGHUP, syscall.SIGUSR1)
 	current, err := settings.Load()
 	if err != nil {
@@ -59,7 +61,7 @@
 	log, ring := logring.New(os.Stderr, logring.DefaultBytes)
 	ring.WriteLevel = writeLevel
 	reload := make(chan *settings.Settings)
-	// It ends with ctx. Nothing waits for it, as the process ends next.
+	// The goroutine ends with ctx. runRole does not wait for it, because the process exits after runRole returns.
 	go handleSignals(ctx, signals, reload, log, ring)
 	if err := run(ctx, current, reload, log); err != nil {
 		log.Error("process failed", zap.String("error", err.Error()))
@@ -68,7 +70,9 @@
 	return exitOK
 }
 
-// handleSignals dumps the ring on SIGUSR1 and sends the settings read anew on SIGHUP, until ctx ends.
+// handleSignals dumps the log ring on SIGUSR1. On SIGHUP or after a change of the settings file, it loads the
+// settings and sends them to the channel reload. If the settings cannot be loaded, it logs a warning and sends
+// nothing. It returns when ctx ends.
 func handleSignals(
 	ctx context.Context, signals <-chan os.Signal, reload chan<- *settings.Settings,
 	log *zap.Logger, ring *logring.Ring,
