--- a/meshclient/attempt.go
+++ b/meshclient/attempt.go
@@ -15,34 +15,36 @@
 )
 
 const (
-	// idleTimeout is how long a machine may send nothing before the attempt is given up.
+	// idleTimeout is how long a machine may send no data before the attempt is cancelled.
 	idleTimeout = time.Second
-	// timePerByte is added to idleTimeout for each byte of a request's body, so that a large one
-	// has the time to be sent and read.
+	// timePerByte is added to idleTimeout for each byte of the request body, until the response header is received.
+	// It allows time to transfer and process a large body.
 	timePerByte = time.Microsecond
-	// maxRedirects bounds the redirects that one attempt follows, against machines that point at each other.
+	// maxRedirects is the number of redirects that one attempt follows. It prevents an infinite loop of machines that
+	// redirect to each other.
 	maxRedirects = 2
-	// maxErrorBytes bounds what is read of a response that is an error, for its message.
+	// maxErrorBytes is the number of bytes that are read of the body of an error response to obtain its message.
 	maxErrorBytes = 16 << 10
 )
 
-// callRequest is what every attempt of a call sends.
+// callRequest is the request of a call. All attempts of the call send it unchanged.
 type callRequest struct {
 	method, path     string
 	body             []byte
-	maxResponseBytes int64
+	maxResponseBytes int64 // maximum body size of a 2xx response
 }
 
-// attemptFailure is an attempt that gave no answer, or one that is an error.
+// attemptFailure describes an attempt that received no response, an error response or an unusable response.
 type attemptFailure struct {
 	err Error
-	// sent says that bytes of the request may have reached a machine.
+	// sent is true if a machine may have received bytes of the request.
 	sent bool
-	// final says that every machine would give the same answer.
+	// final is true if every machine would give the same response, so that retries are useless.
 	final bool
-	// rejected says that the answer is a 4xx; unless it is final another machine may answer differently.
+	// rejected is true if the response is a 4xx response that rejects the request. Unless final is true, another
+	// machine may respond differently.
 	rejected bool
-	// retryAfter is how long the machine asks to wait before the next attempt, 0 when it does not.
+	// retryAfter is the minimum delay before the next attempt that the machine requests, 0 if it requests none.
 	retryAfter time.Duration
 }
 
@@ -52,27 +54,28 @@
 ) ([]byte, *attemptFailure) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	idle := time.AfterFunc(idleTimeout+time.Duration(len(q.body))*timePerByte, cancel)
-	defer idle.Stop()
+	idleTimer := time.AfterFunc(idleTimeout+time.Duration(len(q.body))*timePerByte, cancel)
+	defer idleTimer.Stop()
 	response, failure := q.send(ctx, client, address)
 	if failure != nil {
 		return nil, failure
 	}
 	defer func() { _ = response.Body.Close() }()
-	idle.Reset(idleTimeout)
+	idleTimer.Reset(idleTimeout)
 	if response.StatusCode < 200 || response.StatusCode > 299 {
 		return nil, readError(response, address)
 	}
-	// A body that arrives, however slowly, is not idle.
-	progress := &progressReader{from: response.Body, idle: idle}
+	// Each read that returns data restarts the idle timer, so a slow response does not time out as long as
+	// data arrives.
+	progress := &progressReader{source: response.Body, idleTimer: idleTimer}
 	body, err := io.ReadAll(io.LimitReader(progress, q.maxResponseBytes+1))
 	failure = &attemptFailure{err: Error{Address: address, Status: response.StatusCode}, sent: true}
 	switch {
 	case err != nil:
-		failure.err.Message, failure.err.cause = "the answer broke off: "+err.Error(), err
+		failure.err.Message, failure.err.cause = "reading the response body failed: "+err.Error(), err
 		return nil, failure
 	case int64(len(body)) > q.maxResponseBytes:
-		failure.err.Message = "the answer is too long"
+		failure.err.Message = "response body exceeds the size limit"
 		return nil, failure
 	}
 	return body, nil
@@ -87,13 +90,14 @@
 	for redirects := 0; ; redirects++ {
 		r, err := http.NewRequestWithContext(ctx, q.method, target, bytes.NewReader(q.body))
 		if err != nil {
-			failure.err.Message, failure.err.cause = "the address can't be called: "+err.Error(), err
+			failure.err.Message, failure.err.cause = "cannot create a request for the address: "+err.Error(), err
 			return nil, failure
 		}
 		if q.method == http.MethodPost {
 			r.Header.Set("Content-Type", "application/json")
 		}
-		// Without a connection no byte was sent, also when the time ran out while one was being opened.
+		// Without a connection, no byte was sent. This includes attempts that timed out while the connection was
+		// opened.
 		var connected atomic.Bool
 		trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected.Store(true) }}
 		response, err := client.Do(r.WithContext(httptrace.WithClientTrace(ctx, trace)))
@@ -109,14 +113,14 @@
 		_ = response.Body.Close()
 		location, err := response.Location()
 		if err != nil || location.Scheme != "http" || redirects == maxRedirects {
-			failure.err.Message = "redirected to nowhere, or too often"
+			failure.err.Message = "invalid redirect location, or too many redirects"
 			return nil, failure
 		}
 		target = location.String()
 	}
 }
 
-// readError turns a response that is not 2xx into a failure.
+// readError converts a response with a status other than 2xx into an attemptFailure.
 func readError(response *http.Response, address string) *attemptFailure {
 	failure := &attemptFailure{
 		err: Error{
@@ -127,7 +131,8 @@
 		},
 		sent: true,
 	}
-	// The kind is the header's, so that no other field of the body can spoil the message.
+	// Only the message is decoded. The kind is taken from the header, so a body with a kind of another JSON type does
+	// not prevent decoding of the message.
 	var body struct {
 		ErrorMessage string `json:"errorMessage"`
 	}
@@ -153,17 +158,17 @@
 	return failure
 }
 
-// progressReader starts the idle timer anew with every read that gives bytes.
+// progressReader restarts the idle timer with every read that returns data.
 type progressReader struct {
-	from io.Reader
-	idle *time.Timer
+	source    io.Reader
+	idleTimer *time.Timer
 }
 
 // Read implements io.Reader.
 func (p *progressReader) Read(b []byte) (int, error) {
-	n, err := p.from.Read(b)
+	n, err := p.source.Read(b)
 	if n > 0 {
-		p.idle.Reset(idleTimeout)
+		p.idleTimer.Reset(idleTimeout)
 	}
 	return n, err
 }
--- a/meshclient/client_test.go
+++ b/meshclient/client_test.go
@@ -10,9 +10,9 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-func TestCallIsSentUnchangedUntilOneAnswerIsConclusive(t *testing.T) {
-	Convey("It goes on after a failure, silence, 429 and redirects, with waits that grow", t, func(c C) {
-		responses := []response{
+func TestCallRetriesUnchangedUntilConclusiveResponse(t *testing.T) {
+	Convey("A call is retried with growing delays until a response is conclusive", t, func(c C) {
+		responses := []scriptedResponse{
 			{status: 503},
 			{},
 			{status: 429, header: http.Header{"Retry-After": {"1.5"}}},
@@ -22,7 +22,7 @@
 			{status: 200, body: `{"configVersion":8}`, byteInterval: idleTimeout + time.Millisecond},
 			{status: -1},
 			{status: 307, header: redirectTo("http://d:1/x")},
-			{status: 200, body: `{"configVersion":7}`, byteInterval: idleTimeout - time.Millisecond}, // slow, but not idle
+			{status: 200, body: `{"configVersion":7}`, byteInterval: idleTimeout - time.Millisecond}, // within idleTimeout
 		}
 		runScript(t, responses, func(ctx context.Context, s *scriptedTransport, client *Client) {
 			version, err := client.Replace(ctx, Document{ConfigVersion: 7, BaseVersion: 5})
@@ -36,22 +36,22 @@
 			for _, body := range s.bodies {
 				c.So(body, ShouldEqual, `{"configVersion":7,"baseVersion":5,"resources":[]}`)
 			}
-			// The millisecond is for the microseconds of the body's bytes.
-			afterSilence := s.times[2] - s.times[1]
-			c.So(afterSilence, ShouldBeBetween,
+			// The tolerance of 1 ms covers timePerByte for the bytes of the request body.
+			delayAfterTimeout := s.times[2] - s.times[1]
+			c.So(delayAfterTimeout, ShouldBeBetween,
 				idleTimeout+minBackoff-time.Millisecond, idleTimeout+2*minBackoff+time.Millisecond)
 			c.So(s.times[3]-s.times[2], ShouldEqual, 1500*time.Millisecond)
 			c.So(s.times[8]-s.times[7], ShouldBeBetween, 8*minBackoff, 32*minBackoff)
-			_, err = client.NodeStatus(ctx) // the last address that answered is asked first
+			_, err = client.NodeStatus(ctx) // the next call starts with the address that responded last
 			c.So(err, ShouldBeNil)
 			c.So(s.calls[10], ShouldEqual, "a:1 /api/view")
 		})
 	})
 }
 
-func TestRejectionsHaveTheirKinds(t *testing.T) {
-	Convey("Each rejection has its kind, and ends the call at once or at the third attempt", t, func(c C) {
-		for _, x := range []struct {
+func TestKindsOfRejections(t *testing.T) {
+	Convey("Each rejection has its kind, and ends the call after the first or after the third attempt", t, func(c C) {
+		for _, testCase := range []struct {
 			status     int
 			serverKind string
 			kind       Kind
@@ -67,23 +67,25 @@
 			{404, "Unknown", NotFound, 3},
 			{403, "", Rejected, 3},
 		} {
-			header := http.Header{"X-Mesh-Fault": {x.serverKind}}
-			rejection := response{status: x.status, header: header, body: `{"errorMessage":"as said"}`}
-			responses := []response{rejection, rejection, rejection, rejection}
+			header := http.Header{"X-Mesh-Fault": {testCase.serverKind}}
+			rejection := scriptedResponse{status: testCase.status, header: header, body: `{"errorMessage":"as said"}`}
+			responses := []scriptedResponse{rejection, rejection, rejection, rejection}
 			runScript(t, responses, func(ctx context.Context, s *scriptedTransport, client *Client) {
 				_, err := client.Update(ctx, Change{ConfigVersion: 7})
 				var e *Error
 				c.So(errors.As(err, &e), ShouldBeTrue)
-				c.So(errors.Is(err, x.kind), ShouldBeTrue)
+				c.So(errors.Is(err, testCase.kind), ShouldBeTrue)
 				got := []any{e.Kind, KindOf(err), e.Status, e.ServerKind, e.Message, len(s.calls)}
-				c.So(got, ShouldResemble, []any{x.kind, x.kind, x.status, x.serverKind, "as said", x.attempts})
+				c.So(got, ShouldResemble, []any{
+					testCase.kind, testCase.kind, testCase.status, testCase.serverKind, "as said", testCase.attempts,
+				})
 			})
 		}
 	})
 }
 
-func TestErrorBodiesOfOtherServers(t *testing.T) {
-	Convey("The message is taken whatever the body has as kind; without a message the status stands for it", t, func(c C) {
+func TestMessagesOfUnexpectedErrorBodies(t *testing.T) {
+	Convey("The message is decoded despite an unexpected kind; without a message, the status is used", t, func(c C) {
 		for body, message := range map[string]string{
 			`{"errorMessage":"as said","kind":7}`:         "as said",
 			`{"kind":{"name":"x"},"errorMessage":"said"}`: "said",
@@ -93,7 +95,7 @@
 			`null`:                                        "400",
 			``:                                            "400",
 		} {
-			runScript(t, []response{{status: 400, body: body}},
+			runScript(t, []scriptedResponse{{status: 400, body: body}},
 				func(ctx context.Context, _ *scriptedTransport, client *Client) {
 					_, err := client.NodeStatus(ctx)
 					var e *Error
@@ -104,9 +106,9 @@
 	})
 }
 
-func TestKindsWithoutAnAnswer(t *testing.T) {
-	Convey("When the time runs out, the kind says whether anything may have been received", t, func(c C) {
-		for kind, responses := range map[Kind][]response{
+func TestKindsWithoutAResponse(t *testing.T) {
+	Convey("If the context ends, the kind depends on whether a request may have been received", t, func(c C) {
+		for kind, responses := range map[Kind][]scriptedResponse{
 			Unreachable:  {{status: -1}, {status: -1}, {status: -1}},
 			Undetermined: {{status: -1}, {status: 503}, {status: -1}},
 		} {
@@ -123,23 +125,23 @@
 	})
 }
 
-func TestChangeStartsAgainWhenAnotherCameInBetween(t *testing.T) {
-	Convey("It starts again from the configuration in force", t, func(c C) {
-		responses := []response{
+func TestChangeRetriesAfterConcurrentChange(t *testing.T) {
+	Convey("Change retries with the new configuration after a concurrent change", t, func(c C) {
+		responses := []scriptedResponse{
 			{status: 200, body: `{"configVersion":5,"resources":[]}`},
 			{status: 412},
 			{status: 200, body: `{"configVersion":6,"resources":[{"resourceType":"limits","metadata":{}}]}`},
 			{status: 200, body: `{"configVersion":7}`},
 		}
 		runScript(t, responses, func(ctx context.Context, s *scriptedTransport, client *Client) {
-			var seen []int
+			var resourceCounts []int // of the configurations that revise received
 			version, err := client.Change(ctx, func(doc Document) (Change, error) {
-				seen = append(seen, len(doc.Resources))
+				resourceCounts = append(resourceCounts, len(doc.Resources))
 				return Change{Remove: Removal{Routes: []string{"r"}}}, nil
 			})
 			c.So(err, ShouldBeNil)
 			c.So(version, ShouldEqual, 7)
-			c.So(seen, ShouldResemble, []int{0, 1})
+			c.So(resourceCounts, ShouldResemble, []int{0, 1})
 			const want = `{"configVersion":7,"baseVersion":6,"upsert":{"resources":[]},"remove":{"routes":["r"]}}`
 			c.So(s.bodies[3], ShouldEqual, want)
 		})
--- a/meshclient/configuration.go
+++ b/meshclient/configuration.go
@@ -9,61 +9,64 @@
 	"caperarch/meshapi"
 )
 
-// The types of resources.
+// The types of resources in a configuration.
 const (
-	// Routes take requests by host and path to services.
+	// Routes map requests to services by host and path.
 	Routes = "routes"
 	// Services are groups of upstreams.
 	Services = "services"
 	// Tenants are clients with API keys and quotas.
 	Tenants = "tenants"
-	// Limits bound what clients may send. A configuration has one set of them at most.
+	// Limits restrict the requests of clients, such as the size of their bodies. A configuration has at most one
+	// resource of this type.
 	Limits = "limits"
 )
 
-// maxChangeAttempts bounds how often Client.Change starts again while others change the
+// maxChangeAttempts is the number of attempts of Client.Change. It ends the retries if others change the
 // configuration all the time.
 const maxChangeAttempts = 32
 
 // Document is a full configuration.
 type Document struct {
-	// ConfigVersion is the configuration's own version, above that of the one before; 0: there is none yet.
+	// ConfigVersion is the version of the configuration. Each configuration has a higher version than the previous
+	// one. It is 0 if no configuration is in force yet.
 	ConfigVersion int64 `json:"configVersion"`
-	// BaseVersion is the version that it builds on, 0 for the first.
+	// BaseVersion is the version that this configuration replaces, 0 for the first configuration.
 	BaseVersion int64 `json:"baseVersion"`
-	// Resources are in the order in which they were sent.
+	// Resources are the resources in the order in which they were sent.
 	Resources []Resource `json:"resources"`
 }
 
-// Resource is one item of a configuration.
+// Resource is one resource of a configuration, such as a route or a service.
 type Resource struct {
 	// ResourceType is Routes, Services, Tenants or Limits.
 	ResourceType string `json:"resourceType"`
-	// Metadata names the resource among those of its type.
+	// Metadata identifies the resource among the resources of its type.
 	Metadata Metadata `json:"metadata"`
-	// Specification is everything else, as it was sent: fields that this library does not know are kept.
+	// Specification is the JSON content of the resource, as it was sent. Fields that this library does not know are
+	// kept.
 	Specification json.RawMessage `json:"specification"`
 }
 
-// Metadata names a resource.
+// Metadata identifies a resource.
 type Metadata struct {
-	// Name is unique among the resources of a type. The limits need none.
+	// Name is unique among the resources of a type. It may be empty for Limits.
 	Name string `json:"name,omitempty"`
 }
 
-// NewResource returns a resource with the JSON of specification. When specification can't be
-// encoded it returns an *Error of kind InvalidUsage.
+// NewResource returns a resource whose Specification is the JSON encoding of specification. If specification cannot
+// be encoded, NewResource returns an *Error of kind InvalidUsage.
 func NewResource(resourceType, name string, specification any) (Resource, error) {
 	text, err := json.Marshal(specification)
 	if err != nil {
-		message := "specification of " + resourceType + " " + name + ": " + err.Error()
+		message := "cannot encode the specification of " + resourceType + " " + name + ": " + err.Error()
 		return Resource{}, &Error{Kind: InvalidUsage, Message: message, cause: err}
 	}
 	return Resource{resourceType, Metadata{name}, text}, nil
 }
 
-// Find returns the resource with a type and a name. For Limits the name is ignored, as there is one
-// set of them.
+// Find returns the resource with the given type and name, and whether it exists. For Limits, the name is ignored,
+// because a configuration has at most one resource of this type.
 func (d *Document) Find(resourceType, name string) (Resource, bool) {
 	for _, r := range d.Resources {
 		if r.ResourceType == resourceType && (r.Metadata.Name == name || resourceType == Limits) {
@@ -73,24 +76,24 @@
 	return Resource{}, false
 }
 
-// Change changes named resources of a configuration.
+// Change is a change of individual resources of a configuration.
 type Change struct {
-	// ConfigVersion is the version that the change makes, above BaseVersion.
+	// ConfigVersion is the version of the configuration after the change. It must be above BaseVersion.
 	ConfigVersion int64 `json:"configVersion"`
-	// BaseVersion is the version that it builds on.
+	// BaseVersion is the version of the configuration that the change is applied to.
 	BaseVersion int64 `json:"baseVersion"`
-	// Upsert has the resources to add or replace.
+	// Upsert contains the resources to add or replace.
 	Upsert Upsert `json:"upsert"`
-	// Remove has the names of those to remove.
+	// Remove contains the names of the resources to remove.
 	Remove Removal `json:"remove"`
 }
 
-// Upsert is the resources to add, or to put in place of those with their type and name.
+// Upsert is the list of resources to add. A resource replaces the existing resource with the same type and name.
 type Upsert struct {
 	Resources []Resource `json:"resources"`
 }
 
-// Removal is the names of the resources to remove, by type.
+// Removal is the names of the resources to remove, grouped by type.
 type Removal struct {
 	Routes   []string `json:"routes,omitempty"`
 	Services []string `json:"services,omitempty"`
@@ -98,29 +101,29 @@
 	Limits   []string `json:"limits,omitempty"`
 }
 
-// Replace puts a full configuration in force and returns its version. Unless its BaseVersion is in
-// force the error is Stale.
+// Replace replaces the configuration in force with a full configuration and returns the version of the new one. If
+// the BaseVersion of d is not in force, the error is of kind Stale.
 func (c *Client) Replace(ctx context.Context, d Document) (version int64, err error) {
 	if d.Resources == nil {
-		d.Resources = []Resource{} // the server requires the list
+		d.Resources = []Resource{} // the server requires a list instead of null
 	}
-	return c.put(ctx, meshapi.ReplacePath, d)
+	return c.sendChange(ctx, meshapi.ReplacePath, d)
 }
 
-// Update puts a change in force and returns its version. Unless its BaseVersion is in force the
-// error is Stale.
+// Update applies a change to the configuration in force and returns the new version. If the BaseVersion of the change
+// is not in force, the error is of kind Stale.
 func (c *Client) Update(ctx context.Context, change Change) (version int64, err error) {
 	if change.Upsert.Resources == nil {
 		change.Upsert.Resources = []Resource{}
 	}
-	return c.put(ctx, meshapi.UpdatePath, change)
+	return c.sendChange(ctx, meshapi.UpdatePath, change)
 }
 
-// put sends a change and returns the version that is in force with it.
-func (c *Client) put(ctx context.Context, path string, body any) (int64, error) {
+// sendChange sends a change and returns the version of the configuration after the change.
+func (c *Client) sendChange(ctx context.Context, path string, body any) (int64, error) {
 	text, err := json.Marshal(body)
 	if err != nil {
-		return 0, &Error{Kind: InvalidUsage, Message: "the change can't be written: " + err.Error(), cause: err}
+		return 0, &Error{Kind: InvalidUsage, Message: "cannot encode the change: " + err.Error(), cause: err}
 	}
 	response, err := call[meshapi.ChangeResponse](ctx, c, http.MethodPost, path, text)
 	if err != nil {
@@ -129,10 +132,10 @@
 	return response.ConfigVersion, nil
 }
 
-// Change reads the configuration, has revise return what is to change in it, and puts that in
-// force; when another change came in between, it starts again from what is in force then, 32 times
-// in all. It fills in the base version, and also the version where revise leaves that 0: the next
-// one. An error of revise is returned as it is.
+// Change reads the configuration in force, calls revise to obtain the change, and applies the change. If another
+// change was applied in the meantime, Change starts again with the new configuration. It makes at most 32 attempts.
+// Change sets the BaseVersion of the change. If revise returns a ConfigVersion of 0, Change sets it to the version in
+// force plus 1. An error of revise is returned unchanged.
 func (c *Client) Change(
 	ctx context.Context, revise func(doc Document) (Change, error),
 ) (version int64, err error) {
@@ -156,8 +159,8 @@
 	}
 }
 
-// Describe returns the configuration in force, no older than any change that was acknowledged
-// before the call. Before the first one its version is 0.
+// Describe returns the configuration in force. It is no older than any change that was acknowledged before the call.
+// Its version is 0 if no configuration is in force yet.
 func (c *Client) Describe(ctx context.Context) (*Document, error) {
 	return call[Document](ctx, c, http.MethodGet, meshapi.DescribePath, nil)
 }
--- a/meshclient/doc.go
+++ b/meshclient/doc.go
@@ -1,12 +1,12 @@
-// Package meshclient is the client library of the mesh. With a Client operators read and change the
-// configuration and inspect the mesh; with Heartbeats an upstream announces itself and drains. The
-// messages are those of package meshapi.
+// Package meshclient is the client library of the mesh. Operators use a Client to read and change the configuration
+// and to inspect the mesh. An upstream uses Heartbeats to register with the mesh, to drain and to deregister. The
+// messages are defined in package meshapi.
 //
-// A Client tries one control plane address after another until one gives a conclusive answer or the
-// context ends, so a context should have a deadline. A call that may have been received is sent
-// again unchanged: the mesh acknowledges a change that it has made before. Every error of a call is
-// an *Error; errors.Is tells its Kind.
+// A Client tries the control plane addresses in turn until it receives a conclusive response or the context ends.
+// Callers should therefore pass a context with a deadline. Retries send the same request again, even if an earlier
+// attempt may have been received: the mesh acknowledges a change that is already in force. Every error that a call
+// returns is an *Error. Use errors.Is to compare its Kind.
 //
-// A Client may be used from several goroutines at once. No goroutine of the package outlives a
-// call, but for those of idle HTTP connections.
+// A Client is safe for concurrent use. Apart from the goroutines of idle HTTP connections, no goroutine of the
+// package continues after the call that started it has returned.
 package meshclient
--- a/meshclient/drain.go
+++ b/meshclient/drain.go
@@ -9,49 +9,64 @@
 	"caperarch/meshapi"
 )
 
-// drainMargin is added to the time for which a draining upstream goes on serving: its state may be
-// acknowledged before every sidecar has it.
+// drainMargin is added to Heartbeats.DrainTimeout, because the mesh may acknowledge the draining state before all
+// sidecars have received it.
 const drainMargin = 300 * time.Millisecond
 
-// Drain ends the upstream's part in the mesh. It has Run report draining until that is
-// acknowledged, waits DrainTimeout and a margin of 0.3 s, during which the upstream goes on serving
-// and Run goes on sending heartbeats, ends Run, waits for a heartbeat in flight, and deregisters the
-// instance. It needs a Run that is under way.
+// Drain removes the upstream from the mesh. Run must be running when Drain is called. Drain works in these steps:
 //
-// When ctx ends before the acknowledgement, or before the time to serve is over, Drain returns an
-// *Error of kind Undetermined, and Run goes on saying that the upstream is draining; when it ends while
-// the last heartbeat is in flight, the kind is the same, and Run ends. Without addresses the kind is
-// InvalidUsage; an error of the deregistration is that of any call of the Client.
+//   - It makes Run report the state draining, and waits until a heartbeat with this state is acknowledged.
+//   - It waits for DrainTimeout and a margin of 0.3 s. During this time, the upstream must continue to serve requests,
+//     and Run continues to send heartbeats.
+//   - It stops Run, waits for the heartbeat that is in flight, and deregisters the instance.
+//
+// If ctx ends during the first two steps, Drain returns an *Error of kind Undetermined, and Run continues to report
+// the state draining. If ctx ends while the last heartbeat is in flight, the error has the same kind, but Run
+// returns. If the Client has no addresses, the error is of kind InvalidUsage. An error of the deregistration has the
+// kinds that any call of the Client can return.
 func (h *Heartbeats) Drain(ctx context.Context) error {
 	if h.Client == nil || len(h.Client.Addresses) == 0 {
-		return &Error{Kind: InvalidUsage, Message: "the client has no addresses"}
+		return &Error{Kind: InvalidUsage, Message: "client has no control plane addresses"}
 	}
-	h.once.Do(h.start)
+	h.once.Do(h.initialize)
 	h.startDraining()
 	select {
 	case <-h.drainAcknowledged:
 	case <-ctx.Done():
-		return &Error{Kind: Undetermined, Message: "draining was not acknowledged in time", cause: context.Cause(ctx)}
+		return &Error{
+			Kind:    Undetermined,
+			Message: "context ended before the draining state was acknowledged",
+			cause:   context.Cause(ctx),
+		}
 	}
-	served := time.NewTimer(h.DrainTimeout + drainMargin)
-	defer served.Stop()
+	drainTimer := time.NewTimer(h.DrainTimeout + drainMargin)
+	defer drainTimer.Stop()
 	select {
-	case <-served.C:
+	case <-drainTimer.C:
 	case <-ctx.Done():
-		return &Error{Kind: Undetermined, Message: "the context ended before the drain timeout", cause: context.Cause(ctx)}
+		return &Error{
+			Kind:    Undetermined,
+			Message: "context ended before the drain timeout expired",
+			cause:   context.Cause(ctx),
+		}
 	}
 	h.stop()
-	select { // a heartbeat that arrived behind the deregistration would be one of an instance that has ended
+	// A heartbeat that is received after the deregistration would announce the instance again although it has ended.
+	select {
 	case <-h.finished:
 	case <-ctx.Done():
-		return &Error{Kind: Undetermined, Message: "the context ended before the last heartbeat", cause: context.Cause(ctx)}
+		return &Error{
+			Kind:    Undetermined,
+			Message: "context ended while the last heartbeat was in flight",
+			cause:   context.Cause(ctx),
+		}
 	}
 	path := meshapi.InstancePath(meshapi.DeregisterPattern, h.Instance.ID)
 	_, err := call[json.RawMessage](ctx, h.Client, http.MethodPost, path, []byte("{}"))
 	return err
 }
 
-// startDraining makes Run report at once that the upstream is draining.
+// startDraining makes Run immediately send a heartbeat with the state draining.
 func (h *Heartbeats) startDraining() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -62,7 +77,7 @@
 	}
 }
 
-// stop ends Run.
+// stop makes Run return and send no further heartbeats. It may be called more than once.
 func (h *Heartbeats) stop() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/meshclient/example_test.go
+++ b/meshclient/example_test.go
@@ -14,8 +14,8 @@
 	"caperarch/meshclient"
 )
 
-// startCoreMachine starts a stand-in for a core machine with version 5 in force; a real program has
-// the addresses of the control plane.
+// startCoreMachine starts a test server that simulates a core machine with configuration version 5 in force. A real
+// program uses the addresses of the control plane instead.
 func startCoreMachine() *httptest.Server {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /api/configuration/describe", func(w http.ResponseWriter, _ *http.Request) {
@@ -34,10 +34,11 @@
 	return httptest.NewServer(mux)
 }
 
-// instanceLog prints what an instance announces: that it drains, once, that it has ended, and each heartbeat behind
-// that, which must not come. A heartbeat that says draining again is none of that: a process that is stopped for a
-// second sends one more before it deregisters, and 12 of 12 plays of ExampleHeartbeats that were stopped so failed by
-// it, some by one behind the end.
+// instanceLog prints the first heartbeat of an instance with the state draining, its deregistration, and each
+// heartbeat after the deregistration, which would be an error. It does not print further heartbeats with the state
+// draining: if the test process is stopped for one second, Run sends another one before Drain deregisters the
+// instance. When every such heartbeat was printed, ExampleHeartbeats failed in 12 of 12 runs in which the process was
+// stopped in this way, in some of them because of a heartbeat that was received after the deregistration.
 type instanceLog struct {
 	mu              sync.Mutex
 	draining, ended bool
@@ -60,7 +61,8 @@
 	fmt.Fprint(w, `{}`)
 }
 
-// A route is added to whatever is in force; another operator's change in between does no harm.
+// A route is added to the configuration in force. If another operator changes the configuration in the meantime,
+// Change retries.
 func ExampleClient_Change() {
 	core := startCoreMachine()
 	defer core.Close()
@@ -70,7 +72,7 @@
 
 	version, err := client.Change(ctx, func(doc meshclient.Document) (meshclient.Change, error) {
 		if _, ok := doc.Find(meshclient.Services, "tea"); !ok {
-			return meshclient.Change{}, errors.New("there is no such service")
+			return meshclient.Change{}, errors.New("service tea does not exist")
 		}
 		route, err := meshclient.NewResource(meshclient.Routes, "afternoon", map[string]any{
 			"hostname": "tea.example", "pathPrefix": "/cup/", "routeType": "idempotent", "timeoutS": 1, "serviceName": "tea",
@@ -88,7 +90,7 @@
 	// Output: version 6 is in force
 }
 
-// The kind of an error is found with errors.Is, the rest with errors.As.
+// errors.Is compares the kind of an error, and errors.As gives access to the other details.
 func ExampleClient_Replace() {
 	core := startCoreMachine()
 	defer core.Close()
@@ -97,17 +99,17 @@
 	defer cancel()
 
 	_, err := client.Replace(ctx, meshclient.Document{ConfigVersion: 4, BaseVersion: 3})
-	var failed *meshclient.Error
+	var callError *meshclient.Error
 	switch {
 	case errors.Is(err, meshclient.Undetermined):
-		fmt.Println("it may be in force: send it again unchanged")
-	case errors.As(err, &failed):
-		fmt.Println(failed.Kind, failed.Status, failed.Message)
+		fmt.Println("the change may be in force: send it again unchanged")
+	case errors.As(err, &callError):
+		fmt.Println(callError.Kind, callError.Status, callError.Message)
 	}
 	// Output: stale 412 another version is in place
 }
 
-// An upstream sends heartbeats while it runs, and drains before it ends.
+// An upstream sends heartbeats while it runs, and drains before it shuts down.
 func ExampleHeartbeats() {
 	core := startCoreMachine()
 	defer core.Close()
@@ -115,17 +117,17 @@
 		Client:       &meshclient.Client{Addresses: []string{core.Listener.Addr().String()}},
 		Instance:     meshclient.Instance{ID: "i-7f3a", Service: "tea", Address: "10.0.0.9:8080", Zone: "hall-a", Slots: 8},
 		Interval:     time.Second,
-		DrainTimeout: 10 * time.Millisecond, // seconds, in earnest
+		DrainTimeout: 10 * time.Millisecond, // a real upstream needs several seconds
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
-	ended := make(chan error, 1)
-	go func() { ended <- heartbeats.Run(ctx) }()
+	runResult := make(chan error, 1)
+	go func() { runResult <- heartbeats.Run(ctx) }()
 
 	if err := heartbeats.Drain(ctx); err != nil {
 		fmt.Println(err)
 	}
-	fmt.Println(<-ended)
+	fmt.Println(<-runResult)
 	// Output:
 	// i-7f3a is draining
 	// i-7f3a has ended
--- a/meshclient/golden_test.go
+++ b/meshclient/golden_test.go
@@ -6,7 +6,8 @@
 	"caperarch/internal/mesh/goldentest"
 )
 
-// What servers and scripts send and expect: testdata holds it as the release before wrote it.
+// Servers and operators' scripts depend on the JSON encoding of the messages. The files in testdata contain the
+// encoding of the previous release.
 func TestMessagesOnTheWire(t *testing.T) {
 	goldentest.CheckJSON[Document](t, "document")
 	goldentest.CheckJSON[Change](t, "change")
--- a/meshclient/heartbeats.go
+++ b/meshclient/heartbeats.go
@@ -13,83 +13,88 @@
 )
 
 const (
-	// acknowledgementTimeout is how long an acknowledgement may take. A later one counts as none.
+	// acknowledgementTimeout is the time limit for the acknowledgement of a heartbeat. When it expires, the heartbeat
+	// has failed.
 	acknowledgementTimeout = time.Second
-	// maxAcknowledgementBytes bounds an acknowledgement. A longer one counts as none.
+	// maxAcknowledgementBytes is the maximum body size of an acknowledgement. If the body is longer, the heartbeat
+	// has failed.
 	maxAcknowledgementBytes = 4 << 10
 )
 
-// Instance is one run of an upstream.
+// Instance describes one run of an upstream, from its start to its end.
 type Instance struct {
-	// ID is new with each start of the upstream. It is required.
+	// ID identifies the instance. Each start of the upstream requires a new ID. The field is required.
 	ID string
-	// Service is the name of its service. It is required.
+	// Service is the name of the upstream's service. The field is required.
 	Service string
-	// Address is where the upstream listens, host:port. It is required.
+	// Address is the address on which the upstream listens, in the form host:port. The field is required.
 	Address string
-	// Zone is where the upstream runs.
+	// Zone is the zone in which the upstream runs.
 	Zone string
-	// Version is that of the upstream's software.
+	// Version is the version of the upstream's software.
 	Version string
-	// Slots is how many requests the upstream can run at once.
+	// Slots is the number of requests that the upstream can process concurrently.
 	Slots int
-	// Warmup is for how long after the start of Heartbeats.Run the upstream is slow.
+	// Warmup is how long the upstream is slower than normal after the call of Heartbeats.Run.
 	Warmup time.Duration
 }
 
-// Heartbeats announces an upstream to the mesh: Run sends heartbeats, Drain drains and deregisters.
-// The exported fields are set before Run and not changed afterwards. Run is called once; Drain may
-// be called from other goroutines.
+// Heartbeats registers an upstream with the mesh. Run sends heartbeats, and Drain drains and deregisters the
+// upstream. The exported fields must be set before Run is called, and must not be changed afterwards. Run must be
+// called only once. Drain may be called from another goroutine than Run.
 type Heartbeats struct {
-	// Client has the addresses to send to; a heartbeat that is not acknowledged is followed by one
-	// to the next address.
+	// Client provides the control plane addresses. If a heartbeat is not acknowledged, the next heartbeat is sent to
+	// the next address.
 	Client *Client
-	// Instance is the upstream.
+	// Instance is the upstream instance that the heartbeats report.
 	Instance Instance
-	// Interval is the time between two heartbeats.
+	// Interval is the time between two heartbeats. It must be positive.
 	Interval time.Duration
-	// DrainTimeout is how long the upstream goes on serving once it is known to be draining.
+	// DrainTimeout is how long the upstream continues to serve requests after its draining state was acknowledged.
 	DrainTimeout time.Duration
-	// OnError, where not nil, is called by Run with an *Error for each heartbeat that was not acknowledged.
+	// OnError is called by Run with an *Error for each heartbeat that was not acknowledged, unless the context of Run
+	// has ended. It may be nil.
 	OnError func(error)
 
 	once              sync.Once
 	startedAt         time.Time
-	wake              chan struct{} // holds one element when a heartbeat is to be sent at once
-	drainAcknowledged chan struct{} // closed when a heartbeat that says draining was acknowledged
-	stopped           chan struct{} // closed when no further heartbeat is to be sent
-	finished          chan struct{} // closed when Run has returned: no heartbeat is in flight
+	wake              chan struct{} // holds one element if a heartbeat must be sent immediately
+	drainAcknowledged chan struct{} // closed when a heartbeat with the state draining was acknowledged
+	stopped           chan struct{} // closed when no further heartbeat may be sent
+	finished          chan struct{} // closed when Run returns, so that no heartbeat is in flight
 
-	// mu guards draining, the closing of stopped, and what wake holds while draining changes.
+	// mu guards draining and the closing of stopped. It also makes a change of draining and the related change of
+	// wake atomic.
 	mu       sync.Mutex
 	draining bool
 
-	// The remaining fields belong to the goroutine of Run.
-	sequence        int64
-	endpoint        string // where heartbeats go, host:port; empty: to the Client's addresses
-	drainIsNotified bool   // drainAcknowledged is closed
+	// The remaining fields are accessed only by the goroutine of Run.
+	sequence      int64  // number of the last heartbeat that was sent
+	endpoint      string // host:port that the mesh named for heartbeats; empty if they go to the Client's addresses
+	drainSignaled bool   // whether drainAcknowledged is closed
 }
 
-func (h *Heartbeats) start() {
+// initialize sets the unexported fields and initializes the Client. It is called once.
+func (h *Heartbeats) initialize() {
 	h.startedAt = time.Now()
 	h.wake = make(chan struct{}, 1)
 	h.drainAcknowledged = make(chan struct{})
 	h.stopped = make(chan struct{})
 	h.finished = make(chan struct{})
-	h.Client.once.Do(h.Client.start)
+	h.Client.once.Do(h.Client.initialize)
 }
 
-// Run sends heartbeats until Drain has finished, and then returns nil, or until ctx ends, and then
-// returns its cause. After one that fails the next follows with a backoff of at most Interval.
-// Without the required fields it returns an *Error of kind InvalidUsage.
+// Run sends heartbeats until Drain stops it or ctx ends. It returns nil if Drain has stopped it, and the cause of ctx
+// if ctx has ended. After a failed heartbeat, it sends the next one after a backoff delay of at most Interval. If a
+// required field is not set, it returns an *Error of kind InvalidUsage.
 func (h *Heartbeats) Run(ctx context.Context) error {
-	if !h.configured() {
-		const message = "heartbeats need a client with addresses, an interval, and an instance with id, service and address"
+	if !h.hasRequiredFields() {
+		const message = "heartbeats require client addresses, an interval, and an instance with ID, service and address"
 		return &Error{Kind: InvalidUsage, Message: message}
 	}
-	h.once.Do(h.start)
+	h.once.Do(h.initialize)
 	defer close(h.finished)
-	retry := newBackoff(h.Interval)
+	retryBackoff := newBackoff(h.Interval)
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
@@ -97,26 +102,26 @@
 		case <-h.stopped:
 			return nil
 		case <-ctx.Done():
-			return eris.Wrap(context.Cause(ctx), "heartbeats ended")
+			return eris.Wrap(context.Cause(ctx), "heartbeats stopped because the context ended")
 		case <-h.wake:
 		case <-timer.C:
 		}
-		if h.isStopped() { // at the same moment
+		if h.isStopped() { // select chooses at random if several channels are ready
 			return nil
 		}
 		if failure := h.send(ctx); failure != nil {
-			timer.Reset(retry.delay(failure.retryAfter))
+			timer.Reset(retryBackoff.delay(failure.retryAfter))
 			if h.OnError != nil && ctx.Err() == nil {
 				h.OnError(&failure.err)
 			}
 			continue
 		}
-		retry = newBackoff(h.Interval)
+		retryBackoff = newBackoff(h.Interval)
 		timer.Reset(h.Interval)
 	}
 }
 
-// isStopped reports whether no further heartbeat is to be sent.
+// isStopped reports whether stopped is closed, so that no further heartbeat may be sent.
 func (h *Heartbeats) isStopped() bool {
 	select {
 	case <-h.stopped:
@@ -126,14 +131,14 @@
 	}
 }
 
-// configured reports whether the required fields are set.
-func (h *Heartbeats) configured() bool {
+// hasRequiredFields reports whether all required fields are set.
+func (h *Heartbeats) hasRequiredFields() bool {
 	instance := &h.Instance
 	return instance.ID != "" && instance.Service != "" && instance.Address != "" &&
 		h.Interval > 0 && h.Client != nil && len(h.Client.Addresses) > 0
 }
 
-// send sends one heartbeat; nil means that it was acknowledged.
+// send sends one heartbeat. It returns nil if the heartbeat was acknowledged.
 func (h *Heartbeats) send(ctx context.Context) *attemptFailure {
 	state := h.stateToSend()
 	address := h.endpoint
@@ -143,7 +148,7 @@
 	request := &callRequest{
 		method:           http.MethodPost,
 		path:             meshapi.InstancePath(meshapi.HeartbeatPattern, h.Instance.ID),
-		body:             h.nextMessage(state),
+		body:             h.encodeHeartbeat(state),
 		maxResponseBytes: maxAcknowledgementBytes,
 	}
 	ctx, cancel := context.WithTimeout(ctx, acknowledgementTimeout)
@@ -151,25 +156,25 @@
 	body, failure := request.attempt(ctx, h.Client.httpClient, address)
 	if failure != nil {
 		if failure.err.Kind == 0 {
-			failure.err.Kind = kindWithoutAnswer(failure.sent)
+			failure.err.Kind = kindWithoutResponse(failure.sent)
 		}
-		h.leaveAddress(address)
+		h.switchAddress(address)
 		return failure
 	}
-	// A 2xx acknowledges, whatever its body is.
+	// A 2xx response acknowledges the heartbeat, even if its body is empty or cannot be decoded.
 	var acknowledgement meshapi.HeartbeatResponse
 	if json.Unmarshal(body, &acknowledgement) == nil && acknowledgement.HeartbeatEndpoint != "" {
 		h.endpoint = acknowledgement.HeartbeatEndpoint
 	}
-	if state == meshapi.StateDraining && !h.drainIsNotified {
-		h.drainIsNotified = true
+	if state == meshapi.StateDraining && !h.drainSignaled {
+		h.drainSignaled = true
 		close(h.drainAcknowledged)
 	}
 	return nil
 }
 
-// stateToSend returns the upstream's state, and drops a pending wake: this heartbeat carries what
-// it was for.
+// stateToSend returns the state for the next heartbeat. It also clears wake, because the next heartbeat reports the
+// state change that wake was set for.
 func (h *Heartbeats) stateToSend() string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -183,11 +188,11 @@
 	return meshapi.StateReady
 }
 
-// nextMessage encodes the next heartbeat.
-func (h *Heartbeats) nextMessage(state string) []byte {
+// encodeHeartbeat increments the sequence number and returns the body of the next heartbeat.
+func (h *Heartbeats) encodeHeartbeat(state string) []byte {
 	h.sequence++
 	instance := &h.Instance
-	// A struct of strings and finite numbers always encodes.
+	// Encoding cannot fail, because all fields are strings or finite numbers.
 	body, _ := json.Marshal(meshapi.HeartbeatRequest{
 		Address: instance.Address,
 		NodeInfo: meshapi.InstanceInfo{
@@ -205,12 +210,12 @@
 	return body
 }
 
-// leaveAddress goes back from the endpoint that the mesh named to the Client's addresses, or on to
-// the next of those.
-func (h *Heartbeats) leaveAddress(address string) {
+// switchAddress selects another address after a failed heartbeat: a Client address instead of the endpoint that the
+// mesh named, or the next Client address.
+func (h *Heartbeats) switchAddress(address string) {
 	if h.endpoint != "" {
 		h.endpoint = ""
 		return
 	}
-	h.Client.moveOn(address)
+	h.Client.rotateAddress(address)
 }
--- a/meshclient/imports_test.go
+++ b/meshclient/imports_test.go
@@ -10,29 +10,29 @@
 	"testing"
 )
 
-// The client library stands above the messages of meshapi and a small package for its connections,
-// and on nothing else of the mesh: a program that uses it takes no server code in.
-func TestLibraryImportsNothingOfTheServers(t *testing.T) {
+// The client library may import only package meshapi and the small package httpclient of the mesh, so that a program
+// that uses the library does not link server code.
+func TestLibraryImportsNoServerPackages(t *testing.T) {
 	const (
 		httpclient = "caperarch/internal/mesh/httpclient"
-		eris       = "github.com/rotisserie/eris" // wraps errors, in all of the mesh
+		eris       = "github.com/rotisserie/eris" // error wrapping, used in the whole mesh
 	)
 	for directory, allowed := range map[string][]string{
 		".":                           {"caperarch/meshapi", httpclient, eris},
 		"../meshapi":                  nil,
 		"../internal/mesh/httpclient": {"golang.org/x/sys/unix"},
 	} {
-		for path, file := range imports(t, directory) {
+		for path, file := range importedPackages(t, directory) {
 			if !isStandardLibrary(path) && !slices.Contains(allowed, path) {
-				t.Errorf("%s imports %s", file, path)
+				t.Errorf("%s imports %s, which is not allowed", file, path)
 			}
 		}
 	}
 }
 
-// imports are the packages that a directory's files apart from tests import, each with one of the
-// files that do.
-func imports(t *testing.T, directory string) map[string]string {
+// importedPackages returns the import paths of the non-test files in a directory. Each path is mapped to a file that
+// imports it.
+func importedPackages(t *testing.T, directory string) map[string]string {
 	t.Helper()
 	files, err := filepath.Glob(filepath.Join(directory, "*.go"))
 	if err != nil {
@@ -56,13 +56,13 @@
 		}
 	}
 	if len(imported) == 0 {
-		t.Fatalf("%s has no files that import anything", directory)
+		t.Fatalf("no file in %s has imports", directory)
 	}
 	return imported
 }
 
-// isStandardLibrary reports whether a package is of the standard library: the first element of its
-// path has no dot, and is not this module.
+// isStandardLibrary reports whether a package belongs to the standard library. The first element of the path of such
+// a package contains no dot and is not the name of this module.
 func isStandardLibrary(path string) bool {
 	first, _, _ := strings.Cut(path, "/")
 	return first != "caperarch" && !strings.Contains(first, ".")
--- a/meshclient/inspection.go
+++ b/meshclient/inspection.go
@@ -7,17 +7,18 @@
 	"caperarch/meshapi"
 )
 
-// NodeStatus asks one core machine for its own status: the one of Client.Addresses that answers first.
+// NodeStatus returns the status of one core machine, which is the first that responds. Client.Addresses are tried in
+// turn.
 func (c *Client) NodeStatus(ctx context.Context) (*meshapi.NodeStatus, error) {
 	return call[meshapi.NodeStatus](ctx, c, http.MethodGet, meshapi.NodeStatusPath, nil)
 }
 
-// Members asks one core machine for the core machines and sidecars that it knows.
+// Members returns the core machines and the sidecars that one core machine knows. Client.Addresses are tried in turn.
 func (c *Client) Members(ctx context.Context) (*meshapi.Members, error) {
 	return call[meshapi.Members](ctx, c, http.MethodGet, meshapi.MembersPath, nil)
 }
 
-// Upstreams asks one core machine for the upstreams that it knows.
+// Upstreams returns the upstreams that one core machine knows. Client.Addresses are tried in turn.
 func (c *Client) Upstreams(ctx context.Context) (*meshapi.UpstreamList, error) {
 	return call[meshapi.UpstreamList](ctx, c, http.MethodGet, meshapi.UpstreamsPath, nil)
 }
--- a/meshclient/names_test.go
+++ b/meshclient/names_test.go
@@ -16,24 +16,25 @@
 	"caperarch/meshclient"
 )
 
-var update = flag.Bool("update", false, "write testdata/names.txt anew")
+var update = flag.Bool("update", false, "rewrite testdata/names.txt")
 
-// A program outside this package asks for the kind of an error through the wrapping interface.
-func TestErrorIsItsKind(t *testing.T) {
+// A program that imports the package can determine the kind of an error with errors.Is and KindOf.
+func TestErrorMatchesItsKind(t *testing.T) {
 	var err error = &meshclient.Error{Kind: meshclient.Stale}
 	if !errors.Is(err, meshclient.Stale) || meshclient.KindOf(err) != meshclient.Stale {
-		t.Error("the kinds differ")
+		t.Error("an Error of kind Stale does not match Stale")
 	}
 	client := &meshclient.Client{Addresses: []string{"10.1.0.40:8105"}}
 	doc := meshclient.Document{BaseVersion: 3}
 	if len(client.Addresses) != 1 || doc.BaseVersion != 3 {
-		t.Error("the types differ")
+		t.Error("Client or Document does not keep the values of its fields")
 	}
 }
 
-// The names that programs may use are exactly those of testdata/names.txt: none goes or comes unnoticed.
+// Programs depend on the exported names. The list in testdata/names.txt makes each added or removed name visible in
+// review.
 func TestExportedNames(t *testing.T) {
-	got := strings.Join(slices.Sorted(maps.Keys(exported(t, "."))), "\n") + "\n"
+	got := strings.Join(slices.Sorted(maps.Keys(exportedNames(t, "."))), "\n") + "\n"
 	const golden = "testdata/names.txt"
 	if *update {
 		if err := os.WriteFile(golden, []byte(got), 0o644); err != nil {
@@ -45,15 +46,15 @@
 		t.Fatal(err)
 	}
 	if len(want) == 0 {
-		t.Fatal("no names")
+		t.Fatal("the list of exported names is empty")
 	}
 	if got != string(want) {
 		t.Errorf("exported names:\n%s\nwant:\n%s", got, want)
 	}
 }
 
-// exported are the names that the package in a directory exports, methods apart.
-func exported(t *testing.T, directory string) map[string]bool {
+// exportedNames returns the names that the package in a directory exports, without methods and fields.
+func exportedNames(t *testing.T, directory string) map[string]bool {
 	t.Helper()
 	files, err := filepath.Glob(directory + "/*.go")
 	if err != nil {
@@ -69,7 +70,7 @@
 			t.Fatal(err)
 		}
 		for _, d := range file.Decls {
-			for _, name := range declared(d) {
+			for _, name := range declaredNames(d) {
 				if ast.IsExported(name) {
 					names[name] = true
 				}
@@ -79,8 +80,8 @@
 	return names
 }
 
-// declared are the names that a declaration makes.
-func declared(d ast.Decl) (names []string) {
+// declaredNames returns the names that a declaration declares, without methods.
+func declaredNames(d ast.Decl) (names []string) {
 	switch d := d.(type) {
 	case *ast.FuncDecl:
 		if d.Recv == nil {
