--- a/meshapi/configuration.go
+++ b/meshapi/configuration.go
@@ -1,17 +1,17 @@
 package meshapi
 
-// The paths of the operators' calls on the configuration. Sidecars and core machines serve them.
+// The paths with which operators read and change the configuration. Sidecars and core machines serve them.
 const (
-	// ReplacePath accepts a full configuration with POST and answers with a ChangeResponse.
+	// ReplacePath receives a full configuration by POST and returns a ChangeResponse.
 	ReplacePath = "/api/configuration/replace"
-	// UpdatePath accepts a change of named resources with POST and answers with a ChangeResponse.
+	// UpdatePath receives a change of individual resources by POST and returns a ChangeResponse.
 	UpdatePath = "/api/configuration/update"
-	// DescribePath answers GET with the configuration in force.
+	// DescribePath returns the configuration in force in response to GET.
 	DescribePath = "/api/configuration/describe"
 )
 
 // ChangeResponse acknowledges a change of the configuration.
 type ChangeResponse struct {
-	// ConfigVersion is the version that is in force with the change.
+	// ConfigVersion is the version of the configuration after the change.
 	ConfigVersion int64 `json:"configVersion"`
 }
--- a/meshapi/doc.go
+++ b/meshapi/doc.go
@@ -1,7 +1,7 @@
-// Package meshapi holds the paths and JSON messages of the mesh's public HTTP API, and the names of
-// its kinds of errors: what core machines and sidecars serve and what package meshclient sends and
-// reads. It stands below both, imports the standard library alone, and has neither behaviour nor
-// state.
+// Package meshapi defines the paths, the JSON messages and the error kinds of the mesh's public HTTP API. Core
+// machines and sidecars serve the API, and package meshclient calls it. The package imports only the standard
+// library. It contains no logic apart from InstancePath, and no state.
 //
-// Tags of fields are what running processes and operators' scripts know; they stay when a field is renamed.
+// Running processes and operators' scripts depend on the JSON names in the field tags. A tag must not change when its
+// field is renamed.
 package meshapi
--- a/meshapi/errors.go
+++ b/meshapi/errors.go
@@ -1,47 +1,46 @@
 package meshapi
 
-// ErrorKindHeader is the header field of a response that is an error which holds its ErrorKind.
+// ErrorKindHeader is the header of an error response that contains the ErrorKind.
 const ErrorKindHeader = "X-Mesh-Fault"
 
-// ErrorKind is the name on the wire of a kind of error. Running processes and clients know the
-// names, so they stay when a constant is renamed. A receiver treats a name that it doesn't know as
-// KindInternal.
+// ErrorKind is the wire name of an error kind. Running processes and clients depend on the wire names, so a wire name
+// must not change when its constant is renamed. A receiver treats an unknown wire name as KindInternal.
 type ErrorKind string
 
-// The closed list of kinds of errors.
+// The closed list of error kinds.
 const (
-	// KindInvalid means that the request was read and breaks a rule. Sending it again is of no use.
+	// KindInvalid means that the request was parsed and violates a rule. A retry of the same request fails as well.
 	KindInvalid ErrorKind = "Invalid"
-	// KindMalformed means that the request was cut short or is not of its format.
+	// KindMalformed means that the request was truncated or does not have the expected format.
 	KindMalformed ErrorKind = "Unreadable"
-	// KindTooLarge means that the request exceeds its limit of bytes.
+	// KindTooLarge means that the request exceeds its size limit in bytes.
 	KindTooLarge ErrorKind = "TooLarge"
-	// KindStale means that the version in force is not the one that the request is based on.
+	// KindStale means that the request is based on another version than the version in force.
 	KindStale ErrorKind = "Stale"
-	// KindNotFound means that nothing of that name exists.
+	// KindNotFound means that the resource that the request names does not exist.
 	KindNotFound ErrorKind = "Unknown"
-	// KindBusy means that the request was shed before anything was done.
+	// KindBusy means that the request was shed before it had any effect.
 	KindBusy ErrorKind = "Busy"
-	// KindNoQuorum means that no majority was in contact. Whether a change was made is unknown.
+	// KindNoQuorum means that no majority of the voters was in contact. It is unknown whether a change was made.
 	KindNoQuorum ErrorKind = "NoQuorum"
-	// KindNotLeader means that the machine that answers is not the leader. Nothing was done.
+	// KindNotLeader means that the responding machine is not the leader. The request had no effect.
 	KindNotLeader ErrorKind = "NotLeader"
-	// KindDeadlineExceeded means that the time ran out. Whether a change was made is unknown.
+	// KindDeadlineExceeded means that the deadline has expired. It is unknown whether a change was made.
 	KindDeadlineExceeded ErrorKind = "Late"
-	// KindUndetermined means that whether the change was made can no longer be determined.
+	// KindUndetermined means that it can no longer be determined whether a change was made.
 	KindUndetermined ErrorKind = "Undecided"
-	// KindDiskFailed means that the disk rejected or lost a write.
+	// KindDiskFailed means that an operation on the disk failed, as when the disk rejects or loses a write.
 	KindDiskFailed ErrorKind = "DiskFailed"
-	// KindUnreachable means that a peer gave no answer. Whether it did what was asked is unknown.
+	// KindUnreachable means that a peer did not answer. It is unknown whether the peer executed the request.
 	KindUnreachable ErrorKind = "Unreachable"
-	// KindInternal means a fault of the program.
+	// KindInternal means a fault in the server program.
 	KindInternal ErrorKind = "Internal"
 )
 
-// ErrorResponse is the body of a response that is an error.
+// ErrorResponse is the body of an error response.
 type ErrorResponse struct {
-	// ErrorMessage says what went wrong.
+	// ErrorMessage describes the error.
 	ErrorMessage string `json:"errorMessage"`
-	// Kind is the same as in the header field ErrorKindHeader.
+	// Kind is the error kind. It has the same value as the header ErrorKindHeader.
 	Kind ErrorKind `json:"kind"`
 }
--- a/meshapi/golden_test.go
+++ b/meshapi/golden_test.go
@@ -6,7 +6,8 @@
 	"caperarch/internal/mesh/goldentest"
 )
 
-// What servers and scripts send and expect: testdata holds it as the release before wrote it.
+// Servers and operators' scripts depend on the JSON encoding of the messages. The files in testdata contain the
+// encoding of the previous release.
 func TestMessagesOnTheWire(t *testing.T) {
 	goldentest.CheckJSON[NodeStatus](t, "view")
 	goldentest.CheckJSON[Members](t, "members")
@@ -28,7 +29,7 @@
 		"/api/instances/a%2Fb%20%7Bid%7D/deregister": InstancePath(DeregisterPattern, "a/b {id}"),
 	} {
 		if got != want {
-			t.Errorf("a path is %q, want %q", got, want)
+			t.Errorf("path is %q, want %q", got, want)
 		}
 	}
 }
