--- a/meshclient/attempt.go
+++ b/meshclient/attempt.go
@@ -49,14 +49,14 @@
 }
 
 // attempt sends the request to one address, following redirects, and returns the body of a 2xx response.
-func (q *callRequest) attempt(
+func (request *callRequest) attempt(
 	ctx context.Context, client *http.Client, address string,
 ) ([]byte, *attemptFailure) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	idleTimer := time.AfterFunc(idleTimeout+time.Duration(len(q.body))*timePerByte, cancel)
+	idleTimer := time.AfterFunc(idleTimeout+time.Duration(len(request.body))*timePerByte, cancel)
 	defer idleTimer.Stop()
-	response, failure := q.send(ctx, client, address)
+	response, failure := request.send(ctx, client, address)
 	if failure != nil {
 		return nil, failure
 	}
@@ -68,13 +68,13 @@
 	// Each read that returns data restarts the idle timer, so a slow response does not time out as long as
 	// data arrives.
 	progress := &progressReader{source: response.Body, idleTimer: idleTimer}
-	body, err := io.ReadAll(io.LimitReader(progress, q.maxResponseBytes+1))
+	body, err := io.ReadAll(io.LimitReader(progress, request.maxResponseBytes+1))
 	failure = &attemptFailure{err: Error{Address: address, Status: response.StatusCode}, sent: true}
 	switch {
 	case err != nil:
 		failure.err.Message, failure.err.cause = "reading the response body failed: "+err.Error(), err
 		return nil, failure
-	case int64(len(body)) > q.maxResponseBytes:
+	case int64(len(body)) > request.maxResponseBytes:
 		failure.err.Message = "response body exceeds the size limit"
 		return nil, failure
 	}
@@ -82,25 +82,25 @@
 }
 
 // send sends the request and follows redirects. The caller closes the body of the response.
-func (q *callRequest) send(
+func (request *callRequest) send(
 	ctx context.Context, client *http.Client, address string,
 ) (*http.Response, *attemptFailure) {
 	failure := &attemptFailure{err: Error{Address: address}}
-	target := "http://" + address + q.path
+	target := "http://" + address + request.path
 	for redirects := 0; ; redirects++ {
-		r, err := http.NewRequestWithContext(ctx, q.method, target, bytes.NewReader(q.body))
+		httpRequest, err := http.NewRequestWithContext(ctx, request.method, target, bytes.NewReader(request.body))
 		if err != nil {
 			failure.err.Message, failure.err.cause = "cannot create a request for the address: "+err.Error(), err
 			return nil, failure
 		}
-		if q.method == http.MethodPost {
-			r.Header.Set("Content-Type", "application/json")
+		if request.method == http.MethodPost {
+			httpRequest.Header.Set("Content-Type", "application/json")
 		}
 		// Without a connection, no byte was sent. This includes attempts that timed out while the connection was
 		// opened.
 		var connected atomic.Bool
 		trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected.Store(true) }}
-		response, err := client.Do(r.WithContext(httptrace.WithClientTrace(ctx, trace)))
+		response, err := client.Do(httpRequest.WithContext(httptrace.WithClientTrace(ctx, trace)))
 		if err != nil {
 			failure.sent = connected.Load()
 			failure.err.Message, failure.err.cause = "no answer: "+err.Error(), err
