--- a/meshclient/client.go
+++ b/meshclient/client.go
@@ -27,7 +27,7 @@
 	// Addresses are the control plane addresses in the form host:port. They must not be changed after first use.
 	Addresses []string
 	// HTTP is the client that sends the requests. If it is nil, a client is used that detects the loss of a machine.
-	// The redirect policy of HTTP is ignored: only redirects with status 307, which the control plane sends, are
+	// The redirect policy of HTTP is ignored: only redirects with status 307, which the control plane may send, are
 	// followed.
 	HTTP *http.Client
 
