--- a/internal/proxy/transport/grpc/attempt.go
+++ b/internal/proxy/transport/grpc/attempt.go
@@ -13,44 +13,43 @@
 	"caperarch/policy"
 )
 
-// Why an attempt's context ended, where that was not its deadline.
+// Causes of a cancelled attempt context other than its deadline.
 var (
 	errCancelled        = errors.New("called off")
-	errNoConnection     = errors.New("no connection came up")
-	errTransparentRetry = errors.New("grpc would send the call again by itself")
+	errNoConnection     = errors.New("no connection to the server was established in time")
+	errTransparentRetry = errors.New("grpc-go started a transparent retry")
 	errTimedOut         = errors.New("timed out")
 )
 
-// attempt is one attempt under way. It runs on a goroutine of its own, which Transport.Close waits for.
+// attempt is one attempt in flight. It runs on its own goroutine, and Transport.Close waits for that goroutine.
 type attempt struct {
 	transport  *Transport
 	host       *host
 	subchannel *subchannel
 	message    *call.Message
-	sendBy     time.Duration // nothing is written from then on
-	until      time.Duration
-	begun      time.Duration
+	sendBy     time.Duration // the request is not written at or after this time
+	until      time.Duration // the attempt times out at this time
+	started    time.Duration
 	done       func(call.Result)
 	ctx        context.Context
 	cancel     context.CancelCauseFunc
 
 	mu              sync.Mutex // guards the fields below, which statsHandler sets
-	streamCreated   bool       // from then on the call may reach the server
-	unprocessed     bool       // grpc knows that the server has not begun it
-	headerReceived  bool       // the response has begun
+	streamCreated   bool       // the call may have reached the server
+	unprocessed     bool       // grpc-go knows that the server did not process the call
+	headerReceived  bool       // the response header was received
 	trailerReceived bool       // the server's status was received
-	ended           bool
+	ended           bool       // the result was reported
 }
 
-// attemptKey is an attempt's key in its context.
+// attemptKey is the context key under which an attempt's context holds the attempt.
 type attemptKey struct{}
 
-// Cancel cancels the attempt.
 func (a *attempt) Cancel() { a.cancel(errCancelled) }
 
 // run sends the call over the attempt's subchannel.
 func (a *attempt) run() {
-	if a.transport.cfg.Clock.Now() >= a.sendBy { // the process was stopped meanwhile: that says nothing of the server
+	if a.transport.cfg.Clock.Now() >= a.sendBy { // the process was suspended, which is not the server's failure
 		a.finish(call.Result{Ending: policy.NotSent})
 		return
 	}
@@ -73,11 +72,11 @@
 	a.finish(a.result(ctx, err, header, trailer, body))
 }
 
-// limitConnecting gives the attempt up if its stream isn't created in time, until the function that it returns is
-// called: of a partitioned machine no connection ever comes up, and a repeat is of no use later than it may be written.
+// limitConnecting cancels the attempt if its stream is not created in time: connecting to a partitioned machine never
+// succeeds, and a repeat must not be written after its sendBy time. Calling stop ends the limit.
 func (a *attempt) limitConnecting() (stop func()) {
 	connected := a.subchannel.clientConn.GetState().String() == "READY"
-	if connected && a.sendBy >= a.until { // the deadline of the call does the same
+	if connected && a.sendBy >= a.until { // the deadline of the call has the same effect
 		return func() {}
 	}
 	within := a.sendBy - a.transport.cfg.Clock.Now()
@@ -95,7 +94,7 @@
 	return func() { timer.Stop() }
 }
 
-// contentSubtype is the name of the messages' encoding.
+// contentSubtype returns the gRPC content subtype, which names the encoding of the messages.
 func (a *attempt) contentSubtype() string {
 	if a.message.Format == "" {
 		return "proto"
@@ -103,7 +102,7 @@
 	return a.message.Format
 }
 
-// finish reports the attempt's result, once.
+// finish reports the attempt's result. Only the first call has an effect.
 func (a *attempt) finish(r call.Result) {
 	a.mu.Lock()
 	first := !a.ended
--- a/internal/proxy/transport/grpc/codec.go
+++ b/internal/proxy/transport/grpc/codec.go
@@ -6,8 +6,8 @@
 	"google.golang.org/grpc/mem"
 )
 
-// rawCodec forwards messages as they are: the caller has encoded them once, and however many attempts there are, none
-// writes into the caller's bytes.
+// rawCodec passes encoded messages through unchanged. The caller encodes a message once; all attempts share its bytes,
+// and no attempt writes to them.
 type rawCodec struct{ name string }
 
 // Marshal implements encoding.CodecV2.
@@ -29,5 +29,5 @@
 	return nil
 }
 
-// Name implements encoding.CodecV2: it is the content subtype.
+// Name implements encoding.CodecV2. It returns the content subtype.
 func (c rawCodec) Name() string { return c.name }
--- a/internal/proxy/transport/grpc/hooks.go
+++ b/internal/proxy/transport/grpc/hooks.go
@@ -8,7 +8,7 @@
 	"google.golang.org/grpc/status"
 )
 
-// statsHandler records what grpc does with each attempt's stream.
+// statsHandler records the events of each attempt's stream that grpc-go reports.
 type statsHandler struct{}
 
 // TagRPC implements stats.Handler.
@@ -28,9 +28,10 @@
 	}
 	switch s := s.(type) {
 	case *stats.Begin:
-		// grpc-go retries a stream by itself only if nothing of it was written or the server said that it did not
-		// process it (REFUSED_STREAM, or above the last id of a GOAWAY): that is the proof. Whether it is sent again is
-		// for the policy to decide, so the retry ends here; sendGuard keeps it off the wire.
+		// grpc-go retries a stream transparently only if nothing of the stream was written, or if the server reported
+		// that it did not process the stream (REFUSED_STREAM, or a stream id above the last id of a GOAWAY). So a
+		// transparent retry proves that the call was not processed. The policy decides on every retry, so the attempt
+		// is cancelled here, and sendGuard keeps the retry from being written.
 		if s.IsTransparentRetryAttempt {
 			a.mu.Lock()
 			a.unprocessed = true
@@ -52,15 +53,16 @@
 	}
 }
 
-// sendGuard is asked for credentials before a stream's header is written: the last moment at which a call that is
-// cancelled or late, or that grpc would retry, can be kept from being sent.
+// sendGuard rejects calls that are cancelled or late and transparent retries of grpc-go. It implements per-call
+// credentials because grpc-go requests these immediately before it writes a stream's header, which is the last moment
+// at which a call can be kept from being sent.
 type sendGuard struct{ t *Transport }
 
 // GetRequestMetadata implements credentials.PerRPCCredentials.
 func (g sendGuard) GetRequestMetadata(ctx context.Context, _ ...string) (map[string]string, error) {
 	a, _ := ctx.Value(attemptKey{}).(*attempt)
 	if a == nil {
-		return nil, nil // a probe
+		return nil, nil // the call is a probe
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -73,5 +75,5 @@
 	return nil, nil
 }
 
-// RequireTransportSecurity implements credentials.PerRPCCredentials: there is nothing secret.
+// RequireTransportSecurity implements credentials.PerRPCCredentials. The credentials are empty, so nothing is secret.
 func (sendGuard) RequireTransportSecurity() bool { return false }
--- a/internal/proxy/transport/grpc/orca.go
+++ b/internal/proxy/transport/grpc/orca.go
@@ -15,10 +15,11 @@
 	"caperarch/policy"
 )
 
-// loadTrailer has a server's load report in a response (gRFC A51, Custom Backend Metrics Support).
+// loadTrailer is the trailer of a response that contains the server's load report (gRFC A51, Custom Backend Metrics
+// Support).
 const loadTrailer = "endpoint-load-metrics-bin"
 
-// parseLoad parses the load report of a response; one that can't be parsed counts as none.
+// parseLoad parses the load report in a response's trailers. A malformed report is treated as an absent report.
 func (t *Transport) parseLoad(trailer metadata.MD) policy.Load {
 	text := singleValue(trailer, loadTrailer)
 	if text == "" {
@@ -31,10 +32,11 @@
 	return t.loadFromORCA(&r)
 }
 
-// loadFromORCA maps a report's fields to the policy's: cpu_utilization is Busy, eps Errors, rps_fractional less eps
-// Served. ORCA has none for requests held, waiting and their time, so these are named_metrics under names that
-// the configuration gives, as any other; they come last, and so win. A value that is no usable number, and a
-// utilization or rate of 0, which proto3 can't tell from none, count as absent.
+// loadFromORCA converts an ORCA load report to a policy.Load: Busy is cpu_utilization, Errors is eps, and Served is
+// rps_fractional minus eps. ORCA has no fields for requests in flight, queued requests and service time, so these are
+// read from named_metrics, under the names in Config.LoadMetrics. Named metrics are applied last and override the other
+// fields. An invalid number is treated as absent, and so is a utilization or rate of 0, because proto3 does not
+// distinguish 0 from an absent field.
 func (t *Transport) loadFromORCA(r *orcapb.OrcaLoadReport) policy.Load {
 	var l policy.Load
 	set := func(field policy.LoadFields, v float64) { wire.SetLoad(&l, field, v) }
@@ -53,7 +55,8 @@
 	return l
 }
 
-// Probe asks for a load report over ORCA's out-of-band service: the first one of a stream that is cancelled then.
+// Probe requests a load report from the server's ORCA out-of-band service. It takes the first report of the stream and
+// then cancels the stream.
 func (h *host) Probe(done func(ok bool, load policy.Load)) {
 	t := h.transport
 	t.running.Add(1)
@@ -64,7 +67,7 @@
 	}()
 }
 
-// probe returns the load report, and whether there is one.
+// probe returns the load report, and whether the server sent a report.
 func (h *host) probe() (bool, policy.Load) {
 	t := h.transport
 	if !t.cfg.ORCAProbes {
@@ -83,7 +86,7 @@
 	ctx, cancel := context.WithTimeout(t.ctx, t.cfg.DialTimeout)
 	defer cancel()
 	stream, err := orcasvc.NewOpenRcaServiceClient(sub.clientConn).StreamCoreMetrics(ctx, &orcasvc.OrcaLoadReportRequest{
-		ReportInterval: durationpb.New(time.Minute), // only the first is wanted
+		ReportInterval: durationpb.New(time.Minute), // only the first report is read
 	}, grpc.MaxCallRecvMsgSize(64<<10))
 	if err != nil {
 		return false, policy.Load{}
--- a/internal/proxy/transport/grpc/repeat_test.go
+++ b/internal/proxy/transport/grpc/repeat_test.go
@@ -12,8 +12,9 @@
 	"caperarch/policy"
 )
 
-// A repeat may be written for some time, and its answer waited for longer. The process is stopped in between: nothing
-// goes out, over a connection that stands or over one that has to be opened.
+// A repeat has a time limit for writing the request that is shorter than its time limit for the response. Guards
+// against a request that is written after the first limit because the process was suspended, both over an open
+// connection and over a connection that has yet to be opened.
 func TestLateRepeatIsNotSent(t *testing.T) {
 	for _, connected := range []bool{true, false} {
 		l := new(testbed.ArrivalLog)
@@ -29,27 +30,29 @@
 		tr.cfg.Clock.Advance(700 * time.Millisecond)
 		done := make(chan call.Result, 1)
 		s.Send(message(t, "1"), limits, func(r call.Result) { done <- r })
-		if got := testbed.Wait(t, "its end", done); got.Ending != policy.NotSent {
-			t.Errorf("connected %v: ending %v, want NotSent", connected, got.Ending)
+		if got := testbed.Wait(t, "the result of the late repeat", done); got.Ending != policy.NotSent {
+			t.Errorf("connected %v: late repeat ended as %v, want NotSent", connected, got.Ending)
 		}
 		if l.Len() > before {
-			t.Errorf("connected %v: the late repeat arrived", connected)
+			t.Errorf("connected %v: the late repeat reached the server", connected)
 		}
 	}
 }
 
-// The last look at the clock comes when the connection is up: a stop between the decision and that moment is noticed.
+// sendGuard checks the clock once the connection is established, so it rejects a call that became late because the
+// process was suspended while the connection was being opened.
 func TestRepeatIsNotSentOnceItsConnectionIsUpTooLate(t *testing.T) {
 	tr := newTransport(t, func(c *Config) { c.Clock = clock.NewAdjustable() })
 	now := tr.cfg.Clock.Now()
 	a := &attempt{transport: tr, ctx: t.Context(), sendBy: now + 300*time.Millisecond, until: now + time.Minute}
 	tr.cfg.Clock.Advance(700 * time.Millisecond)
 	if _, err := (sendGuard{tr}).GetRequestMetadata(context.WithValue(t.Context(), attemptKey{}, a)); err == nil {
-		t.Error("no error: the header would be written")
+		t.Error("GetRequestMetadata returned no error for a late repeat, so its header would be written")
 	}
 }
 
-// A connection that never comes up is not waited for longer than a repeat may be written: its caller waits.
+// Guards against a repeat that waits for a connection for longer than the request may be written, which delays the
+// response to the client.
 func TestRepeatDoesNotWaitForAConnection(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -57,12 +60,12 @@
 	}
 	defer l.Close()
 	tr := newTransport(t, func(c *Config) { c.DialTimeout = testbed.Generous })
-	begun, now := time.Now(), tr.cfg.Clock.Now()
+	started, now := time.Now(), tr.cfg.Clock.Now()
 	limits := call.Limits{SendBy: now + 200*time.Millisecond, Until: now + testbed.Generous}
 	done := make(chan call.Result, 1)
 	tr.Server(l.Addr().String()).Send(message(t, "1"), limits, func(r call.Result) { done <- r })
-	got := testbed.Wait(t, "its end", done)
-	if took := time.Since(begun); got.Ending != policy.NoConnection || took > testbed.Generous/2 {
-		t.Errorf("ending %v after %v, want NoConnection: it had 200 ms", got.Ending, took)
+	got := testbed.Wait(t, "the result of the repeat", done)
+	if took := time.Since(started); got.Ending != policy.NoConnection || took > testbed.Generous/2 {
+		t.Errorf("repeat ended as %v after %v, want NoConnection after 200 ms", got.Ending, took)
 	}
 }
--- a/internal/proxy/transport/grpc/result.go
+++ b/internal/proxy/transport/grpc/result.go
@@ -14,14 +14,14 @@
 	"caperarch/policy"
 )
 
-// notProcessedTrailer is the trailer by which a server says that it has not begun a call: the gRPC form of the
-// protocol's X-Not-Processed. It counts only in a response without a header.
+// notProcessedTrailer is the trailer with which a server reports that it did not process a call, the gRPC equivalent of
+// the HTTP field X-Not-Processed. It is accepted only in a trailers-only response.
 const notProcessedTrailer = "x-not-processed"
 
-// deadlineMargin is how much earlier than our clock a server's may end a call whose deadline has come.
+// deadlineMargin is how long before the deadline on this machine's clock the server may end a call as timed out.
 const deadlineMargin = 50 * time.Millisecond
 
-// result is how a call ended, from what statsHandler has recorded of it.
+// result returns the attempt's result, based on the call's error and the stream events that statsHandler recorded.
 func (a *attempt) result(ctx context.Context, err error, header, trailer metadata.MD, body []byte) call.Result {
 	a.mu.Lock()
 	created, unprocessed, headers, trailers := a.streamCreated, a.unprocessed, a.headerReceived, a.trailerReceived
@@ -37,13 +37,13 @@
 	st := status.Convert(err)
 	r.Status, r.Body = int(st.Code()), encodeStatus(st)
 	cause := context.Cause(ctx)
-	// A server knows the deadline too, and may end the stream a moment before our own clock does.
+	// The server knows the deadline too, and may end the stream shortly before the deadline on this machine's clock.
 	isTimeout := st.Code() == codes.DeadlineExceeded || st.Code() == codes.Canceled
 	late := a.transport.cfg.Clock.Now() >= a.until-deadlineMargin && isTimeout
 	switch {
 	case late && created && !errors.Is(cause, errCancelled):
 		r.Ending = policy.TimedOut
-	case trailers: // the server's own status, whatever else happened
+	case trailers: // the server's own status takes precedence over all other causes
 		r.Ending = endingOf(st.Code())
 		if !headers && singleValue(trailer, notProcessedTrailer) == "1" {
 			r.Ending = policy.NotProcessed
@@ -53,7 +53,7 @@
 	case unprocessed && created:
 		r.Ending = policy.NotProcessed
 	case !created && !errors.Is(cause, errNoConnection) && cause == nil && st.Code() == codes.DeadlineExceeded:
-		r.Ending = policy.NotSent // sendGuard: our own lack of time, which says nothing of the server
+		r.Ending = policy.NotSent // rejected by sendGuard as late, which is not the server's failure
 	case !created:
 		r.Ending = policy.NoConnection
 	case errors.Is(cause, errTimedOut) || ctx.Err() != nil:
@@ -64,8 +64,8 @@
 	return r
 }
 
-// endingOf is what a server's status is to the policy. Most codes are a response of the application, which another
-// server would give too; these say that the server could not serve.
+// endingOf returns the ending that a server's status code means to the policy. The codes listed here report that the
+// server failed; all other codes are responses of the application, which another server would return too.
 func endingOf(c codes.Code) policy.Ending {
 	switch c {
 	case codes.Unavailable, codes.Internal, codes.Unknown, codes.DataLoss, codes.ResourceExhausted,
@@ -75,7 +75,7 @@
 	return policy.Served
 }
 
-// singleValue is the value of a field that is given once, or "".
+// singleValue returns the value of a metadata key that has exactly one value, or "".
 func singleValue(md metadata.MD, name string) string {
 	if v := md.Get(name); len(v) == 1 {
 		return v[0]
@@ -83,11 +83,11 @@
 	return ""
 }
 
-// encodeStatus is a status as the client is sent it.
+// encodeStatus returns a status in the encoding in which the client receives it.
 func encodeStatus(st *status.Status) []byte {
 	b, err := proto.Marshal(st.Proto())
 	if err != nil {
-		return nil // its details can't be encoded again; the code is in Result.Status
+		return nil // the details cannot be encoded again; Result.Status still has the code
 	}
 	return b
 }
--- a/internal/proxy/transport/grpc/stream.go
+++ b/internal/proxy/transport/grpc/stream.go
@@ -13,20 +13,21 @@
 	"caperarch/policy"
 )
 
-// Stream is a server's stream that has begun. Recv is called from one goroutine at a time; Close from any.
+// Stream is a server stream whose response header was received. Recv must be called from one goroutine at a time; Close
+// is safe for concurrent use.
 type Stream struct {
 	attempt      *attempt
 	ctx          context.Context
 	clientStream grpc.ClientStream
 	header       metadata.MD
 
-	// What was read before the stream was known to have begun.
+	// firstMessage and firstErr are the result of the read by which runStream detected the start of the response.
 	firstMessage    []byte
 	hasFirstMessage bool
 	firstErr        error
 }
 
-// Recv returns the next message, io.EOF behind the last one, or the server's status as an error.
+// Recv returns the next message, io.EOF after the last message, or the server's status as an error.
 func (s *Stream) Recv() ([]byte, error) {
 	if s.hasFirstMessage {
 		s.hasFirstMessage = false
@@ -48,24 +49,25 @@
 	return nil, err
 }
 
-// Header is the header metadata.
+// Header returns the header metadata of the response.
 func (s *Stream) Header() metadata.MD { return s.header }
 
-// Trailer is the trailer metadata, once Recv has returned an error.
+// Trailer returns the trailer metadata of the response. It is valid once Recv has returned an error.
 func (s *Stream) Trailer() metadata.MD { return s.clientStream.Trailer() }
 
-// Close cancels the stream, unless it has ended.
+// Close cancels the stream. It has no effect on a stream that has ended.
 func (s *Stream) Close() {
 	s.attempt.Cancel()
 	s.attempt.finish(call.Result{Ending: policy.Cancelled})
 }
 
-// runStream begins a server stream: up to its header it is an attempt as any other, then it belongs to its client.
+// runStream sends the request of a server stream. Until the response header is received the policy may retry the
+// attempt; from then on the client owns the stream.
 func (a *attempt) runStream(ctx context.Context, opts []grpc.CallOption) {
 	if a.message.StreamDeadline > 0 {
 		var stop context.CancelFunc
 		ctx, stop = context.WithDeadlineCause(ctx, a.transport.cfg.Clock.At(a.message.StreamDeadline), errTimedOut)
-		context.AfterFunc(a.ctx, stop) // which finish cancels
+		context.AfterFunc(a.ctx, stop) // finish cancels a.ctx
 	}
 	wait := time.AfterFunc(a.until-a.transport.cfg.Clock.Now(), func() { a.cancel(errTimedOut) })
 	cs, err := a.subchannel.clientConn.NewStream(ctx, &grpc.StreamDesc{ServerStreams: true}, a.message.URI, opts...)
@@ -73,7 +75,7 @@
 		a.finish(a.result(ctx, err, nil, nil, nil))
 		return
 	}
-	if err = cs.SendMsg(&a.message.Body); err == nil || errors.Is(err, io.EOF) { // EOF: its status comes with the response
+	if err = cs.SendMsg(&a.message.Body); err == nil || errors.Is(err, io.EOF) { // io.EOF: the response has the status
 		err = cs.CloseSend()
 	}
 	var md metadata.MD
@@ -81,12 +83,12 @@
 		md, err = cs.Header()
 	}
 	a.mu.Lock()
-	begun := a.headerReceived
+	hasHeader := a.headerReceived
 	a.mu.Unlock()
 	st := &Stream{attempt: a, ctx: ctx, clientStream: cs, header: md}
-	// statsHandler's report may lag behind Header itself, and a response of trailers alone has no header: the first
-	// message shows which it is, and is kept.
-	if err == nil && !begun {
+	// statsHandler may be called after Header returns, and a trailers-only response has no header. Reading the first
+	// message tells the two cases apart; Recv returns this message later.
+	if err == nil && !hasHeader {
 		switch err = cs.RecvMsg(&st.firstMessage); {
 		case err == nil:
 			st.hasFirstMessage = true
@@ -95,19 +97,19 @@
 		}
 	}
 	if err != nil {
-		if errors.Is(err, io.EOF) { // SendMsg's: the status comes with the response
+		if errors.Is(err, io.EOF) { // from SendMsg: the response has the status
 			var body []byte
 			err = cs.RecvMsg(&body)
 		}
 		a.finish(a.result(ctx, err, md, cs.Trailer(), nil))
 		return
 	}
-	if !wait.Stop() { // it timed out as it began: only one of both is reported
+	if !wait.Stop() { // the attempt timed out when the response started; only the time-out is reported
 		a.finish(call.Result{Ending: policy.TimedOut})
 		return
 	}
 	a.done(call.Result{Ending: policy.Served, Header: map[string][]string(md), Stream: st})
-	// After its begin was reported, or its end could come first. It ends with its context too: a stream that nobody
-	// reads must not occupy its slot, nor keep Close waiting.
+	// The stream also ends with its context: a stream that the client does not read must not occupy a slot or delay
+	// Transport.Close. This is registered after the start of the stream was reported, so that its end is reported later.
 	context.AfterFunc(ctx, func() { a.finish(call.Result{Ending: policy.Cancelled}) })
 }
--- a/internal/proxy/transport/grpc/transport.go
+++ b/internal/proxy/transport/grpc/transport.go
@@ -1,8 +1,8 @@
-// Package grpc sends attempts to servers over gRPC, with one subchannel for each server. grpc-go's own balancing,
-// retries and service configuration are off: the policy decides on every attempt.
+// Package grpc sends attempts to servers over gRPC, with one subchannel for each server. The load balancing, retries
+// and service configuration of grpc-go are disabled, because the policy decides on every attempt.
 //
-// A Transport owns its subchannels and the goroutine of each attempt and probe: Close ends both. Its exported methods,
-// and those of the servers that it returns, are safe for concurrent use.
+// A Transport owns its subchannels and the goroutine of each attempt and probe, and Close ends all of them. The
+// exported methods of a Transport and of the servers that it returns are safe for concurrent use.
 package grpc
 
 import (
@@ -22,55 +22,56 @@
 )
 
 const (
-	minBackoff = 50 * time.Millisecond // between two attempts to connect, doubled after each failed one
-	maxBackoff = time.Second           // up to this: the policy's own backoff keeps calls off such a server
-	idleMargin = time.Second           // an idle connection closes so much before its server would close it
+	minBackoff = 50 * time.Millisecond // first delay between attempts to connect; the delay doubles after each failure
+	maxBackoff = time.Second           // short, because the policy's own backoff keeps calls off an unreachable server
+	idleMargin = time.Second           // an idle connection is closed this long before its server would close it
 )
 
-// Config says how servers are reached.
+// Config configures a Transport.
 type Config struct {
 	Clock       clock.Clock
-	DialTimeout time.Duration                    // how long opening a connection may take
-	IdleTimeout time.Duration                    // servers close connections without a call for so long
-	MaxConns    int                              // subchannels at most, a connection each
-	ORCAProbes  bool                             // servers have ORCA's out-of-band service: without it probes fail
-	LoadMetrics map[string]policy.LoadFields     // which fields of a load ORCA's named_metrics are
-	Credentials credentials.TransportCredentials // nil: plain TCP
+	DialTimeout time.Duration                    // limit for opening a connection
+	IdleTimeout time.Duration                    // servers close a connection without calls after this time
+	MaxConns    int                              // limit on subchannels, which have one connection each
+	ORCAProbes  bool                             // servers have ORCA's out-of-band service; if false, probes fail
+	LoadMetrics map[string]policy.LoadFields     // field of policy.Load for each name in ORCA's named_metrics
+	Credentials credentials.TransportCredentials // nil: TCP without TLS
 	UserAgent   string
 }
 
 // Transport sends attempts and probes to servers.
 type Transport struct {
 	cfg     Config
-	ctx     context.Context // ends with Close
+	ctx     context.Context // cancelled by Close
 	cancel  context.CancelFunc
-	running sync.WaitGroup // attempts and probes
+	running sync.WaitGroup // attempts, probes and the closing of subchannels
 
 	mu        sync.Mutex // guards the fields below
 	closed    bool
-	hosts     map[*host]struct{} // those with a subchannel
-	openConns int                // subchannels
+	hosts     map[*host]struct{} // hosts that have a subchannel
+	openConns int                // open subchannels
 	dials     int
 }
 
-// host is a server at an address.
+// host is a server at one address. It implements call.Server.
 type host struct {
 	transport    *Transport
 	address      string
-	subchannel   *subchannel // for new calls; nil: none. Guarded by the transport's lock, as the next two
+	subchannel   *subchannel // for new calls; may be nil; guarded by Transport.mu, like the fields below
 	deregistered bool
-	lastUsed     time.Duration // last
+	lastUsed     time.Duration // time at which the last call started
 }
 
-// subchannel is a connection to a server, which grpc opens and reopens. A retired one closes with its last call.
+// subchannel is a connection to a server, which grpc-go opens and reopens. A retired subchannel is closed when its last
+// call ends.
 type subchannel struct {
 	clientConn   *grpc.ClientConn
-	calls        int           // in flight; guarded by the transport's lock, as the next two
-	retired      bool          // it gets no new calls
-	lastResponse time.Duration // last
+	calls        int           // calls in flight; guarded by Transport.mu, like the fields below
+	retired      bool          // the subchannel gets no new calls
+	lastResponse time.Duration // time of the last response
 }
 
-// New makes a transport that has no connection open yet.
+// New returns a transport without open connections.
 func New(cfg Config) *Transport {
 	if cfg.Credentials == nil {
 		cfg.Credentials = insecure.NewCredentials()
@@ -80,25 +81,25 @@
 	return t
 }
 
-// Server returns the server at an address (host and port).
+// Server returns a server for an address of the form host:port.
 func (t *Transport) Server(address string) call.Server { return &host{transport: t, address: address} }
 
-// Counters are figures for the log, by name.
+// Counters returns counters for the log, by name.
 func (t *Transport) Counters() map[string]int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return map[string]int{"open": t.openConns, "dialled": t.dials}
 }
 
-var errNoDescriptor = errors.New("no descriptor is left for a connection")
+var errNoSubchannel = errors.New("connection limit reached, or host deregistered, or transport closed")
 
-// acquire reserves the host's subchannel for a call, and opens one if there is none. At the limit the one that has been
-// without a call for longest makes room.
+// acquire reserves the host's subchannel for a call, and opens a subchannel if the host has none. When MaxConns is
+// reached, it retires the least recently used subchannel that has no calls.
 func (t *Transport) acquire(h *host) (*subchannel, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.closed || h.deregistered {
-		return nil, errNoDescriptor
+		return nil, errNoSubchannel
 	}
 	h.lastUsed = t.cfg.Clock.Now()
 	if h.subchannel != nil {
@@ -113,7 +114,7 @@
 			}
 		}
 		if oldest == nil {
-			return nil, errNoDescriptor
+			return nil, errNoSubchannel
 		}
 		t.retire(oldest)
 	}
@@ -150,7 +151,8 @@
 	)
 }
 
-// retire has a host's subchannel get no new call; it closes with its last one. The caller holds the lock.
+// retire stops a host's subchannel from getting new calls. The subchannel is closed when its last call ends. The caller
+// holds Transport.mu.
 func (t *Transport) retire(h *host) {
 	sub := h.subchannel
 	if sub == nil {
@@ -162,17 +164,18 @@
 	t.closeIfDone(sub)
 }
 
-// closeIfDone closes a retired subchannel without calls. The caller holds the lock.
+// closeIfDone closes a subchannel that is retired and has no calls. The caller holds Transport.mu.
 func (t *Transport) closeIfDone(sub *subchannel) {
 	if sub.retired && sub.calls == 0 {
 		t.openConns--
-		// Off the caller's goroutine, which may hold what grpc's callbacks wait for.
+		// On a separate goroutine, because the caller may hold a lock that callbacks of grpc-go wait for.
 		t.running.Go(func() { _ = sub.clientConn.Close() })
 	}
 }
 
-// release ends a call on its subchannel. A server that let a call time out and has not responded since it began may be
-// partitioned, and its connection broken: the next call opens another, which shows that.
+// release ends a call on its subchannel. If the call timed out and the server has not responded on this subchannel
+// since the call started, the server may be partitioned and the connection broken, so release retires the subchannel.
+// The next call then opens a new connection, which fails if the server is partitioned.
 func (t *Transport) release(a *attempt, ending policy.Ending) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -181,7 +184,7 @@
 	case policy.Served, policy.Errored, policy.NotProcessed:
 		a.subchannel.lastResponse = now
 	case policy.TimedOut:
-		if now-a.begun >= t.cfg.DialTimeout && a.subchannel.lastResponse < a.begun && a.host.subchannel == a.subchannel {
+		if now-a.started >= t.cfg.DialTimeout && a.subchannel.lastResponse < a.started && a.host.subchannel == a.subchannel {
 			t.retire(a.host)
 		}
 	}
@@ -189,12 +192,12 @@
 	t.closeIfDone(a.subchannel)
 }
 
-// Send starts an attempt: see call.Server.
+// Send implements call.Server. It starts an attempt.
 func (h *host) Send(m *call.Message, limits call.Limits, done func(call.Result)) call.Attempt {
 	t := h.transport
 	a := &attempt{
 		transport: t, host: h, message: m, sendBy: limits.SendBy, until: limits.Until,
-		begun: t.cfg.Clock.Now(), done: done,
+		started: t.cfg.Clock.Now(), done: done,
 	}
 	ctx, cancel := context.WithCancelCause(t.ctx)
 	a.ctx, a.cancel = context.WithValue(ctx, attemptKey{}, a), cancel
@@ -213,7 +216,7 @@
 	return a
 }
 
-// CloseIdle closes the connection if no call is on it.
+// CloseIdle implements call.Server. It closes the connection if the connection has no calls.
 func (h *host) CloseIdle() {
 	h.transport.mu.Lock()
 	defer h.transport.mu.Unlock()
@@ -222,7 +225,8 @@
 	}
 }
 
-// Deregister closes the connection with its last call, and has no other opened.
+// Deregister implements call.Server. The connection is closed when its last call ends, and no connection is opened
+// again.
 func (h *host) Deregister() {
 	h.transport.mu.Lock()
 	defer h.transport.mu.Unlock()
@@ -230,7 +234,7 @@
 	h.transport.retire(h)
 }
 
-// Close cancels what is under way, closes all connections and returns when nothing of it is left.
+// Close cancels all attempts and probes, closes all connections and waits until their goroutines have ended.
 func (t *Transport) Close() {
 	t.mu.Lock()
 	t.closed = true
--- a/internal/proxy/transport/grpc/transport_test.go
+++ b/internal/proxy/transport/grpc/transport_test.go
@@ -51,11 +51,11 @@
 	t.Helper()
 	done := make(chan call.Result, 2)
 	s.Send(m, call.Within(tr.cfg.Clock.Now()+limit), func(r call.Result) { done <- r })
-	return testbed.Wait(t, "the end of an attempt", done)
+	return testbed.Wait(t, "the result of an attempt", done)
 }
 
-// serveFrames is a server that speaks HTTP/2 frame by frame: answer is called with each stream's id once all of its
-// request is here.
+// serveFrames starts a server that reads and writes HTTP/2 frames. It calls answer with the id of each stream whose
+// request was received completely, and counts the streams.
 func serveFrames(
 	t *testing.T, answer func(f *http2.Framer, c net.Conn, stream uint32),
 ) (address string, streams *atomic.Int64) {
@@ -123,9 +123,9 @@
 	return len(p), nil
 }
 
-// What proves that a call never ran, and what doesn't. grpc-go would send the proved ones again by itself, on the
-// same connection: whatever it is, one stream is all that reaches the server.
-func TestWhatProvesThatACallNeverRan(t *testing.T) {
+// Only REFUSED_STREAM, a GOAWAY with a lower stream id and the not-processed trailer prove that the server did not
+// process a call. grpc-go retries transparently after the first two; guards against a retry that reaches the server.
+func TestProofOfUnprocessedCall(t *testing.T) {
 	for name, c := range map[string]struct {
 		answer func(f *http2.Framer, c net.Conn, stream uint32)
 		want   policy.Ending
@@ -163,9 +163,9 @@
 			tr := newTransport(t, nil)
 			got := send(t, tr, tr.Server(address), message(t, "1"), testbed.Generous)
 			if got.Ending != c.want {
-				t.Errorf("ending %v, want %v; status %v", got.Ending, c.want, codes.Code(got.Status))
+				t.Errorf("attempt ended as %v, want %v; status %v", got.Ending, c.want, codes.Code(got.Status))
 			}
-			time.Sleep(20 * time.Millisecond) // what grpc would send by itself
+			time.Sleep(20 * time.Millisecond) // time for a transparent retry of grpc-go to arrive
 			if n := streams.Load(); n != 1 {
 				t.Errorf("%d streams reached the server, want 1", n)
 			}
@@ -173,7 +173,7 @@
 	}
 }
 
-// Endings over a real server.
+// Checks the ending of an attempt for each behaviour of a grpc-go server.
 func TestEndings(t *testing.T) {
 	for act, want := range map[testbed.Act]policy.Ending{
 		testbed.Serve:    policy.Served,
@@ -195,10 +195,10 @@
 				limit = 300 * time.Millisecond
 			}
 			if got := send(t, tr, tr.Server(n.Address), message(t, "1"), limit); got.Ending != want {
-				t.Errorf("ending %v, want %v", got.Ending, want)
+				t.Errorf("attempt ended as %v, want %v", got.Ending, want)
 			}
 			if n := l.Len(); n != 1 {
-				t.Errorf("%d arrivals, want 1", n)
+				t.Errorf("%d requests reached the server, want 1", n)
 			}
 		})
 	}
@@ -213,71 +213,73 @@
 	l.Close()
 	tr := newTransport(t, nil)
 	s := tr.Server(address)
-	for range 3 { // also while grpc waits before it tries again
+	for range 3 { // the later calls are made while grpc-go waits before it reconnects
 		if got := send(t, tr, s, message(t, "1"), testbed.Generous); got.Ending != policy.NoConnection {
-			t.Errorf("ending %v, want %v", got.Ending, policy.NoConnection)
+			t.Errorf("attempt to a closed port ended as %v, want %v", got.Ending, policy.NoConnection)
 		}
 	}
 }
 
-// A machine that takes the connection and says nothing at all: no stream is ever created.
-func TestConnectionThatNeverComesUp(t *testing.T) {
+// Guards against an attempt that waits until its deadline for a server that accepts TCP connections but sends no HTTP/2
+// frames. No stream is created on such a connection.
+func TestServerWithoutHTTP2(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
 	tr := newTransport(t, func(c *Config) { c.DialTimeout = 200 * time.Millisecond })
-	begun := time.Now()
+	started := time.Now()
 	got := send(t, tr, tr.Server(l.Addr().String()), message(t, "1"), testbed.Generous)
-	if took := time.Since(begun); got.Ending != policy.NoConnection || took > 5*time.Second {
-		t.Errorf("ending %v after %v, want %v within the time for a connection", got.Ending, took, policy.NoConnection)
+	if took := time.Since(started); got.Ending != policy.NoConnection || took > 5*time.Second {
+		t.Errorf("attempt ended as %v after %v, want %v within DialTimeout", got.Ending, took, policy.NoConnection)
 	}
 }
 
-// Cancelled, or late, before it is written: nothing goes out.
+// Guards against writing a request that was cancelled, or whose deadline has passed, before it was written.
 func TestCancelledOrLateCallIsNotSent(t *testing.T) {
 	l := new(testbed.ArrivalLog)
 	n := testbed.NewGRPCNode(t, "s-0", l)
 	tr := newTransport(t, func(c *Config) { c.Clock = clock.NewAdjustable() })
 	s := tr.Server(n.Address)
 	if got := send(t, tr, s, message(t, "1"), testbed.Generous); got.Ending != policy.Served {
-		t.Fatalf("ending %v, want served", got.Ending)
+		t.Fatalf("first attempt ended as %v, want Served", got.Ending)
 	}
 	done := make(chan call.Result, 2)
 	until := tr.cfg.Clock.Now() + time.Minute
-	tr.cfg.Clock.Advance(time.Hour) // the process was stopped between the decision and the write
+	tr.cfg.Clock.Advance(time.Hour) // the process is suspended between the decision to send and the write
 	s.Send(message(t, "1"), call.Within(until), func(r call.Result) { done <- r })
-	if got := testbed.Wait(t, "its end", done); got.Ending == policy.Served || got.Ending == policy.TimedOut {
-		t.Errorf("ending %v for a call that was late before it was written", got.Ending)
+	if got := testbed.Wait(t, "the late call", done); got.Ending == policy.Served || got.Ending == policy.TimedOut {
+		t.Errorf("late call ended as %v, want an ending that proves that it was not sent", got.Ending)
 	}
 	x := s.Send(message(t, "1"), call.Within(tr.cfg.Clock.Now()+time.Minute), func(r call.Result) { done <- r })
 	x.Cancel()
-	testbed.Wait(t, "its end", done)
+	testbed.Wait(t, "the result of the cancelled call", done)
 	if n := len(l.Of("1")); n > 2 {
-		t.Errorf("%d arrivals, the late call must not be one", n)
+		t.Errorf("%d requests reached the server, want at most 2 because the late call is not sent", n)
 	}
 }
 
-// A server that lets a call time out may be partitioned: the next call opens another connection.
+// A server may be partitioned when a call times out, so the next call opens a new connection.
 func TestTimeoutRetiresTheConnection(t *testing.T) {
 	n := testbed.NewGRPCNode(t, "s-0", new(testbed.ArrivalLog))
 	n.Do(testbed.Always(testbed.Hang))
 	tr := newTransport(t, func(c *Config) { c.DialTimeout = 100 * time.Millisecond })
 	s := tr.Server(n.Address)
 	if got := send(t, tr, s, message(t, "1"), 400*time.Millisecond); got.Ending != policy.TimedOut {
-		t.Fatalf("ending %v, want %v", got.Ending, policy.TimedOut)
+		t.Fatalf("attempt at a hanging server ended as %v, want %v", got.Ending, policy.TimedOut)
 	}
 	n.Do(testbed.Always(testbed.Serve))
 	if got := send(t, tr, s, message(t, "1"), testbed.Generous); got.Ending != policy.Served {
-		t.Fatalf("ending %v, want served", got.Ending)
+		t.Fatalf("attempt after the time-out ended as %v, want Served", got.Ending)
 	}
 	if got := tr.Counters(); got["dialled"] != 2 || got["open"] != 1 {
-		t.Errorf("%v, want two dialled and one open", got)
+		t.Errorf("counters are %v, want two connections dialled and one open", got)
 	}
 }
 
-// At the limit the connection without a call makes room; where all have one, nothing is sent.
+// At the connection limit, a connection without calls is closed in favour of the new one. If all connections have
+// calls, nothing is sent.
 func TestConnectionLimit(t *testing.T) {
 	l := new(testbed.ArrivalLog)
 	a, b := testbed.NewGRPCNode(t, "a", l), testbed.NewGRPCNode(t, "b", l)
@@ -285,19 +287,19 @@
 	sa, sb := tr.Server(a.Address), tr.Server(b.Address)
 	for _, s := range []call.Server{sa, sb} {
 		if got := send(t, tr, s, message(t, "1"), testbed.Generous); got.Ending != policy.Served {
-			t.Fatalf("ending %v, want served", got.Ending)
+			t.Fatalf("attempt ended as %v, want Served", got.Ending)
 		}
 	}
 	b.Do(testbed.Always(testbed.Hang))
 	done := make(chan call.Result, 2)
 	x := sb.Send(message(t, "1"), call.Within(tr.cfg.Clock.Now()+testbed.Generous), func(r call.Result) { done <- r })
-	testbed.Until(t, "the call", func() bool { return l.Len() == 3 })
+	testbed.Until(t, "the call to arrive", func() bool { return l.Len() == 3 })
 	if got := send(t, tr, sa, message(t, "1"), testbed.Generous); got.Ending != policy.NotSent {
-		t.Errorf("ending %v, want %v: our own limit says nothing of the server", got.Ending, policy.NotSent)
+		t.Errorf("attempt at the connection limit ended as %v, want %v", got.Ending, policy.NotSent)
 	}
 	x.Cancel()
-	if got := testbed.Wait(t, "its end", done); got.Ending != policy.Cancelled {
-		t.Errorf("ending %v, want %v", got.Ending, policy.Cancelled)
+	if got := testbed.Wait(t, "the result of the cancelled call", done); got.Ending != policy.Cancelled {
+		t.Errorf("cancelled call ended as %v, want %v", got.Ending, policy.Cancelled)
 	}
 }
 
@@ -313,19 +315,20 @@
 	if got.Load != want {
 		t.Errorf("load %+v, want %+v", got.Load, want)
 	}
-	own := tr.loadFromORCA(&orcapb.OrcaLoadReport{CpuUtilization: 0.6, RpsFractional: 12, Eps: 2})
-	if own.Busy != 0.6 || own.Served != 10 || own.Errors != 2 {
-		t.Errorf("the fields that ORCA has itself: %+v", own)
+	fromFields := tr.loadFromORCA(&orcapb.OrcaLoadReport{CpuUtilization: 0.6, RpsFractional: 12, Eps: 2})
+	if fromFields.Busy != 0.6 || fromFields.Served != 10 || fromFields.Errors != 2 {
+		t.Errorf("load from ORCA's own fields is %+v, want Busy 0.6, Served 10, Errors 2", fromFields)
 	}
 	if got := tr.parseLoad(metadata.Pairs(loadTrailer, "\xff\xff")); got.Has != 0 {
-		t.Errorf("a report that can't be read: %+v", got)
+		t.Errorf("load from a malformed report is %+v, want no fields", got)
 	}
 	if got := tr.loadFromORCA(&orcapb.OrcaLoadReport{NamedMetrics: map[string]float64{"inflight": -1}}); got.Has != 0 {
-		t.Errorf("a value that is none: %+v", got)
+		t.Errorf("load from a negative in-flight count is %+v, want no fields", got)
 	}
 }
 
-// A stream is its client's from its header on; its attempt ends with it, once.
+// An attempt reports the start of its stream when the header is received, and reports exactly one result when the
+// stream ends.
 func TestStream(t *testing.T) {
 	n := testbed.NewGRPCNode(t, "s-0", new(testbed.ArrivalLog), grpc.MaxConcurrentStreams(100))
 	tr := newTransport(t, nil)
@@ -333,10 +336,10 @@
 	m.Stream = true
 	results := make(chan call.Result, 4)
 	tr.Server(n.Address).Send(m, call.Within(tr.cfg.Clock.Now()+testbed.Generous), func(r call.Result) { results <- r })
-	begun := testbed.Wait(t, "its begin", results)
-	s, ok := begun.Stream.(*Stream)
+	started := testbed.Wait(t, "the start of the stream", results)
+	s, ok := started.Stream.(*Stream)
 	if !ok || s.Header().Get("x-stream")[0] != "3" {
-		t.Fatalf("begun with %+v", begun)
+		t.Fatalf("first result is %+v, want a stream with the header x-stream: 3", started)
 	}
 	for range 3 {
 		if _, err := s.Recv(); err != nil {
@@ -344,15 +347,15 @@
 		}
 	}
 	if _, err := s.Recv(); err != io.EOF {
-		t.Errorf("behind the last: %v, want EOF", err)
+		t.Errorf("Recv after the last message returned %v, want io.EOF", err)
 	}
 	s.Close()
-	if end := testbed.Wait(t, "its end", results); end.Ending != policy.Served || end.Stream != nil || len(results) > 0 {
-		t.Errorf("ended with %+v and %d more", end, len(results))
+	if r := testbed.Wait(t, "stream end", results); r.Ending != policy.Served || r.Stream != nil || len(results) > 0 {
+		t.Errorf("stream ended with %+v and %d more results, want Served and no more", r, len(results))
 	}
 }
 
-// Close ends everything, with calls and probes under way.
+// Close ends calls that are in flight and closes their connections.
 func TestClose(t *testing.T) {
 	l := new(testbed.ArrivalLog)
 	n := testbed.NewGRPCNode(t, "s-0", l)
@@ -361,16 +364,16 @@
 		Clock: clock.New(), DialTimeout: time.Second, IdleTimeout: time.Minute, MaxConns: 2, ORCAProbes: true,
 	})
 	s := tr.Server(n.Address)
-	ends := make(chan call.Result, 9)
+	results := make(chan call.Result, 9)
 	for range 3 {
-		s.Send(message(t, "1"), call.Within(tr.cfg.Clock.Now()+testbed.Generous), func(r call.Result) { ends <- r })
+		s.Send(message(t, "1"), call.Within(tr.cfg.Clock.Now()+testbed.Generous), func(r call.Result) { results <- r })
 	}
-	testbed.Until(t, "the calls", func() bool { return l.Len() == 3 })
+	testbed.Until(t, "the calls to arrive", func() bool { return l.Len() == 3 })
 	closed := make(chan struct{})
 	go func() { tr.Close(); close(closed) }()
-	testbed.Wait(t, "the close", closed)
-	if len(ends) != 3 || tr.Counters()["open"] != 0 {
-		t.Errorf("%d ends, %v", len(ends), tr.Counters())
+	testbed.Wait(t, "Close to return", closed)
+	if len(results) != 3 || tr.Counters()["open"] != 0 {
+		t.Errorf("%d results with counters %v, want 3 results and no open connection", len(results), tr.Counters())
 	}
-	testbed.Until(t, "the node's connections to end", func() bool { return n.Open() == 0 })
+	testbed.Until(t, "the server's connections to close", func() bool { return n.Open() == 0 })
 }
