--- a/internal/proxy/wire/record.go
+++ b/internal/proxy/wire/record.go
@@ -8,39 +8,39 @@
 )
 
 const (
-	recordHeadLen = 6
-	entryLen      = 23 // of a server in a list
+	recordHeaderLen = 6
+	entryLen        = 23 // bytes of one server in a list
 )
 
-// Record is one record of a batch: its code and its fields.
+// Record is one record of a batch.
 type Record struct {
 	Code   uint16
 	Fields []byte
 }
 
-// Next splits the next record off body and returns the rest.
+// Next returns the first record of body and the remaining bytes.
 func Next(body []byte) (Record, []byte, error) {
-	if len(body) < recordHeadLen {
-		return Record{}, nil, fmt.Errorf("record header cut off: %d bytes left", len(body))
+	if len(body) < recordHeaderLen {
+		return Record{}, nil, fmt.Errorf("record header truncated: got %d of 6 bytes", len(body))
 	}
 	n := binary.LittleEndian.Uint32(body[2:])
 	rec := Record{Code: binary.LittleEndian.Uint16(body)}
-	body = body[recordHeadLen:]
+	body = body[recordHeaderLen:]
 	if uint64(n) > uint64(len(body)) {
-		return Record{}, nil, fmt.Errorf("record %d: %d bytes claimed, %d left", rec.Code, n, len(body))
+		return Record{}, nil, fmt.Errorf("record %d: size is %d bytes, but the batch has %d left", rec.Code, n, len(body))
 	}
 	rec.Fields = body[:n]
 	return rec, body[n:], nil
 }
 
-// cursor reads the fields of a record. After a short read truncated is set and every further field is zero.
-// Bytes behind the last field are allowed: later versions may add fields.
+// cursor reads the fields of a record. If the record is too short, truncated is set, and this field and all following
+// fields are read as zero. Bytes after the last field are allowed, because later versions may add fields.
 type cursor struct {
 	rest      []byte
 	truncated bool
 }
 
-// next returns the next n bytes; nil: there are not so many.
+// next returns the next n bytes, or nil if fewer are left.
 func (c *cursor) next(n int) []byte {
 	if c.truncated || n < 0 || n > len(c.rest) {
 		c.truncated = true
@@ -105,24 +105,24 @@
 	return r
 }
 
-// err returns an error if the record of this code was too short.
+// err returns an error if the record, which has the given code, was too short.
 func (c *cursor) err(code uint16) error {
 	if c.truncated {
-		return fmt.Errorf("record %d: fields cut off", code)
+		return fmt.Errorf("record %d: fields truncated", code)
 	}
 	return nil
 }
 
-// Upstream is an address and port: the six bytes of the wire, the first one lowest.
+// Upstream is an upstream's address and port: the six bytes on the wire as a little-endian number.
 type Upstream uint64
 
-// Report is a load report: up to four values in the order of the settings.
+// Report is a load report. It has up to four values, in the order of Settings.Columns.
 type Report struct {
 	N      int
 	Values [4]float32
 }
 
-// Entry is one server of a list.
+// Entry is one server of a server list.
 type Entry struct {
 	Upstream Upstream
 	Zone     uint8
@@ -133,20 +133,20 @@
 	Started  time.Duration
 }
 
-// Instance reads the number of the instance that a record is for; a server list has none.
+// Instance returns the number of the instance that a record is for. All records except EvServerList have this field.
 func (r Record) Instance() (uint32, error) {
 	c := cursor{rest: r.Fields}
 	number := c.u32()
 	return number, c.err(r.Code)
 }
 
-// ServerList reads a numbered list of servers.
+// ServerList reads a server list and its number, page, which EvListUpdate refers to.
 func (r Record) ServerList() (page uint16, entries []Entry, err error) {
 	c := cursor{rest: r.Fields}
 	page = c.u16()
 	n := c.u32()
 	if c.truncated || uint64(n)*entryLen > uint64(len(c.rest)) {
-		return 0, nil, fmt.Errorf("record %d: %d list lines claimed, %d bytes left", r.Code, n, len(c.rest))
+		return 0, nil, fmt.Errorf("record %d: %d list entries do not fit into %d bytes", r.Code, n, len(c.rest))
 	}
 	entries = make([]Entry, n)
 	for i := range entries {
@@ -158,7 +158,7 @@
 	return page, entries, c.err(r.Code)
 }
 
-// InstanceStart reads the start of an instance: its settings are valid until the next ReadBatch.
+// InstanceStart reads the start of an instance. The settings are valid until the next ReadBatch.
 func (r Record) InstanceStart() (seed uint64, settings []byte, err error) {
 	c := cursor{rest: r.Fields}
 	c.u32()
@@ -167,7 +167,8 @@
 	return seed, settings, c.err(r.Code)
 }
 
-// ListUpdate reads which numbered server list (page) holds from now on, and of which kind it is.
+// ListUpdate reads a list update: its kind, its version and the number (page) of the server list that applies from now
+// on.
 func (r Record) ListUpdate() (kind uint8, version uint32, page uint16, err error) {
 	c := cursor{rest: r.Fields}
 	c.u32()
@@ -182,7 +183,7 @@
 	Key      uint64
 	Tenant   uint32
 	TimeLeft time.Duration
-	Work     time.Duration // expected; see FlagHasWork
+	Work     time.Duration // expected work; valid if FlagHasWork is set
 	Class    uint8
 }
 
@@ -202,7 +203,7 @@
 	Upstream  Upstream
 	Ending    uint16
 	Duration  time.Duration
-	Finished  bool // the server is done with it
+	Finished  bool // the server has finished with the attempt
 	Load      Report
 }
 
@@ -225,7 +226,7 @@
 	return up, ending, report, c.err(r.Code)
 }
 
-// RequestID reads the request that an EvClientGone or EvResponseHeaders record is about.
+// RequestID reads the id of the request that an EvClientGone or EvResponseHeaders record refers to.
 func (r Record) RequestID() (uint32, error) {
 	c := cursor{rest: r.Fields}
 	c.u32()
@@ -233,7 +234,7 @@
 	return id, c.err(r.Code)
 }
 
-// TimerID reads the id that the timer was set with.
+// TimerID reads the id that was passed to SetTimer.
 func (r Record) TimerID() (uint64, error) {
 	c := cursor{rest: r.Fields}
 	c.u32()
--- a/internal/proxy/wire/settings.go
+++ b/internal/proxy/wire/settings.go
@@ -12,13 +12,13 @@
 	"caperarch/policy"
 )
 
-// Settings are the start-up settings of an instance, by path.
+// Settings holds the start-up settings of an instance by path, for example "classes.0.aim_ms".
 type Settings struct {
 	values map[string]string
-	err    error // the first value that could not be read
+	err    error // error of the first value that could not be parsed
 }
 
-// ParseSettings reads path=value lines. Unknown keys are kept and passed over.
+// ParseSettings parses lines of the form path=value. Unknown paths are stored but not used.
 func ParseSettings(info []byte) (*Settings, error) {
 	s := &Settings{values: make(map[string]string, 128)}
 	for n, line := range bytes.Split(info, []byte{'\n'}) {
@@ -27,19 +27,19 @@
 		}
 		key, value, ok := strings.Cut(string(line), "=")
 		if !ok {
-			return nil, fmt.Errorf("settings line %d: no '=' in %.60q", n+1, line)
+			return nil, fmt.Errorf("settings line %d: got %.60q, want path=value", n+1, line)
 		}
 		s.values[key] = value
 	}
 	return s, nil
 }
 
-// SettingsFromJSON reads the same settings as nested JSON, by bringing them into the path=value form:
-// lists of plain values are joined by commas, lists of objects put their length under .count and
-// their items under .0, .1 and so on. A null counts as absent.
+// SettingsFromJSON parses settings from nested JSON and converts them to path=value form. A list of scalars is joined
+// with commas. The length of a list is stored under the path's .count, and objects in a list are stored under .0, .1
+// and so on. A null value is treated as absent.
 func SettingsFromJSON(raw []byte) (*Settings, error) {
 	d := json.NewDecoder(bytes.NewReader(raw))
-	d.UseNumber() // numbers keep their own text
+	d.UseNumber() // keeps the text of numbers
 	var root map[string]any
 	if err := d.Decode(&root); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
@@ -49,7 +49,7 @@
 	return s, nil
 }
 
-// flatten brings a JSON value at a path into the path=value form.
+// flatten stores a JSON value and all values below it under their paths.
 func (s *Settings) flatten(path string, v any) {
 	switch v := v.(type) {
 	case map[string]any:
@@ -76,19 +76,19 @@
 	}
 }
 
-// Text returns a value as it was given, or "".
+// Text returns the text of a value, or "" if the value is absent.
 func (s *Settings) Text(key string) string { return s.text(key) }
 
-// Count returns a whole number, or 0 where there is none; see Err.
+// Count returns an integer between 0 and 65536, or 0 if the value is absent. Err reports an invalid value.
 func (s *Settings) Count(key string) int { return s.count(key) }
 
-// Duration returns a number of milliseconds, or 0 where there is none; see Err.
+// Duration returns a value in milliseconds as a duration, or 0 if the value is absent. Err reports an invalid value.
 func (s *Settings) Duration(key string) time.Duration { return Millis(s.number(key, 0)) }
 
-// Number returns a number, or 0 where there is none; see Err.
+// Number returns a number, or 0 if the value is absent. Err reports an invalid value.
 func (s *Settings) Number(key string) float64 { return s.number(key, 0) }
 
-// Err returns the first value that could not be read so far.
+// Err returns the error of the first value so far that could not be parsed.
 func (s *Settings) Err() error { return s.err }
 
 func (s *Settings) text(key string) string { return s.values[key] }
@@ -108,19 +108,19 @@
 }
 
 func (s *Settings) count(key string) int {
-	const limit = 1 << 16 // far above any real list; a guard against a broken value
+	const limit = 1 << 16 // far above the length of any real list; guards against a corrupt value
 	n := s.number(key, 0)
 	if (n < 0 || n > limit || n != float64(int(n))) && s.err == nil {
-		s.err = fmt.Errorf("settings: %s: %v is not a count", key, n)
+		s.err = fmt.Errorf("settings: %s: got %v, want an integer between 0 and 65536", key, n)
 		return 0
 	}
 	return int(n)
 }
 
-// Columns are the fields of a load report in their order on the wire; 0 stands for one not known.
+// Columns lists the policy fields of a load report's columns, in wire order. An unknown column is 0.
 type Columns []policy.LoadFields
 
-// Columns tells what the load reports hold.
+// Columns returns the columns of the load reports.
 func (s *Settings) Columns() Columns {
 	var c Columns
 	for name := range strings.SplitSeq(s.text("telemetry.columns"), ",") {
@@ -136,7 +136,7 @@
 	return c
 }
 
-// fields is the set of all columns.
+// fields returns the set of all columns' fields.
 func (c Columns) fields() (all policy.LoadFields) {
 	for _, f := range c {
 		all |= f
@@ -144,7 +144,7 @@
 	return all
 }
 
-// Load reads a report by its columns. A value that is no usable number counts as absent.
+// Load converts a report to a policy.Load. An invalid number is treated as absent: see SetLoad.
 func (c Columns) Load(r Report) policy.Load {
 	var l policy.Load
 	for i := range min(r.N, len(c)) {
@@ -153,8 +153,8 @@
 	return l
 }
 
-// SetLoad sets one field of a load report; a service time is in milliseconds. A value that is no usable number
-// counts as absent, and so does what no field of the module's stands for.
+// SetLoad sets one field of a load report. A service time is in milliseconds. SetLoad ignores a value that is negative,
+// infinite or NaN, and a field that the policy does not have.
 func SetLoad(l *policy.Load, field policy.LoadFields, v float64) {
 	if !(v >= 0) || math.IsInf(v, 0) {
 		return
@@ -178,7 +178,7 @@
 	l.Has |= field
 }
 
-// Config returns the decision module's configuration that the settings describe; see Err.
+// Config returns the policy configuration that the settings describe. The error is the same as that of Err.
 func (s *Settings) Config() (policy.Config, error) {
 	c := policy.Config{
 		Balancers:          s.count("balancers"),
@@ -221,7 +221,7 @@
 	return c, s.err
 }
 
-// class reads the class whose settings begin with prefix.
+// class returns the class whose settings have paths that start with prefix.
 func (s *Settings) class(prefix string) policy.Class {
 	class := policy.Class{
 		LatencyTarget: Millis(s.number(prefix+"aim_ms", 0)),
@@ -230,7 +230,7 @@
 		LateValue:     s.number(prefix+"late_share", 0),
 		Value:         s.number(prefix+"worth", 0),
 		DedupWindow:   Millis(s.number(prefix+"window_ms", 0)),
-		Effect:        policy.NonIdempotent, // an unknown word is taken for the strictest
+		Effect:        policy.NonIdempotent, // an unknown value is treated as the strictest effect
 		Scope:         policy.ScopeCell,
 		InOrder:       s.flag(prefix + "fifo_by_key"),
 	}
--- a/internal/proxy/wire/wire.go
+++ b/internal/proxy/wire/wire.go
@@ -1,6 +1,7 @@
-// Package wire implements the simulator's binary protocol: frames, records, server lists, and the settings that come
-// with each instance. A Reader reads batches of events, a Reply collects the actions that answer one. Neither is safe
-// for concurrent use. Each record has a code and its fields, little-endian; times are milliseconds as floating point.
+// Package wire implements the simulator's binary protocol: frames, records, server lists and the settings of an
+// instance. A Reader reads batches of events, and a Reply collects the actions in response to a batch. Neither is safe
+// for concurrent use. Each record consists of a code and fields in little-endian byte order. Times are floating-point
+// numbers of milliseconds.
 package wire
 
 import (
@@ -8,7 +9,7 @@
 	"time"
 )
 
-// Events that the simulator sends. A comment gives the protocol's own name where it is another one.
+// Codes of the events that the simulator sends. A comment gives the name in the protocol if it differs.
 const (
 	EvProbeResult     = 1000 // CheckResult
 	EvServerList      = 1010 // Manifest
@@ -23,7 +24,7 @@
 	EvInstanceStart   = 1100 // OpenInstance
 )
 
-// Actions that answer them.
+// Codes of the actions in a reply. A comment gives the name in the protocol if it differs.
 const (
 	ActSendAttempt   = 1000 // CallOut
 	ActRefuse        = 1010 // PushBack
@@ -37,11 +38,11 @@
 	ActWatchList     = 1100 // Tail
 )
 
-// How an attempt or a probe ended.
+// Endings of an attempt or a probe.
 const (
 	EndServed         = 100
 	EndErrored        = 301
-	EndRejected       = 302 // TurnedAway: it did not run
+	EndRejected       = 302 // TurnedAway: the server did not process the request
 	EndTimedOut       = 303
 	EndNoConnection   = 304
 	EndConnectionLost = 305 // Broken
@@ -49,7 +50,7 @@
 	EndNotSent        = 307
 )
 
-// Kinds of a list update.
+// Kinds of list updates.
 const (
 	ListFull   = 1
 	ListDelta  = 2
@@ -57,20 +58,20 @@
 	ListFailed = 4
 )
 
-// Flags of a request.
+// Flags of a request, with their names in the protocol.
 const (
 	FlagHasWork = 1 // Hint
 	FlagRetry   = 2 // Repeat
 )
 
-// States of a server.
+// States of a server. A comment gives the name in the protocol if it differs.
 const (
 	StateDeregistered = 0 // Gone
 	StateReady        = 1
 	StateDraining     = 2
 )
 
-// Millis turns milliseconds on the wire into a duration. It is clamped to what a duration can hold; a NaN is 0.
+// Millis converts milliseconds to a duration. The result is limited to ±2^62 ns; NaN is converted to 0.
 func Millis(ms float64) time.Duration {
 	const limit = 1 << 62
 	ns := math.Round(ms * 1e6)
@@ -85,5 +86,5 @@
 	return time.Duration(ns)
 }
 
-// ToMillis is the inverse of Millis.
+// ToMillis converts a duration to milliseconds.
 func ToMillis(d time.Duration) float64 { return float64(d) / 1e6 }
