--- a/internal/proxy/membership/follower.go
+++ b/internal/proxy/membership/follower.go
@@ -1,5 +1,5 @@
-// Package membership follows discovery's list of servers. A Follower does so for one subscriber, a
-// Subscription over a watch that all subscribers of a process share.
+// Package membership follows the server list of the discovery service. A Follower has its own watch, and a Subscription
+// uses a watch that subscriptions to the same discovery service in a process share.
 package membership
 
 import (
@@ -16,44 +16,44 @@
 )
 
 const (
-	watchWait        = 20 * time.Second // how long discovery may hold a watch request
-	responseSlack    = 2 * time.Second  // and how long its answer may take beyond that
-	fullListTimeout  = 6 * time.Second  // for the answer to a request for the full list
+	watchWait        = 20 * time.Second // how long discovery may hold a watch request open
+	responseSlack    = 2 * time.Second  // additional limit for the response to a watch request
+	fullListTimeout  = 6 * time.Second  // limit for the response to a request for the full list
 	minBackoff       = 200 * time.Millisecond
-	maxBackoff       = 2 * time.Second // with jitter, well below the 6 s after which a drain counts as received
-	maxResponseBytes = 8 << 20         // far above any real list
+	maxBackoff       = 2 * time.Second // with jitter, well below the 6 s after which a drain is assumed to be received
+	maxResponseBytes = 8 << 20         // far above the size of any real list
 
-	noVersion = -1
+	noVersion = -1 // no version is known, so the full list is fetched
 )
 
-var errMalformed = errors.New("unusable list")
+var errMalformed = errors.New("malformed server list")
 
-// Config says what to follow.
+// Config configures a Follower or a Subscription.
 type Config struct {
-	Address string         // of discovery, host and port
+	Address string         // address of discovery, host:port
 	Zones   map[string]int // zone number by name
-	// OnDemand says that discovery is only called when Follower.Trigger asks for it, not again and again.
+	// OnDemand makes a Follower call discovery only after Follower.Trigger, and not retry after a failure.
 	OnDemand bool
-	// Known is the list that is known already, from whose version a follower with OnDemand watches; without
-	// servers it is ignored.
+	// Known is a list from an earlier run. With OnDemand, a Follower watches from its version instead of fetching the full
+	// list first. A list without servers is ignored.
 	Known    call.ServerList
-	OnUpdate func(call.ServerList) // called with each answer, from Run's goroutine
-	OnError  func(error)           // called when a call failed, from Run's goroutine
+	OnUpdate func(call.ServerList) // called with each response, from Run's goroutine
+	OnError  func(error)           // called after each failed call, from Run's goroutine
 }
 
-// Follower follows the list of servers and passes on each update. Run is called once, from any goroutine; the
-// other methods may be called from any goroutine.
+// Follower follows the server list and passes each update to Config.OnUpdate. Run must be called at most once. The
+// methods are safe for concurrent use.
 type Follower struct {
 	Config
-	trigger chan struct{} // OnDemand: holds an item if discovery is to be called
+	trigger chan struct{} // with OnDemand, has an item if discovery is to be called; otherwise nil
 	client  http.Client
-	version int64 // to watch from; noVersion: fetch the full list. Run's goroutine alone uses it.
+	version int64 // version to watch from, or noVersion; used only by Run's goroutine
 
 	mu            sync.Mutex         // guards Address and cancelCurrent
-	cancelCurrent context.CancelFunc // ends the calls to the current address
+	cancelCurrent context.CancelFunc // cancels the calls to the current address
 }
 
-// New makes a follower. It calls nothing until Run.
+// New returns a follower. It does not call discovery before Run is called.
 func New(cfg Config) *Follower {
 	f := &Follower{Config: cfg, version: noVersion}
 	if cfg.OnDemand {
@@ -62,20 +62,20 @@
 			f.version = cfg.Known.Version
 		}
 	}
-	// Calls to discovery change nothing there, so the standard client may repeat one on a new connection.
+	// Calls to discovery are idempotent, so the standard client may retry a call on a new connection.
 	f.client.Transport = &http.Transport{MaxIdleConns: 1, DisableCompression: true}
 	return f
 }
 
-// Trigger has a follower with OnDemand call discovery, unless it does already. It never blocks.
+// Trigger makes a follower with OnDemand call discovery, unless a call is already in progress. It never blocks.
 func (f *Follower) Trigger() {
 	select {
 	case f.trigger <- struct{}{}:
-	default: // already triggered, or not OnDemand
+	default: // already triggered, or OnDemand is not set
 	}
 }
 
-// SetAddress has the follower go on with discovery at another address at once.
+// SetAddress makes the follower switch to discovery at another address immediately.
 func (f *Follower) SetAddress(address string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -88,7 +88,7 @@
 	}
 }
 
-// currentAddress returns the address to follow, and a context that ends when SetAddress sets another.
+// currentAddress returns the address to follow, and a context that is cancelled when SetAddress sets another address.
 func (f *Follower) currentAddress(ctx context.Context) (context.Context, string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -99,9 +99,9 @@
 	return ctx, f.Address
 }
 
-// Run follows the list until ctx ends: it fetches the full list, watches for changes, and begins again after a
-// failure, by itself after a backoff or, with OnDemand, at the next Trigger. At a new address it begins at
-// once, with the full list: versions of the old address mean nothing there.
+// Run follows the list until ctx ends. It fetches the full list and then watches for changes. After a failure it starts
+// again after a backoff or, with OnDemand, at the next Trigger. When the address changes, it fetches the full list from
+// the new address immediately, because list versions are not comparable between addresses.
 func (f *Follower) Run(ctx context.Context) {
 	defer f.client.CloseIdleConnections()
 	backoff, addressChanged := minBackoff, false
@@ -132,18 +132,18 @@
 		if succeeded {
 			backoff = minBackoff
 		}
-		// Jitter: all sidecars lose discovery at the same moment and must not come back at the same moment.
+		// Jitter: all sidecars lose discovery at the same time and must not reconnect at the same time.
 		select {
 		case <-time.After(time.Duration(float64(backoff) * (0.5 + rand.Float64()))):
-		case <-addressCtx.Done(): // nothing has failed yet at the new address
+		case <-addressCtx.Done(): // a new address needs no backoff
 		}
 		backoff = min(2*backoff, maxBackoff)
 	}
 }
 
-// follow calls discovery until a call fails, and says whether any succeeded. With OnDemand it watches from the
-// last version, after a failure and at the start too: a fleet that has lost discovery would else ask it for as
-// many full lists at the moment when it can least serve them.
+// follow calls discovery until a call fails, and returns whether any call succeeded. With OnDemand it watches from the
+// last known version, even at the start and after a failure. Otherwise all sidecars would request the full list at the
+// same time after an outage of discovery, when discovery is under most load.
 func (f *Follower) follow(ctx context.Context, address string) (succeeded bool, err error) {
 	if f.trigger == nil {
 		f.version = noVersion
@@ -156,14 +156,14 @@
 		}
 		list, err := f.fetch(ctx, address, query, timeout)
 		if err != nil {
-			if errors.Is(err, errMalformed) { // its changes are lost
+			if errors.Is(err, errMalformed) { // the changes in the response are lost
 				f.version = noVersion
 			}
 			return succeeded, err
 		}
 		list.Full = list.Full || full
-		if !list.Full && list.Version < f.version { // discovery restarted: its changes are to another list
-			err = fmt.Errorf("version %d after %d", list.Version, f.version)
+		if !list.Full && list.Version < f.version { // discovery restarted, so the changes do not apply to the known list
+			err = fmt.Errorf("discovery returned version %d after version %d, want no lower version", list.Version, f.version)
 			f.version = noVersion
 			return succeeded, err
 		}
@@ -172,7 +172,7 @@
 	}
 }
 
-// fetch makes one call to discovery.
+// fetch makes one call to discovery and returns the list in the response.
 func (f *Follower) fetch(
 	ctx context.Context, address, query string, timeout time.Duration,
 ) (call.ServerList, error) {
@@ -193,9 +193,9 @@
 	case err != nil:
 		return call.ServerList{}, err
 	case res.StatusCode != http.StatusOK:
-		return call.ServerList{}, fmt.Errorf("answered %s", res.Status)
+		return call.ServerList{}, fmt.Errorf("discovery responded with status %s, want 200", res.Status)
 	case len(body) > maxResponseBytes:
-		return call.ServerList{}, fmt.Errorf("%w: the answer is too long", errMalformed)
+		return call.ServerList{}, fmt.Errorf("%w: response is longer than 8 MiB", errMalformed)
 	}
 	list, err := Parse(body, f.Zones)
 	if err != nil {
--- a/internal/proxy/membership/parse.go
+++ b/internal/proxy/membership/parse.go
@@ -12,17 +12,17 @@
 	"caperarch/policy"
 )
 
-// unknownZone is the number of a zone that the settings don't name.
+// unknownZone is the number of a zone that is not in the settings.
 const unknownZone = -1
 
-// response is discovery's answer, as it is on the wire.
+// response is a response of discovery in its JSON form.
 type response struct {
 	Generation *int64     `json:"generation"`
 	Reset      bool       `json:"reset"`
 	Instances  []instance `json:"instances"`
 }
 
-// instance is one server of a response.
+// instance is one server in a response.
 type instance struct {
 	InstanceID  string  `json:"instanceId"`
 	HostPort    string  `json:"hostPort"`
@@ -33,15 +33,15 @@
 	StartedAtMs float64 `json:"startedAtMs"`
 }
 
-// Parse parses an answer of discovery. zones numbers the zones by name; any other zone is -1. One malformed
-// entry makes the whole answer an error.
+// Parse parses a response of discovery. zones has the zone numbers by name; a zone that is not in zones has the number
+// -1. If any entry is malformed, Parse returns an error.
 func Parse(raw []byte, zones map[string]int) (call.ServerList, error) {
 	var answer response
 	if err := json.Unmarshal(raw, &answer); err != nil {
 		return call.ServerList{}, err
 	}
 	if answer.Generation == nil {
-		return call.ServerList{}, errors.New("no generation")
+		return call.ServerList{}, errors.New("response has no generation")
 	}
 	list := call.ServerList{
 		Version: *answer.Generation, Full: answer.Reset,
@@ -66,10 +66,10 @@
 	return list, nil
 }
 
-// server returns the entry as the policy has it.
+// server converts the instance to a policy.Server.
 func (i instance) server(zones map[string]int) (policy.Server, error) {
-	if i.StartedAtMs > math.MaxInt64/float64(time.Millisecond)/2 { // beyond what a time.Duration holds
-		return policy.Server{}, fmt.Errorf("instance %s: startedAtMs is %v", i.InstanceID, i.StartedAtMs)
+	if i.StartedAtMs > math.MaxInt64/float64(time.Millisecond)/2 { // exceeds the range of time.Duration
+		return policy.Server{}, fmt.Errorf("instance %s: startedAtMs %v is out of range", i.InstanceID, i.StartedAtMs)
 	}
 	zone, known := zones[i.Zone]
 	if !known {
@@ -85,7 +85,8 @@
 	}, nil
 }
 
-// lifecycleState returns the state for a lifecycle. A server in an unknown one gets no new requests.
+// lifecycleState converts a lifecycle to a state. An unknown lifecycle is treated as draining, so that the server gets
+// no new requests.
 func lifecycleState(lifecycle string) policy.State {
 	switch lifecycle {
 	case "ready":
--- a/internal/proxy/membership/subscription.go
+++ b/internal/proxy/membership/subscription.go
@@ -13,45 +13,45 @@
 	"caperarch/policy"
 )
 
-// The watches that subscriptions of this process share, by what they follow. The list is the same for all who
-// follow one discovery, and each watch costs it a connection and work. A list that is fetched on demand is not
-// shared: when to fetch it is each module's own decision, which is to learn of its failures.
+// The watches that the subscriptions of this process share. All subscribers to a discovery service have the same list,
+// and each watch costs the discovery service a connection and work. A list that is fetched on demand is not shared,
+// because each policy decides when to fetch it and must be told about its own failures.
 var (
-	watchesMu sync.Mutex // held before a sharedWatch's mu
+	watchesMu sync.Mutex // locked before sharedWatch.mu
 	watches   = make(map[watchKey]*sharedWatch)
 )
 
-// watchKey says what a watch follows.
+// watchKey identifies what a watch follows: the address of discovery and the zone numbers.
 type watchKey struct{ address, zones string }
 
-// sharedWatch is one follower with its subscribers, and the list as they have it.
+// sharedWatch is one follower with its subscribers and the current list.
 type sharedWatch struct {
 	key  watchKey
 	stop context.CancelFunc
-	done chan struct{} // closed when the follower has ended
+	done chan struct{} // closed when the follower's goroutine has ended
 
-	mu          sync.Mutex // guards what follows
+	mu          sync.Mutex // guards the fields below
 	subscribers map[*Subscription]bool
 	version     int64
-	hasList     bool
+	hasList     bool // a list was received
 	servers     map[policy.ServerID]policy.Server
 	addresses   map[policy.ServerID]string
 }
 
-// Subscription is one subscriber of a shared watch.
+// Subscription is a subscription to a shared watch.
 type Subscription struct {
 	cfg   Config
 	watch *sharedWatch
-	once  sync.Once // for Close
+	once  sync.Once // makes Close idempotent
 }
 
-// Subscribe follows the list as New and Run do, over a watch that is shared with all who follow the same
-// discovery under the same zones in this process. Config.OnDemand must not be set. OnUpdate and OnError must
-// neither block nor call back: they are called for one subscriber after the other. Where the watch has a list
-// already, OnUpdate is called with it before Subscribe returns.
+// Subscribe follows the server list like a Follower, over a watch that subscriptions to the same discovery service with
+// the same zone numbers share. Config.OnDemand must not be set. OnUpdate and OnError must neither block nor call into
+// this package, because they are called for one subscriber after another with locks held. If the watch already has a
+// list, OnUpdate is called with this list before Subscribe returns.
 func Subscribe(cfg Config) (*Subscription, error) {
 	if cfg.OnDemand {
-		return nil, errors.New("membership: a list that must be asked for is not shared")
+		return nil, errors.New("membership: Subscribe does not support Config.OnDemand")
 	}
 	key := watchKey{cfg.Address, zonesKey(cfg.Zones)}
 	watchesMu.Lock()
@@ -71,7 +71,7 @@
 	return s, nil
 }
 
-// zonesKey returns the same text for the same zones.
+// zonesKey returns a text that is equal for equal zones.
 func zonesKey(zones map[string]int) string {
 	names := slices.Sorted(maps.Keys(zones))
 	for i, name := range names {
@@ -80,7 +80,7 @@
 	return strings.Join(names, ",")
 }
 
-// newWatch starts a watch.
+// newWatch starts a watch and its follower.
 func newWatch(key watchKey, cfg Config) *sharedWatch {
 	ctx, stop := context.WithCancel(context.Background())
 	w := &sharedWatch{
@@ -95,7 +95,7 @@
 	return w
 }
 
-// fullList returns the list as it is known. The caller holds mu.
+// fullList returns the current list as a full update. The caller holds w.mu.
 func (w *sharedWatch) fullList() call.ServerList {
 	list := call.ServerList{Version: w.version, Full: true, Addresses: maps.Clone(w.addresses)}
 	for _, s := range w.servers {
@@ -104,7 +104,7 @@
 	return list
 }
 
-// apply updates the list and passes the update on to the subscribers.
+// apply applies an update to the list and passes the update to the subscribers.
 func (w *sharedWatch) apply(update call.ServerList) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -126,7 +126,7 @@
 	}
 }
 
-// reportError passes the failure of a call on to the subscribers.
+// reportError passes the error of a failed call to the subscribers.
 func (w *sharedWatch) reportError(err error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -135,8 +135,8 @@
 	}
 }
 
-// Close ends the subscription: neither OnUpdate nor OnError is called after it has returned. The last
-// subscription's Close ends the watch and waits for its goroutine.
+// Close ends the subscription. OnUpdate and OnError are not called after Close has returned. If this is the watch's
+// last subscription, Close also ends the watch and waits for its goroutine.
 func (s *Subscription) Close() {
 	s.once.Do(func() {
 		w := s.watch
@@ -147,8 +147,8 @@
 	})
 }
 
-// unsubscribe removes a subscriber and says whether it was the last one, after which the watch is not shared
-// any more.
+// unsubscribe removes a subscriber and returns whether it was the last one. After the last subscriber the watch is
+// removed from watches, so that no further subscription uses it.
 func (w *sharedWatch) unsubscribe(s *Subscription) (last bool) {
 	watchesMu.Lock()
 	defer watchesMu.Unlock()
