--- a/internal/proxy/record/convert.go
+++ b/internal/proxy/record/convert.go
@@ -7,7 +7,7 @@
 	"caperarch/policy"
 )
 
-// The policy's types and those of the file, both ways.
+// This file converts between the types of package policy and the types of package recordpb.
 
 func encodeRequest(q policy.Request) *recordpb.Request {
 	return &recordpb.Request{
@@ -16,7 +16,7 @@
 	}
 }
 
-// DecodeRequest is a recorded request.
+// DecodeRequest converts a recorded request.
 func DecodeRequest(q *recordpb.Request) policy.Request {
 	return policy.Request{
 		ID: policy.RequestID(q.Id), Class: int(q.Class), Tenant: int(q.Tenant), Key: q.Key,
@@ -34,7 +34,7 @@
 	}
 }
 
-// DecodeLoad is a recorded load report; nil is none.
+// DecodeLoad converts a recorded load report. nil is converted to an empty load report.
 func DecodeLoad(l *recordpb.Load) policy.Load {
 	return policy.Load{
 		Has: policy.LoadFields(l.GetHas()), InFlight: l.GetInFlight(), Queued: l.GetQueued(), Busy: l.GetBusy(),
@@ -48,7 +48,7 @@
 	}
 }
 
-// DecodeOutcome is a recorded end of an attempt.
+// DecodeOutcome converts the recorded outcome of an attempt.
 func DecodeOutcome(o *recordpb.Outcome) policy.Outcome {
 	return policy.Outcome{
 		ID: policy.RequestID(o.Id), Attempt: int(o.Attempt), Ending: policy.Ending(o.Ending),
@@ -67,7 +67,7 @@
 	return l
 }
 
-// DecodeList is a recorded list of servers.
+// DecodeList converts a recorded server list.
 func DecodeList(l *recordpb.List) (policy.ListKind, []policy.Server) {
 	var entries []policy.Server
 	for _, s := range l.Servers {
--- a/internal/proxy/record/golden_test.go
+++ b/internal/proxy/record/golden_test.go
@@ -15,7 +15,7 @@
 	"caperarch/policy"
 )
 
-// The values in the golden recording.
+// Policy values in the golden recording testdata/recording.
 var (
 	goldenLoad = policy.Load{
 		Has: 63, InFlight: 1.5, Queued: 2.5, Busy: 0.5, Service: 6, Served: 7.5, Errors: 8.5,
@@ -28,28 +28,28 @@
 	}
 )
 
-// goldenRecords are what an earlier release wrote to testdata/recording: one record of each kind, in
-// which no two numbers are alike.
+// goldenRecords returns the records that an earlier release wrote to testdata/recording. There is one record of each
+// kind, and all numbers differ, so that a confusion of fields is detected.
 func goldenRecords() []*recordpb.Record {
 	var list []*recordpb.Record
-	put := func(r *recordpb.Record) {
+	add := func(r *recordpb.Record) {
 		r.At, r.Instance = int64(len(list)+1), 3
 		list = append(list, r)
 	}
 	opened := &recordpb.Opened{Seed: 11, Config: []byte(`{"Index":12}`)}
 	probed := &recordpb.Probed{Server: 27, Ok: true, Load: encodeLoad(goldenLoad)}
 	limits := &recordpb.Reconfigure{Limits: []byte(`{"Queue":30}`)}
-	put(&recordpb.Record{What: &recordpb.Record_Opened{Opened: opened}})
-	put(&recordpb.Record{What: &recordpb.Record_Start{Start: &recordpb.Start{}}})
-	put(&recordpb.Record{What: &recordpb.Record_Request{Request: encodeRequest(goldenRequest)}})
-	put(&recordpb.Record{What: &recordpb.Record_Outcome{Outcome: encodeOutcome(goldenOutcome)}})
-	put(&recordpb.Record{What: &recordpb.Record_Wake{Wake: &recordpb.Wake{}}})
-	put(&recordpb.Record{What: &recordpb.Record_List{List: encodeList(1, goldenServers)}})
-	put(&recordpb.Record{What: &recordpb.Record_Probed{Probed: probed}})
-	put(&recordpb.Record{What: &recordpb.Record_Gone{Gone: &recordpb.Gone{Id: 28}}})
-	put(&recordpb.Record{What: &recordpb.Record_Begun{Begun: &recordpb.Begun{Id: 29}}})
-	put(&recordpb.Record{What: &recordpb.Record_Reconfigure{Reconfigure: limits}})
-	actions := ActionRecorder(put)
+	add(&recordpb.Record{What: &recordpb.Record_Opened{Opened: opened}})
+	add(&recordpb.Record{What: &recordpb.Record_Start{Start: &recordpb.Start{}}})
+	add(&recordpb.Record{What: &recordpb.Record_Request{Request: encodeRequest(goldenRequest)}})
+	add(&recordpb.Record{What: &recordpb.Record_Outcome{Outcome: encodeOutcome(goldenOutcome)}})
+	add(&recordpb.Record{What: &recordpb.Record_Wake{Wake: &recordpb.Wake{}}})
+	add(&recordpb.Record{What: &recordpb.Record_List{List: encodeList(1, goldenServers)}})
+	add(&recordpb.Record{What: &recordpb.Record_Probed{Probed: probed}})
+	add(&recordpb.Record{What: &recordpb.Record_Gone{Gone: &recordpb.Gone{Id: 28}}})
+	add(&recordpb.Record{What: &recordpb.Record_Begun{Begun: &recordpb.Begun{Id: 29}}})
+	add(&recordpb.Record{What: &recordpb.Record_Reconfigure{Reconfigure: limits}})
+	actions := ActionRecorder(add)
 	actions.Send(31, 32, 33)
 	actions.Refuse(34, 35)
 	actions.Fail(36)
@@ -59,11 +59,13 @@
 	actions.Probe(41)
 	actions.WatchList()
 	actions.Log("a line")
-	put(&recordpb.Record{What: &recordpb.Record_Ended{Ended: &recordpb.Ended{Reason: "a reason"}}})
+	add(&recordpb.Record{What: &recordpb.Record_Ended{Ended: &recordpb.Ended{Reason: "a reason"}}})
 	return list
 }
 
-func TestRecordingIsReadAndWrittenAsBefore(t *testing.T) {
+// Guards against an incompatible change of the file format: the recording of an earlier release is read, and the same
+// records are written as the same bytes.
+func TestRecordingFormatIsUnchanged(t *testing.T) {
 	golden, err := os.ReadFile(filepath.Join("testdata", "recording"))
 	if err != nil {
 		t.Fatal(err)
@@ -73,30 +75,31 @@
 	for i, want := range goldenRecords() {
 		got, err := r.Next()
 		if err != nil || !proto.Equal(got, want) {
-			t.Errorf("record %d is read as %v, %v, want %v", i, got, err, want)
+			t.Errorf("record %d is read as %v with error %v, want %v", i, got, err, want)
 		}
 		w.Append(want)
 	}
 	if _, err := r.Next(); !errors.Is(err, io.EOF) {
-		t.Errorf("behind the last record: %v, want the end", err)
+		t.Errorf("Next after the last record returned error %v, want io.EOF", err)
 	}
 	if err := w.Close(); err != nil {
 		t.Fatal(err)
 	}
 	if !bytes.Equal(written.Bytes(), golden) {
-		t.Errorf("written is %x, want %x", written.Bytes(), golden)
+		t.Errorf("written recording is %x, want %x", written.Bytes(), golden)
 	}
 }
 
-func TestPolicyValuesAreReadAsTheyWereWritten(t *testing.T) {
+// Decoding a recorded policy value returns the value that was encoded.
+func TestDecodePolicyValues(t *testing.T) {
 	records := goldenRecords()
 	if got := DecodeRequest(records[2].GetRequest()); got != goldenRequest {
-		t.Errorf("request %+v, want %+v", got, goldenRequest)
+		t.Errorf("request is %+v, want %+v", got, goldenRequest)
 	}
 	if got := DecodeOutcome(records[3].GetOutcome()); got != goldenOutcome {
-		t.Errorf("outcome %+v, want %+v", got, goldenOutcome)
+		t.Errorf("outcome is %+v, want %+v", got, goldenOutcome)
 	}
 	if kind, got := DecodeList(records[5].GetList()); kind != 1 || !reflect.DeepEqual(got, goldenServers) {
-		t.Errorf("list %v %+v, want 1 %+v", kind, got, goldenServers)
+		t.Errorf("list has kind %v and servers %+v, want kind 1 and %+v", kind, got, goldenServers)
 	}
 }
--- a/internal/proxy/record/reader.go
+++ b/internal/proxy/record/reader.go
@@ -11,7 +11,7 @@
 	"caperarch/internal/proxy/record/recordpb"
 )
 
-// maxRecordBytes bounds a record: a list of some 20,000 servers.
+// maxRecordBytes is the limit on the size of a record, in bytes. It allows a list of about 20,000 servers.
 const maxRecordBytes = 1 << 20
 
 // Reader reads a recording.
@@ -20,18 +20,19 @@
 	records int
 }
 
-// NewReader makes a reader of a file.
+// NewReader returns a Reader that reads a recording from in.
 func NewReader(in io.Reader) *Reader { return &Reader{input: bufio.NewReaderSize(in, 1<<16)} }
 
-// Next returns the next record, or io.EOF behind the last one. A file that is truncated within a record, as by a
-// process that was killed, ends with io.ErrUnexpectedEOF; every other error names the record that can't be read.
+// Next returns the next record, or io.EOF after the last record. If the file is truncated within a record, for example
+// because the process was killed, Next returns io.ErrUnexpectedEOF. Any other error has the number of the malformed
+// record.
 func (r *Reader) Next() (*recordpb.Record, error) {
-	one := new(recordpb.Record)
-	err := protodelim.UnmarshalOptions{MaxSize: maxRecordBytes}.UnmarshalFrom(r.input, one)
+	rec := new(recordpb.Record)
+	err := protodelim.UnmarshalOptions{MaxSize: maxRecordBytes}.UnmarshalFrom(r.input, rec)
 	switch {
 	case err == nil:
 		r.records++
-		return one, nil
+		return rec, nil
 	case errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF):
 		return nil, err
 	}
--- a/internal/proxy/record/record_test.go
+++ b/internal/proxy/record/record_test.go
@@ -17,76 +17,78 @@
 	"caperarch/policy"
 )
 
-func line(text string) *recordpb.Record {
+func logRecord(text string) *recordpb.Record {
 	return &recordpb.Record{At: 1, What: &recordpb.Record_Log{Log: &recordpb.Log{Line: text}}}
 }
 
-// all reads a recording to its end.
-func all(t *testing.T, raw []byte) (list []*recordpb.Record) {
+// readAll returns all records of a recording.
+func readAll(t *testing.T, raw []byte) (list []*recordpb.Record) {
 	t.Helper()
 	r := record.NewReader(bytes.NewReader(raw))
 	for {
-		one, err := r.Next()
+		rec, err := r.Next()
 		if errors.Is(err, io.EOF) {
 			return list
 		}
 		if err != nil {
 			t.Fatal(err)
 		}
-		list = append(list, one)
+		list = append(list, rec)
 	}
 }
 
-// A recording that reaches its size limit ends, says why, and is no longer than that.
+// A recording that reaches its size limit ends with a record that contains the reason, and does not exceed the limit.
 func TestSizeLimitEndsTheRecording(t *testing.T) {
 	var file bytes.Buffer
 	w := record.NewWriter(&file, 2000)
 	for range 100 {
-		w.Append(line(strings.Repeat("x", 100)))
+		w.Append(logRecord(strings.Repeat("x", 100)))
 	}
 	if err := w.Close(); err == nil {
-		t.Error("Close tells of no end")
+		t.Error("Close returned no error, want the size limit as the reason for the end")
 	}
-	list := all(t, file.Bytes())
+	list := readAll(t, file.Bytes())
 	if n := len(list); file.Len() > 2000 || n < 10 || list[n-1].GetEnded() == nil {
-		t.Fatalf("%d bytes, %d records; want at most 2000 with an end", file.Len(), n)
+		t.Fatalf("recording has %d bytes and %d records, want at most 2000 bytes and a last record with the reason",
+			file.Len(), n)
 	}
 }
 
-// stuckFile is a file whose writes wait until free is closed.
-type stuckFile struct {
-	free chan struct{}
+// blockingFile is a file whose writes block until unblock is closed.
+type blockingFile struct {
+	unblock chan struct{}
 	bytes.Buffer
 }
 
-func (s *stuckFile) Write(p []byte) (int, error) {
-	<-s.free
+func (s *blockingFile) Write(p []byte) (int, error) {
+	<-s.unblock
 	return s.Buffer.Write(p)
 }
 
-// A file whose writes wait ends the recording, and nobody waits for it meanwhile.
+// A file that blocks writes ends the recording, and Append does not wait for the file.
 func TestSlowFileEndsTheRecording(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		file := &stuckFile{free: make(chan struct{})}
+		file := &blockingFile{unblock: make(chan struct{})}
 		w := record.NewWriter(file, 1<<30)
-		for range 3000 { // some 3 MB
-			w.Append(line(strings.Repeat("x", 1000)))
+		for range 3000 { // about 3 MB
+			w.Append(logRecord(strings.Repeat("x", 1000)))
 		}
-		close(file.free)
+		close(file.unblock)
 		if err := w.Close(); err == nil || !strings.Contains(err.Error(), "slowly") {
-			t.Errorf("Close: %v", err)
+			t.Errorf("Close returned error %v, want the slow file as the reason", err)
 		}
-		if list := all(t, file.Bytes()); list[len(list)-1].GetEnded() == nil {
-			t.Error("it doesn't say why it ended")
+		if list := readAll(t, file.Bytes()); list[len(list)-1].GetEnded() == nil {
+			t.Error("the last record does not contain the reason for the end")
 		}
 	})
 }
 
-func TestReaderNamesTheMalformedRecord(t *testing.T) {
+// Next returns io.ErrUnexpectedEOF for a truncated recording, and the record's number for a malformed record.
+func TestReaderErrors(t *testing.T) {
 	var file bytes.Buffer
 	w := record.NewWriter(&file, 1<<20)
-	w.Append(line("one"))
-	w.Append(line("two"))
+	w.Append(logRecord("one"))
+	w.Append(logRecord("two"))
 	if err := w.Close(); err != nil {
 		t.Fatal(err)
 	}
@@ -95,16 +97,16 @@
 		t.Fatal(err)
 	}
 	if _, err := r.Next(); !errors.Is(err, io.ErrUnexpectedEOF) {
-		t.Errorf("cut off: %v", err)
+		t.Errorf("Next at a truncated record returned error %v, want io.ErrUnexpectedEOF", err)
 	}
 	_, err := record.NewReader(strings.NewReader("\x03\xff\xff\xff")).Next()
 	if err == nil || !strings.Contains(err.Error(), "record 1") {
-		t.Errorf("garbage: %v", err)
+		t.Errorf("Next at a malformed record returned error %v, want the number of the record", err)
 	}
 }
 
-// recorded simulates a hard case in which each balancer is recorded.
-func recorded(t *testing.T, seed uint64) []byte {
+// recordSimulation simulates the first emulator case at reduced size and returns a recording of all its balancers.
+func recordSimulation(t *testing.T, seed uint64) []byte {
 	t.Helper()
 	var file bytes.Buffer
 	w := record.NewWriter(&file, 1<<30)
@@ -128,22 +130,23 @@
 	return file.Bytes()
 }
 
-// The balancer is deterministic, and all of it is recorded: a replay repeats each action.
+// The balancer is deterministic and all of its inputs are recorded, so a replay repeats each action.
 func TestReplayRepeatsEveryAction(t *testing.T) {
 	for seed := range uint64(3) {
-		c, err := replay.Exact(record.NewReader(bytes.NewReader(recorded(t, seed))), 3)
+		c, err := replay.Exact(record.NewReader(bytes.NewReader(recordSimulation(t, seed))), 3)
 		if err != nil || c.Departures > 0 || c.Events < 1000 || c.Actions < 1000 {
-			t.Fatalf("seed %d: %+v, %v", seed, c, err)
+			t.Fatalf("seed %d: replay returned %+v with error %v, want at least 1000 events and actions and no departure",
+				seed, c, err)
 		}
 	}
 }
 
-// A recording that was tampered with: the replay differs, and the first difference is named.
+// If an action in a recording is modified, the replay reports one departure at this action.
 func TestReplayFindsADifference(t *testing.T) {
 	var file bytes.Buffer
 	w := record.NewWriter(&file, 1<<30)
 	changed := 0
-	for _, r := range all(t, recorded(t, 1)) {
+	for _, r := range readAll(t, recordSimulation(t, 1)) {
 		if s := r.GetSend(); s != nil && changed == 0 && r.At > int64(time.Hour+time.Second) {
 			s.Server++
 			changed++
@@ -155,20 +158,21 @@
 	}
 	c, err := replay.Exact(record.NewReader(&file), 3)
 	if err != nil || c.Departures != 1 || len(c.First) != 1 || c.First[0].Recorded.GetSend() == nil {
-		t.Fatalf("%+v, %v; want one departure, at the send", c, err)
+		t.Fatalf("replay returned %+v with error %v, want one departure at the send action", c, err)
 	}
 }
 
-// The estimate for the balancer that made the recording comes near to what it did.
+// The estimate for the balancer that made the recording is within 5 % of the recorded result.
 func TestEstimateIsNearTheRecording(t *testing.T) {
-	e, err := replay.Estimate(record.NewReader(bytes.NewReader(recorded(t, 2))))
+	e, err := replay.Estimate(record.NewReader(bytes.NewReader(recordSimulation(t, 2))))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if e.Requests < 500 || e.Recorded.InTime == 0 {
-		t.Fatalf("%d requests, %+v", e.Requests, e.Recorded)
+		t.Fatalf("recording has %d requests with %+v, want at least 500 with some in time", e.Requests, e.Recorded)
 	}
 	if ratio := float64(e.Present.InTime) / float64(e.Recorded.InTime); ratio < 0.95 || ratio > 1.05 {
-		t.Errorf("in time: recorded %d, estimated %d", e.Recorded.InTime, e.Present.InTime)
+		t.Errorf("recording has %d requests in time and the estimate %d, want a ratio between 0.95 and 1.05",
+			e.Recorded.InTime, e.Present.InTime)
 	}
 }
--- a/internal/proxy/record/recorded_balancer.go
+++ b/internal/proxy/record/recorded_balancer.go
@@ -9,18 +9,18 @@
 	"caperarch/policy"
 )
 
-// RecordedBalancer records each event of an engine and each action of its balancer, and forwards them unchanged. It
-// takes the balancer's place before the engine (it is an engine.Module).
+// RecordedBalancer records each event of an engine and each action of its balancer, and forwards both unchanged. It
+// implements engine.Module, so that the engine uses it in place of the balancer.
 type RecordedBalancer struct {
 	writer   *Writer
 	instance uint32
-	now      time.Duration // of the current event
+	now      time.Duration // time of the current event
 	balancer *policy.Balancer
 	host     policy.Host
 }
 
-// NewBalancer makes a balancer that is recorded, or returns the balancer's error. instance identifies it among others
-// in the same file.
+// NewBalancer returns a new balancer that is recorded, or the error of policy.New. instance identifies the balancer
+// among other balancers in the same file.
 func (w *Writer) NewBalancer(
 	instance uint32, cfg policy.Config, seed uint64, host policy.Host,
 ) (*RecordedBalancer, error) {
@@ -36,68 +36,68 @@
 	return b, nil
 }
 
-// append appends a record to the file.
+// append sets the record's time and instance and appends the record to the file.
 func (b *RecordedBalancer) append(r *recordpb.Record) {
 	r.At, r.Instance = int64(b.now), b.instance
 	b.writer.Append(r)
 }
 
-// recordEvent records an event.
+// recordEvent records an event at the given time, which also applies to the actions that follow.
 func (b *RecordedBalancer) recordEvent(now time.Duration, r *recordpb.Record) {
 	b.now = now
 	b.append(r)
 }
 
-// Start forwards an event, as do the other methods.
+// Start implements engine.Module. Like the other methods, it records the event and forwards it to the balancer.
 func (b *RecordedBalancer) Start(now time.Duration) {
 	b.recordEvent(now, &recordpb.Record{What: &recordpb.Record_Start{Start: &recordpb.Start{}}})
 	b.balancer.Start(now)
 }
 
-// Request forwards an event.
+// Request implements engine.Module.
 func (b *RecordedBalancer) Request(now time.Duration, q policy.Request) {
 	b.recordEvent(now, &recordpb.Record{What: &recordpb.Record_Request{Request: encodeRequest(q)}})
 	b.balancer.Request(now, q)
 }
 
-// Outcome forwards an event.
+// Outcome implements engine.Module.
 func (b *RecordedBalancer) Outcome(now time.Duration, o policy.Outcome) {
 	b.recordEvent(now, &recordpb.Record{What: &recordpb.Record_Outcome{Outcome: encodeOutcome(o)}})
 	b.balancer.Outcome(now, o)
 }
 
-// Wake forwards an event.
+// Wake implements engine.Module.
 func (b *RecordedBalancer) Wake(now time.Duration) {
 	b.recordEvent(now, &recordpb.Record{What: &recordpb.Record_Wake{Wake: &recordpb.Wake{}}})
 	b.balancer.Wake(now)
 }
 
-// List forwards an event.
+// List implements engine.Module.
 func (b *RecordedBalancer) List(now time.Duration, kind policy.ListKind, entries []policy.Server) {
 	b.recordEvent(now, &recordpb.Record{What: &recordpb.Record_List{List: encodeList(kind, entries)}})
 	b.balancer.List(now, kind, entries)
 }
 
-// Probed forwards an event.
+// Probed implements engine.Module.
 func (b *RecordedBalancer) Probed(now time.Duration, id policy.ServerID, ok bool, l policy.Load) {
 	probed := &recordpb.Probed{Server: uint64(id), Ok: ok, Load: encodeLoad(l)}
 	b.recordEvent(now, &recordpb.Record{What: &recordpb.Record_Probed{Probed: probed}})
 	b.balancer.Probed(now, id, ok, l)
 }
 
-// ClientGone forwards an event.
+// ClientGone implements engine.Module.
 func (b *RecordedBalancer) ClientGone(now time.Duration, id policy.RequestID) {
 	b.recordEvent(now, &recordpb.Record{What: &recordpb.Record_Gone{Gone: &recordpb.Gone{Id: uint64(id)}}})
 	b.balancer.ClientGone(now, id)
 }
 
-// StreamStarted forwards an event.
+// StreamStarted implements engine.Module.
 func (b *RecordedBalancer) StreamStarted(id policy.RequestID) {
 	b.append(&recordpb.Record{What: &recordpb.Record_Begun{Begun: &recordpb.Begun{Id: uint64(id)}}})
 	b.balancer.StreamStarted(id)
 }
 
-// Reconfigure forwards an event.
+// Reconfigure implements engine.Module.
 func (b *RecordedBalancer) Reconfigure(now time.Duration, l policy.Limits) error {
 	raw, err := json.Marshal(l)
 	if err != nil {
@@ -108,63 +108,63 @@
 	return b.balancer.Reconfigure(now, l)
 }
 
-// Counters are the balancer's.
+// Counters returns the balancer's counters.
 func (b *RecordedBalancer) Counters() policy.Counters { return b.balancer.Counters() }
 
-// recordingHost is the balancer's host: the engine's, with each action recorded before it is carried out.
+// recordingHost is the balancer's policy.Host. It records each action and then forwards it to the engine's host.
 type recordingHost struct{ balancer *RecordedBalancer }
 
 func (h recordingHost) recorder() ActionRecorder { return h.balancer.append }
 
-// Send records and forwards an action.
+// Send implements policy.Host.
 func (h recordingHost) Send(id policy.RequestID, to policy.ServerID, timeout time.Duration) {
 	h.recorder().Send(id, to, timeout)
 	h.balancer.host.Send(id, to, timeout)
 }
 
-// Refuse records and forwards an action.
+// Refuse implements policy.Host.
 func (h recordingHost) Refuse(id policy.RequestID, pause time.Duration) {
 	h.recorder().Refuse(id, pause)
 	h.balancer.host.Refuse(id, pause)
 }
 
-// Fail records and forwards an action.
+// Fail implements policy.Host.
 func (h recordingHost) Fail(id policy.RequestID) {
 	h.recorder().Fail(id)
 	h.balancer.host.Fail(id)
 }
 
-// Cancel records and forwards an action.
+// Cancel implements policy.Host.
 func (h recordingHost) Cancel(id policy.RequestID, attempt int) {
 	h.recorder().Cancel(id, attempt)
 	h.balancer.host.Cancel(id, attempt)
 }
 
-// Wake records and forwards an action.
+// Wake implements policy.Host.
 func (h recordingHost) Wake(d time.Duration) {
 	h.recorder().Wake(d)
 	h.balancer.host.Wake(d)
 }
 
-// CloseIdleConnections records and forwards an action.
+// CloseIdleConnections implements policy.Host.
 func (h recordingHost) CloseIdleConnections(to policy.ServerID) {
 	h.recorder().CloseIdleConnections(to)
 	h.balancer.host.CloseIdleConnections(to)
 }
 
-// Probe records and forwards an action.
+// Probe implements policy.Host.
 func (h recordingHost) Probe(to policy.ServerID) {
 	h.recorder().Probe(to)
 	h.balancer.host.Probe(to)
 }
 
-// WatchList records and forwards an action.
+// WatchList implements policy.Host.
 func (h recordingHost) WatchList() {
 	h.recorder().WatchList()
 	h.balancer.host.WatchList()
 }
 
-// Log records and forwards an action.
+// Log implements policy.Host.
 func (h recordingHost) Log(line string) {
 	h.recorder().Log(line)
 	h.balancer.host.Log(line)
--- a/internal/proxy/record/settings_golden_test.go
+++ b/internal/proxy/record/settings_golden_test.go
@@ -7,7 +7,8 @@
 	"caperarch/policy"
 )
 
-// Recordings hold the settings of a module as JSON; testdata has it as an earlier release wrote it.
+// Recordings contain the configuration and the limits of a balancer as JSON. Guards against an incompatible change of
+// this JSON: testdata has files that an earlier release wrote.
 func TestSettingsInRecordings(t *testing.T) {
 	goldentest.CheckJSON[policy.Config](t, "config")
 	goldentest.CheckJSON[policy.Limits](t, "limits")
