--- a/internal/daemon/fleet.go
+++ b/internal/daemon/fleet.go
@@ -19,7 +19,7 @@
 	if s.fleet == nil {
 		return
 	}
-	s.metrics.FollowPeers(s.fleet.Metrics)
+	s.metrics.SetPeers(s.fleet.Metrics)
 	running, stop := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
--- a/internal/daemon/service.go
+++ b/internal/daemon/service.go
@@ -98,7 +98,7 @@
 	defer s.mu.Unlock()
 	s.pools[p] = true
 	s.applyPoolLimits(p)
-	unfollow := s.metrics.FollowUpstreams(func() (known, skipped int) {
+	unfollow := s.metrics.AddUpstreams(func() (known, skipped int) {
 		known, out := p.list.Counts()
 		return known, min(known, out+p.engine.Avoided())
 	})
--- a/internal/proxy/metrics/golden_test.go
+++ b/internal/proxy/metrics/golden_test.go
@@ -7,9 +7,9 @@
 	"testing"
 )
 
-// Dashboards and alerts know the series by these names and labels. The help texts are free.
-func TestSeriesHaveTheNamesTheyHadBefore(t *testing.T) {
-	figures := Snapshot{
+// Guards against changes of metric names and labels, which dashboards and alerts use. The help texts are not compared.
+func TestSeriesNamesAreUnchanged(t *testing.T) {
+	snapshot := Snapshot{
 		Handled: map[string][3]uint64{"meters": {1, 2, 3}}, Tries: 4, InProgress: 5, Known: 6, Skipped: 7,
 		Peers: &Peers{
 			Members: map[string]int{"alive": 8}, Contact: true, Sidecars: 9, SentBytes: 10, Dropped: 11,
@@ -20,7 +20,7 @@
 		},
 	}
 	var text strings.Builder
-	if err := figures.WriteText(&text); err != nil {
+	if err := snapshot.WriteText(&text); err != nil {
 		t.Fatal(err)
 	}
 	var got strings.Builder
@@ -34,6 +34,6 @@
 		t.Fatal(err)
 	}
 	if got.String() != string(want) {
-		t.Errorf("the series are\n%s, want\n%s", got.String(), want)
+		t.Errorf("series are\n%s, want\n%s", got.String(), want)
 	}
 }
--- a/internal/proxy/metrics/metrics.go
+++ b/internal/proxy/metrics/metrics.go
@@ -1,6 +1,6 @@
-// Package metrics has the counters of a process that its log and the metrics endpoint report. The series exist from
-// the start, by the configured classes: no client can create a new one. Counting takes no lock; everything in the
-// package is safe for concurrent use.
+// Package metrics has the counters of a process, which its log and its metrics endpoint report. The series are created
+// at the start for the configured classes, so clients cannot create series. Counting takes no lock, and the package is
+// safe for concurrent use.
 package metrics
 
 import (
@@ -10,51 +10,51 @@
 	"sync/atomic"
 )
 
-// Outcome is how a request ended for its client.
+// Outcome is the result of a request from the client's point of view.
 type Outcome int
 
-// The outcomes: answered by an upstream, rejected, failed.
+// Outcomes of a request.
 const (
-	Passed Outcome = iota
-	Dropped
-	BadGateway
+	Passed     Outcome = iota // an upstream responded
+	Dropped                   // the sidecar rejected the request
+	BadGateway                // the request failed
 	outcomeCount
 )
 
-// String is the value of the label outcome.
+// String returns the value of the metric label "outcome".
 func (o Outcome) String() string { return [...]string{"passed", "dropped", "bad_gateway"}[o] }
 
-// UpstreamCounts is how many upstreams a list has and how many of them are avoided now.
+// UpstreamCounts returns how many upstreams a list has and how many of them are currently avoided.
 type UpstreamCounts func() (known, skipped int)
 
-// Peers is what a sidecar knows of the others of its fleet. The fields' names are in the log, as those of Policy,
-// Work and Snapshot.
+// Peers is the state of the other sidecars of a fleet as one sidecar knows it. The log contains the names of its fields
+// and of the fields of Policy, Work and Snapshot.
 type Peers struct {
-	Members   map[string]int // by state; without this one
+	Members   map[string]int // number of other sidecars, by state
 	Contact   bool           // a majority of the fleet responds
-	Sidecars  int            // that there are at least
-	SentBytes uint64
-	Dropped   uint64  // datagrams that could not be read
-	Policy    *Policy // nil: no policy is agreed on
+	Sidecars  int            // lower bound of the number of sidecars in the fleet
+	SentBytes uint64         // bytes sent to other sidecars
+	Dropped   uint64         // datagrams that could not be decoded
+	Policy    *Policy        // nil: the fleet has no common policy
 }
 
-// Policy is the version of the policy that a sidecar applies, of those that its fleet agrees on.
+// Policy is the state of the fleet's common policy as one sidecar knows it.
 type Policy struct {
 	Holds    uint32            // the current version
-	Goes     string            // what it applies: one, both, cut off
-	UnderWay uint32            // a version without an outcome, or that not all apply yet; 0: none
-	Changes  map[string]uint64 // received since the start, by outcome
+	Goes     string            // what the sidecar applies: "one" version, the stricter of "both", or "cut off"
+	UnderWay uint32            // version that is not yet decided, or that not all sidecars apply yet; 0: none
+	Changes  map[string]uint64 // changes received since the start, by outcome
 	Work     Work
 }
 
-// Work is what a sidecar knows of the maintenance of machines.
+// Work is the state of the maintenance of machines as one sidecar knows it.
 type Work struct {
-	Plans, Paused int            // that have not ended
-	Turn          uint32         // number of the last machine's turn
-	Machines      map[string]int // in maintenance, by phase
+	Plans, Paused int            // maintenance plans that have not ended, and how many of them are paused
+	Turn          uint32         // number of the last turn, in which one machine is maintained
+	Machines      map[string]int // machines in maintenance, by phase
 }
 
-// String is for the log.
+// String formats the state for the log.
 func (p *Peers) String() string {
 	if p == nil {
 		return "none"
@@ -62,7 +62,7 @@
 	return fmt.Sprintf("%+v", *p)
 }
 
-// Set has all counters of a process. The zero value is ready. A nil Set counts nothing.
+// Set has all counters of a process. The zero value is ready to use. A nil Set does not count.
 type Set struct {
 	attempts   atomic.Uint64
 	inProgress atomic.Int64
@@ -70,18 +70,18 @@
 	mu        sync.Mutex
 	classes   []*Class
 	upstreams map[*UpstreamCounts]struct{}
-	peers     func() Peers // nil: there is no fleet
+	peers     func() Peers // nil: the sidecar has no fleet
 }
 
-// Class is the series of one class. A nil Class counts nothing.
+// Class has the counters of one request class. A nil Class does not count.
 type Class struct {
 	set       *Set
 	name      string
 	byOutcome [outcomeCount]atomic.Uint64
 }
 
-// Classes are the series of classes, by the index that each name has. Pools that have a class of the same name share
-// its series.
+// Classes returns the counters of classes. byName has the index of each class in the result. Pools with a class of the
+// same name share its counters.
 func (s *Set) Classes(byName map[string]int) []*Class {
 	all := make([]*Class, len(byName))
 	if s == nil {
@@ -102,8 +102,8 @@
 	return all
 }
 
-// FollowUpstreams has the upstreams of one more list counted, until the function that it returns is called.
-func (s *Set) FollowUpstreams(u UpstreamCounts) (leave func()) {
+// AddUpstreams includes the upstreams of a list in snapshots until the returned function is called.
+func (s *Set) AddUpstreams(u UpstreamCounts) (remove func()) {
 	if s == nil {
 		return func() {}
 	}
@@ -120,66 +120,66 @@
 	}
 }
 
-// FollowPeers has a snapshot include the counters of a fleet; nil: no longer.
-func (s *Set) FollowPeers(p func() Peers) {
+// SetPeers sets the function that returns the state of the fleet for snapshots. nil removes the function.
+func (s *Set) SetPeers(p func() Peers) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.peers = p
 }
 
-// CountAttempt counts an attempt that was written completely to an upstream.
+// CountAttempt counts an attempt whose request was written completely to an upstream.
 func (s *Set) CountAttempt() {
 	if s != nil {
 		s.attempts.Add(1)
 	}
 }
 
-// RequestStarted counts a request as in progress: it was accepted, with its last byte here.
+// RequestStarted counts a request as in progress. The request was accepted and received completely.
 func (c *Class) RequestStarted() {
 	if c != nil {
 		c.set.inProgress.Add(1)
 	}
 }
 
-// RequestFinished ends what RequestStarted has begun.
+// RequestFinished counts a request as no longer in progress. It follows RequestStarted.
 func (c *Class) RequestFinished() {
 	if c != nil {
 		c.set.inProgress.Add(-1)
 	}
 }
 
-// CountOutcome counts a request's outcome for its client.
+// CountOutcome counts the outcome of a request.
 func (c *Class) CountOutcome(o Outcome) {
 	if c != nil {
 		c.byOutcome[o].Add(1)
 	}
 }
 
-// Snapshot has the values of the counters. The fields' names are keys of its JSON form.
+// Snapshot has the values of the counters at one time. The names of its fields are keys in its JSON form.
 type Snapshot struct {
-	Handled        map[string][3]uint64 // by class: passed, dropped, bad_gateway
-	Tries          uint64               // attempts written to upstreams
-	InProgress     int64
-	Known, Skipped int
-	Peers          *Peers `json:",omitempty"` // nil: there is no fleet
+	Handled        map[string][3]uint64 // requests by class and outcome: passed, dropped, bad_gateway
+	Tries          uint64               // attempts whose request was written to an upstream
+	InProgress     int64                // requests in progress
+	Known, Skipped int                  // upstreams in the lists, and how many of them are avoided
+	Peers          *Peers               `json:",omitempty"` // nil: the sidecar has no fleet
 }
 
-// Handled is how many requests had which outcome, by class.
+// Handled returns the number of requests by class and outcome.
 func (s *Set) Handled() map[string][3]uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	all := make(map[string][3]uint64, len(s.classes))
 	for _, c := range s.classes {
-		var by [outcomeCount]uint64
-		for o := range by {
-			by[o] = c.byOutcome[o].Load()
+		var counts [outcomeCount]uint64
+		for o := range counts {
+			counts[o] = c.byOutcome[o].Load()
 		}
-		all[c.name] = by
+		all[c.name] = counts
 	}
 	return all
 }
 
-// Snapshot reads the counters.
+// Snapshot returns the current values of the counters.
 func (s *Set) Snapshot() Snapshot {
 	s.mu.Lock()
 	lists := make([]UpstreamCounts, 0, len(s.upstreams))
--- a/internal/proxy/metrics/text.go
+++ b/internal/proxy/metrics/text.go
@@ -10,7 +10,7 @@
 	"github.com/prometheus/common/expfmt"
 )
 
-// prefix is before the name of each metric.
+// prefix is the prefix of all metric names.
 const prefix = "edge_"
 
 // WriteText writes the metrics in the Prometheus text format.
@@ -38,17 +38,17 @@
 		}
 	}
 	for _, f := range all {
-		if len(f.Metric) == 0 { // no classes: a family without a series is not valid
+		if len(f.Metric) == 0 { // a family without a series is not valid, which is the case without classes
 			continue
 		}
 		if _, err := expfmt.MetricFamilyToText(to, f); err != nil {
-			return fmt.Errorf("figures: %s: %w", f.GetName(), err)
+			return fmt.Errorf("write metric %s: %w", f.GetName(), err)
 		}
 	}
 	return nil
 }
 
-// families are a fleet's metrics.
+// families returns the metrics of a fleet.
 func (p *Peers) families() []*dto.MetricFamily {
 	members := gauges("peers", "Other sidecars of the fleet, by what is held of them.", "state", p.Members)
 	contact := 0.0
@@ -69,7 +69,7 @@
 	}
 }
 
-// families are the metrics of a policy that a fleet agrees on.
+// families returns the metrics of a fleet's common policy.
 func (p *Policy) families() []*dto.MetricFamily {
 	goes := family("policy_goes_by", "1 for what this sidecar goes by: one version, the stricter of both, or cut off.",
 		dto.MetricType_GAUGE)
@@ -107,7 +107,7 @@
 	return f
 }
 
-// gauges are one gauge for each value of a label, sorted by it.
+// gauges returns a family with one gauge for each value of a label, sorted by the value.
 func gauges(name, help, labelName string, values map[string]int) *dto.MetricFamily {
 	f := family(name, help, dto.MetricType_GAUGE)
 	for _, value := range slices.Sorted(maps.Keys(values)) {
