--- a/internal/proxy/pool/pool.go
+++ b/internal/proxy/pool/pool.go
@@ -1,5 +1,5 @@
-// Package pool runs an engine with its transport, server list and limits for programs that embed it: one call
-// in, one final answer out. A Pool owns its goroutines, and Close ends them.
+// Package pool runs an engine with its transport, server list and limits for programs that embed it. Pool.Do sends one
+// call and returns its final answer. A Pool owns its goroutines, and Close ends them.
 package pool
 
 import (
@@ -17,67 +17,67 @@
 	"caperarch/policy"
 )
 
-// Config is what a pool is made of.
+// Config configures a Pool.
 type Config struct {
 	Policy       policy.Config
-	Seed         uint64
+	Seed         uint64 // seed of the policy's random numbers
 	Clock        clock.Clock
-	Transport    Transport // on the same clock; the pool closes it
-	Discovery    string    // address of discovery; "": the servers are Known, for good
-	Zones        map[string]int
-	Known        call.ServerList // the servers as last known
-	MaxOpen      int             // open calls; 0: no bound
-	MaxBodyBytes int64           // of the open calls' bodies; 0: no bound
-	SharedLimits SharedLimits    // limits that several pools share; nil: none
+	Transport    Transport       // uses the same clock; closed by Pool.Close
+	Discovery    string          // address of discovery; "": the pool uses the servers in Known permanently
+	Zones        map[string]int  // zone number by name
+	Known        call.ServerList // server list to start with
+	MaxOpen      int             // limit on open calls; 0: no limit
+	MaxBodyBytes int64           // limit on the bytes of all open calls' bodies; 0: no limit
+	SharedLimits SharedLimits    // limits that several pools share; may be nil
 	Log          *slog.Logger
 }
 
-// SharedLimits are limits that several pools of a process share. They are safe for concurrent use.
+// SharedLimits are limits that several pools of a process share. Implementations must be safe for concurrent use.
 type SharedLimits interface {
-	// Acquire counts a call with a body of size bytes; false: there is no capacity for it.
+	// Acquire reserves capacity for a call with a body of size bytes. It returns false if the capacity is exhausted.
 	Acquire(size int64) bool
-	// Release gives back what Acquire took.
+	// Release returns the capacity that Acquire reserved.
 	Release(size int64)
 }
 
 // Transport is a call.Transport that can be closed.
 type Transport interface {
 	call.Transport
-	// Close cancels what is in flight, closes all connections and returns when all goroutines have ended.
+	// Close cancels all attempts, closes all connections and waits until all goroutines have ended.
 	Close()
 }
 
-// The errors of a call that never came to the module. Nothing was sent for it.
+// Errors of a call that Do did not pass to the engine. No request was sent for the call.
 var (
 	ErrClosed      = errors.New("closed")
 	ErrFull        = errors.New("too many calls or bytes of bodies are held already")
 	ErrDuplicateID = errors.New("a call of this id is open")
 )
 
-// fullRetryAfter is how long a caller that met ErrFull should wait before it retries.
+// fullRetryAfter is the delay after which a caller that got ErrFull should retry.
 const fullRetryAfter = time.Second
 
-// Pool sends calls to the servers of one list. It is safe for concurrent use.
+// Pool sends calls to the servers of one server list. It is safe for concurrent use.
 type Pool struct {
 	cfg        Config
 	engine     *engine.Engine
 	stopEngine context.CancelFunc
-	engineDone chan struct{} // closed when the engine has ended
+	engineDone chan struct{} // closed when the engine's goroutine has ended
 	serverList closer
 
-	bodyBytes atomic.Int64 // of the open calls
+	bodyBytes atomic.Int64 // bytes of the open calls' bodies
 
-	mu        sync.Mutex      // guards what follows
+	mu        sync.Mutex      // guards the fields below
 	open      map[string]bool // ids of the open calls
-	closed    bool
-	drained   chan struct{} // closed when closed is set and no call is open
-	closeDone chan struct{} // closed when Close has ended everything
+	closed    bool            // Close was called
+	drained   chan struct{}   // closed when the pool is closed and no call is open
+	closeDone chan struct{}   // closed when the first call of Close returns
 }
 
-// closer is a source of server lists; Close returns when no further list comes.
+// closer is a source of server lists. No list is delivered after Close has returned.
 type closer interface{ Close() }
 
-// Open starts a pool, or returns an error that names the unusable field of Config.Policy.
+// Open starts a pool. If Config.Policy is invalid, the error names the invalid field.
 func Open(cfg Config) (*Pool, error) {
 	p := &Pool{
 		cfg: cfg, open: make(map[string]bool),
@@ -107,7 +107,7 @@
 	}
 	switch {
 	case cfg.Discovery == "":
-		p.serverList = noSubscription{}
+		p.serverList = staticServerList{}
 	case cfg.Policy.ListOnDemand:
 		follower = membership.New(discovery)
 		p.serverList = startFollower(follower)
@@ -126,21 +126,22 @@
 	return p, nil
 }
 
-// noSubscription is the closer of a pool whose server list never changes.
-type noSubscription struct{}
+// staticServerList is the source of a server list that does not change.
+type staticServerList struct{}
 
-// Close does nothing.
-func (noSubscription) Close() {}
+// Close has no effect.
+func (staticServerList) Close() {}
 
-// privateFollower is a running follower that no other pool shares.
-type privateFollower struct {
+// runningFollower is a follower with its goroutine, which is not shared with other pools.
+type runningFollower struct {
 	stop context.CancelFunc
 	done chan struct{}
 }
 
-func startFollower(f *membership.Follower) privateFollower {
+// startFollower starts a goroutine that runs a follower.
+func startFollower(f *membership.Follower) runningFollower {
 	ctx, stop := context.WithCancel(context.Background())
-	running := privateFollower{stop, make(chan struct{})}
+	running := runningFollower{stop, make(chan struct{})}
 	go func() {
 		defer close(running.done)
 		f.Run(ctx)
@@ -148,8 +149,8 @@
 	return running
 }
 
-// Close stops the follower and waits for its end.
-func (f privateFollower) Close() {
+// Close stops the follower and waits for its goroutine.
+func (f runningFollower) Close() {
 	f.stop()
 	<-f.done
 }
@@ -157,30 +158,30 @@
 // Now returns the time on the pool's clock.
 func (p *Pool) Now() time.Duration { return p.cfg.Clock.Now() }
 
-// Do carries a call out and returns its final answer. id identifies it among the open calls; deadline is on
-// the pool's clock. The error is that of ctx where it ends first (the call is then cancelled, and nothing is
-// promised), or one of ErrFull, ErrDuplicateID, ErrClosed. With a Stream in its answer the call stays open
-// until Stream.Close is called.
+// Do sends a call and returns its final answer. id identifies the call among the open calls, and deadline is a time of
+// the pool's clock. If ctx ends first, Do cancels the call and returns the error of ctx; the servers may or may not
+// have processed the call. Otherwise the error is nil, ErrFull, ErrDuplicateID or ErrClosed. If the answer has a
+// Stream, the call stays open until Stream.Close is called.
 func (p *Pool) Do(
 	ctx context.Context, id string, q policy.Request, m *call.Message, deadline time.Duration,
 ) (call.Answer, error) {
 	if err := ctx.Err(); err != nil {
 		return call.Answer{}, err
 	}
-	if err := p.enter(id, int64(len(m.Body))); err != nil {
+	if err := p.admit(id, int64(len(m.Body))); err != nil {
 		return call.Answer{}, err
 	}
 	a, err := p.submit(ctx, q, m, deadline)
-	leave := func() { p.leave(id, int64(len(m.Body))) }
+	release := func() { p.release(id, int64(len(m.Body))) }
 	if a.Stream != nil {
-		a.Stream = &trackedStream{Stream: a.Stream, leave: sync.OnceFunc(leave)}
+		a.Stream = &trackedStream{Stream: a.Stream, release: sync.OnceFunc(release)}
 		return a, err
 	}
-	leave()
+	release()
 	return a, err
 }
 
-// submit hands a call to the engine and waits for its answer, for ctx or for the engine's end.
+// submit passes a call to the engine. It waits until the call has its answer, ctx ends or the engine ends.
 func (p *Pool) submit(
 	ctx context.Context, q policy.Request, m *call.Message, deadline time.Duration,
 ) (call.Answer, error) {
@@ -192,26 +193,26 @@
 	case <-ctx.Done():
 		p.engine.ClientGone(id)
 		select {
-		case a := <-reply: // both at once; the answer may hold a stream, which must be closed
+		case a := <-reply: // the answer arrived at the same time; its stream, if any, must be closed
 			return a, nil
 		default:
 		}
 		if m.Stream {
-			go closeLate(p.engine, reply)
+			go closeLateStream(p.engine, reply)
 		}
 		return call.Answer{}, ctx.Err()
 	case <-p.engine.Done():
 		select {
 		case a := <-reply:
 			return a, nil
-		default: // submitted too late to be sent
+		default: // submitted after the engine's end, so nothing was sent
 			return call.Answer{Kind: call.Refused}, nil
 		}
 	}
 }
 
-// closeLate closes a stream that began after its caller had gone.
-func closeLate(e *engine.Engine, reply <-chan call.Answer) {
+// closeLateStream closes a stream that started after the context of its caller had ended.
+func closeLateStream(e *engine.Engine, reply <-chan call.Answer) {
 	e.Flush()
 	select {
 	case a := <-reply:
@@ -222,29 +223,29 @@
 	}
 }
 
-// trackedStream is the stream of an open call, which ends with it.
+// trackedStream is the stream of an open call. Closing the stream ends the call.
 type trackedStream struct {
 	call.Stream
-	leave func()
+	release func()
 }
 
 // Close ends the stream and the call.
 func (s *trackedStream) Close() {
 	s.Stream.Close()
-	s.leave()
+	s.release()
 }
 
-// Unwrap returns the transport's stream.
+// Unwrap returns the stream of the transport.
 func (s *trackedStream) Unwrap() call.Stream { return s.Stream }
 
-// enter counts a call as open, or returns why it can't be.
-func (p *Pool) enter(id string, size int64) error {
+// admit counts a call as open, or returns the error that prevents it.
+func (p *Pool) admit(id string, size int64) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	switch {
 	case p.closed:
 		return ErrClosed
-	case p.open[id]: // servers would drop it as a repeat of the first
+	case p.open[id]: // servers would drop the call as a repeat of the first call
 		return ErrDuplicateID
 	case p.cfg.MaxOpen > 0 && len(p.open) >= p.cfg.MaxOpen,
 		p.cfg.MaxBodyBytes > 0 && p.bodyBytes.Load()+size > p.cfg.MaxBodyBytes:
@@ -258,11 +259,12 @@
 	return nil
 }
 
-// RetryAfterFull is how long a caller that met ErrFull should wait, at most as long as clients heed.
+// RetryAfterFull returns the delay after which a caller that got ErrFull should retry. It is at most the policy's
+// MaxRetryAfter, the longest delay that clients respect.
 func (p *Pool) RetryAfterFull() time.Duration { return min(fullRetryAfter, p.cfg.Policy.MaxRetryAfter) }
 
-// leave counts a call as ended.
-func (p *Pool) leave(id string, size int64) {
+// release counts a call as ended.
+func (p *Pool) release(id string, size int64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.bodyBytes.Add(-size)
@@ -273,7 +275,7 @@
 	p.signalIfDrained()
 }
 
-// signalIfDrained tells Close that no call is open any more. The caller holds mu.
+// signalIfDrained closes drained if the pool is closed and no call is open. The caller holds p.mu.
 func (p *Pool) signalIfDrained() {
 	if p.closed && len(p.open) == 0 {
 		select {
@@ -284,10 +286,10 @@
 	}
 }
 
-// Close rejects further calls and waits until the open ones have their answers, or ctx ends: then they are
-// answered at once, refused where nothing was sent and failed where something was, and the error is that of
-// ctx. Either way all of the pool's goroutines have ended and its connections are closed when it returns. A
-// second Close waits for the first.
+// Close rejects further calls and waits until all open calls have ended. If ctx ends first, Close ends the open calls
+// immediately: a call for which nothing was sent is refused, and any other call fails. Close then returns the error of
+// ctx. When Close returns, all goroutines of the pool have ended and its connections are closed. A second call of Close
+// waits for the first call.
 func (p *Pool) Close(ctx context.Context) error {
 	p.mu.Lock()
 	first := !p.closed
