--- a/internal/proxy/pool/pool.go
+++ b/internal/proxy/pool/pool.go
@@ -135,7 +135,7 @@
 // runningFollower is a follower with its goroutine, which is not shared with other pools.
 type runningFollower struct {
 	stop context.CancelFunc
-	done chan struct{}
+	done chan struct{} // closed when the follower's goroutine has ended
 }
 
 // startFollower starts a goroutine that runs a follower.
--- a/internal/proxy/transport/grpc/attempt.go
+++ b/internal/proxy/transport/grpc/attempt.go
@@ -29,7 +29,7 @@
 	message    *call.Message
 	sendBy     time.Duration // the request is not written at or after this time
 	until      time.Duration // the attempt times out at this time
-	started    time.Duration
+	started    time.Duration // time at which Send was called
 	done       func(call.Result)
 	ctx        context.Context
 	cancel     context.CancelCauseFunc
--- a/internal/proxy/transport/grpc/transport_test.go
+++ b/internal/proxy/transport/grpc/transport_test.go
@@ -108,7 +108,7 @@
 }
 
 func writeTrailers(f *http2.Framer, stream uint32, fields ...string) {
-	var block writer
+	var block byteWriter
 	e := hpack.NewEncoder(&block)
 	for i := 0; i+1 < len(fields); i += 2 {
 		_ = e.WriteField(hpack.HeaderField{Name: fields[i], Value: fields[i+1]})
@@ -116,9 +116,9 @@
 	_ = f.WriteHeaders(http2.HeadersFrameParam{StreamID: stream, BlockFragment: block, EndHeaders: true, EndStream: true})
 }
 
-type writer []byte
+type byteWriter []byte
 
-func (w *writer) Write(p []byte) (int, error) {
+func (w *byteWriter) Write(p []byte) (int, error) {
 	*w = append(*w, p...)
 	return len(p), nil
 }
@@ -133,13 +133,13 @@
 		"REFUSED_STREAM": {func(f *http2.Framer, _ net.Conn, s uint32) {
 			_ = f.WriteRSTStream(s, http2.ErrCodeRefusedStream)
 		}, policy.NotProcessed},
-		"GOAWAY below it": {func(f *http2.Framer, c net.Conn, s uint32) {
+		"GOAWAY below the stream": {func(f *http2.Framer, c net.Conn, s uint32) {
 			_ = f.WriteGoAway(0, http2.ErrCodeNo, nil)
 		}, policy.NotProcessed},
 		"RST INTERNAL_ERROR": {func(f *http2.Framer, _ net.Conn, s uint32) {
 			_ = f.WriteRSTStream(s, http2.ErrCodeInternal)
 		}, policy.ConnectionLost},
-		"GOAWAY above it, then closed": {func(f *http2.Framer, c net.Conn, s uint32) {
+		"GOAWAY with the stream, then closed": {func(f *http2.Framer, c net.Conn, s uint32) {
 			_ = f.WriteGoAway(s, http2.ErrCodeNo, nil)
 			c.Close()
 		}, policy.ConnectionLost},
@@ -154,7 +154,7 @@
 		"NOT_FOUND": {func(f *http2.Framer, _ net.Conn, s uint32) {
 			writeTrailers(f, s, ":status", "200", "content-type", "application/grpc", "grpc-status", "5")
 		}, policy.Served},
-		"no gRPC": {func(f *http2.Framer, _ net.Conn, s uint32) {
+		"not gRPC": {func(f *http2.Framer, _ net.Conn, s uint32) {
 			writeTrailers(f, s, ":status", "503", "content-type", "text/html")
 		}, policy.ConnectionLost},
 	} {
--- a/internal/proxy/transport/http1/response.go
+++ b/internal/proxy/transport/http1/response.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	maxResponseBytes    = 512 << 10 // limit for a response's head, and for a buffered response including its framing
-	maxInterimResponses = 8         // limit for responses read per request, including interim (1xx) and unrelated ones
+	maxResponseBytes = 512 << 10 // limit for a response's head, and for a buffered response including its framing
+	maxResponsesRead = 8         // limit for responses read per request, including interim (1xx) and unrelated ones
 
 	// holdUnknownLength is how long a response of unknown length is buffered before it is streamed. A response that is
 	// short and complete within this time can still be dropped in favour of another attempt.
@@ -21,16 +21,16 @@
 )
 
 var (
-	errBodyTooLong = errors.New("response body exceeds the buffer limit")
-	errNoFraming   = errors.New("response has neither a Content-Length nor chunked encoding")
-	errManyInterim = errors.New("no final response among the first 8 responses read")
+	errBodyTooLong     = errors.New("response body exceeds the buffer limit")
+	errNoFraming       = errors.New("response has neither a Content-Length nor chunked encoding")
+	errNoFinalResponse = errors.New("no final response among the first 8 responses read")
 )
 
 // readResponse reads one response. The response is read completely, or it has a responseStream as its Body.
 func (c *conn) readResponse(t *Transport, m *call.Message, until time.Duration) (*http.Response, []byte, error) {
 	c.limited.N = maxResponseBytes
 	req := &http.Request{Method: m.Method} // the method determines whether the response has a body
-	for range maxInterimResponses {
+	for range maxResponsesRead {
 		res, err := http.ReadResponse(c.reader, req)
 		if err != nil {
 			return nil, nil, err
@@ -41,7 +41,7 @@
 		mayStream := m.Stream && res.StatusCode == http.StatusOK
 		isProbe := m.Header == nil
 		if t.dialect != nil && !isProbe {
-			if !t.dialect.MatchesRequest(m, res) { // it answers an earlier request or none
+			if !t.dialect.MatchesRequest(m, res) { // the response belongs to an earlier request or to none
 				if _, err := io.Copy(io.Discard, res.Body); err != nil {
 					return nil, nil, err
 				}
@@ -54,7 +54,7 @@
 		}
 		return c.readResponseBody(t, res, mayStream, until)
 	}
-	return nil, nil, errManyInterim
+	return nil, nil, errNoFinalResponse
 }
 
 // readResponseBody reads or streams the body of a response whose head was read.
--- a/internal/proxy/transport/http1/roundtrip.go
+++ b/internal/proxy/transport/http1/roundtrip.go
@@ -24,8 +24,8 @@
 )
 
 // roundTrip sends a request and reads its response. Without a complete response, the ending says whether the server may
-// have processed the request. Until the last byte of the request is written the ending is NoConnection, because the
-// server cannot have processed the request.
+// have processed the request. Until the last byte of the request is written, the ending is NoConnection, NotSent or
+// Cancelled, because the server cannot have processed the request.
 func (t *Transport) roundTrip(
 	x *exchange, to *host, m *call.Message, limits call.Limits,
 ) (*http.Response, []byte, policy.Ending) {
