--- a/internal/proxy/transport/grpc/codec.go
+++ b/internal/proxy/transport/grpc/codec.go
@@ -6,15 +6,15 @@
 	"google.golang.org/grpc/mem"
 )
 
-// rawCodec forwards messages as they are: the caller has encoded them once, and however many attempts there are, none
-// writes into the caller's bytes.
+// rawCodec passes encoded messages through unchanged. The caller encodes a message once; all attempts share its bytes,
+// and no attempt writes to them.
 type rawCodec struct{ name string }
 
 // Marshal implements encoding.CodecV2.
 func (rawCodec) Marshal(v any) (mem.BufferSlice, error) {
 	b, ok := v.(*[]byte)
 	if !ok {
-		return nil, fmt.Errorf("raw codec: %T is no bytes", v)
+		return nil, fmt.Errorf("raw codec: message is a %T, want *[]byte", v)
 	}
 	return mem.BufferSlice{mem.SliceBuffer(*b)}, nil
 }
@@ -23,11 +23,11 @@
 func (rawCodec) Unmarshal(data mem.BufferSlice, v any) error {
 	b, ok := v.(*[]byte)
 	if !ok {
-		return fmt.Errorf("raw codec: %T is no bytes", v)
+		return fmt.Errorf("raw codec: message is a %T, want *[]byte", v)
 	}
 	*b = data.Materialize()
 	return nil
 }
 
-// Name implements encoding.CodecV2: it is the content subtype.
+// Name implements encoding.CodecV2. It returns the content subtype.
 func (c rawCodec) Name() string { return c.name }
