--- a/internal/daemon/config/config.go
+++ b/internal/daemon/config/config.go
@@ -1,5 +1,6 @@
-// Package config reads and checks the daemon's files: its own configuration (JSON), the pools file and the fleet file
-// (TOML). It starts nothing, and what it returns is not changed later. Errors name the file, line or field.
+// Package config reads and validates the daemon's files: its own configuration (JSON), the pools file and the fleet
+// file (TOML). The package starts no goroutine, and the returned values are immutable. Errors name the file, line or
+// field.
 package config
 
 import (
@@ -21,47 +22,47 @@
 	"caperarch/policy"
 )
 
-// Config is a sidecar's configuration.
+// Config is the configuration of a sidecar, or of a client that runs without a sidecar (ParseClient).
 type Config struct {
-	Path      string // of its file
+	Path      string // path of the configuration file
 	Name      string
-	Listen    string // address for the application
-	Discovery string // address of discovery
-	Control   string // address for control calls; "": none
+	Listen    string // address on which the application connects
+	Discovery string // address of the discovery service
+	Control   string // address for control calls; "" disables the control port
 	Seed      uint64
 
-	MemoryMB int // the process is killed above it; 0: no limit is known
-	Sockets  int // file descriptors that it may hold
+	MemoryMB int // memory limit in MiB, above which the process is killed; 0: no limit is known
+	Sockets  int // maximum number of open file descriptors of the process
 
 	Policy            policy.Config
-	Classes           map[string]int // class by name
-	Tenants           map[string]int // tenant by name; empty where there are none
-	Zones             map[string]int // zone by name
-	LoadReportFields  []string       // names of a load report's fields, as LoadReportColumns; none: no reports
+	Classes           map[string]int // class index by class name
+	Tenants           map[string]int // tenant index by tenant name; empty if no tenants are configured
+	Zones             map[string]int // zone index by zone name
+	LoadReportFields  []string       // field names of a load report, in the order of LoadReportColumns; nil: no reports
 	LoadReportColumns wire.Columns
 
-	MaxOpenRequests int           // requests in flight
-	ConnIdle        time.Duration // upstreams close connections that were idle for so long
+	MaxOpenRequests int           // maximum number of requests in flight; 0: unlimited
+	ConnIdle        time.Duration // idle time after which upstreams close a connection
 	DialTimeout     time.Duration
-	MaxDeadline     time.Duration // the longest deadline of any class
+	MaxDeadline     time.Duration // longest deadline of all classes
 
-	KnownServers call.ServerList // the list of servers to start with
+	KnownServers call.ServerList // initial list of servers, used until discovery answers
 
-	PeersAllowed bool     // the settings allow sidecars to send one another datagrams
-	PeerListen   string   // address for them
-	Peers        []string // of each sidecar, by its number
+	PeersAllowed bool     // the settings allow sidecars to exchange datagrams
+	PeerListen   string   // address on which this sidecar receives datagrams of other sidecars
+	Peers        []string // datagram address of each sidecar, indexed by the sidecar's number
 
-	Methods map[string]Method // of a client: classes by RPC method
+	Methods map[string]Method // class and tenant by RPC method; set by ParseClient only
 }
 
-// Method gives the class and the tenant of the calls of an RPC method.
+// Method is the class and the tenant of the calls to one RPC method.
 type Method struct {
 	Class  string `json:"class"`
 	Tenant string `json:"tenant"`
 }
 
-// Read reads the configuration file at path. The environment's EDGE_NAME, EDGE_LISTEN, EDGE_DISCOVERY and
-// EDGE_CONTROL are the defaults of the fields that the file leaves out.
+// Read reads the configuration file at path. The environment variables EDGE_NAME, EDGE_LISTEN, EDGE_DISCOVERY and
+// EDGE_CONTROL are the defaults of the fields that the file omits.
 func Read(path string) (*Config, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -75,7 +76,7 @@
 	return c, nil
 }
 
-// Parse parses the content of a configuration file; env looks up a variable of the environment.
+// Parse parses the content of a configuration file; env looks up an environment variable.
 func Parse(raw []byte, env func(string) string) (*Config, error) {
 	c, err := parse(raw, env)
 	if err != nil {
@@ -93,14 +94,16 @@
 	return c, nil
 }
 
-// clientFields are the fields that a client's file may have; a client ignores some of them.
+// clientFields are the fields that a client's configuration file may have. A client ignores the fields that only a
+// sidecar needs, such as listen and control.
 var clientFields = []string{
 	"name", "listen", "discovery", "control", "seed", "limits", "peer_listen", "peers", "peers_all",
 	"known", "settings", "methods",
 }
 
-// ParseClient parses the file of a client that has no sidecar beside it: the environment is not used, no listen
-// address is needed, and an unknown field is an error that names it.
+// ParseClient parses the configuration file of a client that runs without a sidecar. Environment variables are
+// ignored, the listen and discovery addresses are optional, and an unknown field returns an error that names the
+// field.
 func ParseClient(raw []byte) (*Config, error) {
 	c, err := parse(raw, func(string) string { return "" })
 	if err != nil {
@@ -130,7 +133,7 @@
 	return c, nil
 }
 
-// parse parses a file without checking its addresses.
+// parse parses a configuration file without validating its addresses.
 func parse(raw []byte, env func(string) string) (*Config, error) {
 	var file struct {
 		Name, Listen, Discovery, Control, Seed string
@@ -190,7 +193,7 @@
 	return c, nil
 }
 
-// applySettings reads the settings: the decision module's, and what else the sidecar needs.
+// applySettings sets the configuration of the decision module and the other fields of c that come from the settings.
 func (c *Config) applySettings(s *wire.Settings) error {
 	var err error
 	if c.Policy, err = s.Config(); err != nil {
@@ -232,18 +235,19 @@
 	return nil
 }
 
-// ClientConns is how many connections of clients the process may hold. The descriptors are divided: half for
-// clients' connections, a third of all for the application's requests among these, most of the rest for
-// upstreams, and a reserve for connections that are being closed and for the process itself.
+// ClientConns returns the maximum number of client connections of the process. The file descriptors are divided as
+// follows: 1/2 for client connections (of which the application's requests may use 1/3 of all descriptors), 3/8 for
+// upstream connections, and the remaining 1/8 for connections that are being closed and for the process itself.
 func (c *Config) ClientConns() int { return c.Sockets / 2 }
 
-// ApplicationConns is how many of ClientConns the application may use for its requests.
+// ApplicationConns returns how many of the ClientConns the application may use for its requests.
 func (c *Config) ApplicationConns() int { return c.Sockets / 3 }
 
-// UpstreamConns is how many connections to upstreams the process may hold.
+// UpstreamConns returns the maximum number of upstream connections of the process.
 func (c *Config) UpstreamConns() int { return c.Sockets * 3 / 8 }
 
-// MaxBodyBytes bounds the bodies of clients that are buffered at once, in bytes.
+// MaxBodyBytes returns the maximum total size of the request bodies that are buffered at a time, in bytes: 1/8 of the
+// memory limit, or unlimited if no memory limit is known.
 func (c *Config) MaxBodyBytes() int64 {
 	if c.MemoryMB == 0 {
 		return math.MaxInt64
--- a/internal/daemon/config/fleet.go
+++ b/internal/daemon/config/fleet.go
@@ -11,44 +11,47 @@
 	"caperarch/internal/proxy/strictconfig"
 )
 
-// Fleet is the operator's file on what the sidecars of a fleet have to do with one another, checked whole.
+// Fleet is the validated fleet file: how the sidecars of a fleet communicate with each other.
 type Fleet struct {
 	Path           string
-	Name           string        // datagrams of sidecars with another name are ignored
-	Lease          time.Duration // 0: derived from the number of sidecars
+	Name           string        // fleet name; a sidecar ignores datagrams that carry another fleet name
+	Lease          time.Duration // lease duration; 0: derived from the number of sidecars
 	ClockError     float64       // bound on the relative error of a clock's rate; 0: the default
-	BytesPerSecond float64       // of the whole fleet; 0: fleetBytes for each sidecar
+	BytesPerSecond float64       // datagram bandwidth of the whole fleet; 0: the default of BytesPerSidecar applies
 
-	Policy *FleetPolicy // nil: none
+	Policy *FleetPolicy // nil: the fleet has no replicated policy
 }
 
-// FleetPolicy is the file's section on the policy that the sidecars agree on.
+// FleetPolicy is the [policy] section of the fleet file: the policy that the sidecars replicate by consensus.
 type FleetPolicy struct {
-	FallbackPolicy []byte // TOML (cut_off), applied by a sidecar that may have missed a change
-	StateDir       string // folder that outlives the process; "": none
+	FallbackPolicy []byte // TOML (key cut_off); a sidecar applies it while it may have missed a policy change
+	StateDir       string // directory that outlives the process; "": the sidecar keeps no state on disk
 }
 
 const (
-	fleetBytes  = 2048 // per second and sidecar, unless the operator's file says otherwise
-	policyBytes = 2048 // on top if sidecars agree on a policy: changes come in bursts, above all at the leader
+	defaultBytesPerSidecar = 2048 // bytes per second, unless the fleet file sets fleet_bytes_per_second
+
+	// policyBytesPerSidecar is added to defaultBytesPerSidecar, in bytes per second, if the sidecars replicate a
+	// policy: policy changes cause bursts of datagrams, most of all at the leader.
+	policyBytesPerSidecar = 2048
 )
 
-// maxNameBytes bounds the name of a fleet.
+// maxNameBytes is the maximum length of a fleet name.
 const maxNameBytes = 64
 
-// BytesPerSidecar is how many bytes per second each of so many sidecars may send.
+// BytesPerSidecar returns how many bytes per second each sidecar may send in a fleet of the given number of sidecars.
 func (f *Fleet) BytesPerSidecar(sidecars int) float64 {
 	if f.BytesPerSecond == 0 && f.Policy != nil {
-		return fleetBytes + policyBytes
+		return defaultBytesPerSidecar + policyBytesPerSidecar
 	}
 	if f.BytesPerSecond == 0 {
-		return fleetBytes
+		return defaultBytesPerSidecar
 	}
 	return f.BytesPerSecond / float64(max(1, sidecars))
 }
 
-// ReadFleet reads the operator's fleet file (TOML) and the policy file that it names. Errors, among them
-// unknown keys, name the line or the field.
+// ReadFleet reads the fleet file (TOML) and the policy file that the fleet file names. Errors name the line or the
+// field; an unknown key is an error.
 func ReadFleet(path string) (*Fleet, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -67,7 +70,8 @@
 	return f, nil
 }
 
-// resolve makes paths relative to the fleet file, and reads the policy file in place of its name.
+// resolve resolves relative paths against the directory of the fleet file, and replaces the name of the policy file
+// in FallbackPolicy by the file's content.
 func (p *FleetPolicy) resolve(fleetFile string) error {
 	resolvePath := func(name string) string {
 		if name == "" || filepath.IsAbs(name) {
@@ -87,7 +91,8 @@
 	return nil
 }
 
-// parseFleet parses a fleet file. Its FallbackPolicy is still the name of the policy file.
+// parseFleet parses a fleet file. FallbackPolicy of the result is the name of the policy file until resolve reads the
+// policy file.
 func parseFleet(raw []byte) (*Fleet, error) {
 	var file struct {
 		Name  string
@@ -105,29 +110,29 @@
 	}
 	f := &Fleet{Name: file.Name}
 	if f.Name == "" || len(f.Name) > maxNameBytes {
-		return nil, fmt.Errorf("name: %d characters, 1 to %d are needed: it tells this fleet's sidecars from others'",
+		return nil, fmt.Errorf("name: length is %d bytes, want 1 to %d: the name separates this fleet from other fleets",
 			len(f.Name), maxNameBytes)
 	}
 	if file.Lease != "" {
 		var err error
 		if f.Lease, err = time.ParseDuration(file.Lease); err != nil || f.Lease < time.Second || f.Lease > time.Hour {
-			return nil, fmt.Errorf("lease: %q is no time from \"1s\" to \"1h\"", file.Lease)
+			return nil, fmt.Errorf("lease: %q is not a duration from \"1s\" to \"1h\"", file.Lease)
 		}
 	}
 	if file.Clock != nil {
 		if f.ClockError = *file.Clock; !(f.ClockError > 0 && f.ClockError <= 0.1) {
-			return nil, fmt.Errorf("clock_error: %v is not above 0 and at most 0.1", f.ClockError)
+			return nil, fmt.Errorf("clock_error: %v is out of range, want above 0 and at most 0.1", f.ClockError)
 		}
 	}
 	if file.Bytes != nil {
 		if f.BytesPerSecond = *file.Bytes; !(f.BytesPerSecond >= 512 && f.BytesPerSecond <= 1e9) {
-			return nil, fmt.Errorf("fleet_bytes_per_second: %v is not within 512 and 1e9", f.BytesPerSecond)
+			return nil, fmt.Errorf("fleet_bytes_per_second: %v is out of range, want 512 to 1e9", f.BytesPerSecond)
 		}
 	}
 	if p := file.Policy; p != nil {
 		if p.CutOff == "" {
-			return nil, errors.New("policy.cut_off: a file is needed, " +
-				"with the policy by which a sidecar goes that may have missed something")
+			return nil, errors.New("policy.cut_off: missing name of the file " +
+				"with the policy that a sidecar applies while it may have missed a policy change")
 		}
 		f.Policy = &FleetPolicy{FallbackPolicy: []byte(p.CutOff), StateDir: p.State}
 	}
--- a/internal/daemon/config/pools.go
+++ b/internal/daemon/config/pools.go
@@ -15,53 +15,55 @@
 	"caperarch/policy"
 )
 
-// maxPools bounds a file: each pool has an engine, a watch on discovery and a share of the descriptors.
+// maxPools is the maximum number of pools in a file: each pool has an engine, a watch on discovery and a share of the
+// file descriptors.
 const maxPools = 100
 
-// Pools is the operator's file of pools and routes, fully checked.
+// Pools is the validated pools file: pools of upstreams, and the routes that assign requests to pools.
 type Pools struct {
 	Path      string
-	List      []*Pool // in order of their names
+	List      []*Pool // sorted by name
 	Table     *route.Table
-	Bulkheads bool // limits that pools have in common are divided among them; else first come, first served
+	Bulkheads bool // limits shared by all pools are divided among the pools by weight; false: first come, first served
 }
 
-// Pool is one pool of the file.
+// Pool is one pool of the pools file.
 type Pool struct {
 	Name   string
-	Weight float64 // its share of the limits that pools have in common, relative to the others'
-	Config *Config // its own discovery, list, classes, tenants; limits and listen are the process's
-	text   []byte  // of its configuration, to detect a change
+	Weight float64 // share of the limits that all pools share, relative to the weights of the other pools
+	Config *Config // discovery, servers, classes and tenants; the process's own file sets sockets and listen address
+	text   []byte  // content of the pool's configuration file, to detect a change
 }
 
-// EqualExceptWeight says whether two pools are the same in all but their weight, which can change while one runs.
+// EqualExceptWeight reports whether two pools differ at most in their weight, which can change while a pool runs.
 func (p *Pool) EqualExceptWeight(q *Pool) bool {
 	return p.Name == q.Name && bytes.Equal(p.text, q.text)
 }
 
-// Route is a rule as the file has it.
+// Route is a routing rule as written in the pools file.
 type Route struct {
 	Host, Path, Prefix, Method, Class, Pool string
 }
 
-// poolsFile is the content of the file.
+// poolsFile is the content of the pools file.
 type poolsFile struct {
 	Pools     map[string]poolEntry
 	Routes    []Route
 	Bulkheads *bool `toml:"walls"`
 }
 
-// poolEntry is a pool in the file.
+// poolEntry is one [pools.NAME] table of the pools file.
 type poolEntry struct {
-	Config string // name of its configuration file
+	Config string // name of the pool's configuration file
 	Weight *float64
 }
 
-// routeHeader matches where a rule begins in the file.
+// routeHeader matches the [[routes]] line with which a rule begins.
 var routeHeader = regexp.MustCompile(`(?m)^[ \t]*\[\[[ \t]*routes[ \t]*\]\]`)
 
-// ReadPools reads the operator's file of pools (TOML) and the configuration of each, named relative to the
-// file. Unknown keys, pools and classes, rules that tie or can never match: the error names line and field.
+// ReadPools reads the pools file (TOML) and the configuration file of each pool, whose name is relative to the
+// directory of the pools file. Unknown keys, pools and classes, rules of equal priority and rules that can never match
+// are errors that name the line or the field.
 func ReadPools(path string) (*Pools, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -80,7 +82,7 @@
 	return p, nil
 }
 
-// parsePools parses a pools file; read reads the configuration file of a pool.
+// parsePools parses a pools file. The function read returns the content of a pool's configuration file.
 func parsePools(raw []byte, read func(string) ([]byte, error)) (*Pools, error) {
 	var file poolsFile
 	if err := strictconfig.DecodeTOML(raw, &file); err != nil {
@@ -107,7 +109,7 @@
 	return p, err
 }
 
-// parsePool reads and checks one pool. An error begins with the field that it is about.
+// parsePool reads and validates one pool. The text of an error begins with the name of the invalid field.
 func parsePool(name string, entry poolEntry, read func(string) ([]byte, error)) (*Pool, error) {
 	pool := &Pool{Name: name, Weight: 1}
 	if entry.Weight != nil {
@@ -126,13 +128,14 @@
 	if pool.Config.Discovery == "" {
 		return nil, errors.New("config: discovery is missing")
 	}
-	if _, err := policy.New(pool.Config.Policy, 0, nil); err != nil { // a Balancer that is not started makes no calls
+	// Validates the policy. A nil host is safe because a Balancer that is not started makes no calls to its host.
+	if _, err := policy.New(pool.Config.Policy, 0, nil); err != nil {
 		return nil, fmt.Errorf("config: %w", err)
 	}
 	return pool, nil
 }
 
-// parseRules adds to each route the line on which it begins.
+// parseRules returns the routing rules with the line on which each rule begins.
 func parseRules(raw []byte, routes []Route) ([]route.Rule, error) {
 	headers := routeHeader.FindAllIndex(raw, -1)
 	if len(headers) != len(routes) {
