--- a/internal/daemon/control/listen.go
+++ b/internal/daemon/control/listen.go
@@ -5,10 +5,10 @@
 	"net"
 )
 
-// Listen listens for control calls. Where the system supports it, a connection is accepted only once it has sent
-// something: idle callers cost no descriptor.
+// Listen listens for control calls. If the operating system supports TCP_DEFER_ACCEPT, Accept returns a connection only
+// after the caller has sent data, so idle callers use no file descriptors.
 func Listen(address string) (net.Listener, error) {
 	cfg := net.ListenConfig{Control: deferAccept}
-	cfg.SetMultipathTCP(false) // its sockets do not support TCP_DEFER_ACCEPT
+	cfg.SetMultipathTCP(false) // multipath TCP sockets do not support TCP_DEFER_ACCEPT
 	return cfg.Listen(context.Background(), "tcp", address)
 }
--- a/internal/daemon/control/protocol.go
+++ b/internal/daemon/control/protocol.go
@@ -1,5 +1,6 @@
-// Package control serves operators' calls: each connection carries one line and gets one answer. A Handler
-// carries the calls out; the Server bounds callers in number, bytes and time.
+// Package control serves operators' control calls over TCP. A connection carries one call, which is one line of text,
+// and receives one response. A Handler executes the calls; the Server limits the number of callers, the size of a call
+// and the time that a call takes.
 package control
 
 import (
@@ -9,13 +10,13 @@
 	"unicode/utf8"
 )
 
-// MaxLineBytes bounds a call, without its line end.
+// MaxLineBytes is the maximum length of a call without its line end.
 const MaxLineBytes = 512
 
 // Verb is the first word of a call.
 type Verb string
 
-// The calls.
+// Verbs of the control calls.
 const (
 	Health   Verb = "health"
 	Counters Verb = "counters"
@@ -38,21 +39,21 @@
 	WorkCancel Verb = "work-cancel"
 )
 
-// argumentCounts says how many arguments each call takes.
+// argumentCounts is the number of arguments that each verb takes.
 var argumentCounts = map[Verb]int{
 	Health: 0, Counters: 0, Cordon: 1, Uncordon: 1, Peers: 0,
 	PolicyText: 4, PolicyPropose: 2, PolicyShow: 0, PolicyHistory: 0, PolicyAbort: 0, PolicyFound: 0,
 	WorkPlan: 1, WorkShow: 0, WorkDone: 1, WorkPause: 1, WorkResume: 1, WorkCancel: 1,
 }
 
-// Call is a parsed call.
+// Call is a parsed control call.
 type Call struct {
 	Verb      Verb
-	Arguments []string // as many as the verb takes
+	Arguments []string // argumentCounts[Verb] arguments
 }
 
-// Parse parses a line without its end. An error says in one line what is wrong, and quotes none of the input, which
-// might break the line.
+// Parse parses a call without its line end. The text of an error is one line. It does not quote the input, because the
+// input may contain control characters that break the line.
 func Parse(line []byte) (Call, error) {
 	if len(line) > MaxLineBytes {
 		return Call{}, fmt.Errorf("a call has %d bytes at most", MaxLineBytes)
@@ -81,12 +82,12 @@
 	return c, nil
 }
 
-// notText says whether a character may not stand in a call.
+// notText reports whether r is not allowed in a call.
 func notText(r rune) bool {
 	return r < ' ' && r != '\t' || r == 0x7f || r == utf8.RuneError
 }
 
-// callUsage lists the calls that people make; the others are for the caperarch command.
+// callUsage lists the calls that operators make by hand. Only the caperarch command makes the other calls.
 const callUsage = "health, counters, cordon ID, uncordon ID, peers, " +
 	"policy-show, policy-history, policy-abort, policy-found, " +
 	"work-show, work-done TURN, work-pause PLAN, work-resume PLAN, work-cancel PLAN"
