--- a/internal/daemon/cordon/history.go
+++ b/internal/daemon/cordon/history.go
@@ -5,16 +5,17 @@
 	"caperarch/policy"
 )
 
-// maxHistory bounds how many upstreams are remembered after they have left the list: ids come and go without end.
+// maxHistory is the maximum number of upstream ids that the history keeps. The history needs a limit because the number
+// of ids that are listed and delisted over the lifetime of a process is unlimited.
 const maxHistory = 16384
 
-// listHistory remembers upstreams that were listed.
+// listHistory holds the ids of the upstreams that are or were listed.
 type listHistory struct {
 	ids         map[policy.ServerID]bool
-	oldestFirst []policy.ServerID
+	oldestFirst []policy.ServerID // the keys of ids, in the order in which they were added
 }
 
-// remember notes that an upstream is or was listed.
+// remember adds an upstream to the history.
 func (o *Overlay) remember(id policy.ServerID) {
 	if o.history.ids[id] {
 		return
@@ -28,11 +29,11 @@
 	}
 }
 
-// forget drops that many upstreams, those first that were listed first. Listed and banned ones stay.
+// forget removes up to excess upstreams from the history, oldest first. Upstreams that are listed or banned are kept.
 func (o *Overlay) forget(excess int) {
 	kept := o.history.oldestFirst[:0]
 	for _, old := range o.history.oldestFirst {
-		if _, here := o.listed[old]; excess > 0 && !here && !o.banned[old] {
+		if _, isListed := o.listed[old]; excess > 0 && !isListed && !o.banned[old] {
 			delete(o.history.ids, old)
 			excess--
 			continue
@@ -42,22 +43,22 @@
 	o.history.oldestFirst = kept
 }
 
-// Delisted returns the upstreams that are remembered and no longer listed.
+// Delisted returns the upstreams of the history that are no longer listed.
 func (o *Overlay) Delisted() (ids []policy.ServerID) {
 	for _, id := range o.history.oldestFirst {
-		if _, here := o.listed[id]; !here {
+		if _, isListed := o.listed[id]; !isListed {
 			ids = append(ids, id)
 		}
 	}
 	return ids
 }
 
-// Remember notes upstreams that were listed before this process started.
+// Remember adds upstreams to the history that were listed before this process started.
 func (o *Overlay) Remember(ids []policy.ServerID) {
 	for _, id := range ids {
 		o.remember(id)
 	}
 }
 
-// WasListed says whether an upstream is remembered as listed, whether or not it still is.
+// WasListed reports whether an upstream is in the history, that is, whether it is listed now or was listed earlier.
 func (o *Overlay) WasListed(id string) bool { return o.history.ids[call.ServerID(id)] }
--- a/internal/daemon/cordon/overlay.go
+++ b/internal/daemon/cordon/overlay.go
@@ -1,6 +1,6 @@
-// Package cordon overlays discovery's list of upstreams with operators' bans and with machines under
-// maintenance. It does no I/O and is not safe for concurrent use: package cordonstore owns each Overlay,
-// serializes its calls and hands the lists that they return to the engine, in order.
+// Package cordon applies operators' bans and maintenance plans to the list of upstreams from discovery. The package
+// does no I/O. An Overlay is not safe for concurrent use: package cordonstore owns each Overlay, serializes the calls
+// and passes the returned lists to the engine in order.
 package cordon
 
 import (
@@ -12,18 +12,20 @@
 	"caperarch/policy"
 )
 
-// Overlay is a list of upstreams with the bans on them. A banned upstream is reported as draining, whatever
-// discovery says: the decision module sends it nothing new and lets it finish, and knows nothing of bans. Once
-// the ban is lifted the upstream is what discovery says now, with its present start time: if it was restarted
-// meanwhile it is in slow start.
+// Overlay is a list of upstreams with bans. While an upstream is banned, the engine sees the state draining where
+// discovery reports ready: the decision module sends no new requests to a draining upstream and lets requests in flight
+// finish, so it needs no knowledge of bans. After a ban is lifted, the engine sees the upstream with the state and the
+// start time that discovery reports now. An upstream that was restarted during the ban therefore begins with a slow
+// start.
 type Overlay struct {
-	banned           map[policy.ServerID]bool // by an operator, or by the fleet's policy
-	underMaintenance map[policy.ServerID]bool // by the fleet's maintenance plans
+	banned           map[policy.ServerID]bool // banned by an operator or by the fleet's policy
+	underMaintenance map[policy.ServerID]bool // taken out of service by the fleet's maintenance plans
 	listed           map[policy.ServerID]listedServer
 	history          listHistory
-	version          int64 // of the last list from discovery
+	version          int64 // version of the latest list from discovery
 }
 
+// listedServer is an upstream as listed by discovery.
 type listedServer struct {
 	policy.Server
 	address string
@@ -35,7 +37,8 @@
 	return &Overlay{banned: make(map[policy.ServerID]bool), listed: make(map[policy.ServerID]listedServer)}
 }
 
-// Update applies a list from discovery, full or a delta, and returns it as the engine is to see it.
+// Update applies a list from discovery, which is either full or a delta, and returns the same list with bans and
+// maintenance applied.
 func (o *Overlay) Update(l call.ServerList) call.ServerList {
 	o.version = l.Version
 	if l.Full {
@@ -59,7 +62,7 @@
 	return l
 }
 
-// effective is a server as the decision module is to see it.
+// effective returns a server with bans and maintenance applied to its state.
 func (o *Overlay) effective(s policy.Server) policy.Server {
 	if s.State == policy.Ready && (o.banned[s.ID] || o.underMaintenance[s.ID]) {
 		s.State = policy.Draining
@@ -67,8 +70,8 @@
 	return s
 }
 
-// SetBanned replaces the set of banned ids and returns the full list as the engine is to see it. An id that is not
-// listed is kept: it may be listed later.
+// SetBanned replaces the set of banned ids and returns the full list with bans and maintenance applied. A ban on an id
+// that is not listed takes effect when discovery lists the id.
 func (o *Overlay) SetBanned(ids []string) call.ServerList {
 	clear(o.banned)
 	for _, id := range ids {
@@ -77,8 +80,8 @@
 	return o.effectiveList()
 }
 
-// SetUnderMaintenance replaces the set of servers that maintenance plans have taken out, and returns the full list as
-// the engine is to see it.
+// SetUnderMaintenance replaces the set of servers that maintenance plans have taken out of service, and returns the
+// full list with bans and maintenance applied.
 func (o *Overlay) SetUnderMaintenance(ids []policy.ServerID) call.ServerList {
 	o.underMaintenance = make(map[policy.ServerID]bool, len(ids))
 	for _, id := range ids {
@@ -87,7 +90,7 @@
 	return o.effectiveList()
 }
 
-// effectiveList is the full list as the engine is to see it.
+// effectiveList returns the full list with bans and maintenance applied.
 func (o *Overlay) effectiveList() call.ServerList {
 	l := o.Listed()
 	for i, s := range l.Servers {
@@ -96,13 +99,14 @@
 	return l
 }
 
-// Entry is a listed upstream; a banned one is draining. Maintenance plans are left out of account.
+// Entry is a listed upstream with bans, but not maintenance, applied to its state.
 type Entry struct {
 	policy.Server
-	Name string // for people; the id in hexadecimal if discovery gives none
+	Name string // display name; the id in hexadecimal if discovery provides no name
 }
 
-// Entries returns the listed upstreams, sorted by id.
+// Entries returns the listed upstreams with bans applied, sorted by id. Maintenance plans have no effect on the
+// entries.
 func (o *Overlay) Entries() (all []Entry) {
 	for _, id := range slices.Sorted(maps.Keys(o.listed)) {
 		e := Entry{o.listed[id].Server, o.listed[id].name}
@@ -117,17 +121,18 @@
 	return all
 }
 
-// Counts returns how many upstreams are listed, and how many of them get no new requests.
-func (o *Overlay) Counts() (known, out int) {
+// Counts returns the number of listed upstreams, and the number of listed upstreams that receive no new requests
+// because they are draining, banned or under maintenance.
+func (o *Overlay) Counts() (total, excluded int) {
 	for _, e := range o.listed {
 		if o.effective(e.Server).State != policy.Ready {
-			out++
+			excluded++
 		}
 	}
-	return len(o.listed), out
+	return len(o.listed), excluded
 }
 
-// Listed returns the full list as discovery has it, without the bans.
+// Listed returns the full list from discovery, without bans and maintenance applied.
 func (o *Overlay) Listed() call.ServerList {
 	l := call.ServerList{
 		Version: o.version, Full: true,
--- a/internal/daemon/cordonstore/cordonstore.go
+++ b/internal/daemon/cordonstore/cordonstore.go
@@ -1,7 +1,7 @@
-// Package cordonstore owns operators' bans of upstreams: it applies them to every list of this process, stores
-// them in a file that outlives the process, and picks up what another process of the same sidecar wrote there.
-// Package cordon says what a ban does. All methods may be called from any goroutine; only Cordon and Uncordon
-// wait.
+// Package cordonstore holds operators' bans of upstreams. A Store applies the bans to every server list of this
+// process, stores the bans in a file that outlives the process, and applies changes that another process of the same
+// sidecar makes to the file. Package cordon defines the effect of a ban. All methods are safe for concurrent use; only
+// Cordon and Uncordon block until the engines have applied a change.
 package cordonstore
 
 import (
@@ -21,29 +21,29 @@
 )
 
 const (
-	pollInterval = 50 * time.Millisecond  // of the file: another process of this sidecar may have changed it
-	applyTimeout = 800 * time.Millisecond // of a call, the file's write included: its answer is due within 1 s
+	pollInterval = 50 * time.Millisecond  // interval of checks whether another process has changed the file
+	applyTimeout = 800 * time.Millisecond // limit on a call, including the file write: callers expect a response in 1 s
 	maxBans      = 4096
 	maxIDBytes   = 256
 )
 
-// Why a call is rejected.
+// Errors of Cordon and Uncordon.
 var (
-	ErrNeverListed = errors.New("no upstream of this id was ever listed") // else a typing error would go unnoticed
+	ErrNeverListed = errors.New("no upstream of this id was ever listed") // detects typing errors in the id
 	errTimeout     = errors.New("not taken up within 0.8 s, call again")
 	errTooMany     = fmt.Errorf("%d upstreams are out by hand already", maxBans)
 	errInvalidID   = fmt.Errorf("an id has 1 to %d bytes, no white space and no control bytes", maxIDBytes)
 )
 
-// Engine receives lists. Neither method waits.
+// Engine receives server lists. Its methods do not block.
 type Engine interface {
-	// UpdateServers applies a list from discovery, full or a delta.
+	// UpdateServers applies a list from discovery, which is either full or a delta.
 	UpdateServers(l call.ServerList)
-	// ReplaceServers applies a full list, and calls applied once decisions follow it; applied may be nil.
+	// ReplaceServers applies a full list, and calls applied after decisions use the new list. applied may be nil.
 	ReplaceServers(l call.ServerList, applied func())
 }
 
-// Store holds the bans of this process and applies them to all of its lists.
+// Store holds the bans of a sidecar and applies them to all server lists of this process.
 type Store struct {
 	log  *slog.Logger
 	file file
@@ -51,18 +51,18 @@
 	mu        sync.Mutex
 	banned    []string // sorted
 	lists     map[*List]struct{}
-	lastStamp stamp // of the file when it was last read or written
+	lastStamp stamp // stamp of the file when this process last read or wrote it
 }
 
-// New returns a store that keeps its bans in the folder dir, or in memory alone if dir is "". Bans that the file
-// already holds apply from the start.
+// New returns a store that keeps the bans in a file in the directory dir, or only in memory if dir is "". Bans that the
+// file already contains apply from the start.
 func New(dir string, log *slog.Logger) *Store {
 	s := &Store{log: log, file: file{dir}, lists: make(map[*List]struct{})}
 	s.reload()
 	return s
 }
 
-// List is one engine's list with the bans applied.
+// List is the server list of one engine with the bans applied.
 type List struct {
 	store        *Store
 	engine       Engine
@@ -70,35 +70,36 @@
 	policyBanned []string        // sorted; guarded by store.mu
 }
 
-// SetPolicyBanned replaces the ids that the fleet's policy bans. They are no bans of an operator, and Uncordon
-// does not lift them. It does not wait.
+// SetPolicyBanned replaces the ids that the fleet's policy bans. Uncordon does not lift the bans of the policy.
+// SetPolicyBanned does not wait for the engine.
 func (l *List) SetPolicyBanned(ids []string) {
 	l.store.mu.Lock()
 	defer l.store.mu.Unlock()
 	if !slices.Equal(l.policyBanned, ids) {
 		l.policyBanned = ids
-		l.engine.ReplaceServers(l.overlay.SetBanned(l.excluded()), nil)
+		l.engine.ReplaceServers(l.overlay.SetBanned(l.allBanned()), nil)
 	}
 }
 
-// SetUnderMaintenance replaces the servers that the fleet's maintenance plans have taken out. It does not wait.
+// SetUnderMaintenance replaces the servers that the fleet's maintenance plans have taken out of service. It does not
+// wait for the engine.
 func (l *List) SetUnderMaintenance(ids []policy.ServerID) {
 	l.store.mu.Lock()
 	defer l.store.mu.Unlock()
 	l.engine.ReplaceServers(l.overlay.SetUnderMaintenance(ids), nil)
 }
 
-// Entries returns the listed upstreams. Maintenance plans are left out of account.
+// Entries returns the listed upstreams with bans applied. Maintenance plans have no effect on the entries.
 func (l *List) Entries() []cordon.Entry {
 	l.store.mu.Lock()
 	defer l.store.mu.Unlock()
 	return l.overlay.Entries()
 }
 
-// excluded returns all banned ids, by operators and by policy. The caller holds store.mu.
-func (l *List) excluded() []string { return slices.Concat(l.store.banned, l.policyBanned) }
+// allBanned returns the ids that operators or the fleet's policy have banned. The caller holds store.mu.
+func (l *List) allBanned() []string { return slices.Concat(l.store.banned, l.policyBanned) }
 
-// NewList starts a list for an engine. The list is followed until its Close.
+// NewList returns a list for an engine. The store applies bans to the list until the list is closed.
 func (s *Store) NewList(e Engine) *List {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -108,56 +109,60 @@
 	return l
 }
 
-// SetInitial sets the list that is known at the start and the upstreams that were listed before, and returns the list
-// as the engine is to begin with it.
-func (l *List) SetInitial(known call.ServerList, ever []policy.ServerID) call.ServerList {
+// SetInitial sets the initial server list and the upstreams that were listed earlier and are no longer, and returns the
+// initial list with bans applied.
+func (l *List) SetInitial(known call.ServerList, delisted []policy.ServerID) call.ServerList {
 	l.store.mu.Lock()
 	defer l.store.mu.Unlock()
-	l.overlay.Remember(ever)
+	l.overlay.Remember(delisted)
 	known.Full = true
 	return l.overlay.Update(known)
 }
 
-// Update applies a list from discovery and passes it to the engine, with the bans applied.
+// Update applies a list from discovery and passes the list, with the bans applied, to the engine.
 func (l *List) Update(fromDiscovery call.ServerList) {
 	l.store.mu.Lock()
 	defer l.store.mu.Unlock()
 	l.engine.UpdateServers(l.overlay.Update(fromDiscovery))
 }
 
-// Listed returns the full list as discovery has it, without the bans, and the upstreams that were listed before.
+// Listed returns the full list from discovery, without the bans, and the upstreams that were listed earlier and are no
+// longer.
 func (l *List) Listed() (listed call.ServerList, delisted []policy.ServerID) {
 	l.store.mu.Lock()
 	defer l.store.mu.Unlock()
 	return l.overlay.Listed(), l.overlay.Delisted()
 }
 
-// Counts returns how many upstreams are listed, and how many of them get no new requests.
-func (l *List) Counts() (known, excluded int) {
+// Counts returns the number of listed upstreams, and the number of listed upstreams that receive no new requests.
+func (l *List) Counts() (listed, excluded int) {
 	l.store.mu.Lock()
 	defer l.store.mu.Unlock()
 	return l.overlay.Counts()
 }
 
-// Close ends the list: bans are no longer applied to it.
+// Close removes the list from the store, which no longer applies bans to the list.
 func (l *List) Close() {
 	l.store.mu.Lock()
 	defer l.store.mu.Unlock()
 	delete(l.store.lists, l)
 }
 
-// Cordon bans an upstream, and returns once every engine sends it nothing new. It is idempotent.
+// Cordon bans an upstream, and returns after every engine has stopped sending new requests to the upstream. Cordon is
+// idempotent.
 func (s *Store) Cordon(id string) error { return s.change(id, true) }
 
-// Uncordon lifts the ban on an upstream, however often it was banned, and returns once every engine may use it again.
+// Uncordon lifts the ban on an upstream, however often it was banned, and returns after every engine may send requests
+// to the upstream again.
 func (s *Store) Uncordon(id string) error { return s.change(id, false) }
 
-// change bans an upstream or lifts its ban, and waits until every engine has applied that.
+// change bans an upstream or lifts its ban, and waits until every engine has applied the change.
 func (s *Store) change(id string, ban bool) error {
 	if !validID(id) {
 		return errInvalidID
 	}
-	// The time-out starts here, not once the file is written: a disk that took 0.4 s had the caller wait for 1.2 s.
+	// The timeout includes the file write. With a timeout that started after the write, a disk that took 0.4 s made the
+	// caller wait 1.2 s.
 	timeout := time.NewTimer(applyTimeout)
 	defer timeout.Stop()
 	applied, err := s.store(id, ban)
@@ -171,14 +176,15 @@
 	case <-timeout.C:
 	}
 	select {
-	case <-applied: // a slow disk has used up the time, and the engines were ready nonetheless
+	case <-applied: // a slow disk has used up the timeout, but the engines have applied the change
 		return nil
 	default:
 		return errTimeout
 	}
 }
 
-// store edits the file and applies the result; the channel is closed once every engine has applied it.
+// store edits the bans in the file and applies the result. The returned channel is closed after every engine has
+// applied the bans.
 func (s *Store) store(id string, ban bool) (applied <-chan struct{}, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -198,8 +204,8 @@
 		}
 		return banned
 	})
-	if err != nil { // the ban applies here; a process that replaces this one would not know of it
-		s.log.Error("bans could not be kept, they hold in this process alone", "error", err)
+	if err != nil { // the change takes effect in this process; a process that replaces this one does not apply it
+		s.log.Error("bans not saved, they apply in this process only", "error", err)
 	}
 	s.lastStamp = s.file.stamp()
 	applied = s.apply(banned)
@@ -209,7 +215,8 @@
 	return applied, nil
 }
 
-// neverListed says whether no list ever had an id. A banned id was listed to whoever banned it. The caller holds mu.
+// neverListed reports whether no server list has ever contained an id. A banned id counts as listed, because the
+// process that banned the id had it in a list. The caller holds mu.
 func (s *Store) neverListed(id string) bool {
 	if _, banned := slices.BinarySearch(s.banned, id); banned {
 		return false
@@ -222,24 +229,26 @@
 	return true
 }
 
-// apply sets the bans on all lists; the channel is closed once all engines have applied them. The caller holds mu.
+// apply sets the bans on all lists. The returned channel is closed after all engines have applied the bans. The caller
+// holds mu.
 func (s *Store) apply(banned []string) <-chan struct{} {
 	s.banned = banned
-	var all sync.WaitGroup
+	var pending sync.WaitGroup
 	for l := range s.lists {
-		// Also without a change: the one of an earlier call may still wait to be applied.
-		all.Add(1)
-		l.engine.ReplaceServers(l.overlay.SetBanned(l.excluded()), all.Done)
+		// The list is also passed to the engine if the bans are unchanged: the engine may not have applied the change
+		// of an earlier call yet, and this call has to wait for it.
+		pending.Add(1)
+		l.engine.ReplaceServers(l.overlay.SetBanned(l.allBanned()), pending.Done)
 	}
 	done := make(chan struct{})
 	go func() {
-		all.Wait()
+		pending.Wait()
 		close(done)
 	}()
 	return done
 }
 
-// reload applies the bans of the file if it has changed since it was last read or written.
+// reload reads the file and applies its bans if the file has changed since this process last read or wrote it.
 func (s *Store) reload() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -260,7 +269,7 @@
 	}
 }
 
-// Run reloads the file whenever it changes, until ctx ends.
+// Run reloads the file whenever the file changes, until ctx is done.
 func (s *Store) Run(ctx context.Context) {
 	if s.file.dir == "" {
 		return
@@ -268,7 +277,8 @@
 	clock.Every(ctx, pollInterval, s.reload)
 }
 
-// validID says whether text may be an id: all that discovery may list, but for what would break a line of the log.
+// validID reports whether text is a valid id. All ids that discovery may list are valid, except ids with characters
+// that would break a line of the log.
 func validID(id string) bool {
 	if id == "" || len(id) > maxIDBytes || !utf8.ValidString(id) {
 		return false
--- a/internal/daemon/cordonstore/cordonstore_test.go
+++ b/internal/daemon/cordonstore/cordonstore_test.go
@@ -18,102 +18,107 @@
 	"caperarch/policy"
 )
 
-// engine takes lists up at once and remembers the last state of the one server; a deaf one does so when it is let.
+// engine is a fake Engine that records the states of the servers in each list that it gets. It applies a list
+// immediately, or, if blocked, when the test calls applyBlocked.
 type engine struct {
-	deaf bool
-	late func()
-	last chan policy.State
+	blocked      bool
+	applyBlocked func()
+	states       chan policy.State
 }
 
 func (e *engine) UpdateServers(l call.ServerList) { e.ReplaceServers(l, nil) }
 
-func (e *engine) ReplaceServers(l call.ServerList, taken func()) {
+func (e *engine) ReplaceServers(l call.ServerList, applied func()) {
 	for _, s := range l.Servers {
-		e.last <- s.State
+		e.states <- s.State
 	}
 	switch {
-	case taken == nil:
-	case e.deaf:
-		e.late = taken
+	case applied == nil:
+	case e.blocked:
+		e.applyBlocked = applied
 	default:
-		taken()
+		applied()
 	}
 }
 
+// open returns a store with one list, which contains the ready server s-1, and the engine of the list.
 func open(t *testing.T, dir string) (*Store, *engine) {
 	t.Helper()
-	s, e := New(dir, slog.Default()), &engine{last: make(chan policy.State, 100)}
+	s, e := New(dir, slog.Default()), &engine{states: make(chan policy.State, 100)}
 	l := s.NewList(e)
 	known := l.SetInitial(call.ServerList{
 		Servers:   []policy.Server{{ID: call.ServerID("s-1"), State: policy.Ready, Weight: 1}},
 		Addresses: map[policy.ServerID]string{},
 	}, nil)
-	e.last <- known.Servers[0].State
+	e.states <- known.Servers[0].State
 	return s, e
 }
 
+// want waits for a state and checks that the latest state of the server is the wanted state.
 func (e *engine) want(t *testing.T, what string, want policy.State) {
 	t.Helper()
-	got := testbed.Wait(t, what, e.last)
-	for len(e.last) > 0 {
-		got = <-e.last
+	got := testbed.Wait(t, what, e.states)
+	for len(e.states) > 0 {
+		got = <-e.states
 	}
 	if got != want {
 		t.Errorf("%s: state %v, want %v", what, got, want)
 	}
 }
 
-// A ban is seen by the other process of a sidecar, by those that start later, and lifted by one call to either.
+// A ban applies in the other process of the sidecar and in processes that start later. One call to any of the processes
+// lifts the ban.
 func TestProcessesShareBans(t *testing.T) {
 	dir := t.TempDir()
 	a, ea := open(t, dir)
 	b, eb := open(t, dir)
-	ea.want(t, "start", policy.Ready)
-	eb.want(t, "start", policy.Ready)
+	ea.want(t, "initial list of process a", policy.Ready)
+	eb.want(t, "initial list of process b", policy.Ready)
 	for range 2 {
 		if err := a.Cordon("s-1"); err != nil {
 			t.Fatal(err)
 		}
-		ea.want(t, "told", policy.Draining)
+		ea.want(t, "process a after Cordon", policy.Draining)
 	}
 	b.reload()
-	eb.want(t, "looked", policy.Draining)
+	eb.want(t, "process b after reload", policy.Draining)
 	_, ec := open(t, dir)
-	ec.want(t, "started later", policy.Draining)
+	ec.want(t, "process c, started after the ban", policy.Draining)
 	if err := b.Uncordon("s-1"); err != nil {
 		t.Fatal(err)
 	}
-	eb.want(t, "told of the end", policy.Ready)
+	eb.want(t, "process b after Uncordon", policy.Ready)
 	a.reload()
-	ea.want(t, "looked at the end", policy.Ready)
+	ea.want(t, "process a after the second reload", policy.Ready)
 	if err := b.Uncordon("s-1"); err != nil {
-		t.Errorf("a second call back: %v", err)
+		t.Errorf("repeated Uncordon returned error %v, want nil", err)
 	}
 	if err := b.Cordon("s-2"); !errors.Is(err, ErrNeverListed) {
-		t.Errorf("an id never listed: %v", err)
+		t.Errorf("Cordon of an id that was never listed returned error %v, want ErrNeverListed", err)
 	}
 	if err := b.Cordon("s 1"); err == nil {
-		t.Error("an id with a space was taken")
+		t.Error("Cordon accepted an id with a space")
 	}
 }
 
-// Without a folder, or with one that can't be written, a ban holds in this process.
-func TestBanHoldsInThisProcessWithoutAFolder(t *testing.T) {
+// Without a directory, or with a directory that does not exist, a ban applies in this process.
+func TestBanAppliesWithoutDirectory(t *testing.T) {
 	for _, dir := range []string{"", filepath.Join(t.TempDir(), "none")} {
 		s, e := open(t, dir)
-		e.want(t, "start", policy.Ready)
+		e.want(t, "initial list", policy.Ready)
 		if err := s.Cordon("s-1"); err != nil {
-			t.Errorf("%q: %v", dir, err)
+			t.Errorf("directory %q: Cordon returned error %v, want nil", dir, err)
 		}
-		e.want(t, "banned", policy.Draining)
+		e.want(t, "list after Cordon", policy.Draining)
 		s.reload()
-		if len(e.last) > 0 {
-			t.Errorf("%q: the ban was lost at the next look", dir)
+		if len(e.states) > 0 {
+			t.Errorf("directory %q: reload changed the list, want the ban to stay", dir)
 		}
 	}
 }
 
-// Half a file, noise, another form and a changed byte are put aside, and what is known holds.
+// A file that is truncated, random, empty, changed in one byte or of another version is quarantined, and the bans that
+// the process has applied stay in force.
 func TestCorruptFileIsQuarantined(t *testing.T) {
 	dir := t.TempDir()
 	s, _ := open(t, dir)
@@ -134,25 +139,25 @@
 		}
 		s.reload()
 		if len(s.banned) != 1 {
-			t.Errorf("%s: bans %v", name, s.banned)
+			t.Errorf("%s file: bans are %v after reload, want the 1 ban from before", name, s.banned)
 		}
 		if _, err := os.Stat(s.file.path() + ".damaged"); err != nil {
-			t.Errorf("%s: not put aside: %v", name, err)
+			t.Errorf("%s file: not quarantined: %v", name, err)
 		}
 		if later, _ := open(t, dir); len(later.banned) != 0 {
-			t.Errorf("%s: a later start has %v", name, later.banned)
+			t.Errorf("%s file: a store opened after the quarantine has bans %v, want none", name, later.banned)
 		}
 	}
-	if err := s.Cordon("s-1"); err != nil { // written anew
+	if err := s.Cordon("s-1"); err != nil { // writes a new file
 		t.Fatal(err)
 	}
 	if later, _ := open(t, dir); len(later.banned) != 1 {
-		t.Errorf("after a further call: %v", later.banned)
+		t.Errorf("a store opened after the next Cordon has bans %v, want 1 ban", later.banned)
 	}
 }
 
-// No damage passes for another list; the file is put aside or its list is the one that was written.
-func TestDamageIsSeen(t *testing.T) {
+// Reading a damaged file returns an error or the bans that were written, never other bans.
+func TestDamageIsDetected(t *testing.T) {
 	f := file{t.TempDir()}
 	if err := f.write([]string{"s-1", "s-22", "s-333"}); err != nil {
 		t.Fatal(err)
@@ -168,35 +173,36 @@
 			t.Fatal(err)
 		}
 		if got, err := f.read(); err == nil && !slices.Equal(got, []string{"s-1", "s-22", "s-333"}) {
-			t.Errorf("%s: %q", how, got)
+			t.Errorf("damage %s: read bans %q without an error, want an error or the written bans", how, got)
 		}
 	}
 	if err := os.WriteFile(f.path(), make([]byte, maxFileBytes+1), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := f.read(); !errors.Is(err, durable.ErrCorrupt) {
-		t.Errorf("too long: %v", err)
+		t.Errorf("file over the maximum length: error %v, want durable.ErrCorrupt", err)
 	}
 }
 
-// An engine that does not take a ban up gets its caller a no in time, not a yes that is not true.
-func TestCordonTimesOutIfAnEngineDoesNotApplyIt(t *testing.T) {
+// If an engine does not apply a ban, Cordon returns errTimeout after applyTimeout instead of reporting success.
+func TestCordonTimesOutIfEngineDoesNotApplyBan(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, e := open(t, "")
-		e.deaf = true
-		begun := time.Now()
-		if err := s.Cordon("s-1"); !errors.Is(err, errTimeout) || time.Since(begun) != applyTimeout {
-			t.Errorf("%v after %v", err, time.Since(begun))
+		e.blocked = true
+		start := time.Now()
+		if err := s.Cordon("s-1"); !errors.Is(err, errTimeout) || time.Since(start) != applyTimeout {
+			t.Errorf("Cordon returned error %v after %v", err, time.Since(start))
 		}
-		e.late()
+		e.applyBlocked()
 	})
 }
 
-// What the file's writing takes counts too: here another process has its lock for a while.
+// The time that the file write takes counts against the timeout. Here the write waits for the file lock, which another
+// process holds.
 func TestWritingTheFileCountsAgainstTheTimeout(t *testing.T) {
 	const held = 600 * time.Millisecond
 	s, e := open(t, t.TempDir())
-	e.deaf = true
+	e.blocked = true
 	lock, err := os.Create(filepath.Join(s.file.dir, lockName))
 	if err != nil {
 		t.Fatal(err)
@@ -204,10 +210,10 @@
 	if err := syscall.Flock(int(lock.Fd()), syscall.LOCK_EX); err != nil {
 		t.Fatal(err)
 	}
-	let := time.AfterFunc(held, func() { lock.Close() })
-	defer let.Stop()
-	begun := time.Now()
-	if err := s.Cordon("s-1"); !errors.Is(err, errTimeout) || time.Since(begun) >= held+applyTimeout {
-		t.Errorf("%v after %v", err, time.Since(begun))
+	unlock := time.AfterFunc(held, func() { lock.Close() })
+	defer unlock.Stop()
+	start := time.Now()
+	if err := s.Cordon("s-1"); !errors.Is(err, errTimeout) || time.Since(start) >= held+applyTimeout {
+		t.Errorf("Cordon returned error %v after %v", err, time.Since(start))
 	}
 }
--- a/internal/daemon/cordonstore/file.go
+++ b/internal/daemon/cordonstore/file.go
@@ -18,21 +18,23 @@
 const (
 	fileName        = "caperarch-bans.json"
 	lockName        = "caperarch-bans.lock"
-	maxFileBytes    = 1 << 20 // a larger file is not one of ours
+	maxFileBytes    = 1 << 20 // a larger file is treated as corrupt
 	documentVersion = 1
 )
 
-// file stores the bans so that they outlive the process and other processes of the same sidecar see them.
+// file is the bans file. The bans in the file outlive the process and are visible to other processes of the same
+// sidecar.
 type file struct{ dir string }
 
-// document is the content of the file.
+// document is the content of the bans file.
 type document struct {
-	Form int             `json:"form"`
-	Bans json.RawMessage `json:"bans"`
-	Sum  uint64          `json:"sum"` // xxhash of Bans: a truncated or edited file is corrupt
+	Version int             `json:"form"`
+	Bans    json.RawMessage `json:"bans"`
+	Sum     uint64          `json:"sum"` // xxhash of Bans, detects a truncated or edited file
 }
 
-// stamp identifies one version of the file. Each is renamed into place, so it has an inode of its own.
+// stamp identifies one version of the file. Each version is written to a new file that is renamed to the file name, so
+// each version has its own inode.
 type stamp struct {
 	inode uint64
 	time  syscall.Timespec
@@ -41,7 +43,7 @@
 
 func (f file) path() string { return filepath.Join(f.dir, fileName) }
 
-// stamp returns the stamp of the present file; the zero stamp if there is none.
+// stamp returns the stamp of the current file, or the zero stamp if the file does not exist.
 func (f file) stamp() stamp {
 	var s syscall.Stat_t
 	if f.dir == "" || syscall.Stat(f.path(), &s) != nil {
@@ -50,8 +52,8 @@
 	return stamp{s.Ino, s.Mtim, s.Size}
 }
 
-// read returns the bans; none if there is no file. A corrupt file is quarantined, so that it can be inspected and is
-// not read again.
+// read returns the bans, or none if the file does not exist. read moves a corrupt file to quarantine, so that the file
+// can be inspected and is not read again.
 func (f file) read() ([]string, error) {
 	banned, err := f.parse()
 	if errors.Is(err, durable.ErrCorrupt) {
@@ -60,7 +62,7 @@
 	return banned, err
 }
 
-// parse reads and checks the file; the error is durable.ErrCorrupt if its content is not valid.
+// parse reads and validates the file. The error is durable.ErrCorrupt if the content is not valid.
 func (f file) parse() ([]string, error) {
 	raw, err := durable.ReadBounded(f.path(), maxFileBytes)
 	switch {
@@ -75,8 +77,8 @@
 	if err := json.Unmarshal(raw, &d); err != nil {
 		return nil, fmt.Errorf("%w: %w", durable.ErrCorrupt, err)
 	}
-	if d.Form != documentVersion || d.Sum != xxhash.Sum64(d.Bans) {
-		return nil, fmt.Errorf("%w: form %d or its sum is not right", durable.ErrCorrupt, d.Form)
+	if d.Version != documentVersion || d.Sum != xxhash.Sum64(d.Bans) {
+		return nil, fmt.Errorf("%w: unknown version or wrong checksum, version is %d", durable.ErrCorrupt, d.Version)
 	}
 	var banned []string
 	if err := json.Unmarshal(d.Bans, &banned); err != nil {
@@ -98,8 +100,8 @@
 	return durable.Replace(f.path(), raw)
 }
 
-// change reads, edits and writes the bans under a lock that other processes respect. It returns the bans as they are
-// now, even with an error: then they hold in this process alone.
+// change reads, edits and writes the bans under a file lock that all processes of the sidecar use. It returns the
+// resulting bans even if it also returns an error; after an error the bans apply in this process only.
 func (f file) change(current []string, edit func([]string) []string) ([]string, error) {
 	if f.dir == "" {
 		return edit(slices.Clone(current)), errors.New("TMPDIR is not set")
@@ -108,7 +110,7 @@
 	if err != nil {
 		return edit(slices.Clone(current)), err
 	}
-	defer lock.Close() // which unlocks it
+	defer lock.Close() // releases the file lock
 	if err := syscall.Flock(int(lock.Fd()), syscall.LOCK_EX); err != nil {
 		return edit(slices.Clone(current)), err
 	}
--- a/internal/daemon/cordonstore/golden_test.go
+++ b/internal/daemon/cordonstore/golden_test.go
@@ -7,11 +7,11 @@
 	"testing"
 )
 
-// A process of an earlier release shares the file with this one.
-func TestFileIsReadAndWrittenAsBefore(t *testing.T) {
+// The format of the bans file must not change: this process may share the file with a process of an earlier release.
+func TestFileFormatIsUnchanged(t *testing.T) {
 	dir, banned := t.TempDir(), []string{"s-1", "s-<&>é"}
 	if got, err := (file{"testdata"}).read(); err != nil || !reflect.DeepEqual(got, banned) {
-		t.Errorf("read are %q, %v, want %q", got, err, banned)
+		t.Errorf("golden file was read as bans %q, error %v, want bans %q", got, err, banned)
 	}
 	if err := (file{dir}).write(banned); err != nil {
 		t.Fatal(err)
@@ -26,6 +26,6 @@
 		t.Fatal(err)
 	}
 	if string(got) != string(want) {
-		t.Errorf("written is\n%s, want\n%s", got, want)
+		t.Errorf("written file is\n%s, want the golden file\n%s", got, want)
 	}
 }
