--- a/internal/daemon/bodies_test.go
+++ b/internal/daemon/bodies_test.go
@@ -18,12 +18,14 @@
 	"caperarch/internal/lab/testbed"
 )
 
-// pattern is the byte at a place of a long body, so that none is lost, doubled or moved unseen.
+// pattern returns byte i of a test body. The pattern makes it detectable that bytes are lost, duplicated or reordered.
 func pattern(i int) byte { return byte(i*7 + i>>8) }
 
-type patterned struct{ at, size int }
+// patternReader reads a test body of size bytes.
+type patternReader struct{ at, size int }
 
-func (p *patterned) Read(b []byte) (int, error) {
+// Read implements io.Reader.
+func (p *patternReader) Read(b []byte) (int, error) {
 	if p.at == p.size {
 		return 0, io.EOF
 	}
@@ -35,14 +37,14 @@
 	return n, nil
 }
 
-// check reads a body to its end and returns its size, or why it is none of the pattern's.
-func check(r io.Reader) (int, error) {
+// checkPattern reads a body to its end and returns its size, and an error if the body does not match the pattern.
+func checkPattern(r io.Reader) (int, error) {
 	b, at := make([]byte, 32<<10), 0
 	for {
 		n, err := r.Read(b)
 		for i := range n {
 			if b[i] != pattern(at+i) {
-				return at + i, fmt.Errorf("byte %d is wrong", at+i)
+				return at + i, fmt.Errorf("byte %d does not match the pattern", at+i)
 			}
 		}
 		at += n
@@ -55,20 +57,20 @@
 	}
 }
 
-const large = 5<<20 + 123
+const largeBody = 5<<20 + 123 // bytes; larger than the buffers of the sidecar
 
-// Bodies of any size go through whole, both ways, in every framing.
+// Request and response bodies of any size pass through the sidecar unchanged, in every framing.
 func TestLargeBodies(t *testing.T) {
 	address := testbed.NewHandler(t, func(c net.Conn, req *http.Request) bool {
-		n, err := check(req.Body)
+		n, err := checkPattern(req.Body)
 		if err != nil {
 			return false
 		}
 		head := fmt.Sprintf("HTTP/1.1 200 OK\r\nX-Had: %d\r\n", n)
-		body := &patterned{size: large}
+		body := &patternReader{size: largeBody}
 		switch req.URL.Query().Get("answer") {
 		case "length":
-			fmt.Fprintf(c, "%sContent-Length: %d\r\n\r\n", head, large)
+			fmt.Fprintf(c, "%sContent-Length: %d\r\n\r\n", head, largeBody)
 			_, err = io.Copy(c, body)
 		case "chunks":
 			fmt.Fprintf(c, "%sTransfer-Encoding: chunked\r\n\r\n", head)
@@ -80,7 +82,7 @@
 		case "end":
 			fmt.Fprintf(c, "%sConnection: close\r\n\r\n", head)
 			if _, err := io.Copy(c, body); err != nil {
-				t.Errorf("an answer that ends with its connection: %v", err)
+				t.Errorf("writing a response that ends with its connection: %v", err)
 			}
 			return false
 		default:
@@ -88,13 +90,14 @@
 		}
 		return err == nil
 	})
-	side := start(t, nil, address)
-	for _, size := range []int{1, 64 << 10, 64<<10 + 1, large} {
+	sidecar := startSidecar(t, nil, address)
+	for _, size := range []int{1, 64 << 10, 64<<10 + 1, largeBody} {
 		for _, chunks := range []bool{false, true} {
 			for _, answer := range []string{"", "length", "chunks", "end"} {
 				name := fmt.Sprintf("%d, in chunks %v, answered %q", size, chunks, answer)
-				req := side.request(t, "POST", "/entry?answer="+answer, "", "X-Request-ID", strings.ReplaceAll(name, " ", "-"))
-				req.Body, req.ContentLength = io.NopCloser(&patterned{size: size}), int64(size)
+				req := sidecar.request(t, "POST", "/entry?answer="+answer, "",
+					"X-Request-ID", strings.ReplaceAll(name, " ", "-"))
+				req.Body, req.ContentLength = io.NopCloser(&patternReader{size: size}), int64(size)
 				if chunks {
 					req.ContentLength = -1
 				}
@@ -103,11 +106,11 @@
 					t.Fatalf("%s: %v", name, err)
 				}
 				if had := res.Header.Get("X-Had"); res.StatusCode != 200 || had != strconv.Itoa(size) {
-					t.Errorf("%s: %s, the server had %s", name, res.Status, had)
+					t.Errorf("%s: status %s, the upstream received %s bytes", name, res.Status, had)
 				}
 				if answer != "" {
-					if n, err := check(res.Body); n != large || err != nil {
-						t.Errorf("%s: %d bytes came, %v", name, n, err)
+					if n, err := checkPattern(res.Body); n != largeBody || err != nil {
+						t.Errorf("%s: client received %d bytes, error %v", name, n, err)
 					}
 				}
 				res.Body.Close()
@@ -116,69 +119,73 @@
 	}
 }
 
-// An answer that its server cuts off is cut off for its client, in a way that it can tell; nothing is sent again.
-func TestTruncatedResponseIsTruncatedForTheClient(t *testing.T) {
+// If an upstream truncates a response, the client receives the same truncated response and an error, and the sidecar
+// does not retry the request.
+func TestTruncatedResponse(t *testing.T) {
 	var mu sync.Mutex
-	times := map[string]int{}
+	attempts := map[string]int{}
 	address := testbed.NewHandler(t, func(c net.Conn, req *http.Request) bool {
 		mu.Lock()
-		times[req.Header.Get("X-Request-ID")]++
+		attempts[req.Header.Get("X-Request-ID")]++
 		mu.Unlock()
 		if req.URL.Query().Get("how") == "chunks" {
 			fmt.Fprint(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
 			w := httputil.NewChunkedWriter(c)
-			_, _ = io.Copy(w, &patterned{size: 200 << 10})
+			_, _ = io.Copy(w, &patternReader{size: 200 << 10})
 		} else {
 			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", 300<<10)
-			_, _ = io.Copy(c, &patterned{size: 200 << 10})
+			_, _ = io.Copy(c, &patternReader{size: 200 << 10})
 		}
 		return false
 	})
-	side := start(t, nil, address)
+	sidecar := startSidecar(t, nil, address)
 	for _, how := range []string{"chunks", "length"} {
-		req := side.request(t, "GET", "/look?how="+how, "", "X-Request-ID", how)
+		req := sidecar.request(t, "GET", "/look?how="+how, "", "X-Request-ID", how)
 		res, err := (&http.Transport{DisableKeepAlives: true}).RoundTrip(req)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if n, err := check(res.Body); err == nil || n != 200<<10 {
-			t.Errorf("%s: %d bytes, error %v; want what came and an error", how, n, err)
+		if n, err := checkPattern(res.Body); err == nil || n != 200<<10 {
+			t.Errorf("%s: client received %d bytes, error %v, want the bytes that were sent and an error", how, n, err)
 		}
 		res.Body.Close()
 		mu.Lock()
-		if times[how] != 1 {
-			t.Errorf("%s: sent %d times", how, times[how])
+		if attempts[how] != 1 {
+			t.Errorf("%s: %d attempts, want 1", how, attempts[how])
 		}
 		mu.Unlock()
 	}
 }
 
-// An upload whose server breaks off before the last byte never ran: it is refused, and sent once.
-func TestBrokenUploadIsRefused(t *testing.T) {
+// If the upstream closes the connection before it has received the complete request, the request was not executed: the
+// sidecar rejects the request with 503 and Retry-After, and makes one attempt only.
+func TestBrokenUploadIsRejected(t *testing.T) {
 	arrived := make(chan struct{}, 10)
 	address := testbed.NewHandler(t, func(c net.Conn, req *http.Request) bool {
 		arrived <- struct{}{}
 		_, _ = io.CopyN(io.Discard, req.Body, 1<<20)
 		return false
 	})
-	side := start(t, nil, address)
-	req := side.request(t, "POST", "/entry", "")
-	req.Body, req.ContentLength = io.NopCloser(&patterned{size: 64 << 20}), 64<<20
+	sidecar := startSidecar(t, nil, address)
+	req := sidecar.request(t, "POST", "/entry", "")
+	req.Body, req.ContentLength = io.NopCloser(&patternReader{size: 64 << 20}), 64<<20
 	res, err := (&http.Transport{DisableKeepAlives: true}).RoundTrip(req)
 	if err != nil {
 		t.Fatal(err)
 	}
 	res.Body.Close()
 	if res.StatusCode != http.StatusServiceUnavailable || res.Header.Get("Retry-After") == "" || len(arrived) != 1 {
-		t.Errorf("%s, Retry-After %q, %d attempts", res.Status, res.Header.Get("Retry-After"), len(arrived))
+		t.Errorf("status %s, Retry-After %q, %d attempts, want 503 with Retry-After after 1 attempt",
+			res.Status, res.Header.Get("Retry-After"), len(arrived))
 	}
 }
 
-// A chunked request cut at every byte is the same request, and a next one may stand right behind it.
-func TestChunkedRequestCutAnywhere(t *testing.T) {
+// The result does not depend on how a chunked request is divided into TCP segments. A pipelined request may follow it
+// immediately.
+func TestChunkedRequestSplitAtEveryByte(t *testing.T) {
 	s := testbed.NewStub(t, testbed.Echo)
-	side := start(t, nil, s.Address)
-	address := strings.TrimPrefix(side.url, "http://")
+	sidecar := startSidecar(t, nil, s.Address)
+	address := strings.TrimPrefix(sidecar.url, "http://")
 	body := "5;a=b\r\nhello\r\n1\r\n!\r\n0\r\nX: y\r\n\r\n"
 	for cut := range len(body) + 1 {
 		first := fmt.Sprintf(rawHead, fmt.Sprint("a", cut)) + "Transfer-Encoding: chunked\r\n\r\n"
@@ -192,30 +199,30 @@
 			if _, err := io.WriteString(c, part); err != nil {
 				t.Fatal(err)
 			}
-			time.Sleep(time.Millisecond) // so that it arrives by itself; the result must not depend on it
+			time.Sleep(time.Millisecond) // makes separate segments likely; the result must not depend on this
 		}
 		r := bufio.NewReader(c)
 		for _, id := range []string{"a", "b"} {
 			res, err := http.ReadResponse(r, nil)
 			if err != nil {
-				t.Fatalf("cut at %d: %v", cut, err)
+				t.Fatalf("split at %d: reading the response failed: %v", cut, err)
 			}
 			got, _ := io.ReadAll(res.Body)
 			if string(got) != fmt.Sprint("done ", id, cut) {
-				t.Fatalf("cut at %d: %s %q", cut, res.Status, got)
+				t.Fatalf("split at %d: status %s, body %q", cut, res.Status, got)
 			}
 		}
 		c.Close()
 		if got := testbed.Wait(t, "the request", s.Seen); got.Body != "hello!" {
-			t.Fatalf("cut at %d: the upstream had %q", cut, got.Body)
+			t.Fatalf("split at %d: upstream received body %q, want hello!", cut, got.Body)
 		}
 		testbed.Wait(t, "the next request", s.Seen)
 	}
 }
 
-// Slow clients and servers hold windows, not places: while more streams stand than there are slots, small
-// requests are answered at once.
-func TestStreamsOccupyNoSlots(t *testing.T) {
+// A stalled response occupies flow-control windows but no request slot: small requests are answered immediately while
+// more responses are stalled than there are slots.
+func TestStalledStreamsOccupyNoSlots(t *testing.T) {
 	release := make(chan struct{})
 	var once sync.Once
 	t.Cleanup(func() { once.Do(func() { close(release) }) })
@@ -228,22 +235,25 @@
 		<-release
 		return false
 	})
-	side := start(t, nil, address)
+	sidecar := startSidecar(t, nil, address)
 	const streams = 40
 	for i := range streams {
-		req := side.request(t, "GET", "/look?slow=1", "", "X-Request-ID", fmt.Sprint("s", i))
+		req := sidecar.request(t, "GET", "/look?slow=1", "", "X-Request-ID", fmt.Sprint("s", i))
 		res, err := (&http.Transport{DisableKeepAlives: true}).RoundTrip(req)
 		if err != nil || res.StatusCode != 200 {
-			t.Fatalf("stream %d: %v, %v", i, res, err)
+			t.Fatalf("stream %d: response %v, error %v", i, res, err)
 		}
 		defer res.Body.Close()
-		if _, err := io.ReadFull(res.Body, make([]byte, 1000)); err != nil { // its first bytes are passed on though no more come
-			t.Fatalf("stream %d: %v", i, err)
+		// The sidecar forwards the first bytes although no more bytes follow.
+		if _, err := io.ReadFull(res.Body, make([]byte, 1000)); err != nil {
+			t.Fatalf("stream %d: reading the first 1000 bytes failed: %v", i, err)
 		}
 	}
 	for i := range 40 {
-		if res, body := do(t, side.request(t, "GET", "/look", "", "X-Request-ID", fmt.Sprint("q", i))); res.StatusCode != 200 || body != "quick" {
-			t.Fatalf("a small request beside %d streams: %s", streams, res.Status)
+		if res, body := do(t, sidecar.request(
+			t, "GET", "/look", "", "X-Request-ID", fmt.Sprint("q", i),
+		)); res.StatusCode != 200 || body != "quick" {
+			t.Fatalf("small request with %d stalled streams: status %s, want 200", streams, res.Status)
 		}
 	}
 	once.Do(func() { close(release) })
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,6 +1,6 @@
-// Package daemon runs the sidecar: it wires front, decision engine, transport and membership together, for one
-// pool of upstreams (Run) or several (RunPools), and serves operators' control calls. Configuration and
-// listener belong to the run from the call on.
+// Package daemon runs the sidecar. It connects the HTTP front, the decision engine, the transport and the membership
+// follower for one pool of upstreams (Run) or several pools (RunPools), and serves operators' control calls. The caller
+// must not use the configuration and the listener after it has passed them to this package.
 package daemon
 
 import (
@@ -18,19 +18,19 @@
 	"caperarch/policy"
 )
 
-// Option turns on a feature that is off by default.
+// Option enables an optional feature of the daemon.
 type Option func(*options)
 
 type options struct {
-	recording *record.Writer // nil: none
-	instances uint32         // decision modules recorded so far
-	fleet     *config.Fleet  // nil: sidecars know nothing of each other
+	recording *record.Writer // nil: decisions are not recorded
+	instances uint32         // number of decision modules recorded so far
+	fleet     *config.Fleet  // nil: this sidecar belongs to no fleet
 }
 
-// WithRecording records the inputs and outputs of the decision modules to w, which the caller closes.
+// WithRecording records the inputs and outputs of the decision modules to w. The caller closes w.
 func WithRecording(w *record.Writer) Option { return func(o *options) { o.recording = w } }
 
-// WithFleet makes the daemon a member of a fleet, as the operator's file says.
+// WithFleet makes the daemon a member of the fleet that the fleet file describes.
 func WithFleet(f *config.Fleet) Option { return func(o *options) { o.fleet = f } }
 
 func newOptions(all []Option) *options {
@@ -41,7 +41,8 @@
 	return o
 }
 
-// moduleFactory returns what makes the decision module of one more engine; nil: the engine's default.
+// moduleFactory returns the constructor of the next engine's decision module, or nil if the engine's default
+// constructor applies because decisions are not recorded.
 func (o *options) moduleFactory() func(policy.Config, uint64, policy.Host) (engine.Module, error) {
 	if o.recording == nil {
 		return nil
@@ -53,20 +54,20 @@
 	}
 }
 
-// Run listens and serves until ctx ends and all requests accepted by then are answered. Each signal on reload
-// makes it read its configuration again.
+// Run listens and serves until ctx is done and all requests accepted by then are answered. On each signal from reload,
+// Run reads its configuration file again and applies the discovery address.
 func Run(ctx context.Context, cfg *config.Config, reload <-chan os.Signal, with ...Option) error {
 	return run(ctx, cfg, nil, reload, with...)
 }
 
-// Serve is Run on an open listener, which it closes.
+// Serve is like Run but serves on the given listener, which it closes.
 func Serve(
 	ctx context.Context, cfg *config.Config, listener net.Listener, reload <-chan os.Signal, with ...Option,
 ) error {
 	return run(ctx, cfg, listener, reload, with...)
 }
 
-// run is Run, on a listener of its own if there is none yet.
+// run implements Run and Serve. If listener is nil, run opens one on the configured address.
 func run(
 	ctx context.Context, cfg *config.Config, listener net.Listener, reload <-chan os.Signal, with ...Option,
 ) error {
@@ -93,7 +94,8 @@
 	defer stop()
 	go p.engine.Run(running, p.initial)
 	go p.follower.Run(running)
-	if listener == nil { // last: a client that connects is served
+	// The listener is opened last, so that a client that connects is served immediately.
+	if listener == nil {
 		if listener, err = s.listen(cfg); err != nil {
 			return err
 		}
@@ -103,8 +105,8 @@
 	return s.serveUntil(ctx, listener, reload, func() { reloadDiscovery(cfg.Path, p.follower, log) })
 }
 
-// serveUntil serves clients until the listener fails, or until ctx ends and the front has drained. Each signal
-// on reload calls onReload.
+// serveUntil serves clients until the listener fails, or until ctx is done and the front has drained. It calls onReload
+// on each signal from reload.
 func (s *service) serveUntil(
 	ctx context.Context, listener net.Listener, reload <-chan os.Signal, onReload func(),
 ) error {
@@ -123,8 +125,8 @@
 	}
 }
 
-// reloadDiscovery applies the discovery address of the configuration as it is now. All else takes effect at the next
-// start. A file that can't be used changes nothing.
+// reloadDiscovery reads the configuration file and applies its discovery address. Other changes take effect at the next
+// start of the process. If the file is invalid, the old address stays in use.
 func reloadDiscovery(path string, follower *membership.Follower, log *slog.Logger) {
 	cfg, err := config.Read(path)
 	if err != nil {
--- a/internal/daemon/explain.go
+++ b/internal/daemon/explain.go
@@ -9,8 +9,8 @@
 	"caperarch/internal/proxy/route"
 )
 
-// Explain says for people which rule and pool a request takes: method and URL as a client would use them, and the
-// request's class ("": by the URL). The error says why the request is malformed.
+// Explain describes, for display, the rule and the pool that apply to a request with the given method, URL and class.
+// If class is "", the class is derived from the URL. Explain returns an error if the request is malformed.
 func Explain(pools *config.Pools, method, url, class string) (string, error) {
 	r, err := http.NewRequest(method, url, nil)
 	if err != nil {
@@ -20,7 +20,7 @@
 	if target == "" {
 		target = "/"
 	}
-	if class == "" { // as the protocol has it, the first segment of the path
+	if class == "" { // the class defaults to the first segment of the path
 		class = route.FirstSegment(r.URL.Path)
 	}
 	q, err := route.NewRequest(r.Host, target, method, class)
--- a/internal/daemon/fleet.go
+++ b/internal/daemon/fleet.go
@@ -13,8 +13,8 @@
 
 var errNoFleet = errors.New("this process was started without -fleet: sidecars know nothing of each other")
 
-// joinFleet runs this process's part in the fleet, if there is one. It is left in close: by then all requests are
-// answered.
+// joinFleet starts the fleet member of this process, if the process belongs to a fleet. The process leaves the fleet in
+// close, after all requests are answered.
 func (s *service) joinFleet() {
 	if s.fleet == nil {
 		return
@@ -32,10 +32,10 @@
 	}
 }
 
-// useFleetKnowledge gives a decision module what is known of the other sidecars: at least how many there are,
-// where this one begins among the live ones, and which servers they suspect. It returns the function that has
-// to be called as attempts end. Without a fleet it does nothing and returns nil.
-func (s *service) useFleetKnowledge(module *policy.Config) (attemptEnded func(policy.ServerID, policy.Ending)) {
+// connectFleet lets a decision module query the state of the fleet: the number of sidecars, this sidecar's position
+// among the live sidecars, and the servers that other sidecars suspect to be down. It returns the function that the
+// engine has to call when an attempt ends. If this process belongs to no fleet, connectFleet returns nil.
+func (s *service) connectFleet(module *policy.Config) (attemptEnded func(policy.ServerID, policy.Ending)) {
 	if s.fleet == nil {
 		return nil
 	}
@@ -45,7 +45,7 @@
 
 var errNoPolicy = errors.New("this process has no part in a policy of the fleet: the file of -fleet has no [policy]")
 
-// fleetPolicy returns this process's part in the fleet's policy; errNoFleet or errNoPolicy if it has none.
+// fleetPolicy returns the fleet's policy, or errNoFleet or errNoPolicy if this process has no replicated policy.
 func (s *service) fleetPolicy() (*fleet.Policy, error) {
 	if s.fleet == nil {
 		return nil, errNoFleet
@@ -56,7 +56,7 @@
 	return nil, errNoPolicy
 }
 
-// Policy carries out a call on the fleet's policy.
+// Policy executes a control call on the fleet's policy.
 func (s *service) Policy(c control.Call, to io.Writer) error {
 	p, err := s.fleetPolicy()
 	if err != nil {
@@ -77,7 +77,7 @@
 	return p.Show(to)
 }
 
-// Work carries out a call on maintenance plans.
+// Work executes a control call on maintenance plans.
 func (s *service) Work(c control.Call, to io.Writer) error {
 	p, err := s.fleetPolicy()
 	if err != nil {
@@ -92,7 +92,7 @@
 	return p.Operate(maintenanceKinds[c.Verb], c.Arguments, to)
 }
 
-// maintenanceKinds are the calls that change a turn or a plan.
+// maintenanceKinds maps each call that changes a turn or a plan to its kind of maintenance operation.
 var maintenanceKinds = map[control.Verb]maintenance.Kind{
 	control.WorkDone:   maintenance.Done,
 	control.WorkPause:  maintenance.Paused,
@@ -100,7 +100,7 @@
 	control.WorkCancel: maintenance.Cancelled,
 }
 
-// Peers writes what is known of the other sidecars.
+// Peers writes the state of the other sidecars.
 func (s *service) Peers(to io.Writer) error {
 	if s.fleet == nil {
 		return errNoFleet
@@ -109,17 +109,17 @@
 	return view.Text(to)
 }
 
-// policyLimiter applies the fleet's policy to a pool. It belongs to the engine, which alone calls it.
+// policyLimiter applies the fleet's policy and maintenance plans to a pool. Only the engine's goroutine calls it.
 type policyLimiter struct {
 	policy *fleet.Policy
 	pool   *pool
 
-	applied          *fleet.ActiveLimits // the last policy that was applied
-	underMaintenance *[]uint64           // the last servers that were taken out
+	applied          *fleet.ActiveLimits // limits that were applied last
+	underMaintenance *[]uint64           // servers under maintenance that were applied last
 }
 
-// policyLimits returns what keeps a pool to the fleet's policy and returns the module's limits; nil: there is
-// no policy.
+// policyLimits returns the function that applies the fleet's policy to a pool and returns the decision module's limits.
+// It returns nil if this process has no replicated policy.
 func (s *service) policyLimits(p *pool) func() *policy.Limits {
 	if s.fleet == nil || s.fleet.Policy() == nil {
 		return nil
@@ -128,7 +128,8 @@
 	return limiter.limits
 }
 
-// limits applies what has changed in the policy, and returns the limits that the decision module has to keep now.
+// limits applies changes of the policy and of the maintenance plans to the pool, and returns the decision module's
+// current limits.
 func (l *policyLimiter) limits() *policy.Limits {
 	if out := l.policy.MachinesOut(); out != l.underMaintenance {
 		l.underMaintenance = out
--- a/internal/daemon/handover/golden_test.go
+++ b/internal/daemon/handover/golden_test.go
@@ -9,15 +9,17 @@
 	"caperarch/policy"
 )
 
-// The other process of a handover may be one of an earlier release.
-func TestRecordIsReadAndWrittenAsBefore(t *testing.T) {
+// The format of the handover record must not change: the other process of a handover may be of an earlier release.
+func TestRecordFormatIsUnchanged(t *testing.T) {
 	const id = "the newcomer's mark"
 	want := &Record{Pools: map[string]Pool{
 		"": {
 			Version: 7,
 			Servers: []Server{
 				{
-					Server:  policy.Server{ID: 1<<64 - 1, Zone: 2, Cell: 3, State: policy.Ready, Weight: 1.5, Started: 1<<62 + 1},
+					Server: policy.Server{
+						ID: 1<<64 - 1, Zone: 2, Cell: 3, State: policy.Ready, Weight: 1.5, Started: 1<<62 + 1,
+					},
 					Address: "127.0.0.1:1", Name: "s-1",
 				},
 				{Server: policy.Server{ID: 2, Zone: -1, State: policy.Draining, Weight: 2}, Address: "127.0.0.1:2"},
@@ -31,9 +33,9 @@
 		t.Fatal(err)
 	}
 	if got, err := decode(golden, id); err != nil || !reflect.DeepEqual(got, want) {
-		t.Errorf("read is %+v, %v, want %+v", got, err, want)
+		t.Errorf("golden record was decoded as %+v, error %v, want %+v", got, err, want)
 	}
 	if got, err := want.encode(id); err != nil || string(got) != string(golden) {
-		t.Errorf("written is %v\n%s, want\n%s", err, got, golden)
+		t.Errorf("record was encoded with error %v as\n%s, want the golden record\n%s", err, got, golden)
 	}
 }
--- a/internal/daemon/handover/handover_test.go
+++ b/internal/daemon/handover/handover_test.go
@@ -15,80 +15,93 @@
 	"caperarch/policy"
 )
 
-const damages = 10_000 // of a record, in memory
+const damages = 10_000 // number of random damages that TestRecord applies to a record in memory
 
+// StateMachine returns the expected process count, record and release for each observation of a replacement.
 func TestDecisions(t *testing.T) {
-	m := &Machine{}
+	m := &StateMachine{}
 	step := func(s Observation, want Action) {
 		t.Helper()
 		if got := m.Decide(s); got != want {
-			t.Errorf("%+v: %+v, want %+v", s, got, want)
-		}
-	}
-	// It does not serve yet, so it has nothing to tell.
-	step(Observation{HasSeat: true, Newcomer: true, LatestArrival: "x"}, Action{ProcessCount: 2})
-	m.Serving()
-	step(Observation{HasSeat: true}, Action{ProcessCount: 1})
-	step(Observation{HasSeat: true, Newcomer: true, LatestArrival: "a"}, Action{ProcessCount: 2, WriteRecordFor: "a"})
-	step(Observation{HasSeat: true, Newcomer: true, LatestArrival: "a"}, Action{ProcessCount: 2})                      // told once
-	step(Observation{HasSeat: true, LatestArrival: "a"}, Action{ProcessCount: 1})                                      // the newcomer died
-	step(Observation{HasSeat: true, Newcomer: true, LatestArrival: "b"}, Action{ProcessCount: 2, WriteRecordFor: "b"}) // the next one
-	m.Leaving()
-	step(Observation{HasSeat: true, Newcomer: true, LatestArrival: "c"}, Action{ProcessCount: 2}) // the one that stays tells
-	step(Observation{HasSeat: true, Newcomer: true, HoldsFewConns: true},
-		Action{ProcessCount: LeavingDivisor, ReleaseSeat: true})
-	step(Observation{}, Action{ProcessCount: LeavingDivisor, ReleaseSeat: true}) // for good
-	m = &Machine{ID: "b"}
-	m.Serving()
-	step(Observation{LatestArrival: "b"}, Action{ProcessCount: 2})                      // the older lives, and this is its own mark
-	step(Observation{LatestArrival: "c"}, Action{ProcessCount: 2, WriteRecordFor: "c"}) // one more comes before the older is gone
-	step(Observation{HasSeat: true, LatestArrival: "c"}, Action{ProcessCount: 1})
+			t.Errorf("observation %+v: action %+v, want %+v", s, got, want)
+		}
+	}
+	// A process that does not serve yet writes no record.
+	step(Observation{IsPrimary: true, HasSuccessor: true, LatestSuccessorID: "x"}, Action{ProcessCount: 2})
+	m.SetServing()
+	step(Observation{IsPrimary: true}, Action{ProcessCount: 1})
+	step(Observation{IsPrimary: true, HasSuccessor: true, LatestSuccessorID: "a"},
+		Action{ProcessCount: 2, WriteRecordFor: "a"})
+	// The record for a successor is written once.
+	step(Observation{IsPrimary: true, HasSuccessor: true, LatestSuccessorID: "a"}, Action{ProcessCount: 2})
+	// Successor a ended.
+	step(Observation{IsPrimary: true, LatestSuccessorID: "a"}, Action{ProcessCount: 1})
+	// Successor b started.
+	step(Observation{IsPrimary: true, HasSuccessor: true, LatestSuccessorID: "b"},
+		Action{ProcessCount: 2, WriteRecordFor: "b"})
+	m.SetLeaving()
+	// Successor c started; the remaining process b writes its record.
+	step(Observation{IsPrimary: true, HasSuccessor: true, LatestSuccessorID: "c"}, Action{ProcessCount: 2})
+	step(Observation{IsPrimary: true, HasSuccessor: true, HoldsFewConns: true},
+		Action{ProcessCount: LeavingDivisor, ReleaseLocks: true})
+	// The release is permanent.
+	step(Observation{}, Action{ProcessCount: LeavingDivisor, ReleaseLocks: true})
+	m = &StateMachine{ID: "b"}
+	m.SetServing()
+	// The older process lives, and the latest successor is this process.
+	step(Observation{LatestSuccessorID: "b"}, Action{ProcessCount: 2})
+	// Successor c started before the older process ended.
+	step(Observation{LatestSuccessorID: "c"}, Action{ProcessCount: 2, WriteRecordFor: "c"})
+	step(Observation{IsPrimary: true, LatestSuccessorID: "c"}, Action{ProcessCount: 1})
 }
 
-func open(t *testing.T, dir string) *Seat {
+// open opens the coordinator of a process and closes it at the end of the test.
+func open(t *testing.T, dir string) *Coordinator {
 	t.Helper()
-	s, err := Open(dir)
+	c, err := Open(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(s.Close)
-	return s
+	t.Cleanup(c.Close)
+	return c
 }
 
-// Three replacements in a row, and newcomers that die at every step: whoever lives ends up with the seat, and
-// what was told reaches the one it was meant for.
-func TestThreeReplacementsInARow(t *testing.T) {
+// In three consecutive replacements, with a successor that dies before it serves in each of them, the surviving
+// successor becomes the primary, and the record reaches the successor for which it was written.
+func TestThreeConsecutiveReplacements(t *testing.T) {
 	dir := t.TempDir()
 	old := open(t, dir)
 	for range 3 {
 		dead := open(t, dir)
-		if seen := old.Observe(); !seen.HasSeat || !seen.Newcomer || seen.LatestArrival != dead.ID() {
-			t.Fatalf("the old one sees %+v, the newcomer is %s", seen, dead.ID())
+		if seen := old.Observe(); !seen.IsPrimary || !seen.HasSuccessor || seen.LatestSuccessorID != dead.ID() {
+			t.Fatalf("the old process observes %+v, want itself as primary and successor %s", seen, dead.ID())
 		}
-		dead.Close() // killed before its yes
-		if seen := old.Observe(); seen.Newcomer {
-			t.Fatal("a dead newcomer is seen")
+		dead.Close() // the successor dies before it serves
+		if seen := old.Observe(); seen.HasSuccessor {
+			t.Fatal("the old process observes a successor, but the successor is dead")
 		}
-		newcomer := open(t, dir)
-		if seen := newcomer.Observe(); seen.HasSeat {
-			t.Fatal("two have the seat")
+		successor := open(t, dir)
+		if seen := successor.Observe(); seen.IsPrimary {
+			t.Fatal("the successor is a primary while the old process lives")
 		}
 		r := &Record{Pools: map[string]Pool{"": {Version: 7, Delisted: []policy.ServerID{1 << 63}}}}
-		if err := old.WriteRecord(old.Observe().LatestArrival, r); err != nil {
+		if err := old.WriteRecord(old.Observe().LatestSuccessorID, r); err != nil {
 			t.Fatal(err)
 		}
-		got, err := newcomer.AwaitRecord(testbed.Generous)
+		got, err := successor.AwaitRecord(testbed.Generous)
 		if err != nil || got.Pools[""].Version != 7 || got.Pools[""].Delisted[0] != 1<<63 {
-			t.Fatalf("%+v, %v", got, err)
+			t.Fatalf("the successor got record %+v, error %v, want the record that the old process wrote", got, err)
 		}
 		old.Close()
-		if seen := newcomer.Observe(); !seen.HasSeat || seen.Newcomer {
-			t.Fatalf("the old one is gone, the newcomer sees %+v", seen)
+		if seen := successor.Observe(); !seen.IsPrimary || seen.HasSuccessor {
+			t.Fatalf("after the end of the old process the successor observes %+v, want itself as primary", seen)
 		}
-		old = newcomer
+		old = successor
 	}
 }
 
+// A record is decoded as it was encoded. A truncated, damaged, missing or too long record, or a record for another
+// process, is never accepted.
 func TestRecord(t *testing.T) {
 	l := call.ServerList{Version: 3, Full: true, Servers: []policy.Server{
 		{ID: 1<<64 - 1, State: policy.Ready, Weight: 1, Started: time.Duration(1<<62 + 1)},
@@ -104,49 +117,49 @@
 	}
 	if got := r.Pools[""].ServerList(); got.Version != 3 || len(got.Servers) != 2 || got.Servers[0] != l.Servers[0] ||
 		got.Servers[1] != l.Servers[1] || got.Addresses[2] != "127.0.0.1:2" {
-		t.Errorf("%+v", got)
+		t.Errorf("decoded list is %+v, want the encoded list", got)
 	}
 	for n := range raw {
 		if _, err := decode(raw[:n], "m"); err == nil {
-			t.Fatalf("cut at %d it was taken", n)
+			t.Fatalf("record truncated to %d bytes was decoded without an error", n)
 		}
 	}
 	source := damage.NewSource(t, 64)
 	for range damage.Rounds(damages) {
 		bad, how := source.Of(raw)
 		if got, err := decode(bad, "m"); err == nil && !reflect.DeepEqual(got, r) {
-			t.Errorf("%s: taken", how)
+			t.Errorf("damage %s: record was decoded without an error", how)
 		}
 	}
 	dir := t.TempDir()
 	open(t, dir)
-	newcomer := open(t, dir)
-	if _, err := newcomer.AwaitRecord(20 * time.Millisecond); err != ErrNoRecord {
-		t.Errorf("missing: %v", err)
+	successor := open(t, dir)
+	if _, err := successor.AwaitRecord(20 * time.Millisecond); err != ErrNoRecord {
+		t.Errorf("missing record: error %v, want ErrNoRecord", err)
 	}
 	if err := os.WriteFile(filepath.Join(dir, recordName), raw, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := newcomer.AwaitRecord(20 * time.Millisecond); err != ErrNoRecord {
-		t.Errorf("another's: %v", err)
+	if _, err := successor.AwaitRecord(20 * time.Millisecond); err != ErrNoRecord {
+		t.Errorf("record for another process: error %v, want ErrNoRecord", err)
 	}
 	if err := os.WriteFile(filepath.Join(dir, recordName), raw[:len(raw)/2], 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := newcomer.AwaitRecord(testbed.Generous); err == nil || err == ErrNoRecord {
-		t.Errorf("cut: %v", err)
+	if _, err := successor.AwaitRecord(testbed.Generous); err == nil || err == ErrNoRecord {
+		t.Errorf("truncated record: error %v, want an error other than ErrNoRecord", err)
 	}
 	if err := os.WriteFile(filepath.Join(dir, recordName), make([]byte, maxRecordBytes+1), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := newcomer.AwaitRecord(testbed.Generous); !errors.Is(err, errCorrupt) {
-		t.Errorf("too long: %v", err)
+	if _, err := successor.AwaitRecord(testbed.Generous); !errors.Is(err, errCorrupt) {
+		t.Errorf("record over the maximum length: error %v, want errCorrupt", err)
 	}
 }
 
-// With steering all new connections go to the one that came last, and after its predecessor's end still;
-// without it both get some.
-func TestNewConnectionsGoToTheLatestProcess(t *testing.T) {
+// With steering, all new connections go to the process that started last, also after the older process has closed its
+// listener. Without steering, both processes get connections.
+func TestNewConnectionsGoToLatestProcess(t *testing.T) {
 	for _, steeringDisabled = range []bool{false, true} {
 		first, steered, err := Listen("127.0.0.1:0")
 		if err != nil {
@@ -157,7 +170,7 @@
 			t.Fatal(err)
 		}
 		if steered == steeringDisabled {
-			t.Fatalf("steered %v", steered)
+			t.Fatalf("Listen returned steered %v, want the opposite of steeringDisabled", steered)
 		}
 		count := make(chan int, 1000)
 		for i, l := range []net.Listener{first, second} {
@@ -184,11 +197,12 @@
 			return got
 		}
 		if got := dial(); steeringDisabled == (got[0] == 0) {
-			t.Errorf("plain %v: %v", steeringDisabled, got)
+			t.Errorf("steering disabled %v: connections per process are %v", steeringDisabled, got)
 		}
 		first.Close()
 		if got := dial(); got[1] != 64 {
-			t.Errorf("plain %v, the first closed: %v", steeringDisabled, got)
+			t.Errorf("steering disabled %v, first listener closed: connections per process are %v, want all at the second",
+				steeringDisabled, got)
 		}
 		second.Close()
 	}
--- a/internal/daemon/handover/listen_linux.go
+++ b/internal/daemon/handover/listen_linux.go
@@ -8,15 +8,16 @@
 	"golang.org/x/sys/unix"
 )
 
-// Listen listens on an address that another process of this sidecar may listen on too, now or later. If steered, new
-// connections all go to the process that came last; else the system spreads them, and a process that leaves has to
-// empty its queue.
+// Listen listens on an address that other processes of this sidecar may share. If steered is true, the kernel passes
+// all new connections to the process that started last. If steered is false, the kernel distributes new connections
+// among the processes, and a leaving process has to accept the connections that are already in its queue.
 func Listen(address string) (l net.Listener, steered bool, err error) {
 	cfg := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
-		// If the option is not supported no second process can listen here, and the first one serves all the same.
+		// An error is ignored: without the option, the first process serves, but no second process can listen on the
+		// address.
 		return raw.Control(func(fd uintptr) { _ = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1) })
 	}}
-	cfg.SetMultipathTCP(false) // its sockets accept no BPF program, and no host here has two paths
+	cfg.SetMultipathTCP(false) // multipath TCP sockets accept no BPF program, and the hosts have only one path
 	l, err = cfg.Listen(context.Background(), "tcp", address)
 	if err != nil {
 		return nil, false, err
@@ -24,9 +25,10 @@
 	return l, steer(l) == nil, nil
 }
 
-// steer makes the group of sockets on this address select its second one. The first belongs to the older
-// process. In a group of one there is no second, and the kernel falls back to selecting by hash, which finds
-// the only one. When the older process leaves, the last socket takes its index.
+// steer attaches a BPF program that selects the second socket of the group of sockets on this address for new
+// connections. The first socket belongs to the older process, the second socket to the successor. In a group of one
+// socket the index is out of range, and the kernel falls back to selection by hash, which selects the only socket. When
+// the older process closes its socket, the last socket of the group takes the index of the closed socket.
 func steer(l net.Listener) error {
 	if steeringDisabled {
 		return syscall.ENOPROTOOPT
@@ -35,16 +37,16 @@
 	if err != nil {
 		return err
 	}
-	second := []unix.SockFilter{{Code: unix.BPF_RET | unix.BPF_K, K: 1}}
-	program := unix.SockFprog{Len: uint16(len(second)), Filter: &second[0]}
-	var failed error
+	selectSecond := []unix.SockFilter{{Code: unix.BPF_RET | unix.BPF_K, K: 1}}
+	program := unix.SockFprog{Len: uint16(len(selectSecond)), Filter: &selectSecond[0]}
+	var optionErr error
 	if err := raw.Control(func(fd uintptr) {
-		failed = unix.SetsockoptSockFprog(int(fd), unix.SOL_SOCKET, unix.SO_ATTACH_REUSEPORT_CBPF, &program)
+		optionErr = unix.SetsockoptSockFprog(int(fd), unix.SOL_SOCKET, unix.SO_ATTACH_REUSEPORT_CBPF, &program)
 	}); err != nil {
 		return err
 	}
-	return failed
+	return optionErr
 }
 
-// steeringDisabled makes tests run without steering, as where the system does not support it.
+// steeringDisabled is set by tests to simulate a kernel that does not support steering.
 var steeringDisabled bool
--- a/internal/daemon/handover/record.go
+++ b/internal/daemon/handover/record.go
@@ -14,24 +14,25 @@
 
 const (
 	recordVersion  = 1
-	maxRecordBytes = 16 << 20 // a larger file is no record of ours
+	maxRecordBytes = 16 << 20 // a larger file is treated as corrupt
 )
 
 var (
-	errOtherRecipient = errors.New("the record is for another process")
+	errOtherRecipient = errors.New("the handover record is for another process")
 	errCorrupt        = errors.New("the record is damaged or of another version")
 )
 
-// Record is what the older process knows that the newer one would learn too late: the lists of upstreams.
+// Record is the handover record: the lists of upstreams of the older process, which the successor needs before
+// discovery would answer.
 type Record struct {
-	Pools map[string]Pool `json:"pools"` // by name; the name of a single pool is ""
+	Pools map[string]Pool `json:"pools"` // by pool name; "" is the name of a single pool
 }
 
-// Pool is the list of one pool.
+// Pool is the list of upstreams of one pool.
 type Pool struct {
 	Version  int64             `json:"version"`
 	Servers  []Server          `json:"servers"`
-	Delisted []policy.ServerID `json:"ever"` // were listed, and are no longer
+	Delisted []policy.ServerID `json:"ever"` // upstreams that were listed earlier and are no longer
 }
 
 // Server is one upstream of a list.
@@ -41,16 +42,16 @@
 	Name    string `json:"name,omitempty"`
 }
 
-// NewPool makes the record of a full list and of the upstreams that were listed before.
-func NewPool(l call.ServerList, ever []policy.ServerID) Pool {
-	p := Pool{Version: l.Version, Delisted: ever}
+// NewPool returns the record of a full list and of the upstreams that were listed earlier and are no longer.
+func NewPool(l call.ServerList, delisted []policy.ServerID) Pool {
+	p := Pool{Version: l.Version, Delisted: delisted}
 	for _, s := range l.Servers {
 		p.Servers = append(p.Servers, Server{s, l.Addresses[s.ID], l.Names[s.ID]})
 	}
 	return p
 }
 
-// ServerList returns the list that a pool's record holds.
+// ServerList returns the full list of the pool.
 func (p Pool) ServerList() call.ServerList {
 	l := call.ServerList{
 		Version: p.Version, Full: true,
@@ -67,7 +68,8 @@
 	return l
 }
 
-// validate accepts only what a list may hold: a file is trusted no more than discovery.
+// validate returns an error if the pool contains a server that discovery could not list. The record file is validated
+// like a response from discovery.
 func (p Pool) validate() error {
 	for _, s := range p.Servers {
 		knownState := s.State == policy.Ready || s.State == policy.Draining
@@ -78,15 +80,15 @@
 	return nil
 }
 
-// envelope is the content of the file.
+// envelope is the content of the record file.
 type envelope struct {
 	Version   int             `json:"form"`
-	Recipient string          `json:"mark"` // id of the process that it is written for
+	Recipient string          `json:"mark"` // id of the successor for which the record was written
 	Sum       uint64          `json:"sum"`  // xxhash of Record
 	Record    json.RawMessage `json:"record"`
 }
 
-// encode returns the file's content for the newcomer of this id.
+// encode returns the content of the record file for the successor with the given id.
 func (r *Record) encode(id string) ([]byte, error) {
 	raw, err := json.Marshal(r)
 	if err != nil {
@@ -95,7 +97,8 @@
 	return json.Marshal(envelope{recordVersion, id, xxhash.Sum64(raw), raw})
 }
 
-// decode reads a file's content: errOtherRecipient if it is for another id, errCorrupt if it is not valid.
+// decode parses the content of a record file. It returns errOtherRecipient if the record is for another id, and
+// errCorrupt if the content is not valid.
 func decode(raw []byte, id string) (*Record, error) {
 	var e envelope
 	if err := json.Unmarshal(raw, &e); err != nil {
@@ -105,7 +108,7 @@
 		return nil, errOtherRecipient
 	}
 	if e.Version != recordVersion || e.Sum != xxhash.Sum64(e.Record) {
-		return nil, fmt.Errorf("%w: form %d", errCorrupt, e.Version)
+		return nil, fmt.Errorf("%w: version %d", errCorrupt, e.Version)
 	}
 	r := new(Record)
 	if err := json.Unmarshal(e.Record, r); err != nil {
--- a/internal/daemon/livepool.go
+++ b/internal/daemon/livepool.go
@@ -9,22 +9,22 @@
 )
 
 const (
-	// drainMargin is how long a removed pool still accepts requests that were routed to it before: those whose
-	// body was being read.
+	// drainMargin is how long a removed pool still accepts requests that were routed to it before its removal and whose
+	// body was still being read.
 	drainMargin = 3 * time.Second
 
-	drainPollInterval = 10 * time.Millisecond
+	drainPollInterval = 10 * time.Millisecond // interval of checks for open requests of a draining pool
 )
 
-// livePool is a pool that runs.
+// livePool is a running pool.
 type livePool struct {
 	*pool
 	spec    *config.Pool
 	cancel  context.CancelFunc
-	running sync.WaitGroup
+	running sync.WaitGroup // goroutines of the pool
 }
 
-// start starts a pool.
+// start builds and starts a pool with at most maxConns upstream connections.
 func (d *poolsDaemon) start(spec *config.Pool, maxConns int) (*livePool, error) {
 	log := d.log.With("pool", spec.Name)
 	built, err := newPool(spec.Name, spec.Config, d.clock, maxConns, log, d.service, d.options)
@@ -44,7 +44,8 @@
 	return p, nil
 }
 
-// drain lets a pool finish the requests that were routed to it before the table changed, and stops it.
+// drain waits until a removed pool has finished the requests that were routed to it before its removal, and stops the
+// pool. It waits at most drainMargin plus the pool's longest deadline.
 func (d *poolsDaemon) drain(p *livePool) {
 	d.log.Info("pool draining", "pool", p.name, "open_requests", p.target.OpenRequests())
 	end := time.Now().Add(drainMargin + p.spec.Config.MaxDeadline)
@@ -56,13 +57,13 @@
 	d.log.Info("pool stopped", "pool", p.name)
 }
 
-// stop stops a pool and waits for its goroutines; a second call does nothing.
+// stop stops a pool and waits for its goroutines. It does nothing if the pool is stopped already.
 func (d *poolsDaemon) stop(p *livePool) {
 	d.mu.Lock()
-	runs := d.running[p]
+	isRunning := d.running[p]
 	delete(d.running, p)
 	d.mu.Unlock()
-	if runs {
+	if isRunning {
 		p.cancel()
 		p.running.Wait()
 		p.transport.Close()
@@ -70,7 +71,7 @@
 	}
 }
 
-// stopAll stops all pools, draining ones too.
+// stopAll stops all pools, including draining pools.
 func (d *poolsDaemon) stopAll() {
 	d.mu.Lock()
 	var all []*livePool
--- a/internal/daemon/maintenance.go
+++ b/internal/daemon/maintenance.go
@@ -9,17 +9,17 @@
 	"caperarch/policy"
 )
 
-// maintenanceSite is what this process knows and does about the machines that maintenance plans take out.
-// It implements fleet.Site.
+// maintenanceSite gives maintenance plans access to the upstream machines of a pool. It implements fleet.Site.
 type maintenanceSite struct {
 	pool    *pool
 	cfg     *config.Config
 	clock   clock.Clock
 	metrics *metrics.Set
-	zones   map[int]string // names by number
+	zones   map[int]string // zone name by zone index
 }
 
-// attachMaintenance gives the fleet's maintenance plans the machines of a pool. Without a policy it does nothing.
+// attachMaintenance makes the machines of a pool available to the fleet's maintenance plans. It does nothing if this
+// process has no replicated policy.
 func (s *service) attachMaintenance(p *pool, cfg *config.Config, clk clock.Clock) {
 	if s.fleet == nil || s.fleet.Policy() == nil {
 		return
@@ -31,7 +31,8 @@
 	s.fleet.Policy().Attach(site)
 }
 
-// Machines returns the listed machines, plans left out of account; current: discovery's last answer was usable.
+// Machines returns the listed machines, without the effect of maintenance plans. current reports whether the latest
+// response from discovery was valid.
 func (site *maintenanceSite) Machines() (all []maintenance.Machine, current bool) {
 	now := site.clock.Now()
 	slowStart := &site.cfg.Policy
@@ -52,7 +53,8 @@
 	return all, site.pool.discoveryCurrent.Load()
 }
 
-// Quiet reports those of some machines that get no more requests and have none in flight. It does not wait.
+// Quiet calls report with those of the given machines that receive no new requests and have no requests in flight. It
+// does not wait for the report.
 func (site *maintenanceSite) Quiet(ids []uint64, report func(idle []uint64)) {
 	servers := make([]policy.ServerID, len(ids))
 	for i, id := range ids {
@@ -67,7 +69,8 @@
 	})
 }
 
-// Handled returns how many requests were answered since the start, and how many of them were served.
+// Handled returns the number of requests answered since the start of the process, and the number of those requests that
+// were answered successfully.
 func (site *maintenanceSite) Handled() (all, passed uint64) {
 	for _, byOutcome := range site.metrics.Handled() {
 		for outcome, n := range byOutcome {
--- a/internal/daemon/pool.go
+++ b/internal/daemon/pool.go
@@ -14,22 +14,22 @@
 	"caperarch/internal/proxy/transport/http1"
 )
 
-// pool is one pool of upstreams: an engine with the transport that it sends over and the list that it follows.
+// pool is one pool of upstreams: a decision engine with its transport and its server list.
 type pool struct {
 	name      string
-	maxConns  int             // to upstreams, of all processes of this sidecar together
-	initial   call.ServerList // what the engine starts with
+	maxConns  int             // maximum number of upstream connections of all processes of this sidecar together
+	initial   call.ServerList // server list with which the engine starts
 	target    *fronthttp1.Target
 	engine    *engine.Engine
 	follower  *membership.Follower
 	transport *http1.Transport
 	list      *cordonstore.List
 
-	unregister       func()      // from the service
-	discoveryCurrent atomic.Bool // discovery's last answer was usable
+	unregister       func()      // removes the pool from the service
+	discoveryCurrent atomic.Bool // the latest response from discovery was valid
 }
 
-// newPool builds a pool and registers it with the service. Nothing runs yet.
+// newPool builds a pool and registers it with the service. The caller starts the engine and the follower.
 func newPool(
 	name string, cfg *config.Config, clk clock.Clock, maxConns int, log *slog.Logger, s *service, o *options,
 ) (*pool, error) {
@@ -55,11 +55,12 @@
 	return p, nil
 }
 
-// openEngine opens the engine. Its callbacks use the pool's other parts, which are set before it runs.
+// openEngine creates the engine. The engine's callbacks use other fields of the pool, which newPool sets before the
+// engine runs.
 func (p *pool) openEngine(cfg *config.Config, clk clock.Clock, log *slog.Logger, s *service, o *options) error {
 	decisions := cfg.Policy
 	decisions.Processes = s.processes
-	attemptEnded := s.useFleetKnowledge(&decisions)
+	attemptEnded := s.connectFleet(&decisions)
 	var err error
 	p.engine, err = engine.New(engine.Config{
 		Policy: decisions, Seed: cfg.Seed, Clock: clk, Transport: p.transport, Log: log,
@@ -71,7 +72,7 @@
 	return err
 }
 
-// newFollower returns the follower of discovery's list.
+// newFollower returns a follower that passes lists from discovery to the pool's server list.
 func (p *pool) newFollower(cfg *config.Config, known call.ServerList, log *slog.Logger) *membership.Follower {
 	return membership.New(membership.Config{
 		Address: cfg.Discovery, Zones: cfg.Zones, OnDemand: cfg.Policy.ListOnDemand, Known: known,
--- a/internal/daemon/pools.go
+++ b/internal/daemon/pools.go
@@ -18,16 +18,16 @@
 	"caperarch/internal/proxy/route"
 )
 
-// RunPools is Run with several pools behind the listener: the operator's file says which request goes to which.
-// The process's own settings are those of cfg; its discovery and list are not used. Each signal on reload makes
-// it read the operator's file again.
+// RunPools is like Run but serves several pools of upstreams. The pools file assigns requests to pools. The limits and
+// the addresses of the process are those of cfg; the discovery address and the server list of cfg are not used. On each
+// signal from reload, RunPools reads the pools file again.
 func RunPools(
 	ctx context.Context, cfg *config.Config, pools *config.Pools, reload <-chan os.Signal, with ...Option,
 ) error {
 	return runPools(ctx, cfg, pools, nil, reload, with...)
 }
 
-// ServePools is RunPools on an open listener, which it closes.
+// ServePools is like RunPools but serves on the given listener, which it closes.
 func ServePools(
 	ctx context.Context, cfg *config.Config, pools *config.Pools, listener net.Listener, reload <-chan os.Signal,
 	with ...Option,
@@ -35,15 +35,15 @@
 	return runPools(ctx, cfg, pools, listener, reload, with...)
 }
 
-// runPools is RunPools, on a listener of its own if there is none yet.
+// runPools implements RunPools and ServePools. If listener is nil, runPools opens one on the configured address.
 func runPools(
 	ctx context.Context, cfg *config.Config, pools *config.Pools, listener net.Listener, reload <-chan os.Signal,
 	with ...Option,
 ) error {
 	d := &poolsDaemon{cfg: cfg, clock: clock.New(), log: slog.Default(), options: newOptions(with)}
 	if f := d.options.fleet; f != nil && f.Policy != nil {
-		return fmt.Errorf("%s: policy: sidecars with several pools (-pools) can't agree on one yet, "+
-			"as it is laid over one pool's settings", f.Path)
+		return fmt.Errorf("%s: policy: not supported together with several pools (-pools), "+
+			"because the fleet's policy changes the settings of a single pool", f.Path)
 	}
 	var err error
 	if d.service, err = newService(cfg, d.log, d.options); err != nil {
@@ -60,7 +60,8 @@
 	if err := d.apply(pools); err != nil {
 		return err
 	}
-	if listener == nil { // last: a client that connects is served
+	// The listener is opened last, so that a client that connects is served immediately.
+	if listener == nil {
 		if listener, err = d.service.listen(cfg); err != nil {
 			return err
 		}
@@ -72,7 +73,7 @@
 	return d.service.serveUntil(ctx, listener, reload, func() { d.reload(pools.Path) })
 }
 
-// maxDeadline is the longest deadline of any class of the process or of a pool.
+// maxDeadline returns the longest deadline of all classes of the process and of the pools.
 func maxDeadline(cfg *config.Config, pools *config.Pools) time.Duration {
 	longest := cfg.MaxDeadline
 	for _, p := range pools.List {
@@ -81,7 +82,8 @@
 	return longest
 }
 
-// poolsDaemon runs several pools. Its methods but route belong to the goroutine of RunPools.
+// poolsDaemon runs several pools. Only route is safe for concurrent use; the goroutine of RunPools calls the other
+// methods. A goroutine for each removed pool calls drain and stop.
 type poolsDaemon struct {
 	cfg     *config.Config
 	clock   clock.Clock
@@ -90,20 +92,21 @@
 	service *service
 	options *options
 
-	routing  atomic.Pointer[routing] // in force now
-	draining sync.WaitGroup          // removed pools
+	routing  atomic.Pointer[routing] // current routing
+	draining sync.WaitGroup          // goroutines that drain removed pools
 
 	mu      sync.Mutex
-	running map[*livePool]bool // removed pools that drain included; guarded by mu
+	running map[*livePool]bool // all pools that are not stopped, including draining pools; guarded by mu
 }
 
-// routing is one state of table and pools. A request ends under the one by which it arrived.
+// routing is an immutable routing table with its pools. A request completes in the pool that the routing selected when
+// the request arrived.
 type routing struct {
 	table *route.Table
 	pools map[string]*livePool
 }
 
-// reload applies the operator's file as it is now. One that can't be used changes nothing.
+// reload reads and applies the pools file. If the file is invalid, the old pools stay in use.
 func (d *poolsDaemon) reload(path string) {
 	pools, err := config.ReadPools(path)
 	if err == nil {
@@ -116,7 +119,7 @@
 	d.log.Info("pools reloaded", "pools", len(pools.List))
 }
 
-// route returns the target of a request. It may be called from any goroutine.
+// route returns the target of a request, or a rejection. It is safe for concurrent use.
 func (d *poolsDaemon) route(h *h1.Head) (*fronthttp1.Target, *fronthttp1.Rejection) {
 	now := d.routing.Load()
 	q, err := route.NewRequest(h.Host, h.Target, h.Method, h.Get("X-Priority-Class"))
--- a/internal/daemon/pools_apply.go
+++ b/internal/daemon/pools_apply.go
@@ -9,8 +9,8 @@
 	"caperarch/internal/proxy/share"
 )
 
-// apply starts the pools that are new or changed, routes requests by the new table from then on, and drains the pools
-// that were removed. An error changes nothing.
+// apply starts new and changed pools, replaces the routing table, and drains the pools that were removed or replaced.
+// If apply returns an error, the old routing stays in use.
 func (d *poolsDaemon) apply(pools *config.Pools) error {
 	before := d.routing.Load()
 	weights := poolWeights(pools)
@@ -40,7 +40,7 @@
 	return nil
 }
 
-// poolWeights are the pools' weights, in their order.
+// poolWeights returns the weights of the pools in the order of pools.List.
 func poolWeights(pools *config.Pools) []float64 {
 	weights := make([]float64, len(pools.List))
 	for i, p := range pools.List {
@@ -49,7 +49,8 @@
 	return weights
 }
 
-// poolShare is the share of a total that a pool of this weight gets among all weights.
+// poolShare returns the part of total that a pool with the given weight gets, rounded down. weights are the weights of
+// all pools.
 func poolShare(total int, weight float64, weights []float64) int {
 	sum := 0.0
 	for _, w := range weights {
@@ -58,10 +59,11 @@
 	return int(float64(total) * weight / sum)
 }
 
-// reuseOrStart returns the pool of this specification that runs already, or starts one.
+// reuseOrStart returns the running pool with this specification, resized to conns upstream connections. If no such pool
+// runs, reuseOrStart starts a new pool, and isNew is true.
 func (d *poolsDaemon) reuseOrStart(spec *config.Pool, before *routing, conns int) (p *livePool, isNew bool, err error) {
 	if conns < 1 {
-		return nil, false, fmt.Errorf("its part of %d connections to nodes is none: "+
+		return nil, false, fmt.Errorf("share of the %d upstream connections is 0: "+
 			"limits.sockets is too small, or there are too many pools", d.cfg.UpstreamConns())
 	}
 	if before != nil {
@@ -74,16 +76,18 @@
 	return p, err == nil, err
 }
 
-// capacities are what all pools hold together, shared by weight. They are made anew with each table: what older
-// requests hold counts against the capacities that they took it from, and not against the new ones, for one
-// deadline at most.
+// capacities are the limits on the resources of all pools together, shared among the pools by weight. Each routing
+// table gets new capacities. Requests that arrived under an older table count against the older capacities only, so the
+// total may exceed the limits for up to one deadline after a change.
 type capacities struct {
 	clients, calls, bodies *share.Capacity
 	callsBounded           bool
 }
 
+// newCapacities returns unused capacities with the limits of the process.
 func (d *poolsDaemon) newCapacities(weights []float64) *capacities {
-	// Some connections are left for clients that have sent nothing yet: nobody knows which pool they will use.
+	// A quarter of the client connections is reserved for clients that have not sent a request yet: the pool of such a
+	// connection is unknown.
 	withRequest := max(len(weights), d.cfg.ClientConns()*3/4)
 	return &capacities{
 		clients:      share.NewCapacity(int64(withRequest), weights),
@@ -93,14 +97,14 @@
 	}
 }
 
-// bulkhead is the share of the pool of this index.
+// bulkhead returns the limits of the pool with the given index.
 func (c *capacities) bulkhead(clk clock.Clock, pool int) *bulkhead {
 	return &bulkhead{
 		clock: clk, clients: c.clients, calls: c.calls, bodies: c.bodies, pool: pool, bounded: c.callsBounded,
 	}
 }
 
-// shareFront divides the front's own work among the pools by weight, if the file says so.
+// shareFront makes the front divide its own processing among the pools by weight, if the pools file enables bulkheads.
 func (d *poolsDaemon) shareFront(pools *config.Pools, next *routing, weights []float64) {
 	if !pools.Bulkheads {
 		d.front.ShareAmong(nil, nil)
@@ -113,7 +117,7 @@
 	d.front.ShareAmong(targets, weights)
 }
 
-// drainRemoved drains the pools that are not in the new table.
+// drainRemoved drains the pools of the old routing that are not part of the new routing.
 func (d *poolsDaemon) drainRemoved(before, next *routing) {
 	if before == nil {
 		return
--- a/internal/daemon/pools_test.go
+++ b/internal/daemon/pools_test.go
@@ -20,8 +20,8 @@
 	"caperarch/internal/lab/testbed"
 )
 
-// world is a daemon with two pools: ledger, with two thirds, and meters.
-type world struct {
+// testPools is a daemon with two pools: ledger, with two thirds of the total weight, and meters.
+type testPools struct {
 	dir, address   string
 	ledger, meters *testbed.ArrivalLog
 	nodes          map[string]*testbed.Node
@@ -48,11 +48,13 @@
 pool = "ledger"
 `
 
-func startPools(t *testing.T, edit func(file, settings map[string]any)) *world {
+// startPools starts a daemon with the pools ledger and meters. edit changes the daemon's own configuration.
+func startPools(t *testing.T, edit func(file, settings map[string]any)) *testPools {
 	t.Helper()
-	w := &world{
-		dir: t.TempDir(), ledger: new(testbed.ArrivalLog), meters: new(testbed.ArrivalLog), nodes: make(map[string]*testbed.Node),
-		lists: make(map[string]*testbed.Discovery), reload: make(chan os.Signal, 1), ended: make(chan error, 1),
+	w := &testPools{
+		dir: t.TempDir(), ledger: new(testbed.ArrivalLog), meters: new(testbed.ArrivalLog),
+		nodes: make(map[string]*testbed.Node), lists: make(map[string]*testbed.Discovery),
+		reload: make(chan os.Signal, 1), ended: make(chan error, 1),
 	}
 	for name, l := range map[string]*testbed.ArrivalLog{"ledger": w.ledger, "meters": w.meters} {
 		n := testbed.NewHTTPNode(t, name+"-0", l)
@@ -60,7 +62,8 @@
 		w.write(t, name+".json", w.config(t, name, nil))
 	}
 	w.write(t, "pools.toml", poolsText)
-	cfg, err := config.Parse([]byte(testbed.ConfigText(t, testbed.Listed(1, "ready"), edit)), func(string) string { return "" })
+	cfg, err := config.Parse([]byte(testbed.ConfigText(t, testbed.Listed(1, "ready"), edit)),
+		func(string) string { return "" })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -80,10 +83,11 @@
 	return w
 }
 
-func (w *world) config(t *testing.T, name string, edit func(file, settings map[string]any)) string {
+// config returns the configuration file of a pool, changed by edit.
+func (w *testPools) config(t *testing.T, name string, edit func(file, settings map[string]any)) string {
 	return testbed.ConfigText(t, testbed.Known(w.nodes[name]), func(file, settings map[string]any) {
 		file["discovery"] = w.lists[name].Address
-		for _, c := range settings["classes"].([]any) { // none that a case waits for
+		for _, c := range settings["classes"].([]any) { // deadlines longer than any test case takes
 			class := c.(map[string]any)
 			class["aim_ms"], class["hard_limit_ms"] = 2000.0, 4000.0
 		}
@@ -93,17 +97,19 @@
 	})
 }
 
-func (w *world) write(t *testing.T, name, text string) {
+// write writes a file into the directory of the pools file.
+func (w *testPools) write(t *testing.T, name, text string) {
 	t.Helper()
 	if err := os.WriteFile(filepath.Join(w.dir, name), []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
 }
 
+// poolCall numbers the requests of call that have no given id.
 var poolCall atomic.Int64
 
-// call makes a request to a host and returns its status and body.
-func (w *world) call(t *testing.T, host, path, id string) (int, string) {
+// call sends a request for a host and returns the status and body of the response.
+func (w *testPools) call(t *testing.T, host, path, id string) (int, string) {
 	t.Helper()
 	if id == "" {
 		id = fmt.Sprint("p", poolCall.Add(1))
@@ -115,7 +121,9 @@
 		return 0, ""
 	}
 	req.Host = host
-	for name, value := range map[string]string{"X-Request-ID": id, "X-Priority-Class": class, "X-Tenant-Id": "north", "X-Timeout": "4000m"} {
+	for name, value := range map[string]string{
+		"X-Request-ID": id, "X-Priority-Class": class, "X-Tenant-Id": "north", "X-Timeout": "4000m",
+	} {
 		req.Header.Set(name, value)
 	}
 	if class == "reading" {
@@ -135,8 +143,8 @@
 	return res.StatusCode, string(body)
 }
 
-// Each pool has what its routes say, and nothing else; what no route is for reaches no module.
-func TestPoolsByRoute(t *testing.T) {
+// Each request reaches the pool that its route selects and no other pool. A request without a route reaches no pool.
+func TestRequestsReachTheRoutedPool(t *testing.T) {
 	w := startPools(t, nil)
 	for _, c := range []struct {
 		host, path string
@@ -154,19 +162,21 @@
 		ledger, meters := w.ledger.Len(), w.meters.Len()
 		status, body := w.call(t, c.host, c.path, "")
 		if status != c.status {
-			t.Errorf("%s%s: %d %q, want %d", c.host, c.path, status, body, c.status)
+			t.Errorf("%s%s: status %d, body %q, want status %d", c.host, c.path, status, body, c.status)
 		}
 		ledger, meters = w.ledger.Len()-ledger, w.meters.Len()-meters
 		if (c.pool == "ledger") != (ledger == 1) || (c.pool == "meters") != (meters == 1) {
-			t.Errorf("%s%s: %d to ledger and %d to meters, want it at %q", c.host, c.path, ledger, meters, c.pool)
+			t.Errorf("%s%s: ledger received %d requests and meters %d, want 1 at pool %q and 0 elsewhere",
+				c.host, c.path, ledger, meters, c.pool)
 		}
 	}
 }
 
-// Heads that two readers may take for different pools' are answered 400 or 404, and reach nobody.
+// A request head that two parsers may route to different pools is answered 400 and reaches no pool.
 func TestAmbiguousHeadsAreRejected(t *testing.T) {
 	w := startPools(t, nil)
-	const rest = "X-Request-ID: r\r\nX-Priority-Class: entry\r\nX-Tenant-Id: north\r\nX-Timeout: 900m\r\nContent-Length: 1\r\n\r\n1"
+	const rest = "X-Request-ID: r\r\nX-Priority-Class: entry\r\nX-Tenant-Id: north\r\nX-Timeout: 900m\r\n" +
+		"Content-Length: 1\r\n\r\n1"
 	const host = "Host: ledger.example.org\r\n"
 	for name, head := range map[string]string{
 		"no host":             "POST /entry HTTP/1.1\r\n",
@@ -195,16 +205,16 @@
 		}
 		res, err := http.ReadResponse(bufio.NewReader(c), nil)
 		if err != nil || res.StatusCode != http.StatusBadRequest {
-			t.Errorf("%s: %v, %v, want 400", name, res, err)
+			t.Errorf("%s: response %v, error %v, want status 400", name, res, err)
 		}
 		c.Close()
 	}
 	if n := w.ledger.Len() + w.meters.Len(); n > 0 {
-		t.Errorf("%d reached a node", n)
+		t.Errorf("%d requests reached an upstream, want 0", n)
 	}
 }
 
-// The same id is open in two pools: two requests.
+// Two open requests with the same id in different pools are different requests, and both are served.
 func TestSameIDInTwoPools(t *testing.T) {
 	w := startPools(t, nil)
 	release, arrived := make(chan struct{}), make(chan struct{}, 4)
@@ -226,50 +236,52 @@
 	close(release)
 	for range 2 {
 		if status := testbed.Wait(t, "an answer", answers); status != 200 {
-			t.Errorf("status %d", status)
+			t.Errorf("request status %d, want 200", status)
 		}
 	}
 }
 
-// One pool's list goes out of reach and its node is silent, with calls that pile up against its wall: the
-// other's are served.
-func TestOutageStaysInItsPool(t *testing.T) {
+// An outage of the discovery service and the upstream of one pool, together with a flood of requests that fill the
+// pool's bulkhead, does not affect requests to the other pool.
+func TestOutageDoesNotAffectOtherPools(t *testing.T) {
 	w := startPools(t, func(_, settings map[string]any) { settings["caps"].(map[string]any)["max_open"] = 60 })
 	if status, _ := w.call(t, "meters.example.org", "/reading", ""); status != 200 {
-		t.Fatalf("status %d before", status)
+		t.Fatalf("status %d before the outage, want 200", status)
 	}
 	w.lists["ledger"].Down(true)
 	w.nodes["ledger"].Do(testbed.Always(testbed.Hang))
 	var flood sync.WaitGroup
-	var refused atomic.Int64
+	var rejected atomic.Int64
 	for range 200 {
 		flood.Go(func() {
 			if status, _ := w.call(t, "ledger.example.org", "/entry", ""); status == 503 {
-				refused.Add(1)
+				rejected.Add(1)
 			}
 		})
 	}
-	testbed.Until(t, "the flood", func() bool { return refused.Load() > 50 })
+	testbed.Until(t, "the flood", func() bool { return rejected.Load() > 50 })
 	for range 50 {
-		begun := time.Now()
-		if status, body := w.call(t, "meters.example.org", "/reading", ""); status != 200 || time.Since(begun) > time.Second {
-			t.Errorf("%d %q after %v, want it served: the flood is the other pool's", status, body, time.Since(begun))
+		start := time.Now()
+		if status, body := w.call(t, "meters.example.org", "/reading", ""); status != 200 ||
+			time.Since(start) > time.Second {
+			t.Errorf("status %d, body %q after %v, want 200 within 1 s, because the flood is in the other pool",
+				status, body, time.Since(start))
 		}
 	}
 	if w.lists["meters"].Watches() != 1 {
-		t.Error("the other pool's watch has gone")
+		t.Error("the other pool has no watch on its discovery service")
 	}
 	flood.Wait()
 }
 
-// Reload under load, again and again: a pool is added and taken away, its routes with it; each request has one final
-// answer, and a file that can't be used changes nothing.
+// Repeated reloads under load add and remove a pool with its routes. Every request gets a valid response, and an
+// invalid pools file changes nothing.
 func TestReloadUnderLoad(t *testing.T) {
 	w := startPools(t, nil)
 	const extra = "[pools.extra]\nconfig = \"ledger.json\"\n[[routes]]\nhost = \"extra.example.org\"\npool = \"extra\"\n"
 	stop := make(chan struct{})
 	var load sync.WaitGroup
-	var served, gone, other atomic.Int64
+	var served, unrouted, unexpected atomic.Int64
 	for worker := range 6 {
 		load.Go(func() {
 			host := []string{"ledger.example.org", "meters.example.org", "extra.example.org"}[worker%3]
@@ -283,10 +295,10 @@
 				case status == 200:
 					served.Add(1)
 				case status == 404 && worker%3 == 2:
-					gone.Add(1)
+					unrouted.Add(1)
 				default:
-					other.Add(1)
-					t.Errorf("%s: %d %q", host, status, body)
+					unexpected.Add(1)
+					t.Errorf("host %s: status %d, body %q", host, status, body)
 				}
 			}
 		})
@@ -308,15 +320,16 @@
 	}
 	close(stop)
 	load.Wait()
-	if served.Load() < 100 || gone.Load() == 0 {
-		t.Errorf("served %d, no route for %d: nothing is shown", served.Load(), gone.Load())
+	if served.Load() < 100 || unrouted.Load() == 0 {
+		t.Errorf("%d requests served and %d without a route, want at least 100 and 1", served.Load(), unrouted.Load())
 	}
 	w.stop()
 	if err := testbed.Wait(t, "the end", w.ended); err != nil {
-		t.Errorf("ended with %v", err)
+		t.Errorf("daemon ended with error %v", err)
 	}
 }
 
+// Explain names the pool, the line of the rule or the missing route, and rejects an ambiguous path.
 func TestExplain(t *testing.T) {
 	w := startPools(t, nil)
 	pools, err := config.ReadPools(filepath.Join(w.dir, "pools.toml"))
@@ -324,13 +337,15 @@
 		t.Fatal(err)
 	}
 	for url, want := range map[string]string{
-		"http://ledger.example.org/entry/7": "pool ledger", "http://meters.example.org/reading": "line 9", "http://meters.example.org/entry": "no route",
+		"http://ledger.example.org/entry/7": "pool ledger",
+		"http://meters.example.org/reading": "line 9",
+		"http://meters.example.org/entry":   "no route",
 	} {
 		if text, err := Explain(pools, "POST", url, ""); err != nil || !strings.Contains(text, want) {
-			t.Errorf("%s: %q, %v, want %q", url, text, err, want)
+			t.Errorf("%s: explanation %q, error %v, want a text with %q", url, text, err, want)
 		}
 	}
 	if _, err := Explain(pools, "POST", "http://a/b/../c", ""); err == nil {
-		t.Error("a path of two readings was explained")
+		t.Error("Explain accepted a path with dot segments")
 	}
 }
--- a/internal/daemon/replace.go
+++ b/internal/daemon/replace.go
@@ -15,49 +15,51 @@
 )
 
 const (
-	processPollInterval = 50 * time.Millisecond // for processes that started or ended
+	processPollInterval = 50 * time.Millisecond // interval of checks whether processes of this sidecar started or ended
 
-	// recordTimeout bounds the wait for the handover record. The older process finds this one and writes the
-	// record in a tenth of it.
+	// recordTimeout limits the wait for the handover record. The older process usually detects this process and writes
+	// the record within a tenth of recordTimeout.
 	recordTimeout = 400 * time.Millisecond
 )
 
-// openSeat claims this process's seat among those of its sidecar, and reads the record of the one that it replaces.
-func (s *service) openSeat(dir string) {
+// openCoordinator makes this process the primary of its sidecar, or a successor that reads the handover record of the
+// process that it replaces.
+func (s *service) openCoordinator(dir string) {
 	s.processCount.Store(1)
 	if dir != "" {
-		seat, err := handover.Open(dir)
+		coordinator, err := handover.Open(dir)
 		if err != nil {
 			s.log.Error("this process can't be replaced while it serves", "error", err)
 		} else {
-			s.seat = seat
+			s.coordinator = coordinator
 			s.awaitRecord()
 		}
 	}
 	s.applyLimits()
 }
 
-// awaitRecord waits for the record of the process that this one replaces, if there is one.
+// awaitRecord waits for the handover record if this process replaces an older process.
 func (s *service) awaitRecord() {
-	s.machine.ID = s.seat.ID()
-	if s.machine.ID == "" {
+	s.stateMachine.ID = s.coordinator.ID()
+	if s.stateMachine.ID == "" {
 		return
 	}
 	s.processCount.Store(2)
 	var err error
-	if s.record, err = s.seat.AwaitRecord(recordTimeout); err != nil {
+	if s.record, err = s.coordinator.AwaitRecord(recordTimeout); err != nil {
 		s.log.Warn("another process serves, this one starts without what that one knows", "error", err)
 		return
 	}
 	s.log.Info("another process serves, this one takes over from it")
 }
 
-// listen listens for clients, on an address that the process that replaces this one may listen on too.
+// listen listens for clients. If this process can be replaced while it serves, other processes of this sidecar may
+// listen on the same address.
 func (s *service) listen(cfg *config.Config) (net.Listener, error) {
 	var listener net.Listener
 	var err error
 	steered := true
-	if s.seat == nil {
+	if s.coordinator == nil {
 		listener, err = net.Listen("tcp", cfg.Listen)
 	} else {
 		listener, steered, err = handover.Listen(cfg.Listen)
@@ -66,14 +68,14 @@
 		return nil, fmt.Errorf("listen: %w", err)
 	}
 	if !steered {
-		s.log.Warn("new connections can't be steered: in a replacement the old process goes on getting some of them")
+		s.log.Warn("kernel does not steer new connections: during a replacement the old process still gets some of them")
 	}
 	return listener, nil
 }
 
-// initialList is the list that a pool starts with, and the upstreams that were listed before. The record of the
-// process that this one replaces is newer than the configuration, unless the configuration's list has a later
-// version.
+// initialList returns the server list with which a pool starts, and the upstreams that were listed earlier and are no
+// longer. The list of the handover record takes precedence over the configured list, unless the configured list has a
+// later version.
 func (s *service) initialList(pool string, configured call.ServerList) (call.ServerList, []policy.ServerID) {
 	if s.record == nil {
 		return configured, nil
@@ -85,47 +87,49 @@
 	return recorded.ServerList(), recorded.Delisted
 }
 
-// watchProcesses looks for processes of this sidecar that start or end, until ctx ends.
+// watchProcesses calls checkProcesses at intervals of processPollInterval until ctx is done.
 func (s *service) watchProcesses(ctx context.Context) {
-	if s.seat == nil {
+	if s.coordinator == nil {
 		return
 	}
 	clock.Every(ctx, processPollInterval, s.checkProcesses)
 }
 
-// checkProcesses does what the live processes call for. This process shrinks its limits before it writes the
-// record that lets a newcomer use its share.
+// checkProcesses observes the live processes of this sidecar and executes the resulting action. The process reduces its
+// own limits before it writes the handover record, because a successor that has the record uses its share of the
+// limits.
 func (s *service) checkProcesses() {
-	seen := s.seat.Observe()
+	seen := s.coordinator.Observe()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	seen.HoldsFewConns = s.holdsFewConns()
-	action := s.machine.Decide(seen)
+	action := s.stateMachine.Decide(seen)
 	if before := s.processes(); action.ProcessCount != before {
 		s.log.Info("processes of this sidecar", "now", action.ProcessCount, "before", before)
 		s.processCount.Store(int32(action.ProcessCount))
 		s.applyLimits()
 	}
-	if action.ReleaseSeat { // after the limits
-		s.seat.Release()
+	if action.ReleaseLocks { // after the limits are reduced: the other process may then use the full limits
+		s.coordinator.Release()
 	}
 	if action.WriteRecordFor != "" {
 		s.writeRecord(action.WriteRecordFor)
 	}
 }
 
-// writeRecord writes the handover record for the process of this id. The caller holds mu.
+// writeRecord writes the handover record for the successor with the given id. The caller holds mu.
 func (s *service) writeRecord(id string) {
 	record := &handover.Record{Pools: make(map[string]handover.Pool)}
 	for p := range s.pools {
 		record.Pools[p.name] = handover.NewPool(p.list.Listed())
 	}
-	if err := s.seat.WriteRecord(id, record); err != nil {
+	if err := s.coordinator.WriteRecord(id, record); err != nil {
 		s.log.Error("handover record not written", "error", err)
 	}
 }
 
-// holdsFewConns says whether this process holds no more than one that leaves may hold. The caller holds mu.
+// holdsFewConns reports whether this process holds at most as many connections as a leaving process may hold after it
+// has released its locks. The caller holds mu.
 func (s *service) holdsFewConns() bool {
 	if s.front == nil || s.front.Counters().Open > s.maxClientConns/handover.LeavingDivisor {
 		return false
@@ -138,7 +142,8 @@
 	return true
 }
 
-// applyLimits bounds this process to its share of the sidecar's limits. The caller holds mu, or runs alone.
+// applyLimits limits this process to its share of the sidecar's limits. The caller holds mu, or no other goroutine uses
+// the service yet.
 func (s *service) applyLimits() {
 	if s.memoryLimit > 0 {
 		debug.SetMemoryLimit(s.memoryLimit / int64(s.processes()))
@@ -151,16 +156,16 @@
 	}
 }
 
-// applyPoolLimits bounds a pool to this process's share of its limits. The caller holds mu.
+// applyPoolLimits limits a pool to this process's share of the pool's limits. The caller holds mu.
 func (s *service) applyPoolLimits(p *pool) {
 	p.transport.Resize(p.maxConns / s.processes())
 	p.target.SetProcessCount(s.processes())
 }
 
-// processes returns how many processes of this sidecar live, this one included. It never waits.
+// processes returns the number of live processes of this sidecar, including this process. It does not block.
 func (s *service) processes() int { return int(s.processCount.Load()) }
 
-// resizePool sets how many connections to upstreams a pool may hold, in all processes together.
+// resizePool sets the maximum number of upstream connections of a pool in all processes of this sidecar together.
 func (s *service) resizePool(p *pool, maxConns int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -168,9 +173,9 @@
 	s.applyPoolLimits(p)
 }
 
-// beginLeaving notes that this process was told to stop.
+// beginLeaving records that this process was told to stop.
 func (s *service) beginLeaving() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.machine.Leaving()
+	s.stateMachine.SetLeaving()
 }
--- a/internal/daemon/service.go
+++ b/internal/daemon/service.go
@@ -21,34 +21,35 @@
 	"caperarch/internal/proxy/metrics"
 )
 
-// metricsLogInterval is the time between two lines of the log with all metrics.
+// metricsLogInterval is the interval at which all metrics are logged.
 const metricsLogInterval = 10 * time.Second
 
-// service is the process as operators see it, whatever pools it has. It implements control.Handler.
+// service implements the functions of the process that do not depend on the number of pools: control calls, bans,
+// metrics, fleet membership and the handover between processes. It implements control.Handler.
 type service struct {
 	log            *slog.Logger
 	metrics        *metrics.Set
 	cordons        *cordonstore.Store
-	control        net.Listener     // nil: no control calls
-	maxCallers     int              // of control calls, at once
-	memoryLimit    int64            // bytes of the heap; 0: no limit is known
-	maxClientConns int              // of all processes of this sidecar together
-	seat           *handover.Seat   // nil: this process can't be replaced while it serves
-	record         *handover.Record // of the process that this one replaces; nil: none
-
-	fleet      *fleet.Fleet // nil: sidecars know nothing of each other
-	leaveFleet func()       // announces that this process leaves, and waits for that; nil: not in a fleet
-
-	processCount atomic.Int32 // live processes of this sidecar; changed under mu
-
-	mu      sync.Mutex
-	machine handover.Machine  // guarded by mu
-	pools   map[*pool]bool    // guarded by mu
-	front   *fronthttp1.Front // set once by start, under mu; nil: not yet
+	control        net.Listener          // nil: the control port is disabled
+	maxCallers     int                   // maximum number of concurrent control callers
+	memoryLimit    int64                 // heap limit in bytes; 0: no limit is known
+	maxClientConns int                   // maximum number of client connections of all processes of this sidecar
+	coordinator    *handover.Coordinator // nil: this process can't be replaced while it serves
+	record         *handover.Record      // handover record of the process that this process replaces; nil: none
+
+	fleet      *fleet.Fleet // nil: this process belongs to no fleet
+	leaveFleet func()       // announces that this process leaves the fleet, and waits; nil: it has not joined a fleet
+
+	processCount atomic.Int32 // number of live processes of this sidecar; written only under mu
+
+	mu           sync.Mutex
+	stateMachine handover.StateMachine // guarded by mu
+	pools        map[*pool]bool        // guarded by mu
+	front        *fronthttp1.Front     // set once by start, under mu; nil before start
 }
 
-// newService opens the control listener, the fleet and the seat of this process. Control calls are answered
-// from start on.
+// newService opens the control listener, creates the fleet member and registers this process with the other processes
+// of its sidecar. start begins to answer control calls.
 func newService(cfg *config.Config, log *slog.Logger, o *options) (*service, error) {
 	s := &service{
 		log:            log,
@@ -56,7 +57,7 @@
 		pools:          make(map[*pool]bool),
 		maxCallers:     control.CallerLimit(cfg.Sockets),
 		maxClientConns: cfg.ClientConns(),
-		memoryLimit:    int64(cfg.MemoryMB) << 20 / 2, // well under the size at which the process is killed
+		memoryLimit:    int64(cfg.MemoryMB) << 20 / 2, // half of the size at which the process is killed
 	}
 	if o.fleet != nil {
 		var err error
@@ -71,15 +72,15 @@
 			return nil, fmt.Errorf("control: %w", err)
 		}
 		if dir = os.Getenv("TMPDIR"); dir == "" {
-			log.Warn("TMPDIR is not set: bans by hand end with this process, and it can't be replaced while it serves")
+			log.Warn("TMPDIR is not set: bans end with this process, and the process can't be replaced while it serves")
 		}
 	}
-	s.openSeat(dir)
+	s.openCoordinator(dir)
 	s.cordons = cordonstore.New(dir, log)
 	return s, nil
 }
 
-// close leaves the fleet, and releases the control listener and the seat.
+// close leaves the fleet, closes the control listener and releases the locks of this process.
 func (s *service) close() {
 	if s.leaveFleet != nil {
 		s.leaveFleet()
@@ -87,20 +88,20 @@
 	if s.control != nil {
 		s.control.Close()
 	}
-	if s.seat != nil {
-		s.seat.Close()
+	if s.coordinator != nil {
+		s.coordinator.Close()
 	}
 }
 
-// register adds a pool; the function that it returns removes it.
+// register adds a pool and returns the function that removes the pool.
 func (s *service) register(p *pool) (unregister func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.pools[p] = true
 	s.applyPoolLimits(p)
 	unfollow := s.metrics.FollowUpstreams(func() (known, skipped int) {
-		known, out := p.list.Counts()
-		return known, min(known, out+p.engine.Avoided())
+		known, excluded := p.list.Counts()
+		return known, min(known, excluded+p.engine.Avoided())
 	})
 	return func() {
 		s.mu.Lock()
@@ -111,12 +112,12 @@
 	}
 }
 
-// start makes the front known and starts what runs beside it until ctx ends: control calls, bans, the handover to the
-// next process and the log of metrics.
+// start registers the front and starts the goroutines that run until ctx is done: control calls, bans, the handover to
+// a successor, and the log of metrics.
 func (s *service) start(ctx context.Context, front *fronthttp1.Front) {
 	s.mu.Lock()
 	s.front = front
-	s.machine.Serving()
+	s.stateMachine.SetServing()
 	front.SetProcessCount(s.processes())
 	s.mu.Unlock()
 	s.joinFleet()
@@ -130,14 +131,14 @@
 	go s.logMetrics(ctx)
 }
 
-// serveControl answers control calls until the listener is closed.
+// serveControl serves control calls until the control listener is closed.
 func (s *service) serveControl() {
 	if err := control.New(s, s.maxCallers).Serve(s.control); !errors.Is(err, net.ErrClosed) {
 		s.log.Error("control listener failed", "error", err)
 	}
 }
 
-// logMetrics writes all metrics to the log from time to time, until ctx ends.
+// logMetrics logs all metrics at intervals of metricsLogInterval until ctx is done.
 func (s *service) logMetrics(ctx context.Context) {
 	ticker := time.NewTicker(metricsLogInterval)
 	defer ticker.Stop()
@@ -151,14 +152,14 @@
 	}
 }
 
-// Why the process can't serve.
+// Errors of Health.
 var (
 	errNotServing  = errors.New("clients can't connect yet, or a stop is under way")
 	errEngineDown  = errors.New("an engine does not run")
 	errNoUpstreams = errors.New("no upstream is known")
 )
 
-// Health returns why this process can't serve; nil: it can.
+// Health returns nil if this process can serve requests, or an error that states why it can't.
 func (s *service) Health() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -182,8 +183,8 @@
 // Counters writes all metrics.
 func (s *service) Counters(to io.Writer) error { return s.metrics.Snapshot().WriteText(to) }
 
-// Cordon bans an upstream.
+// Cordon bans an upstream in all pools.
 func (s *service) Cordon(id string) error { return s.cordons.Cordon(id) }
 
-// Uncordon lifts the ban.
+// Uncordon lifts the ban on an upstream in all pools.
 func (s *service) Uncordon(id string) error { return s.cordons.Uncordon(id) }
--- a/internal/daemon/service_test.go
+++ b/internal/daemon/service_test.go
@@ -14,15 +14,16 @@
 	"caperarch/internal/lab/testbed"
 )
 
-// operator has the control address of a sidecar.
-type operator struct{ address string }
+// controlClient makes control calls to a sidecar.
+type controlClient struct{ address string }
 
-// operated starts a sidecar with a control address and a folder for bans.
-func operated(t *testing.T, addresses ...string) (*running, operator) {
+// startWithControl starts a sidecar with a control port and a directory for the bans file, and waits until the sidecar
+// is healthy.
+func startWithControl(t *testing.T, addresses ...string) (*testSidecar, controlClient) {
 	t.Helper()
-	o := operator{testbed.FreeAddress(t)}
+	o := controlClient{testbed.FreeAddress(t)}
 	t.Setenv("TMPDIR", t.TempDir())
-	side := start(t, func(file, _ map[string]any) { file["control"] = o.address }, addresses...)
+	sidecar := startSidecar(t, func(file, _ map[string]any) { file["control"] = o.address }, addresses...)
 	testbed.Until(t, "the control address", func() bool {
 		c, err := net.Dial("tcp", o.address)
 		if err == nil {
@@ -30,10 +31,11 @@
 		}
 		return err == nil && strings.HasPrefix(o.call(t, "health"), "200")
 	})
-	return side, o
+	return sidecar, o
 }
 
-func (o operator) call(t *testing.T, line string) string {
+// call makes a control call and returns the response.
+func (o controlClient) call(t *testing.T, line string) string {
 	t.Helper()
 	text, err := testbed.Operate(o.address, line)
 	if err != nil {
@@ -42,11 +44,12 @@
 	return text
 }
 
-func (o operator) figures(t *testing.T) map[string]int {
+// counters makes a counters call and returns the value of each metric.
+func (o controlClient) counters(t *testing.T) map[string]int {
 	t.Helper()
 	text := o.call(t, "counters")
 	if !strings.HasSuffix(text, "\nEOF\n") {
-		t.Fatalf("figures end with %q", text[max(0, len(text)-40):])
+		t.Fatalf("counters response ends with %q, want EOF", text[max(0, len(text)-40):])
 	}
 	got := make(map[string]int)
 	for line := range strings.Lines(text) {
@@ -57,59 +60,63 @@
 	return got
 }
 
-func (o operator) want(t *testing.T, line, begin string) {
+// wantResponse makes a control call and checks that the response is one line that begins with prefix.
+func (o controlClient) wantResponse(t *testing.T, line, prefix string) {
 	t.Helper()
-	if got := o.call(t, line); !strings.HasPrefix(got, begin) || strings.Count(got, "\n") != 1 {
-		t.Errorf("%s: %q, want one line that begins with %s", line, got, begin)
+	if got := o.call(t, line); !strings.HasPrefix(got, prefix) || strings.Count(got, "\n") != 1 {
+		t.Errorf("call %s: response %q, want one line that begins with %s", line, got, prefix)
 	}
 }
 
-// From the yes on nothing new goes to an upstream that is out by hand, whatever the next list says; from the
-// call back on it is used again.
+// After the response to a cordon call, the banned upstream gets no new requests. After the response to an uncordon
+// call, the upstream gets requests again. If all upstreams are banned, requests are rejected with 503 within 1 s.
 func TestBannedUpstreamGetsNoRequests(t *testing.T) {
 	a, b := testbed.NewStub(t, testbed.Echo), testbed.NewStub(t, testbed.Echo)
-	side, o := operated(t, a.Address, b.Address)
-	o.want(t, "health", "200")
-	ask := func(n int) {
+	sidecar, o := startWithControl(t, a.Address, b.Address)
+	o.wantResponse(t, "health", "200")
+	sendRequests := func(n int) {
 		t.Helper()
 		for i := range n {
-			if res, _ := do(t, side.request(t, "GET", "/look", "", "X-Request-ID", fmt.Sprint("r", i))); res.StatusCode != http.StatusOK {
-				t.Fatalf("%s", res.Status)
+			if res, _ := do(t, sidecar.request(
+				t, "GET", "/look", "", "X-Request-ID", fmt.Sprint("r", i),
+			)); res.StatusCode != http.StatusOK {
+				t.Fatalf("request: status %s, want 200", res.Status)
 			}
 		}
 	}
-	ask(20)
+	sendRequests(20)
 	if len(a.Seen) == 0 || len(b.Seen) == 0 {
-		t.Fatalf("%d and %d requests: both are to be used", len(a.Seen), len(b.Seen))
+		t.Fatalf("upstreams received %d and %d requests, want at least 1 each", len(a.Seen), len(b.Seen))
 	}
-	o.want(t, "cordon s-0", "200")
-	o.want(t, "cordon s-0", "200")
-	if f := o.figures(t); f["edge_known_upstreams"] != 2 || f["edge_skipped_upstreams"] != 1 {
-		t.Errorf("known %d, skipped %d", f["edge_known_upstreams"], f["edge_skipped_upstreams"])
+	o.wantResponse(t, "cordon s-0", "200")
+	o.wantResponse(t, "cordon s-0", "200")
+	if f := o.counters(t); f["edge_known_upstreams"] != 2 || f["edge_skipped_upstreams"] != 1 {
+		t.Errorf("metrics: %d known and %d skipped upstreams, want 2 and 1",
+			f["edge_known_upstreams"], f["edge_skipped_upstreams"])
 	}
 	before := len(a.Seen)
-	ask(20)
+	sendRequests(20)
 	if got := len(a.Seen); got != before {
-		t.Errorf("%d requests went to what is out by hand", got-before)
+		t.Errorf("banned upstream received %d requests, want 0", got-before)
 	}
-	o.want(t, "cordon nobody", "400")
-	o.want(t, "cordon", "400")
-	o.want(t, "cordon s-1", "200") // all are out: refused at once
-	begun := time.Now()
-	res, _ := do(t, side.request(t, "GET", "/look", "", "X-Timeout", "600m"))
-	if res.StatusCode != http.StatusServiceUnavailable || time.Since(begun) > time.Second {
-		t.Errorf("all out: %s after %v", res.Status, time.Since(begun))
+	o.wantResponse(t, "cordon nobody", "400")
+	o.wantResponse(t, "cordon", "400")
+	o.wantResponse(t, "cordon s-1", "200") // all upstreams are banned now
+	start := time.Now()
+	res, _ := do(t, sidecar.request(t, "GET", "/look", "", "X-Timeout", "600m"))
+	if res.StatusCode != http.StatusServiceUnavailable || time.Since(start) > time.Second {
+		t.Errorf("all upstreams banned: status %s after %v, want 503 within 1 s", res.Status, time.Since(start))
 	}
-	o.want(t, "uncordon s-1", "200")
-	o.want(t, "uncordon s-0", "200")
-	ask(20)
+	o.wantResponse(t, "uncordon s-1", "200")
+	o.wantResponse(t, "uncordon s-0", "200")
+	sendRequests(20)
 	if len(a.Seen) == before {
-		t.Error("it is not used again")
+		t.Error("upstream received no requests after its ban was lifted")
 	}
 }
 
-// Whatever ends how: what was taken is what was passed, dropped, failed and what is in progress, and the
-// upstreams had as many attempts as were counted.
+// With upstreams that serve, fail, reject and reset, and clients that disconnect, the number of requests equals the sum
+// of the outcome counters, and the attempts counter matches the attempts that the upstreams received.
 func TestCountersAddUp(t *testing.T) {
 	var l testbed.ArrivalLog
 	var addresses []string
@@ -119,9 +126,9 @@
 		n.Do(testbed.Always(act))
 		addresses = append(addresses, n.Address)
 	}
-	side, o := operated(t, addresses...)
+	sidecar, o := startWithControl(t, addresses...)
 	var mu sync.Mutex
-	told := make(map[string]int)
+	outcomes := make(map[string]int)
 	var all sync.WaitGroup
 	for i := range 120 {
 		class, method, headers := "look", "GET", []string{"X-Request-ID", fmt.Sprint("r", i)}
@@ -135,12 +142,12 @@
 		if method == "POST" {
 			body = "1"
 		}
-		req := side.request(t, method, "/"+class, body, headers...)
-		leaves := i%10 == 9
+		req := sidecar.request(t, method, "/"+class, body, headers...)
+		disconnects := i%10 == 9
 		ctx, cancel := context.WithCancel(context.Background())
 		all.Go(func() {
 			defer cancel()
-			if leaves {
+			if disconnects {
 				time.AfterFunc(time.Duration(i)*50*time.Microsecond, cancel)
 			}
 			res, err := (&http.Transport{DisableKeepAlives: true}).RoundTrip(req.WithContext(ctx))
@@ -155,12 +162,12 @@
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			told[outcome]++
+			outcomes[outcome]++
 		})
 	}
 	all.Wait()
 	var f map[string]int
-	testbed.Until(t, "nothing in progress", func() bool { f = o.figures(t); return f["edge_in_progress"] == 0 })
+	testbed.Until(t, "nothing in progress", func() bool { f = o.counters(t); return f["edge_in_progress"] == 0 })
 	sum := 0
 	for _, outcome := range []string{"passed", "dropped", "bad_gateway"} {
 		n := 0
@@ -168,14 +175,15 @@
 			n += f[fmt.Sprintf(`edge_handled_total{category=%q,outcome=%q}`, class, outcome)]
 		}
 		sum += n
-		if off := n - told[outcome]; off < 0 || off > told["left"] {
-			t.Errorf("%s: %d counted, clients had %d (%d left)", outcome, n, told[outcome], told["left"])
+		if excess := n - outcomes[outcome]; excess < 0 || excess > outcomes["left"] {
+			t.Errorf("outcome %s: counter is %d, clients observed %d (%d clients disconnected)",
+				outcome, n, outcomes[outcome], outcomes["left"])
 		}
 	}
-	if sum < 120-told["left"] || sum > 120 {
-		t.Errorf("%d outcomes for 120 requests of which %d left", sum, told["left"])
+	if sum < 120-outcomes["left"] || sum > 120 {
+		t.Errorf("counters have %d outcomes for 120 requests, of which %d clients disconnected", sum, outcomes["left"])
 	}
-	if got, had := f["edge_upstream_tries_total"], len(l.All()); got < had || got > had+told["left"] {
-		t.Errorf("%d attempts counted, upstreams had %d", got, had)
+	if got, had := f["edge_upstream_tries_total"], len(l.All()); got < had || got > had+outcomes["left"] {
+		t.Errorf("attempts counter is %d, upstreams received %d attempts", got, had)
 	}
 }
--- a/internal/daemon/stub_test.go
+++ b/internal/daemon/sidecar_test.go
@@ -13,19 +13,19 @@
 	"caperarch/internal/lab/testbed"
 )
 
-// running is a whole sidecar over loopback.
-type running struct {
+// testSidecar is a complete sidecar that listens on the loopback interface.
+type testSidecar struct {
 	url   string
 	stop  func()
-	ended chan error
+	ended chan error // receives the result of Serve
 }
 
-// start serves with the stubs' addresses as the list of servers, which discovery repeats.
-func start(t *testing.T, edit func(file, settings map[string]any), addresses ...string) *running {
+// startSidecar starts a sidecar. Its configuration and its discovery service list servers with the given addresses.
+func startSidecar(t *testing.T, edit func(file, settings map[string]any), addresses ...string) *testSidecar {
 	t.Helper()
 	list := testbed.Listed(1, "ready", addresses...)
 	d := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if r.URL.RawQuery != "" { // a watch: nothing changes
+		if r.URL.RawQuery != "" { // a watch request: the list does not change
 			<-r.Context().Done()
 			return
 		}
@@ -46,7 +46,7 @@
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	s := &running{url: "http://" + l.Addr().String(), stop: cancel, ended: make(chan error, 1)}
+	s := &testSidecar{url: "http://" + l.Addr().String(), stop: cancel, ended: make(chan error, 1)}
 	go func() { s.ended <- Serve(ctx, cfg, l, nil) }()
 	t.Cleanup(func() {
 		cancel()
@@ -55,8 +55,9 @@
 	return s
 }
 
-// request is a usable request of a class; change edits it before it is sent.
-func (s *running) request(t *testing.T, method, path, body string, headers ...string) *http.Request {
+// request returns a valid request whose class is the first segment of the path. headers are pairs of names and values
+// that replace the default headers; an empty value removes the header.
+func (s *testSidecar) request(t *testing.T, method, path, body string, headers ...string) *http.Request {
 	t.Helper()
 	req, err := http.NewRequest(method, s.url+path, strings.NewReader(body))
 	if err != nil {
@@ -78,7 +79,7 @@
 	return req
 }
 
-// do sends a request on a connection of its own and returns the answer with its body.
+// do sends a request on a new connection and returns the response and its body.
 func do(t *testing.T, req *http.Request) (*http.Response, string) {
 	t.Helper()
 	client := http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: testbed.Generous}
