--- a/internal/daemon/bulkhead.go
+++ b/internal/daemon/bulkhead.go
@@ -9,14 +9,15 @@
 // of other pools. It implements fronthttp1.SharedLimits.
 type bulkhead struct {
 	clock   clock.Clock
-	clients *share.Capacity // client connections on which a request is being read
+	clients *share.Capacity // client connections on which a request body is to be read
 	calls   *share.Capacity // requests in flight
 	bodies  *share.Capacity // buffered request bodies, in bytes
 	pool    int             // index of the pool in the capacities
 	bounded bool            // the number of requests in flight is limited
 }
 
-// BeginRead reserves capacity for a connection on which a request is being read, and reports whether there was any.
+// BeginRead reserves capacity for a connection on which a request body is to be read, and reports whether there was
+// any.
 func (b *bulkhead) BeginRead() bool { return b.clients.Acquire(b.clock.Now(), b.pool, 1) }
 
 // EndRead releases the capacity that BeginRead reserved.
--- a/internal/daemon/handover/coordinator.go
+++ b/internal/daemon/handover/coordinator.go
@@ -55,14 +55,13 @@
 	if c.isPrimary, err = lock(c.primaryLock); err != nil || c.isPrimary {
 		return c, err
 	}
-	// If another successor holds the lock already, isSuccessor is false, and both successors get a record of the
-	// primary.
+	// isSuccessor is false if another successor holds the lock. Both successors then observe the older process.
 	if c.isSuccessor, err = lock(c.successorLock); err != nil {
 		return nil, err
 	}
 	c.id = rand.Text()
 	if err := durable.ReplaceUnsynced(filepath.Join(dir, successorIDName), []byte(c.id)); err != nil {
-		return nil, fmt.Errorf("arrival: %w", err)
+		return nil, fmt.Errorf("successor id not written: %w", err)
 	}
 	return c, nil
 }
--- a/internal/daemon/maintenance.go
+++ b/internal/daemon/maintenance.go
@@ -70,7 +70,7 @@
 }
 
 // Handled returns the number of requests answered since the start of the process, and the number of those requests that
-// were answered successfully.
+// were answered by an upstream.
 func (site *maintenanceSite) Handled() (all, passed uint64) {
 	for _, byOutcome := range site.metrics.Handled() {
 		for outcome, n := range byOutcome {
--- a/internal/daemon/service_test.go
+++ b/internal/daemon/service_test.go
@@ -21,23 +21,23 @@
 // is healthy.
 func startWithControl(t *testing.T, addresses ...string) (*testSidecar, controlClient) {
 	t.Helper()
-	o := controlClient{testbed.FreeAddress(t)}
+	client := controlClient{testbed.FreeAddress(t)}
 	t.Setenv("TMPDIR", t.TempDir())
-	sidecar := startSidecar(t, func(file, _ map[string]any) { file["control"] = o.address }, addresses...)
+	sidecar := startSidecar(t, func(file, _ map[string]any) { file["control"] = client.address }, addresses...)
 	testbed.Until(t, "the control address", func() bool {
-		c, err := net.Dial("tcp", o.address)
+		c, err := net.Dial("tcp", client.address)
 		if err == nil {
 			c.Close()
 		}
-		return err == nil && strings.HasPrefix(o.call(t, "health"), "200")
+		return err == nil && strings.HasPrefix(client.call(t, "health"), "200")
 	})
-	return sidecar, o
+	return sidecar, client
 }
 
 // call makes a control call and returns the response.
-func (o controlClient) call(t *testing.T, line string) string {
+func (client controlClient) call(t *testing.T, line string) string {
 	t.Helper()
-	text, err := testbed.Operate(o.address, line)
+	text, err := testbed.Operate(client.address, line)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -45,9 +45,9 @@
 }
 
 // counters makes a counters call and returns the value of each metric.
-func (o controlClient) counters(t *testing.T) map[string]int {
+func (client controlClient) counters(t *testing.T) map[string]int {
 	t.Helper()
-	text := o.call(t, "counters")
+	text := client.call(t, "counters")
 	if !strings.HasSuffix(text, "\nEOF\n") {
 		t.Fatalf("counters response ends with %q, want EOF", text[max(0, len(text)-40):])
 	}
@@ -61,9 +61,9 @@
 }
 
 // wantResponse makes a control call and checks that the response is one line that begins with prefix.
-func (o controlClient) wantResponse(t *testing.T, line, prefix string) {
+func (client controlClient) wantResponse(t *testing.T, line, prefix string) {
 	t.Helper()
-	if got := o.call(t, line); !strings.HasPrefix(got, prefix) || strings.Count(got, "\n") != 1 {
+	if got := client.call(t, line); !strings.HasPrefix(got, prefix) || strings.Count(got, "\n") != 1 {
 		t.Errorf("call %s: response %q, want one line that begins with %s", line, got, prefix)
 	}
 }
@@ -72,8 +72,8 @@
 // call, the upstream gets requests again. If all upstreams are banned, requests are rejected with 503 within 1 s.
 func TestBannedUpstreamGetsNoRequests(t *testing.T) {
 	a, b := testbed.NewStub(t, testbed.Echo), testbed.NewStub(t, testbed.Echo)
-	sidecar, o := startWithControl(t, a.Address, b.Address)
-	o.wantResponse(t, "health", "200")
+	sidecar, client := startWithControl(t, a.Address, b.Address)
+	client.wantResponse(t, "health", "200")
 	sendRequests := func(n int) {
 		t.Helper()
 		for i := range n {
@@ -88,9 +88,9 @@
 	if len(a.Seen) == 0 || len(b.Seen) == 0 {
 		t.Fatalf("upstreams received %d and %d requests, want at least 1 each", len(a.Seen), len(b.Seen))
 	}
-	o.wantResponse(t, "cordon s-0", "200")
-	o.wantResponse(t, "cordon s-0", "200")
-	if f := o.counters(t); f["edge_known_upstreams"] != 2 || f["edge_skipped_upstreams"] != 1 {
+	client.wantResponse(t, "cordon s-0", "200")
+	client.wantResponse(t, "cordon s-0", "200")
+	if f := client.counters(t); f["edge_known_upstreams"] != 2 || f["edge_skipped_upstreams"] != 1 {
 		t.Errorf("metrics: %d known and %d skipped upstreams, want 2 and 1",
 			f["edge_known_upstreams"], f["edge_skipped_upstreams"])
 	}
@@ -99,16 +99,16 @@
 	if got := len(a.Seen); got != before {
 		t.Errorf("banned upstream received %d requests, want 0", got-before)
 	}
-	o.wantResponse(t, "cordon nobody", "400")
-	o.wantResponse(t, "cordon", "400")
-	o.wantResponse(t, "cordon s-1", "200") // all upstreams are banned now
+	client.wantResponse(t, "cordon nobody", "400")
+	client.wantResponse(t, "cordon", "400")
+	client.wantResponse(t, "cordon s-1", "200") // all upstreams are banned now
 	start := time.Now()
 	res, _ := do(t, sidecar.request(t, "GET", "/look", "", "X-Timeout", "600m"))
 	if res.StatusCode != http.StatusServiceUnavailable || time.Since(start) > time.Second {
 		t.Errorf("all upstreams banned: status %s after %v, want 503 within 1 s", res.Status, time.Since(start))
 	}
-	o.wantResponse(t, "uncordon s-1", "200")
-	o.wantResponse(t, "uncordon s-0", "200")
+	client.wantResponse(t, "uncordon s-1", "200")
+	client.wantResponse(t, "uncordon s-0", "200")
 	sendRequests(20)
 	if len(a.Seen) == before {
 		t.Error("upstream received no requests after its ban was lifted")
@@ -126,7 +126,7 @@
 		n.Do(testbed.Always(act))
 		addresses = append(addresses, n.Address)
 	}
-	sidecar, o := startWithControl(t, addresses...)
+	sidecar, client := startWithControl(t, addresses...)
 	var mu sync.Mutex
 	outcomes := make(map[string]int)
 	var all sync.WaitGroup
@@ -167,7 +167,7 @@
 	}
 	all.Wait()
 	var f map[string]int
-	testbed.Until(t, "nothing in progress", func() bool { f = o.counters(t); return f["edge_in_progress"] == 0 })
+	testbed.Until(t, "nothing in progress", func() bool { f = client.counters(t); return f["edge_in_progress"] == 0 })
 	sum := 0
 	for _, outcome := range []string{"passed", "dropped", "bad_gateway"} {
 		n := 0
