--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,6 +1,6 @@
-// Simhost plays the decision module on the simulator's wire: it hosts many
-// instances, each a policy.Balancer of its own, on standard input and output.
-// It decides nothing itself.
+// Simhost connects the decision module to the simulator. It reads batches of events from standard input and writes
+// replies with actions to standard output. It hosts many instances, each with its own policy.Balancer, and makes no
+// decisions itself.
 package main
 
 import (
@@ -18,8 +18,8 @@
 )
 
 func main() {
-	// One batch is answered at a time, so more threads only add cost; the
-	// heap is small, so collecting it rarely is cheap and keeps batches even.
+	// Simhost processes one batch at a time, so more threads would only add cost. The heap is small, so infrequent
+	// garbage collections are cheap and keep the duration of batches uniform.
 	runtime.GOMAXPROCS(1)
 	debug.SetGCPercent(800)
 	if err := serve(os.Stdin, os.Stdout); err != nil {
@@ -28,7 +28,7 @@
 	}
 }
 
-// serve answers batches until the input ends.
+// serve reads batches and writes a reply to each batch until the input ends.
 func serve(in io.Reader, out io.Writer) error {
 	h := newHost()
 	r := wire.NewReader(bufio.NewReaderSize(in, 1<<16))
@@ -50,35 +50,36 @@
 	}
 }
 
-// host holds the instances of this process and what they share: the numbered server lists and the reply under way.
+// host holds the instances of this process and their shared data.
 type host struct {
-	reply     wire.Reply
-	pages     map[uint16][]policy.Server
-	instances map[uint32]*instance
+	reply     wire.Reply                 // reply to the current batch
+	pages     map[uint16][]policy.Server // server list by page number
+	instances map[uint32]*instance       // instance by number
 }
 
+// newHost returns a host without instances.
 func newHost() *host {
 	return &host{pages: make(map[uint16][]policy.Server), instances: make(map[uint32]*instance)}
 }
 
-// instance is one sidecar; it carries out its Balancer's decisions.
+// instance is one simulated sidecar. It implements policy.Host: it writes the decisions of its Balancer to the reply.
 type instance struct {
 	host        *host
 	number      uint32
 	loadColumns wire.Columns
-	balancer    *policy.Balancer // nil: not started, or failed
-	nextLog     time.Duration    // when the counters are logged next
+	balancer    *policy.Balancer // nil: not started, or failed with a panic
+	nextLog     time.Duration    // simulated time at which the counters are logged next
 }
 
-// logInterval is the time between two lines of an instance's counters.
+// logInterval is the simulated time between two log lines with the counters of an instance.
 const logInterval = 10 * time.Second
 
-// Send implements policy.Host, as do the methods below.
+// Send sends an attempt of a request to a server.
 func (i *instance) Send(id policy.RequestID, to policy.ServerID, timeout time.Duration) {
 	i.host.reply.SendAttempt(i.number, uint32(id), wire.Upstream(to), timeout)
 }
 
-// Refuse refuses a request.
+// Refuse rejects a request and tells the client to retry after the given time.
 func (i *instance) Refuse(id policy.RequestID, retryAfter time.Duration) {
 	i.host.reply.Refuse(i.number, uint32(id), retryAfter)
 }
@@ -91,7 +92,7 @@
 	i.host.reply.CancelAttempt(i.number, uint32(id), uint8(attempt))
 }
 
-// Wake sets the timer.
+// Wake sets the timer of the instance.
 func (i *instance) Wake(after time.Duration) { i.host.reply.SetTimer(i.number, after, 0) }
 
 // Probe probes a server.
@@ -105,7 +106,7 @@
 // WatchList subscribes to the server list.
 func (i *instance) WatchList() { i.host.reply.WatchList(i.number, true) }
 
-// Log writes a line for the simulator's report.
+// Log adds a line to the simulator's report.
 func (i *instance) Log(line string) { i.host.reply.Log(i.number, line) }
 
 // batch passes the events of one batch to their instances, in order.
@@ -122,12 +123,12 @@
 		}
 	}
 	if len(body) > 0 {
-		return fmt.Errorf("%d bytes behind the last record", len(body))
+		return fmt.Errorf("%d unexpected bytes after the last record", len(body))
 	}
 	return nil
 }
 
-// record handles one event.
+// record processes the record of one event.
 func (h *host) record(now time.Duration, rec wire.Record) error {
 	switch rec.Code {
 	case wire.EvServerList:
@@ -140,7 +141,7 @@
 	case wire.EvInstanceStart, wire.EvCrash, wire.EvListUpdate, wire.EvRequest, wire.EvAttemptEnded, wire.EvTimer,
 		wire.EvClientGone, wire.EvResponseHeaders, wire.EvProbeResult:
 	default:
-		return nil // a code of a later version, or one that the module has no use for
+		return nil // a code of a later version, or an event that the decision module does not use
 	}
 	number, err := rec.Instance()
 	if err != nil {
@@ -155,12 +156,12 @@
 	}
 	i := h.instances[number]
 	if i == nil || i.balancer == nil {
-		return nil // not running: nothing may be done for it
+		return nil // the instance is not running, so it must not act
 	}
 	return i.event(now, rec)
 }
 
-// open starts an instance anew.
+// open starts an instance with a new Balancer.
 func (h *host) open(now time.Duration, number uint32, rec wire.Record) error {
 	seed, text, err := rec.InstanceStart()
 	if err != nil {
@@ -187,7 +188,8 @@
 	})
 }
 
-// guard reports a panic in the module with the wire's own fault action.
+// guard calls f. If the decision module panics, guard reports the panic to the simulator with the crash action and
+// stops the instance.
 func (i *instance) guard(f func() error) (err error) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -198,10 +200,10 @@
 	return f()
 }
 
-// event passes one event to the instance's Balancer, and logs the counters from time to time.
+// event passes one event to the Balancer, and logs the counters at intervals of logInterval.
 func (i *instance) event(now time.Duration, rec wire.Record) error {
 	if now >= i.nextLog {
-		if i.nextLog > 0 { // not at the first event: there is nothing to tell yet
+		if i.nextLog > 0 { // at the first event the counters are still 0
 			i.Log(fmt.Sprintf("counters %+v", i.balancer.Counters()))
 		}
 		i.nextLog = now + logInterval
@@ -209,7 +211,7 @@
 	return i.guard(func() error { return i.dispatch(now, rec) })
 }
 
-// dispatch calls the Balancer's method for an event.
+// dispatch calls the method of the Balancer for an event.
 func (i *instance) dispatch(now time.Duration, rec wire.Record) error {
 	switch rec.Code {
 	case wire.EvRequest:
@@ -271,17 +273,17 @@
 		i.balancer.List(now, policy.ListFailed, nil)
 		return nil
 	default:
-		return nil // a kind of a later version
+		return nil // a list kind of a later version
 	}
 	list, ok := i.host.pages[page]
 	if !ok {
-		return fmt.Errorf("instance %d: list %d was never sent", i.number, page)
+		return fmt.Errorf("instance %d: list update refers to page %d, which was never sent", i.number, page)
 	}
 	i.balancer.List(now, k, list)
 	return nil
 }
 
-// request is a client's request in the module's terms.
+// request converts a request to the type of the decision module.
 func request(q wire.Request) policy.Request {
 	r := policy.Request{
 		ID: policy.RequestID(q.ID), Class: int(q.Class), Tenant: int(q.Tenant), TimeLeft: q.TimeLeft,
@@ -293,7 +295,7 @@
 	return r
 }
 
-// ending is how an attempt ended, in the module's terms.
+// ending converts the code of an attempt's ending to the type of the decision module.
 func ending(code uint16) policy.Ending {
 	switch code {
 	case wire.EndServed:
@@ -311,10 +313,10 @@
 	case wire.EndNotSent:
 		return policy.NotSent
 	}
-	return policy.Errored // it may have run, as may whatever is not known
+	return policy.Errored // for an error or an unknown code, the request may have been executed
 }
 
-// servers is a server list in the module's terms.
+// servers converts a server list to the type of the decision module.
 func servers(entries []wire.Entry) []policy.Server {
 	list := make([]policy.Server, len(entries))
 	for i, e := range entries {
@@ -327,7 +329,7 @@
 		case wire.StateDeregistered:
 			list[i].State = policy.Deregistered
 		default:
-			list[i].State = policy.Draining // nothing new, whatever it is
+			list[i].State = policy.Draining // a server in an unknown state gets no new requests either
 		}
 	}
 	return list
