--- a/internal/fleet/swim/budget_test.go
+++ b/internal/fleet/swim/budget_test.go
@@ -9,30 +9,34 @@
 	"caperarch/internal/lab/swimsim"
 )
 
-// A hundred that start together, each with two KiB a second, come into contact and stay there;
-// where up to a fifth of the datagrams is lost nobody who lives is counted as gone, and at three in
-// ten few are, for a moment (some 700 sights of it where refutations stand behind accusations).
-func TestHundredWithinTheirBudget(t *testing.T) {
+// A fleet of 100 members that start together, each with a budget of 2 KiB/s, comes into contact and
+// stays there. With a loss of up to 20 % of the datagrams, no live member is counted as gone. With
+// a loss of 30 %, live members are rarely counted as gone, and only for a moment. If suspicions
+// were gossiped before refutations, this would happen some 700 times.
+func TestFleetStaysInContactWithinByteBudget(t *testing.T) {
 	for _, loss := range []float64{0, 0.1, 0.2, 0.3} {
-		n := swimsim.New(
+		net := swimsim.New(
 			swimsim.Config{Size: 100, Seed: 1, Loss: loss, Bytes: peer.Size, BytesPerSecond: swim.DefaultBytesPerSecond},
 		)
-		n.Run(30 * time.Second)
-		gone, lapsed := 0, 0
-		n.Seen = func(node int, c swim.Change) {
+		net.Run(30 * time.Second)
+		gone, lostContact := 0, 0
+		net.Seen = func(node int, c swim.Change) {
 			if c.Member == node && !c.Contact {
-				lapsed++
+				lostContact++
 			} else if c.State == swim.Dead {
 				gone++
 			}
 		}
-		before := n.Sent
-		n.Run(20 * time.Second)
-		if in := n.InContact(); loss < 0.3 && (in != n.Size || gone+lapsed > 0) || gone > 200 {
-			t.Errorf("loss %v: %d in contact, %d counted as gone, %d lapses", loss, in, gone, lapsed)
+		sentBefore := net.Sent
+		net.Run(20 * time.Second)
+		if inContact := net.InContact(); loss < 0.3 && (inContact != net.Size || gone+lostContact > 0) || gone > 200 {
+			t.Errorf(
+				"loss %v: %d of 100 members in contact, %d times counted as gone, %d times lost contact",
+				loss, inContact, gone, lostContact,
+			)
 		}
-		if each := float64(n.Sent-before) / 20 / 100; each > 40 {
-			t.Errorf("loss %v: %.0f datagrams a second each", loss, each)
+		if datagramRate := float64(net.Sent-sentBefore) / 20 / 100; datagramRate > 40 {
+			t.Errorf("loss %v: %.0f datagrams/s per member, want at most 40", loss, datagramRate)
 		}
 	}
 }
--- a/internal/fleet/swim/contact.go
+++ b/internal/fleet/swim/contact.go
@@ -5,53 +5,57 @@
 	"time"
 )
 
-// InContact reports whether this node is in contact. Ask it where something depends on it, at that
-// moment: a process that was stopped finds its lease expired at its first call.
+// InContact reports whether this node is in contact with the fleet. Callers must not cache the
+// result: in a process that was stopped, the first call after the stop finds that the lease has
+// expired.
 func (n *Node) InContact(now time.Duration) bool {
 	n.refreshContact(now)
 	return n.inContact
 }
 
-// ContactUntil returns when the lease expires if no further ack arrives; false: it has expired.
+// ContactUntil returns when the lease expires if no further ack is received, and whether the node
+// is in contact now.
 func (n *Node) ContactUntil(now time.Duration) (time.Duration, bool) {
 	n.refreshContact(now)
 	return n.computeLeaseEnd(), n.inContact
 }
 
-// refreshContact brings inContact and the session up to date. It comes before everything else that
-// a message or a tick brings: an ack that arrives after the lease has expired must not be counted
-// as if it had come before.
+// refreshContact updates inContact and starts a new session if the lease has expired. It is called
+// before any other handling of a message or a tick: an ack that is received after the lease has
+// expired must not extend the lease as if it had been received before.
 func (n *Node) refreshContact(now time.Duration) {
 	if n.left || !n.started {
 		return
 	}
 	if now >= n.leaseEnd && n.leaseStale {
-		// acks only extend the lease: computed once it would expire
+		// Acks only extend the lease, so its end is recomputed only when the earlier value has
+		// passed.
 		n.leaseEnd, n.leaseStale = n.computeLeaseEnd(), false
 	}
-	switch in := now < n.leaseEnd; {
-	case in == n.inContact:
-		// A session that never was in contact must not outlive a lease either: by then others may
-		// have considered it over, crashed, and forgotten that.
-		if !in && now >= n.sequenceStart+n.Lease {
+	switch leaseValid := now < n.leaseEnd; {
+	case leaseValid == n.inContact:
+		// A session that was never in contact also ends after a lease. By then, other members may
+		// have considered the session over, crashed and lost that state.
+		if !leaseValid && now >= n.sequenceStart+n.Lease {
 			n.advanceSequence(now, n.session.Sequence+1, startRetransmits)
 		}
-	case in:
+	case leaseValid:
 		n.inContact, n.contactSince = true, now
 		n.changed(
 			Change{
 				At: now, Member: n.Self, Session: n.session, State: Alive, Was: Alive, Accuser: -1,
-				Contact: true, Why: "a majority answers",
+				Contact: true, Why: "a majority of the members answers",
 			},
 		)
 	default:
 		n.Stats.Lapses++
-		n.endContact(now, "no majority answered within the lease")
-		n.startSession(now, n.session.Sequence+1) // what others consider over never comes back
+		n.endContact(now, "no majority of the members answered within the lease")
+		n.startSession(now, n.session.Sequence+1) // what other members consider over must never be used again
 	}
 }
 
-// endContact ends the contact.
+// endContact revokes this node's lease and reports the loss of contact to the host if the node was
+// in contact.
 func (n *Node) endContact(now time.Duration, why string) {
 	if was := n.inContact; was {
 		n.inContact, n.contactSince = false, now
@@ -62,28 +66,31 @@
 	n.leaseEnd, n.leaseAcks = 0, 0
 }
 
-// advanceSequence goes on under the next sequence number. Acks to the last one still count: it was
-// not in contact, or nobody counted it as dead.
-func (n *Node) advanceSequence(now time.Duration, turn uint32, times int) {
-	n.session.Sequence, n.sequenceStart = turn, now
+// advanceSequence raises the sequence number of the session and queues the new session for gossip.
+// Acks to messages of the previous sequence number still count for the lease: under that number the
+// node was never in contact, or no member counted it as dead.
+func (n *Node) advanceSequence(now time.Duration, sequence uint32, transmissions int) {
+	n.session.Sequence, n.sequenceStart = sequence, now
 	own := &n.members[n.Self]
 	own.session, own.since = n.session, now
-	n.queueRumour(Rumour{Member: n.Self, Session: n.session, State: Alive, Accuser: n.Self}, times)
+	n.queueRumour(Rumour{Member: n.Self, Session: n.session, State: Alive, Accuser: n.Self}, transmissions)
 }
 
-// startSession begins a new session after one that was in contact, or that others count as dead.
-func (n *Node) startSession(now time.Duration, turn uint32) {
-	// Acks to the session before don't count for this one.
+// startSession begins a new session after a session that was in contact or that other members count
+// as dead. Acks to messages of the earlier session no longer count.
+func (n *Node) startSession(now time.Duration, sequence uint32) {
 	n.leaseEnd, n.leaseAcks = 0, 0
 	for i := range n.members {
 		n.members[i].lastLeaseAck = 0
 	}
-	n.sessionStart = now + time.Millisecond // stamps are whole milliseconds: one may be of before
-	n.advanceSequence(now, turn, n.retransmits())
+	// Stamps have a resolution of 1 ms: a stamp of this millisecond may be from the earlier session.
+	n.sessionStart = now + time.Millisecond
+	n.advanceSequence(now, sequence, n.retransmits())
 }
 
-// computeLeaseEnd returns when the lease expires: when, of the newest acks that make a majority
-// together with this node itself, the oldest is a lease old. 0: there are too few.
+// computeLeaseEnd returns when the lease expires. The newest acks of as many members as form a
+// majority together with this node are taken; the lease ends one lease duration after the send time
+// that the oldest of these acks answers. The result is 0 if too few members have acked.
 func (n *Node) computeLeaseEnd() time.Duration {
 	need := n.majority - 1
 	if need == 0 {
@@ -94,74 +101,79 @@
 	}
 	times := make([]time.Duration, 0, n.leaseAcks)
 	for i := range n.members {
-		if v := n.members[i].lastLeaseAck; v > 0 {
-			times = append(times, v)
+		if ackedAt := n.members[i].lastLeaseAck; ackedAt > 0 {
+			times = append(times, ackedAt)
 		}
 	}
 	slices.Sort(times)
 	return times[len(times)-need] + n.Lease
 }
 
-// LeaseExpiry returns how long after a member's last ack its lease from here is over, whatever its
-// clock: a lease, and the greatest error of both clocks.
+// LeaseExpiry returns the time after this node's last ack to a member by which the member's lease
+// from this node has expired by either clock: the lease duration plus the maximum error of both
+// clocks.
 func (n *Node) LeaseExpiry() time.Duration {
 	return n.Lease + time.Duration(2.5*n.MaxClockError*float64(n.Lease)) + 2*time.Millisecond
 }
 
-// withholdsLeases reports whether this node gives no leases yet. A restarted process has forgotten
-// whom it counted as dead: for this long it must not give leases, as others may have relied on the
-// digest that it showed before.
+// withholdsLeases reports whether this node does not grant leases yet. A restarted process has lost
+// the record of the sessions that it counted as dead, but other members may rely on the digest that
+// its predecessor sent. It therefore grants no leases until such a digest is too old to count and
+// the leases of these sessions have expired.
 func (n *Node) withholdsLeases(now time.Duration) bool {
 	return now < n.startedAt+n.LeaseExpiry()+n.digestLifetime()+time.Duration(4*n.MaxClockError*float64(n.Lease))
 }
 
-// grantsLease reports whether a session of a member gets a lease from here. One that is counted as
-// dead gets none any more: SessionOver rests on it.
-func (n *Node) grantsLease(now time.Duration, to int, s Session) bool {
-	m := &n.members[to]
+// grantsLease reports whether this node grants a lease to a session of a member. A session that
+// this node counts as dead gets no more leases; SessionOver depends on this.
+func (n *Node) grantsLease(now time.Duration, number int, s Session) bool {
+	m := &n.members[number]
 	return !n.withholdsLeases(now) && m.state < Dead && m.session == s
 }
 
-// digestLifetime returns how old another's digest may be to count.
+// digestLifetime returns the maximum age at which the digest of another member counts.
 func (n *Node) digestLifetime() time.Duration { return n.Lease / digestFreshness }
 
-// handlePing answers a ping, with a lease where one may be given.
-func (n *Node) handlePing(now time.Duration, m *Message) {
+// handlePing answers a ping with an ack, which grants a lease where grantsLease allows it.
+func (n *Node) handlePing(now time.Duration, message *Message) {
 	n.newMessage(Ack)
-	n.out.Stamp = toStamp(now)
-	n.sendEcho(now, m)
+	n.outgoing.Stamp = toStamp(now)
+	n.sendEcho(now, message)
 }
 
-// sendEcho returns a message's stamp, and what is said of its sender.
-func (n *Node) sendEcho(now time.Duration, m *Message) {
-	n.out.Echo, n.out.EchoTag = m.Stamp, IncarnationTag(m.Session.Incarnation)
-	n.out.NoLease = !n.grantsLease(now, m.From, m.Session)
-	n.addAccusation(m.From)
-	n.addRumours(now, m.From, m.Digest)
-	n.send(m.From)
+// sendEcho completes and sends the answer to a message: it returns the message's stamp, states
+// whether a lease is granted, and adds the accusations against the sender and other rumours.
+func (n *Node) sendEcho(now time.Duration, message *Message) {
+	n.outgoing.Echo, n.outgoing.EchoTag = message.Stamp, IncarnationTag(message.Session.Incarnation)
+	n.outgoing.NoLease = !n.grantsLease(now, message.From, message.Session)
+	n.addAccusation(message.From)
+	n.addRumours(now, message.From, message.Digest)
+	n.send(message.From)
 }
 
-// handleAck handles an Ack or AckReply, and replies to one that asks for it.
-func (n *Node) handleAck(now time.Duration, m *Message) {
-	from := &n.members[m.From]
-	// else it answers the process before this one
-	if m.Echo != 0 && m.EchoTag == IncarnationTag(n.session.Incarnation) && fromStamp(m.Echo) <= now {
-		sent := fromStamp(m.Echo)
-		// The digest was sent after that moment, however late it arrives.
+// handleAck handles an Ack or AckReply, and answers an Ack that carries a stamp with an AckReply.
+func (n *Node) handleAck(now time.Duration, message *Message) {
+	from := &n.members[message.From]
+	// An echo with another tag answers a message of the process that had this number before.
+	if message.Echo != 0 && message.EchoTag == IncarnationTag(n.session.Incarnation) &&
+		fromStamp(message.Echo) <= now {
+		sent := fromStamp(message.Echo)
+		// The sender sent the digest after it had received the message sent at this time, however
+		// late the ack is received.
 		if sent > from.digestAt {
-			from.digest, from.digestAt = m.Digest, sent
+			from.digest, from.digestAt = message.Digest, sent
 		}
-		if !m.NoLease && sent >= n.sessionStart && sent > from.lastLeaseAck {
+		if !message.NoLease && sent >= n.sessionStart && sent > from.lastLeaseAck {
 			if from.lastLeaseAck == 0 {
 				n.leaseAcks++
 			}
 			from.lastLeaseAck, n.leaseStale = sent, true
 		}
-		n.completeProbes(now, m.From, sent)
+		n.completeProbes(now, message.From, sent)
 	}
-	if m.Kind == Ack && m.Stamp != 0 {
+	if message.Kind == Ack && message.Stamp != 0 {
 		n.newMessage(AckReply)
-		n.sendEcho(now, m)
+		n.sendEcho(now, message)
 	}
 	n.refreshContact(now)
 }
--- a/internal/fleet/swim/history_test.go
+++ b/internal/fleet/swim/history_test.go
@@ -12,34 +12,35 @@
 )
 
 var (
-	seed      = flag.Uint64("seed", 0, "play the history of this seed alone")
-	histories = flag.Int("histories", 400, "how many are played")
+	seed      = flag.Uint64("seed", 0, "run only the history of this `seed`; 0: run all")
+	histories = flag.Int("histories", 400, "number of random histories to run")
 )
 
-// history plays one, of 3 to 7 processes with a lease of 3 s. Whatever goes wrong, no session that
-// somebody counts as over may be in contact; and once all is well again all views have to be equal.
-func history(seed uint64) (plan *swimsim.Plan, broken []string) {
+// runHistory simulates a random history of faults among 3 to 7 processes with a lease of 3 s. It
+// checks that no session that a member counts as over is in contact, and that all views are equal
+// 20 s after the last fault has been removed.
+func runHistory(seed uint64) (plan *swimsim.Plan, violations []string) {
 	size := 3 + int(seed%5)
 	plan = swimsim.Draw(seed, size, 25*time.Second)
-	n := swimsim.New(swimsim.Config{Size: size, Seed: seed, Rate: plan.Rate})
-	if broken = n.Watched(6*time.Second, 100*time.Millisecond); broken != nil {
-		return plan, broken
-	}
-	n.Play(plan)
-	if broken = n.Watched(40*time.Second, 50*time.Millisecond); broken != nil {
-		return plan, broken
-	}
-	n.Heal()
-	if broken = n.Watched(20*time.Second, 100*time.Millisecond); broken != nil {
-		return plan, broken
-	}
-	if !n.Agree() || n.InContact() != size {
-		broken = append(
-			broken,
-			"20 s after all is well, views differ or "+strconv.Itoa(size-n.InContact())+" are out of contact",
+	net := swimsim.New(swimsim.Config{Size: size, Seed: seed, Rate: plan.Rate})
+	if violations = net.Watched(6*time.Second, 100*time.Millisecond); violations != nil {
+		return plan, violations
+	}
+	net.Play(plan)
+	if violations = net.Watched(40*time.Second, 50*time.Millisecond); violations != nil {
+		return plan, violations
+	}
+	net.Heal()
+	if violations = net.Watched(20*time.Second, 100*time.Millisecond); violations != nil {
+		return plan, violations
+	}
+	if !net.Agree() || net.InContact() != size {
+		violations = append(
+			violations,
+			"20 s after the last fault, views differ or "+strconv.Itoa(size-net.InContact())+" members are out of contact",
 		)
 	}
-	return plan, broken
+	return plan, violations
 }
 
 func TestHistories(t *testing.T) {
@@ -47,9 +48,9 @@
 	if *seed != 0 {
 		first, last = *seed, *seed
 	}
-	for s := first; s <= last; s++ {
-		if plan, broken := history(s); broken != nil {
-			t.Fatalf("seed %d: %v: %v", s, plan, broken)
+	for number := first; number <= last; number++ {
+		if plan, violations := runHistory(number); violations != nil {
+			t.Fatalf("seed %d: %v: %v", number, plan, violations)
 		}
 	}
 }
@@ -59,85 +60,85 @@
 	os.Exit(m.Run())
 }
 
-var depth = flag.Int("depth", 3, "slots that faults are enumerated over")
+var depth = flag.Int("depth", 3, "number of consecutive time slots over which all faults are enumerated")
 
-// Every way to have one fault, or none, in each of some slots of a second and a half befall three
-// processes with a lease of 3 s, once they are in contact: one is cut off, one is not heard, one
-// stands still, or one crashes and comes back at once, having forgotten.
-func TestEveryScheduleOfFaults(t *testing.T) {
+// Enumerates every schedule in which at most one fault occurs in each of *depth slots of 1.5 s,
+// among three processes that are in contact and have a lease of 3 s. A fault cuts off one process,
+// drops its outgoing messages, stops it, or crashes and restarts it without its state.
+func TestAllFaultSchedules(t *testing.T) {
 	const size, slot = 3, 1500 * time.Millisecond
-	whats := []string{swimsim.Split, swimsim.OneWay, swimsim.Stop, swimsim.Crash}
-	ways := 1 + size*len(whats)
-	all := 1
+	faults := []string{swimsim.Split, swimsim.OneWay, swimsim.Stop, swimsim.Crash}
+	choices := 1 + size*len(faults)
+	scheduleCount := 1
 	for range *depth {
-		all *= ways
+		scheduleCount *= choices
 	}
-	for number := range all {
+	for number := range scheduleCount {
 		plan := &swimsim.Plan{MaxDelay: 10 * time.Millisecond}
-		for k, rest := 0, number; k < *depth; k, rest = k+1, rest/ways {
-			if way := rest % ways; way > 0 {
-				s := swimsim.Step{
-					At: time.Duration(k) * slot, For: slot, What: whats[(way-1)/size],
-					Who: []int{(way - 1) % size},
+		for k, remaining := 0, number; k < *depth; k, remaining = k+1, remaining/choices {
+			if choice := remaining % choices; choice > 0 {
+				step := swimsim.Step{
+					At: time.Duration(k) * slot, For: slot, What: faults[(choice-1)/size],
+					Who: []int{(choice - 1) % size},
 				}
-				if s.What == swimsim.Crash {
-					s.For = 100 * time.Millisecond
+				if step.What == swimsim.Crash {
+					step.For = 100 * time.Millisecond
 				}
-				plan.Steps = append(plan.Steps, s)
+				plan.Steps = append(plan.Steps, step)
 			}
 		}
-		n := swimsim.New(swimsim.Config{Size: size, Seed: 1, Rate: 0.01})
-		n.Run(8 * time.Second)
-		n.Play(plan)
-		broken := n.Watched(time.Duration(*depth)*slot+4*time.Second, 100*time.Millisecond)
-		if n.Heal(); broken == nil {
-			broken = n.Watched(8*time.Second, 500*time.Millisecond)
+		net := swimsim.New(swimsim.Config{Size: size, Seed: 1, Rate: 0.01})
+		net.Run(8 * time.Second)
+		net.Play(plan)
+		violations := net.Watched(time.Duration(*depth)*slot+4*time.Second, 100*time.Millisecond)
+		if net.Heal(); violations == nil {
+			violations = net.Watched(8*time.Second, 500*time.Millisecond)
 		}
-		if broken == nil && (!n.Agree() || n.InContact() != size) {
-			broken = []string{"8 s after all is well views differ, or some are out of contact"}
+		if violations == nil && (!net.Agree() || net.InContact() != size) {
+			violations = []string{"8 s after the faults ended, views differ or members are out of contact"}
 		}
-		if broken != nil {
-			t.Fatalf("schedule %d: %v: %v", number, plan, broken)
+		if violations != nil {
+			t.Fatalf("schedule %d: %v: %v", number, plan, violations)
 		}
 	}
 }
 
-// Budgets are divided by the sidecars seen: those that left count no more, those that crashed or
-// can't be reached do, and what others claim is believed of three and only up to four times the
-// configured number.
-func TestSidecarsSeen(t *testing.T) {
-	l := newLone(t, 10)
-	if n := l.FleetSize(l.now); n != 1 {
-		t.Errorf("%d at the start", n)
+// Rate limits are divided by FleetSize. Members that left do not count, members that crashed or are
+// unreachable do. A size that other members claim counts only if three members claim it, and at
+// most up to four times the configured size, so that false claims have little effect.
+func TestFleetSize(t *testing.T) {
+	node := newTestNode(t, 10)
+	if size := node.FleetSize(node.now); size != 1 {
+		t.Errorf("fleet size is %d at the start, want 1", size)
 	}
 	for i := 1; i < 8; i++ {
-		l.ping(i, swim.Session{Incarnation: 10})
+		node.pingFrom(i, swim.Session{Incarnation: 10})
 	}
-	l.say(1, swim.Rumour{Member: 2, Session: swim.Session{Incarnation: 10}, State: swim.Dead, Accuser: 1})
-	l.say(1, swim.Rumour{Member: 3, Session: swim.Session{Incarnation: 10}, State: swim.Left, Accuser: 3})
-	if n := l.FleetSize(l.now); n != 7 {
-		t.Errorf("%d of eight, of which one is gone and one left; want 7", n)
+	node.receiveRumour(1, swim.Rumour{Member: 2, Session: swim.Session{Incarnation: 10}, State: swim.Dead, Accuser: 1})
+	node.receiveRumour(1, swim.Rumour{Member: 3, Session: swim.Session{Incarnation: 10}, State: swim.Left, Accuser: 3})
+	if size := node.FleetSize(node.now); size != 7 {
+		t.Errorf("fleet size is %d with eight members, of which one is gone and one left, want 7", size)
 	}
 	claim := func(from, count int) {
-		m := l.message(from, swim.Ping)
-		m.MemberCount = count
-		l.Receive(l.now, &m)
+		message := node.newMessage(from, swim.Ping)
+		message.MemberCount = count
+		node.Receive(node.now, &message)
 	}
 	claim(4, 1<<30)
 	claim(5, 1<<30)
-	if n := l.FleetSize(l.now); n != 7 {
-		t.Errorf("two that lie make it %d", n)
+	if size := node.FleetSize(node.now); size != 7 {
+		t.Errorf("fleet size is %d after false claims of two members, want 7", size)
 	}
 	claim(6, 20)
-	if n := l.FleetSize(l.now); n != 20 {
-		t.Errorf("three say at least 20, it takes %d", n)
+	if size := node.FleetSize(node.now); size != 20 {
+		t.Errorf("fleet size is %d after three members claimed at least 20, want 20", size)
 	}
 	claim(6, 1000)
-	if n := l.FleetSize(l.now); n != 40 {
-		t.Errorf("three that lie make it %d, more than four times what is configured", n)
+	if size := node.FleetSize(node.now); size != 40 {
+		t.Errorf("fleet size is %d after false claims of three members, want four times the configured size, 40", size)
 	}
-	l.now += 2 * time.Minute
-	if n := l.FleetSize(l.now); n != 7 {
-		t.Errorf("two minutes later %d", n)
+	node.now += 2 * time.Minute
+	if size := node.FleetSize(node.now); size != 7 {
+		t.Errorf("fleet size is %d two minutes after the claims, want 7", size)
 	}
 }
--- a/internal/fleet/swim/probe.go
+++ b/internal/fleet/swim/probe.go
@@ -9,47 +9,50 @@
 // probe is a probe in flight.
 type probe struct {
 	target     int
-	sent       time.Duration
-	lastPing   time.Duration
-	indirect   bool // others were asked to probe
-	nacks      int  // of these
-	relayCount int  // members that were asked
-	state      State
+	sent       time.Duration // when the probe was started
+	lastPing   time.Duration // when the target was last pinged
+	indirect   bool          // other members were asked to probe the target
+	nacks      int           // number of IndirectNack messages received from these members
+	relayCount int           // number of members that were asked
+	state      State         // state of the target when the probe was started
 }
 
-// relayedProbe is a probe made for another member.
+// relayedProbe is a probe in flight on behalf of another member.
 type relayedProbe struct {
-	from, target int
-	cookie       uint64
+	from, target int    // member that asked for the probe, member that is probed
+	cookie       uint64 // identifies the probe to the member that asked for it
 	sent         time.Duration
 }
 
-// probeNext sends the next probe: to each member that is present once a round, in an order drawn
-// anew, and now and then to one that is dead or was never heard of.
+// probeNext starts the next probe. Each member present is probed once per round, in an order that
+// is shuffled for each round. At intervals, a member that is dead, has left or is unknown is probed
+// instead.
 func (n *Node) probeNext(now time.Duration) {
 	if !n.hasBudget(probeReserve) {
 		return
 	}
 	var to int
 	ok := false
-	if n.ticks%absentProbeInterval == 0 && !n.seeking {
-		to, ok = n.drawTarget(
-			now, &n.absentRound,
+	if n.ticks%absentProbeInterval == 0 && !n.fastProbing {
+		to, ok = n.nextTarget(
+			now, &n.absentTargets,
 			func(s State) bool { return s == Dead || s == Left || s == Unknown },
 		)
 	}
 	if !ok {
-		// Out of contact nobody's state is known: all count as present.
-		to, ok = n.drawTarget(now, &n.round, func(s State) bool {
+		// While out of contact, this node cannot know which of the unknown members are absent: all
+		// of them count as present.
+		to, ok = n.nextTarget(now, &n.presentTargets, func(s State) bool {
 			return s == Alive || s == Suspect || s == Unknown && !n.inContact
 		})
 	}
 	if !ok {
-		if to, ok = n.drawTarget(now, &n.absentRound, func(s State) bool { return s != Alive && s != Suspect }); !ok {
+		if to, ok = n.nextTarget(now, &n.absentTargets, func(s State) bool { return s != Alive && s != Suspect }); !ok {
 			return
 		}
 	}
-	for i := range n.probes { // small fleets: no second probe of a target in flight
+	// In a small fleet, a probe of the target may still be in flight: no second probe is started.
+	for i := range n.probes {
 		if n.probes[i].target == to {
 			return
 		}
@@ -57,97 +60,101 @@
 	n.startProbe(now, to)
 }
 
-// drawTarget takes the next fitting member of a round, and begins the next round where none is
-// left.
-func (n *Node) drawTarget(now time.Duration, order *[]int, fits func(State) bool) (int, bool) {
+// nextTarget removes the next eligible member from the targets of a round and returns it. If no
+// eligible member is left, it starts the next round.
+func (n *Node) nextTarget(now time.Duration, targets *[]int, eligible func(State) bool) (int, bool) {
 	for range 2 {
-		for len(*order) > 0 {
-			to := (*order)[len(*order)-1]
-			*order = (*order)[:len(*order)-1]
-			if fits(n.members[to].state) && !n.ackedRecently(now, to) {
-				return to, true
+		for len(*targets) > 0 {
+			number := (*targets)[len(*targets)-1]
+			*targets = (*targets)[:len(*targets)-1]
+			if eligible(n.members[number].state) && !n.ackedRecently(now, number) {
+				return number, true
 			}
 		}
 		for i := range n.members {
-			if i != n.Self && fits(n.members[i].state) {
-				*order = append(*order, i)
+			if i != n.Self && eligible(n.members[i].state) {
+				*targets = append(*targets, i)
 			}
 		}
-		n.Rand.Shuffle(len(*order), func(i, j int) { (*order)[i], (*order)[j] = (*order)[j], (*order)[i] })
+		n.Rand.Shuffle(len(*targets), func(i, j int) { (*targets)[i], (*targets)[j] = (*targets)[j], (*targets)[i] })
 	}
 	return 0, false
 }
 
-// ackedRecently reports whether a member has acked something that is at most half a round old: it
-// has probed this node, and told as much as it would now. So all are heard of evenly, twice as
-// often as by one's own probes alone.
-func (n *Node) ackedRecently(now time.Duration, i int) bool {
-	const answers = 2 // for each probe sent, one is received
-	v := n.members[i].lastLeaseAck
-	return v > 0 && now-v < time.Duration(n.Size)*Period/answers/2
+// ackedRecently reports whether a member has acked, with a lease, a message that was sent at most
+// half a round ago. Such a member has probed this node, and the exchange carried the same
+// information as a probe would now. Skipping it spreads the exchanges evenly over the members, at
+// twice the rate of this node's own probes.
+func (n *Node) ackedRecently(now time.Duration, number int) bool {
+	const exchangesPerRound = 2 // per member and round: this node probes the member and is probed by it
+	lastAck := n.members[number].lastLeaseAck
+	return lastAck > 0 && now-lastAck < time.Duration(n.Size)*Period/exchangesPerRound/2
 }
 
-// addAccusation puts what a member is accused of first on a message to it, so that it can refute
-// it.
+// addAccusation puts an accusation against a member first in a message to this member, so that the
+// member can refute it.
 func (n *Node) addAccusation(to int) {
 	if m := &n.members[to]; m.state == Suspect || m.state == Dead {
-		n.out.Rumours = append(
-			n.out.Rumours,
+		n.outgoing.Rumours = append(
+			n.outgoing.Rumours,
 			Rumour{Member: to, Session: m.session, State: m.state, Accuser: m.accuser},
 		)
 	}
 }
 
-// timeoutFactor returns how many times longer than usual this node waits, by its local health.
-func (n *Node) timeoutFactor() time.Duration { return time.Duration(1 + n.health) }
+// healthFactor returns the factor by which this node lengthens time-outs because of its local
+// health.
+func (n *Node) healthFactor() time.Duration { return time.Duration(1 + n.localHealth) }
 
-// noiseFactor returns how many times longer a probe is waited for, as accusations proved wrong
-// recently: the network loses much then, and an accusation that everybody receives and that is
-// refuted costs more than the wait. Crashed members refute nothing, so they don't slow detection
-// down for long.
-func (n *Node) noiseFactor(now time.Duration) time.Duration {
-	n.refutations *= math.Exp(-float64(now-n.refutationsAt) / float64(noiseDecay))
+// refutationFactor returns the factor by which the time-out of probes is lengthened because
+// suspicions were refuted recently. Refutations show that the network loses many messages, and a
+// false suspicion, which is gossiped to all members and refuted, costs more than a longer wait.
+// Crashed members refute nothing, so crashes do not slow down failure detection for long.
+func (n *Node) refutationFactor(now time.Duration) time.Duration {
+	n.refutations *= math.Exp(-float64(now-n.refutationsAt) / float64(refutationDecay))
 	n.refutationsAt = now
-	return time.Duration(1 + min(maxNoise, n.refutations/noiseStep))
+	return time.Duration(1 + min(maxRefutationSteps, n.refutations/refutationsPerStep))
 }
 
-// checkProbes times out the probes in flight.
+// checkProbes handles the time-outs of the probes in flight: it reports failed relayed probes, asks
+// other members to probe, pings again, and fails probes.
 func (n *Node) checkProbes(now time.Duration) {
-	n.relayed = slices.DeleteFunc(n.relayed, func(r relayedProbe) bool {
-		if now-r.sent < probeTimeout/2 {
+	n.relayedProbes = slices.DeleteFunc(n.relayedProbes, func(relayed relayedProbe) bool {
+		if now-relayed.sent < probeTimeout/2 {
 			return false
 		}
 		n.newMessage(IndirectNack)
-		n.out.Target, n.out.Cookie = r.target, r.cookie
-		n.send(r.from)
+		n.outgoing.Target, n.outgoing.Cookie = relayed.target, relayed.cookie
+		n.send(relayed.from)
 		return true
 	})
-	kept := n.probes[:0]
-	var over []probe
+	remaining := n.probes[:0]
+	var expired []probe
 	for _, p := range n.probes {
 		age := now - p.sent
-		if age >= probeTimeout*max(n.timeoutFactor(), n.noiseFactor(now)) {
-			over = append(over, p)
+		if age >= probeTimeout*max(n.healthFactor(), n.refutationFactor(now)) {
+			expired = append(expired, p)
 			continue
 		}
-		if !p.indirect && age >= indirectTimeout*n.timeoutFactor() &&
+		if !p.indirect && age >= indirectTimeout*n.healthFactor() &&
 			(p.state == Alive || p.state == Suspect) && n.hasBudget(extraReserve) {
 			p.indirect = true
 			p.relayCount = n.pingIndirectly(now, p.target, p.sent)
 		}
-		kept = append(kept, p)
+		remaining = append(remaining, p)
 	}
-	n.probes = kept
+	n.probes = remaining
 	n.retryProbe(now)
-	for _, p := range over {
+	for _, p := range expired {
 		n.failProbe(now, p)
 	}
 }
 
-// retryProbe pings one unanswered target again: one datagram in twenty may be lost, and each
-// suspicion is gossiped to all. It pings one with each tick, however many there are: under heavy
-// loss, more pings would keep it up. Every other time it is a member that this node accuses: better
-// that it answers.
+// retryProbe pings one target again that has not answered, as one datagram in twenty may be lost
+// and each suspicion is gossiped to all members. It sends at most one ping per tick, whatever the
+// number of unanswered probes: under heavy loss, more pings would prolong the overload. On every
+// other tick, a member that this node accuses takes precedence, as an answer from it prevents a
+// false report of its death.
 func (n *Node) retryProbe(now time.Duration) {
 	if !n.hasBudget(probeReserve) || n.ticks%2 == 0 && n.pingAccused(now) {
 		return
@@ -168,14 +175,15 @@
 	n.ping(now, oldest.target)
 }
 
-// pingAccused pings the member accused by this node whose last ping is the oldest; false: there is
-// none.
+// pingAccused pings the member that this node accuses and has not pinged for the longest time. It
+// returns false if there is no such member.
 func (n *Node) pingAccused(now time.Duration) bool {
 	oldest := -1
 	for i := range n.members {
-		s := n.members[i].suspicion
-		if s != nil && slices.Contains(s.accusers[:s.count], n.Self) && now-s.lastPing >= Period &&
-			(oldest < 0 || s.lastPing < n.members[oldest].suspicion.lastPing) {
+		suspected := n.members[i].suspicion
+		if suspected != nil && slices.Contains(suspected.accusers[:suspected.count], n.Self) &&
+			now-suspected.lastPing >= Period &&
+			(oldest < 0 || suspected.lastPing < n.members[oldest].suspicion.lastPing) {
 			oldest = i
 		}
 	}
@@ -187,17 +195,19 @@
 	return true
 }
 
-// pingIndirectly asks some others to probe: the path between the two may be broken, or this node.
-func (n *Node) pingIndirectly(now time.Duration, about int, sent time.Duration) int {
+// pingIndirectly asks some other members to probe a target, as only the path between this node and
+// the target, or this node itself, may be at fault. It returns the number of members that were
+// asked.
+func (n *Node) pingIndirectly(now time.Duration, target int, sent time.Duration) int {
 	asked := 0
 	for range 4 * indirectProbes {
-		i := n.Rand.IntN(n.Size)
-		if i == n.Self || i == about || n.members[i].state != Alive {
+		relay := n.Rand.IntN(n.Size)
+		if relay == n.Self || relay == target || n.members[relay].state != Alive {
 			continue
 		}
 		n.newMessage(IndirectPing)
-		n.out.Target, n.out.Cookie = about, toStamp(sent)
-		n.send(i)
+		n.outgoing.Target, n.outgoing.Cookie = target, toStamp(sent)
+		n.send(relay)
 		if asked++; asked == indirectProbes {
 			break
 		}
@@ -205,36 +215,38 @@
 	return asked
 }
 
-// handleIndirectPing probes a member for another.
-func (n *Node) handleIndirectPing(now time.Duration, m *Message) {
-	if m.Target < 0 || m.Target >= n.Size || m.Target == n.Self || m.Target == m.From ||
-		len(n.relayed) >= 4*indirectProbes {
+// handleIndirectPing probes a member on behalf of the sender of an IndirectPing.
+func (n *Node) handleIndirectPing(now time.Duration, message *Message) {
+	if message.Target < 0 || message.Target >= n.Size || message.Target == n.Self ||
+		message.Target == message.From ||
+		len(n.relayedProbes) >= 4*indirectProbes {
 		return
 	}
-	n.relayed = append(n.relayed, relayedProbe{m.From, m.Target, m.Cookie, now})
-	n.ping(now, m.Target)
+	n.relayedProbes = append(n.relayedProbes, relayedProbe{message.From, message.Target, message.Cookie, now})
+	n.ping(now, message.Target)
 }
 
-// completeProbes handles a member's ack to a message that was sent at a moment.
+// completeProbes completes the direct and relayed probes that are answered by a member's ack to a
+// message sent at the given time.
 func (n *Node) completeProbes(now time.Duration, from int, sent time.Duration) {
-	n.relayed = slices.DeleteFunc(n.relayed, func(r relayedProbe) bool {
-		if r.target != from || sent < r.sent-time.Millisecond {
+	n.relayedProbes = slices.DeleteFunc(n.relayedProbes, func(relayed relayedProbe) bool {
+		if relayed.target != from || sent < relayed.sent-time.Millisecond {
 			return false
 		}
 		n.newMessage(IndirectAck)
-		n.out.Target, n.out.Cookie = r.target, r.cookie
-		n.send(r.from)
+		n.outgoing.Target, n.outgoing.Cookie = relayed.target, relayed.cookie
+		n.send(relayed.from)
 		return true
 	})
 	n.completeProbe(now, from, sent)
 }
 
-// completeProbe ends a probe as answered.
+// completeProbe removes the probe of a member that an ack answers and records its success.
 func (n *Node) completeProbe(now time.Duration, to int, sent time.Duration) {
 	for i := range n.probes {
 		if p := n.probes[i]; p.target == to && p.sent <= sent+time.Millisecond {
 			n.probes = slices.Delete(n.probes, i, i+1)
-			n.health = max(0, n.health-1)
+			n.localHealth = max(0, n.localHealth-1)
 			if p.state == Alive || p.state == Suspect {
 				n.recordResult(false)
 			}
@@ -243,23 +255,23 @@
 	}
 }
 
-// handleIndirectAck handles the result of an indirect probe.
-func (n *Node) handleIndirectAck(now time.Duration, m *Message) {
-	if m.Target < 0 || m.Target >= n.Size {
+// handleIndirectAck handles the result of a probe that another member made for this node.
+func (n *Node) handleIndirectAck(now time.Duration, message *Message) {
+	if message.Target < 0 || message.Target >= n.Size {
 		return
 	}
-	if m.Kind == IndirectAck {
-		n.completeProbe(now, m.Target, fromStamp(m.Cookie))
+	if message.Kind == IndirectAck {
+		n.completeProbe(now, message.Target, fromStamp(message.Cookie))
 		return
 	}
 	for i := range n.probes {
-		if p := &n.probes[i]; p.target == m.Target && toStamp(p.sent) == m.Cookie {
+		if p := &n.probes[i]; p.target == message.Target && toStamp(p.sent) == message.Cookie {
 			p.nacks++
 		}
 	}
 }
 
-// recordResult records how a probe of a member that should be present ended.
+// recordResult records the result of a probe of a member that should be present.
 func (n *Node) recordResult(failed bool) {
 	slot := n.resultCount % min(resultWindow, max(1, n.Size-1))
 	if n.resultCount >= min(resultWindow, max(1, n.Size-1)) && n.results[slot] {
@@ -272,21 +284,24 @@
 	}
 }
 
-// failProbe handles a probe that no path answered in time.
+// failProbe handles a probe that was answered neither directly nor through other members in time.
+// It suspects the target unless this node's own view is unreliable.
 func (n *Node) failProbe(now time.Duration, p probe) {
 	if p.state != Alive && p.state != Suspect {
-		return // an answer was not expected
+		return // no answer was expected from an absent member
 	}
 	n.Stats.Unanswered++
 	n.recordResult(true)
-	if p.nacks < p.relayCount { // Lifeguard: those asked did not answer either, so it may be this node
-		n.health = min(maxHealth, n.health+1)
+	// Lifeguard: some of the members asked sent no IndirectNack either, so that this node may be at
+	// fault.
+	if p.nacks < p.relayCount {
+		n.localHealth = min(maxLocalHealth, n.localHealth+1)
 	}
-	if n.doubtsItself(now) {
+	if n.hasUnreliableView(now) {
 		return
 	}
 	m := &n.members[p.target]
-	if m.lastReceived > p.sent { // a message of its own has arrived since
+	if m.lastReceived > p.sent { // a message from the target itself has been received since
 		return
 	}
 	n.applyRumour(now, Rumour{Member: p.target, Session: m.session, State: Suspect, Accuser: n.Self})
@@ -300,9 +315,9 @@
 
 func (n *Node) ping(now time.Duration, to int) {
 	n.newMessage(Ping)
-	n.out.Stamp = toStamp(now)
-	if n.Stats.Probes%countInterval == 1 {
-		n.out.MemberCount = n.FleetSize(now)
+	n.outgoing.Stamp = toStamp(now)
+	if n.Stats.Probes%memberCountInterval == 1 {
+		n.outgoing.MemberCount = n.FleetSize(now)
 	}
 	n.addAccusation(to)
 	n.addRumours(now, to, n.members[to].digest)
--- a/internal/fleet/swim/replay_test.go
+++ b/internal/fleet/swim/replay_test.go
@@ -9,49 +9,50 @@
 	"caperarch/internal/lab/swimsim"
 )
 
-// All that five members sent one another in half a minute, in which one crashed, comes to one of
-// them again an hour later: nothing changes by it.
+// Replays to one member, an hour later, all messages that five members sent in 40 s in which one of
+// them crashed and restarted. Outdated messages must not change the member's view.
 func TestReplayedAnHourLater(t *testing.T) {
 	var all []swim.Message
-	n := swimsim.New(
+	net := swimsim.New(
 		swimsim.Config{
 			Size: 5, Seed: 3,
 			Alter: func(_ swim.Config, to swim.Host) swim.Host { return recorder{to, &all} },
 		},
 	)
-	n.After(20*time.Second, func() { n.Crash(4) })
-	n.After(24*time.Second, func() { n.Boot(4) })
-	n.Run(40 * time.Second)
-	early := all
-	n.Run(time.Hour)
-	if !n.Agree() || n.InContact() != 5 {
-		t.Fatal("they don't agree")
+	net.After(20*time.Second, func() { net.Crash(4) })
+	net.After(24*time.Second, func() { net.Boot(4) })
+	net.Run(40 * time.Second)
+	recorded := all
+	net.Run(time.Hour)
+	if !net.Agree() || net.InContact() != 5 {
+		t.Fatal("views differ or members are out of contact before the replay")
 	}
-	before := n.Nodes[0].Members(n.Nodes[0].Time())
-	for i := range early {
-		if early[i].From != 0 {
-			n.Nodes[0].Receive(n.Nodes[0].Time(), &early[i])
+	before := net.Nodes[0].Members(net.Nodes[0].Time())
+	for i := range recorded {
+		if recorded[i].From != 0 {
+			net.Nodes[0].Receive(net.Nodes[0].Time(), &recorded[i])
 		}
 	}
-	for i, m := range n.Nodes[0].Members(n.Nodes[0].Time()) {
-		if m.State != before[i].State || m.Session != before[i].Session || m.LastLeaseAck != before[i].LastLeaseAck {
-			t.Errorf("member %d: %+v, before %+v", i, m, before[i])
+	for i, member := range net.Nodes[0].Members(net.Nodes[0].Time()) {
+		if member.State != before[i].State || member.Session != before[i].Session ||
+			member.LastLeaseAck != before[i].LastLeaseAck {
+			t.Errorf("replay changed the view of member %d: got %+v, want %+v", i, member, before[i])
 		}
 	}
-	if !n.Nodes[0].InContact(n.Nodes[0].Time()) {
-		t.Error("out of contact")
+	if !net.Nodes[0].InContact(net.Nodes[0].Time()) {
+		t.Error("the member is out of contact after the replay")
 	}
 }
 
-// recorder keeps what a node sends.
+// recorder is a host that records all messages that a node sends.
 type recorder struct {
 	swim.Host
 	all *[]swim.Message
 }
 
-func (r recorder) Send(to int, m *swim.Message) {
-	c := *m
-	c.Rumours = slices.Clone(m.Rumours)
-	*r.all = append(*r.all, c)
-	r.Host.Send(to, m)
+func (r recorder) Send(to int, message *swim.Message) {
+	clone := *message
+	clone.Rumours = slices.Clone(message.Rumours)
+	*r.all = append(*r.all, clone)
+	r.Host.Send(to, message)
 }
--- a/internal/fleet/swim/rumour.go
+++ b/internal/fleet/swim/rumour.go
@@ -7,206 +7,219 @@
 	"time"
 )
 
-// queuedRumour is a rumour that is still to be gossiped.
+// queuedRumour is a rumour in the queue for gossip.
 type queuedRumour struct {
 	Rumour
-	remaining int
-	priority  int
+	remaining int // number of further messages that are to carry the rumour
+	priority  int // see priorityOf
 }
 
-// startRetransmits is how often a member's start is gossiped.
+// startRetransmits is the number of messages that carry the rumour of a member's start.
 const startRetransmits = 2
 
-// queueRumour queues a rumour for gossip, in place of older ones of the same member.
-func (n *Node) queueRumour(r Rumour, times int) {
-	n.rumours = slices.DeleteFunc(n.rumours, func(s *queuedRumour) bool {
-		confirms := r.State == Suspect && s.State == Suspect && s.Session == r.Session && s.Accuser != r.Accuser
-		return s.Member == r.Member && !confirms
+// queueRumour queues a rumour for gossip in a number of messages. It replaces older rumours about
+// the same member, except suspicions of other accusers that the rumour confirms.
+func (n *Node) queueRumour(rumour Rumour, transmissions int) {
+	n.rumours = slices.DeleteFunc(n.rumours, func(queued *queuedRumour) bool {
+		confirms := rumour.State == Suspect && queued.State == Suspect &&
+			queued.Session == rumour.Session && queued.Accuser != rumour.Accuser
+		return queued.Member == rumour.Member && !confirms
 	})
-	s := &queuedRumour{Rumour: r, remaining: times}
-	s.priority = s.priorityOf(times <= startRetransmits)
-	n.rumours = append(n.rumours, s)
+	queued := &queuedRumour{Rumour: rumour, remaining: transmissions}
+	queued.priority = queued.priorityOf(transmissions <= startRetransmits)
+	n.rumours = append(n.rumours, queued)
 	if len(n.rumours) > maxQueuedRumours {
 		n.sortRumours()
-		n.rumours = n.rumours[:maxQueuedRumours] // digests that differ bring back what is dropped here
+		// Members whose digests differ receive the rumours that are dropped here later; see addRumours.
+		n.rumours = n.rumours[:maxQueuedRumours]
 	}
 }
 
-// retransmits returns how often a rumour is gossiped that all have to receive.
+// retransmits returns the number of messages that carry a rumour that all members have to receive.
 func (n *Node) retransmits() int {
 	return int(math.Ceil(retransmitMultiplier * math.Log2(float64(n.Size+1))))
 }
 
-// priorityOf returns how urgent a rumour is; the lowest is the most urgent. A refutation goes
-// before accusations, or it comes too late where many are accused.
-func (s *queuedRumour) priorityOf(newcomer bool) int {
+// priorityOf returns the priority of a rumour; lower values are more urgent. A refutation precedes
+// suspicions: otherwise, it would arrive too late when many members are accused.
+func (q *queuedRumour) priorityOf(newcomer bool) int {
 	switch {
-	case s.State >= Dead:
+	case q.State >= Dead:
 		return 0
-	case s.State == Alive && !newcomer:
+	case q.State == Alive && !newcomer:
 		return 1
-	case s.State == Suspect:
+	case q.State == Suspect:
 		return 2
 	}
 	return 3
 }
 
-// sortRumours sorts by priority, then by how seldom a rumour was sent.
+// sortRumours sorts the queue by priority, and rumours of the same priority by the number of
+// messages left.
 func (n *Node) sortRumours() {
 	slices.SortStableFunc(n.rumours, func(a, b *queuedRumour) int {
 		return cmp.Or(a.priority-b.priority, b.remaining-a.remaining)
 	})
 }
 
-// addRumours puts rumours on a message to a member: the most urgent and least sent first, and, if
-// the member's digest of dead sessions differs from this node's, some of those at random.
-func (n *Node) addRumours(now time.Duration, to int, digest uint32) {
+// addRumours adds rumours from the queue to a message to a member, the most urgent and least sent
+// first. If the member's digest of dead sessions differs from this node's digest, it also adds some
+// of these sessions, chosen at random.
+func (n *Node) addRumours(now time.Duration, receiver int, digest uint32) {
 	if len(n.rumours) > 1 {
 		n.sortRumours()
 	}
-	used, most := false, maxRumoursPerMessage
+	exhausted, limit := false, maxRumoursPerMessage
 	switch {
 	case !n.hasBudget(rumourReserve):
 		return
 	case !n.hasBudget(fullGossipReserve):
-		most = 1
+		limit = 1
 	}
-	for _, s := range n.rumours {
-		if len(n.out.Rumours) >= most {
+	for _, queued := range n.rumours {
+		if len(n.outgoing.Rumours) >= limit {
 			break
 		}
-		if s.Member == to { // it has got its accusation first
+		if queued.Member == receiver { // addAccusation has put the accusation first in the message
 			continue
 		}
-		n.out.Rumours = append(n.out.Rumours, s.Rumour)
-		s.remaining--
-		used = used || s.remaining <= 0
+		n.outgoing.Rumours = append(n.outgoing.Rumours, queued.Rumour)
+		queued.remaining--
+		exhausted = exhausted || queued.remaining <= 0
 	}
-	if used {
-		n.rumours = slices.DeleteFunc(n.rumours, func(s *queuedRumour) bool { return s.remaining <= 0 })
+	if exhausted {
+		n.rumours = slices.DeleteFunc(n.rumours, func(queued *queuedRumour) bool { return queued.remaining <= 0 })
 	}
-	if digest == n.digest || n.digest == 0 || most == 1 {
+	if digest == n.digest || n.digest == 0 || limit == 1 {
 		return
 	}
-	// The digests differ: send what may have been missed, from a random start so that all get their
-	// turn.
+	// The digests differ: send the deaths that the member may have missed. The random start gives
+	// each its turn.
 	first := n.Rand.IntN(n.Size)
 	for k := range n.members {
 		i := (first + k) % n.Size
 		m := &n.members[i]
-		if len(n.out.Rumours) >= maxRumoursPerMessage {
+		if len(n.outgoing.Rumours) >= maxRumoursPerMessage {
 			return
 		}
-		if m.state >= Dead && i != to {
-			n.out.Rumours = append(
-				n.out.Rumours,
+		if m.state >= Dead && i != receiver {
+			n.outgoing.Rumours = append(
+				n.outgoing.Rumours,
 				Rumour{Member: i, Session: m.session, State: m.state, Accuser: m.accuser},
 			)
 		}
 	}
 }
 
-// applyRumour applies a rumour.
-func (n *Node) applyRumour(now time.Duration, r Rumour) {
-	if r.Member < 0 || r.Member >= n.Size || r.State == Unknown || r.State > Left ||
-		r.Accuser < 0 || r.Accuser >= n.Size {
+// applyRumour applies a rumour to this node's view and queues it for gossip if it is new. Invalid
+// rumours are ignored.
+func (n *Node) applyRumour(now time.Duration, rumour Rumour) {
+	if rumour.Member < 0 || rumour.Member >= n.Size || rumour.State == Unknown || rumour.State > Left ||
+		rumour.Accuser < 0 || rumour.Accuser >= n.Size {
 		return
 	}
-	if r.Member == n.Self {
-		n.handleOwnRumour(now, r)
+	if rumour.Member == n.Self {
+		n.handleOwnRumour(now, rumour)
 		return
 	}
-	m := &n.members[r.Member]
-	if r.State == Suspect && r.Session == m.session && m.state == Suspect {
-		if m.suspicion != nil && m.suspicion.confirm(r.Accuser) {
-			n.queueRumour(r, n.retransmits())
+	m := &n.members[rumour.Member]
+	if rumour.State == Suspect && rumour.Session == m.session && m.state == Suspect {
+		if m.suspicion != nil && m.suspicion.confirm(rumour.Accuser) {
+			n.queueRumour(rumour, n.retransmits())
 		}
 		return
 	}
-	if !r.newer(m.session, m.state) {
-		if r.State >= Dead && r.Session.Before(m.session) { // the sender has missed a later session
+	if !rumour.newer(m.session, m.state) {
+		// The sender of the rumour does not know the later session: gossip it.
+		if rumour.State >= Dead && rumour.Session.Before(m.session) {
 			n.queueRumour(
-				Rumour{Member: r.Member, Session: m.session, State: m.state, Accuser: m.accuser},
+				Rumour{Member: rumour.Member, Session: m.session, State: m.state, Accuser: m.accuser},
 				startRetransmits,
 			)
 		}
 		return
 	}
-	was, before, session := m.state, digestOf(r.Member, m.session, m.state), m.session
-	if m.session.Incarnation != r.Session.Incarnation {
-		m.lastReceived, m.claimedSize, m.digestAt = 0, 0, 0 // of the process before
+	oldState, oldDigest, session := m.state, digestOf(rumour.Member, m.session, m.state), m.session
+	if m.session.Incarnation != rumour.Session.Incarnation {
+		m.lastReceived, m.claimedSize, m.digestAt = 0, 0, 0 // they refer to the process with the earlier incarnation
 	}
-	if was == Suspect && r.State == Alive && m.session.Incarnation == r.Session.Incarnation {
-		n.noiseFactor(now)
+	if oldState == Suspect && rumour.State == Alive && m.session.Incarnation == rumour.Session.Incarnation {
+		n.refutationFactor(now)
 		n.refutations++
 	}
-	m.session, m.state, m.accuser, m.since, m.majorityAt, m.suspicion = r.Session, r.State, r.Accuser, now, 0, nil
-	if r.State == Suspect {
+	m.session, m.state, m.accuser, m.since, m.confirmedAt, m.suspicion =
+		rumour.Session, rumour.State, rumour.Accuser, now, 0, nil
+	if rumour.State == Suspect {
 		n.Stats.Suspicions++
 		m.suspicion = &suspicion{start: now, maxConfirmed: min(maxConfirmations, n.Size-3)}
-		m.suspicion.confirm(r.Accuser)
+		m.suspicion.confirm(rumour.Accuser)
 	}
-	n.digest ^= before ^ digestOf(r.Member, m.session, m.state)
-	if r.State == Alive && session.Incarnation != r.Session.Incarnation {
-		// it probes others itself: hundreds of starts must not fill all messages
-		n.queueRumour(r, startRetransmits)
+	n.digest ^= oldDigest ^ digestOf(rumour.Member, m.session, m.state)
+	if rumour.State == Alive && session.Incarnation != rumour.Session.Incarnation {
+		// A member that started probes other members itself: the rumours of hundreds of starts must
+		// not fill all messages.
+		n.queueRumour(rumour, startRetransmits)
 	} else {
-		n.queueRumour(r, n.retransmits())
+		n.queueRumour(rumour, n.retransmits())
 	}
-	by := r.Accuser
-	if by == r.Member {
-		by = -1
+	reportedAccuser := rumour.Accuser
+	if reportedAccuser == rumour.Member {
+		reportedAccuser = -1
 	}
-	if was != r.State {
-		n.changed(Change{At: now, Member: r.Member, Session: r.Session, State: r.State, Was: was, Accuser: by})
+	if oldState != rumour.State {
+		n.changed(Change{
+			At: now, Member: rumour.Member, Session: rumour.Session, State: rumour.State, Was: oldState,
+			Accuser: reportedAccuser,
+		})
 	}
-	if r.State >= Dead {
-		n.gossipDeaths(now)
+	if rumour.State >= Dead {
+		n.gossipDeath(now)
 	}
 }
 
-// handleOwnRumour applies a rumour about this node.
-func (n *Node) handleOwnRumour(now time.Duration, r Rumour) {
-	if r.Session.Incarnation > n.session.Incarnation {
-		// Another process of this number, or an earlier one whose clock was ahead. This process has
-		// to have the higher incarnation, or nobody accepts its messages. A concurrent one will do
-		// the same.
-		n.endContact(now, "another process of this number was heard of")
-		n.session.Incarnation = r.Session.Incarnation + 1
+// handleOwnRumour handles a rumour about this node.
+func (n *Node) handleOwnRumour(now time.Duration, rumour Rumour) {
+	if rumour.Session.Incarnation > n.session.Incarnation {
+		// The rumour is about another process with this member number: an earlier one whose clock
+		// was ahead, or one that runs concurrently. This process needs the higher incarnation, as
+		// no member accepts its messages otherwise. A concurrent process will do the same.
+		n.endContact(now, "another process with this member number was reported")
+		n.session.Incarnation = rumour.Session.Incarnation + 1
 		n.startSession(now, 0)
 		return
 	}
-	if r.Session.Before(n.session) || r.State == Alive {
+	if rumour.Session.Before(n.session) || rumour.State == Alive {
 		return
 	}
-	n.health = min(maxHealth, n.health+1) // this node was too slow for another
-	if r.State >= Dead {
-		// Others may give this session no more leases and rely on its end: it ends before it is
-		// refuted.
-		n.endContact(now, "it was counted as gone")
-		n.startSession(now, r.Session.Sequence+1)
+	n.localHealth = min(maxLocalHealth, n.localHealth+1) // the accuser did not receive this node's answer in time
+	if rumour.State >= Dead {
+		// Other members may grant this session no more leases and rely on its end, so the session
+		// ends before the rumour is refuted.
+		n.endContact(now, "other members count this sidecar's session as gone")
+		n.startSession(now, rumour.Session.Sequence+1)
 		return
 	}
 	n.Stats.Refuted++
-	// the refutation has to overtake the accusation
-	n.advanceSequence(now, r.Session.Sequence+1, n.retransmits())
+	// The refutation has to overtake the accusation.
+	n.advanceSequence(now, rumour.Session.Sequence+1, n.retransmits())
 }
 
-// gossipDeaths tells some members at once of a member's end; ends close to each other go together.
-func (n *Node) gossipDeaths(now time.Duration) {
-	if now < n.nextBurst {
+// gossipDeath immediately sends the rumour of a member's death to some members. Deaths within a
+// short interval share these messages.
+func (n *Node) gossipDeath(now time.Duration) {
+	if now < n.nextDeathGossip {
 		return
 	}
-	n.nextBurst = now + burstInterval
-	for range burstFanout {
-		i := n.Rand.IntN(n.Size)
-		if i == n.Self || n.members[i].state != Alive {
+	n.nextDeathGossip = now + deathGossipInterval
+	for range deathGossipFanout {
+		receiver := n.Rand.IntN(n.Size)
+		if receiver == n.Self || n.members[receiver].state != Alive {
 			continue
 		}
 		n.newMessage(Gossip)
-		n.addRumours(now, i, n.digest)
-		if len(n.out.Rumours) > 0 {
-			n.send(i)
+		n.addRumours(now, receiver, n.digest)
+		if len(n.outgoing.Rumours) > 0 {
+			n.send(receiver)
 		}
 	}
 }
--- a/internal/fleet/swim/session_over.go
+++ b/internal/fleet/swim/session_over.go
@@ -6,63 +6,64 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// digestOf returns what a member's end adds to the digest: for an exact session, and by whether it
-// left.
-func digestOf(i int, s Session, state State) uint32 {
+// digestOf returns the contribution of a member to the digest of dead sessions: a hash of its
+// number, session and state (Dead or Left), or 0 while the member is neither.
+func digestOf(number int, session Session, state State) uint32 {
 	if state < Dead {
 		return 0
 	}
-	var b [17]byte
+	var encoded [17]byte
 	for k := range 4 {
-		b[k], b[4+k] = byte(i>>(8*k)), byte(s.Sequence>>(8*k))
+		encoded[k], encoded[4+k] = byte(number>>(8*k)), byte(session.Sequence>>(8*k))
 	}
 	for k := range 8 {
-		b[8+k] = byte(s.Incarnation >> (8 * k))
+		encoded[8+k] = byte(session.Incarnation >> (8 * k))
 	}
-	b[16] = byte(state)
-	return uint32(xxhash.Sum64(b[:]))
+	encoded[16] = byte(state)
+	return uint32(xxhash.Sum64(encoded[:]))
 }
 
-// confirmDeaths records for dead members that a majority counts the same sessions as dead, each by
-// a fresh digest.
+// confirmDeaths marks the dead members as confirmed if a majority of the members counts the same
+// sessions as dead, as shown by recent digests equal to this node's digest.
 func (n *Node) confirmDeaths(now time.Duration) {
-	open := false
+	unconfirmed := false
 	for i := range n.members {
 		m := &n.members[i]
-		open = open || m.state == Dead && m.majorityAt == 0
+		unconfirmed = unconfirmed || m.state == Dead && m.confirmedAt == 0
 	}
-	if !open {
+	if !unconfirmed {
 		return
 	}
-	same := 1
+	agreeing := 1
 	for i := range n.members {
 		m := &n.members[i]
-		// An old digest may be of a process that has restarted since; withholdsLeases allows for
-		// its age.
+		// An older digest may be from a process that has restarted since. withholdsLeases accounts
+		// for the maximum age of a digest.
 		if i != n.Self && m.digestAt > 0 && now-m.digestAt <= n.digestLifetime() && m.digest == n.digest {
-			same++
+			agreeing++
 		}
 	}
-	if same < n.majority {
+	if agreeing < n.majority {
 		return
 	}
 	for i := range n.members {
-		if m := &n.members[i]; m.state == Dead && m.majorityAt == 0 {
-			m.majorityAt = now
+		if m := &n.members[i]; m.state == Dead && m.confirmedAt == 0 {
+			m.confirmedAt = now
 		}
 	}
 }
 
-// SessionOver reports whether a member's session, as known here, is over for good; the member has
-// known so itself before. A majority has shown that it gives the session no more leases, and the
-// longest lease that it may have has expired; or the member said itself that it left.
+// SessionOver returns the session of a member that is known here, and whether it has ended
+// permanently. By then the member itself has already stopped using the session. A session has ended
+// if its member announced that it left, or if a majority of the members has shown that it grants
+// the session no more leases and the longest lease that the session may hold has expired.
 func (n *Node) SessionOver(now time.Duration, i int) (Session, bool) {
 	m := &n.members[i]
 	switch m.state {
 	case Left:
 		return m.session, true
 	case Dead:
-		return m.session, m.majorityAt > 0 && now >= m.majorityAt+n.LeaseExpiry()
+		return m.session, m.confirmedAt > 0 && now >= m.confirmedAt+n.LeaseExpiry()
 	}
 	return m.session, false
 }
--- a/internal/fleet/swim/session_over_test.go
+++ b/internal/fleet/swim/session_over_test.go
@@ -7,82 +7,84 @@
 	"caperarch/internal/fleet/swim"
 )
 
-// A member's session is over for good once a majority has shown, lately, that it holds the same,
-// and a lease is over.
-func TestOut(t *testing.T) {
+// A member's session counts as over once a majority of the members has shown, by recent digests,
+// that it counts the session as dead, and the longest lease has expired since.
+func TestSessionOver(t *testing.T) {
 	const size = 5
-	gone := swim.Rumour{Member: 4, Session: swim.Session{Incarnation: 10}, State: swim.Dead, Accuser: 2}
-	shows := func(l *lone, from int, asked time.Duration, digest uint32) {
-		m := l.yes(from, asked)
-		m.Digest = digest
-		l.Receive(l.now, m)
+	death := swim.Rumour{Member: 4, Session: swim.Session{Incarnation: 10}, State: swim.Dead, Accuser: 2}
+	receiveDigest := func(node *testNode, from int, sent time.Duration, digest uint32) {
+		ack := node.ackFor(from, sent)
+		ack.Digest = digest
+		node.Receive(node.now, ack)
 	}
-	begin := func(t *testing.T) (*lone, uint32) {
-		l := newLone(t, size)
-		l.say(2, gone)
-		return l, l.ping(1, swim.Session{Incarnation: 10}).Digest
+	startWithDeadMember := func(t *testing.T) (*testNode, uint32) {
+		node := newTestNode(t, size)
+		node.receiveRumour(2, death)
+		return node, node.pingFrom(1, swim.Session{Incarnation: 10}).Digest
 	}
 	t.Run("a majority", func(t *testing.T) {
-		l, digest := begin(t)
-		shows(l, 1, l.now, digest)
-		shows(l, 2, l.now, digest)
-		agreed := l.now + swim.Period
-		l.pass(l.LeaseExpiry() - 10*swim.Period)
-		if _, out := l.SessionOver(l.now, 4); out {
-			t.Errorf("out %v after all had agreed, its lease may hold", l.now-agreed)
+		node, digest := startWithDeadMember(t)
+		receiveDigest(node, 1, node.now, digest)
+		receiveDigest(node, 2, node.now, digest)
+		agreedAt := node.now + swim.Period
+		node.advance(node.LeaseExpiry() - 10*swim.Period)
+		if _, over := node.SessionOver(node.now, 4); over {
+			t.Errorf("session is over %v after a majority agreed, while its lease may still be valid", node.now-agreedAt)
 		}
-		l.pass(12 * swim.Period)
-		if s, out := l.SessionOver(l.now, 4); !out || s != gone.Session {
-			t.Errorf("session %v, out %v; nobody can give it a lease any more", s, out)
+		node.advance(12 * swim.Period)
+		if s, over := node.SessionOver(node.now, 4); !over || s != death.Session {
+			t.Errorf("got session %v, over %v; want the dead session to be over, as no majority grants it leases", s, over)
 		}
-		l.say(
+		node.receiveRumour(
 			4,
 			swim.Rumour{
 				Member: 4, Session: swim.Session{Incarnation: 10, Sequence: 1}, State: swim.Alive,
 				Accuser: 4,
 			},
 		)
-		if s, out := l.SessionOver(l.now, 4); out || s.Sequence != 1 {
-			t.Errorf("session %v, out %v; it came back under a later one", s, out)
+		if s, over := node.SessionOver(node.now, 4); over || s.Sequence != 1 {
+			t.Errorf("got session %v, over %v; want the later session of the returned member, not over", s, over)
 		}
 	})
-	for name, f := range map[string]func(l *lone, digest uint32){
-		"too few": func(l *lone, digest uint32) { shows(l, 1, l.now, digest) },
-		"others hold others": func(l *lone, digest uint32) {
-			shows(l, 1, l.now, digest)
-			shows(l, 2, l.now, digest+1)
+	for name, scenario := range map[string]func(node *testNode, digest uint32){
+		"too few members agree": func(node *testNode, digest uint32) { receiveDigest(node, 1, node.now, digest) },
+		"a digest differs": func(node *testNode, digest uint32) {
+			receiveDigest(node, 1, node.now, digest)
+			receiveDigest(node, 2, node.now, digest+1)
 		},
-		"one is old": func(l *lone, digest uint32) {
-			shows(l, 1, l.now, digest)
-			l.pass(lease * 3 / 4)
-			shows(l, 2, l.now, digest)
+		"a digest is old": func(node *testNode, digest uint32) {
+			receiveDigest(node, 1, node.now, digest)
+			node.advance(lease * 3 / 4)
+			receiveDigest(node, 2, node.now, digest)
 		},
-		"one comes late": func(l *lone, digest uint32) {
-			asked := l.now
-			l.pass(lease * 3 / 4)
-			shows(l, 1, asked, digest)
-			shows(l, 2, l.now, digest)
+		"an ack is received late": func(node *testNode, digest uint32) {
+			sent := node.now
+			node.advance(lease * 3 / 4)
+			receiveDigest(node, 1, sent, digest)
+			receiveDigest(node, 2, node.now, digest)
 		},
-		"one restarted": func(l *lone, digest uint32) {
-			shows(l, 1, l.now, digest)
-			l.say(3, swim.Rumour{Member: 1, Session: swim.Session{Incarnation: 11}, State: swim.Alive, Accuser: 1})
-			shows(l, 2, l.now, digest)
+		"a member restarted": func(node *testNode, digest uint32) {
+			receiveDigest(node, 1, node.now, digest)
+			node.receiveRumour(3, swim.Rumour{
+				Member: 1, Session: swim.Session{Incarnation: 11}, State: swim.Alive, Accuser: 1,
+			})
+			receiveDigest(node, 2, node.now, digest)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			l, digest := begin(t)
-			f(l, digest)
-			l.pass(3 * l.LeaseExpiry())
-			if _, out := l.SessionOver(l.now, 4); out {
-				t.Error("out")
+			node, digest := startWithDeadMember(t)
+			scenario(node, digest)
+			node.advance(3 * node.LeaseExpiry())
+			if _, over := node.SessionOver(node.now, 4); over {
+				t.Error("session is over without recent digests of a majority, want not over")
 			}
 		})
 	}
 	t.Run("left", func(t *testing.T) {
-		l := newLone(t, size)
-		l.say(4, swim.Rumour{Member: 4, Session: gone.Session, State: swim.Left, Accuser: 4})
-		if _, out := l.SessionOver(l.now, 4); !out {
-			t.Error("it said itself that it left")
+		node := newTestNode(t, size)
+		node.receiveRumour(4, swim.Rumour{Member: 4, Session: death.Session, State: swim.Left, Accuser: 4})
+		if _, over := node.SessionOver(node.now, 4); !over {
+			t.Error("session of a member that announced its departure is not over")
 		}
 	})
 }
--- a/internal/fleet/swim/suspicion.go
+++ b/internal/fleet/swim/suspicion.go
@@ -6,16 +6,17 @@
 	"time"
 )
 
-// suspicion is an accusation against a member that may still refute it.
+// suspicion is a set of accusations against a member that the member can still refute.
 type suspicion struct {
 	start        time.Duration
-	lastPing     time.Duration
+	lastPing     time.Duration // when this node last pinged the suspected member about the suspicion
 	accusers     [maxConfirmations + 1]int
-	count        int
-	maxConfirmed int // further accusers that make the time-out minSuspicion
+	count        int // number of accusers
+	maxConfirmed int // number of further accusers at which the time-out is minSuspicion
 }
 
-// timeout returns how long a refutation is waited for: the shorter, the more members accuse.
+// timeout returns how long the member has to refute the suspicion. The time-out falls from
+// maxSuspicion to minSuspicion with the logarithm of the number of accusers.
 func (s *suspicion) timeout() time.Duration {
 	if s.maxConfirmed < 1 {
 		return minSuspicion
@@ -24,39 +25,40 @@
 	return max(minSuspicion, maxSuspicion-time.Duration(fraction*float64(maxSuspicion-minSuspicion)))
 }
 
-// confirm adds an accuser; false: it is known already, or there are enough.
-func (s *suspicion) confirm(by int) bool {
-	if s.count > s.maxConfirmed || slices.Contains(s.accusers[:s.count], by) {
+// confirm adds an accuser. It returns false if the accuser is already recorded or there are enough
+// accusers.
+func (s *suspicion) confirm(accuser int) bool {
+	if s.count > s.maxConfirmed || slices.Contains(s.accusers[:s.count], accuser) {
 		return false
 	}
-	s.accusers[s.count] = by
+	s.accusers[s.count] = accuser
 	s.count++
 	return true
 }
 
-// thirdPartyDelay is how much longer a node waits that is not an accuser itself: its own view says
-// nothing against the member.
+// thirdPartyDelay is the additional wait of a node that is not an accuser itself: its own probes
+// give no evidence against the member.
 const thirdPartyDelay = 4 * time.Second
 
-// expireSuspicions declares members dead that did not refute in time. A node that doubts itself
-// waits.
+// expireSuspicions declares the members dead that have not refuted a suspicion in time. While this
+// node's view is unreliable, it postpones the time-outs instead.
 func (n *Node) expireSuspicions(now time.Duration) {
-	doubts := n.doubtsItself(now)
+	unreliable := n.hasUnreliableView(now)
 	for i := range n.members {
 		m := &n.members[i]
 		s := m.suspicion
 		if s == nil {
 			continue
 		}
-		if doubts {
+		if unreliable {
 			s.start = max(s.start, now-s.timeout()+minSuspicion/2)
 			continue
 		}
-		if s.start = max(s.start, m.lastReceived); now-s.start < s.timeout()*min(n.timeoutFactor(), 3) {
-			continue // it is alive and will refute the suspicion
+		if s.start = max(s.start, m.lastReceived); now-s.start < s.timeout()*min(n.healthFactor(), 3) {
+			continue // the time-out counts from the last message of the member: a live member will refute
 		}
 		if !slices.Contains(s.accusers[:s.count], n.Self) && now-s.start < s.timeout()+thirdPartyDelay {
-			continue // its accusers declare it dead soon, or it refutes
+			continue // an accuser declares the member dead, or the member refutes the suspicion
 		}
 		n.Stats.Accused++
 		n.applyRumour(now, Rumour{Member: i, Session: m.session, State: Dead, Accuser: n.Self})
--- a/internal/fleet/swim/swim.go
+++ b/internal/fleet/swim/swim.go
@@ -1,21 +1,22 @@
-// Package swim is the membership protocol of a fleet's sidecars, and tells whether this sidecar is
-// itself in contact with the fleet. It is SWIM (probes, indirect probes, suspicion, refutation,
-// gossip on the back of probes) with Lifeguard's local health, and a lease on top.
+// Package swim implements the membership protocol of a fleet's sidecars and determines whether this
+// sidecar is in contact with the fleet. The protocol is SWIM (probes, indirect probes, suspicion,
+// refutation, gossip piggybacked on probes) with Lifeguard's local health, extended by a lease.
 //
-// A Node is a state machine over messages and time: it does no I/O, starts no goroutines, and reads
-// no clock and no random source but those passed in, so one seed gives one history. It must be used
-// by one goroutine at a time. All times are of one clock that counts on while the process is
-// stopped.
+// A Node is a state machine driven by messages and time. It does no I/O, starts no goroutines, and
+// reads no clock and no random source except those passed in, so that a seed determines the whole
+// run. It must be used by one goroutine at a time. All times are from one clock that continues
+// while the process is stopped.
 //
-// It promises:
+// The package guarantees:
 //
-// InContact(now) holds only while acks of a majority of the configured sidecars have arrived that
-// answer messages of this very session sent less than a lease ago. A session whose lease has lapsed
-// is over for good; the next one has a higher sequence number.
+// InContact(now) holds only while this node has received acks from a majority of the configured
+// sidecars (this node included) that answer messages which this very session sent less than a lease
+// ago. A session whose lease has expired has ended permanently; the next session has a higher
+// sequence number.
 //
-// If SessionOver(now, B) returns a session of B, then B is not in contact under that session, nor
-// will it ever be again. Why this follows is in docs/design/peers.md; each line that it rests on
-// says so.
+// If SessionOver(now, B) returns a session of B, then B is not in contact under this session and
+// never will be again. docs/design/peers.md has the proof; the code that the proof depends on says
+// so in a comment.
 package swim
 
 import (
@@ -23,94 +24,96 @@
 	"time"
 )
 
-// Host carries out what a Node decides. Its methods must not call back into the Node, nor keep m.
+// Host sends the messages and receives the state changes of a Node. Its methods must not call the
+// Node, and must not keep the message after they return.
 type Host interface {
-	Send(to int, m *Message)
-	Changed(c Change)
+	Send(to int, message *Message)
+	Changed(change Change)
 }
 
-// Change is a member's new state, or, if Member is the node's own number, a change of its own
-// contact.
+// Change reports the new state of a member or, if Member is the node's own number, the start or end
+// of the node's own contact.
 type Change struct {
 	At      time.Duration
 	Member  int
 	Session Session
 	State   State
 	Was     State
-	Accuser int  // -1: nobody else
-	Contact bool // of this node itself: in contact from now on, or not
-	Why     string
+	Accuser int    // number of the member that declared the new state; -1: none, or Member itself
+	Contact bool   // for the node itself: whether it is in contact from now on
+	Why     string // for the node itself: the reason of the change
 }
 
 // Config configures a Node.
 type Config struct {
-	Size           int // configured sidecars, this one included: numbers 0 to Size-1
-	Self           int
-	Incarnation    uint64        // above that of each earlier process of this number
-	Lease          time.Duration // 0: LeaseFor(Size)
-	MaxClockError  float64       // greatest error of a clock's rate, to either side; 0: DefaultClockError
-	BytesPerSecond float64       // that may be sent, roughly; 0: DefaultBytesPerSecond
+	Size           int           // number of configured sidecars, this one included; numbered from 0 to Size-1
+	Self           int           // number of this sidecar
+	Incarnation    uint64        // must be higher than the incarnation of each earlier process with this number
+	Lease          time.Duration // duration of a lease; 0: LeaseFor(Size)
+	MaxClockError  float64       // maximum error of a clock's rate, as a fraction; 0: DefaultClockError
+	BytesPerSecond float64       // approximate budget of bytes to send; 0: DefaultBytesPerSecond
 	Rand           *rand.Rand
 	Host           Host
 }
 
 const (
-	// MaxMembers is how many sidecars a fleet may have: a bound on memory, some 200 bytes a member.
+	// MaxMembers is the maximum number of sidecars in a fleet. It bounds the memory, some 200 bytes
+	// per member.
 	MaxMembers = 1 << 14
 
-	// Period is how often a member is probed, and how often Tick is due. Eight a second, three
-	// small messages each, stay under 1 KiB/s.
+	// Period is the interval between the probes of a node, and between the calls of Tick. Eight
+	// probes per second with three small messages each take less than 1 KiB/s.
 	Period = 125 * time.Millisecond
 
-	// DefaultClockError is the greatest error of a clock's rate. Quartz is off by 0.0001 at the
-	// worst; a clock that is being slewed by 0.0005 more.
+	// DefaultClockError is the default maximum error of a clock's rate, as a fraction. A quartz
+	// clock is off by at most 0.0001, and a clock that is being slewed by a further 0.0005.
 	DefaultClockError = 0.001
 
 	minLease = 3 * time.Second
-	// leasePerMember: 16 acks a second refresh a majority of 300 in 9.4 s; the lease is half as
-	// long again.
+	// leasePerMember is the lease duration per member. 16 acks per second renew the acks of a
+	// majority of 300 members in 9.4 s; the lease is half as long again.
 	leasePerMember = 50 * time.Millisecond
 
-	directTimeout       = 100 * time.Millisecond // until a target is pinged again
-	indirectTimeout     = 300 * time.Millisecond // until others are asked: each costs five probes
+	directTimeout       = 100 * time.Millisecond // from a ping until the target is pinged again
+	indirectTimeout     = 300 * time.Millisecond // until others are asked to probe, which costs as much as five probes
 	probeTimeout        = 700 * time.Millisecond // until a probe has failed
 	indirectProbes      = 3                      // members that are asked to probe
-	seekFactor          = 2                      // times as many probes while not in contact,
-	seekLeases          = 3                      // for this many leases
-	absentProbeInterval = 8                      // one probe in so many goes to an absent member
+	fastProbeFactor     = 2                      // probes per tick while out of contact
+	fastProbeLeases     = 3                      // duration of fast probing after contact was lost, in leases
+	absentProbeInterval = 8                      // one tick in this many probes an absent member first
 
-	noiseDecay = 10 * time.Second // time constant of the count of refutations
-	noiseStep  = 4.0              // refutations that lengthen time-outs by one
-	maxNoise   = 3.0
+	refutationDecay    = 10 * time.Second // time constant of the count of refutations
+	refutationsPerStep = 4.0              // refutations that lengthen the time-out of probes by one probeTimeout
+	maxRefutationSteps = 3.0              // maximum lengthening, in such steps
 
-	// maxHealth bounds Lifeguard's local health multiplier: time-outs are up to maxHealth+1 times
-	// longer.
-	maxHealth      = 8
-	resultWindow   = 16              // last probes that are remembered
-	stallThreshold = 4 * Period      // without a Tick: this process was stopped or starved,
-	selfDoubtTime  = 2 * time.Second // and accuses nobody for this long afterwards
+	// maxLocalHealth bounds Lifeguard's local health multiplier: time-outs become up to
+	// maxLocalHealth+1 times as long.
+	maxLocalHealth    = 8
+	resultWindow      = 16              // number of recent probes whose results are kept
+	stallThreshold    = 4 * Period      // time without a Tick that counts as a stall of this process
+	stallRecoveryTime = 2 * time.Second // time after a stall for which this node accuses no member
 
-	minSuspicion     = 1200 * time.Millisecond // time-out of a suspicion that others confirm
-	maxSuspicion     = 3500 * time.Millisecond // and of one that nobody confirms
-	maxConfirmations = 3
+	minSuspicion     = 1200 * time.Millisecond // time-out of a suspicion that other members confirm
+	maxSuspicion     = 3500 * time.Millisecond // time-out of a suspicion that no other member confirms
+	maxConfirmations = 3                       // number of confirmations after which the time-out is minSuspicion
 
 	maxRumoursPerMessage = 5
-	retransmitMultiplier = 1.5    // times the logarithm of the fleet's size
-	burstFanout          = 3      // members that are told of a member's end at once
-	burstInterval        = Period // between bursts
-	countInterval        = 16     // one probe in so many carries MemberCount
+	retransmitMultiplier = 1.5    // messages per rumour, as a multiple of the binary logarithm of the fleet's size
+	deathGossipFanout    = 3      // random members to which a death is gossiped immediately
+	deathGossipInterval  = Period // minimum interval between such immediate messages
+	memberCountInterval  = 16     // one probe in this many carries MemberCount
 
 	maxQueuedRumours = 64
-	digestFreshness  = 2 // a digest counts for a lease divided by this; see confirmDeaths
+	digestFreshness  = 2 // a digest counts for the lease divided by this number; see confirmDeaths
 )
 
-// LeaseFor returns the lease of a fleet of size sidecars: the time it takes to receive acks of a
-// majority, and half as long again.
+// LeaseFor returns the default lease duration of a fleet of the given size: the time in which acks
+// of a majority are received, and half as long again, but at least minLease.
 func LeaseFor(size int) time.Duration {
 	return max(minLease, time.Duration(size)*leasePerMember)
 }
 
-// Stats counts events since the start.
+// Stats counts events since the start of the node.
 type Stats struct {
 	Probes, Unanswered, Suspicions, Refuted, Accused, Lapses, Stalls uint64
 }
--- a/internal/fleet/swim/swim_test.go
+++ b/internal/fleet/swim/swim_test.go
@@ -9,22 +9,26 @@
 	"caperarch/internal/lab/swimsim"
 )
 
-func settled(t *testing.T, n *swimsim.Net) {
+// waitUntilSettled runs a simulated fleet until all members are in contact and their views are
+// equal.
+func waitUntilSettled(t *testing.T, net *swimsim.Net) {
 	t.Helper()
-	if !n.Until(4*swim.LeaseFor(n.Size)+20*time.Second, func() bool { return n.InContact() == n.Size && n.Agree() }) {
+	if !net.Until(4*swim.LeaseFor(net.Size)+20*time.Second, func() bool {
+		return net.InContact() == net.Size && net.Agree()
+	}) {
 		t.Fatalf(
-			"seed %d: %d of %d in contact after %v, agree %v", n.Seed, n.InContact(), n.Size,
-			n.Now-time.Hour, n.Agree(),
+			"seed %d: %d of %d members in contact after %v, views equal: %v", net.Seed, net.InContact(), net.Size,
+			net.Now-time.Hour, net.Agree(),
 		)
 	}
 }
 
-func TestSettles(t *testing.T) {
+func TestFleetSettlesAfterStart(t *testing.T) {
 	for _, size := range []int{1, 2, 3, 5, 9, 40} {
-		n := swimsim.New(swimsim.Config{Size: size, Seed: uint64(size)})
-		begun := n.Now
-		settled(t, n)
-		t.Logf("%d: %v", size, n.Now-begun)
+		net := swimsim.New(swimsim.Config{Size: size, Seed: uint64(size)})
+		start := net.Now
+		waitUntilSettled(t, net)
+		t.Logf("%d members settled after %v", size, net.Now-start)
 	}
 	_ = fmt.Sprint()
 }
--- a/internal/fleet/swim/views_test.go
+++ b/internal/fleet/swim/views_test.go
@@ -9,9 +9,9 @@
 	"caperarch/internal/fleet/swim"
 )
 
-// Whatever order rumours come in, and however often, the view behind them is the same: so views
-// that have heard the same are equal.
-func TestViewsDoNotDependOnOrder(t *testing.T) {
+// The view of a node depends only on the set of rumours that it received, not on their order or
+// number: nodes that received the same rumours have equal views and digests.
+func TestViewsDoNotDependOnRumourOrder(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		var all []swim.Rumour
 		for range rapid.IntRange(1, 30).Draw(rt, "rumours") {
@@ -26,29 +26,32 @@
 			})
 		}
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(rt, "order"), 1))
-		views := [2]*lone{newLone(t, 6), newLone(t, 6)}
-		for v, l := range views {
-			told := append([]swim.Rumour(nil), all...)
-			for range v * 10 { // the second hears some twice
-				told = append(told, all[rng.IntN(len(all))])
+		views := [2]*testNode{newTestNode(t, 6), newTestNode(t, 6)}
+		for v, node := range views {
+			received := append([]swim.Rumour(nil), all...)
+			for range v * 10 { // the second node receives some rumours twice
+				received = append(received, all[rng.IntN(len(all))])
 			}
 			if v == 1 {
-				rng.Shuffle(len(told), func(i, j int) { told[i], told[j] = told[j], told[i] })
+				rng.Shuffle(len(received), func(i, j int) { received[i], received[j] = received[j], received[i] })
 			}
-			for _, r := range told {
-				l.say(5, r)
+			for _, r := range received {
+				node.receiveRumour(5, r)
 			}
 		}
 		for i := 1; i < 5; i++ {
-			a, as := views[0].State(i)
-			b, bs := views[1].State(i)
-			if a != b || as != bs {
-				rt.Fatalf("member %d: %v %v and %v %v", i, a, as, b, bs)
+			state0, session0 := views[0].State(i)
+			state1, session1 := views[1].State(i)
+			if state0 != state1 || session0 != session1 {
+				rt.Fatalf(
+					"views of member %d differ: %v in session %v and %v in session %v",
+					i, state0, session0, state1, session1,
+				)
 			}
 		}
 		session := swim.Session{Incarnation: 10}
-		if x, y := views[0].ping(5, session).Digest, views[1].ping(5, session).Digest; x != y {
-			rt.Fatalf("digests %x and %x", x, y)
+		if x, y := views[0].pingFrom(5, session).Digest, views[1].pingFrom(5, session).Digest; x != y {
+			rt.Fatalf("digests differ: %x and %x", x, y)
 		}
 	})
 }
