--- a/internal/fleet/healthgossip/healthgossip.go
+++ b/internal/fleet/healthgossip/healthgossip.go
@@ -1,11 +1,12 @@
-// Package healthgossip keeps what the sidecars of a fleet tell each other of servers that don't
-// answer. It does no I/O; time is passed in.
+// Package healthgossip stores which servers do not answer a sidecar's attempts, and which servers
+// the other sidecars of the fleet report as unresponsive. It does no I/O; time is passed in.
 //
-// A hint only adds caution, and only to what the receiver finds itself: while enough others report
-// a server, a single own failure counts like two in a row otherwise, so that a sidecar with little
-// traffic does not lose a second request to it. No report makes a server preferred, adds one, or
-// takes it out of the rotation by itself. So the most that any number of false reports can do is
-// that a server rests for 20 ms, at most 0.64 s, after a single failure of its own.
+// A report only makes the receiver more cautious about failures that it observes itself: while
+// enough other sidecars report a server, a single failed attempt of this sidecar has the effect
+// that otherwise two consecutive failures have. A sidecar with little traffic therefore does not
+// lose a second request to the server. No report makes a server preferred, adds a server, or
+// removes a server from the rotation by itself. Any number of false reports can therefore at most
+// cause a server to be avoided for 20 ms (0.64 s at most) after a single failure of its own.
 package healthgossip
 
 import (
@@ -14,122 +15,126 @@
 )
 
 const (
-	quorum       = 3               // other sidecars that have to report a server
-	reportTTL    = 5 * time.Second // of other sidecars' reports
-	minFailures  = 2               // consecutive failures of own attempts before a server is reported,
-	announceTime = 5 * time.Second // for this long after the last of them
-	maxAnnounced = 4               // servers per message
-	maxOwn       = 1024            // servers with own failures: bounds memory
-	maxReported  = 256             // servers reported by others
-	maxReporters = 2 * quorum      // of one server
+	quorum                = 3               // number of other sidecars that have to report a server
+	reportTTL             = 5 * time.Second // how long a report of another sidecar counts
+	minFailures           = 2               // consecutive failed attempts after which a server is reported
+	failureTTL            = 5 * time.Second // how long after the last failed attempt a server is reported
+	maxServersPerMessage  = 4               // number of servers per message
+	maxFailedServers      = 1024            // number of servers with failed attempts of this sidecar; bounds memory
+	maxReportedServers    = 256             // number of servers with reports of other sidecars; bounds memory
+	maxReportersPerServer = 2 * quorum      // number of reports per server
 )
 
-// Quorum returns how many others of a fleet have to report a server: three, or all others if there
-// are fewer.
+// Quorum returns how many other sidecars have to report a server in a fleet of the given size:
+// three, or all others if there are fewer.
 func Quorum(size int) int { return max(1, min(quorum, size-1)) }
 
-// Server identifies a server; it is the same number at every sidecar.
+// Server identifies a server. All sidecars use the same number for a server.
 type Server uint64
 
-// ownFailures is a server's consecutive failures of this sidecar's attempts.
+// ownFailures counts the consecutive failed attempts of this sidecar to send requests to a server.
 type ownFailures struct {
 	count int
-	at    time.Duration // of the last failure
+	at    time.Duration // time of the last failure
 }
 
-// report is when a sidecar reported a server last.
+// report is the last report of a sidecar about a server.
 type report struct {
 	reporter int
-	at       time.Duration
+	at       time.Duration // when the report was received
 }
 
-// Hints is one sidecar's knowledge. It is not safe for concurrent use.
+// Hints holds the failed attempts of one sidecar and the reports that it received. It is not safe
+// for concurrent use.
 type Hints struct {
 	quorum   int
 	failures map[Server]ownFailures
 	reports  map[Server][]report
 }
 
-// New returns the knowledge of a sidecar in a fleet of size.
+// New returns empty Hints for a sidecar in a fleet of the given size.
 func New(size int) *Hints {
 	return &Hints{quorum: Quorum(size), failures: make(map[Server]ownFailures), reports: make(map[Server][]report)}
 }
 
-// RecordAttempt records how an own attempt ended: with an answer of the server, whatever it was, or
-// without.
-func (h *Hints) RecordAttempt(now time.Duration, s Server, answered bool) {
+// RecordAttempt records how an attempt of this sidecar to send a request to a server ended:
+// answered is true if the server sent any answer, even an error.
+func (h *Hints) RecordAttempt(now time.Duration, server Server, answered bool) {
 	if answered {
-		delete(h.failures, s)
+		delete(h.failures, server)
 		return
 	}
-	o, known := h.failures[s]
-	if !known && len(h.failures) >= maxOwn {
+	previous, known := h.failures[server]
+	if !known && len(h.failures) >= maxFailedServers {
 		return
 	}
-	h.failures[s] = ownFailures{o.count + 1, now}
+	h.failures[server] = ownFailures{previous.count + 1, now}
 }
 
-// Unresponsive returns what this sidecar reports: the servers that have not answered it, the latest
-// first.
-func (h *Hints) Unresponsive(now time.Duration) (all []Server) {
-	for s, o := range h.failures {
+// Unresponsive returns the servers that this sidecar reports to other sidecars because they do not
+// answer its attempts, those with the latest failures first.
+func (h *Hints) Unresponsive(now time.Duration) (servers []Server) {
+	for server, own := range h.failures {
 		switch {
-		case now-o.at > announceTime:
-			delete(h.failures, s)
-		case o.count >= minFailures:
-			all = append(all, s)
+		case now-own.at > failureTTL:
+			delete(h.failures, server)
+		case own.count >= minFailures:
+			servers = append(servers, server)
 		}
 	}
-	slices.SortFunc(all, func(x, y Server) int {
+	slices.SortFunc(servers, func(x, y Server) int {
 		if d := h.failures[y].at - h.failures[x].at; d != 0 {
 			return int(d)
 		}
 		return int(x>>1) - int(y>>1)
 	})
-	return all[:min(len(all), maxAnnounced)]
+	return servers[:min(len(servers), maxServersPerMessage)]
 }
 
-// Receive records what another sidecar reports.
-func (h *Hints) Receive(now time.Duration, by int, silent []Server) {
-	for _, s := range silent[:min(len(silent), maxAnnounced)] {
-		all, known := h.reports[s]
-		if !known && len(h.reports) >= maxReported && !h.expire(now) {
+// Receive records a report of another sidecar about unresponsive servers.
+func (h *Hints) Receive(now time.Duration, sender int, unresponsive []Server) {
+	for _, server := range unresponsive[:min(len(unresponsive), maxServersPerMessage)] {
+		current, known := h.reports[server]
+		if !known && len(h.reports) >= maxReportedServers && !h.expire(now) {
 			return
 		}
-		all = slices.DeleteFunc(all, func(x report) bool { return x.reporter == by || now-x.at > reportTTL })
-		if len(all) < maxReporters {
-			all = append(all, report{by, now})
+		current = slices.DeleteFunc(current, func(old report) bool {
+			return old.reporter == sender || now-old.at > reportTTL
+		})
+		if len(current) < maxReportersPerServer {
+			current = append(current, report{sender, now})
 		}
-		h.reports[s] = all
+		h.reports[server] = current
 	}
 }
 
-// expire drops servers whose reports have expired; false: there are none.
+// expire drops the servers whose reports have all expired, and reports whether there were any.
 func (h *Hints) expire(now time.Duration) bool {
 	before := len(h.reports)
-	for s, all := range h.reports {
-		if !slices.ContainsFunc(all, func(x report) bool { return now-x.at <= reportTTL }) {
-			delete(h.reports, s)
+	for server, received := range h.reports {
+		if !slices.ContainsFunc(received, func(r report) bool { return now-r.at <= reportTTL }) {
+			delete(h.reports, server)
 		}
 	}
 	return len(h.reports) < before
 }
 
-// DoubtedCount returns how many servers are doubted now.
+// DoubtedCount returns the number of servers that are doubted now.
 func (h *Hints) DoubtedCount(now time.Duration) (n int) {
-	for s := range h.reports {
-		if h.Doubted(now, s) {
+	for server := range h.reports {
+		if h.Doubted(now, server) {
 			n++
 		}
 	}
 	return n
 }
 
-// Doubted reports whether enough others have reported recently that a server does not answer them.
-func (h *Hints) Doubted(now time.Duration, s Server) bool {
+// Doubted reports whether enough other sidecars have reported within reportTTL that a server does
+// not answer them.
+func (h *Hints) Doubted(now time.Duration, server Server) bool {
 	n := 0
-	for _, x := range h.reports[s] {
-		if now-x.at <= reportTTL {
+	for _, r := range h.reports[server] {
+		if now-r.at <= reportTTL {
 			n++
 		}
 	}
