--- a/internal/fleet/healthgossip/healthgossip.go
+++ b/internal/fleet/healthgossip/healthgossip.go
@@ -6,7 +6,7 @@
 // that otherwise two consecutive failures have. A sidecar with little traffic therefore does not
 // lose a second request to the server. No report makes a server preferred, adds a server, or
 // removes a server from the rotation by itself. Any number of false reports can therefore at most
-// cause a server to be avoided for 20 ms (0.64 s at most) after a single failure of its own.
+// cause a server to be ejected for 20 ms (0.64 s at most) after a single failure of its own.
 package healthgossip
 
 import (
