--- a/cmd/fleetlog/main.go
+++ b/cmd/fleetlog/main.go
@@ -58,7 +58,7 @@
 // drawWork writes the drawing of the turns to a file.
 func drawWork(fleet *fleetlog.Fleet, name string) error {
 	var svg bytes.Buffer
-	if err := fleet.DrawWork(&svg); err != nil {
+	if err := fleet.DrawMaintenance(&svg); err != nil {
 		return err
 	}
 	return os.WriteFile(name, svg.Bytes(), 0o644)
--- a/cmd/measure/fleet_work.go
+++ b/cmd/measure/fleet_work.go
@@ -209,7 +209,7 @@
 		}
 	}
 	var svg bytes.Buffer
-	if err := all.DrawWork(&svg); err != nil {
+	if err := all.DrawMaintenance(&svg); err != nil {
 		return err
 	}
 	return os.WriteFile(filepath.Join(plotDir, "work-round.svg"), svg.Bytes(), 0o644)
--- a/internal/fleet/fleetlog/counters.go
+++ b/internal/fleet/fleetlog/counters.go
@@ -12,33 +12,34 @@
 	"text/tabwriter"
 )
 
-// reportedLogs is how many logs a report names, of those that were held back most.
-const reportedLogs = 5
+// maxReportedLogs is the number of logs that a report names: those with the highest Counters.Held.
+const maxReportedLogs = 5
 
-// Counters are what all sidecars sent, and why they held back or refused: the counters of the decision module, which
-// policy.Counters describes, and of the transport.
+// Counters are the sums of the sidecars' counters of requests sent, held back and refused: the counters of the
+// decision module, which policy.Counters describes, and of the transport.
 type Counters struct {
-	// Sent is the first attempts that went where they were to go, Retries the further ones.
+	// Sent counts the first attempts that were sent to the server whose turn it was, Retries the further attempts.
 	Sent    uint64
 	Retries uint64
-	// Walled is the attempts that went to another server, as one had its share.
+	// Walled counts the attempts that were sent to a later server because the server whose turn it was is ejected,
+	// paced or at its limit.
 	Walled uint64
-	// Held is how often a request was held back as all servers were crowded.
+	// Held counts how often the bulkhead put off the dispatch of a request although its compartment had a free slot.
 	Held uint64
-	// Throttled is the requests that admission refused at once.
+	// Throttled counts the requests that admission control refused on arrival.
 	Throttled uint64
-	// Queued is the requests that had to wait for a slot or a server.
+	// Queued counts the requests that had to wait for a slot or a server.
 	Queued uint64
-	// Late is the requests that were refused as their latency target had passed.
+	// Late counts the requests that were answered without being sent because they would have been served late.
 	Late uint64
-	// Refused is all refused requests, Failed those that failed.
+	// Refused counts all refused requests, Failed the requests that failed.
 	Refused uint64
 	Failed  uint64
-	// Dialled is the connections that were opened.
+	// Dialled counts the connections that were opened.
 	Dialled uint64
 }
 
-// counterFields are the counters' names in the log, and where each is summed up.
+// counterFields maps the name of a counter in the log to the field that holds its sum.
 var counterFields = map[string]func(*Counters) *uint64{
 	"Ordinary":  func(c *Counters) *uint64 { return &c.Sent },
 	"Walled":    func(c *Counters) *uint64 { return &c.Walled },
@@ -52,59 +53,60 @@
 	"dialled":   func(c *Counters) *uint64 { return &c.Dialled },
 }
 
-func (c *Counters) add(more *Counters) {
+// add adds other counters to c.
+func (c *Counters) add(other *Counters) {
 	for _, field := range counterFields {
-		*field(c) += *field(more)
+		*field(c) += *field(other)
 	}
 }
 
-// namedCounter is a counter in a message, as in "Held:5".
-var namedCounter = regexp.MustCompile(`(\w+):(\d+)`)
+// counterPattern matches a counter in a message, as in "Held:5".
+var counterPattern = regexp.MustCompile(`(\w+):(\d+)`)
 
-// counterSum sums up the counters of one log, which begin at 0 with each process.
+// counterSum sums the counters of one log. The logged counters start at 0 with each process.
 type counterSum struct {
-	last  map[string]uint64 // by name: what the process logged last
+	last  map[string]uint64 // last logged value by name, since the start of the process
 	total Counters
 }
 
 func newCounterSum() *counterSum { return &counterSum{last: make(map[string]uint64)} }
 
-// processStarted notes that the counters begin at 0 again.
+// processStarted records that the logged counters start at 0 again.
 func (s *counterSum) processStarted() { s.last = make(map[string]uint64) }
 
-// add adds what the counters of a message exceed the last ones by, and returns it. A counter that fell without a start
-// is of a process that died before it logged its start: its value is all that is known of it. What is no number is
-// skipped.
+// add adds the increase of the counters in a message since the last such message, and returns it. A counter that has
+// fallen although no start was logged belongs to a new process whose predecessor died: its whole value is the
+// increase. Values that are not valid numbers are skipped.
 func (s *counterSum) add(message string) Counters {
-	var step Counters
-	for _, m := range namedCounter.FindAllStringSubmatch(message, -1) {
+	var increase Counters
+	for _, m := range counterPattern.FindAllStringSubmatch(message, -1) {
 		name := m[1]
 		field := counterFields[name]
 		value, err := strconv.ParseUint(m[2], 10, 64)
 		if field == nil || err != nil {
 			continue
 		}
-		more := value
+		difference := value
 		if before := s.last[name]; before <= value {
-			more = value - before
+			difference = value - before
 		}
 		s.last[name] = value
-		*field(&step) += more
+		*field(&increase) += difference
 	}
-	s.total.add(&step)
-	return step
+	s.total.add(&increase)
+	return increase
 }
 
-// addCounters adds a message of counters.
+// addCounters adds a message with counters.
 func (f *Fleet) addCounters(log string, second int64, message string) {
-	step := f.counters[log].add(message)
-	if f.counterSteps[second] == nil {
-		f.counterSteps[second] = new(Counters)
+	increase := f.counters[log].add(message)
+	if f.counterIncreases[second] == nil {
+		f.counterIncreases[second] = new(Counters)
 	}
-	f.counterSteps[second].add(&step)
+	f.counterIncreases[second].add(&increase)
 }
 
-// Counters returns the sum over all logs.
+// Counters returns the sum of the counters over all logs.
 func (f *Fleet) Counters() Counters {
 	var sum Counters
 	for _, s := range f.counters {
@@ -113,7 +115,8 @@
 	return sum
 }
 
-// MostHeld returns the names of the logs with the highest Counters.Held, n at most and none with 0.
+// MostHeld returns the names of at most n logs with the highest Counters.Held, without logs whose Counters.Held is
+// 0.
 func (f *Fleet) MostHeld(n int) []string {
 	var logs []string
 	for name, s := range f.counters {
@@ -127,24 +130,24 @@
 	return logs[:min(n, len(logs))]
 }
 
-// reportCounters writes what the counters rose by, by the seconds in which they were logged: every ten seconds in each
-// log.
+// reportCounters writes the increases of the counters by the second in which they were logged. A sidecar logs its
+// counters every ten seconds.
 func (f *Fleet) reportCounters(w io.Writer) error {
-	seconds := slices.Sorted(maps.Keys(f.counterSteps))
+	seconds := slices.Sorted(maps.Keys(f.counterIncreases))
 	if len(seconds) == 0 {
 		return nil
 	}
-	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintln(t, "told at\tsent\tmore\theld\twalled\tthrottled\tqueued\tlate\trefused\tfailed\tdialled\t")
+	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
+	fmt.Fprintln(table, "told at\tsent\tmore\theld\twalled\tthrottled\tqueued\tlate\trefused\tfailed\tdialled\t")
 	for _, second := range seconds {
-		f.counterSteps[second].writeRow(t, strconv.FormatInt(second-seconds[0], 10))
+		f.counterIncreases[second].writeRow(table, strconv.FormatInt(second-seconds[0], 10))
 	}
 	sum := f.Counters()
-	sum.writeRow(t, "all")
-	if err := t.Flush(); err != nil {
+	sum.writeRow(table, "all")
+	if err := table.Flush(); err != nil {
 		return err
 	}
-	for _, name := range f.MostHeld(reportedLogs) {
+	for _, name := range f.MostHeld(maxReportedLogs) {
 		if _, err := fmt.Fprintf(w, "%s: held back %d times\n", name, f.counters[name].total.Held); err != nil {
 			return err
 		}
@@ -152,7 +155,7 @@
 	return nil
 }
 
-// writeRow writes the counters as a row of a table. A walled attempt is not among Sent, but was sent.
+// writeRow writes the counters as a row of a table. The column "sent" includes Walled, which Sent does not.
 func (c *Counters) writeRow(w io.Writer, label string) {
 	fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t\n", label, c.Sent+c.Walled,
 		c.Retries, c.Held, c.Walled, c.Throttled, c.Queued, c.Late, c.Refused, c.Failed, c.Dialled)
--- a/internal/fleet/fleetlog/counters_test.go
+++ b/internal/fleet/fleetlog/counters_test.go
@@ -6,8 +6,9 @@
 	"testing"
 )
 
-// Counters count from each process's start: a restart takes nothing away and counts nothing twice, and a log that is cut off in the middle
-// of a line, or holds figures beyond any counter, still says what it can.
+// Counters are summed over restarts of a process: a restart neither reduces the sum nor counts an increase twice. A
+// log that is truncated in the middle of a line, or that has values which are not valid numbers, is read as far as
+// possible.
 func TestCountersAreSummedOverRestarts(t *testing.T) {
 	f := New()
 	for name, text := range map[string]string{
@@ -27,13 +28,13 @@
 	}
 	want := Counters{Sent: 100 + 115 + 14, Walled: 2, Held: 29, Refused: 4, Dialled: 14}
 	if got := f.Counters(); got != want {
-		t.Errorf("%+v, want %+v", got, want)
+		t.Errorf("counters are %+v, want %+v", got, want)
 	}
 	if most := f.MostHeld(3); len(most) != 1 || most[0] != "n0" {
-		t.Errorf("most held: %v", most)
+		t.Errorf("logs with the highest Held are %v, want n0 alone", most)
 	}
 	var out bytes.Buffer
 	if err := f.Report(&out); err != nil || !strings.Contains(out.String(), "n0: held back 29 times") {
-		t.Errorf("report %q, %v", out.String(), err)
+		t.Errorf("report is %q with error %v, want the line of n0", out.String(), err)
 	}
 }
--- a/internal/fleet/fleetlog/doc.go
+++ b/internal/fleet/fleetlog/doc.go
@@ -1,7 +1,7 @@
-// Package fleetlog sums what the logs of many sidecars say, second by second: a pattern that is harmless in one log
-// shows only in the sum of all.
+// Package fleetlog sums the events in the logs of many sidecars by second. It shows patterns that are harmless in a
+// single log and become visible only in the sum of all logs.
 //
-// It reads what log/slog writes for the daemon, in both of its text forms. The messages that it knows are those of
-// packages daemon, engine, fleet and policy: where one is reworded there, its pattern here follows. A line that is not
-// the daemon's is counted and skipped. A Fleet belongs to one goroutine.
+// It reads lines that log/slog writes for the daemon, in both of its text forms. It recognises messages of the
+// packages daemon, engine, fleet and policy: a pattern here has to change together with the message there. Lines
+// that the daemon has not written are counted and skipped. A Fleet must be used by one goroutine at a time.
 package fleetlog
--- a/internal/fleet/fleetlog/drawing.go
+++ b/internal/fleet/fleetlog/drawing.go
@@ -12,57 +12,59 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// The size of a drawing, in points but for the width.
+// Dimensions of the drawing, in points except for the width.
 const (
 	drawingWidth     = 9 * vg.Inch
-	drawingMargin    = 80 // above and below the machines
+	drawingMargin    = 80 // height of the drawing above and below the rows of the machines
 	heightPerMachine = 16
 	phaseLineWidth   = 6
 )
 
-// ErrNoWork means that there is nothing to draw: the logs name no turn of any machine.
-var ErrNoWork = errors.New("no turn of any machine stands in the logs")
+// ErrNoMaintenance is returned if there is nothing to draw: the logs contain no maintenance window.
+var ErrNoMaintenance = errors.New("logs contain no maintenance window of any machine")
 
-// workPhase is what a turn consists of, from one step to another.
-type workPhase struct {
-	from, to workStep
+// windowPhase is a phase of a maintenance window, from one step to another.
+type windowPhase struct {
+	from, to windowStep // steps with which the phase starts and ends
 	name     string
 	color    color.Color
 }
 
-var workPhases = []workPhase{
+var windowPhases = []windowPhase{
 	{stepGiven, stepFree, "leaving", color.RGBA{R: 0xd9, G: 0xa4, B: 0x41, A: 0xff}},
 	{stepFree, stepDone, "free to work on", color.RGBA{R: 0xb0, G: 0x3a, B: 0x2e, A: 0xff}},
 	{stepDone, stepOver, "cold", color.RGBA{R: 0x5d, G: 0x8a, B: 0xa8, A: 0xff}},
 }
 
-// span returns the Unix seconds in which a turn was in the phase; one that has not ended lasts until last. false: it
-// never began.
-func (p *workPhase) span(turn *workTurn, last int64) (from, to int64, ok bool) {
-	from, ok = turn.at[p.from]
+// span returns the Unix seconds of the start and the end of the phase in a maintenance window. The phase ends with
+// its last step, or when the window is withdrawn, or at the Unix second last if neither was logged. It returns false
+// if the phase never started.
+func (p *windowPhase) span(window *maintenanceWindow, last int64) (from, to int64, ok bool) {
+	from, ok = window.at[p.from]
 	if !ok {
 		return 0, 0, false
 	}
 	to = last
-	for _, end := range []workStep{p.to, stepWithdrawn} {
-		if at, known := turn.at[end]; known {
+	for _, end := range []windowStep{p.to, stepWithdrawn} {
+		if at, known := window.at[end]; known {
 			to = min(to, at)
 		}
 	}
 	return from, max(to, from), true
 }
 
-// DrawWork draws the turns over time as SVG, a row for each machine. A phase that has not ended lasts until the last
-// second that has an event. Without a turn it returns ErrNoWork.
-func (f *Fleet) DrawWork(w io.Writer) error {
-	if len(f.workTurns) == 0 {
-		return ErrNoWork
+// DrawMaintenance draws the maintenance windows over time as SVG, with a row for each machine. A phase that has not
+// ended is drawn up to the last second that has an event. DrawMaintenance returns ErrNoMaintenance if there are no
+// windows.
+func (f *Fleet) DrawMaintenance(w io.Writer) error {
+	if len(f.windows) == 0 {
+		return ErrNoMaintenance
 	}
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text = "machines out for work", "s"
-	turns := f.turnsByNumber()
-	machines := machinesOf(turns)
-	if err := f.drawPhases(p, turns, machines); err != nil {
+	ordered := f.windowsByNumber()
+	machines := machinesOf(ordered)
+	if err := f.drawPhases(p, ordered, machines); err != nil {
 		return err
 	}
 	p.NominalY(machines...)
@@ -76,26 +78,26 @@
 	return err
 }
 
-// machinesOf returns the machines of turns, each once, in the order of their first turns.
-func machinesOf(turns []*workTurn) []string {
+// machinesOf returns the machines of maintenance windows, each once, in the order of their first windows.
+func machinesOf(windows []*maintenanceWindow) []string {
 	var machines []string
-	for _, turn := range turns {
-		if !slices.Contains(machines, turn.machine) {
-			machines = append(machines, turn.machine)
+	for _, window := range windows {
+		if !slices.Contains(machines, window.machine) {
+			machines = append(machines, window.machine)
 		}
 	}
 	return machines
 }
 
-// drawPhases draws a line for each phase of each turn, at the height of its machine's row.
-func (f *Fleet) drawPhases(p *plot.Plot, turns []*workTurn, machines []string) error {
+// drawPhases draws a line for each phase of each maintenance window, in the row of its machine.
+func (f *Fleet) drawPhases(p *plot.Plot, windows []*maintenanceWindow, machines []string) error {
 	seconds := slices.Sorted(maps.Keys(f.seconds))
 	first, last := seconds[0], seconds[len(seconds)-1]
 	inLegend := make(map[string]bool)
-	for _, turn := range turns {
-		row := float64(slices.Index(machines, turn.machine))
-		for _, phase := range workPhases {
-			from, to, ok := phase.span(turn, last)
+	for _, window := range windows {
+		row := float64(slices.Index(machines, window.machine))
+		for _, phase := range windowPhases {
+			from, to, ok := phase.span(window, last)
 			if !ok {
 				continue
 			}
--- a/internal/fleet/fleetlog/fleetlog.go
+++ b/internal/fleet/fleetlog/fleetlog.go
@@ -14,79 +14,81 @@
 )
 
 const (
-	// maxLineBytes bounds a line; a file with a longer one is not a log of the daemon.
+	// maxLineBytes bounds the length of a line. A file with a longer line is not a log of the daemon.
 	maxLineBytes = 1 << 20
-	// reportedServers is how many servers a report names, of those that most sidecars found strained.
-	reportedServers = 10
+	// maxReportedServers is the number of servers that a report names: those that most sidecars found strained.
+	maxReportedServers = 10
 )
 
-// Second is the number of events that all sidecars logged in one second.
+// Second counts the events that all sidecars logged in one second.
 type Second struct {
-	// Starts is the number of processes that began to serve.
+	// Starts is the number of processes that started to serve.
 	Starts int
-	// FullLists and ListChanges are the lists of servers that arrived, in full or as changes.
+	// FullLists and ListChanges are the numbers of server lists received in full and as changes.
 	FullLists   int
 	ListChanges int
-	// DiscoveryErrors is the number of calls for the list that failed.
+	// DiscoveryErrors is the number of failed requests for the server list.
 	DiscoveryErrors int
-	// Strained is how often a server was found strained.
+	// Strained is the number of times a sidecar found a server strained.
 	Strained int
-	// Pauses is how often a process noticed that it had been stopped for a while.
+	// Pauses is the number of times a process detected that it had been stopped for a while.
 	Pauses int
 }
 
-// Fleet is the sum of the logs that were read. New makes one.
+// Fleet sums the logs that it has read. Fleets are created with New.
 type Fleet struct {
-	// Logs is the number of logs that were read to their end.
+	// Logs is the number of logs that were read completely.
 	Logs int
-	// SkippedLines is the number of lines that are not the daemon's.
+	// SkippedLines is the number of lines that the daemon has not written.
 	SkippedLines int
 
-	seconds      map[int64]*Second          // by Unix second
-	strainedBy   map[string]map[string]bool // by server: the names of the logs that found it strained
-	counters     map[string]*counterSum     // by log
-	counterSteps map[int64]*Counters        // by Unix second: what the counters logged then rose by
-	modeChanges  []modeChange               // in the order in which they were read
-	policyEvents map[string]map[int64]int   // by step and version, as in "taken 3": the number by Unix second
-	workTurns    map[uint64]*workTurn       // by number
+	seconds          map[int64]*Second             // by Unix second
+	strainedBy       map[string]map[string]bool    // by server: names of the logs in which it was found strained
+	counters         map[string]*counterSum        // by log
+	counterIncreases map[int64]*Counters           // by Unix second: increase of the counters logged in it
+	policyChanges    []policyChange                // in the order in which they were read
+	policyEvents     map[string]map[int64]int      // by event and version, as in "taken 3": number of messages by Unix second
+	windows          map[uint64]*maintenanceWindow // by number of the maintenance window
 }
 
-// New makes a Fleet without logs.
+// New returns a Fleet that has read no logs.
 func New() *Fleet {
 	return &Fleet{
-		seconds:      make(map[int64]*Second),
-		strainedBy:   make(map[string]map[string]bool),
-		counters:     make(map[string]*counterSum),
-		counterSteps: make(map[int64]*Counters),
-		policyEvents: make(map[string]map[int64]int),
-		workTurns:    make(map[uint64]*workTurn),
+		seconds:          make(map[int64]*Second),
+		strainedBy:       make(map[string]map[string]bool),
+		counters:         make(map[string]*counterSum),
+		counterIncreases: make(map[int64]*Counters),
+		policyEvents:     make(map[string]map[int64]int),
+		windows:          make(map[uint64]*maintenanceWindow),
 	}
 }
 
-// The two forms of a line, and the message of a server under strain.
 var (
-	plainLine    = regexp.MustCompile(`(\d{4}/\d\d/\d\d \d\d:\d\d:\d\d) (?:INFO|WARN|ERROR) (.*)$`)
-	keyValueLine = regexp.MustCompile(`time=(\S+) level=\S+ msg=(.*)$`)
-	strainedLine = regexp.MustCompile(`server ([0-9a-f]+) strained`)
+	// plainLinePattern and keyValueLinePattern match the two text forms of a line, strainedPattern matches the
+	// message about a strained server.
+	plainLinePattern    = regexp.MustCompile(`(\d{4}/\d\d/\d\d \d\d:\d\d:\d\d) (?:INFO|WARN|ERROR) (.*)$`)
+	keyValueLinePattern = regexp.MustCompile(`time=(\S+) level=\S+ msg=(.*)$`)
+	strainedPattern     = regexp.MustCompile(`server ([0-9a-f]+) strained`)
 )
 
-// plainTime is the form of the time in a plainLine.
-const plainTime = "2006/01/02 15:04:05"
+// plainTimeLayout is the layout of the time in a line that plainLinePattern matches.
+const plainTimeLayout = "2006/01/02 15:04:05"
 
-// parseLine returns the time and the message of a line; false: it is not the daemon's.
+// parseLine returns the time and the message of a line, and whether the daemon has written the line.
 func parseLine(line string) (time.Time, string, bool) {
-	if m := plainLine.FindStringSubmatch(line); m != nil {
-		at, err := time.Parse(plainTime, m[1])
-		return at, m[2], err == nil
+	if match := plainLinePattern.FindStringSubmatch(line); match != nil {
+		at, err := time.Parse(plainTimeLayout, match[1])
+		return at, match[2], err == nil
 	}
-	if m := keyValueLine.FindStringSubmatch(line); m != nil {
-		at, err := time.Parse(time.RFC3339Nano, m[1])
-		return at, strings.Trim(m[2], `"`), err == nil
+	if match := keyValueLinePattern.FindStringSubmatch(line); match != nil {
+		at, err := time.Parse(time.RFC3339Nano, match[1])
+		return at, strings.Trim(match[2], `"`), err == nil
 	}
 	return time.Time{}, "", false
 }
 
-// Read adds the log of one sidecar. It fails where r does, or a line is too long; what was read before counts.
+// Read adds the log of one sidecar. It fails if r fails or a line is too long; the lines read before the error are
+// included in the sums.
 func (f *Fleet) Read(name string, r io.Reader) error {
 	lines := bufio.NewScanner(r)
 	lines.Buffer(nil, maxLineBytes)
@@ -106,40 +108,40 @@
 	return nil
 }
 
-// add counts a message of a log.
+// add counts the event that a message of a log reports.
 func (f *Fleet) add(log string, second int64, message string) {
-	s := f.seconds[second]
-	if s == nil {
-		s = new(Second)
-		f.seconds[second] = s
+	events := f.seconds[second]
+	if events == nil {
+		events = new(Second)
+		f.seconds[second] = events
 	}
 	switch {
 	case strings.HasPrefix(message, "serving"):
-		s.Starts++
+		events.Starts++
 		f.counters[log].processStarted()
 	case strings.HasPrefix(message, "list "):
 		if strings.Contains(message, "whole=true") {
-			s.FullLists++
+			events.FullLists++
 		} else {
-			s.ListChanges++
+			events.ListChanges++
 		}
 	case strings.HasPrefix(message, "discovery"):
-		s.DiscoveryErrors++
+		events.DiscoveryErrors++
 	case strings.HasPrefix(message, "counters"):
 		f.addCounters(log, second, message)
 	case strings.HasPrefix(message, "stopped for a while"):
-		s.Pauses++
-	case f.addWork(second, message):
+		events.Pauses++
+	case f.addWindow(second, message):
 	case f.addPolicy(second, log, message):
 	default:
-		if m := strainedLine.FindStringSubmatch(message); m != nil {
-			s.Strained++
-			f.addStrained(m[1], log)
+		if match := strainedPattern.FindStringSubmatch(message); match != nil {
+			events.Strained++
+			f.addStrained(match[1], log)
 		}
 	}
 }
 
-// addStrained notes that a server was found strained in a log.
+// addStrained records that a server was found strained by the sidecar of a log.
 func (f *Fleet) addStrained(server, log string) {
 	if f.strainedBy[server] == nil {
 		f.strainedBy[server] = make(map[string]bool)
@@ -147,10 +149,10 @@
 	f.strainedBy[server][log] = true
 }
 
-// At returns what was logged in a Unix second.
+// At returns the events that were logged in a Unix second.
 func (f *Fleet) At(second int64) Second {
-	if s := f.seconds[second]; s != nil {
-		return *s
+	if events := f.seconds[second]; events != nil {
+		return *events
 	}
 	return Second{}
 }
@@ -161,7 +163,7 @@
 	Sidecars int
 }
 
-// MostStrained returns the servers that most sidecars found strained, n at most.
+// MostStrained returns at most n servers, those that most sidecars found strained first.
 func (f *Fleet) MostStrained(n int) []StrainedServer {
 	var servers []StrainedServer
 	for id, logs := range f.strainedBy {
@@ -173,7 +175,8 @@
 	return servers[:min(n, len(servers))]
 }
 
-// Report writes tables of events, counters, policies and work, by seconds since the first that has an event.
+// Report writes tables of events, counters, policies and maintenance windows. Times are in seconds since the first
+// second that has an event.
 func (f *Fleet) Report(w io.Writer) error {
 	if err := f.reportEvents(w); err != nil {
 		return err
@@ -185,11 +188,11 @@
 		if err := f.reportPolicy(w, first); err != nil {
 			return err
 		}
-		if err := f.reportWork(w, first); err != nil {
+		if err := f.reportWindows(w, first); err != nil {
 			return err
 		}
 	}
-	for _, s := range f.MostStrained(reportedServers) {
+	for _, s := range f.MostStrained(maxReportedServers) {
 		if _, err := fmt.Fprintf(w, "server %s: doubted by %d sidecars\n", s.Server, s.Sidecars); err != nil {
 			return err
 		}
@@ -198,7 +201,7 @@
 	return err
 }
 
-// firstSecond returns the first second that has an event; false: there is none.
+// firstSecond returns the first Unix second that has an event, and whether there is one.
 func (f *Fleet) firstSecond() (int64, bool) {
 	if len(f.seconds) == 0 {
 		return 0, false
@@ -209,12 +212,12 @@
 // reportEvents writes the events by second.
 func (f *Fleet) reportEvents(w io.Writer) error {
 	seconds := slices.Sorted(maps.Keys(f.seconds))
-	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintln(t, "second\tstarts\twhole lists\tchanges\tcalls failed\tin doubt\tstopped\t")
+	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
+	fmt.Fprintln(table, "second\tstarts\twhole lists\tchanges\tcalls failed\tin doubt\tstopped\t")
 	for _, second := range seconds {
-		s := f.seconds[second]
-		fmt.Fprintf(t, "%d\t%d\t%d\t%d\t%d\t%d\t%d\t\n", second-seconds[0],
-			s.Starts, s.FullLists, s.ListChanges, s.DiscoveryErrors, s.Strained, s.Pauses)
+		events := f.seconds[second]
+		fmt.Fprintf(table, "%d\t%d\t%d\t%d\t%d\t%d\t%d\t\n", second-seconds[0],
+			events.Starts, events.FullLists, events.ListChanges, events.DiscoveryErrors, events.Strained, events.Pauses)
 	}
-	return t.Flush()
+	return table.Flush()
 }
--- a/internal/fleet/fleetlog/fleetlog_test.go
+++ b/internal/fleet/fleetlog/fleetlog_test.go
@@ -7,7 +7,9 @@
 	"time"
 )
 
-func TestLogsAreSummedBySecond(t *testing.T) {
+// Events are summed by second over two logs in different text forms. Lines that the daemon has not written are
+// skipped, a line that exceeds maxLineBytes is an error.
+func TestEventsAreSummedBySecond(t *testing.T) {
 	f := New()
 	for name, text := range map[string]string{
 		"n0": `0.012 2026/12/01 14:03:49 INFO serving name=n0 listen=10.0.0.1:8080 servers=60
@@ -34,14 +36,14 @@
 			t.Errorf("second %d: %+v, want %+v", i, got, want)
 		}
 	}
-	if d := f.MostStrained(1); len(d) != 1 || d[0] != (StrainedServer{"22f3", 2}) {
-		t.Errorf("strained %v", d)
+	if strained := f.MostStrained(1); len(strained) != 1 || strained[0] != (StrainedServer{"22f3", 2}) {
+		t.Errorf("most strained servers are %v, want 22f3 with 2 sidecars", strained)
 	}
 	var out bytes.Buffer
 	if err := f.Report(&out); err != nil || !strings.Contains(out.String(), "2 logs, 1 lines passed over") {
-		t.Errorf("report %q, %v", out.String(), err)
+		t.Errorf("report is %q with error %v, want 2 logs and 1 skipped line", out.String(), err)
 	}
 	if err := f.Read("n2", strings.NewReader(strings.Repeat("x", maxLineBytes+1))); err == nil {
-		t.Error("a line without an end was taken")
+		t.Error("a line of more than maxLineBytes was accepted, want an error")
 	}
 }
--- a/internal/fleet/fleetlog/policy.go
+++ b/internal/fleet/fleetlog/policy.go
@@ -10,34 +10,37 @@
 	"text/tabwriter"
 )
 
-// The modes of a sidecar in its log: it follows one version of the policy, two during a change, or none.
+// The policy modes of a sidecar, under the names that they have in the log: it applies one version of the policy,
+// two versions during a change, or none.
 const (
-	modeOne    = "one"
-	modeBoth   = "both"
-	modeCutOff = "cut off"
+	modeOneVersion   = "one"
+	modeBothVersions = "both"
+	modeCutOff       = "cut off"
 )
 
-// modeChange is the policy that a sidecar follows from a second on.
-type modeChange struct {
-	second int64
-	log    string
-	policy string // as a report has it: a version, "2 and 3", or modeCutOff
+// policyChange says which policy a sidecar applies from a second on.
+type policyChange struct {
+	second int64  // Unix second
+	log    string // name of the sidecar's log
+	policy string // as in the report: a version, two versions as in "2 and 3", or modeCutOff
 }
 
 var (
-	modeLine = regexp.MustCompile(`^policy: goes by"? mode="?(one|both|cut off)"? version=(\d+) old=(\d+)`)
-	stepLine = regexp.MustCompile(
+	// modePattern matches a message about the policy that a sidecar applies.
+	modePattern = regexp.MustCompile(`^policy: goes by"? mode="?(one|both|cut off)"? version=(\d+) old=(\d+)`)
+	// policyEventPattern matches a message about a step of a change of the policy.
+	policyEventPattern = regexp.MustCompile(
 		`^policy: (proposed|offered|taken|called off|settled|begun|refused)"? version=(\d+)`)
 )
 
-// addPolicy counts a message on the fleet's policy; false: it is not one.
+// addPolicy records a message about the fleet's policy. It returns false for other messages.
 func (f *Fleet) addPolicy(second int64, log, message string) bool {
-	if m := modeLine.FindStringSubmatch(message); m != nil {
-		f.modeChanges = append(f.modeChanges, modeChange{second, log, policyOf(m[1], m[2], m[3])})
+	if match := modePattern.FindStringSubmatch(message); match != nil {
+		f.policyChanges = append(f.policyChanges, policyChange{second, log, policyOf(match[1], match[2], match[3])})
 		return true
 	}
-	if m := stepLine.FindStringSubmatch(message); m != nil {
-		event := m[1] + " " + m[2]
+	if match := policyEventPattern.FindStringSubmatch(message); match != nil {
+		event := match[1] + " " + match[2]
 		if f.policyEvents[event] == nil {
 			f.policyEvents[event] = make(map[int64]int)
 		}
@@ -47,44 +50,44 @@
 	return strings.HasPrefix(message, "policy: ")
 }
 
-// policyOf is the policy of a mode as a report has it.
+// policyOf returns the policy that a sidecar applies, as it is written in the report.
 func policyOf(mode, version, oldVersion string) string {
 	switch mode {
-	case modeOne:
+	case modeOneVersion:
 		return version
-	case modeBoth:
+	case modeBothVersions:
 		return oldVersion + " and " + version
 	}
 	return mode
 }
 
-// reportPolicy writes how many sidecars followed which policy, for each second in which that changed, and the events
-// of that second: "taken 3 x20" is twenty sidecars that logged that version 3 was taken. A process that has just
-// started is cut off.
+// reportPolicy writes how many sidecars applied which policy, for each second in which this changed, and the policy
+// events of that second: "taken 3 x20" means that 20 sidecars logged that version 3 was taken. A process that has
+// just started counts as cut off.
 func (f *Fleet) reportPolicy(w io.Writer, first int64) error {
-	if len(f.modeChanges) == 0 {
+	if len(f.policyChanges) == 0 {
 		return nil
 	}
-	changes := f.modeChanges
-	slices.SortStableFunc(changes, func(a, b modeChange) int { return int(a.second - b.second) })
-	current := make(map[string]string) // the policy by log
-	for _, c := range changes {
-		current[c.log] = modeCutOff
+	changes := f.policyChanges
+	slices.SortStableFunc(changes, func(a, b policyChange) int { return int(a.second - b.second) })
+	current := make(map[string]string) // policy by log
+	for _, change := range changes {
+		current[change.log] = modeCutOff
 	}
-	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(t, "second\tsidecars by what they go by\theard")
+	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
+	fmt.Fprintln(table, "second\tsidecars by what they go by\theard")
 	for len(changes) > 0 {
 		second := changes[0].second
 		for len(changes) > 0 && changes[0].second == second {
 			current[changes[0].log] = changes[0].policy
 			changes = changes[1:]
 		}
-		fmt.Fprintf(t, "%d\t%s\t%s\n", second-first, countPolicies(current), f.policyEventsAt(second))
+		fmt.Fprintf(table, "%d\t%s\t%s\n", second-first, countPolicies(current), f.policyEventsAt(second))
 	}
-	return t.Flush()
+	return table.Flush()
 }
 
-// countPolicies writes the number of sidecars by policy, as in "2: 1, 2 and 3: 4".
+// countPolicies returns the number of sidecars by policy, as in "2: 1, 2 and 3: 4".
 func countPolicies(byLog map[string]string) string {
 	counts := make(map[string]int)
 	for _, policy := range byLog {
@@ -97,7 +100,7 @@
 	return strings.Join(parts, ", ")
 }
 
-// policyEventsAt writes the events of a second, as in "proposed 3 x1, taken 3 x20".
+// policyEventsAt returns the policy events of a second, as in "proposed 3 x1, taken 3 x20".
 func (f *Fleet) policyEventsAt(second int64) string {
 	var parts []string
 	for _, event := range slices.Sorted(maps.Keys(f.policyEvents)) {
--- a/internal/fleet/fleetlog/policy_test.go
+++ b/internal/fleet/fleetlog/policy_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// A change of policy over two logs, in both of slog's forms.
+// A change of the policy is summed over two logs, one in each text form of log/slog.
 func TestPolicyBySecond(t *testing.T) {
 	f := New()
 	for name, text := range map[string]string{
@@ -30,9 +30,12 @@
 		t.Fatal(err)
 	}
 	got := strings.Join(strings.Fields(out.String()), " ")
-	for _, want := range []string{"0 2: 1, cut off: 1", "1 2: 2", "2 2: 1, 2 and 3: 1 proposed 3 x1", "3 2 and 3: 1, cut off: 1", "4 3: 1, cut off: 1 taken 3 x1", "2 logs, 0 lines passed over"} {
+	for _, want := range []string{
+		"0 2: 1, cut off: 1", "1 2: 2", "2 2: 1, 2 and 3: 1 proposed 3 x1", "3 2 and 3: 1, cut off: 1",
+		"4 3: 1, cut off: 1 taken 3 x1", "2 logs, 0 lines passed over",
+	} {
 		if !strings.Contains(got, want) {
-			t.Errorf("%q does not stand in\n%s", want, out.String())
+			t.Errorf("report does not contain %q:\n%s", want, out.String())
 		}
 	}
 }
--- a/internal/fleet/fleetlog/report_test.go
+++ b/internal/fleet/fleetlog/report_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// The report and the drawing of two logs are what they were: testdata holds them.
+// The report and the drawing of the two logs in testdata equal the recorded output in testdata.
 func TestReportAndDrawing(t *testing.T) {
 	f := New()
 	for _, name := range []string{"n0.log", "n1.log"} {
@@ -24,7 +24,7 @@
 	}
 	for name, write := range map[string]func(*bytes.Buffer) error{
 		"report.txt": func(b *bytes.Buffer) error { return f.Report(b) },
-		"work.svg":   func(b *bytes.Buffer) error { return f.DrawWork(b) },
+		"work.svg":   func(b *bytes.Buffer) error { return f.DrawMaintenance(b) },
 	} {
 		want, err := os.ReadFile(filepath.Join("testdata", name))
 		if err != nil {
--- a/internal/fleet/fleetlog/work.go
+++ b/internal/fleet/fleetlog/work.go
@@ -10,77 +10,79 @@
 	"text/tabwriter"
 )
 
-// workStep is a step of a machine's turn to be out for work, as the log names it.
-type workStep string
+// windowStep is a step of a maintenance window, under the name that it has in the log.
+type windowStep string
 
 const (
-	stepGiven     workStep = "given"
-	stepFree      workStep = "free"
-	stepDone      workStep = "done"
-	stepOver      workStep = "over"
-	stepWithdrawn workStep = "withdrawn"
+	stepGiven     windowStep = "given"
+	stepFree      windowStep = "free"
+	stepDone      windowStep = "done"
+	stepOver      windowStep = "over"
+	stepWithdrawn windowStep = "withdrawn"
 )
 
-// workSteps are all steps in the order of a report.
-var workSteps = []workStep{stepGiven, stepFree, stepDone, stepOver, stepWithdrawn}
+// windowSteps lists all steps in the order of the report's columns.
+var windowSteps = []windowStep{stepGiven, stepFree, stepDone, stepOver, stepWithdrawn}
 
-// workTurn is a machine's turn to be out for work.
-type workTurn struct {
+// maintenanceWindow is the maintenance window of a machine. The log calls the windows "work", the report calls them
+// turns.
+type maintenanceWindow struct {
 	number  uint64
 	machine string
-	at      map[workStep]int64 // the Unix second in which the first sidecar logged the step
+	at      map[windowStep]int64 // Unix second in which the first sidecar logged the step
 }
 
-var workLine = regexp.MustCompile(`^work: (given|free|done|over|withdrawn)"? number=(\d+) by=\d+ machine=(\S+)`)
+// windowPattern matches a message about a step of a maintenance window.
+var windowPattern = regexp.MustCompile(`^work: (given|free|done|over|withdrawn)"? number=(\d+) by=\d+ machine=(\S+)`)
 
-// addWork counts a message on machines out for work; false: it is not one.
-func (f *Fleet) addWork(second int64, message string) bool {
-	m := workLine.FindStringSubmatch(message)
-	if m == nil {
+// addWindow records the step of a maintenance window that a message reports. It returns false for other messages.
+func (f *Fleet) addWindow(second int64, message string) bool {
+	match := windowPattern.FindStringSubmatch(message)
+	if match == nil {
 		return false
 	}
-	step, machine := workStep(m[1]), m[3]
-	number, err := strconv.ParseUint(m[2], 10, 32)
+	step, machine := windowStep(match[1]), match[3]
+	number, err := strconv.ParseUint(match[2], 10, 32)
 	if err != nil {
 		return false
 	}
-	turn := f.workTurns[number]
-	if turn == nil {
-		turn = &workTurn{number, machine, make(map[workStep]int64)}
-		f.workTurns[number] = turn
+	window := f.windows[number]
+	if window == nil {
+		window = &maintenanceWindow{number, machine, make(map[windowStep]int64)}
+		f.windows[number] = window
 	}
-	if at, known := turn.at[step]; !known || second < at {
-		turn.at[step] = second
+	if at, known := window.at[step]; !known || second < at {
+		window.at[step] = second
 	}
 	return true
 }
 
-// turnsByNumber returns the turns in the order of their numbers.
-func (f *Fleet) turnsByNumber() []*workTurn {
-	var turns []*workTurn
-	for _, number := range slices.Sorted(maps.Keys(f.workTurns)) {
-		turns = append(turns, f.workTurns[number])
+// windowsByNumber returns the maintenance windows in the order of their numbers.
+func (f *Fleet) windowsByNumber() []*maintenanceWindow {
+	var ordered []*maintenanceWindow
+	for _, number := range slices.Sorted(maps.Keys(f.windows)) {
+		ordered = append(ordered, f.windows[number])
 	}
-	return turns
+	return ordered
 }
 
-// reportWork writes a line for each turn, with the second of each step.
-func (f *Fleet) reportWork(w io.Writer, first int64) error {
-	if len(f.workTurns) == 0 {
+// reportWindows writes a row for each maintenance window, with the second of each step.
+func (f *Fleet) reportWindows(w io.Writer, first int64) error {
+	if len(f.windows) == 0 {
 		return nil
 	}
-	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(t, "turn\tmachine\tgiven\tfree\tdone\tover\twithdrawn")
-	for _, turn := range f.turnsByNumber() {
-		fmt.Fprintf(t, "%d\t%s", turn.number, turn.machine)
-		for _, step := range workSteps {
-			if at, known := turn.at[step]; known {
-				fmt.Fprintf(t, "\t%d", at-first)
+	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
+	fmt.Fprintln(table, "turn\tmachine\tgiven\tfree\tdone\tover\twithdrawn")
+	for _, window := range f.windowsByNumber() {
+		fmt.Fprintf(table, "%d\t%s", window.number, window.machine)
+		for _, step := range windowSteps {
+			if at, known := window.at[step]; known {
+				fmt.Fprintf(table, "\t%d", at-first)
 			} else {
-				fmt.Fprint(t, "\t-")
+				fmt.Fprint(table, "\t-")
 			}
 		}
-		fmt.Fprintln(t)
+		fmt.Fprintln(table)
 	}
-	return t.Flush()
+	return table.Flush()
 }
