--- a/plugin/client.go
+++ b/plugin/client.go
@@ -20,24 +20,24 @@
 	"caperarch/policy"
 )
 
-// Client carries calls to servers over HTTP/1.1.
+// Client sends calls to servers over HTTP/1.1.
 type Client struct {
-	core  *Core  // of a client with one pool
-	pools *pools // of one with several; else nil
+	core  *Core  // set if the client has a single pool, else nil
+	pools *pools // set if the client was opened by OpenPools, else nil
 }
 
-// Open starts a client, or returns an *InvalidError that names the unusable field of the Config. It needs a
-// Close.
+// Open starts a client. If the Config is not valid, it returns an *InvalidError that names the field. The caller must
+// call Close.
 func Open(cfg Config) (*Client, error) {
-	core, err := OpenCore(cfg, overHTTP1)
+	core, err := OpenCore(cfg, newHTTP1Transport)
 	if err != nil {
 		return nil, err
 	}
 	return &Client{core: core}, nil
 }
 
-// overHTTP1 makes the transport of a client.
-func overHTTP1(cfg Config, c clock.Clock) pool.Transport {
+// newHTTP1Transport returns the HTTP/1.1 transport of a client.
+func newHTTP1Transport(cfg Config, c clock.Clock) pool.Transport {
 	names, columns := cfg.loadReport()
 	return http1.New(http1.Config{
 		Clock: c, DialTimeout: cfg.DialTimeout, IdleTimeout: cfg.ConnIdle, MaxConns: cfg.MaxConnections,
@@ -45,7 +45,7 @@
 	})
 }
 
-// coreFor returns the core of the pool that a call goes to, by its host, path, method and class.
+// coreFor returns the core of the pool for a call, which the routes select by host, path, method and class.
 func (c *Client) coreFor(host, target, method, class string) (*Core, error) {
 	if c.pools == nil {
 		return c.core, nil
@@ -53,50 +53,50 @@
 	return c.pools.route(host, target, method, class)
 }
 
-// Request is one call.
+// Request describes a call.
 type Request struct {
-	Class  string // one of Config.Classes; empty: by Config.Methods and Path
-	Tenant string // one of Config.Tenants; empty: by Config.Methods; not used where there are none
+	Class  string // one of Config.Classes; empty: assigned by Config.Methods and Path
+	Tenant string // one of Config.Tenants; empty: assigned by Config.Methods; ignored if Config.Tenants is empty
 
-	ID       string        // its name among the open calls, and to servers (X-Request-ID); empty: a random one
-	Key      string        // Idempotency-Key: needed in keyed classes, of no use in unsafe ones
-	RouteKey string        // what the call is about, where it has such a key
-	Timeout  time.Duration // how long the caller waits; 0: its class's deadline. The context's deadline holds too
+	ID       string        // unique among the calls in flight, sent as X-Request-ID; empty: a generated ID
+	Key      string        // Idempotency-Key; required in deduplicated classes, not allowed in non-idempotent ones
+	RouteKey string        // subject of the call; InOrder classes run calls of one key in order; may be empty
+	Timeout  time.Duration // 0: the deadline of the class. The deadline of the context applies too
 	Work     time.Duration // expected work; 0: unknown
-	Repeat   bool          // it is the caller's own further try
+	Repeat   bool          // the caller repeats a call that it has sent before
 
-	Method string // empty: GET where the class is safe and there is no body, else POST
-	Path   string // with the query, as it goes on; empty: "/" and the class
+	Method string // empty: GET if the class is idempotent and the body is empty, else POST
+	Path   string // path with the query; empty: "/" and the class
 	Host   string // empty: "service.internal"
 	Header http.Header
-	Body   []byte // MaxBody bytes at most; not changed until Do has returned, and not by an attempt that is called off
+	Body   []byte // at most MaxBody bytes; must not change until Do has returned; no attempt changes it
 }
 
-// Response is a served call's answer.
+// Response is the response of the server that served a call.
 type Response struct {
 	Header http.Header
 	Body   []byte
 }
 
-// Do carries a call out and returns a server's answer. Else the error says which answer it was: a
-// *RefusedError, a *FailedError (which unwraps to the context's error where ctx ended first: the call is then
-// called off) or an *InvalidError.
+// Do sends a call and returns the response of the server that served it. Otherwise the error is a *RefusedError, a
+// *FailedError or an *InvalidError. If ctx ends first, Do cancels the call and returns a *FailedError that unwraps to
+// the error of the context.
 func (c *Client) Do(ctx context.Context, r Request) (Response, error) {
 	if len(r.Body) > MaxBody {
-		return Response{}, &InvalidError{"Request.Body", fmt.Sprintf("%d bytes, %d at most", len(r.Body), MaxBody)}
+		return Response{}, &InvalidError{"Request.Body", fmt.Sprintf("got %d bytes, want at most %d", len(r.Body), MaxBody)}
 	}
 	spec := CallSpec{
 		Class: r.Class, Tenant: r.Tenant, ID: r.ID, Key: r.Key, RouteKey: r.RouteKey,
 		Timeout: r.Timeout, Work: r.Work, Repeat: r.Repeat,
 	}
 	if path, _, _ := strings.Cut(r.Path, "?"); r.Path != "" {
-		if !strings.HasPrefix(r.Path, "/") || strings.ContainsFunc(r.Path, notInPath) {
-			return Response{}, &InvalidError{"Request.Path", "it must begin with a slash and hold no space or control character"}
+		if !strings.HasPrefix(r.Path, "/") || strings.ContainsFunc(r.Path, isSpaceOrControl) {
+			return Response{}, &InvalidError{"Request.Path", "want a leading slash, and no space or control character"}
 		}
 		spec.Method = path
 	}
-	host := or(r.Host, "service.internal")
-	core, err := c.coreFor(host, or(r.Path, "/"+r.Class), r.Method, r.Class)
+	host := orDefault(r.Host, "service.internal")
+	core, err := c.coreFor(host, orDefault(r.Path, "/"+r.Class), r.Method, r.Class)
 	if err != nil {
 		return Response{}, err
 	}
@@ -127,8 +127,9 @@
 	return Response{Header: call.EndToEndHeaders(a.Header), Body: a.Body}, nil
 }
 
-// Close takes no further call and waits until those that are held have their answers. Where ctx ends first
-// these are answered at once, and its error is returned. Nothing of the client is left after it.
+// Close refuses further calls and waits until the calls in flight have their answers. If ctx ends first, Close ends
+// these calls at once and returns the error of the context. After Close no goroutine or connection of the client is
+// left.
 func (c *Client) Close(ctx context.Context) error {
 	if c.pools != nil {
 		return c.pools.close(ctx)
@@ -136,37 +137,39 @@
 	return c.core.Close(ctx)
 }
 
-// notInPath says whether a character may not stand in a path.
-func notInPath(r rune) bool { return r <= ' ' || r == 0x7f }
+// isSpaceOrControl reports whether a character is a space or an ASCII control character, which no path or host may
+// have.
+func isSpaceOrControl(r rune) bool { return r <= ' ' || r == 0x7f }
 
-// checkMessage rejects what would end a request's head early or begin another request in it.
+// checkMessage rejects a message whose method, host or headers could end the header section early or inject another
+// request (request smuggling).
 func checkMessage(m *call.Message) error {
-	bad := func(field, reason string) error { return &InvalidError{"Request." + field, reason} }
-	token := func(s string) bool {
+	invalid := func(field, reason string) error { return &InvalidError{"Request." + field, reason} }
+	isToken := func(s string) bool {
 		return s != "" && !strings.ContainsFunc(s, func(r rune) bool {
 			return r <= ' ' || r >= 0x7f || strings.ContainsRune("()<>@,;:\\\"/[]?={}", r)
 		})
 	}
-	if !token(m.Method) {
-		return bad("Method", "it is no token")
+	if !isToken(m.Method) {
+		return invalid("Method", "the method is not a valid HTTP token")
 	}
-	if strings.ContainsFunc(m.Host, notInPath) {
-		return bad("Host", "it holds a space or control character")
+	if strings.ContainsFunc(m.Host, isSpaceOrControl) {
+		return invalid("Host", "the host has a space or control character")
 	}
 	for name, values := range m.Header {
-		if !token(name) {
-			return bad("Header", fmt.Sprintf("%q is no name", name))
+		if !isToken(name) {
+			return invalid("Header", fmt.Sprintf("%q is not a valid header name", name))
 		}
 		for _, v := range values {
 			if strings.ContainsFunc(v, func(r rune) bool { return r < ' ' && r != '\t' || r == 0x7f }) {
-				return bad("Header", fmt.Sprintf("%q holds a control character", name))
+				return invalid("Header", fmt.Sprintf("the value of %q has a control character", name))
 			}
 		}
 	}
 	return nil
 }
 
-// setControlHeaders sets the headers of the protocol that carry a call's specification.
+// setControlHeaders sets the protocol headers that carry the specification of a call.
 func (c *Core) setControlHeaders(h http.Header, s *CallSpec) {
 	h["X-Request-Id"] = []string{s.ID}
 	h["X-Priority-Class"] = []string{s.Class}
@@ -188,15 +191,16 @@
 	}
 }
 
-// CallSpec is what a call says of itself, whatever it goes over. It is for the adapters of this module.
+// CallSpec is the specification of a call, independent of the transport. It is meant for the transport adapters of this
+// module.
 type CallSpec struct {
 	Method, Class, Tenant, ID, Key, RouteKey string
 	Timeout, Work                            time.Duration
 	Repeat                                   bool
 }
 
-// Core is what the clients of all transports share. It is for the adapters of this module: others can't
-// name what it is opened with.
+// Core is the part of a client that all transports share. It is meant for the transport adapters of this module; other
+// modules can't open a Core, because the parameters of OpenCore have internal types.
 type Core struct {
 	cfg      Config
 	classes  map[string]int
@@ -206,11 +210,12 @@
 	idNumber atomic.Uint64
 }
 
-// OpenCore starts a core over a transport.
+// OpenCore checks a Config and starts a core that sends calls over a transport.
 func OpenCore(cfg Config, transport func(Config, clock.Clock) pool.Transport) (*Core, error) {
 	return openCore(cfg, transport, clock.New())
 }
 
+// openCore is OpenCore with a clock that the caller supplies.
 func openCore(cfg Config, transport func(Config, clock.Clock) pool.Transport, clk clock.Clock) (*Core, error) {
 	cfg, err := cfg.validated()
 	if err != nil {
@@ -237,44 +242,45 @@
 	return c, nil
 }
 
-// Close is Client.Close.
+// Close refuses further calls and waits for the calls in flight, as Client.Close does.
 func (c *Core) Close(ctx context.Context) error { return c.pool.Close(ctx) }
 
-// Resolve checks what a call says of itself and fills in what the table of methods has for it and the id.
+// Resolve checks the specification of a call. It fills in the class and tenant from Config.Methods, and an ID if the
+// specification has none. It returns the request for the balancing policy and the effect of the class.
 func (c *Core) Resolve(s *CallSpec) (q policy.Request, effect policy.Effect, err error) {
-	no := func(field, format string, args ...any) (policy.Request, policy.Effect, error) {
+	invalid := func(field, format string, args ...any) (policy.Request, policy.Effect, error) {
 		return policy.Request{}, 0, &InvalidError{"Request." + field, fmt.Sprintf(format, args...)}
 	}
 	if m, listed := c.cfg.Methods[s.Method]; listed && s.Class == "" {
 		s.Class = m.Class
-		s.Tenant = or(s.Tenant, m.Tenant)
+		s.Tenant = orDefault(s.Tenant, m.Tenant)
 	}
 	var known bool
 	if q.Class, known = c.classes[s.Class]; !known {
 		if s.Class == "" && s.Method != "" {
-			return no("Class", "it is empty, and %q is in none of Config.Methods", s.Method)
+			return invalid("Class", "the class is empty, and method %q is not in Config.Methods", s.Method)
 		}
-		return no("Class", "%q is none of Config.Classes", s.Class)
+		return invalid("Class", "class %q is not in Config.Classes", s.Class)
 	}
 	if len(c.tenants) > 0 {
 		if q.Tenant, known = c.tenants[s.Tenant]; !known {
-			return no("Tenant", "%q is none of Config.Tenants", s.Tenant)
+			return invalid("Tenant", "tenant %q is not in Config.Tenants", s.Tenant)
 		}
 	}
 	class := &c.cfg.Policy.Classes[q.Class]
 	switch {
 	case class.Effect == policy.Deduplicated && s.Key == "":
-		return no("Key", "class %q needs one", s.Class)
+		return invalid("Key", "class %q is deduplicated and requires an idempotency key", s.Class)
 	case class.Effect == policy.NonIdempotent && s.Key != "":
-		return no("Key", "it is of no use in class %q, whose calls must never run twice", s.Class)
+		return invalid("Key", "class %q is non-idempotent and takes no idempotency key", s.Class)
 	case s.Timeout < 0 || s.Timeout > maxTimeoutDeadlines*class.Deadline:
-		return no("Timeout", "%v is not within 0 and %d deadlines of class %q", s.Timeout, maxTimeoutDeadlines, s.Class)
+		return invalid("Timeout", "got %v, want 0 to %d deadlines of class %q", s.Timeout, maxTimeoutDeadlines, s.Class)
 	case s.Work < 0 || s.Work > time.Hour:
-		return no("Work", "%v is not within 0 and an hour", s.Work)
+		return invalid("Work", "got %v, want 0 to 1 hour", s.Work)
 	}
 	for field, value := range map[string]string{"ID": s.ID, "Key": s.Key, "RouteKey": s.RouteKey} {
 		if len(value) > maxIDBytes || strings.ContainsFunc(value, func(r rune) bool { return r < ' ' || r >= 0x7f }) {
-			return no(field, "more than %d bytes, or not of printable ASCII characters", maxIDBytes)
+			return invalid(field, "want at most %d bytes of printable ASCII characters", maxIDBytes)
 		}
 	}
 	if s.ID == "" {
@@ -285,16 +291,16 @@
 }
 
 const (
-	maxTimeoutDeadlines = 10  // bounds a time-out, in deadlines of its class
-	maxIDBytes          = 512 // of an id or key: they go into headers and the table of open calls
+	maxTimeoutDeadlines = 10  // largest time-out of a call, in multiples of its class's deadline
+	maxIDBytes          = 512 // size limit of IDs and keys, which are held in headers and in the table of calls in flight
 )
 
-// Do carries a resolved call out. The error is as Client.Do has it.
+// Do sends a resolved call. It returns the same errors as Client.Do.
 func (c *Core) Do(ctx context.Context, s *CallSpec, q policy.Request, m *call.Message) (call.Answer, error) {
-	begun := c.pool.Now()
-	deadline := begun + or(s.Timeout, c.cfg.Policy.Classes[q.Class].Deadline)
-	if end, limited := ctx.Deadline(); limited {
-		deadline = min(deadline, begun+time.Until(end))
+	started := c.pool.Now()
+	deadline := started + orDefault(s.Timeout, c.cfg.Policy.Classes[q.Class].Deadline)
+	if contextDeadline, ok := ctx.Deadline(); ok {
+		deadline = min(deadline, started+time.Until(contextDeadline))
 	}
 	a, err := c.pool.Do(ctx, s.ID, q, m, deadline)
 	switch {
@@ -311,7 +317,7 @@
 	case call.Served:
 		return a, nil
 	case call.Refused:
-		return a, &RefusedError{RetryAfter: a.RetryAfter, Reason: "no server is to be had for it now"}
+		return a, &RefusedError{RetryAfter: a.RetryAfter, Reason: "no server can accept the call now"}
 	}
 	failed := &FailedError{TimedOut: a.TimedOut}
 	if a.LastResult != nil {
@@ -320,10 +326,10 @@
 	return a, failed
 }
 
-// Ends is when a context's deadline is on the core's clock; 0: it has none.
+// Ends returns the deadline of a context on the clock of the core, or 0 if the context has no deadline.
 func (c *Core) Ends(ctx context.Context) time.Duration {
-	if end, limited := ctx.Deadline(); limited {
-		return c.pool.Now() + time.Until(end)
+	if deadline, ok := ctx.Deadline(); ok {
+		return c.pool.Now() + time.Until(deadline)
 	}
 	return 0
 }
--- a/plugin/config.go
+++ b/plugin/config.go
@@ -16,102 +16,102 @@
 	"caperarch/policy"
 )
 
-// Defaults and bounds of a Config.
+// Default values and limits of a Config.
 const (
-	DefaultMaxConnections = 256              // to all servers together
-	DefaultMaxCalls       = 1024             // held at once
-	DefaultMaxBodyBytes   = 16 << 20         // of their bodies
-	DefaultDialTimeout    = time.Second      // for a connection to come up
-	DefaultConnIdle       = 30 * time.Second // servers close idle connections after this
+	DefaultMaxConnections = 256              // connections to all servers
+	DefaultMaxCalls       = 1024             // concurrent calls
+	DefaultMaxBodyBytes   = 16 << 20         // total size of the bodies of concurrent calls
+	DefaultDialTimeout    = time.Second      // time for a connection to be established
+	DefaultConnIdle       = 30 * time.Second // time after which servers close idle connections
 
-	// MaxBody bounds one body, either way, in bytes (the protocol: 64 KiB).
+	// MaxBody is the largest body of a request or response in bytes. The protocol sets it to 64 KiB.
 	MaxBody = call.MaxBufferedBody
 
-	maxNodes       = 1 << 16 // of Known: a guard against a broken list
-	maxConnections = 1 << 16 // no process can hold more
+	maxNodes       = 1 << 16 // limit for Config.Known that rejects a corrupt list
+	maxConnections = 1 << 16 // a process can't hold more connections
 	maxCalls       = 1 << 20
 )
 
-// Node is a server as Config.Known lists it.
+// Node is a server listed in Config.Known.
 type Node struct {
-	ID      string // the same in every process and after a restart
+	ID      string // identical in every process and stable across restarts of the server
 	Address string // host:port
 	Zone    string
-	Cell    int // nodes of one cell drop each other's repeats of a key
+	Cell    int // nodes of the same cell share their deduplication of idempotency keys
 	Weight  float64
-	Started time.Time // its last start; zero: long ago
+	Started time.Time // time of the last start of the server; zero: not in slow start
 }
 
-// Method says what the calls of an RPC method are.
+// Method assigns a class and a tenant to the calls of an RPC method.
 type Method struct {
 	Class  string // one of Config.Classes
-	Tenant string // one of Config.Tenants, where the call itself names none
+	Tenant string // one of Config.Tenants; used if the call names no tenant
 }
 
-// Config is what a client starts with. Only the fields marked so may be left at their zero values.
+// Config configures a client. Only fields whose comment allows it may keep their zero values.
 type Config struct {
-	Name string // of this process, for the log; may be empty
-	Seed uint64 // of random numbers; 0: a random one
+	Name string // name of this client in log entries; may be empty
+	Seed uint64 // seed of the random number generator; 0: a random seed
 
-	// Discovery is the address (host:port) of the list of servers, followed as the protocol says. Clients of one
-	// process that follow the same one share a watch on it. Empty: Known is the list for good.
+	// Discovery is the address (host:port) of the discovery service that publishes the list of servers. Clients of one
+	// process that use the same address share one watch. If Discovery is empty, the list is always Known.
 	Discovery string
-	Known     []Node // the servers as last known; may be empty where Discovery is set
+	Known     []Node // initial list of servers; may be empty if Discovery is set
 
-	// Policy holds the module's settings: classes with their effects and deadlines, tenants with their shares,
-	// retries, cold starts. Its MayCancel is always taken as set.
+	// Policy configures load balancing: classes with their effects and deadlines, tenants with their shares, retries
+	// and slow start. MayCancel is always treated as set.
 	Policy  policy.Config
-	Classes []string // the names of Policy.Classes, in their order
-	Tenants []string // the names of Policy.Tenants, in their order
-	Zones   []string // the names behind zone numbers: Policy.Zone and the list's; may be empty
+	Classes []string // names of Policy.Classes, in the same order
+	Tenants []string // names of Policy.Tenants, in the same order
+	Zones   []string // zone names, indexed by Policy.Zone and used in the server list; may be empty
 
-	// Methods says which calls are of which class, where they don't say so themselves: by full gRPC method name
-	// ("/package.Service/Method") or by path for HTTP. May be empty.
+	// Methods assigns a class and a tenant to calls that name no class. The keys are full gRPC method names
+	// ("/package.Service/Method") or HTTP paths. May be empty.
 	Methods map[string]Method
 
-	// LoadReport names the fields of the servers' load reports ("TEXT name=value, name=value") and what each tells.
-	// They count where Policy.Reports has them. May be empty.
+	// LoadReport maps the field names in load reports of servers ("TEXT name=value, name=value") to the load figure
+	// that each field carries. A field is used only if Policy.Reports includes its figure. May be empty.
 	LoadReport map[string]policy.LoadFields
 
-	// Bounds; 0 stands for the default.
+	// Limits; 0 selects the default.
 	MaxConnections int
 	MaxCalls       int
 	MaxBodyBytes   int64
 	DialTimeout    time.Duration
 	ConnIdle       time.Duration
 
-	Log *slog.Logger // nil: nothing is logged
+	Log *slog.Logger // nil: logging is disabled
 
-	known        call.ServerList   // from a file, beside Known: draining servers are in it too
-	sharedLimits pool.SharedLimits // of the pools of one client; nil: none
+	known        call.ServerList   // servers from a configuration file, added to Known; includes draining servers
+	sharedLimits pool.SharedLimits // limits that the pools of one client share; nil: the client has one pool
 }
 
-// ReadConfig reads a daemon's configuration file (JSON, the deployment page's form). listen is not needed and
-// passed over; "methods" may name classes by method: {"/p.S/M": {"class": "a", "tenant": "b"}}. Of the
-// limits sockets bounds the connections and memory_mb the bodies. The error names the file and the field.
+// ReadConfig reads the JSON configuration file of a daemon. It ignores "listen". "methods" may assign classes and
+// tenants to methods: {"/p.S/M": {"class": "a", "tenant": "b"}}. Of the limits, "sockets" limits the connections and
+// "memory_mb" the total size of the bodies. Errors name the file and the field.
 func ReadConfig(path string) (Config, error) {
-	raw, err := os.ReadFile(path)
+	text, err := os.ReadFile(path)
 	if err != nil {
 		return Config{}, fmt.Errorf("caperarch: %w", err)
 	}
-	c, err := ParseConfig(raw)
+	c, err := ParseConfig(text)
 	if err != nil {
 		return Config{}, fmt.Errorf("caperarch: %s: %w", path, err)
 	}
 	return c, nil
 }
 
-// ParseConfig reads the text of such a file.
-func ParseConfig(raw []byte) (Config, error) {
-	f, err := config.ParseClient(raw)
+// ParseConfig parses the text of a configuration file in the form that ReadConfig reads.
+func ParseConfig(text []byte) (Config, error) {
+	f, err := config.ParseClient(text)
 	if err != nil {
 		return Config{}, err
 	}
-	return configOf(f), nil
+	return configFromFile(f), nil
 }
 
-// configOf is a file's configuration as a client takes it.
-func configOf(f *config.Config) Config {
+// configFromFile converts the configuration file of a daemon to the configuration of a client.
+func configFromFile(f *config.Config) Config {
 	c := Config{
 		Name: f.Name, Seed: f.Seed, Discovery: f.Discovery, Policy: f.Policy,
 		Classes: namesByNumber(f.Classes), Tenants: namesByNumber(f.Tenants), Zones: namesByNumber(f.Zones),
@@ -133,7 +133,7 @@
 	return c
 }
 
-// namesByNumber is the inverse of numbersByName.
+// namesByNumber returns the names in the order of their numbers. It is the inverse of numbersByName.
 func namesByNumber(numbers map[string]int) []string {
 	names := make([]string, len(numbers))
 	for name, i := range numbers {
@@ -144,7 +144,7 @@
 	return names
 }
 
-// numbersByName turns a list of names into the number of each.
+// numbersByName maps each name to its index in the list.
 func numbersByName(names []string) map[string]int {
 	numbers := make(map[string]int, len(names))
 	for i, name := range names {
@@ -153,11 +153,13 @@
 	return numbers
 }
 
-// knownServers is Known as the engine's list.
+// knownServers converts Known and the servers of the configuration file to a server list of the load balancer.
 func (c *Config) knownServers() call.ServerList {
 	zones := numbersByName(c.Zones)
-	l := call.ServerList{Full: true, Servers: slices.Clone(c.known.Servers), Addresses: make(map[policy.ServerID]string)}
-	maps.Copy(l.Addresses, c.known.Addresses)
+	list := call.ServerList{
+		Full: true, Servers: slices.Clone(c.known.Servers), Addresses: make(map[policy.ServerID]string),
+	}
+	maps.Copy(list.Addresses, c.known.Addresses)
 	for _, n := range c.Known {
 		s := policy.Server{ID: call.ServerID(n.ID), Zone: -1, Cell: n.Cell, State: policy.Ready, Weight: n.Weight}
 		if zone, known := zones[n.Zone]; known {
@@ -166,13 +168,14 @@
 		if !n.Started.IsZero() {
 			s.Started = time.Duration(n.Started.UnixNano())
 		}
-		l.Servers = append(l.Servers, s)
-		l.Addresses[s.ID] = n.Address
+		list.Servers = append(list.Servers, s)
+		list.Addresses[s.ID] = n.Address
 	}
-	return l
+	return list
 }
 
-// loadReport is LoadReport as the transport needs it.
+// loadReport splits LoadReport into field names and matching columns for the transport. It returns nil if
+// Policy.Reports includes no load figure.
 func (c *Config) loadReport() (names []string, columns wire.Columns) {
 	if c.Policy.Reports == 0 {
 		return nil, nil
@@ -183,10 +186,11 @@
 	return names, columns
 }
 
-func or[T comparable](v, otherwise T) T {
+// orDefault returns v, or defaultValue if v is the zero value of its type.
+func orDefault[T comparable](v, defaultValue T) T {
 	var zero T
 	if v == zero {
-		return otherwise
+		return defaultValue
 	}
 	return v
 }
--- a/plugin/doc.go
+++ b/plugin/doc.go
@@ -1,19 +1,19 @@
-// Package plugin is caperarch inside a client's own process: the daemon's decision module and engine, with
-// no sidecar beside it. It balances a client's calls over the servers that discovery lists and resends them
-// under the same four rules as the daemon:
+// Package plugin embeds the load balancer of the caperarch daemon in a client process, so that no sidecar is needed. It
+// distributes the calls of the process over the servers that discovery lists, and retries calls under the same four
+// rules as the daemon:
 //
-//   - A call gets exactly one final answer, in time: served, refused or failed. After it nothing goes out for it.
-//   - No effect happens twice: an unsafe call is sent again, or refused, only when every earlier attempt is
-//     known not to have run; a keyed one that may have run only where its repeats are dropped.
-//   - Nothing new goes to a server that drains.
-//   - A server that has just started gets no more than it can do.
+//   - Each call gets exactly one final answer within its deadline: served, refused or failed. No attempt of the call is
+//     sent after the final answer.
+//   - No effect happens twice. A non-idempotent call is retried or refused only if all earlier attempts are known not
+//     to have run. A deduplicated call that may have run is retried only where the servers drop repeats of its key.
+//   - A draining server receives no new attempts.
+//   - A server in slow start receives no more load than it can handle.
 //
-// Open makes a Client; Client.Do carries a call over HTTP/1.1, Client.RoundTripper is the same for net/http
-// and what is built on it; package grpcplugin has a grpc.ClientConnInterface. An answer that is no service is
-// an error: *RefusedError (repeating is harmless), *FailedError (nothing is promised) or *InvalidError
-// (the call can't be used as it is; nothing was sent).
+// Open returns a Client. Client.Do sends a call over HTTP/1.1, Client.RoundTripper adapts the client to net/http, and
+// package grpcplugin provides a grpc.ClientConnInterface. A call without a successful response returns one of these
+// errors: *RefusedError (the call did not run and is safe to repeat), *FailedError (the call may have run) or
+// *InvalidError (the call is not valid and was not sent).
 //
-// A Client is a guest in its process: it never ends or panics it, sets nothing that is global, logs to
-// Config.Log alone and leaves no goroutine after Close. All of its methods may be called from
-// any goroutine.
+// A Client does not disturb its host process: it never exits the process or panics, changes no global state, logs only
+// to Config.Log and leaves no goroutine running after Close. All methods are safe for concurrent use.
 package plugin
--- a/plugin/errors.go
+++ b/plugin/errors.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// RefusedError is the answer 'refused': nothing of the call has run or will, and trying again is harmless.
+// RefusedError reports that a call was refused: no attempt of it has run or will run, so it is safe to repeat.
 type RefusedError struct {
-	RetryAfter time.Duration // best after this; 0: no advice
+	RetryAfter time.Duration // recommended delay before the next try; 0: no recommendation
 	Reason     string
 }
 
-// Error says that the request never ran, and why.
+// Error returns the reason for the refusal and the recommended delay.
 func (e *RefusedError) Error() string {
 	if e.RetryAfter > 0 {
 		return fmt.Sprintf("caperarch: refused: %s; retry after %v", e.Reason, e.RetryAfter.Round(time.Millisecond))
@@ -20,21 +20,21 @@
 	return "caperarch: refused: " + e.Reason
 }
 
-// Temporary says that trying again may help.
+// Temporary reports that a later try may succeed; it is always true.
 func (e *RefusedError) Temporary() bool { return true }
 
-// FailedError is the answer 'failed': nothing is promised about the call, it may have run.
+// FailedError reports that a call failed after it was accepted: the call may or may not have run.
 type FailedError struct {
-	TimedOut bool // no answer came in time
-	// What the last server that answered said, where one did. Status is 0 where none did.
+	TimedOut bool // no answer was received before the deadline
+	// Status, Header and Body are the last response of a server. Status is 0 if no server responded.
 	Status int
 	Header http.Header
 	Body   []byte
-	// Cause is the context's error where the caller gave up, else nil.
+	// Cause is the error of the caller's context if the context ended first, else nil.
 	Cause error
 }
 
-// Error says that the request may have run, and why it has no answer.
+// Error reports that the call may have run, and why it has no answer.
 func (e *FailedError) Error() string {
 	switch {
 	case e.Cause != nil:
@@ -47,17 +47,17 @@
 	return "caperarch: failed, the call may have run"
 }
 
-// Unwrap is Cause: errors.Is finds context.Canceled and context.DeadlineExceeded where the caller gave up.
+// Unwrap returns Cause, so that errors.Is finds context.Canceled and context.DeadlineExceeded if the context ended.
 func (e *FailedError) Unwrap() error { return e.Cause }
 
-// Timeout says whether the answer did not come in time.
+// Timeout reports whether no answer was received before the deadline.
 func (e *FailedError) Timeout() bool { return e.TimedOut }
 
-// InvalidError says that a call or a configuration can't be used as it is. Nothing was sent.
+// InvalidError reports that a call or a configuration is not valid. Nothing was sent.
 type InvalidError struct {
-	Field  string // of Request or Config, or the header
+	Field  string // field of Request or Config, or name of a header
 	Reason string
 }
 
-// Error names the unusable field and the reason.
+// Error returns the name of the invalid field and the reason.
 func (e *InvalidError) Error() string { return "caperarch: " + e.Field + ": " + e.Reason }
--- a/plugin/example_test.go
+++ b/plugin/example_test.go
@@ -14,10 +14,9 @@
 	"caperarch/policy"
 )
 
-// A complete program for net/http: two servers that are always the same, one class of calls that must never run
-// twice.
+// Sends a net/http request through a client with a fixed server list and one non-idempotent class.
 func ExampleClient_RoundTripper() {
-	// Stands in for the servers; a real program has them, or a discovery that lists them.
+	// Test server. A real program lists its own servers in Known or sets Discovery.
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		fmt.Fprintf(w, "entered by %s", r.Header.Get("X-Priority-Class"))
 	}))
@@ -28,12 +27,15 @@
 		Classes: []string{"harvest-entry"},
 		Policy: policy.Config{
 			Balancers: 1, MaxAttempts: 3, MaxRetryAfter: 1200 * time.Millisecond,
-			Classes: []policy.Class{{LatencyTarget: 600 * time.Millisecond, Deadline: 2500 * time.Millisecond, Value: 2, Effect: policy.NonIdempotent}},
+			Classes: []policy.Class{{
+				LatencyTarget: 600 * time.Millisecond, Deadline: 2500 * time.Millisecond, Value: 2,
+				Effect: policy.NonIdempotent,
+			}},
 		},
 		Methods: map[string]plugin.Method{"/harvest": {Class: "harvest-entry"}},
 	})
 	if err != nil {
-		fmt.Println(err) // it names the field
+		fmt.Println(err) // names the invalid field
 		return
 	}
 	defer client.Close(context.Background())
@@ -43,10 +45,10 @@
 	var refused *plugin.RefusedError
 	switch {
 	case errors.As(err, &refused):
-		fmt.Println("harmless to repeat, best after", refused.RetryAfter)
+		fmt.Println("safe to repeat after", refused.RetryAfter)
 		return
 	case err != nil:
-		fmt.Println("it may have run:", err)
+		fmt.Println("the call may have run:", err)
 		return
 	}
 	defer res.Body.Close()
@@ -55,7 +57,7 @@
 	// Output: 200 entered by harvest-entry
 }
 
-// Do is the same without net/http.
+// Sends a call of a deduplicated class without net/http.
 func ExampleClient_Do() {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		fmt.Fprintf(w, "weighed under %s", r.Header.Get("Idempotency-Key"))
@@ -77,7 +79,9 @@
 		return
 	}
 	defer client.Close(context.Background())
-	res, err := client.Do(context.Background(), plugin.Request{Class: "weight-reading", Key: "hive-7-0915", Body: []byte("41.5 kg")})
+	res, err := client.Do(context.Background(), plugin.Request{
+		Class: "weight-reading", Key: "hive-7-0915", Body: []byte("41.5 kg"),
+	})
 	if err != nil {
 		fmt.Println(err)
 		return
--- a/plugin/pools.go
+++ b/plugin/pools.go
@@ -13,28 +13,28 @@
 	"caperarch/internal/proxy/share"
 )
 
-// PoolsConfig is what a client with several pools has beside the operator's file. Bounds are over all pools, 0 stands
-// for the default; each pool has its part of them by its weight.
+// PoolsConfig configures a client with several pools, in addition to the pools file of the operator. The limits apply
+// to all pools together, and each pool gets a share in proportion to its weight. 0 selects the default of a limit.
 type PoolsConfig struct {
 	MaxConnections int
 	MaxCalls       int
 	MaxBodyBytes   int64
 
-	Log *slog.Logger // nil: nothing is logged
+	Log *slog.Logger // nil: logging is disabled
 }
 
-// pools are several pools behind one client: an engine, a list and a module each.
+// pools holds the cores of a client with several pools. Each core has its own server list and balancing policy.
 type pools struct {
 	table *route.Table
 	cores map[string]*Core
 }
 
-// OpenPools starts a client with several pools, by the daemon's file of pools and routes (TOML;
-// docs/operate/pools.md). Calls go by their Host, Path, Method and Class to the pool that the most specific
-// route names; a call that none matches is an *InvalidError, and so is one whose host or path can be read in
-// two ways. The limits and listen addresses of the pools' own files are passed over but for caps.max_open.
-// Calls and bytes of bodies are parts with lending, connections are fixed parts. The error names the file, line
-// and field. The client needs a Close.
+// OpenPools starts a client with several pools from the daemon's TOML file of pools and routes, which
+// docs/operate/pools.md describes. The most specific route that matches the Host, Path, Method and Class of a call
+// selects its pool. A call that matches no route, or whose host or path is ambiguous, returns an *InvalidError. Of the
+// limits and listen addresses in the configuration files of the pools, only caps.max_open applies. A pool may borrow
+// unused shares of calls and body bytes from other pools; shares of connections are fixed. Errors name the file, line
+// and field. The caller must call Close.
 func OpenPools(path string, cfg PoolsConfig) (*Client, error) {
 	file, err := config.ReadPools(path)
 	if err != nil {
@@ -44,58 +44,59 @@
 		"MaxConnections": int64(cfg.MaxConnections), "MaxCalls": int64(cfg.MaxCalls), "MaxBodyBytes": cfg.MaxBodyBytes,
 	} {
 		if n < 0 {
-			return nil, &InvalidError{"PoolsConfig." + field, fmt.Sprintf("%d is below 0", n)}
+			return nil, &InvalidError{"PoolsConfig." + field, fmt.Sprintf("got %d, want 0 or more", n)}
 		}
 	}
-	all := &pools{table: file.Table, cores: make(map[string]*Core)}
-	for i, one := range poolConfigs(file, cfg) {
-		core, err := openPool(one)
+	opened := &pools{table: file.Table, cores: make(map[string]*Core)}
+	for i, poolConfig := range poolConfigs(file, cfg) {
+		core, err := openPool(poolConfig)
 		if err != nil {
-			ended, stop := context.WithCancel(context.Background())
-			stop()
-			_ = all.close(ended) // no call is open yet
+			cancelled, cancel := context.WithCancel(context.Background())
+			cancel()
+			_ = opened.close(cancelled) // no call is in flight yet
 			return nil, fmt.Errorf("caperarch: %s: pools.%s: %w", path, file.List[i].Name, err)
 		}
-		all.cores[one.Name] = core
+		opened.cores[poolConfig.Name] = core
 	}
-	return &Client{pools: all}, nil
+	return &Client{pools: opened}, nil
 }
 
-// poolConfigs are the configurations of the pools, with the client's bounds divided among them by weight.
+// poolConfigs returns the configurations of the pools, with the limits of the client divided among them by weight.
 func poolConfigs(file *config.Pools, cfg PoolsConfig) []Config {
 	var weights []float64
-	sum := 0.0
+	totalWeight := 0.0
 	for _, p := range file.List {
 		weights = append(weights, p.Weight)
-		sum += p.Weight
+		totalWeight += p.Weight
 	}
-	maxConns, maxBodies := or(cfg.MaxConnections, DefaultMaxConnections), or(cfg.MaxBodyBytes, DefaultMaxBodyBytes)
-	calls := share.NewCapacity(int64(or(cfg.MaxCalls, DefaultMaxCalls)), weights)
+	maxConns, maxBodies := orDefault(cfg.MaxConnections, DefaultMaxConnections),
+		orDefault(cfg.MaxBodyBytes, DefaultMaxBodyBytes)
+	calls := share.NewCapacity(int64(orDefault(cfg.MaxCalls, DefaultMaxCalls)), weights)
 	bodies := share.NewCapacity(maxBodies, weights)
-	var all []Config
+	var configs []Config
 	for i, p := range file.List {
-		one := configOf(p.Config)
-		one.Name, one.Log = p.Name, cfg.Log
-		one.MaxConnections = int(float64(maxConns) * p.Weight / sum)
-		one.MaxBodyBytes = maxBodies
-		one.sharedLimits = bulkhead{clock: clock.New(), calls: calls, bodies: bodies, pool: i}
-		all = append(all, one)
+		poolConfig := configFromFile(p.Config)
+		poolConfig.Name, poolConfig.Log = p.Name, cfg.Log
+		poolConfig.MaxConnections = int(float64(maxConns) * p.Weight / totalWeight)
+		poolConfig.MaxBodyBytes = maxBodies
+		poolConfig.sharedLimits = bulkhead{clock: clock.New(), calls: calls, bodies: bodies, pool: i}
+		configs = append(configs, poolConfig)
 	}
-	return all
+	return configs
 }
 
-// openPool opens the core of one pool.
+// openPool opens the core of one pool. It fails if the pool's share of the connections is less than one.
 func openPool(cfg Config) (*Core, error) {
 	if cfg.MaxConnections < 1 {
-		return nil, errors.New("its part of the connections is none: " +
+		return nil, errors.New("the pool's share of the connections is less than 1: " +
 			"MaxConnections is too small, or there are too many pools")
 	}
-	return OpenCore(cfg, overHTTP1)
+	return OpenCore(cfg, newHTTP1Transport)
 }
 
-// route is the pool that a call goes to.
+// route returns the core of the pool that the routing table selects for a call.
 func (p *pools) route(host, target, method, class string) (*Core, error) {
-	if class == "" { // as at the daemon, the first part of the path
+	if class == "" { // the daemon also derives the class from the first path segment
 		class = route.FirstSegment(target)
 	}
 	q, err := route.NewRequest(host, target, method, class)
@@ -104,20 +105,20 @@
 	}
 	rule := p.table.Match(q)
 	if rule == nil {
-		return nil, &InvalidError{"Request.Path", "no route is for this call"}
+		return nil, &InvalidError{"Request.Path", "no route matches the call"}
 	}
 	return p.cores[rule.Pool], nil
 }
 
-// close closes all pools at the same time: each may need the whole time that there is.
+// close closes all pools concurrently, because draining one pool may take until ctx ends.
 func (p *pools) close(ctx context.Context) error {
 	var (
-		all  sync.WaitGroup
-		mu   sync.Mutex
-		errs []error
+		closing sync.WaitGroup
+		mu      sync.Mutex
+		errs    []error
 	)
 	for name, core := range p.cores {
-		all.Go(func() {
+		closing.Go(func() {
 			if err := core.Close(ctx); err != nil {
 				mu.Lock()
 				defer mu.Unlock()
@@ -125,18 +126,19 @@
 			}
 		})
 	}
-	all.Wait()
+	closing.Wait()
 	return errors.Join(errs...)
 }
 
-// bulkhead is a pool's share of the calls and bodies that the client holds, so that none can crowd out the others.
+// bulkhead limits a pool to its share of the client's calls and body bytes, so that one pool can't starve the
+// others.
 type bulkhead struct {
 	clock         clock.Clock
 	calls, bodies *share.Capacity
 	pool          int // its index in the capacities
 }
 
-// Acquire reserves capacity for a call with a body of so many bytes; false: there is none.
+// Acquire reserves capacity for a call with a body of size bytes. It returns false if the pool has not enough capacity.
 func (b bulkhead) Acquire(size int64) bool {
 	now := b.clock.Now()
 	if !b.calls.Acquire(now, b.pool, 1) {
@@ -149,7 +151,7 @@
 	return true
 }
 
-// Release returns what Acquire took.
+// Release returns the capacity that Acquire reserved for a call with a body of size bytes.
 func (b bulkhead) Release(size int64) {
 	b.calls.Release(b.pool, 1)
 	b.bodies.Release(b.pool, size)
--- a/plugin/roundtrip.go
+++ b/plugin/roundtrip.go
@@ -12,30 +12,30 @@
 	"caperarch/policy"
 )
 
-// RoundTripper returns the client as an http.RoundTripper. A request's class and tenant are those that
-// Config.Methods has for its path, or that X-Priority-Class and X-Tenant-Id name; X-Request-ID, X-Route-Key,
-// X-Timeout, X-Cost, X-Retried and Idempotency-Key mean what they do at the daemon. URL's scheme must be http;
-// its host goes on as Host, the module says where the request is sent.
+// RoundTripper returns an http.RoundTripper that sends requests with the client. X-Priority-Class and X-Tenant-Id name
+// the class and tenant of a request; without X-Priority-Class, Config.Methods assigns them by path. X-Request-ID,
+// X-Route-Key, X-Timeout, X-Cost, X-Retried and Idempotency-Key have the same meaning as at the daemon. The scheme of
+// the URL must be http. The host of the request is sent as the Host header; the balancing policy selects the server.
 //
-// A server's answer of status 200 is returned, and so is the last one of another status where the call failed
-// with it, but for 429 and 503: many take these as leave to repeat, and the call may have run.
-// Every other end is an error, as Client.Do has it.
+// RoundTrip returns a server's response of status 200. If a call fails before its deadline with another status,
+// RoundTrip returns the last response of a server, except for statuses below 300 and for 429 and 503: many clients
+// repeat a request after a 429 or 503, but the call may have run. In all other cases it returns an error of Client.Do.
 func (c *Client) RoundTripper() http.RoundTripper { return roundTripper{c} }
 
 type roundTripper struct{ client *Client }
 
-// RoundTrip implements http.RoundTripper. The whole body is read before anything is sent, MaxBody bytes at most.
+// RoundTrip implements http.RoundTripper. It reads the whole body, at most MaxBody bytes, before it sends the call.
 func (t roundTripper) RoundTrip(req *http.Request) (*http.Response, error) {
 	body, err := requestBody(req)
 	if err != nil {
 		return nil, err
 	}
-	spec, err := specOf(req)
+	spec, err := specFromRequest(req)
 	if err != nil {
 		return nil, err
 	}
-	host := or(req.Host, req.URL.Host)
-	core, err := t.client.coreFor(host, req.URL.RequestURI(), or(req.Method, http.MethodGet), spec.Class)
+	host := orDefault(req.Host, req.URL.Host)
+	core, err := t.client.coreFor(host, req.URL.RequestURI(), orDefault(req.Method, http.MethodGet), spec.Class)
 	if err != nil {
 		return nil, err
 	}
@@ -44,47 +44,47 @@
 		return nil, err
 	}
 	m := &call.Message{
-		Method: or(req.Method, http.MethodGet), URI: req.URL.RequestURI(), Host: host,
+		Method: orDefault(req.Method, http.MethodGet), URI: req.URL.RequestURI(), Host: host,
 		Header: call.EndToEndHeaders(req.Header), Body: body,
 	}
 	if m.Method == http.MethodHead || m.Method == http.MethodConnect {
-		return nil, &InvalidError{"Request.Method", m.Method + " is not carried"}
+		return nil, &InvalidError{"Request.Method", m.Method + " is not supported"}
 	}
 	if effect != policy.Idempotent && m.Method == http.MethodGet {
-		reason := fmt.Sprintf("calls of class %q have an effect: GET is not for them", spec.Class)
+		reason := fmt.Sprintf("class %q is not idempotent: its calls can't use GET", spec.Class)
 		return nil, &InvalidError{"Request.Method", reason}
 	}
 	if m.Method == http.MethodGet && len(body) > 0 {
-		return nil, &InvalidError{"Request.Body", "GET has none"}
+		return nil, &InvalidError{"Request.Body", "a GET request must not have a body"}
 	}
 	if err := checkMessage(m); err != nil {
 		return nil, err
 	}
 	core.setControlHeaders(m.Header, spec)
-	a, err := core.Do(req.Context(), spec, q, m)
+	answer, err := core.Do(req.Context(), spec, q, m)
 	if err == nil {
-		return response(req, http.StatusOK, a.Header, a.Body), nil
+		return response(req, http.StatusOK, answer.Header, answer.Body), nil
 	}
 	var failed *FailedError
-	if errors.As(err, &failed) && failed.Cause == nil && !failed.TimedOut && passOn(failed.Status) {
+	if errors.As(err, &failed) && failed.Cause == nil && !failed.TimedOut && isForwardable(failed.Status) {
 		return response(req, failed.Status, failed.Header, failed.Body), nil
 	}
 	return nil, err
 }
 
-// passOn says whether a server's answer to a call that failed may be its client's answer.
-func passOn(status int) bool {
+// isForwardable reports whether RoundTrip returns a server's response of this status to the caller of a failed call.
+func isForwardable(status int) bool {
 	return status >= 300 && status != http.StatusTooManyRequests && status != http.StatusServiceUnavailable
 }
 
-// requestBody reads a request's body, which has a bound.
+// requestBody reads the body of a request and rejects a body of more than MaxBody bytes.
 func requestBody(req *http.Request) ([]byte, error) {
 	if req.Body == nil {
 		return nil, nil
 	}
 	defer req.Body.Close()
 	if req.ContentLength > MaxBody {
-		return nil, &InvalidError{"Request.Body", fmt.Sprintf("%d bytes, %d at most", req.ContentLength, MaxBody)}
+		return nil, &InvalidError{"Request.Body", fmt.Sprintf("got %d bytes, want at most %d", req.ContentLength, MaxBody)}
 	}
 	body := make([]byte, 0, max(req.ContentLength, 0)+bytes.MinRead)
 	buffer := bytes.NewBuffer(body)
@@ -93,29 +93,29 @@
 	case err != nil:
 		return nil, &InvalidError{"Request.Body", err.Error()}
 	case n > MaxBody:
-		return nil, &InvalidError{"Request.Body", fmt.Sprintf("more than %d bytes", MaxBody)}
+		return nil, &InvalidError{"Request.Body", fmt.Sprintf("got a body of more than %d bytes", MaxBody)}
 	case req.ContentLength > 0 && n != req.ContentLength:
-		return nil, &InvalidError{"Request.Body", fmt.Sprintf("%d bytes where %d were told", n, req.ContentLength)}
+		return nil, &InvalidError{"Request.Body", fmt.Sprintf("got %d bytes, Content-Length is %d", n, req.ContentLength)}
 	}
 	return buffer.Bytes(), nil
 }
 
-// controlHeaders are the headers that carry a call's specification. If one is given twice, two readers may heed
-// different values, so that is an error.
+// controlHeaders are the headers that carry the specification of a call. A duplicate of one is an error, because two
+// recipients could read different values.
 var controlHeaders = []string{
 	"X-Request-Id", "X-Priority-Class", "X-Tenant-Id", "X-Route-Key",
 	"X-Timeout", "X-Retried", "X-Cost", "Idempotency-Key",
 }
 
-// specOf reads a call's specification from the control headers.
-func specOf(req *http.Request) (*CallSpec, error) {
+// specFromRequest reads the specification of a call from the control headers of a request.
+func specFromRequest(req *http.Request) (*CallSpec, error) {
 	if req.URL == nil || req.URL.Scheme != "http" {
-		return nil, &InvalidError{"Request.URL", "its scheme must be http"}
+		return nil, &InvalidError{"Request.URL", "the scheme of the URL must be http"}
 	}
 	h := req.Header
 	for _, name := range controlHeaders {
 		if len(h[name]) > 1 {
-			return nil, &InvalidError{name, "it is given twice"}
+			return nil, &InvalidError{name, "the header occurs more than once"}
 		}
 	}
 	s := &CallSpec{
@@ -125,7 +125,7 @@
 	if text := h.Get("X-Timeout"); text != "" {
 		var ok bool
 		if s.Timeout, ok = call.ParseDuration(text); !ok || s.Timeout <= 0 {
-			return nil, &InvalidError{"X-Timeout", "malformed or not above 0"}
+			return nil, &InvalidError{"X-Timeout", "want a valid duration above 0"}
 		}
 	}
 	if text := h.Get("X-Cost"); text != "" {
@@ -137,7 +137,7 @@
 	return s, nil
 }
 
-// response makes the response that http.Client gets.
+// response builds the http.Response that RoundTrip returns.
 func response(req *http.Request, status int, header http.Header, body []byte) *http.Response {
 	h := call.EndToEndHeaders(header)
 	delete(h, "User-Agent")
