--- a/plugin/grpcplugin/conn.go
+++ b/plugin/grpcplugin/conn.go
@@ -1,18 +1,18 @@
-// Package grpcplugin is caperarch inside a gRPC client: a grpc.ClientConnInterface that generated stubs take
-// unchanged. The decision module says which server each attempt goes to and whether there is another;
-// grpc-go's own balancing, retries and service configuration are off.
+// Package grpcplugin embeds the caperarch load balancer in a gRPC client. It provides a grpc.ClientConnInterface that
+// generated stubs use unchanged. The balancing policy selects the server of each attempt and decides about retries. The
+// balancing, retries and service configuration of grpc-go are disabled.
 //
-// Unary calls and server streams are carried; streams of the client's are answered Unimplemented. The calls'
-// classes come from plugin.Config.Methods, by full method name. Metadata idempotency-key, x-tenant-id,
-// x-route-key, x-request-id, x-timeout and x-retried mean what the headers of that name do at the daemon; all
-// but x-timeout go on to the server. A call's time is the least of x-timeout (else its class's deadline) and
-// ctx's. A message holds plugin.MaxBody bytes at most.
+// The package supports unary calls and server streams. Client streams and bidirectional streams fail with
+// Unimplemented. plugin.Config.Methods assigns classes to calls by their full method names. The metadata
+// idempotency-key, x-tenant-id, x-route-key, x-request-id, x-timeout and x-retried have the same meaning as the headers
+// of these names at the daemon. All of them except x-timeout are passed on to the server. A call ends at the earlier
+// of the deadline of ctx and the end of x-timeout, which defaults to the deadline of the class. A message has at most
+// plugin.MaxBody bytes.
 //
-// A server's answer, of whatever status, is returned as it came, details too, with one exception: UNAVAILABLE
-// is what many take as leave to repeat, so it is kept for refusals, which promise that repeating is harmless,
-// and come with a RetryInfo detail. A server's own UNAVAILABLE to a call that may have run becomes UNKNOWN.
-// Every error unwraps to *plugin.RefusedError, *plugin.FailedError or *plugin.InvalidError where it is one of
-// these.
+// The status of a server is returned unchanged with its details, except UNAVAILABLE. Many clients repeat a call after
+// UNAVAILABLE, so the package reserves this code for refused calls, which are safe to repeat, and adds a RetryInfo
+// detail. If a server answers UNAVAILABLE to a call that may have run, the package returns UNKNOWN. An error that has a
+// *plugin.RefusedError, *plugin.FailedError or *plugin.InvalidError as its cause unwraps to it.
 package grpcplugin
 
 import (
@@ -34,32 +34,33 @@
 	"caperarch/policy"
 )
 
-// Conn is a connection to all servers. It is safe for concurrent use.
+// Conn is a virtual connection to all servers. It is safe for concurrent use.
 type Conn struct {
-	core    *plugin.Core
-	methods map[string]plugin.Method
-	abandon time.Duration // a stream that nobody reads is closed after this
+	core                *plugin.Core
+	methods             map[string]plugin.Method
+	unreadStreamTimeout time.Duration // a stream is closed if its caller reads no message for this long
 }
 
 var _ grpc.ClientConnInterface = (*Conn)(nil)
 
-// Option sets a property of the gRPC transport.
+// Option configures the gRPC transport.
 type Option func(*grpctransport.Config)
 
-// WithTransportCredentials makes connections with credentials; without it they are plain TCP.
+// WithTransportCredentials sets the credentials for connections to servers. Without it, connections are plain TCP.
 func WithTransportCredentials(c credentials.TransportCredentials) Option {
 	return func(t *grpctransport.Config) { t.Credentials = c }
 }
 
-// WithUserAgent puts a name in front of grpc-go's own user agent.
+// WithUserAgent prepends a name to the user agent of grpc-go.
 func WithUserAgent(name string) Option { return func(t *grpctransport.Config) { t.UserAgent = name } }
 
-// Open starts a connection to all servers that the configuration or discovery lists, or returns a
-// *plugin.InvalidError that names the unusable field. Policy.MayProbe has load reports asked for over ORCA's
-// out-of-band service; LoadReport names the named_metrics that count. It needs a Close.
+// Open opens a connection to all servers that the configuration or discovery lists. If the configuration is not valid,
+// it returns a *plugin.InvalidError that names the field. If Policy.MayProbe is set, the connection requests load
+// reports from the out-of-band service of ORCA. LoadReport selects the named_metrics to use. The caller must call
+// Close.
 func Open(cfg plugin.Config, opts ...Option) (*Conn, error) {
 	if len(cfg.Methods) == 0 {
-		return nil, &plugin.InvalidError{Field: "Config.Methods", Reason: "it is empty: no call would have a class"}
+		return nil, &plugin.InvalidError{Field: "Config.Methods", Reason: "the map is empty: no call would have a class"}
 	}
 	core, err := plugin.OpenCore(cfg, func(cfg plugin.Config, c clock.Clock) pool.Transport {
 		t := grpctransport.Config{
@@ -76,17 +77,18 @@
 	}
 	c := &Conn{core: core, methods: cfg.Methods}
 	for _, class := range cfg.Policy.Classes {
-		c.abandon = max(c.abandon, abandonAfter*class.Deadline)
+		c.unreadStreamTimeout = max(c.unreadStreamTimeout, unreadStreamDeadlines*class.Deadline)
 	}
 	return c, nil
 }
 
-// abandonAfter is how many of the longest deadlines a stream may wait for its message to be read. Without a bound one
-// forgotten stream occupies a slot of its compartment for good.
-const abandonAfter = 10
+// unreadStreamDeadlines is the time that a stream waits for its caller to read a message, in multiples of the longest
+// class deadline. Without this limit, a stream that the caller never reads would occupy a slot of its compartment
+// permanently.
+const unreadStreamDeadlines = 10
 
-// Close takes no further call and waits until those that are held, streams too, have ended. Where ctx ends
-// first they are ended at once, and its error is returned. Nothing of the connection is left after it.
+// Close refuses further calls and waits until the calls and streams in flight have ended. If ctx ends first, Close ends
+// them at once and returns the error of the context. After Close no goroutine or connection of the Conn is left.
 func (c *Conn) Close(ctx context.Context) error { return c.core.Close(ctx) }
 
 // Invoke implements grpc.ClientConnInterface.
@@ -99,6 +101,7 @@
 	return err
 }
 
+// invoke sends a unary call and decodes the response into reply.
 func (c *Conn) invoke(ctx context.Context, method string, args, reply any, o *options) error {
 	body, err := o.encode(args)
 	if err != nil {
@@ -110,7 +113,7 @@
 	}
 	m.Body = body
 	a, err := c.core.Do(ctx, spec, q, m)
-	if a.LastResult != nil { // failed, with a server's answer
+	if a.LastResult != nil { // the call failed with a response of a server
 		a.Header, a.Trailer = a.LastResult.Header, a.LastResult.Trailer
 	}
 	if o.header != nil {
@@ -128,23 +131,23 @@
 	return o.decode(a.Body, reply)
 }
 
-// controlMetadata is the metadata that carries a call's specification; each may be given once.
+// controlMetadata lists the metadata keys that carry the specification of a call. Each may have only one value.
 var controlMetadata = []string{
 	"idempotency-key", "x-tenant-id", "x-route-key", "x-request-id", "x-retried", "x-timeout",
 }
 
-// message makes a call's message and resolves its specification.
+// message resolves the specification of a call and builds its message from the outgoing metadata, without a body.
 func (c *Conn) message(
 	ctx context.Context, method string, o *options,
 ) (*plugin.CallSpec, policy.Request, *call.Message, error) {
-	none := func(err error) (*plugin.CallSpec, policy.Request, *call.Message, error) {
+	fail := func(err error) (*plugin.CallSpec, policy.Request, *call.Message, error) {
 		return nil, policy.Request{}, nil, asStatus(err)
 	}
 	if _, listed := c.methods[method]; !listed {
-		reason := fmt.Sprintf("%q is in none of them: its calls have no class", method)
-		return none(&plugin.InvalidError{Field: "Config.Methods", Reason: reason})
+		reason := fmt.Sprintf("method %q is not listed: its calls have no class", method)
+		return fail(&plugin.InvalidError{Field: "Config.Methods", Reason: reason})
 	}
-	md, _ := metadata.FromOutgoingContext(ctx) // a copy
+	md, _ := metadata.FromOutgoingContext(ctx) // a copy, which this function may change
 	if md == nil {
 		md = make(metadata.MD, 4)
 	}
@@ -152,7 +155,7 @@
 	for _, name := range controlMetadata {
 		v := md.Get(name)
 		if len(v) > 1 {
-			return none(&plugin.InvalidError{Field: "metadata " + name, Reason: "it is given twice"})
+			return fail(&plugin.InvalidError{Field: "metadata " + name, Reason: "the key has more than one value"})
 		}
 		if len(v) == 1 {
 			values[name] = v[0]
@@ -165,13 +168,13 @@
 	if text := values["x-timeout"]; text != "" {
 		var ok bool
 		if spec.Timeout, ok = call.ParseDuration(text); !ok || spec.Timeout <= 0 {
-			return none(&plugin.InvalidError{Field: "metadata x-timeout", Reason: "malformed or not above 0"})
+			return fail(&plugin.InvalidError{Field: "metadata x-timeout", Reason: "want a valid duration above 0"})
 		}
-		delete(md, "x-timeout") // the server is told by grpc-timeout how long an attempt waits
+		delete(md, "x-timeout") // grpc-timeout tells the server the time-out of the attempt
 	}
 	q, _, err := c.core.Resolve(spec)
 	if err != nil {
-		return none(err)
+		return fail(err)
 	}
 	md.Set("x-request-id", spec.ID)
 	md.Set("x-priority-class", spec.Class)
--- a/plugin/grpcplugin/example_test.go
+++ b/plugin/grpcplugin/example_test.go
@@ -15,6 +15,7 @@
 	"caperarch/policy"
 )
 
+// ledger is a server that confirms every entry.
 type ledger struct {
 	testgrpc.UnimplementedTestServiceServer
 }
@@ -23,9 +24,9 @@
 	return &testgrpc.SimpleResponse{Username: "entered"}, nil
 }
 
-// A complete program for gRPC: a generated stub over a connection to all servers.
+// Calls a unary method of a generated stub over a connection to all servers.
 func ExampleOpen() {
-	// Stands in for a server; a real program has them, or a discovery that lists them.
+	// Test server. A real program lists its own servers in Known or sets Discovery.
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		fmt.Println(err)
@@ -41,12 +42,15 @@
 		Classes: []string{"harvest-entry"},
 		Policy: policy.Config{
 			Balancers: 1, MaxAttempts: 3,
-			Classes: []policy.Class{{LatencyTarget: 600 * time.Millisecond, Deadline: 2500 * time.Millisecond, Value: 2, Effect: policy.NonIdempotent}},
+			Classes: []policy.Class{{
+				LatencyTarget: 600 * time.Millisecond, Deadline: 2500 * time.Millisecond, Value: 2,
+				Effect: policy.NonIdempotent,
+			}},
 		},
 		Methods: map[string]plugin.Method{"/grpc.testing.TestService/UnaryCall": {Class: "harvest-entry"}},
 	})
 	if err != nil {
-		fmt.Println(err) // it names the field
+		fmt.Println(err) // names the invalid field
 		return
 	}
 	defer conn.Close(context.Background())
@@ -56,10 +60,10 @@
 	var refused *plugin.RefusedError
 	switch {
 	case errors.As(err, &refused):
-		fmt.Println("harmless to repeat, best after", refused.RetryAfter)
+		fmt.Println("safe to repeat after", refused.RetryAfter)
 		return
 	case err != nil:
-		fmt.Println("it may have run:", err)
+		fmt.Println("the call may have run:", err)
 		return
 	}
 	fmt.Println(answer.GetUsername())
--- a/plugin/grpcplugin/options.go
+++ b/plugin/grpcplugin/options.go
@@ -7,7 +7,7 @@
 	"google.golang.org/grpc"
 	"google.golang.org/grpc/codes"
 	"google.golang.org/grpc/encoding"
-	_ "google.golang.org/grpc/encoding/proto" // the codec of calls that name none
+	_ "google.golang.org/grpc/encoding/proto" // registers the codec of calls without a content subtype
 	"google.golang.org/grpc/mem"
 	"google.golang.org/grpc/metadata"
 	"google.golang.org/grpc/status"
@@ -16,7 +16,7 @@
 	"caperarch/plugin"
 )
 
-// options are the call options that this package respects.
+// options holds the values of the call options that this package supports.
 type options struct {
 	header, trailer *metadata.MD
 	finish          []func(error)
@@ -24,13 +24,13 @@
 	subtype         string
 	marshal         func(any) ([]byte, error)
 	unmarshal       func([]byte, any) error
-	maxMessageBytes int // bytes of an answer's message
+	maxMessageBytes int // size limit of a response message
 }
 
-// parseCallOptions reads call options; one that would have no effect is an error.
+// parseCallOptions reads call options. It returns an error for an option that this package does not support.
 func parseCallOptions(opts []grpc.CallOption) (*options, error) {
 	o := &options{maxMessageBytes: call.MaxBufferedBody}
-	o.use("proto")
+	o.useCodec("proto")
 	for _, opt := range opts {
 		switch opt := opt.(type) {
 		case grpc.HeaderCallOption:
@@ -42,38 +42,38 @@
 		case grpc.AuthorityOverrideCallOption:
 			o.authority = opt.Authority
 		case grpc.ContentSubtypeCallOption:
-			if !o.use(strings.ToLower(opt.ContentSubtype)) {
+			if !o.useCodec(strings.ToLower(opt.ContentSubtype)) {
 				return nil, status.Errorf(codes.Internal,
 					"grpcplugin: no codec is registered for content-subtype %q", opt.ContentSubtype)
 			}
 		case grpc.ForceCodecV2CallOption:
-			o.useV2(opt.CodecV2)
+			o.useCodecV2(opt.CodecV2)
 		case grpc.ForceCodecCallOption:
 			codec := opt.Codec
 			o.subtype, o.marshal, o.unmarshal = codec.Name(), codec.Marshal, codec.Unmarshal
 		case grpc.MaxRecvMsgSizeCallOption:
 			o.maxMessageBytes = min(o.maxMessageBytes, opt.MaxRecvMsgSize)
 		case grpc.MaxSendMsgSizeCallOption, grpc.FailFastCallOption, grpc.StaticMethodCallOption, grpc.EmptyCallOption:
-			// The decision module says how long requests wait, and they have a bound of their own.
+			// Ignored: the balancing policy decides how long calls wait, and plugin.MaxBody limits request messages.
 		default:
-			return nil, status.Errorf(codes.Unimplemented, "grpcplugin: call option %T is not carried", opt)
+			return nil, status.Errorf(codes.Unimplemented, "grpcplugin: call option %T is not supported", opt)
 		}
 	}
 	return o, nil
 }
 
-// use selects the registered codec of a content subtype; false: there is none.
-func (o *options) use(subtype string) bool {
+// useCodec selects the codec that is registered for a content subtype. It returns false if no codec is registered.
+func (o *options) useCodec(subtype string) bool {
 	codec := encoding.GetCodecV2(subtype)
 	if codec == nil {
 		return false
 	}
-	o.useV2(codec)
+	o.useCodecV2(codec)
 	return true
 }
 
-// useV2 selects a codec.
-func (o *options) useV2(codec encoding.CodecV2) {
+// useCodecV2 selects a codec.
+func (o *options) useCodecV2(codec encoding.CodecV2) {
 	o.subtype = codec.Name()
 	o.marshal = func(v any) ([]byte, error) {
 		data, err := codec.Marshal(v)
@@ -88,25 +88,25 @@
 	}
 }
 
-// encode marshals a request; its size is bounded.
+// encode marshals a request message and rejects more than plugin.MaxBody bytes.
 func (o *options) encode(v any) ([]byte, error) {
 	b, err := o.marshal(v)
 	switch {
 	case err != nil:
 		return nil, status.Errorf(codes.Internal, "grpcplugin: while marshaling: %v", err)
 	case len(b) > plugin.MaxBody:
-		reason := fmt.Sprintf("%d bytes, %d at most", len(b), plugin.MaxBody)
+		reason := fmt.Sprintf("got %d bytes, want at most %d", len(b), plugin.MaxBody)
 		err := &plugin.InvalidError{Field: "message", Reason: reason}
 		return nil, &callError{err, status.New(codes.ResourceExhausted, err.Error())}
 	}
 	return b, nil
 }
 
-// decode unmarshals a response; its size is bounded.
+// decode unmarshals a response message and rejects more than maxMessageBytes bytes.
 func (o *options) decode(b []byte, v any) error {
 	if len(b) > o.maxMessageBytes {
 		return status.Errorf(codes.ResourceExhausted,
-			"grpcplugin: received a message of %d bytes, %d at most", len(b), o.maxMessageBytes)
+			"grpcplugin: received a message of %d bytes, want at most %d", len(b), o.maxMessageBytes)
 	}
 	if err := o.unmarshal(b, v); err != nil {
 		return status.Errorf(codes.Internal, "grpcplugin: failed to unmarshal the received message: %v", err)
@@ -114,7 +114,7 @@
 	return nil
 }
 
-// finished calls the OnFinish callbacks.
+// finished calls the OnFinish callbacks with the result of the call.
 func (o *options) finished(err error) {
 	for _, f := range o.finish {
 		f(err)
--- a/plugin/grpcplugin/status.go
+++ b/plugin/grpcplugin/status.go
@@ -13,18 +13,18 @@
 	"caperarch/plugin"
 )
 
-// callError is an error of package plugin with its status.
+// callError is an error of package plugin with its gRPC status.
 type callError struct {
 	error
 	st *status.Status
 }
 
-// GRPCStatus returns the status; status.FromError uses it.
+// GRPCStatus returns the status of the error. status.FromError calls it.
 func (e *callError) GRPCStatus() *status.Status { return e.st }
 
 func (e *callError) Unwrap() error { return e.error }
 
-// asStatus gives an error of package plugin its gRPC status.
+// asStatus adds the gRPC status to an error of package plugin.
 func asStatus(err error) error {
 	var (
 		refused *plugin.RefusedError
@@ -45,7 +45,7 @@
 		case failed.Cause != nil:
 			return &callError{err, status.FromContextError(failed.Cause)}
 		case failed.Status != 0:
-			return &callError{err, mayHaveRun(decodeStatus(failed.Status, failed.Body))}
+			return &callError{err, replaceUnavailable(decodeStatus(failed.Status, failed.Body))}
 		case failed.TimedOut:
 			return &callError{err, status.New(codes.DeadlineExceeded, err.Error())}
 		}
@@ -54,8 +54,9 @@
 	return err
 }
 
-// mayHaveRun turns a server's UNAVAILABLE into UNKNOWN, since many take the former as leave to repeat.
-func mayHaveRun(st *status.Status) *status.Status {
+// replaceUnavailable changes a server's status UNAVAILABLE to UNKNOWN. Many clients repeat a call after UNAVAILABLE,
+// but this call may have run.
+func replaceUnavailable(st *status.Status) *status.Status {
 	if st.Code() != codes.Unavailable {
 		return st
 	}
@@ -64,8 +65,8 @@
 	return status.FromProto(p)
 }
 
-// decodeStatus returns a server's status: the encoded one with its details, or the bare code if that can't be
-// decoded.
+// decodeStatus decodes the status that a server sent, with its details. If the encoded status is malformed or has
+// another code, it returns a status of the code alone.
 func decodeStatus(code int, encoded []byte) *status.Status {
 	var p spb.Status
 	if proto.Unmarshal(encoded, &p) != nil || p.GetCode() != int32(code) {
--- a/plugin/grpcplugin/stream.go
+++ b/plugin/grpcplugin/stream.go
@@ -17,16 +17,15 @@
 	"caperarch/plugin"
 )
 
-// NewStream implements grpc.ClientConnInterface for server streams. The call begins with CloseSend; up to
-// the server's header it is resent as a unary one is, from then on the stream is the caller's and nothing
-// sends it again. It ends with an error from RecvMsg, with ctx, or when nobody has read it for
-// ten of the longest deadlines.
+// NewStream implements grpc.ClientConnInterface for server streams. CloseSend starts the call. Until a server's header
+// is received, the call is retried like a unary call. After that it is not retried. The stream ends when RecvMsg
+// returns an error, when ctx ends, or when the caller has not read a message for ten times the longest class deadline.
 func (c *Conn) NewStream(
 	ctx context.Context, desc *grpc.StreamDesc, method string, opts ...grpc.CallOption,
 ) (grpc.ClientStream, error) {
 	if desc.ClientStreams || !desc.ServerStreams {
 		return nil, status.Errorf(codes.Unimplemented,
-			"grpcplugin: %s: only unary calls and server streams are carried", method)
+			"grpcplugin: %s: only unary calls and server streams are supported", method)
 	}
 	o, err := parseCallOptions(opts)
 	if err != nil {
@@ -49,32 +48,32 @@
 	return s, nil
 }
 
-// stream is a server stream as generated stubs use it.
+// stream implements grpc.ClientStream for a server stream.
 type stream struct {
 	conn    *Conn
 	ctx     context.Context
 	o       *options
 	message *call.Message
 	start   func()
-	once    sync.Once // of start
-	started chan struct{}
+	once    sync.Once     // calls start
+	started chan struct{} // closed when the call has an answer or its stream has begun
 
-	// Set before started is closed, and not changed after it.
-	upstream call.Stream
-	recv     *grpctransport.Stream
-	header   metadata.MD
-	err      error // the call has no stream: its result
-	unwatch  func() bool
-	idle     *time.Timer // gives up a stream that nobody reads
+	// The fields below are set before started is closed and do not change afterwards.
+	upstream  call.Stream
+	recv      *grpctransport.Stream
+	header    metadata.MD
+	err       error       // result of a call that has no stream
+	stopWatch func() bool // unregisters the function that closes the stream when ctx ends
+	unread    *time.Timer // closes the stream if the caller stops reading
 
-	sent bool // the message; for the caller's sending goroutine alone
+	sent bool // SendMsg has set the message; used only by the caller's sending goroutine
 
 	mu       sync.Mutex // guards the fields below
-	result   error      // of RecvMsg; nil: the stream has not ended
-	finished bool
+	result   error      // final result of RecvMsg; nil: the stream has not ended
+	finished bool       // finish has released the stream
 }
 
-// begin sets the stream by the call's answer.
+// begin initialises the stream from the answer of the call.
 func (s *stream) begin(a call.Answer, err error) {
 	switch {
 	case err != nil:
@@ -82,7 +81,7 @@
 		if a.LastResult != nil {
 			s.header = metadata.MD(a.LastResult.Header)
 		}
-	case a.Stream == nil: // a status at once, with no stream
+	case a.Stream == nil: // the server sent a status without a stream
 		s.err = io.EOF
 		if a.Status != int(codes.OK) {
 			s.err = decodeStatus(a.Status, a.Body).Err()
@@ -90,15 +89,15 @@
 	default:
 		s.upstream, s.header = a.Stream, metadata.MD(a.Header)
 		s.recv = a.Stream.(interface{ Unwrap() call.Stream }).Unwrap().(*grpctransport.Stream)
-		s.unwatch = context.AfterFunc(s.ctx, s.upstream.Close)
-		s.idle = time.AfterFunc(s.conn.abandon, s.upstream.Close)
+		s.stopWatch = context.AfterFunc(s.ctx, s.upstream.Close)
+		s.unread = time.AfterFunc(s.conn.unreadStreamTimeout, s.upstream.Close)
 	}
 	if s.o.header != nil {
 		*s.o.header = s.header
 	}
 }
 
-// SendMsg sets the one message of the call.
+// SendMsg sets the request message of the call. A server stream has only one.
 func (s *stream) SendMsg(v any) error {
 	if s.sent {
 		return status.Error(codes.Internal, "grpcplugin: SendMsg called a second time on a server stream")
@@ -114,13 +113,13 @@
 // CloseSend starts the call.
 func (s *stream) CloseSend() error {
 	if !s.sent {
-		return status.Error(codes.Internal, "grpcplugin: CloseSend before the call's message")
+		return status.Error(codes.Internal, "grpcplugin: CloseSend called before SendMsg on a server stream")
 	}
 	s.once.Do(s.start)
 	return nil
 }
 
-// Header waits for the header metadata.
+// Header starts the call if necessary, and waits for the header metadata.
 func (s *stream) Header() (metadata.MD, error) {
 	if err := s.CloseSend(); err != nil {
 		return nil, err
@@ -132,7 +131,7 @@
 	return s.header, nil
 }
 
-// Trailer is the trailer metadata, once RecvMsg has returned an error.
+// Trailer returns the trailer metadata after RecvMsg has returned an error, and nil before.
 func (s *stream) Trailer() metadata.MD {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -142,10 +141,10 @@
 	return s.recv.Trailer()
 }
 
-// Context is the caller's.
+// Context returns the context of the caller.
 func (s *stream) Context() context.Context { return s.ctx }
 
-// RecvMsg waits for the next message.
+// RecvMsg starts the call if necessary, and waits for the next message.
 func (s *stream) RecvMsg(v any) error {
 	if err := s.CloseSend(); err != nil {
 		return err
@@ -160,24 +159,24 @@
 	if s.err != nil {
 		return s.finish(s.err)
 	}
-	s.idle.Stop()
+	s.unread.Stop()
 	body, err := s.recv.Recv()
 	if err == nil {
 		err = s.o.decode(body, v)
 	}
 	if err == nil {
-		s.idle.Reset(s.conn.abandon)
+		s.unread.Reset(s.conn.unreadStreamTimeout)
 		return nil
 	}
 	if ended := s.ctx.Err(); ended != nil {
 		err = asStatus(&plugin.FailedError{Cause: ended})
-	} else if status.Code(err) == codes.Unavailable { // it had started, so it may have run
-		err = mayHaveRun(status.Convert(err)).Err()
+	} else if status.Code(err) == codes.Unavailable { // the stream had begun, so the call may have run
+		err = replaceUnavailable(status.Convert(err)).Err()
 	}
 	return s.finish(err)
 }
 
-// finish ends the stream with what RecvMsg returns from now on.
+// finish ends the stream. RecvMsg returns err from now on. The first call releases the resources of the stream.
 func (s *stream) finish(err error) error {
 	s.mu.Lock()
 	first := !s.finished
@@ -187,8 +186,8 @@
 		return err
 	}
 	if s.upstream != nil {
-		s.unwatch()
-		s.idle.Stop()
+		s.stopWatch()
+		s.unread.Stop()
 		s.upstream.Close()
 	}
 	if s.o.trailer != nil && s.recv != nil {
