--- a/conformance/cases.go
+++ b/conformance/cases.go
@@ -4,23 +4,24 @@
 	"testing"
 )
 
-// classes by effect, as testbed.Settings has them.
+// classes maps the effects to the classes that testbed.Settings configures: safe means idempotent, keyed means
+// deduplicated and unsafe means non-idempotent.
 var classes = map[string]string{"safe": "look", "keyed": "reading", "unsafe": "entry"}
 
-// Cases is the list.
+// Cases returns all cases of the suite.
 func Cases() []Case {
 	var list []Case
-	add := func(name string, run func(t *testing.T, w *World)) { list = append(list, Case{name, run}) }
-	endings(add)
-	allNodes(add)
-	unreachable(add)
-	invalid(add)
-	cells(add)
+	add := func(name string, run func(t *testing.T, f *Fixture)) { list = append(list, Case{name, run}) }
+	attemptOutcomes(add)
+	sameOutcomeOnAllNodes(add)
+	unreachableNodes(add)
+	invalidCalls(add)
+	retriesAcrossCells(add)
 	compartments(add)
 	drains(add)
-	lists(add)
-	cancelled(add)
-	prompt(add)
-	concurrent(add)
+	serverLists(add)
+	cancelledCalls(add)
+	promptAnswers(add)
+	concurrentCalls(add)
 	return list
 }
--- a/conformance/conformance.go
+++ b/conformance/conformance.go
@@ -1,6 +1,6 @@
-// Package conformance is the one list of cases that every way to a decision module must pass: the daemon, the
-// plug-in's client, its RoundTripper, its gRPC connection and whatever comes later. The cases are
-// written against Subject and never ask which one they have.
+// Package conformance is the test suite that every front end of the load balancer must pass: the daemon, and the
+// client, the RoundTripper and the gRPC connection of the plug-in. The cases use the interface Subject only and do not
+// depend on the front end under test.
 package conformance
 
 import (
@@ -11,65 +11,65 @@
 	"caperarch/internal/lab/testbed"
 )
 
-// Kind is how a call ended for its caller.
+// Kind is the kind of answer that a caller received.
 type Kind string
 
-// The kinds. Invalid: the call could not be used as it was, and nothing was sent. Gone: the caller gave up.
+// The kinds of answers. Invalid: the call is not valid and was not sent. CallerGone: the caller cancelled the call.
 const (
-	Served  Kind = "served"
-	Refused Kind = "refused"
-	Failed  Kind = "failed"
-	Invalid Kind = "invalid"
-	Gone    Kind = "gone"
+	Served     Kind = "served"
+	Refused    Kind = "refused"
+	Failed     Kind = "failed"
+	Invalid    Kind = "invalid"
+	CallerGone Kind = "gone"
 )
 
-// Call is one call.
+// Call describes a call that a case sends through the subject.
 type Call struct {
 	ID, Class, Tenant, Key, Body string
 	Timeout                      time.Duration
 }
 
-// Answer is what its caller got.
+// Answer is the outcome of a call for its caller.
 type Answer struct {
 	Kind       Kind
 	Body       string
 	RetryAfter time.Duration
-	Detail     string // of an error, for people
+	Detail     string // text of an error, for test messages
 
-	Took time.Duration // set by the suite, as At
-	At   time.Time
+	Took time.Duration // time from the call to its answer; set by the suite
+	At   time.Time     // time of the answer; set by the suite
 }
 
-// Client is a running subject.
+// Client sends calls through a running subject.
 type Client interface {
-	// Call carries a call out and waits for its one answer. Gone is for a ctx that ended first.
+	// Call sends a call and waits for its final answer. The kind is CallerGone if ctx ends first.
 	Call(ctx context.Context, c Call) Answer
-	// Close ends the subject as its operator would: what is held is answered first.
+	// Close shuts the subject down gracefully: calls in flight are answered first.
 	Close() error
 }
 
-// Subject is one way to a decision module.
+// Subject is a front end of the load balancer under test.
 type Subject interface {
-	// Node starts a stand-in server that the subject can send to.
+	// Node starts a test server that speaks the subject's protocol and records its requests in the arrival log.
 	Node(t testbed.TB, id string, l *testbed.ArrivalLog) *testbed.Node
-	// Open starts the subject with a configuration file's text.
+	// Open starts the subject with the text of a configuration file.
 	Open(t *testing.T, config string) Client
 }
 
-// Case is one case of the list.
+// Case is a named test case of the suite.
 type Case struct {
 	Name string
-	Run  func(t *testing.T, w *World)
+	Run  func(t *testing.T, f *Fixture)
 }
 
-// Run runs the whole list against a subject.
+// Run runs all cases against a subject.
 func Run(t *testing.T, s Subject) {
 	for _, c := range Cases() {
 		t.Run(c.Name, func(t *testing.T) {
 			t.Parallel()
-			w := &World{T: t, subject: s, ArrivalLog: new(testbed.ArrivalLog), calls: make(map[string]*made)}
-			c.Run(t, w)
-			w.check()
+			f := &Fixture{T: t, subject: s, ArrivalLog: new(testbed.ArrivalLog), calls: make(map[string]*callRecord)}
+			c.Run(t, f)
+			f.checkRules()
 		})
 	}
 }
--- a/conformance/rules.go
+++ b/conformance/rules.go
@@ -6,71 +6,74 @@
 	"caperarch/internal/lab/testbed"
 )
 
-// slack is by how much an answer may come after its time, and an attempt after its request's answer, for
-// want of CPU where several cases run at once.
-const slack = 250 * time.Millisecond
+// schedulingSlack is how late an answer may be received after its deadline, and an attempt after the answer of its
+// call. It allows for scheduling delays while several cases run in parallel on one machine.
+const schedulingSlack = 250 * time.Millisecond
 
-// window is how long a cell drops the repeats of a key, as testbed.Settings has it.
-const window = 600 * time.Millisecond
+// dedupWindow is how long the nodes of a cell drop repeats of a key, as testbed.Settings configures it.
+const dedupWindow = 600 * time.Millisecond
 
-// check holds everything that happened against the rules.
-func (w *World) check() {
-	w.T.Helper()
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	settled := time.Now()
+// checkRules checks all calls and arrivals of the case against the rules.
+func (f *Fixture) checkRules() {
+	f.T.Helper()
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	checkedAt := time.Now()
 	byID := make(map[string][]testbed.Arrival)
-	for _, r := range w.ArrivalLog.All() {
+	for _, r := range f.ArrivalLog.All() {
 		byID[r.ID] = append(byID[r.ID], r)
 	}
-	for id, m := range w.calls {
+	for id, m := range f.calls {
 		c, a := m.call, m.answer
 		arrivals := byID[id]
 		runs := testbed.Runs(arrivals)
 		if a.Kind == "" {
-			w.T.Errorf("rule 1: %s has no answer", id)
+			f.T.Errorf("rule 1: call %s has no answer, want exactly one", id)
 		}
-		if c.Timeout > 0 && a.Kind != Invalid && a.Took > c.Timeout+slack {
-			w.T.Errorf("rule 1: %s was answered after %v, it had %v", id, a.Took, c.Timeout)
+		if c.Timeout > 0 && a.Kind != Invalid && a.Took > c.Timeout+schedulingSlack {
+			f.T.Errorf("rule 1: call %s was answered after %v, want within its time-out %v", id, a.Took, c.Timeout)
 		}
 		for _, r := range arrivals {
-			if r.At.After(a.At.Add(slack)) && a.At.Before(settled) {
-				w.T.Errorf("rule 1: %s went out to %s %v after its answer", id, r.Node, r.At.Sub(a.At))
+			if r.At.After(a.At.Add(schedulingSlack)) && a.At.Before(checkedAt) {
+				f.T.Errorf("rule 1: call %s was sent to %s %v after its answer, want no attempt after the answer",
+					id, r.Node, r.At.Sub(a.At))
 			}
-			if c.Timeout > 0 && r.Timeout > c.Timeout+slack {
-				w.T.Errorf("%s told %s of %v, it had %v", id, r.Node, r.Timeout, c.Timeout)
+			if c.Timeout > 0 && r.Timeout > c.Timeout+schedulingSlack {
+				f.T.Errorf("call %s was sent to %s with time-out %v, want at most its own time-out %v",
+					id, r.Node, r.Timeout, c.Timeout)
 			}
 		}
 		if len(arrivals) > 3 {
-			w.T.Errorf("%s had %d attempts, 3 at most", id, len(arrivals))
+			f.T.Errorf("call %s had %d attempts, want at most 3", id, len(arrivals))
 		}
 		if a.Kind == Served && runs == 0 {
-			w.T.Errorf("%s was served by nobody", id)
+			f.T.Errorf("call %s was served, but no node ran it", id)
 		}
-		if a.Kind == Invalid && len(arrivals) > 0 && w.calls[id].call.Body != "twin" {
-			w.T.Errorf("%s is invalid and was sent", id)
+		if a.Kind == Invalid && len(arrivals) > 0 && f.calls[id].call.Body != "twin" {
+			f.T.Errorf("call %s was answered as invalid, but it was sent", id)
 		}
 		switch c.Class {
 		case "entry":
 			if runs > 1 {
-				w.T.Errorf("rule 2: unsafe %s ran %d times", id, runs)
+				f.T.Errorf("rule 2: non-idempotent call %s ran %d times, want at most 1", id, runs)
 			}
 			if a.Kind == Refused && runs > 0 {
-				w.T.Errorf("rule 2: unsafe %s was refused and ran", id)
+				f.T.Errorf("rule 2: non-idempotent call %s was refused, but it may have run", id)
 			}
 		case "reading":
-			if n := testbed.Effects(arrivals, window); n > 1 {
-				w.T.Errorf("rule 2: keyed %s had %d effects", id, n)
+			if n := testbed.Effects(arrivals, dedupWindow); n > 1 {
+				f.T.Errorf("rule 2: deduplicated call %s had %d effects, want at most 1", id, n)
 			}
 			if a.Kind == Refused && runs > 0 {
-				w.T.Errorf("rule 2: keyed %s was refused and ran", id)
+				f.T.Errorf("rule 2: deduplicated call %s was refused, but it may have run", id)
 			}
 		}
 	}
-	for n, since := range w.drains {
-		for _, r := range w.ArrivalLog.All() {
+	for n, since := range f.drains {
+		for _, r := range f.ArrivalLog.All() {
 			if r.Node == n.ID && r.At.After(since) {
-				w.T.Errorf("rule 3: %s went to %s %v after its drain was told", r.ID, n.ID, r.At.Sub(since))
+				f.T.Errorf("rule 3: call %s was sent to %s %v after the grace period of the node's drain",
+					r.ID, n.ID, r.At.Sub(since))
 			}
 		}
 	}
--- a/conformance/subject_daemon_test.go
+++ b/conformance/subject_daemon_test.go
@@ -20,25 +20,25 @@
 	"caperarch/internal/lab/testbed"
 )
 
-// build builds the daemon, once.
-func build(t *testing.T) string {
+// buildDaemon builds the daemon in a temporary directory and returns the path of the program.
+func buildDaemon(t *testing.T) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "caperarch")
 	out, err := exec.Command("go", "build", "-o", path, "caperarch/cmd/caperarch").CombinedOutput()
 	if err != nil {
-		t.Fatalf("building the daemon: %v\n%s", err, out)
+		t.Fatalf("build of the daemon failed: %v\n%s", err, out)
 	}
 	return path
 }
 
-// daemon is the built program as a child process: with one pool, or with two, of which one has the case's calls.
-type daemon struct {
+// daemonSubject runs the daemon as a child process, with one pool or with two pools of which one receives all calls.
+type daemonSubject struct {
 	path string
-	pool string // by name; "": a daemon of one pool
+	pool string // name of the pool that receives the calls; "": the daemon has one pool
 }
 
-// twoPools are two with the same configuration, by host.
-const twoPools = `[pools.first]
+// twoPoolsFile is a pools file of two pools with the same configuration, which routes select by host.
+const twoPoolsFile = `[pools.first]
 config = "config.json"
 [pools.second]
 config = "config.json"
@@ -50,12 +50,12 @@
 pool = "second"
 `
 
-// files are a configuration and one of two pools that have it, in a folder of their own.
-func files(t *testing.T, config string) (path, pools string) {
+// writeConfigFiles writes a configuration file and a pools file whose two pools use it, in a temporary directory.
+func writeConfigFiles(t *testing.T, config string) (path, pools string) {
 	t.Helper()
 	dir := t.TempDir()
 	path, pools = filepath.Join(dir, "config.json"), filepath.Join(dir, "pools.toml")
-	for name, text := range map[string]string{path: config, pools: twoPools} {
+	for name, text := range map[string]string{path: config, pools: twoPoolsFile} {
 		if err := os.WriteFile(name, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
@@ -66,25 +66,26 @@
 type daemonClient struct {
 	cmd  *exec.Cmd
 	url  string
-	host string // "": the url's
+	host string // Host header; "": the host of url
 	http http.Client
-	// resend sends a request once more, on a new connection, whose connection was closed without an answer. So do clients
-	// by the protocol: the daemon may close a connection that is idle, also one on which nothing has come yet. With 90
-	// callers at once and a machine that had no processor for them, it closed new connections 110 ms after they had come
-	// ("closed state 1 after 112ms, 70 in that state, 10 allowed": in 5 of 320 plays of 32 processes at once beside 16 busy
-	// ones), and their requests crossed that. That what it closed had not run is held against rule 2.
+	// resend repeats a request on a new connection if the connection was closed without a response. The protocol
+	// requires this of clients, because the daemon may close an idle connection, also one that has carried no request
+	// yet. On an overloaded machine with 90 concurrent callers, the daemon closed new connections after 110 ms, while
+	// their requests were on the way ("closed state 1 after 112ms, 70 in that state, 10 allowed": in 5 of 320 runs of
+	// 32 concurrent processes beside 16 busy processes). Rule 2 checks that the requests on closed connections had not
+	// run.
 	resend http.Client
 	ended  chan error
 	closed sync.Once
 }
 
-func (d daemon) Node(t testbed.TB, id string, l *testbed.ArrivalLog) *testbed.Node {
+func (d daemonSubject) Node(t testbed.TB, id string, l *testbed.ArrivalLog) *testbed.Node {
 	return testbed.NewHTTPNode(t, id, l)
 }
 
-func (d daemon) Open(t *testing.T, config string) Client {
+func (d daemonSubject) Open(t *testing.T, config string) Client {
 	t.Helper()
-	path, pools := files(t, config)
+	path, pools := writeConfigFiles(t, config)
 	c := &daemonClient{cmd: exec.Command(d.path), ended: make(chan error, 1)}
 	if d.pool != "" {
 		c.host = d.pool + ".example.org"
@@ -113,7 +114,7 @@
 	c.http.Transport = &http.Transport{MaxIdleConnsPerHost: 100}
 	c.resend.Transport = &http.Transport{DisableKeepAlives: true}
 	t.Cleanup(c.http.CloseIdleConnections)
-	testbed.Until(t, "the daemon to be up", func() bool {
+	testbed.Until(t, "the daemon to be ready", func() bool {
 		res, err := c.http.Get(c.url + "/up")
 		if err != nil {
 			return false
@@ -131,7 +132,7 @@
 	}
 	if err != nil {
 		if ctx.Err() != nil {
-			return Answer{Kind: Gone}
+			return Answer{Kind: CallerGone}
 		}
 		return Answer{Detail: err.Error()}
 	}
@@ -152,13 +153,13 @@
 	return Answer{Kind: Failed, Detail: res.Status}
 }
 
-// send sends a call as a request.
-func (c *daemonClient) send(ctx context.Context, over *http.Client, call Call) (*http.Response, error) {
+// send sends a call as an HTTP request.
+func (c *daemonClient) send(ctx context.Context, httpClient *http.Client, call Call) (*http.Response, error) {
 	req := request(ctx, c.url, call)
 	if c.host != "" {
 		req.Host = c.host
 	}
-	return over.Do(req)
+	return httpClient.Do(req)
 }
 
 func (c *daemonClient) Close() (err error) {
@@ -170,7 +171,7 @@
 		select {
 		case err = <-c.ended:
 		case <-time.After(testbed.Generous):
-			err = errors.New("the daemon does not end")
+			err = errors.New("the daemon did not exit after SIGTERM")
 		}
 	})
 	return err
--- a/conformance/subjects_test.go
+++ b/conformance/subjects_test.go
@@ -19,30 +19,30 @@
 	"caperarch/plugin/grpcplugin"
 )
 
-func TestDaemon(t *testing.T) { Run(t, daemon{path: build(t)}) }
+func TestDaemon(t *testing.T) { Run(t, daemonSubject{path: buildDaemon(t)}) }
 
-func TestFirstPool(t *testing.T) { Run(t, daemon{path: build(t), pool: "first"}) }
+func TestDaemonFirstPool(t *testing.T) { Run(t, daemonSubject{path: buildDaemon(t), pool: "first"}) }
 
-func TestSecondPool(t *testing.T) { Run(t, daemon{path: build(t), pool: "second"}) }
+func TestDaemonSecondPool(t *testing.T) { Run(t, daemonSubject{path: buildDaemon(t), pool: "second"}) }
 
-func TestClient(t *testing.T) { Run(t, client{}) }
+func TestClient(t *testing.T) { Run(t, pluginSubject{}) }
 
-func TestClientsFirst(t *testing.T) { Run(t, pooled{pool: "first"}) }
+func TestPooledClientFirstPool(t *testing.T) { Run(t, pooledPluginSubject{pool: "first"}) }
 
-func TestClientsSecond(t *testing.T) { Run(t, pooled{pool: "second"}) }
+func TestPooledClientSecondPool(t *testing.T) { Run(t, pooledPluginSubject{pool: "second"}) }
 
-func TestRoundTripper(t *testing.T) { Run(t, roundTripper{}) }
+func TestRoundTripper(t *testing.T) { Run(t, roundTripperSubject{}) }
 
-func TestGRPC(t *testing.T) { Run(t, overGRPC{}) }
+func TestGRPC(t *testing.T) { Run(t, grpcSubject{}) }
 
-// httpNodes is for subjects that send over HTTP/1.1.
+// httpNodes implements Subject.Node for subjects that send calls over HTTP/1.1.
 type httpNodes struct{}
 
 func (httpNodes) Node(t testbed.TB, id string, l *testbed.ArrivalLog) *testbed.Node {
 	return testbed.NewHTTPNode(t, id, l)
 }
 
-// request is a call as the protocol page has it.
+// request returns the HTTP request of a call, with the control headers of the protocol.
 func request(ctx context.Context, url string, c Call) *http.Request {
 	method, body := http.MethodPost, io.Reader(strings.NewReader(c.Body))
 	if c.Class == "look" || c.Class == "nothing" {
@@ -50,7 +50,7 @@
 	}
 	req, err := http.NewRequestWithContext(ctx, method, url+"/"+c.Class, body)
 	if err != nil {
-		panic(err) // calls of the suite have no such class
+		panic(err) // the suite has no class that makes the URL invalid
 	}
 	for name, value := range map[string]string{
 		"X-Request-ID": c.ID, "X-Priority-Class": c.Class, "X-Tenant-Id": c.Tenant, "Idempotency-Key": c.Key,
@@ -63,7 +63,8 @@
 	return req
 }
 
-func open(t *testing.T, text string) plugin.Config {
+// parseConfig parses the text of a configuration file.
+func parseConfig(t *testing.T, text string) plugin.Config {
 	t.Helper()
 	cfg, err := plugin.ParseConfig([]byte(text))
 	if err != nil {
@@ -72,69 +73,69 @@
 	return cfg
 }
 
-// closeAll closes a plug-in within the time that a drain may take.
-func closeAll(close func(context.Context) error) error {
+// closeWithTimeout calls the Close method of a plug-in with a time limit for its drain.
+func closeWithTimeout(close func(context.Context) error) error {
 	ctx, cancel := context.WithTimeout(context.Background(), testbed.Generous)
 	defer cancel()
 	return close(ctx)
 }
 
-// said turns a plug-in's error into an answer.
-func said(ctx context.Context, err error) Answer {
+// answerFromError converts an error of the plug-in to an answer.
+func answerFromError(ctx context.Context, err error) Answer {
 	var (
 		refused *plugin.RefusedError
 		failed  *plugin.FailedError
-		bad     *plugin.InvalidError
+		invalid *plugin.InvalidError
 	)
 	switch {
 	case errors.As(err, &refused):
 		return Answer{Kind: Refused, RetryAfter: refused.RetryAfter, Detail: err.Error()}
-	case errors.As(err, &bad):
+	case errors.As(err, &invalid):
 		return Answer{Kind: Invalid, Detail: err.Error()}
 	case ctx.Err() != nil && errors.Is(err, ctx.Err()):
-		return Answer{Kind: Gone}
+		return Answer{Kind: CallerGone}
 	case errors.As(err, &failed):
 		return Answer{Kind: Failed, Detail: err.Error()}
 	}
-	return Answer{Detail: fmt.Sprint("no error of the plug-in's: ", err)}
+	return Answer{Detail: fmt.Sprint("unexpected error type: ", err)}
 }
 
-// client is plugin.Client.Do.
-type client struct{ httpNodes }
+// pluginSubject sends calls with plugin.Client.Do.
+type pluginSubject struct{ httpNodes }
 
-type clientClient struct {
+type pluginClient struct {
 	*plugin.Client
-	host string // of its pool; "": there is one
+	host string // host that selects the pool; "": the client has one pool
 }
 
-// pooled is plugin.Client.Do with two pools, of which one has the case's calls.
-type pooled struct {
+// pooledPluginSubject sends calls with plugin.Client.Do to one of two pools.
+type pooledPluginSubject struct {
 	httpNodes
 	pool string
 }
 
-func (p pooled) Open(t *testing.T, text string) Client {
+func (p pooledPluginSubject) Open(t *testing.T, text string) Client {
 	t.Helper()
-	_, pools := files(t, text)
+	_, pools := writeConfigFiles(t, text)
 	c, err := plugin.OpenPools(pools, plugin.PoolsConfig{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = closeAll(c.Close) })
-	return clientClient{c, p.pool + ".example.org"}
+	t.Cleanup(func() { _ = closeWithTimeout(c.Close) })
+	return pluginClient{c, p.pool + ".example.org"}
 }
 
-func (client) Open(t *testing.T, text string) Client {
+func (pluginSubject) Open(t *testing.T, text string) Client {
 	t.Helper()
-	c, err := plugin.Open(open(t, text))
+	c, err := plugin.Open(parseConfig(t, text))
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = closeAll(c.Close) })
-	return clientClient{Client: c}
+	t.Cleanup(func() { _ = closeWithTimeout(c.Close) })
+	return pluginClient{Client: c}
 }
 
-func (c clientClient) Call(ctx context.Context, call Call) Answer {
+func (c pluginClient) Call(ctx context.Context, call Call) Answer {
 	r := plugin.Request{Host: c.host, ID: call.ID, Class: call.Class, Tenant: call.Tenant, Key: call.Key,
 		Timeout: call.Timeout}
 	if call.Class != "look" {
@@ -142,35 +143,35 @@
 	}
 	res, err := c.Do(ctx, r)
 	if err != nil {
-		return said(ctx, err)
+		return answerFromError(ctx, err)
 	}
 	return Answer{Kind: Served, Body: string(res.Body)}
 }
 
-func (c clientClient) Close() error { return closeAll(c.Client.Close) }
+func (c pluginClient) Close() error { return closeWithTimeout(c.Client.Close) }
 
-// roundTripper is the plug-in under net/http.
-type roundTripper struct{ httpNodes }
+// roundTripperSubject sends calls with net/http over plugin.Client.RoundTripper.
+type roundTripperSubject struct{ httpNodes }
 
 type roundTripperClient struct {
 	c    *plugin.Client
 	http http.Client
 }
 
-func (roundTripper) Open(t *testing.T, text string) Client {
+func (roundTripperSubject) Open(t *testing.T, text string) Client {
 	t.Helper()
-	c, err := plugin.Open(open(t, text))
+	c, err := plugin.Open(parseConfig(t, text))
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = closeAll(c.Close) })
+	t.Cleanup(func() { _ = closeWithTimeout(c.Close) })
 	return &roundTripperClient{c, http.Client{Transport: c.RoundTripper()}}
 }
 
 func (c *roundTripperClient) Call(ctx context.Context, call Call) Answer {
 	res, err := c.http.Do(request(ctx, "http://service.internal", call))
 	if err != nil {
-		return said(ctx, err)
+		return answerFromError(ctx, err)
 	}
 	defer res.Body.Close()
 	body, err := io.ReadAll(res.Body)
@@ -183,24 +184,24 @@
 	return Answer{Kind: Served, Body: string(body)}
 }
 
-func (c *roundTripperClient) Close() error { return closeAll(c.c.Close) }
+func (c *roundTripperClient) Close() error { return closeWithTimeout(c.c.Close) }
 
-// overGRPC is the plug-in under gRPC.
-type overGRPC struct{}
+// grpcSubject sends calls with grpcplugin.Conn.
+type grpcSubject struct{}
 
 type grpcClient struct{ *grpcplugin.Conn }
 
-func (overGRPC) Node(t testbed.TB, id string, l *testbed.ArrivalLog) *testbed.Node {
+func (grpcSubject) Node(t testbed.TB, id string, l *testbed.ArrivalLog) *testbed.Node {
 	return testbed.NewGRPCNode(t, id, l)
 }
 
-func (overGRPC) Open(t *testing.T, text string) Client {
+func (grpcSubject) Open(t *testing.T, text string) Client {
 	t.Helper()
-	c, err := grpcplugin.Open(open(t, text))
+	c, err := grpcplugin.Open(parseConfig(t, text))
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = closeAll(c.Close) })
+	t.Cleanup(func() { _ = closeWithTimeout(c.Close) })
 	return grpcClient{c}
 }
 
@@ -215,8 +216,8 @@
 	err := c.Invoke(metadata.NewOutgoingContext(ctx, md), "/ledger.Ledger/"+call.Class,
 		wrapperspb.String(call.Body), &out)
 	if err != nil {
-		a := said(ctx, err)
-		if a.Kind == "" { // a server's own status
+		a := answerFromError(ctx, err)
+		if a.Kind == "" { // the status of a server
 			a = Answer{Kind: Failed, Detail: status.Convert(err).String()}
 		}
 		return a
@@ -224,4 +225,4 @@
 	return Answer{Kind: Served, Body: out.GetValue()}
 }
 
-func (c grpcClient) Close() error { return closeAll(c.Conn.Close) }
+func (c grpcClient) Close() error { return closeWithTimeout(c.Conn.Close) }
