--- a/plugin/config.go
+++ b/plugin/config.go
@@ -39,7 +39,7 @@
 	Zone    string
 	Cell    int // nodes of the same cell share their deduplication of idempotency keys
 	Weight  float64
-	Started time.Time // time of the last start of the server; zero: not in slow start
+	Started time.Time // time of the last start of the server; zero: long ago
 }
 
 // Method assigns a class and a tenant to the calls of an RPC method.
@@ -63,7 +63,7 @@
 	Policy  policy.Config
 	Classes []string // names of Policy.Classes, in the same order
 	Tenants []string // names of Policy.Tenants, in the same order
-	Zones   []string // zone names, indexed by Policy.Zone and used in the server list; may be empty
+	Zones   []string // names of the zone numbers in Policy.Zone and the server list; may be empty
 
 	// Methods assigns a class and a tenant to calls that name no class. The keys are full gRPC method names
 	// ("/package.Service/Method") or HTTP paths. May be empty.
--- a/plugin/doc.go
+++ b/plugin/doc.go
@@ -11,8 +11,8 @@
 //
 // Open returns a Client. Client.Do sends a call over HTTP/1.1, Client.RoundTripper adapts the client to net/http, and
 // package grpcplugin provides a grpc.ClientConnInterface. A call without a successful response returns one of these
-// errors: *RefusedError (the call did not run and is safe to repeat), *FailedError (the call may have run) or
-// *InvalidError (the call is not valid and was not sent).
+// errors: *RefusedError (the call is safe to repeat), *FailedError (the call may have run) or *InvalidError (the call
+// is not valid and was not sent).
 //
 // A Client does not disturb its host process: it never exits the process or panics, changes no global state, logs only
 // to Config.Log and leaves no goroutine running after Close. All methods are safe for concurrent use.
--- a/plugin/errors.go
+++ b/plugin/errors.go
@@ -6,9 +6,10 @@
 	"time"
 )
 
-// RefusedError reports that a call was refused: no attempt of it has run or will run, so it is safe to repeat.
+// RefusedError reports that a call was refused and is safe to repeat. A call with an effect is refused only if no
+// attempt of it has run or will run. An idempotent call may also be refused after attempts that failed.
 type RefusedError struct {
-	RetryAfter time.Duration // recommended delay before the next try; 0: no recommendation
+	RetryAfter time.Duration // recommended delay before a repeat; 0: no recommendation
 	Reason     string
 }
 
@@ -20,10 +21,10 @@
 	return "caperarch: refused: " + e.Reason
 }
 
-// Temporary reports that a later try may succeed; it is always true.
+// Temporary reports that a repeat of the call may succeed. It is always true.
 func (e *RefusedError) Temporary() bool { return true }
 
-// FailedError reports that a call failed after it was accepted: the call may or may not have run.
+// FailedError reports that a call failed. The call may or may not have run.
 type FailedError struct {
 	TimedOut bool // no answer was received before the deadline
 	// Status, Header and Body are the last response of a server. Status is 0 if no server responded.
--- a/plugin/plugin_test.go
+++ b/plugin/plugin_test.go
@@ -190,7 +190,7 @@
 	}
 	testbed.Until(t, "the discovery watch to end", func() bool { return d.Watches() == 0 })
 	testbed.Until(t, "the connections to end", func() bool { return n.Open() == 0 })
-	testbed.Until(t, "the goroutines to end", func() bool { return runtime.NumGoroutine() <= idle+1 }) // 1: accept loop
+	testbed.Until(t, "the goroutines to end", func() bool { return runtime.NumGoroutine() <= idle+1 }) // 1: discovery
 	if runtime.GOMAXPROCS(0) != procs || slog.Default() != logger || http.DefaultTransport != transport {
 		t.Error("the client changed GOMAXPROCS, the default logger or the default transport")
 	}
@@ -226,7 +226,7 @@
 					var refused *RefusedError
 					if err != nil && !(c == first && errors.As(err, &refused)) {
 						failed.Add(1)
-						t.Errorf("call of the second client (%v): error %v, want none while the client is open",
+						t.Errorf("call failed (by the second client: %v): error %v, want none while the client is open",
 							c == second, err)
 						return
 					}
