--- a/internal/fleet/swim/message.go
+++ b/internal/fleet/swim/message.go
@@ -8,6 +8,7 @@
 // State is the state of a member. Within one session, a state overrides all lower states.
 type State uint8
 
+// The states of a member, in ascending order.
 const (
 	Unknown State = iota // no message from the member and no rumour about it received yet
 	Alive
