--- a/cmd/measure/mutants_run.go
+++ b/cmd/measure/mutants_run.go
@@ -13,14 +13,14 @@
 	"sync"
 )
 
-// mutant is a fault that is planted to see whether a checker finds it.
-type mutant struct{ file, old, new, what string }
+// mutant is a fault that is planted in a file, by replacing the text old with new, to check that the tests find it.
+type mutant struct{ file, old, new, description string }
 
-// batch is faults in one package, and where histories are played that may find them, where that is
-// not the package itself.
+// batch lists the faults in one package. The field where names the package whose tests run random histories that may
+// find the faults, if that is another package.
 type batch struct {
 	in, where   string
-	noHistories bool // the package's tests play none
+	noHistories bool // the package's tests run no random histories
 	faults      []mutant
 }
 
@@ -29,17 +29,17 @@
 	failedTest = regexp.MustCompile(`(?m)^--- FAIL: (\w+)`)
 )
 
-// fits says whether there is one place in a file's text where it can be planted.
-func (m mutant) fits(text string) error {
+// checkPlace returns an error unless the text to replace occurs exactly once in the text of the file.
+func (m mutant) checkPlace(text string) error {
 	if n := strings.Count(text, m.old); n != 1 {
-		return fmt.Errorf("%s: %q stands there %d times, once is needed", m.file, m.old, n)
+		return fmt.Errorf("%s: %q occurs %d times, want once", m.file, m.old, n)
 	}
 	return nil
 }
 
-// find plays histories with a fault planted, and says at which seed it was found, 0: by tests alone that play
-// none, -1: not at all; and the names of all tests that failed.
-func (m mutant) find(b batch, dir string, number, most int) (seed int, tests []string, err error) {
+// find runs the tests with the fault planted. It returns the seed of the random history that found the fault, 0 if a
+// test without histories found it, or -1 if no test failed; and the names of all tests that failed.
+func (m mutant) find(b batch, dir string, number, maxHistories int) (seed int, tests []string, err error) {
 	in, where := b.in, b.where
 	path, err := filepath.Abs(filepath.Join(in, m.file))
 	if err != nil {
@@ -49,7 +49,7 @@
 	if err != nil {
 		return 0, nil, err
 	}
-	if err := m.fits(string(text)); err != nil {
+	if err := m.checkPlace(string(text)); err != nil {
 		return 0, nil, err
 	}
 	planted := filepath.Join(dir, fmt.Sprintf("%s-%d.go", filepath.Base(in), number))
@@ -65,7 +65,7 @@
 		return 0, nil, err
 	}
 	args := []string{"test", "-overlay", list, "-vet=off", "caperarch/" + in}
-	if where != "" { // first what needs no histories
+	if where != "" { // the fault's own package first, whose tests run no histories
 		if out, err := exec.Command("go", args...).CombinedOutput(); err != nil &&
 			!strings.Contains(string(out), "build failed") {
 			return 0, testsFailed(out), nil
@@ -73,14 +73,14 @@
 		args[len(args)-1] = "caperarch/" + where
 	}
 	if !b.noHistories {
-		args = append(args, "-histories", strconv.Itoa(most))
+		args = append(args, "-histories", strconv.Itoa(maxHistories))
 	}
 	out, err := exec.Command("go", args...).CombinedOutput()
 	if err == nil {
 		return -1, nil, nil
 	}
 	if strings.Contains(string(out), "build failed") {
-		return 0, nil, fmt.Errorf("%s: it does not build: %s", m.what, out)
+		return 0, nil, fmt.Errorf("%s: build with the fault failed: %s", m.description, out)
 	}
 	if found := failedSeed.FindSubmatch(out); found != nil {
 		seed, err = strconv.Atoi(string(found[1]))
@@ -89,7 +89,7 @@
 	return 0, testsFailed(out), nil
 }
 
-// testsFailed are the names of the tests that failed by their output.
+// testsFailed returns the names of the failed tests from the output of go test.
 func testsFailed(out []byte) []string {
 	var names []string
 	for _, found := range failedTest.FindAllSubmatch(out, -1) {
@@ -98,11 +98,11 @@
 	return names
 }
 
-// measureMutants plants faults, one after the other, and has the tests of their package look for each.
+// measureMutants plants each fault in turn, up to three at the same time, and runs the tests that should find it.
 func measureMutants(short bool) (string, []string, error) {
-	most := 4000
+	maxHistories := 4000
 	if short {
-		most = 400
+		maxHistories = 400
 	}
 	dir, err := os.MkdirTemp("", "mutants")
 	if err != nil {
@@ -113,7 +113,7 @@
 	var missed []string
 	var errs []error
 	needed, found, all := samples(nil), 0, 0
-	places, done := make(chan struct{}, 3), new(sync.WaitGroup)
+	slots, done := make(chan struct{}, 3), new(sync.WaitGroup)
 	for _, b := range planted {
 		if !strings.Contains(b.in, nameFilter) {
 			continue
@@ -122,23 +122,23 @@
 			in, number := b.in, all
 			all++
 			done.Go(func() {
-				places <- struct{}{}
-				defer func() { <-places }()
-				seed, tests, err := m.find(b, dir, number, most)
+				slots <- struct{}{}
+				defer func() { <-slots }()
+				seed, tests, err := m.find(b, dir, number, maxHistories)
 				mu.Lock()
 				defer mu.Unlock()
 				switch {
 				case err != nil:
-					errs = append(errs, fmt.Errorf("%s: %s: %w", in, m.what, err))
+					errs = append(errs, fmt.Errorf("%s: %s: %w", in, m.description, err))
 					return
 				case seed < 0:
-					fmt.Printf("%s: not found in %d histories: %s\n", in, most, m.what)
-					missed = append(missed, in+": "+m.what)
+					fmt.Printf("%s: not found in %d histories: %s\n", in, maxHistories, m.description)
+					missed = append(missed, in+": "+m.description)
 					return
 				case seed == 0:
-					fmt.Printf("%s: found by %v, which play no histories: %s\n", in, tests, m.what)
+					fmt.Printf("%s: found by %v, which run no random histories: %s\n", in, tests, m.description)
 				default:
-					fmt.Printf("%s: found at seed %d and by %v: %s\n", in, seed, tests, m.what)
+					fmt.Printf("%s: found at seed %d and by %v: %s\n", in, seed, tests, m.description)
 					needed.add(float64(seed))
 				}
 				found++
