--- a/cmd/measure/child.go
+++ b/cmd/measure/child.go
@@ -5,7 +5,7 @@
 	"os"
 )
 
-// childRoles are the parts that this program plays in processes that a measurement starts.
+// childRoles maps the roles of child processes, which a measurement starts from this program, to their functions.
 var childRoles = map[string]func([]string) error{
 	"nodes":        serveNodes,
 	"proxy":        serveProxy,
@@ -17,11 +17,11 @@
 	busyRole:       busy,
 }
 
-// child is this program in another part.
-func child(part string, args []string) {
-	err := childRoles[part](args)
+// child runs this program as a child process with a role, and exits with status 1 on an error.
+func child(role string, args []string) {
+	err := childRoles[role](args)
 	if err != nil {
-		fmt.Fprintln(os.Stderr, "measure:", part+":", err)
+		fmt.Fprintln(os.Stderr, "measure:", role+":", err)
 		os.Exit(1)
 	}
 }
--- a/cmd/measure/cleanup.go
+++ b/cmd/measure/cleanup.go
@@ -9,26 +9,26 @@
 	"syscall"
 )
 
-// panics is a testbed.TB for a program: what can't go on ends it.
-type panics struct{}
+// panicTB is a testbed.TB for a program: a fatal error panicTB.
+type panicTB struct{}
 
-// Helper marks nothing: a program has no test log.
-func (panics) Helper() {}
+// Helper does nothing, as a program has no test log.
+func (panicTB) Helper() {}
 
-// Fatalf ends the program.
-func (panics) Fatalf(format string, args ...any) { panic(fmt.Sprintf(format, args...)) }
+// Fatalf panicTB with the formatted message.
+func (panicTB) Fatalf(format string, args ...any) { panic(fmt.Sprintf(format, args...)) }
 
-// Cleanup keeps nothing: whoever starts something ends it.
-func (panics) Cleanup(func()) {}
+// Cleanup ignores the function: the caller releases its resources itself.
+func (panicTB) Cleanup(func()) {}
 
-// cleanups is a testbed.TB for a program that gives back what one part of it took. Its methods may be called from
-// any goroutine.
+// cleanups is a testbed.TB for a program. It runs the functions registered with Cleanup at the end of a measurement or
+// when the program is terminated. Its methods are safe for concurrent use.
 type cleanups struct {
-	panics
+	panicTB
 	*pendingCleanups
 }
 
-// pendingCleanups is what is to be done at the end.
+// pendingCleanups holds the registered functions.
 type pendingCleanups struct {
 	mu    sync.Mutex // guards the fields below
 	ended bool
@@ -36,29 +36,29 @@
 }
 
 func newCleanups() cleanups {
-	if ending.Load() {
-		select {} // the program is about to end
+	if terminating.Load() {
+		select {} // the program is terminating
 	}
 	c := cleanups{pendingCleanups: new(pendingCleanups)}
-	open.Store(c, true)
+	openCleanups.Store(c, true)
 	return c
 }
 
-// open are those whose end has not come. A measurement that is called off must leave no process
-// behind: a hundred of one went on beside the next.
-var open sync.Map
+// openCleanups is the set of cleanups that have not run. An interrupted measurement must leave no process behind:
+// about a hundred leftover processes once ran alongside the next measurement.
+var openCleanups sync.Map
 
-// ending says that the program was told to end: nothing new is begun.
-var ending atomic.Bool
+// terminating is set once the program has received a termination signal. No new cleanups are then created.
+var terminating atomic.Bool
 
-// endOnSignal gives everything back when the program is told to end.
-func endOnSignal() {
-	told := make(chan os.Signal, 1)
-	signal.Notify(told, syscall.SIGTERM, syscall.SIGINT)
+// cleanUpOnSignal runs all cleanups and exits with status 1 on SIGTERM or SIGINT.
+func cleanUpOnSignal() {
+	signals := make(chan os.Signal, 1)
+	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
 	go func() {
-		<-told
-		ending.Store(true)
-		open.Range(func(c, _ any) bool {
+		<-signals
+		terminating.Store(true)
+		openCleanups.Range(func(c, _ any) bool {
 			c.(cleanups).end()
 			return true
 		})
@@ -66,8 +66,8 @@
 	}()
 }
 
-// Cleanup has something done at the end: at once where that has come, as what is started beside the end must not be
-// left behind.
+// Cleanup registers f to run at the end. If the end has already begun, f runs at once, so that a process started
+// concurrently with the end is not left behind.
 func (c cleanups) Cleanup(f func()) {
 	c.mu.Lock()
 	if !c.ended {
@@ -79,8 +79,9 @@
 	f()
 }
 
+// end runs the registered functions, the last one first. Further calls do nothing.
 func (c cleanups) end() {
-	if _, still := open.LoadAndDelete(c); !still {
+	if _, still := openCleanups.LoadAndDelete(c); !still {
 		return
 	}
 	c.mu.Lock()
--- a/cmd/measure/cleanup_test.go
+++ b/cmd/measure/cleanup_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// What is started from several goroutines, also beside the end, is given back once.
+// Guards against a cleanup that is lost or runs twice if several goroutines register cleanups concurrently with the
+// end.
 func TestCleanupsFromManyGoroutines(t *testing.T) {
 	c := newCleanups()
 	var starters sync.WaitGroup
@@ -23,6 +24,6 @@
 	starters.Wait()
 	c.end()
 	if done.Load() != each*goroutines {
-		t.Errorf("%d of %d were given back", done.Load(), each*goroutines)
+		t.Errorf("%d cleanups ran, want %d", done.Load(), each*goroutines)
 	}
 }
--- a/cmd/measure/main.go
+++ b/cmd/measure/main.go
@@ -113,7 +113,7 @@
 	flags.IntVar(&stressFlags.busy, "busy", stressBusy, "of stress: how many busy processes are beside them")
 	_ = flags.Parse(os.Args[2:]) // exits on an error
 	stressArguments = flags.Args()
-	endOnSignal()
+	cleanUpOnSignal()
 	result, missed, err := measurements[name](*short)
 	if err != nil {
 		fmt.Fprintf(os.Stderr, "measure %s: %v\n", name, err)
--- a/cmd/measure/mesh_run.go
+++ b/cmd/measure/mesh_run.go
@@ -134,7 +134,7 @@
 			if k.cpu, k.rss, err = usage(p.cmd.Process.Pid); err != nil {
 				return nil, nil, err
 			}
-			if k.in, k.out, err = bytesOf(p.cmd.Process.Pid); err != nil {
+			if k.in, k.out, err = ioBytes(p.cmd.Process.Pid); err != nil {
 				return nil, nil, err
 			}
 			counts = append(counts, k)
--- a/cmd/measure/mutants_config.go
+++ b/cmd/measure/mutants_config.go
@@ -1,10 +1,11 @@
 package main
 
-// watchMutants are faults in a sidecar's session with a core member and in the age of its configuration.
+// watchMutants are faults in a sidecar's session with a core member and in its knowledge of its configuration's age.
 var watchMutants = []mutant{
 	{"wire.go", "slowLinkTimeout = 4 * time.Second", "slowLinkTimeout = time.Second",
 		"a link on which a round trip takes a second ends every session"},
-	{"client_watchdog.go", "\t\td.onSilence()\n", "", "a sidecar does not look for another core member when its watch is silent"},
+	{"client_watchdog.go", "\t\td.onSilence()\n", "",
+		"a sidecar does not look for another core member when its watch is silent"},
 	{"client_lease.go", "\t\tcase <-lateTimer.C:\n\t\t\tlateTimer.Reset(lateRenewalThreshold)\n", "",
 		"a sidecar does not look for another core member while its renewal is late"},
 	{"client_contact.go", "response.CaughtUp || response.Version > 0 && applied >= response.Version",
--- a/cmd/measure/plot.go
+++ b/cmd/measure/plot.go
@@ -10,14 +10,14 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// series is one line of a plot: a value every step seconds.
+// series is one line of a plot, with a value every step seconds.
 type series struct {
 	name   string
 	step   float64
 	values []float64
 }
 
-// plotLines writes lines over time as an SVG into the folder of plots, if there is one.
+// plotLines writes a plot of lines over time as an SVG file into plotDir. It does nothing if plotDir is empty.
 func plotLines(file, title, unit string, lines ...series) error {
 	if plotDir == "" {
 		return nil
--- a/cmd/measure/process.go
+++ b/cmd/measure/process.go
@@ -12,19 +12,19 @@
 	"time"
 )
 
-// process is a child of a measurement: a stand-in, a subject or a host of callers.
+// process is a child process of a measurement: a measured program, a simulated peer or a process of callers.
 type process struct {
 	cmd   *exec.Cmd
 	lines *bufio.Scanner
 }
 
-// startChild starts this program in another part.
-func startChild(env []string, part string, args ...string) (*process, error) {
-	cmd := exec.Command(os.Args[0], append([]string{"child", part}, args...)...)
+// startChild starts this program as a child process with a role.
+func startChild(env []string, role string, args ...string) (*process, error) {
+	cmd := exec.Command(os.Args[0], append([]string{"child", role}, args...)...)
 	return start(cmd, env, false)
 }
 
-// start starts a process; its output (or its log) is read line by line.
+// start starts a process. Its standard output is read line by line or, if log is set, its standard error.
 func start(cmd *exec.Cmd, env []string, log bool) (*process, error) {
 	cmd.Env = append(os.Environ(), env...)
 	pipe := cmd.StdoutPipe
@@ -45,25 +45,25 @@
 	return &process{cmd, lines}, nil
 }
 
-// line waits for the next line that holds a text.
-func (p *process) line(with string) (string, error) {
+// line returns the next line that contains a text.
+func (p *process) line(substring string) (string, error) {
 	for p.lines.Scan() {
-		if strings.Contains(p.lines.Text(), with) {
+		if strings.Contains(p.lines.Text(), substring) {
 			return p.lines.Text(), nil
 		}
 	}
-	return "", fmt.Errorf("%s ended before it said %q", p.cmd, with)
+	return "", fmt.Errorf("%s closed its output before it printed %q", p.cmd, substring)
 }
 
-// drop reads the rest over.
-func (p *process) drop() {
+// discardOutput reads and discards the rest of the output, so that the process does not block on a full pipe.
+func (p *process) discardOutput() {
 	go func() {
 		for p.lines.Scan() {
 		}
 	}()
 }
 
-// result reads the JSON line that a child ends with.
+// result decodes the JSON line that a child prints at its end, and waits for the child to exit.
 func (p *process) result(v any) error {
 	text, err := p.line("{")
 	if err != nil {
@@ -75,12 +75,12 @@
 	return p.cmd.Wait()
 }
 
-// end sends a process a signal that ends it, and waits until it has ended.
+// end sends the process a signal that terminates it, and waits until it has exited.
 func (p *process) end(signal os.Signal) error {
 	if err := p.cmd.Process.Signal(signal); err != nil {
 		return err
 	}
-	_ = p.cmd.Wait() // it was told to end, with whatever status
+	_ = p.cmd.Wait() // any exit status is accepted
 	return nil
 }
 
@@ -89,7 +89,7 @@
 	_ = p.cmd.Wait()
 }
 
-// usage is the CPU time that a process has used and what it holds in memory, in bytes.
+// usage returns the CPU time that a process has used and its resident memory in bytes.
 func usage(pid int) (cpu time.Duration, rss int64, err error) {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
@@ -97,9 +97,10 @@
 	}
 	fields := strings.Fields(string(raw[strings.LastIndexByte(string(raw), ')')+1:]))
 	if len(fields) < 22 {
-		return 0, 0, fmt.Errorf("/proc/%d/stat has %d fields", pid, len(fields))
+		return 0, 0, fmt.Errorf("/proc/%d/stat has %d fields after the command name, want at least 22",
+			pid, len(fields))
 	}
-	ticks := func(i int) time.Duration { // of 10 ms, on every Linux that Go runs on
+	ticks := func(i int) time.Duration { // a tick is 10 ms on every Linux that Go supports
 		n, _ := strconv.ParseInt(fields[i], 10, 64)
 		return time.Duration(n) * 10 * time.Millisecond
 	}
@@ -107,23 +108,23 @@
 	return ticks(11) + ticks(12), pages * int64(os.Getpagesize()), nil
 }
 
-// buildDaemon builds the daemon into a folder.
+// buildDaemon builds the daemon in a folder and returns the path of the binary.
 func buildDaemon(dir string) (string, error) {
 	path := filepath.Join(dir, "caperarch")
 	out, err := exec.Command("go", "build", "-o", path, "caperarch/cmd/caperarch").CombinedOutput()
 	if err != nil {
-		return "", fmt.Errorf("building the daemon: %w\n%s", err, out)
+		return "", fmt.Errorf("build the daemon: %w\n%s", err, out)
 	}
 	return path, nil
 }
 
-// tempDaemon builds the daemon into a folder of its own, which end removes.
+// tempDaemon builds the daemon in a new temporary folder, which end removes.
 func tempDaemon() (binary string, end func(), err error) { return buildInTemp(buildDaemon) }
 
-// tempMeshd builds the mesh's program into a folder of its own, which end removes.
+// tempMeshd builds meshd in a new temporary folder, which end removes.
 func tempMeshd() (binary string, end func(), err error) { return buildInTemp(buildMeshd) }
 
-// buildInTemp has a program built into a folder of its own, which end removes.
+// buildInTemp calls build with a new temporary folder, which end removes.
 func buildInTemp(build func(dir string) (string, error)) (binary string, end func(), err error) {
 	dir, err := os.MkdirTemp("", "measure")
 	if err != nil {
@@ -136,7 +137,7 @@
 	return binary, end, err
 }
 
-// startDaemon starts the daemon with a configuration's text and returns its address.
+// startDaemon starts the daemon with the text of a configuration file and returns the daemon's address.
 func startDaemon(binary, dir, config string, args ...string) (*process, string, error) {
 	path := filepath.Join(dir, "config.json")
 	if err := os.WriteFile(path, []byte(config), 0o600); err != nil {
@@ -152,12 +153,12 @@
 	}
 	_, address, _ := strings.Cut(line, " listen=")
 	address, _, _ = strings.Cut(address, " ")
-	p.drop()
+	p.discardOutput()
 	return p, address, nil
 }
 
-// bytesOf are what a process has read and written so far: sockets, and its disk.
-func bytesOf(pid int) (read, written float64, err error) {
+// ioBytes returns the numbers of bytes that a process has read and written so far, from and to sockets and files.
+func ioBytes(pid int) (read, written float64, err error) {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/io", pid))
 	if err != nil {
 		return 0, 0, err
--- a/cmd/measure/proxy_bench.go
+++ b/cmd/measure/proxy_bench.go
@@ -44,7 +44,7 @@
 	}
 	words := strings.Fields(line)
 	b.addresses = words[2:]
-	text := testbed.ConfigText(panics{}, testbed.Listed(1, "ready", b.addresses...),
+	text := testbed.ConfigText(panicTB{}, testbed.Listed(1, "ready", b.addresses...),
 		func(file, settings map[string]any) {
 			file["discovery"] = words[1]
 			file["limits"] = map[string]any{"cores": 1.0, "memory_mb": 192, "sockets": 1024}
--- a/cmd/measure/proxy_pools.go
+++ b/cmd/measure/proxy_pools.go
@@ -45,7 +45,7 @@
 			return b, err
 		}
 		words := strings.Fields(line)
-		text := testbed.ConfigText(panics{}, testbed.Listed(1, "ready", words[2:]...),
+		text := testbed.ConfigText(panicTB{}, testbed.Listed(1, "ready", words[2:]...),
 			func(file, settings map[string]any) {
 				file["discovery"] = words[1]
 				file["limits"] = map[string]any{"cores": 1.0, "memory_mb": 192, "sockets": 512}
@@ -105,7 +105,7 @@
 			time.Sleep(time.Duration(seconds * 0.2 * float64(time.Second)))
 			p, err := startChild(nil, "flood", string(raw))
 			if err == nil {
-				p.drop()
+				p.discardOutput()
 				err = p.cmd.Wait()
 			}
 			ended <- err
--- a/cmd/measure/proxy_service.go
+++ b/cmd/measure/proxy_service.go
@@ -38,14 +38,14 @@
 
 // newService starts the first process of one, of the daemon that the bench has built.
 func newService(b *bench) (s *service, err error) {
-	s = &service{b: b, binary: filepath.Join(b.dir, "caperarch"), tmp: b.dir, listen: testbed.FreeAddress(panics{})}
+	s = &service{b: b, binary: filepath.Join(b.dir, "caperarch"), tmp: b.dir, listen: testbed.FreeAddress(panicTB{})}
 	s.process, s.control, err = s.start()
 	return s, err
 }
 
 // start starts a process and returns once it says yes.
 func (s *service) start() (cmd *exec.Cmd, control string, err error) {
-	control = testbed.FreeAddress(panics{})
+	control = testbed.FreeAddress(panicTB{})
 	raw, err := os.ReadFile(s.b.config)
 	if err != nil {
 		return nil, "", err
--- a/cmd/measure/quota.go
+++ b/cmd/measure/quota.go
@@ -11,35 +11,34 @@
 )
 
 const (
-	// quotaSidecars and quotaCore are the fleet's machines: those of a small deployment.
+	// quotaSidecars and quotaCore are the numbers of sidecars and core machines, as in a small deployment.
 	quotaSidecars, quotaCore = 12, 3
-	// quotaRate is the limit of the tenant that is watched, in requests a second and as its burst;
-	// quotaHighRate and quotaLowRate are those that it is changed to. The tenant sends quotaSurge times the
-	// first.
+	// quotaRate is the limit of the measured tenant, both its rate in requests per second and its burst. quotaHighRate
+	// and quotaLowRate are the limits that it is changed to. The tenant sends quotaSurge times quotaRate.
 	quotaRate, quotaHighRate, quotaLowRate, quotaSurge = 130, 312, 56, 12
-	// quotaWindow, quotaOverage and quotaSlack are the rule's, as meshCore sets them.
+	// quotaWindow, quotaOverage and quotaSlack are the bounds of the quota guarantee, as meshCore sets them.
 	quotaWindow                = 5 * time.Second
 	quotaOverage, quotaSlack   = 0.1, 20
-	quotaProcessors            = 4 // that each process may use at the same time
+	quotaProcessors            = 4 // GOMAXPROCS of each process
 	quotaPhase, quotaPhaseFast = 16 * time.Second, 7 * time.Second
-	// quotaShortPause is how long sidecars are down at the least.
+	// quotaShortPause is the shortest time between the end of sidecars and their restart.
 	quotaShortPause = 50 * time.Millisecond
 )
 
-// quotaFault is what happens to the fleet while the tenant surges.
+// quotaFault is a fault that is injected while the tenant sends more than its limit.
 type quotaFault struct {
 	name string
 	key  string
 	run  func(r *quotaRig, length time.Duration) error
 }
 
-// quotaFaults are played one after the other, each for the length of a phase.
+// quotaFaults are injected one after the other, each for the length of a phase.
 var quotaFaults = []quotaFault{
 	{"no fault", "none", func(_ *quotaRig, length time.Duration) error {
 		time.Sleep(length)
 		return nil
 	}},
-	{"all sidecars killed, again and again", "killed", func(r *quotaRig, length time.Duration) error {
+	{"all sidecars killed repeatedly", "killed", func(r *quotaRig, length time.Duration) error {
 		return r.repeat(length, 3*time.Second, func() error { return r.restart(r.all(), syscall.SIGKILL) })
 	}},
 	{"sidecars stopped and started in turn", "rolled", func(r *quotaRig, length time.Duration) error {
@@ -71,8 +70,8 @@
 	}},
 }
 
-// measureQuota plays a small deployment as processes of its own on loopback, with one tenant that sends many
-// times its limit, and counts from outside what of its requests upstreams ran in any window.
+// measureQuota runs a small deployment as processes on loopback addresses, with one tenant that sends many times its
+// limit. For each fault it counts, at the upstreams, the most requests of the tenant that ran in any window.
 func measureQuota(short bool) (string, []string, error) {
 	phase := quotaPhase
 	if short {
@@ -98,46 +97,46 @@
 		if !strings.Contains(fault.key, nameFilter) {
 			continue
 		}
-		row, err := rig.play(fault, phase)
+		row, err := rig.runPhase(fault, phase)
 		if err != nil {
 			return "", nil, fmt.Errorf("%s: %w", fault.name, err)
 		}
 		fmt.Printf("| %s | %.0f | %d | %d | %d | %.0f |\n",
-			fault.name, phase.Seconds(), row.sent, row.ran, row.fullest, row.allowed)
-		keys = append(keys, fmt.Sprintf("%s=%d/%.0f", fault.key, row.fullest, row.allowed))
-		if float64(row.fullest) > row.allowed {
-			missed = append(missed, fmt.Sprintf("%s: %d requests in a window, %.0f are allowed",
-				fault.name, row.fullest, row.allowed))
+			fault.name, phase.Seconds(), row.sent, row.ran, row.maxInWindow, row.allowed)
+		keys = append(keys, fmt.Sprintf("%s=%d/%.0f", fault.key, row.maxInWindow, row.allowed))
+		if float64(row.maxInWindow) > row.allowed {
+			missed = append(missed, fmt.Sprintf("%s: %d requests ran in a window, %.0f are allowed",
+				fault.name, row.maxInWindow, row.allowed))
 		}
 	}
 	return strings.Join(keys, " "), missed, nil
 }
 
-// quotaRow is what came of a phase.
+// quotaRow is the result of a phase.
 type quotaRow struct {
-	sent, ran, fullest int
-	allowed            float64
+	sent, ran, maxInWindow int
+	allowed                float64
 }
 
-// play plays a fault, and counts the windows that begin in its phase.
-func (r *quotaRig) play(fault quotaFault, phase time.Duration) (row quotaRow, err error) {
+// runPhase injects a fault for a phase, and evaluates the windows that begin in the phase.
+func (r *quotaRig) runPhase(fault quotaFault, phase time.Duration) (row quotaRow, err error) {
 	from, sentBefore, rateBefore := time.Now(), r.sent.Load(), r.rate
 	if err := fault.run(r, phase); err != nil {
 		return row, err
 	}
 	row.sent = int(r.sent.Load() - sentBefore)
-	row.ran, row.fullest = r.ledger.count(from, quotaWindow)
-	// A lower limit holds one window after it is in force: the phase's windows are held to it only where
-	// they begin after that.
+	row.ran, row.maxInWindow = r.ledger.count(from, quotaWindow)
+	// A lowered limit is guaranteed one window after it is in force, so only windows that begin after that are checked
+	// against it.
 	if r.rate < rateBefore {
-		_, row.fullest = r.ledger.count(from.Add(quotaWindow+2*time.Second), quotaWindow)
+		_, row.maxInWindow = r.ledger.count(from.Add(quotaWindow+2*time.Second), quotaWindow)
 	}
 	rate := float64(r.rate)
 	row.allowed = (rate*quotaWindow.Seconds()+rate)*(1+quotaOverage) + quotaSlack
 	return row, nil
 }
 
-// repeat does something at once and then each time an interval is over, until the length is.
+// repeat calls do at once and then after each interval, until length has passed.
 func (r *quotaRig) repeat(length, interval time.Duration, do func() error) error {
 	for end := time.Now().Add(length); time.Now().Before(end); {
 		if err := do(); err != nil {
@@ -155,7 +154,7 @@
 	return numbers
 }
 
-// restart ends sidecars by a signal, and starts them again a moment later.
+// restart ends sidecars by a signal, and starts them again 100 ms to 400 ms later.
 func (r *quotaRig) restart(numbers []int, signal syscall.Signal) error {
 	return r.restartAfter(time.Duration(100+rand.IntN(300))*time.Millisecond, numbers, signal)
 }
@@ -176,7 +175,7 @@
 	return nil
 }
 
-// restartAll kills all processes, and starts them again with their disks.
+// restartAll kills all processes, and starts them again. The core members keep their disks.
 func (r *quotaRig) restartAll() error {
 	for _, member := range r.core.members {
 		if err := member.end(syscall.SIGKILL); err != nil {
@@ -193,7 +192,7 @@
 	return r.restart(r.all(), syscall.SIGKILL)
 }
 
-// freeze stops half of the sidecars and a core machine, which wake one after the other.
+// freeze stops half of the sidecars and a core member with SIGSTOP, and resumes one after the other.
 func (r *quotaRig) freeze() error {
 	frozen := []*process{r.core.members[rand.IntN(quotaCore)]}
 	for _, number := range rand.Perm(quotaSidecars)[:quotaSidecars/2] {
@@ -213,7 +212,7 @@
 	return nil
 }
 
-// setRate changes the tenant's limit.
+// setRate changes the rate and the burst of the tenant's limit.
 func (r *quotaRig) setRate(rate int) error {
 	r.rate = rate
 	_, _, _, err := r.core.replace(append(r.core.resources[:len(r.core.resources)-1:len(r.core.resources)-1],
@@ -221,7 +220,7 @@
 	return err
 }
 
-// quotaTenantResource is the tenant that is watched.
+// quotaTenantResource returns the configuration of the measured tenant.
 func quotaTenantResource(rate int) json.RawMessage {
 	return json.RawMessage(fmt.Sprintf(`{"resourceType":"tenants","metadata":{"name":"%s"},`+
 		`"specification":{"apiKeys":["%s"],"priority":1,"ratePerS":%d,"burstLimit":%d}}`,
--- a/cmd/measure/quota_rig.go
+++ b/cmd/measure/quota_rig.go
@@ -19,33 +19,34 @@
 
 const (
 	quotaTenant, quotaKey = "watched", "key-watched-kcuyj8pjbvk9m68k"
-	// quotaSentField carries the moment at which a client sent a request, in ns, to the upstream.
+	// quotaSentField is the header field with the time at which the client sent the request, in Unix nanoseconds.
 	quotaSentField = "X-Measure-Sent"
-	// quotaCallTimeout bounds a client's call.
+	// quotaCallTimeout limits the duration of a client's call.
 	quotaCallTimeout = time.Second
 	quotaRoute       = `{"resourceType":"routes","metadata":{"name":"watched"},` +
 		`"specification":{"hostname":"quota.example","pathPrefix":"/","routeType":"idempotent","timeoutS":1,` +
 		`"targetLatencyS":0.25,"serviceName":"service00","maxAttempts":2,"public":false}}`
 )
 
-// quotaRig is a small deployment of processes, with upstreams and clients in this one, which count.
+// quotaRig is a small deployment of processes. The upstreams and clients run in the measuring process and count
+// requests.
 type quotaRig struct {
 	cleanups cleanups
 	core     *meshCore
 	sidecars []*process
-	ports    [][]string // of each sidecar: inbound, outbound, readiness, upstream
+	ports    [][]string // addresses of each sidecar: inbound, outbound, readiness, upstream
 	ledger   requestLedger
 	sent     atomic.Int64
 	rate     int // the tenant's limit
 }
 
-// requestLedger is what upstreams ran, as seen from outside.
+// requestLedger records the tenant's requests that upstreams received.
 type requestLedger struct {
 	mu  sync.Mutex
 	ran []ranRequest
 }
 
-// ranRequest is when a request was sent by its client and when an upstream received it.
+// ranRequest holds the times at which a client sent a request and at which an upstream received it.
 type ranRequest struct{ sent, arrived time.Time }
 
 func (l *requestLedger) record(sent, arrived time.Time) {
@@ -54,9 +55,9 @@
 	l.ran = append(l.ran, ranRequest{sent, arrived})
 }
 
-// count is how many requests sent from a time on ran, and the most that were both sent and received within
-// one window.
-func (l *requestLedger) count(from time.Time, window time.Duration) (ran, fullest int) {
+// count returns the number of requests sent at or after a time that ran, and the largest number of them that were both
+// sent and received within one window.
+func (l *requestLedger) count(from time.Time, window time.Duration) (ran, maxInWindow int) {
 	l.mu.Lock()
 	later := slices.DeleteFunc(slices.Clone(l.ran), func(r ranRequest) bool { return r.sent.Before(from) })
 	l.mu.Unlock()
@@ -71,12 +72,12 @@
 				held++
 			}
 		}
-		fullest = max(fullest, held)
+		maxInWindow = max(maxInWindow, held)
 	}
-	return len(later), fullest
+	return len(later), maxInWindow
 }
 
-// startQuotaRig starts core, upstreams, sidecars and clients, and returns once calls come through.
+// startQuotaRig starts core, upstreams, sidecars and clients, and returns once more than quotaRate requests have run.
 func startQuotaRig(c cleanups, binary string) (*quotaRig, error) {
 	core, err := startMeshCoreIn(c, binary, meshPrefix, quotaCore)
 	if err != nil {
@@ -102,19 +103,19 @@
 		}
 	}
 	for number := range quotaSidecars {
-		go r.callWithoutEnd(number)
+		go r.callContinuously(number)
 	}
 	for end := time.Now().Add(meshStartTimeout); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
 		if ran, _ := r.ledger.count(time.Time{}, 0); ran > quotaRate {
 			return r, nil
 		}
 	}
-	return nil, fmt.Errorf("no calls come through after %v", meshStartTimeout)
+	return nil, fmt.Errorf("too few requests reached the upstreams within %v", meshStartTimeout)
 }
 
 func (r *quotaRig) host(number int) string { return meshPrefix + strconv.Itoa(101+number) }
 
-// startSidecar starts a sidecar's process, at the addresses that it had before.
+// startSidecar starts a sidecar's process, always at the same addresses.
 func (r *quotaRig) startSidecar(number int) error {
 	ports := r.ports[number]
 	p, err := r.core.start(r.cleanups, "sidecar", r.host(number), meshZones[number%len(meshZones)],
@@ -123,12 +124,12 @@
 	if err != nil {
 		return err
 	}
-	p.drop()
+	p.discardOutput()
 	r.sidecars[number] = p
 	return nil
 }
 
-// startUpstream serves the upstream beside a sidecar, and counts what it runs.
+// startUpstream starts the upstream of a sidecar, which records the tenant's requests.
 func (r *quotaRig) startUpstream(number int) error {
 	listener, err := net.Listen("tcp", r.ports[number][3])
 	if err != nil {
@@ -151,24 +152,24 @@
 	return nil
 }
 
-// callWithoutEnd sends the tenant's requests to a sidecar at random moments, as long as this process runs.
-func (r *quotaRig) callWithoutEnd(number int) {
+// callContinuously sends the tenant's requests to a sidecar at random times, until the program terminates.
+func (r *quotaRig) callContinuously(number int) {
 	client := http.Client{
 		Timeout:   quotaCallTimeout,
 		Transport: &http.Transport{MaxIdleConnsPerHost: 32, MaxConnsPerHost: 64, DisableCompression: true},
 	}
 	rate := float64(quotaRate*quotaSurge) / quotaSidecars
-	for n := 0; !ending.Load(); n++ {
+	for n := 0; !terminating.Load(); n++ {
 		time.Sleep(time.Duration(rand.ExpFloat64() / rate * float64(time.Second)))
 		go r.call(&client, number, n)
 	}
 }
 
-// call sends one request; what becomes of it the upstreams tell.
+// call sends one request. Its response is ignored, as the upstreams record the requests that run.
 func (r *quotaRig) call(client *http.Client, number, n int) {
 	request, err := http.NewRequest(http.MethodGet, "http://"+r.ports[number][1]+"/x", nil)
 	if err != nil {
-		panic(err) // the address is one that this process listened at
+		panic(err) // the URL is valid: this process has listened at its address
 	}
 	request.Host = "quota.example"
 	request.Header[headers.AttemptID] = []string{fmt.Sprintf("%d-%d", number, n)}
--- a/cmd/measure/soak_rig.go
+++ b/cmd/measure/soak_rig.go
@@ -322,7 +322,7 @@
 	if err != nil {
 		return err
 	}
-	p.drop()
+	p.discardOutput()
 	m.process.Store(p)
 	m.killed.Store(false)
 	m.earlyHUP.Store(false)
--- a/cmd/measure/soak_trouble.go
+++ b/cmd/measure/soak_trouble.go
@@ -239,7 +239,7 @@
 		r.stopping.Store(true)
 		return
 	}
-	member.drop()
+	member.discardOutput()
 	r.core.members[number] = member
 }
 
--- a/cmd/measure/stats.go
+++ b/cmd/measure/stats.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// samples is a figure over several rounds.
+// samples holds the values of one metric over several rounds.
 type samples []float64
 
 func (s samples) median() float64 {
@@ -17,6 +17,7 @@
 	return sorted[len(sorted)/2]
 }
 
+// String returns the median with the smallest and the largest value.
 func (s samples) String() string {
 	if len(s) == 0 {
 		return "-"
@@ -24,10 +25,10 @@
 	return fmt.Sprintf("%.4g (%.4g to %.4g)", s.median(), slices.Min(s), slices.Max(s))
 }
 
-// add takes one more value.
+// add appends a value.
 func (s *samples) add(v float64) { *s = append(*s, v) }
 
-// max is the largest value; 0: there is none.
+// max returns the largest value, or 0 if there are no values.
 func (s samples) max() float64 {
 	if len(s) == 0 {
 		return 0
@@ -35,7 +36,7 @@
 	return slices.Max(s)
 }
 
-// at is the value at a part of the whole, in ascending order.
+// at returns the quantile for a fraction from 0 to 1, or 0 if there are no values.
 func (s samples) at(part float64) float64 {
 	if len(s) == 0 {
 		return 0
@@ -43,7 +44,7 @@
 	return slices.Sorted(slices.Values(s))[min(len(s)-1, int(part*float64(len(s))))]
 }
 
-// over is the ratio, round by round.
+// over returns the ratio of the two values of each round.
 func (s samples) over(reference samples) (ratio samples) {
 	for i := range min(len(s), len(reference)) {
 		ratio = append(ratio, s[i]/reference[i])
@@ -51,7 +52,7 @@
 	return ratio
 }
 
-// minus is the difference, round by round.
+// minus returns the difference of the two values of each round.
 func (s samples) minus(reference samples) (added samples) {
 	for i := range min(len(s), len(reference)) {
 		added = append(added, s[i]-reference[i])
@@ -59,7 +60,7 @@
 	return added
 }
 
-// quantile of times in any order, in milliseconds.
+// quantile returns a quantile of times in milliseconds, or 0 if there are no times. It sorts times in place.
 func quantile(times []time.Duration, q float64) float64 {
 	if len(times) == 0 {
 		return 0
@@ -68,7 +69,8 @@
 	return float64(times[min(len(times)-1, int(q*float64(len(times))))]) / float64(time.Millisecond)
 }
 
-// metrics of one kind of subject, by name, a value a round.
+// metrics holds the values of each named metric, one value per round.
 type metrics map[string]samples
 
+// add appends a value to the named metric.
 func (f metrics) add(name string, v float64) { f[name] = append(f[name], v) }
--- a/cmd/measure/stress.go
+++ b/cmd/measure/stress.go
@@ -16,45 +16,45 @@
 )
 
 const (
-	// stressCopies, stressPlays and stressBusy are how many copies of a test binary run at once, how often each plays
-	// the test, and how many busy processes are beside them, where the command line does not say.
+	// stressCopies is the default number of copies of the test binary that run in parallel, stressPlays the default
+	// number of runs of each copy, and stressBusy the default number of busy processes that add load.
 	stressCopies, stressPlays, stressBusy = 12, 5, 0
-	// stressMaxProcesses bounds the processes of a run, however large the machine is: "a few hundred".
+	// stressMaxProcesses limits the processes of a run on machines of any size.
 	stressMaxProcesses = 300
-	// stressProcessMemory is what a process is counted with, and stressMemoryShare the part of the machine's memory
-	// that a run may use, one in so many.
+	// stressProcessMemory is the memory in bytes that a run reserves for each process. A run may use
+	// 1/stressMemoryShare of the machine's memory.
 	stressProcessMemory, stressMemoryShare = 128 << 20, 2
-	// stressTimeout bounds one play, against a test that hangs.
+	// stressTimeout limits one run of the tests, in case a test hangs.
 	stressTimeout = 10 * time.Minute
-	// stressConfidence is that of the interval that a failure rate is given with.
+	// stressConfidence is the confidence level of the interval of the failure rate.
 	stressConfidence = 0.95
-	// busyRole is the part of a process that only uses a processor.
+	// busyRole is the role of a child process that only uses CPU time.
 	busyRole = "busy"
 )
 
-// stressFlags are the command line's; stressArguments are what stands behind its flags: a package, and the name of
-// one of its tests or a part of that.
+// stressFlags are command-line flags. stressArguments are the arguments after the flags: a package and, optionally, a
+// prefix of the names of the tests to run.
 var (
 	stressFlags = struct{ copies, plays, busy int }{stressCopies, stressPlays, stressBusy}
 
 	stressArguments []string
 )
 
-// stressTest is a test binary that is played.
+// stressTest is a test binary to run.
 type stressTest struct {
 	binary, dir string // dir is the package's folder, where its tests run
-	pattern     string // of the names that are played
+	pattern     string // regular expression for the names of the tests to run
 }
 
-// stressTally is what the plays showed.
+// stressTally counts the runs and their failures.
 type stressTally struct {
 	mu              sync.Mutex // guards the fields below
 	plays, failures int
-	kept            []string // files with the output of failures
+	failureFiles    []string // files with the output of failed runs
 }
 
-// measureStress plays tests again and again beside stated load, and says how often they fail. The output of each
-// failure is kept.
+// measureStress runs tests repeatedly under a given load, and measures their failure rate. The output of each failed
+// run is written to a file.
 func measureStress(short bool) (string, []string, error) {
 	plays := stressFlags.plays
 	if short {
@@ -69,7 +69,7 @@
 	if err != nil {
 		return "", nil, err
 	}
-	keep, err := stressFolder()
+	folder, err := stressFolder()
 	if err != nil {
 		return "", nil, err
 	}
@@ -84,8 +84,8 @@
 	var copies sync.WaitGroup
 	for number := range stressFlags.copies {
 		copies.Go(func() {
-			for play := range plays {
-				tally.add(test.play(c), filepath.Join(keep, fmt.Sprintf("%d-%d.log", number, play)))
+			for run := range plays {
+				tally.add(test.run(c), filepath.Join(folder, fmt.Sprintf("%d-%d.log", number, run)))
 			}
 		})
 	}
@@ -93,28 +93,28 @@
 	return tally.report()
 }
 
-// checkStressFlags checks the counts of the command line against the machine.
+// checkStressFlags checks the command line, and the number of processes against the limit for this machine.
 func checkStressFlags() error {
 	f := stressFlags
-	most := min(stressMaxProcesses, memoryProcesses(stressMemoryShare, stressProcessMemory, stressMaxProcesses))
+	maxProcesses := min(stressMaxProcesses, memoryProcesses(stressMemoryShare, stressProcessMemory, stressMaxProcesses))
 	switch {
 	case len(stressArguments) == 0 || len(stressArguments) > 2:
 		return usageError{"usage: measure stress [-copies N] [-busy N] [-plays N] [-keep DIR] PACKAGE [TEST]"}
 	case f.copies < 1 || f.plays < 1 || f.busy < 0:
-		return usageError{fmt.Sprintf("-copies %d, -plays %d, -busy %d: one copy, one play and no busy process at least",
+		return usageError{fmt.Sprintf("-copies %d, -plays %d, -busy %d: want at least 1, 1 and 0",
 			f.copies, f.plays, f.busy)}
-	case f.copies+f.busy > most:
-		return usageError{fmt.Sprintf("%d processes: this machine bears %d", f.copies+f.busy, most)}
+	case f.copies+f.busy > maxProcesses:
+		return usageError{fmt.Sprintf("%d processes: the limit for this machine is %d", f.copies+f.busy, maxProcesses)}
 	}
 	return nil
 }
 
-// buildStressTest builds the package's tests and looks for those that are to be played.
+// buildStressTest builds the package's tests and checks that the pattern matches at least one of them.
 func buildStressTest(c cleanups) (*stressTest, error) {
 	listed, err := exec.Command("go", "list", "-f", "{{.Dir}}", stressArguments[0]).CombinedOutput()
 	dir := strings.TrimSpace(string(listed))
 	if err != nil || strings.Contains(dir, "\n") {
-		return nil, usageError{fmt.Sprintf("%s is not one package: %s", stressArguments[0], dir)}
+		return nil, usageError{fmt.Sprintf("%s: want exactly one package, got: %s", stressArguments[0], dir)}
 	}
 	test := &stressTest{dir: dir, pattern: ".*"}
 	if len(stressArguments) == 2 {
@@ -127,7 +127,7 @@
 	c.Cleanup(func() { os.RemoveAll(temp) })
 	test.binary = filepath.Join(temp, "test")
 	if out, err := exec.Command("go", "test", "-c", "-o", test.binary, stressArguments[0]).CombinedOutput(); err != nil {
-		return nil, fmt.Errorf("building the tests of %s: %w\n%s", stressArguments[0], err, out)
+		return nil, fmt.Errorf("build the tests of %s: %w\n%s", stressArguments[0], err, out)
 	}
 	topLevel, _, _ := strings.Cut(test.pattern, "/")
 	names := exec.Command(test.binary, "-test.list", topLevel)
@@ -139,7 +139,7 @@
 	return test, nil
 }
 
-// stressFolder is the folder for the output of failures: the command line's, or a new one.
+// stressFolder returns the folder for the output of failed runs: the folder from the command line, or a new folder.
 func stressFolder() (string, error) {
 	if soakKeepFlag == "" {
 		return os.MkdirTemp("", "stress-failures")
@@ -147,8 +147,8 @@
 	return soakKeepFlag, createReportFolder()
 }
 
-// play plays the test once, and returns its output if it failed, else nil.
-func (t *stressTest) play(c cleanups) (failure []byte) {
+// run runs the tests once. It returns their output if they failed, otherwise nil.
+func (t *stressTest) run(c cleanups) (failure []byte) {
 	cmd := exec.Command(t.binary, "-test.run", t.pattern, "-test.count=1", "-test.v",
 		"-test.timeout", stressTimeout.String())
 	cmd.Dir = t.dir
@@ -157,14 +157,14 @@
 	if err := cmd.Start(); err != nil {
 		return []byte(err.Error())
 	}
-	c.Cleanup(func() { _ = cmd.Process.Kill() }) // one that has ended is not found
+	c.Cleanup(func() { _ = cmd.Process.Kill() }) // an error means that the process has already exited
 	if err := cmd.Wait(); err != nil {
 		return append(out.Bytes(), ("\n" + err.Error() + "\n")...)
 	}
 	return nil
 }
 
-// add counts a play, and writes the output of one that failed to a file.
+// add counts a run, and writes the output of a failed run to a file.
 func (t *stressTally) add(failure []byte, path string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -174,13 +174,13 @@
 	}
 	t.failures++
 	if err := os.WriteFile(path, failure, 0o600); err != nil {
-		path = fmt.Sprintf("not kept: %v", err)
+		path = fmt.Sprintf("output not written: %v", err)
 	}
-	t.kept = append(t.kept, path)
-	fmt.Println("failed:", path) // at once: a long run may not come to its end
+	t.failureFiles = append(t.failureFiles, path)
+	fmt.Println("failed:", path) // printed at once, as a long measurement may be interrupted
 }
 
-// report is the rate of failure with its interval.
+// report returns the failure rate with its confidence interval.
 func (t *stressTally) report() (string, []string, error) {
 	low, high := binomialInterval(t.failures, t.plays, stressConfidence)
 	result := fmt.Sprintf("package=%s plays=%d failures=%d rate=%.4f low=%.4f high=%.4f copies=%d busy=%d load=%s",
@@ -189,10 +189,11 @@
 	if t.failures == 0 {
 		return result, nil, nil
 	}
-	return result, []string{fmt.Sprintf("%d of %d plays failed: %s", t.failures, t.plays, strings.Join(t.kept, " "))}, nil
+	return result, []string{fmt.Sprintf("%d of %d runs failed: %s", t.failures, t.plays,
+		strings.Join(t.failureFiles, " "))}, nil
 }
 
-// binomialInterval is the Clopper-Pearson interval of a rate: what it may be, where so many of all plays failed.
+// binomialInterval returns the Clopper-Pearson confidence interval of a failure rate.
 func binomialInterval(failures, plays int, confidence float64) (low, high float64) {
 	failed, passed, tail := float64(failures), float64(plays-failures), (1-confidence)/2
 	low, high = 0, 1
@@ -205,7 +206,7 @@
 	return low, high
 }
 
-// busy uses a processor until it is ended. Its parent ends it; one that is orphaned ends by itself.
+// busy uses CPU time until its parent process kills it or has exited.
 func busy([]string) error {
 	parent := os.Getppid()
 	for os.Getppid() == parent {
@@ -213,5 +214,5 @@
 			continue
 		}
 	}
-	return errors.New("its parent has ended")
+	return errors.New("parent process has exited")
 }
