--- a/cmd/measure/cleanup.go
+++ b/cmd/measure/cleanup.go
@@ -9,13 +9,13 @@
 	"syscall"
 )
 
-// panicTB is a testbed.TB for a program: a fatal error panicTB.
+// panicTB is a testbed.TB for a program: a fatal error panics.
 type panicTB struct{}
 
 // Helper does nothing, as a program has no test log.
 func (panicTB) Helper() {}
 
-// Fatalf panicTB with the formatted message.
+// Fatalf panics with the formatted message.
 func (panicTB) Fatalf(format string, args ...any) { panic(fmt.Sprintf(format, args...)) }
 
 // Cleanup ignores the function: the caller releases its resources itself.
--- a/cmd/measure/mesh.go
+++ b/cmd/measure/mesh.go
@@ -5,38 +5,39 @@
 	"time"
 )
 
-// What the operators ask for, at the size that they expect (docs/CAPACITY.md).
+// Bounds that operators require at the expected size of the mesh (docs/CAPACITY.md), and that size.
 const (
-	meshControlCPU    = 0.025     // of a core, a sidecar, for control
-	meshControlMemory = 256 << 20 // bytes, a sidecar
-	meshControlBytes  = 3000.0    // a second, a sidecar, both ways together
-	meshAppliedIn     = 14.0      // seconds until a change is in force everywhere
-	meshAdded         = 0.49      // ms added to a call for 99 in 100
-	meshSize          = 2400
-	meshCoreMachines  = 13
+	meshControlCPU      = 0.025     // cores per sidecar for control traffic
+	meshControlMemory   = 256 << 20 // bytes per sidecar
+	meshControlBytes    = 3000.0    // bytes per second and sidecar, sent and received
+	meshMaxApplySeconds = 14.0      // seconds until a change is in force on all sidecars
+	meshMaxAddedP99     = 0.49      // ms added to the 99th percentile of call durations
+	meshSize            = 2400      // sidecars
+	meshCoreMachines    = 13
 )
 
 const (
-	// meshRoutes is how many routes the configuration has while the number of sidecars is varied.
+	// meshRoutes is the number of routes in the configuration while the number of sidecars is varied.
 	meshRoutes = 350
-	// meshShare is the number of sidecars from which on those of a process share one configuration,
+	// meshShareConfigAbove is the number of sidecars above which the sidecars of a process share one configuration
 	// and keep no registry.
-	meshShare = 1000
-	// meshStabilizeTime is how long after the last sidecar has connected the core still sends
-	// full registries, and more.
+	meshShareConfigAbove = 1000
+	// meshStabilizeTime is the wait after the last sidecar has connected. During that time the core still sends full
+	// registries and other initial data.
 	meshStabilizeTime = 4 * time.Second
-	// meshRequestInterval is how often a sidecar asks for tokens at least, where a tenant has a limit.
+	// meshRequestInterval is the longest interval at which a sidecar requests tokens for tenants with limits.
 	meshRequestInterval = 250 * time.Millisecond
-	// meshChanges are made one after the other: of 8 one brings a snapshot.
+	// meshChanges is the number of changes that are made one after the other. The
+	// replicated log is compacted into a snapshot after 8 entries, so one of the changes causes a snapshot.
 	meshChanges = 8
 )
 
-// measureMesh measures what the mesh's control costs by its size, what a change costs by its
-// configuration's, and what the data path adds to a call.
+// measureMesh measures the cost of the mesh's control traffic by the number of sidecars, the cost of a configuration
+// change by the number of routes, and the latency that the data path adds to a call.
 func measureMesh(short bool) (string, []string, error) {
-	sizes, windows, each, routes := []int{50, 100, 200, 400, 800}, 3, 5*time.Second, []int{25, 350, 2000}
+	sizes, windows, windowLength, routes := []int{50, 100, 200, 400, 800}, 3, 5*time.Second, []int{25, 350, 2000}
 	if short {
-		sizes, windows, each, routes = []int{50, 100}, 1, 2*time.Second, []int{25}
+		sizes, windows, windowLength, routes = []int{50, 100}, 1, 2*time.Second, []int{25}
 	}
 	binary, end, err := tempMeshd()
 	if err != nil {
@@ -44,24 +45,24 @@
 	}
 	defer end()
 	var missed []string
-	added, err := meshPath(binary, short)
+	added, err := measureMeshPath(binary, short)
 	if err != nil {
 		return "", nil, err
 	}
-	if added.median() > meshAdded {
-		missed = append(missed, fmt.Sprintf("%.3f ms are added to the 99th percentile of calls, %.2f at most",
-			added.median(), meshAdded))
+	if added.median() > meshMaxAddedP99 {
+		missed = append(missed, fmt.Sprintf("the mesh adds %.3f ms to the 99th percentile of calls, want at most %.2f",
+			added.median(), meshMaxAddedP99))
 	}
 	for _, n := range routes {
-		if err := meshByRoutes(binary, n); err != nil {
+		if err := measureMeshRoutes(binary, n); err != nil {
 			return "", nil, fmt.Errorf("%d routes: %w", n, err)
 		}
 	}
-	var last meshSized
+	var last meshSizeResult
 	reached := 0
 	points := map[string]*meshPoints{}
 	for _, n := range sizes {
-		s, err := meshBySize(binary, meshShape{members: 3, sidecars: n}, windows, each)
+		s, err := measureMeshSize(binary, meshShape{members: 3, sidecars: n}, windows, windowLength)
 		if err != nil {
 			return "", nil, fmt.Errorf("%d sidecars: %w", n, err)
 		}
@@ -76,7 +77,7 @@
 	}
 	printMeshFits(points)
 	if !short {
-		more, err := measureMoreMembers(binary, windows, each)
+		more, err := measureMoreMembers(binary, windows, windowLength)
 		if err != nil {
 			return "", nil, err
 		}
@@ -88,10 +89,10 @@
 		added.median()), missed, nil
 }
 
-// measureMoreMembers measures meshes with more core members than three, and the large ones.
-func measureMoreMembers(binary string, windows int, each time.Duration) (missed []string, err error) {
+// measureMoreMembers measures meshes with more than three core members, and the large meshes.
+func measureMoreMembers(binary string, windows int, windowLength time.Duration) (missed []string, err error) {
 	for _, members := range []int{5, meshCoreMachines} {
-		if _, err := meshBySize(binary, meshShape{members: members, sidecars: 400}, windows, each); err != nil {
+		if _, err := measureMeshSize(binary, meshShape{members: members, sidecars: 400}, windows, windowLength); err != nil {
 			return nil, fmt.Errorf("%d members: %w", members, err)
 		}
 	}
@@ -103,27 +104,28 @@
 	return missed, nil
 }
 
-// missed names the bounds that a mesh of so many sidecars missed.
-func (s meshSized) missed(n int) (missed []string) {
+// missed returns a line for each bound that a mesh of n sidecars missed.
+func (s meshSizeResult) missed(n int) (missed []string) {
 	miss := func(format string, args ...any) { missed = append(missed, fmt.Sprintf(format, args...)) }
 	if y := s.bytes + s.tokenBytes; y > meshControlBytes {
-		miss("%d sidecars: each moves %.0f bytes a second for control with the asks for tokens, %.0f at most", n,
+		miss("%d sidecars: each transfers %.0f bytes/s of control traffic with token requests, want at most %.0f", n,
 			y, meshControlBytes)
 	}
 	if y := s.cpu + s.tokenCPU; y > meshControlCPU {
-		miss("%d sidecars: each uses %.4f of a core for control with the asks for tokens, %.3f at most",
+		miss("%d sidecars: each uses %.4f cores for control traffic with token requests, want at most %.3f",
 			n, y, meshControlCPU)
 	}
 	if s.memory > meshControlMemory {
-		miss("%d sidecars: each holds %.0f bytes, %d at most", n, s.memory, meshControlMemory)
+		miss("%d sidecars: each uses %.0f bytes of memory, want at most %d", n, s.memory, meshControlMemory)
 	}
-	if s.applied > meshAppliedIn {
-		miss("%d sidecars: a change is in force everywhere after %.2f s, %.0f at most", n, s.applied, meshAppliedIn)
+	if s.applied > meshMaxApplySeconds {
+		miss("%d sidecars: a change is in force everywhere after %.2f s, want at most %.0f",
+			n, s.applied, meshMaxApplySeconds)
 	}
 	return missed
 }
 
-// printMeshFits prints how what was measured grows with the number of sidecars.
+// printMeshFits prints linear fits of the measured values by the number of sidecars.
 func printMeshFits(points map[string]*meshPoints) {
 	for _, f := range []struct {
 		name, unit string
@@ -132,8 +134,8 @@
 		{"leader: CPU", "% of a core", 100}, {"other member: CPU", "% of a core", 100},
 		{"leader: memory", "KiB", 1.0 / 1024}, {"other member: memory", "KiB", 1.0 / 1024},
 		{"leader: bytes a second", "B", 1}, {"other member: bytes a second", "B", 1},
-		{"leader: CPU for asks for tokens", "% of a core", 100},
-		{"other member: CPU for asks for tokens", "% of a core", 100},
+		{"leader: CPU for token requests", "% of a core", 100},
+		{"other member: CPU for token requests", "% of a core", 100},
 		{"sidecar: memory", "KiB", 1.0 / 1024}, {"change: CPU at the leader", "ms", 1000},
 		{"change: in force at the last", "ms", 1000},
 	} {
@@ -143,8 +145,8 @@
 	}
 }
 
-// measureMeshLarge measures meshes of the size that the operators expect, as far as this machine
-// bears them: it prints which it does not.
+// measureMeshLarge measures meshes of the size that operators expect. It prints which of them can't be run on this
+// machine.
 func measureMeshLarge(short bool) (string, []string, error) {
 	binary, end, err := tempMeshd()
 	if err != nil {
@@ -152,26 +154,26 @@
 	}
 	defer end()
 	shapes := []meshShape{
-		{members: meshCoreMachines, sidecars: meshSize, called: 8, over: 30 * time.Second},
-		{members: meshCoreMachines, sidecars: meshSize, over: 60 * time.Second},
-		{members: 3, sidecars: meshSize, called: 8, over: 30 * time.Second},
+		{members: meshCoreMachines, sidecars: meshSize, calledServices: 8, startOver: 30 * time.Second},
+		{members: meshCoreMachines, sidecars: meshSize, startOver: 60 * time.Second},
+		{members: 3, sidecars: meshSize, calledServices: 8, startOver: 30 * time.Second},
 	}
 	if short {
-		shapes = []meshShape{{members: 3, sidecars: 800, called: 8, over: 5 * time.Second}}
+		shapes = []meshShape{{members: 3, sidecars: 800, calledServices: 8, startOver: 5 * time.Second}}
 	}
 	var missed []string
-	borne := 0
+	completed := 0
 	for _, shape := range shapes {
-		s, err := meshBySize(binary, shape, 2, 5*time.Second)
+		s, err := measureMeshSize(binary, shape, 2, 5*time.Second)
 		if err != nil {
-			fmt.Printf("not borne here: %v: %v\n", shape, err)
+			fmt.Printf("could not be run on this machine: %v: %v\n", shape, err)
 			continue
 		}
-		borne++
-		if s.applied > meshAppliedIn {
-			missed = append(missed, fmt.Sprintf("%v: a change is in force everywhere after %.2f s, %.0f at most",
-				shape, s.applied, meshAppliedIn))
+		completed++
+		if s.applied > meshMaxApplySeconds {
+			missed = append(missed, fmt.Sprintf("%v: a change is in force everywhere after %.2f s, want at most %.0f",
+				shape, s.applied, meshMaxApplySeconds))
 		}
 	}
-	return fmt.Sprintf("shapes=%d borne=%d", len(shapes), borne), missed, nil
+	return fmt.Sprintf("shapes=%d borne=%d", len(shapes), completed), missed, nil
 }
--- a/cmd/measure/mesh_child.go
+++ b/cmd/measure/mesh_child.go
@@ -19,14 +19,14 @@
 	"caperarch/internal/mesh/headers"
 )
 
-// hollowSidecars is a process of sidecars without a data path. It prints the address at which it is
-// asked how they fare (/report) and told to ask for tokens (/ask?every=).
+// hollowSidecars runs a child process with many sidecars that have no data path. It prints the address of its HTTP
+// server, which returns a report (/report) and starts or stops token requests (/ask?every=).
 func hollowSidecars(args []string) error {
 	var cfg hollow.Config
 	if err := json.Unmarshal([]byte(args[0]), &cfg); err != nil {
 		return err
 	}
-	debug.SetGCPercent(50) // as real sidecars
+	debug.SetGCPercent(50) // the same as in real sidecars
 	f := hollow.New(cfg)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -49,7 +49,7 @@
 	return http.Serve(l, mux)
 }
 
-// meshUpstream is an upstream beside a sidecar, that answers at once.
+// meshUpstream runs a child process with the upstream of a sidecar, which responds without delay.
 func meshUpstream(args []string) error {
 	l, err := net.Listen("tcp", args[0])
 	if err != nil {
@@ -61,7 +61,7 @@
 	}))
 }
 
-// answerAsUpstream is the answer of an upstream's instance that runs a request in no time.
+// answerAsUpstream writes the response of an upstream's instance, without delay.
 func answerAsUpstream(w http.ResponseWriter, r *http.Request, instance string) {
 	_, _ = io.Copy(io.Discard, r.Body)
 	h := w.Header()
@@ -74,23 +74,23 @@
 	_, _ = io.WriteString(w, "done")
 }
 
-// meshLoad is what a process of callers is asked for: calls at random moments, drawn to go to the
-// upstream or through the mesh, so that what else runs on the machine meets both alike.
+// meshLoad is the load that a process of callers generates: calls at random times. Each call is randomly sent directly
+// to the upstream or through the mesh, so that other load on the machine affects both kinds of calls alike.
 type meshLoad struct {
-	Direct, Through string  // addresses
-	Rate            float64 // calls a second, in all
+	Direct, Through string  // addresses of the upstream and of the caller's sidecar
+	Rate            float64 // calls per second, of both kinds together
 	Seconds         float64
 	Seed            uint64
 }
 
-// meshTimes are what came of it: times in ms.
+// meshTimes is the result of a meshLoad: call durations in ms, and numbers of calls.
 type meshTimes struct {
 	DirectP50, DirectP99, ThroughP50, ThroughP99 float64
 	Direct, Through, Failed                      int
 	FirstFailure                                 string `json:",omitempty"`
 }
 
-// meshCallers is a process of callers.
+// meshCallers runs a child process that generates a meshLoad.
 func meshCallers(args []string) error {
 	var l meshLoad
 	if err := json.Unmarshal([]byte(args[0]), &l); err != nil {
@@ -98,7 +98,7 @@
 	}
 	client := http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64, DisableCompression: true}}
 	call := func(address string, n int) error { return l.call(&client, address, n) }
-	for n := range 40 { // connections
+	for n := range 40 { // opens connections
 		_, _ = call(l.Direct, 1_000_000+n), call(l.Through, 2_000_000+n)
 	}
 	rng := rand.New(rand.NewPCG(l.Seed, 1))
@@ -139,7 +139,7 @@
 	return json.NewEncoder(os.Stdout).Encode(t)
 }
 
-// call sends the request of a number to an address and reads its answer.
+// call sends request n to an address and reads the response.
 func (l *meshLoad) call(client *http.Client, address string, n int) error {
 	r, err := http.NewRequest(http.MethodPost, "http://"+address+"/entry", strings.NewReader(body))
 	if err != nil {
@@ -155,7 +155,7 @@
 	defer res.Body.Close()
 	answer, err := io.ReadAll(res.Body)
 	if err == nil && res.StatusCode != http.StatusOK {
-		err = fmt.Errorf("answered %s: %.100s", res.Status, answer)
+		err = fmt.Errorf("got status %s, want 200 OK: %.100s", res.Status, answer)
 	}
 	return err
 }
--- a/cmd/measure/mesh_config.go
+++ b/cmd/measure/mesh_config.go
@@ -5,7 +5,7 @@
 	"fmt"
 )
 
-// meshRoute is the route of a number, to two services.
+// meshRoute returns route i, which has two weighted target services.
 func meshRoute(i, priority int) json.RawMessage {
 	return json.RawMessage(fmt.Sprintf(`{"resourceType":"routes","metadata":{"name":"route-%04d"},`+
 		`"specification":{"hostname":"host%03d.example","pathPrefix":"/part%04d/",`+
@@ -15,13 +15,13 @@
 		i, i%200, i, priority, i%meshServices, (i+1)%meshServices))
 }
 
-// meshServices and meshTenants are how many services and tenants every measured configuration has.
+// meshServices and meshTenants are the numbers of services and tenants in every measured configuration.
 const (
 	meshServices = 65
 	meshTenants  = 10
 )
 
-// meshTenantNames are the names of all tenants.
+// meshTenantNames returns the names of all tenants.
 func meshTenantNames() (names []string) {
 	for i := range meshTenants {
 		names = append(names, fmt.Sprintf("tenant%02d", i))
@@ -29,7 +29,7 @@
 	return names
 }
 
-// meshResources is a configuration of so many routes.
+// meshResources returns a configuration with the given number of routes.
 func meshResources(routes int) (all []json.RawMessage) {
 	for i := range meshServices {
 		all = append(all, json.RawMessage(fmt.Sprintf(`{"resourceType":"services","metadata":{"name":"service%02d"},`+
--- a/cmd/measure/mesh_core.go
+++ b/cmd/measure/mesh_core.go
@@ -20,54 +20,55 @@
 	"caperarch/meshapi"
 )
 
-// meshZones are the zones of the measured mesh; meshPrefix is the loopback network in which each of
-// its machines has an address of its own, as ports are alike on all. Each measuring process has another
-// network: a port that is free at one address of a shared one need not be at the others.
+// meshZones are the zones of the measured mesh. meshPrefix is the loopback network with an address for each machine,
+// because all machines listen on the same ports. Each measuring process has its own network: in a shared network, a
+// port that is free at one address may be in use at another.
 var (
 	meshZones  = []string{"hall-a", "hall-b", "hall-c"}
 	meshPrefix = fmt.Sprintf("127.%d.%d.", 128+os.Getpid()>>8%64, os.Getpid()%256)
 )
 
 const (
-	// meshStartTimeout bounds how long a mesh takes to come up here, against a measurement that hangs.
+	// meshStartTimeout limits the time until a mesh serves, so that a measurement does not hang.
 	meshStartTimeout = 20 * time.Second
-	// meshControlPorts and meshInternalPorts are where the spans of either kind of port begin;
-	// meshPortAttempts bounds the search in one, against a machine on which all are taken.
+	// meshControlPorts and meshInternalPorts are the lowest control and internal ports, and meshPortSpan is the
+	// number of ports to choose from. meshPortAttempts limits the search for a free port, as all ports may be in
+	// use.
 	meshControlPorts  = 20_000
 	meshInternalPorts = 25_000
 	meshPortSpan      = 4_900
 	meshPortAttempts  = 100
-	// meshConfigApply is how long a change may take until it is in force everywhere, in seconds.
+	// meshConfigApply is the longest time in seconds until a change is in force on all sidecars (configApplyS).
 	meshConfigApply = 14
 )
 
-// meshCore is core members as processes of cmd/meshd, on loopback addresses of their own.
+// meshCore is a set of core members, which run as processes of cmd/meshd, each on its own loopback address.
 type meshCore struct {
 	binary, dir string
 	prefix      string // of the members' addresses
-	control     int    // ports
-	internal    int
+	control     int    // control port of all members
+	internal    int    // lowest internal port of all members
 	members     []*process
 	hosts       []string
 	client      *http.Client
 	version     int64
 	resources   []json.RawMessage
-	processors  int // that each process started from now on may use at the same time
+	processors  int // GOMAXPROCS of processes that are started
 	configApply int // configApplyS of the processes' settings
 }
 
-// buildMeshd builds the mesh's program into a folder.
+// buildMeshd builds meshd in a folder and returns the path of the binary.
 func buildMeshd(dir string) (string, error) {
 	path := filepath.Join(dir, "meshd")
 	out, err := exec.Command("go", "build", "-o", path, "caperarch/cmd/meshd").CombinedOutput()
 	if err != nil {
-		return "", fmt.Errorf("building meshd: %w\n%s", err, out)
+		return "", fmt.Errorf("build meshd: %w\n%s", err, out)
 	}
 	return path, nil
 }
 
-// meshPort is a port that is free on the first machine's address, out of a span below those that
-// outgoing connections get.
+// meshPort returns a port that is free at the first machine's address. The port lies below the ephemeral range, which
+// outgoing connections use.
 func meshPort(prefix string, low int) (int, error) {
 	for range meshPortAttempts {
 		port := low + rand.IntN(meshPortSpan)
@@ -76,7 +77,7 @@
 			return port, l.Close()
 		}
 	}
-	return 0, fmt.Errorf("no free port from %d on", low)
+	return 0, fmt.Errorf("no free port found from port %d on", low)
 }
 
 // startMeshCore starts core members with empty disks and returns once a leader is known.
@@ -84,7 +85,7 @@
 	return startMeshCoreIn(c, binary, meshPrefix, members)
 }
 
-// startMeshCoreIn is startMeshCore in a loopback network of its own, beside other cores.
+// startMeshCoreIn is like startMeshCore, in another loopback network, so that several cores can run in parallel.
 func startMeshCoreIn(c cleanups, binary, prefix string, members int) (*meshCore, error) {
 	dir, err := os.MkdirTemp("", "mesh")
 	if err != nil {
@@ -116,10 +117,11 @@
 			return m, nil
 		}
 	}
-	return nil, fmt.Errorf("%d core members have no leader after %v: %s", members, meshStartTimeout, m.memberViews())
+	return nil, fmt.Errorf("%d core members have elected no leader within %v: %s",
+		members, meshStartTimeout, m.memberViews())
 }
 
-// memberViews is what each member says of its leader, for an error: one that has ended says nothing.
+// memberViews describes, for an error message, the leader that each member reports, or the error of its status request.
 func (m *meshCore) memberViews() string {
 	var views []string
 	for i, host := range m.hosts {
@@ -135,10 +137,10 @@
 	return strings.Join(views, "; ")
 }
 
-// disk is the data directory of the member at an address.
+// disk returns the data directory of the member at an address.
 func (m *meshCore) disk(host string) string { return filepath.Join(m.dir, host) }
 
-// startMember starts a core member at an address, with the disk that it has there or an empty one.
+// startMember starts a core member at an address, with its existing data directory or an empty one.
 func (m *meshCore) startMember(c cleanups, host string, number int, firstStart bool) (*process, error) {
 	if err := os.MkdirAll(m.disk(host), 0o700); err != nil {
 		return nil, err
@@ -147,7 +149,7 @@
 	return m.start(c, "controlplane", host, meshZones[number%len(meshZones)], self, nil)
 }
 
-// start starts one machine's process with a settings file of its own.
+// start writes a settings file for one machine and starts the machine's process with it.
 func (m *meshCore) start(c cleanups, role, host, zone string, self, listen map[string]any) (*process, error) {
 	var seeds []string
 	for _, h := range m.hosts {
@@ -185,7 +187,7 @@
 				"retryBudgetSlack": 62},
 		},
 	}
-	raw, err := json.Marshal(file) // JSON is YAML
+	raw, err := json.Marshal(file) // the settings file is YAML, and JSON is valid YAML
 	if err != nil {
 		return nil, err
 	}
@@ -202,7 +204,7 @@
 	return p, nil
 }
 
-// reportedLeader is the number of the member that leads, by the first one's word.
+// reportedLeader returns the number of the leader that the first member reports.
 func (m *meshCore) reportedLeader() (int, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
@@ -215,14 +217,14 @@
 			return i, nil
 		}
 	}
-	return 0, fmt.Errorf("no leader is known")
+	return 0, fmt.Errorf("the first core member reports no leader in contact with a majority")
 }
 
 func (m *meshCore) url(member int, path string) string {
 	return "http://" + net.JoinHostPort(m.hosts[member], strconv.Itoa(m.control)) + path
 }
 
-// seeds are the members' internal addresses.
+// seeds returns the members' internal addresses.
 func (m *meshCore) seeds() (all []string) {
 	for _, h := range m.hosts {
 		all = append(all, net.JoinHostPort(h, strconv.Itoa(m.internal)))
@@ -230,8 +232,8 @@
 	return all
 }
 
-// change puts a change to the first member, and the same once more where no clear answer came. It
-// returns the moments of the first sending and of the answer, and the body's size.
+// change sends a configuration change to the first member, and repeats the same change until it succeeds or
+// meshStartTimeout has passed. It returns the times of the first attempt and of the response, and the size of the body.
 func (m *meshCore) change(path string, body map[string]any) (sent, answered time.Time, size int, err error) {
 	body["configVersion"], body["baseVersion"] = m.version+1, m.version
 	raw, err := json.Marshal(body)
@@ -254,12 +256,13 @@
 	}
 }
 
+// replace replaces the whole configuration.
 func (m *meshCore) replace(resources []json.RawMessage) (sent, answered time.Time, size int, err error) {
 	m.resources = resources
 	return m.change(meshapi.ReplacePath, map[string]any{"resources": resources})
 }
 
-// update changes one route.
+// update changes the priority of one route.
 func (m *meshCore) update(route int, priority int) (sent, answered time.Time, size int, err error) {
 	changed := []json.RawMessage{meshRoute(route, priority)}
 	return m.change(meshapi.UpdatePath, map[string]any{"upsert": map[string]any{"resources": changed}})
--- a/cmd/measure/mesh_fit.go
+++ b/cmd/measure/mesh_fit.go
@@ -4,12 +4,13 @@
 	"fmt"
 )
 
-// meshPoints are figures by size, to be fitted.
+// meshPoints are measured values by mesh size, for a linear fit.
 type meshPoints struct{ x, y []float64 }
 
 func (p *meshPoints) add(x, y float64) { p.x, p.y = append(p.x, x), append(p.y, y) }
 
-// fit is the line of least squares, with the part of the variance that it explains.
+// fit returns the least-squares line, as its value at 0 and its slope, and the fraction of the variance that it
+// explains.
 func (p *meshPoints) fit() (at0, slope, explained float64) {
 	n := float64(len(p.x))
 	var mx, my, xx, xy, yy float64
--- a/cmd/measure/mesh_path.go
+++ b/cmd/measure/mesh_path.go
@@ -9,18 +9,19 @@
 	"caperarch/internal/mesh/settings"
 )
 
-// meshPathRoute is the route of the measured calls, whose one service is beside the gate's sidecar.
+// meshPathRoute is the route of the measured calls. Its only service is the upstream of the gate's sidecar.
 const meshPathRoute = `{"resourceType":"routes","metadata":{"name":"path"},` +
 	`"specification":{"hostname":"path.example","pathPrefix":"/","routeType":"non_idempotent","timeoutS":2,` +
 	`"targetLatencyS":0.25,"serviceName":"service00","maxAttempts":2,"public":true}}`
 
-// pathBench is a mesh with two sidecars, one at either end of the measured calls.
+// pathBench is a mesh with two sidecars: the outbound sidecar of the caller and the gate of the upstream.
 type pathBench struct {
-	outbound, upstream string // addresses: of the caller's sidecar, and of the upstream itself
+	outbound, upstream string // addresses of the caller's sidecar and of the upstream
 	sidecars           []*process
 }
 
-// pathResult is what calls at one rate took, by round: times in ms, CPU of each sidecar in µs a call.
+// pathResult holds the results of all rounds at one call rate: times in ms, and CPU time of each sidecar in µs per
+// call.
 type pathResult struct {
 	directP50, directP99   samples
 	throughP50, throughP99 samples
@@ -29,10 +30,10 @@
 	failed                 int
 }
 
-// meshPath measures what two sidecars, one at either end, add to a call, and what they use for it.
-// It returns what is added to the 99th percentile, in ms, by round, at the rate that is expected of
-// one sidecar.
-func meshPath(binary string, short bool) (added samples, err error) {
+// measureMeshPath measures the latency that the two sidecars on a call's path add to it, and the CPU time that they
+// use. It returns the latency in ms that they add to the 99th percentile in each round, at the first rate, which is
+// the call rate that operators expect of one sidecar.
+func measureMeshPath(binary string, short bool) (added samples, err error) {
 	rounds, seconds, rates := 5, 6.0, []float64{125, 400}
 	if short {
 		rounds, seconds, rates = 2, 3, []float64{125}
@@ -48,8 +49,8 @@
 		for round := range rounds {
 			load := meshLoad{Direct: b.upstream, Through: b.outbound, Rate: 2 * rate, Seconds: seconds,
 				Seed: uint64(100*i + round + 1)}
-			if i == 0 && round == 0 { // the upstream registers, connections come up
-				if err := warmMesh(load); err != nil {
+			if i == 0 && round == 0 { // waits until the upstream is registered and connections are open
+				if err := waitForCalls(load); err != nil {
 					return nil, err
 				}
 			}
@@ -69,7 +70,7 @@
 	return added, b.printMemory()
 }
 
-// startPathBench starts core members, the two sidecars and the upstream beside the second.
+// startPathBench starts the core members, the two sidecars and the upstream of the second sidecar.
 func startPathBench(c cleanups, binary string) (*pathBench, error) {
 	core, err := startMeshCore(c, binary, 3)
 	if err != nil {
@@ -107,7 +108,7 @@
 	return b, err
 }
 
-// freePorts are addresses on a host that were free a moment ago.
+// freePorts returns n addresses on a host that were free when checked.
 func freePorts(host string, n int) (addresses []string, err error) {
 	for range n {
 		l, err := net.Listen("tcp", host+":0")
@@ -120,7 +121,7 @@
 	return addresses, nil
 }
 
-// round makes a load and adds what came of it.
+// round generates a load and adds its results to r.
 func (b *pathBench) round(load meshLoad, r *pathResult) (err error) {
 	before := make([]time.Duration, len(b.sidecars))
 	for i, p := range b.sidecars {
@@ -133,7 +134,7 @@
 		return err
 	}
 	if t.Through == 0 || t.Direct == 0 {
-		return fmt.Errorf("no call came through: %s", t.FirstFailure)
+		return fmt.Errorf("no direct call or no call through the mesh succeeded: %s", t.FirstFailure)
 	}
 	for i, p := range b.sidecars {
 		cpu, _, err := usage(p.cmd.Process.Pid)
@@ -153,7 +154,7 @@
 	return nil
 }
 
-// printMemory prints what the sidecars hold in memory.
+// printMemory prints the memory use of the sidecars.
 func (b *pathBench) printMemory() error {
 	for i, p := range b.sidecars {
 		_, rss, err := usage(p.cmd.Process.Pid)
@@ -166,8 +167,8 @@
 	return nil
 }
 
-// warmMesh calls until calls come through.
-func warmMesh(l meshLoad) error {
+// waitForCalls repeats a short load until all its calls succeed.
+func waitForCalls(l meshLoad) error {
 	l.Seconds = 0.5
 	for end := time.Now().Add(meshStartTimeout); ; time.Sleep(100 * time.Millisecond) {
 		t, err := l.run()
@@ -178,12 +179,12 @@
 			return nil
 		}
 		if time.Now().After(end) {
-			return fmt.Errorf("calls don't come through after %v: %s", meshStartTimeout, t.FirstFailure)
+			return fmt.Errorf("calls still fail after %v: %s", meshStartTimeout, t.FirstFailure)
 		}
 	}
 }
 
-// run has a process of callers make a load.
+// run starts a process of callers that generates the load, and returns its result.
 func (l meshLoad) run() (t meshTimes, err error) {
 	raw, err := json.Marshal(l)
 	if err != nil {
--- a/cmd/measure/mesh_run.go
+++ b/cmd/measure/mesh_run.go
@@ -12,28 +12,28 @@
 	"time"
 )
 
-// meshRun is one mesh of hollow sidecars, and what it used.
+// meshRun is a running mesh: core members, and a child process with sidecars that have no data path (package hollow).
 type meshRun struct {
 	core     *meshCore
 	fleet    *process
-	control  string // of the fleet
+	control  string // address of the fleet's HTTP server
 	sidecars int
 	leader   int
 }
 
-// meshUse is what was used over a while, a second; of members by their role when the core had
-// calmed down, the mean of those that did not lead.
+// meshUse is the use of resources per second over a period. Leader and follower are the roles after meshStabilizeTime.
+// Values of followers are the mean of all members but the leader.
 type meshUse struct {
-	sidecarCPU, leaderCPU, followerCPU          float64 // of a core; of all sidecars together
-	sidecarIn, sidecarOut                       float64 // bytes, of all sidecars together
-	leaderBytes, followerBytes                  float64 // both ways, disk too
-	sidecarMemory, leaderMemory, followerMemory float64 // bytes held at the end
+	sidecarCPU, leaderCPU, followerCPU          float64 // cores; all sidecars together
+	sidecarIn, sidecarOut                       float64 // bytes, all sidecars together
+	leaderBytes, followerBytes                  float64 // bytes read and written, from and to network and disk
+	sidecarMemory, leaderMemory, followerMemory float64 // bytes of resident memory at the end of the period
 	renewals, tokenRequests, failed             float64
 	seconds                                     float64
 }
 
-// less takes what is used anyway off.
-func (u meshUse) less(idle meshUse) meshUse {
+// minus returns the use in excess of the use while idle.
+func (u meshUse) minus(idle meshUse) meshUse {
 	u.sidecarCPU -= idle.sidecarCPU
 	u.leaderCPU -= idle.leaderCPU
 	u.followerCPU -= idle.followerCPU
@@ -44,23 +44,23 @@
 	return u
 }
 
-// meshShape is a mesh to be measured.
+// meshShape is the size of a mesh to measure.
 type meshShape struct {
 	members, sidecars int
-	called            int           // services that each sidecar hears of; 0: all
-	over              time.Duration // in which the sidecars come; 0: all at once
+	calledServices    int           // number of services whose instances each sidecar receives; 0: all
+	startOver         time.Duration // period over which the sidecars start; 0: all at once
 }
 
 func (m meshShape) String() string {
 	s := fmt.Sprintf("%d members, %d sidecars", m.members, m.sidecars)
-	if m.called > 0 {
-		s += fmt.Sprintf(" that each hear of %d services", m.called)
+	if m.calledServices > 0 {
+		s += fmt.Sprintf(" that receive %d services each", m.calledServices)
 	}
 	return s
 }
 
-// startMeshRun starts core members, a configuration and sidecars, and returns once all of them have
-// it and the core has calmed down.
+// startMeshRun starts core members, applies a configuration and starts sidecars. It returns once all sidecars have the
+// configuration and meshStabilizeTime has passed.
 func startMeshRun(c cleanups, binary string, shape meshShape, routes int) (*meshRun, error) {
 	sidecars := shape.sidecars
 	core, err := startMeshCore(c, binary, shape.members)
@@ -71,8 +71,8 @@
 		return nil, err
 	}
 	cfg := hollow.Config{Count: sidecars, Services: meshServices, Seeds: core.seeds(), Zones: meshZones,
-		Tenants: meshTenantNames()[:3], ShareConfig: sidecars > meshShare, StartOver: shape.over,
-		CalledServices: shape.called}
+		Tenants: meshTenantNames()[:3], ShareConfig: sidecars > meshShareConfigAbove, StartOver: shape.startOver,
+		CalledServices: shape.calledServices}
 	raw, err := json.Marshal(cfg)
 	if err != nil {
 		return nil, err
@@ -94,17 +94,18 @@
 			return nil, err
 		}
 		if report.Connected == sidecars && report.Versions[core.version].Count == sidecars &&
-			(cfg.ShareConfig || shape.called > 0 || report.MinUpstreams == sidecars) {
+			(cfg.ShareConfig || shape.calledServices > 0 || report.MinUpstreams == sidecars) {
 			break
 		}
-		if time.Since(begun) > shape.over+3*meshStartTimeout {
-			return nil, fmt.Errorf("after %v %d of %d sidecars are connected, %d have the "+
-				"configuration, one knows %d upstreams", time.Since(begun), report.Connected, sidecars,
+		if time.Since(begun) > shape.startOver+3*meshStartTimeout {
+			return nil, fmt.Errorf("after %v only %d of %d sidecars are connected, %d have the "+
+				"configuration; the fewest upstreams that a sidecar knows are %d",
+				time.Since(begun), report.Connected, sidecars,
 				report.Versions[core.version].Count, report.MinUpstreams)
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
-	fmt.Printf("%v, %d routes, started over %v: all up after %.1f s\n", shape, routes, shape.over,
+	fmt.Printf("%v, %d routes, started over %v: all up after %.1f s\n", shape, routes, shape.startOver,
 		time.Since(begun).Seconds())
 	time.Sleep(meshStabilizeTime)
 	r.leader, err = core.reportedLeader()
@@ -117,8 +118,8 @@
 	return rpc.Get[hollow.Report](ctx, r.core.client, "http://"+r.control+"/report")
 }
 
-// while tells what is used while f runs, a second of it.
-func (r *meshRun) while(f func() error) (u meshUse, err error) {
+// measureUse returns the use of resources per second while f runs.
+func (r *meshRun) measureUse(f func() error) (u meshUse, err error) {
 	type count struct {
 		cpu     time.Duration
 		rss     int64
@@ -174,10 +175,10 @@
 	return u, nil
 }
 
-// idleUse is what is used while nothing is changed, window by window.
-func (r *meshRun) idleUse(windows int, each time.Duration) (all []meshUse, err error) {
+// idleUse returns the use of resources in each of several windows without configuration changes.
+func (r *meshRun) idleUse(windows int, windowLength time.Duration) (all []meshUse, err error) {
 	for range windows {
-		u, err := r.while(func() error { time.Sleep(each); return nil })
+		u, err := r.measureUse(func() error { time.Sleep(windowLength); return nil })
 		if err != nil {
 			return nil, err
 		}
@@ -186,17 +187,17 @@
 	return all, nil
 }
 
-// meshChange is what changes took: times in ms, bodies in bytes.
+// meshChange holds the results of configuration changes: times in ms, and the size of the body in bytes.
 type meshChange struct {
 	answered, afterAnswer, arrived, applied samples
 	size                                    float64
-	used                                    meshUse // a second, above what is used anyway
+	used                                    meshUse // per second, in excess of the use while idle
 }
 
-// changes makes changes one after the other, each once the one before is in force everywhere.
+// changes makes n changes. Each change starts once the previous change is in force on all sidecars.
 func (r *meshRun) changes(n int, idle meshUse,
 	change func(i int) (sent, answered time.Time, size int, err error)) (m meshChange, err error) {
-	used, err := r.while(func() error {
+	used, err := r.measureUse(func() error {
 		for i := range n {
 			sent, answered, size, err := change(i)
 			if err != nil {
@@ -213,7 +214,7 @@
 					break
 				}
 				if time.Since(sent) > 3*meshStartTimeout {
-					return fmt.Errorf("version %d is in force at %d of %d sidecars after %v",
+					return fmt.Errorf("version %d is in force on only %d of %d sidecars after %v",
 						r.core.version, a.Count, r.sidecars, time.Since(sent))
 				}
 				time.Sleep(20 * time.Millisecond)
@@ -226,12 +227,13 @@
 		}
 		return nil
 	})
-	m.used = used.less(idle)
+	m.used = used.minus(idle)
 	return m, err
 }
 
-// requestTokens has all sidecars ask for tokens once in so long and tells what that uses.
-func (r *meshRun) requestTokens(every, each time.Duration) (u meshUse, p50, p99 float64, err error) {
+// requestTokens makes each sidecar request tokens at an interval. It returns the use of resources meanwhile, and the
+// median and the 99th percentile of the requests' durations in ms.
+func (r *meshRun) requestTokens(every, windowLength time.Duration) (u meshUse, p50, p99 float64, err error) {
 	tell := func(every time.Duration) error {
 		ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 		defer cancel()
@@ -241,7 +243,7 @@
 		return u, 0, 0, err
 	}
 	time.Sleep(time.Second)
-	if u, err = r.while(func() error { time.Sleep(each); return nil }); err != nil {
+	if u, err = r.measureUse(func() error { time.Sleep(windowLength); return nil }); err != nil {
 		return u, 0, 0, err
 	}
 	report, err := r.report()
@@ -249,12 +251,12 @@
 		return u, 0, 0, err
 	}
 	if u.failed > 0 {
-		fmt.Printf("the ask for tokens that failed last: %.300s\n", report.RequestError)
+		fmt.Printf("last failure of a token request: %.300s\n", report.RequestError)
 	}
 	return u, report.RequestP50, report.RequestP99, tell(0)
 }
 
-// get asks for a page and passes over what it says.
+// get sends a GET request and discards the body of the response.
 func get(ctx context.Context, client *http.Client, url string) error {
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
@@ -267,7 +269,7 @@
 	defer answer.Body.Close()
 	_, _ = io.Copy(io.Discard, answer.Body)
 	if answer.StatusCode != http.StatusOK {
-		return fmt.Errorf("%s answered %s", url, answer.Status)
+		return fmt.Errorf("%s responded with status %s, want 200 OK", url, answer.Status)
 	}
 	return nil
 }
--- a/cmd/measure/mesh_size.go
+++ b/cmd/measure/mesh_size.go
@@ -5,26 +5,26 @@
 	"time"
 )
 
-// meshSized is what a mesh of one size used: of one sidecar, and of members by role.
-type meshSized struct {
+// meshSizeResult holds the results for a mesh of one size. Values without a role are per sidecar.
+type meshSizeResult struct {
 	bytes, tokenBytes, cpu, tokenCPU, memory, applied float64
 	idle, requesting                                  meshUse
-	change                                            float64 // seconds of the leader's processor for one change
-	shared                                            bool
+	change                                            float64 // CPU time in seconds of the leader for one change
+	shared                                            bool    // the sidecars shared one configuration
 }
 
-// fitted is what is looked at by the number of sidecars.
-func (s meshSized) fitted() map[string]float64 {
+// fitted returns the values that are fitted by the number of sidecars.
+func (s meshSizeResult) fitted() map[string]float64 {
 	all := map[string]float64{
 		"leader: CPU": s.idle.leaderCPU, "other member: CPU": s.idle.followerCPU,
 		"leader: memory": s.idle.leaderMemory, "other member: memory": s.idle.followerMemory,
 		"leader: bytes a second": s.idle.leaderBytes, "other member: bytes a second": s.idle.followerBytes,
 		"change: CPU at the leader": s.change, "change: in force at the last": s.applied,
 	}
-	// Where requests were rejected the cost is not that of a mesh that serves them.
+	// If requests failed, the cost is not representative of a mesh that serves all of them.
 	if s.requesting.failed < 0.01*s.requesting.tokenRequests {
-		all["leader: CPU for asks for tokens"] = s.requesting.leaderCPU
-		all["other member: CPU for asks for tokens"] = s.requesting.followerCPU
+		all["leader: CPU for token requests"] = s.requesting.leaderCPU
+		all["other member: CPU for token requests"] = s.requesting.followerCPU
 	}
 	if !s.shared {
 		all["sidecar: memory"] = s.memory
@@ -32,8 +32,8 @@
 	return all
 }
 
-// meshBySize measures a mesh of one size.
-func meshBySize(binary string, shape meshShape, windows int, each time.Duration) (s meshSized, err error) {
+// measureMeshSize measures a mesh of one size: while idle, during configuration changes and with token requests.
+func measureMeshSize(binary string, shape meshShape, windows int, windowLength time.Duration) (s meshSizeResult, err error) {
 	c := newCleanups()
 	defer c.end()
 	r, err := startMeshRun(c, binary, shape, meshRoutes)
@@ -41,7 +41,7 @@
 		return s, err
 	}
 	n := float64(shape.sidecars)
-	all, err := r.idleUse(windows, each)
+	all, err := r.idleUse(windows, windowLength)
 	if err != nil {
 		return s, err
 	}
@@ -53,7 +53,7 @@
 		leader.add(u.leaderCPU * 100)
 		follower.add(u.followerCPU * 100)
 	}
-	s.idle, s.shared = all[len(all)-1], shape.sidecars > meshShare
+	s.idle, s.shared = all[len(all)-1], shape.sidecars > meshShareConfigAbove
 	s.bytes, s.cpu, s.memory = in.median()+out.median(), cpu.median()/100, s.idle.sidecarMemory/n
 	s.idle.leaderCPU, s.idle.followerCPU = leader.median()/100, follower.median()/100
 	kind := shape.String()
@@ -71,11 +71,11 @@
 	}
 	s.applied, s.change = m.applied.median()/1000, m.used.leaderCPU*m.used.seconds/meshChanges
 	m.print(kind+", change of one route", n, meshChanges)
-	requesting, p50, p99, err := r.requestTokens(meshRequestInterval, each)
+	requesting, p50, p99, err := r.requestTokens(meshRequestInterval, windowLength)
 	if err != nil {
 		return s, err
 	}
-	s.requesting = requesting.less(s.idle)
+	s.requesting = requesting.minus(s.idle)
 	s.tokenBytes, s.tokenCPU = (s.requesting.sidecarIn+s.requesting.sidecarOut)/n, s.requesting.sidecarCPU/n
 	fmt.Printf("%s, an ask for tokens every %v from each: %.0f/s answered, %.0f/s failed, p50 %.2f p99 "+
 		"%.2f ms; a sidecar more: %.0f B/s, %.3f %% of a core; leader more: %.1f %%, another member "+
@@ -97,8 +97,8 @@
 		of(m.used.sidecarOut)/sidecars)
 }
 
-// meshByRoutes measures changes of a configuration of so many routes, before a hundred sidecars.
-func meshByRoutes(binary string, routes int) error {
+// measureMeshRoutes measures changes of a configuration with a number of routes, in a mesh with 100 sidecars.
+func measureMeshRoutes(binary string, routes int) error {
 	const sidecars = 100
 	c := newCleanups()
 	defer c.end()
