--- a/cmd/measure/child.go
+++ b/cmd/measure/child.go
@@ -9,7 +9,7 @@
 var childRoles = map[string]func([]string) error{
 	"nodes":        serveNodes,
 	"proxy":        serveProxy,
-	"host":         host,
+	"host":         callers,
 	"flood":        flood,
 	"hollow":       hollowSidecars,
 	"meshupstream": meshUpstream,
--- a/cmd/measure/control.go
+++ b/cmd/measure/control.go
@@ -11,40 +11,40 @@
 )
 
 const (
-	// controlRounds and controlRoundsShort are how often each thing happens.
+	// controlRounds is the number of rounds of each scenario, controlRoundsShort the same in the short form.
 	controlRounds      = 30
 	controlRoundsShort = 2
-	// ackBound is the most that a change may wait behind a fault of the leader; catchUpBound is
-	// catchUpS of the sites.
+	// ackBound is the longest time in seconds from a fault of the leader to the next acknowledged change.
+	// catchUpBound is catchUpS, the time in seconds within which a member has to catch up.
 	ackBound     = 2.0
 	catchUpBound = 4.0
 )
 
-// controlScenario is one thing that happens to a core of its own, again and again.
+// controlScenario is a fault or change that is repeated for several rounds on a separate core.
 type controlScenario struct {
 	name, key string
-	// metric is the one that the bound is on.
+	// metric is the name of the metric that the bound applies to.
 	metric string
-	bound  float64
+	bound  float64 // seconds
 	run    func() (metrics, error)
 
 	measured metrics
 	err      error
 }
 
-// controlScenarios are all of them; each core of processes has a loopback network of its own.
+// controlScenarios returns all scenarios. Each core of processes has its own loopback network.
 func controlScenarios(binary string, rounds, behind int) []*controlScenario {
 	leader := func(name, key string, run func() (metrics, error)) *controlScenario {
 		return &controlScenario{name: name, key: key, metric: "acknowledged", bound: ackBound, run: run}
 	}
 	process := func(network int, fault leaderFault) func() (metrics, error) {
-		return func() (metrics, error) { return afterLeader(binary, network, rounds, fault) }
+		return func() (metrics, error) { return measureLeaderFault(binary, network, rounds, fault) }
 	}
 	link := func(fault linkFault) func() (metrics, error) {
 		return func() (metrics, error) { return measureLinkFault(rounds, fault) }
 	}
 	join := func(name, key string, network int, replace replacement) *controlScenario {
-		run := func() (metrics, error) { return toTolerance(binary, network, rounds, replace) }
+		run := func() (metrics, error) { return measureTolerance(binary, network, rounds, replace) }
 		return &controlScenario{name: name, key: key, metric: "tolerance", bound: catchUpBound, run: run}
 	}
 	return []*controlScenario{
@@ -57,17 +57,17 @@
 		join("planned", "planned", 5, replacePlanned),
 		join("empty disk at the old address", "disk", 6, replaceDisk),
 		{name: fmt.Sprintf("%d changes behind", behind), key: "behind", metric: "caught up", bound: catchUpBound,
-			run: func() (metrics, error) { return catchUpTogether(binary, 7, rounds, behind) }},
+			run: func() (metrics, error) { return measureCatchUpOnCores(binary, 7, rounds, behind) }},
 	}
 }
 
-// measureControl measures how long the control side takes to go on after a loss: to the next
-// acknowledged change, to full tolerance, and to what a member far behind lacks. All scenarios run at the
-// same time, each on a core of its own.
+// measureControl measures how fast the core recovers from a fault: the time to the next acknowledged change, to full
+// fault tolerance, and until a member that lacks many changes has caught up. All scenarios run at the same time, each
+// on a separate core.
 func measureControl(short bool) (string, []string, error) {
-	rounds, behind := controlRounds, behindBy
+	rounds, behind := controlRounds, behindChanges
 	if short {
-		rounds, behind = controlRoundsShort, behindByShort
+		rounds, behind = controlRoundsShort, behindChangesShort
 	}
 	binary, end, err := tempMeshd()
 	if err != nil {
@@ -92,10 +92,10 @@
 	return result, missed, nil
 }
 
-// worst is the longest of the times that the bound is on.
+// worst returns the largest value of the metric that the bound applies to.
 func (p *controlScenario) worst() float64 { return p.measured[p.metric].max() }
 
-// row is the part's line of the table.
+// row returns the scenario's row of the table.
 func (p *controlScenario) row() string {
 	times, elected := p.measured[p.metric], "-"
 	if e := p.measured["elected"]; len(e) > 0 {
@@ -105,21 +105,22 @@
 		elected, p.bound)
 }
 
-// missed names what the part did not do, and its bound where that was missed.
+// missed returns lines for the scenario's error, missing rounds and missed bound, if any.
 func (p *controlScenario) missed(rounds int) (missed []string) {
 	if p.err != nil {
 		missed = append(missed, fmt.Sprintf("%s: %v", p.name, p.err))
 	}
 	if done := len(p.measured[p.metric]); done < rounds {
-		missed = append(missed, fmt.Sprintf("%s: %d rounds of %d", p.name, done, rounds))
+		missed = append(missed, fmt.Sprintf("%s: only %d of %d rounds completed", p.name, done, rounds))
 	}
 	if p.worst() >= p.bound {
-		missed = append(missed, fmt.Sprintf("%s: %.3f s is not under %g s", p.name, p.worst(), p.bound))
+		missed = append(missed, fmt.Sprintf("%s: the worst round took %.3f s, want less than %g s",
+			p.name, p.worst(), p.bound))
 	}
 	return missed
 }
 
-// controlResult prints the table and says which bounds were missed.
+// controlResult prints the table and returns the result line and the missed bounds.
 func controlResult(scenarios []*controlScenario, rounds int) (result string, missed []string) {
 	fmt.Println("| what | rounds | median s | worst s | another leader known: median s, worst s | bound s |")
 	fmt.Println("| --- | --- | --- | --- | --- | --- |")
@@ -134,7 +135,7 @@
 	return strings.Join(keys, " "), missed
 }
 
-// loadAverage is the machine's, over the last minute.
+// loadAverage returns the machine's load average over the last minute, or "unknown".
 func loadAverage() string {
 	raw, err := os.ReadFile("/proc/loadavg")
 	if err != nil {
--- a/cmd/measure/control_behind.go
+++ b/cmd/measure/control_behind.go
@@ -9,23 +9,24 @@
 )
 
 const (
-	// behindBy and behindByShort are how many changes a member lacks.
-	behindBy      = 5000
-	behindByShort = 200
-	// changesEvery is how often changes go on coming.
-	changesEvery = 250 * time.Millisecond
-	// behindCores is how many cores share the rounds, as most of their time goes into what is missed.
+	// behindChanges is the number of changes that the member lacks when it starts, behindChangesShort the same in
+	// the short form.
+	behindChanges      = 5000
+	behindChangesShort = 200
+	// changeInterval is the interval of the changes that continue while the member catches up.
+	changeInterval = 250 * time.Millisecond
+	// behindCores is the number of cores that share the rounds, as making the changes takes most of a round's time.
 	behindCores = 3
 )
 
-// catchUpTogether has several cores, from a network's number on, share the rounds of catchUp.
-func catchUpTogether(binary string, network, rounds, behind int) (metrics, error) {
+// measureCatchUpOnCores divides the rounds of measureCatchUp between several cores, which use consecutive networks.
+func measureCatchUpOnCores(binary string, network, rounds, behind int) (metrics, error) {
 	measured := make([]metrics, behindCores)
 	failed := make([]error, behindCores)
 	var running sync.WaitGroup
 	for i := range behindCores {
 		share := (rounds + i) / behindCores
-		running.Go(func() { measured[i], failed[i] = catchUp(binary, network+i, share, behind) })
+		running.Go(func() { measured[i], failed[i] = measureCatchUp(binary, network+i, share, behind) })
 	}
 	running.Wait()
 	all := metrics{}
@@ -35,9 +36,10 @@
 	return all, errors.Join(failed...)
 }
 
-// catchUp measures how long a member that lacks so many changes takes, from its start, until it has
-// applied all that was committed at that moment, while more come. Each round it misses as many anew.
-func catchUp(binary string, network, rounds, behind int) (metrics, error) {
+// measureCatchUp measures the time from the start of a member that lacks many changes until it has applied all
+// changes that were committed at its start, while further changes are made. In each round a follower is killed, then
+// the changes are made, then the follower is started again.
+func measureCatchUp(binary string, network, rounds, behind int) (metrics, error) {
 	k, err := startControlCore(binary, network, controlRoutes)
 	if err != nil {
 		return nil, err
@@ -50,7 +52,7 @@
 			return measured, err
 		}
 		k.members[member].kill()
-		if err := k.missed(behind); err != nil {
+		if err := k.applyChanges(behind); err != nil {
 			return measured, err
 		}
 		took, err := k.caughtUp(member)
@@ -65,50 +67,51 @@
 	return measured, nil
 }
 
-// missed has so many changes made, to the leader, as fast as it takes them.
-func (k *controlCore) missed(changes int) error {
-	leads, err := k.leader()
+// applyChanges makes a number of changes at the leader, one directly after the other.
+func (k *controlCore) applyChanges(changes int) error {
+	leaderNumber, err := k.leader()
 	if err != nil {
 		return err
 	}
 	for last := k.version + int64(changes); k.version < last; {
 		ctx, cancel := context.WithTimeout(context.Background(), operatorTimeout)
-		err := k.post(ctx, k.hosts[leads], k.version+1)
+		err := k.post(ctx, k.hosts[leaderNumber], k.version+1)
 		cancel()
 		if err == nil {
 			k.version++
 			continue
 		}
-		if leads, err = k.leader(); err != nil {
+		if leaderNumber, err = k.leader(); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// caughtUp starts a member and says how long it took to apply what the leader had applied by then.
+// caughtUp starts a member and returns the time until the member has applied all that the leader had applied before
+// the start.
 func (k *controlCore) caughtUp(member int) (time.Duration, error) {
-	leads, err := k.leader()
+	leaderNumber, err := k.leader()
 	if err != nil {
 		return 0, err
 	}
-	committed := k.view(k.hosts[leads])
+	committed := k.view(k.hosts[leaderNumber])
 	if committed == nil {
-		return 0, fmt.Errorf("the leader gave no view")
+		return 0, fmt.Errorf("the leader did not respond to a status request")
 	}
 	o := k.operator()
-	o.interval = changesEvery
-	stop := o.goOn()
+	o.interval = changeInterval
+	stop := o.startSending()
 	began := time.Now()
 	if err := k.restart(member); err != nil {
 		return 0, err
 	}
-	err = until("what was committed", func() bool {
+	err = waitFor("the member to apply all committed changes", func() bool {
 		v := k.view(k.hosts[member])
 		return v != nil && v.AppliedIndex >= committed.AppliedIndex && v.ConfigVersion >= committed.ConfigVersion
 	})
 	took := time.Since(began)
 	stop()
-	k.version = max(o.number, k.view(k.hosts[leads]).ConfigVersion)
+	k.version = max(o.number, k.view(k.hosts[leaderNumber]).ConfigVersion)
 	return took, err
 }
--- a/cmd/measure/control_core.go
+++ b/cmd/measure/control_core.go
@@ -17,24 +17,24 @@
 )
 
 const (
-	// controlMembers is how many members each measured core has.
+	// controlMembers is the number of members of each measured core.
 	controlMembers = 3
-	// controlRoutes is how many routes the configuration has.
+	// controlRoutes is the number of routes in the configuration.
 	controlRoutes = 350
-	// frozenFor is how long a frozen leader stands still.
-	frozenFor = 5 * time.Second
-	// viewTime bounds a question to a member for its view.
-	viewTime = 300 * time.Millisecond
+	// freezeDuration is the time for which a frozen leader is stopped.
+	freezeDuration = 5 * time.Second
+	// viewTimeout limits a status request to a member.
+	viewTimeout = 300 * time.Millisecond
 )
 
-// controlCore is a core of processes with a configuration, to which things happen.
+// controlCore is a core of processes with a configuration, into which faults are injected.
 type controlCore struct {
 	*meshCore
 	cleanups
-	started int // members, ever
+	started int // number of members ever started, which gives the next member's address
 }
 
-// startControlCore starts one in the loopback network of a number, with a configuration.
+// startControlCore starts a core in the loopback network of a number, with a configuration.
 func startControlCore(binary string, network, routes int) (*controlCore, error) {
 	c := newCleanups()
 	core, err := startMeshCoreIn(c, binary, fmt.Sprintf("127.78.%d.", network), controlMembers)
@@ -53,14 +53,14 @@
 	return k, nil
 }
 
-// operator sends updates of one route, from the newest version on.
+// operator returns an operator that makes changes of one route each, starting after the newest version.
 func (k *controlCore) operator() *operator {
 	return newOperator(controlMembers, k.version, func(ctx context.Context, machine int, number int64) error {
 		return k.post(ctx, k.hosts[machine], number)
 	})
 }
 
-// post sends the update of a number to a member.
+// post sends the change to version number to a member.
 func (k *controlCore) post(ctx context.Context, host string, number int64) error {
 	body, err := json.Marshal(map[string]any{
 		"configVersion": number, "baseVersion": number - 1,
@@ -81,9 +81,9 @@
 	return net.JoinHostPort(host, strconv.Itoa(k.internal))
 }
 
-// view is a member's word on itself; nil: it says nothing.
+// view returns a member's status, or nil if the member does not respond.
 func (k *controlCore) view(host string) *meshapi.NodeStatus {
-	ctx, cancel := context.WithTimeout(context.Background(), viewTime)
+	ctx, cancel := context.WithTimeout(context.Background(), viewTimeout)
 	defer cancel()
 	view, err := rpc.Get[meshapi.NodeStatus](ctx, k.client, k.at(host, meshapi.NodeStatusPath))
 	if err != nil {
@@ -92,10 +92,10 @@
 	return view
 }
 
-// leader is the number of the member that leads by its own word.
+// leader waits for a member that reports itself as leader, and returns the member's number.
 func (k *controlCore) leader() (int, error) {
 	found := -1
-	err := until("a leader", func() bool {
+	err := waitFor("a leader", func() bool {
 		for i, host := range k.hosts {
 			if v := k.view(host); v != nil && v.InContact && strings.HasPrefix(v.Leader, host+":") {
 				found = i
@@ -106,22 +106,22 @@
 	return found, err
 }
 
-// follower is the number of a member that doesn't lead.
+// follower returns the number of a random member that is not the leader.
 func (k *controlCore) follower() (int, error) {
-	leads, err := k.leader()
-	return (leads + 1 + rand.IntN(controlMembers-1)) % controlMembers, err
+	leaderNumber, err := k.leader()
+	return (leaderNumber + 1 + rand.IntN(controlMembers-1)) % controlMembers, err
 }
 
-// waitUntilHealthy waits until all members vote, are in touch and agree on who they are.
+// waitUntilHealthy waits until all members vote, are in contact with a majority and agree on the voters.
 func (k *controlCore) waitUntilHealthy() error {
-	return until("a healthy core", func() bool {
-		return !slices.ContainsFunc(k.hosts, func(host string) bool { return !k.tolerant(host) })
+	return waitFor("a healthy core", func() bool {
+		return !slices.ContainsFunc(k.hosts, func(host string) bool { return !k.reportsHealthy(host) })
 	})
 }
 
-// tolerant says that by a member's own word it votes and is in touch, and that the members that there
-// are, and no others, are the voters.
-func (k *controlCore) tolerant(host string) bool {
+// reportsHealthy reports whether a member states that it is a voter in contact with a majority, and that the voters are
+// exactly the current members.
+func (k *controlCore) reportsHealthy(host string) bool {
 	v := k.view(host)
 	if v == nil || !v.Voter || !v.InContact || v.MembershipChanging || len(v.Voters) != controlMembers {
 		return false
@@ -131,19 +131,19 @@
 	})
 }
 
-// restart starts a member anew on the disk that it has.
+// restart starts a member again with its existing disk.
 func (k *controlCore) restart(member int) (err error) {
 	k.members[member], err = k.startMember(k.cleanups, k.hosts[member], member, false)
 	return err
 }
 
-// nextHost is an address that no member had before.
+// nextHost returns an address that no member has had before.
 func (k *controlCore) nextHost() string {
 	k.started++
 	return k.prefix + strconv.Itoa(k.started)
 }
 
-// leaderFault is what happens to the leader's process; it returns what brings the member back.
+// leaderFault injects a fault into the leader's process. The returned function repairs the fault.
 type leaderFault func(k *controlCore, member int) (repair func() error)
 
 func killLeader(k *controlCore, member int) func() error {
@@ -154,36 +154,36 @@
 func freezeLeader(k *controlCore, member int) func() error {
 	process := k.members[member].cmd.Process
 	_ = process.Signal(syscall.SIGSTOP)
-	thaw := time.After(frozenFor)
+	thaw := time.After(freezeDuration)
 	return func() error {
 		<-thaw
 		return process.Signal(syscall.SIGCONT)
 	}
 }
 
-// afterLeader measures the times from a fault of the leader's process until another member is known to
-// lead (by the word of one that is left) and until the next acknowledged change.
-func afterLeader(binary string, network, rounds int, fault leaderFault) (metrics, error) {
+// measureLeaderFault measures the times from a fault of the leader's process until one of the other members reports
+// another leader, and until the next acknowledged change.
+func measureLeaderFault(binary string, network, rounds int, fault leaderFault) (metrics, error) {
 	k, err := startControlCore(binary, network, controlRoutes)
 	if err != nil {
 		return nil, err
 	}
 	defer k.end()
 	o := k.operator()
-	defer o.goOn()()
+	defer o.startSending()()
 	measured := metrics{}
 	for range rounds {
 		if err := k.waitUntilHealthy(); err != nil {
 			return measured, err
 		}
-		time.Sleep(rand.N(2 * operatorBackoff)) // no fixed place in the operator's rhythm
-		leads, err := k.leader()
+		time.Sleep(rand.N(2 * operatorBackoff)) // a random phase relative to the operator's changes
+		leaderNumber, err := k.leader()
 		if err != nil {
 			return measured, err
 		}
 		at := time.Now()
-		repair := fault(k, leads)
-		elected := k.elected(at, leads)
+		repair := fault(k, leaderNumber)
+		elected := k.elected(at, leaderNumber)
 		took, err := o.next(at)
 		if err != nil {
 			return measured, err
@@ -197,12 +197,12 @@
 	return measured, nil
 }
 
-// elected says how long after a moment one of the other members names another leader.
+// elected returns a channel that receives the time from at until a member other than lost reports another leader.
 func (k *controlCore) elected(at time.Time, lost int) <-chan time.Duration {
 	took := make(chan time.Duration, 1)
 	others := slices.Delete(slices.Clone(k.hosts), lost, lost+1)
 	go func() {
-		_ = until("another leader", func() bool {
+		_ = waitFor("another leader", func() bool {
 			return slices.ContainsFunc(others, func(host string) bool {
 				v := k.view(host)
 				return v != nil && v.Leader != "" && v.Leader != k.internalAt(k.hosts[lost])
--- a/cmd/measure/control_join.go
+++ b/cmd/measure/control_join.go
@@ -7,13 +7,14 @@
 	"time"
 )
 
-// successorAfter is when the successor of a lost member starts, and how long before a planned end.
+// successorAfter is the time from the loss of a member to the start of its successor and, for a planned replacement,
+// from the start of the successor to the end of the member.
 const successorAfter = time.Second
 
-// replacement puts a newcomer in the place of a member and says when the newcomer's process began.
+// replacement replaces a member by a new process, and returns the member's number and the start time of the process.
 type replacement func(k *controlCore) (newcomer int, began time.Time, err error)
 
-// replaceFollower has a follower lost for good; its successor starts a second later.
+// replaceFollower kills a follower permanently, and starts a successor at another address after successorAfter.
 func replaceFollower(k *controlCore) (int, time.Time, error) {
 	member, err := k.follower()
 	if err != nil {
@@ -22,7 +23,7 @@
 	return k.replaceLost(member)
 }
 
-// replaceLeader does so with the leader.
+// replaceLeader kills the leader permanently, and starts a successor at another address after successorAfter.
 func replaceLeader(k *controlCore) (int, time.Time, error) {
 	member, err := k.leader()
 	if err != nil {
@@ -40,7 +41,7 @@
 	return member, began, err
 }
 
-// replacePlanned has the successor of any member start first, and tells that one to end a second later.
+// replacePlanned starts the successor of a random member, and sends SIGTERM to the member after successorAfter.
 func replacePlanned(k *controlCore) (int, time.Time, error) {
 	member := rand.IntN(controlMembers)
 	began, host := time.Now(), k.nextHost()
@@ -56,7 +57,7 @@
 	return member, began, nil
 }
 
-// replaceDisk has a follower killed, and started again at once at its address with an empty disk.
+// replaceDisk kills a follower, and starts it again at once at the same address with an empty disk.
 func replaceDisk(k *controlCore) (int, time.Time, error) {
 	member, err := k.follower()
 	if err != nil {
@@ -70,9 +71,10 @@
 	return member, began, k.restart(member)
 }
 
-// toTolerance measures the times from a newcomer's start until the core is healthy with it: it votes and
-// is in touch, and it and the leader say that the members that there are, and no others, are the voters.
-func toTolerance(binary string, network, rounds int, replace replacement) (metrics, error) {
+// measureTolerance measures the times from the start of a new member until the core is fully fault-reportsHealthy
+// with it: the new member and the leader both report that they are voters in contact with a majority, and that the
+// voters are exactly the current members.
+func measureTolerance(binary string, network, rounds int, replace replacement) (metrics, error) {
 	k, err := startControlCore(binary, network, controlRoutes)
 	if err != nil {
 		return nil, err
@@ -84,8 +86,8 @@
 		if err != nil {
 			return measured, err
 		}
-		if err := until("full tolerance", func() bool {
-			return k.tolerant(k.hosts[newcomer]) && k.leaderTolerant()
+		if err := waitFor("full tolerance", func() bool {
+			return k.reportsHealthy(k.hosts[newcomer]) && k.leaderReportsHealthy()
 		}); err != nil {
 			return measured, err
 		}
@@ -97,11 +99,11 @@
 	return measured, nil
 }
 
-// leaderTolerant says that the member that leads says that the core is healthy.
-func (k *controlCore) leaderTolerant() bool {
+// leaderReportsHealthy reports whether the leader states that the core is healthy.
+func (k *controlCore) leaderReportsHealthy() bool {
 	for _, host := range k.hosts {
 		if v := k.view(host); v != nil && v.Leader == k.internalAt(host) {
-			return k.tolerant(host)
+			return k.reportsHealthy(host)
 		}
 	}
 	return false
--- a/cmd/measure/control_links.go
+++ b/cmd/measure/control_links.go
@@ -17,13 +17,13 @@
 	"caperarch/internal/mesh/replication"
 )
 
-// proposeTimeout bounds a change on its way through a replica, as in the control plane.
+// proposeTimeout limits a proposal at a replica. The control plane uses the same value.
 const proposeTimeout = 900 * time.Millisecond
 
-// stallingStorage is a storage whose writes wait while it is stalled.
+// stallingStorage is a storage whose writes block while it is stalled.
 type stallingStorage struct {
 	replication.Storage
-	// stalled is closed at the end of the stall; nil while there is none.
+	// stalled holds a channel that is closed at the end of the stall; nil if the storage is not stalled.
 	stalled atomic.Pointer[chan struct{}]
 }
 
@@ -35,7 +35,7 @@
 	return d.Storage.Save(batch)
 }
 
-// stall makes writes wait until the function that it returns is called.
+// stall makes writes block until the returned function is called.
 func (d *stallingStorage) stall() (end func()) {
 	ended := make(chan struct{})
 	d.stalled.Store(&ended)
@@ -45,17 +45,17 @@
 	}
 }
 
-// linkedReplica is one replica of linkedCore.
+// linkedReplica is a replica of a linkedCore.
 type linkedReplica struct {
 	id          replication.MemberID
 	storage     *stallingStorage
 	node        *replication.Node
 	applied     atomic.Uint64
-	partitioned atomic.Bool // from all others
+	partitioned atomic.Bool // from all other replicas
 }
 
-// linkedCore is replicas in this process, over stores on disk. Their messages are passed on as JSON,
-// unless the sender or the receiver is partitioned.
+// linkedCore is a set of replicas in this process with stores on disk. Their messages are encoded as JSON and
+// delivered, unless the sender or the receiver is partitioned.
 type linkedCore struct{ replicas []*linkedReplica }
 
 func startLinkedCore(c cleanups) (*linkedCore, error) {
@@ -77,7 +77,7 @@
 			return nil, err
 		}
 	}
-	return l, until("a leader", func() bool { return l.leader() != nil })
+	return l, waitFor("a leader", func() bool { return l.leader() != nil })
 }
 
 func (r *linkedReplica) appliedIndex() replication.Index { return replication.Index(r.applied.Load()) }
@@ -111,7 +111,7 @@
 	return nil
 }
 
-// deliver passes copies of messages on to a replica.
+// deliver delivers copies of messages to a replica.
 func (l *linkedCore) deliver(from *linkedReplica, to replication.MemberID, msgs []replication.Message) {
 	receiver := l.replica(to)
 	if receiver == nil || receiver.node == nil || from.partitioned.Load() || receiver.partitioned.Load() {
@@ -136,7 +136,7 @@
 	return nil
 }
 
-// leader returns the replica that leads and is in contact, nil for none.
+// leader returns the replica that is leader and in contact with a majority, or nil.
 func (l *linkedCore) leader() *linkedReplica {
 	for _, r := range l.replicas {
 		if r.node.Status().IsLeader && r.node.InContact() {
@@ -146,9 +146,9 @@
 	return nil
 }
 
-// waitUntilHealthy waits until all replicas are in contact and can write.
+// waitUntilHealthy waits until all replicas are in contact with a majority and their storage has not failed.
 func (l *linkedCore) waitUntilHealthy() error {
-	return until("a healthy core", func() bool {
+	return waitFor("a healthy core", func() bool {
 		for _, r := range l.replicas {
 			if !r.node.InContact() || r.node.Status().StorageFailed {
 				return false
@@ -158,7 +158,7 @@
 	})
 }
 
-// propose sends a change to a replica, which forwards it to the leader that it knows of.
+// propose sends a change to a replica, which forwards it to the leader that the replica knows.
 func (l *linkedCore) propose(ctx context.Context, machine int, number int64) error {
 	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
 	defer cancel()
@@ -173,13 +173,13 @@
 	}
 	_, err := leader.node.Propose(ctx, binary.BigEndian.AppendUint64(nil, uint64(number)))
 	if err == nil && leader != asked && (asked.partitioned.Load() || leader.partitioned.Load()) {
-		<-ctx.Done() // nor does one whose response meets a partition
+		<-ctx.Done() // the partition drops the response
 		return ctx.Err()
 	}
 	return err
 }
 
-// linkFault injects a fault at a replica; heal ends it.
+// linkFault injects a fault at a replica. The returned function heals the fault.
 type linkFault func(r *linkedReplica) (heal func())
 
 func partitionReplica(r *linkedReplica) func() {
@@ -189,8 +189,8 @@
 
 func stallReplicaStorage(r *linkedReplica) func() { return r.storage.stall() }
 
-// measureLinkFault measures the times from a fault of the leader's links or disk until another replica
-// leads, and until the next acknowledged change.
+// measureLinkFault measures the times from a fault of the leader's links or disk until another replica is leader, and
+// until the next acknowledged change.
 func measureLinkFault(rounds int, fault linkFault) (metrics, error) {
 	cleanup := newCleanups()
 	defer cleanup.end()
@@ -199,20 +199,20 @@
 		return nil, err
 	}
 	client := newOperator(controlMembers, 0, core.propose)
-	defer client.goOn()()
+	defer client.startSending()()
 	measured := metrics{}
 	for range rounds {
 		if err := core.waitUntilHealthy(); err != nil {
 			return measured, err
 		}
-		time.Sleep(rand.N(2 * operatorBackoff)) // no fixed place in the operator's rhythm
+		time.Sleep(rand.N(2 * operatorBackoff)) // a random phase relative to the operator's changes
 		leader := core.leader()
 		if leader == nil {
-			return measured, errors.New("the leader was lost by itself")
+			return measured, errors.New("the core lost its leader before the fault was injected")
 		}
 		at := time.Now()
 		heal := fault(leader)
-		err := until("another leader", func() bool { return core.otherLeader(leader) })
+		err := waitFor("another leader", func() bool { return core.otherLeader(leader) })
 		elected := time.Since(at)
 		took, nextErr := client.next(at)
 		heal()
@@ -225,7 +225,7 @@
 	return measured, nil
 }
 
-// otherLeader says that a replica other than the lost one leads.
+// otherLeader reports whether a replica other than lost is leader.
 func (l *linkedCore) otherLeader(lost *linkedReplica) bool {
 	for _, r := range l.replicas {
 		if r != lost && r.node.Status().IsLeader {
--- a/cmd/measure/control_operator.go
+++ b/cmd/measure/control_operator.go
@@ -8,30 +8,30 @@
 )
 
 const (
-	// operatorTimeout is how long an operator waits for an answer before it goes on to the next machine.
+	// operatorTimeout limits the wait for a response before the operator tries the next machine.
 	operatorTimeout = time.Second
-	// operatorBackoff is between an acknowledgement and the next change, and between a failure and the
-	// next try.
+	// operatorBackoff is the pause between an acknowledgement and the next change, and between a failed attempt and the
+	// next attempt.
 	operatorBackoff = 50 * time.Millisecond
 )
 
-// acknowledgement is when a change was acknowledged, and when the attempt began that was.
+// acknowledgement holds the times at which the successful attempt of a change was sent and answered.
 type acknowledgement struct{ sent, answered time.Time }
 
-// operator sends numbered changes, one after another: each goes to one machine after another, the same
-// again, until it is acknowledged.
+// operator sends numbered changes one after the other. It sends each change to one machine after the other until a
+// machine acknowledges the change.
 type operator struct {
-	// send sends the change of a number to a machine, within ctx.
+	// send sends the change with a number to a machine.
 	send func(ctx context.Context, machine int, number int64) error
-	// machines is how many there are, number the newest change that was acknowledged.
+	// machines is the number of machines, and number the number of the newest acknowledged change.
 	machines int
 	number   int64
-	// interval is between an acknowledgement and the next change.
+	// interval is the pause between an acknowledgement and the next change.
 	interval time.Duration
 
-	mu    sync.Mutex
+	mu    sync.Mutex // guards the fields below
 	acks  []acknowledgement
-	woken chan struct{}
+	woken chan struct{} // closed and replaced at each acknowledgement
 }
 
 func newOperator(machines int, number int64,
@@ -40,8 +40,8 @@
 		woken: make(chan struct{})}
 }
 
-// goOn sends changes until the function that it returns is called.
-func (o *operator) goOn() (stop func()) {
+// startSending sends changes until the returned function is called.
+func (o *operator) startSending() (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var done sync.WaitGroup
 	done.Go(func() {
@@ -56,7 +56,8 @@
 	}
 }
 
-// change has one change acknowledged, from a machine on, and returns the machine that did it.
+// change sends the next change, first to the given machine, until it is acknowledged. It returns the machine that
+// acknowledged the change.
 func (o *operator) change(ctx context.Context, machine int) int {
 	for ; ctx.Err() == nil; machine = (machine + 1) % o.machines {
 		sent := time.Now()
@@ -72,6 +73,7 @@
 	return machine
 }
 
+// acknowledged records an acknowledgement and wakes callers of next.
 func (o *operator) acknowledged(a acknowledgement) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -81,7 +83,8 @@
 	o.woken = make(chan struct{})
 }
 
-// next is how long after a moment the first change was acknowledged by an attempt that began behind it.
+// next waits for the first acknowledgement of an attempt sent at or after a time, and returns the time from then to the
+// acknowledgement.
 func (o *operator) next(after time.Time) (time.Duration, error) {
 	bound := time.After(meshStartTimeout)
 	for {
@@ -98,11 +101,12 @@
 		select {
 		case <-woken:
 		case <-bound:
-			return 0, fmt.Errorf("no change was acknowledged for %v", meshStartTimeout)
+			return 0, fmt.Errorf("no change was acknowledged within %v", meshStartTimeout)
 		}
 	}
 }
 
+// wait sleeps for d or until ctx ends.
 func wait(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
@@ -110,12 +114,12 @@
 	}
 }
 
-// until asks every 5 ms until a condition holds.
-func until(what string, holds func() bool) error {
+// waitFor polls a condition every 5 ms until it holds or meshStartTimeout has passed.
+func waitFor(what string, holds func() bool) error {
 	for end := time.Now().Add(meshStartTimeout); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		if holds() {
 			return nil
 		}
 	}
-	return fmt.Errorf("%s: not within %v", what, meshStartTimeout)
+	return fmt.Errorf("waited for %s: timed out after %v", what, meshStartTimeout)
 }
--- a/cmd/measure/mesh_size.go
+++ b/cmd/measure/mesh_size.go
@@ -33,7 +33,9 @@
 }
 
 // measureMeshSize measures a mesh of one size: while idle, during configuration changes and with token requests.
-func measureMeshSize(binary string, shape meshShape, windows int, windowLength time.Duration) (s meshSizeResult, err error) {
+func measureMeshSize(
+	binary string, shape meshShape, windows int, windowLength time.Duration,
+) (s meshSizeResult, err error) {
 	c := newCleanups()
 	defer c.end()
 	r, err := startMeshRun(c, binary, shape, meshRoutes)
@@ -77,7 +79,7 @@
 	}
 	s.requesting = requesting.minus(s.idle)
 	s.tokenBytes, s.tokenCPU = (s.requesting.sidecarIn+s.requesting.sidecarOut)/n, s.requesting.sidecarCPU/n
-	fmt.Printf("%s, an ask for tokens every %v from each: %.0f/s answered, %.0f/s failed, p50 %.2f p99 "+
+	fmt.Printf("%s, a token request every %v from each sidecar: %.0f/s answered, %.0f/s failed, p50 %.2f p99 "+
 		"%.2f ms; a sidecar more: %.0f B/s, %.3f %% of a core; leader more: %.1f %%, another member "+
 		"more: %.1f %%; members hold %.1f and %.1f MiB\n",
 		kind, meshRequestInterval, s.requesting.tokenRequests, s.requesting.failed, p50, p99, s.tokenBytes,
--- a/cmd/measure/proxy_bench.go
+++ b/cmd/measure/proxy_bench.go
@@ -7,25 +7,26 @@
 	"caperarch/internal/lab/testbed"
 )
 
-// bench is the stand-ins and subjects that both measurements need.
+// bench is the setup of the proxy measurements: a process of simulated nodes, and the daemon in front of the nodes.
 type bench struct {
 	dir       string
-	config    string // file of a plug-in
-	addresses []string
+	config    string   // configuration file of the plug-in
+	addresses []string // of the nodes
 	nodes     *process
 	daemon    *process
-	at        string // the daemon
+	at        string // address of the daemon
 }
 
 func newBench() (*bench, error) { return newBenchOf("", 1000, 2100) }
 
-// newBenchOf has nodes of a kind, and a daemon that holds so many requests at once, for tenants with a quota each.
+// newBenchOf starts nodes of a kind, and a daemon with a limit on open requests and a quota per tenant in requests per
+// second.
 func newBenchOf(kind string, maxOpen int, quota float64) (b *bench, err error) {
 	b = new(bench)
 	if b.dir, err = os.MkdirTemp("", "measure"); err != nil {
 		return nil, err
 	}
-	made := b // a return with an error leaves none in b
+	made := b // a return with an error sets b to nil
 	defer func() {
 		if err != nil {
 			made.close()
@@ -74,7 +75,7 @@
 	_ = os.RemoveAll(b.dir)
 }
 
-// through makes a load through a process and returns its CPU time a request besides, in µs.
+// through generates a load through a process. It returns the outcome and the process's CPU time in µs per request.
 func (b *bench) through(p *process, address string, l load) (outcome, float64, error) {
 	l.Mode, l.Address = "through", address
 	before, _, err := usage(p.cmd.Process.Pid)
@@ -89,7 +90,7 @@
 	return o, float64((after - before).Microseconds()) / float64(o.Requests), err
 }
 
-// startProxy starts the standard library's reverse proxy before the nodes, and returns its address.
+// startProxy starts the standard library's reverse proxy in front of the nodes, and returns its address.
 func (b *bench) startProxy() (*process, string, error) {
 	p, err := startChild(nil, "proxy", b.addresses...)
 	if err != nil {
--- a/cmd/measure/proxy_daemon.go
+++ b/cmd/measure/proxy_daemon.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// daemonBound is what of the proxy's CPU the daemon may take a request; the aim is 0.45.
+// daemonBound is the largest ratio of the CPU time per request of the daemon to that of the proxy; the target is 0.45.
 const daemonBound = 0.55
 
-// measureDaemon: 16 connections, nodes that take 2 ms; direct calls, the standard library's reverse proxy and the
-// daemon, each of the two held to one core.
+// measureDaemon compares direct calls, calls through the standard library's reverse proxy and calls through the daemon,
+// with 16 and 256 connections and nodes that take 2 ms. The proxy and the daemon are each limited to one core.
 func measureDaemon(short bool) (string, []string, error) {
-	b, err := newBenchOf("", 1000, 20000) // 256 at once must fit in the compartments
+	b, err := newBenchOf("", 1000, 20000) // 256 concurrent requests must fit into the limits of the compartments
 	if err != nil {
 		return "", nil, err
 	}
@@ -42,11 +42,11 @@
 		fmt.Printf("%d connections: CPU a request, daemon over proxy: %v\n", connections, ratio)
 		fmt.Printf("%d connections: p50, daemon over proxy:           %v\n", connections, p50)
 		if ratio.median() > daemonBound {
-			missed = append(missed, fmt.Sprintf("at %d connections the daemon takes %.2f of the proxy's "+
-				"CPU, %.2f at most", connections, ratio.median(), daemonBound))
+			missed = append(missed, fmt.Sprintf("at %d connections the daemon uses %.2f of the proxy's "+
+				"CPU time, want at most %.2f", connections, ratio.median(), daemonBound))
 		}
 		if p50.median() > 1 {
-			missed = append(missed, fmt.Sprintf("at %d connections the daemon's p50 is %.2f of the proxy's, 1 at most",
+			missed = append(missed, fmt.Sprintf("at %d connections the daemon's p50 is %.2f of the proxy's, want at most 1",
 				connections, p50.median()))
 		}
 		result += fmt.Sprintf("cpu_ratio_%d=%.3f cpu_us_%d=%.1f p50_ratio_%d=%.3f ", connections,
@@ -55,7 +55,7 @@
 	return fmt.Sprintf("%srounds=%d", result, rounds), missed, nil
 }
 
-// daemonRound makes the same load directly, through the reverse proxy and through the daemon.
+// daemonRound generates the same load directly, through the reverse proxy and through the daemon.
 func (b *bench) daemonRound(name string, f metrics, proxy *process, proxyAt string, l load) error {
 	l.Mode = "direct"
 	direct, err := l.run()
--- a/cmd/measure/proxy_flood.go
+++ b/cmd/measure/proxy_flood.go
@@ -12,18 +12,18 @@
 	"time"
 )
 
-// floods are what the flooded pool's clients do.
-var floods = []string{"full bodies", "bodies a byte at a time", "connections that say nothing",
+// floodKinds are the kinds of load that the flooded pool is exposed to.
+var floodKinds = []string{"full bodies", "bodies a byte at a time", "connections that say nothing",
 	"nodes that answer nothing"}
 
-// flooding is what a flood is asked for.
+// flooding is the configuration of a process that floods a pool.
 type flooding struct {
 	Kind, Address, Host string
 	Seconds             float64
 	Connections         int
 }
 
-// flood is a process that floods one pool, for a time that ends by itself.
+// flood runs a child process that floods one pool for a fixed time.
 func flood(args []string) error {
 	var f flooding
 	if err := json.Unmarshal([]byte(args[0]), &f); err != nil {
@@ -53,7 +53,7 @@
 	return nil
 }
 
-// dial opens a connection that lasts until end at most; nil: none is to be had.
+// dial opens a connection with a deadline at end. It returns nil if the connection fails.
 func (f *flooding) dial(end time.Time) net.Conn {
 	c, err := net.Dial("tcp", f.Address)
 	if err != nil {
@@ -64,6 +64,7 @@
 	return c
 }
 
+// holdIdle holds a connection open without sending anything, until the server closes it or end is reached.
 func (f *flooding) holdIdle(end time.Time) {
 	c := f.dial(end)
 	if c == nil {
@@ -73,12 +74,14 @@
 	_, _ = c.Read(make([]byte, 1))
 }
 
+// requestHead returns the head of request n on connection i, with a body of length bytes.
 func (f *flooding) requestHead(i, n, length int) string {
 	return fmt.Sprintf("POST /entry HTTP/1.1\r\nHost: %s\r\nX-Request-ID: f%d-%d-%d\r\n"+
 		"X-Priority-Class: entry\r\nX-Tenant-Id: north\r\n"+
 		"X-Timeout: 2000m\r\nContent-Length: %d\r\n\r\n", f.Host, i, n, time.Now().UnixNano(), length)
 }
 
+// trickle sends a request with a body of 64 KiB at one byte every 50 ms, until the connection fails.
 func (f *flooding) trickle(i, n int, end time.Time) {
 	c := f.dial(end)
 	if c == nil {
@@ -96,6 +99,7 @@
 	}
 }
 
+// sendBodies sends requests with bodies of 64 KiB on one connection, and counts responses and rejections.
 func (f *flooding) sendBodies(i int, end time.Time, done, refused *atomic.Int64) {
 	client := http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1}, Timeout: 3 * time.Second}
 	text := strings.Repeat("x", 64<<10)
@@ -120,7 +124,7 @@
 		done.Add(1)
 		if res.StatusCode == http.StatusServiceUnavailable {
 			refused.Add(1)
-			time.Sleep(20 * time.Millisecond) // ten times its limit, not all that the machine can send
+			time.Sleep(20 * time.Millisecond) // limits the flood to about ten times the pool's limit
 		}
 	}
 }
--- a/cmd/measure/proxy_load.go
+++ b/cmd/measure/proxy_load.go
@@ -17,37 +17,37 @@
 	"caperarch/plugin"
 )
 
-// load is what a host of callers is asked for, and told what came of it.
+// load is the load that a process of callers generates. It is passed to the process as JSON.
 type load struct {
 	Mode        string // direct, plugin or through (a daemon or proxy at Address)
-	Address     string // through
-	Config      string // plugin: the file
+	Address     string // of the daemon or proxy, in mode through
+	Config      string // configuration file, in mode plugin
 	Nodes       []string
-	Rate        float64 // requests a second, open loop; 0: Connections callers, one request after the other
+	Rate        float64 // requests per second, open loop; 0: closed loop with Connections callers
 	Connections int
 	Seconds     float64
 	Seed        uint64
-	Host        string // header; "": the address
-	Lenient     bool   // failures are part of the result
+	Host        string // Host header; "": the address
+	Lenient     bool   // failed requests are not an error
 	Series      bool   // report each request
 
-	series [][2]float64
+	series [][2]float64 // see outcome.Series
 }
 
-// outcome is what came of a load.
+// outcome is the result of a load.
 type outcome struct {
-	P50, P99, P999 float64 // of the time of a request from when it was due, in ms
+	P50, P99, P999 float64 // of request durations, counted from the time at which a request was due, in ms
 	Requests       int
 	Failed         int
-	CPU            float64 // of the host, µs a request
-	Allocs         float64 // of the host, a request
-	RSS            float64 // MiB
-	// of each request: when it was due, in s, and its time, in ms; -1: it failed
+	CPU            float64 // CPU time of the process of callers, in µs per request
+	Allocs         float64 // allocations of the process of callers, per request
+	RSS            float64 // resident memory of the process of callers, in MiB
+	// Series has, for each request, the time at which it was due in s and its duration in ms, or -1 if it failed.
 	Series [][2]float64 `json:",omitempty"`
 }
 
-// host is a process of callers.
-func host(args []string) error {
+// callers runs a child process of callers, which generates a load.
+func callers(args []string) error {
 	var l load
 	if err := json.Unmarshal([]byte(args[0]), &l); err != nil {
 		return err
@@ -67,7 +67,7 @@
 	}
 	client := http.Client{Transport: transport}
 	call := func(n int) error { return l.call(&client, n) }
-	for n := range 64 { // connections, pools and the module's first word of the servers
+	for n := range 64 { // opens connections, fills pools and lets the plug-in learn the state of the servers
 		_ = call(1_000_000 + n)
 	}
 	drive := l.open
@@ -96,7 +96,7 @@
 	})
 }
 
-// call sends the request of a number and reads its answer.
+// call sends request n and reads its response.
 func (l *load) call(client *http.Client, n int) error {
 	address := l.Address
 	if l.Mode != "through" {
@@ -123,12 +123,13 @@
 		return err
 	}
 	if res.StatusCode != http.StatusOK {
-		return fmt.Errorf("answered %s", res.Status)
+		return fmt.Errorf("got status %s, want 200 OK", res.Status)
 	}
 	return nil
 }
 
-// open calls at times drawn ahead, whatever the answers do: a slow one makes no later one come later.
+// open generates an open-loop load: the times of calls are independent of responses, so that a slow response does not
+// delay later calls.
 func (l *load) open(call func(int) error) (times []time.Duration, failed int) {
 	rng := rand.New(rand.NewPCG(l.Seed, 0))
 	var mu sync.Mutex
@@ -158,7 +159,7 @@
 	return times, failed
 }
 
-// closed has callers that each send one request after the other.
+// closed generates a closed-loop load: each of Connections callers sends one request after the other.
 func (l *load) closed(call func(int) error) (times []time.Duration, failed int) {
 	var mu sync.Mutex
 	var callers sync.WaitGroup
@@ -183,7 +184,7 @@
 	return times, failed
 }
 
-// run has a host of callers make a load.
+// run starts a process of callers that generates the load, and returns the outcome.
 func (l load) run() (outcome, error) {
 	raw, err := json.Marshal(l)
 	if err != nil {
--- a/cmd/measure/proxy_nodes.go
+++ b/cmd/measure/proxy_nodes.go
@@ -22,7 +22,8 @@
 	body     = "weight 41.5 kg; hive 7; the rest is padding as a gateway app has it ..................................."
 )
 
-// serveNodes is the records nodes, on addresses of their own, and discovery. It prints discovery's address and theirs.
+// serveNodes runs a child process with simulated nodes, each at its own address, and discovery. It prints the addresses
+// of discovery and of the nodes.
 func serveNodes(args []string) error {
 	silent := len(args) > 0 && args[0] == "silent"
 	var addresses []string
@@ -55,7 +56,7 @@
 	}
 	fmt.Println("nodes", l.Addr(), strings.Join(addresses, " "))
 	return http.Serve(l, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if r.URL.RawQuery != "" { // a watch: nothing changes
+		if r.URL.RawQuery != "" { // a watch: the list does not change
 			select {
 			case <-r.Context().Done():
 			case <-time.After(20 * time.Second):
@@ -65,9 +66,9 @@
 	}))
 }
 
-// serveProxy is the standard library's reverse proxy before the nodes, in turn.
+// serveProxy runs a child process with the standard library's reverse proxy, which uses the nodes in turn.
 func serveProxy(addresses []string) error {
-	runtime.GOMAXPROCS(1) // as the daemon
+	runtime.GOMAXPROCS(1) // the same as the daemon
 	var mu sync.Mutex
 	next := 0
 	proxy := &httputil.ReverseProxy{
--- a/cmd/measure/proxy_plugin.go
+++ b/cmd/measure/proxy_plugin.go
@@ -11,15 +11,15 @@
 
 // Bounds of the plug-in.
 const (
-	addedShare  = 1.0 / 3 // of what the daemon adds to p50
-	maxAllocs   = 40.0    // a request, beyond net/http's own
-	idleBytes   = 256 << 10
-	idleRoutine = 6.0
-	idlePlugins = 200
+	maxAddedShare     = 1.0 / 3   // of the latency that the daemon adds to p50
+	maxAllocs         = 40.0      // per request, in addition to net/http's allocations
+	maxIdleBytes      = 256 << 10 // per idle plug-in
+	maxIdleGoroutines = 6.0       // goroutines per idle plug-in
+	idlePlugins       = 200       // idle plug-ins that are measured together
 )
 
-// measurePlugin: 350 and 2,100 requests a second, open loop; direct calls, the plug-in's RoundTripper, and calls
-// through a daemon. Then idle plug-ins.
+// measurePlugin compares direct calls, calls through the plug-in's RoundTripper and calls through a daemon, at 350 and
+// 2,100 requests per second in an open loop. Then it measures idle plug-ins.
 func measurePlugin(short bool) (string, []string, error) {
 	b, err := newBench()
 	if err != nil {
@@ -45,13 +45,13 @@
 		printPlugin(f)
 		plug, daemon := f["plugin p50"].minus(f["direct p50"]), f["daemon p50"].minus(f["direct p50"])
 		allocs := f["plugin allocs"].minus(f["direct allocs"])
-		if plug.median() > daemon.median()*addedShare {
-			missed = append(missed, fmt.Sprintf("at %.0f/s the plug-in adds %.3f ms to p50, a third of "+
-				"the daemon's %.3f at most", rate, plug.median(), daemon.median()))
+		if plug.median() > daemon.median()*maxAddedShare {
+			missed = append(missed, fmt.Sprintf("at %.0f/s the plug-in adds %.3f ms to p50, want at most "+
+				"a third of the daemon's %.3f ms", rate, plug.median(), daemon.median()))
 		}
 		if allocs.median() > maxAllocs {
-			missed = append(missed, fmt.Sprintf("at %.0f/s the plug-in allocates %.1f times more a "+
-				"request than net/http, %.0f at most", rate, allocs.median(), maxAllocs))
+			missed = append(missed, fmt.Sprintf("at %.0f/s the plug-in makes %.1f more allocations per "+
+				"request than net/http, want at most %.0f", rate, allocs.median(), maxAllocs))
 		}
 		result += fmt.Sprintf("added_p50_ms_%.0f=%.3f daemon_added_p50_ms_%.0f=%.3f "+
 			"extra_allocs_%.0f=%.1f cpu_us_%.0f=%.1f daemon_cpu_us_%.0f=%.1f ",
@@ -63,13 +63,13 @@
 		return "", nil, err
 	}
 	fmt.Printf("an idle plug-in of %d in one process: %.1f KiB, %.2f goroutines\n", idlePlugins, bytes/1024, routines)
-	if bytes > idleBytes || routines > idleRoutine {
-		missed = append(missed, fmt.Sprintf("an idle plug-in takes %.0f KiB and %.2f goroutines", bytes/1024, routines))
+	if bytes > maxIdleBytes || routines > maxIdleGoroutines {
+		missed = append(missed, fmt.Sprintf("an idle plug-in uses %.0f KiB and %.2f goroutines", bytes/1024, routines))
 	}
 	return result + fmt.Sprintf("idle_kib=%.1f idle_goroutines=%.2f", bytes/1024, routines), missed, nil
 }
 
-// pluginRound makes the same load directly, through the plug-in and through the daemon.
+// pluginRound generates the same load directly, through the plug-in and through the daemon.
 func (b *bench) pluginRound(f metrics, l load) error {
 	l.Mode = "direct"
 	direct, err := l.run()
@@ -81,7 +81,7 @@
 	if err != nil {
 		return err
 	}
-	l.Seed++ // the ids of the last are spent
+	l.Seed++ // the daemon must not receive request IDs that were already used
 	by, daemonCPU, err := b.through(b.daemon, b.at, l)
 	if err != nil {
 		return err
@@ -104,7 +104,7 @@
 	return nil
 }
 
-// printPlugin prints what the rounds at one rate gave.
+// printPlugin prints the results of all rounds at one rate.
 func printPlugin(f metrics) {
 	for _, name := range []string{"p50", "p99", "p99.9"} {
 		fmt.Printf("  %-6s direct %v ms; added by the plug-in %v, by the daemon %v\n", name, f["direct "+name],
@@ -117,8 +117,8 @@
 		f["direct RSS"], f["plugin RSS"], f["daemon RSS"], f["daemon's own RSS"])
 }
 
-// idlePluginCost is what an idle plug-in costs in memory (heap and stack memory, in bytes) and goroutines, a part
-// of what they share included.
+// idlePluginCost returns the memory (heap and stack, in bytes) and the goroutines per idle plug-in. Resources that all
+// plug-ins share are divided by their number.
 func idlePluginCost(config string) (bytes, routines float64, err error) {
 	held := func() (float64, float64) {
 		runtime.GC()
@@ -144,7 +144,7 @@
 		}
 		clients = append(clients, c)
 	}
-	time.Sleep(2 * time.Second) // they have their lists and their first rounds
+	time.Sleep(2 * time.Second) // until the plug-ins have received their lists and completed their first rounds
 	bytesAfter, routinesAfter := held()
 	return (bytesAfter - bytesBefore) / idlePlugins, (routinesAfter - routinesBefore) / idlePlugins, nil
 }
--- a/cmd/measure/proxy_pools.go
+++ b/cmd/measure/proxy_pools.go
@@ -10,20 +10,20 @@
 	"caperarch/internal/lab/testbed"
 )
 
-// Bounds of the pools: what the quiet one keeps while the other is flooded.
+// Bounds for the quiet pool while the other pool is flooded, relative to a run without a flood.
 const (
-	keptGoodput = 0.99
-	keptP99     = 1.5
-	quietRate   = 200.0
+	minGoodputRatio = 0.99  // least ratio of goodput
+	maxP99Ratio     = 1.5   // largest ratio of p99
+	quietRate       = 200.0 // requests per second
 )
 
-// poolsBench is a daemon with two pools, quiet and flooded, on nodes of their own.
+// poolsBench is the setup for a daemon with two pools, quiet and flooded, each with its own nodes.
 type poolsBench struct {
 	dir      string
 	binary   string
 	config   string
 	children []*process
-	quiet    []string // addresses of its nodes
+	quiet    []string // addresses of the quiet pool's nodes
 }
 
 func newPoolsBench() (b *poolsBench, err error) {
@@ -75,7 +75,8 @@
 	_ = os.RemoveAll(b.dir)
 }
 
-// play runs the quiet pool's load for some seconds, with a flood (or "" for none) over the middle three fifths of them.
+// play generates the quiet pool's load for some seconds, with a flood of a kind during the middle three fifths of the
+// time. No flood is generated if kind is empty.
 func (b *poolsBench) play(kind string, walls bool, seconds float64, series bool) (outcome, error) {
 	other := "flooded"
 	if kind == "nodes that answer nothing" {
@@ -122,8 +123,9 @@
 	return o, err
 }
 
-// measurePools: a daemon with two pools on one core; one has a steady 200 requests a second, the
-// other is flooded, in four ways; with walls and without, beside the same with no flood.
+// measurePools measures a daemon with two pools on one core. One pool receives a steady 200 requests per second
+// while the other pool is flooded, in four ways. It compares runs with and without walls between the pools to runs
+// without a flood.
 func measurePools(short bool) (string, []string, error) {
 	b, err := newPoolsBench()
 	if err != nil {
@@ -140,7 +142,7 @@
 	var missed []string
 	result := ""
 	goodput := func(o outcome) float64 { return float64(o.Requests-o.Failed) / float64(o.Requests) }
-	for i, kind := range floods {
+	for i, kind := range floodKinds {
 		f := make(metrics)
 		for range rounds {
 			for name, how := range map[string]struct {
@@ -161,13 +163,13 @@
 			"%v ms\n  no walls: goodput %v, p50 %v, p99 %v ms\n",
 			kind, f["none goodput"], f["none p50"], f["none p99"], f["walls goodput"], f["walls p50"], f["walls p99"],
 			f["no walls goodput"], f["no walls p50"], f["no walls p99"])
-		if kept.median() < keptGoodput {
-			missed = append(missed, fmt.Sprintf("%s: the quiet pool keeps %.3f of its goodput, %.2f at least", kind,
-				kept.median(), keptGoodput))
+		if kept.median() < minGoodputRatio {
+			missed = append(missed, fmt.Sprintf("%s: the quiet pool keeps %.3f of its goodput, want at least %.2f", kind,
+				kept.median(), minGoodputRatio))
 		}
-		if slower.median() > keptP99 {
-			missed = append(missed, fmt.Sprintf("%s: the quiet pool's p99 is %.2f times what it was, %.1f at most",
-				kind, slower.median(), keptP99))
+		if slower.median() > maxP99Ratio {
+			missed = append(missed, fmt.Sprintf("%s: the quiet pool's p99 is %.2f times that without a flood, want at most %.1f",
+				kind, slower.median(), maxP99Ratio))
 		}
 		result += fmt.Sprintf("kept_%d=%.3f p99_ratio_%d=%.2f bare_kept_%d=%.3f ", i+1, kept.median(), i+1,
 			slower.median(), i+1,
--- a/cmd/measure/proxy_rest.go
+++ b/cmd/measure/proxy_rest.go
@@ -13,16 +13,16 @@
 )
 
 const (
-	restCPU    = 0.01    // of a core, while nothing comes
-	restWakes  = 150.0   // a second, over all threads, while nothing comes
-	restGrowth = 1 << 20 // bytes of memory, from the end of the first quarter to that of the last
-	seldom     = 10.0    // requests a second of a quiet sidecar
+	restCPU          = 0.01    // cores, without requests
+	restWakes        = 150.0   // context switches per second of all threads, without requests
+	restGrowth       = 1 << 20 // bytes of memory growth after the first quarter of the time
+	quietRequestRate = 10.0    // requests per second of a quiet sidecar
 )
 
-// atRest is what a process did in a stretch of time.
-type atRest struct{ wakes, cpu float64 } // a second
+// activity is the activity of a process: context switches per second, and CPU use in cores.
+type activity struct{ wakes, cpu float64 }
 
-// wakes are how often a process's threads were put on a core so far, of those that it has now.
+// wakes returns the number of context switches so far of the threads that a process has now.
 func wakes(pid int) (sum int64, err error) {
 	tasks, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/status", pid))
 	if err != nil || len(tasks) == 0 {
@@ -31,7 +31,7 @@
 	for _, name := range tasks {
 		file, err := os.Open(name)
 		if err != nil {
-			continue // it ended meanwhile
+			continue // the thread has exited
 		}
 		for lines := bufio.NewScanner(file); lines.Scan(); {
 			if key, value, _ := strings.Cut(lines.Text(), ":"); strings.HasSuffix(key, "ctxt_switches") {
@@ -44,8 +44,8 @@
 	return sum, nil
 }
 
-// watch lets a process be for a while, and samples its memory a hundred times.
-func watch(pid int, d time.Duration) (o atRest, memory []int64, err error) {
+// watch measures the activity of a process over a period, and samples its memory 100 times.
+func watch(pid int, d time.Duration) (o activity, memory []int64, err error) {
 	before, err := wakes(pid)
 	if err != nil {
 		return o, nil, err
@@ -69,20 +69,20 @@
 	}
 	used, _, err := usage(pid)
 	took := time.Since(begun).Seconds()
-	return atRest{float64(after-before) / took, (used - cpu).Seconds() / took}, memory, err
+	return activity{float64(after-before) / took, (used - cpu).Seconds() / took}, memory, err
 }
 
-// quarters are the greatest memory in each fourth of the time, in bytes.
-func quarters(memory []int64) (most [4]int64) {
+// quarterMaxima returns the largest memory sample in each quarter of the time, in bytes.
+func quarterMaxima(memory []int64) (most [4]int64) {
 	for i, rss := range memory {
 		most[4*i/len(memory)] = max(most[4*i/len(memory)], rss)
 	}
 	return most
 }
 
-// measureRest measures what a daemon does while nothing, or next to nothing, comes: a fleet of them
-// pays it all the time. In its long form it is 45 minutes at ten requests a second. The daemon
-// stands as it would in service: with an operators' address and a shared folder that it looks into.
+// measureRest measures the resource use of a daemon with no or few requests, which every daemon of a fleet has all the
+// time. The long form takes 45 minutes at ten requests per second. The daemon is configured as in production, with a
+// control address and a shared folder that it polls.
 func measureRest(short bool) (string, []string, error) {
 	idle, quiet := 20*time.Second, 45*time.Minute
 	if short {
@@ -99,12 +99,12 @@
 	}
 	defer s.kill()
 	pid := s.process.Process.Pid
-	time.Sleep(time.Second) // what a start does is over
+	time.Sleep(time.Second) // until the work at the start is done
 	still, _, err := watch(pid, idle)
 	if err != nil {
 		return "", nil, err
 	}
-	load := newSteady(s.listen, seldom)
+	load := newSteady(s.listen, quietRequestRate)
 	time.Sleep(time.Second)
 	busy, memory, err := watch(pid, quiet)
 	load.stop()
@@ -112,12 +112,12 @@
 	if err != nil {
 		return "", nil, err
 	}
-	most := quarters(memory)
+	most := quarterMaxima(memory)
 	growth := max(0, slices.Max(most[1:])-most[0])
 	const mib = 1 << 20
 	fmt.Printf("nothing comes, %v: %.0f wakes a second, %.2f%% of a core\n", idle, still.wakes, 100*still.cpu)
 	fmt.Printf("%.0f requests a second, %v: %.0f wakes a second, %.2f%% of a core; most memory by "+
-		"quarters %.1f, %.1f, %.1f, %.1f MiB; %d sent, %d failed\n", seldom, quiet,
+		"quarters %.1f, %.1f, %.1f, %.1f MiB; %d sent, %d failed\n", quietRequestRate, quiet,
 		busy.wakes, 100*busy.cpu, float64(most[0])/mib, float64(most[1])/mib, float64(most[2])/mib,
 		float64(most[3])/mib, load.sent.Load(), load.failed.Load())
 	var missed []string
@@ -131,7 +131,7 @@
 		{"requests failed", float64(load.failed.Load()), 0},
 	} {
 		if bound.got > bound.most {
-			missed = append(missed, fmt.Sprintf("%s: %.4g, at most %.4g", bound.what, bound.got, bound.most))
+			missed = append(missed, fmt.Sprintf("%s: %.4g, want at most %.4g", bound.what, bound.got, bound.most))
 		}
 	}
 	return fmt.Sprintf("idle_wakes=%.0f idle_cpu=%.4f quiet_wakes=%.0f quiet_cpu=%.4f growth_bytes=%d",
--- a/cmd/measure/proxy_service.go
+++ b/cmd/measure/proxy_service.go
@@ -20,30 +20,30 @@
 )
 
 const (
-	controlBound = time.Second // an operator's answer, under any load
-	touchedBound = 2           // requests an upgrade that meet a closed door
-	silentOnes   = 200
+	controlBound        = time.Second // longest duration of an operator's call, under any load
+	maxAffectedRequests = 2           // failed or resent requests per upgrade
+	silentConnections   = 200         // connections to the control port that send nothing
 )
 
-// service is a sidecar whose processes come and go.
+// service is a sidecar whose process is replaced by upgrades.
 type service struct {
 	b       *bench
 	binary  string
 	listen  string
-	tmp     string
+	tmp     string // TMPDIR of the processes
 	process *exec.Cmd
-	control string
-	n       int
+	control string // control address of the current process
+	n       int    // number of processes started
 }
 
-// newService starts the first process of one, of the daemon that the bench has built.
+// newService starts the first process of a service, with the daemon that the bench has built.
 func newService(b *bench) (s *service, err error) {
 	s = &service{b: b, binary: filepath.Join(b.dir, "caperarch"), tmp: b.dir, listen: testbed.FreeAddress(panicTB{})}
 	s.process, s.control, err = s.start()
 	return s, err
 }
 
-// start starts a process and returns once it says yes.
+// start starts a process and returns once the process reports that it is healthy.
 func (s *service) start() (cmd *exec.Cmd, control string, err error) {
 	control = testbed.FreeAddress(panicTB{})
 	raw, err := os.ReadFile(s.b.config)
@@ -73,7 +73,7 @@
 			return cmd, control, nil
 		}
 	}
-	return nil, "", fmt.Errorf("no yes within 10 s")
+	return nil, "", fmt.Errorf("daemon did not report that it is healthy within 10 s")
 }
 
 func (s *service) kill() {
@@ -83,8 +83,8 @@
 	}
 }
 
-// pair is what a sidecar's processes hold: bytes in memory, descriptors.
-func pair(pids ...int) (rss int64, descriptors int) {
+// processResources returns the sums of the resident memory in bytes and of the file descriptors of a sidecar's processes.
+func processResources(pids ...int) (rss int64, descriptors int) {
 	for _, pid := range pids {
 		if _, r, err := usage(pid); err == nil {
 			rss += r
@@ -96,8 +96,8 @@
 	return rss, descriptors
 }
 
-// steady sends at a rate until it is stopped, and counts what met a closed door: what failed, and
-// what had to be sent again.
+// steady sends requests at a rate until it is stopped. It counts requests that failed, and requests that were sent
+// again because their connection was closed.
 type steady struct {
 	client          http.Client
 	address         string
@@ -134,7 +134,7 @@
 	h := req.Header
 	h["X-Request-Id"] = []string{fmt.Sprintf("u-%d-%d", os.Getpid(), n)}
 	h["X-Priority-Class"], h["X-Tenant-Id"], h["X-Timeout"] = []string{"entry"}, []string{"north"}, []string{"2000m"}
-	req.GetBody = func() (io.ReadCloser, error) { // the client found its kept connection closed
+	req.GetBody = func() (io.ReadCloser, error) { // called for a resend on a new connection
 		l.again.Add(1)
 		return io.NopCloser(strings.NewReader(body)), nil
 	}
@@ -154,8 +154,8 @@
 	}
 }
 
-// upgrades replaces the process so many times under a rate, and returns how many requests met a
-// closed door and what the pair held at most.
+// upgrades replaces the process several times while requests are sent at a rate. It returns the counts of requests, and
+// the largest memory use and number of descriptors of the old and the new process together.
 func (s *service) upgrades(times int, rate float64) (l *steady, rss int64, descriptors int, err error) {
 	l = newSteady(s.listen, rate)
 	defer l.done.Wait()
@@ -166,13 +166,13 @@
 		if err != nil {
 			return l, 0, 0, err
 		}
-		r, d := pair(s.process.Process.Pid, next.Process.Pid)
+		r, d := processResources(s.process.Process.Pid, next.Process.Pid)
 		rss, descriptors = max(rss, r), max(descriptors, d)
 		if err := s.process.Process.Signal(syscall.SIGTERM); err != nil {
 			return l, 0, 0, err
 		}
 		if err := s.process.Wait(); err != nil {
-			return l, 0, 0, fmt.Errorf("the old process: %w", err)
+			return l, 0, 0, fmt.Errorf("old process did not exit with status 0: %w", err)
 		}
 		s.process, s.control = next, control
 	}
@@ -180,8 +180,9 @@
 	return l, rss, descriptors, nil
 }
 
-// callUnder is how long operators' calls take while clients saturate the process, and beside callers that say nothing.
-func (s *service) callUnder(seconds float64, silent int) (times []time.Duration, err error) {
+// controlCallTimes returns the durations of operators' calls while clients saturate the process and a number of connections to
+// the control port send nothing.
+func (s *service) controlCallTimes(seconds float64, silent int) (times []time.Duration, err error) {
 	for range silent {
 		c, err := net.Dial("tcp", s.control)
 		if err != nil {
@@ -200,15 +201,15 @@
 		begun := time.Now()
 		text, err := testbed.Operate(s.control, "counters")
 		if err != nil || !strings.HasSuffix(text, "EOF\n") {
-			return nil, fmt.Errorf("an operator's call: %q, %v", text, err)
+			return nil, fmt.Errorf("operator's call of counters: got %q, error %v, want a text that ends with EOF", text, err)
 		}
 		times = append(times, time.Since(begun))
 	}
 	return times, nil
 }
 
-// measureService: operators' calls while the core is saturated, replacements under load, streams
-// beside the standard library's reverse proxy.
+// measureService measures operators' calls while the core is saturated, upgrades under load, and the transfer of large
+// bodies compared to the standard library's reverse proxy.
 func measureService(short bool) (string, []string, error) {
 	b, err := newBenchOf("", 1000, 20000)
 	if err != nil {
@@ -225,8 +226,8 @@
 		times, seconds = 3, 2.0
 	}
 	result, missed := "", []string(nil)
-	for _, silent := range []int{0, silentOnes} {
-		took, err := s.callUnder(seconds, silent)
+	for _, silent := range []int{0, silentConnections} {
+		took, err := s.controlCallTimes(seconds, silent)
 		if err != nil {
 			return "", nil, err
 		}
@@ -235,7 +236,7 @@
 			"%.1f ms, %d calls\n", silent, p50, most, len(took))
 		result += fmt.Sprintf("call_p50_ms_%d=%.2f call_most_ms_%d=%.1f ", silent, p50, silent, most)
 		if most > float64(controlBound.Milliseconds()) {
-			missed = append(missed, fmt.Sprintf("an operator waited %.0f ms, %v at most", most, controlBound))
+			missed = append(missed, fmt.Sprintf("an operator's call took %.0f ms, want at most %v", most, controlBound))
 		}
 	}
 	for _, rate := range []float64{350, 2100} {
@@ -249,8 +250,8 @@
 			times, rate, l.sent.Load(), l.failed.Load(), l.again.Load(), l.refusals.Load(),
 			float64(rss)/(1<<20), descriptors)
 		result += fmt.Sprintf("touched_%.0f=%.2f failed_%.0f=%d ", rate, touched, rate, l.failed.Load())
-		if touched > touchedBound || l.failed.Load() > 0 {
-			missed = append(missed, fmt.Sprintf("%.2f requests an upgrade met a closed door at %.0f/s, %d failed",
+		if touched > maxAffectedRequests || l.failed.Load() > 0 {
+			missed = append(missed, fmt.Sprintf("%.2f requests per upgrade failed or were resent at %.0f/s, %d failed",
 				touched, rate, l.failed.Load()))
 		}
 	}
--- a/cmd/measure/proxy_streams.go
+++ b/cmd/measure/proxy_streams.go
@@ -9,12 +9,12 @@
 )
 
 const (
-	bulkSize   = 8 << 20 // of an answer of the "bulk" nodes, and of a body that is sent to them
-	bulkAtOnce = 8
+	bulkSize        = 8 << 20 // bytes of a large response, and of a large request body
+	bulkConcurrency = 8       // concurrent transfers
 )
 
-// measureStreams: answers and bodies of 8 MiB through the daemon and through the standard library's
-// reverse proxy, in turn.
+// measureStreams measures the transfer of response and request bodies of 8 MiB, alternately through the daemon and
+// through the standard library's reverse proxy.
 func measureStreams(short bool) (string, []string, error) {
 	b, err := newBenchOf("bulk", 1000, 20000)
 	if err != nil {
@@ -70,15 +70,15 @@
 	return result, nil, nil
 }
 
-// bulk makes so many transfers, bulkAtOnce at a time.
+// bulk makes a number of transfers, bulkConcurrency at a time.
 func bulk(address string, up bool, each, round int) error {
-	client := http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: bulkAtOnce,
+	client := http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: bulkConcurrency,
 		DisableCompression: true}, Timeout: time.Minute}
 	defer client.CloseIdleConnections()
 	failed := make(chan error, each)
 	work := make(chan int)
 	var all sync.WaitGroup
-	for range bulkAtOnce {
+	for range bulkConcurrency {
 		all.Go(func() {
 			for n := range work {
 				failed <- transfer(&client, address, up,
@@ -100,6 +100,7 @@
 	return nil
 }
 
+// transfer sends a large request body if up is set, otherwise it requests a large response.
 func transfer(client *http.Client, address string, up bool, id string) error {
 	size := int64(len(body))
 	if up {
@@ -124,12 +125,12 @@
 	defer res.Body.Close()
 	n, err := io.Copy(io.Discard, res.Body)
 	if err == nil && (res.StatusCode != http.StatusOK || !up && n != bulkSize) {
-		err = fmt.Errorf("answered %s, %d bytes", res.Status, n)
+		err = fmt.Errorf("got status %s and %d bytes", res.Status, n)
 	}
 	return err
 }
 
-// zeros is a body without end.
+// zeros is an endless body.
 type zeros struct{}
 
 func (zeros) Read(p []byte) (int, error) { return len(p), nil }
--- a/cmd/measure/proxy_turnaway.go
+++ b/cmd/measure/proxy_turnaway.go
@@ -5,11 +5,12 @@
 	"time"
 )
 
-// turnawayBound is what of a served request's CPU a refusal at the head may take.
+// turnawayBound is the largest ratio of the CPU time of a request that is rejected after its head to that of a served
+// request.
 const turnawayBound = 0.5
 
-// measureTurnaway: what a request costs that is refused at its head, with the place held by
-// another, beside one that is served.
+// measureTurnaway compares the CPU time of a request that is rejected after its head, because another request holds the
+// only slot, to that of a served request.
 func measureTurnaway(short bool) (string, []string, error) {
 	served, err := newBench()
 	if err != nil {
@@ -38,7 +39,7 @@
 			return "", nil, err
 		}
 		if float64(o.Failed) < 0.99*float64(o.Requests) {
-			return "", nil, fmt.Errorf("only %d of %d requests were refused", o.Failed, o.Requests)
+			return "", nil, fmt.Errorf("only %d of %d requests were rejected, want at least 99%%", o.Failed, o.Requests)
 		}
 		f.add("served", servedCPU)
 		f.add("refused", refusedCPU)
@@ -49,7 +50,7 @@
 	fmt.Println("CPU a request, refused at the head over served:", ratio)
 	var missed []string
 	if ratio.median() > turnawayBound {
-		missed = append(missed, fmt.Sprintf("a refusal takes %.2f of a served request's CPU, %.2f at most",
+		missed = append(missed, fmt.Sprintf("a rejection uses %.2f of a served request's CPU time, want at most %.2f",
 			ratio.median(), turnawayBound))
 	}
 	return fmt.Sprintf("cpu_ratio=%.3f refused_us=%.1f rounds=%d", ratio.median(), f["refused"].median(),
