--- a/cmd/demo/main.go
+++ b/cmd/demo/main.go
@@ -1,5 +1,5 @@
-// Demo shows a daemon at work on loopback: four stand-in nodes, discovery and a load of some seconds, while one
-// node goes silent and one drains.
+// Demo runs a daemon on loopback with four simulated nodes, discovery and a load of nine seconds, while one node stops
+// responding for a while and another node drains.
 package main
 
 import (
@@ -24,18 +24,18 @@
 	duration          = 9 * time.Second
 	requestsPerSecond = 150.0
 
-	// After the start:
+	// Times of the faults after the start, and the affected nodes:
 	hangFrom, hangUntil = 2 * time.Second, 5 * time.Second // s-2
 	drainFrom           = 6 * time.Second                  // s-3
 )
 
-// program is a testbed.TB outside of a test: a fatal error ends the process.
+// program is a testbed.TB for use outside of tests: a fatal error ends the process.
 type program struct{ cleanups []func() }
 
 // Helper does nothing: there is no test to attribute an error to.
 func (*program) Helper() {}
 
-// Cleanup registers what has to be done at the end, the last one first.
+// Cleanup registers a function to run at the end. The functions run in reverse order of registration.
 func (p *program) Cleanup(f func()) { p.cleanups = append(p.cleanups, f) }
 
 // Fatalf prints an error, cleans up and exits with status 1.
@@ -45,7 +45,7 @@
 	os.Exit(1)
 }
 
-// cleanUp runs what Cleanup registered.
+// cleanUp runs the functions that Cleanup registered.
 func (p *program) cleanUp() {
 	for i := len(p.cleanups) - 1; i >= 0; i-- {
 		p.cleanups[i]()
@@ -72,22 +72,22 @@
 	t.printSummary()
 }
 
-// scheduleFaults lets one node hang for a while and drains another one later.
+// scheduleFaults makes one node hang for a while and later drains another node.
 func scheduleFaults(p *program, t *table, discovery *testbed.Discovery) {
 	for _, fault := range []struct {
 		at   time.Duration
 		what string
 		do   func()
 	}{
-		{hangFrom, "s-2 goes silent: it takes requests and answers none", func() {
+		{hangFrom, "s-2 hangs: it accepts requests and sends no responses", func() {
 			t.nodes[2].Do(testbed.Always(testbed.Hang))
 			t.setState("s-2", "silent")
 		}},
-		{hangUntil, "s-2 answers again", func() {
+		{hangUntil, "s-2 responds again", func() {
 			t.nodes[2].Do(testbed.Always(testbed.Slow))
 			t.setState("s-2", "ready")
 		}},
-		{drainFrom, "s-3 drains: nothing new goes there", func() {
+		{drainFrom, "s-3 drains: it gets no new requests", func() {
 			discovery.Set(t.nodes[3], "draining")
 			t.setState("s-3", "draining")
 		}},
@@ -100,7 +100,7 @@
 	}
 }
 
-// sendLoad sends requests at random times, prints a line of the table a second and waits for the last answer.
+// sendLoad sends requests at random times, prints a line of the table per second and waits for the last response.
 func sendLoad(t *table, url string) {
 	var calls sync.WaitGroup
 	tick := time.NewTicker(time.Second)
@@ -121,8 +121,8 @@
 	t.printLine()
 }
 
-// startDaemon builds and starts the daemon with an example configuration, and returns its URL. The configuration file
-// is not removed, so that it can be read afterwards.
+// startDaemon builds and starts the daemon with an example configuration, and returns the daemon's URL. The
+// configuration file is kept, so that it can be read afterwards.
 func startDaemon(p *program, d *testbed.Discovery, nodes []*testbed.Node) string {
 	dir, err := os.MkdirTemp("", "caperarch-demo")
 	if err != nil {
@@ -140,7 +140,7 @@
 		p.Fatalf("%v", err)
 	}
 	if out, err := exec.Command("go", "build", "-o", binary, "caperarch/cmd/caperarch").CombinedOutput(); err != nil {
-		p.Fatalf("building the daemon: %v\n%s", err, out)
+		p.Fatalf("build the daemon: %v\n%s", err, out)
 	}
 	cmd := exec.Command(binary)
 	cmd.Env = append(os.Environ(), "EDGE_CONFIG="+config)
@@ -149,7 +149,7 @@
 		p.Fatalf("%v", err)
 	}
 	if err := cmd.Start(); err != nil {
-		p.Fatalf("starting the daemon: %v", err)
+		p.Fatalf("start the daemon: %v", err)
 	}
 	p.Cleanup(func() {
 		_ = cmd.Process.Signal(syscall.SIGTERM)
@@ -164,7 +164,7 @@
 	return "http://" + at
 }
 
-// findListenAddress reads the daemon's log to its end, and sends the address that it listens on.
+// findListenAddress reads the daemon's log to its end, and sends the address that the daemon listens on to a channel.
 func findListenAddress(log io.Reader, address chan<- string) {
 	for lines := bufio.NewScanner(log); lines.Scan(); {
 		if _, rest, ok := strings.Cut(lines.Text(), " listen="); ok {
@@ -174,7 +174,8 @@
 	}
 }
 
-// call makes one request of a mix and returns its answer: served, refused or failed.
+// call sends request n of a fixed mix and returns its outcome: served, refused, failed, no answer or the text of an
+// error.
 func call(client *http.Client, url string, n int) string {
 	class, method, body := "reading", http.MethodPost, io.Reader(strings.NewReader("41.5 kg"))
 	switch n % 5 {
--- a/cmd/demo/table.go
+++ b/cmd/demo/table.go
@@ -8,7 +8,7 @@
 	"caperarch/internal/lab/testbed"
 )
 
-// table counts answers, and prints a line a second and the summary.
+// table counts the outcomes of requests, and prints a line per second and a summary.
 type table struct {
 	nodes    []*testbed.Node
 	arrivals *testbed.ArrivalLog
@@ -16,19 +16,19 @@
 
 	mu              sync.Mutex // guards the fields below
 	states          map[string]string
-	answers         map[string]int // since the last line
-	all             map[string]int
-	printedArrivals int // in the lines so far
+	answers         map[string]int // outcomes since the last line
+	all             map[string]int // outcomes since the start
+	printedArrivals int            // number of arrivals in the lines printed so far
 }
 
-// setState sets what the table shows as a node's state.
+// setState sets the state that the table shows for a node.
 func (t *table) setState(node, state string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.states[node] = state
 }
 
-// countAnswer counts a request's answer: served, refused, failed or no answer.
+// countAnswer counts the outcome of a request: served, refused, failed or no answer.
 func (t *table) countAnswer(kind string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -44,7 +44,7 @@
 	fmt.Printf("%4s %7s %8s %7s   attempts at\n", "s", "served", "refused", "failed")
 }
 
-// printLine prints what happened since the last line.
+// printLine prints the counts since the last line.
 func (t *table) printLine() {
 	arrivals := t.arrivals.All()
 	t.mu.Lock()
@@ -67,7 +67,7 @@
 	clear(t.answers)
 }
 
-// printSummary prints the totals, and how many calls ran twice that must not.
+// printSummary prints the totals, and the number of non-idempotent requests that ran more than once.
 func (t *table) printSummary() {
 	attempts, ran, twice := make(map[string]int), make(map[string]bool), 0
 	for _, a := range t.arrivals.All() {
--- a/cmd/measure/even.go
+++ b/cmd/measure/even.go
@@ -9,13 +9,13 @@
 	"caperarch/internal/lab/loadspread"
 )
 
-// What the operators' issue asks for, at three hundred sidecars.
+// Bounds that operators require with 300 sidecars.
 const (
-	evenVariance = 0.5  // over mean, in windows of 10 s; chance has 1
-	evenGreatest = 1.25 // over mean
+	evenVariance = 0.5  // variance over mean of requests per upstream in windows of 10 s; random choice gives 1
+	evenGreatest = 1.25 // largest number of requests of an upstream over the mean
 )
 
-// measureEven measures how evenly many sidecars of little traffic spread it, in virtual time.
+// measureEven measures in virtual time how evenly many sidecars with little traffic each distribute their requests.
 func measureEven(short bool) (string, []string, error) {
 	days, seeds := []emulator.EvenDay{
 		{Sidecars: 40, Servers: 40, RatePerSidecar: 4}, {Sidecars: 24, Servers: 12, RatePerSidecar: 5},
@@ -56,8 +56,8 @@
 		if d.Sidecars == 300 {
 			worst = max(worst, long.median())
 			if long.median() > evenVariance || greatest.median() > evenGreatest {
-				missed = append(missed, fmt.Sprintf("%d at %.0f/s before %d, heavy %v: variance %.2f, "+
-					"greatest %.2f; at most %v and %v", d.Sidecars, d.RatePerSidecar, d.Servers, d.Heavy, long.median(),
+				missed = append(missed, fmt.Sprintf("%d sidecars at %.0f/s before %d, heavy %v: variance %.2f, "+
+					"greatest %.2f; want at most %v and %v", d.Sidecars, d.RatePerSidecar, d.Servers, d.Heavy, long.median(),
 					greatest.median(), evenVariance, evenGreatest))
 			}
 		}
@@ -65,7 +65,7 @@
 	return fmt.Sprintf("seeds=%d worst_variance_10s=%.2f", seeds, worst), missed, nil
 }
 
-// measureEvenReal measures it with real processes, those of an earlier release beside them if there are such.
+// measureEvenReal is like measureEven with real processes. It also measures earlierBinary, if set.
 func measureEvenReal(short bool) (string, []string, error) {
 	binary, end, err := tempDaemon()
 	if err != nil {
@@ -82,7 +82,7 @@
 		days, warm, length = []evenReal{{sidecars: 40, nodes: 12, each: 4}}, 3*time.Second, 10*time.Second
 	}
 	for _, d := range days {
-		var now, then evenSeen
+		var now, then evenResult
 		for d.seed = range rounds {
 			if err := d.run(binary, warm, length, &now); err != nil {
 				return "", nil, err
@@ -101,7 +101,7 @@
 		}
 		worst = max(worst, now.long.median())
 		if !short && (now.long.median() > evenVariance || now.greatest.median() > evenGreatest) {
-			missed = append(missed, fmt.Sprintf("%s: variance %.2f, greatest %.2f; at most %v and %v", name,
+			missed = append(missed, fmt.Sprintf("%s: variance %.2f, greatest %.2f; want at most %v and %v", name,
 				now.long.median(), now.greatest.median(), evenVariance, evenGreatest))
 		}
 	}
@@ -109,13 +109,13 @@
 }
 
 const (
-	evenBack  = 3 * time.Second // until what was touched has half of its part again
-	evenSurge = 1.0             // the worst second's greatest over mean, over what chance has
-	eventSide = 3               // fleets that live through events at once
+	evenMaxRecovery = 3 * time.Second // longest time until an affected upstream has half of its share of requests again
+	evenMaxHerd     = 1.0             // largest-over-mean ratio of the worst second, relative to random choice
+	eventFleets     = 3               // fleets that run in parallel
 )
 
-// measureEvenEvents measures the spread behind what all sidecars notice at about the same moment:
-// in virtual time, and with real processes under faults.
+// measureEvenEvents measures the distribution of requests after events that all sidecars notice at about the same time,
+// in virtual time and with real processes under faults.
 func measureEvenEvents(short bool) (string, []string, error) {
 	day, e, seeds := emulator.EvenDay{Sidecars: 300, Servers: 60, RatePerSidecar: 4, Until: 70 * time.Second},
 		evenReal{sidecars: 60, nodes: 12, each: 6, peers: true}, uint64(5)
@@ -124,7 +124,7 @@
 	}
 	var missed []string
 	worst, longest := 0.0, time.Duration(0)
-	say := func(where, name string, all []emulator.EventResult) {
+	report := func(where, name string, all []emulator.EventResult) {
 		var herd, idle, back samples
 		for _, b := range all {
 			herd.add(b.Worst / b.Chance)
@@ -139,7 +139,7 @@
 			where, name, herd, idle, back)
 		worst, longest = max(worst, herd.median()),
 			max(longest, time.Duration(min(back.median(), 999)*float64(time.Second)))
-		if herd.median() > evenSurge || idle.median() > 0.01 || back.median() > evenBack.Seconds() {
+		if herd.median() > evenMaxHerd || idle.median() > 0.01 || back.median() > evenMaxRecovery.Seconds() {
 			missed = append(missed, fmt.Sprintf("%s, %s: herd %.2f, idle %.3f, back after %.0f s", where,
 				name, herd.median(), idle.median(), back.median()))
 		}
@@ -154,7 +154,7 @@
 			}
 			all = append(all, event.Judge(arrivals, day.Servers, day.Until, seed))
 		}
-		say("virtual", event.Name, all)
+		report("virtual", event.Name, all)
 	}
 	if !short {
 		binary, end, err := tempDaemon()
@@ -162,12 +162,12 @@
 			return "", nil, err
 		}
 		defer end()
-		seen, err := evenEvents(binary, e, eventSide)
+		seen, err := evenEvents(binary, e, eventFleets)
 		if err != nil {
 			return "", nil, err
 		}
 		for _, event := range emulator.EvenEvents(e.nodes) {
-			say(fmt.Sprintf("real, %d processes", e.sidecars), event.Name, []emulator.EventResult{seen[event.Name]})
+			report(fmt.Sprintf("real, %d processes", e.sidecars), event.Name, []emulator.EventResult{seen[event.Name]})
 		}
 	}
 	return fmt.Sprintf("seeds=%d herd=%.2f back=%.0f", seeds, worst, longest.Seconds()), missed, nil
--- a/cmd/measure/even_real.go
+++ b/cmd/measure/even_real.go
@@ -13,30 +13,30 @@
 	"caperarch/internal/lab/testbed/fleet"
 )
 
-// earlierBinary is the daemon of an earlier release, to be measured beside the present one; "": none.
+// earlierBinary is the daemon of an earlier release, to compare the current release with; "": none.
 var earlierBinary string
 
-// evenReal is a fleet of real processes whose spread is looked at.
+// evenReal configures a fleet of real processes whose distribution of requests is measured.
 type evenReal struct {
 	sidecars, nodes int
-	each            float64 // requests a second of a sidecar, on average
-	heavy           bool    // a tenth of them, drawn, has half of the traffic
-	peers           bool    // they know of each other
-	dead            float64 // share of them, drawn, that is killed before it is looked at
+	each            float64 // mean requests per second of a sidecar
+	heavy           bool    // a random tenth of the sidecars has half of the traffic
+	peers           bool    // the sidecars know of each other
+	dead            float64 // share of random sidecars that are killed before the measurement
 	seed            uint64
 }
 
-// evenWorld is such a fleet under way.
+// evenWorld is a running fleet with its load.
 type evenWorld struct {
 	*fleet.Fleet
-	late     *testbed.Discovery // what every other sidecar hears it from
-	unlisted []*testbed.Node    // listed nowhere yet
+	late     *testbed.Discovery // the discovery server of every other sidecar
+	unlisted []*testbed.Node    // not listed by discovery yet
 	begun    time.Time
-	stop     func()
+	stop     func() // stops the load
 }
 
-// answers takes 10 ms on average and as its standard deviation half of that.
-func answers() time.Duration {
+// drawServiceTime draws a service time with a mean of 10 ms and a standard deviation of 5 ms.
+func drawServiceTime() time.Duration {
 	sum := 0.0
 	for range 4 {
 		sum += rand.ExpFloat64()
@@ -44,16 +44,16 @@
 	return time.Duration(sum / 4 * float64(10*time.Millisecond))
 }
 
-// start starts the fleet and its load. times is what the traffic is of the usual.
+// start starts the fleet and its load. times returns the factor on the usual traffic at a time since the start.
 func (e evenReal) start(t cleanups, binary string, times func(time.Duration) float64) *evenWorld {
 	w := new(evenWorld)
-	// Every other sidecar asks another stand-in, which can be told later.
+	// Every other sidecar uses a second discovery server, which can be updated later than the first.
 	w.Fleet = fleet.New(t, fleet.Config{
 		Size: e.sidecars, Nodes: e.nodes, Direct: true, Plain: !e.peers,
 		Command: func() *exec.Cmd { return exec.Command(binary) },
 		Begin: func(f *fleet.Fleet) {
 			for _, n := range f.Nodes {
-				n.ServiceTime = answers
+				n.ServiceTime = drawServiceTime
 				n.Do(testbed.Always(testbed.Slow))
 			}
 			w.late = testbed.NewDiscovery(t, f.Nodes...)
@@ -80,7 +80,7 @@
 			rates[i] *= 9
 		}
 	}
-	if e.peers { // by their logs, as asking hundreds again and again costs them memory
+	if e.peers { // read from the logs, as repeated requests would increase the processes' memory
 		begun := time.Now()
 		for w.Logged("peers: in contact") < e.sidecars && time.Since(begun) < contactTimeout {
 			time.Sleep(200 * time.Millisecond)
@@ -98,14 +98,16 @@
 }
 
 const (
-	contactTimeout = 2 * time.Minute // a start of 300 takes half a minute to be in contact
-	crashKnownTime = 8 * time.Second // and a crash some seconds to be known
+	contactTimeout = 2 * time.Minute // 300 sidecars take about 30 s to be in contact
+	crashKnownTime = 8 * time.Second // a crash is known to all sidecars after some seconds
 )
 
+// usual is the factor of constant traffic.
 func usual(time.Duration) float64 { return 1 }
 
-// evenSeen is what was seen of the spread, the fleet's own and that of the references over the same arrivals.
-type evenSeen struct {
+// evenResult holds the measured distribution of requests of the fleet, and of reference algorithms for the same
+// arrivals.
+type evenResult struct {
 	brief, long, alike samples
 	greatest           samples
 	chance, two, limit samples // variance over mean in 10 s
@@ -113,15 +115,15 @@
 	requests, refused  int
 }
 
-// run has the fleet work for a while and adds what was seen.
-func (e evenReal) run(binary string, warm, length time.Duration, o *evenSeen) error {
+// run runs the fleet for a while and adds the measured values to o.
+func (e evenReal) run(binary string, warm, length time.Duration, o *evenResult) error {
 	t := newCleanups()
 	defer t.end()
 	w := e.start(t, binary, usual)
 	time.Sleep(warm + length)
 	w.stop()
 	if _, broken := w.Check(); len(broken) > 0 {
-		return fmt.Errorf("%d processes: rules: %v", e.sidecars, broken[:min(5, len(broken))])
+		return fmt.Errorf("%d processes: violated rules: %v", e.sidecars, broken[:min(5, len(broken))])
 	}
 	all, weights := w.Arrivals(w.begun), make([]float64, e.nodes)
 	for i := range weights {
@@ -144,25 +146,25 @@
 	return nil
 }
 
-func (o *evenSeen) String() string {
+func (o *evenResult) String() string {
 	return fmt.Sprintf("variance over mean %v in 1 s, %v in 10 s (chance %v, random of two by own view "+
 		"%v, one round robin %v); greatest over mean %v (chance %v); alike within 50 ms %v; %d requests, %d refused",
 		o.brief, o.long, o.chance, o.two, o.limit, o.greatest, o.chanceGreatest, o.alike, o.requests, o.refused)
 }
 
-// evenEvents has real processes live through each event, under faults: datagrams lost, late and
-// twice, a tenth of the processes killed and a tenth stopped for a while as it happens, half of
-// them told by discovery two seconds later.
+// evenEvents runs a fleet of real processes through each event, under faults: datagrams are lost, delayed and
+// duplicated, a tenth of the processes is killed and a tenth is stopped for a while at the event, and half of the
+// processes receive updates from discovery two seconds later.
 func evenEvents(binary string, e evenReal, side int) (map[string]emulator.EventResult, error) {
 	seen := make(map[string]emulator.EventResult)
 	var mu sync.Mutex
 	var failed error
-	places := make(chan bool, side)
+	slots := make(chan bool, side)
 	var all sync.WaitGroup
 	for _, event := range emulator.EvenEvents(e.nodes) {
-		places <- true
+		slots <- true
 		all.Go(func() {
-			defer func() { <-places }()
+			defer func() { <-slots }()
 			b, err := e.event(binary, &event)
 			mu.Lock()
 			defer mu.Unlock()
@@ -175,7 +177,7 @@
 	return seen, failed
 }
 
-// event has a fleet live through one.
+// event runs a fleet through one event.
 func (e evenReal) event(binary string, event *emulator.EvenEvent) (emulator.EventResult, error) {
 	t := newCleanups()
 	defer t.end()
@@ -186,7 +188,7 @@
 	w := e.start(t, binary, times)
 	for i := range event.Added {
 		n := testbed.NewHTTPNode(t, fmt.Sprintf("s-%d", e.nodes+i), w.ArrivalLog)
-		n.Cell, n.ServiceTime = (e.nodes+i)/2, answers
+		n.Cell, n.ServiceTime = (e.nodes+i)/2, drawServiceTime
 		n.Do(testbed.Always(testbed.Slow))
 		w.unlisted = append(w.unlisted, n)
 	}
@@ -213,20 +215,20 @@
 			}
 		})
 	}
-	w.play(event, at)
+	w.scheduleEvent(event, at)
 	time.Sleep(time.Until(w.begun.Add(until)))
 	steps.Wait()
 	w.stop()
 	if _, broken := w.Check(); len(broken) > 0 {
-		return emulator.EventResult{}, fmt.Errorf("rules: %v", broken[:min(5, len(broken))])
+		return emulator.EventResult{}, fmt.Errorf("violated rules: %v", broken[:min(5, len(broken))])
 	}
 	return event.Judge(w.Arrivals(w.begun), e.nodes, until, e.seed), nil
 }
 
-// play does to the upstreams what the event has of them.
-func (w *evenWorld) play(event *emulator.EvenEvent, at func(time.Duration, func())) {
+// scheduleEvent schedules the changes of upstreams that belong to the event.
+func (w *evenWorld) scheduleEvent(event *emulator.EvenEvent, at func(time.Duration, func())) {
 	touched := w.Nodes[:event.Touched]
-	// Half of the sidecars hear of it two seconds later; an upstream that goes lives on for so long.
+	// Half of the sidecars receive the update two seconds later; a removed upstream still serves them meanwhile.
 	list := func(when time.Duration, of []*testbed.Node, lifecycle string) {
 		at(when, func() {
 			for _, n := range of {
--- a/cmd/measure/fleet_peers.go
+++ b/cmd/measure/fleet_peers.go
@@ -9,17 +9,18 @@
 	"caperarch/internal/lab/testbed/fleet"
 )
 
-// What the operators' issue asks for.
+// Bounds that operators require of membership.
 const (
-	peersKnown  = 3.0     // seconds until a crash is known to 95% of 300
-	peersBytes  = 1024.0  // a second a member at 300, where nothing goes wrong
-	peersCPU    = 0.01    // of a core
-	peersMemory = 3 << 20 // bytes more than with it off
-	// requests' 99th percentile over that with it off: the spread of such a ratio on a shared machine
+	peersKnown  = 3.0     // seconds until a crash is known to 95% of 300 sidecars
+	peersBytes  = 1024.0  // bytes sent per second and sidecar, with 300 sidecars and no faults
+	peersCPU    = 0.01    // cores in excess of a sidecar without membership
+	peersMemory = 3 << 20 // bytes in excess of a sidecar without membership
+	// peersP99 is the largest ratio of the 99th percentiles of requests with and without membership. It allows for the
+	// variation of the ratio on a shared machine.
 	peersP99 = 1.25
 )
 
-// measurePeers measures what it takes that sidecars know of each other, and how well they do.
+// measurePeers measures the cost of membership, and how fast and how correctly sidecars detect crashes.
 func measurePeers(short bool) (string, []string, error) {
 	sizes, quiet, real, settle := []int{10, 100, 300, 1000}, time.Hour, []int{10, 100, 300}, 20*time.Second
 	if short {
@@ -50,7 +51,7 @@
 	}
 	fmt.Printf("requests' p99 over that with it off, round by round: %v\n", p99)
 	if p99.median() > peersP99 {
-		missed = append(missed, fmt.Sprintf("p99 is %v times that with it off, at most %v", p99, peersP99))
+		missed = append(missed, fmt.Sprintf("p99 is %v times that without membership, want at most %v", p99, peersP99))
 	}
 	return fmt.Sprintf("processes=%d contact=%.1f known=%.2f bytes=%.0f cpu=%.4f cpu_off=%.4f "+
 		"rss_mib=%.1f rss_off_mib=%.1f p99_ratio=%.2f",
@@ -58,8 +59,8 @@
 		last.rss/(1<<20), last.plainRSS/(1<<20), p99.median()), missed, nil
 }
 
-// virtualCrashes measures in virtual time how soon members of fleets of some sizes are in contact, and
-// how soon a crash is known.
+// virtualCrashes measures in virtual time, for fleets of several sizes, the time until the members are in contact
+// and the time until a crash is known.
 func virtualCrashes(sizes []int) (missed []string) {
 	for _, size := range sizes {
 		n := virtualFleet(size, 1, 0)
@@ -68,15 +69,15 @@
 			"to 95%% after %v s\n",
 			size, swim.LeaseFor(size), contactAfterStart(size, 2).Round(100*time.Millisecond), known)
 		if size <= 300 && (known.max() > peersKnown || known.at(0) < 0) {
-			missed = append(missed, fmt.Sprintf("virtual, %d: a crash known after %v s, at most %v",
+			missed = append(missed, fmt.Sprintf("virtual, %d: a crash known after %v s, want at most %v",
 				size, known, peersKnown))
 		}
 	}
 	return missed
 }
 
-// virtualQuiet counts false alarms in virtual time while all members live, with datagrams lost or
-// members starved of their core, and measures what is sent.
+// virtualQuiet counts false alarms in virtual time while all members are alive, with lost datagrams or with members
+// that are denied CPU time, and measures the bytes and datagrams sent.
 func virtualQuiet(size int, quiet time.Duration) (missed []string) {
 	for _, c := range []struct {
 		loss    float64
@@ -91,45 +92,46 @@
 		case c.loss <= 0.05 && !c.starved && gone > 0:
 			missed = append(missed, fmt.Sprintf("%d false alarms at loss %.2f in %v", gone, c.loss, c.time))
 		case c.loss == 0 && !c.starved && bytes > peersBytes:
-			missed = append(missed, fmt.Sprintf("%.0f bytes a second, at most %.0f", bytes, peersBytes))
+			missed = append(missed, fmt.Sprintf("%.0f bytes/s per member, want at most %.0f", bytes, peersBytes))
 		}
 	}
 	return missed
 }
 
-// peersRun is what a fleet of real processes took, and a few with membership off beside it.
+// peersRun holds the results of a fleet of real processes, and of a few processes without membership.
 type peersRun struct {
-	contact                             float64 // seconds until all were in contact
-	known                               samples
-	bytes, cpu, rss, plainCPU, plainRSS float64
+	contact                             float64 // seconds until all processes were in contact
+	known                               samples // seconds until a crash was known to 95%
+	bytes, cpu, rss, plainCPU, plainRSS float64 // per process; plain: without membership
 }
 
-// missed names the bounds that a fleet of so many processes missed.
+// missed returns a line for each bound that a fleet of size processes missed.
 func (r *peersRun) missed(size int) (missed []string) {
 	miss := func(format string, args ...any) { missed = append(missed, fmt.Sprintf(format, args...)) }
 	switch {
 	case r.known.max() > peersKnown:
-		miss("real, %d: a crash known after %v s, at most %v", size, r.known, peersKnown)
+		miss("real, %d: a crash known after %v s, want at most %v", size, r.known, peersKnown)
 	case r.bytes > peersBytes:
-		miss("real, %d: %.0f bytes a second, at most %.0f", size, r.bytes, peersBytes)
+		miss("real, %d: %.0f bytes/s per process, want at most %.0f", size, r.bytes, peersBytes)
 	}
 	if r.cpu-r.plainCPU > peersCPU {
-		miss("real, %d: %.4f of a core more, at most %.4f", size, r.cpu-r.plainCPU, peersCPU)
+		miss("real, %d: %.4f cores more than without membership, want at most %.4f", size, r.cpu-r.plainCPU, peersCPU)
 	}
 	if r.rss-r.plainRSS > peersMemory {
-		miss("real, %d: %.1f MiB more, at most %d", size, (r.rss-r.plainRSS)/(1<<20), peersMemory>>20)
+		miss("real, %d: %.1f MiB more than without membership, want at most %d",
+			size, (r.rss-r.plainRSS)/(1<<20), peersMemory>>20)
 	}
 	return missed
 }
 
-// realPeers has so many processes know of each other, and a few that don't beside them.
+// realPeers measures a fleet of processes with membership, and five processes without.
 func realPeers(binary string, size int, settle time.Duration) (r peersRun, err error) {
 	t := newCleanups()
 	defer t.end()
 	command := func() *exec.Cmd { return exec.Command(binary) }
 	f := fleet.New(t, fleet.Config{Size: size, Nodes: 2, Direct: true, Command: command})
 	off := fleet.New(t, fleet.Config{Size: 5, Nodes: 2, Direct: true, Plain: true, Command: command})
-	// By their logs: asked again and again what they know, processes hold tens of MiB of answers.
+	// Contact is read from the logs, because repeated requests would make the processes hold tens of MiB of responses.
 	begun, lease := time.Now(), swim.LeaseFor(size)
 	for f.Logged("peers: in contact") < size {
 		if time.Since(begun) > 6*lease+10*time.Second {
@@ -153,10 +155,10 @@
 	}
 	r.cpu, r.rss, r.plainCPU, r.plainRSS = on[0], on[1], plain[0], plain[1]
 	if took, why := f.WaitForAgreement(2 * lease); why != "" {
-		return r, fmt.Errorf("%d processes don't agree after %v: %s", size, took, why)
+		return r, fmt.Errorf("%d processes do not agree on the members after %v: %s", size, took, why)
 	}
 	for n, victim := range []int{size / 2, size - 1, 1} {
-		need := (size - 1 - n) * 95 / 100 // of those that live
+		need := (size - 1 - n) * 95 / 100 // 95% of the living processes
 		crashed := time.Now()
 		f.Sidecars[victim].Crash()
 		for end := crashed.Add(20 * time.Second); time.Now().Before(end); time.Sleep(200 * time.Millisecond) {
@@ -171,12 +173,12 @@
 		}
 	}
 	if len(r.known) < 3 {
-		return r, fmt.Errorf("of 3 crashes %d were known to 95%% within 20 s", len(r.known))
+		return r, fmt.Errorf("only %d of 3 crashes were known to 95%% of the processes within 20 s", len(r.known))
 	}
 	return r, nil
 }
 
-// usages are the mean part of a core and the mean memory in bytes of the processes over a while.
+// usages returns the mean CPU use in cores over a period, and the mean memory in bytes, of a fleet's processes.
 func usages(f *fleet.Fleet, d time.Duration) (mean [2]float64, err error) {
 	before := make(map[int]time.Duration)
 	for _, s := range f.Sidecars {
@@ -196,7 +198,8 @@
 	return mean, nil
 }
 
-// peersLatency sends the same load to processes that know of each other and to ones that don't, in turn.
+// peersLatency alternately sends the same load to processes with and without membership, and returns the ratio of the
+// 99th percentiles for each round.
 func peersLatency(binary string, short bool) (samples, error) {
 	rounds, each := 9, 6*time.Second
 	if short {
@@ -208,7 +211,7 @@
 	on := fleet.New(t, fleet.Config{Size: 8, Nodes: 4, Direct: true, Command: command})
 	off := fleet.New(t, fleet.Config{Size: 8, Nodes: 4, Direct: true, Plain: true, Command: command})
 	if took, why := on.WaitForAgreement(30 * time.Second); why != "" {
-		return nil, fmt.Errorf("8 processes don't agree after %v: %s", took, why)
+		return nil, fmt.Errorf("8 processes do not agree on the members after %v: %s", took, why)
 	}
 	var ratio samples
 	for range rounds {
--- a/cmd/measure/fleet_peers_virtual.go
+++ b/cmd/measure/fleet_peers_virtual.go
@@ -9,7 +9,7 @@
 	"caperarch/internal/lab/swimsim"
 )
 
-// virtualFleet is a fleet in virtual time that has been in contact for a while.
+// virtualFleet returns a fleet in virtual time that has run for two leases and 20 s.
 func virtualFleet(size int, seed uint64, loss float64) *swimsim.Net {
 	n := swimsim.New(swimsim.Config{Size: size, Seed: seed, Loss: loss, Bytes: peer.Size, BytesPerSecond: 2048,
 		MinDelay: time.Millisecond, MaxDelay: 20 * time.Millisecond})
@@ -17,8 +17,8 @@
 	return n
 }
 
-// crashKnown crashes members one after the other and returns how long each time it took until 95%
-// of the others held it for gone, in seconds; -1: over 30 s.
+// crashKnown crashes members one after the other. It returns, for each, the seconds until 95% of the other members
+// counted it as dead, or -1 for more than 30 s.
 func crashKnown(n *swimsim.Net, crashes int) (took samples) {
 	for k := range crashes {
 		i := (k*37 + 5) % n.Size
@@ -42,9 +42,10 @@
 	return took
 }
 
-// quietHour counts what is said wrongly of members that all live, in so much virtual time, and what each sent a second.
+// quietHour runs a fleet of living members for a period of virtual time. It returns the numbers of suspicions, of false
+// alarms and of lost contacts, and the bytes and datagrams sent per second and member.
 func quietHour(n *swimsim.Net, d time.Duration, starved bool) (suspected, gone, lapsed int, bytes, datagrams float64) {
-	first := make(map[[2]int]time.Duration) // one false alarm, however many hear of it
+	first := make(map[[2]int]time.Duration) // counts a false alarm once, whatever the number of members that receive it
 	n.Seen = func(node int, c swim.Change) {
 		switch {
 		case c.Member == node && !c.Contact:
@@ -62,7 +63,7 @@
 	for _, m := range n.Nodes {
 		m.Bytes, m.Sends = 0, 0
 	}
-	if starved { // one in ten gets its core late, again and again
+	if starved { // one member in ten is repeatedly stopped for 50 ms to 650 ms
 		for i := 0; i < n.Size; i += 10 {
 			var again func()
 			again = func() {
@@ -81,7 +82,7 @@
 	return suspected, gone, lapsed, bytes, datagrams
 }
 
-// contactAfterStart is how long after a start of all at once 95% are in contact.
+// contactAfterStart returns the time from a simultaneous start of all members until 95% of them are in contact.
 func contactAfterStart(size int, seed uint64) time.Duration {
 	n := swimsim.New(swimsim.Config{Size: size, Seed: seed, MinDelay: time.Millisecond,
 		MaxDelay: 20 * time.Millisecond})
@@ -98,9 +99,9 @@
 	return n.Now - begun
 }
 
-// measureVast is measurePeers' part for a fleet of thousands, in virtual time: the views of all take 1 GiB.
+// measureVast measures membership of a fleet of thousands in virtual time. The views of 2,000 members take 1 GiB.
 func measureVast(short bool) (string, []string, error) {
-	size := 2000 // 5,000 take 7 GiB and did not come to an end in 12 minutes
+	size := 2000 // 5,000 members took 7 GiB and did not finish in 12 minutes
 	if short {
 		size = 500
 	}
@@ -114,7 +115,7 @@
 		size, swim.LeaseFor(size), in, gone, lapsed, bytes, datagrams, known)
 	var missed []string
 	if gone > 0 || known.at(0) < 0 {
-		missed = append(missed, "a false alarm, or a crash that was not known in 30 s")
+		missed = append(missed, "a living member was declared dead, or a crash was not known within 30 s")
 	}
 	return fmt.Sprintf("sidecars=%d in_contact=%d known=%.2f bytes=%.0f", size, in, known.max(), bytes), missed, nil
 }
--- a/cmd/measure/fleet_plans.go
+++ b/cmd/measure/fleet_plans.go
@@ -14,18 +14,18 @@
 const (
 	planLength = 20 * time.Second
 	planSize   = 5
-	planLoad   = 100 // requests a second
+	planLoad   = 100 // requests per second
 )
 
-// planResults is what all plans of a measurement came to.
+// planResults holds the results of all plans of a measurement.
 type planResults struct {
-	mu     sync.Mutex     // guards all below, and what the measurement sums up itself
-	plans  int            // that were played
-	faults map[string]int // by kind, how often
+	mu     sync.Mutex     // guards the fields below, and the sums of the measurement
+	plans  int            // number of plans that were run
+	faults map[string]int // number of faults by kind
 	missed []string
 }
 
-// playedPlan is what one plan came to. record adds it to the measurement's sums.
+// playedPlan is the result of one plan. record adds the result to the measurement's sums.
 type playedPlan struct {
 	fleet  *fleet.Fleet
 	plan   *fleet.Plan
@@ -33,7 +33,7 @@
 	record func()
 }
 
-// playPlans plays plans drawn from seeds 1, 2 and so on, several at once, each with a fleet of daemons that
+// playPlans runs plans drawn from the seeds from 1 on, several at once, each with its own fleet of daemons, which
 // command starts.
 func playPlans(
 	seeds, atOnce int, play func(c cleanups, seed uint64, command func() *exec.Cmd) playedPlan,
@@ -59,7 +59,7 @@
 	return results, nil
 }
 
-// measurePlans has fleets of real processes live through plans.
+// measurePlans runs fleets of real processes through random plans of faults, and checks the rules of membership.
 func measurePlans(short bool) (string, []string, error) {
 	seeds, atOnce := 200, 6
 	if short {
@@ -91,8 +91,7 @@
 		len(results.missed), healed.median(), healed.at(1), sum.Served, lost), results.missed, nil
 }
 
-// measurePolicyPlans has fleets of five to nine real processes change their policy while they live
-// through plans.
+// measurePolicyPlans runs fleets of five to nine real processes through plans of faults while their policy changes.
 func measurePolicyPlans(short bool) (string, []string, error) {
 	seeds, atOnce := 300, 4
 	if short {
@@ -128,8 +127,8 @@
 		results.plans, len(results.missed), sum.Proposed, turned, anew, settled.median(), sum.Served), results.missed, nil
 }
 
-// measureWorkPlans has fleets of five to nine real processes take machines out for work while they
-// live through plans of faults.
+// measureWorkPlans runs fleets of five to nine real processes through plans of faults while they take machines out of
+// service for maintenance.
 func measureWorkPlans(short bool) (string, []string, error) {
 	seeds, atOnce := 300, 12
 	if short {
@@ -147,7 +146,7 @@
 		plan := fleet.Draw(seed, size, planLength)
 		plan.Steps = slices.DeleteFunc(plan.Steps, func(s fleet.Step) bool {
 			return s.What == fleet.Drain
-		}) // for good: its machine would never come back
+		}) // a drained machine would never return
 		tally, broken := f.PlayWork(plan, planLoad, 2, swim.LeaseFor(size), 60*time.Millisecond,
 			300*time.Millisecond, 1500*time.Millisecond)
 		return playedPlan{f, plan, broken, func() {
--- a/cmd/measure/fleet_policy.go
+++ b/cmd/measure/fleet_policy.go
@@ -10,14 +10,15 @@
 	"caperarch/internal/lab/testbed/fleet"
 )
 
-// What the operators' issue asks for.
+// Bounds that operators require of policy changes.
 const (
-	policyCalm = 3.0  // seconds from a proposal to the last sidecar, at 300
-	policyDown = 3.0  // and behind a lease, with a tenth down
-	policyP99  = 1.25 // requests' 99th percentile during a change over that in calm
+	policyCalm = 3.0  // seconds from a proposal until the last of 300 sidecars applies it
+	policyDown = 3.0  // the same in excess of a lease, with a tenth of the sidecars down
+	policyP99  = 1.25 // ratio of the 99th percentiles of requests during and without changes
 )
 
-// measurePolicy measures what a change of policy takes: with real processes, and with thousands in virtual time.
+// measurePolicy measures the time and cost of policy changes, with real processes and with 1,000 sidecars in virtual
+// time.
 func measurePolicy(short bool) (string, []string, error) {
 	real, virtual := []int{9, 100, 300}, []int{1000}
 	if short {
@@ -42,10 +43,12 @@
 			size, lease, last.calm, last.lossy, last.down, last.datagrams, last.bytes/1024, last.leader,
 			last.voters, last.p99, last.refused, last.changes)
 		if size == 300 && last.calm.at(1) > policyCalm {
-			missed = append(missed, fmt.Sprintf("%d: calm %v s, at most %v", size, last.calm, policyCalm))
+			missed = append(missed, fmt.Sprintf("%d processes: a change without faults takes %v s, want at most %v",
+				size, last.calm, policyCalm))
 		}
 		if last.down.at(1) > lease+policyDown {
-			missed = append(missed, fmt.Sprintf("%d: with a tenth down %v s, at most %v", size, last.down,
+			missed = append(missed, fmt.Sprintf("%d processes: a change with a tenth down takes %v s, want at most %v",
+				size, last.down,
 				lease+policyDown))
 		}
 	}
@@ -53,19 +56,20 @@
 		fmt.Println(virtualChange(size))
 	}
 	if last.p99 > policyP99 {
-		missed = append(missed, fmt.Sprintf("p99 %.2f times that of calm, at most %v", last.p99, policyP99))
+		missed = append(missed, fmt.Sprintf("p99 during changes is %.2f times that without, want at most %v",
+			last.p99, policyP99))
 	}
 	return fmt.Sprintf("processes=%d calm=%.2f lossy=%.2f down=%.2f kib=%.0f datagrams=%.0f p99_ratio=%.2f",
 		real[len(real)-1], last.calm.at(1), last.lossy.at(1), last.down.at(1),
 		last.bytes/1024, last.datagrams, last.p99), missed, nil
 }
 
-// policyRun is what changes of policy took in one fleet: seconds, by round.
+// policyRun holds the results of policy changes in one fleet. Times are in seconds, by round.
 type policyRun struct {
 	calm, lossy, down samples
-	bytes, datagrams  float64 // a change, calm
-	leader, voters    float64 // seconds without a change
-	p99               float64
+	bytes, datagrams  float64 // per change without faults
+	leader, voters    float64 // seconds from a crash of the leader or two voters until a change is in force
+	p99               float64 // ratio of the 99th percentiles of requests during and without changes
 	refused, changes  int
 }
 
@@ -74,11 +78,11 @@
 	*fleet.Fleet
 	size    int
 	lease   time.Duration
-	version int // newest that was proposed
-	by      int // the sidecar that proposes
+	version int // newest proposed version
+	by      int // number of the sidecar that proposes
 }
 
-// realChanges has so many processes change their policy.
+// realChanges measures policy changes in a fleet of size processes.
 func realChanges(binary string, size int, short bool) (r policyRun, err error) {
 	t := newCleanups()
 	defer t.end()
@@ -91,7 +95,7 @@
 		return r, err
 	}
 	if at := awaitVersion(p.Fleet, 0, size, time.Time{}, 10*p.lease+30*time.Second); len(at) < size {
-		return r, fmt.Errorf("%d of %d go by the log", len(at), size)
+		return r, fmt.Errorf("only %d of %d processes apply the log's policy", len(at), size)
 	}
 	time.Sleep(p.lease)
 	stop := p.Load(200)
@@ -112,7 +116,7 @@
 	return r, p.votersDown(&r)
 }
 
-// change proposes the next version and adds how long it took until the last of the living goes by it.
+// change proposes the next version, and adds the time in seconds until the last of the living processes applies it.
 func (p *policyFleet) change(into *samples, live int, within time.Duration) error {
 	for begun := time.Now(); ; time.Sleep(100 * time.Millisecond) {
 		err := p.Sidecars[p.by].Propose(fmt.Sprintf("[limits]\nopen = %d\n", 50+p.version))
@@ -127,13 +131,13 @@
 	p.version++
 	at := awaitVersion(p.Fleet, p.version, live, proposed, within)
 	if len(at) < live {
-		return fmt.Errorf("version %d is with %d of %d after %v", p.version, len(at), live, within)
+		return fmt.Errorf("version %d is applied by only %d of %d processes after %v", p.version, len(at), live, within)
 	}
 	into.add(slices.MaxFunc(at, time.Time.Compare).Sub(proposed).Seconds())
 	return nil
 }
 
-// calm makes changes while nothing is wrong, and measures what they cost in requests' time and datagrams.
+// calm makes changes without faults, and measures their effect on request durations and their traffic.
 func (p *policyFleet) calm(r *policyRun, rounds int) error {
 	time.Sleep(5 * time.Second)
 	calm := p.Took(time.Now().Add(-4 * time.Second))
@@ -151,7 +155,7 @@
 	r.p99 = quantile(during, 0.99) / quantile(calm, 0.99)
 	r.refused, r.changes = p.Refused(from), rounds
 	time.Sleep(3 * time.Second)
-	// What is sent at rest, to be taken off.
+	// The traffic without changes, which is subtracted.
 	beforeBytes, beforeSent, begun = p.Peers.PassedBytes.Load(), p.Peers.Passed.Load(), time.Now()
 	time.Sleep(10 * time.Second)
 	rest := time.Since(begun).Seconds()
@@ -160,11 +164,11 @@
 	return nil
 }
 
-// lossy makes changes while a tenth of the datagrams are lost.
+// lossy makes changes while a tenth of the datagrams is lost.
 func (p *policyFleet) lossy(r *policyRun) error {
 	p.Peers.Break(fleet.Faults{Loss: 0.1}, 1)
 	for range 2 {
-		// Some are partitioned for a moment at any time then: all but one in fifty are waited for.
+		// At any time a few processes are out of contact for a moment, so the change waits for all but one in fifty.
 		if err := p.change(&r.lossy, p.size-p.size/50, 2*p.lease+30*time.Second); err != nil {
 			return fmt.Errorf("at 10%% loss: %w", err)
 		}
@@ -185,7 +189,7 @@
 		}
 	}
 	if err := p.change(&r.down, p.size-down, 2*p.lease+30*time.Second); err != nil {
-		keepLogs(p.Fleet, uint64(p.size))
+		writeLogs(p.Fleet, uint64(p.size))
 		v, _ := p.Sidecars[p.by].Policy()
 		return fmt.Errorf("with %d down: %w; %s", down, err, v.Text)
 	}
@@ -196,26 +200,26 @@
 	return nil
 }
 
-// votersDown crashes the leader, then two voters: how long until a change goes through again.
+// votersDown crashes the leader, then two voters, and measures each time how long a change takes from the crash on.
 func (p *policyFleet) votersDown(r *policyRun) (err error) {
 	view, _ := p.Sidecars[p.by].Policy()
 	if view.Leader >= 0 {
 		if r.leader, err = p.changeWithout(view.Leader); err != nil {
-			return fmt.Errorf("the leader dead: %w", err)
+			return fmt.Errorf("with the leader down: %w", err)
 		}
 	}
 	view, _ = p.Sidecars[p.by].Policy()
 	if voters := view.Voters(); len(voters) >= 5 {
 		voters = slices.DeleteFunc(voters, func(v int) bool { return v == view.Leader })
 		if r.voters, err = p.changeWithout(voters[:2]...); err != nil {
-			return fmt.Errorf("two voters dead: %w", err)
+			return fmt.Errorf("with two voters down: %w", err)
 		}
 	}
 	return nil
 }
 
-// changeWithout crashes some, has a change made by another, and returns the seconds that it took
-// from the crash on; they are started again.
+// changeWithout crashes some processes, makes a change at another process and starts the crashed processes again. It
+// returns the seconds from the crash until the change was in force.
 func (p *policyFleet) changeWithout(victims ...int) (float64, error) {
 	for _, v := range victims {
 		p.Sidecars[v].Crash()
@@ -237,7 +241,8 @@
 	return all, nil
 }
 
-// awaitVersion waits until so many have logged that they go by a version alone, and returns when.
+// awaitVersion waits until a number of processes have logged that a version is their only active one, and returns the
+// times at which they did.
 func awaitVersion(f *fleet.Fleet, version, live int, since time.Time, within time.Duration) (at []time.Time) {
 	for end := time.Now().Add(within); ; time.Sleep(200 * time.Millisecond) {
 		if at = f.ActiveAt(version, since); len(at) >= live || time.Now().After(end) {
--- a/cmd/measure/fleet_policy_virtual.go
+++ b/cmd/measure/fleet_policy_virtual.go
@@ -9,7 +9,8 @@
 	"caperarch/internal/lab/replicatedstatesim"
 )
 
-// virtualChange has so many change their policy in virtual time, each with the bytes that swim leaves of its budget.
+// virtualChange measures policy changes of size sidecars in virtual time. Each sidecar has a budget of 2,048 bytes per
+// second.
 func virtualChange(size int) string {
 	lease := swim.LeaseFor(size)
 	n := replicatedstatesim.New(replicatedstatesim.Config{Size: size, Seed: 1, Lease: lease, Rate: 0.001,
@@ -61,8 +62,8 @@
 	return text
 }
 
-// untilPolicy runs until a condition holds of what each living node goes by; it returns how long that
-// took, and of how many it did not hold in the end.
+// untilPolicy runs the simulation until a condition holds for the active policy of each living node. It returns the
+// time that this took, and the number of nodes for which the condition did not hold in the end.
 func untilPolicy(n *replicatedstatesim.Net, within time.Duration,
 	holds func(goes policyrollout.Active) bool) (time.Duration, int) {
 	begun := n.Now
--- a/cmd/measure/fleet_seeds.go
+++ b/cmd/measure/fleet_seeds.go
@@ -9,8 +9,8 @@
 	"caperarch/internal/lab/testbed/fleet"
 )
 
-// eachSeed has something done for seeds 1, 2 and so on, some at a time, or for the one that was
-// asked for; it returns for how many.
+// eachSeed calls do for the seeds from 1 on, several at a time, or only for the seed from the command line. It returns
+// the number of seeds.
 func eachSeed(seeds, at int, do func(seed uint64)) int {
 	if maxSeeds > 0 {
 		seeds = maxSeeds
@@ -19,11 +19,11 @@
 	if onlySeed != 0 {
 		first, last = onlySeed, onlySeed
 	}
-	places, done := make(chan struct{}, at), new(sync.WaitGroup)
+	slots, done := make(chan struct{}, at), new(sync.WaitGroup)
 	for s := first; s <= last; s++ {
-		places <- struct{}{}
+		slots <- struct{}{}
 		done.Go(func() {
-			defer func() { <-places }()
+			defer func() { <-slots }()
 			do(s)
 		})
 	}
@@ -31,19 +31,19 @@
 	return int(last - first + 1)
 }
 
-// reportBroken prints what was broken in a plan's run, as one line of what was missed; nothing was: none.
+// reportBroken prints the rules that a plan's run violated, if any, and returns them as one line.
 func reportBroken(f *fleet.Fleet, p *fleet.Plan, broken []string) (missed []string) {
 	if broken == nil {
 		return nil
 	}
 	line := fmt.Sprintf("%v: %s", p, strings.Join(broken, "; "))
 	fmt.Println("broken:", line)
-	keepLogs(f, p.Seed)
+	writeLogs(f, p.Seed)
 	return []string{line}
 }
 
-// keepLogs writes what processes logged where KEEP_LOGS says, for a run that was broken.
-func keepLogs(f *fleet.Fleet, seed uint64) {
+// writeLogs writes the processes' logs to a file in the folder named by the environment variable KEEP_LOGS, if set.
+func writeLogs(f *fleet.Fleet, seed uint64) {
 	keep := os.Getenv("KEEP_LOGS")
 	if keep == "" {
 		return
--- a/cmd/measure/fleet_work.go
+++ b/cmd/measure/fleet_work.go
@@ -16,14 +16,14 @@
 	"caperarch/internal/lab/testbed/fleet"
 )
 
-// What the operators' issue asks for.
+// Bounds that operators require of maintenance rounds.
 const (
-	workRound  = 1.3   // a round over the ideal
-	workServed = 0.005 // less of the requests served than in calm
+	workRound  = 1.3   // ratio of a round's duration to the ideal duration
+	workServed = 0.005 // decrease of the share of served requests during a round
 )
 
-// measureWork measures a whole round of machines taken out for work: with real processes beside a
-// script that cordons by hand, and with three hundred sidecars in virtual time.
+// measureWork measures a maintenance round, in which each machine is taken out of service once: with real processes,
+// compared to a script that cordons each machine at each sidecar, and with 300 sidecars in virtual time.
 func measureWork(short bool) (string, []string, error) {
 	calm, down, missed := virtualRounds(short)
 	binary, end, err := tempDaemon()
@@ -49,8 +49,8 @@
 		plan.served, script.served, plan.wrong, script.wrong), missed, nil
 }
 
-// virtualRounds plays rounds in virtual time, in calm and with a tenth of the sidecars down; it returns
-// their times over the ideal.
+// virtualRounds runs maintenance rounds in virtual time, without faults and with a tenth of the sidecars down. It
+// returns the ratios of their durations to the ideal duration.
 func virtualRounds(short bool) (calm, down samples, missed []string) {
 	machines, size, seeds := 60, 300, 3
 	if short {
@@ -75,14 +75,14 @@
 	}
 	for name, s := range map[string]samples{"calm": calm, "a tenth down": down} {
 		if s.at(1) > workRound {
-			missed = append(missed, fmt.Sprintf("virtual, %s: a round takes %v times the ideal, at most %v",
+			missed = append(missed, fmt.Sprintf("virtual, %s: a round takes %v times the ideal, want at most %v",
 				name, s, workRound))
 		}
 	}
 	return calm, down, missed
 }
 
-// compareRounds prints the rounds of real processes, by a plan and by a script, and names the bounds
+// compareRounds prints the results of rounds of real processes by a plan and by a script, and returns the bounds
 // that the plan missed.
 func compareRounds(processes, nodes int, plan, script realWork) (missed []string) {
 	for _, r := range []struct {
@@ -106,24 +106,25 @@
 }
 
 const (
-	atOnce    = 6
-	workTakes = 20 * time.Second // of virtual machines,
-	workCold  = 20 * time.Second // and till they are warm
+	atOnce       = 6
+	workDuration = 20 * time.Second // work on a virtual machine
+	workWarmUp   = 20 * time.Second // from the work's end until the virtual machine is warm
 
-	realAtOnce = 2
-	realTakes  = 2 * time.Second
-	realCold   = 3 * time.Second
-	realDelay  = 20 * time.Millisecond
+	realAtOnce   = 2
+	realDuration = 2 * time.Second
+	realWarmUp   = 3 * time.Second
+	realDelay    = 20 * time.Millisecond
 )
 
-// realWork is what a round of real processes took: seconds, shares of requests served, machines out at once.
+// realWork holds the results of a round of real processes: times in seconds, shares of served requests, the largest
+// number of machines out of service at once, and the number of requests at machines that were being worked on.
 type realWork struct {
 	took, served, calm, p99, calmP99 float64
 	most, wrong                      int
 }
 
-// realRound has processes take machines out under load, a tenth of them down from the third machine
-// on: by a plan, or by a script that cordons each machine by hand at each sidecar in fixed order.
+// realRound runs a maintenance round of real processes under load, with a tenth of the processes down from the second
+// machine on: by a plan, or by a script that cordons each machine at each sidecar in a fixed order.
 func realRound(binary string, size, nodes int, byScript bool) (r realWork, err error) {
 	t := newCleanups()
 	defer t.end()
@@ -131,7 +132,7 @@
 		Size: size, Nodes: nodes, Direct: true, CutOff: "[limits]\nopen = 40\n",
 		Command: func() *exec.Cmd { return exec.Command(binary) },
 		Edit: func(_, settings map[string]any) {
-			settings["rules"].(map[string]any)["cold_ms"] = float64(realCold.Milliseconds())
+			settings["rules"].(map[string]any)["cold_ms"] = float64(realWarmUp.Milliseconds())
 		},
 	})
 	for _, n := range f.Nodes {
@@ -142,7 +143,7 @@
 		return r, err
 	}
 	if _, _, why := f.AwaitPolicy(0, time.Minute); why != "" {
-		return r, fmt.Errorf("no log: %s", why)
+		return r, fmt.Errorf("the processes do not apply the log's policy: %s", why)
 	}
 	stop := f.Load(200)
 	defer func() { stop() }()
@@ -151,9 +152,9 @@
 	r.calm, r.calmP99 = f.Served(from.Add(-8 * time.Second))
 	var round *fleet.MaintenanceRun
 	if byScript {
-		round = f.Script(realAtOnce, realTakes, realCold)
+		round = f.Script(realAtOnce, realDuration, realWarmUp)
 	} else {
-		round = f.Operators(1, realTakes, realCold)
+		round = f.Operators(1, realDuration, realWarmUp)
 		if err := f.Sidecars[1].Work(fmt.Sprintf("all = true\nin_time = 0.5\n[out]\nfleet = \"%d\"\n",
 			realAtOnce)); err != nil {
 			return r, err
@@ -173,8 +174,8 @@
 	return r, drawRound(f)
 }
 
-// awaitRound waits until a round is over. A tenth of the processes are down from its second machine on
-// until two thirds of the machines have had their time.
+// awaitRound waits until a round is over. It keeps a tenth of the processes down from the start of the second machine's
+// window until two thirds of the machines have had a window.
 func awaitRound(f *fleet.Fleet, round *fleet.MaintenanceRun, size, nodes int) error {
 	var down []*fleet.Sidecar
 	for begun := time.Now(); !round.Ended(); time.Sleep(50 * time.Millisecond) {
@@ -191,13 +192,13 @@
 			down = down[:0]
 		}
 		if time.Since(begun) > 10*time.Minute {
-			return fmt.Errorf("the round does not end: %s", round.Shown)
+			return fmt.Errorf("the round has not ended within 10 min: %s", round.Shown)
 		}
 	}
 	return nil
 }
 
-// drawRound draws a round as its processes logged it, if there is a folder for plots.
+// drawRound draws a round from the processes' logs as an SVG file into plotDir. It does nothing if plotDir is empty.
 func drawRound(f *fleet.Fleet) error {
 	if plotDir == "" {
 		return nil
--- a/cmd/measure/fleet_work_virtual.go
+++ b/cmd/measure/fleet_work_virtual.go
@@ -9,18 +9,18 @@
 	"caperarch/internal/lab/replicatedstatesim"
 )
 
-// virtualWork is what a round in virtual time took, and what was broken in it.
+// virtualWork holds the results of a maintenance round in virtual time.
 type virtualWork struct {
-	took, ideal, bytes float64
-	given, over        int
-	astray             int
-	broken             []string
+	took, ideal, bytes float64  // seconds, seconds, and bytes sent per second and sidecar
+	given, over        int      // opened and completed windows
+	astray             int      // requests at free machines by sidecars that were out of contact
+	broken             []string // violated rules
 }
 
-// virtualRound has so many sidecars take all machines out. Somebody is at each as soon as any
-// sidecar says that it is free.
+// virtualRound runs a round in which all machines are taken out of service. The work on a machine begins as soon as a
+// sidecar reports that the machine is free.
 func virtualRound(seed uint64, size, machines, gone int) (r virtualWork) {
-	site := &replicatedstatesim.Site{Deadline: 5 * time.Second, Bound: atOnce, Returns: workCold,
+	site := &replicatedstatesim.Site{Deadline: 5 * time.Second, Bound: atOnce, Returns: workWarmUp,
 		Every: 5 * time.Second}
 	for i := range machines {
 		site.Machines = append(site.Machines,
@@ -34,7 +34,7 @@
 		return virtualWork{broken: []string{err.Error()}}
 	}
 	if !n.Until(3*time.Minute, n.Converged) {
-		return virtualWork{broken: []string{"not all go by the log"}}
+		return virtualWork{broken: []string{"not all sidecars apply the log's policy within 3 min"}}
 	}
 	n.Run(time.Minute)
 	for i := range gone {
@@ -60,7 +60,7 @@
 						n.After(time.Second, say)
 					}
 				}
-				n.After(workTakes, say)
+				n.After(workDuration, say)
 			}
 		}
 		return n.Broken != nil || len(s.Ended) > 0
@@ -69,10 +69,10 @@
 		n.Run(100 * time.Millisecond)
 	}
 	if r.broken = n.Broken; len(by.MaintenanceState().Ended) == 0 {
-		r.broken = append(r.broken, fmt.Sprintf("not over within an hour: %+v", by.MaintenanceView(by.Time())))
+		r.broken = append(r.broken, fmt.Sprintf("round not over within an hour: %+v", by.MaintenanceView(by.Time())))
 	}
 	r.took = (n.Now - begun).Seconds()
-	r.ideal = float64((machines+atOnce-1)/atOnce) * (workTakes + workCold).Seconds()
+	r.ideal = float64((machines+atOnce-1)/atOnce) * (workDuration + workWarmUp).Seconds()
 	r.bytes = float64(n.Bytes-bytes) / r.took / float64(size)
 	r.given, r.over, r.astray = site.Opened, site.Closed, site.Astray
 	return r
--- a/cmd/measure/main.go
+++ b/cmd/measure/main.go
@@ -1,14 +1,24 @@
-// Measure makes the project's measurements: subject and reference interleaved in one run, several rounds, the
-// spread shown. Its last line is "NAME key=value ..."; it exits 1 if a stated bound is missed.
+// Measure runs the project's measurements. A measurement alternates between the measured program and its reference for
+// several rounds, and prints the variation between rounds. The last line of output is "NAME key=value ...". The exit
+// status is 1 if a bound is missed.
 //
 //	go run ./cmd/measure NAME [-short] [-plots DIR]
 //
-// A file's prefix says what it measures: proxy_ one proxy, virtual_ the decision module in virtual time, even
-// how evenly requests are spread, fleet_ fleets of proxies, mesh_ the mesh, control_ its core machines after a
-// fault, quota_ tenants' limits under faults, soak_ troubles in series that overlap, mutants whether the tests
-// find planted faults, stress how often tests fail beside load. Subjects and callers are processes of their own
-// (process.go, child.go), but for the upstreams and clients of quota_ and soak_, which record; what a measurement
-// has started is ended by its cleanups (cleanup.go).
+// The prefix of a file names the subject of its measurements:
+//
+//   - proxy_: one proxy
+//   - virtual_: the decision module in virtual time
+//   - even: how evenly requests are distributed
+//   - fleet_: fleets of proxies
+//   - mesh_: the mesh
+//   - control_: the mesh's core machines after a fault
+//   - quota_: tenants' limits under faults
+//   - soak_: overlapping series of faults
+//   - mutants: whether the tests find planted faults
+//   - stress: how often tests fail under load
+//
+// Measured programs and callers run in child processes (process.go, child.go), except for the upstreams and clients of
+// quota_ and soak_, which record requests. Cleanups end all processes that a measurement has started (cleanup.go).
 package main
 
 import (
@@ -19,24 +29,24 @@
 	"strings"
 )
 
-// measurement makes one; missed names the bounds that it missed.
+// measurement runs one measurement. It returns the result line and a line for each missed bound.
 type measurement func(short bool) (result string, missed []string, err error)
 
-// plotDir is the folder that plots go to; "": none are made.
+// plotDir is the folder for plots; "": no plots are written.
 var plotDir string
 
-// maxSeeds is how many seeds are played, by -seeds; 0: as many as are usual.
+// maxSeeds is the number of seeds to run, from -seeds; 0: the measurement's default.
 var maxSeeds int
 
-// nameFilter is a part of the names of the packages that are looked at; "": all are.
+// nameFilter selects packages (mutants) or scenarios (control, quota) by a substring of their names; "": all.
 var nameFilter string
 
-// onlySeed is the only one that is played, of the measurements that draw from several; 0: all are.
+// onlySeed is the only seed to run in measurements with several seeds; 0: all seeds.
 var onlySeed uint64
 
-// measurements are the verbs of the command line.
+// measurements maps the names on the command line to the measurements.
 var measurements = map[string]measurement{
-	// One proxy: its cost, its walls, its upgrades.
+	// One proxy: its cost, isolation of pools, and upgrades.
 	"daemon":   measureDaemon,
 	"plugin":   measurePlugin,
 	"pools":    measurePools,
@@ -49,7 +59,7 @@
 	"strain": measureStrain,
 	"even":   measureEven,
 
-	// Fleets of proxies that gossip and agree.
+	// Fleets of proxies, with membership by gossip and a replicated log.
 	"evenreal":    measureEvenReal,
 	"evenevents":  measureEvenEvents,
 	"peers":       measurePeers,
@@ -67,7 +77,7 @@
 	"quota":     measureQuota,
 	"soak":      measureSoak,
 
-	// Planted faults that the tests must find, and tests beside load.
+	// Planted faults that the tests must find, and tests under load.
 	"mutants": measureMutants,
 	"stress":  measureStress,
 }
@@ -89,28 +99,29 @@
 	}
 	name := os.Args[1]
 	flags := flag.NewFlagSet(name, flag.ExitOnError)
-	short := flags.Bool("short", false, "end within 45 s")
-	flags.StringVar(&plotDir, "plots", "", "folder for plots (SVG), of the measurements that have some")
+	short := flags.Bool("short", false, "use a short form that ends within 45 s")
+	flags.StringVar(&plotDir, "plots", "", "folder for plots (SVG), for measurements that have plots")
 	flags.IntVar(&maxSeeds, "seeds", 0,
-		"play seeds 1 to `N` instead of as many as are usual, of the measurements that draw from several")
-	flags.Uint64Var(&onlySeed, "seed", 0, "play this seed alone, of the measurements that draw from several")
-	flags.StringVar(&nameFilter, "in", "", "only what is about packages whose names have this in them, of "+
-		"the measurements that go by packages; of control, only the parts whose keys have it")
+		"run seeds 1 to `N` instead of the default, for measurements with several seeds")
+	flags.Uint64Var(&onlySeed, "seed", 0, "run only this seed, for measurements with several seeds")
+	flags.StringVar(&nameFilter, "in", "", "for mutants: only packages whose names contain this text; "+
+		"for control and quota: only scenarios whose keys contain this text")
 	flags.StringVar(&earlierBinary, "before", "",
-		"the daemon of an earlier release, to be measured beside the present one by those that can")
-	flags.DurationVar(&soakLengthFlag, "length", 0, "of soak: how long each seed is played")
+		"for evenreal: the daemon of an earlier release, to compare the current release with")
+	flags.DurationVar(&soakLengthFlag, "length", 0, "for soak: length of the run of each seed")
 	flags.StringVar(&soakProcessesFlag, "processes", "",
-		"of soak: how many processes there are, or max for as many as the machine bears")
+		"for soak: number of processes, or max for the limit for this machine")
 	flags.StringVar(&soakKeepFlag, "keep", "",
-		"of soak: `folder` for the reports of seeds with findings; of stress: for the output of failures")
+		"for soak: `folder` for the reports of failed runs; for stress: for the output of failed runs")
 	flags.Float64Var(&soakQuotaFlag, "quota", 0,
-		"of soak: the `share` of a core that each sidecar has, as a quota for each tenth of a second")
-	flags.IntVar(&soakClientsFlag, "clients", 1, "of soak: how many clients of each behavior a sidecar has")
-	flags.BoolVar(&soakPausesFlag, "pauses", false, "of soak: stop processes for short times, again and again")
-	flags.BoolVar(&soakDrainsFlag, "drains", false, "of soak: drain upstreams and replace them, again and again")
-	flags.IntVar(&stressFlags.copies, "copies", stressCopies, "of stress: how many copies of the tests run at once")
-	flags.IntVar(&stressFlags.plays, "plays", stressPlays, "of stress: how often each copy plays them")
-	flags.IntVar(&stressFlags.busy, "busy", stressBusy, "of stress: how many busy processes are beside them")
+		"for soak: CPU quota of each sidecar, as a `share` of a core in each 100 ms")
+	flags.IntVar(&soakClientsFlag, "clients", 1, "for soak: number of clients per sidecar and client behavior")
+	flags.BoolVar(&soakPausesFlag, "pauses", false, "for soak: repeatedly stop processes for short times")
+	flags.BoolVar(&soakDrainsFlag, "drains", false, "for soak: repeatedly drain and replace upstreams")
+	flags.IntVar(&stressFlags.copies, "copies", stressCopies,
+		"for stress: number of copies of the tests that run in parallel")
+	flags.IntVar(&stressFlags.plays, "plays", stressPlays, "for stress: number of runs of each copy")
+	flags.IntVar(&stressFlags.busy, "busy", stressBusy, "for stress: number of busy processes that add load")
 	_ = flags.Parse(os.Args[2:]) // exits on an error
 	stressArguments = flags.Args()
 	cleanUpOnSignal()
--- a/cmd/measure/proxy_service.go
+++ b/cmd/measure/proxy_service.go
@@ -83,7 +83,8 @@
 	}
 }
 
-// processResources returns the sums of the resident memory in bytes and of the file descriptors of a sidecar's processes.
+// processResources returns the sums of the resident memory in bytes and of the file descriptors of a sidecar's
+// processes.
 func processResources(pids ...int) (rss int64, descriptors int) {
 	for _, pid := range pids {
 		if _, r, err := usage(pid); err == nil {
@@ -180,8 +181,8 @@
 	return l, rss, descriptors, nil
 }
 
-// controlCallTimes returns the durations of operators' calls while clients saturate the process and a number of connections to
-// the control port send nothing.
+// controlCallTimes returns the durations of operators' calls while clients saturate the process and a number of
+// connections to the control port send nothing.
 func (s *service) controlCallTimes(seconds float64, silent int) (times []time.Duration, err error) {
 	for range silent {
 		c, err := net.Dial("tcp", s.control)
--- a/cmd/measure/virtual_strain.go
+++ b/cmd/measure/virtual_strain.go
@@ -11,7 +11,7 @@
 	"caperarch/internal/proxy/admission/weighed"
 )
 
-// strainGates are the ways of admission that are compared; the first is the module's own, the second the one before it.
+// strainGates are the admission algorithms to compare: the module's current algorithm, its previous one, and others.
 var strainGates = []struct {
 	name string
 	make func(rng *rand.Rand) admission.Gate
@@ -38,8 +38,7 @@
 // AttemptEnded does nothing.
 func (all) AttemptEnded(time.Duration, admission.AttemptEnd) {}
 
-// measureStrain plays the hard cases in virtual time, with the module's own admission and with what
-// it was weighed against.
+// measureStrain runs the cases of overload in virtual time, with each of the admission algorithms.
 func measureStrain(short bool) (string, []string, error) {
 	seeds, gates := 5, strainGates
 	if short {
@@ -74,7 +73,8 @@
 				worst = max(worst, f["recovery"].median())
 				if f["recovery"].median() > 1 {
 					missed = append(missed,
-						fmt.Sprintf("%s: %.1f s until nothing is refused, 1 s at most", s.Name, f["recovery"].median()))
+						fmt.Sprintf("%s: %.1f s until no request is refused, want at most 1 s",
+							s.Name, f["recovery"].median()))
 				}
 			}
 		}
@@ -86,8 +86,8 @@
 	return fmt.Sprintf("recovery_worst_s=%.1f cases=%d seeds=%d", worst, len(emulator.Cases), seeds), missed, nil
 }
 
-// strainLines are the shares of a run over time, half a second to a point: what was turned away at
-// once and, of the first run, capacity against the most that there was.
+// strainLines returns lines for a plot of a run, with a point per half second: the share of requests that were
+// throttled and, if capacity is set, the capacity relative to its maximum.
 func strainLines(name string, buckets []emulator.Bucket, capacity bool) (lines []series) {
 	const each = 5
 	turned, able := series{name + ": turned away", 0.5, nil}, series{"capacity", 0.5, nil}
--- a/cmd/measure/virtual_walls.go
+++ b/cmd/measure/virtual_walls.go
@@ -10,14 +10,14 @@
 	"caperarch/internal/lab/emulator"
 )
 
-// wallBounds are what the share of the worth in time must reach in the median, by day: some two
-// hundredths below what was measured when the walls were made to add up, and above what was before.
+// wallBounds are the least medians, by day, of the share of the requests' worth that is served in time. They lie about
+// 0.02 below the values measured when the walls' limits were made to add up, and above the values measured before.
 var wallBounds = map[string]float64{
 	"burst of 1.5": 0.93, "burst of 1.5 on 0.72": 0.88, "one tenant x 5": 0.86, "a tenth has half of it": 0.93,
 }
 
-// measureWalls plays the days of a fleet of hundreds in virtual time, from several seeds, and the
-// sweep over sizes of it.
+// measureWalls runs the days of emulator.MassDays, with fleets of hundreds of sidecars and of other sizes, in virtual
+// time with several seeds.
 func measureWalls(short bool) (string, []string, error) {
 	seeds, days := 5, emulator.MassDays
 	if short {
@@ -57,7 +57,7 @@
 			d.Name, f["in time"], f["worst"], f["larger"], f["tipped"], f["recovery"])
 		worst = min(worst, f["in time"].median())
 		if got := f["in time"].median(); got < wallBounds[d.Name] {
-			missed = append(missed, fmt.Sprintf("%s: %.3f of the worth in time, at least %.2f", d.Name, got,
+			missed = append(missed, fmt.Sprintf("%s: %.3f of the worth served in time, want at least %.2f", d.Name, got,
 				wallBounds[d.Name]))
 		}
 		if err := plotWalls(d, played[i][1]); err != nil {
@@ -67,8 +67,8 @@
 	return fmt.Sprintf("worst_in_time=%.3f days=%d seeds=%d", worst, len(days), seeds), missed, nil
 }
 
-// plotWalls draws the second seed's day: what was in time, what was asked for, and how much of
-// their bounds servers held.
+// plotWalls plots one run of a day: the share served in time, the offered load, the share of servers that are tipped,
+// and the requests held relative to the servers' limits.
 func plotWalls(d emulator.MassDay, o emulator.MassResult) error {
 	inTime, load := series{"in time", 1, nil}, series{"work asked for, of what servers can do", 1, nil}
 	tipped, held := series{"servers tipped", 1, nil}, series{"requests held, of 10 at each server", 1, nil}
