--- a/cmd/measure/fleet_peers.go
+++ b/cmd/measure/fleet_peers.go
@@ -38,9 +38,9 @@
 		if last, err = realPeers(binary, size, settle); err != nil {
 			return "", nil, err
 		}
-		fmt.Printf("real, %d processes: all in contact after %.1f s and agreed a lease later; a crash "+
-			"known to 95%% after %v s; %.0f bytes a second, %.2f%% of a core and %.1f MiB a process, "+
-			"%.2f%% and %.1f MiB with it off\n",
+		fmt.Printf("real, %d processes: all in contact after %.1f s and in agreement a lease later; a crash "+
+			"known to 95%% after %v s; %.0f bytes/s, %.2f%% of a core and %.1f MiB per process, "+
+			"%.2f%% and %.1f MiB without membership\n",
 			size, last.contact, last.known, last.bytes, 100*last.cpu, last.rss/(1<<20), 100*last.plainCPU,
 			last.plainRSS/(1<<20))
 		missed = append(missed, last.missed(size)...)
@@ -49,7 +49,7 @@
 	if err != nil {
 		return "", nil, err
 	}
-	fmt.Printf("requests' p99 over that with it off, round by round: %v\n", p99)
+	fmt.Printf("p99 of requests with membership over p99 without, by round: %v\n", p99)
 	if p99.median() > peersP99 {
 		missed = append(missed, fmt.Sprintf("p99 is %v times that without membership, want at most %v", p99, peersP99))
 	}
@@ -85,8 +85,8 @@
 		time    time.Duration
 	}{{0, false, quiet}, {0.05, false, quiet}, {0.3, false, quiet / 30}, {0, true, quiet / 10}} {
 		suspected, gone, lapsed, bytes, datagrams := quietHour(virtualFleet(size, 3, c.loss), c.time, c.starved)
-		fmt.Printf("virtual, %d sidecars for %v, loss %.2f, one in ten starved %v: %d suspicions, %d "+
-			"false alarms, %d lapses of contact; %.0f bytes in %.1f datagrams a second a member\n",
+		fmt.Printf("virtual, %d sidecars for %v, loss %.2f, one in ten denied CPU time %v: %d suspicions, %d "+
+			"false alarms, %d losses of contact; %.0f bytes in %.1f datagrams per second and member\n",
 			size, c.time, c.loss, c.starved, suspected, gone, lapsed, bytes, datagrams)
 		switch {
 		case c.loss <= 0.05 && !c.starved && gone > 0:
--- a/cmd/measure/fleet_peers_virtual.go
+++ b/cmd/measure/fleet_peers_virtual.go
@@ -110,7 +110,7 @@
 	_, gone, lapsed, bytes, datagrams := quietHour(n, 20*time.Second, false)
 	known := crashKnown(n, 3)
 	fmt.Printf("virtual, %d sidecars: lease %v, %d in contact two leases and 20 s after a start; %d "+
-		"false alarms and %d lapses in 20 s, %.0f bytes in %.1f datagrams a second a member; a crash "+
+		"false alarms and %d losses of contact in 20 s, %.0f bytes in %.1f datagrams per second and member; a crash "+
 		"known to 95%% after %v s\n",
 		size, swim.LeaseFor(size), in, gone, lapsed, bytes, datagrams, known)
 	var missed []string
--- a/cmd/measure/fleet_plans.go
+++ b/cmd/measure/fleet_plans.go
@@ -119,8 +119,8 @@
 	if err != nil {
 		return "", nil, err
 	}
-	fmt.Printf("%d plans of %v with 5 to 9 processes: faults %v; %d policies proposed, %d told no, "+
-		"requests turned %d times; the log lost and begun anew %d times; requests %+v; all by one "+
+	fmt.Printf("%d plans of %v with 5 to 9 processes: faults %v; %d policies proposed, %d rejected, "+
+		"requests turned %d times; the log lost and started again %d times; requests %+v; all on one "+
 		"policy again after %v s\n",
 		results.plans, planLength, results.faults, sum.Proposed, sum.Refused, turned, anew, sum.Tally, settled)
 	return fmt.Sprintf("seeds=%d broken=%d proposed=%d turned=%d lost=%d settled_median=%.2f served=%d",
@@ -163,9 +163,9 @@
 	if err != nil {
 		return "", nil, err
 	}
-	fmt.Printf("%d plans of %v with 5 to 9 processes: faults %v; %d machines were worked on, at most %d "+
-		"out or cold at once; %d requests there by processes that had just begun; the log lost %d "+
-		"times; requests %+v; the round over %v s after all was well\n",
+	fmt.Printf("%d plans of %v with 5 to 9 processes: faults %v; work on %d machines, at most %d "+
+		"out or cold at once; %d requests there by newly started processes; the log lost %d "+
+		"times; requests %+v; the round over %v s after the last fault\n",
 		results.plans, planLength, results.faults, sum.Turns, sum.Most, sum.Astray, anew, sum.Tally, ended)
 	return fmt.Sprintf("seeds=%d broken=%d turns=%d astray=%d lost=%d ended_median=%.2f served=%d", results.plans,
 		len(results.missed), sum.Turns, sum.Astray, anew, ended.median(), sum.Served), results.missed, nil
--- a/cmd/measure/fleet_policy.go
+++ b/cmd/measure/fleet_policy.go
@@ -36,10 +36,10 @@
 			return "", nil, err
 		}
 		lease := swim.LeaseFor(size).Seconds()
-		fmt.Printf("real, %d processes (lease %.0f s): a change is with the last after %v s calm, %v s "+
-			"at 10%% loss, %v s with a tenth down; %.0f datagrams and %.0f KiB a change over the fleet; "+
-			"no change possible for %.1f s after the leader's death, %.1f s after two voters'; p99 "+
-			"during changes over calm %.2f, refused %d during %d changes\n",
+		fmt.Printf("real, %d processes (lease %.0f s): a change is in force everywhere after %v s without faults, %v s "+
+			"at 10%% loss, %v s with a tenth down; %.0f datagrams and %.0f KiB per change in the whole fleet; "+
+			"first change in force %.1f s after a crash of the leader, %.1f s after a crash of two voters; p99 "+
+			"during changes over p99 without %.2f, %d requests refused during %d changes\n",
 			size, lease, last.calm, last.lossy, last.down, last.datagrams, last.bytes/1024, last.leader,
 			last.voters, last.p99, last.refused, last.changes)
 		if size == 300 && last.calm.at(1) > policyCalm {
--- a/cmd/measure/fleet_policy_virtual.go
+++ b/cmd/measure/fleet_policy_virtual.go
@@ -26,15 +26,15 @@
 	}
 	began, out := untilPolicy(n, 3*lease+time.Minute, one(0))
 	if out > 0 {
-		return fmt.Sprintf("virtual, %d sidecars: %v after a beginning %d of them don't go by the log",
+		return fmt.Sprintf("virtual, %d sidecars: %v after the start %d of them do not apply the log's policy",
 			size, began, out)
 	}
 	n.Run(lease)
 	bytes := n.Bytes
 	n.Run(lease)
 	rest := float64(n.Bytes-bytes) / lease.Seconds() / float64(size)
-	text := fmt.Sprintf("virtual, %d sidecars (lease %v): all by the log %v after its beginning, %.0f "+
-		"bytes a second each at rest", size, lease, began.Round(time.Second), rest)
+	text := fmt.Sprintf("virtual, %d sidecars (lease %v): all apply the log's policy %v after its start, %.0f "+
+		"bytes/s per sidecar without changes", size, lease, began.Round(time.Second), rest)
 	for k, c := range []struct {
 		name   string
 		begin  func()
@@ -53,7 +53,7 @@
 			return text + "; " + c.name + ": " + err.Error()
 		}
 		took, out := untilPolicy(n, c.within, one(uint32(k+1)))
-		text += fmt.Sprintf("; %s: with all but %d after %.1f s", c.name, out, took.Seconds())
+		text += fmt.Sprintf("; %s: in force at all but %d after %.1f s", c.name, out, took.Seconds())
 		busy := func() bool { v := m.View(m.Time()); return v.State.InProgress() != 0 }
 		for end := n.Now + lease; n.Now < end && busy(); {
 			n.Run(time.Second)
--- a/cmd/measure/fleet_work.go
+++ b/cmd/measure/fleet_work.go
@@ -68,8 +68,8 @@
 				down.add(r.took / r.ideal)
 			}
 			fmt.Printf("virtual, %d sidecars, %d of them down, %d machines, %d at once: a round in %.0f "+
-				"s, ideal %.0f; %d turns, %d withdrawn, %d requests at a free machine by sidecars out "+
-				"of contact; %.0f bytes a second each\n",
+				"s, ideal %.0f; %d windows, %d withdrawn, %d requests at a free machine by sidecars out "+
+				"of contact; %.0f bytes/s per sidecar\n",
 				size, gone, machines, atOnce, r.took, r.ideal, r.given, r.given-r.over, r.astray, r.bytes)
 		}
 	}
@@ -92,15 +92,16 @@
 		fmt.Printf("real, %d processes, a tenth of them down from the second machine on, %d machines, "+
 			"%d at once, %s: a round in %.1f s; served %.4f (calm %.4f), p99 %.1f ms (calm %.1f); at "+
 			"most %d out at once, "+
-			"%d requests at machines that somebody worked on\n", processes, nodes, realAtOnce, r.name,
+			"%d requests at machines that were being worked on\n", processes, nodes, realAtOnce, r.name,
 			r.took, r.served, r.calm, 1000*r.p99, 1000*r.calmP99, r.most, r.wrong)
 	}
 	if plan.wrong > 0 || plan.most > realAtOnce {
-		missed = append(missed, fmt.Sprintf("by a plan %d out at once, %d may be; %d requests at "+
-			"machines that somebody worked on", plan.most, realAtOnce, plan.wrong))
+		missed = append(missed, fmt.Sprintf("by a plan %d machines out at once, want at most %d; %d requests at "+
+			"machines that were being worked on, want none", plan.most, realAtOnce, plan.wrong))
 	}
 	if plan.served < plan.calm-workServed {
-		missed = append(missed, fmt.Sprintf("by a plan %.4f served, calm %.4f", plan.served, plan.calm))
+		missed = append(missed, fmt.Sprintf("by a plan %.4f of the requests served, %.4f before the round",
+			plan.served, plan.calm))
 	}
 	return missed
 }
--- a/cmd/measure/mesh.go
+++ b/cmd/measure/mesh.go
@@ -133,7 +133,7 @@
 	}{
 		{"leader: CPU", "% of a core", 100}, {"other member: CPU", "% of a core", 100},
 		{"leader: memory", "KiB", 1.0 / 1024}, {"other member: memory", "KiB", 1.0 / 1024},
-		{"leader: bytes a second", "B", 1}, {"other member: bytes a second", "B", 1},
+		{"leader: bytes per second", "B", 1}, {"other member: bytes per second", "B", 1},
 		{"leader: CPU for token requests", "% of a core", 100},
 		{"other member: CPU for token requests", "% of a core", 100},
 		{"sidecar: memory", "KiB", 1.0 / 1024}, {"change: CPU at the leader", "ms", 1000},
--- a/cmd/measure/mesh_path.go
+++ b/cmd/measure/mesh_path.go
@@ -58,8 +58,8 @@
 				return nil, err
 			}
 		}
-		fmt.Printf("path, %.0f calls/s through two sidecars and as many direct, in turn by chance: p50 "+
-			"direct %v through %v added %v ms; p99 direct %v through %v added %v ms; CPU a call: "+
+		fmt.Printf("path, %.0f calls/s through two sidecars and as many direct, in random order: p50 "+
+			"direct %v through %v added %v ms; p99 direct %v through %v added %v ms; CPU per call: "+
 			"outbound %v, gate %v µs, control included; %d failed\n",
 			rate, r.directP50, r.throughP50, r.addedP50, r.directP99, r.throughP99, r.addedP99,
 			r.outboundCPU, r.gateCPU, r.failed)
@@ -161,7 +161,7 @@
 		if err != nil {
 			return err
 		}
-		fmt.Printf("path: %s holds %.1f MiB\n",
+		fmt.Printf("path: %s uses %.1f MiB\n",
 			[]string{"the outbound sidecar", "the sidecar of the gate"}[i], float64(rss)/(1<<20))
 	}
 	return nil
--- a/cmd/measure/mesh_size.go
+++ b/cmd/measure/mesh_size.go
@@ -18,7 +18,7 @@
 	all := map[string]float64{
 		"leader: CPU": s.idle.leaderCPU, "other member: CPU": s.idle.followerCPU,
 		"leader: memory": s.idle.leaderMemory, "other member: memory": s.idle.followerMemory,
-		"leader: bytes a second": s.idle.leaderBytes, "other member: bytes a second": s.idle.followerBytes,
+		"leader: bytes per second": s.idle.leaderBytes, "other member: bytes per second": s.idle.followerBytes,
 		"change: CPU at the leader": s.change, "change: in force at the last": s.applied,
 	}
 	// If requests failed, the cost is not representative of a mesh that serves all of them.
@@ -80,8 +80,8 @@
 	s.requesting = requesting.minus(s.idle)
 	s.tokenBytes, s.tokenCPU = (s.requesting.sidecarIn+s.requesting.sidecarOut)/n, s.requesting.sidecarCPU/n
 	fmt.Printf("%s, a token request every %v from each sidecar: %.0f/s answered, %.0f/s failed, p50 %.2f p99 "+
-		"%.2f ms; a sidecar more: %.0f B/s, %.3f %% of a core; leader more: %.1f %%, another member "+
-		"more: %.1f %%; members hold %.1f and %.1f MiB\n",
+		"%.2f ms; in addition, a sidecar: %.0f B/s, %.3f %% of a core; leader: %.1f %%, another member: "+
+		"%.1f %%; leader and another member use %.1f and %.1f MiB\n",
 		kind, meshRequestInterval, s.requesting.tokenRequests, s.requesting.failed, p50, p99, s.tokenBytes,
 		s.tokenCPU*100,
 		s.requesting.leaderCPU*100, s.requesting.followerCPU*100, s.requesting.leaderMemory/(1<<20),
@@ -91,8 +91,8 @@
 
 func (m meshChange) print(kind string, sidecars float64, changes int) {
 	of := func(v float64) float64 { return v * m.used.seconds / float64(changes) }
-	fmt.Printf("%s: body %.0f B; answered after %v ms; come to the last sidecar after %v, in force "+
-		"there after %v ms, which is %v ms behind the answer; CPU of one: leader %.1f, another "+
+	fmt.Printf("%s: body %.0f B; answered after %v ms; arrived at the last sidecar after %v, in force "+
+		"there after %v ms, which is %v ms after the response; CPU of one change: leader %.1f, another "+
 		"member %.1f, a sidecar %.3f ms; a sidecar's bytes in %.0f, out %.0f\n",
 		kind, m.size, m.answered, m.arrived, m.applied, m.afterAnswer, of(m.used.leaderCPU)*1000,
 		of(m.used.followerCPU)*1000, of(m.used.sidecarCPU)*1000/sidecars, of(m.used.sidecarIn)/sidecars,
@@ -127,12 +127,12 @@
 	if err != nil {
 		return err
 	}
-	m.print(fmt.Sprintf("%d routes, the whole put anew", routes), sidecars, 2)
+	m.print(fmt.Sprintf("%d routes, replacement of the whole configuration", routes), sidecars, 2)
 	after, err := r.idleUse(1, time.Second)
 	if err != nil {
 		return err
 	}
-	fmt.Printf("%d routes: a sidecar holds %.2f MiB, the leader %.1f, another member %.1f\n", routes,
+	fmt.Printf("%d routes: a sidecar uses %.2f MiB, the leader %.1f, another member %.1f\n", routes,
 		after[0].sidecarMemory/sidecars/(1<<20), after[0].leaderMemory/(1<<20), after[0].followerMemory/(1<<20))
 	return nil
 }
--- a/cmd/measure/proxy_daemon.go
+++ b/cmd/measure/proxy_daemon.go
@@ -39,7 +39,7 @@
 			}
 		}
 		ratio, p50 := f["daemon CPU"].over(f["proxy CPU"]), f["daemon p50"].over(f["proxy p50"])
-		fmt.Printf("%d connections: CPU a request, daemon over proxy: %v\n", connections, ratio)
+		fmt.Printf("%d connections: CPU per request, daemon over proxy: %v\n", connections, ratio)
 		fmt.Printf("%d connections: p50, daemon over proxy:           %v\n", connections, p50)
 		if ratio.median() > daemonBound {
 			missed = append(missed, fmt.Sprintf("at %d connections the daemon uses %.2f of the proxy's "+
@@ -77,7 +77,7 @@
 	f.add("daemon p50", viaDaemon.P50)
 	f.add("proxy CPU", proxyCPU)
 	f.add("daemon CPU", daemonCPU)
-	fmt.Printf("%s: p50 direct %.3f proxy %.3f daemon %.3f ms; CPU a request proxy %.1f daemon %.1f µs\n",
+	fmt.Printf("%s: p50 direct %.3f proxy %.3f daemon %.3f ms; CPU per request proxy %.1f daemon %.1f µs\n",
 		name, direct.P50, viaProxy.P50, viaDaemon.P50, proxyCPU, daemonCPU)
 	return nil
 }
--- a/cmd/measure/proxy_flood.go
+++ b/cmd/measure/proxy_flood.go
@@ -13,8 +13,8 @@
 )
 
 // floodKinds are the kinds of load that the flooded pool is exposed to.
-var floodKinds = []string{"full bodies", "bodies a byte at a time", "connections that say nothing",
-	"nodes that answer nothing"}
+var floodKinds = []string{"full bodies", "bodies sent byte by byte", "idle connections",
+	"nodes that never respond"}
 
 // flooding is the configuration of a process that floods a pool.
 type flooding struct {
@@ -35,11 +35,11 @@
 	for i := range f.Connections {
 		all.Go(func() {
 			switch f.Kind {
-			case "connections that say nothing":
+			case "idle connections":
 				for time.Now().Before(end) {
 					f.holdIdle(end)
 				}
-			case "bodies a byte at a time":
+			case "bodies sent byte by byte":
 				for n := 0; time.Now().Before(end); n++ {
 					f.trickle(i, n, end)
 				}
--- a/cmd/measure/proxy_plugin.go
+++ b/cmd/measure/proxy_plugin.go
@@ -41,7 +41,7 @@
 				return "", nil, err
 			}
 		}
-		fmt.Printf("%.0f requests a second, %d rounds of %.1f s: median (least to most)\n", rate, rounds, seconds)
+		fmt.Printf("%.0f requests/s, %d rounds of %.1f s: median (minimum to maximum)\n", rate, rounds, seconds)
 		printPlugin(f)
 		plug, daemon := f["plugin p50"].minus(f["direct p50"]), f["daemon p50"].minus(f["direct p50"])
 		allocs := f["plugin allocs"].minus(f["direct allocs"])
@@ -62,7 +62,7 @@
 	if err != nil {
 		return "", nil, err
 	}
-	fmt.Printf("an idle plug-in of %d in one process: %.1f KiB, %.2f goroutines\n", idlePlugins, bytes/1024, routines)
+	fmt.Printf("each of %d idle plug-ins in one process: %.1f KiB, %.2f goroutines\n", idlePlugins, bytes/1024, routines)
 	if bytes > maxIdleBytes || routines > maxIdleGoroutines {
 		missed = append(missed, fmt.Sprintf("an idle plug-in uses %.0f KiB and %.2f goroutines", bytes/1024, routines))
 	}
@@ -110,10 +110,10 @@
 		fmt.Printf("  %-6s direct %v ms; added by the plug-in %v, by the daemon %v\n", name, f["direct "+name],
 			f["plugin "+name].minus(f["direct "+name]), f["daemon "+name].minus(f["direct "+name]))
 	}
-	fmt.Printf("  CPU a request, µs, with the host's own: direct %v, plug-in %v, host and daemon %v\n",
+	fmt.Printf("  CPU per request, µs, including the callers': direct %v, plug-in %v, callers and daemon %v\n",
 		f["direct CPU"], f["plugin CPU"], f["daemon CPU"])
-	fmt.Printf("  allocations a request: direct %v, plug-in %v\n", f["direct allocs"], f["plugin allocs"])
-	fmt.Printf("  memory, MiB: host alone %v, host with plug-in %v, host %v and daemon %v\n",
+	fmt.Printf("  allocations per request: direct %v, plug-in %v\n", f["direct allocs"], f["plugin allocs"])
+	fmt.Printf("  memory, MiB: callers alone %v, callers with plug-in %v, callers %v and daemon %v\n",
 		f["direct RSS"], f["plugin RSS"], f["daemon RSS"], f["daemon's own RSS"])
 }
 
--- a/cmd/measure/proxy_pools.go
+++ b/cmd/measure/proxy_pools.go
@@ -79,7 +79,7 @@
 // time. No flood is generated if kind is empty.
 func (b *poolsBench) play(kind string, walls bool, seconds float64, series bool) (outcome, error) {
 	other := "flooded"
-	if kind == "nodes that answer nothing" {
+	if kind == "nodes that never respond" {
 		other = "silent"
 	}
 	file := fmt.Sprintf("walls = %v\n[pools.quiet]\nconfig = \"quiet.json\"\n[pools.other]\nconfig = \"%s.json\"\n"+
--- a/cmd/measure/proxy_rest.go
+++ b/cmd/measure/proxy_rest.go
@@ -115,8 +115,8 @@
 	most := quarterMaxima(memory)
 	growth := max(0, slices.Max(most[1:])-most[0])
 	const mib = 1 << 20
-	fmt.Printf("nothing comes, %v: %.0f wakes a second, %.2f%% of a core\n", idle, still.wakes, 100*still.cpu)
-	fmt.Printf("%.0f requests a second, %v: %.0f wakes a second, %.2f%% of a core; most memory by "+
+	fmt.Printf("no requests, %v: %.0f context switches/s, %.2f%% of a core\n", idle, still.wakes, 100*still.cpu)
+	fmt.Printf("%.0f requests/s, %v: %.0f context switches/s, %.2f%% of a core; largest memory by "+
 		"quarters %.1f, %.1f, %.1f, %.1f MiB; %d sent, %d failed\n", quietRequestRate, quiet,
 		busy.wakes, 100*busy.cpu, float64(most[0])/mib, float64(most[1])/mib, float64(most[2])/mib,
 		float64(most[3])/mib, load.sent.Load(), load.failed.Load())
@@ -125,8 +125,8 @@
 		what      string
 		got, most float64
 	}{
-		{"share of a core while nothing comes", still.cpu, restCPU},
-		{"wakes a second while nothing comes", still.wakes, restWakes},
+		{"cores used without requests", still.cpu, restCPU},
+		{"context switches per second without requests", still.wakes, restWakes},
 		{"bytes that memory grew after the first quarter", float64(growth), restGrowth},
 		{"requests failed", float64(load.failed.Load()), 0},
 	} {
--- a/cmd/measure/proxy_service.go
+++ b/cmd/measure/proxy_service.go
@@ -233,7 +233,7 @@
 			return "", nil, err
 		}
 		p50, most := quantile(took, 0.5), quantile(took, 1)
-		fmt.Printf("operators' calls beside 256 busy clients and %d silent callers: p50 %.2f ms, most "+
+		fmt.Printf("operators' calls with 256 busy clients and %d silent connections: p50 %.2f ms, maximum "+
 			"%.1f ms, %d calls\n", silent, p50, most, len(took))
 		result += fmt.Sprintf("call_p50_ms_%d=%.2f call_most_ms_%d=%.1f ", silent, p50, silent, most)
 		if most > float64(controlBound.Milliseconds()) {
@@ -246,8 +246,8 @@
 			return "", nil, err
 		}
 		touched := float64(l.failed.Load()+l.again.Load()) / float64(times)
-		fmt.Printf("%d upgrades at %.0f/s: %d requests, %d failed, %d sent again, %d refused; the pair "+
-			"held %.1f MiB and %d descriptors at most\n",
+		fmt.Printf("%d upgrades at %.0f/s: %d requests, %d failed, %d sent again, %d refused; both processes "+
+			"used at most %.1f MiB and %d descriptors\n",
 			times, rate, l.sent.Load(), l.failed.Load(), l.again.Load(), l.refusals.Load(),
 			float64(rss)/(1<<20), descriptors)
 		result += fmt.Sprintf("touched_%.0f=%.2f failed_%.0f=%d ", rate, touched, rate, l.failed.Load())
--- a/cmd/measure/proxy_streams.go
+++ b/cmd/measure/proxy_streams.go
@@ -62,7 +62,7 @@
 	for _, way := range []string{"down", "up"} {
 		rate, cpu := f["daemon"+way+"rate"].over(f["proxy"+way+"rate"]),
 			f["daemon"+way+"cpu"].over(f["proxy"+way+"cpu"])
-		fmt.Printf("8 MiB %s: throughput, daemon over proxy %v (%v MiB/s); CPU a MiB %v; RSS daemon %v, proxy %v MiB\n",
+		fmt.Printf("8 MiB %s: daemon over proxy: throughput %v (%v MiB/s), CPU per MiB %v; RSS daemon %v, proxy %v MiB\n",
 			way, rate, f["daemon"+way+"rate"], cpu, f["daemon"+way+"rss"], f["proxy"+way+"rss"])
 		result += fmt.Sprintf("%s_rate_ratio=%.2f %s_cpu_ratio=%.2f %s_rss=%.1f ", way, rate.median(), way,
 			cpu.median(), way, f["daemon"+way+"rss"].median())
--- a/cmd/measure/proxy_turnaway.go
+++ b/cmd/measure/proxy_turnaway.go
@@ -43,11 +43,11 @@
 		}
 		f.add("served", servedCPU)
 		f.add("refused", refusedCPU)
-		fmt.Printf("round %d: CPU a request served %.1f refused %.1f µs (%d refused)\n", round+1, servedCPU,
+		fmt.Printf("round %d: CPU per request served %.1f refused %.1f µs (%d refused)\n", round+1, servedCPU,
 			refusedCPU, o.Failed)
 	}
 	ratio := f["refused"].over(f["served"])
-	fmt.Println("CPU a request, refused at the head over served:", ratio)
+	fmt.Println("CPU per request, rejected after the head over served:", ratio)
 	var missed []string
 	if ratio.median() > turnawayBound {
 		missed = append(missed, fmt.Sprintf("a rejection uses %.2f of a served request's CPU time, want at most %.2f",
