--- a/cmd/measure/control_join.go
+++ b/cmd/measure/control_join.go
@@ -71,7 +71,7 @@
 	return member, began, k.restart(member)
 }
 
-// measureTolerance measures the times from the start of a new member until the core is fully fault-reportsHealthy
+// measureTolerance measures the times from the start of a new member until the core is fully fault-tolerant
 // with it: the new member and the leader both report that they are voters in contact with a majority, and that the
 // voters are exactly the current members.
 func measureTolerance(binary string, network, rounds int, replace replacement) (metrics, error) {
--- a/cmd/measure/soak.go
+++ b/cmd/measure/soak.go
@@ -24,7 +24,7 @@
 	soakShortSeeds, soakShortLength = 2, 12 * time.Second
 	// soakSidecars is the default number of sidecars. The clients of each sidecar run in the measuring process.
 	soakSidecars = 9
-	// soakMaxProcesses limits the processes of a run on machines of any size.
+	// soakMaxProcesses keeps a run well within a few hundred processes, on machines of any size.
 	soakMaxProcesses = 150
 	// soakProcessMemory is the memory in bytes that a run reserves for each process. A run may use 1/soakMemoryShare
 	// of the machine's memory.
--- a/cmd/measure/soak_trouble.go
+++ b/cmd/measure/soak_trouble.go
@@ -178,7 +178,8 @@
 	})
 }
 
-// changeConfig makes e.Count configuration changes with a pause of e.Gap after each change.
+// changeConfig makes e.Count configuration changes with a pause of e.Gap after each change. replaceConfig holds
+// configMu, so that the changes do not interleave with the changes of moveRoute.
 func (r *soakRig) changeConfig(e soak.Event) {
 	for i := range e.Count {
 		if r.anyDraining() {
--- a/cmd/measure/stress.go
+++ b/cmd/measure/stress.go
@@ -19,7 +19,7 @@
 	// stressCopies is the default number of copies of the test binary that run in parallel, stressPlays the default
 	// number of runs of each copy, and stressBusy the default number of busy processes that add load.
 	stressCopies, stressPlays, stressBusy = 12, 5, 0
-	// stressMaxProcesses limits the processes of a run on machines of any size.
+	// stressMaxProcesses limits a run to a few hundred processes, on machines of any size.
 	stressMaxProcesses = 300
 	// stressProcessMemory is the memory in bytes that a run reserves for each process. A run may use
 	// 1/stressMemoryShare of the machine's memory.
