--- a/cmd/measure/even_real.go
+++ b/cmd/measure/even_real.go
@@ -108,10 +108,10 @@
 // evenResult holds the measured distribution of requests of the fleet, and of reference algorithms for the same
 // arrivals.
 type evenResult struct {
-	brief, long, alike samples
-	greatest           samples
-	chance, two, limit samples // variance over mean in 10 s
-	chanceGreatest     samples
+	brief, long, alike samples // variance over mean in 1 s and in 10 s; loadspread.Coincidence
+	greatest           samples // largest over mean in 10 s
+	chance, two, limit samples // variance over mean in 10 s: random, two random choices, round robin
+	chanceGreatest     samples // greatest of random choice
 	requests, refused  int
 }
 
--- a/cmd/measure/fleet_plans.go
+++ b/cmd/measure/fleet_plans.go
@@ -25,18 +25,18 @@
 	missed []string
 }
 
-// playedPlan is the result of one plan. record adds the result to the measurement's sums.
-type playedPlan struct {
+// planRun is the result of one plan. record adds the result to the measurement's sums.
+type planRun struct {
 	fleet  *fleet.Fleet
 	plan   *fleet.Plan
 	broken []string
 	record func()
 }
 
-// playPlans runs plans drawn from the seeds from 1 on, several at once, each with its own fleet of daemons, which
+// runPlans runs plans drawn from the seeds from 1 on, several at once, each with its own fleet of daemons, which
 // command starts.
-func playPlans(
-	seeds, atOnce int, play func(c cleanups, seed uint64, command func() *exec.Cmd) playedPlan,
+func runPlans(
+	seeds, atOnce int, play func(c cleanups, seed uint64, command func() *exec.Cmd) planRun,
 ) (*planResults, error) {
 	binary, end, err := tempDaemon()
 	if err != nil {
@@ -68,12 +68,12 @@
 	var healed samples
 	var sum fleet.Tally
 	var lost, delayed, doubled int64
-	results, err := playPlans(seeds, atOnce, func(c cleanups, seed uint64, command func() *exec.Cmd) playedPlan {
+	results, err := runPlans(seeds, atOnce, func(c cleanups, seed uint64, command func() *exec.Cmd) planRun {
 		f := fleet.New(c, fleet.Config{Size: planSize, Nodes: 4, Command: command})
 		f.RequireAgreement(30 * time.Second)
 		plan := fleet.Draw(seed, planSize, planLength)
 		tally, took, broken := f.Play(plan, planLoad)
-		return playedPlan{f, plan, broken, func() {
+		return planRun{f, plan, broken, func() {
 			healed.add(took.Seconds())
 			sum.Add(tally)
 			lost += f.Peers.Lost.Load()
@@ -100,12 +100,12 @@
 	var settled samples
 	var sum fleet.PolicyTally
 	anew, turned := 0, 0
-	results, err := playPlans(seeds, atOnce, func(c cleanups, seed uint64, command func() *exec.Cmd) playedPlan {
+	results, err := runPlans(seeds, atOnce, func(c cleanups, seed uint64, command func() *exec.Cmd) planRun {
 		size := 5 + int(seed%5)
 		f := fleet.New(c, fleet.Config{Size: size, Nodes: 4, CutOff: fleet.CutOffPolicy, Command: command})
 		plan := fleet.Draw(seed, size, planLength)
 		tally, broken := f.PlayPolicies(plan, planLoad)
-		return playedPlan{f, plan, broken, func() {
+		return planRun{f, plan, broken, func() {
 			settled.add(tally.Settled.Seconds())
 			sum.Add(tally.Tally)
 			sum.Proposed += tally.Proposed
@@ -137,7 +137,7 @@
 	var ended samples
 	var sum fleet.WorkTally
 	anew := 0
-	results, err := playPlans(seeds, atOnce, func(c cleanups, seed uint64, command func() *exec.Cmd) playedPlan {
+	results, err := runPlans(seeds, atOnce, func(c cleanups, seed uint64, command func() *exec.Cmd) planRun {
 		size := 5 + int(seed%5)
 		f := fleet.New(c, fleet.Config{
 			Size: size, Nodes: 6, CutOff: "[limits]\nopen = 40\n", Command: command,
@@ -149,7 +149,7 @@
 		}) // a drained machine would never return
 		tally, broken := f.PlayWork(plan, planLoad, 2, swim.LeaseFor(size), 60*time.Millisecond,
 			300*time.Millisecond, 1500*time.Millisecond)
-		return playedPlan{f, plan, broken, func() {
+		return planRun{f, plan, broken, func() {
 			ended.add(tally.Ended.Seconds())
 			sum.Add(tally.Tally)
 			sum.Turns += tally.Turns
--- a/cmd/measure/proxy_rest.go
+++ b/cmd/measure/proxy_rest.go
@@ -20,10 +20,10 @@
 )
 
 // activity is the activity of a process: context switches per second, and CPU use in cores.
-type activity struct{ wakes, cpu float64 }
+type activity struct{ contextSwitches, cpu float64 }
 
-// wakes returns the number of context switches so far of the threads that a process has now.
-func wakes(pid int) (sum int64, err error) {
+// contextSwitches returns the number of context switches so far of the threads that a process has now.
+func contextSwitches(pid int) (sum int64, err error) {
 	tasks, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/status", pid))
 	if err != nil || len(tasks) == 0 {
 		return 0, errors.Join(fmt.Errorf("process %d has no threads", pid), err)
@@ -46,7 +46,7 @@
 
 // watch measures the activity of a process over a period, and samples its memory 100 times.
 func watch(pid int, d time.Duration) (o activity, memory []int64, err error) {
-	before, err := wakes(pid)
+	before, err := contextSwitches(pid)
 	if err != nil {
 		return o, nil, err
 	}
@@ -63,7 +63,7 @@
 		}
 		memory = append(memory, rss)
 	}
-	after, err := wakes(pid)
+	after, err := contextSwitches(pid)
 	if err != nil {
 		return o, nil, err
 	}
@@ -115,10 +115,10 @@
 	most := quarterMaxima(memory)
 	growth := max(0, slices.Max(most[1:])-most[0])
 	const mib = 1 << 20
-	fmt.Printf("no requests, %v: %.0f context switches/s, %.2f%% of a core\n", idle, still.wakes, 100*still.cpu)
+	fmt.Printf("no requests, %v: %.0f context switches/s, %.2f%% of a core\n", idle, still.contextSwitches, 100*still.cpu)
 	fmt.Printf("%.0f requests/s, %v: %.0f context switches/s, %.2f%% of a core; largest memory by "+
 		"quarters %.1f, %.1f, %.1f, %.1f MiB; %d sent, %d failed\n", quietRequestRate, quiet,
-		busy.wakes, 100*busy.cpu, float64(most[0])/mib, float64(most[1])/mib, float64(most[2])/mib,
+		busy.contextSwitches, 100*busy.cpu, float64(most[0])/mib, float64(most[1])/mib, float64(most[2])/mib,
 		float64(most[3])/mib, load.sent.Load(), load.failed.Load())
 	var missed []string
 	for _, bound := range []struct {
@@ -126,7 +126,7 @@
 		got, most float64
 	}{
 		{"cores used without requests", still.cpu, restCPU},
-		{"context switches per second without requests", still.wakes, restWakes},
+		{"context switches per second without requests", still.contextSwitches, restWakes},
 		{"bytes that memory grew after the first quarter", float64(growth), restGrowth},
 		{"requests failed", float64(load.failed.Load()), 0},
 	} {
@@ -135,5 +135,5 @@
 		}
 	}
 	return fmt.Sprintf("idle_wakes=%.0f idle_cpu=%.4f quiet_wakes=%.0f quiet_cpu=%.4f growth_bytes=%d",
-		still.wakes, still.cpu, busy.wakes, busy.cpu, growth), missed, nil
+		still.contextSwitches, still.cpu, busy.contextSwitches, busy.cpu, growth), missed, nil
 }
--- a/cmd/measure/soak.go
+++ b/cmd/measure/soak.go
@@ -93,7 +93,7 @@
 	var missed []string
 	total := soakReport{Verdict: soak.Verdict{Judged: make(map[soak.Promise]int)}, Counts: newSoakCounts()}
 	for _, seed := range seeds {
-		report, err := playSoak(binary, seed, processes-soakCore, length)
+		report, err := runSoakSeed(binary, seed, processes-soakCore, length)
 		if err != nil {
 			return "", missed, fmt.Errorf("seed %d: %w", seed, err)
 		}
@@ -172,8 +172,8 @@
 	return kilobytes << 10 / share / bytes
 }
 
-// playSoak runs one seed.
-func playSoak(binary string, seed uint64, sidecars int, length time.Duration) (*soakReport, error) {
+// runSoakSeed runs one seed.
+func runSoakSeed(binary string, seed uint64, sidecars int, length time.Duration) (*soakReport, error) {
 	c := newCleanups()
 	defer c.end()
 	r, err := startSoakRig(c, binary, seed, sidecars)
