--- a/cmd/measure/fleet_plans.go
+++ b/cmd/measure/fleet_plans.go
@@ -14,29 +14,29 @@
 const (
 	planLength = 20 * time.Second
 	planSize   = 5
-	planLoad   = 100 // requests a second
+	planLoad   = 100 // requests per second
 )
 
-// planResults is what all plans of a measurement came to.
+// planResults holds the results of all plans of a measurement.
 type planResults struct {
-	mu     sync.Mutex     // guards all below, and what the measurement sums up itself
-	plans  int            // that were played
-	faults map[string]int // by kind, how often
+	mu     sync.Mutex     // guards the fields below, and the sums of the measurement
+	plans  int            // number of plans that were run
+	faults map[string]int // number of faults by kind
 	missed []string
 }
 
-// playedPlan is what one plan came to. record adds it to the measurement's sums.
-type playedPlan struct {
+// planRun is the result of one plan. record adds the result to the measurement's sums.
+type planRun struct {
 	fleet  *fleet.Fleet
 	plan   *fleet.Plan
 	broken []string
 	record func()
 }
 
-// playPlans plays plans drawn from seeds 1, 2 and so on, several at once, each with a fleet of daemons that
+// runPlans runs plans drawn from the seeds from 1 on, several at once, each with its own fleet of daemons, which
 // command starts.
-func playPlans(
-	seeds, atOnce int, play func(c cleanups, seed uint64, command func() *exec.Cmd) playedPlan,
+func runPlans(
+	seeds, atOnce int, play func(c cleanups, seed uint64, command func() *exec.Cmd) planRun,
 ) (*planResults, error) {
 	binary, end, err := tempDaemon()
 	if err != nil {
@@ -59,7 +59,7 @@
 	return results, nil
 }
 
-// measurePlans has fleets of real processes live through plans.
+// measurePlans runs fleets of real processes through random plans of faults, and checks the rules of membership.
 func measurePlans(short bool) (string, []string, error) {
 	seeds, atOnce := 200, 6
 	if short {
@@ -68,12 +68,12 @@
 	var healed samples
 	var sum fleet.Tally
 	var lost, delayed, doubled int64
-	results, err := playPlans(seeds, atOnce, func(c cleanups, seed uint64, command func() *exec.Cmd) playedPlan {
+	results, err := runPlans(seeds, atOnce, func(c cleanups, seed uint64, command func() *exec.Cmd) planRun {
 		f := fleet.New(c, fleet.Config{Size: planSize, Nodes: 4, Command: command})
 		f.RequireAgreement(30 * time.Second)
 		plan := fleet.Draw(seed, planSize, planLength)
 		tally, took, broken := f.Play(plan, planLoad)
-		return playedPlan{f, plan, broken, func() {
+		return planRun{f, plan, broken, func() {
 			healed.add(took.Seconds())
 			sum.Add(tally)
 			lost += f.Peers.Lost.Load()
@@ -91,8 +91,7 @@
 		len(results.missed), healed.median(), healed.at(1), sum.Served, lost), results.missed, nil
 }
 
-// measurePolicyPlans has fleets of five to nine real processes change their policy while they live
-// through plans.
+// measurePolicyPlans runs fleets of five to nine real processes through plans of faults while their policy changes.
 func measurePolicyPlans(short bool) (string, []string, error) {
 	seeds, atOnce := 300, 4
 	if short {
@@ -101,12 +100,12 @@
 	var settled samples
 	var sum fleet.PolicyTally
 	anew, turned := 0, 0
-	results, err := playPlans(seeds, atOnce, func(c cleanups, seed uint64, command func() *exec.Cmd) playedPlan {
+	results, err := runPlans(seeds, atOnce, func(c cleanups, seed uint64, command func() *exec.Cmd) planRun {
 		size := 5 + int(seed%5)
 		f := fleet.New(c, fleet.Config{Size: size, Nodes: 4, CutOff: fleet.CutOffPolicy, Command: command})
 		plan := fleet.Draw(seed, size, planLength)
 		tally, broken := f.PlayPolicies(plan, planLoad)
-		return playedPlan{f, plan, broken, func() {
+		return planRun{f, plan, broken, func() {
 			settled.add(tally.Settled.Seconds())
 			sum.Add(tally.Tally)
 			sum.Proposed += tally.Proposed
@@ -120,16 +119,16 @@
 	if err != nil {
 		return "", nil, err
 	}
-	fmt.Printf("%d plans of %v with 5 to 9 processes: faults %v; %d policies proposed, %d told no, "+
-		"requests turned %d times; the log lost and begun anew %d times; requests %+v; all by one "+
+	fmt.Printf("%d plans of %v with 5 to 9 processes: faults %v; %d policies proposed, %d rejected, "+
+		"requests turned %d times; the log lost and started again %d times; requests %+v; all on one "+
 		"policy again after %v s\n",
 		results.plans, planLength, results.faults, sum.Proposed, sum.Refused, turned, anew, sum.Tally, settled)
 	return fmt.Sprintf("seeds=%d broken=%d proposed=%d turned=%d lost=%d settled_median=%.2f served=%d",
 		results.plans, len(results.missed), sum.Proposed, turned, anew, settled.median(), sum.Served), results.missed, nil
 }
 
-// measureWorkPlans has fleets of five to nine real processes take machines out for work while they
-// live through plans of faults.
+// measureWorkPlans runs fleets of five to nine real processes through plans of faults while they take machines out of
+// service for maintenance.
 func measureWorkPlans(short bool) (string, []string, error) {
 	seeds, atOnce := 300, 12
 	if short {
@@ -138,7 +137,7 @@
 	var ended samples
 	var sum fleet.WorkTally
 	anew := 0
-	results, err := playPlans(seeds, atOnce, func(c cleanups, seed uint64, command func() *exec.Cmd) playedPlan {
+	results, err := runPlans(seeds, atOnce, func(c cleanups, seed uint64, command func() *exec.Cmd) planRun {
 		size := 5 + int(seed%5)
 		f := fleet.New(c, fleet.Config{
 			Size: size, Nodes: 6, CutOff: "[limits]\nopen = 40\n", Command: command,
@@ -147,10 +146,10 @@
 		plan := fleet.Draw(seed, size, planLength)
 		plan.Steps = slices.DeleteFunc(plan.Steps, func(s fleet.Step) bool {
 			return s.What == fleet.Drain
-		}) // for good: its machine would never come back
+		}) // a drained machine would never return
 		tally, broken := f.PlayWork(plan, planLoad, 2, swim.LeaseFor(size), 60*time.Millisecond,
 			300*time.Millisecond, 1500*time.Millisecond)
-		return playedPlan{f, plan, broken, func() {
+		return planRun{f, plan, broken, func() {
 			ended.add(tally.Ended.Seconds())
 			sum.Add(tally.Tally)
 			sum.Turns += tally.Turns
@@ -164,9 +163,9 @@
 	if err != nil {
 		return "", nil, err
 	}
-	fmt.Printf("%d plans of %v with 5 to 9 processes: faults %v; %d machines were worked on, at most %d "+
-		"out or cold at once; %d requests there by processes that had just begun; the log lost %d "+
-		"times; requests %+v; the round over %v s after all was well\n",
+	fmt.Printf("%d plans of %v with 5 to 9 processes: faults %v; work on %d machines, at most %d "+
+		"out or cold at once; %d requests there by newly started processes; the log lost %d "+
+		"times; requests %+v; the round over %v s after the last fault\n",
 		results.plans, planLength, results.faults, sum.Turns, sum.Most, sum.Astray, anew, sum.Tally, ended)
 	return fmt.Sprintf("seeds=%d broken=%d turns=%d astray=%d lost=%d ended_median=%.2f served=%d", results.plans,
 		len(results.missed), sum.Turns, sum.Astray, anew, ended.median(), sum.Served), results.missed, nil
