--- a/cmd/measure/soak_client.go
+++ b/cmd/measure/soak_client.go
@@ -133,7 +133,7 @@
 // probeRoute sends one request on the route that moves, and reads its response.
 func (c *soakClient) probeRoute() {
 	o := c.newRequest(true, "/", 0)
-	o.Moves = true
+	o.MovingRoute = true
 	o.address(soakMovingHost, 0)
 	if !c.write(o.wire) {
 		return
@@ -213,9 +213,9 @@
 		return
 	}
 	r.Status = res.StatusCode
-	r.Own = res.Header.Get(headers.AttemptID) == r.ID
+	r.OwnResponse = res.Header.Get(headers.AttemptID) == r.ID
 	if r.Status == http.StatusOK {
-		r.Own = r.Own && res.Header.Get(headers.Signature) == soakSignature(r.ID) && string(body) == soakBody(r.ID, r.path)
+		r.OwnResponse = r.OwnResponse && res.Header.Get(headers.Signature) == soakSignature(r.ID) && string(body) == soakBody(r.ID, r.path)
 	}
 	if res.Close {
 		c.hangUp()
--- a/cmd/measure/soak_upstream.go
+++ b/cmd/measure/soak_upstream.go
@@ -87,9 +87,9 @@
 	arrived, work := u.rig.since(), u.workFor(r.URL.Path)
 	u.answer(w, r, id, work)
 	u.rig.recordRun(soak.Run{
-		ID: id, Upstream: u.number, Arrived: arrived, Planned: arrived + work, Ended: u.rig.since(),
+		ID: id, Upstream: u.number, Arrived: arrived, PlannedEnd: arrived + work, Ended: u.rig.since(),
 		Service: soakServiceOf(u.number), Instance: instance,
-		Changed: r.RequestURI != r.Header.Get(soakPathField) || !isSoakRequestBody(body, id, r.Header.Get(soakLengthField)),
+		Altered: r.RequestURI != r.Header.Get(soakPathField) || !isSoakRequestBody(body, id, r.Header.Get(soakLengthField)),
 	})
 }
 
--- a/internal/lab/soak/check_drain.go
+++ b/internal/lab/soak/check_drain.go
@@ -1,7 +1,7 @@
 package soak
 
-// checkDrains judges what reached upstreams that drain: nothing that machines in contact have sent on arrives later
-// than drainTimeoutS after the acknowledgement, whoever gave it.
+// checkDrains checks that no request forwarded by a machine in contact reaches a draining upstream more than
+// drainTimeoutS after the drain was acknowledged, whichever machine acknowledged it.
 func (c *checker) checkDrains() {
 	drains := make(map[string]Drain, len(c.Drains))
 	for _, d := range c.Drains {
@@ -19,7 +19,8 @@
 				continue
 			}
 			if late := run.Arrived - drain.Acknowledged - c.rules.DrainTimeout; late > 0 {
-				c.report(DrainingGetsNothing, r, run.Arrived, "sent on by sidecar %d to %s, %v after the drain's time",
+				c.report(DrainingGetsNothing, r, run.Arrived,
+					"sidecar %d forwarded the request to draining instance %s, %v after the drain time-out",
 					r.Sidecar, run.Instance, late)
 			}
 		}
--- a/internal/lab/soak/schedule.go
+++ b/internal/lab/soak/schedule.go
@@ -7,34 +7,35 @@
 	"time"
 )
 
-// Kind is what an event of a schedule does.
+// Kind is the kind of an event of a schedule.
 type Kind string
 
-// The kinds of events. Those of a series go from sidecar to sidecar, Gap apart.
+// The kinds of events. A series affects one sidecar after another, at intervals of Gap.
 const (
-	RollTerm       Kind = "roll_term"       // series: SIGTERM, and a start as soon as the process has ended
-	TermTwice      Kind = "term_twice"      // series: the same with a second SIGTERM Gap later
-	HupBurst       Kind = "hup_burst"       // SIGHUP to each, three times, Gap apart
-	Kill           Kind = "kill"            // SIGKILL to all of them at once, and a start For later
-	Freeze         Kind = "freeze"          // SIGSTOP, and SIGCONT For later
-	ConfigChanges  Kind = "config_changes"  // Count changes, Gap apart
-	KillCoreMember Kind = "kill_core"       // SIGKILL to one core member, and a start For later
-	SlowUpstreams  Kind = "slow_upstreams"  // their upstreams take Factor times as long, For long
-	CrashUpstreams Kind = "crash_upstreams" // their upstreams end all connections and accept none, For long
-	DrainUpstreams Kind = "drain_upstreams" // their upstreams drain and end, others start at their addresses For later
-	LeaveUpstreams Kind = "leave_upstreams" // the same, but they deregister first, then serve on and end
-	Pauses         Kind = "pauses"          // SIGSTOP and SIGCONT to each, Count times, For at most, Gap apart on average
+	RollTerm       Kind = "roll_term"       // series: SIGTERM, and a restart as soon as the process has exited
+	TermTwice      Kind = "term_twice"      // series: like RollTerm, with a second SIGTERM after Gap
+	HupBurst       Kind = "hup_burst"       // three SIGHUP to each sidecar, at intervals of Gap
+	Kill           Kind = "kill"            // SIGKILL to all sidecars of the event at once, and a restart after For
+	Freeze         Kind = "freeze"          // SIGSTOP, and SIGCONT after For
+	ConfigChanges  Kind = "config_changes"  // Count configuration changes at intervals of Gap
+	KillCoreMember Kind = "kill_core"       // SIGKILL to one core member, and a restart after For
+	SlowUpstreams  Kind = "slow_upstreams"  // the sidecars' upstreams take Factor times as long per request, during For
+	CrashUpstreams Kind = "crash_upstreams" // the sidecars' upstreams close all connections and accept none, during For
+	DrainUpstreams Kind = "drain_upstreams" // the upstreams drain and stop; new ones start at their addresses after For
+	LeaveUpstreams Kind = "leave_upstreams" // like DrainUpstreams, but they deregister first, keep serving, then stop
+	Pauses         Kind = "pauses"          // Count times SIGSTOP, and SIGCONT after at most For; mean interval Gap
 )
 
-// planned are the kinds that are no faults; faults are the others.
+// plannedKinds are the kinds of planned operations; a kind listed twice is drawn twice as often. faultKinds are the
+// kinds of faults.
 var (
-	planned = []Kind{RollTerm, RollTerm, TermTwice, HupBurst, ConfigChanges, SlowUpstreams}
-	faults  = []Kind{Kill, Freeze, KillCoreMember, CrashUpstreams}
+	plannedKinds = []Kind{RollTerm, RollTerm, TermTwice, HupBurst, ConfigChanges, SlowUpstreams}
+	faultKinds   = []Kind{Kill, Freeze, KillCoreMember, CrashUpstreams}
 )
 
-// Kinds are all kinds.
+// Kinds returns all kinds in alphabetical order.
 func Kinds() []Kind {
-	all := slices.Concat(planned, faults, []Kind{DrainUpstreams, LeaveUpstreams, Pauses})
+	all := slices.Concat(plannedKinds, faultKinds, []Kind{DrainUpstreams, LeaveUpstreams, Pauses})
 	slices.Sort(all)
 	return slices.Compact(all)
 }
@@ -50,25 +51,26 @@
 }
 
 const (
-	// meanPause is the mean time between the beginnings of two events: shorter than most of them last, so that
-	// they overlap.
-	meanPause = 1200 * time.Millisecond
-	// quietEnd at the end of a run nothing new begins, so that what has begun shows its effect.
-	quietEnd = 3 * time.Second
-	// plannedOnlySeeds is the share of seeds without faults, one in so many: losses around planned work are judged
-	// only where no fault is near.
-	plannedOnlySeeds = 2
+	// meanInterval is the mean time between the beginnings of two events. It is shorter than most events last, so
+	// that events overlap.
+	meanInterval = 1200 * time.Millisecond
+	// quietTail is the time at the end of a run in which no event begins, so that earlier events take effect before
+	// the run ends.
+	quietTail = 3 * time.Second
+	// faultFreeSeedDivisor: seeds that it divides have a schedule without faults. Lost requests near planned operations
+	// are only counted where no fault is near.
+	faultFreeSeedDivisor = 2
 )
 
-// Draw returns the schedule of a seed for a run of so many sidecars, in order.
+// Draw returns the schedule of a seed for a run with the given number of sidecars, ordered by time.
 func Draw(seed uint64, length time.Duration, sidecars int) []Event {
 	random := rand.New(rand.NewPCG(seed, 0))
-	mayHaveFaults := seed%plannedOnlySeeds != 0
+	withFaults := seed%faultFreeSeedDivisor != 0
 	var all []Event
-	for at := meanPause; at < length-quietEnd; at += time.Duration(random.ExpFloat64() * float64(meanPause)) {
-		kinds := planned
-		if mayHaveFaults && random.IntN(2) == 0 {
-			kinds = faults
+	for at := meanInterval; at < length-quietTail; at += time.Duration(random.ExpFloat64() * float64(meanInterval)) {
+		kinds := plannedKinds
+		if withFaults && random.IntN(2) == 0 {
+			kinds = faultKinds
 		}
 		e := drawEvent(random, kinds[random.IntN(len(kinds))], sidecars)
 		e.At = at
@@ -78,49 +80,51 @@
 	return all
 }
 
-// longestPauses are how long the pauses of a series may be: within a step of a process, over a time-out of a call,
-// over a lease.
-var longestPauses = []time.Duration{
+// maxPauseLengths are the longest pauses of a series, of which each series uses one: from a pause within one step of a
+// process up to pauses that outlast the time-out of a call or a lease.
+var maxPauseLengths = []time.Duration{
 	5 * time.Millisecond, 60 * time.Millisecond, 700 * time.Millisecond, 5 * time.Second,
 }
 
 const (
-	// minPauses and maxPauses bound the pauses of a series, minPauseGap and maxPauseGap their mean distance.
+	// minPauses and maxPauses bound the number of pauses in a series, minPauseGap and maxPauseGap the mean interval
+	// between pauses.
 	minPauses, maxPauses     = 4, 24
 	minPauseGap, maxPauseGap = 2 * time.Millisecond, 120 * time.Millisecond
 )
 
-// DrawPauses returns series of pauses to be played beside the schedule of the same seed, in order: a process that
-// stops at any moment, for instance between a decision and what follows from it.
+// DrawPauses returns series of pauses, ordered by time, that are executed together with the schedule of the same seed.
+// They stop a process at arbitrary moments, for instance between a decision and the action that depends on it.
 func DrawPauses(seed uint64, length time.Duration, sidecars int) (all []Event) {
 	random := rand.New(rand.NewPCG(seed, 2))
-	for at := meanPause; at < length-quietEnd; at += time.Duration(random.ExpFloat64() * float64(meanPause)) {
+	for at := meanInterval; at < length-quietTail; at += time.Duration(random.ExpFloat64() * float64(meanInterval)) {
 		all = append(all, Event{
 			At: at, Kind: Pauses, Sidecars: drawSidecars(random, sidecars),
 			Count: minPauses + random.IntN(maxPauses-minPauses),
 			Gap:   minPauseGap + time.Duration(random.Int64N(int64(maxPauseGap-minPauseGap))),
-			For:   longestPauses[random.IntN(len(longestPauses))],
+			For:   maxPauseLengths[random.IntN(len(maxPauseLengths))],
 		})
 	}
 	return all
 }
 
 const (
-	// maxReplaceTime is the longest time between an upstream's end and the start of the next one at its address.
-	maxReplaceTime = 1500 * time.Millisecond
-	// leaveShare of the upstreams that drain deregister first, one in so many.
-	leaveShare = 3
+	// maxReplacementDelay bounds the time between the stop of an upstream and the start of the next one at its address.
+	maxReplacementDelay = 1500 * time.Millisecond
+	// leaveDivisor: on average, one in leaveDivisor drains deregisters the upstreams first.
+	leaveDivisor = 3
 )
 
-// DrawDrains returns drains of upstreams to be played beside the schedule of the same seed, in order.
+// DrawDrains returns drains of upstreams, ordered by time, that are executed together with the schedule of the same
+// seed.
 func DrawDrains(seed uint64, length time.Duration, sidecars int) (all []Event) {
 	random := rand.New(rand.NewPCG(seed, 3))
-	for at := meanPause; at < length-quietEnd; at += time.Duration(2 * random.ExpFloat64() * float64(meanPause)) {
+	for at := meanInterval; at < length-quietTail; at += time.Duration(2 * random.ExpFloat64() * float64(meanInterval)) {
 		e := Event{
 			At: at, Kind: DrainUpstreams, Sidecars: drawSidecars(random, sidecars),
-			For: time.Duration(random.Int64N(int64(maxReplaceTime))),
+			For: time.Duration(random.Int64N(int64(maxReplacementDelay))),
 		}
-		if random.IntN(leaveShare) == 0 {
+		if random.IntN(leaveDivisor) == 0 {
 			e.Kind = LeaveUpstreams
 		}
 		all = append(all, e)
@@ -128,7 +132,7 @@
 	return all
 }
 
-// drawEvent draws what one event of a kind does.
+// drawEvent draws the sidecars, durations and counts of an event of the given kind.
 func drawEvent(random *rand.Rand, kind Kind, sidecars int) Event {
 	between := func(low, high time.Duration) time.Duration {
 		return low + time.Duration(random.Int64N(int64(high-low)))
@@ -155,7 +159,7 @@
 	return e
 }
 
-// drawSidecars draws which sidecars an event is about: one, some or all.
+// drawSidecars draws the sidecars that an event affects: one, all, or a random number of them.
 func drawSidecars(random *rand.Rand, sidecars int) []int {
 	all := random.Perm(sidecars)
 	switch random.IntN(4) {
