--- a/cmd/measure/fleet_peers_virtual.go
+++ b/cmd/measure/fleet_peers_virtual.go
@@ -30,7 +30,7 @@
 		}
 		begun := n.Now
 		n.Crash(i)
-		if n.Until(30*time.Second, func() bool { return known >= need }) {
+		if n.RunUntil(30*time.Second, func() bool { return known >= need }) {
 			took.add((n.Now - begun).Seconds())
 		} else {
 			took.add(-1)
@@ -94,7 +94,7 @@
 		}
 	}
 	begun := n.Now
-	n.Until(10*swim.LeaseFor(size), func() bool { return in >= need })
+	n.RunUntil(10*swim.LeaseFor(size), func() bool { return in >= need })
 	return n.Now - begun
 }
 
--- a/cmd/measure/fleet_policy_virtual.go
+++ b/cmd/measure/fleet_policy_virtual.go
@@ -69,7 +69,7 @@
 	for {
 		missing := 0
 		for _, m := range n.Nodes {
-			if m.Lives() && !holds(m.Node.Active(m.Time())) {
+			if m.Running() && !holds(m.Node.Active(m.Time())) {
 				missing++
 			}
 		}
--- a/cmd/measure/fleet_work_virtual.go
+++ b/cmd/measure/fleet_work_virtual.go
@@ -33,7 +33,7 @@
 	if err := n.Nodes[0].Bootstrap(n.Nodes[0].Time(), 1<<56); err != nil {
 		return virtualWork{broken: []string{err.Error()}}
 	}
-	if !n.Until(3*time.Minute, n.Converged) {
+	if !n.RunUntil(3*time.Minute, n.Converged) {
 		return virtualWork{broken: []string{"not all go by the log"}}
 	}
 	n.Run(time.Minute)
--- a/internal/fleet/raftlog/epoch_test.go
+++ b/internal/fleet/raftlog/epoch_test.go
@@ -39,7 +39,7 @@
 	}
 	n.Run(10 * time.Second)
 	n.Partitioned = nil
-	if !n.Until(20*time.Second, func() bool { return converged(n) && n.Nodes[4].Epoch() == 2 }) {
+	if !n.RunUntil(20*time.Second, func() bool { return converged(n) && n.Nodes[4].Epoch() == 2 }) {
 		t.Fatalf("sidecars 0 and 4 have epochs %d and %d after 20 s, want 2", n.Nodes[0].Epoch(), n.Nodes[4].Epoch())
 	}
 	if err := n.Nodes[4].Propose(n.Now, []byte("new")); err != nil {
@@ -80,7 +80,7 @@
 	for i := range n.Nodes {
 		n.Boot(i)
 	}
-	if !n.Until(20*time.Second, func() bool { return converged(n) }) {
+	if !n.RunUntil(20*time.Second, func() bool { return converged(n) }) {
 		t.Fatalf("leader %d, epoch %d; not converged 20 s after the restart", n.Leader(), n.Nodes[0].Epoch())
 	}
 	if err := n.Nodes[2].Propose(n.Now, []byte("later")); err != nil {
--- a/internal/fleet/raftlog/raftlog_test.go
+++ b/internal/fleet/raftlog/raftlog_test.go
@@ -31,7 +31,7 @@
 	if err := n.Nodes[0].Bootstrap(n.Now, 1); err != nil {
 		t.Fatal(err)
 	}
-	if !n.Until(20*time.Second, func() bool { return converged(n) }) {
+	if !n.RunUntil(20*time.Second, func() bool { return converged(n) }) {
 		t.Fatalf("seed %d: not converged after 20 s: %d voters, leader %d", seed, len(n.Nodes[0].Voters()), n.Leader())
 	}
 	return n
@@ -42,7 +42,7 @@
 func converged(n *raftlogsim.Net) bool {
 	have := uint64(0)
 	for _, m := range n.Nodes {
-		if !m.Lives() {
+		if !m.Running() {
 			continue
 		}
 		if have == 0 {
@@ -68,7 +68,7 @@
 			t.Fatal(err)
 		}
 		start := n.Now
-		if !n.Until(20*time.Second, func() bool { return applied == size }) {
+		if !n.RunUntil(20*time.Second, func() bool { return applied == size }) {
 			t.Fatalf("%d of %d sidecars applied the entry within 20 s", applied, size)
 		}
 		t.Logf(
@@ -169,7 +169,7 @@
 		i := rng.IntN(size)
 		n.After(time.Duration(rng.Int64N(int64(25*time.Second))), func() {
 			m := n.Nodes[i]
-			if !m.Lives() {
+			if !m.Running() {
 				return
 			}
 			last++
@@ -187,13 +187,13 @@
 	}
 	n.Run(35 * time.Second)
 	n.Partitioned, n.Loss, n.Duplicate, n.MaxDelay = nil, 0, 0, 10*time.Millisecond
-	hasConverged := n.Until(30*time.Second, func() bool { return converged(n) })
+	hasConverged := n.RunUntil(30*time.Second, func() bool { return converged(n) })
 	lost := !hasConverged && n.Lost()
 	if !hasConverged && !lost {
 		text := ""
 		for i, m := range n.Nodes {
 			text += fmt.Sprintf(
-				" n%d alive %v, last index %d of epoch %d, leads %v, votes %v, voters %v;", i, m.Lives(),
+				" n%d alive %v, last index %d of epoch %d, leads %v, votes %v, voters %v;", i, m.Running(),
 				m.LastIndex(), m.Epoch(), m.IsLeader(), m.IsVoter(), m.Voters(),
 			)
 		}
--- a/internal/fleet/raftlog/voters_test.go
+++ b/internal/fleet/raftlog/voters_test.go
@@ -23,7 +23,7 @@
 		n.Run(50 * time.Millisecond)
 		n.Crash(first)
 		n.Partitioned = nil
-		if !n.Until(20*time.Second, func() bool { return n.Leader() >= 0 }) {
+		if !n.RunUntil(20*time.Second, func() bool { return n.Leader() >= 0 }) {
 			t.Fatalf("seed %d: no leader 20 s after the crash of the first one", s)
 		}
 		if n.Leader() != next {
--- a/internal/fleet/replicatedstate/history_test.go
+++ b/internal/fleet/replicatedstate/history_test.go
@@ -67,7 +67,7 @@
 	for k := range 6 {
 		m := n.Nodes[rng.IntN(size)]
 		n.After(time.Duration(rng.Int64N(int64(45*time.Second))), func() {
-			if !m.Lives() {
+			if !m.Running() {
 				return
 			}
 			if rng.IntN(5) == 0 {
@@ -83,7 +83,7 @@
 				n.Counts["not proposable"]++
 			} else if rng.IntN(5) == 0 {
 				n.After(time.Duration(rng.Int64N(int64(time.Second))), func() {
-					if m.Lives() {
+					if m.Running() {
 						_, _ = m.Abort(m.Time())
 					}
 				})
@@ -119,7 +119,7 @@
 		}
 	}
 	// the offer of a text that no live sidecar has is aborted after a minute
-	if !n.Until(110*time.Second, brokenOrConverged) {
+	if !n.RunUntil(110*time.Second, brokenOrConverged) {
 		n.Broken = append(n.Broken, "not converged 110 s after the last fault:"+n.Text())
 	}
 	for _, m := range n.Nodes {
--- a/internal/fleet/replicatedstate/maintenance_test.go
+++ b/internal/fleet/replicatedstate/maintenance_test.go
@@ -50,7 +50,7 @@
 	var operate func()
 	operate = func() {
 		m := n.Nodes[rng.IntN(size)]
-		if m.Lives() {
+		if m.Running() {
 			if !planned {
 				_, err := m.Plan(m.Time(), fmt.Appendf(nil, planText, []string{"told", "awaited"}[seed/2%2]))
 				planned = err == nil
@@ -131,7 +131,7 @@
 		}
 		return true
 	}
-	if !n.Until(5*time.Minute, planEnded) {
+	if !n.RunUntil(5*time.Minute, planEnded) {
 		m := n.Nodes[0]
 		n.Broken = append(
 			n.Broken,
@@ -190,7 +190,7 @@
 	if _, err := m.Plan(m.Time(), fmt.Appendf(nil, planText, "told")); err != nil {
 		t.Fatal(err)
 	}
-	if !n.Until(20*time.Second, func() bool { return m.MaintenanceState().Window(1) != nil }) {
+	if !n.RunUntil(20*time.Second, func() bool { return m.MaintenanceState().Window(1) != nil }) {
 		t.Fatalf("no window opened within 20 s: %+v", m.MaintenanceView(m.Time()))
 	}
 	if err := m.Operate(m.Time(), maintenance.Paused, 1); err != nil {
--- a/internal/fleet/replicatedstate/replicatedstate_test.go
+++ b/internal/fleet/replicatedstate/replicatedstate_test.go
@@ -26,7 +26,7 @@
 		t.Fatal(err)
 	}
 	n.Watch(20 * time.Millisecond)
-	if !n.Until(30*time.Second, n.Converged) {
+	if !n.RunUntil(30*time.Second, n.Converged) {
 		t.Fatalf("seed %d: the fleet has not converged within 30 s: %s", seed, n.Text())
 	}
 	return n
@@ -66,7 +66,7 @@
 	if _, err := other.Propose(other.Time(), replicatedstatesim.Text(2), 0); err != nil {
 		t.Fatal(err)
 	}
-	if !n.Until(10*time.Second, func() bool { return n.Converged() && currentVersion(m) == 1 }) {
+	if !n.RunUntil(10*time.Second, func() bool { return n.Converged() && currentVersion(m) == 1 }) {
 		t.Fatal(n.Text())
 	}
 	a, b := m.View(m.Time()).Proposals[0].Outcome, other.View(other.Time()).Proposals[0].Outcome
@@ -135,7 +135,7 @@
 			t.Fatalf("%s: %v", c.name, err)
 		}
 		got := func() string { return m.View(m.Time()).Proposals[0].Outcome }
-		n.Until(c.within, func() bool { return got() != "" && got() != "under way" })
+		n.RunUntil(c.within, func() bool { return got() != "" && got() != "under way" })
 		want := strings.ReplaceAll(c.outcome, "%d", fmt.Sprint((leader+1)%5))
 		if !strings.Contains(got(), want) || n.Broken != nil {
 			t.Errorf("%s: outcome %q after %v, want %q; violations %v", c.name, got(), n.Now-start, want, n.Broken)
@@ -175,7 +175,7 @@
 		t.Fatal(err)
 	}
 	for _, o := range n.Nodes {
-		if !n.Until(2*time.Minute, func() bool {
+		if !n.RunUntil(2*time.Minute, func() bool {
 			v := o.View(o.Time())
 			return v.Active.Mode == policyrollout.OneVersion && v.State.Current.Version == 1 &&
 				bytes.Equal(textOf(o), raw)
@@ -238,7 +238,7 @@
 			t.Fatal(err)
 		}
 		n.Watch(20 * time.Millisecond)
-		n.Until(30*time.Second, n.Converged)
+		n.RunUntil(30*time.Second, n.Converged)
 		if _, err := n.Nodes[1].Propose(n.Nodes[1].Time(), replicatedstatesim.Text(1), 0); err != nil {
 			t.Fatal(err)
 		}
@@ -253,7 +253,7 @@
 				t.Errorf("n%d has just started and applies %v, want cut off", i, active.Mode)
 			}
 		}
-		again := n.Until(30*time.Second, func() bool { return n.Converged() && currentVersion(n.Nodes[3]) == 1 })
+		again := n.RunUntil(30*time.Second, func() bool { return n.Converged() && currentVersion(n.Nodes[3]) == 1 })
 		if again != disks || n.Broken != nil {
 			t.Errorf("with disks: %v; the fleet applies version 1 again: %v; violations %v", disks, again, n.Broken)
 		}
--- a/internal/fleet/replicatedstate/size_test.go
+++ b/internal/fleet/replicatedstate/size_test.go
@@ -22,7 +22,7 @@
 		t.Fatal(err)
 	}
 	n.Watch(50 * time.Millisecond)
-	if !n.Until(2*time.Minute, n.Converged) {
+	if !n.RunUntil(2*time.Minute, n.Converged) {
 		t.Fatalf("the fleet has not converged within 2 minutes: %s", n.Text())
 	}
 	t.Logf("all sidecars apply the log's policy %v after Bootstrap", n.Now-time.Hour-time.Second)
@@ -57,7 +57,7 @@
 	change := func(name string, number int, within time.Duration, maxCutOff int) {
 		t.Helper()
 		m, start, bytes, messages := n.Nodes[n.Rng.IntN(size)], n.Now, n.Bytes, n.Messages
-		for !m.Lives() {
+		for !m.Running() {
 			m = n.Nodes[n.Rng.IntN(size)]
 		}
 		ref, err := m.Propose(m.Time(), replicatedstatesim.Text(number), m.View(m.Time()).State.Current.Version)
@@ -69,7 +69,7 @@
 			cut = 0
 			for _, m := range n.Nodes {
 				switch active := m.Node.Active(m.Time()); {
-				case !m.Lives():
+				case !m.Running():
 				case active.Mode == policyrollout.CutOff:
 					cut++
 				case active.Mode != policyrollout.OneVersion || active.New != ref:
@@ -78,11 +78,11 @@
 			}
 			return cut <= maxCutOff
 		}
-		if !n.Until(within, func() bool { return n.Broken != nil || applied() }) || n.Broken != nil {
+		if !n.RunUntil(within, func() bool { return n.Broken != nil || applied() }) || n.Broken != nil {
 			t.Fatalf("%s: new version not applied within %v, violations %v: %s", name, within, n.Broken, n.Text())
 		}
 		took := n.Now - start
-		if !n.Until(time.Minute, n.Converged) {
+		if !n.RunUntil(time.Minute, n.Converged) {
 			t.Fatalf("%s: the fleet has not converged a minute after the change: %s", name, n.Text())
 		}
 		t.Logf(
--- a/internal/lab/emulator/fleet.go
+++ b/internal/lab/emulator/fleet.go
@@ -250,7 +250,7 @@
 			}
 		}
 		t = min(until, t-t%f.cfg.Bucket+f.cfg.Bucket)
-		f.clock.To(time.Hour + t)
+		f.clock.RunTo(time.Hour + t)
 	}
 }
 
--- a/internal/lab/emulator/mass_test.go
+++ b/internal/lab/emulator/mass_test.go
@@ -51,20 +51,20 @@
 		n.take(10, func(policy.Ending) {})
 	}
 	held := append(n.running[:len(n.running):len(n.running)], n.waiting...)
-	f.clock.To(f.clock.Now + 6*crowd.Over)
+	f.clock.RunTo(f.clock.Now + 6*crowd.Over)
 	n.updateOverload()
 	if !n.overloaded || n.speed() > 0.6*speed {
 		t.Fatalf("holds %d where %.1f is the most: tipped %v, speed %.2f of %.2f", len(held), crowd.Most,
 			n.overloaded, n.speed(), speed)
 	}
-	f.clock.To(f.clock.Now + crowd.Rest)
+	f.clock.RunTo(f.clock.Now + crowd.Rest)
 	if !n.overloaded {
 		t.Fatal("is well though it never rested")
 	}
 	for _, j := range held {
 		j.giveUp()
 	}
-	f.clock.To(f.clock.Now + crowd.Rest + time.Second)
+	f.clock.RunTo(f.clock.Now + crowd.Rest + time.Second)
 	if n.overloaded || n.speed() != speed {
 		t.Fatal("is not well though it rested")
 	}
--- a/internal/lab/raftlogsim/net.go
+++ b/internal/lab/raftlogsim/net.go
@@ -96,7 +96,7 @@
 		if m.Node != node || m.Down {
 			return
 		}
-		if m.Stopped == 0 {
+		if m.PausedUntil == 0 {
 			node.Tick(n.Now)
 			node.UpdateVoters(n.Now, n.out, n.there())
 			m.lead()
@@ -124,7 +124,7 @@
 
 func (n *Net) there() (all []raftlog.Voter) {
 	for _, m := range n.Nodes {
-		if !m.Down && m.Stopped == 0 {
+		if !m.Down && m.PausedUntil == 0 {
 			all = append(all, m.voter)
 		}
 	}
@@ -195,7 +195,7 @@
 // Leader is a node that leads; -1: none does.
 func (n *Net) Leader() int {
 	for i, m := range n.Nodes {
-		if m.Lives() && m.IsLeader() {
+		if m.Running() && m.IsLeader() {
 			return i
 		}
 	}
--- a/internal/lab/replay/estimate.go
+++ b/internal/lab/replay/estimate.go
@@ -106,7 +106,7 @@
 		return err
 	}
 	for _, e := range p.events {
-		r.clock.To(max(r.clock.Now, time.Duration(e.At)))
+		r.clock.RunTo(max(r.clock.Now, time.Duration(e.At)))
 		if q := e.GetRequest(); q != nil {
 			r.open[policy.RequestID(q.Id)] = &played{class: q.Class, at: r.clock.Now,
 				ends: r.clock.Now + time.Duration(q.Left)}
@@ -123,7 +123,7 @@
 		}
 	}
 	if n := len(p.events); n > 0 {
-		r.clock.To(r.clock.Now + 10*time.Second) // what is open ends by its deadline
+		r.clock.RunTo(r.clock.Now + 10*time.Second) // what is open ends by its deadline
 	}
 	return nil
 }
--- a/internal/lab/replicatedstatesim/net.go
+++ b/internal/lab/replicatedstatesim/net.go
@@ -162,7 +162,7 @@
 		if m.Node != node || m.Down {
 			return
 		}
-		if m.Stopped == 0 {
+		if m.PausedUntil == 0 {
 			node.Tick(m.Time())
 		}
 		n.After(replicatedstate.Period, tick)
@@ -242,7 +242,7 @@
 	type name = [32]byte
 	alone, live := make(map[name]bool), make(map[name]bool)
 	for _, m := range n.Nodes {
-		if !m.Lives() {
+		if !m.Running() {
 			continue
 		}
 		switch goes := m.Node.Active(m.Time()); goes.Mode {
@@ -280,7 +280,7 @@
 func (n *Net) Converged() bool {
 	holds, first := policyrollout.Ref{}, true
 	for _, m := range n.Nodes {
-		if !m.Lives() {
+		if !m.Running() {
 			continue
 		}
 		v := m.View(m.Time())
--- a/internal/lab/replicatedstatesim/work.go
+++ b/internal/lab/replicatedstatesim/work.go
@@ -60,7 +60,7 @@
 
 func (n *Net) send(i int) {
 	m, s := n.Nodes[i], n.Site
-	if !m.Lives() {
+	if !m.Running() {
 		return
 	}
 	out := make(map[uint64]bool)
--- a/internal/lab/swimsim/net.go
+++ b/internal/lab/swimsim/net.go
@@ -53,7 +53,7 @@
 	rate        float64
 	incarnation uint64
 	Down        bool          // its process does not live
-	Stopped     time.Duration // until then; 0: it runs
+	PausedUntil time.Duration // until then; 0: it runs
 	held        []carried
 	Bytes       int
 	Sends       int
@@ -94,7 +94,7 @@
 	if !m.Down {
 		return
 	}
-	m.Down, m.Stopped, m.held = false, 0, nil
+	m.Down, m.PausedUntil, m.held = false, 0, nil
 	m.truth = truth{last: make([]time.Duration, n.Size), proved: make([]time.Duration, n.Size)}
 	m.incarnation = max(m.incarnation+1, uint64(n.Now/time.Millisecond)<<16|n.Rng.Uint64N(1<<16))
 	cfg := swim.Config{
@@ -120,7 +120,7 @@
 		switch {
 		case m.Node != node || m.Down:
 			return
-		case m.Stopped == 0:
+		case m.PausedUntil == 0:
 			node.Tick(m.Time())
 		}
 		n.tick(m, node)
@@ -136,12 +136,12 @@
 	if m.Down {
 		return
 	}
-	m.Stopped = n.Now + d
+	m.PausedUntil = n.Now + d
 	n.After(d, func() {
-		if m.Down || m.Stopped > n.Now || m.Stopped == 0 {
+		if m.Down || m.PausedUntil > n.Now || m.PausedUntil == 0 {
 			return
 		}
-		if m.Stopped = 0; d >= time.Second { // a shorter one is no more than a busy machine
+		if m.PausedUntil = 0; d >= time.Second { // a shorter one is no more than a busy machine
 			m.wentOn = n.Now
 		}
 		held := m.held
@@ -189,7 +189,7 @@
 	m := n.Nodes[to]
 	switch {
 	case m.Down || n.Partitioned != nil && n.Partitioned(c.From, to):
-	case m.Stopped > 0:
+	case m.PausedUntil > 0:
 		if len(m.held) < 200 {
 			m.held = append(m.held, c)
 		}
@@ -206,18 +206,18 @@
 	}
 }
 
-// Lives says whether a process runs now.
-func (m *Node) Lives() bool { return !m.Down && m.Stopped == 0 }
+// Running says whether a process runs now.
+func (m *Node) Running() bool { return !m.Down && m.PausedUntil == 0 }
 
 // Agree says whether all processes that run hold each other for alive, and all others for gone or left.
 func (n *Net) Agree() bool {
 	for _, a := range n.Nodes {
-		if !a.Lives() {
+		if !a.Running() {
 			continue
 		}
 		for j, b := range n.Nodes {
 			state, session := a.State(j)
-			if b.Lives() && (state != swim.Alive || session != b.Session()) || b.Down && state < swim.Dead {
+			if b.Running() && (state != swim.Alive || session != b.Session()) || b.Down && state < swim.Dead {
 				return false
 			}
 		}
@@ -228,7 +228,7 @@
 // InContact is how many processes that run say that they are in contact.
 func (n *Net) InContact() (in int) {
 	for _, m := range n.Nodes {
-		if m.Lives() && m.Node.InContact(m.Time()) {
+		if m.Running() && m.Node.InContact(m.Time()) {
 			in++
 		}
 	}
--- a/internal/lab/swimsim/plan.go
+++ b/internal/lab/swimsim/plan.go
@@ -96,7 +96,7 @@
 			switch s.What {
 			case Crash, Leaving:
 				for _, i := range s.Who {
-					if m := n.Nodes[i]; s.What == Leaving && m.Lives() {
+					if m := n.Nodes[i]; s.What == Leaving && m.Running() {
 						m.Leave(m.Time())
 					}
 					n.Crash(i)
--- a/internal/lab/swimsim/truth.go
+++ b/internal/lab/swimsim/truth.go
@@ -108,7 +108,7 @@
 	all := n.broken
 	say := func(format string, args ...any) { all = append(all, fmt.Sprintf(format, args...)) }
 	for _, a := range n.Nodes {
-		if !a.Lives() {
+		if !a.Running() {
 			continue
 		}
 		in, session := a.Node.InContact(a.Time()), a.Session()
@@ -120,7 +120,7 @@
 	}
 	for _, a := range n.Nodes {
 		for j, b := range n.Nodes {
-			if a == b || !a.Lives() || !b.Lives() {
+			if a == b || !a.Running() || !b.Running() {
 				continue
 			}
 			if session, out := a.SessionOver(a.Time(), j); out && b.in && session == b.at {
--- a/internal/lab/virtualtime/clock.go
+++ b/internal/lab/virtualtime/clock.go
@@ -1,5 +1,5 @@
-// Package virtualtime is time that passes only as far as there is something to do: what is asked
-// for is played in order, with no I/O and no waiting, to the same end every time.
+// Package virtualtime simulates the passage of time. A clock calls the functions that were scheduled on it in order
+// of time, without I/O and without waiting, so the same schedule always gives the same result.
 package virtualtime
 
 import (
@@ -7,35 +7,36 @@
 	"time"
 )
 
-// Clock plays what comes due, in order of time, and in the order of asking where two come at once.
+// Clock calls functions at virtual times. Functions that are due at the same time are called in the order in which
+// they were scheduled.
 type Clock struct {
-	Now   time.Duration
-	due   queue
-	order uint64
+	Now      time.Duration
+	timers   queue
+	sequence uint64
 }
 
-// Timer is something that comes due.
+// Timer is a scheduled call.
 type Timer struct {
-	at    time.Duration
-	order uint64
-	do    func() // nil: called off
+	at       time.Duration
+	sequence uint64
+	callback func() // nil if the timer was stopped
 }
 
-// Stop calls it off.
-func (a *Timer) Stop() { a.do = nil }
+// Stop cancels the call.
+func (timer *Timer) Stop() { timer.callback = nil }
 
 type queue []*Timer
 
 func (q queue) Len() int { return len(q) }
 func (q queue) Less(i, j int) bool {
-	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].order < q[j].order
+	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].sequence < q[j].sequence
 }
 func (q queue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 
-// Push is for container/heap.
+// Push implements heap.Interface.
 func (q *queue) Push(x any) { *q = append(*q, x.(*Timer)) }
 
-// Pop is for container/heap.
+// Pop implements heap.Interface.
 func (q *queue) Pop() any {
 	old := *q
 	last := old[len(old)-1]
@@ -44,37 +45,38 @@
 	return last
 }
 
-// After asks for a call after d; what is past comes at once.
-func (c *Clock) After(d time.Duration, do func()) *Timer {
-	c.order++
-	a := &Timer{at: c.Now + max(d, 0), order: c.order, do: do}
-	heap.Push(&c.due, a)
-	return a
+// After schedules a call of callback after d. A negative d counts as 0.
+func (c *Clock) After(d time.Duration, callback func()) *Timer {
+	c.sequence++
+	timer := &Timer{at: c.Now + max(d, 0), sequence: c.sequence, callback: callback}
+	heap.Push(&c.timers, timer)
+	return timer
 }
 
-// To plays up to a time.
-func (c *Clock) To(t time.Duration) {
-	c.While(t, func() bool { return true })
+// RunTo makes all calls that are due up to time t and sets the clock to t.
+func (c *Clock) RunTo(t time.Duration) {
+	c.RunWhile(t, func() bool { return true })
 }
 
-// Run plays on for a while.
-func (c *Clock) Run(d time.Duration) { c.To(c.Now + d) }
+// Run advances the clock by d and makes all calls that become due.
+func (c *Clock) Run(d time.Duration) { c.RunTo(c.Now + d) }
 
-// Until plays on until something holds, looked at after each call, for a while at most; it says
-// whether it came to that.
-func (c *Clock) Until(d time.Duration, holds func() bool) bool {
-	return !c.While(c.Now+d, func() bool { return !holds() })
+// RunUntil runs until the condition holds, for at most d, and reports whether the condition came to hold. It evaluates
+// the condition after each call.
+func (c *Clock) RunUntil(d time.Duration, condition func() bool) bool {
+	return !c.RunWhile(c.Now+d, func() bool { return !condition() })
 }
 
-// While plays up to a time as long as something holds, looked at after each call; it says whether it still does.
-func (c *Clock) While(t time.Duration, holds func() bool) bool {
-	for len(c.due) > 0 && c.due[0].at <= t {
-		a := heap.Pop(&c.due).(*Timer)
-		c.Now = a.at
-		if a.do == nil {
+// RunWhile runs up to time t as long as the condition holds, and reports whether it still holds at the end. It
+// evaluates the condition after each call.
+func (c *Clock) RunWhile(t time.Duration, condition func() bool) bool {
+	for len(c.timers) > 0 && c.timers[0].at <= t {
+		timer := heap.Pop(&c.timers).(*Timer)
+		c.Now = timer.at
+		if timer.callback == nil {
 			continue
 		}
-		if a.do(); !holds() {
+		if timer.callback(); !condition() {
 			return false
 		}
 	}
--- a/internal/lab/virtualtime/process.go
+++ b/internal/lab/virtualtime/process.go
@@ -5,69 +5,71 @@
 	"time"
 )
 
-// Process is one that may be gone, or stand still for a while: what comes meanwhile waits in its
-// socket. The zero value runs.
+// Process is a simulated process, which may be down or paused. Messages that arrive during a pause wait in its socket.
+// The zero value is a running process.
 type Process struct {
-	Down    bool
-	Stopped time.Duration // until then; 0: it runs
-	held    []func()
+	Down        bool
+	PausedUntil time.Duration // end of the present pause; 0 if the process is not paused
+	queued      []func()
 }
 
-// Lives says whether it runs now.
-func (p *Process) Lives() bool { return !p.Down && p.Stopped == 0 }
+// Running reports whether the process is neither down nor paused.
+func (p *Process) Running() bool { return !p.Down && p.PausedUntil == 0 }
 
-// Restart has it run, as one to which nothing has come.
+// Restart makes the process run with an empty socket.
 func (p *Process) Restart() { *p = Process{} }
 
-// Pause has it stand still for a while. on is called when it goes on, before what has come is
-// taken; nil: nothing is.
-func (p *Process) Pause(c *Clock, d time.Duration, on func()) {
+// Pause pauses the process for d. At the end of the pause it calls onResume, if that is not nil, and then handles the
+// messages that arrived during the pause.
+func (p *Process) Pause(c *Clock, d time.Duration, onResume func()) {
 	if p.Down {
 		return
 	}
-	p.Stopped = c.Now + d
+	p.PausedUntil = c.Now + d
 	c.After(d, func() {
-		if p.Down || p.Stopped == 0 || p.Stopped > c.Now {
+		if p.Down || p.PausedUntil == 0 || p.PausedUntil > c.Now {
 			return
 		}
-		if p.Stopped = 0; on != nil {
-			on()
+		if p.PausedUntil = 0; onResume != nil {
+			onResume()
 		}
-		held := p.held
-		p.held = nil
-		for _, take := range held {
-			take()
+		queued := p.queued
+		p.queued = nil
+		for _, handle := range queued {
+			handle()
 		}
 	})
 }
 
-// Arrive has it take something: now, or when it goes on if no more than most wait for that; never if it is gone.
-func (p *Process) Arrive(most int, take func()) {
+// Arrive handles a message at once if the process is running. During a pause it queues the message, or drops it if
+// maxQueued messages are waiting. If the process is down, it drops the message.
+func (p *Process) Arrive(maxQueued int, handle func()) {
 	switch {
 	case p.Down:
-	case p.Stopped > 0:
-		if len(p.held) < most {
-			p.held = append(p.held, take)
+	case p.PausedUntil > 0:
+		if len(p.queued) < maxQueued {
+			p.queued = append(p.queued, handle)
 		}
 	default:
-		take()
+		handle()
 	}
 }
 
-// Faults are what goes wrong with messages.
+// Faults are the faults of a simulated network.
 type Faults struct {
 	Rng         *rand.Rand
-	Loss        float64
-	Duplicate   float64                 // part that arrives twice, the second time up to 3 s late
-	MaxDelay    time.Duration           // a message takes at most this
-	HoldUntil   time.Duration           // what is sent before then arrives at that moment
-	Partitioned func(from, to int) bool // nil: none
+	Loss        float64                 // probability that a message is lost
+	Duplicate   float64                 // probability that a message is received twice, the second time up to 3 s later
+	MaxDelay    time.Duration           // bound of the delay of a message
+	HoldUntil   time.Duration           // messages that would arrive before this moment arrive at this moment
+	Partitioned func(from, to int) bool // reports whether a link is cut; nil if none is
 }
 
-// Deliver has a message arrive, if and as often as it does.
+// Deliver schedules the arrival of a message: not at all if it is lost, twice if it is duplicated. A message is also
+// lost if its link is cut when it would arrive.
 func (f *Faults) Deliver(c *Clock, from, to int, arrive func()) {
-	cut := func() bool { return f.Partitioned != nil && f.Partitioned(from, to) }
-	if f.Rng.Float64() < f.Loss || cut() {
+	isCut := func() bool { return f.Partitioned != nil && f.Partitioned(from, to) }
+	if f.Rng.Float64() < f.Loss || isCut() {
 		return
 	}
 	copies := 1
@@ -78,7 +80,7 @@
 		delay := time.Duration(f.Rng.Int64N(int64(f.MaxDelay)))
 		delay += time.Duration(k) * time.Duration(f.Rng.Int64N(int64(3*time.Second)))
 		c.After(max(delay, f.HoldUntil-c.Now), func() {
-			if !cut() {
+			if !isCut() {
 				arrive()
 			}
 		})
