--- a/cmd/measure/fleet_peers_virtual.go
+++ b/cmd/measure/fleet_peers_virtual.go
@@ -23,7 +23,7 @@
 	for k := range crashes {
 		i := (k*37 + 5) % n.Size
 		known, need := 0, (n.Size-1)*95/100
-		n.Seen = func(_ int, c swim.Change) {
+		n.OnChange = func(_ int, c swim.Change) {
 			if c.Member == i && c.State == swim.Dead {
 				known++
 			}
@@ -35,7 +35,7 @@
 		} else {
 			took.add(-1)
 		}
-		n.Seen = nil
+		n.OnChange = nil
 		n.Boot(i)
 		n.Run(5 * time.Second)
 	}
@@ -45,7 +45,7 @@
 // quietHour counts what is said wrongly of members that all live, in so much virtual time, and what each sent a second.
 func quietHour(n *swimsim.Net, d time.Duration, starved bool) (suspected, gone, lapsed int, bytes, datagrams float64) {
 	first := make(map[[2]int]time.Duration) // one false alarm, however many hear of it
-	n.Seen = func(node int, c swim.Change) {
+	n.OnChange = func(node int, c swim.Change) {
 		switch {
 		case c.Member == node && !c.Contact:
 			lapsed++
@@ -73,7 +73,7 @@
 		}
 	}
 	n.Run(d)
-	n.Seen = nil
+	n.OnChange = nil
 	for _, m := range n.Nodes {
 		bytes += float64(m.Bytes) / d.Seconds() / float64(n.Size)
 		datagrams += float64(m.Sends) / d.Seconds() / float64(n.Size)
@@ -86,7 +86,7 @@
 	n := swimsim.New(swimsim.Config{Size: size, Seed: seed, MinDelay: time.Millisecond,
 		MaxDelay: 20 * time.Millisecond})
 	in, need := 0, max(1, size*95/100)
-	n.Seen = func(node int, c swim.Change) {
+	n.OnChange = func(node int, c swim.Change) {
 		if c.Member == node && c.Contact {
 			in++
 		} else if c.Member == node {
--- a/internal/fleet/swim/budget_test.go
+++ b/internal/fleet/swim/budget_test.go
@@ -19,7 +19,7 @@
 		)
 		n.Run(30 * time.Second)
 		gone, lapsed := 0, 0
-		n.Seen = func(node int, c swim.Change) {
+		n.OnChange = func(node int, c swim.Change) {
 			if c.Member == node && !c.Contact {
 				lapsed++
 			} else if c.State == swim.Dead {
--- a/internal/fleet/swim/history_test.go
+++ b/internal/fleet/swim/history_test.go
@@ -22,18 +22,18 @@
 	size := 3 + int(seed%5)
 	plan = swimsim.Draw(seed, size, 25*time.Second)
 	n := swimsim.New(swimsim.Config{Size: size, Seed: seed, Rate: plan.Rate})
-	if broken = n.Watched(6*time.Second, 100*time.Millisecond); broken != nil {
+	if broken = n.RunChecked(6*time.Second, 100*time.Millisecond); broken != nil {
 		return plan, broken
 	}
 	n.Play(plan)
-	if broken = n.Watched(40*time.Second, 50*time.Millisecond); broken != nil {
+	if broken = n.RunChecked(40*time.Second, 50*time.Millisecond); broken != nil {
 		return plan, broken
 	}
 	n.Heal()
-	if broken = n.Watched(20*time.Second, 100*time.Millisecond); broken != nil {
+	if broken = n.RunChecked(20*time.Second, 100*time.Millisecond); broken != nil {
 		return plan, broken
 	}
-	if !n.Agree() || n.InContact() != size {
+	if !n.Converged() || n.InContact() != size {
 		broken = append(
 			broken,
 			"20 s after all is well, views differ or "+strconv.Itoa(size-n.InContact())+" are out of contact",
@@ -77,10 +77,10 @@
 		for k, rest := 0, number; k < *depth; k, rest = k+1, rest/ways {
 			if way := rest % ways; way > 0 {
 				s := swimsim.Step{
-					At: time.Duration(k) * slot, For: slot, What: whats[(way-1)/size],
-					Who: []int{(way - 1) % size},
+					At: time.Duration(k) * slot, For: slot, Kind: whats[(way-1)/size],
+					Members: []int{(way - 1) % size},
 				}
-				if s.What == swimsim.Crash {
+				if s.Kind == swimsim.Crash {
 					s.For = 100 * time.Millisecond
 				}
 				plan.Steps = append(plan.Steps, s)
@@ -89,11 +89,11 @@
 		n := swimsim.New(swimsim.Config{Size: size, Seed: 1, Rate: 0.01})
 		n.Run(8 * time.Second)
 		n.Play(plan)
-		broken := n.Watched(time.Duration(*depth)*slot+4*time.Second, 100*time.Millisecond)
+		broken := n.RunChecked(time.Duration(*depth)*slot+4*time.Second, 100*time.Millisecond)
 		if n.Heal(); broken == nil {
-			broken = n.Watched(8*time.Second, 500*time.Millisecond)
+			broken = n.RunChecked(8*time.Second, 500*time.Millisecond)
 		}
-		if broken == nil && (!n.Agree() || n.InContact() != size) {
+		if broken == nil && (!n.Converged() || n.InContact() != size) {
 			broken = []string{"8 s after all is well views differ, or some are out of contact"}
 		}
 		if broken != nil {
--- a/internal/fleet/swim/replay_test.go
+++ b/internal/fleet/swim/replay_test.go
@@ -24,7 +24,7 @@
 	n.Run(40 * time.Second)
 	early := all
 	n.Run(time.Hour)
-	if !n.Agree() || n.InContact() != 5 {
+	if !n.Converged() || n.InContact() != 5 {
 		t.Fatal("they don't agree")
 	}
 	before := n.Nodes[0].Members(n.Nodes[0].Time())
--- a/internal/fleet/swim/swim_test.go
+++ b/internal/fleet/swim/swim_test.go
@@ -11,10 +11,10 @@
 
 func settled(t *testing.T, n *swimsim.Net) {
 	t.Helper()
-	if !n.RunUntil(4*swim.LeaseFor(n.Size)+20*time.Second, func() bool { return n.InContact() == n.Size && n.Agree() }) {
+	if !n.RunUntil(4*swim.LeaseFor(n.Size)+20*time.Second, func() bool { return n.InContact() == n.Size && n.Converged() }) {
 		t.Fatalf(
 			"seed %d: %d of %d in contact after %v, agree %v", n.Seed, n.InContact(), n.Size,
-			n.Now-time.Hour, n.Agree(),
+			n.Now-time.Hour, n.Converged(),
 		)
 	}
 }
--- a/internal/lab/swimsim/net.go
+++ b/internal/lab/swimsim/net.go
@@ -1,7 +1,6 @@
-// Package swimsim plays a fleet of swim nodes in virtual time: messages that are lost, late,
-// doubled, cut off or held back, processes that stop, crash and come back, clocks that run at rates
-// of their own. One seed plays one history. It is for tests and measurements; nothing that ships
-// imports it.
+// Package swimsim simulates a fleet of swim nodes in virtual time: messages that are lost, delayed, duplicated or cut
+// off by a partition, processes that pause, crash and restart, and clocks that drift. The same seed gives the same
+// history. The package is for tests and measurements; production code doesn't import it.
 package swimsim
 
 import (
@@ -13,56 +12,59 @@
 	"caperarch/internal/lab/virtualtime"
 )
 
-// Config is what a fleet is made of.
+// Config configures a simulated fleet.
 type Config struct {
 	Size      int
 	Seed      uint64
-	Lease     time.Duration // 0: as swim has it
-	Rate      float64       // clocks run by up to so much too fast or too slow
-	Start     time.Duration // nodes start within this
-	MinDelay  time.Duration // a message takes at least this
-	MaxDelay  time.Duration // and at most this
-	Loss      float64       // part of the messages that never arrive
-	Duplicate float64       // part that arrive twice, the second time up to 4 s late
-	Bytes     func(*swim.Message) int
-	// bytes a second that each may send, and two seconds' worth at a time; 0: as many as it likes
+	Lease     time.Duration           // 0 for the default of swim
+	Rate      float64                 // largest relative error of a clock
+	Start     time.Duration           // all processes start within this time
+	MinDelay  time.Duration           // lower bound of the delay of a message
+	MaxDelay  time.Duration           // upper bound of the delay of a message
+	Loss      float64                 // probability that a message is lost
+	Duplicate float64                 // probability that a message is received twice, the second time up to 4 s later
+	Bytes     func(*swim.Message) int // returns the size of a message; nil if sizes are not counted
+	// BytesPerSecond limits the bytes that each node sends per second, with a burst of two seconds' worth; 0 for no
+	// limit.
 	BytesPerSecond float64
-	Alter          func(swim.Config, swim.Host) swim.Host // stands between a node and the fleet; nil: nothing does
+	// Alter wraps the host of a node, for instance to alter its messages; nil for the unchanged host.
+	Alter func(swim.Config, swim.Host) swim.Host
 }
 
-// Net is a fleet. Its time begins at one hour, so that a clock's rate shows.
+// Net is a simulated fleet and its network. Its time begins at one hour, so that clock errors have an effect from the
+// start.
 type Net struct {
 	Config
 	Rng *rand.Rand
 	virtualtime.Clock
 	Nodes       []*Node
-	Partitioned func(from, to int) bool // nil: none
-	HoldUntil   time.Duration           // messages that are sent before this moment arrive behind it, all at once
-	Seen        func(node int, c swim.Change)
+	Partitioned func(from, to int) bool       // reports whether a link is cut; nil if none is
+	HoldUntil   time.Duration                 // messages that are sent before this moment arrive after it
+	OnChange    func(node int, c swim.Change) // called for each membership change at a node; may be nil
 
-	Sent, Lost, Doubled, Held, Spared int
-	broken                            []string
-	said                              map[accusation]bool
+	Sent, Lost, Duplicated, Delayed, RateLimited int // numbers of messages
+	violations                                   []string
+	accusations                                  map[accusation]bool // suspicions and declarations of death that were sent
 }
 
-// Node is one sidecar.
+// Node is a simulated sidecar.
 type Node struct {
 	*swim.Node
 	net         *Net
 	number      int
 	rate        float64
 	incarnation uint64
-	Down        bool          // its process does not live
-	PausedUntil time.Duration // until then; 0: it runs
-	held        []carried
+	Down        bool          // its process is not running
+	PausedUntil time.Duration // end of the present pause; 0 if the process is not paused
+	queued      []envelope
 	Bytes       int
 	Sends       int
-	level       float64
-	levelAt     time.Duration
-	truth
+	tokens      float64 // of the token bucket of BytesPerSecond, in bytes
+	tokensAt    time.Duration
+	observations
 }
 
-// New makes a fleet whose processes start soon.
+// New returns a fleet whose processes start within cfg.Start.
 func New(cfg Config) *Net {
 	if cfg.MaxDelay == 0 {
 		cfg.MinDelay, cfg.MaxDelay = time.Millisecond, 10*time.Millisecond
@@ -71,7 +73,7 @@
 		cfg.Start = swim.Period
 	}
 	n := &Net{Config: cfg, Rng: rand.New(rand.NewPCG(cfg.Seed, 1)),
-		Clock: virtualtime.Clock{Now: time.Hour}, said: make(map[accusation]bool)}
+		Clock: virtualtime.Clock{Now: time.Hour}, accusations: make(map[accusation]bool)}
 	for i := range cfg.Size {
 		n.Nodes = append(n.Nodes, &Node{net: n, number: i, rate: 1 + cfg.Rate*(2*n.Rng.Float64()-1), Down: true})
 	}
@@ -85,17 +87,17 @@
 	return least + time.Duration(n.Rng.Int64N(int64(max(1, most-least))))
 }
 
-// Time is the moment by a node's own clock.
+// Time returns the present time by the node's own clock.
 func (m *Node) Time() time.Duration { return time.Duration(m.rate * float64(m.net.Now)) }
 
-// Boot starts the process of a number, as one that remembers nothing.
+// Boot starts the process of node i without memory.
 func (n *Net) Boot(i int) {
 	m := n.Nodes[i]
 	if !m.Down {
 		return
 	}
-	m.Down, m.PausedUntil, m.held = false, 0, nil
-	m.truth = truth{last: make([]time.Duration, n.Size), proved: make([]time.Duration, n.Size)}
+	m.Down, m.PausedUntil, m.queued = false, 0, nil
+	m.observations = observations{received: make([]time.Duration, n.Size), confirmed: make([]time.Duration, n.Size)}
 	m.incarnation = max(m.incarnation+1, uint64(n.Now/time.Millisecond)<<16|n.Rng.Uint64N(1<<16))
 	cfg := swim.Config{
 		Size: n.Size, Self: i, Incarnation: m.incarnation, Lease: n.Lease,
@@ -107,14 +109,14 @@
 	}
 	node, err := swim.New(cfg)
 	if err != nil {
-		panic(err) // the test's own mistake
+		panic(err) // an invalid configuration is a mistake of the test
 	}
 	m.Node = node
 	node.Start(m.Time())
 	n.tick(m, node)
 }
 
-// tick calls a process again and again while it lives.
+// tick calls Tick of a process at each period until the process ends.
 func (n *Net) tick(m *Node, node *swim.Node) {
 	n.After(swim.Period, func() {
 		switch {
@@ -127,10 +129,10 @@
 	})
 }
 
-// Crash ends a process without a word.
+// Crash ends the process of node i without notice.
 func (n *Net) Crash(i int) { n.Nodes[i].Down = true }
 
-// Stop has a process stand still for a while. What comes meanwhile waits in its socket, up to 200 messages.
+// Stop pauses the process of node i for d. Up to 200 messages that arrive during the pause wait in its socket.
 func (n *Net) Stop(i int, d time.Duration) {
 	m := n.Nodes[i]
 	if m.Down {
@@ -141,76 +143,77 @@
 		if m.Down || m.PausedUntil > n.Now || m.PausedUntil == 0 {
 			return
 		}
-		if m.PausedUntil = 0; d >= time.Second { // a shorter one is no more than a busy machine
-			m.wentOn = n.Now
+		if m.PausedUntil = 0; d >= time.Second { // shorter pauses are normal on a busy machine
+			m.resumedAt = n.Now
 		}
-		held := m.held
-		m.held = nil
-		for i := range held {
-			m.take(held[i])
+		queued := m.queued
+		m.queued = nil
+		for i := range queued {
+			m.deliver(queued[i])
 		}
 	})
 }
 
-// Send is called by a node.
+// Send implements the host interface of swim: it sends a message to another node, unless the rate limit forbids it.
 func (m *Node) Send(to int, msg *swim.Message) {
 	n := m.net
 	n.Sent++
 	m.Sends++
 	if n.Bytes != nil {
 		bytes := n.Bytes(msg)
-		m.level = min(2*n.BytesPerSecond, m.level+n.BytesPerSecond*(n.Now-m.levelAt).Seconds())
-		m.levelAt = n.Now
-		if n.BytesPerSecond > 0 && m.level < float64(bytes) {
-			n.Spared++
+		m.tokens = min(2*n.BytesPerSecond, m.tokens+n.BytesPerSecond*(n.Now-m.tokensAt).Seconds())
+		m.tokensAt = n.Now
+		if n.BytesPerSecond > 0 && m.tokens < float64(bytes) {
+			n.RateLimited++
 			return
 		}
-		m.level -= float64(bytes)
+		m.tokens -= float64(bytes)
 		m.Bytes += bytes
 	}
 	if n.Rng.Float64() < n.Loss || n.Partitioned != nil && n.Partitioned(m.number, to) {
 		n.Lost++
 		return
 	}
-	c := m.carry(to, msg)
+	c := m.wrap(to, msg)
 	delay := n.within(n.MinDelay, n.MaxDelay)
 	if n.Now < n.HoldUntil {
-		n.Held++
+		n.Delayed++
 		delay += n.HoldUntil - n.Now
 	}
 	n.After(delay, func() { n.arrive(to, c) })
 	if n.Duplicate > 0 && n.Rng.Float64() < n.Duplicate {
-		n.Doubled++
+		n.Duplicated++
 		n.After(delay+n.within(0, 4*time.Second), func() { n.arrive(to, c) })
 	}
 }
 
-func (n *Net) arrive(to int, c carried) {
+func (n *Net) arrive(to int, c envelope) {
 	m := n.Nodes[to]
 	switch {
 	case m.Down || n.Partitioned != nil && n.Partitioned(c.From, to):
 	case m.PausedUntil > 0:
-		if len(m.held) < 200 {
-			m.held = append(m.held, c)
+		if len(m.queued) < 200 {
+			m.queued = append(m.queued, c)
 		}
 	default:
-		m.take(c)
+		m.deliver(c)
 	}
 }
 
-// Changed is called by a node.
+// Changed implements the host interface of swim.
 func (m *Node) Changed(c swim.Change) {
-	m.judge(c)
-	if m.net.Seen != nil {
-		m.net.Seen(m.number, c)
+	m.checkChange(c)
+	if m.net.OnChange != nil {
+		m.net.OnChange(m.number, c)
 	}
 }
 
-// Running says whether a process runs now.
+// Running reports whether the process is neither down nor paused.
 func (m *Node) Running() bool { return !m.Down && m.PausedUntil == 0 }
 
-// Agree says whether all processes that run hold each other for alive, and all others for gone or left.
-func (n *Net) Agree() bool {
+// Converged reports whether all running processes see each other as alive, with the present sessions, and all processes
+// that are down as dead or left.
+func (n *Net) Converged() bool {
 	for _, a := range n.Nodes {
 		if !a.Running() {
 			continue
@@ -225,7 +228,7 @@
 	return true
 }
 
-// InContact is how many processes that run say that they are in contact.
+// InContact returns the number of running processes that report themselves in contact.
 func (n *Net) InContact() (in int) {
 	for _, m := range n.Nodes {
 		if m.Running() && m.Node.InContact(m.Time()) {
--- a/internal/lab/swimsim/truth.go
+++ b/internal/lab/swimsim/truth.go
@@ -8,64 +8,70 @@
 	"caperarch/internal/fleet/swim"
 )
 
-// truth is what the world knows of a process: the checker goes by it, and by nothing that a node says of itself.
-type truth struct {
-	// by member: when the newest message of its present process was sent that this one has taken
-	last []time.Duration
-	// by member: when the newest message of this process was sent that the member has taken, and
-	// said something behind it that came here
-	proved []time.Duration
-	over   map[swim.Session]bool // sessions whose contact has ended
-	in     bool                  // said to be in contact when it was last asked
-	at     swim.Session
-	wentOn time.Duration // behind its last stop
+// observations are what the simulator itself knows of a process. The checks rely on them and not on what a node
+// reports.
+type observations struct {
+	// received holds, by member, the send time of the newest message of the member's present process that this process
+	// has received.
+	received []time.Duration
+	// confirmed holds, by member, the send time of the newest message of this process that the member received before
+	// it sent a message that arrived here.
+	confirmed      []time.Duration
+	endedSessions  map[swim.Session]bool // sessions in which the node's contact has ended
+	inContact      bool                  // what the node reported at the last check
+	contactSession swim.Session          // the node's session at the last check
+	resumedAt      time.Duration         // end of the last pause of at least 1 s
 }
 
-// accusation is one that somebody has made.
+// accusation is a suspicion or declaration of death that a node has sent.
 type accusation struct {
 	member, by int
 	session    swim.Session
 	state      swim.State
 }
 
-// carried is a message under way.
-type carried struct {
+// envelope is a message in transit, with what the simulator records about it.
+type envelope struct {
 	swim.Message
-	sent  time.Duration
-	heard time.Duration // what its sender had last taken of the receiver's process
-	of    uint64        // and which process that was
+	sent                time.Duration
+	lastReceived        time.Duration // send time of the newest message that the sender had received from the receiver
+	receiverIncarnation uint64        // the receiver's process at that time
 }
 
-// carry takes a message on. The stamps in it are the nodes' own business: what proves contact is noted beside them.
-func (m *Node) carry(to int, msg *swim.Message) carried {
-	c := carried{Message: *msg, sent: m.net.Now, heard: m.last[to], of: m.net.Nodes[to].incarnation}
+// wrap copies a message into an envelope and records its accusations. The evidence of contact is kept in the envelope,
+// as the stamps in the message are written by the nodes under test.
+func (m *Node) wrap(to int, msg *swim.Message) envelope {
+	c := envelope{
+		Message: *msg, sent: m.net.Now, lastReceived: m.received[to],
+		receiverIncarnation: m.net.Nodes[to].incarnation,
+	}
 	c.Rumours = slices.Clone(msg.Rumours)
 	for _, r := range c.Rumours {
 		if r.State == swim.Suspect || r.State == swim.Dead {
-			m.net.said[accusation{r.Member, r.Accuser, r.Session, r.State}] = true
+			m.net.accusations[accusation{r.Member, r.Accuser, r.Session, r.State}] = true
 		}
 	}
 	return c
 }
 
-// take hands a message over.
-func (m *Node) take(c carried) {
-	m.last[c.From] = max(m.last[c.From], c.sent)
-	if c.heard > 0 && c.of == m.incarnation {
-		m.proved[c.From] = max(m.proved[c.From], c.heard)
+// deliver hands a message to the node and records what it proves.
+func (m *Node) deliver(c envelope) {
+	m.received[c.From] = max(m.received[c.From], c.sent)
+	if c.lastReceived > 0 && c.receiverIncarnation == m.incarnation {
+		m.confirmed[c.From] = max(m.confirmed[c.From], c.lastReceived)
 	}
 	m.Receive(m.Time(), &c.Message)
 }
 
-// reached is how many processes, this one among them, have proved within a lease and the error of
-// its clock that they hear it.
-func (m *Node) reached() (n int) {
+// confirming returns the number of processes, including this one, that have confirmed within a lease plus the clock
+// error that they receive the messages of this process.
+func (m *Node) confirming() (n int) {
 	lease := m.net.Lease
 	if lease == 0 {
 		lease = swim.LeaseFor(m.net.Size)
 	}
 	lease += time.Duration(2*m.net.Rate*float64(lease)) + 2*time.Millisecond
-	for i, at := range m.proved {
+	for i, at := range m.confirmed {
 		if i == m.number || at > 0 && m.net.Now-at <= lease {
 			n++
 		}
@@ -73,58 +79,61 @@
 	return n
 }
 
-// judge checks a change that a node tells of.
-func (m *Node) judge(c swim.Change) {
+// checkChange checks a membership change that a node reports.
+func (m *Node) checkChange(c swim.Change) {
 	if c.Member == m.number {
-		if m.over == nil {
-			m.over = make(map[swim.Session]bool)
+		if m.endedSessions == nil {
+			m.endedSessions = make(map[swim.Session]bool)
 		}
 		if !c.Contact {
-			m.over[c.Session] = true
-		} else if m.over[c.Session] {
-			m.net.broken = append(m.net.broken,
-				fmt.Sprintf("%s is in contact again under session %v, which was over", m.name(), c.Session))
+			m.endedSessions[c.Session] = true
+		} else if m.endedSessions[c.Session] {
+			m.net.violations = append(m.net.violations,
+				fmt.Sprintf("%s is in contact again in session %v, which had ended", m.name(), c.Session))
 		}
 		return
 	}
 	if c.Accuser != m.number || c.State != swim.Suspect && c.State != swim.Dead {
 		return
 	}
-	if m.net.said[accusation{c.Member, c.Accuser, c.Session, c.State}] {
-		return // it was said before, perhaps by its forerunner, and goes round in its name
+	if m.net.accusations[accusation{c.Member, c.Accuser, c.Session, c.State}] {
+		return // sent before, perhaps by an earlier process of this node, and is now being spread
 	}
-	if m.wentOn > 0 && m.net.Now-m.wentOn < time.Second {
-		m.net.broken = append(m.net.broken,
-			fmt.Sprintf("%s accuses n%d %v after it was stopped", m.name(), c.Member, m.net.Now-m.wentOn))
+	if m.resumedAt > 0 && m.net.Now-m.resumedAt < time.Second {
+		m.net.violations = append(m.net.violations,
+			fmt.Sprintf("%s accuses n%d %v after the end of its own pause, want at least 1 s",
+				m.name(), c.Member, m.net.Now-m.resumedAt))
 	}
-	if m.reached() < m.net.Size/2+1 {
-		m.net.broken = append(m.net.broken,
-			fmt.Sprintf("%s accuses n%d while it is out of contact", m.name(), c.Member))
+	if m.confirming() < m.net.Size/2+1 {
+		m.net.violations = append(m.net.violations,
+			fmt.Sprintf("%s accuses n%d, but no majority has confirmed that it receives its messages",
+				m.name(), c.Member))
 	}
 }
 
-// Broken looks for what the promises forbid, up to this moment. It returns a text for each.
-func (n *Net) Broken() []string {
-	all := n.broken
-	say := func(format string, args ...any) { all = append(all, fmt.Sprintf(format, args...)) }
+// Violations returns a text for each violated guarantee so far.
+func (n *Net) Violations() []string {
+	all := n.violations
+	report := func(format string, args ...any) { all = append(all, fmt.Sprintf(format, args...)) }
 	for _, a := range n.Nodes {
 		if !a.Running() {
 			continue
 		}
-		in, session := a.Node.InContact(a.Time()), a.Session()
-		if reached := a.reached(); in && reached < n.Size/2+1 {
-			say("%s is in contact, and only %d of %d have proved within a lease that they hear it",
-				a.name(), reached, n.Size)
+		inContact, session := a.Node.InContact(a.Time()), a.Session()
+		if confirming := a.confirming(); inContact && confirming < n.Size/2+1 {
+			report("%s is in contact, but only %d of %d nodes confirmed within a lease that they receive its messages",
+				a.name(), confirming, n.Size)
 		}
-		a.in, a.at = in, session
+		a.inContact, a.contactSession = inContact, session
 	}
 	for _, a := range n.Nodes {
 		for j, b := range n.Nodes {
 			if a == b || !a.Running() || !b.Running() {
 				continue
 			}
-			if session, out := a.SessionOver(a.Time(), j); out && b.in && session == b.at {
-				say("%s counts session %v of %s as over, which is in contact", a.name(), session, b.name())
+			if session, out := a.SessionOver(a.Time(), j); out && b.inContact && session == b.contactSession {
+				report("%s considers session %v of %s ended, but that node is in contact in this session",
+					a.name(), session, b.name())
 			}
 		}
 	}
