--- a/cmd/measure/fleet_work_virtual.go
+++ b/cmd/measure/fleet_work_virtual.go
@@ -20,8 +20,8 @@
 // virtualRound has so many sidecars take all machines out. Somebody is at each as soon as any
 // sidecar says that it is free.
 func virtualRound(seed uint64, size, machines, gone int) (r virtualWork) {
-	site := &replicatedstatesim.Site{Deadline: 5 * time.Second, Bound: atOnce, Returns: workCold,
-		Every: 5 * time.Second}
+	site := &replicatedstatesim.Site{Deadline: 5 * time.Second, Bound: atOnce, WarmupTime: workCold,
+		SendInterval: 5 * time.Second}
 	for i := range machines {
 		site.Machines = append(site.Machines,
 			maintenance.Machine{ID: uint64(i + 1), Name: fmt.Sprintf("s-%d", i), Zone: "a", Cell: i / 2,
@@ -63,17 +63,17 @@
 				n.After(workTakes, say)
 			}
 		}
-		return n.Broken != nil || len(s.Ended) > 0
+		return n.Violations != nil || len(s.Ended) > 0
 	}
 	for end := n.Now + time.Hour; !over() && n.Now < end; {
 		n.Run(100 * time.Millisecond)
 	}
-	if r.broken = n.Broken; len(by.MaintenanceState().Ended) == 0 {
+	if r.broken = n.Violations; len(by.MaintenanceState().Ended) == 0 {
 		r.broken = append(r.broken, fmt.Sprintf("not over within an hour: %+v", by.MaintenanceView(by.Time())))
 	}
 	r.took = (n.Now - begun).Seconds()
 	r.ideal = float64((machines+atOnce-1)/atOnce) * (workTakes + workCold).Seconds()
 	r.bytes = float64(n.Bytes-bytes) / r.took / float64(size)
-	r.given, r.over, r.astray = site.Opened, site.Closed, site.Astray
+	r.given, r.over, r.astray = site.Opened, site.Closed, site.Misrouted
 	return r
 }
--- a/internal/fleet/raftlog/epoch_test.go
+++ b/internal/fleet/raftlog/epoch_test.go
@@ -25,10 +25,10 @@
 		n.Boot(i)
 	}
 	n.Run(20 * time.Second)
-	before := len(n.Agreed(1))
+	before := len(n.AppliedEntries(1))
 	_ = n.Nodes[3].Propose(n.Now, []byte("lost"))
 	n.Run(10 * time.Second)
-	if len(n.Agreed(1)) != before {
+	if len(n.AppliedEntries(1)) != before {
 		t.Error("two of five voters committed an entry, want no commit without a quorum")
 	}
 	if err := n.Nodes[0].Bootstrap(n.Now, 1); err == nil {
@@ -46,9 +46,9 @@
 		t.Fatal(err)
 	}
 	n.Run(5 * time.Second)
-	all := n.Agreed(2)
-	if len(all) == 0 || all[len(all)-1] != "new" || n.Broken != nil {
-		t.Errorf("entries of epoch 2 are %q, want \"new\" as the last; violations %v", all, n.Broken)
+	all := n.AppliedEntries(2)
+	if len(all) == 0 || all[len(all)-1] != "new" || n.Violations != nil {
+		t.Errorf("entries of epoch 2 are %q, want \"new\" as the last; violations %v", all, n.Violations)
 	}
 	have := n.Nodes[2].LastIndex()
 	n.Nodes[2].Receive(
@@ -87,9 +87,9 @@
 		t.Fatal(err)
 	}
 	n.Run(2 * time.Second)
-	all := n.Agreed(1)
-	if !slices.Contains(all, "kept") || all[len(all)-1] != "later" || n.Broken != nil {
-		t.Errorf("log entries are %q, want \"kept\" and, as the last, \"later\"; violations %v", all, n.Broken)
+	all := n.AppliedEntries(1)
+	if !slices.Contains(all, "kept") || all[len(all)-1] != "later" || n.Violations != nil {
+		t.Errorf("log entries are %q, want \"kept\" and, as the last, \"later\"; violations %v", all, n.Violations)
 	}
 	failed := n.Leader()
 	n.Disks[failed].Full = true
@@ -104,7 +104,7 @@
 			n.Nodes[failed].IsVoter(), n.Leader(), failed,
 		)
 	}
-	if all := n.Agreed(1); all[len(all)-1] != "beyond" ||
+	if all := n.AppliedEntries(1); all[len(all)-1] != "beyond" ||
 		n.Nodes[failed].LastIndex() != n.Nodes[n.Leader()].LastIndex() {
 		t.Errorf(
 			"log entries are %q, want \"beyond\" as the last; %d entries at the former voter, want all",
--- a/internal/fleet/raftlog/raftlog_test.go
+++ b/internal/fleet/raftlog/raftlog_test.go
@@ -62,7 +62,7 @@
 		n := bootstrapped(t, size, uint64(size))
 		applied := 0
 		for _, m := range n.Nodes {
-			m.Heard = func(raftlog.Entry) { applied++ }
+			m.OnApplied = func(raftlog.Entry) { applied++ }
 		}
 		if err := n.Nodes[size-1].Propose(n.Now, []byte("first")); err != nil {
 			t.Fatal(err)
@@ -73,10 +73,10 @@
 		}
 		t.Logf(
 			"%d sidecars: applied by all after %v, %d messages in total, the longest about %d bytes",
-			size, n.Now-start, n.Sent, n.Longest,
+			size, n.Now-start, n.Sent, n.LongestMessage,
 		)
-		if n.Longest > 215 { // a datagram of 256 bytes without its envelope
-			t.Errorf("a message has %d bytes, want at most 215", n.Longest)
+		if n.LongestMessage > 215 { // a datagram of 256 bytes without its envelope
+			t.Errorf("a message has %d bytes, want at most 215", n.LongestMessage)
 		}
 	}
 }
@@ -128,7 +128,7 @@
 		}
 	}
 	for i, m := range n.Nodes {
-		m.Heard = watch(i, nil, nil)
+		m.OnApplied = watch(i, nil, nil)
 	}
 	// Random faults. If they destroy a majority of the voters before these are replaced, the log is lost,
 	// which its guarantees allow.
@@ -161,7 +161,7 @@
 				}
 				value[i] = 0 // the process starts with no state and applies the log from its beginning
 				n.Boot(i)
-				n.Nodes[i].Heard = watch(i, nil, nil)
+				n.Nodes[i].OnApplied = watch(i, nil, nil)
 			})
 		}
 	}
@@ -182,13 +182,13 @@
 				ops,
 				porcupine.Operation{ClientId: k, Input: op, Call: int64(n.Now), Output: true, Return: -1},
 			)
-			m.Heard = watch(i, &op, func(succeeded bool) { ops[at].Output, ops[at].Return = succeeded, int64(n.Now) })
+			m.OnApplied = watch(i, &op, func(succeeded bool) { ops[at].Output, ops[at].Return = succeeded, int64(n.Now) })
 		})
 	}
 	n.Run(35 * time.Second)
 	n.Partitioned, n.Loss, n.Duplicate, n.MaxDelay = nil, 0, 0, 10*time.Millisecond
 	hasConverged := n.RunUntil(30*time.Second, func() bool { return converged(n) })
-	lost := !hasConverged && n.Lost()
+	lost := !hasConverged && n.LogLost()
 	if !hasConverged && !lost {
 		text := ""
 		for i, m := range n.Nodes {
@@ -227,7 +227,7 @@
 	if lost {
 		sum.lost = 1
 	}
-	return append(broken, n.Broken...), sum
+	return append(broken, n.Violations...), sum
 }
 
 // tally counts the outcomes of operations, to check that the histories exercise the log.
@@ -239,7 +239,7 @@
 // committed replays the log on the register model, and reports whether an operation succeeded.
 func committed(n *raftlogsim.Net, op operation) bool {
 	value := 0
-	for _, e := range n.Agreed(1) {
+	for _, e := range n.AppliedEntries(1) {
 		var x operation
 		if c, _ := fmt.Sscanf(e, "%d %d", &x.base, &x.value); c == 2 && x.base == value {
 			if value = x.value; x == op {
@@ -318,7 +318,7 @@
 	}
 	n.Run(40 * time.Second)
 	times := 0
-	for _, e := range n.Agreed(1) {
+	for _, e := range n.AppliedEntries(1) {
 		if e == "again" {
 			times++
 		}
--- a/internal/fleet/raftlog/voters_test.go
+++ b/internal/fleet/raftlog/voters_test.go
@@ -38,7 +38,7 @@
 			t.Fatal(err)
 		}
 		n.Run(10 * time.Second)
-		if all := n.Agreed(1); !slices.Contains(all, "beyond") {
+		if all := n.AppliedEntries(1); !slices.Contains(all, "beyond") {
 			t.Fatalf("seed %d: an entry was not committed within 10 s, the log is %q", s, all)
 		}
 	}
--- a/internal/fleet/replicatedstate/history_test.go
+++ b/internal/fleet/replicatedstate/history_test.go
@@ -28,9 +28,9 @@
 	rng := n.Rng
 	n.Run(time.Second)
 	if err := n.Nodes[0].Bootstrap(n.Nodes[0].Time(), 1); err != nil {
-		n.Broken = append(n.Broken, err.Error())
+		n.Violations = append(n.Violations, err.Error())
 	}
-	n.Watch(20 * time.Millisecond)
+	n.StartChecks(20 * time.Millisecond)
 	n.Run(20 * time.Second)
 	for range rng.IntN(6) {
 		at := time.Duration(rng.Int64N(int64(40 * time.Second)))
@@ -71,7 +71,7 @@
 				return
 			}
 			if rng.IntN(5) == 0 {
-				n.Cannot[[2]int{rng.IntN(size), k}] = true
+				n.RejectedPolicies[[2]int{rng.IntN(size), k}] = true
 			}
 			text := replicatedstatesim.Text(k)
 			if rng.IntN(4) == 0 { // a long text, which is distributed before the change is proposed
@@ -92,19 +92,19 @@
 	}
 	n.Run(60 * time.Second)
 	n.Partitioned, n.Loss, n.Duplicate, n.MaxDelay = nil, 0, 0, 10*time.Millisecond
-	for at := range n.Cannot { // restart the sidecars that could not apply a policy, with corrected settings
+	for at := range n.RejectedPolicies { // restart the sidecars that could not apply a policy, with corrected settings
 		n.Crash(at[0])
 	}
-	n.Cannot = make(map[[2]int]bool)
+	n.RejectedPolicies = make(map[[2]int]bool)
 	for i := range n.Nodes {
 		n.Boot(i)
 	}
-	brokenOrConverged := func() bool { return n.Broken != nil || n.Converged() }
-	if lost = n.Lost(); lost && rng.IntN(2) == 0 {
+	brokenOrConverged := func() bool { return n.Violations != nil || n.Converged() }
+	if lost = n.LogLost(); lost && rng.IntN(2) == 0 {
 		n.Run(time.Duration(rng.Int64N(int64(10 * time.Second))))
 	}
 	if lost && n.Disks {
-		n.Broken = append(n.Broken, "the log is lost although all disks are intact:"+n.Text())
+		n.Violations = append(n.Violations, "the log is lost although all disks are intact:"+n.Text())
 	}
 	if lost {
 		// An operator bootstraps a new log at any sidecar. No sidecar may apply the old log's policy alone
@@ -112,7 +112,7 @@
 		m := n.Nodes[rng.IntN(size)]
 		// for a short time some sidecars still believe in the lost leader
 		if err := m.Bootstrap(m.Time(), 1<<40); err != nil && !errors.Is(err, raftlog.ErrLogExists) {
-			n.Broken = append(n.Broken, err.Error())
+			n.Violations = append(n.Violations, err.Error())
 		} else if err != nil {
 			n.Run(10 * time.Second)
 			_ = m.Bootstrap(m.Time(), 1<<40)
@@ -120,11 +120,11 @@
 	}
 	// the offer of a text that no live sidecar has is aborted after a minute
 	if !n.RunUntil(110*time.Second, brokenOrConverged) {
-		n.Broken = append(n.Broken, "not converged 110 s after the last fault:"+n.Text())
+		n.Violations = append(n.Violations, "not converged 110 s after the last fault:"+n.Text())
 	}
 	for _, m := range n.Nodes {
 		if m.OversizedMessages > 0 {
-			n.Broken = append(n.Broken, fmt.Sprintf("%d oversized messages, want none", m.OversizedMessages))
+			n.Violations = append(n.Violations, fmt.Sprintf("%d oversized messages, want none", m.OversizedMessages))
 		}
 	}
 	return n, lost
@@ -141,8 +141,8 @@
 	sum, lost, both, cut, longest := make(map[string]int), 0, 0, 0, 0
 	for s := first; s <= last; s++ {
 		n, logLost := runPolicyHistory(s)
-		if n.Broken != nil {
-			t.Fatalf("seed %d: %s", s, strings.Join(n.Broken, "\n"))
+		if n.Violations != nil {
+			t.Fatalf("seed %d: %s", s, strings.Join(n.Violations, "\n"))
 		}
 		if logLost {
 			lost++
@@ -150,7 +150,7 @@
 		for event, times := range n.Counts {
 			sum[event] += times
 		}
-		both, cut, longest = both+n.Both, cut+n.CutOff, max(longest, n.Longest)
+		both, cut, longest = both+n.BothSamples, cut+n.CutOffSamples, max(longest, n.LongestMessage)
 	}
 	t.Logf(
 		"events %v; samples: %d apply both versions, %d cut off; logs lost: %d; longest message: %d bytes",
--- a/internal/fleet/replicatedstate/maintenance_test.go
+++ b/internal/fleet/replicatedstate/maintenance_test.go
@@ -32,7 +32,7 @@
 	size := 5 + int(seed%5)
 	site := &replicatedstatesim.Site{
 		Machines: newMachines(6), Deadline: time.Duration(2+4*(seed%2)) * time.Second, Bound: 2,
-		Returns: 2 * time.Second,
+		WarmupTime: 2 * time.Second,
 	}
 	n := replicatedstatesim.New(
 		replicatedstatesim.Config{
@@ -43,7 +43,7 @@
 	rng := n.Rng
 	n.Run(time.Second)
 	if err := n.Nodes[0].Bootstrap(n.Nodes[0].Time(), 1); err != nil {
-		n.Broken = append(n.Broken, err.Error())
+		n.Violations = append(n.Violations, err.Error())
 	}
 	n.Run(15 * time.Second)
 	planned := false
@@ -109,19 +109,19 @@
 	for i := range n.Nodes {
 		n.Boot(i)
 	}
-	if n.Lost() { // an operator bootstraps a new log and proposes a new plan
+	if n.LogLost() { // an operator bootstraps a new log and proposes a new plan
 		planned = false
-		site.Forget()
+		site.ResetLog()
 		// for a short time some sidecars still believe in the lost leader
 		if err := n.Nodes[0].Bootstrap(n.Nodes[0].Time(), 1<<40); err != nil {
 			n.Run(10 * time.Second)
 			if err := n.Nodes[0].Bootstrap(n.Nodes[0].Time(), 1<<40); err != nil {
-				n.Broken = append(n.Broken, err.Error())
+				n.Violations = append(n.Violations, err.Error())
 			}
 		}
 	}
 	planEnded := func() bool {
-		if n.Broken != nil {
+		if n.Violations != nil {
 			return true
 		}
 		for _, m := range n.Nodes {
@@ -133,14 +133,14 @@
 	}
 	if !n.RunUntil(5*time.Minute, planEnded) {
 		m := n.Nodes[0]
-		n.Broken = append(
-			n.Broken,
+		n.Violations = append(
+			n.Violations,
 			fmt.Sprintf("plan not ended 5 minutes after the last fault: %+v %s", m.MaintenanceView(m.Time()), n.Text()),
 		)
 	}
 	for _, m := range n.Nodes {
 		if m.OversizedMessages > 0 {
-			n.Broken = append(n.Broken, fmt.Sprintf("%d oversized messages, want none", m.OversizedMessages))
+			n.Violations = append(n.Violations, fmt.Sprintf("%d oversized messages, want none", m.OversizedMessages))
 		}
 	}
 	return n
@@ -157,11 +157,11 @@
 	opened, released, closed, sent, astray, longest := 0, 0, 0, 0, 0, 0
 	for s := first; s <= last; s++ {
 		n := runMaintenanceHistory(s)
-		if n.Broken != nil {
-			t.Fatalf("seed %d: %s", s, strings.Join(n.Broken[:min(3, len(n.Broken))], "\n"))
+		if n.Violations != nil {
+			t.Fatalf("seed %d: %s", s, strings.Join(n.Violations[:min(3, len(n.Violations))], "\n"))
 		}
 		opened, released, closed, sent, astray, longest = opened+n.Site.Opened, released+n.Site.Released,
-			closed+n.Site.Closed, sent+n.Site.Sent, astray+n.Site.Astray, max(longest, n.Longest)
+			closed+n.Site.Closed, sent+n.Site.Sent, astray+n.Site.Misrouted, max(longest, n.LongestMessage)
 	}
 	t.Logf(
 		"windows: %d opened, %d released, %d closed; requests: %d, stray: %d; longest message: %d bytes",
@@ -176,7 +176,7 @@
 // event must not name a machine (checked by the site), the window continues, and no other window opens.
 func TestPauseWithOpenWindow(t *testing.T) {
 	site := &replicatedstatesim.Site{
-		Machines: newMachines(4), Deadline: 2 * time.Second, Bound: 2, Returns: time.Second,
+		Machines: newMachines(4), Deadline: 2 * time.Second, Bound: 2, WarmupTime: time.Second,
 	}
 	n := replicatedstatesim.New(
 		replicatedstatesim.Config{Size: 5, Seed: 1, Lease: 3 * time.Second, Rate: 0.01, Site: site},
@@ -198,8 +198,8 @@
 	}
 	n.Run(20 * time.Second)
 	s := m.MaintenanceState()
-	if n.Broken != nil || len(s.Plans) != 1 || s.Plans[0].Paused == "" || s.LastWindow != 1 ||
+	if n.Violations != nil || len(s.Plans) != 1 || s.Plans[0].Paused == "" || s.LastWindow != 1 ||
 		s.Window(1).Phase != maintenance.Free {
-		t.Errorf("violations %v; state %+v, want one paused plan and window 1 released", n.Broken, s)
+		t.Errorf("violations %v; state %+v, want one paused plan and window 1 released", n.Violations, s)
 	}
 }
--- a/internal/fleet/replicatedstate/partition_test.go
+++ b/internal/fleet/replicatedstate/partition_test.go
@@ -25,8 +25,8 @@
 			return err == nil
 		}
 		committed := func() bool { return m.View(m.Time()).LastIndex > before }
-		if !n.RunUntil(15*time.Second, proposed) || !n.RunUntil(15*time.Second, committed) || n.Broken != nil {
-			t.Errorf("seed %d: three of five sidecars commit nothing, violations %v%s", seed, n.Broken, n.Text())
+		if !n.RunUntil(15*time.Second, proposed) || !n.RunUntil(15*time.Second, committed) || n.Violations != nil {
+			t.Errorf("seed %d: three of five sidecars commit nothing, violations %v%s", seed, n.Violations, n.Text())
 		}
 	}
 }
--- a/internal/fleet/replicatedstate/replicatedstate_test.go
+++ b/internal/fleet/replicatedstate/replicatedstate_test.go
@@ -25,7 +25,7 @@
 	if err := n.Nodes[0].Bootstrap(n.Nodes[0].Time(), 1); err != nil {
 		t.Fatal(err)
 	}
-	n.Watch(20 * time.Millisecond)
+	n.StartChecks(20 * time.Millisecond)
 	if !n.RunUntil(30*time.Second, n.Converged) {
 		t.Fatalf("seed %d: the fleet has not converged within 30 s: %s", seed, n.Text())
 	}
@@ -47,7 +47,7 @@
 	}
 	wantRejected("text of 65 KiB", bytes.Repeat([]byte("#"), 65<<10), 0, "65536 are possible")
 	wantRejected("outdated base version", replicatedstatesim.Text(1), 7, "it was made from version 7, version 0 holds")
-	n.Cannot[[2]int{3, 9}] = true
+	n.RejectedPolicies[[2]int{3, 9}] = true
 	wantRejected("policy that the proposer can't apply", replicatedstatesim.Text(9), 0, "no such tenant")
 	if _, err := m.Abort(m.Time()); err == nil {
 		t.Error("Abort without a change in progress succeeded, want an error")
@@ -84,8 +84,8 @@
 	if _, err := m.Propose(m.Time(), replicatedstatesim.Text(3), 1); !errors.Is(err, replicatedstate.ErrNoContact) {
 		t.Errorf("Propose without a grant: got error %v, want ErrNoContact", err)
 	}
-	if n.Broken != nil {
-		t.Error(n.Broken)
+	if n.Violations != nil {
+		t.Error(n.Violations)
 	}
 }
 
@@ -106,7 +106,7 @@
 		},
 		{
 			"one sidecar can't apply the policy",
-			func(n *replicatedstatesim.Net, leader int) { n.Cannot[[2]int{(leader + 1) % 5, 1}] = true },
+			func(n *replicatedstatesim.Net, leader int) { n.RejectedPolicies[[2]int{(leader + 1) % 5, 1}] = true },
 			"called off by %d: tenants.x: no such tenant", time.Second,
 		},
 		{"three of five sidecars without the text", func(n *replicatedstatesim.Net, leader int) {
@@ -122,7 +122,7 @@
 			}
 			n.After(200*time.Millisecond, func() {
 				if _, err := n.Nodes[leader].Abort(n.Nodes[leader].Time()); err != nil {
-					n.Broken = append(n.Broken, err.Error())
+					n.Violations = append(n.Violations, err.Error())
 				}
 			})
 		}, "by hand", time.Second},
@@ -137,8 +137,8 @@
 		got := func() string { return m.View(m.Time()).Proposals[0].Outcome }
 		n.RunUntil(c.within, func() bool { return got() != "" && got() != "under way" })
 		want := strings.ReplaceAll(c.outcome, "%d", fmt.Sprint((leader+1)%5))
-		if !strings.Contains(got(), want) || n.Broken != nil {
-			t.Errorf("%s: outcome %q after %v, want %q; violations %v", c.name, got(), n.Now-start, want, n.Broken)
+		if !strings.Contains(got(), want) || n.Violations != nil {
+			t.Errorf("%s: outcome %q after %v, want %q; violations %v", c.name, got(), n.Now-start, want, n.Violations)
 		}
 	}
 }
@@ -170,7 +170,7 @@
 		raw[len(raw)-1]++ // last byte of the chunk's data
 		return false
 	}
-	start, cut := n.Now, n.CutOff
+	start, cut := n.Now, n.CutOffSamples
 	if _, err := m.Propose(m.Time(), raw, 0); err != nil {
 		t.Fatal(err)
 	}
@@ -183,11 +183,11 @@
 			t.Fatalf("a sidecar does not apply the text within 2 minutes: %s", n.Text())
 		}
 	}
-	t.Logf("text applied by all after %v; samples of a cut-off sidecar: %d", n.Now-start, n.CutOff-cut)
-	if corrupted == 0 || n.Broken != nil || n.CutOff > cut {
+	t.Logf("text applied by all after %v; samples of a cut-off sidecar: %d", n.Now-start, n.CutOffSamples-cut)
+	if corrupted == 0 || n.Violations != nil || n.CutOffSamples > cut {
 		t.Errorf(
 			"corrupted chunks %d, want some; samples of a cut-off sidecar %d, want 0; violations %v",
-			corrupted, n.CutOff-cut, n.Broken,
+			corrupted, n.CutOffSamples-cut, n.Violations,
 		)
 	}
 }
@@ -237,7 +237,7 @@
 		if err := n.Nodes[0].Bootstrap(n.Nodes[0].Time(), 1); err != nil {
 			t.Fatal(err)
 		}
-		n.Watch(20 * time.Millisecond)
+		n.StartChecks(20 * time.Millisecond)
 		n.RunUntil(30*time.Second, n.Converged)
 		if _, err := n.Nodes[1].Propose(n.Nodes[1].Time(), replicatedstatesim.Text(1), 0); err != nil {
 			t.Fatal(err)
@@ -254,8 +254,8 @@
 			}
 		}
 		again := n.RunUntil(30*time.Second, func() bool { return n.Converged() && currentVersion(n.Nodes[3]) == 1 })
-		if again != disks || n.Broken != nil {
-			t.Errorf("with disks: %v; the fleet applies version 1 again: %v; violations %v", disks, again, n.Broken)
+		if again != disks || n.Violations != nil {
+			t.Errorf("with disks: %v; the fleet applies version 1 again: %v; violations %v", disks, again, n.Violations)
 		}
 	}
 }
--- a/internal/fleet/replicatedstate/size_test.go
+++ b/internal/fleet/replicatedstate/size_test.go
@@ -21,7 +21,7 @@
 	if err := n.Nodes[0].Bootstrap(n.Nodes[0].Time(), 1<<56); err != nil {
 		t.Fatal(err)
 	}
-	n.Watch(50 * time.Millisecond)
+	n.StartChecks(50 * time.Millisecond)
 	if !n.RunUntil(2*time.Minute, n.Converged) {
 		t.Fatalf("the fleet has not converged within 2 minutes: %s", n.Text())
 	}
@@ -49,7 +49,7 @@
 	}
 	t.Logf(
 		"at rest, bytes per second: %.0f on average, leader %.0f, other voters up to %.0f; unsent messages: %d",
-		sum, leader, voter, n.Spared,
+		sum, leader, voter, n.RateLimited,
 	)
 	if most > budget*0.9 || len(v.Voters) != raftlog.VotersFor(size) {
 		t.Errorf("up to %.0f bytes/s, want 90 %% of the budget at most; voters %v, want VotersFor", most, v.Voters)
@@ -78,8 +78,8 @@
 			}
 			return cut <= maxCutOff
 		}
-		if !n.RunUntil(within, func() bool { return n.Broken != nil || applied() }) || n.Broken != nil {
-			t.Fatalf("%s: new version not applied within %v, violations %v: %s", name, within, n.Broken, n.Text())
+		if !n.RunUntil(within, func() bool { return n.Violations != nil || applied() }) || n.Violations != nil {
+			t.Fatalf("%s: new version not applied within %v, violations %v: %s", name, within, n.Violations, n.Text())
 		}
 		took := n.Now - start
 		if !n.RunUntil(time.Minute, n.Converged) {
--- a/internal/lab/raftlogsim/disk.go
+++ b/internal/lab/raftlogsim/disk.go
@@ -9,14 +9,14 @@
 	"caperarch/internal/fleet/raftlog"
 )
 
-// Disk is a machine's, which outlives its processes.
+// Disk is a machine's disk. Its content survives a crash of the process.
 type Disk struct {
-	Incarnation uint64 // of the seat
-	Full        bool   // nothing can be written any more
+	Incarnation uint64 // of the voter that first used the disk
+	Full        bool   // writes fail
 	saved       raftlog.SavedState
 }
 
-// NewDisks gives each machine one, and a process that uses it.
+// NewDisks gives each machine a disk and restarts all processes, which then use the disks.
 func (n *Net) NewDisks() {
 	for range n.Size {
 		n.Disks = append(n.Disks, new(Disk))
@@ -29,7 +29,7 @@
 
 var errFull = errors.New("no space left on device")
 
-// Begin forgets all of an earlier log.
+// Begin discards the log of an earlier epoch.
 func (d *Disk) Begin(epoch uint64) error {
 	if d.Full {
 		return errFull
@@ -38,7 +38,8 @@
 	return nil
 }
 
-// Save keeps a vote and entries.
+// Save stores the vote, if there is one, and the entries. The first entry replaces the stored entry at its index and
+// all later ones.
 func (d *Disk) Save(vote *raftpb.HardState, entries []*raftpb.Entry) error {
 	if d.Full {
 		return errFull
@@ -52,7 +53,7 @@
 	return nil
 }
 
-// Saved is what it has kept.
+// Saved returns the stored state.
 func (d *Disk) Saved() *raftlog.SavedState {
 	s := d.saved
 	s.Entries = append([]*raftpb.Entry(nil), s.Entries...)
--- a/internal/lab/raftlogsim/net.go
+++ b/internal/lab/raftlogsim/net.go
@@ -1,6 +1,6 @@
-// Package raftlogsim plays the sidecars that share an agreed log in virtual time: messages lost,
-// late, doubled and cut off, processes that stop, crash and come back having forgotten. One seed
-// plays one history. It is for tests and measurements; nothing that ships imports it.
+// Package raftlogsim simulates sidecars that replicate a log, in virtual time: messages that are lost, delayed,
+// duplicated or cut off by a partition, and processes that pause, crash and restart without memory. The same seed gives
+// the same history. The package is for tests and measurements; production code doesn't import it.
 package raftlogsim
 
 import (
@@ -13,45 +13,45 @@
 	"caperarch/internal/lab/virtualtime"
 )
 
-// outAfter is when a process that has ended is known to be gone for good: what internal/fleet/swim
-// tells takes about so long.
-const outAfter = 6 * time.Second
+// removalDelay is the time after which an ended process is known to be gone permanently. internal/fleet/swim takes
+// about as long to report it.
+const removalDelay = 6 * time.Second
 
-// Net is a fleet.
+// Net is a simulated fleet and its network.
 type Net struct {
 	Size int
 	virtualtime.Clock
 	virtualtime.Faults
 	Nodes []*Node
-	Disks []*Disk // by number, where machines have some that last; nil: none has
+	Disks []*Disk // by node number; nil if the machines have no disks
 
-	Broken          []string
+	Violations      []string // violated guarantees and unexpected errors
 	Sent            int
-	Longest         int                  // bytes of a message, about
-	agreed          map[[2]uint64]string // by epoch and index: what somebody has
-	ended           map[raftlog.Voter]time.Duration
+	LongestMessage  int                             // in bytes
+	applied         map[[2]uint64]string            // by epoch and index: the data of the entry that a node has applied
+	ended           map[raftlog.Voter]time.Duration // when the process of a voter ended
 	lastIncarnation uint64
 }
 
-// Node is one sidecar.
+// Node is a simulated sidecar.
 type Node struct {
 	*raftlog.Node
 	virtualtime.Process
-	net   *Net
-	voter raftlog.Voter
-	last  uint64
-	term  uint64                // that it leads, or led last
-	led   time.Duration         // since when
-	Heard func(e raftlog.Entry) // what it applies; nil: nobody looks
+	net         *Net
+	voter       raftlog.Voter
+	lastApplied uint64
+	term        uint64                // the newest term in which it was the leader
+	leaderSince time.Duration         // when it became the leader in that term
+	OnApplied   func(e raftlog.Entry) // called for each applied entry; may be nil
 }
 
-// New makes a fleet whose processes all run.
+// New returns a fleet with all processes running.
 func New(size int, seed uint64) *Net {
 	n := &Net{
 		Size: size, Clock: virtualtime.Clock{Now: time.Hour},
-		Faults: virtualtime.Faults{Rng: rand.New(rand.NewPCG(seed, 5)), MaxDelay: 10 * time.Millisecond},
-		agreed: make(map[[2]uint64]string),
-		ended:  make(map[raftlog.Voter]time.Duration),
+		Faults:  virtualtime.Faults{Rng: rand.New(rand.NewPCG(seed, 5)), MaxDelay: 10 * time.Millisecond},
+		applied: make(map[[2]uint64]string),
+		ended:   make(map[raftlog.Voter]time.Duration),
 	}
 	for range size {
 		n.Nodes = append(n.Nodes, &Node{net: n, Process: virtualtime.Process{Down: true}})
@@ -62,7 +62,7 @@
 	return n
 }
 
-// Boot starts the process of a number, as one that remembers nothing.
+// Boot starts the process of node i without memory. On machines with disks, the process restores the stored log.
 func (n *Net) Boot(i int) {
 	m := n.Nodes[i]
 	if !m.Down {
@@ -70,7 +70,7 @@
 	}
 	n.lastIncarnation++
 	m.Restart()
-	m.voter, m.last = raftlog.Voter{Number: i, Incarnation: n.lastIncarnation}, 0
+	m.voter, m.lastApplied = raftlog.Voter{Number: i, Incarnation: n.lastIncarnation}, 0
 	cfg := raftlog.Config{Size: n.Size, Self: m.voter, ProcessIncarnation: n.lastIncarnation,
 		Rand: rand.New(rand.NewPCG(n.lastIncarnation, n.Rng.Uint64())), Host: m}
 	if n.Disks != nil {
@@ -83,7 +83,7 @@
 	}
 	node, err := raftlog.New(cfg)
 	if err != nil {
-		panic(err) // the test's own mistake
+		panic(err) // an invalid configuration is a mistake of the test
 	}
 	m.Node = node
 	if n.Disks != nil {
@@ -98,15 +98,15 @@
 		}
 		if m.PausedUntil == 0 {
 			node.Tick(n.Now)
-			node.UpdateVoters(n.Now, n.out, n.there())
-			m.lead()
+			node.UpdateVoters(n.Now, n.isRemoved, n.runningVoters())
+			m.checkLeader()
 		}
 		n.After(raftlog.Period, tick)
 	}
 	n.After(time.Duration(n.Rng.Int64N(int64(raftlog.Period))), tick)
 }
 
-// Crash ends a process without a word.
+// Crash ends the process of node i without notice.
 func (n *Net) Crash(i int) {
 	if m := n.Nodes[i]; !m.Down {
 		m.Down = true
@@ -114,15 +114,17 @@
 	}
 }
 
-// Stop has a process stand still. What comes meanwhile waits in its socket.
+// Stop pauses the process of node i for d. Messages that arrive during the pause wait in its socket.
 func (n *Net) Stop(i int, d time.Duration) { n.Nodes[i].Pause(&n.Clock, d, nil) }
 
-func (n *Net) out(s raftlog.Voter) bool {
-	at, ended := n.ended[s]
-	return ended && n.Now-at >= outAfter
+// isRemoved reports whether the process of a voter is known to be gone permanently.
+func (n *Net) isRemoved(voter raftlog.Voter) bool {
+	at, ended := n.ended[voter]
+	return ended && n.Now-at >= removalDelay
 }
 
-func (n *Net) there() (all []raftlog.Voter) {
+// runningVoters returns the voters of all running processes, ordered by ID.
+func (n *Net) runningVoters() (all []raftlog.Voter) {
 	for _, m := range n.Nodes {
 		if !m.Down && m.PausedUntil == 0 {
 			all = append(all, m.voter)
@@ -137,20 +139,20 @@
 	return all
 }
 
-// Send is called by a node.
+// Send implements the host interface of raftlog.
 func (m *Node) Send(to int, msg *raftlog.Message) {
 	n, from := m.net, m.voter.Number
 	n.Sent++
 	raw, err := msg.Encode()
 	if err != nil {
-		n.Broken = append(n.Broken, err.Error())
+		n.Violations = append(n.Violations, err.Error())
 		return
 	}
-	n.Longest = max(n.Longest, len(raw))
+	n.LongestMessage = max(n.LongestMessage, len(raw))
 	take := func() {
 		c, err := raftlog.Decode(raw)
 		if err != nil {
-			n.Broken = append(n.Broken, err.Error())
+			n.Violations = append(n.Violations, err.Error())
 			return
 		}
 		n.Nodes[to].Receive(n.Now, from, c)
@@ -158,41 +160,44 @@
 	n.Deliver(&n.Clock, from, to, func() { n.Nodes[to].Arrive(100, take) })
 }
 
-// lead checks that what a leader takes for confirmed is of its own term.
-func (m *Node) lead() {
+// checkLeader checks that the last quorum acknowledgement that a leader relies on was given in its own term.
+func (m *Node) checkLeader() {
 	if !m.IsLeader() {
 		return
 	}
 	if term := m.Term(); term != m.term {
-		m.term, m.led = term, m.net.Now
+		m.term, m.leaderSince = term, m.net.Now
 	}
-	if at, _ := m.LastQuorumAck(); at > 0 && at < m.led {
-		m.net.Broken = append(m.net.Broken,
-			fmt.Sprintf("n%d leads since %v and takes a word of %v for a confirmation", m.voter.Number, m.led, at))
+	if at, _ := m.LastQuorumAck(); at > 0 && at < m.leaderSince {
+		m.net.Violations = append(m.net.Violations,
+			fmt.Sprintf("n%d leads since %v, but its last quorum acknowledgement is of %v, before its term",
+				m.voter.Number, m.leaderSince, at))
 	}
 }
 
-// Applied is called by a node: what one has, all have.
+// Applied implements the host interface of raftlog. It checks that all nodes apply the same entry at the same index,
+// and that a node applies entries in order.
 func (m *Node) Applied(e raftlog.Entry) {
 	n := m.net
 	key := [2]uint64{m.Epoch(), e.Index}
-	switch had, known := n.agreed[key]; {
-	case known && had != string(e.Data):
-		n.Broken = append(n.Broken, fmt.Sprintf("n%d has %q at %d of epoch %d, another has %q",
-			m.voter.Number, e.Data, e.Index, m.Epoch(), had))
-	case e.Index <= m.last:
-		n.Broken = append(n.Broken, fmt.Sprintf("n%d applies %d behind %d", m.voter.Number, e.Index, m.last))
-	}
-	n.agreed[key], m.last = string(e.Data), e.Index
-	if m.Heard != nil {
-		m.Heard(e)
+	switch other, known := n.applied[key]; {
+	case known && other != string(e.Data):
+		n.Violations = append(n.Violations, fmt.Sprintf("n%d applied %q at index %d of epoch %d, another node %q",
+			m.voter.Number, e.Data, e.Index, m.Epoch(), other))
+	case e.Index <= m.lastApplied:
+		n.Violations = append(n.Violations, fmt.Sprintf("n%d applied index %d after index %d",
+			m.voter.Number, e.Index, m.lastApplied))
+	}
+	n.applied[key], m.lastApplied = string(e.Data), e.Index
+	if m.OnApplied != nil {
+		m.OnApplied(e)
 	}
 }
 
-// Reset is called by a node.
-func (m *Node) Reset(uint64) { m.last = 0 }
+// Reset implements the host interface of raftlog.
+func (m *Node) Reset(uint64) { m.lastApplied = 0 }
 
-// Leader is a node that leads; -1: none does.
+// Leader returns the number of a running leader, or -1 if there is none.
 func (n *Net) Leader() int {
 	for i, m := range n.Nodes {
 		if m.Running() && m.IsLeader() {
@@ -202,16 +207,15 @@
 	return -1
 }
 
-// Lost says whether the log is lost, as it may be where a majority of the voters is: of the seats
-// that anybody holds for the voters', most are of processes that have ended.
-func (n *Net) Lost() bool {
+// LogLost reports whether the log is lost: the processes of half or more of the voters that some node knows have ended.
+func (n *Net) LogLost() bool {
 	for _, m := range n.Nodes {
 		if m.Down || m.Epoch() == 0 {
 			continue
 		}
 		alive := 0
-		for _, s := range m.Voters() {
-			if _, ended := n.ended[s]; !ended {
+		for _, voter := range m.Voters() {
+			if _, ended := n.ended[voter]; !ended {
 				alive++
 			}
 		}
@@ -222,16 +226,17 @@
 	return false
 }
 
-// Agreed is what stands in the log of an epoch, as far as anybody has it.
-func (n *Net) Agreed(epoch uint64) (all []string) {
+// AppliedEntries returns the data of the entries of an epoch that at least one node has applied, in order of their
+// index.
+func (n *Net) AppliedEntries(epoch uint64) (all []string) {
 	most := uint64(0)
-	for key := range n.agreed {
+	for key := range n.applied {
 		if key[0] == epoch {
 			most = max(most, key[1])
 		}
 	}
 	for i := uint64(1); i <= most; i++ {
-		if e, here := n.agreed[[2]uint64{epoch, i}]; here {
+		if e, known := n.applied[[2]uint64{epoch, i}]; known {
 			all = append(all, e)
 		}
 	}
--- a/internal/lab/replicatedstatesim/net.go
+++ b/internal/lab/replicatedstatesim/net.go
@@ -1,7 +1,7 @@
-// Package replicatedstatesim plays the sidecars that settle a policy in virtual time: messages
-// lost, late, doubled, cut off and held back, processes that stop, crash and come back having
-// forgotten, clocks that run at rates of their own. One seed plays one history. It is for tests and
-// measurements; nothing that ships imports it.
+// Package replicatedstatesim simulates sidecars that replicate the policy rollout and maintenance state, in virtual
+// time. It simulates messages that are lost, delayed, duplicated or cut off by a partition, processes that pause, crash
+// and restart without memory, and clocks that drift. The same seed gives the same history. The package is for tests and
+// measurements; production code doesn't import it.
 package replicatedstatesim
 
 import (
@@ -18,38 +18,39 @@
 	"caperarch/internal/lab/virtualtime"
 )
 
-// Config is what a fleet is made of.
+// Config configures a simulated fleet.
 type Config struct {
 	Size  int
 	Seed  uint64
 	Lease time.Duration
-	Rate  float64 // clocks are off by up to so much
-	Disks bool    // machines have disks that last
-	Site  *Site   // what they send to; nil: nothing
-	// bytes a second that each may send, and two seconds' worth at a time; 0: as many as it likes
+	Rate  float64 // largest relative error of a clock
+	Disks bool    // machines have disks that survive crashes
+	Site  *Site   // the upstream machines that the sidecars send to; nil for none
+	// BytesPerSecond limits the bytes that each sidecar sends per second, with a burst of two seconds' worth; 0 for no
+	// limit.
 	BytesPerSecond float64
 }
 
-// Net is a fleet.
+// Net is a simulated fleet and its network.
 type Net struct {
 	Config
 	virtualtime.Clock
 	virtualtime.Faults
-	Nodes  []*Node
-	Drop   func(to int, raw []byte) bool // lost by what it says; nil: none
-	Cannot map[[2]int]bool               // by sidecar and text: it can't apply it
+	Nodes            []*Node
+	Drop             func(to int, raw []byte) bool // reports whether a message is lost, by its content; nil for never
+	RejectedPolicies map[[2]int]bool               // by sidecar and policy number: the sidecar can't apply the policy
 
-	Broken          []string
-	Longest         int
-	Spared          int
-	Counts          map[string]int // events at the sidecar that has the most of the log
-	life            uint64
-	most            map[uint64]uint64 // entries that were counted, by epoch
-	Both, CutOff    int               // looks at one that goes by both, or is cut off
-	Messages, Bytes int
+	Violations                 []string          // violated guarantees and unexpected errors
+	LongestMessage             int               // in bytes
+	RateLimited                int               // messages that were not sent because of BytesPerSecond
+	Counts                     map[string]int    // events of the log, by kind, counted once per log entry
+	lastIncarnation            uint64            // the newest process incarnation
+	highestIndex               map[uint64]uint64 // by epoch: the highest log index whose events were counted
+	BothSamples, CutOffSamples int               // samples with a sidecar that applies both versions, or that is cut off
+	Messages, Bytes            int
 }
 
-// Node is one sidecar.
+// Node is a simulated sidecar.
 type Node struct {
 	*replicatedstate.Node
 	virtualtime.Process
@@ -60,19 +61,19 @@
 	Disk        disk
 	rate        float64
 	Bytes       int
-	level       float64
-	levelAt     time.Duration
-	own         maintenance.LocalClearance
-	born        time.Duration // of the process, by its clock
+	tokens      float64 // of the token bucket of BytesPerSecond, in bytes
+	tokensAt    time.Duration
+	clearance   maintenance.LocalClearance
+	startedAt   time.Duration // start of the process, by its own clock
 }
 
-// disk is a machine's.
+// disk is a machine's disk.
 type disk struct {
 	raftlogsim.Disk
 	texts [][]byte
 }
 
-// SaveText keeps a text.
+// SaveText stores the text of a policy.
 func (d *disk) SaveText(_ [32]byte, text []byte) error {
 	if d.Full {
 		return errors.New("no space left on device")
@@ -81,22 +82,22 @@
 	return nil
 }
 
-// Overhead is what stands round a message on the way, in bytes.
+// Overhead is the number of bytes of a message's envelope.
 const Overhead = 28
 
-// New makes a fleet whose processes all run. Nobody knows of a log yet.
+// New returns a fleet with all processes running. No sidecar has a log yet.
 func New(cfg Config) *Net {
 	n := &Net{
 		Config: cfg, Clock: virtualtime.Clock{Now: time.Hour},
-		Faults: virtualtime.Faults{Rng: rand.New(rand.NewPCG(cfg.Seed, 9)), MaxDelay: 10 * time.Millisecond},
-		Cannot: make(map[[2]int]bool), Counts: make(map[string]int), most: make(map[uint64]uint64),
+		Faults:           virtualtime.Faults{Rng: rand.New(rand.NewPCG(cfg.Seed, 9)), MaxDelay: 10 * time.Millisecond},
+		RejectedPolicies: make(map[[2]int]bool), Counts: make(map[string]int), highestIndex: make(map[uint64]uint64),
 	}
 	for i := range cfg.Size {
 		n.Nodes = append(n.Nodes, &Node{net: n, number: i, rate: 1 + cfg.Rate*(2*n.Rng.Float64()-1),
 			Process: virtualtime.Process{Down: true}})
 	}
 	if n.Site != nil {
-		n.open()
+		n.startSending()
 	}
 	for i := range cfg.Size {
 		n.Boot(i)
@@ -104,10 +105,10 @@
 	return n
 }
 
-// Time is the moment by a node's own clock.
+// Time returns the present time by the sidecar's own clock.
 func (m *Node) Time() time.Duration { return time.Duration(m.rate * float64(m.net.Now)) }
 
-// Text is a policy's text that no other number has.
+// Text returns a policy text that is unique for its number.
 func Text(number int) []byte {
 	return fmt.Appendf(nil, "# policy %d\n[limits]\nopen = %d\n", number, 100+number)
 }
@@ -117,21 +118,21 @@
 	return k
 }
 
-// Boot starts the process of a number, as one that remembers nothing.
+// Boot starts the process of sidecar i without memory. On machines with disks, the process restores the stored log.
 func (n *Net) Boot(i int) {
 	m := n.Nodes[i]
 	if !m.Down {
 		return
 	}
-	n.life++
+	n.lastIncarnation++
 	m.Restart()
-	m.Incarnation, m.voter, m.own, m.born = n.life, raftlog.Voter{Number: i, Incarnation: n.life},
-		maintenance.LocalClearance{}, m.Time()
+	m.Incarnation, m.voter, m.clearance, m.startedAt = n.lastIncarnation,
+		raftlog.Voter{Number: i, Incarnation: n.lastIncarnation}, maintenance.LocalClearance{}, m.Time()
 	cfg := replicatedstate.Config{
-		Size: n.Size, ProcessIncarnation: n.life, Lease: n.Lease, MaxClockError: n.Rate,
-		Rand: rand.New(rand.NewPCG(n.life, n.Rng.Uint64())), Host: m,
+		Size: n.Size, ProcessIncarnation: n.lastIncarnation, Lease: n.Lease, MaxClockError: n.Rate,
+		Rand: rand.New(rand.NewPCG(n.lastIncarnation, n.Rng.Uint64())), Host: m,
 		CheckPolicy: func(text []byte) error {
-			if n.Cannot[[2]int{i, number(text)}] {
+			if n.RejectedPolicies[[2]int{i, number(text)}] {
 				return errors.New("tenants.x: no such tenant")
 			}
 			return nil
@@ -142,14 +143,14 @@
 	}
 	if n.Disks {
 		if m.Disk.Incarnation == 0 {
-			m.Disk.Incarnation = n.life
+			m.Disk.Incarnation = n.lastIncarnation
 		}
 		m.voter.Incarnation, cfg.Storage = m.Disk.Incarnation, &m.Disk
 	}
 	cfg.Self = m.voter
 	node, err := replicatedstate.New(cfg)
 	if err != nil {
-		panic(err) // the test's own mistake
+		panic(err) // an invalid configuration is a mistake of the test
 	}
 	m.Node = node
 	if n.Disks {
@@ -170,29 +171,30 @@
 	n.After(time.Duration(n.Rng.Int64N(int64(replicatedstate.Period))), tick)
 }
 
-// Crash ends a process without a word.
+// Crash ends the process of sidecar i without notice.
 func (n *Net) Crash(i int) { n.Nodes[i].Down = true }
 
-// Stop has a process stand still. What comes meanwhile waits in its socket.
+// Stop pauses the process of sidecar i for d. Messages that arrive during the pause wait in its socket.
 func (n *Net) Stop(i int, d time.Duration) { n.Nodes[i].Pause(&n.Clock, d, nil) }
 
-// Send is called by a node.
+// Send implements the host interface of replicatedstate: it sends a message to another sidecar, unless the rate limit
+// forbids it.
 func (m *Node) Send(to int, raw []byte, urgent bool) {
-	n, from, life := m.net, m.number, m.Incarnation
+	n, from, incarnation := m.net, m.number, m.Incarnation
 	bytes := len(raw) + Overhead
-	n.Longest = max(n.Longest, len(raw))
+	n.LongestMessage = max(n.LongestMessage, len(raw))
 	if n.BytesPerSecond > 0 {
-		m.level = min(2*n.BytesPerSecond, m.level+n.BytesPerSecond*(n.Now-m.levelAt).Seconds())
-		m.levelAt = n.Now
-		kept := n.BytesPerSecond / 2 // a quarter, for what is urgent
+		m.tokens = min(2*n.BytesPerSecond, m.tokens+n.BytesPerSecond*(n.Now-m.tokensAt).Seconds())
+		m.tokensAt = n.Now
+		reserve := n.BytesPerSecond / 2 // a quarter of the burst is reserved for urgent messages
 		if urgent {
-			kept = 0
+			reserve = 0
 		}
-		if m.level < float64(bytes)+kept {
-			n.Spared++
+		if m.tokens < float64(bytes)+reserve {
+			n.RateLimited++
 			return
 		}
-		m.level -= float64(bytes)
+		m.tokens -= float64(bytes)
 	}
 	m.Bytes += bytes
 	n.Messages++
@@ -203,13 +205,14 @@
 	raw = append([]byte(nil), raw...)
 	take := func() {
 		if o := n.Nodes[to]; o.Receive(o.Time(), from, raw) != nil {
-			n.Broken = append(n.Broken, fmt.Sprintf("n%d can't read what n%d of life %d sent", to, from, life))
+			n.Violations = append(n.Violations,
+				fmt.Sprintf("n%d can't decode a message from n%d (incarnation %d)", to, from, incarnation))
 		}
 	}
 	n.Deliver(&n.Clock, from, to, func() { n.Nodes[to].Arrive(100, take) })
 }
 
-// HandleEvent is called by a node. What stands in the log is counted once.
+// HandleEvent implements the host interface of replicatedstate. It counts the event of each log entry once.
 func (m *Node) HandleEvent(e replicatedstate.Event) {
 	n := m.net
 	if m.Node == nil {
@@ -217,51 +220,53 @@
 	}
 	switch e.Kind {
 	case "log":
-		m.own = maintenance.LocalClearance{}
+		m.clearance = maintenance.LocalClearance{}
 		return
 	case "goes by", "leads":
 		return
 	case "entry":
-		n.Broken = append(n.Broken, e.Reason)
+		n.Violations = append(n.Violations, e.Reason)
 	}
-	// Within an entry the view is of before it.
-	if v := m.View(m.Time()); v.LastIndex > n.most[v.Epoch] {
-		n.most[v.Epoch] = v.LastIndex
+	// While an entry is being applied, the view still shows the state before the entry.
+	if v := m.View(m.Time()); v.LastIndex > n.highestIndex[v.Epoch] {
+		n.highestIndex[v.Epoch] = v.LastIndex
 		n.Counts[string(e.Kind)]++
 	}
 }
 
-// Watch looks every so often at what all go by: no two alone by different policies, and at most two in all.
-func (n *Net) Watch(every time.Duration) {
-	if n.look(); n.Broken == nil {
-		n.After(every, func() { n.Watch(every) })
+// StartChecks checks the applied policies of all sidecars at the given interval, until there is a violation: all
+// sidecars that apply a single policy must apply the same one, and at most two policies may be applied in all.
+func (n *Net) StartChecks(every time.Duration) {
+	if n.checkActive(); n.Violations == nil {
+		n.After(every, func() { n.StartChecks(every) })
 	}
 }
 
-func (n *Net) look() {
-	type name = [32]byte
-	alone, live := make(map[name]bool), make(map[name]bool)
+func (n *Net) checkActive() {
+	type hash = [32]byte
+	alone, applied := make(map[hash]bool), make(map[hash]bool)
 	for _, m := range n.Nodes {
 		if !m.Running() {
 			continue
 		}
-		switch goes := m.Node.Active(m.Time()); goes.Mode {
+		switch active := m.Node.Active(m.Time()); active.Mode {
 		case policyrollout.OneVersion:
-			alone[goes.New.Hash], live[goes.New.Hash] = true, true
+			alone[active.New.Hash], applied[active.New.Hash] = true, true
 		case policyrollout.BothVersions:
-			live[goes.Old.Hash], live[goes.New.Hash] = true, true
-			n.Both++
+			applied[active.Old.Hash], applied[active.New.Hash] = true, true
+			n.BothSamples++
 		default:
-			n.CutOff++
+			n.CutOffSamples++
 		}
 	}
-	if len(alone) > 1 || len(live) > 2 {
-		n.Broken = append(n.Broken, fmt.Sprintf("%.3fs: alone by %d policies, %d live:%s",
-			(n.Now-time.Hour).Seconds(), len(alone), len(live), n.Text()))
+	if len(alone) > 1 || len(applied) > 2 {
+		n.Violations = append(n.Violations,
+			fmt.Sprintf("%.3fs: %d policies applied alone, %d policies applied in all:%s",
+				(n.Now-time.Hour).Seconds(), len(alone), len(applied), n.Text()))
 	}
 }
 
-// Text is what all go by, for a failure.
+// Text describes the state of all sidecars, for the message of a failed test.
 func (n *Net) Text() (text string) {
 	for _, m := range n.Nodes {
 		if m.Down {
@@ -269,34 +274,35 @@
 			continue
 		}
 		v := m.View(m.Time())
-		text += fmt.Sprintf("\nn%d leader %d epoch %d have %d goes by %s %d %d; holds %d, pending %d, "+
-			"open %d, voters %v", m.number, v.Leader, v.Epoch, v.LastIndex, v.Active.Mode, v.Active.Old.Version,
+		text += fmt.Sprintf("\nn%d leader %d epoch %d last index %d applies %s %d %d; current %d, pending %d, "+
+			"completing %d, voters %v", m.number, v.Leader, v.Epoch, v.LastIndex, v.Active.Mode, v.Active.Old.Version,
 			v.Active.New.Version, v.State.Current.Version, v.State.Pending.Version, v.State.Completing, v.Voters)
 	}
 	return text
 }
 
-// Converged says whether all that run go by the one version that holds, and nothing is under way.
+// Converged reports whether all running sidecars apply the same current version only, and no change is in progress.
 func (n *Net) Converged() bool {
-	holds, first := policyrollout.Ref{}, true
+	current, first := policyrollout.Ref{}, true
 	for _, m := range n.Nodes {
 		if !m.Running() {
 			continue
 		}
 		v := m.View(m.Time())
 		if first {
-			holds, first = v.State.Current, false
+			current, first = v.State.Current, false
 		}
-		if v.Active != (policyrollout.Active{Mode: policyrollout.OneVersion, New: holds}) || v.State.InProgress() != 0 {
+		if v.Active != (policyrollout.Active{Mode: policyrollout.OneVersion, New: current}) ||
+			v.State.InProgress() != 0 {
 			return false
 		}
 	}
 	return !first
 }
 
-// Lost says whether the log is lost: of the voters that whoever has the most of the newest log
-// holds for the present ones, most are of processes that have ended.
-func (n *Net) Lost() bool {
+// LogLost reports whether the log is lost: the processes of half or more of the present voters have ended. The voters
+// are taken from the sidecar with the highest index in the newest epoch.
+func (n *Net) LogLost() bool {
 	var best replicatedstate.View
 	for _, m := range n.Nodes {
 		if m.Down {
@@ -307,8 +313,8 @@
 		}
 	}
 	alive := 0
-	for _, s := range best.Voters {
-		if o := n.Nodes[s.Number]; !o.Down && o.voter == s {
+	for _, member := range best.Voters {
+		if o := n.Nodes[member.Number]; !o.Down && o.voter == member {
 			alive++
 		}
 	}
