--- a/cmd/caperarch/even_test.go
+++ b/cmd/caperarch/even_test.go
@@ -44,12 +44,12 @@
 func TestSpreadIsEvenAmongThoseThatLive(t *testing.T) {
 	t.Parallel()
 	f := evenFleet(t, fleet.Faults{Loss: 0.1, Duplicate: 0.1, Delay: 100 * time.Millisecond})
-	f.RequireAgreement(testbed.Generous)
+	f.RequireAgreement(testbed.MaxWait)
 	stop := f.Streams(1, steadily)
 	for _, i := range []int{5, 2, 7} { // neighbours, as the golden ratio's multiples of 0, 5, 2, 7, 4, 1, 6, 3, 8 rise
 		f.Sidecars[i].Crash()
 	}
-	t.Logf("agreed after %v", f.RequireAgreement(testbed.Generous))
+	t.Logf("agreed after %v", f.RequireAgreement(testbed.MaxWait))
 	s := spreadOver(f, 15*time.Second, stop)
 	t.Logf("%+v", s)
 	if s.Greatest > 1.3 || s.Variance > 1.2 {
@@ -65,7 +65,7 @@
 func TestSpreadWithoutContact(t *testing.T) {
 	t.Parallel()
 	f := evenFleet(t, fleet.Faults{})
-	f.RequireAgreement(testbed.Generous)
+	f.RequireAgreement(testbed.MaxWait)
 	stop := f.Streams(2, steadily)
 	f.Peers.Break(fleet.Faults{Cut: func(from, to int) bool { return (from < 4) != (to < 4) }}, 1)
 	testbed.Until(t, "the minority to know that it is out of contact", func() bool {
--- a/cmd/caperarch/fleet_test.go
+++ b/cmd/caperarch/fleet_test.go
@@ -45,7 +45,7 @@
 func TestFleetOfProcesses(t *testing.T) {
 	t.Parallel()
 	f := startFleet(t, fleet.Config{Size: 5, Nodes: 4})
-	t.Logf("in contact and agreed after %v", f.RequireAgreement(testbed.Generous))
+	t.Logf("in contact and agreed after %v", f.RequireAgreement(testbed.MaxWait))
 	stop := f.Load(150)
 	all := func(holds func(i int, v fleet.View) bool, of ...int) func() bool {
 		return func() bool {
@@ -62,7 +62,7 @@
 		t.Run(name, func(t *testing.T) {
 			do(t)
 			f.Peers.Break(fleet.Faults{}, 1)
-			t.Logf("healed: agreed after %v", f.RequireAgreement(testbed.Generous))
+			t.Logf("healed: agreed after %v", f.RequireAgreement(testbed.MaxWait))
 		})
 	}
 
@@ -88,7 +88,7 @@
 		if !ok || v.Contact || v.Session == before.Session {
 			t.Errorf("going on, it says before anything else: in contact %v, session %s, which was %s", v.Contact, v.Session, before.Session)
 		}
-		f.RequireAgreement(testbed.Generous)
+		f.RequireAgreement(testbed.MaxWait)
 		if found := accusations(s.Log()[mark:], 1); found != nil {
 			t.Errorf("it accuses: %q", found)
 		}
@@ -174,7 +174,7 @@
 func TestSuspicionsReachOtherProcesses(t *testing.T) {
 	t.Parallel()
 	f := startFleet(t, fleet.Config{Size: 5, Nodes: 3})
-	f.RequireAgreement(testbed.Generous)
+	f.RequireAgreement(testbed.MaxWait)
 	stop := f.Load(150)
 	f.Nodes[2].Do(testbed.Always(testbed.Hang))
 	testbed.Until(t, "each to have been told by three others", func() bool {
@@ -206,7 +206,7 @@
 // them than its bound allows.
 func TestFloodOfDatagrams(t *testing.T) {
 	f := startFleet(t, fleet.Config{Size: 3, Nodes: 2})
-	f.RequireAgreement(testbed.Generous)
+	f.RequireAgreement(testbed.MaxWait)
 	stop := f.Load(100)
 	host, _, err := net.SplitHostPort(f.Sidecars[0].Listen)
 	if err != nil {
@@ -246,7 +246,7 @@
 	if tally.Served < 100 || tally.Refused+tally.Failed > 0 {
 		t.Errorf("%+v in a flood of %v", tally, took)
 	}
-	t.Logf("%d sent in %v, %d read; %+v; settled again after %v", 100_000, took, dropped, tally, f.RequireAgreement(testbed.Generous))
+	t.Logf("%d sent in %v, %d read; %+v; settled again after %v", 100_000, took, dropped, tally, f.RequireAgreement(testbed.MaxWait))
 }
 
 // Where nothing says so no socket is opened for peers, and nothing is told of them.
--- a/cmd/caperarch/fleetpolicy_test.go
+++ b/cmd/caperarch/fleetpolicy_test.go
@@ -34,7 +34,7 @@
 	if err := p.Sidecars[0].Bootstrap(); err != nil {
 		t.Fatal(err)
 	}
-	p.settled(0, testbed.Generous)
+	p.settled(0, testbed.MaxWait)
 	if err := p.Sidecars[1].Bootstrap(); err == nil || !strings.Contains(err.Error(), "exists and answers") {
 		t.Errorf("a second beginning: %v", err)
 	}
@@ -71,7 +71,7 @@
 // settled waits until all go by a version (-1: whichever it is), with nothing under way.
 func (p *policies) settled(want int, within time.Duration) int {
 	p.Helper()
-	version, took, why := p.AwaitPolicy(want, testbed.Generous)
+	version, took, why := p.AwaitPolicy(want, testbed.MaxWait)
 	if why != "" || took > within {
 		p.Fatalf("version %d, %d is wanted, after %v: %s", version, want, took, why)
 	}
@@ -152,7 +152,7 @@
 	time.Sleep(time.Second)
 	p.Sidecars[l].Start()
 	p.fate((l + 1) % 5)
-	before := p.settled(-1, testbed.Generous)
+	before := p.settled(-1, testbed.MaxWait)
 
 	t.Log("cut in two before, during and behind it")
 	l = p.leader()
@@ -173,7 +173,7 @@
 		}
 	}
 	p.Peers.Break(fleet.Faults{}, 1)
-	before = p.settled(-1, testbed.Generous)
+	before = p.settled(-1, testbed.MaxWait)
 
 	t.Log("one can't apply it")
 	p.proposed++
@@ -201,7 +201,7 @@
 	p.Peers.Hold(3 * time.Second)
 	time.Sleep(3500 * time.Millisecond)
 	p.Peers.Break(fleet.Faults{}, 1)
-	p.settled(-1, testbed.Generous)
+	p.settled(-1, testbed.MaxWait)
 
 	t.Log("four of five killed at once while a change is under way, and back with nothing")
 	l := p.leader()
@@ -224,7 +224,7 @@
 		return true
 	})
 	testbed.Until(t, "a new beginning to be taken", func() bool { return p.Sidecars[(l+1)%5].Bootstrap() == nil })
-	p.settled(0, testbed.Generous)
+	p.settled(0, testbed.MaxWait)
 	p.end(1)
 }
 
@@ -237,13 +237,13 @@
 	if err := f.Sidecars[0].Bootstrap(); err != nil {
 		t.Fatal(err)
 	}
-	if _, _, why := f.AwaitPolicy(0, testbed.Generous); why != "" {
+	if _, _, why := f.AwaitPolicy(0, testbed.MaxWait); why != "" {
 		t.Fatal(why)
 	}
 	if err := f.Sidecars[1].Propose(fleet.Marked(1)); err != nil {
 		t.Fatal(err)
 	}
-	if _, _, why := f.AwaitPolicy(1, testbed.Generous); why != "" {
+	if _, _, why := f.AwaitPolicy(1, testbed.MaxWait); why != "" {
 		t.Fatal(why)
 	}
 	for _, s := range f.Sidecars {
@@ -264,7 +264,7 @@
 	for _, s := range f.Sidecars {
 		s.Start()
 	}
-	if _, took, why := f.AwaitPolicy(1, testbed.Generous); why != "" {
+	if _, took, why := f.AwaitPolicy(1, testbed.MaxWait); why != "" {
 		t.Errorf("with a damaged file, after %v: %s", took, why)
 	}
 	if _, err := os.Stat(file + ".damaged"); err != nil || !strings.Contains(f.Sidecars[2].Log(), "put aside") {
@@ -294,7 +294,7 @@
 		t.Fatal(err)
 	}
 	f.Sidecars[2].Start()
-	if _, took, why := f.AwaitPolicy(1, testbed.Generous); why != "" {
+	if _, took, why := f.AwaitPolicy(1, testbed.MaxWait); why != "" {
 		t.Errorf("with the file gone, after %v: %s", took, why)
 	}
 }
--- a/cmd/caperarch/replace_test.go
+++ b/cmd/caperarch/replace_test.go
@@ -125,7 +125,7 @@
 	var load sync.WaitGroup
 	for i := range 8 {
 		load.Go(func() {
-			client := http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1}, Timeout: testbed.Generous}
+			client := http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1}, Timeout: testbed.MaxWait}
 			defer client.CloseIdleConnections()
 			for n := 0; !stop.Load(); n++ {
 				req, _ := http.NewRequest("POST", "http://"+s.listen+"/entry", strings.NewReader("1"))
--- a/cmd/caperarch/streams_test.go
+++ b/cmd/caperarch/streams_test.go
@@ -137,7 +137,7 @@
 	}
 	testbed.Until(t, "80 streams under way", func() bool { return count(&begun)+count(&broken) >= 80 })
 	most := 0
-	client := http.Client{Timeout: testbed.Generous}
+	client := http.Client{Timeout: testbed.MaxWait}
 	for i := range 200 {
 		res, err := client.Do(request(fmt.Sprint("q", i), "look", "", nil, 0))
 		if err != nil || res.StatusCode != 200 {
--- a/cmd/caperarch/work_test.go
+++ b/cmd/caperarch/work_test.go
@@ -36,7 +36,7 @@
 	if err := f.Sidecars[0].Bootstrap(); err != nil {
 		t.Fatal(err)
 	}
-	if _, _, why := f.AwaitPolicy(0, testbed.Generous); why != "" {
+	if _, _, why := f.AwaitPolicy(0, testbed.MaxWait); why != "" {
 		t.Fatal(why)
 	}
 	for plan, says := range map[string]string{
--- a/conformance/subject_daemon_test.go
+++ b/conformance/subject_daemon_test.go
@@ -169,7 +169,7 @@
 		c.http.CloseIdleConnections()
 		select {
 		case err = <-c.ended:
-		case <-time.After(testbed.Generous):
+		case <-time.After(testbed.MaxWait):
 			err = errors.New("the daemon does not end")
 		}
 	})
--- a/conformance/subjects_test.go
+++ b/conformance/subjects_test.go
@@ -74,7 +74,7 @@
 
 // closeAll closes a plug-in within the time that a drain may take.
 func closeAll(close func(context.Context) error) error {
-	ctx, cancel := context.WithTimeout(context.Background(), testbed.Generous)
+	ctx, cancel := context.WithTimeout(context.Background(), testbed.MaxWait)
 	defer cancel()
 	return close(ctx)
 }
--- a/internal/daemon/bodies_test.go
+++ b/internal/daemon/bodies_test.go
@@ -187,7 +187,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		_ = c.SetDeadline(time.Now().Add(testbed.Generous))
+		_ = c.SetDeadline(time.Now().Add(testbed.MaxWait))
 		for _, part := range []string{first + body[:cut], body[cut:] + second} {
 			if _, err := io.WriteString(c, part); err != nil {
 				t.Fatal(err)
--- a/internal/daemon/control/control_test.go
+++ b/internal/daemon/control/control_test.go
@@ -72,7 +72,7 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	_ = c.SetDeadline(time.Now().Add(testbed.Generous))
+	_ = c.SetDeadline(time.Now().Add(testbed.MaxWait))
 	go io.WriteString(c, text)
 	got, err := io.ReadAll(bufio.NewReader(c))
 	if err != nil {
@@ -137,7 +137,7 @@
 		t.Fatal("the second caller was not admitted in place of the idle one")
 	}
 	begun := time.Now()
-	_ = idleClient.SetReadDeadline(begun.Add(testbed.Generous))
+	_ = idleClient.SetReadDeadline(begun.Add(testbed.MaxWait))
 	if _, err := idleClient.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
 		t.Errorf("the evicted caller's connection ended by %v, want EOF", err)
 	}
--- a/internal/daemon/front_test.go
+++ b/internal/daemon/front_test.go
@@ -135,7 +135,7 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	_ = c.SetDeadline(time.Now().Add(testbed.Generous))
+	_ = c.SetDeadline(time.Now().Add(testbed.MaxWait))
 	if _, err := io.WriteString(c, bytes); err != nil {
 		t.Fatal(err)
 	}
@@ -215,7 +215,7 @@
 			}
 			defer c.Close()
 			begun := time.Now()
-			_ = c.SetDeadline(begun.Add(testbed.Generous))
+			_ = c.SetDeadline(begun.Add(testbed.MaxWait))
 			_, err = fmt.Fprintf(c, "POST /entry HTTP/1.1\r\nHost: a\r\nConnection: close\r\nContent-Length: %d\r\n\r\n", rest)
 			if err != nil {
 				t.Fatal(err)
@@ -266,7 +266,7 @@
 	if status := testbed.Wait(t, "the first answer", answered); status != http.StatusOK {
 		t.Errorf("the first request: %d", status)
 	}
-	for end := time.Now().Add(testbed.Generous); ; time.Sleep(time.Millisecond) { // its end is a moment behind its answer
+	for end := time.Now().Add(testbed.MaxWait); ; time.Sleep(time.Millisecond) { // its end is a moment behind its answer
 		if res, _ := do(t, side.request(t, "POST", "/entry", "1")); res.StatusCode == http.StatusOK {
 			return
 		} else if time.Now().After(end) {
@@ -346,7 +346,7 @@
 		return testbed.Echo(c, r)
 	}
 	side := start(t, nil, testbed.NewStub(t, fails).Address, testbed.NewStub(t, fails).Address, testbed.NewStub(t, fails).Address)
-	client := http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 8}, Timeout: testbed.Generous}
+	client := http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 8}, Timeout: testbed.MaxWait}
 	var clients sync.WaitGroup
 	for worker := range 8 {
 		clients.Go(func() {
@@ -428,7 +428,7 @@
 	s := testbed.NewStub(t, testbed.Silent)
 	side := start(t, func(_, settings map[string]any) { // no time-out may end the attempt before the test does
 		look := settings["classes"].([]any)[2].(map[string]any)
-		look["aim_ms"], look["hard_limit_ms"] = 10*testbed.Generous.Milliseconds(), 20*testbed.Generous.Milliseconds()
+		look["aim_ms"], look["hard_limit_ms"] = 10*testbed.MaxWait.Milliseconds(), 20*testbed.MaxWait.Milliseconds()
 	}, s.Address)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
--- a/internal/daemon/handover/handover_test.go
+++ b/internal/daemon/handover/handover_test.go
@@ -77,7 +77,7 @@
 		if err := old.WriteRecord(old.Observe().LatestArrival, r); err != nil {
 			t.Fatal(err)
 		}
-		got, err := newcomer.AwaitRecord(testbed.Generous)
+		got, err := newcomer.AwaitRecord(testbed.MaxWait)
 		if err != nil || got.Pools[""].Version != 7 || got.Pools[""].Delisted[0] != 1<<63 {
 			t.Fatalf("%+v, %v", got, err)
 		}
@@ -133,13 +133,13 @@
 	if err := os.WriteFile(filepath.Join(dir, recordName), raw[:len(raw)/2], 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := newcomer.AwaitRecord(testbed.Generous); err == nil || err == ErrNoRecord {
+	if _, err := newcomer.AwaitRecord(testbed.MaxWait); err == nil || err == ErrNoRecord {
 		t.Errorf("cut: %v", err)
 	}
 	if err := os.WriteFile(filepath.Join(dir, recordName), make([]byte, maxRecordBytes+1), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := newcomer.AwaitRecord(testbed.Generous); !errors.Is(err, errCorrupt) {
+	if _, err := newcomer.AwaitRecord(testbed.MaxWait); !errors.Is(err, errCorrupt) {
 		t.Errorf("too long: %v", err)
 	}
 }
--- a/internal/daemon/pools_test.go
+++ b/internal/daemon/pools_test.go
@@ -121,7 +121,7 @@
 	if class == "reading" {
 		req.Header.Set("Idempotency-Key", "k"+id)
 	}
-	client := http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: testbed.Generous}
+	client := http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: testbed.MaxWait}
 	res, err := client.Do(req)
 	if err != nil {
 		t.Error(err)
@@ -189,7 +189,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		_ = c.SetDeadline(time.Now().Add(testbed.Generous))
+		_ = c.SetDeadline(time.Now().Add(testbed.MaxWait))
 		if _, err := io.WriteString(c, head+rest); err != nil {
 			t.Errorf("%s: %v", name, err)
 		}
--- a/internal/daemon/stub_test.go
+++ b/internal/daemon/stub_test.go
@@ -81,7 +81,7 @@
 // do sends a request on a connection of its own and returns the answer with its body.
 func do(t *testing.T, req *http.Request) (*http.Response, string) {
 	t.Helper()
-	client := http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: testbed.Generous}
+	client := http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: testbed.MaxWait}
 	res, err := client.Do(req)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/daemon/wayin_test.go
+++ b/internal/daemon/wayin_test.go
@@ -24,7 +24,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	_ = c.SetDeadline(time.Now().Add(testbed.Generous))
+	_ = c.SetDeadline(time.Now().Add(testbed.MaxWait))
 	return c, bufio.NewReader(c)
 }
 
--- a/internal/lab/testbed/config.go
+++ b/internal/lab/testbed/config.go
@@ -6,8 +6,9 @@
 	"strings"
 )
 
-// Settings are usable ones for tests: a keyed class (reading, repeats dropped in a cell for 600 ms), an
-// unsafe one (entry) and a safe one (look), whose aims no test waits for; two tenants, north and south.
+// Settings are valid settings for tests. They have three request classes: reading has idempotency keys, and a cell
+// drops repeats within 600 ms; entry is not idempotent; look is safe. Their latency targets are longer than any test
+// waits. There are two tenants, north and south.
 const Settings = `{"balancers":1,"me":0,"discovery":"push","period_ms":5.0,"zones":["a","b"],
  "caps":{"conn_idle_ms":30000.0,"dial_timeout_ms":5000.0,"may_cancel":true,"most_tries":3,"max_open":100,
   "max_retry_after_ms":1200.0,"probes":false},
@@ -19,7 +20,7 @@
  "rules":{"cold_from":0.3,"cold_ms":5000.0,"fall_multiple":2.5},
  "telemetry":{"how":"pull","columns":["failed_ps","svc_ms","served_ps","busy_reqs"]}}`
 
-// Listed is discovery's answer for some addresses: s-0 and so on, in zone a and cell 0.
+// Listed returns a discovery response that lists addresses as instances s-0, s-1 and so on, in zone a and cell 0.
 func Listed(generation int, lifecycle string, addresses ...string) string {
 	var entries []string
 	for i, a := range addresses {
@@ -30,14 +31,15 @@
 	return fmt.Sprintf(`{"generation":%d,"reset":true,"instances":[%s]}`, generation, strings.Join(entries, ","))
 }
 
-// ConfigText is a usable configuration file for the daemon or a plug-in; edit changes its JSON, as decoded.
+// ConfigText returns a valid configuration file for the daemon or a plug-in. The function edit, if not nil, changes its
+// decoded JSON.
 func ConfigText(t TB, known string, edit func(file, settings map[string]any)) string {
 	t.Helper()
 	var file, settings map[string]any
 	text := fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"8c1f30d27a5be964",
 		"limits":{"cores":1.0,"memory_mb":192,"sockets":256},"known":%s}`, known)
 	if err := json.Unmarshal([]byte(text), &file); err != nil {
-		t.Fatalf("testbed: config: %v", err)
+		t.Fatalf("testbed: daemon configuration: %v", err)
 	}
 	if err := json.Unmarshal([]byte(Settings), &settings); err != nil {
 		t.Fatalf("testbed: settings: %v", err)
@@ -48,7 +50,7 @@
 	file["settings"] = settings
 	raw, err := json.Marshal(file)
 	if err != nil {
-		t.Fatalf("testbed: config: %v", err)
+		t.Fatalf("testbed: daemon configuration: %v", err)
 	}
 	return string(raw)
 }
--- a/internal/lab/testbed/damage/damage.go
+++ b/internal/lab/testbed/damage/damage.go
@@ -1,4 +1,4 @@
-// Package damage changes the bytes of a file as disks and crashes do, for tests of what reads it.
+// Package damage damages the bytes of a file as disks and crashes do, for tests of the code that reads the file.
 package damage
 
 import (
@@ -11,13 +11,13 @@
 	"testing"
 )
 
-// Source draws damages. The same seed draws the same ones.
+// Source draws damages. The same seed gives the same damages.
 type Source struct {
 	rand *rand.Rand
-	page int // bytes of one, of the disk or of the file's format
+	page int // page size in bytes, of the disk or of the file's format
 }
 
-// NewSource takes its seed from CAPERARCH_SEED, or draws one; the test's log has it.
+// NewSource returns a source with the seed from CAPERARCH_SEED, or a random one. It logs the seed.
 func NewSource(t *testing.T, page int) *Source {
 	t.Helper()
 	seed := rand.Uint64()
@@ -28,7 +28,7 @@
 	return &Source{rand.New(rand.NewPCG(seed, 0)), page}
 }
 
-// Rounds is how many damages to play: CAPERARCH_DAMAGES, or else the number given.
+// Rounds returns the number of damages to test: CAPERARCH_DAMAGES, or else the given number.
 func Rounds(usual int) int {
 	if n, err := strconv.Atoi(os.Getenv("CAPERARCH_DAMAGES")); err == nil {
 		return n
@@ -36,26 +36,26 @@
 	return usual
 }
 
-// Of returns a damaged copy that differs from the whole, and what was done to it.
+// Of returns a damaged copy of a file that differs from the original, and a description of the damage.
 func (s *Source) Of(whole []byte) (raw []byte, how string) {
 	for raw = bytes.Clone(whole); bytes.Equal(raw, whole); {
-		var one string
-		raw, one = s.once(raw)
-		how += one + " "
+		var damage string
+		raw, damage = s.damageOnce(raw)
+		how += damage + " "
 	}
 	return raw, how
 }
 
-func (s *Source) once(raw []byte) ([]byte, string) {
+func (s *Source) damageOnce(raw []byte) ([]byte, string) {
 	if len(raw) == 0 {
-		return []byte{byte(s.rand.Uint32())}, "a byte from nowhere"
+		return []byte{byte(s.rand.Uint32())}, "byte added to an empty file"
 	}
 	at := s.rand.IntN(len(raw))
 	switch s.rand.IntN(11) {
 	case 0:
-		return raw[:at], fmt.Sprintf("cut at %d", at)
+		return raw[:at], fmt.Sprintf("truncated at byte %d", at)
 	case 1:
-		return raw[:at/s.page*s.page], fmt.Sprintf("cut at page %d", at/s.page)
+		return raw[:at/s.page*s.page], fmt.Sprintf("truncated at page %d", at/s.page)
 	case 2:
 		clear(s.pageAt(raw, at))
 		return raw, fmt.Sprintf("page %d zeroed", at/s.page)
@@ -66,38 +66,38 @@
 	case 4:
 		from := s.rand.IntN(len(raw))
 		copy(s.pageAt(raw, at), slices.Clone(s.pageAt(raw, from)))
-		return raw, fmt.Sprintf("page %d written at %d", from/s.page, at/s.page)
+		return raw, fmt.Sprintf("page %d copied over page %d", from/s.page, at/s.page)
 	case 5:
 		raw[at] ^= 1 << s.rand.IntN(8)
-		return raw, fmt.Sprintf("a bit of byte %d", at)
+		return raw, fmt.Sprintf("one bit of byte %d flipped", at)
 	case 6:
 		raw[at] = byte(s.rand.Uint32())
-		return raw, fmt.Sprintf("byte %d", at)
+		return raw, fmt.Sprintf("byte %d replaced", at)
 	case 7:
 		part := raw[at:min(len(raw), at+1+s.rand.IntN(64))]
 		for i := range part {
 			part[i] = byte(s.rand.Uint32())
 		}
-		return raw, fmt.Sprintf("%d bytes of noise at %d", len(part), at)
+		return raw, fmt.Sprintf("%d random bytes at %d", len(part), at)
 	case 8:
-		return append(raw, make([]byte, 1+s.rand.IntN(2*s.page))...), "zeroes behind it"
+		return append(raw, make([]byte, 1+s.rand.IntN(2*s.page))...), "zeroes appended"
 	case 9:
-		return slices.Delete(raw, at, min(len(raw), at+1+s.rand.IntN(64))), fmt.Sprintf("bytes missing at %d", at)
+		return slices.Delete(raw, at, min(len(raw), at+1+s.rand.IntN(64))), fmt.Sprintf("bytes removed at %d", at)
 	}
 	clear(raw[at:])
-	return raw, fmt.Sprintf("zeroed from %d on", at)
+	return raw, fmt.Sprintf("zeroed from byte %d to the end", at)
 }
 
 func (s *Source) pageAt(raw []byte, at int) []byte { return Page(raw, s.page, at/s.page) }
 
-// Page is one page of a file, the last one perhaps shorter.
+// Page returns one page of a file. The last page may be shorter.
 func Page(raw []byte, size, number int) []byte {
 	return raw[number*size : min(len(raw), (number+1)*size)]
 }
 
 // SwapPages exchanges two pages.
 func SwapPages(raw []byte, size, one, other int) {
-	kept := slices.Clone(Page(raw, size, one))
+	copied := slices.Clone(Page(raw, size, one))
 	copy(Page(raw, size, one), slices.Clone(Page(raw, size, other)))
-	copy(Page(raw, size, other), kept)
+	copy(Page(raw, size, other), copied)
 }
--- a/internal/lab/testbed/discovery.go
+++ b/internal/lab/testbed/discovery.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// Discovery is a stand-in for the list of servers, as the protocol page has it.
+// Discovery is a discovery service that speaks the protocol of the real one.
 type Discovery struct {
 	Address string
 
@@ -20,17 +20,17 @@
 	entries  []entry
 	changed  chan struct{} // closed at the next change
 	down     bool
-	watches  int                  // under way
-	notified map[string]time.Time // when an instance's last change was first written to anyone
+	watches  int                  // requests that are waiting for a change
+	notified map[string]time.Time // by instance ID: when its last change was first written in a response
 }
 
 type entry struct {
 	node      *Node
 	lifecycle string
-	since     int // version
+	since     int // list version of the last change
 }
 
-// NewDiscovery starts one that lists some nodes as ready.
+// NewDiscovery starts a discovery service that lists the nodes as ready.
 func NewDiscovery(t TB, nodes ...*Node) *Discovery {
 	t.Helper()
 	d := &Discovery{version: 1, changed: make(chan struct{}), notified: make(map[string]time.Time)}
@@ -46,7 +46,7 @@
 	return d
 }
 
-// Set gives a node another lifecycle: ready, draining or gone. One that is not listed yet is added.
+// Set changes the lifecycle of a node to ready, draining or gone. It adds a node that is not listed yet.
 func (d *Discovery) Set(n *Node, lifecycle string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -58,37 +58,37 @@
 	}
 	d.entries[i] = entry{n, lifecycle, d.version}
 	delete(d.notified, n.ID)
-	d.change()
+	d.notifyWatches()
 }
 
-// Draining says whether a node is listed as draining.
+// Draining reports whether a node is listed as draining.
 func (d *Discovery) Draining(n *Node) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return slices.ContainsFunc(d.entries, func(e entry) bool { return e.node == n && e.lifecycle == "draining" })
 }
 
-// Down has it answer nothing but 503, or serve again.
+// Down makes the service answer every request with 503, or serve again.
 func (d *Discovery) Down(down bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.down = down
-	d.change()
+	d.notifyWatches()
 }
 
-func (d *Discovery) change() {
+func (d *Discovery) notifyWatches() {
 	close(d.changed)
 	d.changed = make(chan struct{})
 }
 
-// Watches is how many watches are under way.
+// Watches returns the number of requests that are waiting for a change.
 func (d *Discovery) Watches() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.watches
 }
 
-// NotifiedAt is when a node's last change was first written to anyone; zero: not yet.
+// NotifiedAt returns when the last change of a node was first written in a response, or the zero time if it was not.
 func (d *Discovery) NotifiedAt(n *Node) time.Time {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -98,8 +98,8 @@
 // ServeHTTP answers requests for the server list.
 func (d *Discovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	index, err := strconv.Atoi(r.URL.Query().Get("index"))
-	whole := err != nil
-	if !whole {
+	full := err != nil
+	if !full {
 		wait, _ := strconv.Atoi(r.URL.Query().Get("wait"))
 		d.await(r, index, time.Duration(wait)*time.Millisecond)
 	}
@@ -112,17 +112,17 @@
 	var entries []string
 	now := time.Now()
 	for _, e := range d.entries {
-		if !whole && e.since <= index {
+		if !full && e.since <= index {
 			continue
 		}
 		if _, known := d.notified[e.node.ID]; !known {
 			d.notified[e.node.ID] = now
 		}
-		if !whole || e.lifecycle != "gone" { // a whole list tells of it by leaving it out
+		if !full || e.lifecycle != "gone" { // a full list omits instances that are gone
 			entries = append(entries, e.node.Entry(e.lifecycle))
 		}
 	}
-	text := fmt.Sprintf(`{"generation":%d,"reset":%v,"instances":[%s]}`, d.version, whole, strings.Join(entries, ","))
+	text := fmt.Sprintf(`{"generation":%d,"reset":%v,"instances":[%s]}`, d.version, full, strings.Join(entries, ","))
 	d.mu.Unlock()
 	_, _ = w.Write([]byte(text))
 }
@@ -137,16 +137,16 @@
 	for d.version <= index && !d.down {
 		changed := d.changed
 		d.mu.Unlock()
-		more := true
+		waiting := true
 		select {
 		case <-changed:
 		case <-timer.C:
-			more = false
+			waiting = false
 		case <-r.Context().Done():
-			more = false
+			waiting = false
 		}
 		d.mu.Lock()
-		if !more {
+		if !waiting {
 			return
 		}
 	}
--- a/internal/lab/testbed/fleet/answers.go
+++ b/internal/lab/testbed/fleet/answers.go
@@ -83,7 +83,7 @@
 	if x.class == "look" {
 		method, body = http.MethodGet, ""
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), testbed.Generous)
+	ctx, cancel := context.WithTimeout(context.Background(), testbed.MaxWait)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+s.Listen+"/"+x.class, strings.NewReader(body))
 	if err != nil {
--- a/internal/lab/testbed/fleet/maintenance_check.go
+++ b/internal/lab/testbed/fleet/maintenance_check.go
@@ -97,7 +97,7 @@
 	if err := f.Sidecars[0].Bootstrap(); err != nil {
 		return tally, []string{err.Error()}
 	}
-	if _, _, why := f.AwaitPolicy(0, testbed.Generous); why != "" {
+	if _, _, why := f.AwaitPolicy(0, testbed.MaxWait); why != "" {
 		return tally, []string{"no beginning: " + why}
 	}
 	round := f.Operators(p.Seed, takes, cold)
--- a/internal/lab/testbed/fleet/plan.go
+++ b/internal/lab/testbed/fleet/plan.go
@@ -128,7 +128,7 @@
 		s.Heal()
 	}
 	ended()
-	healed, why := f.WaitForAgreement(testbed.Generous)
+	healed, why := f.WaitForAgreement(testbed.MaxWait)
 	if why != "" {
 		broken = append(broken, fmt.Sprintf("%v after all is well: %s", healed, why))
 	}
--- a/internal/lab/testbed/fleet/policy.go
+++ b/internal/lab/testbed/fleet/policy.go
@@ -217,13 +217,13 @@
 	if err := f.Sidecars[0].Bootstrap(); err != nil {
 		return tally, []string{err.Error()}
 	}
-	if _, _, why := f.AwaitPolicy(0, testbed.Generous); why != "" {
+	if _, _, why := f.AwaitPolicy(0, testbed.MaxWait); why != "" {
 		return tally, []string{"no beginning: " + why}
 	}
 	if err := f.Sidecars[1].Propose(Marked(1)); err != nil {
 		return tally, []string{err.Error()}
 	}
-	if _, _, why := f.AwaitPolicy(1, testbed.Generous); why != "" {
+	if _, _, why := f.AwaitPolicy(1, testbed.MaxWait); why != "" {
 		return tally, []string{"no first policy: " + why}
 	}
 	since, quit, done := time.Now(), make(chan struct{}), make(chan struct{})
--- a/internal/lab/testbed/fleet/sidecar.go
+++ b/internal/lab/testbed/fleet/sidecar.go
@@ -103,7 +103,7 @@
 	}
 	s.markUnstable()
 	_ = s.cmd.Process.Signal(syscall.SIGTERM)
-	stuck := time.AfterFunc(testbed.Generous, func() { _ = s.cmd.Process.Kill() })
+	stuck := time.AfterFunc(testbed.MaxWait, func() { _ = s.cmd.Process.Kill() })
 	err := s.cmd.Wait()
 	stuck.Stop()
 	if err != nil {
--- a/internal/lab/testbed/fleet/tcp_relays.go
+++ b/internal/lab/testbed/fleet/tcp_relays.go
@@ -175,7 +175,7 @@
 		var b bytes.Buffer
 		fmt.Fprintf(&b, "HTTP/1.1 %s\r\nContent-Length: %d\r\n\r\n", res.Status, len(text))
 		b.Write(text)
-		_ = c.near.SetWriteDeadline(time.Now().Add(testbed.Generous))
+		_ = c.near.SetWriteDeadline(time.Now().Add(testbed.MaxWait))
 		if _, err := c.near.Write(b.Bytes()); err != nil {
 			return
 		}
--- a/internal/lab/testbed/grpc.go
+++ b/internal/lab/testbed/grpc.go
@@ -18,8 +18,8 @@
 	"google.golang.org/protobuf/types/known/wrapperspb"
 )
 
-// NewGRPCNode starts a node that speaks gRPC: any method takes a google.protobuf.StringValue and answers one,
-// "done" and the request's id (metadata x-request-id). A body of "stream N" has N of them.
+// NewGRPCNode starts a node that speaks gRPC. Every method takes a google.protobuf.StringValue and answers with one,
+// which holds "done" and the request's ID (metadata x-request-id). A request "stream N" gets N of these answers.
 func NewGRPCNode(t TB, id string, l *ArrivalLog, opts ...grpc.ServerOption) *Node {
 	t.Helper()
 	return newNode(t, id, l, func(n *Node, l net.Listener) func() {
@@ -29,7 +29,7 @@
 	})
 }
 
-// grpc answers one call of any method.
+// grpc handles a call of any method.
 func (n *Node) grpc(_ any, s grpc.ServerStream) error {
 	var in wrapperspb.StringValue
 	if err := s.RecvMsg(&in); err != nil {
@@ -66,7 +66,7 @@
 		}
 		return n.breakStream(s, p)
 	case Slow:
-		n.slow()
+		n.sleepServiceTime()
 	}
 	answers := 1
 	if count, ok := strings.CutPrefix(in.GetValue(), "stream "); ok {
@@ -81,10 +81,10 @@
 	return nil
 }
 
-// grpcArrival is a call as it is recorded.
+// grpcArrival returns the log entry of a call.
 func grpcArrival(s grpc.ServerStream, in *wrapperspb.StringValue) Arrival {
 	md, _ := metadata.FromIncomingContext(s.Context())
-	one := func(name string) string {
+	first := func(name string) string {
 		if v := md.Get(name); len(v) > 0 {
 			return v[0]
 		}
@@ -92,7 +92,7 @@
 	}
 	method, _ := grpc.MethodFromServerStream(s)
 	a := Arrival{
-		ID: one("x-request-id"), Key: one("idempotency-key"), Class: one("x-priority-class"),
+		ID: first("x-request-id"), Key: first("idempotency-key"), Class: first("x-priority-class"),
 		Method: method, Body: in.GetValue(),
 	}
 	if end, limited := s.Context().Deadline(); limited {
@@ -101,14 +101,15 @@
 	return a
 }
 
-// breakStream resets the connection that a call came on, and waits for the call's end.
+// breakStream resets the connection of a call and waits for the end of the call.
 func (n *Node) breakStream(s grpc.ServerStream, p *peer.Peer) error {
 	n.breakConn(p.Addr.String())
 	<-s.Context().Done()
 	return s.Context().Err()
 }
 
-// ORCA is a load report "TEXT name=value, ..." as gRPC's trailer has it: all of it in named_metrics.
+// ORCA converts a load report "TEXT name=value, ..." to the value of the gRPC trailer, with all values in
+// named_metrics.
 func ORCA(report string) string {
 	r := &orcapb.OrcaLoadReport{NamedMetrics: make(map[string]float64)}
 	for name, value := range reportFields(report) {
--- a/internal/lab/testbed/hollow/hollow.go
+++ b/internal/lab/testbed/hollow/hollow.go
@@ -1,10 +1,10 @@
-// Package hollow simulates sidecars without a data path, many in one process, as hollow nodes do for
-// Kubernetes: each keeps a lease and a watch at a core member as a real one does, applies configurations
-// with sidecar.ApplyUpdate and, where told to, requests tokens. What they cost the core is what as many
-// sidecars cost it.
+// Package hollow simulates many sidecars without a data path in one process, like the hollow nodes of Kubernetes. Each
+// simulated sidecar keeps a lease and a watch at a core member as a real sidecar does, applies configurations with
+// sidecar.ApplyUpdate and, if enabled, requests tokens. The simulated sidecars put the same load on the core as the
+// same number of real sidecars.
 //
-// A Fleet owns the sidecars: Run runs them and returns once all have ended. Its other methods may be called
-// from any goroutine.
+// A Fleet owns the sidecars. Run runs them and returns when all have ended. The other methods may be called from any
+// goroutine.
 package hollow
 
 import (
@@ -21,41 +21,40 @@
 	"caperarch/internal/mesh/sidecar"
 )
 
-// Config is what a Fleet is made of.
+// Config configures a Fleet.
 type Config struct {
 	Count    int
-	Services int      // upstreams are spread over so many
+	Services int      // number of services that the upstreams are distributed over
 	Seeds    []string // internal addresses of core members
-	Zones    []string // sidecars are spread over them
-	Tenants  []string // that requests for tokens name
-	// ShareConfig has all sidecars hold one configuration, applied once, and no endpoints: for sizes at
-	// which one process can't bear each of them holding its own.
+	Zones    []string // the sidecars are distributed over the zones
+	Tenants  []string // tenants that the sidecars request tokens for
+	// ShareConfig makes all sidecars share one configuration, which is applied once, and keep no endpoints. It is for
+	// fleets so large that one process can't hold a configuration per sidecar.
 	ShareConfig bool `json:"Share"`
-	// StartOver is the time over which the sidecars start, evenly; 0: all start at once.
+	// StartOver is the time over which the starts of the sidecars are evenly distributed; 0 starts all at once.
 	StartOver time.Duration `json:"Over"`
-	// CalledServices is how many services each sidecar calls, and receives the endpoints of; 0: all.
+	// CalledServices is the number of services that each sidecar calls and receives the endpoints of; 0 means all.
 	CalledServices int `json:"Called"`
 }
 
-// Arrival says when a version of the configuration arrived, over all sidecars. Times are in nanoseconds
-// of the wall clock.
+// Arrival describes how a configuration version reached the fleet. Times are wall-clock times in nanoseconds.
 type Arrival struct {
-	Count       int   // sidecars that have it in force
-	LastArrived int64 // when it had been received by the last of them
-	LastApplied int64 // when it was in force at the last of them
+	Count       int   // sidecars that have applied the version
+	LastArrived int64 // when the last of them received the version
+	LastApplied int64 // when the last of them applied the version
 }
 
 // Report is a summary of the fleet.
 type Report struct {
 	Connected      int
-	Renewals       uint64 // leases sent
-	MinUpstreams   int    `json:"Least"` // known to the sidecar that knows fewest; 0 where they aren't held
+	Renewals       uint64 // lease renewals sent
+	MinUpstreams   int    `json:"Least"` // smallest number of upstreams that a sidecar knows; 0 with ShareConfig
 	Versions       map[int64]Arrival
-	Requests       uint64  `json:"Asks"`     // for tokens, answered
-	FailedRequests uint64  `json:"Failed"`   // not answered, or with an error
-	RequestP50     float64 `json:"AskP50"`   // in milliseconds, since the last RequestTokens
-	RequestP99     float64 `json:"AskP99"`   // the same
-	RequestError   string  `json:"AskError"` // of the request that failed last; "": none has
+	Requests       uint64  `json:"Asks"`     // token requests that were answered
+	FailedRequests uint64  `json:"Failed"`   // token requests that timed out or failed
+	RequestP50     float64 `json:"AskP50"`   // median time of a token request since the last RequestTokens, in milliseconds
+	RequestP99     float64 `json:"AskP99"`   // 99th percentile of the same times, in milliseconds
+	RequestError   string  `json:"AskError"` // error of the last failed token request; "" if none failed
 }
 
 // Fleet is a number of simulated sidecars.
@@ -66,15 +65,15 @@
 	requests       atomic.Uint64
 	failedRequests atomic.Uint64
 
-	mu           sync.Mutex         // guards what follows
-	shared       *config.Snapshot   // with cfg.ShareConfig
-	versions     map[int64]Arrival  // by version of the configuration
+	mu           sync.Mutex         // guards the fields below
+	shared       *config.Snapshot   // the configuration of all sidecars with cfg.ShareConfig
+	versions     map[int64]Arrival  // by configuration version
 	requestTimes []time.Duration    // at most maxRequestTimes
-	requestError string             // of the request that failed last
-	stopRequests context.CancelFunc // nil: no tokens are requested
+	requestError string             // error of the last failed token request
+	stopRequests context.CancelFunc // nil if no tokens are requested
 }
 
-// New returns a fleet, which Run starts.
+// New returns a fleet. Run starts it.
 func New(cfg Config) *Fleet {
 	f := &Fleet{cfg: cfg, shared: config.Empty(), versions: make(map[int64]Arrival)}
 	incarnation := registry.Incarnation(time.Now().UnixNano())
@@ -94,7 +93,7 @@
 	running.Wait()
 }
 
-// Report returns a summary as of now.
+// Report returns a summary of the present state.
 func (f *Fleet) Report() Report {
 	r := Report{
 		Renewals: f.renewals.Load(), Requests: f.requests.Load(), FailedRequests: f.failedRequests.Load(),
@@ -134,7 +133,7 @@
 	return next, err
 }
 
-// recordArrival counts a sidecar at which a version is now in force.
+// recordArrival counts a sidecar that has applied a version.
 func (f *Fleet) recordArrival(version, arrivedAt int64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/lab/testbed/hollow/hollow_test.go
+++ b/internal/lab/testbed/hollow/hollow_test.go
@@ -7,8 +7,9 @@
 	"time"
 )
 
-// The measuring process and that of the sidecars exchange these forms.
-func TestFormsBetweenProcesses(t *testing.T) {
+// The measuring process and the process of the simulated sidecars exchange configurations and reports as JSON, so the
+// encoding must not change.
+func TestJSONBetweenProcesses(t *testing.T) {
 	cfg, err := json.Marshal(Config{
 		Count: 1, Services: 2, Seeds: []string{"s"}, Zones: []string{"z"}, Tenants: []string{"t"},
 		ShareConfig: true, StartOver: 3, CalledServices: 4,
@@ -16,7 +17,7 @@
 	wantConfig := `{"Count":1,"Services":2,"Seeds":["s"],"Zones":["z"],"Tenants":["t"],` +
 		`"Share":true,"Over":3,"Called":4}`
 	if err != nil || string(cfg) != wantConfig {
-		t.Errorf("config %s, %v, want %s", cfg, err, wantConfig)
+		t.Errorf("configuration %s, error %v, want %s", cfg, err, wantConfig)
 	}
 	report, err := json.Marshal(Report{
 		Connected: 1, Renewals: 2, MinUpstreams: 3, Versions: map[int64]Arrival{4: {5, 6, 7}},
@@ -26,11 +27,11 @@
 		`"Versions":{"4":{"Count":5,"LastArrived":6,"LastApplied":7}},` +
 		`"Asks":8,"Failed":9,"AskP50":10,"AskP99":11,"AskError":"e"}`
 	if err != nil || string(report) != wantReport {
-		t.Errorf("report %s, %v, want %s", report, err, wantReport)
+		t.Errorf("report %s, error %v, want %s", report, err, wantReport)
 	}
 }
 
-// Without a core member no sidecar is connected, and Run ends with its context all the same.
+// Run must end with its context even if no core member can be reached and the sidecars have not started.
 func TestRunEndsWithItsContext(t *testing.T) {
 	f := New(Config{Count: 3, Services: 2, Seeds: []string{"127.0.0.1:1"}, Zones: []string{"a", "b"},
 		StartOver: time.Hour})
@@ -41,7 +42,7 @@
 		f.Run(ctx)
 	}()
 	if r := f.Report(); r.Connected != 0 || r.MinUpstreams != 0 || len(r.Versions) != 0 {
-		t.Errorf("report %+v, want nothing", r)
+		t.Errorf("report %+v, want no connections, upstreams and versions", r)
 	}
 	cancel()
 	<-ended
--- a/internal/lab/testbed/hollow/sidecar.go
+++ b/internal/lab/testbed/hollow/sidecar.go
@@ -17,15 +17,15 @@
 	"caperarch/internal/mesh/watch"
 )
 
-// dialTimeout is that of real sidecars.
+// dialTimeout is the dial time-out of real sidecars.
 const dialTimeout = 300 * time.Millisecond
 
-// hollowSidecar is one of the simulated sidecars.
+// hollowSidecar is a simulated sidecar.
 type hollowSidecar struct {
 	fleet    *Fleet
 	node     string
 	zone     string
-	upstream registry.Upstream // beside it
+	upstream registry.Upstream // the sidecar's own upstream
 	client   *http.Client
 	watch    *watch.Client
 	config   atomic.Pointer[config.Snapshot]
@@ -34,7 +34,7 @@
 	upstreams map[string]registry.Upstream
 }
 
-// newHollowSidecar returns the sidecar of this number.
+// newHollowSidecar returns the sidecar with a number.
 func newHollowSidecar(f *Fleet, number int, incarnation registry.Incarnation) *hollowSidecar {
 	zone := f.cfg.Zones[number%len(f.cfg.Zones)]
 	s := &hollowSidecar{
@@ -57,7 +57,7 @@
 	return s
 }
 
-// calledServices are those that the sidecar of this number calls; nil: all.
+// calledServices returns a function that lists the services that a sidecar calls, or nil if it calls all.
 func calledServices(cfg Config, number int) func() []string {
 	if cfg.CalledServices <= 0 {
 		return nil
@@ -71,7 +71,7 @@
 
 func serviceName(number int) string { return fmt.Sprintf("service%02d", number) }
 
-// run waits for its turn and watches until ctx ends.
+// run waits for startAfter and then watches the core until ctx ends.
 func (s *hollowSidecar) run(ctx context.Context, startAfter time.Duration) {
 	timer := time.NewTimer(startAfter)
 	defer timer.Stop()
@@ -82,14 +82,14 @@
 	}
 }
 
-// lease is what it tells with each renewal.
+// lease returns the lease that each renewal sends.
 func (s *hollowSidecar) lease() registry.Lease {
 	s.fleet.renewals.Add(1)
 	upstream := s.upstream
 	return registry.Lease{Zone: s.zone, Applied: s.config.Load().Version(), Upstream: &upstream}
 }
 
-// applyConfig applies an update as a real sidecar does, and records when it arrived and was in force.
+// applyConfig applies an update as a real sidecar does, and records when the update arrived and when it was applied.
 func (s *hollowSidecar) applyConfig(update json.RawMessage) bool {
 	arrivedAt := time.Now().UnixNano()
 	current := s.config.Load()
--- a/internal/lab/testbed/hollow/tokens.go
+++ b/internal/lab/testbed/hollow/tokens.go
@@ -11,15 +11,14 @@
 )
 
 const (
-	// requestTimeout bounds a request for tokens, as at real sidecars.
+	// requestTimeout is the time-out of a token request, as in real sidecars.
 	requestTimeout = 500 * time.Millisecond
-	// maxRequestTimes bounds the request times that are kept, against memory that the measurement itself
-	// would take.
+	// maxRequestTimes bounds the memory that the measurement of request times uses.
 	maxRequestTimes = 200_000
 )
 
-// RequestTokens has every sidecar request tokens once in each interval, as a real one does for tenants
-// with a limit; 0 ends it. Requests in flight are cancelled.
+// RequestTokens makes every sidecar request tokens once per interval, as a real sidecar does for tenants with a limit.
+// An interval of 0 stops the requests. It cancels requests in flight.
 func (f *Fleet) RequestTokens(interval time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -38,7 +37,7 @@
 	}
 }
 
-// requestTokens requests tokens until ctx ends, from a random moment on.
+// requestTokens requests tokens until ctx ends. The first request is sent after a random part of the interval.
 func (s *hollowSidecar) requestTokens(ctx context.Context, interval time.Duration) {
 	demands := make([]quota.Demand, 0, len(s.fleet.cfg.Tenants))
 	for _, tenant := range s.fleet.cfg.Tenants {
--- a/internal/lab/testbed/http.go
+++ b/internal/lab/testbed/http.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// NewHTTPNode starts a node that speaks HTTP/1.1. Its answer to a request is "done" and the request's id.
+// NewHTTPNode starts a node that speaks HTTP/1.1. It answers a request with "done" and the request's ID.
 func NewHTTPNode(t TB, id string, l *ArrivalLog) *Node {
 	t.Helper()
 	return newNode(t, id, l, func(n *Node, l net.Listener) func() {
@@ -42,13 +42,13 @@
 	}
 }
 
-// answer answers a request; false: the connection is to be closed.
+// answer answers a request. It returns false if the connection has to be closed.
 func (n *Node) answer(c net.Conn, req *http.Request, body string) bool {
 	load := ""
 	if n.Load != nil {
 		load = n.Load()
 	}
-	say := func(status int, header, text string) bool {
+	respond := func(status int, header, text string) bool {
 		if load != "" {
 			header += "X-Server-Load: " + load + "\r\n"
 		}
@@ -59,9 +59,9 @@
 	if id == "" {
 		n.Probes.Add(1)
 		if req.RequestURI == "/metrics/load" && load != "" || req.RequestURI == "/alive" {
-			return say(http.StatusOK, "", load)
+			return respond(http.StatusOK, "", load)
 		}
-		return say(http.StatusNotFound, "", "")
+		return respond(http.StatusNotFound, "", "")
 	}
 	text := "done " + id
 	millis, _ := strconv.Atoi(strings.TrimSuffix(req.Header.Get("X-Timeout"), "m"))
@@ -72,13 +72,13 @@
 	})
 	switch act {
 	case Reject:
-		return say(http.StatusServiceUnavailable, "X-Not-Processed: 1\r\n", "")
+		return respond(http.StatusServiceUnavailable, "X-Not-Processed: 1\r\n", "")
 	case Fail:
-		return say(http.StatusInternalServerError, "", "")
+		return respond(http.StatusInternalServerError, "", "")
 	case Busy:
-		return say(http.StatusServiceUnavailable, "", "")
+		return respond(http.StatusServiceUnavailable, "", "")
 	case Hang:
-		_, _ = io.Copy(io.Discard, c) // until the other side has had enough
+		_, _ = io.Copy(io.Discard, c) // until the client closes the connection
 		return false
 	case Reset:
 		n.breakConn(c.RemoteAddr().String())
@@ -90,7 +90,7 @@
 		_, _ = io.WriteString(c, "SMTP ready\r\n\r\n")
 		return false
 	case Slow:
-		n.slow()
+		n.sleepServiceTime()
 	}
-	return say(http.StatusOK, "", text)
+	return respond(http.StatusOK, "", text)
 }
--- a/internal/lab/testbed/ledger.go
+++ b/internal/lab/testbed/ledger.go
@@ -5,41 +5,41 @@
 	"time"
 )
 
-// Arrival is a request that a node has read whole.
+// Arrival is a request that a node has read completely.
 type Arrival struct {
 	At      time.Time
-	Node    string // instance id
+	Node    string // instance ID
 	Cell    int
 	ID      string
 	Key     string
 	Class   string
-	Method  string // HTTP's or gRPC's full method name
+	Method  string // HTTP method or full gRPC method name
 	Body    string
-	Timeout time.Duration // how long its answer is waited for, as it says; 0: it doesn't
-	Ran     bool          // the node did the work, or might have
+	Timeout time.Duration // time-out that the request states; 0 if it states none
+	Ran     bool          // the node executed the request, or may have
 }
 
-// ArrivalLog records what arrived, over all nodes.
+// ArrivalLog records the arrivals at all nodes.
 type ArrivalLog struct {
 	mu   sync.Mutex
 	list []Arrival
 }
 
-// Add enters an arrival.
+// Add records an arrival.
 func (l *ArrivalLog) Add(a Arrival) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.list = append(l.list, a)
 }
 
-// All returns everything so far, in the order of arrival.
+// All returns all arrivals so far, in order.
 func (l *ArrivalLog) All() []Arrival {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return append([]Arrival(nil), l.list...)
 }
 
-// Of returns the arrivals of one id.
+// Of returns the arrivals of the request with an ID.
 func (l *ArrivalLog) Of(id string) (of []Arrival) {
 	for _, a := range l.All() {
 		if a.ID == id {
@@ -49,14 +49,14 @@
 	return of
 }
 
-// Len is how many arrivals there were.
+// Len returns the number of arrivals.
 func (l *ArrivalLog) Len() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.list)
 }
 
-// Runs counts the arrivals that ran or may have.
+// Runs returns the number of arrivals that the nodes executed, or may have.
 func Runs(arrivals []Arrival) (n int) {
 	for _, a := range arrivals {
 		if a.Ran {
@@ -66,8 +66,8 @@
 	return n
 }
 
-// Effects returns how many effects the arrivals of one key had: a cell drops the repeats that come within
-// window of the first, and what comes later or elsewhere has another effect.
+// Effects returns the number of effects of the arrivals of one idempotency key. A cell drops repeats that arrive within
+// the deduplication window of the first arrival. A later arrival, or one in another cell, has an effect of its own.
 func Effects(arrivals []Arrival, window time.Duration) (n int) {
 	first := make(map[int]time.Time) // by cell
 	for _, a := range arrivals {
--- a/internal/lab/testbed/node.go
+++ b/internal/lab/testbed/node.go
@@ -11,37 +11,37 @@
 	"time"
 )
 
-// reserveTime is how long a vanished node's port is tried to be held.
+// reserveTime bounds the attempts to bind the port of a vanished node.
 const reserveTime = 100 * time.Millisecond
 
 // Act is what a node does with a request.
 type Act int
 
-// The acts. All but Reject may have run the request.
+// The acts. With every act except Reject, the request may have run.
 const (
 	Serve    Act = iota
-	Reject       // turned away, with the protocol's word that it has not run
-	Fail         // an error answer
-	Busy         // a 503 or UNAVAILABLE with no promise
-	Hang         // takes it and says nothing
-	Reset        // breaks the connection behind the request's last byte
-	Truncate     // breaks it in the middle of the answer
-	Garbage      // answers with what is none
-	Slow         // serves after Node.Delay, or as Node.Takes has it
+	Reject       // rejects the request and states that it has not run
+	Fail         // answers with an error
+	Busy         // answers 503 or UNAVAILABLE, without stating whether the request has run
+	Hang         // reads the request and never answers
+	Reset        // resets the connection after reading the request
+	Truncate     // breaks the connection in the middle of the response
+	Garbage      // answers with bytes that are no response
+	Slow         // serves after Node.Delay or Node.ServiceTime
 )
 
-// String is the act as the cases of the conformance suite name it.
+// String returns the name of the act in the cases of the conformance suite.
 func (a Act) String() string {
 	return [...]string{"serve", "refuse", "fail", "busy", "hang", "reset", "cut", "garbage", "slow"}[a]
 }
 
-// Script says what a node does with a request. It may be called from many goroutines.
+// Script decides what a node does with a request. It may be called concurrently.
 type Script func(a Arrival) Act
 
-// Always is the script of one act.
+// Always returns a script that always chooses one act.
 func Always(act Act) Script { return func(Arrival) Act { return act } }
 
-// Node is a stand-in for a records node, over HTTP/1.1 or gRPC. It can be changed at any time.
+// Node is an upstream node that speaks HTTP/1.1 or gRPC. Its behaviour can be changed at any time.
 type Node struct {
 	ID         string
 	Cell       int
@@ -49,11 +49,12 @@
 	Started    time.Time
 	Address    string
 	ArrivalLog *ArrivalLog
-	Delay      atomic.Int64 // of Slow, in nanoseconds
-	// of Slow; nil: Delay. It is set before the first request and called from many goroutines
+	Delay      atomic.Int64 // service time of Slow, in nanoseconds
+	// ServiceTime returns the service time of a request with Slow; nil for Delay. It has to be set before the first
+	// request and may be called concurrently.
 	ServiceTime      func() time.Duration
-	ServiceTimeScale atomic.Int64  // thousandths of that, or of Delay, that it takes; 0: all of it
-	Load             func() string // the load report of an answer and a probe, in the protocol's form; nil: none
+	ServiceTimeScale atomic.Int64  // scales the service time, in thousandths; 0 for no scaling
+	Load             func() string // returns the load report for responses and probes; nil for none
 	Probes           atomic.Int64
 
 	script atomic.Pointer[Script]
@@ -63,8 +64,8 @@
 	stop     func()
 	listener net.Listener
 	vanished bool
-	reserved int                 // descriptor of the socket that holds a vanished node's port; 0: none does
-	conns    map[string]net.Conn // by the other side's address
+	reserved int                 // descriptor of the socket that holds a vanished node's port; 0 for none
+	conns    map[string]net.Conn // by the client's address
 	Dials    atomic.Int64
 }
 
@@ -80,7 +81,7 @@
 	n.Address, n.listener = listener.Addr().String(), listener
 	n.stop = n.serve(trackingListener{listener, n})
 	t.Cleanup(func() {
-		n.end()
+		n.shutDown()
 		n.mu.Lock()
 		defer n.mu.Unlock()
 		n.release()
@@ -88,10 +89,10 @@
 	return n
 }
 
-// Do has the node follow a script from now on.
+// Do makes the node follow a script from now on.
 func (n *Node) Do(s Script) { n.script.Store(&s) }
 
-// act records an arrival and says what is to be done with it.
+// act records an arrival and returns what to do with the request.
 func (n *Node) act(a Arrival) Act {
 	a.At, a.Node, a.Cell = time.Now(), n.ID, n.Cell
 	act := (*n.script.Load())(a)
@@ -100,15 +101,15 @@
 	return act
 }
 
-// Vanish ends the node's process: connections are reset and new ones refused.
+// Vanish ends the node's process: its connections are reset and new ones are refused.
 func (n *Node) Vanish() {
-	if n.end() {
+	if n.shutDown() {
 		n.reserve()
 	}
 }
 
-// end is Vanish, but for the port; false: it had ended.
-func (n *Node) end() bool {
+// shutDown stops the node without reserving its port. It returns false if the node had stopped before.
+func (n *Node) shutDown() bool {
 	n.mu.Lock()
 	stop := n.stop
 	n.stop, n.vanished = nil, true
@@ -117,14 +118,14 @@
 		return false
 	}
 	stopAccepting(n.listener)
-	stop() // first: what is accepted behind BreakAll would live on
+	stop() // before BreakAll, which misses connections that are accepted later
 	n.BreakAll()
 	return true
 }
 
-// reserve holds the port of a node that has vanished: bound, with nobody listening, it refuses
-// connections, and no other program's listener comes to it meanwhile. One of another test's was
-// sent what was meant for the node, and served it.
+// reserve holds the port of a vanished node. A bound socket that doesn't listen refuses connections and keeps other
+// programs from listening on the port. Without it, a listener of another test once got the port, received the node's
+// requests and served them.
 func (n *Node) reserve() {
 	address, err := netip.ParseAddrPort(n.Address)
 	if err != nil {
@@ -135,9 +136,9 @@
 		return
 	}
 	to := &syscall.SockaddrInet4{Port: int(address.Port()), Addr: address.Addr().As4()}
-	// connections that were broken off may still hold it
-	for until := time.Now().Add(reserveTime); ; time.Sleep(time.Millisecond) {
-		if err = syscall.Bind(fd, to); err == nil || time.Now().After(until) {
+	// Connections that were reset may still hold the port for a moment.
+	for deadline := time.Now().Add(reserveTime); ; time.Sleep(time.Millisecond) {
+		if err = syscall.Bind(fd, to); err == nil || time.Now().After(deadline) {
 			break
 		}
 	}
@@ -150,7 +151,7 @@
 	n.reserved = fd
 }
 
-// release lets the port go; the caller holds the lock.
+// release releases the reserved port. The caller holds the lock.
 func (n *Node) release() {
 	if n.reserved != 0 {
 		_ = syscall.Close(n.reserved)
@@ -158,7 +159,7 @@
 	}
 }
 
-// Return starts the node again at its address, as one that has just started.
+// Return starts the node again at its address, with a new start time.
 func (n *Node) Return(t TB) {
 	t.Helper()
 	n.mu.Lock()
@@ -186,23 +187,23 @@
 	}
 }
 
-// Open is how many connections stand.
+// Open returns the number of open connections.
 func (n *Node) Open() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return len(n.conns)
 }
 
-// slow waits as long as the node takes for a request.
-func (n *Node) slow() {
-	takes := time.Duration(n.Delay.Load())
+// sleepServiceTime sleeps for the service time of a request.
+func (n *Node) sleepServiceTime() {
+	duration := time.Duration(n.Delay.Load())
 	if n.ServiceTime != nil {
-		takes = n.ServiceTime()
+		duration = n.ServiceTime()
 	}
-	if by := n.ServiceTimeScale.Load(); by > 0 {
-		takes = takes * time.Duration(by) / 1000
+	if scale := n.ServiceTimeScale.Load(); scale > 0 {
+		duration = duration * time.Duration(scale) / 1000
 	}
-	time.Sleep(takes)
+	time.Sleep(duration)
 }
 
 // breakConn resets the connection to an address.
@@ -222,33 +223,32 @@
 	withoutFork(func() { _ = c.Close() })
 }
 
-// A child of this process holds a copy of every descriptor until its own program begins, and a copy
-// keeps what is closed here alive: a listener goes on taking connections, and a reset is not sent
-// till then. Both of these end it at once.
-
-// withoutFork ends something while no child is being started.
-func withoutFork(end func()) {
+// withoutFork closes a descriptor while no child process is being started. A child holds a copy of every descriptor
+// between fork and exec, and the copy keeps a closed descriptor in use: a listener keeps accepting connections, and a
+// reset is sent late.
+func withoutFork(closeDescriptor func()) {
 	syscall.ForkLock.RLock()
 	defer syscall.ForkLock.RUnlock()
-	end()
+	closeDescriptor()
 }
 
-// stopAccepting has a listener take no further connection, through whichever copy.
+// stopAccepting makes a listener accept no more connections, also through the copy of its descriptor that a child
+// process may hold.
 func stopAccepting(l net.Listener) {
 	raw, err := l.(*net.TCPListener).SyscallConn()
 	if err != nil {
-		return // closed already
+		return // already closed
 	}
 	_ = raw.Control(func(fd uintptr) { _ = syscall.Shutdown(int(fd), syscall.SHUT_RD) })
 }
 
-// trackingListener is a listener that keeps the node's table of connections.
+// trackingListener is a listener that records the node's connections.
 type trackingListener struct {
 	net.Listener
 	n *Node
 }
 
-// Accept takes a connection, unless the node has vanished.
+// Accept accepts a connection, unless the node has vanished.
 func (l trackingListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
@@ -257,7 +257,7 @@
 	l.n.Dials.Add(1)
 	l.n.mu.Lock()
 	defer l.n.mu.Unlock()
-	if l.n.vanished { // it was in the queue when its process ended
+	if l.n.vanished { // the connection was in the backlog when the node vanished
 		abort(c)
 		return nil, net.ErrClosed
 	}
@@ -277,7 +277,7 @@
 	return c.Conn.Close()
 }
 
-// Entry is the node in discovery's form.
+// Entry returns the node's entry in a discovery response.
 func (n *Node) Entry(lifecycle string) string {
 	started := int64(0)
 	if !n.Started.IsZero() {
@@ -288,7 +288,7 @@
 		n.ID, n.Address, n.Zone, n.Cell, lifecycle, started)
 }
 
-// Known is the list of some nodes, all ready.
+// Known returns a discovery response that lists the nodes as ready.
 func Known(nodes ...*Node) string {
 	var entries []string
 	for _, n := range nodes {
--- a/internal/lab/testbed/report.go
+++ b/internal/lab/testbed/report.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// reportFields reads a load report of the form "TEXT name=value, name=value".
+// reportFields parses a load report of the form "TEXT name=value, name=value".
 func reportFields(report string) map[string]float64 {
 	fields := make(map[string]float64)
 	for field := range strings.SplitSeq(strings.TrimPrefix(report, "TEXT "), ",") {
--- a/internal/lab/testbed/stub.go
+++ b/internal/lab/testbed/stub.go
@@ -8,7 +8,7 @@
 	"net/http"
 )
 
-// Received is a request as a stub read it.
+// Received is a request that a stub has read.
 type Received struct {
 	*http.Request
 	URI  string
@@ -16,24 +16,24 @@
 	Conn int // number of its connection, from 0
 }
 
-// ID is the request's id.
+// ID returns the request's ID.
 func (r Received) ID() string { return r.Header.Get("X-Request-ID") }
 
-// Stub is a server over HTTP/1.1 that hands each request to a function, with the connection to answer on.
+// Stub is an HTTP/1.1 server that passes each request to a function, together with the connection to answer on.
 type Stub struct {
 	Address string
-	Seen    chan Received // requests with an id
-	Closed  chan int      // connections that the other side has closed or that broke
+	Seen    chan Received // requests with an ID
+	Closed  chan int      // numbers of the connections that the client has closed or that broke
 
 	listener net.Listener
 }
 
-// NewStub starts a stub. If answer returns false the connection is closed.
+// NewStub starts a stub. It closes a connection when answer returns false.
 func NewStub(t TB, answer func(c net.Conn, r Received) bool) *Stub {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		t.Fatalf("stub: %v", err)
+		t.Fatalf("listen for the stub: %v", err)
 	}
 	s := &Stub{Address: l.Addr().String(), Seen: make(chan Received, 100000),
 		Closed: make(chan int, 100000), listener: l}
@@ -82,20 +82,19 @@
 	return err == nil
 }
 
-// Echo answers with the request's own id.
+// Echo answers with the request's ID.
 func Echo(c net.Conn, r Received) bool { return OK(c, "done "+r.ID()) }
 
 // Silent never answers.
 func Silent(net.Conn, Received) bool { return true }
 
-// NewHandler starts a server that hands each request to a function before its body is read, with
-// the connection to answer on, and returns its address. If answer returns false the connection is
-// closed.
+// NewHandler starts a server and returns its address. The server passes each request to a function before it reads the
+// body, together with the connection to answer on. It closes the connection when answer returns false.
 func NewHandler(t TB, answer func(c net.Conn, r *http.Request) bool) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		t.Fatalf("handler: %v", err)
+		t.Fatalf("listen for the handler: %v", err)
 	}
 	t.Cleanup(func() { l.Close() })
 	go func() {
--- a/internal/lab/testbed/vanish_test.go
+++ b/internal/lab/testbed/vanish_test.go
@@ -8,38 +8,36 @@
 	"testing"
 )
 
-// TestVanishWhileOthersStart: a child that is between fork and exec holds a copy of every
-// descriptor, so what its parent closes lives on till then. A node that has vanished takes nothing
-// more all the same, whoever starts programs beside it.
+// A child process between fork and exec holds a copy of every descriptor, so a listener that its parent closes lives on
+// until exec. A node that has vanished must not accept connections, even while the test starts other programs.
 func TestVanishWhileOthersStart(t *testing.T) {
-	var over atomic.Bool
+	var stopped atomic.Bool
 	var starting sync.WaitGroup
 	for range 4 {
 		starting.Go(func() {
-			for !over.Load() {
+			for !stopped.Load() {
 				_ = exec.Command("true").Run()
 			}
 		})
 	}
-	taken := 0
+	accepted := 0
 	for range 1000 {
 		n := NewHTTPNode(t, "s-0", new(ArrivalLog))
 		n.Vanish()
 		if c, err := net.Dial("tcp", n.Address); err == nil {
-			taken++
+			accepted++
 			_ = c.Close()
 		}
 	}
-	over.Store(true)
+	stopped.Store(true)
 	starting.Wait()
-	if taken > 0 {
-		t.Errorf("%d of 1000 nodes were reached behind their end", taken)
+	if accepted > 0 {
+		t.Errorf("%d of 1000 nodes accepted a connection after they had vanished, want 0", accepted)
 	}
 }
 
-// TestVanishedPortIsNobodyElses: another program's listener that came to the port of a node that
-// has vanished would be sent what is meant for the node.
-func TestVanishedPortIsNobodyElses(t *testing.T) {
+// If another program could listen on the port of a vanished node, it would receive the node's requests.
+func TestVanishedPortStaysReserved(t *testing.T) {
 	n := NewHTTPNode(t, "s-0", new(ArrivalLog))
 	c, err := net.Dial("tcp", n.Address)
 	if err != nil {
@@ -49,15 +47,15 @@
 	n.Vanish()
 	if l, err := net.Listen("tcp", n.Address); err == nil {
 		_ = l.Close()
-		t.Error("another listener came to the port")
+		t.Error("another listener got the port of a vanished node")
 	}
 	if c, err := net.Dial("tcp", n.Address); err == nil {
 		_ = c.Close()
-		t.Error("somebody listens there")
+		t.Error("a connection to a vanished node was accepted")
 	}
 	n.Return(t)
 	if c, err = net.Dial("tcp", n.Address); err != nil {
-		t.Fatal("not back at its port: ", err)
+		t.Fatal("no connection to the restarted node: ", err)
 	}
 	_ = c.Close()
 }
--- a/internal/mesh/sidecar/heartbeat_test.go
+++ b/internal/mesh/sidecar/heartbeat_test.go
@@ -142,7 +142,7 @@
 	}
 	waitUntil := func(holds func() bool) {
 		t.Helper()
-		for end := time.Now().Add(testbed.Generous); !holds(); runtime.Gosched() {
+		for end := time.Now().Add(testbed.MaxWait); !holds(); runtime.Gosched() {
 			if time.Now().After(end) {
 				t.Fatalf("timed out, the gate accepts requests for %q", published())
 			}
--- a/internal/proxy/engine/engine_test.go
+++ b/internal/proxy/engine/engine_test.go
@@ -49,7 +49,7 @@
 // openRequest adds a request that the module does not know, so that the test makes the decisions for it.
 func (e *Engine) openRequest(id policy.RequestID) (*request, chan call.Answer) {
 	reply := make(chan call.Answer, 1)
-	r := &request{message: testMessage("1"), reply: reply, deadline: e.now + testbed.Generous}
+	r := &request{message: testMessage("1"), reply: reply, deadline: e.now + testbed.MaxWait}
 	e.requests[id] = r
 	return r, reply
 }
@@ -126,7 +126,7 @@
 	e.openRequest(8)
 	host{e}.Send(8, call.ServerID("unheard of"), 0)
 	host{e}.Send(8, to, -time.Second)
-	e.now += 2 * testbed.Generous
+	e.now += 2 * testbed.MaxWait
 	host{e}.Send(8, to, 0)
 	want := []policy.Outcome{
 		{ID: 7, Attempt: 3, Ending: policy.NotSent}, {ID: 8, Attempt: 0, Ending: policy.NotSent},
@@ -154,7 +154,7 @@
 	s := testbed.NewStub(t, testbed.Silent)
 	e := newTestEngine(t, s.Address)
 	reply := make(chan call.Answer, 1)
-	id := e.Submit(policy.Request{Class: 0}, testMessage("1"), e.now+testbed.Generous, reply)
+	id := e.Submit(policy.Request{Class: 0}, testMessage("1"), e.now+testbed.MaxWait, reply)
 	e.handleNextEvent(t)
 	testbed.Wait(t, "the request", s.Seen)
 	e.ClientGone(id)
@@ -240,7 +240,7 @@
 func sendAndWait(t *testing.T, e *Engine, to call.Server, id string) {
 	t.Helper()
 	done := make(chan call.Result, 2)
-	to.Send(testMessage(id), call.Within(e.Clock.Now()+testbed.Generous), func(r call.Result) { done <- r })
+	to.Send(testMessage(id), call.Within(e.Clock.Now()+testbed.MaxWait), func(r call.Result) { done <- r })
 	if r := testbed.Wait(t, "the end of an attempt", done); r.Ending != policy.Served {
 		t.Fatalf("attempt ended with %+v, want it served", r)
 	}
--- a/internal/proxy/front/http1/fake_engine_test.go
+++ b/internal/proxy/front/http1/fake_engine_test.go
@@ -103,7 +103,7 @@
 	}
 	cfg := Config{
 		Route: RouteTo(e.target), ConnLimits: NewConnLimits(64, 64),
-		Linger: time.Millisecond, MaxDeadline: testbed.Generous, Log: slog.New(slog.DiscardHandler),
+		Linger: time.Millisecond, MaxDeadline: testbed.MaxWait, Log: slog.New(slog.DiscardHandler),
 	}
 	if dialect {
 		cfg.Dialect = e.dialect()
@@ -148,7 +148,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	_ = c.SetDeadline(time.Now().Add(testbed.Generous))
+	_ = c.SetDeadline(time.Now().Add(testbed.MaxWait))
 	t.Cleanup(func() { c.Close() })
 	return &testClient{c.(*net.TCPConn), t, bufio.NewReader(c)}
 }
@@ -239,7 +239,7 @@
 // waitUntil polls a condition until it is true. what describes the condition.
 func waitUntil(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(testbed.Generous); !condition(); runtime.Gosched() {
+	for end := time.Now().Add(testbed.MaxWait); !condition(); runtime.Gosched() {
 		if time.Now().After(end) {
 			t.Fatalf("timed out waiting until %s", what)
 		}
--- a/internal/proxy/transport/grpc/repeat_test.go
+++ b/internal/proxy/transport/grpc/repeat_test.go
@@ -21,7 +21,7 @@
 		tr := newTransport(t, func(c *Config) { c.Clock = clock.NewAdjustable() })
 		s := tr.Server(n.Address)
 		if connected {
-			send(t, tr, s, message(t, "1"), testbed.Generous)
+			send(t, tr, s, message(t, "1"), testbed.MaxWait)
 		}
 		before := l.Len()
 		now := tr.cfg.Clock.Now()
@@ -56,13 +56,13 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	tr := newTransport(t, func(c *Config) { c.DialTimeout = testbed.Generous })
+	tr := newTransport(t, func(c *Config) { c.DialTimeout = testbed.MaxWait })
 	begun, now := time.Now(), tr.cfg.Clock.Now()
-	limits := call.Limits{SendBy: now + 200*time.Millisecond, Until: now + testbed.Generous}
+	limits := call.Limits{SendBy: now + 200*time.Millisecond, Until: now + testbed.MaxWait}
 	done := make(chan call.Result, 1)
 	tr.Server(l.Addr().String()).Send(message(t, "1"), limits, func(r call.Result) { done <- r })
 	got := testbed.Wait(t, "its end", done)
-	if took := time.Since(begun); got.Ending != policy.NoConnection || took > testbed.Generous/2 {
+	if took := time.Since(begun); got.Ending != policy.NoConnection || took > testbed.MaxWait/2 {
 		t.Errorf("ending %v after %v, want NoConnection: it had 200 ms", got.Ending, took)
 	}
 }
--- a/internal/proxy/transport/grpc/transport_test.go
+++ b/internal/proxy/transport/grpc/transport_test.go
@@ -161,7 +161,7 @@
 		t.Run(name, func(t *testing.T) {
 			address, streams := serveFrames(t, c.answer)
 			tr := newTransport(t, nil)
-			got := send(t, tr, tr.Server(address), message(t, "1"), testbed.Generous)
+			got := send(t, tr, tr.Server(address), message(t, "1"), testbed.MaxWait)
 			if got.Ending != c.want {
 				t.Errorf("ending %v, want %v; status %v", got.Ending, c.want, codes.Code(got.Status))
 			}
@@ -190,7 +190,7 @@
 			n := testbed.NewGRPCNode(t, "s-0", l)
 			n.Do(testbed.Always(act))
 			tr := newTransport(t, nil)
-			limit := testbed.Generous
+			limit := testbed.MaxWait
 			if act == testbed.Hang {
 				limit = 300 * time.Millisecond
 			}
@@ -214,7 +214,7 @@
 	tr := newTransport(t, nil)
 	s := tr.Server(address)
 	for range 3 { // also while grpc waits before it tries again
-		if got := send(t, tr, s, message(t, "1"), testbed.Generous); got.Ending != policy.NoConnection {
+		if got := send(t, tr, s, message(t, "1"), testbed.MaxWait); got.Ending != policy.NoConnection {
 			t.Errorf("ending %v, want %v", got.Ending, policy.NoConnection)
 		}
 	}
@@ -229,7 +229,7 @@
 	defer l.Close()
 	tr := newTransport(t, func(c *Config) { c.DialTimeout = 200 * time.Millisecond })
 	begun := time.Now()
-	got := send(t, tr, tr.Server(l.Addr().String()), message(t, "1"), testbed.Generous)
+	got := send(t, tr, tr.Server(l.Addr().String()), message(t, "1"), testbed.MaxWait)
 	if took := time.Since(begun); got.Ending != policy.NoConnection || took > 5*time.Second {
 		t.Errorf("ending %v after %v, want %v within the time for a connection", got.Ending, took, policy.NoConnection)
 	}
@@ -241,7 +241,7 @@
 	n := testbed.NewGRPCNode(t, "s-0", l)
 	tr := newTransport(t, func(c *Config) { c.Clock = clock.NewAdjustable() })
 	s := tr.Server(n.Address)
-	if got := send(t, tr, s, message(t, "1"), testbed.Generous); got.Ending != policy.Served {
+	if got := send(t, tr, s, message(t, "1"), testbed.MaxWait); got.Ending != policy.Served {
 		t.Fatalf("ending %v, want served", got.Ending)
 	}
 	done := make(chan call.Result, 2)
@@ -269,7 +269,7 @@
 		t.Fatalf("ending %v, want %v", got.Ending, policy.TimedOut)
 	}
 	n.Do(testbed.Always(testbed.Serve))
-	if got := send(t, tr, s, message(t, "1"), testbed.Generous); got.Ending != policy.Served {
+	if got := send(t, tr, s, message(t, "1"), testbed.MaxWait); got.Ending != policy.Served {
 		t.Fatalf("ending %v, want served", got.Ending)
 	}
 	if got := tr.Counters(); got["dialled"] != 2 || got["open"] != 1 {
@@ -284,15 +284,15 @@
 	tr := newTransport(t, func(c *Config) { c.MaxConns = 1 })
 	sa, sb := tr.Server(a.Address), tr.Server(b.Address)
 	for _, s := range []call.Server{sa, sb} {
-		if got := send(t, tr, s, message(t, "1"), testbed.Generous); got.Ending != policy.Served {
+		if got := send(t, tr, s, message(t, "1"), testbed.MaxWait); got.Ending != policy.Served {
 			t.Fatalf("ending %v, want served", got.Ending)
 		}
 	}
 	b.Do(testbed.Always(testbed.Hang))
 	done := make(chan call.Result, 2)
-	x := sb.Send(message(t, "1"), call.Within(tr.cfg.Clock.Now()+testbed.Generous), func(r call.Result) { done <- r })
+	x := sb.Send(message(t, "1"), call.Within(tr.cfg.Clock.Now()+testbed.MaxWait), func(r call.Result) { done <- r })
 	testbed.Until(t, "the call", func() bool { return l.Len() == 3 })
-	if got := send(t, tr, sa, message(t, "1"), testbed.Generous); got.Ending != policy.NotSent {
+	if got := send(t, tr, sa, message(t, "1"), testbed.MaxWait); got.Ending != policy.NotSent {
 		t.Errorf("ending %v, want %v: our own limit says nothing of the server", got.Ending, policy.NotSent)
 	}
 	x.Cancel()
@@ -305,7 +305,7 @@
 	n := testbed.NewGRPCNode(t, "s-0", new(testbed.ArrivalLog))
 	n.Load = func() string { return "TEXT inflight=7, queue=2, latency_ms=40, unheard=3" }
 	tr := newTransport(t, nil)
-	got := send(t, tr, tr.Server(n.Address), message(t, "1"), testbed.Generous)
+	got := send(t, tr, tr.Server(n.Address), message(t, "1"), testbed.MaxWait)
 	want := policy.Load{
 		Has:      policy.HasInFlight | policy.HasQueued | policy.HasService,
 		InFlight: 7, Queued: 2, Service: 40 * time.Millisecond,
@@ -332,7 +332,7 @@
 	m := message(t, "stream 3")
 	m.Stream = true
 	results := make(chan call.Result, 4)
-	tr.Server(n.Address).Send(m, call.Within(tr.cfg.Clock.Now()+testbed.Generous), func(r call.Result) { results <- r })
+	tr.Server(n.Address).Send(m, call.Within(tr.cfg.Clock.Now()+testbed.MaxWait), func(r call.Result) { results <- r })
 	begun := testbed.Wait(t, "its begin", results)
 	s, ok := begun.Stream.(*Stream)
 	if !ok || s.Header().Get("x-stream")[0] != "3" {
@@ -363,7 +363,7 @@
 	s := tr.Server(n.Address)
 	ends := make(chan call.Result, 9)
 	for range 3 {
-		s.Send(message(t, "1"), call.Within(tr.cfg.Clock.Now()+testbed.Generous), func(r call.Result) { ends <- r })
+		s.Send(message(t, "1"), call.Within(tr.cfg.Clock.Now()+testbed.MaxWait), func(r call.Result) { ends <- r })
 	}
 	testbed.Until(t, "the calls", func() bool { return l.Len() == 3 })
 	closed := make(chan struct{})
--- a/internal/proxy/transport/http1/cancel_test.go
+++ b/internal/proxy/transport/http1/cancel_test.go
@@ -53,7 +53,7 @@
 			defer transport.Close()
 			s := newHeldServer(t, transport)
 			done := make(chan call.Result, 2)
-			attempt := transport.send(s.host, testMessage("1"), call.Within(transport.clock.Now()+testbed.Generous),
+			attempt := transport.send(s.host, testMessage("1"), call.Within(transport.clock.Now()+testbed.MaxWait),
 				func(r call.Result) { done <- r })
 			c := testbed.Wait(t, "the request", s.arrived)
 			attempt.Cancel()
@@ -82,7 +82,7 @@
 		transport := newAwaitingTransport()
 		s := newHeldServer(t, transport)
 		done := make(chan call.Result, 2)
-		attempt := transport.send(s.host, testMessage("1"), call.Within(transport.clock.Now()+testbed.Generous),
+		attempt := transport.send(s.host, testMessage("1"), call.Within(transport.clock.Now()+testbed.MaxWait),
 			func(r call.Result) { done <- r })
 		testbed.Wait(t, "the request", s.arrived)
 		if cancelledBefore {
--- a/internal/proxy/transport/http1/conn_pool_test.go
+++ b/internal/proxy/transport/http1/conn_pool_test.go
@@ -26,15 +26,15 @@
 		return answered && r.Conn > 0
 	})
 	u := newTestTransport(t)
-	attempt(t, u, hostOf(u, s), "1", testbed.Generous)
+	attempt(t, u, hostOf(u, s), "1", testbed.MaxWait)
 	close(hangUp)
 	testbed.Wait(t, "the server to close", gone)
-	for end := time.Now().Add(testbed.Generous); u.idle[hostOf(u, s)][0].isUsable(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testbed.MaxWait); u.idle[hostOf(u, s)][0].isUsable(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) { // the news has long crossed the loopback
 			t.Fatal("the closed connection passes for usable")
 		}
 	}
-	if got := attempt(t, u, hostOf(u, s), "2", testbed.Generous); got.Ending != policy.Served {
+	if got := attempt(t, u, hostOf(u, s), "2", testbed.MaxWait); got.Ending != policy.Served {
 		t.Fatalf("ending %v, want %v", got.Ending, policy.Served)
 	}
 	if u.staleConns != 1 || u.dials != 2 || u.openConns != 1 {
@@ -46,17 +46,17 @@
 func TestOldConnectionsAreRetired(t *testing.T) {
 	s := testbed.NewStub(t, testbed.Echo)
 	u := newTestTransport(t)
-	attempt(t, u, hostOf(u, s), "1", testbed.Generous)
+	attempt(t, u, hostOf(u, s), "1", testbed.MaxWait)
 	u.mu.Lock()
 	u.idle[hostOf(u, s)][0].idleSince -= u.maxIdle
 	u.mu.Unlock()
 	u.sweepIdle()
 	testbed.Wait(t, "the old connection to close", s.Closed)
-	attempt(t, u, hostOf(u, s), "2", testbed.Generous)
+	attempt(t, u, hostOf(u, s), "2", testbed.MaxWait)
 	u.mu.Lock()
 	u.idle[hostOf(u, s)][0].idleSince -= u.maxIdle
 	u.mu.Unlock()
-	attempt(t, u, hostOf(u, s), "3", testbed.Generous)
+	attempt(t, u, hostOf(u, s), "3", testbed.MaxWait)
 	if u.dials != 3 || u.openConns != 1 {
 		t.Errorf("dialled %d, open %d, want 3, 1", u.dials, u.openConns)
 	}
@@ -66,7 +66,7 @@
 	s := testbed.NewStub(t, testbed.Echo)
 	u := newTestTransport(t)
 	for i := range 5 {
-		attempt(t, u, hostOf(u, s), fmt.Sprint(i), testbed.Generous)
+		attempt(t, u, hostOf(u, s), fmt.Sprint(i), testbed.MaxWait)
 	}
 	if u.dials != 1 {
 		t.Errorf("%d connections for five requests one after the other, want 1", u.dials)
@@ -86,7 +86,7 @@
 	u := newTestTransport(t)
 	done := make(chan call.Result, 2)
 	for _, id := range []string{"1", "2"} { // at the same time, so on two connections
-		u.send(hostOf(u, s), testMessage(id), call.Within(u.clock.Now()+testbed.Generous), func(r call.Result) { done <- r })
+		u.send(hostOf(u, s), testMessage(id), call.Within(u.clock.Now()+testbed.MaxWait), func(r call.Result) { done <- r })
 		testbed.Wait(t, "a request", s.Seen)
 	}
 	close(both)
@@ -94,7 +94,7 @@
 	testbed.Wait(t, "an end", done)
 	used := make(map[int]bool)
 	for _, id := range []string{"3", "4"} { // one after the other
-		attempt(t, u, hostOf(u, s), id, testbed.Generous)
+		attempt(t, u, hostOf(u, s), id, testbed.MaxWait)
 		used[testbed.Wait(t, id, s.Seen).Conn] = true
 	}
 	if len(used) != 2 {
@@ -108,14 +108,14 @@
 	a, b, mute := testbed.NewStub(t, testbed.Echo), testbed.NewStub(t, testbed.Echo), testbed.NewStub(t, testbed.Silent)
 	u := newTestTransport(t)
 	u.maxConns = 1
-	attempt(t, u, hostOf(u, a), "1", testbed.Generous)
-	if got := attempt(t, u, hostOf(u, b), "2", testbed.Generous); got.Ending != policy.Served || u.openConns != 1 {
+	attempt(t, u, hostOf(u, a), "1", testbed.MaxWait)
+	if got := attempt(t, u, hostOf(u, b), "2", testbed.MaxWait); got.Ending != policy.Served || u.openConns != 1 {
 		t.Errorf("ending %v, %d open, want served over the one connection", got.Ending, u.openConns)
 	}
 	done := make(chan call.Result, 1)
-	x := u.send(hostOf(u, mute), testMessage("3"), call.Within(u.clock.Now()+testbed.Generous), func(r call.Result) { done <- r })
+	x := u.send(hostOf(u, mute), testMessage("3"), call.Within(u.clock.Now()+testbed.MaxWait), func(r call.Result) { done <- r })
 	testbed.Wait(t, "the request", mute.Seen)
-	if got := attempt(t, u, hostOf(u, a), "4", testbed.Generous); got.Ending != policy.NotSent { // no word on the server
+	if got := attempt(t, u, hostOf(u, a), "4", testbed.MaxWait); got.Ending != policy.NotSent { // no word on the server
 		t.Errorf("ending %v, want %v", got.Ending, policy.NotSent)
 	}
 	x.Cancel()
@@ -130,8 +130,8 @@
 		return id == "brief" || id == "silent" || testbed.Echo(c, r)
 	})
 	u := newTestTransport(t)
-	attempt(t, u, hostOf(u, s), "1", testbed.Generous)
-	u.reuseDelay = testbed.Generous // so that the next ones take a new connection
+	attempt(t, u, hostOf(u, s), "1", testbed.MaxWait)
+	u.reuseDelay = testbed.MaxWait // so that the next ones take a new connection
 	attempt(t, u, hostOf(u, s), "brief", 100*time.Millisecond)
 	if len(u.idle[hostOf(u, s)]) != 1 {
 		t.Fatal("an attempt that had less time than a connection may take tells nothing")
@@ -152,7 +152,7 @@
 	})
 	u := newTestTransport(t)
 	done := make(chan call.Result, 1)
-	u.send(hostOf(u, s), testMessage("1"), call.Within(u.clock.Now()+testbed.Generous), func(r call.Result) { done <- r })
+	u.send(hostOf(u, s), testMessage("1"), call.Within(u.clock.Now()+testbed.MaxWait), func(r call.Result) { done <- r })
 	testbed.Wait(t, "the request", s.Seen)
 	u.deregister(hostOf(u, s))
 	close(release)
--- a/internal/proxy/transport/http1/repeat_test.go
+++ b/internal/proxy/transport/http1/repeat_test.go
@@ -23,11 +23,11 @@
 		u.clock.Advance(700 * time.Millisecond)
 		return c, err
 	}
-	limits := call.Limits{SendBy: u.clock.Now() + 100*time.Millisecond, Until: u.clock.Now() + testbed.Generous}
+	limits := call.Limits{SendBy: u.clock.Now() + 100*time.Millisecond, Until: u.clock.Now() + testbed.MaxWait}
 	if _, _, ending := u.roundTrip(new(exchange), hostOf(u, s), testMessage("1"), limits); ending != policy.NotSent {
 		t.Errorf("ending %v, want NotSent: our own delay is no word on the server", ending)
 	}
-	attempt(t, u, hostOf(u, s), "2", testbed.Generous)
+	attempt(t, u, hostOf(u, s), "2", testbed.MaxWait)
 	if testbed.Wait(t, "an arrival", s.Seen).ID() != "2" {
 		t.Error("the late repeat went out")
 	}
@@ -52,14 +52,14 @@
 	u := newTestTransport(t)
 	u.clock = clock.NewAdjustable()
 	u.connsBreak.Store(true)
-	c, err := u.openConn(new(exchange), hostOf(u, s), u.clock.Now()+testbed.Generous)
+	c, err := u.openConn(new(exchange), hostOf(u, s), u.clock.Now()+testbed.MaxWait)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Conn.Close()
 	w := &slowWriter{Conn: c.Conn, clock: u.clock}
 	c.Conn = w
-	limits := call.Limits{SendBy: u.clock.Now() + 500*time.Millisecond, Until: u.clock.Now() + testbed.Generous}
+	limits := call.Limits{SendBy: u.clock.Now() + 500*time.Millisecond, Until: u.clock.Now() + testbed.MaxWait}
 	if err := u.writeRequest(c, []byte("request"), true, limits); err == nil {
 		t.Error("no error, want the late last byte reported")
 	}
@@ -86,12 +86,12 @@
 	m := testMessage("1")
 	m.Body = bytes.Repeat([]byte("x"), 32<<20)
 	begun := time.Now()
-	limits := call.Limits{SendBy: u.clock.Now() + 200*time.Millisecond, Until: u.clock.Now() + testbed.Generous}
+	limits := call.Limits{SendBy: u.clock.Now() + 200*time.Millisecond, Until: u.clock.Now() + testbed.MaxWait}
 	h := u.Server(l.Addr().String()).(*host)
 	if _, _, ending := u.roundTrip(new(exchange), h, m, limits); ending != policy.NoConnection {
 		t.Errorf("ending %v, want NoConnection: it was never whole", ending)
 	}
-	if took := time.Since(begun); took > testbed.Generous/2 {
+	if took := time.Since(begun); took > testbed.MaxWait/2 {
 		t.Errorf("given up after %v, it had 200 ms", took)
 	}
 }
--- a/internal/proxy/transport/http1/transport_test.go
+++ b/internal/proxy/transport/http1/transport_test.go
@@ -99,7 +99,7 @@
 				return c.kept || name == "bytes left over" || name == "to be closed" || name == "headers without end"
 			})
 			u := newTestTransport(t)
-			if got := attempt(t, u, hostOf(u, s), "1", testbed.Generous); got.Ending != c.ending {
+			if got := attempt(t, u, hostOf(u, s), "1", testbed.MaxWait); got.Ending != c.ending {
 				t.Fatalf("ending %v, want %v", got.Ending, c.ending)
 			} else if got.Ending == policy.Served && string(got.Body) != "hi" {
 				t.Fatalf("body %q, want hi", got.Body)
@@ -121,8 +121,8 @@
 		return r.Header.Get("X-Request-ID") == "1" && testbed.OK(c, "hi")
 	})
 	u := newTestTransport(t)
-	attempt(t, u, hostOf(u, s), "1", testbed.Generous)
-	if got := attempt(t, u, hostOf(u, s), "2", testbed.Generous); got.Ending != policy.ConnectionLost {
+	attempt(t, u, hostOf(u, s), "1", testbed.MaxWait)
+	if got := attempt(t, u, hostOf(u, s), "2", testbed.MaxWait); got.Ending != policy.ConnectionLost {
 		t.Fatalf("ending %v, want %v", got.Ending, policy.ConnectionLost)
 	}
 	first, second := testbed.Wait(t, "1", s.Seen), testbed.Wait(t, "2", s.Seen)
@@ -140,7 +140,7 @@
 	address := l.Addr().String()
 	l.Close()
 	u := newTestTransport(t)
-	got := attempt(t, u, &host{transport: u, address: address}, "1", testbed.Generous)
+	got := attempt(t, u, &host{transport: u, address: address}, "1", testbed.MaxWait)
 	if got.Ending != policy.NoConnection || u.openConns != 0 {
 		t.Fatalf("ending %v, %d open, want %v and none", got.Ending, u.openConns, policy.NoConnection)
 	}
@@ -166,7 +166,7 @@
 	s := testbed.NewStub(t, testbed.Silent)
 	u := newTestTransport(t)
 	done := make(chan call.Result, 2)
-	x := u.send(hostOf(u, s), testMessage("1"), call.Within(u.clock.Now()+testbed.Generous), func(r call.Result) { done <- r })
+	x := u.send(hostOf(u, s), testMessage("1"), call.Within(u.clock.Now()+testbed.MaxWait), func(r call.Result) { done <- r })
 	testbed.Wait(t, "the request", s.Seen)
 	x.Cancel()
 	x.Cancel()
@@ -184,12 +184,12 @@
 func TestCancelledBeforeItIsWritten(t *testing.T) {
 	s := testbed.NewStub(t, testbed.Echo)
 	u := newTestTransport(t)
-	attempt(t, u, hostOf(u, s), "1", testbed.Generous)
+	attempt(t, u, hostOf(u, s), "1", testbed.MaxWait)
 	x := new(exchange)
 	x.Cancel()
 	m := testMessage("2")
 	for i := range 2 { // over the kept connection, then over a new one
-		if _, _, ending := u.roundTrip(x, hostOf(u, s), m, call.Within(u.clock.Now()+testbed.Generous)); ending != policy.Cancelled {
+		if _, _, ending := u.roundTrip(x, hostOf(u, s), m, call.Within(u.clock.Now()+testbed.MaxWait)); ending != policy.Cancelled {
 			t.Errorf("ending %v, want %v", ending, policy.Cancelled)
 		}
 		x.Cancel() // once more: the connection is not its own any more
@@ -198,7 +198,7 @@
 		}
 		u.closeIdle(hostOf(u, s))
 	}
-	attempt(t, u, hostOf(u, s), "3", testbed.Generous)
+	attempt(t, u, hostOf(u, s), "3", testbed.MaxWait)
 	if testbed.Wait(t, "1", s.Seen); testbed.Wait(t, "3", s.Seen).Header.Get("X-Request-ID") != "3" {
 		t.Error("the cancelled request went out")
 	}
@@ -208,13 +208,13 @@
 func TestForwardedRequest(t *testing.T) {
 	s := testbed.NewStub(t, testbed.Echo)
 	u := newTestTransport(t)
-	attempt(t, u, hostOf(u, s), "7", testbed.Generous)
+	attempt(t, u, hostOf(u, s), "7", testbed.MaxWait)
 	r := testbed.Wait(t, "the request", s.Seen)
 	number, ok := strings.CutSuffix(r.Header.Get("X-Timeout"), "m")
 	left, err := strconv.Atoi(number)
 	if r.Method != http.MethodPost || r.URI != "/reading" || r.Body != "weight" || r.Host != "service.internal" ||
 		r.Header.Get("X-Request-ID") != "7" || r.Header.Get("Idempotency-Key") != "k7" ||
-		!ok || err != nil || left <= 0 || left > int(testbed.Generous.Milliseconds()) {
+		!ok || err != nil || left <= 0 || left > int(testbed.MaxWait.Milliseconds()) {
 		t.Errorf("%s %s %q for %s, headers %v", r.Method, r.URI, r.Body, r.Host, r.Header)
 	}
 }
@@ -229,9 +229,9 @@
 		return testbed.Echo(c, r)
 	})
 	u := newTestTransport(t)
-	u.reuseDelay = testbed.Generous
-	attempt(t, u, hostOf(u, s), "1", testbed.Generous)
-	if got := attempt(t, u, hostOf(u, s), "2", testbed.Generous); string(got.Body) != "done 2" {
+	u.reuseDelay = testbed.MaxWait
+	attempt(t, u, hostOf(u, s), "1", testbed.MaxWait)
+	if got := attempt(t, u, hostOf(u, s), "2", testbed.MaxWait); string(got.Body) != "done 2" {
 		t.Errorf("ending %v, body %q, want the answer to the request", got.Ending, got.Body)
 	}
 }
@@ -279,7 +279,7 @@
 		return testbed.Echo(c, r)
 	})
 	u := newTestTransport(t)
-	attempt(t, u, hostOf(u, s), "1", testbed.Generous)
+	attempt(t, u, hostOf(u, s), "1", testbed.MaxWait)
 	done := make(chan bool, 2)
 	u.probe(hostOf(u, s), u.clock.Now(), func(ok bool, _ policy.Load) { done <- ok })
 	if !testbed.Wait(t, "the result", done) {
@@ -317,22 +317,22 @@
 	}()
 	u := newTestTransport(t)
 	h := u.Server(dead.Addr().String()).(*host)
-	end := attempt(t, u, h, "1", testbed.Generous).Ending
+	end := attempt(t, u, h, "1", testbed.MaxWait).Ending
 	if end != policy.ConnectionLost || !strings.HasSuffix(testbed.Wait(t, "the request", got), "weight") {
 		t.Fatalf("ending %v, want it written whole and broken", end)
 	}
 	for range 10 {
 		u.recordUse(h, new(conn), true)
 	}
-	u.lastByteDelay = testbed.Generous
-	if end := attempt(t, u, h, "2", lastByteDelayFraction*testbed.Generous).Ending; end != policy.NoConnection {
+	u.lastByteDelay = testbed.MaxWait
+	if end := attempt(t, u, h, "2", lastByteDelayFraction*testbed.MaxWait).Ending; end != policy.NoConnection {
 		t.Errorf("ending %v, want NoConnection: it was never whole", end)
 	}
 	if came := testbed.Wait(t, "the request", got); !strings.HasSuffix(came, "weigh") {
 		t.Errorf("%q came, want all but the last byte", came)
 	}
 	u.lastByteDelay = lastByteDelay
-	if end := attempt(t, u, hostOf(u, s), "3", testbed.Generous).Ending; end != policy.Served {
+	if end := attempt(t, u, hostOf(u, s), "3", testbed.MaxWait).Ending; end != policy.Served {
 		t.Errorf("ending %v at a server that is well, want it served", end)
 	}
 }
@@ -347,7 +347,7 @@
 	u.lastByteDelay = 50 * time.Millisecond // to be told from the time that the rest takes
 	u.connsBreak.Store(true)
 	begun := time.Now()
-	if end := attempt(t, u, hostOf(u, s), "1", testbed.Generous).Ending; end != policy.Served {
+	if end := attempt(t, u, hostOf(u, s), "1", testbed.MaxWait).Ending; end != policy.Served {
 		t.Errorf("ending %v, want served: the last byte follows where nothing breaks", end)
 	}
 	if took := time.Since(begun); took < 50*time.Millisecond {
@@ -360,7 +360,7 @@
 	s := testbed.NewStub(t, testbed.Echo)
 	u := newTestTransport(t)
 	u.clock = clock.NewAdjustable()
-	attempt(t, u, hostOf(u, s), "1", testbed.Generous)
+	attempt(t, u, hostOf(u, s), "1", testbed.MaxWait)
 	for _, stop := range []time.Duration{5 * time.Second, time.Hour} { // the kept connection stands, or is too old
 		until := u.clock.Now() + time.Second
 		u.clock.Advance(stop)
@@ -368,7 +368,7 @@
 			t.Errorf("ending %v, want NotSent: our own stop is no word on the server", ending)
 		}
 	}
-	attempt(t, u, hostOf(u, s), "3", testbed.Generous)
+	attempt(t, u, hostOf(u, s), "3", testbed.MaxWait)
 	if testbed.Wait(t, "1", s.Seen); testbed.Wait(t, "3", s.Seen).ID() != "3" {
 		t.Error("the late attempt went out")
 	}
--- a/plugin/plugin_test.go
+++ b/plugin/plugin_test.go
@@ -44,7 +44,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
-		ctx, cancel := context.WithTimeout(context.Background(), testbed.Generous)
+		ctx, cancel := context.WithTimeout(context.Background(), testbed.MaxWait)
 		defer cancel()
 		_ = c.Close(ctx)
 	})
