--- a/cmd/caperarch/fleet_test.go
+++ b/cmd/caperarch/fleet_test.go
@@ -106,7 +106,7 @@
 			for i := 2; i < 5; i++ {
 				v, ok := f.Sidecars[i].View()
 				for j := range 2 {
-					if w, there := f.Sidecars[j].View(); ok && there && v.Out[j] && w.Contact && w.Session == v.Of[j] {
+					if w, there := f.Sidecars[j].View(); ok && there && v.Out[j] && w.Contact && w.Session == v.Sessions[j] {
 						t.Fatalf("%d counts %d out, which is in contact under %s", i, j, w.Session)
 					}
 				}
@@ -159,12 +159,12 @@
 		t.Error(b)
 	}
 	t.Logf("%+v; datagrams passed %d, lost %d, delayed %d, doubled %d, the longest had %d bytes", tally, f.Peers.Passed.Load(), f.Peers.Lost.Load(),
-		f.Peers.Delayed.Load(), f.Peers.Doubled.Load(), f.Peers.Longest.Load())
-	if tally.Served < 1000 || f.Peers.Lost.Load() == 0 || f.Peers.Delayed.Load() == 0 || f.Peers.Doubled.Load() == 0 {
+		f.Peers.Delayed.Load(), f.Peers.Duplicated.Load(), f.Peers.LargestDatagram.Load())
+	if tally.Served < 1000 || f.Peers.Lost.Load() == 0 || f.Peers.Delayed.Load() == 0 || f.Peers.Duplicated.Load() == 0 {
 		t.Error("it was not what it was to be")
 	}
-	if f.Peers.Longest.Load() > 256 {
-		t.Errorf("a datagram of %d bytes", f.Peers.Longest.Load())
+	if f.Peers.LargestDatagram.Load() > 256 {
+		t.Errorf("a datagram of %d bytes", f.Peers.LargestDatagram.Load())
 	}
 }
 
--- a/cmd/caperarch/fleetpolicy_test.go
+++ b/cmd/caperarch/fleetpolicy_test.go
@@ -28,7 +28,7 @@
 	p := &policies{T: t, Fleet: startFleet(t, fleet.Config{Size: 5, Nodes: 4, CutOff: fleet.CutOffPolicy, Edit: edit})}
 	t.Cleanup(p.logViews)
 	p.stop = p.Load(150)
-	if err := p.Sidecars[3].Propose(fleet.Marked(0)); err == nil {
+	if err := p.Sidecars[3].Propose(fleet.MarkedPolicy(0)); err == nil {
 		t.Error("a proposal before there is a log was taken")
 	}
 	if err := p.Sidecars[0].Bootstrap(); err != nil {
@@ -63,7 +63,7 @@
 	p.next++
 	p.proposed++
 	p.changes++
-	if err := p.Sidecars[by].Propose(fleet.Marked(p.next)); err != nil {
+	if err := p.Sidecars[by].Propose(fleet.MarkedPolicy(p.next)); err != nil {
 		p.Fatalf("by %d: %v", by, err)
 	}
 }
@@ -113,8 +113,8 @@
 	if turns > p.changes {
 		p.Errorf("requests turned from one upstream to the other %d times, by %d changes at most: two policies were gone by at once", turns, p.changes)
 	}
-	p.Logf("%+v, statuses other than 200: %v; %d proposals, %d changes at most, %d turns; the longest datagram %d bytes", tally, p.CountByStatus(), p.proposed, p.changes, turns, p.Peers.Longest.Load())
-	if tally.Served < 1000 || turns < least || p.Peers.Longest.Load() > 256 {
+	p.Logf("%+v, statuses other than 200: %v; %d proposals, %d changes at most, %d turns; the longest datagram %d bytes", tally, p.CountByStatus(), p.proposed, p.changes, turns, p.Peers.LargestDatagram.Load())
+	if tally.Served < 1000 || turns < least || p.Peers.LargestDatagram.Load() > 256 {
 		p.Error("it was not what it was to be")
 	}
 }
@@ -159,7 +159,7 @@
 	minority := map[int]bool{(l + 1) % 5: true, (l + 2) % 5: true}
 	p.Peers.Break(fleet.Faults{Cut: func(from, to int) bool { return minority[from] != minority[to] }}, 1)
 	time.Sleep(4 * time.Second)
-	if err := p.Sidecars[(l+1)%5].Propose(fleet.Marked(99)); err == nil || !strings.Contains(err.Error(), "no grant") {
+	if err := p.Sidecars[(l+1)%5].Propose(fleet.MarkedPolicy(99)); err == nil || !strings.Contains(err.Error(), "no grant") {
 		t.Errorf("a proposal of the minority: %v", err)
 	}
 	p.propose(l)
@@ -196,7 +196,7 @@
 	p.Peers.Break(fleet.Faults{Loss: 0.2, Duplicate: 0.2, Delay: 50 * time.Millisecond}, 7)
 	p.next++
 	p.changes++
-	testbed.Until(t, "a proposal to be taken", func() bool { p.proposed++; return p.Sidecars[2].Propose(fleet.Marked(p.next)) == nil })
+	testbed.Until(t, "a proposal to be taken", func() bool { p.proposed++; return p.Sidecars[2].Propose(fleet.MarkedPolicy(p.next)) == nil })
 	time.Sleep(2 * time.Second)
 	p.Peers.Hold(3 * time.Second)
 	time.Sleep(3500 * time.Millisecond)
@@ -240,7 +240,7 @@
 	if _, _, why := f.AwaitPolicy(0, testbed.MaxWait); why != "" {
 		t.Fatal(why)
 	}
-	if err := f.Sidecars[1].Propose(fleet.Marked(1)); err != nil {
+	if err := f.Sidecars[1].Propose(fleet.MarkedPolicy(1)); err != nil {
 		t.Fatal(err)
 	}
 	if _, _, why := f.AwaitPolicy(1, testbed.MaxWait); why != "" {
@@ -251,7 +251,7 @@
 	}
 	kept := func(number int) string {
 		t.Helper()
-		files, err := filepath.Glob(filepath.Join(f.Kept(number), "*.state"))
+		files, err := filepath.Glob(filepath.Join(f.StateDir(number), "*.state"))
 		if err != nil || len(files) != 1 {
 			t.Fatalf("kept: %v, %v", files, err)
 		}
--- a/cmd/caperarch/work_test.go
+++ b/cmd/caperarch/work_test.go
@@ -30,7 +30,7 @@
 		n.Do(testbed.Always(testbed.Slow))
 	}
 	stop := f.Load(150)
-	if err := f.Sidecars[0].Work(roundPlan); err == nil {
+	if err := f.Sidecars[0].ProposeMaintenance(roundPlan); err == nil {
 		t.Error("a plan before there is a log was taken")
 	}
 	if err := f.Sidecars[0].Bootstrap(); err != nil {
@@ -44,29 +44,29 @@
 		"machines = [\"s-0\", \"s-99\"]\n[out]\nfleet = \"1\"\n":            "machines[1]: s-99 is not listed",
 		"all = true\nlongest = \"1s\"\nbacks = \"x\"\n[out]\nfleet = \"1\"": "backs",
 	} {
-		if err := f.Sidecars[1].Work(plan); err == nil || !strings.Contains(err.Error(), says) {
+		if err := f.Sidecars[1].ProposeMaintenance(plan); err == nil || !strings.Contains(err.Error(), says) {
 			t.Errorf("%q: %v, want %q", plan, err, says)
 		}
 	}
-	if err := f.Sidecars[1].WorkDo("done", 7); err == nil || !strings.Contains(err.Error(), "turn 7 is over, or never was") {
+	if err := f.Sidecars[1].MaintenanceCommand("done", 7); err == nil || !strings.Contains(err.Error(), "turn 7 is over, or never was") {
 		t.Errorf("done for a turn that never was: %v", err)
 	}
 	leader := func() int {
 		for _, s := range f.Sidecars {
-			if v, ok := s.Policy(); ok && v.Leader >= 0 && f.Sidecars[v.Leader].Runs() {
+			if v, ok := s.Policy(); ok && v.Leader >= 0 && f.Sidecars[v.Leader].Running() {
 				return v.Leader
 			}
 		}
 		return 0
 	}
-	round := f.Operators(1, 300*time.Millisecond, cold)
+	round := f.StartOperators(1, 300*time.Millisecond, cold)
 	begun := time.Now()
-	testbed.Until(t, "the plan to be taken", func() bool { return f.Sidecars[1].Work(roundPlan) == nil })
+	testbed.Until(t, "the plan to be taken", func() bool { return f.Sidecars[1].ProposeMaintenance(roundPlan) == nil })
 	awaits := func(turns int) {
 		t.Helper()
 		for end := time.Now().Add(time.Minute); len(round.Windows()) < turns && !round.Ended(); time.Sleep(20 * time.Millisecond) {
 			if time.Now().After(end) {
-				t.Fatalf("waited in vain for turn %d: %s", turns, round.Shown)
+				t.Fatalf("waited in vain for turn %d: %s", turns, round.Status)
 			}
 		}
 		t.Logf("%d turns after %v", turns, time.Since(begun))
@@ -92,7 +92,7 @@
 	f.Peers.Break(fleet.Faults{}, 1)
 	for end := time.Now().Add(90 * time.Second); !round.Ended(); time.Sleep(50 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("the plan does not end: %s", round.Shown)
+			t.Fatalf("the plan does not end: %s", round.Status)
 		}
 	}
 	took := time.Since(begun)
@@ -103,7 +103,7 @@
 	for _, b := range slices.Concat(broken, found.Bounds, found.Arrived) {
 		t.Error(b)
 	}
-	t.Logf("six machines after %v; %+v, statuses other than 200: %v; %d requests at a free machine by sidecars that something had just happened to", took, tally, f.CountByStatus(), found.Astray)
+	t.Logf("six machines after %v; %+v, statuses other than 200: %v; %d requests at a free machine by sidecars that something had just happened to", took, tally, f.CountByStatus(), found.Misrouted)
 	seen := make(map[string]int)
 	for _, x := range round.Windows() {
 		seen[x.Node.ID]++
--- a/cmd/measure/fleet_peers.go
+++ b/cmd/measure/fleet_peers.go
@@ -160,7 +160,7 @@
 		crashed := time.Now()
 		f.Sidecars[victim].Crash()
 		for end := crashed.Add(20 * time.Second); time.Now().Before(end); time.Sleep(200 * time.Millisecond) {
-			if at := f.GoneAt(victim, crashed); len(at) >= need {
+			if at := f.MemberGoneAt(victim, crashed); len(at) >= need {
 				var all samples
 				for _, moment := range at {
 					all.add(moment.Sub(crashed).Seconds())
@@ -218,7 +218,7 @@
 			stop := f.Load(400)
 			time.Sleep(each)
 			stop()
-			p99[i] = quantile(f.Took(begun), 0.99)
+			p99[i] = quantile(f.Latencies(begun), 0.99)
 		}
 		ratio.add(p99[0] / p99[1])
 	}
--- a/cmd/measure/fleet_plans.go
+++ b/cmd/measure/fleet_plans.go
@@ -52,7 +52,7 @@
 		defer results.mu.Unlock()
 		played.record()
 		for _, s := range played.plan.Steps {
-			results.faults[s.What]++
+			results.faults[s.Kind]++
 		}
 		results.missed = append(results.missed, reportBroken(played.fleet, played.plan, played.broken)...)
 	})
@@ -78,7 +78,7 @@
 			sum.Add(tally)
 			lost += f.Peers.Lost.Load()
 			delayed += f.Peers.Delayed.Load()
-			doubled += f.Peers.Doubled.Load()
+			doubled += f.Peers.Duplicated.Load()
 		}}
 	})
 	if err != nil {
@@ -146,7 +146,7 @@
 		})
 		plan := fleet.Draw(seed, size, planLength)
 		plan.Steps = slices.DeleteFunc(plan.Steps, func(s fleet.Step) bool {
-			return s.What == fleet.Drain
+			return s.Kind == fleet.Drain
 		}) // for good: its machine would never come back
 		tally, broken := f.PlayWork(plan, planLoad, 2, swim.LeaseFor(size), 60*time.Millisecond,
 			300*time.Millisecond, 1500*time.Millisecond)
@@ -154,8 +154,8 @@
 			ended.add(tally.Ended.Seconds())
 			sum.Add(tally.Tally)
 			sum.Turns += tally.Turns
-			sum.Astray += tally.Astray
-			sum.Most = max(sum.Most, tally.Most)
+			sum.Misrouted += tally.Misrouted
+			sum.MaxOut = max(sum.MaxOut, tally.MaxOut)
 			if tally.Lost {
 				anew++
 			}
@@ -167,7 +167,7 @@
 	fmt.Printf("%d plans of %v with 5 to 9 processes: faults %v; %d machines were worked on, at most %d "+
 		"out or cold at once; %d requests there by processes that had just begun; the log lost %d "+
 		"times; requests %+v; the round over %v s after all was well\n",
-		results.plans, planLength, results.faults, sum.Turns, sum.Most, sum.Astray, anew, sum.Tally, ended)
+		results.plans, planLength, results.faults, sum.Turns, sum.MaxOut, sum.Misrouted, anew, sum.Tally, ended)
 	return fmt.Sprintf("seeds=%d broken=%d turns=%d astray=%d lost=%d ended_median=%.2f served=%d", results.plans,
-		len(results.missed), sum.Turns, sum.Astray, anew, ended.median(), sum.Served), results.missed, nil
+		len(results.missed), sum.Turns, sum.Misrouted, anew, ended.median(), sum.Served), results.missed, nil
 }
--- a/cmd/measure/fleet_policy.go
+++ b/cmd/measure/fleet_policy.go
@@ -136,7 +136,7 @@
 // calm makes changes while nothing is wrong, and measures what they cost in requests' time and datagrams.
 func (p *policyFleet) calm(r *policyRun, rounds int) error {
 	time.Sleep(5 * time.Second)
-	calm := p.Took(time.Now().Add(-4 * time.Second))
+	calm := p.Latencies(time.Now().Add(-4 * time.Second))
 	from := time.Now()
 	beforeBytes, beforeSent, begun := p.Peers.PassedBytes.Load(), p.Peers.Passed.Load(), time.Now()
 	for range rounds {
@@ -147,7 +147,7 @@
 	}
 	spent := time.Since(begun).Seconds()
 	bytes, sent := float64(p.Peers.PassedBytes.Load()-beforeBytes), float64(p.Peers.Passed.Load()-beforeSent)
-	during := p.Took(from)
+	during := p.Latencies(from)
 	r.p99 = quantile(during, 0.99) / quantile(calm, 0.99)
 	r.refused, r.changes = p.Refused(from), rounds
 	time.Sleep(3 * time.Second)
--- a/cmd/measure/fleet_work.go
+++ b/cmd/measure/fleet_work.go
@@ -151,10 +151,10 @@
 	r.calm, r.calmP99 = f.Served(from.Add(-8 * time.Second))
 	var round *fleet.MaintenanceRun
 	if byScript {
-		round = f.Script(realAtOnce, realTakes, realCold)
+		round = f.StartScript(realAtOnce, realTakes, realCold)
 	} else {
-		round = f.Operators(1, realTakes, realCold)
-		if err := f.Sidecars[1].Work(fmt.Sprintf("all = true\nin_time = 0.5\n[out]\nfleet = \"%d\"\n",
+		round = f.StartOperators(1, realTakes, realCold)
+		if err := f.Sidecars[1].ProposeMaintenance(fmt.Sprintf("all = true\nin_time = 0.5\n[out]\nfleet = \"%d\"\n",
 			realAtOnce)); err != nil {
 			return r, err
 		}
@@ -166,7 +166,7 @@
 	round.End()
 	r.served, r.p99 = f.Served(from)
 	found := round.Check(realAtOnce, realDelay, swim.LeaseFor(size))
-	r.wrong, r.most = len(found.Arrived), found.Most
+	r.wrong, r.most = len(found.Arrived), found.MaxOut
 	if byScript {
 		return r, nil
 	}
@@ -191,7 +191,7 @@
 			down = down[:0]
 		}
 		if time.Since(begun) > 10*time.Minute {
-			return fmt.Errorf("the round does not end: %s", round.Shown)
+			return fmt.Errorf("the round does not end: %s", round.Status)
 		}
 	}
 	return nil
--- a/internal/lab/testbed/fleet/answers.go
+++ b/internal/lab/testbed/fleet/answers.go
@@ -13,16 +13,16 @@
 	"caperarch/internal/lab/testbed"
 )
 
-// answer is one request of a client and how it ended.
+// answer is a client's record of a request and its response.
 type answer struct {
-	id, class string
-	sidecar   int
-	sent, at  time.Time
-	status    int // 0: none
-	body      string
+	id, class   string
+	sidecar     int
+	sent, ended time.Time
+	status      int // 0 if there was no response
+	body        string
 }
 
-// answers is the clients' own book.
+// answers holds the records of all clients.
 type answers struct {
 	mu   sync.Mutex
 	list []answer
@@ -30,24 +30,24 @@
 
 func newAnswers() *answers { return new(answers) }
 
-func (a *answers) add(x answer) {
+func (a *answers) add(result answer) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.list = append(a.list, x)
+	a.list = append(a.list, result)
 }
 
-// all returns what ended so far.
+// all returns the records of the requests that have ended.
 func (a *answers) all() []answer {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return slices.Clone(a.list)
 }
 
-// Timeout is what each request has.
+// Timeout is the time-out of every request.
 const Timeout = time.Second
 
-// Load sends so many requests a second over all sidecars that run, of all three classes in turn,
-// until stop is called. It returns once all have ended.
+// Load sends the given number of requests per second, distributed over the running sidecars and the three request
+// classes, until stop is called. The function stop returns when all requests have ended.
 func (f *Fleet) Load(perSecond int) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 32, IdleConnTimeout: time.Second}}
@@ -63,7 +63,7 @@
 			case <-ctx.Done():
 				return
 			}
-			if s := f.Sidecars[n%len(f.Sidecars)]; s.Runs() {
+			if s := f.Sidecars[n%len(f.Sidecars)]; s.Running() {
 				out.Go(func() { f.request(client, s, n) })
 			}
 		}
@@ -77,102 +77,106 @@
 }
 
 func (f *Fleet) request(client *http.Client, s *Sidecar, n int) {
-	x := answer{id: fmt.Sprintf("%d-%d", f.second, n),
+	result := answer{id: fmt.Sprintf("%d-%d", f.network, n),
 		class: []string{"reading", "entry", "look"}[n/len(f.Sidecars)%3], sidecar: s.Number, sent: time.Now()}
 	method, body := http.MethodPost, "1"
-	if x.class == "look" {
+	if result.class == "look" {
 		method, body = http.MethodGet, ""
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), testbed.MaxWait)
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, method, "http://"+s.Listen+"/"+x.class, strings.NewReader(body))
+	req, err := http.NewRequestWithContext(ctx, method, "http://"+s.Listen+"/"+result.class, strings.NewReader(body))
 	if err != nil {
 		f.t.Fatalf("fleet: %v", err)
 	}
-	req.Header.Set("X-Request-ID", x.id)
-	req.Header.Set("X-Priority-Class", x.class)
+	req.Header.Set("X-Request-ID", result.id)
+	req.Header.Set("X-Priority-Class", result.class)
 	req.Header.Set("X-Tenant-Id", []string{"north", "south"}[n%2])
 	req.Header.Set("X-Timeout", fmt.Sprintf("%dm", Timeout.Milliseconds()))
-	if x.class == "reading" {
-		req.Header.Set("Idempotency-Key", x.id)
+	if result.class == "reading" {
+		req.Header.Set("Idempotency-Key", result.id)
 	}
 	if res, err := client.Do(req); err == nil {
 		text, err := io.ReadAll(res.Body)
 		res.Body.Close()
 		if err == nil {
-			x.status, x.body = res.StatusCode, string(text)
+			result.status, result.body = res.StatusCode, string(text)
 		}
 	}
-	x.at = time.Now()
-	f.Answers.add(x)
+	result.ended = time.Now()
+	f.Answers.add(result)
 }
 
-// Took is how long each request that was answered took, of those sent since a moment.
-func (f *Fleet) Took(since time.Time) (took []time.Duration) {
-	for _, x := range f.Answers.all() {
-		if x.status != 0 && x.sent.After(since) {
-			took = append(took, x.at.Sub(x.sent))
+// Latencies returns the latency of each request that was sent after a moment and answered.
+func (f *Fleet) Latencies(since time.Time) (took []time.Duration) {
+	for _, result := range f.Answers.all() {
+		if result.status != 0 && result.sent.After(since) {
+			took = append(took, result.ended.Sub(result.sent))
 		}
 	}
 	return took
 }
 
-// Tally is how the clients' requests ended, those of steady machines.
+// Tally counts the outcomes of the clients' requests to stable machines, and the requests to unstable machines.
 type Tally struct{ Served, Refused, Failed, Unstable int }
 
-// Add adds another run's.
+// Add adds the counts of another run.
 func (t *Tally) Add(o Tally) {
 	t.Served, t.Refused, t.Failed, t.Unstable = t.Served+o.Served, t.Refused+o.Refused, t.Failed+o.Failed,
 		t.Unstable+o.Unstable
 }
 
 const (
-	slack          = 500 * time.Millisecond // an answer may be so late on a busy machine
+	responseSlack  = 500 * time.Millisecond // a response may be this late on a busy machine
 	drainGrace     = 2 * time.Second
-	notifiedLatest = 6 * time.Second // by the protocol, what can't be told counts as told so much later
-	keyWindow      = 600 * time.Millisecond
+	maxNotifyDelay = 6 * time.Second // by the protocol, an undelivered change counts as delivered after this time
+	dedupWindow    = 600 * time.Millisecond
 )
 
-// Check looks whether the four rules were kept, by the clients' book and the upstreams' alone. It
-// is called when no load is under way.
-func (f *Fleet) Check() (tally Tally, broken []string) {
-	say := func(format string, args ...any) { broken = append(broken, fmt.Sprintf(format, args...)) }
+// Check checks the four rules for operators, using only the records of clients and upstreams. It must be called when no
+// load is running.
+func (f *Fleet) Check() (tally Tally, violations []string) {
+	report := func(format string, args ...any) { violations = append(violations, fmt.Sprintf(format, args...)) }
 	arrived := make(map[string][]testbed.Arrival)
 	for _, a := range f.ArrivalLog.All() {
 		arrived[a.ID] = append(arrived[a.ID], a)
 	}
-	for _, x := range f.Answers.all() {
-		of := arrived[x.id]
-		refused := x.status == http.StatusTooManyRequests || x.status == http.StatusServiceUnavailable
-		// Rule 2 holds for all, whatever became of the machine.
-		switch runs := testbed.Runs(of); {
-		case x.class == "entry" && runs > 1:
-			say("%s of sidecar %d ran %d times", x.id, x.sidecar, runs)
-		case x.class == "entry" && refused && runs > 0:
-			say("%s of sidecar %d ran and was refused", x.id, x.sidecar)
-		case x.class == "reading" && testbed.Effects(of, keyWindow) > 1:
-			say("%s of sidecar %d had %d effects", x.id, x.sidecar, testbed.Effects(of, keyWindow))
+	for _, result := range f.Answers.all() {
+		arrivals := arrived[result.id]
+		refused := result.status == http.StatusTooManyRequests || result.status == http.StatusServiceUnavailable
+		// Rule 2 holds for every machine, stable or not.
+		switch runs := testbed.Runs(arrivals); {
+		case result.class == "entry" && runs > 1:
+			report("unsafe request %s of sidecar %d ran %d times", result.id, result.sidecar, runs)
+		case result.class == "entry" && refused && runs > 0:
+			report("unsafe request %s of sidecar %d ran and was refused", result.id, result.sidecar)
+		case result.class == "reading" && testbed.Effects(arrivals, dedupWindow) > 1:
+			report("request %s of sidecar %d had %d effects, want at most 1", result.id, result.sidecar,
+				testbed.Effects(arrivals, dedupWindow))
 		}
-		for _, a := range of {
-			if a.At.After(x.at.Add(slack)) && x.status != 0 {
-				say("%s of sidecar %d arrived %v behind its answer", x.id, x.sidecar, a.At.Sub(x.at))
+		for _, a := range arrivals {
+			if a.At.After(result.ended.Add(responseSlack)) && result.status != 0 {
+				report("request %s of sidecar %d arrived at an upstream %v after its response",
+					result.id, result.sidecar, a.At.Sub(result.ended))
 			}
 		}
-		// Rule 1, for clients that could count on their machine.
-		if !f.Sidecars[x.sidecar].stableThrough(x.sent.Add(-time.Second), x.at) {
+		// Rule 1 holds for clients of stable machines.
+		if !f.Sidecars[result.sidecar].stableThrough(result.sent.Add(-time.Second), result.ended) {
 			tally.Unstable++
 			continue
 		}
 		switch {
-		case x.status == 0:
-			say("%s of sidecar %d, sent at %s, has no answer", x.id, x.sidecar, x.sent.Format("05.000"))
-		case x.at.Sub(x.sent) > Timeout+slack:
-			say("%s of sidecar %d was answered after %v", x.id, x.sidecar, x.at.Sub(x.sent))
-		case x.status == http.StatusOK && x.body != "done "+x.id:
-			say("%s of sidecar %d got %q", x.id, x.sidecar, x.body)
+		case result.status == 0:
+			report("request %s of sidecar %d, sent at %s, has no response",
+				result.id, result.sidecar, result.sent.Format("05.000"))
+		case result.ended.Sub(result.sent) > Timeout+responseSlack:
+			report("request %s of sidecar %d was answered after %v, later than its time-out and slack",
+				result.id, result.sidecar, result.ended.Sub(result.sent))
+		case result.status == http.StatusOK && result.body != "done "+result.id:
+			report("request %s of sidecar %d got the unexpected body %q", result.id, result.sidecar, result.body)
 		}
 		switch {
-		case x.status == http.StatusOK:
+		case result.status == http.StatusOK:
 			tally.Served++
 		case refused:
 			tally.Refused++
@@ -180,14 +184,14 @@
 			tally.Failed++
 		}
 	}
-	return tally, append(broken, f.drains(arrived)...)
+	return tally, append(violations, f.drains(arrived)...)
 }
 
-// drains looks for what went to nodes that drain, told long enough before.
-func (f *Fleet) drains(arrived map[string][]testbed.Arrival) (broken []string) {
+// drains checks that no request is sent to a draining node later than allowed after the drain was announced.
+func (f *Fleet) drains(arrived map[string][]testbed.Arrival) (violations []string) {
 	from := make(map[string]int)
-	for _, x := range f.Answers.all() {
-		from[x.id] = x.sidecar
+	for _, result := range f.Answers.all() {
+		from[result.id] = result.sidecar
 	}
 	for _, n := range f.Nodes {
 		notified := f.Discovery.NotifiedAt(n)
@@ -197,19 +201,20 @@
 		for id, all := range arrived {
 			for _, a := range all {
 				i, known := from[id]
-				// One that was stopped or began anew meanwhile hears of it when it goes on; that is tested elsewhere.
+				// A sidecar that was paused or restarted meanwhile learns of the drain when it resumes; other tests
+				// cover that.
 				grace := drainGrace
 				if known && !f.Sidecars[i].reachableThrough(notified, a.At) {
-					grace += notifiedLatest
+					grace += maxNotifyDelay
 				}
 				if a.Node == n.ID && known && a.At.After(notified.Add(grace)) &&
 					f.Sidecars[i].stableThrough(notified, a.At) {
-					broken = append(broken,
-						fmt.Sprintf("%s of sidecar %d went to the draining %s %v after that was announced", id,
-							i, n.ID, a.At.Sub(notified)))
+					violations = append(violations,
+						fmt.Sprintf("request %s of sidecar %d was sent to %s %v after its drain was announced",
+							id, i, n.ID, a.At.Sub(notified)))
 				}
 			}
 		}
 	}
-	return broken
+	return violations
 }
--- a/internal/lab/testbed/fleet/fleet.go
+++ b/internal/lab/testbed/fleet/fleet.go
@@ -1,6 +1,5 @@
-// Package fleet starts many real processes of the program, each on a loopback address of its own,
-// and breaks what is between them: every datagram and every connection of theirs goes through
-// relays that this rig owns.
+// Package fleet starts many real processes of the program, each on its own loopback address. All datagrams and
+// connections between the processes go through relays of this package, which inject faults.
 package fleet
 
 import (
@@ -13,22 +12,23 @@
 	"caperarch/internal/lab/testbed"
 )
 
-// Config is what a fleet is made of.
+// Config configures a fleet.
 type Config struct {
 	Size    int
-	Nodes   int              // upstreams, in cells of two
-	Lease   string           // "": as the program has it
-	Command func() *exec.Cmd // starts the program's daemon with -fleet FILE as its last words; the environment is added
+	Nodes   int              // number of upstream nodes; each cell has two
+	Lease   string           // "" for the default of the program
+	Command func() *exec.Cmd // command of the daemon; "-fleet FILE" and the environment are added
 	Edit    func(file, settings map[string]any)
-	Begin   func(f *Fleet) // called once its nodes are there, before any process; nil: nothing
-	CutOff  string         // text of the policy of who is cut off; "": the fleet agrees on no policy
-	State   bool           // machines have folders that outlive their processes
-	Plain   bool           // no fleet file: for comparisons
-	// no relays between sidecars and upstreams or discovery: hundreds would need too many descriptors
+	Begin   func(f *Fleet) // called when the nodes are running, before any process starts; may be nil
+	CutOff  string         // policy text for sidecars that are cut off; "" for a fleet without a replicated policy
+	State   bool           // machines have state directories that outlive their processes
+	Plain   bool           // the processes run without a fleet file, for comparisons
+	// Direct omits the relays between sidecars and upstreams or discovery; hundreds of sidecars would need too many
+	// file descriptors for them.
 	Direct bool
 }
 
-// Fleet is the processes, their world and what was seen of both.
+// Fleet is the processes, the servers around them, and the records of clients and upstreams.
 type Fleet struct {
 	Config
 	Sidecars   []*Sidecar
@@ -38,10 +38,10 @@
 	Peers      *udpRelays
 	Answers    *answers
 
-	t      testbed.TB
-	dir    string
-	second byte
-	tcp    tcpRelays
+	t       testbed.TB
+	dir     string
+	network byte
+	tcp     tcpRelays
 }
 
 const (
@@ -51,8 +51,8 @@
 	relayPort   = 7947
 )
 
-// reserveNetwork takes a part of the loopback network that no other fleet on this machine has, for
-// as long as the test lasts.
+// reserveNetwork reserves a network 127.x.0.0/16 that no other fleet on this machine uses, until the end of the test.
+// It returns x.
 func reserveNetwork(t testbed.TB) byte {
 	for second := 64; second < 127; second++ {
 		if reservation, err := net.Listen("tcp", fmt.Sprintf("127.%d.255.254:%d", second, relayPort)); err == nil {
@@ -60,22 +60,22 @@
 			return byte(second)
 		}
 	}
-	t.Fatalf("fleet: no addresses are free")
+	t.Fatalf("fleet: no free network 127.x.0.0/16 on this machine")
 	return 0
 }
 
 func (f *Fleet) fleetFile(i int) string { return filepath.Join(f.dir, fmt.Sprintf("fleet-%d.toml", i)) }
 
-// Kept is a machine's folder that outlives its processes.
-func (f *Fleet) Kept(i int) string { return filepath.Join(f.dir, fmt.Sprintf("kept-%d", i)) }
+// StateDir returns the state directory of a machine, which outlives its processes.
+func (f *Fleet) StateDir(i int) string { return filepath.Join(f.dir, fmt.Sprintf("kept-%d", i)) }
 
-// ip is a machine's own address: 127, a part of this process's own, its number.
-func (f *Fleet) ip(i int) string { return fmt.Sprintf("127.%d.%d.%d", f.second, i/200, 1+i%200) }
+// ip returns the address of a machine in the reserved network.
+func (f *Fleet) ip(i int) string { return fmt.Sprintf("127.%d.%d.%d", f.network, i/200, 1+i%200) }
 
-// New starts a fleet whose processes all serve.
+// New starts a fleet and waits until all processes serve.
 func New(t testbed.TB, cfg Config) *Fleet {
 	t.Helper()
-	f := &Fleet{Config: cfg, t: t, ArrivalLog: new(testbed.ArrivalLog), second: reserveNetwork(t),
+	f := &Fleet{Config: cfg, t: t, ArrivalLog: new(testbed.ArrivalLog), network: reserveNetwork(t),
 		Answers: newAnswers()}
 	var err error
 	if f.dir, err = os.MkdirTemp("", "fleet"); err != nil {
@@ -97,7 +97,8 @@
 	}
 	f.Peers = newUDPRelays(t, f.ip, cfg.Size)
 	f.tcp.cut = make(map[int]bool)
-	// Processes of a fleet that is just being ended may still send to addresses that are this one's now.
+	// Processes of an earlier fleet that is being stopped may still send to these addresses; the name tells the fleets
+	// apart.
 	file := fmt.Sprintf("name = %q\n", filepath.Base(f.dir))
 	if cfg.Lease != "" {
 		file += fmt.Sprintf("lease = %q\n", cfg.Lease)
@@ -111,39 +112,40 @@
 	for i := range cfg.Size {
 		own := file
 		if cfg.State {
-			if err := os.Mkdir(f.Kept(i), 0o700); err != nil {
+			if err := os.Mkdir(f.StateDir(i), 0o700); err != nil {
 				t.Fatalf("fleet: %v", err)
 			}
-			own += fmt.Sprintf("state = %q\n", f.Kept(i))
+			own += fmt.Sprintf("state = %q\n", f.StateDir(i))
 		}
 		if err := os.WriteFile(f.fleetFile(i), []byte(own), 0o600); err != nil {
 			t.Fatalf("fleet: %v", err)
 		}
 	}
 	for i := range cfg.Size {
-		f.Sidecars = append(f.Sidecars, f.machine(i, peers))
+		f.Sidecars = append(f.Sidecars, f.newSidecar(i, peers))
 	}
 	for _, s := range f.Sidecars {
 		s.Start()
 	}
 	for _, s := range f.Sidecars {
-		s.await()
+		s.waitUntilServing()
 	}
 	return f
 }
 
-// machine writes a sidecar's configuration; its upstreams and discovery have addresses of its own.
-func (f *Fleet) machine(i int, peers []string) *Sidecar {
+// newSidecar writes the configuration of a sidecar. Unless Direct is set, the sidecar reaches upstreams and discovery
+// at relay addresses of its own.
+func (f *Fleet) newSidecar(i int, peers []string) *Sidecar {
 	s := &Sidecar{Number: i, f: f, Listen: fmt.Sprintf("%s:%d", f.ip(i), clientPort),
 		config: filepath.Join(f.dir, fmt.Sprintf("%d.json", i))}
 	discovery, known := f.Discovery.Address, testbed.Known(f.Nodes...)
 	if !f.Direct {
-		swap := make(map[string]string)
+		addresses := make(map[string]string)
 		for _, n := range f.Nodes {
-			swap[n.Address] = f.tcp.relay(f.t, i, n.Address, nil)
+			addresses[n.Address] = f.tcp.relay(f.t, i, n.Address, nil)
 		}
-		discovery = f.tcp.relay(f.t, i, f.Discovery.Address, swap)
-		known = replaced(known, swap)
+		discovery = f.tcp.relay(f.t, i, f.Discovery.Address, addresses)
+		known = replaceAddresses(known, addresses)
 	}
 	text := testbed.ConfigText(f.t, known, func(file, settings map[string]any) {
 		file["name"], file["listen"], file["control"], file["discovery"] = fmt.Sprintf("n%d", i), s.Listen,
@@ -170,7 +172,7 @@
 	s.log = log
 	f.t.Cleanup(func() {
 		s.mu.Lock()
-		s.over = true
+		s.fleetEnded = true
 		s.mu.Unlock()
 		s.Crash()
 		log.Close()
--- a/internal/lab/testbed/fleet/maintenance.go
+++ b/internal/lab/testbed/fleet/maintenance.go
@@ -13,32 +13,32 @@
 	"caperarch/internal/lab/testbed"
 )
 
-// Window is one machine's time with an operator: from when somebody was told that it is free to work
-// on, until that one says that the work is done.
+// Window is the time in which an operator works on a machine: from the moment when the operator saw that the machine
+// was released until the work was done.
 type Window struct {
 	Number   int
 	Node     *testbed.Node
-	From, To time.Time // To is zero while it lasts
-	Warm     time.Time // when it is warm again, by the settings; zero: it was not restarted
+	From, To time.Time // To is zero during the work
+	Warm     time.Time // end of the warm-up by the settings; zero if the machine was not restarted
 }
 
-// MaintenanceRun is operators who work on whatever machine is free, whoever of the sidecars tells them so.
-// They don't know of each other.
+// MaintenanceRun simulates operators who work on each machine that some sidecar reports as released. The operators
+// don't know of each other.
 type MaintenanceRun struct {
-	f     *Fleet
-	Cold  time.Duration // a restarted machine is warm so long after
-	Takes time.Duration // somebody works on one
+	f          *Fleet
+	WarmupTime time.Duration // from the restart of a machine until it is warm
+	WorkTime   time.Duration // time for the work on a machine
 
 	mu      sync.Mutex
 	windows map[int]*Window
 	ended   bool
-	Shown   string // last
-	quit    chan struct{}
+	Status  string // the last status that a sidecar reported
+	stop    chan struct{}
 	done    chan struct{}
 }
 
-// Work has the fleet go by a plan, by way of one process.
-func (s *Sidecar) Work(plan string) error {
+// ProposeMaintenance proposes a maintenance plan to the fleet through one process.
+func (s *Sidecar) ProposeMaintenance(plan string) error {
 	raw := []byte(plan)
 	if err := s.upload(raw); err != nil {
 		return err
@@ -46,11 +46,11 @@
 	return s.operate("work-plan " + policyrollout.Hash(raw))
 }
 
-// WorkShow is what a process says of plans and turns.
-func (s *Sidecar) WorkShow() (string, error) { return s.ask("work-show") }
+// MaintenanceStatus returns a process's report of plans and windows.
+func (s *Sidecar) MaintenanceStatus() (string, error) { return s.callControl("work-show") }
 
-// WorkDo says a word on a turn or a plan: done, pause, resume, cancel.
-func (s *Sidecar) WorkDo(word string, number int) error {
+// MaintenanceCommand sends an operator's command about a window or a plan: done, pause, resume or cancel.
+func (s *Sidecar) MaintenanceCommand(word string, number int) error {
 	return s.operate(fmt.Sprintf("work-%s %d", word, number))
 }
 
@@ -59,14 +59,14 @@
 	pausedPlan = regexp.MustCompile(`(?m)^plan (\d+) of sidecar .*: paused: `)
 )
 
-func (f *Fleet) round(takes, cold time.Duration) *MaintenanceRun {
-	return &MaintenanceRun{f: f, Cold: cold, Takes: takes, windows: make(map[int]*Window), quit: make(chan struct{}),
-		done: make(chan struct{})}
+func (f *Fleet) newMaintenanceRun(takes, cold time.Duration) *MaintenanceRun {
+	return &MaintenanceRun{f: f, WarmupTime: cold, WorkTime: takes, windows: make(map[int]*Window),
+		stop: make(chan struct{}), done: make(chan struct{})}
 }
 
-// Operators begin to work on what is free. Every other machine is restarted for it.
-func (f *Fleet) Operators(seed uint64, takes, cold time.Duration) *MaintenanceRun {
-	r := f.round(takes, cold)
+// StartOperators starts operators who work on released machines. They restart every other machine.
+func (f *Fleet) StartOperators(seed uint64, takes, cold time.Duration) *MaintenanceRun {
+	r := f.newMaintenanceRun(takes, cold)
 	go func() {
 		defer close(r.done)
 		rng := rand.New(rand.NewPCG(seed, 7))
@@ -74,18 +74,18 @@
 		defer at.Wait()
 		for {
 			select {
-			case <-r.quit:
+			case <-r.stop:
 				return
 			case <-time.After(100 * time.Millisecond):
 			}
 			s := f.Sidecars[rng.IntN(len(f.Sidecars))]
-			text, err := s.WorkShow()
-			if err != nil || !s.Runs() {
+			text, err := s.MaintenanceStatus()
+			if err != nil || !s.Running() {
 				continue
 			}
 			r.mu.Lock()
-			r.Shown = text
-			// A process that has just come knows nothing yet, and says the same.
+			r.Status = text
+			// A process that has just started has no plan either, so a finished plan has to be listed as well.
 			r.ended = strings.Contains(text, ": finished,") && strings.Contains(text, "no plan is under way")
 			r.mu.Unlock()
 			for _, m := range freeTurn.FindAllStringSubmatch(text, -1) {
@@ -96,14 +96,14 @@
 			}
 			for _, m := range pausedPlan.FindAllStringSubmatch(text, -1) {
 				plan, _ := strconv.Atoi(m[1])
-				_ = s.WorkDo("resume", plan)
+				_ = s.MaintenanceCommand("resume", plan)
 			}
 		}
 	}()
 	return r
 }
 
-// begin takes that somebody begins; nil: another has.
+// begin records that an operator begins to work in a window. It returns nil if another operator already has.
 func (r *MaintenanceRun) begin(turn int, name string) *Window {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -119,32 +119,32 @@
 	return nil
 }
 
-// work works on a machine, and says that it is done until somebody has taken that.
+// work works on a machine and then reports the end of the work until a process has accepted the report.
 func (r *MaintenanceRun) work(x *Window, rng *rand.Rand) {
-	r.handle(x)
+	r.performWork(x)
 	for {
 		s := r.f.Sidecars[rng.IntN(len(r.f.Sidecars))]
-		if err := s.WorkDo("done", x.Number); s.Runs() &&
+		if err := s.MaintenanceCommand("done", x.Number); s.Running() &&
 			(err == nil || strings.Contains(err.Error(), fmt.Sprintf("turn %d is", x.Number))) {
-			// Taken on, or in the log already. A leader that dies takes what it was told with it:
-			// so somebody looks again.
+			// The report was accepted now or before. A leader that crashes can lose an accepted report, so the operator
+			// checks again.
 			time.Sleep(2 * time.Second)
-			if text, err := s.WorkShow(); err == nil &&
+			if text, err := s.MaintenanceStatus(); err == nil &&
 				!strings.Contains(text, fmt.Sprintf("turn %d of plan 1: %s: out, free", x.Number, x.Node.ID)) {
 				return
 			}
 		}
 		select {
-		case <-r.quit:
+		case <-r.stop:
 			return
 		case <-time.After(200 * time.Millisecond):
 		}
 	}
 }
 
-// handle is the work itself.
-func (r *MaintenanceRun) handle(x *Window) {
-	time.Sleep(r.Takes)
+// performWork works on a machine, and restarts it if its window number is even.
+func (r *MaintenanceRun) performWork(x *Window) {
+	time.Sleep(r.WorkTime)
 	restart := x.Number%2 == 0
 	if restart {
 		x.Node.Vanish()
@@ -153,7 +153,7 @@
 	r.mu.Lock()
 	x.To = time.Now()
 	if restart {
-		x.Warm = x.To.Add(r.Cold)
+		x.Warm = x.To.Add(r.WarmupTime)
 	}
 	r.mu.Unlock()
 	if restart {
@@ -162,20 +162,20 @@
 	}
 }
 
-// Ended says whether the plan is finished, as a process has said.
+// Ended reports whether a process has reported that the plan is finished.
 func (r *MaintenanceRun) Ended() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.ended
 }
 
-// End sends the operators home.
+// End stops the operators.
 func (r *MaintenanceRun) End() {
-	close(r.quit)
+	close(r.stop)
 	<-r.done
 }
 
-// Windows are all so far.
+// Windows returns all windows so far.
 func (r *MaintenanceRun) Windows() (all []Window) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -185,29 +185,29 @@
 	return all
 }
 
-// Script is what operators do without a plan: in the list's order, so many at a time, each machine
-// is cordoned at each sidecar that answers, one after the other; what is out there is given its
-// time; then somebody works on it, has it used again at each, and waits until it is warm.
-func (f *Fleet) Script(atOnce int, takes, cold time.Duration) *MaintenanceRun {
-	r := f.round(takes, cold)
+// StartScript starts operators who work without a plan. They take the machines in order, atOnce at a time: they cordon
+// each machine at each running sidecar, one after the other, wait until its requests have ended, work on it, uncordon
+// it at each sidecar and wait until it is warm.
+func (f *Fleet) StartScript(atOnce int, takes, cold time.Duration) *MaintenanceRun {
+	r := f.newMaintenanceRun(takes, cold)
 	go func() {
 		defer close(r.done)
 		for i := 0; i < len(f.Nodes); i += atOnce {
 			var at sync.WaitGroup
 			for k, n := range f.Nodes[i:min(i+atOnce, len(f.Nodes))] {
-				f.everywhere("cordon " + n.ID)
+				f.callAll("cordon " + n.ID)
 				at.Go(func() {
 					time.Sleep(Timeout)
 					x := r.begin(i+k+1, n.ID)
-					r.handle(x)
+					r.performWork(x)
 				})
 			}
 			at.Wait()
 			for _, n := range f.Nodes[i:min(i+atOnce, len(f.Nodes))] {
-				f.everywhere("uncordon " + n.ID)
+				f.callAll("uncordon " + n.ID)
 			}
 			select {
-			case <-r.quit:
+			case <-r.stop:
 				return
 			case <-time.After(cold):
 			}
@@ -219,10 +219,10 @@
 	return r
 }
 
-// everywhere makes a call at each sidecar that runs.
-func (f *Fleet) everywhere(call string) {
+// callAll sends a control command to each running sidecar.
+func (f *Fleet) callAll(call string) {
 	for _, s := range f.Sidecars {
-		if s.Runs() {
+		if s.Running() {
 			_ = s.operate(call)
 		}
 	}
--- a/internal/lab/testbed/fleet/plan.go
+++ b/internal/lab/testbed/fleet/plan.go
@@ -13,10 +13,10 @@
 	"caperarch/internal/lab/testbed"
 )
 
-// Plan is what goes wrong in a run of a fleet, drawn from a seed.
+// Plan is a schedule of faults for a run of a fleet, drawn from a seed.
 type Plan struct {
 	Seed   uint64
-	Faults Faults // between sidecars, all along
+	Faults Faults // network faults between sidecars, during the whole run
 	Steps  []Step
 	Length time.Duration
 }
@@ -24,35 +24,35 @@
 // Step is one fault.
 type Step struct {
 	At, For time.Duration
-	What    string
-	Who     []int
+	Kind    string
+	Members []int
 }
 
-// What can go wrong. A zone that is cut off reaches neither the other sidecars nor upstreams and discovery.
+// The kinds of faults. A zone that is cut off reaches neither the other sidecars nor upstreams and discovery.
 const (
-	Crash  = "crash" // and back from nothing behind For
+	Crash  = "crash" // the processes crash and restart without memory after For
 	Stall  = "stall"
 	Split  = "split"
 	OneWay = "one-way"
 	Zone   = "zone"
 	Hold   = "hold"
-	Drain  = "drain" // of the last upstream, for the rest of the run
-	Flap   = "flap"  // one crashes and comes back every second
+	Drain  = "drain" // the last upstream drains, for the rest of the run
+	Flap   = "flap"  // the process crashes and restarts every second
 )
 
-var whats = []string{Crash, Crash, Stall, Stall, Split, Split, OneWay, Zone, Hold, Drain, Flap}
+var faultKinds = []string{Crash, Crash, Stall, Stall, Split, Split, OneWay, Zone, Hold, Drain, Flap}
 
-// String returns the plan with its steps, so that a failed run can be read.
+// String describes the plan and its steps, for the message of a failed test.
 func (p *Plan) String() string {
-	all := []string{fmt.Sprintf("seed %d, loss %.2f, twice %.2f, delay up to %v", p.Seed, p.Faults.Loss,
+	all := []string{fmt.Sprintf("seed %d, loss %.2f, duplicates %.2f, delay up to %v", p.Seed, p.Faults.Loss,
 		p.Faults.Duplicate, p.Faults.Delay)}
 	for _, s := range p.Steps {
-		all = append(all, fmt.Sprintf("%.1fs %s %v for %.1fs", s.At.Seconds(), s.What, s.Who, s.For.Seconds()))
+		all = append(all, fmt.Sprintf("%.1fs %s %v for %.1fs", s.At.Seconds(), s.Kind, s.Members, s.For.Seconds()))
 	}
 	return strings.Join(all, "; ")
 }
 
-// Draw draws a plan for a fleet of some size.
+// Draw returns a random plan for a fleet of the given size.
 func Draw(seed uint64, size int, length time.Duration) *Plan {
 	rng := rand.New(rand.NewPCG(seed, 4))
 	p := &Plan{Seed: seed, Length: length}
@@ -61,16 +61,16 @@
 			Delay: time.Duration(rng.Int64N(int64(200 * time.Millisecond)))}
 	}
 	for range 1 + rng.IntN(4) {
-		s := Step{At: time.Duration(rng.Int64N(int64(length * 3 / 4))), What: whats[rng.IntN(len(whats))]}
+		s := Step{At: time.Duration(rng.Int64N(int64(length * 3 / 4))), Kind: faultKinds[rng.IntN(len(faultKinds))]}
 		s.For = min(length-s.At, time.Second+time.Duration(rng.Int64N(int64(length/2))))
-		s.Who = rng.Perm(size)[:1+rng.IntN(size)]
-		switch s.What {
+		s.Members = rng.Perm(size)[:1+rng.IntN(size)]
+		switch s.Kind {
 		case Hold:
-			s.For, s.Who = min(s.For, 3*time.Second), nil
+			s.For, s.Members = min(s.For, 3*time.Second), nil
 		case Drain:
-			s.Who = nil
+			s.Members = nil
 		case Flap:
-			s.Who = s.Who[:1]
+			s.Members = s.Members[:1]
 		}
 		p.Steps = append(p.Steps, s)
 	}
@@ -78,15 +78,14 @@
 	return p
 }
 
-// Play has the fleet live through a plan, under load, and returns what was broken: by the views of
-// all processes against one another while it lasts, by their logs, and by the books of clients and
-// upstreams behind it.
-func (f *Fleet) Play(p *Plan, perSecond int) (tally Tally, healed time.Duration, broken []string) {
+// Play runs a fault plan under load and returns the violations. It compares the views of all processes during the run,
+// and checks their logs and the records of clients and upstreams afterwards.
+func (f *Fleet) Play(p *Plan, perSecond int) (tally Tally, healed time.Duration, violations []string) {
 	return f.play(p, perSecond, func() {})
 }
 
-// play is Play; ended is called once no more goes wrong, and before the load ends.
-func (f *Fleet) play(p *Plan, perSecond int, ended func()) (tally Tally, healed time.Duration, broken []string) {
+// play is Play with a function ended, which it calls after the last fault and before the load ends.
+func (f *Fleet) play(p *Plan, perSecond int, ended func()) (tally Tally, healed time.Duration, violations []string) {
 	stop := f.Load(perSecond)
 	var mu sync.Mutex
 	cuts := make(map[int]func(from, to int) bool)
@@ -102,9 +101,9 @@
 		return false
 	}
 	f.Peers.Break(faults, p.Seed)
-	watched := make(chan []string)
+	watchResult := make(chan []string)
 	quit := make(chan struct{})
-	go func() { watched <- f.watch(quit) }()
+	go func() { watchResult <- f.watchSessions(quit) }()
 	var steps sync.WaitGroup
 	for number, s := range p.Steps {
 		steps.Go(func() {
@@ -120,9 +119,9 @@
 	}
 	steps.Wait()
 	close(quit)
-	broken = <-watched
+	violations = <-watchResult
 	f.Peers.Break(Faults{}, p.Seed)
-	for _, s := range f.Sidecars { // two steps may have crossed
+	for _, s := range f.Sidecars { // steps may have overlapped, so end every fault
 		s.Continue()
 		s.Start()
 		s.Heal()
@@ -130,22 +129,22 @@
 	ended()
 	healed, why := f.WaitForAgreement(testbed.MaxWait)
 	if why != "" {
-		broken = append(broken, fmt.Sprintf("%v after all is well: %s", healed, why))
+		violations = append(violations, fmt.Sprintf("views not converged %v after the last fault: %s", healed, why))
 	}
 	stop()
 	tally, rules := f.Check()
-	return tally, healed, append(append(broken, f.accusers()...), rules...)
+	return tally, healed, append(append(violations, f.checkAccusations()...), rules...)
 }
 
-// step carries out one fault, from its beginning to its end.
+// step executes one fault from beginning to end.
 func (f *Fleet) step(s Step, cut func(func(from, to int) bool)) {
-	in := func(i int) bool { return slices.Contains(s.Who, i) }
+	isMember := func(i int) bool { return slices.Contains(s.Members, i) }
 	each := func(do func(*Sidecar)) {
-		for _, i := range s.Who {
+		for _, i := range s.Members {
 			do(f.Sidecars[i])
 		}
 	}
-	switch s.What {
+	switch s.Kind {
 	case Crash:
 		each((*Sidecar).Crash)
 		time.Sleep(s.For)
@@ -162,16 +161,16 @@
 		time.Sleep(s.For)
 		each((*Sidecar).Continue)
 	case Split, Zone, OneWay:
-		if s.What == OneWay {
-			cut(func(from, _ int) bool { return in(from) })
+		if s.Kind == OneWay {
+			cut(func(from, _ int) bool { return isMember(from) })
 		} else {
-			cut(func(from, to int) bool { return in(from) != in(to) })
+			cut(func(from, to int) bool { return isMember(from) != isMember(to) })
 		}
-		if s.What == Zone {
+		if s.Kind == Zone {
 			each((*Sidecar).Partition)
 		}
 		time.Sleep(s.For)
-		if s.What == Zone {
+		if s.Kind == Zone {
 			each((*Sidecar).Heal)
 		}
 		cut(nil)
@@ -183,32 +182,35 @@
 	}
 }
 
-// watch compares what processes say until quit: nobody may be in contact under a session that another counts as over.
-func (f *Fleet) watch(quit chan struct{}) (broken []string) {
+// watchSessions compares the views of all processes until quit is closed: no process may be in contact in a session
+// that another process considers ended.
+func (f *Fleet) watchSessions(quit chan struct{}) (violations []string) {
 	for {
 		select {
 		case <-quit:
-			return broken
+			return violations
 		case <-time.After(200 * time.Millisecond):
 		}
-		// First who counts whom out, then who is in contact: so a session that is over was so when it was asked.
-		over := make(map[int]map[string]int)
+		// Ask first which sessions are considered ended and then who is in contact, so that a session in question had
+		// ended before its process was asked.
+		ended := make(map[int]map[string]int)
 		for _, s := range f.Sidecars {
 			v, _ := s.View()
 			for j, out := range v.Out {
 				if out {
-					if over[j] == nil {
-						over[j] = make(map[string]int)
+					if ended[j] == nil {
+						ended[j] = make(map[string]int)
 					}
-					over[j][v.Of[j]] = s.Number
+					ended[j][v.Sessions[j]] = s.Number
 				}
 			}
 		}
-		for j, sessions := range over {
+		for j, sessions := range ended {
 			if v, ok := f.Sidecars[j].View(); ok && v.Contact {
 				if by, out := sessions[v.Session]; out {
-					broken = append(broken,
-						fmt.Sprintf("%d is in contact under %s, which %d counts as over", j, v.Session, by))
+					violations = append(violations,
+						fmt.Sprintf("sidecar %d is in contact in session %s, which sidecar %d considers ended",
+							j, v.Session, by))
 				}
 			}
 		}
@@ -216,16 +218,17 @@
 }
 
 var (
-	logTime   = regexp.MustCompile(`^time=(\S+)`)
-	accusing  = regexp.MustCompile(`msg="peers: member" number=(\d+) state=(suspect|gone) .* by=(\d+)`)
-	afterStop = time.Second
+	logTime         = regexp.MustCompile(`^time=(\S+)`)
+	accusing        = regexp.MustCompile(`msg="peers: member" number=(\d+) state=(suspect|gone) .* by=(\d+)`)
+	accusationGrace = time.Second
 )
 
-// accusers looks in the logs for accusations that a sidecar made itself within a second of having stood still.
-func (f *Fleet) accusers() (broken []string) {
+// checkAccusations searches the logs for accusations that a sidecar made itself within accusationGrace after a pause
+// that was longer than accusationGrace.
+func (f *Fleet) checkAccusations() (violations []string) {
 	for _, s := range f.Sidecars {
 		s.mu.Lock()
-		stalls := slices.Clone(s.stalls)
+		pauses := slices.Clone(s.pauses)
 		s.mu.Unlock()
 		for line := range strings.Lines(s.Log()) {
 			m := accusing.FindStringSubmatch(line)
@@ -236,13 +239,15 @@
 			if err != nil {
 				continue
 			}
-			for _, stall := range stalls {
-				if stall.to.Sub(stall.from) > afterStop && at.After(stall.to) && at.Before(stall.to.Add(afterStop)) {
-					broken = append(broken,
-						fmt.Sprintf("%d accuses %s %v after it stood still", s.Number, m[1], at.Sub(stall.to)))
+			for _, stall := range pauses {
+				if stall.to.Sub(stall.from) > accusationGrace &&
+					at.After(stall.to) && at.Before(stall.to.Add(accusationGrace)) {
+					violations = append(violations,
+						fmt.Sprintf("sidecar %d accuses sidecar %s %v after its own pause",
+							s.Number, m[1], at.Sub(stall.to)))
 				}
 			}
 		}
 	}
-	return broken
+	return violations
 }
--- a/internal/lab/testbed/fleet/policy.go
+++ b/internal/lab/testbed/fleet/policy.go
@@ -14,82 +14,82 @@
 	"caperarch/internal/lab/testbed"
 )
 
-// Two policies that tell by where requests go who goes by which: by the first alone nothing goes to
-// Marked[0], by the second alone nothing to Marked[1], by both or cut off to neither.
+// Requests show which marked policy a sidecar applies: with one policy alone, no request goes to s-0; with the other
+// alone, none goes to s-1; with both, or when cut off, none goes to either.
 const (
 	CutOffPolicy = "out = [\"s-0\", \"s-1\"]\n[limits]\nopen = 40\n"
 	marks        = 2
 )
 
-// Marked is the text of the n-th policy; they alternate.
-func Marked(n int) string {
+// MarkedPolicy returns the text of the n-th policy. The excluded upstreams alternate.
+func MarkedPolicy(n int) string {
 	return fmt.Sprintf("# %d\nout = [\"s-%d\"]\n[limits]\nopen = %d\n", n, n%marks, 50+n%40)
 }
 
-// PolicyView is what a process says of the fleet's policy.
+// PolicyView is a process's report of the fleet's policy.
 type PolicyView struct {
 	Committed, Active int
-	Mode              string // one, both, cut off
+	Mode              string // one, both or cut off
 	InProgress        bool
 	Leader            int
 	Text              string
 }
 
 var (
-	holdsLine = regexp.MustCompile(`(?m)^version (\d+) holds`)
-	goesLine  = regexp.MustCompile(
+	committedLine = regexp.MustCompile(`(?m)^version (\d+) holds`)
+	activeLine    = regexp.MustCompile(
 		`(?m)^this sidecar (?:goes by version (\d+)|goes by the stricter of versions \d+ and (\d+)|is cut off)`)
 	leaderLine = regexp.MustCompile(`(?m)^log: .* leader (-?\d+)`)
 )
 
-// Policy asks a process; false: it does not say.
+// Policy asks a process for its view of the policy. It returns false if the process doesn't answer.
 func (s *Sidecar) Policy() (v PolicyView, ok bool) {
-	if !s.Runs() {
+	if !s.Running() {
 		return v, false
 	}
 	text, err := testbed.Operate(s.control(), "policy-show")
-	goes, leader := goesLine.FindStringSubmatch(text), leaderLine.FindStringSubmatch(text)
-	if err != nil || goes == nil || leader == nil {
+	active, leader := activeLine.FindStringSubmatch(text), leaderLine.FindStringSubmatch(text)
+	if err != nil || active == nil || leader == nil {
 		return v, false
 	}
 	v = PolicyView{Mode: "cut off", InProgress: !strings.Contains(text, "under way: nothing"), Text: text,
 		Committed: -1}
-	if holds := holdsLine.FindStringSubmatch(text); holds != nil {
-		v.Committed, _ = strconv.Atoi(holds[1])
+	if committed := committedLine.FindStringSubmatch(text); committed != nil {
+		v.Committed, _ = strconv.Atoi(committed[1])
 	}
 	v.Leader, _ = strconv.Atoi(leader[1])
 	switch {
-	case goes[1] != "":
+	case active[1] != "":
 		v.Mode = "one"
-		v.Active, _ = strconv.Atoi(goes[1])
-	case goes[2] != "":
+		v.Active, _ = strconv.Atoi(active[1])
+	case active[2] != "":
 		v.Mode = "both"
-		v.Active, _ = strconv.Atoi(goes[2])
+		v.Active, _ = strconv.Atoi(active[2])
 	}
 	return v, true
 }
 
-// Bootstrap begins the log by way of a process.
+// Bootstrap begins a new log through a process.
 func (s *Sidecar) Bootstrap() error { return s.operate("policy-found") }
 
-// Abort calls off what is under way.
+// Abort cancels the policy change in progress.
 func (s *Sidecar) Abort() error { return s.operate("policy-abort") }
 
 func (s *Sidecar) operate(call string) error {
-	_, err := s.ask(call)
+	_, err := s.callControl(call)
 	return err
 }
 
-// ask makes an operator's call; what it is told no for is an error.
-func (s *Sidecar) ask(call string) (answer string, err error) {
-	answer, err = testbed.Operate(s.control(), call)
-	if err == nil && !strings.HasPrefix(answer, "200 ") {
-		err = fmt.Errorf("%s", strings.TrimSpace(answer))
+// callControl sends a command to the control address. A response other than 200 is an error.
+func (s *Sidecar) callControl(call string) (response string, err error) {
+	response, err = testbed.Operate(s.control(), call)
+	if err == nil && !strings.HasPrefix(response, "200 ") {
+		err = fmt.Errorf("%s", strings.TrimSpace(response))
 	}
-	return answer, err
+	return response, err
 }
 
-// upload hands a text over in pieces.
+// upload sends a text in chunks.
 func (s *Sidecar) upload(raw []byte) error {
 	for i := range program.UploadChunks(raw) {
 		if err := s.operate("policy-text " + strings.Join(program.UploadChunkArgs(raw, i), " ")); err != nil {
@@ -99,11 +99,11 @@
 	return nil
 }
 
-// Propose proposes a policy by way of a process, from the version that holds there. What it is told no for is an error.
+// Propose proposes a policy through a process, based on the version that is committed there. A rejection is an error.
 func (s *Sidecar) Propose(text string) error {
 	v, ok := s.Policy()
 	if !ok {
-		return fmt.Errorf("%d says nothing", s.Number)
+		return fmt.Errorf("sidecar %d does not answer", s.Number)
 	}
 	raw := []byte(text)
 	if err := s.upload(raw); err != nil {
@@ -112,20 +112,20 @@
 	return s.operate(fmt.Sprintf("policy-propose %s %d", policyrollout.Hash(raw), v.Committed))
 }
 
-// ActivePolicy says whether all processes that run go by one version that holds, with nothing under way;
-// why says what is not so.
+// ActivePolicy returns the version that all running processes apply and have committed, with no change in progress. If
+// there is none, why says what differs.
 func (f *Fleet) ActivePolicy() (version int, why string) {
 	version = -1
 	for _, s := range f.Sidecars {
 		v, ok := s.Policy()
 		switch {
-		case !s.Runs():
+		case !s.Running():
 		case !ok:
-			return 0, fmt.Sprintf("%d says nothing", s.Number)
+			return 0, fmt.Sprintf("sidecar %d does not answer", s.Number)
 		case v.Mode != "one" || v.InProgress || v.Active != v.Committed:
-			return 0, fmt.Sprintf("%d goes by %s, %d: %s", s.Number, v.Mode, v.Active, v.Text)
+			return 0, fmt.Sprintf("sidecar %d applies mode %s, version %d: %s", s.Number, v.Mode, v.Active, v.Text)
 		case version >= 0 && v.Committed != version:
-			return 0, fmt.Sprintf("%d goes by %d, another by %d", s.Number, v.Committed, version)
+			return 0, fmt.Sprintf("sidecar %d applies version %d, another version %d", s.Number, v.Committed, version)
 		default:
 			version = v.Committed
 		}
@@ -133,22 +133,23 @@
 	return version, ""
 }
 
-// AwaitPolicy waits until all go by one version, a certain one or (-1) any, and returns it.
+// AwaitPolicy waits until all processes apply one version: the wanted version, or any if want is -1. It returns the
+// version.
 func (f *Fleet) AwaitPolicy(want int, within time.Duration) (version int, took time.Duration, why string) {
-	for begun := time.Now(); ; time.Sleep(50 * time.Millisecond) {
+	for started := time.Now(); ; time.Sleep(50 * time.Millisecond) {
 		version, why = f.ActivePolicy()
 		if why == "" && want >= 0 && version != want {
-			why = fmt.Sprintf("all go by version %d, not %d", version, want)
+			why = fmt.Sprintf("all apply version %d, want %d", version, want)
 		}
-		if took = time.Since(begun); why == "" || took > within {
+		if took = time.Since(started); why == "" || took > within {
 			return version, took, why
 		}
 	}
 }
 
-// PolicySwitches looks, by what arrived at the upstreams alone, whether requests were let in by one marked
-// policy while others still were by the other: each change of policy turns them from one marked
-// upstream to the other once. It returns how often they turned between two moments.
+// PolicySwitches checks by the arrivals at the upstreams whether two marked policies were applied at once: each policy
+// change moves the requests from one marked upstream to the other exactly once. It returns how often they moved between
+// two moments.
 func (f *Fleet) PolicySwitches(since, until time.Time) (turns int) {
 	last := ""
 	for _, a := range f.ArrivalLog.All() {
@@ -164,7 +165,7 @@
 	return turns
 }
 
-// CountByStatus is how many clients got each status.
+// CountByStatus returns the number of responses by status, except 200.
 func (f *Fleet) CountByStatus() map[int]int {
 	all := make(map[int]int)
 	for _, x := range f.Answers.all() {
@@ -174,18 +175,18 @@
 	return all
 }
 
-// ActiveAt is when each process logged that it goes by one version, the first time since a moment.
+// ActiveAt returns when each process first logged after a moment that it applies one version.
 func (f *Fleet) ActiveAt(version int, since time.Time) []time.Time {
 	return f.loggedAt(regexp.MustCompile(fmt.Sprintf(`(?m)^time=(\S+) .*policy: goes by" mode=one version=%d `,
 		version)), since)
 }
 
-// histories says where two processes have different outcomes of one version.
-func (f *Fleet) histories() (broken []string) {
+// compareHistories reports versions whose outcome differs between two processes.
+func (f *Fleet) compareHistories() (violations []string) {
 	first := make(map[string]string)
 	for _, s := range f.Sidecars {
 		text, err := testbed.Operate(s.control(), "policy-history")
-		if err != nil || !s.Runs() {
+		if err != nil || !s.Running() {
 			continue
 		}
 		for line := range strings.Lines(text) {
@@ -194,37 +195,38 @@
 				continue
 			}
 			if known, had := first[version]; had && known != outcome {
-				broken = append(broken, fmt.Sprintf("%s: %d has %q, another %q", version, s.Number, outcome, known))
+				violations = append(violations,
+					fmt.Sprintf("%s: sidecar %d has the outcome %q, another has %q", version, s.Number, outcome, known))
 			}
 			first[version] = outcome
 		}
 	}
-	return broken
+	return violations
 }
 
-// PolicyTally is what became of a run in which the policy changed.
+// PolicyTally is the result of a run with policy changes.
 type PolicyTally struct {
 	Tally
 	Proposed, Refused, Turns int
-	Lost                     bool // the log was, and was begun anew
+	Lost                     bool // the log was lost, and a new one was begun
 	Settled                  time.Duration
 }
 
-// PlayPolicies has the fleet live through a plan, under load, while operators propose policies and
-// call some off, and returns what was broken: by what arrived at the upstreams, by what processes
-// hold of the log, and by the books of clients and upstreams.
-func (f *Fleet) PlayPolicies(p *Plan, perSecond int) (tally PolicyTally, broken []string) {
+// PlayPolicies runs a fault plan under load while operators propose policies and cancel some of them. It returns the
+// violations that follow from the arrivals at the upstreams, from the logs of the processes, and from the records of
+// clients and upstreams.
+func (f *Fleet) PlayPolicies(p *Plan, perSecond int) (tally PolicyTally, violations []string) {
 	if err := f.Sidecars[0].Bootstrap(); err != nil {
 		return tally, []string{err.Error()}
 	}
 	if _, _, why := f.AwaitPolicy(0, testbed.MaxWait); why != "" {
-		return tally, []string{"no beginning: " + why}
+		return tally, []string{"policy version 0 not applied: " + why}
 	}
-	if err := f.Sidecars[1].Propose(Marked(1)); err != nil {
+	if err := f.Sidecars[1].Propose(MarkedPolicy(1)); err != nil {
 		return tally, []string{err.Error()}
 	}
 	if _, _, why := f.AwaitPolicy(1, testbed.MaxWait); why != "" {
-		return tally, []string{"no first policy: " + why}
+		return tally, []string{"policy version 1 not applied: " + why}
 	}
 	since, quit, done := time.Now(), make(chan struct{}), make(chan struct{})
 	rng := rand.New(rand.NewPCG(p.Seed, 6))
@@ -237,13 +239,13 @@
 			case <-time.After(time.Duration(rng.Int64N(int64(3 * time.Second)))):
 			}
 			by := f.Sidecars[rng.IntN(len(f.Sidecars))]
-			if err := by.Propose(Marked(n)); err == nil {
+			if err := by.Propose(MarkedPolicy(n)); err == nil {
 				tally.Proposed++
 			} else if strings.HasPrefix(err.Error(), "400 ") {
 				tally.Refused++
 				continue
 			} else {
-				tally.Proposed++ // it may have been taken: the process went meanwhile
+				tally.Proposed++ // the process may have accepted the proposal before it crashed
 			}
 			if rng.IntN(6) == 0 {
 				time.Sleep(time.Duration(rng.Int64N(int64(300 * time.Millisecond))))
@@ -259,32 +261,35 @@
 	_, tally.Settled, _ = f.AwaitPolicy(-1, 20*time.Second)
 	until := time.Now()
 	if _, why := f.ActivePolicy(); why != "" {
-		// A majority of the voters was lost, maybe: an operator begins anew, which is refused while the log answers.
+		// A majority of the voters may be lost: an operator bootstraps a new log, which is rejected while the old log
+		// has a leader.
 		tally.Lost = f.Sidecars[int(p.Seed)%len(f.Sidecars)].Bootstrap() == nil
 		if _, took, why := f.AwaitPolicy(-1, 70*time.Second); why != "" {
-			rules = append(rules, fmt.Sprintf("%v behind the end (begun anew %v): %s", took, tally.Lost, why))
+			rules = append(rules,
+				fmt.Sprintf("policies differ %v after the last fault (new log: %v): %s", took, tally.Lost, why))
 		}
 	}
 	if tally.Turns = f.PolicySwitches(since, until); tally.Turns > tally.Proposed {
-		rules = append(rules, fmt.Sprintf("requests turned %d times by %d proposals: two policies were gone by at once",
-			tally.Turns, tally.Proposed))
+		rules = append(rules,
+			fmt.Sprintf("requests changed the upstream %d times with %d proposals: two policies were applied at once",
+				tally.Turns, tally.Proposed))
 	}
-	return tally, append(rules, f.histories()...)
+	return tally, append(rules, f.compareHistories()...)
 }
 
-// Voters are those of the log, as a process knows them.
+// Voters returns the voters of the log that a process knows.
 func (v *PolicyView) Voters() (all []int) {
 	_, list, _ := strings.Cut(v.Text, ", voters")
 	list, _, _ = strings.Cut(list, "\n")
-	for _, word := range strings.Fields(list) {
-		if i, err := strconv.Atoi(word); err == nil {
+	for _, field := range strings.Fields(list) {
+		if i, err := strconv.Atoi(field); err == nil {
 			all = append(all, i)
 		}
 	}
 	return all
 }
 
-// Refused is how many clients were refused of those that have sent since a moment.
+// Refused returns the number of requests that were sent after a moment and refused.
 func (f *Fleet) Refused(since time.Time) (n int) {
 	for _, x := range f.Answers.all() {
 		if x.sent.After(since) && (x.status == http.StatusServiceUnavailable ||
--- a/internal/lab/testbed/fleet/sidecar.go
+++ b/internal/lab/testbed/fleet/sidecar.go
@@ -13,39 +13,39 @@
 	"caperarch/internal/lab/testbed"
 )
 
-// Sidecar is one machine: its address, and the process on it if there is one.
+// Sidecar is a machine: its address, and its process if one is running.
 type Sidecar struct {
 	Number int
 	Listen string
 	f      *Fleet
 	config string
 
-	mu      sync.Mutex
-	cmd     *exec.Cmd
-	starts  int
-	over    bool        // the fleet is: a plan that still plays must leave no process behind
-	began   []time.Time // when its processes did
-	stopped bool
-	log     *os.File
-	broken  []span // when no client could count on it
-	stalls  []span // when it stood still
-	cuts    []span // when it reached neither upstreams nor discovery
+	mu         sync.Mutex
+	cmd        *exec.Cmd
+	starts     int
+	fleetEnded bool        // set at the end of the fleet, so that a fault plan that is still running starts no process
+	startTimes []time.Time // when the machine's processes started
+	stopped    bool
+	log        *os.File
+	unstable   []span // spans in which clients could not rely on the machine
+	pauses     []span // spans in which the process was paused
+	partitions []span // spans in which the machine was cut off from upstreams and discovery
 }
 
-// span is a stretch of time; an end of zero: not over yet.
+// span is a time span. A zero end means that it has not ended.
 type span struct{ from, to time.Time }
 
 func (s *Sidecar) control() string { return fmt.Sprintf("%s:%d", s.f.ip(s.Number), controlPort) }
 
-// Start starts the machine's process, which remembers nothing.
+// Start starts the machine's process without memory.
 func (s *Sidecar) Start() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.cmd != nil || s.over {
+	if s.cmd != nil || s.fleetEnded {
 		return
 	}
 	cmd := s.f.Command()
-	cmd.Args = append(cmd.Args, "-log-format", "text") // its times are to the millisecond
+	cmd.Args = append(cmd.Args, "-log-format", "text") // its times have a resolution of 1 ms
 	if !s.f.Plain {
 		cmd.Args = append(cmd.Args, "-fleet", s.f.fleetFile(s.Number))
 	}
@@ -59,20 +59,20 @@
 	cmd.Env = append(cmd.Env, "EDGE_CONFIG="+s.config, "TMPDIR="+tmp)
 	cmd.Stdout, cmd.Stderr = s.log, s.log
 	if err := cmd.Start(); err != nil {
-		s.f.t.Fatalf("fleet: sidecar %d: %v", s.Number, err)
+		s.f.t.Fatalf("fleet: start sidecar %d: %v", s.Number, err)
 	}
 	s.f.tcp.restore(s.Number)
 	s.cmd = cmd
 	s.starts++
-	s.began = append(s.began, time.Now())
+	s.startTimes = append(s.startTimes, time.Now())
 	s.markStable()
 }
 
-// await waits until it serves.
-func (s *Sidecar) await() {
+// waitUntilServing waits until the process answers health checks with 200.
+func (s *Sidecar) waitUntilServing() {
 	testbed.Until(s.f.t, fmt.Sprintf("sidecar %d to serve; its log: %s", s.Number, s.log.Name()), func() bool {
-		answer, err := testbed.Operate(s.control(), "health")
-		if err != nil || !strings.HasPrefix(answer, "200") {
+		response, err := testbed.Operate(s.control(), "health")
+		if err != nil || !strings.HasPrefix(response, "200") {
 			time.Sleep(20 * time.Millisecond)
 			return false
 		}
@@ -80,7 +80,7 @@
 	})
 }
 
-// Crash kills the process. Its machine says nothing any more: no connection of its that others hold is reset.
+// Crash kills the process and silences the machine: peers don't see its connections reset.
 func (s *Sidecar) Crash() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -94,7 +94,7 @@
 	s.cmd, s.stopped = nil, false
 }
 
-// End has the process end in order, and waits for that.
+// End stops the process with SIGTERM and waits until it has exited.
 func (s *Sidecar) End() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -103,19 +103,19 @@
 	}
 	s.markUnstable()
 	_ = s.cmd.Process.Signal(syscall.SIGTERM)
-	stuck := time.AfterFunc(testbed.MaxWait, func() { _ = s.cmd.Process.Kill() })
+	killTimer := time.AfterFunc(testbed.MaxWait, func() { _ = s.cmd.Process.Kill() })
 	err := s.cmd.Wait()
-	stuck.Stop()
+	killTimer.Stop()
 	if err != nil {
-		s.f.t.Fatalf("fleet: sidecar %d ended with %v", s.Number, err)
+		s.f.t.Fatalf("fleet: sidecar %d exited with %v after SIGTERM", s.Number, err)
 	}
 	s.cmd = nil
 }
 
-// Stop has the process stand still, Continue go on.
+// Stop pauses the process.
 func (s *Sidecar) Stop() { s.signal(syscall.SIGSTOP) }
 
-// Continue has it go on.
+// Continue resumes the process.
 func (s *Sidecar) Continue() { s.signal(syscall.SIGCONT) }
 
 func (s *Sidecar) signal(which syscall.Signal) {
@@ -130,85 +130,84 @@
 	}
 	if s.stopped = stop; stop {
 		s.markUnstable()
-		s.stalls = append(s.stalls, span{from: time.Now()})
+		s.pauses = append(s.pauses, span{from: time.Now()})
 	} else {
 		s.markStable()
-		s.stalls[len(s.stalls)-1].to = time.Now()
+		s.pauses[len(s.pauses)-1].to = time.Now()
 	}
 	_ = s.cmd.Process.Signal(which)
 }
 
-// Partition has nothing of the machine's reach upstreams and discovery any more, nor theirs the
-// machine. Heal ends that.
+// Partition cuts the machine off from upstreams and discovery, in both directions, until Heal.
 func (s *Sidecar) Partition() {
 	s.f.tcp.partition(s.Number)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.cuts = append(s.cuts, span{from: time.Now()})
+	s.partitions = append(s.partitions, span{from: time.Now()})
 }
 
-// Heal has it reach them again.
+// Heal ends a partition.
 func (s *Sidecar) Heal() {
 	if s.PID() != 0 {
 		s.f.tcp.restore(s.Number)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if n := len(s.cuts); n > 0 && s.cuts[n-1].to.IsZero() {
-		s.cuts[n-1].to = time.Now()
+	if n := len(s.partitions); n > 0 && s.partitions[n-1].to.IsZero() {
+		s.partitions[n-1].to = time.Now()
 	}
 }
 
-// markUnstable notes that from now on no client can count on the machine.
+// markUnstable records that clients can't rely on the machine from now on.
 func (s *Sidecar) markUnstable() {
-	if n := len(s.broken); n == 0 || !s.broken[n-1].to.IsZero() {
-		s.broken = append(s.broken, span{from: time.Now()})
+	if n := len(s.unstable); n == 0 || !s.unstable[n-1].to.IsZero() {
+		s.unstable = append(s.unstable, span{from: time.Now()})
 	}
 }
 
-// markStable notes that clients can count on it again.
+// markStable records that clients can rely on the machine again.
 func (s *Sidecar) markStable() {
-	if n := len(s.broken); n > 0 && s.broken[n-1].to.IsZero() {
-		s.broken[n-1].to = time.Now()
+	if n := len(s.unstable); n > 0 && s.unstable[n-1].to.IsZero() {
+		s.unstable[n-1].to = time.Now()
 	}
 }
 
-// stableThrough says whether a client could count on the machine through all of a stretch.
+// stableThrough reports whether clients could rely on the machine during a whole span.
 func (s *Sidecar) stableThrough(from, to time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return !overlaps(s.broken, from, to)
+	return !overlaps(s.unstable, from, to)
 }
 
-// reachableThrough says whether it could be told of all through a stretch.
+// reachableThrough reports whether the machine could reach upstreams and discovery during a whole span.
 func (s *Sidecar) reachableThrough(from, to time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return !overlaps(s.cuts, from, to)
+	return !overlaps(s.partitions, from, to)
 }
 
-// overlaps says whether one of some spans has part of a stretch.
+// overlaps reports whether one of the spans overlaps the interval.
 func overlaps(spans []span, from, to time.Time) bool {
 	return slices.ContainsFunc(spans, func(b span) bool {
 		return (b.to.IsZero() || b.to.After(from)) && b.from.Before(to)
 	})
 }
 
-// startedWithin says whether a process began in a stretch.
+// startedWithin reports whether a process was started within the interval.
 func (s *Sidecar) startedWithin(from, to time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return slices.ContainsFunc(s.began, func(at time.Time) bool { return at.After(from) && at.Before(to) })
+	return slices.ContainsFunc(s.startTimes, func(at time.Time) bool { return at.After(from) && at.Before(to) })
 }
 
-// Runs says whether the process lives and does not stand still.
-func (s *Sidecar) Runs() bool {
+// Running reports whether the process exists and is not paused.
+func (s *Sidecar) Running() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.cmd != nil && !s.stopped
 }
 
-// PID is that of the process; 0: there is none.
+// PID returns the ID of the process, or 0 if there is none.
 func (s *Sidecar) PID() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -218,7 +217,7 @@
 	return s.cmd.Process.Pid
 }
 
-// Log is what the machine's processes have written so far.
+// Log returns the output of the machine's processes so far.
 func (s *Sidecar) Log() string {
 	raw, err := os.ReadFile(s.log.Name())
 	if err != nil {
--- a/internal/lab/testbed/fleet/streams.go
+++ b/internal/lab/testbed/fleet/streams.go
@@ -13,22 +13,23 @@
 	"caperarch/internal/lab/loadspread"
 )
 
-// Streams has each sidecar that runs sent a stream of its own, at random moments, of rate requests
-// a second as that is now, until stop is called. It returns once all have ended.
+// Streams sends each running sidecar a stream of requests at random moments, until stop is called. The function rate
+// returns the present rate of a sidecar in requests per second. The function stop returns when all requests have ended.
 func (f *Fleet) Streams(seed uint64, rate func(sidecar int, since time.Duration) float64) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 32, IdleConnTimeout: time.Second}}
 	var streams, out sync.WaitGroup
 	var number atomic.Int64
-	begun := time.Now()
+	started := time.Now()
 	for i, s := range f.Sidecars {
 		streams.Go(func() {
 			rng := rand.New(rand.NewPCG(seed, uint64(i)))
 			timer := time.NewTimer(0)
 			defer timer.Stop()
-			due := begun // a late timer loses no request
+			// The next request is due relative to the last due time, so that a late timer loses no requests.
+			due := started
 			for {
-				perSecond := max(1e-3, rate(i, time.Since(begun)))
+				perSecond := max(1e-3, rate(i, time.Since(started)))
 				due = due.Add(time.Duration(rng.ExpFloat64() / perSecond * float64(time.Second)))
 				timer.Reset(time.Until(due))
 				select {
@@ -36,7 +37,7 @@
 				case <-ctx.Done():
 					return
 				}
-				if s.Runs() {
+				if s.Running() {
 					out.Go(func() { f.request(client, s, int(number.Add(1))) })
 				}
 			}
@@ -50,8 +51,8 @@
 	}
 }
 
-// Arrivals are the clients' requests as upstreams saw them, since a moment; upstreams are numbered
-// by their ids, s-0 and so on. It is to be called when no load is under way.
+// Arrivals returns the clients' requests that arrived at upstreams after a moment. Upstreams are numbered by their IDs
+// s-0, s-1 and so on. Arrivals must be called when no load is running.
 func (f *Fleet) Arrivals(since time.Time) (all []loadspread.Arrival) {
 	from := make(map[string]int)
 	for _, x := range f.Answers.all() {
--- a/internal/lab/testbed/fleet/tcp_relays.go
+++ b/internal/lab/testbed/fleet/tcp_relays.go
@@ -14,25 +14,25 @@
 	"caperarch/internal/lab/testbed"
 )
 
-// tcpRelays carries the connections between sidecars and what they connect to. One that is cut off says
-// nothing: what stands stays open and silent, and what is new never gets an answer.
+// tcpRelays forwards the connections of sidecars to upstreams and discovery. A partition makes connections silent:
+// existing connections stay open without data, and new connections are accepted but never answered.
 type tcpRelays struct {
 	mu    sync.Mutex
 	cut   map[int]bool
 	conns map[int]map[*relayedConn]bool
 }
 
-// relayedConn is one connection.
+// relayedConn is a connection from a sidecar (near) to its destination (far).
 type relayedConn struct {
 	near, far net.Conn
 	silent    bool
 }
 
-// partition cuts a sidecar off from upstreams and discovery, or has its machine crash: what it has
-// open stays so on the other side.
+// partition cuts a sidecar off from upstreams and discovery. It also simulates a crash of the machine: the other side
+// of each connection sees it stay open.
 func (w *tcpRelays) partition(i int) { w.set(i, true, false) }
 
-// restore brings it back. What stood before is reset, as the protocol has it of a machine that is back.
+// restore ends the partition. Connections that were silent are closed, as after the return of a machine.
 func (w *tcpRelays) restore(i int) { w.set(i, false, true) }
 
 func (w *tcpRelays) set(i int, cut, reset bool) {
@@ -52,24 +52,24 @@
 	}
 }
 
-// isSilenced says whether a connection may carry nothing any more.
+// isSilenced reports whether a connection may no longer transfer data.
 func (w *tcpRelays) isSilenced(c *relayedConn) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return c.silent
 }
 
-// relay listens for a sidecar's connections to an address, and returns where. Answers that list
-// addresses have them swapped.
-func (w *tcpRelays) relay(t testbed.TB, i int, to string, swap map[string]string) string {
+// relay listens for connections of sidecar i to an address and returns the address to connect to. If addresses is not
+// nil, it replaces these addresses in the responses.
+func (w *tcpRelays) relay(t testbed.TB, i int, to string, addresses map[string]string) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		t.Fatalf("fleet: a relay: %v", err)
+		t.Fatalf("fleet: listen for a TCP relay: %v", err)
 	}
 	t.Cleanup(func() {
 		l.Close()
 		w.restore(i)
-		w.end(i)
+		w.closeAll(i)
 	})
 	go func() {
 		for {
@@ -77,14 +77,14 @@
 			if err != nil {
 				return
 			}
-			go w.carry(i, near, to, swap)
+			go w.forward(i, near, to, addresses)
 		}
 	}()
 	return l.Addr().String()
 }
 
-// end closes all that a sidecar has open.
-func (w *tcpRelays) end(i int) {
+// closeAll closes all connections of a sidecar.
+func (w *tcpRelays) closeAll(i int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for c := range w.conns[i] {
@@ -95,7 +95,7 @@
 	}
 }
 
-func (w *tcpRelays) carry(i int, near net.Conn, to string, swap map[string]string) {
+func (w *tcpRelays) forward(i int, near net.Conn, to string, addresses map[string]string) {
 	c := &relayedConn{near: near}
 	w.mu.Lock()
 	if w.conns == nil {
@@ -107,7 +107,7 @@
 	w.conns[i][c], c.silent = true, w.cut[i]
 	w.mu.Unlock()
 	if c.silent {
-		return // it is open, and that is all; restore closes it
+		return // the connection stays open without data until restore closes it
 	}
 	far, err := net.Dial("tcp", to)
 	if err != nil {
@@ -120,8 +120,8 @@
 	back := make(chan struct{})
 	go func() {
 		defer close(back)
-		if swap != nil {
-			w.lists(c, swap)
+		if addresses != nil {
+			w.forwardDiscovery(c, addresses)
 		} else {
 			w.copy(c, near, far)
 		}
@@ -140,7 +140,8 @@
 	}
 }
 
-// copy carries bytes until an end comes or the way is cut; then nothing more goes over, an end neither.
+// copy forwards bytes until the source ends or the connection is silenced. After that it forwards neither data nor the
+// end of the stream.
 func (w *tcpRelays) copy(c *relayedConn, to, from net.Conn) {
 	b := make([]byte, 32<<10)
 	for {
@@ -159,8 +160,9 @@
 	}
 }
 
-// lists carries discovery's answers, with a sidecar's own addresses in them.
-func (w *tcpRelays) lists(c *relayedConn, swap map[string]string) {
+// forwardDiscovery forwards the responses of discovery, with the relay addresses of the sidecar in place of the real
+// ones.
+func (w *tcpRelays) forwardDiscovery(c *relayedConn, addresses map[string]string) {
 	for r := bufio.NewReader(c.far); ; {
 		res, err := http.ReadResponse(r, nil)
 		if err != nil || w.isSilenced(c) {
@@ -171,7 +173,7 @@
 		if err != nil || w.isSilenced(c) {
 			return
 		}
-		text = []byte(replaced(string(text), swap))
+		text = []byte(replaceAddresses(string(text), addresses))
 		var b bytes.Buffer
 		fmt.Fprintf(&b, "HTTP/1.1 %s\r\nContent-Length: %d\r\n\r\n", res.Status, len(text))
 		b.Write(text)
@@ -182,8 +184,8 @@
 	}
 }
 
-func replaced(text string, swap map[string]string) string {
-	for from, to := range swap {
+func replaceAddresses(text string, addresses map[string]string) string {
+	for from, to := range addresses {
 		text = strings.ReplaceAll(text, `"`+from+`"`, `"`+to+`"`)
 	}
 	return text
--- a/internal/lab/testbed/fleet/udp_relays.go
+++ b/internal/lab/testbed/fleet/udp_relays.go
@@ -12,28 +12,28 @@
 	"caperarch/internal/lab/testbed"
 )
 
-// udpRelays carries the datagrams between sidecars. Sidecar i sends to j's relay; j gets it from
-// i's: so each finds the others at addresses that are not their own.
+// udpRelays forwards the datagrams between sidecars. Sidecar i sends to the relay of sidecar j, and j receives the
+// datagram from the relay of i. Each sidecar thus sees the others at addresses that differ from their own.
 type udpRelays struct {
 	size    int
 	sockets []*net.UDPConn
-	real    []*net.UDPAddr
+	real    []*net.UDPAddr // the addresses of the sidecars themselves
 	number  map[netip.Addr]int
 
-	mu    sync.Mutex
-	rng   *rand.Rand
-	fault Faults
-	held  time.Time // what comes before then goes on at that moment
+	mu        sync.Mutex
+	rng       *rand.Rand
+	faults    Faults
+	holdUntil time.Time // datagrams that are due before this moment are delayed beyond it
 
-	Passed, Lost, Delayed, Doubled, Longest atomic.Int64
-	PassedBytes                             atomic.Int64
+	Passed, Lost, Delayed, Duplicated, LargestDatagram atomic.Int64
+	PassedBytes                                        atomic.Int64
 }
 
-// Faults are what goes wrong between two sidecars.
+// Faults are the faults of the network between sidecars.
 type Faults struct {
 	Loss, Duplicate float64
-	Delay           time.Duration           // at most; it differs, so that some overtake others
-	Cut             func(from, to int) bool // nil: none
+	Delay           time.Duration           // upper bound of random delays, which also reorder datagrams
+	Cut             func(from, to int) bool // reports whether a link is cut; nil if none is
 }
 
 func newUDPRelays(t testbed.TB, ip func(i int) string, size int) *udpRelays {
@@ -42,7 +42,7 @@
 		relay := netip.MustParseAddrPort(fmt.Sprintf("%s:%d", ip(i), relayPort))
 		c, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(relay))
 		if err != nil {
-			t.Fatalf("fleet: a relay: %v", err)
+			t.Fatalf("fleet: listen for a UDP relay: %v", err)
 		}
 		d.sockets = append(d.sockets, c)
 		d.real = append(d.real, net.UDPAddrFromAddrPort(netip.MustParseAddrPort(fmt.Sprintf("%s:%d", ip(i), peerPort))))
@@ -59,25 +59,25 @@
 	return d
 }
 
-// Break has faults from now on.
+// Break injects faults from now on.
 func (d *udpRelays) Break(f Faults, seed uint64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.fault, d.rng = f, rand.New(rand.NewPCG(seed, 3))
+	d.faults, d.rng = f, rand.New(rand.NewPCG(seed, 3))
 }
 
-// Hold keeps all datagrams back for a while; they then arrive at once.
+// Hold delays all datagrams until the duration t has passed.
 func (d *udpRelays) Hold(t time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.held = time.Now().Add(t)
+	d.holdUntil = time.Now().Add(t)
 }
 
-// fate says what becomes of a datagram: how long each copy of it takes.
-func (d *udpRelays) fate(from, to int) (copies []time.Duration) {
+// drawDelays returns the delay of each copy of a datagram, or nil if the datagram is lost.
+func (d *udpRelays) drawDelays(from, to int) (copies []time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	f := d.fault
+	f := d.faults
 	if f.Cut != nil && f.Cut(from, to) || d.rng.Float64() < f.Loss {
 		d.Lost.Add(1)
 		return nil
@@ -86,7 +86,7 @@
 	if f.Delay > 0 {
 		delay = time.Duration(d.rng.Int64N(int64(f.Delay)))
 	}
-	if left := time.Until(d.held); left > 0 {
+	if left := time.Until(d.holdUntil); left > 0 {
 		delay += left
 	}
 	if delay > 0 {
@@ -94,7 +94,7 @@
 	}
 	copies = append(copies, delay)
 	if f.Duplicate > 0 && d.rng.Float64() < f.Duplicate {
-		d.Doubled.Add(1)
+		d.Duplicated.Add(1)
 		copies = append(copies, delay+time.Duration(d.rng.Int64N(int64(time.Second))))
 	}
 	return copies
@@ -111,10 +111,10 @@
 		if !known {
 			continue
 		}
-		for last := d.Longest.Load(); int64(n) > last &&
-			!d.Longest.CompareAndSwap(last, int64(n)); last = d.Longest.Load() {
+		for last := d.LargestDatagram.Load(); int64(n) > last &&
+			!d.LargestDatagram.CompareAndSwap(last, int64(n)); last = d.LargestDatagram.Load() {
 		}
-		for _, delay := range d.fate(from, to) {
+		for _, delay := range d.drawDelays(from, to) {
 			d.Passed.Add(1)
 			d.PassedBytes.Add(int64(n))
 			if delay == 0 {
--- a/internal/lab/testbed/fleet/views.go
+++ b/internal/lab/testbed/fleet/views.go
@@ -12,7 +12,7 @@
 	"caperarch/internal/lab/testbed"
 )
 
-// Logged is how many processes have logged a text.
+// Logged returns the number of processes that have logged a text.
 func (f *Fleet) Logged(text string) (n int) {
 	for _, s := range f.Sidecars {
 		if strings.Contains(s.Log(), text) {
@@ -22,14 +22,14 @@
 	return n
 }
 
-// GoneAt is when each process logged that it holds a member for gone, since a moment.
-func (f *Fleet) GoneAt(member int, since time.Time) []time.Time {
+// MemberGoneAt returns when each process first logged after a moment that a member is gone.
+func (f *Fleet) MemberGoneAt(member int, since time.Time) []time.Time {
 	return f.loggedAt(regexp.MustCompile(fmt.Sprintf(`(?m)^time=(\S+) .*peers: member" number=%d state=gone `,
 		member)), since)
 }
 
-// loggedAt is when each process logged a line, its time the first group, the first time since a
-// moment; those that did not have no part in it.
+// loggedAt returns when each process first logged a matching line after a moment. The first group of the pattern is the
+// time of the line. Processes that logged no such line are left out.
 func (f *Fleet) loggedAt(line *regexp.Regexp, since time.Time) (at []time.Time) {
 	for _, s := range f.Sidecars {
 		for _, m := range line.FindAllStringSubmatch(s.Log(), -1) {
@@ -42,14 +42,14 @@
 	return at
 }
 
-// View is what a process says that it knows.
+// View is a process's report of the fleet's membership.
 type View struct {
 	Contact  bool
 	Session  string
 	Sidecars int
-	State    map[int]string // of the other members
-	Of       map[int]string // sessions of theirs
-	Out      map[int]bool
+	State    map[int]string // states of the other members
+	Sessions map[int]string // sessions of the other members
+	Out      map[int]bool   // members whose session has ended for this process
 	Text     string
 }
 
@@ -58,9 +58,9 @@
 	memberLine = regexp.MustCompile(`(?m)^member (\d+): (\w+) for (.*) session (\S+)$`)
 )
 
-// View asks a process; false: it does not say.
+// View asks a process for its view. It returns false if the process doesn't answer.
 func (s *Sidecar) View() (v View, ok bool) {
-	if !s.Runs() {
+	if !s.Running() {
 		return v, false
 	}
 	text, err := testbed.Operate(s.control(), "peers")
@@ -69,18 +69,18 @@
 		return v, false
 	}
 	v = View{Contact: head[1] == "in", Session: head[2], State: make(map[int]string),
-		Of: make(map[int]string), Out: make(map[int]bool), Text: text}
+		Sessions: make(map[int]string), Out: make(map[int]bool), Text: text}
 	v.Sidecars, _ = strconv.Atoi(head[3])
 	for _, m := range memberLine.FindAllStringSubmatch(text, -1) {
 		i, _ := strconv.Atoi(m[1])
-		v.State[i], v.Of[i], v.Out[i] = m[2], m[4], strings.Contains(m[3], "over for good")
+		v.State[i], v.Sessions[i], v.Out[i] = m[2], m[4], strings.Contains(m[3], "over for good")
 	}
 	return v, true
 }
 
-// Agree says whether all processes that run are in contact, hold each other for alive under their
-// present sessions, and those that don't live for gone or left; why says what is not so.
-func (f *Fleet) Agree() (ok bool, why string) {
+// Converged reports whether all running processes are in contact, see each other as alive in their present sessions,
+// and see all others as gone or left. If not, why says what differs.
+func (f *Fleet) Converged() (ok bool, why string) {
 	views := make(map[int]View)
 	var mu sync.Mutex
 	var asked sync.WaitGroup
@@ -92,35 +92,37 @@
 			defer mu.Unlock()
 			if ok {
 				views[s.Number] = v
-			} else if s.Runs() {
+			} else if s.Running() {
 				silent = s.Number
 			}
 		})
 	}
 	if asked.Wait(); silent >= 0 {
-		return false, fmt.Sprintf("%d says nothing", silent)
+		return false, fmt.Sprintf("sidecar %d does not answer", silent)
 	}
 	for i, v := range views {
 		if !v.Contact {
-			return false, fmt.Sprintf("%d is out of contact", i)
+			return false, fmt.Sprintf("sidecar %d is out of contact", i)
 		}
 		for j := range f.Sidecars {
-			if other, lives := views[j]; i != j && lives && (v.State[j] != "alive" || v.Of[j] != other.Session) {
-				return false, fmt.Sprintf("%d holds %d for %s under %s, it is there under %s", i, j,
-					v.State[j], v.Of[j], other.Session)
-			} else if i != j && !lives && v.State[j] != "gone" && v.State[j] != "left" {
-				return false, fmt.Sprintf("%d holds %d for %s, it does not live", i, j, v.State[j])
+			if other, running := views[j]; i != j && running &&
+				(v.State[j] != "alive" || v.Sessions[j] != other.Session) {
+				return false, fmt.Sprintf("sidecar %d sees sidecar %d as %s in session %s, but it runs in session %s",
+					i, j, v.State[j], v.Sessions[j], other.Session)
+			} else if i != j && !running && v.State[j] != "gone" && v.State[j] != "left" {
+				return false, fmt.Sprintf("sidecar %d sees sidecar %d as %s, but it does not run", i, j, v.State[j])
 			}
 		}
 	}
 	return true, ""
 }
 
-// WaitForAgreement waits until all agree, and returns how long it took, or why they don't.
+// WaitForAgreement waits until the views have converged. It returns how long this took and, after a time-out, why they
+// have not.
 func (f *Fleet) WaitForAgreement(within time.Duration) (took time.Duration, why string) {
-	for begun := time.Now(); ; time.Sleep(50 * time.Millisecond) {
-		ok, why := f.Agree()
-		if took := time.Since(begun); ok {
+	for started := time.Now(); ; time.Sleep(50 * time.Millisecond) {
+		ok, why := f.Converged()
+		if took := time.Since(started); ok {
 			return took, ""
 		} else if took > within {
 			return took, why
@@ -128,17 +130,17 @@
 	}
 }
 
-// RequireAgreement is Settle where anything else is a failure.
+// RequireAgreement is like WaitForAgreement, but fails the test after a time-out.
 func (f *Fleet) RequireAgreement(within time.Duration) time.Duration {
 	f.t.Helper()
 	took, why := f.WaitForAgreement(within)
 	if why != "" {
-		f.t.Fatalf("after %v: %s", took, why)
+		f.t.Fatalf("fleet: views don't agree after %v: %s", took, why)
 	}
 	return took
 }
 
-// Dump writes what all processes logged, for a failure.
+// Dump writes the logs of all processes, for a failed test.
 func (f *Fleet) Dump(to io.Writer) {
 	for _, s := range f.Sidecars {
 		fmt.Fprintf(to, "--- sidecar %d\n%s", s.Number, s.Log())
