--- a/internal/lab/emulator/cases.go
+++ b/internal/lab/emulator/cases.go
@@ -8,22 +8,23 @@
 	"caperarch/policy"
 )
 
-// Case is one hard case on the site's fleet in small: what goes wrong from faultFrom on, and when it is over.
+// Case is a scenario with a fault from faultFrom on.
 type Case struct {
 	Name  string
-	Load  float64       // of the capacity
-	Until time.Duration // capacity is back then
-	Small bool          // six servers and two sidecars, as on the recorded days
+	Load  float64       // request rate as a share of the capacity
+	Until time.Duration // end of the fault
+	Small bool          // six servers and two sidecars, as in the recordings
 	set   func(f *Fleet, c *Config)
-	flood func(now time.Duration) float64 // one tenant's traffic, the smaller one's
+	flood func(now time.Duration) float64 // factor of the smaller tenant's traffic
 }
 
+// Faults begin at faultFrom, and runs end at caseEnd.
 const (
-	faultFrom  = 15 * time.Second
-	strainEnds = 55 * time.Second
+	faultFrom = 15 * time.Second
+	caseEnd   = 55 * time.Second
 )
 
-// Cases are the hard cases.
+// Cases are the scenarios. Their names appear in reports.
 var Cases = []Case{
 	{Name: "a third silent 20 s", Load: 0.6, Until: faultFrom + 20*time.Second, set: func(f *Fleet, c *Config) {
 		f.At(faultFrom, func() { f.Set(len(c.Servers)/3, State{Silent: true}) })
@@ -47,7 +48,8 @@
 		}},
 	{Name: "three of six throttle", Load: 0.45, Until: faultFrom + 10*time.Second, Small: true,
 		set: func(f *Fleet, c *Config) {
-			f.At(faultFrom, func() { f.SetFastest(3, State{RateLimit: 40}) }) // of some 280 that each can do
+			// Each of these servers can handle about 280 requests per second.
+			f.At(faultFrom, func() { f.SetFastest(3, State{RateLimit: 40}) })
 			f.At(faultFrom+10*time.Second, func() { f.SetFastest(3, State{}) })
 		}},
 	{Name: "all break 1 of 50", Load: 0.6, Until: faultFrom + 20*time.Second, set: func(f *Fleet, c *Config) {
@@ -67,7 +69,7 @@
 	{Name: "twice the capacity for 10 s", Load: 0.6, Until: faultFrom + 10*time.Second, flood: nil, set: nil},
 }
 
-// fleet is the site's, in small: 15 servers of three kinds, 60 sidecars.
+// fleet configures a small model of the deployment: 15 servers of three kinds and 60 sidecars.
 func fleet(s *Case, seed uint64) Config {
 	c := Config{
 		Seed: seed, Sidecars: 60, RoundTrip: time.Millisecond,
@@ -85,7 +87,7 @@
 			Reports: policy.HasInFlight | policy.HasService | policy.HasServed | policy.HasErrors,
 		},
 	}
-	if s.Small { // requests are as much quicker there, and aims shorter
+	if s.Small { // requests take a fifth of the work, with shorter latency targets
 		for i := range c.Classes {
 			c.Classes[i].Work /= 5
 			c.Module.Classes[i].LatencyTarget /= 4
@@ -124,7 +126,8 @@
 	return c
 }
 
-// Fleet makes the case's fleet, at rest, from a seed; edit changes it before.
+// Fleet returns the fleet of a scenario without traffic. The function edit, if not nil, changes the configuration
+// first.
 func (s *Case) Fleet(seed uint64, edit func(*Config)) (*Fleet, error) {
 	c := fleet(s, seed)
 	if edit != nil {
@@ -137,33 +140,34 @@
 	return f, err
 }
 
-// CaseResult is what came of one run.
+// CaseResult is the result of one run.
 type CaseResult struct {
-	Earned      float64 // of the worth that came while it lasted
-	After       float64 // of the worth that came later
-	Recovery    float64 // s from capacity's return until nothing is refused for a second
-	OtherTenant float64 // of the other tenant's requests, in time
-	Attempts    float64 // a request
-	Swing       float64 // autocorrelation of the refused share, at the lag where it is greatest
+	Earned      float64 // value earned during the fault, as a share of the value requested
+	After       float64 // the same after the fault
+	Recovery    float64 // seconds from the end of the fault until nearly nothing is throttled for a second
+	OtherTenant float64 // share of the other tenant's requests in time
+	Attempts    float64 // per request
+	Swing       float64 // largest autocorrelation of the throttled share
 	Series      []Bucket
 }
 
-// Run plays the case from a seed. gate: nil is the module's own admission. The error is the first rule that was broken.
+// Run runs the scenario from a seed. A nil gate selects the module's own admission control. The error is the first
+// violation of a rule.
 func (s *Case) Run(seed uint64, gate func(*rand.Rand) admission.Gate) (CaseResult, error) {
 	f, err := s.Fleet(seed, func(c *Config) { c.Module.NewGate = gate })
 	if err != nil {
 		return CaseResult{}, err
 	}
 	f.Start()
-	f.Run(strainEnds)
+	f.Run(caseEnd)
 	if err := f.Err(); err != nil {
 		return CaseResult{}, err
 	}
 	var o CaseResult
-	o.Series = f.Buckets()[:strainEnds/time.Duration(100*time.Millisecond)]
+	o.Series = f.Buckets()[:caseEnd/time.Duration(100*time.Millisecond)]
 	from, until := int(faultFrom/(100*time.Millisecond)), int(s.Until/(100*time.Millisecond))
 	during, later, quiet, asked, sent := [2]float64{}, [2]float64{}, [2]int{}, 0, 0
-	for i, b := range o.Series[:len(o.Series)-30] { // the last ones are not all answered
+	for i, b := range o.Series[:len(o.Series)-30] { // requests of the last 3 s may still be in progress
 		asked, sent = asked+b.Requests, sent+b.Attempts
 		switch {
 		case i >= until:
@@ -180,22 +184,23 @@
 	return o, nil
 }
 
-// recovery is the time in s from a bucket until the module turns nothing away for a second: less than one in 200.
+// recovery returns the time in seconds from a bucket until the modules throttle less than one in 200 requests for a
+// second.
 func recovery(series []Bucket, from int) float64 {
 	for i := from; i+10 <= len(series); i++ {
-		turned, all := 0, 0
+		throttled, all := 0, 0
 		for _, b := range series[i : i+10] {
-			turned, all = turned+b.Throttled, all+b.Requests
+			throttled, all = throttled+b.Throttled, all+b.Requests
 		}
-		if turned*200 < all {
+		if throttled*200 < all {
 			return float64(i-from) / 10
 		}
 	}
 	return float64(len(series)-from) / 10
 }
 
-// swing is the greatest autocorrelation of the share that is turned away, at lags of 0.5 to 5 s: 1
-// is a whole fleet that turns away and lets in at the same times.
+// swing returns the largest autocorrelation of the throttled share at lags of 0.5 to 5 s. It is 1 if the whole fleet
+// throttles and admits in step.
 func swing(series []Bucket) (most float64) {
 	var share []float64
 	mean := 0.0
--- a/internal/lab/emulator/cases_test.go
+++ b/internal/lab/emulator/cases_test.go
@@ -2,16 +2,15 @@
 
 import "testing"
 
-// The hard cases, from several seeds: no rule is broken, and what on-call would see stays within
-// bounds that the module before this one did not keep, where it has a figure: of worth in time
-// while it lasts, and of seconds until nothing is turned away any more.
+// No run of a scenario may violate a rule, and the earned value during the fault and the recovery time must stay within
+// bounds. Where a comment gives a figure, the previous decision module missed the bound.
 func TestHardCases(t *testing.T) {
 	bounds := map[string]struct{ earned, recovery float64 }{
 		"a third silent 20 s":           {0.85, 1},
-		"all 5 times slower 3 s":        {0.2, 2}, // 7.6 s before
+		"all 5 times slower 3 s":        {0.2, 2}, // previous module: 7.6 s
 		"one tenant x 10 for 10 s":      {0.6, 1},
 		"two turn half away, look idle": {0.99, 1},
-		"three of six throttle":         {0.84, 1}, // 0.83 before
+		"three of six throttle":         {0.84, 1}, // previous module: 0.83
 		"all break 1 of 50":             {0.99, 1},
 		"all ids new every 2 s":         {0.98, 1},
 		"list halves for 10 s":          {0.98, 1},
@@ -26,8 +25,8 @@
 					t.Fatalf("seed %d: %v", seed+1, err)
 				}
 				if b := bounds[c.Name]; o.Earned < b.earned || o.Recovery > b.recovery || o.After < 0.98 {
-					t.Errorf("seed %d: earned %.3f, then %.3f, %.1f s until nothing is turned away; "+
-						"want %.2f, 0.98, %.1f s",
+					t.Errorf("seed %d: earned %.3f during the fault, %.3f after it, recovered after %.1f s; "+
+						"want at least %.2f and 0.98, at most %.1f s",
 						seed+1, o.Earned, o.After, o.Recovery, b.earned, b.recovery)
 				}
 			}
--- a/internal/lab/emulator/even.go
+++ b/internal/lab/emulator/even.go
@@ -10,25 +10,25 @@
 	"caperarch/policy"
 )
 
-// EvenDay is a day on which only the spread of requests is looked at: many sidecars of little
-// traffic, servers that bear it with ease.
+// EvenDay is a run that only measures the spread of requests: many sidecars with little traffic each, and servers with
+// capacity to spare.
 type EvenDay struct {
 	Sidecars, Servers int
-	RatePerSidecar    float64 // requests a second of a sidecar, on average
-	Heavy             bool    // a tenth of the sidecars, drawn, has half of the traffic
-	Dead              float64 // share of the sidecars, drawn, that is not there
-	Known             bool    // the others know who is not
-	Wrong             bool    // each believes a fifth, drawn for it alone, not to be there
-	Cold              float64 // ColdMultiple; 0: 3
+	RatePerSidecar    float64 // mean requests per second of a sidecar
+	Heavy             bool    // a random tenth of the sidecars has half of the traffic
+	Dead              float64 // share of the sidecars, chosen at random, that don't run
+	Known             bool    // the other sidecars know which ones don't run
+	Wrong             bool    // each sidecar considers another random fifth dead
+	Cold              float64 // slow-start overload factor; 0 for 3
 	Until             time.Duration
-	Event             *EvenEvent // what else happens; nil: nothing
+	Event             *EvenEvent // may be nil
 
 	number map[policy.ServerID]int
 	gone   map[int]bool
 	rng    *rand.Rand
 }
 
-// config is the fleet.
+// config draws the configuration of the fleet.
 func (d *EvenDay) config(seed uint64) Config {
 	d.rng = rand.New(rand.NewPCG(seed, 6))
 	d.number, d.gone = make(map[policy.ServerID]int), make(map[int]bool)
@@ -72,8 +72,8 @@
 	return c
 }
 
-// Run plays the day and returns what arrived where, and the servers' weights. Those that come later
-// have numbers behind the first ones'.
+// Run runs the day and returns the arrivals at the servers and the weights of the servers. Servers that are added
+// during the run are numbered after the first ones.
 func (d *EvenDay) Run(seed uint64) ([]loadspread.Arrival, []float64, error) {
 	var all []loadspread.Arrival
 	var f *Fleet
--- a/internal/lab/emulator/even_test.go
+++ b/internal/lab/emulator/even_test.go
@@ -9,9 +9,9 @@
 	"caperarch/internal/lab/loadspread"
 )
 
-// Guards against arcs that lie over some servers more often than over others: worse than chance
-// over ten seconds, with nothing wrong, though each sidecar's own turns are even.
-func TestEvenFromThinViews(t *testing.T) {
+// Without faults, the spread over 10 s must be better than chance. It is worse if the sidecars' subsets (arcs) cover
+// some servers more often than others, even if each sidecar spreads its own requests evenly.
+func TestEvenSpreadFromSubsets(t *testing.T) {
 	for _, d := range []EvenDay{
 		{Sidecars: 40, Servers: 40, RatePerSidecar: 4}, {Sidecars: 24, Servers: 12, RatePerSidecar: 5},
 		{Sidecars: 100, Servers: 20, RatePerSidecar: 4}, {Sidecars: 100, Servers: 66, RatePerSidecar: 4},
@@ -30,16 +30,16 @@
 			chance += loadspread.Measure(loadspread.Random(all, weights, seed), weights, from, d.Until,
 				10*time.Second).Variance / seeds
 		}
-		t.Logf("%d sidecars before %d: variance over mean %.2f in 1 s, %.2f in 10 s, by chance %.2f",
+		t.Logf("%d sidecars, %d servers: variance over mean %.2f in 1 s, %.2f in 10 s, by chance %.2f",
 			d.Sidecars, d.Servers, short, long, chance)
 		if short > 0.6 || long > 0.7 {
-			t.Errorf("%d sidecars before %d: variance over mean %.2f in 1 s, %.2f in 10 s", d.Sidecars,
-				d.Servers, short, long)
+			t.Errorf("%d sidecars, %d servers: variance over mean %.2f in 1 s and %.2f in 10 s, want at most 0.6 and 0.7",
+				d.Sidecars, d.Servers, short, long)
 		}
 	}
 }
 
-// meanVariance plays a day from some seeds and returns the mean variance over mean and greatest over mean in 10 s.
+// meanVariance returns the mean over some seeds of variance over mean and greatest over mean, in windows of 10 s.
 func meanVariance(t *testing.T, d EvenDay, from time.Duration, seeds uint64) (variance, greatest float64) {
 	t.Helper()
 	for seed := range seeds {
@@ -54,39 +54,41 @@
 	return variance, greatest
 }
 
-// Guards against the few that have most of the traffic: each keeps to an arc of its own, and where
-// these lie side by side their servers have a third more than the others.
-func TestHeavySidecarsSpreadWide(t *testing.T) {
+// A few sidecars have most of the traffic. If each of them kept to its own arc, servers under adjacent arcs would get a
+// third more requests than the others.
+func TestHeavySidecarsSpreadEvenly(t *testing.T) {
 	d := EvenDay{Sidecars: 300, Servers: 60, RatePerSidecar: 4, Heavy: true, Until: 60 * time.Second}
 	variance, greatest := meanVariance(t, d, 30*time.Second, 2)
-	t.Logf("a tenth has half of it: variance over mean %.2f, greatest %.2f", variance, greatest)
+	t.Logf("a tenth of the sidecars has half of the traffic: variance over mean %.2f, greatest over mean %.2f",
+		variance, greatest)
 	if variance > 1.1 || greatest > 1.25 {
-		t.Errorf("a tenth has half of it: variance over mean %.2f, greatest %.2f", variance, greatest)
+		t.Errorf("variance over mean %.2f and greatest over mean %.2f, want at most 1.1 and 1.25", variance, greatest)
 	}
 }
 
-// Where those that live know who does not, they close the gaps; where they know it wrongly, each in
-// its own way, they are no worse than by chance.
-func TestEvenAmongThoseThatLive(t *testing.T) {
+// If the running sidecars know which ones are dead, their arcs close the gaps. If each sidecar has another wrong view
+// of the dead, the spread must be no worse than by chance.
+func TestEvenSpreadWithDeadSidecars(t *testing.T) {
 	d := EvenDay{Sidecars: 100, Servers: 20, RatePerSidecar: 4, Dead: 0.2, Until: 50 * time.Second}
 	blind, _ := meanVariance(t, d, 10*time.Second, 3)
 	d.Known = true
 	known, _ := meanVariance(t, d, 10*time.Second, 3)
 	d.Dead, d.Wrong = 0, true
 	wrong, _ := meanVariance(t, d, 10*time.Second, 3)
-	t.Logf("a fifth is dead: variance over mean %.2f, %.2f where that is known; %.2f where each "+
-		"believes another fifth to be", blind, known, wrong)
+	t.Logf("variance over mean with a dead fifth %.2f, if known to the others %.2f; %.2f if each "+
+		"sidecar wrongly considers another fifth dead", blind, known, wrong)
 	if known > 0.45 || known > 0.7*blind {
-		t.Errorf("a fifth is dead: variance over mean %.2f, %.2f where that is known", blind, known)
+		t.Errorf("a fifth is dead: variance over mean %.2f, %.2f if known to the others; want at most 0.45 if known",
+			blind, known)
 	}
 	if wrong > 1.2 {
-		t.Errorf("variance over mean %.2f where each believes another fifth to be dead", wrong)
+		t.Errorf("variance over mean %.2f if each sidecar wrongly considers a fifth dead, want at most 1.2", wrong)
 	}
 }
 
-// Behind what all notice at about the same moment nobody is overrun and nobody left idle; what was
-// touched has its part again.
-func TestEventsPutNobodyInStep(t *testing.T) {
+// After an event that all sidecars notice at about the same moment, no server may be overloaded or idle, and the
+// affected servers must get their share again.
+func TestEventsDoNotSynchronizeSidecars(t *testing.T) {
 	for _, event := range EvenEvents(20) {
 		t.Run(event.Name, func(t *testing.T) {
 			t.Parallel()
@@ -102,20 +104,21 @@
 				t.Logf("seed %d: %+v", seed, b)
 				worst, chance = worst+b.Worst, chance+b.Chance
 				if b.Idle > 0.01 || b.Recovery < 0 || b.Recovery > 26*time.Second {
-					t.Errorf("seed %d: idle %.3f, back after %v", seed, b.Idle, b.Recovery)
+					t.Errorf("seed %d: idle share %.3f, recovery after %v; want at most 0.01 and 26 s",
+						seed, b.Idle, b.Recovery)
 				}
 			}
 			if worst > 1.1*chance {
-				t.Errorf("greatest over mean in the worst second %.2f, by chance %.2f", worst/3, chance/3)
+				t.Errorf("greatest over mean in the worst second %.2f, want at most 1.1 times that of chance, %.2f",
+					worst/3, chance/3)
 			}
 		})
 	}
 }
 
-// Rule 4 goes before evenness: where all but one have just come, they get, in each of their first
-// seconds and by all sidecars together, no more than the settings have them bear, though traffic is
-// more.
-func TestColdBudgetGoesBeforeEvenness(t *testing.T) {
+// Rule 4 takes precedence over an even spread: when all servers but one have just started, all sidecars together send a
+// cold server no more than its slow-start limit in each second, although the traffic is higher.
+func TestSlowStartLimitBeatsEvenness(t *testing.T) {
 	const servers = 20
 	event := EvenEvent{At: eventAt, End: eventAt + EvenColdTime, Removed: servers - 1, Added: servers - 1,
 		Play: func(f *Fleet) {
@@ -133,18 +136,18 @@
 			for second := range int(EvenColdTime / time.Second) {
 				from := event.At + time.Duration(second)*time.Second
 				warm := cold.SlowStartShare + (1-cold.SlowStartShare)*float64(second)/EvenColdTime.Seconds()
-				bears := cold.SlowStartOverload * warm * cold.Tenants[0].Quota / servers
+				limit := cold.SlowStartOverload * warm * cold.Tenants[0].Quota / servers
 				got := make([]float64, servers+event.Added)
 				for _, a := range all {
 					if a.At >= from && a.At < from+time.Second {
 						got[a.To]++
 					}
 				}
-				most = max(most, slices.Max(got[servers:])/(bears+3*math.Sqrt(bears)+3))
+				most = max(most, slices.Max(got[servers:])/(limit+3*math.Sqrt(limit)+3))
 			}
-			t.Logf("heavy %v, seed %d: at most %.2f of what one bears", heavy, seed, most)
+			t.Logf("heavy %v, seed %d: at most %.2f of the slow-start limit", heavy, seed, most)
 			if most > 1 {
-				t.Errorf("heavy %v, seed %d: one got %.2f times what it bears", heavy, seed, most)
+				t.Errorf("heavy %v, seed %d: a cold server got %.2f times its slow-start limit", heavy, seed, most)
 			}
 		}
 	}
--- a/internal/lab/emulator/events.go
+++ b/internal/lab/emulator/events.go
@@ -7,23 +7,23 @@
 	"caperarch/internal/lab/loadspread"
 )
 
-// EvenEvent is something that all sidecars of a day notice at about the same moment, after which
-// they may well think the same. What it does to servers it does to the first of the list.
+// EvenEvent is an event that all sidecars notice at about the same moment, so that they could react in step. An event
+// that affects servers affects the first ones of the list.
 type EvenEvent struct {
 	Name    string
 	At      time.Duration
-	End     time.Duration // from here on the servers that it touched are due their part again
+	End     time.Duration // from here on, the affected servers should get their share again
 	Play    func(f *Fleet)
-	State   State                           // what the servers that it touches do meanwhile, where they stay
-	Times   func(now time.Duration) float64 // traffic
-	Touched int                             // servers
-	Removed int                             // of these, so many don't come back
-	Added   int                             // servers that come, and are cold for a while
+	State   State                           // behaviour of the affected servers between At and End
+	Times   func(now time.Duration) float64 // factor of the traffic
+	Touched int                             // number of affected servers
+	Removed int                             // number of affected servers that are removed permanently
+	Added   int                             // number of added servers, which are cold at first
 }
 
 const eventAt = 20 * time.Second
 
-// EvenEvents are those that the spread is measured behind.
+// EvenEvents returns the events after which the spread is measured.
 func EvenEvents(servers int) []EvenEvent {
 	some := func(share float64) int { return max(1, int(share*float64(servers))) }
 	replaced := func(n int, back time.Duration) func(*Fleet) {
@@ -58,10 +58,10 @@
 	}
 }
 
-// EvenColdTime is how long a server of an even day is cold.
+// EvenColdTime is the slow-start time of a server.
 const EvenColdTime = 8 * time.Second
 
-// play has the event happen.
+// play schedules the event.
 func (e *EvenEvent) play(f *Fleet) {
 	if e.Play != nil {
 		e.Play(f)
@@ -74,32 +74,34 @@
 	}
 }
 
-// EventResult is what an event did to the spread.
+// EventResult is the effect of an event on the spread.
 type EventResult struct {
-	// greatest over mean among the servers that were there all along, in the worst second of the
-	// ten behind it; and what chance has
+	// Worst is the largest ratio of a server's requests to the mean in the worst second of the observation time, among
+	// the servers that the event didn't affect. Chance is the same for a random spread.
 	Worst, Chance float64
-	Idle          float64 // share of those seconds in which one that five were due had none
-	// from Ends until the last of the servers that were touched or came has half of its part; negative: it never had
+	Idle          float64 // share of servers and seconds without requests, where five or more were due
+	// Recovery is the time from End until the last affected or added server gets half of its share; negative if one
+	// never does.
 	Recovery time.Duration
 }
 
-// behind is how long the spread is watched.
-const behind = 10 * time.Second
+// observationTime is how long after an event the spread is measured.
+const observationTime = 10 * time.Second
 
-// Judge says what became of a day's spread, of as many servers as it began with.
+// Judge measures the effect of the event in a run that began with the given number of servers.
 func (e *EvenEvent) Judge(all []loadspread.Arrival, servers int, until time.Duration, seed uint64) (b EventResult) {
 	steady := make([]float64, servers+e.Added)
 	for i := e.Touched; i < servers; i++ {
 		steady[i] = 1
 	}
-	there := slices.DeleteFunc(slices.Clone(all), func(a loadspread.Arrival) bool {
+	counted := slices.DeleteFunc(slices.Clone(all), func(a loadspread.Arrival) bool {
 		return a.To >= len(steady) || steady[a.To] == 0
 	})
-	from := e.At + time.Second // the second in which it happens is neither before nor behind
-	s := loadspread.Measure(there, steady, from, from+behind, time.Second)
+	from := e.At + time.Second // skip the second of the event itself
+	s := loadspread.Measure(counted, steady, from, from+observationTime, time.Second)
 	b.Worst, b.Idle = s.Worst, s.Idle
-	b.Chance = loadspread.Measure(loadspread.Random(there, steady, seed), steady, from, from+behind, time.Second).Worst
+	b.Chance = loadspread.Measure(loadspread.Random(counted, steady, seed), steady, from, from+observationTime,
+		time.Second).Worst
 	due := make([]float64, servers+e.Added)
 	for i := range due {
 		if i >= e.Removed {
@@ -108,12 +110,12 @@
 	}
 	for i := range due {
 		if i >= e.Removed && i < e.Touched || i >= servers {
-			back := loadspread.RecoveryTime(all, due, i, e.End, until, 2*time.Second)
-			if back < 0 {
+			recovery := loadspread.RecoveryTime(all, due, i, e.End, until, 2*time.Second)
+			if recovery < 0 {
 				b.Recovery = -1
 				return b
 			}
-			b.Recovery = max(b.Recovery, back)
+			b.Recovery = max(b.Recovery, recovery)
 		}
 	}
 	return b
--- a/internal/lab/emulator/fleet.go
+++ b/internal/lab/emulator/fleet.go
@@ -1,6 +1,6 @@
-// Package emulator is a fleet in virtual time: sidecars with the decision module inside, servers,
-// clients, a list, and what goes wrong. It runs from a seed, to the same end every time, some
-// thousands of times faster than the real one. It is free of I/O.
+// Package emulator simulates a fleet in virtual time: sidecars with the real decision module, servers, clients, a
+// server list and faults. A run depends on its seed only and is some thousands of times faster than real time. The
+// package does no I/O.
 package emulator
 
 import (
@@ -16,85 +16,87 @@
 	"caperarch/policy"
 )
 
-// Class is a class's traffic beside its settings in Config.Module.
+// Class is the traffic of a request class; Config.Module has its settings.
 type Class struct {
-	Share float64       // of the requests
-	Work  time.Duration // mean, on a core of speed 1
-	Shape int           // gamma-distributed of this shape; 0: 4, some 50% of standard deviation
-	Tail  float64       // above 0: Pareto-distributed instead, with this coefficient of variation
-	// each attempt's own work differs from its request's by so much (standard deviation of the logarithm)
+	Share float64       // of all requests
+	Work  time.Duration // mean work of a request, as time on a core of speed 1
+	Shape int           // shape of the gamma distribution of the work; 0 for 4, a standard deviation of some 50%
+	Tail  float64       // if above 0, the work is Pareto-distributed with this coefficient of variation
+	// Noise is the standard deviation of the logarithm by which the work of an attempt differs from that of its
+	// request.
 	Noise float64
 }
 
-// Tenant is a tenant's traffic.
+// Tenant is the traffic of a tenant.
 type Tenant struct {
-	Share float64                         // of the rate
-	Times func(now time.Duration) float64 // its traffic is so many times the usual; nil: 1
+	Share float64                         // of the request rate
+	Times func(now time.Duration) float64 // factor of the tenant's traffic at a time; nil for 1
 }
 
-// Clients say what clients do with a refusal or a failure.
+// Clients configures how clients react to rejections and failures.
 type Clients struct {
-	Retries      int           // further tries at most
-	Backoff      time.Duration // before the first of them, doubled after each; a longer Retry-After is heeded
-	AttemptShare float64       // of the deadline that one try is waited for; 0: all that is left of it
+	Retries      int           // maximum number of retries
+	Backoff      time.Duration // before the first retry, doubled after each; a longer Retry-After takes precedence
+	AttemptShare float64       // time-out of an attempt as a share of the deadline; 0 for all the time left
 }
 
-// Config is a fleet. The module is told none of it but what Module has.
+// Config configures a fleet. The decision modules know only the part Module.
 type Config struct {
 	Seed     uint64
 	Sidecars int
-	Rate     float64                                      // requests a second over all sidecars
-	Shares   []float64                                    // of each sidecar, against the others'; nil: even ones
-	Times    func(sidecar int, now time.Duration) float64 // its traffic is so many times the usual; nil: 1
+	Rate     float64                                      // requests per second of all sidecars
+	Shares   []float64                                    // relative traffic of each sidecar; nil for equal shares
+	Times    func(sidecar int, now time.Duration) float64 // factor of a sidecar's traffic at a time; nil for 1
 	Servers  []Server
 	Classes  []Class
 	Tenants  []Tenant
 	Clients  Clients
-	// from a sidecar to a server and back
+	// RoundTrip is the round-trip time between a sidecar and a server.
 	RoundTrip time.Duration
-	// Balancers, Index and Tick are set for each
+	// Module configures the decision modules. Balancers, Index and Tick are set for each sidecar.
 	Module policy.Config
-	New    func(cfg policy.Config, seed uint64, host policy.Host) (engine.Module, error) // nil: policy.New
-	Bucket time.Duration                                                                 // of the series; 0: 100 ms
-	// what each is told of its place; nil: nothing
+	New    func(cfg policy.Config, seed uint64, host policy.Host) (engine.Module, error) // nil for policy.New
+	// Bucket is the length of a bucket of the time series; 0 for 100 ms.
+	Bucket time.Duration
+	// ArcStart returns the start of a sidecar's arc of servers; nil to leave it to the module.
 	ArcStart func(sidecar int) float64
-	Arrived  func(sidecar int, to policy.ServerID) // hears of each attempt that arrives at a server; nil: nobody does
+	Arrived  func(sidecar int, to policy.ServerID) // called for each attempt that arrives at a server; may be nil
 }
 
-// Fleet is a fleet under way.
+// Fleet is a running simulation.
 type Fleet struct {
 	cfg      Config
 	clock    virtualtime.Clock
 	rng      *rand.Rand
 	nodes    []*node
-	byID     map[policy.ServerID]*node // gone ones too
+	byID     map[policy.ServerID]*node // includes removed servers
 	nextNode policy.ServerID
 	sidecars []*sidecar
 	shares   float64 // sum of Config.Shares
-	meanWork float64 // s of work a request, over the classes
+	meanWork float64 // mean work of a request over all classes, in seconds
 	buckets  []Bucket
 	err      error
 }
 
-// Bucket is what came, and what became of it, in one stretch of the time. Requests count in the
-// bucket that they came in.
+// Bucket counts the requests of one interval and their outcomes. An outcome counts in the bucket in which the request
+// arrived.
 type Bucket struct {
 	Requests, InTime, Late, Refused, Failed, Attempts int
-	Probes                                            int // as they go out
-	// refused at once, as seen by the module's counters, in this stretch
+	Probes                                            int // by the time when they are sent
+	// Throttled is the number of requests that the modules rejected at once in this interval, by their counters.
 	Throttled     int
 	Value, Earned float64
 	Tenant        []Count
-	Capacity      float64 // work that the servers can do, in seconds of work a second
-	InFlight      int     // requests that the servers hold as it begins
-	Overloaded    int     // servers that are slower as they were crowded
-	Work          float64 // work asked for
+	Capacity      float64 // of the servers, in seconds of work per second
+	InFlight      int     // requests at the servers at the start of the interval
+	Overloaded    int     // overloaded servers at the start of the interval
+	Work          float64 // work of the requests, in seconds
 }
 
-// Count counts a tenant's requests.
+// Count counts the requests of a tenant.
 type Count struct{ Requests, InTime, Refused int }
 
-// New makes a fleet at rest, or returns the module's error.
+// New returns a fleet without traffic, or the error of the decision module.
 func New(cfg Config) (*Fleet, error) {
 	if cfg.Bucket == 0 {
 		cfg.Bucket = 100 * time.Millisecond
@@ -105,11 +107,11 @@
 		}
 	}
 	if len(cfg.Tenants) != max(1, len(cfg.Module.Tenants)) || len(cfg.Classes) != len(cfg.Module.Classes) {
-		return nil, fmt.Errorf("emulator: %d tenants and %d classes, the module has %d and %d",
+		return nil, fmt.Errorf("emulator: traffic of %d tenants and %d classes, but the module has %d and %d",
 			len(cfg.Tenants), len(cfg.Classes), len(cfg.Module.Tenants), len(cfg.Module.Classes))
 	}
 	f := &Fleet{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 1)), byID: make(map[policy.ServerID]*node)}
-	f.clock.Now = time.Hour // far from 0, which to the module is never
+	f.clock.Now = time.Hour // far from 0, which means "never" to the module
 	for _, s := range cfg.Servers {
 		f.add(s, 0)
 	}
@@ -121,7 +123,7 @@
 	}
 	for i := range cfg.Sidecars {
 		s := &sidecar{f: f, index: i, open: make(map[policy.RequestID]*request)}
-		if err := s.module(); err != nil {
+		if err := s.newModule(); err != nil {
 			return nil, err
 		}
 		f.sidecars = append(f.sidecars, s)
@@ -131,14 +133,14 @@
 
 func (f *Fleet) add(s Server, started time.Duration) *node {
 	f.nextNode++
-	// Ids that tell nothing of the order.
+	// The multiplier scatters the IDs, so that they don't reveal the order of the servers.
 	n := &node{f: f, id: policy.ServerID(uint64(f.nextNode) * 0x9e3779b97f4a7c15), spec: s,
-		started: started, recent: 0.05}
+		started: started, meanServiceTime: 0.05}
 	f.nodes, f.byID[n.id] = append(f.nodes, n), n
 	return n
 }
 
-// Start starts all sidecars with the list as it is, and the clients' traffic.
+// Start starts all sidecars with the present server list, and the traffic of the clients.
 func (f *Fleet) Start() {
 	for _, s := range f.sidecars {
 		s.m.Start(f.clock.Now)
@@ -157,20 +159,22 @@
 	return entries
 }
 
-// PublishList has all sidecars hear the list as it is now.
+// PublishList sends the present server list to all sidecars.
 func (f *Fleet) PublishList() {
 	for _, s := range f.sidecars {
 		s.m.List(f.clock.Now, policy.ListFull, f.list())
 	}
 }
 
-// Now is the time since the fleet was made.
+// Now returns the time since the creation of the fleet.
 func (f *Fleet) Now() time.Duration { return f.clock.Now - time.Hour }
 
-// At asks for a call at a time since the fleet was made.
-func (f *Fleet) At(t time.Duration, do func()) { f.clock.After(time.Hour+t-f.clock.Now, do) }
+// At schedules a call at a time since the creation of the fleet.
+func (f *Fleet) At(t time.Duration, callback func()) {
+	f.clock.After(time.Hour+t-f.clock.Now, callback)
+}
 
-// Set has the first n servers that are not gone behave in a way from now on, n <= 0: all.
+// Set changes the behaviour of the first n servers that have not been removed; of all servers if n <= 0.
 func (f *Fleet) Set(n int, s State) {
 	for _, node := range f.nodes {
 		if node.gone {
@@ -183,7 +187,7 @@
 	}
 }
 
-// SetFastest is Set for the n servers that can do most.
+// SetFastest changes the behaviour of the n servers with the highest capacity.
 func (f *Fleet) SetFastest(n int, s State) {
 	order := slices.Clone(f.nodes)
 	slices.SortStableFunc(order, func(a, b *node) int {
@@ -194,11 +198,11 @@
 	}
 }
 
-// Replace has all servers leave and as many come under other ids, warm, and tells the sidecars.
+// Replace replaces all servers by warm ones with other IDs, and publishes the list.
 func (f *Fleet) Replace() {
 	for _, old := range slices.Clone(f.nodes) {
 		if !old.gone {
-			old.leaves()
+			old.shutDown()
 			f.add(old.spec, 0)
 		}
 	}
@@ -206,8 +210,8 @@
 	f.PublishList()
 }
 
-// leaves ends a server: what it holds ends as its process does.
-func (n *node) leaves() {
+// shutDown ends a server. The connections of the requests that it holds break.
+func (n *node) shutDown() {
 	n.gone = true
 	for _, j := range slices.Concat(n.running, n.waiting) {
 		if j.ends != nil {
@@ -218,11 +222,11 @@
 	n.running, n.waiting = nil, nil
 }
 
-// Remove has the first k servers leave, and tells the sidecars. It returns their builds, for Add.
+// Remove removes the first k servers and publishes the list. It returns their specifications, for Add.
 func (f *Fleet) Remove(k int) (gone []Server) {
 	for _, n := range f.nodes {
 		if len(gone) < k && !n.gone {
-			n.leaves()
+			n.shutDown()
 			gone = append(gone, n.spec)
 		}
 	}
@@ -230,7 +234,7 @@
 	return gone
 }
 
-// Add has servers come, cold, and tells the sidecars.
+// Add adds cold servers and publishes the list.
 func (f *Fleet) Add(all []Server) {
 	for _, s := range all {
 		f.add(s, f.clock.Now)
@@ -238,7 +242,7 @@
 	f.PublishList()
 }
 
-// Run plays up to a time since the fleet was made.
+// Run runs the simulation up to a time since the creation of the fleet.
 func (f *Fleet) Run(until time.Duration) {
 	for t := f.Now(); t < until; {
 		b := f.bucket(t)
@@ -261,7 +265,7 @@
 	return sum
 }
 
-// Buckets is the series so far.
+// Buckets returns the time series so far.
 func (f *Fleet) Buckets() []Bucket { return f.buckets }
 
 func (f *Fleet) bucket(t time.Duration) *Bucket {
@@ -271,21 +275,21 @@
 	return &f.buckets[t/f.cfg.Bucket]
 }
 
-// next asks for a sidecar's next request: a Poisson stream, of each tenant's rate at that time.
+// next schedules the next request of a sidecar. Requests form a Poisson process with the present rates of the tenants.
 func (f *Fleet) next(s *sidecar) {
 	rate := f.rate(s.index)
-	most := 0.0
+	share := 0.0
 	for _, t := range f.cfg.Tenants {
-		most += t.Share * t.times(f.Now())
+		share += t.Share * t.times(f.Now())
 	}
-	// A quarter of a second at most, so that a rate that changes is soon gone by.
-	wait := f.rng.ExpFloat64() / max(rate*most, 1e-9)
+	// The wait is at most 0.25 s, so that a change of the rate takes effect soon.
+	wait := f.rng.ExpFloat64() / max(rate*share, 1e-9)
 	if wait > 0.25 {
 		f.clock.After(250*time.Millisecond, func() { f.next(s) })
 		return
 	}
 	f.clock.After(time.Duration(wait*float64(time.Second)), func() {
-		pick := f.rng.Float64() * most
+		pick := f.rng.Float64() * share
 		tenant := 0
 		for i, t := range f.cfg.Tenants {
 			if pick -= t.Share * t.times(f.Now()); pick < 0 {
@@ -300,12 +304,12 @@
 				break
 			}
 		}
-		s.ask(class, tenant)
+		s.startRequest(class, tenant)
 		f.next(s)
 	})
 }
 
-// rate is that of a sidecar now.
+// rate returns the present request rate of a sidecar.
 func (f *Fleet) rate(sidecar int) float64 {
 	rate := f.cfg.Rate / float64(f.cfg.Sidecars)
 	if f.cfg.Shares != nil {
@@ -324,7 +328,7 @@
 	return t.Times(now)
 }
 
-// work draws a request's work, in seconds.
+// work draws the work of a request, in seconds.
 func (f *Fleet) work(c *Class) float64 {
 	if c.Tail > 0 { // cv² = 1 / (a (a - 2))
 		a := 1 + math.Sqrt(1+1/(c.Tail*c.Tail))
@@ -341,12 +345,12 @@
 	return sum / float64(shape) * c.Work.Seconds()
 }
 
-// jitter spreads a time by half of it either way.
+// jitter returns a random duration between 0.5 d and 1.5 d.
 func (f *Fleet) jitter(d time.Duration) time.Duration {
 	return time.Duration(float64(d) * (0.5 + f.rng.Float64()))
 }
 
-// backoff before a client's further try.
+// backoff returns the time that a client waits before its next retry.
 func (c *Clients) backoff(try int) time.Duration {
 	return time.Duration(float64(c.Backoff) * math.Pow(2, float64(try)))
 }
--- a/internal/lab/emulator/mass.go
+++ b/internal/lab/emulator/mass.go
@@ -10,29 +10,29 @@
 	"caperarch/policy"
 )
 
-// Mass is a day of a fleet of hundreds: many sidecars of little and uneven traffic, requests of a
-// long tail, servers that tip where they hold too many and come back only when they rest, clients
-// that come again. What the deployment is like is drawn from the seed.
+// Mass is a run of a large fleet: many sidecars with little, uneven traffic, long-tailed request sizes, servers that
+// become overloaded and recover only after a rest, and clients that retry. The details of the deployment are drawn from
+// the seed.
 type Mass struct {
 	Sidecars, Servers int
-	Load              float64 // of the capacity, at the usual rate
-	Burst             float64 // the rate is so many times the usual, from BurstFrom for BurstFor; 0: as usual
-	Flood             float64 // and so is the smaller tenant's, besides
-	Shift             bool    // half of the sidecars have more of the traffic, then the others
+	Load              float64 // usual request rate as a share of the capacity
+	Burst             float64 // factor of the rate during the burst; 0 for none
+	Flood             float64 // additional factor of the smaller tenant's rate during the burst
+	Shift             bool    // the halves of the sidecars alternate in having more of the traffic
 	Heavy             bool    // a tenth of the sidecars has half of the traffic
-	Tipped            float64 // share of the servers that has tipped as the burst begins, whatever they hold
-	Slow              float64 // share of the servers that is three times slower from the burst's beginning on
-	Hang              float64 // share of the servers that answers nothing while the burst lasts
-	Killed            float64 // share of the sidecars that is killed 2 s into the burst
+	Tipped            float64 // share of the servers that become overloaded at the start of the burst
+	Slow              float64 // share of the servers that are three times slower from the start of the burst on
+	Hang              float64 // share of the servers that don't answer during the burst
+	Killed            float64 // share of the sidecars that are killed 2 s into the burst
 	BurstFrom         time.Duration
 	BurstFor          time.Duration
 	Until             time.Duration
 }
 
-// between draws from a range.
+// between draws a number from a range.
 func between(rng *rand.Rand, from, to float64) float64 { return from + (to-from)*rng.Float64() }
 
-// Config draws the fleet.
+// Config draws the configuration of the fleet.
 func (m *Mass) Config(seed uint64) Config {
 	rng := rand.New(rand.NewPCG(seed, 2))
 	c := Config{
@@ -80,7 +80,7 @@
 	return c
 }
 
-// servers draws the servers, and returns how many requests a second they can do.
+// servers draws the servers and returns their capacity in requests per second.
 func (m *Mass) servers(c *Config, rng *rand.Rand) (capacity float64) {
 	at, over, slower := between(rng, 4, 7), between(rng, 1.5, 2.5), between(rng, 2.1, 3.3)
 	rest, below, until := between(rng, 2.3, 4.7), between(rng, 0.25, 0.4), between(rng, 21, 32)
@@ -101,7 +101,7 @@
 	return capacity
 }
 
-// traffic sets how much of the usual rate each sidecar and tenant has at a time.
+// traffic sets the factors of the sidecars' and tenants' traffic over time.
 func (m *Mass) traffic(c *Config) {
 	burst := func(now time.Duration) bool { return now >= m.BurstFrom && now < m.BurstFrom+m.BurstFor }
 	if m.Burst > 0 || m.Shift {
@@ -129,64 +129,64 @@
 	}
 }
 
-// MassResult is what came of a day.
+// MassResult is the result of a run.
 type MassResult struct {
-	InTime       float64 // share of the worth
-	Worst        float64 // in the worst 10 s
-	Attempts     float64 // attempts a request
-	Probes       float64 // a request
-	LargerTenant float64 // share of the larger tenant's requests that came while the burst lasted, in time
-	Tipped       int     // times that a server tipped
-	Recovery     float64 // s from the end of the burst until 95% of the best second's share is in time
+	InTime       float64 // value earned in time, as a share of the value requested
+	Worst        float64 // the same in the worst 10 s
+	Attempts     float64 // per request
+	Probes       float64 // per request
+	LargerTenant float64 // share of the larger tenant's requests during the burst that were answered in time
+	Tipped       int     // number of times that a server became overloaded
+	Recovery     float64 // seconds from the end of the burst until 95% of the best second's share is in time
 	Seconds      []MassSecond
 }
 
-// MassSecond is a second of it.
+// MassSecond is one second of a run.
 type MassSecond struct {
 	Requests, Held, Tipped int
 	InTime, Refused, Load  float64
 }
 
-// some is a share of all, spread over the list.
-func some[T any](all []T, share float64) (some []T) {
-	for i, one := range all {
+// sample returns a share of the elements, spread over the list.
+func sample[T any](all []T, share float64) (sample []T) {
+	for i, element := range all {
 		if float64(i%20) < 20*share {
-			some = append(some, one)
+			sample = append(sample, element)
 		}
 	}
-	return some
+	return sample
 }
 
-// setSome has a share of the servers behave in a way from now on.
-func setSome(nodes []*node, share float64, s State) {
-	for _, n := range some(nodes, share) {
+// setSample changes the behaviour of a share of the servers.
+func setSample(nodes []*node, share float64, s State) {
+	for _, n := range sample(nodes, share) {
 		n.set(s)
 	}
 }
 
-// Run plays the day from a seed. The error is the first rule that was broken.
+// Run runs the day from a seed. The error is the first violation of a rule.
 func (m *Mass) Run(seed uint64) (MassResult, error) {
 	f, err := New(m.Config(seed))
 	if err != nil {
 		return MassResult{}, err
 	}
 	if m.Slow > 0 {
-		f.At(m.BurstFrom, func() { setSome(f.nodes, m.Slow, State{Slower: 3}) })
+		f.At(m.BurstFrom, func() { setSample(f.nodes, m.Slow, State{Slower: 3}) })
 	}
 	if m.Killed > 0 {
 		f.At(m.BurstFrom+2*time.Second, func() {
-			for _, s := range some(f.sidecars, m.Killed) {
+			for _, s := range sample(f.sidecars, m.Killed) {
 				err = cmp.Or(err, s.restart())
 			}
 		})
 	}
 	if m.Hang > 0 {
-		f.At(m.BurstFrom, func() { setSome(f.nodes, m.Hang, State{Silent: true}) })
-		f.At(m.BurstFrom+m.BurstFor, func() { setSome(f.nodes, m.Hang, State{}) })
+		f.At(m.BurstFrom, func() { setSample(f.nodes, m.Hang, State{Silent: true}) })
+		f.At(m.BurstFrom+m.BurstFor, func() { setSample(f.nodes, m.Hang, State{}) })
 	}
 	if m.Tipped > 0 {
 		f.At(m.BurstFrom, func() {
-			for _, n := range some(f.nodes, m.Tipped) {
+			for _, n := range sample(f.nodes, m.Tipped) {
 				if !n.overloaded {
 					n.meanInFlight = n.spec.Overload.Most + 1e9
 					n.updateOverload()
@@ -222,7 +222,7 @@
 		}
 		s.Held /= each
 		s.InTime, s.Refused = e/max(w, 1e-9), float64(refused)/float64(max(1, s.Requests))
-		s.Load = load / max(1e-9, f.build())
+		s.Load = load / max(1e-9, f.nominalCapacity())
 		asked, earned, worth = asked+s.Requests, earned+e, worth+w
 		o.Seconds, shares, buckets = append(o.Seconds, s), append(shares, s.InTime), buckets[each:]
 	}
@@ -236,7 +236,7 @@
 		o.Worst = min(o.Worst, sum)
 	}
 	for _, n := range f.nodes {
-		o.Tipped += n.times
+		o.Tipped += n.overloadCount
 	}
 	best, ends := 0.95*slices.Max(shares), int((m.BurstFrom+m.BurstFor)/time.Second)
 	for ends+int(o.Recovery) < len(shares) && shares[ends+int(o.Recovery)] < best {
@@ -245,44 +245,44 @@
 	return o
 }
 
-// build is the work that its servers could do a second, were they all well.
-func (f *Fleet) build() (sum float64) {
+// nominalCapacity returns the capacity of the servers without faults, in seconds of work per second.
+func (f *Fleet) nominalCapacity() (sum float64) {
 	for _, n := range f.nodes {
 		sum += float64(n.spec.Cores) * n.spec.Speed
 	}
 	return sum
 }
 
-// CalmMass is the day on which nothing fails: a burst of half as much again, and traffic that moves.
+// CalmMass is the day without faults: a burst to 1.5 times the usual rate, and traffic that shifts between sidecars.
 var CalmMass = Mass{
 	Sidecars: 300, Servers: 200, Load: 0.62, Burst: 1.5, Shift: true,
 	BurstFrom: 10 * time.Second, BurstFor: 8 * time.Second, Until: 30 * time.Second,
 }
 
-// MassDay is a day with its name.
+// MassDay is a named day.
 type MassDay struct {
 	Name string
 	Mass
 }
 
-// MassDays are the days that walls over a whole fleet are judged by: the calm one, and what is different from it.
+// MassDays are the days that overload protection of a whole fleet is measured on: the calm day and variants of it.
 var MassDays = []MassDay{
-	calmBut("burst of 1.5", func(*Mass) {}),
-	calmBut("burst of 1.5 on 0.72", func(m *Mass) { m.Load = 0.72 }),
-	calmBut("one tenant x 5", func(m *Mass) { m.Burst, m.Flood = 1, 5 }),
-	calmBut("a tenth has half of it", func(m *Mass) { m.Heavy = true }),
-	calmBut("the same, 70% killed", func(m *Mass) { m.Heavy, m.Killed = true, 0.7 }),
-	calmBut("15% silent", func(m *Mass) { m.Burst, m.Hang, m.Load = 1, 0.15, 0.6 }),
-	calmBut("an eighth slow", func(m *Mass) { m.Burst, m.Slow = 1, 0.125 }),
-	calmBut("a fifth tipped", func(m *Mass) { m.Burst, m.Tipped, m.BurstFor = 1, 0.2, time.Second }),
-	calmBut("all tipped", func(m *Mass) { m.Burst, m.Tipped, m.BurstFor = 1, 1, time.Second }),
-	calmBut("1,000 on 60", func(m *Mass) { m.Sidecars, m.Servers = 1000, 60 }),
-	calmBut("15 on 10", func(m *Mass) { m.Sidecars, m.Servers = 15, 10 }),
-	calmBut("3 on 3", func(m *Mass) { m.Sidecars, m.Servers = 3, 3 }),
-	calmBut("1 on 3", func(m *Mass) { m.Sidecars, m.Servers = 1, 3 }),
+	calmVariant("burst of 1.5", func(*Mass) {}),
+	calmVariant("burst of 1.5 on 0.72", func(m *Mass) { m.Load = 0.72 }),
+	calmVariant("one tenant x 5", func(m *Mass) { m.Burst, m.Flood = 1, 5 }),
+	calmVariant("a tenth has half of it", func(m *Mass) { m.Heavy = true }),
+	calmVariant("the same, 70% killed", func(m *Mass) { m.Heavy, m.Killed = true, 0.7 }),
+	calmVariant("15% silent", func(m *Mass) { m.Burst, m.Hang, m.Load = 1, 0.15, 0.6 }),
+	calmVariant("an eighth slow", func(m *Mass) { m.Burst, m.Slow = 1, 0.125 }),
+	calmVariant("a fifth tipped", func(m *Mass) { m.Burst, m.Tipped, m.BurstFor = 1, 0.2, time.Second }),
+	calmVariant("all tipped", func(m *Mass) { m.Burst, m.Tipped, m.BurstFor = 1, 1, time.Second }),
+	calmVariant("1,000 on 60", func(m *Mass) { m.Sidecars, m.Servers = 1000, 60 }),
+	calmVariant("15 on 10", func(m *Mass) { m.Sidecars, m.Servers = 15, 10 }),
+	calmVariant("3 on 3", func(m *Mass) { m.Sidecars, m.Servers = 3, 3 }),
+	calmVariant("1 on 3", func(m *Mass) { m.Sidecars, m.Servers = 1, 3 }),
 }
 
-func calmBut(name string, edit func(*Mass)) MassDay {
+func calmVariant(name string, edit func(*Mass)) MassDay {
 	d := MassDay{name, CalmMass}
 	edit(&d.Mass)
 	return d
--- a/internal/lab/emulator/mass_test.go
+++ b/internal/lab/emulator/mass_test.go
@@ -7,11 +7,11 @@
 	"caperarch/policy"
 )
 
-// Guards against walls that add up: each sidecar of a fleet holds little, all of them more than the
-// servers bear, and a burst of half as much again leaves servers tipped for the rest of the day.
-// Seeds draw the deployment. Of the second, where servers tip soonest, walls of each sidecar alone
-// had 0.636 of the worth in time, with all 40 servers tipped.
-func TestABurstLeavesTheFleetStanding(t *testing.T) {
+// Each sidecar alone holds few requests, but all together hold more than the servers can handle. Without a limit over
+// the whole fleet, a burst to 1.5 times the usual rate leaves servers overloaded for the rest of the day. The seeds
+// draw the deployment. With the second seed servers become overloaded soonest; limits in each sidecar alone gave 0.636
+// of the value in time there, with all 40 servers overloaded.
+func TestFleetRecoversFromBurst(t *testing.T) {
 	bounds := map[uint64]struct {
 		inTime float64
 		tipped int
@@ -25,18 +25,19 @@
 			if err != nil {
 				t.Fatalf("seed %d: %v", seed, err)
 			}
-			t.Logf("seed %d: %.3f in time, %d tipped", seed, o.InTime, o.Tipped)
+			t.Logf("seed %d: %.3f in time, %d overloads", seed, o.InTime, o.Tipped)
 			if o.InTime < want.inTime || o.Tipped > want.tipped {
-				t.Errorf("seed %d: %.3f in time, %d tipped; want %.2f and %d", seed, o.InTime, o.Tipped,
+				t.Errorf("seed %d: %.3f in time, %d overloads; want at least %.2f and at most %d",
+					seed, o.InTime, o.Tipped,
 					want.inTime, want.tipped)
 			}
 		})
 	}
 }
 
-// Guards against figures of the emulator that nobody can trust: a server that is crowded tips,
-// works slower for as long as it has work, and is well again once it has rested.
-func TestACrowdedServerTipsUntilItRests(t *testing.T) {
+// The results of the emulator depend on its model of overload: a server with too many requests becomes overloaded, is
+// slower as long as it has work, and recovers after a rest.
+func TestOverloadedServerRecoversAfterRest(t *testing.T) {
 	m := CalmMass
 	m.Sidecars, m.Servers, m.Burst, m.Shift = 2, 1, 0, false
 	c := m.Config(1)
@@ -46,26 +47,27 @@
 	}
 	n := f.nodes[0]
 	speed := n.speed()
-	crowd := n.spec.Overload
-	for range int(crowd.Most) + 4 {
-		n.take(10, func(policy.Ending) {})
+	overload := n.spec.Overload
+	for range int(overload.Most) + 4 {
+		n.accept(10, func(policy.Ending) {})
 	}
-	held := append(n.running[:len(n.running):len(n.running)], n.waiting...)
-	f.clock.RunTo(f.clock.Now + 6*crowd.Over)
+	jobs := append(n.running[:len(n.running):len(n.running)], n.waiting...)
+	f.clock.RunTo(f.clock.Now + 6*overload.Over)
 	n.updateOverload()
 	if !n.overloaded || n.speed() > 0.6*speed {
-		t.Fatalf("holds %d where %.1f is the most: tipped %v, speed %.2f of %.2f", len(held), crowd.Most,
+		t.Fatalf("%d requests with an overload threshold of %.1f: overloaded %v, speed %.2f of %.2f",
+			len(jobs), overload.Most,
 			n.overloaded, n.speed(), speed)
 	}
-	f.clock.RunTo(f.clock.Now + crowd.Rest)
+	f.clock.RunTo(f.clock.Now + overload.Rest)
 	if !n.overloaded {
-		t.Fatal("is well though it never rested")
+		t.Fatal("the server recovered without a rest")
 	}
-	for _, j := range held {
-		j.giveUp()
+	for _, j := range jobs {
+		j.cancel()
 	}
-	f.clock.RunTo(f.clock.Now + crowd.Rest + time.Second)
+	f.clock.RunTo(f.clock.Now + overload.Rest + time.Second)
 	if n.overloaded || n.speed() != speed {
-		t.Fatal("is not well though it rested")
+		t.Fatal("the server did not recover after a rest")
 	}
 }
--- a/internal/lab/emulator/overload.go
+++ b/internal/lab/emulator/overload.go
@@ -5,21 +5,21 @@
 	"time"
 )
 
-// overloadState is a server's memory of how much it held.
+// overloadState is the overload state of a server.
 type overloadState struct {
-	meanInFlight float64       // lately, in the mean
-	heldAt       time.Duration // taken
-	overloaded   bool
-	tippedAt     time.Duration
-	busy         []float64 // cores at work, each restStep of the last Overload.Rest
-	times        int       // that it was overloaded
+	meanInFlight    float64       // exponential mean of the requests in flight
+	updatedAt       time.Duration // when the mean was updated
+	overloaded      bool
+	overloadedSince time.Duration // beginning of the present overload
+	utilization     []float64     // share of busy cores at each restInterval of the last Overload.Rest
+	overloadCount   int           // number of overloads so far
 }
 
-// restStep is how often an overloaded server looks whether it has rested.
-const restStep = 50 * time.Millisecond
+// restInterval is how often an overloaded server checks whether it has rested.
+const restInterval = 50 * time.Millisecond
 
-// updateOverload moves the mean on to now, before what it holds changes, and has the server
-// overloaded where that is too much.
+// updateOverload updates the mean before the number of requests in flight changes. The server becomes overloaded when
+// the mean exceeds Overload.Most.
 func (n *node) updateOverload() {
 	c := n.spec.Overload
 	if c == nil || n.gone {
@@ -27,32 +27,32 @@
 	}
 	now := n.f.clock.Now
 	inFlight := float64(len(n.running) + len(n.waiting))
-	n.meanInFlight += (inFlight - n.meanInFlight) * (1 - math.Exp(-float64(now-n.heldAt)/float64(c.Over)))
-	if n.heldAt = now; n.overloaded || n.meanInFlight <= c.Most {
+	n.meanInFlight += (inFlight - n.meanInFlight) * (1 - math.Exp(-float64(now-n.updatedAt)/float64(c.Over)))
+	if n.updatedAt = now; n.overloaded || n.meanInFlight <= c.Most {
 		return
 	}
-	n.overloaded, n.tippedAt, n.busy = true, now, nil
-	n.times++
-	n.rest()
+	n.overloaded, n.overloadedSince, n.utilization = true, now, nil
+	n.overloadCount++
+	n.awaitRest()
 }
 
-// rest looks, again and again, whether an overloaded server has rested.
-func (n *node) rest() {
+// awaitRest checks at each restInterval whether an overloaded server has rested, and ends the overload if it has.
+func (n *node) awaitRest() {
 	c := n.spec.Overload
-	n.f.clock.After(restStep, func() {
-		n.busy = append(n.busy, float64(len(n.running))/float64(n.spec.Cores))
-		if most := int(c.Rest / restStep); len(n.busy) > most {
-			n.busy = n.busy[len(n.busy)-most:]
+	n.f.clock.After(restInterval, func() {
+		n.utilization = append(n.utilization, float64(len(n.running))/float64(n.spec.Cores))
+		if most := int(c.Rest / restInterval); len(n.utilization) > most {
+			n.utilization = n.utilization[len(n.utilization)-most:]
 		}
 		sum := 0.0
-		for _, b := range n.busy {
+		for _, b := range n.utilization {
 			sum += b
 		}
-		rested := len(n.busy) == int(c.Rest/restStep) && sum < c.Below*float64(len(n.busy))
-		if n.gone || rested || n.f.clock.Now-n.tippedAt >= c.Until {
+		rested := len(n.utilization) == int(c.Rest/restInterval) && sum < c.Below*float64(len(n.utilization))
+		if n.gone || rested || n.f.clock.Now-n.overloadedSince >= c.Until {
 			n.overloaded, n.meanInFlight = false, 0
 			return
 		}
-		n.rest()
+		n.awaitRest()
 	})
 }
--- a/internal/lab/emulator/server.go
+++ b/internal/lab/emulator/server.go
@@ -9,54 +9,55 @@
 	"caperarch/policy"
 )
 
-// Server is a server's build.
+// Server is the specification of a server.
 type Server struct {
 	Cores      int
-	Speed      float64 // work done a second on each core
-	QueueSlots int     // requests that may wait; beyond that it turns away
+	Speed      float64 // seconds of work per second on each core
+	QueueSlots int     // requests that may wait; the server rejects further requests
 	Cell       int
-	Weight     float64   // in the list; 0: 1
-	Overload   *Overload // what becomes of it where it holds too many; nil: nothing
+	Weight     float64   // in the server list; 0 for 1
+	Overload   *Overload // nil for a server that can't become overloaded
 }
 
-// Overload is how a server tips where it holds more than it bears, and how it comes back.
+// Overload configures when a server becomes overloaded and when it recovers.
 type Overload struct {
-	Over   time.Duration // the mean over so long
-	Most   float64       // of what it holds is above this:
-	Slower float64       // so many times slower,
-	Below  float64       // until its cores were busy for less than this share
-	Rest   time.Duration // of so long,
-	Until  time.Duration // or so long has passed
+	Over   time.Duration // time constant of the mean number of requests in flight
+	Most   float64       // the server becomes overloaded when the mean exceeds this number
+	Slower float64       // factor by which an overloaded server is slower
+	Below  float64       // the server recovers when its mean utilization
+	Rest   time.Duration // over this time is below Below,
+	Until  time.Duration // or after this time at the latest
 }
 
-// State is how a server behaves for now; the zero value is well.
+// State is the present behaviour of a server. The zero value is a healthy server.
 type State struct {
-	Silent      bool    // takes requests and answers none
+	Silent      bool    // accepts requests and never answers
 	Refuses     bool    // refuses connections
-	Slower      float64 // its work takes so many times longer; 0: 1
-	RejectShare float64 // share of the requests that it turns away unseen
-	Idle        bool    // reports that it holds nothing
-	BreakShare  float64 // share of the requests after which the connection breaks, run or not
-	// requests that it takes a second; it turns away what comes beyond that, after a while; 0: no bound
+	Slower      float64 // factor of the service time; 0 for 1
+	RejectShare float64 // share of the requests that it rejects without running them
+	Idle        bool    // reports no requests in flight
+	BreakShare  float64 // share of the requests whose connection breaks, whether they ran or not
+	// RateLimit is the number of requests per second that the server accepts; it rejects others after throttleTime. 0
+	// means no limit.
 	RateLimit float64
 }
 
-// node is a server at work.
+// node is a running server.
 type node struct {
-	f       *Fleet
-	id      policy.ServerID
-	spec    Server
-	state   State
-	started time.Duration // it was cold then; 0: long ago
-	gone    bool
-	running []*job
-	waiting []*job
-	recent  float64 // mean service time lately, in seconds
-	served  float64 // a second, fading
-	errors  float64
-	at      time.Duration // when these were taken
-	tokens  float64       // of State.Most
-	tokenAt time.Duration
+	f               *Fleet
+	id              policy.ServerID
+	spec            Server
+	state           State
+	started         time.Duration // when it was started cold; 0 for a warm server
+	gone            bool
+	running         []*job
+	waiting         []*job
+	meanServiceTime float64       // exponential mean, in seconds
+	served          float64       // decaying rate per second
+	errors          float64       // decaying rate per second
+	at              time.Duration // when the rates were updated
+	tokens          float64       // of the token bucket of State.RateLimit
+	tokenAt         time.Duration
 	overloadState
 }
 
@@ -70,14 +71,14 @@
 	over bool
 }
 
-// turnAwayTime is how long a server takes to turn a request away, network and all.
-const turnAwayTime = time.Millisecond
+// rejectTime is the time in which a server rejects a request, including the network.
+const rejectTime = time.Millisecond
 
-// throttleTime is how long one takes that bounds what it takes a second.
+// throttleTime is the time in which a server with a rate limit rejects a request.
 const throttleTime = 40 * time.Millisecond
 
-// token says whether one more may be taken this second.
-func (n *node) token() bool {
+// takeToken takes a token for a request and reports whether there was one.
+func (n *node) takeToken() bool {
 	now := n.f.clock.Now
 	n.tokens = min(n.state.RateLimit/10+1, n.tokens+(now-n.tokenAt).Seconds()*n.state.RateLimit)
 	if n.tokenAt = now; n.tokens < 1 {
@@ -87,32 +88,32 @@
 	return true
 }
 
-// take takes an attempt on. done is called once, but for one that is given up.
-func (n *node) take(work float64, done func(policy.Ending)) *job {
+// accept handles an attempt. It calls done once, unless the attempt is cancelled or never answered.
+func (n *node) accept(work float64, done func(policy.Ending)) *job {
 	j := &job{node: n, work: work, done: done}
 	n.updateOverload()
 	switch {
 	case n.gone || n.state.Refuses:
-		j.end(turnAwayTime, policy.NoConnection)
+		j.end(rejectTime, policy.NoConnection)
 	case n.state.Silent:
 	case n.state.RejectShare > 0 && n.f.rng.Float64() < n.state.RejectShare:
-		n.fade()
+		n.decayRates()
 		n.errors++
-		j.end(turnAwayTime, policy.NotProcessed)
-	case n.state.RateLimit > 0 && !n.token():
-		n.fade()
+		j.end(rejectTime, policy.NotProcessed)
+	case n.state.RateLimit > 0 && !n.takeToken():
+		n.decayRates()
 		n.errors++
 		j.end(throttleTime, policy.NotProcessed)
 	case n.state.BreakShare > 0 && n.f.rng.Float64() < n.state.BreakShare:
-		j.end(turnAwayTime, policy.ConnectionLost)
+		j.end(rejectTime, policy.ConnectionLost)
 	case len(n.running) < n.spec.Cores:
 		n.begin(j)
 	case len(n.waiting) < n.spec.QueueSlots:
 		n.waiting = append(n.waiting, j)
 	default:
-		n.fade()
+		n.decayRates()
 		n.errors++
-		j.end(turnAwayTime, policy.NotProcessed)
+		j.end(rejectTime, policy.NotProcessed)
 	}
 	return j
 }
@@ -124,22 +125,22 @@
 	})
 }
 
-// begin puts a request on a core.
+// begin starts a job on a core.
 func (n *node) begin(j *job) {
 	n.running = append(n.running, j)
 	j.from = n.f.clock.Now
 	seconds := j.work / n.speed()
 	j.ends = n.f.clock.After(time.Duration(seconds*float64(time.Second)), func() {
 		j.over = true
-		n.fade()
+		n.decayRates()
 		n.served++
-		n.recent += (seconds - n.recent) / 16
+		n.meanServiceTime += (seconds - n.meanServiceTime) / 16
 		n.leave(j)
 		j.done(policy.Served)
 	})
 }
 
-// speed is that of a core now.
+// speed returns the present speed of a core.
 func (n *node) speed() float64 {
 	s := n.spec.Speed * n.warmth()
 	if n.state.Slower > 0 {
@@ -160,7 +161,7 @@
 	return min(1, c.SlowStartShare+(1-c.SlowStartShare)*share)
 }
 
-// leave takes a request off and begins the next.
+// leave removes a job and starts the next waiting ones.
 func (n *node) leave(j *job) {
 	n.updateOverload()
 	if i := slices.Index(n.running, j); i >= 0 {
@@ -176,8 +177,8 @@
 	}
 }
 
-// giveUp takes that the sidecar has closed the connection: its work stops.
-func (j *job) giveUp() {
+// cancel ends a job whose sidecar has closed the connection.
+func (j *job) cancel() {
 	if j.over {
 		return
 	}
@@ -188,39 +189,39 @@
 	j.node.leave(j)
 }
 
-// set changes how a server behaves. One that falls silent answers nothing, not even what it had begun.
+// set changes the behaviour of a server. A server that becomes silent doesn't answer the requests in progress either.
 func (n *node) set(s State) {
 	if s.Silent && !n.state.Silent {
 		for _, j := range n.running {
 			j.ends.Stop()
 		}
 	}
-	back := n.state.Silent && !s.Silent
+	resumed := n.state.Silent && !s.Silent
 	n.state = s
-	if back { // it goes on with what is still here
-		held := n.running
+	if resumed { // continue with the remaining requests
+		queued := n.running
 		n.running = nil
-		for _, j := range held {
+		for _, j := range queued {
 			n.begin(j)
 		}
 		n.leave(nil)
 	}
 }
 
-func (n *node) fade() {
+func (n *node) decayRates() {
 	f := math.Exp(-(n.f.clock.Now - n.at).Seconds())
 	n.served, n.errors, n.at = n.served*f, n.errors*f, n.f.clock.Now
 }
 
-// report is what a probe brings.
+// report returns the result of a probe.
 func (n *node) report() (bool, policy.Load) {
 	if n.gone || n.state.Silent || n.state.Refuses {
 		return false, policy.Load{}
 	}
-	n.fade()
+	n.decayRates()
 	l := policy.Load{
 		Has: n.f.cfg.Module.Reports, InFlight: float64(len(n.running) + len(n.waiting)),
-		Service: time.Duration(n.recent * float64(time.Second)), Served: n.served, Errors: n.errors,
+		Service: time.Duration(n.meanServiceTime * float64(time.Second)), Served: n.served, Errors: n.errors,
 	}
 	if n.state.Idle {
 		l.InFlight = 0
@@ -228,7 +229,7 @@
 	return true, l
 }
 
-// capacity is the work that it can do a second now.
+// capacity returns the present capacity in seconds of work per second.
 func (n *node) capacity() float64 {
 	if n.gone || n.state.Silent || n.state.Refuses {
 		return 0
--- a/internal/lab/emulator/sidecar.go
+++ b/internal/lab/emulator/sidecar.go
@@ -12,23 +12,23 @@
 	"caperarch/policy"
 )
 
-// probeTime is how long a probe waits for an answer.
+// probeTime is the time-out of a probe.
 const probeTime = 250 * time.Millisecond
 
-// answerSlack is how much later than its deadline a request may be answered, as in the settings.
+// answerSlack is how long after its deadline a request may be answered, as in the settings.
 const answerSlack = 20 * time.Millisecond
 
-// sidecar is one module with its clients.
+// sidecar is a decision module with its clients.
 type sidecar struct {
 	f         *Fleet
 	m         engine.Module
 	index     int
 	lastID    policy.RequestID
 	open      map[policy.RequestID]*request
-	throttled uint64 // away at once, as counted so far
+	throttled uint64 // the module's counter when it was last read
 }
 
-// request is one attempt of a client's request.
+// request is one attempt of a client's request, as seen by the sidecar.
 type request struct {
 	id       policy.RequestID
 	first    *clientRequest
@@ -39,10 +39,10 @@
 	over     bool
 }
 
-// clientRequest is what a client wants, over all its attempts.
+// clientRequest is a client's request over all its attempts.
 type clientRequest struct {
 	class, tenant int
-	at            time.Duration // on the fleet's clock
+	at            time.Duration // when the client first sent it
 	work          float64
 	bucket        int
 }
@@ -54,8 +54,8 @@
 	ran   bool
 }
 
-// module gives the sidecar a module that knows nothing yet.
-func (s *sidecar) module() (err error) {
+// newModule creates a new decision module for the sidecar.
+func (s *sidecar) newModule() (err error) {
 	c := s.f.cfg.Module
 	c.Balancers, c.Index = s.f.cfg.Sidecars, s.index
 	if s.f.cfg.ArcStart != nil {
@@ -65,17 +65,17 @@
 	return err
 }
 
-// callOff ends an attempt that is out, and its work.
-func (a *attempt) callOff() {
+// abort cancels an attempt in progress and its work.
+func (a *attempt) abort() {
 	a.ended = true
 	a.limit.Stop()
 	if a.job != nil {
-		a.job.giveUp()
+		a.job.cancel()
 	}
 }
 
-// ask is a client's first attempt.
-func (s *sidecar) ask(class, tenant int) {
+// startRequest starts the first attempt of a new client request.
+func (s *sidecar) startRequest(class, tenant int) {
 	f := s.f
 	w := &clientRequest{class: class, tenant: tenant, at: f.clock.Now, work: f.work(&f.cfg.Classes[class]),
 		bucket: int(f.Now() / f.cfg.Bucket)}
@@ -106,21 +106,21 @@
 	})
 	f.clock.After(deadline-f.clock.Now+answerSlack, func() {
 		if !r.over {
-			f.err = fmt.Errorf("emulator: request %d had no answer by its deadline", r.id)
+			f.err = fmt.Errorf("emulator: request %d has no response at its deadline", r.id)
 		}
 	})
 }
 
-// event hands an event to the module, and counts whom it turned away at once.
-func (s *sidecar) event(do func()) {
-	do()
+// event passes an event to the module and counts the requests that the module rejected at once.
+func (s *sidecar) event(handle func()) {
+	handle()
 	if t := s.m.Counters().Throttled; t != s.throttled {
 		s.f.bucket(s.f.Now()).Throttled += int(t - s.throttled)
 		s.throttled = t
 	}
 }
 
-// Send starts an attempt.
+// Send implements policy.Host: it starts an attempt at a server.
 func (s *sidecar) Send(id policy.RequestID, to policy.ServerID, timeout time.Duration) {
 	f, r := s.f, s.open[id]
 	number := len(r.attempts)
@@ -129,9 +129,9 @@
 	r.out++
 	f.buckets[r.first.bucket].Attempts++
 	if f.cfg.Module.Classes[r.first.class].Effect == policy.NonIdempotent {
-		for _, before := range r.attempts[:number] {
-			if before.ran {
-				f.err = fmt.Errorf("emulator: unsafe request %d was sent again, and may have run", id)
+		for _, earlier := range r.attempts[:number] {
+			if earlier.ran {
+				f.err = fmt.Errorf("emulator: unsafe request %d was sent again although it may have run", id)
 			}
 		}
 	}
@@ -147,7 +147,7 @@
 	}
 	a.limit = f.clock.After(min(timeout, r.deadline-f.clock.Now), func() {
 		if a.job != nil {
-			a.job.giveUp()
+			a.job.cancel()
 		}
 		end(policy.TimedOut)
 	})
@@ -163,11 +163,11 @@
 		if noise := f.cfg.Classes[r.first.class].Noise; noise > 0 {
 			work *= math.Exp(noise*f.rng.NormFloat64() - noise*noise/2)
 		}
-		a.job = n.take(work, func(e policy.Ending) { f.clock.After(f.cfg.RoundTrip/2, func() { end(e) }) })
+		a.job = n.accept(work, func(e policy.Ending) { f.clock.After(f.cfg.RoundTrip/2, func() { end(e) }) })
 	})
 }
 
-// outcome tells the module how an attempt ended, and the client if it was served.
+// outcome reports the end of an attempt to the module. If the attempt was served, the client has its response.
 func (s *sidecar) outcome(r *request, number int, e policy.Ending) {
 	r.out--
 	if !r.over && e == policy.Served {
@@ -189,13 +189,13 @@
 	}
 }
 
-// Refuse ends a request; its client may come back.
-func (s *sidecar) Refuse(id policy.RequestID, pause time.Duration) { s.answer(s.open[id], pause, true) }
+// Refuse implements policy.Host: it rejects a request, which the client may retry.
+func (s *sidecar) Refuse(id policy.RequestID, pause time.Duration) { s.reject(s.open[id], pause, true) }
 
-// Fail ends a request with no promise. Its client comes back where the class allows that.
-func (s *sidecar) Fail(id policy.RequestID) { s.answer(s.open[id], 0, false) }
+// Fail implements policy.Host: it fails a request that may have run. The client retries if the class allows it.
+func (s *sidecar) Fail(id policy.RequestID) { s.reject(s.open[id], 0, false) }
 
-func (s *sidecar) answer(r *request, pause time.Duration, refused bool) {
+func (s *sidecar) reject(r *request, pause time.Duration, refused bool) {
 	f := s.f
 	if r.over {
 		f.err = fmt.Errorf("emulator: request %d was answered twice", r.id)
@@ -205,10 +205,10 @@
 	if r.out == 0 {
 		delete(s.open, r.id)
 	}
-	again := r.try < f.cfg.Clients.Retries &&
+	retry := r.try < f.cfg.Clients.Retries &&
 		(refused || f.cfg.Module.Classes[r.first.class].Effect != policy.NonIdempotent)
 	wait := max(pause, f.jitter(f.cfg.Clients.backoff(r.try)))
-	if again && f.clock.Now+wait < r.first.at+f.cfg.Module.Classes[r.first.class].Deadline {
+	if retry && f.clock.Now+wait < r.first.at+f.cfg.Module.Classes[r.first.class].Deadline {
 		f.clock.After(wait, func() { s.try(r.first, r.try+1) })
 		return
 	}
@@ -221,65 +221,65 @@
 	}
 }
 
-// Cancel calls an attempt off.
+// Cancel implements policy.Host: it cancels an attempt.
 func (s *sidecar) Cancel(id policy.RequestID, number int) {
 	r := s.open[id]
 	if r == nil || r.attempts[number].ended {
 		return
 	}
-	r.attempts[number].callOff()
+	r.attempts[number].abort()
 	s.f.clock.After(0, func() { s.outcome(r, number, policy.Cancelled) })
 }
 
-// Wake asks for a call.
+// Wake implements policy.Host: it schedules a call of the module.
 func (s *sidecar) Wake(d time.Duration) {
 	s.f.clock.After(d, func() { s.event(func() { s.m.Wake(s.f.clock.Now) }) })
 }
 
-// Probe asks a server for its load.
+// Probe implements policy.Host: it probes a server for its load.
 func (s *sidecar) Probe(to policy.ServerID) {
 	f := s.f
 	f.bucket(f.Now()).Probes++
 	f.clock.After(f.cfg.RoundTrip, func() {
 		n, wait := f.byID[to], time.Duration(0)
 		ok, load := n.report()
-		if n.state.Silent { // it says nothing at all, not even no
+		if n.state.Silent { // no answer at all, so the probe times out
 			wait = probeTime
 		}
 		f.clock.After(wait, func() { s.event(func() { s.m.Probed(f.clock.Now, to, ok, load) }) })
 	})
 }
 
-// CloseIdleConnections has no use here: connections are not played.
+// CloseIdleConnections implements policy.Host. It does nothing, as connections are not simulated.
 func (s *sidecar) CloseIdleConnections(policy.ServerID) {}
 
-// WatchList has none: the list comes by itself.
+// WatchList implements policy.Host. It does nothing, as the fleet publishes the list.
 func (s *sidecar) WatchList() {}
 
-// Log says nothing.
+// Log implements policy.Host. It discards the message.
 func (s *sidecar) Log(string) {}
 
-// Err is the first rule that was broken, or nil.
+// Err returns the first violation of a rule, or nil.
 func (f *Fleet) Err() error { return f.err }
 
-// restart ends the sidecar as a kill does, and begins it anew: what it held breaks off, and its clients come again.
+// restart simulates a kill and restart of the sidecar: its attempts are aborted, and its clients retry.
 func (s *sidecar) restart() error {
-	if err := s.module(); err != nil {
+	if err := s.newModule(); err != nil {
 		return err
 	}
-	f, held := s.f, s.open
+	f, requests := s.f, s.open
 	s.open, s.throttled = make(map[policy.RequestID]*request), 0
 	s.m.Start(f.clock.Now)
 	s.m.List(f.clock.Now, policy.ListCached, f.list())
-	for _, id := range slices.Sorted(maps.Keys(held)) {
-		r := held[id]
+	for _, id := range slices.Sorted(maps.Keys(requests)) {
+		r := requests[id]
 		for _, a := range r.attempts {
 			if !a.ended {
-				a.callOff()
+				a.abort()
 			}
 		}
 		if !r.over {
-			s.answer(r, 0, false)
+			s.reject(r, 0, false)
 		}
 	}
 	return nil
