--- a/internal/lab/loadspread/loadspread.go
+++ b/internal/lab/loadspread/loadspread.go
@@ -1,6 +1,6 @@
-// Package loadspread tells how evenly requests were spread over upstreams, and whether those who
-// send chose alike, from arrivals alone. It is free of I/O. Measurements use it; nothing that ships
-// does.
+// Package loadspread measures, from arrivals alone, how evenly requests are spread over upstreams and whether different
+// senders choose the same upstreams. It does no I/O. It is for measurements and tests; production code doesn't import
+// it.
 package loadspread
 
 import (
@@ -9,27 +9,27 @@
 	"time"
 )
 
-// Arrival is a request at an upstream.
+// Arrival is the arrival of a request at an upstream.
 type Arrival struct {
 	At   time.Duration
-	To   int // upstream, from 0
-	From int // who sent it
+	To   int // number of the upstream, from 0
+	From int // number of the sender
 }
 
-// Spread is how evenly arrivals were spread over windows of some length.
+// Spread describes how evenly arrivals are spread, in windows of some length.
 type Spread struct {
 	Window time.Duration
-	// over mean of the arrivals at an upstream in a window, each against its window's mean: 1 is
-	// chance alone, 0 a turn for each
+	// Variance is the ratio of variance to mean of the arrivals at an upstream in a window. It is 1 for a random spread
+	// and 0 for a round robin.
 	Variance float64
-	Greatest float64 // over mean, in the median window
-	Worst    float64 // and in the worst
-	Idle     float64 // share of upstreams and windows with nothing, where five or more were due
-	Due      float64 // share of those in which so many were due
+	Greatest float64 // largest ratio of an upstream's arrivals to the mean, in the median window
+	Worst    float64 // the same in the worst window
+	Idle     float64 // share of upstreams and windows without arrivals, where five or more were due
+	Due      float64 // share of upstreams and windows where five or more were due
 }
 
-// Measure measures windows of a length over all whole ones from a time on. weights are the upstreams',
-// and say what was due; 0: it is not there.
+// Measure measures the spread over all complete windows from a time on. The weights of the upstreams determine how many
+// arrivals are due; a weight of 0 means that the upstream is absent.
 func Measure(all []Arrival, weights []float64, from, until, window time.Duration) (s Spread) {
 	s.Window = window
 	windows := int((until - from) / window)
@@ -45,23 +45,23 @@
 			count[w][a.To]++
 		}
 	}
-	whole := 0.0
+	totalWeight := 0.0
 	for _, w := range weights {
-		whole += w
+		totalWeight += w
 	}
 	var greatest []float64
 	sum, n, due, idle := 0.0, 0, 0, 0
-	for _, here := range count {
+	for _, counts := range count {
 		total, most := 0.0, 0.0
-		for _, c := range here {
+		for _, c := range counts {
 			total += c
 		}
 		if total == 0 {
 			continue
 		}
-		for i, c := range here {
-			mean := total * weights[i] / whole
-			if mean == 0 { // it is not there
+		for i, c := range counts {
+			mean := total * weights[i] / totalWeight
+			if mean == 0 { // the upstream is absent
 				continue
 			}
 			sum += (c - mean) * (c - mean) / mean
@@ -79,9 +79,9 @@
 	if n == 0 {
 		return s
 	}
-	// Of k upstreams one is bound by the window's sum.
-	there := float64(len(weights) - absent(weights))
-	s.Variance = sum / float64(n) * there / max(1, there-1)
+	// The sum of a window is fixed, so k upstreams have k-1 degrees of freedom.
+	present := float64(len(weights) - absent(weights))
+	s.Variance = sum / float64(n) * present / max(1, present-1)
 	slices.Sort(greatest)
 	s.Greatest, s.Worst, s.Due = greatest[len(greatest)/2], greatest[len(greatest)-1], float64(due)/float64(n)
 	if due > 0 {
@@ -90,7 +90,7 @@
 	return s
 }
 
-// absent counts the upstreams that are not there.
+// absent returns the number of upstreams that are absent.
 func absent(weights []float64) (n int) {
 	for _, w := range weights {
 		if w == 0 {
@@ -100,42 +100,42 @@
 	return n
 }
 
-// RecoveryTime is how long after a moment an upstream had at least half of its part again and kept it for
-// good, in windows of a length; negative: it had not, by the end.
+// RecoveryTime returns how long after a time the upstream to got at least half of its share in every window until the
+// end, or a negative duration if it did not in the last window.
 func RecoveryTime(all []Arrival, weights []float64, to int, from, until, window time.Duration) time.Duration {
-	whole := 0.0
+	totalWeight := 0.0
 	for _, w := range weights {
-		whole += w
+		totalWeight += w
 	}
 	windows := int((until - from) / window)
-	its, total := make([]float64, windows), make([]float64, windows)
+	own, total := make([]float64, windows), make([]float64, windows)
 	for _, a := range all {
 		w := int((a.At - from) / window)
 		if a.At < from || w >= windows || a.To >= len(weights) || weights[a.To] == 0 {
 			continue
 		}
 		if total[w]++; a.To == to {
-			its[w]++
+			own[w]++
 		}
 	}
-	back := time.Duration(-1)
-	for w := windows - 1; w >= 0 && its[w] >= total[w]*weights[to]/whole/2; w-- {
-		back = time.Duration(w) * window
+	recovery := time.Duration(-1)
+	for w := windows - 1; w >= 0 && own[w] >= total[w]*weights[to]/totalWeight/2; w-- {
+		recovery = time.Duration(w) * window
 	}
-	return back
+	return recovery
 }
 
-// Coincidence is how often two that different senders sent within a time of one another went to the same
-// upstream, over how often chance has it, by weight: 1 is chance.
+// Coincidence returns how often two requests that different senders sent within a short time went to the same upstream,
+// relative to a random choice by weight.
 func Coincidence(all []Arrival, weights []float64, within time.Duration) float64 {
-	whole, same := 0.0, 0.0
+	totalWeight, same := 0.0, 0.0
 	for _, w := range weights {
-		whole += w
+		totalWeight += w
 	}
 	for _, w := range weights {
-		same += w / whole * w / whole
+		same += w / totalWeight * w / totalWeight
 	}
-	pairs, met := 0, 0
+	pairs, coinciding := 0, 0
 	for i, a := range all {
 		for _, b := range all[i+1:] {
 			if b.At-a.At > within {
@@ -144,7 +144,7 @@
 			if a.From != b.From {
 				pairs++
 				if a.To == b.To {
-					met++
+					coinciding++
 				}
 			}
 		}
@@ -152,10 +152,10 @@
 	if pairs == 0 {
 		return 1
 	}
-	return float64(met) / float64(pairs) / same
+	return float64(coinciding) / float64(pairs) / same
 }
 
-// Random is the same arrivals, each at an upstream drawn by weight: what chance alone does.
+// Random returns the same arrivals with upstreams drawn at random by weight.
 func Random(all []Arrival, weights []float64, seed uint64) []Arrival {
 	rng := rand.New(rand.NewPCG(seed, 8))
 	sums := make([]float64, len(weights))
@@ -171,9 +171,9 @@
 	return drawn
 }
 
-// TwoChoices is the same arrivals, each at the one of two drawn by weight at which its sender has less
-// out, by its own view alone; what is sent is out for so long.
-func TwoChoices(all []Arrival, weights []float64, out time.Duration, seed uint64) []Arrival {
+// TwoChoices returns the same arrivals, each at the less loaded of two upstreams drawn by weight. The load of an
+// upstream is the number of the sender's own requests in flight there; each request takes the given duration.
+func TwoChoices(all []Arrival, weights []float64, duration time.Duration, seed uint64) []Arrival {
 	first, second := Random(all, weights, seed), Random(all, weights, seed+1)
 	type sent struct {
 		to  int
@@ -182,39 +182,40 @@
 	busy := make(map[int][]sent) // by sender
 	chosen := slices.Clone(all)
 	for i, a := range all {
-		mine := slices.DeleteFunc(busy[a.From], func(s sent) bool { return s.end <= a.At })
-		held := func(to int) (n float64) {
-			for _, s := range mine {
+		inFlight := slices.DeleteFunc(busy[a.From], func(s sent) bool { return s.end <= a.At })
+		load := func(to int) (n float64) {
+			for _, s := range inFlight {
 				if s.to == to {
 					n++
 				}
 			}
 			return n / weights[to]
 		}
-		if chosen[i].To = first[i].To; held(second[i].To) < held(first[i].To) {
+		if chosen[i].To = first[i].To; load(second[i].To) < load(first[i].To) {
 			chosen[i].To = second[i].To
 		}
-		busy[a.From] = append(mine, sent{chosen[i].To, a.At + out})
+		busy[a.From] = append(inFlight, sent{chosen[i].To, a.At + duration})
 	}
 	return chosen
 }
 
-// RoundRobin is the same arrivals as one round robin for all would have them: the most even there can be.
+// RoundRobin returns the same arrivals as a single weighted round robin over all senders would assign them, which is
+// the most even spread.
 func RoundRobin(all []Arrival, weights []float64) []Arrival {
 	due := make([]float64, len(weights))
 	for i, w := range weights {
 		due[i] = 0.5 / w
 	}
-	turn := slices.Clone(all)
-	for i := range turn {
+	assigned := slices.Clone(all)
+	for i := range assigned {
 		first := 0
 		for k := range due {
 			if due[k] < due[first] {
 				first = k
 			}
 		}
-		turn[i].To = first
+		assigned[i].To = first
 		due[first] += 1 / weights[first]
 	}
-	return turn
+	return assigned
 }
