--- a/internal/lab/replay/estimate.go
+++ b/internal/lab/replay/estimate.go
@@ -8,7 +8,7 @@
 	"caperarch/policy"
 )
 
-// Fate counts requests by how they ended, and the attempts made for them.
+// Fate counts requests by outcome, and their attempts.
 type Fate struct {
 	InTime, Late, Refused, Failed, Attempts int
 }
@@ -29,24 +29,24 @@
 	f.Attempts += g.Attempts
 }
 
-// Second counts the requests that came in one second of the recording.
+// Second counts the requests that arrived in one second of the recording.
 type Second struct {
 	Second            int
 	Requests          int
 	Recorded, Present Fate
 }
 
-// Estimation is how the present module would have fared beside what was recorded.
+// Estimation compares the outcomes with the present decision module to the recorded ones.
 type Estimation struct {
 	Seconds           []*Second
 	Requests          int
 	Recorded, Present Fate
 }
 
-// side counts second by second.
-type side struct{ seconds []*Second }
+// timeline counts the outcomes per second.
+type timeline struct{ seconds []*Second }
 
-func (s *side) at(since time.Duration) *Second {
+func (s *timeline) at(since time.Duration) *Second {
 	n := max(0, int(since/time.Second))
 	for len(s.seconds) <= n {
 		s.seconds = append(s.seconds, &Second{Second: len(s.seconds)})
@@ -54,18 +54,18 @@
 	return s.seconds[n]
 }
 
-// Estimate hands the recorded requests and lists to the present module and answers what it does by
-// what happened then: an attempt goes as the recorded one nearest to it went, a probe likewise.
-// Servers don't feel what the module does otherwise, and clients retry as they did: so it is good
-// for changes of who is turned away and who is tried again, and for none of how much servers bear.
+// Estimate passes the recorded requests and server lists to the present module. It answers an attempt or a probe with
+// the result of the nearest recorded one. Servers don't react to the changed behaviour of the module, and clients retry
+// as recorded. The estimate is therefore useful for changes of which requests are rejected or retried, but not for
+// changes of how much load the servers get.
 func Estimate(from Source) (*Estimation, error) {
-	all, begun, tally, err := read(from)
+	all, start, tally, err := read(from)
 	if err != nil {
 		return nil, err
 	}
 	for number := range len(all) { // instances are numbered from 0
 		if p := all[uint32(number)]; p != nil {
-			if err := p.play(begun, tally); err != nil {
+			if err := p.play(start, tally); err != nil {
 				return nil, err
 			}
 		}
@@ -79,18 +79,18 @@
 	return e, nil
 }
 
-// run is the present module among recorded answers.
+// run runs the present module with recorded results.
 type run struct {
 	p     *past
-	begun time.Duration
-	tally *side
+	start time.Duration
+	tally *timeline
 	b     *policy.Balancer
 	clock virtualtime.Clock
-	open  map[policy.RequestID]*played
+	open  map[policy.RequestID]*replayed
 }
 
-// played is a request in the present module's hands.
-type played struct {
+// replayed is a request that the present module handles.
+type replayed struct {
 	class int32
 	at    time.Duration
 	ends  time.Duration
@@ -98,9 +98,9 @@
 	over  bool
 }
 
-// play runs one instance from its beginning to its end.
-func (p *past) play(begun time.Duration, tally *side) error {
-	r := &run{p: p, begun: begun, tally: tally, open: make(map[policy.RequestID]*played)}
+// play replays one instance from its beginning to its end.
+func (p *past) play(start time.Duration, tally *timeline) error {
+	r := &run{p: p, start: start, tally: tally, open: make(map[policy.RequestID]*replayed)}
 	var err error
 	if r.b, err = Open(p.opened, r); err != nil {
 		return err
@@ -108,7 +108,7 @@
 	for _, e := range p.events {
 		r.clock.RunTo(max(r.clock.Now, time.Duration(e.At)))
 		if q := e.GetRequest(); q != nil {
-			r.open[policy.RequestID(q.Id)] = &played{class: q.Class, at: r.clock.Now,
+			r.open[policy.RequestID(q.Id)] = &replayed{class: q.Class, at: r.clock.Now,
 				ends: r.clock.Now + time.Duration(q.Left)}
 		}
 		if g := e.GetGone(); g != nil {
@@ -123,15 +123,15 @@
 		}
 	}
 	if n := len(p.events); n > 0 {
-		r.clock.RunTo(r.clock.Now + 10*time.Second) // what is open ends by its deadline
+		r.clock.RunTo(r.clock.Now + 10*time.Second) // open requests end by their deadlines
 	}
 	return nil
 }
 
-// Send answers an attempt as the recorded one nearest to it went.
+// Send implements policy.Host: it answers an attempt with the result of the nearest recorded attempt.
 func (r *run) Send(id policy.RequestID, to policy.ServerID, timeout time.Duration) {
 	q := r.open[id]
-	r.tally.at(q.at-r.begun).Present.Attempts++
+	r.tally.at(q.at-r.start).Present.Attempts++
 	s := r.p.attempt(uint64(id), uint64(to), q.class, r.clock.Now)
 	o := policy.Outcome{ID: id, Attempt: len(q.tries), Ending: policy.NoConnection}
 	took := time.Millisecond
@@ -149,25 +149,25 @@
 	q.tries[o.Attempt] = nil
 	if !q.over && o.Ending == policy.Served {
 		q.over = true
-		r.tally.at(q.at-r.begun).Present.served(r.clock.Now-q.at, r.p.classes[q.class].LatencyTarget)
+		r.tally.at(q.at-r.start).Present.served(r.clock.Now-q.at, r.p.classes[q.class].LatencyTarget)
 	}
 	o.Finished = q.over
 	r.b.Outcome(r.clock.Now, o)
 }
 
-// Refuse counts a request that was rejected.
+// Refuse implements policy.Host: it counts a rejected request.
 func (r *run) Refuse(id policy.RequestID, _ time.Duration) { r.end(id).Refused++ }
 
-// Fail counts a request that failed.
+// Fail implements policy.Host: it counts a failed request.
 func (r *run) Fail(id policy.RequestID) { r.end(id).Failed++ }
 
 func (r *run) end(id policy.RequestID) *Fate {
 	q := r.open[id]
 	q.over = true
-	return &r.tally.at(q.at - r.begun).Present
+	return &r.tally.at(q.at - r.start).Present
 }
 
-// Cancel calls an attempt off.
+// Cancel implements policy.Host: it cancels an attempt.
 func (r *run) Cancel(id policy.RequestID, attempt int) {
 	if e := r.open[id].tries[attempt]; e != nil {
 		e.Stop()
@@ -175,10 +175,10 @@
 	}
 }
 
-// Wake asks for a call after d.
+// Wake implements policy.Host: it schedules a call of the module after d.
 func (r *run) Wake(d time.Duration) { r.clock.After(max(0, d), func() { r.b.Wake(r.clock.Now) }) }
 
-// Probe answers as the recorded probe nearest in time.
+// Probe implements policy.Host: it answers with the result of the recorded probe nearest in time.
 func (r *run) Probe(to policy.ServerID) {
 	s := nearest(r.p.probes[uint64(to)], r.clock.Now, func(*sample) bool { return true })
 	if s == nil {
@@ -188,11 +188,11 @@
 	r.clock.After(s.took, func() { r.b.Probed(r.clock.Now, to, s.ok, s.load) })
 }
 
-// CloseIdleConnections does nothing: connections are not played.
+// CloseIdleConnections implements policy.Host. It does nothing, as connections are not simulated.
 func (r *run) CloseIdleConnections(policy.ServerID) {}
 
-// WatchList does nothing: lists come as they were recorded.
+// WatchList implements policy.Host. It does nothing, as lists arrive as recorded.
 func (r *run) WatchList() {}
 
-// Log says nothing.
+// Log implements policy.Host. It discards the message.
 func (r *run) Log(string) {}
--- a/internal/lab/replay/exact.go
+++ b/internal/lab/replay/exact.go
@@ -1,6 +1,5 @@
-// Package replay runs recorded events (internal/proxy/record) through the present decision module:
-// to find where it departs from what was done, or to estimate how it would have fared. It is free
-// of I/O.
+// Package replay passes recorded events (internal/proxy/record) to the present decision module, either to find where
+// its actions differ from the recorded ones, or to estimate the outcomes it would have had. The package does no I/O.
 package replay
 
 import (
@@ -17,19 +16,19 @@
 	"caperarch/policy"
 )
 
-// Source gives one record after the other, io.EOF behind the last: record.Reader, or a slice in tests.
+// Source returns records one after the other, and io.EOF after the last: a record.Reader, or a slice in tests.
 type Source interface {
 	Next() (*recordpb.Record, error)
 }
 
-// Departure is an action that the present module takes and the recorded one did not, or the other way round.
+// Departure is a difference between the recorded actions and those of the present module.
 type Departure struct {
 	Record   int              // number of the event, from 1
-	Instance uint32           // which module of the process
-	At       time.Duration    // since the beginning of the recording
-	Event    string           // what was handed in
-	Recorded *recordpb.Record // nil: it did nothing more
-	Present  *recordpb.Record // nil: it does nothing more
+	Instance uint32           // number of the module in the process
+	At       time.Duration    // since the start of the recording
+	Event    string           // the event that preceded the action
+	Recorded *recordpb.Record // nil if there was no further recorded action
+	Present  *recordpb.Record // nil if the present module takes no further action
 }
 
 // String describes the departure in one line.
@@ -47,21 +46,21 @@
 	return fmt.Sprint(bare)
 }
 
-// Comparison is what came of a replay.
+// Comparison is the result of an exact replay.
 type Comparison struct {
-	Events, Actions int // recorded
-	Departures      int // all of them; after the first one the module's state is another
+	Events, Actions int // numbers of records
+	Departures      int // after the first one, the states of the two modules differ
 	First           []Departure
-	Ended           string // why the recording ended before its process; "" where it did not
+	Ended           string // why the recording ended before its process; "" if it did not
 	Cut             bool   // the file ends within a record
 }
 
-// Exact hands the recorded events to the present module at their times and compares what it does,
-// action by action. It keeps the first most departures. An error is one of the file.
+// Exact passes the recorded events to the present module at their recorded times and compares its actions with the
+// recorded ones. It keeps the first most departures. An error means that the file is not valid.
 func Exact(from Source, most int) (Comparison, error) {
 	var c Comparison
 	all := make(map[uint32]*exact)
-	var begun int64
+	var start int64
 	for n := 1; ; n++ {
 		r, err := from.Next()
 		switch {
@@ -73,8 +72,8 @@
 		case err != nil:
 			return c, err
 		}
-		if begun == 0 {
-			begun = r.At
+		if start == 0 {
+			start = r.At
 		}
 		x := all[r.Instance]
 		switch what := r.What.(type) {
@@ -97,8 +96,8 @@
 			continue
 		}
 		c.Events++
-		x.rest(&c, most)
-		x.number, x.event, x.at = n, r, time.Duration(r.At-begun)
+		x.reportRemaining(&c, most)
+		x.number, x.event, x.at = n, r, time.Duration(r.At-start)
 		if err := Hand(x.b, r); err != nil {
 			return c, fmt.Errorf("record %d: %w", n, err)
 		}
@@ -107,32 +106,32 @@
 
 func finish(c Comparison, all map[uint32]*exact, most int) Comparison {
 	for _, x := range all {
-		if !c.Cut && c.Ended == "" { // else the last event's actions may be missing
-			x.rest(&c, most)
+		if !c.Cut && c.Ended == "" { // otherwise the actions of the last event may be missing
+			x.reportRemaining(&c, most)
 		}
 	}
 	return c
 }
 
-// exact is one instance under comparison.
+// exact is an instance that is being compared.
 type exact struct {
 	b        *policy.Balancer
 	instance uint32
-	acts     []*recordpb.Record // the present module's, not compared yet
+	actions  []*recordpb.Record // actions of the present module that have not been compared yet
 	number   int
 	event    *recordpb.Record
 	at       time.Duration
 }
 
-// Config is the settings that a recorded module was made with.
+// Config decodes the configuration of a recorded module.
 func Config(o *recordpb.Opened) (cfg policy.Config, err error) {
 	if err = json.Unmarshal(o.Config, &cfg); err != nil {
-		err = fmt.Errorf("config: %w", err)
+		err = fmt.Errorf("decode the recorded module configuration: %w", err)
 	}
 	return cfg, err
 }
 
-// Open makes the present module as a recorded one was made.
+// Open creates the present module with the configuration of a recorded one.
 func Open(o *recordpb.Opened, host policy.Host) (*policy.Balancer, error) {
 	cfg, err := Config(o)
 	if err != nil {
@@ -146,16 +145,16 @@
 	var err error
 	x.b, err = Open(o, record.ActionRecorder(func(r *recordpb.Record) {
 		r.Instance = instance
-		x.acts = append(x.acts, r)
+		x.actions = append(x.actions, r)
 	}))
 	return x, err
 }
 
-// expect compares a recorded action with the present module's next one.
+// expect compares a recorded action with the next action of the present module.
 func (x *exact) expect(c *Comparison, want *recordpb.Record, most int) {
 	var have *recordpb.Record
-	if len(x.acts) > 0 {
-		have, x.acts = x.acts[0], x.acts[1:]
+	if len(x.actions) > 0 {
+		have, x.actions = x.actions[0], x.actions[1:]
 	}
 	if have != nil {
 		have.At = want.At
@@ -163,25 +162,25 @@
 			return
 		}
 	}
-	x.depart(c, want, have, most)
+	x.addDeparture(c, want, have, most)
 }
 
-// rest tells of actions that the recorded module did not take.
-func (x *exact) rest(c *Comparison, most int) {
-	for _, have := range x.acts {
-		x.depart(c, nil, have, most)
+// reportRemaining reports the actions that the recorded module did not take.
+func (x *exact) reportRemaining(c *Comparison, most int) {
+	for _, have := range x.actions {
+		x.addDeparture(c, nil, have, most)
 	}
-	x.acts = x.acts[:0]
+	x.actions = x.actions[:0]
 }
 
-func (x *exact) depart(c *Comparison, want, have *recordpb.Record, most int) {
+func (x *exact) addDeparture(c *Comparison, want, have *recordpb.Record, most int) {
 	c.Departures++
 	if len(c.First) < most {
 		c.First = append(c.First, Departure{x.number, x.instance, x.at, text(x.event), want, have})
 	}
 }
 
-// isAction says whether a record is what a module did, not what it was handed.
+// isAction reports whether a record is an action of a module and not an event.
 func isAction(r *recordpb.Record) bool {
 	switch r.What.(type) {
 	case *recordpb.Record_Send, *recordpb.Record_Refuse, *recordpb.Record_Fail, *recordpb.Record_Cancel,
@@ -192,7 +191,7 @@
 	return false
 }
 
-// Hand hands a recorded event to a module, at its time.
+// Hand passes a recorded event to a module, at its recorded time.
 func Hand(b *policy.Balancer, r *recordpb.Record) error {
 	now := time.Duration(r.At)
 	switch what := r.What.(type) {
@@ -216,11 +215,11 @@
 	case *recordpb.Record_Reconfigure:
 		var l policy.Limits
 		if err := json.Unmarshal(what.Reconfigure.Limits, &l); err != nil {
-			return fmt.Errorf("limits: %w", err)
+			return fmt.Errorf("decode the recorded limits: %w", err)
 		}
-		_ = b.Reconfigure(now, l) // refused then as now
+		_ = b.Reconfigure(now, l) // the recorded module rejected the same limits
 	default:
-		return fmt.Errorf("no event of this version: %T", r.What)
+		return fmt.Errorf("record of unknown type %T, expected an event of this version", r.What)
 	}
 	return nil
 }
