--- a/cmd/measure/even.go
+++ b/cmd/measure/even.go
@@ -17,7 +17,7 @@
 
 // measureEven measures how evenly many sidecars of little traffic spread it, in virtual time.
 func measureEven(short bool) (string, []string, error) {
-	days, seeds := []emulator.EvenDay{
+	days, seeds := []emulator.SpreadRun{
 		{Sidecars: 40, Servers: 40, RatePerSidecar: 4}, {Sidecars: 24, Servers: 12, RatePerSidecar: 5},
 		{Sidecars: 300, Servers: 60, RatePerSidecar: 1}, {Sidecars: 300, Servers: 60, RatePerSidecar: 4},
 		{Sidecars: 300, Servers: 60, RatePerSidecar: 10}, {Sidecars: 300, Servers: 200, RatePerSidecar: 4},
@@ -117,7 +117,7 @@
 // measureEvenEvents measures the spread behind what all sidecars notice at about the same moment:
 // in virtual time, and with real processes under faults.
 func measureEvenEvents(short bool) (string, []string, error) {
-	day, e, seeds := emulator.EvenDay{Sidecars: 300, Servers: 60, RatePerSidecar: 4, Until: 70 * time.Second},
+	day, e, seeds := emulator.SpreadRun{Sidecars: 300, Servers: 60, RatePerSidecar: 4, Until: 70 * time.Second},
 		evenReal{sidecars: 60, nodes: 12, each: 6, peers: true}, uint64(5)
 	if short {
 		seeds = 1
@@ -144,7 +144,7 @@
 				name, herd.median(), idle.median(), back.median()))
 		}
 	}
-	for _, event := range emulator.EvenEvents(day.Servers) {
+	for _, event := range emulator.SpreadEvents(day.Servers) {
 		var all []emulator.EventResult
 		for seed := range seeds {
 			day.Event = &event
@@ -152,7 +152,7 @@
 			if err != nil {
 				return "", nil, err
 			}
-			all = append(all, event.Judge(arrivals, day.Servers, day.Until, seed))
+			all = append(all, event.Evaluate(arrivals, day.Servers, day.Until, seed))
 		}
 		say("virtual", event.Name, all)
 	}
@@ -166,7 +166,7 @@
 		if err != nil {
 			return "", nil, err
 		}
-		for _, event := range emulator.EvenEvents(e.nodes) {
+		for _, event := range emulator.SpreadEvents(e.nodes) {
 			say(fmt.Sprintf("real, %d processes", e.sidecars), event.Name, []emulator.EventResult{seen[event.Name]})
 		}
 	}
--- a/cmd/measure/even_real.go
+++ b/cmd/measure/even_real.go
@@ -159,7 +159,7 @@
 	var failed error
 	places := make(chan bool, side)
 	var all sync.WaitGroup
-	for _, event := range emulator.EvenEvents(e.nodes) {
+	for _, event := range emulator.SpreadEvents(e.nodes) {
 		places <- true
 		all.Go(func() {
 			defer func() { <-places }()
@@ -176,7 +176,7 @@
 }
 
 // event has a fleet live through one.
-func (e evenReal) event(binary string, event *emulator.EvenEvent) (emulator.EventResult, error) {
+func (e evenReal) event(binary string, event *emulator.SpreadEvent) (emulator.EventResult, error) {
 	t := newCleanups()
 	defer t.end()
 	times := usual
@@ -220,11 +220,11 @@
 	if _, broken := w.Check(); len(broken) > 0 {
 		return emulator.EventResult{}, fmt.Errorf("rules: %v", broken[:min(5, len(broken))])
 	}
-	return event.Judge(w.Arrivals(w.begun), e.nodes, until, e.seed), nil
+	return event.Evaluate(w.Arrivals(w.begun), e.nodes, until, e.seed), nil
 }
 
 // play does to the upstreams what the event has of them.
-func (w *evenWorld) play(event *emulator.EvenEvent, at func(time.Duration, func())) {
+func (w *evenWorld) play(event *emulator.SpreadEvent, at func(time.Duration, func())) {
 	touched := w.Nodes[:event.Touched]
 	// Half of the sidecars hear of it two seconds later; an upstream that goes lives on for so long.
 	list := func(when time.Duration, of []*testbed.Node, lifecycle string) {
@@ -250,7 +250,7 @@
 		list(event.At, touched[:event.Removed], "draining")
 	}
 	if event.Added > 0 {
-		came := event.End - emulator.EvenColdTime
+		came := event.End - emulator.SpreadSlowStartTime
 		at(came, func() {
 			for _, n := range w.unlisted {
 				n.Started = time.Now()
--- a/cmd/measure/virtual_walls.go
+++ b/cmd/measure/virtual_walls.go
@@ -19,16 +19,16 @@
 // measureWalls plays the days of a fleet of hundreds in virtual time, from several seeds, and the
 // sweep over sizes of it.
 func measureWalls(short bool) (string, []string, error) {
-	seeds, days := 5, emulator.MassDays
+	seeds, days := 5, emulator.LargeFleetCases
 	if short {
 		seeds, days = 2, days[:4]
 	}
-	played := make([][]emulator.MassResult, len(days))
+	played := make([][]emulator.LargeFleetResult, len(days))
 	fails := make([][]error, len(days))
 	var all sync.WaitGroup
 	cores := make(chan bool, runtime.GOMAXPROCS(0))
 	for i := range days {
-		played[i], fails[i] = make([]emulator.MassResult, seeds), make([]error, seeds)
+		played[i], fails[i] = make([]emulator.LargeFleetResult, seeds), make([]error, seeds)
 		for seed := range seeds {
 			all.Go(func() {
 				cores <- true
@@ -69,7 +69,7 @@
 
 // plotWalls draws the second seed's day: what was in time, what was asked for, and how much of
 // their bounds servers held.
-func plotWalls(d emulator.MassDay, o emulator.MassResult) error {
+func plotWalls(d emulator.LargeFleetCase, o emulator.LargeFleetResult) error {
 	inTime, load := series{"in time", 1, nil}, series{"work asked for, of what servers can do", 1, nil}
 	tipped, held := series{"servers tipped", 1, nil}, series{"requests held, of 10 at each server", 1, nil}
 	for _, s := range o.Seconds {
--- a/internal/lab/emulator/even.go
+++ b/internal/lab/emulator/even.go
@@ -10,9 +10,9 @@
 	"caperarch/policy"
 )
 
-// EvenDay is a run that only measures the spread of requests: many sidecars with little traffic each, and servers with
-// capacity to spare.
-type EvenDay struct {
+// SpreadRun is a run that only measures the spread of requests: many sidecars with little traffic each, and servers
+// with capacity to spare.
+type SpreadRun struct {
 	Sidecars, Servers int
 	RatePerSidecar    float64 // mean requests per second of a sidecar
 	Heavy             bool    // a random tenth of the sidecars has half of the traffic
@@ -21,7 +21,7 @@
 	Wrong             bool    // each sidecar considers another random fifth dead
 	Cold              float64 // slow-start overload factor; 0 for 3
 	Until             time.Duration
-	Event             *EvenEvent // may be nil
+	Event             *SpreadEvent // may be nil
 
 	number map[policy.ServerID]int
 	gone   map[int]bool
@@ -29,7 +29,7 @@
 }
 
 // config draws the configuration of the fleet.
-func (d *EvenDay) config(seed uint64) Config {
+func (d *SpreadRun) config(seed uint64) Config {
 	d.rng = rand.New(rand.NewPCG(seed, 6))
 	d.number, d.gone = make(map[policy.ServerID]int), make(map[int]bool)
 	c := Config{
@@ -40,7 +40,7 @@
 				Value: 1, Effect: policy.Idempotent}},
 			Tenants:     []policy.Tenant{{Share: 1, Quota: 1.2 * d.RatePerSidecar * float64(d.Sidecars)}},
 			MaxAttempts: 3, MayCancel: true, MaxRetryAfter: time.Second, Tick: time.Millisecond,
-			SlowStartShare: 0.3, SlowStartTime: EvenColdTime, SlowStartOverload: cmp.Or(d.Cold, 3),
+			SlowStartShare: 0.3, SlowStartTime: SpreadSlowStartTime, SlowStartOverload: cmp.Or(d.Cold, 3),
 		},
 	}
 	for range d.Servers {
@@ -72,9 +72,9 @@
 	return c
 }
 
-// Run runs the day and returns the arrivals at the servers and the weights of the servers. Servers that are added
-// during the run are numbered after the first ones.
-func (d *EvenDay) Run(seed uint64) ([]loadspread.Arrival, []float64, error) {
+// Run runs the simulation and returns the arrivals at the servers and the weights of the servers. Servers that are
+// added during the run are numbered after the first ones.
+func (d *SpreadRun) Run(seed uint64) ([]loadspread.Arrival, []float64, error) {
 	var all []loadspread.Arrival
 	var f *Fleet
 	c := d.config(seed)
--- a/internal/lab/emulator/even_test.go
+++ b/internal/lab/emulator/even_test.go
@@ -12,7 +12,7 @@
 // Without faults, the spread over 10 s must be better than chance. It is worse if the sidecars' subsets (arcs) cover
 // some servers more often than others, even if each sidecar spreads its own requests evenly.
 func TestEvenSpreadFromSubsets(t *testing.T) {
-	for _, d := range []EvenDay{
+	for _, d := range []SpreadRun{
 		{Sidecars: 40, Servers: 40, RatePerSidecar: 4}, {Sidecars: 24, Servers: 12, RatePerSidecar: 5},
 		{Sidecars: 100, Servers: 20, RatePerSidecar: 4}, {Sidecars: 100, Servers: 66, RatePerSidecar: 4},
 	} {
@@ -40,7 +40,7 @@
 }
 
 // meanVariance returns the mean over some seeds of variance over mean and greatest over mean, in windows of 10 s.
-func meanVariance(t *testing.T, d EvenDay, from time.Duration, seeds uint64) (variance, greatest float64) {
+func meanVariance(t *testing.T, d SpreadRun, from time.Duration, seeds uint64) (variance, greatest float64) {
 	t.Helper()
 	for seed := range seeds {
 		all, weights, err := d.Run(seed)
@@ -57,7 +57,7 @@
 // A few sidecars have most of the traffic. If each of them kept to its own arc, servers under adjacent arcs would get a
 // third more requests than the others.
 func TestHeavySidecarsSpreadEvenly(t *testing.T) {
-	d := EvenDay{Sidecars: 300, Servers: 60, RatePerSidecar: 4, Heavy: true, Until: 60 * time.Second}
+	d := SpreadRun{Sidecars: 300, Servers: 60, RatePerSidecar: 4, Heavy: true, Until: 60 * time.Second}
 	variance, greatest := meanVariance(t, d, 30*time.Second, 2)
 	t.Logf("a tenth of the sidecars has half of the traffic: variance over mean %.2f, greatest over mean %.2f",
 		variance, greatest)
@@ -69,7 +69,7 @@
 // If the running sidecars know which ones are dead, their arcs close the gaps. If each sidecar has another wrong view
 // of the dead, the spread must be no worse than by chance.
 func TestEvenSpreadWithDeadSidecars(t *testing.T) {
-	d := EvenDay{Sidecars: 100, Servers: 20, RatePerSidecar: 4, Dead: 0.2, Until: 50 * time.Second}
+	d := SpreadRun{Sidecars: 100, Servers: 20, RatePerSidecar: 4, Dead: 0.2, Until: 50 * time.Second}
 	blind, _ := meanVariance(t, d, 10*time.Second, 3)
 	d.Known = true
 	known, _ := meanVariance(t, d, 10*time.Second, 3)
@@ -89,10 +89,10 @@
 // After an event that all sidecars notice at about the same moment, no server may be overloaded or idle, and the
 // affected servers must get their share again.
 func TestEventsDoNotSynchronizeSidecars(t *testing.T) {
-	for _, event := range EvenEvents(20) {
+	for _, event := range SpreadEvents(20) {
 		t.Run(event.Name, func(t *testing.T) {
 			t.Parallel()
-			d := EvenDay{Sidecars: 100, Servers: 20, RatePerSidecar: 4, Until: event.End + 34*time.Second,
+			d := SpreadRun{Sidecars: 100, Servers: 20, RatePerSidecar: 4, Until: event.End + 34*time.Second,
 				Event: &event}
 			worst, chance := 0.0, 0.0
 			for seed := range uint64(3) {
@@ -100,7 +100,7 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				b := event.Judge(all, d.Servers, d.Until, seed)
+				b := event.Evaluate(all, d.Servers, d.Until, seed)
 				t.Logf("seed %d: %+v", seed, b)
 				worst, chance = worst+b.Worst, chance+b.Chance
 				if b.Idle > 0.01 || b.Recovery < 0 || b.Recovery > 26*time.Second {
@@ -120,12 +120,12 @@
 // cold server no more than its slow-start limit in each second, although the traffic is higher.
 func TestSlowStartLimitBeatsEvenness(t *testing.T) {
 	const servers = 20
-	event := EvenEvent{At: eventAt, End: eventAt + EvenColdTime, Removed: servers - 1, Added: servers - 1,
+	event := SpreadEvent{At: eventAt, End: eventAt + SpreadSlowStartTime, Removed: servers - 1, Added: servers - 1,
 		Play: func(f *Fleet) {
 			f.At(eventAt, func() { f.Add(f.Remove(servers - 1)) })
 		}}
 	for _, heavy := range []bool{false, true} {
-		d := EvenDay{Sidecars: 100, Servers: servers, RatePerSidecar: 8, Heavy: heavy, Cold: 1,
+		d := SpreadRun{Sidecars: 100, Servers: servers, RatePerSidecar: 8, Heavy: heavy, Cold: 1,
 			Until: event.End, Event: &event}
 		for seed := range uint64(3) {
 			all, _, err := d.Run(seed)
@@ -133,9 +133,9 @@
 				t.Fatal(err)
 			}
 			cold, most := d.config(seed).Module, 0.0
-			for second := range int(EvenColdTime / time.Second) {
+			for second := range int(SpreadSlowStartTime / time.Second) {
 				from := event.At + time.Duration(second)*time.Second
-				warm := cold.SlowStartShare + (1-cold.SlowStartShare)*float64(second)/EvenColdTime.Seconds()
+				warm := cold.SlowStartShare + (1-cold.SlowStartShare)*float64(second)/SpreadSlowStartTime.Seconds()
 				limit := cold.SlowStartOverload * warm * cold.Tenants[0].Quota / servers
 				got := make([]float64, servers+event.Added)
 				for _, a := range all {
--- a/internal/lab/emulator/events.go
+++ b/internal/lab/emulator/events.go
@@ -7,9 +7,9 @@
 	"caperarch/internal/lab/loadspread"
 )
 
-// EvenEvent is an event that all sidecars notice at about the same moment, so that they could react in step. An event
+// SpreadEvent is an event that all sidecars notice at about the same moment, so that they could react in step. An event
 // that affects servers affects the first ones of the list.
-type EvenEvent struct {
+type SpreadEvent struct {
 	Name    string
 	At      time.Duration
 	End     time.Duration // from here on, the affected servers should get their share again
@@ -23,8 +23,8 @@
 
 const eventAt = 20 * time.Second
 
-// EvenEvents returns the events after which the spread is measured.
-func EvenEvents(servers int) []EvenEvent {
+// SpreadEvents returns the events after which the spread is measured.
+func SpreadEvents(servers int) []SpreadEvent {
 	some := func(share float64) int { return max(1, int(share*float64(servers))) }
 	replaced := func(n int, back time.Duration) func(*Fleet) {
 		return func(fleet *Fleet) {
@@ -34,20 +34,20 @@
 			})
 		}
 	}
-	return []EvenEvent{
+	return []SpreadEvent{
 		{Name: "all start at once", At: 0, End: 0},
 		{Name: "the list changes", At: eventAt, End: eventAt, Play: func(f *Fleet) {
 			f.At(eventAt, func() { f.Remove(1) })
 		}, Touched: 1, Removed: 1},
-		{Name: "one returns, cold", At: eventAt, End: eventAt + EvenColdTime, Play: replaced(1, 0),
+		{Name: "one returns, cold", At: eventAt, End: eventAt + SpreadSlowStartTime, Play: replaced(1, 0),
 			Touched: 1, Removed: 1, Added: 1},
 		{Name: "one is slow for 5 s", At: eventAt, End: eventAt + 5*time.Second, State: State{Slower: 8}, Touched: 1},
 		{Name: "a tenth is silent for 5 s", At: eventAt, End: eventAt + 5*time.Second,
 			State: State{Silent: true}, Touched: some(0.1)},
 		{Name: "one is four times as quick", At: eventAt, End: eventAt, State: State{Slower: 0.25}, Touched: 1},
-		{Name: "half are replaced", At: eventAt, End: eventAt + EvenColdTime, Play: replaced(servers/2, 0),
+		{Name: "half are replaced", At: eventAt, End: eventAt + SpreadSlowStartTime, Play: replaced(servers/2, 0),
 			Touched: servers / 2, Removed: servers / 2, Added: servers / 2},
-		{Name: "a zone returns after 5 s", At: eventAt, End: eventAt + 5*time.Second + EvenColdTime,
+		{Name: "a zone returns after 5 s", At: eventAt, End: eventAt + 5*time.Second + SpreadSlowStartTime,
 			Play: replaced(some(0.3), 5*time.Second), Touched: some(0.3), Removed: some(0.3), Added: some(0.3)},
 		{Name: "traffic doubles", At: eventAt, End: eventAt, Times: func(now time.Duration) float64 {
 			if now >= eventAt {
@@ -58,11 +58,11 @@
 	}
 }
 
-// EvenColdTime is the slow-start time of a server.
-const EvenColdTime = 8 * time.Second
+// SpreadSlowStartTime is the slow-start time of a server.
+const SpreadSlowStartTime = 8 * time.Second
 
 // play schedules the event.
-func (e *EvenEvent) play(f *Fleet) {
+func (e *SpreadEvent) play(f *Fleet) {
 	if e.Play != nil {
 		e.Play(f)
 	}
@@ -88,8 +88,8 @@
 // observationTime is how long after an event the spread is measured.
 const observationTime = 10 * time.Second
 
-// Judge measures the effect of the event in a run that began with the given number of servers.
-func (e *EvenEvent) Judge(all []loadspread.Arrival, servers int, until time.Duration, seed uint64) (b EventResult) {
+// Evaluate measures the effect of the event in a run that began with the given number of servers.
+func (e *SpreadEvent) Evaluate(all []loadspread.Arrival, servers int, until time.Duration, seed uint64) (b EventResult) {
 	steady := make([]float64, servers+e.Added)
 	for i := e.Touched; i < servers; i++ {
 		steady[i] = 1
--- a/internal/lab/emulator/mass.go
+++ b/internal/lab/emulator/mass.go
@@ -10,10 +10,10 @@
 	"caperarch/policy"
 )
 
-// Mass is a run of a large fleet: many sidecars with little, uneven traffic, long-tailed request sizes, servers that
-// become overloaded and recover only after a rest, and clients that retry. The details of the deployment are drawn from
-// the seed.
-type Mass struct {
+// LargeFleet is a scenario of a large fleet: many sidecars with little, uneven traffic, long-tailed request sizes,
+// servers that become overloaded and recover only after a rest, and clients that retry. The details of the deployment
+// are drawn from the seed.
+type LargeFleet struct {
 	Sidecars, Servers int
 	Load              float64 // usual request rate as a share of the capacity
 	Burst             float64 // factor of the rate during the burst; 0 for none
@@ -33,7 +33,7 @@
 func between(rng *rand.Rand, from, to float64) float64 { return from + (to-from)*rng.Float64() }
 
 // Config draws the configuration of the fleet.
-func (m *Mass) Config(seed uint64) Config {
+func (m *LargeFleet) Config(seed uint64) Config {
 	rng := rand.New(rand.NewPCG(seed, 2))
 	c := Config{
 		Seed: seed, Sidecars: m.Sidecars, RoundTrip: time.Millisecond,
@@ -81,7 +81,7 @@
 }
 
 // servers draws the servers and returns their capacity in requests per second.
-func (m *Mass) servers(c *Config, rng *rand.Rand) (capacity float64) {
+func (m *LargeFleet) servers(c *Config, rng *rand.Rand) (capacity float64) {
 	at, over, slower := between(rng, 4, 7), between(rng, 1.5, 2.5), between(rng, 2.1, 3.3)
 	rest, below, until := between(rng, 2.3, 4.7), between(rng, 0.25, 0.4), between(rng, 21, 32)
 	seconds := func(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
@@ -102,7 +102,7 @@
 }
 
 // traffic sets the factors of the sidecars' and tenants' traffic over time.
-func (m *Mass) traffic(c *Config) {
+func (m *LargeFleet) traffic(c *Config) {
 	burst := func(now time.Duration) bool { return now >= m.BurstFrom && now < m.BurstFrom+m.BurstFor }
 	if m.Burst > 0 || m.Shift {
 		c.Times = func(sidecar int, now time.Duration) float64 {
@@ -129,20 +129,20 @@
 	}
 }
 
-// MassResult is the result of a run.
-type MassResult struct {
+// LargeFleetResult is the result of a run.
+type LargeFleetResult struct {
 	InTime       float64 // value earned in time, as a share of the value requested
 	Worst        float64 // the same in the worst 10 s
 	Attempts     float64 // per request
 	Probes       float64 // per request
 	LargerTenant float64 // share of the larger tenant's requests during the burst that were answered in time
 	Tipped       int     // number of times that a server became overloaded
-	Recovery     float64 // seconds from the end of the burst until 95% of the best second's share is in time
-	Seconds      []MassSecond
+	Recovery     float64 // seconds from the end of the burst until InTime of a second is 95% of the best second's
+	Seconds      []LargeFleetSecond
 }
 
-// MassSecond is one second of a run.
-type MassSecond struct {
+// LargeFleetSecond is one second of a run.
+type LargeFleetSecond struct {
 	Requests, Held, Tipped int
 	InTime, Refused, Load  float64
 }
@@ -164,11 +164,11 @@
 	}
 }
 
-// Run runs the day from a seed. The error is the first violation of a rule.
-func (m *Mass) Run(seed uint64) (MassResult, error) {
+// Run runs the scenario from a seed. The error is the first violation of a rule.
+func (m *LargeFleet) Run(seed uint64) (LargeFleetResult, error) {
 	f, err := New(m.Config(seed))
 	if err != nil {
-		return MassResult{}, err
+		return LargeFleetResult{}, err
 	}
 	if m.Slow > 0 {
 		f.At(m.BurstFrom, func() { setSample(f.nodes, m.Slow, State{Slower: 3}) })
@@ -197,12 +197,12 @@
 	f.Start()
 	f.Run(m.Until + 3*time.Second)
 	if err := cmp.Or(err, f.Err()); err != nil {
-		return MassResult{}, err
+		return LargeFleetResult{}, err
 	}
 	return m.sum(f), nil
 }
 
-func (m *Mass) sum(f *Fleet) (o MassResult) {
+func (m *LargeFleet) sum(f *Fleet) (o LargeFleetResult) {
 	each := int(time.Second / f.cfg.Bucket)
 	quiet := Count{}
 	for _, b := range f.Buckets()[m.BurstFrom/f.cfg.Bucket : (m.BurstFrom+m.BurstFor)/f.cfg.Bucket] {
@@ -213,7 +213,7 @@
 	earned, worth, sent, probes, asked := 0.0, 0.0, 0, 0, 0
 	var shares []float64
 	for len(buckets) >= each {
-		var s MassSecond
+		var s LargeFleetSecond
 		e, w, refused, load := 0.0, 0.0, 0, 0.0
 		for _, b := range buckets[:each] {
 			s.Requests, s.Held, s.Tipped = s.Requests+b.Requests, s.Held+b.InFlight, max(s.Tipped, b.Overloaded)
@@ -253,37 +253,39 @@
 	return sum
 }
 
-// CalmMass is the day without faults: a burst to 1.5 times the usual rate, and traffic that shifts between sidecars.
-var CalmMass = Mass{
+// CalmLargeFleet is the scenario without faults: a burst to 1.5 times the usual rate, and traffic that shifts between
+// sidecars.
+var CalmLargeFleet = LargeFleet{
 	Sidecars: 300, Servers: 200, Load: 0.62, Burst: 1.5, Shift: true,
 	BurstFrom: 10 * time.Second, BurstFor: 8 * time.Second, Until: 30 * time.Second,
 }
 
-// MassDay is a named day.
-type MassDay struct {
+// LargeFleetCase is a named scenario.
+type LargeFleetCase struct {
 	Name string
-	Mass
+	LargeFleet
 }
 
-// MassDays are the days that overload protection of a whole fleet is measured on: the calm day and variants of it.
-var MassDays = []MassDay{
-	calmVariant("burst of 1.5", func(*Mass) {}),
-	calmVariant("burst of 1.5 on 0.72", func(m *Mass) { m.Load = 0.72 }),
-	calmVariant("one tenant x 5", func(m *Mass) { m.Burst, m.Flood = 1, 5 }),
-	calmVariant("a tenth has half of it", func(m *Mass) { m.Heavy = true }),
-	calmVariant("the same, 70% killed", func(m *Mass) { m.Heavy, m.Killed = true, 0.7 }),
-	calmVariant("15% silent", func(m *Mass) { m.Burst, m.Hang, m.Load = 1, 0.15, 0.6 }),
-	calmVariant("an eighth slow", func(m *Mass) { m.Burst, m.Slow = 1, 0.125 }),
-	calmVariant("a fifth tipped", func(m *Mass) { m.Burst, m.Tipped, m.BurstFor = 1, 0.2, time.Second }),
-	calmVariant("all tipped", func(m *Mass) { m.Burst, m.Tipped, m.BurstFor = 1, 1, time.Second }),
-	calmVariant("1,000 on 60", func(m *Mass) { m.Sidecars, m.Servers = 1000, 60 }),
-	calmVariant("15 on 10", func(m *Mass) { m.Sidecars, m.Servers = 15, 10 }),
-	calmVariant("3 on 3", func(m *Mass) { m.Sidecars, m.Servers = 3, 3 }),
-	calmVariant("1 on 3", func(m *Mass) { m.Sidecars, m.Servers = 1, 3 }),
+// LargeFleetCases are the scenarios that measure the overload protection of a whole fleet: CalmLargeFleet and variants
+// of it.
+var LargeFleetCases = []LargeFleetCase{
+	calmVariant("burst of 1.5", func(*LargeFleet) {}),
+	calmVariant("burst of 1.5 on 0.72", func(m *LargeFleet) { m.Load = 0.72 }),
+	calmVariant("one tenant x 5", func(m *LargeFleet) { m.Burst, m.Flood = 1, 5 }),
+	calmVariant("a tenth has half of it", func(m *LargeFleet) { m.Heavy = true }),
+	calmVariant("the same, 70% killed", func(m *LargeFleet) { m.Heavy, m.Killed = true, 0.7 }),
+	calmVariant("15% silent", func(m *LargeFleet) { m.Burst, m.Hang, m.Load = 1, 0.15, 0.6 }),
+	calmVariant("an eighth slow", func(m *LargeFleet) { m.Burst, m.Slow = 1, 0.125 }),
+	calmVariant("a fifth tipped", func(m *LargeFleet) { m.Burst, m.Tipped, m.BurstFor = 1, 0.2, time.Second }),
+	calmVariant("all tipped", func(m *LargeFleet) { m.Burst, m.Tipped, m.BurstFor = 1, 1, time.Second }),
+	calmVariant("1,000 on 60", func(m *LargeFleet) { m.Sidecars, m.Servers = 1000, 60 }),
+	calmVariant("15 on 10", func(m *LargeFleet) { m.Sidecars, m.Servers = 15, 10 }),
+	calmVariant("3 on 3", func(m *LargeFleet) { m.Sidecars, m.Servers = 3, 3 }),
+	calmVariant("1 on 3", func(m *LargeFleet) { m.Sidecars, m.Servers = 1, 3 }),
 }
 
-func calmVariant(name string, edit func(*Mass)) MassDay {
-	d := MassDay{name, CalmMass}
-	edit(&d.Mass)
+func calmVariant(name string, edit func(*LargeFleet)) LargeFleetCase {
+	d := LargeFleetCase{name, CalmLargeFleet}
+	edit(&d.LargeFleet)
 	return d
 }
--- a/internal/lab/emulator/mass_test.go
+++ b/internal/lab/emulator/mass_test.go
@@ -8,7 +8,7 @@
 )
 
 // Each sidecar alone holds few requests, but all together hold more than the servers can handle. Without a limit over
-// the whole fleet, a burst to 1.5 times the usual rate leaves servers overloaded for the rest of the day. The seeds
+// the whole fleet, a burst to 1.5 times the usual rate leaves servers overloaded for the rest of the run. The seeds
 // draw the deployment. With the second seed servers become overloaded soonest; limits in each sidecar alone gave 0.636
 // of the value in time there, with all 40 servers overloaded.
 func TestFleetRecoversFromBurst(t *testing.T) {
@@ -19,7 +19,7 @@
 	for seed, want := range bounds {
 		t.Run("", func(t *testing.T) {
 			t.Parallel()
-			m := CalmMass
+			m := CalmLargeFleet
 			m.Sidecars, m.Servers = 60, 40
 			o, err := m.Run(seed)
 			if err != nil {
@@ -38,7 +38,7 @@
 // The results of the emulator depend on its model of overload: a server with too many requests becomes overloaded, is
 // slower as long as it has work, and recovers after a rest.
 func TestOverloadedServerRecoversAfterRest(t *testing.T) {
-	m := CalmMass
+	m := CalmLargeFleet
 	m.Sidecars, m.Servers, m.Burst, m.Shift = 2, 1, 0, false
 	c := m.Config(1)
 	f, err := New(c)
--- a/internal/lab/emulator/server.go
+++ b/internal/lab/emulator/server.go
@@ -24,9 +24,9 @@
 	Over   time.Duration // time constant of the mean number of requests in flight
 	Most   float64       // the server becomes overloaded when the mean exceeds this number
 	Slower float64       // factor by which an overloaded server is slower
-	Below  float64       // the server recovers when its mean utilization
-	Rest   time.Duration // over this time is below Below,
-	Until  time.Duration // or after this time at the latest
+	Below  float64       // utilization of the cores below which the server rests
+	Rest   time.Duration // the server recovers when the mean utilization over this time is below Below
+	Until  time.Duration // the server recovers after this time at the latest
 }
 
 // State is the present behaviour of a server. The zero value is a healthy server.
--- a/internal/lab/replay/estimate.go
+++ b/internal/lab/replay/estimate.go
@@ -8,12 +8,12 @@
 	"caperarch/policy"
 )
 
-// Fate counts requests by outcome, and their attempts.
-type Fate struct {
+// OutcomeCounts counts requests by outcome, and their attempts.
+type OutcomeCounts struct {
 	InTime, Late, Refused, Failed, Attempts int
 }
 
-func (f *Fate) served(took, aim time.Duration) {
+func (f *OutcomeCounts) served(took, aim time.Duration) {
 	if took <= aim {
 		f.InTime++
 	} else {
@@ -21,7 +21,7 @@
 	}
 }
 
-func (f *Fate) add(g Fate) {
+func (f *OutcomeCounts) add(g OutcomeCounts) {
 	f.InTime += g.InTime
 	f.Late += g.Late
 	f.Refused += g.Refused
@@ -33,14 +33,14 @@
 type Second struct {
 	Second            int
 	Requests          int
-	Recorded, Present Fate
+	Recorded, Present OutcomeCounts
 }
 
 // Estimation compares the outcomes with the present decision module to the recorded ones.
 type Estimation struct {
 	Seconds           []*Second
 	Requests          int
-	Recorded, Present Fate
+	Recorded, Present OutcomeCounts
 }
 
 // timeline counts the outcomes per second.
@@ -118,7 +118,7 @@
 				q.over = true
 			}
 		}
-		if err := Hand(r.b, &recordpb.Record{At: int64(r.clock.Now), What: e.What}); err != nil {
+		if err := Apply(r.b, &recordpb.Record{At: int64(r.clock.Now), What: e.What}); err != nil {
 			return err
 		}
 	}
@@ -161,7 +161,7 @@
 // Fail implements policy.Host: it counts a failed request.
 func (r *run) Fail(id policy.RequestID) { r.end(id).Failed++ }
 
-func (r *run) end(id policy.RequestID) *Fate {
+func (r *run) end(id policy.RequestID) *OutcomeCounts {
 	q := r.open[id]
 	q.over = true
 	return &r.tally.at(q.at - r.start).Present
--- a/internal/lab/replay/exact.go
+++ b/internal/lab/replay/exact.go
@@ -98,7 +98,7 @@
 		c.Events++
 		x.reportRemaining(&c, most)
 		x.number, x.event, x.at = n, r, time.Duration(r.At-start)
-		if err := Hand(x.b, r); err != nil {
+		if err := Apply(x.b, r); err != nil {
 			return c, fmt.Errorf("record %d: %w", n, err)
 		}
 	}
@@ -191,8 +191,8 @@
 	return false
 }
 
-// Hand passes a recorded event to a module, at its recorded time.
-func Hand(b *policy.Balancer, r *recordpb.Record) error {
+// Apply passes a recorded event to a module, at its recorded time.
+func Apply(b *policy.Balancer, r *recordpb.Record) error {
 	now := time.Duration(r.At)
 	switch what := r.What.(type) {
 	case *recordpb.Record_Start:
--- a/internal/lab/soak/check_test.go
+++ b/internal/lab/soak/check_test.go
@@ -24,8 +24,8 @@
 	return Run{ID: id, Upstream: 1, Arrived: at, PlannedEnd: at + 50*ms, Ended: at + 50*ms}
 }
 
-// unansweredRequest returns a request of sidecar 0 whose connection ended without a response, and its run at upstream
-// 1.
+// unansweredRequest returns a request of sidecar 0 whose connection ended without a response, and its run at
+// upstream 1.
 func unansweredRequest(id string, at, after time.Duration) (Request, Run) {
 	return Request{ID: id, Sent: at, Ended: at + after}, runOf(id, at+10*ms)
 }
