--- a/cmd/caperarch/fleet_test.go
+++ b/cmd/caperarch/fleet_test.go
@@ -48,7 +48,7 @@
 func TestFleetOfProcesses(t *testing.T) {
 	t.Parallel()
 	f := startFleet(t, fleet.Config{Size: 5, Nodes: 4})
-	t.Logf("all processes are in contact and agree after %v", f.RequireAgreement(testbed.Generous))
+	t.Logf("all processes are in contact and agree after %v", f.RequireAgreement(testbed.MaxWait))
 	stop := f.Load(150)
 	all := func(condition func(i int, v fleet.View) bool, of ...int) func() bool {
 		return func() bool {
@@ -65,7 +65,7 @@
 		t.Run(name, func(t *testing.T) {
 			do(t)
 			f.Peers.Break(fleet.Faults{}, 1)
-			t.Logf("fault repaired: views agree after %v", f.RequireAgreement(testbed.Generous))
+			t.Logf("fault repaired: views agree after %v", f.RequireAgreement(testbed.MaxWait))
 		})
 	}
 
@@ -96,7 +96,7 @@
 			t.Errorf("first view of the resumed process: in contact %v, session %s, want out of contact and not session %s",
 				v.Contact, v.Session, before.Session)
 		}
-		f.RequireAgreement(testbed.Generous)
+		f.RequireAgreement(testbed.MaxWait)
 		if found := suspicionsBy(s.Log()[offset:], 1); found != nil {
 			t.Errorf("the resumed process suspects other processes: %q", found)
 		}
@@ -116,7 +116,7 @@
 			for i := 2; i < 5; i++ {
 				v, ok := f.Sidecars[i].View()
 				for j := range 2 {
-					if w, there := f.Sidecars[j].View(); ok && there && v.Out[j] && w.Contact && w.Session == v.Of[j] {
+					if w, there := f.Sidecars[j].View(); ok && there && v.Out[j] && w.Contact && w.Session == v.Sessions[j] {
 						t.Fatalf("process %d regards process %d as out, but process %[2]d is in contact with session %[3]s",
 							i, j, w.Session)
 					}
@@ -177,12 +177,12 @@
 	}
 	t.Logf("requests %+v; datagrams: %d passed, %d lost, %d delayed, %d duplicated; the longest had %d bytes",
 		tally, f.Peers.Passed.Load(), f.Peers.Lost.Load(),
-		f.Peers.Delayed.Load(), f.Peers.Doubled.Load(), f.Peers.Longest.Load())
-	if tally.Served < 1000 || f.Peers.Lost.Load() == 0 || f.Peers.Delayed.Load() == 0 || f.Peers.Doubled.Load() == 0 {
+		f.Peers.Delayed.Load(), f.Peers.Duplicated.Load(), f.Peers.LargestDatagram.Load())
+	if tally.Served < 1000 || f.Peers.Lost.Load() == 0 || f.Peers.Delayed.Load() == 0 || f.Peers.Duplicated.Load() == 0 {
 		t.Error("the run was too short: fewer than 1000 requests were served, or a kind of datagram fault did not occur")
 	}
-	if f.Peers.Longest.Load() > 256 {
-		t.Errorf("the longest datagram had %d bytes, want at most 256", f.Peers.Longest.Load())
+	if f.Peers.LargestDatagram.Load() > 256 {
+		t.Errorf("the longest datagram had %d bytes, want at most 256", f.Peers.LargestDatagram.Load())
 	}
 }
 
@@ -191,7 +191,7 @@
 func TestSuspicionsReachOtherProcesses(t *testing.T) {
 	t.Parallel()
 	f := startFleet(t, fleet.Config{Size: 5, Nodes: 3})
-	f.RequireAgreement(testbed.Generous)
+	f.RequireAgreement(testbed.MaxWait)
 	stop := f.Load(150)
 	f.Nodes[2].Do(testbed.Always(testbed.Hang))
 	testbed.Until(t, "every process to receive the suspicion from three others", func() bool {
@@ -223,7 +223,7 @@
 // reads no more of the datagrams than its rate limit allows.
 func TestFloodOfDatagrams(t *testing.T) {
 	f := startFleet(t, fleet.Config{Size: 3, Nodes: 2})
-	f.RequireAgreement(testbed.Generous)
+	f.RequireAgreement(testbed.MaxWait)
 	stop := f.Load(100)
 	host, _, err := net.SplitHostPort(f.Sidecars[0].Listen)
 	if err != nil {
@@ -265,7 +265,7 @@
 			tally, elapsed)
 	}
 	t.Logf("%d datagrams sent in %v, %d read; requests %+v; views agree after %v",
-		100_000, elapsed, dropped, tally, f.RequireAgreement(testbed.Generous))
+		100_000, elapsed, dropped, tally, f.RequireAgreement(testbed.MaxWait))
 }
 
 // Without a fleet file, the daemon opens no socket for datagrams of other sidecars and rejects the peers call.
--- a/cmd/caperarch/fleetpolicy_test.go
+++ b/cmd/caperarch/fleetpolicy_test.go
@@ -29,13 +29,13 @@
 	p := &policyFleet{T: t, Fleet: startFleet(t, fleet.Config{Size: 5, Nodes: 4, CutOff: fleet.CutOffPolicy, Edit: edit})}
 	t.Cleanup(p.logViews)
 	p.stop = p.Load(150)
-	if err := p.Sidecars[3].Propose(fleet.Marked(0)); err == nil {
+	if err := p.Sidecars[3].Propose(fleet.MarkedPolicy(0)); err == nil {
 		t.Error("a proposal was accepted before the replicated log existed")
 	}
 	if err := p.Sidecars[0].Bootstrap(); err != nil {
 		t.Fatal(err)
 	}
-	p.awaitVersion(0, testbed.Generous)
+	p.awaitVersion(0, testbed.MaxWait)
 	if err := p.Sidecars[1].Bootstrap(); err == nil || !strings.Contains(err.Error(), "exists and answers") {
 		t.Errorf("second bootstrap of the replicated log: error %v, want a rejection", err)
 	}
@@ -64,7 +64,7 @@
 	p.next++
 	p.proposed++
 	p.maxChanges++
-	if err := p.Sidecars[by].Propose(fleet.Marked(p.next)); err != nil {
+	if err := p.Sidecars[by].Propose(fleet.MarkedPolicy(p.next)); err != nil {
 		p.Fatalf("proposal at process %d was rejected: %v", by, err)
 	}
 }
@@ -73,7 +73,7 @@
 // It fails if the version is not want (-1: any version), or if the wait took longer than within.
 func (p *policyFleet) awaitVersion(want int, within time.Duration) int {
 	p.Helper()
-	version, elapsed, problem := p.AwaitPolicy(want, testbed.Generous)
+	version, elapsed, problem := p.AwaitPolicy(want, testbed.MaxWait)
 	if problem != "" || elapsed > within {
 		p.Fatalf("version is %d, want %d, after %v: %s", version, want, elapsed, problem)
 	}
@@ -120,8 +120,8 @@
 			switches, p.maxChanges)
 	}
 	p.Logf("requests %+v, other statuses %v; %d proposals, at most %d changes, %d switches; longest datagram %d bytes",
-		tally, p.CountByStatus(), p.proposed, p.maxChanges, switches, p.Peers.Longest.Load())
-	if tally.Served < 1000 || switches < minSwitches || p.Peers.Longest.Load() > 256 {
+		tally, p.CountByStatus(), p.proposed, p.maxChanges, switches, p.Peers.LargestDatagram.Load())
+	if tally.Served < 1000 || switches < minSwitches || p.Peers.LargestDatagram.Load() > 256 {
 		p.Error("fewer than 1000 requests served, too few policy switches, or a datagram over 256 bytes")
 	}
 }
@@ -159,14 +159,15 @@
 	time.Sleep(time.Second)
 	p.Sidecars[l].Start()
 	p.awaitProposal((l + 1) % 5)
-	before := p.awaitVersion(-1, testbed.Generous)
+	before := p.awaitVersion(-1, testbed.MaxWait)
 
 	t.Log("the network is partitioned before, during and after a change")
 	l = p.leader()
 	minority := map[int]bool{(l + 1) % 5: true, (l + 2) % 5: true}
 	p.Peers.Break(fleet.Faults{Cut: func(from, to int) bool { return minority[from] != minority[to] }}, 1)
 	time.Sleep(4 * time.Second)
-	if err := p.Sidecars[(l+1)%5].Propose(fleet.Marked(99)); err == nil || !strings.Contains(err.Error(), "no grant") {
+	if err := p.Sidecars[(l+1)%5].Propose(fleet.MarkedPolicy(99)); err == nil ||
+		!strings.Contains(err.Error(), "no grant") {
 		t.Errorf("proposal at the minority: error %v, want a rejection because of the missing grant", err)
 	}
 	p.propose(l)
@@ -180,7 +181,7 @@
 		}
 	}
 	p.Peers.Break(fleet.Faults{}, 1)
-	before = p.awaitVersion(-1, testbed.Generous)
+	before = p.awaitVersion(-1, testbed.MaxWait)
 
 	t.Log("a process can't apply the change")
 	p.proposed++
@@ -205,13 +206,13 @@
 	p.maxChanges++
 	testbed.Until(t, "a proposal to be accepted", func() bool {
 		p.proposed++
-		return p.Sidecars[2].Propose(fleet.Marked(p.next)) == nil
+		return p.Sidecars[2].Propose(fleet.MarkedPolicy(p.next)) == nil
 	})
 	time.Sleep(2 * time.Second)
 	p.Peers.Hold(3 * time.Second)
 	time.Sleep(3500 * time.Millisecond)
 	p.Peers.Break(fleet.Faults{}, 1)
-	p.awaitVersion(-1, testbed.Generous)
+	p.awaitVersion(-1, testbed.MaxWait)
 
 	t.Log("four of five processes crash during a change and restart without state")
 	l := p.leader()
@@ -236,7 +237,7 @@
 		return true
 	})
 	testbed.Until(t, "a new bootstrap to be accepted", func() bool { return p.Sidecars[(l+1)%5].Bootstrap() == nil })
-	p.awaitVersion(0, testbed.Generous)
+	p.awaitVersion(0, testbed.MaxWait)
 	p.finish(1)
 }
 
@@ -249,13 +250,13 @@
 	if err := f.Sidecars[0].Bootstrap(); err != nil {
 		t.Fatal(err)
 	}
-	if _, _, problem := f.AwaitPolicy(0, testbed.Generous); problem != "" {
+	if _, _, problem := f.AwaitPolicy(0, testbed.MaxWait); problem != "" {
 		t.Fatal(problem)
 	}
-	if err := f.Sidecars[1].Propose(fleet.Marked(1)); err != nil {
+	if err := f.Sidecars[1].Propose(fleet.MarkedPolicy(1)); err != nil {
 		t.Fatal(err)
 	}
-	if _, _, problem := f.AwaitPolicy(1, testbed.Generous); problem != "" {
+	if _, _, problem := f.AwaitPolicy(1, testbed.MaxWait); problem != "" {
 		t.Fatal(problem)
 	}
 	for _, s := range f.Sidecars {
@@ -263,7 +264,7 @@
 	}
 	stateFile := func(number int) string {
 		t.Helper()
-		files, err := filepath.Glob(filepath.Join(f.Kept(number), "*.state"))
+		files, err := filepath.Glob(filepath.Join(f.StateDir(number), "*.state"))
 		if err != nil || len(files) != 1 {
 			t.Fatalf("state files of the process are %v, error %v, want one file", files, err)
 		}
@@ -276,7 +277,7 @@
 	for _, s := range f.Sidecars {
 		s.Start()
 	}
-	if _, elapsed, problem := f.AwaitPolicy(1, testbed.Generous); problem != "" {
+	if _, elapsed, problem := f.AwaitPolicy(1, testbed.MaxWait); problem != "" {
 		t.Errorf("with a damaged state file, after %v: %s", elapsed, problem)
 	}
 	if _, err := os.Stat(file + ".damaged"); err != nil || !strings.Contains(f.Sidecars[2].Log(), "put aside") {
@@ -307,7 +308,7 @@
 		t.Fatal(err)
 	}
 	f.Sidecars[2].Start()
-	if _, elapsed, problem := f.AwaitPolicy(1, testbed.Generous); problem != "" {
+	if _, elapsed, problem := f.AwaitPolicy(1, testbed.MaxWait); problem != "" {
 		t.Errorf("with the wrong state file removed, after %v: %s", elapsed, problem)
 	}
 }
--- a/cmd/caperarch/spread_test.go
+++ b/cmd/caperarch/spread_test.go
@@ -46,14 +46,14 @@
 func TestSpreadIsEvenAmongLiveSidecars(t *testing.T) {
 	t.Parallel()
 	f := startSpreadFleet(t, fleet.Faults{Loss: 0.1, Duplicate: 0.1, Delay: 100 * time.Millisecond})
-	f.RequireAgreement(testbed.Generous)
+	f.RequireAgreement(testbed.MaxWait)
 	stop := f.Streams(1, constantRate)
 	// The arcs begin at multiples of the golden ratio, whose ascending order is 0, 5, 2, 7, 4, 1, 6, 3, 8. Sidecars 5,
 	// 2 and 7 are therefore adjacent.
 	for _, i := range []int{5, 2, 7} {
 		f.Sidecars[i].Crash()
 	}
-	t.Logf("views agree after %v", f.RequireAgreement(testbed.Generous))
+	t.Logf("views agree after %v", f.RequireAgreement(testbed.MaxWait))
 	s := measureSpread(f, 15*time.Second, stop)
 	t.Logf("spread %+v", s)
 	if s.Greatest > 1.3 || s.Variance > 1.2 {
@@ -70,7 +70,7 @@
 func TestSpreadDuringPartition(t *testing.T) {
 	t.Parallel()
 	f := startSpreadFleet(t, fleet.Faults{})
-	f.RequireAgreement(testbed.Generous)
+	f.RequireAgreement(testbed.MaxWait)
 	stop := f.Streams(2, constantRate)
 	f.Peers.Break(fleet.Faults{Cut: func(from, to int) bool { return (from < 4) != (to < 4) }}, 1)
 	testbed.Until(t, "the minority to detect that it is out of contact", func() bool {
--- a/cmd/caperarch/work_test.go
+++ b/cmd/caperarch/work_test.go
@@ -34,13 +34,13 @@
 		n.Do(testbed.Always(testbed.Slow))
 	}
 	stop := f.Load(150)
-	if err := f.Sidecars[0].Work(planText); err == nil {
+	if err := f.Sidecars[0].ProposeMaintenance(planText); err == nil {
 		t.Error("a plan was accepted before the replicated log existed")
 	}
 	if err := f.Sidecars[0].Bootstrap(); err != nil {
 		t.Fatal(err)
 	}
-	if _, _, why := f.AwaitPolicy(0, testbed.Generous); why != "" {
+	if _, _, why := f.AwaitPolicy(0, testbed.MaxWait); why != "" {
 		t.Fatal(why)
 	}
 	for plan, want := range map[string]string{
@@ -48,31 +48,31 @@
 		"machines = [\"s-0\", \"s-99\"]\n[out]\nfleet = \"1\"\n":            "machines[1]: s-99 is not listed",
 		"all = true\nlongest = \"1s\"\nbacks = \"x\"\n[out]\nfleet = \"1\"": "backs",
 	} {
-		if err := f.Sidecars[1].Work(plan); err == nil || !strings.Contains(err.Error(), want) {
+		if err := f.Sidecars[1].ProposeMaintenance(plan); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("plan %q: error %v, want an error with %q", plan, err, want)
 		}
 	}
-	if err := f.Sidecars[1].WorkDo("done", 7); err == nil ||
+	if err := f.Sidecars[1].MaintenanceCommand("done", 7); err == nil ||
 		!strings.Contains(err.Error(), "turn 7 is over, or never was") {
 		t.Errorf("done for a turn that does not exist: error %v, want a rejection", err)
 	}
 	leader := func() int {
 		for _, s := range f.Sidecars {
-			if v, ok := s.Policy(); ok && v.Leader >= 0 && f.Sidecars[v.Leader].Runs() {
+			if v, ok := s.Policy(); ok && v.Leader >= 0 && f.Sidecars[v.Leader].Running() {
 				return v.Leader
 			}
 		}
 		return 0
 	}
-	operators := f.Operators(1, 300*time.Millisecond, cold)
+	operators := f.StartOperators(1, 300*time.Millisecond, cold)
 	start := time.Now()
-	testbed.Until(t, "the plan to be accepted", func() bool { return f.Sidecars[1].Work(planText) == nil })
+	testbed.Until(t, "the plan to be accepted", func() bool { return f.Sidecars[1].ProposeMaintenance(planText) == nil })
 	awaitTurns := func(turns int) {
 		t.Helper()
 		for end := time.Now().Add(time.Minute); len(operators.Windows()) < turns &&
 			!operators.Ended(); time.Sleep(20 * time.Millisecond) {
 			if time.Now().After(end) {
-				t.Fatalf("turn %d did not begin within 1 min: %s", turns, operators.Shown)
+				t.Fatalf("turn %d did not begin within 1 min: %s", turns, operators.Status)
 			}
 		}
 		t.Logf("%d turns after %v", turns, time.Since(start))
@@ -98,7 +98,7 @@
 	f.Peers.Break(fleet.Faults{}, 1)
 	for end := time.Now().Add(90 * time.Second); !operators.Ended(); time.Sleep(50 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("the plan did not end within 90 s: %s", operators.Shown)
+			t.Fatalf("the plan did not end within 90 s: %s", operators.Status)
 		}
 	}
 	elapsed := time.Since(start)
@@ -110,7 +110,7 @@
 		t.Error(b)
 	}
 	t.Logf("six machines after %v; requests %+v, other statuses %v; %d requests at a free machine just after a fault",
-		elapsed, tally, f.CountByStatus(), found.Astray)
+		elapsed, tally, f.CountByStatus(), found.Misrouted)
 	seen := make(map[string]int)
 	for _, x := range operators.Windows() {
 		seen[x.Node.ID]++
--- a/cmd/measure/even_real.go
+++ b/cmd/measure/even_real.go
@@ -161,7 +161,7 @@
 	var failed error
 	slots := make(chan bool, side)
 	var all sync.WaitGroup
-	for _, event := range emulator.EvenEvents(e.nodes) {
+	for _, event := range emulator.SpreadEvents(e.nodes) {
 		slots <- true
 		all.Go(func() {
 			defer func() { <-slots }()
@@ -178,7 +178,7 @@
 }
 
 // event runs a fleet through one event.
-func (e evenReal) event(binary string, event *emulator.EvenEvent) (emulator.EventResult, error) {
+func (e evenReal) event(binary string, event *emulator.SpreadEvent) (emulator.EventResult, error) {
 	t := newCleanups()
 	defer t.end()
 	times := usual
@@ -222,11 +222,11 @@
 	if _, broken := w.Check(); len(broken) > 0 {
 		return emulator.EventResult{}, fmt.Errorf("violated rules: %v", broken[:min(5, len(broken))])
 	}
-	return event.Judge(w.Arrivals(w.begun), e.nodes, until, e.seed), nil
+	return event.Evaluate(w.Arrivals(w.begun), e.nodes, until, e.seed), nil
 }
 
 // scheduleEvent schedules the changes of upstreams that belong to the event.
-func (w *evenWorld) scheduleEvent(event *emulator.EvenEvent, at func(time.Duration, func())) {
+func (w *evenWorld) scheduleEvent(event *emulator.SpreadEvent, at func(time.Duration, func())) {
 	touched := w.Nodes[:event.Touched]
 	// Half of the sidecars receive the update two seconds later; a removed upstream still serves them meanwhile.
 	list := func(when time.Duration, of []*testbed.Node, lifecycle string) {
@@ -252,7 +252,7 @@
 		list(event.At, touched[:event.Removed], "draining")
 	}
 	if event.Added > 0 {
-		came := event.End - emulator.EvenColdTime
+		came := event.End - emulator.SpreadSlowStartTime
 		at(came, func() {
 			for _, n := range w.unlisted {
 				n.Started = time.Now()
--- a/cmd/measure/fleet_peers_virtual.go
+++ b/cmd/measure/fleet_peers_virtual.go
@@ -23,19 +23,19 @@
 	for k := range crashes {
 		i := (k*37 + 5) % n.Size
 		known, need := 0, (n.Size-1)*95/100
-		n.Seen = func(_ int, c swim.Change) {
+		n.OnChange = func(_ int, c swim.Change) {
 			if c.Member == i && c.State == swim.Dead {
 				known++
 			}
 		}
 		begun := n.Now
 		n.Crash(i)
-		if n.Until(30*time.Second, func() bool { return known >= need }) {
+		if n.RunUntil(30*time.Second, func() bool { return known >= need }) {
 			took.add((n.Now - begun).Seconds())
 		} else {
 			took.add(-1)
 		}
-		n.Seen = nil
+		n.OnChange = nil
 		n.Boot(i)
 		n.Run(5 * time.Second)
 	}
@@ -46,7 +46,7 @@
 // alarms and of lost contacts, and the bytes and datagrams sent per second and member.
 func quietHour(n *swimsim.Net, d time.Duration, starved bool) (suspected, gone, lapsed int, bytes, datagrams float64) {
 	first := make(map[[2]int]time.Duration) // counts a false alarm once, whatever the number of members that receive it
-	n.Seen = func(node int, c swim.Change) {
+	n.OnChange = func(node int, c swim.Change) {
 		switch {
 		case c.Member == node && !c.Contact:
 			lapsed++
@@ -74,7 +74,7 @@
 		}
 	}
 	n.Run(d)
-	n.Seen = nil
+	n.OnChange = nil
 	for _, m := range n.Nodes {
 		bytes += float64(m.Bytes) / d.Seconds() / float64(n.Size)
 		datagrams += float64(m.Sends) / d.Seconds() / float64(n.Size)
@@ -87,7 +87,7 @@
 	n := swimsim.New(swimsim.Config{Size: size, Seed: seed, MinDelay: time.Millisecond,
 		MaxDelay: 20 * time.Millisecond})
 	in, need := 0, max(1, size*95/100)
-	n.Seen = func(node int, c swim.Change) {
+	n.OnChange = func(node int, c swim.Change) {
 		if c.Member == node && c.Contact {
 			in++
 		} else if c.Member == node {
@@ -95,7 +95,7 @@
 		}
 	}
 	begun := n.Now
-	n.Until(10*swim.LeaseFor(size), func() bool { return in >= need })
+	n.RunUntil(10*swim.LeaseFor(size), func() bool { return in >= need })
 	return n.Now - begun
 }
 
--- a/cmd/measure/fleet_policy.go
+++ b/cmd/measure/fleet_policy.go
@@ -140,7 +140,7 @@
 // calm makes changes without faults, and measures their effect on request durations and their traffic.
 func (p *policyFleet) calm(r *policyRun, rounds int) error {
 	time.Sleep(5 * time.Second)
-	calm := p.Took(time.Now().Add(-4 * time.Second))
+	calm := p.Latencies(time.Now().Add(-4 * time.Second))
 	from := time.Now()
 	beforeBytes, beforeSent, begun := p.Peers.PassedBytes.Load(), p.Peers.Passed.Load(), time.Now()
 	for range rounds {
@@ -151,7 +151,7 @@
 	}
 	spent := time.Since(begun).Seconds()
 	bytes, sent := float64(p.Peers.PassedBytes.Load()-beforeBytes), float64(p.Peers.Passed.Load()-beforeSent)
-	during := p.Took(from)
+	during := p.Latencies(from)
 	r.p99 = quantile(during, 0.99) / quantile(calm, 0.99)
 	r.refused, r.changes = p.Refused(from), rounds
 	time.Sleep(3 * time.Second)
--- a/cmd/measure/fleet_work_virtual.go
+++ b/cmd/measure/fleet_work_virtual.go
@@ -20,8 +20,8 @@
 // virtualRound runs a round in which all machines are taken out of service. The work on a machine begins as soon as a
 // sidecar reports that the machine is free.
 func virtualRound(seed uint64, size, machines, gone int) (r virtualWork) {
-	site := &replicatedstatesim.Site{Deadline: 5 * time.Second, Bound: atOnce, Returns: workWarmUp,
-		Every: 5 * time.Second}
+	site := &replicatedstatesim.Site{Deadline: 5 * time.Second, Bound: atOnce, WarmupTime: workWarmUp,
+		SendInterval: 5 * time.Second}
 	for i := range machines {
 		site.Machines = append(site.Machines,
 			maintenance.Machine{ID: uint64(i + 1), Name: fmt.Sprintf("s-%d", i), Zone: "a", Cell: i / 2,
@@ -33,7 +33,7 @@
 	if err := n.Nodes[0].Bootstrap(n.Nodes[0].Time(), 1<<56); err != nil {
 		return virtualWork{broken: []string{err.Error()}}
 	}
-	if !n.Until(3*time.Minute, n.Converged) {
+	if !n.RunUntil(3*time.Minute, n.Converged) {
 		return virtualWork{broken: []string{"not all sidecars apply the log's policy within 3 min"}}
 	}
 	n.Run(time.Minute)
@@ -63,17 +63,17 @@
 				n.After(workDuration, say)
 			}
 		}
-		return n.Broken != nil || len(s.Ended) > 0
+		return n.Violations != nil || len(s.Ended) > 0
 	}
 	for end := n.Now + time.Hour; !over() && n.Now < end; {
 		n.Run(100 * time.Millisecond)
 	}
-	if r.broken = n.Broken; len(by.MaintenanceState().Ended) == 0 {
+	if r.broken = n.Violations; len(by.MaintenanceState().Ended) == 0 {
 		r.broken = append(r.broken, fmt.Sprintf("round not over within an hour: %+v", by.MaintenanceView(by.Time())))
 	}
 	r.took = (n.Now - begun).Seconds()
 	r.ideal = float64((machines+atOnce-1)/atOnce) * (workDuration + workWarmUp).Seconds()
 	r.bytes = float64(n.Bytes-bytes) / r.took / float64(size)
-	r.given, r.over, r.astray = site.Opened, site.Closed, site.Astray
+	r.given, r.over, r.astray = site.Opened, site.Closed, site.Misrouted
 	return r
 }
--- a/cmd/measure/soak_upstream.go
+++ b/cmd/measure/soak_upstream.go
@@ -89,9 +89,9 @@
 	arrived, serviceTime := u.rig.since(), u.drawServiceTime(r.URL.Path)
 	u.answer(w, r, id, serviceTime)
 	u.rig.recordRun(soak.Run{
-		ID: id, Upstream: u.number, Arrived: arrived, Planned: arrived + serviceTime, Ended: u.rig.since(),
+		ID: id, Upstream: u.number, Arrived: arrived, PlannedEnd: arrived + serviceTime, Ended: u.rig.since(),
 		Service: soakServiceOf(u.number), Instance: instance,
-		Changed: r.RequestURI != r.Header.Get(soakPathField) || !isSoakRequestBody(body, id, r.Header.Get(soakLengthField)),
+		Altered: r.RequestURI != r.Header.Get(soakPathField) || !isSoakRequestBody(body, id, r.Header.Get(soakLengthField)),
 	})
 }
 
--- a/conformance/subjects_test.go
+++ b/conformance/subjects_test.go
@@ -75,7 +75,7 @@
 
 // closeWithTimeout calls the Close method of a plug-in with a time limit for its drain.
 func closeWithTimeout(close func(context.Context) error) error {
-	ctx, cancel := context.WithTimeout(context.Background(), testbed.Generous)
+	ctx, cancel := context.WithTimeout(context.Background(), testbed.MaxWait)
 	defer cancel()
 	return close(ctx)
 }
--- a/internal/daemon/control/control_test.go
+++ b/internal/daemon/control/control_test.go
@@ -75,7 +75,7 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	_ = c.SetDeadline(time.Now().Add(testbed.Generous))
+	_ = c.SetDeadline(time.Now().Add(testbed.MaxWait))
 	go io.WriteString(c, text)
 	got, err := io.ReadAll(bufio.NewReader(c))
 	if err != nil {
@@ -143,7 +143,7 @@
 		t.Fatal("the second caller was not admitted in place of the idle one")
 	}
 	start := time.Now()
-	_ = idleClient.SetReadDeadline(start.Add(testbed.Generous))
+	_ = idleClient.SetReadDeadline(start.Add(testbed.MaxWait))
 	if _, err := idleClient.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
 		t.Errorf("the evicted caller's connection ended with %v, want EOF", err)
 	}
--- a/internal/daemon/front_test.go
+++ b/internal/daemon/front_test.go
@@ -139,7 +139,7 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	_ = c.SetDeadline(time.Now().Add(testbed.Generous))
+	_ = c.SetDeadline(time.Now().Add(testbed.MaxWait))
 	if _, err := io.WriteString(c, bytes); err != nil {
 		t.Fatal(err)
 	}
@@ -226,7 +226,7 @@
 			}
 			defer c.Close()
 			start := time.Now()
-			_ = c.SetDeadline(start.Add(testbed.Generous))
+			_ = c.SetDeadline(start.Add(testbed.MaxWait))
 			_, err = fmt.Fprintf(c, "POST /entry HTTP/1.1\r\nHost: a\r\nConnection: close\r\nContent-Length: %d\r\n\r\n", rest)
 			if err != nil {
 				t.Fatal(err)
--- a/internal/daemon/frontlimits_test.go
+++ b/internal/daemon/frontlimits_test.go
@@ -40,7 +40,7 @@
 		t.Errorf("first request: status %d, want 200", status)
 	}
 	// The client may read the response shortly before the sidecar closes the request.
-	for end := time.Now().Add(testbed.Generous); ; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testbed.MaxWait); ; time.Sleep(time.Millisecond) {
 		if res, _ := do(t, sidecar.request(t, "POST", "/entry", "1")); res.StatusCode == http.StatusOK {
 			return
 		} else if time.Now().After(end) {
@@ -121,7 +121,7 @@
 	}
 	sidecar := startSidecar(t, nil, testbed.NewStub(t, fails).Address, testbed.NewStub(t, fails).Address,
 		testbed.NewStub(t, fails).Address)
-	client := http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 8}, Timeout: testbed.Generous}
+	client := http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 8}, Timeout: testbed.MaxWait}
 	var clients sync.WaitGroup
 	for worker := range 8 {
 		clients.Go(func() {
@@ -210,7 +210,7 @@
 	s := testbed.NewStub(t, testbed.Silent)
 	sidecar := startSidecar(t, func(_, settings map[string]any) { // timeouts longer than the test
 		look := settings["classes"].([]any)[2].(map[string]any)
-		look["aim_ms"], look["hard_limit_ms"] = 10*testbed.Generous.Milliseconds(), 20*testbed.Generous.Milliseconds()
+		look["aim_ms"], look["hard_limit_ms"] = 10*testbed.MaxWait.Milliseconds(), 20*testbed.MaxWait.Milliseconds()
 	}, s.Address)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
--- a/internal/daemon/handover/handover_test.go
+++ b/internal/daemon/handover/handover_test.go
@@ -88,7 +88,7 @@
 		if err := old.WriteRecord(old.Observe().LatestSuccessorID, r); err != nil {
 			t.Fatal(err)
 		}
-		got, err := successor.AwaitRecord(testbed.Generous)
+		got, err := successor.AwaitRecord(testbed.MaxWait)
 		if err != nil || got.Pools[""].Version != 7 || got.Pools[""].Delisted[0] != 1<<63 {
 			t.Fatalf("the successor got record %+v, error %v, want the record that the old process wrote", got, err)
 		}
@@ -146,13 +146,13 @@
 	if err := os.WriteFile(filepath.Join(dir, recordName), raw[:len(raw)/2], 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := successor.AwaitRecord(testbed.Generous); err == nil || err == ErrNoRecord {
+	if _, err := successor.AwaitRecord(testbed.MaxWait); err == nil || err == ErrNoRecord {
 		t.Errorf("truncated record: error %v, want an error other than ErrNoRecord", err)
 	}
 	if err := os.WriteFile(filepath.Join(dir, recordName), make([]byte, maxRecordBytes+1), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := successor.AwaitRecord(testbed.Generous); !errors.Is(err, errCorrupt) {
+	if _, err := successor.AwaitRecord(testbed.MaxWait); !errors.Is(err, errCorrupt) {
 		t.Errorf("record over the maximum length: error %v, want errCorrupt", err)
 	}
 }
--- a/internal/daemon/sidecar_test.go
+++ b/internal/daemon/sidecar_test.go
@@ -82,7 +82,7 @@
 // do sends a request on a new connection and returns the response and its body.
 func do(t *testing.T, req *http.Request) (*http.Response, string) {
 	t.Helper()
-	client := http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: testbed.Generous}
+	client := http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: testbed.MaxWait}
 	res, err := client.Do(req)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/fleet/swim/budget_test.go
+++ b/internal/fleet/swim/budget_test.go
@@ -20,7 +20,7 @@
 		)
 		net.Run(30 * time.Second)
 		gone, lostContact := 0, 0
-		net.Seen = func(node int, c swim.Change) {
+		net.OnChange = func(node int, c swim.Change) {
 			if c.Member == node && !c.Contact {
 				lostContact++
 			} else if c.State == swim.Dead {
--- a/internal/fleet/swim/history_test.go
+++ b/internal/fleet/swim/history_test.go
@@ -23,18 +23,18 @@
 	size := 3 + int(seed%5)
 	plan = swimsim.Draw(seed, size, 25*time.Second)
 	net := swimsim.New(swimsim.Config{Size: size, Seed: seed, Rate: plan.Rate})
-	if violations = net.Watched(6*time.Second, 100*time.Millisecond); violations != nil {
+	if violations = net.RunChecked(6*time.Second, 100*time.Millisecond); violations != nil {
 		return plan, violations
 	}
 	net.Play(plan)
-	if violations = net.Watched(40*time.Second, 50*time.Millisecond); violations != nil {
+	if violations = net.RunChecked(40*time.Second, 50*time.Millisecond); violations != nil {
 		return plan, violations
 	}
 	net.Heal()
-	if violations = net.Watched(20*time.Second, 100*time.Millisecond); violations != nil {
+	if violations = net.RunChecked(20*time.Second, 100*time.Millisecond); violations != nil {
 		return plan, violations
 	}
-	if !net.Agree() || net.InContact() != size {
+	if !net.Converged() || net.InContact() != size {
 		violations = append(
 			violations,
 			"20 s after the last fault, views differ or "+strconv.Itoa(size-net.InContact())+" members are out of contact",
@@ -78,10 +78,10 @@
 		for k, remaining := 0, number; k < *depth; k, remaining = k+1, remaining/choices {
 			if choice := remaining % choices; choice > 0 {
 				step := swimsim.Step{
-					At: time.Duration(k) * slot, For: slot, What: faults[(choice-1)/size],
-					Who: []int{(choice - 1) % size},
+					At: time.Duration(k) * slot, For: slot, Kind: faults[(choice-1)/size],
+					Members: []int{(choice - 1) % size},
 				}
-				if step.What == swimsim.Crash {
+				if step.Kind == swimsim.Crash {
 					step.For = 100 * time.Millisecond
 				}
 				plan.Steps = append(plan.Steps, step)
@@ -90,11 +90,11 @@
 		net := swimsim.New(swimsim.Config{Size: size, Seed: 1, Rate: 0.01})
 		net.Run(8 * time.Second)
 		net.Play(plan)
-		violations := net.Watched(time.Duration(*depth)*slot+4*time.Second, 100*time.Millisecond)
+		violations := net.RunChecked(time.Duration(*depth)*slot+4*time.Second, 100*time.Millisecond)
 		if net.Heal(); violations == nil {
-			violations = net.Watched(8*time.Second, 500*time.Millisecond)
+			violations = net.RunChecked(8*time.Second, 500*time.Millisecond)
 		}
-		if violations == nil && (!net.Agree() || net.InContact() != size) {
+		if violations == nil && (!net.Converged() || net.InContact() != size) {
 			violations = []string{"8 s after the faults ended, views differ or members are out of contact"}
 		}
 		if violations != nil {
--- a/internal/fleet/swim/replay_test.go
+++ b/internal/fleet/swim/replay_test.go
@@ -24,7 +24,7 @@
 	net.Run(40 * time.Second)
 	recorded := all
 	net.Run(time.Hour)
-	if !net.Agree() || net.InContact() != 5 {
+	if !net.Converged() || net.InContact() != 5 {
 		t.Fatal("views differ or members are out of contact before the replay")
 	}
 	before := net.Nodes[0].Members(net.Nodes[0].Time())
--- a/internal/fleet/swim/swim_test.go
+++ b/internal/fleet/swim/swim_test.go
@@ -13,12 +13,12 @@
 // equal.
 func waitUntilSettled(t *testing.T, net *swimsim.Net) {
 	t.Helper()
-	if !net.Until(4*swim.LeaseFor(net.Size)+20*time.Second, func() bool {
-		return net.InContact() == net.Size && net.Agree()
+	if !net.RunUntil(4*swim.LeaseFor(net.Size)+20*time.Second, func() bool {
+		return net.InContact() == net.Size && net.Converged()
 	}) {
 		t.Fatalf(
 			"seed %d: %d of %d members in contact after %v, views equal: %v", net.Seed, net.InContact(), net.Size,
-			net.Now-time.Hour, net.Agree(),
+			net.Now-time.Hour, net.Converged(),
 		)
 	}
 }
--- a/internal/proxy/transport/http1/repeat_test.go
+++ b/internal/proxy/transport/http1/repeat_test.go
@@ -24,11 +24,11 @@
 		u.clock.Advance(700 * time.Millisecond)
 		return c, err
 	}
-	limits := call.Limits{SendBy: u.clock.Now() + 100*time.Millisecond, Until: u.clock.Now() + testbed.Generous}
+	limits := call.Limits{SendBy: u.clock.Now() + 100*time.Millisecond, Until: u.clock.Now() + testbed.MaxWait}
 	if _, _, ending := u.roundTrip(new(exchange), hostOf(u, s), testMessage("1"), limits); ending != policy.NotSent {
 		t.Errorf("late repeat ended as %v, want NotSent", ending)
 	}
-	attempt(t, u, hostOf(u, s), "2", testbed.Generous)
+	attempt(t, u, hostOf(u, s), "2", testbed.MaxWait)
 	if testbed.Wait(t, "a request", s.Seen).ID() != "2" {
 		t.Error("the late repeat was sent")
 	}
@@ -54,14 +54,14 @@
 	u := newTestTransport(t)
 	u.clock = clock.NewAdjustable()
 	u.connsBreakOften.Store(true)
-	c, err := u.openConn(new(exchange), hostOf(u, s), u.clock.Now()+testbed.Generous)
+	c, err := u.openConn(new(exchange), hostOf(u, s), u.clock.Now()+testbed.MaxWait)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Conn.Close()
 	w := &slowWriter{Conn: c.Conn, clock: u.clock}
 	c.Conn = w
-	limits := call.Limits{SendBy: u.clock.Now() + 500*time.Millisecond, Until: u.clock.Now() + testbed.Generous}
+	limits := call.Limits{SendBy: u.clock.Now() + 500*time.Millisecond, Until: u.clock.Now() + testbed.MaxWait}
 	if err := u.writeRequest(c, []byte("request"), true, limits); err == nil {
 		t.Error("writeRequest returned no error for a late last byte")
 	}
@@ -89,12 +89,12 @@
 	m := testMessage("1")
 	m.Body = bytes.Repeat([]byte("x"), 32<<20)
 	started := time.Now()
-	limits := call.Limits{SendBy: u.clock.Now() + 200*time.Millisecond, Until: u.clock.Now() + testbed.Generous}
+	limits := call.Limits{SendBy: u.clock.Now() + 200*time.Millisecond, Until: u.clock.Now() + testbed.MaxWait}
 	h := u.Server(l.Addr().String()).(*host)
 	if _, _, ending := u.roundTrip(new(exchange), h, m, limits); ending != policy.NoConnection {
 		t.Errorf("repeat ended as %v, want NoConnection because the request was not written completely", ending)
 	}
-	if took := time.Since(started); took > testbed.Generous/2 {
+	if took := time.Since(started); took > testbed.MaxWait/2 {
 		t.Errorf("repeat ended after %v, want 200 ms", took)
 	}
 }
--- a/internal/proxy/transport/http1/transport_test.go
+++ b/internal/proxy/transport/http1/transport_test.go
@@ -99,7 +99,7 @@
 				return c.kept || name == "bytes left over" || name == "to be closed" || name == "headers without end"
 			})
 			u := newTestTransport(t)
-			if got := attempt(t, u, hostOf(u, s), "1", testbed.Generous); got.Ending != c.ending {
+			if got := attempt(t, u, hostOf(u, s), "1", testbed.MaxWait); got.Ending != c.ending {
 				t.Fatalf("attempt ended as %v, want %v", got.Ending, c.ending)
 			} else if got.Ending == policy.Served && string(got.Body) != "hi" {
 				t.Fatalf("response body is %q, want hi", got.Body)
@@ -122,8 +122,8 @@
 		return r.Header.Get("X-Request-ID") == "1" && testbed.OK(c, "hi")
 	})
 	u := newTestTransport(t)
-	attempt(t, u, hostOf(u, s), "1", testbed.Generous)
-	if got := attempt(t, u, hostOf(u, s), "2", testbed.Generous); got.Ending != policy.ConnectionLost {
+	attempt(t, u, hostOf(u, s), "1", testbed.MaxWait)
+	if got := attempt(t, u, hostOf(u, s), "2", testbed.MaxWait); got.Ending != policy.ConnectionLost {
 		t.Fatalf("attempt on the broken connection ended as %v, want %v", got.Ending, policy.ConnectionLost)
 	}
 	first, second := testbed.Wait(t, "1", s.Seen), testbed.Wait(t, "2", s.Seen)
@@ -141,7 +141,7 @@
 	address := l.Addr().String()
 	l.Close()
 	u := newTestTransport(t)
-	got := attempt(t, u, &host{transport: u, address: address}, "1", testbed.Generous)
+	got := attempt(t, u, &host{transport: u, address: address}, "1", testbed.MaxWait)
 	if got.Ending != policy.NoConnection || u.openConns != 0 {
 		t.Fatalf("attempt ended as %v with %d open connections, want %v with 0", got.Ending, u.openConns, policy.NoConnection)
 	}
@@ -167,7 +167,7 @@
 	s := testbed.NewStub(t, testbed.Silent)
 	u := newTestTransport(t)
 	done := make(chan call.Result, 2)
-	x := u.send(hostOf(u, s), testMessage("1"), call.Within(u.clock.Now()+testbed.Generous),
+	x := u.send(hostOf(u, s), testMessage("1"), call.Within(u.clock.Now()+testbed.MaxWait),
 		func(r call.Result) { done <- r })
 	testbed.Wait(t, "the request", s.Seen)
 	x.Cancel()
@@ -186,13 +186,13 @@
 func TestCancelledBeforeItIsWritten(t *testing.T) {
 	s := testbed.NewStub(t, testbed.Echo)
 	u := newTestTransport(t)
-	attempt(t, u, hostOf(u, s), "1", testbed.Generous)
+	attempt(t, u, hostOf(u, s), "1", testbed.MaxWait)
 	x := new(exchange)
 	x.Cancel()
 	m := testMessage("2")
 	for i := range 2 { // with an idle connection, then with a new connection
 		if _, _, ending := u.roundTrip(
-			x, hostOf(u, s), m, call.Within(u.clock.Now()+testbed.Generous),
+			x, hostOf(u, s), m, call.Within(u.clock.Now()+testbed.MaxWait),
 		); ending != policy.Cancelled {
 			t.Errorf("cancelled attempt ended as %v, want %v", ending, policy.Cancelled)
 		}
@@ -202,7 +202,7 @@
 		}
 		u.closeIdle(hostOf(u, s))
 	}
-	attempt(t, u, hostOf(u, s), "3", testbed.Generous)
+	attempt(t, u, hostOf(u, s), "3", testbed.MaxWait)
 	if testbed.Wait(t, "1", s.Seen); testbed.Wait(t, "3", s.Seen).Header.Get("X-Request-ID") != "3" {
 		t.Error("the cancelled request was sent")
 	}
@@ -212,13 +212,13 @@
 func TestForwardedRequest(t *testing.T) {
 	s := testbed.NewStub(t, testbed.Echo)
 	u := newTestTransport(t)
-	attempt(t, u, hostOf(u, s), "7", testbed.Generous)
+	attempt(t, u, hostOf(u, s), "7", testbed.MaxWait)
 	r := testbed.Wait(t, "the request", s.Seen)
 	number, ok := strings.CutSuffix(r.Header.Get("X-Timeout"), "m")
 	left, err := strconv.Atoi(number)
 	if r.Method != http.MethodPost || r.URI != "/reading" || r.Body != "weight" || r.Host != "service.internal" ||
 		r.Header.Get("X-Request-ID") != "7" || r.Header.Get("Idempotency-Key") != "k7" ||
-		!ok || err != nil || left <= 0 || left > int(testbed.Generous.Milliseconds()) {
+		!ok || err != nil || left <= 0 || left > int(testbed.MaxWait.Milliseconds()) {
 		t.Errorf("server received %s %s %q for %s with header %v, want the client's request",
 			r.Method, r.URI, r.Body, r.Host, r.Header)
 	}
@@ -234,9 +234,9 @@
 		return testbed.Echo(c, r)
 	})
 	u := newTestTransport(t)
-	u.reuseDelay = testbed.Generous
-	attempt(t, u, hostOf(u, s), "1", testbed.Generous)
-	if got := attempt(t, u, hostOf(u, s), "2", testbed.Generous); string(got.Body) != "done 2" {
+	u.reuseDelay = testbed.MaxWait
+	attempt(t, u, hostOf(u, s), "1", testbed.MaxWait)
+	if got := attempt(t, u, hostOf(u, s), "2", testbed.MaxWait); string(got.Body) != "done 2" {
 		t.Errorf("second attempt ended as %v with body %q, want the body done 2", got.Ending, got.Body)
 	}
 }
@@ -284,7 +284,7 @@
 		return testbed.Echo(c, r)
 	})
 	u := newTestTransport(t)
-	attempt(t, u, hostOf(u, s), "1", testbed.Generous)
+	attempt(t, u, hostOf(u, s), "1", testbed.MaxWait)
 	done := make(chan bool, 2)
 	u.probe(hostOf(u, s), u.clock.Now(), func(ok bool, _ policy.Load) { done <- ok })
 	if !testbed.Wait(t, "the result", done) {
@@ -298,7 +298,7 @@
 //
 // With the delay of 2 ms the test failed in 3 of 3,600 runs, with 12 processes at once: "ending 5, want NoConnection",
 // and the complete request arrived. The resetting server is a goroutine of this test and was not scheduled within 2 ms.
-// The ending was correct, because the request may have been processed. So the test sets the delay to testbed.Generous.
+// The ending was correct, because the request may have been processed. So the test sets the delay to testbed.MaxWait.
 func TestLastByteIsDelayedWhereConnectionsBreak(t *testing.T) {
 	s := testbed.NewStub(t, testbed.Echo)
 	resetting, err := net.Listen("tcp", "127.0.0.1:0") // resets connections on the first bytes
@@ -322,22 +322,22 @@
 	}()
 	u := newTestTransport(t)
 	h := u.Server(resetting.Addr().String()).(*host)
-	end := attempt(t, u, h, "1", testbed.Generous).Ending
+	end := attempt(t, u, h, "1", testbed.MaxWait).Ending
 	if end != policy.ConnectionLost || !strings.HasSuffix(testbed.Wait(t, "the request", got), "weight") {
 		t.Fatalf("first attempt ended as %v, want ConnectionLost after the complete request", end)
 	}
 	for range 10 {
 		u.recordUse(h, new(conn), true)
 	}
-	u.lastByteDelay = testbed.Generous
-	if end := attempt(t, u, h, "2", lastByteDelayFraction*testbed.Generous).Ending; end != policy.NoConnection {
+	u.lastByteDelay = testbed.MaxWait
+	if end := attempt(t, u, h, "2", lastByteDelayFraction*testbed.MaxWait).Ending; end != policy.NoConnection {
 		t.Errorf("attempt with delayed last byte ended as %v, want NoConnection", end)
 	}
 	if received := testbed.Wait(t, "the request", got); !strings.HasSuffix(received, "weigh") {
 		t.Errorf("server received %q, want the request without its last byte", received)
 	}
 	u.lastByteDelay = lastByteDelay
-	if end := attempt(t, u, hostOf(u, s), "3", testbed.Generous).Ending; end != policy.Served {
+	if end := attempt(t, u, hostOf(u, s), "3", testbed.MaxWait).Ending; end != policy.Served {
 		t.Errorf("attempt at a healthy server ended as %v, want Served", end)
 	}
 }
@@ -352,7 +352,7 @@
 	u.lastByteDelay = 50 * time.Millisecond // long enough to distinguish it from the rest of the exchange
 	u.connsBreakOften.Store(true)
 	started := time.Now()
-	if end := attempt(t, u, hostOf(u, s), "1", testbed.Generous).Ending; end != policy.Served {
+	if end := attempt(t, u, hostOf(u, s), "1", testbed.MaxWait).Ending; end != policy.Served {
 		t.Errorf("attempt ended as %v, want Served because the connection did not break", end)
 	}
 	if took := time.Since(started); took < 50*time.Millisecond {
@@ -365,7 +365,7 @@
 	s := testbed.NewStub(t, testbed.Echo)
 	u := newTestTransport(t)
 	u.clock = clock.NewAdjustable()
-	attempt(t, u, hostOf(u, s), "1", testbed.Generous)
+	attempt(t, u, hostOf(u, s), "1", testbed.MaxWait)
 	for _, stop := range []time.Duration{5 * time.Second, time.Hour} { // the idle connection is still usable, or too old
 		until := u.clock.Now() + time.Second
 		u.clock.Advance(stop)
@@ -375,7 +375,7 @@
 			t.Errorf("late attempt ended as %v, want NotSent", ending)
 		}
 	}
-	attempt(t, u, hostOf(u, s), "3", testbed.Generous)
+	attempt(t, u, hostOf(u, s), "3", testbed.MaxWait)
 	if testbed.Wait(t, "1", s.Seen); testbed.Wait(t, "3", s.Seen).ID() != "3" {
 		t.Error("the late attempt was sent")
 	}
