--- a/internal/lab/emulator/mass_test.go
+++ b/internal/lab/emulator/mass_test.go
@@ -7,10 +7,11 @@
 	"caperarch/policy"
 )
 
-// Each sidecar alone holds few requests, but all together hold more than the servers can handle. Without a limit over
-// the whole fleet, a burst to 1.5 times the usual rate leaves servers overloaded for the rest of the run. The seeds
-// draw the deployment. With the second seed servers become overloaded soonest; limits in each sidecar alone gave 0.636
-// of the value in time there, with all 40 servers overloaded.
+// Guards against concurrency limits that add up. Each sidecar alone has few requests in flight, but all sidecars
+// together have more than the servers can handle. Without a limit over the whole fleet, a burst to 1.5 times the usual
+// rate leaves servers overloaded for the rest of the run. The seed draws the deployment. The second seed draws the
+// deployment whose servers become overloaded soonest: with limits in each sidecar alone, answers in time earned 0.636 of
+// the value, and all 40 servers were overloaded.
 func TestFleetRecoversFromBurst(t *testing.T) {
 	bounds := map[uint64]struct {
 		inTime float64
--- a/internal/proxy/front/http1/conn_table_test.go
+++ b/internal/proxy/front/http1/conn_table_test.go
@@ -65,9 +65,9 @@
 	}
 }
 
-// At the limit on all connections, a connection on which no request was received is closed before used ones, then the
-// one that has been idle for the longest time. A connection with an open request, or one that became idle just now,
-// stays open.
+// When the limit on all connections is reached, connections on which no request was received are closed first, then the
+// connection that has been idle for the longest time. Connections with an open request, and connections that have just
+// become idle, stay open.
 func TestLongestIdleIsClosed(t *testing.T) {
 	table := connTable{limits: ConnLimits{Max: 3, MaxIdle: [stateCount]int{3, 3, 3, 3, 3, 3}}}
 	first, second := addIdleConn(&table, 0, 2), addIdleConn(&table, time.Second, 2)
